--- a/admission.go
+++ b/admission.go
@@ -29,8 +29,10 @@
 	c := &b.cfg.Classes[q.Class]
 	sight := b.storm.Came(now, b.likeness(q), q.Repeat)
 	q.Repeat = sight.Repeat
-	r := &request{Request: q, class: c, most: b.cfg.Caps.MaxAttempts, arrived: now, first: sight.First,
-		favour: sight.Favour, terms: c.terms()}
+	r := &request{
+		Request: q, class: c, most: b.cfg.Caps.MaxAttempts, arrived: now, first: sight.First,
+		favour: sight.Favour, terms: c.terms(),
+	}
 	r.aimAt = min(sight.Since+c.Aim+time.Duration(c.AimStretch*float64(q.Cost)), q.Deadline)
 	b.requests[q.ID] = r
 	if b.lastRequest > 0 {
--- a/attempts.go
+++ b/attempts.go
@@ -70,9 +70,11 @@
 		return false
 	}
 	e := b.expected(r.Class, millis(r.Cost))
-	a := &attempt{req: r, n: len(r.attempts), to: t, sent: b.now, expected: e, work: work, mayRun: true,
+	a := &attempt{
+		req: r, n: len(r.attempts), to: t, sent: b.now, expected: e, work: work, mayRun: true,
 		foretold: b.foretell(r, t), ran: repeat.Attempt{Place: place(t), At: b.now},
-		weight: min(max(e/b.mean, 1.0/maxWeight), maxWeight)}
+		weight: min(max(e/b.mean, 1.0/maxWeight), maxWeight),
+	}
 	r.attempts = append(r.attempts, a)
 	r.out++
 	t.out = append(t.out, a)
--- a/balancer.go
+++ b/balancer.go
@@ -116,7 +116,8 @@
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{cfg: cfg, host: host, advice: cfg.advice(), rng: rand.New(rand.NewPCG(seed, 0)),
+	b := &Balancer{
+		cfg: cfg, host: host, advice: cfg.advice(), rng: rand.New(rand.NewPCG(seed, 0)),
 		median: 1, retries: retryBurst,
 		byID: map[BackendID]*target{}, requests: map[RequestID]*request{},
 		classes: make([]line, len(cfg.Classes)), tails: make([]tail, len(cfg.Classes)),
@@ -124,7 +125,8 @@
 		served: make([]fade.Sum, len(cfg.Classes)),
 		ahead:  make([]int, len(cfg.Classes)), forecast: forecast.New(len(cfg.Classes)),
 		breaks: breaks.New(cfg.Obligations.Cold),
-		prices: forecast.Prices{Waste: cfg.Prices.Waste, CrossZone: cfg.Prices.CrossZone}}
+		prices: forecast.Prices{Waste: cfg.Prices.Waste, CrossZone: cfg.Prices.CrossZone},
+	}
 	b.quota, b.storm = quota.New(cfg.quotas(), cfg.Instances, cfg.Obligations.Fall), storm.New(cfg.storms())
 	var err error
 	if b.gray, err = gray.New(gray.DefaultConfig(len(cfg.Classes))); err != nil {
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -45,11 +45,19 @@
 		result Result
 		want   string
 	}{
-		{safe, Error, "send"}, {safe, Reset, "send"}, {safe, ConnectFailed, "send"}, {safe, Full, "send"},
-		{keyed, Error, "send"}, {keyed, ConnectFailed, "send"},
-		{anywhere, Error, "send"}, {anywhere, Reset, "send"},
-		{unsafe, Error, "fail"}, {unsafe, Reset, "fail"}, {unsafe, Cancelled, "fail"},
-		{unsafe, ConnectFailed, "send"}, {unsafe, Full, "send"},
+		{safe, Error, "send"},
+		{safe, Reset, "send"},
+		{safe, ConnectFailed, "send"},
+		{safe, Full, "send"},
+		{keyed, Error, "send"},
+		{keyed, ConnectFailed, "send"},
+		{anywhere, Error, "send"},
+		{anywhere, Reset, "send"},
+		{unsafe, Error, "fail"},
+		{unsafe, Reset, "fail"},
+		{unsafe, Cancelled, "fail"},
+		{unsafe, ConnectFailed, "send"},
+		{unsafe, Full, "send"},
 	} {
 		b, h := newBalancer(t, testConfig(), 6)
 		b.Request(second, Request{ID: 9, Class: c.class, Deadline: 4 * second})
@@ -422,7 +430,8 @@
 	b, _ := newBalancer(t, testConfig(), 2)
 	b.targets[0].servedLately.Add(5000, second, second)
 	b.Membership(2*second, Membership{Kind: ListDelta, Backends: []Backend{
-		{ID: b.targets[0].ID, State: Ready, Started: 2 * second}}})
+		{ID: b.targets[0].ID, State: Ready, Started: 2 * second},
+	}})
 	b.coldRates()
 	if got := b.targets[0].coldRate; got > 100 {
 		t.Errorf("may be sent %v ms of work a second right after its start", got)
@@ -436,8 +445,10 @@
 	b.meanWork, only.coldSince, only.tokens = 50, second, 100
 	sent := 0
 	for i := range 50 {
-		r := &request{Request: Request{ID: RequestID(i), Cost: milli, Deadline: 4 * second}, class: &b.cfg.Classes[0],
-			most: b.cfg.Caps.MaxAttempts, arrived: second, aimAt: 2 * second}
+		r := &request{
+			Request: Request{ID: RequestID(i), Cost: milli, Deadline: 4 * second}, class: &b.cfg.Classes[0],
+			most: b.cfg.Caps.MaxAttempts, arrived: second, aimAt: 2 * second,
+		}
 		b.requests[r.ID] = r
 		if b.send(r, only) {
 			sent++
@@ -612,8 +623,10 @@
 		b.now = now
 		for i, result := range []Result{OK, Error} {
 			class := []int{safe, unsafe}[i]
-			b.judgeKind(&attempt{req: &request{Request: Request{Class: class}}, to: b.byID[broken],
-				sent: now - milli, expected: 1}, result)
+			b.judgeKind(&attempt{
+				req: &request{Request: Request{Class: class}}, to: b.byID[broken],
+				sent: now - milli, expected: 1,
+			}, result)
 		}
 		now += 10 * milli
 	}
--- a/blackout_test.go
+++ b/blackout_test.go
@@ -12,8 +12,10 @@
 // every client calling again.
 func blackout(t testing.TB, seed uint64, proxies int, load float64, thin bool) (w *stormLoop, area float64, back time.Duration) {
 	t.Helper()
-	d := stormDay{seed: seed, backends: 12, proxies: proxies, load: load, retries: 4, backoff: 400 * milli, honour: 1, retryAfter: true,
-		dies: 12 * second, back: 20 * second, length: 50 * second, part: 1, house: -1, policy: marl}
+	d := stormDay{
+		seed: seed, backends: 12, proxies: proxies, load: load, retries: 4, backoff: 400 * milli, honour: 1, retryAfter: true,
+		dies: 12 * second, back: 20 * second, length: 50 * second, part: 1, house: -1, policy: marl,
+	}
 	w = newStorm(t, d)
 	for i := range proxies {
 		w.in(d.dies-w.now, func() { w.restart(i, slices.Clone(w.listed)) }) // what it held is lost; it is dark until power is back
--- a/checker.go
+++ b/checker.go
@@ -49,9 +49,11 @@
 			continue
 		}
 		if t == nil {
-			t = &target{healthy: true, tokensAt: now, kinds: make([]kind, len(b.cfg.Classes)),
+			t = &target{
+				healthy: true, tokensAt: now, kinds: make([]kind, len(b.cfg.Classes)),
 				order:    mix(uint64(b.cfg.Rank)+1, e.ID),
-				lastSent: math.MinInt64 / 2}
+				lastSent: math.MinInt64 / 2,
+			}
 			t.nextProbe = now + jitter(b.rng, restProbe*b.doubt())
 			b.byID[e.ID] = t
 			b.targets = append(b.targets, t)
--- a/choice.go
+++ b/choice.go
@@ -101,8 +101,10 @@
 
 // stake is what sending a request there has to win and to lose, and with what chance.
 func (b *Balancer) stake(r *request, t *target) forecast.Stake {
-	return forecast.Stake{Worth: r.worth / b.meanWorth * b.ledger.Weight(r.Class, r.Tenant, 1-r.over),
-		Work: b.workOf(r) / b.meanWork, Crosses: b.side(t) > 0, Chance: b.chance(r, b.foretell(r, t))}
+	return forecast.Stake{
+		Worth: r.worth / b.meanWorth * b.ledger.Weight(r.Class, r.Tenant, 1-r.over),
+		Work:  b.workOf(r) / b.meanWork, Crosses: b.side(t) > 0, Chance: b.chance(r, b.foretell(r, t)),
+	}
 }
 
 // sample draws two and takes the one of lower expected delay.
--- a/cmd/marlreel/handover_test.go
+++ b/cmd/marlreel/handover_test.go
@@ -103,8 +103,10 @@
 			}
 		}))
 		t.Cleanup(b.Close)
-		instances = append(instances, discovery.Instance{InstanceID: fmt.Sprint("s-", i), HostPort: b.Listener.Addr().String(),
-			Zone: "koper", MachineType: "mid-2c", Lifecycle: "Ready", Weight: 1})
+		instances = append(instances, discovery.Instance{
+			InstanceID: fmt.Sprint("s-", i), HostPort: b.Listener.Addr().String(),
+			Zone: "koper", MachineType: "mid-2c", Lifecycle: "Ready", Weight: 1,
+		})
 	}
 	p.instances = instances // nobody else has p yet
 	found, watches := watched(t)
@@ -117,8 +119,10 @@
 		}
 	}()
 	p.config = filepath.Join(p.dir, "config.json")
-	text, err := json.Marshal(map[string]any{"name": "n0", "listen": p.addr, "discovery": found, "seed": "8c1f",
-		"limits": map[string]any{"memory_mb": 64, "sockets": 256}, "settings": json.RawMessage(upgradeSettings)})
+	text, err := json.Marshal(map[string]any{
+		"name": "n0", "listen": p.addr, "discovery": found, "seed": "8c1f",
+		"limits": map[string]any{"memory_mb": 64, "sockets": 256}, "settings": json.RawMessage(upgradeSettings),
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,8 +138,10 @@
 	defer p.mu.Unlock()
 	p.instances = nil
 	for i, addr := range addrs {
-		p.instances = append(p.instances, discovery.Instance{InstanceID: fmt.Sprint("t-", i), HostPort: addr,
-			Zone: "koper", MachineType: "mid-2c", Lifecycle: "Ready", Weight: 1})
+		p.instances = append(p.instances, discovery.Instance{
+			InstanceID: fmt.Sprint("t-", i), HostPort: addr,
+			Zone: "koper", MachineType: "mid-2c", Lifecycle: "Ready", Weight: 1,
+		})
 	}
 }
 
--- a/cmd/marlreel/main_test.go
+++ b/cmd/marlreel/main_test.go
@@ -65,8 +65,10 @@
 		}
 	}
 	config := func(discovery string) string {
-		data, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery,
-			"seed": "8c1f", "settings": json.RawMessage(settings)})
+		data, err := json.Marshal(map[string]any{
+			"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery,
+			"seed": "8c1f", "settings": json.RawMessage(settings),
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/marlreel/state_test.go
+++ b/cmd/marlreel/state_test.go
@@ -17,9 +17,13 @@
 
 func TestState(t *testing.T) {
 	t.Parallel()
-	state, err := codec.Encode(&learnt.State{Of: "n0",
-		Backends: []learnt.Backend{{Name: "s-1", Addr: "127.0.0.1:80", Healthy: true, Limit: 7, LastOK: time.Second, Cold: learnt.Never},
-			{Name: "s-2", Addr: "127.0.0.1:81", Ejected: 3 * time.Second, LastOK: learnt.Never, Cold: 2 * time.Second}}})
+	state, err := codec.Encode(&learnt.State{
+		Of: "n0",
+		Backends: []learnt.Backend{
+			{Name: "s-1", Addr: "127.0.0.1:80", Healthy: true, Limit: 7, LastOK: time.Second, Cold: learnt.Never},
+			{Name: "s-2", Addr: "127.0.0.1:81", Ejected: 3 * time.Second, LastOK: learnt.Never, Cold: 2 * time.Second},
+		},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/marlreel/thirty_test.go
+++ b/cmd/marlreel/thirty_test.go
@@ -53,8 +53,10 @@
 }
 
 func newBank(t *testing.T, mode, discovery string, known ...standin.Entry) *bank {
-	b := &bank{t: t, dir: t.TempDir(), mode: mode, discovery: discovery, known: known, by: map[string]int{},
-		saw: fleettest.NewRecorder(fleettest.Agreed(), mode == "pushed")}
+	b := &bank{
+		t: t, dir: t.TempDir(), mode: mode, discovery: discovery, known: known, by: map[string]int{},
+		saw: fleettest.NewRecorder(fleettest.Agreed(), mode == "pushed"),
+	}
 	for i := range b.addrs {
 		addr, err := standin.Address()
 		if err != nil {
@@ -70,9 +72,11 @@
 	b.t.Helper()
 	path := filepath.Join(b.dir, fmt.Sprint("config-", i))
 	sockets := 256
-	text, err := json.Marshal(map[string]any{"name": fmt.Sprint("n", i), "listen": b.addrs[i], "discovery": b.discovery, "seed": fmt.Sprintf("%x", i+1),
+	text, err := json.Marshal(map[string]any{
+		"name": fmt.Sprint("n", i), "listen": b.addrs[i], "discovery": b.discovery, "seed": fmt.Sprintf("%x", i+1),
 		"limits": map[string]any{"memory_mb": 64, "sockets": sockets, "cores": 1.0}, "settings": json.RawMessage(thirtySettings(i, b.mode)),
-		"known": standin.List{Generation: 1, Reset: true, Instances: b.known}})
+		"known": standin.List{Generation: 1, Reset: true, Instances: b.known},
+	})
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -366,10 +370,12 @@
 	times := cold.between(started, started.Add(whole))
 	since := b.saw.At(started)
 	b.saw.See(func(saw *fleettest.Sighting) {
-		saw.Colds = append(saw.Colds, fleettest.Cold{Backend: "s-cold", Span: fleettest.Span{From: since, To: since + whole}, Window: window,
+		saw.Colds = append(saw.Colds, fleettest.Cold{
+			Backend: "s-cold", Span: fleettest.Span{From: since, To: since + whole}, Window: window,
 			Bears: func(since time.Duration) float64 {
 				return multiple * (from + (1-from)*since.Seconds()/whole.Seconds()) * each * window.Seconds()
-			}})
+			},
+		})
 	})
 	b.got(append(warm, cold)...)
 	b.judge()
--- a/cmd/marlreelctl/main_test.go
+++ b/cmd/marlreelctl/main_test.go
@@ -82,8 +82,10 @@
 // What a proxy says of its lists, in words; and that there is no registry.
 func TestDiscovery(t *testing.T) {
 	t.Parallel()
-	said := members.Status{Source: "registry", Revision: 42, Age: 1500 * time.Millisecond, Entries: 7, Held: []string{"s-1", "s-2"}, Damped: []string{"s-9"},
-		Sources: []members.SourceStatus{{Name: "registry", Revision: 42, Lost: true, Why: "connection refused", Bad: map[string]string{"s-3": "v = 2"}}, {Name: "platform", Revision: 5, Synced: true}}}
+	said := members.Status{
+		Source: "registry", Revision: 42, Age: 1500 * time.Millisecond, Entries: 7, Held: []string{"s-1", "s-2"}, Damped: []string{"s-9"},
+		Sources: []members.SourceStatus{{Name: "registry", Revision: 42, Lost: true, Why: "connection refused", Bad: map[string]string{"s-3": "v = 2"}}, {Name: "platform", Revision: 5, Synced: true}},
+	}
 	on := true
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !on || r.URL.Path != "/control/discovery" {
--- a/cmd/marlreeld/bundle.go
+++ b/cmd/marlreeld/bundle.go
@@ -15,7 +15,8 @@
 // newBundle writes a support bundle.
 func newBundle(flags *operatorFlags) *cobra.Command {
 	var metrics []string
-	command := &cobra.Command{Use: "bundle FILE", Args: cobra.ExactArgs(1),
+	command := &cobra.Command{
+		Use: "bundle FILE", Args: cobra.ExactArgs(1),
 		Short: "write a support bundle: status, configuration and metrics, nothing of requests",
 		Example: "  marlreeld bundle support.tar.gz --control 10.1.0.2:8082,10.2.0.2:8082 \\\n" +
 			"    --metrics 10.1.0.2:7673,10.1.0.35:7675,10.1.0.35:7674",
@@ -41,7 +42,8 @@
 			_, err = fmt.Fprintf(command.OutOrStdout(), "%d of %d parts are in %s\n", len(manifest.Parts)-manifest.Missing(),
 				len(manifest.Parts), args[0])
 			return err
-		}}
+		},
+	}
 	command.Flags().StringSliceVar(&metrics, "metrics", nil, "doors for metrics to be read, HOST:PORT, with commas")
 	return command
 }
--- a/cmd/marlreeld/configuration.go
+++ b/cmd/marlreeld/configuration.go
@@ -27,7 +27,8 @@
 // newConfigDiff shows in what two configurations differ.
 func newConfigDiff(flags *operatorFlags) *cobra.Command {
 	asJSON := false
-	command := &cobra.Command{Use: "diff [OLD] NEW", Args: cobra.RangeArgs(1, 2),
+	command := &cobra.Command{
+		Use: "diff [OLD] NEW", Args: cobra.RangeArgs(1, 2),
 		Short: "show in what a configuration differs from another, or from the one at control",
 		Example: "  marlreeld config diff old.json new.json\n" +
 			"  marlreeld config diff new.json --control 10.1.0.2:8082",
@@ -52,7 +53,8 @@
 				return printJSON(command.OutOrStdout(), differences)
 			}
 			return printDifferences(command.OutOrStdout(), differences)
-		}}
+		},
+	}
 	command.Flags().BoolVar(&asJSON, "json", false, "print it as JSON")
 	return command
 }
@@ -99,7 +101,8 @@
 // newRouteExplain shows which route takes a request, and how it is treated.
 func newRouteExplain(flags *operatorFlags) *cobra.Command {
 	file := ""
-	command := &cobra.Command{Use: "explain HOST PATH", Args: cobra.ExactArgs(2),
+	command := &cobra.Command{
+		Use: "explain HOST PATH", Args: cobra.ExactArgs(2),
 		Short: "show which route takes a request, and how it is treated",
 		Example: "  marlreeld route explain chat.example /v1/ask --control 10.1.0.2:8082\n" +
 			"  marlreeld route explain chat.example /v1/ask --file new.json",
@@ -117,7 +120,8 @@
 				return &NoRouteError{args[0], args[1]}
 			}
 			return printRoute(command.OutOrStdout(), document, route)
-		}}
+		},
+	}
 	command.Flags().StringVar(&file, "file", "", "go by this configuration, not by the one at control")
 	return command
 }
--- a/cmd/marlreeld/configuration_test.go
+++ b/cmd/marlreeld/configuration_test.go
@@ -73,9 +73,13 @@
 
 // A command that needs control says so where none is named.
 func TestCommandsThatNeedControl(t *testing.T) {
-	for _, args := range [][]string{{"config", "read"}, {"config", "diff", configurationFile(t, smallConfiguration)},
-		{"route", "explain", "a.example", "/"}, {"status"},
-		{"bundle", filepath.Join(t.TempDir(), "b.tar.gz")}} {
+	for _, args := range [][]string{
+		{"config", "read"},
+		{"config", "diff", configurationFile(t, smallConfiguration)},
+		{"route", "explain", "a.example", "/"},
+		{"status"},
+		{"bundle", filepath.Join(t.TempDir(), "b.tar.gz")},
+	} {
 		_, err := execute(t, args...)
 		if err == nil || !strings.Contains(advice.Line(err), "--control") {
 			t.Errorf("%v: %v", args, err)
--- a/cmd/marlreeld/main.go
+++ b/cmd/marlreeld/main.go
@@ -35,8 +35,10 @@
 // newCommand makes the command line; logs go to out.
 func newCommand(out io.Writer) *cobra.Command {
 	verbose := false
-	root := &cobra.Command{Use: "marlreeld", Short: "route requests to model backends, and place models on them",
-		SilenceUsage: true, SilenceErrors: true}
+	root := &cobra.Command{
+		Use: "marlreeld", Short: "route requests to model backends, and place models on them",
+		SilenceUsage: true, SilenceErrors: true,
+	}
 	root.PersistentFlags().BoolVarP(&verbose, "verbose", "v", false, "log single decisions too")
 	role := func(use, short string, run run) *cobra.Command {
 		return &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
--- a/cmd/marlreeld/main_test.go
+++ b/cmd/marlreeld/main_test.go
@@ -20,8 +20,10 @@
 	is := is.New(t)
 	out, err := exec.Command("go", "list", "-deps", ".").Output()
 	is.NoErr(err)
-	for _, forbidden := range []string{"raft", "memberlist", "etcd", "serf", "consul", "simnet", "simcluster", "net/http/httputil",
-		"marlreel/internal/fleet"} {
+	for _, forbidden := range []string{
+		"raft", "memberlist", "etcd", "serf", "consul", "simnet", "simcluster", "net/http/httputil",
+		"marlreel/internal/fleet",
+	} {
 		for line := range strings.Lines(string(out)) {
 			if strings.Contains(strings.TrimSpace(line), forbidden) {
 				t.Errorf("the program links %s", strings.TrimSpace(line))
--- a/cmd/marlreeld/operator.go
+++ b/cmd/marlreeld/operator.go
@@ -92,7 +92,8 @@
 }
 
 func newConfigCheck() *cobra.Command {
-	return &cobra.Command{Use: "check FILE", Short: "name all that is wrong with a configuration, without sending it",
+	return &cobra.Command{
+		Use: "check FILE", Short: "name all that is wrong with a configuration, without sending it",
 		Args: cobra.ExactArgs(1), RunE: func(command *cobra.Command, args []string) error {
 			data, err := readFile(command, args[0])
 			if err != nil {
@@ -108,11 +109,13 @@
 			fmt.Fprintf(command.OutOrStdout(), "version %d: %d routes, %d services, no fault\n", document.Version,
 				len(document.Routes), len(document.Services))
 			return nil
-		}}
+		},
+	}
 }
 
 func newConfigRead(flags *operatorFlags) *cobra.Command {
-	return &cobra.Command{Use: "read", Short: "print the newest configuration", Args: cobra.NoArgs,
+	return &cobra.Command{
+		Use: "read", Short: "print the newest configuration", Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			client, err := flags.client()
 			if err != nil {
@@ -124,12 +127,14 @@
 			}
 			_, err = fmt.Fprintln(command.OutOrStdout(), string(document))
 			return err
-		}}
+		},
+	}
 }
 
 func newConfigApply(flags *operatorFlags) *cobra.Command {
 	base, modify := uint64(0), false
-	command := &cobra.Command{Use: "apply FILE", Short: "put a configuration in force, or with --modify a change of named items",
+	command := &cobra.Command{
+		Use: "apply FILE", Short: "put a configuration in force, or with --modify a change of named items",
 		Args: cobra.ExactArgs(1), RunE: func(command *cobra.Command, args []string) error {
 			client, err := flags.client()
 			if err != nil {
@@ -148,14 +153,16 @@
 			}
 			_, err = fmt.Fprintln(command.OutOrStdout(), "taken")
 			return err
-		}}
+		},
+	}
 	command.Flags().Uint64Var(&base, "base", 0, "the version that this one builds on; 0 for the first")
 	command.Flags().BoolVar(&modify, "modify", false, "the file holds upsert and remove instead of a whole configuration")
 	return command
 }
 
 func newZone(flags *operatorFlags, use, short string, begin bool) *cobra.Command {
-	return &cobra.Command{Use: use + " ZONE", Short: short, Args: cobra.ExactArgs(1),
+	return &cobra.Command{
+		Use: use + " ZONE", Short: short, Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			client, err := flags.client()
 			if err != nil {
@@ -166,12 +173,14 @@
 			}
 			_, err = fmt.Fprintln(command.OutOrStdout(), "taken")
 			return err
-		}}
+		},
+	}
 }
 
 func newStatus(flags *operatorFlags) *cobra.Command {
 	asJSON := false
-	command := &cobra.Command{Use: "status", Short: "show the chain, roles, nodes and backends, as a control process sees them",
+	command := &cobra.Command{
+		Use: "status", Short: "show the chain, roles, nodes and backends, as a control process sees them",
 		Args: cobra.NoArgs, RunE: func(command *cobra.Command, _ []string) error {
 			client, err := flags.client()
 			if err != nil {
@@ -190,7 +199,8 @@
 				return eris.Wrap(err, "reading the status")
 			}
 			return printStatus(command.OutOrStdout(), &status)
-		}}
+		},
+	}
 	command.Flags().BoolVar(&asJSON, "json", false, "print it as JSON")
 	return command
 }
--- a/cmd/marlreeld/whole_test.go
+++ b/cmd/marlreeld/whole_test.go
@@ -62,12 +62,16 @@
 	w := &whole{t: t, client: &fasthttp.Client{MaxIdemponentCallAttempts: 1}, asked: map[string]int{}, began: time.Now()}
 	folder := t.TempDir()
 	settings := func(name, ip string, number int) *boot.Settings {
-		s := &boot.Settings{NodeName: name, IP: ip, Zone: wholeZones[number%len(wholeZones)], InternalPorts: []int{27660, 27675},
+		s := &boot.Settings{
+			NodeName: name, IP: ip, Zone: wholeZones[number%len(wholeZones)], InternalPorts: []int{27660, 27675},
 			FirstStart: true, BeatIntervalMS: 600, Zones: map[string]string{}, LoopbackIP: strings.Replace(ip, "127.77", "127.78", 1),
 			Limits: boot.Limits{MemoryMB: 256, Files: 4096}, Tolerance: boot.Tolerance{Machines: (wholeControls - 1) / 2},
-			Bounds: boot.Bounds{GraceS: 8, ConfigApplyMS: 2000, RetryBudgetRatio: 0.2, RetryWindowS: 10, RetrySlack: 52,
-				ColdExcess: 1.5, ColdSlack: 5, Fencing: true, LeaseMS: 3000, DrainMS: 2000},
-			Listen: boot.Listen{Front: ip + ":28080", Readiness: ip + ":28081", Control: ip + ":28082"}}
+			Bounds: boot.Bounds{
+				GraceS: 8, ConfigApplyMS: 2000, RetryBudgetRatio: 0.2, RetryWindowS: 10, RetrySlack: 52,
+				ColdExcess: 1.5, ColdSlack: 5, Fencing: true, LeaseMS: 3000, DrainMS: 2000,
+			},
+			Listen: boot.Listen{Front: ip + ":28080", Readiness: ip + ":28081", Control: ip + ":28082"},
+		}
 		for _, zone := range wholeZones {
 			s.Zones[zone] = "region"
 		}
@@ -102,8 +106,10 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	for i := range 3 {
-		b := standin.NewBackend(standin.BackendConfig{ID: fmt.Sprintf("s-%d", i), Service: "slips", Address: wholeIP(3, i) + ":29000",
-			Zone: wholeZones[i], Slots: 6, Work: 20 * time.Millisecond, Beat: 600 * time.Millisecond, Controls: w.addresses}, host.TCP{})
+		b := standin.NewBackend(standin.BackendConfig{
+			ID: fmt.Sprintf("s-%d", i), Service: "slips", Address: wholeIP(3, i) + ":29000",
+			Zone: wholeZones[i], Slots: 6, Work: 20 * time.Millisecond, Beat: 600 * time.Millisecond, Controls: w.addresses,
+		}, host.TCP{})
 		w.backends = append(w.backends, b)
 		go func() { _ = b.Serve(ctx) }() // it ends with the test
 	}
@@ -220,8 +226,10 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.operations = append(w.operations, porcupine.Operation{ClientId: len(w.operations), Input: call, Call: int64(began.Sub(w.began)),
-		Output: answer, Return: returned})
+	w.operations = append(w.operations, porcupine.Operation{
+		ClientId: len(w.operations), Input: call, Call: int64(began.Sub(w.began)),
+		Output: answer, Return: returned,
+	})
 	if answer.Taken && call.Base+1 > w.newest.Version {
 		w.newest = linear.Configuration{Version: call.Base + 1, Text: call.Text}
 	}
--- a/cmd/marlreelscale/main.go
+++ b/cmd/marlreelscale/main.go
@@ -38,7 +38,8 @@
 	plan := scale.Plan{}
 	var vary sizes
 	raw := ""
-	command := &cobra.Command{Use: "marlreelscale", Short: "measure what each role costs at several sizes",
+	command := &cobra.Command{
+		Use: "marlreelscale", Short: "measure what each role costs at several sizes",
 		Long: `Runs marlreeld's control processes and one proxy with its agent as real processes, beside hollow
 proxies and stand-in backends, for each size; prints a table, and the line through the figures.
 
@@ -54,7 +55,8 @@
 				}
 			}
 			return report(command.OutOrStdout(), results)
-		}}
+		},
+	}
 	flags := command.Flags()
 	flags.StringVar(&cfg.Program, "program", "target/marlreeld", "the program")
 	flags.IntVar(&cfg.Controls, "controls", 5, "control processes")
--- a/cmd/marlreelsim/main.go
+++ b/cmd/marlreelsim/main.go
@@ -33,7 +33,8 @@
 func command() *cobra.Command {
 	var seeds, first, jobs int
 	var brief, vary bool
-	cmd := &cobra.Command{Use: "marlreelsim", Short: "Play routing and placement in simulated time", Args: cobra.NoArgs, SilenceUsage: true,
+	cmd := &cobra.Command{
+		Use: "marlreelsim", Short: "Play routing and placement in simulated time", Args: cobra.NoArgs, SilenceUsage: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if seeds < 1 || first < 0 || jobs < 1 {
 				return &usageError{seeds, first, jobs}
@@ -46,7 +47,8 @@
 				}
 			}
 			return out.Flush()
-		}}
+		},
+	}
 	cmd.Flags().IntVar(&seeds, "seeds", 4, "days to be played, one for each seed")
 	cmd.Flags().IntVar(&first, "first", 1, "the first seed")
 	cmd.Flags().IntVar(&jobs, "jobs", 2, "days that are played at once")
--- a/cmd/marlreeltry/main.go
+++ b/cmd/marlreeltry/main.go
@@ -29,7 +29,8 @@
 
 func newCommand(logs io.Writer) *cobra.Command {
 	once, verbose := false, false
-	command := &cobra.Command{Use: "marlreeltry", Short: "run a small system on loopback, with stand-in backends",
+	command := &cobra.Command{
+		Use: "marlreeltry", Short: "run a small system on loopback, with stand-in backends",
 		Args: cobra.NoArgs, SilenceUsage: true, RunE: func(command *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(command.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
@@ -39,7 +40,8 @@
 			}
 			log := logr.FromSlogHandler(slog.NewTextHandler(logs, &slog.HandlerOptions{Level: level}))
 			return try(ctx, command.OutOrStdout(), log, once)
-		}}
+		},
+	}
 	command.Flags().BoolVar(&once, "once", false, "ask for one stream, print it and end")
 	command.Flags().BoolVarP(&verbose, "verbose", "v", false, "print the roles' logs")
 	return command
@@ -92,11 +94,13 @@
 	c := simcluster.New(simcluster.Config{Controls: 3, Edges: 2, Zones: []string{"east", "west"}, Loopback: true, Log: log})
 	defer c.Stop()
 	for i, models := range [][]string{{"small"}, {"small"}, {}, {}} {
-		c.AddBackend(standin.BackendConfig{ID: fmt.Sprintf("backend-%d", i), Service: "llm", Zone: []string{"east", "west"}[i%2],
+		c.AddBackend(standin.BackendConfig{
+			ID: fmt.Sprintf("backend-%d", i), Service: "llm", Zone: []string{"east", "west"}[i%2],
 			Slots: 64, Models: models, CapacityMB: 200000, Beat: time.Second,
 			LoadTimes: map[string]time.Duration{"small": 2 * time.Second, "large": 3 * time.Second},
 			SizesMB:   map[string]float64{"small": 60000, "large": 90000},
-			TokenTime: 12 * time.Millisecond, ReadTime: 50 * time.Microsecond, Stride: 2})
+			TokenTime: 12 * time.Millisecond, ReadTime: 50 * time.Microsecond, Stride: 2,
+		})
 	}
 	status, answer, err := c.Configure(func(uint64) string { return document }, startPatience)
 	if err != nil || status != 200 {
@@ -119,8 +123,10 @@
 
 // askOnce asks for a model that has to be loaded, and prints the stream.
 func askOnce(c *simcluster.Cluster, out io.Writer) error {
-	got, err := c.Ask(c.Edges[0], simcluster.Request{ID: "0000000000000001", Host: "try.example", Path: "/chat/1", Model: "large",
-		Tokens: "500,8", Prompt: "a1:300,b2:200", Body: "hello", Wait: 12 * time.Second})
+	got, err := c.Ask(c.Edges[0], simcluster.Request{
+		ID: "0000000000000001", Host: "try.example", Path: "/chat/1", Model: "large",
+		Tokens: "500,8", Prompt: "a1:300,b2:200", Body: "hello", Wait: 12 * time.Second,
+	})
 	if err != nil {
 		return err
 	}
--- a/cmd/rehearse/experiment.go
+++ b/cmd/rehearse/experiment.go
@@ -75,7 +75,8 @@
 	began := time.Now()
 	var now experiment.Standing
 	player.Progress = c.progress(o, f.Name, &now)
-	outcome, err := experiment.Go(ctx, plan, store, player, experiment.Conduct{Now: func() time.Duration { return time.Since(began) },
+	outcome, err := experiment.Go(ctx, plan, store, player, experiment.Conduct{
+		Now: func() time.Duration { return time.Since(began) },
 		Tell: func(s experiment.Standing) {
 			now = s
 			if !o.terminal {
@@ -85,7 +86,8 @@
 				}
 				fmt.Fprintf(o.err, "run %d of %d: %s, seed %d%s; %v left\n", s.Number, s.Of, f.Arms[s.Run.Arm].Name, s.Run.Seed, again, s.Left.Round(time.Second))
 			}
-		}})
+		},
+	})
 	o.clear()
 	if err != nil {
 		if outcome.Missing > 0 {
@@ -125,7 +127,8 @@
 }
 
 func (c experimentCmd) player(f *experiment.File, o *output) *days.Player {
-	return &days.Player{Scenario: f.Scenario,
+	return &days.Player{
+		Scenario: f.Scenario,
 		Text: func(name string) (string, []byte, error) {
 			if strings.ContainsAny(name, "/\\") || strings.HasSuffix(name, ".toml") {
 				path := f.Beside(name)
@@ -148,7 +151,8 @@
 				name = a.Name
 			}
 			return start, name, err
-		}}
+		},
+	}
 }
 
 // progress writes a line that is written over, on a terminal only.
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -183,8 +183,10 @@
 	}
 	p := rehearsal.Draw(s, seed)
 	if c.JSON {
-		return writeJSON(o.out, map[string]any{"scenario": s.Name, "seed": seed, "schedule": p.Digest(), "nodes": len(p.Nodes),
-			"requests": len(p.Requests), "events": len(p.Events), "length_s": s.Length.D().Seconds()})
+		return writeJSON(o.out, map[string]any{
+			"scenario": s.Name, "seed": seed, "schedule": p.Digest(), "nodes": len(p.Nodes),
+			"requests": len(p.Requests), "events": len(p.Events), "length_s": s.Length.D().Seconds(),
+		})
 	}
 	fmt.Fprintf(o.out, "%s is good: %d nodes, %d requests and %d events in %v\nseed %d, schedule %s\n", s.Name, len(p.Nodes),
 		len(p.Requests), len(p.Events), s.Length.D(), seed, p.Digest())
@@ -333,8 +335,10 @@
 			if err != nil {
 				return err
 			}
-			rep, err := rehearsal.Run(ctx, s, rehearsal.Options{Seed: seed + uint64(n), Command: start, Name: what,
-				Progress: o.progress(fmt.Sprintf("%s, run %d of %d, %s", s.Name, n+1, c.Runs, "AB"[k:k+1]))})
+			rep, err := rehearsal.Run(ctx, s, rehearsal.Options{
+				Seed: seed + uint64(n), Command: start, Name: what,
+				Progress: o.progress(fmt.Sprintf("%s, run %d of %d, %s", s.Name, n+1, c.Runs, "AB"[k:k+1])),
+			})
 			o.clear()
 			if err != nil {
 				return err
--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -234,8 +234,10 @@
 	}
 	// The same day in ten seconds, at a rate that any machine carries.
 	short := string(text)
-	for old, with := range map[string]string{`length = "30s"`: `length = "10s"`, "rate = 180": "rate = 50", `at = "6s"`: `at = "2s"`, `at = "9s"`: `at = "3s"`,
-		`at = "14s"`: `at = "4s"`, `at = "18s"`: `at = "5s"`, `at = "24s"`: `at = "8s"`, `for = "6s"`: `for = "2s"`, `for = "4s"`: `for = "1500ms"`} {
+	for old, with := range map[string]string{
+		`length = "30s"`: `length = "10s"`, "rate = 180": "rate = 50", `at = "6s"`: `at = "2s"`, `at = "9s"`: `at = "3s"`,
+		`at = "14s"`: `at = "4s"`, `at = "18s"`: `at = "5s"`, `at = "24s"`: `at = "8s"`, `for = "6s"`: `for = "2s"`, `for = "4s"`: `for = "1500ms"`,
+	} {
 		if !strings.Contains(short, old) {
 			t.Fatalf("scales.toml has no %s", old)
 		}
--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -63,7 +63,8 @@
 		{"never initialised", "instance 5 was never initialised", [][]byte{batch(3, 2, 11, uint16(5), 6, uint32(1))}},
 		{"gone", "instance 5 was never initialised", [][]byte{
 			batch(1, 3, append([]any{11, uint16(5)}, append(initRecord(1), 10)...)...),
-			batch(2, 2, 11, uint16(5), 6, uint32(1))}},
+			batch(2, 2, 11, uint16(5), 6, uint32(1)),
+		}},
 		{"bad settings line", "settings line 1", [][]byte{batch(1, 2, 11, uint16(5), 1, uint64(1), uint32(3), "abc")}},
 		{"settings that make no sense", "Classes", [][]byte{batch(1, 2, 11, uint16(5), 1, uint64(1), uint32(3), "a=b")}},
 		{"truncated", "truncated", [][]byte{batch(1, 0), batch(2, 2, 11, uint16(5), 6, uint32(1))[:25]}},
--- a/example_test.go
+++ b/example_test.go
@@ -13,6 +13,7 @@
 func (printer) Send(id marlreel.RequestID, to marlreel.BackendID, until, _ time.Duration) {
 	fmt.Printf("send request %d to backend %d, until %v\n", id, to, until)
 }
+
 func (printer) Refuse(id marlreel.RequestID, after time.Duration) {
 	fmt.Printf("refuse request %d, come again after %v\n", id, after)
 }
@@ -35,8 +36,10 @@
 	cfg := marlreel.Config{
 		Instances: 1,
 		Tick:      time.Millisecond,
-		Classes: []marlreel.Class{{Name: "page", Aim: 300 * time.Millisecond, GiveUp: time.Second,
-			Effect: marlreel.Safe, Value: 1}},
+		Classes: []marlreel.Class{{
+			Name: "page", Aim: 300 * time.Millisecond, GiveUp: time.Second,
+			Effect: marlreel.Safe, Value: 1,
+		}},
 		Goal: marlreel.Goal{Whole: 1},
 		Caps: marlreel.Caps{Probes: true, ConnectTimeout: 100 * time.Millisecond, MaxAttempts: 3},
 	}
--- a/host_test.go
+++ b/host_test.go
@@ -27,6 +27,7 @@
 	h.before = append(h.before, before)
 	h.add(action{verb: "send", id: id, to: to, at: until})
 }
+
 func (h *recorder) Refuse(id RequestID, d time.Duration) {
 	h.add(action{verb: "refuse", id: id, at: d})
 }
@@ -39,6 +40,7 @@
 func (h *recorder) Tell(peer uint32, body []byte) {
 	h.add(action{verb: "tell", text: fmt.Sprintf("%d %x", peer, body)})
 }
+
 func (h *recorder) After(d time.Duration, token uint64) {
 	h.add(action{verb: "after", at: d, token: token})
 }
@@ -62,7 +64,8 @@
 
 // testConfig has one class of each effect; all else is allowed.
 func testConfig() Config {
-	return Config{Instances: 2, Tick: 5 * milli, OverShareWorth: 1,
+	return Config{
+		Instances: 2, Tick: 5 * milli, OverShareWorth: 1,
 		Classes: []Class{
 			{Name: "safe", Aim: second, GiveUp: 3 * second, Effect: Safe, Value: 1},
 			{Name: "keyed", Aim: second, GiveUp: 3 * second, Effect: Keyed, Group: GroupZone, Window: second, Value: 1},
@@ -70,11 +73,15 @@
 			{Name: "anywhere", Aim: second, GiveUp: 3 * second, Effect: Keyed, Group: GroupAll, Window: 2 * second, Value: 1},
 		},
 		Goal: Goal{Whole: 1},
-		Obligations: Obligations{AnswerSlack: 20 * milli, AskEvery: 10 * second, Cold: 20 * second,
-			DrainGrace: 250 * milli, Fall: 2 * second, FallMultiple: 2.5, StartCapacity: 0.2},
-		Caps: Caps{Cancel: true, Peers: true, Probes: true, RetryAfter: true, SecondCopies: true,
+		Obligations: Obligations{
+			AnswerSlack: 20 * milli, AskEvery: 10 * second, Cold: 20 * second,
+			DrainGrace: 250 * milli, Fall: 2 * second, FallMultiple: 2.5, StartCapacity: 0.2,
+		},
+		Caps: Caps{
+			Cancel: true, Peers: true, Probes: true, RetryAfter: true, SecondCopies: true,
 			ConnIdle: 15 * second, ConnectTimeout: 250 * milli, MaxRetryAfter: 2 * second,
-			MaxAttempts: 4, StreamsPerConn: 1},
+			MaxAttempts: 4, StreamsPerConn: 1,
+		},
 	}
 }
 
--- a/internal/config/marlreel.go
+++ b/internal/config/marlreel.go
@@ -78,9 +78,11 @@
 
 // DefaultMarlreel is what holds without a file: everything off.
 func DefaultMarlreel() *Marlreel {
-	return &Marlreel{RPC: rpc.DefaultConfig(), Registry: registry.DefaultConfig(), Fleet: fleet.DefaultConfig(), Log: Log{Format: logs.Text},
+	return &Marlreel{
+		RPC: rpc.DefaultConfig(), Registry: registry.DefaultConfig(), Fleet: fleet.DefaultConfig(), Log: Log{Format: logs.Text},
 		Memory:     Memory{Every: strict.Span(5 * time.Second), Keep: strict.Span(10 * time.Minute), Half: strict.Span(30 * time.Second)},
-		Background: Background{Share: 0.02, Most: 2}}
+		Background: Background{Share: 0.02, Most: 2},
+	}
 }
 
 // LoadMarlreel reads a file; "" is none. An error is one line that names file, key and
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -91,9 +91,11 @@
 	if err := json.Unmarshal(data, &file); err != nil {
 		return nil, err
 	}
-	c := &Platform{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Control: file.Control, ListenFD: -1,
+	c := &Platform{
+		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Control: file.Control, ListenFD: -1,
 		TempDir: getenv(envTempDir), Cores: file.Limits.Cores,
-		MemoryMB: file.Limits.MemoryMB, Sockets: file.Limits.Sockets, Known: file.Known, AcceptLonger: acceptLonger}
+		MemoryMB: file.Limits.MemoryMB, Sockets: file.Limits.Sockets, Known: file.Known, AcceptLonger: acceptLonger,
+	}
 	for _, v := range []struct {
 		env  string
 		into *string
--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -177,8 +177,10 @@
 		c.Front.Answer(c, Answer{Verdict: Left})
 	}
 	now := e.Now()
-	e.balancer.Outcome(now, marlreel.Outcome{ID: c.ID, Attempt: a.N, Backend: a.Backend.ID, Result: end.Result,
-		Took: now - a.sent, Final: c.answered, Load: end.Load})
+	e.balancer.Outcome(now, marlreel.Outcome{
+		ID: c.ID, Attempt: a.N, Backend: a.Backend.ID, Result: end.Result,
+		Took: now - a.sent, Final: c.answered, Load: end.Load,
+	})
 }
 
 // expire gives an attempt up when its time has run out.
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -111,8 +111,10 @@
 
 // New makes an engine. Settings that make no sense give an error that names them.
 func New(cfg Config) (*Engine, error) {
-	e := &Engine{cfg: cfg, start: time.Now(), events: make(chan func(), eventBuffer), stopped: make(chan struct{}),
-		calls: map[marlreel.RequestID]*Call{}, listed: cfg.Listed, backends: newBackends()}
+	e := &Engine{
+		cfg: cfg, start: time.Now(), events: make(chan func(), eventBuffer), stopped: make(chan struct{}),
+		calls: map[marlreel.RequestID]*Call{}, listed: cfg.Listed, backends: newBackends(),
+	}
 	settings := cfg.Settings
 	names := make([]string, len(settings.Classes))
 	for i, c := range settings.Classes {
--- a/internal/engine/observer_test.go
+++ b/internal/engine/observer_test.go
@@ -20,12 +20,15 @@
 
 func (s *seen) Taken(_ time.Duration, c *Call)   { s.note("taken %d", c.ID) }
 func (s *seen) Sent(_ time.Duration, a *Attempt) { s.note("sent %d to %s", a.Call.ID, a.Backend.Name) }
+
 func (s *seen) Ended(_ time.Duration, a *Attempt, end End) {
 	s.note("ended %d as %d", a.Call.ID, end.Result)
 }
+
 func (s *seen) Answered(_ time.Duration, c *Call, a Answer) {
 	s.note("answered %d with %d", c.ID, a.Verdict)
 }
+
 func (s *seen) Streamed(_ time.Duration, c *Call, whole bool) {
 	s.note("streamed %d %v", c.ID, whole)
 }
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -39,15 +39,18 @@
 func (h timerHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
 }
+
 func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].place, h[j].place = i, j
 }
+
 func (h *timerHeap) Push(x any) {
 	t := x.(*Timer)
 	t.place = len(*h)
 	*h = append(*h, t)
 }
+
 func (h *timerHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
--- a/internal/experiment/days/days.go
+++ b/internal/experiment/days/days.go
@@ -198,16 +198,20 @@
 
 // Result is what a report says, by the names that experiments use.
 func Result(rep *rehearsal.Report) experiment.Result {
-	r := experiment.Result{Void: rep.Void, Crashes: rep.Crashes, Schedule: rep.Schedule, LateMs: rep.GeneratorMs, KitCPU: rep.Kit.CPU,
-		Broken: rep.Rules.Lost + rep.Rules.Duplicated + rep.Rules.Drains + rep.Rules.Cold + rep.Rules.Settings}
+	r := experiment.Result{
+		Void: rep.Void, Crashes: rep.Crashes, Schedule: rep.Schedule, LateMs: rep.GeneratorMs, KitCPU: rep.Kit.CPU,
+		Broken: rep.Rules.Lost + rep.Rules.Duplicated + rep.Rules.Drains + rep.Rules.Cold + rep.Rules.Settings,
+	}
 	cpu, memory := 0.0, 0.0
 	for _, u := range rep.Proxies {
 		cpu, memory = cpu+u.CPU, max(memory, u.MemoryMB)
 	}
 	n := float64(max(rep.Requests, 1))
-	r.Figures = map[string]float64{"service": rep.Service, "after-deductions": rep.After, "whole": rep.Parts.Whole, "worst-10s": rep.Parts.Window,
+	r.Figures = map[string]float64{
+		"service": rep.Service, "after-deductions": rep.After, "whole": rep.Parts.Whole, "worst-10s": rep.Parts.Window,
 		"worst-class": rep.Parts.Class, "worst-house": rep.Parts.House, "attempts": float64(rep.Attempts) / n, "tries": float64(rep.Tries) / n,
-		"handshakes": float64(rep.Handshakes), "cpu-s": cpu, "memory-mb": memory, "rules-broken": float64(r.Broken)}
+		"handshakes": float64(rep.Handshakes), "cpu-s": cpu, "memory-mb": memory, "rules-broken": float64(r.Broken),
+	}
 	if rep.Best != nil {
 		r.Figures["area"] = rep.Best.Area
 	}
--- a/internal/experiment/days/days_test.go
+++ b/internal/experiment/days/days_test.go
@@ -75,19 +75,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &Player{Scenario: "short",
-		Text: func(name string) (string, []byte, error) { return name + ".toml", []byte(short), nil },
+	return &Player{
+		Scenario: "short",
+		Text:     func(name string) (string, []byte, error) { return name + ".toml", []byte(short), nil },
 		Command: func(experiment.Arm) ([]string, string, error) {
 			return []string{"/usr/bin/env", "DAYS_TEST_CHILD=" + child, self}, child, nil
-		}}
+		},
+	}
 }
 
 // Values go to their places, in tables and in lists; what is not there is refused with what would be right.
 func TestSettings(t *testing.T) {
 	t.Parallel()
 	p := player(t, "checks")
-	s, text, err := p.scenario(experiment.Day{Set: map[string]any{"traffic.rate": int64(77), "fleet.nodes.0.count": int64(5),
-		"classes.0.aim": "700ms", "fleet.cold.for": "4s", "length": "9s"}, Daemon: map[string]any{"rpc.idle": "20s"}})
+	s, text, err := p.scenario(experiment.Day{Set: map[string]any{
+		"traffic.rate": int64(77), "fleet.nodes.0.count": int64(5),
+		"classes.0.aim": "700ms", "fleet.cold.for": "4s", "length": "9s",
+	}, Daemon: map[string]any{"rpc.idle": "20s"}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -316,9 +316,16 @@
 		diffs []float64
 		want  Verdict
 	}{
-		{nil, Few}, {[]float64{1}, Few}, {[]float64{1, 1}, Few}, {[]float64{9, 9.1, 9, 9.2, 9}, Few},
-		{[]float64{0, 0, 0, 0, 0, 0}, Same}, {[]float64{0.1, 0.1, 0.1, 0.1, 0.1, 0.1}, More}, {[]float64{-2, -2, -2, -2, -2, -2}, Less},
-		{[]float64{0, 0, 0, 0, 0, 1}, Unseen}, {[]float64{-0.66, -0.65, -0.65, -0.64, -0.28, -0.6}, Less}, {[]float64{9, 9.1, 9, 9.2, 9, 9.1}, More},
+		{nil, Few},
+		{[]float64{1}, Few},
+		{[]float64{1, 1}, Few},
+		{[]float64{9, 9.1, 9, 9.2, 9}, Few},
+		{[]float64{0, 0, 0, 0, 0, 0}, Same},
+		{[]float64{0.1, 0.1, 0.1, 0.1, 0.1, 0.1}, More},
+		{[]float64{-2, -2, -2, -2, -2, -2}, Less},
+		{[]float64{0, 0, 0, 0, 0, 1}, Unseen},
+		{[]float64{-0.66, -0.65, -0.65, -0.64, -0.28, -0.6}, Less},
+		{[]float64{9, 9.1, 9, 9.2, 9, 9.1}, More},
 	} {
 		d := Paired(c.diffs, 1)
 		if d.Verdict != c.want || d.From > d.To {
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -110,8 +110,10 @@
 
 // Parse reads a question's text; path is for its errors, and for what it names beside it.
 func Parse(path string, text []byte) (*File, error) {
-	f := &File{Question: Compare, Seed: 1, path: path, text: text,
-		Tipping: Staircase{From: 0.5, To: 2, Steps: 6, Each: strict.Span(6 * time.Second), Below: 0.9}}
+	f := &File{
+		Question: Compare, Seed: 1, path: path, text: text,
+		Tipping: Staircase{From: 0.5, To: 2, Steps: 6, Each: strict.Span(6 * time.Second), Below: 0.9},
+	}
 	if len(text) > mostFile {
 		return nil, fmt.Errorf("%s: %d bytes, and %d are the most", path, len(text), mostFile)
 	}
@@ -122,8 +124,10 @@
 		f.Name = strings.TrimSuffix(filepath.Base(path), ".toml")
 	}
 	if len(f.Figures) == 0 {
-		f.Figures = map[string][]string{Compare: {"service", "worst-10s", "worst-class", "worst-house"},
-			Sweep: {"service", "worst-class"}, Tipping: {"tips-at", "back-at", "hysteresis"}, Recovery: {"recovery-s", "service"}}[f.Question]
+		f.Figures = map[string][]string{
+			Compare: {"service", "worst-10s", "worst-class", "worst-house"},
+			Sweep:   {"service", "worst-class"}, Tipping: {"tips-at", "back-at", "hysteresis"}, Recovery: {"recovery-s", "service"},
+		}[f.Question]
 	}
 	if err := f.validate(); err != nil {
 		return nil, err
@@ -328,8 +332,10 @@
 }
 
 // figures are what runs are measured by, beside those of single classes.
-var figures = []string{"service", "after-deductions", "whole", "worst-10s", "worst-class", "worst-house", "recovery-s", "area", "tips-at", "back-at",
-	"hysteresis", "attempts", "tries", "handshakes", "cpu-s", "memory-mb", "rules-broken"}
+var figures = []string{
+	"service", "after-deductions", "whole", "worst-10s", "worst-class", "worst-house", "recovery-s", "area", "tips-at", "back-at",
+	"hysteresis", "attempts", "tries", "handshakes", "cpu-s", "memory-mb", "rules-broken",
+}
 
 // KnownFigure tells whether a figure's name is one.
 func KnownFigure(name string) bool {
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -226,8 +226,10 @@
 
 // Identity gives it.
 func (p *Plan) Identity() Identity {
-	id := Identity{Question: p.File.Question, Scenario: p.Scenario, Seeds: p.Seeds, Figures: p.File.Figures, Levels: p.Levels, Days: p.Days,
-		Replicates: p.File.Replicates, About: p.File.About, Runs: p.Runs}
+	id := Identity{
+		Question: p.File.Question, Scenario: p.Scenario, Seeds: p.Seeds, Figures: p.File.Figures, Levels: p.Levels, Days: p.Days,
+		Replicates: p.File.Replicates, About: p.File.About, Runs: p.Runs,
+	}
 	if p.File.Question == Tipping {
 		id.Staircase = &p.File.Tipping
 	}
--- a/internal/fleet/agree/keeper.go
+++ b/internal/fleet/agree/keeper.go
@@ -136,9 +136,11 @@
 
 // NewKeeper makes a keeper of what its disk holds. saved.ID must be set: a new disk is given one that nobody has.
 func NewKeeper(cfg Config, now time.Duration, saved Saved) (*Keeper, error) {
-	k := &Keeper{cfg: cfg, id: saved.ID, life: saved.Life, now: now, rng: rand.New(rand.NewPCG(cfg.Seed, saved.ID^saved.Life)),
+	k := &Keeper{
+		cfg: cfg, id: saved.ID, life: saved.Life, now: now, rng: rand.New(rand.NewPCG(cfg.Seed, saved.ID^saved.Life)),
 		state: &State{Floors: map[string]Floor{}}, names: map[uint64]string{}, lives: map[uint64]Lived{}, marks: map[uint64]mark{},
-		heard: map[string]Known{}, seen: map[string]Hello{}, reads: map[uint64][]renewal{}, holders: map[uint64]holder{}, pending: map[string]pending{}}
+		heard: map[string]Known{}, seen: map[string]Hello{}, reads: map[uint64][]renewal{}, holders: map[uint64]holder{}, pending: map[string]pending{},
+	}
 	maps.Copy(k.lives, saved.Lives)
 	k.apart = map[string]bool{}
 	if saved.Snapshot == nil && len(saved.Entries) == 0 && saved.Hard == nil {
@@ -175,9 +177,11 @@
 			err = &DiskError{Reason: fmt.Sprint(p)}
 		}
 	}()
-	k.node, err = raft.NewRawNode(&raft.Config{ID: k.id, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: k.store, Applied: k.applied,
+	k.node, err = raft.NewRawNode(&raft.Config{
+		ID: k.id, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: k.store, Applied: k.applied,
 		MaxSizePerMsg: 256 << 10, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 8 << 20, CheckQuorum: true, PreVote: true,
-		StepDownOnRemoval: true, DisableProposalForwarding: true, Logger: quietLogger{}})
+		StepDownOnRemoval: true, DisableProposalForwarding: true, Logger: quietLogger{},
+	})
 	if err != nil {
 		return &DiskError{Reason: err.Error()}
 	}
@@ -368,8 +372,10 @@
 func (k *Keeper) disown(why string) {
 	k.say("keeper-disk-old", "keeper %s: %s: it is no keeper any more, until 'marlreelctl fleet keepers add %s'", k.cfg.Name, why, k.cfg.Name)
 	id := k.rng.Uint64()>>12 | 1
-	*k = Keeper{cfg: k.cfg, id: id, life: 1, now: k.now, rng: k.rng, acts: k.acts, ticks: k.ticks, state: &State{Floors: map[string]Floor{}}, names: map[uint64]string{},
-		lives: k.lives, marks: k.marks, heard: map[string]Known{}, seen: map[string]Hello{}, reads: map[uint64][]renewal{}, holders: map[uint64]holder{}, pending: map[string]pending{}, apart: map[string]bool{}}
+	*k = Keeper{
+		cfg: k.cfg, id: id, life: 1, now: k.now, rng: k.rng, acts: k.acts, ticks: k.ticks, state: &State{Floors: map[string]Floor{}}, names: map[uint64]string{},
+		lives: k.lives, marks: k.marks, heard: map[string]Known{}, seen: map[string]Hello{}, reads: map[uint64][]renewal{}, holders: map[uint64]holder{}, pending: map[string]pending{}, apart: map[string]bool{},
+	}
 	k.do(Save{Reset: true, ID: id, Life: 1})
 }
 
--- a/internal/fleet/agree/sim_test.go
+++ b/internal/fleet/agree/sim_test.go
@@ -534,8 +534,10 @@
 			keepers = 5
 		}
 		history := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) fault {
-			return fault{rapid.IntRange(35, 320).Draw(t, "at"), rapid.SampledFrom(kinds).Draw(t, "kind"), rapid.IntRange(0, 40).Draw(t, "a"), rapid.IntRange(0, 40).Draw(t, "b"),
-				rapid.IntRange(1, 120).Draw(t, "for")}
+			return fault{
+				rapid.IntRange(35, 320).Draw(t, "at"), rapid.SampledFrom(kinds).Draw(t, "kind"), rapid.IntRange(0, 40).Draw(t, "a"), rapid.IntRange(0, 40).Draw(t, "b"),
+				rapid.IntRange(1, 120).Draw(t, "for"),
+			}
 		}), 3, 16).Draw(t, "history")
 		s := newSim(seed, proxies, keepers)
 		for _, f := range history {
@@ -568,8 +570,10 @@
 // What a message holds comes through its bytes.
 func TestMessagesComeThrough(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := Message{Renew: &Renew{N: rapid.Uint64().Draw(t, "n"), Boot: rapid.Uint64().Draw(t, "boot"), List: Lists{Source: "platform", Revision: rapid.Int64().Draw(t, "rev")}},
-			Raft: rapid.SliceOf(rapid.Byte()).Draw(t, "raft")}
+		m := Message{
+			Renew: &Renew{N: rapid.Uint64().Draw(t, "n"), Boot: rapid.Uint64().Draw(t, "boot"), List: Lists{Source: "platform", Revision: rapid.Int64().Draw(t, "rev")}},
+			Raft:  rapid.SliceOf(rapid.Byte()).Draw(t, "raft"),
+		}
 		got, err := Decode(Encode(m))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/fleet/disk/load.go
+++ b/internal/fleet/disk/load.go
@@ -90,8 +90,10 @@
 		if len(id) != numberLength || len(life) != 2*numberLength {
 			return nil
 		}
-		s.Lives[binary.BigEndian.Uint64(id)] = agree.Lived{Life: binary.BigEndian.Uint64(life),
-			Boot: binary.BigEndian.Uint64(life[numberLength:])}
+		s.Lives[binary.BigEndian.Uint64(id)] = agree.Lived{
+			Life: binary.BigEndian.Uint64(life),
+			Boot: binary.BigEndian.Uint64(life[numberLength:]),
+		}
 		return nil
 	})
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -111,8 +111,10 @@
 	if slices.Contains(o.Keepers, o.Proxy) && o.Dir == "" {
 		return nil, &ConfigError{"fleet.dir", "is missing: a keeper needs a folder that outlives the process"}
 	}
-	f := &Fleet{o: o, key: key, events: make(chan func(), 1024), stop: make(chan struct{}), done: make(chan struct{}), asks: map[string]*ask{}, sights: map[string]*sight{},
-		saidOnce: map[string]bool{}, file: o.File, fileHash: agree.Hash(o.File), rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
+	f := &Fleet{
+		o: o, key: key, events: make(chan func(), 1024), stop: make(chan struct{}), done: make(chan struct{}), asks: map[string]*ask{}, sights: map[string]*sight{},
+		saidOnce: map[string]bool{}, file: o.File, fileHash: agree.Hash(o.File), rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+	}
 	f.cfg = agree.Config{Name: o.Proxy, Boot: f.rng.Uint64()>>11 | 1, Keepers: o.Keepers, Within: o.AgreeWithin.D(), Seed: f.rng.Uint64() >> 11, Check: o.Check}
 	f.known = []string{o.File}
 	f.openDisk()
@@ -222,8 +224,10 @@
 
 // join begins to be a peer.
 func (f *Fleet) join() {
-	p, err := peers.Join(peers.Config{Fleet: f.o.Name, Name: f.o.Proxy, Listen: f.o.Listen, Peers: f.o.Peers, Key: f.key, Boot: f.cfg.Boot, Started: time.Now(),
-		Receive: f.receive, Refused: func(err error) { f.post(func() { f.warn("fleet-refused", err) }) }})
+	p, err := peers.Join(peers.Config{
+		Fleet: f.o.Name, Name: f.o.Proxy, Listen: f.o.Listen, Peers: f.o.Peers, Key: f.key, Boot: f.cfg.Boot, Started: time.Now(),
+		Receive: f.receive, Refused: func(err error) { f.post(func() { f.warn("fleet-refused", err) }) },
+	})
 	if err != nil {
 		// At an upgrade the process before still has the port: this one goes by the strict rules until it has gone.
 		f.warnOnce("fleet-not-joined", err)
--- a/internal/fleet/rules/rules_test.go
+++ b/internal/fleet/rules/rules_test.go
@@ -24,8 +24,10 @@
 func may(c marlreel.Config, class string) allowed {
 	for _, k := range c.Classes {
 		if k.Name == class {
-			return allowed{true, c.Caps.MaxAttempts, k.GiveUp, k.Effect != marlreel.Unsafe && !k.Once, k.Effect == marlreel.Safe && !k.Once, k.Window, c.Caps.SecondCopies,
-				c.Obligations.DrainGrace, c.Obligations.FallMultiple, c.Tenants[0].Share, -c.Obligations.Cold.Seconds()}
+			return allowed{
+				true, c.Caps.MaxAttempts, k.GiveUp, k.Effect != marlreel.Unsafe && !k.Once, k.Effect == marlreel.Safe && !k.Once, k.Window, c.Caps.SecondCopies,
+				c.Obligations.DrainGrace, c.Obligations.FallMultiple, c.Tenants[0].Share, -c.Obligations.Cold.Seconds(),
+			}
 		}
 	}
 	return allowed{}
@@ -54,8 +56,10 @@
 			continue
 		}
 		giveUp := time.Duration(rapid.IntRange(1, 4).Draw(t, name+" give up")) * time.Second
-		c.Classes = append(c.Classes, marlreel.Class{Name: n, Aim: giveUp, GiveUp: giveUp, Effect: marlreel.Effect(rapid.IntRange(0, 2).Draw(t, name+" effect")),
-			Group: marlreel.Group(rapid.IntRange(0, 2).Draw(t, name+" group")), Window: time.Duration(rapid.IntRange(0, 3).Draw(t, name+" window")) * time.Second})
+		c.Classes = append(c.Classes, marlreel.Class{
+			Name: n, Aim: giveUp, GiveUp: giveUp, Effect: marlreel.Effect(rapid.IntRange(0, 2).Draw(t, name+" effect")),
+			Group: marlreel.Group(rapid.IntRange(0, 2).Draw(t, name+" group")), Window: time.Duration(rapid.IntRange(0, 3).Draw(t, name+" window")) * time.Second,
+		})
 	}
 	return c
 }
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -39,8 +39,10 @@
 // publish makes the status that others read.
 func (f *Fleet) publish() {
 	now := Now()
-	s := &Status{Fleet: f.o.Name, Proxy: f.o.Proxy, Boot: f.cfg.Boot, Within: f.o.AgreeWithin.D(), Since: f.ruledAt, Strict: !f.member.Valid(now), Held: f.member.Held(),
-		Leader: f.member.Leader(), List: f.lists, Joined: f.peers != nil, View: f.member.View()}
+	s := &Status{
+		Fleet: f.o.Name, Proxy: f.o.Proxy, Boot: f.cfg.Boot, Within: f.o.AgreeWithin.D(), Since: f.ruledAt, Strict: !f.member.Valid(now), Held: f.member.Held(),
+		Leader: f.member.Leader(), List: f.lists, Joined: f.peers != nil, View: f.member.View(),
+	}
 	if !s.Strict {
 		s.LeaseFor = f.member.Until() - now
 	}
--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -47,8 +47,11 @@
 
 // Usual are settings with a class of each effect.
 func Usual() Settings {
-	return Settings{Attempts: 4, Classes: []Class{{"lot-list", "retryable", 2 * time.Second}, {"bid", "fragile", 2 * time.Second},
-		{"pickup", "dedup", 2 * time.Second}}}
+	return Settings{Attempts: 4, Classes: []Class{
+		{"lot-list", "retryable", 2 * time.Second},
+		{"bid", "fragile", 2 * time.Second},
+		{"pickup", "dedup", 2 * time.Second},
+	}}
 }
 
 // With is the same with a class changed, or one more.
@@ -88,12 +91,16 @@
 		ms := float64(c.GiveUp) / 1e6
 		services = append(services, map[string]any{"Name": c.Name, "Aim": ms, "GiveUp": ms, "Effect": c.Effect, "Group": "zone", "Window": 10000.0, "Value": 1.0})
 	}
-	return map[string]any{"Balancers": of, "Rank": rank, "Zone": 0, "Tick": 5.0, "Discovery": "pushed", "FailureDomains": []string{"koper"}, "Kinds": []string{"mid-2c"},
+	return map[string]any{
+		"Balancers": of, "Rank": rank, "Zone": 0, "Tick": 5.0, "Discovery": "pushed", "FailureDomains": []string{"koper"}, "Kinds": []string{"mid-2c"},
 		"Feedback": map[string]any{"How": "off", "Names": []string{}},
-		"Caps": map[string]any{"Cancel": true, "ConnIdle": 60000.0, "ConnectTimeout": 300.0, "MaxAttempts": s.Attempts, "MaxOpen": 20000, "MaxRetryAfter": 2000.0, "Probes": false,
-			"RetryAfter": true, "SecondCopies": false, "StreamsPerConn": 1},
+		"Caps": map[string]any{
+			"Cancel": true, "ConnIdle": 60000.0, "ConnectTimeout": 300.0, "MaxAttempts": s.Attempts, "MaxOpen": 20000, "MaxRetryAfter": 2000.0, "Probes": false,
+			"RetryAfter": true, "SecondCopies": false, "StreamsPerConn": 1,
+		},
 		"Obligations": map[string]any{"AnswerSlack": 20.0, "Cold": 5000.0, "DrainGrace": 500.0, "Fall": 3000.0, "FallMultiple": 2.5, "StartCapacity": 0.32},
-		"Services":    services, "Tenants": []any{map[string]any{"Name": "obala", "Share": 1.0, "QuotaPerS": 10000.0}}}
+		"Services":    services, "Tenants": []any{map[string]any{"Name": "obala", "Share": 1.0, "QuotaPerS": 10000.0}},
+	}
 }
 
 // Text is what settings come to as the text of a proposal, without what differs from proxy to proxy.
@@ -210,8 +217,10 @@
 			}
 			paths = append(paths, standin.Path{Addr: addr, Proxy: k})
 		}
-		n, err := standin.StartNode(standin.NodeConfig{ID: fmt.Sprintf("s-%d", i), Zone: "koper", Kind: "mid-2c", Warm: true,
-			Machine: machine.Config{Cores: 16, Speed: 1, Slots: 256, Queue: 1024}, Group: group, Clock: f.Clock, Journal: f.Journal, Paths: paths})
+		n, err := standin.StartNode(standin.NodeConfig{
+			ID: fmt.Sprintf("s-%d", i), Zone: "koper", Kind: "mid-2c", Warm: true,
+			Machine: machine.Config{Cores: 16, Speed: 1, Slots: 256, Queue: 1024}, Group: group, Clock: f.Clock, Journal: f.Journal, Paths: paths,
+		})
 		if err != nil {
 			return f, err
 		}
@@ -305,8 +314,10 @@
 // WriteFile puts settings into the proxy's file, whole. The process hears of it at SIGHUP.
 func (p *Proxy) WriteFile(s Settings) error {
 	p.settings = s
-	text, err := json.Marshal(map[string]any{"name": p.Name, "listen": p.Listen, "discovery": p.agent.Addr, "control": p.Door, "seed": fmt.Sprintf("%x", p.fleet.Seed*1000+uint64(p.N)+1),
-		"limits": map[string]any{"memory_mb": 64, "sockets": 512}, "settings": s.object(p.N, p.fleet.Options.Proxies)})
+	text, err := json.Marshal(map[string]any{
+		"name": p.Name, "listen": p.Listen, "discovery": p.agent.Addr, "control": p.Door, "seed": fmt.Sprintf("%x", p.fleet.Seed*1000+uint64(p.N)+1),
+		"limits": map[string]any{"memory_mb": 64, "sockets": 512}, "settings": s.object(p.N, p.fleet.Options.Proxies),
+	})
 	if err != nil {
 		return err
 	}
--- a/internal/fleettest/history.go
+++ b/internal/fleettest/history.go
@@ -49,8 +49,10 @@
 	h := History{Seed: seed, Proxies: 3 + rng.IntN(6), Within: time.Duration(2+rng.IntN(2)) * time.Second}
 	kinds := []string{"propose", "propose", "propose", "hup", "stop", "stop leader", "kill", "kill leader", "split", "one-way", "weather", "older", "empty", "full", "keepers", "drain", "read", "read"}
 	for range 5 + rng.IntN(8) {
-		h.Events = append(h.Events, Event{At: time.Duration(rng.Int64N(int64(historyLength))), For: 200*time.Millisecond + time.Duration(rng.Int64N(int64(5*time.Second))),
-			Kind: kinds[rng.IntN(len(kinds))], A: rng.IntN(100), B: rng.IntN(100)})
+		h.Events = append(h.Events, Event{
+			At: time.Duration(rng.Int64N(int64(historyLength))), For: 200*time.Millisecond + time.Duration(rng.Int64N(int64(5*time.Second))),
+			Kind: kinds[rng.IntN(len(kinds))], A: rng.IntN(100), B: rng.IntN(100),
+		})
 	}
 	sort.Slice(h.Events, func(i, j int) bool { return h.Events[i].At < h.Events[j].At })
 	return h
--- a/internal/fleettest/operators.go
+++ b/internal/fleettest/operators.go
@@ -79,11 +79,13 @@
 // Operator asks a proxy's socket.
 func (p *Proxy) Operator(method, path string, query url.Values, body []byte, patience time.Duration) (r Reply, err error) {
 	socket := filepath.Join(p.Disk, "fleet.sock")
-	client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true,
+	client := &http.Client{Timeout: patience, Transport: &http.Transport{
+		DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			var d net.Dialer
 			return d.DialContext(ctx, "unix", socket)
-		}}}
+		},
+	}}
 	req, err := http.NewRequest(method, "http://fleet"+path+"?"+query.Encode(), bytes.NewReader(body))
 	if err != nil {
 		return r, err
--- a/internal/fleettest/story.go
+++ b/internal/fleettest/story.go
@@ -194,8 +194,10 @@
 		if err != nil {
 			return err
 		}
-		s.f, err = New(Options{Program: program, Dir: dir, Proxies: int(number(o["proxies"], 3)), Keepers: int(number(o["keepers"], 3)), Nodes: int(number(o["nodes"], 3)),
-			Within: within, Errors: number(o["errors"], 0), Settings: Usual(), Seed: 5, Hold: o["hold"] != ""})
+		s.f, err = New(Options{
+			Program: program, Dir: dir, Proxies: int(number(o["proxies"], 3)), Keepers: int(number(o["keepers"], 3)), Nodes: int(number(o["nodes"], 3)),
+			Within: within, Errors: number(o["errors"], 0), Settings: Usual(), Seed: 5, Hold: o["hold"] != "",
+		})
 		return err
 	}
 	if s.f == nil {
--- a/internal/fleettest/terms.go
+++ b/internal/fleettest/terms.go
@@ -42,8 +42,10 @@
 
 // Agreed are the operators' bounds; what is not theirs (Spin, Reached) is this repository's own.
 func Agreed() Bounds {
-	return Bounds{Told: 6 * time.Second, Grace: 500 * time.Millisecond, Left: 100 * time.Millisecond, Ready: 10 * time.Second, Nine: 0.9,
-		Answer: 500 * time.Millisecond, Spin: 0.5, Reached: time.Second}
+	return Bounds{
+		Told: 6 * time.Second, Grace: 500 * time.Millisecond, Left: 100 * time.Millisecond, Ready: 10 * time.Second, Nine: 0.9,
+		Answer: 500 * time.Millisecond, Spin: 0.5, Reached: time.Second,
+	}
 }
 
 func (s Span) has(at time.Duration) bool { return s.From <= at && (s.To == 0 || at < s.To) }
--- a/internal/fleettest/terms_test.go
+++ b/internal/fleettest/terms_test.go
@@ -13,19 +13,24 @@
 
 // kept is a day on which every term just holds.
 func kept() *Sighting {
-	s := &Sighting{Bounds: Agreed(), Pushed: true,
+	s := &Sighting{
+		Bounds: Agreed(), Pushed: true,
 		Outages: []Span{{From: 5 * time.Second, To: 13 * time.Second}},
 		Changes: []Change{{Backend: "s-1", At: 10 * time.Second, Away: true}, {Backend: "s-2", At: 2 * time.Second, Away: true}, {Backend: "s-2", At: 20 * time.Second}},
 		Calls:   []Call{{0, 13*time.Second + 900*ms}},
-		Arrived: []Arrival{{Backend: "s-1", Request: "a", Began: 19*time.Second + 500*ms, Work: 1},
-			{Backend: "s-2", Request: "b", Began: 30 * time.Second, Work: 1},             // it is ready again
-			{Backend: "s-2", Request: "c", Began: 19*time.Second + 400*ms, Work: 1},      // the outage began the count anew
-			{Backend: "s-3", Request: "left", Began: 3*time.Second + 100*ms, Work: 1},    // just in time
-			{Backend: "s-3", Request: "bid", Began: 4 * time.Second, Unsafe: true},       // turned away
-			{Backend: "s-4", Request: "bid", Began: 4100 * ms, Unsafe: true, Ran: true}}, // and ran
-		Asked: []Asked{{Request: "left", Sent: 2 * time.Second, Wait: time.Second, Left: 3 * time.Second},
+		Arrived: []Arrival{
+			{Backend: "s-1", Request: "a", Began: 19*time.Second + 500*ms, Work: 1},
+			{Backend: "s-2", Request: "b", Began: 30 * time.Second, Work: 1},          // it is ready again
+			{Backend: "s-2", Request: "c", Began: 19*time.Second + 400*ms, Work: 1},   // the outage began the count anew
+			{Backend: "s-3", Request: "left", Began: 3*time.Second + 100*ms, Work: 1}, // just in time
+			{Backend: "s-3", Request: "bid", Began: 4 * time.Second, Unsafe: true},    // turned away
+			{Backend: "s-4", Request: "bid", Began: 4100 * ms, Unsafe: true, Ran: true},
+		}, // and ran
+		Asked: []Asked{
+			{Request: "left", Sent: 2 * time.Second, Wait: time.Second, Left: 3 * time.Second},
 			{Request: "bid", Sent: 4 * time.Second, Wait: time.Second, Answered: 5*time.Second + 500*ms, Answers: 1, Served: true},
-			{Request: "held", Sent: 4 * time.Second, Wait: time.Second, Away: true}},
+			{Request: "held", Sent: 4 * time.Second, Wait: time.Second, Away: true},
+		},
 		Colds:  []Cold{{"s-cold", Span{40 * time.Second, 48 * time.Second}, 2 * time.Second, func(time.Duration) float64 { return 4 }}},
 		Crowds: []Crowd{{0, Span{4 * time.Second, 14 * time.Second}, 5 * time.Second}},
 	}
--- a/internal/httpproxy/carrier.go
+++ b/internal/httpproxy/carrier.go
@@ -31,9 +31,13 @@
 func NewCarrier(e *engine.Engine, most int, report []string, room *budget.Budget) *Carrier {
 	caps := e.Settings().Caps
 	worth := meanWorth(e.Settings())
-	c := &Carrier{engine: e, speaks: platformDialect(), room: room, report: report, lastOK: map[*engine.Backend]time.Duration{},
-		pool: pool{most: most, maxIdle: caps.ConnIdle - caps.ConnIdle/4, idle: map[*engine.Backend][]*conn{}, worth: worth,
-			model: conns.New(conns.DefaultConfig(worth, e.Settings().Prices.Handshake))}}
+	c := &Carrier{
+		engine: e, speaks: platformDialect(), room: room, report: report, lastOK: map[*engine.Backend]time.Duration{},
+		pool: pool{
+			most: most, maxIdle: caps.ConnIdle - caps.ConnIdle/4, idle: map[*engine.Backend][]*conn{}, worth: worth,
+			model: conns.New(conns.DefaultConfig(worth, e.Settings().Prices.Handshake)),
+		},
+	}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	return c
 }
--- a/internal/httpproxy/chunks_test.go
+++ b/internal/httpproxy/chunks_test.go
@@ -100,8 +100,10 @@
 // What this reader takes, net/http's takes for the same body. It may take more: bare LF,
 // for one.
 func FuzzChunks(f *testing.F) {
-	for _, s := range []string{"0\r\n\r\n", "5\r\nabcde\r\n0\r\n\r\n", "5;x=y\r\nabcde\r\n0\r\nA: b\r\n\r\n", "5\nabcde\n0\n\n",
-		"ffffffffffffffffff\r\n", "-1\r\n", "5 \r\nabcde\r\n0\r\n\r\n", "1\r\nab\r\n0\r\n\r\n", "0\r\nbad\r\n\r\n", " 1\r\na\r\n0\r\n\r\n"} {
+	for _, s := range []string{
+		"0\r\n\r\n", "5\r\nabcde\r\n0\r\n\r\n", "5;x=y\r\nabcde\r\n0\r\nA: b\r\n\r\n", "5\nabcde\n0\n\n",
+		"ffffffffffffffffff\r\n", "-1\r\n", "5 \r\nabcde\r\n0\r\n\r\n", "1\r\nab\r\n0\r\n\r\n", "0\r\nbad\r\n\r\n", " 1\r\na\r\n0\r\n\r\n",
+	} {
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, s string) {
--- a/internal/httpproxy/crossing_test.go
+++ b/internal/httpproxy/crossing_test.go
@@ -358,8 +358,10 @@
 		close(begun)
 		then(c, in)
 	})
-	x = &exchange{to: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), speaks: platformDialect(), msg: probeMessage(addr),
-		until: time.Now().Add(patience), hold: patience / 2}
+	x = &exchange{
+		to: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), speaks: platformDialect(), msg: probeMessage(addr),
+		until: time.Now().Add(patience), hold: patience / 2,
+	}
 	ended = make(chan Reply, 1)
 	go func() { ended <- x.run(context.Background(), patience, nil) }()
 	receive(t, begun, "the first bytes")
--- a/internal/httpproxy/exchange_test.go
+++ b/internal/httpproxy/exchange_test.go
@@ -194,9 +194,11 @@
 // Half a report would draw traffic to a backend as if it were idle.
 func TestLoadReportsThatSayNothing(t *testing.T) {
 	t.Parallel()
-	for _, text := range []string{"", "TEXT ?", "%%%", `{"`, `{}`, `{"busy_reqs":7}`, `{"busy_reqs":-1,"pending":0}`,
+	for _, text := range []string{
+		"", "TEXT ?", "%%%", `{"`, `{}`, `{"busy_reqs":7}`, `{"busy_reqs":-1,"pending":0}`,
 		`{"busy_reqs":1e30,"pending":0}`, `{"busy_reqs":1e999,"pending":0}`, `{"busy_reqs":null,"pending":0}`,
-		`{"busy_reqs":"7","pending":0}`, `[7,0]`} {
+		`{"busy_reqs":"7","pending":0}`, `[7,0]`,
+	} {
 		h := http.Header{}
 		h.Set(headerLoad, text)
 		if got := loadReport(h, []string{"busy_reqs", "pending"}); got != nil {
--- a/internal/httpproxy/frames_test.go
+++ b/internal/httpproxy/frames_test.go
@@ -75,10 +75,12 @@
 // head is refused.
 func FuzzFrames(f *testing.F) {
 	const get = "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
-	for _, s := range []string{get + get, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nab" + get,
+	for _, s := range []string{
+		get + get, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nab" + get,
 		"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\nX: y\r\n\r\n" + get,
 		"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n" + get, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\na\r\n" + get,
-		"GET / HTTP/1.1\nHost: a\n\n" + get, "GET / HTTP/1.1\r\nHost: a\r\n b\r\n\r\n" + get} {
+		"GET / HTTP/1.1\nHost: a\n\n" + get, "GET / HTTP/1.1\r\nHost: a\r\n b\r\n\r\n" + get,
+	} {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/httpproxy/harness_test.go
+++ b/internal/httpproxy/harness_test.go
@@ -76,8 +76,10 @@
 
 func (l *still) ask(class int, left time.Duration) *call {
 	now := l.Now()
-	r := &call{Call: engine.Call{Name: fmt.Sprintf("%016x", lastName.Add(1)), Carrier: l.carrier, Payload: probeMessage("origin.svc")},
-		answers: make(chan answer, 1)}
+	r := &call{
+		Call:    engine.Call{Name: fmt.Sprintf("%016x", lastName.Add(1)), Carrier: l.carrier, Payload: probeMessage("origin.svc")},
+		answers: make(chan answer, 1),
+	}
 	r.Front, r.Class, r.Deadline = r, class, now+left
 	l.Do(func() { l.Take(&r.Call, now) })
 	return r
--- a/internal/httpproxy/park.go
+++ b/internal/httpproxy/park.go
@@ -2,10 +2,11 @@
 
 import (
 	"errors"
-	"marlreel/internal/sockets"
 	"net"
 	"syscall"
 	"time"
+
+	"marlreel/internal/sockets"
 )
 
 // A connection on which nothing has come yet is parked: what it costs beside its descriptor is a
@@ -13,8 +14,10 @@
 // a request, gets it only then. So thousands that connect and say nothing cost next to nothing.
 
 func newClients(ln net.Listener, most int) *clients {
-	return &clients{Listener: ln, most: most, open: map[*client]struct{}{},
-		asking: make(chan *client), ended: make(chan struct{}), over: make(chan struct{})}
+	return &clients{
+		Listener: ln, most: most, open: map[*client]struct{}{},
+		asking: make(chan *client), ended: make(chan struct{}), over: make(chan struct{}),
+	}
 }
 
 // Accept implements net.Listener. It gives connections that have something to read, also those
--- a/internal/httpproxy/parse.go
+++ b/internal/httpproxy/parse.go
@@ -101,9 +101,13 @@
 		io.WriteString(f, rest[strings.LastIndexByte(rest, '/')+1:])
 		about = f.Sum64()
 	}
-	req := &call{Call: engine.Call{Request: marlreel.Request{Class: class, Tenant: tenant, Key: about, Cost: cost,
-		Repeat: h.Get(headerRepeat) == "1"}, Name: id, Carrier: s.carrier, Book: by},
-		answers: make(chan answer, 1)}
+	req := &call{
+		Call: engine.Call{Request: marlreel.Request{
+			Class: class, Tenant: tenant, Key: about, Cost: cost,
+			Repeat: h.Get(headerRepeat) == "1",
+		}, Name: id, Carrier: s.carrier, Book: by},
+		answers: make(chan answer, 1),
+	}
 	req.Front = req
 	return req, left, answer{}
 }
@@ -131,8 +135,10 @@
 }
 
 // hopByHop are the headers that end here. Framing is each side's own.
-var hopByHop = []string{"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Upgrade",
-	"Transfer-Encoding", "Content-Length", "Expect"}
+var hopByHop = []string{
+	"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Upgrade",
+	"Transfer-Encoding", "Content-Length", "Expect",
+}
 
 // staysHere tells whether a header ends at this hop: one of the fixed ones, or one
 // that Connection names.
--- a/internal/httpproxy/pool_test.go
+++ b/internal/httpproxy/pool_test.go
@@ -20,8 +20,10 @@
 	}
 	t.Cleanup(func() { ln.Close() })
 	b := engine.NewBackend("s-1", ln.Addr().String(), true)
-	p := &pool{most: n, maxIdle: 45 * time.Second, idle: map[*engine.Backend][]*conn{},
-		model: conns.New(conns.DefaultConfig(3, 0.03)), worth: 3}
+	p := &pool{
+		most: n, maxIdle: 45 * time.Second, idle: map[*engine.Backend][]*conn{},
+		model: conns.New(conns.DefaultConfig(3, 0.03)), worth: 3,
+	}
 	var far []net.Conn
 	for i := range n {
 		nc, err := net.Dial("tcp", b.Addr)
--- a/internal/httpproxy/relay_test.go
+++ b/internal/httpproxy/relay_test.go
@@ -183,8 +183,10 @@
 // What another version, or nobody, wrote is turned down.
 func TestStatesThatAreNone(t *testing.T) {
 	t.Parallel()
-	for _, s := range []string{"", "{}", `{"Version":2,"Form":"sized"}`, `{"Version":1,"Form":"other"}`,
-		`{"Version":1,"Form":"sized","Left":-1}`, `{"Version":1,"Form":"chunks","Chunk":99}`} {
+	for _, s := range []string{
+		"", "{}", `{"Version":2,"Form":"sized"}`, `{"Version":1,"Form":"other"}`,
+		`{"Version":1,"Form":"sized","Left":-1}`, `{"Version":1,"Form":"chunks","Chunk":99}`,
+	} {
 		if _, err := newRelay([]byte(s), nil, nil); err == nil {
 			t.Errorf("%q was taken", s)
 		}
--- a/internal/httpproxy/server.go
+++ b/internal/httpproxy/server.go
@@ -89,7 +89,8 @@
 // it takes from room.
 func NewFront(e *engine.Engine, carrier *Carrier, room *budget.Budget, logger *slog.Logger) *Front {
 	s := &Front{clients: newClients(nil, 0), leaving: make(chan struct{}), engine: e, carrier: carrier, room: room}
-	s.http = &http.Server{Handler: s, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout,
+	s.http = &http.Server{
+		Handler: s, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: maxHead, ErrorLog: slog.NewLogLogger(logger.With("event", "http").Handler(), slog.LevelInfo),
 		DisableGeneralOptionsHandler: true, // which would answer OPTIONS * with 200
 		ConnContext:                  withClient,
@@ -98,7 +99,8 @@
 			if c, ok := nc.(*client); ok && state == http.StateIdle {
 				c.rest(true)
 			}
-		}}
+		},
+	}
 	return s
 }
 
--- a/internal/httpproxy/upload_send.go
+++ b/internal/httpproxy/upload_send.go
@@ -2,11 +2,12 @@
 
 import (
 	"context"
-	"marlreel/internal/sockets"
 	"net"
 	"strconv"
 	"time"
 
+	"marlreel/internal/sockets"
+
 	"marlreel"
 )
 
--- a/internal/judge/conns/conns.go
+++ b/internal/judge/conns/conns.go
@@ -43,8 +43,10 @@
 
 // DefaultConfig fits requests whose mean worth is given.
 func DefaultConfig(meanWorth, handshakePrice float64) Config {
-	return Config{PriorNew: 0.004, PriorKept: 0.002, Weight: 8, Memory: 30 * time.Second,
-		Handshake: (handshakePrice + handshakeWork) * meanWorth, MostBackends: 4096}
+	return Config{
+		PriorNew: 0.004, PriorKept: 0.002, Weight: 8, Memory: 30 * time.Second,
+		Handshake: (handshakePrice + handshakeWork) * meanWorth, MostBackends: 4096,
+	}
 }
 
 // handshakeWork is the part of a mean request's worth that a handshake costs others: it
@@ -92,8 +94,10 @@
 // edges of the idle times, and with that the cells: idle below the first edge, between
 // two, and beyond the last. Steps of a half to a third, as what closes idle connections
 // does so at one time, and a request that comes just before is safe.
-var edges = [...]time.Duration{1 * ms, 3 * ms, 10 * ms, 20 * ms, 35 * ms, 50 * ms, 75 * ms, 100 * ms, 150 * ms, 200 * ms, 300 * ms,
-	450 * ms, 700 * ms, 1000 * ms, 1500 * ms, 2000 * ms, 3000 * ms, 5000 * ms, 8000 * ms, 13000 * ms, 20000 * ms, 30000 * ms, 45000 * ms}
+var edges = [...]time.Duration{
+	1 * ms, 3 * ms, 10 * ms, 20 * ms, 35 * ms, 50 * ms, 75 * ms, 100 * ms, 150 * ms, 200 * ms, 300 * ms,
+	450 * ms, 700 * ms, 1000 * ms, 1500 * ms, 2000 * ms, 3000 * ms, 5000 * ms, 8000 * ms, 13000 * ms, 20000 * ms, 30000 * ms, 45000 * ms,
+}
 
 const (
 	ms    = time.Millisecond
--- a/internal/judge/gray/config.go
+++ b/internal/judge/gray/config.go
@@ -34,8 +34,10 @@
 
 // DefaultConfig gives the figures in service, for so many kinds of work.
 func DefaultConfig(kinds int) Config {
-	return Config{Kinds: kinds, Answered: 0.25, Onset: 600 * time.Second, Shortest: 2 * time.Second,
-		Longest: 10 * time.Second, Memory: 10 * time.Second, Spend: 0.0075, Burst: 1}
+	return Config{
+		Kinds: kinds, Answered: 0.25, Onset: 600 * time.Second, Shortest: 2 * time.Second,
+		Longest: 10 * time.Second, Memory: 10 * time.Second, Spend: 0.0075, Burst: 1,
+	}
 }
 
 // Validate names the first figure that makes no sense.
--- a/internal/judge/gray/gray_test.go
+++ b/internal/judge/gray/gray_test.go
@@ -54,9 +54,11 @@
 		t.Fatal(err)
 	}
 	m.SetMemory(2 * time.Second)
-	d := &day{m: m, rng: rand.New(rand.NewPCG(seed, 3)), rates: rates, aim: 175 * ms, failing: 0.005,
+	d := &day{
+		m: m, rng: rand.New(rand.NewPCG(seed, 3)), rates: rates, aim: 175 * ms, failing: 0.005,
 		bad: func(int, int, time.Duration) (float64, float64) { return 0, 0 }, now: time.Second,
-		next: make([]time.Duration, len(rates)), sent: make([]int, len(rates))}
+		next: make([]time.Duration, len(rates)), sent: make([]int, len(rates)),
+	}
 	for range backends {
 		d.cells = append(d.cells, make([]Cell, len(rates)))
 		d.ratio = append(d.ratio, 0.7+0.8*d.rng.Float64())
--- a/internal/judge/gray/state.go
+++ b/internal/judge/gray/state.go
@@ -31,9 +31,11 @@
 		return max(0, now-at)
 	}
 	sum := func(f fade.Sum) float64 { return f.Fade(now, m.cfg.Memory) }
-	return CellState{Bad: c.bad, Vouched: c.vouched, At: max(0, now-c.at), Silent: age(c.silent), OutFor: age(c.outSince),
+	return CellState{
+		Bad: c.bad, Vouched: c.vouched, At: max(0, now-c.at), Silent: age(c.silent), OutFor: age(c.outSince),
 		Failures: c.failures, OK: sum(c.ok), Ended: sum(c.ended), OKEver: sum(c.okEver), EndedEver: sum(c.endedEver),
-		Delays: sum(c.delays), Answered: sum(c.answers)}
+		Delays: sum(c.delays), Answered: sum(c.answers),
+	}
 }
 
 // Resume makes a cell of what was known of one, away ago. The chance that it is bad drifts over
@@ -46,9 +48,11 @@
 		return max(1, now-away-age)
 	}
 	sum := func(v float64) fade.Sum { return fade.Since(v, now-away) }
-	return Cell{bad: min(max(s.Bad, 0), mostSure), vouched: s.Vouched, at: now - away - s.At, silent: at(s.Silent), outSince: at(s.OutFor),
+	return Cell{
+		bad: min(max(s.Bad, 0), mostSure), vouched: s.Vouched, at: now - away - s.At, silent: at(s.Silent), outSince: at(s.OutFor),
 		failures: s.Failures, ok: sum(s.OK), ended: sum(s.Ended), okEver: sum(s.OKEver), endedEver: sum(s.EndedEver),
-		delays: sum(s.Delays), answers: sum(s.Answered)}
+		delays: sum(s.Delays), answers: sum(s.Answered),
+	}
 }
 
 // KindState is what is common to the cells of a kind.
@@ -62,8 +66,10 @@
 // KindState gives what is known of a kind.
 func (m *Model) KindState(k int, now time.Duration) KindState {
 	g := &m.kinds[k]
-	return KindState{Failed: g.failed.Fade(now, m.cfg.Memory), Ended: g.ended.Fade(now, m.cfg.Memory), N: g.n, Dev: g.dev,
-		Dev2: g.dev2, Wave: g.wave.Fade(now, waveOver), Tokens: g.tokens}
+	return KindState{
+		Failed: g.failed.Fade(now, m.cfg.Memory), Ended: g.ended.Fade(now, m.cfg.Memory), N: g.n, Dev: g.dev,
+		Dev2: g.dev2, Wave: g.wave.Fade(now, waveOver), Tokens: g.tokens,
+	}
 }
 
 // ResumeKind goes on with what was known of a kind, away ago, its spread as if by so many answers
--- a/internal/judge/repeat/repeat_test.go
+++ b/internal/judge/repeat/repeat_test.go
@@ -8,8 +8,10 @@
 )
 
 func drawn(t *rapid.T, name string) Terms {
-	return Terms{Effect(rapid.IntRange(0, 2).Draw(t, name+" effect")), Scope(rapid.IntRange(0, 3).Draw(t, name+" scope")),
-		time.Duration(rapid.IntRange(0, 5).Draw(t, name+" window"))}
+	return Terms{
+		Effect(rapid.IntRange(0, 2).Draw(t, name+" effect")), Scope(rapid.IntRange(0, 3).Draw(t, name+" scope")),
+		time.Duration(rapid.IntRange(0, 5).Draw(t, name+" window")),
+	}
 }
 
 // What the strictest of two allows, both do; and it allows all that both do.
--- a/internal/lists/discovery/list.go
+++ b/internal/lists/discovery/list.go
@@ -34,8 +34,10 @@
 // Names are the positions that the settings give the names of zones and of kinds.
 type Names struct{ Zones, Kinds map[string]int }
 
-var lifecycles = map[string]marlreel.State{"Ready": marlreel.Ready, "Terminating": marlreel.Draining,
-	"Gone": marlreel.Gone}
+var lifecycles = map[string]marlreel.State{
+	"Ready": marlreel.Ready, "Terminating": marlreel.Draining,
+	"Gone": marlreel.Gone,
+}
 
 // LineError is a list, or a change to it, that can't be used. The one before stands.
 type LineError struct {
--- a/internal/lists/discovery/pursuit.go
+++ b/internal/lists/discovery/pursuit.go
@@ -50,13 +50,17 @@
 // turn: there is no check, a second call is made late, or not at all where others fail, and a fleet's calls are spread.
 func PaceFor(onRequest bool, proxies int) Pace {
 	if !onRequest {
-		return Pace{Silence: 3 * time.Second, Head: 300 * time.Millisecond, Line: 1200 * time.Millisecond, Patience: time.Second,
-			Least: 30 * time.Millisecond, Most: 250 * time.Millisecond, Check: 2500 * time.Millisecond}
+		return Pace{
+			Silence: 3 * time.Second, Head: 300 * time.Millisecond, Line: 1200 * time.Millisecond, Patience: time.Second,
+			Least: 30 * time.Millisecond, Most: 250 * time.Millisecond, Check: 2500 * time.Millisecond,
+		}
 	}
 	// All proxies together make some hundred calls a second at most while discovery is down.
 	each := time.Duration(max(proxies, 1)) * time.Millisecond
-	return Pace{Silence: 2500 * time.Millisecond, Head: 600 * time.Millisecond, Line: 600 * time.Millisecond, Patience: 2400 * time.Millisecond, Turn: 3100 * time.Millisecond,
-		Least: min(max(100*time.Millisecond, 2*each), 600*time.Millisecond), Most: min(max(500*time.Millisecond, 8*each), 2250*time.Millisecond)}
+	return Pace{
+		Silence: 2500 * time.Millisecond, Head: 600 * time.Millisecond, Line: 600 * time.Millisecond, Patience: 2400 * time.Millisecond, Turn: 3100 * time.Millisecond,
+		Least: min(max(100*time.Millisecond, 2*each), 600*time.Millisecond), Most: min(max(500*time.Millisecond, 8*each), 2250*time.Millisecond),
+	}
 }
 
 // Told is how long after discovery has a change it is known here at the latest, whatever is wrong with the watch and
--- a/internal/lists/discovery/source.go
+++ b/internal/lists/discovery/source.go
@@ -151,14 +151,16 @@
 
 // follower makes calls at the address now in force.
 func (s *Source) follower(w *watcher) *follower {
-	return &follower{pace: s.cfg.Pace, names: &w.names, addr: w.addr, client: s.client, logf: s.cfg.Logf,
+	return &follower{
+		pace: s.cfg.Pace, names: &w.names, addr: w.addr, client: s.client, logf: s.cfg.Logf,
 		tell: func(l *List) {
 			s.sink.Post(func() {
 				if s.speaks(w) {
 					s.take(w, l)
 				}
 			})
-		}}
+		},
+	}
 }
 
 // take takes in what an address has told.
--- a/internal/lists/discovery/source_test.go
+++ b/internal/lists/discovery/source_test.go
@@ -158,8 +158,10 @@
 			t.Cleanup(raw.Close)
 			got := make(chan *List, 1)
 			pace.Patience, pace.Least, pace.Most = patience, time.Millisecond, 2*time.Millisecond
-			d := &follower{pace: pace, names: new(atomic.Pointer[Names]), addr: raw.Addr, client: newClient(), logf: t.Logf,
-				tell: func(l *List) { got <- l }}
+			d := &follower{
+				pace: pace, names: new(atomic.Pointer[Names]), addr: raw.Addr, client: newClient(), logf: t.Logf,
+				tell: func(l *List) { got <- l },
+			}
 			d.names.Store(&Names{})
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
--- a/internal/lists/members/members.go
+++ b/internal/lists/members/members.go
@@ -137,11 +137,15 @@
 
 // New makes a model that knows nothing.
 func New(cfg Config) *Model {
-	m := &Model{cfg: cfg, active: -1, shown: map[string]Entry{}, held: map[string]Entry{}, flaps: map[string]flap{},
-		damp: map[string]bool{}, said: map[string]string{}}
+	m := &Model{
+		cfg: cfg, active: -1, shown: map[string]Entry{}, held: map[string]Entry{}, flaps: map[string]flap{},
+		damp: map[string]bool{}, said: map[string]string{},
+	}
 	for _, name := range cfg.Sources {
-		m.sources = append(m.sources, &source{name: name, items: map[string]Item{}, bad: map[string]string{},
-			when: map[string]time.Duration{}, left: map[string]time.Duration{}})
+		m.sources = append(m.sources, &source{
+			name: name, items: map[string]Item{}, bad: map[string]string{},
+			when: map[string]time.Duration{}, left: map[string]time.Duration{},
+		})
 	}
 	return m
 }
--- a/internal/lists/members/members_test.go
+++ b/internal/lists/members/members_test.go
@@ -22,8 +22,10 @@
 }
 
 func guarded() Config {
-	return Config{Sources: []string{"registry", "platform"}, Patience: 10 * second, Settle: 5 * second, Guard: 0.5, Over: 30 * second,
-		FlapMost: 4, FlapOver: 20 * second, Most: 10000}
+	return Config{
+		Sources: []string{"registry", "platform"}, Patience: 10 * second, Settle: 5 * second, Guard: 0.5, Over: 30 * second,
+		FlapMost: 4, FlapOver: 20 * second, Most: 10000,
+	}
 }
 
 func at(n int) Entry { return Entry{Addr: fmt.Sprintf("10.0.%d.%d:80", n/250, n%250), Weight: 1} }
@@ -655,8 +657,10 @@
 			},
 			"whole": func(t *rapid.T) {
 				src := rapid.IntRange(0, 1).Draw(t, "source")
-				keep(&last, m.Whole(now, src, Whole{History: uint64(rapid.IntRange(1, 2).Draw(t, "history")), Revision: int64(rapid.IntRange(0, 60).Draw(t, "revision")),
-					Items: rapid.SliceOfNDistinct(item, 0, 10, distinct).Draw(t, "items"), Stale: rapid.Bool().Draw(t, "stale")}))
+				keep(&last, m.Whole(now, src, Whole{
+					History: uint64(rapid.IntRange(1, 2).Draw(t, "history")), Revision: int64(rapid.IntRange(0, 60).Draw(t, "revision")),
+					Items: rapid.SliceOfNDistinct(item, 0, 10, distinct).Draw(t, "items"), Stale: rapid.Bool().Draw(t, "stale"),
+				}))
 			},
 			"change": func(t *rapid.T) {
 				src := rapid.IntRange(0, 1).Draw(t, "source")
--- a/internal/lists/registry/etcd.go
+++ b/internal/lists/registry/etcd.go
@@ -196,8 +196,10 @@
 	defer end()
 	opening := newSilence(callWithin, end)
 	defer opening.stop()
-	r, err := e.call(ctx, http.MethodPost, "/v3/watch", head, map[string]any{"create_request": map[string]any{"key": []byte(e.cfg.Prefix),
-		"range_end": rangeEnd(e.cfg.Prefix), "start_revision": from.Revision + 1, "progress_notify": true, "fragment": true}})
+	r, err := e.call(ctx, http.MethodPost, "/v3/watch", head, map[string]any{"create_request": map[string]any{
+		"key":       []byte(e.cfg.Prefix),
+		"range_end": rangeEnd(e.cfg.Prefix), "start_revision": from.Revision + 1, "progress_notify": true, "fragment": true,
+	}})
 	if err != nil {
 		return err
 	}
--- a/internal/lists/registry/registry_test.go
+++ b/internal/lists/registry/registry_test.go
@@ -76,15 +76,19 @@
 func (f *follower) Whole(w members.Whole) {
 	f.on(func() []members.Action { return f.model.Whole(f.now(), 0, w) })
 }
+
 func (f *follower) Change(c members.Change) {
 	f.on(func() []members.Action { return f.model.Change(f.now(), 0, c) })
 }
+
 func (f *follower) Progress(r int64) {
 	f.on(func() []members.Action { return f.model.Progress(f.now(), 0, r) })
 }
+
 func (f *follower) Compacted() {
 	f.on(func() []members.Action { return f.model.Compacted(f.now(), 0) })
 }
+
 func (f *follower) Lost(why string) {
 	f.on(func() []members.Action { return f.model.Lost(f.now(), 0, why) })
 }
@@ -442,9 +446,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	template := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "registry"}, NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
+	template := &x509.Certificate{
+		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "registry"}, NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
 		IsCA: true, BasicConstraintsValid: true, IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, KeyUsage: x509.KeyUsageDigitalSignature | x509.KeyUsageCertSign,
-		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
+		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
+	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, &private.PublicKey, private)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lists/registry/transport.go
+++ b/internal/lists/registry/transport.go
@@ -40,8 +40,10 @@
 
 // DefaultConfig is a registry that is off.
 func DefaultConfig() Config {
-	return Config{Prefix: "marlreel/nodes/", Patience: strict.Span(30 * time.Second), Settle: strict.Span(10 * time.Second), Guard: 0.5,
-		GuardOver: strict.Span(30 * time.Second), Flaps: 6, FlapOver: strict.Span(30 * time.Second)}
+	return Config{
+		Prefix: "marlreel/nodes/", Patience: strict.Span(30 * time.Second), Settle: strict.Span(10 * time.Second), Guard: 0.5,
+		GuardOver: strict.Span(30 * time.Second), Flaps: 6, FlapOver: strict.Span(30 * time.Second),
+	}
 }
 
 // On tells whether there is one.
@@ -159,9 +161,12 @@
 	// Two connections: a watch has one, calls the other. Both end with their silence, not by a time-out over
 	// the whole: a watch has none.
 	return &transport{cfg: c, checkEvery: 10 * time.Second, client: &http.Client{
-		Transport: &http.Transport{TLSClientConfig: t, DialContext: (&net.Dialer{Timeout: callWithin / 2}).DialContext, TLSHandshakeTimeout: callWithin / 2,
-			MaxIdleConns: 1, MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second, DisableCompression: true},
-		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}, nil
+		Transport: &http.Transport{
+			TLSClientConfig: t, DialContext: (&net.Dialer{Timeout: callWithin / 2}).DialContext, TLSHandshakeTimeout: callWithin / 2,
+			MaxIdleConns: 1, MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second, DisableCompression: true,
+		},
+		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
+	}}, nil
 }
 
 func (t *transport) endpoint() string {
--- a/internal/lists/sources/sources.go
+++ b/internal/lists/sources/sources.go
@@ -151,8 +151,10 @@
 // enter begins to judge between two lists: the one that stands is the platform's.
 func (s *Source) enter() {
 	c := s.cfg
-	s.model = members.New(members.Config{Sources: []string{"registry", "platform"}, Patience: c.Patience.D(), Settle: c.Settle.D(), Guard: c.Guard,
-		Over: c.GuardOver.D(), FlapMost: c.Flaps, FlapOver: c.FlapOver.D(), Most: 20_000, Deltas: true})
+	s.model = members.New(members.Config{
+		Sources: []string{"registry", "platform"}, Patience: c.Patience.D(), Settle: c.Settle.D(), Guard: c.Guard,
+		Over: c.GuardOver.D(), FlapMost: c.Flaps, FlapOver: c.FlapOver.D(), Most: 20_000, Deltas: true,
+	})
 	w := members.Whole{Revision: int64(s.version)}
 	known := map[string]members.Entry{}
 	s.host.Backends(func(b *engine.Backend) {
@@ -205,8 +207,10 @@
 			gone = append(gone, e.Name)
 			continue
 		}
-		i := members.Item{Name: e.Name, Mod: int64(l.Version), Entry: members.Entry{Addr: e.Addr, Zone: s.zones[e.Zone], Kind: s.kinds[e.Kind], Cell: e.Cell,
-			Draining: e.State == marlreel.Draining, Weight: e.Weight}}
+		i := members.Item{Name: e.Name, Mod: int64(l.Version), Entry: members.Entry{
+			Addr: e.Addr, Zone: s.zones[e.Zone], Kind: s.kinds[e.Kind], Cell: e.Cell,
+			Draining: e.State == marlreel.Draining, Weight: e.Weight,
+		}}
 		if !e.Started.IsZero() {
 			i.Entry.Started = e.Started.UnixMilli()
 		}
--- a/internal/process/background/background_test.go
+++ b/internal/process/background/background_test.go
@@ -77,8 +77,10 @@
 		costs, specs := map[ID]time.Duration{}, map[ID]Spec{}
 		wants, sum := 0.0, time.Duration(0)
 		for i := range rapid.IntRange(1, 6).Draw(t, "jobs") {
-			spec := Spec{Name: fmt.Sprint("j", i), Priority: Priority(rapid.IntRange(0, 2).Draw(t, "priority")), Every: time.Duration(rapid.IntRange(20, 2000).Draw(t, "every")) * ms,
-				Cost: time.Duration(rapid.IntRange(0, 50).Draw(t, "thought")) * ms, Longest: time.Hour}
+			spec := Spec{
+				Name: fmt.Sprint("j", i), Priority: Priority(rapid.IntRange(0, 2).Draw(t, "priority")), Every: time.Duration(rapid.IntRange(20, 2000).Draw(t, "every")) * ms,
+				Cost: time.Duration(rapid.IntRange(0, 50).Draw(t, "thought")) * ms, Longest: time.Hour,
+			}
 			id := s.Add(0, spec)
 			costs[id], specs[id] = time.Duration(rapid.IntRange(1, 50).Draw(t, "true cost"))*ms, spec
 			wants += costs[id].Seconds() / spec.Every.Seconds()
--- a/internal/process/background/runner.go
+++ b/internal/process/background/runner.go
@@ -23,8 +23,10 @@
 
 // NewRunner makes one.
 func NewRunner(cfg Config, logf func(format string, args ...any)) *Runner {
-	return &Runner{logf: logf, s: New(cfg, 0, rand.Float64), began: time.Now(), does: map[ID]func(context.Context) error{},
-		stops: map[ID]context.CancelFunc{}, wake: make(chan struct{}, 1)}
+	return &Runner{
+		logf: logf, s: New(cfg, 0, rand.Float64), began: time.Now(), does: map[ID]func(context.Context) error{},
+		stops: map[ID]context.CancelFunc{}, wake: make(chan struct{}, 1),
+	}
 }
 
 func (r *Runner) now() time.Duration { return time.Since(r.began) }
--- a/internal/process/handover/pass.go
+++ b/internal/process/handover/pass.go
@@ -135,7 +135,8 @@
 // the connections unless it gives an error; tell may be slow, and has until its context ends.
 // Where no socket can be had, it says so, and nothing is taken or told.
 func (r *Rendezvous) Receive(ctx context.Context, take func(state []byte, conns []net.Conn) error,
-	tell func(context.Context) ([]byte, error), logf func(string, ...any)) {
+	tell func(context.Context) ([]byte, error), logf func(string, ...any),
+) {
 	path := r.socket(r.id)
 	os.Remove(path)
 	ln, err := net.Listen("unix", path)
@@ -164,7 +165,8 @@
 }
 
 func receive(ctx context.Context, c *net.UnixConn, take func(state []byte, conns []net.Conn) error,
-	tell func(context.Context) ([]byte, error)) error {
+	tell func(context.Context) ([]byte, error),
+) error {
 	c.SetDeadline(time.Now().Add(passWithin))
 	head, rights := make([]byte, 4), make([]byte, syscall.CmsgSpace(4*mostPassed))
 	n, rn, _, _, err := c.ReadMsgUnix(head, rights)
--- a/internal/proxy/breaks_test.go
+++ b/internal/proxy/breaks_test.go
@@ -23,10 +23,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, err := standin.StartNode(standin.NodeConfig{ID: id, Zone: "koper", Warm: true, Journal: journal,
+	n, err := standin.StartNode(standin.NodeConfig{
+		ID: id, Zone: "koper", Warm: true, Journal: journal,
 		Machine: machine.Config{Cores: 8, Speed: 1, Slots: 64, Queue: 64},
 		Demand:  func(string, string) (machine.Job, bool) { return machine.Job{Work: time.Millisecond}, true },
-		Paths:   []standin.Path{{Addr: addr}}})
+		Paths:   []standin.Path{{Addr: addr}},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/customers_test.go
+++ b/internal/proxy/customers_test.go
@@ -87,10 +87,13 @@
 			key                    []string
 			want                   int
 		}{
-			{"GET", "lot-list", "obala", nil, 200}, {"POST", "bid", "obala", nil, 200},
+			{"GET", "lot-list", "obala", nil, 200},
+			{"POST", "bid", "obala", nil, 200},
 			{"POST", "pickup", "obala", []string{"Idempotency-Key", "k1"}, 200},
-			{"POST", "lot-list", "obala", nil, 405}, {"GET", "payslip-view", "obala", nil, 404},
-			{"GET", "lot-list", "ishikari", nil, 400}, {"GET", "lot-list", "obihiro", nil, 400},
+			{"POST", "lot-list", "obala", nil, 405},
+			{"GET", "payslip-view", "obala", nil, 404},
+			{"GET", "lot-list", "ishikari", nil, 400},
+			{"GET", "lot-list", "obihiro", nil, 400},
 		} {
 			if status, text, _ := sent(t, p, c.method, c.class, c.account, c.key...); status != c.want {
 				t.Errorf("the auction's: %s %s of %s: %d %q, want %d", c.method, c.class, c.account, status, text, c.want)
@@ -107,9 +110,12 @@
 			key                    []string
 			want                   int
 		}{
-			{"GET", "payslip-view", "ishikari", nil, 200}, {"POST", "transfer-order", "obihiro", nil, 200},
-			{"POST", "lot-list", "obihiro", nil, 200}, {"GET", "lot-list", "obihiro", nil, 405},
-			{"POST", "bid", "ishikari", nil, 404}, {"POST", "pickup", "ishikari", []string{"Idempotency-Key", "k1"}, 404},
+			{"GET", "payslip-view", "ishikari", nil, 200},
+			{"POST", "transfer-order", "obihiro", nil, 200},
+			{"POST", "lot-list", "obihiro", nil, 200},
+			{"GET", "lot-list", "obihiro", nil, 405},
+			{"POST", "bid", "ishikari", nil, 404},
+			{"POST", "pickup", "ishikari", []string{"Idempotency-Key", "k1"}, 404},
 			{"GET", "payslip-view", "obala", nil, 400},
 		} {
 			if status, text, _ := sent(t, p, c.method, c.class, c.account, c.key...); status != c.want {
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -70,9 +70,11 @@
 // configWith is testConfig with a customer's settings.
 func configWith(t *testing.T, settings, addr string, known ...discovery.Instance) *config.Platform {
 	t.Helper()
-	file := map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": addr, "seed": "8c1f30d27a5be964",
+	file := map[string]any{
+		"name": "n0", "listen": "127.0.0.1:0", "discovery": addr, "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-		"settings": json.RawMessage(settings)}
+		"settings": json.RawMessage(settings),
+	}
 	if known != nil {
 		file["known"] = discovery.List{Generation: 1, Reset: true, Instances: known}
 	}
@@ -166,8 +168,10 @@
 		}
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	p := &running{addr: ln.Addr().String(), stop: stop, ended: make(chan error, 1),
-		reloads: make(chan Reload), log: &testutil.LockedLog{}}
+	p := &running{
+		addr: ln.Addr().String(), stop: stop, ended: make(chan error, 1),
+		reloads: make(chan Reload), log: &testutil.LockedLog{},
+	}
 	p.url = "http://" + p.addr
 	if in.rpc != nil {
 		p.rpc = in.rpc.Addr().String()
--- a/internal/proxy/imports_test.go
+++ b/internal/proxy/imports_test.go
@@ -75,9 +75,11 @@
 		t.Fatal(err)
 	}
 	// The deciders of the system open nothing and wait for nobody.
-	pure := map[string]bool{"marlreel/internal/system/chain": true, "marlreel/internal/system/state": true,
+	pure := map[string]bool{
+		"marlreel/internal/system/chain": true, "marlreel/internal/system/state": true,
 		"marlreel/internal/system/placement": true, "marlreel/internal/judge/shares": true, "marlreel/internal/judge/residency": true,
-		"marlreel/internal/system/backlog": true, "marlreel/internal/system/routing": true}
+		"marlreel/internal/system/backlog": true, "marlreel/internal/system/routing": true,
+	}
 	seen := 0
 	for line := range strings.Lines(string(out)) {
 		f := strings.Fields(line)
--- a/internal/proxy/keep_test.go
+++ b/internal/proxy/keep_test.go
@@ -137,16 +137,24 @@
 	var lines testutil.LockedLog
 	wall := time.Now()
 	slow, broken := time.Duration(0), error(nil)
-	k := &saver{store: store.Open(t.TempDir(), "n0"), every: time.Second, logf: log.New(&lines, "", 0).Printf,
+	k := &saver{
+		store: store.Open(t.TempDir(), "n0"), every: time.Second, logf: log.New(&lines, "", 0).Printf,
 		now:   func() doubt.Moment { return doubt.Moment{Wall: wall} },
-		state: func(context.Context) ([]byte, error) { wall = wall.Add(slow); return state, broken }}
+		state: func(context.Context) ([]byte, error) { wall = wall.Add(slow); return state, broken },
+	}
 	for _, step := range []struct {
 		slow   time.Duration
 		broken error
 		says   string
 	}{
-		{0, nil, ""}, {3 * time.Second, nil, "it falls behind"}, {4 * time.Second, nil, ""}, {0, nil, ""}, {2 * time.Second, nil, "it falls behind"},
-		{0, errors.New("no space left on device"), "not written: no space left on device"}, {0, errors.New("no space left on device"), ""}, {0, nil, "written again"},
+		{0, nil, ""},
+		{3 * time.Second, nil, "it falls behind"},
+		{4 * time.Second, nil, ""},
+		{0, nil, ""},
+		{2 * time.Second, nil, "it falls behind"},
+		{0, errors.New("no space left on device"), "not written: no space left on device"},
+		{0, errors.New("no space left on device"), ""},
+		{0, nil, "written again"},
 	} {
 		slow, broken = step.slow, step.broken
 		before := len(lines.String())
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -158,8 +158,10 @@
 		known, version = cfg.Known.Engine(0, entries), cfg.Known.Generation
 	}
 	var err error
-	p.engine, err = engine.New(engine.Config{Settings: cfg.Settings, Seed: cfg.Seed, MaxOpen: cfg.MaxOpen, Known: known,
-		Logf: logs.Event(logger, "engine"), Listed: func() { p.becomeReady(logger) }})
+	p.engine, err = engine.New(engine.Config{
+		Settings: cfg.Settings, Seed: cfg.Seed, MaxOpen: cfg.MaxOpen, Known: known,
+		Logf: logs.Event(logger, "engine"), Listed: func() { p.becomeReady(logger) },
+	})
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -177,8 +179,10 @@
 		}
 		host = p.member.lists
 	}
-	p.source = sources.New(discovery.Config{Addr: cfg.Discovery, Pace: discovery.PaceFor(cfg.Settings.OnRequest, cfg.Settings.Instances), Names: cfg.Names,
-		Logf: logs.Event(logger, "list")}, version, host)
+	p.source = sources.New(discovery.Config{
+		Addr: cfg.Discovery, Pace: discovery.PaceFor(cfg.Settings.OnRequest, cfg.Settings.Instances), Names: cfg.Names,
+		Logf: logs.Event(logger, "list"),
+	}, version, host)
 	if p.member != nil && own.Registry.On() {
 		p.member.lists.origin = p.source.Origin
 	}
--- a/internal/proxy/retune_test.go
+++ b/internal/proxy/retune_test.go
@@ -44,8 +44,10 @@
 // file is a configuration with other settings, read as a SIGHUP would.
 func file(t *testing.T, discovery string, settings any) Reload {
 	t.Helper()
-	text, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f",
-		"settings": settings})
+	text, err := json.Marshal(map[string]any{
+		"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f",
+		"settings": settings,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/rpc_test.go
+++ b/internal/proxy/rpc_test.go
@@ -27,8 +27,13 @@
 	own := config.DefaultMarlreel()
 	own.RPC.Listen = "127.0.0.1:0"
 	own.RPC.House = "obala"
-	own.RPC.Methods = []rpc.Method{{Name: "post.", Prefix: true, Class: "bid"}, {Name: "list", Class: "lot-list", Notify: true},
-		{Name: "post.bid", Class: "bid", Notify: true}, {Name: "post.pickup", Class: "pickup"}, {Name: "post.lot-list", Class: "lot-list"}}
+	own.RPC.Methods = []rpc.Method{
+		{Name: "post.", Prefix: true, Class: "bid"},
+		{Name: "list", Class: "lot-list", Notify: true},
+		{Name: "post.bid", Class: "bid", Notify: true},
+		{Name: "post.pickup", Class: "pickup"},
+		{Name: "post.lot-list", Class: "lot-list"},
+	}
 	own.RPC.Backend.PortOffset = rpcOffset
 	own.RPC.Backend.Cancel = "$cancel"
 	return own
@@ -41,10 +46,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, err := standin.StartNode(standin.NodeConfig{ID: id, Zone: "koper", Warm: true, Journal: journal,
+	n, err := standin.StartNode(standin.NodeConfig{
+		ID: id, Zone: "koper", Warm: true, Journal: journal,
 		Machine: machine.Config{Cores: 8, Speed: 1, Slots: 64, Queue: 64},
 		Demand:  func(string, string) (machine.Job, bool) { return machine.Job{Work: time.Millisecond, Wait: work}, true },
-		Paths:   []standin.Path{{Addr: addr, RPC: rpcAddr}}})
+		Paths:   []standin.Path{{Addr: addr, RPC: rpcAddr}},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rehearsal/audit.go
+++ b/internal/rehearsal/audit.go
@@ -114,8 +114,10 @@
 }
 
 func (a *auditor) found(rule, what string, t *Try, node string, at, since time.Duration) {
-	a.breaks = append(a.breaks, Break{Rule: rule, What: what, ID: t.ID, Class: a.className(t), Node: node,
-		Proxy: t.Proxy, At: at, Since: since})
+	a.breaks = append(a.breaks, Break{
+		Rule: rule, What: what, ID: t.ID, Class: a.className(t), Node: node,
+		Proxy: t.Proxy, At: at, Since: since,
+	})
 }
 
 func (a *auditor) className(t *Try) string {
@@ -254,8 +256,10 @@
 			state = t.State
 		}
 		if state != "Ready" && s.Began > since+grace {
-			a.breaks = append(a.breaks, Break{Rule: RuleDrains, What: "sent after the proxy was told " + state, ID: s.ID,
-				Class: s.Class, Node: s.Node, Proxy: s.Proxy, At: s.Began, Since: since})
+			a.breaks = append(a.breaks, Break{
+				Rule: RuleDrains, What: "sent after the proxy was told " + state, ID: s.ID,
+				Class: s.Class, Node: s.Node, Proxy: s.Proxy, At: s.Began, Since: since,
+			})
 		}
 	}
 }
@@ -308,8 +312,10 @@
 			}
 			share := spec.From + (1-spec.From)*since.Seconds()/spec.For.D().Seconds()
 			if sum > spec.Multiple*share*size*spec.Over.D().Seconds() && told >= sum*2/3 {
-				a.breaks = append(a.breaks, Break{Rule: RuleCold, What: fmt.Sprintf("pushed over: %.2f s of work in %v", sum, spec.Over.D()),
-					Node: e.Node, ID: s.ID, Class: s.Class, Proxy: s.Proxy, At: s.Whole, Since: e.At})
+				a.breaks = append(a.breaks, Break{
+					Rule: RuleCold, What: fmt.Sprintf("pushed over: %.2f s of work in %v", sum, spec.Over.D()),
+					Node: e.Node, ID: s.ID, Class: s.Class, Proxy: s.Proxy, At: s.Whole, Since: e.At,
+				})
 				break // once for a start
 			}
 		}
--- a/internal/rehearsal/audit_test.go
+++ b/internal/rehearsal/audit_test.go
@@ -19,18 +19,25 @@
 	s.Classes = []Class{
 		{Name: "lot-list", Worth: 1, Effect: "safe", Aim: Span(600 * ms), GiveUp: Span(1200 * ms)},
 		{Name: "bid", Worth: 8, Effect: "unsafe", Aim: Span(400 * ms), GiveUp: Span(2000 * ms)},
-		{Name: "pickup", Worth: 2, Effect: "keyed", Window: Span(10 * time.Second), Aim: Span(600 * ms), GiveUp: Span(2000 * ms)}}
+		{Name: "pickup", Worth: 2, Effect: "keyed", Window: Span(10 * time.Second), Aim: Span(600 * ms), GiveUp: Span(2000 * ms)},
+	}
 	s.Houses = []House{{Name: "obala", Share: 1}}
 	p := &Plan{Length: 5 * time.Second, Nodes: []PlannedNode{
-		{ID: "s-1", Zone: "koper", Cores: 2, Permille: 1000, Replaces: -1}, {ID: "s-2", Zone: "koper", Cores: 2, Permille: 1000, Replaces: -1},
-		{ID: "s-3", Zone: "maribor", Cores: 2, Permille: 1000, Replaces: -1}}}
+		{ID: "s-1", Zone: "koper", Cores: 2, Permille: 1000, Replaces: -1},
+		{ID: "s-2", Zone: "koper", Cores: 2, Permille: 1000, Replaces: -1},
+		{ID: "s-3", Zone: "maribor", Cores: 2, Permille: 1000, Replaces: -1},
+	}}
 	r := Records{Scenario: s, Plan: p, Lives: []Life{{Proxy: 0}, {Proxy: 1}}}
 	for i, id := range []string{"a", "b", "c"} {
 		p.Requests = append(p.Requests, PlannedRequest{At: time.Second, Class: i, IDs: []string{id}})
-		r.Tries = append(r.Tries, Try{Request: i, ID: id, Proxy: 0, Planned: 1000 * ms, Sent: 1000 * ms, Left: 2000 * ms,
-			Ended: 1200 * ms, Outcome: Served, Status: 200})
-		r.Nodes.Sends = append(r.Nodes.Sends, standin.Send{Node: "s-1", Zone: "koper", Proxy: 0, ID: id, Class: s.Classes[i].Name,
-			Began: 1010 * ms, Whole: 1010 * ms, Effect: standin.Ran, Ended: 1190 * ms, Answered: 200, Work: 50 * ms})
+		r.Tries = append(r.Tries, Try{
+			Request: i, ID: id, Proxy: 0, Planned: 1000 * ms, Sent: 1000 * ms, Left: 2000 * ms,
+			Ended: 1200 * ms, Outcome: Served, Status: 200,
+		})
+		r.Nodes.Sends = append(r.Nodes.Sends, standin.Send{
+			Node: "s-1", Zone: "koper", Proxy: 0, ID: id, Class: s.Classes[i].Name,
+			Began: 1010 * ms, Whole: 1010 * ms, Effect: standin.Ran, Ended: 1190 * ms, Answered: 200, Work: 50 * ms,
+		})
 	}
 	for _, n := range p.Nodes {
 		for k := range 2 {
@@ -201,8 +208,10 @@
 	}
 	r.Nodes.Told = append(r.Nodes.Told, standin.Told{Proxy: 1, Node: "s-3", State: "Ready", At: told})
 	for i := range 11 {
-		r.Nodes.Sends = append(r.Nodes.Sends, standin.Send{Node: "s-3", Zone: "maribor", Proxy: 1, ID: "z" + string(rune('a'+i)), Class: "lot-list",
-			Began: 2100 * ms, Whole: 2100*ms + time.Duration(i), Effect: standin.Ran, Work: 500 * ms})
+		r.Nodes.Sends = append(r.Nodes.Sends, standin.Send{
+			Node: "s-3", Zone: "maribor", Proxy: 1, ID: "z" + string(rune('a'+i)), Class: "lot-list",
+			Began: 2100 * ms, Whole: 2100*ms + time.Duration(i), Effect: standin.Ran, Work: 500 * ms,
+		})
 	}
 }
 
--- a/internal/rehearsal/best_test.go
+++ b/internal/rehearsal/best_test.go
@@ -14,16 +14,23 @@
 	t.Parallel()
 	s := &Scenario{Classes: []Class{{Name: "dear", Worth: 8}, {Name: "cheap", Worth: 1}}}
 	s.Fleet.Cold.From, s.Fleet.Cold.For = 0.5, Span(4*time.Second)
-	p := &Plan{Length: 8 * time.Second, Nodes: []PlannedNode{{ID: "s-1", Cores: 1, Permille: 1000}},
-		Events: []Event{{At: 2 * time.Second, What: "die", Until: 4 * time.Second}, {At: 4 * time.Second, What: "end die"}}}
+	p := &Plan{
+		Length: 8 * time.Second, Nodes: []PlannedNode{{ID: "s-1", Cores: 1, Permille: 1000}},
+		Events: []Event{{At: 2 * time.Second, What: "die", Until: 4 * time.Second}, {At: 4 * time.Second, What: "end die"}},
+	}
 	for k := range 8 { // each second: half a second's work that is worth 8, and a whole one that is worth 10
 		p.Requests = append(p.Requests, PlannedRequest{At: time.Duration(k) * time.Second, Class: 0, Work: time.Second / 2})
 		for range 10 {
 			p.Requests = append(p.Requests, PlannedRequest{At: time.Duration(k) * time.Second, Class: 1, Work: time.Second / 10})
 		}
 	}
-	r := Records{Scenario: s, Plan: p, Nodes: standin.Records{Events: []standin.NodeEvent{{Node: "s-1", At: 0, State: "up"}, {Node: "s-1", At: 2 * time.Second, State: "dead"},
-		{Node: "s-1", At: 4 * time.Second, State: standin.StartedCold}, {Node: "s-1", At: 4 * time.Second, State: "cold"}, {Node: "s-1", At: 5 * time.Second, State: "fallen"}}}}
+	r := Records{Scenario: s, Plan: p, Nodes: standin.Records{Events: []standin.NodeEvent{
+		{Node: "s-1", At: 0, State: "up"},
+		{Node: "s-1", At: 2 * time.Second, State: "dead"},
+		{Node: "s-1", At: 4 * time.Second, State: standin.StartedCold},
+		{Node: "s-1", At: 4 * time.Second, State: "cold"},
+		{Node: "s-1", At: 5 * time.Second, State: "fallen"},
+	}}}
 	served := make([]Worth, 8)
 	for k := range served {
 		served[k].Served = 6
--- a/internal/rehearsal/html.go
+++ b/internal/rehearsal/html.go
@@ -103,8 +103,11 @@
 	for _, line := range []struct {
 		name string
 		of   func(Percentile) float64
-	}{{"p50", func(k Percentile) float64 { return k.P50 }}, {"p95", func(k Percentile) float64 { return k.P95 }},
-		{"p99", func(k Percentile) float64 { return k.P99 }}} {
+	}{
+		{"p50", func(k Percentile) float64 { return k.P50 }},
+		{"p95", func(k Percentile) float64 { return k.P95 }},
+		{"p99", func(k Percentile) float64 { return k.P99 }},
+	} {
 		fmt.Fprintf(p, `<polyline class="%s" points="`, line.name)
 		for _, k := range points {
 			fmt.Fprintf(p, "%.1f,%.1f ", p.x(k.AtS), y(line.of(k)))
--- a/internal/rehearsal/load_rpc.go
+++ b/internal/rehearsal/load_rpc.go
@@ -30,8 +30,10 @@
 			l.end(t, func() { t.Outcome, t.Ended = Unreached, l.clock.Now() })
 			return
 		}
-		meta := map[string]any{"$id": t.ID, "$house": l.scenario.Houses[r.House].Name, "$about": r.About,
-			"$left_ms": float64(max(t.Left-l.clock.Now(), time.Millisecond)) / float64(time.Millisecond)}
+		meta := map[string]any{
+			"$id": t.ID, "$house": l.scenario.Houses[r.House].Name, "$about": r.About,
+			"$left_ms": float64(max(t.Left-l.clock.Now(), time.Millisecond)) / float64(time.Millisecond),
+		}
 		if r.Key != "" {
 			meta["$key"] = r.Key
 		}
--- a/internal/rehearsal/plan.go
+++ b/internal/rehearsal/plan.go
@@ -13,8 +13,10 @@
 	"marlreel/internal/standin"
 )
 
-var spoils = map[string]standin.Spoil{"noise": standin.SpoilNoise, "cut": standin.SpoilCut,
-	"huge": standin.SpoilHuge, "empty": standin.SpoilEmpty}
+var spoils = map[string]standin.Spoil{
+	"noise": standin.SpoilNoise, "cut": standin.SpoilCut,
+	"huge": standin.SpoilHuge, "empty": standin.SpoilEmpty,
+}
 
 // Plan is all that a run does by itself, drawn from a scenario and a seed and nothing
 // else: it depends neither on what happens in the run nor on the machine.
@@ -100,8 +102,10 @@
 	d := newDraws(p.Seed, "nodes")
 	for _, k := range s.Fleet.Nodes {
 		for range k.Count {
-			p.Nodes = append(p.Nodes, PlannedNode{Kind: k.Kind, Cores: k.Cores, Permille: d.permille(k.Speed[0], k.Speed[1]),
-				Slots: k.Slots, Queue: k.Queue, Replaces: -1})
+			p.Nodes = append(p.Nodes, PlannedNode{
+				Kind: k.Kind, Cores: k.Cores, Permille: d.permille(k.Speed[0], k.Speed[1]),
+				Slots: k.Slots, Queue: k.Queue, Replaces: -1,
+			})
 		}
 	}
 	// Kinds are spread over the zones at random: dealt in the order of the file, one
@@ -146,8 +150,10 @@
 	}
 	// one draws a request, but for its time.
 	one := func(d draws) PlannedRequest {
-		r := PlannedRequest{Class: d.weighted(classes), House: d.weighted(houses), Zone: d.weighted(zones),
-			About: d.id(), Key: d.id() + d.id()}
+		r := PlannedRequest{
+			Class: d.weighted(classes), House: d.weighted(houses), Zone: d.weighted(zones),
+			About: d.id(), Key: d.id() + d.id(),
+		}
 		c := s.Classes[r.Class]
 		r.Work, r.Wait = max(d.span(c.Work.D(), c.Spread), time.Microsecond), d.span(c.Wait.D(), c.Spread)
 		for range s.Clients.Retries + 1 {
@@ -224,8 +230,10 @@
 	first := len(p.Nodes) // only these are drawn: those that replace them come later
 	for i, f := range s.Faults {
 		d := newDraws(p.Seed, fmt.Sprintf("fault %d", i))
-		e := Event{At: f.At.D(), What: f.What, Fault: i, Node: -1, Proxy: -1, How: f.How, Warm: f.Warm, Known: f.Known, By: f.By.D(), Idle: f.Idle.D(),
-			Amount: int(float64((f.Times+f.Taken+f.Rate)*1000) + 0.5)}
+		e := Event{
+			At: f.At.D(), What: f.What, Fault: i, Node: -1, Proxy: -1, How: f.How, Warm: f.Warm, Known: f.Known, By: f.By.D(), Idle: f.Idle.D(),
+			Amount: int(float64((f.Times+f.Taken+f.Rate)*1000) + 0.5),
+		}
 		if f.What == "partial" {
 			e.Class, e.Above, e.Times = f.Class, f.Above, int(f.Times*1000+0.5)
 			e.Amount = int(f.Rate*1000 + 0.5)
--- a/internal/rehearsal/registry.go
+++ b/internal/rehearsal/registry.go
@@ -65,8 +65,10 @@
 			if e.Lifecycle == "Terminating" {
 				state = "draining"
 			}
-			value, err := json.Marshal(map[string]any{"v": 1, "address": w.paths[w.index[e.InstanceID]][k].Addr, "zone": e.Zone, "kind": e.MachineType,
-				"state": state, "weight": 1, "started_ms": e.StartedAtMs})
+			value, err := json.Marshal(map[string]any{
+				"v": 1, "address": w.paths[w.index[e.InstanceID]][k].Addr, "zone": e.Zone, "kind": e.MachineType,
+				"state": state, "weight": 1, "started_ms": e.StartedAtMs,
+			})
 			if err != nil {
 				panic(fmt.Sprintf("an entry that is no JSON: %v", err)) // texts and numbers
 			}
--- a/internal/rehearsal/report.go
+++ b/internal/rehearsal/report.go
@@ -127,14 +127,18 @@
 
 func (w *world) report(r Records, o Options, start time.Duration, l *clients, began Usage) *Report {
 	score := Measure(r, start)
-	rep := &Report{Scenario: w.scenario.Name, About: w.scenario.About, Proxy: o.Name, Seed: o.Seed, Schedule: w.plan.Digest(),
+	rep := &Report{
+		Scenario: w.scenario.Name, About: w.scenario.About, Proxy: o.Name, Seed: o.Seed, Schedule: w.plan.Digest(),
 		LengthS: w.plan.Length.Seconds(), Service: score.Service, Worth: score.Worth,
-		Parts: Parts{score.Worth.share(), score.WorstWindow, score.Classes[score.WorstClass].Service,
-			score.Houses[score.WorstHouse].Service, score.WorstClass, score.WorstHouse},
+		Parts: Parts{
+			score.Worth.share(), score.WorstWindow, score.Classes[score.WorstClass].Service,
+			score.Houses[score.WorstHouse].Service, score.WorstClass, score.WorstHouse,
+		},
 		WorstWindow: Window{score.WindowAt.Seconds(), score.WorstWindow}, Classes: score.Classes, Houses: score.Houses,
 		Deductions: score.Deductions, After: score.After, Crashed: w.crashes, Crashes: len(w.crashes),
 		Requests: len(r.Plan.Requests), Tries: len(r.Tries), Handshakes: r.Nodes.Connections, Note: repeatNote,
-		Clients: ClientFigures{Outcomes: map[string]int{}, Connections: l.opened, MostOpen: l.mostOpen}, Breaks: []Break{}}
+		Clients: ClientFigures{Outcomes: map[string]int{}, Connections: l.opened, MostOpen: l.mostOpen}, Breaks: []Break{},
+	}
 	if u := w.scenario.Traffic.Users; w.scenario.Traffic.closed() {
 		rep.Note = fmt.Sprintf("A closed loop: %d users, each of whom thinks for %v in the mean, asks, and waits for the end. They ask less "+
 			"while the service is slow, so its latency looks better than it would from arrivals. ", u.Count, u.Think.D()) + rep.Note
@@ -343,8 +347,10 @@
 	lines := make([]NodeLine, len(r.Plan.Nodes))
 	index := map[string]int{}
 	for i, p := range r.Plan.Nodes {
-		lines[i] = NodeLine{ID: p.ID, Zone: p.Zone, Kind: p.Kind, Speed: float64(p.Permille) / 1000,
-			State: make([]string, n), Share: make([]float64, n)}
+		lines[i] = NodeLine{
+			ID: p.ID, Zone: p.Zone, Kind: p.Kind, Speed: float64(p.Permille) / 1000,
+			State: make([]string, n), Share: make([]float64, n),
+		}
 		index[p.ID] = i
 	}
 	for _, s := range r.Nodes.Samples {
--- a/internal/rehearsal/run_test.go
+++ b/internal/rehearsal/run_test.go
@@ -105,14 +105,18 @@
 	s := defaults()
 	s.Name, s.Length, s.Proxies.Count = "short", Span(2500*ms), 2
 	s.Proxies.DeadAfter = Span(300 * ms)
-	s.Discovery = DiscoverySpec{Late: [2]Span{Span(50 * ms), Span(100 * ms)}, NoticeDead: [2]Span{Span(100 * ms), Span(200 * ms)},
-		NoticeGone: [2]Span{Span(100 * ms), Span(200 * ms)}}
+	s.Discovery = DiscoverySpec{
+		Late: [2]Span{Span(50 * ms), Span(100 * ms)}, NoticeDead: [2]Span{Span(100 * ms), Span(200 * ms)},
+		NoticeGone: [2]Span{Span(100 * ms), Span(200 * ms)},
+	}
 	s.Fleet.Zones = []string{"koper", "maribor"}
 	s.Fleet.CrossZone, s.Fleet.Handshake = Span(ms), Span(ms)
 	s.Fleet.Nodes = []NodeKind{{"mid", 4, 2, [2]float64{1, 1}, 20, 20}}
 	class := func(name, effect string, worth float64) Class {
-		return Class{Name: name, Share: 1, Work: Span(5 * ms), Wait: Span(10 * ms), Spread: 0.5, Aim: Span(2 * time.Second),
-			GiveUp: Span(2 * time.Second), Worth: worth, Effect: effect, Window: Span(10 * time.Second)}
+		return Class{
+			Name: name, Share: 1, Work: Span(5 * ms), Wait: Span(10 * ms), Spread: 0.5, Aim: Span(2 * time.Second),
+			GiveUp: Span(2 * time.Second), Worth: worth, Effect: effect, Window: Span(10 * time.Second),
+		}
 	}
 	s.Classes = []Class{class("lot-list", "safe", 1), class("bid", "unsafe", 8), class("pickup", "keyed", 2)}
 	s.Houses = []House{{Name: "obala", Share: 1}}
@@ -131,8 +135,10 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	rep, err := Run(t.Context(), s, Options{Seed: 1, Out: dir, Name: kind,
-		Command: []string{"/usr/bin/env", "REHEARSAL_TEST_PROXY=" + kind, self}})
+	rep, err := Run(t.Context(), s, Options{
+		Seed: 1, Out: dir, Name: kind,
+		Command: []string{"/usr/bin/env", "REHEARSAL_TEST_PROXY=" + kind, self},
+	})
 	return rep, dir, err
 }
 
@@ -195,8 +201,10 @@
 				if rep.Worth.Served == 0 || rep.Requests < 50 || rep.Attempts < 50 || rep.Handshakes == 0 {
 					t.Errorf("little came of it: %+v", rep.Worth)
 				}
-			} else if n := (map[string]int{RuleLost: rep.Rules.Lost, RuleDuplicated: rep.Rules.Duplicated, RuleDrains: rep.Rules.Drains,
-				RuleCold: rep.Rules.Cold})[c.rule]; n == 0 {
+			} else if n := (map[string]int{
+				RuleLost: rep.Rules.Lost, RuleDuplicated: rep.Rules.Duplicated, RuleDrains: rep.Rules.Drains,
+				RuleCold: rep.Rules.Cold,
+			})[c.rule]; n == 0 {
 				t.Errorf("not caught: %+v", rep.Rules)
 			} else if !strings.Contains(fmt.Sprint(rep.Breaks), c.word) {
 				t.Errorf("%q is not among %v", c.word, rep.Breaks)
@@ -332,10 +340,12 @@
 	t.Parallel()
 	s := short()
 	s.Length = Span(5 * time.Second)
-	s.Faults = []Fault{{At: Span(500 * ms), What: "replace", Nodes: 1},
+	s.Faults = []Fault{
+		{At: Span(500 * ms), What: "replace", Nodes: 1},
 		{At: Span(1 * time.Second), What: "discovery-silent", For: Span(2 * time.Second)},
 		{At: Span(1200 * ms), What: "kill", Proxies: []int{0}, For: Span(500 * ms), Known: "start"},
-		{At: Span(2500 * ms), What: "term", Proxies: []int{1}, For: Span(300 * ms)}}
+		{At: Span(2500 * ms), What: "term", Proxies: []int{1}, For: Span(300 * ms)},
+	}
 	rep, dir, err := play(t, s, faulty(t, standin.Faults{}))
 	if err != nil {
 		t.Fatal(err)
@@ -369,12 +379,14 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	_, err = Run(ctx, s, Options{Seed: 1, Out: dir, Command: []string{"/usr/bin/env", "REHEARSAL_TEST_PROXY=" + faulty(t, standin.Faults{}), self},
+	_, err = Run(ctx, s, Options{
+		Seed: 1, Out: dir, Command: []string{"/usr/bin/env", "REHEARSAL_TEST_PROXY=" + faulty(t, standin.Faults{}), self},
 		Progress: func(p Progress) {
 			if p.Phase == "playing" {
 				cancel()
 			}
-		}})
+		},
+	})
 	if err == nil || ctx.Err() == nil {
 		t.Fatalf("broken off: %v", err)
 	}
--- a/internal/rehearsal/scenario.go
+++ b/internal/rehearsal/scenario.go
@@ -348,19 +348,27 @@
 
 // defaults are the figures of borza-main, for what a file doesn't say.
 func defaults() *Scenario {
-	return &Scenario{Seed: 1, Length: Span(30 * time.Second),
-		Fleet: Fleet{Zones: []string{"koper", "ljubljana", "maribor"}, SameZone: Span(200 * time.Microsecond),
+	return &Scenario{
+		Seed: 1, Length: Span(30 * time.Second),
+		Fleet: Fleet{
+			Zones: []string{"koper", "ljubljana", "maribor"}, SameZone: Span(200 * time.Microsecond),
 			CrossZone: Span(7 * time.Millisecond), Handshake: Span(12 * time.Millisecond), Connections: 90,
 			Idle: Span(time.Minute), ProbeWork: Span(300 * time.Microsecond),
-			Cold: Cold{From: 0.32, For: Span(8 * time.Second), Multiple: 2.5, Over: Span(3 * time.Second)}},
+			Cold: Cold{From: 0.32, For: Span(8 * time.Second), Multiple: 2.5, Over: Span(3 * time.Second)},
+		},
 		Proxies: Proxies{Count: 3, Cores: 1, MemoryMB: 192, Sockets: 1024, DeadAfter: Span(2 * time.Second)},
-		Discovery: DiscoverySpec{Late: [2]Span{Span(300 * time.Millisecond), Span(900 * time.Millisecond)},
+		Discovery: DiscoverySpec{
+			Late:       [2]Span{Span(300 * time.Millisecond), Span(900 * time.Millisecond)},
 			NoticeDead: [2]Span{Span(2200 * time.Millisecond), Span(4 * time.Second)},
-			NoticeGone: [2]Span{Span(4400 * time.Millisecond), Span(9 * time.Second)}},
+			NoticeGone: [2]Span{Span(4400 * time.Millisecond), Span(9 * time.Second)},
+		},
 		Traffic: Traffic{OverWorth: 0.1},
 		Clients: Clients{TryShare: 0.85, Backoff: Span(80 * time.Millisecond)},
-		Rules: Rules{DrainGrace: Span(500 * time.Millisecond), AnswerSlack: Span(20 * time.Millisecond), MaxAttempts: 4,
-			SecondCopies: true, MaxRetryAfter: Span(2 * time.Second)}}
+		Rules: Rules{
+			DrainGrace: Span(500 * time.Millisecond), AnswerSlack: Span(20 * time.Millisecond), MaxAttempts: 4,
+			SecondCopies: true, MaxRetryAfter: Span(2 * time.Second),
+		},
+	}
 }
 
 // Bounds of what a scenario may ask of one machine.
--- a/internal/rehearsal/score_test.go
+++ b/internal/rehearsal/score_test.go
@@ -93,8 +93,10 @@
 
 // The report's names are a contract with scripts.
 func TestReportNames(t *testing.T) {
-	rep := &Report{Classes: map[string]Tally{"bid": {}}, Houses: map[string]Tally{"obala": {}}, LengthS: 5,
-		Timeline: Timeline{Seconds: []Worth{{Asked: 1, Served: 1}}, Faults: []Mark{{What: "<die>"}}}, Breaks: []Break{{Rule: "lost", What: "gone & lost"}}}
+	rep := &Report{
+		Classes: map[string]Tally{"bid": {}}, Houses: map[string]Tally{"obala": {}}, LengthS: 5,
+		Timeline: Timeline{Seconds: []Worth{{Asked: 1, Served: 1}}, Faults: []Mark{{What: "<die>"}}}, Breaks: []Break{{Rule: "lost", What: "gone & lost"}},
+	}
 	data, err := json.Marshal(rep)
 	if err != nil {
 		t.Fatal(err)
@@ -103,14 +105,18 @@
 	if err := json.Unmarshal(data, &m); err != nil {
 		t.Fatal(err)
 	}
-	for _, name := range []string{"scenario", "seed", "schedule", "service", "worth", "worst_window", "classes", "houses", "rules",
-		"crashes", "void", "requests", "attempts", "handshakes", "generator_late_ms"} {
+	for _, name := range []string{
+		"scenario", "seed", "schedule", "service", "worth", "worst_window", "classes", "houses", "rules",
+		"crashes", "void", "requests", "attempts", "handshakes", "generator_late_ms",
+	} {
 		if _, has := m[name]; !has {
 			t.Errorf("report.json lacks %s", name)
 		}
 	}
-	for of, names := range map[string][]string{"worth": {"asked", "served", "refused", "failed", "late"},
-		"rules": {"lost", "duplicated", "drains", "cold"}} {
+	for of, names := range map[string][]string{
+		"worth": {"asked", "served", "refused", "failed", "late"},
+		"rules": {"lost", "duplicated", "drains", "cold"},
+	} {
 		for _, name := range names {
 			if _, has := m[of].(map[string]any)[name]; !has {
 				t.Errorf("report.json lacks %s.%s", of, name)
--- a/internal/rehearsal/settings.go
+++ b/internal/rehearsal/settings.go
@@ -24,8 +24,10 @@
 		if !c.there(at) {
 			continue
 		}
-		m := map[string]any{"Name": c.Name, "Aim": millis(c.Aim), "GiveUp": millis(c.GiveUp), "Effect": effects[c.Effect],
-			"Value": c.Worth, "LateShare": 0.0}
+		m := map[string]any{
+			"Name": c.Name, "Aim": millis(c.Aim), "GiveUp": millis(c.GiveUp), "Effect": effects[c.Effect],
+			"Value": c.Worth, "LateShare": 0.0,
+		}
 		if c.Effect == "keyed" {
 			m["Group"], m["Window"] = "zone", millis(c.Window)
 		}
@@ -42,26 +44,34 @@
 	for _, k := range s.Fleet.Nodes {
 		kinds = append(kinds, k.Kind)
 	}
-	return map[string]any{"Balancers": s.Proxies.Count, "Rank": rank, "Zone": zone, "Tick": 5.0, "Discovery": "pushed",
+	return map[string]any{
+		"Balancers": s.Proxies.Count, "Rank": rank, "Zone": zone, "Tick": 5.0, "Discovery": "pushed",
 		"FailureDomains": s.Fleet.Zones, "Kinds": kinds, "Feedback": map[string]any{"How": "off", "Names": []string{}},
 		"OverShareWorth": s.Traffic.OverWorth, "WorthBy": "request", "Weights": "off",
 		"Clients": map[string]any{"MarksRetry": s.Clients.MarkRetries},
 		"Goal":    map[string]any{"Whole": weightWhole, "WorstClass": weightClass, "WorstTenant": weightHouse, "WorstWindow": weightWindow},
 		"Prices":  map[string]any{"CrossZone": 0.02, "Waste": 0.04, "Probe": 0.01, "LateFail": 0.03, "Handshake": 0.03, "Connection": 0.03},
-		"Caps": map[string]any{"Cancel": true, "Peers": false, "Probes": s.Fleet.ProbeWork > 0, "RetryAfter": s.Rules.RetryAfter,
+		"Caps": map[string]any{
+			"Cancel": true, "Peers": false, "Probes": s.Fleet.ProbeWork > 0, "RetryAfter": s.Rules.RetryAfter,
 			"SecondCopies": s.Rules.SecondCopies, "ConnIdle": millis(s.Fleet.Idle), "ConnectTimeout": 200.0,
-			"MaxRetryAfter": millis(s.Rules.MaxRetryAfter), "MaxAttempts": attempts, "StreamsPerConn": 1, "MaxOpen": 20000},
-		"Obligations": map[string]any{"AnswerSlack": millis(s.Rules.AnswerSlack), "Cold": millis(s.Fleet.Cold.For),
+			"MaxRetryAfter": millis(s.Rules.MaxRetryAfter), "MaxAttempts": attempts, "StreamsPerConn": 1, "MaxOpen": 20000,
+		},
+		"Obligations": map[string]any{
+			"AnswerSlack": millis(s.Rules.AnswerSlack), "Cold": millis(s.Fleet.Cold.For),
 			"DrainGrace": millis(s.Rules.DrainGrace), "Fall": millis(s.Fleet.Cold.Over), "FallMultiple": s.Fleet.Cold.Multiple,
-			"StartCapacity": s.Fleet.Cold.From},
-		"Services": classes, "Tenants": houses}
+			"StartCapacity": s.Fleet.Cold.From,
+		},
+		"Services": classes, "Tenants": houses,
+	}
 }
 
 // config is a proxy's configuration file.
 func (s *Scenario) config(n int, listen, discovery, seed string, known standin.List, at time.Duration, attempts int) map[string]any {
-	return map[string]any{"name": proxyName(n), "listen": listen, "discovery": discovery, "seed": seed,
+	return map[string]any{
+		"name": proxyName(n), "listen": listen, "discovery": discovery, "seed": seed,
 		"limits": map[string]any{"cores": s.Proxies.Cores, "memory_mb": s.Proxies.MemoryMB, "sockets": s.Proxies.Sockets},
-		"known":  known, "settings": s.settings(n, n%len(s.Fleet.Zones), at, attempts)}
+		"known":  known, "settings": s.settings(n, n%len(s.Fleet.Zones), at, attempts),
+	}
 }
 
 // rpcOffset is from a node's HTTP port to its RPC port.
--- a/internal/rehearsal/world.go
+++ b/internal/rehearsal/world.go
@@ -58,10 +58,12 @@
 // newWorld stands everything up but the proxies. What it started is ended by close,
 // also where it gives an error.
 func newWorld(s *Scenario, p *Plan, clock *standin.Clock, journal *standin.Journal, dir string) (*world, error) {
-	w := &world{scenario: s, plan: p, clock: clock, journal: journal, dir: dir, groups: map[string]*standin.Group{},
+	w := &world{
+		scenario: s, plan: p, clock: clock, journal: journal, dir: dir, groups: map[string]*standin.Group{},
 		demands: map[string]machine.Job{}, sizes: map[string]int{}, index: map[string]int{}, started: map[string]time.Time{},
 		fallen: map[string]bool{}, networks: map[int]standin.Network{}, stopping: make(chan struct{}), nodes: make([]*standin.Node, len(p.Nodes)),
-		paths: make([][]standin.Path, len(p.Nodes))}
+		paths: make([][]standin.Path, len(p.Nodes)),
+	}
 	longest := time.Duration(0)
 	for _, c := range s.Classes {
 		longest = max(longest, c.Window.D())
@@ -126,14 +128,20 @@
 
 func (w *world) startNode(i int, warm bool) error {
 	n, f := w.plan.Nodes[i], w.scenario.Fleet
-	node, err := standin.StartNode(standin.NodeConfig{ID: n.ID, Zone: n.Zone, Kind: n.Kind, Warm: warm,
-		Machine: machine.Config{Cores: n.Cores, Speed: float64(n.Permille) / 1000, Slots: n.Slots, Queue: n.Queue,
+	node, err := standin.StartNode(standin.NodeConfig{
+		ID: n.ID, Zone: n.Zone, Kind: n.Kind, Warm: warm,
+		Machine: machine.Config{
+			Cores: n.Cores, Speed: float64(n.Permille) / 1000, Slots: n.Slots, Queue: n.Queue,
 			Cold: machine.Cold{From: f.Cold.From, For: f.Cold.For.D(), Multiple: f.Cold.Multiple, Over: f.Cold.Over.D()},
-			Crowd: machine.Crowd{At: f.Crowd.At, Over: f.Crowd.Over.D(), Slower: f.Crowd.Slower, Rest: f.Crowd.Rest.D(),
-				Below: f.Crowd.Below, Most: f.Crowd.Most.D(), OncePerLife: true}},
+			Crowd: machine.Crowd{
+				At: f.Crowd.At, Over: f.Crowd.Over.D(), Slower: f.Crowd.Slower, Rest: f.Crowd.Rest.D(),
+				Below: f.Crowd.Below, Most: f.Crowd.Most.D(), OncePerLife: true,
+			},
+		},
 		Connections: f.Connections, Idle: f.Idle.D(), Handshake: f.Handshake.D(), Probes: f.ProbeWork > 0,
 		ProbeWork: f.ProbeWork.D(), Group: w.groups[n.Zone], Demand: w.demand, Size: w.size, Gives: w.gives, Clock: w.clock, Journal: w.journal,
-		Paths: w.paths[i]})
+		Paths: w.paths[i],
+	})
 	if err != nil {
 		return err
 	}
@@ -207,8 +215,10 @@
 	}
 	var known []standin.FrontProxy
 	for k := range w.scenario.Proxies.Count {
-		p := &proxy{n: k, command: command, config: filepath.Join(w.dir, proxyName(k)+".json"),
-			logPath: filepath.Join(w.dir, proxyName(k)+".log"), doors: w.scenario.door(), attempts: w.scenario.Rules.MaxAttempts}
+		p := &proxy{
+			n: k, command: command, config: filepath.Join(w.dir, proxyName(k)+".json"),
+			logPath: filepath.Join(w.dir, proxyName(k)+".log"), doors: w.scenario.door(), attempts: w.scenario.Rules.MaxAttempts,
+		}
 		if k < len(listen) {
 			p.addr = listen[k]
 		} else {
@@ -502,8 +512,10 @@
 	case "end errors":
 		n.Errors(0)
 	case "partial":
-		n.Partially(fmt.Sprint(e.Fault), standin.Partial{Class: e.Class, Above: e.Above, Harm: harms[e.How], Rate: amount,
-			Times: float64(e.Times) / 1000})
+		n.Partially(fmt.Sprint(e.Fault), standin.Partial{
+			Class: e.Class, Above: e.Above, Harm: harms[e.How], Rate: amount,
+			Times: float64(e.Times) / 1000,
+		})
 	case "end partial":
 		n.Wholly(fmt.Sprint(e.Fault))
 	case "spoil":
--- a/internal/rpc/carrier.go
+++ b/internal/rpc/carrier.go
@@ -50,8 +50,10 @@
 // NewCarrier makes a carrier. The configuration has been validated.
 func NewCarrier(e *engine.Engine, cfg *Config, counts *Counts) *Carrier {
 	caps := e.Settings().Caps
-	c := &Carrier{engine: e, cfg: cfg.Backend, limits: Limits{Message: cfg.MessageBytes, Depth: cfg.Nesting},
-		connectTimeout: caps.ConnectTimeout, maxIdle: caps.ConnIdle - caps.ConnIdle/4, peers: map[*engine.Backend][]*link{}, counts: counts}
+	c := &Carrier{
+		engine: e, cfg: cfg.Backend, limits: Limits{Message: cfg.MessageBytes, Depth: cfg.Nesting},
+		connectTimeout: caps.ConnectTimeout, maxIdle: caps.ConnIdle - caps.ConnIdle/4, peers: map[*engine.Backend][]*link{}, counts: counts,
+	}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	return c
 }
@@ -134,8 +136,10 @@
 		return best
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
-	l := &link{of: c, backend: b, open: map[uint32]*flight{}, orphans: map[uint32]struct{}{}, window: float64(c.cfg.Pipeline),
-		cancel: cancel, wake: make(chan struct{}, 1), idle: c.engine.Now()}
+	l := &link{
+		of: c, backend: b, open: map[uint32]*flight{}, orphans: map[uint32]struct{}{}, window: float64(c.cfg.Pipeline),
+		cancel: cancel, wake: make(chan struct{}, 1), idle: c.engine.Now(),
+	}
 	c.peers[b] = append(c.peers[b], l)
 	c.open++
 	go l.run(ctx)
--- a/internal/rpc/config.go
+++ b/internal/rpc/config.go
@@ -67,8 +67,10 @@
 
 // DefaultConfig is off, and has a bound for everything.
 func DefaultConfig() Config {
-	return Config{Connections: 64, OpenCalls: 1024, MessageBytes: 64 << 10, Nesting: 64, QueueBytes: 1 << 20,
-		Idle: strict.Span(time.Minute), Backend: Backend{Connections: 4, All: 64, Pipeline: 32}}
+	return Config{
+		Connections: 64, OpenCalls: 1024, MessageBytes: 64 << 10, Nesting: 64, QueueBytes: 1 << 20,
+		Idle: strict.Span(time.Minute), Backend: Backend{Connections: 4, All: 64, Pipeline: 32},
+	}
 }
 
 // Validate names the first key that makes no sense.
@@ -82,11 +84,18 @@
 	for _, n := range []struct {
 		key         string
 		v, low, top int
-	}{{"connections", c.Connections, 1, 65536}, {"open-calls", c.OpenCalls, 1, 1 << 20}, {"message-bytes", c.MessageBytes, 64, 16 << 20},
-		{"nesting", c.Nesting, 1, 10000}, {"answer-queue-bytes", c.QueueBytes, 1024, 1 << 30},
-		{"backend.connections", c.Backend.Connections, 1, 1024}, {"backend.connections-in-all", c.Backend.All, 1, 65536},
-		{"backend.pipeline", c.Backend.Pipeline, 1, 65536}, {"backend.port", c.Backend.Port, 0, 65535},
-		{"backend.port-offset", c.Backend.PortOffset, -65535, 65535}} {
+	}{
+		{"connections", c.Connections, 1, 65536},
+		{"open-calls", c.OpenCalls, 1, 1 << 20},
+		{"message-bytes", c.MessageBytes, 64, 16 << 20},
+		{"nesting", c.Nesting, 1, 10000},
+		{"answer-queue-bytes", c.QueueBytes, 1024, 1 << 30},
+		{"backend.connections", c.Backend.Connections, 1, 1024},
+		{"backend.connections-in-all", c.Backend.All, 1, 65536},
+		{"backend.pipeline", c.Backend.Pipeline, 1, 65536},
+		{"backend.port", c.Backend.Port, 0, 65535},
+		{"backend.port-offset", c.Backend.PortOffset, -65535, 65535},
+	} {
 		if n.v < n.low || n.v > n.top {
 			return fmt.Errorf("rpc.%s = %d: %d to %d is possible", n.key, n.v, n.low, n.top)
 		}
--- a/internal/rpc/front.go
+++ b/internal/rpc/front.go
@@ -50,9 +50,11 @@
 // NewFront makes a front whose calls go to backends by a carrier. The configuration has
 // been validated, also against the settings.
 func NewFront(e *engine.Engine, carrier *Carrier, cfg *Config, logger *slog.Logger, counts *Counts) *Front {
-	f := &Front{engine: e, carrier: carrier, cfg: cfg, limits: Limits{Message: cfg.MessageBytes, Depth: cfg.Nesting},
+	f := &Front{
+		engine: e, carrier: carrier, cfg: cfg, limits: Limits{Message: cfg.MessageBytes, Depth: cfg.Nesting},
 		logf: logs.Event(logger, "rpc"), counts: counts,
-		conns: map[*callerConn]struct{}{}, quiet: make(chan struct{})}
+		conns: map[*callerConn]struct{}{}, quiet: make(chan struct{}),
+	}
 	return f
 }
 
@@ -458,9 +460,11 @@
 		io.WriteString(h, meta.About)
 		about = h.Sum64()
 	}
-	q := &call{conn: c, id: m.id, note: note, Call: engine.Call{Name: meta.ID, Carrier: f.carrier, Book: by,
+	q := &call{conn: c, id: m.id, note: note, Call: engine.Call{
+		Name: meta.ID, Carrier: f.carrier, Book: by,
 		Request: marlreel.Request{Class: class, Tenant: tenant, Key: about, Repeat: meta.Repeat, Deadline: arrived + left},
-		Payload: &payload{method: m.method, args: args, count: count, meta: meta, given: given, notify: note}}}
+		Payload: &payload{method: m.method, args: args, count: count, meta: meta, given: given, notify: note},
+	}}
 	q.Front = q
 	return q, nil
 }
--- a/internal/rpc/link_test.go
+++ b/internal/rpc/link_test.go
@@ -53,8 +53,10 @@
 func (l *still) call(class int, args []byte) *taker {
 	now := l.Now()
 	c := &taker{}
-	c.Call = engine.Call{Carrier: l.carrier, Front: c, Payload: &payload{method: "m", args: args, count: 1},
-		Request: marlreel.Request{Class: class, Deadline: now + time.Minute}}
+	c.Call = engine.Call{
+		Carrier: l.carrier, Front: c, Payload: &payload{method: "m", args: args, count: 1},
+		Request: marlreel.Request{Class: class, Deadline: now + time.Minute},
+	}
 	l.Do(func() { l.Take(&c.Call, now) })
 	return c
 }
@@ -76,8 +78,10 @@
 		l := stillEngine(t, nil)
 		near, far := net.Pipe() // which hands over byte for byte
 		b := engine.NewBackend("s-1", "127.0.0.1:1", true)
-		link := &link{of: l.carrier, backend: b, open: map[uint32]*flight{}, orphans: map[uint32]struct{}{}, window: 1,
-			cancel: func() {}, wake: make(chan struct{}, 1)}
+		link := &link{
+			of: l.carrier, backend: b, open: map[uint32]*flight{}, orphans: map[uint32]struct{}{}, window: 1,
+			cancel: func() {}, wake: make(chan struct{}, 1),
+		}
 		body := &payload{method: "m", args: append([]byte{0xc6, 0, 1, 0, 0}, make([]byte, 1<<16)...), count: 1}
 		f := &flight{a: &engine.Attempt{Backend: b, Until: time.Now().Add(time.Minute)}, id: 1, body: body}
 		go func() {
--- a/internal/rpc/scan_test.go
+++ b/internal/rpc/scan_test.go
@@ -167,8 +167,10 @@
 }
 
 func anyValue(depth int) *rapid.Generator[any] {
-	leaves := []*rapid.Generator[any]{rapid.Int64().AsAny(), rapid.Uint64().AsAny(), rapid.Float64().AsAny(), rapid.Float32().AsAny(),
-		rapid.Bool().AsAny(), rapid.String().AsAny(), rapid.SliceOf(rapid.Byte()).AsAny(), rapid.Just[any](nil)}
+	leaves := []*rapid.Generator[any]{
+		rapid.Int64().AsAny(), rapid.Uint64().AsAny(), rapid.Float64().AsAny(), rapid.Float32().AsAny(),
+		rapid.Bool().AsAny(), rapid.String().AsAny(), rapid.SliceOf(rapid.Byte()).AsAny(), rapid.Just[any](nil),
+	}
 	if depth == 0 {
 		return rapid.OneOf(leaves...)
 	}
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -92,16 +92,20 @@
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	a := &Agent{Addr: ln.Addr().String(), proxy: proxy, of: d, address: address, lateness: lateness,
-		entries: map[string]change{}, changed: make(chan struct{}), cancel: cancel, done: make(chan struct{})}
+	a := &Agent{
+		Addr: ln.Addr().String(), proxy: proxy, of: d, address: address, lateness: lateness,
+		entries: map[string]change{}, changed: make(chan struct{}), cancel: cancel, done: make(chan struct{}),
+	}
 	d.mu.Lock()
 	for _, id := range d.order {
 		a.take(d.entries[id])
 	}
 	d.agents = append(d.agents, a)
 	d.mu.Unlock()
-	a.server = &http.Server{Handler: a, ReadHeaderTimeout: 5 * time.Second,
-		BaseContext: func(net.Listener) context.Context { return ctx }}
+	a.server = &http.Server{
+		Handler: a, ReadHeaderTimeout: 5 * time.Second,
+		BaseContext: func(net.Listener) context.Context { return ctx },
+	}
 	go func() {
 		defer close(a.done)
 		a.server.Serve(ln)
--- a/internal/standin/front.go
+++ b/internal/standin/front.go
@@ -39,9 +39,11 @@
 // NewFront starts a front that notices a death so long after it.
 func NewFront(notice time.Duration, proxies []FrontProxy) *Front {
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &Front{proxies: proxies, notice: notice, cancel: cancel, in: make([]bool, len(proxies)),
+	f := &Front{
+		proxies: proxies, notice: notice, cancel: cancel, in: make([]bool, len(proxies)),
 		next: map[string]int{}, came: make(chan struct{}),
-		client: &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
+		client: &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}},
+	}
 	for i := range proxies {
 		f.wg.Go(func() { f.look(ctx, i) })
 	}
--- a/internal/standin/journal.go
+++ b/internal/standin/journal.go
@@ -147,8 +147,10 @@
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	r := Records{Sends: make([]Send, len(j.sends)), Told: append([]Told(nil), j.told...),
-		Events: append([]NodeEvent(nil), j.events...), Samples: append([]Sample(nil), j.samples...), Connections: j.fresh}
+	r := Records{
+		Sends: make([]Send, len(j.sends)), Told: append([]Told(nil), j.told...),
+		Events: append([]NodeEvent(nil), j.events...), Samples: append([]Sample(nil), j.samples...), Connections: j.fresh,
+	}
 	for i, s := range j.sends {
 		r.Sends[i] = *s
 	}
--- a/internal/standin/machine/machine_test.go
+++ b/internal/standin/machine/machine_test.go
@@ -242,10 +242,12 @@
 // order; and slots are never exceeded.
 func TestAnySequenceKeepsTheBooks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := Config{Cores: rapid.IntRange(1, 4).Draw(t, "cores"), Speed: rapid.Float64Range(0.2, 3).Draw(t, "speed"),
+		cfg := Config{
+			Cores: rapid.IntRange(1, 4).Draw(t, "cores"), Speed: rapid.Float64Range(0.2, 3).Draw(t, "speed"),
 			Slots: rapid.IntRange(1, 6).Draw(t, "slots"), Queue: rapid.IntRange(0, 4).Draw(t, "queue"),
 			Cold:  Cold{From: 0.3, For: 2 * time.Second, Multiple: 3, Over: time.Second},
-			Crowd: Crowd{At: 0.5, Over: 300 * ms, Slower: 2, Rest: 200 * ms, Below: 0.5, Most: time.Second}}
+			Crowd: Crowd{At: 0.5, Over: 300 * ms, Slower: 2, Rest: 200 * ms, Below: 0.5, Most: time.Second},
+		}
 		m := New(cfg, 0, rapid.Bool().Draw(t, "warm"))
 		now, id := time.Duration(0), uint64(0)
 		open := map[uint64]time.Duration{} // its work
@@ -281,8 +283,10 @@
 				}
 			default:
 				id++
-				j := Job{Work: time.Duration(rapid.IntRange(0, 300).Draw(t, "work")) * ms,
-					Wait: time.Duration(rapid.IntRange(0, 100).Draw(t, "wait")) * ms}
+				j := Job{
+					Work: time.Duration(rapid.IntRange(0, 300).Draw(t, "work")) * ms,
+					Wait: time.Duration(rapid.IntRange(0, 100).Draw(t, "wait")) * ms,
+				}
 				if rapid.Bool().Draw(t, "limit") {
 					j.Until = now + time.Duration(rapid.IntRange(1, 400).Draw(t, "until"))*ms
 				}
--- a/internal/standin/main_test.go
+++ b/internal/standin/main_test.go
@@ -32,9 +32,11 @@
 
 // quick is a node that serves at once.
 func quick() NodeConfig {
-	return NodeConfig{ID: "s-1", Zone: "koper", Warm: true, Journal: &Journal{},
+	return NodeConfig{
+		ID: "s-1", Zone: "koper", Warm: true, Journal: &Journal{},
 		Machine: machine.Config{Cores: 2, Speed: 1, Slots: 8, Queue: 8},
-		Demand:  func(string, string) (machine.Job, bool) { return machine.Job{Work: time.Millisecond}, true }}
+		Demand:  func(string, string) (machine.Job, bool) { return machine.Job{Work: time.Millisecond}, true },
+	}
 }
 
 func startNode(t *testing.T, cfg NodeConfig) *Node {
--- a/internal/standin/node_sockets.go
+++ b/internal/standin/node_sockets.go
@@ -57,8 +57,10 @@
 			n.hold(c)
 			return
 		}
-		x := &exchange{c: c, path: p, gone: make(chan struct{}), done: make(chan struct{}), fresh: fresh, full: full,
-			began: n.cfg.Clock.Now(), rested: rested}
+		x := &exchange{
+			c: c, path: p, gone: make(chan struct{}), done: make(chan struct{}), fresh: fresh, full: full,
+			began: n.cfg.Clock.Now(), rested: rested,
+		}
 		c.SetReadDeadline(time.Time{})
 		r, good, ok := n.read(x, in)
 		if !ok || n.broken(x, in, r) {
--- a/internal/standin/node_work.go
+++ b/internal/standin/node_work.go
@@ -27,8 +27,10 @@
 // sendOf is a request as the journal has it.
 func (n *Node) sendOf(x *exchange, r *http.Request) *Send {
 	class, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	return &Send{Node: n.cfg.ID, Zone: n.cfg.Zone, Proxy: x.path.Proxy, ID: r.Header.Get("X-Correlation-Id"),
-		Key: r.Header.Get("Idempotency-Key"), Class: class, Began: x.began, Whole: x.whole, Fresh: x.fresh, CrossesZone: x.path.Cross}
+	return &Send{
+		Node: n.cfg.ID, Zone: n.cfg.Zone, Proxy: x.path.Proxy, ID: r.Header.Get("X-Correlation-Id"),
+		Key: r.Header.Get("Idempotency-Key"), Class: class, Began: x.began, Whole: x.whole, Fresh: x.fresh, CrossesZone: x.path.Cross,
+	}
 }
 
 // answer sees one request through, over HTTP.
--- a/internal/standin/plainproxy.go
+++ b/internal/standin/plainproxy.go
@@ -70,9 +70,13 @@
 	}
 	var seed uint64
 	fmt.Sscanf(c.Seed, "%x", &seed)
-	p := &PlainProxy{Faults: faults, rng: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]Entry{}, gone: map[string]Entry{},
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second,
-			DisableCompression: true, DialContext: (&net.Dialer{Timeout: 200 * time.Millisecond}).DialContext}}}
+	p := &PlainProxy{
+		Faults: faults, rng: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]Entry{}, gone: map[string]Entry{},
+		client: &http.Client{Transport: &http.Transport{
+			MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second,
+			DisableCompression: true, DialContext: (&net.Dialer{Timeout: 200 * time.Millisecond}).DialContext,
+		}},
+	}
 	defer p.client.CloseIdleConnections()
 	if c.Known != nil {
 		p.learn(*c.Known)
--- a/internal/standin/registry.go
+++ b/internal/standin/registry.go
@@ -84,9 +84,11 @@
 	if t != nil {
 		ln = tls.NewListener(ln, t)
 	}
-	r := &Registry{Addr: addr, counted: counted, done: make(chan struct{}), changed: make(chan struct{}), cluster: 0xc1, revision: 1, keys: map[string]kv{},
+	r := &Registry{
+		Addr: addr, counted: counted, done: make(chan struct{}), changed: make(chan struct{}), cluster: 0xc1, revision: 1, keys: map[string]kv{},
 		states: map[int64]map[string]kv{1: {}}, quorum: true, tokens: map[string]bool{}, leases: map[int64]*lease{}, calls: map[string]int{},
-		watches: map[chan struct{}]bool{}}
+		watches: map[chan struct{}]bool{},
+	}
 	r.server = &http.Server{Handler: r.routes()}
 	go func() {
 		defer close(r.done)
--- a/internal/standin/rpc.go
+++ b/internal/standin/rpc.go
@@ -97,8 +97,10 @@
 	word := func(key string) string { s, _ := meta[key].(string); return s }
 	leftMS, _ := meta["$left_ms"].(float64)
 	n := r.node
-	s := &Send{Node: n.cfg.ID, Zone: n.cfg.Zone, Proxy: r.path.Proxy, ID: word("$id"), Key: word("$key"),
-		Class: q.method[strings.LastIndexByte(q.method, '.')+1:], Began: whole - r.path.Delay, Whole: whole, CrossesZone: r.path.Cross}
+	s := &Send{
+		Node: n.cfg.ID, Zone: n.cfg.Zone, Proxy: r.path.Proxy, ID: word("$id"), Key: word("$key"),
+		Class: q.method[strings.LastIndexByte(q.method, '.')+1:], Began: whole - r.path.Delay, Whole: whole, CrossesZone: r.path.Cross,
+	}
 	return s, time.Duration(leftMS * float64(time.Millisecond))
 }
 
--- a/internal/system/agent/agent.go
+++ b/internal/system/agent/agent.go
@@ -115,8 +115,10 @@
 	incarnation := rand.Uint64()
 	node := &api.Node{Name: settings.NodeName, Address: settings.PeerAddress(), Zone: settings.Zone, Incarnation: incarnation}
 	client := transport.NewClient(machine.Network.Dial)
-	a := &Agent{settings: settings, feed: feed.New(fmt.Sprintf("%s/%x", settings.NodeName, incarnation), time.Now),
-		holder: ownership.Holder(settings.NodeName, incarnation), backends: newBackendClient(machine.Network.Dial), client: client, log: log}
+	a := &Agent{
+		settings: settings, feed: feed.New(fmt.Sprintf("%s/%x", settings.NodeName, incarnation), time.Now),
+		holder: ownership.Holder(settings.NodeName, incarnation), backends: newBackendClient(machine.Network.Dial), client: client, log: log,
+	}
 	a.leases = &leases{holder: a.holder, controls: a.controls, wanted: a.holdsAny, await: a.awaitRole, client: client, log: log}
 	a.observations = newObservations(a)
 	a.demand = newDemandRelay(a, node)
--- a/internal/system/agent/observations.go
+++ b/internal/system/agent/observations.go
@@ -33,8 +33,10 @@
 }
 
 func newObservations(a *Agent) *observations {
-	return &observations{agent: a, began: time.Now(), wake: make(chan struct{}, 1),
-		hinted: hints.New[*api.Observation](mostObservations, observationLife)}
+	return &observations{
+		agent: a, began: time.Now(), wake: make(chan struct{}, 1),
+		hinted: hints.New[*api.Observation](mostObservations, observationLife),
+	}
 }
 
 // add tells this agent's own proxy at once, and control soon.
--- a/internal/system/agent/placer.go
+++ b/internal/system/agent/placer.go
@@ -52,9 +52,11 @@
 }
 
 func newPlacer(a *Agent, service string, fence uint64) *placer {
-	return &placer{service: service, agent: a, fence: fence, planner: placement.New(time.Second), began: time.Now().Add(-time.Second),
+	return &placer{
+		service: service, agent: a, fence: fence, planner: placement.New(time.Second), began: time.Now().Add(-time.Second),
 		backends: map[string]*api.Backend{}, askedAt: map[string]time.Time{},
-		events: make(chan func(), mostEvents), log: a.log.WithValues("service", service, "fence", fence)}
+		events: make(chan func(), mostEvents), log: a.log.WithValues("service", service, "fence", fence),
+	}
 }
 
 func (p *placer) now() time.Duration { return time.Since(p.began) }
@@ -187,11 +189,15 @@
 }
 
 func serviceOf(cfg *configuration.Service, bounds boot.Bounds) placement.Service {
-	s := placement.Service{Models: map[string]placement.Model{}, CapacityMB: cfg.Engine.WeightsMB,
-		AdapterCapacity: cfg.Engine.AdapterCapacity, LoadPerSecond: cfg.Engine.LoadPerS}
+	s := placement.Service{
+		Models: map[string]placement.Model{}, CapacityMB: cfg.Engine.WeightsMB,
+		AdapterCapacity: cfg.Engine.AdapterCapacity, LoadPerSecond: cfg.Engine.LoadPerS,
+	}
 	for _, m := range cfg.Engine.Models {
-		s.Models[m.Name] = placement.Model{Name: m.Name, SizeMB: m.WeightsMB, LoadTime: boot.Seconds(m.LoadTimeS),
-			AdapterSizeMB: m.AdapterSizeMB}
+		s.Models[m.Name] = placement.Model{
+			Name: m.Name, SizeMB: m.WeightsMB, LoadTime: boot.Seconds(m.LoadTimeS),
+			AdapterSizeMB: m.AdapterSizeMB,
+		}
 	}
 	return s
 }
@@ -228,8 +234,10 @@
 	}
 	p.log.V(1).Info("order", "event", "order", "backend", o.Backend, "operation", operationWords[o.Operation],
 		"model", o.Model, "adapter", o.Adapter)
-	message := order{Operation: operationWords[o.Operation], Model: o.Model, Adapter: o.Adapter, Revision: o.Revision,
-		Holder: p.agent.holder, Fence: p.fence}
+	message := order{
+		Operation: operationWords[o.Operation], Model: o.Model, Adapter: o.Adapter, Revision: o.Revision,
+		Holder: p.agent.holder, Fence: p.fence,
+	}
 	go func() {
 		rest(context.Background(), notice)
 		outcome := p.agent.backends.order(b.Address, o.Backend, message, p.permit)
--- a/internal/system/agent/subscriptions.go
+++ b/internal/system/agent/subscriptions.go
@@ -90,13 +90,15 @@
 // read follows one source until ctx ends. Where a home does not answer, control does.
 func (s *subscriptions) read(ctx context.Context, subscription homes.Subscription) {
 	a := s.agent
-	cfg := feed.FollowConfig{Node: a.settings.NodeName, Topics: subscription.Topics, WaitTime: controlWait, Log: a.log, Targets: a.controls,
+	cfg := feed.FollowConfig{
+		Node: a.settings.NodeName, Topics: subscription.Topics, WaitTime: controlWait, Log: a.log, Targets: a.controls,
 		Connect: func(address string) feed.Watcher {
 			if address == subscription.Home {
 				return api.NewAgentProtobufClient("http://"+address, a.client)
 			}
 			return api.NewControlProtobufClient("http://"+address, a.client)
-		}}
+		},
+	}
 	if subscription.Home != "" {
 		cfg.WaitTime = homeWait
 		cfg.Targets = func() []string { return slices.Concat([]string{subscription.Home}, a.controls()) }
--- a/internal/system/chain/heartbeat.go
+++ b/internal/system/chain/heartbeat.go
@@ -72,8 +72,10 @@
 }
 
 func (n *Node) heartbeat() *api.ChainMessage {
-	beat := &api.Heartbeat{Active: n.InService(), Committed: n.committed, Position: n.durable.last(),
-		WantsIn: !n.inChain() && !n.leaving, Leaving: n.leaving}
+	beat := &api.Heartbeat{
+		Active: n.InService(), Committed: n.committed, Position: n.durable.last(),
+		WantsIn: !n.inChain() && !n.leaving, Leaving: n.leaving,
+	}
 	for key, p := range n.peers {
 		if n.now-p.heardAt < n.cfg.SuspectAfter {
 			beat.Hears = append(beat.Hears, key)
--- a/internal/system/chain/history_test.go
+++ b/internal/system/chain/history_test.go
@@ -62,10 +62,12 @@
 	}
 	const machines = 64
 	f := fault{machine: rng.IntN(machines), other: rng.IntN(machines), lasts: span(longestFault), rest: span(longestRest)}
-	kinds := []string{"kill", "lose-disk", "freeze", "stall-disk", "cut", "cut-one-way", "lose-messages", "lose-power",
+	kinds := []string{
+		"kill", "lose-disk", "freeze", "stall-disk", "cut", "cut-one-way", "lose-messages", "lose-power",
 		"cut-and-restart", "lose-disk-and-power", "replace", "views", "hold", "leave", "lose-two",
 		"interrupt-proposal", "interrupt-proposal", "interrupt-handover", "interrupt-handover", "interrupt-vote", "interrupt-vote",
-		"interrupt-vote", "late-entry"}
+		"interrupt-vote", "late-entry",
+	}
 	f.kind = kinds[rng.IntN(len(kinds))]
 	switch f.kind {
 	case "lose-power":
@@ -378,6 +380,8 @@
 		return false
 	}
 	short := h.shrink(needed)
-	is.Equal(short.faults, []fault{{kind: "kill", machine: 1, lasts: 500 * time.Millisecond},
-		{kind: "freeze", machine: 2, lasts: 400 * time.Millisecond}})
+	is.Equal(short.faults, []fault{
+		{kind: "kill", machine: 1, lasts: 500 * time.Millisecond},
+		{kind: "freeze", machine: 2, lasts: 400 * time.Millisecond},
+	})
 }
--- a/internal/system/chain/linearizable_test.go
+++ b/internal/system/chain/linearizable_test.go
@@ -67,8 +67,10 @@
 		return
 	}
 	delete(p.reads, token)
-	c.clients.reads = append(c.clients.reads, porcupine.Operation{Input: operation{read: true}, Call: int64(called),
-		Output: observed{len(p.machine.applied)}, Return: int64(c.now)})
+	c.clients.reads = append(c.clients.reads, porcupine.Operation{
+		Input: operation{read: true}, Call: int64(called),
+		Output: observed{len(p.machine.applied)}, Return: int64(c.now),
+	})
 }
 
 // operations are all that were called, the writes with their places in the order that the
@@ -81,8 +83,10 @@
 		if !acknowledged {
 			answered = math.MaxInt64
 		}
-		operations = append(operations, porcupine.Operation{Input: operation{name: name}, Call: int64(c.clients.called[name]),
-			Output: observed{at + 1}, Return: int64(answered)})
+		operations = append(operations, porcupine.Operation{
+			Input: operation{name: name}, Call: int64(c.clients.called[name]),
+			Output: observed{at + 1}, Return: int64(answered),
+		})
 	}
 	for i := range operations {
 		operations[i].ClientId = i // each call may overlap any other
--- a/internal/system/chain/node.go
+++ b/internal/system/chain/node.go
@@ -92,8 +92,10 @@
 	if durable.Snapshot == nil {
 		durable.Snapshot = &api.Snapshot{State: &api.State{}}
 	}
-	n := &Node{cfg: cfg, durable: durable, machine: machine, contacts: contacts, now: now,
-		listening: now, lastTick: now, peers: map[string]*peer{}, confirms: map[uint64]*confirmation{}}
+	n := &Node{
+		cfg: cfg, durable: durable, machine: machine, contacts: contacts, now: now,
+		listening: now, lastTick: now, peers: map[string]*peer{}, confirms: map[uint64]*confirmation{},
+	}
 	n.machine.Restore(durable.Snapshot.GetState())
 	n.committed = durable.Snapshot.GetSequence()
 	n.logBytes = bytesOf(durable.Entries)
--- a/internal/system/chain/replicate.go
+++ b/internal/system/chain/replicate.go
@@ -232,7 +232,8 @@
 func (n *Node) passOn(entry *api.Entry) {
 	if next := n.neighbour(1); next != nil {
 		n.send(next, &api.ChainMessage{Body: &api.ChainMessage_Replicate{
-			Replicate: &api.Replicate{Entry: entry, Committed: n.committed}}})
+			Replicate: &api.Replicate{Entry: entry, Committed: n.committed},
+		}})
 		return
 	}
 	n.commit(entry.Sequence)
@@ -242,7 +243,8 @@
 func (n *Node) acknowledge(entry *api.Entry) {
 	if previous := n.neighbour(-1); previous != nil {
 		n.send(previous, &api.ChainMessage{Body: &api.ChainMessage_Acknowledge{
-			Acknowledge: &api.Acknowledge{Sequence: entry.Sequence, Hash: entry.Hash}}})
+			Acknowledge: &api.Acknowledge{Sequence: entry.Sequence, Hash: entry.Hash},
+		}})
 	}
 }
 
--- a/internal/system/chain/sim_test.go
+++ b/internal/system/chain/sim_test.go
@@ -131,8 +131,10 @@
 )
 
 func newCluster(t *testing.T, seed uint64, members int) *cluster {
-	c := &cluster{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Second, cut: map[string]bool{}, held: map[string]bool{}, met: map[string]int{}, cfg: DefaultConfig(members),
-		clients: newClients(), linkFree: map[string]time.Duration{}, pace: proposeEvery}
+	c := &cluster{
+		t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Second, cut: map[string]bool{}, held: map[string]bool{}, met: map[string]int{}, cfg: DefaultConfig(members),
+		clients: newClients(), linkFree: map[string]time.Duration{}, pace: proposeEvery,
+	}
 	c.cfg.CompactAfter = 8
 	for i := range members {
 		c.founders = append(c.founders, fmt.Sprintf("c%d", i))
--- a/internal/system/chain/views.go
+++ b/internal/system/chain/views.go
@@ -31,9 +31,11 @@
 // propose begins to have another view agreed.
 func (n *Node) propose(reason string, members []*api.Member, wanted change) {
 	n.highest++
-	n.proposal = &proposal{instance: n.durable.View.Number + 1, members: members, change: wanted, since: n.now,
+	n.proposal = &proposal{
+		instance: n.durable.View.Number + 1, members: members, change: wanted, since: n.now,
 		ballot:   &api.Ballot{Round: n.highest, Proposer: Key(n.durable.Self)},
-		promises: map[string]*api.Promise{}, accepted: map[string]bool{}}
+		promises: map[string]*api.Promise{}, accepted: map[string]bool{},
+	}
 	n.note(fmt.Sprintf("proposes view %d: %s", n.proposal.instance, reason))
 	prepare := &api.Prepare{Instance: n.proposal.instance, Ballot: n.proposal.ballot}
 	for _, member := range n.others() {
--- a/internal/system/chain/votes_test.go
+++ b/internal/system/chain/votes_test.go
@@ -19,7 +19,8 @@
 func (c *cluster) prepare(p *process, from *api.Member, round uint64) *api.Promise {
 	c.t.Helper()
 	answers := c.hand(p, from, &api.ChainMessage{Body: &api.ChainMessage_Prepare{Prepare: &api.Prepare{
-		Instance: p.node.View().Number + 1, Ballot: &api.Ballot{Round: round, Proposer: Key(from)}}}})
+		Instance: p.node.View().Number + 1, Ballot: &api.Ballot{Round: round, Proposer: Key(from)},
+	}}})
 	for _, answer := range answers {
 		if promise := answer.GetPromise(); promise != nil {
 			return promise
@@ -52,7 +53,8 @@
 	p, from := c.processes[2], c.processes[0].node.durable.Self
 	view := &api.View{Number: p.node.View().Number + 1, Members: p.node.View().Members, Chain: p.node.View().Chain[:2]}
 	c.hand(p, from, &api.ChainMessage{Body: &api.ChainMessage_Accept{Accept: &api.Accept{
-		Ballot: &api.Ballot{Round: 1000, Proposer: Key(from)}, View: view}}})
+		Ballot: &api.Ballot{Round: 1000, Proposer: Key(from)}, View: view,
+	}}})
 	c.restart(p)
 	promise := c.prepare(p, from, 1001)
 	is.Equal(promise.GetAcceptedBallot().GetRound(), uint64(1000))
@@ -109,7 +111,8 @@
 	c.t.Helper()
 	proposed := p.node.proposal
 	return c.hand(p, from, &api.ChainMessage{Body: &api.ChainMessage_Promise{Promise: &api.Promise{
-		Instance: proposed.instance, Ballot: proposed.ballot, Position: position}}})
+		Instance: proposed.instance, Ballot: proposed.ballot, Position: position,
+	}}})
 }
 
 // acceptedBy hands a proposer an acceptance of what it has proposed.
@@ -117,7 +120,8 @@
 	c.t.Helper()
 	proposed := p.node.proposal
 	c.hand(p, from, &api.ChainMessage{Body: &api.ChainMessage_Accepted{Accepted: &api.Accepted{
-		Instance: proposed.instance, Ballot: proposed.ballot}}})
+		Instance: proposed.instance, Ballot: proposed.ballot,
+	}}})
 }
 
 // A view that one member has accepted may have been agreed: whoever proposes next takes it over.
@@ -132,7 +136,8 @@
 		next := c.processes[0].node.View().Number + 1
 		view := &api.View{Number: next, Members: dead.node.View().Members, Chain: []*api.Member{chain[2], chain[acceptor]}}
 		c.hand(survivors[acceptor], chain[2], &api.ChainMessage{Body: &api.ChainMessage_Accept{Accept: &api.Accept{
-			Ballot: &api.Ballot{Round: 1000, Proposer: Key(chain[2])}, View: view}}})
+			Ballot: &api.Ballot{Round: 1000, Proposer: Key(chain[2])}, View: view,
+		}}})
 		c.kill(dead)
 		for survivors[0].node.View().Number < next && c.now < 2*settle+time.Minute {
 			c.runFor(time.Millisecond)
@@ -186,10 +191,14 @@
 		name      string
 		near, far *api.Position
 	}{
-		{name: "longer in the same view",
-			near: &api.Position{SyncedView: 7, Sequence: 40}, far: &api.Position{SyncedView: 7, Sequence: 41}},
-		{name: "shorter, and of a later view",
-			near: &api.Position{SyncedView: 7, Sequence: 90}, far: &api.Position{SyncedView: 8, Sequence: 41}},
+		{
+			name: "longer in the same view",
+			near: &api.Position{SyncedView: 7, Sequence: 40}, far: &api.Position{SyncedView: 7, Sequence: 41},
+		},
+		{
+			name: "shorter, and of a later view",
+			near: &api.Position{SyncedView: 7, Sequence: 90}, far: &api.Position{SyncedView: 8, Sequence: 41},
+		},
 	} {
 		t.Run(story.name, func(t *testing.T) {
 			for furthest := range 3 {
--- a/internal/system/configuration/text.go
+++ b/internal/system/configuration/text.go
@@ -94,8 +94,10 @@
 
 // join makes the JSON of a document out of its parts.
 func (p *parts) join(version uint64) []byte {
-	whole := map[string]any{routeList: rawOf(p.routes), serviceList: rawOf(p.services),
-		versionKey: json.RawMessage(strconv.FormatUint(version, 10))}
+	whole := map[string]any{
+		routeList: rawOf(p.routes), serviceList: rawOf(p.services),
+		versionKey: json.RawMessage(strconv.FormatUint(version, 10)),
+	}
 	for name, value := range p.rest {
 		whole[name] = value
 	}
--- a/internal/system/control/fragments_test.go
+++ b/internal/system/control/fragments_test.go
@@ -15,7 +15,8 @@
 // largeMessage is a message of so many bytes and a few more.
 func largeMessage(size int, fill byte) *api.ChainMessage {
 	return &api.ChainMessage{ViewNumber: uint64(fill), Body: &api.ChainMessage_CatchUp{CatchUp: &api.CatchUp{
-		Snapshot: &api.Snapshot{State: &api.State{Document: bytes.Repeat([]byte{fill}, size)}}}}}
+		Snapshot: &api.Snapshot{State: &api.State{Document: bytes.Repeat([]byte{fill}, size)}},
+	}}}
 }
 
 // carry sends a message in parts until it is over; lost tells which calls get no answer, and whether the part
--- a/internal/system/control/keeper.go
+++ b/internal/system/control/keeper.go
@@ -49,8 +49,10 @@
 // NewKeeper makes a keeper.
 func NewKeeper(machine *host.Host, sender Sender, out *feed.Store) *Keeper {
 	settings := machine.Settings
-	return &Keeper{machine: machine, settings: settings, config: chain.DefaultConfig(settings.TargetMembers()), sender: sender, feed: out,
-		life: mathrand.Uint64(), log: machine.Log, events: make(chan func(), mostEvents), began: time.Now()}
+	return &Keeper{
+		machine: machine, settings: settings, config: chain.DefaultConfig(settings.TargetMembers()), sender: sender, feed: out,
+		life: mathrand.Uint64(), log: machine.Log, events: make(chan func(), mostEvents), began: time.Now(),
+	}
 }
 
 // now is the steady clock. It starts above 0.
@@ -277,8 +279,10 @@
 		return Standing{NoStore: true}
 	}
 	node := r.Node()
-	s := Standing{Head: node.Head().GetAddress(), Tail: node.Tail().GetAddress(), Connected: node.Connected(),
-		View: node.View().GetNumber(), Committed: node.Committed(), CatchingUp: node.CatchingUp()}
+	s := Standing{
+		Head: node.Head().GetAddress(), Tail: node.Tail().GetAddress(), Connected: node.Connected(),
+		View: node.View().GetNumber(), Committed: node.Committed(), CatchingUp: node.CatchingUp(),
+	}
 	for _, member := range node.View().Members {
 		s.Members = append(s.Members, member.Address)
 	}
--- a/internal/system/control/link.go
+++ b/internal/system/control/link.go
@@ -44,8 +44,10 @@
 }
 
 func newPeerLink(ctx context.Context, r *Registry, address string) *peerLink {
-	l := &peerLink{registry: r, address: address, wake: make(chan struct{}, 1), began: time.Now(),
-		observed: hints.New[*api.Observation](mostHints, hintLife)}
+	l := &peerLink{
+		registry: r, address: address, wake: make(chan struct{}, 1), began: time.Now(),
+		observed: hints.New[*api.Observation](mostHints, hintLife),
+	}
 	l.ctx, l.end = context.WithCancel(ctx)
 	return l
 }
--- a/internal/system/control/operator.go
+++ b/internal/system/control/operator.go
@@ -136,7 +136,8 @@
 		return
 	}
 	finish(ctx, s.Order(&api.Operation{Kind: &api.Operation_Evacuation{
-		Evacuation: &api.SetEvacuation{Zone: zone, Active: verb == verbBegin}}}))
+		Evacuation: &api.SetEvacuation{Zone: zone, Active: verb == verbBegin},
+	}}))
 }
 
 // heartbeat is what a backend says of itself.
@@ -198,8 +199,10 @@
 }
 
 func (h *heartbeat) backend(id string) *api.Backend {
-	b := &api.Backend{Id: id, Service: h.Service, Address: h.Address, Zone: h.Zone, Software: h.Software, Slots: h.Slots,
-		Draining: h.State == stateDraining, ColdLeftMs: uint32(max(0, h.ColdLeft)), CallSequence: h.Sequence}
+	b := &api.Backend{
+		Id: id, Service: h.Service, Address: h.Address, Zone: h.Zone, Software: h.Software, Slots: h.Slots,
+		Draining: h.State == stateDraining, ColdLeftMs: uint32(max(0, h.ColdLeft)), CallSequence: h.Sequence,
+	}
 	for _, m := range h.Models {
 		b.Models = append(b.Models, &api.ModelHeld{Name: m.Name, Version: m.Version, Adapters: m.Adapters})
 	}
--- a/internal/system/control/owners.go
+++ b/internal/system/control/owners.go
@@ -57,7 +57,8 @@
 }
 
 func newOwners(bounds boot.Bounds, out *feed.Store, headOf func() (uint64, bool), order func(*api.Operation, uint64),
-	log logr.Logger) *owners {
+	log logr.Logger,
+) *owners {
 	lease := boot.Milliseconds(bounds.LeaseMS)
 	if lease <= 0 {
 		lease = usualLease
@@ -204,8 +205,10 @@
 	node := ownership.Choose(key, from)
 	holder := ownership.Holder(node.Name, node.Incarnation)
 	replaces := owned.GetFence()
-	operation := &api.Operation{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{Key: key, Holder: holder, Address: node.Address,
-		Replaces: &replaces}}}
+	operation := &api.Operation{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{
+		Key: key, Holder: holder, Address: node.Address,
+		Replaces: &replaces,
+	}}}
 	o.roles[key] = &roleState{holder: holder, granted: o.now(), passed: passed, ordered: operation}
 	return operation
 }
--- a/internal/system/control/registry.go
+++ b/internal/system/control/registry.go
@@ -51,8 +51,10 @@
 
 // NewRegistry makes an empty registry; self is this process.
 func NewRegistry(self *api.ControlNode, out *feed.Store, beat time.Duration, client *transport.Client) *Registry {
-	return &Registry{self: self, feed: out, beat: beat, client: client, heard: map[string]heard{}, nodes: map[string]heard{},
-		peers: map[string]time.Time{}, places: map[string]*api.ControlNode{}, links: map[string]*peerLink{}, read: map[string]time.Time{}}
+	return &Registry{
+		self: self, feed: out, beat: beat, client: client, heard: map[string]heard{}, nodes: map[string]heard{},
+		peers: map[string]time.Time{}, places: map[string]*api.ControlNode{}, links: map[string]*peerLink{}, read: map[string]time.Time{},
+	}
 }
 
 // Silence is how long a backend may be silent before it is dropped.
--- a/internal/system/control/replica.go
+++ b/internal/system/control/replica.go
@@ -83,9 +83,12 @@
 
 // NewReplica makes a replica of what the disk holds.
 func NewReplica(cfg chain.Config, durable chain.Durable, contacts []string, saver Saver, sender Sender,
-	out *feed.Store, log logr.Logger, now time.Duration) *Replica {
-	r := &Replica{machine: state.New(), saver: saver, sender: sender, feed: out, log: log,
-		confirms: map[uint64]*batch{}, reads: map[uint64]*pendingRead{}}
+	out *feed.Store, log logr.Logger, now time.Duration,
+) *Replica {
+	r := &Replica{
+		machine: state.New(), saver: saver, sender: sender, feed: out, log: log,
+		confirms: map[uint64]*batch{}, reads: map[uint64]*pendingRead{},
+	}
 	r.node = chain.New(cfg, durable, r.machine, contacts, now)
 	r.publish(true, nil)
 	return r
--- a/internal/system/control/role.go
+++ b/internal/system/control/role.go
@@ -43,8 +43,10 @@
 	go receiveDatagrams(socket, keeper.Deliver)
 	self := &api.ControlNode{Address: settings.PeerAddress(), Zone: settings.Zone, PublicAddress: settings.Listen.Control}
 	registry := NewRegistry(self, out, settings.BeatInterval(), client)
-	service := &Service{keeper: keeper, registry: registry, feed: out, self: settings.PeerAddress(), client: client,
-		incoming: newIncoming()}
+	service := &Service{
+		keeper: keeper, registry: registry, feed: out, self: settings.PeerAddress(), client: client,
+		incoming: newIncoming(),
+	}
 	members := &memberList{seeds: settings.SeedPeers}
 	service.owners = newOwners(settings.Bounds, out, func() (uint64, bool) { return members.headOf(settings.PeerAddress()) },
 		service.grant, log)
--- a/internal/system/control/status.go
+++ b/internal/system/control/status.go
@@ -66,8 +66,10 @@
 	patience, cancel := context.WithTimeout(context.Background(), statusPatience)
 	defer cancel()
 	standing := s.standing(patience)
-	out := Status{Node: s.self, Connected: standing.Connected, View: standing.View, Head: standing.Head, Tail: standing.Tail,
-		Members: standing.Members, Chain: standing.Chain, Leaving: standing.Leaving, CatchingUp: standing.CatchingUp, Committed: standing.Committed, StoreFailed: standing.NoStore}
+	out := Status{
+		Node: s.self, Connected: standing.Connected, View: standing.View, Head: standing.Head, Tail: standing.Tail,
+		Members: standing.Members, Chain: standing.Chain, Leaving: standing.Leaving, CatchingUp: standing.CatchingUp, Committed: standing.Committed, StoreFailed: standing.NoStore,
+	}
 	s.feed.View(func(m *state.Machine) {
 		out.Version, out.Evacuated = m.Version(), m.EvacuatedZones()
 		for _, o := range m.Ownerships() {
--- a/internal/system/control/world_clients_test.go
+++ b/internal/system/control/world_clients_test.go
@@ -178,13 +178,17 @@
 }
 
 func (cl *worldClients) addConfig(began time.Duration, input linear.ConfigurationCall, answer linear.ConfigurationAnswer) {
-	cl.configs = append(cl.configs, porcupine.Operation{ClientId: len(cl.configs), Input: input, Call: int64(began), Output: answer,
-		Return: cl.returned(answer.Known)})
+	cl.configs = append(cl.configs, porcupine.Operation{
+		ClientId: len(cl.configs), Input: input, Call: int64(began), Output: answer,
+		Return: cl.returned(answer.Known),
+	})
 }
 
 func (cl *worldClients) addSwitch(began time.Duration, input linear.SwitchCall, answer linear.SwitchAnswer) {
-	cl.switches = append(cl.switches, porcupine.Operation{ClientId: len(cl.switches), Input: input, Call: int64(began), Output: answer,
-		Return: cl.returned(answer.Known)})
+	cl.switches = append(cl.switches, porcupine.Operation{
+		ClientId: len(cl.switches), Input: input, Call: int64(began), Output: answer,
+		Return: cl.returned(answer.Known),
+	})
 }
 
 // change has a configuration taken on top of the newest one; two operators do so at once.
@@ -323,8 +327,10 @@
 
 func (w *world) addAgent(number int) {
 	name := fmt.Sprintf("a%d", number)
-	a := &simAgent{world: w, node: &api.Node{Name: name, Address: name + ":1", Incarnation: 1}, holder: ownership.Holder(name, 1),
-		feed: feed.New(name, w.clock), cursor: feed.NewCursor(nil), at: number}
+	a := &simAgent{
+		world: w, node: &api.Node{Name: name, Address: name + ":1", Incarnation: 1}, holder: ownership.Holder(name, 1),
+		feed: feed.New(name, w.clock), cursor: feed.NewCursor(nil), at: number,
+	}
 	w.agents = append(w.agents, a)
 	regularly := func(span time.Duration, do func()) {
 		w.every(span, func() bool {
--- a/internal/system/control/world_history_test.go
+++ b/internal/system/control/world_history_test.go
@@ -415,8 +415,10 @@
 		return time.Duration(rng.Int64N(int64(most))).Truncate(time.Millisecond)
 	}
 	for range worldHistoryFaults {
-		h.faults = append(h.faults, worldFault{kind: kinds[rng.IntN(len(kinds))], lasts: span(worldLongestFault), rest: span(worldLongestRest),
-			seed: rng.Uint64()})
+		h.faults = append(h.faults, worldFault{
+			kind: kinds[rng.IntN(len(kinds))], lasts: span(worldLongestFault), rest: span(worldLongestRest),
+			seed: rng.Uint64(),
+		})
 	}
 	return h
 }
@@ -510,9 +512,11 @@
 	}
 	t.Logf("in %d histories: %v", histories, total)
 	// Each thing that the histories are about did happen.
-	for _, what := range []string{"a call was held up", "an order came too late", "a write was refused", "power was lost in a write",
+	for _, what := range []string{
+		"a call was held up", "an order came too late", "a write was refused", "power was lost in a write",
 		"a second loss met a repair", "changes were taken while one was cut off for 20 s", "a process left the chain",
-		"a disk was lost right after a replacement", "the head was met", "the tail was met"} {
+		"a disk was lost right after a replacement", "the head was met", "the tail was met",
+	} {
 		if total[what] == 0 && histories >= 100 {
 			t.Errorf("in %d histories it never happened that %s", histories, what)
 		}
--- a/internal/system/control/world_test.go
+++ b/internal/system/control/world_test.go
@@ -91,8 +91,10 @@
 )
 
 func newWorld(t *testing.T, seed uint64, cores int) *world {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 11)), now: time.Second, cut: map[link]bool{}, trace: fnv.New64a(),
-		crossed: map[string]int{}}
+	w := &world{
+		t: t, rng: rand.New(rand.NewPCG(seed, 11)), now: time.Second, cut: map[link]bool{}, trace: fnv.New64a(),
+		crossed: map[string]int{},
+	}
 	for i := range cores {
 		w.seeds = append(w.seeds, fmt.Sprintf("c%d", i))
 	}
--- a/internal/system/emulator/clients.go
+++ b/internal/system/emulator/clients.go
@@ -69,8 +69,10 @@
 
 // draw makes a request of a kind.
 func (c *Config) draw(kind *Kind, at time.Duration, rng *rand.Rand) *request {
-	q := &request{kind: kind, at: at, firstTry: at, zone: rng.IntN(c.Zones), proxy: rng.IntN(c.ProxiesPerZone),
-		deadline: at + kind.Deadline}
+	q := &request{
+		kind: kind, at: at, firstTry: at, zone: rng.IntN(c.Zones), proxy: rng.IntN(c.ProxiesPerZone),
+		deadline: at + kind.Deadline,
+	}
 	if kind.Rare {
 		q.model = fmt.Sprintf("rare-%d", drawRank(c.RareModels, c.RareSkew, rng))
 	} else {
--- a/internal/system/emulator/config.go
+++ b/internal/system/emulator/config.go
@@ -107,18 +107,28 @@
 		Seed: seed, Zones: 5, ProxiesPerZone: 18, BackendsEach: 28, CrossZone: 900 * time.Microsecond, InZone: 200 * time.Microsecond,
 		BusyModels: 45, BusyNow: 18, RareModels: 400, Skew: 0.4, RareSkew: 0.3, ModelMB: 68000, AdapterMB: 66, Adapters: 20,
 		Kinds: []Kind{
-			{Name: "short", PerSecond: 457, Aim: 800 * time.Millisecond, Deadline: 5 * time.Second, Worth: 2, Late: 0.6, Priority: 1,
-				SharedTokens: 568, PromptTokens: 1800, OutputTokens: 22, AdapterShare: 0.1},
-			{Name: "rare", PerSecond: 63, Aim: 6 * time.Second, Deadline: 15 * time.Second, Worth: 3, Late: 0.9,
-				SharedTokens: 568, PromptTokens: 1800, OutputTokens: 22, Rare: true},
-			{Name: "long", PerSecond: 135, Aim: 800 * time.Millisecond, Deadline: 15 * time.Second, Worth: 1, Late: 0.3, Priority: 2,
-				SharedTokens: 350, PromptTokens: 1110, OutputTokens: 171, AdapterShare: 0.1},
+			{
+				Name: "short", PerSecond: 457, Aim: 800 * time.Millisecond, Deadline: 5 * time.Second, Worth: 2, Late: 0.6, Priority: 1,
+				SharedTokens: 568, PromptTokens: 1800, OutputTokens: 22, AdapterShare: 0.1,
+			},
+			{
+				Name: "rare", PerSecond: 63, Aim: 6 * time.Second, Deadline: 15 * time.Second, Worth: 3, Late: 0.9,
+				SharedTokens: 568, PromptTokens: 1800, OutputTokens: 22, Rare: true,
+			},
+			{
+				Name: "long", PerSecond: 135, Aim: 800 * time.Millisecond, Deadline: 15 * time.Second, Worth: 1, Late: 0.3, Priority: 2,
+				SharedTokens: 350, PromptTokens: 1110, OutputTokens: 171, AdapterShare: 0.1,
+			},
 		},
 		Shifts: []Shift{{At: 5 * time.Second, Over: 8 * time.Second, Places: 2}},
-		Bursts: []Burst{{At: 10500 * time.Millisecond, Over: 3200 * time.Millisecond, Kind: "rare", Factor: 2.2},
-			{At: 18 * time.Second, Over: 3600 * time.Millisecond, Kind: "short", Factor: 1.4}},
-		Engine: Engine{Slots: 64, Step: 8870 * time.Microsecond, StepPerSlot: 39 * time.Microsecond, Chunk: 2048, TokensPerMS: 19.1,
-			PairsMSPerM: 1.47, Stride: 3, LongestPause: 400 * time.Millisecond, CapacityMB: 220000, AdapterSlots: 8, LoadTime: 4100 * time.Millisecond, LoadPerSecond: 40, LoadsAtOnce: 164},
+		Bursts: []Burst{
+			{At: 10500 * time.Millisecond, Over: 3200 * time.Millisecond, Kind: "rare", Factor: 2.2},
+			{At: 18 * time.Second, Over: 3600 * time.Millisecond, Kind: "short", Factor: 1.4},
+		},
+		Engine: Engine{
+			Slots: 64, Step: 8870 * time.Microsecond, StepPerSlot: 39 * time.Microsecond, Chunk: 2048, TokensPerMS: 19.1,
+			PairsMSPerM: 1.47, Stride: 3, LongestPause: 400 * time.Millisecond, CapacityMB: 220000, AdapterSlots: 8, LoadTime: 4100 * time.Millisecond, LoadPerSecond: 40, LoadsAtOnce: 164,
+		},
 		Length: 26 * time.Second, ReportEvery: 125 * time.Millisecond,
 	}
 }
--- a/internal/system/emulator/placer.go
+++ b/internal/system/emulator/placer.go
@@ -31,8 +31,10 @@
 func newPlacer(w *world) *placer {
 	c := &w.cfg
 	p := &placer{world: w, planner: placement.New(0), askedAt: map[string]time.Duration{}, doneAt: map[string]time.Duration{}}
-	service := placement.Service{Models: map[string]placement.Model{}, CapacityMB: c.Engine.CapacityMB, AdapterCapacity: c.Engine.AdapterSlots,
-		LoadPerSecond: c.Engine.LoadPerSecond}
+	service := placement.Service{
+		Models: map[string]placement.Model{}, CapacityMB: c.Engine.CapacityMB, AdapterCapacity: c.Engine.AdapterSlots,
+		LoadPerSecond: c.Engine.LoadPerSecond,
+	}
 	for _, name := range c.models() {
 		service.Models[name] = placement.Model{Name: name, SizeMB: c.ModelMB, LoadTime: c.Engine.LoadTime, AdapterSizeMB: c.AdapterMB}
 	}
--- a/internal/system/emulator/proxy.go
+++ b/internal/system/emulator/proxy.go
@@ -60,10 +60,14 @@
 
 func newProxy(w *world, zone, index int) (*proxy, error) {
 	name := fmt.Sprintf("proxy-%d-%d", zone, index)
-	p := &proxy{world: w, name: name, zone: zone, calls: map[marlreel.RequestID]*call{}, asked: map[placement.Key]*asked{},
-		idle: map[marlreel.BackendID][]time.Duration{}}
-	p.advisor = routing.New(routing.Config{Self: name, Engines: true, Cold: shares.ColdConfig{PerSecond: 1e6, Excess: 1},
-		Repeats: shares.RepeatsConfig{Ratio: 1, Slack: 1e6, Window: 10 * time.Second}}, clockStart)
+	p := &proxy{
+		world: w, name: name, zone: zone, calls: map[marlreel.RequestID]*call{}, asked: map[placement.Key]*asked{},
+		idle: map[marlreel.BackendID][]time.Duration{},
+	}
+	p.advisor = routing.New(routing.Config{
+		Self: name, Engines: true, Cold: shares.ColdConfig{PerSecond: 1e6, Excess: 1},
+		Repeats: shares.RepeatsConfig{Ratio: 1, Slack: 1e6, Window: 10 * time.Second},
+	}, clockStart)
 	p.advisor.SharedWith(clockStart, []string{name}, true)
 	rank := zone*w.cfg.ProxiesPerZone + index
 	settings := routing.Settings(w.classes, w.cfg.Zones*w.cfg.ProxiesPerZone, rank, zone, p.advisor)
@@ -116,8 +120,10 @@
 		})
 	}
 	w.clock.after(q.deadline-w.clock.now, func() { p.leave(id) })
-	p.balancer.Request(p.now(), marlreel.Request{ID: id, Class: w.classOf[q.kind], Cost: cost, Deadline: q.deadline + clockStart,
-		Needs: &marlreel.Needs{Model: q.model, Adapter: q.adapter, Output: q.outputTokens}})
+	p.balancer.Request(p.now(), marlreel.Request{
+		ID: id, Class: w.classOf[q.kind], Cost: cost, Deadline: q.deadline + clockStart,
+		Needs: &marlreel.Needs{Model: q.model, Adapter: q.adapter, Output: q.outputTokens},
+	})
 }
 
 // leave is a client's end: its time is up.
@@ -162,7 +168,8 @@
 		}
 	}
 	kind := c.request.kind
-	a.run = &run{request: c.request, priority: routing.Urgency(kind.Aim, kind.Priority, w.clock.now-c.request.at),
+	a.run = &run{
+		request: c.request, priority: routing.Urgency(kind.Aim, kind.Priority, w.clock.now-c.request.at),
 		first:  func() { w.clock.after(way, func() { p.first(id, n) }) },
 		paused: func() { c.paused = true },
 		last: func() {
@@ -171,7 +178,8 @@
 				end(marlreel.OK)
 			})
 		},
-		rejected: func() { w.clock.after(way, func() { end(marlreel.Full) }) }}
+		rejected: func() { w.clock.after(way, func() { end(marlreel.Full) }) },
+	}
 	w.clock.after(way, func() {
 		if !a.run.off {
 			b.take(a.run)
--- a/internal/system/emulator/world.go
+++ b/internal/system/emulator/world.go
@@ -47,8 +47,10 @@
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	w := &world{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), classOf: map[*Kind]int{}, byID: map[string]*backend{},
-		score: newScore(&cfg), holder: backlog.New()}
+	w := &world{
+		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), classOf: map[*Kind]int{}, byID: map[string]*backend{},
+		score: newScore(&cfg), holder: backlog.New(),
+	}
 	w.makeClasses()
 	w.makeBackends()
 	if err := w.makeProxies(); err != nil {
@@ -72,8 +74,10 @@
 	for i := range w.cfg.Kinds {
 		kind := &w.cfg.Kinds[i]
 		w.classOf[kind] = len(w.classes)
-		w.classes = append(w.classes, marlreel.Class{Name: kind.Name, Aim: kind.Aim, GiveUp: 2 * time.Minute, LateShare: lateShare,
-			Value: 1, Generates: true, MostRuns: 2})
+		w.classes = append(w.classes, marlreel.Class{
+			Name: kind.Name, Aim: kind.Aim, GiveUp: 2 * time.Minute, LateShare: lateShare,
+			Value: 1, Generates: true, MostRuns: 2,
+		})
 	}
 }
 
@@ -106,8 +110,10 @@
 func (w *world) makeBackends() {
 	c := &w.cfg
 	for i := range c.Zones * c.BackendsEach {
-		b := &backend{world: w, id: fmt.Sprintf("backend-%d", i), zone: i % c.Zones, held: map[string]map[string]bool{},
-			had: map[string]bool{}, kept: map[string]bool{}}
+		b := &backend{
+			world: w, id: fmt.Sprintf("backend-%d", i), zone: i % c.Zones, held: map[string]map[string]bool{},
+			had: map[string]bool{}, kept: map[string]bool{},
+		}
 		w.backends = append(w.backends, b)
 		w.byID[b.id] = b
 	}
--- a/internal/system/feed/backends.go
+++ b/internal/system/feed/backends.go
@@ -158,9 +158,11 @@
 	b := record.backend
 	silent := max(0, now.Sub(record.heardAt))
 	left := max(0, int64(b.ColdLeftMs)-silent.Milliseconds())
-	return &api.Backend{Id: b.Id, Service: b.Service, Address: b.Address, Zone: b.Zone, Software: b.Software, Slots: b.Slots,
+	return &api.Backend{
+		Id: b.Id, Service: b.Service, Address: b.Address, Zone: b.Zone, Software: b.Software, Slots: b.Slots,
 		Draining: b.Draining, ColdLeftMs: uint32(left), Models: b.Models, CallSequence: b.CallSequence,
-		AgeMs: uint32(silent.Milliseconds())}
+		AgeMs: uint32(silent.Milliseconds()),
+	}
 }
 
 // ServiceRevision is the revision at which a service's backends last changed.
--- a/internal/system/feed/exchange.go
+++ b/internal/system/feed/exchange.go
@@ -11,8 +11,10 @@
 func (s *Store) Request(known *Cursor) *api.WatchRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return &api.WatchRequest{Source: known.source, Revision: known.revision, Sequence: s.sequence, Hash: s.hash, Topics: known.topics,
-		StatePart: known.wantedPart()}
+	return &api.WatchRequest{
+		Source: known.source, Revision: known.revision, Sequence: s.sequence, Hash: s.hash, Topics: known.topics,
+		StatePart: known.wantedPart(),
+	}
 }
 
 // Cursor is how far a reader has followed one source.
--- a/internal/system/feed/nodes.go
+++ b/internal/system/feed/nodes.go
@@ -67,8 +67,10 @@
 	list := make([]*api.Node, 0, len(s.nodes))
 	for _, record := range s.nodes {
 		n := record.node
-		list = append(list, &api.Node{Name: n.Name, Address: n.Address, Zone: n.Zone, Incarnation: n.Incarnation, Leaving: n.Leaving,
-			AgeMs: uint32(max(0, now.Sub(record.heardAt)).Milliseconds())})
+		list = append(list, &api.Node{
+			Name: n.Name, Address: n.Address, Zone: n.Zone, Incarnation: n.Incarnation, Leaving: n.Leaving,
+			AgeMs: uint32(max(0, now.Sub(record.heardAt)).Milliseconds()),
+		})
 	}
 	slices.SortFunc(list, func(a, b *api.Node) int { return compareStrings(a.Name, b.Name) })
 	return list
--- a/internal/system/feed/parts.go
+++ b/internal/system/feed/parts.go
@@ -45,8 +45,10 @@
 	}
 	data := s.encoded.data
 	end := min(uint64(len(data)), want.Offset+largestAnswer)
-	feed.StatePart = &api.StatePart{Sequence: s.encoded.sequence, Hash: s.encoded.hash, Offset: want.Offset, Total: uint64(len(data)),
-		Data: data[want.Offset:end]}
+	feed.StatePart = &api.StatePart{
+		Sequence: s.encoded.sequence, Hash: s.encoded.hash, Offset: want.Offset, Total: uint64(len(data)),
+		Data: data[want.Offset:end],
+	}
 }
 
 // encode prepares the state for being served in parts, to a reader that knows it up to an entry. One that was prepared
--- a/internal/system/feed/parts_test.go
+++ b/internal/system/feed/parts_test.go
@@ -24,7 +24,8 @@
 // set has a source hold a large configuration, by one more entry.
 func (f *follower) set(sequence, version uint64) {
 	f.source.Append([]*api.Entry{{Sequence: sequence, PreviousHash: sequence, Hash: sequence + 1, Operations: []*api.Operation{{
-		Kind: &api.Operation_Replace{Replace: &api.ReplaceConfiguration{BaseVersion: version - 1, Document: largeDocument(version)}}}}}})
+		Kind: &api.Operation_Replace{Replace: &api.ReplaceConfiguration{BaseVersion: version - 1, Document: largeDocument(version)}},
+	}}}})
 }
 
 // version is that of the configuration that a store holds.
--- a/internal/system/feed/store.go
+++ b/internal/system/feed/store.go
@@ -52,9 +52,11 @@
 
 // New makes an empty store. source names this life of the process.
 func New(source string, now func() time.Time) *Store {
-	return &Store{source: source, changed: make(chan struct{}), machine: state.New(), now: now,
+	return &Store{
+		source: source, changed: make(chan struct{}), machine: state.New(), now: now,
 		backends: map[string]*backendRecord{}, nodes: map[string]*nodeRecord{}, serviceRevision: map[string]uint64{},
-		standings: standings{parts: map[Topic]Standing{}}}
+		standings: standings{parts: map[Topic]Standing{}},
+	}
 }
 
 // touch begins a new revision.
--- a/internal/system/gateway/dialect.go
+++ b/internal/system/gateway/dialect.go
@@ -42,8 +42,10 @@
 			return m.ID == "" || id == "" || id == m.ID
 		},
 		Probe: func(to *engine.Backend) *httpproxy.Message {
-			return &httpproxy.Message{Method: http.MethodGet, Probe: true,
-				Head: []byte("GET " + healthPath() + " HTTP/1.1\r\nHost: " + to.Addr + "\r\n")}
+			return &httpproxy.Message{
+				Method: http.MethodGet, Probe: true,
+				Head: []byte("GET " + healthPath() + " HTTP/1.1\r\nHost: " + to.Addr + "\r\n"),
+			}
 		},
 		KeepsFailures: true,
 	}
--- a/internal/system/gateway/figures.go
+++ b/internal/system/gateway/figures.go
@@ -67,14 +67,19 @@
 	if class.Generates {
 		kind = "streaming"
 	}
-	labels := []metrics.Label{{Key: "service", Value: f.service}, {Key: "kind", Value: kind},
+	labels := []metrics.Label{
+		{Key: "service", Value: f.service},
+		{Key: "kind", Value: kind},
 		{Key: "repeatable", Value: strconv.FormatBool(class.Effect == marlreel.Safe)},
-		{Key: "aim_ms", Value: strconv.FormatInt(class.Aim.Milliseconds(), 10)}}
+		{Key: "aim_ms", Value: strconv.FormatInt(class.Aim.Milliseconds(), 10)},
+	}
 	if len(f.classes) >= mostClasses {
 		labels = []metrics.Label{{Key: "service", Value: f.service}, {Key: "kind", Value: otherLabel}}
 	}
-	figures := &classFigures{causes: map[cause]*vm.Counter{},
-		firstByte: f.set.GetOrCreatePrometheusHistogramExt(metrics.Name("marlreel_first_byte_seconds", labels...), firstByteBounds)}
+	figures := &classFigures{
+		causes:    map[cause]*vm.Counter{},
+		firstByte: f.set.GetOrCreatePrometheusHistogramExt(metrics.Name("marlreel_first_byte_seconds", labels...), firstByteBounds),
+	}
 	for of, word := range causeWords {
 		figures.causes[of] = f.set.GetOrCreateCounter(metrics.Name("marlreel_requests_total",
 			append(labels[:len(labels):len(labels)], metrics.Label{Key: "outcome", Value: word})...))
--- a/internal/system/gateway/front.go
+++ b/internal/system/gateway/front.go
@@ -45,8 +45,10 @@
 		return nil
 	}
 	c := &call{answers: make(chan engine.Answer, 1), aim: book.Settings.Classes[class].Aim, held: true}
-	c.Call = engine.Call{Request: marlreel.Request{Class: class, Cost: work, Needs: needs}, Carrier: s.carrier, Book: book,
-		Payload: message, Front: c}
+	c.Call = engine.Call{
+		Request: marlreel.Request{Class: class, Cost: work, Needs: needs}, Carrier: s.carrier, Book: book,
+		Payload: message, Front: c,
+	}
 	return c
 }
 
@@ -94,8 +96,10 @@
 			defer g.demand.waits(key)()
 		}
 	}
-	e := &exchange{gateway: g, service: s, route: route, message: message, needs: needs, work: work,
-		deadline: arrived.Add(remaining(header, route)), client: ctx.Conn()}
+	e := &exchange{
+		gateway: g, service: s, route: route, message: message, needs: needs, work: work,
+		deadline: arrived.Add(remaining(header, route)), client: ctx.Conn(),
+	}
 	g.finish(ctx, e, e.run(c))
 }
 
--- a/internal/system/gateway/gateway.go
+++ b/internal/system/gateway/gateway.go
@@ -81,9 +81,11 @@
 
 // New makes a gateway that knows nothing yet.
 func New(cfg Config, source *feed.Store) *Gateway {
-	g := &Gateway{self: identity{name: cfg.Name, zones: cfg.Zones, zone: cfg.Zone}, feed: source,
+	g := &Gateway{
+		self: identity{name: cfg.Name, zones: cfg.Zones, zone: cfg.Zone}, feed: source,
 		room: budget.New(cfg.BodyBytes), connections: cfg.Connections, bounds: cfg.Bounds, dial: cfg.Dial, log: cfg.Log, demand: newDemandBook(),
-		counted: map[string]bool{}}
+		counted: map[string]bool{},
+	}
 	g.plan.Store(&plan{services: map[string]*service{}})
 	g.figures = g.newFigures()
 	return g
--- a/internal/system/gateway/lateness.go
+++ b/internal/system/gateway/lateness.go
@@ -21,9 +21,11 @@
 	causeLeft                  // its client left before the aim was over
 )
 
-var causeWords = map[cause]string{causeNone: "in_time", causeRefused: "refused", causeNoHolder: "no_holder",
+var causeWords = map[cause]string{
+	causeNone: "in_time", causeRefused: "refused", causeNoHolder: "no_holder",
 	causeQueued: "queued", causeRetried: "retried", causeFailed: "failed", causeBackend: "backend",
-	causeLeft: "client_left"}
+	causeLeft: "client_left",
+}
 
 // journey is what became of a request, by the engine's clock.
 type journey struct {
--- a/internal/system/gateway/lateness_test.go
+++ b/internal/system/gateway/lateness_test.go
@@ -30,15 +30,21 @@
 		"the first backend died":       {sent(11*ms, 200*ms, 300*ms), causeRetried},
 		"all attempts failed":          {with(sent(11*ms, 20*ms, 30*ms), func(j *journey) { j.verdict = engine.Failed }), causeFailed},
 		"out of time at a backend":     {with(sent(11*ms, 20*ms, 300*ms), func(j *journey) { j.verdict = engine.OutOfTime }), causeFailed},
-		"out of time, never sent": {journey{held: true, verdict: engine.OutOfTime, aim: 100 * ms, answered: 300 * ms},
-			causeQueued},
+		"out of time, never sent": {
+			journey{held: true, verdict: engine.OutOfTime, aim: 100 * ms, answered: 300 * ms},
+			causeQueued,
+		},
 		"refused at once": {journey{held: true, verdict: engine.Refused, aim: 100 * ms, answered: ms}, causeRefused},
 		"refused late":    {journey{held: true, verdict: engine.Refused, aim: 100 * ms, answered: 300 * ms}, causeRefused},
-		"the client left early": {with(sent(11*ms, 11*ms, 50*ms), func(j *journey) { j.left = true }),
-			causeLeft},
+		"the client left early": {
+			with(sent(11*ms, 11*ms, 50*ms), func(j *journey) { j.left = true }),
+			causeLeft,
+		},
 		"the client left after the aim": {with(sent(11*ms, 11*ms, 500*ms), func(j *journey) { j.left = true }), causeBackend},
-		"the client left, no holder": {journey{left: true, aim: 100 * ms, answered: 300 * ms},
-			causeNoHolder},
+		"the client left, no holder": {
+			journey{left: true, aim: 100 * ms, answered: 300 * ms},
+			causeNoHolder,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/system/gateway/request.go
+++ b/internal/system/gateway/request.go
@@ -20,9 +20,11 @@
 )
 
 // hopByHop are the headers that end here; framing and bounds are each side's own.
-var hopByHop = map[string]bool{"Connection": true, "Proxy-Connection": true, "Keep-Alive": true, "Te": true,
+var hopByHop = map[string]bool{
+	"Connection": true, "Proxy-Connection": true, "Keep-Alive": true, "Te": true,
 	"Trailer": true, "Upgrade": true, "Transfer-Encoding": true, "Content-Length": true, "Expect": true, "Host": true,
-	headerRemaining: true, headerExpected: true}
+	headerRemaining: true, headerExpected: true,
+}
 
 // newMessage writes a request down as backends get it. lastEvent replaces the client's
 // own word on where a stream is to go on; "" leaves that as it is.
@@ -48,8 +50,10 @@
 		head = append(head, "Content-Length: "...)
 		head = append(strconv.AppendInt(head, int64(len(body)), 10), "\r\n"...)
 	}
-	return &httpproxy.Message{Method: string(header.Method()), Head: head, Body: body,
-		ID: string(header.Peek(headerRequestID)), Prompt: route.Streaming()}
+	return &httpproxy.Message{
+		Method: string(header.Method()), Head: head, Body: body,
+		ID: string(header.Peek(headerRequestID)), Prompt: route.Streaming(),
+	}
 }
 
 // connectionTokens are the headers that concern this connection alone.
--- a/internal/system/gateway/role.go
+++ b/internal/system/gateway/role.go
@@ -46,8 +46,10 @@
 		zones = append(zones, zone)
 	}
 	slices.Sort(zones)
-	g := New(Config{Dial: machine.Network.Dial, Name: settings.NodeName, Zone: settings.Zone, Zones: zones, Log: log,
-		BodyBytes: settings.Limits.MemoryMB << 20 / 4, Connections: max(64, (settings.Limits.Files-keptFiles)/2), Bounds: boundsOf(settings.Bounds)}, source)
+	g := New(Config{
+		Dial: machine.Network.Dial, Name: settings.NodeName, Zone: settings.Zone, Zones: zones, Log: log,
+		BodyBytes: settings.Limits.MemoryMB << 20 / 4, Connections: max(64, (settings.Limits.Files-keptFiles)/2), Bounds: boundsOf(settings.Bounds),
+	}, source)
 	front := g.newServer(g.Handle)
 	front.MaxRequestBodySize = 64 << 20
 	front.ReadBufferSize = headerBuffer
@@ -113,15 +115,19 @@
 }
 
 func boundsOf(b boot.Bounds) Bounds {
-	return Bounds{ColdExcess: b.ColdExcess, ColdSlack: b.ColdSlack, Repeats: shares.RepeatsConfig{Ratio: b.RetryBudgetRatio,
-		Slack: b.RetrySlack, Window: boot.Seconds(b.RetryWindowS)}}
+	return Bounds{ColdExcess: b.ColdExcess, ColdSlack: b.ColdSlack, Repeats: shares.RepeatsConfig{
+		Ratio: b.RetryBudgetRatio,
+		Slack: b.RetrySlack, Window: boot.Seconds(b.RetryWindowS),
+	}}
 }
 
 // newServer makes a server for a handler, with the limits that hold for all.
 func (g *Gateway) newServer(handler fasthttp.RequestHandler) *fasthttp.Server {
-	return &fasthttp.Server{Handler: handler, NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true,
+	return &fasthttp.Server{
+		Handler: handler, NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true,
 		DisablePreParseMultipartForm: true, Logger: quiet{}, HeaderReceived: g.limits, IdleTimeout: usualIdle,
-		ReadTimeout: usualRead}
+		ReadTimeout: usualRead,
+	}
 }
 
 const (
--- a/internal/system/gateway/service.go
+++ b/internal/system/gateway/service.go
@@ -110,8 +110,10 @@
 	if aim <= 0 {
 		aim = r.Timeout()
 	}
-	class := marlreel.Class{Name: className(r), Aim: aim, GiveUp: longestWait, LateShare: lateShare, Value: 1,
-		Generates: r.Streaming(), MostRuns: r.Attempts()}
+	class := marlreel.Class{
+		Name: className(r), Aim: aim, GiveUp: longestWait, LateShare: lateShare, Value: 1,
+		Generates: r.Streaming(), MostRuns: r.Attempts(),
+	}
 	if r.Repeatable() {
 		class.Effect = marlreel.Safe
 	}
@@ -143,16 +145,21 @@
 
 // newService starts a service. It needs at least one class.
 func newService(cfg *configuration.Service, classes []marlreel.Class, proxies int, self identity, bounds Bounds,
-	room *budget.Budget, connections int, dial transport.Dial, figures *serviceFigures, log logr.Logger) (*service, error) {
-	s := &service{name: cfg.Name, engines: cfg.Engine != nil, classes: classes, proxies: proxies, rank: self.rank(),
-		zone: self.zoneIndex(self.zone), bounds: bounds}
+	room *budget.Budget, connections int, dial transport.Dial, figures *serviceFigures, log logr.Logger,
+) (*service, error) {
+	s := &service{
+		name: cfg.Name, engines: cfg.Engine != nil, classes: classes, proxies: proxies, rank: self.rank(),
+		zone: self.zoneIndex(self.zone), bounds: bounds,
+	}
 	s.advisor = routing.New(routing.Config{Self: self.name, Engines: s.engines, Cold: bounds.coldOf(cfg), Repeats: bounds.Repeats},
 		engine.ClockStart)
 	s.healthPath.Store(&cfg.HealthPath)
 	log = log.WithValues("service", cfg.Name)
 	var err error
-	s.engine, err = engine.New(engine.Config{Settings: s.settings(), Seed: uint64(s.rank), Listed: func() {},
-		Logf: func(format string, args ...any) { log.V(1).Info(fmt.Sprintf(format, args...), "event", "decision") }})
+	s.engine, err = engine.New(engine.Config{
+		Settings: s.settings(), Seed: uint64(s.rank), Listed: func() {},
+		Logf: func(format string, args ...any) { log.V(1).Info(fmt.Sprintf(format, args...), "event", "decision") },
+	})
 	if err != nil {
 		return nil, err
 	}
@@ -212,8 +219,10 @@
 		if b.Draining || evacuated(b.Zone) {
 			state = marlreel.Draining
 		}
-		list.Entries = append(list.Entries, engine.Entry{Name: b.Id, Addr: b.Address, State: state,
-			Zone: self.zoneIndex(b.Zone), Kind: -1, Cell: -1})
+		list.Entries = append(list.Entries, engine.Entry{
+			Name: b.Id, Addr: b.Address, State: state,
+			Zone: self.zoneIndex(b.Zone), Kind: -1, Cell: -1,
+		})
 	}
 	s.engine.Post(func() {
 		s.engine.List(list)
@@ -223,8 +232,10 @@
 			if listed == nil || b.Service != s.name {
 				continue
 			}
-			k := routing.Backend{Backend: residency.Backend{ID: listed.ID, Slots: int(b.Slots)}, Name: b.Id,
-				ColdLeft: time.Duration(b.ColdLeftMs) * time.Millisecond}
+			k := routing.Backend{
+				Backend: residency.Backend{ID: listed.ID, Slots: int(b.Slots)}, Name: b.Id,
+				ColdLeft: time.Duration(b.ColdLeftMs) * time.Millisecond,
+			}
 			for _, m := range b.Models {
 				k.Held = append(k.Held, residency.Held{Model: m.Name, Adapters: m.Adapters})
 			}
--- a/internal/system/gateway/trace.go
+++ b/internal/system/gateway/trace.go
@@ -18,12 +18,16 @@
 
 // The words of results and verdicts.
 var (
-	resultWords = map[marlreel.Result]string{marlreel.OK: "ok", marlreel.Error: "error", marlreel.Full: "full",
+	resultWords = map[marlreel.Result]string{
+		marlreel.OK: "ok", marlreel.Error: "error", marlreel.Full: "full",
 		marlreel.Timeout: "timeout", marlreel.ConnectFailed: "no connection", marlreel.Reset: "reset",
-		marlreel.Cancelled: "cancelled", marlreel.Moot: "not sent", marlreel.Declined: "declined"}
-	verdictWords = map[engine.Verdict]string{engine.Served: "served", engine.Refused: "refused",
+		marlreel.Cancelled: "cancelled", marlreel.Moot: "not sent", marlreel.Declined: "declined",
+	}
+	verdictWords = map[engine.Verdict]string{
+		engine.Served: "served", engine.Refused: "refused",
 		engine.Overloaded: "overloaded", engine.Failed: "failed", engine.OutOfTime: "out of time",
-		engine.Stopped: "stopped", engine.InUse: "in use", engine.Left: "left"}
+		engine.Stopped: "stopped", engine.InUse: "in use", engine.Left: "left",
+	}
 )
 
 func requestOf(c *engine.Call) (id, model string) {
--- a/internal/system/host/host.go
+++ b/internal/system/host/host.go
@@ -51,9 +51,11 @@
 
 // Machine is the host of a real machine.
 func Machine(settings *boot.Settings, log logr.Logger) *Host {
-	return &Host{Settings: settings, Network: TCP{}, Log: log,
+	return &Host{
+		Settings: settings, Network: TCP{}, Log: log,
 		Open:   func() (*store.Store, error) { return store.Open(settings.DataDir) },
-		Forget: func() error { return store.Remove(settings.DataDir) }}
+		Forget: func() error { return store.Remove(settings.DataDir) },
+	}
 }
 
 const (
--- a/internal/system/linear/configuration_test.go
+++ b/internal/system/linear/configuration_test.go
@@ -21,8 +21,10 @@
 		return porcupine.Operation{Input: ConfigurationCall{Base: base, Text: text}, Call: call, Output: answer, Return: returned}
 	}
 	read := func(call, returned int64, version uint64, text string) porcupine.Operation {
-		return porcupine.Operation{Input: ConfigurationCall{Read: true}, Call: call,
-			Output: ConfigurationAnswer{Known: true, Version: version, Text: text}, Return: returned}
+		return porcupine.Operation{
+			Input: ConfigurationCall{Read: true}, Call: call,
+			Output: ConfigurationAnswer{Known: true, Version: version, Text: text}, Return: returned,
+		}
 	}
 	taken, refused := ConfigurationAnswer{Known: true, Taken: true}, ConfigurationAnswer{Known: true}
 	for name, of := range map[string]struct {
--- a/internal/system/placement/census.go
+++ b/internal/system/placement/census.go
@@ -15,8 +15,10 @@
 
 // count takes the census.
 func (p *Planner) count() {
-	c := &census{holders: map[string]int{}, inZone: map[zoneModel]int{}, now: map[string]int{}, free: map[string]int{},
-		at: map[string][]*backend{}, adapters: map[Key]int{}}
+	c := &census{
+		holders: map[string]int{}, inZone: map[zoneModel]int{}, now: map[string]int{}, free: map[string]int{},
+		at: map[string][]*backend{}, adapters: map[Key]int{},
+	}
 	p.census = c
 	for _, b := range p.sorted() {
 		if !b.usable {
