--- a/internal/system/placement/placement_test.go
+++ b/internal/system/placement/placement_test.go
@@ -23,9 +23,11 @@
 }
 
 func newWorld(t *testing.T, backends, models int) *world {
-	w := &world{planner: New(time.Second), now: time.Second, holds: map[string]map[string][]string{}, revision: map[string]uint64{},
+	w := &world{
+		planner: New(time.Second), now: time.Second, holds: map[string]map[string][]string{}, revision: map[string]uint64{},
 		until: map[string]time.Duration{}, doing: map[string]Order{}, had: map[string]bool{}, t: t,
-		service: Service{Models: map[string]Model{}, CapacityMB: 200000, AdapterCapacity: 8, LoadPerSecond: 2.2}}
+		service: Service{Models: map[string]Model{}, CapacityMB: 200000, AdapterCapacity: 8, LoadPerSecond: 2.2},
+	}
 	for i := range models {
 		name := fmt.Sprintf("m%d", i)
 		w.service.Models[name] = Model{Name: name, SizeMB: 60000, LoadTime: 3 * time.Second, AdapterSizeMB: 66}
@@ -215,8 +217,10 @@
 	is := is.New(t)
 	now := time.Second
 	p := New(now)
-	p.Configure(Service{Models: map[string]Model{"m0": {Name: "m0", SizeMB: 60000, LoadTime: time.Second},
-		"m1": {Name: "m1", SizeMB: 60000, LoadTime: time.Second}}, CapacityMB: 100000, AdapterCapacity: 8, LoadPerSecond: 10})
+	p.Configure(Service{Models: map[string]Model{
+		"m0": {Name: "m0", SizeMB: 60000, LoadTime: time.Second},
+		"m1": {Name: "m1", SizeMB: 60000, LoadTime: time.Second},
+	}, CapacityMB: 100000, AdapterCapacity: 8, LoadPerSecond: 10})
 	full := map[string][]string{"m0": nil}
 	p.Listed(now, []Backend{{ID: "b0", Usable: true, Holds: full}})
 	p.Reported(now, "b0", Report{Revision: 3, Holds: full})
@@ -260,8 +264,10 @@
 			is := is.New(t)
 			now := time.Second
 			p := New(now)
-			cfg := Service{CapacityMB: 100000, AdapterCapacity: 8, LoadPerSecond: 10,
-				Models: map[string]Model{"old": {Name: "old", SizeMB: 60000}, "m1": {Name: "m1", SizeMB: 60000, LoadTime: time.Second}}}
+			cfg := Service{
+				CapacityMB: 100000, AdapterCapacity: 8, LoadPerSecond: 10,
+				Models: map[string]Model{"old": {Name: "old", SizeMB: 60000}, "m1": {Name: "m1", SizeMB: 60000, LoadTime: time.Second}},
+			}
 			if knew {
 				p.Configure(cfg)
 			}
--- a/internal/system/placement/planner.go
+++ b/internal/system/placement/planner.go
@@ -87,8 +87,10 @@
 
 // New makes a planner that knows nothing of what was done before it.
 func New(now time.Duration) *Planner {
-	return &Planner{known: map[string]Model{}, backends: map[string]*backend{}, demands: map[Key]*demand{},
-		trends: map[string]*trend{}, works: map[string]*meanWork{}, slopes: leastRate, began: now, loads: bucket{at: now}, rooms: map[*backend]*room{}}
+	return &Planner{
+		known: map[string]Model{}, backends: map[string]*backend{}, demands: map[Key]*demand{},
+		trends: map[string]*trend{}, works: map[string]*meanWork{}, slopes: leastRate, began: now, loads: bucket{at: now}, rooms: map[*backend]*room{},
+	}
 }
 
 // Configure sets what is configured.
--- a/internal/system/routing/advisor.go
+++ b/internal/system/routing/advisor.go
@@ -35,8 +35,10 @@
 // New makes the advice of a process that starts now.
 func New(cfg Config, now time.Duration) *Advisor {
 	sharers := shares.NewSharers(cfg.Self, now)
-	return &Advisor{table: residency.New(cfg.Engines), sharers: sharers, cold: shares.NewCold(cfg.Cold, sharers),
-		repeats: shares.NewRepeats(cfg.Repeats, sharers, now), names: map[marlreel.BackendID]string{}, others: newOthers()}
+	return &Advisor{
+		table: residency.New(cfg.Engines), sharers: sharers, cold: shares.NewCold(cfg.Cold, sharers),
+		repeats: shares.NewRepeats(cfg.Repeats, sharers, now), names: map[marlreel.BackendID]string{}, others: newOthers(),
+	}
 }
 
 var _ marlreel.Advice = (*Advisor)(nil)
--- a/internal/system/routing/advisor_test.go
+++ b/internal/system/routing/advisor_test.go
@@ -13,8 +13,10 @@
 )
 
 func newAdvisor() *Advisor {
-	a := New(Config{Self: "proxy", Engines: true, Cold: shares.ColdConfig{PerSecond: 1, Excess: 1},
-		Repeats: shares.RepeatsConfig{Ratio: 1, Slack: 10, Window: time.Second}}, 0)
+	a := New(Config{
+		Self: "proxy", Engines: true, Cold: shares.ColdConfig{PerSecond: 1, Excess: 1},
+		Repeats: shares.RepeatsConfig{Ratio: 1, Slack: 10, Window: time.Second},
+	}, 0)
 	a.Listed(0, []Backend{
 		{Backend: residency.Backend{ID: 1, Slots: 4, Held: []residency.Held{{Model: "m", Adapters: []string{"a1"}}}}, Name: "one"},
 		{Backend: residency.Backend{ID: 2, Slots: 8, Held: []residency.Held{{Model: "m"}, {Model: "n"}}}, Name: "two"},
--- a/internal/system/routing/settings.go
+++ b/internal/system/routing/settings.go
@@ -26,10 +26,14 @@
 
 // Settings are the decision module's, for one service at one of so many proxies.
 func Settings(classes []marlreel.Class, proxies, rank, zone int, advice marlreel.Advice) marlreel.Config {
-	return marlreel.Config{Instances: max(1, proxies), Rank: rank, Zone: zone, Tick: time.Millisecond,
+	return marlreel.Config{
+		Instances: max(1, proxies), Rank: rank, Zone: zone, Tick: time.Millisecond,
 		Classes: classes, Goal: marlreel.Goal{Whole: 1}, Prices: marlreel.Prices{CrossZone: crossing},
 		Obligations: marlreel.Obligations{Cold: restartSpan, StartCapacity: 1, FallMultiple: 1, Fall: time.Second},
-		Caps: marlreel.Caps{Cancel: true, Probes: true, RetryAfter: true, ConnIdle: connectionIdle,
-			ConnectTimeout: connectTimeout, SweepEvery: sweepEvery, MaxRetryAfter: longestRetryAfter, MaxAttempts: mostTries},
-		Advice: advice}
+		Caps: marlreel.Caps{
+			Cancel: true, Probes: true, RetryAfter: true, ConnIdle: connectionIdle,
+			ConnectTimeout: connectTimeout, SweepEvery: sweepEvery, MaxRetryAfter: longestRetryAfter, MaxAttempts: mostTries,
+		},
+		Advice: advice,
+	}
 }
--- a/internal/system/scale/document.go
+++ b/internal/system/scale/document.go
@@ -48,11 +48,15 @@
 
 // document is a configuration of the size that is asked for.
 func document(cfg Config, version uint64) []byte {
-	d := wireDocument{Version: version, Limits: map[string]int{"max_header_bytes": 16384, "max_body_bytes": 4 << 20,
-		"header_timeout_ms": 3000, "idle_timeout_ms": 15000}}
+	d := wireDocument{Version: version, Limits: map[string]int{
+		"max_header_bytes": 16384, "max_body_bytes": 4 << 20,
+		"header_timeout_ms": 3000, "idle_timeout_ms": 15000,
+	}}
 	for i := range cfg.Routes {
-		d.Routes = append(d.Routes, wireRoute{Name: fmt.Sprint("route-", i), Host: "scale.example", Prefix: fmt.Sprintf("/r%d/", i),
-			Class: "streaming", Timeout: 15000, Target: 800, Service: "llm", Attempts: 2})
+		d.Routes = append(d.Routes, wireRoute{
+			Name: fmt.Sprint("route-", i), Host: "scale.example", Prefix: fmt.Sprintf("/r%d/", i),
+			Class: "streaming", Timeout: 15000, Target: 800, Service: "llm", Attempts: 2,
+		})
 	}
 	engine := &wireEngine{Slots: 64, Memory: 100000, Weights: 200000, Adapters: 8, Loads: 4}
 	for i := range cfg.Models {
--- a/internal/system/scale/process.go
+++ b/internal/system/scale/process.go
@@ -123,6 +123,8 @@
 // between is the load between two readings.
 func between(before, after usage) Load {
 	seconds := after.at.Sub(before.at).Seconds()
-	return Load{Processor: 100 * (after.processor - before.processor).Seconds() / seconds, ResidentMB: after.residentMB,
-		ReadKBps: (after.read - before.read) / seconds, WroteKBps: (after.wrote - before.wrote) / seconds}
+	return Load{
+		Processor: 100 * (after.processor - before.processor).Seconds() / seconds, ResidentMB: after.residentMB,
+		ReadKBps: (after.read - before.read) / seconds, WroteKBps: (after.wrote - before.wrote) / seconds,
+	}
 }
--- a/internal/system/scale/system.go
+++ b/internal/system/scale/system.go
@@ -96,13 +96,19 @@
 func (cfg Config) zone(number int) string { return fmt.Sprint("zone-", number%cfg.Zones) }
 
 func (cfg Config) settings(name string, kind, number int) *boot.Settings {
-	s := &boot.Settings{NodeName: name, IP: address(kind, number), Zone: cfg.zone(number), InternalPorts: []int{peerPort, peerPort + 15},
+	s := &boot.Settings{
+		NodeName: name, IP: address(kind, number), Zone: cfg.zone(number), InternalPorts: []int{peerPort, peerPort + 15},
 		LoopbackIP: address(kind+kindInside, number), FirstStart: true, BeatIntervalMS: float64(cfg.Beat.Milliseconds()), Zones: map[string]string{},
 		Limits: boot.Limits{MemoryMB: 256, Files: 4096}, Tolerance: boot.Tolerance{Machines: (cfg.Controls - 1) / 2},
-		Bounds: boot.Bounds{GraceS: 8, ConfigApplyMS: 2000, RetryBudgetRatio: 0.2, RetryWindowS: 10, RetrySlack: 52,
-			ColdExcess: 1.5, ColdSlack: 5, Fencing: true, LeaseMS: 3000, DrainMS: 2000}}
-	s.Listen = boot.Listen{Front: fmt.Sprint(s.IP, ":", frontPort), Readiness: fmt.Sprint(s.IP, ":", readyPort),
-		Control: fmt.Sprint(s.IP, ":", controlPort)}
+		Bounds: boot.Bounds{
+			GraceS: 8, ConfigApplyMS: 2000, RetryBudgetRatio: 0.2, RetryWindowS: 10, RetrySlack: 52,
+			ColdExcess: 1.5, ColdSlack: 5, Fencing: true, LeaseMS: 3000, DrainMS: 2000,
+		},
+	}
+	s.Listen = boot.Listen{
+		Front: fmt.Sprint(s.IP, ":", frontPort), Readiness: fmt.Sprint(s.IP, ":", readyPort),
+		Control: fmt.Sprint(s.IP, ":", controlPort),
+	}
 	for zone := range cfg.Zones {
 		s.Zones[cfg.zone(zone)] = "region"
 	}
@@ -178,22 +184,26 @@
 	store := feed.New(settings.NodeName, time.Now)
 	client := transport.NewClient(host.TCP{}.Dial)
 	s.hollow.Go(func() {
-		feed.Follow(s.ctx, store, feed.FollowConfig{WaitTime: time.Second, Log: logr.Discard(),
+		feed.Follow(s.ctx, store, feed.FollowConfig{
+			WaitTime: time.Second, Log: logr.Discard(),
 			Targets: func() []string { return []string{settings.AgentLoopback()} },
 			Connect: func(to string) feed.Watcher { return api.NewAgentProtobufClient("http://"+to, client) },
 			Taken: func(bool) {
 				store.View(func(m *state.Machine) { r.note(m.Version()) })
-			}})
+			},
+		})
 	})
 }
 
 func (s *System) addBackends(controls []string) {
 	for i := range s.cfg.Backends {
 		model := fmt.Sprint("model-", i%max(1, s.cfg.Models))
-		b := standin.NewBackend(standin.BackendConfig{ID: fmt.Sprint("i-", i), Service: "llm", Zone: s.cfg.zone(i), Slots: 64,
+		b := standin.NewBackend(standin.BackendConfig{
+			ID: fmt.Sprint("i-", i), Service: "llm", Zone: s.cfg.zone(i), Slots: 64,
 			Address: fmt.Sprint(address(kindBackend, i), ":", backendPort), Controls: func() []string { return controls }, Beat: s.cfg.Beat,
 			Models: []string{model}, CapacityMB: 200000, SizesMB: map[string]float64{model: 60000},
-			LoadTimes: map[string]time.Duration{model: 3 * time.Second}}, host.TCP{})
+			LoadTimes: map[string]time.Duration{model: 3 * time.Second},
+		}, host.TCP{})
 		s.backends = append(s.backends, b)
 		s.hollow.Go(func() { _ = b.Serve(s.ctx) }) // it ends with the system
 	}
--- a/internal/system/scale/trial.go
+++ b/internal/system/scale/trial.go
@@ -70,8 +70,10 @@
 		return nil, err
 	}
 	defer s.Stop()
-	r := &Result{Controls: cfg.Controls, Proxies: cfg.Proxies, Backends: cfg.Backends, Models: cfg.Models, Zones: cfg.Zones,
-		Routes: cfg.Routes}
+	r := &Result{
+		Controls: cfg.Controls, Proxies: cfg.Proxies, Backends: cfg.Backends, Models: cfg.Models, Zones: cfg.Zones,
+		Routes: cfg.Routes,
+	}
 	pause(ctx, plan.Settle)
 	if r.Idle, err = s.loadDuring(func() error { pause(ctx, plan.Idle); return ctx.Err() }); err != nil {
 		return nil, err
--- a/internal/system/simcluster/backlog_test.go
+++ b/internal/system/simcluster/backlog_test.go
@@ -18,8 +18,10 @@
 func (c *Cluster) report(t *testing.T, to *Machine, node string, work backlog.Work, backend string) uint32 {
 	t.Helper()
 	agent := api.NewAgentProtobufClient(fmt.Sprintf("http://%s:%d", to.IP, peerPort), transport.NewClient(c.outside.Dial))
-	reply, err := agent.PassDemand(context.Background(), &api.DemandBatch{Node: node, Zone: to.Zone,
-		Reports: []*api.DemandReport{{Node: node, Zone: to.Zone, Backlogs: []*api.Backlog{backlog.Message("llm", work)}}}})
+	reply, err := agent.PassDemand(context.Background(), &api.DemandBatch{
+		Node: node, Zone: to.Zone,
+		Reports: []*api.DemandReport{{Node: node, Zone: to.Zone, Backlogs: []*api.Backlog{backlog.Message("llm", work)}}},
+	})
 	if err != nil {
 		t.Fatalf("%s reports: %v", node, err)
 	}
--- a/internal/system/simcluster/bundle_test.go
+++ b/internal/system/simcluster/bundle_test.go
@@ -66,8 +66,10 @@
 			is.True(!strings.Contains(body, "secret") && !strings.Contains(body, secret.ID)) // nothing of requests
 		}
 		slices.Sort(names)
-		is.Equal(names, []string{"configuration.json", "manifest.json", "metrics/10.2.0.1_7675.txt", "status/10.1.0.1_8082.json",
-			"status/10.1.0.2_8082.json"})
+		is.Equal(names, []string{
+			"configuration.json", "manifest.json", "metrics/10.2.0.1_7675.txt", "status/10.1.0.1_8082.json",
+			"status/10.1.0.2_8082.json",
+		})
 		is.Equal(files["configuration.json"], document(1))
 		var status control.Status
 		is.NoErr(json.Unmarshal([]byte(files["status/10.1.0.1_8082.json"]), &status))
--- a/internal/system/simcluster/catchup_test.go
+++ b/internal/system/simcluster/catchup_test.go
@@ -30,8 +30,10 @@
 	if testing.Verbose() {
 		log = testr.New(t)
 	}
-	return New(Config{Controls: controls, Zones: zones, Log: log,
-		Net: simnet.Config{Delay: time.Millisecond, Jitter: time.Millisecond, Seed: 1}})
+	return New(Config{
+		Controls: controls, Zones: zones, Log: log,
+		Net: simnet.Config{Delay: time.Millisecond, Jitter: time.Millisecond, Seed: 1},
+	})
 }
 
 // padded is the configuration with a field that makes it so many bytes longer.
--- a/internal/system/simcluster/cluster.go
+++ b/internal/system/simcluster/cluster.go
@@ -89,13 +89,17 @@
 	c.outside = c.network(outsideIP)
 	c.client = transport.NewHTTPClient(c.outside.Dial)
 	for i := range cfg.Controls {
-		m := &Machine{cluster: c, Name: fmt.Sprintf("core-%d", i), IP: c.address(1, i), Zone: cfg.Zones[i%len(cfg.Zones)],
-			roles: []func(context.Context, *host.Host) error{control.Run}, disk: storage.NewMemStorage(), first: true}
+		m := &Machine{
+			cluster: c, Name: fmt.Sprintf("core-%d", i), IP: c.address(1, i), Zone: cfg.Zones[i%len(cfg.Zones)],
+			roles: []func(context.Context, *host.Host) error{control.Run}, disk: storage.NewMemStorage(), first: true,
+		}
 		c.Controls = append(c.Controls, m)
 	}
 	for i := range cfg.Edges {
-		m := &Machine{cluster: c, Name: fmt.Sprintf("edge-%d", i), IP: c.address(2, i), Zone: cfg.Zones[i%len(cfg.Zones)],
-			roles: []func(context.Context, *host.Host) error{agent.Run, gateway.Run}, first: true}
+		m := &Machine{
+			cluster: c, Name: fmt.Sprintf("edge-%d", i), IP: c.address(2, i), Zone: cfg.Zones[i%len(cfg.Zones)],
+			roles: []func(context.Context, *host.Host) error{agent.Run, gateway.Run}, first: true,
+		}
 		c.Edges = append(c.Edges, m)
 	}
 	for _, m := range c.Machines() {
@@ -157,14 +161,20 @@
 const lingering = 5 * time.Minute
 
 func (c *Cluster) settings(m *Machine) *boot.Settings {
-	s := &boot.Settings{NodeName: m.Name, IP: m.IP, Zone: m.Zone, InternalPorts: []int{peerPort, peerPort + 15},
+	s := &boot.Settings{
+		NodeName: m.Name, IP: m.IP, Zone: m.Zone, InternalPorts: []int{peerPort, peerPort + 15},
 		FirstStart: m.first, BeatIntervalMS: 1200, Zones: map[string]string{}, DataDir: "none",
 		Limits:    boot.Limits{MemoryMB: 256, Files: 4096},
 		Tolerance: boot.Tolerance{Machines: (c.cfg.Controls - 1) / 2},
-		Bounds: boot.Bounds{GraceS: 8, ConfigApplyMS: 2000, RetryBudgetRatio: 0.2, RetryWindowS: 10, RetrySlack: 52,
-			ColdExcess: 1.5, ColdSlack: 5, Fencing: true, LeaseMS: 3000, DrainMS: 2000},
-		Listen: boot.Listen{Front: fmt.Sprintf("%s:%d", m.IP, frontPort), Readiness: fmt.Sprintf("%s:%d", m.IP, readyPort),
-			Control: fmt.Sprintf("%s:%d", m.IP, controlPort)}}
+		Bounds: boot.Bounds{
+			GraceS: 8, ConfigApplyMS: 2000, RetryBudgetRatio: 0.2, RetryWindowS: 10, RetrySlack: 52,
+			ColdExcess: 1.5, ColdSlack: 5, Fencing: true, LeaseMS: 3000, DrainMS: 2000,
+		},
+		Listen: boot.Listen{
+			Front: fmt.Sprintf("%s:%d", m.IP, frontPort), Readiness: fmt.Sprintf("%s:%d", m.IP, readyPort),
+			Control: fmt.Sprintf("%s:%d", m.IP, controlPort),
+		},
+	}
 	if c.cfg.Loopback {
 		s.LoopbackIP = strings.Replace(m.IP, "127.0.", "127.1.", 1)
 	}
@@ -192,10 +202,12 @@
 	m.cancel, m.end = cancel, end
 	disk := m.disk
 	for _, role := range m.roles {
-		machine := &host.Host{Settings: settings, Network: m.cluster.network(m.IP),
+		machine := &host.Host{
+			Settings: settings, Network: m.cluster.network(m.IP),
 			Log:    m.cluster.cfg.Log.WithValues("node", m.Name),
 			Open:   func() (*store.Store, error) { return store.OpenStorage(disk) },
-			Forget: func() error { return nil }, Life: life}
+			Forget: func() error { return nil }, Life: life,
+		}
 		m.running.Go(func() {
 			if err := role(ctx, machine); err != nil {
 				machine.Log.V(1).Info("a role has ended", "error", err.Error())
--- a/internal/system/simcluster/cluster_test.go
+++ b/internal/system/simcluster/cluster_test.go
@@ -31,9 +31,11 @@
 }
 
 func llmBackend(id, zone string, models ...string) standin.BackendConfig {
-	cfg := standin.BackendConfig{ID: id, Service: "llm", Zone: zone, Slots: 64, Models: models, CapacityMB: 200000,
+	cfg := standin.BackendConfig{
+		ID: id, Service: "llm", Zone: zone, Slots: 64, Models: models, CapacityMB: 200000,
 		LoadTimes: map[string]time.Duration{}, SizesMB: map[string]float64{}, TokenTime: 10 * time.Millisecond,
-		ReadTime: 50 * time.Microsecond, Stride: 2}
+		ReadTime: 50 * time.Microsecond, Stride: 2,
+	}
 	for _, name := range []string{"m0", "m1", "m2"} {
 		cfg.LoadTimes[name], cfg.SizesMB[name] = 3*time.Second, 60000
 	}
@@ -53,8 +55,10 @@
 	if testing.Verbose() {
 		log = testr.New(t)
 	}
-	c := New(Config{Controls: controls, Edges: edges, Zones: zones, Log: log,
-		Net: simnet.Config{Delay: time.Millisecond, Jitter: time.Millisecond, Seed: 1}})
+	c := New(Config{
+		Controls: controls, Edges: edges, Zones: zones, Log: log,
+		Net: simnet.Config{Delay: time.Millisecond, Jitter: time.Millisecond, Seed: 1},
+	})
 	c.AddBackend(llmBackend("i-1", "east", "m0", "m1"))
 	c.AddBackend(llmBackend("i-2", "north", "m0"))
 	c.AddBackend(slipBackend("i-3", "west"))
@@ -75,8 +79,10 @@
 }
 
 func chat(model string) Request {
-	return Request{ID: newID(), Host: "a.example", Path: "/chat/1", Model: model, Tokens: "1000,20", Prompt: "a1:600,b2:400",
-		Body: "hello", Wait: 10 * time.Second}
+	return Request{
+		ID: newID(), Host: "a.example", Path: "/chat/1", Model: model, Tokens: "1000,20", Prompt: "a1:600,b2:400",
+		Body: "hello", Wait: 10 * time.Second,
+	}
 }
 
 func slip() Request {
--- a/internal/system/simcluster/history_test.go
+++ b/internal/system/simcluster/history_test.go
@@ -202,8 +202,10 @@
 	}
 	var faults []clusterFault
 	for range historyFaults {
-		faults = append(faults, clusterFault{kind: kinds[rng.IntN(len(kinds))], machine: rng.IntN(60), other: rng.IntN(60),
-			lasts: span(longestFault), rest: span(longestRest)})
+		faults = append(faults, clusterFault{
+			kind: kinds[rng.IntN(len(kinds))], machine: rng.IntN(60), other: rng.IntN(60),
+			lasts: span(longestFault), rest: span(longestRest),
+		})
 	}
 	return faults
 }
@@ -400,8 +402,10 @@
 // playClusterHistory plays faults under traffic and changes, and gives all that was wrong.
 func playClusterHistory(t *testing.T, faults []clusterFault) []string {
 	t.Helper()
-	c := New(Config{Controls: historyControls, Edges: historyEdges, Zones: zones, Log: logr.Discard(),
-		Net: simnet.Config{Delay: time.Millisecond, Jitter: time.Millisecond, Seed: 1}})
+	c := New(Config{
+		Controls: historyControls, Edges: historyEdges, Zones: zones, Log: logr.Discard(),
+		Net: simnet.Config{Delay: time.Millisecond, Jitter: time.Millisecond, Seed: 1},
+	})
 	defer c.Stop()
 	for i, zone := range zones {
 		if i < historyModelBackends {
--- a/internal/system/simcluster/outside.go
+++ b/internal/system/simcluster/outside.go
@@ -108,8 +108,10 @@
 	var head strings.Builder
 	fmt.Fprintf(&head, "POST %s HTTP/1.1\r\nHost: %s\r\nRequest-Id: %s\r\nTime-Remaining: %d\r\nContent-Length: %d\r\n", r.Path,
 		r.Host, r.ID, r.Wait.Milliseconds(), len(r.Body))
-	for name, value := range map[string]string{"Model": r.Model, "Token-Count": r.Tokens, "Prompt-Prefix": r.Prompt,
-		"Last-Event-Id": r.LastEvent} {
+	for name, value := range map[string]string{
+		"Model": r.Model, "Token-Count": r.Tokens, "Prompt-Prefix": r.Prompt,
+		"Last-Event-Id": r.LastEvent,
+	} {
 		if value != "" {
 			fmt.Fprintf(&head, "%s: %s\r\n", name, value)
 		}
--- a/internal/system/simcluster/register_test.go
+++ b/internal/system/simcluster/register_test.go
@@ -30,8 +30,10 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.register.operations = append(w.register.operations, porcupine.Operation{ClientId: len(w.register.operations), Input: call,
-		Call: began.UnixNano(), Output: answer, Return: ended})
+	w.register.operations = append(w.register.operations, porcupine.Operation{
+		ClientId: len(w.register.operations), Input: call,
+		Call: began.UnixNano(), Output: answer, Return: ended,
+	})
 }
 
 var versionField = regexp.MustCompile(`"config_version":(\d+)`)
--- a/internal/system/simnet/conn.go
+++ b/internal/system/simnet/conn.go
@@ -138,10 +138,14 @@
 
 func pair(a, b *Machine, local, remote string) (near, far *conn) {
 	there, back := newStream(a.network, a.ip, b.ip, remote), newStream(a.network, b.ip, a.ip, remote)
-	near = &conn{machine: a, in: back, out: there, local: local, remote: remote, read: newDeadline(), write: newDeadline(),
-		closed: make(chan struct{})}
-	far = &conn{machine: b, in: there, out: back, local: remote, remote: local, read: newDeadline(), write: newDeadline(),
-		closed: make(chan struct{})}
+	near = &conn{
+		machine: a, in: back, out: there, local: local, remote: remote, read: newDeadline(), write: newDeadline(),
+		closed: make(chan struct{}),
+	}
+	far = &conn{
+		machine: b, in: there, out: back, local: remote, remote: local, read: newDeadline(), write: newDeadline(),
+		closed: make(chan struct{}),
+	}
 	return near, far
 }
 
--- a/internal/system/simnet/network.go
+++ b/internal/system/simnet/network.go
@@ -43,9 +43,11 @@
 
 // New makes a network without machines.
 func New(cfg Config) *Network {
-	return &Network{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 3)), machines: map[string]*Machine{},
+	return &Network{
+		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 3)), machines: map[string]*Machine{},
 		cuts: map[[2]string]bool{}, changed: make(chan struct{}), nextPorts: map[string]int{},
-		linkFree: map[string]time.Time{}, rates: map[string]int{}}
+		linkFree: map[string]time.Time{}, rates: map[string]int{},
+	}
 }
 
 // fullLink is how long a datagram waits at most for a link that is in use.
@@ -92,8 +94,10 @@
 	defer n.mu.Unlock()
 	m := n.machines[ip]
 	if m == nil {
-		m = &Machine{network: n, ip: ip, listeners: map[string]*listener{}, sockets: map[string]*packetSocket{},
-			conns: map[*conn]bool{}}
+		m = &Machine{
+			network: n, ip: ip, listeners: map[string]*listener{}, sockets: map[string]*packetSocket{},
+			conns: map[*conn]bool{},
+		}
 		n.machines[ip] = m
 	}
 	return m
--- a/internal/system/standin/backend.go
+++ b/internal/system/standin/backend.go
@@ -70,13 +70,17 @@
 
 // NewBackend makes a backend.
 func NewBackend(cfg BackendConfig, network host.Network) *Backend {
-	b := &Backend{cfg: cfg, network: network, client: transport.NewHTTPClient(network.Dial), held: map[string]map[string]bool{},
-		had: map[string]bool{}, cached: map[string]bool{}}
+	b := &Backend{
+		cfg: cfg, network: network, client: transport.NewHTTPClient(network.Dial), held: map[string]map[string]bool{},
+		had: map[string]bool{}, cached: map[string]bool{},
+	}
 	for _, model := range cfg.Models {
 		b.held[model], b.had[model] = map[string]bool{}, true
 	}
-	b.server = &fasthttp.Server{Handler: b.handle, NoDefaultServerHeader: true, NoDefaultDate: true, Logger: silent{},
-		IdleTimeout: 20 * time.Second}
+	b.server = &fasthttp.Server{
+		Handler: b.handle, NoDefaultServerHeader: true, NoDefaultDate: true, Logger: silent{},
+		IdleTimeout: 20 * time.Second,
+	}
 	return b
 }
 
@@ -177,9 +181,11 @@
 	if b.draining {
 		state = "draining"
 	}
-	body, _ := json.Marshal(map[string]any{"service": b.cfg.Service, "address": b.cfg.Address, "zone": b.cfg.Zone,
+	body, _ := json.Marshal(map[string]any{
+		"service": b.cfg.Service, "address": b.cfg.Address, "zone": b.cfg.Zone,
 		"config_version": "v1", "slots": b.cfg.Slots, "state": state, "cold_left_ms": max(0, time.Until(b.cold).Milliseconds()),
-		"phase": "both", "model_list": b.models(), "call_seq": b.calls})
+		"phase": "both", "model_list": b.models(), "call_seq": b.calls,
+	})
 	return body
 }
 
@@ -269,8 +275,10 @@
 func (b *Backend) report(ctx *fasthttp.RequestCtx) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	body, _ := json.Marshal(map[string]any{"phase": "both", "model_list": b.models(), "occupied": b.busy, "call_seq": b.orders,
-		"queued": 0, "active": b.running, "kv_in_use": 0, "kv_limit": 1})
+	body, _ := json.Marshal(map[string]any{
+		"phase": "both", "model_list": b.models(), "occupied": b.busy, "call_seq": b.orders,
+		"queued": 0, "active": b.running, "kv_in_use": 0, "kv_limit": 1,
+	})
 	ctx.SetBody(body)
 }
 
--- a/internal/system/state/machine.go
+++ b/internal/system/state/machine.go
@@ -47,8 +47,10 @@
 
 // copyOf copies a state but for its document.
 func copyOf(s *api.State) *api.State {
-	return &api.State{Version: s.Version, Digests: slices.Clone(s.Digests), Evacuations: slices.Clone(s.Evacuations),
-		Retired: slices.Clone(s.Retired), Ownerships: slices.Clone(s.Ownerships), LastFence: s.LastFence, ForgottenVersion: s.ForgottenVersion}
+	return &api.State{
+		Version: s.Version, Digests: slices.Clone(s.Digests), Evacuations: slices.Clone(s.Evacuations),
+		Retired: slices.Clone(s.Retired), Ownerships: slices.Clone(s.Ownerships), LastFence: s.LastFence, ForgottenVersion: s.ForgottenVersion,
+	}
 }
 
 // State gives a copy of the state as a message.
--- a/internal/system/store/store.go
+++ b/internal/system/store/store.go
@@ -44,8 +44,10 @@
 // options keep memory small: the state is.
 func options() *opt.Options {
 	const writeBuffer = 1 << 20
-	return &opt.Options{WriteBuffer: writeBuffer, BlockCacheCapacity: writeBuffer, OpenFilesCacheCapacity: 16,
-		DisableSeeksCompaction: true, Compression: opt.NoCompression}
+	return &opt.Options{
+		WriteBuffer: writeBuffer, BlockCacheCapacity: writeBuffer, OpenFilesCacheCapacity: 16,
+		DisableSeeksCompaction: true, Compression: opt.NoCompression,
+	}
 }
 
 // storeFolder is where the store is within the folder that is the process's.
--- a/internal/system/transport/transport.go
+++ b/internal/system/transport/transport.go
@@ -90,15 +90,19 @@
 
 // NewHTTPClient makes a plain client, for calls to others than processes of the system.
 func NewHTTPClient(dial Dial) *fasthttp.Client {
-	return &fasthttp.Client{Dial: guarded(dialFor(dial, dialTimeout)), NoDefaultUserAgentHeader: true, MaxIdemponentCallAttempts: 1,
-		DisablePathNormalizing: true}
+	return &fasthttp.Client{
+		Dial: guarded(dialFor(dial, dialTimeout)), NoDefaultUserAgentHeader: true, MaxIdemponentCallAttempts: 1,
+		DisablePathNormalizing: true,
+	}
 }
 
 // NewClient makes a client.
 func NewClient(dial Dial) *Client {
-	return &Client{fasthttp.Client{Dial: dialFor(dial, peerDialTimeout),
+	return &Client{fasthttp.Client{
+		Dial:                     dialFor(dial, peerDialTimeout),
 		NoDefaultUserAgentHeader: true, MaxIdleConnDuration: idleConnection, MaxResponseBodySize: largestMessage,
-		DisablePathNormalizing: true, MaxIdemponentCallAttempts: 1, MaxConnsPerHost: 64}}
+		DisablePathNormalizing: true, MaxIdemponentCallAttempts: 1, MaxConnsPerHost: 64,
+	}}
 }
 
 // Do implements twirp's HTTPClient.
@@ -122,8 +126,10 @@
 		}
 		return nil, err
 	}
-	response := &http.Response{StatusCode: in.StatusCode(), Status: strconv.Itoa(in.StatusCode()), Proto: "HTTP/1.1",
-		ProtoMajor: 1, ProtoMinor: 1, Header: http.Header{}, Request: request}
+	response := &http.Response{
+		StatusCode: in.StatusCode(), Status: strconv.Itoa(in.StatusCode()), Proto: "HTTP/1.1",
+		ProtoMajor: 1, ProtoMinor: 1, Header: http.Header{}, Request: request,
+	}
 	response.Header.Set("Content-Type", string(in.Header.ContentType()))
 	body := bytes.Clone(in.Body())
 	response.Body, response.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(len(body))
@@ -167,9 +173,11 @@
 		}
 		rest(ctx)
 	}
-	return &fasthttp.Server{Handler: handler, NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true,
+	return &fasthttp.Server{
+		Handler: handler, NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true,
 		MaxRequestBodySize: largestMessage, IdleTimeout: 2 * idleConnection, ReadTimeout: 2 * idleConnection,
-		DisablePreParseMultipartForm: true, CloseOnShutdown: true, Logger: silent{}}
+		DisablePreParseMultipartForm: true, CloseOnShutdown: true, Logger: silent{},
+	}
 }
 
 // silent drops the server's lines on single connections: broken ones are usual.
--- a/internal/wire/bootinfo.go
+++ b/internal/wire/bootinfo.go
@@ -96,22 +96,30 @@
 		WarmKeys:       s.flag("Extra.WarmKeys"),
 		MarksRetry:     s.flag("Clients.MarksRetry"),
 		OnRequest:      s.word("Discovery", "pushed", "on_request") == "on_request",
-		Goal: marlreel.Goal{Whole: s.number("Goal.Whole", 1), WorstClass: s.number("Goal.WorstClass", 0),
-			WorstTenant: s.number("Goal.WorstTenant", 0), WorstWindow: s.number("Goal.WorstWindow", 0)},
-		Prices: marlreel.Prices{Connection: s.number("Prices.Connection", 0),
-			CrossZone: s.number("Prices.CrossZone", 0), Discovery: s.number("Prices.Discovery", 0),
+		Goal: marlreel.Goal{
+			Whole: s.number("Goal.Whole", 1), WorstClass: s.number("Goal.WorstClass", 0),
+			WorstTenant: s.number("Goal.WorstTenant", 0), WorstWindow: s.number("Goal.WorstWindow", 0),
+		},
+		Prices: marlreel.Prices{
+			Connection: s.number("Prices.Connection", 0),
+			CrossZone:  s.number("Prices.CrossZone", 0), Discovery: s.number("Prices.Discovery", 0),
 			Handshake: s.number("Prices.Handshake", 0), LateFail: s.number("Prices.LateFail", 0),
-			Peer: s.number("Prices.Peer", 0), Probe: s.number("Prices.Probe", 0), Waste: s.number("Prices.Waste", 0)},
-		Obligations: marlreel.Obligations{AnswerSlack: s.span("Obligations.AnswerSlack", 0),
-			AskEvery: s.span("Obligations.AskEvery", 0), Cold: s.span("Obligations.Cold", 0),
+			Peer: s.number("Prices.Peer", 0), Probe: s.number("Prices.Probe", 0), Waste: s.number("Prices.Waste", 0),
+		},
+		Obligations: marlreel.Obligations{
+			AnswerSlack: s.span("Obligations.AnswerSlack", 0),
+			AskEvery:    s.span("Obligations.AskEvery", 0), Cold: s.span("Obligations.Cold", 0),
 			DrainGrace: s.span("Obligations.DrainGrace", 0), Fall: s.span("Obligations.Fall", 0),
 			FallMultiple:  s.number("Obligations.FallMultiple", 1),
-			StartCapacity: s.number("Obligations.StartCapacity", 1)},
-		Caps: marlreel.Caps{Cancel: s.flag("Caps.Cancel"), Peers: s.flag("Caps.Peers"), Probes: s.flag("Caps.Probes"),
+			StartCapacity: s.number("Obligations.StartCapacity", 1),
+		},
+		Caps: marlreel.Caps{
+			Cancel: s.flag("Caps.Cancel"), Peers: s.flag("Caps.Peers"), Probes: s.flag("Caps.Probes"),
 			RetryAfter: s.flag("Caps.RetryAfter"), SecondCopies: s.flag("Caps.SecondCopies"),
 			ConnIdle: s.span("Caps.ConnIdle", 0), ConnectTimeout: s.span("Caps.ConnectTimeout", 0),
 			MaxRetryAfter: s.span("Caps.MaxRetryAfter", 0), MaxAttempts: s.count("Caps.MaxAttempts", 1),
-			StreamsPerConn: s.count("Caps.StreamsPerConn", 1)},
+			StreamsPerConn: s.count("Caps.StreamsPerConn", 1),
+		},
 	}
 	switch s.word("Weights", "off", "nominal", "rough", "live") {
 	case "nominal", "rough":
@@ -127,16 +135,20 @@
 	}
 	for i := range s.items("Tenants.count") {
 		p := fmt.Sprintf("Tenants.%d.", i)
-		c.Tenants = append(c.Tenants, marlreel.Tenant{Name: s.text(p + "Name"), Share: s.number(p+"Share", 0),
-			QuotaPerS: s.number(p+"QuotaPerS", 0)})
+		c.Tenants = append(c.Tenants, marlreel.Tenant{
+			Name: s.text(p + "Name"), Share: s.number(p+"Share", 0),
+			QuotaPerS: s.number(p+"QuotaPerS", 0),
+		})
 	}
 	return c
 }
 
 func (s *settings) class(p string) marlreel.Class {
-	c := marlreel.Class{Name: s.text(p + "Name"), Aim: s.span(p+"Aim", 0), AimStretch: s.number(p+"AimStretch", 0),
+	c := marlreel.Class{
+		Name: s.text(p + "Name"), Aim: s.span(p+"Aim", 0), AimStretch: s.number(p+"AimStretch", 0),
 		GiveUp: s.span(p+"GiveUp", 0), LateShare: s.number(p+"LateShare", 0), Stream: s.flag(p + "Stream"),
-		Value: s.number(p+"Value", 1), Window: s.span(p+"Window", 0)}
+		Value: s.number(p+"Value", 1), Window: s.span(p+"Window", 0),
+	}
 	switch s.word(p+"Effect", "fragile", "dedup", "retryable") {
 	case "dedup":
 		c.Effect = marlreel.Keyed
@@ -153,8 +165,10 @@
 }
 
 func (s *settings) fields(key string) []marlreel.ReportField {
-	known := map[string]marlreel.ReportField{"busy_reqs": marlreel.FieldHeld, "pending": marlreel.FieldWaiting,
-		"failed_ps": marlreel.FieldErrors}
+	known := map[string]marlreel.ReportField{
+		"busy_reqs": marlreel.FieldHeld, "pending": marlreel.FieldWaiting,
+		"failed_ps": marlreel.FieldErrors,
+	}
 	var fields []marlreel.ReportField
 	if list := s.text(key); list != "" {
 		for name := range strings.SplitSeq(list, ",") {
--- a/internal/wire/bootinfo_test.go
+++ b/internal/wire/bootinfo_test.go
@@ -22,14 +22,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := marlreel.Config{Instances: 3, Rank: 2, Zone: 1, Tick: 5 * ms, OnRequest: true, WarmKeys: true,
+	want := marlreel.Config{
+		Instances: 3, Rank: 2, Zone: 1, Tick: 5 * ms, OnRequest: true, WarmKeys: true,
 		OverShareWorth: 1, WorthByWork: true, Weights: marlreel.WeightNominal,
 		Report: []marlreel.ReportField{marlreel.FieldErrors, marlreel.FieldHeld, marlreel.FieldOther},
 		Goal:   marlreel.Goal{Whole: 1},
 		Classes: []marlreel.Class{
 			{Name: "a", Aim: time.Second, GiveUp: 3 * time.Second, Effect: marlreel.Safe, Group: marlreel.GroupAll, Value: 1},
-			{Name: "b", Aim: 400 * ms, GiveUp: 900 * ms, Effect: marlreel.Keyed, Group: marlreel.GroupZone, Value: 1,
-				Window: 1200*ms + 500*time.Microsecond},
+			{
+				Name: "b", Aim: 400 * ms, GiveUp: 900 * ms, Effect: marlreel.Keyed, Group: marlreel.GroupZone, Value: 1,
+				Window: 1200*ms + 500*time.Microsecond,
+			},
 		},
 		Tenants:     []marlreel.Tenant{{Name: "t", QuotaPerS: 12.5}},
 		Obligations: marlreel.Obligations{FallMultiple: 2.5, StartCapacity: 1},
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -200,8 +200,10 @@
 }
 
 // results gives the outcomes by their code on the wire.
-var results = [...]marlreel.Result{marlreel.Error, marlreel.OK, marlreel.Full, marlreel.Timeout,
-	marlreel.ConnectFailed, marlreel.Reset, marlreel.Cancelled, marlreel.Moot}
+var results = [...]marlreel.Result{
+	marlreel.Error, marlreel.OK, marlreel.Full, marlreel.Timeout,
+	marlreel.ConnectFailed, marlreel.Reset, marlreel.Cancelled, marlreel.Moot,
+}
 
 func (d *decoder) result() marlreel.Result {
 	c := d.u8()
@@ -228,8 +230,10 @@
 	}
 	d.rows = d.rows[:0]
 	for range n {
-		row := marlreel.Backend{ID: marlreel.BackendID(d.u32()), Zone: int(d.u16()), Kind: int(d.u16()),
-			Cell: int(d.u16())}
+		row := marlreel.Backend{
+			ID: marlreel.BackendID(d.u32()), Zone: int(d.u16()), Kind: int(d.u16()),
+			Cell: int(d.u16()),
+		}
 		state := d.u8()
 		row.Weight, row.Started = float64(d.f32()), d.time()
 		if int(state) >= len(states) {
@@ -242,8 +246,10 @@
 	return marlreel.Membership{Kind: listKinds[kind], Version: version, Backends: d.rows}
 }
 
-const hintValid = 1
-const clientRepeat = 2
+const (
+	hintValid    = 1
+	clientRepeat = 2
+)
 
 func (d *decoder) event(ev *Event) {
 	switch ev.Code {
@@ -262,19 +268,25 @@
 		r.Repeat = bits&clientRepeat != 0
 		ev.Request = r
 	case Headers:
-		ev.First = marlreel.FirstByte{ID: marlreel.RequestID(d.u32()), Attempt: int(d.u8()),
-			Backend: marlreel.BackendID(d.u32()), Took: d.time()}
+		ev.First = marlreel.FirstByte{
+			ID: marlreel.RequestID(d.u32()), Attempt: int(d.u8()),
+			Backend: marlreel.BackendID(d.u32()), Took: d.time(),
+		}
 	case Returned:
-		ev.Outcome = marlreel.Outcome{ID: marlreel.RequestID(d.u32()), Attempt: int(d.u8()),
+		ev.Outcome = marlreel.Outcome{
+			ID: marlreel.RequestID(d.u32()), Attempt: int(d.u8()),
 			Backend: marlreel.BackendID(d.u32()), Result: d.result(), Took: d.time(), Final: d.u8() != 0,
-			Load: d.loads()}
+			Load: d.loads(),
+		}
 	case Aborted:
 		ev.ID = marlreel.RequestID(d.u32())
 	case Elapsed:
 		ev.Token = d.u64()
 	case Probed:
-		ev.Probe = marlreel.ProbeResult{Backend: marlreel.BackendID(d.u32()), Result: d.result(), Took: d.time(),
-			Load: d.loads()}
+		ev.Probe = marlreel.ProbeResult{
+			Backend: marlreel.BackendID(d.u32()), Result: d.result(), Took: d.time(),
+			Load: d.loads(),
+		}
 	case Peer:
 		from := int(d.u16())
 		ev.Message = marlreel.PeerMessage{From: from, Body: d.take(int(d.u16()))}
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -67,24 +67,43 @@
 		want   any
 	}{
 		{"init", raw(1, uint64(77), uint32(3), "a=b"), func(e Event) any { return string(e.BootInfo) }, "a=b"},
-		{"membership", raw(2, 1, uint32(5), uint32(1), row), func(e Event) any { return e.List },
-			marlreel.Membership{Kind: marlreel.ListFull, Version: 5, Backends: []marlreel.Backend{{ID: 70, Zone: 2,
-				Kind: 1, Cell: 9, State: marlreel.Ready, Weight: 1.5, Started: 8000*ms + 250*time.Microsecond}}}},
+		{
+			"membership", raw(2, 1, uint32(5), uint32(1), row), func(e Event) any { return e.List },
+			marlreel.Membership{Kind: marlreel.ListFull, Version: 5, Backends: []marlreel.Backend{{
+				ID: 70, Zone: 2,
+				Kind: 1, Cell: 9, State: marlreel.Ready, Weight: 1.5, Started: 8000*ms + 250*time.Microsecond,
+			}}},
+		},
 		{"a failed list", raw(2, 3, uint32(5), uint32(0)), func(e Event) any { return e.List.Kind }, marlreel.ListFailed},
-		{"ask", raw(3, uint32(9), 12.5, 900.0, 3, 2, uint64(1<<60), uint32(4)), func(e Event) any { return e.Request },
-			marlreel.Request{ID: 9, Class: 2, Tenant: 4, Key: 1 << 60, Cost: 12500 * time.Microsecond, Deadline: 900 * ms,
-				Repeat: true}},
-		{"ask without a valid hint", raw(3, uint32(9), 12.5, 900.0, 0, 2, uint64(0), uint32(0)),
-			func(e Event) any { return e.Request.Cost }, time.Duration(0)},
-		{"headers", raw(4, uint32(9), 1, uint32(70), 3.0), func(e Event) any { return e.First },
-			marlreel.FirstByte{ID: 9, Attempt: 1, Backend: 70, Took: 3 * ms}},
-		{"returned", raw(5, uint32(9), 1, uint32(70), 4, 3.0, 1, 2, float32(1), float32(2)),
-			func(e Event) any { return e.Outcome }, marlreel.Outcome{ID: 9, Attempt: 1, Backend: 70,
-				Result: marlreel.ConnectFailed, Took: 3 * ms, Final: true, Load: []float32{1, 2}}},
+		{
+			"ask", raw(3, uint32(9), 12.5, 900.0, 3, 2, uint64(1<<60), uint32(4)), func(e Event) any { return e.Request },
+			marlreel.Request{
+				ID: 9, Class: 2, Tenant: 4, Key: 1 << 60, Cost: 12500 * time.Microsecond, Deadline: 900 * ms,
+				Repeat: true,
+			},
+		},
+		{
+			"ask without a valid hint", raw(3, uint32(9), 12.5, 900.0, 0, 2, uint64(0), uint32(0)),
+			func(e Event) any { return e.Request.Cost }, time.Duration(0),
+		},
+		{
+			"headers", raw(4, uint32(9), 1, uint32(70), 3.0), func(e Event) any { return e.First },
+			marlreel.FirstByte{ID: 9, Attempt: 1, Backend: 70, Took: 3 * ms},
+		},
+		{
+			"returned", raw(5, uint32(9), 1, uint32(70), 4, 3.0, 1, 2, float32(1), float32(2)),
+			func(e Event) any { return e.Outcome },
+			marlreel.Outcome{
+				ID: 9, Attempt: 1, Backend: 70,
+				Result: marlreel.ConnectFailed, Took: 3 * ms, Final: true, Load: []float32{1, 2},
+			},
+		},
 		{"aborted", raw(6, uint32(9)), func(e Event) any { return e.ID }, marlreel.RequestID(9)},
 		{"elapsed", raw(7, uint64(1)<<63), func(e Event) any { return e.Token }, uint64(1) << 63},
-		{"probed", raw(8, uint32(70), 1, 1.5, 0), func(e Event) any { return e.Probe },
-			marlreel.ProbeResult{Backend: 70, Result: marlreel.OK, Took: 1500 * time.Microsecond}},
+		{
+			"probed", raw(8, uint32(70), 1, 1.5, 0), func(e Event) any { return e.Probe },
+			marlreel.ProbeResult{Backend: 70, Result: marlreel.OK, Took: 1500 * time.Microsecond},
+		},
 		{"neighbour_says", raw(9, uint16(2), uint16(2), "hi"), func(e Event) any { return string(e.Message.Body) }, "hi"},
 		{"destroy", raw(10), func(e Event) any { return e.Code }, Destroy},
 	} {
@@ -100,8 +119,10 @@
 }
 
 func TestOutcomeCodes(t *testing.T) {
-	want := []marlreel.Result{marlreel.Error, marlreel.OK, marlreel.Full, marlreel.Timeout, marlreel.ConnectFailed,
-		marlreel.Reset, marlreel.Cancelled, marlreel.Moot}
+	want := []marlreel.Result{
+		marlreel.Error, marlreel.OK, marlreel.Full, marlreel.Timeout, marlreel.ConnectFailed,
+		marlreel.Reset, marlreel.Cancelled, marlreel.Moot,
+	}
 	for code, result := range want {
 		evs, err := events(t, batch(1, 0, 2, raw(11, uint16(0), 8, uint32(1), code, 0.0, 0)))
 		if err != nil || evs[0].Probe.Result != result {
--- a/kinds_test.go
+++ b/kinds_test.go
@@ -76,8 +76,10 @@
 		{"bids answered with errors on two (0.93)", []fault{failing}, bid, 0.92, 0.98},
 		{"bids four times slower on two (0.92)", []fault{slowBids}, bid, 0.92, 0.98},
 		{"a failure that moves each 5 s (0.94)", []fault{moving}, bid, 0.945, 0.98},
-		{"two classes on different backends (0.66)", []fault{silently(on(bid, 4)), {class: lotList,
-			backends: []int{5, 6}, from: 13 * second, to: 19 * second, silent: 0.87}}, bid, 0.87, 0.95},
+		{"two classes on different backends (0.66)", []fault{silently(on(bid, 4)), {
+			class:    lotList,
+			backends: []int{5, 6}, from: 13 * second, to: 19 * second, silent: 0.87,
+		}}, bid, 0.87, 0.95},
 		{"one connection in ten breaks too (0.64)", []fault{silently(on(bid, 4)), breaks}, bid, 0.75, 0.96},
 		{"two backends slow for all (0.95)", slow, bid, 0.91, 0.97},
 		{"bids late where crowded (0.99)", []fault{crowded}, bid, 0.96, 0.98},
@@ -245,8 +247,10 @@
 			}
 			for _, at := range []BackendID{4, 6} {
 				b.now = now
-				b.judgeKind(&attempt{req: &request{Request: Request{Class: class}}, to: b.byID[at],
-					sent: now - milli + time.Duration(i), expected: 1}, result)
+				b.judgeKind(&attempt{
+					req: &request{Request: Request{Class: class}}, to: b.byID[at],
+					sent: now - milli + time.Duration(i), expected: 1,
+				}, result)
 			}
 		}
 		now += 10 * milli
--- a/loop_test.go
+++ b/loop_test.go
@@ -133,6 +133,7 @@
 		p.w.in(0, func() { j.end(Cancelled) })
 	}
 }
+
 func (p *loopProxy) Probe(to BackendID) {
 	p.w.in(2*milli, func() { p.b.Probed(p.w.now, ProbeResult{Backend: to, Result: OK, Took: 2 * milli}) })
 }
@@ -187,8 +188,10 @@
 	j.job = w.nextJob
 	w.jobs[j.job] = j
 	work = min(work, 8*w.work[j.class])
-	verdict := m.Offer(w.now, j.job, machine.Job{Work: span(work * slower),
-		Wait: span(1.2 * w.work[j.class] * slower), Until: j.until})
+	verdict := m.Offer(w.now, j.job, machine.Job{
+		Work: span(work * slower),
+		Wait: span(1.2 * w.work[j.class] * slower), Until: j.until,
+	})
 	if verdict != machine.Taken {
 		delete(w.jobs, j.job)
 		w.in(milli, func() { j.end(Full) })
@@ -221,8 +224,10 @@
 			w.served[j.class] += c.Value
 		}
 	}
-	j.p.b.Outcome(w.now, Outcome{ID: j.id, Attempt: j.n, Backend: j.to, Result: result, Took: w.now - j.sent,
-		Final: final || r == nil})
+	j.p.b.Outcome(w.now, Outcome{
+		ID: j.id, Attempt: j.n, Backend: j.to, Result: result, Took: w.now - j.sent,
+		Final: final || r == nil,
+	})
 	if final {
 		delete(j.p.reqs, j.id)
 	}
@@ -234,8 +239,10 @@
 		{Name: "lot-list", Aim: 260 * milli, GiveUp: 520 * milli, Effect: Safe, Value: 1},
 		{Name: "catch-sheet", Aim: 350 * milli, GiveUp: 870 * milli, Effect: Safe, Value: 1},
 		{Name: "bid", Aim: 175 * milli, GiveUp: 870 * milli, Effect: Unsafe, Value: 8},
-		{Name: "pickup", Aim: 260 * milli, GiveUp: 870 * milli, Effect: Keyed, Group: GroupZone,
-			Window: 4 * second, Value: 2},
+		{
+			Name: "pickup", Aim: 260 * milli, GiveUp: 870 * milli, Effect: Keyed, Group: GroupZone,
+			Window: 4 * second, Value: 2,
+		},
 	}
 }
 
@@ -251,10 +258,12 @@
 	cfg.Instances, cfg.Classes, cfg.Caps.RetryAfter = proxies, auctionClasses(), false
 	cfg.Caps.ConnectTimeout = 100 * milli
 	cfg.Goal = Goal{Whole: 0.45, WorstClass: 0.3, WorstTenant: 0.1, WorstWindow: 0.15}
-	w := &loop{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 9)), now: second, tailed: -1,
+	w := &loop{
+		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 9)), now: second, tailed: -1,
 		shares: []float64{0.32, 0.28, 0.24, 0.16}, work: []float64{19, 26, 23, 20},
 		jobs: map[uint64]*loopJob{}, sends: map[[2]int][]time.Duration{}, lost: map[[2]int]int{},
-		asked: make([]float64, 4), served: make([]float64, 4)}
+		asked: make([]float64, 4), served: make([]float64, 4),
+	}
 	capacity := 0.0
 	all := list(backends)
 	for i := range all {
--- a/memory.go
+++ b/memory.go
@@ -33,13 +33,17 @@
 func (b *Balancer) Learnt(now time.Duration) learnt.State {
 	b.now = now
 	alarms, answered := b.breaks.State(now)
-	s := learnt.State{Common: learnt.Common{Mean: b.delay(), MeanWork: b.meanWork, MeanWorth: b.meanWorth, MeanRank: b.meanRank,
-		Over: b.over, Gap: b.gap, Retries: b.retries, Alarms: alarms, Answered: answered, Asked: b.ledger.All()}}
+	s := learnt.State{Common: learnt.Common{
+		Mean: b.delay(), MeanWork: b.meanWork, MeanWorth: b.meanWorth, MeanRank: b.meanRank,
+		Over: b.over, Gap: b.gap, Retries: b.retries, Alarms: alarms, Answered: answered, Asked: b.ledger.All(),
+	}}
 	for i := range b.cfg.Classes {
 		l := b.classes[i]
-		s.Classes = append(s.Classes, learnt.Class{Name: b.cfg.Classes[i].Name, Line: [5]float64{l.n, l.x, l.y, l.xx, l.xy},
+		s.Classes = append(s.Classes, learnt.Class{
+			Name: b.cfg.Classes[i].Name, Line: [5]float64{l.n, l.x, l.y, l.xx, l.xy},
 			Tail: b.tails[i].words(), Served: b.served[i].Fade(now, b.interval), Forecast: b.forecast.State(i),
-			Gray: b.gray.KindState(i, now), Asked: b.ledger.Class(i)})
+			Gray: b.gray.KindState(i, now), Asked: b.ledger.Class(i),
+		})
 	}
 	for i, t := range b.cfg.Tenants {
 		s.Tenants = append(s.Tenants, learnt.Tenant{Name: t.Name, Asked: b.ledger.Tenant(i)})
@@ -60,10 +64,12 @@
 		}
 		return max(0, now-at)
 	}
-	k = learnt.Backend{ID: uint32(id), Healthy: t.healthy, Fails: t.fails, Passes: t.passes, Bad: t.bad, Broken: t.broken,
+	k = learnt.Backend{
+		ID: uint32(id), Healthy: t.healthy, Fails: t.fails, Passes: t.passes, Bad: t.bad, Broken: t.broken,
 		LastOK: age(t.lastOK), Ejected: max(0, t.ejectedUntil-now), Hold: t.hold, Cold: age(t.coldSince), Tokens: t.tokens,
 		Limit: t.limit, Delays: t.delays.Fade(now, b.memory), Answers: t.answers.Fade(now, b.memory),
-		Tail: t.tail.words()}
+		Tail: t.tail.words(),
+	}
 	for i := range t.kinds {
 		k.Cells = append(k.Cells, b.gray.State(&t.kinds[i].Cell, now))
 	}
--- a/recorded_test.go
+++ b/recorded_test.go
@@ -132,8 +132,10 @@
 	arrive = func(now time.Duration) {
 		id++
 		class := rng.IntN(4)
-		q := Request{ID: id, Class: class, Tenant: rng.IntN(2), Key: rng.Uint64N(50), Deadline: now + time.Duration(300+rng.IntN(2700))*milli,
-			Repeat: rng.IntN(20) == 0}
+		q := Request{
+			ID: id, Class: class, Tenant: rng.IntN(2), Key: rng.Uint64N(50), Deadline: now + time.Duration(300+rng.IntN(2700))*milli,
+			Repeat: rng.IntN(20) == 0,
+		}
 		if rng.IntN(4) == 0 {
 			q.Cost = time.Duration(rng.IntN(200)) * milli
 		}
--- a/rules_test.go
+++ b/rules_test.go
@@ -208,8 +208,10 @@
 		}
 		w.peak = max(w.peak, sum)
 	}
-	r.by.b.Outcome(w.now, Outcome{ID: id, Attempt: n, Backend: a.to, Result: result, Took: w.now - a.sent,
-		Final: r.answered})
+	r.by.b.Outcome(w.now, Outcome{
+		ID: id, Attempt: n, Backend: a.to, Result: result, Took: w.now - a.sent,
+		Final: r.answered,
+	})
 }
 
 func (w *world) Refuse(id RequestID, _ time.Duration) {
@@ -319,8 +321,10 @@
 			cfg.Classes[i].LateShare = 0.5
 		}
 	}
-	w := &world{t: t, cfg: cfg, rng: rng, now: second, reqs: map[RequestID]*held{}, backs: map[BackendID]*back{},
-		told: map[BackendID]time.Duration{}}
+	w := &world{
+		t: t, cfg: cfg, rng: rng, now: second, reqs: map[RequestID]*held{}, backs: map[BackendID]*back{},
+		told: map[BackendID]time.Duration{},
+	}
 	for _, e := range list(2 + rng.IntN(8)) {
 		w.backs[e.ID] = &back{Backend: e}
 	}
@@ -330,9 +334,11 @@
 	id := RequestID(0)
 	for at := w.now; at < end; at += time.Duration(rng.ExpFloat64() * float64(8*milli)) {
 		id++
-		req := Request{ID: id, Class: rng.IntN(len(cfg.Classes)), Key: uint64(rng.IntN(20)),
+		req := Request{
+			ID: id, Class: rng.IntN(len(cfg.Classes)), Key: uint64(rng.IntN(20)),
 			Cost:     time.Duration(rng.ExpFloat64() * float64(meanCost)),
-			Deadline: at + time.Duration(rng.IntN(3000))*milli}
+			Deadline: at + time.Duration(rng.IntN(3000))*milli,
+		}
 		gone := rng.IntN(50) == 0
 		w.at(at-w.now, func() {
 			r := &held{Request: req, by: w.last()}
--- a/storm_loop_test.go
+++ b/storm_loop_test.go
@@ -138,13 +138,17 @@
 	cfg.Goal = Goal{Whole: 0.45, WorstClass: 0.3, WorstTenant: 0.1, WorstWindow: 0.15}
 	cfg.Obligations.Cold, cfg.Obligations.Fall, cfg.Obligations.FallMultiple, cfg.Obligations.StartCapacity = 8*second, 3*second, 2.5, 0.32
 	cfg.OverShareWorth = 0.1
-	w := &stormLoop{day: d, cfg: cfg, rng: rand.New(rand.NewPCG(d.seed, 31)), now: second, jobs: map[uint64]*stormTry{},
-		work: []float64{45, 60, 55, 46}, homes: make([][2]float64, stormHouses)}
+	w := &stormLoop{
+		day: d, cfg: cfg, rng: rand.New(rand.NewPCG(d.seed, 31)), now: second, jobs: map[uint64]*stormTry{},
+		work: []float64{45, 60, 55, 46}, homes: make([][2]float64, stormHouses),
+	}
 	for i := range d.backends {
 		speed := []float64{1.3, 0.95, 0.7}[i%3] * (0.9 + 0.2*w.rng.Float64())
 		w.capacity += 2 * speed
-		mc := machine.Config{Cores: 2, Speed: speed, Slots: 20, Queue: 5,
-			Cold: machine.Cold{From: 0.32, For: 8 * second, Multiple: 2.5, Over: 3 * second}}
+		mc := machine.Config{
+			Cores: 2, Speed: speed, Slots: 20, Queue: 5,
+			Cold: machine.Cold{From: 0.32, For: 8 * second, Multiple: 2.5, Over: 3 * second},
+		}
 		if d.crowd {
 			mc.Crowd = machine.Crowd{At: 7, Over: 2500 * milli, Slower: 2.5, Rest: 3 * second, Below: 0.4, Most: 20 * second}
 		}
@@ -197,8 +201,10 @@
 		for class < 3 && x > stormShares[class] {
 			x, class = x-stormShares[class], class+1
 		}
-		u := &stormUser{class: class, house: w.rng.IntN(stormHouses), home: w.rng.IntN(len(w.proxies)), key: uint64(1 + w.rng.IntN(4000)), came: w.now,
-			worth: w.cfg.Classes[class].Value}
+		u := &stormUser{
+			class: class, house: w.rng.IntN(stormHouses), home: w.rng.IntN(len(w.proxies)), key: uint64(1 + w.rng.IntN(4000)), came: w.now,
+			worth: w.cfg.Classes[class].Value,
+		}
 		u.honours = w.rng.Float64() < w.day.honour
 		w.users = append(w.users, u)
 		w.at(u.came).asked += u.worth
@@ -232,8 +238,10 @@
 			w.again(t, 0, c.Effect == Safe)
 		}
 	})
-	p.b.Request(w.now, Request{ID: t.id, Class: u.class, Tenant: u.house, Key: u.key, Deadline: t.leaves,
-		Repeat: w.day.marks && u.tries > 1})
+	p.b.Request(w.now, Request{
+		ID: t.id, Class: u.class, Tenant: u.house, Key: u.key, Deadline: t.leaves,
+		Repeat: w.day.marks && u.tries > 1,
+	})
 }
 
 // again lets a client come again, if it may and has time and patience left.
--- a/storm_policies_test.go
+++ b/storm_policies_test.go
@@ -35,8 +35,10 @@
 
 // noControl sends all there is, once more where the first attempt never ran.
 func noControl(w *stormLoop, rank int, h Host) decider {
-	return &plainPolicy{host: h, cfg: w.cfg, rng: rand.New(rand.NewPCG(w.day.seed, uint64(rank))), out: map[BackendID]int{},
-		broken: map[BackendID]time.Duration{}, requests: map[RequestID]*plainRequest{}, budget: 1}
+	return &plainPolicy{
+		host: h, cfg: w.cfg, rng: rand.New(rand.NewPCG(w.day.seed, uint64(rank))), out: map[BackendID]int{},
+		broken: map[BackendID]time.Duration{}, requests: map[RequestID]*plainRequest{}, budget: 1,
+	}
 }
 
 // retryBudget is no control, but that no more than a fifth of what is open may be second attempts
--- a/storm_table_test.go
+++ b/storm_table_test.go
@@ -30,8 +30,10 @@
 		name, colour string
 		policy       func(w *stormLoop, rank int, h Host) decider
 	}{
-		{"no control", "#999999", noControl}, {"retry budget", "#d08020", retryBudget},
-		{"adaptive throttling", "#8040a0", adaptiveThrottling}, {"marlreel", "#107050", marl},
+		{"no control", "#999999", noControl},
+		{"retry budget", "#d08020", retryBudget},
+		{"adaptive throttling", "#8040a0", adaptiveThrottling},
+		{"marlreel", "#107050", marl},
 	}
 	kinds := []struct {
 		name   string
--- a/storm_test.go
+++ b/storm_test.go
@@ -8,8 +8,10 @@
 // usualStorm is an outage of a quarter of the machines, which return cold while all clients come
 // again; a crowded machine turns slow, which is what lets an outage go on by itself.
 func usualStorm(seed uint64) stormDay {
-	return stormDay{seed: seed, backends: 9, proxies: 3, load: 0.75, retries: 3, backoff: 80 * milli, honour: 0.9, strays: 0.1,
-		dies: 12 * second, back: 22 * second, length: 60 * second, part: 0.24, house: -1, crowd: true, policy: marl}
+	return stormDay{
+		seed: seed, backends: 9, proxies: 3, load: 0.75, retries: 3, backoff: 80 * milli, honour: 0.9, strays: 0.1,
+		dies: 12 * second, back: 22 * second, length: 60 * second, part: 0.24, house: -1, crowd: true, policy: marl,
+	}
 }
 
 // stormMean plays a kind of storm over some seeds, and gives the mean of a figure.
