--- /dev/null
+++ b/internal/system/operator/compatibility_test.go
@@ -0,0 +1,181 @@
+package operator
+
+import (
+	"archive/tar"
+	"bufio"
+	"bytes"
+	"compress/gzip"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"marlreel/internal/system/result"
+)
+
+// The files under testdata/compatibility were written by the code of commit 6fb9894, with
+// WRITE_COMPATIBILITY=1. They hold forms that other processes, backends and operators rely on.
+// They must not be written anew to get a pass.
+
+// checkRecorded compares a text with the recorded one.
+func checkRecorded(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", "compatibility", name)
+	if os.Getenv("WRITE_COMPATIBILITY") != "" {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s differs from what was recorded\n got:\n%s\nwant:\n%s", path, got, want)
+	}
+}
+
+// byteReader gives a byte at a time, so that what is noted ends where the request does.
+type byteReader struct{ from *bufio.Reader }
+
+// Read implements io.Reader.
+func (r *byteReader) Read(p []byte) (int, error) {
+	if len(p) == 0 {
+		return 0, nil
+	}
+	return r.from.Read(p[:1])
+}
+
+// recorder is a control process that notes the bytes of requests and gives set answers.
+type recorder struct {
+	seen   []string
+	answer func(path string) string
+}
+
+func (r *recorder) dial(context.Context, string) (net.Conn, error) {
+	near, far := net.Pipe()
+	go func() {
+		defer far.Close()
+		in := bufio.NewReader(far)
+		for {
+			var raw strings.Builder
+			request, err := http.ReadRequest(bufio.NewReader(io.TeeReader(&byteReader{in}, &raw)))
+			if err != nil {
+				return
+			}
+			if _, err := io.Copy(io.Discard, request.Body); err != nil {
+				return
+			}
+			r.seen = append(r.seen, strings.ReplaceAll(raw.String(), "\r\n", "\n"))
+			if _, err := io.WriteString(far, r.answer(request.URL.Path)); err != nil {
+				return
+			}
+		}
+	}()
+	return near, nil
+}
+
+func httpAnswer(status int, body string) string {
+	return fmt.Sprintf("HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), len(body), body)
+}
+
+// The operator's program writes the bytes that it wrote.
+func TestCompatibilityOfCalls(t *testing.T) {
+	control := &recorder{answer: func(string) string { return httpAnswer(200, "{}") }}
+	client := NewClient([]string{"10.1.0.1:8082"}, time.Second, control.dial)
+	var out strings.Builder
+	for _, call := range []struct {
+		name string
+		make func() error
+	}{
+		{"read", func() error { _, err := client.Read(); return err }},
+		{"replace", func() error { return client.Replace(3, []byte(`{"config_version":4}`)) }},
+		{"replace the first", func() error { return client.Replace(0, []byte(`{"config_version":1}`)) }},
+		{"modify", func() error { return client.Modify(4, []byte(`{"config_version":5,"upsert":{}}`)) }},
+		{"evacuate", func() error { return client.Evacuate("east", true) }},
+		{"restore", func() error { return client.Evacuate("east", false) }},
+		{"status", func() error { _, err := client.Status(); return err }},
+	} {
+		control.seen = nil
+		if err := call.make(); err != nil {
+			t.Errorf("%s: %v", call.name, err)
+		}
+		fmt.Fprintf(&out, "== %s\n%s\n", call.name, strings.Join(control.seen, "\n--\n"))
+	}
+	checkRecorded(t, "calls.txt", out.String())
+}
+
+// Answers of a control process of the recorded version are read as they were.
+func TestCompatibilityOfAnswers(t *testing.T) {
+	for _, answer := range []struct {
+		name   string
+		status int
+		body   string
+		want   result.Code
+		detail string
+	}{
+		{"another version", 412, `{"code":300,"result":"version conflict","error_cause":"version 7 is current","advice":"read the configuration and build on it"}`, 300, "version 7 is current"},
+		{"invalid", 400, `{"code":206,"result":"invalid field","error_cause":"route chat","advice":"mend the field that the error names"}`, 206, "route chat"},
+		{"no such path", 404, `{"code":209,"result":"unknown path","error_cause":"x","advice":""}`, 209, "x"},
+		{"unavailable", 503, `{"code":400,"result":"unavailable","error_cause":"no majority","advice":""}`, 400, "no majority"},
+		{"unclear", 504, `{"code":401,"result":"unclear","error_cause":"no answer","advice":""}`, 401, "no answer"},
+	} {
+		t.Run(answer.name, func(t *testing.T) {
+			control := &recorder{answer: func(string) string { return httpAnswer(answer.status, answer.body) }}
+			err := NewClient([]string{"10.1.0.1:8082"}, time.Millisecond, control.dial).Replace(1, []byte(`{}`))
+			var said *result.Error
+			if !errors.As(err, &said) || said.Code != answer.want || said.Detail != answer.detail {
+				t.Errorf("read as %v", err)
+			}
+		})
+	}
+}
+
+// A support bundle has the files and the manifest that it had.
+func TestCompatibilityOfBundle(t *testing.T) {
+	control := &recorder{answer: func(path string) string {
+		if path == "/metrics" {
+			return httpAnswer(503, "")
+		}
+		return httpAnswer(200, `{"at":"`+path+`"}`)
+	}}
+	client := NewClient([]string{"10.1.0.1:8082"}, time.Second, control.dial)
+	var packed bytes.Buffer
+	_, err := client.WriteBundle(&packed, BundleConfig{Metrics: []string{"10.2.0.1:7675"}, Now: time.Unix(1_700_000_000, 0)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	compressed, err := gzip.NewReader(&packed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	archive := tar.NewReader(compressed)
+	program := regexp.MustCompile(`"program": "[^"]*"`)
+	var out strings.Builder
+	for {
+		header, err := archive.Next()
+		if errors.Is(err, io.EOF) {
+			break
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		body, err := io.ReadAll(archive)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&out, "== %s %o\n%s\n", header.Name, header.Mode, program.ReplaceAll(body, []byte(`"program": (varies)`)))
+	}
+	checkRecorded(t, "bundle.txt", out.String())
+}
