--- /dev/null
+++ b/internal/system/agent/compatibility_test.go
@@ -0,0 +1,157 @@
+package agent
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"maps"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"marlreel/internal/system/placement"
+)
+
+// The files under testdata/compatibility were written by the code of commit 6fb9894, with
+// WRITE_COMPATIBILITY=1. They hold forms that other processes, backends and operators rely on.
+// They must not be written anew to get a pass. Those named sent-… are after the users' pages.
+
+// checkRecorded compares a text with the recorded one.
+func checkRecorded(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", "compatibility", name)
+	if os.Getenv("WRITE_COMPATIBILITY") != "" {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s differs from what was recorded\n got:\n%s\nwant:\n%s", path, got, want)
+	}
+}
+
+// byteReader gives a byte at a time, so that what is noted ends where the request does.
+type byteReader struct{ from *bufio.Reader }
+
+// Read implements io.Reader.
+func (r *byteReader) Read(p []byte) (int, error) {
+	if len(p) == 0 {
+		return 0, nil
+	}
+	return r.from.Read(p[:1])
+}
+
+// recordingBackend notes the bytes of requests and gives set answers.
+type recordingBackend struct {
+	seen   []string
+	answer string
+}
+
+func (b *recordingBackend) dial(context.Context, string) (net.Conn, error) {
+	near, far := net.Pipe()
+	go func() {
+		defer far.Close()
+		in := bufio.NewReader(far)
+		for {
+			var raw strings.Builder
+			request, err := http.ReadRequest(bufio.NewReader(io.TeeReader(&byteReader{in}, &raw)))
+			if err != nil {
+				return
+			}
+			if _, err := io.Copy(io.Discard, request.Body); err != nil {
+				return
+			}
+			b.seen = append(b.seen, strings.ReplaceAll(raw.String(), "\r\n", "\n"))
+			if _, err := io.WriteString(far, b.answer); err != nil {
+				return
+			}
+		}
+	}()
+	return near, nil
+}
+
+func always() (time.Time, bool) { return time.Now().Add(time.Minute), true }
+
+// Orders to backends are the bytes that they were.
+func TestCompatibilityOfOrders(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		var out strings.Builder
+		for _, operation := range []placement.Operation{placement.Load, placement.Unload} {
+			for _, adapter := range []string{"", "a3"} {
+				backend := &recordingBackend{answer: "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"}
+				client := newBackendClient(backend.dial)
+				taken := client.order("10.3.0.1:9000", "i-7f3a91c2", order{Operation: operationWords[operation], Model: "m0", Adapter: adapter,
+					Revision: 2, Holder: "edge-1/0000002a", Fence: 41}, always)
+				if taken != orderTaken {
+					t.Errorf("an order that is carried out counts as %d", taken)
+				}
+				fmt.Fprintf(&out, "%s\n\n", strings.Join(backend.seen, "\n--\n"))
+				client.http.CloseIdleConnections()
+			}
+		}
+		checkRecorded(t, "orders.txt", out.String())
+		time.Sleep(cleanersEnd)
+	})
+}
+
+// What backends answer to orders has the meaning that the pages give it.
+func TestCompatibilityOfAnswersToOrders(t *testing.T) {
+	for status, want := range map[int]orderOutcome{202: orderTaken, 200: orderNeedless, 409: orderRefused, 412: orderFenced,
+		400: orderRefused, 421: orderRefused, 503: orderRefused} {
+		t.Run(fmt.Sprint(status), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				backend := &recordingBackend{answer: fmt.Sprintf("HTTP/1.1 %d %s\r\nContent-Length: 0\r\n\r\n", status, http.StatusText(status))}
+				client := newBackendClient(backend.dial)
+				got := client.order("10.3.0.1:9000", "i-7f3a91c2", order{Operation: "model_load", Model: "m0", Holder: "edge-1/0000002a", Fence: 41}, always)
+				if got != want {
+					t.Errorf("counts as %d, not as %d", got, want)
+				}
+				client.http.CloseIdleConnections()
+				time.Sleep(cleanersEnd)
+			})
+		})
+	}
+}
+
+// A backend's report, as the pages have it, is asked for and read as it was.
+func TestCompatibilityOfReports(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		body, err := os.ReadFile(filepath.Join("testdata", "compatibility", "sent-report.json"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		backend := &recordingBackend{answer: fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)}
+		client := newBackendClient(backend.dial)
+		report, err := client.report("10.3.0.1:9000", "i-7f3a91c2")
+		if err != nil {
+			t.Fatal(err)
+		}
+		var out strings.Builder
+		fmt.Fprintf(&out, "%s\nbusy %t\nrevision %d\n", strings.Join(backend.seen, "\n--\n"), report.Busy, report.Revision)
+		for _, name := range slices.Sorted(maps.Keys(report.Holds)) {
+			adapters, err := json.Marshal(report.Holds[name])
+			if err != nil {
+				t.Fatal(err)
+			}
+			fmt.Fprintf(&out, "holds %s %s\n", name, adapters)
+		}
+		checkRecorded(t, "report.txt", out.String())
+		client.http.CloseIdleConnections()
+		time.Sleep(cleanersEnd)
+	})
+}
