--- a/internal/system/simcluster/compatibility_test.go
+++ b/internal/system/simcluster/compatibility_test.go
@@ -19,6 +19,8 @@
 	"testing/synctest"
 	"time"
 
+	"google.golang.org/protobuf/encoding/protowire"
+
 	"marlreel/internal/system/boot"
 )
 
@@ -408,3 +410,143 @@
 }
 
 func documentOf2(version uint64) string { return documentOf(fmt.Sprint(version)) }
+
+// wire makes the bytes of a protobuf message by numbers of fields alone.
+type wire []byte
+
+func (w wire) text(number protowire.Number, value string) wire {
+	return protowire.AppendString(protowire.AppendTag(w, number, protowire.BytesType), value)
+}
+
+func (w wire) whole(number protowire.Number, value uint64) wire {
+	return protowire.AppendVarint(protowire.AppendTag(w, number, protowire.VarintType), value)
+}
+
+func (w wire) message(number protowire.Number, value wire) wire {
+	return protowire.AppendBytes(protowire.AppendTag(w, number, protowire.BytesType), value)
+}
+
+// fieldsOf words which fields a message has at its top, in order of their numbers.
+func fieldsOf(t *testing.T, data []byte) string {
+	t.Helper()
+	found := map[string]bool{}
+	for len(data) > 0 {
+		number, kind, n := protowire.ConsumeField(data)
+		if n < 0 {
+			t.Fatalf("no message: %v", protowire.ParseError(n))
+		}
+		found[fmt.Sprintf("%02d kind %d", number, kind)] = true
+		data = data[n:]
+	}
+	return strings.Join(slices.Sorted(maps.Keys(found)), ", ")
+}
+
+// valueOf gives the last value of a field that is bytes or text.
+func valueOf(t *testing.T, data []byte, wanted protowire.Number) string {
+	t.Helper()
+	value := ""
+	for len(data) > 0 {
+		number, kind, n := protowire.ConsumeTag(data)
+		if n < 0 {
+			t.Fatalf("no message: %v", protowire.ParseError(n))
+		}
+		length := protowire.ConsumeFieldValue(number, kind, data[n:])
+		if length < 0 {
+			t.Fatalf("no message: %v", protowire.ParseError(length))
+		}
+		if number == wanted && kind == protowire.BytesType {
+			text, _ := protowire.ConsumeBytes(data[n:])
+			value = string(text)
+		}
+		data = data[n+length:]
+	}
+	return value
+}
+
+// Calls of control processes, agents and proxies, as processes of the recorded version make them,
+// are answered with the fields that they had.
+func TestCompatibilityOfPeers(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c := start(t, 1, 2)
+		defer c.Stop()
+		control, agent := c.Controls[0].IP+":7660", c.Edges[0].IP+":7660"
+		node := wire{}.text(1, "edge-9").text(2, "10.2.0.90:7660").text(3, "east").whole(4, 77)
+		backend := wire{}.text(1, "i-9").text(2, "slips").text(3, "10.3.0.99:9000").text(4, "east").text(5, "v1").whole(6, 8).whole(10, 3)
+		demand := wire{}.text(1, "llm").text(2, "m0").whole(4, 3).whole(7, 800)
+		report := wire{}.text(1, "edge-9").message(2, demand).text(3, "east")
+		evacuate := wire{}.message(3, wire{}.text(1, "west").whole(2, 1))
+		var out strings.Builder
+		for _, call := range []struct {
+			name, address, path string
+			body                wire
+		}{
+			{"an order without a time", control, "marlreel.system.Control/Submit", wire{}.message(1, evacuate)},
+			{"an order with a time of another life", control, "marlreel.system.Control/Submit", wire{}.message(1, evacuate).message(2, wire{}.whole(1, 5).whole(2, 6))},
+			{"a read", control, "marlreel.system.Control/Read", nil},
+			{"the first word of another control process", control, "marlreel.system.Control/Share", wire{}.text(1, "10.1.0.9:7660").message(2, backend).message(4, node).
+				message(6, wire{}.text(1, "10.1.0.9:7660").text(2, "north").text(3, "10.1.0.9:8082")).whole(5, 1)},
+			{"a life sign", control, "marlreel.system.Control/Share", wire{}.text(1, "10.1.0.9:7660").message(3, wire{}.text(1, "i-9").whole(3, 9))},
+			{"a life sign of an unknown backend", control, "marlreel.system.Control/Share", wire{}.text(1, "10.1.0.9:7660").message(3, wire{}.text(1, "i-unknown").whole(3, 9))},
+			{"a reader of all", control, "marlreel.system.Control/Watch", wire{}.text(7, "edge-9")},
+			{"a reader of the state", control, "marlreel.system.Control/Watch", wire{}.text(7, "edge-9").text(8, "state")},
+			{"a reader of a service", control, "marlreel.system.Control/Watch", wire{}.text(7, "edge-9").text(8, "service/llm")},
+			{"a node", control, "marlreel.system.Control/Renew", wire{}.message(1, node)},
+			{"a node without a name", control, "marlreel.system.Control/Renew", nil},
+			{"a holder", control, "marlreel.system.Control/Lease", wire{}.text(1, "edge-9/0000004d")},
+			{"an observation", control, "marlreel.system.Control/Observe", wire{}.message(1, wire{}.text(1, "i-1").message(2, wire{}.text(1, "m0").whole(2, 1)))},
+			{"a proxy that reads", agent, "marlreel.system.Agent/Watch", wire{}.text(8, "state")},
+			{"demand of a proxy", agent, "marlreel.system.Agent/ReportDemand", report},
+			{"demand that is passed on", agent, "marlreel.system.Agent/PassDemand", wire{}.message(1, report).text(2, "edge-9").text(3, "east")},
+			{"no such method", control, "marlreel.system.Control/Other", nil},
+		} {
+			status, header, body := replay(t, c, call.address, rawExchange{call.name,
+				"POST /twirp/" + call.path + " HTTP/1.1\nHost: peer\nContent-Type: application/protobuf", string(call.body)})
+			fmt.Fprintf(&out, "== %s\n%s %x\n-> %d %s\n", call.name, call.path, []byte(call.body), status, header.Get("Content-Type"))
+			switch {
+			case status != http.StatusOK:
+				fmt.Fprintln(&out, body)
+			case call.name == "a read":
+				fmt.Fprintf(&out, "%x\n", body)
+			default:
+				fmt.Fprintln(&out, fieldsOf(t, []byte(body)))
+			}
+			if call.name == "a reader of the state" {
+				if got := valueOf(t, []byte(valueOf(t, []byte(body), 5)), 2); got != document(1) {
+					t.Errorf("the state has another configuration:\n%s", got)
+				}
+			}
+		}
+		checkRecorded(t, "peers.txt", out.String())
+	})
+}
+
+// Heartbeats between control processes go as datagrams, each one message of the chain.
+func TestCompatibilityOfDatagrams(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c := startControls(t, 3)
+		defer c.Stop()
+		c.Pass(3 * time.Second)
+		gone := c.Controls[2]
+		gone.Kill()
+		c.revive(gone.IP)
+		socket, err := c.network(gone.IP).ListenPacket(gone.IP + ":7660")
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer c.cutOff(gone.IP)
+		buffer := make([]byte, 2000)
+		n, from, err := socket.ReadFrom(buffer)
+		if err != nil {
+			t.Fatal(err)
+		}
+		message := buffer[:n]
+		sender := valueOf(t, []byte(valueOf(t, message, 1)), 1)
+		receiver := valueOf(t, []byte(valueOf(t, message, 2)), 1)
+		if sender != from.String() || receiver != gone.IP+":7660" {
+			t.Errorf("from %s to %s, in a datagram from %s", sender, receiver, from)
+		}
+		if heartbeat := valueOf(t, message, 10); heartbeat == "" {
+			t.Errorf("no heartbeat in %s", fieldsOf(t, message))
+		}
+	})
+}
