--- /dev/null
+++ b/internal/system/homes/compatibility_test.go
@@ -0,0 +1,58 @@
+package homes
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"marlreel/internal/system/api"
+	"marlreel/internal/system/feed"
+)
+
+// The files under testdata/compatibility were written by the code of commit 6fb9894, with
+// WRITE_COMPATIBILITY=1. They hold forms that other processes, backends and operators rely on.
+// They must not be written anew to get a pass.
+
+// checkRecorded compares a text with the recorded one.
+func checkRecorded(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", "compatibility", name)
+	if os.Getenv("WRITE_COMPATIBILITY") != "" {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s differs from what was recorded\n got:\n%s\nwant:\n%s", path, got, want)
+	}
+}
+
+// Each agent works the homes out by itself: versions that choose otherwise read from nodes that
+// don't follow the topic.
+func TestCompatibilityOfHomes(t *testing.T) {
+	var nodes []*api.Node
+	for i := range 6 {
+		nodes = append(nodes, &api.Node{Name: fmt.Sprintf("edge-%d", i), Address: fmt.Sprintf("10.2.0.%d:7660", i), Zone: []string{"east", "west"}[i%2],
+			Leaving: i == 4})
+	}
+	topics := feed.Topics{feed.TopicState}
+	for i := range 12 {
+		topics = append(topics, feed.ServiceTopic(fmt.Sprintf("s%d", i)))
+	}
+	var out strings.Builder
+	for _, self := range nodes {
+		for _, subscription := range Plan(self, nodes, topics) {
+			fmt.Fprintf(&out, "%s reads from %q: %s\n", self.Name, subscription.Home, strings.Join(subscription.Topics, " "))
+		}
+	}
+	checkRecorded(t, "homes.txt", out.String())
+}
