--- /dev/null
+++ b/internal/system/feed/compatibility_test.go
@@ -0,0 +1,49 @@
+package feed
+
+import (
+	"context"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"marlreel/internal/system/api"
+)
+
+// Topics are sent as text. These are those of commit 6fb9894.
+func TestCompatibilityOfTopics(t *testing.T) {
+	if TopicState != "state" || ServiceTopic("llm") != "service/llm" {
+		t.Errorf("the topics are %q and %q", TopicState, ServiceTopic("llm"))
+	}
+}
+
+// A state that is too large for one answer is sent in parts, which make up the message of the
+// state in their order. A reader of the recorded version asks for the part after those it has.
+func TestCompatibilityOfStateParts(t *testing.T) {
+	document := `{"config_version":1,"remark":"` + strings.Repeat("x", 3*largestAnswer) + `"}`
+	store := New("source", time.Now)
+	store.Reset(7, 99, &api.State{Version: 1, Document: []byte(document), LastFence: 5})
+	request := &api.WatchRequest{}
+	var data []byte
+	for {
+		feed := store.Wait(context.Background(), request, 0)
+		part := feed.StatePart
+		if part == nil || feed.State != nil || part.Sequence != 7 || part.Hash != 99 || part.Offset != uint64(len(data)) || len(part.Data) == 0 {
+			t.Fatalf("after %d bytes comes no part that goes on there", len(data))
+		}
+		data = append(data, part.Data...)
+		if uint64(len(data)) == part.Total {
+			break
+		}
+		request = &api.WatchRequest{Source: feed.Source, StatePart: &api.StatePart{Sequence: 7, Hash: 99, Offset: uint64(len(data)), Total: part.Total}}
+	}
+	want, err := proto.MarshalOptions{Deterministic: true}.Marshal(&api.State{Version: 1, Document: []byte(document), LastFence: 5})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !slices.Equal(data, want) {
+		t.Errorf("the parts make up %d bytes that are not the state's %d", len(data), len(want))
+	}
+}
