--- /dev/null
+++ b/internal/system/gateway/compatibility_test.go
@@ -0,0 +1,110 @@
+package gateway
+
+import (
+	"bufio"
+	"fmt"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"marlreel/internal/engine"
+	"marlreel/internal/httpproxy"
+)
+
+// The files under testdata/compatibility were written by the code of commit 6fb9894, with
+// WRITE_COMPATIBILITY=1. They hold forms that other processes, backends and operators rely on.
+// They must not be written anew to get a pass.
+
+// checkRecorded compares a text with the recorded one.
+func checkRecorded(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", "compatibility", name)
+	if os.Getenv("WRITE_COMPATIBILITY") != "" {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s differs from what was recorded\n got:\n%s\nwant:\n%s", path, got, want)
+	}
+}
+
+// Exchanges of clients and backends with a proxy are recorded with the tests of the simulated
+// cluster (simcluster), where such a process runs as a whole.
+
+// What backends answer is understood by the headers and statuses of the pages. The meanings are the
+// words of marlreel_attempts_total.
+func TestCompatibilityOfAnswers(t *testing.T) {
+	backend := &engine.Backend{Name: "i-7f3a91c2", Addr: "10.3.0.1:9000"}
+	var out strings.Builder
+	for _, probe := range []bool{false, true} {
+		for _, head := range []string{
+			"200 OK\nServer-Seal: 3e1b.07", "200 OK", "204 No Content\nServer-Seal: 3e1b.07", "301 Moved\nServer-Seal: 3e1b.07",
+			"400 Bad Request\nServer-Seal: 3e1b.07", "400 Bad Request\nNot-Executed: 1", "404 Not Found\nServer-Seal: 3e1b.07",
+			"408 Request Timeout\nServer-Seal: 3e1b.07", "421 Misdirected Request", "429 Too Many Requests\nNot-Executed: 1",
+			"429 Too Many Requests\nServer-Seal: 3e1b.07", "500 Internal Server Error\nServer-Seal: 3e1b.07",
+			"503 Service Unavailable\nNot-Executed: 1", "503 Service Unavailable\nServer-Seal: 3e1b.07", "200 OK\nNot-Executed: 1\nServer-Seal: 3e1b.07",
+			"504 Gateway Timeout\nServer-Seal: 3e1b.07", "200 OK\nBackend-Id: i-7f3a91c2", "200 OK\nBackend-Id: i-other", "503 Service Unavailable\nBackend-Id: i-7f3a91c2",
+		} {
+			text := "HTTP/1.1 " + strings.ReplaceAll(head, "\n", "\r\n") + "\r\nContent-Length: 0\r\n\r\n"
+			response, err := http.ReadResponse(bufio.NewReader(strings.NewReader(text)), nil)
+			if err != nil {
+				t.Fatal(err)
+			}
+			response.Body.Close()
+			meaning := newDialect(func() string { return "/health" }).Judge(backend, &httpproxy.Message{Probe: probe}, response)
+			fmt.Fprintf(&out, "probe %t | %s | %s\n", probe, strings.ReplaceAll(head, "\n", " | "), resultWords[meaning])
+		}
+	}
+	checkRecorded(t, "answers.txt", out.String())
+}
+
+// Requests to backends carry the headers of the pages, and probes go to the service's path.
+func TestCompatibilityOfHeads(t *testing.T) {
+	backend := &engine.Backend{Name: "i-7f3a91c2", Addr: "10.3.0.1:9000"}
+	dialect := newDialect(func() string { return "/health" })
+	bounds := dialect.Bounds([]byte("POST /chat/2f HTTP/1.1\r\n"), backend, 1234*time.Millisecond)
+	probe := dialect.Probe(backend)
+	text := fmt.Sprintf("%s\n%s %t\n%s", bounds, probe.Method, probe.Probe, probe.Head)
+	checkRecorded(t, "heads.txt", strings.ReplaceAll(text, "\r\n", "\n"))
+
+	for id, mine := range map[string]bool{"9c41d07be2a35f68": true, "": true, "other": false} {
+		response := &http.Response{Header: http.Header{}}
+		if id != "" {
+			response.Header.Set("Request-Id", id)
+		}
+		if got := dialect.Mine(&httpproxy.Message{ID: "9c41d07be2a35f68"}, response); got != mine {
+			t.Errorf("an answer with the id %q counts as that of the request: %t", id, got)
+		}
+	}
+}
+
+// Labels have the words that they had.
+func TestCompatibilityOfLabels(t *testing.T) {
+	var out strings.Builder
+	fmt.Fprintf(&out, "beyond the bounds: %s\n", otherLabel)
+	words := map[string]bool{}
+	for _, word := range resultWords {
+		words[word] = true
+	}
+	for _, word := range causeWords {
+		words["outcome "+word] = true
+	}
+	fmt.Fprintf(&out, "%d words\n", len(words))
+	for _, word := range []string{"ok", "full", "error", "reset", "declined", "timeout", "cancelled", "no connection", "not sent",
+		"outcome in_time", "outcome refused", "outcome no_holder", "outcome queued", "outcome retried", "outcome failed", "outcome backend",
+		"outcome client_left"} {
+		fmt.Fprintf(&out, "%s: %t\n", word, words[word])
+	}
+	checkRecorded(t, "labels.txt", out.String())
+}
