--- /dev/null
+++ b/internal/config/compatibility_test.go
@@ -0,0 +1,139 @@
+package config_test
+
+import (
+	"bytes"
+	"errors"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"testing"
+	"time"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"marlreel/internal/config"
+)
+
+// An operator's file of the recorded tree, with all comments taken off, is read, and all of its keys and
+// values come back when it is written again.
+func TestCompatibilityOperatorFile(t *testing.T) {
+	shipped, err := os.ReadFile(filepath.Join("..", "..", "deploy", "marlreel.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	compareRecorded(t, "deploy-marlreel.toml", shipped)
+	recorded, err := os.ReadFile(filepath.Join("testdata", "compatibility", "deploy-marlreel.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	on := regexp.MustCompile(`(?m)^# ((?:\[.*\]|[a-z-]+ = .*))$`).ReplaceAll(recorded, []byte("$1"))
+	for _, c := range []struct{ name, text string }{
+		{"marlreel-all-set.toml", string(on)},
+		{"marlreel-defaults.toml", ""},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			m, err := config.ParseMarlreel("marlreel.toml", []byte(c.text))
+			if err != nil {
+				t.Fatal(err)
+			}
+			got, err := toml.Marshal(m)
+			if err != nil {
+				t.Fatal(err)
+			}
+			compareRecorded(t, c.name, got)
+			again, err := config.ParseMarlreel("marlreel.toml", got)
+			if err != nil {
+				t.Fatalf("the written form is not read: %v", err)
+			}
+			if second, err := toml.Marshal(again); err != nil || !bytes.Equal(second, got) {
+				t.Errorf("the written form changes when it is read: %v\n%s", err, second)
+			}
+		})
+	}
+}
+
+// The platform's configuration and environment keep their keys.
+func TestCompatibilityPlatformFile(t *testing.T) {
+	data, err := os.ReadFile(filepath.Join("testdata", "compatibility", "platform.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	env := map[string]string{}
+	p, err := config.ParsePlatform(data, func(key string) string { return env[key] })
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct {
+		key       string
+		got, want any
+	}{
+		{"name", p.Name, "n0"}, {"listen", p.Listen, "127.0.0.1:7800"}, {"discovery", p.Discovery, "127.0.0.1:7900"},
+		{"control", p.Control, "127.0.0.1:7801"}, {"seed", p.Seed, uint64(0x8c1f)},
+		{"limits.cores", p.Cores, 1.5}, {"limits.memory_mb", p.MemoryMB, 96}, {"limits.sockets", p.Sockets, 512},
+		{"settings.FailureDomains", p.Names.Zones["maribor"], 1}, {"settings.Kinds", p.Names.Kinds["big-4c"], 1},
+		{"settings.Caps.MaxOpen", p.MaxOpen, 20000}, {"settings.Feedback.Names", len(p.Report), 2},
+		{"settings.Services", p.Settings.Classes[1].Name, "bid"}, {"settings.Services.GiveUp", p.Settings.Classes[1].GiveUp, 900 * time.Millisecond},
+		{"settings.Tenants", p.Settings.Tenants[0].Name, "obala"}, {"no NODE_SOCKET_FD", p.ListenFD, -1},
+	} {
+		if c.got != c.want {
+			t.Errorf("%s: %v, want %v", c.key, c.got, c.want)
+		}
+	}
+	if p.Known == nil || len(p.Known.Instances) != 1 {
+		t.Errorf("known: %+v", p.Known)
+	}
+	env = map[string]string{"NODE_NAME": "n7", "NODE_LISTEN": "127.0.0.1:1", "NODE_DISCOVERY": "127.0.0.1:2",
+		"NODE_CONTROL": "127.0.0.1:3", "NODE_SOCKET_FD": "5", "TMPDIR": "/somewhere"}
+	p, err = config.ParsePlatform(data, func(key string) string { return env[key] })
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct {
+		key       string
+		got, want any
+	}{
+		{"NODE_NAME", p.Name, "n7"}, {"NODE_LISTEN", p.Listen, "127.0.0.1:1"}, {"NODE_DISCOVERY", p.Discovery, "127.0.0.1:2"},
+		{"NODE_CONTROL", p.Control, "127.0.0.1:3"}, {"NODE_SOCKET_FD", p.ListenFD, 5}, {"TMPDIR", p.TempDir, "/somewhere"},
+	} {
+		if c.got != c.want {
+			t.Errorf("$%s: %v, want %v", c.key, c.got, c.want)
+		}
+	}
+	// What the proxies of a fleet agree on is a sent form too.
+	shared, err := p.Shared()
+	if err != nil {
+		t.Fatal(err)
+	}
+	compareRecorded(t, "shared-settings.json", []byte(shared+"\n"))
+	if _, err := p.Take(shared); err != nil {
+		t.Errorf("shared settings are not taken: %v", err)
+	}
+}
+
+// The files under testdata/compatibility hold what the tree at commit 6fb9894 wrote. They stay as they are: a
+// difference is a change of a form that others read, not a reason to write them anew. The variable below wrote
+// them; it only makes files that are not there.
+const writeCompatibility = "MARLREEL_WRITE_COMPATIBILITY"
+
+// compareRecorded compares bytes with a recorded file.
+func compareRecorded(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", "compatibility", name)
+	want, err := os.ReadFile(path)
+	if errors.Is(err, fs.ErrNotExist) && os.Getenv(writeCompatibility) != "" {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s differs\n got %s\nwant %s", name, got, want)
+	}
+}
--- /dev/null
+++ b/internal/wire/compatibility_test.go
@@ -0,0 +1,150 @@
+package wire
+
+import (
+	"bytes"
+	"encoding/hex"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io/fs"
+	"maps"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"marlreel"
+)
+
+// Every key of the platform's settings is read under its name: without it, the settings are others. The names
+// are those of the users' pages, and of the recorded file.
+func TestCompatibilitySettingsKeys(t *testing.T) {
+	recorded, err := os.ReadFile(filepath.Join("testdata", "compatibility", "settings.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var tree map[string]any
+	if err := json.Unmarshal(recorded, &tree); err != nil {
+		t.Fatal(err)
+	}
+	complete, err := ParseSettings(recorded)
+	if err != nil {
+		t.Fatal(err)
+	}
+	flat := settings{values: map[string]setting{}}
+	flat.flatten("", tree)
+	text := func(without string) string {
+		var b strings.Builder
+		for _, key := range slices.Sorted(maps.Keys(flat.values)) {
+			if key != without && key != "Services" && key != "Tenants" {
+				fmt.Fprintf(&b, "%s=%s\n", key, flat.values[key].text)
+			}
+		}
+		return b.String()
+	}
+	// The adapter gets the same settings as lines of text.
+	compareRecorded(t, "settings.txt", []byte(text("")))
+	if lines, err := ParseBootInfo(text("")); err != nil || !reflect.DeepEqual(lines, complete) {
+		t.Errorf("lines of text are read otherwise than JSON: %v\n got %+v\nwant %+v", err, lines, complete)
+	}
+	// A list of objects is read by its items, and a list of words as one text.
+	composite := map[string]bool{"Services": true, "Tenants": true, "Feedback.Names.count": true, "Feedback.Names.0": true, "Feedback.Names.1": true}
+	for key := range flat.values {
+		if composite[key] {
+			continue
+		}
+		if got, err := ParseBootInfo(text(key)); err == nil && reflect.DeepEqual(got, complete) {
+			t.Errorf("%s is not read", key)
+		}
+	}
+}
+
+// The words that settings may have, each read as something of its own.
+func TestCompatibilitySettingsWords(t *testing.T) {
+	for key, words := range map[string][]string{
+		"WorthBy": {"request", "work"}, "Discovery": {"pushed", "on_request"}, "Weights": {"off", "nominal", "live"},
+		"Services.0.Effect": {"fragile", "dedup", "retryable"}, "Services.0.Group": {"cell", "zone", "all"},
+		"Feedback.Names": {"busy_reqs", "pending", "failed_ps", "another"},
+	} {
+		var seen []marlreel.Config
+		for _, word := range words {
+			c, err := ParseBootInfo("Services.count=1\nFeedback.How=inline\n" + key + "=" + word)
+			if err != nil {
+				t.Errorf("%s=%s: %v", key, word, err)
+			}
+			if slices.ContainsFunc(seen, func(o marlreel.Config) bool { return reflect.DeepEqual(o, c) }) {
+				t.Errorf("%s=%s is read like another word", key, word)
+			}
+			seen = append(seen, c)
+		}
+	}
+	for _, line := range []string{"Weights=rough", "Feedback.How=off", "Feedback.How=inline", "Feedback.How=on_probe"} {
+		if _, err := ParseBootInfo(line); err != nil {
+			t.Errorf("%s: %v", line, err)
+		}
+	}
+	rough, _ := ParseBootInfo("Weights=rough")
+	nominal, _ := ParseBootInfo("Weights=nominal")
+	if !reflect.DeepEqual(rough, nominal) {
+		t.Error("Weights=rough is not read like nominal")
+	}
+}
+
+// Each action of a reply, as recorded bytes.
+func TestCompatibilityActions(t *testing.T) {
+	var got bytes.Buffer
+	for _, c := range []struct {
+		name string
+		do   func(marlreel.Host)
+	}{
+		{"send", func(h marlreel.Host) { h.Send(9, 70, 1500*time.Microsecond, 0) }},
+		{"refuse", func(h marlreel.Host) { h.Refuse(9, 240*ms) }},
+		{"fail", func(h marlreel.Host) { h.Fail(9) }},
+		{"cancel", func(h marlreel.Host) { h.Cancel(9, 2) }},
+		{"timer", func(h marlreel.Host) { h.After(500*ms, 77) }},
+		{"probe", func(h marlreel.Host) { h.Probe(70) }},
+		{"release", func(h marlreel.Host) { h.Release(70) }},
+		{"peer message", func(h marlreel.Host) { h.Tell(marlreel.Everyone, []byte("hi")) }},
+		{"peer message, cut to its bound", func(h marlreel.Host) { h.Tell(3, bytes.Repeat([]byte{7}, 300)) }},
+		{"log", func(h marlreel.Host) { h.Log("a line") }},
+		{"watch on", func(h marlreel.Host) { h.Watch(true) }},
+		{"watch off", func(h marlreel.Host) { h.Watch(false) }},
+		{"fetch", func(h marlreel.Host) { h.Fetch() }},
+	} {
+		var r Reply
+		r.Reset(6)
+		c.do(Actions{To: &r, Instance: 3})
+		fmt.Fprintf(&got, "%s: %s\n", c.name, hex.EncodeToString(r.Bytes()))
+	}
+	compareRecorded(t, "actions.txt", got.Bytes())
+}
+
+// The files under testdata/compatibility hold what the tree at commit 6fb9894 wrote. They stay as they are: a
+// difference is a change of a form that others read, not a reason to write them anew. The variable below wrote
+// them; it only makes files that are not there.
+const writeCompatibility = "MARLREEL_WRITE_COMPATIBILITY"
+
+// compareRecorded compares bytes with a recorded file.
+func compareRecorded(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", "compatibility", name)
+	want, err := os.ReadFile(path)
+	if errors.Is(err, fs.ErrNotExist) && os.Getenv(writeCompatibility) != "" {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s differs\n got %s\nwant %s", name, got, want)
+	}
+}
