--- a/cmd/marlreel/compatibility_test.go
+++ b/cmd/marlreel/compatibility_test.go
@@ -40,10 +40,27 @@
 	t.Setenv("NODE_CONFIG", "")
 	missing, shipped := filepath.Join(t.TempDir(), "none"), filepath.Join("..", "..", "deploy", "marlreel.toml")
 	var got strings.Builder
-	for _, args := range [][]string{{"-h"}, {"--version"}, {"--check"}, {"word"}, {"--config", missing}, {"--check", "--config", missing},
+	for _, args := range [][]string{
+		{"-h"},
+		{"--version"},
+		{"--check"},
+		{"word"},
+		{"--config", missing},
+		{"--check", "--config", missing},
 		{"--check", "--config", shipped},
-		{}, {"state"}, {"state", "-h"}, {"state", "--help"}, {"state", "show"}, {"state", "show", missing}, {"state", "show", "--json", missing},
-		{"state", "show", missing, "--json"}, {"state", "show", "--yaml", missing}, {"state", "check", missing}, {"state", "check", missing, missing}, {"state", "drop"}} {
+		{},
+		{"state"},
+		{"state", "-h"},
+		{"state", "--help"},
+		{"state", "show"},
+		{"state", "show", missing},
+		{"state", "show", "--json", missing},
+		{"state", "show", missing, "--json"},
+		{"state", "show", "--yaml", missing},
+		{"state", "check", missing},
+		{"state", "check", missing, missing},
+		{"state", "drop"},
+	} {
 		var out, errs bytes.Buffer
 		code := run(args, &out, &errs)
 		words := strings.NewReplacer(missing, "MISSING", shipped, "SHIPPED").Replace(strings.Join(args, " "))
--- a/cmd/marlreelctl/compatibility_test.go
+++ b/cmd/marlreelctl/compatibility_test.go
@@ -71,8 +71,17 @@
 	go server.Serve(ln)
 	defer server.Close()
 	for _, args := range [][]string{
-		{"--json", "members"}, {"--json", "versions"}, {"propose", file, "--why", "quicker", "--on", "1"}, {"--json", "propose", file}, {"propose", "--dry-run", file},
-		{"diff", "1", file}, {"rollback", "1"}, {"keepers", "add", "n3"}, {"keepers", "remove", "n3"}, {"--json", "lists"}, {"floor", "reset", "etcd"},
+		{"--json", "members"},
+		{"--json", "versions"},
+		{"propose", file, "--why", "quicker", "--on", "1"},
+		{"--json", "propose", file},
+		{"propose", "--dry-run", file},
+		{"diff", "1", file},
+		{"rollback", "1"},
+		{"keepers", "add", "n3"},
+		{"keepers", "remove", "n3"},
+		{"--json", "lists"},
+		{"floor", "reset", "etcd"},
 	} {
 		var out, errs bytes.Buffer
 		mu.Lock()
--- a/cmd/marlreeld/compatibility_test.go
+++ b/cmd/marlreeld/compatibility_test.go
@@ -47,8 +47,10 @@
 // describe lists a command with its flags, and those below it.
 func describe(command *cobra.Command, out *strings.Builder) {
 	fmt.Fprintf(out, "%s | %s\n", command.CommandPath(), command.Use)
-	for _, scope := range []struct{ name, flags string }{{"below too", command.PersistentFlags().FlagUsages()},
-		{"own", command.LocalNonPersistentFlags().FlagUsages()}} {
+	for _, scope := range []struct{ name, flags string }{
+		{"below too", command.PersistentFlags().FlagUsages()},
+		{"own", command.LocalNonPersistentFlags().FlagUsages()},
+	} {
 		for _, found := range flagLine.FindAllStringSubmatch(scope.flags, -1) {
 			fmt.Fprintf(out, "  %s: %s %s\n", scope.name, found[1], found[2])
 		}
@@ -153,9 +155,14 @@
 	address := strings.TrimPrefix(control.URL, "http://")
 	var out strings.Builder
 	for _, args := range [][]string{
-		{"status"}, {"status", "--json"}, {"config", "read"}, {"config", "apply", configuration},
-		{"config", "apply", "--base", "7", "--modify", configuration}, {"config", "apply", "--base", "6", configuration},
-		{"zone", "evacuate", "east"}, {"zone", "restore", "east"},
+		{"status"},
+		{"status", "--json"},
+		{"config", "read"},
+		{"config", "apply", configuration},
+		{"config", "apply", "--base", "7", "--modify", configuration},
+		{"config", "apply", "--base", "6", configuration},
+		{"zone", "evacuate", "east"},
+		{"zone", "restore", "east"},
 	} {
 		calls = nil
 		printed, err := execute(t, append(args, "--control", address)...)
--- a/compatibility_test.go
+++ b/compatibility_test.go
@@ -27,8 +27,10 @@
 	if want := []string{"build", "node", "packages", "policy", "run", "sim"}; !slices.Equal(keys, want) {
 		t.Errorf("keys %q, want %q", keys, want)
 	}
-	for key, want := range map[string]string{"build": "mkdir -p bin && CGO_ENABLED=1 go build -ldflags=-linkmode=external -o bin/ ./cmd/...",
-		"run": "exec bin/marlreel", "sim": "exec bin/wirehost"} {
+	for key, want := range map[string]string{
+		"build": "mkdir -p bin && CGO_ENABLED=1 go build -ldflags=-linkmode=external -o bin/ ./cmd/...",
+		"run":   "exec bin/marlreel", "sim": "exec bin/wirehost",
+	} {
 		if file[key] != want {
 			t.Errorf("%s = %q, want %q", key, file[key], want)
 		}
--- a/internal/config/compatibility_test.go
+++ b/internal/config/compatibility_test.go
@@ -68,13 +68,22 @@
 		key       string
 		got, want any
 	}{
-		{"name", p.Name, "n0"}, {"listen", p.Listen, "127.0.0.1:7800"}, {"discovery", p.Discovery, "127.0.0.1:7900"},
-		{"control", p.Control, "127.0.0.1:7801"}, {"seed", p.Seed, uint64(0x8c1f)},
-		{"limits.cores", p.Cores, 1.5}, {"limits.memory_mb", p.MemoryMB, 96}, {"limits.sockets", p.Sockets, 512},
-		{"settings.FailureDomains", p.Names.Zones["maribor"], 1}, {"settings.Kinds", p.Names.Kinds["big-4c"], 1},
-		{"settings.Caps.MaxOpen", p.MaxOpen, 20000}, {"settings.Feedback.Names", len(p.Report), 2},
-		{"settings.Services", p.Settings.Classes[1].Name, "bid"}, {"settings.Services.GiveUp", p.Settings.Classes[1].GiveUp, 900 * time.Millisecond},
-		{"settings.Tenants", p.Settings.Tenants[0].Name, "obala"}, {"no NODE_SOCKET_FD", p.ListenFD, -1},
+		{"name", p.Name, "n0"},
+		{"listen", p.Listen, "127.0.0.1:7800"},
+		{"discovery", p.Discovery, "127.0.0.1:7900"},
+		{"control", p.Control, "127.0.0.1:7801"},
+		{"seed", p.Seed, uint64(0x8c1f)},
+		{"limits.cores", p.Cores, 1.5},
+		{"limits.memory_mb", p.MemoryMB, 96},
+		{"limits.sockets", p.Sockets, 512},
+		{"settings.FailureDomains", p.Names.Zones["maribor"], 1},
+		{"settings.Kinds", p.Names.Kinds["big-4c"], 1},
+		{"settings.Caps.MaxOpen", p.MaxOpen, 20000},
+		{"settings.Feedback.Names", len(p.Report), 2},
+		{"settings.Services", p.Settings.Classes[1].Name, "bid"},
+		{"settings.Services.GiveUp", p.Settings.Classes[1].GiveUp, 900 * time.Millisecond},
+		{"settings.Tenants", p.Settings.Tenants[0].Name, "obala"},
+		{"no NODE_SOCKET_FD", p.ListenFD, -1},
 	} {
 		if c.got != c.want {
 			t.Errorf("%s: %v, want %v", c.key, c.got, c.want)
@@ -83,8 +92,10 @@
 	if p.Known == nil || len(p.Known.Instances) != 1 {
 		t.Errorf("known: %+v", p.Known)
 	}
-	env = map[string]string{"NODE_NAME": "n7", "NODE_LISTEN": "127.0.0.1:1", "NODE_DISCOVERY": "127.0.0.1:2",
-		"NODE_CONTROL": "127.0.0.1:3", "NODE_SOCKET_FD": "5", "TMPDIR": "/somewhere"}
+	env = map[string]string{
+		"NODE_NAME": "n7", "NODE_LISTEN": "127.0.0.1:1", "NODE_DISCOVERY": "127.0.0.1:2",
+		"NODE_CONTROL": "127.0.0.1:3", "NODE_SOCKET_FD": "5", "TMPDIR": "/somewhere",
+	}
 	p, err = config.ParsePlatform(data, func(key string) string { return env[key] })
 	if err != nil {
 		t.Fatal(err)
@@ -93,8 +104,12 @@
 		key       string
 		got, want any
 	}{
-		{"NODE_NAME", p.Name, "n7"}, {"NODE_LISTEN", p.Listen, "127.0.0.1:1"}, {"NODE_DISCOVERY", p.Discovery, "127.0.0.1:2"},
-		{"NODE_CONTROL", p.Control, "127.0.0.1:3"}, {"NODE_SOCKET_FD", p.ListenFD, 5}, {"TMPDIR", p.TempDir, "/somewhere"},
+		{"NODE_NAME", p.Name, "n7"},
+		{"NODE_LISTEN", p.Listen, "127.0.0.1:1"},
+		{"NODE_DISCOVERY", p.Discovery, "127.0.0.1:2"},
+		{"NODE_CONTROL", p.Control, "127.0.0.1:3"},
+		{"NODE_SOCKET_FD", p.ListenFD, 5},
+		{"TMPDIR", p.TempDir, "/somewhere"},
 	} {
 		if c.got != c.want {
 			t.Errorf("$%s: %v, want %v", c.key, c.got, c.want)
--- a/internal/experiment/compatibility_test.go
+++ b/internal/experiment/compatibility_test.go
@@ -33,8 +33,10 @@
 // storedFactors is the stored experiment that compares two arms at two levels.
 func storedFactors() *Identity {
 	day := func(name, marlreel, baseline string, rate float64) Day {
-		return Day{Arm: Arm{Name: name, Marlreel: marlreel, Baseline: baseline}, Set: map[string]any{"rate": rate, "zones": []any{"a", "b"}},
-			Daemon: map[string]any{"retries.max": 2.0}}
+		return Day{
+			Arm: Arm{Name: name, Marlreel: marlreel, Baseline: baseline}, Set: map[string]any{"rate": rate, "zones": []any{"a", "b"}},
+			Daemon: map[string]any{"retries.max": 2.0},
+		}
 	}
 	return &Identity{
 		Question:  "sweep",
@@ -63,9 +65,11 @@
 
 // storedSmall is the stored experiment with nothing that may be left out.
 func storedSmall() *Identity {
-	return &Identity{Question: "compare", Scenario: "calm", Seeds: []uint64{3}, Figures: []string{"service"}, Arms: []Arm{{Name: "only"}},
+	return &Identity{
+		Question: "compare", Scenario: "calm", Seeds: []uint64{3}, Figures: []string{"service"}, Arms: []Arm{{Name: "only"}},
 		Levels: []Level{nil}, Days: [][]Day{{{Arm: Arm{Name: "only"}, Set: map[string]any{}, Daemon: map[string]any{}}}},
-		Scenarios: [][]string{{""}}, Builds: []string{"b"}, Replicates: 1, Runs: []Run{{Seed: 3}}, Lengths: [][]float64{{1}}}
+		Scenarios: [][]string{{""}}, Builds: []string{"b"}, Replicates: 1, Runs: []Run{{Seed: 3}}, Lengths: [][]float64{{1}},
+	}
 }
 
 // storedKeys are the names of the runs in the store, digests of all that is played.
@@ -76,8 +80,10 @@
 	return [][]*Result{
 		{
 			{Figures: map[string]float64{}, Void: "the generator was late", Schedule: "5c4e", LateMs: 12.5},
-			{Figures: map[string]float64{"service": 0.9375, "p99_ms": 812.25}, Seconds: []Second{{Asked: 100.5, Served: 99.25}, {Asked: 101}},
-				Broken: 2, Crashes: 1, Schedule: "5c4f", LateMs: 0.5, KitCPU: 3.25, TookS: 41.75},
+			{
+				Figures: map[string]float64{"service": 0.9375, "p99_ms": 812.25}, Seconds: []Second{{Asked: 100.5, Served: 99.25}, {Asked: 101}},
+				Broken: 2, Crashes: 1, Schedule: "5c4f", LateMs: 0.5, KitCPU: 3.25, TookS: 41.75,
+			},
 		},
 		{
 			{Figures: nil, Failed: "the daemon did not start"},
--- a/internal/fleet/agree/compatibility_sent_test.go
+++ b/internal/fleet/agree/compatibility_sent_test.go
@@ -15,11 +15,13 @@
 // compatibilityState is a state with all its keys.
 func compatibilityState() *State {
 	at := time.Date(2026, 11, 30, 8, 15, 0, 250_000_000, time.UTC)
-	return &State{Born: 7, Seq: 41, Step: 40, Open: 1,
+	return &State{
+		Born: 7, Seq: 41, Step: 40, Open: 1,
 		Versions: []Version{{Number: 1, Hash: Hash(`{"Tick":5}`), By: "n0", At: at}, {Number: 2, Hash: Hash(`{"Tick":6}`), By: "n1", ID: "n1-3", Why: "quicker", At: at, Text: `{"Tick":6}`}},
 		Floors:   map[string]Floor{"platform": {History: 1, Revision: 90}, "etcd": {Revision: 17}},
 		Ends:     []End{{Source: "etcd", Name: "a1", Revision: 16}, {Source: "platform", Name: "a2", Revision: 88, Gone: true}},
-		Keepers:  []Seat{{Name: "n0", ID: 11}, {Name: "n1", ID: 12}, {Name: "n2", ID: 13}}}
+		Keepers:  []Seat{{Name: "n0", ID: 11}, {Name: "n1", ID: 12}, {Name: "n2", ID: 13}},
+	}
 }
 
 // Each message between the proxies of a fleet is the recorded bytes, and is read again as what it is.
--- a/internal/fleet/agree/compatibility_test.go
+++ b/internal/fleet/agree/compatibility_test.go
@@ -31,8 +31,10 @@
 		Born: 123456789, Seq: 41, Step: 40, Open: 3,
 		Versions: []Version{
 			{Number: 2, Hash: "0123456789abcdef", By: "n1"},
-			{Number: 3, Hash: "fedcba9876543210", By: "n2", ID: "p0", Why: "more for b", At: time.Date(2026, 11, 29, 8, 30, 0, 0, time.UTC),
-				Text: `{"limits":{"tenant-b":9}}`},
+			{
+				Number: 3, Hash: "fedcba9876543210", By: "n2", ID: "p0", Why: "more for b", At: time.Date(2026, 11, 29, 8, 30, 0, 0, time.UTC),
+				Text: `{"limits":{"tenant-b":9}}`,
+			},
 		},
 		Floors:  map[string]Floor{"discovery": {History: 2, Revision: 55}, "registry": {Revision: 6}},
 		Ends:    []End{{Source: "discovery", Name: "llm-8", Revision: 54}, {Source: "registry", Name: "llm-9", Revision: 6, Gone: true}},
@@ -45,8 +47,10 @@
 	return []Change{
 		{Kind: "propose", ID: "p1", Base: 3, Text: `{"limits": {"tenant-b": 9, "tenant-a": 5}}`, By: "n2", Why: "some for a", At: at},
 		{Kind: "open", Version: 4},
-		{Kind: "told", Source: "discovery", Floor: Floor{History: 2, Revision: 77},
-			Ends: []End{{Source: "discovery", Name: "llm-1", Revision: 76}, {Source: "discovery", Name: "llm-2", Revision: 77, Gone: true}}},
+		{
+			Kind: "told", Source: "discovery", Floor: Floor{History: 2, Revision: 77},
+			Ends: []End{{Source: "discovery", Name: "llm-1", Revision: 76}, {Source: "discovery", Name: "llm-2", Revision: 77, Gone: true}},
+		},
 		{Kind: "reset", Source: "registry"},
 		{Kind: "keepers", Keepers: []Seat{{Name: "n1", ID: 77}, {Name: "n3", ID: 1 << 60}}},
 		{Kind: "of a later version"},
@@ -101,11 +105,16 @@
 	// The end of it, field by field.
 	want := storedBefore()
 	want.Seq, want.Step, want.Open = 46, 43, 4
-	want.Versions = append(want.Versions, Version{Number: 4, Hash: "e1e512be1dc68be2", By: "n2", ID: "p1", Why: "some for a",
-		At: storedChanges()[0].At, Text: `{"limits": {"tenant-b": 9, "tenant-a": 5}}`})
+	want.Versions = append(want.Versions, Version{
+		Number: 4, Hash: "e1e512be1dc68be2", By: "n2", ID: "p1", Why: "some for a",
+		At: storedChanges()[0].At, Text: `{"limits": {"tenant-b": 9, "tenant-a": 5}}`,
+	})
 	want.Floors = map[string]Floor{"discovery": {History: 2, Revision: 77}, "registry": {History: 1}}
-	want.Ends = []End{{Source: "discovery", Name: "llm-1", Revision: 76}, {Source: "discovery", Name: "llm-2", Revision: 77, Gone: true},
-		{Source: "discovery", Name: "llm-8", Revision: 54}}
+	want.Ends = []End{
+		{Source: "discovery", Name: "llm-1", Revision: 76},
+		{Source: "discovery", Name: "llm-2", Revision: 77, Gone: true},
+		{Source: "discovery", Name: "llm-8", Revision: 54},
+	}
 	want.Keepers = []Seat{{Name: "n1", ID: 77}, {Name: "n3", ID: 1 << 60}}
 	if !reflect.DeepEqual(state, want) {
 		t.Errorf("the state is\n%+v\nwant\n%+v", state, want)
--- a/internal/fleet/compatibility_test.go
+++ b/internal/fleet/compatibility_test.go
@@ -26,12 +26,17 @@
 // compatibilityStatus has all keys.
 func compatibilityStatus() *Status {
 	lists := agree.Lists{Source: "etcd", Revision: 17, Count: 12, Hash: 99}
-	return &Status{Fleet: "pier", Proxy: "n0", Boot: 6, Within: 5 * time.Second, Versions: []uint64{1, 2}, Since: compatibilityTime, Strict: true, LeaseFor: 2500 * time.Millisecond,
+	return &Status{
+		Fleet: "pier", Proxy: "n0", Boot: 6, Within: 5 * time.Second, Versions: []uint64{1, 2}, Since: compatibilityTime, Strict: true, LeaseFor: 2500 * time.Millisecond,
 		Held: 40, Heard: 41, Leader: "n1", Keeper: "votes", Leads: true, Differs: true, List: lists, Behind: 3, Joined: true, Taken: true, Sent: 1234,
-		Members: []peers.Member{{Name: "n0", Address: "127.0.0.1:7946", State: "alive", Boot: 6, Started: compatibilityTime, Since: compatibilityTime},
-			{Name: "n1", State: "suspect"}, {Name: "n2", State: "gone"}},
+		Members: []peers.Member{
+			{Name: "n0", Address: "127.0.0.1:7946", State: "alive", Boot: 6, Started: compatibilityTime, Since: compatibilityTime},
+			{Name: "n1", State: "suspect"},
+			{Name: "n2", State: "gone"},
+		},
 		Holders: []agree.Holder{{Name: "n0", Held: 40, Left: time.Second, Lists: lists}}, Apart: []string{"n2"},
-		View: &agree.State{Seq: 41, Open: 1, Versions: []agree.Version{{Number: 1, Hash: "h", By: "n0", At: compatibilityTime, Text: "{}"}}, Floors: map[string]agree.Floor{"etcd": {Revision: 17}}}}
+		View: &agree.State{Seq: 41, Open: 1, Versions: []agree.Version{{Number: 1, Hash: "h", By: "n0", At: compatibilityTime, Text: "{}"}}, Floors: map[string]agree.Floor{"etcd": {Revision: 17}}},
+	}
 }
 
 // The JSON of /control/fleet and of the operators' socket: with all keys, and with what may be left out left out.
@@ -39,8 +44,10 @@
 	for name, v := range map[string]any{
 		"status.json":       compatibilityStatus(),
 		"status-empty.json": &Status{View: &agree.State{}},
-		"sight.json": Sight{Proxies: []Seen{{Proxy: "n0", Source: "etcd", Revision: 17, Ready: 12}}, Silent: []string{"n2"},
-			Partly: []Partial{{Name: "a1", SeenBy: []string{"n0"}, Not: []string{"n1"}}}},
+		"sight.json": Sight{
+			Proxies: []Seen{{Proxy: "n0", Source: "etcd", Revision: 17, Ready: 12}}, Silent: []string{"n2"},
+			Partly: []Partial{{Name: "a1", SeenBy: []string{"n0"}, Not: []string{"n1"}}},
+		},
 		"sight-empty.json":   Sight{},
 		"refusal.json":       Reply{Error: "e", Advice: "a", Version: 2, By: "n0"},
 		"refusal-least.json": Reply{Error: "e"},
@@ -127,14 +134,25 @@
 	}}}
 	var got strings.Builder
 	for _, c := range []struct{ method, path, body string }{
-		{"GET", "/fleet", ""}, {"GET", "/fleet/holders", ""}, {"GET", "/fleet/newest", ""},
-		{"POST", "/fleet/check", "{}"}, {"POST", "/fleet/check", "bad"},
-		{"POST", "/fleet/propose?by=ana&why=quicker&base=1", `{"Tick":6}`}, {"POST", "/fleet/propose", `{"Tick":7}`},
-		{"POST", "/fleet/propose?why=refuse+it&base=1", `{"Tick":7}`}, {"POST", "/fleet/propose?base=one", "{}"},
-		{"POST", "/fleet/rollback?version=1&by=ana", ""}, {"POST", "/fleet/rollback?version=9", ""}, {"POST", "/fleet/rollback", ""},
-		{"POST", "/fleet/keepers?name=n3&add=true", ""}, {"POST", "/fleet/keepers?name=n3&add=false", ""},
+		{"GET", "/fleet", ""},
+		{"GET", "/fleet/holders", ""},
+		{"GET", "/fleet/newest", ""},
+		{"POST", "/fleet/check", "{}"},
+		{"POST", "/fleet/check", "bad"},
+		{"POST", "/fleet/propose?by=ana&why=quicker&base=1", `{"Tick":6}`},
+		{"POST", "/fleet/propose", `{"Tick":7}`},
+		{"POST", "/fleet/propose?why=refuse+it&base=1", `{"Tick":7}`},
+		{"POST", "/fleet/propose?base=one", "{}"},
+		{"POST", "/fleet/rollback?version=1&by=ana", ""},
+		{"POST", "/fleet/rollback?version=9", ""},
+		{"POST", "/fleet/rollback", ""},
+		{"POST", "/fleet/keepers?name=n3&add=true", ""},
+		{"POST", "/fleet/keepers?name=n3&add=false", ""},
 		{"POST", "/fleet/floor?source=etcd", ""},
-		{"POST", "/fleet", ""}, {"POST", "/fleet/lists", ""}, {"GET", "/fleet/propose", ""}, {"GET", "/other", ""},
+		{"POST", "/fleet", ""},
+		{"POST", "/fleet/lists", ""},
+		{"GET", "/fleet/propose", ""},
+		{"GET", "/other", ""},
 	} {
 		r, err := http.NewRequestWithContext(t.Context(), c.method, "http://fleet"+c.path, strings.NewReader(c.body))
 		if err != nil {
--- a/internal/fleet/disk/compatibility_test.go
+++ b/internal/fleet/disk/compatibility_test.go
@@ -38,11 +38,15 @@
 // storedChanges are the changes in the stored log. There is one of every kind.
 func storedChanges() []agree.Change {
 	return []agree.Change{
-		{Kind: "propose", ID: "p1", Base: 3, Version: 2, Text: `{"limits":{"tenant-a":5}}`, By: "n2", Why: "less for a",
-			At: time.Date(2026, 11, 30, 12, 0, 0, 123_000_000, time.UTC)},
+		{
+			Kind: "propose", ID: "p1", Base: 3, Version: 2, Text: `{"limits":{"tenant-a":5}}`, By: "n2", Why: "less for a",
+			At: time.Date(2026, 11, 30, 12, 0, 0, 123_000_000, time.UTC),
+		},
 		{Kind: "open", Base: 4, Version: 4},
-		{Kind: "told", ID: "t1", Source: "discovery", Floor: agree.Floor{History: 1, Revision: 77},
-			Ends: []agree.End{{Source: "discovery", Name: "llm-1", Revision: 76}, {Source: "discovery", Name: "llm-2", Revision: 77, Gone: true}}},
+		{
+			Kind: "told", ID: "t1", Source: "discovery", Floor: agree.Floor{History: 1, Revision: 77},
+			Ends: []agree.End{{Source: "discovery", Name: "llm-1", Revision: 76}, {Source: "discovery", Name: "llm-2", Revision: 77, Gone: true}},
+		},
 		{Kind: "reset", ID: "r1", Source: "registry"},
 		{Kind: "keepers", ID: "k1", Keepers: []agree.Seat{{Name: "n1", ID: 77}, {Name: "n2", ID: 78}}},
 	}
@@ -54,8 +58,10 @@
 		Born: 123456789, Seq: 41, Step: 40, Open: 2,
 		Versions: []agree.Version{
 			{Number: 2, Hash: "0123456789abcdef", By: "n1"},
-			{Number: 3, Hash: "fedcba9876543210", By: "n2", ID: "p0", Why: "more for b", At: time.Date(2026, 11, 29, 8, 30, 0, 0, time.UTC),
-				Text: `{"limits":{"tenant-b":9}}`},
+			{
+				Number: 3, Hash: "fedcba9876543210", By: "n2", ID: "p0", Why: "more for b", At: time.Date(2026, 11, 29, 8, 30, 0, 0, time.UTC),
+				Text: `{"limits":{"tenant-b":9}}`,
+			},
 		},
 		Floors: map[string]agree.Floor{"discovery": {History: 2, Revision: 55}, "registry": {Revision: -6}},
 		Ends: []agree.End{
@@ -89,8 +95,10 @@
 	s := agree.Saved{
 		ID: 77, Life: 3,
 		Hard: &pb.HardState{Term: new(uint64(6)), Vote: new(uint64(78)), Commit: new(uint64(43))},
-		Snapshot: &pb.Snapshot{Data: []byte(storedViewText), Metadata: &pb.SnapshotMetadata{Index: new(uint64(41)), Term: new(uint64(5)),
-			ConfState: &pb.ConfState{Voters: []uint64{77, 78, 1 << 60}}}},
+		Snapshot: &pb.Snapshot{Data: []byte(storedViewText), Metadata: &pb.SnapshotMetadata{
+			Index: new(uint64(41)), Term: new(uint64(5)),
+			ConfState: &pb.ConfState{Voters: []uint64{77, 78, 1 << 60}},
+		}},
 		Lives: map[uint64]agree.Lived{78: {Life: 9, Boot: 0x1122334455667788}, 1 << 60: {Life: 1, Boot: 2}},
 	}
 	for i, text := range storedChangeTexts {
@@ -196,8 +204,10 @@
 		name string
 		keys []string
 	}{
-		{"keeper", []string{"lives/\x00\x00\x00\x00\x00\x00\x00N", "lives/\x10\x00\x00\x00\x00\x00\x00\x00",
-			index(42), index(43), index(44), index(45), index(46), "meta/hard", "meta/id", "meta/life", "meta/owner", "meta/snapshot"}},
+		{"keeper", []string{
+			"lives/\x00\x00\x00\x00\x00\x00\x00N", "lives/\x10\x00\x00\x00\x00\x00\x00\x00",
+			index(42), index(43), index(44), index(45), index(46), "meta/hard", "meta/id", "meta/life", "meta/owner", "meta/snapshot",
+		}},
 		{"member", []string{"meta/owner", "meta/view"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/fleet/peers/compatibility_test.go
+++ b/internal/fleet/peers/compatibility_test.go
@@ -51,8 +51,10 @@
 	}
 	listen := own.LocalAddr().String()
 	own.Close()
-	p, err := Join(Config{Fleet: "pier", Name: "n0", Listen: listen, Peers: []Peer{{Name: "n0", Address: listen}, {Name: "n1", Address: udp.LocalAddr().String()}},
-		Started: time.Now(), Receive: func(string, []byte) {}, Refused: func(error) {}})
+	p, err := Join(Config{
+		Fleet: "pier", Name: "n0", Listen: listen, Peers: []Peer{{Name: "n0", Address: listen}, {Name: "n1", Address: udp.LocalAddr().String()}},
+		Started: time.Now(), Receive: func(string, []byte) {}, Refused: func(error) {},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/httpproxy/compatibility_sent_test.go
+++ b/internal/httpproxy/compatibility_sent_test.go
@@ -21,9 +21,11 @@
 func goodRequest() *http.Request {
 	r := httptest.NewRequest(http.MethodPost, "/pickup/ljubljana/lot-7?page=2", strings.NewReader("body"))
 	r.Host = "auction.example.org"
-	for name, value := range map[string]string{"X-Correlation-Id": "00000000000000aa", "X-Account": "obala", "X-Time-Left": "900m",
+	for name, value := range map[string]string{
+		"X-Correlation-Id": "00000000000000aa", "X-Account": "obala", "X-Time-Left": "900m",
 		"Idempotency-Key": "k-1", "X-Weight-Hint": "1500.5", "X-Repeat": "1", "Accept": "text/plain", "Connection": "keep-alive, X-Own-Hop", "X-Own-Hop": "1",
-		"Keep-Alive": "timeout=5", "Te": "trailers", "Expect": "100-continue", "Upgrade": "x", "Proxy-Connection": "close", "Trailer": "X-Sum"} {
+		"Keep-Alive": "timeout=5", "Te": "trailers", "Expect": "100-continue", "Upgrade": "x", "Proxy-Connection": "close", "Trailer": "X-Sum",
+	} {
 		r.Header.Set(name, value)
 	}
 	return r
@@ -121,8 +123,13 @@
 	for _, c := range []struct {
 		name string
 		err  error
-	}{{"no room for a body", errNoRoom}, {"a body while the proxy leaves", errLeaving}, {"a body that is too long", errTooLong}, {"a body that comes too slowly", os.ErrDeadlineExceeded},
-		{"a body that ends early", errors.New("another")}} {
+	}{
+		{"no room for a body", errNoRoom},
+		{"a body while the proxy leaves", errLeaving},
+		{"a body that is too long", errTooLong},
+		{"a body that comes too slowly", os.ErrDeadlineExceeded},
+		{"a body that ends early", errors.New("another")},
+	} {
 		w := httptest.NewRecorder()
 		l.front.write(w, get(), nil, bodyTrouble(c.err))
 		fmt.Fprintf(&got, "--- %s\n%s", c.name, recordedAnswer(w))
@@ -138,8 +145,10 @@
 		name   string
 		answer engine.Answer
 	}{
-		{"served", engine.Answer{Verdict: engine.Served, Reply: &Reply{status: 200, body: []byte("served"), header: http.Header{"Content-Type": {"application/json"},
-			"X-Backend-Load": {`{"busy_reqs":1}`}, "X-Other": {"a", "b"}, "Connection": {"close, X-Own-Hop"}, "X-Own-Hop": {"1"}, "Keep-Alive": {"timeout=5"}}}}},
+		{"served", engine.Answer{Verdict: engine.Served, Reply: &Reply{status: 200, body: []byte("served"), header: http.Header{
+			"Content-Type":   {"application/json"},
+			"X-Backend-Load": {`{"busy_reqs":1}`}, "X-Other": {"a", "b"}, "Connection": {"close, X-Own-Hop"}, "X-Own-Hop": {"1"}, "Keep-Alive": {"timeout=5"},
+		}}}},
 		{"refused", engine.Answer{Verdict: engine.Refused, RetryAfter: 1250 * time.Millisecond}},
 		{"overloaded", engine.Answer{Verdict: engine.Overloaded, RetryAfter: 250 * time.Millisecond}},
 		{"out of time", engine.Answer{Verdict: engine.OutOfTime}},
--- a/internal/httpproxy/compatibility_test.go
+++ b/internal/httpproxy/compatibility_test.go
@@ -44,8 +44,10 @@
 		},
 		{
 			file: "answer-chunks-data.json",
-			state: relayState{Version: 1, Form: "chunks", Left: 6, Chunk: chunkData, Chunked: true, Pending: []byte("5\r\nhello\r\n"),
-				Ahead: []byte("ahead "), Total: 5},
+			state: relayState{
+				Version: 1, Form: "chunks", Left: 6, Chunk: chunkData, Chunked: true, Pending: []byte("5\r\nhello\r\n"),
+				Ahead: []byte("ahead "), Total: 5,
+			},
 			rest: "\r\n3\r\nend\r\n0\r\n\r\n",
 			body: "ahead end",
 		},
--- a/internal/lists/discovery/compatibility_test.go
+++ b/internal/lists/discovery/compatibility_test.go
@@ -58,7 +58,8 @@
 	for _, l := range []List{
 		{Generation: 41, Reset: true, Instances: []Instance{
 			{InstanceID: "a1", HostPort: "127.0.0.1:8001", Zone: "maribor", MachineType: "big-4c", Cell: 3, Lifecycle: "Ready", Weight: 1.5, StartedAtMs: 1764490500250},
-			{InstanceID: "a2", HostPort: "127.0.0.1:8002", Zone: "koper", MachineType: "of another site", Lifecycle: "Terminating"}}},
+			{InstanceID: "a2", HostPort: "127.0.0.1:8002", Zone: "koper", MachineType: "of another site", Lifecycle: "Terminating"},
+		}},
 		{Generation: 42, Instances: []Instance{{InstanceID: "a2", Lifecycle: "Gone"}}},
 	} {
 		text, err := json.Marshal(l)
--- a/internal/lists/members/compatibility_test.go
+++ b/internal/lists/members/compatibility_test.go
@@ -14,8 +14,10 @@
 // The JSON of /control/discovery, with all keys and with what may be left out left out.
 func TestCompatibilityStatus(t *testing.T) {
 	for name, status := range map[string]Status{
-		"status.json": {Source: "etcd", Revision: 17, Age: 250 * time.Millisecond, Entries: 12, Held: []string{"a1"}, Damped: []string{"a2"},
-			Sources: []SourceStatus{{Name: "etcd", Revision: 17, Synced: true, Lost: true, Why: "answered 503", Bad: map[string]string{"a3": "no JSON"}}, {Name: "platform", Revision: 4}}},
+		"status.json": {
+			Source: "etcd", Revision: 17, Age: 250 * time.Millisecond, Entries: 12, Held: []string{"a1"}, Damped: []string{"a2"},
+			Sources: []SourceStatus{{Name: "etcd", Revision: 17, Synced: true, Lost: true, Why: "answered 503", Bad: map[string]string{"a3": "no JSON"}}, {Name: "platform", Revision: 4}},
+		},
 		"status-empty.json": {Age: -1},
 	} {
 		got, err := json.MarshalIndent(status, "", " ")
--- a/internal/process/control/compatibility_test.go
+++ b/internal/process/control/compatibility_test.go
@@ -39,8 +39,15 @@
 		call  string
 		ready bool
 	}{
-		{"GET /control/ready", false}, {"GET /control/ready", true}, {"GET /control/counters", true}, {"GET /control/discovery", true},
-		{"GET /control/fleet", true}, {"GET /", true}, {"POST /control/ready", true}, {"HEAD /control/counters", true}, {"nonsense", true},
+		{"GET /control/ready", false},
+		{"GET /control/ready", true},
+		{"GET /control/counters", true},
+		{"GET /control/discovery", true},
+		{"GET /control/fleet", true},
+		{"GET /", true},
+		{"POST /control/ready", true},
+		{"HEAD /control/counters", true},
+		{"nonsense", true},
 	} {
 		ready.Store(c.ready)
 		conn := testutil.Dial(t, ln.Addr().String())
--- a/internal/process/store/compatibility_test.go
+++ b/internal/process/store/compatibility_test.go
@@ -44,13 +44,17 @@
 		Taken:   time.Date(2026, 11, 30, 12, 34, 56, 0, time.UTC),
 		Classes: []learnt.Class{{Name: "interactive", Served: 2.5}},
 		Tenants: []learnt.Tenant{{Name: "tenant-a"}},
-		Backends: []learnt.Backend{{Name: "llm-1", Addr: "10.0.0.1:8000", Healthy: true, Fails: 3, Limit: 4.5,
-			LastOK: time.Second, Ejected: learnt.Never, Cold: learnt.Never, Cells: []gray.CellState{{Bad: 0.5, At: time.Minute}}}},
+		Backends: []learnt.Backend{{
+			Name: "llm-1", Addr: "10.0.0.1:8000", Healthy: true, Fails: 3, Limit: 4.5,
+			LastOK: time.Second, Ejected: learnt.Never, Cold: learnt.Never, Cells: []gray.CellState{{Bad: 0.5, At: time.Minute}},
+		}},
 	}
 	return []storedRecord{
 		{proxy: "edge-1", file: "marlreel-edge-1.memory", Record: Record{
-			At: doubt.Moment{Wall: time.Date(2026, 11, 30, 12, 34, 57, 123_456_789, time.UTC), Boot: "0c3f9f0e-7a53-4a32-9d3c-8f6f2c1b7a11",
-				Up: 36*time.Hour + 250*time.Millisecond},
+			At: doubt.Moment{
+				Wall: time.Date(2026, 11, 30, 12, 34, 57, 123_456_789, time.UTC), Boot: "0c3f9f0e-7a53-4a32-9d3c-8f6f2c1b7a11",
+				Up: 36*time.Hour + 250*time.Millisecond,
+			},
 			Stopped: true,
 			State:   state,
 		}},
--- a/internal/rehearsal/compatibility_test.go
+++ b/internal/rehearsal/compatibility_test.go
@@ -40,8 +40,10 @@
 		WorstWindow: Window{FromS: 12.5, Service: 0.25},
 		Recovery:    &recovery,
 		Best:        &Best{FromS: 20.5, Area: 0.95, Seconds: []float64{1.5, 2.5}, Nodes: 3},
-		Classes: map[string]Tally{"interactive": {Worth: Worth{Asked: 60.5, Served: 55.5, Refused: 2.5, Failed: 1.25, Late: 0.75},
-			Service: 0.91, Requests: 600, P50: 101.5, P95: 202.5, P99: 303.5, MostMs: 404.5, AimMs: 800}},
+		Classes: map[string]Tally{"interactive": {
+			Worth:   Worth{Asked: 60.5, Served: 55.5, Refused: 2.5, Failed: 1.25, Late: 0.75},
+			Service: 0.91, Requests: 600, P50: 101.5, P95: 202.5, P99: 303.5, MostMs: 404.5, AimMs: 800,
+		}},
 		Houses:      map[string]Tally{"tenant-b": {Service: 0.61, Requests: 40}},
 		Deductions:  map[string]float64{"crashes": 4.5, "rules": 2},
 		After:       0.81,
@@ -121,9 +123,11 @@
 	if err := json.Unmarshal(stored, &fields); err != nil {
 		t.Fatal(err)
 	}
-	names := []string{"scenario", "about", "proxy", "seed", "schedule", "length_s", "service", "parts", "worth", "worst_window", "recovery_s", "best",
+	names := []string{
+		"scenario", "about", "proxy", "seed", "schedule", "length_s", "service", "parts", "worth", "worst_window", "recovery_s", "best",
 		"classes", "houses", "deductions_points", "service_after_deductions", "rules", "breaks", "crashes", "crashed", "void", "requests", "tries",
-		"attempts", "probes", "handshakes", "generator_late_ms", "generator_late_max_ms", "falls", "clients", "kit", "proxies", "note", "timeline"}
+		"attempts", "probes", "handshakes", "generator_late_ms", "generator_late_max_ms", "falls", "clients", "kit", "proxies", "note", "timeline",
+	}
 	for _, name := range names {
 		if _, there := fields[name]; !there {
 			t.Errorf("there is no field %s", name)
--- a/internal/system/boot/compatibility_test.go
+++ b/internal/system/boot/compatibility_test.go
@@ -82,8 +82,10 @@
 		t.Fatal(err)
 	}
 	checkRecorded(t, "settings-content.json", string(words)+"\n")
-	addresses := []string{s.PeerAddress(), s.AgentLoopback(), s.MetricsAddress(ProxyMetrics), s.MetricsAddress(AgentMetrics),
-		s.MetricsAddress(ControlMetrics)}
+	addresses := []string{
+		s.PeerAddress(), s.AgentLoopback(), s.MetricsAddress(ProxyMetrics), s.MetricsAddress(AgentMetrics),
+		s.MetricsAddress(ControlMetrics),
+	}
 	addresses = append(addresses, s.SeedPeers()...)
 	checkRecorded(t, "addresses.txt", strings.Join(addresses, "\n")+"\n")
 }
--- a/internal/system/chain/compatibility_test.go
+++ b/internal/system/chain/compatibility_test.go
@@ -45,8 +45,10 @@
 	modify := &api.Operation{Kind: &api.Operation_Modify{Modify: &api.ModifyConfiguration{BaseVersion: 1, Change: []byte(`{"config_version":2}`)}}}
 	evacuate := &api.Operation{Kind: &api.Operation_Evacuation{Evacuation: &api.SetEvacuation{Zone: "east", Active: true}}}
 	retire := &api.Operation{Kind: &api.Operation_Retire{Retire: &api.RetireBackend{Id: "i-7f3a91c2"}}}
-	grant := &api.Operation{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{Key: "placement/llm", Holder: "edge-1/0000002a",
-		Address: "10.2.0.1:7660", Replaces: &replaces}}}
+	grant := &api.Operation{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{
+		Key: "placement/llm", Holder: "edge-1/0000002a",
+		Address: "10.2.0.1:7660", Replaces: &replaces,
+	}}}
 	return [][]*api.Operation{{replace}, {modify}, {evacuate, retire}, {grant}, nil}
 }
 
--- a/internal/system/control/compatibility_test.go
+++ b/internal/system/control/compatibility_test.go
@@ -34,8 +34,10 @@
 	const size = 7
 	var message *api.ChainMessage
 	for offset := 0; offset < len(data); offset += size {
-		got, err := in.take(&api.Fragment{Sender: 1, Message: 2, Offset: uint64(offset), Total: uint64(len(data)),
-			Data: data[offset:min(offset+size, len(data))]})
+		got, err := in.take(&api.Fragment{
+			Sender: 1, Message: 2, Offset: uint64(offset), Total: uint64(len(data)),
+			Data: data[offset:min(offset+size, len(data))],
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/system/gateway/compatibility_test.go
+++ b/internal/system/gateway/compatibility_test.go
@@ -101,9 +101,11 @@
 		words["outcome "+word] = true
 	}
 	fmt.Fprintf(&out, "%d words\n", len(words))
-	for _, word := range []string{"ok", "full", "error", "reset", "declined", "timeout", "cancelled", "no connection", "not sent",
+	for _, word := range []string{
+		"ok", "full", "error", "reset", "declined", "timeout", "cancelled", "no connection", "not sent",
 		"outcome in_time", "outcome refused", "outcome no_holder", "outcome queued", "outcome retried", "outcome failed", "outcome backend",
-		"outcome client_left"} {
+		"outcome client_left",
+	} {
 		fmt.Fprintf(&out, "%s: %t\n", word, words[word])
 	}
 	checkRecorded(t, "labels.txt", out.String())
--- a/internal/system/homes/compatibility_test.go
+++ b/internal/system/homes/compatibility_test.go
@@ -41,8 +41,10 @@
 func TestCompatibilityOfHomes(t *testing.T) {
 	var nodes []*api.Node
 	for i := range 6 {
-		nodes = append(nodes, &api.Node{Name: fmt.Sprintf("edge-%d", i), Address: fmt.Sprintf("10.2.0.%d:7660", i), Zone: []string{"east", "west"}[i%2],
-			Leaving: i == 4})
+		nodes = append(nodes, &api.Node{
+			Name: fmt.Sprintf("edge-%d", i), Address: fmt.Sprintf("10.2.0.%d:7660", i), Zone: []string{"east", "west"}[i%2],
+			Leaving: i == 4,
+		})
 	}
 	topics := feed.Topics{feed.TopicState}
 	for i := range 12 {
--- a/internal/system/simcluster/compatibility_test.go
+++ b/internal/system/simcluster/compatibility_test.go
@@ -160,8 +160,10 @@
 			{"heartbeat", postTo("/marlreel/backends/i-7f3a91c2/heartbeat", ""), fmt.Sprintf(heartbeatBody, 4)},
 			{"heartbeat without a service", postTo("/marlreel/backends/i-7f3a91c2/heartbeat", ""), `{"address":"10.3.0.150:9000"}`},
 			{"heartbeat that is cut short", postTo("/marlreel/backends/i-7f3a91c2/heartbeat", ""), `{"service":"captured"`},
-			{"draining", postTo("/marlreel/backends/i-2/heartbeat", ""),
-				`{"service":"bare","address":"10.3.0.151:9000","zone":"north","config_version":"v1","slots":8,"state":"draining","cold_left_ms":0,"call_seq":5}`},
+			{
+				"draining", postTo("/marlreel/backends/i-2/heartbeat", ""),
+				`{"service":"bare","address":"10.3.0.151:9000","zone":"north","config_version":"v1","slots":8,"state":"draining","cold_left_ms":0,"call_seq":5}`,
+			},
 			{"detach", postTo("/marlreel/backends/i-2/detach", ""), ""},
 			{"a verb of backends that is not there", postTo("/marlreel/backends/i-2/attach", ""), ""},
 			{"no such call", "GET /marlreel/other HTTP/1.1\nHost: control", ""},
@@ -169,8 +171,10 @@
 		}))
 		// A backend of a zone that has a nearer control process is told its address.
 		for i, m := range c.Controls[1:] {
-			e := rawExchange{fmt.Sprintf("heartbeat of east at control process %d", i+1),
-				postTo("/marlreel/backends/i-7f3a91c2/heartbeat", ""), fmt.Sprintf(heartbeatBody, 10+i)}
+			e := rawExchange{
+				fmt.Sprintf("heartbeat of east at control process %d", i+1),
+				postTo("/marlreel/backends/i-7f3a91c2/heartbeat", ""), fmt.Sprintf(heartbeatBody, 10+i),
+			}
 			got.WriteString(replayAll(t, c, m.ControlAddress(), []rawExchange{e}))
 		}
 		checkRecorded(t, "control.txt", got.String())
@@ -499,8 +503,10 @@
 			{"demand that is passed on", agent, "marlreel.system.Agent/PassDemand", wire{}.message(1, report).text(2, "edge-9").text(3, "east")},
 			{"no such method", control, "marlreel.system.Control/Other", nil},
 		} {
-			status, header, body := replay(t, c, call.address, rawExchange{call.name,
-				"POST /twirp/" + call.path + " HTTP/1.1\nHost: peer\nContent-Type: application/protobuf", string(call.body)})
+			status, header, body := replay(t, c, call.address, rawExchange{
+				call.name,
+				"POST /twirp/" + call.path + " HTTP/1.1\nHost: peer\nContent-Type: application/protobuf", string(call.body),
+			})
 			fmt.Fprintf(&out, "== %s\n%s %x\n-> %d %s\n", call.name, call.path, []byte(call.body), status, header.Get("Content-Type"))
 			switch {
 			case status != http.StatusOK:
--- a/internal/system/state/compatibility_sent_test.go
+++ b/internal/system/state/compatibility_sent_test.go
@@ -47,8 +47,10 @@
 	replaces := uint64(1)
 	return []*api.Operation{
 		{Kind: &api.Operation_Replace{Replace: &api.ReplaceConfiguration{Document: []byte(recordedDocument)}}},
-		{Kind: &api.Operation_Modify{Modify: &api.ModifyConfiguration{BaseVersion: 1,
-			Change: []byte(`{"config_version":2,"upsert":{"service_list":[{"name":"bare","health_path":"/h","conn_limit":1}]}}`)}}},
+		{Kind: &api.Operation_Modify{Modify: &api.ModifyConfiguration{
+			BaseVersion: 1,
+			Change:      []byte(`{"config_version":2,"upsert":{"service_list":[{"name":"bare","health_path":"/h","conn_limit":1}]}}`),
+		}}},
 		{Kind: &api.Operation_Evacuation{Evacuation: &api.SetEvacuation{Zone: "east", Active: true}}},
 		{Kind: &api.Operation_Evacuation{Evacuation: &api.SetEvacuation{Zone: "west", Active: true}}},
 		{Kind: &api.Operation_Evacuation{Evacuation: &api.SetEvacuation{Zone: "east"}}},
--- a/internal/system/store/compatibility_test.go
+++ b/internal/system/store/compatibility_test.go
@@ -53,18 +53,23 @@
 	nobody, seven := uint64(0), uint64(7)
 	return []*api.Entry{
 		{Sequence: 41, PreviousHash: 0x1122334455667788, Hash: 0x6f93cd86bfcdf0b1, Operations: []*api.Operation{
-			{Kind: &api.Operation_Replace{Replace: &api.ReplaceConfiguration{BaseVersion: 41, Document: []byte(`{"config_version":42}`)}}}}},
+			{Kind: &api.Operation_Replace{Replace: &api.ReplaceConfiguration{BaseVersion: 41, Document: []byte(`{"config_version":42}`)}}},
+		}},
 		{Sequence: 42, PreviousHash: 0x6f93cd86bfcdf0b1, Hash: 0x30f040ef266a0a6c, Operations: []*api.Operation{
-			{Kind: &api.Operation_Modify{Modify: &api.ModifyConfiguration{BaseVersion: 42, Change: []byte(`{"config_version":43}`)}}}}},
+			{Kind: &api.Operation_Modify{Modify: &api.ModifyConfiguration{BaseVersion: 42, Change: []byte(`{"config_version":43}`)}}},
+		}},
 		{Sequence: 43, PreviousHash: 0x30f040ef266a0a6c, Hash: 0x6ba4b2b986ef76e4, Operations: []*api.Operation{
 			{Kind: &api.Operation_Evacuation{Evacuation: &api.SetEvacuation{Zone: "zone-a", Active: true}}},
-			{Kind: &api.Operation_Evacuation{Evacuation: &api.SetEvacuation{Zone: "zone-b"}}}}},
+			{Kind: &api.Operation_Evacuation{Evacuation: &api.SetEvacuation{Zone: "zone-b"}}},
+		}},
 		{Sequence: 44, PreviousHash: 0x6ba4b2b986ef76e4, Hash: 0x3fe506a21c40224e, Operations: []*api.Operation{
-			{Kind: &api.Operation_Retire{Retire: &api.RetireBackend{Id: "llm-1/5f"}}}}},
+			{Kind: &api.Operation_Retire{Retire: &api.RetireBackend{Id: "llm-1/5f"}}},
+		}},
 		{Sequence: 45, PreviousHash: 0x3fe506a21c40224e, Hash: 0x7ed162c60ff870c3, Operations: []*api.Operation{
 			{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{Key: "placement/llm", Holder: "node-1/0000beef", Address: "10.0.0.1:7200"}}},
 			{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{Key: "placement/img", Holder: "node-2/0000cafe", Address: "10.0.0.2:7200", Replaces: &nobody}}},
-			{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{Key: "placement/llm", Holder: "node-2/0000cafe", Address: "10.0.0.2:7200", Replaces: &seven}}}}},
+			{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{Key: "placement/llm", Holder: "node-2/0000cafe", Address: "10.0.0.2:7200", Replaces: &seven}}},
+		}},
 	}
 }
 
@@ -75,12 +80,14 @@
 		Document: []byte(compatibilityDocument),
 		Digests: []*api.Digest{
 			{Version: 40, Sum: []byte{0x01, 0x02, 0x03, 0x04, 0x05, 0x06, 0x07, 0x08, 0x09, 0x0a, 0x0b, 0x0c, 0x0d, 0x0e, 0x0f, 0x10}},
-			{Version: 41, Sum: []byte{0xf0, 0xf1, 0xf2, 0xf3, 0xf4, 0xf5, 0xf6, 0xf7, 0xf8, 0xf9, 0xfa, 0xfb, 0xfc, 0xfd, 0xfe, 0xff}}},
+			{Version: 41, Sum: []byte{0xf0, 0xf1, 0xf2, 0xf3, 0xf4, 0xf5, 0xf6, 0xf7, 0xf8, 0xf9, 0xfa, 0xfb, 0xfc, 0xfd, 0xfe, 0xff}},
+		},
 		Evacuations: []*api.Evacuation{{Zone: "zone-b"}, {Zone: "zone-c"}},
 		Retired:     []*api.Retired{{Id: "llm-0/11", Sequence: 12}, {Id: "img-4/2"}},
 		Ownerships: []*api.Ownership{
 			{Key: "placement/llm", Holder: "node-9/00000009", Address: "10.0.0.9:7200", Fence: 6},
-			{Key: "placement/img", Holder: "node-8/00000008", Address: "10.0.0.8:7200", Fence: 5}},
+			{Key: "placement/img", Holder: "node-8/00000008", Address: "10.0.0.8:7200", Fence: 5},
+		},
 		LastFence:        6,
 		ForgottenVersion: 39,
 	}}
@@ -89,13 +96,17 @@
 func compatibilityCases() []compatibilityCase {
 	core := &api.View{Number: 3, Members: []*api.Member{memberA, memberB, memberC}, Chain: []*api.Member{memberB, memberC, memberA}}
 	entries := compatibilityEntries()
-	entryKeys := []string{"entry/\x00\x00\x00\x00\x00\x00\x00\x29", "entry/\x00\x00\x00\x00\x00\x00\x00\x2a", "entry/\x00\x00\x00\x00\x00\x00\x00\x2b",
-		"entry/\x00\x00\x00\x00\x00\x00\x00\x2c", "entry/\x00\x00\x00\x00\x00\x00\x00\x2d"}
+	entryKeys := []string{
+		"entry/\x00\x00\x00\x00\x00\x00\x00\x29", "entry/\x00\x00\x00\x00\x00\x00\x00\x2a", "entry/\x00\x00\x00\x00\x00\x00\x00\x2b",
+		"entry/\x00\x00\x00\x00\x00\x00\x00\x2c", "entry/\x00\x00\x00\x00\x00\x00\x00\x2d",
+	}
 	return []compatibilityCase{
 		{
 			name: "founder", // the first start of a system
-			durable: chain.Durable{Self: memberA,
-				View: &api.View{Members: []*api.Member{memberA, memberB}}},
+			durable: chain.Durable{
+				Self: memberA,
+				View: &api.View{Members: []*api.Member{memberA, memberB}},
+			},
 			keys: []string{"self", "view"},
 		},
 		{
@@ -287,8 +298,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	changed := chain.Changed{Self: true, View: durable.View != nil, Vote: durable.Promised != nil, Synced: durable.SyncedView != 0,
-		Snapshot: durable.Snapshot != nil, Appended: durable.Entries}
+	changed := chain.Changed{
+		Self: true, View: durable.View != nil, Vote: durable.Promised != nil, Synced: durable.SyncedView != 0,
+		Snapshot: durable.Snapshot != nil, Appended: durable.Entries,
+	}
 	if err := s.Save(&durable, changed); err != nil {
 		t.Fatal(err)
 	}
