--- a/internal/system/agent/agent.go
+++ b/internal/system/agent/agent.go
@@ -58,7 +58,7 @@
 }
 
 // Watch implements api.Agent.
-func (a *Agent) Watch(ctx context.Context, request *api.WatchRequest) (*api.Feed, error) {
+func (a *Agent) Watch(ctx context.Context, request *api.WatchRequest) (*api.WatchReply, error) {
 	if request.Subscriber == "" {
 		a.asked.Store(time.Now().UnixNano())
 	}
--- a/internal/system/agent/demand.go
+++ b/internal/system/agent/demand.go
@@ -55,13 +55,13 @@
 			part.Demands = nil // they are taken in here; the home is to know of the work alone
 		}
 		if home != r.self.Address {
-			reply.Others = append(reply.Others, r.askHome(ctx, home, holder, part)...)
+			reply.OtherBacklogs = append(reply.OtherBacklogs, r.askHome(ctx, home, holder, part)...)
 			continue
 		}
 		if holder != "" && holder != r.self.Address {
 			r.enqueue(holder, part)
 		}
-		reply.Others = append(reply.Others, r.othersOf(service, func(s backlog.Speaker) bool { return s.Node != r.self.Name }))
+		reply.OtherBacklogs = append(reply.OtherBacklogs, r.othersOf(service, func(s backlog.Speaker) bool { return s.Node != r.self.Name }))
 	}
 	return reply
 }
@@ -73,7 +73,7 @@
 	defer cancel()
 	reply, err := r.call(call, home, []*api.DemandReport{part})
 	if err == nil {
-		return reply.Others
+		return reply.OtherBacklogs
 	}
 	if holder != "" && holder != r.self.Address {
 		r.enqueue(holder, part)
@@ -103,7 +103,7 @@
 	}
 	reply := &api.DemandReply{}
 	for service := range services {
-		reply.Others = append(reply.Others, r.othersOf(service, counts))
+		reply.OtherBacklogs = append(reply.OtherBacklogs, r.othersOf(service, counts))
 	}
 	return reply
 }
@@ -208,7 +208,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, b := range reply.Others {
+	for _, b := range reply.OtherBacklogs {
 		r.backlogs.Note(time.Since(r.began), b.Service, backlog.Elsewhere, backlog.Read(b))
 	}
 }
--- a/internal/system/agent/lease.go
+++ b/internal/system/agent/lease.go
@@ -71,8 +71,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.held = map[string]held{}
-	for _, o := range reply.Held {
-		l.held[o.Key] = held{o.Fence, until}
+	for _, o := range reply.Renewed {
+		l.held[o.Key] = held{o.FencingToken, until}
 	}
 	return true
 }
--- a/internal/system/agent/membership.go
+++ b/internal/system/agent/membership.go
@@ -64,7 +64,7 @@
 
 // report calls one control process.
 func (m *membership) report(ctx context.Context, control string, leaving bool) bool {
-	node := &api.Node{Name: m.node.Name, Address: m.node.Address, Zone: m.node.Zone, Incarnation: m.node.Incarnation, Leaving: leaving}
+	node := &api.Node{Name: m.node.Name, Address: m.node.Address, Zone: m.node.Zone, Incarnation: m.node.Incarnation, Draining: leaving}
 	call, cancel := context.WithTimeout(ctx, renewNodeTimeout)
 	defer cancel()
 	reply, err := api.NewControlProtobufClient("http://"+control, m.client).Renew(call, &api.RenewRequest{Node: node})
--- a/internal/system/agent/observations.go
+++ b/internal/system/agent/observations.go
@@ -77,7 +77,7 @@
 	}
 	message := &api.Observations{}
 	for _, hint := range due {
-		message.Observed = append(message.Observed, hint.Message)
+		message.Observations = append(message.Observations, hint.Message)
 	}
 	for _, control := range o.agent.controls() {
 		call, cancel := context.WithTimeout(ctx, observeTimeout)
--- a/internal/system/agent/placer.go
+++ b/internal/system/agent/placer.go
@@ -351,7 +351,7 @@
 		}
 		p := r.placer
 		p.post(func() {
-			p.planner.Awaited(d.Model, boot.Milliseconds(float64(d.AimMs)), int(d.Arrived))
+			p.planner.Awaited(d.Model, boot.Milliseconds(float64(d.LatencyTargetMs)), int(d.Arrived))
 			p.planner.Asked(p.now(), node, zone, placement.Key{Model: d.Model, Adapter: d.Adapter}, int(d.Arrived), d.WorkMs, int(d.Waiting))
 		})
 	}
--- a/internal/system/chain/compatibility_test.go
+++ b/internal/system/chain/compatibility_test.go
@@ -47,7 +47,7 @@
 	retire := &api.Operation{Kind: &api.Operation_Retire{Retire: &api.RetireBackend{Id: "i-7f3a91c2"}}}
 	grant := &api.Operation{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{
 		Key: "placement/llm", Holder: "edge-1/0000002a",
-		Address: "10.2.0.1:7660", Replaces: &replaces,
+		Address: "10.2.0.1:7660", ReplacesFencingToken: &replaces,
 	}}}
 	return [][]*api.Operation{{replace}, {modify}, {evacuate, retire}, {grant}, nil}
 }
--- a/internal/system/chain/heartbeat.go
+++ b/internal/system/chain/heartbeat.go
@@ -74,14 +74,14 @@
 func (n *Node) heartbeat() *api.ChainMessage {
 	beat := &api.Heartbeat{
 		Active: n.InService(), Committed: n.committed, Position: n.durable.last(),
-		WantsIn: !n.inChain() && !n.leaving, Leaving: n.leaving,
+		WantsToJoin: !n.inChain() && !n.leaving, Leaving: n.leaving,
 	}
 	for key, p := range n.peers {
 		if n.now-p.heardAt < n.cfg.SuspectAfter {
-			beat.Hears = append(beat.Hears, key)
+			beat.ReachablePeers = append(beat.ReachablePeers, key)
 		}
 	}
-	slices.Sort(beat.Hears)
+	slices.Sort(beat.ReachablePeers)
 	return &api.ChainMessage{Body: &api.ChainMessage_Heartbeat{Heartbeat: beat}}
 }
 
@@ -125,8 +125,8 @@
 
 // onHeartbeat takes in what a peer says of itself.
 func (n *Node) onHeartbeat(p *peer, message *api.ChainMessage, beat *api.Heartbeat) {
-	p.wantsIn, p.leaving, p.hears, p.position = beat.WantsIn, beat.Leaving, beat.Hears, beat.Position
-	if slices.Contains(beat.Hears, Key(n.durable.Self)) {
+	p.wantsIn, p.leaving, p.hears, p.position = beat.WantsToJoin, beat.Leaving, beat.ReachablePeers, beat.Position
+	if slices.Contains(beat.ReachablePeers, Key(n.durable.Self)) {
 		p.hearsUs = n.now
 	}
 	if message.ViewNumber < n.durable.View.Number {
--- a/internal/system/control/clocks.go
+++ b/internal/system/control/clocks.go
@@ -44,5 +44,5 @@
 	if !known {
 		return nil
 	}
-	return &api.Instant{Life: r.instant.Life, Ns: r.instant.Ns + uint64(max(0, at.Sub(r.taken)))}
+	return &api.Instant{Incarnation: r.instant.Incarnation, MonotonicNs: r.instant.MonotonicNs + uint64(max(0, at.Sub(r.taken)))}
 }
--- a/internal/system/control/compatibility_test.go
+++ b/internal/system/control/compatibility_test.go
@@ -96,7 +96,7 @@
 	var message *api.ChainMessage
 	for offset := 0; offset < len(data); offset += size {
 		got, err := in.take(&api.Fragment{
-			Sender: 1, Message: 2, Offset: uint64(offset), Total: uint64(len(data)),
+			SenderIncarnation: 1, Message: 2, Offset: uint64(offset), Total: uint64(len(data)),
 			Data: data[offset:min(offset+size, len(data))],
 		})
 		if err != nil {
@@ -124,15 +124,17 @@
 	}
 	out := (&Peers{life: 77}).divide(message)
 	part := out.next()
-	if part.Sender != 77 || part.Offset != 0 || part.Total != uint64(len(recordedMessage())) || !bytes.Equal(part.Data, recordedMessage()) {
+	if part.SenderIncarnation != 77 || part.Offset != 0 || part.Total != uint64(len(recordedMessage())) || !bytes.Equal(part.Data, recordedMessage()) {
 		t.Errorf("divided as %v", part)
 	}
 }
 
 // The keys of what backends and operators send and get.
 func TestCompatibilityOfKeys(t *testing.T) {
-	for name, kind := range map[string]reflect.Type{"heartbeat": reflect.TypeFor[heartbeat](), "heartbeat-reply": reflect.TypeFor[beatReply](),
-		"failure": reflect.TypeFor[failure](), "status": reflect.TypeFor[Status]()} {
+	for name, kind := range map[string]reflect.Type{
+		"heartbeat": reflect.TypeFor[heartbeat](), "heartbeat-reply": reflect.TypeFor[beatReply](),
+		"failure": reflect.TypeFor[failure](), "status": reflect.TypeFor[Status](),
+	} {
 		var lines []string
 		tagsOf("", "json", kind, &lines)
 		slices.Sort(lines)
--- a/internal/system/control/fragments.go
+++ b/internal/system/control/fragments.go
@@ -49,7 +49,7 @@
 // next is the part to be sent.
 func (o *outgoing) next() *api.Fragment {
 	end := min(len(o.data), o.sent+fragmentSize)
-	return &api.Fragment{Sender: o.life, Message: o.message, Offset: uint64(o.sent), Total: uint64(len(o.data)), Data: o.data[o.sent:end]}
+	return &api.Fragment{SenderIncarnation: o.life, Message: o.message, Offset: uint64(o.sent), Total: uint64(len(o.data)), Data: o.data[o.sent:end]}
 }
 
 // done takes in how sending the part went. It tells whether the message is over: all of it has
@@ -95,7 +95,7 @@
 	if f.Offset == 0 {
 		i.begin(f)
 	}
-	p := i.partial[f.Sender]
+	p := i.partial[f.SenderIncarnation]
 	if p == nil || p.message != f.Message || p.total != f.Total || f.Offset > uint64(len(p.data)) {
 		return nil, twirp.NewError(twirp.FailedPrecondition, "the beginning of that message is not here")
 	}
@@ -108,22 +108,22 @@
 	}
 	message := new(api.ChainMessage)
 	if err := proto.Unmarshal(p.data, message); err != nil {
-		delete(i.partial, f.Sender)
+		delete(i.partial, f.SenderIncarnation)
 		return nil, twirp.InvalidArgumentError("fragment", "its message can't be read")
 	}
-	delete(i.partial, f.Sender)
+	delete(i.partial, f.SenderIncarnation)
 	return message, nil
 }
 
 // begin makes room for a message, in place of the one before by the same sender. Called with the lock.
 func (i *incoming) begin(f *api.Fragment) {
-	if p := i.partial[f.Sender]; p != nil && p.message == f.Message {
+	if p := i.partial[f.SenderIncarnation]; p != nil && p.message == f.Message {
 		return // its first part came twice
 	}
 	if len(i.partial) >= mostSenders {
 		i.forgetOldest()
 	}
-	i.partial[f.Sender] = &partial{message: f.Message, total: f.Total, at: time.Now()}
+	i.partial[f.SenderIncarnation] = &partial{message: f.Message, total: f.Total, at: time.Now()}
 }
 
 // forgetOldest drops what was added to the longest ago. Called with the lock.
--- a/internal/system/control/fragments_test.go
+++ b/internal/system/control/fragments_test.go
@@ -113,10 +113,10 @@
 	is := is.New(t)
 	in := newIncoming()
 	for _, wrong := range []*api.Fragment{
-		{Sender: 1, Message: 1, Total: largestFragmented + 1, Data: []byte{1}},
-		{Sender: 1, Message: 1, Total: 1, Data: []byte{1, 2}},
-		{Sender: 1, Message: 1, Total: 4},
-		{Sender: 1, Message: 1, Total: 1, Data: []byte{0xff}}, // no message
+		{SenderIncarnation: 1, Message: 1, Total: largestFragmented + 1, Data: []byte{1}},
+		{SenderIncarnation: 1, Message: 1, Total: 1, Data: []byte{1, 2}},
+		{SenderIncarnation: 1, Message: 1, Total: 4},
+		{SenderIncarnation: 1, Message: 1, Total: 1, Data: []byte{0xff}}, // no message
 	} {
 		_, err := in.take(wrong)
 		var refused twirp.Error
@@ -124,7 +124,7 @@
 		is.Equal(refused.Code(), twirp.InvalidArgument)
 	}
 	for sender := range uint64(3 * mostSenders) {
-		_, err := in.take(&api.Fragment{Sender: sender, Message: 1, Total: 2, Data: []byte{1}})
+		_, err := in.take(&api.Fragment{SenderIncarnation: sender, Message: 1, Total: 2, Data: []byte{1}})
 		is.NoErr(err)
 	}
 	is.Equal(len(in.partial), mostSenders)
--- a/internal/system/control/grants_test.go
+++ b/internal/system/control/grants_test.go
@@ -20,8 +20,8 @@
 	view := head.replica.Node().View().GetNumber()
 	grant := func(view uint64) *result.Code {
 		answer := new(result.Code)
-		token := head.replica.Machine().Owner("a role").GetFence()
-		operation := &api.Operation{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{Key: "a role", Holder: "x/1", Replaces: &token}}}
+		token := head.replica.Machine().Owner("a role").GetFencingToken()
+		operation := &api.Operation{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{Key: "a role", Holder: "x/1", ReplacesFencingToken: &token}}}
 		head.replica.SubmitInView(head.clock(w.now), operation, view, head.clock(w.now+orderPatience),
 			func(code result.Code, _ string) { *answer = code })
 		return answer
--- a/internal/system/control/keeper.go
+++ b/internal/system/control/keeper.go
@@ -63,12 +63,12 @@
 
 // Instant is now, for other processes.
 func (k *Keeper) Instant() *api.Instant {
-	return &api.Instant{Life: k.life, Ns: uint64(k.now())}
+	return &api.Instant{Incarnation: k.life, MonotonicNs: uint64(k.now())}
 }
 
 // until reads what another process says of this one's clock; ok is false where it is of another life.
 func (k *Keeper) until(instant *api.Instant) (until time.Duration, ok bool) {
-	return time.Duration(instant.GetNs()), instant.GetLife() == k.life
+	return time.Duration(instant.GetMonotonicNs()), instant.GetIncarnation() == k.life
 }
 
 // Run keeps the chain until ctx ends.
--- a/internal/system/control/link.go
+++ b/internal/system/control/link.go
@@ -102,7 +102,7 @@
 }
 
 // reports are what the peer has not been told, and unless newsAlone who still lives.
-func (l *peerLink) reports(newsAlone bool) (*api.BackendReports, uint64, []hints.Hint[*api.Observation]) {
+func (l *peerLink) reports(newsAlone bool) (*api.MembershipUpdate, uint64, []hints.Hint[*api.Observation]) {
 	r := l.registry
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,7 +111,7 @@
 		told = 0
 	}
 	changed, revision := r.feed.ChangedSince(told)
-	reports := &api.BackendReports{From: r.self.Address, Whole: !l.known}
+	reports := &api.MembershipUpdate{From: r.self.Address, Complete: !l.known}
 	news := map[string]bool{}
 	for _, b := range changed {
 		if h, here := r.heard[b.Id]; here && h.via == "" {
@@ -128,23 +128,23 @@
 	}
 	hinted := l.observed.Due(l.now())
 	for _, hint := range hinted {
-		reports.Observed = append(reports.Observed, hint.Message)
+		reports.Observations = append(reports.Observations, hint.Message)
 	}
 	return reports, revision, hinted
 }
 
 // addLifeSigns adds the backends that were heard here and have nothing new to say.
-func (r *Registry) addLifeSigns(reports *api.BackendReports, news map[string]bool) {
+func (r *Registry) addLifeSigns(reports *api.MembershipUpdate, news map[string]bool) {
 	now := time.Now()
 	for id, h := range r.heard {
 		if h.via == "" && !news[id] {
-			reports.Seen = append(reports.Seen, &api.Seen{Id: id, AgeMs: uint32(now.Sub(h.at).Milliseconds())})
+			reports.Heartbeats = append(reports.Heartbeats, &api.BackendHeartbeat{Id: id, AgeMs: uint32(now.Sub(h.at).Milliseconds())})
 		}
 	}
 }
 
 // addNodes adds the nodes that were heard here.
-func (r *Registry) addNodes(reports *api.BackendReports) {
+func (r *Registry) addNodes(reports *api.MembershipUpdate) {
 	for _, n := range r.feed.Nodes() {
 		if r.nodes[n.Name].via == "" {
 			reports.Nodes = append(reports.Nodes, n)
--- a/internal/system/control/operator.go
+++ b/internal/system/control/operator.go
@@ -201,10 +201,10 @@
 func (h *heartbeat) backend(id string) *api.Backend {
 	b := &api.Backend{
 		Id: id, Service: h.Service, Address: h.Address, Zone: h.Zone, Software: h.Software, Slots: h.Slots,
-		Draining: h.State == stateDraining, ColdLeftMs: uint32(max(0, h.ColdLeft)), CallSequence: h.Sequence,
+		Draining: h.State == stateDraining, WarmupLeftMs: uint32(max(0, h.ColdLeft)), CallSequence: h.Sequence,
 	}
 	for _, m := range h.Models {
-		b.Models = append(b.Models, &api.ModelHeld{Name: m.Name, Version: m.Version, Adapters: m.Adapters})
+		b.Models = append(b.Models, &api.LoadedModel{Name: m.Name, Version: m.Version, Adapters: m.Adapters})
 	}
 	return b
 }
--- a/internal/system/control/owners.go
+++ b/internal/system/control/owners.go
@@ -112,7 +112,7 @@
 func (o *owners) passes(key string, owned *api.Ownership) bool {
 	role := o.roles[key]
 	return role != nil && role.ordered != nil && role.holder != owned.GetHolder() &&
-		role.ordered.GetGrant().GetReplaces() == owned.GetFence()
+		role.ordered.GetGrant().GetReplacesFencingToken() == owned.GetFencingToken()
 }
 
 // run looks after the roles until ctx ends.
@@ -204,10 +204,10 @@
 	from, passed := candidates(nodes, passed)
 	node := ownership.Choose(key, from)
 	holder := ownership.Holder(node.Name, node.Incarnation)
-	replaces := owned.GetFence()
+	replaces := owned.GetFencingToken()
 	operation := &api.Operation{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{
 		Key: key, Holder: holder, Address: node.Address,
-		Replaces: &replaces,
+		ReplacesFencingToken: &replaces,
 	}}}
 	o.roles[key] = &roleState{holder: holder, granted: o.now(), passed: passed, ordered: operation}
 	return operation
@@ -220,7 +220,7 @@
 // candidates are the nodes to choose a holder from: those that stay, have not passed the role by and have reported
 // lately. Where there are none, the last of these is waived first. still is nil where passed was waived.
 func candidates(nodes []*api.Node, passed map[string]bool) (from []*api.Node, still map[string]bool) {
-	staying := slices.DeleteFunc(slices.Clone(nodes), func(n *api.Node) bool { return n.Leaving })
+	staying := slices.DeleteFunc(slices.Clone(nodes), func(n *api.Node) bool { return n.Draining })
 	willing := slices.DeleteFunc(slices.Clone(staying), func(n *api.Node) bool { return passed[ownership.Holder(n.Name, n.Incarnation)] })
 	heard := slices.DeleteFunc(slices.Clone(willing), func(n *api.Node) bool {
 		return time.Duration(n.AgeMs)*time.Millisecond > reportedLately
--- a/internal/system/control/owners_test.go
+++ b/internal/system/control/owners_test.go
@@ -129,7 +129,7 @@
 		time.Sleep(takeUp + time.Millisecond)
 		o.look("a", "b")
 		is.True(o.holder() != first)
-		is.Equal(o.machine.Owner(llmKey).Fence, uint64(2))
+		is.Equal(o.machine.Owner(llmKey).FencingToken, uint64(2))
 	})
 }
 
@@ -144,9 +144,9 @@
 		o.commits = false // the chain has trouble
 		o.look("a", "b")
 		overtaken := o.ordered[1]
-		is.Equal(overtaken.GetGrant().GetReplaces(), uint64(1))
+		is.Equal(overtaken.GetGrant().GetReplacesFencingToken(), uint64(1))
 		other, replaces := ownership.Holder("c", 1), uint64(1)
-		o.commit(&api.Operation{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{Key: llmKey, Holder: other, Address: "c:1", Replaces: &replaces}}})
+		o.commit(&api.Operation{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{Key: llmKey, Holder: other, Address: "c:1", ReplacesFencingToken: &replaces}}})
 		o.look("a", "b", "c")
 		is.Equal(len(o.ordered), 2)
 		is.True(o.holds("c"))
--- a/internal/system/control/registry.go
+++ b/internal/system/control/registry.go
@@ -98,7 +98,7 @@
 
 // Take takes in what another control process has heard. It tells whether all of those
 // that still live are known here.
-func (r *Registry) Take(reports *api.BackendReports) (known bool) {
+func (r *Registry) Take(reports *api.MembershipUpdate) (known bool) {
 	now := time.Now()
 	r.mu.Lock()
 	r.peers[reports.From] = now
@@ -114,7 +114,7 @@
 	for _, b := range reports.Backends {
 		note(r.heard, b.Id, b.AgeMs)
 	}
-	for _, s := range reports.Seen {
+	for _, s := range reports.Heartbeats {
 		note(r.heard, s.Id, s.AgeMs)
 	}
 	for _, n := range reports.Nodes {
@@ -125,13 +125,13 @@
 		r.feed.Put(b)
 	}
 	known = true
-	for _, s := range reports.Seen {
+	for _, s := range reports.Heartbeats {
 		known = r.feed.Seen(s.Id, s.CallSequence, time.Duration(s.AgeMs)*time.Millisecond) && known
 	}
 	for _, n := range reports.Nodes {
 		r.feed.PutNode(n)
 	}
-	for _, o := range reports.Observed {
+	for _, o := range reports.Observations {
 		r.feed.Observe(o)
 	}
 	return known
--- a/internal/system/control/service.go
+++ b/internal/system/control/service.go
@@ -61,7 +61,7 @@
 // Submit implements api.Control: only the head answers otherwise than unavailable. What was held
 // up on its way is not taken: it has to say until when it may be, by the clock of this process.
 func (s *Service) Submit(ctx context.Context, request *api.SubmitRequest) (*api.SubmitReply, error) {
-	until, ok := s.keeper.until(request.Until)
+	until, ok := s.keeper.until(request.Deadline)
 	reply := &api.SubmitReply{Code: uint32(result.Unavailable), Detail: "until when it may be taken is not said by this process's clock"}
 	if ok && request.Operation != nil {
 		reply = s.submitHere(ctx, request.Operation, until)
@@ -102,7 +102,7 @@
 }
 
 // Share implements api.Control.
-func (s *Service) Share(_ context.Context, reports *api.BackendReports) (*api.Empty, error) {
+func (s *Service) Share(_ context.Context, reports *api.MembershipUpdate) (*api.Empty, error) {
 	if !s.registry.Take(reports) {
 		return nil, twirp.NewError(twirp.FailedPrecondition, "a backend that lives is not known here: all is needed")
 	}
@@ -110,7 +110,7 @@
 }
 
 // Watch implements api.Control.
-func (s *Service) Watch(ctx context.Context, request *api.WatchRequest) (*api.Feed, error) {
+func (s *Service) Watch(ctx context.Context, request *api.WatchRequest) (*api.WatchReply, error) {
 	if request.Subscriber != "" {
 		s.registry.Reads(request.Subscriber)
 	}
@@ -138,7 +138,7 @@
 	s.keeper.Read(true, func(code result.Code, machine *state.Machine) {
 		reply := &api.LeaseReply{Code: uint32(code)}
 		if machine != nil {
-			reply.Held = s.owners.renew(request.Holder, request.Release, machine)
+			reply.Renewed = s.owners.renew(request.Holder, request.Release, machine)
 			reply.ValidMs = uint32(s.owners.valid.Milliseconds())
 		}
 		answers <- reply
@@ -165,7 +165,7 @@
 // Observe implements api.Control. What an agent tells is passed on to the other control
 // processes.
 func (s *Service) Observe(_ context.Context, seen *api.Observations) (*api.Empty, error) {
-	s.registry.Observe(seen.Observed)
+	s.registry.Observe(seen.Observations)
 	return &api.Empty{}, nil
 }
 
@@ -241,7 +241,7 @@
 	if until == nil {
 		return &api.SubmitReply{Code: uint32(result.Unavailable), Detail: "the head can't be reached"}
 	}
-	reply, err := s.submitTo(ctx, head, &api.SubmitRequest{Operation: operation, Until: until})
+	reply, err := s.submitTo(ctx, head, &api.SubmitRequest{Operation: operation, Deadline: until})
 	if err != nil {
 		return &api.SubmitReply{Code: uint32(result.Unclear), Detail: "the head can't be reached"}
 	}
--- a/internal/system/control/status.go
+++ b/internal/system/control/status.go
@@ -73,7 +73,7 @@
 	s.feed.View(func(m *state.Machine) {
 		out.Version, out.Evacuated = m.Version(), m.EvacuatedZones()
 		for _, o := range m.Ownerships() {
-			out.Roles = append(out.Roles, RoleStatus{Key: o.Key, Holder: o.Holder, Fence: o.Fence})
+			out.Roles = append(out.Roles, RoleStatus{Key: o.Key, Holder: o.Holder, Fence: o.FencingToken})
 		}
 	})
 	out.Readers = s.registry.Readers()
@@ -81,7 +81,7 @@
 		out.Nodes = append(out.Nodes, NodeStatus{Name: n.Name, Zone: n.Zone, SilentMS: n.AgeMs})
 	}
 	for _, b := range s.feed.Backends() {
-		status := BackendStatus{ID: b.Id, Service: b.Service, Zone: b.Zone, Draining: b.Draining, ColdMS: b.ColdLeftMs, SilentMS: b.AgeMs}
+		status := BackendStatus{ID: b.Id, Service: b.Service, Zone: b.Zone, Draining: b.Draining, ColdMS: b.WarmupLeftMs, SilentMS: b.AgeMs}
 		for _, m := range b.Models {
 			status.Models = append(status.Models, m.Name)
 		}
--- a/internal/system/control/world_clients_test.go
+++ b/internal/system/control/world_clients_test.go
@@ -357,9 +357,9 @@
 	a.asking = true
 	w, c := a.world, a.source()
 	request := a.feed.Request(a.cursor)
-	call(w, a.node.Name, c.address, agentTimeout, func(answer func(*api.Feed)) {
+	call(w, a.node.Name, c.address, agentTimeout, func(answer func(*api.WatchReply)) {
 		c.run(func() { answer(c.feed.Wait(w.t.Context(), request, 0)) })
-	}, func(answer **api.Feed) {
+	}, func(answer **api.WatchReply) {
 		a.asking = false
 		if answer == nil {
 			a.at++
@@ -371,7 +371,7 @@
 	})
 }
 
-func (a *simAgent) take(answer *api.Feed) {
+func (a *simAgent) take(answer *api.WatchReply) {
 	w := a.world
 	a.feed.Take(answer, a.cursor)
 	sequence, _ := a.feed.Position()
@@ -412,9 +412,9 @@
 			return
 		}
 		a.until = 0
-		for _, held := range (*answer).Held {
+		for _, held := range (*answer).Renewed {
 			if held.Key == placementKey {
-				a.fence, a.until = held.Fence, asked+time.Duration((*answer).ValidMs)*time.Millisecond
+				a.fence, a.until = held.FencingToken, asked+time.Duration((*answer).ValidMs)*time.Millisecond
 			}
 		}
 	})
--- a/internal/system/control/world_test.go
+++ b/internal/system/control/world_test.go
@@ -567,7 +567,7 @@
 	}
 	at := func() *api.Instant { return c.clocks.at(head, w.clock().Add(deadline-w.now)) }
 	submit := func(until *api.Instant) {
-		c.submitTo(head, &api.SubmitRequest{Operation: operation, Until: until}, deadline, func(answer *api.SubmitReply) {
+		c.submitTo(head, &api.SubmitRequest{Operation: operation, Deadline: until}, deadline, func(answer *api.SubmitReply) {
 			if answer == nil {
 				answer = &api.SubmitReply{Code: uint32(result.Unclear)}
 			}
@@ -606,17 +606,17 @@
 // submit is Service.Submit.
 func (c *core) submit(request *api.SubmitRequest, reply func(*api.SubmitReply)) {
 	stamped := func(answer *api.SubmitReply) {
-		answer.Clock = &api.Instant{Life: uint64(c.life), Ns: uint64(c.clock(c.world.now))}
+		answer.Clock = &api.Instant{Incarnation: uint64(c.life), MonotonicNs: uint64(c.clock(c.world.now))}
 		reply(answer)
 	}
-	if request.Operation == nil || request.Until.GetLife() != uint64(c.life) {
+	if request.Operation == nil || request.Deadline.GetIncarnation() != uint64(c.life) {
 		stamped(&api.SubmitReply{Code: uint32(result.Unavailable)})
 		return
 	}
-	if time.Duration(request.Until.Ns) <= c.clock(c.world.now) {
+	if time.Duration(request.Deadline.MonotonicNs) <= c.clock(c.world.now) {
 		c.world.crossed["an order came too late"]++
 	}
-	c.submitHere(request.Operation, time.Duration(request.Until.Ns), stamped)
+	c.submitHere(request.Operation, time.Duration(request.Deadline.MonotonicNs), stamped)
 }
 
 func (c *core) submitHere(operation *api.Operation, until time.Duration, reply func(*api.SubmitReply)) {
@@ -691,7 +691,7 @@
 		c.replica.ReadAtHead(c.clock(w.now), func(code result.Code, m *state.Machine) {
 			answer := &api.LeaseReply{Code: uint32(code)}
 			if m != nil {
-				answer.Held = c.owners.renew(holder, false, m)
+				answer.Renewed = c.owners.renew(holder, false, m)
 				answer.ValidMs = uint32(c.owners.valid.Milliseconds())
 			}
 			reply(answer)
--- a/internal/system/feed/backends.go
+++ b/internal/system/feed/backends.go
@@ -65,7 +65,7 @@
 	if old != nil && sameBackend(old.backend, b) {
 		old.backend.CallSequence = b.CallSequence
 		if heardAt.After(old.heardAt) {
-			old.heardAt, old.backend.ColdLeftMs = heardAt, b.ColdLeftMs
+			old.heardAt, old.backend.WarmupLeftMs = heardAt, b.WarmupLeftMs
 		}
 		return false
 	}
@@ -82,12 +82,12 @@
 // sameBackend tells whether nothing of note has changed.
 func sameBackend(a, b *api.Backend) bool {
 	const coldSlackMS = 400
-	drift := int(a.ColdLeftMs) - int(b.ColdLeftMs)
-	if (a.ColdLeftMs > 0) != (b.ColdLeftMs > 0) || drift < -coldSlackMS {
+	drift := int(a.WarmupLeftMs) - int(b.WarmupLeftMs)
+	if (a.WarmupLeftMs > 0) != (b.WarmupLeftMs > 0) || drift < -coldSlackMS {
 		return false
 	}
 	return a.Service == b.Service && a.Address == b.Address && a.Zone == b.Zone && a.Slots == b.Slots &&
-		a.Draining == b.Draining && slices.EqualFunc(a.Models, b.Models, func(x, y *api.ModelHeld) bool {
+		a.Draining == b.Draining && slices.EqualFunc(a.Models, b.Models, func(x, y *api.LoadedModel) bool {
 		return x.Name == y.Name && x.Version == y.Version && slices.Equal(x.Adapters, y.Adapters)
 	})
 }
@@ -157,10 +157,10 @@
 func aged(record *backendRecord, now time.Time) *api.Backend {
 	b := record.backend
 	silent := max(0, now.Sub(record.heardAt))
-	left := max(0, int64(b.ColdLeftMs)-silent.Milliseconds())
+	left := max(0, int64(b.WarmupLeftMs)-silent.Milliseconds())
 	return &api.Backend{
 		Id: b.Id, Service: b.Service, Address: b.Address, Zone: b.Zone, Software: b.Software, Slots: b.Slots,
-		Draining: b.Draining, ColdLeftMs: uint32(left), Models: b.Models, CallSequence: b.CallSequence,
+		Draining: b.Draining, WarmupLeftMs: uint32(left), Models: b.Models, CallSequence: b.CallSequence,
 		AgeMs: uint32(silent.Milliseconds()),
 	}
 }
@@ -183,9 +183,9 @@
 func Observation(id string, holds map[string][]string) *api.Observation {
 	o := &api.Observation{Id: id}
 	for model, adapters := range holds {
-		o.Models = append(o.Models, &api.ModelHeld{Name: model, Adapters: adapters})
+		o.Models = append(o.Models, &api.LoadedModel{Name: model, Adapters: adapters})
 	}
-	slices.SortFunc(o.Models, func(a, b *api.ModelHeld) int { return compareStrings(a.Name, b.Name) })
+	slices.SortFunc(o.Models, func(a, b *api.LoadedModel) int { return compareStrings(a.Name, b.Name) })
 	return o
 }
 
@@ -200,7 +200,7 @@
 	}
 	next := aged(record, s.now())
 	next.AgeMs = 0
-	next.ColdLeftMs = record.backend.ColdLeftMs
+	next.WarmupLeftMs = record.backend.WarmupLeftMs
 	next.Models = o.Models
 	if sameBackend(record.backend, next) {
 		return false
--- a/internal/system/feed/compatibility_test.go
+++ b/internal/system/feed/compatibility_test.go
@@ -24,7 +24,7 @@
 func TestCompatibilityOfStateParts(t *testing.T) {
 	document := `{"config_version":1,"remark":"` + strings.Repeat("x", 3*largestAnswer) + `"}`
 	store := New("source", time.Now)
-	store.Reset(7, 99, &api.State{Version: 1, Document: []byte(document), LastFence: 5})
+	store.Reset(7, 99, &api.State{Version: 1, Document: []byte(document), LastFencingToken: 5})
 	request := &api.WatchRequest{}
 	var data []byte
 	for {
@@ -39,7 +39,7 @@
 		}
 		request = &api.WatchRequest{Source: feed.Source, StatePart: &api.StatePart{Sequence: 7, Hash: 99, Offset: uint64(len(data)), Total: part.Total}}
 	}
-	want, err := proto.MarshalOptions{Deterministic: true}.Marshal(&api.State{Version: 1, Document: []byte(document), LastFence: 5})
+	want, err := proto.MarshalOptions{Deterministic: true}.Marshal(&api.State{Version: 1, Document: []byte(document), LastFencingToken: 5})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/system/feed/exchange.go
+++ b/internal/system/feed/exchange.go
@@ -34,7 +34,7 @@
 const newsGap = 100 * time.Millisecond
 
 // Wait serves a reader what it lacks, once there is something, or nothing new after wait.
-func (s *Store) Wait(ctx context.Context, request *api.WatchRequest, wait time.Duration) *api.Feed {
+func (s *Store) Wait(ctx context.Context, request *api.WatchRequest, wait time.Duration) *api.WatchReply {
 	asked := time.Now()
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -57,7 +57,7 @@
 
 // serve makes the feed of a reader where it is due. Otherwise it gives what tells of the
 // next change, and whether there is news that waits for more.
-func (s *Store) serve(request *api.WatchRequest, gathered, late bool) (feed *api.Feed, changed <-chan struct{}, gathers bool) {
+func (s *Store) serve(request *api.WatchRequest, gathered, late bool) (feed *api.WatchReply, changed <-chan struct{}, gathers bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	news := s.newsFor(request)
@@ -91,27 +91,27 @@
 }
 
 // since makes the feed of a reader.
-func (s *Store) since(request *api.WatchRequest) *api.Feed {
+func (s *Store) since(request *api.WatchRequest) *api.WatchReply {
 	topics := Topics(request.Topics)
 	standing := s.standings.of(topics)
-	feed := &api.Feed{Source: s.source, Revision: s.revision, Fresh: standing.Fresh, Established: standing.Established}
+	feed := &api.WatchReply{Source: s.source, Revision: s.revision, Fresh: standing.Fresh, Established: standing.Established}
 	if topics.State() {
 		feed.Sequence, feed.Hash, feed.Controls = s.sequence, s.hash, s.controls
 		s.addState(feed, request)
 	}
 	revision := request.Revision
 	if request.Source != s.source || revision < s.forgottenUpTo {
-		feed.Whole, revision = true, 0
+		feed.Complete, revision = true, 0
 	}
 	feed.Backends = s.backendsSince(revision, topics)
-	if !feed.Whole {
+	if !feed.Complete {
 		for _, d := range s.departed {
 			if d.revision > revision && topics.Service(d.service) && s.backends[d.id] == nil {
 				feed.Departed = append(feed.Departed, d.id)
 			}
 		}
 	}
-	if topics.State() && (s.nodesRevision > revision || feed.Whole) {
+	if topics.State() && (s.nodesRevision > revision || feed.Complete) {
 		feed.Nodes, feed.NodesChanged = s.listNodes(), true
 	}
 	return feed
@@ -119,7 +119,7 @@
 
 // addState adds the entries that a reader lacks, or all of the state where they are not
 // enough. A reader that knows more gets nothing.
-func (s *Store) addState(feed *api.Feed, request *api.WatchRequest) {
+func (s *Store) addState(feed *api.WatchReply, request *api.WatchRequest) {
 	if request.Sequence >= s.sequence {
 		return
 	}
@@ -134,7 +134,7 @@
 }
 
 // Take takes in what another store has served. It tells whether anything is new.
-func (s *Store) Take(feed *api.Feed, cursor *Cursor) bool {
+func (s *Store) Take(feed *api.WatchReply, cursor *Cursor) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.revision
@@ -145,7 +145,7 @@
 	} else if len(feed.Entries) > 0 && feed.Entries[0].PreviousHash == s.hash {
 		s.append(feed.Entries)
 	}
-	if cursor.source != feed.Source || feed.Whole {
+	if cursor.source != feed.Source || feed.Complete {
 		cursor.unconfirmed = map[string]bool{}
 		for id, record := range s.backends {
 			if cursor.topics.Service(record.backend.Service) {
@@ -176,7 +176,7 @@
 	return s.revision != before
 }
 
-func (s *Store) takeBackends(feed *api.Feed, cursor *Cursor) (changed bool) {
+func (s *Store) takeBackends(feed *api.WatchReply, cursor *Cursor) (changed bool) {
 	for _, b := range feed.Backends {
 		delete(cursor.unconfirmed, b.Id)
 		changed = s.put(b) || changed
@@ -202,7 +202,7 @@
 }
 
 // takeNodes makes the nodes those of the feed.
-func (s *Store) takeNodes(feed *api.Feed) bool {
+func (s *Store) takeNodes(feed *api.WatchReply) bool {
 	listed, changed := map[string]bool{}, false
 	for _, n := range feed.Nodes {
 		listed[n.Name] = true
--- a/internal/system/feed/follow.go
+++ b/internal/system/feed/follow.go
@@ -11,7 +11,7 @@
 
 // Watcher serves a feed: a control process, or an agent.
 type Watcher interface {
-	Watch(ctx context.Context, request *api.WatchRequest) (*api.Feed, error)
+	Watch(ctx context.Context, request *api.WatchRequest) (*api.WatchReply, error)
 }
 
 // FollowConfig says how a feed is followed.
@@ -92,7 +92,7 @@
 	}
 }
 
-func ask(ctx context.Context, store *Store, cfg *FollowConfig, address string, cursor *Cursor) (*api.Feed, error) {
+func ask(ctx context.Context, store *Store, cfg *FollowConfig, address string, cursor *Cursor) (*api.WatchReply, error) {
 	request := store.Request(cursor)
 	wait := cfg.WaitTime
 	if !store.Fresh(cfg.Topics) {
--- a/internal/system/feed/nodes.go
+++ b/internal/system/feed/nodes.go
@@ -25,7 +25,7 @@
 func (s *Store) putNode(n *api.Node) (news bool) {
 	heardAt := s.now().Add(-time.Duration(n.AgeMs) * time.Millisecond)
 	old := s.nodes[n.Name]
-	if old != nil && old.node.Incarnation == n.Incarnation && old.node.Address == n.Address && (old.node.Leaving || !n.Leaving) {
+	if old != nil && old.node.Incarnation == n.Incarnation && old.node.Address == n.Address && (old.node.Draining || !n.Draining) {
 		if heardAt.After(old.heardAt) {
 			old.heardAt = heardAt
 		}
@@ -68,7 +68,7 @@
 	for _, record := range s.nodes {
 		n := record.node
 		list = append(list, &api.Node{
-			Name: n.Name, Address: n.Address, Zone: n.Zone, Incarnation: n.Incarnation, Leaving: n.Leaving,
+			Name: n.Name, Address: n.Address, Zone: n.Zone, Incarnation: n.Incarnation, Draining: n.Draining,
 			AgeMs: uint32(max(0, now.Sub(record.heardAt)).Milliseconds()),
 		})
 	}
--- a/internal/system/feed/parts.go
+++ b/internal/system/feed/parts.go
@@ -30,7 +30,7 @@
 }
 
 // serveState gives a reader the whole state, or the part that it asks for of one that is large.
-func (s *Store) serveState(feed *api.Feed, request *api.WatchRequest) {
+func (s *Store) serveState(feed *api.WatchReply, request *api.WatchRequest) {
 	want := request.StatePart
 	goesOn := want != nil && request.Source == s.source && s.encoded != nil && want.Sequence == s.encoded.sequence &&
 		want.Hash == s.encoded.hash && want.Offset < uint64(len(s.encoded.data))
--- a/internal/system/gateway/backlog.go
+++ b/internal/system/gateway/backlog.go
@@ -46,7 +46,7 @@
 // heardOthers takes in the answer to a report of demand.
 func (g *Gateway) heardOthers(reply *api.DemandReply) {
 	services := g.plan.Load().services
-	for _, b := range reply.Others {
+	for _, b := range reply.OtherBacklogs {
 		if s := services[b.Service]; s != nil {
 			s.heard(backlog.Read(b))
 		}
--- a/internal/system/gateway/demand.go
+++ b/internal/system/gateway/demand.go
@@ -81,7 +81,7 @@
 	demands := make([]*api.Demand, 0, len(b.counts))
 	for key, d := range b.counts {
 		if d.Arrived > 0 {
-			d.AimMs = uint32((b.aims[key] / time.Duration(d.Arrived)).Milliseconds())
+			d.LatencyTargetMs = uint32((b.aims[key] / time.Duration(d.Arrived)).Milliseconds())
 		}
 		demands = append(demands, d)
 	}
--- a/internal/system/gateway/gateway.go
+++ b/internal/system/gateway/gateway.go
@@ -180,7 +180,7 @@
 	fresh := g.feed.Fresh(nil)
 	var names []string
 	for _, node := range g.feed.Nodes() {
-		if node.Leaving {
+		if node.Draining {
 			continue
 		}
 		names = append(names, node.Name)
--- a/internal/system/gateway/service.go
+++ b/internal/system/gateway/service.go
@@ -234,7 +234,7 @@
 			}
 			k := routing.Backend{
 				Backend: residency.Backend{ID: listed.ID, Slots: int(b.Slots)}, Name: b.Id,
-				ColdLeft: time.Duration(b.ColdLeftMs) * time.Millisecond,
+				ColdLeft: time.Duration(b.WarmupLeftMs) * time.Millisecond,
 			}
 			for _, m := range b.Models {
 				k.Held = append(k.Held, residency.Held{Model: m.Name, Adapters: m.Adapters})
--- a/internal/system/homes/compatibility_test.go
+++ b/internal/system/homes/compatibility_test.go
@@ -43,7 +43,7 @@
 	for i := range 6 {
 		nodes = append(nodes, &api.Node{
 			Name: fmt.Sprintf("edge-%d", i), Address: fmt.Sprintf("10.2.0.%d:7660", i), Zone: []string{"east", "west"}[i%2],
-			Leaving: i == 4,
+			Draining: i == 4,
 		})
 	}
 	topics := feed.Topics{feed.TopicState}
--- a/internal/system/homes/homes.go
+++ b/internal/system/homes/homes.go
@@ -23,7 +23,7 @@
 func Home(topic feed.Topic, self *api.Node, nodes []*api.Node) *api.Node {
 	candidates := []*api.Node{self}
 	for _, node := range nodes {
-		if node.Zone == self.Zone && node.Name != self.Name && !node.Leaving {
+		if node.Zone == self.Zone && node.Name != self.Name && !node.Draining {
 			candidates = append(candidates, node)
 		}
 	}
--- a/internal/system/homes/homes_test.go
+++ b/internal/system/homes/homes_test.go
@@ -28,7 +28,7 @@
 func TestALeavingNodeIsNoHome(t *testing.T) {
 	is := is.New(t)
 	leaving := node(2, "east")
-	leaving.Leaving = true
+	leaving.Draining = true
 	plan := Plan(node(1, "east"), []*api.Node{node(1, "east"), leaving}, topics)
 	is.Equal(len(plan), 1)
 	is.Equal(plan[0].Home, "")
@@ -70,7 +70,7 @@
 			for j := range count {
 				if rapid.Bool().Draw(t, "known") {
 					known := node(j, "east")
-					known.Leaving = rapid.IntRange(0, 3).Draw(t, "leaving") == 0
+					known.Draining = rapid.IntRange(0, 3).Draw(t, "leaving") == 0
 					lists[i] = append(lists[i], known)
 				}
 			}
--- a/internal/system/simcluster/backlog_test.go
+++ b/internal/system/simcluster/backlog_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatalf("%s reports: %v", node, err)
 	}
-	for _, b := range reply.Others {
+	for _, b := range reply.OtherBacklogs {
 		if b.Service == "llm" {
 			return backlog.Read(b)[backlog.Key(backend)]
 		}
--- a/internal/system/state/compatibility_sent_test.go
+++ b/internal/system/state/compatibility_sent_test.go
@@ -56,7 +56,7 @@
 		{Kind: &api.Operation_Evacuation{Evacuation: &api.SetEvacuation{Zone: "east"}}},
 		{Kind: &api.Operation_Retire{Retire: &api.RetireBackend{Id: "i-7f3a91c2"}}},
 		{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{Key: "placement/llm", Holder: "edge-1/0000002a", Address: "10.2.0.1:7660"}}},
-		{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{Key: "placement/llm", Holder: "edge-2/0000002b", Address: "10.2.0.2:7660", Replaces: &replaces}}},
+		{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{Key: "placement/llm", Holder: "edge-2/0000002b", Address: "10.2.0.2:7660", ReplacesFencingToken: &replaces}}},
 	}
 }
 
--- a/internal/system/state/compatibility_test.go
+++ b/internal/system/state/compatibility_test.go
@@ -47,7 +47,7 @@
 func storedOperations() [][]*api.Operation {
 	nobody, second := uint64(0), uint64(2)
 	grantIf := func(key, holder, address string, replaces *uint64) *api.Operation {
-		return &api.Operation{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{Key: key, Holder: holder, Address: address, Replaces: replaces}}}
+		return &api.Operation{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{Key: key, Holder: holder, Address: address, ReplacesFencingToken: replaces}}}
 	}
 	return [][]*api.Operation{
 		{replace(0, []byte(storedDocument(3, "a")))},
@@ -76,10 +76,10 @@
 		Evacuations: []*api.Evacuation{{Zone: "zone-a"}, {Zone: "zone-c"}},
 		Retired:     []*api.Retired{{Id: "llm-1/5f"}, {Id: "llm-2/60"}},
 		Ownerships: []*api.Ownership{
-			{Key: "placement/llm", Holder: "node-1/0000beef", Address: "10.0.0.1:7200", Fence: 1},
-			{Key: "placement/img", Holder: "node-3/00000abc", Address: "10.0.0.3:7200", Fence: 3},
+			{Key: "placement/llm", Holder: "node-1/0000beef", Address: "10.0.0.1:7200", FencingToken: 1},
+			{Key: "placement/img", Holder: "node-3/00000abc", Address: "10.0.0.3:7200", FencingToken: 3},
 		},
-		LastFence: 3,
+		LastFencingToken: 3,
 	}
 }
 
@@ -120,7 +120,7 @@
 	if !m.Retired("llm-1/5f") || !m.Retired("llm-2/60") || m.Retired("llm-3/61") {
 		t.Error("other backends have retired")
 	}
-	if o := m.Owner("placement/img"); o.GetHolder() != "node-3/00000abc" || o.GetAddress() != "10.0.0.3:7200" || o.GetFence() != 3 {
+	if o := m.Owner("placement/img"); o.GetHolder() != "node-3/00000abc" || o.GetAddress() != "10.0.0.3:7200" || o.GetFencingToken() != 3 {
 		t.Errorf("the owner of placement/img is %v", o)
 	}
 }
@@ -195,8 +195,8 @@
 	compareMessages(t, "Evacuations", got.Evacuations, want.Evacuations)
 	compareMessages(t, "Retired", got.Retired, want.Retired)
 	compareMessages(t, "Ownerships", got.Ownerships, want.Ownerships)
-	if got.LastFence != want.LastFence {
-		t.Errorf("LastFence is %d, want %d", got.LastFence, want.LastFence)
+	if got.LastFencingToken != want.LastFencingToken {
+		t.Errorf("LastFence is %d, want %d", got.LastFencingToken, want.LastFencingToken)
 	}
 	if got.ForgottenVersion != want.ForgottenVersion {
 		t.Errorf("ForgottenVersion is %d, want %d", got.ForgottenVersion, want.ForgottenVersion)
--- a/internal/system/state/machine.go
+++ b/internal/system/state/machine.go
@@ -49,7 +49,7 @@
 func copyOf(s *api.State) *api.State {
 	return &api.State{
 		Version: s.Version, Digests: slices.Clone(s.Digests), Evacuations: slices.Clone(s.Evacuations),
-		Retired: slices.Clone(s.Retired), Ownerships: slices.Clone(s.Ownerships), LastFence: s.LastFence, ForgottenVersion: s.ForgottenVersion,
+		Retired: slices.Clone(s.Retired), Ownerships: slices.Clone(s.Ownerships), LastFencingToken: s.LastFencingToken, ForgottenVersion: s.ForgottenVersion,
 	}
 }
 
@@ -250,14 +250,14 @@
 		return false, result.Errorf(result.InvalidField, "a key and a holder are needed")
 	}
 	// A grant that was decided on an earlier holder comes late, or a second time.
-	if held := m.Owner(g.Key); g.Replaces != nil && held.GetFence() != g.GetReplaces() {
+	if held := m.Owner(g.Key); g.ReplacesFencingToken != nil && held.GetFencingToken() != g.GetReplacesFencingToken() {
 		if held.GetHolder() == g.Holder {
 			return false, nil
 		}
-		return false, result.Errorf(result.VersionConflict, "the role %s was under token %d, and is under %d", g.Key, g.GetReplaces(), held.GetFence())
+		return false, result.Errorf(result.VersionConflict, "the role %s was under token %d, and is under %d", g.Key, g.GetReplacesFencingToken(), held.GetFencingToken())
 	}
-	m.state.LastFence++
-	owned := &api.Ownership{Key: g.Key, Holder: g.Holder, Address: g.Address, Fence: m.state.LastFence}
+	m.state.LastFencingToken++
+	owned := &api.Ownership{Key: g.Key, Holder: g.Holder, Address: g.Address, FencingToken: m.state.LastFencingToken}
 	for i, o := range m.state.Ownerships {
 		if o.Key == g.Key {
 			m.state.Ownerships = slices.Clone(m.state.Ownerships)
--- a/internal/system/state/machine_test.go
+++ b/internal/system/state/machine_test.go
@@ -93,8 +93,8 @@
 		key := fmt.Sprint("placement/", i%3)
 		m.Do(grant(key, fmt.Sprint("node-", i)))
 		owned := m.Owner(key)
-		is.True(owned.Fence > last)
-		last = owned.Fence
+		is.True(owned.FencingToken > last)
+		last = owned.FencingToken
 	}
 	is.Equal(len(m.Ownerships()), 3)
 }
@@ -205,7 +205,7 @@
 // conditional is a grant that replaces a token.
 func conditional(key, holder string, replaces uint64) *api.Operation {
 	operation := grant(key, holder)
-	operation.GetGrant().Replaces = &replaces
+	operation.GetGrant().ReplacesFencingToken = &replaces
 	return operation
 }
 
@@ -218,7 +218,7 @@
 	is.True(changed && failure == nil)
 	changed, failure = m.Do(first) // once more
 	is.True(!changed && failure == nil)
-	is.Equal(m.Owner("llm").Fence, uint64(1))
+	is.Equal(m.Owner("llm").FencingToken, uint64(1))
 	changed, failure = m.Do(conditional("llm", "b", 1))
 	is.True(changed && failure == nil)
 	changed, failure = m.Do(first) // after another one has the role
--- a/internal/system/store/compatibility_test.go
+++ b/internal/system/store/compatibility_test.go
@@ -67,8 +67,8 @@
 		}},
 		{Sequence: 45, PreviousHash: 0x3fe506a21c40224e, Hash: 0x7ed162c60ff870c3, Operations: []*api.Operation{
 			{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{Key: "placement/llm", Holder: "node-1/0000beef", Address: "10.0.0.1:7200"}}},
-			{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{Key: "placement/img", Holder: "node-2/0000cafe", Address: "10.0.0.2:7200", Replaces: &nobody}}},
-			{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{Key: "placement/llm", Holder: "node-2/0000cafe", Address: "10.0.0.2:7200", Replaces: &seven}}},
+			{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{Key: "placement/img", Holder: "node-2/0000cafe", Address: "10.0.0.2:7200", ReplacesFencingToken: &nobody}}},
+			{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{Key: "placement/llm", Holder: "node-2/0000cafe", Address: "10.0.0.2:7200", ReplacesFencingToken: &seven}}},
 		}},
 	}
 }
@@ -85,10 +85,10 @@
 		Evacuations: []*api.Evacuation{{Zone: "zone-b"}, {Zone: "zone-c"}},
 		Retired:     []*api.Retired{{Id: "llm-0/11", Sequence: 12}, {Id: "img-4/2"}},
 		Ownerships: []*api.Ownership{
-			{Key: "placement/llm", Holder: "node-9/00000009", Address: "10.0.0.9:7200", Fence: 6},
-			{Key: "placement/img", Holder: "node-8/00000008", Address: "10.0.0.8:7200", Fence: 5},
+			{Key: "placement/llm", Holder: "node-9/00000009", Address: "10.0.0.9:7200", FencingToken: 6},
+			{Key: "placement/img", Holder: "node-8/00000008", Address: "10.0.0.8:7200", FencingToken: 5},
 		},
-		LastFence:        6,
+		LastFencingToken: 6,
 		ForgottenVersion: 39,
 	}}
 }
