--- a/internal/system/simcluster/register_test.go
+++ b/internal/testing/simcluster/register_test.go
@@ -10,20 +10,22 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"marlreel/internal/system/linear"
+	"marlreel/internal/testing/linearizability"
 )
 
 // registerLog is what operators called and were answered.
 type registerLog struct {
-	first      linear.Configuration
+	first      linearizability.Configuration
 	operations []porcupine.Operation
 	writes     int
 }
 
-func (l *registerLog) begin(text string) { l.first = linear.Configuration{Version: 1, Text: text} }
+func (l *registerLog) begin(text string) {
+	l.first = linearizability.Configuration{Version: 1, Text: text}
+}
 
 // note writes a call down.
-func (w *witness) note(began time.Time, call linear.ConfigurationCall, answer linear.ConfigurationAnswer) {
+func (w *witness) note(began time.Time, call linearizability.ConfigurationCall, answer linearizability.ConfigurationAnswer) {
 	ended := time.Now().UnixNano()
 	if !call.Read && !answer.Known {
 		ended = math.MaxInt64 // it may still come true
@@ -39,7 +41,7 @@
 var versionField = regexp.MustCompile(`"config_version":(\d+)`)
 
 // newest reads the configuration, from whichever control process answers.
-func (w *witness) newest() (linear.Configuration, bool) {
+func (w *witness) newest() (linearizability.Configuration, bool) {
 	for _, m := range w.cluster.Controls {
 		status, body, err := w.cluster.callOne(m, http.MethodGet, "/marlreel/config/read", "", "")
 		if err != nil || status != http.StatusOK {
@@ -48,12 +50,12 @@
 		found := versionField.FindStringSubmatch(body)
 		if found == nil {
 			w.fault("a read gave %q", body)
-			return linear.Configuration{}, false
+			return linearizability.Configuration{}, false
 		}
 		version, _ := strconv.ParseUint(found[1], 10, 64)
-		return linear.Configuration{Version: version, Text: body}, true
+		return linearizability.Configuration{Version: version, Text: body}, true
 	}
-	return linear.Configuration{}, false
+	return linearizability.Configuration{}, false
 }
 
 // isCalm tells whether operators are to make no more changes.
@@ -70,7 +72,7 @@
 func (w *witness) read() {
 	began := time.Now()
 	if state, answered := w.newest(); answered {
-		w.note(began, linear.ConfigurationCall{Read: true}, linear.ConfigurationAnswer{Known: true, Version: state.Version, Text: state.Text})
+		w.note(began, linearizability.ConfigurationCall{Read: true}, linearizability.ConfigurationAnswer{Known: true, Version: state.Version, Text: state.Text})
 	}
 }
 
@@ -94,16 +96,16 @@
 	}
 	w.mu.Unlock()
 	text := historyDocument(prefix)(state.Version + 1)
-	call, answer := linear.ConfigurationCall{Base: state.Version, Text: text}, linear.ConfigurationAnswer{}
+	call, answer := linearizability.ConfigurationCall{Base: state.Version, Text: text}, linearizability.ConfigurationAnswer{}
 	began := time.Now()
 	for send := 0; send < mostSends && !answer.Known; send++ {
 		m := w.cluster.control(operator + send)
 		status, _, err := w.cluster.callOne(m, http.MethodPost, "/marlreel/config/replace", strconv.FormatUint(call.Base, 10), text)
 		switch {
 		case err == nil && status == http.StatusOK:
-			answer = linear.ConfigurationAnswer{Known: true, Taken: true}
+			answer = linearizability.ConfigurationAnswer{Known: true, Taken: true}
 		case err == nil && status == http.StatusPreconditionFailed:
-			answer = linear.ConfigurationAnswer{Known: true}
+			answer = linearizability.ConfigurationAnswer{Known: true}
 		default:
 			w.cluster.Pass(100 * time.Millisecond)
 		}
@@ -115,7 +117,7 @@
 // auditRegister checks that all answers are those of one register.
 func (w *witness) auditRegister() {
 	const patience = 20 * time.Second
-	if porcupine.CheckOperationsTimeout(linear.ConfigurationModel(w.register.first), w.register.operations, patience) != porcupine.Ok {
+	if porcupine.CheckOperationsTimeout(linearizability.ConfigurationModel(w.register.first), w.register.operations, patience) != porcupine.Ok {
 		w.fault("the answers to %d calls are not those of one register", len(w.register.operations))
 	}
 }
--- a/internal/system/simcluster/roles_test.go
+++ b/internal/testing/simcluster/roles_test.go
@@ -9,24 +9,24 @@
 
 	"github.com/matryer/is"
 
-	"marlreel/internal/system/control"
+	"marlreel/internal/controlplane"
 )
 
 // placer is who places the models, and under which token.
-func (c *Cluster) placer(t *testing.T) control.RoleStatus {
+func (c *Cluster) placer(t *testing.T) controlplane.RoleStatus {
 	t.Helper()
 	status, answer, err := c.Call("GET", "/marlreel/status", "", "", 4*time.Second)
 	if err != nil || status != 200 {
 		t.Fatalf("status: %d %v", status, err)
 	}
-	var s control.Status
+	var s controlplane.Status
 	if err := json.Unmarshal([]byte(answer), &s); err != nil || len(s.Roles) != 1 {
 		t.Fatalf("status: %s %v", answer, err)
 	}
 	return s.Roles[0]
 }
 
-func (c *Cluster) holder(role control.RoleStatus) *Machine {
+func (c *Cluster) holder(role controlplane.RoleStatus) *Machine {
 	name, _, _ := strings.Cut(role.Holder, "/")
 	for _, m := range c.Edges {
 		if m.Name == name {
--- a/internal/system/simcluster/traffic_test.go
+++ b/internal/testing/simcluster/traffic_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"marlreel/internal/system/simnet"
+	"marlreel/internal/testing/simnet"
 )
 
 const (
--- a/internal/tools/mutants/main.go
+++ b/internal/tools/mutants/main.go
@@ -2,7 +2,7 @@
 // time, and runs the tests that should notice. It changes no file: the compiler is given
 // the changed text in place of the file's.
 //
-//	go run ./internal/tools/mutants internal/system/chain/testdata/mutants.toml
+//	go run ./internal/tools/mutants internal/controlplane/chain/testdata/mutants.toml
 //
 // With -run and -env it runs other tests than the file names, as drawn histories alone.
 package main
--- a/internal/tools/mutants/main_test.go
+++ b/internal/tools/mutants/main_test.go
@@ -15,9 +15,12 @@
 func TestListedMutantsFitTheCode(t *testing.T) {
 	is := is.New(t)
 	t.Chdir("../../..")
-	files, err := filepath.Glob("internal/system/*/testdata/mutants.toml")
+	files, err := filepath.Glob("internal/controlplane/testdata/mutants.toml")
 	is.NoErr(err)
-	is.True(len(files) > 0)
+	below, err := filepath.Glob("internal/controlplane/*/testdata/mutants.toml")
+	is.NoErr(err)
+	files = append(files, below...)
+	is.Equal(len(files), 2) // that of the control process, and that of the chain
 	for _, path := range files {
 		data, err := os.ReadFile(path)
 		is.NoErr(err)
--- a/kinds.go
+++ b/kinds.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"marlreel/internal/judge/gray"
+	"marlreel/internal/balancer/grayfailure"
 )
 
 const (
@@ -19,7 +19,7 @@
 
 // kind is one class at one backend.
 type kind struct {
-	gray.Cell
+	grayfailure.Cell
 	ages    ages // of what is out
 	apart   bool // its ages don't count for the backend: they speak of the kind
 	lastTry time.Duration
@@ -46,7 +46,7 @@
 }
 
 // usual is what an attempt should take there by what the backend's other kinds take now.
-func (b *Balancer) usual(a *attempt) gray.Usual {
+func (b *Balancer) usual(a *attempt) grayfailure.Usual {
 	t, k := a.to, &a.to.kinds[a.req.Class]
 	sum, n := t.delays.Fade(b.now, b.memory), t.answers.Fade(b.now, b.memory)
 	own, m := b.gray.Noted(&k.Cell, b.now)
@@ -55,7 +55,7 @@
 		others.Add(k.ages, -1)
 	}
 	sum, n = max(0, sum-own)+others.at(b.now), max(0, n-m)
-	return gray.Usual{Delay: a.expected * (sum + prior*b.median) / (n + prior), Answers: n}
+	return grayfailure.Usual{Delay: a.expected * (sum + prior*b.median) / (n + prior), Answers: n}
 }
 
 // judgeKind takes an attempt's end as evidence on its class at its backend, and gives how far it speaks
@@ -101,13 +101,13 @@
 			since, _, _ := k.Out()
 			name := b.cfg.Classes[i].Name
 			switch b.gray.Judge(&k.Cell, i, b.now) {
-			case gray.WentOut:
+			case grayfailure.WentOut:
 				_, failures, _ := k.Out()
 				t.setApart(k, true)
 				k.lastTry = b.now
 				b.logKind(fmt.Sprintf("backend %d gets no %s: %d in a row had no answer, others had",
 					t.ID, name, failures))
-			case gray.CameBack:
+			case grayfailure.CameBack:
 				t.setApart(k, false)
 				b.logKind(fmt.Sprintf("backend %d gets %s again after %v: it answers them", t.ID, name,
 					(b.now - since).Round(time.Millisecond)))
--- a/limit.go
+++ b/limit.go
@@ -2,7 +2,7 @@
 
 // The limit on what may be out at a backend.
 
-import "marlreel/internal/judge/limit"
+import "marlreel/internal/balancer/concurrencylimit"
 
 const (
 	lateFrom  = 1.5 // times the usual tail of its class from which an attempt counts as late
@@ -47,8 +47,8 @@
 		a.lateAt = b.now
 	}
 	if b.now >= a.lateAt && !a.late || result == Timeout {
-		a.late, t.limit = true, limit.Late(t.limit, b.sharers(), weight)
+		a.late, t.limit = true, concurrencylimit.Late(t.limit, b.sharers(), weight)
 	} else if result == OK && !a.late {
-		t.limit = limit.InTime(t.limit, a.crowd, b.sharers())
+		t.limit = concurrencylimit.InTime(t.limit, a.crowd, b.sharers())
 	}
 }
--- a/memory.go
+++ b/memory.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"marlreel/internal/judge/fade"
-	"marlreel/internal/judge/limit"
-	"marlreel/internal/learnt"
+	"marlreel/internal/balancer/concurrencylimit"
+	"marlreel/internal/balancer/decay"
+	"marlreel/internal/process/learnedstate"
 )
 
 // mostWeight is how many ends of attempts what another process had learnt of a class counts for at
@@ -30,29 +30,29 @@
 
 // Learnt is what was learnt, but for the backends: LearntOf gives one. They are taken one by
 // one, so that no event takes as long as all of them.
-func (b *Balancer) Learnt(now time.Duration) learnt.State {
+func (b *Balancer) Learnt(now time.Duration) learnedstate.State {
 	b.now = now
 	alarms, answered := b.breaks.State(now)
-	s := learnt.State{Common: learnt.Common{
+	s := learnedstate.State{Common: learnedstate.Common{
 		Mean: b.delay(), MeanWork: b.meanWork, MeanWorth: b.meanWorth, MeanRank: b.meanRank,
 		Over: b.over, Gap: b.gap, Retries: b.retries, Alarms: alarms, Answered: answered, Asked: b.ledger.All(),
 	}}
 	for i := range b.cfg.Classes {
 		l := b.classes[i]
-		s.Classes = append(s.Classes, learnt.Class{
+		s.Classes = append(s.Classes, learnedstate.Class{
 			Name: b.cfg.Classes[i].Name, Line: [5]float64{l.n, l.x, l.y, l.xx, l.xy},
 			Tail: b.tails[i].words(), Served: b.served[i].Fade(now, b.interval), Forecast: b.forecast.State(i),
 			Gray: b.gray.KindState(i, now), Asked: b.ledger.Class(i),
 		})
 	}
 	for i, t := range b.cfg.Tenants {
-		s.Tenants = append(s.Tenants, learnt.Tenant{Name: t.Name, Asked: b.ledger.Tenant(i)})
+		s.Tenants = append(s.Tenants, learnedstate.Tenant{Name: t.Name, Asked: b.ledger.Tenant(i)})
 	}
 	return s
 }
 
 // LearntOf is what was learnt of a backend, if it is still there.
-func (b *Balancer) LearntOf(now time.Duration, id BackendID) (k learnt.Backend, found bool) {
+func (b *Balancer) LearntOf(now time.Duration, id BackendID) (k learnedstate.Backend, found bool) {
 	b.now = now
 	t := b.byID[id]
 	if t == nil {
@@ -60,11 +60,11 @@
 	}
 	age := func(at time.Duration) time.Duration {
 		if at <= 0 {
-			return learnt.Never
+			return learnedstate.Never
 		}
 		return max(0, now-at)
 	}
-	k = learnt.Backend{
+	k = learnedstate.Backend{
 		ID: uint32(id), Healthy: t.healthy, Fails: t.fails, Passes: t.passes, Bad: t.bad, Broken: t.broken,
 		LastOK: age(t.lastOK), Ejected: max(0, t.ejectedUntil-now), Hold: t.hold, Cold: age(t.coldSince), Tokens: t.tokens,
 		Limit: t.limit, Delays: t.delays.Fade(now, b.memory), Answers: t.answers.Fade(now, b.memory),
@@ -80,12 +80,12 @@
 // where this one knows nothing itself: of a class or a backend that it has had answers of, its
 // own word stands. Budgets are what is less on either side. A backend that has started since is
 // another one to all that was learnt. k.ID of each backend is this process's.
-func (b *Balancer) Restore(now, away time.Duration, s *learnt.State) {
+func (b *Balancer) Restore(now, away time.Duration, s *learnedstate.State) {
 	b.now = now
 	c := &s.Common
 	b.retries = min(b.retries, max(0, c.Retries))
 	// Danger: where none of its classes is known here it is of another customer, as is all that it says of work.
-	if !slices.ContainsFunc(s.Classes, func(k learnt.Class) bool {
+	if !slices.ContainsFunc(s.Classes, func(k learnedstate.Class) bool {
 		return slices.ContainsFunc(b.cfg.Classes, func(c Class) bool { return c.Name == k.Name })
 	}) {
 		for i := range s.Backends {
@@ -98,7 +98,7 @@
 	if b.over < c.Over && c.Mean > 0 && c.MeanWork > 0 {
 		b.mean, b.meanWork, b.meanWorth, b.meanRank, b.over = c.Mean, c.MeanWork, c.MeanWorth, c.MeanRank, min(c.Over, meanOver)
 		b.gap = max(c.Gap, 1)
-		if slices.ContainsFunc(s.Classes, func(k learnt.Class) bool { return k.Line[0] >= 1 }) { // else it is a guess
+		if slices.ContainsFunc(s.Classes, func(k learnedstate.Class) bool { return k.Line[0] >= 1 }) { // else it is a guess
 			b.known = average{b.over, c.Mean}
 		}
 		b.ledger.Resume(c.Asked)
@@ -127,7 +127,7 @@
 }
 
 // restoreClass gives the place of a class here, or -1 if it is none or has been learnt here.
-func (b *Balancer) restoreClass(away time.Duration, k *learnt.Class) int {
+func (b *Balancer) restoreClass(away time.Duration, k *learnedstate.Class) int {
 	i := slices.IndexFunc(b.cfg.Classes, func(c Class) bool { return c.Name == k.Name })
 	if i < 0 || b.classes[i].n >= k.Line[0] {
 		return i
@@ -141,7 +141,7 @@
 	}
 	b.classes[i] = l
 	b.tails[i] = tailOf(k.Tail)
-	b.served[i] = fade.Since(k.Served, b.now-away)
+	b.served[i] = decay.Since(k.Served, b.now-away)
 	b.forecast.Resume(i, k.Forecast, mostWeight)
 	b.gray.ResumeKind(i, k.Gray, mostWeight, away, b.now)
 	if b.ledger.Class(i).Asked == 0 {
@@ -152,7 +152,7 @@
 
 // restoreStart takes over what is known of a backend's start. Danger: the budget that another process has spent on a
 // cold backend is spent for this one too.
-func (b *Balancer) restoreStart(t *target, away time.Duration, k *learnt.Backend) {
+func (b *Balancer) restoreStart(t *target, away time.Duration, k *learnedstate.Backend) {
 	if k.Cold >= 0 {
 		tokens := k.Tokens
 		if _, cold := b.cold(t); cold {
@@ -163,7 +163,7 @@
 	}
 }
 
-func (b *Balancer) restoreBackend(t *target, away time.Duration, k *learnt.Backend, place []int) {
+func (b *Balancer) restoreBackend(t *target, away time.Duration, k *learnedstate.Backend, place []int) {
 	b.restoreStart(t, away, k)
 	if t.Started > b.now-away || t.answers.Fade(b.now, b.memory) > 0 {
 		return
@@ -176,8 +176,8 @@
 		t.ejectedUntil = b.now + min(left, longestHold*b.doubt())
 	}
 	t.hold = min(k.Hold, longestHold*b.doubt())
-	t.limit = limit.Within(k.Limit, b.sharers())
-	t.delays, t.answers = fade.Since(k.Delays, b.now-away), fade.Since(k.Answers, b.now-away)
+	t.limit = concurrencylimit.Within(k.Limit, b.sharers())
+	t.delays, t.answers = decay.Since(k.Delays, b.now-away), decay.Since(k.Answers, b.now-away)
 	t.tail = tailOf(k.Tail)
 	if !t.healthy || t.fails > 0 {
 		t.nextProbe = b.now
--- a/memory_test.go
+++ b/memory_test.go
@@ -9,11 +9,11 @@
 	"testing"
 	"time"
 
-	"marlreel/internal/learnt"
+	"marlreel/internal/process/learnedstate"
 )
 
 // memoryOf is all that a balancer has learnt.
-func memoryOf(b *Balancer, now time.Duration) *learnt.State {
+func memoryOf(b *Balancer, now time.Duration) *learnedstate.State {
 	s := b.Learnt(now)
 	ids := b.Known()
 	slices.Sort(ids)
@@ -55,7 +55,7 @@
 		b, _ := newBalancer(t, cfg, 2)
 		return b
 	}
-	base := func() *learnt.State {
+	base := func() *learnedstate.State {
 		b := fresh()
 		for i := range b.classes {
 			for range 10 {
@@ -190,9 +190,9 @@
 // The rules hold over any hand-over, whatever the next process is told: the truth, nothing, or
 // nonsense.
 func TestTheFourRulesOverHandOvers(t *testing.T) {
-	for name, tell := range map[string]func(rng *rand.Rand, s *learnt.State){
-		"the truth": func(*rand.Rand, *learnt.State) {},
-		"nonsense": func(rng *rand.Rand, s *learnt.State) {
+	for name, tell := range map[string]func(rng *rand.Rand, s *learnedstate.State){
+		"the truth": func(*rand.Rand, *learnedstate.State) {},
+		"nonsense": func(rng *rand.Rand, s *learnedstate.State) {
 			signs := rng.IntN(4) == 0
 			leaves(reflect.ValueOf(s).Elem(), "", func(path string, v reflect.Value) {
 				if len(path) > 3 && path[len(path)-3:] == ".ID" || rng.IntN(3) > 0 {
--- a/restart_test.go
+++ b/restart_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"marlreel/internal/judge/doubt"
-	"marlreel/internal/learnt"
+	"marlreel/internal/balancer/staleness"
+	"marlreel/internal/process/learnedstate"
 )
 
 // All proxies start again in one second, with memories of one minute, in which the same backends looked best:
@@ -142,7 +142,7 @@
 	if len(last.Backends) > 6 || last.Common.Over > first.Common.Over+1e4 {
 		t.Errorf("%d backends, %v requests", len(last.Backends), last.Common.Over)
 	}
-	i := slices.IndexFunc(last.Backends, func(k learnt.Backend) bool { return k.ID == 3 })
+	i := slices.IndexFunc(last.Backends, func(k learnedstate.Backend) bool { return k.ID == 3 })
 	if i < 0 || !last.Backends[i].Healthy || last.Backends[i].Ejected > 0 || last.Backends[i].LastOK > 3*second {
 		t.Errorf("the one that was bad twelve seconds ago: %+v", last.Backends)
 	}
@@ -171,7 +171,7 @@
 	old := append([]Backend(nil), w.listed...)
 	rng := rand.New(rand.NewPCG(seed, 77))
 	for i := range w.proxies {
-		var s *learnt.State
+		var s *learnedstate.State
 		at := 20*second + time.Duration(i)*second/time.Duration(proxies)
 		w.in(at-2*second-w.now, func() { s = memoryOf(w.proxies[i].b.(*Balancer), w.now) })
 		w.in(at-w.now, func() {
@@ -192,7 +192,7 @@
 				}
 				s.Common.Retries = 1e6
 			}
-			s = doubt.Weigh(doubt.Config{Keep: 600 * second, Half: 30 * second}, s, 2*second, true)
+			s = staleness.Weigh(staleness.Config{Keep: 600 * second, Half: 30 * second}, s, 2*second, true)
 			w.proxies[i].b.(*Balancer).Restore(w.now, 2*second, s)
 		})
 	}
--- a/scale_test.go
+++ b/scale_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"marlreel/internal/judge/limit"
+	"marlreel/internal/balancer/concurrencylimit"
 )
 
 // drive plays d of a proxy's life in steps of 10 ms: a request every gap, each answered after took, every
@@ -141,7 +141,7 @@
 		cfg.Instances = proxies
 		b, _ := newBalancer(t, cfg, 60)
 		sum := b.ready[0].limit * float64(proxies*len(b.subset)) / float64(len(b.ready))
-		if sum < limit.Start(1)*0.9 || sum > limit.Start(1)*1.1 {
+		if sum < concurrencylimit.Start(1)*0.9 || sum > concurrencylimit.Start(1)*1.1 {
 			t.Errorf("%d proxies: limits add up to %.1f a backend", proxies, sum)
 		}
 	}
--- a/stats.go
+++ b/stats.go
@@ -7,23 +7,23 @@
 	"slices"
 	"time"
 
-	"marlreel/internal/judge/gray"
-	"marlreel/internal/judge/slowstart"
-	"marlreel/internal/judge/storm"
+	"marlreel/internal/balancer/grayfailure"
+	"marlreel/internal/balancer/retrystorm"
+	"marlreel/internal/balancer/slowstart"
 )
 
 // endOf is what an attempt's end says of its class at its backend: a broken connection, or one
 // turned away unseen, says nothing.
-func endOf(r Result) gray.End {
+func endOf(r Result) grayfailure.End {
 	switch r {
 	case OK:
-		return gray.Answered
+		return grayfailure.Answered
 	case Error:
-		return gray.Failed
+		return grayfailure.Failed
 	case Timeout, Cancelled:
-		return gray.Silent
+		return grayfailure.Silent
 	}
-	return gray.Nothing
+	return grayfailure.Nothing
 }
 
 // line is a least-squares line through points of which old ones fade with the number of newer ones.
@@ -197,7 +197,7 @@
 }
 
 // Storm is how things stand with retry storms, as seen from here.
-func (b *Balancer) Storm() storm.State { return b.storm.State() }
+func (b *Balancer) Storm() retrystorm.State { return b.storm.State() }
 
 // Avoided is how many listed backends get nothing for now.
 func (b *Balancer) Avoided() int {
