--- a/internal/experiment/compatibility_test.go
+++ b/internal/experiment/compatibility_test.go
@@ -171,6 +171,28 @@
 	compareRecords(t, "written", records(t, path), stored)
 }
 
+// TestCompatibilityOfExports compares what is exported of a stored experiment, which people keep as files.
+func TestCompatibilityOfExports(t *testing.T) {
+	s := openCopy(t)
+	results, err := s.Results("factors")
+	if err != nil {
+		t.Fatal(err)
+	}
+	id, err := s.Identity("factors")
+	if err != nil {
+		t.Fatal(err)
+	}
+	const level0, level1 = `[{"key":"rate","value":100},{"key":"daemon.retries.max","value":2,"also":true}]`,
+		`[{"key":"rate","value":200},{"key":"daemon.retries.max","value":2,"also":true}]`
+	want := `{"experiment":` + storedIdentityText + `,"runs":[` +
+		`{"arm":"new","level":` + level0 + `,"seed":7,"tries":[` + storedTryTexts[0] + `,` + storedTryTexts[1] + `]},` +
+		`{"arm":"plain","level":` + level0 + `,"seed":7,"tries":[` + storedTryTexts[2] + `]},` +
+		`{"arm":"plain","level":` + level1 + `,"seed":549755813888,"tries":null}]}`
+	if got := string(encode(t, Export(id, results))); got != want {
+		t.Errorf("exported is\n%s\nwant\n%s", got, want)
+	}
+}
+
 func compareRecords(t *testing.T, what string, got, want map[string]string) {
 	t.Helper()
 	if got, want := slices.Sorted(maps.Keys(got)), slices.Sorted(maps.Keys(want)); !slices.Equal(got, want) {
