--- a/internal/httpproxy/compatibility_test.go
+++ b/internal/httpproxy/compatibility_test.go
@@ -2,9 +2,11 @@
 
 import (
 	"bytes"
+	"encoding/json"
 	"errors"
 	"fmt"
 	"io/fs"
+	"net"
 	"net/http"
 	"net/http/httptest"
 	"os"
@@ -185,6 +187,44 @@
 	compareRecorded(t, "from-backends.txt", []byte(got.String()))
 }
 
+// What a process of one version tells the next at an upgrade of a large answer on its way. Its keys are the names of
+// Go fields, which have to stay, or to get these names as tags.
+func TestCompatibilityRelayState(t *testing.T) {
+	var got bytes.Buffer
+	for _, s := range []relayState{
+		{Version: relayVersion, Form: "sized", Left: 1 << 20, Pending: []byte("ab"), Ahead: []byte("cd"), Total: 4096},
+		{Version: relayVersion, Form: "chunks", Left: 7, Chunk: chunkDone, Line: []byte("1f"), Trailer: 3, Chunked: true, Ahead: []byte{}, Total: 5},
+		{Version: relayVersion, Form: "end", Ahead: []byte{}},
+	} {
+		text, err := json.Marshal(s)
+		if err != nil {
+			t.Fatal(err)
+		}
+		got.Write(append(text, '\n'))
+	}
+	compareRecorded(t, "relay-states.txt", got.Bytes())
+	recorded, err := os.ReadFile(filepath.Join("testdata", "compatibility", "relay-states.txt"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for line := range strings.Lines(string(recorded)) {
+		client, backend := net.Pipe()
+		r, err := newRelay([]byte(line), client, backend)
+		if err != nil {
+			t.Fatalf("%s: %v", line, err)
+		}
+		if !strings.Contains(line, `"Ahead":""`) {
+			r.backend.in.Peek(1) // what was read ahead is in the buffer again
+		}
+		again, err := json.Marshal(r.state())
+		client.Close()
+		backend.Close()
+		if err != nil || string(again) != strings.TrimSpace(line) {
+			t.Errorf("read and written again it is %s (%v), want %s", again, err, line)
+		}
+	}
+}
+
 // /ready, for whoever asks at the clients' address.
 func TestCompatibilityReady(t *testing.T) {
 	l := stillEngine(t)
--- /dev/null
+++ b/internal/process/handover/compatibility_test.go
@@ -0,0 +1,129 @@
+package handover
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"io/fs"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+)
+
+// The files by which two processes of a proxy, perhaps of two versions, find each other, and the stages in them.
+func TestCompatibilityFiles(t *testing.T) {
+	dir := t.TempDir()
+	r, err := Meet(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer r.Close()
+	var got strings.Builder
+	for _, s := range []Stage{Starting, Serving, Leaving} {
+		if err := r.Tell(s); err != nil {
+			t.Fatal(err)
+		}
+		text, err := os.ReadFile(filepath.Join(dir, fmt.Sprintf("marlreel-process-%d", os.Getpid())))
+		if err != nil {
+			t.Fatal(err)
+		}
+		stage, alive := look(r.path(r.id))
+		fmt.Fprintf(&got, "%s: %q, read as %s, alive %v\n", s, text, stage, alive)
+	}
+	fmt.Fprintln(&got, "socket:", filepath.Base(r.socket(7)))
+	compareRecorded(t, "files.txt", []byte(got.String()))
+}
+
+// What goes over the socket: a state that is passed, the question for what was learnt, and their answers.
+func TestCompatibilityCalls(t *testing.T) {
+	dir, err := os.MkdirTemp("", "call") // a socket's path is short
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer os.RemoveAll(dir)
+	ln, err := net.Listen("unix", filepath.Join(dir, "marlreel-socket-2"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	sent := make(chan []byte, 1)
+	answer := func(size int, text []byte) {
+		c, err := ln.Accept()
+		if err != nil {
+			sent <- nil
+			return
+		}
+		defer c.Close()
+		c.SetDeadline(time.Now().Add(20 * time.Second))
+		data := make([]byte, size)
+		n, _ := io.ReadFull(c, data)
+		c.Write(text)
+		sent <- data[:n]
+	}
+	r := &Rendezvous{dir: dir, id: 1}
+	var got strings.Builder
+	go answer(9, []byte{1})
+	err = r.Pass(2, []byte("state"))
+	fmt.Fprintf(&got, "pass: %x, answered 01: taken %v\n", <-sent, err == nil)
+	go answer(9, []byte{0})
+	err = r.Pass(2, []byte("state"))
+	fmt.Fprintf(&got, "pass: %x, answered 00: taken %v\n", <-sent, err == nil)
+	go answer(4, []byte{0, 0, 0, 6, 'l', 'e', 'a', 'r', 'n', 't'})
+	told, err := r.Ask(2)
+	fmt.Fprintf(&got, "ask: %x, answered 000000066c6561726e74: told %q, good %v\n", <-sent, told, err == nil)
+
+	// And the other side.
+	receiver(t, dir, 3, func(state []byte, conns []net.Conn) error {
+		if string(state) == "bad" {
+			return errors.New("not today")
+		}
+		return nil
+	}, func(context.Context) ([]byte, error) { return []byte("learnt"), nil })
+	for _, text := range []string{"\x00\x00\x00\x05state", "\x00\x00\x00\x03bad", "\xff\xff\xff\xff", "\x00\x50\x00\x00"} {
+		c, err := net.Dial("unix", filepath.Join(dir, "marlreel-socket-3"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		c.SetDeadline(time.Now().Add(20 * time.Second))
+		io.WriteString(c, text)
+		said, err := io.ReadAll(c)
+		c.Close()
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&got, "received %x: answers %x\n", text, said)
+	}
+	compareRecorded(t, "calls.txt", []byte(got.String()))
+}
+
+// The files under testdata/compatibility hold what the tree at commit 6fb9894 wrote. They stay as they are: a
+// difference is a change of a form that others read, not a reason to write them anew. The variable below wrote
+// them; it only makes files that are not there.
+const writeCompatibility = "MARLREEL_WRITE_COMPATIBILITY"
+
+// compareRecorded compares bytes with a recorded file.
+func compareRecorded(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", "compatibility", name)
+	want, err := os.ReadFile(path)
+	if errors.Is(err, fs.ErrNotExist) && os.Getenv(writeCompatibility) != "" {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s differs\n got %s\nwant %s", name, got, want)
+	}
+}
--- /dev/null
+++ b/internal/proxy/compatibility_test.go
@@ -0,0 +1,223 @@
+package proxy
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"io/fs"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"marlreel/internal/config"
+	"marlreel/internal/fleet"
+	"marlreel/internal/fleet/agree"
+	"marlreel/internal/fleet/peers"
+	"marlreel/internal/strict"
+	"marlreel/internal/testutil"
+)
+
+// askDoor gives what a running proxy's door says to a path.
+func askDoor(t *testing.T, p *running, path string) (int, string) {
+	t.Helper()
+	r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+p.control+path, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	status, body, _ := do(t, r)
+	return status, body
+}
+
+// keysOf lists the keys of a JSON object by their paths.
+func keysOf(t *testing.T, text string) string {
+	t.Helper()
+	var tree any
+	if err := json.Unmarshal([]byte(text), &tree); err != nil {
+		t.Fatalf("%s: %v", text, err)
+	}
+	found := map[string]bool{}
+	var walk func(path string, v any)
+	walk = func(path string, v any) {
+		switch v := v.(type) {
+		case map[string]any:
+			if len(v) == 0 {
+				found[path+" {}"] = true
+			}
+			for key, x := range v {
+				walk(path+"."+key, x)
+			}
+		case []any:
+			for _, x := range v {
+				walk(path+"[]", x)
+			}
+		default:
+			found[path] = true
+		}
+	}
+	walk("", tree)
+	var keys []string
+	for key := range found {
+		keys = append(keys, key)
+	}
+	slices.Sort(keys)
+	return strings.Join(keys, "\n") + "\n"
+}
+
+// A running proxy's door: the paths that there are with and without a registry and a fleet, the counters' names in
+// their order, and the keys of what is told in JSON.
+func TestCompatibilityDoor(t *testing.T) {
+	t.Parallel()
+	figures := regexp.MustCompile(`:\d+\|`)
+	var got strings.Builder
+	ask := func(p *running, paths ...string) {
+		t.Helper()
+		for _, path := range paths {
+			status, body := askDoor(t, p, path)
+			switch {
+			case status == http.StatusOK && strings.HasPrefix(body, "{"):
+				body = keysOf(t, body)
+			case path == "/control/counters":
+				body = figures.ReplaceAllString(body, ":N|")
+			}
+			fmt.Fprintf(&got, "--- %s\n%d\n%s", path, status, body)
+		}
+	}
+	backend, _ := testutil.Counting(t, "served")
+	cfg := testConfig(t, closedAddr(t), ready("s-1", backend))
+	cfg.Control = "127.0.0.1:0"
+	got.WriteString("=== neither a registry nor a fleet\n")
+	ask(start(t, cfg), "/control/ready", "/control/counters", "/control/discovery", "/control/fleet")
+
+	r, own := kvStore(t, "etcd")
+	r.Txn(listed(t, "s-1", backend, "ready"))
+	got.WriteString("=== with a registry\n")
+	p := startWith(t, cfg, own)
+	eventually(t, "the registry's list", func() bool {
+		_, body := askDoor(t, p, "/control/discovery")
+		return strings.Contains(body, `"source": "registry"`)
+	})
+	ask(p, "/control/discovery")
+
+	dir := t.TempDir()
+	key := filepath.Join(dir, "key")
+	if err := os.WriteFile(key, []byte("0123456789-key-0123456789-key-01"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	own = config.DefaultMarlreel()
+	own.Fleet = fleet.Config{Name: "pier", Listen: closedAddr(t), KeyFile: key, Keepers: []string{"n1", "n2", "n3"}, AgreeWithin: strict.Span(5 * time.Second),
+		Peers: []peers.Peer{{Name: "n0", Address: closedAddr(t)}, {Name: "n1", Address: closedAddr(t)}, {Name: "n2", Address: closedAddr(t)}, {Name: "n3", Address: closedAddr(t)}}}
+	got.WriteString("=== with a fleet\n")
+	p = startWith(t, cfg, own)
+	eventually(t, "the fleet's port", func() bool {
+		_, body := askDoor(t, p, "/control/fleet")
+		return strings.Contains(body, `"joined": true`) && strings.Contains(body, `"state": "alive"`)
+	})
+	ask(p, "/control/fleet", "/control/counters", "/control/discovery")
+	compareRecorded(t, "door.txt", []byte(got.String()))
+}
+
+// The lines of [fleet] trace.
+func TestCompatibilityTrace(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "trace")
+	trace, err := openTrace(path, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	trace.line(traceRule{At: 1, Seq: 41, Versions: []uint64{1, 2}})
+	trace.line(traceEnds{At: 2, Ends: []agree.End{{Source: "etcd", Name: "a1", Revision: 17, Gone: true}}})
+	trace.line(traceAct{At: 3, ID: "00000000000000aa", Class: "bid", Attempt: 1, Node: "a1", Seq: 41, Strict: true})
+	if err := trace.file.Close(); err != nil {
+		t.Fatal(err)
+	}
+	got, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	compareRecorded(t, "trace.txt", got)
+}
+
+// recordingBackend gives each request with a body of four bytes on as it came, and answers all alike.
+func recordingBackend(t *testing.T, seen chan<- string, answer string) string {
+	t.Helper()
+	return rawBackend(t, func(c net.Conn, in *bufio.Reader) {
+		for {
+			var message strings.Builder
+			for {
+				line, err := in.ReadString('\n')
+				if err != nil {
+					return
+				}
+				message.WriteString(line)
+				if line == "\r\n" {
+					break
+				}
+			}
+			if strings.HasPrefix(message.String(), "POST ") {
+				body := make([]byte, 4)
+				if _, err := io.ReadFull(in, body); err != nil {
+					return
+				}
+				message.Write(body)
+				seen <- message.String()
+			}
+			io.WriteString(c, answer)
+		}
+	})
+}
+
+// A request through a running proxy: what the backend gets and the client reads, line by line.
+func TestCompatibilityThrough(t *testing.T) {
+	seen := make(chan string, 4)
+	addr := recordingBackend(t, seen, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nX-Backend-Load: {}\r\nX-Kept: yes\r\nContent-Length: 2\r\n\r\n{}")
+	p := start(t, testConfig(t, closedAddr(t), ready("s-1", addr)))
+	c := testutil.Dial(t, p.addr)
+	fmt.Fprint(c, "POST /pickup/lot-7 HTTP/1.1\r\nHost: auction\r\nX-Correlation-Id: 00000000000000aa\r\nX-Account: obala\r\nX-Time-Left: 5000m\r\nIdempotency-Key: k-1\r\nContent-Length: 4\r\nConnection: close\r\n\r\nbody")
+	answer, err := io.ReadAll(c)
+	if err != nil {
+		t.Fatal(err)
+	}
+	varying := regexp.MustCompile(`(?m)^(X-Time-Left: )\d+u|^(Date: ).*?\r$`)
+	sorted := func(message string) string {
+		head, body, _ := strings.Cut(varying.ReplaceAllString(message, "${1}${2}VARIES"), "\r\n\r\n")
+		lines := strings.Split(strings.ReplaceAll(head, "\r", ""), "\n")
+		slices.Sort(lines[1:])
+		return strings.Join(lines, "\n") + "\n\n" + body + "\n"
+	}
+	compareRecorded(t, "through.txt", []byte("--- to the backend\n"+sorted(receive(t, seen, "the request"))+"--- to the client\n"+sorted(string(answer))))
+}
+
+// The files under testdata/compatibility hold what the tree at commit 6fb9894 wrote. They stay as they are: a
+// difference is a change of a form that others read, not a reason to write them anew. The variable below wrote
+// them; it only makes files that are not there.
+const writeCompatibility = "MARLREEL_WRITE_COMPATIBILITY"
+
+// compareRecorded compares bytes with a recorded file.
+func compareRecorded(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", "compatibility", name)
+	want, err := os.ReadFile(path)
+	if errors.Is(err, fs.ErrNotExist) && os.Getenv(writeCompatibility) != "" {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s differs\n got %s\nwant %s", name, got, want)
+	}
+}
