--- a/cmd/marlreelctl/compatibility_test.go
+++ b/cmd/marlreelctl/compatibility_test.go
@@ -8,6 +8,7 @@
 	"io/fs"
 	"net"
 	"net/http"
+	"net/http/httptest"
 	"net/url"
 	"os"
 	"path/filepath"
@@ -93,6 +94,27 @@
 	compareRecorded(t, "fleet-calls.txt", []byte(got.String()))
 }
 
+// Where a proxy's door is asked for its lists, and what is given on as the proxy says it.
+func TestCompatibilityDiscoveryCall(t *testing.T) {
+	const said = `{"source":"etcd","revision":17,"age_ns":1000000,"entries":3,"sources":[]}`
+	asked := make(chan string, 1)
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		asked <- r.Method + " " + r.RequestURI
+		io.WriteString(w, said)
+	}))
+	defer server.Close()
+	var out, errs bytes.Buffer
+	if code := run(t.Context(), []string{"discovery", "--control", strings.TrimPrefix(server.URL, "http://"), "--json"}, &out, &errs); code != 0 {
+		t.Fatalf("exit %d: %s", code, errs.String())
+	}
+	if got := <-asked; got != "GET /control/discovery" {
+		t.Errorf("asked %s", got)
+	}
+	if out.String() != said {
+		t.Errorf("said %s", out.String())
+	}
+}
+
 // commandLine writes the commands, flags and arguments of a command line down: names, short forms, environment,
 // defaults and what must be given, and no words for people.
 func commandLine(b *strings.Builder, n *kong.Node, path string) {
--- a/cmd/rehearse/compatibility_test.go
+++ b/cmd/rehearse/compatibility_test.go
@@ -2,11 +2,14 @@
 
 import (
 	"bytes"
+	"encoding/json"
 	"errors"
 	"fmt"
 	"io/fs"
+	"maps"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 
@@ -25,6 +28,32 @@
 	compareRecorded(t, "command-line.txt", []byte(got.String()))
 }
 
+// What check tells a program of a scenario, its schedule among it.
+func TestCompatibilityCheckJSON(t *testing.T) {
+	var out, errs bytes.Buffer
+	if code := run(t.Context(), []string{"check", "smoke", "--seed", "7", "--json"}, &out, &errs); code != 0 {
+		t.Fatalf("exit %d: %s", code, errs.String())
+	}
+	compareRecorded(t, "check.json", out.Bytes())
+}
+
+// The keys of list --json.
+func TestCompatibilityListJSON(t *testing.T) {
+	var out, errs bytes.Buffer
+	if code := run(t.Context(), []string{"list", "--json"}, &out, &errs); code != 0 {
+		t.Fatalf("exit %d: %s", code, errs.String())
+	}
+	var rows []map[string]any
+	if err := json.Unmarshal(out.Bytes(), &rows); err != nil {
+		t.Fatal(err)
+	}
+	for _, row := range rows {
+		if keys := slices.Sorted(maps.Keys(row)); !slices.Equal(keys, []string{"about", "length_s", "name"}) {
+			t.Errorf("keys %q", keys)
+		}
+	}
+}
+
 // commandLine writes the commands, flags and arguments of a command line down: names, short forms, environment,
 // defaults and what must be given, and no words for people.
 func commandLine(b *strings.Builder, n *kong.Node, path string) {
--- a/internal/experiment/compatibility_test.go
+++ b/internal/experiment/compatibility_test.go
@@ -10,6 +10,7 @@
 	"slices"
 	"strings"
 	"testing"
+	"time"
 
 	"github.com/pelletier/go-toml/v2"
 
@@ -64,6 +65,51 @@
 	}
 }
 
+// The keys of 'rehearse experiment --json', and of 'rehearse results export --json'.
+func TestCompatibilityResultKeys(t *testing.T) {
+	for name, typ := range map[string]reflect.Type{"analysis-keys.txt": reflect.TypeFor[Analysis](), "export-keys.txt": reflect.TypeFor[Exported]()} {
+		keys := reportKeys(typ, "")
+		slices.Sort(keys)
+		compareRecorded(t, name, []byte(strings.Join(keys, "\n")+"\n"))
+	}
+}
+
+// reportKeys lists the keys that a struct has in JSON, with what may be left out.
+func reportKeys(typ reflect.Type, path string) (keys []string) {
+	for {
+		switch typ.Kind() {
+		case reflect.Pointer:
+			typ = typ.Elem()
+			continue
+		case reflect.Slice, reflect.Array:
+			typ, path = typ.Elem(), path+"[]"
+			continue
+		case reflect.Map:
+			typ, path = typ.Elem(), path+".*"
+			continue
+		}
+		break
+	}
+	if typ.Kind() != reflect.Struct || typ == reflect.TypeFor[time.Time]() {
+		return []string{path}
+	}
+	for i := range typ.NumField() {
+		f := typ.Field(i)
+		name, more, _ := strings.Cut(f.Tag.Get("json"), ",")
+		switch {
+		case name == "-" || !f.IsExported():
+			continue
+		case name == "":
+			name = f.Name
+		}
+		if more != "" {
+			name += " (" + more + ")"
+		}
+		keys = append(keys, reportKeys(f.Type, path+"."+name)...)
+	}
+	return keys
+}
+
 // settingsKeys lists the keys that a settings struct has in its file.
 func settingsKeys(typ reflect.Type, path string) (keys []string) {
 	for typ.Kind() == reflect.Pointer || typ.Kind() == reflect.Slice || typ.Kind() == reflect.Array {
