--- a/internal/fleet/peers/compatibility_test.go
+++ b/internal/fleet/peers/compatibility_test.go
@@ -11,6 +11,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"marlreel/internal/testutil"
 )
 
 // What a proxy says of itself to the others, and how one of another fleet is told.
@@ -45,12 +47,7 @@
 		t.Fatal(err)
 	}
 	defer udp.Close()
-	own, err := net.ListenPacket("udp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	listen := own.LocalAddr().String()
-	own.Close()
+	listen := testutil.ClosedAddr(t)
 	p, err := Join(Config{Fleet: "pier", Name: "n0", Listen: listen, Peers: []Peer{{Name: "n0", Address: listen}, {Name: "n1", Address: udp.LocalAddr().String()}},
 		Started: time.Now(), Receive: func(string, []byte) {}, Refused: func(error) {}})
 	if err != nil {
