--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -14,7 +14,9 @@
 	"path/filepath"
 	"runtime"
 	"slices"
+	"strconv"
 	"strings"
+	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
@@ -581,6 +583,88 @@
 	}
 }
 
+// copies takes copies of the descriptors by which this process has a file locked to read it, as a child that is being
+// started has until it has become its program, and keeps them to the test's end. It counts them.
+func copies(t *testing.T, path string) *atomic.Int64 {
+	t.Helper()
+	var held []int
+	var n atomic.Int64
+	stop, ended := make(chan struct{}), make(chan struct{})
+	look := func(name string) {
+		if to, err := os.Readlink("/proc/self/fd/" + name); err != nil || to != path {
+			return
+		}
+		fd, err := strconv.Atoi(name)
+		if err != nil || slices.Contains(held, fd) {
+			return
+		}
+		if fd, err = syscall.Dup(fd); err != nil {
+			return
+		}
+		to, _ := os.Readlink(fmt.Sprint("/proc/self/fd/", fd)) // what was copied may be another file's by then
+		info, _ := os.ReadFile(fmt.Sprint("/proc/self/fdinfo/", fd))
+		if to != path || !strings.Contains(string(info), "FLOCK  ADVISORY  READ") {
+			syscall.Close(fd)
+			return
+		}
+		held = append(held, fd)
+		n.Add(1)
+	}
+	go func() {
+		defer close(ended)
+		for len(held) < 64 {
+			select {
+			case <-stop:
+				return
+			default:
+			}
+			open, _ := os.ReadDir("/proc/self/fd")
+			for _, e := range open {
+				look(e.Name())
+			}
+		}
+	}()
+	t.Cleanup(func() {
+		close(stop)
+		<-ended
+		for _, fd := range held {
+			syscall.Close(fd)
+		}
+	})
+	return &n
+}
+
+// A store that was closed is free at once, also where a child was being started while it was open: the child has
+// copies of its descriptors until it has become its program, however long that takes.
+func TestChildrenHoldNoStore(t *testing.T) {
+	t.Parallel()
+	if runtime.GOOS != "linux" {
+		t.Skip("a process's descriptors as Linux shows them")
+	}
+	path := filepath.Join(t.TempDir(), "r.db")
+	if err := carryOut(parse(t, fmt.Sprintf(two, 20)), path, &fake{fill: 2000, play: func(Day, uint64) Result {
+		return Result{Figures: map[string]float64{"service": 1}}
+	}}); err != nil {
+		t.Fatal(err)
+	}
+	held := copies(t, path)
+	for until := time.Now().Add(time.Minute); held.Load() < 3; {
+		s, err := Open(path)
+		if err != nil {
+			t.Fatalf("%d copies of descriptors that read it are held: %v", held.Load(), err)
+		}
+		s.Close()
+		if time.Now().After(until) {
+			t.Fatalf("only %d copies were had in time", held.Load())
+		}
+	}
+	s, err := Open(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.Close()
+}
+
 // A full disk ends it with the store's name, and what was written before is whole.
 func TestFullDisk(t *testing.T) {
 	t.Parallel()
--- a/internal/experiment/inspect.go
+++ b/internal/experiment/inspect.go
@@ -8,6 +8,7 @@
 	"io"
 	"os"
 	"runtime/debug"
+	"syscall"
 	"time"
 
 	bolt "go.etcd.io/bbolt"
@@ -82,7 +83,13 @@
 			err = &DamagedError{fmt.Errorf("%w: %v", ErrStrayPage, p)}
 		}
 	}()
-	options := &bolt.Options{ReadOnly: true, Timeout: storeLockTimeout, PreLoadFreelist: true}
+	var file *os.File
+	open := func(path string, flag int, mode os.FileMode) (*os.File, error) {
+		var err error
+		file, err = os.OpenFile(path, flag, mode)
+		return file, err
+	}
+	options := &bolt.Options{ReadOnly: true, Timeout: storeLockTimeout, PreLoadFreelist: true, OpenFile: open}
 	db, err := bolt.Open(path, storeFileMode, options)
 	if err != nil {
 		if err = storeError(err); errors.Is(err, ErrInUse) {
@@ -91,6 +98,10 @@
 		return &DamagedError{err}
 	}
 	defer db.Close()
+	// Danger: the library leaves the lock of a file that is only read to the file's close, and a lock goes with the
+	// last copy of its descriptor. A child that is being started beside this has one until it has become its program,
+	// which on a busy machine takes longer than the wait for the lock: the store would be refused as in use.
+	defer syscall.Flock(int(file.Fd()), syscall.LOCK_UN)
 	return db.View(inspectPages)
 }
 
