--- a/internal/process/handover/handover_test.go
+++ b/internal/process/handover/handover_test.go
@@ -2,10 +2,14 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"os"
 	"os/exec"
 	"path/filepath"
+	"strconv"
+	"sync"
+	"syscall"
 	"testing"
 	"time"
 
@@ -149,3 +153,90 @@
 	cancel()
 	<-done
 }
+
+// Processes that look at the same moment see the same: one that has gone is nobody to each of them, whoever else has
+// its file open to look at it.
+func TestLooksDontMeetEachOther(t *testing.T) {
+	t.Parallel()
+	dir := t.TempDir()
+	// Young, so that it is left there, and such as one that serves has.
+	path := filepath.Join(dir, prefix+"1")
+	if err := os.WriteFile(path, []byte{'0' + byte(Serving)}, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	young := time.Now().Add(time.Hour)
+	if err := os.Chtimes(path, young, young); err != nil {
+		t.Fatal(err)
+	}
+	var looks sync.WaitGroup
+	for id := range 4 {
+		looks.Go(func() {
+			r := &Rendezvous{dir: dir, id: 10 + id}
+			for range 5000 {
+				if peers, err := r.Others(); err != nil || len(peers) > 0 {
+					t.Errorf("%v, %v: nobody is alive", peers, err)
+					return
+				}
+			}
+		})
+	}
+	looks.Wait()
+}
+
+// A process is known once it has met, whoever looks at its file while it is being made, or removes one that was left
+// over at its place.
+func TestMetWhileOthersLook(t *testing.T) {
+	t.Parallel()
+	dir := t.TempDir()
+	stop := make(chan struct{})
+	var looks sync.WaitGroup
+	for range 3 {
+		looks.Go(func() {
+			r := &Rendezvous{dir: dir, id: 1}
+			for {
+				select {
+				case <-stop:
+					return
+				default:
+					r.Others()
+				}
+			}
+		})
+	}
+	defer looks.Wait()
+	defer close(stop)
+	other := &Rendezvous{dir: dir, id: 2}
+	left := filepath.Join(dir, prefix+strconv.Itoa(os.Getpid()))
+	long := time.Now().Add(-time.Minute)
+	for n := range 2000 {
+		if n%2 == 0 {
+			if err := os.WriteFile(left, []byte("2"), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			os.Chtimes(left, long, long)
+		}
+		me, err := Meet(dir)
+		if err != nil {
+			t.Fatalf("%d: %v", n, err)
+		}
+		if peers, err := other.Others(); err != nil || len(peers) != 1 || peers[0].ID != os.Getpid() || peers[0].Stage != Starting {
+			t.Fatalf("%d: %v, %v: one that starts is there", n, peers, err)
+		}
+		me.Close()
+	}
+}
+
+// A file that another process holds for good ends the wait for it in time, with an error that says so.
+func TestAFileThatIsHeld(t *testing.T) {
+	t.Parallel()
+	dir := t.TempDir()
+	held, err := hold(filepath.Join(dir, prefix+strconv.Itoa(os.Getpid())))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer held.Close()
+	var e *MeetError
+	if _, err := Meet(dir); !errors.As(err, &e) || !errors.Is(err, syscall.EWOULDBLOCK) {
+		t.Errorf("%v, and a MeetError is wanted", err)
+	}
+}
--- a/internal/process/handover/rendezvous.go
+++ b/internal/process/handover/rendezvous.go
@@ -33,21 +33,57 @@
 	prefix = "marlreel-process-"
 	// mostFiles bounds how many files one look opens.
 	mostFiles = 16
+	// meetWithin is how long a process tries to lock its own file, meetAgain the wait between two tries: who looks
+	// at it holds it for a moment, and on a busy machine for a longer one.
+	meetWithin = 300 * time.Millisecond
+	meetAgain  = time.Millisecond
 )
 
 // Meet announces this process in a folder.
 func Meet(dir string) (*Rendezvous, error) {
 	r := &Rendezvous{dir: dir, id: os.Getpid()}
-	f, err := os.OpenFile(r.path(r.id), os.O_RDWR|os.O_CREATE, 0o600)
+	for until := time.Now().Add(meetWithin); ; time.Sleep(meetAgain) {
+		f, err := hold(r.path(r.id))
+		if err == nil {
+			r.file = f
+			return r, r.Tell(Starting)
+		}
+		passes := errors.Is(err, syscall.EWOULDBLOCK) || errors.Is(err, errRemoved)
+		if !passes || time.Now().After(until) {
+			return nil, &MeetError{err}
+		}
+	}
+}
+
+// errRemoved says that a file that was left over was removed by another process while this one took it for its own.
+var errRemoved = errors.New("the file was removed")
+
+// hold opens a process's own file, or makes it, and locks it. Danger: others that look at it have it locked for a
+// moment, and remove one that was left over. A process that took that for its end would be known to nobody.
+func hold(path string) (*os.File, error) {
+	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return nil, &MeetError{err}
+		return nil, err
 	}
 	if err := lock(f, syscall.LOCK_EX); err != nil {
 		f.Close()
-		return nil, &MeetError{fmt.Errorf("%s is held by another process: %w", f.Name(), err)}
+		return nil, fmt.Errorf("%s is held by another process: %w", path, err)
+	}
+	if !stands(f, path) {
+		f.Close()
+		return nil, fmt.Errorf("%s: %w", path, errRemoved)
+	}
+	return f, nil
+}
+
+// stands tells whether a path still leads to a file.
+func stands(f *os.File, path string) bool {
+	opened, err := f.Stat()
+	if err != nil {
+		return false
 	}
-	r.file = f
-	return r, r.Tell(Starting)
+	there, err := os.Stat(path)
+	return err == nil && os.SameFile(opened, there)
 }
 
 func (r *Rendezvous) path(id int) string { return filepath.Join(r.dir, prefix+strconv.Itoa(id)) }
@@ -102,10 +138,12 @@
 		return 0, false
 	}
 	defer f.Close()
-	if lock(f, syscall.LOCK_EX) == nil {
-		// Nobody holds it. One that is just being made is not locked yet: its owner finds
-		// it gone and is unknown for as long as it lives, so young ones are left alone.
-		if info, err := f.Stat(); err == nil && time.Since(info.ModTime()) > time.Second {
+	// Danger: a lock that is not shared with others that look would have them take who has gone for one that lives.
+	if lock(f, syscall.LOCK_SH) == nil {
+		defer lock(f, syscall.LOCK_UN) // the close leaves it to a child that is just being started
+		// Nobody holds it. One that is just being made is not locked yet, and is left alone.
+		if info, err := f.Stat(); err == nil && time.Since(info.ModTime()) > time.Second &&
+			lock(f, syscall.LOCK_EX) == nil && stands(f, path) {
 			os.Remove(path)
 		}
 		return 0, false
