--- a/cmd/marlreel/handover_test.go
+++ b/cmd/marlreel/handover_test.go
@@ -400,6 +400,22 @@
 		p.ready(next)
 		p.stop(old)
 	},
+	"one takes nothing": func(p *platform, rng *rand.Rand, old *process, temp string) {
+		// It counts as a process that serves, and is found before any other.
+		f, err := os.Create(filepath.Join(temp, "marlreel-process-1"))
+		if err != nil {
+			p.t.Fatal(err)
+		}
+		defer f.Close()
+		if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX); err != nil {
+			p.t.Fatal(err)
+		}
+		defer syscall.Flock(int(f.Fd()), syscall.LOCK_UN)
+		f.WriteString("1")
+		next := p.start(temp)
+		p.ready(next)
+		p.stop(old)
+	},
 	"no folder": func(p *platform, rng *rand.Rand, old *process, temp string) {
 		next := p.start(filepath.Join(temp, "not there"))
 		p.ready(next)
@@ -411,7 +427,7 @@
 // Over any history of processes on one listener nothing that was taken is lost, nothing is
 // closed on, and no bid runs twice.
 func TestHandOver(t *testing.T) {
-	const seeds = 9 // of each: 54 histories
+	const seeds = 9 // of each: 63 histories
 	room := make(chan struct{}, 6)
 	for name, history := range histories {
 		for seed := range uint64(seeds) {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -12,6 +12,7 @@
 	"net"
 	"net/http"
 	"runtime/debug"
+	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -345,22 +346,25 @@
 	if err != nil {
 		logger.Info(err.Error(), "event", "rendezvous")
 	}
-	for _, other := range others {
-		if other.Stage == handover.Serving {
-			p.front.LetGo(func(state []byte, client, backend net.Conn) bool {
-				conns := []net.Conn{client, backend}
-				if backend == nil {
-					conns = conns[:1]
-				}
-				err := meeting.Pass(other.ID, state, conns...)
-				if err != nil {
-					logger.Info(err.Error(), "event", "rendezvous")
-				}
-				return err == nil
-			})
-			return
-		}
+	others = slices.DeleteFunc(others, func(other handover.Peer) bool { return other.Stage != handover.Serving })
+	if len(others) == 0 {
+		return
 	}
+	p.front.LetGo(func(state []byte, client, backend net.Conn) bool {
+		conns := []net.Conn{client, backend}
+		if backend == nil {
+			conns = conns[:1]
+		}
+		// One that takes nothing, or has gone since, is not the only one that can.
+		for _, other := range others {
+			err := meeting.Pass(other.ID, state, conns...)
+			if err == nil {
+				return true
+			}
+			logger.Info(err.Error(), "event", "rendezvous")
+		}
+		return false
+	})
 }
 
 // adopt goes on with what another process gave: a large answer that is on its way with both its
