--- a/cmd/marlreeld/configuration.go
+++ b/cmd/marlreeld/configuration.go
@@ -138,10 +138,10 @@
 	fmt.Fprintf(table, "class\t%s\tpriority %d\n", route.Class, route.Priority)
 	fmt.Fprintf(table, "answered\twithin %s at most\taimed at %s\n", route.Timeout(), route.TargetLatency())
 	repeats := "what may have run is not sent again"
-	if route.Repeatable() {
+	if route.Idempotent() {
 		repeats = "may be sent again after it may have run"
 	}
-	fmt.Fprintf(table, "attempts\t%d at most\t%s\n", route.Attempts(), repeats)
+	fmt.Fprintf(table, "attempts\t%d at most\t%s\n", route.AttemptLimit(), repeats)
 	if route.Streaming() && route.Resumable {
 		fmt.Fprintf(table, "stream\tgoes on at its last whole event where it breaks off\n")
 	}
--- a/cmd/marlreeld/main.go
+++ b/cmd/marlreeld/main.go
@@ -64,8 +64,8 @@
 	log := newLogger(out, verbose).WithValues("node", settings.NodeName)
 	changes := make(chan os.Signal, 1)
 	signal.Notify(changes, syscall.SIGHUP)
-	go settings.Follow(ctx, os.Getenv(bootstrap.Variable), changes, log)
-	return run(ctx, host.Machine(settings, log))
+	go settings.Follow(ctx, os.Getenv(bootstrap.SettingsVariable), changes, log)
+	return run(ctx, host.New(settings, log))
 }
 
 // newLogger writes one line of text an event.
--- a/cmd/marlreeld/main_test.go
+++ b/cmd/marlreeld/main_test.go
@@ -41,14 +41,14 @@
 	} {
 		path := filepath.Join(t.TempDir(), "boot.toml")
 		is.NoErr(os.WriteFile(path, []byte(text), 0o600))
-		t.Setenv(bootstrap.Variable, path)
+		t.Setenv(bootstrap.SettingsVariable, path)
 		command := newCommand(&bytes.Buffer{})
 		command.SetArgs([]string{"agent"})
 		err := command.Execute()
 		is.True(err != nil)
 		line := advice.Line(err)
-		is.True(strings.Contains(line, named))              // what is wrong
-		is.True(strings.Contains(line, bootstrap.Variable)) // what to do
+		is.True(strings.Contains(line, named))                      // what is wrong
+		is.True(strings.Contains(line, bootstrap.SettingsVariable)) // what to do
 		is.True(!strings.Contains(line, "\n"))
 	}
 }
--- a/cmd/marlreeld/operator.go
+++ b/cmd/marlreeld/operator.go
@@ -55,7 +55,7 @@
 	if len(f.controls) == 0 {
 		return nil, &UsageError{"--control names no control process"}
 	}
-	return operatorclient.NewClient(f.controls, f.patience, host.TCP{}.Dial), nil
+	return operatorclient.NewClient(f.controls, f.patience, host.OSNetwork{}.Dial), nil
 }
 
 // newOperatorCommands are the commands for whoever operates the system.
@@ -99,7 +99,7 @@
 			if err != nil {
 				return err
 			}
-			document, faults := configuration.Check(data)
+			document, faults := configuration.Validate(data)
 			for _, fault := range faults {
 				fmt.Fprintf(command.OutOrStdout(), "%d %s: %s (%s)\n", fault.Code, fault.Code, fault.Detail, fault.Advice())
 			}
--- a/cmd/marlreeld/process_test.go
+++ b/cmd/marlreeld/process_test.go
@@ -49,7 +49,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
-	machine := host.Machine(settings, newLogger(os.Stderr, false).WithValues("node", settings.NodeName))
+	machine := host.New(settings, newLogger(os.Stderr, false).WithValues("node", settings.NodeName))
 	network := &cuttable{ip: settings.IP, cut: map[string]bool{}, changed: make(chan struct{})}
 	machine.Network = network
 	go network.obey(os.Stdin, os.Stdout)
@@ -62,7 +62,7 @@
 
 // cuttable is a network on which nothing passes from this machine to those that are cut off.
 type cuttable struct {
-	host.TCP
+	host.OSNetwork
 	ip      string
 	mu      sync.Mutex
 	cut     map[string]bool // by IP
@@ -116,7 +116,7 @@
 
 // Listen implements host.Network.
 func (n *cuttable) Listen(address string) (net.Listener, error) {
-	listener, err := n.TCP.Listen(address)
+	listener, err := n.OSNetwork.Listen(address)
 	if err != nil {
 		return nil, err
 	}
@@ -125,7 +125,7 @@
 
 // ListenPacket implements host.Network.
 func (n *cuttable) ListenPacket(address string) (net.PacketConn, error) {
-	socket, err := n.TCP.ListenPacket(address)
+	socket, err := n.OSNetwork.ListenPacket(address)
 	if err != nil {
 		return nil, err
 	}
@@ -274,7 +274,7 @@
 		p.t.Fatal(err)
 	}
 	p.command = exec.Command(program)
-	p.command.Env = append(os.Environ(), bootstrap.Variable+"="+path, roleVariable+"="+p.role, "GOMAXPROCS=2")
+	p.command.Env = append(os.Environ(), bootstrap.SettingsVariable+"="+path, roleVariable+"="+p.role, "GOMAXPROCS=2")
 	p.command.Stderr = p.output
 	in, err := p.command.StdinPipe()
 	if err != nil {
--- a/cmd/marlreeld/whole_test.go
+++ b/cmd/marlreeld/whole_test.go
@@ -64,13 +64,13 @@
 	settings := func(name, ip string, number int) *bootstrap.Settings {
 		s := &bootstrap.Settings{
 			NodeName: name, IP: ip, Zone: wholeZones[number%len(wholeZones)], InternalPorts: []int{27660, 27675},
-			FirstStart: true, BeatIntervalMS: 600, Zones: map[string]string{}, LoopbackIP: strings.Replace(ip, "127.77", "127.78", 1),
-			Limits: bootstrap.Limits{MemoryMB: 256, Files: 4096}, Tolerance: bootstrap.Tolerance{Machines: (wholeControls - 1) / 2},
+			FirstStart: true, HeartbeatIntervalMS: 600, Zones: map[string]string{}, LoopbackIP: strings.Replace(ip, "127.77", "127.78", 1),
+			Limits: bootstrap.Limits{MemoryMB: 256, MaxOpenFiles: 4096}, Tolerance: bootstrap.FaultTolerance{Machines: (wholeControls - 1) / 2},
 			Bounds: bootstrap.Bounds{
-				GraceS: 8, ConfigApplyMS: 2000, RetryBudgetRatio: 0.2, RetryWindowS: 10, RetrySlack: 52,
-				ColdExcess: 1.5, ColdSlack: 5, Fencing: true, LeaseMS: 3000, DrainMS: 2000,
+				ShutdownGraceS: 8, ConfigApplyMS: 2000, RetryBudgetRatio: 0.2, RetryWindowS: 10, RetrySlack: 52,
+				WarmupExcess: 1.5, WarmupSlack: 5, Fencing: true, LeaseDurationMS: 3000, DrainMS: 2000,
 			},
-			Listen: bootstrap.Listen{Front: ip + ":28080", Readiness: ip + ":28081", Control: ip + ":28082"},
+			Listen: bootstrap.ListenAddresses{Front: ip + ":28080", Readiness: ip + ":28081", Control: ip + ":28082"},
 		}
 		for _, zone := range wholeZones {
 			s.Zones[zone] = "region"
@@ -109,7 +109,7 @@
 		b := fakesystem.NewBackend(fakesystem.BackendConfig{
 			ID: fmt.Sprintf("s-%d", i), Service: "slips", Address: wholeIP(3, i) + ":29000",
 			Zone: wholeZones[i], Slots: 6, Work: 20 * time.Millisecond, Beat: 600 * time.Millisecond, Controls: w.addresses,
-		}, host.TCP{})
+		}, host.OSNetwork{})
 		w.backends = append(w.backends, b)
 		go func() { _ = b.Serve(ctx) }() // it ends with the test
 	}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -146,7 +146,7 @@
 	select {
 	case <-parent.Done():
 		a.leases.release()
-		patience, over := context.WithTimeout(machine.Alive(), bootstrap.Seconds(settings.Bounds.GraceS)-quitMargin)
+		patience, over := context.WithTimeout(machine.UntilCrash(), bootstrap.Seconds(settings.Bounds.ShutdownGraceS)-quitMargin)
 		a.outlive(patience)
 		over()
 	case failed = <-failures:
--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -64,7 +64,7 @@
 	call, cancel := context.WithTimeout(ctx, renewTimeout)
 	defer cancel()
 	reply, err := api.NewControlProtobufClient("http://"+control, l.client).Lease(call, &api.LeaseRequest{Holder: l.holder})
-	if err != nil || result.Code(reply.Code) != result.Accepted {
+	if err != nil || result.Code(reply.Code) != result.Committed {
 		return false
 	}
 	until := asked.Add(time.Duration(reply.ValidMs) * time.Millisecond)
--- a/internal/controlplane/configuration/compatibility_test.go
+++ b/internal/controlplane/configuration/compatibility_test.go
@@ -137,7 +137,7 @@
 		if !strings.Contains(sent, fault.old) {
 			t.Fatalf("%s: the configuration has no %s", fault.name, fault.old)
 		}
-		_, found := Check([]byte(strings.Replace(sent, fault.old, fault.new, 1)))
+		_, found := Validate([]byte(strings.Replace(sent, fault.old, fault.new, 1)))
 		fmt.Fprintf(&out, "%s:", fault.name)
 		for _, one := range found {
 			fmt.Fprintf(&out, " %d", one.Code)
--- a/internal/controlplane/configuration/configuration_test.go
+++ b/internal/controlplane/configuration/configuration_test.go
@@ -36,13 +36,13 @@
 	counts := map[string]int{}
 	const draws = 1000
 	for i := range draws {
-		counts[d.Match("h.example", "/a/b/").Choose(float64(i)/draws)]++
+		counts[d.Match("h.example", "/a/b/").ChooseService(float64(i)/draws)]++
 	}
 	is.Equal(counts["s"], 750)
 	is.Equal(counts["t"], 250)
-	only := Route{Split: []Share{{"x", 0}, {"y", 1}}}
+	only := Route{Split: []WeightedService{{"x", 0}, {"y", 1}}}
 	for i := range draws {
-		is.Equal(only.Choose(float64(i)/draws), "y") // a weight of 0 is never chosen
+		is.Equal(only.ChooseService(float64(i)/draws), "y") // a weight of 0 is never chosen
 	}
 }
 
@@ -51,19 +51,19 @@
 		from, to string
 		code     result.Code
 	}{
-		{`"limits":{}}`, `"limits":{}`, result.Unreadable},
-		{`"limits":{}}`, `"limits":{}}x`, result.Unreadable},
-		{`"timeout_ms":1000,"service":"s"`, `"timeout_ms":0,"service":"s"`, result.NoTimeout},
+		{`"limits":{}}`, `"limits":{}`, result.Malformed},
+		{`"limits":{}}`, `"limits":{}}x`, result.Malformed},
+		{`"timeout_ms":1000,"service":"s"`, `"timeout_ms":0,"service":"s"`, result.MissingTimeout},
 		{`"service":"s","max`, `"service":"nobody","max`, result.UnknownService},
 		{`"service":"s","max`, `"max`, result.UnknownService},
-		{`"path_prefix":"/a/b/"`, `"path_prefix":"/a/"`, result.SamePlace},
-		{`"weight":3},{"service":"t","weight":1}`, `"weight":0},{"service":"t","weight":0}`, result.NoWeight},
+		{`"path_prefix":"/a/b/"`, `"path_prefix":"/a/"`, result.DuplicateMatch},
+		{`"weight":3},{"service":"t","weight":1}`, `"weight":0},{"service":"t","weight":0}`, result.ZeroWeight},
 		{`"weight":3}`, `"weight":-3}`, result.InvalidField},
-		{`"name":"b"`, `"name":"a"`, result.SameName},
-		{`"name":"t"`, `"name":"s"`, result.SameName},
+		{`"name":"b"`, `"name":"a"`, result.DuplicateName},
+		{`"name":"t"`, `"name":"s"`, result.DuplicateName},
 		{`"path_prefix":"/a/b/"`, `"path_prefix":"/a/b"`, result.InvalidField},
 		{`"config_version":3`, `"config_version":0`, result.InvalidField},
-		{`"config_version":3`, `"config_version":"3"`, result.Unreadable},
+		{`"config_version":3`, `"config_version":"3"`, result.Malformed},
 	}
 	for _, c := range cases {
 		t.Run(fmt.Sprintf("%s to %s", c.from, c.to), func(t *testing.T) {
@@ -79,7 +79,7 @@
 func TestAllFaultsAreNamedAtOnce(t *testing.T) {
 	is := is.New(t)
 	broken := strings.NewReplacer(`"timeout_ms":1000`, `"timeout_ms":0`, `"/a/b/"`, `"x"`).Replace(base)
-	_, faults := Check([]byte(broken))
+	_, faults := Validate([]byte(broken))
 	is.Equal(len(faults), 2) // a fault a route
 	_, err := Parse([]byte(broken))
 	is.True(strings.Contains(err.Detail, "route a") && strings.Contains(err.Detail, "route b"))
--- a/internal/controlplane/configuration/diff.go
+++ b/internal/controlplane/configuration/diff.go
@@ -40,7 +40,7 @@
 		decoder := json.NewDecoder(bytes.NewReader(side.data))
 		decoder.UseNumber()
 		if err := decoder.Decode(side.into); err != nil {
-			return nil, result.Errorf(result.Unreadable, "configuration: %v", err)
+			return nil, result.Errorf(result.Malformed, "configuration: %v", err)
 		}
 	}
 	c := &comparison{}
--- a/internal/controlplane/configuration/diff_test.go
+++ b/internal/controlplane/configuration/diff_test.go
@@ -44,5 +44,5 @@
 	is := is.New(t)
 	_, err := Diff([]byte(`{}`), []byte(`{`))
 	is.True(err != nil)
-	is.Equal(err.Code, result.Unreadable)
+	is.Equal(err.Code, result.Malformed)
 }
--- a/internal/controlplane/configuration/document.go
+++ b/internal/controlplane/configuration/document.go
@@ -25,35 +25,35 @@
 	ClassStreaming = "streaming"
 )
 
-// Share is a part of a route's traffic that goes to a service.
-type Share struct {
+// WeightedService is a part of a route's traffic that goes to a service.
+type WeightedService struct {
 	Service string  `json:"service"`
 	Weight  float64 `json:"weight"`
 }
 
 // Route says where requests of a host and a prefix go, and how they are treated.
 type Route struct {
-	Name             string   `json:"name"`
-	Host             string   `json:"host"`
-	PathPrefix       string   `json:"path_prefix"`
-	Class            string   `json:"route_class"`
-	TimeoutMS        float64  `json:"timeout_ms"`
-	TargetLatencyMS  float64  `json:"target_latency_ms"`
-	Priority         int      `json:"priority"`
-	Service          string   `json:"service"`
-	Split            []Share  `json:"weighted_split"`
-	MaxAttempts      int      `json:"max_attempts"`
-	Affinity         bool     `json:"affinity"`
-	Resumable        bool     `json:"resumable"`
-	GapAimMS         float64  `json:"gap_aim_ms"`
-	PermittedRegions []string `json:"permitted_regions"`
+	Name             string            `json:"name"`
+	Host             string            `json:"host"`
+	PathPrefix       string            `json:"path_prefix"`
+	Class            string            `json:"route_class"`
+	TimeoutMS        float64           `json:"timeout_ms"`
+	TargetLatencyMS  float64           `json:"target_latency_ms"`
+	Priority         int               `json:"priority"`
+	Service          string            `json:"service"`
+	Split            []WeightedService `json:"weighted_split"`
+	MaxAttempts      int               `json:"max_attempts"`
+	Affinity         bool              `json:"affinity"`
+	Resumable        bool              `json:"resumable"`
+	EventGapTargetMS float64           `json:"gap_aim_ms"`
+	PermittedRegions []string          `json:"permitted_regions"`
 }
 
 // Streaming tells whether answers are streams of events.
 func (r *Route) Streaming() bool { return r.Class == ClassStreaming }
 
-// Repeatable tells whether a request may run more than once.
-func (r *Route) Repeatable() bool { return r.Class == ClassSafe || r.Streaming() && r.Resumable }
+// Idempotent tells whether a request may run more than once.
+func (r *Route) Idempotent() bool { return r.Class == ClassSafe || r.Streaming() && r.Resumable }
 
 // Timeout is how long a request may be held.
 func (r *Route) Timeout() time.Duration { return milliseconds(r.TimeoutMS) }
@@ -61,8 +61,8 @@
 // TargetLatency is within what time an answer, or a stream's first event, earns its full worth.
 func (r *Route) TargetLatency() time.Duration { return milliseconds(r.TargetLatencyMS) }
 
-// Attempts is how many backends one request may be sent to.
-func (r *Route) Attempts() int { return max(1, r.MaxAttempts) }
+// AttemptLimit is how many backends one request may be sent to.
+func (r *Route) AttemptLimit() int { return max(1, r.MaxAttempts) }
 
 // Services calls for each service that the route may use, with its weight.
 func (r *Route) Services(each func(service string, weight float64)) {
@@ -96,12 +96,12 @@
 
 // Service is a group of backends that answer alike.
 type Service struct {
-	Name       string  `json:"name"`
-	HealthPath string  `json:"health_path"`
-	ConnLimit  int     `json:"conn_limit"`
-	ColdStartS float64 `json:"cold_start_s"`
-	ColdPerS   float64 `json:"cold_per_s"`
-	Engine     *Engine `json:"engine"`
+	Name               string  `json:"name"`
+	HealthPath         string  `json:"health_path"`
+	ConnLimit          int     `json:"conn_limit"`
+	WarmupS            float64 `json:"cold_start_s"`
+	WarmupRequestsPerS float64 `json:"cold_per_s"`
+	Engine             *Engine `json:"engine"`
 }
 
 // Limits bound what a client may send.
@@ -133,7 +133,7 @@
 // Parse reads and checks a whole configuration. The error names the first fault by its code
 // and all of them by their words.
 func Parse(data []byte) (*Document, *result.Error) {
-	d, faults := Check(data)
+	d, faults := Validate(data)
 	if err := errorOf(faults); err != nil {
 		return nil, err
 	}
@@ -158,20 +158,20 @@
 // mostFaults is how many faults one error names.
 const mostFaults = 20
 
-// Check reads a whole configuration and gives all that is wrong with it.
-func Check(data []byte) (*Document, []*result.Error) {
-	d, err := Load(data)
+// Validate reads a whole configuration and gives all that is wrong with it.
+func Validate(data []byte) (*Document, []*result.Error) {
+	d, err := Decode(data)
 	if err != nil {
 		return nil, []*result.Error{err}
 	}
 	return d, d.check(func(string) bool { return true })
 }
 
-// Load reads a whole configuration that was checked when it was taken.
-func Load(data []byte) (*Document, *result.Error) {
+// Decode reads a whole configuration that was checked when it was taken.
+func Decode(data []byte) (*Document, *result.Error) {
 	d := &Document{text: newText(data)}
 	if err := decode(data, d); err != nil {
-		return nil, result.Errorf(result.Unreadable, "configuration: %v", err)
+		return nil, result.Errorf(result.Malformed, "configuration: %v", err)
 	}
 	d.index()
 	return d, nil
@@ -191,13 +191,13 @@
 	return nil
 }
 
-// Version reads no more than the version that a body claims.
-func Version(data []byte) (uint64, *result.Error) {
+// DecodeVersion reads no more than the version that a body claims.
+func DecodeVersion(data []byte) (uint64, *result.Error) {
 	var head struct {
 		Version *uint64 `json:"config_version"`
 	}
 	if err := decode(data, &head); err != nil {
-		return 0, result.Errorf(result.Unreadable, "configuration: %v", err)
+		return 0, result.Errorf(result.Malformed, "configuration: %v", err)
 	}
 	if head.Version == nil {
 		return 0, result.Errorf(result.InvalidField, "config_version is missing")
@@ -217,7 +217,7 @@
 		report(result.Errorf(result.InvalidField, "config_version: must be 1 or more"))
 	}
 	if len(d.services) != len(d.Services) {
-		report(result.Errorf(result.SameName, "service_list: two services have the same name"))
+		report(result.Errorf(result.DuplicateName, "service_list: two services have the same name"))
 	}
 	for i := range d.Services {
 		if isNew(d.Services[i].Name) {
@@ -234,10 +234,10 @@
 		report(fault)
 		place := route.Host + route.PathPrefix
 		if other, taken := places[place]; taken {
-			report(result.Errorf(result.SamePlace, "route %s: route %s has %s too", route.Name, other, place))
+			report(result.Errorf(result.DuplicateMatch, "route %s: route %s has %s too", route.Name, other, place))
 		}
 		if names[route.Name] {
-			report(result.Errorf(result.SameName, "route_list: two routes are named %s", route.Name))
+			report(result.Errorf(result.DuplicateName, "route_list: two routes are named %s", route.Name))
 		}
 		names[route.Name], places[place] = true, route.Name
 	}
@@ -248,8 +248,8 @@
 	err := validation.ValidateStruct(s,
 		validation.Field(&s.Name, validation.Required, validation.Length(1, longestName)),
 		validation.Field(&s.ConnLimit, validation.Min(0)),
-		validation.Field(&s.ColdStartS, validation.Min(0.0)),
-		validation.Field(&s.ColdPerS, validation.Min(0.0)))
+		validation.Field(&s.WarmupS, validation.Min(0.0)),
+		validation.Field(&s.WarmupRequestsPerS, validation.Min(0.0)))
 	if err != nil {
 		return result.Errorf(result.InvalidField, "service %s: %v", s.Name, err)
 	}
@@ -261,7 +261,7 @@
 // check gives a fault of the route's own fields.
 func (r *Route) check() *result.Error {
 	if r.TimeoutMS <= 0 {
-		return result.Errorf(result.NoTimeout, "route %s: timeout_ms is %v", r.Name, r.TimeoutMS)
+		return result.Errorf(result.MissingTimeout, "route %s: timeout_ms is %v", r.Name, r.TimeoutMS)
 	}
 	err := validation.ValidateStruct(r,
 		validation.Field(&r.Name, validation.Required, validation.Length(1, longestName)),
@@ -291,7 +291,7 @@
 	case negative:
 		return result.Errorf(result.InvalidField, "route %s: a weight is below 0", r.Name)
 	case sum == 0:
-		return result.Errorf(result.NoWeight, "route %s: its weights sum to 0", r.Name)
+		return result.Errorf(result.ZeroWeight, "route %s: its weights sum to 0", r.Name)
 	}
 	return nil
 }
--- a/internal/controlplane/configuration/match.go
+++ b/internal/controlplane/configuration/match.go
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// Choose picks a service of the route by weight; draw is from 0 up to 1.
-func (r *Route) Choose(draw float64) string {
+// ChooseService picks a service of the route by weight; draw is from 0 up to 1.
+func (r *Route) ChooseService(draw float64) string {
 	total := 0.0
 	r.Services(func(_ string, weight float64) { total += weight })
 	left, chosen := draw*total, ""
--- a/internal/controlplane/configuration/modify.go
+++ b/internal/controlplane/configuration/modify.go
@@ -25,7 +25,7 @@
 func readChange(data []byte) (*change, *result.Error) {
 	c := &change{}
 	if err := decode(data, c); err != nil {
-		return nil, result.Errorf(result.Unreadable, "change: %v", err)
+		return nil, result.Errorf(result.Malformed, "change: %v", err)
 	}
 	for name := range c.Upsert {
 		if name != routeList && name != serviceList {
@@ -80,10 +80,10 @@
 	read := make([]T, len(added))
 	for i, a := range added {
 		if _, twice := fresh[a.name]; twice {
-			return nil, nil, result.Errorf(result.SameName, "upsert: %s comes twice", a.name)
+			return nil, nil, result.Errorf(result.DuplicateName, "upsert: %s comes twice", a.name)
 		}
 		if err := json.Unmarshal(a.raw, &read[i]); err != nil {
-			return nil, nil, result.Errorf(result.Unreadable, "%s: %v", a.name, err)
+			return nil, nil, result.Errorf(result.Malformed, "%s: %v", a.name, err)
 		}
 		fresh[a.name] = i
 		isNew[a.name] = true
--- a/internal/controlplane/configuration/text.go
+++ b/internal/controlplane/configuration/text.go
@@ -58,13 +58,13 @@
 func split(data []byte) (*parts, *result.Error) {
 	p := &parts{rest: map[string]json.RawMessage{}}
 	if err := decode(data, &p.rest); err != nil {
-		return nil, result.Errorf(result.Unreadable, "configuration in place: %v", err)
+		return nil, result.Errorf(result.Malformed, "configuration in place: %v", err)
 	}
 	for name, into := range map[string]*[]item{routeList: &p.routes, serviceList: &p.services} {
 		var raw []json.RawMessage
 		if list := p.rest[name]; len(list) > 0 {
 			if err := json.Unmarshal(list, &raw); err != nil {
-				return nil, result.Errorf(result.Unreadable, "configuration in place: %v", err)
+				return nil, result.Errorf(result.Malformed, "configuration in place: %v", err)
 			}
 		}
 		items, err := itemsOf(raw)
--- a/internal/controlplane/figures.go
+++ b/internal/controlplane/figures.go
@@ -30,7 +30,7 @@
 // countOrder counts an order that was answered, by its result.
 func (s *Service) countOrder(outcome *result.Error) {
 	if set := s.counters.Load(); set != nil {
-		set.GetOrCreateCounter(metricserver.Name("marlreel_orders_total", metricserver.Label{Key: "result", Value: outcome.Code.String()})).Inc()
+		set.GetOrCreateCounter(metricserver.SeriesName("marlreel_orders_total", metricserver.Label{Key: "result", Value: outcome.Code.String()})).Inc()
 	}
 }
 
@@ -39,12 +39,12 @@
 	patience, cancel := context.WithTimeout(context.Background(), statusPatience)
 	defer cancel()
 	standing := s.standing(patience)
-	vm.WriteGaugeFloat64(w, "marlreel_chain_connected", metricserver.Flag(standing.Connected))
+	vm.WriteGaugeFloat64(w, "marlreel_chain_connected", metricserver.BoolValue(standing.Connected))
 	vm.WriteGaugeUint64(w, "marlreel_chain_view", standing.View)
 	vm.WriteGaugeUint64(w, "marlreel_chain_members", uint64(len(standing.Members)))
 	vm.WriteGaugeUint64(w, "marlreel_chain_length", uint64(len(standing.Chain)))
-	vm.WriteGaugeFloat64(w, "marlreel_chain_leaving", metricserver.Flag(standing.Leaving))
-	vm.WriteGaugeFloat64(w, "marlreel_chain_catching_up", metricserver.Flag(standing.CatchingUp != ""))
+	vm.WriteGaugeFloat64(w, "marlreel_chain_leaving", metricserver.BoolValue(standing.Leaving))
+	vm.WriteGaugeFloat64(w, "marlreel_chain_catching_up", metricserver.BoolValue(standing.CatchingUp != ""))
 	vm.WriteGaugeUint64(w, "marlreel_chain_committed", standing.Committed)
-	vm.WriteGaugeFloat64(w, "marlreel_store_failed", metricserver.Flag(standing.NoStore))
+	vm.WriteGaugeFloat64(w, "marlreel_store_failed", metricserver.BoolValue(standing.NoStore))
 }
--- a/internal/controlplane/grants_test.go
+++ b/internal/controlplane/grants_test.go
@@ -34,7 +34,7 @@
 
 	inView := grant(view)
 	w.pass(time.Second)
-	is.Equal(*inView, result.Accepted)
+	is.Equal(*inView, result.Committed)
 	is.Equal(head.replica.Machine().Owner("a role").GetHolder(), "x/1")
 	for _, c := range w.cores {
 		c.kill()
--- a/internal/controlplane/keeper.go
+++ b/internal/controlplane/keeper.go
@@ -117,7 +117,7 @@
 
 // open opens the store and makes a replica of what it holds.
 func (k *Keeper) open() error {
-	opened, err := k.machine.Open()
+	opened, err := k.machine.OpenStore()
 	if err != nil {
 		return err
 	}
@@ -127,7 +127,7 @@
 		// Its promises can't be trusted: it comes back as another member, without any.
 		k.log.Error(err, "the store is set aside", "event", "store")
 		k.close()
-		return k.machine.Forget()
+		return k.machine.RemoveStore()
 	}
 	if err != nil {
 		return err
--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -73,7 +73,7 @@
 }
 
 func finish(ctx *fasthttp.RequestCtx, outcome *result.Error) {
-	if !outcome.Code.Done() {
+	if !outcome.Code.Succeeded() {
 		refuse(ctx, outcome)
 		return
 	}
@@ -93,7 +93,7 @@
 		return
 	}
 	body := append([]byte(nil), ctx.PostBody()...)
-	if _, unreadable := configuration.Version(body); unreadable != nil {
+	if _, unreadable := configuration.DecodeVersion(body); unreadable != nil {
 		refuse(ctx, unreadable)
 		return
 	}
@@ -174,7 +174,7 @@
 	}
 	var beat heartbeat
 	if err := json.Unmarshal(ctx.PostBody(), &beat); err != nil {
-		refuse(ctx, result.Errorf(result.Unreadable, "heartbeat: %v", err))
+		refuse(ctx, result.Errorf(result.Malformed, "heartbeat: %v", err))
 		return
 	}
 	if beat.Service == "" || beat.Address == "" {
@@ -186,7 +186,7 @@
 		s.retire(ctx, id)
 		return
 	}
-	finish(ctx, &result.Error{Code: result.Accepted})
+	finish(ctx, &result.Error{Code: result.Committed})
 	if near := s.registry.near(beat.Zone); near != "" {
 		body, _ := json.Marshal(beatReply{Address: near}) // a struct of plain fields always marshals
 		ctx.SetBody(body)
--- a/internal/controlplane/owners.go
+++ b/internal/controlplane/owners.go
@@ -59,7 +59,7 @@
 func newOwners(bounds bootstrap.Bounds, out *watch.Store, headOf func() (uint64, bool), order func(*api.Operation, uint64),
 	log logr.Logger,
 ) *owners {
-	lease := bootstrap.Milliseconds(bounds.LeaseMS)
+	lease := bootstrap.Milliseconds(bounds.LeaseDurationMS)
 	if lease <= 0 {
 		lease = usualLease
 	}
--- a/internal/controlplane/owners_test.go
+++ b/internal/controlplane/owners_test.go
@@ -36,7 +36,7 @@
 func newOwnersTrial(t *testing.T) *ownersTrial {
 	t.Helper()
 	o := &ownersTrial{machine: state.New(), out: watch.New("head", time.Now), commits: true}
-	o.owners = newOwners(bootstrap.Bounds{Fencing: true, LeaseMS: 3000}, o.out, func() (uint64, bool) { return 1, true }, o.take, logr.Discard())
+	o.owners = newOwners(bootstrap.Bounds{Fencing: true, LeaseDurationMS: 3000}, o.out, func() (uint64, bool) { return 1, true }, o.take, logr.Discard())
 	o.lead(1, true)
 	o.commit(&api.Operation{Kind: &api.Operation_Replace{Replace: &api.ReplaceConfiguration{Document: []byte(ownedDocument)}}})
 	if o.machine.Document() == nil {
--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -218,10 +218,10 @@
 		case failure != nil:
 			s.code, s.detail = failure.Code, failure.Detail
 		case changed:
-			s.code = result.Accepted
+			s.code = result.Committed
 			operations = append(operations, s.operation)
 		default:
-			s.code = result.AlreadyAccepted
+			s.code = result.AlreadyCommitted
 		}
 	}
 	return operations
@@ -291,7 +291,7 @@
 	}
 	if read := r.reads[token]; read != nil {
 		delete(r.reads, token)
-		read.reply(result.Accepted, r.machine)
+		read.reply(result.Committed, r.machine)
 	}
 }
 
@@ -299,7 +299,7 @@
 // process that stays head is committed with the new view.
 func (r *Replica) deposed() {
 	if r.inFlight != nil && !r.isHead() {
-		giveUp(r.inFlight, result.Unclear, "the view has changed")
+		giveUp(r.inFlight, result.OutcomeUnknown, "the view has changed")
 		r.inFlight = nil
 	}
 	r.giveUpConfirmations(always, "the view has changed")
@@ -342,7 +342,7 @@
 // expire answers for what has waited too long.
 func (r *Replica) expire(now time.Duration) {
 	if r.inFlight != nil && len(r.inFlight.submissions) > 0 && now >= r.inFlight.until {
-		giveUp(r.inFlight, result.Unclear, "the chain has not acknowledged it in time")
+		giveUp(r.inFlight, result.OutcomeUnknown, "the chain has not acknowledged it in time")
 		r.inFlight.submissions = nil
 	}
 	r.giveUpConfirmations(func(until time.Duration) bool { return now >= until }, "no majority answers")
@@ -370,7 +370,7 @@
 	r.failure = err
 	r.log.Error(err, "the store has failed", "event", "store")
 	if r.inFlight != nil {
-		giveUp(r.inFlight, result.Unclear, "the disk has failed")
+		giveUp(r.inFlight, result.OutcomeUnknown, "the disk has failed")
 		r.inFlight = nil
 	}
 	r.giveUpConfirmations(always, "the disk has failed")
--- a/internal/controlplane/result/compatibility_test.go
+++ b/internal/controlplane/result/compatibility_test.go
@@ -39,7 +39,7 @@
 	for code := range Code(1000) {
 		// A code that is not in the table is named by its number.
 		if code.String() != fmt.Sprintf("code %d", code) {
-			fmt.Fprintf(&out, "%d | %d | %s | %t | %s\n", code, code.Status(), code, code.Done(), code.Remedy())
+			fmt.Fprintf(&out, "%d | %d | %s | %t | %s\n", code, code.Status(), code, code.Succeeded(), code.Remedy())
 		}
 	}
 	fmt.Fprintf(&out, "unknown: %d %s\n", Code(999).Status(), Code(999))
--- a/internal/controlplane/result/result.go
+++ b/internal/controlplane/result/result.go
@@ -12,24 +12,24 @@
 
 // The codes, by what has to be done about them.
 const (
-	Accepted        Code = 100 // done, and on more than half of the disks
-	AlreadyAccepted Code = 101 // the same call was done before
+	Committed        Code = 100 // done, and on more than half of the disks
+	AlreadyCommitted Code = 101 // the same call was done before
 
-	Unreadable     Code = 200 // not JSON, cut short, or of a wrong type
+	Malformed      Code = 200 // not JSON, cut short, or of a wrong type
 	UnknownService Code = 201 // a route names a service that is not there
-	SamePlace      Code = 202 // two routes have the same host and prefix
-	NoWeight       Code = 203 // the weights of a route sum to nothing
-	NoTimeout      Code = 204 // a route's time-out is 0
+	DuplicateMatch Code = 202 // two routes have the same host and prefix
+	ZeroWeight     Code = 203 // the weights of a route sum to nothing
+	MissingTimeout Code = 204 // a route's time-out is 0
 	VersionTooLow  Code = 205 // the version is not higher than the current one
 	InvalidField   Code = 206 // a field is missing or out of its range
-	SameName       Code = 207 // two items of a list have the same name
+	DuplicateName  Code = 207 // two items of a list have the same name
 	TooLarge       Code = 208 // more than what is taken
 	UnknownPath    Code = 209 // there is no such call
 
 	VersionConflict Code = 300 // another version is current
 
-	Unavailable Code = 400 // not taken: there is no majority, or it is not known where
-	Unclear     Code = 401 // it may or may not have been taken
+	Unavailable    Code = 400 // not taken: there is no majority, or it is not known where
+	OutcomeUnknown Code = 401 // it may or may not have been taken
 )
 
 // Meaning is what a code says and what can be done.
@@ -42,21 +42,21 @@
 
 // Meanings is the table of all codes.
 var Meanings = []Meaning{
-	{Accepted, http.StatusOK, "accepted", "nothing"},
-	{AlreadyAccepted, http.StatusOK, "already accepted", "nothing"},
-	{Unreadable, http.StatusBadRequest, "unreadable", "send valid JSON, whole"},
+	{Committed, http.StatusOK, "accepted", "nothing"},
+	{AlreadyCommitted, http.StatusOK, "already accepted", "nothing"},
+	{Malformed, http.StatusBadRequest, "unreadable", "send valid JSON, whole"},
 	{UnknownService, http.StatusBadRequest, "unknown service", "list the service, or name one that is listed"},
-	{SamePlace, http.StatusBadRequest, "same place", "give each route its own host and prefix"},
-	{NoWeight, http.StatusBadRequest, "no weight", "give at least one part of the split a weight above 0"},
-	{NoTimeout, http.StatusBadRequest, "no time-out", "give the route a time-out above 0"},
+	{DuplicateMatch, http.StatusBadRequest, "same place", "give each route its own host and prefix"},
+	{ZeroWeight, http.StatusBadRequest, "no weight", "give at least one part of the split a weight above 0"},
+	{MissingTimeout, http.StatusBadRequest, "no time-out", "give the route a time-out above 0"},
 	{VersionTooLow, http.StatusBadRequest, "version too low", "read the configuration and choose a higher version"},
 	{InvalidField, http.StatusBadRequest, "invalid field", "mend the field that the error names"},
-	{SameName, http.StatusBadRequest, "same name", "give each item of a list its own name"},
+	{DuplicateName, http.StatusBadRequest, "same name", "give each item of a list its own name"},
 	{TooLarge, http.StatusRequestEntityTooLarge, "too large", "send less at once"},
 	{UnknownPath, http.StatusNotFound, "unknown path", "see the pages for the calls that there are"},
 	{VersionConflict, http.StatusPreconditionFailed, "version conflict", "read the configuration and build on it"},
 	{Unavailable, http.StatusServiceUnavailable, "unavailable", "send the same again, to any control process"},
-	{Unclear, http.StatusGatewayTimeout, "unclear", "send the same again, to any control process"},
+	{OutcomeUnknown, http.StatusGatewayTimeout, "unclear", "send the same again, to any control process"},
 }
 
 func (c Code) meaning() Meaning {
@@ -77,8 +77,8 @@
 // Remedy is what can be done about a code.
 func (c Code) Remedy() string { return c.meaning().Advice }
 
-// Done tells whether a call has had its effect.
-func (c Code) Done() bool { return c == Accepted || c == AlreadyAccepted }
+// Succeeded tells whether a call has had its effect.
+func (c Code) Succeeded() bool { return c == Committed || c == AlreadyCommitted }
 
 // Error is a code with what it is about.
 type Error struct {
--- a/internal/controlplane/result/result_test.go
+++ b/internal/controlplane/result/result_test.go
@@ -21,6 +21,6 @@
 		is.True(!codes[m.Code] && !names[m.Name])
 		codes[m.Code], names[m.Name] = true, true
 		is.True(m.Advice != "" && m.Status >= 200)
-		is.Equal(m.Code.Done(), m.Status == 200)
+		is.Equal(m.Code.Succeeded(), m.Status == 200)
 	}
 }
--- a/internal/controlplane/role.go
+++ b/internal/controlplane/role.go
@@ -42,7 +42,7 @@
 	keeper := NewKeeper(machine, NewPeers(ctx, client, socket), out)
 	go receiveDatagrams(socket, keeper.Deliver)
 	self := &api.ControlNode{Address: settings.PeerAddress(), Zone: settings.Zone, PublicAddress: settings.Listen.Control}
-	registry := NewRegistry(self, out, settings.BeatInterval(), client)
+	registry := NewRegistry(self, out, settings.HeartbeatInterval(), client)
 	service := &Service{
 		keeper: keeper, registry: registry, feed: out, self: settings.PeerAddress(), client: client,
 		incoming: newIncoming(),
@@ -75,7 +75,7 @@
 	select {
 	case <-parent.Done():
 		log.Info("leaves the chain", "event", "end")
-		leaving, over := context.WithTimeout(machine.Alive(), leavePatience(settings))
+		leaving, over := context.WithTimeout(machine.UntilCrash(), leavePatience(settings))
 		keeper.Leave(leaving)
 		over()
 	case failed = <-failures:
@@ -92,7 +92,7 @@
 // long enough for another member to take a state of some MB in, and within the platform's patience.
 func leavePatience(settings *bootstrap.Settings) time.Duration {
 	const share, most = 2, 4 * time.Second
-	return min(bootstrap.Seconds(settings.Bounds.GraceS)/share, most)
+	return min(bootstrap.Seconds(settings.Bounds.ShutdownGraceS)/share, most)
 }
 
 // memberList are the addresses of the control processes, as last known.
--- a/internal/controlplane/service.go
+++ b/internal/controlplane/service.go
@@ -79,7 +79,7 @@
 	case answer := <-answers:
 		return answer
 	case <-ctx.Done():
-		return &api.SubmitReply{Code: uint32(result.Unclear), Detail: "no answer in time"}
+		return &api.SubmitReply{Code: uint32(result.OutcomeUnknown), Detail: "no answer in time"}
 	}
 }
 
@@ -185,7 +185,7 @@
 // later head may have renewed the lease of the holder before.
 func (s *Service) grant(operation *api.Operation, view uint64) {
 	s.keeper.SubmitInView(operation, view, s.keeper.clock(time.Now().Add(orderPatience)), func(code result.Code, detail string) {
-		if !code.Done() {
+		if !code.Succeeded() {
 			s.owners.log.V(1).Info("a grant came to nothing", "event", "role", "code", code.String(), "detail", detail)
 		}
 	})
@@ -220,9 +220,9 @@
 // take takes in the answer to a try. It tells whether that is the order's outcome.
 func (t *orderTries) take(reply *api.SubmitReply) (final bool) {
 	code := result.Code(reply.Code)
-	final = code != result.Unavailable && code != result.Unclear
+	final = code != result.Unavailable && code != result.OutcomeUnknown
 	// What may have been taken stays unclear, whatever later tries say.
-	if final || code == result.Unclear || t.outcome.Code != result.Unclear {
+	if final || code == result.OutcomeUnknown || t.outcome.Code != result.OutcomeUnknown {
 		t.outcome = &result.Error{Code: code, Detail: reply.Detail}
 	}
 	return final
@@ -243,7 +243,7 @@
 	}
 	reply, err := s.submitTo(ctx, head, &api.SubmitRequest{Operation: operation, Deadline: until})
 	if err != nil {
-		return &api.SubmitReply{Code: uint32(result.Unclear), Detail: "the head can't be reached"}
+		return &api.SubmitReply{Code: uint32(result.OutcomeUnknown), Detail: "the head can't be reached"}
 	}
 	return reply
 }
@@ -273,7 +273,7 @@
 	for ctx.Err() == nil {
 		if tail := s.standing(ctx).Tail; tail != "" {
 			reply, err := s.readAt(ctx, tail)
-			if err == nil && result.Code(reply.Code) == result.Accepted {
+			if err == nil && result.Code(reply.Code) == result.Committed {
 				return reply, nil
 			}
 		}
--- a/internal/controlplane/state/machine.go
+++ b/internal/controlplane/state/machine.go
@@ -70,7 +70,7 @@
 	m.state = copyOf(s)
 	m.document, m.retired = nil, map[string]bool{}
 	if len(s.Document) > 0 {
-		m.document, _ = configuration.Load(s.Document) // it was checked when it was taken
+		m.document, _ = configuration.Decode(s.Document) // it was checked when it was taken
 	}
 	for _, r := range s.Retired {
 		m.retired[r.Id] = true
@@ -108,7 +108,7 @@
 // entry: documents are not checked again.
 func (m *Machine) Apply(entry *api.Entry) {
 	for _, operation := range entry.Operations {
-		m.do(operation, configuration.Load)
+		m.do(operation, configuration.Decode)
 	}
 }
 
@@ -134,7 +134,7 @@
 	case *api.Operation_Grant:
 		return m.grant(kind.Grant)
 	}
-	return false, result.Errorf(result.Unreadable, "an operation that is not known here")
+	return false, result.Errorf(result.Malformed, "an operation that is not known here")
 }
 
 func (m *Machine) replace(c *api.ReplaceConfiguration, read reader) (bool, *result.Error) {
@@ -171,7 +171,7 @@
 // version before the last one that is forgotten may have been taken: that is never refused.
 func (m *Machine) conflict(base uint64) *result.Error {
 	if base < m.state.ForgottenVersion {
-		return result.Errorf(result.Unclear, "built on version %d; which changes were taken up to version %d is not known any more",
+		return result.Errorf(result.OutcomeUnknown, "built on version %d; which changes were taken up to version %d is not known any more",
 			base, m.state.ForgottenVersion)
 	}
 	return result.Errorf(result.VersionConflict, "built on version %d, and %d is current", base, m.state.Version)
--- a/internal/controlplane/state/machine_test.go
+++ b/internal/controlplane/state/machine_test.go
@@ -40,7 +40,7 @@
 
 func code(failure *result.Error) result.Code {
 	if failure == nil {
-		return result.Accepted
+		return result.Committed
 	}
 	return failure.Code
 }
@@ -185,7 +185,7 @@
 			changed, failure := m.Do(change)
 			is.Equal(changed, false)
 			if number < 2 {
-				is.Equal(code(failure), result.Unclear) // forgotten
+				is.Equal(code(failure), result.OutcomeUnknown) // forgotten
 				continue
 			}
 			is.Equal(failure, nil) // acknowledged again
@@ -194,7 +194,7 @@
 		_, failure := m.Do(replace(2, document(99999, "b")))
 		is.Equal(code(failure), result.VersionConflict)
 		_, failure = m.Do(replace(1, document(99999, "b")))
-		is.Equal(code(failure), result.Unclear)
+		is.Equal(code(failure), result.OutcomeUnknown)
 	}
 	check(m)
 	restored := New()
--- a/internal/controlplane/world_clients_test.go
+++ b/internal/controlplane/world_clients_test.go
@@ -123,7 +123,7 @@
 
 // isClear tells whether an order's outcome is one that callers don't send again for.
 func isClear(outcome *result.Error) bool {
-	return outcome.Code != result.Unavailable && outcome.Code != result.Unclear
+	return outcome.Code != result.Unavailable && outcome.Code != result.OutcomeUnknown
 }
 
 // operate has an operation done.
@@ -204,7 +204,7 @@
 		began, base := w.now, s.version
 		operation := &api.Operation{Kind: &api.Operation_Replace{Replace: &api.ReplaceConfiguration{BaseVersion: base, Document: []byte(text)}}}
 		cl.operate(operation, func(outcome *result.Error) {
-			answer := linearizability.ConfigurationAnswer{Known: outcome != nil, Taken: outcome != nil && outcome.Code.Done()}
+			answer := linearizability.ConfigurationAnswer{Known: outcome != nil, Taken: outcome != nil && outcome.Code.Succeeded()}
 			if answer.Known && !answer.Taken && outcome.Code != result.VersionConflict {
 				w.fault("operator %d: a change on %d was answered with %v", operator, base, outcome)
 			}
@@ -228,7 +228,7 @@
 	w, began := cl.world, cl.world.now
 	operation := &api.Operation{Kind: &api.Operation_Evacuation{Evacuation: &api.SetEvacuation{Zone: evacuatedZone, Active: on}}}
 	cl.operate(operation, func(outcome *result.Error) {
-		if outcome != nil && !outcome.Code.Done() {
+		if outcome != nil && !outcome.Code.Succeeded() {
 			w.fault("an evacuation was refused: %v", outcome)
 		}
 		w.note("evacuation %v: %v", on, outcome)
@@ -243,7 +243,7 @@
 	cl.retiring++
 	id := fmt.Sprintf("b%d", cl.retiring)
 	cl.operate(&api.Operation{Kind: &api.Operation_Retire{Retire: &api.RetireBackend{Id: id}}}, func(outcome *result.Error) {
-		if outcome != nil && !outcome.Code.Done() {
+		if outcome != nil && !outcome.Code.Succeeded() {
 			w.fault("the end of a backend was refused: %v", outcome)
 		}
 		if outcome != nil {
@@ -408,7 +408,7 @@
 	call(w, a.node.Name, c.address, agentTimeout, func(answer func(*api.LeaseReply)) {
 		c.run(func() { c.lease(a.holder, false, answer) })
 	}, func(answer **api.LeaseReply) {
-		if answer == nil || result.Code((*answer).Code) != result.Accepted {
+		if answer == nil || result.Code((*answer).Code) != result.Committed {
 			return
 		}
 		a.until = 0
--- a/internal/controlplane/world_test.go
+++ b/internal/controlplane/world_test.go
@@ -304,7 +304,7 @@
 	c.clocks, c.members = clocks{}, memberList{seeds: func() []string { return w.seeds }}
 	c.word = standingWord{establishedAfter: 4 * time.Second}
 	c.feed = watch.New(fmt.Sprintf("%s/%d", c.address, c.life), w.clock)
-	c.owners = newOwners(bootstrap.Bounds{Fencing: true, LeaseMS: 3000}, c.feed, func() (uint64, bool) { return c.members.headOf(c.address) },
+	c.owners = newOwners(bootstrap.Bounds{Fencing: true, LeaseDurationMS: 3000}, c.feed, func() (uint64, bool) { return c.members.headOf(c.address) },
 		c.grant, logr.Discard())
 	c.owners.now = w.clock
 	life := c.life
@@ -527,7 +527,7 @@
 		}
 		over = true
 		if asking && tries.outcome.Code == result.Unavailable {
-			tries.outcome = result.Errorf(result.Unclear, "no answer in time")
+			tries.outcome = result.Errorf(result.OutcomeUnknown, "no answer in time")
 		}
 		reply(tries.outcome)
 	}
@@ -569,7 +569,7 @@
 	submit := func(until *api.Instant) {
 		c.submitTo(head, &api.SubmitRequest{Operation: operation, Deadline: until}, deadline, func(answer *api.SubmitReply) {
 			if answer == nil {
-				answer = &api.SubmitReply{Code: uint32(result.Unclear)}
+				answer = &api.SubmitReply{Code: uint32(result.OutcomeUnknown)}
 			}
 			reply(answer)
 		})
@@ -667,7 +667,7 @@
 }
 
 func stateRead(code result.Code, m *state.Machine, ids []string) *newestState {
-	if code != result.Accepted {
+	if code != result.Committed {
 		return nil
 	}
 	s := &newestState{version: m.Version(), evacuated: m.Evacuated(evacuatedZone), retired: map[string]bool{}}
--- a/internal/dataplane/gateway/events.go
+++ b/internal/dataplane/gateway/events.go
@@ -98,7 +98,7 @@
 // goOn has a broken stream continued by another backend, where its route allows that.
 func (s *events) goOn() bool {
 	e := s.exchange
-	if !e.route.Resumable || s.lastEvent == "" || s.runs >= e.route.Attempts() || s.left() ||
+	if !e.route.Resumable || s.lastEvent == "" || s.runs >= e.route.AttemptLimit() || s.left() ||
 		time.Until(e.deadline) <= 0 || !e.service.takeRepeat() {
 		return false
 	}
--- a/internal/dataplane/gateway/figures.go
+++ b/internal/dataplane/gateway/figures.go
@@ -42,9 +42,9 @@
 
 func newServiceFigures(set *vm.Set, service string) *serviceFigures {
 	f := &serviceFigures{set: set, service: service, classes: map[string]*classFigures{}, attempts: map[balancer.Result]*vm.Counter{}}
-	f.broken = set.GetOrCreateCounter(metricserver.Name("marlreel_streams_broken_off_total", metricserver.Label{Key: "service", Value: service}))
+	f.broken = set.GetOrCreateCounter(metricserver.SeriesName("marlreel_streams_broken_off_total", metricserver.Label{Key: "service", Value: service}))
 	for result, word := range resultWords {
-		f.attempts[result] = set.GetOrCreateCounter(metricserver.Name("marlreel_attempts_total",
+		f.attempts[result] = set.GetOrCreateCounter(metricserver.SeriesName("marlreel_attempts_total",
 			metricserver.Label{Key: "service", Value: service}, metricserver.Label{Key: "result", Value: word}))
 	}
 	return f
@@ -78,10 +78,10 @@
 	}
 	figures := &classFigures{
 		causes:    map[cause]*vm.Counter{},
-		firstByte: f.set.GetOrCreatePrometheusHistogramExt(metricserver.Name("marlreel_first_byte_seconds", labels...), firstByteBounds),
+		firstByte: f.set.GetOrCreatePrometheusHistogramExt(metricserver.SeriesName("marlreel_first_byte_seconds", labels...), firstByteBounds),
 	}
 	for of, word := range causeWords {
-		figures.causes[of] = f.set.GetOrCreateCounter(metricserver.Name("marlreel_requests_total",
+		figures.causes[of] = f.set.GetOrCreateCounter(metricserver.SeriesName("marlreel_requests_total",
 			append(labels[:len(labels):len(labels)], metricserver.Label{Key: "outcome", Value: word})...))
 	}
 	return figures
@@ -142,8 +142,8 @@
 // newFigures makes the figures of a gateway as a whole.
 func (g *Gateway) newFigures() *vm.Set {
 	set := vm.NewSet()
-	set.NewGauge("marlreel_ready", func() float64 { return metricserver.Flag(g.Ready()) })
-	set.NewGauge("marlreel_feed_fresh", func() float64 { return metricserver.Flag(g.feed.Fresh(nil)) })
+	set.NewGauge("marlreel_ready", func() float64 { return metricserver.BoolValue(g.Ready()) })
+	set.NewGauge("marlreel_feed_fresh", func() float64 { return metricserver.BoolValue(g.feed.Fresh(nil)) })
 	set.NewGauge("marlreel_backends", func() float64 { return float64(len(g.feed.Backends())) })
 	set.NewGauge("marlreel_nodes", func() float64 { return float64(len(g.feed.Nodes())) })
 	set.NewGauge("marlreel_config_version", func() float64 {
--- a/internal/dataplane/gateway/front.go
+++ b/internal/dataplane/gateway/front.go
@@ -77,7 +77,7 @@
 		ctx.Error(headerRequestID+" is needed", fasthttp.StatusBadRequest)
 		return
 	}
-	s := p.services[route.Choose(rand.Float64())]
+	s := p.services[route.ChooseService(rand.Float64())]
 	if s == nil {
 		refuse(ctx, unknownYet)
 		return
--- a/internal/dataplane/gateway/role.go
+++ b/internal/dataplane/gateway/role.go
@@ -48,12 +48,12 @@
 	slices.Sort(zones)
 	g := New(Config{
 		Dial: machine.Network.Dial, Name: settings.NodeName, Zone: settings.Zone, Zones: zones, Log: log,
-		BodyBytes: settings.Limits.MemoryMB << 20 / 4, Connections: max(64, (settings.Limits.Files-keptFiles)/2), Bounds: boundsOf(settings.Bounds),
+		BodyBytes: settings.Limits.MemoryMB << 20 / 4, Connections: max(64, (settings.Limits.MaxOpenFiles-keptFiles)/2), Bounds: boundsOf(settings.Bounds),
 	}, source)
 	front := g.newServer(g.Handle)
 	front.MaxRequestBodySize = 64 << 20
 	front.ReadBufferSize = headerBuffer
-	front.Concurrency = max(64, (settings.Limits.Files-keptFiles)/2)
+	front.Concurrency = max(64, (settings.Limits.MaxOpenFiles-keptFiles)/2)
 	readiness := g.newServer(g.ServeReadiness)
 
 	defer g.stopServices()
@@ -90,7 +90,7 @@
 	case err := <-failures:
 		return eris.Wrap(err, "serving")
 	}
-	return quit(g, front, readiness, bootstrap.Seconds(settings.Bounds.GraceS), log)
+	return quit(g, front, readiness, bootstrap.Seconds(settings.Bounds.ShutdownGraceS), log)
 }
 
 // reportDemand tells the agent what is asked for and what was sent, and takes in what others have sent,
@@ -115,7 +115,7 @@
 }
 
 func boundsOf(b bootstrap.Bounds) Bounds {
-	return Bounds{ColdExcess: b.ColdExcess, ColdSlack: b.ColdSlack, Repeats: budgetshare.RepeatsConfig{
+	return Bounds{ColdExcess: b.WarmupExcess, ColdSlack: b.WarmupSlack, Repeats: budgetshare.RepeatsConfig{
 		Ratio: b.RetryBudgetRatio,
 		Slack: b.RetrySlack, Window: bootstrap.Seconds(b.RetryWindowS),
 	}}
--- a/internal/dataplane/gateway/service.go
+++ b/internal/dataplane/gateway/service.go
@@ -63,7 +63,7 @@
 }
 
 func (b Bounds) coldOf(cfg *configuration.Service) budgetshare.ColdConfig {
-	return budgetshare.ColdConfig{PerSecond: cfg.ColdPerS, Excess: b.ColdExcess, Slack: b.ColdSlack}
+	return budgetshare.ColdConfig{PerSecond: cfg.WarmupRequestsPerS, Excess: b.ColdExcess, Slack: b.ColdSlack}
 }
 
 // identity is what a proxy is among the others.
@@ -96,7 +96,7 @@
 }
 
 func keyOf(r *configuration.Route) classKey {
-	return classKey{r.Class, r.Repeatable(), r.TargetLatencyMS, r.Attempts(), r.Priority}
+	return classKey{r.Class, r.Idempotent(), r.TargetLatencyMS, r.AttemptLimit(), r.Priority}
 }
 
 // className names the class of a route.
@@ -112,9 +112,9 @@
 	}
 	class := balancer.Class{
 		Name: className(r), Aim: aim, GiveUp: longestWait, LateShare: lateShare, Value: 1,
-		Generates: r.Streaming(), MostRuns: r.Attempts(),
+		Generates: r.Streaming(), MostRuns: r.AttemptLimit(),
 	}
-	if r.Repeatable() {
+	if r.Idempotent() {
 		class.Effect = balancer.Safe
 	}
 	return class
--- a/internal/process/bootstrap/settings.go
+++ b/internal/process/bootstrap/settings.go
@@ -15,11 +15,11 @@
 	"github.com/rotisserie/eris"
 )
 
-// Variable names the environment variable with the path of the settings file.
-const Variable = "MARLREEL_SETTINGS"
+// SettingsVariable names the environment variable with the path of the settings file.
+const SettingsVariable = "MARLREEL_SETTINGS"
 
-// Listen are the addresses that a process serves.
-type Listen struct {
+// ListenAddresses are the addresses that a process serves.
+type ListenAddresses struct {
 	Front     string `toml:"front" json:"front"`
 	Readiness string `toml:"readiness" json:"readiness"`
 	Control   string `toml:"control" json:"control"`
@@ -27,14 +27,14 @@
 
 // Limits are what a process may use.
 type Limits struct {
-	CPUShare float64 `toml:"cpu_share" json:"cpu_share"`
-	MemoryMB int     `toml:"memory_mb" json:"memory_mb"`
-	Files    int     `toml:"fd_limit" json:"fd_limit"`
-	DiskMB   int     `toml:"disk_mb" json:"disk_mb"`
+	CPUShare     float64 `toml:"cpu_share" json:"cpu_share"`
+	MemoryMB     int     `toml:"memory_mb" json:"memory_mb"`
+	MaxOpenFiles int     `toml:"fd_limit" json:"fd_limit"`
+	DiskMB       int     `toml:"disk_mb" json:"disk_mb"`
 }
 
-// Tolerance says what may be lost at once.
-type Tolerance struct {
+// FaultTolerance says what may be lost at once.
+type FaultTolerance struct {
 	Machines int `toml:"machines" json:"machines"`
 	Zones    int `toml:"zones" json:"zones"`
 	Regions  int `toml:"regions" json:"regions"`
@@ -48,45 +48,45 @@
 	AcknowledgeMS    float64 `toml:"ack_ms" json:"ack_ms"`
 	CatchUpS         float64 `toml:"catch_up_s" json:"catch_up_s"`
 	DrainMS          float64 `toml:"drain_ms" json:"drain_ms"`
-	GraceS           float64 `toml:"grace_s" json:"grace_s"`
+	ShutdownGraceS   float64 `toml:"grace_s" json:"grace_s"`
 	ConfigApplyMS    float64 `toml:"config_apply_ms" json:"config_apply_ms"`
 	RetryBudgetRatio float64 `toml:"retry_budget_ratio" json:"retry_budget_ratio"`
 	RetryWindowS     float64 `toml:"retry_window_s" json:"retry_window_s"`
 	RetrySlack       float64 `toml:"retry_slack" json:"retry_slack"`
-	ColdExcess       float64 `toml:"cold_excess" json:"cold_excess"`
-	ColdSlack        float64 `toml:"cold_slack" json:"cold_slack"`
+	WarmupExcess     float64 `toml:"cold_excess" json:"cold_excess"`
+	WarmupSlack      float64 `toml:"cold_slack" json:"cold_slack"`
 	EvacuationMS     float64 `toml:"evacuation_ms" json:"evacuation_ms"`
 	RecoveryS        float64 `toml:"recovery_s" json:"recovery_s"`
 	PassMS           float64 `toml:"pass_ms" json:"pass_ms"`
 	Fencing          bool    `toml:"fencing" json:"fencing"`
-	LeaseMS          float64 `toml:"lease_ms" json:"lease_ms"`
+	LeaseDurationMS  float64 `toml:"lease_ms" json:"lease_ms"`
 	ThawMS           float64 `toml:"thaw_ms" json:"thaw_ms"`
-	CeilingWindowS   float64 `toml:"ceiling_window_s" json:"ceiling_window_s"`
-	CeilingExcess    float64 `toml:"ceiling_excess" json:"ceiling_excess"`
+	RateLimitWindowS float64 `toml:"ceiling_window_s" json:"ceiling_window_s"`
+	RateLimitExcess  float64 `toml:"ceiling_excess" json:"ceiling_excess"`
 }
 
 // Settings are what the platform tells a process. Keys that are not listed here are
 // left alone: the file may gain new ones.
 type Settings struct {
-	NodeName        string            `toml:"node_name" json:"node_name"`
-	Role            string            `toml:"role" json:"role"`
-	Class           string            `toml:"machine_class" json:"machine_class"`
-	IP              string            `toml:"ip" json:"ip"`
-	Zone            string            `toml:"zone" json:"zone"`
-	Region          string            `toml:"region" json:"region"`
-	InternalPorts   []int             `toml:"internal_ports" json:"internal_ports"`
-	SeedNodes       []string          `toml:"seed_nodes" json:"seed_nodes"`
-	FirstStart      bool              `toml:"first_start" json:"first_start"`
-	CountsForQuorum bool              `toml:"counts_for_quorum" json:"counts_for_quorum"`
-	LoopbackIP      string            `toml:"loopback_ip" json:"loopback_ip"` // of this machine; usually empty: 127.0.0.1
-	DataDir         string            `toml:"data_dir" json:"data_dir"`
-	BeatIntervalMS  float64           `toml:"beat_interval_ms" json:"beat_interval_ms"`
-	Contracts       []string          `toml:"contracts" json:"contracts"`
-	Zones           map[string]string `toml:"zones" json:"zones"`
-	Listen          Listen            `toml:"listen_addrs" json:"listen_addrs"`
-	Limits          Limits            `toml:"limits" json:"limits"`
-	Tolerance       Tolerance         `toml:"fault_tolerance" json:"fault_tolerance"`
-	Bounds          Bounds            `toml:"bounds" json:"bounds"`
+	NodeName            string            `toml:"node_name" json:"node_name"`
+	Role                string            `toml:"role" json:"role"`
+	MachineClass        string            `toml:"machine_class" json:"machine_class"`
+	IP                  string            `toml:"ip" json:"ip"`
+	Zone                string            `toml:"zone" json:"zone"`
+	Region              string            `toml:"region" json:"region"`
+	InternalPorts       []int             `toml:"internal_ports" json:"internal_ports"`
+	SeedNodes           []string          `toml:"seed_nodes" json:"seed_nodes"`
+	FirstStart          bool              `toml:"first_start" json:"first_start"`
+	CountsForQuorum     bool              `toml:"counts_for_quorum" json:"counts_for_quorum"`
+	LoopbackIP          string            `toml:"loopback_ip" json:"loopback_ip"` // of this machine; usually empty: 127.0.0.1
+	DataDir             string            `toml:"data_dir" json:"data_dir"`
+	HeartbeatIntervalMS float64           `toml:"beat_interval_ms" json:"beat_interval_ms"`
+	Contracts           []string          `toml:"contracts" json:"contracts"`
+	Zones               map[string]string `toml:"zones" json:"zones"`
+	Listen              ListenAddresses   `toml:"listen_addrs" json:"listen_addrs"`
+	Limits              Limits            `toml:"limits" json:"limits"`
+	Tolerance           FaultTolerance    `toml:"fault_tolerance" json:"fault_tolerance"`
+	Bounds              Bounds            `toml:"bounds" json:"bounds"`
 
 	newSeeds atomic.Pointer[[]string] // those of the file as it was read last; nil: SeedNodes
 }
@@ -95,20 +95,20 @@
 // the range that the platform leaves free.
 const peerPort = 0
 
-// MetricsDoor is a process of a machine, by the place of its metrics in the range of ports
+// MetricsEndpoint is a process of a machine, by the place of its metrics in the range of ports
 // that the platform leaves free, counted from its end.
-type MetricsDoor int
+type MetricsEndpoint int
 
 // The doors.
 const (
-	ProxyMetrics MetricsDoor = iota
+	ProxyMetrics MetricsEndpoint = iota
 	AgentMetrics
 	ControlMetrics
 )
 
 // MetricsAddress is where a process of this machine tells its figures; empty where the
 // platform leaves too few ports free.
-func (s *Settings) MetricsAddress(door MetricsDoor) string {
+func (s *Settings) MetricsAddress(door MetricsEndpoint) string {
 	port := s.InternalPorts[1] - int(door)
 	if port <= s.InternalPorts[0]+peerPort {
 		return ""
@@ -130,11 +130,11 @@
 
 // Advice is what can be done about it.
 func (e *Error) Advice() string {
-	return "name a readable settings file in " + Variable + ", and mend what the error names"
+	return "name a readable settings file in " + SettingsVariable + ", and mend what the error names"
 }
 
 // Load reads the file that the environment names.
-func Load() (*Settings, error) { return Read(os.Getenv(Variable)) }
+func Load() (*Settings, error) { return Read(os.Getenv(SettingsVariable)) }
 
 // Read reads a settings file.
 func Read(path string) (*Settings, error) {
@@ -233,13 +233,13 @@
 // Milliseconds reads a bound.
 func Milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// BeatInterval is the time between two heartbeats of a backend.
-func (s *Settings) BeatInterval() time.Duration {
+// HeartbeatInterval is the time between two heartbeats of a backend.
+func (s *Settings) HeartbeatInterval() time.Duration {
 	const usual = 1200
-	if s.BeatIntervalMS <= 0 {
+	if s.HeartbeatIntervalMS <= 0 {
 		return usual * time.Millisecond
 	}
-	return Milliseconds(s.BeatIntervalMS)
+	return Milliseconds(s.HeartbeatIntervalMS)
 }
 
 // Seconds reads a bound.
--- a/internal/process/host/host.go
+++ b/internal/process/host/host.go
@@ -25,36 +25,36 @@
 	Dial(ctx context.Context, address string) (net.Conn, error)
 }
 
-// OpenStore opens the durable store of a control process.
-type OpenStore func() (*store.Store, error)
+// StoreOpener opens the durable store of a control process.
+type StoreOpener func() (*store.Store, error)
 
 // Host is what a role runs on.
 type Host struct {
-	Settings *bootstrap.Settings
-	Network  Network
-	Open     OpenStore
-	// Forget removes a store that can't be trusted any more.
-	Forget func() error
-	Log    logr.Logger
-	// Life ends when a simulated machine ends its processes at once; nil: a real one does that
+	Settings  *bootstrap.Settings
+	Network   Network
+	OpenStore StoreOpener
+	// RemoveStore removes a store that can't be trusted any more.
+	RemoveStore func() error
+	Log         logr.Logger
+	// CrashContext ends when a simulated machine ends its processes at once; nil: a real one does that
 	// itself.
-	Life context.Context
+	CrashContext context.Context
 }
 
-// Alive ends with the process's life: nothing is waited for beyond it.
-func (h *Host) Alive() context.Context {
-	if h.Life == nil {
+// UntilCrash ends with the process's life: nothing is waited for beyond it.
+func (h *Host) UntilCrash() context.Context {
+	if h.CrashContext == nil {
 		return context.Background()
 	}
-	return h.Life
+	return h.CrashContext
 }
 
-// Machine is the host of a real machine.
-func Machine(settings *bootstrap.Settings, log logr.Logger) *Host {
+// New is the host of a real machine.
+func New(settings *bootstrap.Settings, log logr.Logger) *Host {
 	return &Host{
-		Settings: settings, Network: TCP{}, Log: log,
-		Open:   func() (*store.Store, error) { return store.Open(settings.DataDir) },
-		Forget: func() error { return store.Remove(settings.DataDir) },
+		Settings: settings, Network: OSNetwork{}, Log: log,
+		OpenStore:   func() (*store.Store, error) { return store.Open(settings.DataDir) },
+		RemoveStore: func() error { return store.Remove(settings.DataDir) },
 	}
 }
 
@@ -66,19 +66,19 @@
 	unacknowledged = 3 * time.Second
 )
 
-// TCP is the network of a real machine.
-type TCP struct{}
+// OSNetwork is the network of a real machine.
+type OSNetwork struct{}
 
 // Listen implements Network.
-func (TCP) Listen(address string) (net.Listener, error) { return net.Listen("tcp4", address) }
+func (OSNetwork) Listen(address string) (net.Listener, error) { return net.Listen("tcp4", address) }
 
 // ListenPacket implements Network.
-func (TCP) ListenPacket(address string) (net.PacketConn, error) {
+func (OSNetwork) ListenPacket(address string) (net.PacketConn, error) {
 	return net.ListenPacket("udp4", address)
 }
 
 // Dial implements Network.
-func (TCP) Dial(ctx context.Context, address string) (net.Conn, error) {
+func (OSNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout, Control: setUserTimeout}
 	return dialer.DialContext(ctx, "tcp4", address)
 }
--- a/internal/process/metricserver/compatibility_test.go
+++ b/internal/process/metricserver/compatibility_test.go
@@ -41,10 +41,10 @@
 // names of all figures are recorded with the cluster's tests, where all processes run.
 func TestCompatibilityOfDoor(t *testing.T) {
 	set := vm.NewSet()
-	set.NewGauge(Name("plain"), func() float64 { return Flag(true) })
-	set.NewGauge(Name("off"), func() float64 { return Flag(false) })
-	set.GetOrCreateCounter(Name("one_total", Label{"service", "a"})).Inc()
-	set.GetOrCreateCounter(Name("two_total", Label{"service", `b"c`}, Label{"result", "no connection"})).Inc()
+	set.NewGauge(SeriesName("plain"), func() float64 { return BoolValue(true) })
+	set.NewGauge(SeriesName("off"), func() float64 { return BoolValue(false) })
+	set.GetOrCreateCounter(SeriesName("one_total", Label{"service", "a"})).Inc()
+	set.GetOrCreateCounter(SeriesName("two_total", Label{"service", `b"c`}, Label{"result", "no connection"})).Inc()
 	var out strings.Builder
 	for _, path := range []string{"/metrics", "/other"} {
 		var ctx fasthttp.RequestCtx
--- a/internal/process/metricserver/metrics.go
+++ b/internal/process/metricserver/metrics.go
@@ -31,8 +31,8 @@
 // Label is one label of a figure.
 type Label struct{ Key, Value string }
 
-// Name is the full name of a figure.
-func Name(figure string, labels ...Label) string {
+// SeriesName is the full name of a figure.
+func SeriesName(figure string, labels ...Label) string {
 	if len(labels) == 0 {
 		return figure
 	}
@@ -52,8 +52,8 @@
 	return name.String()
 }
 
-// Flag is a condition as a figure: 1 where it holds.
-func Flag(holds bool) float64 {
+// BoolValue is a condition as a figure: 1 where it holds.
+func BoolValue(holds bool) float64 {
 	if holds {
 		return 1
 	}
--- a/internal/testing/scale/process.go
+++ b/internal/testing/scale/process.go
@@ -39,7 +39,7 @@
 		return nil, eris.Wrap(err, "writing settings")
 	}
 	p := &process{role: role, command: exec.Command(program, role), stderr: &bytes.Buffer{}}
-	p.command.Env = append(os.Environ(), bootstrap.Variable+"="+path)
+	p.command.Env = append(os.Environ(), bootstrap.SettingsVariable+"="+path)
 	p.command.Stderr = p.stderr
 	if err := p.command.Start(); err != nil {
 		return nil, eris.Wrapf(err, "starting %s %s", program, role)
--- a/internal/testing/scale/scale_test.go
+++ b/internal/testing/scale/scale_test.go
@@ -25,7 +25,7 @@
 	if len(os.Args) > 1 && roles[os.Args[1]] != nil {
 		settings, err := bootstrap.Load()
 		if err == nil {
-			err = roles[os.Args[1]](context.Background(), host.Machine(settings, logr.Discard()))
+			err = roles[os.Args[1]](context.Background(), host.New(settings, logr.Discard()))
 		}
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
--- a/internal/testing/scale/system.go
+++ b/internal/testing/scale/system.go
@@ -98,14 +98,14 @@
 func (cfg Config) settings(name string, kind, number int) *bootstrap.Settings {
 	s := &bootstrap.Settings{
 		NodeName: name, IP: address(kind, number), Zone: cfg.zone(number), InternalPorts: []int{peerPort, peerPort + 15},
-		LoopbackIP: address(kind+kindInside, number), FirstStart: true, BeatIntervalMS: float64(cfg.Beat.Milliseconds()), Zones: map[string]string{},
-		Limits: bootstrap.Limits{MemoryMB: 256, Files: 4096}, Tolerance: bootstrap.Tolerance{Machines: (cfg.Controls - 1) / 2},
+		LoopbackIP: address(kind+kindInside, number), FirstStart: true, HeartbeatIntervalMS: float64(cfg.Beat.Milliseconds()), Zones: map[string]string{},
+		Limits: bootstrap.Limits{MemoryMB: 256, MaxOpenFiles: 4096}, Tolerance: bootstrap.FaultTolerance{Machines: (cfg.Controls - 1) / 2},
 		Bounds: bootstrap.Bounds{
-			GraceS: 8, ConfigApplyMS: 2000, RetryBudgetRatio: 0.2, RetryWindowS: 10, RetrySlack: 52,
-			ColdExcess: 1.5, ColdSlack: 5, Fencing: true, LeaseMS: 3000, DrainMS: 2000,
+			ShutdownGraceS: 8, ConfigApplyMS: 2000, RetryBudgetRatio: 0.2, RetryWindowS: 10, RetrySlack: 52,
+			WarmupExcess: 1.5, WarmupSlack: 5, Fencing: true, LeaseDurationMS: 3000, DrainMS: 2000,
 		},
 	}
-	s.Listen = bootstrap.Listen{
+	s.Listen = bootstrap.ListenAddresses{
 		Front: fmt.Sprint(s.IP, ":", frontPort), Readiness: fmt.Sprint(s.IP, ":", readyPort),
 		Control: fmt.Sprint(s.IP, ":", controlPort),
 	}
@@ -159,7 +159,7 @@
 		s.addHollow(s.cfg.settings(fmt.Sprint("edge-", i), kindProxy, i))
 	}
 	s.addBackends(controls)
-	s.operator = operatorclient.NewClient(controls, callPatience, host.TCP{}.Dial)
+	s.operator = operatorclient.NewClient(controls, callPatience, host.OSNetwork{}.Dial)
 	if _, err := s.Change(); err != nil {
 		return err
 	}
@@ -177,12 +177,12 @@
 
 // addHollow starts an agent in this process, and a reader in place of its proxy.
 func (s *System) addHollow(settings *bootstrap.Settings) {
-	machine := &host.Host{Settings: settings, Network: host.TCP{}, Log: logr.Discard()}
+	machine := &host.Host{Settings: settings, Network: host.OSNetwork{}, Log: logr.Discard()}
 	s.hollow.Go(func() { _ = agent.Run(s.ctx, machine) }) // it ends with the system
 	r := &reader{seen: map[uint64]time.Time{}}
 	s.readers = append(s.readers, r)
 	store := watch.New(settings.NodeName, time.Now)
-	client := transport.NewClient(host.TCP{}.Dial)
+	client := transport.NewClient(host.OSNetwork{}.Dial)
 	s.hollow.Go(func() {
 		watch.Follow(s.ctx, store, watch.FollowConfig{
 			WaitTime: time.Second, Log: logr.Discard(),
@@ -203,7 +203,7 @@
 			Address: fmt.Sprint(address(kindBackend, i), ":", backendPort), Controls: func() []string { return controls }, Beat: s.cfg.Beat,
 			Models: []string{model}, CapacityMB: 200000, SizesMB: map[string]float64{model: 60000},
 			LoadTimes: map[string]time.Duration{model: 3 * time.Second},
-		}, host.TCP{})
+		}, host.OSNetwork{})
 		s.backends = append(s.backends, b)
 		s.hollow.Go(func() { _ = b.Serve(s.ctx) }) // it ends with the system
 	}
--- a/internal/testing/simcluster/cluster.go
+++ b/internal/testing/simcluster/cluster.go
@@ -119,7 +119,7 @@
 // network is the network as a machine sees it.
 func (c *Cluster) network(ip string) host.Network {
 	if c.Net == nil {
-		return host.TCP{}
+		return host.OSNetwork{}
 	}
 	return c.Net.Machine(ip)
 }
@@ -163,14 +163,14 @@
 func (c *Cluster) settings(m *Machine) *bootstrap.Settings {
 	s := &bootstrap.Settings{
 		NodeName: m.Name, IP: m.IP, Zone: m.Zone, InternalPorts: []int{peerPort, peerPort + 15},
-		FirstStart: m.first, BeatIntervalMS: 1200, Zones: map[string]string{}, DataDir: "none",
-		Limits:    bootstrap.Limits{MemoryMB: 256, Files: 4096},
-		Tolerance: bootstrap.Tolerance{Machines: (c.cfg.Controls - 1) / 2},
+		FirstStart: m.first, HeartbeatIntervalMS: 1200, Zones: map[string]string{}, DataDir: "none",
+		Limits:    bootstrap.Limits{MemoryMB: 256, MaxOpenFiles: 4096},
+		Tolerance: bootstrap.FaultTolerance{Machines: (c.cfg.Controls - 1) / 2},
 		Bounds: bootstrap.Bounds{
-			GraceS: 8, ConfigApplyMS: 2000, RetryBudgetRatio: 0.2, RetryWindowS: 10, RetrySlack: 52,
-			ColdExcess: 1.5, ColdSlack: 5, Fencing: true, LeaseMS: 3000, DrainMS: 2000,
+			ShutdownGraceS: 8, ConfigApplyMS: 2000, RetryBudgetRatio: 0.2, RetryWindowS: 10, RetrySlack: 52,
+			WarmupExcess: 1.5, WarmupSlack: 5, Fencing: true, LeaseDurationMS: 3000, DrainMS: 2000,
 		},
-		Listen: bootstrap.Listen{
+		Listen: bootstrap.ListenAddresses{
 			Front: fmt.Sprintf("%s:%d", m.IP, frontPort), Readiness: fmt.Sprintf("%s:%d", m.IP, readyPort),
 			Control: fmt.Sprintf("%s:%d", m.IP, controlPort),
 		},
@@ -204,9 +204,9 @@
 	for _, role := range m.roles {
 		machine := &host.Host{
 			Settings: settings, Network: m.cluster.network(m.IP),
-			Log:    m.cluster.cfg.Log.WithValues("node", m.Name),
-			Open:   func() (*store.Store, error) { return store.OpenStorage(disk) },
-			Forget: func() error { return nil }, Life: life,
+			Log:         m.cluster.cfg.Log.WithValues("node", m.Name),
+			OpenStore:   func() (*store.Store, error) { return store.OpenStorage(disk) },
+			RemoveStore: func() error { return nil }, CrashContext: life,
 		}
 		m.running.Go(func() {
 			if err := role(ctx, machine); err != nil {
--- a/internal/testing/simcluster/compatibility_test.go
+++ b/internal/testing/simcluster/compatibility_test.go
@@ -235,7 +235,7 @@
 		number := regexp.MustCompile(` [0-9.e+-]+$`)
 		for name, from := range map[string]struct {
 			machine *Machine
-			door    bootstrap.MetricsDoor
+			door    bootstrap.MetricsEndpoint
 		}{"proxy": {c.Edges[0], bootstrap.ProxyMetrics}, "agent": {c.Edges[0], bootstrap.AgentMetrics}, "control": {c.Controls[0], bootstrap.ControlMetrics}} {
 			status, header, body := replay(t, c, from.machine.door(from.door), rawExchange{name, "GET /metrics HTTP/1.1\nHost: metrics", ""})
 			lines := map[string]bool{fmt.Sprintf("%d %s", status, header.Get("Content-Type")): true}
--- a/internal/testing/simcluster/late_test.go
+++ b/internal/testing/simcluster/late_test.go
@@ -126,8 +126,8 @@
 			is.NoErr(err)
 			return result.Code(reply.Code)
 		}
-		is.Equal(ask(others[0], false), result.Accepted)
-		is.Equal(ask(head, true), result.Accepted)
+		is.Equal(ask(others[0], false), result.Committed)
+		is.Equal(ask(head, true), result.Committed)
 		is.Equal(ask(others[0], true), result.Unavailable)
 	})
 }
--- a/internal/testing/simcluster/metrics_test.go
+++ b/internal/testing/simcluster/metrics_test.go
@@ -16,12 +16,12 @@
 )
 
 // door is where a process of a machine tells its figures.
-func (m *Machine) door(door bootstrap.MetricsDoor) string {
+func (m *Machine) door(door bootstrap.MetricsEndpoint) string {
 	return net.JoinHostPort(m.IP, strconv.Itoa(peerPort+15-int(door)))
 }
 
 // figuresOf reads the metrics of a process of a machine.
-func (c *Cluster) figuresOf(m *Machine, door bootstrap.MetricsDoor) (status int, text string) {
+func (c *Cluster) figuresOf(m *Machine, door bootstrap.MetricsEndpoint) (status int, text string) {
 	status, text, err := c.request(m.door(door), "GET", "/metrics", "", "")
 	if err != nil {
 		return 0, err.Error()
@@ -85,7 +85,7 @@
 		is.NoErr(err)
 		told := map[string]bool{}
 		name := regexp.MustCompile(`marlreel_[a-z_]+|outcome="[a-z_]+"`)
-		for door, m := range map[bootstrap.MetricsDoor]*Machine{bootstrap.ProxyMetrics: c.Edges[0], bootstrap.AgentMetrics: c.Edges[0], bootstrap.ControlMetrics: c.Controls[0]} {
+		for door, m := range map[bootstrap.MetricsEndpoint]*Machine{bootstrap.ProxyMetrics: c.Edges[0], bootstrap.AgentMetrics: c.Edges[0], bootstrap.ControlMetrics: c.Controls[0]} {
 			_, figures := c.figuresOf(m, door)
 			for _, found := range name.FindAllString(figures, -1) {
 				for _, part := range []string{"_bucket", "_sum", "_count"} {
