--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -63,7 +63,7 @@
 		a.asked.Store(time.Now().UnixNano())
 	}
 	wait := min(longestWatch, time.Duration(request.WaitMs)*time.Millisecond)
-	return a.feed.Wait(ctx, request, wait), nil
+	return a.feed.HandleWatch(ctx, request, wait), nil
 }
 
 // ReportDemand implements api.Agent: this agent's own proxy reports.
@@ -79,12 +79,12 @@
 }
 
 // controls are the control processes, the one to ask first in front.
-func (a *Agent) controls() []string { return controlsOf(a.settings, a.feed.Controls()) }
+func (a *Agent) controls() []string { return controlsOf(a.settings, a.feed.ControlNodes()) }
 
 // holdsAny tells whether the feed names this agent as the holder of a role.
 func (a *Agent) holdsAny() bool {
 	holds := false
-	a.feed.View(func(m *state.Machine) {
+	a.feed.ReadState(func(m *state.Machine) {
 		for _, o := range m.Ownerships() {
 			holds = holds || o.Holder == a.holder
 		}
--- a/internal/agent/demand.go
+++ b/internal/agent/demand.go
@@ -146,7 +146,7 @@
 // holderOf is the address of the agent that places a service's models; empty: none does.
 func (r *demandRelay) holderOf(service string) string {
 	address := ""
-	r.agent.feed.View(func(m *state.Machine) {
+	r.agent.feed.ReadState(func(m *state.Machine) {
 		if owner := m.Owner(lease.PlacementKey(service)); owner != nil {
 			address = owner.Address
 		}
@@ -156,7 +156,7 @@
 
 // homeOf is the address of a service's home in this zone.
 func (r *demandRelay) homeOf(service string) string {
-	return relay.Home(watch.ServiceTopic(service), r.self, r.agent.feed.Nodes()).Address
+	return relay.Select(watch.ServiceTopic(service), r.self, r.agent.feed.Nodes()).Address
 }
 
 // enqueue has a report sent: at once, or with others once passGap is over.
--- a/internal/agent/membership.go
+++ b/internal/agent/membership.go
@@ -91,7 +91,7 @@
 	cursor := watch.NewCursor(watch.Topics{watch.TopicState})
 	patience, cancel := context.WithTimeout(ctx, fetchPatience)
 	defer cancel()
-	for again := true; again; again = cursor.Receiving() {
+	for again := true; again; again = cursor.ReceivingSnapshot() {
 		if !m.fetchOnce(patience, control, cursor) {
 			return // the next report finds that it still lags
 		}
@@ -103,10 +103,10 @@
 func (m *membership) fetchOnce(ctx context.Context, control string, cursor *watch.Cursor) bool {
 	call, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	answer, err := api.NewControlProtobufClient("http://"+control, m.client).Watch(call, m.feed.Request(cursor))
+	answer, err := api.NewControlProtobufClient("http://"+control, m.client).Watch(call, m.feed.NewRequest(cursor))
 	if err != nil {
 		return false
 	}
-	m.feed.Take(answer, cursor)
+	m.feed.ApplyReply(answer, cursor)
 	return true
 }
--- a/internal/agent/observations.go
+++ b/internal/agent/observations.go
@@ -41,10 +41,10 @@
 
 // add tells this agent's own proxy at once, and control soon.
 func (o *observations) add(id string, holds map[string][]string) {
-	seen := watch.Observation(id, holds)
-	o.agent.feed.Observe(seen)
+	seen := watch.NewObservation(id, holds)
+	o.agent.feed.RecordObservation(seen)
 	o.mu.Lock()
-	o.hinted.Put(time.Since(o.began), id, seen)
+	o.hinted.Store(time.Since(o.began), id, seen)
 	o.mu.Unlock()
 	select {
 	case o.wake <- struct{}{}:
@@ -70,7 +70,7 @@
 // nothing waits any more.
 func (o *observations) deliver(ctx context.Context) bool {
 	o.mu.Lock()
-	due := o.hinted.Due(time.Since(o.began))
+	due := o.hinted.Pending(time.Since(o.began))
 	o.mu.Unlock()
 	if len(due) == 0 {
 		return true
@@ -85,7 +85,7 @@
 		cancel()
 		if err == nil {
 			o.mu.Lock()
-			o.hinted.Delivered(due)
+			o.hinted.Remove(due)
 			o.mu.Unlock()
 			return true // control passes it on; what came meanwhile has woken this loop again
 		}
--- a/internal/agent/placer.go
+++ b/internal/agent/placer.go
@@ -159,7 +159,7 @@
 func (p *placer) read() bool {
 	var cfg *configuration.Service
 	evacuated := map[string]bool{}
-	p.agent.feed.View(func(m *state.Machine) {
+	p.agent.feed.ReadState(func(m *state.Machine) {
 		if document := m.Document(); document != nil {
 			cfg = document.Service(p.service)
 		}
@@ -313,7 +313,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var document *configuration.Document
-	s.agent.feed.View(func(m *state.Machine) { document = m.Document() })
+	s.agent.feed.ReadState(func(m *state.Machine) { document = m.Document() })
 	wanted := map[string]uint64{}
 	if document != nil {
 		for i := range document.Services {
--- a/internal/agent/subscriptions.go
+++ b/internal/agent/subscriptions.go
@@ -53,7 +53,7 @@
 // topics are what this agent has to know: the state, and the backends of all services.
 func (s *subscriptions) topics() watch.Topics {
 	topics := watch.Topics{watch.TopicState}
-	s.agent.feed.View(func(m *state.Machine) {
+	s.agent.feed.ReadState(func(m *state.Machine) {
 		if document := m.Document(); document != nil {
 			for i := range document.Services {
 				topics = append(topics, watch.ServiceTopic(document.Services[i].Name))
@@ -68,7 +68,7 @@
 	topics := s.topics()
 	wanted := map[string]relay.Subscription{}
 	for _, subscription := range relay.Plan(s.self, s.agent.feed.Nodes(), topics) {
-		wanted[subscription.Home+" "+strings.Join(subscription.Topics, " ")] = subscription
+		wanted[subscription.Relay+" "+strings.Join(subscription.Topics, " ")] = subscription
 	}
 	for key, cancel := range s.running {
 		if _, still := wanted[key]; !still {
@@ -84,26 +84,26 @@
 		s.running[key] = cancel
 		s.readers.Go(func() { s.read(reading, subscription) })
 	}
-	s.agent.feed.Keep(topics)
+	s.agent.feed.RetainTopics(topics)
 }
 
 // read follows one source until ctx ends. Where a home does not answer, control does.
 func (s *subscriptions) read(ctx context.Context, subscription relay.Subscription) {
 	a := s.agent
-	cfg := watch.FollowConfig{
-		Node: a.settings.NodeName, Topics: subscription.Topics, WaitTime: controlWait, Log: a.log, Targets: a.controls,
-		Connect: func(address string) watch.Watcher {
-			if address == subscription.Home {
+	cfg := watch.SubscriberConfig{
+		Name: a.settings.NodeName, Topics: subscription.Topics, MaxWait: controlWait, Log: a.log, Sources: a.controls,
+		Connect: func(address string) watch.Source {
+			if address == subscription.Relay {
 				return api.NewAgentProtobufClient("http://"+address, a.client)
 			}
 			return api.NewControlProtobufClient("http://"+address, a.client)
 		},
 	}
-	if subscription.Home != "" {
-		cfg.WaitTime = homeWait
-		cfg.Targets = func() []string { return slices.Concat([]string{subscription.Home}, a.controls()) }
+	if subscription.Relay != "" {
+		cfg.MaxWait = homeWait
+		cfg.Sources = func() []string { return slices.Concat([]string{subscription.Relay}, a.controls()) }
 	}
-	watch.Follow(ctx, a.feed, cfg)
+	watch.RunSubscriber(ctx, a.feed, cfg)
 }
 
 // rest waits for a span, or until ctx ends.
--- a/internal/controlplane/figures.go
+++ b/internal/controlplane/figures.go
@@ -17,7 +17,7 @@
 	set.RegisterMetricsWriter(s.writeStanding)
 	set.NewGauge("marlreel_config_version", func() float64 {
 		version := uint64(0)
-		s.feed.View(func(m *state.Machine) { version = m.Version() })
+		s.feed.ReadState(func(m *state.Machine) { version = m.Version() })
 		return float64(version)
 	})
 	set.NewGauge("marlreel_backends", func() float64 { return float64(len(s.feed.Backends())) })
--- a/internal/controlplane/link.go
+++ b/internal/controlplane/link.go
@@ -98,7 +98,7 @@
 		return
 	}
 	l.told, l.known = revision, true
-	l.observed.Delivered(hinted)
+	l.observed.Remove(hinted)
 }
 
 // reports are what the peer has not been told, and unless newsAlone who still lives.
@@ -110,7 +110,7 @@
 	if !l.known {
 		told = 0
 	}
-	changed, revision := r.feed.ChangedSince(told)
+	changed, revision := r.feed.BackendsChangedSince(told)
 	reports := &api.MembershipUpdate{From: r.self.Address, Complete: !l.known}
 	news := map[string]bool{}
 	for _, b := range changed {
@@ -126,7 +126,7 @@
 	if !newsAlone || !l.known || r.feed.NodesChangedSince(told) {
 		r.addNodes(reports)
 	}
-	hinted := l.observed.Due(l.now())
+	hinted := l.observed.Pending(l.now())
 	for _, hint := range hinted {
 		reports.Observations = append(reports.Observations, hint.Message)
 	}
--- a/internal/controlplane/owners.go
+++ b/internal/controlplane/owners.go
@@ -165,7 +165,7 @@
 	}
 	var keys []string
 	owned := map[string]*api.Ownership{}
-	o.feed.View(func(m *state.Machine) {
+	o.feed.ReadState(func(m *state.Machine) {
 		if m.Document() == nil {
 			return
 		}
--- a/internal/controlplane/owners_test.go
+++ b/internal/controlplane/owners_test.go
@@ -56,13 +56,13 @@
 func (o *ownersTrial) commit(operation *api.Operation) {
 	o.sequence++
 	o.machine.Apply(&api.Entry{Sequence: o.sequence, Operations: []*api.Operation{operation}})
-	o.out.Reset(o.sequence, o.sequence, o.machine.State())
+	o.out.InstallSnapshot(o.sequence, o.sequence, o.machine.State())
 }
 
 // look does what the head does ever again, while these nodes report.
 func (o *ownersTrial) look(nodes ...string) {
 	for _, name := range nodes {
-		o.out.PutNode(&api.Node{Name: name, Address: name + ":1", Incarnation: 1})
+		o.out.RecordNode(&api.Node{Name: name, Address: name + ":1", Incarnation: 1})
 	}
 	o.owners.look()
 }
--- a/internal/controlplane/registry.go
+++ b/internal/controlplane/registry.go
@@ -65,7 +65,7 @@
 	r.mu.Lock()
 	r.heard[b.Id] = heard{at: time.Now()}
 	r.mu.Unlock()
-	if r.feed.Put(b) {
+	if r.feed.RecordBackend(b) {
 		r.hurry()
 	}
 }
@@ -76,7 +76,7 @@
 	_, known := r.nodes[n.Name]
 	r.nodes[n.Name] = heard{at: time.Now()}
 	r.mu.Unlock()
-	r.feed.PutNode(n)
+	r.feed.RecordNode(n)
 	if !known {
 		r.hurry()
 	}
@@ -122,17 +122,17 @@
 	}
 	r.mu.Unlock()
 	for _, b := range reports.Backends {
-		r.feed.Put(b)
+		r.feed.RecordBackend(b)
 	}
 	known = true
 	for _, s := range reports.Heartbeats {
-		known = r.feed.Seen(s.Id, s.CallSequence, time.Duration(s.AgeMs)*time.Millisecond) && known
+		known = r.feed.RefreshBackend(s.Id, s.CallSequence, time.Duration(s.AgeMs)*time.Millisecond) && known
 	}
 	for _, n := range reports.Nodes {
-		r.feed.PutNode(n)
+		r.feed.RecordNode(n)
 	}
 	for _, o := range reports.Observations {
-		r.feed.Observe(o)
+		r.feed.RecordObservation(o)
 	}
 	return known
 }
@@ -220,9 +220,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, o := range observed {
-		r.feed.Observe(o)
+		r.feed.RecordObservation(o)
 		for _, l := range r.links {
-			l.observed.Put(l.now(), o.Id, o)
+			l.observed.Store(l.now(), o.Id, o)
 			l.hurry()
 		}
 	}
@@ -250,6 +250,6 @@
 	}
 	maps.DeleteFunc(r.read, func(_ string, at time.Time) bool { return now.Sub(at) > nodeSilence })
 	r.mu.Unlock()
-	r.feed.Expire(func(b *api.Backend, _ time.Duration) bool { return lost[b.Id] })
+	r.feed.ExpireBackends(func(b *api.Backend, _ time.Duration) bool { return lost[b.Id] })
 	r.feed.ExpireNodes(nodeSilence)
 }
--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -257,17 +257,17 @@
 func (r *Replica) publish(restored bool, committed []*api.Entry) {
 	if restored {
 		snapshot := r.node.Durable().Snapshot
-		r.feed.Reset(snapshot.GetSequence(), snapshot.GetHash(), snapshot.GetState())
+		r.feed.InstallSnapshot(snapshot.GetSequence(), snapshot.GetHash(), snapshot.GetState())
 		var after []*api.Entry
 		for _, entry := range r.node.Durable().Entries {
 			if entry.Sequence <= r.node.Committed() {
 				after = append(after, entry)
 			}
 		}
-		r.feed.Append(after)
+		r.feed.AppendEntries(after)
 		return
 	}
-	r.feed.Append(committed)
+	r.feed.AppendEntries(committed)
 }
 
 // settle answers for the submissions of an entry.
--- a/internal/controlplane/role.go
+++ b/internal/controlplane/role.go
@@ -142,8 +142,8 @@
 		}
 		keeper.Standing(func(s Standing) {
 			members.set(s)
-			out.SetControls(registry.Places(s.Members))
-			out.SetStanding(word.of(s, time.Now()))
+			out.SetControlNodes(registry.Places(s.Members))
+			out.SetSourceStatus(word.of(s, time.Now()))
 		})
 	}
 }
@@ -155,12 +155,12 @@
 }
 
 // of takes in where the process stands at a time.
-func (w *standingWord) of(s Standing, now time.Time) watch.Standing {
+func (w *standingWord) of(s Standing, now time.Time) watch.SourceStatus {
 	switch {
 	case !s.Connected:
 		w.connectedSince = time.Time{}
 	case w.connectedSince.IsZero():
 		w.connectedSince = now
 	}
-	return watch.Standing{Fresh: s.Connected, Established: s.Connected && now.Sub(w.connectedSince) > w.establishedAfter}
+	return watch.SourceStatus{Fresh: s.Connected, Established: s.Connected && now.Sub(w.connectedSince) > w.establishedAfter}
 }
--- a/internal/controlplane/service.go
+++ b/internal/controlplane/service.go
@@ -115,7 +115,7 @@
 		s.registry.Reads(request.Subscriber)
 	}
 	wait := min(longestWatch, time.Duration(request.WaitMs)*time.Millisecond)
-	return s.feed.Wait(ctx, request, wait), nil
+	return s.feed.HandleWatch(ctx, request, wait), nil
 }
 
 // Renew implements api.Control.
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -70,7 +70,7 @@
 		Node: s.self, Connected: standing.Connected, View: standing.View, Head: standing.Head, Tail: standing.Tail,
 		Members: standing.Members, Chain: standing.Chain, Leaving: standing.Leaving, CatchingUp: standing.CatchingUp, Committed: standing.Committed, StoreFailed: standing.NoStore,
 	}
-	s.feed.View(func(m *state.Machine) {
+	s.feed.ReadState(func(m *state.Machine) {
 		out.Version, out.Evacuated = m.Version(), m.EvacuatedZones()
 		for _, o := range m.Ownerships() {
 			out.Roles = append(out.Roles, RoleStatus{Key: o.Key, Holder: o.Holder, Fence: o.FencingToken})
--- a/internal/controlplane/world_clients_test.go
+++ b/internal/controlplane/world_clients_test.go
@@ -356,9 +356,9 @@
 	}
 	a.asking = true
 	w, c := a.world, a.source()
-	request := a.feed.Request(a.cursor)
+	request := a.feed.NewRequest(a.cursor)
 	call(w, a.node.Name, c.address, agentTimeout, func(answer func(*api.WatchReply)) {
-		c.run(func() { answer(c.feed.Wait(w.t.Context(), request, 0)) })
+		c.run(func() { answer(c.feed.HandleWatch(w.t.Context(), request, 0)) })
 	}, func(answer **api.WatchReply) {
 		a.asking = false
 		if answer == nil {
@@ -373,7 +373,7 @@
 
 func (a *simAgent) take(answer *api.WatchReply) {
 	w := a.world
-	a.feed.Take(answer, a.cursor)
+	a.feed.ApplyReply(answer, a.cursor)
 	sequence, _ := a.feed.Position()
 	if sequence < a.sequence {
 		w.fault("%s went back from entry %d to %d", a.node.Name, a.sequence, sequence)
@@ -397,7 +397,7 @@
 func (a *simAgent) report() {
 	for _, c := range a.world.cores {
 		node := &api.Node{Name: a.node.Name, Address: a.node.Address, Incarnation: a.node.Incarnation}
-		a.world.datagram(a.node.Name, c.address, func() { c.run(func() { c.feed.PutNode(node) }) })
+		a.world.datagram(a.node.Name, c.address, func() { c.run(func() { c.feed.RecordNode(node) }) })
 	}
 }
 
@@ -462,6 +462,6 @@
 
 // agentVersion is the version of the configuration that an agent goes by.
 func agentVersion(a *simAgent) (version uint64) {
-	a.feed.View(func(m *state.Machine) { version = m.Version() })
+	a.feed.ReadState(func(m *state.Machine) { version = m.Version() })
 	return version
 }
--- a/internal/controlplane/world_test.go
+++ b/internal/controlplane/world_test.go
@@ -481,7 +481,7 @@
 func (c *core) followStanding() {
 	s := standingOf(c.replica)
 	c.members.set(s)
-	c.feed.SetStanding(c.word.of(s, c.world.clock()))
+	c.feed.SetSourceStatus(c.word.of(s, c.world.clock()))
 	if s.Connected {
 		c.world.clients.auditFresh(c)
 	}
--- a/internal/dataplane/gateway/gateway.go
+++ b/internal/dataplane/gateway/gateway.go
@@ -133,7 +133,7 @@
 	}
 	var document *configuration.Document
 	evacuated := map[string]bool{}
-	g.feed.View(func(m *state.Machine) {
+	g.feed.ReadState(func(m *state.Machine) {
 		document = m.Document()
 		for _, zone := range m.EvacuatedZones() {
 			evacuated[zone] = true
--- a/internal/dataplane/gateway/role.go
+++ b/internal/dataplane/gateway/role.go
@@ -70,16 +70,16 @@
 	client := transport.NewClient(machine.Network.Dial)
 	following, stopFollowing := context.WithCancel(context.Background())
 	defer stopFollowing()
-	go watch.Follow(following, source, watch.FollowConfig{
-		Targets: func() []string { return []string{settings.AgentLoopback()} },
-		Connect: func(address string) watch.Watcher { return api.NewAgentProtobufClient("http://"+address, client) },
-		Taken: func(changed bool) {
+	go watch.RunSubscriber(following, source, watch.SubscriberConfig{
+		Sources: func() []string { return []string{settings.AgentLoopback()} },
+		Connect: func(address string) watch.Source { return api.NewAgentProtobufClient("http://"+address, client) },
+		OnReply: func(changed bool) {
 			if changed || !g.ready.Load() {
 				g.Update()
 			}
 			g.Heard()
 		},
-		WaitTime: feedWait, Log: log,
+		MaxWait: feedWait, Log: log,
 	})
 	agent := api.NewAgentProtobufClient("http://"+settings.AgentLoopback(), client)
 	go g.reportDemand(following, agent)
--- a/internal/distribution/hintedhandoff/hints.go
+++ b/internal/distribution/hintedhandoff/hints.go
@@ -11,7 +11,7 @@
 
 // Hint is a message that waits for its delivery.
 type Hint[M any] struct {
-	Subject string
+	Key     string
 	Message M
 	number  uint64 // of the Put that brought it
 	until   time.Duration
@@ -31,9 +31,9 @@
 	return &Table[M]{most: most, life: life, hinted: map[string]Hint[M]{}}
 }
 
-// Put keeps a message, in place of an older one on the same subject. Where there is no room
+// Store keeps a message, in place of an older one on the same subject. Where there is no room
 // the oldest goes.
-func (t *Table[M]) Put(now time.Duration, subject string, message M) {
+func (t *Table[M]) Store(now time.Duration, subject string, message M) {
 	if _, known := t.hinted[subject]; !known && len(t.hinted) >= t.most {
 		t.expire(now)
 		if len(t.hinted) >= t.most {
@@ -48,7 +48,7 @@
 	subject, number := "", uint64(0)
 	for _, hint := range t.hinted {
 		if number == 0 || hint.number < number {
-			subject, number = hint.Subject, hint.number
+			subject, number = hint.Key, hint.number
 		}
 	}
 	return subject
@@ -62,8 +62,8 @@
 	}
 }
 
-// Due gives what is to be delivered, the oldest first. It stays until it is Delivered.
-func (t *Table[M]) Due(now time.Duration) []Hint[M] {
+// Pending gives what is to be delivered, the oldest first. It stays until it is Delivered.
+func (t *Table[M]) Pending(now time.Duration) []Hint[M] {
 	t.expire(now)
 	due := make([]Hint[M], 0, len(t.hinted))
 	for _, hint := range t.hinted {
@@ -73,11 +73,11 @@
 	return due
 }
 
-// Delivered drops hints that have arrived. What has been replaced meanwhile stays.
-func (t *Table[M]) Delivered(hints []Hint[M]) {
+// Remove drops hints that have arrived. What has been replaced meanwhile stays.
+func (t *Table[M]) Remove(hints []Hint[M]) {
 	for _, hint := range hints {
-		if kept, known := t.hinted[hint.Subject]; known && kept.number == hint.number {
-			delete(t.hinted, hint.Subject)
+		if kept, known := t.hinted[hint.Key]; known && kept.number == hint.number {
+			delete(t.hinted, hint.Key)
 		}
 	}
 }
--- a/internal/distribution/hintedhandoff/hints_test.go
+++ b/internal/distribution/hintedhandoff/hints_test.go
@@ -19,30 +19,30 @@
 func TestOnlyTheNewestOfASubjectIsKept(t *testing.T) {
 	is := is.New(t)
 	table := New[int](8, time.Second)
-	table.Put(0, "a", 1)
-	table.Put(0, "b", 2)
-	table.Put(0, "a", 3)
-	is.Equal(messages(table.Due(0)), []int{2, 3})
+	table.Store(0, "a", 1)
+	table.Store(0, "b", 2)
+	table.Store(0, "a", 3)
+	is.Equal(messages(table.Pending(0)), []int{2, 3})
 }
 
 func TestWhatIsReplacedDuringItsDeliveryIsDelivered(t *testing.T) {
 	is := is.New(t)
 	table := New[int](8, time.Second)
-	table.Put(0, "a", 1)
-	sent := table.Due(0)
-	table.Put(0, "a", 2)
-	table.Delivered(sent)
-	is.Equal(messages(table.Due(0)), []int{2})
+	table.Store(0, "a", 1)
+	sent := table.Pending(0)
+	table.Store(0, "a", 2)
+	table.Remove(sent)
+	is.Equal(messages(table.Pending(0)), []int{2})
 }
 
 func TestTheOldestMakesRoom(t *testing.T) {
 	is := is.New(t)
 	table := New[int](2, time.Second)
-	table.Put(0, "a", 1)
-	table.Put(0, "b", 2)
-	table.Put(0, "a", 3)
-	table.Put(0, "c", 4)
-	is.Equal(messages(table.Due(0)), []int{3, 4})
+	table.Store(0, "a", 1)
+	table.Store(0, "b", 2)
+	table.Store(0, "a", 3)
+	table.Store(0, "c", 4)
+	is.Equal(messages(table.Pending(0)), []int{3, 4})
 }
 
 // Whatever happens: what is due is the newest undelivered message of each subject, in the
@@ -86,16 +86,16 @@
 					model = model[1:]
 				}
 				model = append(model, put{subject, next, now + life})
-				table.Put(now, subject, next)
+				table.Store(now, subject, next)
 			},
 			"deliver": func(t *rapid.T) {
 				alive()
-				due := table.Due(now)
+				due := table.Pending(now)
 				count := rapid.IntRange(0, len(due)).Draw(t, "count")
 				for _, hint := range due[:count] {
-					drop(hint.Subject)
+					drop(hint.Key)
 				}
-				table.Delivered(due[:count])
+				table.Remove(due[:count])
 			},
 			"wait": func(t *rapid.T) { now += time.Duration(rapid.IntRange(1, 6).Draw(t, "span")) },
 			"": func(t *rapid.T) {
@@ -104,7 +104,7 @@
 				for _, p := range model {
 					want = append(want, p.message)
 				}
-				got := messages(table.Due(now))
+				got := messages(table.Pending(now))
 				if len(got) != len(want) {
 					t.Fatalf("due %v, wanted %v", got, want)
 				}
--- a/internal/distribution/relay/compatibility_test.go
+++ b/internal/distribution/relay/compatibility_test.go
@@ -53,7 +53,7 @@
 	var out strings.Builder
 	for _, self := range nodes {
 		for _, subscription := range Plan(self, nodes, topics) {
-			fmt.Fprintf(&out, "%s reads from %q: %s\n", self.Name, subscription.Home, strings.Join(subscription.Topics, " "))
+			fmt.Fprintf(&out, "%s reads from %q: %s\n", self.Name, subscription.Relay, strings.Join(subscription.Topics, " "))
 		}
 	}
 	checkRecorded(t, "homes.txt", out.String())
--- a/internal/distribution/relay/homes.go
+++ b/internal/distribution/relay/homes.go
@@ -16,11 +16,11 @@
 // keyPrefix sets the choice of homes apart from that of other roles.
 const keyPrefix = "home/"
 
-// Home is the home of a topic in the zone of a node, as that node sees it. The node itself
+// Select is the home of a topic in the zone of a node, as that node sees it. The node itself
 // counts always, and in its own eyes: so along a way from home to home the rank by which
 // homes are chosen only rises, and nodes that know different lists of nodes never read from
 // each other in a circle.
-func Home(topic watch.Topic, self *api.Node, nodes []*api.Node) *api.Node {
+func Select(topic watch.Topic, self *api.Node, nodes []*api.Node) *api.Node {
 	candidates := []*api.Node{self}
 	for _, node := range nodes {
 		if node.Zone == self.Zone && node.Name != self.Name && !node.Draining {
@@ -32,8 +32,8 @@
 
 // Subscription is what is read from one source.
 type Subscription struct {
-	// Home is the address of the home; empty: the topics are read from control.
-	Home   string
+	// Relay is the address of the home; empty: the topics are read from control.
+	Relay  string
 	Topics watch.Topics
 }
 
@@ -43,7 +43,7 @@
 	byHome := map[string]watch.Topics{}
 	for _, topic := range topics {
 		address := ""
-		if home := Home(topic, self, nodes); home.Name != self.Name {
+		if home := Select(topic, self, nodes); home.Name != self.Name {
 			address = home.Address
 		}
 		byHome[address] = append(byHome[address], topic)
@@ -51,8 +51,8 @@
 	plan := make([]Subscription, 0, len(byHome))
 	for address, followed := range byHome {
 		slices.Sort(followed)
-		plan = append(plan, Subscription{Home: address, Topics: followed})
+		plan = append(plan, Subscription{Relay: address, Topics: followed})
 	}
-	slices.SortFunc(plan, func(a, b Subscription) int { return cmp.Compare(a.Home, b.Home) })
+	slices.SortFunc(plan, func(a, b Subscription) int { return cmp.Compare(a.Relay, b.Relay) })
 	return plan
 }
--- a/internal/distribution/relay/homes_test.go
+++ b/internal/distribution/relay/homes_test.go
@@ -21,7 +21,7 @@
 	is := is.New(t)
 	plan := Plan(node(1, "east"), []*api.Node{node(1, "east"), node(2, "west"), node(3, "west")}, topics)
 	is.Equal(len(plan), 1)
-	is.Equal(plan[0].Home, "")
+	is.Equal(plan[0].Relay, "")
 	is.Equal(len(plan[0].Topics), len(topics))
 }
 
@@ -31,7 +31,7 @@
 	leaving.Draining = true
 	plan := Plan(node(1, "east"), []*api.Node{node(1, "east"), leaving}, topics)
 	is.Equal(len(plan), 1)
-	is.Equal(plan[0].Home, "")
+	is.Equal(plan[0].Relay, "")
 }
 
 // Every zone has one home a topic, however many agents it has, and the homes are spread.
@@ -48,7 +48,7 @@
 	direct, homes := 0, map[string]int{}
 	for _, n := range nodes {
 		for _, subscription := range Plan(n, nodes, many) {
-			if subscription.Home == "" {
+			if subscription.Relay == "" {
 				direct += len(subscription.Topics)
 				homes[n.Zone] += len(subscription.Topics)
 			}
@@ -87,10 +87,10 @@
 						t.Fatalf("topic %s: a circle from node %d", topic, first)
 					}
 					subscription := Plan(node(at, "east"), lists[at], watch.Topics{topic})[0]
-					if subscription.Home == "" {
+					if subscription.Relay == "" {
 						break
 					}
-					at = byAddress[subscription.Home]
+					at = byAddress[subscription.Relay]
 				}
 			}
 		}
--- a/internal/distribution/watch/backends.go
+++ b/internal/distribution/watch/backends.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Put takes in what a backend says of itself. It tells whether that was news.
-func (s *Store) Put(b *api.Backend) bool {
+// RecordBackend takes in what a backend says of itself. It tells whether that was news.
+func (s *Store) RecordBackend(b *api.Backend) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.put(b) {
@@ -92,9 +92,9 @@
 	})
 }
 
-// Seen notes that a backend lives and has nothing new to say. It tells whether the
+// RefreshBackend notes that a backend lives and has nothing new to say. It tells whether the
 // backend is known as it was then.
-func (s *Store) Seen(id string, callSequence uint64, age time.Duration) bool {
+func (s *Store) RefreshBackend(id string, callSequence uint64, age time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	record := s.backends[id]
@@ -108,8 +108,8 @@
 	return true
 }
 
-// Expire drops the backends for which lost says so.
-func (s *Store) Expire(lost func(b *api.Backend, silent time.Duration) bool) {
+// ExpireBackends drops the backends for which lost says so.
+func (s *Store) ExpireBackends(lost func(b *api.Backend, silent time.Duration) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now, dropped := s.now(), false
@@ -135,7 +135,7 @@
 	now := s.now()
 	var list []*api.Backend
 	for _, record := range s.backends {
-		if record.revision > revision && topics.Service(record.backend.Service) {
+		if record.revision > revision && topics.IncludesService(record.backend.Service) {
 			list = append(list, aged(record, now))
 		}
 	}
@@ -172,15 +172,15 @@
 	return s.serviceRevision[service]
 }
 
-// ChangedSince gives the backends that have changed since a revision, and the revision now.
-func (s *Store) ChangedSince(revision uint64) ([]*api.Backend, uint64) {
+// BackendsChangedSince gives the backends that have changed since a revision, and the revision now.
+func (s *Store) BackendsChangedSince(revision uint64) ([]*api.Backend, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.backendsSince(revision, nil), s.revision
 }
 
-// Observation words what a backend holds.
-func Observation(id string, holds map[string][]string) *api.Observation {
+// NewObservation words what a backend holds.
+func NewObservation(id string, holds map[string][]string) *api.Observation {
 	o := &api.Observation{Id: id}
 	for model, adapters := range holds {
 		o.Models = append(o.Models, &api.LoadedModel{Name: model, Adapters: adapters})
@@ -189,9 +189,9 @@
 	return o
 }
 
-// Observe takes in what a backend holds, as whoever gives it orders has seen. It tells
+// RecordObservation takes in what a backend holds, as whoever gives it orders has seen. It tells
 // whether that was news.
-func (s *Store) Observe(o *api.Observation) bool {
+func (s *Store) RecordObservation(o *api.Observation) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	record := s.backends[o.Id]
--- a/internal/distribution/watch/compatibility_test.go
+++ b/internal/distribution/watch/compatibility_test.go
@@ -24,11 +24,11 @@
 func TestCompatibilityOfStateParts(t *testing.T) {
 	document := `{"config_version":1,"remark":"` + strings.Repeat("x", 3*largestAnswer) + `"}`
 	store := New("source", time.Now)
-	store.Reset(7, 99, &api.State{Version: 1, Document: []byte(document), LastFencingToken: 5})
+	store.InstallSnapshot(7, 99, &api.State{Version: 1, Document: []byte(document), LastFencingToken: 5})
 	request := &api.WatchRequest{}
 	var data []byte
 	for {
-		feed := store.Wait(context.Background(), request, 0)
+		feed := store.HandleWatch(context.Background(), request, 0)
 		part := feed.StatePart
 		if part == nil || feed.State != nil || part.Sequence != 7 || part.Hash != 99 || part.Offset != uint64(len(data)) || len(part.Data) == 0 {
 			t.Fatalf("after %d bytes comes no part that goes on there", len(data))
--- a/internal/distribution/watch/exchange.go
+++ b/internal/distribution/watch/exchange.go
@@ -7,8 +7,8 @@
 	"marlreel/internal/api"
 )
 
-// Request is what a reader with this store asks another one for.
-func (s *Store) Request(known *Cursor) *api.WatchRequest {
+// NewRequest is what a reader with this store asks another one for.
+func (s *Store) NewRequest(known *Cursor) *api.WatchRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return &api.WatchRequest{
@@ -33,8 +33,8 @@
 // between is told together. News of the replicated state does not wait.
 const newsGap = 100 * time.Millisecond
 
-// Wait serves a reader what it lacks, once there is something, or nothing new after wait.
-func (s *Store) Wait(ctx context.Context, request *api.WatchRequest, wait time.Duration) *api.WatchReply {
+// HandleWatch serves a reader what it lacks, once there is something, or nothing new after wait.
+func (s *Store) HandleWatch(ctx context.Context, request *api.WatchRequest, wait time.Duration) *api.WatchReply {
 	asked := time.Now()
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -82,7 +82,7 @@
 	switch {
 	case request.Source != s.source || request.Revision < s.standingRevision:
 		return urgentNews
-	case topics.State() && (request.Revision < s.stateRevision || request.Sequence < s.sequence):
+	case topics.IncludesState() && (request.Revision < s.stateRevision || request.Sequence < s.sequence):
 		return urgentNews
 	case request.Revision < s.newest(topics):
 		return plainNews
@@ -95,7 +95,7 @@
 	topics := Topics(request.Topics)
 	standing := s.standings.of(topics)
 	feed := &api.WatchReply{Source: s.source, Revision: s.revision, Fresh: standing.Fresh, Established: standing.Established}
-	if topics.State() {
+	if topics.IncludesState() {
 		feed.Sequence, feed.Hash, feed.Controls = s.sequence, s.hash, s.controls
 		s.addState(feed, request)
 	}
@@ -106,12 +106,12 @@
 	feed.Backends = s.backendsSince(revision, topics)
 	if !feed.Complete {
 		for _, d := range s.departed {
-			if d.revision > revision && topics.Service(d.service) && s.backends[d.id] == nil {
+			if d.revision > revision && topics.IncludesService(d.service) && s.backends[d.id] == nil {
 				feed.Departed = append(feed.Departed, d.id)
 			}
 		}
 	}
-	if topics.State() && (s.nodesRevision > revision || feed.Complete) {
+	if topics.IncludesState() && (s.nodesRevision > revision || feed.Complete) {
 		feed.Nodes, feed.NodesChanged = s.listNodes(), true
 	}
 	return feed
@@ -133,8 +133,8 @@
 	s.serveState(feed, request)
 }
 
-// Take takes in what another store has served. It tells whether anything is new.
-func (s *Store) Take(feed *api.WatchReply, cursor *Cursor) bool {
+// ApplyReply takes in what another store has served. It tells whether anything is new.
+func (s *Store) ApplyReply(feed *api.WatchReply, cursor *Cursor) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.revision
@@ -148,7 +148,7 @@
 	if cursor.source != feed.Source || feed.Complete {
 		cursor.unconfirmed = map[string]bool{}
 		for id, record := range s.backends {
-			if cursor.topics.Service(record.backend.Service) {
+			if cursor.topics.IncludesService(record.backend.Service) {
 				cursor.unconfirmed[id] = true
 			}
 		}
@@ -166,8 +166,8 @@
 	}
 	// What takes a large state in does not become fresh before that is whole. It may have been fresh before: then it is
 	// behind by no more than the time that the parts take.
-	fresh := feed.Fresh && (!cursor.Receiving() || s.standings.of(cursor.topics).Fresh)
-	if s.setStanding(cursor.topics, Standing{Fresh: fresh, Established: feed.Established}) {
+	fresh := feed.Fresh && (!cursor.ReceivingSnapshot() || s.standings.of(cursor.topics).Fresh)
+	if s.setStanding(cursor.topics, SourceStatus{Fresh: fresh, Established: feed.Established}) {
 		changed = true
 	}
 	if changed {
--- a/internal/distribution/watch/feed_test.go
+++ b/internal/distribution/watch/feed_test.go
@@ -25,8 +25,8 @@
 // read makes one call, and says how long it took and how many backends it told of.
 func (f *follower) read(wait time.Duration) (after time.Duration, backends int) {
 	began := time.Now()
-	feed := f.source.Wait(context.Background(), f.store.Request(f.cursor), wait)
-	f.store.Take(feed, f.cursor)
+	feed := f.source.HandleWatch(context.Background(), f.store.NewRequest(f.cursor), wait)
+	f.store.ApplyReply(feed, f.cursor)
 	return time.Since(began), len(feed.Backends)
 }
 
@@ -50,7 +50,7 @@
 		source := New("source", time.Now)
 		f := newFollower(source)
 		f.read(time.Second)
-		later(2*newsGap, func() { source.Put(backend("a", "llm")) })
+		later(2*newsGap, func() { source.RecordBackend(backend("a", "llm")) })
 		after, told := f.read(time.Second)
 		is.Equal(after, 2*newsGap)
 		is.Equal(told, 1)
@@ -64,7 +64,7 @@
 		f := newFollower(source)
 		f.read(time.Second)
 		for i, id := range []string{"a", "b", "c"} {
-			later(time.Duration(1+i)*newsGap/8, func() { source.Put(backend(id, "llm")) })
+			later(time.Duration(1+i)*newsGap/8, func() { source.RecordBackend(backend(id, "llm")) })
 		}
 		after, told := f.read(time.Second)
 		is.Equal(after, newsGap)
@@ -78,8 +78,8 @@
 		source := New("source", time.Now)
 		f := newFollower(source)
 		f.read(time.Second)
-		later(newsGap/8, func() { source.Put(backend("a", "llm")) })
-		later(newsGap/4, func() { source.Reset(1, 7, &api.State{}) })
+		later(newsGap/8, func() { source.RecordBackend(backend("a", "llm")) })
+		later(newsGap/4, func() { source.InstallSnapshot(1, 7, &api.State{}) })
 		after, told := f.read(time.Second)
 		is.Equal(after, newsGap/4)
 		is.Equal(told, 1)
@@ -92,14 +92,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		source := New("source", time.Now)
-		source.Put(backend("a", "llm"))
-		source.Put(backend("b", "slips"))
+		source.RecordBackend(backend("a", "llm"))
+		source.RecordBackend(backend("b", "slips"))
 		f := newFollower(source, ServiceTopic("slips"))
 		_, told := f.read(time.Second)
 		is.Equal(told, 1)
 		later(newsGap, func() {
-			source.Put(backend("c", "llm"))
-			source.Reset(1, 7, &api.State{})
+			source.RecordBackend(backend("c", "llm"))
+			source.InstallSnapshot(1, 7, &api.State{})
 		})
 		after, told := f.read(time.Second)
 		is.Equal(after, time.Second) // nothing of that is for it
@@ -122,15 +122,15 @@
 			return ids
 		}
 		first := New("first", time.Now)
-		first.Put(backend("a", "llm"))
-		first.Put(backend("b", "slips"))
+		first.RecordBackend(backend("a", "llm"))
+		first.RecordBackend(backend("b", "slips"))
 		f := newFollower(first)
 		f.read(time.Second)
 		second := New("second", time.Now)
 		f.source, f.cursor = second, NewCursor(Topics{ServiceTopic("slips")})
 		f.read(time.Second)
 		is.Equal(ids(f.store), []string{"a", "b"}) // it may not have heard of them yet
-		second.SetStanding(Standing{Fresh: true, Established: true})
+		second.SetSourceStatus(SourceStatus{Fresh: true, Established: true})
 		f.read(time.Second)
 		is.Equal(ids(f.store), []string{"a"})
 	})
@@ -140,16 +140,16 @@
 // part is.
 func TestStandingByTopics(t *testing.T) {
 	is := is.New(t)
-	s := standings{parts: map[Topic]Standing{}}
-	is.Equal(s.of(nil), Standing{})
-	s.set(Topics{TopicState}, Standing{Fresh: true, Established: true})
-	is.Equal(s.of(nil), Standing{Fresh: true, Established: true})
-	s.set(Topics{ServiceTopic("llm")}, Standing{})
-	is.Equal(s.of(nil), Standing{Fresh: true})
-	is.Equal(s.of(Topics{ServiceTopic("llm")}), Standing{})
-	is.Equal(s.of(Topics{ServiceTopic("unknown")}), Standing{})
+	s := standings{parts: map[Topic]SourceStatus{}}
+	is.Equal(s.of(nil), SourceStatus{})
+	s.set(Topics{TopicState}, SourceStatus{Fresh: true, Established: true})
+	is.Equal(s.of(nil), SourceStatus{Fresh: true, Established: true})
+	s.set(Topics{ServiceTopic("llm")}, SourceStatus{})
+	is.Equal(s.of(nil), SourceStatus{Fresh: true})
+	is.Equal(s.of(Topics{ServiceTopic("llm")}), SourceStatus{})
+	is.Equal(s.of(Topics{ServiceTopic("unknown")}), SourceStatus{})
 	s.keep(Topics{TopicState})
-	is.Equal(s.of(nil), Standing{Fresh: true, Established: true})
+	is.Equal(s.of(nil), SourceStatus{Fresh: true, Established: true})
 }
 
 // What is kept for readers that lag is bounded in bytes too; who lags further gets the whole state.
@@ -159,7 +159,7 @@
 	const size, most = largestEntries / 8, 8 * mostEntryBytes / largestEntries
 	add := func(sequence uint64, size int) {
 		change := &api.Operation{Kind: &api.Operation_Modify{Modify: &api.ModifyConfiguration{Change: make([]byte, size)}}}
-		source.Append([]*api.Entry{{Sequence: sequence, PreviousHash: sequence, Hash: sequence + 1, Operations: []*api.Operation{change}}})
+		source.AppendEntries([]*api.Entry{{Sequence: sequence, PreviousHash: sequence, Hash: sequence + 1, Operations: []*api.Operation{change}}})
 	}
 	for sequence := uint64(1); sequence <= 100; sequence++ {
 		add(sequence, size)
--- a/internal/distribution/watch/follow.go
+++ b/internal/distribution/watch/follow.go
@@ -9,20 +9,20 @@
 	"marlreel/internal/api"
 )
 
-// Watcher serves a feed: a control process, or an agent.
-type Watcher interface {
+// Source serves a feed: a control process, or an agent.
+type Source interface {
 	Watch(ctx context.Context, request *api.WatchRequest) (*api.WatchReply, error)
 }
 
-// FollowConfig says how a feed is followed.
-type FollowConfig struct {
-	Node     string                       // who follows; empty: an agent's own proxy
-	Topics   Topics                       // what is followed; none: everything
-	Targets  func() []string              // whom to ask, the best first
-	Connect  func(address string) Watcher // by address
-	Taken    func(changed bool)           // called after each answer; may be nil
-	WaitTime time.Duration                // how long an answer without news may take
-	Log      logr.Logger
+// SubscriberConfig says how a feed is followed.
+type SubscriberConfig struct {
+	Name    string                      // who follows; empty: an agent's own proxy
+	Topics  Topics                      // what is followed; none: everything
+	Sources func() []string             // whom to ask, the best first
+	Connect func(address string) Source // by address
+	OnReply func(changed bool)          // called after each answer; may be nil
+	MaxWait time.Duration               // how long an answer without news may take
+	Log     logr.Logger
 }
 
 const (
@@ -39,15 +39,15 @@
 	staleAfter = 300 * time.Millisecond
 )
 
-// Follow takes in what sources serve until ctx ends. It stays with one source while that
+// RunSubscriber takes in what sources serve until ctx ends. It stays with one source while that
 // answers and its word is fresh, and else goes on to the next.
-func Follow(ctx context.Context, store *Store, cfg FollowConfig) {
+func RunSubscriber(ctx context.Context, store *Store, cfg SubscriberConfig) {
 	cursor, at, pause := NewCursor(cfg.Topics), 0, leastPause
 	var staleSince time.Time
 	answered := time.Now()
 	preferred, turnedAway := "", time.Now()
 	for ctx.Err() == nil {
-		targets := cfg.Targets()
+		targets := cfg.Sources()
 		if len(targets) == 0 {
 			rest(ctx, mostPause)
 			continue
@@ -65,16 +65,16 @@
 			at++
 			turnedAway = time.Now()
 			if time.Since(answered) > silentAfter {
-				store.Unheard(cfg.Topics)
+				store.MarkStale(cfg.Topics)
 			}
 			rest(ctx, pause)
 			pause = min(2*pause, mostPause)
 			continue
 		}
 		pause, answered = leastPause, time.Now()
-		changed := store.Take(feed, cursor)
-		if cfg.Taken != nil {
-			cfg.Taken(changed)
+		changed := store.ApplyReply(feed, cursor)
+		if cfg.OnReply != nil {
+			cfg.OnReply(changed)
 		}
 		if feed.Fresh {
 			staleSince = time.Time{}
@@ -92,13 +92,13 @@
 	}
 }
 
-func ask(ctx context.Context, store *Store, cfg *FollowConfig, address string, cursor *Cursor) (*api.WatchReply, error) {
-	request := store.Request(cursor)
-	wait := cfg.WaitTime
+func ask(ctx context.Context, store *Store, cfg *SubscriberConfig, address string, cursor *Cursor) (*api.WatchReply, error) {
+	request := store.NewRequest(cursor)
+	wait := cfg.MaxWait
 	if !store.Fresh(cfg.Topics) {
 		wait = min(wait, staleAfter)
 	}
-	request.WaitMs, request.Subscriber = uint32(wait.Milliseconds()), cfg.Node
+	request.WaitMs, request.Subscriber = uint32(wait.Milliseconds()), cfg.Name
 	call, cancel := context.WithTimeout(ctx, wait+answerSlack)
 	defer cancel()
 	return cfg.Connect(address).Watch(call, request)
--- a/internal/distribution/watch/nodes.go
+++ b/internal/distribution/watch/nodes.go
@@ -12,8 +12,8 @@
 	heardAt time.Time
 }
 
-// PutNode notes that a node lives.
-func (s *Store) PutNode(n *api.Node) {
+// RecordNode notes that a node lives.
+func (s *Store) RecordNode(n *api.Node) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.putNode(n) {
@@ -83,8 +83,8 @@
 	return s.nodesRevision > revision
 }
 
-// SetControls says where the control processes are.
-func (s *Store) SetControls(controls []*api.ControlNode) {
+// SetControlNodes says where the control processes are.
+func (s *Store) SetControlNodes(controls []*api.ControlNode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(controls) > 0 && !sameControls(s.controls, controls) {
@@ -99,8 +99,8 @@
 	})
 }
 
-// Controls are the control processes, as last known. They must not be changed.
-func (s *Store) Controls() []*api.ControlNode {
+// ControlNodes are the control processes, as last known. They must not be changed.
+func (s *Store) ControlNodes() []*api.ControlNode {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.controls
--- a/internal/distribution/watch/parts.go
+++ b/internal/distribution/watch/parts.go
@@ -91,8 +91,8 @@
 	return &api.StatePart{Sequence: c.partial.sequence, Hash: c.partial.hash, Offset: uint64(len(c.partial.data))}
 }
 
-// Receiving tells whether this reader has some parts of a state, and asks for the others.
-func (c *Cursor) Receiving() bool { return c.partial != nil }
+// ReceivingSnapshot tells whether this reader has some parts of a state, and asks for the others.
+func (c *Cursor) ReceivingSnapshot() bool { return c.partial != nil }
 
 // fitting are the first entries that fit into one answer.
 func (s *Store) fitting(entries []*api.Entry) []*api.Entry {
--- a/internal/distribution/watch/parts_test.go
+++ b/internal/distribution/watch/parts_test.go
@@ -23,27 +23,27 @@
 
 // set has a source hold a large configuration, by one more entry.
 func (f *follower) set(sequence, version uint64) {
-	f.source.Append([]*api.Entry{{Sequence: sequence, PreviousHash: sequence, Hash: sequence + 1, Operations: []*api.Operation{{
+	f.source.AppendEntries([]*api.Entry{{Sequence: sequence, PreviousHash: sequence, Hash: sequence + 1, Operations: []*api.Operation{{
 		Kind: &api.Operation_Replace{Replace: &api.ReplaceConfiguration{BaseVersion: version - 1, Document: largeDocument(version)}},
 	}}}})
 }
 
 // version is that of the configuration that a store holds.
 func version(s *Store) (version uint64) {
-	s.View(func(m *state.Machine) { version = m.Version() })
+	s.ReadState(func(m *state.Machine) { version = m.Version() })
 	return version
 }
 
 // step asks once, and gives the answer's size.
 func (f *follower) step() int {
-	answer := f.source.since(f.store.Request(f.cursor))
-	f.store.Take(answer, f.cursor)
+	answer := f.source.since(f.store.NewRequest(f.cursor))
+	f.store.ApplyReply(answer, f.cursor)
 	return len(answer.StatePart.GetData())
 }
 
 func newLargeFollower() *follower {
 	source := New("source", time.Now)
-	source.SetStanding(Standing{Fresh: true, Established: true})
+	source.SetSourceStatus(SourceStatus{Fresh: true, Established: true})
 	return newFollower(source)
 }
 
@@ -62,7 +62,7 @@
 	is.True(f.store.Fresh(nil))
 	sequence, hash := f.store.Position()
 	is.True(sequence == 1 && hash == 2)
-	is.True(!f.cursor.Receiving())
+	is.True(!f.cursor.ReceivingSnapshot())
 }
 
 // Changes that come meanwhile neither spoil nor prolong it, also where one of them is too large for an answer.
@@ -91,7 +91,7 @@
 			f.step()
 		}
 		if !fresh {
-			f.store.Unheard(nil)
+			f.store.MarkStale(nil)
 		}
 		f.set(2, 2)
 		for answers := 0; version(f.store) < 2; answers++ {
@@ -111,7 +111,7 @@
 	f.step()
 	f.step()
 	f.source = New("another", time.Now)
-	f.source.SetStanding(Standing{Fresh: true, Established: true})
+	f.source.SetSourceStatus(SourceStatus{Fresh: true, Established: true})
 	f.set(1, 1)
 	for answers := 0; version(f.store) == 0; answers++ {
 		is.True(answers < 20)
@@ -126,12 +126,12 @@
 	f := newLargeFollower()
 	f.set(1, 1)
 	f.step()
-	is.True(f.cursor.Receiving())
-	fitting := f.source.since(f.store.Request(f.cursor))
+	is.True(f.cursor.ReceivingSnapshot())
+	fitting := f.source.since(f.store.NewRequest(f.cursor))
 	is.Equal(fitting.StatePart.Offset, uint64(largestAnswer))
 	fitting.Source = "another"
-	f.store.Take(fitting, f.cursor)
-	is.True(!f.cursor.Receiving())
+	f.store.ApplyReply(fitting, f.cursor)
+	is.True(!f.cursor.ReceivingSnapshot())
 	for answers := 0; version(f.store) == 0; answers++ {
 		is.True(answers < 20)
 		f.step()
--- a/internal/distribution/watch/store.go
+++ b/internal/distribution/watch/store.go
@@ -55,7 +55,7 @@
 	return &Store{
 		source: source, changed: make(chan struct{}), machine: state.New(), now: now,
 		backends: map[string]*backendRecord{}, nodes: map[string]*nodeRecord{}, serviceRevision: map[string]uint64{},
-		standings: standings{parts: map[Topic]Standing{}},
+		standings: standings{parts: map[Topic]SourceStatus{}},
 	}
 }
 
@@ -87,15 +87,15 @@
 	return s.sequence, s.hash
 }
 
-// View calls read with the state, which must not be kept nor changed.
-func (s *Store) View(read func(m *state.Machine)) {
+// ReadState calls read with the state, which must not be kept nor changed.
+func (s *Store) ReadState(read func(m *state.Machine)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	read(s.machine)
 }
 
-// SetStanding says what all that this store knows is worth.
-func (s *Store) SetStanding(standing Standing) {
+// SetSourceStatus says what all that this store knows is worth.
+func (s *Store) SetSourceStatus(standing SourceStatus) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.setStanding(nil, standing) {
@@ -103,7 +103,7 @@
 	}
 }
 
-func (s *Store) setStanding(topics Topics, standing Standing) (changed bool) {
+func (s *Store) setStanding(topics Topics, standing SourceStatus) (changed bool) {
 	if !s.standings.set(topics, standing) {
 		return false
 	}
@@ -111,8 +111,8 @@
 	return true
 }
 
-// Keep says which topics are still followed.
-func (s *Store) Keep(topics Topics) {
+// RetainTopics says which topics are still followed.
+func (s *Store) RetainTopics(topics Topics) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.standings.keep(topics) {
@@ -123,23 +123,23 @@
 
 // newest is the revision of the last change of what a reader follows.
 func (s *Store) newest(topics Topics) uint64 {
-	if topics.Whole() {
+	if topics.All() {
 		return s.revision
 	}
 	last := s.standingRevision
-	if topics.State() {
+	if topics.IncludesState() {
 		last = max(last, s.stateRevision)
 	}
 	for service, revision := range s.serviceRevision {
-		if topics.Service(service) {
+		if topics.IncludesService(service) {
 			last = max(last, revision)
 		}
 	}
 	return last
 }
 
-// Append takes committed entries in.
-func (s *Store) Append(entries []*api.Entry) {
+// AppendEntries takes committed entries in.
+func (s *Store) AppendEntries(entries []*api.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.append(entries)
@@ -176,8 +176,8 @@
 	}
 }
 
-// Reset sets the replicated state, unless what is known is newer.
-func (s *Store) Reset(sequence, hash uint64, from *api.State) {
+// InstallSnapshot sets the replicated state, unless what is known is newer.
+func (s *Store) InstallSnapshot(sequence, hash uint64, from *api.State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reset(sequence, hash, from)
@@ -194,8 +194,8 @@
 	s.touchState()
 }
 
-// Unheard notes that no source of some topics answers: what is known of them may be old.
-func (s *Store) Unheard(topics Topics) {
+// MarkStale notes that no source of some topics answers: what is known of them may be old.
+func (s *Store) MarkStale(topics Topics) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	standing := s.standings.of(topics)
--- a/internal/distribution/watch/topic.go
+++ b/internal/distribution/watch/topic.go
@@ -17,17 +17,19 @@
 // Topics is what a reader follows. None stands for all of the feed.
 type Topics []Topic
 
-// Whole tells whether all of the feed is followed.
-func (t Topics) Whole() bool { return len(t) == 0 }
+// All tells whether all of the feed is followed.
+func (t Topics) All() bool { return len(t) == 0 }
 
-// State tells whether the replicated state is followed.
-func (t Topics) State() bool { return t.Whole() || slices.Contains(t, TopicState) }
+// IncludesState tells whether the replicated state is followed.
+func (t Topics) IncludesState() bool { return t.All() || slices.Contains(t, TopicState) }
 
-// Service tells whether the backends of a service are followed.
-func (t Topics) Service(name string) bool { return t.Whole() || slices.Contains(t, ServiceTopic(name)) }
+// IncludesService tells whether the backends of a service are followed.
+func (t Topics) IncludesService(name string) bool {
+	return t.All() || slices.Contains(t, ServiceTopic(name))
+}
 
-// Standing is what a source's word is worth.
-type Standing struct {
+// SourceStatus is what a source's word is worth.
+type SourceStatus struct {
 	// Fresh: the source belongs to a chain in service.
 	Fresh bool
 	// Established: it has listened for so long that a backend that it doesn't list is gone.
@@ -35,31 +37,31 @@
 }
 
 // and is what both together are worth.
-func (s Standing) and(o Standing) Standing {
-	return Standing{Fresh: s.Fresh && o.Fresh, Established: s.Established && o.Established}
+func (s SourceStatus) and(o SourceStatus) SourceStatus {
+	return SourceStatus{Fresh: s.Fresh && o.Fresh, Established: s.Established && o.Established}
 }
 
 // standings are the standings of what a store is filled from, by topic.
 type standings struct {
-	whole *Standing // everything comes from one source; nil: it comes by topics
-	parts map[Topic]Standing
+	whole *SourceStatus // everything comes from one source; nil: it comes by topics
+	parts map[Topic]SourceStatus
 }
 
 // of is the standing of the topics that a reader follows. Of all topics together the word
 // is as fresh as the replicated state, and established where each part is.
-func (s *standings) of(topics Topics) Standing {
+func (s *standings) of(topics Topics) SourceStatus {
 	if s.whole != nil {
 		return *s.whole
 	}
-	if topics.Whole() {
-		all := Standing{Fresh: true, Established: len(s.parts) > 0}
+	if topics.All() {
+		all := SourceStatus{Fresh: true, Established: len(s.parts) > 0}
 		for _, part := range s.parts {
 			all = all.and(part)
 		}
 		all.Fresh = s.parts[TopicState].Fresh
 		return all
 	}
-	all := Standing{Fresh: true, Established: true}
+	all := SourceStatus{Fresh: true, Established: true}
 	for _, topic := range topics {
 		all = all.and(s.parts[topic])
 	}
@@ -67,8 +69,8 @@
 }
 
 // set notes the standing of topics. It tells whether that is another one.
-func (s *standings) set(topics Topics, standing Standing) (changed bool) {
-	if topics.Whole() {
+func (s *standings) set(topics Topics, standing SourceStatus) (changed bool) {
+	if topics.All() {
 		changed = s.whole == nil || *s.whole != standing
 		s.whole = &standing
 		return changed
--- a/internal/testing/scale/system.go
+++ b/internal/testing/scale/system.go
@@ -184,12 +184,12 @@
 	store := watch.New(settings.NodeName, time.Now)
 	client := transport.NewClient(host.TCP{}.Dial)
 	s.hollow.Go(func() {
-		watch.Follow(s.ctx, store, watch.FollowConfig{
-			WaitTime: time.Second, Log: logr.Discard(),
-			Targets: func() []string { return []string{settings.AgentLoopback()} },
-			Connect: func(to string) watch.Watcher { return api.NewAgentProtobufClient("http://"+to, client) },
-			Taken: func(bool) {
-				store.View(func(m *state.Machine) { r.note(m.Version()) })
+		watch.RunSubscriber(s.ctx, store, watch.SubscriberConfig{
+			MaxWait: time.Second, Log: logr.Discard(),
+			Sources: func() []string { return []string{settings.AgentLoopback()} },
+			Connect: func(to string) watch.Source { return api.NewAgentProtobufClient("http://"+to, client) },
+			OnReply: func(bool) {
+				store.ReadState(func(m *state.Machine) { r.note(m.Version()) })
 			},
 		})
 	})
--- a/internal/testing/simcluster/homes_test.go
+++ b/internal/testing/simcluster/homes_test.go
@@ -54,7 +54,7 @@
 		if m.Zone != zone {
 			continue
 		}
-		if relay.Home(topic, nodes[i], nodes).Name == m.Name {
+		if relay.Select(topic, nodes[i], nodes).Name == m.Name {
 			home = m
 			continue
 		}
