--- a/cmd/marlreeld/operator.go
+++ b/cmd/marlreeld/operator.go
@@ -218,22 +218,22 @@
 		fmt.Fprintln(table, "leaving\tthis process is about to end")
 	}
 	fmt.Fprintf(table, "configuration\tversion %d\tevacuated: %s\n", s.Version, strings.Join(s.Evacuated, " "))
-	for _, role := range s.Roles {
-		fmt.Fprintf(table, "role\t%s\t%s\tfence %d\n", role.Key, role.Holder, role.Fence)
+	for _, role := range s.Leases {
+		fmt.Fprintf(table, "role\t%s\t%s\tfence %d\n", role.Key, role.Holder, role.FencingToken)
 	}
 	for _, node := range s.Nodes {
-		fmt.Fprintf(table, "node\t%s\t%s\tsilent %d ms\n", node.Name, node.Zone, node.SilentMS)
+		fmt.Fprintf(table, "node\t%s\t%s\tsilent %d ms\n", node.Name, node.Zone, node.AgeMS)
 	}
-	fmt.Fprintf(table, "readers\t%s\n", strings.Join(s.Readers, " "))
+	fmt.Fprintf(table, "readers\t%s\n", strings.Join(s.Subscribers, " "))
 	for _, b := range s.Backends {
 		state := "in service"
 		switch {
 		case b.Draining:
 			state = "draining"
-		case b.ColdMS > 0:
-			state = fmt.Sprintf("cold for %d ms", b.ColdMS)
+		case b.WarmupLeftMS > 0:
+			state = fmt.Sprintf("cold for %d ms", b.WarmupLeftMS)
 		}
-		fmt.Fprintf(table, "backend\t%s\t%s\t%s\t%s\tsilent %d ms\t%s\n", b.ID, b.Service, b.Zone, state, b.SilentMS,
+		fmt.Fprintf(table, "backend\t%s\t%s\t%s\t%s\tsilent %d ms\t%s\n", b.ID, b.Service, b.Zone, state, b.AgeMS,
 			strings.Join(b.Models, " "))
 	}
 	return table.Flush()
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -117,7 +117,7 @@
 	client := transport.NewClient(machine.Network.Dial)
 	a := &Agent{
 		settings: settings, feed: watch.New(fmt.Sprintf("%s/%x", settings.NodeName, incarnation), time.Now),
-		holder: lease.Holder(settings.NodeName, incarnation), backends: newBackendClient(machine.Network.Dial), client: client, log: log,
+		holder: lease.HolderID(settings.NodeName, incarnation), backends: newBackendClient(machine.Network.Dial), client: client, log: log,
 	}
 	a.leases = &leases{holder: a.holder, controls: a.controls, wanted: a.holdsAny, await: a.awaitRole, client: client, log: log}
 	a.observations = newObservations(a)
--- a/internal/agent/backends.go
+++ b/internal/agent/backends.go
@@ -32,7 +32,7 @@
 	http *fasthttp.Client
 }
 
-func newBackendClient(dial transport.Dial) *backendClient {
+func newBackendClient(dial transport.DialFunc) *backendClient {
 	client := transport.NewHTTPClient(dial)
 	client.MaxConnsPerHost, client.MaxIdleConnDuration = backendConnections, backendIdle
 	client.MaxConnWaitTimeout, client.MaxResponseBodySize = backendTimeout, largestReport
@@ -125,7 +125,7 @@
 	}
 	err := c.http.DoDeadline(request, response, deadline)
 	switch {
-	case errors.Is(err, fasthttp.ErrNoFreeConns), errors.Is(err, transport.ErrSurplus):
+	case errors.Is(err, fasthttp.ErrNoFreeConns), errors.Is(err, transport.ErrUnexpectedData):
 		return orderRefused // nothing was written
 	case err != nil:
 		return orderUnclear
--- a/internal/controlplane/lease/compatibility_sent_test.go
+++ b/internal/controlplane/lease/compatibility_sent_test.go
@@ -39,14 +39,14 @@
 // otherwise don't agree.
 func TestCompatibilityOfKeysAndChoices(t *testing.T) {
 	var out strings.Builder
-	fmt.Fprintln(&out, PlacementKey("llm"), PlacementKey(""), Holder("edge-1", 0x1234567890abcdef), Holder("edge-2", 1))
+	fmt.Fprintln(&out, PlacementKey("llm"), PlacementKey(""), HolderID("edge-1", 0x1234567890abcdef), HolderID("edge-2", 1))
 	var nodes []*api.Node
 	for i := range 5 {
 		nodes = append(nodes, &api.Node{Name: fmt.Sprintf("edge-%d", i)})
 	}
 	for i := range 20 {
 		key := PlacementKey(fmt.Sprintf("service-%d", i))
-		fmt.Fprintln(&out, key, Choose(key, nodes).Name)
+		fmt.Fprintln(&out, key, SelectNode(key, nodes).Name)
 	}
 	checkRecorded(t, "keys.txt", out.String())
 }
--- a/internal/controlplane/lease/compatibility_test.go
+++ b/internal/controlplane/lease/compatibility_test.go
@@ -30,7 +30,7 @@
 		{"node-1", 0xbeef, "node-1/0000beef"},
 		{"node-2", 0x0123456789abcdef, "node-2/89abcdef"}, // the upper half is left out
 	} {
-		if got := Holder(c.node, c.incarnation); got != c.want {
+		if got := HolderID(c.node, c.incarnation); got != c.want {
 			t.Errorf("the holder is %q, want %q", got, c.want)
 		}
 	}
@@ -47,7 +47,7 @@
 		"placement/a":     "node-4",
 		"placement/b":     "node-2",
 	} {
-		if got := Choose(key, nodes).GetName(); got != want {
+		if got := SelectNode(key, nodes).GetName(); got != want {
 			t.Errorf("the holder of %s is %q, want %q", key, got, want)
 		}
 	}
--- a/internal/controlplane/lease/ownership.go
+++ b/internal/controlplane/lease/ownership.go
@@ -13,14 +13,14 @@
 // PlacementKey names the role of placing a service's models.
 func PlacementKey(service string) string { return "placement/" + service }
 
-// Holder words who holds a role: one life of one node.
-func Holder(node string, incarnation uint64) string {
+// HolderID words who holds a role: one life of one node.
+func HolderID(node string, incarnation uint64) string {
 	return fmt.Sprintf("%s/%08x", node, uint32(incarnation))
 }
 
-// Choose picks the holder of a role among nodes by rendezvous hashing: roles are spread
+// SelectNode picks the holder of a role among nodes by rendezvous hashing: roles are spread
 // evenly, and only those of a node that leaves move.
-func Choose(key string, nodes []*api.Node) *api.Node {
+func SelectNode(key string, nodes []*api.Node) *api.Node {
 	var best *api.Node
 	var highest uint64
 	for _, node := range nodes {
--- a/internal/controlplane/operatorclient/client.go
+++ b/internal/controlplane/operatorclient/client.go
@@ -28,7 +28,7 @@
 }
 
 // NewClient makes a client for control processes at these addresses.
-func NewClient(controls []string, patience time.Duration, dial transport.Dial) *Client {
+func NewClient(controls []string, patience time.Duration, dial transport.DialFunc) *Client {
 	return &Client{controls: controls, patience: patience, http: transport.NewHTTPClient(dial)}
 }
 
--- a/internal/controlplane/owners.go
+++ b/internal/controlplane/owners.go
@@ -202,8 +202,8 @@
 		passed[owned.Holder] = true
 	}
 	from, passed := candidates(nodes, passed)
-	node := lease.Choose(key, from)
-	holder := lease.Holder(node.Name, node.Incarnation)
+	node := lease.SelectNode(key, from)
+	holder := lease.HolderID(node.Name, node.Incarnation)
 	replaces := owned.GetFencingToken()
 	operation := &api.Operation{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{
 		Key: key, Holder: holder, Address: node.Address,
@@ -221,7 +221,7 @@
 // lately. Where there are none, the last of these is waived first. still is nil where passed was waived.
 func candidates(nodes []*api.Node, passed map[string]bool) (from []*api.Node, still map[string]bool) {
 	staying := slices.DeleteFunc(slices.Clone(nodes), func(n *api.Node) bool { return n.Draining })
-	willing := slices.DeleteFunc(slices.Clone(staying), func(n *api.Node) bool { return passed[lease.Holder(n.Name, n.Incarnation)] })
+	willing := slices.DeleteFunc(slices.Clone(staying), func(n *api.Node) bool { return passed[lease.HolderID(n.Name, n.Incarnation)] })
 	heard := slices.DeleteFunc(slices.Clone(willing), func(n *api.Node) bool {
 		return time.Duration(n.AgeMs)*time.Millisecond > reportedLately
 	})
@@ -264,6 +264,6 @@
 func restarted(owned *api.Ownership, nodes []*api.Node) bool {
 	name, _, _ := strings.Cut(owned.Holder, "/")
 	return slices.ContainsFunc(nodes, func(n *api.Node) bool {
-		return n.Name == name && lease.Holder(n.Name, n.Incarnation) != owned.Holder
+		return n.Name == name && lease.HolderID(n.Name, n.Incarnation) != owned.Holder
 	})
 }
--- a/internal/controlplane/owners_test.go
+++ b/internal/controlplane/owners_test.go
@@ -69,7 +69,7 @@
 
 // holds tells whether a node's renewal is answered with the role.
 func (o *ownersTrial) holds(node string) bool {
-	return len(o.renew(lease.Holder(node, 1), false, o.machine)) > 0
+	return len(o.renew(lease.HolderID(node, 1), false, o.machine)) > 0
 }
 
 func (o *ownersTrial) holder() string { return o.machine.Owner(llmKey).GetHolder() }
@@ -145,7 +145,7 @@
 		o.look("a", "b")
 		overtaken := o.ordered[1]
 		is.Equal(overtaken.GetGrant().GetReplacesFencingToken(), uint64(1))
-		other, replaces := lease.Holder("c", 1), uint64(1)
+		other, replaces := lease.HolderID("c", 1), uint64(1)
 		o.commit(&api.Operation{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{Key: llmKey, Holder: other, Address: "c:1", ReplacesFencingToken: &replaces}}})
 		o.look("a", "b", "c")
 		is.Equal(len(o.ordered), 2)
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -26,36 +26,36 @@
 	Committed   uint64          `json:"committed"`
 	Version     uint64          `json:"config_version"`
 	Evacuated   []string        `json:"evacuated_zones"`
-	Roles       []RoleStatus    `json:"roles"`
+	Leases      []LeaseStatus   `json:"roles"`
 	Nodes       []NodeStatus    `json:"nodes"`
-	Readers     []string        `json:"readers"` // nodes that read the feed at this process
+	Subscribers []string        `json:"readers"` // nodes that read the feed at this process
 	Backends    []BackendStatus `json:"backends"`
 	StoreFailed bool            `json:"store_failed"`
 }
 
-// RoleStatus is a role and who holds it.
-type RoleStatus struct {
-	Key    string `json:"key"`
-	Holder string `json:"holder"`
-	Fence  uint64 `json:"fence"`
+// LeaseStatus is a role and who holds it.
+type LeaseStatus struct {
+	Key          string `json:"key"`
+	Holder       string `json:"holder"`
+	FencingToken uint64 `json:"fence"`
 }
 
 // NodeStatus is a machine that carries traffic.
 type NodeStatus struct {
-	Name     string `json:"name"`
-	Zone     string `json:"zone"`
-	SilentMS uint32 `json:"silent_ms"`
+	Name  string `json:"name"`
+	Zone  string `json:"zone"`
+	AgeMS uint32 `json:"silent_ms"`
 }
 
 // BackendStatus is a backend as it was last heard.
 type BackendStatus struct {
-	ID       string   `json:"id"`
-	Service  string   `json:"service"`
-	Zone     string   `json:"zone"`
-	Draining bool     `json:"draining"`
-	ColdMS   uint32   `json:"cold_ms"`
-	SilentMS uint32   `json:"silent_ms"`
-	Models   []string `json:"models"`
+	ID           string   `json:"id"`
+	Service      string   `json:"service"`
+	Zone         string   `json:"zone"`
+	Draining     bool     `json:"draining"`
+	WarmupLeftMS uint32   `json:"cold_ms"`
+	AgeMS        uint32   `json:"silent_ms"`
+	Models       []string `json:"models"`
 }
 
 // statusPatience bounds the look at the chain.
@@ -73,15 +73,15 @@
 	s.feed.View(func(m *state.Machine) {
 		out.Version, out.Evacuated = m.Version(), m.EvacuatedZones()
 		for _, o := range m.Ownerships() {
-			out.Roles = append(out.Roles, RoleStatus{Key: o.Key, Holder: o.Holder, Fence: o.FencingToken})
+			out.Leases = append(out.Leases, LeaseStatus{Key: o.Key, Holder: o.Holder, FencingToken: o.FencingToken})
 		}
 	})
-	out.Readers = s.registry.Readers()
+	out.Subscribers = s.registry.Readers()
 	for _, n := range s.feed.Nodes() {
-		out.Nodes = append(out.Nodes, NodeStatus{Name: n.Name, Zone: n.Zone, SilentMS: n.AgeMs})
+		out.Nodes = append(out.Nodes, NodeStatus{Name: n.Name, Zone: n.Zone, AgeMS: n.AgeMs})
 	}
 	for _, b := range s.feed.Backends() {
-		status := BackendStatus{ID: b.Id, Service: b.Service, Zone: b.Zone, Draining: b.Draining, ColdMS: b.WarmupLeftMs, SilentMS: b.AgeMs}
+		status := BackendStatus{ID: b.Id, Service: b.Service, Zone: b.Zone, Draining: b.Draining, WarmupLeftMS: b.WarmupLeftMs, AgeMS: b.AgeMs}
 		for _, m := range b.Models {
 			status.Models = append(status.Models, m.Name)
 		}
--- a/internal/controlplane/world_clients_test.go
+++ b/internal/controlplane/world_clients_test.go
@@ -328,7 +328,7 @@
 func (w *world) addAgent(number int) {
 	name := fmt.Sprintf("a%d", number)
 	a := &simAgent{
-		world: w, node: &api.Node{Name: name, Address: name + ":1", Incarnation: 1}, holder: lease.Holder(name, 1),
+		world: w, node: &api.Node{Name: name, Address: name + ":1", Incarnation: 1}, holder: lease.HolderID(name, 1),
 		feed: watch.New(name, w.clock), cursor: watch.NewCursor(nil), at: number,
 	}
 	w.agents = append(w.agents, a)
--- a/internal/dataplane/gateway/gateway.go
+++ b/internal/dataplane/gateway/gateway.go
@@ -29,7 +29,7 @@
 	room        *budget.Budget
 	connections int // to backends, of each service
 	bounds      Bounds
-	dial        transport.Dial
+	dial        transport.DialFunc
 	log         logr.Logger
 	demand      *demandBook
 	figures     *vm.Set
@@ -69,7 +69,7 @@
 
 // Config is what a gateway is told at its start.
 type Config struct {
-	Dial        transport.Dial
+	Dial        transport.DialFunc
 	Name        string
 	Zone        string
 	Zones       []string // all, sorted
--- a/internal/dataplane/gateway/service.go
+++ b/internal/dataplane/gateway/service.go
@@ -145,7 +145,7 @@
 
 // newService starts a service. It needs at least one class.
 func newService(cfg *configuration.Service, classes []balancer.Class, proxies int, self identity, bounds Bounds,
-	room *budget.Budget, connections int, dial transport.Dial, figures *serviceFigures, log logr.Logger,
+	room *budget.Budget, connections int, dial transport.DialFunc, figures *serviceFigures, log logr.Logger,
 ) (*service, error) {
 	s := &service{
 		name: cfg.Name, engines: cfg.Engine != nil, classes: classes, proxies: proxies, rank: self.rank(),
--- a/internal/distribution/relay/homes.go
+++ b/internal/distribution/relay/homes.go
@@ -27,7 +27,7 @@
 			candidates = append(candidates, node)
 		}
 	}
-	return lease.Choose(keyPrefix+topic, candidates)
+	return lease.SelectNode(keyPrefix+topic, candidates)
 }
 
 // Subscription is what is read from one source.
--- a/internal/process/transport/transport.go
+++ b/internal/process/transport/transport.go
@@ -33,11 +33,11 @@
 	largestMessage = 32 << 20
 )
 
-// Dial makes a connection.
-type Dial func(ctx context.Context, address string) (net.Conn, error)
+// DialFunc makes a connection.
+type DialFunc func(ctx context.Context, address string) (net.Conn, error)
 
 // dialFor is a Dial as fasthttp wants one.
-func dialFor(dial Dial, timeout time.Duration) fasthttp.DialFunc {
+func dialFor(dial DialFunc, timeout time.Duration) fasthttp.DialFunc {
 	return func(address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
@@ -45,9 +45,9 @@
 	}
 }
 
-// ErrSurplus says that a kept connection held something that belongs to no call, or had ended. Nothing
+// ErrUnexpectedData says that a kept connection held something that belongs to no call, or had ended. Nothing
 // was written: the call has not been made.
-var ErrSurplus = eris.New("the connection held bytes of no call")
+var ErrUnexpectedData = eris.New("the connection held bytes of no call")
 
 // guardedConn is a connection on which each call begins with nothing left to be read: a backend may
 // send more after a complete answer, and that would be read as the answer to the next call.
@@ -77,7 +77,7 @@
 // Write implements net.Conn.
 func (c *guardedConn) Write(p []byte) (int, error) {
 	if c.answered && !sockets.Quiet(c.Conn) {
-		return 0, ErrSurplus
+		return 0, ErrUnexpectedData
 	}
 	c.answered = false
 	return c.Conn.Write(p)
@@ -89,7 +89,7 @@
 }
 
 // NewHTTPClient makes a plain client, for calls to others than processes of the system.
-func NewHTTPClient(dial Dial) *fasthttp.Client {
+func NewHTTPClient(dial DialFunc) *fasthttp.Client {
 	return &fasthttp.Client{
 		Dial: guarded(dialFor(dial, dialTimeout)), NoDefaultUserAgentHeader: true, MaxIdemponentCallAttempts: 1,
 		DisablePathNormalizing: true,
@@ -97,7 +97,7 @@
 }
 
 // NewClient makes a client.
-func NewClient(dial Dial) *Client {
+func NewClient(dial DialFunc) *Client {
 	return &Client{fasthttp.Client{
 		Dial:                     dialFor(dial, peerDialTimeout),
 		NoDefaultUserAgentHeader: true, MaxIdleConnDuration: idleConnection, MaxResponseBodySize: largestMessage,
--- a/internal/testing/simcluster/history_test.go
+++ b/internal/testing/simcluster/history_test.go
@@ -182,8 +182,8 @@
 	for _, m := range c.Controls {
 		var status controlplane.Status
 		code, answer, err := c.callOne(m, "GET", "/marlreel/status", "", "")
-		if err == nil && code == 200 && json.Unmarshal([]byte(answer), &status) == nil && len(status.Roles) == 1 {
-			return c.holder(status.Roles[0])
+		if err == nil && code == 200 && json.Unmarshal([]byte(answer), &status) == nil && len(status.Leases) == 1 {
+			return c.holder(status.Leases[0])
 		}
 	}
 	return nil
--- a/internal/testing/simcluster/homes_test.go
+++ b/internal/testing/simcluster/homes_test.go
@@ -87,7 +87,7 @@
 		c.Pass(10 * time.Second) // those that read there before the homes were known are forgotten
 		readers := map[string]bool{}
 		for _, m := range c.Controls {
-			for _, name := range c.status(t, m).Readers {
+			for _, name := range c.status(t, m).Subscribers {
 				readers[name] = true
 			}
 		}
--- a/internal/testing/simcluster/roles_test.go
+++ b/internal/testing/simcluster/roles_test.go
@@ -13,20 +13,20 @@
 )
 
 // placer is who places the models, and under which token.
-func (c *Cluster) placer(t *testing.T) controlplane.RoleStatus {
+func (c *Cluster) placer(t *testing.T) controlplane.LeaseStatus {
 	t.Helper()
 	status, answer, err := c.Call("GET", "/marlreel/status", "", "", 4*time.Second)
 	if err != nil || status != 200 {
 		t.Fatalf("status: %d %v", status, err)
 	}
 	var s controlplane.Status
-	if err := json.Unmarshal([]byte(answer), &s); err != nil || len(s.Roles) != 1 {
+	if err := json.Unmarshal([]byte(answer), &s); err != nil || len(s.Leases) != 1 {
 		t.Fatalf("status: %s %v", answer, err)
 	}
-	return s.Roles[0]
+	return s.Leases[0]
 }
 
-func (c *Cluster) holder(role controlplane.RoleStatus) *Machine {
+func (c *Cluster) holder(role controlplane.LeaseStatus) *Machine {
 	name, _, _ := strings.Cut(role.Holder, "/")
 	for _, m := range c.Edges {
 		if m.Name == name {
@@ -47,7 +47,7 @@
 		c.Pass(time.Second)
 		after := c.placer(t)
 		is.True(c.holder(after) != leaving)
-		is.True(after.Fence > before.Fence)
+		is.True(after.FencingToken > before.FencingToken)
 		ended.Wait()
 		c.Pass(5 * time.Second)
 		is.Equal(c.placer(t), after) // and it stays there
@@ -65,7 +65,7 @@
 		c.Pass(4 * time.Second)
 		after := c.placer(t)
 		is.True(c.holder(after) != dead)
-		is.True(after.Fence <= before.Fence+2) // one that was dead too may have been tried
+		is.True(after.FencingToken <= before.FencingToken+2) // one that was dead too may have been tried
 		c.Pass(10 * time.Second)
 		is.Equal(c.placer(t), after)
 	})
@@ -82,7 +82,7 @@
 		c.Pass(1200 * time.Millisecond)
 		after := c.placer(t)
 		is.True(after.Holder != before.Holder)
-		is.True(after.Fence > before.Fence)
+		is.True(after.FencingToken > before.FencingToken)
 	})
 }
 
@@ -105,7 +105,7 @@
 		ended.Wait()
 		c.Pass(2300 * time.Millisecond) // a lease, its margin, a look and a grant
 		after := c.placer(t)
-		is.Equal(after.Fence, before.Fence+1)
+		is.Equal(after.FencingToken, before.FencingToken+1)
 		is.True(c.holder(after) != nil)
 		c.Pass(5 * time.Second)
 		is.Equal(c.placer(t), after) // who has it is alive
