--- a/internal/agent/backends.go
+++ b/internal/agent/backends.go
@@ -69,9 +69,9 @@
 	if err := json.Unmarshal(response.Body(), &r); err != nil {
 		return placement.Report{}, eris.Wrap(err, "reading a report")
 	}
-	out := placement.Report{Busy: r.Busy, Revision: r.Sequence, Holds: map[string][]string{}}
+	out := placement.Report{Busy: r.Busy, Revision: r.Sequence, Loaded: map[string][]string{}}
 	for _, m := range r.Models {
-		out.Holds[m.Name] = m.Adapters
+		out.Loaded[m.Name] = m.Adapters
 	}
 	return out, nil
 }
--- a/internal/agent/compatibility_test.go
+++ b/internal/agent/compatibility_test.go
@@ -147,8 +147,8 @@
 		}
 		var out strings.Builder
 		fmt.Fprintf(&out, "%s\nbusy %t\nrevision %d\n", strings.Join(backend.seen, "\n--\n"), report.Busy, report.Revision)
-		for _, name := range slices.Sorted(maps.Keys(report.Holds)) {
-			adapters, err := json.Marshal(report.Holds[name])
+		for _, name := range slices.Sorted(maps.Keys(report.Loaded)) {
+			adapters, err := json.Marshal(report.Loaded[name])
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/agent/demand.go
+++ b/internal/agent/demand.go
@@ -40,7 +40,7 @@
 }
 
 func newDemandRelay(a *Agent, self *api.Node) *demandRelay {
-	return &demandRelay{agent: a, self: self, began: time.Now(), waiting: map[string][]*api.DemandReport{}, backlogs: backlog.New()}
+	return &demandRelay{agent: a, self: self, began: time.Now(), waiting: map[string][]*api.DemandReport{}, backlogs: backlog.NewTable()}
 }
 
 // own takes in a report of this agent's own proxy, and answers what others have sent to the
@@ -61,7 +61,7 @@
 		if holder != "" && holder != r.self.Address {
 			r.enqueue(holder, part)
 		}
-		reply.OtherBacklogs = append(reply.OtherBacklogs, r.othersOf(service, func(s backlog.Speaker) bool { return s.Node != r.self.Name }))
+		reply.OtherBacklogs = append(reply.OtherBacklogs, r.othersOf(service, func(s backlog.Reporter) bool { return s.Node != r.self.Name }))
 	}
 	return reply
 }
@@ -97,9 +97,9 @@
 			}
 		}
 	}
-	counts := func(s backlog.Speaker) bool { return s.Node != batch.Node }
+	counts := func(s backlog.Reporter) bool { return s.Node != batch.Node }
 	if final {
-		counts = func(s backlog.Speaker) bool { return s != backlog.Elsewhere && s.Zone != batch.Zone }
+		counts = func(s backlog.Reporter) bool { return s != backlog.OtherZones && s.Zone != batch.Zone }
 	}
 	reply := &api.DemandReply{}
 	for service := range services {
@@ -114,15 +114,15 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, b := range report.Backlogs {
-		r.backlogs.Note(time.Since(r.began), b.Service, backlog.Speaker{Node: report.Node, Zone: report.Zone}, backlog.Read(b))
+		r.backlogs.RecordReport(time.Since(r.began), b.Service, backlog.Reporter{Node: report.Node, Zone: report.Zone}, backlog.FromProto(b))
 	}
 }
 
 // othersOf words what those that count have sent to a service's backends.
-func (r *demandRelay) othersOf(service string, counts func(backlog.Speaker) bool) *api.Backlog {
+func (r *demandRelay) othersOf(service string, counts func(backlog.Reporter) bool) *api.Backlog {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return backlog.Message(service, r.backlogs.Sum(time.Since(r.began), service, counts))
+	return backlog.ToProto(service, r.backlogs.Sum(time.Since(r.began), service, counts))
 }
 
 // byService splits a report by service.
@@ -209,7 +209,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, b := range reply.OtherBacklogs {
-		r.backlogs.Note(time.Since(r.began), b.Service, backlog.Elsewhere, backlog.Read(b))
+		r.backlogs.RecordReport(time.Since(r.began), b.Service, backlog.OtherZones, backlog.FromProto(b))
 	}
 }
 
--- a/internal/agent/placer.go
+++ b/internal/agent/placer.go
@@ -114,10 +114,10 @@
 		return
 	}
 	now := p.now()
-	for _, id := range p.planner.Unknown() {
+	for _, id := range p.planner.UnknownBackends() {
 		p.ask(id, reportAgain)
 	}
-	p.planner.Underway(now, func(o placement.Order, since, expected time.Duration, quick bool) {
+	p.planner.VisitPendingOrders(now, func(o placement.Order, since, expected time.Duration, quick bool) {
 		switch {
 		case quick && now-since >= smallOrder:
 			p.assumeDone(o)
@@ -137,11 +137,11 @@
 		return
 	}
 	p.describedAt = now
-	busy, known := p.planner.Busy()
+	busy, known := p.planner.CountBackends()
 	p.log.V(1).Info("placement", "event", "placement-status", "backends", len(p.backends), "known", known, "busy", busy)
 	for _, s := range p.planner.Status(now)[:min(mostDescribed, len(p.planner.Status(now)))] {
-		p.log.V(1).Info("model", "event", "placement-model", "model", s.Model, "rate", s.Rate, "work", s.Work,
-			"waiting", s.Waiting, "holders", s.Holders, "loading", s.Loading)
+		p.log.V(1).Info("model", "event", "placement-model", "model", s.Model, "rate", s.RequestsPerSecond, "work", s.WorkMSPerSecond,
+			"waiting", s.Waiting, "holders", s.Replicas, "loading", s.Loading)
 	}
 }
 
@@ -178,20 +178,20 @@
 			continue
 		}
 		p.backends[b.Id] = b
-		l := placement.Backend{ID: b.Id, Zone: b.Zone, Usable: !b.Draining && !evacuated[b.Zone], Holds: map[string][]string{}}
+		l := placement.Backend{ID: b.Id, Zone: b.Zone, Usable: !b.Draining && !evacuated[b.Zone], Loaded: map[string][]string{}}
 		for _, m := range b.Models {
-			l.Holds[m.Name] = m.Adapters
+			l.Loaded[m.Name] = m.Adapters
 		}
 		list = append(list, l)
 	}
-	p.planner.Listed(p.now(), list)
+	p.planner.SetBackends(p.now(), list)
 	return true
 }
 
 func serviceOf(cfg *configuration.Service, bounds bootstrap.Bounds) placement.Service {
 	s := placement.Service{
 		Models: map[string]placement.Model{}, CapacityMB: cfg.Engine.WeightsMB,
-		AdapterCapacity: cfg.Engine.AdapterCapacity, LoadPerSecond: cfg.Engine.LoadPerS,
+		MaxAdapters: cfg.Engine.AdapterCapacity, MaxLoadsPerSecond: cfg.Engine.LoadPerS,
 	}
 	for _, m := range cfg.Engine.Models {
 		s.Models[m.Name] = placement.Model{
@@ -215,8 +215,8 @@
 			return
 		}
 		p.post(func() {
-			if p.planner.Reported(p.now(), id, report) {
-				p.agent.observations.add(id, report.Holds)
+			if p.planner.OnReport(p.now(), id, report) {
+				p.agent.observations.add(id, report.Loaded)
 			}
 		})
 	}()
@@ -228,9 +228,9 @@
 	if b == nil {
 		return
 	}
-	notice := p.planner.Notice(p.now(), o)
+	notice := p.planner.UnloadDelay(p.now(), o)
 	if notice > 0 {
-		p.agent.observations.add(o.Backend, p.planner.Without(o))
+		p.agent.observations.add(o.Backend, p.planner.LoadedAfterUnload(o))
 	}
 	p.log.V(1).Info("order", "event", "order", "backend", o.Backend, "operation", operationWords[o.Operation],
 		"model", o.Model, "adapter", o.Adapter)
@@ -249,23 +249,23 @@
 func (p *placer) ended(o placement.Order, outcome orderOutcome) {
 	switch outcome {
 	case orderTaken:
-		p.planner.Taken(p.now(), o)
+		p.planner.OnOrderAccepted(p.now(), o)
 		if o.Operation == placement.Unload {
-			p.agent.observations.add(o.Backend, p.planner.Without(o))
+			p.agent.observations.add(o.Backend, p.planner.LoadedAfterUnload(o))
 		}
 	case orderRefused:
-		p.planner.Refused(p.now(), o)
+		p.planner.OnOrderRejected(p.now(), o)
 	case orderFenced:
 		p.log.Info("another one holds a higher token", "event", "placement", "backend", o.Backend)
 		p.agent.leases.drop()
 	default:
-		p.planner.Failed(p.now(), o)
+		p.planner.OnOrderFailed(p.now(), o)
 	}
 }
 
 // assumeDone counts an order as done that takes next to no time: a report would be older.
 func (p *placer) assumeDone(o placement.Order) {
-	if holds, done := p.planner.Assume(p.now(), o); done {
+	if holds, done := p.planner.AssumeCompleted(p.now(), o); done {
 		p.agent.observations.add(o.Backend, holds)
 	}
 }
@@ -351,8 +351,8 @@
 		}
 		p := r.placer
 		p.post(func() {
-			p.planner.Awaited(d.Model, bootstrap.Milliseconds(float64(d.LatencyTargetMs)), int(d.Arrived))
-			p.planner.Asked(p.now(), node, zone, placement.Key{Model: d.Model, Adapter: d.Adapter}, int(d.Arrived), d.WorkMs, int(d.Waiting))
+			p.planner.RecordLatencyTarget(d.Model, bootstrap.Milliseconds(float64(d.LatencyTargetMs)), int(d.Arrived))
+			p.planner.RecordDemand(p.now(), node, zone, placement.Key{Model: d.Model, Adapter: d.Adapter}, int(d.Arrived), d.WorkMs, int(d.Waiting))
 		})
 	}
 }
--- a/internal/dataplane/backlog/backlog.go
+++ b/internal/dataplane/backlog/backlog.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// Life is how long a node's word counts: some reports.
-	Life = 1500 * time.Millisecond
+	// ReportTTL is how long a node's word counts: some reports.
+	ReportTTL = 1500 * time.Millisecond
 	// mostWords bounds the words that are kept, and mostBackends the backends of one of them.
 	mostWords    = 8192
 	mostBackends = 4096
@@ -28,19 +28,19 @@
 // Work is the work of backends by their keys, in ms by the hints of the requests.
 type Work map[uint32]uint32
 
-// Speaker is whose word something is.
-type Speaker struct {
+// Reporter is whose word something is.
+type Reporter struct {
 	// Node is the node whose proxy has sent the work; "" is all nodes of other zones together.
 	Node string
 	Zone string
 }
 
-// Elsewhere speaks for all other zones.
-var Elsewhere = Speaker{}
+// OtherZones speaks for all other zones.
+var OtherZones = Reporter{}
 
 type wordKey struct {
 	service string
-	speaker Speaker
+	speaker Reporter
 }
 
 type word struct {
@@ -53,11 +53,11 @@
 	words map[wordKey]word
 }
 
-// New makes an empty table.
-func New() *Table { return &Table{words: map[wordKey]word{}} }
+// NewTable makes an empty table.
+func NewTable() *Table { return &Table{words: map[wordKey]word{}} }
 
-// Note takes a speaker's word on a service in: all that it has, in place of what it said before.
-func (t *Table) Note(now time.Duration, service string, from Speaker, work Work) {
+// RecordReport takes a speaker's word on a service in: all that it has, in place of what it said before.
+func (t *Table) RecordReport(now time.Duration, service string, from Reporter, work Work) {
 	key := wordKey{service, from}
 	if _, known := t.words[key]; !known && len(t.words) >= mostWords {
 		t.forget(now)
@@ -74,14 +74,14 @@
 // forget drops what counts no more.
 func (t *Table) forget(now time.Duration) {
 	for key, w := range t.words {
-		if now-w.at > Life {
+		if now-w.at > ReportTTL {
 			delete(t.words, key)
 		}
 	}
 }
 
 // Sum adds up what the speakers that count have sent to the backends of a service.
-func (t *Table) Sum(now time.Duration, service string, counts func(Speaker) bool) Work {
+func (t *Table) Sum(now time.Duration, service string, counts func(Reporter) bool) Work {
 	t.forget(now)
 	sum := Work{}
 	for key, w := range t.words {
--- a/internal/dataplane/backlog/compatibility_test.go
+++ b/internal/dataplane/backlog/compatibility_test.go
@@ -44,7 +44,7 @@
 	for i, id := range []string{"i-7f3a91c2", "i-1", "i-2", ""} {
 		work[Key(id)] = uint32(10 * (i + 1))
 	}
-	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(Message("llm", work))
+	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(ToProto("llm", work))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +65,7 @@
 	if err := proto.Unmarshal(data, message); err != nil {
 		t.Fatal(err)
 	}
-	work := Read(message)
+	work := FromProto(message)
 	var out strings.Builder
 	for _, id := range []string{"i-7f3a91c2", "i-1", "i-2", "", "i-unknown"} {
 		fmt.Fprintf(&out, "%q key %d work %d\n", id, Key(id), work[Key(id)])
--- a/internal/dataplane/backlog/message.go
+++ b/internal/dataplane/backlog/message.go
@@ -7,8 +7,8 @@
 	"marlreel/internal/api"
 )
 
-// Message words the work of a service's backends.
-func Message(service string, work Work) *api.Backlog {
+// ToProto words the work of a service's backends.
+func ToProto(service string, work Work) *api.Backlog {
 	message := &api.Backlog{Service: service}
 	for _, key := range slices.Sorted(maps.Keys(work)) {
 		message.Backends = append(message.Backends, key)
@@ -17,8 +17,8 @@
 	return message
 }
 
-// Read takes a message apart. What has no figure is left out.
-func Read(message *api.Backlog) Work {
+// FromProto takes a message apart. What has no figure is left out.
+func FromProto(message *api.Backlog) Work {
 	work := make(Work, len(message.Backends))
 	for i, key := range message.Backends[:min(len(message.Backends), len(message.WorkMs))] {
 		work[key] += message.WorkMs[i]
--- a/internal/dataplane/gateway/backlog.go
+++ b/internal/dataplane/gateway/backlog.go
@@ -29,7 +29,7 @@
 
 // heard tells a service what others have sent to its backends.
 func (s *service) heard(work backlog.Work) {
-	s.engine.Post(func() { s.advisor.Heard(s.engine.Now(), work) })
+	s.engine.Post(func() { s.advisor.RecordPeerBacklog(s.engine.Now(), work) })
 }
 
 // backlogs words the backlogs of all services with model backends.
@@ -37,7 +37,7 @@
 	var all []*api.Backlog
 	for name, s := range g.plan.Load().services {
 		if s.engines {
-			all = append(all, backlog.Message(name, s.backlog()))
+			all = append(all, backlog.ToProto(name, s.backlog()))
 		}
 	}
 	return all
@@ -48,7 +48,7 @@
 	services := g.plan.Load().services
 	for _, b := range reply.OtherBacklogs {
 		if s := services[b.Service]; s != nil {
-			s.heard(backlog.Read(b))
+			s.heard(backlog.FromProto(b))
 		}
 	}
 }
--- a/internal/dataplane/gateway/request.go
+++ b/internal/dataplane/gateway/request.go
@@ -43,7 +43,7 @@
 	}
 	if len(header.Peek(headerPriority)) == 0 && route.Affinity {
 		head = append(head, headerPriority+": "...)
-		head = append(strconv.AppendInt(head, int64(routing.Urgency(route.TargetLatency(), route.Priority, 0)), 10), "\r\n"...)
+		head = append(strconv.AppendInt(head, int64(routing.BackendPriority(route.TargetLatency(), route.Priority, 0)), 10), "\r\n"...)
 	}
 	body := bytes.Clone(ctx.PostBody())
 	if len(body) > 0 || !header.IsGet() && !header.IsHead() {
@@ -111,7 +111,7 @@
 		}
 		needs.Prompt = append(needs.Prompt, balancer.PromptPart{ID: number, Tokens: count})
 	}
-	return needs, routing.WorkOf(prompt, needs.Output)
+	return needs, routing.EstimateWork(prompt, needs.Output)
 }
 
 // remaining is how long the client waits.
--- a/internal/dataplane/gateway/service.go
+++ b/internal/dataplane/gateway/service.go
@@ -140,7 +140,7 @@
 }
 
 func (s *service) settings() balancer.Config {
-	return routing.Settings(s.classes, s.proxies, s.rank, s.zone, s.advisor)
+	return routing.BalancerConfig(s.classes, s.proxies, s.rank, s.zone, s.advisor)
 }
 
 // newService starts a service. It needs at least one class.
@@ -151,7 +151,7 @@
 		name: cfg.Name, engines: cfg.Engine != nil, classes: classes, proxies: proxies, rank: self.rank(),
 		zone: self.zoneIndex(self.zone), bounds: bounds,
 	}
-	s.advisor = routing.New(routing.Config{Self: self.name, Engines: s.engines, Cold: bounds.coldOf(cfg), Repeats: bounds.Repeats},
+	s.advisor = routing.New(routing.Config{Self: self.name, ServesModels: s.engines, Warmup: bounds.coldOf(cfg), Repeats: bounds.Repeats},
 		engine.ClockStart)
 	s.healthPath.Store(&cfg.HealthPath)
 	log = log.WithValues("service", cfg.Name)
@@ -195,7 +195,7 @@
 func (s *service) configure(cfg *configuration.Service, classes []balancer.Class, proxies int, log logr.Logger) {
 	s.healthPath.Store(&cfg.HealthPath)
 	cold := s.bounds.coldOf(cfg)
-	s.engine.Post(func() { s.advisor.ConfigureCold(cold) })
+	s.engine.Post(func() { s.advisor.ConfigureWarmup(cold) })
 	if s.proxies == proxies && slices.Equal(s.classes, classes) {
 		return
 	}
@@ -234,20 +234,20 @@
 			}
 			k := routing.Backend{
 				Backend: prefixcache.Backend{ID: listed.ID, Slots: int(b.Slots)}, Name: b.Id,
-				ColdLeft: time.Duration(b.WarmupLeftMs) * time.Millisecond,
+				WarmupLeft: time.Duration(b.WarmupLeftMs) * time.Millisecond,
 			}
 			for _, m := range b.Models {
 				k.Held = append(k.Held, prefixcache.Held{Model: m.Name, Adapters: m.Adapters})
 			}
 			known = append(known, k)
 		}
-		s.advisor.Listed(s.engine.Now(), known)
+		s.advisor.SetBackends(s.engine.Now(), known)
 	})
 }
 
 // sharedWith tells the budgets who shares them.
 func (s *service) sharedWith(names []string, fresh bool) {
-	s.engine.Post(func() { s.advisor.SharedWith(s.engine.Now(), names, fresh) })
+	s.engine.Post(func() { s.advisor.SetSharers(s.engine.Now(), names, fresh) })
 }
 
 // takeRepeat takes one repeat from the budget for what the engine knows nothing of.
--- a/internal/dataplane/routing/advisor.go
+++ b/internal/dataplane/routing/advisor.go
@@ -26,17 +26,17 @@
 type Config struct {
 	// Self is this proxy's name among those that share budgets.
 	Self string
-	// Engines says that the backends hold models.
-	Engines bool
-	Cold    budgetshare.ColdConfig
-	Repeats budgetshare.RepeatsConfig
+	// ServesModels says that the backends hold models.
+	ServesModels bool
+	Warmup       budgetshare.ColdConfig
+	Repeats      budgetshare.RepeatsConfig
 }
 
 // New makes the advice of a process that starts now.
 func New(cfg Config, now time.Duration) *Advisor {
 	sharers := budgetshare.NewSharers(cfg.Self, now)
 	return &Advisor{
-		table: prefixcache.New(cfg.Engines), sharers: sharers, cold: budgetshare.NewCold(cfg.Cold, sharers),
+		table: prefixcache.New(cfg.ServesModels), sharers: sharers, cold: budgetshare.NewCold(cfg.Warmup, sharers),
 		repeats: budgetshare.NewRepeats(cfg.Repeats, sharers, now), names: map[balancer.BackendID]string{}, others: newOthers(),
 	}
 }
@@ -70,27 +70,27 @@
 // Repeats implements balancer.Advice.
 func (a *Advisor) Repeats(now time.Duration) bool { return a.repeats.Take(now) }
 
-// ConfigureCold sets what backends that have just started bear.
-func (a *Advisor) ConfigureCold(cfg budgetshare.ColdConfig) { a.cold.Configure(cfg) }
+// ConfigureWarmup sets what backends that have just started bear.
+func (a *Advisor) ConfigureWarmup(cfg budgetshare.ColdConfig) { a.cold.Configure(cfg) }
 
-// SharedWith tells the budgets who shares them, by a word that is fresh or not.
-func (a *Advisor) SharedWith(now time.Duration, names []string, fresh bool) {
+// SetSharers tells the budgets who shares them, by a word that is fresh or not.
+func (a *Advisor) SetSharers(now time.Duration, names []string, fresh bool) {
 	a.sharers.Listed(now, names, fresh)
 }
 
-// Heard takes in what other proxies have sent to the backends.
-func (a *Advisor) Heard(now time.Duration, work backlog.Work) { a.others.heard(now, work) }
+// RecordPeerBacklog takes in what other proxies have sent to the backends.
+func (a *Advisor) RecordPeerBacklog(now time.Duration, work backlog.Work) { a.others.heard(now, work) }
 
 // Backend is what the advice is told of a backend of the list.
 type Backend struct {
 	prefixcache.Backend
 	// Name is the backend's id on the wire.
-	Name     string
-	ColdLeft time.Duration
+	Name       string
+	WarmupLeft time.Duration
 }
 
-// Listed takes in the backends that there are.
-func (a *Advisor) Listed(now time.Duration, list []Backend) {
+// SetBackends takes in the backends that there are.
+func (a *Advisor) SetBackends(now time.Duration, list []Backend) {
 	clear(a.names)
 	clear(a.others.keys)
 	held := make([]prefixcache.Backend, 0, len(list))
@@ -100,7 +100,7 @@
 		a.names[b.ID] = b.Name
 		a.others.keys[b.ID] = backlog.Key(b.Name)
 		kept[b.Name] = true
-		a.cold.Set(now, b.Name, now+b.ColdLeft)
+		a.cold.Set(now, b.Name, now+b.WarmupLeft)
 	}
 	a.table.Set(held)
 	a.cold.Forget(func(name string) bool { return kept[name] })
--- a/internal/dataplane/routing/advisor_test.go
+++ b/internal/dataplane/routing/advisor_test.go
@@ -14,10 +14,10 @@
 
 func newAdvisor() *Advisor {
 	a := New(Config{
-		Self: "proxy", Engines: true, Cold: budgetshare.ColdConfig{PerSecond: 1, Excess: 1},
+		Self: "proxy", ServesModels: true, Warmup: budgetshare.ColdConfig{PerSecond: 1, Excess: 1},
 		Repeats: budgetshare.RepeatsConfig{Ratio: 1, Slack: 10, Window: time.Second},
 	}, 0)
-	a.Listed(0, []Backend{
+	a.SetBackends(0, []Backend{
 		{Backend: prefixcache.Backend{ID: 1, Slots: 4, Held: []prefixcache.Held{{Model: "m", Adapters: []string{"a1"}}}}, Name: "one"},
 		{Backend: prefixcache.Backend{ID: 2, Slots: 8, Held: []prefixcache.Held{{Model: "m"}, {Model: "n"}}}, Name: "two"},
 	})
@@ -29,11 +29,11 @@
 	a := newAdvisor()
 	q := &balancer.Request{}
 	is.Equal(a.Extra(0, q, 1), 0.0) // nothing was heard
-	a.Heard(time.Second, backlog.Work{backlog.Key("one"): 250})
+	a.RecordPeerBacklog(time.Second, backlog.Work{backlog.Key("one"): 250})
 	is.Equal(a.Extra(time.Second, q, 1), 250.0)
 	is.Equal(a.Extra(time.Second, q, 2), 0.0)
-	is.Equal(a.Extra(time.Second, q, 3), 0.0)                               // it is not listed
-	is.Equal(a.Extra(time.Second+backlog.Life+time.Millisecond, q, 1), 0.0) // the word is old
+	is.Equal(a.Extra(time.Second, q, 3), 0.0)                                    // it is not listed
+	is.Equal(a.Extra(time.Second+backlog.ReportTTL+time.Millisecond, q, 1), 0.0) // the word is old
 }
 
 func TestHolders(t *testing.T) {
@@ -52,7 +52,7 @@
 	// The same question after another list has another answer.
 	q := &balancer.Request{Needs: &balancer.Needs{Model: "n"}}
 	is.True(!a.Holds(q, 1))
-	a.Listed(0, []Backend{{Backend: prefixcache.Backend{ID: 1, Slots: 4, Held: []prefixcache.Held{{Model: "n"}}}, Name: "one"}})
+	a.SetBackends(0, []Backend{{Backend: prefixcache.Backend{ID: 1, Slots: 4, Held: []prefixcache.Held{{Model: "n"}}}, Name: "one"}})
 	is.True(a.Holds(q, 1))
 	is.True(!a.Holds(q, 2))
 	// Whoever has just failed it is passed by.
@@ -62,11 +62,11 @@
 func TestUrgency(t *testing.T) {
 	is := is.New(t)
 	const short, long = 800 * time.Millisecond, 6 * time.Second
-	is.Equal(Urgency(short, 1, 0), 1)
-	is.Equal(Urgency(short, 2, 0), 2)
-	is.Equal(Urgency(long, 0, 0), 3)                     // it has time
-	is.Equal(Urgency(short, 0, short+1), lowestPriority) // it is late already
-	is.Equal(Urgency(long, 0, short+1), 3)               // it is not
-	is.Equal(Urgency(time.Hour, 20, 0), lowestPriority)  // as backends know them
-	is.Equal(Urgency(short, -3, 0), 0)
+	is.Equal(BackendPriority(short, 1, 0), 1)
+	is.Equal(BackendPriority(short, 2, 0), 2)
+	is.Equal(BackendPriority(long, 0, 0), 3)                     // it has time
+	is.Equal(BackendPriority(short, 0, short+1), lowestPriority) // it is late already
+	is.Equal(BackendPriority(long, 0, short+1), 3)               // it is not
+	is.Equal(BackendPriority(time.Hour, 20, 0), lowestPriority)  // as backends know them
+	is.Equal(BackendPriority(short, -3, 0), 0)
 }
--- a/internal/dataplane/routing/others.go
+++ b/internal/dataplane/routing/others.go
@@ -22,7 +22,7 @@
 
 // at is the work ahead of a request that is sent to a backend now, ms; 0 where no word is fresh.
 func (o *others) at(now time.Duration, to balancer.BackendID) float64 {
-	if now-o.heardAt > backlog.Life {
+	if now-o.heardAt > backlog.ReportTTL {
 		return 0
 	}
 	return float64(o.work[o.keys[to]])
--- a/internal/dataplane/routing/settings.go
+++ b/internal/dataplane/routing/settings.go
@@ -24,8 +24,8 @@
 	restartSpan = time.Millisecond
 )
 
-// Settings are the decision module's, for one service at one of so many proxies.
-func Settings(classes []balancer.Class, proxies, rank, zone int, advice balancer.Advice) balancer.Config {
+// BalancerConfig are the decision module's, for one service at one of so many proxies.
+func BalancerConfig(classes []balancer.Class, proxies, rank, zone int, advice balancer.Advice) balancer.Config {
 	return balancer.Config{
 		Instances: max(1, proxies), Rank: rank, Zone: zone, Tick: time.Millisecond,
 		Classes: classes, Goal: balancer.Goal{Whole: 1}, Prices: balancer.Prices{CrossZone: crossing},
--- a/internal/dataplane/routing/work.go
+++ b/internal/dataplane/routing/work.go
@@ -15,17 +15,17 @@
 	lowestPriority = 9
 )
 
-// WorkOf is the work that a request asks of a model backend, by the tokens of its prompt and those that
+// EstimateWork is the work that a request asks of a model backend, by the tokens of its prompt and those that
 // are to come out at most.
-func WorkOf(promptTokens, outputTokens int) time.Duration {
+func EstimateWork(promptTokens, outputTokens int) time.Duration {
 	work := time.Duration(max(0, promptTokens))*readPace + time.Duration(max(0, outputTokens))*writePace
 	return max(work, time.Millisecond)
 }
 
-// Urgency is the priority that a backend is told of a request, 0 first: that of its route, and later the more
+// BackendPriority is the priority that a backend is told of a request, 0 first: that of its route, and later the more
 // time its aim leaves, as what has time can wait for what has none. What has waited for longer than its aim is
 // late anyway, and goes last: others can still be in time.
-func Urgency(aim time.Duration, priority int, waited time.Duration) int {
+func BackendPriority(aim time.Duration, priority int, waited time.Duration) int {
 	if waited > aim {
 		return lowestPriority
 	}
--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -86,8 +86,8 @@
 	return total
 }
 
-// Asked takes in what a node reports of one model or adapter.
-func (p *Planner) Asked(now time.Duration, node, zone string, key Key, arrived int, workMS float64, waits int) {
+// RecordDemand takes in what a node reports of one model or adapter.
+func (p *Planner) RecordDemand(now time.Duration, node, zone string, key Key, arrived int, workMS float64, waits int) {
 	d := p.demands[key]
 	if d == nil {
 		if len(p.demands) >= mostDemands {
@@ -118,9 +118,9 @@
 	}
 }
 
-// Awaited takes in within what time the requests for a model that have come are to be answered, on average. 0 is not
+// RecordLatencyTarget takes in within what time the requests for a model that have come are to be answered, on average. 0 is not
 // known.
-func (p *Planner) Awaited(model string, aim time.Duration, requests int) {
+func (p *Planner) RecordLatencyTarget(model string, aim time.Duration, requests int) {
 	if aim <= 0 || requests <= 0 {
 		return
 	}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -26,7 +26,7 @@
 	w := &world{
 		planner: New(time.Second), now: time.Second, holds: map[string]map[string][]string{}, revision: map[string]uint64{},
 		until: map[string]time.Duration{}, doing: map[string]Order{}, had: map[string]bool{}, t: t,
-		service: Service{Models: map[string]Model{}, CapacityMB: 200000, AdapterCapacity: 8, LoadPerSecond: 2.2},
+		service: Service{Models: map[string]Model{}, CapacityMB: 200000, MaxAdapters: 8, MaxLoadsPerSecond: 2.2},
 	}
 	for i := range models {
 		name := fmt.Sprintf("m%d", i)
@@ -44,16 +44,16 @@
 	w.now += 100 * time.Millisecond
 	var list []Backend
 	for id, holds := range w.holds {
-		list = append(list, Backend{ID: id, Usable: true, Holds: holds})
+		list = append(list, Backend{ID: id, Usable: true, Loaded: holds})
 	}
-	w.planner.Listed(w.now, list)
+	w.planner.SetBackends(w.now, list)
 	for id := range w.holds {
 		if o, busy := w.doing[id]; busy && w.now >= w.until[id] {
 			w.finish(o)
 			delete(w.doing, id)
 		}
 		_, busy := w.doing[id]
-		w.planner.Reported(w.now, id, Report{Busy: busy, Revision: w.revision[id], Holds: w.holds[id]})
+		w.planner.OnReport(w.now, id, Report{Busy: busy, Revision: w.revision[id], Loaded: w.holds[id]})
 	}
 	for _, o := range w.planner.Plan(w.now) {
 		w.take(o)
@@ -68,7 +68,7 @@
 	if o.Revision != w.revision[o.Backend] {
 		w.t.Fatalf("an order to %s with %d, and it has taken %d", o.Backend, o.Revision, w.revision[o.Backend])
 	}
-	w.planner.Taken(w.now, o)
+	w.planner.OnOrderAccepted(w.now, o)
 	w.revision[o.Backend]++
 	w.doing[o.Backend] = o
 	w.until[o.Backend] = w.now + 50*time.Millisecond
@@ -121,7 +121,7 @@
 				waits = 1
 			}
 			if count := int(rate*float64(w.now/time.Millisecond)/1000) - int(rate*float64((w.now-100*time.Millisecond)/time.Millisecond)/1000); count > 0 || waits > 0 {
-				w.planner.Asked(w.now, "node", "z0", Key{Model: model}, count, workMS*float64(count), waits)
+				w.planner.RecordDemand(w.now, "node", "z0", Key{Model: model}, count, workMS*float64(count), waits)
 			}
 		}
 		w.step()
@@ -163,7 +163,7 @@
 	for range 30 { // time for the store's bucket to fill
 		w.step()
 	}
-	w.planner.Asked(w.now, "node", "z0", Key{Model: "m5"}, 1, 100, 1)
+	w.planner.RecordDemand(w.now, "node", "z0", Key{Model: "m5"}, 1, 100, 1)
 	w.step()
 	is.Equal(len(w.loads), 1)
 }
@@ -184,7 +184,7 @@
 				n++
 			}
 		}
-		if most := w.service.LoadPerSecond*window.Seconds()*excess + 3; float64(n) > most {
+		if most := w.service.MaxLoadsPerSecond*window.Seconds()*excess + 3; float64(n) > most {
 			t.Fatalf("%d loads in the window from %v, and %v are allowed", n, from, most)
 		}
 	}
@@ -197,7 +197,7 @@
 	is := is.New(t)
 	w := newWorld(t, 4, 4)
 	w.ask(6*time.Second, map[string]float64{"m0": 5}, 100)
-	w.planner.Asked(w.now, "node", "z0", Key{Model: "m0", Adapter: "a1"}, 1, 100, 1)
+	w.planner.RecordDemand(w.now, "node", "z0", Key{Model: "m0", Adapter: "a1"}, 1, 100, 1)
 	w.step()
 	w.step()
 	found := 0
@@ -220,37 +220,37 @@
 	p.Configure(Service{Models: map[string]Model{
 		"m0": {Name: "m0", SizeMB: 60000, LoadTime: time.Second},
 		"m1": {Name: "m1", SizeMB: 60000, LoadTime: time.Second},
-	}, CapacityMB: 100000, AdapterCapacity: 8, LoadPerSecond: 10})
+	}, CapacityMB: 100000, MaxAdapters: 8, MaxLoadsPerSecond: 10})
 	full := map[string][]string{"m0": nil}
-	p.Listed(now, []Backend{{ID: "b0", Usable: true, Holds: full}})
-	p.Reported(now, "b0", Report{Revision: 3, Holds: full})
+	p.SetBackends(now, []Backend{{ID: "b0", Usable: true, Loaded: full}})
+	p.OnReport(now, "b0", Report{Revision: 3, Loaded: full})
 	now += 2 * keptFor
-	p.Asked(now, "n", "east", Key{Model: "m1"}, 5, 1000, 5)
+	p.RecordDemand(now, "n", "east", Key{Model: "m1"}, 5, 1000, 5)
 	unload := p.Plan(now)
 	is.Equal(len(unload), 1)
 	is.Equal(unload[0].Operation, Unload)
 
 	look := func() []Order { // what the placer does ever again
 		now += 100 * time.Millisecond
-		p.Underway(now, func(o Order, since, _ time.Duration, quick bool) {
+		p.VisitPendingOrders(now, func(o Order, since, _ time.Duration, quick bool) {
 			if quick && now-since >= 60*time.Millisecond {
-				p.Assume(now, o)
+				p.AssumeCompleted(now, o)
 			}
 		})
-		p.Asked(now, "n", "east", Key{Model: "m1"}, 5, 1000, 5)
+		p.RecordDemand(now, "n", "east", Key{Model: "m1"}, 5, 1000, 5)
 		return p.Plan(now)
 	}
 	for range 5 {
 		is.Equal(len(look()), 0) // its answer is not there
 	}
-	p.Failed(now, unload[0])
+	p.OnOrderFailed(now, unload[0])
 	is.Equal(len(look()), 0)
-	p.Reported(now, "b0", Report{Revision: 3, Holds: full}) // it has not arrived
+	p.OnReport(now, "b0", Report{Revision: 3, Loaded: full}) // it has not arrived
 	now += failureRest
 	again := look()
 	is.Equal(len(again), 1)
 	is.Equal(again[0].Operation, Unload)
-	p.Taken(now, again[0])
+	p.OnOrderAccepted(now, again[0])
 	loads := look()
 	is.Equal(len(loads), 1)
 	is.Equal(loads[0].Operation, Load)
@@ -265,20 +265,20 @@
 			now := time.Second
 			p := New(now)
 			cfg := Service{
-				CapacityMB: 100000, AdapterCapacity: 8, LoadPerSecond: 10,
+				CapacityMB: 100000, MaxAdapters: 8, MaxLoadsPerSecond: 10,
 				Models: map[string]Model{"old": {Name: "old", SizeMB: 60000}, "m1": {Name: "m1", SizeMB: 60000, LoadTime: time.Second}},
 			}
 			if knew {
 				p.Configure(cfg)
 			}
 			holds := map[string][]string{"old": {"a1"}}
-			p.Listed(now, []Backend{{ID: "b0", Usable: true, Holds: holds}})
-			p.Reported(now, "b0", Report{Revision: 1, Holds: holds})
+			p.SetBackends(now, []Backend{{ID: "b0", Usable: true, Loaded: holds}})
+			p.OnReport(now, "b0", Report{Revision: 1, Loaded: holds})
 			cfg.Models = map[string]Model{"m1": cfg.Models["m1"]}
 			p.Configure(cfg)
 			p.Configure(cfg)
 			now += 2 * keptFor
-			p.Asked(now, "n", "east", Key{Model: "m1"}, 5, 1000, 5)
+			p.RecordDemand(now, "n", "east", Key{Model: "m1"}, 5, 1000, 5)
 			orders := p.Plan(now)
 			is.Equal(len(orders), 1)
 			is.Equal(orders[0].Operation, Unload)
@@ -293,7 +293,7 @@
 	is := is.New(t)
 	w := newWorld(t, 2, 12) // with room for three models each
 	for i := range 12 {
-		w.planner.Awaited(fmt.Sprintf("m%d", i), 6*time.Second, 1)
+		w.planner.RecordLatencyTarget(fmt.Sprintf("m%d", i), 6*time.Second, 1)
 	}
 	rates := map[string]float64{}
 	for i := range 6 {
@@ -304,8 +304,8 @@
 		is.Equal(w.holders(fmt.Sprintf("m%d", i)), 1)
 	}
 	for range 60 {
-		w.planner.Awaited("m9", 6*time.Second, 0)
-		w.planner.Asked(w.now, "node", "z0", Key{Model: "m9"}, 0, 0, 1)
+		w.planner.RecordLatencyTarget("m9", 6*time.Second, 0)
+		w.planner.RecordDemand(w.now, "node", "z0", Key{Model: "m9"}, 0, 0, 1)
 		w.step()
 	}
 	is.Equal(w.holders("m9"), 1)
@@ -317,8 +317,8 @@
 	w := newWorld(t, 2, 4)
 	w.ask(20*time.Second, map[string]float64{"m0": 5, "m1": 0.1}, 100)
 	unload := func(model string) Order { return Order{Backend: "b0", Operation: Unload, Key: Key{Model: model}} }
-	is.Equal(w.planner.Notice(w.now, unload("m0")), unloadNotice)
-	is.Equal(w.planner.Notice(w.now, unload("m1")), time.Duration(0))
-	is.Equal(w.planner.Notice(w.now, Order{Backend: "b0", Operation: Load, Key: Key{Model: "m0"}}), time.Duration(0))
-	is.Equal(w.planner.Notice(w.now, Order{Backend: "b0", Operation: Unload, Key: Key{Model: "m0", Adapter: "a1"}}), time.Duration(0))
+	is.Equal(w.planner.UnloadDelay(w.now, unload("m0")), unloadNotice)
+	is.Equal(w.planner.UnloadDelay(w.now, unload("m1")), time.Duration(0))
+	is.Equal(w.planner.UnloadDelay(w.now, Order{Backend: "b0", Operation: Load, Key: Key{Model: "m0"}}), time.Duration(0))
+	is.Equal(w.planner.UnloadDelay(w.now, Order{Backend: "b0", Operation: Unload, Key: Key{Model: "m0", Adapter: "a1"}}), time.Duration(0))
 }
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -263,7 +263,7 @@
 		return Order{}, false
 	}
 	size := p.service.Models[key.Model].AdapterSizeMB
-	if best.adapters() < p.service.AdapterCapacity && p.usedMB(best)+size <= p.service.CapacityMB {
+	if best.adapters() < p.service.MaxAdapters && p.usedMB(best)+size <= p.service.CapacityMB {
 		return p.give(now, best, Load, key), true
 	}
 	victim, found := p.leastAdapter(now, best)
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -17,12 +17,10 @@
 
 // Service is what is configured of a service's model backends.
 type Service struct {
-	Models          map[string]Model
-	CapacityMB      float64
-	AdapterCapacity int
-	LoadPerSecond   float64
-	CeilingWindow   time.Duration
-	CeilingExcess   float64
+	Models            map[string]Model
+	CapacityMB        float64
+	MaxAdapters       int
+	MaxLoadsPerSecond float64
 }
 
 // Backend is what is known of a backend by its heartbeats.
@@ -30,7 +28,7 @@
 	ID     string
 	Zone   string
 	Usable bool                // it may get orders
-	Holds  map[string][]string // adapters by model
+	Loaded map[string][]string // adapters by model
 }
 
 // Operation is what an order does.
@@ -121,8 +119,8 @@
 	return m.SizeMB + float64(adapters)*m.AdapterSizeMB
 }
 
-// Unknown are the backends of which it has to be asked what they hold, before they get orders.
-func (p *Planner) Unknown() []string {
+// UnknownBackends are the backends of which it has to be asked what they hold, before they get orders.
+func (p *Planner) UnknownBackends() []string {
 	var ids []string
 	for id, b := range p.backends {
 		if b.usable && !b.known {
@@ -133,8 +131,8 @@
 	return ids
 }
 
-// Listed sets the backends that there are, with what their heartbeats say.
-func (p *Planner) Listed(now time.Duration, list []Backend) {
+// SetBackends sets the backends that there are, with what their heartbeats say.
+func (p *Planner) SetBackends(now time.Duration, list []Backend) {
 	listed := map[string]bool{}
 	for _, l := range list {
 		listed[l.ID] = true
@@ -145,7 +143,7 @@
 		}
 		b.usable, b.zone = l.Usable, l.Zone
 		if !b.known {
-			b.setHolds(now, l.Holds)
+			b.setHolds(now, l.Loaded)
 		}
 	}
 	for id := range p.backends {
@@ -180,11 +178,11 @@
 type Report struct {
 	Busy     bool
 	Revision uint64
-	Holds    map[string][]string
+	Loaded   map[string][]string
 }
 
-// Reported takes in what a backend says. It tells whether the order that was under way is done.
-func (p *Planner) Reported(now time.Duration, id string, r Report) (done bool) {
+// OnReport takes in what a backend says. It tells whether the order that was under way is done.
+func (p *Planner) OnReport(now time.Duration, id string, r Report) (done bool) {
 	b := p.backends[id]
 	if b == nil {
 		return false
@@ -198,24 +196,24 @@
 	}
 	done = b.order != nil
 	b.order, b.known, b.revision = nil, true, r.Revision
-	b.setHolds(now, r.Holds)
+	b.setHolds(now, r.Loaded)
 	return done
 }
 
 // orderLag is how old a report may be.
 const orderLag = 600 * time.Millisecond
 
-// Taken notes that a backend carries an order out.
-func (p *Planner) Taken(now time.Duration, o Order) {
+// OnOrderAccepted notes that a backend carries an order out.
+func (p *Planner) OnOrderAccepted(now time.Duration, o Order) {
 	if b := p.backends[o.Backend]; b != nil && b.order != nil && *b.order == o {
 		b.orderAt, b.taken = now, true
 		b.revision = o.Revision + 1
 	}
 }
 
-// Failed notes that a backend does not carry an order out, or that this is not known. It
+// OnOrderFailed notes that a backend does not carry an order out, or that this is not known. It
 // gets no other before it was asked again.
-func (p *Planner) Failed(now time.Duration, o Order) {
+func (p *Planner) OnOrderFailed(now time.Duration, o Order) {
 	if b := p.backends[o.Backend]; b != nil {
 		b.order, b.known, b.restUntil = nil, false, now+failureRest
 	}
@@ -228,10 +226,10 @@
 // backends are given up sooner.
 const unansweredAfter = 2 * time.Second
 
-// Underway are the orders that are being carried out, with the time since they were taken.
+// VisitPendingOrders are the orders that are being carried out, with the time since they were taken.
 // quick: they take next to no time, and can be assumed to be done after it. Orders without an
 // answer are left out: whoever sent them will say how that ended.
-func (p *Planner) Underway(now time.Duration, each func(o Order, since, expected time.Duration, quick bool)) {
+func (p *Planner) VisitPendingOrders(now time.Duration, each func(o Order, since, expected time.Duration, quick bool)) {
 	for _, b := range p.sorted() {
 		switch {
 		case b.order == nil:
@@ -270,17 +268,17 @@
 // and each request that has to go elsewhere takes from the budget of repeats.
 const unloadNotice = 300 * time.Millisecond
 
-// Notice is how long an order has to wait once proxies are told what the backend will hold after it; 0: it needs none.
-func (p *Planner) Notice(now time.Duration, o Order) time.Duration {
+// UnloadDelay is how long an order has to wait once proxies are told what the backend will hold after it; 0: it needs none.
+func (p *Planner) UnloadDelay(now time.Duration, o Order) time.Duration {
 	if o.Operation != Unload || o.Adapter != "" || p.modelRate(now, o.Model) <= idleRate {
 		return 0
 	}
 	return unloadNotice
 }
 
-// Refused notes that a backend has not taken an order, being busy still. Room that is being
+// OnOrderRejected notes that a backend has not taken an order, being busy still. Room that is being
 // made there goes on being made.
-func (p *Planner) Refused(now time.Duration, o Order) {
+func (p *Planner) OnOrderRejected(now time.Duration, o Order) {
 	if b := p.backends[o.Backend]; b != nil {
 		b.order, b.known, b.restUntil = nil, false, now+refusalRest
 		if o.Operation == Load && o.Adapter == "" && b.reserved == "" {
@@ -350,13 +348,13 @@
 
 // mayLoad tells whether one more load from the store may begin.
 func (p *Planner) mayLoad(now time.Duration) bool {
-	p.loads.level = min(storeBurst, p.loads.level+p.service.LoadPerSecond*(now-p.loads.at).Seconds())
+	p.loads.level = min(storeBurst, p.loads.level+p.service.MaxLoadsPerSecond*(now-p.loads.at).Seconds())
 	p.loads.at = now
 	return p.loads.level >= 1
 }
 
-// Without is what a backend holds once an order to unload, which it has taken, is done.
-func (p *Planner) Without(o Order) map[string][]string {
+// LoadedAfterUnload is what a backend holds once an order to unload, which it has taken, is done.
+func (p *Planner) LoadedAfterUnload(o Order) map[string][]string {
 	b := p.backends[o.Backend]
 	if b == nil {
 		return nil
@@ -370,10 +368,10 @@
 	return holds
 }
 
-// Assume counts an order that was taken as done, and gives what the backend holds then. Danger: one that has no
+// AssumeCompleted counts an order that was taken as done, and gives what the backend holds then. Danger: one that has no
 // answer may never have reached the backend; what it was to make room for would then be loaded beyond the room there,
 // as the count of orders would be right.
-func (p *Planner) Assume(now time.Duration, o Order) (holds map[string][]string, done bool) {
+func (p *Planner) AssumeCompleted(now time.Duration, o Order) (holds map[string][]string, done bool) {
 	b := p.backends[o.Backend]
 	if b == nil || b.order == nil || *b.order != o || !b.taken {
 		return nil, false
@@ -387,7 +385,7 @@
 			holds[o.Model] = append(holds[o.Model], o.Adapter)
 		}
 	} else {
-		holds = p.Without(o)
+		holds = p.LoadedAfterUnload(o)
 	}
 	b.setHolds(now, holds)
 	return holds, true
--- a/internal/testing/emulator/placer.go
+++ b/internal/testing/emulator/placer.go
@@ -32,8 +32,8 @@
 	c := &w.cfg
 	p := &placer{world: w, planner: placement.New(0), askedAt: map[string]time.Duration{}, doneAt: map[string]time.Duration{}}
 	service := placement.Service{
-		Models: map[string]placement.Model{}, CapacityMB: c.Engine.CapacityMB, AdapterCapacity: c.Engine.AdapterSlots,
-		LoadPerSecond: c.Engine.LoadPerSecond,
+		Models: map[string]placement.Model{}, CapacityMB: c.Engine.CapacityMB, MaxAdapters: c.Engine.AdapterSlots,
+		MaxLoadsPerSecond: c.Engine.LoadPerSecond,
 	}
 	for _, name := range c.models() {
 		service.Models[name] = placement.Model{Name: name, SizeMB: c.ModelMB, LoadTime: c.Engine.LoadTime, AdapterSizeMB: c.AdapterMB}
@@ -46,22 +46,22 @@
 func (p *placer) start() {
 	var list []placement.Backend
 	for _, b := range p.world.backends {
-		list = append(list, placement.Backend{ID: b.id, Zone: zoneName(b.zone), Usable: true, Holds: b.holdings()})
+		list = append(list, placement.Backend{ID: b.id, Zone: zoneName(b.zone), Usable: true, Loaded: b.holdings()})
 	}
-	p.planner.Listed(0, list)
+	p.planner.SetBackends(0, list)
 	p.world.clock.every(planEvery, 0, p.step)
 }
 
 // step is one look of the planner.
 func (p *placer) step() {
 	now := p.world.clock.now
-	for _, id := range p.planner.Unknown() {
+	for _, id := range p.planner.UnknownBackends() {
 		p.ask(id)
 	}
-	p.planner.Underway(now, func(o placement.Order, since, expected time.Duration, quick bool) {
+	p.planner.VisitPendingOrders(now, func(o placement.Order, since, expected time.Duration, quick bool) {
 		switch {
 		case quick && now-since >= smallOrder:
-			if holds, done := p.planner.Assume(now, o); done {
+			if holds, done := p.planner.AssumeCompleted(now, o); done {
 				p.world.observe(o.Backend, holds)
 			}
 		case !quick && now-since >= expected-reportLead:
@@ -69,9 +69,9 @@
 		}
 	})
 	for _, o := range p.planner.Plan(now) {
-		notice := p.planner.Notice(now, o)
+		notice := p.planner.UnloadDelay(now, o)
 		if notice > 0 {
-			p.world.observe(o.Backend, p.planner.Without(o))
+			p.world.observe(o.Backend, p.planner.LoadedAfterUnload(o))
 		}
 		p.world.clock.after(orderWay+notice, func() { p.give(o) })
 	}
@@ -88,10 +88,10 @@
 	p.world.clock.after(orderWay, func() {
 		at, was := p.doneAt[id]
 		lags := was && p.world.clock.now-at < reportLag
-		report := placement.Report{Busy: b.busy || lags, Revision: b.orders, Holds: b.holdings()}
+		report := placement.Report{Busy: b.busy || lags, Revision: b.orders, Loaded: b.holdings()}
 		p.world.clock.after(orderWay, func() {
-			if p.planner.Reported(p.world.clock.now, id, report) {
-				p.world.observe(id, report.Holds)
+			if p.planner.OnReport(p.world.clock.now, id, report) {
+				p.world.observe(id, report.Loaded)
 			}
 		})
 	})
@@ -102,11 +102,11 @@
 	now := p.world.clock.now
 	b := p.world.byID[o.Backend]
 	if b.busy || o.Revision != b.orders {
-		p.planner.Refused(now, o)
+		p.planner.OnOrderRejected(now, o)
 		return
 	}
 	done := func() { p.doneAt[b.id] = p.world.clock.now }
-	p.planner.Taken(now, o)
+	p.planner.OnOrderAccepted(now, o)
 	if o.Operation == placement.Load {
 		if o.Adapter == "" {
 			p.world.score.Loads++
@@ -114,6 +114,6 @@
 		b.load(o.Model, o.Adapter, done)
 		return
 	}
-	p.world.observe(b.id, p.planner.Without(o))
+	p.world.observe(b.id, p.planner.LoadedAfterUnload(o))
 	b.unload(o.Model, o.Adapter, done)
 }
--- a/internal/testing/emulator/proxy.go
+++ b/internal/testing/emulator/proxy.go
@@ -65,12 +65,12 @@
 		idle: map[balancer.BackendID][]time.Duration{},
 	}
 	p.advisor = routing.New(routing.Config{
-		Self: name, Engines: true, Cold: budgetshare.ColdConfig{PerSecond: 1e6, Excess: 1},
+		Self: name, ServesModels: true, Warmup: budgetshare.ColdConfig{PerSecond: 1e6, Excess: 1},
 		Repeats: budgetshare.RepeatsConfig{Ratio: 1, Slack: 1e6, Window: 10 * time.Second},
 	}, clockStart)
-	p.advisor.SharedWith(clockStart, []string{name}, true)
+	p.advisor.SetSharers(clockStart, []string{name}, true)
 	rank := zone*w.cfg.ProxiesPerZone + index
-	settings := routing.Settings(w.classes, w.cfg.Zones*w.cfg.ProxiesPerZone, rank, zone, p.advisor)
+	settings := routing.BalancerConfig(w.classes, w.cfg.Zones*w.cfg.ProxiesPerZone, rank, zone, p.advisor)
 	var err error
 	p.balancer, err = balancer.New(settings, w.cfg.Seed<<16+uint64(rank), p)
 	return p, err
@@ -90,12 +90,12 @@
 }
 
 // list tells the advice what backends hold, by what is known of them.
-func (p *proxy) list() { p.advisor.Listed(p.now(), p.world.known) }
+func (p *proxy) list() { p.advisor.SetBackends(p.now(), p.world.known) }
 
 // take takes a client's request.
 func (p *proxy) take(q *request) {
 	w := p.world
-	cost := routing.WorkOf(q.promptTokens+q.kind.SharedTokens, q.outputTokens)
+	cost := routing.EstimateWork(q.promptTokens+q.kind.SharedTokens, q.outputTokens)
 	key := placement.Key{Model: q.model, Adapter: q.adapter}
 	count := p.asked[key]
 	if count == nil {
@@ -106,7 +106,7 @@
 	count.aim = q.kind.Aim
 	count.workMS += float64(cost) / float64(time.Millisecond)
 	if w.cfg.Knowledge == AllAtOnce {
-		p.advisor.Heard(p.now(), w.pending())
+		p.advisor.RecordPeerBacklog(p.now(), w.pending())
 	}
 	p.lastID++
 	id := p.lastID
@@ -169,7 +169,7 @@
 	}
 	kind := c.request.kind
 	a.run = &run{
-		request: c.request, priority: routing.Urgency(kind.Aim, kind.Priority, w.clock.now-c.request.at),
+		request: c.request, priority: routing.BackendPriority(kind.Aim, kind.Priority, w.clock.now-c.request.at),
 		first:  func() { w.clock.after(way, func() { p.first(id, n) }) },
 		paused: func() { c.paused = true },
 		last: func() {
--- a/internal/testing/emulator/world.go
+++ b/internal/testing/emulator/world.go
@@ -49,7 +49,7 @@
 	}
 	w := &world{
 		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), classOf: map[*Kind]int{}, byID: map[string]*backend{},
-		score: newScore(&cfg), holder: backlog.New(),
+		score: newScore(&cfg), holder: backlog.NewTable(),
 	}
 	w.makeClasses()
 	w.makeBackends()
@@ -194,7 +194,7 @@
 
 func (w *world) makeProxies() error {
 	for zone := range w.cfg.Zones {
-		w.homes = append(w.homes, backlog.New())
+		w.homes = append(w.homes, backlog.NewTable())
 		for index := range w.cfg.ProxiesPerZone {
 			p, err := newProxy(w, zone, index)
 			if err != nil {
@@ -238,23 +238,23 @@
 		if w.cfg.Knowledge == DemandAhead || w.cfg.Knowledge == AllAtOnce {
 			arrived, work = 0, 0
 		}
-		w.placer.planner.Awaited(key.Model, count.aim, count.arrived)
-		w.placer.planner.Asked(now, p.name, zoneName(p.zone), key, arrived, work, waits[key])
+		w.placer.planner.RecordLatencyTarget(key.Model, count.aim, count.arrived)
+		w.placer.planner.RecordDemand(now, p.name, zoneName(p.zone), key, arrived, work, waits[key])
 		delete(waits, key)
 	}
 	for _, key := range sortedKeys(waits) {
-		w.placer.planner.Asked(now, p.name, zoneName(p.zone), key, 0, 0, waits[key])
+		w.placer.planner.RecordDemand(now, p.name, zoneName(p.zone), key, 0, 0, waits[key])
 	}
 	clear(p.asked)
 	if w.cfg.Knowledge == Alone || w.cfg.Knowledge == AllAtOnce {
 		return
 	}
-	speaker := backlog.Speaker{Node: p.name, Zone: zoneName(p.zone)}
+	speaker := backlog.Reporter{Node: p.name, Zone: zoneName(p.zone)}
 	work := p.backlog()
-	w.homes[p.zone].Note(now, serviceName, speaker, work)
-	w.holder.Note(now, serviceName, speaker, work)
-	others := w.homes[p.zone].Sum(now, serviceName, func(s backlog.Speaker) bool { return s.Node != p.name })
-	w.clock.after(2*w.cfg.InZone, func() { p.advisor.Heard(p.now(), others) })
+	w.homes[p.zone].RecordReport(now, serviceName, speaker, work)
+	w.holder.RecordReport(now, serviceName, speaker, work)
+	others := w.homes[p.zone].Sum(now, serviceName, func(s backlog.Reporter) bool { return s.Node != p.name })
+	w.clock.after(2*w.cfg.InZone, func() { p.advisor.RecordPeerBacklog(p.now(), others) })
 }
 
 // sortedKeys are the keys of a map in order: a day is played the same again.
@@ -266,8 +266,8 @@
 
 // askHolder brings a home what other zones have sent.
 func (w *world) askHolder(zone int) {
-	elsewhere := w.holder.Sum(w.clock.now, serviceName, func(s backlog.Speaker) bool { return s.Zone != zoneName(zone) })
-	w.clock.after(2*w.cfg.CrossZone, func() { w.homes[zone].Note(w.clock.now, serviceName, backlog.Elsewhere, elsewhere) })
+	elsewhere := w.holder.Sum(w.clock.now, serviceName, func(s backlog.Reporter) bool { return s.Zone != zoneName(zone) })
+	w.clock.after(2*w.cfg.CrossZone, func() { w.homes[zone].RecordReport(w.clock.now, serviceName, backlog.OtherZones, elsewhere) })
 }
 
 // pending is the work of all backends as it is.
@@ -285,9 +285,9 @@
 func (w *world) foretell(all []*request) {
 	lead := w.cfg.Engine.LoadTime
 	for _, q := range all {
-		cost := routing.WorkOf(q.promptTokens+q.kind.SharedTokens, q.outputTokens)
+		cost := routing.EstimateWork(q.promptTokens+q.kind.SharedTokens, q.outputTokens)
 		w.clock.after(q.at-lead, func() {
-			w.placer.planner.Asked(w.clock.now, "ahead", zoneName(q.zone), placement.Key{Model: q.model, Adapter: q.adapter}, 1,
+			w.placer.planner.RecordDemand(w.clock.now, "ahead", zoneName(q.zone), placement.Key{Model: q.model, Adapter: q.adapter}, 1,
 				float64(cost)/float64(time.Millisecond), 0)
 		})
 	}
--- a/internal/testing/simcluster/backlog_test.go
+++ b/internal/testing/simcluster/backlog_test.go
@@ -20,14 +20,14 @@
 	agent := api.NewAgentProtobufClient(fmt.Sprintf("http://%s:%d", to.IP, peerPort), transport.NewClient(c.outside.Dial))
 	reply, err := agent.PassDemand(context.Background(), &api.DemandBatch{
 		Node: node, Zone: to.Zone,
-		Reports: []*api.DemandReport{{Node: node, Zone: to.Zone, Backlogs: []*api.Backlog{backlog.Message("llm", work)}}},
+		Reports: []*api.DemandReport{{Node: node, Zone: to.Zone, Backlogs: []*api.Backlog{backlog.ToProto("llm", work)}}},
 	})
 	if err != nil {
 		t.Fatalf("%s reports: %v", node, err)
 	}
 	for _, b := range reply.OtherBacklogs {
 		if b.Service == "llm" {
-			return backlog.Read(b)[backlog.Key(backend)]
+			return backlog.FromProto(b)[backlog.Key(backend)]
 		}
 	}
 	return 0
@@ -54,7 +54,7 @@
 			heard = max(heard, c.report(t, far, "third", nil, backend))
 		}
 		is.True(heard >= 300)
-		c.Pass(2 * backlog.Life)
+		c.Pass(2 * backlog.ReportTTL)
 		is.Equal(c.report(t, near, "fourth", nil, backend), uint32(0))
 	})
 }
