--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -85,7 +85,7 @@
 func (a *Agent) holdsAny() bool {
 	holds := false
 	a.feed.View(func(m *state.Machine) {
-		for _, o := range m.Ownerships() {
+		for _, o := range m.Leases() {
 			holds = holds || o.Holder == a.holder
 		}
 	})
--- a/internal/agent/demand.go
+++ b/internal/agent/demand.go
@@ -147,7 +147,7 @@
 func (r *demandRelay) holderOf(service string) string {
 	address := ""
 	r.agent.feed.View(func(m *state.Machine) {
-		if owner := m.Owner(lease.PlacementKey(service)); owner != nil {
+		if owner := m.Lease(lease.PlacementKey(service)); owner != nil {
 			address = owner.Address
 		}
 	})
--- a/internal/controlplane/chain/catchup.go
+++ b/internal/controlplane/chain/catchup.go
@@ -26,8 +26,8 @@
 // bringsUp tells whether somebody is being brought up to date.
 func (n *Node) bringsUp() bool { return n.catchUp != nil }
 
-// CatchingUp is the address of the process that this head brings up to date; "" is none.
-func (n *Node) CatchingUp() string {
+// CatchUpAddress is the address of the process that this head brings up to date; "" is none.
+func (n *Node) CatchUpAddress() string {
 	if n.catchUp == nil || !n.isHead() {
 		return ""
 	}
@@ -48,18 +48,18 @@
 // bringUp sends a process what it lacks, one process at a time. It tells whether that is little
 // enough for the chain to be made equal with it.
 func (n *Node) bringUp(p *peer) (near bool) {
-	key := Key(p.member)
+	key := MemberKey(p.member)
 	if n.catchUp != nil && n.catchUp.key != key {
 		return false // one after the other
 	}
 	data := n.lackedBy(p)
-	if data.Snapshot == nil && bytesOf(data.Entries) <= n.cfg.NearBytes {
+	if data.Snapshot == nil && bytesOf(data.Entries) <= n.cfg.MaxJoinLagBytes {
 		return true
 	}
 	c := n.catchUp
 	if c != nil && data.Snapshot == nil && p.position.GetSequence() >= c.target.Sequence {
 		// The last part has arrived.
-		if c.fast = c.fast || n.now-c.began <= n.cfg.RejoinAfter; c.fast {
+		if c.fast = c.fast || n.now-c.began <= n.cfg.MinStableTime; c.fast {
 			return true
 		}
 		c.until = 0
@@ -68,7 +68,7 @@
 		return false
 	}
 	size := proto.Size(data)
-	if c == nil && size <= n.cfg.NearBytes {
+	if c == nil && size <= n.cfg.MaxJoinLagBytes {
 		return true // a snapshot, and a small one
 	}
 	n.catchUp = &catchUp{key: key, target: data.Target, began: n.now, until: n.now + n.resendAfter(size)}
--- a/internal/controlplane/chain/catchup_test.go
+++ b/internal/controlplane/chain/catchup_test.go
@@ -62,7 +62,7 @@
 			t.Parallel()
 			is := is.New(t)
 			c := newCluster(t, 21, 3)
-			c.cfg.CompactAfter = 64
+			c.cfg.MaxLogEntries = 64
 			c.pace = 5 * time.Millisecond
 			c.mustServe("founding")
 			p := c.at(c.head().node.View().Chain[1])
@@ -206,7 +206,7 @@
 func TestTheLogIsBoundedWhileSomebodyIsBroughtUp(t *testing.T) {
 	is := is.New(t)
 	c := newLargeCluster(t, 26, 3)
-	c.cfg.DeferAfter = 60
+	c.cfg.MaxCatchUpLogEntries = 60
 	for _, p := range c.processes {
 		p.node.cfg = c.cfg
 	}
@@ -225,15 +225,15 @@
 		return len(c.acked) > 800
 	})
 	t.Logf("longest log %d entries", longest)
-	is.True(longest > 2*c.cfg.CompactAfter) // it was deferred
-	is.True(longest <= c.cfg.DeferAfter+1)
+	is.True(longest > 2*c.cfg.MaxLogEntries) // it was deferred
+	is.True(longest <= c.cfg.MaxCatchUpLogEntries+1)
 }
 
 // Entries of many bytes are compacted sooner.
 func TestTheLogIsBoundedInBytes(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 27, 3)
-	c.cfg.CompactAfter = 64
+	c.cfg.MaxLogEntries = 64
 	for _, p := range c.processes {
 		p.node.cfg = c.cfg
 	}
@@ -243,7 +243,7 @@
 		c.pass(1)
 		for _, p := range c.processes {
 			is.Equal(p.node.logBytes, bytesOf(p.node.durable.Entries))
-			is.True(p.node.logBytes < c.cfg.CompactBytes+2*len(c.padding))
+			is.True(p.node.logBytes < c.cfg.MaxLogBytes+2*len(c.padding))
 		}
 	}
 }
--- a/internal/controlplane/chain/chain_test.go
+++ b/internal/controlplane/chain/chain_test.go
@@ -103,7 +103,7 @@
 	head := c.head()
 	c.isolate(head, true)
 	c.mustServe("the head is cut off")
-	is.Equal(head.node.MayPropose(), false)
+	is.Equal(head.node.CanPropose(), false)
 	c.isolate(head, false)
 	c.mustServe("the cut has healed")
 	is.True(head.node.InService())
@@ -152,14 +152,14 @@
 	c.mustServe("founding")
 	tail := c.processes[0]
 	for _, p := range c.processes {
-		if p.node.MayRead() {
+		if p.node.CanRead() {
 			tail = p
 		}
 	}
 	confirmed := func(token uint64) bool {
 		got := false
-		out := tail.node.Confirm(c.now, token)
-		for _, t := range out.Confirmed {
+		out := tail.node.ConfirmView(c.now, token)
+		for _, t := range out.ConfirmedTokens {
 			got = got || t == token
 		}
 		c.carryOut(tail, out)
@@ -174,7 +174,7 @@
 	}
 	is.True(confirmed(1)) // a tail in touch reads
 	c.isolate(tail, true)
-	tail.node.Confirm(c.now, 2)
+	tail.node.ConfirmView(c.now, 2)
 	c.runFor(100 * time.Millisecond)
 	_, waits := tail.node.confirms[2]
 	is.True(waits) // a tail that is cut off does not
@@ -203,7 +203,7 @@
 	c.isolate(lonely, false)
 	c.runFor(settle)
 	is.True(!lonely.node.Connected()) // nobody is left whom it knows
-	lonely.node.SetContacts(newcomers)
+	lonely.node.SetSeeds(newcomers)
 	c.mustServe("it knows the new ones")
 	is.True(lonely.node.InService())
 }
--- a/internal/controlplane/chain/compatibility_test.go
+++ b/internal/controlplane/chain/compatibility_test.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	log := &Durable{}
+	log := &DurableState{}
 	var hashes strings.Builder
 	for line := range strings.Lines(string(text)) {
 		data, err := hex.DecodeString(strings.TrimSpace(line))
@@ -92,7 +92,7 @@
 	if len(log.Entries) != len(recordedOperations()) {
 		t.Errorf("%d entries are recorded", len(log.Entries))
 	}
-	if !log.Intact() {
+	if !log.LogIsIntact() {
 		t.Error("recorded entries have other hashes here")
 	}
 	checkRecorded(t, "hashes.txt", hashes.String())
--- a/internal/controlplane/chain/faults_test.go
+++ b/internal/controlplane/chain/faults_test.go
@@ -284,7 +284,7 @@
 // servingHead is the head of a chain that acknowledges, or nil.
 func (c *cluster) servingHead() *process {
 	for _, p := range c.processes {
-		if p.node != nil && p.node.MayPropose() && p.node.Connected() {
+		if p.node != nil && p.node.CanPropose() && p.node.Connected() {
 			return p
 		}
 	}
--- a/internal/controlplane/chain/heartbeat.go
+++ b/internal/controlplane/chain/heartbeat.go
@@ -12,12 +12,12 @@
 // HeartbeatEvery.
 func (n *Node) Tick(now time.Duration) Output {
 	n.now = now
-	if n.now-n.lastTick > n.cfg.SuspectAfter/2 {
+	if n.now-n.lastTick > n.cfg.FailureTimeout/2 {
 		n.listening = n.now // it stood still: what others sent meanwhile has not been read
 	}
 	n.lastTick = n.now
 	if n.now >= n.nextBeat {
-		n.nextBeat = n.now + n.cfg.HeartbeatEvery
+		n.nextBeat = n.now + n.cfg.HeartbeatInterval
 		n.beat()
 	}
 	n.resend()
@@ -77,7 +77,7 @@
 		WantsToJoin: !n.inChain() && !n.leaving, Leaving: n.leaving,
 	}
 	for key, p := range n.peers {
-		if n.now-p.heardAt < n.cfg.SuspectAfter {
+		if n.now-p.heardAt < n.cfg.FailureTimeout {
 			beat.ReachablePeers = append(beat.ReachablePeers, key)
 		}
 	}
@@ -88,17 +88,17 @@
 // alive tells whether a peer was heard of late and has said so of this node: where words
 // pass one way alone, nothing can be done together.
 func (n *Node) alive(p *peer) bool {
-	return p != nil && n.now-p.heardAt < n.cfg.SuspectAfter && n.now-p.hearsUs < 2*n.cfg.SuspectAfter
+	return p != nil && n.now-p.heardAt < n.cfg.FailureTimeout && n.now-p.hearsUs < 2*n.cfg.FailureTimeout
 }
 
 // hears tells whether a member is this node or was heard of late.
 func (n *Node) hears(member *api.Member) bool {
-	return sameMember(member, n.durable.Self) || n.alive(n.peers[Key(member)])
+	return sameMember(member, n.durable.Self) || n.alive(n.peers[MemberKey(member)])
 }
 
 // heard notes a sign of life.
 func (n *Node) heard(message *api.ChainMessage) *peer {
-	key := Key(message.From)
+	key := MemberKey(message.From)
 	p := n.peers[key]
 	if p == nil {
 		p = &peer{member: message.From, steadySince: n.now, hearsUs: n.now}
@@ -106,7 +106,7 @@
 	} else if !n.alive(p) {
 		p.steadySince = n.now
 	}
-	if n.now-p.heardAt >= n.cfg.SuspectAfter {
+	if n.now-p.heardAt >= n.cfg.FailureTimeout {
 		p.hearsUs = n.now // it may not have heard yet that this node is there
 	}
 	p.heardAt = n.now
@@ -117,7 +117,7 @@
 // forgetPeers drops those that have been silent for long and do not count.
 func (n *Node) forgetPeers() {
 	for key, p := range n.peers {
-		if n.now-p.heardAt > 10*n.cfg.RemoveAfter && !contains(n.durable.View.Members, p.member) {
+		if n.now-p.heardAt > 10*n.cfg.RemovalTimeout && !contains(n.durable.View.Members, p.member) {
 			delete(n.peers, key)
 		}
 	}
@@ -126,7 +126,7 @@
 // onHeartbeat takes in what a peer says of itself.
 func (n *Node) onHeartbeat(p *peer, message *api.ChainMessage, beat *api.Heartbeat) {
 	p.wantsIn, p.leaving, p.hears, p.position = beat.WantsToJoin, beat.Leaving, beat.ReachablePeers, beat.Position
-	if slices.Contains(beat.ReachablePeers, Key(n.durable.Self)) {
+	if slices.Contains(beat.ReachablePeers, MemberKey(n.durable.Self)) {
 		p.hearsUs = n.now
 	}
 	if message.ViewNumber < n.durable.View.Number {
@@ -173,7 +173,7 @@
 	if n.troubled == 0 {
 		n.troubled = n.now
 	}
-	if n.now-n.troubled >= time.Duration(n.rank())*n.cfg.Stagger {
+	if n.now-n.troubled >= time.Duration(n.rank())*n.cfg.ProposalStagger {
 		n.propose(reason, n.durable.View.Members, change{})
 	}
 }
@@ -194,7 +194,7 @@
 		return "the cluster is founded"
 	}
 	for _, member := range view.Chain {
-		if !n.hears(member) && n.now-n.listening >= n.cfg.SuspectAfter {
+		if !n.hears(member) && n.now-n.listening >= n.cfg.FailureTimeout {
 			return fmt.Sprintf("%s is silent", member.Address)
 		}
 	}
@@ -244,7 +244,7 @@
 	if len(view.Members) <= n.cfg.TargetMembers {
 		return
 	}
-	if lost := n.longestSilent(n.cfg.RemoveAfter); lost != nil {
+	if lost := n.longestSilent(n.cfg.RemovalTimeout); lost != nil {
 		n.propose(lost.Address+" has left", without(view.Members, lost), change{})
 	}
 }
@@ -252,7 +252,7 @@
 // mayJoin tells whether a peer outside the chain can be heard well enough to be one of it.
 func (n *Node) mayJoin(p *peer) bool {
 	return !contains(n.durable.View.Chain, p.member) && p.member.Incarnation != 0 && n.alive(p) && p.wantsIn && !p.behind &&
-		n.now-p.steadySince >= n.cfg.RejoinAfter && n.hearsChain(p)
+		n.now-p.steadySince >= n.cfg.MinStableTime && n.hearsChain(p)
 }
 
 func (n *Node) sortedPeers() []string {
@@ -267,7 +267,7 @@
 // hearsChain tells whether a peer hears all of the chain, as each of its members must.
 func (n *Node) hearsChain(p *peer) bool {
 	for _, member := range n.durable.View.Chain {
-		if !slices.Contains(p.hears, Key(member)) {
+		if !slices.Contains(p.hears, MemberKey(member)) {
 			return false
 		}
 	}
@@ -284,7 +284,7 @@
 		}
 	}
 	if len(members) >= n.cfg.TargetMembers {
-		if lost := n.longestSilent(n.cfg.SuspectAfter); lost != nil {
+		if lost := n.longestSilent(n.cfg.FailureTimeout); lost != nil {
 			return append(without(members, lost), joining)
 		}
 	}
@@ -301,7 +301,7 @@
 			continue
 		}
 		var heardAt time.Duration
-		if p := n.peers[Key(member)]; p != nil {
+		if p := n.peers[MemberKey(member)]; p != nil {
 			heardAt = p.heardAt
 		}
 		heardAt = max(heardAt, n.listening)
--- a/internal/controlplane/chain/history_test.go
+++ b/internal/controlplane/chain/history_test.go
@@ -97,13 +97,13 @@
 func (c *cluster) drawSpans() {
 	rng := rand.New(rand.NewPCG(uint64(c.rng.Uint32()), 7))
 	if rng.IntN(2) == 0 {
-		c.cfg.Stagger = time.Duration(rng.IntN(30)) * time.Millisecond
+		c.cfg.ProposalStagger = time.Duration(rng.IntN(30)) * time.Millisecond
 	}
 	if rng.IntN(2) == 0 {
-		c.cfg.PromiseWait = time.Duration(rng.IntN(10)) * time.Millisecond
+		c.cfg.PromiseGracePeriod = time.Duration(rng.IntN(10)) * time.Millisecond
 	}
 	if rng.IntN(3) == 0 {
-		c.cfg.NearEntries = 0
+		c.cfg.MaxLagEntries = 0
 	}
 	for _, p := range c.processes {
 		p.node.cfg = c.cfg
--- a/internal/controlplane/chain/leave.go
+++ b/internal/controlplane/chain/leave.go
@@ -18,10 +18,10 @@
 	return n.take()
 }
 
-// Left tells whether this process is not needed any more: it is outside a chain that is in
+// HasLeft tells whether this process is not needed any more: it is outside a chain that is in
 // service. Until that is, its members may not all know that they are the chain, and who knows
 // has to live.
-func (n *Node) Left() bool {
+func (n *Node) HasLeft() bool {
 	if n.durable.View.Number == 0 {
 		return !n.isMember()
 	}
@@ -33,7 +33,7 @@
 	if sameMember(member, n.durable.Self) {
 		return n.leaving
 	}
-	p := n.peers[Key(member)]
+	p := n.peers[MemberKey(member)]
 	return p != nil && p.leaving && n.alive(p)
 }
 
--- a/internal/controlplane/chain/leave_test.go
+++ b/internal/controlplane/chain/leave_test.go
@@ -12,7 +12,7 @@
 func (c *cluster) leave(p *process, most time.Duration) (took time.Duration) {
 	c.t.Helper()
 	c.carryOut(p, p.node.Leave(c.now))
-	return c.runUntil(p.address+" has left", most, p.node.Left)
+	return c.runUntil(p.address+" has left", most, p.node.HasLeft)
 }
 
 // A member that is about to end is out of the chain before it does, and hardly a write waits for that.
@@ -52,8 +52,8 @@
 	c.runUntil("it is being brought up to date", time.Second, func() bool { return head.node.bringsUp() })
 	c.carryOut(leaving, leaving.node.Leave(c.now))
 	c.runFor(500 * time.Millisecond)
-	is.True(!leaving.node.Left()) // with it goes the only other copy
-	c.runUntil("it has left", 8*time.Second, leaving.node.Left)
+	is.True(!leaving.node.HasLeft()) // with it goes the only other copy
+	c.runUntil("it has left", 8*time.Second, leaving.node.HasLeft)
 	is.True(learner.node.InService() && len(learner.node.View().Chain) == 2)
 	c.kill(leaving)
 	c.mustServe("it has left")
@@ -102,7 +102,7 @@
 	c.runFor(2 * time.Second)
 	left := 0
 	for _, p := range c.processes {
-		if p.node.Left() {
+		if p.node.HasLeft() {
 			left++
 		}
 	}
@@ -120,12 +120,12 @@
 	is.Equal(len(view.Chain), 5)
 	slow, leaving := c.at(view.Chain[2]), c.at(view.Chain[4])
 	c.quiet = true // an entry under way would wait for the slow one, and the proposal for the entry
-	c.runFor(c.cfg.HeartbeatEvery)
+	c.runFor(c.cfg.HeartbeatInterval)
 	slow.stalled = true
 	c.carryOut(leaving, leaving.node.Leave(c.now))
-	c.runFor(2 * c.cfg.PromiseWait)
+	c.runFor(2 * c.cfg.PromiseGracePeriod)
 	c.thaw(slow)
-	c.runUntil("it has left", time.Second, leaving.node.Left)
+	c.runUntil("it has left", time.Second, leaving.node.HasLeft)
 	is.Equal(c.head().node.View().Number, view.Number+1)
 	is.Equal(len(c.head().node.View().Chain), 4)
 }
@@ -141,13 +141,13 @@
 	c.add("d0", false)
 	c.runUntil("the new one may join", time.Second, func() bool {
 		for _, p := range head.peers {
-			if p.member.Address == "d0" && p.wantsIn && !p.behind && head.now-p.steadySince > c.cfg.RejoinAfter/2 {
+			if p.member.Address == "d0" && p.wantsIn && !p.behind && head.now-p.steadySince > c.cfg.MinStableTime/2 {
 				return true
 			}
 		}
 		return false
 	})
-	head.now += c.cfg.RejoinAfter
+	head.now += c.cfg.MinStableTime
 	for _, p := range head.peers {
 		p.heardAt, p.hearsUs = head.now, head.now
 	}
--- a/internal/controlplane/chain/linearizable_test.go
+++ b/internal/controlplane/chain/linearizable_test.go
@@ -51,12 +51,12 @@
 // read asks each process that may answer.
 func (c *cluster) read() {
 	for _, p := range c.processes {
-		if p.node == nil || p.frozen || p.stalled || !p.node.MayRead() {
+		if p.node == nil || p.frozen || p.stalled || !p.node.CanRead() {
 			continue
 		}
 		c.clients.tokens++
 		p.reads[c.clients.tokens] = c.now
-		c.carryOut(p, p.node.Confirm(c.now, c.clients.tokens))
+		c.carryOut(p, p.node.ConfirmView(c.now, c.clients.tokens))
 	}
 }
 
--- a/internal/controlplane/chain/log.go
+++ b/internal/controlplane/chain/log.go
@@ -9,16 +9,16 @@
 	"marlreel/internal/api"
 )
 
-// Machine is the state that committed entries make. A Node calls it, and hands it
+// StateMachine is the state that committed entries make. A Node calls it, and hands it
 // only what is committed.
-type Machine interface {
+type StateMachine interface {
 	Apply(entry *api.Entry)
 	State() *api.State
 	Restore(state *api.State)
 }
 
-// Durable is what a member keeps on disk.
-type Durable struct {
+// DurableState is what a member keeps on disk.
+type DurableState struct {
 	Self           *api.Member
 	View           *api.View   // the newest that is known to be agreed
 	Promised       *api.Ballot // for the next view; nil: none
@@ -30,12 +30,12 @@
 }
 
 // last is the position of the log's end.
-func (d *Durable) last() *api.Position {
+func (d *DurableState) last() *api.Position {
 	return d.positionAt(d.Snapshot.GetSequence() + uint64(len(d.Entries)))
 }
 
 // entriesAfter gives the entries that follow a position, if the log holds it.
-func (d *Durable) entriesAfter(sequence, hash uint64) ([]*api.Entry, bool) {
+func (d *DurableState) entriesAfter(sequence, hash uint64) ([]*api.Entry, bool) {
 	if sequence == d.Snapshot.GetSequence() {
 		return d.Entries, hash == d.Snapshot.GetHash()
 	}
@@ -56,7 +56,7 @@
 }
 
 // positionAt is the position of an entry that the log holds, or of its snapshot.
-func (d *Durable) positionAt(sequence uint64) *api.Position {
+func (d *DurableState) positionAt(sequence uint64) *api.Position {
 	p := &api.Position{SyncedView: d.SyncedView, Sequence: d.Snapshot.GetSequence(), Hash: d.Snapshot.GetHash()}
 	if sequence > p.Sequence {
 		p.Sequence, p.Hash = sequence, d.Entries[sequence-p.Sequence-1].Hash
@@ -81,8 +81,8 @@
 	return binary.LittleEndian.Uint64(hash.Sum(nil))
 }
 
-// Intact tells whether a log that was read from disk is one that was written.
-func (d *Durable) Intact() bool {
+// LogIsIntact tells whether a log that was read from disk is one that was written.
+func (d *DurableState) LogIsIntact() bool {
 	sequence, hash := d.Snapshot.GetSequence(), d.Snapshot.GetHash()
 	for _, entry := range d.Entries {
 		if entry.Sequence != sequence+1 || entry.PreviousHash != hash ||
--- a/internal/controlplane/chain/member.go
+++ b/internal/controlplane/chain/member.go
@@ -11,8 +11,8 @@
 // others draw one at random, well above it.
 const FounderIncarnation = 1
 
-// Key identifies a member.
-func Key(member *api.Member) string {
+// MemberKey identifies a member.
+func MemberKey(member *api.Member) string {
 	return member.GetAddress() + "/" + strconv.FormatUint(member.GetIncarnation(), 16)
 }
 
--- a/internal/controlplane/chain/node.go
+++ b/internal/controlplane/chain/node.go
@@ -7,27 +7,27 @@
 	"marlreel/internal/api"
 )
 
-// Changed says which parts of a Durable have to be saved.
-type Changed struct {
-	Self, View, Vote, Synced, Snapshot bool
-	Appended                           []*api.Entry
-	Truncated                          bool // the log was replaced whole
+// Changes says which parts of a Durable have to be saved.
+type Changes struct {
+	Self, View, Acceptor, SyncedView, Snapshot bool
+	Appended                                   []*api.Entry
+	LogReplaced                                bool // the log was replaced whole
 }
 
 // Any tells whether anything has to be saved.
-func (c *Changed) Any() bool {
-	return c.Self || c.View || c.Vote || c.Synced || c.Snapshot || c.Truncated || len(c.Appended) > 0
+func (c *Changes) Any() bool {
+	return c.Self || c.View || c.Acceptor || c.SyncedView || c.Snapshot || c.LogReplaced || len(c.Appended) > 0
 }
 
 // Output is what a Node wants done, in this order: save, send, tell.
 type Output struct {
-	Save      Changed
-	Send      []*api.ChainMessage
-	Committed []*api.Entry // applied to the machine meanwhile
-	Restored  bool         // the machine was set to a snapshot
-	Confirmed []uint64     // tokens of Confirm
-	Deposed   bool         // what was proposed here and is not committed may be lost
-	Notes     []string     // for the log
+	Save             Changes
+	Messages         []*api.ChainMessage
+	Committed        []*api.Entry // applied to the machine meanwhile
+	SnapshotRestored bool         // the machine was set to a snapshot
+	ConfirmedTokens  []uint64     // tokens of Confirm
+	ViewChanged      bool         // what was proposed here and is not committed may be lost
+	Notes            []string     // for the log
 }
 
 // peer is what is known of another member, or of a process that wants to be one.
@@ -47,8 +47,8 @@
 // goroutine at a time may call it.
 type Node struct {
 	cfg     Config
-	durable Durable
-	machine Machine
+	durable DurableState
+	machine StateMachine
 	now     time.Duration
 	out     Output
 
@@ -85,7 +85,7 @@
 
 // New makes a node of what its disk holds. contacts are addresses where members
 // may be found.
-func New(cfg Config, durable Durable, machine Machine, contacts []string, now time.Duration) *Node {
+func New(cfg Config, durable DurableState, machine StateMachine, contacts []string, now time.Duration) *Node {
 	if durable.View == nil {
 		durable.View = &api.View{}
 	}
@@ -110,11 +110,11 @@
 	return n
 }
 
-// SetContacts says where members may be found from now on.
-func (n *Node) SetContacts(contacts []string) { n.contacts = contacts }
+// SetSeeds says where members may be found from now on.
+func (n *Node) SetSeeds(contacts []string) { n.contacts = contacts }
 
 // Durable is the state to be saved. It must not be changed.
-func (n *Node) Durable() *Durable { return &n.durable }
+func (n *Node) Durable() *DurableState { return &n.durable }
 
 // View is the newest agreed view that this node knows.
 func (n *Node) View() *api.View { return n.durable.View }
@@ -139,14 +139,14 @@
 	return chain[len(chain)-1]
 }
 
-// MayPropose tells whether an entry can be proposed here now.
-func (n *Node) MayPropose() bool {
+// CanPropose tells whether an entry can be proposed here now.
+func (n *Node) CanPropose() bool {
 	return n.isHead() && n.inService() && n.committed == n.durable.last().Sequence
 }
 
-// MayRead tells whether this node is the tail of a view that is in service. What it
+// CanRead tells whether this node is the tail of a view that is in service. What it
 // reads is the newest only once a Confirm that began after the call has come through.
-func (n *Node) MayRead() bool {
+func (n *Node) CanRead() bool {
 	return n.isTail() && n.inService()
 }
 
@@ -195,9 +195,9 @@
 	return entry, n.take()
 }
 
-// Confirm asks the members whether this node's view still stands. The token comes
+// ConfirmView asks the members whether this node's view still stands. The token comes
 // back in an Output's Confirmed once a majority has said so.
-func (n *Node) Confirm(now time.Duration, token uint64) Output {
+func (n *Node) ConfirmView(now time.Duration, token uint64) Output {
 	n.now = now
 	if !n.inService() {
 		return n.take()
@@ -210,20 +210,20 @@
 	return n.take()
 }
 
-// Abandon forgets a token that nobody waits for any more.
-func (n *Node) Abandon(token uint64) { delete(n.confirms, token) }
+// CancelConfirmation forgets a token that nobody waits for any more.
+func (n *Node) CancelConfirmation(token uint64) { delete(n.confirms, token) }
 
 func (n *Node) confirmedBy(token uint64, member *api.Member) {
 	c := n.confirms[token]
 	if c == nil || c.view != n.durable.View.Number || !contains(n.durable.View.Members, member) {
 		return
 	}
-	if key := Key(member); !slices.Contains(c.from, key) {
+	if key := MemberKey(member); !slices.Contains(c.from, key) {
 		c.from = append(c.from, key)
 	}
 	if len(c.from) >= majority(len(n.durable.View.Members)) {
 		delete(n.confirms, token)
-		n.out.Confirmed = append(n.out.Confirmed, token)
+		n.out.ConfirmedTokens = append(n.out.ConfirmedTokens, token)
 	}
 }
 
@@ -235,10 +235,10 @@
 		return
 	}
 	message.From, message.To, message.ViewNumber = n.durable.Self, to, n.durable.View.Number
-	if p := n.peers[Key(to)]; p == nil || p.behind {
+	if p := n.peers[MemberKey(to)]; p == nil || p.behind {
 		message.View = n.durable.View
 	}
-	n.out.Send = append(n.out.Send, message)
+	n.out.Messages = append(n.out.Messages, message)
 }
 
 func (n *Node) note(text string) { n.out.Notes = append(n.out.Notes, text) }
@@ -265,10 +265,10 @@
 // compact replaces old entries by a snapshot.
 func (n *Node) compact() {
 	done := n.committed - n.durable.Snapshot.GetSequence()
-	if done == 0 || !n.exceeds(done, n.cfg.CompactAfter, n.cfg.CompactBytes) {
+	if done == 0 || !n.exceeds(done, n.cfg.MaxLogEntries, n.cfg.MaxLogBytes) {
 		return
 	}
-	if n.bringsUp() && !n.exceeds(done, n.cfg.DeferAfter, n.cfg.DeferBytes) {
+	if n.bringsUp() && !n.exceeds(done, n.cfg.MaxCatchUpLogEntries, n.cfg.MaxCatchUpLogBytes) {
 		return
 	}
 	last := n.durable.Entries[done-1]
@@ -285,10 +285,10 @@
 
 // resendAfter is how long a message of so many bytes may be on its way.
 func (n *Node) resendAfter(size int) time.Duration {
-	return n.cfg.ResendEvery + n.travelTime(size)
+	return n.cfg.RetransmitTimeout + n.travelTime(size)
 }
 
 // travelTime is how long so many bytes take on the slowest link.
 func (n *Node) travelTime(size int) time.Duration {
-	return time.Duration(float64(size) / float64(n.cfg.SlowestLink) * float64(time.Second))
+	return time.Duration(float64(size) / float64(n.cfg.MinLinkBytesPerSecond) * float64(time.Second))
 }
--- a/internal/controlplane/chain/repair_test.go
+++ b/internal/controlplane/chain/repair_test.go
@@ -51,7 +51,7 @@
 		c.runFor(settle)
 		from := c.now
 		c.carryOut(p, p.node.Leave(c.now))
-		c.runUntil("it has left", time.Second, p.node.Left)
+		c.runUntil("it has left", time.Second, p.node.HasLeft)
 		c.kill(p)
 		p.replaced = true
 		return from
@@ -115,7 +115,7 @@
 			t.Parallel()
 			is := is.New(t)
 			c := newCluster(t, 500, 3)
-			c.cfg.CompactAfter = 64
+			c.cfg.MaxLogEntries = 64
 			c.rate, c.ballast = slowLink, make([]byte, of.state)
 			for _, p := range c.processes {
 				p.node.cfg, p.machine.ballast = c.cfg, c.ballast
--- a/internal/controlplane/chain/replicate.go
+++ b/internal/controlplane/chain/replicate.go
@@ -86,7 +86,7 @@
 	n.syncing = map[string]*syncState{}
 	for _, member := range n.durable.View.Chain {
 		if !sameMember(member, n.durable.Self) {
-			n.syncing[Key(member)] = &syncState{}
+			n.syncing[MemberKey(member)] = &syncState{}
 		}
 	}
 	n.continueSync()
@@ -96,12 +96,12 @@
 func (n *Node) continueSync() {
 	done := true
 	for _, member := range n.durable.View.Chain {
-		state := n.syncing[Key(member)]
+		state := n.syncing[MemberKey(member)]
 		if state == nil || state.done {
 			continue
 		}
 		done = false
-		if state.askedAt > 0 && n.now-state.askedAt < n.cfg.ResendEvery {
+		if state.askedAt > 0 && n.now-state.askedAt < n.cfg.RetransmitTimeout {
 			continue
 		}
 		state.askedAt = max(n.now, 1)
@@ -127,7 +127,7 @@
 }
 
 func (n *Node) onSyncPosition(from *api.Member, reply *api.SyncPosition) {
-	state := n.syncing[Key(from)]
+	state := n.syncing[MemberKey(from)]
 	if state == nil || state.done || n.wedged() || n.now < state.askedAt {
 		return
 	}
@@ -155,7 +155,7 @@
 		return
 	}
 	n.durable.SyncedView = n.durable.View.Number
-	n.out.Save.Synced = true
+	n.out.Save.SyncedView = true
 	n.tellSynced(from)
 }
 
@@ -199,17 +199,17 @@
 func (n *Node) replaceLog(snapshot *api.Snapshot, entries []*api.Entry) {
 	n.durable.Snapshot, n.durable.Entries = snapshot, slices.Clone(entries)
 	n.logBytes = bytesOf(entries)
-	n.out.Save.Truncated, n.out.Save.Snapshot = true, true
+	n.out.Save.LogReplaced, n.out.Save.Snapshot = true, true
 	n.out.Save.Appended = nil
 	if n.committed < snapshot.Sequence {
 		n.committed = snapshot.Sequence
 		n.machine.Restore(snapshot.State)
-		n.out.Restored = true
+		n.out.SnapshotRestored = true
 	}
 }
 
 func (n *Node) onSyncDone(from *api.Member, done *api.SyncDone) {
-	state := n.syncing[Key(from)]
+	state := n.syncing[MemberKey(from)]
 	end := n.durable.last()
 	if state == nil || done.Position.GetSequence() != end.Sequence || done.Position.GetHash() != end.Hash {
 		return
--- a/internal/controlplane/chain/sim_test.go
+++ b/internal/controlplane/chain/sim_test.go
@@ -71,7 +71,7 @@
 	address string
 	node    *Node // nil: it is down
 	machine *register
-	disk    *Durable // nil: empty
+	disk    *DurableState // nil: empty
 	life    int
 	frozen  bool
 	stalled bool // its disk answers nothing
@@ -135,7 +135,7 @@
 		t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Second, cut: map[string]bool{}, held: map[string]bool{}, met: map[string]int{}, cfg: DefaultConfig(members),
 		clients: newClients(), linkFree: map[string]time.Duration{}, pace: proposeEvery,
 	}
-	c.cfg.CompactAfter = 8
+	c.cfg.MaxLogEntries = 8
 	for i := range members {
 		c.founders = append(c.founders, fmt.Sprintf("c%d", i))
 	}
@@ -159,7 +159,7 @@
 	p.frozen, p.stalled, p.backlog = false, false, nil
 	p.waiting, p.reads = map[uint64]string{}, map[uint64]time.Duration{}
 	if p.disk == nil {
-		p.disk = &Durable{Self: &api.Member{Address: p.address, Incarnation: FounderIncarnation}}
+		p.disk = &DurableState{Self: &api.Member{Address: p.address, Incarnation: FounderIncarnation}}
 		if first {
 			p.disk.View = FoundingView(c.founders)
 		} else {
@@ -180,7 +180,7 @@
 	c.after(time.Duration(c.rng.Int64N(int64(simulatedTick))), tick)
 }
 
-func cloneDurable(d *Durable) Durable {
+func cloneDurable(d *DurableState) DurableState {
 	next := *d
 	next.Entries = slices.Clone(d.Entries)
 	return next
@@ -217,7 +217,7 @@
 func (c *cluster) carryOut(p *process, out Output) {
 	if out.Save.Any() {
 		saved := save(p.disk, p.node.Durable(), out.Save)
-		if !saved.Intact() {
+		if !saved.LogIsIntact() {
 			c.fail("the log on disk does not fit together: snapshot at %d, %d entries", saved.Snapshot.GetSequence(), len(saved.Entries))
 		}
 		p.disk = &saved
@@ -225,7 +225,7 @@
 	for _, note := range out.Notes {
 		c.log = append(c.log, fmt.Sprintf("%v %s: %s", c.now, p.address, note))
 	}
-	for _, message := range out.Send {
+	for _, message := range out.Messages {
 		c.deliver(p.address, proto.Clone(message).(*api.ChainMessage))
 	}
 	for _, entry := range out.Committed {
@@ -238,7 +238,7 @@
 			c.auditAcknowledged(p, entry)
 		}
 	}
-	for _, token := range out.Confirmed {
+	for _, token := range out.ConfirmedTokens {
 		c.answerRead(p, token)
 	}
 }
@@ -259,7 +259,7 @@
 
 // save gives what a disk holds once what has changed was written to it, and no more. What is
 // written is a copy: it shares nothing with what goes on.
-func save(disk, now *Durable, changed Changed) Durable {
+func save(disk, now *DurableState, changed Changes) DurableState {
 	next := cloneDurable(disk)
 	if changed.Self {
 		next.Self = proto.CloneOf(now.Self)
@@ -267,16 +267,16 @@
 	if changed.View {
 		next.View = proto.CloneOf(now.View)
 	}
-	if changed.Vote {
+	if changed.Acceptor {
 		next.Promised = proto.CloneOf(now.Promised)
 		next.AcceptedBallot = proto.CloneOf(now.AcceptedBallot)
 		next.AcceptedView = proto.CloneOf(now.AcceptedView)
 	}
-	if changed.Synced {
+	if changed.SyncedView {
 		next.SyncedView = now.SyncedView
 	}
 	added := changed.Appended
-	if changed.Truncated {
+	if changed.LogReplaced {
 		next.Entries, added = nil, now.Entries
 	}
 	next.Entries = append(next.Entries, cloneEntries(added)...)
@@ -296,9 +296,9 @@
 }
 
 // load gives what a starting process reads from a disk.
-func load(disk *Durable) Durable {
-	var empty Durable
-	all := Changed{Self: true, View: true, Vote: true, Synced: true, Truncated: true, Snapshot: true}
+func load(disk *DurableState) DurableState {
+	var empty DurableState
+	all := Changes{Self: true, View: true, Acceptor: true, SyncedView: true, LogReplaced: true, Snapshot: true}
 	return save(&empty, disk, all)
 }
 
@@ -337,7 +337,7 @@
 		return
 	}
 	for _, p := range c.processes {
-		if p.node == nil || p.frozen || p.stalled || !p.node.MayPropose() {
+		if p.node == nil || p.frozen || p.stalled || !p.node.CanPropose() {
 			continue
 		}
 		c.proposed++
--- a/internal/controlplane/chain/views.go
+++ b/internal/controlplane/chain/views.go
@@ -33,7 +33,7 @@
 	n.highest++
 	n.proposal = &proposal{
 		instance: n.durable.View.Number + 1, members: members, change: wanted, since: n.now,
-		ballot:   &api.Ballot{Round: n.highest, Proposer: Key(n.durable.Self)},
+		ballot:   &api.Ballot{Round: n.highest, Proposer: MemberKey(n.durable.Self)},
 		promises: map[string]*api.Promise{}, accepted: map[string]bool{},
 	}
 	n.note(fmt.Sprintf("proposes view %d: %s", n.proposal.instance, reason))
@@ -56,7 +56,7 @@
 		n.wedgedSince = n.now
 	}
 	n.durable.Promised = prepare.Ballot
-	n.out.Save.Vote = true
+	n.out.Save.Acceptor = true
 	reply.AcceptedBallot, reply.AcceptedView = n.durable.AcceptedBallot, n.durable.AcceptedView
 	reply.Position = n.durable.last()
 	return reply
@@ -84,7 +84,7 @@
 		!contains(n.durable.View.Members, from) {
 		return
 	}
-	p.promises[Key(from)] = promise
+	p.promises[MemberKey(from)] = promise
 	if p.enough == 0 && len(p.promises) >= majority(len(n.durable.View.Members)) {
 		p.enough = n.now
 	}
@@ -129,7 +129,7 @@
 // failed it is longer: a member whose disk is slow is not left out for that.
 func (n *Node) promiseWait() time.Duration {
 	if n.proposal.change == (change{}) && len(n.proposal.members) == len(n.durable.View.Members) {
-		return n.cfg.PromiseWait
+		return n.cfg.PromiseGracePeriod
 	}
 	return n.cfg.ProposalTimeout / 2
 }
@@ -137,7 +137,7 @@
 // allPromised tells whether everybody who can be heard has promised.
 func (n *Node) allPromised() bool {
 	for _, member := range n.durable.View.Members {
-		if n.hears(member) && n.proposal.promises[Key(member)] == nil {
+		if n.hears(member) && n.proposal.promises[MemberKey(member)] == nil {
 			return false
 		}
 	}
@@ -180,13 +180,13 @@
 func (n *Node) candidates() []*api.Member {
 	var found []*api.Member
 	for _, member := range slices.Concat(n.durable.View.Chain, n.durable.View.Members) {
-		promised := n.proposal.promises[Key(member)] != nil
+		promised := n.proposal.promises[MemberKey(member)] != nil
 		if promised && contains(n.proposal.members, member) && !contains(found, member) {
 			found = append(found, member)
 		}
 	}
 	leaving := n.proposal.change.leaving
-	if leaving != nil && !contains(found, leaving) && n.proposal.promises[Key(leaving)] != nil {
+	if leaving != nil && !contains(found, leaving) && n.proposal.promises[MemberKey(leaving)] != nil {
 		found = append(found, leaving) // what its log holds counts, also where it is no member to be
 	}
 	return found
@@ -195,7 +195,7 @@
 // furthest is the candidate whose log reaches furthest, but for who leaves; nil where that one
 // alone reaches so far.
 func (n *Node) furthest(candidates []*api.Member) *api.Member {
-	position := func(member *api.Member) *api.Position { return n.proposal.promises[Key(member)].Position }
+	position := func(member *api.Member) *api.Position { return n.proposal.promises[MemberKey(member)].Position }
 	var head, leaving *api.Member
 	for _, member := range candidates {
 		switch {
@@ -241,12 +241,12 @@
 
 // promisedSequence is how long a member's log was when it promised.
 func (n *Node) promisedSequence(member *api.Member) uint64 {
-	return n.proposal.promises[Key(member)].GetPosition().GetSequence()
+	return n.proposal.promises[MemberKey(member)].GetPosition().GetSequence()
 }
 
 // isNear tells whether a member lacks little of a head's log.
 func (n *Node) isNear(member, head *api.Member) bool {
-	return n.promisedSequence(member)+n.cfg.NearEntries >= n.promisedSequence(head)
+	return n.promisedSequence(member)+n.cfg.MaxLagEntries >= n.promisedSequence(head)
 }
 
 // accept votes for a view.
@@ -258,7 +258,7 @@
 		return reply
 	}
 	n.durable.Promised, n.durable.AcceptedBallot, n.durable.AcceptedView = accept.Ballot, accept.Ballot, accept.View
-	n.out.Save.Vote = true
+	n.out.Save.Acceptor = true
 	return reply
 }
 
@@ -280,7 +280,7 @@
 		!contains(n.durable.View.Members, from) {
 		return
 	}
-	p.accepted[Key(from)] = true
+	p.accepted[MemberKey(from)] = true
 	if len(p.accepted) < majority(len(n.durable.View.Members)) {
 		return
 	}
@@ -302,17 +302,17 @@
 	}
 	n.durable.View = view
 	n.durable.Promised, n.durable.AcceptedBallot, n.durable.AcceptedView = nil, nil, nil
-	n.out.Save.View, n.out.Save.Vote = true, true
+	n.out.Save.View, n.out.Save.Acceptor = true, true
 	n.proposal, n.troubled, n.syncing, n.catchUp = nil, 0, nil, nil
 	clear(n.confirms)
 	for _, p := range n.peers {
 		p.behind = true // until they say otherwise
 	}
-	n.out.Deposed = true
+	n.out.ViewChanged = true
 	n.note("view " + describe(view))
 	if n.isHead() {
 		n.durable.SyncedView = view.Number
-		n.out.Save.Synced = true
+		n.out.Save.SyncedView = true
 		n.startSync()
 	}
 }
--- a/internal/controlplane/chain/votes_test.go
+++ b/internal/controlplane/chain/votes_test.go
@@ -19,7 +19,7 @@
 func (c *cluster) prepare(p *process, from *api.Member, round uint64) *api.Promise {
 	c.t.Helper()
 	answers := c.hand(p, from, &api.ChainMessage{Body: &api.ChainMessage_Prepare{Prepare: &api.Prepare{
-		Instance: p.node.View().Number + 1, Ballot: &api.Ballot{Round: round, Proposer: Key(from)},
+		Instance: p.node.View().Number + 1, Ballot: &api.Ballot{Round: round, Proposer: MemberKey(from)},
 	}}})
 	for _, answer := range answers {
 		if promise := answer.GetPromise(); promise != nil {
@@ -53,7 +53,7 @@
 	p, from := c.processes[2], c.processes[0].node.durable.Self
 	view := &api.View{Number: p.node.View().Number + 1, Members: p.node.View().Members, Chain: p.node.View().Chain[:2]}
 	c.hand(p, from, &api.ChainMessage{Body: &api.ChainMessage_Accept{Accept: &api.Accept{
-		Ballot: &api.Ballot{Round: 1000, Proposer: Key(from)}, View: view,
+		Ballot: &api.Ballot{Round: 1000, Proposer: MemberKey(from)}, View: view,
 	}}})
 	c.restart(p)
 	promise := c.prepare(p, from, 1001)
@@ -89,8 +89,8 @@
 	c.t.Helper()
 	body.From, body.To, body.ViewNumber = from, p.node.durable.Self, view
 	out := p.node.Receive(c.now, body)
-	answers := out.Send
-	out.Send = nil
+	answers := out.Messages
+	out.Messages = nil
 	c.carryOut(p, out)
 	return answers
 }
@@ -101,7 +101,7 @@
 	p.node.now = c.now
 	p.node.propose("a story", members, change{})
 	out := p.node.take()
-	out.Send = nil
+	out.Messages = nil
 	c.carryOut(p, out)
 	return p.node.proposal
 }
@@ -136,7 +136,7 @@
 		next := c.processes[0].node.View().Number + 1
 		view := &api.View{Number: next, Members: dead.node.View().Members, Chain: []*api.Member{chain[2], chain[acceptor]}}
 		c.hand(survivors[acceptor], chain[2], &api.ChainMessage{Body: &api.ChainMessage_Accept{Accept: &api.Accept{
-			Ballot: &api.Ballot{Round: 1000, Proposer: Key(chain[2])}, View: view,
+			Ballot: &api.Ballot{Round: 1000, Proposer: MemberKey(chain[2])}, View: view,
 		}}})
 		c.kill(dead)
 		for survivors[0].node.View().Number < next && c.now < 2*settle+time.Minute {
@@ -179,9 +179,9 @@
 	others := without(members, proposer.node.durable.Self)
 	stranger := &api.Member{Address: "d0", Incarnation: 1 << 63}
 	proposed := c.beginProposal(proposer, append(without(members, others[0]), stranger))
-	proposed.promises[Key(others[0])] = &api.Promise{Position: proposer.node.durable.last()} // it leaves
+	proposed.promises[MemberKey(others[0])] = &api.Promise{Position: proposer.node.durable.last()} // it leaves
 	is.True(proposer.node.choose() == nil)
-	proposed.promises[Key(others[1])] = &api.Promise{Position: proposer.node.durable.last()}
+	proposed.promises[MemberKey(others[1])] = &api.Promise{Position: proposer.node.durable.last()}
 	is.Equal(len(proposer.node.choose().GetChain()), 2)
 }
 
@@ -213,9 +213,9 @@
 					if i == furthest {
 						position = story.far
 					}
-					proposed.promises[Key(member)] = &api.Promise{Position: position}
+					proposed.promises[MemberKey(member)] = &api.Promise{Position: position}
 				}
-				is.Equal(Key(proposer.node.choose().Chain[0]), Key(members[furthest]))
+				is.Equal(MemberKey(proposer.node.choose().Chain[0]), MemberKey(members[furthest]))
 			}
 		})
 	}
@@ -260,7 +260,7 @@
 			return p
 		}
 	}
-	c.fail("no process is %s", Key(member))
+	c.fail("no process is %s", MemberKey(member))
 	return nil
 }
 
@@ -276,7 +276,7 @@
 	beat := next.node.heartbeat()
 	is.True(beat.GetHeartbeat().Active)
 	c.hand(head, view.Chain[1], beat)
-	is.Equal(head.node.MayPropose(), false)
+	is.Equal(head.node.CanPropose(), false)
 	is.Equal(head.node.InService(), false)
 	c.mustServe("its head was restarted")
 }
@@ -298,11 +298,11 @@
 	is.Equal(tail.node.Committed(), entry.Sequence)
 
 	c.restart(tail)
-	is.Equal(tail.node.MayRead(), false)
+	is.Equal(tail.node.CanRead(), false)
 	beat := before.node.heartbeat()
 	is.Equal(beat.GetHeartbeat().Committed, end.Sequence)
 	c.hand(tail, view.Chain[1], beat)
-	is.True(tail.node.MayRead())
+	is.True(tail.node.CanRead())
 	is.Equal(tail.node.Committed(), entry.Sequence)
 }
 
@@ -326,7 +326,7 @@
 				if story.alone && sameMember(member, leaving) {
 					position = &api.Position{SyncedView: 7, Sequence: 41}
 				}
-				proposed.promises[Key(member)] = &api.Promise{Position: position}
+				proposed.promises[MemberKey(member)] = &api.Promise{Position: position}
 			}
 			view := proposer.node.choose()
 			is.Equal(len(view.GetChain()), story.chain)
--- a/internal/controlplane/grants_test.go
+++ b/internal/controlplane/grants_test.go
@@ -20,7 +20,7 @@
 	view := head.replica.Node().View().GetNumber()
 	grant := func(view uint64) *result.Code {
 		answer := new(result.Code)
-		token := head.replica.Machine().Owner("a role").GetFencingToken()
+		token := head.replica.Machine().Lease("a role").GetFencingToken()
 		operation := &api.Operation{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{Key: "a role", Holder: "x/1", ReplacesFencingToken: &token}}}
 		head.replica.SubmitInView(head.clock(w.now), operation, view, head.clock(w.now+orderPatience),
 			func(code result.Code, _ string) { *answer = code })
@@ -30,12 +30,12 @@
 	w.pass(time.Second)
 	is.Equal(*next, result.Unavailable)
 	is.Equal(*other, result.Unavailable)
-	is.True(head.replica.Machine().Owner("a role") == nil)
+	is.True(head.replica.Machine().Lease("a role") == nil)
 
 	inView := grant(view)
 	w.pass(time.Second)
 	is.Equal(*inView, result.Accepted)
-	is.Equal(head.replica.Machine().Owner("a role").GetHolder(), "x/1")
+	is.Equal(head.replica.Machine().Lease("a role").GetHolder(), "x/1")
 	for _, c := range w.cores {
 		c.kill()
 	}
--- a/internal/controlplane/keeper.go
+++ b/internal/controlplane/keeper.go
@@ -101,7 +101,7 @@
 		}
 	}
 	if k.replica != nil {
-		k.replica.Node().SetContacts(k.settings.SeedPeers())
+		k.replica.Node().SetSeeds(k.settings.SeedPeers())
 		k.replica.Tick(k.now())
 	}
 }
@@ -123,7 +123,7 @@
 	}
 	k.store = opened
 	durable, err := opened.Load()
-	if eris.Is(err, store.ErrDamaged) {
+	if eris.Is(err, store.ErrCorrupted) {
 		// Its promises can't be trusted: it comes back as another member, without any.
 		k.log.Error(err, "the store is set aside", "event", "store")
 		k.close()
@@ -157,7 +157,7 @@
 	})
 	for ctx.Err() == nil {
 		left := make(chan bool, 1)
-		k.post(func() { left <- k.replica == nil || k.replica.Node().Left() })
+		k.post(func() { left <- k.replica == nil || k.replica.Node().HasLeft() })
 		select {
 		case over := <-left:
 			if over {
@@ -171,9 +171,9 @@
 
 // found gives an empty disk an identity: a founder's at the very first start of the
 // system, or else that of one who waits to be taken in.
-func (k *Keeper) found() (chain.Durable, error) {
+func (k *Keeper) found() (chain.DurableState, error) {
 	self := &api.Member{Address: k.settings.PeerAddress(), Incarnation: chain.FounderIncarnation}
-	durable := chain.Durable{Self: self}
+	durable := chain.DurableState{Self: self}
 	if k.settings.FirstStart && k.settings.IsSeed() {
 		durable.View = chain.FoundingView(k.settings.SeedPeers())
 	} else {
@@ -183,7 +183,7 @@
 		}
 		self.Incarnation = binary.BigEndian.Uint64(random[:]) | 1<<63
 	}
-	return durable, k.store.Save(&durable, chain.Changed{Self: true, View: durable.View != nil})
+	return durable, k.store.Save(&durable, chain.Changes{Self: true, View: durable.View != nil})
 }
 
 // post has an event handled on the keeper's goroutine; it tells whether there was room.
@@ -281,7 +281,7 @@
 	node := r.Node()
 	s := Standing{
 		Head: node.Head().GetAddress(), Tail: node.Tail().GetAddress(), Connected: node.Connected(),
-		View: node.View().GetNumber(), Committed: node.Committed(), CatchingUp: node.CatchingUp(),
+		View: node.View().GetNumber(), Committed: node.Committed(), CatchingUp: node.CatchUpAddress(),
 	}
 	for _, member := range node.View().Members {
 		s.Members = append(s.Members, member.Address)
--- a/internal/controlplane/owners.go
+++ b/internal/controlplane/owners.go
@@ -80,7 +80,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var held []*api.Ownership
-	for _, owned := range machine.Ownerships() {
+	for _, owned := range machine.Leases() {
 		if owned.Holder != holder || o.passes(owned.Key, owned) {
 			continue
 		}
@@ -173,7 +173,7 @@
 			if s := &m.Document().Services[i]; s.Engine != nil {
 				key := lease.PlacementKey(s.Name)
 				keys = append(keys, key)
-				owned[key] = m.Owner(key)
+				owned[key] = m.Lease(key)
 			}
 		}
 	})
--- a/internal/controlplane/owners_test.go
+++ b/internal/controlplane/owners_test.go
@@ -72,7 +72,7 @@
 	return len(o.renew(lease.Holder(node, 1), false, o.machine)) > 0
 }
 
-func (o *ownersTrial) holder() string { return o.machine.Owner(llmKey).GetHolder() }
+func (o *ownersTrial) holder() string { return o.machine.Lease(llmKey).GetHolder() }
 
 // A holder that was silent until its lease had run out, and renews while the grant to another one is under way, gets
 // nothing: both would hold the role at once.
@@ -129,7 +129,7 @@
 		time.Sleep(takeUp + time.Millisecond)
 		o.look("a", "b")
 		is.True(o.holder() != first)
-		is.Equal(o.machine.Owner(llmKey).FencingToken, uint64(2))
+		is.Equal(o.machine.Lease(llmKey).FencingToken, uint64(2))
 	})
 }
 
--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -28,7 +28,7 @@
 
 // Saver puts the chain's durable state on disk.
 type Saver interface {
-	Save(d *chain.Durable, changed chain.Changed) error
+	Save(d *chain.DurableState, changed chain.Changes) error
 }
 
 // Sender hands messages to other members. It does not wait.
@@ -82,7 +82,7 @@
 }
 
 // NewReplica makes a replica of what the disk holds.
-func NewReplica(cfg chain.Config, durable chain.Durable, contacts []string, saver Saver, sender Sender,
+func NewReplica(cfg chain.Config, durable chain.DurableState, contacts []string, saver Saver, sender Sender,
 	out *watch.Store, log logr.Logger, now time.Duration,
 ) *Replica {
 	r := &Replica{
@@ -157,7 +157,7 @@
 
 // Read gives the newest state. Only the tail can.
 func (r *Replica) Read(now time.Duration, reply ReadReply) {
-	if r.failure != nil || !r.node.MayRead() {
+	if r.failure != nil || !r.node.CanRead() {
 		reply(result.Unavailable, nil)
 		return
 	}
@@ -176,14 +176,16 @@
 func (r *Replica) confirmThen(now time.Duration, reply ReadReply) {
 	r.lastToken++
 	r.reads[r.lastToken] = &pendingRead{reply, now + submissionTimeout}
-	r.carryOut(now, r.node.Confirm(now, r.lastToken))
+	r.carryOut(now, r.node.ConfirmView(now, r.lastToken))
 }
 
-func (r *Replica) isHead() bool { return chain.Key(r.node.Head()) == chain.Key(r.node.Durable().Self) }
+func (r *Replica) isHead() bool {
+	return chain.MemberKey(r.node.Head()) == chain.MemberKey(r.node.Durable().Self)
+}
 
 // pump takes what waits into the chain.
 func (r *Replica) pump(now time.Duration) {
-	if r.failure != nil || r.inFlight != nil || !r.node.MayPropose() {
+	if r.failure != nil || r.inFlight != nil || !r.node.CanPropose() {
 		return
 	}
 	r.refuseLate(now)
@@ -198,7 +200,7 @@
 		// Nothing changes, but that is sure only while this is still the head.
 		r.lastToken++
 		r.confirms[r.lastToken] = b
-		r.carryOut(now, r.node.Confirm(now, r.lastToken))
+		r.carryOut(now, r.node.ConfirmView(now, r.lastToken))
 		r.pump(now)
 		return
 	}
@@ -213,7 +215,7 @@
 	trial := r.machine.Clone()
 	var operations []*api.Operation
 	for _, s := range b.submissions {
-		changed, failure := trial.Do(s.operation)
+		changed, failure := trial.Execute(s.operation)
 		switch {
 		case failure != nil:
 			s.code, s.detail = failure.Code, failure.Detail
@@ -238,17 +240,17 @@
 			return
 		}
 	}
-	for _, message := range out.Send {
+	for _, message := range out.Messages {
 		r.sender.Send(message)
 	}
-	if out.Deposed {
+	if out.ViewChanged {
 		r.deposed()
 	}
-	r.publish(out.Restored, out.Committed)
+	r.publish(out.SnapshotRestored, out.Committed)
 	for _, entry := range out.Committed {
 		r.settle(entry)
 	}
-	for _, token := range out.Confirmed {
+	for _, token := range out.ConfirmedTokens {
 		r.confirmed(token)
 	}
 }
@@ -320,14 +322,14 @@
 	for _, token := range slices.Sorted(maps.Keys(r.confirms)) {
 		if b := r.confirms[token]; over(b.until) {
 			delete(r.confirms, token)
-			r.node.Abandon(token)
+			r.node.CancelConfirmation(token)
 			giveUp(b, result.Unavailable, why)
 		}
 	}
 	for _, token := range slices.Sorted(maps.Keys(r.reads)) {
 		if read := r.reads[token]; over(read.until) {
 			delete(r.reads, token)
-			r.node.Abandon(token)
+			r.node.CancelConfirmation(token)
 			read.reply(result.Unavailable, nil)
 		}
 	}
--- a/internal/controlplane/state/compatibility_sent_test.go
+++ b/internal/controlplane/state/compatibility_sent_test.go
@@ -95,7 +95,7 @@
 	// The same changes once more change nothing: they are known by their digests.
 	before := state()
 	for _, operation := range entry.Operations[:2] {
-		if changed, failure := machine.Do(operation); changed || failure != nil {
+		if changed, failure := machine.Execute(operation); changed || failure != nil {
 			t.Errorf("the same change again: %t %v", changed, failure)
 		}
 	}
--- a/internal/controlplane/state/compatibility_test.go
+++ b/internal/controlplane/state/compatibility_test.go
@@ -114,13 +114,13 @@
 	if m.Version() != 5 || m.Document() == nil {
 		t.Errorf("version %d, document %v", m.Version(), m.Document())
 	}
-	if !m.Evacuated("zone-a") || m.Evacuated("zone-b") || !m.Evacuated("zone-c") {
+	if !m.IsEvacuated("zone-a") || m.IsEvacuated("zone-b") || !m.IsEvacuated("zone-c") {
 		t.Errorf("the evacuated zones are %q", m.EvacuatedZones())
 	}
-	if !m.Retired("llm-1/5f") || !m.Retired("llm-2/60") || m.Retired("llm-3/61") {
+	if !m.IsRetired("llm-1/5f") || !m.IsRetired("llm-2/60") || m.IsRetired("llm-3/61") {
 		t.Error("other backends have retired")
 	}
-	if o := m.Owner("placement/img"); o.GetHolder() != "node-3/00000abc" || o.GetAddress() != "10.0.0.3:7200" || o.GetFencingToken() != 3 {
+	if o := m.Lease("placement/img"); o.GetHolder() != "node-3/00000abc" || o.GetAddress() != "10.0.0.3:7200" || o.GetFencingToken() != 3 {
 		t.Errorf("the owner of placement/img is %v", o)
 	}
 }
@@ -143,7 +143,7 @@
 		t.Run(name, func(t *testing.T) {
 			m := New()
 			m.Restore(stored)
-			changed, failure := m.Do(operation)
+			changed, failure := m.Execute(operation)
 			if changed || failure != nil {
 				t.Errorf("changed is %t, and the failure is %v", changed, failure)
 			}
--- a/internal/controlplane/state/machine.go
+++ b/internal/controlplane/state/machine.go
@@ -83,16 +83,16 @@
 // Version is that of the configuration in force; 0 is none.
 func (m *Machine) Version() uint64 { return m.state.Version }
 
-// Evacuated tells whether a zone's backends are to get nothing.
-func (m *Machine) Evacuated(zone string) bool {
+// IsEvacuated tells whether a zone's backends are to get nothing.
+func (m *Machine) IsEvacuated(zone string) bool {
 	return slices.ContainsFunc(m.state.Evacuations, func(e *api.Evacuation) bool { return e.Zone == zone })
 }
 
-// Retired tells whether a backend has announced its end.
-func (m *Machine) Retired(id string) bool { return m.retired[id] }
+// IsRetired tells whether a backend has announced its end.
+func (m *Machine) IsRetired(id string) bool { return m.retired[id] }
 
-// Owner is who holds a role, or nil.
-func (m *Machine) Owner(key string) *api.Ownership {
+// Lease is who holds a role, or nil.
+func (m *Machine) Lease(key string) *api.Ownership {
 	for _, o := range m.state.Ownerships {
 		if o.Key == key {
 			return o
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// Ownerships are all roles that are held. They must not be changed.
-func (m *Machine) Ownerships() []*api.Ownership { return m.state.Ownerships }
+// Leases are all roles that are held. They must not be changed.
+func (m *Machine) Leases() []*api.Ownership { return m.state.Ownerships }
 
 // Apply takes an entry's operations into the state. They were tried before they became an
 // entry: documents are not checked again.
@@ -112,9 +112,9 @@
 	}
 }
 
-// Do tries one operation. changed tells whether the state is another one now; where it
+// Execute tries one operation. changed tells whether the state is another one now; where it
 // is not, the error says why, or the operation had its effect before.
-func (m *Machine) Do(operation *api.Operation) (changed bool, failure *result.Error) {
+func (m *Machine) Execute(operation *api.Operation) (changed bool, failure *result.Error) {
 	return m.do(operation, configuration.Parse)
 }
 
@@ -213,7 +213,7 @@
 	if e.Zone == "" {
 		return false, result.Errorf(result.InvalidField, "a zone is needed")
 	}
-	if m.Evacuated(e.Zone) == e.Active {
+	if m.IsEvacuated(e.Zone) == e.Active {
 		return false, nil
 	}
 	if e.Active {
@@ -250,7 +250,7 @@
 		return false, result.Errorf(result.InvalidField, "a key and a holder are needed")
 	}
 	// A grant that was decided on an earlier holder comes late, or a second time.
-	if held := m.Owner(g.Key); g.ReplacesFencingToken != nil && held.GetFencingToken() != g.GetReplacesFencingToken() {
+	if held := m.Lease(g.Key); g.ReplacesFencingToken != nil && held.GetFencingToken() != g.GetReplacesFencingToken() {
 		if held.GetHolder() == g.Holder {
 			return false, nil
 		}
--- a/internal/controlplane/state/machine_test.go
+++ b/internal/controlplane/state/machine_test.go
@@ -48,9 +48,9 @@
 func TestOneOfTwoOnABaseIsTaken(t *testing.T) {
 	is := is.New(t)
 	m := New()
-	changed, failure := m.Do(replace(0, document(3, "a")))
+	changed, failure := m.Execute(replace(0, document(3, "a")))
 	is.True(changed && failure == nil)
-	_, failure = m.Do(replace(0, document(3, "b")))
+	_, failure = m.Execute(replace(0, document(3, "b")))
 	is.Equal(code(failure), result.VersionConflict)
 	is.Equal(m.Version(), uint64(3))
 }
@@ -61,14 +61,14 @@
 	m := New()
 	first, second := replace(0, document(3, "a")), modify(3, `{"config_version":5,"remove":{"route_list":["r"]}}`)
 	for _, operation := range []*api.Operation{first, second} {
-		changed, failure := m.Do(operation)
+		changed, failure := m.Execute(operation)
 		is.True(changed && failure == nil)
 	}
 	restored := New()
 	restored.Restore(m.State()) // as after a restart
 	for _, machine := range []*Machine{m, m.Clone(), restored} {
 		for _, operation := range []*api.Operation{first, second} {
-			changed, failure := machine.Do(operation)
+			changed, failure := machine.Execute(operation)
 			is.True(!changed && failure == nil)
 		}
 		is.Equal(machine.Version(), uint64(5))
@@ -78,10 +78,10 @@
 func TestAVersionThatIsNotHigher(t *testing.T) {
 	is := is.New(t)
 	m := New()
-	m.Do(replace(0, document(3, "a")))
-	_, failure := m.Do(replace(3, document(3, "b")))
+	m.Execute(replace(0, document(3, "a")))
+	_, failure := m.Execute(replace(3, document(3, "b")))
 	is.Equal(code(failure), result.VersionTooLow)
-	_, failure = m.Do(modify(3, `{"config_version":2}`))
+	_, failure = m.Execute(modify(3, `{"config_version":2}`))
 	is.Equal(code(failure), result.VersionTooLow)
 }
 
@@ -91,27 +91,27 @@
 	last := uint64(0)
 	for i := range 10 {
 		key := fmt.Sprint("placement/", i%3)
-		m.Do(grant(key, fmt.Sprint("node-", i)))
-		owned := m.Owner(key)
+		m.Execute(grant(key, fmt.Sprint("node-", i)))
+		owned := m.Lease(key)
 		is.True(owned.FencingToken > last)
 		last = owned.FencingToken
 	}
-	is.Equal(len(m.Ownerships()), 3)
+	is.Equal(len(m.Leases()), 3)
 }
 
 func TestWhatIsKeptHasABound(t *testing.T) {
 	is := is.New(t)
 	m := New()
 	for i := range mostRetired + 5 {
-		m.Do(retire(fmt.Sprint("i-", i)))
+		m.Execute(retire(fmt.Sprint("i-", i)))
 	}
 	is.Equal(len(m.State().Retired), mostRetired)
-	is.True(!m.Retired("i-0"))
-	is.True(m.Retired(fmt.Sprint("i-", mostRetired+4)))
+	is.True(!m.IsRetired("i-0"))
+	is.True(m.IsRetired(fmt.Sprint("i-", mostRetired+4)))
 	for i := range mostEvacuations {
-		m.Do(evacuation(fmt.Sprint("zone-", i), true))
+		m.Execute(evacuation(fmt.Sprint("zone-", i), true))
 	}
-	_, failure := m.Do(evacuation("one-more", true))
+	_, failure := m.Execute(evacuation("one-more", true))
 	is.Equal(code(failure), result.TooLarge)
 }
 
@@ -142,7 +142,7 @@
 			operation := rapid.SampledFrom(operations).Draw(t, "kind")()
 			before := head.State()
 			trial := head.Clone()
-			changed, _ := trial.Do(operation)
+			changed, _ := trial.Execute(operation)
 			if !proto.Equal(head.State(), before) {
 				t.Fatalf("a trial of %v has changed the machine", operation)
 			}
@@ -175,14 +175,14 @@
 			change = modify(version, fmt.Sprintf(`{"config_version":%d}`, version+1))
 		}
 		changes = append(changes, change)
-		changed, failure := m.Do(change)
+		changed, failure := m.Execute(change)
 		is.True(changed && failure == nil)
 	}
 	is.Equal(len(m.State().Digests), mostDigests)
 	check := func(m *Machine) {
 		t.Helper()
 		for number, change := range changes {
-			changed, failure := m.Do(change)
+			changed, failure := m.Execute(change)
 			is.Equal(changed, false)
 			if number < 2 {
 				is.Equal(code(failure), result.Unclear) // forgotten
@@ -191,9 +191,9 @@
 			is.Equal(failure, nil) // acknowledged again
 		}
 		// What is built on a version whose successor is remembered, and is not it, was not taken.
-		_, failure := m.Do(replace(2, document(99999, "b")))
+		_, failure := m.Execute(replace(2, document(99999, "b")))
 		is.Equal(code(failure), result.VersionConflict)
-		_, failure = m.Do(replace(1, document(99999, "b")))
+		_, failure = m.Execute(replace(1, document(99999, "b")))
 		is.Equal(code(failure), result.Unclear)
 	}
 	check(m)
@@ -214,17 +214,17 @@
 	is := is.New(t)
 	m := New()
 	first := conditional("llm", "a", 0)
-	changed, failure := m.Do(first)
+	changed, failure := m.Execute(first)
 	is.True(changed && failure == nil)
-	changed, failure = m.Do(first) // once more
+	changed, failure = m.Execute(first) // once more
 	is.True(!changed && failure == nil)
-	is.Equal(m.Owner("llm").FencingToken, uint64(1))
-	changed, failure = m.Do(conditional("llm", "b", 1))
+	is.Equal(m.Lease("llm").FencingToken, uint64(1))
+	changed, failure = m.Execute(conditional("llm", "b", 1))
 	is.True(changed && failure == nil)
-	changed, failure = m.Do(first) // after another one has the role
+	changed, failure = m.Execute(first) // after another one has the role
 	is.True(!changed)
 	is.Equal(code(failure), result.VersionConflict)
-	is.Equal(m.Owner("llm").Holder, "b")
-	changed, _ = m.Do(grant("llm", "c")) // of an earlier version's log
+	is.Equal(m.Lease("llm").Holder, "b")
+	changed, _ = m.Execute(grant("llm", "c")) // of an earlier version's log
 	is.True(changed)
 }
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -72,7 +72,7 @@
 	}
 	s.feed.View(func(m *state.Machine) {
 		out.Version, out.Evacuated = m.Version(), m.EvacuatedZones()
-		for _, o := range m.Ownerships() {
+		for _, o := range m.Leases() {
 			out.Roles = append(out.Roles, RoleStatus{Key: o.Key, Holder: o.Holder, Fence: o.FencingToken})
 		}
 	})
--- a/internal/controlplane/store/compatibility_test.go
+++ b/internal/controlplane/store/compatibility_test.go
@@ -34,7 +34,7 @@
 // compatibilityCase is a stored folder and what it holds.
 type compatibilityCase struct {
 	name    string
-	durable chain.Durable
+	durable chain.DurableState
 	keys    []string // all keys of the database, in order
 }
 
@@ -103,7 +103,7 @@
 	return []compatibilityCase{
 		{
 			name: "founder", // the first start of a system
-			durable: chain.Durable{
+			durable: chain.DurableState{
 				Self: memberA,
 				View: &api.View{Members: []*api.Member{memberA, memberB}},
 			},
@@ -111,12 +111,12 @@
 		},
 		{
 			name:    "waiting", // a process on an empty disk, with an incarnation of its own
-			durable: chain.Durable{Self: memberC},
+			durable: chain.DurableState{Self: memberC},
 			keys:    []string{"self"},
 		},
 		{
 			name: "log", // a vote under way, a snapshot, and the log after it
-			durable: chain.Durable{
+			durable: chain.DurableState{
 				Self:           memberC,
 				View:           core,
 				Promised:       &api.Ballot{Round: 9, Proposer: "10.0.0.2:7100/1"},
@@ -130,7 +130,7 @@
 		},
 		{
 			name: "compacted", // the same log after its first three entries went into the snapshot
-			durable: chain.Durable{
+			durable: chain.DurableState{
 				Self:       memberC,
 				View:       core,
 				Promised:   &api.Ballot{Round: 9, Proposer: "10.0.0.2:7100/1"},
@@ -218,7 +218,7 @@
 		t.Fatal(err)
 	}
 	durable.SyncedView = 4
-	if err := s.Save(&durable, chain.Changed{Synced: true}); err != nil {
+	if err := s.Save(&durable, chain.Changes{SyncedView: true}); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Close(); err != nil {
@@ -252,7 +252,7 @@
 	return folder
 }
 
-func load(t *testing.T, folder string) chain.Durable {
+func load(t *testing.T, folder string) chain.DurableState {
 	t.Helper()
 	s, err := Open(folder)
 	if err != nil {
@@ -266,7 +266,7 @@
 	return durable
 }
 
-func loadCopy(t *testing.T, name string) chain.Durable {
+func loadCopy(t *testing.T, name string) chain.DurableState {
 	t.Helper()
 	return load(t, copyOfStore(t, name))
 }
@@ -292,14 +292,14 @@
 }
 
 // saveAll writes a whole durable state into a new store.
-func saveAll(t *testing.T, folder string, durable chain.Durable) {
+func saveAll(t *testing.T, folder string, durable chain.DurableState) {
 	t.Helper()
 	s, err := Open(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	changed := chain.Changed{
-		Self: true, View: durable.View != nil, Vote: durable.Promised != nil, Synced: durable.SyncedView != 0,
+	changed := chain.Changes{
+		Self: true, View: durable.View != nil, Acceptor: durable.Promised != nil, SyncedView: durable.SyncedView != 0,
 		Snapshot: durable.Snapshot != nil, Appended: durable.Entries,
 	}
 	if err := s.Save(&durable, changed); err != nil {
@@ -340,7 +340,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := s.Save(&c.durable, chain.Changed{Snapshot: true}); err != nil {
+			if err := s.Save(&c.durable, chain.Changes{Snapshot: true}); err != nil {
 				t.Fatal(err)
 			}
 			if err := s.Close(); err != nil {
@@ -357,11 +357,11 @@
 	t.Helper()
 	config := chain.DefaultConfig(1)
 	self := member("a")
-	durable := chain.Durable{Self: self, View: chain.FoundingView([]string{"a"}), Snapshot: compatibilitySnapshot()}
-	node := chain.New(config, durable, nothing{}, nil, config.SuspectAfter)
-	now := config.SuspectAfter
+	durable := chain.DurableState{Self: self, View: chain.FoundingView([]string{"a"}), Snapshot: compatibilitySnapshot()}
+	node := chain.New(config, durable, nothing{}, nil, config.FailureTimeout)
+	now := config.FailureTimeout
 	tick := func() time.Duration {
-		now += config.HeartbeatEvery
+		now += config.HeartbeatInterval
 		node.Tick(now)
 		return now
 	}
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -33,8 +33,8 @@
 	entriesPrefix = []byte("entry/")
 )
 
-// ErrDamaged says that what the disk holds is not what was written.
-var ErrDamaged = eris.New("the store holds a log that does not fit together")
+// ErrCorrupted says that what the disk holds is not what was written.
+var ErrCorrupted = eris.New("the store holds a log that does not fit together")
 
 // Store is an open store.
 type Store struct {
@@ -115,8 +115,8 @@
 func (s *Store) Close() error { return s.db.Close() }
 
 // Load reads the durable state. An empty store gives one without Self.
-func (s *Store) Load() (chain.Durable, error) {
-	var d chain.Durable
+func (s *Store) Load() (chain.DurableState, error) {
+	var d chain.DurableState
 	var accepted, view api.View
 	var member api.Member
 	var promised, ballot api.Ballot
@@ -157,8 +157,8 @@
 	if d.Entries, err = s.entries(d.Snapshot.GetSequence()); err != nil {
 		return d, err
 	}
-	if !d.Intact() {
-		return d, ErrDamaged
+	if !d.LogIsIntact() {
+		return d, ErrCorrupted
 	}
 	return d, nil
 }
@@ -196,7 +196,7 @@
 }
 
 // Save writes what has changed, in one synced batch.
-func (s *Store) Save(d *chain.Durable, changed chain.Changed) error {
+func (s *Store) Save(d *chain.DurableState, changed chain.Changes) error {
 	batch := new(leveldb.Batch)
 	if changed.Self {
 		put(batch, keySelf, d.Self)
@@ -204,22 +204,22 @@
 	if changed.View {
 		put(batch, keyView, d.View)
 	}
-	if changed.Vote {
+	if changed.Acceptor {
 		put(batch, keyPromised, d.Promised)
 		put(batch, keyBallot, d.AcceptedBallot)
 		put(batch, keyAccepted, d.AcceptedView)
 	}
-	if changed.Synced {
+	if changed.SyncedView {
 		batch.Put(keySynced, binary.BigEndian.AppendUint64(nil, d.SyncedView))
 	}
 	if changed.Snapshot {
 		put(batch, keySnapshot, d.Snapshot)
-		if err := s.dropEntries(batch, d.Snapshot.GetSequence(), changed.Truncated); err != nil {
+		if err := s.dropEntries(batch, d.Snapshot.GetSequence(), changed.LogReplaced); err != nil {
 			return err
 		}
 	}
 	added := changed.Appended
-	if changed.Truncated {
+	if changed.LogReplaced {
 		added = d.Entries
 	}
 	for _, entry := range added {
--- a/internal/controlplane/store/store_test.go
+++ b/internal/controlplane/store/store_test.go
@@ -17,7 +17,7 @@
 )
 
 // equal tells whether two durable states hold the same.
-func equal(a, b *chain.Durable) bool {
+func equal(a, b *chain.DurableState) bool {
 	same := proto.Equal(a.Self, b.Self) && proto.Equal(a.View, b.View) && proto.Equal(a.Promised, b.Promised) &&
 		proto.Equal(a.AcceptedBallot, b.AcceptedBallot) && proto.Equal(a.AcceptedView, b.AcceptedView) &&
 		a.SyncedView == b.SyncedView && proto.Equal(a.Snapshot, b.Snapshot) && len(a.Entries) == len(b.Entries)
@@ -44,14 +44,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		durable := chain.Durable{Self: member("a"), View: chain.FoundingView([]string{"a"})}
-		if err := s.Save(&durable, chain.Changed{Self: true, View: true}); err != nil {
+		durable := chain.DurableState{Self: member("a"), View: chain.FoundingView([]string{"a"})}
+		if err := s.Save(&durable, chain.Changes{Self: true, View: true}); err != nil {
 			t.Fatal(err)
 		}
 		config := chain.DefaultConfig(1)
-		config.CompactAfter = rapid.IntRange(1, 6).Draw(t, "compact after")
-		node := chain.New(config, durable, nothing{}, nil, config.SuspectAfter)
-		now := config.SuspectAfter
+		config.MaxLogEntries = rapid.IntRange(1, 6).Draw(t, "compact after")
+		node := chain.New(config, durable, nothing{}, nil, config.FailureTimeout)
+		now := config.FailureTimeout
 		save := func(out chain.Output) {
 			if out.Save.Any() {
 				if err := s.Save(node.Durable(), out.Save); err != nil {
@@ -60,16 +60,16 @@
 			}
 		}
 		for range 40 { // it agrees with itself on a view
-			now += config.HeartbeatEvery
+			now += config.HeartbeatInterval
 			save(node.Tick(now))
 		}
-		if !node.MayPropose() {
+		if !node.CanPropose() {
 			t.Fatal("a chain of one is not in service")
 		}
 		for i := range rapid.IntRange(1, 40).Draw(t, "steps") {
-			now += config.HeartbeatEvery
+			now += config.HeartbeatInterval
 			save(node.Tick(now))
-			if node.MayPropose() {
+			if node.CanPropose() {
 				_, out := node.Propose(now, []*api.Operation{{Kind: &api.Operation_Retire{Retire: &api.RetireBackend{Id: fmt.Sprint(i)}}}})
 				save(out)
 			}
@@ -112,9 +112,9 @@
 	s, err := OpenStorage(storage.NewMemStorage())
 	is.NoErr(err)
 	entries := []*api.Entry{{Sequence: 1, Hash: 5}, {Sequence: 2, PreviousHash: 6, Hash: 7}}
-	is.NoErr(s.Save(&chain.Durable{Self: member("a"), Entries: entries}, chain.Changed{Self: true, Appended: entries}))
+	is.NoErr(s.Save(&chain.DurableState{Self: member("a"), Entries: entries}, chain.Changes{Self: true, Appended: entries}))
 	_, err = s.Load()
-	is.True(errors.Is(err, ErrDamaged))
+	is.True(errors.Is(err, ErrCorrupted))
 }
 
 // A store whose table of files was damaged by a loss of power is recovered from its files.
@@ -123,8 +123,8 @@
 	folder := t.TempDir()
 	s, err := Open(folder)
 	is.NoErr(err)
-	written := chain.Durable{Self: member("a"), View: chain.FoundingView([]string{"a", "b", "c"}), SyncedView: 4}
-	is.NoErr(s.Save(&written, chain.Changed{Self: true, View: true, Synced: true}))
+	written := chain.DurableState{Self: member("a"), View: chain.FoundingView([]string{"a", "b", "c"}), SyncedView: 4}
+	is.NoErr(s.Save(&written, chain.Changes{Self: true, View: true, SyncedView: true}))
 	is.NoErr(s.Close())
 	tables, err := filepath.Glob(filepath.Join(folder, storeFolder, "MANIFEST-*"))
 	is.NoErr(err)
@@ -145,7 +145,7 @@
 	folder := t.TempDir()
 	s, err := Open(folder)
 	is.NoErr(err)
-	is.NoErr(s.Save(&chain.Durable{Self: member("a")}, chain.Changed{Self: true}))
+	is.NoErr(s.Save(&chain.DurableState{Self: member("a")}, chain.Changes{Self: true}))
 	is.NoErr(s.Close())
 	is.NoErr(Remove(folder))
 	s, err = Open(folder)
--- a/internal/controlplane/world_history_test.go
+++ b/internal/controlplane/world_history_test.go
@@ -346,7 +346,7 @@
 	}
 	c.leaving = true
 	c.run(func() { c.replica.Leave(c.clock(w.now)) })
-	if w.passUntil(4*time.Second, func() bool { return c.replica == nil || c.replica.Node().Left() }) {
+	if w.passUntil(4*time.Second, func() bool { return c.replica == nil || c.replica.Node().HasLeft() }) {
 		w.crossed["a process left the chain"]++
 	}
 	c.kill()
--- a/internal/controlplane/world_test.go
+++ b/internal/controlplane/world_test.go
@@ -351,7 +351,7 @@
 		c.open()
 	}
 	if c.replica != nil {
-		c.replica.Node().SetContacts(c.world.seeds)
+		c.replica.Node().SetSeeds(c.world.seeds)
 		c.replica.Tick(c.clock(c.world.now))
 	}
 }
@@ -381,7 +381,7 @@
 		} else {
 			durable.Self.Incarnation = c.world.rng.Uint64() | 1<<63
 		}
-		if err := opened.Save(&durable, chain.Changed{Self: true, View: durable.View != nil}); err != nil {
+		if err := opened.Save(&durable, chain.Changes{Self: true, View: durable.View != nil}); err != nil {
 			c.world.fault("%s: founding: %v", c.address, err)
 		}
 	}
@@ -395,12 +395,12 @@
 // worldChain is the chain's configuration: logs are compacted often.
 func worldChain(members int) chain.Config {
 	cfg := chain.DefaultConfig(members)
-	cfg.CompactAfter, cfg.NearBytes = 8, 2<<10
+	cfg.MaxLogEntries, cfg.MaxJoinLagBytes = 8, 2<<10
 	return cfg
 }
 
 // Save implements Saver.
-func (c *core) Save(d *chain.Durable, changed chain.Changed) error {
+func (c *core) Save(d *chain.DurableState, changed chain.Changes) error {
 	if c.fullDisk {
 		if c.world.rng.IntN(2) == 0 {
 			_ = c.store.Save(d, changed) // a write that is refused may be in the journal
@@ -670,12 +670,12 @@
 	if code != result.Accepted {
 		return nil
 	}
-	s := &newestState{version: m.Version(), evacuated: m.Evacuated(evacuatedZone), retired: map[string]bool{}}
+	s := &newestState{version: m.Version(), evacuated: m.IsEvacuated(evacuatedZone), retired: map[string]bool{}}
 	if m.Document() != nil {
 		s.text = string(m.Document().Raw())
 	}
 	for _, id := range ids {
-		s.retired[id] = m.Retired(id)
+		s.retired[id] = m.IsRetired(id)
 	}
 	return s
 }
--- a/internal/distribution/watch/backends.go
+++ b/internal/distribution/watch/backends.go
@@ -25,7 +25,7 @@
 // dropRetired takes backends off the list that have announced their end.
 func (s *Store) dropRetired() {
 	for id := range s.backends {
-		if s.machine.Retired(id) {
+		if s.machine.IsRetired(id) {
 			s.depart(id)
 		}
 	}
@@ -54,7 +54,7 @@
 }
 
 func (s *Store) put(b *api.Backend) bool {
-	if s.machine.Retired(b.Id) {
+	if s.machine.IsRetired(b.Id) {
 		return false
 	}
 	heardAt := s.now().Add(-time.Duration(b.AgeMs) * time.Millisecond)
@@ -99,7 +99,7 @@
 	defer s.mu.Unlock()
 	record := s.backends[id]
 	if record == nil {
-		return s.machine.Retired(id)
+		return s.machine.IsRetired(id)
 	}
 	if heardAt := s.now().Add(-age); heardAt.After(record.heardAt) {
 		record.heardAt = heardAt
