--- /dev/null
+++ b/internal/controlplane/chain/acceptor.go
@@ -0,0 +1,63 @@
+package chain
+
+import "marlreel/internal/api"
+
+// The acceptor's state is DurableState.Promised, AcceptedBallot and AcceptedView. Each change of it is saved before the
+// answer that it leads to is sent, or a restarted member could promise or accept what it has rejected.
+
+func (n *Node) onPrepare(from *api.Member, prepare *api.Prepare) {
+	if !n.isAcceptorOf(from, prepare.Instance) {
+		return
+	}
+	reply := n.promiseBallot(prepare)
+	if reply.RefusedFor == nil {
+		n.wedgedSince = n.now
+		n.proposal = nil // the other proposer's ballot is higher
+	}
+	n.send(from, &api.ChainMessage{Body: &api.ChainMessage_Promise{Promise: reply}})
+}
+
+// isAcceptorOf tells whether this node votes on a proposer's view: both are members of the view before.
+func (n *Node) isAcceptorOf(proposer *api.Member, instance uint64) bool {
+	return instance == n.durable.View.Number+1 && containsMember(n.durable.View.Members, proposer) && n.isMember()
+}
+
+// promiseBallot promises a ballot, unless a higher one was promised: no lower one is accepted here from now on. The
+// promise says what was accepted before, and how far this log reaches, which stays so while this node is wedged.
+func (n *Node) promiseBallot(prepare *api.Prepare) *api.Promise {
+	reply := &api.Promise{Instance: prepare.Instance, Ballot: prepare.Ballot}
+	n.highestRound = max(n.highestRound, prepare.Ballot.GetRound())
+	if ballotLess(prepare.Ballot, n.durable.Promised) {
+		reply.RefusedFor = n.durable.Promised
+		return reply
+	}
+	if n.durable.Promised == nil {
+		n.wedgedSince = n.now
+	}
+	n.durable.Promised = prepare.Ballot
+	n.output.Save.Acceptor = true
+	reply.AcceptedBallot, reply.AcceptedView = n.durable.AcceptedBallot, n.durable.AcceptedView
+	reply.Position = n.durable.lastPosition()
+	return reply
+}
+
+func (n *Node) onAccept(from *api.Member, accept *api.Accept) {
+	if !n.isAcceptorOf(from, accept.View.GetNumber()) {
+		return
+	}
+	n.wedgedSince = n.now
+	n.send(from, &api.ChainMessage{Body: &api.ChainMessage_Accepted{Accepted: n.acceptView(accept)}})
+}
+
+// acceptView accepts a view, unless a higher ballot was promised.
+func (n *Node) acceptView(accept *api.Accept) *api.Accepted {
+	reply := &api.Accepted{Instance: accept.View.GetNumber(), Ballot: accept.Ballot}
+	n.highestRound = max(n.highestRound, accept.Ballot.GetRound())
+	if ballotLess(accept.Ballot, n.durable.Promised) {
+		reply.RefusedFor = n.durable.Promised
+		return reply
+	}
+	n.durable.Promised, n.durable.AcceptedBallot, n.durable.AcceptedView = accept.Ballot, accept.Ballot, accept.View
+	n.output.Save.Acceptor = true
+	return reply
+}
--- a/internal/controlplane/chain/catchup.go
+++ b/internal/controlplane/chain/catchup.go
@@ -9,78 +9,89 @@
 	"marlreel/internal/api"
 )
 
-// A process outside the chain is brought up to date before it is taken in: the chain goes on
-// serving meanwhile, and who counts holds all but a little. Only what is committed is sent, so
-// a log that was brought up to date reaches no further than that of any chain in service; its
-// SyncedView stays what it was.
+// A process outside the chain catches up before it joins: the chain stays in service meanwhile, and its members all have
+// all but a little of the log. Only what is committed is sent, so a log that has caught up reaches no further than that
+// of any chain in service; its SyncedView stays what it was.
 
 // catchUp is what a head has sent to a process outside the chain.
 type catchUp struct {
-	key    string
-	target *api.Position
-	began  time.Duration // when the last part was sent
-	until  time.Duration // how long that may be on its way
-	fast   bool          // the last part arrived soon: no more is to be gained by waiting
+	peerKey      string
+	target       *api.Position
+	sentAt       time.Duration // when the last part was sent
+	retransmitAt time.Duration // until when that may be on its way
+	keepsUp      bool          // a part arrived soon after it was sent: nothing is gained by sending another
 }
 
-// bringsUp tells whether somebody is being brought up to date.
-func (n *Node) bringsUp() bool { return n.catchUp != nil }
+// isCatchingUp tells whether a process is catching up with this head.
+func (n *Node) isCatchingUp() bool { return n.catchUp != nil }
 
-// CatchUpAddress is the address of the process that this head brings up to date; "" is none.
+// CatchUpAddress is the address of the process that is catching up with this head; "": there is none.
 func (n *Node) CatchUpAddress() string {
 	if n.catchUp == nil || !n.isHead() {
 		return ""
 	}
-	address, _, _ := strings.Cut(n.catchUp.key, "/")
+	address, _, _ := strings.Cut(n.catchUp.peerKey, "/")
 	return address
 }
 
-// dropCatchUp forgets a process that no longer can be brought up to date.
+// dropCatchUp forgets a process that is not alive any more, or has joined.
 func (n *Node) dropCatchUp() {
 	if n.catchUp == nil {
 		return
 	}
-	if p := n.peers[n.catchUp.key]; p == nil || !n.alive(p) || contains(n.durable.View.Chain, p.member) {
+	p := n.peers[n.catchUp.peerKey]
+	if p == nil || !n.isAlive(p) || containsMember(n.durable.View.Chain, p.member) {
 		n.catchUp = nil
 	}
 }
 
-// bringUp sends a process what it lacks, one process at a time. It tells whether that is little
-// enough for the chain to be made equal with it.
-func (n *Node) bringUp(p *peer) (near bool) {
+// continueCatchUp sends a process what it lacks, one process at a time. It reports whether that is little enough for the
+// process to join the chain.
+func (n *Node) continueCatchUp(p *peer) bool {
 	key := MemberKey(p.member)
-	if n.catchUp != nil && n.catchUp.key != key {
-		return false // one after the other
+	if n.catchUp != nil && n.catchUp.peerKey != key {
+		return false
 	}
-	data := n.lackedBy(p)
-	if data.Snapshot == nil && bytesOf(data.Entries) <= n.cfg.MaxJoinLagBytes {
+	data := n.catchUpFor(p)
+	if data.Snapshot == nil && sizeOfEntries(data.Entries) <= n.config.MaxJoinLagBytes {
 		return true
 	}
-	c := n.catchUp
-	if c != nil && data.Snapshot == nil && p.position.GetSequence() >= c.target.Sequence {
+	if n.catchUp == nil {
+		size := proto.Size(data)
+		if size <= n.config.MaxJoinLagBytes {
+			return true // a snapshot, and a small one
+		}
+		n.sendCatchUp(p, data, size)
+		return false
+	}
+	current := n.catchUp
+	if data.Snapshot == nil && p.position.GetSequence() >= current.target.Sequence {
 		// The last part has arrived.
-		if c.fast = c.fast || n.now-c.began <= n.cfg.MinStableTime; c.fast {
+		current.keepsUp = current.keepsUp || n.now-current.sentAt <= n.config.MinStableTime
+		if current.keepsUp {
 			return true
 		}
-		c.until = 0
+		current.retransmitAt = 0
 	}
-	if c != nil && n.now < c.until {
-		return false
+	if n.now >= current.retransmitAt {
+		n.sendCatchUp(p, data, proto.Size(data))
 	}
-	size := proto.Size(data)
-	if c == nil && size <= n.cfg.MaxJoinLagBytes {
-		return true // a snapshot, and a small one
+	return false
+}
+
+// sendCatchUp sends a process a part of so many bytes.
+func (n *Node) sendCatchUp(p *peer, data *api.CatchUp, size int) {
+	n.catchUp = &catchUp{
+		peerKey: MemberKey(p.member), target: data.Target, sentAt: n.now, retransmitAt: n.now + n.retransmitDelay(size),
 	}
-	n.catchUp = &catchUp{key: key, target: data.Target, began: n.now, until: n.now + n.resendAfter(size)}
 	n.send(p.member, &api.ChainMessage{Body: &api.ChainMessage_CatchUp{CatchUp: data}})
-	return false
 }
 
-// lackedBy is what is committed and a process does not have.
-func (n *Node) lackedBy(p *peer) *api.CatchUp {
+// catchUpFor is what is committed and a process does not have.
+func (n *Node) catchUpFor(p *peer) *api.CatchUp {
 	data := &api.CatchUp{Target: n.durable.positionAt(n.committed)}
-	entries, holds := n.durable.entriesAfter(p.position.GetSequence(), p.position.GetHash())
-	if !holds {
+	entries, found := n.durable.entriesAfter(p.position.GetSequence(), p.position.GetHash())
+	if !found {
 		data.Snapshot, entries = n.durable.Snapshot, n.durable.Entries
 	}
 	for _, entry := range entries {
@@ -91,14 +102,15 @@
 	return data
 }
 
-// onCatchUp takes in what is committed, on a process outside the chain.
+// onCatchUp takes what is committed, on a process outside the chain. A copy that comes late, or to a member of the
+// chain, must not take anything back.
 func (n *Node) onCatchUp(from *api.Member, data *api.CatchUp) {
 	if n.wedged() || n.inChain() || !sameMember(from, n.Head()) || data.Target.GetSequence() <= n.committed {
 		return
 	}
-	if !n.takeLog(data.Snapshot, data.Entries, data.Target) {
+	if !n.extendLog(data.Snapshot, data.Entries, data.Target) {
 		return
 	}
-	n.commit(data.Target.Sequence)
-	n.send(from, n.heartbeat()) // which says how far the log reaches now
+	n.commitUpTo(data.Target.Sequence)
+	n.send(from, n.heartbeatMessage()) // which says how far the log reaches now
 }
--- a/internal/controlplane/chain/catchup_test.go
+++ b/internal/controlplane/chain/catchup_test.go
@@ -143,9 +143,9 @@
 			c.wipe(learner)
 			c.runFor(time.Second)
 			c.start(learner, false)
-			c.runUntil("it is being brought up to date", time.Second, func() bool { return head.node.bringsUp() })
+			c.runUntil("it is being brought up to date", time.Second, func() bool { return head.node.isCatchingUp() })
 			c.runFor(800 * time.Millisecond) // half of the state has come
-			is.True(head.node.bringsUp() && !learner.node.inChain())
+			is.True(head.node.isCatchingUp() && !learner.node.inChain())
 			interrupt(c, learner, head, other)
 			c.runUntil("all are in the chain", 15*time.Second, func() bool {
 				return c.inChain(learner)() && c.inChain(head)() && c.inChain(other)()
@@ -169,7 +169,7 @@
 	c.runFor(time.Second)
 	c.pass(50)
 	c.start(lagging, false)
-	c.runUntil("it is being brought up to date", time.Second, func() bool { return head.node.bringsUp() })
+	c.runUntil("it is being brought up to date", time.Second, func() bool { return head.node.isCatchingUp() })
 	c.kill(head) // for good, as far as this goes
 	took := c.runUntil("the two that are left serve", 10*time.Second, func() bool {
 		return c.inChain(other)() && c.inChain(lagging)()
@@ -191,7 +191,7 @@
 	c.runFor(time.Second)
 	c.pass(50)
 	c.start(lagging, false)
-	c.runUntil("it is being brought up to date", time.Second, func() bool { return c.head().node.bringsUp() })
+	c.runUntil("it is being brought up to date", time.Second, func() bool { return c.head().node.isCatchingUp() })
 	c.longest, c.lastAck = 0, c.now
 	c.kill(dying)
 	c.runUntil("the dead one is left out", 2*time.Second, func() bool { return len(c.head().node.View().Chain) == 3 })
@@ -208,7 +208,7 @@
 	c := newLargeCluster(t, 26, 3)
 	c.cfg.MaxCatchUpLogEntries = 60
 	for _, p := range c.processes {
-		p.node.cfg = c.cfg
+		p.node.config = c.cfg
 	}
 	c.mustServe("founding")
 	head := c.head()
@@ -216,7 +216,7 @@
 	c.wipe(learner)
 	c.runFor(time.Second)
 	c.start(learner, false)
-	c.runUntil("it is being brought up to date", time.Second, func() bool { return head.node.bringsUp() })
+	c.runUntil("it is being brought up to date", time.Second, func() bool { return head.node.isCatchingUp() })
 	// Its link lets heartbeats pass and is too slow for the state.
 	c.rate = 1000
 	longest := 0
@@ -235,14 +235,14 @@
 	c := newCluster(t, 27, 3)
 	c.cfg.MaxLogEntries = 64
 	for _, p := range c.processes {
-		p.node.cfg = c.cfg
+		p.node.config = c.cfg
 	}
 	c.padding = make([]byte, 300<<10)
 	c.mustServe("founding")
 	for range 20 {
 		c.pass(1)
 		for _, p := range c.processes {
-			is.Equal(p.node.logBytes, bytesOf(p.node.durable.Entries))
+			is.Equal(p.node.logBytes, sizeOfEntries(p.node.durable.Entries))
 			is.True(p.node.logBytes < c.cfg.MaxLogBytes+2*len(c.padding))
 		}
 	}
@@ -250,7 +250,7 @@
 
 // copyOf is what a head would send to a process that has nothing.
 func copyOf(head *process) *api.ChainMessage {
-	data := head.node.lackedBy(&peer{position: &api.Position{Sequence: 1 << 40}})
+	data := head.node.catchUpFor(&peer{position: &api.Position{Sequence: 1 << 40}})
 	return &api.ChainMessage{Body: &api.ChainMessage_CatchUp{CatchUp: proto.CloneOf(data)}}
 }
 
@@ -272,12 +272,12 @@
 			if leaves { // it is brought up to date, and knows more than the early copy
 				c.hand(p, view.Chain[0], copyOf(head))
 			}
-			end, committed := p.node.durable.last(), p.node.Committed()
+			end, committed := p.node.durable.lastPosition(), p.node.Committed()
 			is.True(committed > early.GetCatchUp().Target.Sequence)
 			c.hand(p, view.Chain[0], early)
-			is.Equal(p.node.durable.last().Sequence, end.Sequence)
+			is.Equal(p.node.durable.lastPosition().Sequence, end.Sequence)
 			is.Equal(p.node.Committed(), committed)
-			is.True(p.disk.last().Sequence >= end.Sequence)
+			is.True(p.disk.lastPosition().Sequence >= end.Sequence)
 			c.mustServe("a copy came late")
 		})
 	}
@@ -291,14 +291,14 @@
 	head := c.head()
 	view := head.node.View()
 	p := c.at(view.Chain[1])
-	before := p.node.durable.last()
+	before := p.node.durable.lastPosition()
 	data := copyOf(head)
 	end := data.GetCatchUp().Target
 	entry := &api.Entry{Sequence: end.Sequence + 1, PreviousHash: end.Hash}
-	entry.Hash = hashOf(entry.PreviousHash, entry.Sequence, nil)
+	entry.Hash = entryHash(entry.PreviousHash, entry.Sequence, nil)
 	data.GetCatchUp().Entries = append(data.GetCatchUp().Entries, entry)
 	data.GetCatchUp().Target = &api.Position{Sequence: entry.Sequence, Hash: entry.Hash}
 	c.hand(p, view.Chain[0], data)
-	is.Equal(p.node.durable.last().Sequence, before.Sequence)
+	is.Equal(p.node.durable.lastPosition().Sequence, before.Sequence)
 	c.mustServe("a copy came to a member of the chain")
 }
--- a/internal/controlplane/chain/chain_test.go
+++ b/internal/controlplane/chain/chain_test.go
@@ -165,7 +165,7 @@
 		c.carryOut(tail, out)
 		for range 200 {
 			c.runFor(time.Millisecond)
-			if _, waits := tail.node.confirms[token]; !waits {
+			if _, waits := tail.node.confirmations[token]; !waits {
 				got = true
 				break
 			}
@@ -176,7 +176,7 @@
 	c.isolate(tail, true)
 	tail.node.ConfirmView(c.now, 2)
 	c.runFor(100 * time.Millisecond)
-	_, waits := tail.node.confirms[2]
+	_, waits := tail.node.confirmations[2]
 	is.True(waits) // a tail that is cut off does not
 }
 
--- a/internal/controlplane/chain/compatibility_test.go
+++ b/internal/controlplane/chain/compatibility_test.go
@@ -60,7 +60,7 @@
 		previous := uint64(0)
 		for i, operations := range recordedOperations() {
 			entry := &api.Entry{Sequence: uint64(i + 1), PreviousHash: previous, Operations: operations}
-			entry.Hash = hashOf(previous, entry.Sequence, operations)
+			entry.Hash = entryHash(previous, entry.Sequence, operations)
 			previous = entry.Hash
 			data, err := proto.MarshalOptions{Deterministic: true}.Marshal(entry)
 			if err != nil {
@@ -87,7 +87,7 @@
 		}
 		log.Entries = append(log.Entries, entry)
 		fmt.Fprintf(&hashes, "%d: %d operations, hash %016x\n", entry.Sequence, len(entry.Operations),
-			hashOf(entry.PreviousHash, entry.Sequence, entry.Operations))
+			entryHash(entry.PreviousHash, entry.Sequence, entry.Operations))
 	}
 	if len(log.Entries) != len(recordedOperations()) {
 		t.Errorf("%d entries are recorded", len(log.Entries))
--- a/internal/controlplane/chain/config.go
+++ b/internal/controlplane/chain/config.go
@@ -2,53 +2,54 @@
 
 import "time"
 
-// Config holds the spans that a Node goes by.
+// Config holds the timeouts and bounds of a Node. All members of a cluster should have the same. Every field must be
+// set: the caller starts from DefaultConfig. A Node does not check them.
 type Config struct {
-	// HeartbeatInterval is the time between two heartbeats to each member. Less finds
-	// failures sooner and costs more messages.
+	// HeartbeatInterval is the time between two heartbeats to each member. Less detects failures sooner and costs
+	// more messages. It must be well below FailureTimeout.
 	HeartbeatInterval time.Duration
-	// FailureTimeout is after what silence a member counts as failed. Less makes
-	// writes go on sooner after a failure; too little takes slow members out.
+	// FailureTimeout is after what time without a message a member counts as failed. Less resumes writes sooner after
+	// a failure; too little removes slow members from the chain.
 	FailureTimeout time.Duration
-	// ProposalStagger is how much longer each member waits than the one before it until it
-	// proposes a view, so that they don't outbid each other.
+	// ProposalStagger is how much longer each member waits than the one before it until it proposes a view, so that
+	// they don't preempt each other's ballots.
 	ProposalStagger time.Duration
-	// PromiseGracePeriod is how long a proposer that has a majority waits for the rest.
+	// PromiseGracePeriod is how long a proposer that has a majority of promises waits for the others.
 	PromiseGracePeriod time.Duration
-	// ProposalTimeout is when a proposal that got nowhere is given up.
+	// ProposalTimeout is after what time a proposal that got no majority is given up.
 	ProposalTimeout time.Duration
-	// RetransmitTimeout is after what time what was not answered is sent again.
+	// RetransmitTimeout is after what time a message that was not answered is sent again. To this comes the time that
+	// a large one takes at MinLinkBytesPerSecond.
 	RetransmitTimeout time.Duration
-	// MinStableTime is how long a member outside the chain must have been heard
-	// without a gap before it is taken in.
+	// MinStableTime is how long a process outside the chain must have been reachable without a gap before it joins.
 	MinStableTime time.Duration
-	// RemovalTimeout is how long a member beyond TargetMembers must have been silent
-	// before it no longer counts.
+	// RemovalTimeout is how long a member beyond TargetMembers must have been unreachable before it is removed from
+	// the members.
 	RemovalTimeout time.Duration
-	// TargetMembers is how many members there should be: two more than twice the
-	// failures to be borne, less one.
+	// TargetMembers is how many members there should be: for f failures to be tolerated 2f+1.
 	TargetMembers int
-	// MaxLogEntries is how many entries are kept beyond the snapshot, and CompactBytes how
-	// many bytes of them. More lets members that were away for longer do without a snapshot.
+	// MaxLogEntries is how many committed entries the log keeps beyond the snapshot, and MaxLogBytes how many bytes
+	// all of its entries may take; where either is reached the log is compacted. More lets members that were away
+	// for longer catch up without a snapshot.
 	MaxLogEntries int
 	MaxLogBytes   int
-	// MaxCatchUpLogEntries and DeferBytes are the same while a process is brought up to date: it needs
-	// what was committed since its snapshot was sent. Less bounds memory more tightly; too
-	// little, and who is slow to take a snapshot in never gets there.
+	// MaxCatchUpLogEntries and MaxCatchUpLogBytes are the same bounds while a process catches up: it needs what was
+	// committed since its snapshot was sent. Less bounds memory more tightly; with too little, a process that is slow
+	// to receive a snapshot never catches up.
 	MaxCatchUpLogEntries int
 	MaxCatchUpLogBytes   int
-	// MaxJoinLagBytes is how much a process may lack when it is taken into the chain, which is out of
-	// service until it has that.
+	// MaxJoinLagBytes is how many bytes a process may lack when it joins the chain, which is out of service until the
+	// process has them.
 	MaxJoinLagBytes int
-	// MaxLagEntries is how far behind the furthest log a member outside the chain may be that is
-	// taken into a new one without need.
+	// MaxLagEntries is how many entries behind the new head's log a member outside the chain may be that is taken
+	// into a new one although a majority does without it.
 	MaxLagEntries uint64
-	// MinLinkBytesPerSecond is the rate, in bytes a second, at which large messages are taken to arrive.
-	// What is larger is sent again later. Too much repeats what is still on its way.
+	// MinLinkBytesPerSecond is the rate at which large messages are assumed to arrive. Too much retransmits what is
+	// still on its way.
 	MinLinkBytesPerSecond int
 }
 
-// DefaultConfig fits machines of one region.
+// DefaultConfig is for machines of one region.
 func DefaultConfig(targetMembers int) Config {
 	return Config{
 		HeartbeatInterval:     150 * time.Millisecond,
--- a/internal/controlplane/chain/faults_test.go
+++ b/internal/controlplane/chain/faults_test.go
@@ -182,7 +182,7 @@
 				continue
 			}
 			proposal := p.node.proposal
-			if step == 0 || step == 1 && proposal.enough > 0 || step == 2 && proposal.view != nil {
+			if step == 0 || step == 1 && proposal.quorumAt > 0 || step == 2 && proposal.view != nil {
 				proposer = p
 			}
 		}
@@ -351,7 +351,7 @@
 		c.heal()
 	}()
 	c.holdFrom(head)
-	if !c.await(time.Second, func() bool { return head.node.committed < head.node.durable.last().GetSequence() }) {
+	if !c.await(time.Second, func() bool { return head.node.committed < head.node.durable.lastPosition().GetSequence() }) {
 		return
 	}
 	c.quiet = true
--- a/internal/controlplane/chain/history_test.go
+++ b/internal/controlplane/chain/history_test.go
@@ -106,7 +106,7 @@
 		c.cfg.MaxLagEntries = 0
 	}
 	for _, p := range c.processes {
-		p.node.cfg = c.cfg
+		p.node.config = c.cfg
 	}
 }
 
--- a/internal/controlplane/chain/leave.go
+++ b/internal/controlplane/chain/leave.go
@@ -6,57 +6,57 @@
 	"marlreel/internal/api"
 )
 
-// Leave begins to take this process out of the chain, since it is about to end. Left tells when
-// that is done. A chain that can't do without it keeps it.
+// Leave begins to remove this process from the chain, since it is shutting down; it can't be undone. HasLeft tells when
+// that is done. A chain that would be too short without this process keeps it.
 func (n *Node) Leave(now time.Duration) Output {
 	n.now = now
 	n.leaving = true
-	for _, member := range n.others() {
-		n.send(member, n.heartbeat())
+	for _, member := range n.otherMembers() {
+		n.send(member, n.heartbeatMessage())
 	}
-	n.look()
-	return n.take()
+	n.checkView()
+	return n.takeOutput()
 }
 
-// HasLeft tells whether this process is not needed any more: it is outside a chain that is in
-// service. Until that is, its members may not all know that they are the chain, and who knows
-// has to live.
+// HasLeft tells whether this process is not needed any more: it is outside a chain that is in service. Before that is in
+// service its members may not all know of the view, and a member that does has to stay.
 func (n *Node) HasLeft() bool {
 	if n.durable.View.Number == 0 {
 		return !n.isMember()
 	}
-	return !n.inChain() && n.servedView == n.durable.View.Number
+	return !n.inChain() && n.reportedServiceView == n.durable.View.Number
 }
 
-// isLeaving tells whether a member has said that it is about to end.
+// isLeaving tells whether a member has said that it is shutting down.
 func (n *Node) isLeaving(member *api.Member) bool {
 	if sameMember(member, n.durable.Self) {
 		return n.leaving
 	}
 	p := n.peers[MemberKey(member)]
-	return p != nil && p.leaving && n.alive(p)
+	return p != nil && p.leaving && n.isAlive(p)
 }
 
-// letLeave proposes a view without a member that leaves, where a majority stays. One beyond the
-// members that there should be no longer counts from then on: a second loss right after it has
-// ended leaves a majority of those that do.
-func (n *Node) letLeave() (proposed bool) {
-	if n.committed != n.durable.last().Sequence {
-		return false // what is under way comes first
+// removeLeavingMember proposes a view without a member that is leaving, where a majority stays, and reports whether it
+// has. A member beyond Config.TargetMembers has no vote from then on: after a second loss right after it has ended, a
+// majority of the voting members is left.
+func (n *Node) removeLeavingMember() bool {
+	if n.committed != n.durable.lastPosition().Sequence {
+		return false // the entry in flight comes first
 	}
 	view := n.durable.View
 	for _, member := range view.Members {
 		if !n.isLeaving(member) {
 			continue
 		}
-		members, inChain := view.Members, contains(view.Chain, member)
-		if len(members) > n.cfg.TargetMembers {
-			members = without(members, member)
+		members, inChain := view.Members, containsMember(view.Chain, member)
+		if len(members) > n.config.TargetMembers {
+			members = withoutMember(members, member)
 		}
-		if len(members) == len(view.Members) && !inChain || len(without(view.Chain, member)) < majority(len(members)) {
+		unchanged := len(members) == len(view.Members) && !inChain
+		if unchanged || len(withoutMember(view.Chain, member)) < majority(len(members)) {
 			continue
 		}
-		n.propose(member.Address+" leaves", members, change{leaving: member})
+		n.propose(cause{ReasonMemberLeaving, member}, members, chainChange{leaving: member})
 		return true
 	}
 	return false
--- a/internal/controlplane/chain/leave_test.go
+++ b/internal/controlplane/chain/leave_test.go
@@ -49,7 +49,7 @@
 	c.wipe(learner)
 	c.runFor(time.Second)
 	c.start(learner, false)
-	c.runUntil("it is being brought up to date", time.Second, func() bool { return head.node.bringsUp() })
+	c.runUntil("it is being brought up to date", time.Second, func() bool { return head.node.isCatchingUp() })
 	c.carryOut(leaving, leaving.node.Leave(c.now))
 	c.runFor(500 * time.Millisecond)
 	is.True(!leaving.node.HasLeft()) // with it goes the only other copy
@@ -141,7 +141,7 @@
 	c.add("d0", false)
 	c.runUntil("the new one may join", time.Second, func() bool {
 		for _, p := range head.peers {
-			if p.member.Address == "d0" && p.wantsIn && !p.behind && head.now-p.steadySince > c.cfg.MinStableTime/2 {
+			if p.member.Address == "d0" && p.wantsToJoin && !p.hasOlderView && head.now-p.stableSince > c.cfg.MinStableTime/2 {
 				return true
 			}
 		}
@@ -149,14 +149,14 @@
 	})
 	head.now += c.cfg.MinStableTime
 	for _, p := range head.peers {
-		p.heardAt, p.hearsUs = head.now, head.now
+		p.lastSeen, p.lastReachedUs = head.now, head.now
 	}
-	active := head.activeView
-	head.activeView = 0 // as after a change of view, before logs are equal
-	head.lookForChange()
+	active := head.inServiceView
+	head.inServiceView = 0 // as after a change of view, before logs are equal
+	head.checkMembership()
 	is.True(head.proposal == nil)
-	head.activeView = active
-	head.lookForChange()
+	head.inServiceView = active
+	head.checkMembership()
 	is.True(head.proposal != nil)
 	is.Equal(len(head.proposal.members), 4)
 }
--- a/internal/controlplane/chain/log.go
+++ b/internal/controlplane/chain/log.go
@@ -3,51 +3,64 @@
 import (
 	"crypto/sha256"
 	"encoding/binary"
+	"slices"
 
 	"google.golang.org/protobuf/proto"
 
 	"marlreel/internal/api"
 )
 
-// StateMachine is the state that committed entries make. A Node calls it, and hands it
-// only what is committed.
+// StateMachine is the state that committed entries make. A Node calls it from within its own methods, in the order of
+// the log, and hands it only what is committed. Equal entries must make equal states.
 type StateMachine interface {
+	// Apply takes the next entry.
 	Apply(entry *api.Entry)
+	// State is the whole state, for a snapshot. The Node keeps it: it must not change afterwards.
 	State() *api.State
+	// Restore replaces the state by that of a snapshot; nil is the empty state. It must not change the argument.
 	Restore(state *api.State)
 }
 
-// DurableState is what a member keeps on disk.
-type DurableState struct {
-	Self           *api.Member
-	View           *api.View   // the newest that is known to be agreed
-	Promised       *api.Ballot // for the next view; nil: none
-	AcceptedBallot *api.Ballot
-	AcceptedView   *api.View
-	SyncedView     uint64 // in which the log was last made equal to the head's
-	Snapshot       *api.Snapshot
-	Entries        []*api.Entry // after the snapshot
+// lastPosition is that of the log's end.
+func (d *DurableState) lastPosition() *api.Position {
+	return d.positionAt(d.Snapshot.GetSequence() + uint64(len(d.Entries)))
 }
 
-// last is the position of the log's end.
-func (d *DurableState) last() *api.Position {
-	return d.positionAt(d.Snapshot.GetSequence() + uint64(len(d.Entries)))
+// positionAt is the position of an entry in the log, or of its snapshot.
+func (d *DurableState) positionAt(sequence uint64) *api.Position {
+	position := &api.Position{
+		SyncedView: d.SyncedView, Sequence: d.Snapshot.GetSequence(), Hash: d.Snapshot.GetHash(),
+	}
+	if sequence > position.Sequence {
+		position.Hash = d.Entries[sequence-position.Sequence-1].Hash
+		position.Sequence = sequence
+	}
+	return position
 }
 
-// entriesAfter gives the entries that follow a position, if the log holds it.
+// positionLess orders logs by how far they reach: a log that was made equal to its head's in a later view is further,
+// however long the other one is, since what that has beyond was not committed.
+func positionLess(a, b *api.Position) bool {
+	if a.GetSyncedView() != b.GetSyncedView() {
+		return a.GetSyncedView() < b.GetSyncedView()
+	}
+	return a.GetSequence() < b.GetSequence()
+}
+
+// entriesAfter gives the entries that follow a position. It reports false if the log does not contain that position.
 func (d *DurableState) entriesAfter(sequence, hash uint64) ([]*api.Entry, bool) {
 	if sequence == d.Snapshot.GetSequence() {
 		return d.Entries, hash == d.Snapshot.GetHash()
 	}
-	if sequence < d.Snapshot.GetSequence() || sequence > d.last().Sequence {
+	if sequence < d.Snapshot.GetSequence() || sequence > d.lastPosition().Sequence {
 		return nil, false
 	}
-	at := sequence - d.Snapshot.GetSequence()
-	return d.Entries[at:], d.Entries[at-1].Hash == hash
+	offset := sequence - d.Snapshot.GetSequence()
+	return d.Entries[offset:], d.Entries[offset-1].Hash == hash
 }
 
-// bytesOf is how many bytes entries take in a message.
-func bytesOf(entries []*api.Entry) int {
+// sizeOfEntries is how many bytes entries take in a message.
+func sizeOfEntries(entries []*api.Entry) int {
 	size := 0
 	for _, entry := range entries {
 		size += proto.Size(entry)
@@ -55,17 +68,9 @@
 	return size
 }
 
-// positionAt is the position of an entry that the log holds, or of its snapshot.
-func (d *DurableState) positionAt(sequence uint64) *api.Position {
-	p := &api.Position{SyncedView: d.SyncedView, Sequence: d.Snapshot.GetSequence(), Hash: d.Snapshot.GetHash()}
-	if sequence > p.Sequence {
-		p.Sequence, p.Hash = sequence, d.Entries[sequence-p.Sequence-1].Hash
-	}
-	return p
-}
-
-// hashOf chains an entry to the one before it.
-func hashOf(previous, sequence uint64, operations []*api.Operation) uint64 {
+// entryHash is an entry's hash, which covers that of the entry before it: logs that have the same hash at a sequence
+// number are equal up to there.
+func entryHash(previous, sequence uint64, operations []*api.Operation) uint64 {
 	hash := sha256.New()
 	var number [16]byte
 	binary.LittleEndian.PutUint64(number[:8], previous)
@@ -81,15 +86,91 @@
 	return binary.LittleEndian.Uint64(hash.Sum(nil))
 }
 
-// LogIsIntact tells whether a log that was read from disk is one that was written.
-func (d *DurableState) LogIsIntact() bool {
-	sequence, hash := d.Snapshot.GetSequence(), d.Snapshot.GetHash()
-	for _, entry := range d.Entries {
-		if entry.Sequence != sequence+1 || entry.PreviousHash != hash ||
-			entry.Hash != hashOf(hash, entry.Sequence, entry.Operations) {
+// appendEntry puts an entry behind the log.
+func (n *Node) appendEntry(entry *api.Entry) {
+	size := proto.Size(entry)
+	n.durable.Entries = append(n.durable.Entries, entry)
+	n.output.Save.Appended = append(n.output.Save.Appended, entry)
+	n.logBytes += size
+	n.retransmitAt = n.now + n.retransmitDelay(size)
+}
+
+// extendLog appends entries, or replaces the log by a snapshot and the entries behind it. It reports whether they lead
+// from this log, or the snapshot, to the target, and changes nothing if not: this log may have changed since the sender
+// knew it.
+func (n *Node) extendLog(snapshot *api.Snapshot, entries []*api.Entry, target *api.Position) bool {
+	start := n.durable.lastPosition()
+	if snapshot != nil {
+		start = &api.Position{Sequence: snapshot.Sequence, Hash: snapshot.Hash}
+	}
+	if !leadsTo(start, entries, target) {
+		return false
+	}
+	if snapshot != nil {
+		n.replaceLog(snapshot, entries)
+		return true
+	}
+	for _, entry := range entries {
+		n.appendEntry(entry)
+	}
+	return true
+}
+
+// leadsTo tells whether entries follow one another from a position to a target.
+func leadsTo(start *api.Position, entries []*api.Entry, target *api.Position) bool {
+	sequence, hash := start.Sequence, start.Hash
+	for _, entry := range entries {
+		if entry.Sequence != sequence+1 || entry.PreviousHash != hash {
 			return false
 		}
 		sequence, hash = entry.Sequence, entry.Hash
 	}
-	return true
+	return sequence == target.GetSequence() && hash == target.GetHash()
+}
+
+// replaceLog takes the head's log in place of this one, which diverges from it or is too old.
+func (n *Node) replaceLog(snapshot *api.Snapshot, entries []*api.Entry) {
+	n.durable.Snapshot, n.durable.Entries = snapshot, slices.Clone(entries)
+	n.logBytes = sizeOfEntries(entries)
+	n.output.Save.LogReplaced, n.output.Save.Snapshot = true, true
+	n.output.Save.Appended = nil
+	if n.committed < snapshot.Sequence {
+		n.committed = snapshot.Sequence
+		n.stateMachine.Restore(snapshot.State)
+		n.output.SnapshotRestored = true
+	}
+}
+
+// commitUpTo applies the entries up to a sequence number, as far as the log has them.
+func (n *Node) commitUpTo(sequence uint64) {
+	sequence = min(sequence, n.durable.lastPosition().Sequence)
+	for n.committed < sequence {
+		entry := n.durable.Entries[n.committed-n.durable.Snapshot.GetSequence()]
+		n.committed++
+		n.stateMachine.Apply(entry)
+		n.output.Committed = append(n.output.Committed, entry)
+	}
+	n.compact()
+}
+
+// compact replaces committed entries by a snapshot where the log has reached its bounds.
+func (n *Node) compact() {
+	committed := n.committed - n.durable.Snapshot.GetSequence()
+	if committed == 0 || !n.exceedsLogBounds(committed, n.config.MaxLogEntries, n.config.MaxLogBytes) {
+		return
+	}
+	// A process that catches up needs the entries behind the snapshot that it is being sent.
+	if n.isCatchingUp() && !n.exceedsLogBounds(committed, n.config.MaxCatchUpLogEntries, n.config.MaxCatchUpLogBytes) {
+		return
+	}
+	last := n.durable.Entries[committed-1]
+	n.durable.Snapshot = &api.Snapshot{Sequence: last.Sequence, Hash: last.Hash, State: n.stateMachine.State()}
+	n.durable.Entries = slices.Clone(n.durable.Entries[committed:])
+	n.logBytes = sizeOfEntries(n.durable.Entries)
+	n.output.Save.Snapshot = true
+}
+
+// exceedsLogBounds tells whether a number of committed entries, or the bytes of the log, reach a bound.
+func (n *Node) exceedsLogBounds(entries uint64, maxEntries, maxBytes int) bool {
+	return entries >= uint64(maxEntries) || n.logBytes >= maxBytes
 }
--- a/internal/controlplane/chain/repair_test.go
+++ b/internal/controlplane/chain/repair_test.go
@@ -118,7 +118,7 @@
 			c.cfg.MaxLogEntries = 64
 			c.rate, c.ballast = slowLink, make([]byte, of.state)
 			for _, p := range c.processes {
-				p.node.cfg, p.machine.ballast = c.cfg, c.ballast
+				p.node.config, p.machine.ballast = c.cfg, c.ballast
 			}
 			c.mustServe("founding")
 			p := c.at(c.head().node.View().Chain[1])
--- a/internal/controlplane/chain/sim_test.go
+++ b/internal/controlplane/chain/sim_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"math/rand/v2"
 	"slices"
+	"strings"
 	"testing"
 	"time"
 
@@ -216,14 +217,14 @@
 
 func (c *cluster) carryOut(p *process, out Output) {
 	if out.Save.Any() {
-		saved := save(p.disk, p.node.Durable(), out.Save)
+		saved := save(p.disk, p.node.DurableState(), out.Save)
 		if !saved.LogIsIntact() {
 			c.fail("the log on disk does not fit together: snapshot at %d, %d entries", saved.Snapshot.GetSequence(), len(saved.Entries))
 		}
 		p.disk = &saved
 	}
-	for _, note := range out.Notes {
-		c.log = append(c.log, fmt.Sprintf("%v %s: %s", c.now, p.address, note))
+	for _, event := range out.Events {
+		c.log = append(c.log, fmt.Sprintf("%v %s: %T%+v", c.now, p.address, event, event))
 	}
 	for _, message := range out.Messages {
 		c.deliver(p.address, proto.Clone(message).(*api.ChainMessage))
@@ -248,10 +249,10 @@
 func (c *cluster) auditAcknowledged(head *process, entry *api.Entry) {
 	c.t.Helper()
 	for _, p := range c.processes {
-		if p.disk == nil || !contains(head.node.View().Chain, p.disk.Self) {
+		if p.disk == nil || !containsMember(head.node.View().Chain, p.disk.Self) {
 			continue
 		}
-		if last := p.disk.last(); last.GetSequence() < entry.Sequence {
+		if last := p.disk.lastPosition(); last.GetSequence() < entry.Sequence {
 			c.fail("%s has acknowledged %d, and the disk of %s reaches to %d", head.address, entry.Sequence, p.address, last.GetSequence())
 		}
 	}
@@ -466,8 +467,13 @@
 	for _, p := range c.processes {
 		if p.node != nil {
 			c.t.Logf("%s: %s, position %v, in service %v, wedged %v, member %v", p.address, describe(p.node.View()),
-				p.node.durable.last(), p.node.InService(), p.node.wedged(), p.node.isMember())
+				p.node.durable.lastPosition(), p.node.InService(), p.node.wedged(), p.node.isMember())
 		}
 	}
 	c.t.Fatalf(format, args...)
 }
+
+// describe words a view for a failed test.
+func describe(view *api.View) string {
+	return fmt.Sprintf("view %d: chain %s, %d members", view.Number, strings.Join(addressesOf(view.Chain), " "), len(view.Members))
+}
--- a/internal/controlplane/chain/votes_test.go
+++ b/internal/controlplane/chain/votes_test.go
@@ -74,11 +74,11 @@
 	}
 	before := tail.node.View().Chain[1]
 	c.prepare(tail, before, 1000)
-	end := tail.node.durable.last()
+	end := tail.node.durable.lastPosition()
 	entry := &api.Entry{Sequence: end.Sequence + 1, PreviousHash: end.Hash}
-	entry.Hash = hashOf(end.Hash, entry.Sequence, nil)
+	entry.Hash = entryHash(end.Hash, entry.Sequence, nil)
 	answers := c.hand(tail, before, &api.ChainMessage{Body: &api.ChainMessage_Replicate{Replicate: &api.Replicate{Entry: entry}}})
-	is.Equal(tail.node.durable.last().Sequence, end.Sequence) // it appends nothing
+	is.Equal(tail.node.durable.lastPosition().Sequence, end.Sequence) // it appends nothing
 	is.Equal(len(answers), 0)
 	answers = c.hand(tail, before, &api.ChainMessage{Body: &api.ChainMessage_Confirm{Confirm: &api.Confirm{Token: 1}}})
 	is.Equal(len(answers), 0) // nor does it confirm
@@ -99,8 +99,8 @@
 func (c *cluster) beginProposal(p *process, members []*api.Member) *proposal {
 	c.t.Helper()
 	p.node.now = c.now
-	p.node.propose("a story", members, change{})
-	out := p.node.take()
+	p.node.propose(cause{reason: "a story"}, members, chainChange{})
+	out := p.node.takeOutput()
 	out.Messages = nil
 	c.carryOut(p, out)
 	return p.node.proposal
@@ -155,10 +155,10 @@
 	c.mustServe("founding")
 	proposer := c.processes[0]
 	members := proposer.node.View().Members
-	others := without(members, proposer.node.durable.Self)
+	others := withoutMember(members, proposer.node.durable.Self)
 	proposed := c.beginProposal(proposer, members)
 	for _, other := range others {
-		c.promiseTo(proposer, other, proposer.node.durable.last())
+		c.promiseTo(proposer, other, proposer.node.durable.lastPosition())
 	}
 	is.True(proposed.view != nil) // all have promised
 	c.acceptedBy(proposer, others[0])
@@ -176,13 +176,13 @@
 	c.mustServe("founding")
 	proposer := c.processes[0]
 	members := proposer.node.View().Members
-	others := without(members, proposer.node.durable.Self)
+	others := withoutMember(members, proposer.node.durable.Self)
 	stranger := &api.Member{Address: "d0", Incarnation: 1 << 63}
-	proposed := c.beginProposal(proposer, append(without(members, others[0]), stranger))
-	proposed.promises[MemberKey(others[0])] = &api.Promise{Position: proposer.node.durable.last()} // it leaves
-	is.True(proposer.node.choose() == nil)
-	proposed.promises[MemberKey(others[1])] = &api.Promise{Position: proposer.node.durable.last()}
-	is.Equal(len(proposer.node.choose().GetChain()), 2)
+	proposed := c.beginProposal(proposer, append(withoutMember(members, others[0]), stranger))
+	proposed.promises[MemberKey(others[0])] = &api.Promise{Position: proposer.node.durable.lastPosition()} // it leaves
+	is.True(proposer.node.chooseView() == nil)
+	proposed.promises[MemberKey(others[1])] = &api.Promise{Position: proposer.node.durable.lastPosition()}
+	is.Equal(len(proposer.node.chooseView().GetChain()), 2)
 }
 
 // The head is the one whose log was made equal in the latest view, and reaches furthest among these.
@@ -215,7 +215,7 @@
 					}
 					proposed.promises[MemberKey(member)] = &api.Promise{Position: position}
 				}
-				is.Equal(MemberKey(proposer.node.choose().Chain[0]), MemberKey(members[furthest]))
+				is.Equal(MemberKey(proposer.node.chooseView().Chain[0]), MemberKey(members[furthest]))
 			}
 		})
 	}
@@ -228,16 +228,16 @@
 	c.mustServe("founding")
 	view := c.processes[0].node.View()
 	tail := c.at(view.Chain[2])
-	end := tail.node.durable.last()
+	end := tail.node.durable.lastPosition()
 	entry := &api.Entry{Sequence: end.Sequence + 1, PreviousHash: end.Hash}
-	entry.Hash = hashOf(end.Hash, entry.Sequence, nil)
+	entry.Hash = entryHash(end.Hash, entry.Sequence, nil)
 	replicate := func() *api.ChainMessage {
 		return &api.ChainMessage{Body: &api.ChainMessage_Replicate{Replicate: &api.Replicate{Entry: entry}}}
 	}
 	c.handInView(tail, view.Chain[1], view.Number-1, replicate())
-	is.Equal(tail.node.durable.last().Sequence, end.Sequence)
+	is.Equal(tail.node.durable.lastPosition().Sequence, end.Sequence)
 	c.handInView(tail, view.Chain[1], view.Number, replicate())
-	is.Equal(tail.node.durable.last().Sequence, entry.Sequence) // in its own view it is
+	is.Equal(tail.node.durable.lastPosition().Sequence, entry.Sequence) // in its own view it is
 }
 
 // head is the process that says of itself that it is its chain's head.
@@ -273,7 +273,7 @@
 	view := c.processes[0].node.View()
 	head, next := c.at(view.Chain[0]), c.at(view.Chain[1])
 	c.restart(head)
-	beat := next.node.heartbeat()
+	beat := next.node.heartbeatMessage()
 	is.True(beat.GetHeartbeat().Active)
 	c.hand(head, view.Chain[1], beat)
 	is.Equal(head.node.CanPropose(), false)
@@ -290,16 +290,16 @@
 	view := c.processes[0].node.View()
 	before, tail := c.at(view.Chain[1]), c.at(view.Chain[2])
 	c.isolate(before, true) // the acknowledgement is lost
-	end := tail.node.durable.last()
+	end := tail.node.durable.lastPosition()
 	entry := &api.Entry{Sequence: end.Sequence + 1, PreviousHash: end.Hash}
-	entry.Hash = hashOf(entry.PreviousHash, entry.Sequence, nil)
+	entry.Hash = entryHash(entry.PreviousHash, entry.Sequence, nil)
 	c.handInView(tail, view.Chain[1], view.Number,
 		&api.ChainMessage{Body: &api.ChainMessage_Replicate{Replicate: &api.Replicate{Entry: entry, Committed: end.Sequence}}})
 	is.Equal(tail.node.Committed(), entry.Sequence)
 
 	c.restart(tail)
 	is.Equal(tail.node.CanRead(), false)
-	beat := before.node.heartbeat()
+	beat := before.node.heartbeatMessage()
 	is.Equal(beat.GetHeartbeat().Committed, end.Sequence)
 	c.hand(tail, view.Chain[1], beat)
 	is.True(tail.node.CanRead())
@@ -328,9 +328,9 @@
 				}
 				proposed.promises[MemberKey(member)] = &api.Promise{Position: position}
 			}
-			view := proposer.node.choose()
+			view := proposer.node.chooseView()
 			is.Equal(len(view.GetChain()), story.chain)
-			is.True(!contains(view.GetChain(), leaving))
+			is.True(!containsMember(view.GetChain(), leaving))
 		})
 	}
 }
--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -15,6 +15,7 @@
 	"marlreel/internal/controlplane/result"
 	"marlreel/internal/controlplane/state"
 	"marlreel/internal/distribution/watch"
+	"marlreel/internal/process/logevent"
 )
 
 const (
@@ -180,7 +181,7 @@
 }
 
 func (r *Replica) isHead() bool {
-	return chain.MemberKey(r.node.Head()) == chain.MemberKey(r.node.Durable().Self)
+	return chain.MemberKey(r.node.Head()) == chain.MemberKey(r.node.DurableState().Self)
 }
 
 // pump takes what waits into the chain.
@@ -231,11 +232,11 @@
 
 // carryOut does what the node wants done: save first, then send, then tell.
 func (r *Replica) carryOut(now time.Duration, out chain.Output) {
-	for _, note := range out.Notes {
-		r.log.Info(note, "event", "view")
+	for _, event := range out.Events {
+		r.logEvent(event)
 	}
 	if out.Save.Any() {
-		if err := r.saver.Save(r.node.Durable(), out.Save); err != nil {
+		if err := r.saver.Save(r.node.DurableState(), out.Save); err != nil {
 			r.fail(err)
 			return
 		}
@@ -255,13 +256,25 @@
 	}
 }
 
+// logEvent logs what the chain reports.
+func (r *Replica) logEvent(event chain.Event) {
+	switch event := event.(type) {
+	case chain.ViewProposed:
+		r.log.Info(logevent.ViewProposed, logevent.KeyView, event.Number, logevent.KeyReason, string(event.Reason),
+			logevent.KeyMember, event.Member)
+	case chain.ViewInstalled:
+		r.log.Info(logevent.ViewInstalled, logevent.KeyView, event.Number, logevent.KeyChain, event.Chain,
+			logevent.KeyMembers, event.Members)
+	}
+}
+
 // publish tells the feed what is committed.
 func (r *Replica) publish(restored bool, committed []*api.Entry) {
 	if restored {
-		snapshot := r.node.Durable().Snapshot
+		snapshot := r.node.DurableState().Snapshot
 		r.feed.Reset(snapshot.GetSequence(), snapshot.GetHash(), snapshot.GetState())
 		var after []*api.Entry
-		for _, entry := range r.node.Durable().Entries {
+		for _, entry := range r.node.DurableState().Entries {
 			if entry.Sequence <= r.node.Committed() {
 				after = append(after, entry)
 			}
--- a/internal/controlplane/store/compatibility_test.go
+++ b/internal/controlplane/store/compatibility_test.go
@@ -371,7 +371,7 @@
 	for _, entry := range compatibilityEntries() {
 		node.Propose(tick(), entry.Operations)
 	}
-	entries := node.Durable().Entries
+	entries := node.DurableState().Entries
 	if len(entries) != len(compatibilityEntries()) {
 		t.Fatalf("the log has %d entries", len(entries))
 	}
--- a/internal/controlplane/store/store_test.go
+++ b/internal/controlplane/store/store_test.go
@@ -54,7 +54,7 @@
 		now := config.FailureTimeout
 		save := func(out chain.Output) {
 			if out.Save.Any() {
-				if err := s.Save(node.Durable(), out.Save); err != nil {
+				if err := s.Save(node.DurableState(), out.Save); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -87,10 +87,10 @@
 				t.Fatal(err)
 			}
 			if read.Snapshot == nil {
-				read.Snapshot = node.Durable().Snapshot // none was written so far
+				read.Snapshot = node.DurableState().Snapshot // none was written so far
 			}
-			if !equal(&read, node.Durable()) {
-				t.Fatalf("read %v, written %v", read, *node.Durable())
+			if !equal(&read, node.DurableState()) {
+				t.Fatalf("read %v, written %v", read, *node.DurableState())
 			}
 		}
 	})
--- a/internal/process/logevent/logevent.go
+++ b/internal/process/logevent/logevent.go
@@ -37,6 +37,12 @@
 	KeyDetail = "detail"
 	// KeyReason is why a view is proposed.
 	KeyReason = "reason"
+	// KeyMember is the address of the member that a view is proposed for; "": none in particular.
+	KeyMember = "member"
+	// KeyChain are the addresses of a view's chain, the head first.
+	KeyChain = "chain"
+	// KeyMembers is how many members of a view vote.
+	KeyMembers = "members"
 	// KeyRequest is the engine's number of a request.
 	KeyRequest = "request"
 	// KeyAttempts is how many attempts a request had.
