--- a/internal/controlplane/chain/catchup_test.go
+++ b/internal/controlplane/chain/catchup_test.go
@@ -16,15 +16,15 @@
 	slowLink = 1_250_000
 	// largeState is a state of 2 MB.
 	largeState = 2 << 20
-	// calmGap is the longest time without an acknowledgement where nothing fails: a view
+	// maxCalmGap is the longest time without an acknowledgement where nothing fails: a view
 	// changes, and what little a member lacks is sent.
-	calmGap = 300 * time.Millisecond
+	maxCalmGap = 300 * time.Millisecond
 )
 
 // newLargeCluster has a state of 2 MB on slow links.
 func newLargeCluster(t *testing.T, seed uint64, members int) *cluster {
 	c := newCluster(t, seed, members)
-	c.rate, c.ballast = slowLink, make([]byte, largeState)
+	c.linkRate, c.ballast = slowLink, make([]byte, largeState)
 	for _, p := range c.processes {
 		p.machine.ballast = c.ballast
 	}
@@ -48,11 +48,11 @@
 	return func() bool { return p.node != nil && p.node.InService() }
 }
 
-// pass runs until so many more entries are acknowledged.
-func (c *cluster) pass(entries int) {
+// awaitEntries runs until so many more entries are acknowledged.
+func (c *cluster) awaitEntries(entries int) {
 	c.t.Helper()
-	until := len(c.acked) + entries
-	c.runUntil(fmt.Sprintf("%d entries", entries), time.Hour, func() bool { return len(c.acked) >= until })
+	until := len(c.acknowledged) + entries
+	c.runUntil(fmt.Sprintf("%d entries", entries), time.Hour, func() bool { return len(c.acknowledged) >= until })
 }
 
 // A member that was away catches up while the chain serves on, however much it has missed.
@@ -63,17 +63,17 @@
 			is := is.New(t)
 			c := newCluster(t, 21, 3)
 			c.cfg.MaxLogEntries = 64
-			c.pace = 5 * time.Millisecond
+			c.proposeInterval = 5 * time.Millisecond
 			c.mustServe("founding")
-			p := c.at(c.head().node.View().Chain[1])
+			p := c.processOf(c.head().node.View().Chain[1])
 			c.kill(p)
 			c.runFor(time.Second)
-			c.pass(away)
+			c.awaitEntries(away)
 			c.start(p, false)
-			c.longest, c.lastAck = 0, c.now
+			c.longestGap, c.lastAcknowledgement = 0, c.now
 			took := c.runUntil("it is back", 5*time.Second, c.inChain(p))
-			t.Logf("%d entries: back after %v, longest time without an acknowledgement %v", away, took, c.longest)
-			is.True(c.longest < calmGap)
+			t.Logf("%d entries: back after %v, longest time without an acknowledgement %v", away, took, c.longestGap)
+			is.True(c.longestGap < maxCalmGap)
 			c.mustServe("it is back")
 		})
 	}
@@ -91,16 +91,16 @@
 			c := newLargeCluster(t, 22, 3)
 			c.padding = make([]byte, 2000)
 			c.mustServe("founding")
-			p := c.at(c.head().node.View().Chain[2])
+			p := c.processOf(c.head().node.View().Chain[2])
 			lose(c, p)
 			c.runFor(time.Second)
-			c.pass(50) // more than the log keeps
+			c.awaitEntries(50) // more than the log keeps
 			c.start(p, false)
-			c.longest, c.lastAck = 0, c.now
+			c.longestGap, c.lastAcknowledgement = 0, c.now
 			took := c.runUntil("it is back", 8*time.Second, c.inChain(p))
-			t.Logf("back after %v, longest time without an acknowledgement %v", took, c.longest)
+			t.Logf("back after %v, longest time without an acknowledgement %v", took, c.longestGap)
 			is.True(took > time.Second) // it did take a snapshot
-			is.True(c.longest < calmGap)
+			is.True(c.longestGap < maxCalmGap)
 			c.mustServe("it is back")
 		})
 	}
@@ -139,7 +139,7 @@
 			c.mustServe("founding")
 			head := c.head()
 			chain := head.node.View().Chain
-			other, learner := c.at(chain[1]), c.at(chain[2])
+			other, learner := c.processOf(chain[1]), c.processOf(chain[2])
 			c.wipe(learner)
 			c.runFor(time.Second)
 			c.start(learner, false)
@@ -164,10 +164,10 @@
 	c.mustServe("founding")
 	head := c.head()
 	chain := head.node.View().Chain
-	other, lagging := c.at(chain[1]), c.at(chain[2])
+	other, lagging := c.processOf(chain[1]), c.processOf(chain[2])
 	c.kill(lagging)
 	c.runFor(time.Second)
-	c.pass(50)
+	c.awaitEntries(50)
 	c.start(lagging, false)
 	c.runUntil("it is being brought up to date", time.Second, func() bool { return head.node.isCatchingUp() })
 	c.kill(head) // for good, as far as this goes
@@ -186,18 +186,18 @@
 	c := newLargeCluster(t, 25, 5)
 	c.mustServe("founding")
 	chain := c.head().node.View().Chain
-	lagging, dying := c.at(chain[4]), c.at(chain[1])
+	lagging, dying := c.processOf(chain[4]), c.processOf(chain[1])
 	c.kill(lagging)
 	c.runFor(time.Second)
-	c.pass(50)
+	c.awaitEntries(50)
 	c.start(lagging, false)
 	c.runUntil("it is being brought up to date", time.Second, func() bool { return c.head().node.isCatchingUp() })
-	c.longest, c.lastAck = 0, c.now
+	c.longestGap, c.lastAcknowledgement = 0, c.now
 	c.kill(dying)
 	c.runUntil("the dead one is left out", 2*time.Second, func() bool { return len(c.head().node.View().Chain) == 3 })
 	c.runFor(200 * time.Millisecond)
-	t.Logf("longest time without an acknowledgement %v", c.longest)
-	is.True(c.longest < time.Second)
+	t.Logf("longest time without an acknowledgement %v", c.longestGap)
+	is.True(c.longestGap < time.Second)
 	c.runUntil("the lagging one is in", 10*time.Second, c.inChain(lagging))
 	c.mustServe("the lagging one is in")
 }
@@ -212,17 +212,17 @@
 	}
 	c.mustServe("founding")
 	head := c.head()
-	learner := c.at(head.node.View().Chain[2])
+	learner := c.processOf(head.node.View().Chain[2])
 	c.wipe(learner)
 	c.runFor(time.Second)
 	c.start(learner, false)
 	c.runUntil("it is being brought up to date", time.Second, func() bool { return head.node.isCatchingUp() })
 	// Its link lets heartbeats pass and is too slow for the state.
-	c.rate = 1000
+	c.linkRate = 1000
 	longest := 0
 	c.runUntil("many entries", time.Minute, func() bool {
 		longest = max(longest, len(head.node.durable.Entries))
-		return len(c.acked) > 800
+		return len(c.acknowledged) > 800
 	})
 	t.Logf("longest log %d entries", longest)
 	is.True(longest > 2*c.cfg.MaxLogEntries) // it was deferred
@@ -240,7 +240,7 @@
 	c.padding = make([]byte, 300<<10)
 	c.mustServe("founding")
 	for range 20 {
-		c.pass(1)
+		c.awaitEntries(1)
 		for _, p := range c.processes {
 			is.Equal(p.node.logBytes, sizeOfEntries(p.node.durable.Entries))
 			is.True(p.node.logBytes < c.cfg.MaxLogBytes+2*len(c.padding))
@@ -248,8 +248,8 @@
 	}
 }
 
-// copyOf is what a head would send to a process that has nothing.
-func copyOf(head *process) *api.ChainMessage {
+// catchUpMessage is what a head would send to a process that has nothing.
+func catchUpMessage(head *process) *api.ChainMessage {
 	data := head.node.catchUpFor(&peer{position: &api.Position{Sequence: 1 << 40}})
 	return &api.ChainMessage{Body: &api.ChainMessage_CatchUp{CatchUp: proto.CloneOf(data)}}
 }
@@ -262,19 +262,19 @@
 			c := newCluster(t, 28, 3)
 			c.mustServe("founding")
 			head := c.head()
-			p := c.at(head.node.View().Chain[2])
+			p := c.processOf(head.node.View().Chain[2])
 			if leaves {
 				c.leave(p, time.Second)
 			}
 			view := p.node.View()
-			early := copyOf(head)
-			c.pass(20)
+			early := catchUpMessage(head)
+			c.awaitEntries(20)
 			if leaves { // it is brought up to date, and knows more than the early copy
-				c.hand(p, view.Chain[0], copyOf(head))
+				c.receive(p, view.Chain[0], catchUpMessage(head))
 			}
 			end, committed := p.node.durable.lastPosition(), p.node.Committed()
 			is.True(committed > early.GetCatchUp().Target.Sequence)
-			c.hand(p, view.Chain[0], early)
+			c.receive(p, view.Chain[0], early)
 			is.Equal(p.node.durable.lastPosition().Sequence, end.Sequence)
 			is.Equal(p.node.Committed(), committed)
 			is.True(p.disk.lastPosition().Sequence >= end.Sequence)
@@ -290,15 +290,15 @@
 	c.mustServe("founding")
 	head := c.head()
 	view := head.node.View()
-	p := c.at(view.Chain[1])
+	p := c.processOf(view.Chain[1])
 	before := p.node.durable.lastPosition()
-	data := copyOf(head)
+	data := catchUpMessage(head)
 	end := data.GetCatchUp().Target
 	entry := &api.Entry{Sequence: end.Sequence + 1, PreviousHash: end.Hash}
 	entry.Hash = entryHash(entry.PreviousHash, entry.Sequence, nil)
 	data.GetCatchUp().Entries = append(data.GetCatchUp().Entries, entry)
 	data.GetCatchUp().Target = &api.Position{Sequence: entry.Sequence, Hash: entry.Hash}
-	c.hand(p, view.Chain[0], data)
+	c.receive(p, view.Chain[0], data)
 	is.Equal(p.node.durable.lastPosition().Sequence, before.Sequence)
 	c.mustServe("a copy came to a member of the chain")
 }
--- a/internal/controlplane/chain/chain_test.go
+++ b/internal/controlplane/chain/chain_test.go
@@ -8,16 +8,16 @@
 	"github.com/matryer/is"
 )
 
-// settle is how long a cluster has to come back after a fault.
-const settle = 4 * time.Second
+// settleTime is how long a cluster has to come back after a fault.
+const settleTime = 4 * time.Second
 
 func (c *cluster) mustServe(why string) {
 	c.t.Helper()
-	c.runFor(settle)
-	before := len(c.acked)
+	c.runFor(settleTime)
+	before := len(c.acknowledged)
 	c.runFor(200 * time.Millisecond)
-	if len(c.acked) == before {
-		c.fail("%s: nothing is acknowledged after %v", why, settle)
+	if len(c.acknowledged) == before {
+		c.fail("%s: nothing is acknowledged after %v", why, settleTime)
 	}
 	c.audit()
 	c.auditService()
@@ -117,13 +117,13 @@
 		head := c.head()
 		for _, other := range c.processes {
 			if deaf {
-				c.cut[other.address+">"+head.address] = true
+				c.partitioned[other.address+">"+head.address] = true
 			} else {
-				c.cut[head.address+">"+other.address] = true
+				c.partitioned[head.address+">"+other.address] = true
 			}
 		}
 		c.mustServe("words pass one way alone")
-		clear(c.cut)
+		clear(c.partitioned)
 		c.mustServe("and both ways again")
 		if !head.node.InService() {
 			c.fail("the head is not back")
@@ -201,7 +201,7 @@
 		c.mustServe("an old one has left")
 	}
 	c.isolate(lonely, false)
-	c.runFor(settle)
+	c.runFor(settleTime)
 	is.True(!lonely.node.Connected()) // nobody is left whom it knows
 	lonely.node.SetSeeds(newcomers)
 	c.mustServe("it knows the new ones")
--- a/internal/controlplane/chain/faults_test.go
+++ b/internal/controlplane/chain/faults_test.go
@@ -19,11 +19,11 @@
 	"lose-disk": func(c *cluster, f fault) {
 		p := c.live(f.machine)
 		c.heal()
-		c.runFor(settle)
+		c.runFor(settleTime)
 		c.wipe(p)
 		c.runFor(f.lasts)
 		c.start(p, false)
-		c.runFor(settle)
+		c.runFor(settleTime)
 	},
 	"freeze": func(c *cluster, f fault) {
 		p := c.live(f.machine)
@@ -45,9 +45,9 @@
 	},
 	"cut-one-way": func(c *cluster, f fault) {
 		way := c.live(f.machine).address + ">" + c.live(f.other).address
-		c.cut[way] = true
+		c.partitioned[way] = true
 		c.runFor(f.lasts)
-		c.cut[way] = false
+		c.partitioned[way] = false
 	},
 	"lose-messages": func(c *cluster, f fault) {
 		c.loss = 0.2
@@ -71,7 +71,7 @@
 	"lose-disk-and-power": func(c *cluster, f fault) {
 		p := c.live(f.machine)
 		c.heal()
-		c.runFor(settle)
+		c.runFor(settleTime)
 		c.runFor(f.lasts)
 		c.loseDiskAndPower(p)
 	},
@@ -79,7 +79,7 @@
 	"lose-disk-and-power-at-acknowledgement": func(c *cluster, f fault) {
 		p := c.live(f.machine)
 		c.heal()
-		c.runFor(settle)
+		c.runFor(settleTime)
 		c.awaitAcknowledgement()
 		c.loseDiskAndPower(p)
 	},
@@ -89,7 +89,7 @@
 		p := c.live(f.machine)
 		for _, other := range c.processes {
 			if f.other%3 == 0 || other == c.live(f.other) {
-				c.held[p.address+">"+other.address] = true
+				c.delayedLinks[p.address+">"+other.address] = true
 			}
 		}
 		c.runFor(f.lasts)
@@ -126,7 +126,7 @@
 	"lose-two": func(c *cluster, f fault) {
 		p, other := c.live(f.machine), c.live(f.other)
 		c.heal()
-		c.runFor(settle)
+		c.runFor(settleTime)
 		c.wipe(p)
 		c.runFor(f.lasts / 4)
 		if other != p {
@@ -135,7 +135,7 @@
 		c.start(p, false)
 		c.runFor(f.lasts / 2)
 		c.restartAll(f.back)
-		c.runFor(settle)
+		c.runFor(settleTime)
 	},
 }
 
@@ -166,7 +166,7 @@
 func (c *cluster) interruptProposal(f fault) {
 	rng := rand.New(rand.NewPCG(uint64(f.machine), uint64(f.other)))
 	c.heal()
-	c.runFor(settle)
+	c.runFor(settleTime)
 	trigger := c.live(f.machine)
 	if rng.IntN(2) == 0 {
 		c.carryOut(trigger, trigger.node.Leave(c.now))
@@ -176,16 +176,7 @@
 	var proposer *process
 	step := rng.IntN(3)
 	c.await(2*time.Second, func() bool {
-		proposer = nil
-		for _, p := range c.processes {
-			if p.node == nil || p.node.proposal == nil {
-				continue
-			}
-			proposal := p.node.proposal
-			if step == 0 || step == 1 && proposal.quorumAt > 0 || step == 2 && proposal.view != nil {
-				proposer = p
-			}
-		}
+		proposer = c.proposerAt(step)
 		return proposer != nil
 	})
 	defer func() {
@@ -197,26 +188,47 @@
 	if proposer == nil {
 		return
 	}
-	c.met["a proposal"]++
+	c.faultHits["a proposal"]++
+	c.interruptProposer(proposer, rng, f.lasts)
+}
+
+// proposerAt is a process whose proposal has come to a step: it is begun, has a majority of promises, or a view; nil:
+// there is none.
+func (c *cluster) proposerAt(step int) *process {
+	var proposer *process
+	for _, p := range c.processes {
+		if p.node == nil || p.node.proposal == nil {
+			continue
+		}
+		proposal := p.node.proposal
+		if step == 0 || step == 1 && proposal.quorumAt > 0 || step == 2 && proposal.view != nil {
+			proposer = p
+		}
+	}
+	return proposer
+}
+
+// interruptProposer lets a proposer reach some of the others alone, and then cuts it off, kills it, or lets it go on.
+func (c *cluster) interruptProposer(proposer *process, rng *rand.Rand, lasts time.Duration) {
 	for _, other := range c.processes {
 		if rng.IntN(2) == 0 {
-			c.cut[proposer.address+">"+other.address] = true
+			c.partitioned[proposer.address+">"+other.address] = true
 		}
 		if rng.IntN(3) == 0 {
-			c.cut[other.address+">"+proposer.address] = true
+			c.partitioned[other.address+">"+proposer.address] = true
 		}
 	}
 	c.runFor(time.Duration(rng.IntN(60)) * time.Millisecond)
 	switch rng.IntN(3) {
 	case 0:
 		c.isolate(proposer, true)
-		c.runFor(f.lasts)
+		c.runFor(lasts)
 	case 1:
 		c.kill(proposer)
-		clear(c.cut)
-		c.runFor(f.lasts)
+		clear(c.partitioned)
+		c.runFor(lasts)
 	default:
-		c.runFor(f.lasts / 4)
+		c.runFor(lasts / 4)
 	}
 }
 
@@ -226,59 +238,71 @@
 func (c *cluster) interruptHandover(f fault) {
 	rng := rand.New(rand.NewPCG(uint64(f.machine), uint64(f.other)+1))
 	c.heal()
-	c.runFor(settle)
+	c.runFor(settleTime)
 	for range 1 + rng.IntN(2) {
-		lagging := c.minority(rng)
-		if head := c.servingHead(); head != nil && rng.IntN(2) == 0 {
-			lagging[0] = head // which keeps an entry that nobody else has
-		}
-		for _, p := range lagging {
-			c.isolate(p, true)
-		}
-		if rng.IntN(2) == 0 {
-			c.runFor(time.Second + f.lasts/2)
-		} else { // one entry is acknowledged without them, and then all is quiet
-			c.runFor(100 * time.Millisecond)
-			before := len(c.acked)
-			c.await(2*time.Second, func() bool { return len(c.acked) > before })
-			c.quiet = true
-		}
+		lagging := c.letLag(rng, f.lasts)
 		var killed []*process
 		for _, p := range c.minority(rng) {
 			c.kill(p)
 			killed = append(killed, p)
 		}
-		clear(c.cut)
+		clear(c.partitioned)
 		var head *process
 		if c.await(2*time.Second, func() bool { head = c.syncingHead(); return head != nil }) {
-			c.met["a head that makes logs equal"]++
-			for _, other := range c.processes {
-				if rng.IntN(2) == 0 {
-					c.cut[head.address+">"+other.address] = true
-				}
-			}
-			c.runFor(time.Duration(rng.IntN(12)) * time.Millisecond)
-			c.kill(head)
-			if rng.IntN(2) == 0 && len(c.processes) > 3 { // and one that is equal with it
-				for _, p := range c.processes {
-					if p.node != nil && !slices.Contains(lagging, p) {
-						c.kill(p)
-						break
-					}
-				}
-			}
-			clear(c.cut)
+			c.interruptSync(head, lagging, rng)
 		}
 		for _, p := range killed {
 			if rng.IntN(4) > 0 && p.node == nil {
 				c.start(p, false)
 			}
 		}
-		c.quiet = false
+		c.proposalsPaused = false
 		c.runFor(f.lasts)
 		c.heal()
-		c.runFor(settle)
+		c.runFor(settleTime)
+	}
+}
+
+// letLag cuts off a minority, which misses entries.
+func (c *cluster) letLag(rng *rand.Rand, lasts time.Duration) []*process {
+	lagging := c.minority(rng)
+	if head := c.servingHead(); head != nil && rng.IntN(2) == 0 {
+		lagging[0] = head // which keeps an entry that nobody else has
+	}
+	for _, p := range lagging {
+		c.isolate(p, true)
+	}
+	if rng.IntN(2) == 0 {
+		c.runFor(time.Second + lasts/2)
+		return lagging
+	}
+	// One entry is acknowledged without them, and then all is quiet.
+	c.runFor(100 * time.Millisecond)
+	before := len(c.acknowledged)
+	c.await(2*time.Second, func() bool { return len(c.acknowledged) > before })
+	c.proposalsPaused = true
+	return lagging
+}
+
+// interruptSync lets a head that makes its chain's logs equal reach some of it alone, and kills it.
+func (c *cluster) interruptSync(head *process, lagging []*process, rng *rand.Rand) {
+	c.faultHits["a head that makes logs equal"]++
+	for _, other := range c.processes {
+		if rng.IntN(2) == 0 {
+			c.partitioned[head.address+">"+other.address] = true
+		}
+	}
+	c.runFor(time.Duration(rng.IntN(12)) * time.Millisecond)
+	c.kill(head)
+	if rng.IntN(2) == 0 && len(c.processes) > 3 { // and one that is equal with it
+		for _, p := range c.processes {
+			if p.node != nil && !slices.Contains(lagging, p) {
+				c.kill(p)
+				break
+			}
+		}
 	}
+	clear(c.partitioned)
 }
 
 // servingHead is the head of a chain that acknowledges, or nil.
@@ -296,12 +320,12 @@
 func (c *cluster) interruptVote(f fault) {
 	rng := rand.New(rand.NewPCG(uint64(f.machine), uint64(f.other)+2))
 	c.heal()
-	c.runFor(settle)
+	c.runFor(settleTime)
 	a, b := c.live(f.machine), c.live(f.other)
 	if a == b {
 		b = c.live(f.other + 1)
 	}
-	c.cut[a.address+">"+b.address], c.cut[b.address+">"+a.address] = true, true
+	c.partitioned[a.address+">"+b.address], c.partitioned[b.address+">"+a.address] = true, true
 	if rng.IntN(3) == 0 {
 		c.delayProposal(a, rng, f.lasts/2)
 		return
@@ -312,7 +336,7 @@
 		if !c.await(3*time.Second, func() bool { proposer = c.proposerWithVote(accepted, nil); return proposer != nil }) {
 			break
 		}
-		c.met["a vote"]++
+		c.faultHits["a vote"]++
 		c.runFor(time.Duration(rng.IntN(4)) * time.Millisecond)
 		c.holdFrom(proposer)
 		// Another one may be voted for meanwhile, whose words are held up as well.
@@ -341,22 +365,22 @@
 func (c *cluster) lateEntry(f fault) {
 	rng := rand.New(rand.NewPCG(uint64(f.machine), uint64(f.other)+3))
 	c.heal()
-	c.runFor(settle)
+	c.runFor(settleTime)
 	head := c.servingHead()
 	if head == nil {
 		return
 	}
 	defer func() {
-		c.quiet = false
+		c.proposalsPaused = false
 		c.heal()
 	}()
 	c.holdFrom(head)
 	if !c.await(time.Second, func() bool { return head.node.committed < head.node.durable.lastPosition().GetSequence() }) {
 		return
 	}
-	c.quiet = true
+	c.proposalsPaused = true
 	c.runFor(time.Millisecond)
-	clear(c.held) // what comes after it passes
+	clear(c.delayedLinks) // what comes after it passes
 	back := func(p *process) func() bool { return func() bool { return p.node.InService() } }
 	c.isolate(head, true)
 	c.runFor(time.Second)
@@ -373,7 +397,7 @@
 		c.isolate(p, false)
 		c.await(3*time.Second, back(p))
 	}
-	c.met["an entry of an earlier view"]++
+	c.faultHits["an entry of an earlier view"]++
 	c.release()
 	c.runFor(f.lasts / 4)
 }
@@ -385,7 +409,7 @@
 	c.runFor(time.Duration(rng.IntN(400)) * time.Millisecond)
 	c.holdFrom(p)
 	if c.await(3*time.Second, func() bool { return p.node.proposal != nil && c.proposerWithVote(accepted, p) != nil }) {
-		c.met["a vote for a rival"]++
+		c.faultHits["a vote for a rival"]++
 		c.runFor(time.Duration(rng.IntN(4)) * time.Millisecond)
 	}
 	c.release()
@@ -396,17 +420,17 @@
 // holdFrom holds up what a process sends.
 func (c *cluster) holdFrom(p *process) {
 	for _, other := range c.processes {
-		c.held[p.address+">"+other.address] = true
+		c.delayedLinks[p.address+">"+other.address] = true
 	}
 }
 
 // releaseFrom lets what a process sent arrive.
 func (c *cluster) releaseFrom(p *process) {
 	for _, other := range c.processes {
-		delete(c.held, p.address+">"+other.address)
+		delete(c.delayedLinks, p.address+">"+other.address)
 	}
-	late := c.late
-	c.late = nil
+	late := c.delayed
+	c.delayed = nil
 	for _, message := range late {
 		c.deliver(message.from, message.message) // what others sent is held up again
 	}
@@ -449,9 +473,9 @@
 
 // release lets what was held up arrive.
 func (c *cluster) release() {
-	clear(c.held)
-	late := c.late
-	c.late = nil
+	clear(c.delayedLinks)
+	late := c.delayed
+	c.delayed = nil
 	for _, message := range late {
 		c.deliver(message.from, message.message)
 	}
@@ -470,9 +494,9 @@
 
 // awaitAcknowledgement passes time until something is acknowledged, or 200 ms.
 func (c *cluster) awaitAcknowledgement() {
-	before := len(c.acked)
+	before := len(c.acknowledged)
 	for range 200 {
-		if len(c.acked) > before {
+		if len(c.acknowledged) > before {
 			return
 		}
 		c.runFor(time.Millisecond)
@@ -483,7 +507,7 @@
 func (c *cluster) loseDiskAndPower(p *process) {
 	c.wipe(p)
 	c.restartAll(200 * time.Millisecond)
-	c.runFor(settle)
+	c.runFor(settleTime)
 }
 
 // restartAll ends all processes at once, and starts them after a while.
@@ -503,11 +527,11 @@
 // with its old disk for a while when the other one has been taken in.
 func (c *cluster) replace(p *process, gone, back time.Duration) {
 	c.heal()
-	c.runFor(settle)
+	c.runFor(settleTime)
 	c.kill(p)
 	c.runFor(gone)
 	c.add(fmt.Sprintf("r%d", len(c.processes)), false)
-	c.runFor(settle)
+	c.runFor(settleTime)
 	p.replaced = true
 	c.renewContacts()
 	if back > 0 {
@@ -515,7 +539,7 @@
 		c.runFor(back)
 		c.kill(p)
 	}
-	c.runFor(settle)
+	c.runFor(settleTime)
 }
 
 // renewContacts names those that are there to machines that start from now on. One that replaces another is told
@@ -532,7 +556,7 @@
 // heal ends all faults.
 func (c *cluster) heal() {
 	c.release()
-	clear(c.cut)
+	clear(c.partitioned)
 	c.loss = 0
 	for _, p := range c.processes {
 		if p.node == nil && !p.replaced {
--- a/internal/controlplane/chain/history_test.go
+++ b/internal/controlplane/chain/history_test.go
@@ -39,9 +39,9 @@
 const (
 	// drawnFaults is how many faults a drawn history has.
 	drawnFaults = 12
-	// longestFault and longestRest bound how long one lasts, and the calm behind it.
-	longestFault = 1500 * time.Millisecond
-	longestRest  = 600 * time.Millisecond
+	// maxFaultDuration and longestRest bound how long one lasts, and the calm behind it.
+	maxFaultDuration = 1500 * time.Millisecond
+	maxRest  = 600 * time.Millisecond
 )
 
 // drawHistory draws the history of a number, with 3, 5 or 7 members.
@@ -61,7 +61,7 @@
 		return time.Duration(rng.Int64N(int64(most))).Truncate(time.Millisecond)
 	}
 	const machines = 64
-	f := fault{machine: rng.IntN(machines), other: rng.IntN(machines), lasts: span(longestFault), rest: span(longestRest)}
+	f := fault{machine: rng.IntN(machines), other: rng.IntN(machines), lasts: span(maxFaultDuration), rest: span(maxRest)}
 	kinds := []string{
 		"kill", "lose-disk", "freeze", "stall-disk", "cut", "cut-one-way", "lose-messages", "lose-power",
 		"cut-and-restart", "lose-disk-and-power", "replace", "views", "hold", "leave", "lose-two",
@@ -93,8 +93,8 @@
 	return []fault{f}
 }
 
-// drawSpans draws how eager the members are: where they propose at once, they outbid each other.
-func (c *cluster) drawSpans() {
+// drawTimeouts draws how eager the members are: where they propose at once, they outbid each other.
+func (c *cluster) drawTimeouts() {
 	rng := rand.New(rand.NewPCG(uint64(c.rng.Uint32()), 7))
 	if rng.IntN(2) == 0 {
 		c.cfg.ProposalStagger = time.Duration(rng.IntN(30)) * time.Millisecond
@@ -135,9 +135,9 @@
 		}
 	}()
 	c := newCluster(t, h.seed, h.members)
-	met = c.met
-	c.trial = true
-	c.drawSpans()
+	met = c.faultHits
+	c.panicOnFailure = true
+	c.drawTimeouts()
 	c.mustServe("founding")
 	for _, f := range h.faults {
 		faultKinds[f.kind](c, f)
@@ -155,15 +155,15 @@
 	return "", met
 }
 
-// mostShrinkPlays bounds how often a history is played to make it short.
-const mostShrinkPlays = 400
+// maxShrinkPlays bounds how often a history is played to make it short.
+const maxShrinkPlays = 400
 
 // shrink gives the shortest history found for which fails still says that something is wrong.
 func (h history) shrink(fails func(history) bool) history {
 	plays := 0
 	stillFails := func(shorter history) bool {
 		plays++
-		return plays <= mostShrinkPlays && fails(shorter)
+		return plays <= maxShrinkPlays && fails(shorter)
 	}
 	for again := true; again; {
 		again = false
@@ -358,7 +358,7 @@
 		for _, f := range h.faults {
 			faultKinds[f.kind](c, f)
 		}
-		return append(c.acked, c.now.String())
+		return append(c.acknowledged, c.now.String())
 	}
 	is.Equal(trace(), trace())
 }
--- a/internal/controlplane/chain/leave_test.go
+++ b/internal/controlplane/chain/leave_test.go
@@ -22,13 +22,13 @@
 			is := is.New(t)
 			c := newCluster(t, 31, 3)
 			c.mustServe("founding")
-			p := c.at(c.head().node.View().Chain[place])
-			c.longest, c.lastAck = 0, c.now
+			p := c.processOf(c.head().node.View().Chain[place])
+			c.longestGap, c.lastAcknowledgement = 0, c.now
 			took := c.leave(p, time.Second)
 			c.kill(p)
 			c.runFor(time.Second)
-			t.Logf("out after %v, longest time without an acknowledgement %v", took, c.longest)
-			is.True(c.longest < calmGap)
+			t.Logf("out after %v, longest time without an acknowledgement %v", took, c.longestGap)
+			is.True(c.longestGap < maxCalmGap)
 			is.Equal(len(c.head().node.View().Chain), 2)
 			is.Equal(len(c.head().node.View().Members), 3) // it still counts: it may come back
 			c.start(p, false)
@@ -45,7 +45,7 @@
 	c.mustServe("founding")
 	head := c.head()
 	chain := head.node.View().Chain
-	leaving, learner := c.at(chain[1]), c.at(chain[2])
+	leaving, learner := c.processOf(chain[1]), c.processOf(chain[2])
 	c.wipe(learner)
 	c.runFor(time.Second)
 	c.start(learner, false)
@@ -70,7 +70,7 @@
 				is := is.New(t)
 				c := newCluster(t, 33, 3)
 				c.mustServe("founding")
-				old := c.at(c.head().node.View().Chain[place])
+				old := c.processOf(c.head().node.View().Chain[place])
 				c.add("d0", false)
 				c.mustServe("the new one is there")
 				is.Equal(len(c.head().node.View().Members), 4)
@@ -118,8 +118,8 @@
 	c.mustServe("founding")
 	view := c.head().node.View()
 	is.Equal(len(view.Chain), 5)
-	slow, leaving := c.at(view.Chain[2]), c.at(view.Chain[4])
-	c.quiet = true // an entry under way would wait for the slow one, and the proposal for the entry
+	slow, leaving := c.processOf(view.Chain[2]), c.processOf(view.Chain[4])
+	c.proposalsPaused = true // an entry under way would wait for the slow one, and the proposal for the entry
 	c.runFor(c.cfg.HeartbeatInterval)
 	slow.stalled = true
 	c.carryOut(leaving, leaving.node.Leave(c.now))
@@ -136,7 +136,7 @@
 	is := is.New(t)
 	c := newCluster(t, 36, 3)
 	c.mustServe("founding")
-	c.quiet = true
+	c.proposalsPaused = true
 	head := c.head().node
 	c.add("d0", false)
 	c.runUntil("the new one may join", time.Second, func() bool {
--- a/internal/controlplane/chain/linearizable_test.go
+++ b/internal/controlplane/chain/linearizable_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// readEvery is how often each process that may answer a read gets one.
-const readEvery = 70 * time.Millisecond
+// readInterval is how often each process that may answer a read gets one.
+const readInterval = 70 * time.Millisecond
 
 // operation is a call at the chain's register as a client sees it.
 type operation struct {
--- a/internal/controlplane/chain/repair_test.go
+++ b/internal/controlplane/chain/repair_test.go
@@ -48,7 +48,7 @@
 	},
 	"replaced as planned": func(c *cluster, p *process) time.Duration {
 		c.add("d0", false)
-		c.runFor(settle)
+		c.runFor(settleTime)
 		from := c.now
 		c.carryOut(p, p.node.Leave(c.now))
 		c.runUntil("it has left", time.Second, p.node.HasLeft)
@@ -86,13 +86,13 @@
 			for seed := range uint64(repairSeeds) {
 				c := newCluster(t, 400+seed, 3)
 				c.mustServe("founding")
-				p := c.at(c.head().node.View().Chain[seed%3])
-				c.longest, c.lastAck = 0, c.now
+				p := c.processOf(c.head().node.View().Chain[seed%3])
+				c.longestGap, c.lastAcknowledgement = 0, c.now
 				from := lose(c, p)
 				c.runUntil("the chain has its length again", 20*time.Second, c.fullLength)
 				repairs = append(repairs, c.now-from)
 				c.runFor(time.Second)
-				rests = append(rests, c.longest)
+				rests = append(rests, c.longestGap)
 				c.audit()
 			}
 			slices.Sort(repairs)
@@ -116,17 +116,17 @@
 			is := is.New(t)
 			c := newCluster(t, 500, 3)
 			c.cfg.MaxLogEntries = 64
-			c.rate, c.ballast = slowLink, make([]byte, of.state)
+			c.linkRate, c.ballast = slowLink, make([]byte, of.state)
 			for _, p := range c.processes {
 				p.node.config, p.machine.ballast = c.cfg, c.ballast
 			}
 			c.mustServe("founding")
-			p := c.at(c.head().node.View().Chain[1])
+			p := c.processOf(c.head().node.View().Chain[1])
 			c.kill(p)
 			c.runFor(time.Second)
-			c.pace = 10 * time.Millisecond
-			c.pass(of.entries)
-			c.pace = proposeEvery
+			c.proposeInterval = 10 * time.Millisecond
+			c.awaitEntries(of.entries)
+			c.proposeInterval = defaultProposeInterval
 			c.start(p, false)
 			took := c.runUntil("it is back", 20*time.Second, c.inChain(p))
 			t.Logf("| %d | %d KB | %v |", of.entries, of.state>>10, took)
--- a/internal/controlplane/chain/sim_test.go
+++ b/internal/controlplane/chain/sim_test.go
@@ -73,18 +73,18 @@
 	node    *Node // nil: it is down
 	machine *register
 	disk    *DurableState // nil: empty
-	life    int
+	generation    int
 	frozen  bool
 	stalled bool // its disk answers nothing
 	// replaced: another machine has taken its place, and it does not come back.
 	replaced bool
 	backlog  []func()
-	waiting  map[uint64]string        // proposals by entry hash
+	proposals  map[uint64]string        // proposals by entry hash
 	reads    map[uint64]time.Duration // when reads were called, by token
 }
 
-// heldMessage is a message that has not arrived yet, and will.
-type heldMessage struct {
+// delayedMessage is a message that has not arrived yet, and will.
+type delayedMessage struct {
 	from    string
 	message *api.ChainMessage
 }
@@ -96,45 +96,45 @@
 	queue     events
 	order     int
 	processes []*process
-	cut       map[string]bool // "a>b": nothing passes
-	held      map[string]bool // "a>b": what is sent waits
-	late      []heldMessage
+	partitioned       map[string]bool // "a>b": nothing passes
+	delayedLinks      map[string]bool // "a>b": what is sent waits
+	delayed      []delayedMessage
 	loss      float64
 	cfg       Config
-	acked     []string // in the order of their acknowledgements
+	acknowledged     []string // in the order of their acknowledgements
 	founders  []string
 	contacts  []string // what processes that start are told
 	proposed  int
 	log       []string
-	// met counts how often a fault came upon the step of the protocol that it is about.
-	met      map[string]int
-	trial    bool // what is wrong ends the history, not the test
+	// faultHits counts how often a fault came upon the step of the protocol that it is about.
+	faultHits      map[string]int
+	panicOnFailure    bool // what is wrong ends the history, not the test
 	clients  *clients
 	nextRead time.Duration
-	// rate is how many bytes a second a link carries of large messages; 0: any number.
-	rate     int
+	// linkRate is how many bytes a second a link carries of large messages; 0: any number.
+	linkRate     int
 	linkFree map[string]time.Duration // when a link has carried what it was given
 	ballast  []byte                   // of the state
 	padding  []byte                   // of each entry
-	pace     time.Duration            // between two proposals
-	quiet    bool                     // nothing is proposed
-	lastAck  time.Duration
-	longest  time.Duration // between two acknowledgements, since it was set to 0
+	proposeInterval     time.Duration            // between two proposals
+	proposalsPaused    bool                     // nothing is proposed
+	lastAcknowledgement  time.Duration
+	longestGap  time.Duration // between two acknowledgements, since it was set to 0
 }
 
 const (
-	// mostHeld bounds the messages that are held up.
-	mostHeld = 2000
+	// maxDelayed bounds the messages that are held up.
+	maxDelayed = 2000
 	// largeMessage is what goes in parts, between which small messages pass.
 	largeMessage  = 32 << 10
 	simulatedTick = 20 * time.Millisecond
-	proposeEvery  = 40 * time.Millisecond
+	defaultProposeInterval  = 40 * time.Millisecond
 )
 
 func newCluster(t *testing.T, seed uint64, members int) *cluster {
 	c := &cluster{
-		t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Second, cut: map[string]bool{}, held: map[string]bool{}, met: map[string]int{}, cfg: DefaultConfig(members),
-		clients: newClients(), linkFree: map[string]time.Duration{}, pace: proposeEvery,
+		t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Second, partitioned: map[string]bool{}, delayedLinks: map[string]bool{}, faultHits: map[string]int{}, cfg: DefaultConfig(members),
+		clients: newClients(), linkFree: map[string]time.Duration{}, proposeInterval: defaultProposeInterval,
 	}
 	c.cfg.MaxLogEntries = 8
 	for i := range members {
@@ -156,9 +156,9 @@
 }
 
 func (c *cluster) start(p *process, first bool) {
-	p.life++
+	p.generation++
 	p.frozen, p.stalled, p.backlog = false, false, nil
-	p.waiting, p.reads = map[uint64]string{}, map[uint64]time.Duration{}
+	p.proposals, p.reads = map[uint64]string{}, map[uint64]time.Duration{}
 	if p.disk == nil {
 		p.disk = &DurableState{Self: &api.Member{Address: p.address, Incarnation: FounderIncarnation}}
 		if first {
@@ -169,10 +169,10 @@
 	}
 	p.machine = &register{ballast: c.ballast}
 	p.node = New(c.cfg, load(p.disk), p.machine, c.contacts, c.now)
-	life := p.life
+	life := p.generation
 	var tick func()
 	tick = func() {
-		if p.life != life || p.node == nil {
+		if p.generation != life || p.node == nil {
 			return
 		}
 		c.run(p, func() { c.carryOut(p, p.node.Tick(c.now)) })
@@ -230,11 +230,11 @@
 		c.deliver(p.address, proto.Clone(message).(*api.ChainMessage))
 	}
 	for _, entry := range out.Committed {
-		if name, mine := p.waiting[entry.Hash]; mine {
-			delete(p.waiting, entry.Hash)
-			c.acked = append(c.acked, name)
-			c.longest = max(c.longest, c.now-c.lastAck)
-			c.lastAck = c.now
+		if name, mine := p.proposals[entry.Hash]; mine {
+			delete(p.proposals, entry.Hash)
+			c.acknowledged = append(c.acknowledged, name)
+			c.longestGap = max(c.longestGap, c.now-c.lastAcknowledgement)
+			c.lastAcknowledgement = c.now
 			c.clients.acked[name] = c.now
 			c.auditAcknowledged(p, entry)
 		}
@@ -305,16 +305,16 @@
 
 func (c *cluster) deliver(from string, message *api.ChainMessage) {
 	to := message.To.Address
-	if c.held[from+">"+to] && len(c.late) < mostHeld {
-		c.late = append(c.late, heldMessage{from, message})
+	if c.delayedLinks[from+">"+to] && len(c.delayed) < maxDelayed {
+		c.delayed = append(c.delayed, delayedMessage{from, message})
 		return
 	}
-	if c.cut[from+">"+to] || c.rng.Float64() < c.loss {
+	if c.partitioned[from+">"+to] || c.rng.Float64() < c.loss {
 		return
 	}
 	delay := time.Millisecond + time.Duration(c.rng.Int64N(int64(2*time.Millisecond)))
-	if size := proto.Size(message); c.rate > 0 && size > largeMessage {
-		free := max(c.linkFree[from+">"+to], c.now) + time.Duration(float64(size)/float64(c.rate)*float64(time.Second))
+	if size := proto.Size(message); c.linkRate > 0 && size > largeMessage {
+		free := max(c.linkFree[from+">"+to], c.now) + time.Duration(float64(size)/float64(c.linkRate)*float64(time.Second))
 		c.linkFree[from+">"+to] = free
 		delay += free - c.now
 	}
@@ -322,9 +322,9 @@
 		if p.address != to {
 			continue
 		}
-		life := p.life
+		life := p.generation
 		c.after(delay, func() {
-			if p.life != life || c.cut[from+">"+to] {
+			if p.generation != life || c.partitioned[from+">"+to] {
 				return
 			}
 			c.run(p, func() { c.carryOut(p, p.node.Receive(c.now, message)) })
@@ -334,7 +334,7 @@
 
 // propose has one more operation done, at any process that may.
 func (c *cluster) propose() {
-	if c.quiet {
+	if c.proposalsPaused {
 		return
 	}
 	for _, p := range c.processes {
@@ -349,7 +349,7 @@
 			operations = append(operations, &api.Operation{Kind: &api.Operation_Replace{Replace: &api.ReplaceConfiguration{Document: c.padding}}})
 		}
 		entry, out := p.node.Propose(c.now, operations)
-		p.waiting[entry.Hash] = name
+		p.proposals[entry.Hash] = name
 		c.carryOut(p, out)
 		return
 	}
@@ -364,10 +364,10 @@
 			c.now = next
 			c.propose()
 			if c.now >= c.nextRead {
-				c.nextRead = c.now + readEvery
+				c.nextRead = c.now + readInterval
 				c.read()
 			}
-			next += c.pace
+			next += c.proposeInterval
 			continue
 		}
 		e := heap.Pop(&c.queue).(event)
@@ -377,7 +377,7 @@
 }
 
 // kill ends a process; power: what its disk had not synced is gone, which here is nothing.
-func (c *cluster) kill(p *process) { p.node, p.life = nil, p.life+1 }
+func (c *cluster) kill(p *process) { p.node, p.generation = nil, p.generation+1 }
 
 func (c *cluster) wipe(p *process) {
 	c.kill(p)
@@ -386,8 +386,8 @@
 
 func (c *cluster) isolate(p *process, cut bool) {
 	for _, other := range c.processes {
-		c.cut[p.address+">"+other.address] = cut
-		c.cut[other.address+">"+p.address] = cut
+		c.partitioned[p.address+">"+other.address] = cut
+		c.partitioned[other.address+">"+p.address] = cut
 	}
 }
 
@@ -429,7 +429,7 @@
 			logged[entry.Operations[0].GetEvacuation().GetZone()] = true
 		}
 	}
-	for _, name := range c.acked {
+	for _, name := range c.acknowledged {
 		if !seen[name] && !logged[name] {
 			c.fail("%s was acknowledged and is gone", name)
 		}
@@ -448,7 +448,7 @@
 		for _, name := range p.machine.applied {
 			applied[name] = true
 		}
-		for _, name := range c.acked[:max(0, len(c.acked)-2)] { // the last ones are on their way
+		for _, name := range c.acknowledged[:max(0, len(c.acknowledged)-2)] { // the last ones are on their way
 			if !applied[name] {
 				c.fail("%s was acknowledged, and %s is in service without it", name, p.address)
 			}
@@ -458,7 +458,7 @@
 
 func (c *cluster) fail(format string, args ...any) {
 	c.t.Helper()
-	if c.trial {
+	if c.panicOnFailure {
 		panic(failure{fmt.Sprintf(format, args...)})
 	}
 	for _, line := range c.log {
--- a/internal/controlplane/chain/votes_test.go
+++ b/internal/controlplane/chain/votes_test.go
@@ -9,16 +9,16 @@
 	"marlreel/internal/api"
 )
 
-// hand gives a process a message of a member, and gives its answers.
-func (c *cluster) hand(p *process, from *api.Member, body *api.ChainMessage) []*api.ChainMessage {
+// receive gives a process a message of a member, and gives its answers.
+func (c *cluster) receive(p *process, from *api.Member, body *api.ChainMessage) []*api.ChainMessage {
 	c.t.Helper()
-	return c.handInView(p, from, p.node.View().Number, body)
+	return c.receiveInView(p, from, p.node.View().Number, body)
 }
 
 // prepare asks a process for its promise.
 func (c *cluster) prepare(p *process, from *api.Member, round uint64) *api.Promise {
 	c.t.Helper()
-	answers := c.hand(p, from, &api.ChainMessage{Body: &api.ChainMessage_Prepare{Prepare: &api.Prepare{
+	answers := c.receive(p, from, &api.ChainMessage{Body: &api.ChainMessage_Prepare{Prepare: &api.Prepare{
 		Instance: p.node.View().Number + 1, Ballot: &api.Ballot{Round: round, Proposer: MemberKey(from)},
 	}}})
 	for _, answer := range answers {
@@ -52,7 +52,7 @@
 	c.mustServe("founding")
 	p, from := c.processes[2], c.processes[0].node.durable.Self
 	view := &api.View{Number: p.node.View().Number + 1, Members: p.node.View().Members, Chain: p.node.View().Chain[:2]}
-	c.hand(p, from, &api.ChainMessage{Body: &api.ChainMessage_Accept{Accept: &api.Accept{
+	c.receive(p, from, &api.ChainMessage{Body: &api.ChainMessage_Accept{Accept: &api.Accept{
 		Ballot: &api.Ballot{Round: 1000, Proposer: MemberKey(from)}, View: view,
 	}}})
 	c.restart(p)
@@ -77,15 +77,15 @@
 	end := tail.node.durable.lastPosition()
 	entry := &api.Entry{Sequence: end.Sequence + 1, PreviousHash: end.Hash}
 	entry.Hash = entryHash(end.Hash, entry.Sequence, nil)
-	answers := c.hand(tail, before, &api.ChainMessage{Body: &api.ChainMessage_Replicate{Replicate: &api.Replicate{Entry: entry}}})
+	answers := c.receive(tail, before, &api.ChainMessage{Body: &api.ChainMessage_Replicate{Replicate: &api.Replicate{Entry: entry}}})
 	is.Equal(tail.node.durable.lastPosition().Sequence, end.Sequence) // it appends nothing
 	is.Equal(len(answers), 0)
-	answers = c.hand(tail, before, &api.ChainMessage{Body: &api.ChainMessage_Confirm{Confirm: &api.Confirm{Token: 1}}})
+	answers = c.receive(tail, before, &api.ChainMessage{Body: &api.ChainMessage_Confirm{Confirm: &api.Confirm{Token: 1}}})
 	is.Equal(len(answers), 0) // nor does it confirm
 }
 
-// handInView gives a process a message that was sent in a given view.
-func (c *cluster) handInView(p *process, from *api.Member, view uint64, body *api.ChainMessage) []*api.ChainMessage {
+// receiveInView gives a process a message that was sent in a given view.
+func (c *cluster) receiveInView(p *process, from *api.Member, view uint64, body *api.ChainMessage) []*api.ChainMessage {
 	c.t.Helper()
 	body.From, body.To, body.ViewNumber = from, p.node.durable.Self, view
 	out := p.node.Receive(c.now, body)
@@ -110,7 +110,7 @@
 func (c *cluster) promiseTo(p *process, from *api.Member, position *api.Position) []*api.ChainMessage {
 	c.t.Helper()
 	proposed := p.node.proposal
-	return c.hand(p, from, &api.ChainMessage{Body: &api.ChainMessage_Promise{Promise: &api.Promise{
+	return c.receive(p, from, &api.ChainMessage{Body: &api.ChainMessage_Promise{Promise: &api.Promise{
 		Instance: proposed.instance, Ballot: proposed.ballot, Position: position,
 	}}})
 }
@@ -119,7 +119,7 @@
 func (c *cluster) acceptedBy(p *process, from *api.Member) {
 	c.t.Helper()
 	proposed := p.node.proposal
-	c.hand(p, from, &api.ChainMessage{Body: &api.ChainMessage_Accepted{Accepted: &api.Accepted{
+	c.receive(p, from, &api.ChainMessage{Body: &api.ChainMessage_Accepted{Accepted: &api.Accepted{
 		Instance: proposed.instance, Ballot: proposed.ballot,
 	}}})
 }
@@ -131,15 +131,15 @@
 		c := newCluster(t, 11, 3)
 		c.mustServe("founding")
 		chain := c.processes[0].node.View().Chain
-		dead := c.at(chain[2])
-		survivors := []*process{c.at(chain[0]), c.at(chain[1])}
+		dead := c.processOf(chain[2])
+		survivors := []*process{c.processOf(chain[0]), c.processOf(chain[1])}
 		next := c.processes[0].node.View().Number + 1
 		view := &api.View{Number: next, Members: dead.node.View().Members, Chain: []*api.Member{chain[2], chain[acceptor]}}
-		c.hand(survivors[acceptor], chain[2], &api.ChainMessage{Body: &api.ChainMessage_Accept{Accept: &api.Accept{
+		c.receive(survivors[acceptor], chain[2], &api.ChainMessage{Body: &api.ChainMessage_Accept{Accept: &api.Accept{
 			Ballot: &api.Ballot{Round: 1000, Proposer: MemberKey(chain[2])}, View: view,
 		}}})
 		c.kill(dead)
-		for survivors[0].node.View().Number < next && c.now < 2*settle+time.Minute {
+		for survivors[0].node.View().Number < next && c.now < 2*settleTime+time.Minute {
 			c.runFor(time.Millisecond)
 		}
 		is.Equal(survivors[0].node.View().Number, next)
@@ -227,16 +227,16 @@
 	c := newCluster(t, 15, 3)
 	c.mustServe("founding")
 	view := c.processes[0].node.View()
-	tail := c.at(view.Chain[2])
+	tail := c.processOf(view.Chain[2])
 	end := tail.node.durable.lastPosition()
 	entry := &api.Entry{Sequence: end.Sequence + 1, PreviousHash: end.Hash}
 	entry.Hash = entryHash(end.Hash, entry.Sequence, nil)
 	replicate := func() *api.ChainMessage {
 		return &api.ChainMessage{Body: &api.ChainMessage_Replicate{Replicate: &api.Replicate{Entry: entry}}}
 	}
-	c.handInView(tail, view.Chain[1], view.Number-1, replicate())
+	c.receiveInView(tail, view.Chain[1], view.Number-1, replicate())
 	is.Equal(tail.node.durable.lastPosition().Sequence, end.Sequence)
-	c.handInView(tail, view.Chain[1], view.Number, replicate())
+	c.receiveInView(tail, view.Chain[1], view.Number, replicate())
 	is.Equal(tail.node.durable.lastPosition().Sequence, entry.Sequence) // in its own view it is
 }
 
@@ -252,8 +252,8 @@
 	return nil
 }
 
-// at is the process of a member.
-func (c *cluster) at(member *api.Member) *process {
+// processOf is the process of a member.
+func (c *cluster) processOf(member *api.Member) *process {
 	c.t.Helper()
 	for _, p := range c.processes {
 		if p.node != nil && sameMember(p.node.durable.Self, member) {
@@ -271,11 +271,11 @@
 	c := newCluster(t, 16, 3)
 	c.mustServe("founding")
 	view := c.processes[0].node.View()
-	head, next := c.at(view.Chain[0]), c.at(view.Chain[1])
+	head, next := c.processOf(view.Chain[0]), c.processOf(view.Chain[1])
 	c.restart(head)
 	beat := next.node.heartbeatMessage()
 	is.True(beat.GetHeartbeat().Active)
-	c.hand(head, view.Chain[1], beat)
+	c.receive(head, view.Chain[1], beat)
 	is.Equal(head.node.CanPropose(), false)
 	is.Equal(head.node.InService(), false)
 	c.mustServe("its head was restarted")
@@ -288,12 +288,12 @@
 	c := newCluster(t, 17, 3)
 	c.mustServe("founding")
 	view := c.processes[0].node.View()
-	before, tail := c.at(view.Chain[1]), c.at(view.Chain[2])
+	before, tail := c.processOf(view.Chain[1]), c.processOf(view.Chain[2])
 	c.isolate(before, true) // the acknowledgement is lost
 	end := tail.node.durable.lastPosition()
 	entry := &api.Entry{Sequence: end.Sequence + 1, PreviousHash: end.Hash}
 	entry.Hash = entryHash(entry.PreviousHash, entry.Sequence, nil)
-	c.handInView(tail, view.Chain[1], view.Number,
+	c.receiveInView(tail, view.Chain[1], view.Number,
 		&api.ChainMessage{Body: &api.ChainMessage_Replicate{Replicate: &api.Replicate{Entry: entry, Committed: end.Sequence}}})
 	is.Equal(tail.node.Committed(), entry.Sequence)
 
@@ -301,7 +301,7 @@
 	is.Equal(tail.node.CanRead(), false)
 	beat := before.node.heartbeatMessage()
 	is.Equal(beat.GetHeartbeat().Committed, end.Sequence)
-	c.hand(tail, view.Chain[1], beat)
+	c.receive(tail, view.Chain[1], beat)
 	is.True(tail.node.CanRead())
 	is.Equal(tail.node.Committed(), entry.Sequence)
 }
