--- a/cmd/marlreeld/bundle.go
+++ b/cmd/marlreeld/bundle.go
@@ -30,7 +30,7 @@
 				return &UsageError{err.Error()}
 			}
 			defer func() { failed = multierr.Append(failed, eris.Wrapf(file.Close(), "closing %s", args[0])) }()
-			manifest, err := client.WriteBundle(file, operatorclient.BundleConfig{Metrics: metrics, Now: time.Now()})
+			manifest, err := client.WriteBundle(file, operatorclient.BundleOptions{MetricsAddresses: metrics, Now: time.Now()})
 			if err != nil {
 				return err
 			}
@@ -39,7 +39,7 @@
 					fmt.Fprintf(command.OutOrStdout(), "missing  %s: %s\n", part.Name, part.Error)
 				}
 			}
-			_, err = fmt.Fprintf(command.OutOrStdout(), "%d of %d parts are in %s\n", len(manifest.Parts)-manifest.Missing(),
+			_, err = fmt.Fprintf(command.OutOrStdout(), "%d of %d parts are in %s\n", len(manifest.Parts)-manifest.MissingParts(),
 				len(manifest.Parts), args[0])
 			return err
 		},
--- a/cmd/marlreeld/configuration.go
+++ b/cmd/marlreeld/configuration.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return client.Read()
+	return client.ReadConfiguration()
 }
 
 // newConfigDiff shows in what two configurations differ.
--- a/cmd/marlreeld/operator.go
+++ b/cmd/marlreeld/operator.go
@@ -121,7 +121,7 @@
 			if err != nil {
 				return err
 			}
-			document, err := client.Read()
+			document, err := client.ReadConfiguration()
 			if err != nil {
 				return err
 			}
@@ -144,9 +144,9 @@
 			if err != nil {
 				return err
 			}
-			apply := client.Replace
+			apply := client.ReplaceConfiguration
 			if modify {
-				apply = client.Modify
+				apply = client.ModifyConfiguration
 			}
 			if err := apply(base, data); err != nil {
 				return err
--- a/cmd/marlreeld/whole_test.go
+++ b/cmd/marlreeld/whole_test.go
@@ -108,7 +108,7 @@
 	for i := range 3 {
 		b := fakesystem.NewBackend(fakesystem.BackendConfig{
 			ID: fmt.Sprintf("s-%d", i), Service: "slips", Address: wholeIP(3, i) + ":29000",
-			Zone: wholeZones[i], Slots: 6, Work: 20 * time.Millisecond, Beat: 600 * time.Millisecond, Controls: w.addresses,
+			Zone: wholeZones[i], Slots: 6, RequestTime: 20 * time.Millisecond, HeartbeatInterval: 600 * time.Millisecond, Controls: w.addresses,
 		}, host.OSNetwork{})
 		w.backends = append(w.backends, b)
 		go func() { _ = b.Serve(ctx) }() // it ends with the test
@@ -324,7 +324,7 @@
 	}
 	runs, statuses := map[string]int{}, map[int]int{}
 	for _, b := range w.backends {
-		for _, run := range b.Runs() {
+		for _, run := range b.Executions() {
 			runs[run.Request]++
 		}
 	}
--- a/cmd/marlreelscale/main.go
+++ b/cmd/marlreelscale/main.go
@@ -65,9 +65,9 @@
 	flags.IntSliceVar(&vary.proxies, "proxies", []int{25, 50, 100, 200}, "how many proxies, the first with each number of backends and routes")
 	flags.IntSliceVar(&vary.backends, "backends", []int{50}, "how many backends, the first with each number of proxies and routes")
 	flags.IntSliceVar(&vary.routes, "routes", []int{20}, "how many routes, the first with each number of proxies and backends")
-	flags.DurationVar(&cfg.Beat, "beat", 1200*time.Millisecond, "the time between two heartbeats of a backend")
-	flags.DurationVar(&plan.Settle, "settle", 5*time.Second, "how long a system rests before it is measured")
-	flags.DurationVar(&plan.Idle, "idle", 10*time.Second, "how long it is measured without changes")
+	flags.DurationVar(&cfg.HeartbeatInterval, "beat", 1200*time.Millisecond, "the time between two heartbeats of a backend")
+	flags.DurationVar(&plan.WarmupTime, "settle", 5*time.Second, "how long a system rests before it is measured")
+	flags.DurationVar(&plan.IdleTime, "idle", 10*time.Second, "how long it is measured without changes")
 	flags.IntVar(&plan.Changes, "changes", 10, "how many changes, one a second")
 	flags.StringVar(&raw, "raw", "", "a file for the raw figures, a line of JSON a trial")
 	return command
@@ -133,15 +133,15 @@
 	fmt.Fprintln(table, "proxies\tbackends\troutes\trole\tcore %\tMB\tKB/s in\tKB/s out\tcore % changing\tKB/s in\tKB/s out\t")
 	for _, r := range results {
 		for _, role := range roles {
-			idle, changing := r.Idle[role], r.Changing[role]
+			idle, changing := r.IdleUsage[role], r.ChangingUsage[role]
 			fmt.Fprintf(table, "%d\t%d\t%d\t%s\t%.2f\t%.1f\t%.1f\t%.1f\t%.2f\t%.1f\t%.1f\t\n", r.Proxies, r.Backends, r.Routes, role,
-				idle.Processor, idle.ResidentMB, idle.ReadKBps, idle.WroteKBps, changing.Processor, changing.ReadKBps, changing.WroteKBps)
+				idle.CPUPercent, idle.ResidentMB, idle.ReadKBps, idle.WriteKBps, changing.CPUPercent, changing.ReadKBps, changing.WriteKBps)
 		}
 	}
 	fmt.Fprintln(table, "\nproxies\tbackends\troutes\tin force ms p50\tp99\tworst\tacknowledged ms p50\tworst\tafter a loss ms\t")
 	for _, r := range results {
-		fmt.Fprintf(table, "%d\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t\n", r.Proxies, r.Backends, r.Routes, r.InForceMS.Median,
-			r.InForceMS.Late, r.InForceMS.Worst, r.AcknowledgeMS.Median, r.AcknowledgeMS.Worst, r.AfterLossMS)
+		fmt.Fprintf(table, "%d\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t\n", r.Proxies, r.Backends, r.Routes, r.PropagationMS.Median,
+			r.PropagationMS.P99, r.PropagationMS.Max, r.AcknowledgementMS.Median, r.AcknowledgementMS.Max, r.FailoverMS)
 	}
 	fmt.Fprintln(table, "\nline by\trole\tfigure\tat none\tfor each\tresidue\t")
 	lines(table, "proxies", results, func(r *scale.Result) int { return r.Proxies })
@@ -155,13 +155,13 @@
 	name string
 	of   func(r *scale.Result, role string) float64
 }{
-	{"core %", func(r *scale.Result, role string) float64 { return r.Idle[role].Processor }},
-	{"MB", func(r *scale.Result, role string) float64 { return r.Idle[role].ResidentMB }},
-	{"KB/s in", func(r *scale.Result, role string) float64 { return r.Idle[role].ReadKBps }},
-	{"KB/s out", func(r *scale.Result, role string) float64 { return r.Idle[role].WroteKBps }},
-	{"core % changing", func(r *scale.Result, role string) float64 { return r.Changing[role].Processor }},
-	{"KB/s in changing", func(r *scale.Result, role string) float64 { return r.Changing[role].ReadKBps }},
-	{"KB/s out changing", func(r *scale.Result, role string) float64 { return r.Changing[role].WroteKBps }},
+	{"core %", func(r *scale.Result, role string) float64 { return r.IdleUsage[role].CPUPercent }},
+	{"MB", func(r *scale.Result, role string) float64 { return r.IdleUsage[role].ResidentMB }},
+	{"KB/s in", func(r *scale.Result, role string) float64 { return r.IdleUsage[role].ReadKBps }},
+	{"KB/s out", func(r *scale.Result, role string) float64 { return r.IdleUsage[role].WriteKBps }},
+	{"core % changing", func(r *scale.Result, role string) float64 { return r.ChangingUsage[role].CPUPercent }},
+	{"KB/s in changing", func(r *scale.Result, role string) float64 { return r.ChangingUsage[role].ReadKBps }},
+	{"KB/s out changing", func(r *scale.Result, role string) float64 { return r.ChangingUsage[role].WriteKBps }},
 }
 
 // leastPoints is from how many sizes on a line is fitted.
@@ -193,7 +193,7 @@
 				x, y = append(x, float64(size(r))), append(y, figure.of(r, role))
 			}
 			fit := scale.FitLine(x, y)
-			fmt.Fprintf(out, "%s\t%s\t%s\t%.3f\t%.5f\t%.3f\t\n", name, role, figure.name, fit.Base, fit.Slope, fit.Residue)
+			fmt.Fprintf(out, "%s\t%s\t%s\t%.3f\t%.5f\t%.3f\t\n", name, role, figure.name, fit.Intercept, fit.Slope, fit.RootMeanSquareError)
 		}
 	}
 }
--- a/cmd/marlreeltry/main.go
+++ b/cmd/marlreeltry/main.go
@@ -96,10 +96,10 @@
 	for i, models := range [][]string{{"small"}, {"small"}, {}, {}} {
 		c.AddBackend(fakesystem.BackendConfig{
 			ID: fmt.Sprintf("backend-%d", i), Service: "llm", Zone: []string{"east", "west"}[i%2],
-			Slots: 64, Models: models, CapacityMB: 200000, Beat: time.Second,
-			LoadTimes: map[string]time.Duration{"small": 2 * time.Second, "large": 3 * time.Second},
-			SizesMB:   map[string]float64{"small": 60000, "large": 90000},
-			TokenTime: 12 * time.Millisecond, ReadTime: 50 * time.Microsecond, Stride: 2,
+			Slots: 64, Models: models, CapacityMB: 200000, HeartbeatInterval: time.Second,
+			LoadTimes:  map[string]time.Duration{"small": 2 * time.Second, "large": 3 * time.Second},
+			SizesMB:    map[string]float64{"small": 60000, "large": 90000},
+			DecodeTime: 12 * time.Millisecond, PrefillTime: 50 * time.Microsecond, TokensPerEvent: 2,
 		})
 	}
 	status, answer, err := c.Configure(func(uint64) string { return document }, startPatience)
--- a/internal/controlplane/operatorclient/bundle.go
+++ b/internal/controlplane/operatorclient/bundle.go
@@ -18,16 +18,16 @@
 // largestPart bounds one part of a bundle.
 const largestPart = 8 << 20
 
-// BundleConfig says what a support bundle is made of.
-type BundleConfig struct {
-	// Metrics are addresses of doors for metrics, HOST:PORT.
-	Metrics []string
+// BundleOptions says what a support bundle is made of.
+type BundleOptions struct {
+	// MetricsAddresses are addresses of doors for metrics, HOST:PORT.
+	MetricsAddresses []string
 	// Now is when the bundle is made.
 	Now time.Time
 }
 
-// Part is one part of a support bundle, as its manifest lists it.
-type Part struct {
+// BundlePart is one part of a support bundle, as its manifest lists it.
+type BundlePart struct {
 	Name  string `json:"name"`
 	From  string `json:"from"`
 	Error string `json:"error,omitempty"` // why it is missing
@@ -35,13 +35,13 @@
 
 // Manifest says what a support bundle holds, and what could not be had.
 type Manifest struct {
-	Made    time.Time `json:"made"`
-	Program string    `json:"program"`
-	Parts   []Part    `json:"parts"`
+	Made    time.Time    `json:"made"`
+	Program string       `json:"program"`
+	Parts   []BundlePart `json:"parts"`
 }
 
-// Missing is how many parts could not be had.
-func (m *Manifest) Missing() int {
+// MissingParts is how many parts could not be had.
+func (m *Manifest) MissingParts() int {
 	missing := 0
 	for _, part := range m.Parts {
 		if part.Error != "" {
@@ -60,25 +60,25 @@
 // WriteBundle writes a gzipped tar of what helps to understand a system's state: each control
 // process's status, the newest configuration, metrics, a manifest. It holds nothing of requests.
 // A part that can't be had is named in the manifest and ends nothing.
-func (c *Client) WriteBundle(out io.Writer, cfg BundleConfig) (*Manifest, error) {
+func (c *Client) WriteBundle(out io.Writer, cfg BundleOptions) (*Manifest, error) {
 	compressed := gzip.NewWriter(out)
 	b := &bundle{archive: tar.NewWriter(compressed), manifest: Manifest{Made: cfg.Now.UTC(), Program: program()}}
 	err := c.writeParts(b, cfg)
 	return &b.manifest, multierr.Combine(err, b.archive.Close(), compressed.Close())
 }
 
-func (c *Client) writeParts(b *bundle, cfg BundleConfig) error {
+func (c *Client) writeParts(b *bundle, cfg BundleOptions) error {
 	for _, control := range c.controls {
 		body, err := c.get(control, "/marlreel/status")
 		if err := b.add("status/"+fileName(control)+".json", control, body, err); err != nil {
 			return err
 		}
 	}
-	document, err := c.Read()
+	document, err := c.ReadConfiguration()
 	if err := b.add("configuration.json", "control", document, err); err != nil {
 		return err
 	}
-	for _, door := range cfg.Metrics {
+	for _, door := range cfg.MetricsAddresses {
 		body, err := c.get(door, "/metrics")
 		if err := b.add("metrics/"+fileName(door)+".txt", door, body, err); err != nil {
 			return err
@@ -127,7 +127,7 @@
 
 // add adds a part, or why it is missing. The error is that of the bundle itself.
 func (b *bundle) add(name, from string, body []byte, missing error) error {
-	part := Part{Name: name, From: from}
+	part := BundlePart{Name: name, From: from}
 	if missing != nil {
 		part.Error = missing.Error()
 	}
--- a/internal/controlplane/operatorclient/client.go
+++ b/internal/controlplane/operatorclient/client.go
@@ -105,19 +105,19 @@
 	return &result.Error{Code: said.Code, Detail: said.Cause}
 }
 
-// Read gives the newest configuration.
-func (c *Client) Read() ([]byte, error) {
+// ReadConfiguration gives the newest configuration.
+func (c *Client) ReadConfiguration() ([]byte, error) {
 	return c.call(fasthttp.MethodGet, "/marlreel/config/read", "", nil)
 }
 
-// Replace puts a whole configuration in force on top of a version.
-func (c *Client) Replace(base uint64, document []byte) error {
+// ReplaceConfiguration puts a whole configuration in force on top of a version.
+func (c *Client) ReplaceConfiguration(base uint64, document []byte) error {
 	_, err := c.call(fasthttp.MethodPost, "/marlreel/config/replace", strconv.FormatUint(base, 10), document)
 	return err
 }
 
-// Modify changes named items on top of a version.
-func (c *Client) Modify(base uint64, change []byte) error {
+// ModifyConfiguration changes named items on top of a version.
+func (c *Client) ModifyConfiguration(base uint64, change []byte) error {
 	_, err := c.call(fasthttp.MethodPost, "/marlreel/config/modify", strconv.FormatUint(base, 10), change)
 	return err
 }
--- a/internal/controlplane/operatorclient/compatibility_manifest_test.go
+++ b/internal/controlplane/operatorclient/compatibility_manifest_test.go
@@ -28,7 +28,7 @@
 	return Manifest{
 		Made:    time.Date(2026, 11, 30, 12, 34, 56, 0, time.UTC),
 		Program: "marlreel v1.2.3 go1.26",
-		Parts: []Part{
+		Parts: []BundlePart{
 			{Name: "status/10.0.0.1_7100.json", From: "10.0.0.1:7100"},
 			{Name: "status/__1_7100.json", From: "[::1]:7100", Error: "connection refused"},
 		},
@@ -63,7 +63,7 @@
 	if want := storedManifest(); !reflect.DeepEqual(got, want) {
 		t.Errorf("the manifest is\n%+v\nwant\n%+v", got, want)
 	}
-	if n := got.Missing(); n != 1 {
+	if n := got.MissingParts(); n != 1 {
 		t.Errorf("%d parts are missing, want 1", n)
 	}
 }
--- a/internal/controlplane/operatorclient/compatibility_test.go
+++ b/internal/controlplane/operatorclient/compatibility_test.go
@@ -99,10 +99,10 @@
 		name string
 		make func() error
 	}{
-		{"read", func() error { _, err := client.Read(); return err }},
-		{"replace", func() error { return client.Replace(3, []byte(`{"config_version":4}`)) }},
-		{"replace the first", func() error { return client.Replace(0, []byte(`{"config_version":1}`)) }},
-		{"modify", func() error { return client.Modify(4, []byte(`{"config_version":5,"upsert":{}}`)) }},
+		{"read", func() error { _, err := client.ReadConfiguration(); return err }},
+		{"replace", func() error { return client.ReplaceConfiguration(3, []byte(`{"config_version":4}`)) }},
+		{"replace the first", func() error { return client.ReplaceConfiguration(0, []byte(`{"config_version":1}`)) }},
+		{"modify", func() error { return client.ModifyConfiguration(4, []byte(`{"config_version":5,"upsert":{}}`)) }},
 		{"evacuate", func() error { return client.Evacuate("east", true) }},
 		{"restore", func() error { return client.Evacuate("east", false) }},
 		{"status", func() error { _, err := client.Status(); return err }},
@@ -133,7 +133,7 @@
 	} {
 		t.Run(answer.name, func(t *testing.T) {
 			control := &recorder{answer: func(string) string { return httpAnswer(answer.status, answer.body) }}
-			err := NewClient([]string{"10.1.0.1:8082"}, time.Millisecond, control.dial).Replace(1, []byte(`{}`))
+			err := NewClient([]string{"10.1.0.1:8082"}, time.Millisecond, control.dial).ReplaceConfiguration(1, []byte(`{}`))
 			var said *result.Error
 			if !errors.As(err, &said) || said.Code != answer.want || said.Detail != answer.detail {
 				t.Errorf("read as %v", err)
@@ -152,7 +152,7 @@
 	}}
 	client := NewClient([]string{"10.1.0.1:8082"}, time.Second, control.dial)
 	var packed bytes.Buffer
-	_, err := client.WriteBundle(&packed, BundleConfig{Metrics: []string{"10.2.0.1:7675"}, Now: time.Unix(1_700_000_000, 0)})
+	_, err := client.WriteBundle(&packed, BundleOptions{MetricsAddresses: []string{"10.2.0.1:7675"}, Now: time.Unix(1_700_000_000, 0)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testing/fakesystem/backend.go
+++ b/internal/testing/fakesystem/backend.go
@@ -24,22 +24,22 @@
 type BackendConfig struct {
 	ID, Service, Address, Zone string
 	Controls                   func() []string // where heartbeats go
-	Beat                       time.Duration
+	HeartbeatInterval          time.Duration
 	Slots                      int
 	Models                     []string                 // held from the start
 	LoadTimes                  map[string]time.Duration // of models that may be loaded
 	CapacityMB                 float64
 	SizesMB                    map[string]float64
-	TokenTime                  time.Duration // between two tokens
-	ReadTime                   time.Duration // of a token of the prompt
-	Work                       time.Duration // of a request without a model
-	Stride                     int           // tokens of an event
+	DecodeTime                 time.Duration // between two tokens
+	PrefillTime                time.Duration // of a token of the prompt
+	RequestTime                time.Duration // of a request without a model
+	TokensPerEvent             int           // tokens of an event
 }
 
-// Run is one run of a request.
-type Run struct {
+// Execution is one run of a request.
+type Execution struct {
 	Request, Backend string
-	From             int // the event after which it began
+	LastEventID      int // the event after which it began
 }
 
 // Backend is a stand-in for a backend.
@@ -60,9 +60,9 @@
 	draining bool
 	left     bool
 	cold     time.Time
-	runs     []Run
+	runs     []Execution
 	refused  int // requests turned away
-	seen     []OrderSeen
+	seen     []ReceivedOrder
 	faults   []string
 	beatAt   string
 	cached   map[string]bool // parts of prompts, by model
@@ -103,36 +103,36 @@
 	return b.server.Serve(listener)
 }
 
-// Runs are all runs so far.
-func (b *Backend) Runs() []Run {
+// Executions are all runs so far.
+func (b *Backend) Executions() []Execution {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.runs)
 }
 
-// Faults are orders that broke a bound of the backend.
-func (b *Backend) Faults() []string {
+// Violations are orders that broke a bound of the backend.
+func (b *Backend) Violations() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.faults)
 }
 
-// OrderSeen is an order that has arrived, whatever became of it.
-type OrderSeen struct {
-	At     time.Time
-	Holder string
-	Fence  uint64
+// ReceivedOrder is an order that has arrived, whatever became of it.
+type ReceivedOrder struct {
+	At           time.Time
+	Holder       string
+	FencingToken uint64
 }
 
-// Orders are all orders that have arrived so far.
-func (b *Backend) Orders() []OrderSeen {
+// ReceivedOrders are all orders that have arrived so far.
+func (b *Backend) ReceivedOrders() []ReceivedOrder {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.seen)
 }
 
-// Holds are the models that the backend holds.
-func (b *Backend) Holds() []string {
+// LoadedModels are the models that the backend holds.
+func (b *Backend) LoadedModels() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var models []string
@@ -201,10 +201,10 @@
 		if !b.call(target) {
 			b.beatAt = ""
 			at++
-			pause(ctx, b.cfg.Beat/10)
+			pause(ctx, b.cfg.HeartbeatInterval/10)
 			continue
 		}
-		pause(ctx, b.cfg.Beat)
+		pause(ctx, b.cfg.HeartbeatInterval)
 	}
 }
 
@@ -231,8 +231,8 @@
 	return true
 }
 
-// Acknowledged tells whether the backend's leave was acknowledged.
-func (b *Backend) Acknowledged() bool {
+// DrainAcknowledged tells whether the backend's leave was acknowledged.
+func (b *Backend) DrainAcknowledged() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.left
@@ -313,19 +313,19 @@
 		return
 	}
 	b.running++
-	b.runs = append(b.runs, Run{Request: id, Backend: b.cfg.ID, From: from})
+	b.runs = append(b.runs, Execution{Request: id, Backend: b.cfg.ID, LastEventID: from})
 	wait := b.readingTime(model, string(header.Peek("Prompt-Prefix")))
 	b.mu.Unlock()
 	ctx.Response.Header.Set("Server-Seal", "seal."+b.cfg.ID+"."+id)
 	if model == "" {
 		defer b.release()
-		time.Sleep(b.cfg.Work)
+		time.Sleep(b.cfg.RequestTime)
 		ctx.SetBodyString("done " + id)
 		return
 	}
 	_, out, _ := strings.Cut(string(header.Peek("Token-Count")), ",")
 	tokens, _ := strconv.Atoi(out)
-	events := max(1, tokens/max(1, b.cfg.Stride))
+	events := max(1, tokens/max(1, b.cfg.TokensPerEvent))
 	time.Sleep(wait)
 	ctx.SetContentType("text/event-stream")
 	ctx.Response.ImmediateHeaderFlush = true
@@ -348,7 +348,7 @@
 		}
 		b.cached[key] = true
 	}
-	return time.Duration(tokens) * b.cfg.ReadTime
+	return time.Duration(tokens) * b.cfg.PrefillTime
 }
 
 func (b *Backend) release() {
@@ -373,7 +373,7 @@
 	if s.next > s.last {
 		return 0, io.EOF
 	}
-	time.Sleep(s.backend.cfg.TokenTime * time.Duration(max(1, s.backend.cfg.Stride)))
+	time.Sleep(s.backend.cfg.DecodeTime * time.Duration(max(1, s.backend.cfg.TokensPerEvent)))
 	n := copy(p, fmt.Sprintf("id: %d\ndata: %s\n\n", s.next, EventText(s.request, s.next)))
 	s.next++
 	return n, nil
--- a/internal/testing/fakesystem/orders.go
+++ b/internal/testing/fakesystem/orders.go
@@ -33,7 +33,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.seen = append(b.seen, OrderSeen{time.Now(), o.Holder, o.Fence})
+	b.seen = append(b.seen, ReceivedOrder{time.Now(), o.Holder, o.Fence})
 	if o.Fence < b.fence {
 		ctx.SetStatusCode(fasthttp.StatusPreconditionFailed)
 		return
--- a/internal/testing/scale/compatibility_test.go
+++ b/internal/testing/scale/compatibility_test.go
@@ -26,11 +26,11 @@
 func storedResult() *Result {
 	return &Result{
 		Controls: 7, Proxies: 100, Backends: 1000, Models: 40, Zones: 3, Routes: 500,
-		Idle:          map[string]Load{"control": {Processor: 1.5, ResidentMB: 30.5, ReadKBps: 4.5, WroteKBps: 5.5}},
-		Changing:      map[string]Load{"agent": {Processor: 6.5, ResidentMB: 7.5, ReadKBps: 8.5, WroteKBps: 9.5}},
-		InForceMS:     Spread{Median: 10.25, Late: 11.25, Worst: 12.25},
-		AcknowledgeMS: Spread{Median: 13.25, Late: 14.25, Worst: 15.25},
-		AfterLossMS:   1600.75,
+		IdleUsage:         map[string]ResourceUsage{"control": {CPUPercent: 1.5, ResidentMB: 30.5, ReadKBps: 4.5, WriteKBps: 5.5}},
+		ChangingUsage:     map[string]ResourceUsage{"agent": {CPUPercent: 6.5, ResidentMB: 7.5, ReadKBps: 8.5, WriteKBps: 9.5}},
+		PropagationMS:     Percentiles{Median: 10.25, P99: 11.25, Max: 12.25},
+		AcknowledgementMS: Percentiles{Median: 13.25, P99: 14.25, Max: 15.25},
+		FailoverMS:        1600.75,
 	}
 }
 
--- a/internal/testing/scale/process.go
+++ b/internal/testing/scale/process.go
@@ -112,19 +112,19 @@
 	return values, nil
 }
 
-// Load is what a role costs while it runs.
-type Load struct {
-	Processor  float64 `json:"processor_percent"` // of one core
+// ResourceUsage is what a role costs while it runs.
+type ResourceUsage struct {
+	CPUPercent float64 `json:"processor_percent"` // of one core
 	ResidentMB float64 `json:"resident_mb"`
 	ReadKBps   float64 `json:"read_kb_per_s"`
-	WroteKBps  float64 `json:"wrote_kb_per_s"`
+	WriteKBps  float64 `json:"wrote_kb_per_s"`
 }
 
 // between is the load between two readings.
-func between(before, after usage) Load {
+func between(before, after usage) ResourceUsage {
 	seconds := after.at.Sub(before.at).Seconds()
-	return Load{
-		Processor: 100 * (after.processor - before.processor).Seconds() / seconds, ResidentMB: after.residentMB,
-		ReadKBps: (after.read - before.read) / seconds, WroteKBps: (after.wrote - before.wrote) / seconds,
+	return ResourceUsage{
+		CPUPercent: 100 * (after.processor - before.processor).Seconds() / seconds, ResidentMB: after.residentMB,
+		ReadKBps: (after.read - before.read) / seconds, WriteKBps: (after.wrote - before.wrote) / seconds,
 	}
 }
--- a/internal/testing/scale/scale_test.go
+++ b/internal/testing/scale/scale_test.go
@@ -35,15 +35,15 @@
 
 func TestSmallTrial(t *testing.T) {
 	is := is.New(t)
-	cfg := Config{Program: os.Args[0], Controls: 3, Proxies: 6, Backends: 4, Models: 2, Zones: 2, Routes: 3, Beat: 300 * time.Millisecond}
-	r, err := Run(context.Background(), cfg, Plan{Settle: time.Second, Idle: time.Second, Changes: 2})
+	cfg := Config{Program: os.Args[0], Controls: 3, Proxies: 6, Backends: 4, Models: 2, Zones: 2, Routes: 3, HeartbeatInterval: 300 * time.Millisecond}
+	r, err := Run(context.Background(), cfg, Plan{WarmupTime: time.Second, IdleTime: time.Second, Changes: 2})
 	is.NoErr(err)
 	for _, role := range []string{"control", "agent", "proxy"} {
-		is.True(r.Idle[role].ResidentMB > 1)
-		is.True(r.Changing[role].ReadKBps > 0)
+		is.True(r.IdleUsage[role].ResidentMB > 1)
+		is.True(r.ChangingUsage[role].ReadKBps > 0)
 	}
-	is.True(r.InForceMS.Worst < 2000)
-	is.True(r.AfterLossMS > 0 && r.AfterLossMS < 10000)
+	is.True(r.PropagationMS.Max < 2000)
+	is.True(r.FailoverMS > 0 && r.FailoverMS < 10000)
 }
 
 func TestTheConfigurationIsValid(t *testing.T) {
@@ -57,9 +57,9 @@
 func TestFitLine(t *testing.T) {
 	is := is.New(t)
 	f := FitLine([]float64{1, 2, 3, 4}, []float64{5, 7, 9, 11})
-	is.Equal(fmt.Sprintf("%.3f %.3f %.3f", f.Base, f.Slope, f.Residue), "3.000 2.000 0.000")
+	is.Equal(fmt.Sprintf("%.3f %.3f %.3f", f.Intercept, f.Slope, f.RootMeanSquareError), "3.000 2.000 0.000")
 	f = FitLine([]float64{0, 1, 2}, []float64{0, 3, 0})
-	is.Equal(fmt.Sprintf("%.3f %.3f %.3f", f.Base, f.Slope, f.Residue), "1.000 0.000 1.414")
+	is.Equal(fmt.Sprintf("%.3f %.3f %.3f", f.Intercept, f.Slope, f.RootMeanSquareError), "1.000 0.000 1.414")
 }
 
 func TestSpread(t *testing.T) {
--- a/internal/testing/scale/system.go
+++ b/internal/testing/scale/system.go
@@ -26,14 +26,14 @@
 
 // Config says what system is run.
 type Config struct {
-	Program  string // marlreeld
-	Controls int
-	Proxies  int // the hollow ones and the real one
-	Backends int
-	Models   int
-	Zones    int
-	Routes   int
-	Beat     time.Duration
+	Program           string // marlreeld
+	Controls          int
+	Proxies           int // the hollow ones and the real one
+	Backends          int
+	Models            int
+	Zones             int
+	Routes            int
+	HeartbeatInterval time.Duration
 }
 
 // The address of a machine on loopback says its kind and number; all machines use the
@@ -98,7 +98,7 @@
 func (cfg Config) settings(name string, kind, number int) *bootstrap.Settings {
 	s := &bootstrap.Settings{
 		NodeName: name, IP: address(kind, number), Zone: cfg.zone(number), InternalPorts: []int{peerPort, peerPort + 15},
-		LoopbackIP: address(kind+kindInside, number), FirstStart: true, HeartbeatIntervalMS: float64(cfg.Beat.Milliseconds()), Zones: map[string]string{},
+		LoopbackIP: address(kind+kindInside, number), FirstStart: true, HeartbeatIntervalMS: float64(cfg.HeartbeatInterval.Milliseconds()), Zones: map[string]string{},
 		Limits: bootstrap.Limits{MemoryMB: 256, MaxOpenFiles: 4096}, Tolerance: bootstrap.FaultTolerance{Machines: (cfg.Controls - 1) / 2},
 		Bounds: bootstrap.Bounds{
 			ShutdownGraceS: 8, ConfigApplyMS: 2000, RetryBudgetRatio: 0.2, RetryWindowS: 10, RetrySlack: 52,
@@ -160,7 +160,7 @@
 	}
 	s.addBackends(controls)
 	s.operator = operatorclient.NewClient(controls, callPatience, host.OSNetwork{}.Dial)
-	if _, err := s.Change(); err != nil {
+	if _, err := s.ChangeConfiguration(); err != nil {
 		return err
 	}
 	return s.await()
@@ -200,7 +200,7 @@
 		model := fmt.Sprint("model-", i%max(1, s.cfg.Models))
 		b := fakesystem.NewBackend(fakesystem.BackendConfig{
 			ID: fmt.Sprint("i-", i), Service: "llm", Zone: s.cfg.zone(i), Slots: 64,
-			Address: fmt.Sprint(address(kindBackend, i), ":", backendPort), Controls: func() []string { return controls }, Beat: s.cfg.Beat,
+			Address: fmt.Sprint(address(kindBackend, i), ":", backendPort), Controls: func() []string { return controls }, HeartbeatInterval: s.cfg.HeartbeatInterval,
 			Models: []string{model}, CapacityMB: 200000, SizesMB: map[string]float64{model: 60000},
 			LoadTimes: map[string]time.Duration{model: 3 * time.Second},
 		}, host.OSNetwork{})
@@ -236,20 +236,20 @@
 	return count
 }
 
-// Change puts another version of the configuration in force, and says when it was
+// ChangeConfiguration puts another version of the configuration in force, and says when it was
 // acknowledged.
-func (s *System) Change() (acknowledged time.Time, err error) {
+func (s *System) ChangeConfiguration() (acknowledged time.Time, err error) {
 	next := s.version + 1
-	if err := s.operator.Replace(s.version, document(s.cfg, next)); err != nil {
+	if err := s.operator.ReplaceConfiguration(s.version, document(s.cfg, next)); err != nil {
 		return time.Time{}, err
 	}
 	s.version = next
 	return time.Now(), nil
 }
 
-// Lags gives, for each hollow proxy that has a version, how long after its acknowledgement it
+// PropagationDelays gives, for each hollow proxy that has a version, how long after its acknowledgement it
 // had it.
-func (s *System) Lags(version uint64, acknowledged time.Time) []time.Duration {
+func (s *System) PropagationDelays(version uint64, acknowledged time.Time) []time.Duration {
 	var lags []time.Duration
 	for _, r := range s.readers {
 		if at, known := r.at(version); known {
--- a/internal/testing/scale/trial.go
+++ b/internal/testing/scale/trial.go
@@ -17,45 +17,45 @@
 	Zones    int `json:"zones"`
 	Routes   int `json:"routes"`
 
-	// Idle is each role's load with nothing but heartbeats, leases and probes, Changing with
+	// IdleUsage is each role's load with nothing but heartbeats, leases and probes, Changing with
 	// one change a second. Of several processes of a role it is the busiest one's.
-	Idle     map[string]Load `json:"idle"`
-	Changing map[string]Load `json:"changing"`
+	IdleUsage     map[string]ResourceUsage `json:"idle"`
+	ChangingUsage map[string]ResourceUsage `json:"changing"`
 
 	// How long after its acknowledgement a change was at each proxy, and how long the
 	// acknowledgement took.
-	InForceMS     Spread `json:"in_force_ms"`
-	AcknowledgeMS Spread `json:"acknowledge_ms"`
-	// AfterLossMS is how long a change took to be in force everywhere that was sent when
+	PropagationMS     Percentiles `json:"in_force_ms"`
+	AcknowledgementMS Percentiles `json:"acknowledge_ms"`
+	// FailoverMS is how long a change took to be in force everywhere that was sent when
 	// the control process at the head had just been killed.
-	AfterLossMS float64 `json:"after_loss_ms"`
+	FailoverMS float64 `json:"after_loss_ms"`
 }
 
-// Spread is the middle and the end of many times.
-type Spread struct {
+// Percentiles is the middle and the end of many times.
+type Percentiles struct {
 	Median float64 `json:"p50"`
-	Late   float64 `json:"p99"`
-	Worst  float64 `json:"worst"`
+	P99    float64 `json:"p99"`
+	Max    float64 `json:"worst"`
 }
 
-func spreadOf(times []time.Duration) Spread {
+func spreadOf(times []time.Duration) Percentiles {
 	if len(times) == 0 {
-		return Spread{}
+		return Percentiles{}
 	}
 	slices.Sort(times)
 	at := func(part float64) float64 {
 		return milliseconds(times[min(len(times)-1, int(part*float64(len(times))))])
 	}
-	return Spread{Median: at(0.5), Late: at(0.99), Worst: milliseconds(times[len(times)-1])}
+	return Percentiles{Median: at(0.5), P99: at(0.99), Max: milliseconds(times[len(times)-1])}
 }
 
 func milliseconds(span time.Duration) float64 { return float64(span) / float64(time.Millisecond) }
 
 // Plan says how long a trial measures.
 type Plan struct {
-	Settle  time.Duration // before anything is measured
-	Idle    time.Duration
-	Changes int // one a second
+	WarmupTime time.Duration // before anything is measured
+	IdleTime   time.Duration
+	Changes    int // one a second
 }
 
 const (
@@ -74,11 +74,11 @@
 		Controls: cfg.Controls, Proxies: cfg.Proxies, Backends: cfg.Backends, Models: cfg.Models, Zones: cfg.Zones,
 		Routes: cfg.Routes,
 	}
-	pause(ctx, plan.Settle)
-	if r.Idle, err = s.loadDuring(func() error { pause(ctx, plan.Idle); return ctx.Err() }); err != nil {
+	pause(ctx, plan.WarmupTime)
+	if r.IdleUsage, err = s.loadDuring(func() error { pause(ctx, plan.IdleTime); return ctx.Err() }); err != nil {
 		return nil, err
 	}
-	r.Changing, err = s.loadDuring(func() error { return s.playChanges(ctx, plan.Changes, r) })
+	r.ChangingUsage, err = s.loadDuring(func() error { return s.playChanges(ctx, plan.Changes, r) })
 	if err != nil {
 		return nil, err
 	}
@@ -86,7 +86,7 @@
 }
 
 // loadDuring is the load of each role while something goes on.
-func (s *System) loadDuring(do func() error) (map[string]Load, error) {
+func (s *System) loadDuring(do func() error) (map[string]ResourceUsage, error) {
 	before, err := s.usages()
 	if err != nil {
 		return nil, err
@@ -98,10 +98,10 @@
 	if err != nil {
 		return nil, err
 	}
-	loads := map[string]Load{}
+	loads := map[string]ResourceUsage{}
 	for role, list := range after {
 		for i, u := range list {
-			if load := between(before[role][i], u); load.Processor >= loads[role].Processor {
+			if load := between(before[role][i], u); load.CPUPercent >= loads[role].CPUPercent {
 				loads[role] = load
 			}
 		}
@@ -128,7 +128,7 @@
 	var inForce, acknowledged []time.Duration
 	for range count {
 		began := time.Now()
-		at, err := s.Change()
+		at, err := s.ChangeConfiguration()
 		if err != nil {
 			return err
 		}
@@ -136,10 +136,10 @@
 		if err := s.awaitVersion(); err != nil {
 			return err
 		}
-		inForce = append(inForce, s.Lags(s.version, at)...)
+		inForce = append(inForce, s.PropagationDelays(s.version, at)...)
 		pause(ctx, changeEvery-time.Since(began))
 	}
-	r.InForceMS, r.AcknowledgeMS = spreadOf(inForce), spreadOf(acknowledged)
+	r.PropagationMS, r.AcknowledgementMS = spreadOf(inForce), spreadOf(acknowledged)
 	return ctx.Err()
 }
 
@@ -159,12 +159,12 @@
 func (s *System) playLoss(r *Result) error {
 	s.processes["control"][0].stop()
 	began := time.Now()
-	if _, err := s.Change(); err != nil {
+	if _, err := s.ChangeConfiguration(); err != nil {
 		return err
 	}
 	if err := s.awaitVersion(); err != nil {
 		return err
 	}
-	r.AfterLossMS = milliseconds(time.Since(began))
+	r.FailoverMS = milliseconds(time.Since(began))
 	return nil
 }
--- a/internal/testing/simcluster/bundle_test.go
+++ b/internal/testing/simcluster/bundle_test.go
@@ -55,9 +55,9 @@
 
 		var packed bytes.Buffer
 		client := operatorclient.NewClient(c.ControlAddresses(), 3*time.Second, c.outside.Dial)
-		manifest, err := client.WriteBundle(&packed, operatorclient.BundleConfig{Metrics: []string{door}, Now: time.Now()})
+		manifest, err := client.WriteBundle(&packed, operatorclient.BundleOptions{MetricsAddresses: []string{door}, Now: time.Now()})
 		is.NoErr(err)
-		is.Equal(manifest.Missing(), 1)
+		is.Equal(manifest.MissingParts(), 1)
 
 		files := unpack(t, packed.Bytes())
 		var names []string
--- a/internal/testing/simcluster/cluster.go
+++ b/internal/testing/simcluster/cluster.go
@@ -279,8 +279,8 @@
 func (c *Cluster) AddBackend(cfg fakesystem.BackendConfig) *Backend {
 	ip := c.address(3, len(c.Backends))
 	cfg.Address, cfg.Controls = ip+":9000", c.ControlAddresses
-	if cfg.Beat == 0 {
-		cfg.Beat = 1200 * time.Millisecond
+	if cfg.HeartbeatInterval == 0 {
+		cfg.HeartbeatInterval = 1200 * time.Millisecond
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
 	b := &Backend{Backend: fakesystem.NewBackend(cfg, c.network(ip)), cutOff: func() { c.cutOff(ip) }, cancel: cancel}
--- a/internal/testing/simcluster/cluster_test.go
+++ b/internal/testing/simcluster/cluster_test.go
@@ -33,8 +33,8 @@
 func llmBackend(id, zone string, models ...string) fakesystem.BackendConfig {
 	cfg := fakesystem.BackendConfig{
 		ID: id, Service: "llm", Zone: zone, Slots: 64, Models: models, CapacityMB: 200000,
-		LoadTimes: map[string]time.Duration{}, SizesMB: map[string]float64{}, TokenTime: 10 * time.Millisecond,
-		ReadTime: 50 * time.Microsecond, Stride: 2,
+		LoadTimes: map[string]time.Duration{}, SizesMB: map[string]float64{}, DecodeTime: 10 * time.Millisecond,
+		PrefillTime: 50 * time.Microsecond, TokensPerEvent: 2,
 	}
 	for _, name := range []string{"m0", "m1", "m2"} {
 		cfg.LoadTimes[name], cfg.SizesMB[name] = 3*time.Second, 60000
@@ -43,7 +43,7 @@
 }
 
 func slipBackend(id, zone string) fakesystem.BackendConfig {
-	return fakesystem.BackendConfig{ID: id, Service: "slips", Zone: zone, Slots: 6, Work: 20 * time.Millisecond}
+	return fakesystem.BackendConfig{ID: id, Service: "slips", Zone: zone, Slots: 6, RequestTime: 20 * time.Millisecond}
 }
 
 var zones = []string{"east", "north", "west"}
--- a/internal/testing/simcluster/history_test.go
+++ b/internal/testing/simcluster/history_test.go
@@ -160,7 +160,7 @@
 // busySlips is a plain backend that takes long enough for faults to meet requests that run.
 func busySlips(id, zone string) fakesystem.BackendConfig {
 	cfg := slipBackend(id, zone)
-	cfg.Work = 150 * time.Millisecond
+	cfg.RequestTime = 150 * time.Millisecond
 	return cfg
 }
 
@@ -300,7 +300,7 @@
 func (w *witness) auditRequests() {
 	runs := map[string]int{}
 	for _, b := range w.cluster.Backends {
-		for _, run := range b.Runs() {
+		for _, run := range b.Executions() {
 			runs[run.Request]++
 		}
 	}
@@ -320,21 +320,21 @@
 
 // auditOrders checks that nobody gives orders once a later holder has.
 func (w *witness) auditOrders() {
-	var orders []fakesystem.OrderSeen
+	var orders []fakesystem.ReceivedOrder
 	for _, b := range w.cluster.Backends {
-		orders = append(orders, b.Orders()...)
-		for _, fault := range b.Faults() {
+		orders = append(orders, b.ReceivedOrders()...)
+		for _, fault := range b.Violations() {
 			w.fault("an order beyond a backend's room: %s", fault)
 		}
 	}
-	slices.SortStableFunc(orders, func(a, b fakesystem.OrderSeen) int { return a.At.Compare(b.At) })
-	var newest fakesystem.OrderSeen
+	slices.SortStableFunc(orders, func(a, b fakesystem.ReceivedOrder) int { return a.At.Compare(b.At) })
+	var newest fakesystem.ReceivedOrder
 	for _, order := range orders {
 		switch {
-		case order.Fence < newest.Fence:
-			w.fault("%s gives an order under token %d, %s after one under %d", order.Holder, order.Fence, order.At.Sub(newest.At), newest.Fence)
-		case order.Fence == newest.Fence && order.Holder != newest.Holder:
-			w.fault("%s and %s both give orders under token %d", order.Holder, newest.Holder, order.Fence)
+		case order.FencingToken < newest.FencingToken:
+			w.fault("%s gives an order under token %d, %s after one under %d", order.Holder, order.FencingToken, order.At.Sub(newest.At), newest.FencingToken)
+		case order.FencingToken == newest.FencingToken && order.Holder != newest.Holder:
+			w.fault("%s and %s both give orders under token %d", order.Holder, newest.Holder, order.FencingToken)
 		default:
 			newest = order
 		}
@@ -387,9 +387,9 @@
 		statuses[asked.status]++
 	}
 	for _, b := range w.cluster.Backends {
-		for _, order := range b.Orders() {
+		for _, order := range b.ReceivedOrders() {
 			orders++
-			tokens[order.Fence] = true
+			tokens[order.FencingToken] = true
 		}
 	}
 	t.Logf("requests by status %v, %d streams, %d orders under %d tokens, %d calls of operators", statuses, w.streams, orders,
--- a/internal/testing/simcluster/homes_test.go
+++ b/internal/testing/simcluster/homes_test.go
@@ -140,11 +140,11 @@
 		leaving := c.Backends[2] // one of two that take slips
 		c.hang(home)
 		leaving.Drain()
-		for !leaving.Acknowledged() {
+		for !leaving.DrainAcknowledged() {
 			c.Pass(20 * time.Millisecond)
 		}
 		c.Pass(drainTime)
-		before := len(leaving.Runs())
+		before := len(leaving.Executions())
 		for range 10 {
 			for _, edge := range others {
 				got, err := c.Ask(edge, slip())
@@ -152,7 +152,7 @@
 				is.Equal(got.Status, 200)
 			}
 		}
-		is.Equal(len(leaving.Runs()), before)
+		is.Equal(len(leaving.Executions()), before)
 	})
 }
 
--- a/internal/testing/simcluster/outside.go
+++ b/internal/testing/simcluster/outside.go
@@ -137,16 +137,16 @@
 }
 
 // runsOf are the runs of a request, in the order of their beginnings.
-func (c *Cluster) runsOf(id string) []fakesystem.Run {
-	var runs []fakesystem.Run
+func (c *Cluster) runsOf(id string) []fakesystem.Execution {
+	var runs []fakesystem.Execution
 	for _, b := range c.Backends {
-		for _, run := range b.Runs() {
+		for _, run := range b.Executions() {
 			if run.Request == id {
 				runs = append(runs, run)
 			}
 		}
 	}
-	slices.SortStableFunc(runs, func(a, b fakesystem.Run) int { return cmp.Compare(a.From, b.From) })
+	slices.SortStableFunc(runs, func(a, b fakesystem.Execution) int { return cmp.Compare(a.LastEventID, b.LastEventID) })
 	return runs
 }
 
--- a/internal/testing/simcluster/rules_test.go
+++ b/internal/testing/simcluster/rules_test.go
@@ -20,7 +20,7 @@
 		defer c.Stop()
 		story(t, c)
 		for _, b := range c.Backends {
-			if faults := b.Faults(); len(faults) > 0 {
+			if faults := b.Violations(); len(faults) > 0 {
 				t.Errorf("orders beyond a backend's room: %v", faults)
 			}
 		}
@@ -240,11 +240,11 @@
 		is := is.New(t)
 		leaving := c.Backends[2] // one of two that take slips
 		leaving.Drain()
-		for !leaving.Acknowledged() {
+		for !leaving.DrainAcknowledged() {
 			c.Pass(50 * time.Millisecond)
 		}
 		c.Pass(2 * time.Second) // drain_ms
-		before := len(leaving.Runs())
+		before := len(leaving.Executions())
 		for range 10 {
 			for _, edge := range c.Edges {
 				got, err := c.Ask(edge, slip())
@@ -252,7 +252,7 @@
 				is.Equal(got.Status, 200)
 			}
 		}
-		is.Equal(len(leaving.Runs()), before)
+		is.Equal(len(leaving.Executions()), before)
 	})
 }
 
@@ -263,13 +263,13 @@
 		is.NoErr(err)
 		is.Equal(status, 200)
 		c.Pass(2 * time.Second)
-		before := len(c.Backends[2].Runs())
+		before := len(c.Backends[2].Executions())
 		for range 10 {
 			got, err := c.Ask(c.Edges[2], slip())
 			is.NoErr(err)
 			is.Equal(got.Status, 200)
 		}
-		is.Equal(len(c.Backends[2].Runs()), before)
+		is.Equal(len(c.Backends[2].Executions()), before)
 		status, _, err = c.Call("POST", "/marlreel/evacuation/west/terminate", "", "", 4*time.Second)
 		is.NoErr(err)
 		is.Equal(status, 200)
@@ -278,7 +278,7 @@
 			_, err := c.Ask(c.Edges[2], slip())
 			is.NoErr(err)
 		}
-		is.True(len(c.Backends[2].Runs()) > before) // it is near
+		is.True(len(c.Backends[2].Executions()) > before) // it is near
 	})
 }
 
@@ -301,7 +301,7 @@
 		whole(t, r, got, 100)
 		runs := c.runsOf(r.ID)
 		is.Equal(len(runs), 2)
-		is.True(runs[1].From > 0) // it did not begin anew
+		is.True(runs[1].LastEventID > 0) // it did not begin anew
 		is.Equal(got.Seal, "seal."+first[0].Backend+"."+r.ID)
 	})
 }
