--- a/internal/agent/backends.go
+++ b/internal/agent/backends.go
@@ -32,7 +32,7 @@
 	http *fasthttp.Client
 }
 
-func newBackendClient(dial transport.Dial) *backendClient {
+func newBackendClient(dial transport.DialFunc) *backendClient {
 	client := transport.NewHTTPClient(dial)
 	client.MaxConnsPerHost, client.MaxIdleConnDuration = backendConnections, backendIdle
 	client.MaxConnWaitTimeout, client.MaxResponseBodySize = backendTimeout, largestReport
@@ -69,9 +69,9 @@
 	if err := json.Unmarshal(response.Body(), &r); err != nil {
 		return placement.Report{}, eris.Wrap(err, "reading a report")
 	}
-	out := placement.Report{Busy: r.Busy, Revision: r.Sequence, Holds: map[string][]string{}}
+	out := placement.Report{Busy: r.Busy, Revision: r.Sequence, Loaded: map[string][]string{}}
 	for _, m := range r.Models {
-		out.Holds[m.Name] = m.Adapters
+		out.Loaded[m.Name] = m.Adapters
 	}
 	return out, nil
 }
@@ -125,7 +125,7 @@
 	}
 	err := c.http.DoDeadline(request, response, deadline)
 	switch {
-	case errors.Is(err, fasthttp.ErrNoFreeConns), errors.Is(err, transport.ErrSurplus):
+	case errors.Is(err, fasthttp.ErrNoFreeConns), errors.Is(err, transport.ErrUnexpectedData):
 		return orderRefused // nothing was written
 	case err != nil:
 		return orderUnclear
