--- a/cmd/marlreeld/configuration.go
+++ b/cmd/marlreeld/configuration.go
@@ -131,8 +131,8 @@
 	fmt.Fprintf(table, "route\t%s\tversion %d\n", route.Name, document.Version)
 	fmt.Fprintf(table, "taken by\thost %s\tpath prefix %s\n", route.Host, route.PathPrefix)
 	total := 0.0
-	route.Services(func(_ string, weight float64) { total += weight })
-	route.Services(func(service string, weight float64) {
+	route.EachService(func(_ string, weight float64) { total += weight })
+	route.EachService(func(service string, weight float64) {
 		fmt.Fprintf(table, "goes to\t%s\t%.0f%%\t%s\n", service, 100*weight/max(total, 1e-9), modelsOf(document.Service(service)))
 	})
 	fmt.Fprintf(table, "class\t%s\tpriority %d\n", route.Class, route.Priority)
--- /dev/null
+++ b/internal/controlplane/configuration/decode.go
@@ -0,0 +1,59 @@
+package configuration
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"io"
+
+	"marlreel/internal/controlplane/result"
+)
+
+// Parse decodes and validates a complete configuration. The error has the code of the first violation, and the
+// texts of all of them up to maxListedViolations.
+func Parse(data []byte) (*Document, *result.Error) {
+	document, violations := Validate(data)
+	if err := combine(violations); err != nil {
+		return nil, err
+	}
+	return document, nil
+}
+
+// Decode reads a complete configuration that was validated when it was accepted. It fails with result.Malformed.
+func Decode(data []byte) (*Document, *result.Error) {
+	document := &Document{raw: newRawDocument(data)}
+	if err := decodeJSON(data, document); err != nil {
+		return nil, result.Errorf(result.Malformed, "configuration: %v", err)
+	}
+	document.buildIndex()
+	return document, nil
+}
+
+// DecodeVersion reads nothing but the version of a configuration or a change. It fails with result.Malformed, or
+// with result.InvalidField where there is no version.
+func DecodeVersion(data []byte) (uint64, *result.Error) {
+	var head struct {
+		Version *uint64 `json:"config_version"`
+	}
+	if err := decodeJSON(data, &head); err != nil {
+		return 0, result.Errorf(result.Malformed, "configuration: %v", err)
+	}
+	if head.Version == nil {
+		return 0, result.Errorf(result.InvalidField, "config_version is missing")
+	}
+	return *head.Version, nil
+}
+
+var errTrailingData = errors.New("more follows after the document")
+
+// decodeJSON reads one JSON value with nothing behind it.
+func decodeJSON(data []byte, target any) error {
+	decoder := json.NewDecoder(bytes.NewReader(data))
+	if err := decoder.Decode(target); err != nil {
+		return err
+	}
+	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
+		return errTrailingData
+	}
+	return nil
+}
--- a/internal/controlplane/configuration/diff.go
+++ b/internal/controlplane/configuration/diff.go
@@ -10,7 +10,7 @@
 	"marlreel/internal/controlplane/result"
 )
 
-// DifferenceKind says how two configurations differ in one place.
+// DifferenceKind says how two configurations differ at one path.
 type DifferenceKind string
 
 // The kinds of differences.
@@ -20,141 +20,165 @@
 	Changed DifferenceKind = "changed"
 )
 
-// Difference is one place in which two configurations differ.
+// Difference is one path at which two configurations differ.
 type Difference struct {
-	Kind DifferenceKind  `json:"kind"`
-	Path string          `json:"path"` // as in route_list[chat].timeout_ms
+	Kind DifferenceKind `json:"kind"`
+	// Path is as in route_list[chat].timeout_ms.
+	Path string          `json:"path"`
 	Old  json.RawMessage `json:"old,omitempty"`
 	New  json.RawMessage `json:"new,omitempty"`
 }
 
-// Diff gives all in which two configurations differ, fields that are not known here among
-// it, by path. Items of lists are told apart by their names; where there are none, a list
-// counts as one value.
+// Diff returns all differences of two configurations, by path, fields that are not known here included. Items of
+// lists are paired by their names; a list with an item that has none, or with a name twice, is compared as one value.
+// It fails with result.Malformed.
 func Diff(before, after []byte) ([]Difference, *result.Error) {
-	var old, changed any
-	for _, side := range []struct {
-		data []byte
-		into *any
-	}{{before, &old}, {after, &changed}} {
-		decoder := json.NewDecoder(bytes.NewReader(side.data))
-		decoder.UseNumber()
-		if err := decoder.Decode(side.into); err != nil {
-			return nil, result.Errorf(result.Malformed, "configuration: %v", err)
-		}
+	oldValue, err := decodeValue(before)
+	if err != nil {
+		return nil, err
+	}
+	newValue, err := decodeValue(after)
+	if err != nil {
+		return nil, err
+	}
+	var c comparison
+	c.compare("", oldValue, newValue)
+	return c.differences, nil
+}
+
+// decodeValue reads JSON with its numbers as they are written.
+func decodeValue(data []byte) (any, *result.Error) {
+	decoder := json.NewDecoder(bytes.NewReader(data))
+	decoder.UseNumber()
+	var value any
+	if err := decoder.Decode(&value); err != nil {
+		return nil, result.Errorf(result.Malformed, "configuration: %v", err)
 	}
-	c := &comparison{}
-	c.compare("", old, changed)
-	return c.found, nil
+	return value, nil
 }
 
-// comparison gathers differences.
+// comparison collects differences.
 type comparison struct {
-	found []Difference
+	differences []Difference
 }
 
-func (c *comparison) add(kind DifferenceKind, path string, was, is any) {
+func (c *comparison) add(kind DifferenceKind, path string, oldValue, newValue any) {
 	d := Difference{Kind: kind, Path: path}
 	if kind != Added {
-		d.Old, _ = json.Marshal(was) // it was read from JSON
+		d.Old, _ = json.Marshal(oldValue) // it was decoded from JSON
 	}
 	if kind != Removed {
-		d.New, _ = json.Marshal(is)
+		d.New, _ = json.Marshal(newValue)
 	}
-	c.found = append(c.found, d)
+	c.differences = append(c.differences, d)
 }
 
-// compare finds where two values differ.
-func (c *comparison) compare(path string, old, changed any) {
-	before, after := fieldsOf(old), fieldsOf(changed)
+// compare adds the differences of two values.
+func (c *comparison) compare(path string, oldValue, newValue any) {
+	before, after := childrenOf(oldValue), childrenOf(newValue)
 	if before == nil || after == nil {
-		if !sameValue(old, changed) {
-			c.add(Changed, path, old, changed)
+		if !equalValues(oldValue, newValue) {
+			c.add(Changed, path, oldValue, newValue)
 		}
 		return
 	}
-	keys := slices.Sorted(maps.Keys(before.values))
+	keys := slices.Collect(maps.Keys(before.values))
 	for key := range after.values {
-		if _, both := before.values[key]; !both {
+		if _, inBoth := before.values[key]; !inBoth {
 			keys = append(keys, key)
 		}
 	}
 	slices.Sort(keys)
 	for _, key := range keys {
-		was, had := before.values[key]
-		is, has := after.values[key]
-		place := after.place(path, key)
+		oldChild, inOld := before.values[key]
+		newChild, inNew := after.values[key]
+		childPath := after.path(path, key)
 		switch {
-		case !had:
-			c.add(Added, place, nil, is)
-		case !has:
-			c.add(Removed, place, was, nil)
+		case !inOld:
+			c.add(Added, childPath, nil, newChild)
+		case !inNew:
+			c.add(Removed, childPath, oldChild, nil)
 		default:
-			c.compare(place, was, is)
+			c.compare(childPath, oldChild, newChild)
 		}
 	}
 }
 
-// fields are an object's values by key, or a list's by the names of its items.
-type fields struct {
+// children are an object's values by key, or a list's items by name.
+type children struct {
 	values map[string]any
 	list   bool
 }
 
-// place is the path of a value.
-func (f *fields) place(path, key string) string {
+// path is the path of a child.
+func (c *children) path(parent, key string) string {
 	switch {
-	case f.list:
-		return path + "[" + key + "]"
-	case path == "":
+	case c.list:
+		return parent + "[" + key + "]"
+	case parent == "":
 		return key
 	}
-	return path + "." + key
+	return parent + "." + key
 }
 
-// fieldsOf gives nil for what is to be compared as one value.
-func fieldsOf(value any) *fields {
-	switch v := value.(type) {
+// childrenOf returns nil for what is compared as one value.
+func childrenOf(value any) *children {
+	switch value := value.(type) {
 	case map[string]any:
-		return &fields{values: v}
+		return &children{values: value}
 	case []any:
-		named := map[string]any{}
-		for _, item := range v {
-			object, is := item.(map[string]any)
-			name, has := object["name"].(string)
-			if _, twice := named[name]; !is || !has || twice {
-				return nil
-			}
-			named[name] = object
-		}
-		if len(named) > 0 {
-			return &fields{values: named, list: true}
+		if items := itemsByName(value); len(items) > 0 {
+			return &children{values: items, list: true}
 		}
 	}
 	return nil
 }
 
-// sameValue tells whether two values are equal, numbers by what they are worth.
-func sameValue(a, b any) bool {
-	x, isNumber := a.(json.Number)
-	y, areNumbers := b.(json.Number)
-	if isNumber && areNumbers {
-		if strings.TrimSpace(x.String()) == strings.TrimSpace(y.String()) {
-			return true
+// itemsByName returns a list's items by name; nil where one has no name, or two have the same.
+func itemsByName(list []any) map[string]any {
+	items := map[string]any{}
+	for _, item := range list {
+		object, isObject := item.(map[string]any)
+		if !isObject {
+			return nil
+		}
+		name, hasName := object["name"].(string)
+		if !hasName {
+			return nil
+		}
+		if _, twice := items[name]; twice {
+			return nil
 		}
-		p, err := x.Float64()
-		q, err2 := y.Float64()
-		return err == nil && err2 == nil && p == q
+		items[name] = object
 	}
-	listA, isList := a.([]any)
-	listB, areLists := b.([]any)
-	if isList && areLists {
-		return slices.EqualFunc(listA, listB, sameValue)
+	return items
+}
+
+// equalValues reports whether two decoded values are equal; numbers are compared by value.
+func equalValues(a, b any) bool {
+	switch a := a.(type) {
+	case json.Number:
+		b, isNumber := b.(json.Number)
+		return isNumber && equalNumbers(a, b)
+	case []any:
+		b, isList := b.([]any)
+		return isList && slices.EqualFunc(a, b, equalValues)
+	case map[string]any:
+		b, isObject := b.(map[string]any)
+		return isObject && maps.EqualFunc(a, b, equalValues)
+	}
+	return a == b // strings, booleans and null
+}
+
+// equalNumbers compares by text first: a float64 can't tell large versions apart.
+func equalNumbers(a, b json.Number) bool {
+	if strings.TrimSpace(a.String()) == strings.TrimSpace(b.String()) {
+		return true
 	}
-	objectA, isObject := a.(map[string]any)
-	objectB, areObjects := b.(map[string]any)
-	if isObject && areObjects {
-		return maps.EqualFunc(objectA, objectB, sameValue)
+	x, err := a.Float64()
+	if err != nil {
+		return false
 	}
-	return !isNumber && !areNumbers && !isList && !areLists && !isObject && !areObjects && a == b
+	y, err := b.Float64()
+	return err == nil && x == y
 }
--- a/internal/controlplane/configuration/diff_test.go
+++ b/internal/controlplane/configuration/diff_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestDiff(t *testing.T) {
-	for name, of := range map[string]struct {
+	for name, c := range map[string]struct {
 		old, new string
 		want     []string
 	}{
@@ -29,18 +29,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			found, err := Diff([]byte(of.old), []byte(of.new))
+			found, err := Diff([]byte(c.old), []byte(c.new))
 			is.True(err == nil)
 			var got []string
 			for _, d := range found {
 				got = append(got, fmt.Sprintf("%s %s %s %s", d.Kind, d.Path, d.Old, d.New))
 			}
-			is.Equal(got, of.want)
+			is.Equal(got, c.want)
 		})
 	}
 }
 
-func TestDiffOfWhatIsNoJSON(t *testing.T) {
+func TestDiffOfMalformedJSON(t *testing.T) {
 	is := is.New(t)
 	_, err := Diff([]byte(`{}`), []byte(`{`))
 	is.True(err != nil)
--- a/internal/controlplane/configuration/match.go
+++ b/internal/controlplane/configuration/match.go
@@ -7,32 +7,28 @@
 	"strings"
 )
 
-// index makes the tables by which requests are matched.
-func (d *Document) index() {
-	d.services, d.hosts = map[string]*Service{}, map[string][]*Route{}
+// buildIndex makes the tables by which services are found and requests are matched.
+func (d *Document) buildIndex() {
+	d.services = map[string]*Service{}
 	for i := range d.Services {
-		d.services[d.Services[i].Name] = &d.Services[i]
+		service := &d.Services[i]
+		d.services[service.Name] = service
 	}
+	d.routesByHost = map[string][]*Route{}
 	for i := range d.Routes {
 		route := &d.Routes[i]
 		host := strings.ToLower(route.Host)
-		d.hosts[host] = append(d.hosts[host], route)
+		d.routesByHost[host] = append(d.routesByHost[host], route)
 	}
-	for _, routes := range d.hosts {
+	for _, routes := range d.routesByHost {
 		slices.SortStableFunc(routes, func(a, b *Route) int { return cmp.Compare(len(b.PathPrefix), len(a.PathPrefix)) })
 	}
 }
 
-// Match finds the route of a request, or nil: of its host's, the one with the longest
-// prefix that begins the path.
+// Match returns the route of a request, or nil: of the routes of its host, the one with the longest prefix that
+// begins the path. The host may have a port.
 func (d *Document) Match(host, path string) *Route {
-	routes := d.hosts[strings.ToLower(host)]
-	if routes == nil {
-		if name, _, err := net.SplitHostPort(host); err == nil {
-			routes = d.hosts[strings.ToLower(name)]
-		}
-	}
-	for _, route := range routes {
+	for _, route := range d.routesOf(host) {
 		if strings.HasPrefix(path, route.PathPrefix) {
 			return route
 		}
@@ -40,16 +36,28 @@
 	return nil
 }
 
-// ChooseService picks a service of the route by weight; draw is from 0 up to 1.
+func (d *Document) routesOf(host string) []*Route {
+	if routes := d.routesByHost[strings.ToLower(host)]; routes != nil {
+		return routes
+	}
+	name, _, err := net.SplitHostPort(host)
+	if err != nil {
+		return nil
+	}
+	return d.routesByHost[strings.ToLower(name)]
+}
+
+// ChooseService picks a service of the route by weight. The caller draws from [0, 1).
 func (r *Route) ChooseService(draw float64) string {
 	total := 0.0
-	r.Services(func(_ string, weight float64) { total += weight })
-	left, chosen := draw*total, ""
-	r.Services(func(service string, weight float64) {
-		if weight > 0 && (chosen == "" || left >= 0) {
+	r.EachService(func(_ string, weight float64) { total += weight })
+	remaining := draw * total
+	chosen := ""
+	r.EachService(func(service string, weight float64) {
+		if weight > 0 && (chosen == "" || remaining >= 0) {
 			chosen = service
 		}
-		left -= weight
+		remaining -= weight
 	})
 	return chosen
 }
--- a/internal/controlplane/configuration/modify.go
+++ b/internal/controlplane/configuration/modify.go
@@ -6,105 +6,138 @@
 	"marlreel/internal/controlplane/result"
 )
 
-// change is what a call to modify carries: items of the document's lists, each list
-// under its own name.
+// change is what a call to modify carries: items of the document's lists, each list under its own key.
 type change struct {
 	Version uint64                       `json:"config_version"`
 	Upsert  map[string][]json.RawMessage `json:"upsert"`
 	Remove  map[string][]string          `json:"remove"`
 }
 
-// The lists of a document that can be changed item by item.
-const (
-	routeList   = "route_list"
-	serviceList = "service_list"
-	versionKey  = "config_version"
-)
-
-// readChange reads a change, and refuses lists that there are not.
-func readChange(data []byte) (*change, *result.Error) {
+// decodeChange reads a change and refuses lists that can't be changed.
+func decodeChange(data []byte) (*change, *result.Error) {
 	c := &change{}
-	if err := decode(data, c); err != nil {
+	if err := decodeJSON(data, c); err != nil {
 		return nil, result.Errorf(result.Malformed, "change: %v", err)
 	}
 	for name := range c.Upsert {
-		if name != routeList && name != serviceList {
+		if !isList(name) {
 			return nil, result.Errorf(result.InvalidField, "upsert: there is no list %s", name)
 		}
 	}
 	for name := range c.Remove {
-		if name != routeList && name != serviceList {
+		if !isList(name) {
 			return nil, result.Errorf(result.InvalidField, "remove: there is no list %s", name)
 		}
 	}
 	return c, nil
 }
 
-// Modify makes the document that a change leads to. What the change does not name is
-// neither read nor checked anew.
+func isList(name string) bool { return name == routesKey || name == servicesKey }
+
+// Modify returns the document that a change leads to; this document stays as it is. Items that the change does not
+// name are neither decoded nor validated again, but for how they relate to the changed ones.
 func (d *Document) Modify(data []byte) (*Document, *result.Error) {
-	c, err := readChange(data)
+	c, err := decodeChange(data)
 	if err != nil {
 		return nil, err
 	}
-	old, err := d.text.apart()
+	old, err := d.raw.split()
 	if err != nil {
 		return nil, err
 	}
-	isNew := map[string]bool{}
-	now := &parts{rest: old.rest}
-	next := &Document{Version: c.Version, Limits: d.Limits, text: &text{parts: now}}
-	next.Routes, now.routes, err = changeList(d.Routes, old.routes, c.Upsert[routeList], c.Remove[routeList], isNew)
+	newNames := map[string]bool{}
+	routes, err := applyChange(list[Route]{d.Routes, old.routes}, c, routesKey, newNames)
 	if err != nil {
 		return nil, err
 	}
-	next.Services, now.services, err = changeList(d.Services, old.services, c.Upsert[serviceList], c.Remove[serviceList], isNew)
+	services, err := applyChange(list[Service]{d.Services, old.services}, c, servicesKey, newNames)
 	if err != nil {
 		return nil, err
 	}
-	next.index()
-	if err := errorOf(next.check(func(name string) bool { return isNew[name] })); err != nil {
+	fields := &rawFields{routes: routes.items, services: services.items, others: old.others}
+	next := &Document{
+		Version: c.Version, Routes: routes.values, Services: services.values, Limits: d.Limits,
+		raw: &rawDocument{fields: fields},
+	}
+	next.buildIndex()
+	isNew := func(name string) bool { return newNames[name] }
+	if err := combine(next.validate(isNew)); err != nil {
 		return nil, err
 	}
 	return next, nil
 }
 
-// changeList removes items by name, replaces those that are there, and adds the others. It
-// notes the names of those that it has taken from the change.
-func changeList[T any](values []T, items []item, upsert []json.RawMessage, remove []string, isNew map[string]bool) ([]T, []item, *result.Error) {
-	added, err := itemsOf(upsert)
+// list is a list of a document: its items decoded, and as they were sent, in the same order.
+type list[T any] struct {
+	values []T
+	items  []rawItem
+}
+
+func (l *list[T]) add(value T, item rawItem) {
+	l.values = append(l.values, value)
+	l.items = append(l.items, item)
+}
+
+// applyChange applies what a change says of the list under a key. It adds the names of the items that come with
+// the change to newNames.
+func applyChange[T any](old list[T], c *change, key string, newNames map[string]bool) (list[T], *result.Error) {
+	upserts, err := decodeUpserts[T](c.Upsert[key])
 	if err != nil {
-		return nil, nil, err
+		return list[T]{}, err
+	}
+	for _, item := range upserts.items {
+		newNames[item.name] = true
 	}
-	fresh := map[string]int{} // by name: the place in added, until it has found its own
-	read := make([]T, len(added))
-	for i, a := range added {
-		if _, twice := fresh[a.name]; twice {
-			return nil, nil, result.Errorf(result.DuplicateName, "upsert: %s comes twice", a.name)
+	return merge(old, upserts, c.Remove[key]), nil
+}
+
+// decodeUpserts decodes the items that a change adds or replaces.
+func decodeUpserts[T any](upsert []json.RawMessage) (list[T], *result.Error) {
+	items, err := namedItems(upsert)
+	if err != nil {
+		return list[T]{}, err
+	}
+	names := map[string]bool{}
+	values := make([]T, len(items))
+	for i, item := range items {
+		if names[item.name] {
+			return list[T]{}, result.Errorf(result.DuplicateName, "upsert: %s comes twice", item.name)
 		}
-		if err := json.Unmarshal(a.raw, &read[i]); err != nil {
-			return nil, nil, result.Errorf(result.Malformed, "%s: %v", a.name, err)
+		if err := json.Unmarshal(item.json, &values[i]); err != nil {
+			return list[T]{}, result.Errorf(result.Malformed, "%s: %v", item.name, err)
 		}
-		fresh[a.name] = i
-		isNew[a.name] = true
+		names[item.name] = true
 	}
-	gone := map[string]bool{}
+	return list[T]{values: values, items: items}, nil
+}
+
+// merge replaces items of the old list by the upserts of their names, drops those that are removed, and appends the
+// other upserts. An upsert wins over a removal of its name.
+func merge[T any](old, upserts list[T], remove []string) list[T] {
+	pending := map[string]int{} // upserts by name that no old item has yet taken
+	for i, item := range upserts.items {
+		pending[item.name] = i
+	}
+	removed := map[string]bool{}
 	for _, name := range remove {
-		gone[name] = true
-	}
-	keptValues, kept := make([]T, 0, len(items)+len(added)), make([]item, 0, len(items)+len(added))
-	for i, old := range items {
-		if at, replaced := fresh[old.name]; replaced {
-			keptValues, kept = append(keptValues, read[at]), append(kept, added[at])
-			delete(fresh, old.name)
-		} else if !gone[old.name] {
-			keptValues, kept = append(keptValues, values[i]), append(kept, old)
+		removed[name] = true
+	}
+	size := len(old.items) + len(upserts.items)
+	merged := list[T]{values: make([]T, 0, size), items: make([]rawItem, 0, size)}
+	for i, item := range old.items {
+		at, replaced := pending[item.name]
+		switch {
+		case replaced:
+			merged.add(upserts.values[at], upserts.items[at])
+			delete(pending, item.name)
+		case !removed[item.name]:
+			merged.add(old.values[i], item)
 		}
 	}
-	for i, a := range added {
-		if _, left := fresh[a.name]; left {
-			keptValues, kept = append(keptValues, read[i]), append(kept, a)
+	for i, item := range upserts.items {
+		if _, left := pending[item.name]; left {
+			merged.add(upserts.values[i], item)
 		}
 	}
-	return keptValues, kept, nil
+	return merged
 }
--- a/internal/controlplane/configuration/modify_test.go
+++ b/internal/controlplane/configuration/modify_test.go
@@ -12,13 +12,32 @@
 	"marlreel/internal/controlplane/result"
 )
 
+func TestModifyKeepsWhatItDoesNotName(t *testing.T) {
+	is := is.New(t)
+	d, err := Parse([]byte(baseDocument))
+	is.True(err == nil)
+	next, err := d.Modify([]byte(`{"config_version":8,"upsert":{"route_list":[
+ {"name":"b","host":"h.example","path_prefix":"/z/","route_class":"safe","timeout_ms":5,"service":"t"},
+ {"name":"c","host":"h.example","path_prefix":"/c/","route_class":"safe","timeout_ms":5,"service":"t"}]},"remove":{"route_list":["a","none"]}}`))
+	is.True(err == nil)
+	is.Equal(next.Version, uint64(8))
+	is.Equal(len(next.Routes), 2)
+	is.Equal(next.Match("h.example", "/z/1").Name, "b")
+	is.True(strings.Contains(string(next.Raw()), `"unknown":[1,2]`))
+	is.Equal(d.Version, uint64(3)) // the one before is as it was
+	_, err = d.Modify([]byte(`{"config_version":8,"remove":{"service_list":["t"]}}`))
+	is.True(err != nil && err.Code == result.UnknownService) // a route would lose its service
+	_, err = d.Modify([]byte(`{"config_version":8,"upsert":{"others":[{"name":"x"}]}}`))
+	is.True(err != nil && err.Code == result.InvalidField)
+}
+
 // Whatever changes follow one another: what they lead to is the document that is read from
-// its own JSON, and just the valid ones are taken.
-func TestChangesLeadToWhatIsReadBack(t *testing.T) {
+// its own JSON, and just the valid ones are accepted.
+func TestModifyEqualsParsingItsResult(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d, fault := Parse([]byte(base))
-		if fault != nil {
-			t.Fatal(fault)
+		d, err := Parse([]byte(baseDocument))
+		if err != nil {
+			t.Fatal(err)
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"modify": func(t *rapid.T) {
@@ -28,15 +47,15 @@
 					rapid.IntRange(0, 3).Draw(t, "time-out"), rapid.SampledFrom([]string{"s", "t", "u"}).Draw(t, "service"))
 				change := fmt.Sprintf(`{"config_version":%d,"upsert":{"route_list":[%s]},"remove":{"route_list":[%q],"service_list":[%q]}}`,
 					d.Version+1, route, name.Draw(t, "removed"), rapid.SampledFrom([]string{"none", "none", "t"}).Draw(t, "removed service"))
-				next, fault := d.Modify([]byte(change))
-				if fault != nil {
+				next, err := d.Modify([]byte(change))
+				if err != nil {
 					return
 				}
-				read, fault := Parse(next.Raw())
-				if fault != nil {
-					t.Fatalf("%s was taken, and leads to %v", change, fault)
+				read, err := Parse(next.Raw())
+				if err != nil {
+					t.Fatalf("%s was accepted, and leads to %v", change, err)
 				}
-				if got, want := describe(next), describe(read); got != want {
+				if got, want := asJSON(next), asJSON(read); got != want {
 					t.Fatalf("%s leads to %s, and is read back as %s", change, got, want)
 				}
 				d = next
@@ -45,24 +64,24 @@
 	})
 }
 
-// describe words what a document says.
-func describe(d *Document) string {
+// asJSON is the content of a document.
+func asJSON(d *Document) string {
 	data, _ := json.Marshal(d)
 	return string(data)
 }
 
 // A change is refused for what it does to items that it does not name.
-func TestRemovingAServiceThatARouteNames(t *testing.T) {
+func TestModifyRejectsRemovalOfAServiceInUse(t *testing.T) {
 	is := is.New(t)
-	d, fault := Parse([]byte(base))
-	is.True(fault == nil)
-	_, fault = d.Modify([]byte(`{"config_version":4,"remove":{"service_list":["t"]}}`))
-	is.True(fault != nil)
-	is.Equal(fault.Code, result.UnknownService)
+	d, err := Parse([]byte(baseDocument))
+	is.True(err == nil)
+	_, err = d.Modify([]byte(`{"config_version":4,"remove":{"service_list":["t"]}}`))
+	is.True(err != nil)
+	is.Equal(err.Code, result.UnknownService)
 }
 
-// large is a document of so many routes.
-func large(routes int) []byte {
+// largeDocument is a document of so many routes.
+func largeDocument(routes int) []byte {
 	var list []string
 	for i := range routes {
 		list = append(list, fmt.Sprintf(`{"name":"r%d","host":"h%d.example","path_prefix":"/p%d/","route_class":"streaming","timeout_ms":5000,`+
@@ -75,13 +94,13 @@
 func BenchmarkModify(b *testing.B) {
 	for _, routes := range []int{20, 1400, 5000} {
 		b.Run(fmt.Sprint(routes), func(b *testing.B) {
-			d, fault := Parse(large(routes))
-			if fault != nil {
-				b.Fatal(fault)
+			d, err := Parse(largeDocument(routes))
+			if err != nil {
+				b.Fatal(err)
 			}
 			for b.Loop() {
-				if _, fault := d.Modify([]byte(`{"config_version":2,"upsert":{"route_list":[{"name":"r3","host":"x.example","path_prefix":"/x/","timeout_ms":9,"service":"s"}]}}`)); fault != nil {
-					b.Fatal(fault)
+				if _, err := d.Modify([]byte(`{"config_version":2,"upsert":{"route_list":[{"name":"r3","host":"x.example","path_prefix":"/x/","timeout_ms":9,"service":"s"}]}}`)); err != nil {
+					b.Fatal(err)
 				}
 			}
 		})
--- /dev/null
+++ b/internal/controlplane/configuration/rawdocument.go
@@ -0,0 +1,131 @@
+package configuration
+
+import (
+	"encoding/json"
+	"strconv"
+	"sync"
+
+	"marlreel/internal/controlplane/result"
+)
+
+// The keys of a document that a change can name.
+const (
+	routesKey   = "route_list"
+	servicesKey = "service_list"
+	versionKey  = "config_version"
+)
+
+// rawItem is an entry of a list as the operator sent it.
+type rawItem struct {
+	name string
+	json json.RawMessage
+}
+
+// rawFields are a document's JSON by top-level field, so that a change touches only what it names.
+type rawFields struct {
+	routes   []rawItem
+	services []rawItem
+	others   map[string]json.RawMessage // all fields but the lists and the version
+}
+
+// rawDocument is a document's JSON as it was sent: the bytes, the fields, or both. Each is made of the other when
+// it is first needed, so that a change of a large configuration is not encoded before somebody reads it.
+type rawDocument struct {
+	mu     sync.Mutex
+	data   []byte
+	fields *rawFields
+}
+
+func newRawDocument(data []byte) *rawDocument { return &rawDocument{data: data} }
+
+// json returns the JSON of the document, which has the given version.
+func (r *rawDocument) json(version uint64) []byte {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.data == nil {
+		r.data = r.fields.encode(version)
+	}
+	return r.data
+}
+
+// split returns the document's fields.
+func (r *rawDocument) split() (*rawFields, *result.Error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.fields == nil {
+		fields, err := decodeFields(r.data)
+		if err != nil {
+			return nil, err
+		}
+		r.fields = fields
+	}
+	return r.fields, nil
+}
+
+// decodeFields decodes a document's JSON by field.
+func decodeFields(data []byte) (*rawFields, *result.Error) {
+	all := map[string]json.RawMessage{}
+	if err := decodeJSON(data, &all); err != nil {
+		return nil, result.Errorf(result.Malformed, "configuration in place: %v", err)
+	}
+	routes, err := decodeList(all[routesKey])
+	if err != nil {
+		return nil, err
+	}
+	services, err := decodeList(all[servicesKey])
+	if err != nil {
+		return nil, err
+	}
+	delete(all, routesKey)
+	delete(all, servicesKey)
+	delete(all, versionKey)
+	return &rawFields{routes: routes, services: services, others: all}, nil
+}
+
+// decodeList decodes a list of a document; a list that is absent is empty.
+func decodeList(data json.RawMessage) ([]rawItem, *result.Error) {
+	var list []json.RawMessage
+	if len(data) > 0 {
+		if err := json.Unmarshal(data, &list); err != nil {
+			return nil, result.Errorf(result.Malformed, "configuration in place: %v", err)
+		}
+	}
+	return namedItems(list)
+}
+
+// namedItems reads the names of a list's items. It fails with result.InvalidField where one has none.
+func namedItems(list []json.RawMessage) ([]rawItem, *result.Error) {
+	items := make([]rawItem, 0, len(list))
+	for _, data := range list {
+		var named struct {
+			Name string `json:"name"`
+		}
+		if err := json.Unmarshal(data, &named); err != nil || named.Name == "" {
+			return nil, result.Errorf(result.InvalidField, "an item has no name")
+		}
+		items = append(items, rawItem{name: named.Name, json: data})
+	}
+	return items, nil
+}
+
+// encode makes the JSON of a document.
+func (f *rawFields) encode(version uint64) []byte {
+	document := map[string]any{
+		routesKey:   rawMessages(f.routes),
+		servicesKey: rawMessages(f.services),
+		versionKey:  json.RawMessage(strconv.FormatUint(version, 10)),
+	}
+	for name, value := range f.others {
+		document[name] = value
+	}
+	data, _ := json.Marshal(document) // fields of valid JSON always marshal
+	return data
+}
+
+func rawMessages(items []rawItem) []json.RawMessage {
+	messages := make([]json.RawMessage, len(items))
+	for i := range items {
+		messages[i] = items[i].json
+	}
+	return messages
+}
--- /dev/null
+++ b/internal/controlplane/configuration/validate.go
@@ -0,0 +1,162 @@
+package configuration
+
+import (
+	"cmp"
+	"fmt"
+	"strings"
+
+	validation "github.com/go-ozzo/ozzo-validation/v4"
+
+	"marlreel/internal/controlplane/result"
+)
+
+const (
+	// maxNameLength bounds the names of routes and services, in bytes.
+	maxNameLength = 256
+	// maxListedViolations is how many violations one error names.
+	maxListedViolations = 20
+)
+
+// Validate decodes a complete configuration and returns everything that is wrong with it. The document is nil
+// where it can't be decoded.
+func Validate(data []byte) (*Document, []*result.Error) {
+	document, err := Decode(data)
+	if err != nil {
+		return nil, []*result.Error{err}
+	}
+	everyName := func(string) bool { return true }
+	return document, document.validate(everyName)
+}
+
+// combine makes one error of all violations; nil where there are none.
+func combine(violations []*result.Error) *result.Error {
+	if len(violations) == 0 {
+		return nil
+	}
+	texts := make([]string, 0, len(violations))
+	for _, violation := range violations[:min(len(violations), maxListedViolations)] {
+		texts = append(texts, violation.Detail)
+	}
+	if more := len(violations) - maxListedViolations; more > 0 {
+		texts = append(texts, fmt.Sprintf("and %d more", more))
+	}
+	return result.Errorf(violations[0].Code, "%s", strings.Join(texts, "; "))
+}
+
+// validate returns the violations of a document. The own fields of routes and services are checked only where
+// isNew says so of their names; how items relate to one another is always checked.
+func (d *Document) validate(isNew func(name string) bool) []*result.Error {
+	var violations []*result.Error
+	if d.Version == 0 {
+		violations = append(violations, result.Errorf(result.InvalidField, "config_version: must be 1 or more"))
+	}
+	violations = append(violations, d.validateServices(isNew)...)
+	return append(violations, d.validateRoutes(isNew)...)
+}
+
+func (d *Document) validateServices(isNew func(name string) bool) []*result.Error {
+	var violations []*result.Error
+	if len(d.services) != len(d.Services) {
+		violations = append(violations, result.Errorf(result.DuplicateName, "service_list: two services have the same name"))
+	}
+	for i := range d.Services {
+		service := &d.Services[i]
+		if !isNew(service.Name) {
+			continue
+		}
+		if err := service.validate(); err != nil {
+			violations = append(violations, err)
+		}
+	}
+	return violations
+}
+
+func (d *Document) validateRoutes(isNew func(name string) bool) []*result.Error {
+	var violations []*result.Error
+	names := map[string]bool{}
+	routeByMatch := map[string]string{} // host and prefix to the route's name
+	for i := range d.Routes {
+		route := &d.Routes[i]
+		violation := d.validateTargets(route)
+		if isNew(route.Name) {
+			violation = cmp.Or(route.validate(), violation)
+		}
+		if violation != nil {
+			violations = append(violations, violation)
+		}
+		match := route.Host + route.PathPrefix
+		if other, taken := routeByMatch[match]; taken {
+			violations = append(violations, result.Errorf(result.DuplicateMatch, "route %s: route %s has %s too", route.Name, other, match))
+		}
+		if names[route.Name] {
+			violations = append(violations, result.Errorf(result.DuplicateName, "route_list: two routes are named %s", route.Name))
+		}
+		names[route.Name] = true
+		routeByMatch[match] = route.Name
+	}
+	return violations
+}
+
+// validate checks the service's own fields.
+func (s *Service) validate() *result.Error {
+	err := validation.ValidateStruct(s,
+		validation.Field(&s.Name, validation.Required, validation.Length(1, maxNameLength)),
+		validation.Field(&s.ConnLimit, validation.Min(0)),
+		validation.Field(&s.WarmupS, validation.Min(0.0)),
+		validation.Field(&s.WarmupRequestsPerS, validation.Min(0.0)))
+	if err != nil {
+		return result.Errorf(result.InvalidField, "service %s: %v", s.Name, err)
+	}
+	return nil
+}
+
+// validate checks the route's own fields.
+func (r *Route) validate() *result.Error {
+	if r.TimeoutMS <= 0 {
+		return result.Errorf(result.MissingTimeout, "route %s: timeout_ms is %v", r.Name, r.TimeoutMS)
+	}
+	err := validation.ValidateStruct(r,
+		validation.Field(&r.Name, validation.Required, validation.Length(1, maxNameLength)),
+		validation.Field(&r.Host, validation.Required),
+		validation.Field(&r.PathPrefix, validation.Required, validation.By(validatePrefix)),
+		validation.Field(&r.TargetLatencyMS, validation.Min(0.0)),
+		validation.Field(&r.MaxAttempts, validation.Min(0)))
+	if err != nil {
+		return result.Errorf(result.InvalidField, "route %s: %v", r.Name, err)
+	}
+	return nil
+}
+
+// validateTargets checks the services that a route leads to.
+func (d *Document) validateTargets(r *Route) *result.Error {
+	sum := 0.0
+	unknown := ""
+	hasUnknown := r.Service == "" && len(r.Split) == 0
+	hasNegative := false
+	r.EachService(func(service string, weight float64) {
+		if d.services[service] == nil {
+			unknown = service
+		}
+		if weight < 0 {
+			hasNegative = true
+		}
+		sum += weight
+	})
+	switch {
+	case hasUnknown || unknown != "":
+		return result.Errorf(result.UnknownService, "route %s: there is no service %q", r.Name, unknown)
+	case hasNegative:
+		return result.Errorf(result.InvalidField, "route %s: a weight is below 0", r.Name)
+	case sum == 0:
+		return result.Errorf(result.ZeroWeight, "route %s: its weights sum to 0", r.Name)
+	}
+	return nil
+}
+
+func validatePrefix(value any) error {
+	prefix, _ := value.(string)
+	if !strings.HasPrefix(prefix, "/") || !strings.HasSuffix(prefix, "/") {
+		return validation.NewError("prefix", "must begin and end with a slash")
+	}
+	return nil
+}
--- a/internal/dataplane/gateway/service.go
+++ b/internal/dataplane/gateway/service.go
@@ -125,7 +125,7 @@
 	found := map[classKey]*configuration.Route{}
 	for i := range document.Routes {
 		route := &document.Routes[i]
-		route.Services(func(service string, _ float64) {
+		route.EachService(func(service string, _ float64) {
 			if service == name {
 				found[keyOf(route)] = route
 			}
