--- a/cmd/marlreeld/bundle.go
+++ b/cmd/marlreeld/bundle.go
@@ -30,7 +30,7 @@
 				return &UsageError{err.Error()}
 			}
 			defer func() { failed = multierr.Append(failed, eris.Wrapf(file.Close(), "closing %s", args[0])) }()
-			manifest, err := client.WriteBundle(file, operatorclient.BundleOptions{MetricsAddresses: metrics, Now: time.Now()})
+			manifest, err := client.WriteBundle(command.Context(), file, operatorclient.BundleOptions{MetricsAddresses: metrics, Now: time.Now()})
 			if err != nil {
 				return err
 			}
--- a/cmd/marlreeld/configuration.go
+++ b/cmd/marlreeld/configuration.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return client.ReadConfiguration()
+	return client.ReadConfiguration(command.Context())
 }
 
 // newConfigDiff shows in what two configurations differ.
--- a/cmd/marlreeld/operator.go
+++ b/cmd/marlreeld/operator.go
@@ -121,7 +121,7 @@
 			if err != nil {
 				return err
 			}
-			document, err := client.ReadConfiguration()
+			document, err := client.ReadConfiguration(command.Context())
 			if err != nil {
 				return err
 			}
@@ -148,7 +148,7 @@
 			if modify {
 				apply = client.ModifyConfiguration
 			}
-			if err := apply(base, data); err != nil {
+			if err := apply(command.Context(), base, data); err != nil {
 				return err
 			}
 			_, err = fmt.Fprintln(command.OutOrStdout(), "taken")
@@ -168,7 +168,11 @@
 			if err != nil {
 				return err
 			}
-			if err := client.Evacuate(args[0], begin); err != nil {
+			change := client.EndEvacuation
+			if begin {
+				change = client.BeginEvacuation
+			}
+			if err := change(command.Context(), args[0]); err != nil {
 				return err
 			}
 			_, err = fmt.Fprintln(command.OutOrStdout(), "taken")
@@ -186,7 +190,7 @@
 			if err != nil {
 				return err
 			}
-			body, err := client.Status()
+			body, err := client.Status(command.Context())
 			if err != nil {
 				return err
 			}
--- a/internal/advice/page/page.go
+++ b/internal/advice/page/page.go
@@ -138,14 +138,14 @@
 	case *ast.ParenExpr:
 		return expression(e.X)
 	case *ast.CallExpr: // Sprintf, or what somebody else advises
-		if f, is := e.Fun.(*ast.SelectorExpr); is && f.Sel.Name == "Advice" {
+		if f, is := e.Fun.(*ast.SelectorExpr); is && saidElsewhere(f) {
 			return expression(f)
 		}
 		if len(e.Args) > 0 {
 			return strings.NewReplacer("%d", "…", "%s", "…", "%v", "…", "%q", "…").Replace(expression(e.Args[0]))
 		}
 	case *ast.SelectorExpr:
-		if e.Sel.Name == "Does" || e.Sel.Name == "Advice" {
+		if saidElsewhere(e) {
 			return "(said with the error, by what is wrong)"
 		}
 		return "…"
@@ -154,3 +154,8 @@
 	}
 	return ""
 }
+
+// saidElsewhere tells whether a selector names what only an instance of the error can advise.
+func saidElsewhere(e *ast.SelectorExpr) bool {
+	return slices.Contains([]string{"Does", "Advice", "Remedy"}, e.Sel.Name)
+}
--- a/internal/controlplane/operatorclient/bundle.go
+++ b/internal/controlplane/operatorclient/bundle.go
@@ -3,24 +3,24 @@
 import (
 	"archive/tar"
 	"compress/gzip"
+	"context"
 	"encoding/json"
-	"fmt"
 	"io"
+	"net/http"
 	"runtime/debug"
 	"strings"
 	"time"
 
 	"github.com/rotisserie/eris"
-	"github.com/valyala/fasthttp"
 	"go.uber.org/multierr"
 )
 
-// largestPart bounds one part of a bundle.
-const largestPart = 8 << 20
+// maxPartBytes bounds one part of a bundle.
+const maxPartBytes = 8 << 20
 
 // BundleOptions says what a support bundle is made of.
 type BundleOptions struct {
-	// MetricsAddresses are addresses of doors for metrics, HOST:PORT.
+	// MetricsAddresses are the metrics servers to read, HOST:PORT.
 	MetricsAddresses []string
 	// Now is when the bundle is made.
 	Now time.Time
@@ -28,19 +28,23 @@
 
 // BundlePart is one part of a support bundle, as its manifest lists it.
 type BundlePart struct {
-	Name  string `json:"name"`
-	From  string `json:"from"`
-	Error string `json:"error,omitempty"` // why it is missing
+	// Name is the path of the part in the archive.
+	Name string `json:"name"`
+	// From is the address that it was read from.
+	From string `json:"from"`
+	// Error says why the part is missing; empty where it is there.
+	Error string `json:"error,omitempty"`
 }
 
-// Manifest says what a support bundle holds, and what could not be had.
+// Manifest says what a support bundle contains, and what could not be read.
 type Manifest struct {
-	Made    time.Time    `json:"made"`
+	Made time.Time `json:"made"`
+	// Program is the build that wrote the bundle.
 	Program string       `json:"program"`
 	Parts   []BundlePart `json:"parts"`
 }
 
-// MissingParts is how many parts could not be had.
+// MissingParts is how many parts could not be read.
 func (m *Manifest) MissingParts() int {
 	missing := 0
 	for _, part := range m.Parts {
@@ -51,36 +55,39 @@
 	return missing
 }
 
-// bundle is a support bundle that is being written.
-type bundle struct {
+// bundleWriter writes a support bundle.
+type bundleWriter struct {
 	archive  *tar.Writer
 	manifest Manifest
 }
 
-// WriteBundle writes a gzipped tar of what helps to understand a system's state: each control
-// process's status, the newest configuration, metrics, a manifest. It holds nothing of requests.
-// A part that can't be had is named in the manifest and ends nothing.
-func (c *Client) WriteBundle(out io.Writer, cfg BundleOptions) (*Manifest, error) {
+// WriteBundle writes a gzipped tar of what helps to understand a system's state: the status of each control process,
+// the newest configuration, metrics, and a manifest. It contains nothing of requests. A part that can't be read is
+// named in the manifest with its error; the error that is returned is one of writing to out.
+func (c *Client) WriteBundle(ctx context.Context, out io.Writer, options BundleOptions) (*Manifest, error) {
 	compressed := gzip.NewWriter(out)
-	b := &bundle{archive: tar.NewWriter(compressed), manifest: Manifest{Made: cfg.Now.UTC(), Program: program()}}
-	err := c.writeParts(b, cfg)
+	b := &bundleWriter{
+		archive:  tar.NewWriter(compressed),
+		manifest: Manifest{Made: options.Now.UTC(), Program: buildDescription()},
+	}
+	err := c.writeParts(ctx, b, options)
 	return &b.manifest, multierr.Combine(err, b.archive.Close(), compressed.Close())
 }
 
-func (c *Client) writeParts(b *bundle, cfg BundleOptions) error {
+func (c *Client) writeParts(ctx context.Context, b *bundleWriter, options BundleOptions) error {
 	for _, control := range c.controls {
 		body, err := c.get(control, "/marlreel/status")
 		if err := b.add("status/"+fileName(control)+".json", control, body, err); err != nil {
 			return err
 		}
 	}
-	document, err := c.ReadConfiguration()
+	document, err := c.ReadConfiguration(ctx)
 	if err := b.add("configuration.json", "control", document, err); err != nil {
 		return err
 	}
-	for _, door := range cfg.MetricsAddresses {
-		body, err := c.get(door, "/metrics")
-		if err := b.add("metrics/"+fileName(door)+".txt", door, body, err); err != nil {
+	for _, address := range options.MetricsAddresses {
+		body, err := c.get(address, "/metrics")
+		if err := b.add("metrics/"+fileName(address)+".txt", address, body, err); err != nil {
 			return err
 		}
 	}
@@ -91,42 +98,22 @@
 	return b.write("manifest.json", manifest)
 }
 
-// UnexpectedAnswerError says that a process's answer can't be part of a bundle.
-type UnexpectedAnswerError struct {
-	Address string
-	Status  int
-	Bytes   int // where it is too large
-}
-
-// Error implements error.
-func (e *UnexpectedAnswerError) Error() string {
-	if e.Bytes > 0 {
-		return fmt.Sprintf("%s answers with %d bytes, %d are the most", e.Address, e.Bytes, largestPart)
-	}
-	return fmt.Sprintf("%s answers with status %d", e.Address, e.Status)
-}
-
-// Advice is what can be done about it.
-func (e *UnexpectedAnswerError) Advice() string {
-	return "see whether " + e.Address + " is a control process's address, or a door for metrics"
-}
-
-// get asks once.
+// get makes one attempt to read a part.
 func (c *Client) get(address, path string) ([]byte, error) {
-	status, body, err := c.callOne(address, fasthttp.MethodGet, path, "", nil)
+	status, body, err := c.attempt(address, operation{method: http.MethodGet, path: path})
 	switch {
 	case err != nil:
 		return nil, err
-	case status != fasthttp.StatusOK:
+	case status != http.StatusOK:
 		return nil, &UnexpectedAnswerError{Address: address, Status: status}
-	case len(body) > largestPart:
+	case len(body) > maxPartBytes:
 		return nil, &UnexpectedAnswerError{Address: address, Status: status, Bytes: len(body)}
 	}
 	return body, nil
 }
 
-// add adds a part, or why it is missing. The error is that of the bundle itself.
-func (b *bundle) add(name, from string, body []byte, missing error) error {
+// add writes a part, or notes in the manifest why it is missing. The error is that of writing.
+func (b *bundleWriter) add(name, from string, body []byte, missing error) error {
 	part := BundlePart{Name: name, From: from}
 	if missing != nil {
 		part.Error = missing.Error()
@@ -138,7 +125,7 @@
 	return b.write(name, body)
 }
 
-func (b *bundle) write(name string, body []byte) error {
+func (b *bundleWriter) write(name string, body []byte) error {
 	const mode = 0o644
 	header := &tar.Header{Name: name, Mode: mode, Size: int64(len(body)), ModTime: b.manifest.Made, Format: tar.FormatPAX}
 	if err := b.archive.WriteHeader(header); err != nil {
@@ -148,22 +135,22 @@
 	return eris.Wrapf(err, "writing %s", name)
 }
 
-// fileName is an address as part of a file's name.
+// fileName returns an address in the form that names of parts have.
 func fileName(address string) string {
 	return strings.NewReplacer(":", "_", "/", "_", "[", "", "]", "").Replace(address)
 }
 
-// program says which build this is.
-func program() string {
+// buildDescription says which build this is.
+func buildDescription() string {
 	info, known := debug.ReadBuildInfo()
 	if !known {
 		return "unknown"
 	}
-	words := []string{info.Main.Path, info.Main.Version, info.GoVersion}
+	fields := []string{info.Main.Path, info.Main.Version, info.GoVersion}
 	for _, setting := range info.Settings {
 		if strings.HasPrefix(setting.Key, "vcs.") {
-			words = append(words, setting.Key+"="+setting.Value)
+			fields = append(fields, setting.Key+"="+setting.Value)
 		}
 	}
-	return strings.Join(words, " ")
+	return strings.Join(fields, " ")
 }
--- a/internal/controlplane/operatorclient/client.go
+++ b/internal/controlplane/operatorclient/client.go
@@ -1,10 +1,10 @@
-// Package operatorclient is the operator's side of control's interface: calls that go on until
-// one control process has given a clear answer.
 package operatorclient
 
 import (
+	"context"
 	"encoding/json"
-	"fmt"
+	"net/http"
+	"slices"
 	"strconv"
 	"time"
 
@@ -16,123 +16,144 @@
 )
 
 const (
-	callTimeout = 1500 * time.Millisecond
-	callPause   = 200 * time.Millisecond
+	// attemptTimeout bounds one attempt at one control process.
+	attemptTimeout = 1500 * time.Millisecond
+	// retryBackoff is the time between two attempts.
+	retryBackoff = 200 * time.Millisecond
 )
 
-// Client calls control.
+// Client calls control. Its methods may be called by several goroutines at once.
 type Client struct {
 	controls []string
-	patience time.Duration
+	timeout  time.Duration
 	http     *fasthttp.Client
 }
 
-// NewClient makes a client for control processes at these addresses.
-func NewClient(controls []string, patience time.Duration, dial transport.DialFunc) *Client {
-	return &Client{controls: controls, patience: patience, http: transport.NewHTTPClient(dial)}
+// NewClient returns a client for control processes at these addresses, HOST:PORT. The timeout bounds the attempts of
+// one call; the first one is always made.
+func NewClient(controls []string, timeout time.Duration, dial transport.DialFunc) *Client {
+	return &Client{controls: controls, timeout: timeout, http: transport.NewHTTPClient(dial)}
 }
 
-// NoAnswerError says that no control process gave a clear answer. What was sent may have
-// been taken.
-type NoAnswerError struct {
-	Last error
+// ReadConfiguration returns the newest committed configuration as JSON.
+func (c *Client) ReadConfiguration(ctx context.Context) ([]byte, error) {
+	return c.call(ctx, operation{method: http.MethodGet, path: "/marlreel/config/read"})
 }
 
-// Error implements error.
-func (e *NoAnswerError) Error() string {
-	return fmt.Sprintf("no clear answer from control: %v", e.Last)
+// ReplaceConfiguration commits a complete configuration on top of the version base, 0 for the first one. It fails with
+// a *result.Error where control rejects it, and with a *NoAnswerError where it may have been committed.
+func (c *Client) ReplaceConfiguration(ctx context.Context, base uint64, document []byte) error {
+	_, err := c.call(ctx, operation{method: http.MethodPost, path: "/marlreel/config/replace", base: formatVersion(base), body: document})
+	return err
 }
 
-// Unwrap gives the last cause.
-func (e *NoAnswerError) Unwrap() error { return e.Last }
+// ModifyConfiguration commits a change of named items on top of the version base. Errors are those of
+// ReplaceConfiguration.
+func (c *Client) ModifyConfiguration(ctx context.Context, base uint64, change []byte) error {
+	_, err := c.call(ctx, operation{method: http.MethodPost, path: "/marlreel/config/modify", base: formatVersion(base), body: change})
+	return err
+}
 
-// Advice is what can be done about it.
-func (e *NoAnswerError) Advice() string {
-	return "see whether most control processes run (marlreeld status), and send the same again: it has its effect only once"
+// BeginEvacuation has nothing more sent to the backends of a zone.
+func (c *Client) BeginEvacuation(ctx context.Context, zone string) error {
+	_, err := c.call(ctx, operation{method: http.MethodPost, path: "/marlreel/evacuation/" + zone + "/begin"})
+	return err
+}
+
+// EndEvacuation takes BeginEvacuation back.
+func (c *Client) EndEvacuation(ctx context.Context, zone string) error {
+	_, err := c.call(ctx, operation{method: http.MethodPost, path: "/marlreel/evacuation/" + zone + "/terminate"})
+	return err
 }
 
-// call goes on, with another control process each time, until there is a clear answer.
-func (c *Client) call(method, path, base string, body []byte) ([]byte, error) {
+// Status returns the status of the first control process that answers, as JSON (controlplane.Status).
+func (c *Client) Status(ctx context.Context) ([]byte, error) {
+	return c.call(ctx, operation{method: http.MethodGet, path: "/marlreel/status"})
+}
+
+func formatVersion(version uint64) string { return strconv.FormatUint(version, 10) }
+
+// operation is a call to control's interface.
+type operation struct {
+	method string
+	path   string
+	base   string // the version that a change builds on; empty: the call changes none
+	body   []byte // nil: the call has none
+}
+
+// call makes attempts at one control process after the other until there is a definite answer, the client's timeout
+// is over, or ctx ends.
+func (c *Client) call(ctx context.Context, op operation) ([]byte, error) {
 	last := eris.New("no control process is named")
-	for at, end := 0, time.Now().Add(c.patience); len(c.controls) > 0; at++ {
-		status, answer, err := c.callOne(c.controls[at%len(c.controls)], method, path, base, body)
+	deadline := time.Now().Add(c.timeout)
+	for attempt := 0; len(c.controls) > 0; attempt++ {
+		status, answer, err := c.attempt(c.controls[attempt%len(c.controls)], op)
 		switch {
 		case err != nil:
 			last = err
-		case status == fasthttp.StatusOK:
+		case status == http.StatusOK:
 			return answer, nil
-		case status < 500 && status != fasthttp.StatusRequestTimeout && status != fasthttp.StatusTooManyRequests:
-			return nil, refusal(status, answer)
+		case isDefinite(status):
+			return nil, rejection(status, answer)
 		default:
-			last = refusal(status, answer)
+			last = rejection(status, answer)
 		}
-		if time.Now().Add(callPause).After(end) {
+		if time.Now().Add(retryBackoff).After(deadline) {
 			break
 		}
-		time.Sleep(callPause)
+		if err := sleep(ctx, retryBackoff); err != nil {
+			return nil, &NoAnswerError{Last: err}
+		}
 	}
-	return nil, &NoAnswerError{last}
+	return nil, &NoAnswerError{Last: last}
 }
 
-func (c *Client) callOne(address, method, path, base string, body []byte) (int, []byte, error) {
+// isDefinite reports whether the call is over with this status: another attempt would end alike.
+func isDefinite(status int) bool {
+	return status < http.StatusInternalServerError &&
+		status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
+}
+
+// attempt makes one call to one control process, and returns the answer's status and body.
+func (c *Client) attempt(address string, op operation) (int, []byte, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
-	request.Header.SetMethod(method)
-	request.SetRequestURI("http://" + address + path)
-	if base != "" {
-		request.Header.Set("Base-Version", base)
+	request.Header.SetMethod(op.method)
+	request.SetRequestURI("http://" + address + op.path)
+	if op.base != "" {
+		request.Header.Set("Base-Version", op.base)
 	}
-	if body != nil {
+	if op.body != nil {
 		request.Header.SetContentType("application/json")
-		request.SetBody(body)
+		request.SetBody(op.body)
 	}
-	if err := c.http.DoTimeout(request, response, callTimeout); err != nil {
+	if err := c.http.DoTimeout(request, response, attemptTimeout); err != nil {
 		return 0, nil, eris.Wrapf(err, "calling %s", address)
 	}
-	return response.StatusCode(), append([]byte(nil), response.Body()...), nil
+	return response.StatusCode(), slices.Clone(response.Body()), nil
 }
 
-// refusal is control's own word on why it does not do something.
-func refusal(status int, answer []byte) error {
-	var said struct {
+// rejection returns control's own error, or one with the status alone where the answer has none.
+func rejection(status int, answer []byte) error {
+	var body struct {
 		Code  result.Code `json:"code"`
 		Cause string      `json:"error_cause"`
 	}
-	if err := json.Unmarshal(answer, &said); err != nil || said.Code == 0 {
+	if err := json.Unmarshal(answer, &body); err != nil || body.Code == 0 {
 		return eris.Errorf("status %d", status)
 	}
-	return &result.Error{Code: said.Code, Detail: said.Cause}
-}
-
-// ReadConfiguration gives the newest configuration.
-func (c *Client) ReadConfiguration() ([]byte, error) {
-	return c.call(fasthttp.MethodGet, "/marlreel/config/read", "", nil)
-}
-
-// ReplaceConfiguration puts a whole configuration in force on top of a version.
-func (c *Client) ReplaceConfiguration(base uint64, document []byte) error {
-	_, err := c.call(fasthttp.MethodPost, "/marlreel/config/replace", strconv.FormatUint(base, 10), document)
-	return err
+	return &result.Error{Code: body.Code, Detail: body.Cause}
 }
 
-// ModifyConfiguration changes named items on top of a version.
-func (c *Client) ModifyConfiguration(base uint64, change []byte) error {
-	_, err := c.call(fasthttp.MethodPost, "/marlreel/config/modify", strconv.FormatUint(base, 10), change)
-	return err
-}
-
-// Evacuate begins or ends the evacuation of a zone.
-func (c *Client) Evacuate(zone string, begin bool) error {
-	verb := "terminate"
-	if begin {
-		verb = "begin"
+// sleep waits, and returns the error of ctx where that ends first.
+func sleep(ctx context.Context, duration time.Duration) error {
+	timer := time.NewTimer(duration)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
 	}
-	_, err := c.call(fasthttp.MethodPost, "/marlreel/evacuation/"+zone+"/"+verb, "", nil)
-	return err
-}
-
-// Status gives how things stand, as JSON, as the first control process that answers sees them.
-func (c *Client) Status() ([]byte, error) {
-	return c.call(fasthttp.MethodGet, "/marlreel/status", "", nil)
 }
--- a/internal/controlplane/operatorclient/compatibility_test.go
+++ b/internal/controlplane/operatorclient/compatibility_test.go
@@ -94,18 +94,19 @@
 func TestCompatibilityOfCalls(t *testing.T) {
 	control := &recorder{answer: func(string) string { return httpAnswer(200, "{}") }}
 	client := NewClient([]string{"10.1.0.1:8082"}, time.Second, control.dial)
+	ctx := t.Context()
 	var out strings.Builder
 	for _, call := range []struct {
 		name string
 		make func() error
 	}{
-		{"read", func() error { _, err := client.ReadConfiguration(); return err }},
-		{"replace", func() error { return client.ReplaceConfiguration(3, []byte(`{"config_version":4}`)) }},
-		{"replace the first", func() error { return client.ReplaceConfiguration(0, []byte(`{"config_version":1}`)) }},
-		{"modify", func() error { return client.ModifyConfiguration(4, []byte(`{"config_version":5,"upsert":{}}`)) }},
-		{"evacuate", func() error { return client.Evacuate("east", true) }},
-		{"restore", func() error { return client.Evacuate("east", false) }},
-		{"status", func() error { _, err := client.Status(); return err }},
+		{"read", func() error { _, err := client.ReadConfiguration(ctx); return err }},
+		{"replace", func() error { return client.ReplaceConfiguration(ctx, 3, []byte(`{"config_version":4}`)) }},
+		{"replace the first", func() error { return client.ReplaceConfiguration(ctx, 0, []byte(`{"config_version":1}`)) }},
+		{"modify", func() error { return client.ModifyConfiguration(ctx, 4, []byte(`{"config_version":5,"upsert":{}}`)) }},
+		{"evacuate", func() error { return client.BeginEvacuation(ctx, "east") }},
+		{"restore", func() error { return client.EndEvacuation(ctx, "east") }},
+		{"status", func() error { _, err := client.Status(ctx); return err }},
 	} {
 		control.seen = nil
 		if err := call.make(); err != nil {
@@ -133,7 +134,7 @@
 	} {
 		t.Run(answer.name, func(t *testing.T) {
 			control := &recorder{answer: func(string) string { return httpAnswer(answer.status, answer.body) }}
-			err := NewClient([]string{"10.1.0.1:8082"}, time.Millisecond, control.dial).ReplaceConfiguration(1, []byte(`{}`))
+			err := NewClient([]string{"10.1.0.1:8082"}, time.Millisecond, control.dial).ReplaceConfiguration(t.Context(), 1, []byte(`{}`))
 			var said *result.Error
 			if !errors.As(err, &said) || said.Code != answer.want || said.Detail != answer.detail {
 				t.Errorf("read as %v", err)
@@ -152,7 +153,7 @@
 	}}
 	client := NewClient([]string{"10.1.0.1:8082"}, time.Second, control.dial)
 	var packed bytes.Buffer
-	_, err := client.WriteBundle(&packed, BundleOptions{MetricsAddresses: []string{"10.2.0.1:7675"}, Now: time.Unix(1_700_000_000, 0)})
+	_, err := client.WriteBundle(t.Context(), &packed, BundleOptions{MetricsAddresses: []string{"10.2.0.1:7675"}, Now: time.Unix(1_700_000_000, 0)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/result/codespage/main.go
+++ b/internal/controlplane/result/codespage/main.go
@@ -1,4 +1,4 @@
-// Page writes docs/CODES.md from the table of result codes.
+// Command codespage writes docs/CODES.md from the table of result codes.
 //
 //	go run ./internal/controlplane/result/codespage > docs/CODES.md
 package main
--- a/internal/controlplane/result/page.go
+++ b/internal/controlplane/result/page.go
@@ -15,12 +15,12 @@
 | --- | --- | --- | --- |
 `
 
-// Page is docs/CODES.md.
+// Page returns the text of docs/CODES.md.
 func Page() string {
 	var page strings.Builder
 	page.WriteString(pageHead)
-	for _, m := range Meanings {
-		fmt.Fprintf(&page, "| %d | %d | %s | %s |\n", m.Code, m.Status, m.Name, m.Advice)
+	for _, d := range definitions {
+		fmt.Fprintf(&page, "| %d | %d | %s | %s |\n", d.code, d.status, d.name, d.remedy)
 	}
 	return page.String()
 }
--- a/internal/controlplane/result/result.go
+++ b/internal/controlplane/result/result.go
@@ -1,5 +1,3 @@
-// Package result holds the numbered result codes of the system's interfaces. The
-// table in docs/CODES.md is made from them.
 package result
 
 import (
@@ -7,41 +5,41 @@
 	"net/http"
 )
 
-// Code says how a call ended. Codes never change their meaning.
+// Code says how a call ended.
 type Code uint32
 
 // The codes, by what has to be done about them.
 const (
-	Committed        Code = 100 // done, and on more than half of the disks
-	AlreadyCommitted Code = 101 // the same call was done before
+	Committed        Code = 100 // committed: on the disks of a majority of the members
+	AlreadyCommitted Code = 101 // the same call was committed before
 
 	Malformed      Code = 200 // not JSON, cut short, or of a wrong type
 	UnknownService Code = 201 // a route names a service that is not there
 	DuplicateMatch Code = 202 // two routes have the same host and prefix
-	ZeroWeight     Code = 203 // the weights of a route sum to nothing
-	MissingTimeout Code = 204 // a route's time-out is 0
+	ZeroWeight     Code = 203 // the weights of a route sum to 0
+	MissingTimeout Code = 204 // a route's timeout is 0
 	VersionTooLow  Code = 205 // the version is not higher than the current one
 	InvalidField   Code = 206 // a field is missing or out of its range
 	DuplicateName  Code = 207 // two items of a list have the same name
-	TooLarge       Code = 208 // more than what is taken
+	TooLarge       Code = 208 // the body is larger than what is accepted
 	UnknownPath    Code = 209 // there is no such call
 
 	VersionConflict Code = 300 // another version is current
 
-	Unavailable    Code = 400 // not taken: there is no majority, or it is not known where
-	OutcomeUnknown Code = 401 // it may or may not have been taken
+	Unavailable    Code = 400 // not committed: there is no majority, or it is not known where
+	OutcomeUnknown Code = 401 // it may or may not have been committed
 )
 
-// Meaning is what a code says and what can be done.
-type Meaning struct {
-	Code   Code
-	Status int // of HTTP
-	Name   string
-	Advice string // what can be done
+// definition is what a code says and what can be done.
+type definition struct {
+	code   Code
+	status int // of HTTP
+	name   string
+	remedy string // one sentence: what the caller can do
 }
 
-// Meanings is the table of all codes.
-var Meanings = []Meaning{
+// definitions are those of all codes, by number.
+var definitions = []definition{
 	{Committed, http.StatusOK, "accepted", "nothing"},
 	{AlreadyCommitted, http.StatusOK, "already accepted", "nothing"},
 	{Malformed, http.StatusBadRequest, "unreadable", "send valid JSON, whole"},
@@ -59,40 +57,43 @@
 	{OutcomeUnknown, http.StatusGatewayTimeout, "unclear", "send the same again, to any control process"},
 }
 
-func (c Code) meaning() Meaning {
-	for _, m := range Meanings {
-		if m.Code == c {
-			return m
+func (c Code) definition() definition {
+	for _, d := range definitions {
+		if d.code == c {
+			return d
 		}
 	}
-	return Meaning{Code: c, Status: http.StatusInternalServerError, Name: fmt.Sprintf("code %d", c)}
+	return definition{code: c, status: http.StatusInternalServerError, name: fmt.Sprintf("code %d", c)}
 }
 
-// Status is the HTTP status that goes with a code.
-func (c Code) Status() int { return c.meaning().Status }
+// Status is the HTTP status that goes with a code; 500 for a code that is not defined here.
+func (c Code) Status() int { return c.definition().status }
 
-// String implements fmt.Stringer.
-func (c Code) String() string { return c.meaning().Name }
+// String implements fmt.Stringer: the name of the code.
+func (c Code) String() string { return c.definition().name }
 
-// Remedy is what can be done about a code.
-func (c Code) Remedy() string { return c.meaning().Advice }
+// Remedy is one sentence on what the caller can do; empty for a code that is not defined here.
+func (c Code) Remedy() string { return c.definition().remedy }
 
-// Succeeded tells whether a call has had its effect.
+// Succeeded reports whether a call has had its effect.
 func (c Code) Succeeded() bool { return c == Committed || c == AlreadyCommitted }
 
 // Error is a code with what it is about.
 type Error struct {
-	Code   Code
+	Code Code
+	// Detail says what failed, with its values.
 	Detail string
 }
 
+var _ error = (*Error)(nil)
+
 // Error implements error.
 func (e *Error) Error() string { return fmt.Sprintf("%d %s: %s", e.Code, e.Code, e.Detail) }
 
 // Advice is what can be done about the error.
-func (e *Error) Advice() string { return e.Code.meaning().Advice }
+func (e *Error) Advice() string { return e.Code.Remedy() }
 
-// Errorf makes an Error.
+// Errorf returns an Error whose detail is formatted as by fmt.Sprintf.
 func Errorf(code Code, format string, args ...any) *Error {
 	return &Error{Code: code, Detail: fmt.Sprintf(format, args...)}
 }
--- a/internal/controlplane/result/result_test.go
+++ b/internal/controlplane/result/result_test.go
@@ -14,13 +14,13 @@
 	is.Equal(string(page), Page()) // go run ./internal/controlplane/result/codespage > docs/CODES.md
 }
 
-func TestCodesAreDistinctAndComplete(t *testing.T) {
+func TestDefinitionsAreDistinctAndComplete(t *testing.T) {
 	is := is.New(t)
 	codes, names := map[Code]bool{}, map[string]bool{}
-	for _, m := range Meanings {
-		is.True(!codes[m.Code] && !names[m.Name])
-		codes[m.Code], names[m.Name] = true, true
-		is.True(m.Advice != "" && m.Status >= 200)
-		is.Equal(m.Code.Succeeded(), m.Status == 200)
+	for _, d := range definitions {
+		is.True(!codes[d.code] && !names[d.name])
+		codes[d.code], names[d.name] = true, true
+		is.True(d.remedy != "" && d.status >= 200)
+		is.Equal(d.code.Succeeded(), d.status == 200)
 	}
 }
--- a/internal/testing/scale/system.go
+++ b/internal/testing/scale/system.go
@@ -214,7 +214,7 @@
 func (s *System) await() error {
 	var status controlplane.Status
 	for end := time.Now().Add(startPatience); time.Now().Before(end); pause(s.ctx, lookEvery) {
-		body, err := s.operator.Status()
+		body, err := s.operator.Status(s.ctx)
 		if err != nil || json.Unmarshal(body, &status) != nil {
 			continue
 		}
@@ -240,7 +240,7 @@
 // acknowledged.
 func (s *System) ChangeConfiguration() (acknowledged time.Time, err error) {
 	next := s.version + 1
-	if err := s.operator.ReplaceConfiguration(s.version, document(s.cfg, next)); err != nil {
+	if err := s.operator.ReplaceConfiguration(s.ctx, s.version, document(s.cfg, next)); err != nil {
 		return time.Time{}, err
 	}
 	s.version = next
--- a/internal/testing/simcluster/bundle_test.go
+++ b/internal/testing/simcluster/bundle_test.go
@@ -55,7 +55,7 @@
 
 		var packed bytes.Buffer
 		client := operatorclient.NewClient(c.ControlAddresses(), 3*time.Second, c.outside.Dial)
-		manifest, err := client.WriteBundle(&packed, operatorclient.BundleOptions{MetricsAddresses: []string{door}, Now: time.Now()})
+		manifest, err := client.WriteBundle(t.Context(), &packed, operatorclient.BundleOptions{MetricsAddresses: []string{door}, Now: time.Now()})
 		is.NoErr(err)
 		is.Equal(manifest.MissingParts(), 1)
 
