--- a/cmd/marlreeld/main.go
+++ b/cmd/marlreeld/main.go
@@ -64,7 +64,7 @@
 	log := newLogger(out, verbose).WithValues("node", settings.NodeName)
 	changes := make(chan os.Signal, 1)
 	signal.Notify(changes, syscall.SIGHUP)
-	go settings.Follow(ctx, os.Getenv(bootstrap.SettingsVariable), changes, log)
+	go settings.FollowChanges(ctx, os.Getenv(bootstrap.SettingsVariable), changes, log)
 	return run(ctx, host.New(settings, log))
 }
 
--- a/internal/process/bootstrap/reload.go
+++ b/internal/process/bootstrap/reload.go
@@ -7,29 +7,30 @@
 	"time"
 
 	"github.com/go-logr/logr"
+
+	"marlreel/internal/process/logevent"
 )
 
-// lookEvery is how often the settings file is looked at: it may change without a signal.
-const lookEvery = 2 * time.Second
+// pollInterval is how often the settings file is looked at: it may change without a signal.
+const pollInterval = 2 * time.Second
 
-// Follow takes in the seeds of the settings file when it has changed, at a signal or
-// without one, until ctx ends. All else counts at the next start. A file that can't be used
-// is one line in the log, and what was known stays.
-func (s *Settings) Follow(ctx context.Context, path string, signals <-chan os.Signal, log logr.Logger) {
-	looks := time.NewTicker(lookEvery)
-	defer looks.Stop()
-	last := stampOf(path)
+// FollowChanges takes over the seeds of the settings file whenever it has changed, at a signal or without one, until
+// ctx ends. A file that can't be used is logged, and the seeds stay.
+func (s *Settings) FollowChanges(ctx context.Context, path string, signals <-chan os.Signal, log logr.Logger) {
+	poll := time.NewTicker(pollInterval)
+	defer poll.Stop()
+	last := fileVersionOf(path)
 	for {
 		select {
 		case <-signals:
-		case <-looks.C:
-			if now := stampOf(path); now == last {
+		case <-poll.C:
+			if fileVersionOf(path) == last {
 				continue
 			}
 		case <-ctx.Done():
 			return
 		}
-		last = stampOf(path)
+		last = fileVersionOf(path)
 		s.reload(path, log)
 	}
 }
@@ -37,26 +38,26 @@
 func (s *Settings) reload(path string, log logr.Logger) {
 	next, err := Read(path)
 	if err != nil {
-		log.Error(err, "the settings stay as they were", "event", "settings")
+		log.Error(err, logevent.SettingsRejected)
 		return
 	}
 	if slices.Equal(next.SeedNodes, s.Seeds()) {
 		return
 	}
 	s.newSeeds.Store(&next.SeedNodes)
-	log.Info("other seeds count from now on", "event", "settings", "seeds", next.SeedNodes)
+	log.Info(logevent.SeedsChanged, logevent.KeySeeds, next.SeedNodes)
 }
 
-// stamp tells one state of a file from another.
-type stamp struct {
+// fileVersion tells one state of a file from another. It is empty for a file that can't be read.
+type fileVersion struct {
 	size     int64
 	modified time.Time
 }
 
-func stampOf(path string) stamp {
+func fileVersionOf(path string) fileVersion {
 	info, err := os.Stat(path)
 	if err != nil {
-		return stamp{}
+		return fileVersion{}
 	}
-	return stamp{info.Size(), info.ModTime()}
+	return fileVersion{size: info.Size(), modified: info.ModTime()}
 }
--- a/internal/process/bootstrap/settings_test.go
+++ b/internal/process/bootstrap/settings_test.go
@@ -5,14 +5,18 @@
 	"os"
 	"path/filepath"
 	"strings"
+	"sync"
 	"testing"
 
 	"github.com/go-logr/logr"
 	"github.com/go-logr/logr/funcr"
 	"github.com/matryer/is"
+
+	"marlreel/internal/process/logevent"
 )
 
-const file = `
+// settingsFile has what is needed, and keys that this version doesn't know.
+const settingsFile = `
 node_name = "edge-1"
 ip = "10.1.0.35"
 zone = "east"
@@ -24,16 +28,15 @@
 another_one = "x"
 `
 
-func TestFieldsThatAreNotKnownAreLeftAlone(t *testing.T) {
+func TestParseIgnoresUnknownKeys(t *testing.T) {
 	is := is.New(t)
-	s, err := Parse([]byte(file))
+	s, err := Parse([]byte(settingsFile))
 	is.NoErr(err)
 	is.Equal(s.SeedPeers(), []string{"10.1.0.37:7660", "10.2.0.30:7660"})
 	is.Equal(s.Limits.MemoryMB, 284)
 }
 
-// All faults are named at once.
-func TestFaultsOfSettings(t *testing.T) {
+func TestParseNamesAllViolations(t *testing.T) {
 	is := is.New(t)
 	_, err := Parse([]byte("internal_ports = [7660]\nip = \"here\"\nseed_nodes = [\"10.1.0.37\"]\n"))
 	is.True(err != nil)
@@ -42,61 +45,63 @@
 	}
 }
 
-// A file without ports was taken once, and the process ended at the first use of one.
-func TestPortsAreNeeded(t *testing.T) {
+// A file without ports was once accepted, and the process ended at the first use of one.
+func TestParseRequiresPorts(t *testing.T) {
 	is := is.New(t)
-	_, err := Parse([]byte(strings.Replace(file, "internal_ports = [7660,7675]", "", 1)))
+	_, err := Parse([]byte(strings.Replace(settingsFile, "internal_ports = [7660,7675]", "", 1)))
 	is.True(err != nil && strings.Contains(err.Error(), "internal_ports"))
 }
 
-func TestMetricsHavePortsOfTheirOwn(t *testing.T) {
+func TestMetricsAddressesAreDistinct(t *testing.T) {
 	is := is.New(t)
-	s, err := Parse([]byte(file))
+	s, err := Parse([]byte(settingsFile))
 	is.NoErr(err)
 	is.Equal([]string{s.MetricsAddress(ProxyMetrics), s.MetricsAddress(AgentMetrics), s.MetricsAddress(ControlMetrics)},
 		[]string{"10.1.0.35:7675", "10.1.0.35:7674", "10.1.0.35:7673"})
-	s, err = Parse([]byte(strings.Replace(file, "7675", "7662", 1))) // two are left beside the peers'
+	s, err = Parse([]byte(strings.Replace(settingsFile, "7675", "7662", 1))) // two are left beside the peers'
 	is.NoErr(err)
 	is.Equal([]string{s.MetricsAddress(ProxyMetrics), s.MetricsAddress(AgentMetrics), s.MetricsAddress(ControlMetrics)},
 		[]string{"10.1.0.35:7662", "10.1.0.35:7661", ""})
 }
 
-func TestSeedsOfAFileThatChanges(t *testing.T) {
+func TestFollowChangesTakesOverSeeds(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "boot.toml")
-	is.NoErr(os.WriteFile(path, []byte(file), 0o600))
+	is.NoErr(os.WriteFile(path, []byte(settingsFile), 0o600))
 	s, err := Read(path)
 	is.NoErr(err)
 
 	lines := make(chan string, 1)
 	log := funcr.New(func(_, args string) { lines <- args }, funcr.Options{})
 	signals := make(chan os.Signal)
-	ctx, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(t.Context())
+	var following sync.WaitGroup
+	following.Go(func() { s.FollowChanges(ctx, path, signals, log) })
+	defer following.Wait()
 	defer cancel()
-	go s.Follow(ctx, path, signals, log)
 
-	next := strings.Replace(file, "10.1.0.37", "10.1.0.99", 1)
+	next := strings.Replace(settingsFile, "10.1.0.37", "10.1.0.99", 1)
 	is.NoErr(os.WriteFile(path, []byte(next), 0o600))
 	signals <- os.Interrupt // any signal has it looked at
-	is.True(strings.Contains(<-lines, "other seeds"))
+	is.True(strings.Contains(<-lines, logevent.SeedsChanged))
 	is.Equal(s.SeedPeers(), []string{"10.1.0.99:7660", "10.2.0.30:7660"})
 
 	is.NoErr(os.WriteFile(path, []byte("seed_nodes = ["), 0o600))
 	signals <- os.Interrupt
-	is.True(strings.Contains(<-lines, "stay as they were"))
+	is.True(strings.Contains(<-lines, logevent.SettingsRejected))
 	is.Equal(s.SeedPeers(), []string{"10.1.0.99:7660", "10.2.0.30:7660"})
 }
 
 // A file that changes without a signal is found by its time and size.
-func TestSeedsOfAFileThatChangesWithoutASignal(t *testing.T) {
+func TestReloadFindsAChangeWithoutASignal(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "boot.toml")
-	is.NoErr(os.WriteFile(path, []byte(file), 0o600))
+	is.NoErr(os.WriteFile(path, []byte(settingsFile), 0o600))
 	s, err := Read(path)
 	is.NoErr(err)
-	before := stampOf(path)
-	is.NoErr(os.WriteFile(path, []byte(strings.Replace(file, "10.1.0.37", "10.1.0.9", 1)), 0o600))
-	is.True(stampOf(path) != before)
+	before := fileVersionOf(path)
+	is.NoErr(os.WriteFile(path, []byte(strings.Replace(settingsFile, "10.1.0.37", "10.1.0.9", 1)), 0o600))
+	is.True(fileVersionOf(path) != before)
 	s.reload(path, logr.Discard())
 	is.Equal(s.Seeds()[0], "10.1.0.9:8146")
 }
