--- a/internal/process/metricserver/compatibility_test.go
+++ b/internal/process/metricserver/compatibility_test.go
@@ -50,7 +50,7 @@
 		var ctx fasthttp.RequestCtx
 		ctx.Request.Header.SetMethod(http.MethodGet)
 		ctx.Request.SetRequestURI(path)
-		handler(set)(&ctx)
+		newHandler(set)(&ctx)
 		body, _, _ := strings.Cut(string(ctx.Response.Body()), "go_") // those of the process follow
 		body, _, _ = strings.Cut(body, "process_")
 		fmt.Fprintf(&out, "GET %s\n-> %d\nContent-Type: %s\n\n%s\n", path, ctx.Response.StatusCode(), ctx.Response.Header.ContentType(), body)
