--- a/internal/distribution/watch/backends.go
+++ b/internal/distribution/watch/backends.go
@@ -2,98 +2,93 @@
 
 import (
 	"slices"
+	"strings"
 	"time"
 
 	"marlreel/internal/api"
 )
 
-// mostDeparted is how many backends that left are kept for readers that lag.
-const mostDeparted = 2048
+const (
+	// maxDepartures is how many backends that left are remembered for subscribers that lag. One that lags further gets
+	// the complete list of backends: raising this costs some 50 bytes each, lowering it larger replies after a mass exit.
+	maxDepartures = 2048
+	// warmupTolerance is how much earlier than expected a warm-up may end before that counts as a change. Raising it
+	// hides shortened warm-ups from the proxies, lowering it makes the jitter of heartbeats a change each.
+	warmupTolerance = 400 * time.Millisecond
+)
 
+// backendRecord is what a backend said last. Its age and the rest of its warm-up are as of lastSeen.
 type backendRecord struct {
-	backend  *api.Backend // its age and what is left of its cold start are as of heardAt
-	heardAt  time.Time
-	revision uint64
+	backend  *api.Backend
+	lastSeen time.Time
+	revision uint64 // of the last change
 }
 
+// departure is a backend that left, at a revision.
 type departure struct {
 	id       string
 	service  string
 	revision uint64
 }
 
-// dropRetired takes backends off the list that have announced their end.
-func (s *Store) dropRetired() {
-	for id := range s.backends {
-		if s.machine.Retired(id) {
-			s.depart(id)
-		}
-	}
-}
-
-func (s *Store) depart(id string) {
-	service := s.backends[id].backend.Service
-	delete(s.backends, id)
-	s.serviceRevision[service] = s.revision + 1
-	s.departed = append(s.departed, departure{id, service, s.revision + 1})
-	if extra := len(s.departed) - mostDeparted; extra > 0 {
-		s.forgottenUpTo = s.departed[extra-1].revision
-		s.departed = slices.Clone(s.departed[extra:])
-	}
-}
-
-// RecordBackend takes in what a backend says of itself. It tells whether that was news.
+// RecordBackend records a backend's report on itself. It reports whether that changed anything.
 func (s *Store) RecordBackend(b *api.Backend) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.put(b) {
+	if !s.recordBackend(b) {
 		return false
 	}
-	s.touch()
+	s.publish()
 	return true
 }
 
-func (s *Store) put(b *api.Backend) bool {
+func (s *Store) recordBackend(b *api.Backend) bool {
 	if s.machine.Retired(b.Id) {
 		return false
 	}
-	heardAt := s.now().Add(-time.Duration(b.AgeMs) * time.Millisecond)
+	lastSeen := s.now().Add(-time.Duration(b.AgeMs) * time.Millisecond)
 	old := s.backends[b.Id]
-	if old != nil && b.CallSequence < old.backend.CallSequence {
-		return false // a late call
+	if old == nil {
+		s.setBackend(b, lastSeen)
+		return true
 	}
-	if old != nil && sameBackend(old.backend, b) {
-		old.backend.CallSequence = b.CallSequence
-		if heardAt.After(old.heardAt) {
-			old.heardAt, old.backend.WarmupLeftMs = heardAt, b.WarmupLeftMs
-		}
-		return false
+	if b.CallSequence < old.backend.CallSequence {
+		return false // it was overtaken by a later report
 	}
-	s.record(b, heardAt)
-	return true
+	if !sameBackend(old.backend, b) {
+		s.setBackend(b, lastSeen)
+		return true
+	}
+	old.backend.CallSequence = b.CallSequence
+	if lastSeen.After(old.lastSeen) {
+		old.lastSeen, old.backend.WarmupLeftMs = lastSeen, b.WarmupLeftMs
+	}
+	return false
 }
 
-// record keeps what a backend has newly said.
-func (s *Store) record(b *api.Backend, heardAt time.Time) {
-	s.backends[b.Id] = &backendRecord{b, heardAt, s.revision + 1}
-	s.serviceRevision[b.Service] = s.revision + 1
+// setBackend keeps a changed backend, to be published.
+func (s *Store) setBackend(b *api.Backend, lastSeen time.Time) {
+	s.backends[b.Id] = &backendRecord{b, lastSeen, s.nextRevision()}
+	s.serviceRevision[b.Service] = s.nextRevision()
 }
 
-// sameBackend tells whether nothing of note has changed.
+// sameBackend reports whether a later report b of a backend says nothing new after a.
 func sameBackend(a, b *api.Backend) bool {
-	const coldSlackMS = 400
 	drift := int(a.WarmupLeftMs) - int(b.WarmupLeftMs)
-	if (a.WarmupLeftMs > 0) != (b.WarmupLeftMs > 0) || drift < -coldSlackMS {
+	warmsUp := a.WarmupLeftMs > 0
+	if warmsUp != (b.WarmupLeftMs > 0) || drift < -int(warmupTolerance.Milliseconds()) {
 		return false
 	}
 	return a.Service == b.Service && a.Address == b.Address && a.Zone == b.Zone && a.Slots == b.Slots &&
-		a.Draining == b.Draining && slices.EqualFunc(a.Models, b.Models, func(x, y *api.LoadedModel) bool {
-		return x.Name == y.Name && x.Version == y.Version && slices.Equal(x.Adapters, y.Adapters)
-	})
+		a.Draining == b.Draining && slices.EqualFunc(a.Models, b.Models, sameModel)
 }
 
-// RefreshBackend notes that a backend lives and has nothing new to say. It tells whether the
-// backend is known as it was then.
+func sameModel(a, b *api.LoadedModel) bool {
+	return a.Name == b.Name && a.Version == b.Version && slices.Equal(a.Adapters, b.Adapters)
+}
+
+// RefreshBackend records that a backend was in contact at an age before now, and has nothing new to say. It reports
+// false where the backend is not known, so that the caller asks for its whole report.
 func (s *Store) RefreshBackend(id string, callSequence uint64, age time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,111 +96,136 @@
 	if record == nil {
 		return s.machine.Retired(id)
 	}
-	if heardAt := s.now().Add(-age); heardAt.After(record.heardAt) {
-		record.heardAt = heardAt
+	lastSeen := s.now().Add(-age)
+	if lastSeen.After(record.lastSeen) {
+		record.lastSeen = lastSeen
 	}
 	record.backend.CallSequence = max(record.backend.CallSequence, callSequence)
 	return true
 }
 
-// ExpireBackends drops the backends for which lost says so.
-func (s *Store) ExpireBackends(lost func(b *api.Backend, silent time.Duration) bool) {
+// NewObservation returns an observation of what a backend has loaded: adapters by model.
+func NewObservation(id string, loaded map[string][]string) *api.Observation {
+	o := &api.Observation{Id: id}
+	for model, adapters := range loaded {
+		o.Models = append(o.Models, &api.LoadedModel{Name: model, Adapters: adapters})
+	}
+	slices.SortFunc(o.Models, func(a, b *api.LoadedModel) int { return strings.Compare(a.Name, b.Name) })
+	return o
+}
+
+// RecordObservation records what a backend has loaded, as observed by the placement reconciler that gives it orders. It
+// is no contact with the backend as heartbeats are. It reports whether that changed anything; of a backend that is not
+// known nothing is recorded.
+func (s *Store) RecordObservation(o *api.Observation) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now, dropped := s.now(), false
-	for id, record := range s.backends {
-		if lost(record.backend, now.Sub(record.heardAt)) {
-			s.depart(id)
-			dropped = true
-		}
+	record := s.backends[o.Id]
+	if record == nil {
+		return false
 	}
-	if dropped {
-		s.touch()
+	next := backendAt(record, s.now())
+	next.AgeMs = 0
+	next.WarmupLeftMs = record.backend.WarmupLeftMs
+	next.Models = o.Models
+	if sameBackend(record.backend, next) {
+		return false
 	}
+	s.setBackend(next, record.lastSeen)
+	s.publish()
+	return true
 }
 
-// Backends gives all backends, their ages and cold times as of now.
-func (s *Store) Backends() []*api.Backend {
+// ExpireBackends removes the backends for which expired says so, by the time since their last contact.
+func (s *Store) ExpireBackends(expired func(b *api.Backend, sinceLastSeen time.Duration) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.backendsSince(0, nil)
-}
-
-func (s *Store) backendsSince(revision uint64, topics Topics) []*api.Backend {
-	now := s.now()
-	var list []*api.Backend
-	for _, record := range s.backends {
-		if record.revision > revision && topics.IncludesService(record.backend.Service) {
-			list = append(list, aged(record, now))
+	now, removed := s.now(), false
+	for id, record := range s.backends {
+		if expired(record.backend, now.Sub(record.lastSeen)) {
+			s.removeBackend(id)
+			removed = true
 		}
 	}
-	slices.SortFunc(list, func(a, b *api.Backend) int { return compareStrings(a.Id, b.Id) })
-	return list
+	if removed {
+		s.publish()
+	}
 }
 
-func compareStrings(a, b string) int {
-	switch {
-	case a < b:
-		return -1
-	case a > b:
-		return 1
+// removeRetired removes the backends that have announced their end, by the replicated state.
+func (s *Store) removeRetired() {
+	for id := range s.backends {
+		if s.machine.Retired(id) {
+			s.removeBackend(id)
+		}
 	}
-	return 0
 }
 
-// aged is a record as it is now.
-func aged(record *backendRecord, now time.Time) *api.Backend {
-	b := record.backend
-	silent := max(0, now.Sub(record.heardAt))
-	left := max(0, int64(b.WarmupLeftMs)-silent.Milliseconds())
-	return &api.Backend{
-		Id: b.Id, Service: b.Service, Address: b.Address, Zone: b.Zone, Software: b.Software, Slots: b.Slots,
-		Draining: b.Draining, WarmupLeftMs: uint32(left), Models: b.Models, CallSequence: b.CallSequence,
-		AgeMs: uint32(silent.Milliseconds()),
+// removeBackend removes a known backend, to be published, and remembers its departure.
+func (s *Store) removeBackend(id string) {
+	service := s.backends[id].backend.Service
+	delete(s.backends, id)
+	s.serviceRevision[service] = s.nextRevision()
+	s.departures = append(s.departures, departure{id, service, s.nextRevision()})
+	extra := len(s.departures) - maxDepartures
+	if extra > 0 {
+		s.departuresTrimmedTo = s.departures[extra-1].revision
+		s.departures = slices.Clone(s.departures[extra:])
 	}
 }
 
-// ServiceRevision is the revision at which a service's backends last changed.
-func (s *Store) ServiceRevision(service string) uint64 {
+// Backends returns copies of all backends in the order of their ids, with their ages and warm-ups as of now.
+func (s *Store) Backends() []*api.Backend {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.serviceRevision[service]
+	return s.backendsSince(0, nil)
 }
 
-// BackendsChangedSince gives the backends that have changed since a revision, and the revision now.
+// BackendsChangedSince returns the backends that have changed since a revision, and the newest revision.
 func (s *Store) BackendsChangedSince(revision uint64) ([]*api.Backend, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.backendsSince(revision, nil), s.revision
 }
 
-// NewObservation words what a backend holds.
-func NewObservation(id string, holds map[string][]string) *api.Observation {
-	o := &api.Observation{Id: id}
-	for model, adapters := range holds {
-		o.Models = append(o.Models, &api.LoadedModel{Name: model, Adapters: adapters})
+// ServiceRevision returns the revision at which a service's backends last changed.
+func (s *Store) ServiceRevision(service string) uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.serviceRevision[service]
+}
+
+func (s *Store) backendsSince(revision uint64, topics Topics) []*api.Backend {
+	now := s.now()
+	var backends []*api.Backend
+	for _, record := range s.backends {
+		if record.revision > revision && topics.IncludesService(record.backend.Service) {
+			backends = append(backends, backendAt(record, now))
+		}
 	}
-	slices.SortFunc(o.Models, func(a, b *api.LoadedModel) int { return compareStrings(a.Name, b.Name) })
-	return o
+	slices.SortFunc(backends, func(a, b *api.Backend) int { return strings.Compare(a.Id, b.Id) })
+	return backends
 }
 
-// RecordObservation takes in what a backend holds, as whoever gives it orders has seen. It tells
-// whether that was news.
-func (s *Store) RecordObservation(o *api.Observation) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	record := s.backends[o.Id]
-	if record == nil {
-		return false
+// departedSince returns the ids of the backends that have left since a revision and are not back.
+func (s *Store) departedSince(revision uint64, topics Topics) []string {
+	var ids []string
+	for _, d := range s.departures {
+		if d.revision > revision && topics.IncludesService(d.service) && s.backends[d.id] == nil {
+			ids = append(ids, d.id)
+		}
 	}
-	next := aged(record, s.now())
-	next.AgeMs = 0
-	next.WarmupLeftMs = record.backend.WarmupLeftMs
-	next.Models = o.Models
-	if sameBackend(record.backend, next) {
-		return false
+	return ids
+}
+
+// backendAt copies a record's backend, with its age and the rest of its warm-up at a time.
+func backendAt(record *backendRecord, now time.Time) *api.Backend {
+	b := record.backend
+	age := max(0, now.Sub(record.lastSeen))
+	warmupLeftMs := max(0, int64(b.WarmupLeftMs)-age.Milliseconds())
+	return &api.Backend{
+		Id: b.Id, Service: b.Service, Address: b.Address, Zone: b.Zone, Software: b.Software, Slots: b.Slots,
+		Draining: b.Draining, WarmupLeftMs: uint32(warmupLeftMs), Models: b.Models, CallSequence: b.CallSequence,
+		AgeMs: uint32(age.Milliseconds()),
 	}
-	s.record(next, record.heardAt)
-	s.touch()
-	return true
 }
--- a/internal/distribution/watch/compatibility_test.go
+++ b/internal/distribution/watch/compatibility_test.go
@@ -19,25 +19,25 @@
 	}
 }
 
-// A state that is too large for one answer is sent in parts, which make up the message of the
-// state in their order. A reader of the recorded version asks for the part after those it has.
+// A state that is too large for one reply is sent in parts, which make up the message of the
+// state in their order. A subscriber of the recorded version asks for the part after those it has.
 func TestCompatibilityOfStateParts(t *testing.T) {
-	document := `{"config_version":1,"remark":"` + strings.Repeat("x", 3*largestAnswer) + `"}`
+	document := `{"config_version":1,"remark":"` + strings.Repeat("x", 3*maxReplyStateBytes) + `"}`
 	store := New("source", time.Now)
 	store.InstallSnapshot(7, 99, &api.State{Version: 1, Document: []byte(document), LastFencingToken: 5})
 	request := &api.WatchRequest{}
 	var data []byte
 	for {
-		feed := store.HandleWatch(context.Background(), request, 0)
-		part := feed.StatePart
-		if part == nil || feed.State != nil || part.Sequence != 7 || part.Hash != 99 || part.Offset != uint64(len(data)) || len(part.Data) == 0 {
+		reply := store.HandleWatch(context.Background(), request, 0)
+		part := reply.StatePart
+		if part == nil || reply.State != nil || part.Sequence != 7 || part.Hash != 99 || part.Offset != uint64(len(data)) || len(part.Data) == 0 {
 			t.Fatalf("after %d bytes comes no part that goes on there", len(data))
 		}
 		data = append(data, part.Data...)
 		if uint64(len(data)) == part.Total {
 			break
 		}
-		request = &api.WatchRequest{Source: feed.Source, StatePart: &api.StatePart{Sequence: 7, Hash: 99, Offset: uint64(len(data)), Total: part.Total}}
+		request = &api.WatchRequest{Source: reply.Source, StatePart: &api.StatePart{Sequence: 7, Hash: 99, Offset: uint64(len(data)), Total: part.Total}}
 	}
 	want, err := proto.MarshalOptions{Deterministic: true}.Marshal(&api.State{Version: 1, Document: []byte(document), LastFencingToken: 5})
 	if err != nil {
--- /dev/null
+++ b/internal/distribution/watch/longpoll_test.go
@@ -0,0 +1,83 @@
+package watch
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/matryer/is"
+
+	"marlreel/internal/api"
+)
+
+// afterDelay makes a change while a subscriber waits.
+func afterDelay(t *testing.T, delay time.Duration, change func()) {
+	t.Helper()
+	timer := time.AfterFunc(delay, change)
+	t.Cleanup(func() { timer.Stop() })
+}
+
+func TestFirstUpdateAfterAQuietTimeIsSentAtOnce(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		source := New("source", time.Now)
+		subscriber := newTestSubscriber(source)
+		subscriber.poll()
+		afterDelay(t, 2*batchWindow, func() { source.RecordBackend(backend("a", "llm")) })
+		took, backends := subscriber.poll()
+		is.Equal(took, 2*batchWindow)
+		is.Equal(backends, 1)
+	})
+}
+
+func TestUpdatesOfBackendsAreBatched(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		source := New("source", time.Now)
+		subscriber := newTestSubscriber(source)
+		subscriber.poll()
+		for i, id := range []string{"a", "b", "c"} {
+			afterDelay(t, time.Duration(1+i)*batchWindow/8, func() { source.RecordBackend(backend(id, "llm")) })
+		}
+		took, backends := subscriber.poll()
+		is.Equal(took, batchWindow)
+		is.Equal(backends, 3)
+	})
+}
+
+func TestUpdatesOfTheStateAreNotBatched(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		source := New("source", time.Now)
+		subscriber := newTestSubscriber(source)
+		subscriber.poll()
+		afterDelay(t, batchWindow/8, func() { source.RecordBackend(backend("a", "llm")) })
+		afterDelay(t, batchWindow/4, func() { source.InstallSnapshot(1, 7, &api.State{}) })
+		took, backends := subscriber.poll()
+		is.Equal(took, batchWindow/4)
+		is.Equal(backends, 1)
+		sequence, _ := subscriber.store.Position()
+		is.Equal(sequence, uint64(1))
+	})
+}
+
+func TestSubscriberGetsItsTopicsAlone(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		source := New("source", time.Now)
+		source.RecordBackend(backend("a", "llm"))
+		source.RecordBackend(backend("b", "slips"))
+		subscriber := newTestSubscriber(source, ServiceTopic("slips"))
+		_, backends := subscriber.poll()
+		is.Equal(backends, 1)
+		afterDelay(t, batchWindow, func() {
+			source.RecordBackend(backend("c", "llm"))
+			source.InstallSnapshot(1, 7, &api.State{})
+		})
+		took, backends := subscriber.poll()
+		is.Equal(took, pollTimeout) // nothing of that is for it
+		is.Equal(backends, 0)
+		sequence, _ := subscriber.store.Position()
+		is.Equal(sequence, uint64(0))
+	})
+}
--- a/internal/distribution/watch/nodes.go
+++ b/internal/distribution/watch/nodes.go
@@ -2,60 +2,76 @@
 
 import (
 	"slices"
+	"strings"
 	"time"
 
 	"marlreel/internal/api"
 )
 
+// nodeRecord is a node as it reported last.
 type nodeRecord struct {
-	node    *api.Node
-	heardAt time.Time
+	node     *api.Node
+	lastSeen time.Time
 }
 
-// RecordNode notes that a node lives.
+// RecordNode records a node's report on itself.
 func (s *Store) RecordNode(n *api.Node) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.putNode(n) {
-		s.nodesRevision = s.revision + 1
-		s.touchState()
+	if s.recordNode(n) {
+		s.publishNodes()
 	}
 }
 
-func (s *Store) putNode(n *api.Node) (news bool) {
-	heardAt := s.now().Add(-time.Duration(n.AgeMs) * time.Millisecond)
+// publishNodes begins the next revision after a change of the nodes.
+func (s *Store) publishNodes() {
+	s.nodesRevision = s.nextRevision()
+	s.publishState()
+}
+
+// recordNode reports whether the report changed anything.
+func (s *Store) recordNode(n *api.Node) bool {
+	lastSeen := s.now().Add(-time.Duration(n.AgeMs) * time.Millisecond)
 	old := s.nodes[n.Name]
-	if old != nil && old.node.Incarnation == n.Incarnation && old.node.Address == n.Address && (old.node.Draining || !n.Draining) {
-		if heardAt.After(old.heardAt) {
-			old.heardAt = heardAt
+	if old == nil {
+		s.nodes[n.Name] = &nodeRecord{n, lastSeen}
+		return true
+	}
+	if sameNode(old.node, n) {
+		if lastSeen.After(old.lastSeen) {
+			old.lastSeen = lastSeen
 		}
 		return false
 	}
-	if old != nil && old.heardAt.After(heardAt) {
-		return false // word of an earlier life
+	if old.lastSeen.After(lastSeen) {
+		return false // a report of an earlier incarnation
 	}
-	s.nodes[n.Name] = &nodeRecord{n, heardAt}
+	s.nodes[n.Name] = &nodeRecord{n, lastSeen}
 	return true
 }
 
-// ExpireNodes drops the nodes that have been silent for so long.
-func (s *Store) ExpireNodes(silent time.Duration) {
+// sameNode reports whether a report b says nothing new after a. A node that drains doesn't return from that.
+func sameNode(a, b *api.Node) bool {
+	return a.Incarnation == b.Incarnation && a.Address == b.Address && (a.Draining || !b.Draining)
+}
+
+// ExpireNodes removes the nodes whose last report is longer ago than a timeout.
+func (s *Store) ExpireNodes(timeout time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now, dropped := s.now(), false
+	now, removed := s.now(), false
 	for name, record := range s.nodes {
-		if now.Sub(record.heardAt) > silent {
+		if now.Sub(record.lastSeen) > timeout {
 			delete(s.nodes, name)
-			dropped = true
+			removed = true
 		}
 	}
-	if dropped {
-		s.nodesRevision = s.revision + 1
-		s.touchState()
+	if removed {
+		s.publishNodes()
 	}
 }
 
-// Nodes gives all nodes, in the order of their names.
+// Nodes returns copies of all nodes in the order of their names, with their ages as of now.
 func (s *Store) Nodes() []*api.Node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,44 +80,44 @@
 
 func (s *Store) listNodes() []*api.Node {
 	now := s.now()
-	list := make([]*api.Node, 0, len(s.nodes))
+	nodes := make([]*api.Node, 0, len(s.nodes))
 	for _, record := range s.nodes {
 		n := record.node
-		list = append(list, &api.Node{
+		nodes = append(nodes, &api.Node{
 			Name: n.Name, Address: n.Address, Zone: n.Zone, Incarnation: n.Incarnation, Draining: n.Draining,
-			AgeMs: uint32(max(0, now.Sub(record.heardAt)).Milliseconds()),
+			AgeMs: uint32(max(0, now.Sub(record.lastSeen)).Milliseconds()),
 		})
 	}
-	slices.SortFunc(list, func(a, b *api.Node) int { return compareStrings(a.Name, b.Name) })
-	return list
+	slices.SortFunc(nodes, func(a, b *api.Node) int { return strings.Compare(a.Name, b.Name) })
+	return nodes
 }
 
-// NodesChangedSince tells whether a node has come, gone or said something new since a revision.
+// NodesChangedSince reports whether a node has come, gone or reported something new since a revision.
 func (s *Store) NodesChangedSince(revision uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.nodesRevision > revision
 }
 
-// SetControlNodes says where the control processes are.
-func (s *Store) SetControlNodes(controls []*api.ControlNode) {
+// SetControlNodes records where the control processes are. An empty list changes nothing.
+func (s *Store) SetControlNodes(nodes []*api.ControlNode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(controls) > 0 && !sameControls(s.controls, controls) {
-		s.controls = slices.Clone(controls)
-		s.touchState()
+	if len(nodes) > 0 && !sameControlNodes(s.controlNodes, nodes) {
+		s.controlNodes = slices.Clone(nodes)
+		s.publishState()
 	}
 }
 
-func sameControls(a, b []*api.ControlNode) bool {
+func sameControlNodes(a, b []*api.ControlNode) bool {
 	return slices.EqualFunc(a, b, func(x, y *api.ControlNode) bool {
 		return x.Address == y.Address && x.Zone == y.Zone && x.PublicAddress == y.PublicAddress
 	})
 }
 
-// ControlNodes are the control processes, as last known. They must not be changed.
+// ControlNodes returns the control processes as last known. The list must not be changed.
 func (s *Store) ControlNodes() []*api.ControlNode {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.controls
+	return s.controlNodes
 }
--- /dev/null
+++ b/internal/distribution/watch/snapshot_chunks.go
@@ -0,0 +1,94 @@
+package watch
+
+import (
+	"google.golang.org/protobuf/proto"
+
+	"marlreel/internal/api"
+)
+
+// maxReplyStateBytes bounds the replicated state, or a chunk of it, in one reply, in bytes. On 10 Mbit/s it takes 52 ms,
+// for which whatever else the source sends waits: raising it delays heartbeats and urgent updates there, lowering it
+// adds a round trip for each further chunk.
+const maxReplyStateBytes = 64 << 10
+
+// encodedSnapshot is the replicated state as it is served in chunks.
+type encodedSnapshot struct {
+	sequence, hash uint64
+	data           []byte
+}
+
+// partialSnapshot is a snapshot of which some chunks have been received.
+type partialSnapshot struct {
+	source         string
+	sequence, hash uint64
+	totalBytes     uint64
+	data           []byte
+}
+
+// addSnapshot adds the whole state to a reply, or the chunk of it that is asked for where it is large.
+func (s *Store) addSnapshot(reply *api.WatchReply, request *api.WatchRequest) {
+	offset := uint64(0)
+	if s.canContinue(request) {
+		offset = request.StatePart.Offset
+	} else {
+		snapshot := s.machine.State()
+		if proto.Size(snapshot) <= maxReplyStateBytes {
+			reply.State = snapshot
+			return
+		}
+		s.encodeSnapshot(snapshot, request.Sequence)
+	}
+	data := s.encoded.data
+	end := min(uint64(len(data)), offset+maxReplyStateBytes)
+	reply.StatePart = &api.StatePart{
+		Sequence: s.encoded.sequence, Hash: s.encoded.hash, Offset: offset, Total: uint64(len(data)),
+		Data: data[offset:end],
+	}
+}
+
+// canContinue reports whether a subscriber asks for a further chunk of the snapshot that is encoded here.
+func (s *Store) canContinue(request *api.WatchRequest) bool {
+	chunk := request.StatePart
+	if chunk == nil || request.Source != s.source || s.encoded == nil {
+		return false
+	}
+	return chunk.Sequence == s.encoded.sequence && chunk.Hash == s.encoded.hash && chunk.Offset < uint64(len(s.encoded.data))
+}
+
+// encodeSnapshot prepares the state for being served in chunks, to a subscriber that knows it up to an entry. One that
+// was prepared before is used again for who knows less, as long as the entries since then are kept: they are next.
+func (s *Store) encodeSnapshot(snapshot *api.State, known uint64) {
+	if s.encoded != nil && known < s.encoded.sequence && s.sequence-s.encoded.sequence <= uint64(len(s.log.entries)) {
+		return
+	}
+	data, _ := proto.MarshalOptions{Deterministic: true}.Marshal(snapshot) // a message of plain fields always marshals
+	s.encoded = &encodedSnapshot{s.sequence, s.hash, data}
+}
+
+// applyChunk adds a chunk to those that a subscriber has, and installs the snapshot once it is complete. A chunk that does
+// not follow on these, or is of another snapshot or source, makes the subscriber start over.
+func (s *Store) applyChunk(source string, chunk *api.StatePart, cursor *Cursor) {
+	if chunk.Offset == 0 {
+		cursor.partial = &partialSnapshot{source: source, sequence: chunk.Sequence, hash: chunk.Hash, totalBytes: chunk.Total}
+	}
+	p := cursor.partial
+	if p == nil || !p.continuedBy(source, chunk) {
+		cursor.partial = nil
+		return
+	}
+	p.data = append(p.data, chunk.Data...)
+	if uint64(len(p.data)) < p.totalBytes {
+		return
+	}
+	cursor.partial = nil
+	snapshot := new(api.State)
+	if proto.Unmarshal(p.data, snapshot) == nil {
+		s.installSnapshot(p.sequence, p.hash, snapshot)
+	}
+}
+
+// continuedBy reports whether a chunk is the next one of this snapshot.
+func (p *partialSnapshot) continuedBy(source string, chunk *api.StatePart) bool {
+	return p.source == source && p.sequence == chunk.Sequence && p.hash == chunk.Hash && p.totalBytes == chunk.Total &&
+		chunk.Offset == uint64(len(p.data))
+}
