--- a/internal/distribution/relay/compatibility_test.go
+++ b/internal/distribution/relay/compatibility_test.go
@@ -36,9 +36,8 @@
 	}
 }
 
-// Each agent works the homes out by itself: versions that choose otherwise read from nodes that
-// don't follow the topic.
-func TestCompatibilityOfHomes(t *testing.T) {
+// Each agent chooses the relays by itself: versions that choose otherwise watch at nodes that don't watch the topic.
+func TestCompatibilityOfRelays(t *testing.T) {
 	var nodes []*api.Node
 	for i := range 6 {
 		nodes = append(nodes, &api.Node{
--- a/internal/distribution/relay/homes_test.go
+++ b/internal/distribution/relay/relay_test.go
@@ -17,7 +17,7 @@
 
 var topics = watch.Topics{watch.TopicState, watch.ServiceTopic("llm"), watch.ServiceTopic("slips")}
 
-func TestAnAgentAloneInItsZoneReadsFromControl(t *testing.T) {
+func TestOnlyAgentOfAZoneWatchesAtControl(t *testing.T) {
 	is := is.New(t)
 	plan := Plan(node(1, "east"), []*api.Node{node(1, "east"), node(2, "west"), node(3, "west")}, topics)
 	is.Equal(len(plan), 1)
@@ -25,53 +25,53 @@
 	is.Equal(len(plan[0].Topics), len(topics))
 }
 
-func TestALeavingNodeIsNoHome(t *testing.T) {
+func TestDrainingNodeIsNoRelay(t *testing.T) {
 	is := is.New(t)
-	leaving := node(2, "east")
-	leaving.Draining = true
-	plan := Plan(node(1, "east"), []*api.Node{node(1, "east"), leaving}, topics)
+	draining := node(2, "east")
+	draining.Draining = true
+	plan := Plan(node(1, "east"), []*api.Node{node(1, "east"), draining}, topics)
 	is.Equal(len(plan), 1)
 	is.Equal(plan[0].Relay, "")
 }
 
-// Every zone has one home a topic, however many agents it has, and the homes are spread.
-func TestOneHomeATopicAndZone(t *testing.T) {
+// Every zone has one relay for each topic, however many agents it has.
+func TestOneRelayForEachTopicAndZone(t *testing.T) {
 	is := is.New(t)
 	var nodes []*api.Node
 	for i := range 120 {
 		nodes = append(nodes, node(i, fmt.Sprint("zone-", i%4)))
 	}
-	var many watch.Topics
+	var manyTopics watch.Topics
 	for i := range 40 {
-		many = append(many, watch.ServiceTopic(fmt.Sprint(i)))
+		manyTopics = append(manyTopics, watch.ServiceTopic(fmt.Sprint(i)))
 	}
-	direct, homes := 0, map[string]int{}
+	atControl, relayed := 0, map[string]int{}
 	for _, n := range nodes {
-		for _, subscription := range Plan(n, nodes, many) {
+		for _, subscription := range Plan(n, nodes, manyTopics) {
 			if subscription.Relay == "" {
-				direct += len(subscription.Topics)
-				homes[n.Zone] += len(subscription.Topics)
+				atControl += len(subscription.Topics)
+				relayed[n.Zone] += len(subscription.Topics)
 			}
 		}
 	}
-	is.Equal(direct, 4*len(many))
-	for _, count := range homes {
-		is.Equal(count, len(many))
+	is.Equal(atControl, 4*len(manyTopics))
+	for _, count := range relayed {
+		is.Equal(count, len(manyTopics))
 	}
 }
 
-// Nodes that know any lists of each other, some of which leave, never read a topic from one
-// another in a circle: whoever follows the way from home to home gets to control.
-func TestNoCircles(t *testing.T) {
+// Nodes that know any subsets of each other, some of which drain, never watch a topic at one another in a circle: the
+// way from relay to relay ends at control.
+func TestRelaysNeverFormACycle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(2, 12).Draw(t, "nodes")
-		lists := make([][]*api.Node, count)
-		for i := range lists {
+		known := make([][]*api.Node, count)
+		for i := range known {
 			for j := range count {
-				if rapid.Bool().Draw(t, "known") {
-					known := node(j, "east")
-					known.Draining = rapid.IntRange(0, 3).Draw(t, "leaving") == 0
-					lists[i] = append(lists[i], known)
+				if rapid.Bool().Draw(t, "knows") {
+					peer := node(j, "east")
+					peer.Draining = rapid.IntRange(0, 3).Draw(t, "draining") == 0
+					known[i] = append(known[i], peer)
 				}
 			}
 		}
@@ -84,9 +84,9 @@
 				at := first
 				for step := 0; ; step++ {
 					if step > count {
-						t.Fatalf("topic %s: a circle from node %d", topic, first)
+						t.Fatalf("topic %s: a cycle from node %d", topic, first)
 					}
-					subscription := Plan(node(at, "east"), lists[at], watch.Topics{topic})[0]
+					subscription := Plan(node(at, "east"), known[at], watch.Topics{topic})[0]
 					if subscription.Relay == "" {
 						break
 					}
