--- a/internal/distribution/relay/relay.go
+++ b/internal/distribution/relay/relay.go
@@ -23,7 +23,7 @@
 			candidates = append(candidates, node)
 		}
 	}
-	return lease.Choose(hashPrefix+topic, candidates)
+	return lease.SelectNode(hashPrefix+topic, candidates)
 }
 
 // Subscription is what is watched at one source.
