--- a/internal/agent/demand.go
+++ b/internal/agent/demand.go
@@ -11,142 +11,152 @@
 	"marlreel/internal/dataplane/backlog"
 	"marlreel/internal/distribution/relay"
 	"marlreel/internal/distribution/watch"
+	"marlreel/internal/process/transport"
 )
 
 const (
-	// passTimeout bounds passing reports on.
-	passTimeout = 500 * time.Millisecond
-	// askTimeout bounds asking a home: an answer that comes later is too old to be of use.
-	askTimeout = 200 * time.Millisecond
-	// passGap is the least time between two calls to the same agent: what comes in between
-	// goes together.
-	passGap = 100 * time.Millisecond
-	// mostPassed bounds the reports that wait for one agent; beyond it the oldest go.
-	mostPassed = 1024
+	// forwardTimeout bounds a call that forwards reports to a lease holder. Raising it lets a holder that hangs delay the
+	// reports of a whole zone.
+	forwardTimeout = 500 * time.Millisecond
+	// relayTimeout bounds a call to a relay, for whose answer the proxy waits: one that comes later is too old to be of use.
+	relayTimeout = 200 * time.Millisecond
 )
 
-// demandRelay brings reports of demand to the holders of the roles that place models. Those
-// of a zone's proxies go to the home of their service there, and from it to the holder: so a
-// holder gets a call for each zone and not for each proxy. The answers bring back what other
-// proxies have sent to the backends.
-type demandRelay struct {
-	agent *Agent
-	self  *api.Node
-	began time.Time
+// demandForwarder brings reports of demand to the agents that hold placement leases. Those of a zone's proxies go to the
+// relay of their service there, and from it to the holder: so a holder gets a call for each zone and not for each proxy.
+// The answers bring back the backlogs: how much work other proxies have sent to the backends.
+type demandForwarder struct {
+	self   *api.Node
+	store  *watch.Store
+	client *transport.Client
+	record func(node, zone string, demands []*api.Demand) // tells this agent's own reconcilers
+	queue  *reportQueue
+	began  time.Time
 
 	mu       sync.Mutex
-	waiting  map[string][]*api.DemandReport // for holders, by their addresses
 	backlogs *backlog.Table
 }
 
-func newDemandRelay(a *Agent, self *api.Node) *demandRelay {
-	return &demandRelay{agent: a, self: self, began: time.Now(), waiting: map[string][]*api.DemandReport{}, backlogs: backlog.NewTable()}
+func newDemandForwarder(
+	self *api.Node, store *watch.Store, client *transport.Client, record func(node, zone string, demands []*api.Demand),
+) *demandForwarder {
+	f := &demandForwarder{self: self, store: store, client: client, record: record, began: time.Now(), backlogs: backlog.NewTable()}
+	f.queue = newReportQueue(f.forward)
+	return f
 }
 
-// own takes in a report of this agent's own proxy, and answers what others have sent to the
-// backends: by the word of the service's home in the zone, or as this agent knows it as that home.
-func (r *demandRelay) own(ctx context.Context, report *api.DemandReport) *api.DemandReply {
-	r.note(report)
+// stop ends the calls that are in flight. Reports that come later go nowhere.
+func (f *demandForwarder) stop() { f.queue.stop() }
+
+// handleOwnReport takes a report of this agent's own proxy. It answers what others have sent to the backends: by the
+// service's relay, or as this agent knows it as that relay.
+func (f *demandForwarder) handleOwnReport(ctx context.Context, report *api.DemandReport) *api.DemandReply {
+	f.recordReport(report)
 	reply := &api.DemandReply{}
-	for service, part := range byService(report) {
-		holder := r.holderOf(service)
-		home := r.homeOf(service)
-		if holder == r.self.Address {
-			part.Demands = nil // they are taken in here; the home is to know of the work alone
+	for service, part := range splitByService(report) {
+		holder := f.holderAddress(service)
+		relayAddress := f.relayAddress(service)
+		if holder == f.self.Address {
+			part.Demands = nil // they are recorded here; the relay has to know the backlogs alone
 		}
-		if home != r.self.Address {
-			reply.OtherBacklogs = append(reply.OtherBacklogs, r.askHome(ctx, home, holder, part)...)
+		if relayAddress != f.self.Address {
+			reply.OtherBacklogs = append(reply.OtherBacklogs, f.reportToRelay(ctx, relayAddress, holder, part)...)
 			continue
 		}
-		if holder != "" && holder != r.self.Address {
-			r.enqueue(holder, part)
-		}
-		reply.OtherBacklogs = append(reply.OtherBacklogs, r.othersOf(service, func(s backlog.Reporter) bool { return s.Node != r.self.Name }))
+		f.enqueue(holder, part)
+		reply.OtherBacklogs = append(reply.OtherBacklogs, f.sumBacklogs(service, func(reporter backlog.Reporter) bool {
+			return reporter.Node != f.self.Name
+		}))
 	}
 	return reply
 }
 
-// askHome hands a report to the home of its service. Where that does not answer, the report goes
-// to the holder itself.
-func (r *demandRelay) askHome(ctx context.Context, home, holder string, part *api.DemandReport) []*api.Backlog {
-	call, cancel := context.WithTimeout(ctx, askTimeout)
+// reportToRelay hands a report to the relay of its service. If that does not answer, the report goes to the holder.
+func (f *demandForwarder) reportToRelay(ctx context.Context, relayAddress, holder string, report *api.DemandReport) []*api.Backlog {
+	call, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	reply, err := r.call(call, home, []*api.DemandReport{part})
-	if err == nil {
-		return reply.OtherBacklogs
-	}
-	if holder != "" && holder != r.self.Address {
-		r.enqueue(holder, part)
+	reply, err := f.call(call, relayAddress, []*api.DemandReport{report})
+	if err != nil {
+		f.enqueue(holder, report)
+		return nil
 	}
-	return nil
+	return reply.OtherBacklogs
 }
 
-// passed takes in what another agent passes on, and answers what others than it have sent.
-func (r *demandRelay) passed(batch *api.DemandBatch) *api.DemandReply {
+// handleForwarded takes reports that another agent forwards, and answers what others than it have sent to the backends.
+func (f *demandForwarder) handleForwarded(batch *api.DemandBatch) *api.DemandReply {
 	services := map[string]bool{}
 	final := false
 	for _, report := range batch.Reports {
-		r.note(report)
+		f.recordReport(report)
 		final = final || report.Final
-		for service, part := range byService(report) {
+		for service, part := range splitByService(report) {
 			services[service] = true
-			holder := r.holderOf(service)
-			// What is final goes no further: processes that take different ones for the holder don't send it to and fro.
-			if !report.Final && holder != "" && holder != r.self.Address {
-				r.enqueue(holder, part)
+			holder := f.holderAddress(service)
+			// A final report goes no further: agents that know different holders don't forward it to and fro.
+			if !report.Final {
+				f.enqueue(holder, part)
 			}
 		}
 	}
-	counts := func(s backlog.Reporter) bool { return s.Node != batch.Node }
+	counts := func(reporter backlog.Reporter) bool { return reporter.Node != batch.Node }
 	if final {
-		counts = func(s backlog.Reporter) bool { return s != backlog.OtherZones && s.Zone != batch.Zone }
+		counts = func(reporter backlog.Reporter) bool {
+			return reporter != backlog.OtherZones && reporter.Zone != batch.Zone
+		}
 	}
 	reply := &api.DemandReply{}
 	for service := range services {
-		reply.OtherBacklogs = append(reply.OtherBacklogs, r.othersOf(service, counts))
+		reply.OtherBacklogs = append(reply.OtherBacklogs, f.sumBacklogs(service, counts))
 	}
 	return reply
 }
 
-// note takes in what a report says of demand and of work that was sent.
-func (r *demandRelay) note(report *api.DemandReport) {
-	r.agent.placers.asked(report.Node, report.Zone, report.Demands)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, b := range report.Backlogs {
-		r.backlogs.RecordReport(time.Since(r.began), b.Service, backlog.Reporter{Node: report.Node, Zone: report.Zone}, backlog.FromProto(b))
+// recordReport records the demand and the backlogs that a report brings.
+func (f *demandForwarder) recordReport(report *api.DemandReport) {
+	f.record(report.Node, report.Zone, report.Demands)
+	f.recordBacklogs(backlog.Reporter{Node: report.Node, Zone: report.Zone}, report.Backlogs)
+}
+
+func (f *demandForwarder) recordBacklogs(reporter backlog.Reporter, backlogs []*api.Backlog) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, b := range backlogs {
+		f.backlogs.RecordReport(time.Since(f.began), b.Service, reporter, backlog.FromProto(b))
 	}
 }
 
-// othersOf words what those that count have sent to a service's backends.
-func (r *demandRelay) othersOf(service string, counts func(backlog.Reporter) bool) *api.Backlog {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return backlog.ToProto(service, r.backlogs.Sum(time.Since(r.began), service, counts))
+// sumBacklogs returns how much work those reporters that count have sent to a service's backends.
+func (f *demandForwarder) sumBacklogs(service string, counts func(backlog.Reporter) bool) *api.Backlog {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return backlog.ToProto(service, f.backlogs.Sum(time.Since(f.began), service, counts))
 }
 
-// byService splits a report by service.
-func byService(report *api.DemandReport) map[string]*api.DemandReport {
-	parts := map[string]*api.DemandReport{}
+// splitByService splits a report by service.
+func splitByService(report *api.DemandReport) map[string]*api.DemandReport {
+	reports := map[string]*api.DemandReport{}
 	of := func(service string) *api.DemandReport {
-		if parts[service] == nil {
-			parts[service] = &api.DemandReport{Node: report.Node, Zone: report.Zone}
+		if reports[service] == nil {
+			reports[service] = &api.DemandReport{Node: report.Node, Zone: report.Zone}
 		}
-		return parts[service]
+		return reports[service]
 	}
-	for _, d := range report.Demands {
-		of(d.Service).Demands = append(of(d.Service).Demands, d)
+	for _, demand := range report.Demands {
+		r := of(demand.Service)
+		r.Demands = append(r.Demands, demand)
 	}
 	for _, b := range report.Backlogs {
-		of(b.Service).Backlogs = append(of(b.Service).Backlogs, b)
+		r := of(b.Service)
+		r.Backlogs = append(r.Backlogs, b)
 	}
-	return parts
+	return reports
 }
 
-// holderOf is the address of the agent that places a service's models; empty: none does.
-func (r *demandRelay) holderOf(service string) string {
+// holderAddress returns the address of the agent that holds a service's placement lease; empty: none does.
+func (f *demandForwarder) holderAddress(service string) string {
 	address := ""
-	r.agent.feed.ReadState(func(m *state.Machine) {
+	f.store.ReadState(func(m *state.Machine) {
 		if owner := m.Owner(lease.PlacementKey(service)); owner != nil {
 			address = owner.Address
 		}
@@ -154,66 +164,34 @@
 	return address
 }
 
-// homeOf is the address of a service's home in this zone.
-func (r *demandRelay) homeOf(service string) string {
-	return relay.Select(watch.ServiceTopic(service), r.self, r.agent.feed.Nodes()).Address
+// relayAddress returns the address of a service's relay in this zone.
+func (f *demandForwarder) relayAddress(service string) string {
+	return relay.Select(watch.ServiceTopic(service), f.self, f.store.Nodes()).Address
 }
 
-// enqueue has a report sent: at once, or with others once passGap is over.
-func (r *demandRelay) enqueue(next string, report *api.DemandReport) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	queue, sending := r.waiting[next]
-	if len(queue) >= mostPassed {
-		queue = queue[1:]
+// enqueue has a report forwarded to a lease holder, unless there is none or it is this agent.
+func (f *demandForwarder) enqueue(holder string, report *api.DemandReport) {
+	if holder != "" && holder != f.self.Address {
+		f.queue.add(holder, report)
 	}
-	r.waiting[next] = append(queue, report)
-	if !sending {
-		go r.send(next)
-	}
-}
-
-// dequeue gives what waits for an agent. Where nothing does, its sender ends.
-func (r *demandRelay) dequeue(next string) []*api.DemandReport {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	queue := r.waiting[next]
-	if len(queue) == 0 {
-		delete(r.waiting, next)
-		return nil
-	}
-	r.waiting[next] = nil
-	return queue
 }
 
-// send passes on all that waits for an agent, until nothing does. What does not reach a holder is
-// told again while requests wait for it.
-func (r *demandRelay) send(holder string) {
-	for reports := r.dequeue(holder); reports != nil; reports = r.dequeue(holder) {
-		r.sendTo(holder, reports)
-		rest(context.Background(), passGap)
-	}
-}
-
-// sendTo hands reports to a holder, and takes in what it says of other zones.
-func (r *demandRelay) sendTo(holder string, reports []*api.DemandReport) {
-	call, cancel := context.WithTimeout(context.Background(), passTimeout)
+// forward sends reports to a lease holder, and records what it answers of other zones. Reports that don't reach it are
+// lost: the proxies report again while requests wait.
+func (f *demandForwarder) forward(ctx context.Context, holder string, reports []*api.DemandReport) {
+	call, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	for _, report := range reports {
 		report.Final = true
 	}
-	reply, err := r.call(call, holder, reports)
+	reply, err := f.call(call, holder, reports)
 	if err != nil {
 		return
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, b := range reply.OtherBacklogs {
-		r.backlogs.RecordReport(time.Since(r.began), b.Service, backlog.OtherZones, backlog.FromProto(b))
-	}
+	f.recordBacklogs(backlog.OtherZones, reply.OtherBacklogs)
 }
 
-func (r *demandRelay) call(ctx context.Context, next string, reports []*api.DemandReport) (*api.DemandReply, error) {
-	batch := &api.DemandBatch{Reports: reports, Node: r.self.Name, Zone: r.self.Zone}
-	return api.NewAgentProtobufClient("http://"+next, r.agent.client).PassDemand(ctx, batch)
+func (f *demandForwarder) call(ctx context.Context, address string, reports []*api.DemandReport) (*api.DemandReply, error) {
+	batch := &api.DemandBatch{Reports: reports, Node: f.self.Name, Zone: f.self.Zone}
+	return api.NewAgentProtobufClient("http://"+address, f.client).PassDemand(ctx, batch)
 }
--- a/internal/agent/membership.go
+++ b/internal/agent/membership.go
@@ -8,105 +8,111 @@
 
 	"marlreel/internal/api"
 	"marlreel/internal/distribution/watch"
+	"marlreel/internal/process/logevent"
+	"marlreel/internal/process/timing"
 	"marlreel/internal/process/transport"
 )
 
 const (
-	// renewNodeEvery is how often a node reports to control.
-	renewNodeEvery = 600 * time.Millisecond
-	// renewNodeTimeout bounds one report.
-	renewNodeTimeout = 400 * time.Millisecond
-	// lagPatience is how long the usual way may take longer than a report to bring the
-	// replicated state.
-	lagPatience = 150 * time.Millisecond
-	// fetchTimeout bounds one call that fetches it from control, and fetchPatience all of them, where it comes in parts.
-	fetchTimeout  = 500 * time.Millisecond
-	fetchPatience = 2 * time.Second
+	// nodeRenewInterval is how often a node reports to control. Raising it lets lost nodes, and a state that lags, go
+	// unnoticed for longer; lowering it costs each control process calls from all nodes.
+	nodeRenewInterval = 600 * time.Millisecond
+	// nodeRenewTimeout bounds one report. Raising it lets a control process that hangs hold the node up.
+	nodeRenewTimeout = 400 * time.Millisecond
+	// nodeRenewBackoff is between two reports that failed.
+	nodeRenewBackoff = 20 * time.Millisecond
+	// catchUpGrace is how much later than a report's answer the watch may bring the replicated state. Raising it delays
+	// changes where the relay hangs, lowering it fetches states from control that are on their way already.
+	catchUpGrace = 150 * time.Millisecond
+	// fetchTimeout bounds one call for the state, and maxFetchTime all of them, where it comes in chunks.
+	fetchTimeout = 500 * time.Millisecond
+	maxFetchTime = 2 * time.Second
 )
 
-// membership keeps this node listed at the core, and sees by the answers whether the state
-// that its source gives it lags. Then it fetches the state from control: so a change is in
-// force here in time also where the home hangs.
+// membership keeps this node listed at control, and sees by the answers whether the replicated state lags that the watch
+// brings. Then it fetches the state from control: so a change is in force here in time also where the relay hangs.
 type membership struct {
 	node     *api.Node
 	controls func() []string
-	feed     *watch.Store
+	store    *watch.Store
 	client   *transport.Client
 	log      logr.Logger
 }
 
-// run reports until ctx ends. From when leaving ends on, the node says that it leaves.
-func (m *membership) run(ctx, leaving context.Context) {
-	ticker := time.NewTicker(renewNodeEvery)
+// run reports until ctx ends. From when active ends on, the node reports that it drains.
+func (m *membership) run(ctx, active context.Context) {
+	ticker := time.NewTicker(nodeRenewInterval)
 	defer ticker.Stop()
-	leaves := leaving.Done()
-	for at := 0; ; {
+	draining := active.Done()
+	next := 0 // of the control processes, modulo their number
+	for {
 		controls := m.controls()
-		if len(controls) > 0 && !m.report(ctx, controls[at%len(controls)], leaving.Err() != nil) {
-			at++
-			rest(ctx, leastRenewPause)
-			if at%len(controls) != 0 && ctx.Err() == nil {
+		if len(controls) > 0 && !m.renew(ctx, controls[next%len(controls)], active.Err() != nil) {
+			next++
+			timing.Sleep(ctx, nodeRenewBackoff)
+			if next%len(controls) != 0 && ctx.Err() == nil {
 				continue // another one may answer
 			}
 		}
 		select {
 		case <-ticker.C:
-		case <-leaves:
-			leaves = nil
+		case <-draining:
+			draining = nil
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// leastRenewPause is between two tries that failed.
-const leastRenewPause = 20 * time.Millisecond
-
-// report calls one control process.
-func (m *membership) report(ctx context.Context, control string, leaving bool) bool {
-	node := &api.Node{Name: m.node.Name, Address: m.node.Address, Zone: m.node.Zone, Incarnation: m.node.Incarnation, Draining: leaving}
-	call, cancel := context.WithTimeout(ctx, renewNodeTimeout)
+// renew reports to one control process. It reports whether that has answered.
+func (m *membership) renew(ctx context.Context, control string, draining bool) bool {
+	node := &api.Node{Name: m.node.Name, Address: m.node.Address, Zone: m.node.Zone, Incarnation: m.node.Incarnation, Draining: draining}
+	call, cancel := context.WithTimeout(ctx, nodeRenewTimeout)
 	defer cancel()
 	reply, err := api.NewControlProtobufClient("http://"+control, m.client).Renew(call, &api.RenewRequest{Node: node})
 	if err != nil {
 		return false
 	}
+	if !m.lags(reply.Sequence) {
+		return true
+	}
+	timing.Sleep(ctx, catchUpGrace)
 	if m.lags(reply.Sequence) {
-		rest(ctx, lagPatience)
-		if m.lags(reply.Sequence) {
-			m.fetch(ctx, control)
-		}
+		m.fetchState(ctx, control)
 	}
 	return true
 }
 
-// lags tells whether less of the replicated state is known here.
+// lags reports whether the replicated state is known here to an earlier sequence number.
 func (m *membership) lags(sequence uint64) bool {
-	known, _ := m.feed.Position()
+	known, _ := m.store.Position()
 	return known < sequence
 }
 
-// fetch reads the replicated state from control itself.
-func (m *membership) fetch(ctx context.Context, control string) {
+// fetchState reads the replicated state from control itself. Where that fails, the next report finds that it still lags.
+func (m *membership) fetchState(ctx context.Context, control string) {
 	cursor := watch.NewCursor(watch.Topics{watch.TopicState})
-	patience, cancel := context.WithTimeout(ctx, fetchPatience)
+	fetchCtx, cancel := context.WithTimeout(ctx, maxFetchTime)
 	defer cancel()
-	for again := true; again; again = cursor.ReceivingSnapshot() {
-		if !m.fetchOnce(patience, control, cursor) {
-			return // the next report finds that it still lags
+	for {
+		if err := m.fetchOnce(fetchCtx, control, cursor); err != nil {
+			return
+		}
+		if !cursor.ReceivingSnapshot() {
+			break
 		}
 	}
-	m.log.V(1).Info("fetched the state that the source did not bring", "event", "feed", "source", control)
+	m.log.V(1).Info(logevent.WatchStateFetched, logevent.KeySource, control)
 }
 
-// fetchOnce makes one call for the state, or for a part of it.
-func (m *membership) fetchOnce(ctx context.Context, control string, cursor *watch.Cursor) bool {
+// fetchOnce makes one call for the state, or for a chunk of it.
+func (m *membership) fetchOnce(ctx context.Context, control string, cursor *watch.Cursor) error {
 	call, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	answer, err := api.NewControlProtobufClient("http://"+control, m.client).Watch(call, m.feed.NewRequest(cursor))
+	reply, err := api.NewControlProtobufClient("http://"+control, m.client).Watch(call, m.store.NewRequest(cursor))
 	if err != nil {
-		return false
+		return err
 	}
-	m.feed.ApplyReply(answer, cursor)
-	return true
+	m.store.ApplyReply(reply, cursor)
+	return nil
 }
--- a/internal/agent/subscriptions.go
+++ b/internal/agent/subscriptions.go
@@ -11,84 +11,90 @@
 	"marlreel/internal/controlplane/state"
 	"marlreel/internal/distribution/relay"
 	"marlreel/internal/distribution/watch"
+	"marlreel/internal/process/timing"
 )
 
 const (
-	// homeWait is how long a home may let a subscriber wait where there is no news. A home
-	// that hangs is left for control a little later.
-	homeWait = 800 * time.Millisecond
-	// controlWait is the same for control.
+	// relayWait is how long a relay may hold a poll that has no update, and controlWait control. Raising them leaves a
+	// source that hangs later, lowering them costs polls. A relay that hangs is left for control soon.
+	relayWait   = 800 * time.Millisecond
 	controlWait = 1200 * time.Millisecond
-	// replanAfter is the least time between two looks at who the homes are.
-	replanAfter = 100 * time.Millisecond
+	// replanInterval is the least time between two choices of the relays. Raising it keeps polling relays that have gone,
+	// lowering it costs the processor while many nodes come and go.
+	replanInterval = 100 * time.Millisecond
 )
 
-// subscriptions keeps one reader of the feed for each source that this agent reads from.
+// subscriptions runs one subscriber of the watch for each source. It belongs to the goroutine of run.
 type subscriptions struct {
-	agent   *Agent
-	self    *api.Node
-	running map[string]context.CancelFunc // by what is read from where
-	readers sync.WaitGroup
+	agent       *Agent
+	running     map[string]context.CancelFunc // by subscriptionKey
+	subscribers sync.WaitGroup
 }
 
-func newSubscriptions(a *Agent, self *api.Node) *subscriptions {
-	return &subscriptions{agent: a, self: self, running: map[string]context.CancelFunc{}}
+func newSubscriptions(a *Agent) *subscriptions {
+	return &subscriptions{agent: a, running: map[string]context.CancelFunc{}}
 }
 
-// run follows the feed, and who the homes are, until ctx ends.
+// run keeps the subscribers as the plan has them, until ctx ends and all have ended.
 func (s *subscriptions) run(ctx context.Context) {
-	defer s.readers.Wait()
+	defer s.subscribers.Wait()
 	for ctx.Err() == nil {
-		changed := s.agent.feed.Changed()
+		changed := s.agent.store.Changed()
 		s.adjust(ctx)
 		select {
 		case <-changed:
 		case <-ctx.Done():
 			return
 		}
-		rest(ctx, replanAfter)
+		timing.Sleep(ctx, replanInterval)
 	}
 }
 
-// topics are what this agent has to know: the state, and the backends of all services.
+// topics returns what this agent has to watch: the state, and the backends of all services.
 func (s *subscriptions) topics() watch.Topics {
 	topics := watch.Topics{watch.TopicState}
-	s.agent.feed.ReadState(func(m *state.Machine) {
-		if document := m.Document(); document != nil {
-			for i := range document.Services {
-				topics = append(topics, watch.ServiceTopic(document.Services[i].Name))
-			}
+	s.agent.store.ReadState(func(m *state.Machine) {
+		document := m.Document()
+		if document == nil {
+			return
+		}
+		for i := range document.Services {
+			topics = append(topics, watch.ServiceTopic(document.Services[i].Name))
 		}
 	})
 	return topics
 }
 
-// adjust starts the readers that are missing and ends those that are not wanted any more.
+func subscriptionKey(subscription relay.Subscription) string {
+	return subscription.Relay + " " + strings.Join(subscription.Topics, " ")
+}
+
+// adjust stops the subscribers that are not in the plan and starts those that are missing.
 func (s *subscriptions) adjust(ctx context.Context) {
 	topics := s.topics()
-	wanted := map[string]relay.Subscription{}
-	for _, subscription := range relay.Plan(s.self, s.agent.feed.Nodes(), topics) {
-		wanted[subscription.Relay+" "+strings.Join(subscription.Topics, " ")] = subscription
+	desired := map[string]relay.Subscription{}
+	for _, subscription := range relay.Plan(s.agent.node, s.agent.store.Nodes(), topics) {
+		desired[subscriptionKey(subscription)] = subscription
 	}
 	for key, cancel := range s.running {
-		if _, still := wanted[key]; !still {
+		if _, still := desired[key]; !still {
 			cancel()
 			delete(s.running, key)
 		}
 	}
-	for key, subscription := range wanted {
+	for key, subscription := range desired {
 		if s.running[key] != nil {
 			continue
 		}
-		reading, cancel := context.WithCancel(ctx)
+		subscriberCtx, cancel := context.WithCancel(ctx)
 		s.running[key] = cancel
-		s.readers.Go(func() { s.read(reading, subscription) })
+		s.subscribers.Go(func() { s.subscribe(subscriberCtx, subscription) })
 	}
-	s.agent.feed.RetainTopics(topics)
+	s.agent.store.RetainTopics(topics)
 }
 
-// read follows one source until ctx ends. Where a home does not answer, control does.
-func (s *subscriptions) read(ctx context.Context, subscription relay.Subscription) {
+// subscribe watches one source until ctx ends. Where a relay does not answer, control does.
+func (s *subscriptions) subscribe(ctx context.Context, subscription relay.Subscription) {
 	a := s.agent
 	cfg := watch.SubscriberConfig{
 		Name: a.settings.NodeName, Topics: subscription.Topics, MaxWait: controlWait, Log: a.log, Sources: a.controls,
@@ -100,18 +106,8 @@
 		},
 	}
 	if subscription.Relay != "" {
-		cfg.MaxWait = homeWait
+		cfg.MaxWait = relayWait
 		cfg.Sources = func() []string { return slices.Concat([]string{subscription.Relay}, a.controls()) }
 	}
-	watch.RunSubscriber(ctx, a.feed, cfg)
-}
-
-// rest waits for a span, or until ctx ends.
-func rest(ctx context.Context, span time.Duration) {
-	timer := time.NewTimer(span)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-	case <-ctx.Done():
-	}
+	watch.RunSubscriber(ctx, a.store, cfg)
 }
--- a/internal/agent/backends_test.go
+++ b/internal/placement/reconciler/backends_test.go
@@ -1,4 +1,4 @@
-package agent
+package reconciler
 
 import (
 	"bufio"
@@ -48,13 +48,13 @@
 		want        orderOutcome
 		orders      int
 	}{
-		"in time":                         {300 * time.Millisecond, 500 * time.Millisecond, orderTaken, 1},
-		"the lease ends while it dials":   {300 * time.Millisecond, 200 * time.Millisecond, orderUnclear, 0},
-		"the lease has ended":             {300 * time.Millisecond, -time.Millisecond, orderRefused, 0},
-		"the connection takes too long":   {900 * time.Millisecond, 5 * time.Second, orderUnclear, 0},
-		"a lease that ends much later":    {300 * time.Millisecond, 5 * time.Second, orderTaken, 1},
-		"no dial, a lease about to end":   {0, time.Millisecond, orderTaken, 1},
-		"a dial that ends with the lease": {200 * time.Millisecond, 200 * time.Millisecond, orderUnclear, 0},
+		"in time":                         {300 * time.Millisecond, 500 * time.Millisecond, orderAccepted, 1},
+		"the lease ends while it dials":   {300 * time.Millisecond, 200 * time.Millisecond, orderUnknown, 0},
+		"the lease has ended":             {300 * time.Millisecond, -time.Millisecond, orderRejected, 0},
+		"the connection takes too long":   {900 * time.Millisecond, 5 * time.Second, orderUnknown, 0},
+		"a lease that ends much later":    {300 * time.Millisecond, 5 * time.Second, orderAccepted, 1},
+		"no dial, a lease about to end":   {0, time.Millisecond, orderAccepted, 1},
+		"a dial that ends with the lease": {200 * time.Millisecond, 200 * time.Millisecond, orderUnknown, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -62,7 +62,7 @@
 				backend := &slowBackend{dialTime: of.dial}
 				client := newBackendClient(backend.dial)
 				until := time.Now().Add(of.lease)
-				outcome := client.order("10.0.0.1:80", "i-1", order{Operation: "model_load", Model: "m0", Holder: "a/1", Fence: 1},
+				outcome := client.order("10.0.0.1:80", "i-1", orderMessage{Operation: "model_load", Model: "m0", Holder: "a/1", FencingToken: 1},
 					func() (time.Time, bool) { return until, time.Now().Before(until) })
 				is.Equal(outcome, of.want)
 				is.Equal(backend.orders, of.orders)
@@ -142,14 +142,14 @@
 			client := newBackendClient(backend.dial)
 			defer client.http.CloseIdleConnections()
 			give := func() orderOutcome {
-				return client.order("10.0.0.1:80", "i-1", order{Operation: "model_load", Model: "m0", Holder: "a/1", Fence: 1},
+				return client.order("10.0.0.1:80", "i-1", orderMessage{Operation: "model_load", Model: "m0", Holder: "a/1", FencingToken: 1},
 					func() (time.Time, bool) { return time.Now().Add(time.Minute), true })
 			}
-			is.Equal(give(), orderTaken)
+			is.Equal(give(), orderAccepted)
 			backend.answered <- struct{}{}
 			backend.awaitStray(t)
-			is.Equal(give(), orderRefused) // nothing was written
-			is.Equal(give(), orderTaken)   // on another connection
+			is.Equal(give(), orderRejected) // nothing was written
+			is.Equal(give(), orderAccepted) // on another connection
 			close(backend.answered)
 		})
 	}
--- a/internal/agent/compatibility_test.go
+++ b/internal/placement/reconciler/compatibility_test.go
@@ -1,4 +1,4 @@
-package agent
+package reconciler
 
 import (
 	"bufio"
@@ -95,12 +95,12 @@
 			for _, adapter := range []string{"", "a3"} {
 				backend := &recordingBackend{answer: "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"}
 				client := newBackendClient(backend.dial)
-				taken := client.order("10.3.0.1:9000", "i-7f3a91c2", order{
-					Operation: operationWords[operation], Model: "m0", Adapter: adapter,
-					Revision: 2, Holder: "edge-1/0000002a", Fence: 41,
+				outcome := client.order("10.3.0.1:9000", "i-7f3a91c2", orderMessage{
+					Operation: operationNames[operation], Model: "m0", Adapter: adapter,
+					Revision: 2, Holder: "edge-1/0000002a", FencingToken: 41,
 				}, always)
-				if taken != orderTaken {
-					t.Errorf("an order that is carried out counts as %d", taken)
+				if outcome != orderAccepted {
+					t.Errorf("an order that is carried out counts as %d", outcome)
 				}
 				fmt.Fprintf(&out, "%s\n\n", strings.Join(backend.seen, "\n--\n"))
 				client.http.CloseIdleConnections()
@@ -114,14 +114,14 @@
 // What backends answer to orders has the meaning that the pages give it.
 func TestCompatibilityOfAnswersToOrders(t *testing.T) {
 	for status, want := range map[int]orderOutcome{
-		202: orderTaken, 200: orderNeedless, 409: orderRefused, 412: orderFenced,
-		400: orderRefused, 421: orderRefused, 503: orderRefused,
+		202: orderAccepted, 200: orderUnnecessary, 409: orderRejected, 412: orderFenced,
+		400: orderRejected, 421: orderRejected, 503: orderRejected,
 	} {
 		t.Run(fmt.Sprint(status), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				backend := &recordingBackend{answer: fmt.Sprintf("HTTP/1.1 %d %s\r\nContent-Length: 0\r\n\r\n", status, http.StatusText(status))}
 				client := newBackendClient(backend.dial)
-				got := client.order("10.3.0.1:9000", "i-7f3a91c2", order{Operation: "model_load", Model: "m0", Holder: "edge-1/0000002a", Fence: 41}, always)
+				got := client.order("10.3.0.1:9000", "i-7f3a91c2", orderMessage{Operation: "model_load", Model: "m0", Holder: "edge-1/0000002a", FencingToken: 41}, always)
 				if got != want {
 					t.Errorf("counts as %d, not as %d", got, want)
 				}
--- a/internal/process/logevent/logevent.go
+++ b/internal/process/logevent/logevent.go
@@ -11,6 +11,10 @@
 	KeyBackend = "backend"
 	// KeyBackends is a number of backends.
 	KeyBackends = "backends"
+	// KeyKnownBackends is how many backends may get an order: their state is known.
+	KeyKnownBackends = "known_backends"
+	// KeyBusyBackends is how many backends carry out an order.
+	KeyBusyBackends = "busy_backends"
 	// KeyModel is a model's name.
 	KeyModel = "model"
 	// KeyAdapter is the name of an adapter of the model.
@@ -19,6 +23,8 @@
 	KeyService = "service"
 	// KeyLease is the key of a lease, as "placement/llm".
 	KeyLease = "lease"
+	// KeyFencingToken is the fencing token of a lease.
+	KeyFencingToken = "fencing_token"
 	// KeyView is the number of an agreed view of the chain.
 	KeyView = "view"
 	// KeyVersion is a version of the configuration.
@@ -59,6 +65,16 @@
 	KeyRetrying = "retrying"
 	// KeyRunning is the time of a request's last attempt.
 	KeyRunning = "running"
+	// KeyRate is how many requests arrive for a model, a second.
+	KeyRate = "rate"
+	// KeyWork is the predicted work for a model, in ms of backends' time a second.
+	KeyWork = "work"
+	// KeyWaiting is how many requests wait for a model.
+	KeyWaiting = "waiting"
+	// KeyReplicas is how many backends have a model loaded or load it.
+	KeyReplicas = "replicas"
+	// KeyLoading is how many of these load it.
+	KeyLoading = "loading"
 	// KeyOperation is an order to a backend: load or unload.
 	KeyOperation = "operation"
 )
