--- a/cmd/marlreeltry/main.go
+++ b/cmd/marlreeltry/main.go
@@ -102,7 +102,7 @@
 			TokenTime: 12 * time.Millisecond, ReadTime: 50 * time.Microsecond, Stride: 2,
 		})
 	}
-	status, answer, err := c.Configure(func(uint64) string { return document }, startPatience)
+	status, answer, err := c.ReplaceConfiguration(func(uint64) string { return document }, startPatience)
 	if err != nil || status != 200 {
 		return &notTakenError{Status: status, Answer: answer, Err: err}
 	}
@@ -123,18 +123,18 @@
 
 // askOnce asks for a model that has to be loaded, and prints the stream.
 func askOnce(c *simcluster.Cluster, out io.Writer) error {
-	got, err := c.Ask(c.Edges[0], simcluster.Request{
+	got, err := c.Send(c.Edges[0], simcluster.Request{
 		ID: "0000000000000001", Host: "try.example", Path: "/chat/1", Model: "large",
-		Tokens: "500,8", Prompt: "a1:300,b2:200", Body: "hello", Wait: 12 * time.Second,
+		Tokens: "500,8", Prompt: "a1:300,b2:200", Body: "hello", Timeout: 12 * time.Second,
 	})
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "status %d after %.1f s, by %s\n", got.Status, got.After.Seconds(), got.Header.Get("Backend-Id"))
+	fmt.Fprintf(out, "status %d after %.1f s, by %s\n", got.Status, got.TimeToHead.Seconds(), got.Header.Get("Backend-Id"))
 	for _, event := range got.Events {
 		fmt.Fprintln(out, strings.ReplaceAll(event, "\n", " | "))
 	}
-	if !got.Whole || len(got.Events) != 4 {
+	if !got.Complete || len(got.Events) != 4 {
 		return &brokenStreamError{Events: len(got.Events)}
 	}
 	return nil
--- a/internal/controlplane/state/machine_test.go
+++ b/internal/controlplane/state/machine_test.go
@@ -45,7 +45,7 @@
 	return failure.Code
 }
 
-func TestOneOfTwoOnABaseIsTaken(t *testing.T) {
+func TestOneOfTwoChangesOnABaseIsCommitted(t *testing.T) {
 	is := is.New(t)
 	m := New()
 	changed, failure := m.Do(replace(0, document(3, "a")))
--- a/internal/placement/reconciler/backends_test.go
+++ b/internal/placement/reconciler/backends_test.go
@@ -42,7 +42,7 @@
 }
 
 // An order that waited for its connection until the lease had run out is not written.
-func TestNoOrderIsWrittenAfterItsLease(t *testing.T) {
+func TestNoOrderIsWrittenAfterTheLeaseExpires(t *testing.T) {
 	for name, of := range map[string]struct {
 		dial, lease time.Duration
 		want        orderOutcome
@@ -130,7 +130,7 @@
 
 // What a backend sends beyond an answer is nobody's answer: the next order finds it, is not written, and goes out on
 // a connection of its own.
-func TestBytesBeyondAnAnswerAreNobodysAnswer(t *testing.T) {
+func TestUnexpectedBytesAreNoAnswer(t *testing.T) {
 	for name, stray := range map[string]string{
 		"another answer":      "HTTP/1.1 412 Precondition Failed\r\nContent-Length: 0\r\n\r\n",
 		"no answer at all":    "}}}",
--- a/internal/testing/simcluster/backlog_test.go
+++ b/internal/testing/simcluster/backlog_test.go
@@ -14,8 +14,8 @@
 	"marlreel/internal/process/transport"
 )
 
-// report tells an agent of a node's backlog, as that node's agent does, and gives the answer's figure for a backend.
-func (c *Cluster) report(t *testing.T, to *Machine, node string, work backlog.Work, backend string) uint32 {
+// reportBacklog tells an agent of a node's backlog, as that node's agent does, and gives the answer's figure for a backend.
+func (c *Cluster) reportBacklog(t *testing.T, to *Machine, node string, work backlog.Work, backend string) uint32 {
 	t.Helper()
 	agent := api.NewAgentProtobufClient(fmt.Sprintf("http://%s:%d", to.IP, peerPort), transport.NewClient(c.outside.Dial))
 	reply, err := agent.PassDemand(context.Background(), &api.DemandBatch{
@@ -36,25 +36,25 @@
 // What a proxy has sent to a backend is known to the others of its zone by their next report, to those of other zones
 // a little later, and to nobody once it is old. A node's own work comes back to nobody but others.
 func TestBacklogsAreKnownToAllProxies(t *testing.T) {
-	playHomes(t, func(t *testing.T, c *Cluster) {
+	runWithRelays(t, func(t *testing.T, c *Cluster) {
 		is := is.New(t)
-		placer := c.holder(c.placer(t))
-		near, _ := c.home(watch.ServiceTopic("llm"), zones[0])
-		far, _ := c.home(watch.ServiceTopic("llm"), zones[1])
+		placer := c.holderOf(c.placementLease(t))
+		near, _ := c.relayOf(watch.ServiceTopic("llm"), zones[0])
+		far, _ := c.relayOf(watch.ServiceTopic("llm"), zones[1])
 		is.True(placer != nil)
 		const backend = "some-backend"
-		is.Equal(c.report(t, near, "first", backlog.Work{backlog.Key(backend): 300}, backend), uint32(0))
-		is.Equal(c.report(t, near, "second", backlog.Work{backlog.Key(backend): 40}, backend), uint32(300))
-		is.Equal(c.report(t, near, "first", backlog.Work{backlog.Key(backend): 300}, backend), uint32(40))
+		is.Equal(c.reportBacklog(t, near, "first", backlog.Work{backlog.Key(backend): 300}, backend), uint32(0))
+		is.Equal(c.reportBacklog(t, near, "second", backlog.Work{backlog.Key(backend): 40}, backend), uint32(300))
+		is.Equal(c.reportBacklog(t, near, "first", backlog.Work{backlog.Key(backend): 300}, backend), uint32(40))
 		// The word goes by the holder to other zones, with the reports of these.
 		heard := uint32(0)
 		for range 10 {
-			c.Pass(100 * time.Millisecond)
-			c.report(t, near, "first", backlog.Work{backlog.Key(backend): 300}, backend)
-			heard = max(heard, c.report(t, far, "third", nil, backend))
+			c.Sleep(100 * time.Millisecond)
+			c.reportBacklog(t, near, "first", backlog.Work{backlog.Key(backend): 300}, backend)
+			heard = max(heard, c.reportBacklog(t, far, "third", nil, backend))
 		}
 		is.True(heard >= 300)
-		c.Pass(2 * backlog.ReportTTL)
-		is.Equal(c.report(t, near, "fourth", nil, backend), uint32(0))
+		c.Sleep(2 * backlog.ReportTTL)
+		is.Equal(c.reportBacklog(t, near, "fourth", nil, backend), uint32(0))
 	})
 }
--- a/internal/testing/simcluster/bundle_test.go
+++ b/internal/testing/simcluster/bundle_test.go
@@ -44,14 +44,14 @@
 func TestSupportBundle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := start(t, 3, 2)
+		c := startCluster(t, 3, 2)
 		defer c.Stop()
-		secret := chat("m0")
+		secret := chatRequest("m0")
 		secret.Body = "the buyer's secret"
-		_, err := c.Ask(c.Edges[0], secret)
+		_, err := c.Send(c.Edges[0], secret)
 		is.NoErr(err)
 		c.Controls[2].Kill()
-		door := c.Edges[0].door(bootstrap.ProxyMetrics)
+		door := c.Edges[0].metricsAddress(bootstrap.ProxyMetrics)
 
 		var packed bytes.Buffer
 		client := operatorclient.NewClient(c.ControlAddresses(), 3*time.Second, c.outside.Dial)
@@ -74,7 +74,7 @@
 		var status controlplane.Status
 		is.NoErr(json.Unmarshal([]byte(files["status/10.1.0.1_8082.json"]), &status))
 		is.Equal(len(status.Backends), 4)
-		has(t, files["metrics/10.2.0.1_7675.txt"], "marlreel_ready 1")
+		checkLines(t, files["metrics/10.2.0.1_7675.txt"], "marlreel_ready 1")
 		var listed operatorclient.Manifest
 		is.NoErr(json.Unmarshal([]byte(files["manifest.json"]), &listed))
 		is.Equal(listed.Parts[2].From, c.Controls[2].ControlAddress())
--- a/internal/testing/simcluster/catchup_test.go
+++ b/internal/testing/simcluster/catchup_test.go
@@ -23,8 +23,8 @@
 	largeDocument = 2 << 20
 )
 
-// startControls makes a cluster of control processes alone.
-func startControls(t *testing.T, controls int) *Cluster {
+// startControlPlane makes a cluster of control processes alone.
+func startControlPlane(t *testing.T, controls int) *Cluster {
 	t.Helper()
 	log := logr.Discard()
 	if testing.Verbose() {
@@ -36,65 +36,65 @@
 	})
 }
 
-// padded is the configuration with a field that makes it so many bytes longer.
-func padded(size int) func(version uint64) string {
+// documentWithRemark is the configuration with a field that makes it so many bytes longer.
+func documentWithRemark(size int) func(version uint64) string {
 	return func(version uint64) string {
 		return strings.Replace(document(version), `{"config_version"`, `{"remark":"`+strings.Repeat("x", size)+`","config_version"`, 1)
 	}
 }
 
-// standing is a control process's word on itself, or nil.
-func (c *Cluster) standing(m *Machine) *controlplane.Status {
+// fetchStatus is a control process's word on itself, or nil.
+func (c *Cluster) fetchStatus(m *Machine) *controlplane.Status {
 	var status controlplane.Status
-	code, answer, err := c.callOne(m, "GET", "/marlreel/status", "", "")
+	code, answer, err := c.callControl(m, "GET", "/marlreel/status", "", "")
 	if err != nil || code != 200 || json.Unmarshal([]byte(answer), &status) != nil {
 		return nil
 	}
 	return &status
 }
 
-// change has a small change made on top of the newest version, and gives how long that took.
-func (c *Cluster) change(t *testing.T, patience time.Duration) time.Duration {
+// modifyConfiguration has a small modifyConfiguration made on top of the newest version, and gives how long that took.
+func (c *Cluster) modifyConfiguration(t *testing.T, patience time.Duration) time.Duration {
 	t.Helper()
 	began := time.Now()
 	body := fmt.Sprintf(`{"config_version":%d,"upsert":{"route_list":[{"name":"r","host":"r.example","path_prefix":"/r%d/",`+
-		`"route_class":"unsafe","timeout_ms":900,"service":"slips","max_attempts":1}]}}`, c.versions+1, c.versions)
-	status, answer, err := c.Call("POST", "/marlreel/config/modify", fmt.Sprint(c.versions), body, patience)
+		`"route_class":"unsafe","timeout_ms":900,"service":"slips","max_attempts":1}]}}`, c.version+1, c.version)
+	status, answer, err := c.CallOperatorAPI("POST", "/marlreel/config/modify", fmt.Sprint(c.version), body, patience)
 	if err != nil || status != 200 {
 		t.Fatalf("a change after %v: %d %s %v", time.Since(began), status, answer, err)
 	}
-	c.versions++
+	c.version++
 	return time.Since(began)
 }
 
 // A control process whose disk was lost takes in a state of 2 MB over 10 Mbit/s while changes go on.
-func TestALargeStateComesOverASlowLink(t *testing.T) {
+func TestControlCatchesUpOverASlowLink(t *testing.T) {
 	for place := range 3 {
 		t.Run(fmt.Sprint(place), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				c := startControls(t, 3)
+				c := startControlPlane(t, 3)
 				defer c.Stop()
-				status, _, err := c.Configure(padded(largeDocument), 10*time.Second)
+				status, _, err := c.ReplaceConfiguration(documentWithRemark(largeDocument), 10*time.Second)
 				is.NoErr(err)
 				is.Equal(status, 200)
-				c.Pass(time.Second)
+				c.Sleep(time.Second)
 				c.Net.SetRate(slowLink)
 				m := c.Controls[place]
 				m.Kill()
-				m.Wipe()
-				c.Pass(time.Second)
+				m.EraseDisk()
+				c.Sleep(time.Second)
 				m.Start()
 				began, longest := time.Now(), time.Duration(0)
 				for {
-					longest = max(longest, c.change(t, 10*time.Second))
-					if s := c.standing(m); s != nil && s.Connected {
+					longest = max(longest, c.modifyConfiguration(t, 10*time.Second))
+					if s := c.fetchStatus(m); s != nil && s.Connected {
 						break
 					}
 					if time.Since(began) > 15*time.Second {
 						t.Fatal("it is not back after 15 s")
 					}
-					c.Pass(100 * time.Millisecond)
+					c.Sleep(100 * time.Millisecond)
 				}
 				t.Logf("back after %v, the longest change took %v", time.Since(began), longest)
 				is.True(time.Since(began) > time.Second) // the state does take that long
@@ -105,23 +105,23 @@
 }
 
 // A proxy that is restarted gets a configuration of 2 MB over 10 Mbit/s, from control or from its home, and serves.
-func TestAProxyGetsALargeStateOverASlowLink(t *testing.T) {
+func TestProxyReceivesALargeStateOverASlowLink(t *testing.T) {
 	for place := range 3 {
 		t.Run(fmt.Sprint(place), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				c := start(t, 3, 6)
+				c := startCluster(t, 3, 6)
 				defer c.Stop()
-				status, _, err := c.Configure(padded(largeDocument), 10*time.Second)
+				status, _, err := c.ReplaceConfiguration(documentWithRemark(largeDocument), 10*time.Second)
 				is.NoErr(err)
 				is.Equal(status, 200)
-				c.Pass(3 * time.Second)
+				c.Sleep(3 * time.Second)
 				c.Net.SetRate(slowLink)
 				edge := c.Edges[place]
 				edge.Kill()
-				c.Pass(time.Second)
+				c.Sleep(time.Second)
 				edge.Start()
-				took, served := c.served(edge, 15*time.Second)
+				took, served := c.awaitServing(edge, 15*time.Second)
 				t.Logf("serves after %v", took)
 				is.True(served)
 			})
@@ -139,10 +139,10 @@
 )
 
 // A change of a thousand routes is in force everywhere in time where many proxies on slow links share a home.
-func TestAThousandRoutesAreInForceInTime(t *testing.T) {
+func TestThousandRoutesAreInForceInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := start(t, 3, manyEdges)
+		c := startCluster(t, 3, manyEdges)
 		defer c.Stop()
 		for _, edge := range c.Edges {
 			c.Net.SetRateOf(edge.IP, slowLink)
@@ -155,16 +155,16 @@
 			routes = append(routes, fmt.Sprintf(`{"name":"r%d","host":"r.example","path_prefix":"/r%d/","route_class":"unsafe","timeout_ms":900,`+
 				`"target_latency_ms":150,"priority":2,"service":"slips","max_attempts":1,"remark":"%s"}`, i, i, strings.Repeat("x", 100)))
 		}
-		body := fmt.Sprintf(`{"config_version":%d,"upsert":{"route_list":[%s]}}`, c.versions+1, strings.Join(routes, ","))
-		status, answer, err := c.Call("POST", "/marlreel/config/modify", fmt.Sprint(c.versions), body, 4*time.Second)
+		body := fmt.Sprintf(`{"config_version":%d,"upsert":{"route_list":[%s]}}`, c.version+1, strings.Join(routes, ","))
+		status, answer, err := c.CallOperatorAPI("POST", "/marlreel/config/modify", fmt.Sprint(c.version), body, 4*time.Second)
 		is.NoErr(err)
 		is.Equal(status, 200)
 		is.True(answer != "")
-		c.Pass(applyTime)
+		c.Sleep(applyTime)
 		for _, edge := range c.Edges {
-			r := slip()
+			r := slipRequest()
 			r.Host, r.Path = "r.example", fmt.Sprintf("/r%d/1", manyRoutes-1)
-			got, err := c.Ask(edge, r)
+			got, err := c.Send(edge, r)
 			is.NoErr(err)
 			is.Equal(got.Status, 200)
 		}
--- a/internal/testing/simcluster/cluster.go
+++ b/internal/testing/simcluster/cluster.go
@@ -50,33 +50,33 @@
 
 // Cluster is a running system.
 type Cluster struct {
-	cfg      Config
-	Net      *simnet.Network // nil on loopback
-	Controls []*Machine
-	Edges    []*Machine
-	Backends []*Backend
-	outside  host.Network // where clients and the operator are
-	ctx      context.Context
-	cancel   context.CancelFunc
-	done     sync.WaitGroup
-	client   *fasthttp.Client
-	versions uint64
+	cfg           Config
+	Net           *simnet.Network // nil on loopback
+	Controls      []*Machine
+	Edges         []*Machine
+	Backends      []*Backend
+	outside       host.Network // where clients and the operator are
+	ctx           context.Context
+	cancel        context.CancelFunc
+	backendsEnded sync.WaitGroup
+	client        *fasthttp.Client
+	version       uint64
 }
 
 // Machine is a machine with its roles.
 type Machine struct {
-	cluster *Cluster
-	Name    string
-	IP      string
-	Zone    string
-	roles   []func(context.Context, *host.Host) error
-	disk    storage.Storage // nil: there is none
-	first   bool
+	cluster    *Cluster
+	Name       string
+	IP         string
+	Zone       string
+	roles      []func(context.Context, *host.Host) error
+	disk       storage.Storage // nil: there is none
+	firstStart bool
 
 	mu      sync.Mutex
 	running sync.WaitGroup
 	cancel  context.CancelFunc
-	end     context.CancelFunc // of the processes' life
+	crash   context.CancelFunc // of the processes' life
 }
 
 // New starts a cluster.
@@ -90,15 +90,15 @@
 	c.client = transport.NewHTTPClient(c.outside.Dial)
 	for i := range cfg.Controls {
 		m := &Machine{
-			cluster: c, Name: fmt.Sprintf("core-%d", i), IP: c.address(1, i), Zone: cfg.Zones[i%len(cfg.Zones)],
-			roles: []func(context.Context, *host.Host) error{controlplane.Run}, disk: storage.NewMemStorage(), first: true,
+			cluster: c, Name: fmt.Sprintf("core-%d", i), IP: c.machineIP(1, i), Zone: cfg.Zones[i%len(cfg.Zones)],
+			roles: []func(context.Context, *host.Host) error{controlplane.Run}, disk: storage.NewMemStorage(), firstStart: true,
 		}
 		c.Controls = append(c.Controls, m)
 	}
 	for i := range cfg.Edges {
 		m := &Machine{
-			cluster: c, Name: fmt.Sprintf("edge-%d", i), IP: c.address(2, i), Zone: cfg.Zones[i%len(cfg.Zones)],
-			roles: []func(context.Context, *host.Host) error{agent.Run, gateway.Run}, first: true,
+			cluster: c, Name: fmt.Sprintf("edge-%d", i), IP: c.machineIP(2, i), Zone: cfg.Zones[i%len(cfg.Zones)],
+			roles: []func(context.Context, *host.Host) error{agent.Run, gateway.Run}, firstStart: true,
 		}
 		c.Edges = append(c.Edges, m)
 	}
@@ -108,8 +108,8 @@
 	return c
 }
 
-// address is that of a machine, by its kind and number.
-func (c *Cluster) address(kind, number int) string {
+// machineIP is that of a machine, by its kind and number.
+func (c *Cluster) machineIP(kind, number int) string {
 	if c.cfg.Loopback {
 		return fmt.Sprintf("127.0.%d.%d", 10*kind+number/200, number%200+1)
 	}
@@ -124,15 +124,15 @@
 	return c.Net.Machine(ip)
 }
 
-// cutOff ends all that a machine has open on a simulated network.
-func (c *Cluster) cutOff(ip string) {
+// disconnect ends all that a machine has open on a simulated network.
+func (c *Cluster) disconnect(ip string) {
 	if c.Net != nil {
 		c.Net.Machine(ip).Kill()
 	}
 }
 
-// revive lets a machine use a simulated network again.
-func (c *Cluster) revive(ip string) {
+// reconnect lets a machine use a simulated network again.
+func (c *Cluster) reconnect(ip string) {
 	if c.Net != nil {
 		c.Net.Machine(ip).Revive()
 	}
@@ -149,21 +149,21 @@
 		m.Kill()
 	}
 	c.cancel()
-	c.done.Wait()
+	c.backendsEnded.Wait()
 	c.client.CloseIdleConnections()
 	// Idle connections are looked after by goroutines that end by themselves; on a simulated
 	// clock that takes no time.
 	if c.Net != nil {
-		time.Sleep(lingering)
+		time.Sleep(idleConnectionLifetime)
 	}
 }
 
-const lingering = 5 * time.Minute
+const idleConnectionLifetime = 5 * time.Minute
 
 func (c *Cluster) settings(m *Machine) *bootstrap.Settings {
 	s := &bootstrap.Settings{
 		NodeName: m.Name, IP: m.IP, Zone: m.Zone, InternalPorts: []int{peerPort, peerPort + 15},
-		FirstStart: m.first, HeartbeatIntervalMS: 1200, Zones: map[string]string{}, DataDir: "none",
+		FirstStart: m.firstStart, HeartbeatIntervalMS: 1200, Zones: map[string]string{}, DataDir: "none",
 		Limits:    bootstrap.Limits{MemoryMB: 256, MaxOpenFiles: 4096},
 		Tolerance: bootstrap.FaultTolerance{Machines: (c.cfg.Controls - 1) / 2},
 		Bounds: bootstrap.Bounds{
@@ -195,11 +195,11 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	settings := m.cluster.settings(m)
-	m.first = false
-	m.cluster.revive(m.IP)
+	m.firstStart = false
+	m.cluster.reconnect(m.IP)
 	ctx, cancel := context.WithCancel(context.Background())
 	life, end := context.WithCancel(context.Background())
-	m.cancel, m.end = cancel, end
+	m.cancel, m.crash = cancel, end
 	disk := m.disk
 	for _, role := range m.roles {
 		machine := &host.Host{
@@ -223,11 +223,11 @@
 	if m.cancel == nil {
 		return
 	}
-	m.cluster.cutOff(m.IP)
-	m.end()
+	m.cluster.disconnect(m.IP)
+	m.crash()
 	m.cancel()
 	m.running.Wait()
-	m.cluster.cutOff(m.IP)
+	m.cluster.disconnect(m.IP)
 	m.cancel = nil
 }
 
@@ -240,12 +240,12 @@
 	}
 	m.cancel()
 	m.running.Wait()
-	m.end()
+	m.crash()
 	m.cancel = nil
 }
 
-// Wipe loses a machine's disk. The machine must be down.
-func (m *Machine) Wipe() { m.disk = storage.NewMemStorage() }
+// EraseDisk loses a machine's disk. The machine must be down.
+func (m *Machine) EraseDisk() { m.disk = storage.NewMemStorage() }
 
 // Front is where clients reach an edge machine.
 func (m *Machine) Front() string { return fmt.Sprintf("%s:%d", m.IP, frontPort) }
@@ -277,15 +277,15 @@
 
 // AddBackend starts a backend on a machine of its own.
 func (c *Cluster) AddBackend(cfg fakesystem.BackendConfig) *Backend {
-	ip := c.address(3, len(c.Backends))
+	ip := c.machineIP(3, len(c.Backends))
 	cfg.Address, cfg.Controls = ip+":9000", c.ControlAddresses
 	if cfg.Beat == 0 {
 		cfg.Beat = 1200 * time.Millisecond
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
-	b := &Backend{Backend: fakesystem.NewBackend(cfg, c.network(ip)), cutOff: func() { c.cutOff(ip) }, cancel: cancel}
+	b := &Backend{Backend: fakesystem.NewBackend(cfg, c.network(ip)), cutOff: func() { c.disconnect(ip) }, cancel: cancel}
 	c.Backends = append(c.Backends, b)
-	c.done.Go(func() { _ = b.Serve(ctx) }) // it ends with the cluster
+	c.backendsEnded.Go(func() { _ = b.Serve(ctx) }) // it ends with the cluster
 	return b
 }
 
--- a/internal/testing/simcluster/cluster_test.go
+++ b/internal/testing/simcluster/cluster_test.go
@@ -48,8 +48,8 @@
 
 var zones = []string{"east", "north", "west"}
 
-// start makes a cluster that serves.
-func start(t *testing.T, controls, edges int) *Cluster {
+// startCluster makes a cluster that serves.
+func startCluster(t *testing.T, controls, edges int) *Cluster {
 	t.Helper()
 	log := logr.Discard()
 	if testing.Verbose() {
@@ -63,11 +63,11 @@
 	c.AddBackend(llmBackend("i-2", "north", "m0"))
 	c.AddBackend(slipBackend("i-3", "west"))
 	c.AddBackend(slipBackend("i-4", "east"))
-	status, answer, err := c.Configure(document, 10*time.Second)
+	status, answer, err := c.ReplaceConfiguration(document, 10*time.Second)
 	if err != nil || status != 200 {
 		t.Fatalf("the first configuration: %d %s %v", status, answer, err)
 	}
-	c.Pass(3 * time.Second)
+	c.Sleep(3 * time.Second)
 	return c
 }
 
@@ -78,22 +78,22 @@
 	return fmt.Sprintf("%016x", lastID)
 }
 
-func chat(model string) Request {
+func chatRequest(model string) Request {
 	return Request{
 		ID: newID(), Host: "a.example", Path: "/chat/1", Model: model, Tokens: "1000,20", Prompt: "a1:600,b2:400",
-		Body: "hello", Wait: 10 * time.Second,
+		Body: "hello", Timeout: 10 * time.Second,
 	}
 }
 
-func slip() Request {
-	return Request{ID: newID(), Host: "a.example", Path: "/slip/1", Body: "x", Wait: 2 * time.Second}
+func slipRequest() Request {
+	return Request{ID: newID(), Host: "a.example", Path: "/slip/1", Body: "x", Timeout: 2 * time.Second}
 }
 
-// whole checks that a stream is what its backend made, each event once and in order.
-func whole(t *testing.T, r Request, got Response, events int) {
+// checkStream checks that a stream is what its backend made, each event once and in order.
+func checkStream(t *testing.T, r Request, got Response, events int) {
 	t.Helper()
-	if got.Status != 200 || !got.Whole || len(got.Events) != events {
-		t.Fatalf("request %s: status %d, whole %v, %d events of %d", r.ID, got.Status, got.Whole, len(got.Events), events)
+	if got.Status != 200 || !got.Complete || len(got.Events) != events {
+		t.Fatalf("request %s: status %d, whole %v, %d events of %d", r.ID, got.Status, got.Complete, len(got.Events), events)
 	}
 	for i, event := range got.Events {
 		if want := fmt.Sprintf("id: %d\ndata: %s", i+1, fakesystem.EventText(r.ID, i+1)); event != want {
@@ -102,20 +102,20 @@
 	}
 }
 
-func TestServesStreamsAndAnswers(t *testing.T) {
+func TestStreamsAndPlainRequestsAreServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := start(t, 3, 2)
+		c := startCluster(t, 3, 2)
 		defer c.Stop()
 		for _, edge := range c.Edges {
-			r := chat("m0")
-			got, err := c.Ask(edge, r)
+			r := chatRequest("m0")
+			got, err := c.Send(edge, r)
 			is.NoErr(err)
-			whole(t, r, got, 10)
-			got, err = c.Ask(edge, slip())
+			checkStream(t, r, got, 10)
+			got, err = c.Send(edge, slipRequest())
 			is.NoErr(err)
 			is.Equal(got.Status, 200)
-			got, err = c.Ask(edge, Request{ID: newID(), Host: "a.example", Path: "/nothing/", Wait: time.Second})
+			got, err = c.Send(edge, Request{ID: newID(), Host: "a.example", Path: "/nothing/", Timeout: time.Second})
 			is.NoErr(err)
 			is.Equal(got.Status, 404)
 		}
--- a/internal/testing/simcluster/compatibility_test.go
+++ b/internal/testing/simcluster/compatibility_test.go
@@ -128,9 +128,9 @@
 // Requests of operators and backends to control, as they were sent, are answered as they were.
 func TestCompatibilityOfControl(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := startControls(t, 3)
+		c := startControlPlane(t, 3)
 		defer c.Stop()
-		c.Pass(3 * time.Second)
+		c.Sleep(3 * time.Second)
 		var got strings.Builder
 		got.WriteString(replayAll(t, c, c.Controls[0].ControlAddress(), []rawExchange{
 			{"nothing is configured", "GET /marlreel/config/read HTTP/1.1\nHost: control", ""},
@@ -207,15 +207,15 @@
 // differs from run to run.
 func TestCompatibilityOfStatusAndMetrics(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := start(t, 3, 2)
+		c := startCluster(t, 3, 2)
 		defer c.Stop()
-		if _, err := c.Ask(c.Edges[0], chat("m0")); err != nil {
+		if _, err := c.Send(c.Edges[0], chatRequest("m0")); err != nil {
 			t.Fatal(err)
 		}
-		if status, answer, err := c.Call(http.MethodPost, "/marlreel/evacuation/north/begin", "", "", 5*time.Second); status != http.StatusOK {
+		if status, answer, err := c.CallOperatorAPI(http.MethodPost, "/marlreel/evacuation/north/begin", "", "", 5*time.Second); status != http.StatusOK {
 			t.Fatal(status, answer, err)
 		}
-		c.Pass(3 * time.Second)
+		c.Sleep(3 * time.Second)
 		shape := map[string]bool{}
 		for _, m := range c.Controls {
 			status, header, body := replay(t, c, m.ControlAddress(), rawExchange{"status", "GET /marlreel/status HTTP/1.1\nHost: control", ""})
@@ -237,7 +237,7 @@
 			machine *Machine
 			door    bootstrap.MetricsEndpoint
 		}{"proxy": {c.Edges[0], bootstrap.ProxyMetrics}, "agent": {c.Edges[0], bootstrap.AgentMetrics}, "control": {c.Controls[0], bootstrap.ControlMetrics}} {
-			status, header, body := replay(t, c, from.machine.door(from.door), rawExchange{name, "GET /metrics HTTP/1.1\nHost: metrics", ""})
+			status, header, body := replay(t, c, from.machine.metricsAddress(from.door), rawExchange{name, "GET /metrics HTTP/1.1\nHost: metrics", ""})
 			lines := map[string]bool{fmt.Sprintf("%d %s", status, header.Get("Content-Type")): true}
 			for line := range strings.Lines(body) {
 				// Orders are counted where they were answered: that depends on the head of the run.
@@ -249,7 +249,7 @@
 		}
 		orders := ""
 		for _, m := range c.Controls {
-			_, _, body := replay(t, c, m.door(bootstrap.ControlMetrics), rawExchange{"control", "GET /metrics HTTP/1.1\nHost: metrics", ""})
+			_, _, body := replay(t, c, m.metricsAddress(bootstrap.ControlMetrics), rawExchange{"control", "GET /metrics HTTP/1.1\nHost: metrics", ""})
 			orders += body
 		}
 		if !strings.Contains(orders, `marlreel_orders_total{result="accepted"}`) {
@@ -359,27 +359,27 @@
 // proxies and agents at the backend.
 func TestCompatibilityOfProxy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := start(t, 3, 1)
+		c := startCluster(t, 3, 1)
 		defer c.Stop()
 		listener, err := c.network("10.3.0.150").Listen(capturedAddress)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.cutOff("10.3.0.150")
+		defer c.disconnect("10.3.0.150")
 		backend := &capture{seen: map[string]bool{}}
 		go backend.serve(listener)
-		if status, answer, err := c.Configure(documentOf2, 5*time.Second); err != nil || status != http.StatusOK {
+		if status, answer, err := c.ReplaceConfiguration(documentOf2, 5*time.Second); err != nil || status != http.StatusOK {
 			t.Fatal(status, answer, err)
 		}
 		beats, stop := context.WithCancel(context.Background())
 		defer stop()
-		c.done.Go(func() {
+		c.backendsEnded.Go(func() {
 			for sequence := 1; beats.Err() == nil; sequence++ {
-				_, _, _ = c.callOne(c.Controls[0], http.MethodPost, "/marlreel/backends/i-7f3a91c2/heartbeat", "", fmt.Sprintf(heartbeatBody, sequence))
+				_, _, _ = c.callControl(c.Controls[0], http.MethodPost, "/marlreel/backends/i-7f3a91c2/heartbeat", "", fmt.Sprintf(heartbeatBody, sequence))
 				time.Sleep(time.Second)
 			}
 		})
-		c.Pass(4 * time.Second)
+		c.Sleep(4 * time.Second)
 		client := "Content-Type: text/plain\nX-Other: kept\nConnection: X-Dropped\nX-Dropped: gone\nTime-Remaining: 5000"
 		got := replayAll(t, c, c.Edges[0].Front(), []rawExchange{
 			{"a request with a prompt", "POST /chat/2f?x=1 HTTP/1.1\nHost: a.example\nRequest-Id: 9c41d07be2a35f68\nLast-Event-Id: 12\nModel: m0/a1\n" +
@@ -399,12 +399,12 @@
 			{"a backend that fails", "POST /once/failing HTTP/1.1\nHost: a.example\nRequest-Id: 9c41d07be2a35f74\nModel: m0\nToken-Count: 10,8\n" + client, "hello"},
 			{"a backend that says it did not run it", "POST /once/full HTTP/1.1\nHost: a.example\nRequest-Id: 9c41d07be2a35f75\nModel: m0\nToken-Count: 10,8\n" + client, "hello"},
 		})
-		c.Pass(10 * time.Second)
+		c.Sleep(10 * time.Second)
 		// Nobody holds m1: the agent has it loaded, and the request waits in vain.
 		got += replayAll(t, c, c.Edges[0].Front(), []rawExchange{
 			{"a model that is not held", "POST /chat/4 HTTP/1.1\nHost: a.example\nRequest-Id: 9c41d07be2a35f71\nModel: m1\nToken-Count: 10,8\nTime-Remaining: 4000", "hello"},
 		})
-		c.Pass(10 * time.Second)
+		c.Sleep(10 * time.Second)
 		checkRecorded(t, "proxy.txt", got)
 		checkRecorded(t, "backend-requests.txt", backend.of("POST /chat/")+"----\n"+backend.of("POST /once/"))
 		checkRecorded(t, "backend-probe.txt", backend.of("GET /health"))
@@ -471,7 +471,7 @@
 // are answered with the fields that they had.
 func TestCompatibilityOfPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := start(t, 1, 2)
+		c := startCluster(t, 1, 2)
 		defer c.Stop()
 		control, agent := c.Controls[0].IP+":7660", c.Edges[0].IP+":7660"
 		node := wire{}.text(1, "edge-9").text(2, "10.2.0.90:7660").text(3, "east").whole(4, 77)
@@ -529,17 +529,17 @@
 // Heartbeats between control processes go as datagrams, each one message of the chain.
 func TestCompatibilityOfDatagrams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := startControls(t, 3)
+		c := startControlPlane(t, 3)
 		defer c.Stop()
-		c.Pass(3 * time.Second)
+		c.Sleep(3 * time.Second)
 		gone := c.Controls[2]
 		gone.Kill()
-		c.revive(gone.IP)
+		c.reconnect(gone.IP)
 		socket, err := c.network(gone.IP).ListenPacket(gone.IP + ":7660")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.cutOff(gone.IP)
+		defer c.disconnect(gone.IP)
 		buffer := make([]byte, 2000)
 		n, from, err := socket.ReadFrom(buffer)
 		if err != nil {
--- a/internal/testing/simcluster/demand_test.go
+++ b/internal/testing/simcluster/demand_test.go
@@ -11,30 +11,30 @@
 
 // A model that nobody holds is loaded for a request at any proxy, also where the home that
 // passes its zone's demand on has just died or hangs.
-func TestDemandPassesByAHomeInTrouble(t *testing.T) {
+func TestDemandBypassesAFaultyRelay(t *testing.T) {
 	troubles := map[string]func(c *Cluster, m *Machine){
 		"none":                func(*Cluster, *Machine) {},
 		"the home is killed":  func(_ *Cluster, m *Machine) { m.Kill() },
-		"the home hangs":      func(c *Cluster, m *Machine) { c.hang(m) },
+		"the home hangs":      func(c *Cluster, m *Machine) { c.isolate(m) },
 		"the home terminates": func(_ *Cluster, m *Machine) { go m.Terminate() },
 	}
 	for name, trouble := range troubles {
 		t.Run(name, func(t *testing.T) {
-			playHomes(t, func(t *testing.T, c *Cluster) {
+			runWithRelays(t, func(t *testing.T, c *Cluster) {
 				is := is.New(t)
-				placer := c.holder(c.placer(t))
+				placer := c.holderOf(c.placementLease(t))
 				zone := zones[0]
 				if placer.Zone == zone {
 					zone = zones[1]
 				}
-				home, others := c.home(watch.ServiceTopic("llm"), zone)
+				home, others := c.relayOf(watch.ServiceTopic("llm"), zone)
 				trouble(c, home)
-				r := chat("m2")
-				got, err := c.Ask(others[0], r)
+				r := chatRequest("m2")
+				got, err := c.Send(others[0], r)
 				is.NoErr(err)
-				whole(t, r, got, 10)
-				is.True(got.After < 6*time.Second) // the load takes 3 s
-				c.Pass(5 * time.Second)            // who terminates has ended
+				checkStream(t, r, got, 10)
+				is.True(got.TimeToHead < 6*time.Second) // the load takes 3 s
+				c.Sleep(5 * time.Second)                // who terminates has ended
 			})
 		})
 	}
--- a/internal/testing/simcluster/homes_test.go
+++ b/internal/testing/simcluster/homes_test.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// edgesOfHomes are enough that each of the three zones has homes and others.
-	edgesOfHomes = 12
+	// relayEdges are enough that each of the three zones has homes and others.
+	relayEdges = 12
 	// applyTime is config_apply_ms of the test's deployment, and drainTime its drain_ms.
 	applyTime = 2 * time.Second
 	drainTime = 2 * time.Second
 )
 
-// playHomes runs a test on a cluster with several proxies a zone.
-func playHomes(t *testing.T, story func(t *testing.T, c *Cluster)) {
+// runWithRelays runs a test on a cluster with several proxies a zone.
+func runWithRelays(t *testing.T, story func(t *testing.T, c *Cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		c := start(t, 3, edgesOfHomes)
+		c := startCluster(t, 3, relayEdges)
 		defer c.Stop()
 		story(t, c)
 	})
@@ -36,7 +36,7 @@
 // status is how things stand at a control process.
 func (c *Cluster) status(t *testing.T, m *Machine) controlplane.Status {
 	t.Helper()
-	code, answer, err := c.callOne(m, "GET", "/marlreel/status", "", "")
+	code, answer, err := c.callControl(m, "GET", "/marlreel/status", "", "")
 	var status controlplane.Status
 	if err != nil || code != 200 || json.Unmarshal([]byte(answer), &status) != nil {
 		t.Fatalf("status of %s: %d %s %v", m.Name, code, answer, err)
@@ -44,8 +44,8 @@
 	return status
 }
 
-// home is the home of a topic in a zone, and others are the zone's other proxies.
-func (c *Cluster) home(topic watch.Topic, zone string) (home *Machine, others []*Machine) {
+// relayOf is the relayOf of a topic in a zone, and others are the zone's other proxies.
+func (c *Cluster) relayOf(topic watch.Topic, zone string) (home *Machine, others []*Machine) {
 	var nodes []*api.Node
 	for _, m := range c.Edges {
 		nodes = append(nodes, &api.Node{Name: m.Name, Address: m.IP, Zone: m.Zone})
@@ -63,8 +63,8 @@
 	return home, others
 }
 
-// hang cuts a machine off from all others, without a word to anyone.
-func (c *Cluster) hang(m *Machine) {
+// isolate cuts a machine off from all others, without a word to anyone.
+func (c *Cluster) isolate(m *Machine) {
 	var others []string
 	for _, other := range c.Machines() {
 		if other != m {
@@ -74,17 +74,17 @@
 	c.Net.Isolate(m.IP, others, true)
 }
 
-func TestEachZoneReadsEachTopicFromControlOnce(t *testing.T) {
-	playHomes(t, func(t *testing.T, c *Cluster) {
+func TestEachZoneWatchesEachTopicAtControlOnce(t *testing.T) {
+	runWithRelays(t, func(t *testing.T, c *Cluster) {
 		is := is.New(t)
 		expected := map[string]bool{}
 		for _, zone := range zones {
 			for _, topic := range []watch.Topic{watch.TopicState, watch.ServiceTopic("llm"), watch.ServiceTopic("slips")} {
-				home, _ := c.home(topic, zone)
+				home, _ := c.relayOf(topic, zone)
 				expected[home.Name] = true
 			}
 		}
-		c.Pass(10 * time.Second) // those that read there before the homes were known are forgotten
+		c.Sleep(10 * time.Second) // those that read there before the homes were known are forgotten
 		readers := map[string]bool{}
 		for _, m := range c.Controls {
 			for _, name := range c.status(t, m).Subscribers {
@@ -95,8 +95,8 @@
 	})
 }
 
-// cutFromControl cuts a machine off from the control processes alone.
-func (c *Cluster) cutFromControl(m *Machine) {
+// isolateFromControl cuts a machine off from the control processes alone.
+func (c *Cluster) isolateFromControl(m *Machine) {
 	var controls []string
 	for _, control := range c.Controls {
 		controls = append(controls, control.IP)
@@ -106,25 +106,25 @@
 
 // A home that hangs, or that answers and hears nothing itself, holds nobody up beyond the
 // bound: changes are in force at the zone's other proxies in time.
-func TestChangesPassByAHomeInTrouble(t *testing.T) {
+func TestChangesBypassAFaultyRelay(t *testing.T) {
 	troubles := map[string]func(c *Cluster, m *Machine){
-		"it hangs":                   func(c *Cluster, m *Machine) { c.hang(m) },
-		"it is cut off from control": func(c *Cluster, m *Machine) { c.cutFromControl(m) },
+		"it hangs":                   func(c *Cluster, m *Machine) { c.isolate(m) },
+		"it is cut off from control": func(c *Cluster, m *Machine) { c.isolateFromControl(m) },
 	}
 	for name, trouble := range troubles {
 		t.Run(name, func(t *testing.T) {
-			playHomes(t, func(t *testing.T, c *Cluster) {
+			runWithRelays(t, func(t *testing.T, c *Cluster) {
 				is := is.New(t)
-				home, others := c.home(watch.TopicState, zones[0])
+				home, others := c.relayOf(watch.TopicState, zones[0])
 				trouble(c, home)
-				status, _, err := c.Configure(moved("/voucher/"), 4*time.Second)
+				status, _, err := c.ReplaceConfiguration(documentWithSlipsAt("/voucher/"), 4*time.Second)
 				is.NoErr(err)
 				is.Equal(status, 200)
-				c.Pass(applyTime / 2) // the other half is the margin
+				c.Sleep(applyTime / 2) // the other half is the margin
 				for _, edge := range others {
-					r := slip()
+					r := slipRequest()
 					r.Path = "/voucher/1"
-					got, err := c.Ask(edge, r)
+					got, err := c.Send(edge, r)
 					is.NoErr(err)
 					is.Equal(got.Status, 200)
 				}
@@ -133,21 +133,21 @@
 	}
 }
 
-func TestADrainWhileTheHomeHangs(t *testing.T) {
-	playHomes(t, func(t *testing.T, c *Cluster) {
+func TestDrainWhileTheRelayHangs(t *testing.T) {
+	runWithRelays(t, func(t *testing.T, c *Cluster) {
 		is := is.New(t)
-		home, others := c.home(watch.TopicState, zones[0])
+		home, others := c.relayOf(watch.TopicState, zones[0])
 		leaving := c.Backends[2] // one of two that take slips
-		c.hang(home)
+		c.isolate(home)
 		leaving.Drain()
 		for !leaving.Acknowledged() {
-			c.Pass(20 * time.Millisecond)
+			c.Sleep(20 * time.Millisecond)
 		}
-		c.Pass(drainTime)
+		c.Sleep(drainTime)
 		before := len(leaving.Runs())
 		for range 10 {
 			for _, edge := range others {
-				got, err := c.Ask(edge, slip())
+				got, err := c.Send(edge, slipRequest())
 				is.NoErr(err)
 				is.Equal(got.Status, 200)
 			}
@@ -157,30 +157,30 @@
 }
 
 // When the home of a service ends, the zone's others hear of new backends all the same.
-func TestTheHomeOfAServiceEnds(t *testing.T) {
+func TestNewBackendsAreKnownAfterTheRelayEnds(t *testing.T) {
 	ends := map[string]func(c *Cluster, m *Machine){
 		"killed":     func(_ *Cluster, m *Machine) { m.Kill() },
 		"terminated": func(_ *Cluster, m *Machine) { go m.Terminate() },
-		"hangs":      func(c *Cluster, m *Machine) { c.hang(m) },
+		"hangs":      func(c *Cluster, m *Machine) { c.isolate(m) },
 	}
 	for name, end := range ends {
 		t.Run(name, func(t *testing.T) {
-			playHomes(t, func(t *testing.T, c *Cluster) {
+			runWithRelays(t, func(t *testing.T, c *Cluster) {
 				is := is.New(t)
-				home, others := c.home(watch.ServiceTopic("slips"), zones[0])
+				home, others := c.relayOf(watch.ServiceTopic("slips"), zones[0])
 				end(c, home)
 				c.Backends[2].Kill()
 				c.Backends[3].Kill()
 				for i := range 2 {
 					c.AddBackend(slipBackend(fmt.Sprint("i-new-", i), zones[i]))
 				}
-				c.Pass(4 * time.Second)
+				c.Sleep(4 * time.Second)
 				for _, edge := range others {
-					got, err := c.Ask(edge, slip())
+					got, err := c.Send(edge, slipRequest())
 					is.NoErr(err)
 					is.Equal(got.Status, 200)
 				}
-				c.Pass(5 * time.Second) // who terminates has ended
+				c.Sleep(5 * time.Second) // who terminates has ended
 			})
 		})
 	}
--- a/internal/testing/simcluster/late_test.go
+++ b/internal/testing/simcluster/late_test.go
@@ -17,24 +17,24 @@
 	"marlreel/internal/process/transport"
 )
 
-// playControls runs a test on control processes alone, with a configuration.
-func playControls(t *testing.T, controls int, story func(t *testing.T, c *Cluster)) {
+// runWithControlPlane runs a test on control processes alone, with a configuration.
+func runWithControlPlane(t *testing.T, controls int, story func(t *testing.T, c *Cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		c := startControls(t, controls)
+		c := startControlPlane(t, controls)
 		defer c.Stop()
-		if status, answer, err := c.Configure(document, 10*time.Second); err != nil || status != 200 {
+		if status, answer, err := c.ReplaceConfiguration(document, 10*time.Second); err != nil || status != 200 {
 			t.Fatalf("the first configuration: %d %s %v", status, answer, err)
 		}
-		c.Pass(time.Second)
+		c.Sleep(time.Second)
 		story(t, c)
 	})
 }
 
-// ends are the machines of the chain's head and of two others.
-func (c *Cluster) ends(t *testing.T) (head *Machine, others []*Machine) {
+// headAndOthers are the machines of the chain's head and of two others.
+func (c *Cluster) headAndOthers(t *testing.T) (head *Machine, others []*Machine) {
 	t.Helper()
-	status := c.standing(c.Controls[0])
+	status := c.fetchStatus(c.Controls[0])
 	if status == nil || status.Head == "" {
 		t.Fatal("no head is known")
 	}
@@ -50,62 +50,62 @@
 
 func (m *Machine) peerAddress() string { return fmt.Sprintf("%s:%d", m.IP, peerPort) }
 
-func evacuation(verb string) string { return "/marlreel/evacuation/north/" + verb }
+func evacuationPath(verb string) string { return "/marlreel/evacuation/north/" + verb }
 
 // An order that a cut holds up on its way to the head is not taken once its caller was answered: the operator has
 // turned to another process, and gone on.
-func TestAnOrderThatWasHeldUpIsNotTakenLate(t *testing.T) {
-	playControls(t, 3, func(t *testing.T, c *Cluster) {
+func TestDelayedRequestIsNotCommittedLate(t *testing.T) {
+	runWithControlPlane(t, 3, func(t *testing.T, c *Cluster) {
 		is := is.New(t)
-		head, others := c.ends(t)
+		head, others := c.headAndOthers(t)
 		by := others[0]
-		status, _, err := c.callOne(by, http.MethodPost, "/marlreel/evacuation/west/begin", "", "") // a connection is made
+		status, _, err := c.callControl(by, http.MethodPost, "/marlreel/evacuation/west/begin", "", "") // a connection is made
 		is.NoErr(err)
 		is.Equal(status, 200)
 		c.Net.Cut(by.IP, head.IP, true)
-		status, _, err = c.callOne(by, http.MethodPost, evacuation("begin"), "", "")
+		status, _, err = c.callControl(by, http.MethodPost, evacuationPath("begin"), "", "")
 		is.True(err != nil || status >= 500) // no clear answer
 		for _, verb := range []string{"begin", "terminate"} {
-			status, _, err = c.Call(http.MethodPost, evacuation(verb), "", "", 4*time.Second)
+			status, _, err = c.CallOperatorAPI(http.MethodPost, evacuationPath(verb), "", "", 4*time.Second)
 			is.NoErr(err)
 			is.Equal(status, 200)
 		}
 		c.Net.Cut(by.IP, head.IP, false)
-		c.Pass(2 * time.Second)
+		c.Sleep(2 * time.Second)
 		for _, m := range c.Controls {
-			is.True(!slices.Contains(c.standing(m).Evacuated, "north")) // it was taken back, and stays so
+			is.True(!slices.Contains(c.fetchStatus(m).Evacuated, "north")) // it was taken back, and stays so
 		}
 	})
 }
 
 // An order that reaches a control process after its caller has given up is not taken: a cut held it up between the
 // two, and the operator went on elsewhere.
-func TestAnOrderWhoseCallerHasGoneIsNotTaken(t *testing.T) {
+func TestRequestOfAGoneCallerIsNotCommitted(t *testing.T) {
 	for place := range 3 {
 		t.Run(fmt.Sprint(place), func(t *testing.T) {
-			playControls(t, 3, func(t *testing.T, c *Cluster) {
+			runWithControlPlane(t, 3, func(t *testing.T, c *Cluster) {
 				is := is.New(t)
 				m := c.Controls[place]
-				status, _, err := c.callOne(m, http.MethodPost, "/marlreel/evacuation/west/begin", "", "") // a connection is made
+				status, _, err := c.callControl(m, http.MethodPost, "/marlreel/evacuation/west/begin", "", "") // a connection is made
 				is.NoErr(err)
 				is.Equal(status, 200)
 				c.Net.Cut(outsideIP, m.IP, true)
-				_, _, err = c.callOne(m, http.MethodPost, evacuation("begin"), "", "")
+				_, _, err = c.callControl(m, http.MethodPost, evacuationPath("begin"), "", "")
 				is.True(err != nil)
 				for _, verb := range []string{"begin", "terminate"} {
 					for _, other := range c.Controls {
 						if other == m {
 							continue
 						}
-						status, _, err = c.callOne(other, http.MethodPost, evacuation(verb), "", "")
+						status, _, err = c.callControl(other, http.MethodPost, evacuationPath(verb), "", "")
 						is.NoErr(err)
 						is.Equal(status, 200)
 					}
 				}
 				c.Net.Cut(outsideIP, m.IP, false)
-				c.Pass(2 * time.Second)
+				c.Sleep(2 * time.Second)
 				for _, m := range c.Controls {
-					is.True(!slices.Contains(c.standing(m).Evacuated, "north"))
+					is.True(!slices.Contains(c.fetchStatus(m).Evacuated, "north"))
 				}
 			})
 		})
@@ -114,10 +114,10 @@
 
 // A question for the head is passed on once: two processes that take each other for the head don't play it back
 // and forth.
-func TestAQuestionIsPassedOnOnce(t *testing.T) {
-	playControls(t, 3, func(t *testing.T, c *Cluster) {
+func TestLeaseRequestIsForwardedOnce(t *testing.T) {
+	runWithControlPlane(t, 3, func(t *testing.T, c *Cluster) {
 		is := is.New(t)
-		head, others := c.ends(t)
+		head, others := c.headAndOthers(t)
 		client := transport.NewClient(c.outside.Dial)
 		ask := func(m *Machine, forwarded bool) result.Code {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -133,27 +133,27 @@
 }
 
 // A control process that gets SIGTERM is out of the chain before it ends: hardly a change waits for that.
-func TestAControlProcessLeavesBeforeItEnds(t *testing.T) {
+func TestControlProcessLeavesTheChainBeforeItExits(t *testing.T) {
 	for place := range 3 {
 		t.Run(fmt.Sprint(place), func(t *testing.T) {
-			playControls(t, 3, func(t *testing.T, c *Cluster) {
+			runWithControlPlane(t, 3, func(t *testing.T, c *Cluster) {
 				is := is.New(t)
 				var ended sync.WaitGroup
 				m := c.Controls[place]
 				ended.Go(m.Terminate)
 				longest := time.Duration(0)
 				for range 40 {
-					longest = max(longest, c.change(t, 4*time.Second))
-					c.Pass(20 * time.Millisecond)
+					longest = max(longest, c.modifyConfiguration(t, 4*time.Second))
+					c.Sleep(20 * time.Millisecond)
 				}
 				ended.Wait()
 				t.Logf("the longest change took %v", longest)
 				is.True(longest < 300*time.Millisecond)
 				others := slices.DeleteFunc(slices.Clone(c.Controls), func(o *Machine) bool { return o == m })
-				is.Equal(len(c.standing(others[0]).Chain), 2)
+				is.Equal(len(c.fetchStatus(others[0]).Chain), 2)
 				m.Start()
-				c.Pass(2 * time.Second)
-				is.Equal(len(c.standing(m).Chain), 3)
+				c.Sleep(2 * time.Second)
+				is.Equal(len(c.fetchStatus(m).Chain), 3)
 			})
 		})
 	}
--- a/internal/testing/simcluster/metrics_test.go
+++ b/internal/testing/simcluster/metrics_test.go
@@ -15,22 +15,22 @@
 	"marlreel/internal/process/bootstrap"
 )
 
-// door is where a process of a machine tells its figures.
-func (m *Machine) door(door bootstrap.MetricsEndpoint) string {
+// metricsAddress is where a process of a machine tells its figures.
+func (m *Machine) metricsAddress(door bootstrap.MetricsEndpoint) string {
 	return net.JoinHostPort(m.IP, strconv.Itoa(peerPort+15-int(door)))
 }
 
-// figuresOf reads the metrics of a process of a machine.
-func (c *Cluster) figuresOf(m *Machine, door bootstrap.MetricsEndpoint) (status int, text string) {
-	status, text, err := c.request(m.door(door), "GET", "/metrics", "", "")
+// fetchMetrics reads the metrics of a process of a machine.
+func (c *Cluster) fetchMetrics(m *Machine, door bootstrap.MetricsEndpoint) (status int, text string) {
+	status, text, err := c.callHTTP(m.metricsAddress(door), "GET", "/metrics", "", "")
 	if err != nil {
 		return 0, err.Error()
 	}
 	return status, text
 }
 
-// has checks that figures have each of some lines.
-func has(t *testing.T, figures string, lines ...string) {
+// checkLines checks that figures have each of some lines.
+func checkLines(t *testing.T, figures string, lines ...string) {
 	t.Helper()
 	for _, line := range lines {
 		if !strings.Contains("\n"+figures, "\n"+line+"\n") {
@@ -39,54 +39,54 @@
 	}
 }
 
-func TestEachProcessTellsItsFigures(t *testing.T) {
+func TestEachProcessServesItsMetrics(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := start(t, 3, 2)
+		c := startCluster(t, 3, 2)
 		defer c.Stop()
 		edge := c.Edges[0]
-		got, err := c.Ask(edge, chat("m0"))
+		got, err := c.Send(edge, chatRequest("m0"))
 		is.NoErr(err)
 		is.Equal(got.Status, 200)
-		unheld := chat("m2") // no backend holds it: it waits for a load
-		got, err = c.Ask(edge, unheld)
+		unheld := chatRequest("m2") // no backend holds it: it waits for a load
+		got, err = c.Send(edge, unheld)
 		is.NoErr(err)
 		is.Equal(got.Status, 200)
 
-		status, figures := c.figuresOf(edge, bootstrap.ProxyMetrics)
+		status, figures := c.fetchMetrics(edge, bootstrap.ProxyMetrics)
 		is.Equal(status, 200)
-		has(t, figures, `marlreel_ready 1`, `marlreel_feed_fresh 1`, `marlreel_backends 4`, `marlreel_nodes 2`, `marlreel_config_version 1`,
+		checkLines(t, figures, `marlreel_ready 1`, `marlreel_feed_fresh 1`, `marlreel_backends 4`, `marlreel_nodes 2`, `marlreel_config_version 1`,
 			`marlreel_attempts_total{service="llm",result="ok"} 2`,
 			`marlreel_requests_total{service="llm",kind="streaming",repeatable="true",aim_ms="800",outcome="in_time"} 1`,
 			`marlreel_requests_total{service="llm",kind="streaming",repeatable="true",aim_ms="800",outcome="no_holder"} 1`,
 			`marlreel_first_byte_seconds_count{service="llm",kind="streaming",repeatable="true",aim_ms="800"} 2`)
 
-		status, figures = c.figuresOf(edge, bootstrap.AgentMetrics)
+		status, figures = c.fetchMetrics(edge, bootstrap.AgentMetrics)
 		is.Equal(status, 200)
-		has(t, figures, `marlreel_feed_fresh 1`, `marlreel_backends 4`, `marlreel_nodes 2`)
+		checkLines(t, figures, `marlreel_feed_fresh 1`, `marlreel_backends 4`, `marlreel_nodes 2`)
 
-		status, figures = c.figuresOf(c.Controls[1], bootstrap.ControlMetrics)
+		status, figures = c.fetchMetrics(c.Controls[1], bootstrap.ControlMetrics)
 		is.Equal(status, 200)
-		has(t, figures, `marlreel_chain_connected 1`, `marlreel_chain_members 3`, `marlreel_store_failed 0`, `marlreel_config_version 1`)
+		checkLines(t, figures, `marlreel_chain_connected 1`, `marlreel_chain_members 3`, `marlreel_store_failed 0`, `marlreel_config_version 1`)
 	})
 }
 
 // docs/METRICS.md has each figure and each outcome that a process tells, and no other.
-func TestThePageHasAllFigures(t *testing.T) {
+func TestMetricsPageListsAllMetrics(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/METRICS.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := start(t, 3, 1)
+		c := startCluster(t, 3, 1)
 		defer c.Stop()
-		_, err := c.Ask(c.Edges[0], chat("m0"))
+		_, err := c.Send(c.Edges[0], chatRequest("m0"))
 		is.NoErr(err)
 		told := map[string]bool{}
 		name := regexp.MustCompile(`marlreel_[a-z_]+|outcome="[a-z_]+"`)
 		for door, m := range map[bootstrap.MetricsEndpoint]*Machine{bootstrap.ProxyMetrics: c.Edges[0], bootstrap.AgentMetrics: c.Edges[0], bootstrap.ControlMetrics: c.Controls[0]} {
-			_, figures := c.figuresOf(m, door)
+			_, figures := c.fetchMetrics(m, door)
 			for _, found := range name.FindAllString(figures, -1) {
 				for _, part := range []string{"_bucket", "_sum", "_count"} {
 					found = strings.TrimSuffix(found, part)
@@ -108,19 +108,19 @@
 }
 
 // A machine whose metrics can't be read serves all the same.
-func TestServesWithoutADoorForFigures(t *testing.T) {
+func TestServesWithoutAMetricsServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := start(t, 3, 2)
+		c := startCluster(t, 3, 2)
 		defer c.Stop()
 		edge := c.Edges[0]
 		edge.Kill()
-		c.revive(edge.IP)
-		taken, err := c.network(edge.IP).Listen(edge.door(bootstrap.ProxyMetrics))
+		c.reconnect(edge.IP)
+		taken, err := c.network(edge.IP).Listen(edge.metricsAddress(bootstrap.ProxyMetrics))
 		is.NoErr(err)
 		edge.Start()
-		c.Pass(3 * time.Second)
-		got, err := c.Ask(edge, slip())
+		c.Sleep(3 * time.Second)
+		got, err := c.Send(edge, slipRequest())
 		is.NoErr(err)
 		is.Equal(got.Status, 200)
 		is.NoErr(taken.Close())
--- a/internal/testing/simcluster/outside.go
+++ b/internal/testing/simcluster/outside.go
@@ -19,11 +19,11 @@
 	"marlreel/internal/testing/fakesystem"
 )
 
-// ErrNoAnswer says that nobody gave a clear answer in time.
-var ErrNoAnswer = errors.New("no clear answer")
+// ErrNoClearAnswer says that nobody gave a clear answer in time.
+var ErrNoClearAnswer = errors.New("no clear answer")
 
-// Pass lets time pass: on a simulated clock that costs none.
-func (c *Cluster) Pass(span time.Duration) {
+// Sleep lets time pass: on a simulated clock that costs none.
+func (c *Cluster) Sleep(span time.Duration) {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
 	select {
@@ -32,26 +32,26 @@
 	}
 }
 
-// Call makes a call to control as the operator does: to one process after the other until
+// CallOperatorAPI makes a call to control as the operator does: to one process after the other until
 // one gives a clear answer.
-func (c *Cluster) Call(method, path, base, body string, patience time.Duration) (status int, answer string, err error) {
+func (c *Cluster) CallOperatorAPI(method, path, base, body string, patience time.Duration) (status int, answer string, err error) {
 	end := time.Now().Add(patience)
 	for at := 0; time.Now().Before(end); at++ {
-		status, answer, err := c.callOne(c.Controls[at%len(c.Controls)], method, path, base, body)
+		status, answer, err := c.callControl(c.Controls[at%len(c.Controls)], method, path, base, body)
 		if err == nil && status < 500 && status != fasthttp.StatusRequestTimeout && status != fasthttp.StatusTooManyRequests {
 			return status, answer, nil
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return 0, "", ErrNoAnswer
+	return 0, "", ErrNoClearAnswer
 }
 
-func (c *Cluster) callOne(m *Machine, method, path, base, body string) (int, string, error) {
-	return c.request(m.ControlAddress(), method, path, base, body)
+func (c *Cluster) callControl(m *Machine, method, path, base, body string) (int, string, error) {
+	return c.callHTTP(m.ControlAddress(), method, path, base, body)
 }
 
-// request makes one call from outside to an address.
-func (c *Cluster) request(address, method, path, base, body string) (int, string, error) {
+// callHTTP makes one call from outside to an address.
+func (c *Cluster) callHTTP(address, method, path, base, body string) (int, string, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
@@ -67,36 +67,36 @@
 	return response.StatusCode(), string(response.Body()), nil
 }
 
-// Configure has a whole configuration taken, on top of the one before.
-func (c *Cluster) Configure(document func(version uint64) string, patience time.Duration) (status int, answer string, err error) {
-	base := c.versions
-	status, answer, err = c.Call(http.MethodPost, "/marlreel/config/replace", strconv.FormatUint(base, 10), document(base+1), patience)
+// ReplaceConfiguration has a whole configuration taken, on top of the one before.
+func (c *Cluster) ReplaceConfiguration(document func(version uint64) string, patience time.Duration) (status int, answer string, err error) {
+	base := c.version
+	status, answer, err = c.CallOperatorAPI(http.MethodPost, "/marlreel/config/replace", strconv.FormatUint(base, 10), document(base+1), patience)
 	if err == nil && status == http.StatusOK {
-		c.versions = base + 1
+		c.version = base + 1
 	}
 	return status, answer, err
 }
 
 // Request is a client's request.
 type Request struct {
-	ID, Host, Path, Model, Tokens, Prompt, LastEvent, Body string
-	Wait                                                   time.Duration
+	ID, Host, Path, Model, Tokens, Prompt, LastEventID, Body string
+	Timeout                                                  time.Duration
 }
 
 // Response is what a client got.
 type Response struct {
-	Status int
-	Seal   string
-	After  time.Duration // until the head
-	Body   string
-	Events []string // whole events, of a stream
-	Whole  bool     // the answer ended as it should
-	Header http.Header
+	Status     int
+	Seal       string
+	TimeToHead time.Duration // until the head
+	Body       string
+	Events     []string // whole events, of a stream
+	Complete   bool     // the answer ended as it should
+	Header     http.Header
 }
 
-// Ask sends a request to an edge machine and reads the answer to its end.
-func (c *Cluster) Ask(edge *Machine, r Request) (Response, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), r.Wait)
+// Send sends a request to an edge machine and reads the answer to its end.
+func (c *Cluster) Send(edge *Machine, r Request) (Response, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), r.Timeout)
 	defer cancel()
 	conn, err := c.outside.Dial(ctx, edge.Front())
 	if err != nil {
@@ -104,13 +104,13 @@
 	}
 	defer conn.Close()
 	began := time.Now()
-	conn.SetDeadline(began.Add(r.Wait))
+	conn.SetDeadline(began.Add(r.Timeout))
 	var head strings.Builder
 	fmt.Fprintf(&head, "POST %s HTTP/1.1\r\nHost: %s\r\nRequest-Id: %s\r\nTime-Remaining: %d\r\nContent-Length: %d\r\n", r.Path,
-		r.Host, r.ID, r.Wait.Milliseconds(), len(r.Body))
+		r.Host, r.ID, r.Timeout.Milliseconds(), len(r.Body))
 	for name, value := range map[string]string{
 		"Model": r.Model, "Token-Count": r.Tokens, "Prompt-Prefix": r.Prompt,
-		"Last-Event-Id": r.LastEvent,
+		"Last-Event-Id": r.LastEventID,
 	} {
 		if value != "" {
 			fmt.Fprintf(&head, "%s: %s\r\n", name, value)
@@ -125,9 +125,9 @@
 		return Response{}, err
 	}
 	defer response.Body.Close()
-	got := Response{Status: response.StatusCode, Seal: response.Header.Get("Server-Seal"), After: time.Since(began), Header: response.Header}
+	got := Response{Status: response.StatusCode, Seal: response.Header.Get("Server-Seal"), TimeToHead: time.Since(began), Header: response.Header}
 	body, err := io.ReadAll(response.Body)
-	got.Body, got.Whole = string(body), err == nil
+	got.Body, got.Complete = string(body), err == nil
 	for event := range bytes.SplitSeq(body, []byte("\n\n")) {
 		if len(event) > 0 {
 			got.Events = append(got.Events, string(event))
--- a/internal/testing/simcluster/power_test.go
+++ b/internal/testing/simcluster/power_test.go
@@ -23,11 +23,11 @@
 	for _, control := range c.Controls {
 		c.Net.Isolate(control.IP, addresses, true)
 	}
-	c.Pass(dark)
+	c.Sleep(dark)
 	for _, edge := range c.Edges {
 		edge.Start()
 	}
-	c.Pass(bootDifference)
+	c.Sleep(bootDifference)
 	for _, control := range c.Controls {
 		c.Net.Isolate(control.IP, addresses, false)
 	}
@@ -36,14 +36,14 @@
 	}
 }
 
-// served waits until a proxy serves, and gives the time that it took.
-func (c *Cluster) served(edge *Machine, most time.Duration) (span time.Duration, served bool) {
+// awaitServing waits until a proxy serves, and gives the time that it took.
+func (c *Cluster) awaitServing(edge *Machine, most time.Duration) (span time.Duration, served bool) {
 	const look = 10 * time.Millisecond
 	for span = 0; span < most; span += look {
-		if got, err := c.Ask(edge, slip()); err == nil && got.Status == 200 {
+		if got, err := c.Send(edge, slipRequest()); err == nil && got.Status == 200 {
 			return span, true
 		}
-		c.Pass(look)
+		c.Sleep(look)
 	}
 	return span, false
 }
@@ -51,12 +51,12 @@
 // After a loss of power everywhere, each proxy serves as soon as control does: a call to a machine that was still
 // dark holds nobody up.
 func TestProxiesServeSoonAfterPowerIsBack(t *testing.T) {
-	playHomes(t, func(t *testing.T, c *Cluster) {
+	runWithRelays(t, func(t *testing.T, c *Cluster) {
 		is := is.New(t)
 		c.losePower(time.Second)
 		began := time.Now()
 		for _, edge := range c.Edges {
-			_, served := c.served(edge, 10*time.Second)
+			_, served := c.awaitServing(edge, 10*time.Second)
 			is.True(served)
 		}
 		t.Logf("all proxies serve %v after control has started", time.Since(began))
--- a/internal/testing/simcluster/register_test.go
+++ b/internal/testing/simcluster/register_test.go
@@ -24,8 +24,8 @@
 	l.first = linearizability.Configuration{Version: 1, Text: text}
 }
 
-// note writes a call down.
-func (w *witness) note(began time.Time, call linearizability.ConfigurationCall, answer linearizability.ConfigurationAnswer) {
+// recordCall writes a call down.
+func (w *historyRun) recordCall(began time.Time, call linearizability.ConfigurationCall, answer linearizability.ConfigurationAnswer) {
 	ended := time.Now().UnixNano()
 	if !call.Read && !answer.Known {
 		ended = math.MaxInt64 // it may still come true
@@ -40,16 +40,16 @@
 
 var versionField = regexp.MustCompile(`"config_version":(\d+)`)
 
-// newest reads the configuration, from whichever control process answers.
-func (w *witness) newest() (linearizability.Configuration, bool) {
+// readConfiguration reads the configuration, from whichever control process answers.
+func (w *historyRun) readConfiguration() (linearizability.Configuration, bool) {
 	for _, m := range w.cluster.Controls {
-		status, body, err := w.cluster.callOne(m, http.MethodGet, "/marlreel/config/read", "", "")
+		status, body, err := w.cluster.callControl(m, http.MethodGet, "/marlreel/config/read", "", "")
 		if err != nil || status != http.StatusOK {
 			continue
 		}
 		found := versionField.FindStringSubmatch(body)
 		if found == nil {
-			w.fault("a read gave %q", body)
+			w.violation("a read gave %q", body)
 			return linearizability.Configuration{}, false
 		}
 		version, _ := strconv.ParseUint(found[1], 10, 64)
@@ -58,10 +58,10 @@
 	return linearizability.Configuration{}, false
 }
 
-// isCalm tells whether operators are to make no more changes.
-func (w *witness) isCalm() bool {
+// changesEnded tells whether operators are to make no more changes.
+func (w *historyRun) changesEnded() bool {
 	select {
-	case <-w.calm:
+	case <-w.changesOver:
 		return true
 	default:
 		return false
@@ -69,24 +69,24 @@
 }
 
 // read reads the configuration once.
-func (w *witness) read() {
+func (w *historyRun) read() {
 	began := time.Now()
-	if state, answered := w.newest(); answered {
-		w.note(began, linearizability.ConfigurationCall{Read: true}, linearizability.ConfigurationAnswer{Known: true, Version: state.Version, Text: state.Text})
+	if state, answered := w.readConfiguration(); answered {
+		w.recordCall(began, linearizability.ConfigurationCall{Read: true}, linearizability.ConfigurationAnswer{Known: true, Version: state.Version, Text: state.Text})
 	}
 }
 
-// mostSends bounds how often a change is sent until there is a clear answer.
-const mostSends = 12
+// maxSends bounds how often a change is sent until there is a clear answer.
+const maxSends = 12
 
 // write sends a change on top of the newest version, again while there is no clear answer, and
 // tells whether it was taken. prefix is where the plain route goes; empty: to a place of its own.
-func (w *witness) write(operator int, prefix string) bool {
-	state, answered := w.newest()
+func (w *historyRun) write(operator int, prefix string) bool {
+	state, answered := w.readConfiguration()
 	if !answered {
 		return false
 	}
-	if prefix == "" && w.isCalm() {
+	if prefix == "" && w.changesEnded() {
 		return false
 	}
 	w.mu.Lock()
@@ -98,26 +98,26 @@
 	text := historyDocument(prefix)(state.Version + 1)
 	call, answer := linearizability.ConfigurationCall{Base: state.Version, Text: text}, linearizability.ConfigurationAnswer{}
 	began := time.Now()
-	for send := 0; send < mostSends && !answer.Known; send++ {
+	for send := 0; send < maxSends && !answer.Known; send++ {
 		m := w.cluster.control(operator + send)
-		status, _, err := w.cluster.callOne(m, http.MethodPost, "/marlreel/config/replace", strconv.FormatUint(call.Base, 10), text)
+		status, _, err := w.cluster.callControl(m, http.MethodPost, "/marlreel/config/replace", strconv.FormatUint(call.Base, 10), text)
 		switch {
 		case err == nil && status == http.StatusOK:
 			answer = linearizability.ConfigurationAnswer{Known: true, Taken: true}
 		case err == nil && status == http.StatusPreconditionFailed:
 			answer = linearizability.ConfigurationAnswer{Known: true}
 		default:
-			w.cluster.Pass(100 * time.Millisecond)
+			w.cluster.Sleep(100 * time.Millisecond)
 		}
 	}
-	w.note(began, call, answer)
+	w.recordCall(began, call, answer)
 	return answer.Taken
 }
 
-// auditRegister checks that all answers are those of one register.
-func (w *witness) auditRegister() {
+// checkRegister checks that all answers are those of one register.
+func (w *historyRun) checkRegister() {
 	const patience = 20 * time.Second
 	if porcupine.CheckOperationsTimeout(linearizability.ConfigurationModel(w.register.first), w.register.operations, patience) != porcupine.Ok {
-		w.fault("the answers to %d calls are not those of one register", len(w.register.operations))
+		w.violation("the answers to %d calls are not those of one register", len(w.register.operations))
 	}
 }
--- a/internal/testing/simcluster/roles_test.go
+++ b/internal/testing/simcluster/roles_test.go
@@ -12,10 +12,10 @@
 	"marlreel/internal/controlplane"
 )
 
-// placer is who places the models, and under which token.
-func (c *Cluster) placer(t *testing.T) controlplane.LeaseStatus {
+// placementLease is who places the models, and under which token.
+func (c *Cluster) placementLease(t *testing.T) controlplane.LeaseStatus {
 	t.Helper()
-	status, answer, err := c.Call("GET", "/marlreel/status", "", "", 4*time.Second)
+	status, answer, err := c.CallOperatorAPI("GET", "/marlreel/status", "", "", 4*time.Second)
 	if err != nil || status != 200 {
 		t.Fatalf("status: %d %v", status, err)
 	}
@@ -26,7 +26,7 @@
 	return s.Leases[0]
 }
 
-func (c *Cluster) holder(role controlplane.LeaseStatus) *Machine {
+func (c *Cluster) holderOf(role controlplane.LeaseStatus) *Machine {
 	name, _, _ := strings.Cut(role.Holder, "/")
 	for _, m := range c.Edges {
 		if m.Name == name {
@@ -37,50 +37,50 @@
 }
 
 // A holder that gets SIGTERM gives its role up at once, to a node that stays.
-func TestRoleIsGivenUpAtSIGTERM(t *testing.T) {
-	play(t, func(t *testing.T, c *Cluster) {
+func TestLeaseIsReleasedAtSIGTERM(t *testing.T) {
+	runWithCluster(t, func(t *testing.T, c *Cluster) {
 		is := is.New(t)
-		before := c.placer(t)
-		leaving := c.holder(before)
+		before := c.placementLease(t)
+		leaving := c.holderOf(before)
 		var ended sync.WaitGroup
 		ended.Go(leaving.Terminate)
-		c.Pass(time.Second)
-		after := c.placer(t)
-		is.True(c.holder(after) != leaving)
+		c.Sleep(time.Second)
+		after := c.placementLease(t)
+		is.True(c.holderOf(after) != leaving)
 		is.True(after.FencingToken > before.FencingToken)
 		ended.Wait()
-		c.Pass(5 * time.Second)
-		is.Equal(c.placer(t), after) // and it stays there
+		c.Sleep(5 * time.Second)
+		is.Equal(c.placementLease(t), after) // and it stays there
 	})
 }
 
 // A holder that dies is replaced once its lease has run out, by one that lives, and the
 // token rises with every change of hands and with nothing else.
-func TestRoleOfADeadHolderPassesOnce(t *testing.T) {
-	play(t, func(t *testing.T, c *Cluster) {
+func TestLeaseOfADeadHolderIsGrantedOnce(t *testing.T) {
+	runWithCluster(t, func(t *testing.T, c *Cluster) {
 		is := is.New(t)
-		before := c.placer(t)
-		dead := c.holder(before)
+		before := c.placementLease(t)
+		dead := c.holderOf(before)
 		dead.Kill()
-		c.Pass(4 * time.Second)
-		after := c.placer(t)
-		is.True(c.holder(after) != dead)
+		c.Sleep(4 * time.Second)
+		after := c.placementLease(t)
+		is.True(c.holderOf(after) != dead)
 		is.True(after.FencingToken <= before.FencingToken+2) // one that was dead too may have been tried
-		c.Pass(10 * time.Second)
-		is.Equal(c.placer(t), after)
+		c.Sleep(10 * time.Second)
+		is.Equal(c.placementLease(t), after)
 	})
 }
 
 // A node that has come back is another holder: its old self's role is free at once.
-func TestRoleOfARestartedHolderPassesAtOnce(t *testing.T) {
-	play(t, func(t *testing.T, c *Cluster) {
+func TestLeaseOfARestartedHolderIsGrantedAtOnce(t *testing.T) {
+	runWithCluster(t, func(t *testing.T, c *Cluster) {
 		is := is.New(t)
-		before := c.placer(t)
-		holder := c.holder(before)
+		before := c.placementLease(t)
+		holder := c.holderOf(before)
 		holder.Kill()
 		holder.Start()
-		c.Pass(1200 * time.Millisecond)
-		after := c.placer(t)
+		c.Sleep(1200 * time.Millisecond)
+		after := c.placementLease(t)
 		is.True(after.Holder != before.Holder)
 		is.True(after.FencingToken > before.FencingToken)
 	})
@@ -88,11 +88,11 @@
 
 // Where many nodes are lost at once, a role goes to one that still reports, not to one after the other of those
 // that are lost as well.
-func TestRolePassesToANodeThatReports(t *testing.T) {
-	playHomes(t, func(t *testing.T, c *Cluster) {
+func TestLeaseIsGrantedToANodeThatReports(t *testing.T) {
+	runWithRelays(t, func(t *testing.T, c *Cluster) {
 		is := is.New(t)
-		before := c.placer(t)
-		holder := c.holder(before)
+		before := c.placementLease(t)
+		holder := c.holderOf(before)
 		survivors := 0
 		var ended sync.WaitGroup
 		for _, edge := range c.Edges {
@@ -103,11 +103,11 @@
 			ended.Go(edge.Kill)
 		}
 		ended.Wait()
-		c.Pass(2300 * time.Millisecond) // a lease, its margin, a look and a grant
-		after := c.placer(t)
+		c.Sleep(2300 * time.Millisecond) // a lease, its margin, a look and a grant
+		after := c.placementLease(t)
 		is.Equal(after.FencingToken, before.FencingToken+1)
-		is.True(c.holder(after) != nil)
-		c.Pass(5 * time.Second)
-		is.Equal(c.placer(t), after) // who has it is alive
+		is.True(c.holderOf(after) != nil)
+		c.Sleep(5 * time.Second)
+		is.Equal(c.placementLease(t), after) // who has it is alive
 	})
 }
--- a/internal/testing/simcluster/traffic_test.go
+++ b/internal/testing/simcluster/traffic_test.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// quietControl and quietEdge bound what a machine of each kind sends and gets in a second, without headers of
+	// maxIdleControlBytes and quietEdge bound what a machine of each kind sends and gets in a second, without headers of
 	// packets, where nothing happens: some half more than 10.8 and 2.5 KB, which were measured with 16 backends.
-	quietControl = 16 << 10
-	quietEdge    = 3 << 10
+	maxIdleControlBytes = 16 << 10
+	maxIdleEdgeBytes    = 3 << 10
 )
 
 // kindOf names what a machine of a cluster is.
@@ -41,24 +41,24 @@
 	}
 }
 
-// TestQuietTraffic bounds what the system says to itself where nothing happens.
-func TestQuietTraffic(t *testing.T) {
+// TestIdleTrafficIsBounded bounds what the system says to itself where nothing happens.
+func TestIdleTrafficIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := start(t, 3, 6)
+		c := startCluster(t, 3, 6)
 		defer c.Stop()
 		for i := range 12 {
 			c.AddBackend(slipBackend(fmt.Sprintf("s-%d", i), zones[i%len(zones)]))
 		}
 		const settled, watched = 10 * time.Second, 10 * time.Second
-		c.Pass(settled)
+		c.Sleep(settled)
 		c.Net.TakeTraffic()
-		c.Pass(watched)
+		c.Sleep(watched)
 		traffic := c.Net.TakeTraffic()
 		c.logTraffic(t, traffic, watched)
 		for _, m := range c.Machines() {
-			most, kind := int64(quietEdge), c.kindOf(m.IP)
+			most, kind := int64(maxIdleEdgeBytes), c.kindOf(m.IP)
 			if kind == "control" {
-				most = quietControl
+				most = maxIdleControlBytes
 			}
 			perSecond := traffic.Total(func(f simnet.Flow) bool { return f.From == m.IP || f.To == m.IP }) / int64(watched/time.Second)
 			t.Logf("%s: %d bytes a second", m.Name, perSecond)
