--- a/internal/controlplane/compatibility_test.go
+++ b/internal/controlplane/compatibility_test.go
@@ -91,11 +91,11 @@
 // A message in parts, as a process of the recorded version divides it, is put together again.
 func TestCompatibilityOfFragments(t *testing.T) {
 	data := recordedMessage()
-	in := newIncoming()
+	in := newReassembler()
 	const size = 7
 	var message *api.ChainMessage
 	for offset := 0; offset < len(data); offset += size {
-		got, err := in.take(&api.Fragment{
+		got, err := in.OnFragment(&api.Fragment{
 			SenderIncarnation: 1, Message: 2, Offset: uint64(offset), Total: uint64(len(data)),
 			Data: data[offset:min(offset+size, len(data))],
 		})
@@ -122,7 +122,7 @@
 	if err := proto.Unmarshal(recordedMessage(), message); err != nil {
 		t.Fatal(err)
 	}
-	out := (&Peers{life: 77}).divide(message)
+	out := (&PeerSender{incarnation: 77}).split(message)
 	part := out.next()
 	if part.SenderIncarnation != 77 || part.Offset != 0 || part.Total != uint64(len(recordedMessage())) || !bytes.Equal(part.Data, recordedMessage()) {
 		t.Errorf("divided as %v", part)
@@ -132,8 +132,8 @@
 // The keys of what backends and operators send and get.
 func TestCompatibilityOfKeys(t *testing.T) {
 	for name, kind := range map[string]reflect.Type{
-		"heartbeat": reflect.TypeFor[heartbeat](), "heartbeat-reply": reflect.TypeFor[beatReply](),
-		"failure": reflect.TypeFor[failure](), "status": reflect.TypeFor[Status](),
+		"heartbeat": reflect.TypeFor[heartbeat](), "heartbeat-reply": reflect.TypeFor[heartbeatReply](),
+		"failure": reflect.TypeFor[failureReply](), "status": reflect.TypeFor[Status](),
 	} {
 		var lines []string
 		tagsOf("", "json", kind, &lines)
--- a/internal/controlplane/fragments.go
+++ b/internal/controlplane/fragments.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// fragmentSize is the size of a part of a large message. On 10 Mbit/s it takes 26 ms, for which
+	// maxFragmentBytes is the size of a part of a large message. On 10 Mbit/s it takes 26 ms, for which
 	// the small messages to the same peer wait.
-	fragmentSize = 32 << 10
-	// fragmentPatience is how long a part is sent again that does not arrive.
-	fragmentPatience = 3 * time.Second
-	// fragmentPause is between two tries.
-	fragmentPause = 50 * time.Millisecond
-	// largestFragmented bounds a message that comes in parts.
-	largestFragmented = 32 << 20
-	// mostSenders bounds the processes from which parts are kept.
-	mostSenders = 4
+	maxFragmentBytes = 32 << 10
+	// fragmentTimeout is how long a part is sent again that does not arrive.
+	fragmentTimeout = 3 * time.Second
+	// fragmentRetryInterval is between two tries.
+	fragmentRetryInterval = 50 * time.Millisecond
+	// maxFragmentedBytes bounds a message that comes in parts.
+	maxFragmentedBytes = 32 << 20
+	// maxSenders bounds the processes from which parts are kept.
+	maxSenders = 4
 )
 
-// outgoing is a message that goes in parts.
-type outgoing struct {
+// fragmentedMessage is a message that goes in parts.
+type fragmentedMessage struct {
 	life, message uint64
 	data          []byte
 	sent          int       // bytes that have arrived
 	failing       time.Time // since when a part has not arrived; zero: the last one has
 }
 
-// divide prepares a message; nil for none.
-func (p *Peers) divide(message *api.ChainMessage) *outgoing {
+// split prepares a message; nil for none.
+func (p *PeerSender) split(message *api.ChainMessage) *fragmentedMessage {
 	if message == nil {
 		return nil
 	}
@@ -43,18 +43,18 @@
 	if err != nil {
 		return nil // a message of plain fields always marshals
 	}
-	return &outgoing{life: p.life, message: rand.Uint64(), data: data}
+	return &fragmentedMessage{life: p.incarnation, message: rand.Uint64(), data: data}
 }
 
 // next is the part to be sent.
-func (o *outgoing) next() *api.Fragment {
-	end := min(len(o.data), o.sent+fragmentSize)
+func (o *fragmentedMessage) next() *api.Fragment {
+	end := min(len(o.data), o.sent+maxFragmentBytes)
 	return &api.Fragment{SenderIncarnation: o.life, Message: o.message, Offset: uint64(o.sent), Total: uint64(len(o.data)), Data: o.data[o.sent:end]}
 }
 
-// done takes in how sending the part went. It tells whether the message is over: all of it has
+// onSent takes in how sending the part went. It tells whether the message is over: all of it has
 // arrived, or it is given up and the chain sends it anew.
-func (o *outgoing) done(err error) bool {
+func (o *fragmentedMessage) onSent(err error) bool {
 	var refused twirp.Error
 	switch {
 	case err == nil:
@@ -66,30 +66,30 @@
 	case o.failing.IsZero():
 		o.failing = time.Now()
 	}
-	return time.Since(o.failing) > fragmentPatience
+	return time.Since(o.failing) > fragmentTimeout
 }
 
-// incoming puts messages together that come in parts: one at a time from each sender.
-type incoming struct {
+// reassembler puts messages together that come in parts: one at a time from each sender.
+type reassembler struct {
 	mu      sync.Mutex
-	partial map[uint64]*partial // by sender
+	partial map[uint64]*partialMessage // by sender
 }
 
-// partial is the beginning of a message.
-type partial struct {
+// partialMessage is the beginning of a message.
+type partialMessage struct {
 	message uint64
 	total   uint64
 	data    []byte
 	at      time.Time
 }
 
-func newIncoming() *incoming { return &incoming{partial: map[uint64]*partial{}} }
+func newReassembler() *reassembler { return &reassembler{partial: map[uint64]*partialMessage{}} }
 
-// take takes a part in, and gives the message where that was its last one.
-func (i *incoming) take(f *api.Fragment) (*api.ChainMessage, error) {
+// OnFragment takes a part in, and gives the message where that was its last one.
+func (i *reassembler) OnFragment(f *api.Fragment) (*api.ChainMessage, error) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if f.Total > largestFragmented || f.Offset+uint64(len(f.Data)) > f.Total || len(f.Data) == 0 {
+	if f.Total > maxFragmentedBytes || f.Offset+uint64(len(f.Data)) > f.Total || len(f.Data) == 0 {
 		return nil, twirp.InvalidArgumentError("fragment", "is not a part of a message that is taken")
 	}
 	if f.Offset == 0 {
@@ -116,18 +116,18 @@
 }
 
 // begin makes room for a message, in place of the one before by the same sender. Called with the lock.
-func (i *incoming) begin(f *api.Fragment) {
+func (i *reassembler) begin(f *api.Fragment) {
 	if p := i.partial[f.SenderIncarnation]; p != nil && p.message == f.Message {
 		return // its first part came twice
 	}
-	if len(i.partial) >= mostSenders {
+	if len(i.partial) >= maxSenders {
 		i.forgetOldest()
 	}
-	i.partial[f.SenderIncarnation] = &partial{message: f.Message, total: f.Total, at: time.Now()}
+	i.partial[f.SenderIncarnation] = &partialMessage{message: f.Message, total: f.Total, at: time.Now()}
 }
 
 // forgetOldest drops what was added to the longest ago. Called with the lock.
-func (i *incoming) forgetOldest() {
+func (i *reassembler) forgetOldest() {
 	var oldest uint64
 	for sender, p := range i.partial {
 		if o := i.partial[oldest]; o == nil || p.at.Before(o.at) {
--- a/internal/controlplane/fragments_test.go
+++ b/internal/controlplane/fragments_test.go
@@ -21,21 +21,21 @@
 
 // carry sends a message in parts until it is over; lost tells which calls get no answer, and whether the part
 // has arrived all the same.
-func carry(t *testing.T, out *outgoing, in *incoming, lost func(call int) (noAnswer, arrives bool)) (got *api.ChainMessage, calls int) {
+func carry(t *testing.T, out *fragmentedMessage, in *reassembler, lost func(call int) (noAnswer, arrives bool)) (got *api.ChainMessage, calls int) {
 	t.Helper()
 	for ; calls < 1000; calls++ {
 		noAnswer, arrives := lost(calls)
 		var err error
 		if !noAnswer || arrives {
 			var message *api.ChainMessage
-			if message, err = in.take(out.next()); message != nil {
+			if message, err = in.OnFragment(out.next()); message != nil {
 				got = message
 			}
 		}
 		if noAnswer {
 			err = errNoAnswer
 		}
-		if out.done(err) {
+		if out.onSent(err) {
 			return got, calls + 1
 		}
 	}
@@ -46,7 +46,7 @@
 var errNoAnswer = errors.New("no answer")
 
 func TestAMessageComesInParts(t *testing.T) {
-	peers := &Peers{life: 7}
+	peers := &PeerSender{incarnation: 7}
 	for name, lost := range map[string]func(call int) (bool, bool){
 		"nothing is lost":                 func(int) (bool, bool) { return false, false },
 		"every second part is lost":       func(call int) (bool, bool) { return call%2 == 0, false },
@@ -55,11 +55,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			for _, size := range []int{fragmentSize, 3*fragmentSize - 100, 10 * fragmentSize} {
+			for _, size := range []int{maxFragmentBytes, 3*maxFragmentBytes - 100, 10 * maxFragmentBytes} {
 				message := largeMessage(size, 3)
-				got, calls := carry(t, peers.divide(message), newIncoming(), lost)
+				got, calls := carry(t, peers.split(message), newReassembler(), lost)
 				is.True(proto.Equal(got, message))
-				is.True(calls >= size/fragmentSize)
+				is.True(calls >= size/maxFragmentBytes)
 			}
 		})
 	}
@@ -68,86 +68,86 @@
 // A receiver that was restarted in between refuses the rest, and the sender gives that message up.
 func TestARestartedReceiverRefusesTheRest(t *testing.T) {
 	is := is.New(t)
-	out := (&Peers{life: 7}).divide(largeMessage(4*fragmentSize, 1))
-	before := newIncoming()
-	_, err := before.take(out.next())
+	out := (&PeerSender{incarnation: 7}).split(largeMessage(4*maxFragmentBytes, 1))
+	before := newReassembler()
+	_, err := before.OnFragment(out.next())
 	is.NoErr(err)
-	is.Equal(out.done(err), false)
-	_, err = newIncoming().take(out.next())
+	is.Equal(out.onSent(err), false)
+	_, err = newReassembler().OnFragment(out.next())
 	is.True(err != nil)
-	is.True(out.done(err))
+	is.True(out.onSent(err))
 }
 
 // Parts of another message, of another sender or out of order never mix.
 func TestPartsDoNotMix(t *testing.T) {
 	is := is.New(t)
-	in := newIncoming()
-	first, second := &Peers{life: 1}, &Peers{life: 2}
-	a, b := first.divide(largeMessage(2*fragmentSize, 1)), second.divide(largeMessage(2*fragmentSize, 2))
-	for _, out := range []*outgoing{a, b, b, a, a, b} { // three parts each
-		message, err := in.take(out.next())
+	in := newReassembler()
+	first, second := &PeerSender{incarnation: 1}, &PeerSender{incarnation: 2}
+	a, b := first.split(largeMessage(2*maxFragmentBytes, 1)), second.split(largeMessage(2*maxFragmentBytes, 2))
+	for _, out := range []*fragmentedMessage{a, b, b, a, a, b} { // three parts each
+		message, err := in.OnFragment(out.next())
 		is.NoErr(err)
-		if out.done(err) {
+		if out.onSent(err) {
 			is.Equal(message.ViewNumber, uint64(message.GetCatchUp().Snapshot.State.Document[0]))
 		}
 	}
 	is.Equal(len(in.partial), 0)
 
 	// A newer message of the same sender takes the place of the older one.
-	old, newer := first.divide(largeMessage(2*fragmentSize, 1)), first.divide(largeMessage(2*fragmentSize, 4))
-	_, err := in.take(old.next())
+	old, newer := first.split(largeMessage(2*maxFragmentBytes, 1)), first.split(largeMessage(2*maxFragmentBytes, 4))
+	_, err := in.OnFragment(old.next())
 	is.NoErr(err)
-	is.Equal(old.done(err), false)
-	_, err = in.take(newer.next())
+	is.Equal(old.onSent(err), false)
+	_, err = in.OnFragment(newer.next())
 	is.NoErr(err)
-	is.Equal(newer.done(err), false)
-	_, err = in.take(old.next()) // it would fit behind the newer one's beginning
+	is.Equal(newer.onSent(err), false)
+	_, err = in.OnFragment(old.next()) // it would fit behind the newer one's beginning
 	is.True(err != nil)
 	got, _ := carry(t, newer, in, func(int) (bool, bool) { return false, false })
 	is.Equal(got.ViewNumber, uint64(4))
-	_, err = in.take(old.next())
+	_, err = in.OnFragment(old.next())
 	is.True(err != nil)
 }
 
 func TestFragmentsAreBounded(t *testing.T) {
 	is := is.New(t)
-	in := newIncoming()
+	in := newReassembler()
 	for _, wrong := range []*api.Fragment{
-		{SenderIncarnation: 1, Message: 1, Total: largestFragmented + 1, Data: []byte{1}},
+		{SenderIncarnation: 1, Message: 1, Total: maxFragmentedBytes + 1, Data: []byte{1}},
 		{SenderIncarnation: 1, Message: 1, Total: 1, Data: []byte{1, 2}},
 		{SenderIncarnation: 1, Message: 1, Total: 4},
 		{SenderIncarnation: 1, Message: 1, Total: 1, Data: []byte{0xff}}, // no message
 	} {
-		_, err := in.take(wrong)
+		_, err := in.OnFragment(wrong)
 		var refused twirp.Error
 		is.True(errors.As(err, &refused))
 		is.Equal(refused.Code(), twirp.InvalidArgument)
 	}
-	for sender := range uint64(3 * mostSenders) {
-		_, err := in.take(&api.Fragment{SenderIncarnation: sender, Message: 1, Total: 2, Data: []byte{1}})
+	for sender := range uint64(3 * maxSenders) {
+		_, err := in.OnFragment(&api.Fragment{SenderIncarnation: sender, Message: 1, Total: 2, Data: []byte{1}})
 		is.NoErr(err)
 	}
-	is.Equal(len(in.partial), mostSenders)
+	is.Equal(len(in.partial), maxSenders)
 }
 
 // Small messages pass large ones, and both are bounded.
 func TestSmallMessagesPassLargeOnes(t *testing.T) {
 	is := is.New(t)
-	box := &mailbox{wake: make(chan struct{}, 1)}
-	for number := range uint64(2 * mostWaiting) {
-		box.put(&api.ChainMessage{ViewNumber: number})
-		box.put(largeMessage(fragmentSize, byte(number)))
+	box := &sendQueue{wake: make(chan struct{}, 1)}
+	for number := range uint64(2 * maxQueuedSmall) {
+		box.enqueue(&api.ChainMessage{ViewNumber: number})
+		box.enqueue(largeMessage(maxFragmentBytes, byte(number)))
 	}
-	is.Equal(len(box.small), mostWaiting)
-	is.Equal(len(box.large), mostLargeWaiting)
-	is.Equal(box.takeSmall()[0].ViewNumber, uint64(mostWaiting)) // the oldest have gone
-	is.True(box.takeLarge() != nil)
+	is.Equal(len(box.small), maxQueuedSmall)
+	is.Equal(len(box.large), maxQueuedLarge)
+	is.Equal(box.dequeueSmall()[0].ViewNumber, uint64(maxQueuedSmall)) // the oldest have gone
+	is.True(box.dequeueLarge() != nil)
 	for range 40 {
-		box.put(largeMessage(fragmentSize/2, 1))
+		box.enqueue(largeMessage(maxFragmentBytes/2, 1))
 	}
 	size := 0
-	for _, message := range box.takeSmall() {
+	for _, message := range box.dequeueSmall() {
 		size += proto.Size(message)
 	}
-	is.True(size > 0 && size <= largestCall)
+	is.True(size > 0 && size <= maxCallBytes)
 }
--- a/internal/controlplane/owners.go
+++ b/internal/controlplane/lease_manager.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	// grantEvery is how often the head looks whether roles need another holder.
-	grantEvery = 150 * time.Millisecond
-	// leaseMargin is how much longer than the lease the head waits.
-	leaseMargin = 250 * time.Millisecond
-	// leaseShare is the part of the deployment's lease time that a grant runs for.
-	leaseShare = 2
+	// grantInterval is how often the head looks whether roles need another holder.
+	grantInterval = 150 * time.Millisecond
+	// clockMargin is how much longer than the lease the head waits.
+	clockMargin = 250 * time.Millisecond
+	// grantsPerLease is the part of the deployment's lease time that a grant runs for.
+	grantsPerLease = 2
 )
 
-// owners gives roles to nodes and takes them from those that are lost. It acts only
+// leaseManager gives roles to nodes and takes them from those that are lost. It acts only
 // where this process is the head. A role changes hands only when the lease of the one
 // before has run out: its grants were confirmed by a majority at the time, so a head that
 // is new waits out whatever the one before it may have granted.
-type owners struct {
+type leaseManager struct {
 	valid  time.Duration // of a grant, from before it was asked for
 	wait   time.Duration // since the last renewal, before a role may change hands
 	apart  time.Duration // how far apart the orders of two holders have to be
@@ -39,12 +39,12 @@
 	now    func() time.Time // on the steady clock
 	log    logr.Logger
 	mu     sync.Mutex
-	view   uint64                // of which this process was found to be the head; 0: it is not
-	roles  map[string]*roleState // by key
+	view   uint64                 // of which this process was found to be the head; 0: it is not
+	roles  map[string]*leaseState // by key
 }
 
-// roleState is what the head knows of a role that it has looked after.
-type roleState struct {
+// leaseState is what the head knows of a role that it has looked after.
+type leaseState struct {
 	holder   string
 	seen     time.Time // when this head found the holder; another one may have granted it until then
 	granted  time.Time // by this head; zero: it was held before
@@ -56,15 +56,15 @@
 	ordered *api.Operation
 }
 
-func newOwners(bounds bootstrap.Bounds, out *watch.Store, headOf func() (uint64, bool), order func(*api.Operation, uint64),
+func newLeaseManager(bounds bootstrap.Bounds, out *watch.Store, headOf func() (uint64, bool), order func(*api.Operation, uint64),
 	log logr.Logger,
-) *owners {
+) *leaseManager {
 	lease := bootstrap.Milliseconds(bounds.LeaseMS)
 	if lease <= 0 {
-		lease = usualLease
+		lease = defaultLease
 	}
-	o := &owners{valid: lease / leaseShare, feed: out, headOf: headOf, order: order, now: time.Now, log: log, roles: map[string]*roleState{}}
-	o.wait = o.valid + leaseMargin
+	o := &leaseManager{valid: lease / grantsPerLease, feed: out, headOf: headOf, order: order, now: time.Now, log: log, roles: map[string]*leaseState{}}
+	o.wait = o.valid + clockMargin
 	if !bounds.Fencing {
 		// Backends don't tell an old holder from a new one: their orders must be far apart.
 		o.apart = lease
@@ -72,11 +72,11 @@
 	return o
 }
 
-// usualLease holds where the deployment names none.
-const usualLease = 3 * time.Second
+// defaultLease holds where the deployment names none.
+const defaultLease = 3 * time.Second
 
 // renew lets a holder keep its roles, or give them up, and says which they are.
-func (o *owners) renew(holder string, release bool, machine *state.Machine) []*api.Ownership {
+func (o *leaseManager) renew(holder string, release bool, machine *state.Machine) []*api.Ownership {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var held []*api.Ownership
@@ -95,10 +95,10 @@
 }
 
 // role is what is known of a role under its present holder.
-func (o *owners) role(owned *api.Ownership) *roleState {
+func (o *leaseManager) role(owned *api.Ownership) *leaseState {
 	role := o.roles[owned.Key]
 	if role == nil || role.holder != owned.Holder {
-		role = &roleState{holder: owned.Holder, seen: o.now()}
+		role = &leaseState{holder: owned.Holder, seen: o.now()}
 		o.roles[owned.Key] = role
 	}
 	if role.ordered != nil { // it has come through
@@ -109,15 +109,15 @@
 
 // passes tells whether a grant is under way that takes a role from its holder, or from nobody.
 // Called with the lock.
-func (o *owners) passes(key string, owned *api.Ownership) bool {
+func (o *leaseManager) passes(key string, owned *api.Ownership) bool {
 	role := o.roles[key]
 	return role != nil && role.ordered != nil && role.holder != owned.GetHolder() &&
 		role.ordered.GetGrant().GetReplacesFencingToken() == owned.GetFencingToken()
 }
 
 // run looks after the roles until ctx ends.
-func (o *owners) run(ctx context.Context) {
-	ticker := time.NewTicker(grantEvery)
+func (o *leaseManager) run(ctx context.Context) {
+	ticker := time.NewTicker(grantInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -131,7 +131,7 @@
 
 // look orders the grants that are due at this moment, where this process is the head. They hold in the view
 // that it is the head of: in a later one another head may have answered renewals that this one knows nothing of.
-func (o *owners) look() {
+func (o *leaseManager) look() {
 	view, isHead := o.headOf()
 	o.lead(view, isHead)
 	if !isHead {
@@ -143,7 +143,7 @@
 }
 
 // lead forgets what is known of the roles where another process may have been the head since.
-func (o *owners) lead(view uint64, isHead bool) {
+func (o *leaseManager) lead(view uint64, isHead bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch {
@@ -158,7 +158,7 @@
 }
 
 // due are the grants to be made.
-func (o *owners) due() []*api.Operation {
+func (o *leaseManager) due() []*api.Operation {
 	nodes := o.feed.Nodes()
 	if len(nodes) == 0 {
 		return nil
@@ -192,7 +192,7 @@
 }
 
 // grant gives a role to a node that has not just passed it by.
-func (o *owners) grant(key string, owned *api.Ownership, nodes []*api.Node) *api.Operation {
+func (o *leaseManager) grant(key string, owned *api.Ownership, nodes []*api.Node) *api.Operation {
 	var passed map[string]bool
 	if owned != nil {
 		passed = o.role(owned).passed
@@ -209,13 +209,13 @@
 		Key: key, Holder: holder, Address: node.Address,
 		ReplacesFencingToken: &replaces,
 	}}}
-	o.roles[key] = &roleState{holder: holder, granted: o.now(), passed: passed, ordered: operation}
+	o.roles[key] = &leaseState{holder: holder, granted: o.now(), passed: passed, ordered: operation}
 	return operation
 }
 
-// reportedLately is how old a node's last report may be: it reports more often, and a role is vacant some time
+// maxCandidateAge is how old a node's last report may be: it reports more often, and a role is vacant some time
 // after the fault that took its holder, and other nodes with it.
-const reportedLately = 700 * time.Millisecond
+const maxCandidateAge = 700 * time.Millisecond
 
 // candidates are the nodes to choose a holder from: those that stay, have not passed the role by and have reported
 // lately. Where there are none, the last of these is waived first. still is nil where passed was waived.
@@ -223,7 +223,7 @@
 	staying := slices.DeleteFunc(slices.Clone(nodes), func(n *api.Node) bool { return n.Draining })
 	willing := slices.DeleteFunc(slices.Clone(staying), func(n *api.Node) bool { return passed[lease.HolderID(n.Name, n.Incarnation)] })
 	heard := slices.DeleteFunc(slices.Clone(willing), func(n *api.Node) bool {
-		return time.Duration(n.AgeMs)*time.Millisecond > reportedLately
+		return time.Duration(n.AgeMs)*time.Millisecond > maxCandidateAge
 	})
 	switch {
 	case len(heard) > 0:
@@ -236,13 +236,13 @@
 	return nodes, nil
 }
 
-// takeUp is how long a new holder may take to renew for the first time: it hears of its role by way of its home,
+// maxAcceptDelay is how long a new holder may take to renew for the first time: it hears of its role by way of its home,
 // and renews at once, or with the next renewal of those that it has.
-const takeUp = 700 * time.Millisecond
+const maxAcceptDelay = 700 * time.Millisecond
 
 // vacant tells whether a role may be given to another holder: its lease has run out or was
 // given up, or none was ever given under its token. Called with the lock.
-func (o *owners) vacant(owned *api.Ownership, nodes []*api.Node) bool {
+func (o *leaseManager) vacant(owned *api.Ownership, nodes []*api.Node) bool {
 	if owned == nil {
 		return true
 	}
@@ -253,7 +253,7 @@
 	}
 	switch {
 	case !role.granted.IsZero() && role.renewed.IsZero():
-		return o.now().Sub(role.granted) > takeUp
+		return o.now().Sub(role.granted) > maxAcceptDelay
 	case role.released, restarted(owned, nodes):
 		return o.now().Sub(last) > o.apart
 	}
--- a/internal/controlplane/owners_test.go
+++ b/internal/controlplane/lease_manager_test.go
@@ -25,7 +25,7 @@
 
 // ownersTrial is a head's owners with a replicated state that the test commits to.
 type ownersTrial struct {
-	*owners
+	*leaseManager
 	machine  *state.Machine
 	sequence uint64
 	out      *watch.Store
@@ -36,7 +36,7 @@
 func newOwnersTrial(t *testing.T) *ownersTrial {
 	t.Helper()
 	o := &ownersTrial{machine: state.New(), out: watch.New("head", time.Now), commits: true}
-	o.owners = newOwners(bootstrap.Bounds{Fencing: true, LeaseMS: 3000}, o.out, func() (uint64, bool) { return 1, true }, o.take, logr.Discard())
+	o.leaseManager = newLeaseManager(bootstrap.Bounds{Fencing: true, LeaseMS: 3000}, o.out, func() (uint64, bool) { return 1, true }, o.take, logr.Discard())
 	o.lead(1, true)
 	o.commit(&api.Operation{Kind: &api.Operation_Replace{Replace: &api.ReplaceConfiguration{Document: []byte(ownedDocument)}}})
 	if o.machine.Document() == nil {
@@ -64,7 +64,7 @@
 	for _, name := range nodes {
 		o.out.PutNode(&api.Node{Name: name, Address: name + ":1", Incarnation: 1})
 	}
-	o.owners.look()
+	o.leaseManager.look()
 }
 
 // holds tells whether a node's renewal is answered with the role.
@@ -87,7 +87,7 @@
 		o.look("a", "b")
 		is.Equal(len(o.ordered), 2)
 		is.True(!o.holds("a"))
-		time.Sleep(grantEvery)
+		time.Sleep(grantInterval)
 		o.look("a", "b")
 		is.True(!o.holds("a")) // nor later, while nobody knows what has become of it
 
@@ -109,7 +109,7 @@
 		o.commits = false
 		o.look("a", "b")
 		first := o.ordered[0]
-		time.Sleep(takeUp + grantEvery)
+		time.Sleep(maxAcceptDelay + grantInterval)
 		o.commit(first)
 		o.commits = true
 		o.look("a", "b")
@@ -126,7 +126,7 @@
 		o.look("a", "b")
 		first := o.holder()
 		o.look("a", "b") // the grant is seen
-		time.Sleep(takeUp + time.Millisecond)
+		time.Sleep(maxAcceptDelay + time.Millisecond)
 		o.look("a", "b")
 		is.True(o.holder() != first)
 		is.Equal(o.machine.Owner(llmKey).FencingToken, uint64(2))
--- a/internal/controlplane/registry.go
+++ b/internal/controlplane/membership.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// lookEvery is how often it is looked who has fallen silent.
-	lookEvery = 250 * time.Millisecond
-	// missedBeats is how many heartbeats a backend may miss before it is dropped.
-	missedBeats = 3
-	// unheardFactor is how many times longer a backend is kept whose reports came
+	// expiryInterval is how often it is looked who has fallen silent.
+	expiryInterval = 250 * time.Millisecond
+	// maxMissedHeartbeats is how many heartbeats a backend may miss before it is dropped.
+	maxMissedHeartbeats = 3
+	// lostPeerFactor is how many times longer a backend is kept whose reports came
 	// through a process that has fallen silent itself.
-	unheardFactor = 5
-	// nodeSilence is after what time a node without a call is no longer counted.
-	nodeSilence = 4 * time.Second
-	// peerSilence is after what time another control process counts as silent.
-	peerSilence = 2500 * time.Millisecond
+	lostPeerFactor = 5
+	// nodeTimeout is after what time a node without a call is no longer counted.
+	nodeTimeout = 4 * time.Second
+	// peerTimeout is after what time another control process counts as silent.
+	peerTimeout = 2500 * time.Millisecond
 )
 
 // heard is when and by whom a backend or a node was heard last.
@@ -32,9 +32,9 @@
 	at  time.Time
 }
 
-// Registry knows the backends and the nodes from their calls, here and at the other
+// Membership knows the backends and the nodes from their calls, here and at the other
 // control processes.
-type Registry struct {
+type Membership struct {
 	self   *api.ControlNode
 	feed   *watch.Store
 	beat   time.Duration
@@ -49,19 +49,19 @@
 	read   map[string]time.Time // when each node read the feed here last
 }
 
-// NewRegistry makes an empty registry; self is this process.
-func NewRegistry(self *api.ControlNode, out *watch.Store, beat time.Duration, client *transport.Client) *Registry {
-	return &Registry{
+// NewMembership makes an empty registry; self is this process.
+func NewMembership(self *api.ControlNode, out *watch.Store, beat time.Duration, client *transport.Client) *Membership {
+	return &Membership{
 		self: self, feed: out, beat: beat, client: client, heard: map[string]heard{}, nodes: map[string]heard{},
 		peers: map[string]time.Time{}, places: map[string]*api.ControlNode{}, links: map[string]*peerLink{}, read: map[string]time.Time{},
 	}
 }
 
 // Silence is how long a backend may be silent before it is dropped.
-func (r *Registry) Silence() time.Duration { return missedBeats*r.beat + r.beat/2 }
+func (r *Membership) Silence() time.Duration { return maxMissedHeartbeats*r.beat + r.beat/2 }
 
 // Beat takes in a backend's heartbeat.
-func (r *Registry) Beat(b *api.Backend) {
+func (r *Membership) Beat(b *api.Backend) {
 	r.mu.Lock()
 	r.heard[b.Id] = heard{at: time.Now()}
 	r.mu.Unlock()
@@ -71,7 +71,7 @@
 }
 
 // Node takes in a node's call.
-func (r *Registry) Node(n *api.Node) {
+func (r *Membership) Node(n *api.Node) {
 	r.mu.Lock()
 	_, known := r.nodes[n.Name]
 	r.nodes[n.Name] = heard{at: time.Now()}
@@ -83,14 +83,14 @@
 }
 
 // Reads notes that a node reads the feed here.
-func (r *Registry) Reads(node string) {
+func (r *Membership) Reads(node string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.read[node] = time.Now()
 }
 
 // Readers are the nodes that read the feed here.
-func (r *Registry) Readers() []string {
+func (r *Membership) Readers() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Sorted(maps.Keys(r.read))
@@ -98,7 +98,7 @@
 
 // Take takes in what another control process has heard. It tells whether all of those
 // that still live are known here.
-func (r *Registry) Take(reports *api.MembershipUpdate) (known bool) {
+func (r *Membership) Take(reports *api.MembershipUpdate) (known bool) {
 	now := time.Now()
 	r.mu.Lock()
 	r.peers[reports.From] = now
@@ -138,7 +138,7 @@
 }
 
 // Places tells where the control processes are that count.
-func (r *Registry) Places(members []string) []*api.ControlNode {
+func (r *Membership) Places(members []string) []*api.ControlNode {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	nodes := make([]*api.ControlNode, 0, len(members))
@@ -157,14 +157,14 @@
 
 // near is a control process in a zone that was heard of late, where this one is not in that
 // zone itself; "" is none.
-func (r *Registry) near(zone string) string {
+func (r *Membership) near(zone string) string {
 	if zone == r.self.Zone {
 		return ""
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for address, place := range r.places {
-		if place.Zone == zone && time.Since(r.peers[address]) < peerSilence {
+		if place.Zone == zone && time.Since(r.peers[address]) < peerTimeout {
 			return place.PublicAddress
 		}
 	}
@@ -173,8 +173,8 @@
 
 // Run keeps the links to the other control processes, and drops who has fallen silent, until
 // ctx ends. members gives the addresses of all control processes that count.
-func (r *Registry) Run(ctx context.Context, members func() []string) {
-	looks := time.NewTicker(lookEvery)
+func (r *Membership) Run(ctx context.Context, members func() []string) {
+	looks := time.NewTicker(expiryInterval)
 	defer looks.Stop()
 	for {
 		r.link(ctx, members())
@@ -188,7 +188,7 @@
 }
 
 // link keeps one link for each other control process.
-func (r *Registry) link(ctx context.Context, members []string) {
+func (r *Membership) link(ctx context.Context, members []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for address, l := range r.links {
@@ -207,7 +207,7 @@
 }
 
 // hurry has the links tell what is new.
-func (r *Registry) hurry() {
+func (r *Membership) hurry() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, l := range r.links {
@@ -216,7 +216,7 @@
 }
 
 // Observe takes in what an agent tells of backends, and has the other control processes told.
-func (r *Registry) Observe(observed []*api.Observation) {
+func (r *Membership) Observe(observed []*api.Observation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, o := range observed {
@@ -229,14 +229,14 @@
 }
 
 // expire drops the backends that have fallen silent, and forgets who heard them.
-func (r *Registry) expire() {
+func (r *Membership) expire() {
 	now, silence := time.Now(), r.Silence()
 	r.mu.Lock()
 	lost := map[string]bool{}
 	for id, h := range r.heard {
 		limit := silence
-		if h.via != "" && now.Sub(r.peers[h.via]) > peerSilence {
-			limit *= unheardFactor // that process is silent, which says nothing of the backend
+		if h.via != "" && now.Sub(r.peers[h.via]) > peerTimeout {
+			limit *= lostPeerFactor // that process is silent, which says nothing of the backend
 		}
 		if now.Sub(h.at) > limit {
 			lost[id] = true
@@ -244,12 +244,12 @@
 		}
 	}
 	for name, h := range r.nodes {
-		if now.Sub(h.at) > nodeSilence {
+		if now.Sub(h.at) > nodeTimeout {
 			delete(r.nodes, name)
 		}
 	}
-	maps.DeleteFunc(r.read, func(_ string, at time.Time) bool { return now.Sub(at) > nodeSilence })
+	maps.DeleteFunc(r.read, func(_ string, at time.Time) bool { return now.Sub(at) > nodeTimeout })
 	r.mu.Unlock()
 	r.feed.Expire(func(b *api.Backend, _ time.Duration) bool { return lost[b.Id] })
-	r.feed.ExpireNodes(nodeSilence)
+	r.feed.ExpireNodes(nodeTimeout)
 }
--- a/internal/controlplane/figures.go
+++ b/internal/controlplane/metrics.go
@@ -11,10 +11,10 @@
 	"marlreel/internal/process/metricserver"
 )
 
-// newFigures makes the figures of a control process.
-func (s *Service) newFigures() *vm.Set {
+// newMetrics makes the figures of a control process.
+func (s *Service) newMetrics() *vm.Set {
 	set := vm.NewSet()
-	set.RegisterMetricsWriter(s.writeStanding)
+	set.RegisterMetricsWriter(s.writeChainMetrics)
 	set.NewGauge("marlreel_config_version", func() float64 {
 		version := uint64(0)
 		s.feed.View(func(m *state.Machine) { version = m.Version() })
@@ -22,7 +22,7 @@
 	})
 	set.NewGauge("marlreel_backends", func() float64 { return float64(len(s.feed.Backends())) })
 	set.NewGauge("marlreel_nodes", func() float64 { return float64(len(s.feed.Nodes())) })
-	set.NewGauge("marlreel_feed_readers", func() float64 { return float64(len(s.registry.Readers())) })
+	set.NewGauge("marlreel_feed_readers", func() float64 { return float64(len(s.membership.Readers())) })
 	s.counters.Store(set)
 	return set
 }
@@ -34,11 +34,11 @@
 	}
 }
 
-// writeStanding writes how the chain stands: nothing of it where that is not known in time.
-func (s *Service) writeStanding(w io.Writer) {
-	patience, cancel := context.WithTimeout(context.Background(), statusPatience)
+// writeChainMetrics writes how the chain stands: nothing of it where that is not known in time.
+func (s *Service) writeChainMetrics(w io.Writer) {
+	patience, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
-	standing := s.standing(patience)
+	standing := s.chainStatus(patience)
 	vm.WriteGaugeFloat64(w, "marlreel_chain_connected", metricserver.Flag(standing.Connected))
 	vm.WriteGaugeUint64(w, "marlreel_chain_view", standing.View)
 	vm.WriteGaugeUint64(w, "marlreel_chain_members", uint64(len(standing.Members)))
@@ -46,5 +46,5 @@
 	vm.WriteGaugeFloat64(w, "marlreel_chain_leaving", metricserver.Flag(standing.Leaving))
 	vm.WriteGaugeFloat64(w, "marlreel_chain_catching_up", metricserver.Flag(standing.CatchingUp != ""))
 	vm.WriteGaugeUint64(w, "marlreel_chain_committed", standing.Committed)
-	vm.WriteGaugeFloat64(w, "marlreel_store_failed", metricserver.Flag(standing.NoStore))
+	vm.WriteGaugeFloat64(w, "marlreel_store_failed", metricserver.Flag(standing.StoreFailed))
 }
--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator_handlers.go
@@ -27,12 +27,12 @@
 	verbDetach    = "detach"
 
 	headerBase = "Base-Version"
-	// largestBody bounds a configuration.
-	largestBody = 16 << 20
+	// maxConfigurationBytes bounds a configuration.
+	maxConfigurationBytes = 16 << 20
 )
 
-// failure is the body of an answer that is no success.
-type failure struct {
+// failureReply is the body of an answer that is no success.
+type failureReply struct {
 	Code   result.Code `json:"code"`
 	Result string      `json:"result"`
 	Cause  string      `json:"error_cause"`
@@ -44,37 +44,37 @@
 	path, post := string(ctx.Path()), ctx.IsPost()
 	switch {
 	case post && path == pathReplace:
-		s.change(ctx, func(base uint64, body []byte) *api.Operation {
+		s.handleChange(ctx, func(base uint64, body []byte) *api.Operation {
 			return &api.Operation{Kind: &api.Operation_Replace{Replace: &api.ReplaceConfiguration{BaseVersion: base, Document: body}}}
 		})
 	case post && path == pathModify:
-		s.change(ctx, func(base uint64, body []byte) *api.Operation {
+		s.handleChange(ctx, func(base uint64, body []byte) *api.Operation {
 			return &api.Operation{Kind: &api.Operation_Modify{Modify: &api.ModifyConfiguration{BaseVersion: base, Change: body}}}
 		})
 	case ctx.IsGet() && path == pathRead:
-		s.read(ctx)
+		s.handleRead(ctx)
 	case ctx.IsGet() && path == pathStatus:
-		s.status(ctx)
+		s.handleStatus(ctx)
 	case post && strings.HasPrefix(path, pathEvacuation):
-		s.evacuate(ctx, strings.TrimPrefix(path, pathEvacuation))
+		s.handleEvacuation(ctx, strings.TrimPrefix(path, pathEvacuation))
 	case post && strings.HasPrefix(path, pathBackends):
-		s.backend(ctx, strings.TrimPrefix(path, pathBackends))
+		s.handleBackend(ctx, strings.TrimPrefix(path, pathBackends))
 	default:
-		refuse(ctx, result.Errorf(result.UnknownPath, "%s %s", ctx.Method(), path))
+		reject(ctx, result.Errorf(result.UnknownPath, "%s %s", ctx.Method(), path))
 	}
 }
 
-func refuse(ctx *fasthttp.RequestCtx, err *result.Error) {
+func reject(ctx *fasthttp.RequestCtx, err *result.Error) {
 	ctx.SetStatusCode(err.Code.Status())
 	ctx.SetContentType("application/json")
 	// A struct of plain fields always marshals.
-	body, _ := json.Marshal(failure{Code: err.Code, Result: err.Code.String(), Cause: err.Detail, Advice: err.Advice()})
+	body, _ := json.Marshal(failureReply{Code: err.Code, Result: err.Code.String(), Cause: err.Detail, Advice: err.Advice()})
 	ctx.SetBody(body)
 }
 
-func finish(ctx *fasthttp.RequestCtx, outcome *result.Error) {
+func respond(ctx *fasthttp.RequestCtx, outcome *result.Error) {
 	if !outcome.Code.Done() {
-		refuse(ctx, outcome)
+		reject(ctx, outcome)
 		return
 	}
 	ctx.SetStatusCode(fasthttp.StatusOK)
@@ -82,28 +82,28 @@
 	ctx.SetBodyString("{}")
 }
 
-// change takes a configuration, or a change of one.
-func (s *Service) change(ctx *fasthttp.RequestCtx, operation func(base uint64, body []byte) *api.Operation) {
+// handleChange takes a configuration, or a handleChange of one.
+func (s *Service) handleChange(ctx *fasthttp.RequestCtx, operation func(base uint64, body []byte) *api.Operation) {
 	base, err := strconv.ParseUint(string(ctx.Request.Header.Peek(headerBase)), 10, 64)
 	if err != nil {
-		refuse(ctx, result.Errorf(result.InvalidField, "%s: a version is needed", headerBase))
+		reject(ctx, result.Errorf(result.InvalidField, "%s: a version is needed", headerBase))
 		return
 	}
-	if !s.callerIsThere(ctx) {
+	if !s.callerConnected(ctx) {
 		return
 	}
 	body := append([]byte(nil), ctx.PostBody()...)
 	if _, unreadable := configuration.Version(body); unreadable != nil {
-		refuse(ctx, unreadable)
+		reject(ctx, unreadable)
 		return
 	}
-	finish(ctx, s.Order(operation(base, body)))
+	respond(ctx, s.Order(operation(base, body)))
 }
 
-func (s *Service) read(ctx *fasthttp.RequestCtx) {
+func (s *Service) handleRead(ctx *fasthttp.RequestCtx) {
 	reply, err := s.Configuration()
 	if err != nil {
-		refuse(ctx, err)
+		reject(ctx, err)
 		return
 	}
 	ctx.SetContentType("application/json")
@@ -114,46 +114,46 @@
 	ctx.SetBody(reply.Document)
 }
 
-// callerIsThere tells whether who sent an order still waits for its answer, and answers where not. A process that
+// callerConnected tells whether who sent an order still waits for its answer, and answers where not. A process that
 // stood still, or was cut off, finds orders whose callers have turned to another process long since, and gone on.
-func (s *Service) callerIsThere(ctx *fasthttp.RequestCtx) bool {
+func (s *Service) callerConnected(ctx *fasthttp.RequestCtx) bool {
 	if conn := ctx.Conn(); conn == nil || sockets.PeerIsThere(conn) {
 		return true
 	}
-	refuse(ctx, result.Errorf(result.Unavailable, "its caller has gone"))
+	reject(ctx, result.Errorf(result.Unavailable, "its caller has gone"))
 	ctx.SetConnectionClose()
 	return false
 }
 
-// evacuate takes ZONE/begin and ZONE/terminate.
-func (s *Service) evacuate(ctx *fasthttp.RequestCtx, rest string) {
+// handleEvacuation takes ZONE/begin and ZONE/terminate.
+func (s *Service) handleEvacuation(ctx *fasthttp.RequestCtx, rest string) {
 	zone, verb, _ := strings.Cut(rest, "/")
 	if verb != verbBegin && verb != verbTerminate || zone == "" {
-		refuse(ctx, result.Errorf(result.UnknownPath, "evacuation %s", rest))
+		reject(ctx, result.Errorf(result.UnknownPath, "evacuation %s", rest))
 		return
 	}
-	if !s.callerIsThere(ctx) {
+	if !s.callerConnected(ctx) {
 		return
 	}
-	finish(ctx, s.Order(&api.Operation{Kind: &api.Operation_Evacuation{
+	respond(ctx, s.Order(&api.Operation{Kind: &api.Operation_Evacuation{
 		Evacuation: &api.SetEvacuation{Zone: zone, Active: verb == verbBegin},
 	}}))
 }
 
 // heartbeat is what a backend says of itself.
 type heartbeat struct {
-	Service  string      `json:"service"`
-	Address  string      `json:"address"`
-	Zone     string      `json:"zone"`
-	Software string      `json:"config_version"`
-	Slots    uint32      `json:"slots"`
-	State    string      `json:"state"`
-	ColdLeft float64     `json:"cold_left_ms"`
-	Models   []heldModel `json:"model_list"`
-	Sequence uint64      `json:"call_seq"`
+	Service      string        `json:"service"`
+	Address      string        `json:"address"`
+	Zone         string        `json:"zone"`
+	Software     string        `json:"config_version"`
+	Slots        uint32        `json:"slots"`
+	State        string        `json:"state"`
+	WarmupLeftMS float64       `json:"cold_left_ms"`
+	Models       []loadedModel `json:"model_list"`
+	Sequence     uint64        `json:"call_seq"`
 }
 
-type heldModel struct {
+type loadedModel struct {
 	Name     string   `json:"name"`
 	Version  uint64   `json:"config_version"`
 	Adapters []string `json:"adapter_list"`
@@ -161,47 +161,47 @@
 
 const stateDraining = "draining"
 
-// backend takes ID/heartbeat and ID/detach.
-func (s *Service) backend(ctx *fasthttp.RequestCtx, rest string) {
+// handleBackend takes ID/heartbeat and ID/detach.
+func (s *Service) handleBackend(ctx *fasthttp.RequestCtx, rest string) {
 	id, verb, _ := strings.Cut(rest, "/")
 	if verb != verbHeartbeat && verb != verbDetach || id == "" {
-		refuse(ctx, result.Errorf(result.UnknownPath, "backends %s", rest))
+		reject(ctx, result.Errorf(result.UnknownPath, "backends %s", rest))
 		return
 	}
 	if verb == verbDetach {
-		s.retire(ctx, id)
+		s.handleRetirement(ctx, id)
 		return
 	}
 	var beat heartbeat
 	if err := json.Unmarshal(ctx.PostBody(), &beat); err != nil {
-		refuse(ctx, result.Errorf(result.Unreadable, "heartbeat: %v", err))
+		reject(ctx, result.Errorf(result.Unreadable, "heartbeat: %v", err))
 		return
 	}
 	if beat.Service == "" || beat.Address == "" {
-		refuse(ctx, result.Errorf(result.InvalidField, "heartbeat: service and address are needed"))
+		reject(ctx, result.Errorf(result.InvalidField, "heartbeat: service and address are needed"))
 		return
 	}
-	s.registry.Beat(beat.backend(id))
+	s.membership.Beat(beat.backend(id))
 	if beat.State == stateDraining {
-		s.retire(ctx, id)
+		s.handleRetirement(ctx, id)
 		return
 	}
-	finish(ctx, &result.Error{Code: result.Accepted})
-	if near := s.registry.near(beat.Zone); near != "" {
-		body, _ := json.Marshal(beatReply{Address: near}) // a struct of plain fields always marshals
+	respond(ctx, &result.Error{Code: result.Accepted})
+	if near := s.membership.near(beat.Zone); near != "" {
+		body, _ := json.Marshal(heartbeatReply{Address: near}) // a struct of plain fields always marshals
 		ctx.SetBody(body)
 	}
 }
 
-// beatReply names an address for a backend's later heartbeats.
-type beatReply struct {
+// heartbeatReply names an address for a backend's later heartbeats.
+type heartbeatReply struct {
 	Address string `json:"beat_address"`
 }
 
 func (h *heartbeat) backend(id string) *api.Backend {
 	b := &api.Backend{
 		Id: id, Service: h.Service, Address: h.Address, Zone: h.Zone, Software: h.Software, Slots: h.Slots,
-		Draining: h.State == stateDraining, WarmupLeftMs: uint32(max(0, h.ColdLeft)), CallSequence: h.Sequence,
+		Draining: h.State == stateDraining, WarmupLeftMs: uint32(max(0, h.WarmupLeftMS)), CallSequence: h.Sequence,
 	}
 	for _, m := range h.Models {
 		b.Models = append(b.Models, &api.LoadedModel{Name: m.Name, Version: m.Version, Adapters: m.Adapters})
@@ -209,7 +209,7 @@
 	return b
 }
 
-// retire acknowledges a backend's end once that is on more than half of the disks.
-func (s *Service) retire(ctx *fasthttp.RequestCtx, id string) {
-	finish(ctx, s.Order(&api.Operation{Kind: &api.Operation_Retire{Retire: &api.RetireBackend{Id: id}}}))
+// handleRetirement acknowledges a backend's end once that is on more than half of the disks.
+func (s *Service) handleRetirement(ctx *fasthttp.RequestCtx, id string) {
+	respond(ctx, s.Order(&api.Operation{Kind: &api.Operation_Retire{Retire: &api.RetireBackend{Id: id}}}))
 }
--- a/internal/controlplane/link.go
+++ b/internal/controlplane/peer_link.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// shareEvery is how often a control process tells another one whom it has heard, where
+	// fullUpdateInterval is how often a control process tells another one whom it has heard, where
 	// there is no news.
-	shareEvery = time.Second
-	// shareSoon is how long news waits for more news.
-	shareSoon = 10 * time.Millisecond
-	// shareTimeout bounds one such call.
-	shareTimeout = 400 * time.Millisecond
-	// mostHints bounds the backends of which a peer that can't be reached is still to be told
+	fullUpdateInterval = time.Second
+	// updateDelay is how long news waits for more news.
+	updateDelay = 10 * time.Millisecond
+	// updateTimeout bounds one such call.
+	updateTimeout = 400 * time.Millisecond
+	// maxHints bounds the backends of which a peer that can't be reached is still to be told
 	// what was observed there.
-	mostHints = 4096
-	// hintLife is how long that is kept: a backend's own heartbeats say the same by then.
-	hintLife = 5 * time.Second
+	maxHints = 4096
+	// hintTTL is how long that is kept: a backend's own heartbeats say the same by then.
+	hintTTL = 5 * time.Second
 )
 
 // peerLink tells one other control process what this one has heard. What that one misses
 // while it can't be reached is handed over when it answers again: backends and nodes by the
 // revision up to which it was told, observations as hints.
 type peerLink struct {
-	registry *Registry
+	registry *Membership
 	address  string
 	ctx      context.Context
 	end      context.CancelFunc
@@ -43,10 +43,10 @@
 	observed *hintedhandoff.Table[*api.Observation]
 }
 
-func newPeerLink(ctx context.Context, r *Registry, address string) *peerLink {
+func newPeerLink(ctx context.Context, r *Membership, address string) *peerLink {
 	l := &peerLink{
 		registry: r, address: address, wake: make(chan struct{}, 1), began: time.Now(),
-		observed: hintedhandoff.New[*api.Observation](mostHints, hintLife),
+		observed: hintedhandoff.New[*api.Observation](maxHints, hintTTL),
 	}
 	l.ctx, l.end = context.WithCancel(ctx)
 	return l
@@ -63,7 +63,7 @@
 
 // run tells what is new when there is something, and who lives once in a while.
 func (l *peerLink) run() {
-	lifeSigns := time.NewTicker(shareEvery)
+	lifeSigns := time.NewTicker(fullUpdateInterval)
 	defer lifeSigns.Stop()
 	for {
 		newsAlone := false
@@ -71,7 +71,7 @@
 		case <-l.wake:
 			newsAlone = true
 			select {
-			case <-time.After(shareSoon):
+			case <-time.After(updateDelay):
 			case <-l.ctx.Done():
 				return
 			}
@@ -86,7 +86,7 @@
 // share makes one call.
 func (l *peerLink) share(newsAlone bool) {
 	reports, revision, hinted := l.reports(newsAlone)
-	call, cancel := context.WithTimeout(l.ctx, shareTimeout)
+	call, cancel := context.WithTimeout(l.ctx, updateTimeout)
 	defer cancel()
 	_, err := api.NewControlProtobufClient("http://"+l.address, l.registry.client).Share(call, reports)
 	l.registry.mu.Lock()
@@ -134,7 +134,7 @@
 }
 
 // addLifeSigns adds the backends that were heard here and have nothing new to say.
-func (r *Registry) addLifeSigns(reports *api.MembershipUpdate, news map[string]bool) {
+func (r *Membership) addLifeSigns(reports *api.MembershipUpdate, news map[string]bool) {
 	now := time.Now()
 	for id, h := range r.heard {
 		if h.via == "" && !news[id] {
@@ -144,7 +144,7 @@
 }
 
 // addNodes adds the nodes that were heard here.
-func (r *Registry) addNodes(reports *api.MembershipUpdate) {
+func (r *Membership) addNodes(reports *api.MembershipUpdate) {
 	for _, n := range r.feed.Nodes() {
 		if r.nodes[n.Name].via == "" {
 			reports.Nodes = append(reports.Nodes, n)
--- a/internal/controlplane/peers.go
+++ b/internal/controlplane/peer_sender.go
@@ -16,77 +16,77 @@
 )
 
 const (
-	// mostWaiting is how many small messages wait for one peer; beyond it the oldest go.
-	mostWaiting = 256
-	// mostLargeWaiting is the same for large ones, which are sent again by the chain.
-	mostLargeWaiting = 4
-	// largestCall bounds the messages of one call, in bytes.
-	largestCall = 128 << 10
+	// maxQueuedSmall is how many small messages wait for one peer; beyond it the oldest go.
+	maxQueuedSmall = 256
+	// maxQueuedLarge is the same for large ones, which are sent again by the chain.
+	maxQueuedLarge = 4
+	// maxCallBytes bounds the messages of one call, in bytes.
+	maxCallBytes = 128 << 10
 	// deliverTimeout is how long a delivery to a peer may take. A call of the largest size needs a
 	// link of 2.6 Mbit/s for that.
 	deliverTimeout = 400 * time.Millisecond
 )
 
-// Peers sends messages to other members: heartbeats as datagrams, which may be lost, and
+// PeerSender sends messages to other members: heartbeats as datagrams, which may be lost, and
 // all else over a goroutine for each member. Large messages go in parts, between which
 // small ones pass: votes and acknowledgements don't wait for a snapshot.
-type Peers struct {
-	client *transport.Client
-	socket net.PacketConn // nil: heartbeats go like the rest
-	life   uint64
-	mu     sync.Mutex
-	boxes  map[string]*mailbox
-	ctx    context.Context
+type PeerSender struct {
+	client      *transport.Client
+	socket      net.PacketConn // nil: heartbeats go like the rest
+	incarnation uint64
+	mu          sync.Mutex
+	queues      map[string]*sendQueue
+	ctx         context.Context
 }
 
-// mailbox is what waits for a peer.
-type mailbox struct {
+// sendQueue is what waits for a peer.
+type sendQueue struct {
 	mu    sync.Mutex
 	small []*api.ChainMessage
 	large []*api.ChainMessage
 	wake  chan struct{}
 }
 
-// NewPeers makes a sender that ends with ctx.
-func NewPeers(ctx context.Context, client *transport.Client, socket net.PacketConn) *Peers {
-	return &Peers{client: client, socket: socket, life: rand.Uint64(), boxes: map[string]*mailbox{}, ctx: ctx}
+// NewPeerSender makes a sender that ends with ctx.
+func NewPeerSender(ctx context.Context, client *transport.Client, socket net.PacketConn) *PeerSender {
+	return &PeerSender{client: client, socket: socket, incarnation: rand.Uint64(), queues: map[string]*sendQueue{}, ctx: ctx}
 }
 
-// largestDatagram fits into a packet.
-const largestDatagram = 1200
+// maxDatagramBytes fits into a packet.
+const maxDatagramBytes = 1200
 
 // Send implements Sender.
-func (p *Peers) Send(message *api.ChainMessage) {
+func (p *PeerSender) Send(message *api.ChainMessage) {
 	if message.GetHeartbeat() != nil && p.sendDatagram(message) {
 		return
 	}
-	box := p.box(message.To.GetAddress())
-	box.put(message)
+	box := p.queueFor(message.To.GetAddress())
+	box.enqueue(message)
 	select {
 	case box.wake <- struct{}{}:
 	default:
 	}
 }
 
-// put adds a message behind those that wait.
-func (b *mailbox) put(message *api.ChainMessage) {
+// enqueue adds a message behind those that wait.
+func (b *sendQueue) enqueue(message *api.ChainMessage) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if proto.Size(message) > fragmentSize {
+	if proto.Size(message) > maxFragmentBytes {
 		b.large = append(b.large, message)
-		b.large = b.large[max(0, len(b.large)-mostLargeWaiting):]
+		b.large = b.large[max(0, len(b.large)-maxQueuedLarge):]
 		return
 	}
 	b.small = append(b.small, message)
-	b.small = b.small[max(0, len(b.small)-mostWaiting):]
+	b.small = b.small[max(0, len(b.small)-maxQueuedSmall):]
 }
 
-// takeSmall takes the small messages that go in one call.
-func (b *mailbox) takeSmall() []*api.ChainMessage {
+// dequeueSmall takes the small messages that go in one call.
+func (b *sendQueue) dequeueSmall() []*api.ChainMessage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	size, taken := 0, 0
-	for taken < len(b.small) && (taken == 0 || size+proto.Size(b.small[taken]) <= largestCall) {
+	for taken < len(b.small) && (taken == 0 || size+proto.Size(b.small[taken]) <= maxCallBytes) {
 		size += proto.Size(b.small[taken])
 		taken++
 	}
@@ -95,8 +95,8 @@
 	return messages
 }
 
-// takeLarge takes a large message, or nil.
-func (b *mailbox) takeLarge() *api.ChainMessage {
+// dequeueLarge takes a large message, or nil.
+func (b *sendQueue) dequeueLarge() *api.ChainMessage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.large) == 0 {
@@ -108,12 +108,12 @@
 }
 
 // sendDatagram tells whether a message went out in one packet.
-func (p *Peers) sendDatagram(message *api.ChainMessage) bool {
+func (p *PeerSender) sendDatagram(message *api.ChainMessage) bool {
 	if p.socket == nil {
 		return false
 	}
 	data, err := proto.Marshal(message)
-	if err != nil || len(data) > largestDatagram {
+	if err != nil || len(data) > maxDatagramBytes {
 		return false
 	}
 	to, err := netip.ParseAddrPort(message.To.GetAddress())
@@ -126,7 +126,7 @@
 
 // receiveDatagrams takes heartbeats in until the socket is closed.
 func receiveDatagrams(socket net.PacketConn, deliver func([]*api.ChainMessage)) {
-	buffer := make([]byte, 2*largestDatagram)
+	buffer := make([]byte, 2*maxDatagramBytes)
 	for {
 		n, _, err := socket.ReadFrom(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -140,30 +140,30 @@
 	}
 }
 
-func (p *Peers) box(address string) *mailbox {
+func (p *PeerSender) queueFor(address string) *sendQueue {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	box := p.boxes[address]
+	box := p.queues[address]
 	if box == nil {
-		box = &mailbox{wake: make(chan struct{}, 1)}
-		p.boxes[address] = box
+		box = &sendQueue{wake: make(chan struct{}, 1)}
+		p.queues[address] = box
 		go p.deliver(address, box)
 	}
 	return box
 }
 
 // deliver hands a peer its messages: the small ones that wait, then a part of a large one, and so on.
-func (p *Peers) deliver(address string, box *mailbox) {
+func (p *PeerSender) deliver(address string, box *sendQueue) {
 	peer := api.NewChainPeerProtobufClient("http://"+address, p.client)
-	var parts *outgoing
+	var parts *fragmentedMessage
 	for p.ctx.Err() == nil {
-		if messages := box.takeSmall(); len(messages) > 0 {
+		if messages := box.dequeueSmall(); len(messages) > 0 {
 			// What is lost is sent again by the chain.
 			_ = p.call(peer, &api.ChainBatch{Messages: messages})
 			continue
 		}
 		if parts == nil {
-			parts = p.divide(box.takeLarge())
+			parts = p.split(box.dequeueLarge())
 		}
 		if parts == nil {
 			select {
@@ -172,18 +172,18 @@
 			}
 			continue
 		}
-		if parts.done(p.call(peer, &api.ChainBatch{Fragment: parts.next()})) {
+		if parts.onSent(p.call(peer, &api.ChainBatch{Fragment: parts.next()})) {
 			parts = nil
 			continue
 		}
 		if !parts.failing.IsZero() {
-			pause(p.ctx, fragmentPause)
+			sleep(p.ctx, fragmentRetryInterval)
 		}
 	}
 }
 
 // call makes one call.
-func (p *Peers) call(peer api.ChainPeer, batch *api.ChainBatch) error {
+func (p *PeerSender) call(peer api.ChainPeer, batch *api.ChainBatch) error {
 	ctx, cancel := context.WithTimeout(p.ctx, deliverTimeout)
 	defer cancel()
 	_, err := peer.Deliver(ctx, batch)
--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	// mostQueued is how many operations may wait at the head.
-	mostQueued = 1024
-	// mostBatched is how many operations one entry holds.
-	mostBatched = 64
+	// maxQueuedSubmissions is how many operations may wait at the head.
+	maxQueuedSubmissions = 1024
+	// maxBatchSize is how many operations one entry holds.
+	maxBatchSize = 64
 	// submissionTimeout is when an operation that got nowhere is answered for.
 	submissionTimeout = 900 * time.Millisecond
 )
@@ -67,18 +67,18 @@
 // Replica carries a chain.Node out: it saves, sends, and answers. One goroutine at a
 // time may call it. Once it has failed it does nothing any more.
 type Replica struct {
-	node      *chain.Node
-	machine   *state.Machine
-	saver     Saver
-	sender    Sender
-	feed      *watch.Store
-	log       logr.Logger
-	queue     []*submission
-	inFlight  *batch
-	confirms  map[uint64]*batch
-	reads     map[uint64]*pendingRead
-	lastToken uint64
-	failure   error
+	node                 *chain.Node
+	machine              *state.Machine
+	saver                Saver
+	sender               Sender
+	feed                 *watch.Store
+	log                  logr.Logger
+	queue                []*submission
+	inFlight             *batch
+	pendingConfirmations map[uint64]*batch
+	pendingReads         map[uint64]*pendingRead
+	lastToken            uint64
+	failure              error
 }
 
 // NewReplica makes a replica of what the disk holds.
@@ -87,7 +87,7 @@
 ) *Replica {
 	r := &Replica{
 		machine: state.New(), saver: saver, sender: sender, feed: out, log: log,
-		confirms: map[uint64]*batch{}, reads: map[uint64]*pendingRead{},
+		pendingConfirmations: map[uint64]*batch{}, pendingReads: map[uint64]*pendingRead{},
 	}
 	r.node = chain.New(cfg, durable, r.machine, contacts, now)
 	r.publish(true, nil)
@@ -108,9 +108,9 @@
 	if r.failure != nil {
 		return
 	}
-	r.carryOut(now, r.node.Tick(now))
+	r.apply(now, r.node.Tick(now))
 	r.expire(now)
-	r.pump(now)
+	r.proposeQueued(now)
 }
 
 // Receive takes a message of another member in.
@@ -118,8 +118,8 @@
 	if r.failure != nil {
 		return
 	}
-	r.carryOut(now, r.node.Receive(now, message))
-	r.pump(now)
+	r.apply(now, r.node.Receive(now, message))
+	r.proposeQueued(now)
 }
 
 // Submit has an operation done, unless that can't begin before until: its caller is answered by
@@ -139,19 +139,19 @@
 		reply(result.Unavailable, "it has come too late")
 		return
 	}
-	if r.failure != nil || !r.node.InService() || !r.isHead() || len(r.queue) >= mostQueued {
+	if r.failure != nil || !r.node.InService() || !r.isHead() || len(r.queue) >= maxQueuedSubmissions {
 		reply(result.Unavailable, "this process is not the head of a chain in service")
 		return
 	}
 	s.until = min(s.until, now+submissionTimeout)
 	r.queue = append(r.queue, s)
-	r.pump(now)
+	r.proposeQueued(now)
 }
 
 // Leave begins to take this process out of the chain.
 func (r *Replica) Leave(now time.Duration) {
 	if r.failure == nil {
-		r.carryOut(now, r.node.Leave(now))
+		r.apply(now, r.node.Leave(now))
 	}
 }
 
@@ -161,7 +161,7 @@
 		reply(result.Unavailable, nil)
 		return
 	}
-	r.confirmThen(now, reply)
+	r.readAfterConfirmation(now, reply)
 }
 
 // ReadAtHead gives the state as the head has it, while it surely is the head.
@@ -170,42 +170,42 @@
 		reply(result.Unavailable, nil)
 		return
 	}
-	r.confirmThen(now, reply)
+	r.readAfterConfirmation(now, reply)
 }
 
-func (r *Replica) confirmThen(now time.Duration, reply ReadReply) {
+func (r *Replica) readAfterConfirmation(now time.Duration, reply ReadReply) {
 	r.lastToken++
-	r.reads[r.lastToken] = &pendingRead{reply, now + submissionTimeout}
-	r.carryOut(now, r.node.Confirm(now, r.lastToken))
+	r.pendingReads[r.lastToken] = &pendingRead{reply, now + submissionTimeout}
+	r.apply(now, r.node.Confirm(now, r.lastToken))
 }
 
 func (r *Replica) isHead() bool { return chain.Key(r.node.Head()) == chain.Key(r.node.Durable().Self) }
 
-// pump takes what waits into the chain.
-func (r *Replica) pump(now time.Duration) {
+// proposeQueued takes what waits into the chain.
+func (r *Replica) proposeQueued(now time.Duration) {
 	if r.failure != nil || r.inFlight != nil || !r.node.MayPropose() {
 		return
 	}
-	r.refuseLate(now)
+	r.rejectOverdue(now)
 	if len(r.queue) == 0 {
 		return
 	}
-	taken := r.queue[:min(len(r.queue), mostBatched)]
+	taken := r.queue[:min(len(r.queue), maxBatchSize)]
 	r.queue = append([]*submission(nil), r.queue[len(taken):]...)
 	b := &batch{submissions: append([]*submission(nil), taken...), until: now + submissionTimeout}
 	operations := r.evaluate(b)
 	if len(operations) == 0 {
 		// Nothing changes, but that is sure only while this is still the head.
 		r.lastToken++
-		r.confirms[r.lastToken] = b
-		r.carryOut(now, r.node.Confirm(now, r.lastToken))
-		r.pump(now)
+		r.pendingConfirmations[r.lastToken] = b
+		r.apply(now, r.node.Confirm(now, r.lastToken))
+		r.proposeQueued(now)
 		return
 	}
 	entry, out := r.node.Propose(now, operations)
 	b.hash = entry.Hash
 	r.inFlight = b
-	r.carryOut(now, out)
+	r.apply(now, out)
 }
 
 // evaluate tries a batch's operations in order and gives those that have an effect.
@@ -227,8 +227,8 @@
 	return operations
 }
 
-// carryOut does what the node wants done: save first, then send, then tell.
-func (r *Replica) carryOut(now time.Duration, out chain.Output) {
+// apply does what the node wants done: save first, then send, then tell.
+func (r *Replica) apply(now time.Duration, out chain.Output) {
 	for _, note := range out.Notes {
 		r.log.Info(note, "event", "view")
 	}
@@ -242,14 +242,14 @@
 		r.sender.Send(message)
 	}
 	if out.Deposed {
-		r.deposed()
+		r.onDeposed()
 	}
 	r.publish(out.Restored, out.Committed)
 	for _, entry := range out.Committed {
-		r.settle(entry)
+		r.onCommitted(entry)
 	}
 	for _, token := range out.Confirmed {
-		r.confirmed(token)
+		r.onConfirmed(token)
 	}
 }
 
@@ -270,39 +270,39 @@
 	r.feed.Append(committed)
 }
 
-// settle answers for the submissions of an entry.
-func (r *Replica) settle(entry *api.Entry) {
+// onCommitted answers for the submissions of an entry.
+func (r *Replica) onCommitted(entry *api.Entry) {
 	if r.inFlight != nil && r.inFlight.hash == entry.Hash {
-		answer(r.inFlight)
+		replyToBatch(r.inFlight)
 		r.inFlight = nil
 	}
 }
 
-func answer(b *batch) {
+func replyToBatch(b *batch) {
 	for _, s := range b.submissions {
 		s.reply(s.code, s.detail)
 	}
 }
 
-func (r *Replica) confirmed(token uint64) {
-	if b := r.confirms[token]; b != nil {
-		delete(r.confirms, token)
-		answer(b)
+func (r *Replica) onConfirmed(token uint64) {
+	if b := r.pendingConfirmations[token]; b != nil {
+		delete(r.pendingConfirmations, token)
+		replyToBatch(b)
 	}
-	if read := r.reads[token]; read != nil {
-		delete(r.reads, token)
+	if read := r.pendingReads[token]; read != nil {
+		delete(r.pendingReads, token)
 		read.reply(result.Accepted, r.machine)
 	}
 }
 
-// deposed answers for what another view may have overtaken. What is in flight at a
+// onDeposed answers for what another view may have overtaken. What is in flight at a
 // process that stays head is committed with the new view.
-func (r *Replica) deposed() {
+func (r *Replica) onDeposed() {
 	if r.inFlight != nil && !r.isHead() {
-		giveUp(r.inFlight, result.Unclear, "the view has changed")
+		abortBatch(r.inFlight, result.Unclear, "the view has changed")
 		r.inFlight = nil
 	}
-	r.giveUpConfirmations(always, "the view has changed")
+	r.abortConfirmations(always, "the view has changed")
 	if r.isHead() {
 		return
 	}
@@ -315,25 +315,25 @@
 // always is so of anything that waits, however long it may.
 func always(time.Duration) bool { return true }
 
-// giveUpConfirmations answers for what waits for a majority's word, in the order in which it came.
-func (r *Replica) giveUpConfirmations(over func(until time.Duration) bool, why string) {
-	for _, token := range slices.Sorted(maps.Keys(r.confirms)) {
-		if b := r.confirms[token]; over(b.until) {
-			delete(r.confirms, token)
+// abortConfirmations answers for what waits for a majority's word, in the order in which it came.
+func (r *Replica) abortConfirmations(over func(until time.Duration) bool, why string) {
+	for _, token := range slices.Sorted(maps.Keys(r.pendingConfirmations)) {
+		if b := r.pendingConfirmations[token]; over(b.until) {
+			delete(r.pendingConfirmations, token)
 			r.node.Abandon(token)
-			giveUp(b, result.Unavailable, why)
+			abortBatch(b, result.Unavailable, why)
 		}
 	}
-	for _, token := range slices.Sorted(maps.Keys(r.reads)) {
-		if read := r.reads[token]; over(read.until) {
-			delete(r.reads, token)
+	for _, token := range slices.Sorted(maps.Keys(r.pendingReads)) {
+		if read := r.pendingReads[token]; over(read.until) {
+			delete(r.pendingReads, token)
 			r.node.Abandon(token)
 			read.reply(result.Unavailable, nil)
 		}
 	}
 }
 
-func giveUp(b *batch, code result.Code, detail string) {
+func abortBatch(b *batch, code result.Code, detail string) {
 	for _, s := range b.submissions {
 		s.reply(code, detail)
 	}
@@ -342,15 +342,15 @@
 // expire answers for what has waited too long.
 func (r *Replica) expire(now time.Duration) {
 	if r.inFlight != nil && len(r.inFlight.submissions) > 0 && now >= r.inFlight.until {
-		giveUp(r.inFlight, result.Unclear, "the chain has not acknowledged it in time")
+		abortBatch(r.inFlight, result.Unclear, "the chain has not acknowledged it in time")
 		r.inFlight.submissions = nil
 	}
-	r.giveUpConfirmations(func(until time.Duration) bool { return now >= until }, "no majority answers")
-	r.refuseLate(now)
+	r.abortConfirmations(func(until time.Duration) bool { return now >= until }, "no majority answers")
+	r.rejectOverdue(now)
 }
 
-// refuseLate answers for operations whose time, or view, is over.
-func (r *Replica) refuseLate(now time.Duration) {
+// rejectOverdue answers for operations whose time, or view, is over.
+func (r *Replica) rejectOverdue(now time.Duration) {
 	kept := r.queue[:0]
 	for _, s := range r.queue {
 		switch {
@@ -370,10 +370,10 @@
 	r.failure = err
 	r.log.Error(err, "the store has failed", "event", "store")
 	if r.inFlight != nil {
-		giveUp(r.inFlight, result.Unclear, "the disk has failed")
+		abortBatch(r.inFlight, result.Unclear, "the disk has failed")
 		r.inFlight = nil
 	}
-	r.giveUpConfirmations(always, "the disk has failed")
+	r.abortConfirmations(always, "the disk has failed")
 	for _, s := range r.queue {
 		s.reply(result.Unavailable, "the disk has failed")
 	}
--- a/internal/controlplane/keeper.go
+++ b/internal/controlplane/replica_runner.go
@@ -20,60 +20,60 @@
 )
 
 const (
-	// tickEvery is how often the chain looks at the time.
-	tickEvery = 30 * time.Millisecond
-	// reopenAfter is how long a store that has failed rests before it is opened again.
-	reopenAfter = 500 * time.Millisecond
-	// mostEvents bounds what waits for the keeper's goroutine.
-	mostEvents = 1024
+	// tickInterval is how often the chain looks at the time.
+	tickInterval = 30 * time.Millisecond
+	// storeReopenDelay is how long a store that has failed rests before it is opened again.
+	storeReopenDelay = 500 * time.Millisecond
+	// maxPendingEvents bounds what waits for the keeper's goroutine.
+	maxPendingEvents = 1024
 )
 
-// Keeper runs a replica on one goroutine, with its store: it opens it, and opens it
+// ReplicaRunner runs a replica on one goroutine, with its store: it opens it, and opens it
 // anew after a failure.
-type Keeper struct {
-	machine  *host.Host
-	settings *bootstrap.Settings
-	config   chain.Config
-	sender   Sender
-	feed     *watch.Store
-	log      logr.Logger
-	events   chan func()
-	began    time.Time
-	life     uint64 // of this process
-	store    *store.Store
-	replica  *Replica // nil: there is no store
-	openAt   time.Time
-	leaving  bool // the process is about to end
+type ReplicaRunner struct {
+	host        *host.Host
+	settings    *bootstrap.Settings
+	config      chain.Config
+	sender      Sender
+	feed        *watch.Store
+	log         logr.Logger
+	events      chan func()
+	began       time.Time
+	incarnation uint64 // of this process
+	store       *store.Store
+	replica     *Replica // nil: there is no store
+	reopenAt    time.Time
+	leaving     bool // the process is about to end
 }
 
-// NewKeeper makes a keeper.
-func NewKeeper(machine *host.Host, sender Sender, out *watch.Store) *Keeper {
+// NewReplicaRunner makes a keeper.
+func NewReplicaRunner(machine *host.Host, sender Sender, out *watch.Store) *ReplicaRunner {
 	settings := machine.Settings
-	return &Keeper{
-		machine: machine, settings: settings, config: chain.DefaultConfig(settings.TargetMembers()), sender: sender, feed: out,
-		life: mathrand.Uint64(), log: machine.Log, events: make(chan func(), mostEvents), began: time.Now(),
+	return &ReplicaRunner{
+		host: machine, settings: settings, config: chain.DefaultConfig(settings.TargetMembers()), sender: sender, feed: out,
+		incarnation: mathrand.Uint64(), log: machine.Log, events: make(chan func(), maxPendingEvents), began: time.Now(),
 	}
 }
 
 // now is the steady clock. It starts above 0.
-func (k *Keeper) now() time.Duration { return k.clock(time.Now()) }
+func (k *ReplicaRunner) now() time.Duration { return k.monotonic(time.Now()) }
 
-// clock is a time on the steady clock.
-func (k *Keeper) clock(at time.Time) time.Duration { return at.Sub(k.began) + time.Second }
+// monotonic is a time on the steady monotonic.
+func (k *ReplicaRunner) monotonic(at time.Time) time.Duration { return at.Sub(k.began) + time.Second }
 
-// Instant is now, for other processes.
-func (k *Keeper) Instant() *api.Instant {
-	return &api.Instant{Incarnation: k.life, MonotonicNs: uint64(k.now())}
+// ClockReading is now, for other processes.
+func (k *ReplicaRunner) ClockReading() *api.Instant {
+	return &api.Instant{Incarnation: k.incarnation, MonotonicNs: uint64(k.now())}
 }
 
-// until reads what another process says of this one's clock; ok is false where it is of another life.
-func (k *Keeper) until(instant *api.Instant) (until time.Duration, ok bool) {
-	return time.Duration(instant.GetMonotonicNs()), instant.GetIncarnation() == k.life
+// deadlineOf reads what another process says of this one's clock; ok is false where it is of another life.
+func (k *ReplicaRunner) deadlineOf(instant *api.Instant) (until time.Duration, ok bool) {
+	return time.Duration(instant.GetMonotonicNs()), instant.GetIncarnation() == k.incarnation
 }
 
 // Run keeps the chain until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+func (k *ReplicaRunner) Run(ctx context.Context) {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	defer k.close()
 	for {
@@ -88,16 +88,16 @@
 	}
 }
 
-func (k *Keeper) tick() {
+func (k *ReplicaRunner) tick() {
 	if k.replica != nil && k.replica.Failure() != nil {
 		k.close()
-		k.openAt = time.Now().Add(reopenAfter)
+		k.reopenAt = time.Now().Add(storeReopenDelay)
 	}
-	if k.replica == nil && !time.Now().Before(k.openAt) {
+	if k.replica == nil && !time.Now().Before(k.reopenAt) {
 		if err := k.open(); err != nil {
 			k.log.Error(err, "the store can't be opened", "event", "store")
 			k.close()
-			k.openAt = time.Now().Add(reopenAfter)
+			k.reopenAt = time.Now().Add(storeReopenDelay)
 		}
 	}
 	if k.replica != nil {
@@ -106,7 +106,7 @@
 	}
 }
 
-func (k *Keeper) close() {
+func (k *ReplicaRunner) close() {
 	k.replica = nil
 	if k.store != nil {
 		// What it may still hold back was answered as unclear.
@@ -116,8 +116,8 @@
 }
 
 // open opens the store and makes a replica of what it holds.
-func (k *Keeper) open() error {
-	opened, err := k.machine.Open()
+func (k *ReplicaRunner) open() error {
+	opened, err := k.host.Open()
 	if err != nil {
 		return err
 	}
@@ -127,13 +127,13 @@
 		// Its promises can't be trusted: it comes back as another member, without any.
 		k.log.Error(err, "the store is set aside", "event", "store")
 		k.close()
-		return k.machine.Forget()
+		return k.host.Forget()
 	}
 	if err != nil {
 		return err
 	}
 	if durable.Self == nil {
-		if durable, err = k.found(); err != nil {
+		if durable, err = k.initialise(); err != nil {
 			return err
 		}
 	}
@@ -144,11 +144,11 @@
 	return nil
 }
 
-// leaveLook is how often it is looked whether the chain can do without this process.
-const leaveLook = 20 * time.Millisecond
+// leavePollInterval is how often it is looked whether the chain can do without this process.
+const leavePollInterval = 20 * time.Millisecond
 
 // Leave takes this process out of the chain, and waits until that can do without it or ctx ends.
-func (k *Keeper) Leave(ctx context.Context) {
+func (k *ReplicaRunner) Leave(ctx context.Context) {
 	k.post(func() {
 		k.leaving = true
 		if k.replica != nil {
@@ -165,13 +165,13 @@
 			}
 		case <-ctx.Done():
 		}
-		pause(ctx, leaveLook)
+		sleep(ctx, leavePollInterval)
 	}
 }
 
-// found gives an empty disk an identity: a founder's at the very first start of the
+// initialise gives an empty disk an identity: a founder's at the very first start of the
 // system, or else that of one who waits to be taken in.
-func (k *Keeper) found() (chain.Durable, error) {
+func (k *ReplicaRunner) initialise() (chain.Durable, error) {
 	self := &api.Member{Address: k.settings.PeerAddress(), Incarnation: chain.FounderIncarnation}
 	durable := chain.Durable{Self: self}
 	if k.settings.FirstStart && k.settings.IsSeed() {
@@ -187,7 +187,7 @@
 }
 
 // post has an event handled on the keeper's goroutine; it tells whether there was room.
-func (k *Keeper) post(event func()) bool {
+func (k *ReplicaRunner) post(event func()) bool {
 	select {
 	case k.events <- event:
 		return true
@@ -197,7 +197,7 @@
 }
 
 // Deliver takes messages of other members in.
-func (k *Keeper) Deliver(messages []*api.ChainMessage) {
+func (k *ReplicaRunner) Deliver(messages []*api.ChainMessage) {
 	k.post(func() {
 		if k.replica == nil {
 			return
@@ -209,7 +209,7 @@
 }
 
 // Submit has an operation done here, if this is the head and it comes before until.
-func (k *Keeper) Submit(operation *api.Operation, until time.Duration, reply Reply) {
+func (k *ReplicaRunner) Submit(operation *api.Operation, until time.Duration, reply Reply) {
 	posted := k.post(func() {
 		if k.replica == nil {
 			reply(result.Unavailable, "this process has no store")
@@ -223,7 +223,7 @@
 }
 
 // SubmitInView has an operation done here, if this is the head of a view and it comes before until.
-func (k *Keeper) SubmitInView(operation *api.Operation, view uint64, until time.Duration, reply Reply) {
+func (k *ReplicaRunner) SubmitInView(operation *api.Operation, view uint64, until time.Duration, reply Reply) {
 	k.post(func() {
 		if k.replica != nil {
 			k.replica.SubmitInView(k.now(), operation, view, until, reply)
@@ -231,8 +231,8 @@
 	})
 }
 
-// Read reads the newest state here, if this is the tail; atHead: if it is the head.
-func (k *Keeper) Read(atHead bool, reply ReadReply) {
+// ReadState reads the newest state here, if this is the tail; atHead: if it is the head.
+func (k *ReplicaRunner) ReadState(atHead bool, reply ReadReply) {
 	posted := k.post(func() {
 		switch {
 		case k.replica == nil:
@@ -248,38 +248,38 @@
 	}
 }
 
-// Standing is where this process stands in the chain, as far as it knows.
-type Standing struct {
-	Head, Tail string   // addresses; "" is not known
-	Members    []string // addresses of all members
-	Chain      []string // addresses of those in the chain, the head first
-	Leaving    bool     // this process is about to end, and asks to be left out
-	CatchingUp string   // whom this head brings up to date; "" is nobody
-	Connected  bool     // in service, and a majority is heard
-	View       uint64
-	Committed  uint64
-	NoStore    bool // there is no store that could be written
+// ChainStatus is where this process stands in the chain, as far as it knows.
+type ChainStatus struct {
+	Head, Tail  string   // addresses; "" is not known
+	Members     []string // addresses of all members
+	Chain       []string // addresses of those in the chain, the head first
+	Leaving     bool     // this process is about to end, and asks to be left out
+	CatchingUp  string   // whom this head brings up to date; "" is nobody
+	Connected   bool     // in service, and a majority is heard
+	View        uint64
+	Committed   uint64
+	StoreFailed bool // there is no store that could be written
 }
 
-// Standing asks the keeper's goroutine.
-func (k *Keeper) Standing(take func(Standing)) {
+// ChainStatus asks the keeper's goroutine.
+func (k *ReplicaRunner) ChainStatus(take func(ChainStatus)) {
 	posted := k.post(func() {
-		s := standingOf(k.replica)
+		s := chainStatusOf(k.replica)
 		s.Leaving = k.leaving
 		take(s)
 	})
 	if !posted {
-		take(Standing{})
+		take(ChainStatus{})
 	}
 }
 
-// standingOf is where a replica stands; nil: there is no store.
-func standingOf(r *Replica) Standing {
+// chainStatusOf is where a replica stands; nil: there is no store.
+func chainStatusOf(r *Replica) ChainStatus {
 	if r == nil {
-		return Standing{NoStore: true}
+		return ChainStatus{StoreFailed: true}
 	}
 	node := r.Node()
-	s := Standing{
+	s := ChainStatus{
 		Head: node.Head().GetAddress(), Tail: node.Tail().GetAddress(), Connected: node.Connected(),
 		View: node.View().GetNumber(), Committed: node.Committed(), CatchingUp: node.CatchingUp(),
 	}
--- a/internal/controlplane/role.go
+++ b/internal/controlplane/run.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	// standingEvery is how often the feed is told where this process stands.
-	standingEvery = 100 * time.Millisecond
-	// shutdownPatience is how long calls in hand may take when the process ends.
-	shutdownPatience = time.Second
+	// chainStatusInterval is how often the feed is told where this process stands.
+	chainStatusInterval = 100 * time.Millisecond
+	// shutdownTimeout is how long calls in hand may take when the process ends.
+	shutdownTimeout = time.Second
 )
 
 // Run is a control process until parent ends and the chain can do without it.
@@ -39,21 +39,21 @@
 		return eris.Wrapf(err, "listening at %s", settings.PeerAddress())
 	}
 	defer socket.Close()
-	keeper := NewKeeper(machine, NewPeers(ctx, client, socket), out)
+	keeper := NewReplicaRunner(machine, NewPeerSender(ctx, client, socket), out)
 	go receiveDatagrams(socket, keeper.Deliver)
 	self := &api.ControlNode{Address: settings.PeerAddress(), Zone: settings.Zone, PublicAddress: settings.Listen.Control}
-	registry := NewRegistry(self, out, settings.BeatInterval(), client)
+	registry := NewMembership(self, out, settings.BeatInterval(), client)
 	service := &Service{
-		keeper: keeper, registry: registry, feed: out, self: settings.PeerAddress(), client: client,
-		incoming: newIncoming(),
+		runner: keeper, membership: registry, feed: out, self: settings.PeerAddress(), client: client,
+		fragments: newReassembler(),
 	}
-	members := &memberList{seeds: settings.SeedPeers}
-	service.owners = newOwners(settings.Bounds, out, func() (uint64, bool) { return members.headOf(settings.PeerAddress()) },
+	members := &chainView{seeds: settings.SeedPeers}
+	service.leases = newLeaseManager(settings.Bounds, out, func() (uint64, bool) { return members.headOf(settings.PeerAddress()) },
 		service.grant, log)
 
 	peers := transport.NewServer(nil, api.NewChainPeerServer(service), api.NewControlServer(service))
 	operators := transport.NewServer(service.Handle)
-	operators.MaxRequestBodySize = largestBody
+	operators.MaxRequestBodySize = maxConfigurationBytes
 	var servers sync.WaitGroup
 	failures := make(chan error, 2)
 	for address, server := range map[string]*fasthttp.Server{settings.PeerAddress(): peers, settings.Listen.Control: operators} {
@@ -65,22 +65,22 @@
 	}
 	var loops sync.WaitGroup
 	loops.Go(func() { keeper.Run(ctx) })
-	loops.Go(func() { registry.Run(ctx, members.get) })
-	loops.Go(func() { service.owners.run(ctx) })
-	loops.Go(func() { followStanding(ctx, keeper, registry, out, members) })
-	go metricserver.Serve(ctx, machine.Network, settings.MetricsAddress(bootstrap.ControlMetrics), service.newFigures(), log)
+	loops.Go(func() { registry.Run(ctx, members.addresses) })
+	loops.Go(func() { service.leases.run(ctx) })
+	loops.Go(func() { publishChainStatus(ctx, keeper, registry, out, members) })
+	go metricserver.Serve(ctx, machine.Network, settings.MetricsAddress(bootstrap.ControlMetrics), service.newMetrics(), log)
 	log.Info("control serves", "event", "start", "peer", settings.PeerAddress(), "control", settings.Listen.Control)
 
 	var failed error
 	select {
 	case <-parent.Done():
 		log.Info("leaves the chain", "event", "end")
-		leaving, over := context.WithTimeout(machine.Alive(), leavePatience(settings))
+		leaving, over := context.WithTimeout(machine.Alive(), leaveTimeout(settings))
 		keeper.Leave(leaving)
 		over()
 	case failed = <-failures:
 	}
-	patience, stop := context.WithTimeout(context.Background(), shutdownPatience)
+	patience, stop := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer stop()
 	failed = multierr.Combine(failed, operators.ShutdownWithContext(patience))
 	cancel()
@@ -88,15 +88,15 @@
 	return multierr.Append(failed, peers.ShutdownWithContext(patience))
 }
 
-// leavePatience is how long a process that is told to end waits until the chain can do without it:
+// leaveTimeout is how long a process that is told to end waits until the chain can do without it:
 // long enough for another member to take a state of some MB in, and within the platform's patience.
-func leavePatience(settings *bootstrap.Settings) time.Duration {
+func leaveTimeout(settings *bootstrap.Settings) time.Duration {
 	const share, most = 2, 4 * time.Second
 	return min(bootstrap.Seconds(settings.Bounds.GraceS)/share, most)
 }
 
-// memberList are the addresses of the control processes, as last known.
-type memberList struct {
+// chainView are the addresses of the control processes, as last known.
+type chainView struct {
 	mu      sync.Mutex
 	seeds   func() []string
 	members []string
@@ -105,13 +105,13 @@
 }
 
 // headOf tells whether a process is the head of a chain to which this one is connected, and of which view.
-func (l *memberList) headOf(self string) (view uint64, isHead bool) {
+func (l *chainView) headOf(self string) (view uint64, isHead bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.view, l.head == self
 }
 
-func (l *memberList) get() []string {
+func (l *chainView) addresses() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.members) > 0 {
@@ -120,7 +120,7 @@
 	return l.seeds()
 }
 
-func (l *memberList) set(s Standing) {
+func (l *chainView) OnChainStatus(s ChainStatus) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.members, l.head, l.view = s.Members, "", s.View
@@ -129,33 +129,33 @@
 	}
 }
 
-// followStanding tells the feed whether this process's word is fresh, and since long enough.
-func followStanding(ctx context.Context, keeper *Keeper, registry *Registry, out *watch.Store, members *memberList) {
-	ticker := time.NewTicker(standingEvery)
+// publishChainStatus tells the feed whether this process's word is fresh, and since long enough.
+func publishChainStatus(ctx context.Context, keeper *ReplicaRunner, registry *Membership, out *watch.Store, members *chainView) {
+	ticker := time.NewTicker(chainStatusInterval)
 	defer ticker.Stop()
-	word := standingWord{establishedAfter: registry.Silence()}
+	word := freshnessTracker{establishedAfter: registry.Silence()}
 	for {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
-		keeper.Standing(func(s Standing) {
-			members.set(s)
+		keeper.ChainStatus(func(s ChainStatus) {
+			members.OnChainStatus(s)
 			out.SetControls(registry.Places(s.Members))
-			out.SetStanding(word.of(s, time.Now()))
+			out.SetStanding(word.OnChainStatus(s, time.Now()))
 		})
 	}
 }
 
-// standingWord is what a control process's word is worth to those that read its feed.
-type standingWord struct {
+// freshnessTracker is what a control process's word is worth to those that read its feed.
+type freshnessTracker struct {
 	establishedAfter time.Duration
 	connectedSince   time.Time // zero: it is not connected
 }
 
-// of takes in where the process stands at a time.
-func (w *standingWord) of(s Standing, now time.Time) watch.Standing {
+// OnChainStatus takes in where the process stands at a time.
+func (w *freshnessTracker) OnChainStatus(s ChainStatus, now time.Time) watch.Standing {
 	switch {
 	case !s.Connected:
 		w.connectedSince = time.Time{}
--- a/internal/controlplane/service.go
+++ b/internal/controlplane/service.go
@@ -16,43 +16,43 @@
 )
 
 const (
-	// orderPatience is how long an order is tried before it is answered: callers turn to
+	// orderTimeout is how long an order is tried before it is answered: callers turn to
 	// another process after a second.
-	orderPatience = 850 * time.Millisecond
-	// attemptPause is the pause between two tries.
-	attemptPause = 40 * time.Millisecond
+	orderTimeout = 850 * time.Millisecond
+	// attemptInterval is the pause between two tries.
+	attemptInterval = 40 * time.Millisecond
 	// forwardTimeout bounds a call that is passed on: its caller waits for no longer.
 	forwardTimeout = 600 * time.Millisecond
-	// longestWatch bounds how long a reader of the feed is kept waiting.
-	longestWatch = 10 * time.Second
+	// maxWatchWait bounds how long a reader of the feed is kept waiting.
+	maxWatchWait = 10 * time.Second
 )
 
 // Service offers control's calls to other processes, and does orders for them: here if
 // this process can, or else through the one that can.
 type Service struct {
-	keeper   *Keeper
-	registry *Registry
-	owners   *owners
-	feed     *watch.Store
-	self     string
-	client   *transport.Client
-	incoming *incoming // messages of other members that come in parts
-	clocks   clocks    // of other control processes
-	counters atomic.Pointer[vm.Set]
+	runner     *ReplicaRunner
+	membership *Membership
+	leases     *leaseManager
+	feed       *watch.Store
+	self       string
+	client     *transport.Client
+	fragments  *reassembler // messages of other members that come in parts
+	clocks     peerClocks   // of other control processes
+	counters   atomic.Pointer[vm.Set]
 }
 
 // Deliver implements api.ChainPeer.
 func (s *Service) Deliver(_ context.Context, batch *api.ChainBatch) (*api.Empty, error) {
 	if len(batch.Messages) > 0 {
-		s.keeper.Deliver(batch.Messages)
+		s.runner.Deliver(batch.Messages)
 	}
 	if batch.Fragment != nil {
-		message, err := s.incoming.take(batch.Fragment)
+		message, err := s.fragments.OnFragment(batch.Fragment)
 		if err != nil {
 			return nil, err
 		}
 		if message != nil {
-			s.keeper.Deliver([]*api.ChainMessage{message})
+			s.runner.Deliver([]*api.ChainMessage{message})
 		}
 	}
 	return &api.Empty{}, nil
@@ -61,18 +61,18 @@
 // Submit implements api.Control: only the head answers otherwise than unavailable. What was held
 // up on its way is not taken: it has to say until when it may be, by the clock of this process.
 func (s *Service) Submit(ctx context.Context, request *api.SubmitRequest) (*api.SubmitReply, error) {
-	until, ok := s.keeper.until(request.Deadline)
+	until, ok := s.runner.deadlineOf(request.Deadline)
 	reply := &api.SubmitReply{Code: uint32(result.Unavailable), Detail: "until when it may be taken is not said by this process's clock"}
 	if ok && request.Operation != nil {
 		reply = s.submitHere(ctx, request.Operation, until)
 	}
-	reply.Clock = s.keeper.Instant()
+	reply.Clock = s.runner.ClockReading()
 	return reply, nil
 }
 
 func (s *Service) submitHere(ctx context.Context, operation *api.Operation, until time.Duration) *api.SubmitReply {
 	answers := make(chan *api.SubmitReply, 1)
-	s.keeper.Submit(operation, until, func(code result.Code, detail string) {
+	s.runner.Submit(operation, until, func(code result.Code, detail string) {
 		answers <- &api.SubmitReply{Code: uint32(code), Detail: detail}
 	})
 	select {
@@ -86,7 +86,7 @@
 // Read implements api.Control: only the tail answers otherwise than unavailable.
 func (s *Service) Read(ctx context.Context, _ *api.ReadRequest) (*api.ReadReply, error) {
 	answers := make(chan *api.ReadReply, 1)
-	s.keeper.Read(false, func(code result.Code, machine *state.Machine) {
+	s.runner.ReadState(false, func(code result.Code, machine *state.Machine) {
 		reply := &api.ReadReply{Code: uint32(code)}
 		if machine != nil && machine.Document() != nil {
 			reply.Version, reply.Document = machine.Version(), machine.Document().Raw()
@@ -103,7 +103,7 @@
 
 // Share implements api.Control.
 func (s *Service) Share(_ context.Context, reports *api.MembershipUpdate) (*api.Empty, error) {
-	if !s.registry.Take(reports) {
+	if !s.membership.Take(reports) {
 		return nil, twirp.NewError(twirp.FailedPrecondition, "a backend that lives is not known here: all is needed")
 	}
 	return &api.Empty{}, nil
@@ -112,9 +112,9 @@
 // Watch implements api.Control.
 func (s *Service) Watch(ctx context.Context, request *api.WatchRequest) (*api.WatchReply, error) {
 	if request.Subscriber != "" {
-		s.registry.Reads(request.Subscriber)
+		s.membership.Reads(request.Subscriber)
 	}
-	wait := min(longestWatch, time.Duration(request.WaitMs)*time.Millisecond)
+	wait := min(maxWatchWait, time.Duration(request.WaitMs)*time.Millisecond)
 	return s.feed.Wait(ctx, request, wait), nil
 }
 
@@ -123,23 +123,23 @@
 	if request.Node.GetName() == "" {
 		return nil, twirp.RequiredArgumentError("node")
 	}
-	s.registry.Node(request.Node)
+	s.membership.Node(request.Node)
 	sequence, _ := s.feed.Position()
 	return &api.RenewReply{Sequence: sequence}, nil
 }
 
 // Lease implements api.Control: the head answers, and others pass the question on to it.
 func (s *Service) Lease(ctx context.Context, request *api.LeaseRequest) (*api.LeaseReply, error) {
-	head := s.standing(ctx).Head
+	head := s.chainStatus(ctx).Head
 	if head != "" && head != s.self {
 		return s.forwardLease(ctx, head, request)
 	}
 	answers := make(chan *api.LeaseReply, 1)
-	s.keeper.Read(true, func(code result.Code, machine *state.Machine) {
+	s.runner.ReadState(true, func(code result.Code, machine *state.Machine) {
 		reply := &api.LeaseReply{Code: uint32(code)}
 		if machine != nil {
-			reply.Renewed = s.owners.renew(request.Holder, request.Release, machine)
-			reply.ValidMs = uint32(s.owners.valid.Milliseconds())
+			reply.Renewed = s.leases.renew(request.Holder, request.Release, machine)
+			reply.ValidMs = uint32(s.leases.valid.Milliseconds())
 		}
 		answers <- reply
 	})
@@ -165,28 +165,28 @@
 // Observe implements api.Control. What an agent tells is passed on to the other control
 // processes.
 func (s *Service) Observe(_ context.Context, seen *api.Observations) (*api.Empty, error) {
-	s.registry.Observe(seen.Observations)
+	s.membership.Observe(seen.Observations)
 	return &api.Empty{}, nil
 }
 
-// standing asks where the chain's ends are.
-func (s *Service) standing(ctx context.Context) Standing {
-	answers := make(chan Standing, 1)
-	s.keeper.Standing(func(standing Standing) { answers <- standing })
+// chainStatus asks where the chain's ends are.
+func (s *Service) chainStatus(ctx context.Context) ChainStatus {
+	answers := make(chan ChainStatus, 1)
+	s.runner.ChainStatus(func(standing ChainStatus) { answers <- standing })
 	select {
 	case standing := <-answers:
 		return standing
 	case <-ctx.Done():
-		return Standing{}
+		return ChainStatus{}
 	}
 }
 
 // grant has a role granted, if this process is the head of the view in which that was decided. Nobody else may: a
 // later head may have renewed the lease of the holder before.
 func (s *Service) grant(operation *api.Operation, view uint64) {
-	s.keeper.SubmitInView(operation, view, s.keeper.clock(time.Now().Add(orderPatience)), func(code result.Code, detail string) {
+	s.runner.SubmitInView(operation, view, s.runner.monotonic(time.Now().Add(orderTimeout)), func(code result.Code, detail string) {
 		if !code.Done() {
-			s.owners.log.V(1).Info("a grant came to nothing", "event", "role", "code", code.String(), "detail", detail)
+			s.leases.log.V(1).Info("a grant came to nothing", "event", "role", "code", code.String(), "detail", detail)
 		}
 	})
 }
@@ -194,31 +194,31 @@
 // Order has an operation done, wherever the head is, and tries again while there is time:
 // the same operation has its effect only once.
 func (s *Service) Order(operation *api.Operation) *result.Error {
-	ctx, cancel := context.WithTimeout(context.Background(), orderPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
-	tries := newOrderTries()
+	tries := newOrderAttempts()
 	for ctx.Err() == nil {
-		head := s.standing(ctx).Head
-		if head != "" && tries.take(s.submitAt(ctx, head, operation)) {
+		head := s.chainStatus(ctx).Head
+		if head != "" && tries.OnReply(s.submitAt(ctx, head, operation)) {
 			break
 		}
-		pause(ctx, attemptPause)
+		sleep(ctx, attemptInterval)
 	}
 	s.countOrder(tries.outcome)
 	return tries.outcome
 }
 
-// orderTries follows the tries of one order.
-type orderTries struct {
+// orderAttempts follows the tries of one order.
+type orderAttempts struct {
 	outcome *result.Error // as far as it is known
 }
 
-func newOrderTries() *orderTries {
-	return &orderTries{result.Errorf(result.Unavailable, "no head is known")}
+func newOrderAttempts() *orderAttempts {
+	return &orderAttempts{result.Errorf(result.Unavailable, "no head is known")}
 }
 
-// take takes in the answer to a try. It tells whether that is the order's outcome.
-func (t *orderTries) take(reply *api.SubmitReply) (final bool) {
+// OnReply takes in the answer to a try. It tells whether that is the order's outcome.
+func (t *orderAttempts) OnReply(reply *api.SubmitReply) (final bool) {
 	code := result.Code(reply.Code)
 	final = code != result.Unavailable && code != result.Unclear
 	// What may have been taken stays unclear, whatever later tries say.
@@ -232,9 +232,9 @@
 func (s *Service) submitAt(ctx context.Context, head string, operation *api.Operation) *api.SubmitReply {
 	deadline, _ := ctx.Deadline()
 	if head == s.self {
-		return s.submitHere(ctx, operation, s.keeper.clock(deadline))
+		return s.submitHere(ctx, operation, s.runner.monotonic(deadline))
 	}
-	until := s.clocks.at(head, deadline)
+	until := s.clocks.instantAt(head, deadline)
 	if until == nil {
 		until = s.askClock(ctx, head, deadline)
 	}
@@ -253,7 +253,7 @@
 	if _, err := s.submitTo(ctx, head, &api.SubmitRequest{}); err != nil {
 		return nil
 	}
-	return s.clocks.at(head, deadline)
+	return s.clocks.instantAt(head, deadline)
 }
 
 // submitTo makes one call to the head, and notes its clock.
@@ -262,22 +262,22 @@
 	if err != nil {
 		return nil, err
 	}
-	s.clocks.note(head, reply.Clock, time.Now())
+	s.clocks.OnClockReading(head, reply.Clock, time.Now())
 	return reply, nil
 }
 
 // Configuration reads the newest configuration, wherever the tail is.
 func (s *Service) Configuration() (*api.ReadReply, *result.Error) {
-	ctx, cancel := context.WithTimeout(context.Background(), orderPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		if tail := s.standing(ctx).Tail; tail != "" {
+		if tail := s.chainStatus(ctx).Tail; tail != "" {
 			reply, err := s.readAt(ctx, tail)
 			if err == nil && result.Code(reply.Code) == result.Accepted {
 				return reply, nil
 			}
 		}
-		pause(ctx, attemptPause)
+		sleep(ctx, attemptInterval)
 	}
 	return nil, result.Errorf(result.Unavailable, "no tail answers")
 }
@@ -289,7 +289,7 @@
 	return api.NewControlProtobufClient("http://"+tail, s.client).Read(ctx, &api.ReadRequest{})
 }
 
-func pause(ctx context.Context, span time.Duration) {
+func sleep(ctx context.Context, span time.Duration) {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
 	select {
--- a/internal/controlplane/world_history_test.go
+++ b/internal/controlplane/simulation_histories_test.go
@@ -68,10 +68,10 @@
 // pick draws a machine: any one, the one that acts, or the one that is read.
 func (w *world) pick(rng *rand.Rand) *core {
 	live := w.live()
-	standing := standingOf(nil)
+	standing := chainStatusOf(nil)
 	for _, c := range live {
 		if c.up && c.replica != nil && c.replica.Node().Connected() {
-			standing = standingOf(c.replica)
+			standing = chainStatusOf(c.replica)
 		}
 	}
 	switch rng.IntN(3) {
--- a/internal/controlplane/world_test.go
+++ b/internal/controlplane/simulation_test.go
@@ -272,10 +272,10 @@
 	replica *Replica // nil: there is no store
 	openAt  time.Duration
 	feed    *watch.Store
-	owners  *owners
-	clocks  clocks
-	members memberList
-	word    standingWord
+	owners  *leaseManager
+	clocks  peerClocks
+	members chainView
+	word    freshnessTracker
 	leaving bool
 
 	still    bool // frozen, or its disk stalls
@@ -301,10 +301,10 @@
 	w := c.world
 	c.life++
 	c.up, c.began, c.still, c.backlog, c.leaving, c.openAt = true, w.now, false, nil, false, 0
-	c.clocks, c.members = clocks{}, memberList{seeds: func() []string { return w.seeds }}
-	c.word = standingWord{establishedAfter: 4 * time.Second}
+	c.clocks, c.members = peerClocks{}, chainView{seeds: func() []string { return w.seeds }}
+	c.word = freshnessTracker{establishedAfter: 4 * time.Second}
 	c.feed = watch.New(fmt.Sprintf("%s/%d", c.address, c.life), w.clock)
-	c.owners = newOwners(bootstrap.Bounds{Fencing: true, LeaseMS: 3000}, c.feed, func() (uint64, bool) { return c.members.headOf(c.address) },
+	c.owners = newLeaseManager(bootstrap.Bounds{Fencing: true, LeaseMS: 3000}, c.feed, func() (uint64, bool) { return c.members.headOf(c.address) },
 		c.grant, logr.Discard())
 	c.owners.now = w.clock
 	life := c.life
@@ -318,9 +318,9 @@
 		})
 	}
 	regularly(coreTick, c.tick)
-	regularly(standingEvery, c.followStanding)
-	regularly(grantEvery, c.owners.look)
-	regularly(lookEvery, func() { c.feed.ExpireNodes(nodeSilence) })
+	regularly(chainStatusInterval, c.followStanding)
+	regularly(grantInterval, c.owners.look)
+	regularly(expiryInterval, func() { c.feed.ExpireNodes(nodeTimeout) })
 }
 
 func (c *core) kill() {
@@ -345,7 +345,7 @@
 func (c *core) tick() {
 	if c.replica != nil && c.replica.Failure() != nil {
 		c.close()
-		c.openAt = c.world.now + reopenAfter
+		c.openAt = c.world.now + storeReopenDelay
 	}
 	if c.replica == nil && c.world.now >= c.openAt {
 		c.open()
@@ -359,7 +359,7 @@
 // open opens the store, as the keeper does.
 func (c *core) open() {
 	if c.fullDisk { // opening writes
-		c.openAt = c.world.now + reopenAfter
+		c.openAt = c.world.now + storeReopenDelay
 		return
 	}
 	opened, err := store.OpenStorage(c.disk)
@@ -479,9 +479,9 @@
 }
 
 func (c *core) followStanding() {
-	s := standingOf(c.replica)
-	c.members.set(s)
-	c.feed.SetStanding(c.word.of(s, c.world.clock()))
+	s := chainStatusOf(c.replica)
+	c.members.OnChainStatus(s)
+	c.feed.SetStanding(c.word.OnChainStatus(s, c.world.clock()))
 	if s.Connected {
 		c.world.clients.auditFresh(c)
 	}
@@ -510,7 +510,7 @@
 	if c.replica == nil {
 		return
 	}
-	c.replica.SubmitInView(c.clock(w.now), operation, view, c.clock(w.now+orderPatience), func(code result.Code, _ string) {
+	c.replica.SubmitInView(c.clock(w.now), operation, view, c.clock(w.now+orderTimeout), func(code result.Code, _ string) {
 		if code == result.Unavailable {
 			w.crossed["a grant came to nothing"]++
 		}
@@ -519,7 +519,7 @@
 
 // order has an operation done, wherever the head is.
 func (c *core) order(operation *api.Operation, reply func(*result.Error)) {
-	w, deadline, tries := c.world, c.world.now+orderPatience, newOrderTries()
+	w, deadline, tries := c.world, c.world.now+orderTimeout, newOrderAttempts()
 	over, asking := false, false
 	finish := func() {
 		if over {
@@ -531,11 +531,11 @@
 		}
 		reply(tries.outcome)
 	}
-	w.after(orderPatience, finish)
+	w.after(orderTimeout, finish)
 	var try func()
-	again := func() { w.after(attemptPause, func() { c.run(try) }) }
+	again := func() { w.after(attemptInterval, func() { c.run(try) }) }
 	try = func() {
-		head := standingOf(c.replica).Head
+		head := chainStatusOf(c.replica).Head
 		if over || head == "" {
 			if !over {
 				again()
@@ -548,7 +548,7 @@
 			if over {
 				return
 			}
-			if tries.take(answer) {
+			if tries.OnReply(answer) {
 				finish()
 				return
 			}
@@ -565,7 +565,7 @@
 		c.submitHere(operation, c.clock(deadline), reply)
 		return
 	}
-	at := func() *api.Instant { return c.clocks.at(head, w.clock().Add(deadline-w.now)) }
+	at := func() *api.Instant { return c.clocks.instantAt(head, w.clock().Add(deadline-w.now)) }
 	submit := func(until *api.Instant) {
 		c.submitTo(head, &api.SubmitRequest{Operation: operation, Deadline: until}, deadline, func(answer *api.SubmitReply) {
 			if answer == nil {
@@ -598,7 +598,7 @@
 			reply(nil)
 			return
 		}
-		c.clocks.note(head, (*answer).Clock, w.clock())
+		c.clocks.OnClockReading(head, (*answer).Clock, w.clock())
 		reply(*answer)
 	})
 }
@@ -639,13 +639,13 @@
 
 // read reads the newest state, wherever the tail is; nil: nobody can be sure of it.
 func (c *core) read(ids []string, reply func(*newestState)) {
-	tail := standingOf(c.replica).Tail
+	tail := chainStatusOf(c.replica).Tail
 	if tail == "" {
 		reply(nil)
 		return
 	}
 	w := c.world
-	call(w, c.address, tail, orderPatience, func(answer func(*newestState)) {
+	call(w, c.address, tail, orderTimeout, func(answer func(*newestState)) {
 		server := w.coreAt(tail)
 		if server == nil {
 			return
@@ -683,7 +683,7 @@
 // lease is Service.Lease: the head answers, and others pass the question on once.
 func (c *core) lease(holder string, forwarded bool, reply func(*api.LeaseReply)) {
 	w, unavailable := c.world, &api.LeaseReply{Code: uint32(result.Unavailable)}
-	head := standingOf(c.replica).Head
+	head := chainStatusOf(c.replica).Head
 	switch {
 	case c.replica == nil || head == "":
 		reply(unavailable)
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status_handler.go
@@ -58,17 +58,17 @@
 	Models       []string `json:"models"`
 }
 
-// statusPatience bounds the look at the chain.
-const statusPatience = 500 * time.Millisecond
+// statusTimeout bounds the look at the chain.
+const statusTimeout = 500 * time.Millisecond
 
-// status answers with how things stand.
-func (s *Service) status(ctx *fasthttp.RequestCtx) {
-	patience, cancel := context.WithTimeout(context.Background(), statusPatience)
+// handleStatus answers with how things stand.
+func (s *Service) handleStatus(ctx *fasthttp.RequestCtx) {
+	patience, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
-	standing := s.standing(patience)
+	standing := s.chainStatus(patience)
 	out := Status{
 		Node: s.self, Connected: standing.Connected, View: standing.View, Head: standing.Head, Tail: standing.Tail,
-		Members: standing.Members, Chain: standing.Chain, Leaving: standing.Leaving, CatchingUp: standing.CatchingUp, Committed: standing.Committed, StoreFailed: standing.NoStore,
+		Members: standing.Members, Chain: standing.Chain, Leaving: standing.Leaving, CatchingUp: standing.CatchingUp, Committed: standing.Committed, StoreFailed: standing.StoreFailed,
 	}
 	s.feed.View(func(m *state.Machine) {
 		out.Version, out.Evacuated = m.Version(), m.EvacuatedZones()
@@ -76,7 +76,7 @@
 			out.Leases = append(out.Leases, LeaseStatus{Key: o.Key, Holder: o.Holder, FencingToken: o.FencingToken})
 		}
 	})
-	out.Subscribers = s.registry.Readers()
+	out.Subscribers = s.membership.Readers()
 	for _, n := range s.feed.Nodes() {
 		out.Nodes = append(out.Nodes, NodeStatus{Name: n.Name, Zone: n.Zone, AgeMS: n.AgeMs})
 	}
--- a/internal/controlplane/grants_test.go
+++ b/internal/controlplane/submit_in_view_test.go
@@ -16,13 +16,13 @@
 	is := is.New(t)
 	w := newWorld(t, 1, 3)
 	w.pass(3 * time.Second)
-	head := w.coreAt(standingOf(w.cores[0].replica).Head)
+	head := w.coreAt(chainStatusOf(w.cores[0].replica).Head)
 	view := head.replica.Node().View().GetNumber()
 	grant := func(view uint64) *result.Code {
 		answer := new(result.Code)
 		token := head.replica.Machine().Owner("a role").GetFencingToken()
 		operation := &api.Operation{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{Key: "a role", Holder: "x/1", ReplacesFencingToken: &token}}}
-		head.replica.SubmitInView(head.clock(w.now), operation, view, head.clock(w.now+orderPatience),
+		head.replica.SubmitInView(head.clock(w.now), operation, view, head.clock(w.now+orderTimeout),
 			func(code result.Code, _ string) { *answer = code })
 		return answer
 	}
