--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"maps"
-	"slices"
 	"sync"
 	"time"
 
@@ -12,244 +10,142 @@
 	"marlreel/internal/process/transport"
 )
 
-const (
-	// expiryInterval is how often it is looked who has fallen silent.
-	expiryInterval = 250 * time.Millisecond
-	// maxMissedHeartbeats is how many heartbeats a backend may miss before it is dropped.
-	maxMissedHeartbeats = 3
-	// lostPeerFactor is how many times longer a backend is kept whose reports came
-	// through a process that has fallen silent itself.
-	lostPeerFactor = 5
-	// nodeTimeout is after what time a node without a call is no longer counted.
-	nodeTimeout = 4 * time.Second
-	// peerTimeout is after what time another control process counts as silent.
-	peerTimeout = 2500 * time.Millisecond
-)
-
-// heard is when and by whom a backend or a node was heard last.
-type heard struct {
-	via string // the control process; "" is this one
-	at  time.Time
-}
+// expiryInterval is how often timeouts are looked at and links are made. Raising it drops who has timed out up to as
+// much later; lowering it costs time under the lock.
+const expiryInterval = 250 * time.Millisecond
 
-// Membership knows the backends and the nodes from their calls, here and at the other
-// control processes.
+// Membership is who is there: the backends and the nodes that call this control process or another one, the other
+// control processes, and the nodes that watch the state here. It passes what it hears to the other control processes
+// over a link to each, and to the local feed. The tables are in files of their own; one mutex guards them all, and the
+// state of the links, and is never held while the network is used.
 type Membership struct {
 	self   *api.ControlNode
 	feed   *watch.Store
-	beat   time.Duration
 	client *transport.Client
 
-	mu     sync.Mutex
-	heard  map[string]heard     // backends
-	nodes  map[string]heard     // nodes
-	peers  map[string]time.Time // when each other control process told something last
-	places map[string]*api.ControlNode
-	links  map[string]*peerLink // to the other control processes
-	read   map[string]time.Time // when each node read the feed here last
+	mu          sync.Mutex
+	backends    *backendTable
+	nodes       *nodeTable
+	peers       *peerTable
+	subscribers *subscriberTable
+	links       *peerLinks
 }
 
-// NewMembership makes an empty registry; self is this process.
-func NewMembership(self *api.ControlNode, out *watch.Store, beat time.Duration, client *transport.Client) *Membership {
+// NewMembership makes a membership in which only self, this process, is known. heartbeatInterval is how often
+// backends send their heartbeats.
+func NewMembership(self *api.ControlNode, feed *watch.Store, heartbeatInterval time.Duration, client *transport.Client) *Membership {
 	return &Membership{
-		self: self, feed: out, beat: beat, client: client, heard: map[string]heard{}, nodes: map[string]heard{},
-		peers: map[string]time.Time{}, places: map[string]*api.ControlNode{}, links: map[string]*peerLink{}, read: map[string]time.Time{},
+		self: self, feed: feed, client: client, backends: newBackendTable(heartbeatInterval), nodes: newNodeTable(),
+		peers: newPeerTable(), subscribers: newSubscriberTable(), links: newPeerLinks(),
 	}
 }
 
-// Silence is how long a backend may be silent before it is dropped.
-func (r *Membership) Silence() time.Duration { return maxMissedHeartbeats*r.beat + r.beat/2 }
+// BackendTimeout is how long a backend counts without a heartbeat.
+func (m *Membership) BackendTimeout() time.Duration { return m.backends.timeout }
 
-// Beat takes in a backend's heartbeat.
-func (r *Membership) Beat(b *api.Backend) {
-	r.mu.Lock()
-	r.heard[b.Id] = heard{at: time.Now()}
-	r.mu.Unlock()
-	if r.feed.Put(b) {
-		r.hurry()
+// OnHeartbeat handles the heartbeat of a backend. The other control processes are told at once of what is new in it.
+func (m *Membership) OnHeartbeat(b *api.Backend) {
+	m.mu.Lock()
+	m.backends.lastSeen.onSignOfLife(time.Now(), b.Id)
+	m.mu.Unlock()
+	if m.feed.Put(b) {
+		m.wakeLinks()
 	}
 }
 
-// Node takes in a node's call.
-func (r *Membership) Node(n *api.Node) {
-	r.mu.Lock()
-	_, known := r.nodes[n.Name]
-	r.nodes[n.Name] = heard{at: time.Now()}
-	r.mu.Unlock()
-	r.feed.PutNode(n)
+// OnNodeCall handles the call by which a node says that it lives. The other control processes are told at once of a
+// node that is new.
+func (m *Membership) OnNodeCall(n *api.Node) {
+	m.mu.Lock()
+	known := m.nodes.onCall(time.Now(), n.Name)
+	m.mu.Unlock()
+	m.feed.PutNode(n)
 	if !known {
-		r.hurry()
+		m.wakeLinks()
 	}
 }
 
-// Reads notes that a node reads the feed here.
-func (r *Membership) Reads(node string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.read[node] = time.Now()
+// OnWatch records that a node watches the state here.
+func (m *Membership) OnWatch(node string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.subscribers.onWatch(time.Now(), node)
 }
 
-// Readers are the nodes that read the feed here.
-func (r *Membership) Readers() []string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return slices.Sorted(maps.Keys(r.read))
+// Subscribers returns the names of the nodes that watch the state here, sorted.
+func (m *Membership) Subscribers() []string {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.subscribers.names()
 }
 
-// Take takes in what another control process has heard. It tells whether all of those
-// that still live are known here.
-func (r *Membership) Take(reports *api.MembershipUpdate) (known bool) {
-	now := time.Now()
-	r.mu.Lock()
-	r.peers[reports.From] = now
-	if reports.Node != nil {
-		r.places[reports.From] = reports.Node
-	}
-	note := func(table map[string]heard, id string, ageMS uint32) {
-		at := now.Add(-time.Duration(ageMS) * time.Millisecond)
-		if table[id].at.Before(at) {
-			table[id] = heard{via: reports.From, at: at}
-		}
-	}
-	for _, b := range reports.Backends {
-		note(r.heard, b.Id, b.AgeMs)
-	}
-	for _, s := range reports.Heartbeats {
-		note(r.heard, s.Id, s.AgeMs)
+// OnObservations handles what an agent observed of backends; the other control processes are told at once.
+func (m *Membership) OnObservations(observations []*api.Observation) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, observation := range observations {
+		m.feed.Observe(observation)
+		m.links.onObservation(observation)
 	}
-	for _, n := range reports.Nodes {
-		note(r.nodes, n.Name, n.AgeMs)
-	}
-	r.mu.Unlock()
-	for _, b := range reports.Backends {
-		r.feed.Put(b)
-	}
-	known = true
-	for _, s := range reports.Heartbeats {
-		known = r.feed.Seen(s.Id, s.CallSequence, time.Duration(s.AgeMs)*time.Millisecond) && known
-	}
-	for _, n := range reports.Nodes {
-		r.feed.PutNode(n)
-	}
-	for _, o := range reports.Observations {
-		r.feed.Observe(o)
-	}
-	return known
 }
 
-// Places tells where the control processes are that count.
-func (r *Membership) Places(members []string) []*api.ControlNode {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	nodes := make([]*api.ControlNode, 0, len(members))
-	for _, address := range members {
-		switch {
-		case address == r.self.Address:
-			nodes = append(nodes, r.self)
-		case r.places[address] != nil:
-			nodes = append(nodes, r.places[address])
-		default:
-			nodes = append(nodes, &api.ControlNode{Address: address})
-		}
-	}
-	return nodes
+// ControlNodes returns where the members of a view are, in their order.
+func (m *Membership) ControlNodes(members []string) []*api.ControlNode {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.peers.controlNodes(m.self, members)
 }
 
-// near is a control process in a zone that was heard of late, where this one is not in that
-// zone itself; "" is none.
-func (r *Membership) near(zone string) string {
-	if zone == r.self.Zone {
+// peerInZone returns the public address of another control process in a zone, where this one is not in that zone
+// itself; "" is none.
+func (m *Membership) peerInZone(zone string) string {
+	if zone == m.self.Zone {
 		return ""
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for address, place := range r.places {
-		if place.Zone == zone && time.Since(r.peers[address]) < peerTimeout {
-			return place.PublicAddress
-		}
-	}
-	return ""
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.peers.inZone(time.Now(), zone)
 }
 
-// Run keeps the links to the other control processes, and drops who has fallen silent, until
-// ctx ends. members gives the addresses of all control processes that count.
-func (r *Membership) Run(ctx context.Context, members func() []string) {
-	looks := time.NewTicker(expiryInterval)
-	defer looks.Stop()
+// Run keeps a link to each other member and expires who has timed out, until ctx ends. It returns when the links have
+// ended too. members returns the addresses of all control processes that count.
+func (m *Membership) Run(ctx context.Context, members func() []string) {
+	defer m.links.wait()
+	ticker := time.NewTicker(expiryInterval)
+	defer ticker.Stop()
 	for {
-		r.link(ctx, members())
+		m.updateLinks(ctx, members())
 		select {
-		case <-looks.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
-		r.expire()
-	}
-}
-
-// link keeps one link for each other control process.
-func (r *Membership) link(ctx context.Context, members []string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for address, l := range r.links {
-		if !slices.Contains(members, address) {
-			l.end()
-			delete(r.links, address)
-		}
-	}
-	for _, address := range members {
-		if address != r.self.Address && r.links[address] == nil {
-			l := newPeerLink(ctx, r, address)
-			r.links[address] = l
-			go l.run()
-		}
+		m.expire()
 	}
 }
 
-// hurry has the links tell what is new.
-func (r *Membership) hurry() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, l := range r.links {
-		l.hurry()
-	}
+// updateLinks makes and ends links until there is one to each other member.
+func (m *Membership) updateLinks(ctx context.Context, members []string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.links.update(ctx, m, members)
 }
 
-// Observe takes in what an agent tells of backends, and has the other control processes told.
-func (r *Membership) Observe(observed []*api.Observation) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, o := range observed {
-		r.feed.Observe(o)
-		for _, l := range r.links {
-			l.observed.Put(l.now(), o.Id, o)
-			l.hurry()
-		}
-	}
+// wakeLinks has the other control processes told of what is new.
+func (m *Membership) wakeLinks() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.links.wake()
 }
 
-// expire drops the backends that have fallen silent, and forgets who heard them.
-func (r *Membership) expire() {
-	now, silence := time.Now(), r.Silence()
-	r.mu.Lock()
-	lost := map[string]bool{}
-	for id, h := range r.heard {
-		limit := silence
-		if h.via != "" && now.Sub(r.peers[h.via]) > peerTimeout {
-			limit *= lostPeerFactor // that process is silent, which says nothing of the backend
-		}
-		if now.Sub(h.at) > limit {
-			lost[id] = true
-			delete(r.heard, id)
-		}
-	}
-	for name, h := range r.nodes {
-		if now.Sub(h.at) > nodeTimeout {
-			delete(r.nodes, name)
-		}
-	}
-	maps.DeleteFunc(r.read, func(_ string, at time.Time) bool { return now.Sub(at) > nodeTimeout })
-	r.mu.Unlock()
-	r.feed.Expire(func(b *api.Backend, _ time.Duration) bool { return lost[b.Id] })
-	r.feed.ExpireNodes(nodeTimeout)
+// expire removes who has timed out, here and from the feed.
+func (m *Membership) expire() {
+	now := time.Now()
+	m.mu.Lock()
+	expired := m.backends.expire(now, func(peer string) bool { return m.peers.timedOut(now, peer) })
+	m.nodes.expire(now)
+	m.subscribers.expire(now)
+	m.mu.Unlock()
+	m.feed.Expire(func(b *api.Backend, _ time.Duration) bool { return expired[b.Id] })
+	m.feed.ExpireNodes(nodeTimeout)
 }
--- a/internal/controlplane/metrics.go
+++ b/internal/controlplane/metrics.go
@@ -22,7 +22,7 @@
 	})
 	set.NewGauge("marlreel_backends", func() float64 { return float64(len(s.feed.Backends())) })
 	set.NewGauge("marlreel_nodes", func() float64 { return float64(len(s.feed.Nodes())) })
-	set.NewGauge("marlreel_feed_readers", func() float64 { return float64(len(s.membership.Readers())) })
+	set.NewGauge("marlreel_feed_readers", func() float64 { return float64(len(s.membership.Subscribers())) })
 	s.counters.Store(set)
 	return set
 }
--- /dev/null
+++ b/internal/controlplane/node_table.go
@@ -0,0 +1,30 @@
+package controlplane
+
+import (
+	"maps"
+	"time"
+)
+
+// nodeTimeout is how long a node counts without a call. Raising it keeps dead nodes among the candidates for a lease
+// for longer; lowering it drops live ones that are slow to call.
+const nodeTimeout = 4 * time.Second
+
+// nodeTable is when each node, a machine that carries traffic, called last, this control process or another one. It
+// does no locking of its own.
+type nodeTable struct {
+	lastSeen lastSeenTable // by the node's name
+}
+
+func newNodeTable() *nodeTable { return &nodeTable{lastSeen: lastSeenTable{}} }
+
+// onCall records a node's call, and tells whether the node was known before.
+func (t *nodeTable) onCall(now time.Time, name string) bool {
+	_, known := t.lastSeen[name]
+	t.lastSeen.onSignOfLife(now, name)
+	return known
+}
+
+// expire removes the nodes that have timed out.
+func (t *nodeTable) expire(now time.Time) {
+	maps.DeleteFunc(t.lastSeen, func(_ string, seen lastSeen) bool { return now.Sub(seen.at) > nodeTimeout })
+}
--- a/internal/controlplane/operator_handlers.go
+++ b/internal/controlplane/operator_handlers.go
@@ -181,13 +181,13 @@
 		reject(ctx, result.Errorf(result.InvalidField, "heartbeat: service and address are needed"))
 		return
 	}
-	s.membership.Beat(beat.backend(id))
+	s.membership.OnHeartbeat(beat.backend(id))
 	if beat.State == stateDraining {
 		s.handleRetirement(ctx, id)
 		return
 	}
 	respond(ctx, &result.Error{Code: result.Accepted})
-	if near := s.membership.near(beat.Zone); near != "" {
+	if near := s.membership.peerInZone(beat.Zone); near != "" {
 		body, _ := json.Marshal(heartbeatReply{Address: near}) // a struct of plain fields always marshals
 		ctx.SetBody(body)
 	}
--- a/internal/controlplane/peer_link.go
+++ b/internal/controlplane/peer_link.go
@@ -12,142 +12,98 @@
 )
 
 const (
-	// fullUpdateInterval is how often a control process tells another one whom it has heard, where
-	// there is no news.
+	// fullUpdateInterval is how often a control process tells another one who lives, where nothing has changed. It
+	// has to be well below peerTimeout and the backends' timeout; lowering it costs a message a peer and interval
+	// with an entry for each backend.
 	fullUpdateInterval = time.Second
-	// updateDelay is how long news waits for more news.
+	// updateDelay is how long a change waits for more changes. Raising it makes fewer and larger updates; proxies
+	// hear of backends as much later.
 	updateDelay = 10 * time.Millisecond
-	// updateTimeout bounds one such call.
+	// updateTimeout bounds the call of an update. Raising it delays the next update to a peer that does not answer;
+	// lowering it fails updates over slow links.
 	updateTimeout = 400 * time.Millisecond
-	// maxHints bounds the backends of which a peer that can't be reached is still to be told
-	// what was observed there.
+	// maxHints bounds the backends of which the observations are kept for a peer that can't be reached.
 	maxHints = 4096
-	// hintTTL is how long that is kept: a backend's own heartbeats say the same by then.
+	// hintTTL is how long these are kept: a backend's own heartbeats say the same by then.
 	hintTTL = 5 * time.Second
 )
 
-// peerLink tells one other control process what this one has heard. What that one misses
-// while it can't be reached is handed over when it answers again: backends and nodes by the
-// revision up to which it was told, observations as hints.
+// peerLink sends one other control process what this one has heard. What that one misses while it can't be reached
+// is handed over when it answers again: backends and nodes by the revision up to which it was told, observations as
+// hints.
 type peerLink struct {
-	registry *Membership
-	address  string
-	ctx      context.Context
-	end      context.CancelFunc
-	wake     chan struct{}
-	began    time.Time
+	membership *Membership
+	address    string
+	cancel     context.CancelFunc
+	changes    chan struct{} // has a token where there is something new
+	startedAt  time.Time
 
-	// Kept by the registry's lock.
-	told     uint64 // the feed's revision up to which it knows
-	known    bool   // it has been told anything at all
-	observed *hintedhandoff.Table[*api.Observation]
+	// Guarded by the membership's mutex.
+	sentRevision uint64 // the feed's revision up to which the peer was told
+	synced       bool   // the peer has been told all up to that
+	observations *hintedhandoff.Table[*api.Observation]
 }
 
-func newPeerLink(ctx context.Context, r *Membership, address string) *peerLink {
-	l := &peerLink{
-		registry: r, address: address, wake: make(chan struct{}, 1), began: time.Now(),
-		observed: hintedhandoff.New[*api.Observation](maxHints, hintTTL),
+func newPeerLink(m *Membership, address string, cancel context.CancelFunc) *peerLink {
+	return &peerLink{
+		membership: m, address: address, cancel: cancel, changes: make(chan struct{}, 1), startedAt: time.Now(),
+		observations: hintedhandoff.New[*api.Observation](maxHints, hintTTL),
 	}
-	l.ctx, l.end = context.WithCancel(ctx)
-	return l
 }
 
-func (l *peerLink) now() time.Duration { return time.Since(l.began) }
+// now is the time on the link's own clock, by which its hints expire.
+func (l *peerLink) now() time.Duration { return time.Since(l.startedAt) }
 
-func (l *peerLink) hurry() {
+// wake has the link send an update soon.
+func (l *peerLink) wake() {
 	select {
-	case l.wake <- struct{}{}:
+	case l.changes <- struct{}{}:
 	default:
 	}
 }
 
-// run tells what is new when there is something, and who lives once in a while.
-func (l *peerLink) run() {
-	lifeSigns := time.NewTicker(fullUpdateInterval)
-	defer lifeSigns.Stop()
+// run sends an update soon after each change and a full one each interval, until ctx ends.
+func (l *peerLink) run(ctx context.Context) {
+	ticker := time.NewTicker(fullUpdateInterval)
+	defer ticker.Stop()
 	for {
-		newsAlone := false
 		select {
-		case <-l.wake:
-			newsAlone = true
+		case <-l.changes:
 			select {
 			case <-time.After(updateDelay):
-			case <-l.ctx.Done():
+			case <-ctx.Done():
 				return
 			}
-		case <-lifeSigns.C:
-		case <-l.ctx.Done():
+			l.sendUpdate(ctx, false)
+		case <-ticker.C:
+			l.sendUpdate(ctx, true)
+		case <-ctx.Done():
 			return
 		}
-		l.share(newsAlone)
 	}
 }
 
-// share makes one call.
-func (l *peerLink) share(newsAlone bool) {
-	reports, revision, hinted := l.reports(newsAlone)
-	call, cancel := context.WithTimeout(l.ctx, updateTimeout)
+// sendUpdate makes one call.
+func (l *peerLink) sendUpdate(ctx context.Context, full bool) {
+	update, revision, hints := l.membership.updateFor(l, full)
+	ctx, cancel := context.WithTimeout(ctx, updateTimeout)
 	defer cancel()
-	_, err := api.NewControlProtobufClient("http://"+l.address, l.registry.client).Share(call, reports)
-	l.registry.mu.Lock()
-	defer l.registry.mu.Unlock()
+	_, err := api.NewControlProtobufClient("http://"+l.address, l.membership.client).Share(ctx, update)
+	l.membership.mu.Lock()
+	defer l.membership.mu.Unlock()
 	if err != nil {
-		// Who answers that it doesn't know what it was told of has begun anew.
-		var refused twirp.Error
-		l.known = l.known && !(errors.As(err, &refused) && refused.Code() == twirp.FailedPrecondition)
-		return
-	}
-	l.told, l.known = revision, true
-	l.observed.Delivered(hinted)
-}
-
-// reports are what the peer has not been told, and unless newsAlone who still lives.
-func (l *peerLink) reports(newsAlone bool) (*api.MembershipUpdate, uint64, []hintedhandoff.Hint[*api.Observation]) {
-	r := l.registry
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	told := l.told
-	if !l.known {
-		told = 0
-	}
-	changed, revision := r.feed.ChangedSince(told)
-	reports := &api.MembershipUpdate{From: r.self.Address, Complete: !l.known}
-	news := map[string]bool{}
-	for _, b := range changed {
-		if h, here := r.heard[b.Id]; here && h.via == "" {
-			reports.Backends = append(reports.Backends, b)
-			news[b.Id] = true
-		}
-	}
-	if !newsAlone || !l.known {
-		reports.Node = r.self
-		r.addLifeSigns(reports, news)
-	}
-	if !newsAlone || !l.known || r.feed.NodesChangedSince(told) {
-		r.addNodes(reports)
-	}
-	hinted := l.observed.Due(l.now())
-	for _, hint := range hinted {
-		reports.Observations = append(reports.Observations, hint.Message)
-	}
-	return reports, revision, hinted
-}
-
-// addLifeSigns adds the backends that were heard here and have nothing new to say.
-func (r *Membership) addLifeSigns(reports *api.MembershipUpdate, news map[string]bool) {
-	now := time.Now()
-	for id, h := range r.heard {
-		if h.via == "" && !news[id] {
-			reports.Heartbeats = append(reports.Heartbeats, &api.BackendHeartbeat{Id: id, AgeMs: uint32(now.Sub(h.at).Milliseconds())})
+		// A peer that does not know what it was told of has started anew, and needs everything.
+		if isFailedPrecondition(err) {
+			l.synced = false
 		}
+		return
 	}
+	l.sentRevision, l.synced = revision, true
+	l.observations.Delivered(hints)
 }
 
-// addNodes adds the nodes that were heard here.
-func (r *Membership) addNodes(reports *api.MembershipUpdate) {
-	for _, n := range r.feed.Nodes() {
-		if r.nodes[n.Name].via == "" {
-			reports.Nodes = append(reports.Nodes, n)
-		}
-	}
+// isFailedPrecondition tells whether a call was answered with twirp.FailedPrecondition.
+func isFailedPrecondition(err error) bool {
+	var reply twirp.Error
+	return errors.As(err, &reply) && reply.Code() == twirp.FailedPrecondition
 }
--- /dev/null
+++ b/internal/controlplane/peer_links.go
@@ -0,0 +1,54 @@
+package controlplane
+
+import (
+	"context"
+	"slices"
+	"sync"
+
+	"marlreel/internal/api"
+)
+
+// peerLinks are the links to the other control processes. It owns their goroutines and does no locking of its own.
+type peerLinks struct {
+	links   map[string]*peerLink // by the peer's address
+	running sync.WaitGroup
+}
+
+func newPeerLinks() *peerLinks { return &peerLinks{links: map[string]*peerLink{}} }
+
+// update ends the links to processes that are no members any more, and starts those to members that have none. They
+// end with ctx.
+func (t *peerLinks) update(ctx context.Context, m *Membership, members []string) {
+	for address, link := range t.links {
+		if !slices.Contains(members, address) {
+			link.cancel()
+			delete(t.links, address)
+		}
+	}
+	for _, address := range members {
+		if address != m.self.Address && t.links[address] == nil {
+			linkCtx, cancel := context.WithCancel(ctx)
+			link := newPeerLink(m, address, cancel)
+			t.links[address] = link
+			t.running.Go(func() { link.run(linkCtx) })
+		}
+	}
+}
+
+// wake has each link send an update soon.
+func (t *peerLinks) wake() {
+	for _, link := range t.links {
+		link.wake()
+	}
+}
+
+// onObservation has each peer told of an observation, as soon as it can be reached.
+func (t *peerLinks) onObservation(observation *api.Observation) {
+	for _, link := range t.links {
+		link.observations.Put(link.now(), observation.Id, observation)
+		link.wake()
+	}
+}
+
+// wait waits until all links have ended. Their context has to have ended before.
+func (t *peerLinks) wait() { t.running.Wait() }
--- a/internal/controlplane/run.go
+++ b/internal/controlplane/run.go
@@ -133,7 +133,7 @@
 func publishChainStatus(ctx context.Context, keeper *ReplicaRunner, registry *Membership, out *watch.Store, members *chainView) {
 	ticker := time.NewTicker(chainStatusInterval)
 	defer ticker.Stop()
-	word := freshnessTracker{establishedAfter: registry.Silence()}
+	word := freshnessTracker{establishedAfter: registry.BackendTimeout()}
 	for {
 		select {
 		case <-ticker.C:
@@ -142,7 +142,7 @@
 		}
 		keeper.ChainStatus(func(s ChainStatus) {
 			members.OnChainStatus(s)
-			out.SetControls(registry.Places(s.Members))
+			out.SetControls(registry.ControlNodes(s.Members))
 			out.SetStanding(word.OnChainStatus(s, time.Now()))
 		})
 	}
--- a/internal/controlplane/service.go
+++ b/internal/controlplane/service.go
@@ -103,7 +103,7 @@
 
 // Share implements api.Control.
 func (s *Service) Share(_ context.Context, reports *api.MembershipUpdate) (*api.Empty, error) {
-	if !s.membership.Take(reports) {
+	if !s.membership.OnPeerUpdate(reports) {
 		return nil, twirp.NewError(twirp.FailedPrecondition, "a backend that lives is not known here: all is needed")
 	}
 	return &api.Empty{}, nil
@@ -112,7 +112,7 @@
 // Watch implements api.Control.
 func (s *Service) Watch(ctx context.Context, request *api.WatchRequest) (*api.WatchReply, error) {
 	if request.Subscriber != "" {
-		s.membership.Reads(request.Subscriber)
+		s.membership.OnWatch(request.Subscriber)
 	}
 	wait := min(maxWatchWait, time.Duration(request.WaitMs)*time.Millisecond)
 	return s.feed.Wait(ctx, request, wait), nil
@@ -123,7 +123,7 @@
 	if request.Node.GetName() == "" {
 		return nil, twirp.RequiredArgumentError("node")
 	}
-	s.membership.Node(request.Node)
+	s.membership.OnNodeCall(request.Node)
 	sequence, _ := s.feed.Position()
 	return &api.RenewReply{Sequence: sequence}, nil
 }
@@ -165,7 +165,7 @@
 // Observe implements api.Control. What an agent tells is passed on to the other control
 // processes.
 func (s *Service) Observe(_ context.Context, seen *api.Observations) (*api.Empty, error) {
-	s.membership.Observe(seen.Observations)
+	s.membership.OnObservations(seen.Observations)
 	return &api.Empty{}, nil
 }
 
--- a/internal/controlplane/status_handler.go
+++ b/internal/controlplane/status_handler.go
@@ -76,7 +76,7 @@
 			out.Leases = append(out.Leases, LeaseStatus{Key: o.Key, Holder: o.Holder, FencingToken: o.FencingToken})
 		}
 	})
-	out.Subscribers = s.membership.Readers()
+	out.Subscribers = s.membership.Subscribers()
 	for _, n := range s.feed.Nodes() {
 		out.Nodes = append(out.Nodes, NodeStatus{Name: n.Name, Zone: n.Zone, AgeMS: n.AgeMs})
 	}
