--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -40,7 +40,7 @@
 				now += time.Millisecond
 				for _, o := range p.Plan(now) {
 					p.OnOrderFailed(now-time.Hour, o)
-					p.backends[o.Backend].known, p.backends[o.Backend].reserved = true, ""
+					p.backends[o.Backend].reported, p.backends[o.Backend].reservedModel = true, ""
 				}
 			}
 		})
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -8,201 +8,201 @@
 	"github.com/matryer/is"
 )
 
-// world is a simple model of backends that carry orders out at once, after their time.
-type world struct {
-	planner  *Planner
-	now      time.Duration
-	holds    map[string]map[string][]string
-	revision map[string]uint64
-	until    map[string]time.Duration
-	doing    map[string]Order
-	service  Service
-	loads    []time.Duration // from the store: what a backend has held before comes from its own disk
-	had      map[string]bool // by backend and model
-	t        *testing.T
+// fakeCluster is a simple model of backends that carry orders out at once, after their time.
+type fakeCluster struct {
+	planner    *Planner
+	now        time.Duration
+	loaded     map[string]map[string][]string
+	revision   map[string]uint64
+	doneAt     map[string]time.Duration
+	pending    map[string]Order
+	service    Service
+	loads      []time.Duration // from the store: what a backend has held before comes from its own disk
+	everLoaded map[string]bool // by backend and model
+	t          *testing.T
 }
 
-func newWorld(t *testing.T, backends, models int) *world {
-	w := &world{
-		planner: New(time.Second), now: time.Second, holds: map[string]map[string][]string{}, revision: map[string]uint64{},
-		until: map[string]time.Duration{}, doing: map[string]Order{}, had: map[string]bool{}, t: t,
+func newFakeCluster(t *testing.T, backends, models int) *fakeCluster {
+	c := &fakeCluster{
+		planner: New(time.Second), now: time.Second, loaded: map[string]map[string][]string{}, revision: map[string]uint64{},
+		doneAt: map[string]time.Duration{}, pending: map[string]Order{}, everLoaded: map[string]bool{}, t: t,
 		service: Service{Models: map[string]Model{}, CapacityMB: 200000, MaxAdapters: 8, MaxLoadsPerSecond: 2.2},
 	}
 	for i := range models {
 		name := fmt.Sprintf("m%d", i)
-		w.service.Models[name] = Model{Name: name, SizeMB: 60000, LoadTime: 3 * time.Second, AdapterSizeMB: 66}
+		c.service.Models[name] = Model{Name: name, SizeMB: 60000, LoadTime: 3 * time.Second, AdapterSizeMB: 66}
 	}
 	for i := range backends {
-		w.holds[fmt.Sprintf("b%d", i)] = map[string][]string{}
+		c.loaded[fmt.Sprintf("b%d", i)] = map[string][]string{}
 	}
-	w.planner.Configure(w.service)
-	return w
+	c.planner.Configure(c.service)
+	return c
 }
 
 // step lets 100 ms pass.
-func (w *world) step() {
-	w.now += 100 * time.Millisecond
+func (c *fakeCluster) step() {
+	c.now += 100 * time.Millisecond
 	var list []Backend
-	for id, holds := range w.holds {
-		list = append(list, Backend{ID: id, Usable: true, Loaded: holds})
+	for id, loaded := range c.loaded {
+		list = append(list, Backend{ID: id, Usable: true, Loaded: loaded})
 	}
-	w.planner.SetBackends(w.now, list)
-	for id := range w.holds {
-		if o, busy := w.doing[id]; busy && w.now >= w.until[id] {
-			w.finish(o)
-			delete(w.doing, id)
+	c.planner.SetBackends(c.now, list)
+	for id := range c.loaded {
+		if o, busy := c.pending[id]; busy && c.now >= c.doneAt[id] {
+			c.finish(o)
+			delete(c.pending, id)
 		}
-		_, busy := w.doing[id]
-		w.planner.OnReport(w.now, id, Report{Busy: busy, Revision: w.revision[id], Loaded: w.holds[id]})
+		_, busy := c.pending[id]
+		c.planner.OnReport(c.now, id, Report{Busy: busy, Revision: c.revision[id], Loaded: c.loaded[id]})
 	}
-	for _, o := range w.planner.Plan(w.now) {
-		w.take(o)
+	for _, o := range c.planner.Plan(c.now) {
+		c.accept(o)
 	}
 }
 
-func (w *world) take(o Order) {
-	w.t.Helper()
-	if _, busy := w.doing[o.Backend]; busy {
-		w.t.Fatalf("an order to %s, which carries one out", o.Backend)
+func (c *fakeCluster) accept(o Order) {
+	c.t.Helper()
+	if _, busy := c.pending[o.Backend]; busy {
+		c.t.Fatalf("an order to %s, which carries one out", o.Backend)
 	}
-	if o.Revision != w.revision[o.Backend] {
-		w.t.Fatalf("an order to %s with %d, and it has taken %d", o.Backend, o.Revision, w.revision[o.Backend])
+	if o.Revision != c.revision[o.Backend] {
+		c.t.Fatalf("an order to %s with %d, and it has taken %d", o.Backend, o.Revision, c.revision[o.Backend])
 	}
-	w.planner.OnOrderAccepted(w.now, o)
-	w.revision[o.Backend]++
-	w.doing[o.Backend] = o
-	w.until[o.Backend] = w.now + 50*time.Millisecond
+	c.planner.OnOrderAccepted(c.now, o)
+	c.revision[o.Backend]++
+	c.pending[o.Backend] = o
+	c.doneAt[o.Backend] = c.now + 50*time.Millisecond
 	if o.Operation == Load && o.Adapter == "" {
-		w.until[o.Backend] = w.now + w.service.Models[o.Model].LoadTime
-		if key := o.Backend + " " + o.Model; !w.had[key] {
-			w.had[key] = true
-			w.loads = append(w.loads, w.now)
+		c.doneAt[o.Backend] = c.now + c.service.Models[o.Model].LoadTime
+		if key := o.Backend + " " + o.Model; !c.everLoaded[key] {
+			c.everLoaded[key] = true
+			c.loads = append(c.loads, c.now)
 		}
-		w.holds[o.Backend][o.Model] = nil // its room is taken from here on
+		c.loaded[o.Backend][o.Model] = nil // its memory is taken from here on
 		used := 0.0
-		for name := range w.holds[o.Backend] {
-			used += w.service.Models[name].SizeMB
+		for name := range c.loaded[o.Backend] {
+			used += c.service.Models[name].SizeMB
 		}
-		if used > w.service.CapacityMB {
-			w.t.Fatalf("%s is ordered to hold %v MB", o.Backend, used)
+		if used > c.service.CapacityMB {
+			c.t.Fatalf("%s is ordered to load %v MB", o.Backend, used)
 		}
-		delete(w.holds[o.Backend], o.Model)
+		delete(c.loaded[o.Backend], o.Model)
 	}
 }
 
-func (w *world) finish(o Order) {
-	holds := w.holds[o.Backend]
+func (c *fakeCluster) finish(o Order) {
+	loaded := c.loaded[o.Backend]
 	switch {
 	case o.Operation == Load && o.Adapter == "":
-		holds[o.Model] = nil
+		loaded[o.Model] = nil
 	case o.Operation == Load:
-		holds[o.Model] = append(holds[o.Model], o.Adapter)
+		loaded[o.Model] = append(loaded[o.Model], o.Adapter)
 	case o.Adapter == "":
-		delete(holds, o.Model)
+		delete(loaded, o.Model)
 	}
 }
 
-func (w *world) holders(model string) int {
+func (c *fakeCluster) replicas(model string) int {
 	n := 0
-	for _, holds := range w.holds {
-		if _, is := holds[model]; is {
+	for _, loaded := range c.loaded {
+		if _, is := loaded[model]; is {
 			n++
 		}
 	}
 	return n
 }
 
-// ask lets so many requests a second of so much work each be asked, for a span.
-func (w *world) ask(span time.Duration, rates map[string]float64, workMS float64) {
-	for end := w.now + span; w.now < end; {
+// request lets so many requests a second of so much work each come, for a span.
+func (c *fakeCluster) request(span time.Duration, rates map[string]float64, workMS float64) {
+	for end := c.now + span; c.now < end; {
 		for model, rate := range rates {
-			waits := 0
-			if w.holders(model) == 0 {
-				waits = 1
+			waiting := 0
+			if c.replicas(model) == 0 {
+				waiting = 1
 			}
-			if count := int(rate*float64(w.now/time.Millisecond)/1000) - int(rate*float64((w.now-100*time.Millisecond)/time.Millisecond)/1000); count > 0 || waits > 0 {
-				w.planner.RecordDemand(w.now, "node", "z0", Key{Model: model}, count, workMS*float64(count), waits)
+			if count := int(rate*float64(c.now/time.Millisecond)/1000) - int(rate*float64((c.now-100*time.Millisecond)/time.Millisecond)/1000); count > 0 || waiting > 0 {
+				c.planner.RecordDemand(c.now, "node", "z0", Key{Model: model}, count, workMS*float64(count), waiting)
 			}
 		}
-		w.step()
+		c.step()
 	}
 }
 
-// A model that is asked for far more than one backend can do gets more of them, however
+// A model that is requested far more than one backend can do gets more of them, however
 // far beyond one backend's time its work is.
 func TestOverloadedModelIsReplicated(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 10, 30)
-	w.ask(20*time.Second, map[string]float64{"m0": 40}, 150) // six backends' time
-	is.True(w.holders("m0") >= 8)
+	c := newFakeCluster(t, 10, 30)
+	c.request(20*time.Second, map[string]float64{"m0": 40}, 150) // six backends' time
+	is.True(c.replicas("m0") >= 8)
 }
 
-func TestIdleCopiesMakeRoomBeforeRareModels(t *testing.T) {
+func TestIdleReplicasAreEvictedBeforeRareModels(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 6, 30)
+	c := newFakeCluster(t, 6, 30)
 	rare := map[string]float64{"m0": 20}
 	for i := 1; i <= 8; i++ {
 		rare[fmt.Sprintf("m%d", i)] = 0.1
 	}
-	w.ask(40*time.Second, rare, 120)
-	is.True(w.holders("m0") >= 4)
+	c.request(40*time.Second, rare, 120)
+	is.True(c.replicas("m0") >= 4)
 	delete(rare, "m0") // it falls silent, and another one rises
 	rare["m20"] = 20
-	w.ask(15*time.Second, rare, 120)
-	is.True(w.holders("m20") >= 4)
+	c.request(15*time.Second, rare, 120)
+	is.True(c.replicas("m20") >= 4)
 	kept := 0
 	for i := 1; i <= 8; i++ {
-		kept += min(1, w.holders(fmt.Sprintf("m%d", i)))
+		kept += min(1, c.replicas(fmt.Sprintf("m%d", i)))
 	}
 	is.True(kept >= 7) // the rare ones stayed
 }
 
 func TestWaitingModelIsLoadedAtOnce(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 3, 10)
+	c := newFakeCluster(t, 3, 10)
 	for range 30 { // time for the store's bucket to fill
-		w.step()
+		c.step()
 	}
-	w.planner.RecordDemand(w.now, "node", "z0", Key{Model: "m5"}, 1, 100, 1)
-	w.step()
-	is.Equal(len(w.loads), 1)
+	c.planner.RecordDemand(c.now, "node", "z0", Key{Model: "m5"}, 1, 100, 1)
+	c.step()
+	is.Equal(len(c.loads), 1)
 }
 
-// No window of the store's bound sees more loads than it allows, however much is asked.
-func TestLoadsStayUnderTheCeiling(t *testing.T) {
-	w := newWorld(t, 12, 60)
+// No window of the store's rate limit sees more loads than it allows, however high the demand.
+func TestStoreLoadsStayWithinRateLimit(t *testing.T) {
+	c := newFakeCluster(t, 12, 60)
 	rates := map[string]float64{}
 	for i := range 60 {
 		rates[fmt.Sprintf("m%d", i)] = 0.5
 	}
-	w.ask(60*time.Second, rates, 100)
+	c.request(60*time.Second, rates, 100)
 	const window, excess = 5 * time.Second, 1.1
-	for _, from := range w.loads {
+	for _, from := range c.loads {
 		n := 0
-		for _, at := range w.loads {
+		for _, at := range c.loads {
 			if at >= from && at < from+window {
 				n++
 			}
 		}
-		if most := w.service.MaxLoadsPerSecond*window.Seconds()*excess + 3; float64(n) > most {
-			t.Fatalf("%d loads in the window from %v, and %v are allowed", n, from, most)
+		if allowed := c.service.MaxLoadsPerSecond*window.Seconds()*excess + 3; float64(n) > allowed {
+			t.Fatalf("%d loads in the window from %v, and %v are allowed", n, from, allowed)
 		}
 	}
-	if len(w.loads) < 20 {
-		t.Fatalf("only %d loads", len(w.loads))
+	if len(c.loads) < 20 {
+		t.Fatalf("only %d loads", len(c.loads))
 	}
 }
 
-func TestAdapterIsLoadedWhereItsModelIs(t *testing.T) {
+func TestAdapterIsLoadedWithItsModel(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 4, 4)
-	w.ask(6*time.Second, map[string]float64{"m0": 5}, 100)
-	w.planner.RecordDemand(w.now, "node", "z0", Key{Model: "m0", Adapter: "a1"}, 1, 100, 1)
-	w.step()
-	w.step()
+	c := newFakeCluster(t, 4, 4)
+	c.request(6*time.Second, map[string]float64{"m0": 5}, 100)
+	c.planner.RecordDemand(c.now, "node", "z0", Key{Model: "m0", Adapter: "a1"}, 1, 100, 1)
+	c.step()
+	c.step()
 	found := 0
-	for _, holds := range w.holds {
-		for _, adapter := range holds["m0"] {
+	for _, loaded := range c.loaded {
+		for _, adapter := range loaded["m0"] {
 			if adapter == "a1" {
 				found++
 			}
@@ -211,9 +211,9 @@
 	is.Equal(found, 1)
 }
 
-// An order to unload that got no answer may not have reached its backend. Nothing is loaded in the room that it was to
-// make until the backend has said what it holds.
-func TestNothingIsLoadedInRoomThatIsNotSure(t *testing.T) {
+// An order to unload that got no answer may not have reached its backend. Nothing is loaded into the memory that it was to
+// free until the backend has reported what it has loaded.
+func TestNoLoadIntoMemoryOfUnansweredUnload(t *testing.T) {
 	is := is.New(t)
 	now := time.Second
 	p := New(now)
@@ -224,16 +224,16 @@
 	full := map[string][]string{"m0": nil}
 	p.SetBackends(now, []Backend{{ID: "b0", Usable: true, Loaded: full}})
 	p.OnReport(now, "b0", Report{Revision: 3, Loaded: full})
-	now += 2 * keptFor
+	now += 2 * defaultWeights().minLoadedTime
 	p.RecordDemand(now, "n", "east", Key{Model: "m1"}, 5, 1000, 5)
 	unload := p.Plan(now)
 	is.Equal(len(unload), 1)
 	is.Equal(unload[0].Operation, Unload)
 
-	look := func() []Order { // what the placer does ever again
+	step := func() []Order { // what the placer does ever again
 		now += 100 * time.Millisecond
-		p.VisitPendingOrders(now, func(o Order, since, _ time.Duration, quick bool) {
-			if quick && now-since >= 60*time.Millisecond {
+		p.VisitPendingOrders(now, func(o Order, since, _ time.Duration, instant bool) {
+			if instant && now-since >= 60*time.Millisecond {
 				p.AssumeCompleted(now, o)
 			}
 		})
@@ -241,25 +241,25 @@
 		return p.Plan(now)
 	}
 	for range 5 {
-		is.Equal(len(look()), 0) // its answer is not there
+		is.Equal(len(step()), 0) // its answer is not there
 	}
 	p.OnOrderFailed(now, unload[0])
-	is.Equal(len(look()), 0)
+	is.Equal(len(step()), 0)
 	p.OnReport(now, "b0", Report{Revision: 3, Loaded: full}) // it has not arrived
-	now += failureRest
-	again := look()
+	now += failureBackoff
+	again := step()
 	is.Equal(len(again), 1)
 	is.Equal(again[0].Operation, Unload)
 	p.OnOrderAccepted(now, again[0])
-	loads := look()
+	loads := step()
 	is.Equal(len(loads), 1)
 	is.Equal(loads[0].Operation, Load)
 	is.Equal(loads[0].Revision, uint64(4))
 }
 
-// A model that the configuration names no more takes its room until the backend has given it up.
-func TestModelsThatAreConfiguredNoMoreTakeRoom(t *testing.T) {
-	for name, knew := range map[string]bool{"known before": true, "never known here": false} {
+// A model that the configuration no longer names takes memory until the backend has unloaded it.
+func TestUnconfiguredModelsTakeMemory(t *testing.T) {
+	for name, knownBefore := range map[string]bool{"known before": true, "never known here": false} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			now := time.Second
@@ -268,16 +268,16 @@
 				CapacityMB: 100000, MaxAdapters: 8, MaxLoadsPerSecond: 10,
 				Models: map[string]Model{"old": {Name: "old", SizeMB: 60000}, "m1": {Name: "m1", SizeMB: 60000, LoadTime: time.Second}},
 			}
-			if knew {
+			if knownBefore {
 				p.Configure(cfg)
 			}
-			holds := map[string][]string{"old": {"a1"}}
-			p.SetBackends(now, []Backend{{ID: "b0", Usable: true, Loaded: holds}})
-			p.OnReport(now, "b0", Report{Revision: 1, Loaded: holds})
+			loaded := map[string][]string{"old": {"a1"}}
+			p.SetBackends(now, []Backend{{ID: "b0", Usable: true, Loaded: loaded}})
+			p.OnReport(now, "b0", Report{Revision: 1, Loaded: loaded})
 			cfg.Models = map[string]Model{"m1": cfg.Models["m1"]}
 			p.Configure(cfg)
 			p.Configure(cfg)
-			now += 2 * keptFor
+			now += 2 * defaultWeights().minLoadedTime
 			p.RecordDemand(now, "n", "east", Key{Model: "m1"}, 5, 1000, 5)
 			orders := p.Plan(now)
 			is.Equal(len(orders), 1)
@@ -287,38 +287,38 @@
 	}
 }
 
-// A rare model that a request waits for takes the place of one that is as rare and that nobody waits for, where an aim
-// outlasts a load: whoever asks for that one next can wait for it as well.
-func TestARareModelThatIsWaitedForDisplacesAnIdleOne(t *testing.T) {
+// A rare model that a request waits for takes the place of one that is as rare and that nobody waits for, where a latency
+// target outlasts a load: whoever asks for that one next can wait for it as well.
+func TestWaitingRareModelEvictsIdleOne(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 2, 12) // with room for three models each
+	c := newFakeCluster(t, 2, 12) // with room for three models each
 	for i := range 12 {
-		w.planner.RecordLatencyTarget(fmt.Sprintf("m%d", i), 6*time.Second, 1)
+		c.planner.RecordLatencyTarget(fmt.Sprintf("m%d", i), 6*time.Second, 1)
 	}
 	rates := map[string]float64{}
 	for i := range 6 {
 		rates[fmt.Sprintf("m%d", i)] = 0.15
 	}
-	w.ask(40*time.Second, rates, 120)
+	c.request(40*time.Second, rates, 120)
 	for i := range 6 {
-		is.Equal(w.holders(fmt.Sprintf("m%d", i)), 1)
+		is.Equal(c.replicas(fmt.Sprintf("m%d", i)), 1)
 	}
 	for range 60 {
-		w.planner.RecordLatencyTarget("m9", 6*time.Second, 0)
-		w.planner.RecordDemand(w.now, "node", "z0", Key{Model: "m9"}, 0, 0, 1)
-		w.step()
+		c.planner.RecordLatencyTarget("m9", 6*time.Second, 0)
+		c.planner.RecordDemand(c.now, "node", "z0", Key{Model: "m9"}, 0, 0, 1)
+		c.step()
 	}
-	is.Equal(w.holders("m9"), 1)
+	is.Equal(c.replicas("m9"), 1)
 }
 
-// Proxies are told before a model leaves that they still send requests for, and not where nobody asks.
-func TestAnUnloadOfWhatIsAskedForIsToldBefore(t *testing.T) {
+// Proxies are notified before a model is unloaded that they still send requests for, and not where there are none.
+func TestUnloadDelay(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 2, 4)
-	w.ask(20*time.Second, map[string]float64{"m0": 5, "m1": 0.1}, 100)
+	c := newFakeCluster(t, 2, 4)
+	c.request(20*time.Second, map[string]float64{"m0": 5, "m1": 0.1}, 100)
 	unload := func(model string) Order { return Order{Backend: "b0", Operation: Unload, Key: Key{Model: model}} }
-	is.Equal(w.planner.UnloadDelay(w.now, unload("m0")), unloadNotice)
-	is.Equal(w.planner.UnloadDelay(w.now, unload("m1")), time.Duration(0))
-	is.Equal(w.planner.UnloadDelay(w.now, Order{Backend: "b0", Operation: Load, Key: Key{Model: "m0"}}), time.Duration(0))
-	is.Equal(w.planner.UnloadDelay(w.now, Order{Backend: "b0", Operation: Unload, Key: Key{Model: "m0", Adapter: "a1"}}), time.Duration(0))
+	is.Equal(c.planner.UnloadDelay(c.now, unload("m0")), unloadNotice)
+	is.Equal(c.planner.UnloadDelay(c.now, unload("m1")), time.Duration(0))
+	is.Equal(c.planner.UnloadDelay(c.now, Order{Backend: "b0", Operation: Load, Key: Key{Model: "m0"}}), time.Duration(0))
+	is.Equal(c.planner.UnloadDelay(c.now, Order{Backend: "b0", Operation: Unload, Key: Key{Model: "m0", Adapter: "a1"}}), time.Duration(0))
 }
--- a/internal/placement/status.go
+++ b/internal/placement/status.go
@@ -6,42 +6,50 @@
 	"time"
 )
 
-// ModelStatus is how things stand with one model.
+// ModelStatus is the demand for one model and its replicas.
 type ModelStatus struct {
 	Model             string
-	RequestsPerSecond float64 // requests a second
-	WorkMSPerSecond   float64 // ms of backends' time a second, as foretold
-	Waiting           int     // requests
-	Replicas          int     // backends that hold it, or load it
-	Loading           int     // of them
+	RequestsPerSecond float64
+	WorkMSPerSecond   float64 // ms of backends' time a second, forecast for when a load would be done
+	Waiting           int     // requests that wait for it
+	Replicas          int     // backends that have it loaded, or load it
+	Loading           int     // of them, those that load it
 }
 
-// Status lists the models that anything is asked of, those with the most work first.
+// Status lists the models that there is demand for, those with the most work first.
 func (p *Planner) Status(now time.Duration) []ModelStatus {
-	var list []ModelStatus
-	p.count()
-	for name, f := range p.figuresOf(now) {
-		s := ModelStatus{Model: name, RequestsPerSecond: f.rate, WorkMSPerSecond: f.work, Waiting: f.waits, Replicas: p.census.holders[name]}
-		for _, b := range p.backends {
-			if b.order != nil && b.order.Operation == Load && b.order.Key == (Key{Model: name}) {
-				s.Loading++
-			}
-		}
-		list = append(list, s)
+	var statuses []ModelStatus
+	p.takeSnapshot()
+	for name, d := range p.forecastDemand(now) {
+		statuses = append(statuses, ModelStatus{
+			Model: name, RequestsPerSecond: d.requestRate, WorkMSPerSecond: d.workRate, Waiting: d.waiting,
+			Replicas: p.snapshot.replicas[name], Loading: p.countLoading(name),
+		})
 	}
-	slices.SortFunc(list, func(a, b ModelStatus) int {
+	slices.SortFunc(statuses, func(a, b ModelStatus) int {
 		return cmp.Or(cmp.Compare(b.WorkMSPerSecond, a.WorkMSPerSecond), cmp.Compare(a.Model, b.Model))
 	})
-	return list
+	return statuses
+}
+
+// countLoading is how many backends load a model.
+func (p *Planner) countLoading(model string) int {
+	count := 0
+	for _, b := range p.backends {
+		if b.pending != nil && b.pending.Operation == Load && b.pending.Key == (Key{Model: model}) {
+			count++
+		}
+	}
+	return count
 }
 
-// CountBackends is how many backends carry an order out, and Known how many may get one.
+// CountBackends is how many backends carry out an order, and how many usable ones have reported their state.
 func (p *Planner) CountBackends() (busy, known int) {
 	for _, b := range p.backends {
-		if b.order != nil {
+		if b.pending != nil {
 			busy++
 		}
-		if b.usable && b.known {
+		if b.usable && b.reported {
 			known++
 		}
 	}
