--- a/internal/dataplane/backlog/backlog.go
+++ b/internal/dataplane/backlog/backlog.go
@@ -1,7 +1,3 @@
-// Package backlog counts the work that backends have been sent and have not begun to answer, over all
-// proxies. Each proxy knows its own part; the parts are told to the home of the service in their zone, and
-// from there to the holder of the service's placement role, and the answers carry back what the others have.
-// The package is pure: it is told the time.
 package backlog
 
 import (
@@ -11,84 +7,89 @@
 )
 
 const (
-	// ReportTTL is how long a node's word counts: some reports.
+	// ReportTTL is how long a report counts: some report intervals.
 	ReportTTL = 1500 * time.Millisecond
-	// mostWords bounds the words that are kept, and mostBackends the backends of one of them.
-	mostWords    = 8192
-	mostBackends = 4096
+	// maxReports bounds the reports that are kept, and maxBackends the backends of one of them.
+	maxReports  = 8192
+	maxBackends = 4096
 )
 
-// Key stands for a backend: the hash of its id. Two of them with one key count as one.
+// Key stands for a backend: the FNV-1a hash of its id. Two backends with one key count as one.
 func Key(id string) uint32 {
 	hash := fnv.New32a()
-	_, _ = io.WriteString(hash, id) // a hash takes everything
+	_, _ = io.WriteString(hash, id) // a hash never fails
 	return hash.Sum32()
 }
 
-// Work is the work of backends by their keys, in ms by the hints of the requests.
+// Work is the pending work of backends by their keys, in ms, as estimated from the requests.
 type Work map[uint32]uint32
 
-// Reporter is whose word something is.
+// Reporter is whose work a report counts.
 type Reporter struct {
 	// Node is the node whose proxy has sent the work; "" is all nodes of other zones together.
 	Node string
 	Zone string
 }
 
-// OtherZones speaks for all other zones.
+// OtherZones is the reporter of the work of all other zones.
 var OtherZones = Reporter{}
 
-type wordKey struct {
-	service string
-	speaker Reporter
+type reportKey struct {
+	service  string
+	reporter Reporter
 }
 
-type word struct {
-	work Work
-	at   time.Duration
+type report struct {
+	work       Work
+	receivedAt time.Duration
 }
 
-// Table is the newest word of each speaker. Not safe for concurrent use.
+// Table is the newest report of each reporter. Not safe for concurrent use.
 type Table struct {
-	words map[wordKey]word
+	reports map[reportKey]report
 }
 
 // NewTable makes an empty table.
-func NewTable() *Table { return &Table{words: map[wordKey]word{}} }
+func NewTable() *Table { return &Table{reports: map[reportKey]report{}} }
 
-// RecordReport takes a speaker's word on a service in: all that it has, in place of what it said before.
+// RecordReport records a report on a service: all pending work of a reporter, in place of its previous report. A
+// report is dropped that names more than 4,096 backends, or that is one more than the 8,192 that the table keeps.
 func (t *Table) RecordReport(now time.Duration, service string, from Reporter, work Work) {
-	key := wordKey{service, from}
-	if _, known := t.words[key]; !known && len(t.words) >= mostWords {
-		t.forget(now)
-		if len(t.words) >= mostWords {
-			return
-		}
+	key := reportKey{service, from}
+	if _, known := t.reports[key]; !known && !t.hasCapacity(now) {
+		return
 	}
-	if len(work) > mostBackends {
+	if len(work) > maxBackends {
 		return
 	}
-	t.words[key] = word{work, now}
+	t.reports[key] = report{work, now}
+}
+
+// hasCapacity tells whether one more report can be kept, where need be after those that have expired are removed.
+func (t *Table) hasCapacity(now time.Duration) bool {
+	if len(t.reports) >= maxReports {
+		t.expireReports(now)
+	}
+	return len(t.reports) < maxReports
 }
 
-// forget drops what counts no more.
-func (t *Table) forget(now time.Duration) {
-	for key, w := range t.words {
-		if now-w.at > ReportTTL {
-			delete(t.words, key)
+func (t *Table) expireReports(now time.Duration) {
+	for key, r := range t.reports {
+		if now-r.receivedAt > ReportTTL {
+			delete(t.reports, key)
 		}
 	}
 }
 
-// Sum adds up what the speakers that count have sent to the backends of a service.
+// Sum adds up the work that the reporters that count have sent to the backends of a service.
 func (t *Table) Sum(now time.Duration, service string, counts func(Reporter) bool) Work {
-	t.forget(now)
+	t.expireReports(now)
 	sum := Work{}
-	for key, w := range t.words {
-		if key.service != service || !counts(key.speaker) {
+	for key, r := range t.reports {
+		if key.service != service || !counts(key.reporter) {
 			continue
 		}
-		for backend, ms := range w.work {
+		for backend, ms := range r.work {
 			sum[backend] += ms
 		}
 	}
--- a/internal/dataplane/backlog/backlog_test.go
+++ b/internal/dataplane/backlog/backlog_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func TestTheNewestWordOfEachSpeakerCounts(t *testing.T) {
+func TestNewestReportOfEachReporterCounts(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	a, b := Reporter{"a", "east"}, Reporter{"b", "east"}
@@ -19,35 +19,35 @@
 	all := func(Reporter) bool { return true }
 	is.Equal(table.Sum(time.Second, "llm", all), Work{1: 10, 2: 70})
 	is.Equal(table.Sum(time.Second, "llm", func(s Reporter) bool { return s != b }), Work{2: 70})
-	// What was said long ago counts no more.
+	// Expired reports no longer count.
 	is.Equal(table.Sum(ReportTTL+time.Millisecond, "llm", all), Work{2: 70})
 	is.Equal(table.Sum(time.Second+ReportTTL+time.Millisecond, "llm", all), Work{})
-	is.Equal(len(table.words), 0)
+	is.Equal(len(table.reports), 0)
 }
 
-func TestTheTableIsBounded(t *testing.T) {
+func TestTableIsBounded(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
-	for i := range 2 * mostWords {
+	for i := range 2 * maxReports {
 		table.RecordReport(0, "llm", Reporter{Node: fmt.Sprint(i)}, Work{1: 1})
 	}
-	is.Equal(len(table.words), mostWords)
-	table.RecordReport(ReportTTL+time.Second, "llm", Reporter{Node: "new"}, Work{1: 1}) // the old ones make room
-	is.Equal(len(table.words), 1)
+	is.Equal(len(table.reports), maxReports)
+	table.RecordReport(ReportTTL+time.Second, "llm", Reporter{Node: "new"}, Work{1: 1}) // the expired ones are removed
+	is.Equal(len(table.reports), 1)
 	large := Work{}
-	for i := range uint32(mostBackends + 1) {
+	for i := range uint32(maxBackends + 1) {
 		large[i] = 1
 	}
 	table.RecordReport(ReportTTL+time.Second, "llm", Reporter{Node: "large"}, large)
-	is.Equal(len(table.words), 1)
+	is.Equal(len(table.reports), 1)
 }
 
-func TestMessagesComeBackAsTheyWere(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	is := is.New(t)
 	work := Work{Key("backend-1"): 120, Key("backend-2"): 1}
 	message := ToProto("llm", work)
 	is.Equal(FromProto(message), work)
-	message.WorkMs = message.WorkMs[:1] // cut short: what has no figure is left out
+	message.WorkMs = message.WorkMs[:1] // cut short: a backend without a number is left out
 	is.Equal(len(FromProto(message)), 1)
 	is.Equal(FromProto(ToProto("llm", nil)), Work{})
 }
--- a/internal/dataplane/backlog/message.go
+++ b/internal/dataplane/backlog/message.go
@@ -7,7 +7,7 @@
 	"marlreel/internal/api"
 )
 
-// ToProto words the work of a service's backends.
+// ToProto gives the message that carries the pending work of a service's backends, in the order of their keys.
 func ToProto(service string, work Work) *api.Backlog {
 	message := &api.Backlog{Service: service}
 	for _, key := range slices.Sorted(maps.Keys(work)) {
@@ -17,7 +17,7 @@
 	return message
 }
 
-// FromProto takes a message apart. What has no figure is left out.
+// FromProto gives the pending work that a message carries. Backends without a number are left out.
 func FromProto(message *api.Backlog) Work {
 	work := make(Work, len(message.Backends))
 	for i, key := range message.Backends[:min(len(message.Backends), len(message.WorkMs))] {
--- a/internal/dataplane/gateway/service.go
+++ b/internal/dataplane/gateway/service.go
@@ -151,7 +151,7 @@
 		name: cfg.Name, engines: cfg.Engine != nil, classes: classes, proxies: proxies, rank: self.rank(),
 		zone: self.zoneIndex(self.zone), bounds: bounds,
 	}
-	s.advisor = routing.New(routing.Config{Self: self.name, ServesModels: s.engines, Warmup: bounds.coldOf(cfg), Repeats: bounds.Repeats},
+	s.advisor = routing.New(routing.Config{Self: self.name, ServesModels: s.engines, Warmup: bounds.coldOf(cfg), RetryBudget: bounds.Repeats},
 		engine.ClockStart)
 	s.healthPath.Store(&cfg.HealthPath)
 	log = log.WithValues("service", cfg.Name)
--- a/internal/dataplane/routing/advisor.go
+++ b/internal/dataplane/routing/advisor.go
@@ -1,6 +1,3 @@
-// Package routing is what a proxy knows of a service's backends beyond what their answers teach: what they
-// hold, how much of common budgets is this proxy's, and what other proxies have sent them. The decision
-// module asks it in the course of its events. It is pure, and not safe for concurrent use.
 package routing
 
 import (
@@ -12,96 +9,105 @@
 	"marlreel/internal/dataplane/backlog"
 )
 
-// Advisor is the decision module's Advice for one service.
+// Advisor is the balancer's Advice for one service. Not safe for concurrent use.
 type Advisor struct {
-	table   *prefixcache.Table
-	sharers *budgetshare.Sharers
-	cold    *budgetshare.Cold
-	repeats *budgetshare.Repeats
-	names   map[balancer.BackendID]string
-	others  others
+	models      *prefixcache.Table
+	sharers     *budgetshare.Sharers
+	warmup      *budgetshare.Cold
+	retryBudget *budgetshare.Repeats
+	names       map[balancer.BackendID]string // ids on the wire
+	peerBacklog peerBacklog
 }
 
-// Config is what an Advisor is told at its start.
+var _ balancer.Advice = (*Advisor)(nil)
+
+// Config is how an Advisor starts.
 type Config struct {
 	// Self is this proxy's name among those that share budgets.
 	Self string
-	// ServesModels says that the backends hold models.
+	// ServesModels says that the backends load models.
 	ServesModels bool
-	Warmup       budgetshare.ColdConfig
-	Repeats      budgetshare.RepeatsConfig
+	// Warmup limits the requests to backends that have just started.
+	Warmup budgetshare.ColdConfig
+	// RetryBudget limits the requests that are sent once more.
+	RetryBudget budgetshare.RepeatsConfig
 }
 
-// New makes the advice of a process that starts now.
+// New makes the advisor of a process that starts now.
 func New(cfg Config, now time.Duration) *Advisor {
 	sharers := budgetshare.NewSharers(cfg.Self, now)
 	return &Advisor{
-		table: prefixcache.New(cfg.ServesModels), sharers: sharers, cold: budgetshare.NewCold(cfg.Warmup, sharers),
-		repeats: budgetshare.NewRepeats(cfg.Repeats, sharers, now), names: map[balancer.BackendID]string{}, others: newOthers(),
+		models:      prefixcache.New(cfg.ServesModels),
+		sharers:     sharers,
+		warmup:      budgetshare.NewCold(cfg.Warmup, sharers),
+		retryBudget: budgetshare.NewRepeats(cfg.RetryBudget, sharers, now),
+		names:       map[balancer.BackendID]string{},
+		peerBacklog: newPeerBacklog(),
 	}
 }
 
-var _ balancer.Advice = (*Advisor)(nil)
-
-// Holds implements balancer.Advice.
+// Holds implements balancer.Advice: whether a backend has the request's model and adapter loaded.
 func (a *Advisor) Holds(q *balancer.Request, to balancer.BackendID) bool {
-	return a.table.Holds(q.Needs, to)
+	return a.models.Holds(q.Needs, to)
 }
 
-// Admits implements balancer.Advice.
+// Admits implements balancer.Advice: whether a backend that warms up may have one more request.
 func (a *Advisor) Admits(now time.Duration, to balancer.BackendID) bool {
-	return a.cold.Admits(now, a.names[to])
+	return a.warmup.Admits(now, a.names[to])
 }
 
 // Sent implements balancer.Advice.
 func (a *Advisor) Sent(now time.Duration, _ *balancer.Request, to balancer.BackendID) {
-	a.cold.Sent(now, a.names[to])
-	a.repeats.Came(now)
+	a.warmup.Sent(now, a.names[to])
+	a.retryBudget.Came(now)
 }
 
 // Slots implements balancer.Advice.
-func (a *Advisor) Slots(to balancer.BackendID) int { return a.table.Slots(to) }
+func (a *Advisor) Slots(to balancer.BackendID) int { return a.models.Slots(to) }
 
-// Extra implements balancer.Advice: what other proxies have sent there has to be begun first.
+// Extra implements balancer.Advice: what peers have sent there has to be begun first.
 func (a *Advisor) Extra(now time.Duration, _ *balancer.Request, to balancer.BackendID) float64 {
-	return a.others.at(now, to)
+	return a.peerBacklog.workMS(now, to)
 }
 
-// Repeats implements balancer.Advice.
-func (a *Advisor) Repeats(now time.Duration) bool { return a.repeats.Take(now) }
+// Repeats implements balancer.Advice: it takes a retry from the budget where there is one left.
+func (a *Advisor) Repeats(now time.Duration) bool { return a.retryBudget.Take(now) }
 
 // ConfigureWarmup sets what backends that have just started bear.
-func (a *Advisor) ConfigureWarmup(cfg budgetshare.ColdConfig) { a.cold.Configure(cfg) }
+func (a *Advisor) ConfigureWarmup(cfg budgetshare.ColdConfig) { a.warmup.Configure(cfg) }
 
-// SetSharers tells the budgets who shares them, by a word that is fresh or not.
+// SetSharers sets the names of the proxies that share the budgets. fresh says that the membership is up to date.
 func (a *Advisor) SetSharers(now time.Duration, names []string, fresh bool) {
 	a.sharers.Listed(now, names, fresh)
 }
 
-// RecordPeerBacklog takes in what other proxies have sent to the backends.
-func (a *Advisor) RecordPeerBacklog(now time.Duration, work backlog.Work) { a.others.heard(now, work) }
+// RecordPeerBacklog records the work that peers have sent to the backends.
+func (a *Advisor) RecordPeerBacklog(now time.Duration, work backlog.Work) {
+	a.peerBacklog.record(now, work)
+}
 
-// Backend is what the advice is told of a backend of the list.
+// Backend is what the advisor knows of a backend of the membership.
 type Backend struct {
 	prefixcache.Backend
 	// Name is the backend's id on the wire.
-	Name       string
+	Name string
+	// WarmupLeft is how long the backend still warms up.
 	WarmupLeft time.Duration
 }
 
-// SetBackends takes in the backends that there are.
-func (a *Advisor) SetBackends(now time.Duration, list []Backend) {
+// SetBackends sets the backends that exist.
+func (a *Advisor) SetBackends(now time.Duration, backends []Backend) {
 	clear(a.names)
-	clear(a.others.keys)
-	held := make([]prefixcache.Backend, 0, len(list))
-	kept := map[string]bool{}
-	for _, b := range list {
-		held = append(held, b.Backend)
+	clear(a.peerBacklog.keys)
+	loaded := make([]prefixcache.Backend, 0, len(backends))
+	listed := map[string]bool{}
+	for _, b := range backends {
+		loaded = append(loaded, b.Backend)
 		a.names[b.ID] = b.Name
-		a.others.keys[b.ID] = backlog.Key(b.Name)
-		kept[b.Name] = true
-		a.cold.Set(now, b.Name, now+b.WarmupLeft)
+		a.peerBacklog.keys[b.ID] = backlog.Key(b.Name)
+		listed[b.Name] = true
+		a.warmup.Set(now, b.Name, now+b.WarmupLeft)
 	}
-	a.table.Set(held)
-	a.cold.Forget(func(name string) bool { return kept[name] })
+	a.models.Set(loaded)
+	a.warmup.Forget(func(name string) bool { return listed[name] })
 }
--- a/internal/dataplane/routing/advisor_test.go
+++ b/internal/dataplane/routing/advisor_test.go
@@ -15,7 +15,7 @@
 func newAdvisor() *Advisor {
 	a := New(Config{
 		Self: "proxy", ServesModels: true, Warmup: budgetshare.ColdConfig{PerSecond: 1, Excess: 1},
-		Repeats: budgetshare.RepeatsConfig{Ratio: 1, Slack: 10, Window: time.Second},
+		RetryBudget: budgetshare.RepeatsConfig{Ratio: 1, Slack: 10, Window: time.Second},
 	}, 0)
 	a.SetBackends(0, []Backend{
 		{Backend: prefixcache.Backend{ID: 1, Slots: 4, Held: []prefixcache.Held{{Model: "m", Adapters: []string{"a1"}}}}, Name: "one"},
@@ -24,19 +24,19 @@
 	return a
 }
 
-func TestWhatOthersHaveSentHasToBeBegunFirst(t *testing.T) {
+func TestExtraIsPeerBacklog(t *testing.T) {
 	is := is.New(t)
 	a := newAdvisor()
 	q := &balancer.Request{}
-	is.Equal(a.Extra(0, q, 1), 0.0) // nothing was heard
+	is.Equal(a.Extra(0, q, 1), 0.0) // no report has come
 	a.RecordPeerBacklog(time.Second, backlog.Work{backlog.Key("one"): 250})
 	is.Equal(a.Extra(time.Second, q, 1), 250.0)
 	is.Equal(a.Extra(time.Second, q, 2), 0.0)
 	is.Equal(a.Extra(time.Second, q, 3), 0.0)                                    // it is not listed
-	is.Equal(a.Extra(time.Second+backlog.ReportTTL+time.Millisecond, q, 1), 0.0) // the word is old
+	is.Equal(a.Extra(time.Second+backlog.ReportTTL+time.Millisecond, q, 1), 0.0) // the report has expired
 }
 
-func TestHolders(t *testing.T) {
+func TestHoldsLoadedModels(t *testing.T) {
 	is := is.New(t)
 	a := newAdvisor()
 	holds := func(model, adapter string, id balancer.BackendID) bool {
@@ -59,13 +59,13 @@
 	is.True(!a.Holds(&balancer.Request{Needs: &balancer.Needs{Model: "n", Avoid: 1}}, 1))
 }
 
-func TestUrgency(t *testing.T) {
+func TestBackendPriority(t *testing.T) {
 	is := is.New(t)
 	const short, long = 800 * time.Millisecond, 6 * time.Second
 	is.Equal(BackendPriority(short, 1, 0), 1)
 	is.Equal(BackendPriority(short, 2, 0), 2)
 	is.Equal(BackendPriority(long, 0, 0), 3)                     // it has time
-	is.Equal(BackendPriority(short, 0, short+1), lowestPriority) // it is late already
+	is.Equal(BackendPriority(short, 0, short+1), lowestPriority) // it misses its target
 	is.Equal(BackendPriority(long, 0, short+1), 3)               // it is not
 	is.Equal(BackendPriority(time.Hour, 20, 0), lowestPriority)  // as backends know them
 	is.Equal(BackendPriority(short, -3, 0), 0)
--- a/internal/testing/emulator/proxy.go
+++ b/internal/testing/emulator/proxy.go
@@ -66,7 +66,7 @@
 	}
 	p.advisor = routing.New(routing.Config{
 		Self: name, ServesModels: true, Warmup: budgetshare.ColdConfig{PerSecond: 1e6, Excess: 1},
-		Repeats: budgetshare.RepeatsConfig{Ratio: 1, Slack: 1e6, Window: 10 * time.Second},
+		RetryBudget: budgetshare.RepeatsConfig{Ratio: 1, Slack: 1e6, Window: 10 * time.Second},
 	}, clockStart)
 	p.advisor.SetSharers(clockStart, []string{name}, true)
 	rank := zone*w.cfg.ProxiesPerZone + index
