--- a/internal/controlplane/role.go
+++ b/internal/controlplane/role.go
@@ -42,7 +42,7 @@
 	keeper := NewKeeper(machine, NewPeers(ctx, client, socket), out)
 	go receiveDatagrams(socket, keeper.Deliver)
 	self := &api.ControlNode{Address: settings.PeerAddress(), Zone: settings.Zone, PublicAddress: settings.Listen.Control}
-	registry := NewRegistry(self, out, settings.BeatInterval(), client)
+	registry := NewRegistry(self, out, settings.HeartbeatInterval(), client)
 	service := &Service{
 		keeper: keeper, registry: registry, feed: out, self: settings.PeerAddress(), client: client,
 		incoming: newIncoming(),
@@ -75,7 +75,7 @@
 	select {
 	case <-parent.Done():
 		log.Info("leaves the chain", "event", "end")
-		leaving, over := context.WithTimeout(machine.Alive(), leavePatience(settings))
+		leaving, over := context.WithTimeout(machine.UntilCrash(), leavePatience(settings))
 		keeper.Leave(leaving)
 		over()
 	case failed = <-failures:
@@ -92,7 +92,7 @@
 // long enough for another member to take a state of some MB in, and within the platform's patience.
 func leavePatience(settings *bootstrap.Settings) time.Duration {
 	const share, most = 2, 4 * time.Second
-	return min(bootstrap.Seconds(settings.Bounds.GraceS)/share, most)
+	return min(bootstrap.Seconds(settings.Bounds.ShutdownGraceS)/share, most)
 }
 
 // memberList are the addresses of the control processes, as last known.
@@ -142,8 +142,8 @@
 		}
 		keeper.Standing(func(s Standing) {
 			members.set(s)
-			out.SetControls(registry.Places(s.Members))
-			out.SetStanding(word.of(s, time.Now()))
+			out.SetControlNodes(registry.Places(s.Members))
+			out.SetSourceStatus(word.of(s, time.Now()))
 		})
 	}
 }
@@ -155,12 +155,12 @@
 }
 
 // of takes in where the process stands at a time.
-func (w *standingWord) of(s Standing, now time.Time) watch.Standing {
+func (w *standingWord) of(s Standing, now time.Time) watch.SourceStatus {
 	switch {
 	case !s.Connected:
 		w.connectedSince = time.Time{}
 	case w.connectedSince.IsZero():
 		w.connectedSince = now
 	}
-	return watch.Standing{Fresh: s.Connected, Established: s.Connected && now.Sub(w.connectedSince) > w.establishedAfter}
+	return watch.SourceStatus{Fresh: s.Connected, Established: s.Connected && now.Sub(w.connectedSince) > w.establishedAfter}
 }
--- a/internal/dataplane/gateway/gateway.go
+++ b/internal/dataplane/gateway/gateway.go
@@ -29,7 +29,7 @@
 	room        *budget.Budget
 	connections int // to backends, of each service
 	bounds      Bounds
-	dial        transport.Dial
+	dial        transport.DialFunc
 	log         logr.Logger
 	demand      *demandBook
 	figures     *vm.Set
@@ -69,7 +69,7 @@
 
 // Config is what a gateway is told at its start.
 type Config struct {
-	Dial        transport.Dial
+	Dial        transport.DialFunc
 	Name        string
 	Zone        string
 	Zones       []string // all, sorted
@@ -133,7 +133,7 @@
 	}
 	var document *configuration.Document
 	evacuated := map[string]bool{}
-	g.feed.View(func(m *state.Machine) {
+	g.feed.ReadState(func(m *state.Machine) {
 		document = m.Document()
 		for _, zone := range m.EvacuatedZones() {
 			evacuated[zone] = true
--- a/internal/testing/simcluster/homes_test.go
+++ b/internal/testing/simcluster/homes_test.go
@@ -54,7 +54,7 @@
 		if m.Zone != zone {
 			continue
 		}
-		if relay.Home(topic, nodes[i], nodes).Name == m.Name {
+		if relay.Select(topic, nodes[i], nodes).Name == m.Name {
 			home = m
 			continue
 		}
@@ -87,7 +87,7 @@
 		c.Pass(10 * time.Second) // those that read there before the homes were known are forgotten
 		readers := map[string]bool{}
 		for _, m := range c.Controls {
-			for _, name := range c.status(t, m).Readers {
+			for _, name := range c.status(t, m).Subscribers {
 				readers[name] = true
 			}
 		}
