--- a/internal/dataplane/gateway/backlog.go
+++ b/internal/dataplane/gateway/backlog.go
@@ -8,9 +8,19 @@
 	"marlreel/internal/engine"
 )
 
-// backlog is the work that this proxy has sent to the service's backends and that they have not begun
-// to answer.
-func (s *service) backlog() backlog.Work {
+const (
+	// minReportInterval and maxReportInterval bound the time between two reports of demand and of backlogs. The work
+	// that is sent within that time is what peers can't know of.
+	minReportInterval = 125 * time.Millisecond
+	maxReportInterval = 600 * time.Millisecond
+	// reportIntervalPerProxy is the time between two reports for each proxy of the zone: one relay takes the reports
+	// of all of them.
+	reportIntervalPerProxy = 7 * time.Millisecond
+)
+
+// pendingWork is the work that this proxy has sent to the service's backends and that they have not begun to answer;
+// nil after the service has ended.
+func (s *service) pendingWork() backlog.Work {
 	counted := make(chan backlog.Work, 1)
 	s.engine.Post(func() {
 		work := backlog.Work{}
@@ -27,49 +37,39 @@
 	}
 }
 
-// heard tells a service what others have sent to its backends.
-func (s *service) heard(work backlog.Work) {
+// recordPeerBacklog records what peers have sent to the service's backends.
+func (s *service) recordPeerBacklog(work backlog.Work) {
 	s.engine.Post(func() { s.advisor.RecordPeerBacklog(s.engine.Now(), work) })
 }
 
-// backlogs words the backlogs of all services with model backends.
+// backlogs are the messages with the backlogs of all services whose backends load models.
 func (g *Gateway) backlogs() []*api.Backlog {
 	var all []*api.Backlog
-	for name, s := range g.plan.Load().services {
-		if s.engines {
-			all = append(all, backlog.ToProto(name, s.backlog()))
+	for name, s := range g.table.Load().services {
+		if s.servesModels {
+			all = append(all, backlog.ToProto(name, s.pendingWork()))
 		}
 	}
 	return all
 }
 
-// heardOthers takes in the answer to a report of demand.
-func (g *Gateway) heardOthers(reply *api.DemandReply) {
-	services := g.plan.Load().services
+// recordPeerBacklogs records the backlogs in the answer to a report of demand.
+func (g *Gateway) recordPeerBacklogs(reply *api.DemandReply) {
+	services := g.table.Load().services
 	for _, b := range reply.OtherBacklogs {
 		if s := services[b.Service]; s != nil {
-			s.heard(backlog.FromProto(b))
+			s.recordPeerBacklog(backlog.FromProto(b))
 		}
 	}
 }
 
-const (
-	// reportLeast and reportMost bound the time between two reports of demand and of backlogs. The work
-	// that is sent within that time is what others can't know of.
-	reportLeast = 125 * time.Millisecond
-	reportMost  = 600 * time.Millisecond
-	// reportShare is the time between two reports for each proxy of the zone: one home takes the reports
-	// of all of them.
-	reportShare = 7 * time.Millisecond
-)
-
 // reportInterval is the time between two reports.
 func (g *Gateway) reportInterval() time.Duration {
-	near := 0
-	for _, node := range g.feed.Nodes() {
-		if node.Zone == g.self.zone {
-			near++
+	sameZone := 0
+	for _, node := range g.state.Nodes() {
+		if node.Zone == g.identity.zone {
+			sameZone++
 		}
 	}
-	return min(max(reportLeast, time.Duration(near)*reportShare), reportMost)
+	return min(max(minReportInterval, time.Duration(sameZone)*reportIntervalPerProxy), maxReportInterval)
 }
--- /dev/null
+++ b/internal/dataplane/gateway/class.go
@@ -0,0 +1,67 @@
+package gateway
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+
+	"marlreel/internal/balancer"
+	"marlreel/internal/controlplane/configuration"
+)
+
+// lateShare is the share of its value that a late answer earns. The configuration doesn't say; with less, requests
+// that will be late would be rejected.
+const lateShare = 0.6
+
+// classKey is what the class of a route is told by: what decisions on its requests go by.
+type classKey struct {
+	class              string
+	idempotent         bool
+	targetLatencyMS    float64
+	attempts, priority int
+}
+
+func classKeyOf(r *configuration.Route) classKey {
+	return classKey{r.Class, r.Idempotent(), r.TargetLatencyMS, r.AttemptLimit(), r.Priority}
+}
+
+// className names the class of a route.
+func className(r *configuration.Route) string {
+	k := classKeyOf(r)
+	return fmt.Sprintf("%s %v %v %d %d", k.class, k.idempotent, k.targetLatencyMS, k.attempts, k.priority)
+}
+
+// classOf is the class of a route's requests.
+func classOf(r *configuration.Route) balancer.Class {
+	target := r.TargetLatency()
+	if target <= 0 {
+		target = r.Timeout()
+	}
+	class := balancer.Class{
+		Name: className(r), Aim: target, GiveUp: maxRequestTimeout, LateShare: lateShare, Value: 1,
+		Generates: r.Streaming(), MostRuns: r.AttemptLimit(),
+	}
+	if r.Idempotent() {
+		class.Effect = balancer.Safe
+	}
+	return class
+}
+
+// classesOf are the classes of all routes that may use a service, in order.
+func classesOf(document *configuration.Document, name string) []balancer.Class {
+	found := map[classKey]*configuration.Route{}
+	for i := range document.Routes {
+		route := &document.Routes[i]
+		route.Services(func(service string, _ float64) {
+			if service == name {
+				found[classKeyOf(route)] = route
+			}
+		})
+	}
+	classes := make([]balancer.Class, 0, len(found))
+	for _, route := range found {
+		classes = append(classes, classOf(route))
+	}
+	slices.SortFunc(classes, func(a, b balancer.Class) int { return cmp.Compare(a.Name, b.Name) })
+	return classes
+}
--- /dev/null
+++ b/internal/dataplane/gateway/clientrequest.go
@@ -0,0 +1,125 @@
+package gateway
+
+import (
+	"net"
+	"time"
+
+	"marlreel/internal/balancer"
+	"marlreel/internal/controlplane/configuration"
+	"marlreel/internal/engine"
+	"marlreel/internal/httpproxy"
+)
+
+// call is a request as the engine has it. A stream that is resumed is one more call.
+type call struct {
+	engine.Call
+	latencyTarget time.Duration      // from its arrival on
+	modelLoaded   bool               // a backend had its model and adapter loaded when it came
+	answers       chan engine.Answer // has room for the one answer
+}
+
+var _ engine.Front = (*call)(nil)
+
+// Answer implements engine.Front.
+func (c *call) Answer(_ *engine.Call, a engine.Answer) {
+	if reply, is := a.Reply.(*httpproxy.Reply); is {
+		reply.Claim()
+	}
+	c.answers <- a
+}
+
+// newCall makes a call of a request; nil where the engine does not know the route's class yet.
+func newCall(s *service, route *configuration.Route, message *httpproxy.Message, needs *balancer.Needs, work time.Duration) *call {
+	book := s.engine.Book()
+	class, known := book.Classes[className(route)]
+	if !known {
+		return nil
+	}
+	c := &call{answers: make(chan engine.Answer, 1), latencyTarget: book.Settings.Classes[class].Aim, modelLoaded: true}
+	c.Call = engine.Call{
+		Request: balancer.Request{Class: class, Cost: work, Needs: needs}, Carrier: s.carrier, Book: book,
+		Payload: message, Front: c,
+	}
+	return c
+}
+
+// clientRequest is one request of a client, from its head to the end of its answer. It belongs to the goroutine that
+// handles the request, and then to that which writes the answer.
+type clientRequest struct {
+	gateway    *Gateway
+	service    *service
+	route      *configuration.Route
+	message    *httpproxy.Message
+	needs      *balancer.Needs
+	work       time.Duration
+	deadline   time.Time
+	client     net.Conn
+	current    *call
+	disconnect *disconnectWatcher // from the first call on
+}
+
+// execute hands a call to the engine and waits for its answer, or for the client to disconnect.
+func (r *clientRequest) execute(c *call) engine.Answer {
+	r.current = c
+	if r.disconnect == nil {
+		r.disconnect = watchDisconnect(r.client)
+	}
+	s := r.service
+	arrived := s.engine.Now()
+	c.Deadline = arrived + time.Until(r.deadline)
+	s.engine.Post(func() { s.engine.Take(&c.Call, arrived) })
+	answer := r.awaitAnswer(c)
+	if reply, is := answer.Reply.(*httpproxy.Reply); !is || !reply.Streams() {
+		r.disconnect.stop()
+	}
+	return answer
+}
+
+func (r *clientRequest) awaitAnswer(c *call) engine.Answer {
+	s := r.service
+	select {
+	case answer := <-c.answers:
+		return answer
+	case <-s.engine.Done():
+		return engine.Answer{Verdict: engine.Stopped}
+	case <-r.disconnect.disconnected:
+		s.engine.Post(func() {
+			s.engine.Gone(&c.Call)
+			select {
+			case answer := <-c.answers:
+				r.discardAnswer(answer)
+			default:
+			}
+		})
+		return engine.Answer{Verdict: engine.Left}
+	}
+}
+
+// discardAnswer releases an answer whose client has disconnected. Only on the engine's goroutine.
+func (r *clientRequest) discardAnswer(a engine.Answer) {
+	reply, is := a.Reply.(*httpproxy.Reply)
+	if !is {
+		return
+	}
+	streams := reply.Streams()
+	reply.Release(r.gateway.memory, false)
+	if streams {
+		r.service.engine.Streamed(&r.current.Call, false)
+	}
+}
+
+// reportStreamEnd tells the engine how a stream ended.
+func (r *clientRequest) reportStreamEnd(complete bool) {
+	s, c := r.service, r.current
+	s.engine.Post(func() { s.engine.Streamed(&c.Call, complete) })
+}
+
+// disconnected tells whether the client has disconnected.
+func (r *clientRequest) disconnected() bool {
+	select {
+	case <-r.disconnect.disconnected:
+		return true
+	default:
+		return false
+	}
+}
--- a/internal/dataplane/gateway/compatibility_test.go
+++ b/internal/dataplane/gateway/compatibility_test.go
@@ -63,7 +63,7 @@
 			}
 			response.Body.Close()
 			meaning := newDialect(func() string { return "/health" }).Judge(backend, &httpproxy.Message{Probe: probe}, response)
-			fmt.Fprintf(&out, "probe %t | %s | %s\n", probe, strings.ReplaceAll(head, "\n", " | "), resultWords[meaning])
+			fmt.Fprintf(&out, "probe %t | %s | %s\n", probe, strings.ReplaceAll(head, "\n", " | "), resultNames[meaning])
 		}
 	}
 	checkRecorded(t, "answers.txt", out.String())
@@ -94,10 +94,10 @@
 	var out strings.Builder
 	fmt.Fprintf(&out, "beyond the bounds: %s\n", otherLabel)
 	words := map[string]bool{}
-	for _, word := range resultWords {
+	for _, word := range resultNames {
 		words[word] = true
 	}
-	for _, word := range causeWords {
+	for _, word := range causeNames {
 		words["outcome "+word] = true
 	}
 	fmt.Fprintf(&out, "%d words\n", len(words))
--- a/internal/dataplane/gateway/demand.go
+++ b/internal/dataplane/gateway/demand.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"sync"
 	"time"
 
@@ -9,105 +10,137 @@
 )
 
 const (
-	// reportSoon is how long the first of such requests waits for others.
-	reportSoon = 5 * time.Millisecond
-	// mostReported bounds the models and adapters of one report.
-	mostReported = 4096
+	// waitingReportDelay is how long the first request that waits for a model waits for others to be reported with it.
+	waitingReportDelay = 5 * time.Millisecond
+	// maxReportedModels bounds the models and adapters of one report.
+	maxReportedModels = 4096
 )
 
-// demandKey is a model of a service, or an adapter of it.
-type demandKey struct{ service, model, adapter string }
-
-// demandBook counts what is asked of models, for those that place them.
-type demandBook struct {
-	mu      sync.Mutex
-	counts  map[demandKey]*api.Demand
-	aims    map[demandKey]time.Duration // the sum of those of all that were counted
-	waiting map[demandKey]int
-	wake    chan struct{}
+// demandRecorder counts the requests for models, for the planner that places them. Its methods may be called by any
+// goroutine.
+type demandRecorder struct {
+	mu             sync.Mutex
+	counts         map[modelKey]*api.Demand   // since the last report
+	latencyTargets map[modelKey]time.Duration // the sum of those of all requests that were counted
+	waiting        map[modelKey]int           // requests that wait now
+	wake           chan struct{}
 }
 
-func newDemandBook() *demandBook {
-	return &demandBook{counts: map[demandKey]*api.Demand{}, aims: map[demandKey]time.Duration{}, waiting: map[demandKey]int{}, wake: make(chan struct{}, 1)}
+func newDemandRecorder() *demandRecorder {
+	return &demandRecorder{
+		counts: map[modelKey]*api.Demand{}, latencyTargets: map[modelKey]time.Duration{}, waiting: map[modelKey]int{},
+		wake: make(chan struct{}, 1),
+	}
 }
 
-// asked counts a request that is to be answered within an aim.
-func (b *demandBook) asked(key demandKey, work, aim time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	d := b.counts[key]
-	if d == nil {
-		if len(b.counts) >= mostReported {
+// recordRequest counts a request with its work and latency target.
+func (d *demandRecorder) recordRequest(key modelKey, work, latencyTarget time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	demand := d.counts[key]
+	if demand == nil {
+		if len(d.counts) >= maxReportedModels {
 			return
 		}
-		d = &api.Demand{Service: key.service, Model: key.model, Adapter: key.adapter}
-		b.counts[key] = d
+		demand = newDemand(key)
+		d.counts[key] = demand
 	}
-	d.Arrived++
-	b.aims[key] += aim
-	d.WorkMs += float64(work) / float64(time.Millisecond)
+	demand.Arrived++
+	d.latencyTargets[key] += latencyTarget
+	demand.WorkMs += float64(work) / float64(time.Millisecond)
+}
+
+func newDemand(key modelKey) *api.Demand {
+	return &api.Demand{Service: key.service, Model: key.model, Adapter: key.adapter}
 }
 
-// waits counts a request that no backend can run now, until done is called.
-func (b *demandBook) waits(key demandKey) (done func()) {
-	b.mu.Lock()
-	b.waiting[key]++
-	b.mu.Unlock()
+// recordWaiting counts a request that waits because no backend has its model loaded, until done is called.
+func (d *demandRecorder) recordWaiting(key modelKey) (done func()) {
+	d.mu.Lock()
+	d.waiting[key]++
+	d.mu.Unlock()
 	select {
-	case b.wake <- struct{}{}:
+	case d.wake <- struct{}{}:
 	default:
 	}
 	return func() {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		if b.waiting[key]--; b.waiting[key] <= 0 {
-			delete(b.waiting, key)
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		d.waiting[key]--
+		if d.waiting[key] <= 0 {
+			delete(d.waiting, key)
 		}
 	}
 }
 
-// take gives what has gathered since the last time.
-func (b *demandBook) take() []*api.Demand {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for key, count := range b.waiting {
-		d := b.counts[key]
-		if d == nil {
-			d = &api.Demand{Service: key.service, Model: key.model, Adapter: key.adapter}
-			b.counts[key] = d
+// takeReport gives what was counted since the last report.
+func (d *demandRecorder) takeReport() []*api.Demand {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for key, count := range d.waiting {
+		demand := d.counts[key]
+		if demand == nil {
+			demand = newDemand(key)
+			d.counts[key] = demand
 		}
-		d.Waiting = uint32(count)
+		demand.Waiting = uint32(count)
 	}
-	demands := make([]*api.Demand, 0, len(b.counts))
-	for key, d := range b.counts {
-		if d.Arrived > 0 {
-			d.LatencyTargetMs = uint32((b.aims[key] / time.Duration(d.Arrived)).Milliseconds())
+	demands := make([]*api.Demand, 0, len(d.counts))
+	for key, demand := range d.counts {
+		if demand.Arrived > 0 {
+			demand.LatencyTargetMs = uint32((d.latencyTargets[key] / time.Duration(demand.Arrived)).Milliseconds())
 		}
-		demands = append(demands, d)
+		demands = append(demands, demand)
 	}
-	b.counts, b.aims = map[demandKey]*api.Demand{}, map[demandKey]time.Duration{}
+	d.counts, d.latencyTargets = map[modelKey]*api.Demand{}, map[modelKey]time.Duration{}
 	return demands
 }
 
-// run calls report with what has gathered, time after time, until ctx ends.
-func (b *demandBook) run(ctx context.Context, interval func() time.Duration, report func([]*api.Demand)) {
-	for {
-		timer := time.NewTimer(interval())
-		select {
-		case <-b.wake:
-			timer.Stop()
-			soon := time.NewTimer(reportSoon)
-			select {
-			case <-soon.C:
-			case <-ctx.Done():
-				soon.Stop()
-				return
-			}
-		case <-timer.C:
-		case <-ctx.Done():
-			timer.Stop()
+// run calls report with what was counted, at an interval and soon after a request began to wait, until ctx ends.
+func (d *demandRecorder) run(ctx context.Context, interval func() time.Duration, report func([]*api.Demand)) {
+	for d.awaitReport(ctx, interval()) {
+		report(d.takeReport())
+	}
+}
+
+// awaitReport waits until the next report is due. It tells whether ctx goes on.
+func (d *demandRecorder) awaitReport(ctx context.Context, interval time.Duration) bool {
+	timer := time.NewTimer(interval)
+	defer timer.Stop()
+	select {
+	case <-d.wake:
+	case <-timer.C:
+		return true
+	case <-ctx.Done():
+		return false
+	}
+	timer.Stop()
+	soon := time.NewTimer(waitingReportDelay)
+	defer soon.Stop()
+	select {
+	case <-soon.C:
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
+// reportDemand reports demand and backlogs to the agent, and takes in the backlogs of its peers, until ctx ends.
+func (g *Gateway) reportDemand(ctx context.Context, agent api.Agent) {
+	idle := false
+	g.demand.run(ctx, g.reportInterval, func(demands []*api.Demand) {
+		backlogs := g.backlogs()
+		wasIdle := idle // a backlog that has gone has to be reported once
+		idle = len(demands) == 0 && !slices.ContainsFunc(backlogs, func(b *api.Backlog) bool { return len(b.Backends) > 0 })
+		if idle && wasIdle {
 			return
 		}
-		report(b.take())
-	}
+		call, cancel := context.WithTimeout(ctx, agentMaxWait)
+		defer cancel()
+		reply, err := agent.ReportDemand(call, &api.DemandReport{Node: g.identity.name, Demands: demands, Backlogs: backlogs})
+		if err != nil {
+			return // what is lost comes with the next requests, or is of no account any more
+		}
+		g.recordPeerBacklogs(reply)
+	})
 }
--- /dev/null
+++ b/internal/dataplane/gateway/handler.go
@@ -0,0 +1,139 @@
+package gateway
+
+import (
+	"math/rand/v2"
+	"net"
+	"strconv"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"marlreel/internal/controlplane/configuration"
+	"marlreel/internal/engine"
+	"marlreel/internal/httpproxy"
+)
+
+const (
+	// noStateRetryAfter is when clients of a proxy should come again that has no state yet.
+	noStateRetryAfter = time.Second
+	// updateRetryAfter is the same where the state is just being put in force, or the proxy is about to end.
+	updateRetryAfter = noStateRetryAfter / 10
+	// pathReady is where the platform asks whether clients can be sent here.
+	pathReady = "/marlreel/ready"
+)
+
+// HandleRequest answers a client's request.
+func (g *Gateway) HandleRequest(ctx *fasthttp.RequestCtx) {
+	arrived := time.Now()
+	if g.draining.Load() {
+		ctx.SetConnectionClose()
+	}
+	table := g.table.Load()
+	if g.closing.Load() {
+		reject(ctx, updateRetryAfter)
+		return
+	}
+	if table.document == nil {
+		reject(ctx, noStateRetryAfter)
+		return
+	}
+	header := &ctx.Request.Header
+	route := table.document.Match(string(header.Host()), string(ctx.Path()))
+	if route == nil {
+		ctx.Error("no such route", fasthttp.StatusNotFound)
+		return
+	}
+	if len(header.Peek(headerRequestID)) == 0 {
+		ctx.Error(headerRequestID+" is needed", fasthttp.StatusBadRequest)
+		return
+	}
+	s := table.services[route.ChooseService(rand.Float64())]
+	if s == nil {
+		reject(ctx, noStateRetryAfter)
+		return
+	}
+	g.proxyRequest(ctx, arrived, table, s, route)
+}
+
+// proxyRequest sends a request to a backend of a service, and its answer to the client.
+func (g *Gateway) proxyRequest(ctx *fasthttp.RequestCtx, arrived time.Time, table *routingTable, s *service, route *configuration.Route) {
+	header := &ctx.Request.Header
+	needs, work := parseNeeds(header)
+	message := newMessage(ctx, route)
+	c := newCall(s, route, message, needs, work)
+	if c == nil { // the service's engine has the table's classes in a moment
+		reject(ctx, updateRetryAfter)
+		return
+	}
+	if needs != nil && s.servesModels {
+		key := modelKey{s.name, needs.Model, needs.Adapter}
+		g.demand.recordRequest(key, work, c.latencyTarget)
+		c.modelLoaded = table.loaded[key]
+		if !c.modelLoaded {
+			defer g.demand.recordWaiting(key)()
+		}
+	}
+	r := &clientRequest{
+		gateway: g, service: s, route: route, message: message, needs: needs, work: work,
+		deadline: arrived.Add(timeout(header, route)), client: ctx.Conn(),
+	}
+	g.writeAnswer(ctx, r, r.execute(c))
+}
+
+// writeAnswer writes the engine's answer to the client.
+func (g *Gateway) writeAnswer(ctx *fasthttp.RequestCtx, r *clientRequest, a engine.Answer) {
+	reply, _ := a.Reply.(*httpproxy.Reply)
+	switch {
+	case a.Verdict == engine.Left:
+		ctx.HijackSetNoResponse(true)
+		ctx.Hijack(func(net.Conn) {})
+	case reply != nil && (a.Verdict == engine.Served || a.Verdict == engine.Failed):
+		g.writeReply(ctx, r, reply)
+	case a.Verdict == engine.Refused, a.Verdict == engine.Overloaded:
+		reject(ctx, a.RetryAfter)
+	case a.Verdict == engine.OutOfTime:
+		ctx.Error("out of time", fasthttp.StatusGatewayTimeout)
+	case a.Verdict == engine.InUse:
+		ctx.Error(headerRequestID+" is in use", fasthttp.StatusConflict)
+	default:
+		ctx.Error("failed", fasthttp.StatusBadGateway)
+	}
+}
+
+// reject tells the client that nothing was executed, and when to come again.
+func reject(ctx *fasthttp.RequestCtx, after time.Duration) {
+	ctx.Error("refused", fasthttp.StatusServiceUnavailable)
+	if after > 0 {
+		ctx.Response.Header.Set(headerRetryAfter, strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
+	}
+}
+
+// writeReply passes a backend's answer on.
+func (g *Gateway) writeReply(ctx *fasthttp.RequestCtx, r *clientRequest, reply *httpproxy.Reply) {
+	ctx.SetStatusCode(reply.Status())
+	for key, values := range reply.Header() {
+		for _, value := range values {
+			ctx.Response.Header.Add(key, value)
+		}
+	}
+	if !reply.Streams() {
+		ctx.Response.SetBodyRaw(reply.Body())
+		reply.Release(g.memory, true)
+		return
+	}
+	ctx.Response.ImmediateHeaderFlush = true
+	ctx.SetBodyStream(newEventStream(r, reply), -1)
+}
+
+// HandleReadiness answers the platform's question whether clients can be sent here.
+func (g *Gateway) HandleReadiness(ctx *fasthttp.RequestCtx) {
+	if string(ctx.Path()) != pathReady {
+		ctx.Error("no such path", fasthttp.StatusNotFound)
+		return
+	}
+	if !g.Ready() {
+		ctx.Error("not ready", fasthttp.StatusServiceUnavailable)
+		return
+	}
+	ctx.SetStatusCode(fasthttp.StatusOK)
+}
--- /dev/null
+++ b/internal/dataplane/gateway/process.go
@@ -0,0 +1,115 @@
+package gateway
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"github.com/rotisserie/eris"
+	"github.com/valyala/fasthttp"
+
+	"marlreel/internal/api"
+	"marlreel/internal/balancer/budgetshare"
+	"marlreel/internal/distribution/watch"
+	"marlreel/internal/process/bootstrap"
+	"marlreel/internal/process/host"
+	"marlreel/internal/process/logevent"
+	"marlreel/internal/process/metricserver"
+	"marlreel/internal/process/transport"
+)
+
+const (
+	// agentMaxWait is how long the agent may take for an answer without an update.
+	agentMaxWait = time.Second
+	// reservedFiles are descriptors for everything but connections.
+	reservedFiles = 300
+	// minConnections is what a proxy has whatever its limit of descriptors.
+	minConnections = 64
+	// bodyMemoryShare is the part of the process's memory for bodies: one in so many.
+	bodyMemoryShare = 4
+)
+
+// Run is a proxy until ctx ends, and then until its clients have their answers (drain). The calls to the agent that
+// are pending when it returns are not waited for: they end with the process.
+func Run(ctx context.Context, machine *host.Host) error {
+	settings, log := machine.Settings, machine.Log
+	g := New(configOf(machine), watch.New(settings.NodeName, time.Now))
+	defer g.stopServices()
+	front := g.newFrontServer(connectionLimit(settings.Limits))
+	readiness := g.newServer(g.HandleReadiness)
+	failures := make(chan error, 2)
+	if err := listen(machine.Network, settings.Listen.Front, front, failures); err != nil {
+		return err
+	}
+	if err := listen(machine.Network, settings.Listen.Readiness, readiness, failures); err != nil {
+		return err
+	}
+	// The state is watched, and demand is reported, while the proxy drains.
+	background, stopBackground := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopBackground()
+	g.startBackground(background, machine)
+	log.Info(logevent.ProxyStarted, logevent.KeyAddress, settings.Listen.Front)
+	select {
+	case <-ctx.Done():
+	case err := <-failures:
+		return eris.Wrap(err, "serving")
+	}
+	return g.drain(ctx, front, readiness, bootstrap.Seconds(settings.Bounds.ShutdownGraceS))
+}
+
+// listen serves at an address. Where the server fails later, its error is sent to failures.
+func listen(network host.Network, address string, server *fasthttp.Server, failures chan<- error) error {
+	listener, err := network.Listen(address)
+	if err != nil {
+		return eris.Wrapf(err, "listening at %s", address)
+	}
+	go func() { failures <- server.Serve(listener) }()
+	return nil
+}
+
+// startBackground starts what a proxy does beside serving requests, until ctx ends: it watches the agent's state,
+// reports demand, and serves metrics.
+func (g *Gateway) startBackground(ctx context.Context, machine *host.Host) {
+	settings := machine.Settings
+	client := transport.NewClient(machine.Network.Dial)
+	go watch.RunSubscriber(ctx, g.state, watch.SubscriberConfig{
+		Sources: func() []string { return []string{settings.AgentLoopback()} },
+		Connect: func(address string) watch.Source { return api.NewAgentProtobufClient("http://"+address, client) },
+		OnReply: func(changed bool) {
+			if changed || !g.ready.Load() {
+				g.ApplyState(ctx)
+			}
+			g.OnAgentReply()
+		},
+		MaxWait: agentMaxWait, Log: machine.Log,
+	})
+	go g.reportDemand(ctx, api.NewAgentProtobufClient("http://"+settings.AgentLoopback(), client))
+	go metricserver.Serve(ctx, machine.Network, settings.MetricsAddress(bootstrap.ProxyMetrics), g.metrics, machine.Log)
+}
+
+// configOf is the configuration of a gateway on a machine.
+func configOf(machine *host.Host) Config {
+	settings := machine.Settings
+	zones := make([]string, 0, len(settings.Zones))
+	for zone := range settings.Zones {
+		zones = append(zones, zone)
+	}
+	slices.Sort(zones)
+	return Config{
+		Dial: machine.Network.Dial, Name: settings.NodeName, Zone: settings.Zone, Zones: zones, Log: machine.Log,
+		BodyBytes: settings.Limits.MemoryMB << 20 / bodyMemoryShare, MaxConnections: connectionLimit(settings.Limits),
+		Budgets: sharedBudgetsOf(settings.Bounds),
+	}
+}
+
+// connectionLimit is how many connections a proxy may have with clients, and with the backends of each service.
+func connectionLimit(limits bootstrap.Limits) int {
+	return max(minConnections, (limits.MaxOpenFiles-reservedFiles)/2)
+}
+
+func sharedBudgetsOf(b bootstrap.Bounds) SharedBudgets {
+	return SharedBudgets{
+		WarmupExcess: b.WarmupExcess, WarmupSlack: b.WarmupSlack,
+		Retry: budgetshare.RepeatsConfig{Ratio: b.RetryBudgetRatio, Slack: b.RetrySlack, Window: bootstrap.Seconds(b.RetryWindowS)},
+	}
+}
--- a/internal/dataplane/gateway/dialect.go
+++ b/internal/dataplane/gateway/protocol.go
@@ -10,7 +10,7 @@
 	"marlreel/internal/httpproxy"
 )
 
-// The headers of the protocol.
+// The headers of the protocol between clients, proxies and backends (docs/design/system.md).
 const (
 	headerRequestID   = "Request-Id"
 	headerRemaining   = "Time-Remaining"
@@ -26,8 +26,8 @@
 	headerRetryAfter  = "Retry-After"
 )
 
-// newDialect is how requests are put to the system's backends, and what their answers
-// mean. healthPath gives the service's path for probes.
+// newDialect is how requests are sent to the system's backends, and what their answers mean. healthPath gives the
+// service's path for health checks.
 func newDialect(healthPath func() string) *httpproxy.Dialect {
 	return &httpproxy.Dialect{
 		Bounds: func(head []byte, to *engine.Backend, wait time.Duration) []byte {
@@ -36,7 +36,7 @@
 			head = strconv.AppendInt(head, max(1, wait.Milliseconds()), 10)
 			return append(head, "\r\n"...)
 		},
-		Judge: judge,
+		Judge: classifyAnswer,
 		Mine: func(m *httpproxy.Message, resp *http.Response) bool {
 			id := resp.Header.Get(headerRequestID)
 			return m.ID == "" || id == "" || id == m.ID
@@ -51,9 +51,9 @@
 	}
 }
 
-// judge tells what an answer says of its attempt. Only Not-Executed and 421 say that
-// nothing ran. What lacks the backend's seal is no answer of its, whatever it says.
-func judge(to *engine.Backend, m *httpproxy.Message, resp *http.Response) balancer.Result {
+// classifyAnswer tells how an attempt ended by the head of its answer. Only Not-Executed and 421 say that nothing was
+// executed. An answer without the backend's seal is none of the backend's, whatever it says.
+func classifyAnswer(to *engine.Backend, m *httpproxy.Message, resp *http.Response) balancer.Result {
 	code := resp.StatusCode
 	switch {
 	case resp.Header.Get(headerNotExecuted) != "" && code >= 400, code == http.StatusMisdirectedRequest:
--- a/internal/dataplane/gateway/request.go
+++ b/internal/dataplane/gateway/request.go
@@ -15,19 +15,20 @@
 )
 
 const (
-	// mostParts bounds the parts of a prompt that are looked at.
-	mostParts = 64
+	// maxPromptParts bounds the parts of a prompt that are looked at.
+	maxPromptParts = 64
+	// maxRequestTimeout bounds the time that a client may ask for.
+	maxRequestTimeout = 2 * time.Minute
 )
 
-// hopByHop are the headers that end here; framing and bounds are each side's own.
+// hopByHop are the headers that are not forwarded (RFC 9110, 7.6.1); framing and time limits are each side's own.
 var hopByHop = map[string]bool{
 	"Connection": true, "Proxy-Connection": true, "Keep-Alive": true, "Te": true,
 	"Trailer": true, "Upgrade": true, "Transfer-Encoding": true, "Content-Length": true, "Expect": true, "Host": true,
 	headerRemaining: true, headerExpected: true,
 }
 
-// newMessage writes a request down as backends get it. lastEvent replaces the client's
-// own word on where a stream is to go on; "" leaves that as it is.
+// newMessage encodes a request as backends get it.
 func newMessage(ctx *fasthttp.RequestCtx, route *configuration.Route) *httpproxy.Message {
 	header := &ctx.Request.Header
 	head := make([]byte, 0, 640)
@@ -74,8 +75,8 @@
 	return fasthttp.AppendNormalizedHeaderKeyBytes(nil, key)
 }
 
-// resumed is the same message, to go on after an event.
-func resumed(m *httpproxy.Message, lastEvent string) *httpproxy.Message {
+// resumeMessage is the same message, for a stream that is to go on after an event.
+func resumeMessage(m *httpproxy.Message, lastEventID string) *httpproxy.Message {
 	next := *m
 	lines := bytes.SplitAfter(m.Head, []byte("\r\n"))
 	next.Head = nil
@@ -84,41 +85,51 @@
 			next.Head = append(next.Head, line...)
 		}
 	}
-	next.Head = append(append(append(next.Head, headerLastEvent+": "...), lastEvent...), "\r\n"...)
+	next.Head = append(append(append(next.Head, headerLastEvent+": "...), lastEventID...), "\r\n"...)
 	return &next
 }
 
-// needsOf reads what a request asks of model backends; nil is nothing.
-func needsOf(header *fasthttp.RequestHeader) (*balancer.Needs, time.Duration) {
+// parseNeeds gives the model, adapter and tokens that a request names, and its estimated work; nil where it names no
+// model. Numbers that can't be read count as 0, and the prompt ends before a part that can't be read.
+func parseNeeds(header *fasthttp.RequestHeader) (*balancer.Needs, time.Duration) {
 	name := string(header.Peek(headerModel))
 	if name == "" {
 		return nil, 0
 	}
-	needs := &balancer.Needs{}
+	needs := &balancer.Needs{Prompt: parsePrompt(string(header.Peek(headerPrompt)))}
 	needs.Model, needs.Adapter, _ = strings.Cut(name, "/")
 	in, out, _ := strings.Cut(string(header.Peek(headerTokens)), ",")
 	prompt, _ := strconv.Atoi(strings.TrimSpace(in))
 	needs.Output, _ = strconv.Atoi(strings.TrimSpace(out))
-	for part := range strings.SplitSeq(string(header.Peek(headerPrompt)), ",") {
+	return needs, routing.EstimateWork(prompt, needs.Output)
+}
+
+// parsePrompt gives the parts of a prompt: ID:TOKENS, the id hexadecimal, separated by commas.
+func parsePrompt(value string) []balancer.PromptPart {
+	var parts []balancer.PromptPart
+	for part := range strings.SplitSeq(value, ",") {
 		id, tokens, found := strings.Cut(strings.TrimSpace(part), ":")
-		if !found || len(needs.Prompt) >= mostParts {
+		if !found || len(parts) >= maxPromptParts {
 			break
 		}
 		number, err := strconv.ParseUint(id, 16, 64)
-		count, countErr := strconv.Atoi(tokens)
-		if err != nil || countErr != nil {
+		if err != nil {
 			break
 		}
-		needs.Prompt = append(needs.Prompt, balancer.PromptPart{ID: number, Tokens: count})
+		count, err := strconv.Atoi(tokens)
+		if err != nil {
+			break
+		}
+		parts = append(parts, balancer.PromptPart{ID: number, Tokens: count})
 	}
-	return needs, routing.EstimateWork(prompt, needs.Output)
+	return parts
 }
 
-// remaining is how long the client waits.
-func remaining(header *fasthttp.RequestHeader, route *configuration.Route) time.Duration {
+// timeout is how long the client waits for its answer: the route's timeout, or less where the client says so.
+func timeout(header *fasthttp.RequestHeader, route *configuration.Route) time.Duration {
 	wait := route.Timeout()
 	if ms, err := strconv.ParseFloat(string(header.Peek(headerRemaining)), 64); err == nil && ms > 0 {
 		wait = min(wait, time.Duration(ms*float64(time.Millisecond)))
 	}
-	return min(wait, longestWait)
+	return min(wait, maxRequestTimeout)
 }
--- /dev/null
+++ b/internal/dataplane/gateway/routingtable.go
@@ -0,0 +1,130 @@
+package gateway
+
+import (
+	"context"
+	"maps"
+	"slices"
+	"strings"
+
+	"marlreel/internal/api"
+	"marlreel/internal/balancer"
+	"marlreel/internal/controlplane/configuration"
+	"marlreel/internal/controlplane/state"
+	"marlreel/internal/process/logevent"
+)
+
+// routingTable is what requests are routed by. It never changes: another one takes its place.
+type routingTable struct {
+	document *configuration.Document // nil: none has come yet
+	services map[string]*service     // by name
+	loaded   map[modelKey]bool       // models and adapters that some available backend has loaded
+}
+
+// modelKey is a model of a service, or an adapter of it.
+type modelKey struct{ service, model, adapter string }
+
+// loadedModels are the models and adapters that available backends have loaded.
+func loadedModels(backends []*api.Backend, evacuated map[string]bool) map[modelKey]bool {
+	loaded := map[modelKey]bool{}
+	for _, b := range backends {
+		if b.Draining || evacuated[b.Zone] {
+			continue
+		}
+		for _, m := range b.Models {
+			loaded[modelKey{b.Service, m.Name, ""}] = true
+			for _, adapter := range m.Adapters {
+				loaded[modelKey{b.Service, m.Name, adapter}] = true
+			}
+		}
+	}
+	return loaded
+}
+
+// ApplyState puts the state in force that the gateway has watched. Without a configuration, and after the gateway was
+// closed, it does nothing. Services that it starts run until they are stopped, also where ctx ends before.
+func (g *Gateway) ApplyState(ctx context.Context) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.closed {
+		return
+	}
+	document, evacuated := g.readState()
+	if document == nil {
+		return
+	}
+	old := g.table.Load()
+	next := &routingTable{document: document, services: g.updateServices(ctx, old, document)}
+	backends := g.updateBackends(next, evacuated)
+	g.table.Store(next)
+	for name, s := range old.services {
+		if next.services[name] != s {
+			g.replaced.Go(s.stop)
+		}
+	}
+	if g.state.Fresh(nil) && !g.ready.Load() {
+		g.ready.Store(true)
+		g.log.Info(logevent.ProxyReady, logevent.KeyVersion, document.Version, logevent.KeyBackends, backends)
+	}
+}
+
+// readState gives the configuration in force, nil where there is none, and the zones that are evacuated.
+func (g *Gateway) readState() (*configuration.Document, map[string]bool) {
+	var document *configuration.Document
+	evacuated := map[string]bool{}
+	g.state.ReadState(func(m *state.Machine) {
+		document = m.Document()
+		for _, zone := range m.EvacuatedZones() {
+			evacuated[zone] = true
+		}
+	})
+	return document, evacuated
+}
+
+// updateServices gives the services of a configuration: those that go on, and those that are started.
+func (g *Gateway) updateServices(ctx context.Context, old *routingTable, document *configuration.Document) map[string]*service {
+	services := map[string]*service{}
+	proxies := len(g.state.Nodes())
+	for i := range document.Services {
+		cfg := &document.Services[i]
+		if s := g.updateService(ctx, old.services[cfg.Name], cfg, classesOf(document, cfg.Name), proxies); s != nil {
+			services[cfg.Name] = s
+		}
+	}
+	return services
+}
+
+// updateService configures a service that runs, or starts it; nil: there is none.
+func (g *Gateway) updateService(ctx context.Context, running *service, cfg *configuration.Service, classes []balancer.Class, proxies int) *service {
+	if len(classes) == 0 {
+		return running // its pending requests go on
+	}
+	if running != nil && running.servesModels == (cfg.Engine != nil) {
+		running.configure(cfg, classes, proxies, g.log)
+		return running
+	}
+	started, err := g.newService(ctx, cfg, classes, proxies)
+	if err != nil {
+		g.log.Error(err, logevent.ServiceStartFailed, logevent.KeyService, cfg.Name)
+		return nil
+	}
+	return started
+}
+
+// updateBackends sets the backends of the services whose membership has changed, and gives the number of all backends.
+func (g *Gateway) updateBackends(next *routingTable, evacuated map[string]bool) int {
+	// The revisions are read first: what changes meanwhile is set once more.
+	versions := map[*service]membershipVersion{}
+	for name, s := range next.services {
+		versions[s] = membershipVersion{set: true, revision: g.state.ServiceRevision(name), evacuated: strings.Join(slices.Sorted(maps.Keys(evacuated)), " ")}
+	}
+	backends := g.state.Backends()
+	next.loaded = loadedModels(backends, evacuated)
+	for _, s := range next.services {
+		if s.membership == versions[s] {
+			continue
+		}
+		s.membership = versions[s]
+		s.setBackends(backends, g.identity, evacuated)
+	}
+	return len(backends)
+}
--- /dev/null
+++ b/internal/dataplane/gateway/streaming.go
@@ -0,0 +1,169 @@
+package gateway
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"sync"
+	"time"
+
+	"github.com/rotisserie/eris"
+
+	"marlreel/internal/engine"
+	"marlreel/internal/httpproxy"
+)
+
+const (
+	// streamBuffer is how much of a stream is read at a time, bytes.
+	streamBuffer = 4 << 10
+	// maxBufferedEvent bounds an event that is buffered until it is complete, bytes.
+	maxBufferedEvent = 1 << 20
+)
+
+// errStreamBroken says that a stream ended before its end and could not be resumed.
+var errStreamBroken = eris.New("the stream broke off")
+
+var (
+	eventEnd = []byte("\n\n")
+	idField  = []byte("id:")
+)
+
+// eventStream passes a stream of server-sent events (WHATWG HTML, 9.2) on, event by event: an incomplete event is
+// buffered, so that a stream that breaks off can be resumed by another backend, after the last event that the client
+// has.
+type eventStream struct {
+	request     *clientRequest
+	reply       *httpproxy.Reply // nil after a resumption that failed
+	stopWatch   func()           // of the reply
+	readBuffer  []byte
+	buffered    []byte // read and not yet passed on
+	deliverable int    // bytes of buffered that may be passed on
+	lastEventID string
+	attempts    int
+	ended       bool // the backend's answer is complete
+	closed      bool
+}
+
+var _ io.ReadCloser = (*eventStream)(nil)
+
+func newEventStream(r *clientRequest, reply *httpproxy.Reply) *eventStream {
+	s := &eventStream{request: r, reply: reply, readBuffer: make([]byte, streamBuffer), attempts: 1}
+	s.stopWatch = r.breakOnDisconnect(reply)
+	return s
+}
+
+// breakOnDisconnect ends the reading of a reply when the client has disconnected. stop ends the watch and waits for
+// its goroutine; it may be called more than once.
+func (r *clientRequest) breakOnDisconnect(reply *httpproxy.Reply) (stop func()) {
+	stopped := make(chan struct{})
+	var watch sync.WaitGroup
+	watch.Go(func() {
+		select {
+		case <-r.disconnect.disconnected:
+			reply.Break()
+		case <-stopped:
+		}
+	})
+	return sync.OnceFunc(func() {
+		close(stopped)
+		watch.Wait()
+	})
+}
+
+// Read implements io.Reader: one or more complete events at a time.
+func (s *eventStream) Read(p []byte) (int, error) {
+	for s.deliverable == 0 {
+		if s.ended {
+			return 0, io.EOF
+		}
+		n, err := s.reply.Read(s.readBuffer, s.request.deadline)
+		s.buffered = append(s.buffered, s.readBuffer[:n]...)
+		s.scanEvents()
+		switch {
+		case errors.Is(err, io.EOF):
+			s.ended, s.deliverable = true, len(s.buffered)
+		case err != nil:
+			if s.deliverable == 0 && !s.resume() {
+				return 0, errStreamBroken
+			}
+		case len(s.buffered) > maxBufferedEvent:
+			s.deliverable = len(s.buffered)
+		}
+	}
+	n := copy(p, s.buffered[:s.deliverable])
+	s.buffered = append(s.buffered[:0], s.buffered[n:]...)
+	s.deliverable -= n
+	return n, nil
+}
+
+// scanEvents finds how much of what is buffered are complete events, and the last one's id.
+func (s *eventStream) scanEvents() {
+	end := bytes.LastIndex(s.buffered, eventEnd)
+	if end < 0 {
+		return
+	}
+	complete := s.buffered[:end+len(eventEnd)]
+	for line := range bytes.SplitSeq(complete[s.deliverable:], []byte("\n")) {
+		if bytes.HasPrefix(line, idField) {
+			s.lastEventID = string(bytes.TrimSpace(line[len(idField):]))
+		}
+	}
+	s.deliverable = len(complete)
+}
+
+// mayResume tells whether a stream that broke off may be resumed, and takes a retry from the budget.
+func (s *eventStream) mayResume() bool {
+	r := s.request
+	if !r.route.Resumable || s.lastEventID == "" || s.attempts >= r.route.AttemptLimit() {
+		return false
+	}
+	if r.disconnected() || time.Until(r.deadline) <= 0 {
+		return false
+	}
+	return r.service.takeRetry()
+}
+
+// resume has a stream that broke off continued by another backend, where its route allows that.
+func (s *eventStream) resume() bool {
+	if !s.mayResume() {
+		return false
+	}
+	r := s.request
+	r.reportStreamEnd(false)
+	s.stopWatch()
+	s.reply.Release(r.gateway.memory, false)
+	s.reply = nil
+	next := newCall(r.service, r.route, resumeMessage(r.message, s.lastEventID), r.needs, r.work)
+	if next == nil {
+		return false
+	}
+	next.Spent = s.attempts
+	answer := r.execute(next)
+	reply, is := answer.Reply.(*httpproxy.Reply)
+	if !is {
+		return false
+	}
+	if answer.Verdict != engine.Served || !reply.Streams() {
+		reply.Release(r.gateway.memory, true)
+		return false
+	}
+	s.attempts++
+	s.reply, s.buffered, s.deliverable = reply, s.buffered[:0], 0
+	s.stopWatch = r.breakOnDisconnect(reply)
+	return true
+}
+
+// Close implements io.Closer: the answer is over, complete or not.
+func (s *eventStream) Close() error {
+	if s.closed {
+		return nil
+	}
+	s.closed = true
+	s.stopWatch()
+	s.request.disconnect.stop()
+	if s.reply != nil {
+		s.request.reportStreamEnd(s.ended && s.deliverable == 0)
+		s.reply.Release(s.request.gateway.memory, s.ended)
+	}
+	return nil
+}
--- a/internal/process/logevent/logevent.go
+++ b/internal/process/logevent/logevent.go
@@ -37,7 +37,7 @@
 	KeyDetail = "detail"
 	// KeyReason is why a view is proposed.
 	KeyReason = "reason"
-	// KeyRequest is the engine's number of a request.
+	// KeyRequest is the Request-Id that a client gave its request.
 	KeyRequest = "request"
 	// KeyAttempts is how many attempts a request had.
 	KeyAttempts = "attempts"
