--- a/internal/process/logevent/logevent.go
+++ b/internal/process/logevent/logevent.go
@@ -49,7 +49,7 @@
 	KeyChain = "chain"
 	// KeyMembers is how many members of a view vote.
 	KeyMembers = "members"
-	// KeyRequest is the engine's number of a request.
+	// KeyRequest is the Request-Id that a client gave its request.
 	KeyRequest = "request"
 	// KeyAttempts is how many attempts a request had.
 	KeyAttempts = "attempts"
