--- a/cmd/marlreel/state.go
+++ b/cmd/marlreel/state.go
@@ -70,9 +70,9 @@
 }
 
 // show prints a record for a person.
-func show(out io.Writer, r *store.Record, now staleness.Moment) {
+func show(out io.Writer, r *store.Record, now staleness.Timestamp) {
 	age := "of unknown age"
-	if d, err := staleness.Away(r.At, now); err == nil {
+	if d, err := staleness.Age(r.At, now); err == nil {
 		age = d.Round(time.Second).String() + " old"
 	}
 	how := "while it ran: the process did not end as told, or runs"
--- a/cmd/marlreel/state_test.go
+++ b/cmd/marlreel/state_test.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	data, err := store.Encode(staleness.Moment{Wall: time.Now().Add(-time.Minute)}, true, state)
+	data, err := store.Encode(staleness.Timestamp{Wall: time.Now().Add(-time.Minute)}, true, state)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -64,21 +64,21 @@
 	}
 	switch now := batch.Now; ev.Code {
 	case wire.Membership:
-		b.Membership(now, ev.List)
+		b.OnMembership(now, ev.List)
 	case wire.Ask:
-		b.Request(now, ev.Request)
+		b.OnRequest(now, ev.Request)
 	case wire.Headers:
-		b.FirstByte(now, ev.First)
+		b.OnFirstByte(now, ev.First)
 	case wire.Returned:
-		b.Outcome(now, ev.Outcome)
+		b.OnAttemptEnd(now, ev.Outcome)
 	case wire.Aborted:
-		b.Gone(now, ev.ID)
+		b.OnClientGone(now, ev.ID)
 	case wire.Elapsed:
-		b.Timer(now, ev.Token)
+		b.OnTimer(now, ev.Token)
 	case wire.Probed:
-		b.Probed(now, ev.Probe)
+		b.OnHealthCheck(now, ev.Probe)
 	case wire.Peer:
-		b.Peer(now, ev.Message)
+		b.OnPeerMessage(now, ev.Message)
 	case wire.Destroy:
 		delete(instances, ev.Instance)
 	}
--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -1,187 +1,235 @@
 package balancer
 
-// Admission: what waits, in which order it is sent, and what is refused or failed.
+// Admission: what is queued, in which order it is sent, and what is rejected or failed.
 
 import (
 	"cmp"
 	"slices"
 	"time"
+
+	"marlreel/internal/balancer/retrystorm"
 )
 
 const (
-	dispatchMisses = 20   // waiting requests that find no backend, after which no more are asked
-	waitingEach    = 4    // requests that may wait for each ready backend
-	retryShare     = 0.1  // further attempts, as a share of the requests
-	retryBurst     = 10   // further attempts that may be saved up
-	hopelessBelow  = 0.5  // share of its worth that sending a request must add
-	draws          = 4    // picks that have to be hopeless before a request is
-	hopelessFrom   = 20   // answers of a class before that is asked
-	hopelessSent   = 0.05 // share of the hopeless that goes out, and shows whether they still are
+	maxDispatchMisses     = 20   // queued requests that find no backend, after which no more are looked at
+	maxQueuedPerBackend   = 4    // requests that may be queued for each ready backend
+	minWorthwhileRatio    = 0.5  // part of its utility that sending a request must add
+	maxHopelessPicks      = 4    // picks that have to be hopeless before a request is
+	minAnswersForHopeless = 20   // answers of a class before that is asked
+	hopelessSampleRatio   = 0.05 // part of the hopeless that goes out, and shows whether they still are
 )
 
-// Request decides a request that the proxy has just taken.
-func (b *Balancer) Request(now time.Duration, q Request) {
+// OnRequest takes a request that the proxy has just received.
+func (b *Balancer) OnRequest(now time.Duration, q Request) {
 	b.now = now
-	if _, held := b.requests[q.ID]; held {
+	if _, pending := b.requests[q.ID]; pending {
 		return
 	}
 	q.Class = min(max(q.Class, 0), len(b.cfg.Classes)-1)
-	c := &b.cfg.Classes[q.Class]
-	sight := b.storm.Came(now, b.likeness(q), q.Repeat)
-	q.Repeat = sight.Repeat
-	r := &request{
-		Request: q, class: c, most: b.cfg.Caps.MaxAttempts, arrived: now, first: sight.First,
-		favour: sight.Favour, terms: c.terms(),
-	}
-	r.aimAt = min(sight.Since+c.Aim+time.Duration(c.AimStretch*float64(q.Cost)), q.Deadline)
+	r := b.newRequest(q)
 	b.requests[q.ID] = r
 	if b.lastRequest > 0 {
-		b.gap += (now - b.lastRequest - b.gap) / gapOver
+		b.requestGap += (now - b.lastRequest - b.requestGap) / requestGapWindow
 	}
-	b.lastRequest, b.over = now, min(b.over+1, meanOver)
-	b.meanWork = smooth(b.meanWork, b.workOf(r), b.over)
-	b.asked(b.expected(q.Class, millis(q.Cost)), b.classes[q.Class].n >= 1)
-	b.count(r)
-	b.place(r)
+	b.lastRequest = now
+	b.meanWindow = min(b.meanWindow+1, maxMeanWindow)
+	b.meanWork = smooth(b.meanWork, b.work(r), b.meanWindow)
+	b.recordExpectedDelay(b.expectedDelay(q.Class, millis(q.Cost)), b.delayModels[q.Class].n >= 1)
+	b.recordOffered(r)
+	b.enqueue(r)
 	b.dispatch()
 }
 
-// count notes the worth that a request asks for.
-func (b *Balancer) count(r *request) {
-	c := r.class
-	r.worth = c.Value
-	if b.cfg.WorthByWork {
-		r.worth *= b.workOf(r)
+// newRequest begins what is known of a request.
+func (b *Balancer) newRequest(q Request) *request {
+	class := &b.cfg.Classes[q.Class]
+	arrival := b.retryStorm.RecordArrival(b.now, b.identityKey(q), q.IsRetry)
+	q.IsRetry = arrival.IsRetry
+	target := class.LatencyTarget + time.Duration(class.LatencyTargetStretch*float64(q.Cost))
+	return &request{
+		Request:        q,
+		class:          class,
+		maxAttempts:    b.cfg.Caps.MaxAttempts,
+		terms:          class.terms(),
+		arrived:        b.now,
+		firstArrived:   arrival.FirstArrival,
+		targetAt:       min(arrival.CountFrom+target, q.Deadline),
+		priorityFactor: arrival.PriorityFactor,
+	}
+}
+
+// recordOffered notes the utility that a request asks for.
+func (b *Balancer) recordOffered(r *request) {
+	r.utility = r.class.Value
+	if b.cfg.ValueByWork {
+		r.utility *= b.work(r)
 	}
-	r.over = b.quota.Came(r.Tenant, b.now)
-	r.worth *= (1 - r.over*(1-b.cfg.OverShareWorth)) * r.favour
-	b.meanWorth = smooth(b.meanWorth, r.worth, b.over)
-	if !r.Repeat {
-		b.ledger.Book(r.Class, r.Tenant, r.worth, 0)
+	r.overQuota = b.quota.RecordRequest(r.Tenant, b.now)
+	r.utility *= (1 - r.overQuota*(1-b.cfg.OverQuotaValue)) * r.priorityFactor
+	b.meanUtility = smooth(b.meanUtility, r.utility, b.meanWindow)
+	if !r.IsRetry {
+		b.goodput.Record(r.Class, r.Tenant, r.utility, 0)
 	}
 }
 
-// place lets a request that nothing is out for wait for the next dispatch, if it may still be sent.
-func (b *Balancer) place(r *request) {
-	if len(r.attempts) > 0 && !slices.ContainsFunc(b.ready, func(t *target) bool {
-		return b.maySend(r, t) && !b.isOut(r, t)
-	}) {
-		b.end(r)
+// enqueue lets a request that has nothing in flight wait for the next dispatch, if it may still be sent.
+func (b *Balancer) enqueue(r *request) {
+	if len(r.attempts) > 0 && !b.anyBackendLeft(r) {
+		b.rejectOrFail(r)
 		return
 	}
-	slack := b.useful(r) - b.now - span(b.expected(r.Class, millis(r.Cost))*b.median)
-	r.waitUntil = b.now + slack/2
-	b.waiting = append(b.waiting, r)
+	r.waitUntil = b.now + b.slack(r)/2
+	b.queue = append(b.queue, r)
 }
 
-// gain is what serving a request now adds to the goal, for each unit of its work: its part of all
-// worth, of its class's if that is the worst served, and of its tenant's likewise, times the
-// chance that the answer comes in time.
-func (b *Balancer) gain(r *request) float64 {
-	chance := b.chance(r, b.expected(r.Class, millis(r.Cost))*b.median)
-	return b.ledger.Gain(r.Class, r.Tenant, 1-r.over) * r.worth * chance / b.workOf(r)
+// anyBackendLeft tells whether a ready backend may have another attempt of a request.
+func (b *Balancer) anyBackendLeft(r *request) bool {
+	return slices.ContainsFunc(b.ready, func(t *target) bool {
+		return b.maySend(r, t) && !b.isClassEjected(r, t)
+	})
 }
 
-// chance is the share of its worth that a request earns on average, where so much delay (ms) is foretold.
-func (b *Balancer) chance(r *request, delay float64) float64 {
-	in, late := b.forecast.Chance(r.Class, delay, millis(r.aimAt-b.now)), r.class.LateShare
+// slack is how long a request can wait and still be answered usefully by a median backend; it may be below 0.
+func (b *Balancer) slack(r *request) time.Duration {
+	return b.usefulUntil(r) - b.now - fromMillis(b.expectedDelay(r.Class, millis(r.Cost))*b.medianDelayRatio)
+}
+
+// computeUtilityPerWork is what serving a request now adds to the goal, for each unit of its work: its part
+// of all utility, of its class's if that is the worst served, and of its tenant's likewise, times the
+// probability that the answer comes in time.
+func (b *Balancer) computeUtilityPerWork(r *request) float64 {
+	probability := b.valueProbability(r, b.expectedDelay(r.Class, millis(r.Cost))*b.medianDelayRatio)
+	return b.goodput.MarginalUtility(r.Class, r.Tenant, 1-r.overQuota) * r.utility * probability / b.work(r)
+}
+
+// valueProbability is the part of its utility that a request earns on average with a predicted delay, ms.
+func (b *Balancer) valueProbability(r *request, delay float64) float64 {
+	inTime := b.prediction.SuccessProbability(r.Class, delay, millis(r.targetAt-b.now))
+	late := r.class.LateValueRatio
 	if late <= 0 {
-		return in
+		return inTime
 	}
-	return in + late*(b.forecast.Chance(r.Class, delay, millis(r.Deadline-b.now))-in)
+	return inTime + late*(b.prediction.SuccessProbability(r.Class, delay, millis(r.Deadline-b.now))-inTime)
 }
 
-// dispatch sends what waits, the greatest gain first, while there is room.
+// dispatch sends what is queued, the greatest utility for its work first, while backends have room.
 func (b *Balancer) dispatch() {
-	waiting := b.waiting
-	b.waiting = b.waiting[:0:0]
-	for _, r := range waiting {
-		r.rank = b.gain(r)
-		b.meanRank = smooth(b.meanRank, r.rank, b.over)
-	}
-	slices.SortStableFunc(waiting, func(x, y *request) int { return cmp.Compare(y.rank, x.rank) })
-	misses, ahead := 0, b.ahead
-	clear(ahead)
-	for _, r := range waiting {
+	queued := b.queue
+	b.queue = b.queue[:0:0]
+	b.sortByUtility(queued)
+	clear(b.queuedAhead)
+	misses := 0
+	for _, r := range queued {
 		if r.ended {
 			continue
 		}
-		if misses < dispatchMisses {
-			t, goes, hopeless := b.pick(r), false, false
-			for n := 1; t != nil; n++ { // the two drawn may be the worst of all
-				if goes, hopeless = b.pays(r, t); !hopeless || n == draws {
-					break
-				}
-				t = b.pick(r)
-			}
-			// Danger: what is never sent teaches nothing; but a repeat whose time is over does not either.
-			if hopeless && (b.rng.Float64() >= hopelessSent || r.first < r.arrived) {
-				b.end(r)
-				continue
-			}
-			if t != nil && (goes || hopeless) && b.send(r, t) {
+		if misses < maxDispatchMisses {
+			if b.trySend(r) {
 				continue
 			}
 			misses++
 		}
-		full := len(b.waiting) >= waitingEach*(len(b.ready)+1) || b.tooMany(r, ahead[r.Class])
-		if full || b.now >= r.waitUntil {
-			b.end(r)
-			continue
+		b.requeue(r)
+	}
+	if len(b.queue) > 0 && !b.dispatchScheduled {
+		b.dispatchScheduled = true
+		b.startTimer(2*b.cfg.Tick+time.Millisecond, timerDispatch)
+	}
+}
+
+func (b *Balancer) sortByUtility(queued []*request) {
+	for _, r := range queued {
+		r.utilityPerWork = b.computeUtilityPerWork(r)
+		b.meanUtilityPerWork = smooth(b.meanUtilityPerWork, r.utilityPerWork, b.meanWindow)
+	}
+	slices.SortStableFunc(queued, func(x, y *request) int {
+		return cmp.Compare(y.utilityPerWork, x.utilityPerWork)
+	})
+}
+
+// trySend sends a request, or ends it where that is hopeless. done is not set where it has to wait.
+func (b *Balancer) trySend(r *request) (done bool) {
+	t, worthwhile, hopeless := b.pickWorthwhile(r)
+	// What is never sent teaches nothing; but a retry whose time is over does not either.
+	if hopeless && (b.rng.Float64() >= hopelessSampleRatio || r.firstArrived < r.arrived) {
+		b.rejectOrFail(r)
+		return true
+	}
+	return t != nil && (worthwhile || hopeless) && b.send(r, t)
+}
+
+// pickWorthwhile picks a backend that is worth sending to. It picks a few times, as the two that were
+// sampled may be the worst of all.
+func (b *Balancer) pickWorthwhile(r *request) (t *target, worthwhile, hopeless bool) {
+	t = b.pick(r)
+	for n := 1; t != nil; n++ {
+		worthwhile, hopeless = b.isWorthwhile(r, t)
+		if !hopeless || n == maxHopelessPicks {
+			break
 		}
-		b.waiting, ahead[r.Class] = append(b.waiting, r), ahead[r.Class]+1
+		t = b.pick(r)
 	}
-	if len(b.waiting) > 0 && !b.ticking {
-		b.ticking = true
-		b.host.After(2*b.cfg.Tick+time.Millisecond, timerDispatch<<56)
+	return t, worthwhile, hopeless
+}
+
+// requeue lets a request wait on, or ends it where it has waited for long enough or too many wait.
+func (b *Balancer) requeue(r *request) {
+	full := len(b.queue) >= maxQueuedPerBackend*(len(b.ready)+1) || b.queueTooLong(r, b.queuedAhead[r.Class])
+	if full || b.now >= r.waitUntil {
+		b.rejectOrFail(r)
+		return
 	}
+	b.queue = append(b.queue, r)
+	b.queuedAhead[r.Class]++
 }
 
-// pays tells whether a request is worth sending there, or hopeless. One that is not worth the crossing alone
-// is neither: it waits.
-func (b *Balancer) pays(r *request, t *target) (goes, hopeless bool) {
-	if b.classes[r.Class].n < hopelessFrom {
+// isWorthwhile tells whether a request is worth sending there, or hopeless. One that is not worth crossing
+// zones alone is neither: it waits.
+func (b *Balancer) isWorthwhile(r *request, t *target) (worthwhile, hopeless bool) {
+	if b.delayModels[r.Class].n < minAnswersForHopeless {
 		return true, false
 	}
-	return b.prices.Pays(b.stake(r, t), hopelessBelow)
+	return b.costs.IsWorthwhile(b.evaluate(r, t), minWorthwhileRatio)
 }
 
-// useful is the time after which an answer is worth nothing.
-func (b *Balancer) useful(r *request) time.Duration {
-	if r.class.LateShare > 0 {
+// usefulUntil is the time after which an answer is worth nothing.
+func (b *Balancer) usefulUntil(r *request) time.Duration {
+	if r.class.LateValueRatio > 0 {
 		return r.Deadline
 	}
-	return r.aimAt
+	return r.targetAt
 }
 
-// mayRefuse guards refusals: a refusal promises the client that trying again is harmless.
-func (b *Balancer) mayRefuse(r *request) bool {
-	return r.terms.Refusable() || !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.mayRun })
+// mayReject guards rejections: a rejection promises the client that a retry is harmless.
+func (b *Balancer) mayReject(r *request) bool {
+	return r.terms.MayReject() || !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.mayRun })
 }
 
-// end gives the final answer and calls off what is still out.
-func (b *Balancer) end(r *request) {
+// rejectOrFail gives the final answer and cancels what is still in flight.
+func (b *Balancer) rejectOrFail(r *request) {
 	if r.ended || r.streaming {
 		return
 	}
 	due := time.Duration(0)
-	if b.mayRefuse(r) {
-		left := b.useful(r) - b.now - span(b.expected(r.Class, millis(r.Cost))*b.median)
-		after := b.storm.ComeAgain(b.now, left)
+	if b.mayReject(r) {
+		after := b.retryStorm.RetryAfter(b.now, b.slack(r))
 		due = b.now + after
-		b.host.Refuse(r.ID, after)
+		b.host.Reject(r.ID, after)
 	} else {
 		b.host.Fail(r.ID)
 	}
-	b.storm.Ended(b.now, b.likeness(r.Request), r.first, due, false)
+	b.retryStorm.RecordEnd(b.now, b.identityKey(r.Request), r.firstArrived, due, false)
 	b.finish(r, nil)
 }
 
-// finish marks the request as over and cancels its other attempts.
+// finish marks a request as over and cancels its other attempts.
 func (b *Balancer) finish(r *request, winner *attempt) {
 	r.ended = true
 	b.cancelAllBut(r, winner)
-	if r.out == 0 {
+	if r.inFlight == 0 {
 		delete(b.requests, r.ID)
 	}
 }
+
+// RetryStormState is how things stand with retry storms, as seen from here.
+func (b *Balancer) RetryStormState() retrystorm.State { return b.retryStorm.State() }
--- a/internal/balancer/api.go
+++ b/internal/balancer/api.go
@@ -24,8 +24,8 @@
 // RequestID names one try of a client.
 type RequestID uint32
 
-// Everyone addresses Host.Tell to every peer.
-const Everyone = ^uint32(0)
+// AllPeers addresses Host.Tell to every peer.
+const AllPeers = ^uint32(0)
 
 // Effect says what repeating a request of a class may do.
 type Effect uint8
@@ -49,19 +49,22 @@
 
 // Class is a kind of request.
 type Class struct {
-	Name       string
-	Aim        time.Duration // an answer within it earns the full worth
-	AimStretch float64       // the aim is longer by this multiple of the request's own work
-	GiveUp     time.Duration // how long a client waits over all its tries
-	Effect     Effect
-	Group      Group         // for Keyed
-	Window     time.Duration // for Keyed: how long repeats are dropped, from the first send that may have run
-	LateShare  float64       // share of the worth that a late answer earns
-	Stream     bool          // the answer begins with FirstByte
-	Value      float64       // worth of a request
-	Once       bool          // what may have run is not sent again, whatever its effect
-	Generates  bool          // the answer is generated as it goes: its delay is until FirstByte, its place until the end
-	MostRuns   int           // attempts that may have run; 0: all attempts count, as Caps.MaxAttempts says
+	Name                 string
+	LatencyTarget        time.Duration // an answer within it earns the full worth
+	LatencyTargetStretch float64       // the aim is longer by this multiple of the request's own work
+	ClientTimeout        time.Duration // how long a client waits over all its tries
+	Effect               Effect
+	Group                Group // for Keyed
+	// For Keyed: how long repeats are dropped, from the first send that may have run.
+	IdempotencyWindow time.Duration
+	LateValueRatio    float64 // share of the worth that a late answer earns
+	Stream            bool    // the answer begins with FirstByte
+	Value             float64 // worth of a request
+	NeverRerun        bool    // what may have run is not sent again, whatever its effect
+	// The answer is generated as it goes: its delay is until FirstByte, its place until the end.
+	Generates bool
+	// Attempts that may have run; 0: all attempts count, as Caps.MaxAttempts says.
+	MaxRuns int
 }
 
 // Tenant is a customer with a share of the service.
@@ -81,22 +84,23 @@
 
 // Obligations are the figures of the four rules.
 type Obligations struct {
-	AnswerSlack   time.Duration // how late after the deadline a final answer still counts
-	AskEvery      time.Duration // where the list must be asked for: how old an answer may grow
-	Cold          time.Duration // a started backend is warm after this
-	DrainGrace    time.Duration // sends to a draining backend must cease within this
-	Fall          time.Duration // the window of the cold budget
-	FallMultiple  float64       // a cold backend falls over beyond this many times its capacity
-	StartCapacity float64       // share of its capacity that a started backend has at least
+	AnswerSlack      time.Duration // how late after the deadline a final answer still counts
+	MaxMembershipAge time.Duration // where the list must be asked for: how old an answer may grow
+	WarmupDuration   time.Duration // a started backend is warm after this
+	DrainGrace       time.Duration // sends to a draining backend must cease within this
+	OverloadWindow   time.Duration // the window of the cold budget
+	OverloadMultiple float64       // a cold backend falls over beyond this many times its capacity
+	InitialCapacity  float64       // share of its capacity that a started backend has at least
 }
 
 // Caps is what the site allows.
 type Caps struct {
-	Cancel, Peers, Probes, RetryAfter, SecondCopies bool
+	Cancel, Peers, Probes, RetryAfter, Hedging bool
 
 	ConnIdle, ConnectTimeout, MaxRetryAfter time.Duration
-	SweepEvery                              time.Duration // between two looks at what time alone brings; 0: by the probe interval
-	MaxAttempts, StreamsPerConn             int
+	// Between two looks at what time alone brings; 0: by the probe interval.
+	SweepEvery                  time.Duration
+	MaxAttempts, StreamsPerConn int
 }
 
 // ReportField names a figure of a load report.
@@ -104,10 +108,10 @@
 
 // The fields of load reports. FieldOther is one that is not used here.
 const (
-	FieldOther   ReportField = iota
-	FieldHeld                // requests in hand
-	FieldWaiting             // requests waiting
-	FieldErrors              // errors a second
+	FieldOther    ReportField = iota
+	FieldInFlight             // requests in hand
+	FieldQueued               // requests waiting
+	FieldErrors               // errors a second
 )
 
 // WeightKind says what Backend.Weight stands for.
@@ -127,11 +131,11 @@
 	Tick            time.Duration
 	Classes         []Class
 	Tenants         []Tenant
-	OverShareWorth  float64 // worth of traffic beyond a tenant's share, as a share
-	WorthByWork     bool    // worth counts by work, not by request
-	WarmKeys        bool    // a backend that met a key lately serves it with less work
+	OverQuotaValue  float64 // worth of traffic beyond a tenant's share, as a share
+	ValueByWork     bool    // worth counts by work, not by request
+	KeyAffinity     bool    // a backend that met a key lately serves it with less work
 	MarksRetry      bool    // clients mark their repeats
-	OnRequest       bool    // the list comes only when asked for
+	PollMembership  bool    // the list comes only when asked for
 	Weights         WeightKind
 	Report          []ReportField // order of the values of a load report
 	Goal            Goal
@@ -146,53 +150,53 @@
 // Balancer's events and must be as pure as the Balancer: equal questions after equal
 // events have equal answers.
 type Advice interface {
-	// Holds tells whether a backend can run the request as it is now.
-	Holds(q *Request, to BackendID) bool
-	// Admits tells whether the backend may have one more request now; Sent says that
+	// CanServe tells whether a backend can run the request as it is now.
+	CanServe(q *Request, to BackendID) bool
+	// Allows tells whether the backend may have one more request now; Sent says that
 	// it was sent one.
-	Admits(now time.Duration, to BackendID) bool
-	Sent(now time.Duration, q *Request, to BackendID)
+	Allows(now time.Duration, to BackendID) bool
+	RecordSent(now time.Duration, q *Request, to BackendID)
 	// Slots is how many requests of this proxy the backend may have at once; 0 is not known.
 	Slots(to BackendID) int
-	// Extra is what a request has to wait there beyond its usual delay, ms.
-	Extra(now time.Duration, q *Request, to BackendID) float64
-	// Repeats tells whether one more arrival of a request that has arrived before fits
+	// ExtraDelay is what a request has to wait there beyond its usual delay, ms.
+	ExtraDelay(now time.Duration, q *Request, to BackendID) float64
+	// TryRetry tells whether one more arrival of a request that has arrived before fits
 	// into the budget, and takes it from there.
-	Repeats(now time.Duration) bool
+	TryRetry(now time.Duration) bool
 }
 
 // NoAdvice knows nothing: all backends hold everything and admit all.
 type NoAdvice struct{}
 
-// Holds implements Advice.
-func (NoAdvice) Holds(*Request, BackendID) bool { return true }
+// CanServe implements Advice.
+func (NoAdvice) CanServe(*Request, BackendID) bool { return true }
 
-// Admits implements Advice.
-func (NoAdvice) Admits(time.Duration, BackendID) bool { return true }
+// Allows implements Advice.
+func (NoAdvice) Allows(time.Duration, BackendID) bool { return true }
 
-// Sent implements Advice.
-func (NoAdvice) Sent(time.Duration, *Request, BackendID) {}
+// RecordSent implements Advice.
+func (NoAdvice) RecordSent(time.Duration, *Request, BackendID) {}
 
 // Slots implements Advice.
 func (NoAdvice) Slots(BackendID) int { return 0 }
 
-// Extra implements Advice.
-func (NoAdvice) Extra(time.Duration, *Request, BackendID) float64 { return 0 }
+// ExtraDelay implements Advice.
+func (NoAdvice) ExtraDelay(time.Duration, *Request, BackendID) float64 { return 0 }
 
-// Repeats implements Advice.
-func (NoAdvice) Repeats(time.Duration) bool { return true }
+// TryRetry implements Advice.
+func (NoAdvice) TryRetry(time.Duration) bool { return true }
 
 // Request is one try of a client that the proxy has taken.
 type Request struct {
-	ID       RequestID
-	Class    int
-	Tenant   int
-	Key      uint64        // 0 is none
-	Cost     time.Duration // expected work; 0 is unknown
-	Deadline time.Duration // the clock time at which the client leaves
-	Repeat   bool          // the client has marked it as a repeat
-	Needs    *Needs        // for Advice; nil is nothing special
-	Spent    int           // attempts of it that may have run before it came here
+	ID        RequestID
+	Class     int
+	Tenant    int
+	Key       uint64        // 0 is none
+	Cost      time.Duration // expected work; 0 is unknown
+	Deadline  time.Duration // the clock time at which the client leaves
+	IsRetry   bool          // the client has marked it as a repeat
+	Needs     *Needs        // for Advice; nil is nothing special
+	PriorRuns int           // attempts of it that may have run before it came here
 }
 
 // Needs is what a request asks of a backend beyond its class.
@@ -253,17 +257,17 @@
 const (
 	OK            Result = iota
 	Error                // answered with an error; it may have run
-	Full                 // turned away unseen
+	Rejected             // turned away unseen
 	Timeout              // no timely answer; it may run
 	ConnectFailed        // no connection; it never ran
 	Reset                // the connection broke; it may have run
 	Cancelled            // called off; it may have run
-	Moot                 // never sent
-	Declined             // answered that the request itself can't be used
+	NotSent              // never sent
+	Unprocessable        // answered that the request itself can't be used
 )
 
 // NeverRan tells whether the result proves that the attempt did not run.
-func (r Result) NeverRan() bool { return r == Full || r == ConnectFailed || r == Moot }
+func (r Result) NeverRan() bool { return r == Rejected || r == ConnectFailed || r == NotSent }
 
 // Outcome is the end of an attempt.
 type Outcome struct {
@@ -276,8 +280,8 @@
 	Load    []float32
 }
 
-// ProbeResult is the end of a probe.
-type ProbeResult struct {
+// HealthCheckResult is the end of a probe.
+type HealthCheckResult struct {
 	Backend BackendID
 	Result  Result
 	Took    time.Duration
@@ -300,17 +304,17 @@
 
 // Host carries out a Balancer's actions, in the order of the calls.
 type Host interface {
-	// Send begins an attempt. until: clock time at which it is given up; 0 is the client's deadline. before: by when
-	// its last byte has to be out, or nothing of it may be; 0 is no bound.
+	// Send begins an attempt. until: clock time at which it is given up; 0 is the client's deadline.
+	// before: by when its last byte has to be out, or nothing of it may be; 0 is no bound.
 	Send(id RequestID, to BackendID, until, before time.Duration)
-	Refuse(id RequestID, retryAfter time.Duration) // final: coming again is harmless
+	Reject(id RequestID, retryAfter time.Duration) // final: coming again is harmless
 	Fail(id RequestID)                             // final: nothing is promised
 	Cancel(id RequestID, attempt int)
-	Probe(b BackendID)
+	CheckHealth(b BackendID)
 	Release(b BackendID) // give back idle connections
 	Watch(on bool)       // ask for the list's changes from here on
 	Fetch()              // ask for the whole list once
-	Tell(peer uint32, body []byte)
-	After(d time.Duration, token uint64) // calls for Balancer.Timer
+	SendToPeer(peer uint32, body []byte)
+	StartTimer(d time.Duration, token uint64) // calls for Balancer.Timer
 	Log(line string)
 }
--- /dev/null
+++ b/internal/balancer/attempt.go
@@ -0,0 +1,127 @@
+package balancer
+
+// Attempts: whether a request may be sent (again), and sending it.
+
+import (
+	"time"
+
+	"marlreel/internal/balancer/idempotency"
+)
+
+// maySend guards further attempts: it tells whether a request may be sent (again) to a backend.
+func (b *Balancer) maySend(r *request, t *target) bool {
+	_, may := b.startBefore(r, t)
+	return may
+}
+
+// startBefore also tells before when the attempt has to begin there; 0 is no bound.
+func (b *Balancer) startBefore(r *request, t *target) (before time.Duration, may bool) {
+	may = !r.ended && !r.streaming && b.attemptsLeft(r) && b.advice.CanServe(&r.Request, t.ID) &&
+		b.now < r.Deadline && (r.inFlight == 0 || b.cfg.Caps.Hedging)
+	before = idempotency.Never
+	for _, a := range r.attempts {
+		if !a.mayRun {
+			continue
+		}
+		retryBefore, mayRetry := r.terms.RetryDeadline(a.location, locationOf(t))
+		before = min(before, retryBefore)
+		may = may && mayRetry && !r.class.NeverRerun
+	}
+	before -= b.cfg.Tick
+	if before > idempotency.Never/2 {
+		return 0, may
+	}
+	return before, may && b.now < before
+}
+
+// attemptsLeft bounds the attempts: those that may have run where the class says so, else all.
+func (b *Balancer) attemptsLeft(r *request) bool {
+	if r.class.MaxRuns == 0 {
+		return len(r.attempts) < min(r.maxAttempts, b.cfg.Caps.MaxAttempts)
+	}
+	runs := r.PriorRuns
+	for _, a := range r.attempts {
+		if a.mayRun {
+			runs++
+		}
+	}
+	return runs < r.class.MaxRuns && len(r.attempts) < b.cfg.Caps.MaxAttempts
+}
+
+// send is the one place where requests leave; both guards are asked again here.
+func (b *Balancer) send(r *request, t *target) bool {
+	work := b.work(r)
+	before, may := b.startBefore(r, t)
+	if !may || !b.mayReceive(t, work) {
+		return false
+	}
+	a := b.newAttempt(r, t, work)
+	r.attempts = append(r.attempts, a)
+	r.inFlight++
+	t.inFlight = append(t.inFlight, a)
+	t.lastSent = b.now
+	b.advice.RecordSent(b.now, &r.Request, t.ID)
+	t.load += a.weight
+	a.loadAtSend = t.load
+	t.trackAge(a, 1)
+	// Light requests would go through any budget of work, and handshakes are work too: none counts under
+	// the mean.
+	t.warmupTokens -= max(work, b.meanWork)
+	a.overdueAt = b.now + b.overdueAfter(a)
+	a.trial = b.isClassEjected(r, t)
+	b.grayFailure.RecordSent(&t.classHealth[r.Class].Cell, r.Class, a.trial)
+	b.host.Send(r.ID, t.ID, b.giveUpAt(a), before)
+	return true
+}
+
+func (b *Balancer) newAttempt(r *request, t *target, work float64) *attempt {
+	expected := b.expectedDelay(r.Class, millis(r.Cost))
+	return &attempt{
+		request:   r,
+		index:     len(r.attempts),
+		target:    t,
+		location:  idempotency.Attempt{Location: locationOf(t), SentAt: b.now},
+		sent:      b.now,
+		expected:  expected,
+		predicted: b.predictDelay(r, t),
+		work:      work,
+		weight:    min(max(expected/b.meanExpectedDelay, 1.0/maxRequestWeight), maxRequestWeight),
+		mayRun:    true,
+	}
+}
+
+// overdueAfter is how long an attempt may take before it counts against its backend's concurrency limit. A
+// request that is heavy by its hint may take longer, whatever else is there.
+func (b *Balancer) overdueAfter(a *attempt) time.Duration {
+	r := a.request
+	mean := b.expectedDelay(r.Class, 0)
+	latencyTarget := millis(r.targetAt - r.firstArrived)
+	tail := overdueTailFactor * b.delayTails[r.Class].min * b.tailRatio(a.target)
+	usual := max(tail, minOverdueTargetRatio*latencyTarget)
+	return fromMillis(max(1, a.expected/mean) * min(usual, latencyTarget))
+}
+
+// giveUpAt is when an attempt is given up. A trial leaves time enough to serve the request elsewhere.
+func (b *Balancer) giveUpAt(a *attempt) time.Duration {
+	r := a.request
+	at := min(r.Deadline, max(b.usefulUntil(r)-b.cfg.Tick, b.now+b.cfg.Tick))
+	if a.trial && r.class.Effect != Unsafe {
+		at = min(at, b.now+(at-b.now)/3)
+	}
+	return at
+}
+
+func (b *Balancer) cancelAllBut(r *request, winner *attempt) {
+	for _, a := range r.attempts {
+		if a != winner && !a.done {
+			b.cancel(a)
+		}
+	}
+}
+
+func (b *Balancer) cancel(a *attempt) {
+	if b.cfg.Caps.Cancel && !a.cancelled {
+		a.cancelled = true
+		b.host.Cancel(a.request.ID, a.index)
+	}
+}
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -24,9 +24,9 @@
 		break_ func(*Config)
 	}{
 		{"Classes", func(c *Config) { c.Classes = nil }},
-		{"Classes[0]", func(c *Config) { c.Classes[0].Aim = 0 }},
-		{"Classes[1]", func(c *Config) { c.Classes[1].Window = -1 }},
-		{"Obligations", func(c *Config) { c.Obligations.Cold = -1 }},
+		{"Classes[0]", func(c *Config) { c.Classes[0].LatencyTarget = 0 }},
+		{"Classes[1]", func(c *Config) { c.Classes[1].IdempotencyWindow = -1 }},
+		{"Obligations", func(c *Config) { c.Obligations.WarmupDuration = -1 }},
 		{"Tick", func(c *Config) { c.Tick = -1 }},
 		{"Instances", func(c *Config) { c.Instances = 0 }},
 	} {
@@ -48,7 +48,7 @@
 		{safe, Error, "send"},
 		{safe, Reset, "send"},
 		{safe, ConnectFailed, "send"},
-		{safe, Full, "send"},
+		{safe, Rejected, "send"},
 		{keyed, Error, "send"},
 		{keyed, ConnectFailed, "send"},
 		{anywhere, Error, "send"},
@@ -57,15 +57,15 @@
 		{unsafe, Reset, "fail"},
 		{unsafe, Cancelled, "fail"},
 		{unsafe, ConnectFailed, "send"},
-		{unsafe, Full, "send"},
+		{unsafe, Rejected, "send"},
 	} {
 		b, h := newBalancer(t, testConfig(), 6)
-		b.Request(second, Request{ID: 9, Class: c.class, Deadline: 4 * second})
+		b.OnRequest(second, Request{ID: 9, Class: c.class, Deadline: 4 * second})
 		first := h.take("send")
 		if len(first) != 1 {
 			t.Fatalf("class %d: %d sends at first", c.class, len(first))
 		}
-		b.Outcome(second+10*milli, Outcome{ID: 9, Backend: first[0].to, Result: c.result, Took: 10 * milli})
+		b.OnAttemptEnd(second+10*milli, Outcome{ID: 9, Backend: first[0].to, Result: c.result, Took: 10 * milli})
 		next := h.take("send", "fail", "refuse")
 		if len(next) != 1 || next[0].verb != c.want {
 			t.Errorf("class %d after result %d: %v, want one %s", c.class, c.result, next, c.want)
@@ -82,8 +82,8 @@
 
 func TestNoBackendsMeansARefusalInTime(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 0)
-	b.Request(second, Request{ID: 1, Class: unsafe, Deadline: 2 * second})
-	b.Timer(2*second-100*milli, timerDispatch<<56)
+	b.OnRequest(second, Request{ID: 1, Class: unsafe, Deadline: 2 * second})
+	b.OnTimer(2*second-100*milli, timerDispatch<<56)
 	if got := h.take("send", "refuse", "fail"); len(got) != 1 || got[0].verb != "refuse" {
 		t.Errorf("got %v", got)
 	}
@@ -91,9 +91,9 @@
 
 func TestAListThatComesInTimeServesWhatWaits(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 0)
-	b.Request(second, Request{ID: 1, Class: unsafe, Deadline: 2 * second})
-	b.Membership(second+50*milli, Membership{Kind: ListDelta, Backends: list(1)})
-	b.Timer(second+60*milli, timerDispatch<<56)
+	b.OnRequest(second, Request{ID: 1, Class: unsafe, Deadline: 2 * second})
+	b.OnMembership(second+50*milli, Membership{Kind: ListDelta, Backends: list(1)})
+	b.OnTimer(second+60*milli, timerDispatch<<56)
 	if got := h.take("send", "refuse", "fail"); len(got) != 1 || got[0].verb != "send" {
 		t.Errorf("got %v", got)
 	}
@@ -102,11 +102,11 @@
 func TestNothingNewGoesToADrainingOrGoneBackend(t *testing.T) {
 	for _, state := range []State{Draining, Gone} {
 		b, h := newBalancer(t, testConfig(), 3)
-		b.Membership(second, Membership{Kind: ListDelta, Backends: []Backend{{ID: 2, State: state}}})
+		b.OnMembership(second, Membership{Kind: ListDelta, Backends: []Backend{{ID: 2, State: state}}})
 		for i := range 200 {
-			b.Request(second, Request{ID: RequestID(i), Deadline: 4 * second})
+			b.OnRequest(second, Request{ID: RequestID(i), Deadline: 4 * second})
 		}
-		b.Timer(9*second, timerSweep<<56)
+		b.OnTimer(9*second, timerSweep<<56)
 		for _, a := range h.take("send", "probe") {
 			if a.to == 2 {
 				t.Fatalf("state %d: %s to backend 2", state, a.verb)
@@ -117,19 +117,19 @@
 
 func TestHealthOutlivesListChanges(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 3)
-	for now := second; now < 12*second; now += b.interval / sweeps {
-		b.Timer(now, timerSweep<<56)
+	for now := second; now < 12*second; now += b.healthCheckInterval / sweepsPerInterval {
+		b.OnTimer(now, timerSweep<<56)
 		for _, p := range h.take("probe") {
 			r := OK
 			if p.to == 1 {
 				r = Timeout
 			}
-			b.Probed(now, ProbeResult{Backend: p.to, Result: r})
+			b.OnHealthCheck(now, HealthCheckResult{Backend: p.to, Result: r})
 		}
 	}
-	b.Membership(12*second, Membership{Kind: ListFull, Version: 2, Backends: list(5)})
+	b.OnMembership(12*second, Membership{Kind: ListFull, Version: 2, Backends: list(5)})
 	for i := range 100 {
-		b.Request(12*second, Request{ID: RequestID(i), Deadline: 14 * second})
+		b.OnRequest(12*second, Request{ID: RequestID(i), Deadline: 14 * second})
 	}
 	for _, a := range h.take("send") {
 		if a.to == 1 {
@@ -142,11 +142,11 @@
 func TestOneLateAttemptAloneDoesNotCloseABackend(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
-	only.limit = 20
-	b.Request(second, Request{ID: 1, Deadline: 4 * second})
-	b.Outcome(second+900*milli, Outcome{ID: 1, Backend: h.take("send")[0].to, Result: OK, Final: true})
-	if only.limit >= 20 || only.limit < 15 {
-		t.Errorf("limit %v after one late answer", only.limit)
+	only.concurrencyLimit = 20
+	b.OnRequest(second, Request{ID: 1, Deadline: 4 * second})
+	b.OnAttemptEnd(second+900*milli, Outcome{ID: 1, Backend: h.take("send")[0].to, Result: OK, Final: true})
+	if only.concurrencyLimit >= 20 || only.concurrencyLimit < 15 {
+		t.Errorf("limit %v after one late answer", only.concurrencyLimit)
 	}
 }
 
@@ -154,13 +154,13 @@
 func TestAnAttemptCountsAsLateWhileStillOut(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
-	only.limit = 20
-	b.Request(second, Request{ID: 1, Deadline: 4 * second})
-	b.Timer(second+600*milli, timerSweep<<56)
-	once := only.limit
-	b.Timer(second+650*milli, timerSweep<<56)
-	if once >= 20 || only.limit < once*0.95 { // it may sink a little by itself
-		t.Errorf("limits %v, then %v", once, only.limit)
+	only.concurrencyLimit = 20
+	b.OnRequest(second, Request{ID: 1, Deadline: 4 * second})
+	b.OnTimer(second+600*milli, timerSweep<<56)
+	once := only.concurrencyLimit
+	b.OnTimer(second+650*milli, timerSweep<<56)
+	if once >= 20 || only.concurrencyLimit < once*0.95 { // it may sink a little by itself
+		t.Errorf("limits %v, then %v", once, only.concurrencyLimit)
 	}
 }
 
@@ -169,17 +169,17 @@
 	cfg := testConfig()
 	cfg.Zone = 9 // no backend is near
 	b, h := newBalancer(t, cfg, 2)
-	b.Request(second, Request{ID: 1, Deadline: 4 * second})
+	b.OnRequest(second, Request{ID: 1, Deadline: 4 * second})
 	full := h.take("send")[0].to
-	before := b.byID[full].limit
-	b.Outcome(second+milli, Outcome{ID: 1, Backend: full, Result: Full})
-	b.Request(second+2*milli, Request{ID: 2, Deadline: 4 * second})
+	before := b.byID[full].concurrencyLimit
+	b.OnAttemptEnd(second+milli, Outcome{ID: 1, Backend: full, Result: Rejected})
+	b.OnRequest(second+2*milli, Request{ID: 2, Deadline: 4 * second})
 	for _, a := range h.take("send") {
 		if a.to == full {
 			t.Error("sent to a backend that had just said that it is full")
 		}
 	}
-	if now := b.byID[full].limit; now >= before {
+	if now := b.byID[full].concurrencyLimit; now >= before {
 		t.Errorf("its limit was %v and is %v", before, now)
 	}
 }
@@ -192,12 +192,12 @@
 	b, h := newBalancer(t, cfg, 1)
 	for i := range 10 {
 		at := second + time.Duration(i)*20*milli
-		b.Request(at, Request{ID: RequestID(i + 1), Class: safe, Deadline: at + 3*second})
+		b.OnRequest(at, Request{ID: RequestID(i + 1), Class: safe, Deadline: at + 3*second})
 		sent := h.take("send")
 		if len(sent) != 1 {
 			t.Fatalf("request %d waits, with nothing out and answers that take 1 ms", i+1)
 		}
-		b.Outcome(at+milli, Outcome{ID: sent[0].id, Attempt: 0, Backend: 1, Result: OK, Final: true})
+		b.OnAttemptEnd(at+milli, Outcome{ID: sent[0].id, Attempt: 0, Backend: 1, Result: OK, Final: true})
 	}
 }
 
@@ -205,19 +205,19 @@
 func TestALimitBelowOneSpacesAttemptsOut(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
-	b.known, only.limit = average{meanOver, 200}, 0.5
+	b.knownDelay, only.concurrencyLimit = average{maxMeanWindow, 200}, 0.5
 	sent := 0 * second
 	for at := second; at < 3*second; at += 10 * milli {
-		only.limit, b.known, only.delays, only.answers = 0.5, average{meanOver, 200}, decay.Sum{}, decay.Sum{}
-		b.median = 1
-		b.Request(at, Request{ID: RequestID(at), Class: safe, Deadline: at + 3*second})
-		b.Timer(at, timerDispatch<<56)
+		only.concurrencyLimit, b.knownDelay, only.delays, only.answers = 0.5, average{maxMeanWindow, 200}, decay.Sum{}, decay.Sum{}
+		b.medianDelayRatio = 1
+		b.OnRequest(at, Request{ID: RequestID(at), Class: safe, Deadline: at + 3*second})
+		b.OnTimer(at, timerDispatch<<56)
 		for _, a := range h.take("send") {
 			if gap := at - sent; sent > 0 && gap < 380*milli {
 				t.Fatalf("a send %v after the one before", gap)
 			}
 			sent = at
-			b.Outcome(at+milli, Outcome{ID: a.id, Attempt: a.attempt, Backend: 1, Result: OK, Final: true})
+			b.OnAttemptEnd(at+milli, Outcome{ID: a.id, Attempt: a.attempt, Backend: 1, Result: OK, Final: true})
 		}
 	}
 	if sent < 2*second {
@@ -232,8 +232,8 @@
 	out := map[RequestID]action{}
 	for at := second; at < 9*second; at += 10 * milli {
 		id := RequestID(at / milli)
-		b.Request(at, Request{ID: id, Class: []int{safe, unsafe}[id/10%2], Deadline: at + 3*second})
-		b.Timer(at, timerDispatch<<56)
+		b.OnRequest(at, Request{ID: id, Class: []int{safe, unsafe}[id/10%2], Deadline: at + 3*second})
+		b.OnTimer(at, timerDispatch<<56)
 		for _, a := range h.take("send") {
 			sends++
 			if a.to == 2 {
@@ -241,7 +241,7 @@
 				if id/10%2 == 1 && at > 3*second {
 					unsafeLost++
 				}
-				b.Outcome(at, Outcome{ID: a.id, Attempt: a.attempt, Backend: 2, Result: Error})
+				b.OnAttemptEnd(at, Outcome{ID: a.id, Attempt: a.attempt, Backend: 2, Result: Error})
 				for _, again := range h.take("send") {
 					out[again.id] = again
 				}
@@ -252,10 +252,10 @@
 		for old := id - 200; old <= id-100; old += 10 {
 			if a, ok := out[old]; ok {
 				delete(out, old)
-				b.Outcome(at, Outcome{ID: old, Attempt: a.attempt, Backend: a.to, Result: OK, Final: true})
+				b.OnAttemptEnd(at, Outcome{ID: old, Attempt: a.attempt, Backend: a.to, Result: OK, Final: true})
 			}
 		}
-		b.Timer(at, timerSweep<<56)
+		b.OnTimer(at, timerSweep<<56)
 		h.take()
 	}
 	if sends < 500 || broken > sends/50 || broken < 4 || unsafeLost > 2 {
@@ -266,13 +266,13 @@
 // Keys that go wherever there is room find nothing warm, and their extra work keeps all at their limits.
 func TestAKeyWaitsForItsOwnBackendsBeforeItGoesElsewhere(t *testing.T) {
 	cfg := testConfig()
-	cfg.WarmKeys = true
+	cfg.KeyAffinity = true
 	b, h := newBalancer(t, cfg, 6)
 	ask := func(id RequestID) {
-		b.Request(second, Request{ID: id, Class: safe, Key: 77, Deadline: 4 * second})
+		b.OnRequest(second, Request{ID: id, Class: safe, Key: 77, Deadline: 4 * second})
 	}
 	own := map[BackendID]bool{}
-	for id := RequestID(1); len(b.waiting) == 0; id++ {
+	for id := RequestID(1); len(b.queue) == 0; id++ {
 		if id > 100 {
 			t.Fatal("a hundred requests of one key and none waits")
 		}
@@ -284,11 +284,11 @@
 	if len(own) != 2 {
 		t.Fatalf("one key's requests went to %v", own)
 	}
-	b.Timer(second+50*milli, timerDispatch<<56)
+	b.OnTimer(second+50*milli, timerDispatch<<56)
 	if early := h.take("send"); len(early) != 0 {
 		t.Errorf("after 50 ms: %v", early)
 	}
-	b.Timer(second+200*milli, timerDispatch<<56)
+	b.OnTimer(second+200*milli, timerDispatch<<56)
 	if late := h.take("send"); len(late) != 1 || own[late[0].to] {
 		t.Errorf("after a fifth of the aim, with room elsewhere: %v", late)
 	}
@@ -301,34 +301,34 @@
 		fail func(b *Balancer, h *recorder, now time.Duration)
 	}{
 		{"probes fail", func(b *Balancer, h *recorder, now time.Duration) {
-			for range probeRun {
-				b.targets[0].probing = true
-				b.Probed(now, ProbeResult{Backend: 1, Result: ConnectFailed})
+			for range checkThreshold {
+				b.targets[0].checkInFlight = true
+				b.OnHealthCheck(now, HealthCheckResult{Backend: 1, Result: ConnectFailed})
 			}
 		}},
 		{"connections fail", func(b *Balancer, h *recorder, now time.Duration) {
 			for id := range RequestID(2) {
-				b.Request(now, Request{ID: id + 1, Class: unsafe, Deadline: now + second})
+				b.OnRequest(now, Request{ID: id + 1, Class: unsafe, Deadline: now + second})
 				if got := h.take("send"); len(got) == 0 {
 					t.Fatal("nothing was sent")
 				}
-				b.Outcome(now, Outcome{ID: id + 1, Backend: 1, Result: ConnectFailed})
+				b.OnAttemptEnd(now, Outcome{ID: id + 1, Backend: 1, Result: ConnectFailed})
 				h.take()
 			}
 		}},
 	} {
 		b, h := newBalancer(t, testConfig(), 1)
 		now := 30 * second
-		if _, cold := b.cold(b.targets[0]); cold {
+		if _, cold := b.warmupCapacity(b.targets[0]); cold {
 			t.Fatalf("%s: cold before", c.name)
 		}
 		c.fail(b, h, now)
 		b.now = now + second
-		if share, cold := b.cold(b.targets[0]); !cold || share > 0.3 {
+		if share, cold := b.warmupCapacity(b.targets[0]); !cold || share > 0.3 {
 			t.Errorf("%s: cold %v, share %v a second later", c.name, cold, share)
 		}
 		b.now = now + 21*second
-		if _, cold := b.cold(b.targets[0]); cold {
+		if _, cold := b.warmupCapacity(b.targets[0]); cold {
 			t.Errorf("%s: still cold after the cold span", c.name)
 		}
 	}
@@ -337,11 +337,11 @@
 // A second copy beside a slow attempt feeds the overload that made it slow.
 func TestAnOverdueAttemptIsLeftAlone(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 4)
-	b.Request(second, Request{ID: 1, Class: safe, Deadline: 4 * second})
+	b.OnRequest(second, Request{ID: 1, Class: safe, Deadline: 4 * second})
 	for _, a := range h.take("after") {
-		b.Timer(second+a.at, a.token)
+		b.OnTimer(second+a.at, a.token)
 	}
-	b.Timer(second+800*milli, timerSweep<<56)
+	b.OnTimer(second+800*milli, timerSweep<<56)
 	if got := h.take("send", "cancel"); len(got) != 0 {
 		t.Errorf("got %v", got)
 	}
@@ -352,28 +352,28 @@
 func TestEjectionSparesTheSlowAndTheHalf(t *testing.T) {
 	fail := func(b *Balancer, to *target, sent, now time.Duration) {
 		b.now = now
-		b.judge(&attempt{req: &request{}, to: to, sent: sent}, Timeout)
+		b.recordPassiveCheck(&attempt{request: &request{}, target: to, sent: sent}, Timeout)
 	}
 	b, _ := newBalancer(t, testConfig(), 4)
 	slow := b.targets[0]
 	for i := range 5 {
 		now := second + time.Duration(i)*100*milli
 		b.now = now
-		b.judge(&attempt{req: &request{}, to: slow, sent: now - 50*milli}, OK)
-		for range connectionfailure.LeastRun {
+		b.recordPassiveCheck(&attempt{request: &request{}, target: slow, sent: now - 50*milli}, OK)
+		for range connectionfailure.MinFailureRun {
 			fail(b, slow, now-50*milli, now+50*milli)
 		}
 	}
-	if !b.fit(slow) {
+	if !b.isHealthy(slow) {
 		t.Error("a backend that answered others since they were sent was ejected")
 	}
 	now := 10 * second
 	out := 0
 	for _, to := range b.targets {
-		for range connectionfailure.LeastRun {
+		for range connectionfailure.MinFailureRun {
 			fail(b, to, now-milli, now)
 		}
-		if !b.fit(to) {
+		if !b.isHealthy(to) {
 			out++
 		}
 	}
@@ -386,11 +386,11 @@
 func TestAHeavyRequestDoesNotGoAloneToAColdBackend(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
-	only.coldSince, b.meanWork, only.tokens = second, 100, 10
-	if !b.coldAllows(only, 150) {
+	only.warmupStarted, b.meanWork, only.warmupTokens = second, 100, 10
+	if !b.warmupAllows(only, 150) {
 		t.Error("a usual request may go alone")
 	}
-	if b.coldAllows(only, 250) {
+	if b.warmupAllows(only, 250) {
 		t.Error("a heavy one may not")
 	}
 }
@@ -399,12 +399,12 @@
 func TestALimitThatIsNotUsedSinks(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
-	only.limit = 100
+	only.concurrencyLimit = 100
 	for at := second; at < 11*second; at += 50 * milli {
-		b.Timer(at, timerSweep<<56)
+		b.OnTimer(at, timerSweep<<56)
 	}
-	if only.limit > 2*concurrencylimit.Start(1)/b.sharers() || only.limit < concurrencylimit.Start(1)/b.sharers() {
-		t.Errorf("limit %v after ten idle seconds", only.limit)
+	if only.concurrencyLimit > 2*concurrencylimit.Initial(1)/b.sharers() || only.concurrencyLimit < concurrencylimit.Initial(1)/b.sharers() {
+		t.Errorf("limit %v after ten idle seconds", only.concurrencyLimit)
 	}
 }
 
@@ -413,27 +413,27 @@
 	b, h := newBalancer(t, testConfig(), 4)
 	now := second
 	for id := range RequestID(400) {
-		b.Request(now, Request{ID: id + 1, Class: unsafe, Deadline: now + 3*second})
+		b.OnRequest(now, Request{ID: id + 1, Class: unsafe, Deadline: now + 3*second})
 		now += 50 * milli
-		b.Timer(now, timerSweep<<56)
+		b.OnTimer(now, timerSweep<<56)
 		for _, a := range h.take("send") {
-			b.Outcome(now, Outcome{ID: a.id, Attempt: a.attempt, Backend: a.to, Result: Error})
+			b.OnAttemptEnd(now, Outcome{ID: a.id, Attempt: a.attempt, Backend: a.to, Result: Error})
 		}
 	}
-	if most := 2 * 1000 / b.expected(unsafe, 0); b.median < 1 || b.median > most {
-		t.Errorf("median %v of the expected delay; %v at most", b.median, most)
+	if most := 2 * 1000 / b.expectedDelay(unsafe, 0); b.medianDelayRatio < 1 || b.medianDelayRatio > most {
+		t.Errorf("median %v of the expected delay; %v at most", b.medianDelayRatio, most)
 	}
 }
 
 // What a backend served before it restarted says nothing of what it can do cold.
 func TestARestartForgetsWhatWasServed(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 2)
-	b.targets[0].servedLately.Add(5000, second, second)
-	b.Membership(2*second, Membership{Kind: ListDelta, Backends: []Backend{
+	b.targets[0].servedWork.Add(5000, second, second)
+	b.OnMembership(2*second, Membership{Kind: ListDelta, Backends: []Backend{
 		{ID: b.targets[0].ID, State: Ready, Started: 2 * second},
 	}})
-	b.coldRates()
-	if got := b.targets[0].coldRate; got > 100 {
+	b.updateWarmupRates()
+	if got := b.targets[0].warmupRate; got > 100 {
 		t.Errorf("may be sent %v ms of work a second right after its start", got)
 	}
 }
@@ -442,12 +442,12 @@
 func TestLightRequestsCountForTheMeanInAColdBudget(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
-	b.meanWork, only.coldSince, only.tokens = 50, second, 100
+	b.meanWork, only.warmupStarted, only.warmupTokens = 50, second, 100
 	sent := 0
 	for i := range 50 {
 		r := &request{
 			Request: Request{ID: RequestID(i), Cost: milli, Deadline: 4 * second}, class: &b.cfg.Classes[0],
-			most: b.cfg.Caps.MaxAttempts, arrived: second, aimAt: 2 * second,
+			maxAttempts: b.cfg.Caps.MaxAttempts, arrived: second, targetAt: 2 * second,
 		}
 		b.requests[r.ID] = r
 		if b.send(r, only) {
@@ -463,9 +463,9 @@
 func TestTheWaitingRoomIsBounded(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 3)
 	for i := range 2000 {
-		b.Request(second, Request{ID: RequestID(i), Deadline: 4 * second})
+		b.OnRequest(second, Request{ID: RequestID(i), Deadline: 4 * second})
 	}
-	if n := len(b.waiting); n > waitingEach*4 {
+	if n := len(b.queue); n > maxQueuedPerBackend*4 {
 		t.Errorf("%d wait", n)
 	}
 }
@@ -476,13 +476,13 @@
 	cfg.Classes[anywhere].Value = 10
 	b, h := newBalancer(t, cfg, 1)
 	for i := range 12 {
-		b.Request(second, Request{ID: RequestID(i), Class: []int{safe, anywhere}[i%2], Deadline: 4 * second})
+		b.OnRequest(second, Request{ID: RequestID(i), Class: []int{safe, anywhere}[i%2], Deadline: 4 * second})
 	}
 	first := h.take("send")
-	if len(b.waiting) < 3 {
-		t.Fatalf("%d wait after %d sends", len(b.waiting), len(first))
+	if len(b.queue) < 3 {
+		t.Fatalf("%d wait after %d sends", len(b.queue), len(first))
 	}
-	b.Outcome(second+50*milli, Outcome{ID: first[0].id, Backend: 1, Result: OK, Final: true})
+	b.OnAttemptEnd(second+50*milli, Outcome{ID: first[0].id, Backend: 1, Result: OK, Final: true})
 	next := h.take("send")
 	if len(next) == 0 || next[0].id%2 != 1 {
 		t.Errorf("sent next: %v", next)
@@ -491,7 +491,7 @@
 
 func TestTheListIsAskedForAgainAfterAFailure(t *testing.T) {
 	cfg := testConfig()
-	cfg.OnRequest = true
+	cfg.PollMembership = true
 	h := &recorder{}
 	b, err := New(cfg, 1, h)
 	if err != nil {
@@ -505,32 +505,32 @@
 				timer = a
 			}
 		}
-		if timer.verb == "" || timer.at > cfg.Obligations.AskEvery {
+		if timer.verb == "" || timer.at > cfg.Obligations.MaxMembershipAge {
 			t.Fatalf("round %d: next call after %v", i, timer.at)
 		}
-		b.Timer(second, timer.token)
+		b.OnTimer(second, timer.token)
 		if len(h.take("watch")) != 1 {
 			t.Fatalf("round %d: not asked", i)
 		}
-		b.Membership(second, Membership{Kind: ListFailed})
+		b.OnMembership(second, Membership{Kind: ListFailed})
 	}
 }
 
 func TestOddInputIsPassedOver(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 2)
 	twice := append(list(2), list(2)...)
-	b.Membership(second, Membership{Kind: ListFull, Backends: twice})
+	b.OnMembership(second, Membership{Kind: ListFull, Backends: twice})
 	if len(b.ready) != 2 {
 		t.Errorf("%d ready after a list that names each twice", len(b.ready))
 	}
-	b.Request(second, Request{ID: 1, Class: 99, Tenant: 99, Deadline: 0})
-	b.Request(second, Request{ID: 1})
-	b.Outcome(second, Outcome{ID: 1, Attempt: 7})
-	b.Outcome(second, Outcome{ID: 5})
-	b.Probed(second, ProbeResult{Backend: 99})
-	b.FirstByte(second, FirstByte{ID: 99})
-	b.Timer(second, ^uint64(0))
-	b.Membership(second, Membership{Kind: ListFull})
+	b.OnRequest(second, Request{ID: 1, Class: 99, Tenant: 99, Deadline: 0})
+	b.OnRequest(second, Request{ID: 1})
+	b.OnAttemptEnd(second, Outcome{ID: 1, Attempt: 7})
+	b.OnAttemptEnd(second, Outcome{ID: 5})
+	b.OnHealthCheck(second, HealthCheckResult{Backend: 99})
+	b.OnFirstByte(second, FirstByte{ID: 99})
+	b.OnTimer(second, ^uint64(0))
+	b.OnMembership(second, Membership{Kind: ListFull})
 	if len(b.ready) != 0 {
 		t.Error("an empty list leaves ready backends")
 	}
@@ -545,19 +545,19 @@
 	b, h := newBalancer(t, testConfig(), 4)
 	for i := range 40 {
 		id, now := RequestID(i), second+time.Duration(i)*10*milli
-		b.Request(now, Request{ID: id, Class: safe, Deadline: now + 4*second})
+		b.OnRequest(now, Request{ID: id, Class: safe, Deadline: now + 4*second})
 		first := h.take("send")
 		if len(first) != 1 {
 			t.Fatalf("request %d: %d sends", i, len(first))
 		}
-		b.Outcome(now+milli, Outcome{ID: id, Backend: first[0].to, Result: Declined, Took: milli})
+		b.OnAttemptEnd(now+milli, Outcome{ID: id, Backend: first[0].to, Result: Unprocessable, Took: milli})
 		if got := h.take("send", "fail", "refuse"); len(got) != 1 || got[0].verb != "fail" {
 			t.Fatalf("request %d, declined: %v, want one fail", i, got)
 		}
 	}
 	for _, p := range b.targets {
-		if !b.fit(p) || p.bad != 0 || p.delays.Fade(b.now, 0) != 0 {
-			t.Errorf("backend %d: bad %d, delays %v", p.ID, p.bad, p.delays.Fade(b.now, 0))
+		if !b.isHealthy(p) || p.consecutiveFailures != 0 || p.delays.Value(b.now, 0) != 0 {
+			t.Errorf("backend %d: bad %d, delays %v", p.ID, p.consecutiveFailures, p.delays.Value(b.now, 0))
 		}
 	}
 }
@@ -566,15 +566,15 @@
 // a further list: on a day of ever new ones they would add up.
 func TestAGoneBackendLeavesWithItsLastRequest(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 1)
-	b.Request(second, Request{ID: 1, Class: unsafe, Deadline: 4 * second})
+	b.OnRequest(second, Request{ID: 1, Class: unsafe, Deadline: 4 * second})
 	a := h.take("send")[0]
-	b.Membership(second+milli, Membership{Kind: ListDelta, Backends: []Backend{{ID: a.to, State: Gone}}})
-	b.Timer(second+2*milli, timerSweep<<56)
+	b.OnMembership(second+milli, Membership{Kind: ListDelta, Backends: []Backend{{ID: a.to, State: Gone}}})
+	b.OnTimer(second+2*milli, timerSweep<<56)
 	if len(b.targets) != 1 {
 		t.Fatal("it left with a request out")
 	}
-	b.Outcome(second+3*milli, Outcome{ID: 1, Backend: a.to, Result: OK, Final: true})
-	b.Timer(second+4*milli, timerSweep<<56)
+	b.OnAttemptEnd(second+3*milli, Outcome{ID: 1, Backend: a.to, Result: OK, Final: true})
+	b.OnTimer(second+4*milli, timerSweep<<56)
 	if len(b.targets) != 0 || len(b.byID) != 0 || len(b.requests) != 0 {
 		t.Errorf("%d targets, %d requests are left", len(b.targets), len(b.requests))
 	}
@@ -587,7 +587,7 @@
 	only := b.targets[0]
 	judge := func(now time.Duration, result Result) {
 		b.now = now
-		b.judge(&attempt{req: &request{}, to: only, sent: now}, result)
+		b.recordPassiveCheck(&attempt{request: &request{}, target: only, sent: now}, result)
 	}
 	now := 30 * second
 	for range 20 { // breaks that answers follow
@@ -597,18 +597,18 @@
 	}
 	judge(now, Reset)
 	judge(now+milli, ConnectFailed)
-	for range probeRun {
-		only.probing = true
-		b.Probed(now+2*milli, ProbeResult{Backend: only.ID, Result: Reset})
+	for range checkThreshold {
+		only.checkInFlight = true
+		b.OnHealthCheck(now+2*milli, HealthCheckResult{Backend: only.ID, Result: Reset})
 	}
-	if _, cold := b.cold(only); cold {
+	if _, cold := b.warmupCapacity(only); cold {
 		t.Error("a backend that answers between its failures counts as cold")
 	}
 	if only.ejectedUntil <= now {
 		t.Error("if it did die, further attempts are lost on it")
 	}
-	judge(now+b.interval, ConnectFailed)
-	if _, cold := b.cold(only); !cold {
+	judge(now+b.healthCheckInterval, ConnectFailed)
+	if _, cold := b.warmupCapacity(only); !cold {
 		t.Error("one that has answered nothing for an interval does not")
 	}
 }
@@ -619,27 +619,27 @@
 	b, h := newBalancer(t, testConfig(), 6)
 	const broken = 3
 	now := second
-	for range 2 * connectionfailure.LeastRun {
+	for range 2 * connectionfailure.MinFailureRun {
 		b.now = now
 		for i, result := range []Result{OK, Error} {
 			class := []int{safe, unsafe}[i]
-			b.judgeKind(&attempt{
-				req: &request{Request: Request{Class: class}}, to: b.byID[broken],
+			b.recordGrayFailure(&attempt{
+				request: &request{Request: Request{Class: class}}, target: b.byID[broken],
 				sent: now - milli, expected: 1,
 			}, result)
 		}
 		now += 10 * milli
 	}
-	b.Timer(now, timerSweep<<56)
+	b.OnTimer(now, timerSweep<<56)
 	met := map[int]int{}
 	for id := range RequestID(200) {
 		class := []int{safe, unsafe}[id%2]
-		b.Request(now, Request{ID: id, Class: class, Deadline: now + 4*second})
+		b.OnRequest(now, Request{ID: id, Class: class, Deadline: now + 4*second})
 		for _, a := range h.take("send") {
 			if a.to == broken {
 				met[class]++
 			}
-			b.Outcome(now, Outcome{ID: a.id, Attempt: a.attempt, Backend: a.to, Result: OK, Final: true})
+			b.OnAttemptEnd(now, Outcome{ID: a.id, Attempt: a.attempt, Backend: a.to, Result: OK, Final: true})
 		}
 		now += milli
 	}
@@ -656,7 +656,7 @@
 	now := 30 * second
 	judge := func(to *target, result Result) {
 		b.now = now
-		b.judge(&attempt{req: &request{}, to: to, sent: now - milli}, result)
+		b.recordPassiveCheck(&attempt{request: &request{}, target: to, sent: now - milli}, result)
 		now += milli
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -667,19 +667,19 @@
 			result = Reset
 		}
 		judge(to, result)
-		if !b.fit(to) {
-			t.Fatalf("a living backend is out: after %d in a row", to.bad)
+		if !b.isHealthy(to) {
+			t.Fatalf("a living backend is out: after %d in a row", to.consecutiveFailures)
 		}
-		if _, cold := b.cold(to); cold {
+		if _, cold := b.warmupCapacity(to); cold {
 			t.Fatal("a living backend counts as newly started")
 		}
 	}
 	dead, n := b.targets[3], 0
-	for b.fit(dead) && n < 2*connectionfailure.LongestRun {
+	for b.isHealthy(dead) && n < 2*connectionfailure.MaxFailureRun {
 		judge(dead, Reset)
 		n++
 	}
-	if n < connectionfailure.LeastRun || n > connectionfailure.LongestRun {
+	if n < connectionfailure.MinFailureRun || n > connectionfailure.MaxFailureRun {
 		t.Errorf("the dead one is out after %d failures", n)
 	}
 	b, _ = newBalancer(t, testConfig(), 6)
@@ -687,11 +687,11 @@
 		judge(b.targets[i%6], OK)
 	}
 	dead, n = b.targets[2], 0
-	for b.fit(dead) && n < connectionfailure.LongestRun {
+	for b.isHealthy(dead) && n < connectionfailure.MaxFailureRun {
 		judge(dead, Reset)
 		n++
 	}
-	if n != connectionfailure.LeastRun {
+	if n != connectionfailure.MinFailureRun {
 		t.Errorf("where breaks are rare, the dead one is out after %d failures", n)
 	}
 }
@@ -703,7 +703,7 @@
 	now := 30 * second
 	var on []RequestID
 	for id := RequestID(1); id <= 12; id++ {
-		b.Request(now, Request{ID: id, Class: unsafe, Deadline: now + 3*second})
+		b.OnRequest(now, Request{ID: id, Class: unsafe, Deadline: now + 3*second})
 		for _, a := range h.take("send") {
 			if a.to == 2 {
 				on = append(on, id)
@@ -711,20 +711,20 @@
 		}
 		now += milli
 	}
-	if len(on) < connectionfailure.LeastRun {
+	if len(on) < connectionfailure.MinFailureRun {
 		t.Fatalf("only %d requests are out there", len(on))
 	}
 	for i, id := range on {
-		b.Outcome(now+time.Duration(i)*100*time.Microsecond, Outcome{ID: id, Backend: 2, Result: Reset})
+		b.OnAttemptEnd(now+time.Duration(i)*100*time.Microsecond, Outcome{ID: id, Backend: 2, Result: Reset})
 	}
-	if to := b.byID[2]; !b.fit(to) || to.broken != 1 {
-		t.Errorf("%d requests on one connection count as %d breaks; fit: %v", len(on), to.broken, b.fit(to))
+	if to := b.byID[2]; !b.isHealthy(to) || to.consecutiveBreaks != 1 {
+		t.Errorf("%d requests on one connection count as %d breaks; fit: %v", len(on), to.consecutiveBreaks, b.isHealthy(to))
 	}
 	for range 3 { // and it did die
 		now += 50 * milli
 		b.now = now
-		b.judge(&attempt{req: &request{}, to: b.byID[2], sent: now - milli}, ConnectFailed)
-		if !b.fit(b.byID[2]) {
+		b.recordPassiveCheck(&attempt{request: &request{}, target: b.byID[2], sent: now - milli}, ConnectFailed)
+		if !b.isHealthy(b.byID[2]) {
 			return
 		}
 	}
--- a/internal/balancer/bench_test.go
+++ b/internal/balancer/bench_test.go
@@ -13,10 +13,10 @@
 }
 
 func (h *nobody) Send(_ RequestID, to BackendID, _, _ time.Duration) { h.to = to }
-func (h *nobody) Refuse(RequestID, time.Duration)                    { h.to = 0 }
+func (h *nobody) Reject(RequestID, time.Duration)                    { h.to = 0 }
 func (h *nobody) Fail(RequestID)                                     { h.to = 0 }
-func (h *nobody) Probe(BackendID)                                    {}
-func (h *nobody) After(time.Duration, uint64)                        {}
+func (h *nobody) CheckHealth(BackendID)                              {}
+func (h *nobody) StartTimer(time.Duration, uint64)                   {}
 
 // BenchmarkRequest is a request's whole life: arrival, choice, send and answer, with a sweep of the
 // timers every hundred. Keyed requests choose by their key.
@@ -25,25 +25,25 @@
 		for _, keyed := range []bool{false, true} {
 			b.Run(fmt.Sprintf("backends=%d/keyed=%v", backends, keyed), func(b *testing.B) {
 				cfg, h := testConfig(), &nobody{}
-				cfg.WarmKeys = keyed
+				cfg.KeyAffinity = keyed
 				m, err := New(cfg, 1, h)
 				if err != nil {
 					b.Fatal(err)
 				}
 				m.Start(second)
-				m.Membership(second, Membership{Kind: ListFull, Version: 1, Backends: list(backends)})
+				m.OnMembership(second, Membership{Kind: ListFull, Version: 1, Backends: list(backends)})
 				b.ReportAllocs()
 				now, answered := second, 0
 				for i := range b.N {
 					now += milli
 					h.to = 0
-					m.Request(now, Request{ID: RequestID(i), Class: i % 4, Key: uint64(i % 100), Deadline: now + 3*second})
+					m.OnRequest(now, Request{ID: RequestID(i), Class: i % 4, Key: uint64(i % 100), Deadline: now + 3*second})
 					if h.to != 0 {
-						m.Outcome(now+100*time.Microsecond, Outcome{ID: RequestID(i), Backend: h.to, Result: OK, Final: true})
+						m.OnAttemptEnd(now+100*time.Microsecond, Outcome{ID: RequestID(i), Backend: h.to, Result: OK, Final: true})
 						answered++
 					}
 					if i%100 == 0 {
-						m.Timer(now, timerSweep<<56)
+						m.OnTimer(now, timerSweep<<56)
 					}
 				}
 				if answered < b.N/2 {
--- a/internal/balancer/budgetshare/shares_test.go
+++ b/internal/balancer/budgetshare/budgetshare_test.go
@@ -24,10 +24,10 @@
 		for _, whole := range []int{0, 1, 5, 17, 400} {
 			names, sum := namesOf(proxies), 0
 			for _, name := range names {
-				s := NewSharers(name, 0)
-				s.Listed(0, names, true)
-				s.Listed(Settle+time.Second, names, true)
-				sum += s.Part(Settle+2*time.Second, "backend-1", whole)
+				s := NewMembership(name, 0)
+				s.Update(0, names, true)
+				s.Update(SettleTime+time.Second, names, true)
+				sum += s.Share(SettleTime+2*time.Second, "backend-1", whole)
 			}
 			is.Equal(sum, whole) // no request more, and none less
 		}
@@ -36,17 +36,17 @@
 
 func TestAPartGrowsLateAndShrinksAtOnce(t *testing.T) {
 	is := is.New(t)
-	s := NewSharers("p000", 0)
+	s := NewMembership("p000", 0)
 	part := func(at time.Duration, names int) int {
-		s.Listed(at, namesOf(names), true)
-		return s.Part(at, "b", 12)
+		s.Update(at, namesOf(names), true)
+		return s.Share(at, "b", 12)
 	}
-	is.Equal(part(0, 2), 0)                              // it has just started
-	is.Equal(part(Settle+time.Second, 2), 6)             // and now it has stood for long enough
-	is.Equal(part(6*time.Second, 3), 4)                  // a third one joins: at once
-	is.Equal(part(7*time.Second, 2), 4)                  // it leaves: not yet
-	is.Equal(part(12*time.Second, 2), 6)                 // but now
-	is.Equal(s.Part(12*time.Second+Lapse+1, "b", 12), 0) // no word: no part
+	is.Equal(part(0, 2), 0)                                           // it has just started
+	is.Equal(part(SettleTime+time.Second, 2), 6)                      // and now it has stood for long enough
+	is.Equal(part(6*time.Second, 3), 4)                               // a third one joins: at once
+	is.Equal(part(7*time.Second, 2), 4)                               // it leaves: not yet
+	is.Equal(part(12*time.Second, 2), 6)                              // but now
+	is.Equal(s.Share(12*time.Second+MembershipTimeout+1, "b", 12), 0) // no word: no part
 }
 
 // Drawn histories of proxies that join, leave, start anew and are cut off: the sums never
@@ -60,9 +60,9 @@
 
 type simulatedProxy struct {
 	name    string
-	sharers *Sharers
-	cold    *Cold
-	repeats *Repeats
+	sharers *Membership
+	cold    *WarmupBudget
+	repeats *RetryBudget
 	up      bool
 	cut     bool
 }
@@ -71,15 +71,15 @@
 
 func playShares(t *testing.T, rng *rand.Rand, seed int) {
 	t.Helper()
-	coldBound := ColdConfig{PerSecond: 8, Excess: 1.5, Slack: 5}
-	repeatBound := RepeatsConfig{Ratio: 0.2, Slack: 52, Window: 10 * time.Second}
+	coldBound := WarmupConfig{PerSecond: 8, Excess: 1.5, Slack: 5}
+	repeatBound := RetryConfig{Ratio: 0.2, Slack: 52, Window: 10 * time.Second}
 	now := time.Duration(0)
 	var proxies []*simulatedProxy
 	start := func(p *simulatedProxy) {
 		p.up, p.cut = true, false
-		p.sharers = NewSharers(p.name, now)
-		p.cold = NewCold(coldBound, p.sharers)
-		p.repeats = NewRepeats(repeatBound, p.sharers, now)
+		p.sharers = NewMembership(p.name, now)
+		p.cold = NewWarmupBudget(coldBound, p.sharers)
+		p.repeats = NewRetryBudget(repeatBound, p.sharers, now)
 	}
 	for _, name := range namesOf(3 + rng.IntN(12)) {
 		p := &simulatedProxy{name: name}
@@ -115,19 +115,19 @@
 			}
 			if !p.cut && rng.IntN(10) == 0 {
 				h := history[max(0, len(history)-1-rng.IntN(int(spread/step)))]
-				p.sharers.Listed(now, h.names, true)
+				p.sharers.Update(now, h.names, true)
 			}
-			p.cold.Set(now, "b", time.Hour)
-			if p.cold.Admits(now, "b") {
-				p.cold.Sent(now, "b")
+			p.cold.SetWarmupEnd(now, "b", time.Hour)
+			if p.cold.Allows(now, "b") {
+				p.cold.RecordSent(now, "b")
 				coldSent = append(coldSent, now)
 			}
 			if rng.IntN(50) == 0 {
-				p.repeats.Came(now)
+				p.repeats.RecordRequest(now)
 				requests = append(requests, now)
 			}
-			if p.repeats.Take(now) {
-				p.repeats.Came(now)
+			if p.repeats.TryAcquire(now) {
+				p.repeats.RecordRequest(now)
 				repeats = append(repeats, now)
 			}
 		}
--- /dev/null
+++ b/internal/balancer/budgetshare/membership.go
@@ -0,0 +1,139 @@
+package budgetshare
+
+import (
+	"cmp"
+	"hash/fnv"
+	"io"
+	"slices"
+	"time"
+)
+
+const (
+	// SettleTime is how long a list must stand before a part that grows by it is used.
+	SettleTime = 4 * time.Second
+	// MembershipTimeout is how long a list holds without word that it is fresh.
+	MembershipTimeout = 3 * time.Second
+)
+
+// Membership is who shares the budgets, as one proxy knows it. Not safe for concurrent use.
+type Membership struct {
+	self        string
+	names       []string // the newest list, sorted
+	previous    []previousMembers
+	updatedAt   time.Duration
+	everUpdated bool
+}
+
+// previousMembers is a list that held until a time.
+type previousMembers struct {
+	names []string
+	until time.Duration
+}
+
+// NewMembership makes the sharers of a proxy that has just started: it has no part until its
+// list has stood for Settle.
+func NewMembership(self string, now time.Duration) *Membership {
+	return &Membership{self: self, previous: []previousMembers{{nil, now}}}
+}
+
+// Update takes in the list of proxies, and whether it is fresh.
+func (s *Membership) Update(now time.Duration, names []string, fresh bool) {
+	if fresh {
+		s.updatedAt, s.everUpdated = now, true
+	}
+	sorted := slices.Clone(names)
+	slices.Sort(sorted)
+	if slices.Equal(sorted, s.names) {
+		return
+	}
+	if len(s.names) > 0 {
+		s.previous = append(s.previous, previousMembers{s.names, now})
+	}
+	s.names = sorted
+}
+
+// Count is how many proxies there are, itself among them.
+func (s *Membership) Count() int { return max(1, len(s.names)) }
+
+// Expired tells whether the list may be too old to act on.
+func (s *Membership) Expired(now time.Duration) bool {
+	return !s.everUpdated || now-s.updatedAt > MembershipTimeout
+}
+
+// minShare gives the smallest part that any list gives which held within Settle.
+func (s *Membership) minShare(now time.Duration, part func(names []string) int) int {
+	if s.Expired(now) {
+		return 0
+	}
+	s.previous = slices.DeleteFunc(s.previous, func(v previousMembers) bool { return now-v.until > SettleTime })
+	smallest := part(s.names)
+	for _, v := range s.previous {
+		smallest = min(smallest, part(v.names))
+	}
+	return smallest
+}
+
+// Share is this proxy's part of a whole number that belongs to a key, such as a backend.
+func (s *Membership) Share(now time.Duration, key string, whole int) int {
+	return s.minShare(now, func(names []string) int { return s.shareAmong(names, key, whole) })
+}
+
+func (s *Membership) shareAmong(names []string, key string, whole int) int {
+	if !slices.Contains(names, s.self) {
+		return 0
+	}
+	each, left := whole/len(names), whole%len(names)
+	if left == 0 {
+		return each
+	}
+	mine := score(key, s.self)
+	ahead := 0
+	for _, name := range names {
+		if other := score(key, name); other > mine || other == mine && name < s.self {
+			ahead++
+		}
+	}
+	if ahead < left {
+		return each + 1
+	}
+	return each
+}
+
+func score(key, name string) uint64 {
+	hash := fnv.New64a()
+	io.WriteString(hash, key)
+	io.WriteString(hash, "|")
+	io.WriteString(hash, name)
+	h := hash.Sum64()
+	h ^= h >> 33
+	h *= 0xff51afd7ed558ccd
+	return h ^ h>>33
+}
+
+// Window counts what happened within a sliding span.
+type Window struct {
+	span time.Duration
+	at   []time.Duration
+}
+
+// NewWindow makes an empty window.
+func NewWindow(span time.Duration) Window { return Window{span: span} }
+
+// Add notes one at a time.
+func (w *Window) Add(now time.Duration) {
+	w.expire(now)
+	w.at = append(w.at, now)
+}
+
+// Count is how many were within the span before now.
+func (w *Window) Count(now time.Duration) int {
+	w.expire(now)
+	return len(w.at)
+}
+
+func (w *Window) expire(now time.Duration) {
+	old, _ := slices.BinarySearchFunc(w.at, now-w.span, func(at, limit time.Duration) int { return cmp.Compare(at, limit+1) })
+	if old > 0 {
+		w.at = slices.Delete(w.at, 0, old)
+	}
+}
--- a/internal/balancer/cold_test.go
+++ b/internal/balancer/cold_test.go
@@ -66,15 +66,15 @@
 func (d coldDay) play(t testing.TB) coldCount {
 	k := coldKinds[d.calls]
 	w := newLoop(t, d.seed, coldMachines, d.proxies, d.load)
-	w.cfg.Obligations.Fall, w.cfg.Obligations.FallMultiple = k.window, coldMultiple
-	w.cfg.Obligations.Cold, w.cfg.Obligations.StartCapacity = k.whole, k.from
+	w.cfg.Obligations.OverloadWindow, w.cfg.Obligations.OverloadMultiple = k.window, coldMultiple
+	w.cfg.Obligations.WarmupDuration, w.cfg.Obligations.InitialCapacity = k.whole, k.from
 	w.rate *= float64(k.cores) / 2 / k.times
 	for i := range w.work {
 		w.work[i] *= k.times
 	}
 	for i := range w.cfg.Classes {
 		c := &w.cfg.Classes[i]
-		for _, at := range []*time.Duration{&c.Aim, &c.GiveUp, &c.Window} {
+		for _, at := range []*time.Duration{&c.LatencyTarget, &c.ClientTimeout, &c.IdempotencyWindow} {
 			*at = time.Duration(float64(*at) * k.times)
 		}
 	}
@@ -125,7 +125,7 @@
 			}
 			for _, p := range w.proxies {
 				// What is sent by who has not been told is nobody's fault: all are told with the start.
-				p.b.Membership(w.now, Membership{Kind: ListDelta, Version: 2, Backends: all})
+				p.b.OnMembership(w.now, Membership{Kind: ListDelta, Version: 2, Backends: all})
 			}
 			if d.fresh {
 				w.takeOver(t, func(_, _ *Balancer) {})
@@ -235,10 +235,10 @@
 	w.listed[0].Started = w.now
 	debts := map[*target]float64{}
 	for _, p := range w.proxies {
-		p.b.Membership(w.now, Membership{Kind: ListDelta, Version: 2, Backends: w.listed[:1]})
+		p.b.OnMembership(w.now, Membership{Kind: ListDelta, Version: 2, Backends: w.listed[:1]})
 		for _, m := range p.b.targets {
 			if m.ID == w.listed[0].ID {
-				debts[m] = m.tokens
+				debts[m] = m.warmupTokens
 			}
 		}
 	}
@@ -248,8 +248,8 @@
 	const after = 50 * milli
 	w.run(w.now + after)
 	for m, debt := range debts {
-		if most := m.coldRate * (after + 20*milli).Seconds(); m.tokens > debt+most {
-			t.Errorf("a debt of %.2f ms is %.2f after %v, and %.2f is paid back a second", debt, m.tokens, after, m.coldRate)
+		if most := m.warmupRate * (after + 20*milli).Seconds(); m.warmupTokens > debt+most {
+			t.Errorf("a debt of %.2f ms is %.2f after %v, and %.2f is paid back a second", debt, m.warmupTokens, after, m.warmupRate)
 		}
 	}
 }
--- a/internal/balancer/concurrencylimit/limit.go
+++ b/internal/balancer/concurrencylimit/limit.go
@@ -14,50 +14,52 @@
 import "math"
 
 const (
-	cut   = 0.9 // a late attempt cuts the limit to this share
-	grow  = 0.5 // one in time adds this, or, where that is more,
-	steps = 40  // such a part of the limit,
-	near  = 0.6 // if so much of the limit was used
-	room  = 1.5 // times what is out that the limit sinks to
-	few   = 4   // sharers of a backend that need not learn faster than one
-	start = 8   // the limit of a backend that is new here, for all its sharers
+	decreaseFactor      = 0.9 // a late attempt cuts the limit to this share
+	increaseStep        = 0.5 // one in time adds this, or, where that is more,
+	increaseDivisor     = 40  // such a part of the limit,
+	minUtilization      = 0.6 // if so much of the limit was used
+	headroom            = 1.5 // times what is out that the limit sinks to
+	sharersAtNormalRate = 4   // sharers of a backend that need not learn faster than one
+	initialLimit        = 8   // the limit of a backend that is new here, for all its sharers
 )
 
-// Start is the limit of a backend of which nothing is known; sharers is how many proxies
+// Initial is the limit of a backend of which nothing is known; sharers is how many proxies
 // use it, 1 or more, as in all that follows.
-func Start(sharers float64) float64 { return start / sharers }
+func Initial(sharers float64) float64 { return initialLimit / sharers }
 
-// most bounds what is believed of a limit that another process had learnt.
-const most = 1 << 16
+// maxLimit bounds what is believed of a limit that another process had learnt.
+const maxLimit = 1 << 16
 
-// Within is a limit that another process had learnt, as far as it can be one.
-func Within(limit, sharers float64) float64 { return min(max(limit, 1/sharers), most) }
+// Clamp is a limit that another process had learnt, as far as it can be one.
+func Clamp(limit, sharers float64) float64 { return min(max(limit, 1/sharers), maxLimit) }
 
-// faster is how much faster one of so many sharers learns.
-func faster(sharers float64) float64 { return min(max(1, sharers/few), few) }
+// learningRate is how much faster one of so many sharers learns.
+func learningRate(sharers float64) float64 {
+	return min(max(1, sharers/sharersAtNormalRate), sharersAtNormalRate)
+}
 
-// Late cuts a limit for an attempt that is late; weight is how far it speaks of the backend,
+// Decrease cuts a limit for an attempt that is late; weight is how far it speaks of the backend,
 // from 0 to 1. The limit itself is cut, not what was out: one that was alone and late says
 // little of a crowd.
-func Late(limit, sharers, weight float64) float64 {
-	return max(1/sharers, limit*math.Pow(cut, faster(sharers)*weight))
+func Decrease(limit, sharers, weight float64) float64 {
+	return max(1/sharers, limit*math.Pow(decreaseFactor, learningRate(sharers)*weight))
 }
 
-// InTime lets a limit grow for an answer that was not late, if so much was out that the
+// Increase lets a limit grow for an answer that was not late, if so much was out that the
 // limit matters. Danger: a limit a little under two lets one out, which uses little over
 // half of it: it would stay.
-func InTime(limit, out, sharers float64) float64 {
-	if out <= min(limit*near, limit-1) {
+func Increase(limit, out, sharers float64) float64 {
+	if out <= min(limit*minUtilization, limit-1) {
 		return limit
 	}
-	k := faster(sharers)
-	return limit + max(k*grow/sharers, k*limit/steps)
+	k := learningRate(sharers)
+	return limit + max(k*increaseStep/sharers, k*limit/increaseDivisor)
 }
 
-// Sink lets a limit sink towards what is needed, by one part in over. Danger: a limit far
+// DecayTowardsUse lets a limit sink towards what is needed, by one part in over. Danger: a limit far
 // above the need lets a burst tip the backend before answers tell.
-func Sink(limit, out, sharers, over float64) float64 {
-	if need := max(Start(sharers), room*out); limit > need {
+func DecayTowardsUse(limit, out, sharers, over float64) float64 {
+	if need := max(Initial(sharers), headroom*out); limit > need {
 		limit += (need - limit) / over
 	}
 	return limit
--- a/internal/balancer/concurrencylimit/limit_test.go
+++ b/internal/balancer/concurrencylimit/limit_test.go
@@ -11,14 +11,14 @@
 func TestLimitsStayWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sharers := rapid.Float64Range(1, 50).Draw(t, "sharers")
-		l := Start(sharers)
+		l := Initial(sharers)
 		for range rapid.IntRange(1, 200).Draw(t, "ends") {
 			before := l
 			if rapid.Bool().Draw(t, "late") {
-				if l = Late(l, sharers, 1); l > before && before >= 1/sharers {
+				if l = Decrease(l, sharers, 1); l > before && before >= 1/sharers {
 					t.Fatalf("a late one raised %v to %v", before, l)
 				}
-			} else if l = InTime(l, rapid.Float64Range(0, 20).Draw(t, "out"), sharers); l < before {
+			} else if l = Increase(l, rapid.Float64Range(0, 20).Draw(t, "out"), sharers); l < before {
 				t.Fatalf("one in time cut %v to %v", before, l)
 			}
 			if l < 1/sharers-1e-12 {
@@ -30,10 +30,10 @@
 
 // A limit just under two lets one out, which is less than near of it; it has to grow all the same.
 func TestOneOutGrowsALimitUnderTwo(t *testing.T) {
-	if got := InTime(1.9, 1, 1); got <= 1.9 {
+	if got := Increase(1.9, 1, 1); got <= 1.9 {
 		t.Errorf("1.9 with one out stays at %v", got)
 	}
-	if got := InTime(6, 2, 1); got != 6 {
+	if got := Increase(6, 2, 1); got != 6 {
 		t.Errorf("6 with two out became %v", got)
 	}
 }
@@ -41,12 +41,12 @@
 func TestALimitSinksToTheNeedAndNoFurther(t *testing.T) {
 	l := 100.0
 	for range 1000 {
-		l = Sink(l, 20, 1, 40)
+		l = DecayTowardsUse(l, 20, 1, 40)
 	}
 	if l < 30 || l > 30.1 {
 		t.Errorf("sank to %v, with 20 out", l)
 	}
-	if got := Sink(5, 20, 1, 40); got != 5 {
+	if got := DecayTowardsUse(5, 20, 1, 40); got != 5 {
 		t.Errorf("a limit under the need became %v", got)
 	}
 }
--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -27,36 +27,36 @@
 	if len(cfg.Classes) < have {
 		return fmt.Errorf("field Classes: %d, and there were %d: each has to keep its place", len(cfg.Classes), have)
 	}
-	if cfg.OnRequest != b.cfg.OnRequest {
-		return fmt.Errorf("field OnRequest: %v can't be changed while the list is followed", b.cfg.OnRequest)
+	if cfg.PollMembership != b.cfg.PollMembership {
+		return fmt.Errorf("field OnRequest: %v can't be changed while the list is followed", b.cfg.PollMembership)
 	}
 	b.now = now
 	more := len(cfg.Classes) - have
-	b.classes, b.tails = append(b.classes, make([]line, more)...), append(b.tails, make([]tail, more)...)
-	b.served, b.ahead = append(b.served, make([]decay.Sum, more)...), append(b.ahead, make([]int, more)...)
+	b.delayModels, b.delayTails = append(b.delayModels, make([]linearFit, more)...), append(b.delayTails, make([]tailQuantile, more)...)
+	b.servedByClass, b.queuedAhead = append(b.servedByClass, make([]decay.Sum, more)...), append(b.queuedAhead, make([]int, more)...)
 	for _, t := range b.targets {
-		t.kinds = append(t.kinds, make([]kind, more)...)
+		t.classHealth = append(t.classHealth, make([]classHealth, more)...)
 	}
-	b.gray.Grow(len(cfg.Classes))
-	b.forecast.Grow(len(cfg.Classes))
+	b.grayFailure.Grow(len(cfg.Classes))
+	b.prediction.Grow(len(cfg.Classes))
 	from := tenantsFrom(b.cfg.Tenants, cfg.Tenants)
-	b.ledger.Reset(goodput.Goal(cfg.Goal), len(cfg.Classes), from)
-	b.quota.Set(cfg.quotas(), from, cfg.Instances, cfg.Obligations.Fall)
-	b.breaks.SetSpan(cfg.Obligations.Cold)
-	b.storm.Set(cfg.storms())
-	b.prices = prediction.Prices{Waste: cfg.Prices.Waste, CrossZone: cfg.Prices.CrossZone}
+	b.goodput.Reset(cfg.Goal.weights(), len(cfg.Classes), from)
+	b.quota.Configure(cfg.quotas(), from, cfg.Instances, cfg.Obligations.OverloadWindow)
+	b.connectionFailures.SetTimeConstant(cfg.Obligations.WarmupDuration)
+	b.retryStorm.Configure(cfg.retryStormConfig())
+	b.costs = cfg.costs()
 	for _, i := range fresh {
-		b.classes[i], b.tails[i], b.served[i] = line{}, tail{}, decay.Sum{}
+		b.delayModels[i], b.delayTails[i], b.servedByClass[i] = linearFit{}, tailQuantile{}, decay.Sum{}
 		for _, t := range b.targets {
-			t.setApart(&t.kinds[i], false)
-			t.kinds[i] = kind{}
+			t.setIsolated(&t.classHealth[i], false)
+			t.classHealth[i] = classHealth{}
 		}
-		b.gray.Forget(i)
-		b.forecast.Forget(i)
+		b.grayFailure.Forget(i)
+		b.prediction.Forget(i)
 	}
 	for i := range cfg.Classes {
 		if gone(i) {
-			b.ledger.Forget(i)
+			b.goodput.ClearClass(i)
 		}
 	}
 	kept := slices.ContainsFunc(b.cfg.Classes, func(c Class) bool {
@@ -64,36 +64,36 @@
 	})
 	b.advice = cfg.advice()
 	if b.cfg = cfg; !kept {
-		b.forgetAll()
+		b.discardLearned()
 	}
 	for _, t := range b.targets {
 		t.order = mix(uint64(cfg.Rank)+1, t.ID)
 	}
-	b.arrange()
+	b.sortTargets()
 	for _, r := range b.requests {
 		r.Tenant = slices.Index(from, r.Tenant) // -1: it has gone
 		r.terms = idempotency.Strictest(r.terms, cfg.Classes[r.Class].terms())
 	}
-	b.pace()
+	b.deriveIntervals()
 	b.dispatch()
 	return nil
 }
 
-// pace sets the times that follow from the settings.
-func (b *Balancer) pace() {
-	b.interval, b.sweepEvery = b.cfg.interval(), b.cfg.sweepEvery()
-	b.memory = max(b.memory, memory*b.interval)
-	b.gray.SetMemory(b.memory)
-	o, aim := b.cfg.Obligations, b.cfg.Classes[0].Aim
+// deriveIntervals sets the times that follow from the settings.
+func (b *Balancer) deriveIntervals() {
+	b.healthCheckInterval, b.sweepEvery = b.cfg.interval(), b.cfg.sweepEvery()
+	b.decayTime = max(b.decayTime, decayIntervals*b.healthCheckInterval)
+	b.grayFailure.SetTimeConstant(b.decayTime)
+	o, aim := b.cfg.Obligations, b.cfg.Classes[0].LatencyTarget
 	for _, c := range b.cfg.Classes {
-		aim = min(aim, c.Aim)
+		aim = min(aim, c.LatencyTarget)
 	}
-	b.slow.Set(slowstart.Config{Multiple: o.FallMultiple, Fall: o.Fall, Aim: aim, Part: coldPart})
+	b.slowStart.Configure(slowstart.Config{OverloadMultiple: o.OverloadMultiple, OverloadWindow: o.OverloadWindow, LatencyTarget: aim, SafetyFactor: warmupSafetyFactor})
 }
 
 // interval is the time between two probes of a backend in doubt.
 func (c *Config) interval() time.Duration {
-	return max(suspectProbe*c.Caps.ConnectTimeout, 20*c.Tick, 100*time.Millisecond)
+	return max(suspectCheckTimeouts*c.Caps.ConnectTimeout, 20*c.Tick, 100*time.Millisecond)
 }
 
 // sweepEvery is the time between two looks at what time alone brings about.
@@ -101,7 +101,7 @@
 	if c.Caps.SweepEvery > 0 {
 		return c.Caps.SweepEvery
 	}
-	return c.interval() / sweeps
+	return c.interval() / sweepsPerInterval
 }
 
 // advice is the one that is set, or one that knows nothing.
@@ -121,10 +121,10 @@
 		return fmt.Errorf("field Classes: none given")
 	}
 	for i, s := range c.Classes {
-		if s.Aim <= 0 || s.GiveUp <= 0 {
-			return fmt.Errorf("field Classes[%d] (%s): Aim %v and GiveUp %v must be above 0", i, s.Name, s.Aim, s.GiveUp)
+		if s.LatencyTarget <= 0 || s.ClientTimeout <= 0 {
+			return fmt.Errorf("field Classes[%d] (%s): Aim %v and GiveUp %v must be above 0", i, s.Name, s.LatencyTarget, s.ClientTimeout)
 		}
-		if s.Window < 0 || s.Value < 0 || s.AimStretch < 0 || s.LateShare < 0 {
+		if s.IdempotencyWindow < 0 || s.Value < 0 || s.LatencyTargetStretch < 0 || s.LateValueRatio < 0 {
 			return fmt.Errorf("field Classes[%d]: Window, Value, AimStretch or LateShare is negative", i)
 		}
 	}
@@ -140,14 +140,14 @@
 	}{
 		{"Tick", c.Tick < 0},
 		{"Rank", c.Rank < 0},
-		{"OverShareWorth", c.OverShareWorth < 0},
+		{"OverShareWorth", c.OverQuotaValue < 0},
 		{"Obligations.AnswerSlack", o.AnswerSlack < 0},
-		{"Obligations.AskEvery", o.AskEvery < 0},
-		{"Obligations.Cold", o.Cold < 0},
+		{"Obligations.AskEvery", o.MaxMembershipAge < 0},
+		{"Obligations.Cold", o.WarmupDuration < 0},
 		{"Obligations.DrainGrace", o.DrainGrace < 0},
-		{"Obligations.Fall", o.Fall < 0},
-		{"Obligations.FallMultiple", o.FallMultiple < 0},
-		{"Obligations.StartCapacity", o.StartCapacity < 0},
+		{"Obligations.Fall", o.OverloadWindow < 0},
+		{"Obligations.FallMultiple", o.OverloadMultiple < 0},
+		{"Obligations.StartCapacity", o.InitialCapacity < 0},
 		{"Caps.ConnIdle", k.ConnIdle < 0},
 		{"Caps.ConnectTimeout", k.ConnectTimeout < 0},
 		{"Caps.SweepEvery", k.SweepEvery < 0},
@@ -164,13 +164,13 @@
 	return nil
 }
 
-// storms is what the model of storms is told.
-func (c *Config) storms() retrystorm.Config {
+// retryStormConfig is what the model of storms is told.
+func (c *Config) retryStormConfig() retrystorm.Config {
 	longest := time.Duration(0)
 	for _, s := range c.Classes {
-		longest = max(longest, s.GiveUp)
+		longest = max(longest, s.ClientTimeout)
 	}
-	return retrystorm.Config{Patience: longest, Tells: c.Caps.RetryAfter, Usual: c.interval(), Longest: c.Caps.MaxRetryAfter}
+	return retrystorm.Config{ClientTimeout: longest, SendsRetryAfter: c.Caps.RetryAfter, CalmRetryAfter: c.interval(), MaxRetryAfter: c.Caps.MaxRetryAfter}
 }
 
 // quotas are the tenants' requests a second, over all proxies.
@@ -184,7 +184,7 @@
 
 // terms are what a class allows of repeats.
 func (c *Class) terms() idempotency.Terms {
-	t := idempotency.Terms{Window: c.Window}
+	t := idempotency.Terms{Window: c.IdempotencyWindow}
 	switch {
 	case c.Effect == Unsafe:
 		return idempotency.Terms{}
@@ -217,16 +217,29 @@
 	return from
 }
 
-// forgetAll drops what was learnt, and keeps what rules rest on: who drains, who is healthy, who started when and
-// what is left of its budget. Danger: where none of the classes is one that there was, as where another customer's
-// settings come, what any backend took for the old ones says nothing, and would judge the new ones for long.
-func (b *Balancer) forgetAll() {
-	b.over, b.known = 0, average{} // the next request is the mean of all
-	b.ledger.ForgetAll()
+// discardLearned drops what was learnt, and keeps what rules rest on: who drains, who is healthy, who
+// started when and what is left of its budget. Danger: where none of the classes is one that there was, as
+// where another customer's settings come, what any backend took for the old ones says nothing, and would
+// judge the new ones for long.
+func (b *Balancer) discardLearned() {
+	b.meanWindow, b.knownDelay = 0, average{} // the next request is the mean of all
+	b.goodput.Clear()
 	for _, t := range b.targets {
-		t.delays, t.answers, t.served, t.tail, t.limit = decay.Sum{}, decay.Sum{}, decay.Sum{}, tail{}, 0
+		t.delays, t.answers, t.servedWork, t.tail, t.concurrencyLimit = decay.Sum{}, decay.Sum{}, decay.Sum{}, tailQuantile{}, 0
 	}
 }
 
 // place is where a backend drops repeats.
-func place(t *target) idempotency.Place { return idempotency.Place{Zone: t.Zone, Cell: t.Cell} }
+func locationOf(t *target) idempotency.Location {
+	return idempotency.Location{Zone: t.Zone, Cell: t.Cell}
+}
+
+// weights gives the goal to the model of goodput.
+func (g Goal) weights() goodput.Goal {
+	return goodput.Goal{Total: g.Whole, WorstClass: g.WorstClass, WorstTenant: g.WorstTenant, WorstWindow: g.WorstWindow}
+}
+
+// costs gives the prices of sending to the model of predictions.
+func (c *Config) costs() prediction.Costs {
+	return prediction.Costs{Waste: c.Prices.Waste, CrossZone: c.Prices.CrossZone}
+}
--- a/internal/balancer/connectionfailure/breaks_test.go
+++ b/internal/balancer/connectionfailure/model_test.go
@@ -9,20 +9,20 @@
 
 func TestRunsWantMoreWhereBreaksAreUsual(t *testing.T) {
 	m := New(20 * second)
-	if n := m.DeathRun(second); n != LeastRun {
+	if n := m.FailureThreshold(second); n != MinFailureRun {
 		t.Errorf("with nothing learnt, %d in a row are a death", n)
 	}
 	for i := range 100 { // one break in three attempts
-		m.Answered(i%2, second+time.Duration(i)*10*time.Millisecond)
+		m.RecordAnswer(i%2, second+time.Duration(i)*10*time.Millisecond)
 	}
-	usual := m.DeathRun(2 * second)
-	if usual <= 2*LeastRun || usual > LongestRun {
+	usual := m.FailureThreshold(2 * second)
+	if usual <= 2*MinFailureRun || usual > MaxFailureRun {
 		t.Errorf("where one in three breaks, %d in a row are a death", usual)
 	}
-	if !m.MayLive(3, 2*second) || m.MayLive(60, 2*second) {
+	if !m.MayBeAlive(3, 2*second) || m.MayBeAlive(60, 2*second) {
 		t.Error("three in a row are a death, or sixty are none")
 	}
-	if n := m.DeathRun(200 * second); n >= usual {
+	if n := m.FailureThreshold(200 * second); n >= usual {
 		t.Errorf("ten spans later it is still %d", n)
 	}
 }
--- a/internal/balancer/connections/conns.go
+++ b/internal/balancer/connections/model.go
@@ -28,24 +28,24 @@
 type Config struct {
 	// PriorNew and PriorKept are the hazards assumed of new and of kept connections.
 	// Raising PriorKept above PriorNew makes a model that knows nothing dial.
-	PriorNew, PriorKept float64
+	PriorNew, PriorReused float64
 	// Weight is how many uses the prior counts for at each level. Lower learns sooner
 	// and is fooled sooner.
 	Weight float64
-	// Memory is the time in which evidence fades to 1/e.
-	Memory time.Duration
-	// Handshake is what a new connection costs, in worth: its price, and the work that
+	// TimeConstant is the time in which evidence fades to 1/e.
+	TimeConstant time.Duration
+	// HandshakeCost is what a new connection costs, in worth: its price, and the work that
 	// it takes from other requests.
-	Handshake float64
-	// MostBackends bounds what is kept; past it, the one heard of the longest ago goes.
-	MostBackends int
+	HandshakeCost float64
+	// MaxBackends bounds what is kept; past it, the one heard of the longest ago goes.
+	MaxBackends int
 }
 
 // DefaultConfig fits requests whose mean worth is given.
 func DefaultConfig(meanWorth, handshakePrice float64) Config {
 	return Config{
-		PriorNew: 0.004, PriorKept: 0.002, Weight: 8, Memory: 30 * time.Second,
-		Handshake: (handshakePrice + handshakeWork) * meanWorth, MostBackends: 4096,
+		PriorNew: 0.004, PriorReused: 0.002, Weight: 8, TimeConstant: 30 * time.Second,
+		HandshakeCost: (handshakePrice + handshakeWork) * meanWorth, MaxBackends: 4096,
 	}
 }
 
@@ -54,34 +54,34 @@
 // much as they do while nodes are busy.
 const handshakeWork = 0.05
 
-// SetHandshake says what a new connection costs from now on, in worth.
-func (m *Model) SetHandshake(worth float64) { m.cfg.Handshake = worth }
+// SetHandshakeCost says what a new connection costs from now on, in worth.
+func (m *Model) SetHandshakeCost(worth float64) { m.cfg.HandshakeCost = worth }
 
-// Effect is what a break does to a request.
-type Effect uint8
+// BreakEffect is what a break does to a request.
+type BreakEffect uint8
 
 // The effects.
 const (
-	Lost    Effect = iota // it may have run, and must not run twice: it fails
-	Delayed               // it may be sent again, as time and budgets allow
+	Lost    BreakEffect = iota // it may have run, and must not run twice: it fails
+	Delayed                    // it may be sent again, as time and budgets allow
 )
 
 // delayedLoss is the part of its worth that a request loses, in the mean, by a break
 // that lets it be sent again.
 const delayedLoss = 0.35
 
-// Stake is what a request has to lose.
-type Stake struct {
-	Worth  float64
-	Effect Effect
-	Large  bool
+// Request is what a request has to lose.
+type Request struct {
+	Utility float64
+	Effect  BreakEffect
+	Large   bool
 }
 
-func (s Stake) loss() float64 {
+func (s Request) loss() float64 {
 	if s.Effect == Delayed {
-		return s.Worth * delayedLoss
+		return s.Utility * delayedLoss
 	}
-	return s.Worth
+	return s.Utility
 }
 
 // Use is one use of a connection.
@@ -100,13 +100,13 @@
 }
 
 const (
-	ms    = time.Millisecond
-	kept  = len(edges) + 1 // cells of kept connections
-	cells = 2 * (kept + 1) // and one of new ones; for small requests and for large ones
+	ms          = time.Millisecond
+	reusedCells = len(edges) + 1        // cells of kept connections
+	cells       = 2 * (reusedCells + 1) // and one of new ones; for small requests and for large ones
 )
 
 func cell(u Use) int {
-	i := kept // new
+	i := reusedCells // new
 	if !u.New {
 		i = 0
 		for i < len(edges) && u.Idle >= edges[i] {
@@ -114,33 +114,33 @@
 		}
 	}
 	if u.Large {
-		i += kept + 1
+		i += reusedCells + 1
 	}
 	return i
 }
 
 // tally is evidence of one cell: uses and breaks, faded.
-type tally struct{ uses, breaks float64 }
+type tally struct{ uses, broken float64 }
 
 // level is the evidence of one scope, and the hazards that follow from it.
 type level struct {
-	at       time.Duration
-	cells    [cells]tally
-	early    tally // of all uses: breaks that came soon after the first bytes
-	hazards  [cells]float64
-	workedAt time.Duration
-	good     bool // hazards are those of the evidence, but for what has faded since
+	at         time.Duration
+	cells      [cells]tally
+	early      tally // of all uses: breaks that came soon after the first bytes
+	hazards    [cells]float64
+	computedAt time.Duration
+	current    bool // hazards are those of the evidence, but for what has faded since
 }
 
-func (l *level) fade(now, memory time.Duration) {
+func (l *level) decay(now, memory time.Duration) {
 	if now > l.at {
 		f := math.Exp(-float64(now-l.at) / float64(memory))
 		for i := range l.cells {
 			l.cells[i].uses *= f
-			l.cells[i].breaks *= f
+			l.cells[i].broken *= f
 		}
 		l.early.uses *= f
-		l.early.breaks *= f
+		l.early.broken *= f
 		l.at = now
 	}
 }
@@ -151,31 +151,31 @@
 	all      level
 	zones    map[int]*level
 	backends map[uint32]*level
-	hold     time.Duration
+	holdback time.Duration
 }
 
 // New makes a model that has learnt nothing.
 func New(cfg Config) *Model {
-	return &Model{cfg: cfg, zones: map[int]*level{}, backends: map[uint32]*level{}, hold: firstHold}
+	return &Model{cfg: cfg, zones: map[int]*level{}, backends: map[uint32]*level{}, holdback: initialHoldback}
 }
 
-// End is how a use of a connection ended.
-type End struct {
-	Broke bool          // after the request's first bytes were written, and before an answer
-	After time.Duration // since those bytes, where it broke
-	Whole bool          // the last byte had been written: it may have run
+// Outcome is how a use of a connection ended.
+type Outcome struct {
+	Broken   bool          // after the request's first bytes were written, and before an answer
+	After    time.Duration // since those bytes, where it broke
+	Complete bool          // the last byte had been written: it may have run
 }
 
-// Observe takes the end of a use.
-func (m *Model) Observe(now time.Duration, backend uint32, zone int, u Use, end End) {
-	broke, early := end.Broke, end.Broke && end.After < longestHold
+// RecordOutcome takes the end of a use.
+func (m *Model) RecordOutcome(now time.Duration, backend uint32, zone int, u Use, end Outcome) {
+	broke, early := end.Broken, end.Broken && end.After < maxHoldback
 	if early {
 		// The hold follows a high quantile of when early breaks come: one that came after
 		// it lengthens it by much, one within it shortens it by little.
-		if end.Whole && end.After > m.hold {
-			m.hold = min(time.Duration(float64(m.hold)*holdRise), longestHold)
+		if end.Complete && end.After > m.holdback {
+			m.holdback = min(time.Duration(float64(m.holdback)*holdbackIncrease), maxHoldback)
 		} else {
-			m.hold = max(time.Duration(float64(m.hold)*holdFall), leastHold)
+			m.holdback = max(time.Duration(float64(m.holdback)*holdbackDecrease), minHoldback)
 		}
 	}
 	i, b := cell(u), 0.0
@@ -189,24 +189,24 @@
 	}
 	o := m.backends[backend]
 	if o == nil {
-		m.makeRoom()
+		m.evictOldest()
 		o = &level{at: now}
 		m.backends[backend] = o
 	}
 	for _, l := range []*level{&m.all, z, o} {
-		l.fade(now, m.cfg.Memory)
+		l.decay(now, m.cfg.TimeConstant)
 		l.cells[i].uses++
-		l.cells[i].breaks += b
-		l.good = l.good && !broke
+		l.cells[i].broken += b
+		l.current = l.current && !broke
 		l.early.uses++
 		if early {
-			l.early.breaks++
+			l.early.broken++
 		}
 	}
 }
 
-func (m *Model) makeRoom() {
-	if len(m.backends) < m.cfg.MostBackends {
+func (m *Model) evictOldest() {
+	if len(m.backends) < m.cfg.MaxBackends {
 		return
 	}
 	oldest, found := uint32(0), false
@@ -224,32 +224,32 @@
 // Backends is how many are known.
 func (m *Model) Backends() int { return len(m.backends) }
 
-// workAgain is how old worked-out hazards may grow, while no break has come.
-const workAgain = time.Second / 4
+// refreshInterval is how old worked-out hazards may grow, while no break has come.
+const refreshInterval = time.Second / 4
 
-// work brings a level's hazards up to its evidence. Those of the wider level are the
+// refreshHazards brings a level's hazards up to its evidence. Those of the wider level are the
 // means of its priors; nil is the widest.
-func (m *Model) work(now time.Duration, l, wider *level) {
-	if l.good && now-l.workedAt < workAgain && (wider == nil || wider.workedAt <= l.workedAt) {
+func (m *Model) refreshHazards(now time.Duration, l, wider *level) {
+	if l.current && now-l.computedAt < refreshInterval && (wider == nil || wider.computedAt <= l.computedAt) {
 		return
 	}
-	l.fade(now, m.cfg.Memory)
+	l.decay(now, m.cfg.TimeConstant)
 	w := m.cfg.Weight
-	for from := 0; from < cells; from += kept + 1 {
+	for from := 0; from < cells; from += reusedCells + 1 {
 		// Pool adjacent violators: blocks of cells with one hazard each, rising.
 		type block struct {
 			hazard, weight float64
 			n              int
 		}
-		var blocks [kept]block
+		var blocks [reusedCells]block
 		n := 0
-		prior := m.cfg.PriorKept
-		for i := from; i < from+kept; i++ {
+		prior := m.cfg.PriorReused
+		for i := from; i < from+reusedCells; i++ {
 			if wider != nil {
 				prior = wider.hazards[i]
 			}
 			t := l.cells[i]
-			k := block{(t.breaks + prior*w) / (t.uses + w), t.uses + w, 1}
+			k := block{(t.broken + prior*w) / (t.uses + w), t.uses + w, 1}
 			prior = k.hazard // of the widest: older ones break as often at least, nothing else being known
 			for ; n > 0 && blocks[n-1].hazard > k.hazard; n-- {
 				a := blocks[n-1]
@@ -268,24 +268,24 @@
 		}
 		prior = m.cfg.PriorNew
 		if wider != nil {
-			prior = wider.hazards[from+kept]
+			prior = wider.hazards[from+reusedCells]
 		}
-		t := l.cells[from+kept]
-		l.hazards[from+kept] = (t.breaks + prior*w) / (t.uses + w)
+		t := l.cells[from+reusedCells]
+		l.hazards[from+reusedCells] = (t.broken + prior*w) / (t.uses + w)
 	}
-	l.workedAt, l.good = now, true
+	l.computedAt, l.current = now, true
 }
 
 // hazards are those of a backend; a level that has seen nothing has the wider one's.
 func (m *Model) hazards(now time.Duration, backend uint32, zone int) *[cells]float64 {
-	m.work(now, &m.all, nil)
+	m.refreshHazards(now, &m.all, nil)
 	widest := &m.all
 	if z := m.zones[zone]; z != nil {
-		m.work(now, z, widest)
+		m.refreshHazards(now, z, widest)
 		widest = z
 	}
 	if o := m.backends[backend]; o != nil {
-		m.work(now, o, widest)
+		m.refreshHazards(now, o, widest)
 		widest = o
 	}
 	return &widest.hazards
@@ -298,46 +298,46 @@
 
 // The hold: how long the last byte of a request is kept back.
 const (
-	firstHold   = 1 * time.Millisecond
-	leastHold   = 300 * time.Microsecond
-	longestHold = 2 * time.Millisecond
-	holdRise    = 1.2
-	holdFall    = 0.98 // so nine early breaks in ten fall into it
-	holdFrom    = 0.005
+	initialHoldback   = 1 * time.Millisecond
+	minHoldback       = 300 * time.Microsecond
+	maxHoldback       = 2 * time.Millisecond
+	holdbackIncrease  = 1.2
+	holdbackDecrease  = 0.98 // so nine early breaks in ten fall into it
+	holdbackThreshold = 0.005
 )
 
-// Hold is how long the last byte of a request should be kept back after the others were
+// Holdback is how long the last byte of a request should be kept back after the others were
 // written. A backend begins a request when its last byte has come, so what breaks until
 // then proves that nothing ran. Where hardly any connection breaks so early it is 0: one
 // write, and no wait.
-func (m *Model) Hold(now time.Duration, backend uint32, zone int) time.Duration {
-	h, w := m.cfg.PriorKept, m.cfg.Weight
+func (m *Model) Holdback(now time.Duration, backend uint32, zone int) time.Duration {
+	h, w := m.cfg.PriorReused, m.cfg.Weight
 	for _, l := range [3]*level{&m.all, m.zones[zone], m.backends[backend]} {
 		if l != nil {
-			l.fade(now, m.cfg.Memory)
-			h = (l.early.breaks + h*w) / (l.early.uses + w)
+			l.decay(now, m.cfg.TimeConstant)
+			h = (l.early.broken + h*w) / (l.early.uses + w)
 		}
 	}
-	if h < holdFrom {
+	if h < holdbackThreshold {
 		return 0
 	}
-	return m.hold
+	return m.holdback
 }
 
 // Dial is Choose's answer for a new connection.
 const Dial = -1
 
-// alike is by how little hazards differ that are taken for one.
-const alike = 0.004
+// equalHazard is by how little hazards differ that are taken for one.
+const equalHazard = 0.004
 
-// spread is by how much the hazards of kept connections must differ for it to matter
+// significantSpread is by how much the hazards of kept connections must differ for it to matter
 // which one a request has; less is noise, and the latest used is taken.
-const spread = 0.01
+const significantSpread = 0.01
 
 // Choose gives the index of the kept connection that a request should have, or Dial.
 // idle are the times that they have stood idle; the latest used comes last. Where
 // mayDial is not set, one of them is given if there is any.
-func (m *Model) Choose(now time.Duration, backend uint32, zone int, s Stake, idle []time.Duration, mayDial bool) int {
+func (m *Model) Choose(now time.Duration, backend uint32, zone int, s Request, idle []time.Duration, mayDial bool) int {
 	if len(idle) == 0 {
 		return Dial
 	}
@@ -345,7 +345,7 @@
 	of := func(i int) float64 { return hazards[cell(Use{Idle: idle[i], Large: s.Large})] }
 	dial := math.Inf(1)
 	if mayDial {
-		dial = hazards[cell(Use{New: true, Large: s.Large})]*s.loss() + m.cfg.Handshake
+		dial = hazards[cell(Use{New: true, Large: s.Large})]*s.loss() + m.cfg.HandshakeCost
 	}
 	lowest, most := math.Inf(1), -1
 	for i := range idle {
@@ -359,24 +359,24 @@
 		return Dial
 	}
 	least := len(idle) - 1 // of those that are alike the latest used
-	for of(least) > lowest+alike {
+	for of(least) > lowest+equalHazard {
 		least--
 	}
 	// One that can be sent again takes the worst that is still better than a new one, and
 	// so leaves the best for who needs it and tests the rest. While all are alike, the
 	// latest used is taken: the others grow old and leave.
-	if s.Effect == Delayed && most >= 0 && of(most)-lowest > spread {
+	if s.Effect == Delayed && most >= 0 && of(most)-lowest > significantSpread {
 		return most
 	}
 	return least
 }
 
-// Retire tells whether a connection that has stood idle for so long should be closed
+// ShouldClose tells whether a connection that has stood idle for so long should be closed
 // before anyone has it: even a request that can be sent again would rather dial.
-func (m *Model) Retire(now time.Duration, backend uint32, zone int, idle time.Duration, worth float64) bool {
-	s := Stake{Worth: worth, Effect: Delayed}
+func (m *Model) ShouldClose(now time.Duration, backend uint32, zone int, idle time.Duration, worth float64) bool {
+	s := Request{Utility: worth, Effect: Delayed}
 	return m.Hazard(now, backend, zone, Use{Idle: idle})*s.loss() >
-		m.Hazard(now, backend, zone, Use{New: true})*s.loss()+m.cfg.Handshake
+		m.Hazard(now, backend, zone, Use{New: true})*s.loss()+m.cfg.HandshakeCost
 }
 
 // State is what was learnt of all connections together, for another process to go on with.
@@ -385,18 +385,18 @@
 	//lint:ignore U1000 the codec reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	Uses, Breaks           [cells]float64
-	EarlyUses, EarlyBreaks float64
-	Hold                   time.Duration
+	Uses, Broken           [cells]float64
+	EarlyUses, EarlyBroken float64
+	Holdback               time.Duration
 }
 
 // State gives it.
 func (m *Model) State(now time.Duration) State {
 	l := &m.all
-	l.fade(now, m.cfg.Memory)
-	s := State{EarlyUses: l.early.uses, EarlyBreaks: l.early.breaks, Hold: m.hold}
+	l.decay(now, m.cfg.TimeConstant)
+	s := State{EarlyUses: l.early.uses, EarlyBroken: l.early.broken, Holdback: m.holdback}
 	for i, t := range l.cells {
-		s.Uses[i], s.Breaks[i] = t.uses, t.breaks
+		s.Uses[i], s.Broken[i] = t.uses, t.broken
 	}
 	return s
 }
@@ -404,13 +404,13 @@
 // Resume goes on with what another process had learnt, away ago, if it had seen more.
 func (m *Model) Resume(s State, away, now time.Duration) {
 	l := &m.all
-	l.fade(now, m.cfg.Memory)
+	l.decay(now, m.cfg.TimeConstant)
 	if l.early.uses >= s.EarlyUses {
 		return
 	}
-	*l = level{at: now - away, early: tally{s.EarlyUses, min(s.EarlyBreaks, s.EarlyUses)}}
+	*l = level{at: now - away, early: tally{s.EarlyUses, min(s.EarlyBroken, s.EarlyUses)}}
 	for i := range l.cells {
-		l.cells[i] = tally{s.Uses[i], min(s.Breaks[i], s.Uses[i])}
+		l.cells[i] = tally{s.Uses[i], min(s.Broken[i], s.Uses[i])}
 	}
-	m.hold = min(max(s.Hold, leastHold), longestHold)
+	m.holdback = min(max(s.Holdback, minHoldback), maxHoldback)
 }
--- a/internal/balancer/connections/conns_test.go
+++ b/internal/balancer/connections/model_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-var unsafe = Stake{Worth: 8, Effect: Lost}
+var unsafe = Request{Utility: 8, Effect: Lost}
 
 func model() *Model { return New(DefaultConfig(2.9, 0.03)) }
 
@@ -17,7 +17,7 @@
 func teach(m *Model, now *time.Duration, backend uint32, zone int, u Use, n, breaks int) {
 	for i := range n {
 		*now += ms
-		m.Observe(*now, backend, zone, u, End{Broke: i*breaks/n != (i+1)*breaks/n, After: time.Second, Whole: true})
+		m.RecordOutcome(*now, backend, zone, u, Outcome{Broken: i*breaks/n != (i+1)*breaks/n, After: time.Second, Complete: true})
 	}
 }
 
@@ -27,14 +27,14 @@
 	for _, idle := range []time.Duration{0, 20 * ms, 200 * ms, 2 * time.Second, 20 * time.Second} {
 		teach(m, &now, 1, 0, Use{Idle: idle}, 40, 0)
 	}
-	for _, s := range []Stake{unsafe, {Worth: 1, Effect: Delayed}, {Worth: 2, Effect: Delayed, Large: true}} {
+	for _, s := range []Request{unsafe, {Utility: 1, Effect: Delayed}, {Utility: 2, Effect: Delayed, Large: true}} {
 		for _, b := range []uint32{1, 2} {
 			if got := m.Choose(now, b, 0, s, []time.Duration{20 * time.Second, time.Second, 5 * ms}, true); got != 2 {
 				t.Errorf("%+v at backend %d: %d", s, b, got)
 			}
 		}
 	}
-	if m.Retire(now, 1, 0, 30*time.Second, 1) {
+	if m.ShouldClose(now, 1, 0, 30*time.Second, 1) {
 		t.Error("a good connection is retired")
 	}
 	if got := m.Choose(now, 1, 0, unsafe, nil, true); got != Dial {
@@ -59,7 +59,7 @@
 	if got := m.Choose(now, 1, 0, unsafe, idle[:2], false); got == Dial {
 		t.Error("a bid that may not dial got none")
 	}
-	if got := m.Choose(now, 1, 0, Stake{Worth: 1, Effect: Delayed}, idle, true); got == 2 {
+	if got := m.Choose(now, 1, 0, Request{Utility: 1, Effect: Delayed}, idle, true); got == 2 {
 		t.Error("a listing took the one that a bid needs")
 	}
 	// Another backend of which nothing is known is judged by what all have in common.
@@ -117,9 +117,9 @@
 		t.Errorf("long after it went: %v", h)
 	}
 	for i := range uint32(5000) {
-		m.Observe(now, i, 0, u, End{})
+		m.RecordOutcome(now, i, 0, u, Outcome{})
 	}
-	if m.Backends() > m.cfg.MostBackends {
+	if m.Backends() > m.cfg.MaxBackends {
 		t.Errorf("%d backends are kept", m.Backends())
 	}
 	m.Forget(4999)
@@ -167,16 +167,16 @@
 		return 0
 	}
 	m, now := model(), time.Duration(0)
-	cost := func(s Stake, idle []time.Duration, choice int) float64 {
+	cost := func(s Request, idle []time.Duration, choice int) float64 {
 		if choice == Dial {
-			return truth(Use{New: true})*s.loss() + m.cfg.Handshake
+			return truth(Use{New: true})*s.loss() + m.cfg.HandshakeCost
 		}
 		return truth(Use{Idle: idle[choice]}) * s.loss()
 	}
 	const warm, measured = 200, 2000
 	for i := range warm + measured {
 		now += 10 * ms
-		s := Stake{Worth: 1, Effect: Delayed}
+		s := Request{Utility: 1, Effect: Delayed}
 		if rng.IntN(4) == 0 {
 			s = unsafe
 		}
@@ -190,7 +190,7 @@
 		if choice != Dial {
 			u = Use{Idle: idle[choice]}
 		}
-		m.Observe(now, 1, 0, u, End{Broke: rng.Float64() < truth(u), After: time.Second, Whole: true})
+		m.RecordOutcome(now, 1, 0, u, Outcome{Broken: rng.Float64() < truth(u), After: time.Second, Complete: true})
 		if i < warm || s.Effect != Lost || len(idle) == 0 {
 			continue // safe ones test on purpose; with no choice there is none
 		}
@@ -210,36 +210,36 @@
 	m, now := model(), time.Duration(0)
 	for range 500 {
 		now += ms
-		m.Observe(now, 1, 0, Use{Idle: 10 * ms}, End{})
+		m.RecordOutcome(now, 1, 0, Use{Idle: 10 * ms}, Outcome{})
 	}
-	if h := m.Hold(now, 1, 0); h != 0 {
+	if h := m.Holdback(now, 1, 0); h != 0 {
 		t.Errorf("on a calm day: %v", h)
 	}
 	rng := rand.New(rand.NewPCG(3, 4))
 	within, breaks := 0, 0
 	for i := range 4000 {
 		now += ms
-		end := End{}
+		end := Outcome{}
 		if rng.IntN(20) == 0 {
-			end = End{Broke: true, After: time.Duration(rng.IntN(1500)) * time.Microsecond}
-			end.Whole = end.After > m.Hold(now, 1, 0)
+			end = Outcome{Broken: true, After: time.Duration(rng.IntN(1500)) * time.Microsecond}
+			end.Complete = end.After > m.Holdback(now, 1, 0)
 			if i > 2000 {
 				breaks++
-				if !end.Whole {
+				if !end.Complete {
 					within++
 				}
 			}
 		}
-		m.Observe(now, 1, 0, Use{Idle: 10 * ms}, end)
+		m.RecordOutcome(now, 1, 0, Use{Idle: 10 * ms}, end)
 	}
 	if share := float64(within) / float64(breaks); share < 0.8 {
-		t.Errorf("%.2f of the early breaks came while the last byte was kept back, for %v", share, m.Hold(now, 1, 0))
+		t.Errorf("%.2f of the early breaks came while the last byte was kept back, for %v", share, m.Holdback(now, 1, 0))
 	}
-	if h := m.Hold(now, 1, 0); h < ms || h > longestHold {
+	if h := m.Holdback(now, 1, 0); h < ms || h > maxHoldback {
 		t.Errorf("breaks come within 1.5 ms, and it is kept back for %v", h)
 	}
 	now += 5 * time.Minute
-	if h := m.Hold(now, 1, 0); h != 0 {
+	if h := m.Holdback(now, 1, 0); h != 0 {
 		t.Errorf("long after: %v", h)
 	}
 }
@@ -254,6 +254,6 @@
 	for b.Loop() {
 		now += 100 * time.Microsecond
 		m.Choose(now, 3, 0, unsafe, idle, true)
-		m.Observe(now, 3, 0, Use{Idle: ms}, End{})
+		m.RecordOutcome(now, 3, 0, Use{Idle: ms}, Outcome{})
 	}
 }
--- a/internal/balancer/decay/fade.go
+++ b/internal/balancer/decay/sum.go
@@ -15,8 +15,8 @@
 	at  time.Duration
 }
 
-// Fade brings the sum to the time now, and gives it.
-func (f *Sum) Fade(now, span time.Duration) float64 {
+// Value brings the sum to the time now, and gives it.
+func (f *Sum) Value(now, span time.Duration) float64 {
 	if now > f.at {
 		if span > 0 && f.sum != 0 {
 			f.sum *= math.Exp(-float64(now-f.at) / float64(span))
@@ -27,20 +27,20 @@
 }
 
 // Add adds v, after bringing the sum to the time now.
-func (f *Sum) Add(v float64, now, span time.Duration) { f.sum = f.Fade(now, span) + v }
+func (f *Sum) Add(v float64, now, span time.Duration) { f.sum = f.Value(now, span) + v }
 
-// Over is the sum for each one of the number n, which fades alike; 0 where there is none.
-func (f *Sum) Over(n *Sum, now, span time.Duration) float64 {
-	if count := n.Fade(now, span); count > 0 {
-		return f.Fade(now, span) / count
+// Mean is the sum for each one of the number n, which fades alike; 0 where there is none.
+func (f *Sum) Mean(n *Sum, now, span time.Duration) float64 {
+	if count := n.Value(now, span); count > 0 {
+		return f.Value(now, span) / count
 	}
 	return 0
 }
 
-// PerSecond is the rate at which is added, a second.
-func (f *Sum) PerSecond(now, span time.Duration) float64 {
-	return f.Fade(now, span) / max(span, time.Millisecond).Seconds()
+// Rate is the rate at which is added, a second.
+func (f *Sum) Rate(now, span time.Duration) float64 {
+	return f.Value(now, span) / max(span, time.Millisecond).Seconds()
 }
 
-// Since makes a sum of a value that it had at a time, for who takes one over.
-func Since(v float64, at time.Duration) Sum { return Sum{v, at} }
+// NewSum makes a sum of a value that it had at a time, for who takes one over.
+func NewSum(v float64, at time.Duration) Sum { return Sum{v, at} }
--- a/internal/balancer/decay/fade_test.go
+++ b/internal/balancer/decay/sum_test.go
@@ -25,13 +25,13 @@
 			for at, v := range parts {
 				want += v * math.Exp(-float64(now-at)/float64(span))
 			}
-			if got := s.Fade(now, span); math.Abs(got-want) > 1e-9*(1+want) {
+			if got := s.Value(now, span); math.Abs(got-want) > 1e-9*(1+want) {
 				t.Fatalf("%v, want %v", got, want)
 			}
-			if got := s.PerSecond(now, span); math.Abs(got-want/3) > 1e-9*(1+want) {
+			if got := s.Rate(now, span); math.Abs(got-want/3) > 1e-9*(1+want) {
 				t.Fatalf("%v a second, want %v", got, want/3)
 			}
-			if mean := s.Over(&n, now, span); !(mean >= 0 && mean <= 100+1e-6) {
+			if mean := s.Mean(&n, now, span); !(mean >= 0 && mean <= 100+1e-6) {
 				t.Fatalf("a mean of %v", mean)
 			}
 		}
@@ -40,7 +40,7 @@
 
 func TestWhatHasNoPartsIsNothing(t *testing.T) {
 	var s, n Sum
-	if s.Over(&n, time.Second, time.Second) != 0 || s.Fade(time.Hour, 0) != 0 {
+	if s.Mean(&n, time.Second, time.Second) != 0 || s.Value(time.Hour, 0) != 0 {
 		t.Error("an empty sum is something")
 	}
 }
--- a/internal/balancer/example_test.go
+++ b/internal/balancer/example_test.go
@@ -14,19 +14,19 @@
 	fmt.Printf("send request %d to backend %d, until %v\n", id, to, until)
 }
 
-func (printer) Refuse(id balancer.RequestID, after time.Duration) {
+func (printer) Reject(id balancer.RequestID, after time.Duration) {
 	fmt.Printf("refuse request %d, come again after %v\n", id, after)
 }
 func (printer) Fail(id balancer.RequestID) { fmt.Printf("fail request %d\n", id) }
 func (printer) Cancel(id balancer.RequestID, n int) {
 	fmt.Printf("cancel attempt %d of %d\n", n, id)
 }
-func (printer) Probe(b balancer.BackendID)    {}
-func (printer) Release(b balancer.BackendID)  {}
-func (printer) Watch(on bool)                 {}
-func (printer) Fetch()                        {}
-func (printer) Tell(peer uint32, body []byte) {}
-func (printer) After(d time.Duration, token uint64) {
+func (printer) CheckHealth(b balancer.BackendID)    {}
+func (printer) Release(b balancer.BackendID)        {}
+func (printer) Watch(on bool)                       {}
+func (printer) Fetch()                              {}
+func (printer) SendToPeer(peer uint32, body []byte) {}
+func (printer) StartTimer(d time.Duration, token uint64) {
 	// A real proxy calls Timer with the token when the time has come.
 }
 func (printer) Log(line string) { fmt.Println(line) }
@@ -37,7 +37,7 @@
 		Instances: 1,
 		Tick:      time.Millisecond,
 		Classes: []balancer.Class{{
-			Name: "page", Aim: 300 * time.Millisecond, GiveUp: time.Second,
+			Name: "page", LatencyTarget: 300 * time.Millisecond, ClientTimeout: time.Second,
 			Effect: balancer.Safe, Value: 1,
 		}},
 		Goal: balancer.Goal{Whole: 1},
@@ -49,13 +49,13 @@
 		return
 	}
 	b.Start(time.Second)
-	b.Membership(time.Second, balancer.Membership{Kind: balancer.ListFull, Backends: []balancer.Backend{
+	b.OnMembership(time.Second, balancer.Membership{Kind: balancer.ListFull, Backends: []balancer.Backend{
 		{ID: 7, State: balancer.Ready},
 		{ID: 8, State: balancer.Draining},
 	}})
-	b.Request(time.Second, balancer.Request{ID: 1, Deadline: 2 * time.Second})
+	b.OnRequest(time.Second, balancer.Request{ID: 1, Deadline: 2 * time.Second})
 	now := time.Second + 20*time.Millisecond
-	b.Outcome(now, balancer.Outcome{ID: 1, Backend: 7, Result: balancer.OK, Took: 20 * time.Millisecond, Final: true})
+	b.OnAttemptEnd(now, balancer.Outcome{ID: 1, Backend: 7, Result: balancer.OK, Took: 20 * time.Millisecond, Final: true})
 	// Output:
 	// send request 1 to backend 7, until 1.299s
 }
--- a/internal/balancer/goodput/ledger_test.go
+++ b/internal/balancer/goodput/tracker_test.go
@@ -9,31 +9,31 @@
 )
 
 // goal is the goal by its definition, for the gain to be held against.
-func goal(g Goal, l *Ledger) float64 {
+func goal(g Goal, l *Tracker) float64 {
 	least := func(list []tally) float64 {
 		low := 1.0
 		for i := range list {
-			low = min(low, list[i].share())
+			low = min(low, list[i].successRatio())
 		}
 		return low
 	}
-	return (g.Whole+g.WorstWindow)*l.all.share() + g.WorstClass*least(l.classes) + g.WorstTenant*least(l.tenants)
+	return (g.Total+g.WorstWindow)*l.total.successRatio() + g.WorstClass*least(l.classes) + g.WorstTenant*least(l.tenants)
 }
 
 // apart tells whether one is served clearly worse than all others.
 func apart(list []tally) bool {
 	shares := []float64{}
 	for i := range list {
-		shares = append(shares, list[i].share())
+		shares = append(shares, list[i].successRatio())
 	}
 	slices.Sort(shares)
-	return shares[1]-shares[0] > near
+	return shares[1]-shares[0] > worstTolerance
 }
 
 // The gain of a unit is the slope of the goal, where one class and tenant is clearly the worst.
 func TestGainIsTheSlopeOfTheGoal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := Goal{Whole: 0.6, WorstClass: 0.2, WorstTenant: 0.1, WorstWindow: 0.1}
+		g := Goal{Total: 0.6, WorstClass: 0.2, WorstTenant: 0.1, WorstWindow: 0.1}
 		l := New(g, 3, 2)
 		worstClass, worstTenant := rapid.IntRange(0, 2).Draw(t, "class"), rapid.IntRange(0, 1).Draw(t, "tenant")
 		for c := range 3 {
@@ -46,16 +46,16 @@
 				if n == worstTenant {
 					share -= 0.2
 				}
-				l.Book(c, n, asked, asked*share)
+				l.Record(c, n, asked, asked*share)
 			}
 		}
 		if !apart(l.classes) || !apart(l.tenants) {
 			t.Skip("two are served alike")
 		}
 		class, tenant := rapid.IntRange(0, 2).Draw(t, "of class"), rapid.IntRange(0, 1).Draw(t, "of tenant")
-		before, gain := goal(g, l), l.Gain(class, tenant, 1)
+		before, gain := goal(g, l), l.MarginalUtility(class, tenant, 1)
 		const unit = 1e-3
-		l.Book(class, tenant, 0, unit)
+		l.Record(class, tenant, 0, unit)
 		if slope := (goal(g, l) - before) / unit; math.Abs(slope-gain) > 1e-6*gain {
 			t.Fatalf("gain %v, the goal rises by %v", gain, slope)
 		}
@@ -63,13 +63,13 @@
 }
 
 func TestFadingKeepsSharesAndUnknownOnesCountForTheWhole(t *testing.T) {
-	l := New(Goal{Whole: 1, WorstTenant: 1}, 1, 1)
-	l.Book(0, 7, 10, 5) // no such tenant
-	l.Fade(0.5)
-	if l.all != (tally{5, 2.5}) || l.classes[0] != l.all || l.tenants[0] != (tally{}) {
+	l := New(Goal{Total: 1, WorstTenant: 1}, 1, 1)
+	l.Record(0, 7, 10, 5) // no such tenant
+	l.Decay(0.5)
+	if l.total != (tally{5, 2.5}) || l.classes[0] != l.total || l.tenants[0] != (tally{}) {
 		t.Errorf("%+v", l)
 	}
-	if got := l.Gain(0, 7, 1); got != 1.0/5 {
+	if got := l.MarginalUtility(0, 7, 1); got != 1.0/5 {
 		t.Errorf("gain %v", got)
 	}
 }
--- a/internal/balancer/grayfailure/gray_test.go
+++ b/internal/balancer/grayfailure/model_test.go
@@ -37,7 +37,7 @@
 type try struct {
 	backend, kind int
 	sent, ends    time.Duration
-	end           End
+	end           Outcome
 	isTry         bool
 }
 
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.SetMemory(2 * time.Second)
+	m.SetTimeConstant(2 * time.Second)
 	d := &day{
 		m: m, rng: rand.New(rand.NewPCG(seed, 3)), rates: rates, aim: 175 * ms, failing: 0.005,
 		bad: func(int, int, time.Duration) (float64, float64) { return 0, 0 }, now: time.Second,
@@ -74,17 +74,17 @@
 	return time.Duration(-math.Log(1-d.rng.Float64()) / rate * float64(time.Second))
 }
 
-func (d *day) expect(x *try) Usual {
-	return Usual{Delay: d.usual[x.kind] * d.ratio[x.backend], Answers: 10}
+func (d *day) expect(x *try) Expectation {
+	return Expectation{Delay: d.usual[x.kind] * d.ratio[x.backend], Answers: 10}
 }
 
 func (d *day) send(k int) {
 	to, isTry := -1, false
 	var in []int
 	for b := range d.cells {
-		if _, _, out := d.cells[b][k].Out(); !out {
+		if _, _, out := d.cells[b][k].EjectionState(); !out {
 			in = append(in, b)
-		} else if !isTry && d.m.MayTry(&d.cells[b][k], k) && d.rng.IntN(3) == 0 {
+		} else if !isTry && d.m.MayTrial(&d.cells[b][k], k) && d.rng.IntN(3) == 0 {
 			to, isTry = b, true
 		}
 	}
@@ -100,19 +100,19 @@
 	silent, failing := d.bad(to, k, d.now)
 	switch p := d.rng.Float64(); {
 	case p < silent || took > float64(d.aim/ms):
-		x.ends, x.end = d.now+d.aim, Silent
+		x.ends, x.end = d.now+d.aim, TimedOut
 	case p < silent+failing || d.rng.Float64() < d.failing:
 		x.ends, x.end = d.now+2*ms, Failed
 	}
 	d.open = append(d.open, x)
 	d.sent[k]++
-	d.m.Sent(&d.cells[to][k], k, isTry)
+	d.m.RecordSent(&d.cells[to][k], k, isTry)
 }
 
 func (d *day) land(x *try) {
 	c := &d.cells[x.backend][x.kind]
 	if x.isTry {
-		d.m.Tried(c, x.kind, x.end, false)
+		d.m.RecordTrialOutcome(c, x.kind, x.end, false)
 		if x.end != Answered {
 			d.lostTrys++
 		}
@@ -120,36 +120,36 @@
 	if x.end == Answered {
 		for k := range d.cells[x.backend] {
 			if k != x.kind {
-				d.cells[x.backend][k].Vouch(x.sent)
+				d.cells[x.backend][k].RecordOtherAnswer(x.sent)
 			}
 		}
 	}
-	d.m.Ended(c, x.kind, x.end, x.sent, d.now, d.expect(x))
+	d.m.RecordOutcome(c, x.kind, x.end, x.sent, d.now, d.expect(x))
 	if took := float64(d.now-x.sent) / float64(ms); x.end == Answered {
-		d.m.Note(c, d.now, took/d.usual[x.kind], 1)
+		d.m.RecordDelayRatio(c, d.now, took/d.usual[x.kind], 1)
 	}
 }
 
 func (d *day) sweep() {
-	d.m.Begin()
+	d.m.BeginComparison()
 	for b := range d.cells {
 		for k := range d.cells[b] {
-			d.cells[b][k].Reopen()
+			d.cells[b][k].ResetInFlight()
 		}
 	}
 	for _, x := range d.open {
-		d.m.Open(&d.cells[x.backend][x.kind], x.kind, x.sent, d.now, d.expect(x))
+		d.m.AddInFlight(&d.cells[x.backend][x.kind], x.kind, x.sent, d.now, d.expect(x))
 	}
 	for b := range d.cells {
 		for k := range d.cells[b] {
-			d.m.See(&d.cells[b][k], k, d.now, d.ratio[b])
+			d.m.AddToComparison(&d.cells[b][k], k, d.now, d.ratio[b])
 		}
 	}
-	d.m.End()
+	d.m.EndComparison()
 	for b := range d.cells {
 		for k := range d.cells[b] {
-			if change := d.m.Judge(&d.cells[b][k], k, d.now); change != Same {
-				d.outs = append(d.outs, event{d.now, b, k, change == CameBack})
+			if change := d.m.Evaluate(&d.cells[b][k], k, d.now); change != Unchanged {
+				d.outs = append(d.outs, event{d.now, b, k, change == Reinstated})
 			}
 		}
 	}
@@ -290,7 +290,7 @@
 		d.run(d.now + 200*ms)
 		for b := range d.cells {
 			seen++
-			if _, _, is := d.cells[b][2].Out(); is {
+			if _, _, is := d.cells[b][2].EjectionState(); is {
 				out++
 			}
 		}
@@ -300,7 +300,7 @@
 	}
 	for b := range d.cells {
 		for _, k := range []int{0, 1, 3} {
-			if _, _, is := d.cells[b][k].Out(); is {
+			if _, _, is := d.cells[b][k].EjectionState(); is {
 				t.Errorf("backend %d is out for kind %d, which it serves", b, k)
 			}
 		}
@@ -318,7 +318,7 @@
 	}
 	d.run(15 * time.Second)
 	for k := range d.cells[0] {
-		if bad := d.m.Bad(&d.cells[0][k], k, d.now); bad > 0.5 {
+		if bad := d.m.FaultProbability(&d.cells[0][k], k, d.now); bad > 0.5 {
 			t.Errorf("kind %d: bad with a chance of %.2f on a backend that is silent for all", k, bad)
 		}
 	}
@@ -331,23 +331,23 @@
 		t.Fatal(err)
 	}
 	var c Cell
-	u, now := Usual{Delay: 50, Answers: 20}, time.Minute
-	if w := m.Ended(&c, 0, Silent, now-200*ms, now, u); w < 0.9 {
+	u, now := Expectation{Delay: 50, Answers: 20}, time.Minute
+	if w := m.RecordOutcome(&c, 0, TimedOut, now-200*ms, now, u); w < 0.9 {
 		t.Errorf("the first silence, with nobody to vouch: weight %.2f", w)
 	}
 	for range 6 {
 		now += 100 * ms
-		c.Vouch(now)
-		m.Ended(&c, 0, Silent, now-200*ms, now, u)
+		c.RecordOtherAnswer(now)
+		m.RecordOutcome(&c, 0, TimedOut, now-200*ms, now, u)
 	}
-	if w := m.Ended(&c, 0, Silent, now-200*ms, now, u); w > 0.3 {
+	if w := m.RecordOutcome(&c, 0, TimedOut, now-200*ms, now, u); w > 0.3 {
 		t.Errorf("the eighth, with six answers to others between: weight %.2f", w)
 	}
 	var d Cell
-	if w := m.Ended(&d, 1, Nothing, now-200*ms, now, u); w != 1 || d.Suspect() {
+	if w := m.RecordOutcome(&d, 1, Unknown, now-200*ms, now, u); w != 1 || d.Suspected() {
 		t.Errorf("a broken connection speaks of the kind: weight %.2f", w)
 	}
-	if m.Ended(&d, 1, Silent, now-2*ms, now, u); d.Suspect() {
+	if m.RecordOutcome(&d, 1, TimedOut, now-2*ms, now, u); d.Suspected() {
 		t.Error("an attempt that was called off at once speaks against the kind")
 	}
 }
@@ -363,10 +363,10 @@
 		now := time.Minute
 		for range 3 {
 			now += 20 * ms
-			c.Vouch(now)
-			m.Ended(&c, 0, Silent, now-175*ms, now, Usual{Delay: 50 * ratio, Answers: 20})
+			c.RecordOtherAnswer(now)
+			m.RecordOutcome(&c, 0, TimedOut, now-175*ms, now, Expectation{Delay: 50 * ratio, Answers: 20})
 		}
-		return m.Bad(&c, 0, now)
+		return m.FaultProbability(&c, 0, now)
 	}
 	if usual, slow := silent(1), silent(4); usual < 0.5 || slow > 0.2 {
 		t.Errorf("bad with a chance of %.2f at the usual delay and %.2f at four times it", usual, slow)
@@ -389,29 +389,29 @@
 				if i == 0 {
 					r *= slow
 				}
-				m.Note(&cells[i], now, r, 1)
-				m.Ended(&cells[i], 0, Answered, now-time.Duration(50*r*float64(ms)), now, Usual{Delay: 50, Answers: 20})
+				m.RecordDelayRatio(&cells[i], now, r, 1)
+				m.RecordOutcome(&cells[i], 0, Answered, now-time.Duration(50*r*float64(ms)), now, Expectation{Delay: 50, Answers: 20})
 			}
 		}
-		m.Begin()
+		m.BeginComparison()
 		for i := range cells {
-			m.See(&cells[i], 0, now, 1)
+			m.AddToComparison(&cells[i], 0, now, 1)
 		}
-		m.End()
+		m.EndComparison()
 	}
 	fill(1)
-	if got := m.Delay(&cells[0], 0, now, 1, 1); math.Abs(got-1) > 0.1 {
+	if got := m.DelayRatio(&cells[0], 0, now, 1, 1); math.Abs(got-1) > 0.1 {
 		t.Errorf("all alike: %.2f times the backend's own", got)
 	}
 	fill(3)
-	if got := m.Delay(&cells[0], 0, now, 1, 1); got < 2.2 || got > 4 {
+	if got := m.DelayRatio(&cells[0], 0, now, 1, 1); got < 2.2 || got > 4 {
 		t.Errorf("three times slower for the kind: %.2f expected", got)
 	}
-	if got := m.Delay(&cells[1], 0, now, 1, 1); got < 0.6 || got > 1.4 {
+	if got := m.DelayRatio(&cells[1], 0, now, 1, 1); got < 0.6 || got > 1.4 {
 		t.Errorf("beside it: %.2f expected", got)
 	}
 	// What is out at the backend counts for the cell as well.
-	if calm, crowded := m.Delay(&cells[0], 0, now, 1, 1), m.Delay(&cells[0], 0, now, 3, 1); crowded < 2.9*calm {
+	if calm, crowded := m.DelayRatio(&cells[0], 0, now, 1, 1), m.DelayRatio(&cells[0], 0, now, 3, 1); crowded < 2.9*calm {
 		t.Errorf("%.2f expected, and %.2f with three times as much out", calm, crowded)
 	}
 }
@@ -419,11 +419,11 @@
 func TestConfigNamesWhatMakesNoSense(t *testing.T) {
 	for name, spoil := range map[string]func(*Config){
 		"Kinds":    func(c *Config) { c.Kinds = 0 },
-		"Answered": func(c *Config) { c.Answered = 1 },
-		"Longest":  func(c *Config) { c.Longest = c.Shortest - 1 },
-		"Memory":   func(c *Config) { c.Memory = 0 },
-		"Spend":    func(c *Config) { c.Spend = math.NaN() },
-		"Burst":    func(c *Config) { c.Burst = 0 },
+		"Answered": func(c *Config) { c.AnsweredRatio = 1 },
+		"Longest":  func(c *Config) { c.MaxFaultDuration = c.MinFaultDuration - 1 },
+		"Memory":   func(c *Config) { c.TimeConstant = 0 },
+		"Spend":    func(c *Config) { c.TrialRatio = math.NaN() },
+		"Burst":    func(c *Config) { c.TrialBurst = 0 },
 	} {
 		c := DefaultConfig(3)
 		spoil(&c)
@@ -446,64 +446,64 @@
 			now += time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "gap"))
 			b, k := rapid.IntRange(0, 2).Draw(t, "backend"), rapid.IntRange(0, 1).Draw(t, "kind")
 			c, at := &cells[b][k], [2]int{b, k}
-			u := Usual{Delay: rapid.Float64Range(0, 1e4).Draw(t, "usual"), Answers: rapid.Float64Range(0, 50).Draw(t, "n")}
+			u := Expectation{Delay: rapid.Float64Range(0, 1e4).Draw(t, "usual"), Answers: rapid.Float64Range(0, 50).Draw(t, "n")}
 			sent := max(0, now-time.Duration(rapid.Int64Range(0, int64(2*time.Second)).Draw(t, "age")))
 			switch rapid.IntRange(0, 4).Draw(t, "do") {
 			case 0:
-				end := End(rapid.IntRange(0, 3).Draw(t, "end"))
+				end := Outcome(rapid.IntRange(0, 3).Draw(t, "end"))
 				if open[at] > 0 {
 					open[at]--
-					m.Tried(c, k, end, rapid.Bool().Draw(t, "again"))
+					m.RecordTrialOutcome(c, k, end, rapid.Bool().Draw(t, "again"))
 				}
-				if w := m.Ended(c, k, end, sent, now, u); !(w >= 0 && w <= 1) {
+				if w := m.RecordOutcome(c, k, end, sent, now, u); !(w >= 0 && w <= 1) {
 					t.Fatalf("weight %v", w)
 				}
 			case 1:
-				c.Vouch(sent)
+				c.RecordOtherAnswer(sent)
 			case 2:
-				c.Reopen()
-				m.Open(c, k, sent, now, u)
+				c.ResetInFlight()
+				m.AddInFlight(c, k, sent, now, u)
 			case 3:
-				if _, _, out := c.Out(); out && m.MayTry(c, k) {
+				if _, _, out := c.EjectionState(); out && m.MayTrial(c, k) {
 					open[at]++
-					m.Sent(c, k, true)
+					m.RecordSent(c, k, true)
 				} else {
-					m.Sent(c, k, false)
+					m.RecordSent(c, k, false)
 				}
 			case 4:
-				m.Begin()
+				m.BeginComparison()
 				for b := range cells {
 					for k := range cells[b] {
-						m.See(&cells[b][k], k, now, 1)
+						m.AddToComparison(&cells[b][k], k, now, 1)
 					}
 				}
-				m.End()
+				m.EndComparison()
 				for b := range cells {
 					for k := range cells[b] {
-						m.Judge(&cells[b][k], k, now)
+						m.Evaluate(&cells[b][k], k, now)
 					}
 				}
 			}
 			for b := range cells {
 				for k := range cells[b] {
 					c := &cells[b][k]
-					if p := m.Bad(c, k, now); !(p >= 0 && p <= 1) {
+					if p := m.FaultProbability(c, k, now); !(p >= 0 && p <= 1) {
 						t.Fatalf("bad with a chance of %v", p)
 					}
-					if p := m.Chance(c, k, now); !(p > 0 && p <= 1) {
+					if p := m.RelativeSuccess(c, k, now); !(p > 0 && p <= 1) {
 						t.Fatalf("answers with a chance of %v", p)
 					}
-					if d := m.Delay(c, k, now, 1, 1); !(d >= 0) {
+					if d := m.DelayRatio(c, k, now, 1, 1); !(d >= 0) {
 						t.Fatalf("delay %v", d)
 					}
-					if c.tryingN != open[[2]int{b, k}] || c.tryingN > 1 {
-						t.Fatalf("%d tries counted, %d are out", c.tryingN, open[[2]int{b, k}])
+					if c.trialsInFlight != open[[2]int{b, k}] || c.trialsInFlight > 1 {
+						t.Fatalf("%d tries counted, %d are out", c.trialsInFlight, open[[2]int{b, k}])
 					}
 				}
 			}
 			for k := range m.kinds {
-				if g := m.kinds[k]; g.tokens > m.cfg.Burst || g.trying < 0 {
-					t.Fatalf("%v tokens, %d tries", g.tokens, g.trying)
+				if g := m.kinds[k]; g.trialTokens > m.cfg.TrialBurst || g.trialsInFlight < 0 {
+					t.Fatalf("%v tokens, %d tries", g.trialTokens, g.trialsInFlight)
 				}
 			}
 		}
--- a/internal/balancer/grayfailure/state.go
+++ b/internal/balancer/grayfailure/state.go
@@ -13,8 +13,8 @@
 	//lint:ignore U1000 the codec reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	Bad, Vouched                                   float64
-	At, Silent, OutFor                             time.Duration
+	FaultProbability, OtherAnswers                 float64
+	At, SuspectedFor, EjectedFor                   time.Duration
 	Failures                                       int
 	OK, Ended, OKEver, EndedEver, Delays, Answered float64
 }
@@ -30,10 +30,10 @@
 		}
 		return max(0, now-at)
 	}
-	sum := func(f decay.Sum) float64 { return f.Fade(now, m.cfg.Memory) }
+	sum := func(f decay.Sum) float64 { return f.Value(now, m.cfg.TimeConstant) }
 	return CellState{
-		Bad: c.bad, Vouched: c.vouched, At: max(0, now-c.at), Silent: age(c.silent), OutFor: age(c.outSince),
-		Failures: c.failures, OK: sum(c.ok), Ended: sum(c.ended), OKEver: sum(c.okEver), EndedEver: sum(c.endedEver),
+		FaultProbability: c.faultProbability, OtherAnswers: c.otherAnswers, At: max(0, now-c.updatedAt), SuspectedFor: age(c.suspectedSince), EjectedFor: age(c.ejectedAt),
+		Failures: c.consecutiveFailures, OK: sum(c.ok), Ended: sum(c.ended), OKEver: sum(c.okEver), EndedEver: sum(c.endedEver),
 		Delays: sum(c.delays), Answered: sum(c.answers),
 	}
 }
@@ -47,10 +47,10 @@
 		}
 		return max(1, now-away-age)
 	}
-	sum := func(v float64) decay.Sum { return decay.Since(v, now-away) }
+	sum := func(v float64) decay.Sum { return decay.NewSum(v, now-away) }
 	return Cell{
-		bad: min(max(s.Bad, 0), mostSure), vouched: s.Vouched, at: now - away - s.At, silent: at(s.Silent), outSince: at(s.OutFor),
-		failures: s.Failures, ok: sum(s.OK), ended: sum(s.Ended), okEver: sum(s.OKEver), endedEver: sum(s.EndedEver),
+		faultProbability: min(max(s.FaultProbability, 0), maxFaultProbability), otherAnswers: s.OtherAnswers, updatedAt: now - away - s.At, suspectedSince: at(s.SuspectedFor), ejectedAt: at(s.EjectedFor),
+		consecutiveFailures: s.Failures, ok: sum(s.OK), ended: sum(s.Ended), okEver: sum(s.OKEver), endedEver: sum(s.EndedEver),
 		delays: sum(s.Delays), answers: sum(s.Answered),
 	}
 }
@@ -60,15 +60,15 @@
 	//lint:ignore U1000 the codec reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	Failed, Ended, N, Dev, Dev2, Wave, Tokens float64
+	Failed, Ended, N, Dev, Dev2, RecentEjections, Tokens float64
 }
 
 // KindState gives what is known of a kind.
 func (m *Model) KindState(k int, now time.Duration) KindState {
 	g := &m.kinds[k]
 	return KindState{
-		Failed: g.failed.Fade(now, m.cfg.Memory), Ended: g.ended.Fade(now, m.cfg.Memory), N: g.n, Dev: g.dev,
-		Dev2: g.dev2, Wave: g.wave.Fade(now, waveOver), Tokens: g.tokens,
+		Failed: g.failed.Value(now, m.cfg.TimeConstant), Ended: g.ended.Value(now, m.cfg.TimeConstant), N: g.n, Dev: g.dev,
+		Dev2: g.dev2, RecentEjections: g.recentEjections.Value(now, waveWindow), Tokens: g.trialTokens,
 	}
 }
 
@@ -76,7 +76,7 @@
 // at most. Tries that were paid for there are not to be had again.
 func (m *Model) ResumeKind(k int, s KindState, most float64, away, now time.Duration) {
 	g := &m.kinds[k]
-	g.failed, g.ended, g.wave = decay.Since(s.Failed, now-away), decay.Since(s.Ended, now-away), decay.Since(s.Wave, now-away)
+	g.failed, g.ended, g.recentEjections = decay.NewSum(s.Failed, now-away), decay.NewSum(s.Ended, now-away), decay.NewSum(s.RecentEjections, now-away)
 	f := min(1, most/max(s.N, 1e-9))
-	g.n, g.dev, g.dev2, g.tokens = s.N*f, s.Dev*f, s.Dev2*f, min(g.tokens, s.Tokens)
+	g.n, g.dev, g.dev2, g.trialTokens = s.N*f, s.Dev*f, s.Dev2*f, min(g.trialTokens, s.Tokens)
 }
--- a/internal/balancer/holders_test.go
+++ b/internal/balancer/holders_test.go
@@ -11,7 +11,7 @@
 	ahead map[BackendID]float64
 }
 
-func (a *told) Extra(_ time.Duration, _ *Request, to BackendID) float64 { return a.ahead[to] }
+func (a *told) ExtraDelay(_ time.Duration, _ *Request, to BackendID) float64 { return a.ahead[to] }
 
 // playNeeds has a proxy serve requests for what few backends hold, one after the other, and tells where they went.
 func playNeeds(t *testing.T, advice *told, requests int) map[BackendID]int {
@@ -25,13 +25,13 @@
 	for i := range requests {
 		now += 100 * milli
 		id := RequestID(100 + i)
-		b.Request(now, Request{ID: id, Class: unsafe, Deadline: now + 4*second, Needs: &Needs{Model: "m"}})
+		b.OnRequest(now, Request{ID: id, Class: unsafe, Deadline: now + 4*second, Needs: &Needs{Model: "m"}})
 		sends := h.take("send")
 		if len(sends) != 1 {
 			t.Fatalf("%d sends for one request", len(sends))
 		}
 		went[sends[0].to]++
-		b.Outcome(now+20*milli, Outcome{ID: id, Backend: sends[0].to, Result: OK, Took: 20 * milli, Final: true})
+		b.OnAttemptEnd(now+20*milli, Outcome{ID: id, Backend: sends[0].to, Result: OK, Took: 20 * milli, Final: true})
 		h.take("send")
 	}
 	return went
@@ -40,7 +40,7 @@
 // Of many holders a proxy turns to a few, of its own zone where there are any, so that connections last.
 func TestRequestsGoToFewHoldersNearby(t *testing.T) {
 	went := playNeeds(t, &told{}, 100)
-	if len(went) > holdersEach+2 { // the first one of all has nothing to be compared by
+	if len(went) > preferredReplicas+2 { // the first one of all has nothing to be compared by
 		t.Errorf("they went to %d holders: %v", len(went), went)
 	}
 	for id, count := range went {
--- a/internal/balancer/hopeless_test.go
+++ b/internal/balancer/hopeless_test.go
@@ -8,7 +8,7 @@
 // pricedConfig is of a deployment whose hints tell the work, and where waste and crossings cost.
 func pricedConfig() Config {
 	cfg := testConfig()
-	cfg.WorthByWork, cfg.Prices = true, Prices{Waste: 0.25, CrossZone: 0.08}
+	cfg.ValueByWork, cfg.Prices = true, Prices{Waste: 0.25, CrossZone: 0.08}
 	cfg.Instances, cfg.Caps.Probes = 1, false
 	return cfg
 }
@@ -19,14 +19,14 @@
 	for i := range n {
 		id, cost := RequestID(1e6+b.now/milli), time.Duration(20+i%5*20)*milli
 		now := b.now + 500*milli
-		b.Timer(now, timerSweep<<56)
-		b.Request(now, Request{ID: id, Class: class, Cost: cost, Deadline: now + 3*second})
+		b.OnTimer(now, timerSweep<<56)
+		b.OnRequest(now, Request{ID: id, Class: class, Cost: cost, Deadline: now + 3*second})
 		sent := h.take("send")
 		if len(sent) != 1 {
 			t.Fatalf("request %d of the teaching was not sent", i)
 		}
 		now += took(cost, sent[0].to)
-		b.Outcome(now, Outcome{ID: id, Backend: sent[0].to, Result: OK, Final: true})
+		b.OnAttemptEnd(now, Outcome{ID: id, Backend: sent[0].to, Result: OK, Final: true})
 		h.take()
 	}
 }
@@ -43,9 +43,9 @@
 		sent, refused := 0, 0
 		for i := range n {
 			now := b.now + 3*second
-			b.Timer(now, timerSweep<<56)
+			b.OnTimer(now, timerSweep<<56)
 			id := RequestID(i + 1)
-			b.Request(now, Request{ID: id, Class: class, Cost: 2 * second, Deadline: now + 3*second})
+			b.OnRequest(now, Request{ID: id, Class: class, Cost: 2 * second, Deadline: now + 3*second})
 			for _, a := range h.take("send", "refuse") {
 				if a.verb == "refuse" {
 					refused++
@@ -55,7 +55,7 @@
 					continue
 				}
 				sent++
-				b.Outcome(now+second, Outcome{ID: id, Backend: a.to, Result: Timeout})
+				b.OnAttemptEnd(now+second, Outcome{ID: id, Backend: a.to, Result: Timeout})
 				h.take()
 			}
 			serve(t, b, h, class, 3, twice) // light ones beside them are sent
@@ -71,7 +71,7 @@
 	b, h := newBalancer(t, pricedConfig(), 2)
 	for i := range 5 {
 		now := second + time.Duration(i)*50*milli
-		b.Request(now, Request{ID: RequestID(i + 1), Class: safe, Cost: 20 * second, Deadline: now + 100*milli})
+		b.OnRequest(now, Request{ID: RequestID(i + 1), Class: safe, Cost: 20 * second, Deadline: now + 100*milli})
 	}
 	if got := h.take("send"); len(got) == 0 {
 		t.Error("the first requests of a class were not sent")
@@ -100,11 +100,11 @@
 		for _, class := range []int{safe, anywhere} {
 			now := b.now + second
 			id := RequestID(10*i + class + 1)
-			b.Timer(now, timerSweep<<56)
-			b.Request(now, Request{ID: id, Class: class, Cost: 110 * milli, Deadline: now + 3*second})
+			b.OnTimer(now, timerSweep<<56)
+			b.OnRequest(now, Request{ID: id, Class: class, Cost: 110 * milli, Deadline: now + 3*second})
 			for _, a := range h.take("send") {
 				crossed[class] += b.byID[a.to].Zone
-				b.Outcome(now+took(110*milli, a.to), Outcome{ID: id, Backend: a.to, Result: OK, Final: true})
+				b.OnAttemptEnd(now+took(110*milli, a.to), Outcome{ID: id, Backend: a.to, Result: OK, Final: true})
 				h.take()
 			}
 		}
--- a/internal/balancer/host_test.go
+++ b/internal/balancer/host_test.go
@@ -28,20 +28,20 @@
 	h.add(action{verb: "send", id: id, to: to, at: until})
 }
 
-func (h *recorder) Refuse(id RequestID, d time.Duration) {
+func (h *recorder) Reject(id RequestID, d time.Duration) {
 	h.add(action{verb: "refuse", id: id, at: d})
 }
 func (h *recorder) Fail(id RequestID)          { h.add(action{verb: "fail", id: id}) }
 func (h *recorder) Cancel(id RequestID, n int) { h.add(action{verb: "cancel", id: id, attempt: n}) }
-func (h *recorder) Probe(b BackendID)          { h.add(action{verb: "probe", to: b}) }
+func (h *recorder) CheckHealth(b BackendID)    { h.add(action{verb: "probe", to: b}) }
 func (h *recorder) Release(b BackendID)        { h.add(action{verb: "release", to: b}) }
 func (h *recorder) Watch(on bool)              { h.add(action{verb: "watch"}) }
 func (h *recorder) Fetch()                     { h.add(action{verb: "fetch"}) }
-func (h *recorder) Tell(peer uint32, body []byte) {
+func (h *recorder) SendToPeer(peer uint32, body []byte) {
 	h.add(action{verb: "tell", text: fmt.Sprintf("%d %x", peer, body)})
 }
 
-func (h *recorder) After(d time.Duration, token uint64) {
+func (h *recorder) StartTimer(d time.Duration, token uint64) {
 	h.add(action{verb: "after", at: d, token: token})
 }
 func (h *recorder) Log(line string) { h.add(action{verb: "log", text: line}) }
@@ -65,20 +65,20 @@
 // testConfig has one class of each effect; all else is allowed.
 func testConfig() Config {
 	return Config{
-		Instances: 2, Tick: 5 * milli, OverShareWorth: 1,
+		Instances: 2, Tick: 5 * milli, OverQuotaValue: 1,
 		Classes: []Class{
-			{Name: "safe", Aim: second, GiveUp: 3 * second, Effect: Safe, Value: 1},
-			{Name: "keyed", Aim: second, GiveUp: 3 * second, Effect: Keyed, Group: GroupZone, Window: second, Value: 1},
-			{Name: "unsafe", Aim: second, GiveUp: 3 * second, Effect: Unsafe, Value: 1},
-			{Name: "anywhere", Aim: second, GiveUp: 3 * second, Effect: Keyed, Group: GroupAll, Window: 2 * second, Value: 1},
+			{Name: "safe", LatencyTarget: second, ClientTimeout: 3 * second, Effect: Safe, Value: 1},
+			{Name: "keyed", LatencyTarget: second, ClientTimeout: 3 * second, Effect: Keyed, Group: GroupZone, IdempotencyWindow: second, Value: 1},
+			{Name: "unsafe", LatencyTarget: second, ClientTimeout: 3 * second, Effect: Unsafe, Value: 1},
+			{Name: "anywhere", LatencyTarget: second, ClientTimeout: 3 * second, Effect: Keyed, Group: GroupAll, IdempotencyWindow: 2 * second, Value: 1},
 		},
 		Goal: Goal{Whole: 1},
 		Obligations: Obligations{
-			AnswerSlack: 20 * milli, AskEvery: 10 * second, Cold: 20 * second,
-			DrainGrace: 250 * milli, Fall: 2 * second, FallMultiple: 2.5, StartCapacity: 0.2,
+			AnswerSlack: 20 * milli, MaxMembershipAge: 10 * second, WarmupDuration: 20 * second,
+			DrainGrace: 250 * milli, OverloadWindow: 2 * second, OverloadMultiple: 2.5, InitialCapacity: 0.2,
 		},
 		Caps: Caps{
-			Cancel: true, Peers: true, Probes: true, RetryAfter: true, SecondCopies: true,
+			Cancel: true, Peers: true, Probes: true, RetryAfter: true, Hedging: true,
 			ConnIdle: 15 * second, ConnectTimeout: 250 * milli, MaxRetryAfter: 2 * second,
 			MaxAttempts: 4, StreamsPerConn: 1,
 		},
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	b.Start(second)
-	b.Membership(second, Membership{Kind: ListFull, Version: 1, Backends: list(n)})
+	b.OnMembership(second, Membership{Kind: ListFull, Version: 1, Backends: list(n)})
 	h.take()
 	return b, h
 }
--- a/internal/balancer/idempotency/repeat.go
+++ b/internal/balancer/idempotency/terms.go
@@ -49,29 +49,29 @@
 	return t
 }
 
-// Place is where an attempt went, or may go.
-type Place struct{ Zone, Cell int }
+// Location is where an attempt went, or may go.
+type Location struct{ Zone, Cell int }
 
 // Attempt is an earlier one that may have run, or may yet.
 type Attempt struct {
-	Place
-	At time.Duration // when it went out, at the earliest
+	Location
+	SentAt time.Duration // when it went out, at the earliest
 }
 
 // Never is no bound on when an attempt may begin.
 const Never time.Duration = 1<<63 - 1
 
-// After tells whether a request may go to a place again after an earlier attempt, and before when it has to begin
+// RetryDeadline tells whether a request may go to a place again after an earlier attempt, and before when it has to begin
 // there.
-func (t Terms) After(a Attempt, to Place) (before time.Duration, may bool) {
+func (t Terms) RetryDeadline(a Attempt, to Location) (before time.Duration, may bool) {
 	switch {
 	case t.Effect == Safe:
 		return Never, true
-	case t.Effect == Unsafe, t.Scope&Cell != 0 && a.Cell != to.Cell, t.Scope&Zone != 0 && a.Zone != to.Zone, t.Window > Never-max(a.At, 0):
+	case t.Effect == Unsafe, t.Scope&Cell != 0 && a.Cell != to.Cell, t.Scope&Zone != 0 && a.Zone != to.Zone, t.Window > Never-max(a.SentAt, 0):
 		return 0, false
 	}
-	return a.At + t.Window, true
+	return a.SentAt + t.Window, true
 }
 
-// Refusable tells whether a client may be told that coming again is harmless, after an attempt that may have run.
-func (t Terms) Refusable() bool { return t.Effect == Safe || t.Effect == Keyed && t.Scope == All }
+// MayReject tells whether a client may be told that coming again is harmless, after an attempt that may have run.
+func (t Terms) MayReject() bool { return t.Effect == Safe || t.Effect == Keyed && t.Scope == All }
--- a/internal/balancer/idempotency/repeat_test.go
+++ b/internal/balancer/idempotency/terms_test.go
@@ -19,15 +19,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := drawn(t, "a"), drawn(t, "b")
 		both := Strictest(a, b)
-		first := Attempt{Place{rapid.IntRange(0, 1).Draw(t, "zone"), rapid.IntRange(0, 1).Draw(t, "cell")}, time.Duration(rapid.IntRange(0, 5).Draw(t, "at"))}
-		to := Place{rapid.IntRange(0, 1).Draw(t, "to zone"), rapid.IntRange(0, 1).Draw(t, "to cell")}
-		byA, mayA := a.After(first, to)
-		byB, mayB := b.After(first, to)
-		by, may := both.After(first, to)
+		first := Attempt{Location{rapid.IntRange(0, 1).Draw(t, "zone"), rapid.IntRange(0, 1).Draw(t, "cell")}, time.Duration(rapid.IntRange(0, 5).Draw(t, "at"))}
+		to := Location{rapid.IntRange(0, 1).Draw(t, "to zone"), rapid.IntRange(0, 1).Draw(t, "to cell")}
+		byA, mayA := a.RetryDeadline(first, to)
+		byB, mayB := b.RetryDeadline(first, to)
+		by, may := both.RetryDeadline(first, to)
 		if may != (mayA && mayB) || may && by != min(byA, byB) {
 			t.Fatalf("%+v and %+v: %+v: %v by %v, and each alone %v by %v, %v by %v", a, b, both, may, by, mayA, byA, mayB, byB)
 		}
-		if both.Refusable() && !(a.Refusable() && b.Refusable()) {
+		if both.MayReject() && !(a.MayReject() && b.MayReject()) {
 			t.Fatalf("%+v and %+v may be refused as %+v", a, b, both)
 		}
 		if Strictest(b, a) != both {
--- a/internal/balancer/kinds_test.go
+++ b/internal/balancer/kinds_test.go
@@ -30,7 +30,7 @@
 func (w *loop) outs(class int) (n int) {
 	for _, p := range w.proxies {
 		for _, x := range p.b.targets {
-			if _, _, out := x.kinds[class].Out(); out {
+			if _, _, out := x.classHealth[class].EjectionState(); out {
 				n++
 			}
 		}
@@ -160,7 +160,7 @@
 	for _, p := range w.proxies {
 		lines += len(p.logs)
 	}
-	if lines > 3*(kindLines+2)*6 {
+	if lines > 3*(maxClassLogLines+2)*6 {
 		t.Errorf("%d lines in 8 s", lines)
 	}
 }
@@ -247,26 +247,26 @@
 			}
 			for _, at := range []BackendID{4, 6} {
 				b.now = now
-				b.judgeKind(&attempt{
-					req: &request{Request: Request{Class: class}}, to: b.byID[at],
+				b.recordGrayFailure(&attempt{
+					request: &request{Request: Request{Class: class}}, target: b.byID[at],
 					sent: now - milli + time.Duration(i), expected: 1,
 				}, result)
 			}
 		}
 		now += 10 * milli
 	}
-	b.Timer(now, timerSweep<<56)
+	b.OnTimer(now, timerSweep<<56)
 	h.take()
 	tried := 0
 	for id := RequestID(1); id <= 60; id++ {
-		b.Request(now, Request{ID: id, Class: keyed, Deadline: now + 3*second})
+		b.OnRequest(now, Request{ID: id, Class: keyed, Deadline: now + 3*second})
 		first := h.take("send")
 		if len(first) != 1 || first[0].to != 2 {
-			b.Outcome(now, Outcome{ID: id, Backend: first[0].to, Result: OK, Final: true})
+			b.OnAttemptEnd(now, Outcome{ID: id, Backend: first[0].to, Result: OK, Final: true})
 			continue
 		}
 		tried++
-		b.Outcome(now, Outcome{ID: id, Backend: 2, Result: Error})
+		b.OnAttemptEnd(now, Outcome{ID: id, Backend: 2, Result: Error})
 		for _, a := range h.take("send", "fail", "refuse") {
 			if a.verb == "send" && a.to != 2 {
 				t.Fatalf("the second attempt went to %d", a.to)
@@ -275,7 +275,7 @@
 				t.Fatal("refused what may have run")
 			}
 			if a.verb == "send" {
-				b.Outcome(now, Outcome{ID: id, Attempt: 1, Backend: 2, Result: OK, Final: true})
+				b.OnAttemptEnd(now, Outcome{ID: id, Attempt: 1, Backend: 2, Result: OK, Final: true})
 			}
 		}
 		if tried >= 2 {
@@ -325,10 +325,10 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			m.Membership(second, Membership{Kind: ListFull, Version: 1, Backends: list(n)})
+			m.OnMembership(second, Membership{Kind: ListFull, Version: 1, Backends: list(n)})
 			b.ReportAllocs()
 			for b.Loop() {
-				m.judgeKinds()
+				m.evaluateGrayFailures()
 			}
 		})
 	}
--- a/internal/balancer/limits_test.go
+++ b/internal/balancer/limits_test.go
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	for _, name := range all {
-		if !strings.HasSuffix(name, "_test.go") && !slices.Contains([]string{"api.go", "config.go", "memory.go", "stats.go"}, name) &&
+		if !strings.HasSuffix(name, "_test.go") && !slices.Contains([]string{"api.go", "config.go", "learnedstate.go", "logging.go", "stats.go"}, name) &&
 			!strings.Contains(string(policy[1]), `"internal/balancer/`+name+`"`) {
 			t.Errorf("%s decides and is not named under policy", name)
 		}
--- a/internal/balancer/loop_test.go
+++ b/internal/balancer/loop_test.go
@@ -125,7 +125,7 @@
 		w.onSent(to)
 	}
 }
-func (p *loopProxy) Refuse(id RequestID, _ time.Duration) { delete(p.reqs, id) }
+func (p *loopProxy) Reject(id RequestID, _ time.Duration) { delete(p.reqs, id) }
 func (p *loopProxy) Fail(id RequestID)                    { delete(p.reqs, id) }
 func (p *loopProxy) Cancel(id RequestID, n int) {
 	if r := p.reqs[id]; r != nil {
@@ -134,16 +134,16 @@
 	}
 }
 
-func (p *loopProxy) Probe(to BackendID) {
-	p.w.in(2*milli, func() { p.b.Probed(p.w.now, ProbeResult{Backend: to, Result: OK, Took: 2 * milli}) })
+func (p *loopProxy) CheckHealth(to BackendID) {
+	p.w.in(2*milli, func() { p.b.OnHealthCheck(p.w.now, HealthCheckResult{Backend: to, Result: OK, Took: 2 * milli}) })
 }
-func (p *loopProxy) Release(BackendID)   {}
-func (p *loopProxy) Watch(bool)          {}
-func (p *loopProxy) Fetch()              {}
-func (p *loopProxy) Tell(uint32, []byte) {}
-func (p *loopProxy) Log(line string)     { p.logs = append(p.logs, line) }
-func (p *loopProxy) After(d time.Duration, token uint64) {
-	p.w.in(d, func() { p.b.Timer(p.w.now, token) })
+func (p *loopProxy) Release(BackendID)         {}
+func (p *loopProxy) Watch(bool)                {}
+func (p *loopProxy) Fetch()                    {}
+func (p *loopProxy) SendToPeer(uint32, []byte) {}
+func (p *loopProxy) Log(line string)           { p.logs = append(p.logs, line) }
+func (p *loopProxy) StartTimer(d time.Duration, token uint64) {
+	p.w.in(d, func() { p.b.OnTimer(p.w.now, token) })
 }
 
 // arrive is a request's last byte at its backend.
@@ -189,18 +189,18 @@
 	w.jobs[j.job] = j
 	work = min(work, 8*w.work[j.class])
 	verdict := m.Offer(w.now, j.job, machine.Job{
-		Work: span(work * slower),
-		Wait: span(1.2 * w.work[j.class] * slower), Until: j.until,
+		Work: fromMillis(work * slower),
+		Wait: fromMillis(1.2 * w.work[j.class] * slower), Until: j.until,
 	})
 	if verdict != machine.Taken {
 		delete(w.jobs, j.job)
-		w.in(milli, func() { j.end(Full) })
+		w.in(milli, func() { j.end(Rejected) })
 	}
 }
 
 func (w *loop) lose(j *loopJob) {
 	w.lost[[2]int{int(j.to), j.class}]++
-	if r := j.p.b.requests[j.id]; r != nil && r.attempts[j.n].try {
+	if r := j.p.b.requests[j.id]; r != nil && r.attempts[j.n].trial {
 		w.triesLost++
 	}
 }
@@ -220,11 +220,11 @@
 	if final {
 		r.over = true
 		c := &w.cfg.Classes[j.class]
-		if w.now <= r.arrived+c.Aim {
+		if w.now <= r.arrived+c.LatencyTarget {
 			w.served[j.class] += c.Value
 		}
 	}
-	j.p.b.Outcome(w.now, Outcome{
+	j.p.b.OnAttemptEnd(w.now, Outcome{
 		ID: j.id, Attempt: j.n, Backend: j.to, Result: result, Took: w.now - j.sent,
 		Final: final || r == nil,
 	})
@@ -236,12 +236,12 @@
 // auctionClasses are like those of an auction at some 250 requests a second and proxy.
 func auctionClasses() []Class {
 	return []Class{
-		{Name: "lot-list", Aim: 260 * milli, GiveUp: 520 * milli, Effect: Safe, Value: 1},
-		{Name: "catch-sheet", Aim: 350 * milli, GiveUp: 870 * milli, Effect: Safe, Value: 1},
-		{Name: "bid", Aim: 175 * milli, GiveUp: 870 * milli, Effect: Unsafe, Value: 8},
+		{Name: "lot-list", LatencyTarget: 260 * milli, ClientTimeout: 520 * milli, Effect: Safe, Value: 1},
+		{Name: "catch-sheet", LatencyTarget: 350 * milli, ClientTimeout: 870 * milli, Effect: Safe, Value: 1},
+		{Name: "bid", LatencyTarget: 175 * milli, ClientTimeout: 870 * milli, Effect: Unsafe, Value: 8},
 		{
-			Name: "pickup", Aim: 260 * milli, GiveUp: 870 * milli, Effect: Keyed, Group: GroupZone,
-			Window: 4 * second, Value: 2,
+			Name: "pickup", LatencyTarget: 260 * milli, ClientTimeout: 870 * milli, Effect: Keyed, Group: GroupZone,
+			IdempotencyWindow: 4 * second, Value: 2,
 		},
 	}
 }
@@ -285,7 +285,7 @@
 		p.b = b
 		w.proxies = append(w.proxies, p)
 		b.Start(w.now)
-		b.Membership(w.now, Membership{Kind: ListFull, Version: 1, Backends: all})
+		b.OnMembership(w.now, Membership{Kind: ListFull, Version: 1, Backends: all})
 		w.arrivals(p)
 	}
 	return w
@@ -305,7 +305,7 @@
 		w.nextID++
 		p.reqs[w.nextID] = &loopReq{class: class, arrived: w.now}
 		w.asked[class] += c.Value
-		p.b.Request(w.now, Request{ID: w.nextID, Class: class, Deadline: w.now + c.GiveUp})
+		p.b.OnRequest(w.now, Request{ID: w.nextID, Class: class, Deadline: w.now + c.ClientTimeout})
 		w.arrivals(p)
 	})
 }
@@ -355,7 +355,7 @@
 		}
 		p.b = b
 		b.Start(w.now)
-		b.Membership(w.now, Membership{Kind: ListFull, Version: 1, Backends: w.listed})
+		b.OnMembership(w.now, Membership{Kind: ListFull, Version: 1, Backends: w.listed})
 		with(old.b, b)
 		old.next, w.proxies[i] = p, p
 	}
--- a/internal/balancer/memory_test.go
+++ b/internal/balancer/memory_test.go
@@ -14,11 +14,11 @@
 
 // memoryOf is all that a balancer has learnt.
 func memoryOf(b *Balancer, now time.Duration) *learnedstate.State {
-	s := b.Learnt(now)
-	ids := b.Known()
+	s := b.LearnedState(now)
+	ids := b.LearnedBackends()
 	slices.Sort(ids)
 	for _, id := range ids {
-		k, _ := b.LearntOf(now, id)
+		k, _ := b.LearnedBackend(now, id)
 		s.Backends = append(s.Backends, k)
 	}
 	return &s
@@ -57,14 +57,14 @@
 	}
 	base := func() *learnedstate.State {
 		b := fresh()
-		for i := range b.classes {
+		for i := range b.delayModels {
 			for range 10 {
-				b.classes[i].learn(0, 40, classKeep)
+				b.delayModels[i].add(0, 40, classRetention)
 			}
 		}
-		b.over, b.mean, b.meanWork = 10, 40, 40
+		b.meanWindow, b.meanExpectedDelay, b.meanWork = 10, 40, 40
 		for _, t := range b.targets {
-			t.lastOK, t.coldSince, t.tokensAt, t.tokens = now-second, now-2*second, now, -40
+			t.lastOK, t.warmupStarted, t.warmupTokensAt, t.warmupTokens = now-second, now-2*second, now, -40
 		}
 		return memoryOf(b, now)
 	}
@@ -133,28 +133,28 @@
 	const now, away = 100 * second, 3 * second
 	from, _ := newBalancer(t, testConfig(), 3)
 	for _, x := range from.targets {
-		x.lastOK, x.ejectedUntil, x.coldSince = now-second, now+away-milli, now-19*second
-		x.delays.Add(8, now, from.memory)
-		x.answers.Add(4, now, from.memory)
+		x.lastOK, x.ejectedUntil, x.warmupStarted = now-second, now+away-milli, now-19*second
+		x.delays.Add(8, now, from.decayTime)
+		x.answers.Add(4, now, from.decayTime)
 	}
 	s := memoryOf(from, now)
 	to, _ := newBalancer(t, testConfig(), 0)
 	all := list(3)
 	all[2].Started = now + away - second
-	to.Membership(now+away, Membership{Kind: ListFull, Backends: all})
+	to.OnMembership(now+away, Membership{Kind: ListFull, Backends: all})
 	to.Restore(now+away, away, s)
 	a, c := to.byID[1], to.byID[3]
-	left := 4 * math.Exp(-away.Seconds()/to.memory.Seconds())
-	if n := a.answers.Fade(now+away, to.memory); math.Abs(n-left) > 1e-9 {
+	left := 4 * math.Exp(-away.Seconds()/to.decayTime.Seconds())
+	if n := a.answers.Value(now+away, to.decayTime); math.Abs(n-left) > 1e-9 {
 		t.Errorf("%v answers are left of 4, it should be %v", n, left)
 	}
-	if !to.fit(a) {
+	if !to.isHealthy(a) {
 		t.Error("an ejection that would be over by now holds")
 	}
-	if _, cold := to.cold(a); cold {
+	if _, cold := to.warmupCapacity(a); cold {
 		t.Error("it started 22 s ago, and counts as cold")
 	}
-	if _, cold := to.cold(c); !cold || c.answers.Fade(now+away, to.memory) > 0 {
+	if _, cold := to.warmupCapacity(c); !cold || c.answers.Value(now+away, to.decayTime) > 0 {
 		t.Error("one that has started since is taken for the one before")
 	}
 }
@@ -166,24 +166,24 @@
 	from, _ := newBalancer(t, testConfig(), 2)
 	to, _ := newBalancer(t, testConfig(), 2)
 	for _, x := range from.targets {
-		x.healthy, x.lastOK, x.coldSince, x.tokens = false, now-second, now-second, 30
+		x.healthy, x.lastOK, x.warmupStarted, x.warmupTokens = false, now-second, now-second, 30
 	}
-	from.retries = 9
-	to.retries = 2
+	from.retryTokens = 9
+	to.retryTokens = 2
 	mine := to.byID[1]
-	mine.answers.Add(1, now, to.memory)
-	mine.coldSince, mine.tokens = now-second, -7
+	mine.answers.Add(1, now, to.decayTime)
+	mine.warmupStarted, mine.warmupTokens = now-second, -7
 	to.Restore(now, 0, memoryOf(from, now))
 	if !mine.healthy || to.byID[2].healthy {
 		t.Errorf("healthy: %v by own answers, %v by the other's word", mine.healthy, to.byID[2].healthy)
 	}
-	if mine.tokens > -7 || to.retries != 2 {
-		t.Errorf("budgets: %v of cold work, %v of retries", mine.tokens, to.retries)
+	if mine.warmupTokens > -7 || to.retryTokens != 2 {
+		t.Errorf("budgets: %v of cold work, %v of retries", mine.warmupTokens, to.retryTokens)
 	}
-	from.retries = 1
+	from.retryTokens = 1
 	to.Restore(now, 0, memoryOf(from, now))
-	if to.retries != 1 {
-		t.Errorf("%v retries, the other process has one left", to.retries)
+	if to.retryTokens != 1 {
+		t.Errorf("%v retries, the other process has one left", to.retryTokens)
 	}
 }
 
--- a/internal/balancer/oldlist_test.go
+++ b/internal/balancer/oldlist_test.go
@@ -15,14 +15,14 @@
 		}
 		now := 5 * second
 		b.Start(now)
-		b.Membership(now, Membership{Kind: ListCached, Version: 7, Backends: list(10)})
+		b.OnMembership(now, Membership{Kind: ListCached, Version: 7, Backends: list(10)})
 		gone := map[BackendID]int{2: 0, 5: 0, 9: 0}
 		attempts := map[RequestID]int{}
 		served := 0
 		for i := range 400 {
 			now += 5 * milli
 			id := RequestID(i + 1)
-			b.Request(now, Request{ID: id, Class: 0, Deadline: now + second})
+			b.OnRequest(now, Request{ID: id, Class: 0, Deadline: now + second})
 			for acts := h.take("send", "probe"); len(acts) > 0; acts = h.take("send", "probe") {
 				for _, a := range acts {
 					_, dead := gone[a.to]
@@ -31,7 +31,7 @@
 						r = ConnectFailed
 					}
 					if a.verb == "probe" {
-						b.Probed(now, ProbeResult{Backend: a.to, Result: r, Took: milli})
+						b.OnHealthCheck(now, HealthCheckResult{Backend: a.to, Result: r, Took: milli})
 						continue
 					}
 					if dead {
@@ -41,7 +41,7 @@
 					}
 					n := attempts[a.id]
 					attempts[a.id]++
-					b.Outcome(now, Outcome{ID: a.id, Attempt: n, Backend: a.to, Result: r, Took: milli, Final: r == OK})
+					b.OnAttemptEnd(now, Outcome{ID: a.id, Attempt: n, Backend: a.to, Result: r, Took: milli, Final: r == OK})
 				}
 			}
 		}
@@ -53,9 +53,9 @@
 		if served < 395 {
 			t.Errorf("seed %d: %d of 400 served", seed, served)
 		}
-		b.Membership(now, Membership{Kind: ListFull, Version: 9, Backends: list(10)})
+		b.OnMembership(now, Membership{Kind: ListFull, Version: 9, Backends: list(10)})
 		for _, x := range b.targets {
-			if _, dead := gone[x.ID]; !dead && x.coldSince > 0 {
+			if _, dead := gone[x.ID]; !dead && x.warmupStarted > 0 {
 				t.Errorf("seed %d: node %d looks cold with the new list", seed, x.ID)
 			}
 		}
--- a/internal/balancer/prediction/forecast.go
+++ b/internal/balancer/prediction/model.go
@@ -23,12 +23,12 @@
 )
 
 const (
-	priorCount = 20    // ends that the assumed distribution counts for:
-	priorMean  = 0.0   // estimates are right,
-	priorVar   = 0.5   // within a factor of two about
-	keep       = 0.996 // weight of earlier ends as each new one comes: some 250 count
-	leastVar   = 0.02
-	mostOff    = 4.0 // logarithm of the ratio that one end counts for at most, either way
+	priorCount    = 20    // ends that the assumed distribution counts for:
+	priorMean     = 0.0   // estimates are right,
+	priorVariance = 0.5   // within a factor of two about
+	retention     = 0.996 // weight of earlier ends as each new one comes: some 250 count
+	minVariance   = 0.02
+	maxLogRatio   = 4.0 // logarithm of the ratio that one end counts for at most, either way
 )
 
 // Model holds one distribution for each kind of work. Not safe for concurrent use.
@@ -55,84 +55,84 @@
 // Forget drops what was learnt of a kind.
 func (m *Model) Forget(k int) { m.kinds[k] = kind{} }
 
-// spread gives the mean and the standard deviation of the logarithm of the ratio.
-func (k *kind) spread() (mean, dev float64) {
+// distribution gives the mean and the standard deviation of the logarithm of the ratio.
+func (k *kind) distribution() (mean, dev float64) {
 	n := k.n + priorCount
 	mean = (k.sum + priorCount*priorMean) / n
-	v := (k.sum2+priorCount*(priorVar+priorMean*priorMean))/n - mean*mean
-	return mean, math.Sqrt(max(v, leastVar))
+	v := (k.sum2+priorCount*(priorVariance+priorMean*priorMean))/n - mean*mean
+	return mean, math.Sqrt(max(v, minVariance))
 }
 
-// Learn takes in that an attempt of kind k took so long (ms), where estimate was foretold.
+// RecordOutcome takes in that an attempt of kind k took so long (ms), where estimate was foretold.
 // answered is not set where it was given up: it would have taken longer.
-func (m *Model) Learn(k int, estimate, took float64, answered bool) {
+func (m *Model) RecordOutcome(k int, estimate, took float64, answered bool) {
 	if !(estimate > 0) || !(took > 0) {
 		return
 	}
 	g := &m.kinds[k]
-	x := min(max(math.Log(took)-math.Log(estimate), -mostOff), mostOff)
+	x := min(max(math.Log(took)-math.Log(estimate), -maxLogRatio), maxLogRatio)
 	more := 0.0 // variance of what lies beyond
 	if !answered {
-		mean, dev := g.spread()
+		mean, dev := g.distribution()
 		z := (x - mean) / dev
-		mills := hazard(z)
-		x = min(mean+dev*mills, 2*mostOff)
+		mills := normalTailMean(z)
+		x = min(mean+dev*mills, 2*maxLogRatio)
 		more = dev * dev * max(0, 1+z*mills-mills*mills)
 	}
-	g.n, g.sum, g.sum2 = g.n*keep+1, g.sum*keep+x, g.sum2*keep+x*x+more
+	g.n, g.sum, g.sum2 = g.n*retention+1, g.sum*retention+x, g.sum2*retention+x*x+more
 }
 
-// hazard is the mean of what lies beyond z in the standard normal distribution.
-func hazard(z float64) float64 {
+// normalTailMean is the mean of what lies beyond z in the standard normal distribution.
+func normalTailMean(z float64) float64 {
 	if z > 6 { // the tail's own asymptote, where both parts of the quotient vanish
 		return z + 1/z
 	}
 	return math.Exp(-z*z/2) / math.Sqrt(2*math.Pi) / (math.Erfc(z/math.Sqrt2) / 2)
 }
 
-// Chance is how likely an attempt of kind k is to be answered within left (ms), where
+// SuccessProbability is how likely an attempt of kind k is to be answered within left (ms), where
 // estimate is foretold.
-func (m *Model) Chance(k int, estimate, left float64) float64 {
+func (m *Model) SuccessProbability(k int, estimate, left float64) float64 {
 	switch {
 	case left <= 0:
 		return 0
 	case estimate <= 0:
 		return 1
 	}
-	mean, dev := m.kinds[k].spread()
+	mean, dev := m.kinds[k].distribution()
 	return 1 - math.Erfc((math.Log(left/estimate)-mean)/dev/math.Sqrt2)/2
 }
 
-// Prices says what sending costs, in the worth of a mean request.
-type Prices struct {
+// Costs says what sending costs, in the worth of a mean request.
+type Costs struct {
 	Waste     float64 // a mean request's work, done for nothing
 	CrossZone float64 // an attempt in another zone
 }
 
-// Stake is what one attempt has to win and to lose.
-type Stake struct {
-	Worth   float64 // of an answer in time, in mean requests'
-	Work    float64 // in mean requests'
-	Crosses bool    // it goes to another zone
-	Chance  float64 // of an answer in time
+// Attempt is what one attempt has to win and to lose.
+type Attempt struct {
+	Utility            float64 // of an answer in time, in mean requests'
+	Work               float64 // in mean requests'
+	CrossZone          bool    // it goes to another zone
+	SuccessProbability float64 // of an answer in time
 }
 
-// Value is what an attempt adds to the service, in the worth of a mean request. It is below 0
+// ExpectedUtility is what an attempt adds to the service, in the worth of a mean request. It is below 0
 // where the waste to be feared, or the crossing, is more.
-func (p Prices) Value(s Stake) float64 {
-	v := s.Worth*s.Chance - p.Waste*s.Work*(1-s.Chance)
-	if s.Crosses {
+func (p Costs) ExpectedUtility(s Attempt) float64 {
+	v := s.Utility*s.SuccessProbability - p.Waste*s.Work*(1-s.SuccessProbability)
+	if s.CrossZone {
 		v -= p.CrossZone
 	}
 	return v
 }
 
-// Pays tells whether an attempt adds more than such a share of its worth, least; and if not,
+// IsWorthwhile tells whether an attempt adds more than such a share of its worth, least; and if not,
 // whether it is hopeless: it would not in its own zone either.
-func (p Prices) Pays(s Stake, least float64) (goes, hopeless bool) {
-	goes = p.Value(s) >= least*s.Worth
-	s.Crosses = false
-	return goes, !goes && p.Value(s) < least*s.Worth
+func (p Costs) IsWorthwhile(s Attempt, least float64) (goes, hopeless bool) {
+	goes = p.ExpectedUtility(s) >= least*s.Utility
+	s.CrossZone = false
+	return goes, !goes && p.ExpectedUtility(s) < least*s.Utility
 }
 
 // State is what was learnt of a kind, for another process to go on with: the number of ends
--- a/internal/balancer/prediction/forecast_test.go
+++ b/internal/balancer/prediction/model_test.go
@@ -24,9 +24,9 @@
 	for range n {
 		estimate := 50 + 400*w.rng.Float64()
 		if took := w.took(estimate); took <= limit {
-			m.Learn(0, estimate, took, true)
+			m.RecordOutcome(0, estimate, took, true)
 		} else if counted {
-			m.Learn(0, estimate, limit, false)
+			m.RecordOutcome(0, estimate, limit, false)
 		}
 	}
 }
@@ -45,7 +45,7 @@
 					in++
 				}
 			}
-			if got, want := m.Chance(0, estimate, left), float64(in)/n; math.Abs(got-want) > 0.12 {
+			if got, want := m.SuccessProbability(0, estimate, left), float64(in)/n; math.Abs(got-want) > 0.12 {
 				t.Errorf("off %v, dev %v: a chance of %.2f to have %v in %v, and %.2f had it", w.off, w.dev, got, estimate, left, want)
 			}
 		}
@@ -59,7 +59,7 @@
 		w := &truth{rand.New(rand.NewPCG(3, 1)), 0, 0.7}
 		m := New(1)
 		w.teach(m, 2000, limit, counted)
-		return m.Chance(0, 400, 400)
+		return m.SuccessProbability(0, 400, 400)
 	}
 	if with, without := chance(true), chance(false); math.Abs(with-0.5) > 0.1 || without < with+0.1 {
 		t.Errorf("one in two comes in time; foretold %.2f, and %.2f if time-outs don't count", with, without)
@@ -70,44 +70,44 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m, any := New(2), rapid.Float64()
 		for range rapid.IntRange(0, 50).Draw(t, "ends") {
-			m.Learn(1, any.Draw(t, "estimate"), any.Draw(t, "took"), rapid.Bool().Draw(t, "answered"))
+			m.RecordOutcome(1, any.Draw(t, "estimate"), any.Draw(t, "took"), rapid.Bool().Draw(t, "answered"))
 		}
 		some := rapid.Float64Range(0.1, 1e5)
 		estimate, left, more := some.Draw(t, "e"), some.Draw(t, "left"), some.Draw(t, "more")
-		p := m.Chance(1, estimate, left)
+		p := m.SuccessProbability(1, estimate, left)
 		if !(p >= 0 && p <= 1) {
 			t.Fatalf("chance %v", p)
 		}
-		if later := m.Chance(1, estimate, left+more); later < p {
+		if later := m.SuccessProbability(1, estimate, left+more); later < p {
 			t.Fatalf("%v in %v, but %v in %v", p, left, later, left+more)
 		}
-		if slower := m.Chance(1, estimate+more, left); slower > p {
+		if slower := m.SuccessProbability(1, estimate+more, left); slower > p {
 			t.Fatalf("%v where %v is foretold, but %v where %v is", p, estimate, slower, estimate+more)
 		}
-		if m.Chance(0, 100, 100) != New(1).Chance(0, 100, 100) {
+		if m.SuccessProbability(0, 100, 100) != New(1).SuccessProbability(0, 100, 100) {
 			t.Fatal("one kind's ends count for another")
 		}
 	})
 }
 
 func TestValueWeighsWorthWasteAndTheCrossing(t *testing.T) {
-	p := Prices{Waste: 0.25, CrossZone: 0.08}
+	p := Costs{Waste: 0.25, CrossZone: 0.08}
 	for _, c := range []struct {
-		s              Stake
+		s              Attempt
 		want           float64
 		goes, hopeless bool
 	}{
-		{Stake{Worth: 1, Work: 1, Chance: 1}, 1, true, false},
-		{Stake{Worth: 1, Work: 1, Chance: 0}, -0.25, false, true},
-		{Stake{Worth: 0.2, Work: 2, Chance: 0.5}, 0.1 - 0.25, false, true},
-		{Stake{Worth: 1, Work: 1, Chance: 1, Crosses: true}, 0.92, true, false},
-		{Stake{Worth: 0.1, Work: 0.1, Chance: 1, Crosses: true}, 0.02, false, false}, // at home it pays
-		{Stake{Worth: 0, Work: 1, Chance: 1}, 0, true, false},                        // it costs nothing
+		{Attempt{Utility: 1, Work: 1, SuccessProbability: 1}, 1, true, false},
+		{Attempt{Utility: 1, Work: 1, SuccessProbability: 0}, -0.25, false, true},
+		{Attempt{Utility: 0.2, Work: 2, SuccessProbability: 0.5}, 0.1 - 0.25, false, true},
+		{Attempt{Utility: 1, Work: 1, SuccessProbability: 1, CrossZone: true}, 0.92, true, false},
+		{Attempt{Utility: 0.1, Work: 0.1, SuccessProbability: 1, CrossZone: true}, 0.02, false, false}, // at home it pays
+		{Attempt{Utility: 0, Work: 1, SuccessProbability: 1}, 0, true, false},                          // it costs nothing
 	} {
-		if got := p.Value(c.s); math.Abs(got-c.want) > 1e-12 {
+		if got := p.ExpectedUtility(c.s); math.Abs(got-c.want) > 1e-12 {
 			t.Errorf("%+v: %v, want %v", c.s, got, c.want)
 		}
-		if goes, hopeless := p.Pays(c.s, 0.3); goes != c.goes || hopeless != c.hopeless {
+		if goes, hopeless := p.IsWorthwhile(c.s, 0.3); goes != c.goes || hopeless != c.hopeless {
 			t.Errorf("%+v: goes %v, hopeless %v", c.s, goes, hopeless)
 		}
 	}
@@ -115,9 +115,9 @@
 
 func BenchmarkChance(b *testing.B) {
 	m := New(1)
-	m.Learn(0, 100, 120, true)
+	m.RecordOutcome(0, 100, 120, true)
 	b.ReportAllocs()
 	for range b.N {
-		m.Chance(0, 100, 150)
+		m.SuccessProbability(0, 100, 150)
 	}
 }
--- /dev/null
+++ b/internal/balancer/prefixcache/table.go
@@ -0,0 +1,85 @@
+// Package prefixcache knows what model backends hold: models, adapters, and the parts of
+// prompts that they have read lately. By it requests go where they can run, and where
+// the least of their prompt is still to be read.
+//
+// It is pure: no goroutine, no clock, no input or output.
+package prefixcache
+
+import (
+	"marlreel/internal/balancer"
+)
+
+// LoadedModel is a model that a backend holds, with its adapters.
+type LoadedModel struct {
+	Model    string
+	Adapters []string
+}
+
+// Backend is what is known of one backend.
+type Backend struct {
+	ID     balancer.BackendID
+	Slots  int
+	Loaded []LoadedModel
+}
+
+// modelKey is a model, or an adapter of it, that is held somewhere.
+type modelKey struct{ model, adapter string }
+
+// Table is what is known of all backends. Not safe for concurrent use.
+type Table struct {
+	modelBackends bool // the backends are model backends
+	slots         map[balancer.BackendID]int
+	replicas      map[modelKey]map[balancer.BackendID]bool
+
+	// The holders of what was asked for last: a pick asks for one request of all backends.
+	cachedNeeds    *balancer.Needs
+	cachedReplicas map[balancer.BackendID]bool
+}
+
+// New makes an empty table; engines says that the backends hold models.
+func New(engines bool) *Table { return &Table{modelBackends: engines} }
+
+// Replace makes the table that of a list of backends.
+func (t *Table) Replace(list []Backend) {
+	t.cachedNeeds, t.cachedReplicas = nil, nil
+	t.slots = make(map[balancer.BackendID]int, len(list))
+	t.replicas = map[modelKey]map[balancer.BackendID]bool{}
+	for _, b := range list {
+		t.slots[b.ID] = b.Slots
+		for _, h := range b.Loaded {
+			t.add(modelKey{h.Model, ""}, b.ID)
+			for _, name := range h.Adapters {
+				t.add(modelKey{h.Model, name}, b.ID)
+			}
+		}
+	}
+}
+
+func (t *Table) add(what modelKey, id balancer.BackendID) {
+	holders := t.replicas[what]
+	if holders == nil {
+		holders = map[balancer.BackendID]bool{}
+		t.replicas[what] = holders
+	}
+	holders[id] = true
+}
+
+// CanServe tells whether a backend holds the model, and the adapter if one is needed.
+func (t *Table) CanServe(needs *balancer.Needs, id balancer.BackendID) bool {
+	if needs == nil {
+		return true
+	}
+	if needs.Avoid == id && id != 0 {
+		return false
+	}
+	if !t.modelBackends || needs.Model == "" {
+		return true
+	}
+	if t.cachedNeeds != needs {
+		t.cachedNeeds, t.cachedReplicas = needs, t.replicas[modelKey{needs.Model, needs.Adapter}]
+	}
+	return t.cachedReplicas[id]
+}
+
+// Slots is how many requests a backend works on at once; 0 is not known.
+func (t *Table) Slots(id balancer.BackendID) int { return t.slots[id] }
--- a/internal/balancer/quota/quota.go
+++ b/internal/balancer/quota/quota.go
@@ -14,7 +14,7 @@
 // Model counts the traffic of each tenant. Not safe for concurrent use.
 type Model struct {
 	tenants []tenant
-	over    time.Duration
+	window  time.Duration
 }
 
 type tenant struct {
@@ -25,16 +25,16 @@
 // New counts over such a time. quotas are the tenants' requests a second at all proxies
 // together, 0 or less for one without a bound.
 func New(quotas []float64, proxies int, over time.Duration) *Model {
-	m := &Model{over: over}
-	m.Set(quotas, nil, proxies, over)
+	m := &Model{window: over}
+	m.Configure(quotas, nil, proxies, over)
 	return m
 }
 
-// Set puts other quotas in force. What has come lately of a tenant still counts: from has the place that each had
+// Configure puts other quotas in force. What has come lately of a tenant still counts: from has the place that each had
 // before, or one that there wasn't.
-func (m *Model) Set(quotas []float64, from []int, proxies int, over time.Duration) {
+func (m *Model) Configure(quotas []float64, from []int, proxies int, over time.Duration) {
 	old := m.tenants
-	m.tenants, m.over = make([]tenant, len(quotas)), over
+	m.tenants, m.window = make([]tenant, len(quotas)), over
 	for i, q := range quotas {
 		if i < len(from) && from[i] >= 0 && from[i] < len(old) {
 			m.tenants[i] = old[from[i]]
@@ -43,15 +43,15 @@
 	}
 }
 
-// Came counts a request of a tenant and gives the part of its traffic that is beyond its
+// RecordRequest counts a request of a tenant and gives the part of its traffic that is beyond its
 // share, from 0 to 1. One that there isn't has no share to be beyond.
-func (m *Model) Came(i int, now time.Duration) float64 {
+func (m *Model) RecordRequest(i int, now time.Duration) float64 {
 	if i < 0 || i >= len(m.tenants) {
 		return 0
 	}
 	t := &m.tenants[i]
-	t.traffic.Add(1, now, m.over)
-	if rate := t.traffic.PerSecond(now, m.over); t.quota > 0 && rate > t.quota {
+	t.traffic.Add(1, now, m.window)
+	if rate := t.traffic.Rate(now, m.window); t.quota > 0 && rate > t.quota {
 		return 1 - t.quota/rate
 	}
 	return 0
--- a/internal/balancer/quota/quota_test.go
+++ b/internal/balancer/quota/quota_test.go
@@ -10,7 +10,7 @@
 // rate sends so many requests a second of tenant 0 for a while and gives the last answer.
 func rate(m *Model, perSecond int, from time.Duration) (over float64) {
 	for i := range 10 * perSecond {
-		over = m.Came(0, from+time.Duration(i)*time.Second/time.Duration(perSecond))
+		over = m.RecordRequest(0, from+time.Duration(i)*time.Second/time.Duration(perSecond))
 	}
 	return over
 }
@@ -43,8 +43,8 @@
 	if got := rate(m, 80, time.Hour); got != 0 {
 		t.Fatalf("within: %v", got)
 	}
-	m.Set([]float64{60, 10}, []int{0, 1}, 3, 3*time.Second)
-	if got := m.Came(0, time.Hour+10*time.Second); got < 0.7 {
+	m.Configure([]float64{60, 10}, []int{0, 1}, 3, 3*time.Second)
+	if got := m.RecordRequest(0, time.Hour+10*time.Second); got < 0.7 {
 		t.Errorf("%v of it is beyond the new quota, want three quarters", got)
 	}
 }
@@ -58,7 +58,7 @@
 		for range rapid.IntRange(0, 50).Draw(t, "n") {
 			now += time.Duration(rapid.IntRange(0, 1e9).Draw(t, "gap"))
 			i := rapid.IntRange(-1, 5).Draw(t, "tenant")
-			if v := m.Came(i, now); !(v >= 0 && v <= 1) || i < 0 && v != 0 {
+			if v := m.RecordRequest(i, now); !(v >= 0 && v <= 1) || i < 0 && v != 0 {
 				t.Fatalf("tenant %d: %v", i, v)
 			}
 		}
--- a/internal/balancer/reconfigure_test.go
+++ b/internal/balancer/reconfigure_test.go
@@ -20,29 +20,29 @@
 func TestReconfigureKeepsWhatWasLearnt(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 2)
 	for range 30 {
-		b.classes[0].learn(0, 80, classKeep)
+		b.delayModels[0].add(0, 80, classRetention)
 	}
-	before := b.expected(0, 0)
-	next := withClass(b.cfg, Class{Name: "new", Aim: second, GiveUp: 2 * second, Effect: Unsafe, Value: 1})
+	before := b.expectedDelay(0, 0)
+	next := withClass(b.cfg, Class{Name: "new", LatencyTarget: second, ClientTimeout: 2 * second, Effect: Unsafe, Value: 1})
 	if err := b.Reconfigure(second, next, nil, nobodyGone); err != nil {
 		t.Fatal(err)
 	}
 	last := len(next.Classes) - 1
-	if got := b.expected(0, 0); got != before {
+	if got := b.expectedDelay(0, 0); got != before {
 		t.Errorf("class 0 is expected to take %v, it was %v", got, before)
 	}
-	if got := b.expected(last, 0); got != 250 {
+	if got := b.expectedDelay(last, 0); got != 250 {
 		t.Errorf("the new class is expected to take %v ms, want a quarter of its aim", got)
 	}
 	// Its place goes to another class: nothing stays.
-	b.classes[last].learn(0, 9, classKeep)
+	b.delayModels[last].add(0, 9, classRetention)
 	other := b.cfg
 	other.Classes = append([]Class(nil), other.Classes...)
-	other.Classes[last] = Class{Name: "other", Aim: 4 * second, GiveUp: 4 * second, Value: 1}
+	other.Classes[last] = Class{Name: "other", LatencyTarget: 4 * second, ClientTimeout: 4 * second, Value: 1}
 	if err := b.Reconfigure(2*second, other, []int{last}, nobodyGone); err != nil {
 		t.Fatal(err)
 	}
-	if got := b.expected(last, 0); got != 1000 {
+	if got := b.expectedDelay(last, 0); got != 1000 {
 		t.Errorf("the other class is expected to take %v ms, as the one before it", got)
 	}
 }
@@ -52,8 +52,8 @@
 	b, _ := newBalancer(t, testConfig(), 2)
 	for name, change := range map[string]func(*Config){
 		"fewer places":   func(c *Config) { c.Classes = c.Classes[:len(c.Classes)-1] },
-		"no deadline":    func(c *Config) { c.Classes[0].GiveUp = 0 },
-		"asked for":      func(c *Config) { c.OnRequest = !c.OnRequest },
+		"no deadline":    func(c *Config) { c.Classes[0].ClientTimeout = 0 },
+		"asked for":      func(c *Config) { c.PollMembership = !c.PollMembership },
 		"negative share": func(c *Config) { c.Tenants = []Tenant{{Name: "x", Share: -1}} },
 	} {
 		next := b.cfg
@@ -73,18 +73,18 @@
 func TestAClassThatHasGoneNoLongerWeighs(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 2)
 	b.cfg.Goal = Goal{Whole: 1, WorstClass: 1}
-	next := withClass(b.cfg, Class{Name: "late", Aim: second, GiveUp: 2 * second, Value: 1})
+	next := withClass(b.cfg, Class{Name: "late", LatencyTarget: second, ClientTimeout: 2 * second, Value: 1})
 	if err := b.Reconfigure(second, next, nil, nobodyGone); err != nil {
 		t.Fatal(err)
 	}
 	gone := len(next.Classes) - 1
-	b.ledger.Book(gone, 0, 100, 0)
-	b.ledger.Book(0, 0, 100, 90)
-	before := b.ledger.Gain(0, 0, 1)
+	b.goodput.Record(gone, 0, 100, 0)
+	b.goodput.Record(0, 0, 100, 90)
+	before := b.goodput.MarginalUtility(0, 0, 1)
 	if err := b.Reconfigure(2*second, next, nil, func(i int) bool { return i == gone }); err != nil {
 		t.Fatal(err)
 	}
-	if after := b.ledger.Gain(0, 0, 1); after <= before {
+	if after := b.goodput.MarginalUtility(0, 0, 1); after <= before {
 		t.Errorf("serving what is left gains %v, as little as beside the one that has gone (%v)", after, before)
 	}
 }
@@ -94,7 +94,7 @@
 func TestRequestsKeepTheirEffectOverReconfigures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := testConfig()
-		cfg.Classes = []Class{{Name: "a", Aim: 50 * second, GiveUp: 60 * second, Value: 1, Effect: Safe}}
+		cfg.Classes = []Class{{Name: "a", LatencyTarget: 50 * second, ClientTimeout: 60 * second, Value: 1, Effect: Safe}}
 		cfg.Caps.MaxAttempts = 4
 		h := &recorder{}
 		b, err := New(cfg, 7, h)
@@ -102,7 +102,7 @@
 			t.Fatal(err)
 		}
 		now := second
-		b.Membership(now, Membership{Kind: ListFull, Backends: list(3)})
+		b.OnMembership(now, Membership{Kind: ListFull, Backends: list(3)})
 		type open struct {
 			effect    Effect
 			most, ran int
@@ -125,12 +125,12 @@
 			case 0:
 				last++
 				live[last] = &open{effect: b.cfg.Classes[0].Effect, most: b.cfg.Caps.MaxAttempts}
-				b.Request(now, Request{ID: last, Deadline: now + 60*second})
+				b.OnRequest(now, Request{ID: last, Deadline: now + 60*second})
 			case 1:
 				for id := RequestID(1); id <= last; id++ {
-					if r := b.requests[id]; r != nil && r.out > 0 {
+					if r := b.requests[id]; r != nil && r.inFlight > 0 {
 						n := len(r.attempts) - 1
-						b.Outcome(now, Outcome{ID: id, Attempt: n, Backend: r.attempts[n].to.ID, Result: Error, Took: milli})
+						b.OnAttemptEnd(now, Outcome{ID: id, Attempt: n, Backend: r.attempts[n].target.ID, Result: Error, Took: milli})
 						break
 					}
 				}
--- a/internal/balancer/recorded_test.go
+++ b/internal/balancer/recorded_test.go
@@ -56,12 +56,12 @@
 func recordedLife(t *testing.T, seed uint64) []string {
 	t.Helper()
 	cfg := testConfig()
-	cfg.Classes[1].Value, cfg.Classes[2].Value, cfg.Classes[0].LateShare = 2, 8, 0.2
+	cfg.Classes[1].Value, cfg.Classes[2].Value, cfg.Classes[0].LateValueRatio = 2, 8, 0.2
 	cfg.Tenants = []Tenant{{Name: "a", Share: 0.7, QuotaPerS: 40}, {Name: "b", Share: 0.3, QuotaPerS: 8}}
-	cfg.OverShareWorth = 0.1
+	cfg.OverQuotaValue = 0.1
 	cfg.Goal = Goal{Whole: 0.45, WorstClass: 0.3, WorstTenant: 0.1, WorstWindow: 0.15}
-	cfg.WarmKeys = seed%3 == 1
-	cfg.OnRequest = seed%3 == 2
+	cfg.KeyAffinity = seed%3 == 1
+	cfg.PollMembership = seed%3 == 2
 	h := &recorder{}
 	b, err := New(cfg, seed, h)
 	if err != nil {
@@ -96,7 +96,7 @@
 					out[a.id]++
 					result, took := OK, time.Duration(20+rng.IntN(300))*milli
 					if bad := rng.IntN(100); bad < 25 {
-						result = []Result{Error, Full, Timeout, ConnectFailed, Reset, Cancelled, Moot, Declined}[rng.IntN(8)]
+						result = []Result{Error, Rejected, Timeout, ConnectFailed, Reset, Cancelled, NotSent, Unprocessable}[rng.IntN(8)]
 					}
 					if a.to%5 == 0 && now > 8*second && now < 20*second { // these are dead for a while
 						result, took = ConnectFailed, 5*milli
@@ -105,7 +105,7 @@
 						out[a.id]--
 						final := answered[a.id] || result == OK
 						answered[a.id] = final
-						b.Outcome(at, Outcome{ID: a.id, Attempt: n, Backend: a.to, Result: result, Took: took, Final: final})
+						b.OnAttemptEnd(at, Outcome{ID: a.id, Attempt: n, Backend: a.to, Result: result, Took: took, Final: final})
 					})
 				case "refuse", "fail":
 					answered[a.id] = true
@@ -115,17 +115,17 @@
 						result = Timeout
 					}
 					at(now+3*milli, func(at time.Duration) {
-						b.Probed(at, ProbeResult{Backend: a.to, Result: result, Took: 3 * milli})
+						b.OnHealthCheck(at, HealthCheckResult{Backend: a.to, Result: result, Took: 3 * milli})
 					})
 				case "after":
-					at(now+a.at, func(at time.Duration) { b.Timer(at, a.token) })
+					at(now+a.at, func(at time.Duration) { b.OnTimer(at, a.token) })
 				}
 			}
 		}
 	}
 	b.Start(now)
 	drain()
-	b.Membership(now, Membership{Kind: ListCached, Version: 1, Backends: list(9)})
+	b.OnMembership(now, Membership{Kind: ListCached, Version: 1, Backends: list(9)})
 	drain()
 	id := RequestID(0)
 	var arrive func(now time.Duration)
@@ -134,17 +134,17 @@
 		class := rng.IntN(4)
 		q := Request{
 			ID: id, Class: class, Tenant: rng.IntN(2), Key: rng.Uint64N(50), Deadline: now + time.Duration(300+rng.IntN(2700))*milli,
-			Repeat: rng.IntN(20) == 0,
+			IsRetry: rng.IntN(20) == 0,
 		}
 		if rng.IntN(4) == 0 {
 			q.Cost = time.Duration(rng.IntN(200)) * milli
 		}
-		b.Request(now, q)
+		b.OnRequest(now, q)
 		if rng.IntN(25) == 0 {
 			mine := id
 			at(now+time.Duration(rng.IntN(200))*milli, func(at time.Duration) {
 				answered[mine] = true
-				b.Gone(at, mine)
+				b.OnClientGone(at, mine)
 			})
 		}
 		gap := time.Duration(rng.IntN(40)) * milli
@@ -176,7 +176,7 @@
 					}
 				}
 			}
-			b.Membership(now, m)
+			b.OnMembership(now, m)
 		})
 	}
 	for len(due) > 0 && due[0].at < 41*second {
--- a/internal/balancer/repeats_test.go
+++ b/internal/balancer/repeats_test.go
@@ -16,14 +16,14 @@
 	}{
 		{"as it was", safe, func(*Class) {}, milli, true},
 		{"no longer safe", safe, func(c *Class) { c.Effect = Unsafe }, milli, false},
-		{"keyed now, in its window", safe, func(c *Class) { c.Effect, c.Group, c.Window = Keyed, GroupAll, second }, milli, true},
-		{"keyed now, behind it", safe, func(c *Class) { c.Effect, c.Group, c.Window = Keyed, GroupAll, second }, 2 * second, false},
-		{"a shorter window", anywhere, func(c *Class) { c.Window = 300 * milli }, 400 * milli, false},
-		{"a longer window", anywhere, func(c *Class) { c.Window = time.Minute }, 2 * second, false},
+		{"keyed now, in its window", safe, func(c *Class) { c.Effect, c.Group, c.IdempotencyWindow = Keyed, GroupAll, second }, milli, true},
+		{"keyed now, behind it", safe, func(c *Class) { c.Effect, c.Group, c.IdempotencyWindow = Keyed, GroupAll, second }, 2 * second, false},
+		{"a shorter window", anywhere, func(c *Class) { c.IdempotencyWindow = 300 * milli }, 400 * milli, false},
+		{"a longer window", anywhere, func(c *Class) { c.IdempotencyWindow = time.Minute }, 2 * second, false},
 		{"safe from now on", unsafe, func(c *Class) { c.Effect = Safe }, milli, false},
 	} {
 		b, h := newBalancer(t, testConfig(), 2)
-		b.Request(second, Request{ID: 1, Class: c.class, Deadline: 5 * second})
+		b.OnRequest(second, Request{ID: 1, Class: c.class, Deadline: 5 * second})
 		first := h.take("send")[0]
 		next := testConfig()
 		c.next(&next.Classes[c.class])
@@ -31,7 +31,7 @@
 			t.Fatal(err)
 		}
 		h.take()
-		b.Outcome(second+c.after, Outcome{ID: 1, Backend: first.to, Result: Reset})
+		b.OnAttemptEnd(second+c.after, Outcome{ID: 1, Backend: first.to, Result: Reset})
 		if again := len(h.take("send")) > 0; again != c.again {
 			t.Errorf("%s: sent again: %v", c.name, again)
 		}
@@ -41,11 +41,11 @@
 // The module says by when a repeat has to be out: within the window of the first that may have run.
 func TestARepeatHasToBeOutWithinItsWindow(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 2)
-	b.Request(second, Request{ID: 1, Class: anywhere, Deadline: 5 * second})
+	b.OnRequest(second, Request{ID: 1, Class: anywhere, Deadline: 5 * second})
 	first := h.take("send")[0]
-	b.Outcome(second+100*milli, Outcome{ID: 1, Backend: first.to, Result: Reset})
+	b.OnAttemptEnd(second+100*milli, Outcome{ID: 1, Backend: first.to, Result: Reset})
 	again := h.take("send")
-	window := b.cfg.Classes[anywhere].Window
+	window := b.cfg.Classes[anywhere].IdempotencyWindow
 	if len(again) != 1 || h.before[0] != 0 || h.before[1] > second+window || h.before[1] < second+window/2 {
 		t.Errorf("%d again; by %v, window %v", len(again), h.before, window)
 	}
@@ -57,10 +57,10 @@
 	cfg.Tenants = []Tenant{{Name: "a", Share: 0.5, QuotaPerS: 1}, {Name: "b", Share: 0.5, QuotaPerS: 1}}
 	b, h := newBalancer(t, cfg, 2)
 	for i := range 40 {
-		b.Request(second, Request{ID: RequestID(i + 1), Tenant: 0, Deadline: 5 * second})
+		b.OnRequest(second, Request{ID: RequestID(i + 1), Tenant: 0, Deadline: 5 * second})
 	}
 	h.take()
-	over := func(tenant int) float64 { return b.quota.Came(tenant, second) }
+	over := func(tenant int) float64 { return b.quota.RecordRequest(tenant, second) }
 	if over(0) < 0.5 || over(1) > 0 {
 		t.Fatal("the quota is not counted")
 	}
@@ -72,7 +72,7 @@
 	if a, c := over(2), over(1); a < 0.5 || c > 0 {
 		t.Errorf("after the change a is %.2f over its quota, and c, which is new, %.2f", a, c)
 	}
-	if asked := b.ledger.Tenant(1).Asked; asked > 2 {
+	if asked := b.goodput.Tenant(1).Offered; asked > 2 {
 		t.Errorf("%.0f were asked for by a tenant that has just come", asked)
 	}
 }
@@ -84,26 +84,26 @@
 	b, h := newBalancer(t, cfg, 3)
 	drive(b, h, second, 20*second, 20*milli, 400*milli)
 	old := b.targets[0]
-	old.coldSince, old.tokens, old.healthy = b.now, -3, false
+	old.warmupStarted, old.warmupTokens, old.healthy = b.now, -3, false
 	next := testConfig()
 	gone := len(next.Classes)
 	for _, c := range cfg.Classes {
-		c.Name, c.Value, c.Aim = "other-"+c.Name, 3*c.Value, c.Aim/4
+		c.Name, c.Value, c.LatencyTarget = "other-"+c.Name, 3*c.Value, c.LatencyTarget/4
 		next.Classes = append(next.Classes, c)
 	}
 	if err := b.Reconfigure(b.now, next, nil, func(i int) bool { return i < gone }); err != nil {
 		t.Fatal(err)
 	}
 	for _, x := range b.targets {
-		if n := x.answers.Fade(b.now, b.memory); n != 0 || x.tail.n != 0 || x.served.Fade(b.now, second) != 0 {
+		if n := x.answers.Value(b.now, b.decayTime); n != 0 || x.tail.n != 0 || x.servedWork.Value(b.now, second) != 0 {
 			t.Errorf("backend %d: %.1f answers to another customer count", x.ID, n)
 		}
 	}
-	if old.coldSince != b.now || old.tokens != -3 || old.healthy {
+	if old.warmupStarted != b.now || old.warmupTokens != -3 || old.healthy {
 		t.Error("a cold start, its budget or its health was forgotten")
 	}
-	b.Request(b.now, Request{ID: 1 << 20, Class: gone, Deadline: b.now + 5*second})
-	if want := b.expected(gone, 0); b.mean != want {
-		t.Errorf("the first request counts %.1f in a mean of %.1f", want, b.mean)
+	b.OnRequest(b.now, Request{ID: 1 << 20, Class: gone, Deadline: b.now + 5*second})
+	if want := b.expectedDelay(gone, 0); b.meanExpectedDelay != want {
+		t.Errorf("the first request counts %.1f in a mean of %.1f", want, b.meanExpectedDelay)
 	}
 }
--- a/internal/balancer/restart_test.go
+++ b/internal/balancer/restart_test.go
@@ -40,11 +40,11 @@
 				t.Fatal(err)
 			}
 			b.Start(now)
-			b.Membership(now, Membership{Kind: ListFull, Version: 1, Backends: list(8)})
+			b.OnMembership(now, Membership{Kind: ListFull, Version: 1, Backends: list(8)})
 			b.Restore(now, 300*milli, s)
 			h.take()
 			for i := range first {
-				b.Request(now+time.Duration(i)*milli, Request{ID: RequestID(i + 1), Class: 0, Deadline: now + second})
+				b.OnRequest(now+time.Duration(i)*milli, Request{ID: RequestID(i + 1), Class: 0, Deadline: now + second})
 			}
 			for _, a := range h.take("send") {
 				got[a.to]++
@@ -67,10 +67,10 @@
 	now := 5 * second
 	for i := range requests {
 		now += 5 * milli
-		b.Request(now, Request{ID: RequestID(i + 1), Class: 0, Deadline: now + second})
+		b.OnRequest(now, Request{ID: RequestID(i + 1), Class: 0, Deadline: now + second})
 		for _, a := range host.take("send") {
 			if i >= unanswered {
-				b.Outcome(now+40*milli, Outcome{ID: a.id, Attempt: 0, Backend: a.to, Result: OK, Took: 40 * milli, Final: true})
+				b.OnAttemptEnd(now+40*milli, Outcome{ID: a.id, Attempt: 0, Backend: a.to, Result: OK, Took: 40 * milli, Final: true})
 			}
 		}
 	}
@@ -86,12 +86,12 @@
 		teacher := taught(t, testConfig(), 2, 40, unanswered)
 		b, _ := newBalancer(t, testConfig(), 2)
 		b.Restore(teacher.now, 300*milli, memoryOf(teacher, teacher.now))
-		want := average{teacher.over, teacher.known.at}
+		want := average{teacher.meanWindow, teacher.knownDelay.mean}
 		if unanswered == 40 {
 			want = average{}
 		}
-		if b.known != want || b.delay() != teacher.delay() {
-			t.Errorf("%d unanswered: %v and %.1f are remembered, want %v and %.1f", unanswered, b.known, b.delay(), want, teacher.delay())
+		if b.knownDelay != want || b.meanDelay() != teacher.meanDelay() {
+			t.Errorf("%d unanswered: %v and %.1f are remembered, want %v and %.1f", unanswered, b.knownDelay, b.meanDelay(), want, teacher.meanDelay())
 		}
 	}
 }
@@ -108,17 +108,17 @@
 		for end := now + span; now < end; {
 			now += 4 * milli
 			id++
-			b.Request(now, Request{ID: id, Class: 0, Deadline: now + second})
+			b.OnRequest(now, Request{ID: id, Class: 0, Deadline: now + second})
 			for _, a := range host.take("send", "probe") {
 				r := OK
 				if a.to == bad {
 					r = ConnectFailed
 				}
 				if a.verb == "probe" {
-					b.Probed(now, ProbeResult{Backend: a.to, Result: r, Took: milli})
+					b.OnHealthCheck(now, HealthCheckResult{Backend: a.to, Result: r, Took: milli})
 					continue
 				}
-				b.Outcome(now+2*milli, Outcome{ID: a.id, Attempt: a.attempt, Backend: a.to, Result: r, Took: 2 * milli, Final: r == OK})
+				b.OnAttemptEnd(now+2*milli, Outcome{ID: a.id, Attempt: a.attempt, Backend: a.to, Result: r, Took: 2 * milli, Final: r == OK})
 			}
 		}
 	}
@@ -133,7 +133,7 @@
 			t.Fatal(err)
 		}
 		next.Start(now)
-		next.Membership(now, Membership{Kind: ListFull, Version: 1, Backends: list(6)})
+		next.OnMembership(now, Membership{Kind: ListFull, Version: 1, Backends: list(6)})
 		next.Restore(now, 50*milli, s)
 		b, host = next, h
 		live(250*milli, 0) // the bad one is well by now
@@ -192,7 +192,7 @@
 				}
 				s.Common.Retries = 1e6
 			}
-			s = staleness.Weigh(staleness.Config{Keep: 600 * second, Half: 30 * second}, s, 2*second, true)
+			s = staleness.Discount(staleness.Config{MaxAge: 600 * second, HalfLife: 30 * second}, s, 2*second, true)
 			w.proxies[i].b.(*Balancer).Restore(w.now, 2*second, s)
 		})
 	}
--- /dev/null
+++ b/internal/balancer/retrystorm/ended_requests.go
@@ -0,0 +1,126 @@
+package retrystorm
+
+import (
+	"time"
+
+	"marlreel/internal/balancer/decay"
+)
+
+// Unmarked repeats. A client's repeat has a new name, and what it asks may be asked by others: a
+// match of class, tenant and key with a request that went unserved lately proves nothing by itself.
+// So what was served is watched alike, as a control: nobody repeats that, and what matches it comes
+// by chance. How much oftener the unserved are matched is the share of their matches that are
+// repeats.
+
+const (
+	maxEndedRequests = 4096            // requests that are remembered
+	controlSampling  = 8               // one in so many of the served is watched
+	matchWindow      = 5 * time.Second // over which shares of matches are taken
+	minUnserved      = 12              // unserved requests, of late, before any match counts
+	retryThreshold   = 0.5             // chance from which a match is taken for a repeat
+)
+
+// endedRequest is a request that has ended.
+type endedRequest struct {
+	first, ended time.Duration
+	retryDue     time.Duration // when it was told to come again; 0: it was told nothing
+	served       bool
+}
+
+// endedRequests are the requests that have ended within a span.
+type endedRequests struct {
+	span        time.Duration
+	byKey       map[uint64]endedRequest
+	order       []expiry // oldest first, from head on
+	head        int
+	servedCount int
+
+	unserved, unservedMatched    decay.Sum
+	control, controlMatched      decay.Sum
+	retryDelays, retryDelayCount decay.Sum // from the first arrival to the repeat, ms
+}
+
+type expiry struct {
+	key uint64
+	at  time.Duration
+}
+
+func newEndedRequests(span time.Duration) endedRequests {
+	return endedRequests{span: span, byKey: map[uint64]endedRequest{}}
+}
+
+// record takes in the end of a request.
+func (s *endedRequests) record(now time.Duration, key uint64, first, due time.Duration, served bool) {
+	if served {
+		// Seldom matched by chance, so few have to be watched.
+		if s.servedCount++; s.servedCount%controlSampling != 0 {
+			delete(s.byKey, key) // what it repeated is done
+			return
+		}
+		s.control.Add(1, now, matchWindow)
+	} else {
+		s.unserved.Add(1, now, matchWindow)
+	}
+	s.forget(now)
+	if len(s.byKey) >= maxEndedRequests {
+		return
+	}
+	s.byKey[key] = endedRequest{first, now, due, served}
+	s.order = append(s.order, expiry{key, now})
+}
+
+// forget drops what ended longer ago than the span.
+func (s *endedRequests) forget(now time.Duration) {
+	for s.head < len(s.order) && now-s.order[s.head].at > s.span {
+		o := s.order[s.head]
+		if x, there := s.byKey[o.key]; there && x.ended == o.at {
+			delete(s.byKey, o.key)
+		}
+		s.head++
+	}
+	if s.head > len(s.order)/2 {
+		s.order = append(s.order[:0], s.order[s.head:]...)
+		s.head = 0
+	}
+}
+
+// match gives when the request came first that one is likely the repeat of, and when it was told to
+// come again.
+func (s *endedRequests) match(now time.Duration, key uint64) (first, due time.Duration, repeat bool) {
+	x, there := s.byKey[key]
+	if !there || now-x.ended > s.span {
+		return 0, 0, false
+	}
+	if x.served {
+		s.controlMatched.Add(1, now, matchWindow)
+		delete(s.byKey, key) // one match each, as for the others
+		return 0, 0, false
+	}
+	s.unservedMatched.Add(1, now, matchWindow)
+	delete(s.byKey, key)
+	if s.retryProbability(now) < retryThreshold {
+		return 0, 0, false
+	}
+	s.retryDelays.Add((now-x.first).Seconds()*1000, now, matchWindow)
+	s.retryDelayCount.Add(1, now, matchWindow)
+	return x.first, x.retryDue, true
+}
+
+// retryProbability is the part of the matches of unserved requests that are repeats.
+func (s *endedRequests) retryProbability(now time.Duration) float64 {
+	n := s.unserved.Value(now, matchWindow)
+	if n < minUnserved {
+		return 0
+	}
+	met := s.unservedMatched.Value(now, matchWindow) / n
+	by := (s.controlMatched.Value(now, matchWindow) + 0.1) / (s.control.Value(now, matchWindow) + 2)
+	if met <= 0 {
+		return 0
+	}
+	return max(0, 1-by/met)
+}
+
+// meanRetryDelay is how long after its first arrival a repeat comes, about; 0 is not known.
+func (s *endedRequests) meanRetryDelay(now time.Duration) time.Duration {
+	return time.Duration(s.retryDelays.Mean(&s.retryDelayCount, now, matchWindow) * float64(time.Millisecond))
+}
