--- a/internal/balancer/retrystorm/storm_test.go
+++ b/internal/balancer/retrystorm/model_test.go
@@ -14,7 +14,7 @@
 const ms = time.Millisecond
 
 func model() *Model {
-	return New(Config{Patience: 2 * time.Second, Tells: true, Usual: 400 * ms, Longest: 2 * time.Second})
+	return New(Config{ClientTimeout: 2 * time.Second, SendsRetryAfter: true, CalmRetryAfter: 400 * ms, MaxRetryAfter: 2 * time.Second})
 }
 
 // day lets requests come at a rate, of which a part goes unserved; the unserved come again after a
@@ -43,18 +43,18 @@
 
 func (d *day) one(key uint64, first time.Duration, unserved, comesAgain float64) {
 	repeat := first != d.now
-	s := d.m.Came(d.now, key, false)
+	s := d.m.RecordArrival(d.now, key, false)
 	switch {
 	case repeat:
 		d.repeats++
-		if s.Repeat && s.First == first {
+		if s.IsRetry && s.FirstArrival == first {
 			d.seen++
 		}
-	case s.Repeat:
+	case s.IsRetry:
 		d.mistaken++
 	}
 	served := d.rng.Float64() >= unserved
-	d.m.Ended(d.now, key, s.First, 0, served)
+	d.m.RecordEnd(d.now, key, s.FirstArrival, 0, served)
 	if !served && d.rng.Float64() < comesAgain && d.now-first < 2*time.Second {
 		d.again = append(d.again, coming{d.now + 50*ms + time.Duration(d.rng.IntN(50))*ms, key, first})
 	}
@@ -73,7 +73,7 @@
 		}
 		d.again = left
 		d.one(1+uint64(d.rng.IntN(d.keys)), d.now, unserved, comesAgain)
-		if line, changed := d.m.Look(d.now); changed {
+		if line, changed := d.m.Evaluate(d.now); changed {
 			d.lines = append(d.lines, line)
 		}
 	}
@@ -153,22 +153,22 @@
 	d := newDay()
 	d.play(5*time.Second, 100, 0.5, 1)
 	first := d.now
-	d.m.Ended(d.now, 7, first, d.now+time.Second, false)
+	d.m.RecordEnd(d.now, 7, first, d.now+time.Second, false)
 	d.now += 100 * ms
-	if s := d.m.Came(d.now, 7, false); !s.Repeat || s.First != first || s.Since != first || s.Favour >= 1 {
+	if s := d.m.RecordArrival(d.now, 7, false); !s.IsRetry || s.FirstArrival != first || s.CountFrom != first || s.PriorityFactor >= 1 {
 		t.Errorf("early, in a storm: %+v", s)
 	}
-	d.m.Ended(d.now, 7, first, d.now+100*ms, false)
+	d.m.RecordEnd(d.now, 7, first, d.now+100*ms, false)
 	d.now += 100 * ms
-	if s := d.m.Came(d.now, 7, false); !s.Repeat || s.Since != first || s.Favour != 1 {
+	if s := d.m.RecordArrival(d.now, 7, false); !s.IsRetry || s.CountFrom != first || s.PriorityFactor != 1 {
 		t.Errorf("as it was told: %+v", s)
 	}
 	d.m.state = Calm
-	d.m.Ended(d.now, 8, first, d.now+time.Second, false)
-	if s := d.m.Came(d.now, 8, false); s.Since != d.now || s.Favour != 1 {
+	d.m.RecordEnd(d.now, 8, first, d.now+time.Second, false)
+	if s := d.m.RecordArrival(d.now, 8, false); s.CountFrom != d.now || s.PriorityFactor != 1 {
 		t.Errorf("while it is calm: %+v", s)
 	}
-	if s := d.m.Came(d.now, 0, true); !s.Repeat || s.First >= d.now {
+	if s := d.m.RecordArrival(d.now, 0, true); !s.IsRetry || s.FirstArrival >= d.now {
 		t.Errorf("marked, of another proxy's: %+v", s)
 	}
 }
@@ -180,20 +180,20 @@
 	now := time.Second
 	for range 4000 { // 400 are served a second
 		now += 5 * ms / 2
-		m.Came(now, 0, false)
-		m.Ended(now, 0, now, 0, true)
+		m.RecordArrival(now, 0, false)
+		m.RecordEnd(now, 0, now, 0, true)
 	}
 	m.state = Storm
-	m.came, m.repeats = fadeOf(500, now), fadeOf(0, now)
-	if after := m.ComeAgain(now, time.Second); after != m.cfg.Longest {
+	m.arrivals, m.retries = fadeOf(500, now), fadeOf(0, now)
+	if after := m.RetryAfter(now, time.Second); after != m.cfg.MaxRetryAfter {
 		t.Errorf("with nothing free: %v", after)
 	}
-	m.came = fadeOf(m.best(now)-100, now)
+	m.arrivals = fadeOf(m.updatePeakRate(now)-100, now)
 	told := map[int]int{}
 	longest := 0
 	for range 1000 {
-		after := m.ComeAgain(now, 1500*ms)
-		if after == m.cfg.Longest {
+		after := m.RetryAfter(now, 1500*ms)
+		if after == m.cfg.MaxRetryAfter {
 			longest++
 			continue
 		}
@@ -209,11 +209,11 @@
 		}
 	}
 	m.state = Calm
-	if after := m.ComeAgain(now, time.Second); after != m.cfg.Usual {
+	if after := m.RetryAfter(now, time.Second); after != m.cfg.CalmRetryAfter {
 		t.Errorf("while it is calm: %v", after)
 	}
-	m.cfg.Tells = false
-	if after := m.ComeAgain(now, time.Second); after != 0 {
+	m.cfg.SendsRetryAfter = false
+	if after := m.RetryAfter(now, time.Second); after != 0 {
 		t.Errorf("where clients may not be told: %v", after)
 	}
 }
@@ -228,22 +228,22 @@
 			key := uint64(rapid.IntRange(0, 5).Draw(t, "key"))
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				s := m.Came(now, key, rapid.Bool().Draw(t, "marked"))
-				if s.First > now || s.Since > now || s.Since < s.First || !(s.Favour > 0 && s.Favour <= 1) {
+				s := m.RecordArrival(now, key, rapid.Bool().Draw(t, "marked"))
+				if s.FirstArrival > now || s.CountFrom > now || s.CountFrom < s.FirstArrival || !(s.PriorityFactor > 0 && s.PriorityFactor <= 1) {
 					t.Fatalf("at %v: %+v", now, s)
 				}
 			case 1:
-				m.Ended(now, key, now, now, rapid.Bool().Draw(t, "served"))
+				m.RecordEnd(now, key, now, now, rapid.Bool().Draw(t, "served"))
 			case 2:
 				left := time.Duration(rapid.Int64Range(-int64(time.Second), int64(5*time.Second)).Draw(t, "left"))
-				if after := m.ComeAgain(now, left); after < 0 || after > m.cfg.Longest {
+				if after := m.RetryAfter(now, left); after < 0 || after > m.cfg.MaxRetryAfter {
 					t.Fatalf("come again after %v", after)
 				}
 			case 3:
-				m.Look(now)
+				m.Evaluate(now)
 			}
-			if len(m.sights.by) > mostSights || len(m.sights.order)-m.sights.head > 2*mostSights {
-				t.Fatalf("%d sights, %d in order", len(m.sights.by), len(m.sights.order))
+			if len(m.ended.byKey) > maxEndedRequests || len(m.ended.order)-m.ended.head > 2*maxEndedRequests {
+				t.Fatalf("%d sights, %d in order", len(m.ended.byKey), len(m.ended.order))
 			}
 		}
 	})
@@ -252,15 +252,15 @@
 // However many go unserved, only so many are remembered.
 func TestSightsAreBounded(t *testing.T) {
 	m := model()
-	for i := range uint64(10 * mostSights) {
-		m.Ended(time.Second, i+1, 0, 0, false)
+	for i := range uint64(10 * maxEndedRequests) {
+		m.RecordEnd(time.Second, i+1, 0, 0, false)
 	}
-	if len(m.sights.by) > mostSights || len(m.sights.order) > mostSights {
-		t.Errorf("%d are remembered, %d in order", len(m.sights.by), len(m.sights.order))
+	if len(m.ended.byKey) > maxEndedRequests || len(m.ended.order) > maxEndedRequests {
+		t.Errorf("%d are remembered, %d in order", len(m.ended.byKey), len(m.ended.order))
 	}
-	m.Ended(time.Minute, 1, 0, 0, false)
-	if len(m.sights.by) != 1 {
-		t.Errorf("%d are remembered a minute later", len(m.sights.by))
+	m.RecordEnd(time.Minute, 1, 0, 0, false)
+	if len(m.ended.byKey) != 1 {
+		t.Errorf("%d are remembered a minute later", len(m.ended.byKey))
 	}
 }
 
@@ -269,11 +269,11 @@
 	b.ReportAllocs()
 	for i := uint64(1); b.Loop(); i++ {
 		now += ms
-		s := m.Came(now, i, false)
-		m.Ended(now, i, s.First, 0, true)
+		s := m.RecordArrival(now, i, false)
+		m.RecordEnd(now, i, s.FirstArrival, 0, true)
 	}
 }
 
 func fadeOf(perSecond float64, now time.Duration) decay.Sum {
-	return decay.Since(perSecond*over.Seconds(), now)
+	return decay.NewSum(perSecond*rateWindow.Seconds(), now)
 }
--- a/internal/balancer/rules_test.go
+++ b/internal/balancer/rules_test.go
@@ -126,7 +126,7 @@
 	}
 	var first time.Duration = -1
 	for n, a := range r.tries {
-		if !a.done && !w.cfg.Caps.SecondCopies {
+		if !a.done && !w.cfg.Caps.Hedging {
 			w.breaks("rule 2: request %d has two attempts out", id)
 		}
 		if a.done && a.result.NeverRan() || c.Effect == Safe {
@@ -142,7 +142,7 @@
 			first = a.sent
 		}
 	}
-	if first >= 0 && w.now-first >= c.Window {
+	if first >= 0 && w.now-first >= c.IdempotencyWindow {
 		w.breaks("rule 2: keyed request %d is sent again after its window", id)
 	}
 	if told, out := w.told[to]; out && w.now-told > w.cfg.Obligations.DrainGrace {
@@ -157,7 +157,7 @@
 		took = time.Hour
 	case ConnectFailed:
 		took = w.cfg.Caps.ConnectTimeout
-	case Full, Error, Reset:
+	case Rejected, Error, Reset:
 		took = time.Duration(w.rng.IntN(5)) * milli
 	}
 	if until <= 0 || until > r.Deadline {
@@ -174,20 +174,20 @@
 func (w *world) cold(s *back, work time.Duration) {
 	o := w.cfg.Obligations
 	age := w.now - s.Started
-	if s.Started == 0 || age >= o.Cold {
+	if s.Started == 0 || age >= o.WarmupDuration {
 		return
 	}
 	s.sent = append(s.sent, coldSend{w.now, work})
 	var sum time.Duration
 	for _, c := range s.sent {
-		if w.now-c.at < o.Fall {
+		if w.now-c.at < o.OverloadWindow {
 			sum += c.work
 		}
 	}
-	share := o.StartCapacity + (1-o.StartCapacity)*max(0, float64(age-o.Fall))/float64(o.Cold)
+	share := o.InitialCapacity + (1-o.InitialCapacity)*max(0, float64(age-o.OverloadWindow))/float64(o.WarmupDuration)
 	slack := 4 * meanCost
-	if budget := o.FallMultiple*share*w.peak.Seconds() + slack.Seconds(); sum.Seconds() > budget {
-		w.breaks("rule 4: %d was sent %v of work in %v, %v after its start", s.ID, sum, o.Fall, age)
+	if budget := o.OverloadMultiple*share*w.peak.Seconds() + slack.Seconds(); sum.Seconds() > budget {
+		w.breaks("rule 4: %d was sent %v of work in %v, %v after its start", s.ID, sum, o.OverloadWindow, age)
 	}
 }
 
@@ -203,18 +203,18 @@
 		s := w.backs[a.to]
 		s.done = append(s.done, coldSend{w.now, r.Cost})
 		var sum time.Duration
-		for i := len(s.done) - 1; i >= 0 && w.now-s.done[i].at < w.cfg.Obligations.Fall; i-- {
+		for i := len(s.done) - 1; i >= 0 && w.now-s.done[i].at < w.cfg.Obligations.OverloadWindow; i-- {
 			sum += s.done[i].work
 		}
 		w.peak = max(w.peak, sum)
 	}
-	r.by.b.Outcome(w.now, Outcome{
+	r.by.b.OnAttemptEnd(w.now, Outcome{
 		ID: id, Attempt: n, Backend: a.to, Result: result, Took: w.now - a.sent,
 		Final: r.answered,
 	})
 }
 
-func (w *world) Refuse(id RequestID, _ time.Duration) {
+func (w *world) Reject(id RequestID, _ time.Duration) {
 	r := w.reqs[id]
 	if r.answered {
 		w.breaks("rule 1: request %d gets a second answer", id)
@@ -243,7 +243,7 @@
 	w.at(0, func() { w.over(id, n, Cancelled) })
 }
 
-func (w *life) Probe(id BackendID) {
+func (w *life) CheckHealth(id BackendID) {
 	if !w.cfg.Caps.Probes {
 		w.breaks("a probe where none is allowed")
 	}
@@ -251,26 +251,26 @@
 		w.breaks("rule 3: probe of %d after it was told to drain", id)
 	}
 	s := w.backs[id]
-	w.at(2*milli, func() { w.b.Probed(w.now, ProbeResult{Backend: id, Result: s.sick, Took: 2 * milli}) })
+	w.at(2*milli, func() { w.b.OnHealthCheck(w.now, HealthCheckResult{Backend: id, Result: s.sick, Took: 2 * milli}) })
 }
 
-func (w *world) Release(BackendID)   {}
-func (w *world) Tell(uint32, []byte) {}
-func (w *world) Log(string)          {}
-func (w *life) Fetch()               { w.Watch(true) }
+func (w *world) Release(BackendID)         {}
+func (w *world) SendToPeer(uint32, []byte) {}
+func (w *world) Log(string)                {}
+func (w *life) Fetch()                     { w.Watch(true) }
 func (w *life) Watch(bool) {
 	w.at(20*milli, func() {
 		if w.rng.IntN(3) == 0 {
-			w.b.Membership(w.now, Membership{Kind: ListFailed})
+			w.b.OnMembership(w.now, Membership{Kind: ListFailed})
 			return
 		}
 		w.tell(ListFull, w.list())
 	})
 }
 
-func (w *life) After(d time.Duration, token uint64) {
+func (w *life) StartTimer(d time.Duration, token uint64) {
 	// A timer never fires in the batch that sets it.
-	w.at(max(d, milli), func() { w.b.Timer(w.now, token) })
+	w.at(max(d, milli), func() { w.b.OnTimer(w.now, token) })
 }
 
 func (w *world) list() []Backend {
@@ -299,7 +299,7 @@
 		}
 	}
 	for _, l := range w.lives {
-		l.b.Membership(w.now, Membership{Kind: kind, Backends: bs})
+		l.b.OnMembership(w.now, Membership{Kind: kind, Backends: bs})
 	}
 }
 
@@ -309,16 +309,16 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	cfg := testConfig()
 	cfg.Instances = 1
-	cfg.Caps.SecondCopies = rng.IntN(2) == 0
+	cfg.Caps.Hedging = rng.IntN(2) == 0
 	cfg.Caps.Probes = rng.IntN(4) > 0
-	cfg.OnRequest = rng.IntN(2) == 0
-	cfg.WarmKeys = rng.IntN(2) == 0
-	cfg.Classes[unsafe].Group, cfg.Classes[unsafe].Window = GroupAll, second // neither may matter
+	cfg.PollMembership = rng.IntN(2) == 0
+	cfg.KeyAffinity = rng.IntN(2) == 0
+	cfg.Classes[unsafe].Group, cfg.Classes[unsafe].IdempotencyWindow = GroupAll, second // neither may matter
 	cfg.Classes[keyed].Group = []Group{GroupZone, GroupCell}[rng.IntN(2)]
-	cfg.Classes[anywhere].Window = time.Duration(100+rng.IntN(900)) * milli
+	cfg.Classes[anywhere].IdempotencyWindow = time.Duration(100+rng.IntN(900)) * milli
 	for i := range cfg.Classes {
 		if rng.IntN(2) == 0 {
-			cfg.Classes[i].LateShare = 0.5
+			cfg.Classes[i].LateValueRatio = 0.5
 		}
 	}
 	w := &world{
@@ -343,7 +343,7 @@
 		w.at(at-w.now, func() {
 			r := &held{Request: req, by: w.last()}
 			w.reqs[req.ID] = r
-			r.by.b.Request(w.now, req)
+			r.by.b.OnRequest(w.now, req)
 		})
 		w.at(req.Deadline-w.now, func() {
 			w.at(cfg.Obligations.AnswerSlack, func() {
@@ -356,7 +356,7 @@
 			w.at(at+50*milli-w.now, func() {
 				if r := w.reqs[req.ID]; !r.answered {
 					r.answered = true
-					r.by.b.Gone(w.now, req.ID)
+					r.by.b.OnClientGone(w.now, req.ID)
 				}
 			})
 		}
@@ -369,7 +369,7 @@
 			w.at(time.Duration(rng.Int64N(int64(8*second))), func() {
 				old := w.last().b
 				next := w.born(seed + 1000*(n+1))
-				next.b.Membership(w.now, Membership{Kind: ListFull, Backends: w.list()})
+				next.b.OnMembership(w.now, Membership{Kind: ListFull, Backends: w.list()})
 				handOver(rng, w.now, old, next.b)
 			})
 		}
@@ -383,7 +383,7 @@
 	s := w.backs[id]
 	switch w.rng.IntN(6) {
 	case 0, 1: // it falls ill, or gets well
-		s.sick = []Result{OK, Error, Full, Timeout, ConnectFailed, Reset, OK}[w.rng.IntN(7)]
+		s.sick = []Result{OK, Error, Rejected, Timeout, ConnectFailed, Reset, OK}[w.rng.IntN(7)]
 	case 2: // it drains or leaves
 		s.State = []State{Draining, Gone}[w.rng.IntN(2)]
 		w.tell(ListDelta, []Backend{s.Backend})
@@ -394,12 +394,12 @@
 		w.tell(ListFull, w.list())
 	case 5: // odd but harmless events
 		b := w.last().b
-		b.Probed(w.now, ProbeResult{Backend: 9999})
-		b.Outcome(w.now, Outcome{ID: 1 << 30, Attempt: 3})
-		b.Gone(w.now, 1<<30)
-		b.Peer(w.now, PeerMessage{From: 7, Body: []byte("odd")})
-		b.Timer(w.now, w.rng.Uint64())
-		b.FirstByte(w.now, FirstByte{ID: 1 << 30})
+		b.OnHealthCheck(w.now, HealthCheckResult{Backend: 9999})
+		b.OnAttemptEnd(w.now, Outcome{ID: 1 << 30, Attempt: 3})
+		b.OnClientGone(w.now, 1<<30)
+		b.OnPeerMessage(w.now, PeerMessage{From: 7, Body: []byte("odd")})
+		b.OnTimer(w.now, w.rng.Uint64())
+		b.OnFirstByte(w.now, FirstByte{ID: 1 << 30})
 	}
 }
 
@@ -437,27 +437,27 @@
 		{"past the deadline", safe, func(b *Balancer, r *request, _ *target) { b.now = r.Deadline }},
 		{"draining", safe, func(_ *Balancer, _ *request, o *target) { o.State = Draining }},
 		{"gone", safe, func(_ *Balancer, _ *request, o *target) { o.State = Gone }},
-		{"second copy", safe, func(b *Balancer, _ *request, _ *target) { b.cfg.Caps.SecondCopies = false }},
+		{"second copy", safe, func(b *Balancer, _ *request, _ *target) { b.cfg.Caps.Hedging = false }},
 		{"attempts used up", safe, func(b *Balancer, _ *request, _ *target) { b.cfg.Caps.MaxAttempts = 1 }},
 		{"unsafe that may run", unsafe, func(*Balancer, *request, *target) {}},
-		{"other zone", keyed, func(_ *Balancer, r *request, o *target) { o.Zone = r.attempts[0].ran.Zone + 1 }},
+		{"other zone", keyed, func(_ *Balancer, r *request, o *target) { o.Zone = r.attempts[0].location.Zone + 1 }},
 		{"other cell", keyed, func(b *Balancer, r *request, o *target) {
-			b.cfg.Classes[keyed].Group, o.Cell = GroupCell, r.attempts[0].ran.Cell+1
+			b.cfg.Classes[keyed].Group, o.Cell = GroupCell, r.attempts[0].location.Cell+1
 			r.terms = b.cfg.Classes[keyed].terms()
 		}},
 		{"after the window", anywhere, func(b *Balancer, _ *request, _ *target) { b.now += 2 * second }},
 		{"cold without budget", safe, func(b *Balancer, _ *request, o *target) {
-			o.coldSince, o.tokens = b.now, -1
+			o.warmupStarted, o.warmupTokens = b.now, -1
 		}},
 	} {
 		b, h := newBalancer(t, testConfig(), 2)
-		b.Request(second, Request{ID: 1, Class: c.class, Deadline: 5 * second})
+		b.OnRequest(second, Request{ID: 1, Class: c.class, Deadline: 5 * second})
 		r := b.requests[1]
 		other := b.targets[0]
-		if other == r.attempts[0].to {
+		if other == r.attempts[0].target {
 			other = b.targets[1]
 		}
-		other.Zone, other.Cell = r.attempts[0].ran.Zone, r.attempts[0].ran.Cell
+		other.Zone, other.Cell = r.attempts[0].location.Zone, r.attempts[0].location.Cell
 		h.take()
 		c.set(b, r, other)
 		if b.send(r, other) || len(h.take("send")) > 0 {
@@ -465,18 +465,18 @@
 		}
 	}
 	b, h := newBalancer(t, testConfig(), 2)
-	b.Request(second, Request{ID: 1, Deadline: 5 * second})
+	b.OnRequest(second, Request{ID: 1, Deadline: 5 * second})
 	h.take()
 	r := b.requests[1]
 	other := b.targets[0]
-	if other == r.attempts[0].to {
+	if other == r.attempts[0].target {
 		other = b.targets[1]
 	}
 	if !b.send(r, other) {
 		t.Error("a second copy of a safe request was not sent, so the cases above show nothing")
 	}
-	b.end(r)
-	b.end(r)
+	b.rejectOrFail(r)
+	b.rejectOrFail(r)
 	if got := h.take("refuse", "fail"); len(got) != 1 {
 		t.Errorf("%d final answers", len(got))
 	}
--- a/internal/balancer/scale_test.go
+++ b/internal/balancer/scale_test.go
@@ -20,21 +20,21 @@
 	var out []due
 	for now := from; now < from+d; now += 10 * milli {
 		if now >= next {
-			b.Request(now, Request{ID: id, Class: int(id) % 3, Deadline: now + 3*second})
+			b.OnRequest(now, Request{ID: id, Class: int(id) % 3, Deadline: now + 3*second})
 			id, next = id+1, next+gap
 		}
 		for len(out) > 0 && out[0].at <= now {
-			b.Outcome(now, out[0].o)
+			b.OnAttemptEnd(now, out[0].o)
 			out = out[1:]
 		}
-		b.Timer(now, timerSweep<<56)
+		b.OnTimer(now, timerSweep<<56)
 		for _, a := range h.take("send", "probe") {
 			if a.verb == "send" {
 				sends[a.to]++
 				out = append(out, due{now + took, Outcome{ID: a.id, Backend: a.to, Result: OK, Took: took, Final: true}})
 			} else {
 				probes[a.to]++
-				b.Probed(now, ProbeResult{Backend: a.to, Result: OK, Took: milli})
+				b.OnHealthCheck(now, HealthCheckResult{Backend: a.to, Result: OK, Took: milli})
 			}
 		}
 	}
@@ -63,7 +63,7 @@
 		b, h := newBalancer(t, cfg, c.backends)
 		drive(b, h, second, 60*second, c.gap, 5*milli) // the gap is learnt
 		sends, probes := drive(b, h, 61*second, 120*second, c.gap, 5*milli)
-		if n := total(sends); float64(total(probes)) > 1.2*probeShare*float64(n) {
+		if n := total(sends); float64(total(probes)) > 1.2*maxCheckRatio*float64(n) {
 			t.Errorf("%s: %d probes for %d requests", c.name, total(probes), n)
 		}
 		if total(probes) == 0 {
@@ -86,16 +86,16 @@
 		for i := range all {
 			all[i].Zone = 0
 		}
-		b.Membership(second, Membership{Kind: ListFull, Version: 1, Backends: all[:backends]})
+		b.OnMembership(second, Membership{Kind: ListFull, Version: 1, Backends: all[:backends]})
 		before := map[BackendID]bool{}
 		for _, x := range b.subset {
 			users[x.ID]++
 			before[x.ID] = true
 		}
-		if n := len(b.subset); n < subsetLeast || n > backends/4 {
+		if n := len(b.subset); n < minSubsetSize || n > backends/4 {
 			t.Fatalf("proxy %d uses %d of %d backends", rank, n, backends)
 		}
-		b.Membership(second, Membership{Kind: ListDelta, Version: 2, Backends: all[backends:]})
+		b.OnMembership(second, Membership{Kind: ListDelta, Version: 2, Backends: all[backends:]})
 		for _, x := range b.subset {
 			if !before[x.ID] {
 				moved++
@@ -121,9 +121,9 @@
 	for _, x := range first {
 		x.healthy = false
 	}
-	b.Timer(second+milli, timerSweep<<56)
+	b.OnTimer(second+milli, timerSweep<<56)
 	h.take()
-	b.Request(second+2*milli, Request{ID: 1, Deadline: 3 * second})
+	b.OnRequest(second+2*milli, Request{ID: 1, Deadline: 3 * second})
 	got := h.take("send")
 	if len(got) != 1 || slices.ContainsFunc(first, func(x *target) bool { return x.ID == got[0].to }) {
 		t.Errorf("sent %v, with all of the first subset unfit", got)
@@ -140,8 +140,8 @@
 		cfg := testConfig()
 		cfg.Instances = proxies
 		b, _ := newBalancer(t, cfg, 60)
-		sum := b.ready[0].limit * float64(proxies*len(b.subset)) / float64(len(b.ready))
-		if sum < concurrencylimit.Start(1)*0.9 || sum > concurrencylimit.Start(1)*1.1 {
+		sum := b.ready[0].concurrencyLimit * float64(proxies*len(b.subset)) / float64(len(b.ready))
+		if sum < concurrencylimit.Initial(1)*0.9 || sum > concurrencylimit.Initial(1)*1.1 {
 			t.Errorf("%d proxies: limits add up to %.1f a backend", proxies, sum)
 		}
 	}
@@ -153,12 +153,12 @@
 	cfg := testConfig()
 	cfg.Instances = 400
 	b, h := newBalancer(t, cfg, 60)
-	b.Request(10*second, Request{ID: 1, Deadline: 13 * second})
+	b.OnRequest(10*second, Request{ID: 1, Deadline: 13 * second})
 	to := b.byID[h.take("send")[0].to]
-	before := to.limit
-	b.Timer(10*second+400*milli, timerSweep<<56)
-	if to.limit >= before {
-		t.Errorf("out for 0.4 of its aim, the limit went from %.3f to %.3f", before, to.limit)
+	before := to.concurrencyLimit
+	b.OnTimer(10*second+400*milli, timerSweep<<56)
+	if to.concurrencyLimit >= before {
+		t.Errorf("out for 0.4 of its aim, the limit went from %.3f to %.3f", before, to.concurrencyLimit)
 	}
 }
 
@@ -168,11 +168,11 @@
 		cfg := testConfig()
 		cfg.Instances = proxies
 		b, h := newBalancer(t, cfg, 60)
-		b.Request(10*second, Request{ID: 1, Deadline: 13 * second})
+		b.OnRequest(10*second, Request{ID: 1, Deadline: 13 * second})
 		to := b.byID[h.take("send")[0].to]
-		before := to.limit
-		b.Timer(10*second+900*milli, timerSweep<<56)
-		return to.limit / before
+		before := to.concurrencyLimit
+		b.OnTimer(10*second+900*milli, timerSweep<<56)
+		return to.concurrencyLimit / before
 	}
 	if few, many := cut(2), cut(400); many > few*0.9 {
 		t.Errorf("a late attempt cuts to %.2f with 2 proxies and to %.2f with 400", few, many)
@@ -186,15 +186,15 @@
 	b, h := newBalancer(t, cfg, 60)
 	out := b.subset[0]
 	out.ejectedUntil = 5 * second
-	b.Timer(2*second, timerSweep<<56)
+	b.OnTimer(2*second, timerSweep<<56)
 	if got := h.take("release"); len(got) != 1 || got[0].to != out.ID {
 		t.Errorf("ejected %d: %v", out.ID, got)
 	}
-	b.Timer(6*second, timerSweep<<56) // it is back, and the one that stood in for it leaves
+	b.OnTimer(6*second, timerSweep<<56) // it is back, and the one that stood in for it leaves
 	if got := h.take("release"); len(got) != 1 || got[0].to == out.ID {
 		t.Errorf("%d is back: %v", out.ID, got)
 	}
-	b.Timer(7*second, timerSweep<<56)
+	b.OnTimer(7*second, timerSweep<<56)
 	if got := h.take("release"); len(got) != 0 {
 		t.Errorf("nothing changed: %v", got)
 	}
@@ -218,8 +218,8 @@
 		for i := range cold {
 			cold[i].Started = 99 * second
 		}
-		b.Membership(100*second, Membership{Kind: ListCached, Version: 1, Backends: cold})
-		b.Request(100*second, Request{ID: 1, Deadline: 103 * second})
+		b.OnMembership(100*second, Membership{Kind: ListCached, Version: 1, Backends: cold})
+		b.OnRequest(100*second, Request{ID: 1, Deadline: 103 * second})
 		sent += len(h.take("send"))
 	}
 	if sent > proxies/20 {
@@ -231,16 +231,16 @@
 func TestARequestOfMoreGainGetsRoomSooner(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
-	only.limit, b.mean, b.meanRank, only.lastSent = 0.5, 200, 1, second // 400 ms between two sends
+	only.concurrencyLimit, b.meanExpectedDelay, b.meanUtilityPerWork, only.lastSent = 0.5, 200, 1, second // 400 ms between two sends
 	b.now = second + 150*milli
-	if b.room(&request{rank: 1}, only) || b.room(&request{rank: 0.1}, only) {
+	if b.underLimit(&request{utilityPerWork: 1}, only) || b.underLimit(&request{utilityPerWork: 0.1}, only) {
 		t.Error("a usual request got room too soon")
 	}
-	if !b.room(&request{rank: 3}, only) {
+	if !b.underLimit(&request{utilityPerWork: 3}, only) {
 		t.Error("a request of three times the gain got no room")
 	}
 	b.now = second + 410*milli
-	if !b.room(&request{rank: 0.1}, only) {
+	if !b.underLimit(&request{utilityPerWork: 0.1}, only) {
 		t.Error("a request of little gain waits longer than the spacing")
 	}
 }
@@ -251,11 +251,11 @@
 		cfg := testConfig()
 		cfg.Instances = 400
 		b, h := newBalancer(t, cfg, 60)
-		b.Request(10*second, Request{ID: 1, Deadline: 13 * second})
+		b.OnRequest(10*second, Request{ID: 1, Deadline: 13 * second})
 		to := b.byID[h.take("send")[0].to]
-		b.Timer(10*second+800*milli, timerSweep<<56)
-		b.Outcome(10*second+900*milli, Outcome{ID: 1, Backend: to.ID, Result: result, Final: result == OK})
-		return to.limit
+		b.OnTimer(10*second+800*milli, timerSweep<<56)
+		b.OnAttemptEnd(10*second+900*milli, Outcome{ID: 1, Backend: to.ID, Result: result, Final: result == OK})
+		return to.concurrencyLimit
 	}
 	if late := after(OK); after(Timeout) >= late {
 		t.Errorf("late: %.3f, timed out: %.3f", late, after(Timeout))
@@ -270,25 +270,25 @@
 		cfg.Classes[i].Value = 0
 	}
 	b, h := newBalancer(t, cfg, 60)
-	b.Request(10*second, Request{ID: 1, Class: unsafe, Deadline: 13 * second})
+	b.OnRequest(10*second, Request{ID: 1, Class: unsafe, Deadline: 13 * second})
 	got := h.take("send")
 	if len(got) != 1 {
 		t.Fatalf("a request worth nothing: %v", got)
 	}
 	to := b.byID[got[0].to]
-	if to.limit < 1 && b.room(&request{}, to) {
+	if to.concurrencyLimit < 1 && b.underLimit(&request{}, to) {
 		t.Error("room for one more at once where nothing is worth anything")
 	}
 	once := Outcome{ID: 1, Backend: to.ID, Result: Error, Took: milli}
-	b.Outcome(10*second+milli, once)
+	b.OnAttemptEnd(10*second+milli, once)
 	if got := h.take("fail", "refuse", "send"); len(got) != 1 || got[0].verb != "fail" {
 		t.Fatalf("an unsafe request that may have run: %v", got)
 	}
-	bad, load := to.bad, to.load
-	b.Outcome(10*second+2*milli, once)
-	b.Probed(10*second+2*milli, ProbeResult{Backend: to.ID, Result: Timeout})
-	b.Gone(10*second+3*milli, 1)
-	if got := h.take("fail", "refuse", "send"); len(got) != 0 || to.bad != bad || to.load != load || to.fails != 0 {
-		t.Errorf("%v; %d bad, load %v, %d probes failed", got, to.bad, to.load, to.fails)
+	bad, load := to.consecutiveFailures, to.load
+	b.OnAttemptEnd(10*second+2*milli, once)
+	b.OnHealthCheck(10*second+2*milli, HealthCheckResult{Backend: to.ID, Result: Timeout})
+	b.OnClientGone(10*second+3*milli, 1)
+	if got := h.take("fail", "refuse", "send"); len(got) != 0 || to.consecutiveFailures != bad || to.load != load || to.failedChecks != 0 {
+		t.Errorf("%v; %d bad, load %v, %d probes failed", got, to.consecutiveFailures, to.load, to.failedChecks)
 	}
 }
--- a/internal/balancer/slowstart/slowstart.go
+++ b/internal/balancer/slowstart/slowstart.go
@@ -10,44 +10,44 @@
 
 // Config is what the settings say of backends that start.
 type Config struct {
-	Multiple float64       // of its capacity, beyond which a cold backend falls over
-	Fall     time.Duration // for so long
-	Aim      time.Duration // the shortest of all classes
-	Part     float64       // of what would make it fall, that is used
+	OverloadMultiple float64       // of its capacity, beyond which a cold backend falls over
+	OverloadWindow   time.Duration // for so long
+	LatencyTarget    time.Duration // the shortest of all classes
+	SafetyFactor     float64       // of what would make it fall, that is used
 }
 
 const (
 	// Steps of a window: growth is judged so often in it.
-	steps = 3
-	// Grow is by how much the rate may rise in a step that went well. Danger: a backend falls by what it is sent
+	stepsPerWindow = 3
+	// GrowthFactor is by how much the rate may rise in a step that went well. Danger: a backend falls by what it is sent
 	// over a whole window. At 1.6 a step the window's mean is under two thirds of its last step, so what was well
 	// answered a step ago, at no more than capacity, is followed by at most 1.6 x (1 + 1/1.6 + 1/2.56)/3 = 1.08
 	// times capacity before the next look, and a step that was not looked at in time by 1.7 times: under 2.5.
-	Grow = 1.6
-	most = 4096 // of the factor: beyond it the comparison with warm ones has long taken over
+	GrowthFactor = 1.6
+	maxFactor    = 4096 // of the factor: beyond it the comparison with warm ones has long taken over
 )
 
-// Least is how many requests of mean work a second any backend surely bears at a share of its capacity, from all
+// MinRate is how many requests of mean work a second any backend surely bears at a share of its capacity, from all
 // proxies together. One that meets the shortest aim at all does a request in it when it is warm.
-func (c Config) Least(share float64) float64 {
-	window := max(c.Fall, time.Second).Seconds()
-	aim := c.Aim.Seconds()
+func (c Config) MinRate(share float64) float64 {
+	window := max(c.OverloadWindow, time.Second).Seconds()
+	aim := c.LatencyTarget.Seconds()
 	if aim <= 0 {
 		return 1 / window
 	}
-	return max(1/window, c.Part*c.Multiple*share/aim)
+	return max(1/window, c.SafetyFactor*c.OverloadMultiple*share/aim)
 }
 
 // Model is what cold backends have answered lately.
 type Model struct {
-	cfg       Config
-	factor    float64
-	began     time.Duration
-	good, bad int
+	cfg                 Config
+	factor              float64
+	stepStarted         time.Duration
+	successes, failures int
 }
 
-// Set puts settings in force.
-func (m *Model) Set(cfg Config) {
+// Configure puts settings in force.
+func (m *Model) Configure(cfg Config) {
 	m.cfg = cfg
 	if m.factor < 1 {
 		m.factor = 1
@@ -58,45 +58,45 @@
 // its capacity that it surely has. Where some are warm it is one a window: the rest is for who compares them.
 func (m *Model) Rate(now time.Duration, share float64, warm bool) float64 {
 	if warm {
-		m.factor, m.began, m.good, m.bad = 1, now, 0, 0
-		return 1 / max(m.cfg.Fall, time.Second).Seconds()
+		m.factor, m.stepStarted, m.successes, m.failures = 1, now, 0, 0
+		return 1 / max(m.cfg.OverloadWindow, time.Second).Seconds()
 	}
-	return m.cfg.Least(share) * m.Factor(now)
+	return m.cfg.MinRate(share) * m.Factor(now)
 }
 
-// Answer takes what became of an attempt at a cold backend: well is an answer within its aim, and not is one that
+// RecordOutcome takes what became of an attempt at a cold backend: well is an answer within its aim, and not is one that
 // was turned away, late or never came.
-func (m *Model) Answer(now time.Duration, well bool) {
-	m.step(now)
+func (m *Model) RecordOutcome(now time.Duration, well bool) {
+	m.advance(now)
 	if well {
-		m.good++
+		m.successes++
 	} else {
-		m.bad++
+		m.failures++
 	}
 }
 
 // Factor is by how much more than Least each may be sent now.
 func (m *Model) Factor(now time.Duration) float64 {
-	m.step(now)
+	m.advance(now)
 	return m.factor
 }
 
-func (m *Model) step(now time.Duration) {
-	if now-m.began < max(m.cfg.Fall, time.Second)/steps {
+func (m *Model) advance(now time.Duration) {
+	if now-m.stepStarted < max(m.cfg.OverloadWindow, time.Second)/stepsPerWindow {
 		return
 	}
 	switch {
-	case m.bad > 0:
+	case m.failures > 0:
 		m.factor = max(1, m.factor/2)
-	case m.good > 0:
-		m.factor = min(m.factor*Grow, most)
+	case m.successes > 0:
+		m.factor = min(m.factor*GrowthFactor, maxFactor)
 	}
-	m.began, m.good, m.bad = now, 0, 0
+	m.stepStarted, m.successes, m.failures = now, 0, 0
 }
 
-// Phase spreads proxies evenly over 0 to 1 by their places, in another order for each backend: what each waits for
+// Stagger spreads proxies evenly over 0 to 1 by their places, in another order for each backend: what each waits for
 // before its first request there, in turns.
-func Phase(rank int, backend uint64) float64 {
+func Stagger(rank int, backend uint64) float64 {
 	_, p := math.Modf(float64(rank)*0.6180339887498949 + float64(backend)*0.7548776662466927)
 	return p
 }
--- a/internal/balancer/slowstart/slowstart_test.go
+++ b/internal/balancer/slowstart/slowstart_test.go
@@ -26,10 +26,10 @@
 		}
 		mc := machine.Config{Cores: cores, Speed: speed, Slots: 40, Queue: 10, Cold: machine.Cold{From: 0.32, For: 9 * time.Second, Multiple: 2.5, Over: 3 * time.Second}}
 		m := machine.New(mc, 0, false)
-		cfg := Config{Multiple: 2.5, Fall: 3 * time.Second, Aim: aim, Part: 0.8}
+		cfg := Config{OverloadMultiple: 2.5, OverloadWindow: 3 * time.Second, LatencyTarget: aim, SafetyFactor: 0.8}
 		models, tokens := make([]Model, proxies), make([]float64, proxies)
 		for i := range models {
-			models[i].Set(cfg)
+			models[i].Configure(cfg)
 			tokens[i] = -float64(i) / float64(proxies)
 		}
 		type sent struct {
@@ -46,7 +46,7 @@
 				}
 				delete(open, e.ID)
 				served++
-				models[s.proxy].Answer(now, e.Why == machine.Done && now-s.at <= aim)
+				models[s.proxy].RecordOutcome(now, e.Why == machine.Done && now-s.at <= aim)
 			}
 			if m.Fallen() {
 				t.Fatalf("pushed over at %v", now)
@@ -55,7 +55,7 @@
 				if now-s.at > 2*aim {
 					delete(open, id)
 					m.Cancel(now, id)
-					models[s.proxy].Answer(now, false)
+					models[s.proxy].RecordOutcome(now, false)
 				}
 			}
 			share := 0.32 + 0.68*now.Seconds()/9
@@ -67,7 +67,7 @@
 					open[next] = sent{i, now}
 					if m.Offer(now, next, machine.Job{Work: work}) == machine.QueueFull {
 						delete(open, next)
-						models[i].Answer(now, false)
+						models[i].RecordOutcome(now, false)
 					}
 				}
 			}
@@ -86,26 +86,26 @@
 func TestFactor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var m Model
-		m.Set(Config{Multiple: 2.5, Fall: 3 * time.Second, Aim: 400 * time.Millisecond, Part: 0.8})
+		m.Configure(Config{OverloadMultiple: 2.5, OverloadWindow: 3 * time.Second, LatencyTarget: 400 * time.Millisecond, SafetyFactor: 0.8})
 		now, steps := time.Duration(0), 1.0
 		for range rapid.IntRange(1, 200).Draw(t, "n") {
 			d := time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond
 			now, steps = now+d, steps+1
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				m.Answer(now, false)
+				m.RecordOutcome(now, false)
 			case 1:
 				if got := m.Rate(now, 0.5, true); got != 1.0/3 || m.Factor(now) != 1 {
 					t.Fatal("beside warm ones", got, m.Factor(now))
 				}
 				steps = 1
 			default:
-				m.Answer(now, true)
+				m.RecordOutcome(now, true)
 			}
 			f := m.Factor(now)
 			most := 1.0
 			for k := 0.0; k < min(steps, now.Seconds()+1); k++ {
-				most *= Grow
+				most *= GrowthFactor
 			}
 			if f < 1 || f > most+1e-9 {
 				t.Fatal(fmt.Sprintf("a factor of %v after %v and %v steps", f, now, steps))
--- a/internal/balancer/stableindex/slots.go
+++ b/internal/balancer/stableindex/table.go
@@ -11,22 +11,22 @@
 
 // Table is the numbers in use. The zero value has none and room for none: see New.
 type Table struct {
-	most  int
-	slots []slot
+	maxLen int
+	slots  []slot
 }
 
 type slot struct {
-	name string
-	gone bool
-	at   time.Duration // gone: since when
+	name      string
+	removed   bool
+	removedAt time.Duration // gone: since when
 }
 
-// Rest is how long a number stays its last owner's after that has gone: what was on its
+// MinReuseAge is how long a number stays its last owner's after that has gone: what was on its
 // way to be counted under it has come by then.
-const Rest = 10 * time.Second
+const MinReuseAge = 10 * time.Second
 
 // New makes a table of at most so many numbers.
-func New(most int) *Table { return &Table{most: most} }
+func New(most int) *Table { return &Table{maxLen: most} }
 
 // Len is how many numbers there are: from 0 to it.
 func (t *Table) Len() int { return len(t.slots) }
@@ -34,18 +34,18 @@
 // Name is the owner of a number, also one that is not in the list now.
 func (t *Table) Name(i int) string { return t.slots[i].name }
 
-// Gone tells whether the owner of a number is not in the list now.
-func (t *Table) Gone(i int) bool { return t.slots[i].gone }
+// Removed tells whether the owner of a number is not in the list now.
+func (t *Table) Removed(i int) bool { return t.slots[i].removed }
 
-// Place puts a new list of names in force and gives the number of each. fresh are the
+// Assign puts a new list of names in force and gives the number of each. fresh are the
 // numbers, among those that were there before, whose owner is another one now: what was
 // learnt under them is to be forgotten. inUse tells whether something of a number's owner
 // is still open; such a number is not given away. Where it fails, nothing has changed.
-func (t *Table) Place(now time.Duration, names []string, inUse func(i int) bool) (at, fresh []int, err error) {
+func (t *Table) Assign(now time.Duration, names []string, inUse func(i int) bool) (at, fresh []int, err error) {
 	next := append([]slot(nil), t.slots...)
 	for i := range next {
-		if !next[i].gone {
-			next[i].gone, next[i].at = true, now
+		if !next[i].removed {
+			next[i].removed, next[i].removedAt = true, now
 		}
 	}
 	at = make([]int, len(names))
@@ -56,10 +56,10 @@
 			if next[i].name != name {
 				continue
 			}
-			if !next[i].gone {
+			if !next[i].removed {
 				return nil, nil, fmt.Errorf("%q stands in the list twice", name)
 			}
-			next[i].gone, at[k] = false, i
+			next[i].removed, at[k] = false, i
 		}
 		if at[k] < 0 {
 			left = append(left, k)
@@ -72,13 +72,13 @@
 			}
 		}
 		i := len(next)
-		if i < t.most {
+		if i < t.maxLen {
 			next = append(next, slot{})
-		} else if i = longestGone(next, now, len(t.slots), inUse); i >= 0 {
+		} else if i = oldestRemoved(next, now, len(t.slots), inUse); i >= 0 {
 			fresh = append(fresh, i)
 		} else {
 			return nil, nil, fmt.Errorf("%q is one too many beside those of which something is still open: there is room for %d",
-				names[k], t.most)
+				names[k], t.maxLen)
 		}
 		next[i], at[k] = slot{name: names[k]}, i
 	}
@@ -86,14 +86,14 @@
 	return at, fresh, nil
 }
 
-// longestGone finds the number that is the longest without an owner and may be given away, or -1.
-func longestGone(s []slot, now time.Duration, old int, inUse func(i int) bool) int {
+// oldestRemoved finds the number that is the longest without an owner and may be given away, or -1.
+func oldestRemoved(s []slot, now time.Duration, old int, inUse func(i int) bool) int {
 	best := -1
 	for i := range s[:old] {
-		if !s[i].gone || now-s[i].at < Rest || inUse(i) {
+		if !s[i].removed || now-s[i].removedAt < MinReuseAge || inUse(i) {
 			continue
 		}
-		if best < 0 || s[i].at < s[best].at {
+		if best < 0 || s[i].removedAt < s[best].removedAt {
 			best = i
 		}
 	}
--- a/internal/balancer/stableindex/slots_test.go
+++ b/internal/balancer/stableindex/table_test.go
@@ -13,7 +13,7 @@
 
 func place(t *testing.T, tab *Table, now time.Duration, names ...string) []int {
 	t.Helper()
-	at, _, err := tab.Place(now, names, none)
+	at, _, err := tab.Assign(now, names, none)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,10 +26,10 @@
 	if at := place(t, tab, 0, "a", "b"); !slices.Equal(at, []int{0, 1}) {
 		t.Fatal(at)
 	}
-	if at := place(t, tab, 1, "c", "b"); !slices.Equal(at, []int{2, 1}) || !tab.Gone(0) {
+	if at := place(t, tab, 1, "c", "b"); !slices.Equal(at, []int{2, 1}) || !tab.Removed(0) {
 		t.Fatal(at)
 	}
-	if at := place(t, tab, 2, "b", "a"); !slices.Equal(at, []int{1, 0}) || !tab.Gone(2) {
+	if at := place(t, tab, 2, "b", "a"); !slices.Equal(at, []int{1, 0}) || !tab.Removed(2) {
 		t.Fatal(at)
 	}
 }
@@ -41,14 +41,14 @@
 	tab := New(2)
 	place(t, tab, 0, "a", "b")
 	place(t, tab, time.Second, "b")
-	if _, _, err := tab.Place(2*time.Second, []string{"b", "c"}, none); err == nil {
+	if _, _, err := tab.Assign(2*time.Second, []string{"b", "c"}, none); err == nil {
 		t.Error("given away without a rest")
 	}
-	later := time.Second + Rest
-	if _, _, err := tab.Place(later, []string{"b", "c"}, func(i int) bool { return i == 0 }); err == nil {
+	later := time.Second + MinReuseAge
+	if _, _, err := tab.Assign(later, []string{"b", "c"}, func(i int) bool { return i == 0 }); err == nil {
 		t.Error("given away while something is open")
 	}
-	at, fresh, err := tab.Place(later, []string{"b", "c"}, none)
+	at, fresh, err := tab.Assign(later, []string{"b", "c"}, none)
 	if err != nil || !slices.Equal(at, []int{1, 0}) || !slices.Equal(fresh, []int{0}) {
 		t.Error(at, fresh, err)
 	}
@@ -66,7 +66,7 @@
 			names := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"}), 0, 6).Draw(t, "names")
 			busy := rapid.IntRange(-1, 4).Draw(t, "busy")
 			before := fmt.Sprint(tab.slots)
-			at, fresh, err := tab.Place(now, names, func(i int) bool { return i == busy })
+			at, fresh, err := tab.Assign(now, names, func(i int) bool { return i == busy })
 			if err != nil {
 				if fmt.Sprint(tab.slots) != before {
 					t.Fatal("a list that was turned down changed something")
--- a/internal/balancer/staleness/doubt.go
+++ b/internal/balancer/staleness/staleness.go
@@ -13,19 +13,19 @@
 	"marlreel/internal/process/learnedstate"
 )
 
-// Moment is a time by two clocks: the wall's, which may be set, and the machine's since it was started, which
+// Timestamp is a time by two clocks: the wall's, which may be set, and the machine's since it was started, which
 // only goes forward and ends with the machine.
-type Moment struct {
-	Wall time.Time
-	Boot string        // which start of the machine; "" is not known
-	Up   time.Duration // since then
+type Timestamp struct {
+	Wall   time.Time
+	BootID string        // which start of the machine; "" is not known
+	Uptime time.Duration // since then
 }
 
-// Away is how long a life that ended at one moment lies behind another. Where neither clock can tell, or the
+// Age is how long a life that ended at one moment lies behind another. Where neither clock can tell, or the
 // wall's has been set back, it is an error: what is of unknown age must not pass for young.
-func Away(then, now Moment) (time.Duration, error) {
-	if then.Boot != "" && then.Boot == now.Boot {
-		if d := now.Up - then.Up; d >= 0 {
+func Age(then, now Timestamp) (time.Duration, error) {
+	if then.BootID != "" && then.BootID == now.BootID {
+		if d := now.Uptime - then.Uptime; d >= 0 {
 			return d, nil
 		}
 		return 0, errors.New("it was written later in this machine's life than now")
@@ -41,18 +41,18 @@
 
 // Config is how long what was learnt holds.
 type Config struct {
-	Keep time.Duration // beyond which nothing of it is believed
-	Half time.Duration // in which it loses half its weight
+	MaxAge   time.Duration // beyond which nothing of it is believed
+	HalfLife time.Duration // in which it loses half its weight
 }
 
-// Weigh gives what is still to be believed after a time away, and nil where nothing is. crashed says that the
+// Discount gives what is still to be believed after a time away, and nil where nothing is. crashed says that the
 // life did not end as told: then the last seconds of it, in which things went wrong, are not in what it knew,
 // and it counts for half. s stays as it is.
-func Weigh(cfg Config, s *learnedstate.State, away time.Duration, crashed bool) *learnedstate.State {
-	if away > cfg.Keep || away < 0 {
+func Discount(cfg Config, s *learnedstate.State, away time.Duration, crashed bool) *learnedstate.State {
+	if away > cfg.MaxAge || away < 0 {
 		return nil
 	}
-	weight := math.Exp2(-away.Seconds() / cfg.Half.Seconds())
+	weight := math.Exp2(-away.Seconds() / cfg.HalfLife.Seconds())
 	if crashed {
 		weight /= 2
 	}
--- a/internal/balancer/staleness/doubt_test.go
+++ b/internal/balancer/staleness/staleness_test.go
@@ -15,11 +15,11 @@
 // Clocks that were set make nothing younger: what can't be known is an error.
 func TestAway(t *testing.T) {
 	t.Parallel()
-	at := func(wall time.Duration, boot string, up time.Duration) Moment {
-		return Moment{noon.Add(wall), boot, up}
+	at := func(wall time.Duration, boot string, up time.Duration) Timestamp {
+		return Timestamp{noon.Add(wall), boot, up}
 	}
 	for name, c := range map[string]struct {
-		then, now Moment
+		then, now Timestamp
 		want      time.Duration // -1 is an error
 	}{
 		"the machine's clock":               {at(0, "a", time.Hour), at(time.Minute, "a", time.Hour+time.Minute), time.Minute},
@@ -29,9 +29,9 @@
 		"that, and the wall's was set back": {at(0, "a", time.Hour), at(-time.Second, "b", time.Minute), -1},
 		"the same start, earlier":           {at(0, "a", time.Hour), at(time.Minute, "a", time.Minute), -1},
 		"no machine's clock":                {at(0, "", 0), at(time.Second, "", 0), time.Second},
-		"no clock at all":                   {Moment{}, at(0, "b", time.Minute), -1},
+		"no clock at all":                   {Timestamp{}, at(0, "b", time.Minute), -1},
 	} {
-		got, err := Away(c.then, c.now)
+		got, err := Age(c.then, c.now)
 		if c.want < 0 && err == nil || c.want >= 0 && (err != nil || got != c.want) {
 			t.Errorf("%s: %v, %v", name, got, err)
 		}
@@ -42,7 +42,7 @@
 // the others have, nobody is kept out for longer, and no budget is greater than it was.
 func TestWeigh(t *testing.T) {
 	t.Parallel()
-	cfg := Config{Keep: 10 * time.Minute, Half: 30 * time.Second}
+	cfg := Config{MaxAge: 10 * time.Minute, HalfLife: 30 * time.Second}
 	rapid.Check(t, func(t *rapid.T) {
 		positive := rapid.Float64Range(0, 1e4)
 		s := &learnedstate.State{
@@ -57,9 +57,9 @@
 				Tokens: rapid.Float64Range(-1e3, 1e3).Draw(t, "tokens"),
 			})
 		}
-		a := time.Duration(rapid.Int64Range(0, int64(cfg.Keep)).Draw(t, "away"))
-		b := a + time.Duration(rapid.Int64Range(0, int64(cfg.Keep-a)).Draw(t, "longer"))
-		young, old, crashed := Weigh(cfg, s, a, false), Weigh(cfg, s, b, false), Weigh(cfg, s, a, true)
+		a := time.Duration(rapid.Int64Range(0, int64(cfg.MaxAge)).Draw(t, "away"))
+		b := a + time.Duration(rapid.Int64Range(0, int64(cfg.MaxAge-a)).Draw(t, "longer"))
+		young, old, crashed := Discount(cfg, s, a, false), Discount(cfg, s, b, false), Discount(cfg, s, a, true)
 		if old.Classes[0].Line[0] > young.Classes[0].Line[0] || crashed.Classes[0].Line[0] > young.Classes[0].Line[0]*0.5+1e-9 || young.Classes[0].Line[0] > s.Classes[0].Line[0] {
 			t.Fatalf("%v, %v, %v of %v", young.Classes[0].Line, old.Classes[0].Line, crashed.Classes[0].Line, s.Classes[0].Line)
 		}
@@ -75,7 +75,7 @@
 				t.Fatalf("%+v of %+v", k, was)
 			}
 		}
-		if young.Common.Retries > s.Common.Retries || Weigh(cfg, s, cfg.Keep+1, false) != nil || Weigh(cfg, s, -1, false) != nil {
+		if young.Common.Retries > s.Common.Retries || Discount(cfg, s, cfg.MaxAge+1, false) != nil || Discount(cfg, s, -1, false) != nil {
 			t.Fatal("a budget that grew, or what is too old, or of the future, is believed")
 		}
 	})
--- a/internal/balancer/storm_loop_test.go
+++ b/internal/balancer/storm_loop_test.go
@@ -37,12 +37,12 @@
 // decider is a Balancer, or one of the policies that it is held against.
 type decider interface {
 	Start(now time.Duration)
-	Membership(now time.Duration, m Membership)
-	Request(now time.Duration, q Request)
-	Outcome(now time.Duration, o Outcome)
-	Gone(now time.Duration, id RequestID)
-	Probed(now time.Duration, p ProbeResult)
-	Timer(now time.Duration, token uint64)
+	OnMembership(now time.Duration, m Membership)
+	OnRequest(now time.Duration, q Request)
+	OnAttemptEnd(now time.Duration, o Outcome)
+	OnClientGone(now time.Duration, id RequestID)
+	OnHealthCheck(now time.Duration, p HealthCheckResult)
+	OnTimer(now time.Duration, token uint64)
 }
 
 type stormLoop struct {
@@ -130,14 +130,14 @@
 	cfg := testConfig()
 	cfg.Instances, cfg.Classes = d.proxies, auctionClasses()
 	for i := range cfg.Classes { // the auction's own times
-		cfg.Classes[i].Aim = []time.Duration{600, 800, 400, 600}[i] * milli
-		cfg.Classes[i].GiveUp = []time.Duration{1200, 2000, 2000, 2000}[i] * milli
+		cfg.Classes[i].LatencyTarget = []time.Duration{600, 800, 400, 600}[i] * milli
+		cfg.Classes[i].ClientTimeout = []time.Duration{1200, 2000, 2000, 2000}[i] * milli
 	}
 	cfg.MarksRetry = d.marks
 	cfg.Caps.RetryAfter, cfg.Caps.MaxRetryAfter, cfg.Caps.ConnectTimeout = d.retryAfter, 2*second, 100*milli
 	cfg.Goal = Goal{Whole: 0.45, WorstClass: 0.3, WorstTenant: 0.1, WorstWindow: 0.15}
-	cfg.Obligations.Cold, cfg.Obligations.Fall, cfg.Obligations.FallMultiple, cfg.Obligations.StartCapacity = 8*second, 3*second, 2.5, 0.32
-	cfg.OverShareWorth = 0.1
+	cfg.Obligations.WarmupDuration, cfg.Obligations.OverloadWindow, cfg.Obligations.OverloadMultiple, cfg.Obligations.InitialCapacity = 8*second, 3*second, 2.5, 0.32
+	cfg.OverQuotaValue = 0.1
 	w := &stormLoop{
 		day: d, cfg: cfg, rng: rand.New(rand.NewPCG(d.seed, 31)), now: second, jobs: map[uint64]*stormTry{},
 		work: []float64{45, 60, 55, 46}, homes: make([][2]float64, stormHouses),
@@ -166,7 +166,7 @@
 		w.proxies = append(w.proxies, p)
 		p.b = d.policy(w, i, p)
 		p.b.Start(w.now)
-		p.b.Membership(w.now, Membership{Kind: ListFull, Version: 1, Backends: slices.Clone(w.listed)})
+		p.b.OnMembership(w.now, Membership{Kind: ListFull, Version: 1, Backends: slices.Clone(w.listed)})
 	}
 	w.arrive(total * d.load)
 	w.outage()
@@ -226,21 +226,21 @@
 	}
 	c := &w.cfg.Classes[u.class]
 	w.nextID++
-	t := &stormTry{p: p, u: u, id: w.nextID, leaves: w.now + c.GiveUp*85/100}
-	t.leaves = min(t.leaves, u.came+c.GiveUp)
+	t := &stormTry{p: p, u: u, id: w.nextID, leaves: w.now + c.ClientTimeout*85/100}
+	t.leaves = min(t.leaves, u.came+c.ClientTimeout)
 	u.tries++
 	w.at(w.now).offered++
 	p.reqs[t.id] = t
 	w.in(t.leaves-w.now, func() {
 		if !t.over {
 			t.over = true
-			p.b.Gone(w.now, t.id)
+			p.b.OnClientGone(w.now, t.id)
 			w.again(t, 0, c.Effect == Safe)
 		}
 	})
-	p.b.Request(w.now, Request{
+	p.b.OnRequest(w.now, Request{
 		ID: t.id, Class: u.class, Tenant: u.house, Key: u.key, Deadline: t.leaves,
-		Repeat: w.day.marks && u.tries > 1,
+		IsRetry: w.day.marks && u.tries > 1,
 	})
 }
 
@@ -255,7 +255,7 @@
 	if u.honours {
 		wait = max(wait, after)
 	}
-	if !may || u.over || u.tries > retries || w.now+wait >= u.came+w.cfg.Classes[u.class].GiveUp {
+	if !may || u.over || u.tries > retries || w.now+wait >= u.came+w.cfg.Classes[u.class].ClientTimeout {
 		return
 	}
 	w.in(wait, func() { w.try(u) })
@@ -283,9 +283,9 @@
 	p.b = w.day.policy(w, i, p)
 	w.proxies[i] = p
 	p.b.Start(w.now)
-	p.b.Membership(w.now, Membership{Kind: ListCached, Version: 1, Backends: stale})
+	p.b.OnMembership(w.now, Membership{Kind: ListCached, Version: 1, Backends: stale})
 	w.in(time.Duration(300+w.rng.IntN(600))*milli, func() {
-		p.b.Membership(w.now, Membership{Kind: ListFull, Version: 2, Backends: slices.Clone(w.listed)})
+		p.b.OnMembership(w.now, Membership{Kind: ListFull, Version: 2, Backends: slices.Clone(w.listed)})
 	})
 }
 
@@ -329,7 +329,7 @@
 	for k := range w.proxies {
 		e := w.listed[i]
 		w.in(time.Duration(300+w.rng.IntN(600))*milli, func() {
-			w.proxies[k].b.Membership(w.now, Membership{Kind: ListDelta, Backends: []Backend{e}})
+			w.proxies[k].b.OnMembership(w.now, Membership{Kind: ListDelta, Backends: []Backend{e}})
 		})
 	}
 }
@@ -351,7 +351,7 @@
 	w.in(milli, func() { w.reach(a) })
 }
 
-func (p *stormProxy) Refuse(id RequestID, after time.Duration) {
+func (p *stormProxy) Reject(id RequestID, after time.Duration) {
 	if t := p.reqs[id]; t != nil && !t.over {
 		t.over = true
 		p.forget(t)
@@ -379,22 +379,22 @@
 	}
 }
 
-func (p *stormProxy) Probe(to BackendID) {
+func (p *stormProxy) CheckHealth(to BackendID) {
 	p.w.in(2*milli, func() {
 		r := OK
 		if i := int(to) - 1; p.w.down[i] || p.w.machines[i].Fallen() {
 			r = ConnectFailed
 		}
-		p.b.Probed(p.w.now, ProbeResult{Backend: to, Result: r, Took: 2 * milli})
+		p.b.OnHealthCheck(p.w.now, HealthCheckResult{Backend: to, Result: r, Took: 2 * milli})
 	})
 }
-func (p *stormProxy) Release(BackendID)   {}
-func (p *stormProxy) Watch(bool)          {}
-func (p *stormProxy) Fetch()              {}
-func (p *stormProxy) Tell(uint32, []byte) {}
-func (p *stormProxy) Log(line string)     { p.logs = append(p.logs, line) }
-func (p *stormProxy) After(d time.Duration, token uint64) {
-	p.w.in(d, func() { p.b.Timer(p.w.now, token) })
+func (p *stormProxy) Release(BackendID)         {}
+func (p *stormProxy) Watch(bool)                {}
+func (p *stormProxy) Fetch()                    {}
+func (p *stormProxy) SendToPeer(uint32, []byte) {}
+func (p *stormProxy) Log(line string)           { p.logs = append(p.logs, line) }
+func (p *stormProxy) StartTimer(d time.Duration, token uint64) {
+	p.w.in(d, func() { p.b.OnTimer(p.w.now, token) })
 }
 
 // reach is an attempt's last byte at its backend.
@@ -413,10 +413,10 @@
 	w.nextJob++
 	a.job = w.nextJob
 	w.jobs[a.job] = a.t
-	switch m.Offer(w.now, a.job, machine.Job{Work: span(work), Wait: span(1.2 * w.work[u.class]), Until: a.until}) {
+	switch m.Offer(w.now, a.job, machine.Job{Work: fromMillis(work), Wait: fromMillis(1.2 * w.work[u.class]), Until: a.until}) {
 	case machine.Taken:
 		if w.now >= 4*second && w.now < w.day.length {
-			w.admitted += millis(span(work))
+			w.admitted += millis(fromMillis(work))
 		}
 		if u.ran++; u.ran > 1 && w.cfg.Classes[u.class].Effect == Unsafe {
 			w.twice++
@@ -427,7 +427,7 @@
 		w.in(0, func() { a.end(Reset) })
 	default:
 		delete(w.jobs, a.job)
-		w.in(milli, func() { a.end(Full) })
+		w.in(milli, func() { a.end(Rejected) })
 	}
 }
 
@@ -451,14 +451,14 @@
 		t.over = true
 		if u := t.u; !u.over {
 			u.over = true
-			if w.now <= u.came+w.cfg.Classes[u.class].Aim {
+			if w.now <= u.came+w.cfg.Classes[u.class].LatencyTarget {
 				u.inTime = true
 				w.at(u.came).served += u.worth
 				w.homes[u.house][1] += u.worth
 			}
 		}
 	}
-	t.p.b.Outcome(w.now, Outcome{ID: t.id, Attempt: a.n, Backend: a.to, Result: result, Took: w.now - a.sent, Final: final || t.over})
+	t.p.b.OnAttemptEnd(w.now, Outcome{ID: t.id, Attempt: a.n, Backend: a.to, Result: result, Took: w.now - a.sent, Final: final || t.over})
 	if t.over {
 		t.p.forget(t)
 	}
--- a/internal/balancer/storm_policies_test.go
+++ b/internal/balancer/storm_policies_test.go
@@ -57,10 +57,10 @@
 	return p
 }
 
-func (p *plainPolicy) Start(time.Duration)               {}
-func (p *plainPolicy) Probed(time.Duration, ProbeResult) {}
-func (p *plainPolicy) Timer(time.Duration, uint64)       {}
-func (p *plainPolicy) Membership(_ time.Duration, m Membership) {
+func (p *plainPolicy) Start(time.Duration)                            {}
+func (p *plainPolicy) OnHealthCheck(time.Duration, HealthCheckResult) {}
+func (p *plainPolicy) OnTimer(time.Duration, uint64)                  {}
+func (p *plainPolicy) OnMembership(_ time.Duration, m Membership) {
 	for _, e := range m.Backends {
 		p.ready = slices.DeleteFunc(p.ready, func(id BackendID) bool { return id == e.ID })
 		if e.State == Ready {
@@ -76,11 +76,11 @@
 	}
 }
 
-func (p *plainPolicy) Request(now time.Duration, q Request) {
+func (p *plainPolicy) OnRequest(now time.Duration, q Request) {
 	p.fade(now)
 	p.asked++
 	if p.throttle && p.rng.Float64() < (p.asked-2*p.accepts)/(p.asked+1) {
-		p.host.Refuse(q.ID, 0)
+		p.host.Reject(q.ID, 0)
 		return
 	}
 	r := &plainRequest{Request: q}
@@ -112,7 +112,7 @@
 func (p *plainPolicy) end(r *plainRequest) {
 	if !r.over {
 		r.over = true
-		p.host.Refuse(r.ID, 0)
+		p.host.Reject(r.ID, 0)
 	}
 	p.drop(r)
 }
@@ -124,7 +124,7 @@
 	delete(p.requests, r.ID)
 }
 
-func (p *plainPolicy) Outcome(now time.Duration, o Outcome) {
+func (p *plainPolicy) OnAttemptEnd(now time.Duration, o Outcome) {
 	p.out[o.Backend]--
 	r := p.requests[o.ID]
 	if r == nil {
@@ -158,7 +158,7 @@
 	p.drop(r)
 }
 
-func (p *plainPolicy) Gone(now time.Duration, id RequestID) {
+func (p *plainPolicy) OnClientGone(now time.Duration, id RequestID) {
 	if r := p.requests[id]; r != nil {
 		r.over = true
 		p.drop(r)
--- a/internal/config/compatibility_test.go
+++ b/internal/config/compatibility_test.go
@@ -81,7 +81,7 @@
 		{"settings.Caps.MaxOpen", p.MaxOpen, 20000},
 		{"settings.Feedback.Names", len(p.Report), 2},
 		{"settings.Services", p.Settings.Classes[1].Name, "bid"},
-		{"settings.Services.GiveUp", p.Settings.Classes[1].GiveUp, 900 * time.Millisecond},
+		{"settings.Services.GiveUp", p.Settings.Classes[1].ClientTimeout, 900 * time.Millisecond},
 		{"settings.Tenants", p.Settings.Tenants[0].Name, "obala"},
 		{"no NODE_SOCKET_FD", p.ListenFD, -1},
 	} {
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -260,7 +260,7 @@
 func (c *Platform) LongestGiveUp() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range c.Settings.Classes {
-		longest = max(longest, class.GiveUp)
+		longest = max(longest, class.ClientTimeout)
 	}
 	return longest
 }
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -46,7 +46,7 @@
 	t.Parallel()
 	for longest, want := range map[time.Duration]time.Duration{time.Second: time.Second, 4 * time.Second: 3 * time.Second} {
 		var c config.Platform
-		c.Settings.Classes = []balancer.Class{{GiveUp: time.Second / 2}, {GiveUp: longest}}
+		c.Settings.Classes = []balancer.Class{{ClientTimeout: time.Second / 2}, {ClientTimeout: longest}}
 		if got := c.StopWithin(); got != want {
 			t.Errorf("a class waits %v: a stop takes %v, want %v", longest, got, want)
 		}
--- a/internal/dataplane/gateway/dialect.go
+++ b/internal/dataplane/gateway/dialect.go
@@ -57,7 +57,7 @@
 	code := resp.StatusCode
 	switch {
 	case resp.Header.Get(headerNotExecuted) != "" && code >= 400, code == http.StatusMisdirectedRequest:
-		return balancer.Full
+		return balancer.Rejected
 	case m.Probe:
 		if code == http.StatusOK && resp.Header.Get(headerBackendID) == to.Name {
 			return balancer.OK
@@ -68,7 +68,7 @@
 	case code >= 200 && code < 300:
 		return balancer.OK
 	case code >= 400 && code < 500 && code != http.StatusRequestTimeout && code != http.StatusTooManyRequests:
-		return balancer.Declined
+		return balancer.Unprocessable
 	}
 	return balancer.Error
 }
--- a/internal/dataplane/gateway/events.go
+++ b/internal/dataplane/gateway/events.go
@@ -109,7 +109,7 @@
 	if next == nil {
 		return false
 	}
-	next.Spent = s.runs
+	next.PriorRuns = s.runs
 	answer := e.run(next)
 	reply, is := answer.Reply.(*httpproxy.Reply)
 	if !is || answer.Verdict != engine.Served || !reply.Streams() {
--- a/internal/dataplane/gateway/figures.go
+++ b/internal/dataplane/gateway/figures.go
@@ -71,7 +71,7 @@
 		{Key: "service", Value: f.service},
 		{Key: "kind", Value: kind},
 		{Key: "repeatable", Value: strconv.FormatBool(class.Effect == balancer.Safe)},
-		{Key: "aim_ms", Value: strconv.FormatInt(class.Aim.Milliseconds(), 10)},
+		{Key: "aim_ms", Value: strconv.FormatInt(class.LatencyTarget.Milliseconds(), 10)},
 	}
 	if len(f.classes) >= mostClasses {
 		labels = []metricserver.Label{{Key: "service", Value: f.service}, {Key: "kind", Value: otherLabel}}
--- a/internal/dataplane/gateway/front.go
+++ b/internal/dataplane/gateway/front.go
@@ -44,7 +44,7 @@
 	if !known {
 		return nil
 	}
-	c := &call{answers: make(chan engine.Answer, 1), aim: book.Settings.Classes[class].Aim, held: true}
+	c := &call{answers: make(chan engine.Answer, 1), aim: book.Settings.Classes[class].LatencyTarget, held: true}
 	c.Call = engine.Call{
 		Request: balancer.Request{Class: class, Cost: work, Needs: needs}, Carrier: s.carrier, Book: book,
 		Payload: message, Front: c,
--- a/internal/dataplane/gateway/role.go
+++ b/internal/dataplane/gateway/role.go
@@ -115,7 +115,7 @@
 }
 
 func boundsOf(b bootstrap.Bounds) Bounds {
-	return Bounds{ColdExcess: b.WarmupExcess, ColdSlack: b.WarmupSlack, Repeats: budgetshare.RepeatsConfig{
+	return Bounds{ColdExcess: b.WarmupExcess, ColdSlack: b.WarmupSlack, Repeats: budgetshare.RetryConfig{
 		Ratio: b.RetryBudgetRatio,
 		Slack: b.RetrySlack, Window: bootstrap.Seconds(b.RetryWindowS),
 	}}
--- a/internal/dataplane/gateway/service.go
+++ b/internal/dataplane/gateway/service.go
@@ -59,11 +59,11 @@
 // Bounds are the figures of the rules that a gateway keeps.
 type Bounds struct {
 	ColdExcess, ColdSlack float64
-	Repeats               budgetshare.RepeatsConfig
+	Repeats               budgetshare.RetryConfig
 }
 
-func (b Bounds) coldOf(cfg *configuration.Service) budgetshare.ColdConfig {
-	return budgetshare.ColdConfig{PerSecond: cfg.WarmupRequestsPerS, Excess: b.ColdExcess, Slack: b.ColdSlack}
+func (b Bounds) coldOf(cfg *configuration.Service) budgetshare.WarmupConfig {
+	return budgetshare.WarmupConfig{PerSecond: cfg.WarmupRequestsPerS, Excess: b.ColdExcess, Slack: b.ColdSlack}
 }
 
 // identity is what a proxy is among the others.
@@ -111,8 +111,8 @@
 		aim = r.Timeout()
 	}
 	class := balancer.Class{
-		Name: className(r), Aim: aim, GiveUp: longestWait, LateShare: lateShare, Value: 1,
-		Generates: r.Streaming(), MostRuns: r.AttemptLimit(),
+		Name: className(r), LatencyTarget: aim, ClientTimeout: longestWait, LateValueRatio: lateShare, Value: 1,
+		Generates: r.Streaming(), MaxRuns: r.AttemptLimit(),
 	}
 	if r.Idempotent() {
 		class.Effect = balancer.Safe
@@ -237,7 +237,7 @@
 				WarmupLeft: time.Duration(b.WarmupLeftMs) * time.Millisecond,
 			}
 			for _, m := range b.Models {
-				k.Held = append(k.Held, prefixcache.Held{Model: m.Name, Adapters: m.Adapters})
+				k.Loaded = append(k.Loaded, prefixcache.LoadedModel{Model: m.Name, Adapters: m.Adapters})
 			}
 			known = append(known, k)
 		}
@@ -253,7 +253,7 @@
 // takeRepeat takes one repeat from the budget for what the engine knows nothing of.
 func (s *service) takeRepeat() bool {
 	taken := make(chan bool, 1)
-	s.engine.Post(func() { taken <- s.advisor.Repeats(s.engine.Now()) })
+	s.engine.Post(func() { taken <- s.advisor.TryRetry(s.engine.Now()) })
 	select {
 	case took := <-taken:
 		return took
--- a/internal/dataplane/gateway/trace.go
+++ b/internal/dataplane/gateway/trace.go
@@ -19,9 +19,9 @@
 // The words of results and verdicts.
 var (
 	resultWords = map[balancer.Result]string{
-		balancer.OK: "ok", balancer.Error: "error", balancer.Full: "full",
+		balancer.OK: "ok", balancer.Error: "error", balancer.Rejected: "full",
 		balancer.Timeout: "timeout", balancer.ConnectFailed: "no connection", balancer.Reset: "reset",
-		balancer.Cancelled: "cancelled", balancer.Moot: "not sent", balancer.Declined: "declined",
+		balancer.Cancelled: "cancelled", balancer.NotSent: "not sent", balancer.Unprocessable: "declined",
 	}
 	verdictWords = map[engine.Verdict]string{
 		engine.Served: "served", engine.Refused: "refused",
--- a/internal/dataplane/routing/advisor.go
+++ b/internal/dataplane/routing/advisor.go
@@ -15,9 +15,9 @@
 // Advisor is the decision module's Advice for one service.
 type Advisor struct {
 	table   *prefixcache.Table
-	sharers *budgetshare.Sharers
-	cold    *budgetshare.Cold
-	repeats *budgetshare.Repeats
+	sharers *budgetshare.Membership
+	cold    *budgetshare.WarmupBudget
+	repeats *budgetshare.RetryBudget
 	names   map[balancer.BackendID]string
 	others  others
 }
@@ -28,54 +28,54 @@
 	Self string
 	// ServesModels says that the backends hold models.
 	ServesModels bool
-	Warmup       budgetshare.ColdConfig
-	Repeats      budgetshare.RepeatsConfig
+	Warmup       budgetshare.WarmupConfig
+	Repeats      budgetshare.RetryConfig
 }
 
 // New makes the advice of a process that starts now.
 func New(cfg Config, now time.Duration) *Advisor {
-	sharers := budgetshare.NewSharers(cfg.Self, now)
+	sharers := budgetshare.NewMembership(cfg.Self, now)
 	return &Advisor{
-		table: prefixcache.New(cfg.ServesModels), sharers: sharers, cold: budgetshare.NewCold(cfg.Warmup, sharers),
-		repeats: budgetshare.NewRepeats(cfg.Repeats, sharers, now), names: map[balancer.BackendID]string{}, others: newOthers(),
+		table: prefixcache.New(cfg.ServesModels), sharers: sharers, cold: budgetshare.NewWarmupBudget(cfg.Warmup, sharers),
+		repeats: budgetshare.NewRetryBudget(cfg.Repeats, sharers, now), names: map[balancer.BackendID]string{}, others: newOthers(),
 	}
 }
 
 var _ balancer.Advice = (*Advisor)(nil)
 
-// Holds implements balancer.Advice.
-func (a *Advisor) Holds(q *balancer.Request, to balancer.BackendID) bool {
-	return a.table.Holds(q.Needs, to)
+// CanServe implements balancer.Advice.
+func (a *Advisor) CanServe(q *balancer.Request, to balancer.BackendID) bool {
+	return a.table.CanServe(q.Needs, to)
 }
 
-// Admits implements balancer.Advice.
-func (a *Advisor) Admits(now time.Duration, to balancer.BackendID) bool {
-	return a.cold.Admits(now, a.names[to])
+// Allows implements balancer.Advice.
+func (a *Advisor) Allows(now time.Duration, to balancer.BackendID) bool {
+	return a.cold.Allows(now, a.names[to])
 }
 
-// Sent implements balancer.Advice.
-func (a *Advisor) Sent(now time.Duration, _ *balancer.Request, to balancer.BackendID) {
-	a.cold.Sent(now, a.names[to])
-	a.repeats.Came(now)
+// RecordSent implements balancer.Advice.
+func (a *Advisor) RecordSent(now time.Duration, _ *balancer.Request, to balancer.BackendID) {
+	a.cold.RecordSent(now, a.names[to])
+	a.repeats.RecordRequest(now)
 }
 
 // Slots implements balancer.Advice.
 func (a *Advisor) Slots(to balancer.BackendID) int { return a.table.Slots(to) }
 
-// Extra implements balancer.Advice: what other proxies have sent there has to be begun first.
-func (a *Advisor) Extra(now time.Duration, _ *balancer.Request, to balancer.BackendID) float64 {
+// ExtraDelay implements balancer.Advice: what other proxies have sent there has to be begun first.
+func (a *Advisor) ExtraDelay(now time.Duration, _ *balancer.Request, to balancer.BackendID) float64 {
 	return a.others.at(now, to)
 }
 
-// Repeats implements balancer.Advice.
-func (a *Advisor) Repeats(now time.Duration) bool { return a.repeats.Take(now) }
+// TryRetry implements balancer.Advice.
+func (a *Advisor) TryRetry(now time.Duration) bool { return a.repeats.TryAcquire(now) }
 
 // ConfigureWarmup sets what backends that have just started bear.
-func (a *Advisor) ConfigureWarmup(cfg budgetshare.ColdConfig) { a.cold.Configure(cfg) }
+func (a *Advisor) ConfigureWarmup(cfg budgetshare.WarmupConfig) { a.cold.Configure(cfg) }
 
 // SetSharers tells the budgets who shares them, by a word that is fresh or not.
 func (a *Advisor) SetSharers(now time.Duration, names []string, fresh bool) {
-	a.sharers.Listed(now, names, fresh)
+	a.sharers.Update(now, names, fresh)
 }
 
 // RecordPeerBacklog takes in what other proxies have sent to the backends.
@@ -100,8 +100,8 @@
 		a.names[b.ID] = b.Name
 		a.others.keys[b.ID] = backlog.Key(b.Name)
 		kept[b.Name] = true
-		a.cold.Set(now, b.Name, now+b.WarmupLeft)
+		a.cold.SetWarmupEnd(now, b.Name, now+b.WarmupLeft)
 	}
-	a.table.Set(held)
-	a.cold.Forget(func(name string) bool { return kept[name] })
+	a.table.Replace(held)
+	a.cold.RemoveExcept(func(name string) bool { return kept[name] })
 }
--- a/internal/dataplane/routing/advisor_test.go
+++ b/internal/dataplane/routing/advisor_test.go
@@ -14,12 +14,12 @@
 
 func newAdvisor() *Advisor {
 	a := New(Config{
-		Self: "proxy", ServesModels: true, Warmup: budgetshare.ColdConfig{PerSecond: 1, Excess: 1},
-		Repeats: budgetshare.RepeatsConfig{Ratio: 1, Slack: 10, Window: time.Second},
+		Self: "proxy", ServesModels: true, Warmup: budgetshare.WarmupConfig{PerSecond: 1, Excess: 1},
+		Repeats: budgetshare.RetryConfig{Ratio: 1, Slack: 10, Window: time.Second},
 	}, 0)
 	a.SetBackends(0, []Backend{
-		{Backend: prefixcache.Backend{ID: 1, Slots: 4, Held: []prefixcache.Held{{Model: "m", Adapters: []string{"a1"}}}}, Name: "one"},
-		{Backend: prefixcache.Backend{ID: 2, Slots: 8, Held: []prefixcache.Held{{Model: "m"}, {Model: "n"}}}, Name: "two"},
+		{Backend: prefixcache.Backend{ID: 1, Slots: 4, Loaded: []prefixcache.LoadedModel{{Model: "m", Adapters: []string{"a1"}}}}, Name: "one"},
+		{Backend: prefixcache.Backend{ID: 2, Slots: 8, Loaded: []prefixcache.LoadedModel{{Model: "m"}, {Model: "n"}}}, Name: "two"},
 	})
 	return a
 }
@@ -28,35 +28,35 @@
 	is := is.New(t)
 	a := newAdvisor()
 	q := &balancer.Request{}
-	is.Equal(a.Extra(0, q, 1), 0.0) // nothing was heard
+	is.Equal(a.ExtraDelay(0, q, 1), 0.0) // nothing was heard
 	a.RecordPeerBacklog(time.Second, backlog.Work{backlog.Key("one"): 250})
-	is.Equal(a.Extra(time.Second, q, 1), 250.0)
-	is.Equal(a.Extra(time.Second, q, 2), 0.0)
-	is.Equal(a.Extra(time.Second, q, 3), 0.0)                                    // it is not listed
-	is.Equal(a.Extra(time.Second+backlog.ReportTTL+time.Millisecond, q, 1), 0.0) // the word is old
+	is.Equal(a.ExtraDelay(time.Second, q, 1), 250.0)
+	is.Equal(a.ExtraDelay(time.Second, q, 2), 0.0)
+	is.Equal(a.ExtraDelay(time.Second, q, 3), 0.0)                                    // it is not listed
+	is.Equal(a.ExtraDelay(time.Second+backlog.ReportTTL+time.Millisecond, q, 1), 0.0) // the word is old
 }
 
 func TestHolders(t *testing.T) {
 	is := is.New(t)
 	a := newAdvisor()
 	holds := func(model, adapter string, id balancer.BackendID) bool {
-		return a.Holds(&balancer.Request{Needs: &balancer.Needs{Model: model, Adapter: adapter}}, id)
+		return a.CanServe(&balancer.Request{Needs: &balancer.Needs{Model: model, Adapter: adapter}}, id)
 	}
 	is.True(holds("m", "", 1))
 	is.True(holds("m", "a1", 1))
 	is.True(!holds("m", "a1", 2))
 	is.True(!holds("n", "", 1))
 	is.True(!holds("unknown", "", 1))
-	is.True(a.Holds(&balancer.Request{}, 1)) // nothing is needed
+	is.True(a.CanServe(&balancer.Request{}, 1)) // nothing is needed
 	is.Equal(a.Slots(2), 8)
 	// The same question after another list has another answer.
 	q := &balancer.Request{Needs: &balancer.Needs{Model: "n"}}
-	is.True(!a.Holds(q, 1))
-	a.SetBackends(0, []Backend{{Backend: prefixcache.Backend{ID: 1, Slots: 4, Held: []prefixcache.Held{{Model: "n"}}}, Name: "one"}})
-	is.True(a.Holds(q, 1))
-	is.True(!a.Holds(q, 2))
+	is.True(!a.CanServe(q, 1))
+	a.SetBackends(0, []Backend{{Backend: prefixcache.Backend{ID: 1, Slots: 4, Loaded: []prefixcache.LoadedModel{{Model: "n"}}}, Name: "one"}})
+	is.True(a.CanServe(q, 1))
+	is.True(!a.CanServe(q, 2))
 	// Whoever has just failed it is passed by.
-	is.True(!a.Holds(&balancer.Request{Needs: &balancer.Needs{Model: "n", Avoid: 1}}, 1))
+	is.True(!a.CanServe(&balancer.Request{Needs: &balancer.Needs{Model: "n", Avoid: 1}}, 1))
 }
 
 func TestUrgency(t *testing.T) {
--- a/internal/dataplane/routing/settings.go
+++ b/internal/dataplane/routing/settings.go
@@ -29,7 +29,7 @@
 	return balancer.Config{
 		Instances: max(1, proxies), Rank: rank, Zone: zone, Tick: time.Millisecond,
 		Classes: classes, Goal: balancer.Goal{Whole: 1}, Prices: balancer.Prices{CrossZone: crossing},
-		Obligations: balancer.Obligations{Cold: restartSpan, StartCapacity: 1, FallMultiple: 1, Fall: time.Second},
+		Obligations: balancer.Obligations{WarmupDuration: restartSpan, InitialCapacity: 1, OverloadMultiple: 1, OverloadWindow: time.Second},
 		Caps: balancer.Caps{
 			Cancel: true, Probes: true, RetryAfter: true, ConnIdle: connectionIdle,
 			ConnectTimeout: connectTimeout, SweepEvery: sweepEvery, MaxRetryAfter: longestRetryAfter, MaxAttempts: mostTries,
--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -144,7 +144,7 @@
 	c.streaming = a
 	e.answer(c, Answer{Verdict: Served, Reply: end.Reply, Streams: true})
 	now := e.Now()
-	e.balancer.FirstByte(now, balancer.FirstByte{ID: c.ID, Attempt: a.N, Backend: a.Backend.ID, Took: now - a.sent})
+	e.balancer.OnFirstByte(now, balancer.FirstByte{ID: c.ID, Attempt: a.N, Backend: a.Backend.ID, Took: now - a.sent})
 }
 
 // streamed ends an attempt whose answer had begun.
@@ -177,7 +177,7 @@
 		c.Front.Answer(c, Answer{Verdict: Left})
 	}
 	now := e.Now()
-	e.balancer.Outcome(now, balancer.Outcome{
+	e.balancer.OnAttemptEnd(now, balancer.Outcome{
 		ID: c.ID, Attempt: a.N, Backend: a.Backend.ID, Result: end.Result,
 		Took: now - a.sent, Final: c.answered, Load: end.Load,
 	})
--- a/internal/engine/backends.go
+++ b/internal/engine/backends.go
@@ -140,7 +140,7 @@
 		delete(k.names, id)
 	}
 	now := e.Now()
-	e.balancer.Membership(now, balancer.Membership{Kind: l.Kind, Version: l.Version, Backends: entries})
+	e.balancer.OnMembership(now, balancer.Membership{Kind: l.Kind, Version: l.Version, Backends: entries})
 	if e.observer != nil {
 		e.observer.Listed(now, &l)
 	}
--- a/internal/engine/calls.go
+++ b/internal/engine/calls.go
@@ -137,7 +137,7 @@
 	if e.observer != nil {
 		e.observer.Taken(now, c)
 	}
-	e.balancer.Request(now, c.Request)
+	e.balancer.OnRequest(now, c.Request)
 }
 
 // setBackstop sees to it that whatever the module does, the client has its answer before
@@ -145,7 +145,7 @@
 func (e *Engine) setBackstop(c *Call) {
 	c.backstop = e.At(c.Deadline-c.margin, func() {
 		if e.answer(c, Answer{Verdict: OutOfTime}) {
-			e.balancer.Gone(e.Now(), c.ID)
+			e.balancer.OnClientGone(e.Now(), c.ID)
 		}
 	})
 }
@@ -163,7 +163,7 @@
 	if !c.Coming || c.answered {
 		return
 	}
-	e.balancer.Restart(e.Now(), c.ID, c.Deadline)
+	e.balancer.OnRequestComplete(e.Now(), c.ID, c.Deadline)
 	e.At(e.Now()+comingEvery, func() { e.stillComing(c) })
 }
 
@@ -181,7 +181,7 @@
 			a.end = e.At(c.Deadline-2*c.margin, a.expire)
 		}
 	}
-	e.balancer.Restart(e.Now(), c.ID, c.Deadline)
+	e.balancer.OnRequestComplete(e.Now(), c.ID, c.Deadline)
 }
 
 // tell hands the answer to the front.
@@ -209,7 +209,7 @@
 	for _, a := range c.attempts {
 		if !a.done && a.Permit.Revoke() {
 			a.stop()
-			e.Later(func() { a.End(End{Result: balancer.Moot}) })
+			e.Later(func() { a.End(End{Result: balancer.NotSent}) })
 		}
 	}
 	e.forget(c)
@@ -241,7 +241,7 @@
 			continue
 		}
 		if e.answer(c, Answer{Verdict: Stopped}) {
-			e.balancer.Gone(e.Now(), c.ID)
+			e.balancer.OnClientGone(e.Now(), c.ID)
 		}
 	}
 }
@@ -255,7 +255,7 @@
 			continue
 		}
 		if e.answer(c, Answer{Verdict: Refused, RetryAfter: e.ComeAgain() / 10}) {
-			e.balancer.Gone(now, c.ID)
+			e.balancer.OnClientGone(now, c.ID)
 		}
 	}
 }
@@ -280,5 +280,5 @@
 	if e.observer != nil {
 		e.observer.Left(e.Now(), c)
 	}
-	e.balancer.Gone(e.Now(), c.ID)
+	e.balancer.OnClientGone(e.Now(), c.ID)
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -121,7 +121,7 @@
 		names[i] = c.Name
 	}
 	e.classes = stableindex.New(max(mostClasses, 2*len(names)))
-	if _, _, err := e.classes.Place(0, names, nil); err != nil {
+	if _, _, err := e.classes.Assign(0, names, nil); err != nil {
 		return nil, fmt.Errorf("field Services: %w", err)
 	}
 	e.write(&settings)
@@ -176,10 +176,10 @@
 func (e *Engine) Listed() int { return len(e.backends.byID) }
 
 // Avoided is described with Listed.
-func (e *Engine) Avoided() int { return e.balancer.Avoided() }
+func (e *Engine) Avoided() int { return e.balancer.EjectedCount() }
 
 // Storm is how things stand with retry storms. Only on the engine's goroutine.
-func (e *Engine) Storm() retrystorm.State { return e.balancer.Storm() }
+func (e *Engine) Storm() retrystorm.State { return e.balancer.RetryStormState() }
 
 // Done is closed when the engine has ended.
 func (e *Engine) Done() <-chan struct{} { return e.stopped }
@@ -190,7 +190,7 @@
 	known := e.cfg.Known
 	known.Kind = balancer.ListCached
 	e.List(known)
-	if !e.Settings().OnRequest && e.source != nil {
+	if !e.Settings().PollMembership && e.source != nil {
 		e.source.Watch(true)
 	}
 	e.housekeep()
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -83,7 +83,7 @@
 		t.Error("the call is still in the table")
 	}
 	l.Do(func() { host{l.Engine}.Send(c.ID, l.backends.id("s-1"), 0, 0) })
-	l.Do(func() { host{l.Engine}.Refuse(c.ID, 0) })
+	l.Do(func() { host{l.Engine}.Reject(c.ID, 0) })
 	if len(c.attempts) != 1 || len(c.answers) != 1 {
 		t.Error("something came after the final answer")
 	}
@@ -310,7 +310,7 @@
 	} {
 		l := stillEngine(t, ready("s-1", "127.0.0.1:1"), ready("s-2", "127.0.0.1:2"))
 		cfg := testutil.Module(t)
-		cfg.Caps.SecondCopies = false
+		cfg.Caps.Hedging = false
 		if err := l.Reconfigure(cfg); err != nil {
 			t.Fatal(err)
 		}
@@ -336,7 +336,7 @@
 // nothing ran.
 func TestWhatACalledOffAttemptWasAfterAll(t *testing.T) {
 	t.Parallel()
-	for result, want := range map[balancer.Result]int{balancer.OK: 1, balancer.Moot: 0} {
+	for result, want := range map[balancer.Result]int{balancer.OK: 1, balancer.NotSent: 0} {
 		l := stillEngine(t, ready("s-1", "127.0.0.1:1"), ready("s-2", "127.0.0.1:2"))
 		c := l.ask(1, time.Minute) // unsafe
 		a := c.attempts[0]
@@ -344,7 +344,7 @@
 		a.Permit.Use()
 		l.Do(a.expire)
 		l.Do(func() { a.End(End{Result: result, Reply: "good"}) })
-		if result == balancer.OK && (len(c.answers) != want || c.answers[0].Reply != "good") || result == balancer.Moot && len(l.carrier.begun) != 2 {
+		if result == balancer.OK && (len(c.answers) != want || c.answers[0].Reply != "good") || result == balancer.NotSent && len(l.carrier.begun) != 2 {
 			t.Errorf("%v: answers %+v, %d attempts", result, c.answers, len(l.carrier.begun))
 		}
 	}
--- a/internal/engine/host.go
+++ b/internal/engine/host.go
@@ -29,9 +29,9 @@
 	unsent := balancer.OK
 	switch {
 	case e.lease != nil && !e.mayGo(c, a, until):
-		unsent = balancer.Moot
+		unsent = balancer.NotSent
 	case c.answered || until <= a.sent || a.N >= e.Settings().Caps.MaxAttempts:
-		unsent = balancer.Moot
+		unsent = balancer.NotSent
 	case a.Backend == nil:
 		unsent = balancer.ConnectFailed
 	}
@@ -54,8 +54,8 @@
 	c.Carrier.Begin(a)
 }
 
-// Refuse answers that coming again is harmless.
-func (e host) Refuse(id balancer.RequestID, retryAfter time.Duration) {
+// Reject answers that coming again is harmless.
+func (e host) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	if c := e.calls[id]; c != nil {
 		e.answer(c, Answer{Verdict: Refused, RetryAfter: retryAfter})
 	}
@@ -77,14 +77,14 @@
 	a := c.attempts[n]
 	if a.Permit.Revoke() {
 		a.stop()
-		e.Later(func() { a.End(End{Result: balancer.Moot}) })
+		e.Later(func() { a.End(End{Result: balancer.NotSent}) })
 		return
 	}
 	a.callOff(balancer.Cancelled)
 }
 
-// Probe asks for a backend's health.
-func (e host) Probe(id balancer.BackendID) {
+// CheckHealth asks for a backend's health.
+func (e host) CheckHealth(id balancer.BackendID) {
 	b := e.backends.byID[id]
 	sent := e.Now()
 	end := func(r End) {
@@ -92,10 +92,10 @@
 		if e.observer != nil && b != nil {
 			e.observer.Probed(now, b, r.Result, now-sent)
 		}
-		e.balancer.Probed(now, balancer.ProbeResult{Backend: id, Result: r.Result, Took: now - sent, Load: r.Load})
+		e.balancer.OnHealthCheck(now, balancer.HealthCheckResult{Backend: id, Result: r.Result, Took: now - sent, Load: r.Load})
 	}
 	if b == nil || e.prober == nil {
-		e.Later(func() { end(End{Result: balancer.Moot}) })
+		e.Later(func() { end(End{Result: balancer.NotSent}) })
 		return
 	}
 	wait := time.Duration(probeLonger * float64(e.Settings().Caps.ConnectTimeout))
@@ -123,14 +123,14 @@
 	}
 }
 
-// Tell would reach other proxies. The module has nothing to tell them.
-func (e host) Tell(peer uint32, body []byte) {
+// SendToPeer would reach other proxies. The module has nothing to tell them.
+func (e host) SendToPeer(peer uint32, body []byte) {
 	e.cfg.Logf("%d bytes for peer %d dropped: there is no way to it", len(body), peer)
 }
 
-// After asks for a Timer event.
-func (e host) After(d time.Duration, token uint64) {
-	e.At(e.Now()+d, func() { e.balancer.Timer(e.Now(), token) })
+// StartTimer asks for a Timer event.
+func (e host) StartTimer(d time.Duration, token uint64) {
+	e.At(e.Now()+d, func() { e.balancer.OnTimer(e.Now(), token) })
 }
 
 // Log writes a line of the module's; it is sparing by itself.
--- a/internal/engine/lease.go
+++ b/internal/engine/lease.go
@@ -73,7 +73,7 @@
 			goes := strictly || !next.isLapsed && a.Permit.needs && e.allows(c, a, next.now, next.attempts[0])
 			if !goes && a.Permit.Revoke() {
 				a.stop()
-				e.Later(func() { a.End(End{Result: balancer.Moot}) })
+				e.Later(func() { a.End(End{Result: balancer.NotSent}) })
 			}
 		}
 	}
@@ -87,7 +87,7 @@
 		name := e.classes.Name(i)
 		for _, k := range c.Classes {
 			if k.Name == name {
-				all[i] = limits{true, k.Effect != balancer.Unsafe && !k.Once, k.Effect, k.Group, k.Window, k.GiveUp}
+				all[i] = limits{true, k.Effect != balancer.Unsafe && !k.NeverRerun, k.Effect, k.Group, k.IdempotencyWindow, k.ClientTimeout}
 			}
 		}
 	}
@@ -154,5 +154,5 @@
 		return true
 	}
 	was := &c.Book.Settings.Classes[c.Class]
-	return l.group < was.Group || l.window < was.Window
+	return l.group < was.Group || l.window < was.IdempotencyWindow
 }
--- a/internal/engine/lease_test.go
+++ b/internal/engine/lease_test.go
@@ -29,7 +29,7 @@
 func once(c balancer.Config) balancer.Config {
 	c.Classes = append([]balancer.Class(nil), c.Classes...)
 	for i := range c.Classes {
-		c.Classes[i].Once = true
+		c.Classes[i].NeverRerun = true
 	}
 	return c
 }
@@ -96,7 +96,7 @@
 						t.Fatalf("seed %d: written for a class that is gone", seed)
 					case a.N >= by.Caps.MaxAttempts:
 						t.Fatalf("seed %d: attempt %d of %d is written, lapsed %v", seed, a.N+1, by.Caps.MaxAttempts, lapsed)
-					case ran[a.Call] > 0 && (by.Classes[class].Effect == balancer.Unsafe || by.Classes[class].Once):
+					case ran[a.Call] > 0 && (by.Classes[class].Effect == balancer.Unsafe || by.Classes[class].NeverRerun):
 						t.Fatalf("seed %d: a %s that may have run is written again, lapsed %v", seed, by.Classes[class].Name, lapsed)
 					}
 					ran[a.Call]++
@@ -108,7 +108,7 @@
 					})
 				} else {
 					kept++
-					l.Do(func() { a.End(End{Result: balancer.Moot}) })
+					l.Do(func() { a.End(End{Result: balancer.NotSent}) })
 				}
 			}
 		}
--- a/internal/engine/memory.go
+++ b/internal/engine/memory.go
@@ -17,9 +17,9 @@
 // Learnt writes down what the module has learnt, a part at a time, and calls done with it, on
 // the engine's goroutine. Only on that.
 func (e *Engine) Learnt(done func(*learnedstate.State)) {
-	s := e.balancer.Learnt(e.Now())
+	s := e.balancer.LearnedState(e.Now())
 	s.Taken = time.Now()
-	ids := e.balancer.Known()
+	ids := e.balancer.LearnedBackends()
 	ids = ids[:min(len(ids), learnedstate.MostBackends)]
 	var part func()
 	part = func() {
@@ -28,7 +28,7 @@
 			id := ids[0]
 			ids = ids[1:]
 			b := e.backends.byID[id]
-			k, found := e.balancer.LearntOf(now, id)
+			k, found := e.balancer.LearnedBackend(now, id)
 			// A class that has come meanwhile is in the backend's cells and not in the classes.
 			if b == nil || !found || len(k.Cells) < len(s.Classes) {
 				continue
--- a/internal/engine/memory_test.go
+++ b/internal/engine/memory_test.go
@@ -76,7 +76,7 @@
 	var s *learnedstate.State
 	l.Do(func() { l.Learnt(func(got *learnedstate.State) { s = got }) })
 	next := *l.Settings()
-	next.Classes = append(append([]balancer.Class(nil), next.Classes...), balancer.Class{Name: "new", Aim: time.Second, GiveUp: time.Second, Value: 1})
+	next.Classes = append(append([]balancer.Class(nil), next.Classes...), balancer.Class{Name: "new", LatencyTarget: time.Second, ClientTimeout: time.Second, Value: 1})
 	l.Do(func() {
 		if err := l.Reconfigure(next); err != nil {
 			t.Fatal(err)
--- a/internal/engine/observer_test.go
+++ b/internal/engine/observer_test.go
@@ -60,7 +60,7 @@
 	l.Do(func() { l.Gone(&second.Call) })
 	third := l.ask(1, time.Minute)
 	l.Do(func() { third.attempts[0].End(End{Result: balancer.Reset}) })
-	l.Do(func() { host{l.Engine}.Probe(l.backends.id("s-1")) })
+	l.Do(func() { host{l.Engine}.CheckHealth(l.backends.id("s-1")) })
 	want := "listed 1; taken 1; sent 1 to s-1; ended 1 as 1; sent 1 to s-1; ended 1 as 0; answered 1 with 0; " +
 		"taken 2; sent 2 to s-1; left 2; ended 2 as 7; taken 3; sent 3 to s-1; ended 3 as 5; answered 3 with 3; probed s-1 as 0"
 	if got := strings.Join(a.words, "; "); got != want {
--- a/internal/engine/settings.go
+++ b/internal/engine/settings.go
@@ -30,7 +30,7 @@
 func (e *Engine) write(settings *balancer.Config) {
 	b := &Book{Settings: settings, Classes: map[string]int{}, Tenants: map[string]int{}}
 	for i, c := range settings.Classes {
-		if !e.classes.Gone(i) {
+		if !e.classes.Removed(i) {
 			b.Classes[c.Name] = i
 		}
 	}
@@ -70,7 +70,7 @@
 		names[i] = c.Name
 	}
 	trial := *e.classes // Place leaves what it has and makes a new one
-	at, fresh, err := trial.Place(e.Now(), names, e.classOpen)
+	at, fresh, err := trial.Assign(e.Now(), names, e.classOpen)
 	if err != nil {
 		return fmt.Errorf("settings: Services: %w", err)
 	}
@@ -80,7 +80,7 @@
 		merged[i] = next.Classes[k]
 	}
 	next.Classes = merged
-	if err := e.balancer.Reconfigure(e.Now(), next, fresh, trial.Gone); err != nil {
+	if err := e.balancer.Reconfigure(e.Now(), next, fresh, trial.Removed); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	*e.classes = trial
@@ -115,7 +115,7 @@
 func longestGiveUp(s *balancer.Config) time.Duration {
 	longest := time.Duration(0)
 	for _, c := range s.Classes {
-		longest = max(longest, c.GiveUp)
+		longest = max(longest, c.ClientTimeout)
 	}
 	return longest
 }
--- a/internal/fleet/rules/rules.go
+++ b/internal/fleet/rules/rules.go
@@ -34,24 +34,24 @@
 	o, c := &m.Obligations, &m.Caps
 	o.DrainGrace = min(o.DrainGrace, older.Obligations.DrainGrace)
 	o.AnswerSlack = min(o.AnswerSlack, older.Obligations.AnswerSlack)
-	o.AskEvery = min(o.AskEvery, older.Obligations.AskEvery)
-	o.FallMultiple = min(o.FallMultiple, older.Obligations.FallMultiple)
-	o.StartCapacity = min(o.StartCapacity, older.Obligations.StartCapacity)
-	o.Cold, o.Fall = max(o.Cold, older.Obligations.Cold), max(o.Fall, older.Obligations.Fall)
+	o.MaxMembershipAge = min(o.MaxMembershipAge, older.Obligations.MaxMembershipAge)
+	o.OverloadMultiple = min(o.OverloadMultiple, older.Obligations.OverloadMultiple)
+	o.InitialCapacity = min(o.InitialCapacity, older.Obligations.InitialCapacity)
+	o.WarmupDuration, o.OverloadWindow = max(o.WarmupDuration, older.Obligations.WarmupDuration), max(o.OverloadWindow, older.Obligations.OverloadWindow)
 	c.MaxAttempts = min(c.MaxAttempts, older.Caps.MaxAttempts)
 	c.MaxRetryAfter = min(c.MaxRetryAfter, older.Caps.MaxRetryAfter)
 	c.Cancel, c.Peers, c.Probes = c.Cancel && older.Caps.Cancel, c.Peers && older.Caps.Peers, c.Probes && older.Caps.Probes
-	c.RetryAfter, c.SecondCopies = c.RetryAfter && older.Caps.RetryAfter, c.SecondCopies && older.Caps.SecondCopies
+	c.RetryAfter, c.Hedging = c.RetryAfter && older.Caps.RetryAfter, c.Hedging && older.Caps.Hedging
 	return m
 }
 
 func meetClass(older, newer balancer.Class) balancer.Class {
 	m := newer
 	m.Effect, m.Group = min(older.Effect, newer.Effect), min(older.Group, newer.Group)
-	m.Window = min(older.Window, newer.Window)
-	m.GiveUp = min(older.GiveUp, newer.GiveUp)
-	m.Aim = min(newer.Aim, m.GiveUp)
-	m.Once = older.Once || newer.Once
+	m.IdempotencyWindow = min(older.IdempotencyWindow, newer.IdempotencyWindow)
+	m.ClientTimeout = min(older.ClientTimeout, newer.ClientTimeout)
+	m.LatencyTarget = min(newer.LatencyTarget, m.ClientTimeout)
+	m.NeverRerun = older.NeverRerun || newer.NeverRerun
 	return m
 }
 
@@ -73,9 +73,9 @@
 	}
 	m.Classes = slices.Clone(m.Classes)
 	for i := range m.Classes {
-		m.Classes[i].Once = true
+		m.Classes[i].NeverRerun = true
 	}
-	m.Caps.SecondCopies = false
+	m.Caps.Hedging = false
 	return m
 }
 
@@ -90,10 +90,10 @@
 		switch {
 		case x.Effect != y.Effect:
 			return fmt.Sprintf("class %s: effect", x.Name)
-		case x.Effect == balancer.Keyed && (x.Group != y.Group || x.Window != y.Window):
+		case x.Effect == balancer.Keyed && (x.Group != y.Group || x.IdempotencyWindow != y.IdempotencyWindow):
 			return fmt.Sprintf("class %s: group or window", x.Name)
-		case x.GiveUp != y.GiveUp:
-			return fmt.Sprintf("class %s: deadline %v and %v", x.Name, x.GiveUp, y.GiveUp)
+		case x.ClientTimeout != y.ClientTimeout:
+			return fmt.Sprintf("class %s: deadline %v and %v", x.Name, x.ClientTimeout, y.ClientTimeout)
 		}
 	}
 	for _, y := range b.Classes {
@@ -104,7 +104,7 @@
 	if a.Caps.MaxAttempts != b.Caps.MaxAttempts {
 		return fmt.Sprintf("attempts %d and %d", a.Caps.MaxAttempts, b.Caps.MaxAttempts)
 	}
-	if a.Caps.SecondCopies != b.Caps.SecondCopies {
+	if a.Caps.Hedging != b.Caps.Hedging {
 		return "second copies"
 	}
 	if a.Obligations.DrainGrace != b.Obligations.DrainGrace {
--- a/internal/fleet/rules/rules_test.go
+++ b/internal/fleet/rules/rules_test.go
@@ -25,8 +25,8 @@
 	for _, k := range c.Classes {
 		if k.Name == class {
 			return allowed{
-				true, c.Caps.MaxAttempts, k.GiveUp, k.Effect != balancer.Unsafe && !k.Once, k.Effect == balancer.Safe && !k.Once, k.Window, c.Caps.SecondCopies,
-				c.Obligations.DrainGrace, c.Obligations.FallMultiple, c.Tenants[0].Share, -c.Obligations.Cold.Seconds(),
+				true, c.Caps.MaxAttempts, k.ClientTimeout, k.Effect != balancer.Unsafe && !k.NeverRerun, k.Effect == balancer.Safe && !k.NeverRerun, k.IdempotencyWindow, c.Caps.Hedging,
+				c.Obligations.DrainGrace, c.Obligations.OverloadMultiple, c.Tenants[0].Share, -c.Obligations.WarmupDuration.Seconds(),
 			}
 		}
 	}
@@ -47,18 +47,18 @@
 func settings(t *rapid.T, name string) balancer.Config {
 	c := balancer.Config{Instances: 3, Tenants: []balancer.Tenant{{Name: "obala", Share: rapid.Float64Range(0.1, 1).Draw(t, name+" share"), QuotaPerS: 10}}}
 	c.Caps.MaxAttempts = rapid.IntRange(1, 5).Draw(t, name+" attempts")
-	c.Caps.SecondCopies = rapid.Bool().Draw(t, name+" copies")
+	c.Caps.Hedging = rapid.Bool().Draw(t, name+" copies")
 	c.Obligations.DrainGrace = time.Duration(rapid.IntRange(1, 3).Draw(t, name+" grace")) * time.Second
-	c.Obligations.Cold = time.Duration(rapid.IntRange(1, 3).Draw(t, name+" cold")) * time.Second
-	c.Obligations.FallMultiple = rapid.Float64Range(1, 3).Draw(t, name+" multiple")
+	c.Obligations.WarmupDuration = time.Duration(rapid.IntRange(1, 3).Draw(t, name+" cold")) * time.Second
+	c.Obligations.OverloadMultiple = rapid.Float64Range(1, 3).Draw(t, name+" multiple")
 	for i, n := range names {
 		if i > 0 && rapid.Bool().Draw(t, name+" without "+n) {
 			continue
 		}
 		giveUp := time.Duration(rapid.IntRange(1, 4).Draw(t, name+" give up")) * time.Second
 		c.Classes = append(c.Classes, balancer.Class{
-			Name: n, Aim: giveUp, GiveUp: giveUp, Effect: balancer.Effect(rapid.IntRange(0, 2).Draw(t, name+" effect")),
-			Group: balancer.Group(rapid.IntRange(0, 2).Draw(t, name+" group")), Window: time.Duration(rapid.IntRange(0, 3).Draw(t, name+" window")) * time.Second,
+			Name: n, LatencyTarget: giveUp, ClientTimeout: giveUp, Effect: balancer.Effect(rapid.IntRange(0, 2).Draw(t, name+" effect")),
+			Group: balancer.Group(rapid.IntRange(0, 2).Draw(t, name+" group")), IdempotencyWindow: time.Duration(rapid.IntRange(0, 3).Draw(t, name+" window")) * time.Second,
 		})
 	}
 	return c
@@ -122,8 +122,8 @@
 
 // A version that leaves nothing to do while it is being taken is refused.
 func TestNothingInCommonIsRefused(t *testing.T) {
-	a := balancer.Config{Instances: 1, Classes: []balancer.Class{{Name: "a", Aim: 1, GiveUp: 1}}}
-	b := balancer.Config{Instances: 1, Classes: []balancer.Class{{Name: "b", Aim: 1, GiveUp: 1}}}
+	a := balancer.Config{Instances: 1, Classes: []balancer.Class{{Name: "a", LatencyTarget: 1, ClientTimeout: 1}}}
+	b := balancer.Config{Instances: 1, Classes: []balancer.Class{{Name: "b", LatencyTarget: 1, ClientTimeout: 1}}}
 	if Follows(a, b) == nil || Follows(a, a) != nil {
 		t.Error(Follows(a, b), Follows(a, a))
 	}
--- a/internal/httpproxy/carrier.go
+++ b/internal/httpproxy/carrier.go
@@ -57,7 +57,7 @@
 func (c *Carrier) Begin(a *engine.Attempt) {
 	x := &exchange{to: a.Backend, msg: a.Call.Payload.(*Message), until: a.Until, permit: &a.Permit, attempt: a, here: a.Call.Here, coming: a.Call.Coming}
 	class := &c.engine.Settings().Classes[a.Call.Class]
-	stake := connections.Stake{Worth: class.Value, Large: len(x.msg.Body) >= largeBody || x.msg.up != nil}
+	stake := connections.Request{Utility: class.Value, Large: len(x.msg.Body) >= largeBody || x.msg.up != nil}
 	if class.Effect != balancer.Unsafe {
 		stake.Effect = connections.Delayed
 	}
@@ -68,7 +68,7 @@
 const largeBody = 16 << 10
 
 // probeStake: a probe that breaks speaks ill of a backend, and is worth no handshake.
-var probeStake = connections.Stake{Worth: 0.1, Effect: connections.Lost}
+var probeStake = connections.Request{Utility: 0.1, Effect: connections.Lost}
 
 // meanWorth is that of the classes; how often each comes is not known beforehand.
 func meanWorth(s *balancer.Config) float64 {
@@ -105,7 +105,7 @@
 func (c *Carrier) Tune(report []string) {
 	s := c.engine.Settings()
 	c.report, c.pool.worth = report, meanWorth(s)
-	c.pool.model.SetHandshake(connections.DefaultConfig(c.pool.worth, s.Prices.Handshake).Handshake)
+	c.pool.model.SetHandshakeCost(connections.DefaultConfig(c.pool.worth, s.Prices.Handshake).HandshakeCost)
 }
 
 // Learnt is what was learnt of connections, for the process that takes over. Only on the
@@ -122,7 +122,7 @@
 
 // launch starts an exchange and brings its end back to the engine. The connection is
 // counted from here on, and until end has it.
-func (c *Carrier) launch(x *exchange, stake connections.Stake, end func(engine.End)) (stop func()) {
+func (c *Carrier) launch(x *exchange, stake connections.Request, end func(engine.End)) (stop func()) {
 	now, caps := c.engine.Now(), &c.engine.Settings().Caps
 	c.pool.maxIdle = caps.ConnIdle - caps.ConnIdle/4
 	use := connections.Use{New: true, Large: stake.Large}
@@ -133,7 +133,7 @@
 		return nil
 	}
 	x.room, x.speaks, x.dial = c.room, c.speaks, c.dial
-	x.hold = c.pool.model.Hold(now, uint32(x.to.ID), x.to.Zone)
+	x.hold = c.pool.model.Holdback(now, uint32(x.to.ID), x.to.Zone)
 	ctx, cancel := context.WithCancel(c.ctx)
 	report := c.report
 	go func() {
@@ -145,10 +145,10 @@
 			}
 			c.learn(x.to, use, now, &r)
 			if r.conn != nil {
-				r.conn.turnedAway = r.result == balancer.Full
+				r.conn.turnedAway = r.result == balancer.Rejected
 			}
 			e := engine.End{Result: r.result, Load: r.load, Left: r.left}
-			if r.result == balancer.OK || c.speaks.KeepsFailures && (r.result == balancer.Error || r.result == balancer.Declined) {
+			if r.result == balancer.OK || c.speaks.KeepsFailures && (r.result == balancer.Error || r.result == balancer.Unprocessable) {
 				e.Reply = &r
 			}
 			if r.stream != nil {
@@ -188,19 +188,19 @@
 		if use.New || use.Idle < silentIdle || c.lastOK[to] <= sent {
 			return
 		}
-		r.end = connections.End{Broke: true, After: now - sent, Whole: true}
-	case balancer.Moot:
+		r.end = connections.Outcome{Broken: true, After: now - sent, Complete: true}
+	case balancer.NotSent:
 		if !r.early {
 			return
 		}
-	case balancer.Error, balancer.Full, balancer.Declined:
+	case balancer.Error, balancer.Rejected, balancer.Unprocessable:
 	default: // it says nothing of the connection
 		return
 	}
 	if !use.New && use.Idle < restFor {
 		return // it had no rest: what closes right behind an answer is no matter of age
 	}
-	c.pool.model.Observe(now, uint32(to.ID), to.Zone, use, r.end)
+	c.pool.model.RecordOutcome(now, uint32(to.ID), to.Zone, use, r.end)
 }
 
 func passedOn(h http.Header) http.Header {
--- a/internal/httpproxy/compatibility_sent_test.go
+++ b/internal/httpproxy/compatibility_sent_test.go
@@ -48,8 +48,8 @@
 	if a.status != 0 {
 		t.Fatalf("%d %s", a.status, a.body)
 	}
-	if c.Name != "00000000000000aa" || left != 900*time.Millisecond || !c.Repeat || c.Cost != 1500500*time.Nanosecond || c.Key == 0 {
-		t.Errorf("read as %q, %v, repeat %v, cost %v, about %d", c.Name, left, c.Repeat, c.Cost, c.Key)
+	if c.Name != "00000000000000aa" || left != 900*time.Millisecond || !c.IsRetry || c.Cost != 1500500*time.Nanosecond || c.Key == 0 {
+		t.Errorf("read as %q, %v, repeat %v, cost %v, about %d", c.Name, left, c.IsRetry, c.Cost, c.Key)
 	}
 	to := engine.NewBackend("s-1", "127.0.0.1:8001", true)
 	dialect := platformDialect()
--- a/internal/httpproxy/crossing_test.go
+++ b/internal/httpproxy/crossing_test.go
@@ -396,10 +396,10 @@
 func TestAnEarlyAnswerIsNobodys(t *testing.T) {
 	t.Parallel()
 	for text, want := range map[string]balancer.Result{
-		okAnswer: balancer.Moot,
-		"HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n": balancer.Full,
-		"HTTP/1.1 20": balancer.Moot,
-		"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n": balancer.Moot,
+		okAnswer: balancer.NotSent,
+		"HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n": balancer.Rejected,
+		"HTTP/1.1 20": balancer.NotSent,
+		"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n": balancer.NotSent,
 	} {
 		_, ended := halfway(t, func(c net.Conn, in *bufio.Reader) {
 			io.WriteString(c, text)
@@ -421,8 +421,8 @@
 	go func() { ended <- x.run(ctx, patience, nil) }()
 	receive(t, got, "the request")
 	cancel()
-	if r := receive(t, ended, "the attempt's end"); r.result != balancer.Cancelled || r.end.Broke {
-		t.Errorf("%v, a break: %v", r.result, r.end.Broke)
+	if r := receive(t, ended, "the attempt's end"); r.result != balancer.Cancelled || r.end.Broken {
+		t.Errorf("%v, a break: %v", r.result, r.end.Broken)
 	}
 }
 
@@ -449,7 +449,7 @@
 	l := stillEngine(t, entries...)
 	cfg := testutil.Module(t)
 	const window = 150 * time.Millisecond
-	cfg.Classes[2].Window = window
+	cfg.Classes[2].IdempotencyWindow = window
 	if err := l.Reconfigure(cfg); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/httpproxy/dialect.go
+++ b/internal/httpproxy/dialect.go
@@ -39,9 +39,9 @@
 			case code == http.StatusOK:
 				return balancer.OK
 			case notRun(resp):
-				return balancer.Full
+				return balancer.Rejected
 			case code >= 400 && code < 500 && code != http.StatusRequestTimeout && code != http.StatusTooManyRequests:
-				return balancer.Declined
+				return balancer.Unprocessable
 			}
 			return balancer.Error
 		},
--- a/internal/httpproxy/exchange_test.go
+++ b/internal/httpproxy/exchange_test.go
@@ -32,7 +32,7 @@
 		x := &exchange{to: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), speaks: platformDialect(), msg: probeMessage(addr), until: time.Now().Add(patience)}
 		spoil(x)
 		r := x.run(context.Background(), patience, nil)
-		if r.result != balancer.Moot || r.conn == nil {
+		if r.result != balancer.NotSent || r.conn == nil {
 			t.Fatalf("%s: %+v", name, r)
 		}
 		r.conn.Close()
--- a/internal/httpproxy/front_test.go
+++ b/internal/httpproxy/front_test.go
@@ -29,7 +29,7 @@
 	r.Header.Set(headerAccount, "obala")
 	r.Header.Set(headerTimeout, "3599000m")
 	_, left, a := l.front.parse(r, l.front.engine.Book())
-	if a.status != 0 || left != l.Settings().Classes[0].GiveUp {
+	if a.status != 0 || left != l.Settings().Classes[0].ClientTimeout {
 		t.Errorf("%d %s: %v", a.status, a.body, left)
 	}
 }
--- a/internal/httpproxy/parse.go
+++ b/internal/httpproxy/parse.go
@@ -61,7 +61,7 @@
 	// Whatever it says, no client waits longer than its class does over all its tries,
 	// and nobody may hold a place here for longer.
 	c := &by.Settings.Classes[class]
-	left = min(left, c.GiveUp)
+	left = min(left, c.ClientTimeout)
 	id := h.Get(headerID)
 	if len(id) != idLength || strings.Trim(id, "0123456789abcdef") != "" {
 		return bad(http.StatusBadRequest, "%s needs %d hexadecimal digits", headerID, idLength)
@@ -104,7 +104,7 @@
 	req := &call{
 		Call: engine.Call{Request: balancer.Request{
 			Class: class, Tenant: tenant, Key: about, Cost: cost,
-			Repeat: h.Get(headerRepeat) == "1",
+			IsRetry: h.Get(headerRepeat) == "1",
 		}, Name: id, Carrier: s.carrier, Book: by},
 		answers: make(chan answer, 1),
 	}
--- a/internal/httpproxy/pool.go
+++ b/internal/httpproxy/pool.go
@@ -31,7 +31,7 @@
 // take gives an idle connection to the backend, the one that the model of connections
 // has for who stakes so much on it, and nil where a new one is worth its handshake or
 // none is there. One that has not had its rest is given only where there is no other.
-func (p *pool) take(to *engine.Backend, now time.Duration, stake connections.Stake) *conn {
+func (p *pool) take(to *engine.Backend, now time.Duration, stake connections.Request) *conn {
 	idle := p.idle[to]
 	if len(idle) == 0 {
 		return nil
@@ -168,7 +168,7 @@
 func (p *pool) retire(now time.Duration) {
 	for b, idle := range p.idle {
 		p.keep(b, slices.DeleteFunc(idle, func(c *conn) bool {
-			old := p.tooOld(c, now) || !c.alive() || p.model.Retire(now, uint32(b.ID), b.Zone, now-c.idleSince, p.worth)
+			old := p.tooOld(c, now) || !c.alive() || p.model.ShouldClose(now, uint32(b.ID), b.Zone, now-c.idleSince, p.worth)
 			if old {
 				p.close(c)
 			}
--- a/internal/httpproxy/pool_test.go
+++ b/internal/httpproxy/pool_test.go
@@ -71,7 +71,7 @@
 // answer. A bid right behind it would be a reset, which may have run; a listing may try.
 func TestPoolKeepsBidsOffConnectionsThatTurnedAway(t *testing.T) {
 	t.Parallel()
-	bid, listing := connections.Stake{Worth: 8}, connections.Stake{Worth: 1, Effect: connections.Delayed}
+	bid, listing := connections.Request{Utility: 8}, connections.Request{Utility: 1, Effect: connections.Delayed}
 	now := 2*time.Second + shyFor/2
 	p, b, _ := poolOf(t, 2) // idle since 0 and 1 s
 	p.most++
--- a/internal/httpproxy/upload_send.go
+++ b/internal/httpproxy/upload_send.go
@@ -16,20 +16,20 @@
 // the permit is taken for the last piece alone, and whatever ends it before is a request
 // that was never sent.
 func (c *conn) sendLarge(ctx context.Context, x *exchange, head []byte, report []string) Reply {
-	unsent := Reply{result: balancer.Moot, early: true}
+	unsent := Reply{result: balancer.NotSent, early: true}
 	u, at := x.msg.up, cursor{}
 	chunked := u.frame() < 0
 	c.SetDeadline(time.Time{}) // what is to be waited for is each piece, and then the answer
 	for {
 		p, last, err := u.next(ctx, at)
 		if err != nil {
-			return Reply{result: balancer.Moot} // it was the client's side: the connection speaks of nothing
+			return Reply{result: balancer.NotSent} // it was the client's side: the connection speaks of nothing
 		}
 		if last && x.gone() {
-			return Reply{result: balancer.Moot, left: true}
+			return Reply{result: balancer.NotSent, left: true}
 		}
 		if last && !x.permit.Use() || !last && !x.permit.Open() {
-			return Reply{result: balancer.Moot}
+			return Reply{result: balancer.NotSent}
 		}
 		parts := net.Buffers{head, p}
 		if chunked {
@@ -70,9 +70,9 @@
 		return unsent
 	}
 	if code := resp.StatusCode; code >= 400 && code < 500 {
-		return Reply{result: balancer.Declined}
+		return Reply{result: balancer.Unprocessable}
 	}
-	return Reply{result: balancer.Full}
+	return Reply{result: balancer.Rejected}
 }
 
 func chunkSize(n int) []byte {
--- a/internal/httpproxy/upstream.go
+++ b/internal/httpproxy/upstream.go
@@ -130,9 +130,9 @@
 	held    int       // bytes taken from the budget
 	claimed bool      // by who passes it on, and releases it then
 	load    []float32
-	early   bool            // it broke before its last byte was written
-	left    bool            // who asked was found to have gone: nothing was written
-	end     connections.End // for the model of connections
+	early   bool                // it broke before its last byte was written
+	left    bool                // who asked was found to have gone: nothing was written
+	end     connections.Outcome // for the model of connections
 }
 
 // run carries the exchange out. It follows the protocol's table of outcomes:
@@ -157,13 +157,13 @@
 	// The last look before writing: dialling took its time. The backend may be
 	// draining or gone by now, the request answered, or its client gone.
 	if up := x.msg.up; !x.to.Ready() || !x.permit.Open() || up != nil && !up.begin() {
-		return Reply{result: balancer.Moot, conn: c}
+		return Reply{result: balancer.NotSent, conn: c}
 	}
 	if x.gone() {
 		if x.msg.up != nil {
 			x.msg.up.end()
 		}
-		return Reply{result: balancer.Moot, conn: c, left: true}
+		return Reply{result: balancer.NotSent, conn: c, left: true}
 	}
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	began := time.Now()
@@ -176,12 +176,12 @@
 		r = c.roundTrip(x, data, report)
 	}
 	if r.result == balancer.Reset || r.early {
-		r.end = connections.End{Broke: true, After: time.Since(began), Whole: !r.early}
+		r.end = connections.Outcome{Broken: true, After: time.Since(began), Complete: !r.early}
 	}
 	if !stop() {
 		r.conn = nil
 		if r.result == balancer.Reset { // it was called off: the break is this side's, and says nothing
-			r.result, r.end = balancer.Cancelled, connections.End{}
+			r.result, r.end = balancer.Cancelled, connections.Outcome{}
 			if !time.Now().Before(x.until) {
 				r.result = balancer.Timeout
 			}
@@ -229,22 +229,22 @@
 			err = c.listen(time.Now().Add(hold), until)
 		}
 		if err == errEarly && c.turnsAway(x) {
-			return Reply{result: balancer.Full}
+			return Reply{result: balancer.Rejected}
 		}
 		if err != nil || n < len(data)-1 {
-			return Reply{result: balancer.Moot, early: true}
+			return Reply{result: balancer.NotSent, early: true}
 		}
 		data = data[len(data)-1:]
 	}
 	if !x.permit.Use() {
 		if begun { // what has been written of it must not be completed by the next request
-			return Reply{result: balancer.Moot}
+			return Reply{result: balancer.NotSent}
 		}
 		c.SetDeadline(time.Time{})
-		return Reply{result: balancer.Moot, conn: c}
+		return Reply{result: balancer.NotSent, conn: c}
 	}
 	if n, err := c.Write(data); n < len(data) {
-		return Reply{result: balancer.Moot, early: true}
+		return Reply{result: balancer.NotSent, early: true}
 	} else if err != nil {
 		return failed(err)
 	}
@@ -309,7 +309,7 @@
 func (c *conn) turnsAway(x *exchange) bool {
 	come, _ := c.in.Peek(c.in.Buffered())
 	resp, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(come)), nil)
-	return err == nil && x.speaks.Judge(x.to, x.msg, resp) == balancer.Full
+	return err == nil && x.speaks.Judge(x.to, x.msg, resp) == balancer.Rejected
 }
 
 // mostForeign is how many answers to other requests are read over in the place of one's own.
--- a/internal/process/learnedstate/codec/compatibility_test.go
+++ b/internal/process/learnedstate/codec/compatibility_test.go
@@ -40,7 +40,7 @@
 			Gap:     6 * time.Millisecond,
 			Retries: 7.5,
 			Alarms:  8.5, Answered: 9.5,
-			Asked: goodput.Tally{Asked: 10.5, Served: 11.5},
+			Asked: goodput.Tally{Offered: 10.5, Completed: 11.5},
 		},
 		Classes: []learnedstate.Class{
 			{
@@ -49,14 +49,14 @@
 				Tail:     [3]float64{25.25, 26.25, 27.25},
 				Served:   28.25,
 				Forecast: prediction.State{N: 29.25, Sum: -30.25, Sum2: 31.25},
-				Gray:     grayfailure.KindState{Failed: 32.25, Ended: 33.25, N: 34.25, Dev: -35.25, Dev2: 36.25, Wave: 37.25, Tokens: -38.25},
-				Asked:    goodput.Tally{Asked: 39.25, Served: 40.25},
+				Gray:     grayfailure.KindState{Failed: 32.25, Ended: 33.25, N: 34.25, Dev: -35.25, Dev2: 36.25, RecentEjections: 37.25, Tokens: -38.25},
+				Asked:    goodput.Tally{Offered: 39.25, Completed: 40.25},
 			},
 			{Name: "batch"},
 		},
 		Tenants: []learnedstate.Tenant{
-			{Name: "tenant-a", Asked: goodput.Tally{Asked: 50.75, Served: 51.75}},
-			{Name: "tenant-b", Asked: goodput.Tally{Asked: 52.75, Served: 53.75}},
+			{Name: "tenant-a", Asked: goodput.Tally{Offered: 50.75, Completed: 51.75}},
+			{Name: "tenant-b", Asked: goodput.Tally{Offered: 52.75, Completed: 53.75}},
 		},
 		Backends: []learnedstate.Backend{
 			{
@@ -71,12 +71,12 @@
 				Tail: [3]float64{72.125, 73.125, 74.125},
 				Cells: []grayfailure.CellState{
 					{
-						Bad: 80.5, Vouched: 81.5,
-						At: 82 * time.Second, Silent: 83 * time.Second, OutFor: 84 * time.Second,
+						FaultProbability: 80.5, OtherAnswers: 81.5,
+						At: 82 * time.Second, SuspectedFor: 83 * time.Second, EjectedFor: 84 * time.Second,
 						Failures: 85,
 						OK:       86.5, Ended: 87.5, OKEver: 88.5, EndedEver: 89.5, Delays: 90.5, Answered: 91.5,
 					},
-					{At: 92 * time.Second, Silent: -1, OutFor: -1},
+					{At: 92 * time.Second, SuspectedFor: -1, EjectedFor: -1},
 				},
 			},
 			{
@@ -86,8 +86,8 @@
 			},
 		},
 		Conns: connections.State{
-			EarlyUses: 100.5, EarlyBreaks: 101.5,
-			Hold: 102 * time.Millisecond,
+			EarlyUses: 100.5, EarlyBroken: 101.5,
+			Holdback: 102 * time.Millisecond,
 		},
 	}
 }
@@ -113,7 +113,7 @@
 func wantState() *learnedstate.State {
 	s := storedState()
 	copy(s.Conns.Uses[:], storedUses)
-	copy(s.Conns.Breaks[:], storedBreaks)
+	copy(s.Conns.Broken[:], storedBreaks)
 	return s
 }
 
@@ -124,8 +124,8 @@
 		t.Fatal(err)
 	}
 	want := wantState()
-	if len(got.Conns.Uses) != len(storedUses) || len(got.Conns.Breaks) != len(storedBreaks) {
-		t.Errorf("connections have %d and %d cells, want %d", len(got.Conns.Uses), len(got.Conns.Breaks), len(storedUses))
+	if len(got.Conns.Uses) != len(storedUses) || len(got.Conns.Broken) != len(storedBreaks) {
+		t.Errorf("connections have %d and %d cells, want %d", len(got.Conns.Uses), len(got.Conns.Broken), len(storedUses))
 	}
 	if !got.Taken.Equal(want.Taken) {
 		t.Errorf("Taken is %v, want %v", got.Taken, want.Taken)
--- a/internal/process/store/compatibility_test.go
+++ b/internal/process/store/compatibility_test.go
@@ -46,20 +46,20 @@
 		Tenants: []learnedstate.Tenant{{Name: "tenant-a"}},
 		Backends: []learnedstate.Backend{{
 			Name: "llm-1", Addr: "10.0.0.1:8000", Healthy: true, Fails: 3, Limit: 4.5,
-			LastOK: time.Second, Ejected: learnedstate.Never, Cold: learnedstate.Never, Cells: []grayfailure.CellState{{Bad: 0.5, At: time.Minute}},
+			LastOK: time.Second, Ejected: learnedstate.Never, Cold: learnedstate.Never, Cells: []grayfailure.CellState{{FaultProbability: 0.5, At: time.Minute}},
 		}},
 	}
 	return []storedRecord{
 		{proxy: "edge-1", file: "marlreel-edge-1.memory", Record: Record{
-			At: staleness.Moment{
-				Wall: time.Date(2026, 11, 30, 12, 34, 57, 123_456_789, time.UTC), Boot: "0c3f9f0e-7a53-4a32-9d3c-8f6f2c1b7a11",
-				Up: 36*time.Hour + 250*time.Millisecond,
+			At: staleness.Timestamp{
+				Wall: time.Date(2026, 11, 30, 12, 34, 57, 123_456_789, time.UTC), BootID: "0c3f9f0e-7a53-4a32-9d3c-8f6f2c1b7a11",
+				Uptime: 36*time.Hour + 250*time.Millisecond,
 			},
 			Stopped: true,
 			State:   state,
 		}},
 		{proxy: "zone a/Edge_2", file: "marlreel-zone.a.Edge_2.memory", Record: Record{
-			At:    staleness.Moment{Wall: time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)}, // the start of the machine is not known
+			At:    staleness.Timestamp{Wall: time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)}, // the start of the machine is not known
 			State: &learnedstate.State{Of: "zone a/Edge_2", Taken: time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)},
 		}},
 	}
@@ -81,11 +81,11 @@
 			if !got.At.Wall.Equal(want.At.Wall) {
 				t.Errorf("At.Wall is %v, want %v", got.At.Wall, want.At.Wall)
 			}
-			if got.At.Boot != want.At.Boot {
-				t.Errorf("At.Boot is %q, want %q", got.At.Boot, want.At.Boot)
+			if got.At.BootID != want.At.BootID {
+				t.Errorf("At.Boot is %q, want %q", got.At.BootID, want.At.BootID)
 			}
-			if got.At.Up != want.At.Up {
-				t.Errorf("At.Up is %v, want %v", got.At.Up, want.At.Up)
+			if got.At.Uptime != want.At.Uptime {
+				t.Errorf("At.Up is %v, want %v", got.At.Uptime, want.At.Uptime)
 			}
 			if got.Stopped != want.Stopped {
 				t.Errorf("Stopped is %t, want %t", got.Stopped, want.Stopped)
--- a/internal/process/store/store.go
+++ b/internal/process/store/store.go
@@ -21,7 +21,7 @@
 
 // Record is what a file holds.
 type Record struct {
-	At      staleness.Moment
+	At      staleness.Timestamp
 	Stopped bool // it was written at a stop as told
 	State   *learnedstate.State
 }
@@ -42,8 +42,8 @@
 )
 
 // Encode puts a state, in codec's bytes, into a record's.
-func Encode(at staleness.Moment, stopped bool, state []byte) ([]byte, error) {
-	body, err := msgpack.Marshal(&record{at.Wall, at.Boot, at.Up, stopped, state})
+func Encode(at staleness.Timestamp, stopped bool, state []byte) ([]byte, error) {
+	body, err := msgpack.Marshal(&record{at.Wall, at.BootID, at.Uptime, stopped, state})
 	if err != nil {
 		return nil, &Error{"memory", err}
 	}
@@ -72,7 +72,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Record{staleness.Moment{Wall: x.Wall, Boot: x.Boot, Up: x.Up}, x.Stopped, s}, nil
+	return &Record{staleness.Timestamp{Wall: x.Wall, BootID: x.Boot, Uptime: x.Up}, x.Stopped, s}, nil
 }
 
 // files is the file system, as far as it matters here.
@@ -176,7 +176,7 @@
 
 // Save replaces the record by one of a state in codec's bytes. Danger: a rename may come to the disk before the
 // bytes that it names; so these are synced first, and the folder after it.
-func (s *Store) Save(at staleness.Moment, stopped bool, state []byte) error {
+func (s *Store) Save(at staleness.Timestamp, stopped bool, state []byte) error {
 	data, err := Encode(at, stopped, state)
 	if err != nil {
 		return err
@@ -212,8 +212,8 @@
 }
 
 // Now is the moment, by this machine's clocks.
-func Now() staleness.Moment {
-	m := staleness.Moment{Wall: time.Now()}
+func Now() staleness.Timestamp {
+	m := staleness.Timestamp{Wall: time.Now()}
 	// Where the system does not say, the wall's clock alone is left.
 	id, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	up, err2 := os.ReadFile("/proc/uptime")
@@ -225,6 +225,6 @@
 	if err != nil {
 		return m
 	}
-	m.Boot, m.Up = strings.TrimSpace(string(id)), d
+	m.BootID, m.Uptime = strings.TrimSpace(string(id)), d
 	return m
 }
--- a/internal/process/store/store_test.go
+++ b/internal/process/store/store_test.go
@@ -22,7 +22,7 @@
 	for i := range 3 + n%5 {
 		s.Backends = append(s.Backends, learnedstate.Backend{Name: fmt.Sprint("s-", i), Addr: "127.0.0.1:1", Fails: n, LastOK: learnedstate.Never, Cold: learnedstate.Never})
 	}
-	return &Record{At: staleness.Moment{Wall: time.Unix(int64(n), 0), Boot: "b", Up: time.Duration(n)}, Stopped: n%2 == 0, State: s}
+	return &Record{At: staleness.Timestamp{Wall: time.Unix(int64(n), 0), BootID: "b", Uptime: time.Duration(n)}, Stopped: n%2 == 0, State: s}
 }
 
 // encoded and save are for a record as a whole.
@@ -44,7 +44,7 @@
 
 // number tells which of the numbered ones a record is; -1: it is a mixture.
 func number(r *Record) int {
-	n := int(r.At.Up)
+	n := int(r.At.Uptime)
 	if r.State.Taken.Unix() != int64(n) || len(r.State.Backends) != 3+n%5 || r.Stopped != (n%2 == 0) {
 		return -1
 	}
--- a/internal/proxy/breaks_test.go
+++ b/internal/proxy/breaks_test.go
@@ -165,7 +165,7 @@
 	n := breaking(t, "s-1", j, standin.Network{DropAfter: 600 * time.Millisecond})
 	cfg := testConfig(t, closedAddr(t), ready("s-1", n.Addr()))
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].Aim, cfg.Settings.Classes[i].GiveUp = 300*time.Millisecond, 2*time.Second
+		cfg.Settings.Classes[i].LatencyTarget, cfg.Settings.Classes[i].ClientTimeout = 300*time.Millisecond, 2*time.Second
 	}
 	p := start(t, cfg)
 	const all = 14
--- a/internal/proxy/keep.go
+++ b/internal/proxy/keep.go
@@ -22,7 +22,7 @@
 	store *store.Store
 	every time.Duration
 	state func(context.Context) ([]byte, error)
-	now   func() staleness.Moment
+	now   func() staleness.Timestamp
 	logf  func(format string, args ...any)
 
 	failed string // the last error, so that each is said once
@@ -31,7 +31,7 @@
 
 // remember reads what an earlier life has learnt, as far as it is still to be believed. Whatever is wrong with
 // it is one line, and the proxy starts as it does without.
-func remember(cfg config.Memory, s *store.Store, name string, now staleness.Moment, logger *slog.Logger) *learnedstate.State {
+func remember(cfg config.Memory, s *store.Store, name string, now staleness.Timestamp, logger *slog.Logger) *learnedstate.State {
 	r, err := s.Load()
 	if err != nil {
 		logger.Info(fmt.Sprintf("memory: nothing is taken from it: %v", err), "event", "memory-refused")
@@ -44,12 +44,12 @@
 		logger.Info(fmt.Sprintf("memory: nothing is taken from %s: it is %q's, and this is %q", s.Path(), r.State.Of, name), "event", "memory-refused")
 		return nil
 	}
-	away, err := staleness.Away(r.At, now)
+	away, err := staleness.Age(r.At, now)
 	if err != nil {
 		logger.Info(fmt.Sprintf("memory: nothing is taken from %s: %v", s.Path(), err), "event", "memory-refused")
 		return nil
 	}
-	known := staleness.Weigh(staleness.Config{Keep: cfg.Keep.D(), Half: cfg.Half.D()}, r.State, away, !r.Stopped)
+	known := staleness.Discount(staleness.Config{MaxAge: cfg.Keep.D(), HalfLife: cfg.Half.D()}, r.State, away, !r.Stopped)
 	if known == nil {
 		logger.Info(fmt.Sprintf("memory: nothing is taken from %s: it is %v old, and %v is the most", s.Path(), away.Round(time.Second), cfg.Keep.D()), "event", "memory-refused")
 		return nil
--- a/internal/proxy/keep_test.go
+++ b/internal/proxy/keep_test.go
@@ -79,7 +79,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		data, err := store.Encode(staleness.Moment{Wall: time.Now().Add(-age)}, false, state)
+		data, err := store.Encode(staleness.Timestamp{Wall: time.Now().Add(-age)}, false, state)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -139,7 +139,7 @@
 	slow, broken := time.Duration(0), error(nil)
 	k := &saver{
 		store: store.Open(t.TempDir(), "n0"), every: time.Second, logf: log.New(&lines, "", 0).Printf,
-		now:   func() staleness.Moment { return staleness.Moment{Wall: wall} },
+		now:   func() staleness.Timestamp { return staleness.Timestamp{Wall: wall} },
 		state: func(context.Context) ([]byte, error) { wall = wall.Add(slow); return state, broken },
 	}
 	for _, step := range []struct {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -181,7 +181,7 @@
 		host = p.member.lists
 	}
 	p.source = sources.New(discovery.Config{
-		Addr: cfg.Discovery, Pace: discovery.PaceFor(cfg.Settings.OnRequest, cfg.Settings.Instances), Names: cfg.Names,
+		Addr: cfg.Discovery, Pace: discovery.PaceFor(cfg.Settings.PollMembership, cfg.Settings.Instances), Names: cfg.Names,
 		Logf: logs.Event(logger, "list"),
 	}, version, host)
 	if p.member != nil && own.Registry.On() {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -282,7 +282,7 @@
 	addr, came := silent(t)
 	cfg := testConfig(t, closedAddr(t), ready("s-1", addr))
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].GiveUp = time.Second // the client here has longer than the classes say
+		cfg.Settings.Classes[i].ClientTimeout = time.Second // the client here has longer than the classes say
 	}
 	p := start(t, cfg)
 	statuses := make(chan int, 1)
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -29,8 +29,8 @@
 			a, b := newRegistry(t), newRegistry(t)
 			kept, conns := testutil.Counting(t, "kept")
 			cfg := testConfig(t, a.Addr, ready("s-1", kept))
-			cfg.Settings.OnRequest = onRequest
-			cfg.Settings.Obligations.AskEvery = time.Minute
+			cfg.Settings.PollMembership = onRequest
+			cfg.Settings.Obligations.MaxMembershipAge = time.Minute
 			p := start(t, cfg)
 			old := a.next(t)
 			servedBy(t, p, "kept")
--- a/internal/proxy/rpc_test.go
+++ b/internal/proxy/rpc_test.go
@@ -753,7 +753,7 @@
 	})
 	cfg := testConfig(t, closedAddr(t), ready("s-1", addr))
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].GiveUp = time.Second
+		cfg.Settings.Classes[i].ClientTimeout = time.Second
 	}
 	p := startWith(t, cfg, rpcSettings())
 	got, _ := caller(t, p.rpc).Call("post.bid", 1, meta())
--- a/internal/proxy/told_test.go
+++ b/internal/proxy/told_test.go
@@ -64,8 +64,8 @@
 
 func askedFor(t *testing.T, d *standin.Faulty, onRequest bool) *config.Platform {
 	cfg := testConfig(t, d.Addr)
-	cfg.Settings.OnRequest = onRequest
-	cfg.Settings.Obligations.AskEvery = 10 * time.Second
+	cfg.Settings.PollMembership = onRequest
+	cfg.Settings.Obligations.MaxMembershipAge = 10 * time.Second
 	cfg.Settings.Caps.ConnectTimeout = 100 * time.Millisecond
 	cfg.AcceptLonger = 0 // its end is not looked at
 	return cfg
--- a/internal/rpc/carrier.go
+++ b/internal/rpc/carrier.go
@@ -102,7 +102,7 @@
 		// Every connection has as many calls open as it may: one more is too many for
 		// this backend, and has not run.
 		a.Permit.Revoke()
-		c.engine.Later(func() { a.End(engine.End{Result: balancer.Full}) })
+		c.engine.Later(func() { a.End(engine.End{Result: balancer.Rejected}) })
 		return
 	}
 	f := &flight{a: a, body: a.Call.Payload.(*payload), id: l.newID()}
--- a/internal/rpc/compatibility_test.go
+++ b/internal/rpc/compatibility_test.go
@@ -119,11 +119,11 @@
 		value []byte
 		want  balancer.Result
 	}{
-		{"not processed", flag("$unprocessed", true), balancer.Full},
+		{"not processed", flag("$unprocessed", true), balancer.Rejected},
 		{"failed", flag("$failed", true), balancer.Error},
-		{"both", appendBool(appendString(appendBool(appendString(appendMap(nil, 2), "$unprocessed"), true), "$failed"), true), balancer.Full},
-		{"said not to have failed", flag("$failed", false), balancer.Declined},
-		{"the method's own", appendString(nil, "no such lot"), balancer.Declined},
+		{"both", appendBool(appendString(appendBool(appendString(appendMap(nil, 2), "$unprocessed"), true), "$failed"), true), balancer.Rejected},
+		{"said not to have failed", flag("$failed", false), balancer.Unprocessable},
+		{"the method's own", appendString(nil, "no such lot"), balancer.Unprocessable},
 	} {
 		if got := readError(c.value); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
--- a/internal/rpc/front.go
+++ b/internal/rpc/front.go
@@ -445,7 +445,7 @@
 		}
 		tenant = t
 	}
-	left := k.GiveUp
+	left := k.ClientTimeout
 	if meta.LeftMs > 0 {
 		left = min(left, time.Duration(meta.LeftMs*float64(time.Millisecond)))
 	}
@@ -462,7 +462,7 @@
 	}
 	q := &call{conn: c, id: m.id, note: note, Call: engine.Call{
 		Name: meta.ID, Carrier: f.carrier, Book: by,
-		Request: balancer.Request{Class: class, Tenant: tenant, Key: about, Repeat: meta.Repeat, Deadline: arrived + left},
+		Request: balancer.Request{Class: class, Tenant: tenant, Key: about, IsRetry: meta.Repeat, Deadline: arrived + left},
 		Payload: &payload{method: m.method, args: args, count: count, meta: meta, given: given, notify: note},
 	}}
 	q.Front = q
--- a/internal/rpc/link.go
+++ b/internal/rpc/link.go
@@ -139,7 +139,7 @@
 func (l *link) moot(f *flight, left bool) {
 	if l.open[f.id] == f {
 		delete(l.open, f.id)
-		f.a.End(engine.End{Result: balancer.Moot, Left: left})
+		f.a.End(engine.End{Result: balancer.NotSent, Left: left})
 		l.rest()
 	}
 }
@@ -185,7 +185,7 @@
 		return engine.End{Result: balancer.OK, Reply: &reply{error: m.error, result: m.result}}
 	}
 	result := readError(m.error)
-	if result == balancer.Declined {
+	if result == balancer.Unprocessable {
 		return engine.End{Result: result, Reply: &reply{error: m.error, result: m.result}}
 	}
 	return engine.End{Result: result}
@@ -196,13 +196,13 @@
 
 // readError tells what a backend's error means. See the package comment.
 func readError(v []byte) balancer.Result {
-	result := balancer.Declined
+	result := balancer.Unprocessable
 	mapEach(v, func(key string, value []byte) {
 		on, _ := readBool(value)
 		switch {
 		case key == "$unprocessed" && on:
-			result = balancer.Full
-		case key == "$failed" && on && result != balancer.Full:
+			result = balancer.Rejected
+		case key == "$failed" && on && result != balancer.Rejected:
 			result = balancer.Error
 		}
 	})
--- a/internal/testing/emulator/proxy.go
+++ b/internal/testing/emulator/proxy.go
@@ -65,8 +65,8 @@
 		idle: map[balancer.BackendID][]time.Duration{},
 	}
 	p.advisor = routing.New(routing.Config{
-		Self: name, ServesModels: true, Warmup: budgetshare.ColdConfig{PerSecond: 1e6, Excess: 1},
-		Repeats: budgetshare.RepeatsConfig{Ratio: 1, Slack: 1e6, Window: 10 * time.Second},
+		Self: name, ServesModels: true, Warmup: budgetshare.WarmupConfig{PerSecond: 1e6, Excess: 1},
+		Repeats: budgetshare.RetryConfig{Ratio: 1, Slack: 1e6, Window: 10 * time.Second},
 	}, clockStart)
 	p.advisor.SetSharers(clockStart, []string{name}, true)
 	rank := zone*w.cfg.ProxiesPerZone + index
@@ -86,7 +86,7 @@
 	for i, b := range p.world.backends {
 		list = append(list, balancer.Backend{ID: balancer.BackendID(i + 1), Zone: b.zone, Kind: -1, Cell: -1, State: balancer.Ready})
 	}
-	p.balancer.Membership(p.now(), balancer.Membership{Kind: balancer.ListFull, Backends: list})
+	p.balancer.OnMembership(p.now(), balancer.Membership{Kind: balancer.ListFull, Backends: list})
 }
 
 // list tells the advice what backends hold, by what is known of them.
@@ -120,7 +120,7 @@
 		})
 	}
 	w.clock.after(q.deadline-w.clock.now, func() { p.leave(id) })
-	p.balancer.Request(p.now(), balancer.Request{
+	p.balancer.OnRequest(p.now(), balancer.Request{
 		ID: id, Class: w.classOf[q.kind], Cost: cost, Deadline: q.deadline + clockStart,
 		Needs: &balancer.Needs{Model: q.model, Adapter: q.adapter, Output: q.outputTokens},
 	})
@@ -138,7 +138,7 @@
 		a.run.off = true
 	}
 	delete(p.calls, id)
-	p.balancer.Gone(p.now(), id)
+	p.balancer.OnClientGone(p.now(), id)
 }
 
 // Send implements balancer.Host.
@@ -162,7 +162,7 @@
 		}
 		a.done = true
 		p.idle[to] = append(p.idle[to], w.clock.now)
-		p.balancer.Outcome(p.now(), balancer.Outcome{ID: id, Attempt: n, Backend: to, Result: result, Final: c.answered})
+		p.balancer.OnAttemptEnd(p.now(), balancer.Outcome{ID: id, Attempt: n, Backend: to, Result: result, Final: c.answered})
 		if c.answered {
 			delete(p.calls, id)
 		}
@@ -178,7 +178,7 @@
 				end(balancer.OK)
 			})
 		},
-		rejected: func() { w.clock.after(way, func() { end(balancer.Full) }) },
+		rejected: func() { w.clock.after(way, func() { end(balancer.Rejected) }) },
 	}
 	w.clock.after(way, func() {
 		if !a.run.off {
@@ -210,11 +210,11 @@
 	}
 	c.answered = true
 	c.firstAt = p.world.clock.now
-	p.balancer.FirstByte(p.now(), balancer.FirstByte{ID: id, Attempt: n, Backend: c.attempts[n].to})
+	p.balancer.OnFirstByte(p.now(), balancer.FirstByte{ID: id, Attempt: n, Backend: c.attempts[n].to})
 }
 
-// Refuse implements balancer.Host.
-func (p *proxy) Refuse(id balancer.RequestID, retryAfter time.Duration) {
+// Reject implements balancer.Host.
+func (p *proxy) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	c := p.calls[id]
 	if c == nil || c.answered {
 		return
@@ -246,21 +246,21 @@
 	p.world.clock.after(0, func() {
 		if !a.done {
 			a.done = true
-			p.balancer.Outcome(p.now(), balancer.Outcome{ID: id, Attempt: n, Backend: a.to, Result: balancer.Cancelled, Final: c.answered})
+			p.balancer.OnAttemptEnd(p.now(), balancer.Outcome{ID: id, Attempt: n, Backend: a.to, Result: balancer.Cancelled, Final: c.answered})
 		}
 	})
 }
 
-// Probe implements balancer.Host: all backends are well.
-func (p *proxy) Probe(b balancer.BackendID) {
+// CheckHealth implements balancer.Host: all backends are well.
+func (p *proxy) CheckHealth(b balancer.BackendID) {
 	p.world.clock.after(2*p.world.cfg.CrossZone, func() {
-		p.balancer.Probed(p.now(), balancer.ProbeResult{Backend: b, Result: balancer.OK})
+		p.balancer.OnHealthCheck(p.now(), balancer.HealthCheckResult{Backend: b, Result: balancer.OK})
 	})
 }
 
-// After implements balancer.Host.
-func (p *proxy) After(span time.Duration, token uint64) {
-	p.world.clock.after(span, func() { p.balancer.Timer(p.now(), token) })
+// StartTimer implements balancer.Host.
+func (p *proxy) StartTimer(span time.Duration, token uint64) {
+	p.world.clock.after(span, func() { p.balancer.OnTimer(p.now(), token) })
 }
 
 // Release implements balancer.Host.
@@ -272,8 +272,8 @@
 // Fetch implements balancer.Host.
 func (p *proxy) Fetch() {}
 
-// Tell implements balancer.Host.
-func (p *proxy) Tell(uint32, []byte) {}
+// SendToPeer implements balancer.Host.
+func (p *proxy) SendToPeer(uint32, []byte) {}
 
 // Log implements balancer.Host.
 func (p *proxy) Log(string) {}
--- a/internal/testing/emulator/world.go
+++ b/internal/testing/emulator/world.go
@@ -75,8 +75,8 @@
 		kind := &w.cfg.Kinds[i]
 		w.classOf[kind] = len(w.classes)
 		w.classes = append(w.classes, balancer.Class{
-			Name: kind.Name, Aim: kind.Aim, GiveUp: 2 * time.Minute, LateShare: lateShare,
-			Value: 1, Generates: true, MostRuns: 2,
+			Name: kind.Name, LatencyTarget: kind.Aim, ClientTimeout: 2 * time.Minute, LateValueRatio: lateShare,
+			Value: 1, Generates: true, MaxRuns: 2,
 		})
 	}
 }
@@ -153,7 +153,7 @@
 func (w *world) know(i int, holds map[string][]string) {
 	k := routing.Backend{Backend: prefixcache.Backend{ID: balancer.BackendID(i + 1), Slots: w.cfg.Engine.Slots}, Name: w.backends[i].id}
 	for model, adapters := range holds {
-		k.Held = append(k.Held, prefixcache.Held{Model: model, Adapters: adapters})
+		k.Loaded = append(k.Loaded, prefixcache.LoadedModel{Model: model, Adapters: adapters})
 	}
 	w.known[i] = k
 	w.news = true
@@ -183,7 +183,7 @@
 func (w *world) countHeld() {
 	w.heldByAny = map[placement.Key]bool{}
 	for _, k := range w.known {
-		for _, h := range k.Held {
+		for _, h := range k.Loaded {
 			w.heldByAny[placement.Key{Model: h.Model}] = true
 			for _, adapter := range h.Adapters {
 				w.heldByAny[placement.Key{Model: h.Model, Adapter: adapter}] = true
--- a/internal/wire/bootinfo.go
+++ b/internal/wire/bootinfo.go
@@ -91,11 +91,11 @@
 	c := balancer.Config{
 		Instances: s.count("Balancers", 1), Rank: s.count("Rank", 0), Zone: s.count("Zone", 0),
 		Tick:           s.span("Tick", 0),
-		OverShareWorth: s.number("OverShareWorth", 1),
-		WorthByWork:    s.word("WorthBy", "request", "work") == "work",
-		WarmKeys:       s.flag("Extra.WarmKeys"),
+		OverQuotaValue: s.number("OverShareWorth", 1),
+		ValueByWork:    s.word("WorthBy", "request", "work") == "work",
+		KeyAffinity:    s.flag("Extra.WarmKeys"),
 		MarksRetry:     s.flag("Clients.MarksRetry"),
-		OnRequest:      s.word("Discovery", "pushed", "on_request") == "on_request",
+		PollMembership: s.word("Discovery", "pushed", "on_request") == "on_request",
 		Goal: balancer.Goal{
 			Whole: s.number("Goal.Whole", 1), WorstClass: s.number("Goal.WorstClass", 0),
 			WorstTenant: s.number("Goal.WorstTenant", 0), WorstWindow: s.number("Goal.WorstWindow", 0),
@@ -107,15 +107,15 @@
 			Peer: s.number("Prices.Peer", 0), Probe: s.number("Prices.Probe", 0), Waste: s.number("Prices.Waste", 0),
 		},
 		Obligations: balancer.Obligations{
-			AnswerSlack: s.span("Obligations.AnswerSlack", 0),
-			AskEvery:    s.span("Obligations.AskEvery", 0), Cold: s.span("Obligations.Cold", 0),
-			DrainGrace: s.span("Obligations.DrainGrace", 0), Fall: s.span("Obligations.Fall", 0),
-			FallMultiple:  s.number("Obligations.FallMultiple", 1),
-			StartCapacity: s.number("Obligations.StartCapacity", 1),
+			AnswerSlack:      s.span("Obligations.AnswerSlack", 0),
+			MaxMembershipAge: s.span("Obligations.AskEvery", 0), WarmupDuration: s.span("Obligations.Cold", 0),
+			DrainGrace: s.span("Obligations.DrainGrace", 0), OverloadWindow: s.span("Obligations.Fall", 0),
+			OverloadMultiple: s.number("Obligations.FallMultiple", 1),
+			InitialCapacity:  s.number("Obligations.StartCapacity", 1),
 		},
 		Caps: balancer.Caps{
 			Cancel: s.flag("Caps.Cancel"), Peers: s.flag("Caps.Peers"), Probes: s.flag("Caps.Probes"),
-			RetryAfter: s.flag("Caps.RetryAfter"), SecondCopies: s.flag("Caps.SecondCopies"),
+			RetryAfter: s.flag("Caps.RetryAfter"), Hedging: s.flag("Caps.SecondCopies"),
 			ConnIdle: s.span("Caps.ConnIdle", 0), ConnectTimeout: s.span("Caps.ConnectTimeout", 0),
 			MaxRetryAfter: s.span("Caps.MaxRetryAfter", 0), MaxAttempts: s.count("Caps.MaxAttempts", 1),
 			StreamsPerConn: s.count("Caps.StreamsPerConn", 1),
@@ -145,9 +145,9 @@
 
 func (s *settings) class(p string) balancer.Class {
 	c := balancer.Class{
-		Name: s.text(p + "Name"), Aim: s.span(p+"Aim", 0), AimStretch: s.number(p+"AimStretch", 0),
-		GiveUp: s.span(p+"GiveUp", 0), LateShare: s.number(p+"LateShare", 0), Stream: s.flag(p + "Stream"),
-		Value: s.number(p+"Value", 1), Window: s.span(p+"Window", 0),
+		Name: s.text(p + "Name"), LatencyTarget: s.span(p+"Aim", 0), LatencyTargetStretch: s.number(p+"AimStretch", 0),
+		ClientTimeout: s.span(p+"GiveUp", 0), LateValueRatio: s.number(p+"LateShare", 0), Stream: s.flag(p + "Stream"),
+		Value: s.number(p+"Value", 1), IdempotencyWindow: s.span(p+"Window", 0),
 	}
 	switch s.word(p+"Effect", "fragile", "dedup", "retryable") {
 	case "dedup":
@@ -166,7 +166,7 @@
 
 func (s *settings) fields(key string) []balancer.ReportField {
 	known := map[string]balancer.ReportField{
-		"busy_reqs": balancer.FieldHeld, "pending": balancer.FieldWaiting,
+		"busy_reqs": balancer.FieldInFlight, "pending": balancer.FieldQueued,
 		"failed_ps": balancer.FieldErrors,
 	}
 	var fields []balancer.ReportField
--- a/internal/wire/bootinfo_test.go
+++ b/internal/wire/bootinfo_test.go
@@ -23,19 +23,19 @@
 		t.Fatal(err)
 	}
 	want := balancer.Config{
-		Instances: 3, Rank: 2, Zone: 1, Tick: 5 * ms, OnRequest: true, WarmKeys: true,
-		OverShareWorth: 1, WorthByWork: true, Weights: balancer.WeightNominal,
-		Report: []balancer.ReportField{balancer.FieldErrors, balancer.FieldHeld, balancer.FieldOther},
+		Instances: 3, Rank: 2, Zone: 1, Tick: 5 * ms, PollMembership: true, KeyAffinity: true,
+		OverQuotaValue: 1, ValueByWork: true, Weights: balancer.WeightNominal,
+		Report: []balancer.ReportField{balancer.FieldErrors, balancer.FieldInFlight, balancer.FieldOther},
 		Goal:   balancer.Goal{Whole: 1},
 		Classes: []balancer.Class{
-			{Name: "a", Aim: time.Second, GiveUp: 3 * time.Second, Effect: balancer.Safe, Group: balancer.GroupAll, Value: 1},
+			{Name: "a", LatencyTarget: time.Second, ClientTimeout: 3 * time.Second, Effect: balancer.Safe, Group: balancer.GroupAll, Value: 1},
 			{
-				Name: "b", Aim: 400 * ms, GiveUp: 900 * ms, Effect: balancer.Keyed, Group: balancer.GroupZone, Value: 1,
-				Window: 1200*ms + 500*time.Microsecond,
+				Name: "b", LatencyTarget: 400 * ms, ClientTimeout: 900 * ms, Effect: balancer.Keyed, Group: balancer.GroupZone, Value: 1,
+				IdempotencyWindow: 1200*ms + 500*time.Microsecond,
 			},
 		},
 		Tenants:     []balancer.Tenant{{Name: "t", QuotaPerS: 12.5}},
-		Obligations: balancer.Obligations{FallMultiple: 2.5, StartCapacity: 1},
+		Obligations: balancer.Obligations{OverloadMultiple: 2.5, InitialCapacity: 1},
 		Caps:        balancer.Caps{Cancel: true, ConnectTimeout: 250 * ms, MaxAttempts: 6, StreamsPerConn: 1},
 	}
 	if !reflect.DeepEqual(c, want) {
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -62,7 +62,7 @@
 	Request  balancer.Request
 	First    balancer.FirstByte
 	Outcome  balancer.Outcome
-	Probe    balancer.ProbeResult
+	Probe    balancer.HealthCheckResult
 	Message  balancer.PeerMessage
 }
 
@@ -201,8 +201,8 @@
 
 // results gives the outcomes by their code on the wire.
 var results = [...]balancer.Result{
-	balancer.Error, balancer.OK, balancer.Full, balancer.Timeout,
-	balancer.ConnectFailed, balancer.Reset, balancer.Cancelled, balancer.Moot,
+	balancer.Error, balancer.OK, balancer.Rejected, balancer.Timeout,
+	balancer.ConnectFailed, balancer.Reset, balancer.Cancelled, balancer.NotSent,
 }
 
 func (d *decoder) result() balancer.Result {
@@ -265,7 +265,7 @@
 		if bits&hintValid == 0 || r.Cost < 0 {
 			r.Cost = 0
 		}
-		r.Repeat = bits&clientRepeat != 0
+		r.IsRetry = bits&clientRepeat != 0
 		ev.Request = r
 	case Headers:
 		ev.First = balancer.FirstByte{
@@ -283,7 +283,7 @@
 	case Elapsed:
 		ev.Token = d.u64()
 	case Probed:
-		ev.Probe = balancer.ProbeResult{
+		ev.Probe = balancer.HealthCheckResult{
 			Backend: balancer.BackendID(d.u32()), Result: d.result(), Took: d.time(),
 			Load: d.loads(),
 		}
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -79,7 +79,7 @@
 			"ask", raw(3, uint32(9), 12.5, 900.0, 3, 2, uint64(1<<60), uint32(4)), func(e Event) any { return e.Request },
 			balancer.Request{
 				ID: 9, Class: 2, Tenant: 4, Key: 1 << 60, Cost: 12500 * time.Microsecond, Deadline: 900 * ms,
-				Repeat: true,
+				IsRetry: true,
 			},
 		},
 		{
@@ -102,7 +102,7 @@
 		{"elapsed", raw(7, uint64(1)<<63), func(e Event) any { return e.Token }, uint64(1) << 63},
 		{
 			"probed", raw(8, uint32(70), 1, 1.5, 0), func(e Event) any { return e.Probe },
-			balancer.ProbeResult{Backend: 70, Result: balancer.OK, Took: 1500 * time.Microsecond},
+			balancer.HealthCheckResult{Backend: 70, Result: balancer.OK, Took: 1500 * time.Microsecond},
 		},
 		{"neighbour_says", raw(9, uint16(2), uint16(2), "hi"), func(e Event) any { return string(e.Message.Body) }, "hi"},
 		{"destroy", raw(10), func(e Event) any { return e.Code }, Destroy},
@@ -120,8 +120,8 @@
 
 func TestOutcomeCodes(t *testing.T) {
 	want := []balancer.Result{
-		balancer.Error, balancer.OK, balancer.Full, balancer.Timeout, balancer.ConnectFailed,
-		balancer.Reset, balancer.Cancelled, balancer.Moot,
+		balancer.Error, balancer.OK, balancer.Rejected, balancer.Timeout, balancer.ConnectFailed,
+		balancer.Reset, balancer.Cancelled, balancer.NotSent,
 	}
 	for code, result := range want {
 		evs, err := events(t, batch(1, 0, 2, raw(11, uint16(0), 8, uint32(1), code, 0.0, 0)))
@@ -182,13 +182,13 @@
 		want []byte
 	}{
 		{"transmit", func(h balancer.Host) { h.Send(9, 70, 1500*time.Microsecond, 0) }, raw(1, uint32(9), uint32(70), 1.5)},
-		{"reject", func(h balancer.Host) { h.Refuse(9, 240*ms) }, raw(2, uint32(9), 240.0)},
+		{"reject", func(h balancer.Host) { h.Reject(9, 240*ms) }, raw(2, uint32(9), 240.0)},
 		{"end_failed", func(h balancer.Host) { h.Fail(9) }, raw(3, uint32(9))},
 		{"abort_attempt", func(h balancer.Host) { h.Cancel(9, 2) }, raw(4, uint32(9), 2)},
-		{"notify_me", func(h balancer.Host) { h.After(500*ms, 77) }, raw(5, 500.0, uint64(77))},
-		{"sample", func(h balancer.Host) { h.Probe(70) }, raw(6, uint32(70))},
+		{"notify_me", func(h balancer.Host) { h.StartTimer(500*ms, 77) }, raw(5, 500.0, uint64(77))},
+		{"sample", func(h balancer.Host) { h.CheckHealth(70) }, raw(6, uint32(70))},
 		{"release", func(h balancer.Host) { h.Release(70) }, raw(7, uint32(70))},
-		{"signal", func(h balancer.Host) { h.Tell(balancer.Everyone, []byte("hi")) }, raw(8, uint32(1<<32-1), uint16(2), "hi")},
+		{"signal", func(h balancer.Host) { h.SendToPeer(balancer.AllPeers, []byte("hi")) }, raw(8, uint32(1<<32-1), uint16(2), "hi")},
 		{"say_log", func(h balancer.Host) { h.Log("x") }, raw(9, uint16(1), "x")},
 		{"observe", func(h balancer.Host) { h.Watch(true); h.Watch(false) }, raw(11, 1, 11, 0)},
 		{"resolve", func(h balancer.Host) { h.Fetch() }, raw(12)},
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -87,8 +87,8 @@
 	a.millis(until)
 }
 
-// Refuse implements balancer.Host.
-func (a Actions) Refuse(id balancer.RequestID, retryAfter time.Duration) {
+// Reject implements balancer.Host.
+func (a Actions) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	a.record(reject)
 	a.u32(uint32(id))
 	a.millis(retryAfter)
@@ -107,8 +107,8 @@
 	a.To.buf = append(a.To.buf, byte(attempt))
 }
 
-// Probe implements balancer.Host.
-func (a Actions) Probe(b balancer.BackendID) {
+// CheckHealth implements balancer.Host.
+func (a Actions) CheckHealth(b balancer.BackendID) {
 	a.record(sample)
 	a.u32(uint32(b))
 }
@@ -132,15 +132,15 @@
 // Fetch implements balancer.Host.
 func (a Actions) Fetch() { a.record(resolve) }
 
-// Tell implements balancer.Host.
-func (a Actions) Tell(peer uint32, body []byte) {
+// SendToPeer implements balancer.Host.
+func (a Actions) SendToPeer(peer uint32, body []byte) {
 	a.record(signal)
 	a.u32(peer)
 	a.bytes(body, maxMessage)
 }
 
-// After implements balancer.Host.
-func (a Actions) After(d time.Duration, token uint64) {
+// StartTimer implements balancer.Host.
+func (a Actions) StartTimer(d time.Duration, token uint64) {
 	a.record(notifyMe)
 	a.millis(d)
 	a.u64(token)
