--- a/internal/dataplane/gateway/metrics.go
+++ b/internal/dataplane/gateway/metrics.go
@@ -71,7 +71,7 @@
 		{Key: "service", Value: m.service},
 		{Key: "kind", Value: kind},
 		{Key: "repeatable", Value: strconv.FormatBool(class.Effect == balancer.Safe)},
-		{Key: "aim_ms", Value: strconv.FormatInt(class.Aim.Milliseconds(), 10)},
+		{Key: "aim_ms", Value: strconv.FormatInt(class.LatencyTarget.Milliseconds(), 10)},
 	}
 	if len(m.classes) >= maxMeteredClasses {
 		labels = []metricserver.Label{{Key: "service", Value: m.service}, {Key: "kind", Value: otherLabel}}
--- a/internal/dataplane/gateway/requesttrace.go
+++ b/internal/dataplane/gateway/requesttrace.go
@@ -22,9 +22,9 @@
 // The names of results and verdicts. Those of results are values of the metrics' label (docs/METRICS.md) too.
 var (
 	resultNames = map[balancer.Result]string{
-		balancer.OK: "ok", balancer.Error: "error", balancer.Full: "full",
+		balancer.OK: "ok", balancer.Error: "error", balancer.Rejected: "full",
 		balancer.Timeout: "timeout", balancer.ConnectFailed: "no connection", balancer.Reset: "reset",
-		balancer.Cancelled: "cancelled", balancer.Moot: "not sent", balancer.Declined: "declined",
+		balancer.Cancelled: "cancelled", balancer.NotSent: "not sent", balancer.Unprocessable: "declined",
 	}
 	verdictNames = map[engine.Verdict]string{
 		engine.Served: "served", engine.Refused: "refused",
