--- a/internal/controlplane/chain/history_test.go
+++ b/internal/controlplane/chain/history_test.go
@@ -41,7 +41,7 @@
 	drawnFaults = 12
 	// maxFaultDuration and longestRest bound how long one lasts, and the calm behind it.
 	maxFaultDuration = 1500 * time.Millisecond
-	maxRest  = 600 * time.Millisecond
+	maxRest          = 600 * time.Millisecond
 )
 
 // drawHistory draws the history of a number, with 3, 5 or 7 members.
--- a/internal/controlplane/chain/sim_test.go
+++ b/internal/controlplane/chain/sim_test.go
@@ -69,18 +69,18 @@
 
 // process is a machine with a disk and, while it runs, a node.
 type process struct {
-	address string
-	node    *Node // nil: it is down
-	machine *register
-	disk    *DurableState // nil: empty
-	generation    int
-	frozen  bool
-	stalled bool // its disk answers nothing
+	address    string
+	node       *Node // nil: it is down
+	machine    *register
+	disk       *DurableState // nil: empty
+	generation int
+	frozen     bool
+	stalled    bool // its disk answers nothing
 	// replaced: another machine has taken its place, and it does not come back.
-	replaced bool
-	backlog  []func()
-	proposals  map[uint64]string        // proposals by entry hash
-	reads    map[uint64]time.Duration // when reads were called, by token
+	replaced  bool
+	backlog   []func()
+	proposals map[uint64]string        // proposals by entry hash
+	reads     map[uint64]time.Duration // when reads were called, by token
 }
 
 // delayedMessage is a message that has not arrived yet, and will.
@@ -90,45 +90,45 @@
 }
 
 type cluster struct {
-	t         *testing.T
-	rng       *rand.Rand
-	now       time.Duration
-	queue     events
-	order     int
-	processes []*process
-	partitioned       map[string]bool // "a>b": nothing passes
-	delayedLinks      map[string]bool // "a>b": what is sent waits
+	t            *testing.T
+	rng          *rand.Rand
+	now          time.Duration
+	queue        events
+	order        int
+	processes    []*process
+	partitioned  map[string]bool // "a>b": nothing passes
+	delayedLinks map[string]bool // "a>b": what is sent waits
 	delayed      []delayedMessage
-	loss      float64
-	cfg       Config
-	acknowledged     []string // in the order of their acknowledgements
-	founders  []string
-	contacts  []string // what processes that start are told
-	proposed  int
-	log       []string
+	loss         float64
+	cfg          Config
+	acknowledged []string // in the order of their acknowledgements
+	founders     []string
+	contacts     []string // what processes that start are told
+	proposed     int
+	log          []string
 	// faultHits counts how often a fault came upon the step of the protocol that it is about.
 	faultHits      map[string]int
-	panicOnFailure    bool // what is wrong ends the history, not the test
-	clients  *clients
-	nextRead time.Duration
+	panicOnFailure bool // what is wrong ends the history, not the test
+	clients        *clients
+	nextRead       time.Duration
 	// linkRate is how many bytes a second a link carries of large messages; 0: any number.
-	linkRate     int
-	linkFree map[string]time.Duration // when a link has carried what it was given
-	ballast  []byte                   // of the state
-	padding  []byte                   // of each entry
+	linkRate            int
+	linkFree            map[string]time.Duration // when a link has carried what it was given
+	ballast             []byte                   // of the state
+	padding             []byte                   // of each entry
 	proposeInterval     time.Duration            // between two proposals
-	proposalsPaused    bool                     // nothing is proposed
-	lastAcknowledgement  time.Duration
-	longestGap  time.Duration // between two acknowledgements, since it was set to 0
+	proposalsPaused     bool                     // nothing is proposed
+	lastAcknowledgement time.Duration
+	longestGap          time.Duration // between two acknowledgements, since it was set to 0
 }
 
 const (
 	// maxDelayed bounds the messages that are held up.
 	maxDelayed = 2000
 	// largeMessage is what goes in parts, between which small messages pass.
-	largeMessage  = 32 << 10
-	simulatedTick = 20 * time.Millisecond
-	defaultProposeInterval  = 40 * time.Millisecond
+	largeMessage           = 32 << 10
+	simulatedTick          = 20 * time.Millisecond
+	defaultProposeInterval = 40 * time.Millisecond
 )
 
 func newCluster(t *testing.T, seed uint64, members int) *cluster {
--- /dev/null
+++ b/internal/controlplane/state/configuration.go
@@ -0,0 +1,98 @@
+package state
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/binary"
+	"slices"
+
+	"marlreel/internal/api"
+	"marlreel/internal/controlplane/configuration"
+	"marlreel/internal/controlplane/result"
+)
+
+// maxDigests is how many accepted changes are remembered, so that the same call is acknowledged again.
+const maxDigests = 4096
+
+// Document is the configuration in force; nil: none was accepted yet.
+func (m *Machine) Document() *configuration.Document { return m.document }
+
+// Version is that of the configuration in force; 0: none was accepted yet.
+func (m *Machine) Version() uint64 { return m.state.Version }
+
+func (m *Machine) replace(c *api.ReplaceConfiguration, read documentReader) (bool, *result.Error) {
+	digest := changeDigest(replaceKind, c.BaseVersion, c.Document)
+	if m.wasAccepted(digest) {
+		return false, nil
+	}
+	if c.BaseVersion != m.state.Version {
+		return false, m.conflict(c.BaseVersion)
+	}
+	document, err := read(c.Document)
+	if err != nil {
+		return false, err
+	}
+	return m.setDocument(document, digest)
+}
+
+func (m *Machine) modify(c *api.ModifyConfiguration) (bool, *result.Error) {
+	digest := changeDigest(modifyKind, c.BaseVersion, c.Change)
+	if m.wasAccepted(digest) {
+		return false, nil
+	}
+	if c.BaseVersion != m.state.Version || m.document == nil {
+		return false, m.conflict(c.BaseVersion)
+	}
+	document, err := m.document.Modify(c.Change)
+	if err != nil {
+		return false, err
+	}
+	return m.setDocument(document, digest)
+}
+
+// conflict is the answer to a change based on a version that is not current. One based on a version before the last whose
+// digest is forgotten may have been accepted: it is unclear, and never rejected.
+func (m *Machine) conflict(base uint64) *result.Error {
+	if base < m.state.ForgottenVersion {
+		return result.Errorf(result.Unclear, "built on version %d; which changes were taken up to version %d is not known any more",
+			base, m.state.ForgottenVersion)
+	}
+	return result.Errorf(result.VersionConflict, "built on version %d, and %d is current", base, m.state.Version)
+}
+
+// setDocument puts a document in force.
+func (m *Machine) setDocument(document *configuration.Document, digest []byte) (bool, *result.Error) {
+	if document.Version <= m.state.Version {
+		return false, result.Errorf(result.VersionTooLow, "version %d is not above %d", document.Version, m.state.Version)
+	}
+	m.state.Version, m.document = document.Version, document
+	m.state.Digests = append(m.state.Digests, &api.Digest{Version: document.Version, Sum: digest})
+	if extra := len(m.state.Digests) - maxDigests; extra > 0 {
+		m.state.ForgottenVersion = m.state.Digests[extra-1].Version
+		m.state.Digests = slices.Clone(m.state.Digests[extra:])
+	}
+	return true, nil
+}
+
+// wasAccepted tells whether the very same change was accepted before.
+func (m *Machine) wasAccepted(digest []byte) bool {
+	return slices.ContainsFunc(m.state.Digests, func(d *api.Digest) bool { return bytes.Equal(d.Sum, digest) })
+}
+
+const (
+	// digestBytes is enough that no two changes of a cluster share a digest.
+	digestBytes = 16
+	// replaceKind and modifyKind tell apart the digests of the two kinds of changes. They are stored.
+	replaceKind = 'r'
+	modifyKind  = 'm'
+)
+
+func changeDigest(kind byte, base uint64, body []byte) []byte {
+	hash := sha256.New()
+	var header [9]byte
+	header[0] = kind
+	binary.LittleEndian.PutUint64(header[1:], base)
+	hash.Write(header[:])
+	hash.Write(body)
+	return hash.Sum(nil)[:digestBytes]
+}
--- a/internal/controlplane/state/machine_test.go
+++ b/internal/controlplane/state/machine_test.go
@@ -45,6 +45,15 @@
 	return failure.Code
 }
 
+// mustChange executes an operation that has to change the state.
+func mustChange(t *testing.T, m *Machine, operation *api.Operation) {
+	t.Helper()
+	changed, failure := m.Execute(operation)
+	if !changed || failure != nil {
+		t.Fatalf("%v: changed %v, rejected by %v", operation, changed, failure)
+	}
+}
+
 func TestOneOfTwoOnABaseIsTaken(t *testing.T) {
 	is := is.New(t)
 	m := New()
@@ -78,7 +87,7 @@
 func TestAVersionThatIsNotHigher(t *testing.T) {
 	is := is.New(t)
 	m := New()
-	m.Execute(replace(0, document(3, "a")))
+	mustChange(t, m, replace(0, document(3, "a")))
 	_, failure := m.Execute(replace(3, document(3, "b")))
 	is.Equal(code(failure), result.VersionTooLow)
 	_, failure = m.Execute(modify(3, `{"config_version":2}`))
@@ -91,7 +100,7 @@
 	last := uint64(0)
 	for i := range 10 {
 		key := fmt.Sprint("placement/", i%3)
-		m.Execute(grant(key, fmt.Sprint("node-", i)))
+		mustChange(t, m, grant(key, fmt.Sprint("node-", i)))
 		owned := m.Lease(key)
 		is.True(owned.FencingToken > last)
 		last = owned.FencingToken
@@ -102,14 +111,14 @@
 func TestWhatIsKeptHasABound(t *testing.T) {
 	is := is.New(t)
 	m := New()
-	for i := range mostRetired + 5 {
-		m.Execute(retire(fmt.Sprint("i-", i)))
+	for i := range maxRetired + 5 {
+		mustChange(t, m, retire(fmt.Sprint("i-", i)))
 	}
-	is.Equal(len(m.State().Retired), mostRetired)
+	is.Equal(len(m.State().Retired), maxRetired)
 	is.True(!m.IsRetired("i-0"))
-	is.True(m.IsRetired(fmt.Sprint("i-", mostRetired+4)))
-	for i := range mostEvacuations {
-		m.Execute(evacuation(fmt.Sprint("zone-", i), true))
+	is.True(m.IsRetired(fmt.Sprint("i-", maxRetired+4)))
+	for i := range maxEvacuations {
+		mustChange(t, m, evacuation(fmt.Sprint("zone-", i), true))
 	}
 	_, failure := m.Execute(evacuation("one-more", true))
 	is.Equal(code(failure), result.TooLarge)
@@ -168,8 +177,8 @@
 func TestAForgottenChangeIsNeverRefused(t *testing.T) {
 	is := is.New(t)
 	m := New()
-	changes := make([]*api.Operation, 0, mostDigests+2)
-	for version := range uint64(mostDigests + 2) {
+	changes := make([]*api.Operation, 0, maxDigests+2)
+	for version := range uint64(maxDigests + 2) {
 		change := replace(version, document(version+1, "a"))
 		if version%2 == 1 {
 			change = modify(version, fmt.Sprintf(`{"config_version":%d}`, version+1))
@@ -178,7 +187,7 @@
 		changed, failure := m.Execute(change)
 		is.True(changed && failure == nil)
 	}
-	is.Equal(len(m.State().Digests), mostDigests)
+	is.Equal(len(m.State().Digests), maxDigests)
 	check := func(m *Machine) {
 		t.Helper()
 		for number, change := range changes {
--- a/internal/controlplane/store/compatibility_test.go
+++ b/internal/controlplane/store/compatibility_test.go
@@ -356,9 +356,9 @@
 func chainedEntries(t *testing.T) []*api.Entry {
 	t.Helper()
 	config := chain.DefaultConfig(1)
-	self := member("a")
+	self := testMember()
 	durable := chain.DurableState{Self: self, View: chain.FoundingView([]string{"a"}), Snapshot: compatibilitySnapshot()}
-	node := chain.New(config, durable, nothing{}, nil, config.FailureTimeout)
+	node := chain.New(config, durable, noState{}, nil, config.FailureTimeout)
 	now := config.FailureTimeout
 	tick := func() time.Duration {
 		now += config.HeartbeatInterval
--- a/internal/controlplane/store/store_test.go
+++ b/internal/controlplane/store/store_test.go
@@ -6,6 +6,7 @@
 	"os"
 	"path/filepath"
 	"testing"
+	"time"
 
 	"github.com/matryer/is"
 	"github.com/syndtr/goleveldb/leveldb/storage"
@@ -27,70 +28,100 @@
 	return same
 }
 
-func member(name string) *api.Member { return &api.Member{Address: name, Incarnation: 1} }
+// testMember is the one that the stores of the tests belong to.
+func testMember() *api.Member { return &api.Member{Address: "a", Incarnation: 1} }
 
-// nothing is a machine that keeps nothing.
-type nothing struct{}
+// noState is a state machine that keeps nothing.
+type noState struct{}
 
-func (nothing) Apply(*api.Entry)   {}
-func (nothing) State() *api.State  { return &api.State{} }
-func (nothing) Restore(*api.State) {}
+var _ chain.StateMachine = noState{}
+
+func (noState) Apply(*api.Entry)   {}
+func (noState) State() *api.State  { return &api.State{} }
+func (noState) Restore(*api.State) {}
+
+// storedChain is a chain of one member with its store on a simulated disk.
+type storedChain struct {
+	t      *rapid.T
+	config chain.Config
+	disk   storage.Storage
+	store  *Store
+	node   *chain.Node
+	now    time.Duration
+}
+
+func newStoredChain(t *rapid.T, config chain.Config) *storedChain {
+	c := &storedChain{t: t, config: config, disk: storage.NewMemStorage(), now: config.FailureTimeout}
+	c.open()
+	durable := chain.DurableState{Self: testMember(), View: chain.FoundingView([]string{"a"})}
+	if err := c.store.Save(&durable, chain.Changes{Self: true, View: true}); err != nil {
+		t.Fatal(err)
+	}
+	c.node = chain.New(config, durable, noState{}, nil, c.now)
+	return c
+}
+
+func (c *storedChain) open() {
+	opened, err := OpenStorage(c.disk)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	c.store = opened
+}
+
+// save carries out what the node wants saved.
+func (c *storedChain) save(out chain.Output) {
+	if !out.Save.Any() {
+		return
+	}
+	if err := c.store.Save(c.node.DurableState(), out.Save); err != nil {
+		c.t.Fatal(err)
+	}
+}
+
+func (c *storedChain) tick() {
+	c.now += c.config.HeartbeatInterval
+	c.save(c.node.Tick(c.now))
+}
+
+// reopen closes the store and checks that it reads back what the node holds.
+func (c *storedChain) reopen() {
+	if err := c.store.Close(); err != nil {
+		c.t.Fatal(err)
+	}
+	c.open()
+	read, err := c.store.Load()
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	if read.Snapshot == nil {
+		read.Snapshot = c.node.DurableState().Snapshot // none was written so far
+	}
+	if !equal(&read, c.node.DurableState()) {
+		c.t.Fatalf("read %v, written %v", read, *c.node.DurableState())
+	}
+}
 
 // A chain of one member writes a log that is read back whole, also when it was compacted.
 func TestALogIsReadBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		disk := storage.NewMemStorage()
-		s, err := OpenStorage(disk)
-		if err != nil {
-			t.Fatal(err)
-		}
-		durable := chain.DurableState{Self: member("a"), View: chain.FoundingView([]string{"a"})}
-		if err := s.Save(&durable, chain.Changes{Self: true, View: true}); err != nil {
-			t.Fatal(err)
-		}
 		config := chain.DefaultConfig(1)
-		config.MaxLogEntries = rapid.IntRange(1, 6).Draw(t, "compact after")
-		node := chain.New(config, durable, nothing{}, nil, config.FailureTimeout)
-		now := config.FailureTimeout
-		save := func(out chain.Output) {
-			if out.Save.Any() {
-				if err := s.Save(node.DurableState(), out.Save); err != nil {
-					t.Fatal(err)
-				}
-			}
-		}
+		config.MaxLogEntries = rapid.IntRange(1, 6).Draw(t, "max log entries")
+		c := newStoredChain(t, config)
 		for range 40 { // it agrees with itself on a view
-			now += config.HeartbeatInterval
-			save(node.Tick(now))
+			c.tick()
 		}
-		if !node.CanPropose() {
+		if !c.node.CanPropose() {
 			t.Fatal("a chain of one is not in service")
 		}
 		for i := range rapid.IntRange(1, 40).Draw(t, "steps") {
-			now += config.HeartbeatInterval
-			save(node.Tick(now))
-			if node.CanPropose() {
-				_, out := node.Propose(now, []*api.Operation{{Kind: &api.Operation_Retire{Retire: &api.RetireBackend{Id: fmt.Sprint(i)}}}})
-				save(out)
-			}
-			if rapid.IntRange(0, 5).Draw(t, "reopen") > 0 {
-				continue
-			}
-			if err := s.Close(); err != nil {
-				t.Fatal(err)
-			}
-			if s, err = OpenStorage(disk); err != nil {
-				t.Fatal(err)
-			}
-			read, err := s.Load()
-			if err != nil {
-				t.Fatal(err)
-			}
-			if read.Snapshot == nil {
-				read.Snapshot = node.DurableState().Snapshot // none was written so far
+			c.tick()
+			if c.node.CanPropose() {
+				_, out := c.node.Propose(c.now, []*api.Operation{{Kind: &api.Operation_Retire{Retire: &api.RetireBackend{Id: fmt.Sprint(i)}}}})
+				c.save(out)
 			}
-			if !equal(&read, node.DurableState()) {
-				t.Fatalf("read %v, written %v", read, *node.DurableState())
+			if rapid.IntRange(0, 5).Draw(t, "reopen") == 0 {
+				c.reopen()
 			}
 		}
 	})
@@ -112,7 +143,7 @@
 	s, err := OpenStorage(storage.NewMemStorage())
 	is.NoErr(err)
 	entries := []*api.Entry{{Sequence: 1, Hash: 5}, {Sequence: 2, PreviousHash: 6, Hash: 7}}
-	is.NoErr(s.Save(&chain.DurableState{Self: member("a"), Entries: entries}, chain.Changes{Self: true, Appended: entries}))
+	is.NoErr(s.Save(&chain.DurableState{Self: testMember(), Entries: entries}, chain.Changes{Self: true, Appended: entries}))
 	_, err = s.Load()
 	is.True(errors.Is(err, ErrCorrupted))
 }
@@ -123,10 +154,10 @@
 	folder := t.TempDir()
 	s, err := Open(folder)
 	is.NoErr(err)
-	written := chain.DurableState{Self: member("a"), View: chain.FoundingView([]string{"a", "b", "c"}), SyncedView: 4}
+	written := chain.DurableState{Self: testMember(), View: chain.FoundingView([]string{"a", "b", "c"}), SyncedView: 4}
 	is.NoErr(s.Save(&written, chain.Changes{Self: true, View: true, SyncedView: true}))
 	is.NoErr(s.Close())
-	tables, err := filepath.Glob(filepath.Join(folder, storeFolder, "MANIFEST-*"))
+	tables, err := filepath.Glob(filepath.Join(folder, directoryName, "MANIFEST-*"))
 	is.NoErr(err)
 	is.Equal(len(tables), 1)
 	data, err := os.ReadFile(tables[0])
@@ -145,7 +176,7 @@
 	folder := t.TempDir()
 	s, err := Open(folder)
 	is.NoErr(err)
-	is.NoErr(s.Save(&chain.DurableState{Self: member("a")}, chain.Changes{Self: true}))
+	is.NoErr(s.Save(&chain.DurableState{Self: testMember()}, chain.Changes{Self: true}))
 	is.NoErr(s.Close())
 	is.NoErr(Remove(folder))
 	s, err = Open(folder)
