--- a/cmd/marlreeld/operator.go
+++ b/cmd/marlreeld/operator.go
@@ -55,7 +55,7 @@
 	if len(f.controls) == 0 {
 		return nil, &UsageError{"--control names no control process"}
 	}
-	return operatorclient.NewClient(f.controls, f.patience, host.TCP{}.Dial), nil
+	return operatorclient.NewClient(f.controls, f.patience, host.OSNetwork{}.Dial), nil
 }
 
 // newOperatorCommands are the commands for whoever operates the system.
@@ -99,7 +99,7 @@
 			if err != nil {
 				return err
 			}
-			document, faults := configuration.Check(data)
+			document, faults := configuration.Validate(data)
 			for _, fault := range faults {
 				fmt.Fprintf(command.OutOrStdout(), "%d %s: %s (%s)\n", fault.Code, fault.Code, fault.Detail, fault.Advice())
 			}
@@ -121,7 +121,7 @@
 			if err != nil {
 				return err
 			}
-			document, err := client.Read()
+			document, err := client.ReadConfiguration(command.Context())
 			if err != nil {
 				return err
 			}
@@ -144,11 +144,11 @@
 			if err != nil {
 				return err
 			}
-			apply := client.Replace
+			apply := client.ReplaceConfiguration
 			if modify {
-				apply = client.Modify
+				apply = client.ModifyConfiguration
 			}
-			if err := apply(base, data); err != nil {
+			if err := apply(command.Context(), base, data); err != nil {
 				return err
 			}
 			_, err = fmt.Fprintln(command.OutOrStdout(), "taken")
@@ -168,7 +168,11 @@
 			if err != nil {
 				return err
 			}
-			if err := client.Evacuate(args[0], begin); err != nil {
+			change := client.EndEvacuation
+			if begin {
+				change = client.BeginEvacuation
+			}
+			if err := change(command.Context(), args[0]); err != nil {
 				return err
 			}
 			_, err = fmt.Fprintln(command.OutOrStdout(), "taken")
@@ -186,7 +190,7 @@
 			if err != nil {
 				return err
 			}
-			body, err := client.Status()
+			body, err := client.Status(command.Context())
 			if err != nil {
 				return err
 			}
@@ -218,22 +222,22 @@
 		fmt.Fprintln(table, "leaving\tthis process is about to end")
 	}
 	fmt.Fprintf(table, "configuration\tversion %d\tevacuated: %s\n", s.Version, strings.Join(s.Evacuated, " "))
-	for _, role := range s.Roles {
-		fmt.Fprintf(table, "role\t%s\t%s\tfence %d\n", role.Key, role.Holder, role.Fence)
+	for _, role := range s.Leases {
+		fmt.Fprintf(table, "role\t%s\t%s\tfence %d\n", role.Key, role.Holder, role.FencingToken)
 	}
 	for _, node := range s.Nodes {
-		fmt.Fprintf(table, "node\t%s\t%s\tsilent %d ms\n", node.Name, node.Zone, node.SilentMS)
+		fmt.Fprintf(table, "node\t%s\t%s\tsilent %d ms\n", node.Name, node.Zone, node.AgeMS)
 	}
-	fmt.Fprintf(table, "readers\t%s\n", strings.Join(s.Readers, " "))
+	fmt.Fprintf(table, "readers\t%s\n", strings.Join(s.Subscribers, " "))
 	for _, b := range s.Backends {
 		state := "in service"
 		switch {
 		case b.Draining:
 			state = "draining"
-		case b.ColdMS > 0:
-			state = fmt.Sprintf("cold for %d ms", b.ColdMS)
+		case b.WarmupLeftMS > 0:
+			state = fmt.Sprintf("cold for %d ms", b.WarmupLeftMS)
 		}
-		fmt.Fprintf(table, "backend\t%s\t%s\t%s\t%s\tsilent %d ms\t%s\n", b.ID, b.Service, b.Zone, state, b.SilentMS,
+		fmt.Fprintf(table, "backend\t%s\t%s\t%s\t%s\tsilent %d ms\t%s\n", b.ID, b.Service, b.Zone, state, b.AgeMS,
 			strings.Join(b.Models, " "))
 	}
 	return table.Flush()
--- a/internal/controlplane/world_clients_test.go
+++ b/internal/controlplane/simulation_clients_test.go
@@ -123,7 +123,7 @@
 
 // isClear tells whether an order's outcome is one that callers don't send again for.
 func isClear(outcome *result.Error) bool {
-	return outcome.Code != result.Unavailable && outcome.Code != result.Unclear
+	return outcome.Code != result.Unavailable && outcome.Code != result.OutcomeUnknown
 }
 
 // operate has an operation done.
@@ -204,7 +204,7 @@
 		began, base := w.now, s.version
 		operation := &api.Operation{Kind: &api.Operation_Replace{Replace: &api.ReplaceConfiguration{BaseVersion: base, Document: []byte(text)}}}
 		cl.operate(operation, func(outcome *result.Error) {
-			answer := linearizability.ConfigurationAnswer{Known: outcome != nil, Taken: outcome != nil && outcome.Code.Done()}
+			answer := linearizability.ConfigurationAnswer{Known: outcome != nil, Taken: outcome != nil && outcome.Code.Succeeded()}
 			if answer.Known && !answer.Taken && outcome.Code != result.VersionConflict {
 				w.fault("operator %d: a change on %d was answered with %v", operator, base, outcome)
 			}
@@ -228,7 +228,7 @@
 	w, began := cl.world, cl.world.now
 	operation := &api.Operation{Kind: &api.Operation_Evacuation{Evacuation: &api.SetEvacuation{Zone: evacuatedZone, Active: on}}}
 	cl.operate(operation, func(outcome *result.Error) {
-		if outcome != nil && !outcome.Code.Done() {
+		if outcome != nil && !outcome.Code.Succeeded() {
 			w.fault("an evacuation was refused: %v", outcome)
 		}
 		w.note("evacuation %v: %v", on, outcome)
@@ -243,7 +243,7 @@
 	cl.retiring++
 	id := fmt.Sprintf("b%d", cl.retiring)
 	cl.operate(&api.Operation{Kind: &api.Operation_Retire{Retire: &api.RetireBackend{Id: id}}}, func(outcome *result.Error) {
-		if outcome != nil && !outcome.Code.Done() {
+		if outcome != nil && !outcome.Code.Succeeded() {
 			w.fault("the end of a backend was refused: %v", outcome)
 		}
 		if outcome != nil {
@@ -328,7 +328,7 @@
 func (w *world) addAgent(number int) {
 	name := fmt.Sprintf("a%d", number)
 	a := &simAgent{
-		world: w, node: &api.Node{Name: name, Address: name + ":1", Incarnation: 1}, holder: lease.Holder(name, 1),
+		world: w, node: &api.Node{Name: name, Address: name + ":1", Incarnation: 1}, holder: lease.HolderID(name, 1),
 		feed: watch.New(name, w.clock), cursor: watch.NewCursor(nil), at: number,
 	}
 	w.agents = append(w.agents, a)
@@ -356,9 +356,9 @@
 	}
 	a.asking = true
 	w, c := a.world, a.source()
-	request := a.feed.Request(a.cursor)
+	request := a.feed.NewRequest(a.cursor)
 	call(w, a.node.Name, c.address, agentTimeout, func(answer func(*api.WatchReply)) {
-		c.run(func() { answer(c.feed.Wait(w.t.Context(), request, 0)) })
+		c.run(func() { answer(c.feed.HandleWatch(w.t.Context(), request, 0)) })
 	}, func(answer **api.WatchReply) {
 		a.asking = false
 		if answer == nil {
@@ -373,7 +373,7 @@
 
 func (a *simAgent) take(answer *api.WatchReply) {
 	w := a.world
-	a.feed.Take(answer, a.cursor)
+	a.feed.ApplyReply(answer, a.cursor)
 	sequence, _ := a.feed.Position()
 	if sequence < a.sequence {
 		w.fault("%s went back from entry %d to %d", a.node.Name, a.sequence, sequence)
@@ -397,7 +397,7 @@
 func (a *simAgent) report() {
 	for _, c := range a.world.cores {
 		node := &api.Node{Name: a.node.Name, Address: a.node.Address, Incarnation: a.node.Incarnation}
-		a.world.datagram(a.node.Name, c.address, func() { c.run(func() { c.feed.PutNode(node) }) })
+		a.world.datagram(a.node.Name, c.address, func() { c.run(func() { c.feed.RecordNode(node) }) })
 	}
 }
 
@@ -408,7 +408,7 @@
 	call(w, a.node.Name, c.address, agentTimeout, func(answer func(*api.LeaseReply)) {
 		c.run(func() { c.lease(a.holder, false, answer) })
 	}, func(answer **api.LeaseReply) {
-		if answer == nil || result.Code((*answer).Code) != result.Accepted {
+		if answer == nil || result.Code((*answer).Code) != result.Committed {
 			return
 		}
 		a.until = 0
@@ -462,6 +462,6 @@
 
 // agentVersion is the version of the configuration that an agent goes by.
 func agentVersion(a *simAgent) (version uint64) {
-	a.feed.View(func(m *state.Machine) { version = m.Version() })
+	a.feed.ReadState(func(m *state.Machine) { version = m.Version() })
 	return version
 }
--- a/internal/controlplane/state/configuration.go
+++ b/internal/controlplane/state/configuration.go
@@ -54,7 +54,7 @@
 // digest is forgotten may have been accepted: it is unclear, and never rejected.
 func (m *Machine) conflict(base uint64) *result.Error {
 	if base < m.state.ForgottenVersion {
-		return result.Errorf(result.Unclear, "built on version %d; which changes were taken up to version %d is not known any more",
+		return result.Errorf(result.OutcomeUnknown, "built on version %d; which changes were taken up to version %d is not known any more",
 			base, m.state.ForgottenVersion)
 	}
 	return result.Errorf(result.VersionConflict, "built on version %d, and %d is current", base, m.state.Version)
--- a/internal/controlplane/state/machine.go
+++ b/internal/controlplane/state/machine.go
@@ -54,7 +54,7 @@
 	m.state = cloneState(s)
 	m.document, m.retired = nil, map[string]bool{}
 	if len(s.Document) > 0 {
-		m.document, _ = configuration.Load(s.Document) // it was validated when it was accepted
+		m.document, _ = configuration.Decode(s.Document) // it was validated when it was accepted
 	}
 	for _, r := range s.Retired {
 		m.retired[r.Id] = true
@@ -66,7 +66,7 @@
 func (m *Machine) Apply(entry *api.Entry) {
 	for _, operation := range entry.Operations {
 		// One that is rejected changes nothing, on every member alike.
-		_, _ = m.execute(operation, configuration.Load)
+		_, _ = m.execute(operation, configuration.Decode)
 	}
 }
 
@@ -92,5 +92,5 @@
 	case *api.Operation_Grant:
 		return m.grant(kind.Grant)
 	}
-	return false, result.Errorf(result.Unreadable, "an operation that is not known here")
+	return false, result.Errorf(result.Malformed, "an operation that is not known here")
 }
--- a/internal/controlplane/state/machine_test.go
+++ b/internal/controlplane/state/machine_test.go
@@ -40,7 +40,7 @@
 
 func code(failure *result.Error) result.Code {
 	if failure == nil {
-		return result.Accepted
+		return result.Committed
 	}
 	return failure.Code
 }
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestOneOfTwoOnABaseIsTaken(t *testing.T) {
+func TestOneOfTwoChangesOnABaseIsCommitted(t *testing.T) {
 	is := is.New(t)
 	m := New()
 	changed, failure := m.Execute(replace(0, document(3, "a")))
@@ -194,7 +194,7 @@
 			changed, failure := m.Execute(change)
 			is.Equal(changed, false)
 			if number < 2 {
-				is.Equal(code(failure), result.Unclear) // forgotten
+				is.Equal(code(failure), result.OutcomeUnknown) // forgotten
 				continue
 			}
 			is.Equal(failure, nil) // acknowledged again
@@ -203,7 +203,7 @@
 		_, failure := m.Execute(replace(2, document(99999, "b")))
 		is.Equal(code(failure), result.VersionConflict)
 		_, failure = m.Execute(replace(1, document(99999, "b")))
-		is.Equal(code(failure), result.Unclear)
+		is.Equal(code(failure), result.OutcomeUnknown)
 	}
 	check(m)
 	restored := New()
--- a/internal/distribution/relay/compatibility_test.go
+++ b/internal/distribution/relay/compatibility_test.go
@@ -36,9 +36,8 @@
 	}
 }
 
-// Each agent works the homes out by itself: versions that choose otherwise read from nodes that
-// don't follow the topic.
-func TestCompatibilityOfHomes(t *testing.T) {
+// Each agent chooses the relays by itself: versions that choose otherwise watch at nodes that don't watch the topic.
+func TestCompatibilityOfRelays(t *testing.T) {
 	var nodes []*api.Node
 	for i := range 6 {
 		nodes = append(nodes, &api.Node{
@@ -53,7 +52,7 @@
 	var out strings.Builder
 	for _, self := range nodes {
 		for _, subscription := range Plan(self, nodes, topics) {
-			fmt.Fprintf(&out, "%s reads from %q: %s\n", self.Name, subscription.Home, strings.Join(subscription.Topics, " "))
+			fmt.Fprintf(&out, "%s reads from %q: %s\n", self.Name, subscription.Relay, strings.Join(subscription.Topics, " "))
 		}
 	}
 	checkRecorded(t, "homes.txt", out.String())
--- a/internal/testing/scale/system.go
+++ b/internal/testing/scale/system.go
@@ -26,14 +26,14 @@
 
 // Config says what system is run.
 type Config struct {
-	Program  string // marlreeld
-	Controls int
-	Proxies  int // the hollow ones and the real one
-	Backends int
-	Models   int
-	Zones    int
-	Routes   int
-	Beat     time.Duration
+	Program           string // marlreeld
+	Controls          int
+	Proxies           int // the hollow ones and the real one
+	Backends          int
+	Models            int
+	Zones             int
+	Routes            int
+	HeartbeatInterval time.Duration
 }
 
 // The address of a machine on loopback says its kind and number; all machines use the
@@ -98,14 +98,14 @@
 func (cfg Config) settings(name string, kind, number int) *bootstrap.Settings {
 	s := &bootstrap.Settings{
 		NodeName: name, IP: address(kind, number), Zone: cfg.zone(number), InternalPorts: []int{peerPort, peerPort + 15},
-		LoopbackIP: address(kind+kindInside, number), FirstStart: true, BeatIntervalMS: float64(cfg.Beat.Milliseconds()), Zones: map[string]string{},
-		Limits: bootstrap.Limits{MemoryMB: 256, Files: 4096}, Tolerance: bootstrap.Tolerance{Machines: (cfg.Controls - 1) / 2},
+		LoopbackIP: address(kind+kindInside, number), FirstStart: true, HeartbeatIntervalMS: float64(cfg.HeartbeatInterval.Milliseconds()), Zones: map[string]string{},
+		Limits: bootstrap.Limits{MemoryMB: 256, MaxOpenFiles: 4096}, Tolerance: bootstrap.FaultTolerance{Machines: (cfg.Controls - 1) / 2},
 		Bounds: bootstrap.Bounds{
-			GraceS: 8, ConfigApplyMS: 2000, RetryBudgetRatio: 0.2, RetryWindowS: 10, RetrySlack: 52,
-			ColdExcess: 1.5, ColdSlack: 5, Fencing: true, LeaseMS: 3000, DrainMS: 2000,
+			ShutdownGraceS: 8, ConfigApplyMS: 2000, RetryBudgetRatio: 0.2, RetryWindowS: 10, RetrySlack: 52,
+			WarmupExcess: 1.5, WarmupSlack: 5, Fencing: true, LeaseDurationMS: 3000, DrainMS: 2000,
 		},
 	}
-	s.Listen = bootstrap.Listen{
+	s.Listen = bootstrap.ListenAddresses{
 		Front: fmt.Sprint(s.IP, ":", frontPort), Readiness: fmt.Sprint(s.IP, ":", readyPort),
 		Control: fmt.Sprint(s.IP, ":", controlPort),
 	}
@@ -159,8 +159,8 @@
 		s.addHollow(s.cfg.settings(fmt.Sprint("edge-", i), kindProxy, i))
 	}
 	s.addBackends(controls)
-	s.operator = operatorclient.NewClient(controls, callPatience, host.TCP{}.Dial)
-	if _, err := s.Change(); err != nil {
+	s.operator = operatorclient.NewClient(controls, callPatience, host.OSNetwork{}.Dial)
+	if _, err := s.ChangeConfiguration(); err != nil {
 		return err
 	}
 	return s.await()
@@ -177,19 +177,19 @@
 
 // addHollow starts an agent in this process, and a reader in place of its proxy.
 func (s *System) addHollow(settings *bootstrap.Settings) {
-	machine := &host.Host{Settings: settings, Network: host.TCP{}, Log: logr.Discard()}
+	machine := &host.Host{Settings: settings, Network: host.OSNetwork{}, Log: logr.Discard()}
 	s.hollow.Go(func() { _ = agent.Run(s.ctx, machine) }) // it ends with the system
 	r := &reader{seen: map[uint64]time.Time{}}
 	s.readers = append(s.readers, r)
 	store := watch.New(settings.NodeName, time.Now)
-	client := transport.NewClient(host.TCP{}.Dial)
+	client := transport.NewClient(host.OSNetwork{}.Dial)
 	s.hollow.Go(func() {
-		watch.Follow(s.ctx, store, watch.FollowConfig{
-			WaitTime: time.Second, Log: logr.Discard(),
-			Targets: func() []string { return []string{settings.AgentLoopback()} },
-			Connect: func(to string) watch.Watcher { return api.NewAgentProtobufClient("http://"+to, client) },
-			Taken: func(bool) {
-				store.View(func(m *state.Machine) { r.note(m.Version()) })
+		watch.RunSubscriber(s.ctx, store, watch.SubscriberConfig{
+			MaxWait: time.Second, Log: logr.Discard(),
+			Sources: func() []string { return []string{settings.AgentLoopback()} },
+			Connect: func(to string) watch.Source { return api.NewAgentProtobufClient("http://"+to, client) },
+			OnReply: func(bool) {
+				store.ReadState(func(m *state.Machine) { r.note(m.Version()) })
 			},
 		})
 	})
@@ -200,10 +200,10 @@
 		model := fmt.Sprint("model-", i%max(1, s.cfg.Models))
 		b := fakesystem.NewBackend(fakesystem.BackendConfig{
 			ID: fmt.Sprint("i-", i), Service: "llm", Zone: s.cfg.zone(i), Slots: 64,
-			Address: fmt.Sprint(address(kindBackend, i), ":", backendPort), Controls: func() []string { return controls }, Beat: s.cfg.Beat,
+			Address: fmt.Sprint(address(kindBackend, i), ":", backendPort), Controls: func() []string { return controls }, HeartbeatInterval: s.cfg.HeartbeatInterval,
 			Models: []string{model}, CapacityMB: 200000, SizesMB: map[string]float64{model: 60000},
 			LoadTimes: map[string]time.Duration{model: 3 * time.Second},
-		}, host.TCP{})
+		}, host.OSNetwork{})
 		s.backends = append(s.backends, b)
 		s.hollow.Go(func() { _ = b.Serve(s.ctx) }) // it ends with the system
 	}
@@ -214,7 +214,7 @@
 func (s *System) await() error {
 	var status controlplane.Status
 	for end := time.Now().Add(startPatience); time.Now().Before(end); pause(s.ctx, lookEvery) {
-		body, err := s.operator.Status()
+		body, err := s.operator.Status(s.ctx)
 		if err != nil || json.Unmarshal(body, &status) != nil {
 			continue
 		}
@@ -236,20 +236,20 @@
 	return count
 }
 
-// Change puts another version of the configuration in force, and says when it was
+// ChangeConfiguration puts another version of the configuration in force, and says when it was
 // acknowledged.
-func (s *System) Change() (acknowledged time.Time, err error) {
+func (s *System) ChangeConfiguration() (acknowledged time.Time, err error) {
 	next := s.version + 1
-	if err := s.operator.Replace(s.version, document(s.cfg, next)); err != nil {
+	if err := s.operator.ReplaceConfiguration(s.ctx, s.version, document(s.cfg, next)); err != nil {
 		return time.Time{}, err
 	}
 	s.version = next
 	return time.Now(), nil
 }
 
-// Lags gives, for each hollow proxy that has a version, how long after its acknowledgement it
+// PropagationDelays gives, for each hollow proxy that has a version, how long after its acknowledgement it
 // had it.
-func (s *System) Lags(version uint64, acknowledged time.Time) []time.Duration {
+func (s *System) PropagationDelays(version uint64, acknowledged time.Time) []time.Duration {
 	var lags []time.Duration
 	for _, r := range s.readers {
 		if at, known := r.at(version); known {
