--- a/cmd/marlreeld/bundle.go
+++ b/cmd/marlreeld/bundle.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"io"
 	"os"
 	"time"
 
@@ -12,7 +13,7 @@
 	"marlreel/internal/controlplane/operatorclient"
 )
 
-// newBundle writes a support bundle.
+// newBundle returns the command that writes a support bundle.
 func newBundle(flags *operatorFlags) *cobra.Command {
 	var metrics []string
 	command := &cobra.Command{
@@ -20,30 +21,36 @@
 		Short: "write a support bundle: status, configuration and metrics, nothing of requests",
 		Example: "  marlreeld bundle support.tar.gz --control 10.1.0.2:8082,10.2.0.2:8082 \\\n" +
 			"    --metrics 10.1.0.2:7673,10.1.0.35:7675,10.1.0.35:7674",
-		RunE: func(command *cobra.Command, args []string) (failed error) {
-			client, err := flags.client()
+		RunE: flags.withClient(func(command *cobra.Command, client *operatorclient.Client, args []string) error {
+			manifest, err := writeBundle(command, client, args[0], metrics)
 			if err != nil {
 				return err
 			}
-			file, err := os.OpenFile(args[0], os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
-			if err != nil {
-				return &UsageError{err.Error()}
-			}
-			defer func() { failed = multierr.Append(failed, eris.Wrapf(file.Close(), "closing %s", args[0])) }()
-			manifest, err := client.WriteBundle(command.Context(), file, operatorclient.BundleOptions{MetricsAddresses: metrics, Now: time.Now()})
-			if err != nil {
-				return err
-			}
-			for _, part := range manifest.Parts {
-				if part.Error != "" {
-					fmt.Fprintf(command.OutOrStdout(), "missing  %s: %s\n", part.Name, part.Error)
-				}
-			}
-			_, err = fmt.Fprintf(command.OutOrStdout(), "%d of %d parts are in %s\n", len(manifest.Parts)-manifest.MissingParts(),
-				len(manifest.Parts), args[0])
-			return err
-		},
+			return printManifest(command.OutOrStdout(), manifest, args[0])
+		}),
 	}
 	command.Flags().StringSliceVar(&metrics, "metrics", nil, "doors for metrics to be read, HOST:PORT, with commas")
 	return command
 }
+
+// writeBundle writes a bundle to a new file.
+func writeBundle(command *cobra.Command, client *operatorclient.Client, path string, metrics []string) (*operatorclient.Manifest, error) {
+	const ownerOnly = 0o600
+	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, ownerOnly)
+	if err != nil {
+		return nil, &UsageError{Reason: err.Error()}
+	}
+	options := operatorclient.BundleOptions{MetricsAddresses: metrics, Now: time.Now()}
+	manifest, err := client.WriteBundle(command.Context(), file, options)
+	return manifest, multierr.Append(err, eris.Wrapf(file.Close(), "closing %s", path))
+}
+
+func printManifest(out io.Writer, manifest *operatorclient.Manifest, path string) error {
+	for _, part := range manifest.Parts {
+		if part.Error != "" {
+			fmt.Fprintf(out, "missing  %s: %s\n", part.Name, part.Error)
+		}
+	}
+	_, err := fmt.Fprintf(out, "%d of %d parts are in %s\n", len(manifest.Parts)-manifest.MissingParts(), len(manifest.Parts), path)
+	return err
+}
--- a/cmd/marlreeld/compatibility_test.go
+++ b/cmd/marlreeld/compatibility_test.go
@@ -143,7 +143,9 @@
 		calls = append(calls, fmt.Sprintf("%s %s base %q", r.Method, r.URL.Path, r.Header.Get("Base-Version")))
 		switch {
 		case r.URL.Path == "/marlreel/status":
-			w.Write(status)
+			if _, err := w.Write(status); err != nil {
+				t.Error(err)
+			}
 		case r.Header.Get("Base-Version") == "6":
 			w.WriteHeader(http.StatusPreconditionFailed)
 			fmt.Fprint(w, `{"code":300,"result":"version conflict","error_cause":"version 7 is current","advice":"read the configuration and build on it"}`)
--- a/cmd/marlreeld/process_test.go
+++ b/cmd/marlreeld/process_test.go
@@ -6,16 +6,13 @@
 	"context"
 	"fmt"
 	"io"
-	"net"
 	"os"
 	"os/exec"
 	"os/signal"
 	"path/filepath"
-	"strings"
 	"sync"
 	"syscall"
 	"testing"
-	"time"
 
 	"github.com/pelletier/go-toml/v2"
 
@@ -27,7 +24,7 @@
 )
 
 // Whole programs run as processes of their own, on real sockets, clocks and folders. They are this test's program,
-// started again with a role: so cuts between two machines can be made, in either direction, by what stands between
+// started again with a role: so partitions between two machines can be made, in either direction, by what stands between
 // a process and its sockets.
 
 // roleVariable names the role that this program plays in place of running tests.
@@ -35,13 +32,13 @@
 
 func TestMain(m *testing.M) {
 	if role := os.Getenv(roleVariable); role != "" {
-		os.Exit(playRole(role))
+		os.Exit(runRoleProcess(role))
 	}
 	os.Exit(m.Run())
 }
 
-// playRole is a process of the system until SIGTERM. Lines on its standard input make and end cuts.
-func playRole(role string) int {
+// runRoleProcess is a process of the system until SIGTERM. Lines on its standard input begin and end partitions.
+func runRoleProcess(role string) int {
 	settings, err := bootstrap.Load()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -50,183 +47,17 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	machine := host.New(settings, newLogger(os.Stderr, false).WithValues("node", settings.NodeName))
-	network := &cuttable{ip: settings.IP, cut: map[string]bool{}, changed: make(chan struct{})}
+	network := &partitionableNetwork{ip: settings.IP, partitioned: map[string]bool{}, changed: make(chan struct{})}
 	machine.Network = network
-	go network.obey(os.Stdin, os.Stdout)
-	if err := map[string]run{"proxy": gateway.Run, "agent": agent.Run, "control": controlplane.Run}[role](ctx, machine); err != nil {
+	go network.serveCommands(os.Stdin, os.Stdout)
+	roles := map[string]runRole{"proxy": gateway.Run, "agent": agent.Run, "control": controlplane.Run}
+	if err := roles[role](ctx, machine); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
 	return 0
 }
 
-// cuttable is a network on which nothing passes from this machine to those that are cut off.
-type cuttable struct {
-	host.OSNetwork
-	ip      string
-	mu      sync.Mutex
-	cut     map[string]bool // by IP
-	changed chan struct{}   // closed when a cut begins or ends
-}
-
-// obey reads orders, "cut IP" and "heal IP", and answers each with a line.
-func (n *cuttable) obey(in io.Reader, out io.Writer) {
-	for lines := bufio.NewScanner(in); lines.Scan(); {
-		verb, ip, _ := strings.Cut(lines.Text(), " ")
-		n.mu.Lock()
-		n.cut[ip] = verb == "cut"
-		close(n.changed)
-		n.changed = make(chan struct{})
-		n.mu.Unlock()
-		fmt.Fprintln(out, "done")
-	}
-}
-
-// passes tells whether a machine can be reached, and what is closed when that changes.
-func (n *cuttable) passes(ip string) (bool, <-chan struct{}) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return !n.cut[ip], n.changed
-}
-
-// Dial implements host.Network. The connection comes from this machine's address.
-func (n *cuttable) Dial(ctx context.Context, address string) (net.Conn, error) {
-	ip, _, err := net.SplitHostPort(address)
-	if err != nil {
-		return nil, err
-	}
-	for {
-		open, changed := n.passes(ip)
-		if open {
-			break
-		}
-		select {
-		case <-changed:
-		case <-ctx.Done():
-			return nil, ctx.Err()
-		}
-	}
-	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(n.ip)}}
-	conn, err := dialer.DialContext(ctx, "tcp4", address)
-	if err != nil {
-		return nil, err
-	}
-	return n.wrap(conn, ip), nil
-}
-
-// Listen implements host.Network.
-func (n *cuttable) Listen(address string) (net.Listener, error) {
-	listener, err := n.OSNetwork.Listen(address)
-	if err != nil {
-		return nil, err
-	}
-	return &cutListener{listener, n}, nil
-}
-
-// ListenPacket implements host.Network.
-func (n *cuttable) ListenPacket(address string) (net.PacketConn, error) {
-	socket, err := n.OSNetwork.ListenPacket(address)
-	if err != nil {
-		return nil, err
-	}
-	return &cutSocket{socket, n}, nil
-}
-
-type cutListener struct {
-	net.Listener
-	network *cuttable
-}
-
-// Accept implements net.Listener.
-func (l *cutListener) Accept() (net.Conn, error) {
-	conn, err := l.Listener.Accept()
-	if err != nil {
-		return nil, err
-	}
-	return l.network.wrap(conn, conn.RemoteAddr().(*net.TCPAddr).IP.String()), nil
-}
-
-type cutSocket struct {
-	net.PacketConn
-	network *cuttable
-}
-
-// WriteTo implements net.PacketConn: what meets a cut is lost.
-func (s *cutSocket) WriteTo(data []byte, to net.Addr) (int, error) {
-	if open, _ := s.network.passes(to.(*net.UDPAddr).IP.String()); !open {
-		return len(data), nil
-	}
-	return s.PacketConn.WriteTo(data, to)
-}
-
-// cutConn is a connection whose writes wait while a cut is in their way.
-type cutConn struct {
-	net.Conn
-	network  *cuttable
-	to       string
-	mu       sync.Mutex
-	deadline time.Time
-	closed   chan struct{}
-	once     sync.Once
-}
-
-func (n *cuttable) wrap(conn net.Conn, to string) net.Conn {
-	return &cutConn{Conn: conn, network: n, to: to, closed: make(chan struct{})}
-}
-
-// Write implements net.Conn.
-func (c *cutConn) Write(data []byte) (int, error) {
-	for {
-		open, changed := c.network.passes(c.to)
-		if open {
-			return c.Conn.Write(data)
-		}
-		c.mu.Lock()
-		deadline := c.deadline
-		c.mu.Unlock()
-		var late <-chan time.Time
-		if !deadline.IsZero() {
-			late = time.After(time.Until(deadline))
-		}
-		select {
-		case <-changed:
-		case <-late:
-			return 0, os.ErrDeadlineExceeded
-		case <-c.closed:
-			return 0, net.ErrClosed
-		}
-	}
-}
-
-// SetDeadline implements net.Conn.
-func (c *cutConn) SetDeadline(at time.Time) error {
-	c.note(at)
-	return c.Conn.SetDeadline(at)
-}
-
-// SetWriteDeadline implements net.Conn.
-func (c *cutConn) SetWriteDeadline(at time.Time) error {
-	c.note(at)
-	return c.Conn.SetWriteDeadline(at)
-}
-
-func (c *cutConn) note(deadline time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.deadline = deadline
-}
-
-// Close implements net.Conn.
-func (c *cutConn) Close() error {
-	c.once.Do(func() { close(c.closed) })
-	return c.Conn.Close()
-}
-
-// SyscallConn implements syscall.Conn.
-func (c *cutConn) SyscallConn() (syscall.RawConn, error) { return c.Conn.(*net.TCPConn).SyscallConn() }
-
-// ---- processes, as the test sees them ----
-
 // process is a process of a role.
 type process struct {
 	t        *testing.T
@@ -234,7 +65,7 @@
 	settings *bootstrap.Settings
 	folder   string
 	command  *exec.Cmd // nil: it does not run
-	orders   io.WriteCloser
+	commands io.WriteCloser
 	answers  *bufio.Reader
 	output   *lockedBuffer
 }
@@ -284,7 +115,7 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	p.orders, p.answers = in, bufio.NewReader(out)
+	p.commands, p.answers = in, bufio.NewReader(out)
 	if err := p.command.Start(); err != nil {
 		p.t.Fatal(err)
 	}
@@ -309,14 +140,14 @@
 	p.command = nil
 }
 
-// setCut begins or ends a cut from this process to a machine, and waits until it is made.
-func (p *process) setCut(ip string, cut bool) {
+// setPartitioned begins or ends a partition from this process to a machine, and waits until it is made.
+func (p *process) setPartitioned(ip string, partitioned bool) {
 	p.t.Helper()
 	verb := "heal"
-	if cut {
+	if partitioned {
 		verb = "cut"
 	}
-	fmt.Fprintln(p.orders, verb, ip)
+	fmt.Fprintln(p.commands, verb, ip)
 	if line, err := p.answers.ReadString('\n'); err != nil || line != "done\n" {
 		p.t.Fatalf("%s: %q %v", p.settings.NodeName, line, err)
 	}
--- /dev/null
+++ b/cmd/marlreeld/system_test.go
@@ -0,0 +1,211 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/anishathalye/porcupine"
+	"github.com/valyala/fasthttp"
+
+	"marlreel/internal/controlplane"
+	"marlreel/internal/process/bootstrap"
+	"marlreel/internal/process/host"
+	"marlreel/internal/testing/fakesystem"
+	"marlreel/internal/testing/linearizability"
+)
+
+const (
+	controlCount = 5
+	edgeCount    = 6
+	// suspendTime is how long a control process stands still.
+	suspendTime = 20 * time.Second
+	// waitTimeout bounds each wait; the machine may be busy.
+	waitTimeout = 40 * time.Second
+	// pollInterval is how often something is looked at that is waited for.
+	pollInterval = 20 * time.Millisecond
+)
+
+// testSystem is a system of real processes, with backends, operators and clients.
+type testSystem struct {
+	t        *testing.T
+	folder   string
+	controls []*process
+	edges    []*process // each machine's proxy and agent, one behind the other
+	backends []*fakesystem.Backend
+	client   *fasthttp.Client
+
+	mu         sync.Mutex
+	operations []porcupine.Operation
+	newest     linearizability.Configuration // that was acknowledged
+	writes     int
+	statuses   map[string]int // statuses of requests that may run once, by their id
+	ids        int
+	began      time.Time
+}
+
+var zoneNames = []string{"east", "north", "west"}
+
+func loopbackIP(kind, number int) string { return fmt.Sprintf("127.77.%d.%d", kind, number+1) }
+
+// startSystem starts all processes and backends. They end with the test; what the processes have written is logged
+// where it has failed.
+func startSystem(t *testing.T) *testSystem {
+	t.Helper()
+	s := &testSystem{
+		t: t, folder: t.TempDir(), client: &fasthttp.Client{MaxIdemponentCallAttempts: 1}, statuses: map[string]int{},
+		began: time.Now(),
+	}
+	for i := range controlCount {
+		settings := testSettings(fmt.Sprintf("core-%d", i), loopbackIP(1, i), i)
+		settings.DataDir = filepath.Join(s.folder, settings.NodeName)
+		if err := os.MkdirAll(settings.DataDir, 0o755); err != nil {
+			t.Fatal(err)
+		}
+		s.controls = append(s.controls, s.startProcess("control", settings))
+	}
+	for i := range edgeCount {
+		name, ip := fmt.Sprintf("edge-%d", i), loopbackIP(2, i)
+		s.edges = append(s.edges, s.startProcess("agent", testSettings(name, ip, i)), s.startProcess("proxy", testSettings(name, ip, i)))
+	}
+	s.startBackends()
+	return s
+}
+
+// testSettings are those of a machine.
+func testSettings(name, ip string, number int) *bootstrap.Settings {
+	s := &bootstrap.Settings{
+		NodeName: name, IP: ip, Zone: zoneNames[number%len(zoneNames)], InternalPorts: []int{27660, 27675},
+		FirstStart: true, HeartbeatIntervalMS: 600, Zones: map[string]string{}, LoopbackIP: strings.Replace(ip, "127.77", "127.78", 1),
+		Limits: bootstrap.Limits{MemoryMB: 256, MaxOpenFiles: 4096}, Tolerance: bootstrap.FaultTolerance{Machines: (controlCount - 1) / 2},
+		Bounds: bootstrap.Bounds{
+			ShutdownGraceS: 8, ConfigApplyMS: 2000, RetryBudgetRatio: 0.2, RetryWindowS: 10, RetrySlack: 52,
+			WarmupExcess: 1.5, WarmupSlack: 5, Fencing: true, LeaseDurationMS: 3000, DrainMS: 2000,
+		},
+		Listen: bootstrap.ListenAddresses{Front: ip + ":28080", Readiness: ip + ":28081", Control: ip + ":28082"},
+	}
+	for _, zone := range zoneNames {
+		s.Zones[zone] = "region"
+	}
+	for seed := range 3 {
+		s.SeedNodes = append(s.SeedNodes, loopbackIP(1, seed)+":28082")
+	}
+	return s
+}
+
+func (s *testSystem) startProcess(role string, settings *bootstrap.Settings) *process {
+	p := &process{t: s.t, role: role, settings: settings, folder: s.folder, output: &lockedBuffer{}}
+	s.t.Cleanup(func() {
+		p.kill()
+		if s.t.Failed() {
+			s.t.Logf("%s %s:\n%s", settings.NodeName, role, p.output)
+		}
+	})
+	p.start()
+	return p
+}
+
+func (s *testSystem) startBackends() {
+	ctx, cancel := context.WithCancel(context.Background())
+	var serving sync.WaitGroup
+	s.t.Cleanup(func() {
+		cancel()
+		serving.Wait()
+	})
+	for i := range 3 {
+		b := fakesystem.NewBackend(fakesystem.BackendConfig{
+			ID: fmt.Sprintf("s-%d", i), Service: "slips", Address: loopbackIP(3, i) + ":29000",
+			Zone: zoneNames[i], Slots: 6, RequestTime: 20 * time.Millisecond, HeartbeatInterval: 600 * time.Millisecond,
+			Controls: s.addresses,
+		}, host.OSNetwork{})
+		s.backends = append(s.backends, b)
+		serving.Go(func() { _ = b.Serve(ctx) }) // it ends with the test
+	}
+}
+
+// addresses are where operators and backends reach control.
+func (s *testSystem) addresses() []string {
+	var all []string
+	for _, c := range s.controls {
+		all = append(all, c.settings.Listen.Control)
+	}
+	return all
+}
+
+// await waits until something is so.
+func (s *testSystem) await(what string, isDone func() bool) {
+	s.t.Helper()
+	began := time.Now()
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
+	for !isDone() {
+		if time.Since(began) > waitTimeout {
+			s.t.Fatalf("%s: not within %s", what, waitTimeout)
+		}
+		<-ticker.C
+	}
+	s.t.Logf("%6.2f s %s after %v", time.Since(s.began).Seconds(), what, time.Since(began).Round(pollInterval))
+}
+
+// sleep lets time pass in which something is the case.
+func sleep(span time.Duration) { <-time.After(span) }
+
+func (s *testSystem) call(address, method, path, base, body string) (int, string) {
+	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(response)
+	request.Header.SetMethod(method)
+	request.SetRequestURI("http://" + address + path)
+	if base != "" {
+		request.Header.Set("Base-Version", base)
+	}
+	request.SetBodyString(body)
+	if err := s.client.DoTimeout(request, response, time.Second); err != nil {
+		return 0, ""
+	}
+	return response.StatusCode(), string(response.Body())
+}
+
+// status returns the status of a control process; nil where it doesn't answer.
+func (s *testSystem) status(c *process) *controlplane.Status {
+	var status controlplane.Status
+	code, answer := s.call(c.settings.Listen.Control, http.MethodGet, "/marlreel/status", "", "")
+	if code != http.StatusOK || json.Unmarshal([]byte(answer), &status) != nil {
+		return nil
+	}
+	return &status
+}
+
+// findChain returns the head of the chain where a connected member says that it has so many members.
+func (s *testSystem) findChain(length int) (*process, bool) {
+	for _, c := range s.controls {
+		status := s.status(c)
+		if status == nil || !status.Connected || len(status.Chain) != length {
+			continue
+		}
+		for _, candidate := range s.controls {
+			if candidate.settings.PeerAddress() == status.Head {
+				return candidate, true
+			}
+		}
+	}
+	return nil, false
+}
+
+func (s *testSystem) awaitChain(what string, length int) *process {
+	s.t.Helper()
+	var head *process
+	s.await(what, func() bool {
+		found, isFound := s.findChain(length)
+		head = found
+		return isFound
+	})
+	return head
+}
