--- /dev/null
+++ b/internal/testing/fakesystem/request.go
@@ -0,0 +1,149 @@
+package fakesystem
+
+import (
+	"encoding/json"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/valyala/fasthttp"
+)
+
+func (b *Backend) handle(ctx *fasthttp.RequestCtx) {
+	ctx.Response.Header.Set("Backend-Id", b.cfg.ID)
+	switch string(ctx.Path()) {
+	case "/health":
+		b.handleHealthCheck(ctx)
+	case "/marlreel/report":
+		b.handleReport(ctx)
+	case "/marlreel/order":
+		b.handleOrder(ctx)
+	default:
+		b.handleRequest(ctx)
+	}
+}
+
+func (b *Backend) handleHealthCheck(ctx *fasthttp.RequestCtx) {
+	ctx.SetStatusCode(fasthttp.StatusOK)
+	if b.draining() {
+		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
+	}
+}
+
+func (b *Backend) handleReport(ctx *fasthttp.RequestCtx) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	body, _ := json.Marshal(map[string]any{ // plain values always marshal
+		"phase": "both", "model_list": b.modelStates(), "occupied": b.isOrderRunning, "call_seq": b.orderCount,
+		"queued": 0, "active": b.running, "kv_in_use": 0, "kv_limit": 1,
+	})
+	ctx.SetBody(body)
+}
+
+// rejectUnexecuted answers a request that has not run.
+func rejectUnexecuted(ctx *fasthttp.RequestCtx, status int) {
+	ctx.SetStatusCode(status)
+	ctx.Response.Header.Set("Not-Executed", "1")
+}
+
+// isForOther reports whether a request was meant for another backend that had this address.
+func (b *Backend) isForOther(ctx *fasthttp.RequestCtx) bool {
+	expected := string(ctx.Request.Header.Peek("Expected-Backend"))
+	return expected != "" && expected != b.cfg.ID
+}
+
+// modelRequest is what the headers of a client's request ask for.
+type modelRequest struct {
+	id             string
+	model, adapter string // empty: none
+	lastEventID    int
+	prompt         string // PART:TOKENS, with commas
+	outputTokens   int
+}
+
+func readModelRequest(header *fasthttp.RequestHeader) modelRequest {
+	r := modelRequest{id: string(header.Peek("Request-Id")), prompt: string(header.Peek("Prompt-Prefix"))}
+	r.model, r.adapter, _ = strings.Cut(string(header.Peek("Model")), "/")
+	r.lastEventID, _ = strconv.Atoi(string(header.Peek("Last-Event-Id"))) // 0 where there is none
+	_, output, _ := strings.Cut(string(header.Peek("Token-Count")), ",")
+	r.outputTokens, _ = strconv.Atoi(output)
+	return r
+}
+
+// handleRequest executes a client's request, or rejects it.
+func (b *Backend) handleRequest(ctx *fasthttp.RequestCtx) {
+	r := readModelRequest(&ctx.Request.Header)
+	ctx.Response.Header.Set("Request-Id", r.id)
+	if b.isForOther(ctx) {
+		rejectUnexecuted(ctx, fasthttp.StatusMisdirectedRequest)
+		return
+	}
+	prefill, status := b.admit(r)
+	if status != fasthttp.StatusOK {
+		rejectUnexecuted(ctx, status)
+		return
+	}
+	ctx.Response.Header.Set("Server-Seal", "seal."+b.cfg.ID+"."+r.id)
+	if r.model == "" {
+		defer b.release()
+		time.Sleep(b.cfg.RequestTime)
+		ctx.SetBodyString("done " + r.id)
+		return
+	}
+	time.Sleep(prefill)
+	ctx.SetContentType("text/event-stream")
+	ctx.Response.ImmediateHeaderFlush = true
+	ctx.SetBodyStream(b.newEventStream(r), -1)
+}
+
+// admit takes a slot for a request and returns how long its prompt takes to be read, or the status by which it is
+// rejected.
+func (b *Backend) admit(r modelRequest) (time.Duration, int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if r.model != "" && !b.isLoaded(r.model, r.adapter) {
+		return 0, fasthttp.StatusMisdirectedRequest
+	}
+	if b.running >= b.cfg.Slots {
+		return 0, fasthttp.StatusServiceUnavailable
+	}
+	b.running++
+	b.executions = append(b.executions, Execution{Request: r.id, Backend: b.cfg.ID, LastEventID: r.lastEventID})
+	return b.prefillTime(r.model, r.prompt), fasthttp.StatusOK
+}
+
+// isLoaded reports whether a model is loaded, with an adapter where one is named. The caller has the lock.
+func (b *Backend) isLoaded(model, adapter string) bool {
+	adapters, loaded := b.adapters[model]
+	if adapter == "" {
+		return loaded
+	}
+	return adapters[adapter]
+}
+
+// prefillTime is how long a prompt takes, but for its cached prefix; all of it is cached from then on. The caller has
+// the lock.
+func (b *Backend) prefillTime(model, prompt string) time.Duration {
+	tokens := 0
+	isCached := true
+	for part := range strings.SplitSeq(prompt, ",") {
+		name, count, found := strings.Cut(part, ":")
+		if !found {
+			continue
+		}
+		key := model + " " + name
+		isCached = isCached && b.cachedPrefixes[key]
+		if !isCached {
+			n, _ := strconv.Atoi(count)
+			tokens += n
+		}
+		b.cachedPrefixes[key] = true
+	}
+	return time.Duration(tokens) * b.cfg.PrefillTime
+}
+
+func (b *Backend) release() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.running--
+}
