--- /dev/null
+++ b/internal/testing/scale/line.go
@@ -0,0 +1,33 @@
+package scale
+
+import (
+	"math"
+
+	"gonum.org/v1/gonum/stat"
+)
+
+// Line is a straight line through measured points, and how far they lie from it. All values are in the unit of the
+// points.
+type Line struct {
+	// Intercept is the line's value at 0.
+	Intercept float64
+	// Slope is what each one more adds.
+	Slope float64
+	// RootMeanSquareError is that of the points against the line.
+	RootMeanSquareError float64
+}
+
+// At returns the line's value at x.
+func (l Line) At(x float64) float64 { return l.Intercept + l.Slope*x }
+
+// FitLine fits a line by ordinary least squares to points of at least two different x.
+func FitLine(x, y []float64) Line {
+	line := Line{}
+	line.Intercept, line.Slope = stat.LinearRegression(x, y, nil, false)
+	squares := 0.0
+	for i := range x {
+		squares += math.Pow(y[i]-line.At(x[i]), 2)
+	}
+	line.RootMeanSquareError = math.Sqrt(squares / float64(len(x)))
+	return line
+}
--- a/internal/testing/scale/scale_test.go
+++ b/internal/testing/scale/scale_test.go
@@ -21,22 +21,28 @@
 
 // The test's own program plays the real processes.
 func TestMain(m *testing.M) {
-	roles := map[string]func(context.Context, *host.Host) error{"control": controlplane.Run, "agent": agent.Run, "proxy": gateway.Run}
+	roles := map[string]runRole{"control": controlplane.Run, "agent": agent.Run, "proxy": gateway.Run}
 	if len(os.Args) > 1 && roles[os.Args[1]] != nil {
-		settings, err := bootstrap.Load()
-		if err == nil {
-			err = roles[os.Args[1]](context.Background(), host.New(settings, logr.Discard()))
-		}
-		fmt.Fprintln(os.Stderr, err)
-		os.Exit(1)
+		fmt.Fprintln(os.Stderr, runProcess(roles[os.Args[1]]))
+		os.Exit(1) // a process is killed in the end
 	}
 	os.Exit(m.Run())
 }
 
+type runRole func(context.Context, *host.Host) error
+
+func runProcess(run runRole) error {
+	settings, err := bootstrap.Load()
+	if err != nil {
+		return err
+	}
+	return run(context.Background(), host.New(settings, logr.Discard()))
+}
+
 func TestSmallTrial(t *testing.T) {
 	is := is.New(t)
 	cfg := Config{Program: os.Args[0], Controls: 3, Proxies: 6, Backends: 4, Models: 2, Zones: 2, Routes: 3, HeartbeatInterval: 300 * time.Millisecond}
-	r, err := Run(context.Background(), cfg, Plan{WarmupTime: time.Second, IdleTime: time.Second, Changes: 2})
+	r, err := Run(t.Context(), cfg, Plan{WarmupTime: time.Second, IdleTime: time.Second, Changes: 2})
 	is.NoErr(err)
 	for _, role := range []string{"control", "agent", "proxy"} {
 		is.True(r.IdleUsage[role].ResidentMB > 1)
@@ -46,12 +52,12 @@
 	is.True(r.FailoverMS > 0 && r.FailoverMS < 10000)
 }
 
-func TestTheConfigurationIsValid(t *testing.T) {
+func TestDocumentIsValid(t *testing.T) {
 	is := is.New(t)
-	document, fault := configuration.Parse(document(Config{Routes: 5, Models: 7}, 3))
-	is.True(fault == nil)
-	is.Equal(len(document.Routes), 5)
-	is.Equal(len(document.Services[0].Engine.Models), 7)
+	parsed, err := configuration.Parse(document(Config{Routes: 5, Models: 7}, 3))
+	is.True(err == nil)
+	is.Equal(len(parsed.Routes), 5)
+	is.Equal(len(parsed.Services[0].Engine.Models), 7)
 }
 
 func TestFitLine(t *testing.T) {
@@ -62,13 +68,13 @@
 	is.Equal(fmt.Sprintf("%.3f %.3f %.3f", f.Intercept, f.Slope, f.RootMeanSquareError), "1.000 0.000 1.414")
 }
 
-func TestSpread(t *testing.T) {
+func TestPercentiles(t *testing.T) {
 	is := is.New(t)
 	var times []time.Duration
 	for i := range 100 {
 		times = append(times, time.Duration(100-i)*time.Millisecond)
 	}
-	data, err := json.Marshal(spreadOf(times))
+	data, err := json.Marshal(percentilesOf(times))
 	is.NoErr(err)
 	is.Equal(string(data), `{"p50":51,"p99":100,"worst":100}`)
 }
--- a/internal/testing/scale/trial.go
+++ b/internal/testing/scale/trial.go
@@ -8,6 +8,15 @@
 	"github.com/rotisserie/eris"
 )
 
+const (
+	// changeInterval is the time between two changes.
+	changeInterval = time.Second
+	// propagationTimeout bounds how long a change may take to be everywhere.
+	propagationTimeout = 15 * time.Second
+	// propagationPoll is how often that is looked at.
+	propagationPoll = 5 * time.Millisecond
+)
+
 // Result is what a trial has measured.
 type Result struct {
 	Controls int `json:"controls"`
@@ -17,53 +26,53 @@
 	Zones    int `json:"zones"`
 	Routes   int `json:"routes"`
 
-	// IdleUsage is each role's load with nothing but heartbeats, leases and probes, Changing with
-	// one change a second. Of several processes of a role it is the busiest one's.
+	// IdleUsage is each role's usage with nothing but heartbeats, leases and health checks, ChangingUsage with one
+	// change a second. Of several processes of a role it is that of the one with the most CPU time.
 	IdleUsage     map[string]ResourceUsage `json:"idle"`
 	ChangingUsage map[string]ResourceUsage `json:"changing"`
 
-	// How long after its acknowledgement a change was at each proxy, and how long the
+	// PropagationMS is how long after its acknowledgement a change was at each proxy, AcknowledgementMS how long the
 	// acknowledgement took.
 	PropagationMS     Percentiles `json:"in_force_ms"`
 	AcknowledgementMS Percentiles `json:"acknowledge_ms"`
-	// FailoverMS is how long a change took to be in force everywhere that was sent when
-	// the control process at the head had just been killed.
+	// FailoverMS is how long a change took to be in force everywhere that was sent when the control process at the
+	// head had just been killed.
 	FailoverMS float64 `json:"after_loss_ms"`
 }
 
-// Percentiles is the middle and the end of many times.
+// Percentiles are the median, the 99th percentile and the maximum of durations, in milliseconds.
 type Percentiles struct {
 	Median float64 `json:"p50"`
 	P99    float64 `json:"p99"`
 	Max    float64 `json:"worst"`
 }
 
-func spreadOf(times []time.Duration) Percentiles {
-	if len(times) == 0 {
+// percentilesOf sorts the durations.
+func percentilesOf(durations []time.Duration) Percentiles {
+	if len(durations) == 0 {
 		return Percentiles{}
 	}
-	slices.Sort(times)
-	at := func(part float64) float64 {
-		return milliseconds(times[min(len(times)-1, int(part*float64(len(times))))])
+	slices.Sort(durations)
+	at := func(quantile float64) float64 {
+		index := int(quantile * float64(len(durations)))
+		return milliseconds(durations[min(len(durations)-1, index)])
 	}
-	return Percentiles{Median: at(0.5), P99: at(0.99), Max: milliseconds(times[len(times)-1])}
+	return Percentiles{Median: at(0.5), P99: at(0.99), Max: milliseconds(durations[len(durations)-1])}
 }
 
-func milliseconds(span time.Duration) float64 { return float64(span) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // Plan says how long a trial measures.
 type Plan struct {
-	WarmupTime time.Duration // before anything is measured
-	IdleTime   time.Duration
-	Changes    int // one a second
+	// WarmupTime is waited before anything is measured.
+	WarmupTime time.Duration
+	// IdleTime is how long it measures without changes.
+	IdleTime time.Duration
+	// Changes is how many there are, one a second.
+	Changes int
 }
 
-const (
-	changeEvery     = time.Second
-	inForcePatience = 15 * time.Second
-)
-
-// Run plays one trial.
+// Run starts a system, measures it and stops it.
 func Run(ctx context.Context, cfg Config, plan Plan) (*Result, error) {
 	s, err := Start(ctx, cfg)
 	if err != nil {
@@ -75,94 +84,102 @@
 		Routes: cfg.Routes,
 	}
 	pause(ctx, plan.WarmupTime)
-	if r.IdleUsage, err = s.loadDuring(func() error { pause(ctx, plan.IdleTime); return ctx.Err() }); err != nil {
+	r.IdleUsage, err = s.usageDuring(func() error {
+		pause(ctx, plan.IdleTime)
+		return ctx.Err()
+	})
+	if err != nil {
 		return nil, err
 	}
-	r.ChangingUsage, err = s.loadDuring(func() error { return s.playChanges(ctx, plan.Changes, r) })
+	r.ChangingUsage, err = s.usageDuring(func() error { return s.measureChanges(ctx, plan.Changes, r) })
 	if err != nil {
 		return nil, err
 	}
-	return r, s.playLoss(r)
+	return r, s.measureFailover(ctx, r)
 }
 
-// loadDuring is the load of each role while something goes on.
-func (s *System) loadDuring(do func() error) (map[string]ResourceUsage, error) {
-	before, err := s.usages()
+// usageDuring returns the usage of each role while something is done.
+func (s *System) usageDuring(do func() error) (map[string]ResourceUsage, error) {
+	before, err := s.sampleAll()
 	if err != nil {
 		return nil, err
 	}
 	if err := do(); err != nil {
 		return nil, err
 	}
-	after, err := s.usages()
+	after, err := s.sampleAll()
 	if err != nil {
 		return nil, err
 	}
-	loads := map[string]ResourceUsage{}
-	for role, list := range after {
-		for i, u := range list {
-			if load := between(before[role][i], u); load.CPUPercent >= loads[role].CPUPercent {
-				loads[role] = load
+	usages := map[string]ResourceUsage{}
+	for role, samples := range after {
+		for i, sample := range samples {
+			usage := usageBetween(before[role][i], sample)
+			if usage.CPUPercent >= usages[role].CPUPercent {
+				usages[role] = usage
 			}
 		}
 	}
-	return loads, nil
+	return usages, nil
 }
 
-func (s *System) usages() (map[string][]usage, error) {
-	all := map[string][]usage{}
+// sampleAll samples all processes, by role.
+func (s *System) sampleAll() (map[string][]usageSample, error) {
+	samples := map[string][]usageSample{}
 	for role, processes := range s.processes {
 		for _, p := range processes {
-			u, err := p.usage()
+			sample, err := p.sample()
 			if err != nil {
 				return nil, err
 			}
-			all[role] = append(all[role], u)
+			samples[role] = append(samples[role], sample)
 		}
 	}
-	return all, nil
+	return samples, nil
 }
 
-// playChanges sends changes, and notes when they were acknowledged and in force.
-func (s *System) playChanges(ctx context.Context, count int, r *Result) error {
-	var inForce, acknowledged []time.Duration
+// measureChanges commits changes, and measures their acknowledgement and propagation.
+func (s *System) measureChanges(ctx context.Context, count int, r *Result) error {
+	var propagation, acknowledgement []time.Duration
 	for range count {
 		began := time.Now()
-		at, err := s.ChangeConfiguration()
+		acknowledged, err := s.ChangeConfiguration(ctx)
 		if err != nil {
 			return err
 		}
-		acknowledged = append(acknowledged, at.Sub(began))
-		if err := s.awaitVersion(); err != nil {
+		acknowledgement = append(acknowledgement, acknowledged.Sub(began))
+		if err := s.awaitPropagation(ctx); err != nil {
 			return err
 		}
-		inForce = append(inForce, s.PropagationDelays(s.version, at)...)
-		pause(ctx, changeEvery-time.Since(began))
+		propagation = append(propagation, s.PropagationDelays(s.version, acknowledged)...)
+		pause(ctx, changeInterval-time.Since(began))
 	}
-	r.PropagationMS, r.AcknowledgementMS = spreadOf(inForce), spreadOf(acknowledged)
+	r.PropagationMS = percentilesOf(propagation)
+	r.AcknowledgementMS = percentilesOf(acknowledgement)
 	return ctx.Err()
 }
 
-// awaitVersion waits until every reader has the newest version.
-func (s *System) awaitVersion() error {
-	const look = 5 * time.Millisecond
-	for end := time.Now().Add(inForcePatience); s.missing(s.version) > 0; pause(s.ctx, look) {
-		if time.Now().After(end) || s.ctx.Err() != nil {
-			return eris.Errorf("version %d is missing at %d proxies after %v", s.version, s.missing(s.version), inForcePatience)
+// awaitPropagation waits until every subscriber has the newest version.
+func (s *System) awaitPropagation(ctx context.Context) error {
+	deadline := time.Now().Add(propagationTimeout)
+	for s.missing(s.version) > 0 {
+		if time.Now().After(deadline) || ctx.Err() != nil {
+			return eris.Errorf("version %d is missing at %d proxies after %v", s.version, s.missing(s.version), propagationTimeout)
 		}
+		pause(ctx, propagationPoll)
 	}
 	return nil
 }
 
-// playLoss kills the first control process, which leads a chain of founders, and sends a
-// change at once.
-func (s *System) playLoss(r *Result) error {
-	s.processes["control"][0].stop()
+// measureFailover kills the first control process, which is the head of a chain of founders, and commits a change at
+// once.
+func (s *System) measureFailover(ctx context.Context, r *Result) error {
+	s.processes["control"][0].kill()
 	began := time.Now()
-	if _, err := s.ChangeConfiguration(); err != nil {
+	if _, err := s.ChangeConfiguration(ctx); err != nil {
 		return err
 	}
-	if err := s.awaitVersion(); err != nil {
+	if err := s.awaitPropagation(ctx); err != nil {
 		return err
 	}
 	r.FailoverMS = milliseconds(time.Since(began))
