--- a/internal/proxy/imports_test.go
+++ b/internal/proxy/imports_test.go
@@ -68,7 +68,6 @@
 		"marlreel/internal/dataplane/gateway":          {"marlreel/internal/balancer", "marlreel/internal/engine", "marlreel/internal/httpproxy", "marlreel/internal/balancer/prefixcache", "marlreel/internal/balancer/budgetshare", "marlreel/internal/process/budget", "marlreel/internal/api", "marlreel/internal/dataplane/backlog", "marlreel/internal/process/bootstrap", "marlreel/internal/controlplane/configuration", "marlreel/internal/distribution/watch", "marlreel/internal/process/host", "marlreel/internal/process/metricserver", "marlreel/internal/dataplane/routing", "marlreel/internal/controlplane/state", "marlreel/internal/process/transport", "marlreel/internal/process/logevent"},
 		"marlreel/internal/dataplane/backlog":          {"marlreel/internal/api"},
 		"marlreel/internal/dataplane/routing":          {"marlreel/internal/balancer", "marlreel/internal/balancer/prefixcache", "marlreel/internal/balancer/budgetshare", "marlreel/internal/dataplane/backlog"},
-		"marlreel/internal/process/logevent":           {},
 		"marlreel/internal/process/metricserver":       {"marlreel/internal/process/host", "marlreel/internal/process/logevent", "marlreel/internal/process/transport"},
 		"marlreel/internal/lists/sources":              {"marlreel/internal/balancer", "marlreel/internal/lists/discovery", "marlreel/internal/engine", "marlreel/internal/lists/members", "marlreel/internal/lists/registry"},
 	}
