--- a/internal/testing/simcluster/catchup_test.go
+++ b/internal/testing/simcluster/catchup_test.go
@@ -1,19 +1,13 @@
 package simcluster
 
 import (
-	"encoding/json"
 	"fmt"
 	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
 
-	"github.com/go-logr/logr"
-	"github.com/go-logr/logr/testr"
 	"github.com/matryer/is"
-
-	"marlreel/internal/controlplane"
-	"marlreel/internal/testing/simnet"
 )
 
 const (
@@ -23,50 +17,6 @@
 	largeDocument = 2 << 20
 )
 
-// startControlPlane makes a cluster of control processes alone.
-func startControlPlane(t *testing.T, controls int) *Cluster {
-	t.Helper()
-	log := logr.Discard()
-	if testing.Verbose() {
-		log = testr.New(t)
-	}
-	return New(Config{
-		Controls: controls, Zones: zones, Log: log,
-		Net: simnet.Config{Delay: time.Millisecond, Jitter: time.Millisecond, Seed: 1},
-	})
-}
-
-// documentWithRemark is the configuration with a field that makes it so many bytes longer.
-func documentWithRemark(size int) func(version uint64) string {
-	return func(version uint64) string {
-		return strings.Replace(document(version), `{"config_version"`, `{"remark":"`+strings.Repeat("x", size)+`","config_version"`, 1)
-	}
-}
-
-// fetchStatus is a control process's word on itself, or nil.
-func (c *Cluster) fetchStatus(m *Machine) *controlplane.Status {
-	var status controlplane.Status
-	code, answer, err := c.callControl(m, "GET", "/marlreel/status", "", "")
-	if err != nil || code != 200 || json.Unmarshal([]byte(answer), &status) != nil {
-		return nil
-	}
-	return &status
-}
-
-// modifyConfiguration has a small modifyConfiguration made on top of the newest version, and gives how long that took.
-func (c *Cluster) modifyConfiguration(t *testing.T, patience time.Duration) time.Duration {
-	t.Helper()
-	began := time.Now()
-	body := fmt.Sprintf(`{"config_version":%d,"upsert":{"route_list":[{"name":"r","host":"r.example","path_prefix":"/r%d/",`+
-		`"route_class":"unsafe","timeout_ms":900,"service":"slips","max_attempts":1}]}}`, c.version+1, c.version)
-	status, answer, err := c.CallOperatorAPI("POST", "/marlreel/config/modify", fmt.Sprint(c.version), body, patience)
-	if err != nil || status != 200 {
-		t.Fatalf("a change after %v: %d %s %v", time.Since(began), status, answer, err)
-	}
-	c.version++
-	return time.Since(began)
-}
-
 // A control process whose disk was lost takes in a state of 2 MB over 10 Mbit/s while changes go on.
 func TestControlCatchesUpOverASlowLink(t *testing.T) {
 	for place := range 3 {
--- a/internal/testing/simcluster/cluster.go
+++ b/internal/testing/simcluster/cluster.go
@@ -1,14 +1,9 @@
-// Package simcluster runs the very roles of the system, control, agents and proxies, with
-// stand-in backends, an operator and clients, in one process, with stores in memory: for
-// tests on a simulated network, where under testing/synctest the clock is simulated too,
-// and for trials on the loopback addresses of a real machine.
 package simcluster
 
 import (
 	"context"
 	"fmt"
 	"io"
-	"strings"
 	"sync"
 	"time"
 
@@ -18,12 +13,10 @@
 
 	"marlreel/internal/agent"
 	"marlreel/internal/controlplane"
-	"marlreel/internal/controlplane/store"
 	"marlreel/internal/dataplane/gateway"
 	"marlreel/internal/process/bootstrap"
 	"marlreel/internal/process/host"
 	"marlreel/internal/process/transport"
-	"marlreel/internal/testing/fakesystem"
 	"marlreel/internal/testing/simnet"
 )
 
@@ -63,22 +56,6 @@
 	version       uint64
 }
 
-// Machine is a machine with its roles.
-type Machine struct {
-	cluster    *Cluster
-	Name       string
-	IP         string
-	Zone       string
-	roles      []func(context.Context, *host.Host) error
-	disk       storage.Storage // nil: there is none
-	firstStart bool
-
-	mu      sync.Mutex
-	running sync.WaitGroup
-	cancel  context.CancelFunc
-	crash   context.CancelFunc // of the processes' life
-}
-
 // New starts a cluster.
 func New(cfg Config) *Cluster {
 	c := &Cluster{cfg: cfg}
@@ -160,99 +137,6 @@
 
 const idleConnectionLifetime = 5 * time.Minute
 
-func (c *Cluster) settings(m *Machine) *bootstrap.Settings {
-	s := &bootstrap.Settings{
-		NodeName: m.Name, IP: m.IP, Zone: m.Zone, InternalPorts: []int{peerPort, peerPort + 15},
-		FirstStart: m.firstStart, HeartbeatIntervalMS: 1200, Zones: map[string]string{}, DataDir: "none",
-		Limits:    bootstrap.Limits{MemoryMB: 256, MaxOpenFiles: 4096},
-		Tolerance: bootstrap.FaultTolerance{Machines: (c.cfg.Controls - 1) / 2},
-		Bounds: bootstrap.Bounds{
-			ShutdownGraceS: 8, ConfigApplyMS: 2000, RetryBudgetRatio: 0.2, RetryWindowS: 10, RetrySlack: 52,
-			WarmupExcess: 1.5, WarmupSlack: 5, Fencing: true, LeaseDurationMS: 3000, DrainMS: 2000,
-		},
-		Listen: bootstrap.ListenAddresses{
-			Front: fmt.Sprintf("%s:%d", m.IP, frontPort), Readiness: fmt.Sprintf("%s:%d", m.IP, readyPort),
-			Control: fmt.Sprintf("%s:%d", m.IP, controlPort),
-		},
-	}
-	if c.cfg.Loopback {
-		s.LoopbackIP = strings.Replace(m.IP, "127.0.", "127.1.", 1)
-	}
-	for _, zone := range c.cfg.Zones {
-		s.Zones[zone] = "region"
-	}
-	for _, seed := range c.Controls[:min(3, len(c.Controls))] {
-		s.SeedNodes = append(s.SeedNodes, fmt.Sprintf("%s:%d", seed.IP, controlPort))
-	}
-	if c.cfg.Bounds != nil {
-		c.cfg.Bounds(&s.Bounds)
-	}
-	return s
-}
-
-// Start starts a machine's roles.
-func (m *Machine) Start() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	settings := m.cluster.settings(m)
-	m.firstStart = false
-	m.cluster.reconnect(m.IP)
-	ctx, cancel := context.WithCancel(context.Background())
-	life, end := context.WithCancel(context.Background())
-	m.cancel, m.crash = cancel, end
-	disk := m.disk
-	for _, role := range m.roles {
-		machine := &host.Host{
-			Settings: settings, Network: m.cluster.network(m.IP),
-			Log:         m.cluster.cfg.Log.WithValues("node", m.Name),
-			OpenStore:   func() (*store.Store, error) { return store.OpenStorage(disk) },
-			RemoveStore: func() error { return nil }, CrashContext: life,
-		}
-		m.running.Go(func() {
-			if err := role(ctx, machine); err != nil {
-				machine.Log.V(1).Info("a role has ended", "error", err.Error())
-			}
-		})
-	}
-}
-
-// Kill ends a machine's processes at once.
-func (m *Machine) Kill() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.cancel == nil {
-		return
-	}
-	m.cluster.disconnect(m.IP)
-	m.crash()
-	m.cancel()
-	m.running.Wait()
-	m.cluster.disconnect(m.IP)
-	m.cancel = nil
-}
-
-// Terminate asks a machine's processes to end, and waits for it.
-func (m *Machine) Terminate() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.cancel == nil {
-		return
-	}
-	m.cancel()
-	m.running.Wait()
-	m.crash()
-	m.cancel = nil
-}
-
-// EraseDisk loses a machine's disk. The machine must be down.
-func (m *Machine) EraseDisk() { m.disk = storage.NewMemStorage() }
-
-// Front is where clients reach an edge machine.
-func (m *Machine) Front() string { return fmt.Sprintf("%s:%d", m.IP, frontPort) }
-
-// ControlAddress is where the operator and backends reach a control machine.
-func (m *Machine) ControlAddress() string { return fmt.Sprintf("%s:%d", m.IP, controlPort) }
-
 // ControlAddresses are those of all control machines.
 func (c *Cluster) ControlAddresses() []string {
 	var addresses []string
@@ -262,33 +146,6 @@
 	return addresses
 }
 
-// Backend is a stand-in on a machine of its own.
-type Backend struct {
-	*fakesystem.Backend
-	cutOff func()
-	cancel context.CancelFunc
-}
-
-// Kill ends a backend at once: it says nothing any more.
-func (b *Backend) Kill() {
-	b.cancel()
-	b.cutOff()
-}
-
-// AddBackend starts a backend on a machine of its own.
-func (c *Cluster) AddBackend(cfg fakesystem.BackendConfig) *Backend {
-	ip := c.machineIP(3, len(c.Backends))
-	cfg.Address, cfg.Controls = ip+":9000", c.ControlAddresses
-	if cfg.Beat == 0 {
-		cfg.Beat = 1200 * time.Millisecond
-	}
-	ctx, cancel := context.WithCancel(c.ctx)
-	b := &Backend{Backend: fakesystem.NewBackend(cfg, c.network(ip)), cutOff: func() { c.disconnect(ip) }, cancel: cancel}
-	c.Backends = append(c.Backends, b)
-	c.backendsEnded.Go(func() { _ = b.Serve(ctx) }) // it ends with the cluster
-	return b
-}
-
 // fasthttp keeps one goroutine for the time of day from its first answer on. It has to begin
 // outside of any simulated clock.
 func init() {
@@ -296,3 +153,13 @@
 	// Nothing that could fail reads it.
 	_, _ = first.WriteTo(io.Discard)
 }
+
+// Sleep lets time pass: on a simulated clock that costs none.
+func (c *Cluster) Sleep(span time.Duration) {
+	timer := time.NewTimer(span)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+	case <-c.ctx.Done():
+	}
+}
--- a/internal/testing/simcluster/late_test.go
+++ b/internal/testing/simcluster/forwarding_test.go
@@ -7,7 +7,6 @@
 	"slices"
 	"sync"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"github.com/matryer/is"
@@ -17,20 +16,6 @@
 	"marlreel/internal/process/transport"
 )
 
-// runWithControlPlane runs a test on control processes alone, with a configuration.
-func runWithControlPlane(t *testing.T, controls int, story func(t *testing.T, c *Cluster)) {
-	t.Helper()
-	synctest.Test(t, func(t *testing.T) {
-		c := startControlPlane(t, controls)
-		defer c.Stop()
-		if status, answer, err := c.ReplaceConfiguration(document, 10*time.Second); err != nil || status != 200 {
-			t.Fatalf("the first configuration: %d %s %v", status, answer, err)
-		}
-		c.Sleep(time.Second)
-		story(t, c)
-	})
-}
-
 // headAndOthers are the machines of the chain's head and of two others.
 func (c *Cluster) headAndOthers(t *testing.T) (head *Machine, others []*Machine) {
 	t.Helper()
@@ -48,8 +33,6 @@
 	return head, others
 }
 
-func (m *Machine) peerAddress() string { return fmt.Sprintf("%s:%d", m.IP, peerPort) }
-
 func evacuationPath(verb string) string { return "/marlreel/evacuation/north/" + verb }
 
 // An order that a cut holds up on its way to the head is not taken once its caller was answered: the operator has
--- /dev/null
+++ b/internal/testing/simcluster/history_faults_test.go
@@ -0,0 +1,140 @@
+package simcluster
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"time"
+)
+
+// clusterFault is one thing that happens to a whole cluster.
+type clusterFault struct {
+	kind           string
+	machine, other int
+	lasts, rest    time.Duration
+}
+
+// String is the fault as it is told where a history fails.
+func (f clusterFault) String() string {
+	return fmt.Sprintf("%s machine=%d other=%d lasts=%s rest=%s", f.kind, f.machine, f.other, f.lasts, f.rest)
+}
+
+func (c *Cluster) control(n int) *Machine { return c.Controls[n%len(c.Controls)] }
+
+func (c *Cluster) edge(n int) *Machine { return c.Edges[n%len(c.Edges)] }
+
+// addresses are those of all machines of the system.
+func (c *Cluster) addresses() []string {
+	var all []string
+	for _, m := range c.Machines() {
+		all = append(all, m.IP)
+	}
+	return all
+}
+
+// restart ends a machine's processes at once, and starts them after a while.
+func (c *Cluster) restart(m *Machine, down time.Duration) {
+	m.Kill()
+	c.Sleep(down)
+	m.Start()
+}
+
+// clusterFaults are what can happen. What fault_tolerance allows is kept: one disk is lost at a
+// time, and its machine is given time to catch up.
+var clusterFaults = map[string]func(c *Cluster, f clusterFault){
+	"kill-control": func(c *Cluster, f clusterFault) { c.restart(c.control(f.machine), f.lasts) },
+	"kill-edge":    func(c *Cluster, f clusterFault) { c.restart(c.edge(f.machine), f.lasts) },
+	"kill-control-and-edge": func(c *Cluster, f clusterFault) {
+		c.control(f.machine).Kill()
+		c.restart(c.edge(f.other), f.lasts)
+		c.control(f.machine).Start()
+	},
+	"terminate-edge": func(c *Cluster, f clusterFault) {
+		c.edge(f.machine).Terminate()
+		c.Sleep(f.lasts)
+		c.edge(f.machine).Start()
+	},
+	"lose-control-disk": func(c *Cluster, f clusterFault) {
+		c.Sleep(diskRecovery)
+		m := c.control(f.machine)
+		m.Kill()
+		m.EraseDisk()
+		c.Sleep(f.lasts)
+		m.Start()
+		c.Sleep(diskRecovery)
+	},
+	"lose-disk-and-power": func(c *Cluster, f clusterFault) {
+		c.Sleep(diskRecovery)
+		c.control(f.machine).Kill()
+		c.control(f.machine).EraseDisk()
+		c.losePower(f.lasts / 4)
+		c.Sleep(diskRecovery)
+	},
+	"lose-power": func(c *Cluster, f clusterFault) { c.losePower(f.lasts / 2) },
+	"cut-control": func(c *Cluster, f clusterFault) {
+		c.Net.Isolate(c.control(f.machine).IP, c.addresses(), true)
+		c.Sleep(f.lasts)
+		c.Net.Isolate(c.control(f.machine).IP, c.addresses(), false)
+	},
+	"cut-edge": func(c *Cluster, f clusterFault) {
+		c.Net.Isolate(c.edge(f.machine).IP, c.addresses(), true)
+		c.Sleep(f.lasts)
+		c.Net.Isolate(c.edge(f.machine).IP, c.addresses(), false)
+	},
+	"cut-one-way": func(c *Cluster, f clusterFault) {
+		all := c.addresses()
+		from, to := all[f.machine%len(all)], all[f.other%len(all)]
+		c.Net.Cut(from, to, true)
+		c.Sleep(f.lasts)
+		c.Net.Cut(from, to, false)
+	},
+	"lose-datagrams": func(c *Cluster, f clusterFault) {
+		c.Net.SetLoss(0.3)
+		c.Sleep(f.lasts)
+		c.Net.SetLoss(0)
+	},
+	// Who places the models is cut off from all but the backends, for longer than its lease.
+	"cut-placer": func(c *Cluster, f clusterFault) {
+		placer := c.placementHolder()
+		if placer == nil {
+			return
+		}
+		c.Net.Isolate(placer.IP, c.addresses(), true)
+		c.Sleep(2 * f.lasts)
+		c.Net.Isolate(placer.IP, c.addresses(), false)
+	},
+	// A backend's end is seen by nobody, and another one comes.
+	"kill-backend": func(c *Cluster, f clusterFault) {
+		number := f.machine % len(c.Backends)
+		old := c.Backends[number]
+		old.Kill()
+		c.Sleep(f.lasts)
+		id, zone := fmt.Sprintf("r-%d", len(c.Backends)), zones[f.other%len(zones)]
+		if old.Service() == "llm" {
+			c.AddBackend(busyModelBackend(id, zone, "m0"))
+			return
+		}
+		c.AddBackend(busySlipBackend(id, zone))
+	},
+}
+
+// drawClusterHistory draws the faults of a number.
+func drawClusterHistory(number int) []clusterFault {
+	rng := rand.New(rand.NewPCG(uint64(number), 5))
+	kinds := make([]string, 0, len(clusterFaults))
+	for kind := range clusterFaults {
+		kinds = append(kinds, kind)
+	}
+	slices.Sort(kinds)
+	span := func(most time.Duration) time.Duration {
+		return time.Duration(rng.Int64N(int64(most))).Truncate(time.Millisecond)
+	}
+	var faults []clusterFault
+	for range historyFaults {
+		faults = append(faults, clusterFault{
+			kind: kinds[rng.IntN(len(kinds))], machine: rng.IntN(60), other: rng.IntN(60),
+			lasts: span(maxFaultTime), rest: span(maxPauseTime),
+		})
+	}
+	return faults
+}
--- a/internal/testing/simcluster/register_test.go
+++ b/internal/testing/simcluster/history_register_test.go
@@ -113,11 +113,3 @@
 	w.recordCall(began, call, answer)
 	return answer.Taken
 }
-
-// checkRegister checks that all answers are those of one register.
-func (w *historyRun) checkRegister() {
-	const patience = 20 * time.Second
-	if porcupine.CheckOperationsTimeout(linearizability.ConfigurationModel(w.register.first), w.register.operations, patience) != porcupine.Ok {
-		w.violation("the answers to %d calls are not those of one register", len(w.register.operations))
-	}
-}
--- a/internal/testing/simcluster/roles_test.go
+++ b/internal/testing/simcluster/lease_test.go
@@ -12,6 +12,18 @@
 	"marlreel/internal/controlplane"
 )
 
+// placementHolder is the machine that holds the role of placing models, as a control process sees it; nil: none is known.
+func (c *Cluster) placementHolder() *Machine {
+	for _, m := range c.Controls {
+		var status controlplane.Status
+		code, answer, err := c.callControl(m, "GET", "/marlreel/status", "", "")
+		if err == nil && code == 200 && json.Unmarshal([]byte(answer), &status) == nil && len(status.Leases) == 1 {
+			return c.holderOf(status.Leases[0])
+		}
+	}
+	return nil
+}
+
 // placementLease is who places the models, and under which token.
 func (c *Cluster) placementLease(t *testing.T) controlplane.LeaseStatus {
 	t.Helper()
--- a/internal/testing/simcluster/backlog_test.go
+++ b/internal/testing/simcluster/placement_test.go
@@ -58,3 +58,75 @@
 		is.Equal(c.reportBacklog(t, near, "fourth", nil, backend), uint32(0))
 	})
 }
+
+// A model that nobody holds is loaded for a request at any proxy, also where the home that
+// passes its zone's demand on has just died or hangs.
+func TestDemandBypassesAFaultyRelay(t *testing.T) {
+	troubles := map[string]func(c *Cluster, m *Machine){
+		"none":                func(*Cluster, *Machine) {},
+		"the home is killed":  func(_ *Cluster, m *Machine) { m.Kill() },
+		"the home hangs":      func(c *Cluster, m *Machine) { c.isolate(m) },
+		"the home terminates": func(_ *Cluster, m *Machine) { go m.Terminate() },
+	}
+	for name, trouble := range troubles {
+		t.Run(name, func(t *testing.T) {
+			runWithRelays(t, func(t *testing.T, c *Cluster) {
+				is := is.New(t)
+				placer := c.holderOf(c.placementLease(t))
+				zone := zones[0]
+				if placer.Zone == zone {
+					zone = zones[1]
+				}
+				home, others := c.relayOf(watch.ServiceTopic("llm"), zone)
+				trouble(c, home)
+				r := chatRequest("m2")
+				got, err := c.Send(others[0], r)
+				is.NoErr(err)
+				checkStream(t, r, got, 10)
+				is.True(got.TimeToHead < 6*time.Second) // the load takes 3 s
+				c.Sleep(5 * time.Second)                // who terminates has ended
+			})
+		})
+	}
+}
+
+func TestUnloadedModelIsLoadedOnDemand(t *testing.T) {
+	runWithCluster(t, func(t *testing.T, c *Cluster) {
+		is := is.New(t)
+		r := chatRequest("m2")
+		got, err := c.Send(c.Edges[0], r)
+		is.NoErr(err)
+		checkStream(t, r, got, 10)
+		is.True(got.TimeToHead < 5*time.Second) // the load takes 3 s
+	})
+}
+
+func TestAdapterIsLoadedOnDemand(t *testing.T) {
+	runWithCluster(t, func(t *testing.T, c *Cluster) {
+		is := is.New(t)
+		r := chatRequest("m0/a3")
+		got, err := c.Send(c.Edges[1], r)
+		is.NoErr(err)
+		checkStream(t, r, got, 10)
+		is.True(got.TimeToHead < time.Second)
+	})
+}
+
+// The role of placing models passes on when its holder dies, and orders go on under a
+// higher token.
+func TestPlacementContinuesAfterItsHolderDies(t *testing.T) {
+	runWithCluster(t, func(t *testing.T, c *Cluster) {
+		is := is.New(t)
+		for victim := range c.Edges {
+			c.Edges[victim].Kill()
+			c.Sleep(4 * time.Second)
+			r := chatRequest("m2")
+			r.Timeout = 14 * time.Second
+			got, err := c.Send(c.Edges[(victim+1)%3], r)
+			is.NoErr(err)
+			is.Equal(got.Status, 200)
+			c.Edges[victim].Start()
+			c.Sleep(3 * time.Second)
+		}
+	})
+}
--- a/internal/testing/simcluster/homes_test.go
+++ b/internal/testing/simcluster/relay_test.go
@@ -1,79 +1,15 @@
 package simcluster
 
 import (
-	"encoding/json"
 	"fmt"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"github.com/matryer/is"
 
-	"marlreel/internal/api"
-	"marlreel/internal/controlplane"
-	"marlreel/internal/distribution/relay"
 	"marlreel/internal/distribution/watch"
 )
 
-const (
-	// relayEdges are enough that each of the three zones has homes and others.
-	relayEdges = 12
-	// applyTime is config_apply_ms of the test's deployment, and drainTime its drain_ms.
-	applyTime = 2 * time.Second
-	drainTime = 2 * time.Second
-)
-
-// runWithRelays runs a test on a cluster with several proxies a zone.
-func runWithRelays(t *testing.T, story func(t *testing.T, c *Cluster)) {
-	t.Helper()
-	synctest.Test(t, func(t *testing.T) {
-		c := startCluster(t, 3, relayEdges)
-		defer c.Stop()
-		story(t, c)
-	})
-}
-
-// status is how things stand at a control process.
-func (c *Cluster) status(t *testing.T, m *Machine) controlplane.Status {
-	t.Helper()
-	code, answer, err := c.callControl(m, "GET", "/marlreel/status", "", "")
-	var status controlplane.Status
-	if err != nil || code != 200 || json.Unmarshal([]byte(answer), &status) != nil {
-		t.Fatalf("status of %s: %d %s %v", m.Name, code, answer, err)
-	}
-	return status
-}
-
-// relayOf is the relayOf of a topic in a zone, and others are the zone's other proxies.
-func (c *Cluster) relayOf(topic watch.Topic, zone string) (home *Machine, others []*Machine) {
-	var nodes []*api.Node
-	for _, m := range c.Edges {
-		nodes = append(nodes, &api.Node{Name: m.Name, Address: m.IP, Zone: m.Zone})
-	}
-	for i, m := range c.Edges {
-		if m.Zone != zone {
-			continue
-		}
-		if relay.Select(topic, nodes[i], nodes).Name == m.Name {
-			home = m
-			continue
-		}
-		others = append(others, m)
-	}
-	return home, others
-}
-
-// isolate cuts a machine off from all others, without a word to anyone.
-func (c *Cluster) isolate(m *Machine) {
-	var others []string
-	for _, other := range c.Machines() {
-		if other != m {
-			others = append(others, other.IP)
-		}
-	}
-	c.Net.Isolate(m.IP, others, true)
-}
-
 func TestEachZoneWatchesEachTopicAtControlOnce(t *testing.T) {
 	runWithRelays(t, func(t *testing.T, c *Cluster) {
 		is := is.New(t)
@@ -95,15 +31,6 @@
 	})
 }
 
-// isolateFromControl cuts a machine off from the control processes alone.
-func (c *Cluster) isolateFromControl(m *Machine) {
-	var controls []string
-	for _, control := range c.Controls {
-		controls = append(controls, control.IP)
-	}
-	c.Net.Isolate(m.IP, controls, true)
-}
-
 // A home that hangs, or that answers and hears nothing itself, holds nobody up beyond the
 // bound: changes are in force at the zone's other proxies in time.
 func TestChangesBypassAFaultyRelay(t *testing.T) {
