--- a/internal/agent/demand.go
+++ b/internal/agent/demand.go
@@ -157,7 +157,7 @@
 func (f *demandForwarder) holderAddress(service string) string {
 	address := ""
 	f.store.ReadState(func(m *state.Machine) {
-		if owner := m.Owner(lease.PlacementKey(service)); owner != nil {
+		if owner := m.Lease(lease.PlacementKey(service)); owner != nil {
 			address = owner.Address
 		}
 	})
--- a/internal/agent/leases.go
+++ b/internal/agent/leases.go
@@ -61,7 +61,7 @@
 func (l *leases) Named() bool {
 	named := false
 	l.store.ReadState(func(m *state.Machine) {
-		for _, o := range m.Ownerships() {
+		for _, o := range m.Leases() {
 			named = named || o.Holder == l.holder
 		}
 	})
--- a/internal/controlplane/chain/leave_test.go
+++ b/internal/controlplane/chain/leave_test.go
@@ -12,7 +12,7 @@
 func (c *cluster) leave(p *process, most time.Duration) (took time.Duration) {
 	c.t.Helper()
 	c.carryOut(p, p.node.Leave(c.now))
-	return c.runUntil(p.address+" has left", most, p.node.Left)
+	return c.runUntil(p.address+" has left", most, p.node.HasLeft)
 }
 
 // A member that is about to end is out of the chain before it does, and hardly a write waits for that.
@@ -22,13 +22,13 @@
 			is := is.New(t)
 			c := newCluster(t, 31, 3)
 			c.mustServe("founding")
-			p := c.at(c.head().node.View().Chain[place])
-			c.longest, c.lastAck = 0, c.now
+			p := c.processOf(c.head().node.View().Chain[place])
+			c.longestGap, c.lastAcknowledgement = 0, c.now
 			took := c.leave(p, time.Second)
 			c.kill(p)
 			c.runFor(time.Second)
-			t.Logf("out after %v, longest time without an acknowledgement %v", took, c.longest)
-			is.True(c.longest < calmGap)
+			t.Logf("out after %v, longest time without an acknowledgement %v", took, c.longestGap)
+			is.True(c.longestGap < maxCalmGap)
 			is.Equal(len(c.head().node.View().Chain), 2)
 			is.Equal(len(c.head().node.View().Members), 3) // it still counts: it may come back
 			c.start(p, false)
@@ -45,15 +45,15 @@
 	c.mustServe("founding")
 	head := c.head()
 	chain := head.node.View().Chain
-	leaving, learner := c.at(chain[1]), c.at(chain[2])
+	leaving, learner := c.processOf(chain[1]), c.processOf(chain[2])
 	c.wipe(learner)
 	c.runFor(time.Second)
 	c.start(learner, false)
-	c.runUntil("it is being brought up to date", time.Second, func() bool { return head.node.bringsUp() })
+	c.runUntil("it is being brought up to date", time.Second, func() bool { return head.node.isCatchingUp() })
 	c.carryOut(leaving, leaving.node.Leave(c.now))
 	c.runFor(500 * time.Millisecond)
-	is.True(!leaving.node.Left()) // with it goes the only other copy
-	c.runUntil("it has left", 8*time.Second, leaving.node.Left)
+	is.True(!leaving.node.HasLeft()) // with it goes the only other copy
+	c.runUntil("it has left", 8*time.Second, leaving.node.HasLeft)
 	is.True(learner.node.InService() && len(learner.node.View().Chain) == 2)
 	c.kill(leaving)
 	c.mustServe("it has left")
@@ -70,7 +70,7 @@
 				is := is.New(t)
 				c := newCluster(t, 33, 3)
 				c.mustServe("founding")
-				old := c.at(c.head().node.View().Chain[place])
+				old := c.processOf(c.head().node.View().Chain[place])
 				c.add("d0", false)
 				c.mustServe("the new one is there")
 				is.Equal(len(c.head().node.View().Members), 4)
@@ -102,7 +102,7 @@
 	c.runFor(2 * time.Second)
 	left := 0
 	for _, p := range c.processes {
-		if p.node.Left() {
+		if p.node.HasLeft() {
 			left++
 		}
 	}
@@ -118,14 +118,14 @@
 	c.mustServe("founding")
 	view := c.head().node.View()
 	is.Equal(len(view.Chain), 5)
-	slow, leaving := c.at(view.Chain[2]), c.at(view.Chain[4])
-	c.quiet = true // an entry under way would wait for the slow one, and the proposal for the entry
-	c.runFor(c.cfg.HeartbeatEvery)
+	slow, leaving := c.processOf(view.Chain[2]), c.processOf(view.Chain[4])
+	c.proposalsPaused = true // an entry under way would wait for the slow one, and the proposal for the entry
+	c.runFor(c.cfg.HeartbeatInterval)
 	slow.stalled = true
 	c.carryOut(leaving, leaving.node.Leave(c.now))
-	c.runFor(2 * c.cfg.PromiseWait)
+	c.runFor(2 * c.cfg.PromiseGracePeriod)
 	c.thaw(slow)
-	c.runUntil("it has left", time.Second, leaving.node.Left)
+	c.runUntil("it has left", time.Second, leaving.node.HasLeft)
 	is.Equal(c.head().node.View().Number, view.Number+1)
 	is.Equal(len(c.head().node.View().Chain), 4)
 }
@@ -136,27 +136,27 @@
 	is := is.New(t)
 	c := newCluster(t, 36, 3)
 	c.mustServe("founding")
-	c.quiet = true
+	c.proposalsPaused = true
 	head := c.head().node
 	c.add("d0", false)
 	c.runUntil("the new one may join", time.Second, func() bool {
 		for _, p := range head.peers {
-			if p.member.Address == "d0" && p.wantsIn && !p.behind && head.now-p.steadySince > c.cfg.RejoinAfter/2 {
+			if p.member.Address == "d0" && p.wantsToJoin && !p.hasOlderView && head.now-p.stableSince > c.cfg.MinStableTime/2 {
 				return true
 			}
 		}
 		return false
 	})
-	head.now += c.cfg.RejoinAfter
+	head.now += c.cfg.MinStableTime
 	for _, p := range head.peers {
-		p.heardAt, p.hearsUs = head.now, head.now
+		p.lastSeen, p.lastReachedUs = head.now, head.now
 	}
-	active := head.activeView
-	head.activeView = 0 // as after a change of view, before logs are equal
-	head.lookForChange()
+	active := head.inServiceView
+	head.inServiceView = 0 // as after a change of view, before logs are equal
+	head.checkMembership()
 	is.True(head.proposal == nil)
-	head.activeView = active
-	head.lookForChange()
+	head.inServiceView = active
+	head.checkMembership()
 	is.True(head.proposal != nil)
 	is.Equal(len(head.proposal.members), 4)
 }
--- a/internal/controlplane/world_history_test.go
+++ b/internal/controlplane/simulation_histories_test.go
@@ -68,10 +68,10 @@
 // pick draws a machine: any one, the one that acts, or the one that is read.
 func (w *world) pick(rng *rand.Rand) *core {
 	live := w.live()
-	standing := standingOf(nil)
+	standing := chainStatusOf(nil)
 	for _, c := range live {
 		if c.up && c.replica != nil && c.replica.Node().Connected() {
-			standing = standingOf(c.replica)
+			standing = chainStatusOf(c.replica)
 		}
 	}
 	switch rng.IntN(3) {
@@ -346,7 +346,7 @@
 	}
 	c.leaving = true
 	c.run(func() { c.replica.Leave(c.clock(w.now)) })
-	if w.passUntil(4*time.Second, func() bool { return c.replica == nil || c.replica.Node().Left() }) {
+	if w.passUntil(4*time.Second, func() bool { return c.replica == nil || c.replica.Node().HasLeft() }) {
 		w.crossed["a process left the chain"]++
 	}
 	c.kill()
--- a/internal/distribution/watch/backends.go
+++ b/internal/distribution/watch/backends.go
@@ -43,7 +43,7 @@
 }
 
 func (s *Store) recordBackend(b *api.Backend) bool {
-	if s.machine.Retired(b.Id) {
+	if s.machine.IsRetired(b.Id) {
 		return false
 	}
 	lastSeen := s.now().Add(-time.Duration(b.AgeMs) * time.Millisecond)
@@ -94,7 +94,7 @@
 	defer s.mu.Unlock()
 	record := s.backends[id]
 	if record == nil {
-		return s.machine.Retired(id)
+		return s.machine.IsRetired(id)
 	}
 	lastSeen := s.now().Add(-age)
 	if lastSeen.After(record.lastSeen) {
@@ -155,7 +155,7 @@
 // removeRetired removes the backends that have announced their end, by the replicated state.
 func (s *Store) removeRetired() {
 	for id := range s.backends {
-		if s.machine.Retired(id) {
+		if s.machine.IsRetired(id) {
 			s.removeBackend(id)
 		}
 	}
--- a/internal/testing/simcluster/backend.go
+++ b/internal/testing/simcluster/backend.go
@@ -26,8 +26,8 @@
 func (c *Cluster) AddBackend(cfg fakesystem.BackendConfig) *Backend {
 	ip := c.machineIP(3, len(c.Backends))
 	cfg.Address, cfg.Controls = ip+":9000", c.ControlAddresses
-	if cfg.Beat == 0 {
-		cfg.Beat = 1200 * time.Millisecond
+	if cfg.HeartbeatInterval == 0 {
+		cfg.HeartbeatInterval = 1200 * time.Millisecond
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
 	b := &Backend{Backend: fakesystem.NewBackend(cfg, c.network(ip)), cutOff: func() { c.disconnect(ip) }, cancel: cancel}
@@ -37,16 +37,16 @@
 }
 
 // runsOf are the runs of a request, in the order of their beginnings.
-func (c *Cluster) runsOf(id string) []fakesystem.Run {
-	var runs []fakesystem.Run
+func (c *Cluster) runsOf(id string) []fakesystem.Execution {
+	var runs []fakesystem.Execution
 	for _, b := range c.Backends {
-		for _, run := range b.Runs() {
+		for _, run := range b.Executions() {
 			if run.Request == id {
 				runs = append(runs, run)
 			}
 		}
 	}
-	slices.SortStableFunc(runs, func(a, b fakesystem.Run) int { return cmp.Compare(a.From, b.From) })
+	slices.SortStableFunc(runs, func(a, b fakesystem.Execution) int { return cmp.Compare(a.LastEventID, b.LastEventID) })
 	return runs
 }
 
--- a/internal/testing/simcluster/draining_test.go
+++ b/internal/testing/simcluster/draining_test.go
@@ -12,11 +12,11 @@
 		is := is.New(t)
 		leaving := c.Backends[2] // one of two that take slips
 		leaving.Drain()
-		for !leaving.Acknowledged() {
+		for !leaving.DrainAcknowledged() {
 			c.Sleep(50 * time.Millisecond)
 		}
 		c.Sleep(2 * time.Second) // drain_ms
-		before := len(leaving.Runs())
+		before := len(leaving.Executions())
 		for range 10 {
 			for _, edge := range c.Edges {
 				got, err := c.Send(edge, slipRequest())
@@ -24,7 +24,7 @@
 				is.Equal(got.Status, 200)
 			}
 		}
-		is.Equal(len(leaving.Runs()), before)
+		is.Equal(len(leaving.Executions()), before)
 	})
 }
 
@@ -35,13 +35,13 @@
 		is.NoErr(err)
 		is.Equal(status, 200)
 		c.Sleep(2 * time.Second)
-		before := len(c.Backends[2].Runs())
+		before := len(c.Backends[2].Executions())
 		for range 10 {
 			got, err := c.Send(c.Edges[2], slipRequest())
 			is.NoErr(err)
 			is.Equal(got.Status, 200)
 		}
-		is.Equal(len(c.Backends[2].Runs()), before)
+		is.Equal(len(c.Backends[2].Executions()), before)
 		status, _, err = c.CallOperatorAPI("POST", "/marlreel/evacuation/west/terminate", "", "", 4*time.Second)
 		is.NoErr(err)
 		is.Equal(status, 200)
@@ -50,6 +50,6 @@
 			_, err := c.Send(c.Edges[2], slipRequest())
 			is.NoErr(err)
 		}
-		is.True(len(c.Backends[2].Runs()) > before) // it is near
+		is.True(len(c.Backends[2].Executions()) > before) // it is near
 	})
 }
--- a/internal/testing/simcluster/fixture_test.go
+++ b/internal/testing/simcluster/fixture_test.go
@@ -82,8 +82,8 @@
 func llmBackend(id, zone string, models ...string) fakesystem.BackendConfig {
 	cfg := fakesystem.BackendConfig{
 		ID: id, Service: "llm", Zone: zone, Slots: 64, Models: models, CapacityMB: 200000,
-		LoadTimes: map[string]time.Duration{}, SizesMB: map[string]float64{}, TokenTime: 10 * time.Millisecond,
-		ReadTime: 50 * time.Microsecond, Stride: 2,
+		LoadTimes: map[string]time.Duration{}, SizesMB: map[string]float64{}, DecodeTime: 10 * time.Millisecond,
+		PrefillTime: 50 * time.Microsecond, TokensPerEvent: 2,
 	}
 	for _, name := range []string{"m0", "m1", "m2"} {
 		cfg.LoadTimes[name], cfg.SizesMB[name] = 3*time.Second, 60000
@@ -92,7 +92,7 @@
 }
 
 func slipBackend(id, zone string) fakesystem.BackendConfig {
-	return fakesystem.BackendConfig{ID: id, Service: "slips", Zone: zone, Slots: 6, Work: 20 * time.Millisecond}
+	return fakesystem.BackendConfig{ID: id, Service: "slips", Zone: zone, Slots: 6, RequestTime: 20 * time.Millisecond}
 }
 
 var zones = []string{"east", "north", "west"}
@@ -241,7 +241,7 @@
 		defer c.Stop()
 		story(t, c)
 		for _, b := range c.Backends {
-			if faults := b.Faults(); len(faults) > 0 {
+			if faults := b.Violations(); len(faults) > 0 {
 				t.Errorf("orders beyond a backend's room: %v", faults)
 			}
 		}
--- a/internal/testing/simcluster/history_checks_test.go
+++ b/internal/testing/simcluster/history_checks_test.go
@@ -15,7 +15,7 @@
 func (w *historyRun) checkRequests() {
 	runs := map[string]int{}
 	for _, b := range w.cluster.Backends {
-		for _, run := range b.Runs() {
+		for _, run := range b.Executions() {
 			runs[run.Request]++
 		}
 	}
@@ -35,21 +35,21 @@
 
 // checkOrders checks that nobody gives orders once a later holder has.
 func (w *historyRun) checkOrders() {
-	var orders []fakesystem.OrderSeen
+	var orders []fakesystem.ReceivedOrder
 	for _, b := range w.cluster.Backends {
-		orders = append(orders, b.Orders()...)
-		for _, fault := range b.Faults() {
+		orders = append(orders, b.ReceivedOrders()...)
+		for _, fault := range b.Violations() {
 			w.violation("an order beyond a backend's room: %s", fault)
 		}
 	}
-	slices.SortStableFunc(orders, func(a, b fakesystem.OrderSeen) int { return a.At.Compare(b.At) })
-	var newest fakesystem.OrderSeen
+	slices.SortStableFunc(orders, func(a, b fakesystem.ReceivedOrder) int { return a.At.Compare(b.At) })
+	var newest fakesystem.ReceivedOrder
 	for _, order := range orders {
 		switch {
-		case order.Fence < newest.Fence:
-			w.violation("%s gives an order under token %d, %s after one under %d", order.Holder, order.Fence, order.At.Sub(newest.At), newest.Fence)
-		case order.Fence == newest.Fence && order.Holder != newest.Holder:
-			w.violation("%s and %s both give orders under token %d", order.Holder, newest.Holder, order.Fence)
+		case order.FencingToken < newest.FencingToken:
+			w.violation("%s gives an order under token %d, %s after one under %d", order.Holder, order.FencingToken, order.At.Sub(newest.At), newest.FencingToken)
+		case order.FencingToken == newest.FencingToken && order.Holder != newest.Holder:
+			w.violation("%s and %s both give orders under token %d", order.Holder, newest.Holder, order.FencingToken)
 		default:
 			newest = order
 		}
@@ -102,9 +102,9 @@
 		statuses[asked.status]++
 	}
 	for _, b := range w.cluster.Backends {
-		for _, order := range b.Orders() {
+		for _, order := range b.ReceivedOrders() {
 			orders++
-			tokens[order.Fence] = true
+			tokens[order.FencingToken] = true
 		}
 	}
 	t.Logf("requests by status %v, %d streams, %d orders under %d tokens, %d calls of operators", statuses, w.streams, orders,
--- a/internal/testing/simcluster/history_fixture_test.go
+++ b/internal/testing/simcluster/history_fixture_test.go
@@ -22,7 +22,7 @@
 // busySlipBackend is a plain backend that takes long enough for faults to meet requests that run.
 func busySlipBackend(id, zone string) fakesystem.BackendConfig {
 	cfg := slipBackend(id, zone)
-	cfg.Work = 150 * time.Millisecond
+	cfg.RequestTime = 150 * time.Millisecond
 	return cfg
 }
 
--- a/internal/testing/simcluster/relay_test.go
+++ b/internal/testing/simcluster/relay_test.go
@@ -67,11 +67,11 @@
 		leaving := c.Backends[2] // one of two that take slips
 		c.isolate(home)
 		leaving.Drain()
-		for !leaving.Acknowledged() {
+		for !leaving.DrainAcknowledged() {
 			c.Sleep(20 * time.Millisecond)
 		}
 		c.Sleep(drainTime)
-		before := len(leaving.Runs())
+		before := len(leaving.Executions())
 		for range 10 {
 			for _, edge := range others {
 				got, err := c.Send(edge, slipRequest())
@@ -79,7 +79,7 @@
 				is.Equal(got.Status, 200)
 			}
 		}
-		is.Equal(len(leaving.Runs()), before)
+		is.Equal(len(leaving.Executions()), before)
 	})
 }
 
--- a/internal/testing/simcluster/serving_test.go
+++ b/internal/testing/simcluster/serving_test.go
@@ -48,7 +48,7 @@
 		checkStream(t, r, got, 100)
 		runs := c.runsOf(r.ID)
 		is.Equal(len(runs), 2)
-		is.True(runs[1].From > 0) // it did not begin anew
+		is.True(runs[1].LastEventID > 0) // it did not begin anew
 		is.Equal(got.Seal, "seal."+first[0].Backend+"."+r.ID)
 	})
 }
