--- a/internal/controlplane/fragments_test.go
+++ b/internal/controlplane/fragment_test.go
@@ -133,7 +133,7 @@
 // Small messages pass large ones, and both are bounded.
 func TestSmallMessagesPassLargeOnes(t *testing.T) {
 	is := is.New(t)
-	box := &sendQueue{wake: make(chan struct{}, 1)}
+	box := newSendQueue()
 	for number := range uint64(2 * maxQueuedSmall) {
 		box.enqueue(&api.ChainMessage{ViewNumber: number})
 		box.enqueue(largeMessage(maxFragmentBytes, byte(number)))
--- a/internal/controlplane/lease_manager_test.go
+++ b/internal/controlplane/lease_granter_test.go
@@ -5,7 +5,6 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/go-logr/logr"
 	"github.com/matryer/is"
 
 	"marlreel/internal/api"
@@ -23,9 +22,12 @@
 
 var llmKey = lease.PlacementKey("llm")
 
-// ownersTrial is a head's owners with a replicated state that the test commits to.
-type ownersTrial struct {
-	*leaseManager
+// trialTimes are the times of a trial's leases.
+var trialTimes = lease.NewConfig(3*time.Second, true)
+
+// granterTrial is a head's lease granter with a replicated state that the test commits to.
+type granterTrial struct {
+	*leaseGranter
 	machine  *state.Machine
 	sequence uint64
 	out      *watch.Store
@@ -33,11 +35,11 @@
 	commits  bool // what is ordered is committed at once; otherwise it is in doubt
 }
 
-func newOwnersTrial(t *testing.T) *ownersTrial {
+func newGranterTrial(t *testing.T) *granterTrial {
 	t.Helper()
-	o := &ownersTrial{machine: state.New(), out: watch.New("head", time.Now), commits: true}
-	o.leaseManager = newLeaseManager(bootstrap.Bounds{Fencing: true, LeaseMS: 3000}, o.out, func() (uint64, bool) { return 1, true }, o.take, logr.Discard())
-	o.lead(1, true)
+	o := &granterTrial{machine: state.New(), out: watch.New("head", time.Now), commits: true}
+	o.leaseGranter = newLeaseGranter(bootstrap.Bounds{Fencing: true, LeaseMS: 3000}, o.out, func() (uint64, bool) { return 1, true }, o.take, time.Now)
+	o.manager.OnView(1, true)
 	o.commit(&api.Operation{Kind: &api.Operation_Replace{Replace: &api.ReplaceConfiguration{Document: []byte(ownedDocument)}}})
 	if o.machine.Document() == nil {
 		t.Fatal("the configuration was not taken")
@@ -46,43 +48,43 @@
 }
 
 // take is what orders go to.
-func (o *ownersTrial) take(operation *api.Operation, _ uint64) {
+func (o *granterTrial) take(operation *api.Operation, _ uint64) {
 	o.ordered = append(o.ordered, operation)
 	if o.commits {
 		o.commit(operation)
 	}
 }
 
-func (o *ownersTrial) commit(operation *api.Operation) {
+func (o *granterTrial) commit(operation *api.Operation) {
 	o.sequence++
 	o.machine.Apply(&api.Entry{Sequence: o.sequence, Operations: []*api.Operation{operation}})
 	o.out.Reset(o.sequence, o.sequence, o.machine.State())
 }
 
 // look does what the head does ever again, while these nodes report.
-func (o *ownersTrial) look(nodes ...string) {
+func (o *granterTrial) look(nodes ...string) {
 	for _, name := range nodes {
 		o.out.PutNode(&api.Node{Name: name, Address: name + ":1", Incarnation: 1})
 	}
-	o.leaseManager.look()
+	o.submitDueGrants()
 }
 
 // holds tells whether a node's renewal is answered with the role.
-func (o *ownersTrial) holds(node string) bool {
-	return len(o.renew(lease.HolderID(node, 1), false, o.machine)) > 0
+func (o *granterTrial) holds(node string) bool {
+	return len(o.manager.Renew(lease.HolderID(node, 1), false, o.machine.Ownerships())) > 0
 }
 
-func (o *ownersTrial) holder() string { return o.machine.Owner(llmKey).GetHolder() }
+func (o *granterTrial) holder() string { return o.machine.Owner(llmKey).GetHolder() }
 
 // A holder that was silent until its lease had run out, and renews while the grant to another one is under way, gets
 // nothing: both would hold the role at once.
 func TestNoRenewalWhileAGrantIsUnderWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		o := newOwnersTrial(t)
+		o := newGranterTrial(t)
 		o.look("a")
 		is.True(o.holds("a"))
-		time.Sleep(o.wait + time.Millisecond)
+		time.Sleep(trialTimes.TransferWait + time.Millisecond)
 		o.commits = false // the chain has trouble
 		o.look("a", "b")
 		is.Equal(len(o.ordered), 2)
@@ -105,11 +107,11 @@
 func TestTimeToTakeUpCountsFromTheCommit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		o := newOwnersTrial(t)
+		o := newGranterTrial(t)
 		o.commits = false
 		o.look("a", "b")
 		first := o.ordered[0]
-		time.Sleep(maxAcceptDelay + grantInterval)
+		time.Sleep(trialTimes.AcceptTimeout + grantInterval)
 		o.commit(first)
 		o.commits = true
 		o.look("a", "b")
@@ -122,11 +124,11 @@
 func TestARoleThatIsNotTakenUpPassesOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		o := newOwnersTrial(t)
+		o := newGranterTrial(t)
 		o.look("a", "b")
 		first := o.holder()
 		o.look("a", "b") // the grant is seen
-		time.Sleep(maxAcceptDelay + time.Millisecond)
+		time.Sleep(trialTimes.AcceptTimeout + time.Millisecond)
 		o.look("a", "b")
 		is.True(o.holder() != first)
 		is.Equal(o.machine.Owner(llmKey).FencingToken, uint64(2))
@@ -137,10 +139,10 @@
 func TestAGrantThatWasOvertakenIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		o := newOwnersTrial(t)
+		o := newGranterTrial(t)
 		o.look("a")
 		is.True(o.holds("a"))
-		time.Sleep(o.wait + time.Millisecond)
+		time.Sleep(trialTimes.TransferWait + time.Millisecond)
 		o.commits = false // the chain has trouble
 		o.look("a", "b")
 		overtaken := o.ordered[1]
@@ -167,14 +169,14 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			o := newOwnersTrial(t)
+			o := newGranterTrial(t)
 			o.look("a")
 			is.True(o.holds("a"))
-			time.Sleep(o.wait + time.Millisecond)
+			time.Sleep(trialTimes.TransferWait + time.Millisecond)
 			o.headOf = func() (uint64, bool) { return of.view, true }
 			o.look("a", "b")
 			is.Equal(len(o.ordered), of.orders)
-			time.Sleep(o.wait + time.Millisecond)
+			time.Sleep(trialTimes.TransferWait + time.Millisecond)
 			o.look("a", "b")
 			is.Equal(len(o.ordered), 2) // in time the role passes on
 		})
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -107,10 +107,9 @@
 	return m.peers.inZone(time.Now(), zone)
 }
 
-// Run keeps a link to each other member and expires who has timed out, until ctx ends. It returns when the links have
-// ended too. members returns the addresses of all control processes that count.
+// Run keeps a link to each other member and expires who has timed out, until ctx ends. members returns the addresses of
+// all control processes that count.
 func (m *Membership) Run(ctx context.Context, members func() []string) {
-	defer m.links.wait()
 	ticker := time.NewTicker(expiryInterval)
 	defer ticker.Stop()
 	for {
@@ -124,6 +123,9 @@
 	}
 }
 
+// Wait waits for the links' goroutines, after Run has returned: up to updateTimeout, where a call is pending.
+func (m *Membership) Wait() { m.links.running.Wait() }
+
 // updateLinks makes and ends links until there is one to each other member.
 func (m *Membership) updateLinks(ctx context.Context, members []string) {
 	m.mu.Lock()
--- /dev/null
+++ b/internal/controlplane/membership_rpc.go
@@ -0,0 +1,46 @@
+package controlplane
+
+import (
+	"context"
+	"time"
+
+	"github.com/twitchtv/twirp"
+
+	"marlreel/internal/api"
+)
+
+// maxWatchWait bounds how long a watch without an update is kept waiting.
+const maxWatchWait = 10 * time.Second
+
+// Share implements api.Control: another control process tells what it has heard.
+func (s *Service) Share(_ context.Context, update *api.MembershipUpdate) (*api.Empty, error) {
+	if !s.membership.OnPeerUpdate(update) {
+		return nil, twirp.NewError(twirp.FailedPrecondition, "a backend that lives is not known here: all is needed")
+	}
+	return &api.Empty{}, nil
+}
+
+// Watch implements api.Control: a node asks for what is new in the state.
+func (s *Service) Watch(ctx context.Context, request *api.WatchRequest) (*api.WatchReply, error) {
+	if request.Subscriber != "" {
+		s.membership.OnWatch(request.Subscriber)
+	}
+	wait := min(maxWatchWait, time.Duration(request.WaitMs)*time.Millisecond)
+	return s.feed.Wait(ctx, request, wait), nil
+}
+
+// Renew implements api.Control: a node says that it lives.
+func (s *Service) Renew(_ context.Context, request *api.RenewRequest) (*api.RenewReply, error) {
+	if request.Node.GetName() == "" {
+		return nil, twirp.RequiredArgumentError("node")
+	}
+	s.membership.OnNodeCall(request.Node)
+	sequence, _ := s.feed.Position()
+	return &api.RenewReply{Sequence: sequence}, nil
+}
+
+// Observe implements api.Control: an agent tells what it observed of backends.
+func (s *Service) Observe(_ context.Context, observed *api.Observations) (*api.Empty, error) {
+	s.membership.OnObservations(observed.Observations)
+	return &api.Empty{}, nil
+}
--- /dev/null
+++ b/internal/controlplane/orders.go
@@ -0,0 +1,92 @@
+package controlplane
+
+import (
+	"context"
+	"time"
+
+	"marlreel/internal/api"
+	"marlreel/internal/controlplane/result"
+)
+
+const (
+	// orderTimeout is for how long an order is attempted before it is answered. Callers turn to another process after
+	// a second; lowering it answers more orders with unavailable while a new view is agreed on.
+	orderTimeout = 850 * time.Millisecond
+	// attemptInterval is the pause between two attempts.
+	attemptInterval = 40 * time.Millisecond
+)
+
+// Order has an operation done, wherever the head is, and attempts that again while there is time: operations are
+// idempotent. It goes on though its caller leaves, as the operation may be on its way.
+func (s *Service) Order(operation *api.Operation) *result.Error {
+	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
+	defer cancel()
+	attempts := newOrderAttempts()
+	for ctx.Err() == nil {
+		head := s.chainStatus(ctx).Head
+		if head != "" && attempts.OnReply(s.submitAt(ctx, head, operation)) {
+			break
+		}
+		sleep(ctx, attemptInterval)
+	}
+	s.countOrder(attempts.outcome)
+	return attempts.outcome
+}
+
+// orderAttempts follows the attempts of one order.
+type orderAttempts struct {
+	outcome *result.Error // as far as it is known
+}
+
+func newOrderAttempts() *orderAttempts {
+	return &orderAttempts{result.Errorf(result.Unavailable, "no head is known")}
+}
+
+// OnReply handles the answer to an attempt. It returns whether that is the order's outcome.
+func (a *orderAttempts) OnReply(reply *api.SubmitReply) bool {
+	code := result.Code(reply.Code)
+	final := code != result.Unavailable && code != result.Unclear
+	// What may have been done stays unclear, whatever later attempts say.
+	if final || code == result.Unclear || a.outcome.Code != result.Unclear {
+		a.outcome = &result.Error{Code: code, Detail: reply.Detail}
+	}
+	return final
+}
+
+// submitAt has an operation done by the head, if it gets there before ctx ends.
+func (s *Service) submitAt(ctx context.Context, head string, operation *api.Operation) *api.SubmitReply {
+	deadline, _ := ctx.Deadline()
+	if head == s.self {
+		return s.submitHere(ctx, operation, s.clock.at(deadline))
+	}
+	headDeadline := s.peerClocks.instantAt(head, deadline)
+	if headDeadline == nil {
+		headDeadline = s.requestClock(ctx, head, deadline)
+	}
+	if headDeadline == nil {
+		return &api.SubmitReply{Code: uint32(result.Unavailable), Detail: "the head can't be reached"}
+	}
+	reply, err := s.submitTo(ctx, head, &api.SubmitRequest{Operation: operation, Deadline: headDeadline})
+	if err != nil {
+		return &api.SubmitReply{Code: uint32(result.Unclear), Detail: "the head can't be reached"}
+	}
+	return reply
+}
+
+// requestClock requests the head's clock, and returns the deadline by it; nil: the head does not answer.
+func (s *Service) requestClock(ctx context.Context, head string, deadline time.Time) *api.Instant {
+	if _, err := s.submitTo(ctx, head, &api.SubmitRequest{}); err != nil {
+		return nil
+	}
+	return s.peerClocks.instantAt(head, deadline)
+}
+
+// submitTo makes one call to the head, and records its clock.
+func (s *Service) submitTo(ctx context.Context, head string, request *api.SubmitRequest) (*api.SubmitReply, error) {
+	reply, err := api.NewControlProtobufClient("http://"+head, s.client).Submit(ctx, request)
+	if err != nil {
+		return nil, err
+	}
+	s.peerClocks.OnClockReading(head, reply.Clock, time.Now())
+	return reply, nil
+}
--- a/internal/controlplane/peer_clocks.go
+++ b/internal/controlplane/peer_clocks.go
@@ -7,42 +7,44 @@
 	"marlreel/internal/api"
 )
 
-// peerClocks are the steady peerClocks of other processes, as they have told them. A deadline that is
-// said by the receiver's own clock holds however long the call is held up on its way.
+// maxPeerClocks bounds the processes whose clocks are kept; beyond it all are forgotten, and read anew when they are
+// needed.
+const maxPeerClocks = 64
+
+// peerClocks are the monotonic clocks of other processes, as they have told them. A deadline on the receiver's own
+// clock holds however long the call is delayed on its way. Its zero value is ready for use.
 type peerClocks struct {
-	mu    sync.Mutex
-	known map[string]clockReading // by address
+	mu       sync.Mutex
+	readings map[string]clockReading // by the peer's address
 }
 
 // clockReading is what a process has told of its clock.
 type clockReading struct {
-	instant *api.Instant
-	taken   time.Time // when the answer was here: the clock showed more by then
+	instant    *api.Instant
+	receivedAt time.Time // the clock showed more by then
 }
 
-// maxPeerClocks bounds the processes whose clocks are kept.
-const maxPeerClocks = 64
-
-// OnClockReading takes in what a process says of its clock, in an answer that was here at a time.
-func (c *peerClocks) OnClockReading(address string, instant *api.Instant, taken time.Time) {
+// OnClockReading handles what a process says of its clock, in an answer that was received at a time; nil: nothing.
+func (c *peerClocks) OnClockReading(address string, instant *api.Instant, receivedAt time.Time) {
 	if instant == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.known == nil || len(c.known) >= maxPeerClocks {
-		c.known = map[string]clockReading{}
+	if c.readings == nil || len(c.readings) >= maxPeerClocks {
+		c.readings = map[string]clockReading{}
 	}
-	c.known[address] = clockReading{instant, taken}
+	c.readings[address] = clockReading{instant, receivedAt}
 }
 
-// instantAt is a time by a process's clock, or a little before it; nil: its clock is not known.
-func (c *peerClocks) instantAt(address string, at time.Time) *api.Instant {
+// instantAt returns what a process's clock shows at a time, or a little less; nil: its clock is not known.
+func (c *peerClocks) instantAt(address string, t time.Time) *api.Instant {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r, known := c.known[address]
+	reading, known := c.readings[address]
 	if !known {
 		return nil
 	}
-	return &api.Instant{Incarnation: r.instant.Incarnation, MonotonicNs: r.instant.MonotonicNs + uint64(max(0, at.Sub(r.taken)))}
+	elapsed := max(0, t.Sub(reading.receivedAt))
+	return &api.Instant{Incarnation: reading.instant.Incarnation, MonotonicNs: reading.instant.MonotonicNs + uint64(elapsed)}
 }
--- a/internal/controlplane/peer_links.go
+++ b/internal/controlplane/peer_links.go
@@ -49,6 +49,3 @@
 		link.wake()
 	}
 }
-
-// wait waits until all links have ended. Their context has to have ended before.
-func (t *peerLinks) wait() { t.running.Wait() }
--- /dev/null
+++ b/internal/controlplane/replica_reads.go
@@ -0,0 +1,72 @@
+package controlplane
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"marlreel/internal/controlplane/result"
+	"marlreel/internal/controlplane/state"
+)
+
+// ReadReply receives the result of a read, once: the state, which may be read until the callback returns and not be
+// changed. It is nil where the code is not result.Accepted.
+type ReadReply func(code result.Code, machine *state.Machine)
+
+// pendingRead is a read that waits for its confirmation.
+type pendingRead struct {
+	reply    ReadReply
+	deadline time.Duration
+}
+
+// ReadAtTail reads the newest state. Only the tail can, once a majority has confirmed that it is.
+func (r *Replica) ReadAtTail(now time.Duration, reply ReadReply) {
+	if r.failure != nil || !r.node.MayRead() {
+		reply(result.Unavailable, nil)
+		return
+	}
+	r.readAfterConfirmation(now, reply)
+}
+
+// ReadAtHead reads the newest state as the head has it, once a majority has confirmed that it is the head.
+func (r *Replica) ReadAtHead(now time.Duration, reply ReadReply) {
+	if !r.headInService() {
+		reply(result.Unavailable, nil)
+		return
+	}
+	r.readAfterConfirmation(now, reply)
+}
+
+// readAfterConfirmation replies when a majority has confirmed that this process is in its place.
+func (r *Replica) readAfterConfirmation(now time.Duration, reply ReadReply) {
+	r.lastToken++
+	r.pendingReads[r.lastToken] = &pendingRead{reply, now + submissionTimeout}
+	r.apply(r.node.Confirm(now, r.lastToken))
+}
+
+// abortConfirmations replies to all that waits for a confirmation, in the order in which it came.
+func (r *Replica) abortConfirmations(reason string) {
+	r.abortConfirmationsIf(func(time.Duration) bool { return true }, reason)
+}
+
+// expireConfirmations replies to what has waited for a confirmation until its deadline.
+func (r *Replica) expireConfirmations(now time.Duration) {
+	r.abortConfirmationsIf(func(deadline time.Duration) bool { return now >= deadline }, "no majority answers")
+}
+
+func (r *Replica) abortConfirmationsIf(expired func(deadline time.Duration) bool, reason string) {
+	for _, token := range slices.Sorted(maps.Keys(r.pendingConfirmations)) {
+		if b := r.pendingConfirmations[token]; expired(b.deadline) {
+			delete(r.pendingConfirmations, token)
+			r.node.Abandon(token)
+			b.abort(result.Unavailable, reason)
+		}
+	}
+	for _, token := range slices.Sorted(maps.Keys(r.pendingReads)) {
+		if read := r.pendingReads[token]; expired(read.deadline) {
+			delete(r.pendingReads, token)
+			r.node.Abandon(token)
+			read.reply(result.Unavailable, nil)
+		}
+	}
+}
--- a/internal/controlplane/replica_runner.go
+++ b/internal/controlplane/replica_runner.go
@@ -2,13 +2,9 @@
 
 import (
 	"context"
-	"crypto/rand"
-	"encoding/binary"
-	mathrand "math/rand/v2"
 	"time"
 
 	"github.com/go-logr/logr"
-	"github.com/rotisserie/eris"
 
 	"marlreel/internal/api"
 	"marlreel/internal/controlplane/chain"
@@ -17,277 +13,184 @@
 	"marlreel/internal/distribution/watch"
 	"marlreel/internal/process/bootstrap"
 	"marlreel/internal/process/host"
+	"marlreel/internal/process/logevent"
 )
 
 const (
-	// tickInterval is how often the chain looks at the time.
+	// tickInterval is how often the replica is told the time. Raising it detects failures and answers timeouts as
+	// much later.
 	tickInterval = 30 * time.Millisecond
 	// storeReopenDelay is how long a store that has failed rests before it is opened again.
 	storeReopenDelay = 500 * time.Millisecond
-	// maxPendingEvents bounds what waits for the keeper's goroutine.
+	// leavePollInterval is how often it is looked whether the chain can do without this process.
+	leavePollInterval = 20 * time.Millisecond
+	// maxPendingEvents bounds the backlog of the runner's goroutine. What is above it is rejected, or lost where it is
+	// sent again.
 	maxPendingEvents = 1024
 )
 
-// ReplicaRunner runs a replica on one goroutine, with its store: it opens it, and opens it
-// anew after a failure.
+// ReplicaRunner owns this process's replica and its store: its goroutine opens the store, runs the replica, and opens
+// the store anew after a failure. All other goroutines reach the replica through the methods of the runner, which post
+// events to it.
 type ReplicaRunner struct {
-	host        *host.Host
-	settings    *bootstrap.Settings
-	config      chain.Config
-	sender      Sender
-	feed        *watch.Store
-	log         logr.Logger
-	events      chan func()
-	began       time.Time
-	incarnation uint64 // of this process
-	store       *store.Store
-	replica     *Replica // nil: there is no store
-	reopenAt    time.Time
-	leaving     bool // the process is about to end
-}
-
-// NewReplicaRunner makes a keeper.
-func NewReplicaRunner(machine *host.Host, sender Sender, out *watch.Store) *ReplicaRunner {
-	settings := machine.Settings
+	host     *host.Host
+	settings *bootstrap.Settings
+	config   chain.Config
+	sender   Sender
+	feed     *watch.Store
+	log      logr.Logger
+	clock    processClock
+	events   chan func()
+
+	// Of the runner's goroutine.
+	store    *store.Store
+	replica  *Replica  // nil: there is no store
+	reopenAt time.Time // when the store may be opened again
+	leaving  bool      // the process is shutting down
+}
+
+// NewReplicaRunner makes a runner, which does nothing until it is run.
+func NewReplicaRunner(machine *host.Host, sender Sender, feed *watch.Store, clock processClock) *ReplicaRunner {
 	return &ReplicaRunner{
-		host: machine, settings: settings, config: chain.DefaultConfig(settings.TargetMembers()), sender: sender, feed: out,
-		incarnation: mathrand.Uint64(), log: machine.Log, events: make(chan func(), maxPendingEvents), began: time.Now(),
+		host: machine, settings: machine.Settings, config: chain.DefaultConfig(machine.Settings.TargetMembers()),
+		sender: sender, feed: feed, log: machine.Log, clock: clock, events: make(chan func(), maxPendingEvents),
 	}
 }
 
-// now is the steady clock. It starts above 0.
-func (k *ReplicaRunner) now() time.Duration { return k.monotonic(time.Now()) }
-
-// monotonic is a time on the steady monotonic.
-func (k *ReplicaRunner) monotonic(at time.Time) time.Duration { return at.Sub(k.began) + time.Second }
-
-// ClockReading is now, for other processes.
-func (k *ReplicaRunner) ClockReading() *api.Instant {
-	return &api.Instant{Incarnation: k.incarnation, MonotonicNs: uint64(k.now())}
-}
-
-// deadlineOf reads what another process says of this one's clock; ok is false where it is of another life.
-func (k *ReplicaRunner) deadlineOf(instant *api.Instant) (until time.Duration, ok bool) {
-	return time.Duration(instant.GetMonotonicNs()), instant.GetIncarnation() == k.incarnation
-}
-
-// Run keeps the chain until ctx ends.
-func (k *ReplicaRunner) Run(ctx context.Context) {
+// Run runs the replica until ctx ends, and closes its store.
+func (r *ReplicaRunner) Run(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	defer k.close()
+	defer r.closeStore()
 	for {
 		select {
-		case event := <-k.events:
+		case event := <-r.events:
 			event()
 		case <-ticker.C:
-			k.tick()
+			r.tick()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (k *ReplicaRunner) tick() {
-	if k.replica != nil && k.replica.Failure() != nil {
-		k.close()
-		k.reopenAt = time.Now().Add(storeReopenDelay)
+func (r *ReplicaRunner) tick() {
+	if r.replica != nil && r.replica.Failure() != nil {
+		r.scheduleReopen()
 	}
-	if k.replica == nil && !time.Now().Before(k.reopenAt) {
-		if err := k.open(); err != nil {
-			k.log.Error(err, "the store can't be opened", "event", "store")
-			k.close()
-			k.reopenAt = time.Now().Add(storeReopenDelay)
+	if r.replica == nil && !time.Now().Before(r.reopenAt) {
+		if err := r.openStore(); err != nil {
+			r.log.Error(err, logevent.StoreOpenFailed)
+			r.scheduleReopen()
 		}
 	}
-	if k.replica != nil {
-		k.replica.Node().SetContacts(k.settings.SeedPeers())
-		k.replica.Tick(k.now())
+	if r.replica != nil {
+		r.replica.Node().SetContacts(r.settings.SeedPeers())
+		r.replica.Tick(r.clock.now())
 	}
 }
 
-func (k *ReplicaRunner) close() {
-	k.replica = nil
-	if k.store != nil {
-		// What it may still hold back was answered as unclear.
-		_ = k.store.Close()
-		k.store = nil
-	}
+// scheduleReopen closes the store, and has it opened again after a while.
+func (r *ReplicaRunner) scheduleReopen() {
+	r.closeStore()
+	r.reopenAt = time.Now().Add(storeReopenDelay)
 }
 
-// open opens the store and makes a replica of what it holds.
-func (k *ReplicaRunner) open() error {
-	opened, err := k.host.Open()
-	if err != nil {
-		return err
-	}
-	k.store = opened
-	durable, err := opened.Load()
-	if eris.Is(err, store.ErrDamaged) {
-		// Its promises can't be trusted: it comes back as another member, without any.
-		k.log.Error(err, "the store is set aside", "event", "store")
-		k.close()
-		return k.host.Forget()
-	}
-	if err != nil {
-		return err
-	}
-	if durable.Self == nil {
-		if durable, err = k.initialise(); err != nil {
-			return err
-		}
-	}
-	k.replica = NewReplica(k.config, durable, k.settings.SeedPeers(), opened, k.sender, k.feed, k.log, k.now())
-	if k.leaving {
-		k.replica.Leave(k.now())
+// post has an event handled on the runner's goroutine. It returns false where the backlog is full.
+func (r *ReplicaRunner) post(event func()) bool {
+	select {
+	case r.events <- event:
+		return true
+	default:
+		return false
 	}
-	return nil
 }
 
-// leavePollInterval is how often it is looked whether the chain can do without this process.
-const leavePollInterval = 20 * time.Millisecond
-
-// Leave takes this process out of the chain, and waits until that can do without it or ctx ends.
-func (k *ReplicaRunner) Leave(ctx context.Context) {
-	k.post(func() {
-		k.leaving = true
-		if k.replica != nil {
-			k.replica.Leave(k.now())
+// Leave takes this process out of the chain. It returns when the chain can do without it, or when ctx ends.
+func (r *ReplicaRunner) Leave(ctx context.Context) {
+	r.post(func() {
+		r.leaving = true
+		if r.replica != nil {
+			r.replica.Leave(r.clock.now())
 		}
 	})
 	for ctx.Err() == nil {
-		left := make(chan bool, 1)
-		k.post(func() { left <- k.replica == nil || k.replica.Node().Left() })
-		select {
-		case over := <-left:
-			if over {
-				return
-			}
-		case <-ctx.Done():
+		left, _ := await(ctx, r.hasLeft)
+		if left {
+			return
 		}
 		sleep(ctx, leavePollInterval)
 	}
 }
 
-// initialise gives an empty disk an identity: a founder's at the very first start of the
-// system, or else that of one who waits to be taken in.
-func (k *ReplicaRunner) initialise() (chain.Durable, error) {
-	self := &api.Member{Address: k.settings.PeerAddress(), Incarnation: chain.FounderIncarnation}
-	durable := chain.Durable{Self: self}
-	if k.settings.FirstStart && k.settings.IsSeed() {
-		durable.View = chain.FoundingView(k.settings.SeedPeers())
-	} else {
-		var random [8]byte
-		if _, err := rand.Read(random[:]); err != nil {
-			return durable, eris.Wrap(err, "drawing an incarnation")
-		}
-		self.Incarnation = binary.BigEndian.Uint64(random[:]) | 1<<63
-	}
-	return durable, k.store.Save(&durable, chain.Changed{Self: true, View: durable.View != nil})
+// hasLeft answers whether the chain can do without this process.
+func (r *ReplicaRunner) hasLeft(answer func(bool)) {
+	r.post(func() { answer(r.replica == nil || r.replica.Node().Left()) })
 }
 
-// post has an event handled on the keeper's goroutine; it tells whether there was room.
-func (k *ReplicaRunner) post(event func()) bool {
-	select {
-	case k.events <- event:
-		return true
-	default:
-		return false
-	}
-}
-
-// Deliver takes messages of other members in.
-func (k *ReplicaRunner) Deliver(messages []*api.ChainMessage) {
-	k.post(func() {
-		if k.replica == nil {
+// Deliver handles messages of other members. They are lost where the backlog is full.
+func (r *ReplicaRunner) Deliver(messages []*api.ChainMessage) {
+	r.post(func() {
+		if r.replica == nil {
 			return
 		}
 		for _, message := range messages {
-			k.replica.Receive(k.now(), message)
+			r.replica.Receive(r.clock.now(), message)
 		}
 	})
 }
 
-// Submit has an operation done here, if this is the head and it comes before until.
-func (k *ReplicaRunner) Submit(operation *api.Operation, until time.Duration, reply Reply) {
-	posted := k.post(func() {
-		if k.replica == nil {
+// Submit has an operation done, if this process is the head and that begins before a deadline on its clock.
+func (r *ReplicaRunner) Submit(operation *api.Operation, deadline time.Duration, reply Reply) {
+	posted := r.post(func() {
+		if r.replica == nil {
 			reply(result.Unavailable, "this process has no store")
 			return
 		}
-		k.replica.Submit(k.now(), operation, until, reply)
+		r.replica.Submit(r.clock.now(), operation, deadline, reply)
 	})
 	if !posted {
 		reply(result.Unavailable, "too much waits")
 	}
 }
 
-// SubmitInView has an operation done here, if this is the head of a view and it comes before until.
-func (k *ReplicaRunner) SubmitInView(operation *api.Operation, view uint64, until time.Duration, reply Reply) {
-	k.post(func() {
-		if k.replica != nil {
-			k.replica.SubmitInView(k.now(), operation, view, until, reply)
+// SubmitInView does the same, if this process is the head of a view. It does not reply where there is no store or the
+// backlog is full: who decides such operations decides again.
+func (r *ReplicaRunner) SubmitInView(operation *api.Operation, view uint64, deadline time.Duration, reply Reply) {
+	r.post(func() {
+		if r.replica != nil {
+			r.replica.SubmitInView(r.clock.now(), operation, view, deadline, reply)
 		}
 	})
 }
 
-// ReadState reads the newest state here, if this is the tail; atHead: if it is the head.
-func (k *ReplicaRunner) ReadState(atHead bool, reply ReadReply) {
-	posted := k.post(func() {
-		switch {
-		case k.replica == nil:
+// ReadAtTail reads the newest state, if this process is the tail.
+func (r *ReplicaRunner) ReadAtTail(reply ReadReply) { r.read((*Replica).ReadAtTail, reply) }
+
+// ReadAtHead reads the newest state, if this process is the head.
+func (r *ReplicaRunner) ReadAtHead(reply ReadReply) { r.read((*Replica).ReadAtHead, reply) }
+
+func (r *ReplicaRunner) read(read func(*Replica, time.Duration, ReadReply), reply ReadReply) {
+	posted := r.post(func() {
+		if r.replica == nil {
 			reply(result.Unavailable, nil)
-		case atHead:
-			k.replica.ReadAtHead(k.now(), reply)
-		default:
-			k.replica.Read(k.now(), reply)
+			return
 		}
+		read(r.replica, r.clock.now(), reply)
 	})
 	if !posted {
 		reply(result.Unavailable, nil)
 	}
 }
 
-// ChainStatus is where this process stands in the chain, as far as it knows.
-type ChainStatus struct {
-	Head, Tail  string   // addresses; "" is not known
-	Members     []string // addresses of all members
-	Chain       []string // addresses of those in the chain, the head first
-	Leaving     bool     // this process is about to end, and asks to be left out
-	CatchingUp  string   // whom this head brings up to date; "" is nobody
-	Connected   bool     // in service, and a majority is heard
-	View        uint64
-	Committed   uint64
-	StoreFailed bool // there is no store that could be written
-}
-
-// ChainStatus asks the keeper's goroutine.
-func (k *ReplicaRunner) ChainStatus(take func(ChainStatus)) {
-	posted := k.post(func() {
-		s := chainStatusOf(k.replica)
-		s.Leaving = k.leaving
-		take(s)
+// ChainStatus gives the status of the chain to a callback; its zero value where the backlog is full.
+func (r *ReplicaRunner) ChainStatus(answer func(ChainStatus)) {
+	posted := r.post(func() {
+		status := chainStatusOf(r.replica)
+		status.Leaving = r.leaving
+		answer(status)
 	})
 	if !posted {
-		take(ChainStatus{})
-	}
-}
-
-// chainStatusOf is where a replica stands; nil: there is no store.
-func chainStatusOf(r *Replica) ChainStatus {
-	if r == nil {
-		return ChainStatus{StoreFailed: true}
-	}
-	node := r.Node()
-	s := ChainStatus{
-		Head: node.Head().GetAddress(), Tail: node.Tail().GetAddress(), Connected: node.Connected(),
-		View: node.View().GetNumber(), Committed: node.Committed(), CatchingUp: node.CatchingUp(),
-	}
-	for _, member := range node.View().Members {
-		s.Members = append(s.Members, member.Address)
-	}
-	for _, member := range node.View().Chain {
-		s.Chain = append(s.Chain, member.Address)
+		answer(ChainStatus{})
 	}
-	return s
 }
--- a/internal/controlplane/run.go
+++ b/internal/controlplane/run.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"math/rand/v2"
+	"net"
 	"sync"
 	"time"
 
@@ -15,152 +16,154 @@
 	"marlreel/internal/distribution/watch"
 	"marlreel/internal/process/bootstrap"
 	"marlreel/internal/process/host"
+	"marlreel/internal/process/logevent"
 	"marlreel/internal/process/metricserver"
 	"marlreel/internal/process/transport"
 )
 
 const (
-	// chainStatusInterval is how often the feed is told where this process stands.
-	chainStatusInterval = 100 * time.Millisecond
-	// shutdownTimeout is how long calls in hand may take when the process ends.
+	// shutdownTimeout is how long pending calls may take when the process ends.
 	shutdownTimeout = time.Second
+	// maxLeaveTimeout is long enough for another member to take a state of some MB.
+	maxLeaveTimeout = 4 * time.Second
+	// leaveGraceShare divides the platform's grace period: leaving may take that part of it.
+	leaveGraceShare = 2
 )
 
-// Run is a control process until parent ends and the chain can do without it.
+// Run runs a control process until parent ends and the chain can do without it, or until one of its servers fails,
+// which is the error.
 func Run(parent context.Context, machine *host.Host) error {
-	settings, log := machine.Settings, machine.Log
-	// The process serves on until the chain can do without it.
-	ctx, cancel := context.WithCancel(context.Background())
+	// The process serves on after parent has ended, until the chain can do without it.
+	ctx, cancel := context.WithCancel(context.WithoutCancel(parent))
 	defer cancel()
-	client := transport.NewClient(machine.Network.Dial)
-	out := watch.New(fmt.Sprintf("%s/%x", settings.NodeName, rand.Uint64()), time.Now)
-	socket, err := machine.Network.ListenPacket(settings.PeerAddress())
+	socket, err := machine.Network.ListenPacket(machine.Settings.PeerAddress())
 	if err != nil {
-		return eris.Wrapf(err, "listening at %s", settings.PeerAddress())
+		return eris.Wrapf(err, "listening at %s", machine.Settings.PeerAddress())
+	}
+	p := newControlProcess(ctx, machine, socket)
+	defer p.closeSocket()
+	if err := p.startServers(); err != nil {
+		return err
 	}
-	defer socket.Close()
-	keeper := NewReplicaRunner(machine, NewPeerSender(ctx, client, socket), out)
-	go receiveDatagrams(socket, keeper.Deliver)
+	p.startLoops(ctx)
+	p.host.Log.Info(logevent.ControlStarted, logevent.KeyAddress, p.host.Settings.PeerAddress(),
+		logevent.KeyControlAddress, p.host.Settings.Listen.Control)
+	err = p.waitForEnd(parent)
+	return multierr.Append(err, p.shutdown(ctx, cancel))
+}
+
+// controlProcess is a running control process. It owns its servers, their listeners, its socket and its goroutines.
+type controlProcess struct {
+	host       *host.Host
+	socket     net.PacketConn
+	sender     *PeerSender
+	runner     *ReplicaRunner
+	membership *Membership
+	service    *Service
+	view       *chainView
+
+	peers       *fasthttp.Server // for other processes of the system
+	operators   *fasthttp.Server // for operators and backends
+	listeners   []net.Listener
+	serveErrors chan error
+	serving     sync.WaitGroup // ends when the listeners and the socket are closed
+	loops       sync.WaitGroup // ends with the context
+}
+
+// newControlProcess makes a process whose parts end with ctx, and receives datagrams from its socket.
+func newControlProcess(ctx context.Context, machine *host.Host, socket net.PacketConn) *controlProcess {
+	settings := machine.Settings
+	client := transport.NewClient(machine.Network.Dial)
+	feed := watch.New(fmt.Sprintf("%s/%x", settings.NodeName, rand.Uint64()), time.Now)
 	self := &api.ControlNode{Address: settings.PeerAddress(), Zone: settings.Zone, PublicAddress: settings.Listen.Control}
-	registry := NewMembership(self, out, settings.BeatInterval(), client)
-	service := &Service{
-		runner: keeper, membership: registry, feed: out, self: settings.PeerAddress(), client: client,
-		fragments: newReassembler(),
+	clock := newProcessClock()
+	p := &controlProcess{host: machine, socket: socket, view: &chainView{seeds: settings.SeedPeers}, serveErrors: make(chan error, 2)}
+	p.sender = NewPeerSender(ctx, client, socket)
+	p.runner = NewReplicaRunner(machine, p.sender, feed, clock)
+	p.membership = NewMembership(self, feed, settings.BeatInterval(), client)
+	p.service = &Service{
+		runner: p.runner, membership: p.membership, feed: feed, self: settings.PeerAddress(), client: client,
+		clock: clock, fragments: newReassembler(), log: machine.Log,
 	}
-	members := &chainView{seeds: settings.SeedPeers}
-	service.leases = newLeaseManager(settings.Bounds, out, func() (uint64, bool) { return members.headOf(settings.PeerAddress()) },
-		service.grant, log)
+	headOfView := func() (uint64, bool) { return p.view.headOf(settings.PeerAddress()) }
+	p.service.leases = newLeaseGranter(settings.Bounds, feed, headOfView, p.service.submitGrant, time.Now)
+	p.serving.Go(func() { receiveDatagrams(socket, p.runner.Deliver) })
+	return p
+}
 
-	peers := transport.NewServer(nil, api.NewChainPeerServer(service), api.NewControlServer(service))
-	operators := transport.NewServer(service.Handle)
-	operators.MaxRequestBodySize = maxConfigurationBytes
-	var servers sync.WaitGroup
-	failures := make(chan error, 2)
-	for address, server := range map[string]*fasthttp.Server{settings.PeerAddress(): peers, settings.Listen.Control: operators} {
-		listener, err := machine.Network.Listen(address)
+// startServers begins to serve other processes, operators and backends.
+func (p *controlProcess) startServers() error {
+	p.peers = transport.NewServer(nil, api.NewChainPeerServer(p.service), api.NewControlServer(p.service))
+	p.operators = transport.NewServer(p.service.Handle)
+	p.operators.MaxRequestBodySize = maxConfigurationBytes
+	for _, address := range []string{p.host.Settings.PeerAddress(), p.host.Settings.Listen.Control} {
+		listener, err := p.host.Network.Listen(address)
 		if err != nil {
+			p.closeListeners()
 			return eris.Wrapf(err, "listening at %s", address)
 		}
-		servers.Go(func() { failures <- server.Serve(listener) })
+		p.listeners = append(p.listeners, listener)
 	}
-	var loops sync.WaitGroup
-	loops.Go(func() { keeper.Run(ctx) })
-	loops.Go(func() { registry.Run(ctx, members.addresses) })
-	loops.Go(func() { service.leases.run(ctx) })
-	loops.Go(func() { publishChainStatus(ctx, keeper, registry, out, members) })
-	go metricserver.Serve(ctx, machine.Network, settings.MetricsAddress(bootstrap.ControlMetrics), service.newMetrics(), log)
-	log.Info("control serves", "event", "start", "peer", settings.PeerAddress(), "control", settings.Listen.Control)
-
-	var failed error
-	select {
-	case <-parent.Done():
-		log.Info("leaves the chain", "event", "end")
-		leaving, over := context.WithTimeout(machine.Alive(), leaveTimeout(settings))
-		keeper.Leave(leaving)
-		over()
-	case failed = <-failures:
+	for i, server := range []*fasthttp.Server{p.peers, p.operators} {
+		p.serving.Go(func() { p.serveErrors <- server.Serve(p.listeners[i]) })
 	}
-	patience, stop := context.WithTimeout(context.Background(), shutdownTimeout)
-	defer stop()
-	failed = multierr.Combine(failed, operators.ShutdownWithContext(patience))
-	cancel()
-	loops.Wait()
-	return multierr.Append(failed, peers.ShutdownWithContext(patience))
+	return nil
 }
 
-// leaveTimeout is how long a process that is told to end waits until the chain can do without it:
-// long enough for another member to take a state of some MB in, and within the platform's patience.
-func leaveTimeout(settings *bootstrap.Settings) time.Duration {
-	const share, most = 2, 4 * time.Second
-	return min(bootstrap.Seconds(settings.Bounds.GraceS)/share, most)
+// startLoops starts what the process does by itself, until ctx ends.
+func (p *controlProcess) startLoops(ctx context.Context) {
+	feed, settings := p.service.feed, p.host.Settings
+	p.loops.Go(func() { p.runner.Run(ctx) })
+	p.loops.Go(func() { p.membership.Run(ctx, p.view.addresses) })
+	p.loops.Go(func() { p.service.leases.run(ctx) })
+	p.loops.Go(func() { publishChainStatus(ctx, p.runner, p.membership, feed, p.view) })
+	go metricserver.Serve(ctx, p.host.Network, settings.MetricsAddress(bootstrap.ControlMetrics), p.service.newMetrics(), p.host.Log)
 }
 
-// chainView are the addresses of the control processes, as last known.
-type chainView struct {
-	mu      sync.Mutex
-	seeds   func() []string
-	members []string
-	head    string // "": this process is not connected
-	view    uint64
-}
-
-// headOf tells whether a process is the head of a chain to which this one is connected, and of which view.
-func (l *chainView) headOf(self string) (view uint64, isHead bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.view, l.head == self
-}
-
-func (l *chainView) addresses() []string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if len(l.members) > 0 {
-		return l.members
+// waitForEnd waits until parent ends and the chain can do without this process, or a server fails, which is the error.
+func (p *controlProcess) waitForEnd(parent context.Context) error {
+	select {
+	case err := <-p.serveErrors:
+		return err
+	case <-parent.Done():
 	}
-	return l.seeds()
+	p.host.Log.Info(logevent.ChainLeaving)
+	leaving, cancel := context.WithTimeout(p.host.Alive(), leaveTimeout(p.host.Settings))
+	defer cancel()
+	p.runner.Leave(leaving)
+	return nil
 }
 
-func (l *chainView) OnChainStatus(s ChainStatus) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.members, l.head, l.view = s.Members, "", s.View
-	if s.Connected {
-		l.head = s.Head
-	}
+// leaveTimeout is how long a process that is told to end waits until the chain can do without it, within the
+// platform's grace period.
+func leaveTimeout(settings *bootstrap.Settings) time.Duration {
+	return min(bootstrap.Seconds(settings.Bounds.GraceS)/leaveGraceShare, maxLeaveTimeout)
 }
 
-// publishChainStatus tells the feed whether this process's word is fresh, and since long enough.
-func publishChainStatus(ctx context.Context, keeper *ReplicaRunner, registry *Membership, out *watch.Store, members *chainView) {
-	ticker := time.NewTicker(chainStatusInterval)
-	defer ticker.Stop()
-	word := freshnessTracker{establishedAfter: registry.BackendTimeout()}
-	for {
-		select {
-		case <-ticker.C:
-		case <-ctx.Done():
-			return
-		}
-		keeper.ChainStatus(func(s ChainStatus) {
-			members.OnChainStatus(s)
-			out.SetControls(registry.ControlNodes(s.Members))
-			out.SetStanding(word.OnChainStatus(s, time.Now()))
-		})
-	}
+// shutdown ends the servers and the loops: operators are answered first, peers last. stop ends the context of the
+// process's parts; ctx is that context.
+func (p *controlProcess) shutdown(ctx context.Context, stop context.CancelFunc) error {
+	pending, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
+	defer cancel()
+	err := p.operators.ShutdownWithContext(pending)
+	stop()
+	p.loops.Wait()
+	err = multierr.Append(err, p.peers.ShutdownWithContext(pending))
+	p.closeListeners()
+	p.membership.Wait()
+	p.sender.Wait()
+	return err
 }
 
-// freshnessTracker is what a control process's word is worth to those that read its feed.
-type freshnessTracker struct {
-	establishedAfter time.Duration
-	connectedSince   time.Time // zero: it is not connected
+// closeListeners closes the listeners that the servers have not closed.
+func (p *controlProcess) closeListeners() {
+	for _, listener := range p.listeners {
+		_ = listener.Close() // a server that has shut down has closed it
+	}
 }
 
-// OnChainStatus takes in where the process stands at a time.
-func (w *freshnessTracker) OnChainStatus(s ChainStatus, now time.Time) watch.Standing {
-	switch {
-	case !s.Connected:
-		w.connectedSince = time.Time{}
-	case w.connectedSince.IsZero():
-		w.connectedSince = now
-	}
-	return watch.Standing{Fresh: s.Connected, Established: s.Connected && now.Sub(w.connectedSince) > w.establishedAfter}
+// closeSocket closes the socket, and waits for all that received or served.
+func (p *controlProcess) closeSocket() {
+	_ = p.socket.Close()
+	p.serving.Wait()
 }
--- a/internal/controlplane/simulation_test.go
+++ b/internal/controlplane/simulation_test.go
@@ -25,7 +25,7 @@
 
 // A world is control processes with their stores, agents that follow them and hold roles, backends that take orders,
 // and operators, on one queue of events: what happens, and in which order, comes from one seed. It runs the very
-// replica, store, feed, owners and clocks of the program; what the program does by goroutines, it does by events.
+// replica, store, feed, lease granter and clocks of the program; what the program does by goroutines, it does by events.
 
 // occurrence is something that happens at a time.
 type occurrence struct {
@@ -272,7 +272,7 @@
 	replica *Replica // nil: there is no store
 	openAt  time.Duration
 	feed    *watch.Store
-	owners  *leaseManager
+	leases  *leaseGranter
 	clocks  peerClocks
 	members chainView
 	word    freshnessTracker
@@ -304,9 +304,8 @@
 	c.clocks, c.members = peerClocks{}, chainView{seeds: func() []string { return w.seeds }}
 	c.word = freshnessTracker{establishedAfter: 4 * time.Second}
 	c.feed = watch.New(fmt.Sprintf("%s/%d", c.address, c.life), w.clock)
-	c.owners = newLeaseManager(bootstrap.Bounds{Fencing: true, LeaseMS: 3000}, c.feed, func() (uint64, bool) { return c.members.headOf(c.address) },
-		c.grant, logr.Discard())
-	c.owners.now = w.clock
+	c.leases = newLeaseGranter(bootstrap.Bounds{Fencing: true, LeaseMS: 3000}, c.feed, func() (uint64, bool) { return c.members.headOf(c.address) },
+		c.grant, w.clock)
 	life := c.life
 	alive := func() bool { return c.up && c.life == life }
 	regularly := func(span time.Duration, do func()) {
@@ -319,7 +318,7 @@
 	}
 	regularly(coreTick, c.tick)
 	regularly(chainStatusInterval, c.followStanding)
-	regularly(grantInterval, c.owners.look)
+	regularly(grantInterval, c.leases.submitDueGrants)
 	regularly(expiryInterval, func() { c.feed.ExpireNodes(nodeTimeout) })
 }
 
@@ -655,7 +654,7 @@
 				answer(nil)
 				return
 			}
-			server.replica.Read(server.clock(w.now), func(code result.Code, m *state.Machine) { answer(stateRead(code, m, ids)) })
+			server.replica.ReadAtTail(server.clock(w.now), func(code result.Code, m *state.Machine) { answer(stateRead(code, m, ids)) })
 		})
 	}, func(answer **newestState) {
 		if answer == nil {
@@ -691,8 +690,8 @@
 		c.replica.ReadAtHead(c.clock(w.now), func(code result.Code, m *state.Machine) {
 			answer := &api.LeaseReply{Code: uint32(code)}
 			if m != nil {
-				answer.Renewed = c.owners.renew(holder, false, m)
-				answer.ValidMs = uint32(c.owners.valid.Milliseconds())
+				answer.Renewed = c.leases.manager.Renew(holder, false, m.Ownerships())
+				answer.ValidMs = uint32(c.leases.manager.GrantDuration().Milliseconds())
 			}
 			reply(answer)
 		})
