--- /dev/null
+++ b/internal/controlplane/backend_handlers.go
@@ -0,0 +1,97 @@
+package controlplane
+
+import (
+	"encoding/json"
+	"strings"
+
+	"github.com/valyala/fasthttp"
+
+	"marlreel/internal/api"
+	"marlreel/internal/controlplane/result"
+)
+
+const (
+	verbHeartbeat = "heartbeat"
+	verbDetach    = "detach"
+
+	// stateDraining is the state of a backend that takes no more requests.
+	stateDraining = "draining"
+)
+
+// heartbeat is what a backend says of itself.
+type heartbeat struct {
+	Service      string        `json:"service"`
+	Address      string        `json:"address"`
+	Zone         string        `json:"zone"`
+	Software     string        `json:"config_version"`
+	Slots        uint32        `json:"slots"`
+	State        string        `json:"state"`
+	WarmupLeftMS float64       `json:"cold_left_ms"`
+	Models       []loadedModel `json:"model_list"`
+	Sequence     uint64        `json:"call_seq"`
+}
+
+// loadedModel is a model in a backend's memory.
+type loadedModel struct {
+	Name     string   `json:"name"`
+	Version  uint64   `json:"config_version"`
+	Adapters []string `json:"adapter_list"`
+}
+
+// heartbeatReply names an address for a backend's later heartbeats.
+type heartbeatReply struct {
+	Address string `json:"beat_address"`
+}
+
+// handleBackend handles ID/heartbeat and ID/detach.
+func (s *Service) handleBackend(ctx *fasthttp.RequestCtx, target string) {
+	id, verb, _ := strings.Cut(target, "/")
+	switch {
+	case id != "" && verb == verbHeartbeat:
+		s.handleHeartbeat(ctx, id)
+	case id != "" && verb == verbDetach:
+		s.handleRetirement(ctx, id)
+	default:
+		reject(ctx, result.Errorf(result.UnknownPath, "backends %s", target))
+	}
+}
+
+// handleHeartbeat handles a backend's heartbeat. One that is draining is retired.
+func (s *Service) handleHeartbeat(ctx *fasthttp.RequestCtx, id string) {
+	var received heartbeat
+	if err := json.Unmarshal(ctx.PostBody(), &received); err != nil {
+		reject(ctx, result.Errorf(result.Unreadable, "heartbeat: %v", err))
+		return
+	}
+	if received.Service == "" || received.Address == "" {
+		reject(ctx, result.Errorf(result.InvalidField, "heartbeat: service and address are needed"))
+		return
+	}
+	s.membership.OnHeartbeat(received.backend(id))
+	if received.State == stateDraining {
+		s.handleRetirement(ctx, id)
+		return
+	}
+	respond(ctx, &result.Error{Code: result.Accepted})
+	if address := s.membership.peerInZone(received.Zone); address != "" {
+		body, _ := json.Marshal(heartbeatReply{Address: address}) // a struct of plain fields always marshals
+		ctx.SetBody(body)
+	}
+}
+
+// backend is the backend that a heartbeat describes.
+func (h *heartbeat) backend(id string) *api.Backend {
+	b := &api.Backend{
+		Id: id, Service: h.Service, Address: h.Address, Zone: h.Zone, Software: h.Software, Slots: h.Slots,
+		Draining: h.State == stateDraining, WarmupLeftMs: uint32(max(0, h.WarmupLeftMS)), CallSequence: h.Sequence,
+	}
+	for _, model := range h.Models {
+		b.Models = append(b.Models, &api.LoadedModel{Name: model.Name, Version: model.Version, Adapters: model.Adapters})
+	}
+	return b
+}
+
+// handleRetirement acknowledges a backend's end once that is on more than half of the disks.
+func (s *Service) handleRetirement(ctx *fasthttp.RequestCtx, id string) {
+	respond(ctx, s.Order(&api.Operation{Kind: &api.Operation_Retire{Retire: &api.RetireBackend{Id: id}}}))
+}
--- a/internal/controlplane/metrics.go
+++ b/internal/controlplane/metrics.go
@@ -11,13 +11,13 @@
 	"marlreel/internal/process/metricserver"
 )
 
-// newMetrics makes the figures of a control process.
+// newMetrics makes the metrics of a control process (docs/METRICS.md).
 func (s *Service) newMetrics() *vm.Set {
 	set := vm.NewSet()
 	set.RegisterMetricsWriter(s.writeChainMetrics)
 	set.NewGauge("marlreel_config_version", func() float64 {
 		version := uint64(0)
-		s.feed.View(func(m *state.Machine) { version = m.Version() })
+		s.feed.View(func(machine *state.Machine) { version = machine.Version() })
 		return float64(version)
 	})
 	set.NewGauge("marlreel_backends", func() float64 { return float64(len(s.feed.Backends())) })
@@ -29,22 +29,26 @@
 
 // countOrder counts an order that was answered, by its result.
 func (s *Service) countOrder(outcome *result.Error) {
-	if set := s.counters.Load(); set != nil {
-		set.GetOrCreateCounter(metricserver.Name("marlreel_orders_total", metricserver.Label{Key: "result", Value: outcome.Code.String()})).Inc()
+	set := s.counters.Load()
+	if set == nil {
+		return
 	}
+	name := metricserver.Name("marlreel_orders_total", metricserver.Label{Key: "result", Value: outcome.Code.String()})
+	set.GetOrCreateCounter(name).Inc()
 }
 
-// writeChainMetrics writes how the chain stands: nothing of it where that is not known in time.
+// writeChainMetrics writes the metrics of the chain: those of a chain that nothing is known of where its status is not
+// known in time.
 func (s *Service) writeChainMetrics(w io.Writer) {
-	patience, cancel := context.WithTimeout(context.Background(), statusTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
-	standing := s.chainStatus(patience)
-	vm.WriteGaugeFloat64(w, "marlreel_chain_connected", metricserver.Flag(standing.Connected))
-	vm.WriteGaugeUint64(w, "marlreel_chain_view", standing.View)
-	vm.WriteGaugeUint64(w, "marlreel_chain_members", uint64(len(standing.Members)))
-	vm.WriteGaugeUint64(w, "marlreel_chain_length", uint64(len(standing.Chain)))
-	vm.WriteGaugeFloat64(w, "marlreel_chain_leaving", metricserver.Flag(standing.Leaving))
-	vm.WriteGaugeFloat64(w, "marlreel_chain_catching_up", metricserver.Flag(standing.CatchingUp != ""))
-	vm.WriteGaugeUint64(w, "marlreel_chain_committed", standing.Committed)
-	vm.WriteGaugeFloat64(w, "marlreel_store_failed", metricserver.Flag(standing.StoreFailed))
+	status := s.chainStatus(ctx)
+	vm.WriteGaugeFloat64(w, "marlreel_chain_connected", metricserver.Flag(status.Connected))
+	vm.WriteGaugeUint64(w, "marlreel_chain_view", status.View)
+	vm.WriteGaugeUint64(w, "marlreel_chain_members", uint64(len(status.Members)))
+	vm.WriteGaugeUint64(w, "marlreel_chain_length", uint64(len(status.Chain)))
+	vm.WriteGaugeFloat64(w, "marlreel_chain_leaving", metricserver.Flag(status.Leaving))
+	vm.WriteGaugeFloat64(w, "marlreel_chain_catching_up", metricserver.Flag(status.CatchingUp != ""))
+	vm.WriteGaugeUint64(w, "marlreel_chain_committed", status.Committed)
+	vm.WriteGaugeFloat64(w, "marlreel_store_failed", metricserver.Flag(status.StoreFailed))
 }
--- a/internal/controlplane/operator_handlers.go
+++ b/internal/controlplane/operator_handlers.go
@@ -13,24 +13,25 @@
 	"marlreel/internal/sockets"
 )
 
-// The paths of control's interface for the operator and for backends.
+// The paths of control's interface for operators and backends.
 const (
 	pathReplace    = "/marlreel/config/replace"
 	pathModify     = "/marlreel/config/modify"
 	pathRead       = "/marlreel/config/read"
+	pathStatus     = "/marlreel/status"
 	pathEvacuation = "/marlreel/evacuation/"
 	pathBackends   = "/marlreel/backends/"
 
 	verbBegin     = "begin"
 	verbTerminate = "terminate"
-	verbHeartbeat = "heartbeat"
-	verbDetach    = "detach"
 
 	headerBase = "Base-Version"
-	// maxConfigurationBytes bounds a configuration.
+	// maxConfigurationBytes bounds the body of a request, which may be a configuration.
 	maxConfigurationBytes = 16 << 20
 )
 
+const contentTypeJSON = "application/json"
+
 // failureReply is the body of an answer that is no success.
 type failureReply struct {
 	Code   result.Code `json:"code"`
@@ -39,57 +40,81 @@
 	Advice string      `json:"advice"`
 }
 
-// Handle answers a call of the operator or of a backend.
+// Handle answers the request of an operator or a backend.
 func (s *Service) Handle(ctx *fasthttp.RequestCtx) {
-	path, post := string(ctx.Path()), ctx.IsPost()
+	path := string(ctx.Path())
 	switch {
-	case post && path == pathReplace:
-		s.handleChange(ctx, func(base uint64, body []byte) *api.Operation {
-			return &api.Operation{Kind: &api.Operation_Replace{Replace: &api.ReplaceConfiguration{BaseVersion: base, Document: body}}}
-		})
-	case post && path == pathModify:
-		s.handleChange(ctx, func(base uint64, body []byte) *api.Operation {
-			return &api.Operation{Kind: &api.Operation_Modify{Modify: &api.ModifyConfiguration{BaseVersion: base, Change: body}}}
-		})
+	case ctx.IsPost():
+		s.handlePost(ctx, path)
 	case ctx.IsGet() && path == pathRead:
 		s.handleRead(ctx)
 	case ctx.IsGet() && path == pathStatus:
 		s.handleStatus(ctx)
-	case post && strings.HasPrefix(path, pathEvacuation):
+	default:
+		rejectPath(ctx, path)
+	}
+}
+
+func (s *Service) handlePost(ctx *fasthttp.RequestCtx, path string) {
+	switch {
+	case path == pathReplace:
+		s.handleChange(ctx, replaceOperation)
+	case path == pathModify:
+		s.handleChange(ctx, modifyOperation)
+	case strings.HasPrefix(path, pathEvacuation):
 		s.handleEvacuation(ctx, strings.TrimPrefix(path, pathEvacuation))
-	case post && strings.HasPrefix(path, pathBackends):
+	case strings.HasPrefix(path, pathBackends):
 		s.handleBackend(ctx, strings.TrimPrefix(path, pathBackends))
 	default:
-		reject(ctx, result.Errorf(result.UnknownPath, "%s %s", ctx.Method(), path))
+		rejectPath(ctx, path)
 	}
 }
 
-func reject(ctx *fasthttp.RequestCtx, err *result.Error) {
-	ctx.SetStatusCode(err.Code.Status())
-	ctx.SetContentType("application/json")
-	// A struct of plain fields always marshals.
-	body, _ := json.Marshal(failureReply{Code: err.Code, Result: err.Code.String(), Cause: err.Detail, Advice: err.Advice()})
-	ctx.SetBody(body)
+func replaceOperation(base uint64, document []byte) *api.Operation {
+	return &api.Operation{Kind: &api.Operation_Replace{Replace: &api.ReplaceConfiguration{BaseVersion: base, Document: document}}}
 }
 
+func modifyOperation(base uint64, change []byte) *api.Operation {
+	return &api.Operation{Kind: &api.Operation_Modify{Modify: &api.ModifyConfiguration{BaseVersion: base, Change: change}}}
+}
+
+// respond answers with the outcome of an order.
 func respond(ctx *fasthttp.RequestCtx, outcome *result.Error) {
 	if !outcome.Code.Done() {
 		reject(ctx, outcome)
 		return
 	}
+	respondJSON(ctx, []byte("{}"))
+}
+
+func respondJSON(ctx *fasthttp.RequestCtx, body []byte) {
 	ctx.SetStatusCode(fasthttp.StatusOK)
-	ctx.SetContentType("application/json")
-	ctx.SetBodyString("{}")
+	ctx.SetContentType(contentTypeJSON)
+	ctx.SetBody(body)
+}
+
+// reject answers with an error.
+func reject(ctx *fasthttp.RequestCtx, err *result.Error) {
+	ctx.SetStatusCode(err.Code.Status())
+	ctx.SetContentType(contentTypeJSON)
+	// A struct of plain fields always marshals.
+	body, _ := json.Marshal(failureReply{Code: err.Code, Result: err.Code.String(), Cause: err.Detail, Advice: err.Advice()})
+	ctx.SetBody(body)
 }
 
-// handleChange takes a configuration, or a handleChange of one.
+func rejectPath(ctx *fasthttp.RequestCtx, path string) {
+	reject(ctx, result.Errorf(result.UnknownPath, "%s %s", ctx.Method(), path))
+}
+
+// handleChange handles a configuration, or a change of one, as which the body goes into an operation.
 func (s *Service) handleChange(ctx *fasthttp.RequestCtx, operation func(base uint64, body []byte) *api.Operation) {
 	base, err := strconv.ParseUint(string(ctx.Request.Header.Peek(headerBase)), 10, 64)
 	if err != nil {
 		reject(ctx, result.Errorf(result.InvalidField, "%s: a version is needed", headerBase))
 		return
 	}
-	if !s.callerConnected(ctx) {
+	if !callerConnected(ctx) {
+		rejectDisconnected(ctx)
 		return
 	}
 	body := append([]byte(nil), ctx.PostBody()...)
@@ -102,37 +127,37 @@
 
 func (s *Service) handleRead(ctx *fasthttp.RequestCtx) {
 	reply, err := s.Configuration()
-	if err != nil {
+	switch {
+	case err != nil:
 		reject(ctx, err)
-		return
-	}
-	ctx.SetContentType("application/json")
-	if len(reply.Document) == 0 {
-		ctx.SetBodyString("{}")
-		return
+	case len(reply.Document) == 0:
+		respondJSON(ctx, []byte("{}"))
+	default:
+		respondJSON(ctx, reply.Document)
 	}
-	ctx.SetBody(reply.Document)
 }
 
-// callerConnected tells whether who sent an order still waits for its answer, and answers where not. A process that
-// stood still, or was cut off, finds orders whose callers have turned to another process long since, and gone on.
-func (s *Service) callerConnected(ctx *fasthttp.RequestCtx) bool {
-	if conn := ctx.Conn(); conn == nil || sockets.PeerIsThere(conn) {
-		return true
-	}
+// callerConnected tells whether the caller of an order still waits for its answer. A process that stood still, or was
+// cut off, finds orders whose callers have turned to another process long since, and gone on.
+func callerConnected(ctx *fasthttp.RequestCtx) bool {
+	conn := ctx.Conn()
+	return conn == nil || sockets.PeerIsThere(conn)
+}
+
+func rejectDisconnected(ctx *fasthttp.RequestCtx) {
 	reject(ctx, result.Errorf(result.Unavailable, "its caller has gone"))
 	ctx.SetConnectionClose()
-	return false
 }
 
-// handleEvacuation takes ZONE/begin and ZONE/terminate.
-func (s *Service) handleEvacuation(ctx *fasthttp.RequestCtx, rest string) {
-	zone, verb, _ := strings.Cut(rest, "/")
-	if verb != verbBegin && verb != verbTerminate || zone == "" {
-		reject(ctx, result.Errorf(result.UnknownPath, "evacuation %s", rest))
+// handleEvacuation handles ZONE/begin and ZONE/terminate.
+func (s *Service) handleEvacuation(ctx *fasthttp.RequestCtx, target string) {
+	zone, verb, _ := strings.Cut(target, "/")
+	if zone == "" || !isEvacuationVerb(verb) {
+		reject(ctx, result.Errorf(result.UnknownPath, "evacuation %s", target))
 		return
 	}
-	if !s.callerConnected(ctx) {
+	if !callerConnected(ctx) {
+		rejectDisconnected(ctx)
 		return
 	}
 	respond(ctx, s.Order(&api.Operation{Kind: &api.Operation_Evacuation{
@@ -140,76 +165,4 @@
 	}}))
 }
 
-// heartbeat is what a backend says of itself.
-type heartbeat struct {
-	Service      string        `json:"service"`
-	Address      string        `json:"address"`
-	Zone         string        `json:"zone"`
-	Software     string        `json:"config_version"`
-	Slots        uint32        `json:"slots"`
-	State        string        `json:"state"`
-	WarmupLeftMS float64       `json:"cold_left_ms"`
-	Models       []loadedModel `json:"model_list"`
-	Sequence     uint64        `json:"call_seq"`
-}
-
-type loadedModel struct {
-	Name     string   `json:"name"`
-	Version  uint64   `json:"config_version"`
-	Adapters []string `json:"adapter_list"`
-}
-
-const stateDraining = "draining"
-
-// handleBackend takes ID/heartbeat and ID/detach.
-func (s *Service) handleBackend(ctx *fasthttp.RequestCtx, rest string) {
-	id, verb, _ := strings.Cut(rest, "/")
-	if verb != verbHeartbeat && verb != verbDetach || id == "" {
-		reject(ctx, result.Errorf(result.UnknownPath, "backends %s", rest))
-		return
-	}
-	if verb == verbDetach {
-		s.handleRetirement(ctx, id)
-		return
-	}
-	var beat heartbeat
-	if err := json.Unmarshal(ctx.PostBody(), &beat); err != nil {
-		reject(ctx, result.Errorf(result.Unreadable, "heartbeat: %v", err))
-		return
-	}
-	if beat.Service == "" || beat.Address == "" {
-		reject(ctx, result.Errorf(result.InvalidField, "heartbeat: service and address are needed"))
-		return
-	}
-	s.membership.OnHeartbeat(beat.backend(id))
-	if beat.State == stateDraining {
-		s.handleRetirement(ctx, id)
-		return
-	}
-	respond(ctx, &result.Error{Code: result.Accepted})
-	if near := s.membership.peerInZone(beat.Zone); near != "" {
-		body, _ := json.Marshal(heartbeatReply{Address: near}) // a struct of plain fields always marshals
-		ctx.SetBody(body)
-	}
-}
-
-// heartbeatReply names an address for a backend's later heartbeats.
-type heartbeatReply struct {
-	Address string `json:"beat_address"`
-}
-
-func (h *heartbeat) backend(id string) *api.Backend {
-	b := &api.Backend{
-		Id: id, Service: h.Service, Address: h.Address, Zone: h.Zone, Software: h.Software, Slots: h.Slots,
-		Draining: h.State == stateDraining, WarmupLeftMs: uint32(max(0, h.WarmupLeftMS)), CallSequence: h.Sequence,
-	}
-	for _, m := range h.Models {
-		b.Models = append(b.Models, &api.LoadedModel{Name: m.Name, Version: m.Version, Adapters: m.Adapters})
-	}
-	return b
-}
-
-// handleRetirement acknowledges a backend's end once that is on more than half of the disks.
-func (s *Service) handleRetirement(ctx *fasthttp.RequestCtx, id string) {
-	respond(ctx, s.Order(&api.Operation{Kind: &api.Operation_Retire{Retire: &api.RetireBackend{Id: id}}}))
-}
+func isEvacuationVerb(verb string) bool { return verb == verbBegin || verb == verbTerminate }
--- a/internal/controlplane/status_handler.go
+++ b/internal/controlplane/status_handler.go
@@ -7,12 +7,14 @@
 
 	"github.com/valyala/fasthttp"
 
+	"marlreel/internal/api"
 	"marlreel/internal/controlplane/state"
 )
 
-const pathStatus = "/marlreel/status"
+// statusTimeout bounds the wait for the chain's status. Where it passes that is left empty.
+const statusTimeout = 500 * time.Millisecond
 
-// Status is how things stand, as one control process sees them.
+// Status is the system as one control process sees it.
 type Status struct {
 	Node        string          `json:"node"`
 	Connected   bool            `json:"connected"` // in service, and a majority is heard
@@ -20,20 +22,20 @@
 	Head        string          `json:"head"`
 	Tail        string          `json:"tail"`
 	Members     []string        `json:"members"`
-	Chain       []string        `json:"chain"`       // the members that hold all, the head first
-	Leaving     bool            `json:"leaving"`     // this process is about to end
+	Chain       []string        `json:"chain"`       // the members in the chain, the head first
+	Leaving     bool            `json:"leaving"`     // this process is shutting down
 	CatchingUp  string          `json:"catching_up"` // whom this process, the head, brings up to date
 	Committed   uint64          `json:"committed"`
 	Version     uint64          `json:"config_version"`
 	Evacuated   []string        `json:"evacuated_zones"`
 	Leases      []LeaseStatus   `json:"roles"`
 	Nodes       []NodeStatus    `json:"nodes"`
-	Subscribers []string        `json:"readers"` // nodes that read the feed at this process
+	Subscribers []string        `json:"readers"` // nodes that watch the state at this process
 	Backends    []BackendStatus `json:"backends"`
 	StoreFailed bool            `json:"store_failed"`
 }
 
-// LeaseStatus is a role and who holds it.
+// LeaseStatus is a lease and who holds it.
 type LeaseStatus struct {
 	Key          string `json:"key"`
 	Holder       string `json:"holder"`
@@ -44,50 +46,58 @@
 type NodeStatus struct {
 	Name  string `json:"name"`
 	Zone  string `json:"zone"`
-	AgeMS uint32 `json:"silent_ms"`
+	AgeMS uint32 `json:"silent_ms"` // since its last call
 }
 
-// BackendStatus is a backend as it was last heard.
+// BackendStatus is a backend by its last heartbeat.
 type BackendStatus struct {
 	ID           string   `json:"id"`
 	Service      string   `json:"service"`
 	Zone         string   `json:"zone"`
 	Draining     bool     `json:"draining"`
 	WarmupLeftMS uint32   `json:"cold_ms"`
-	AgeMS        uint32   `json:"silent_ms"`
+	AgeMS        uint32   `json:"silent_ms"` // since that heartbeat
 	Models       []string `json:"models"`
 }
 
-// statusTimeout bounds the look at the chain.
-const statusTimeout = 500 * time.Millisecond
-
-// handleStatus answers with how things stand.
+// handleStatus answers with a Status.
 func (s *Service) handleStatus(ctx *fasthttp.RequestCtx) {
-	patience, cancel := context.WithTimeout(context.Background(), statusTimeout)
+	timeout, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
-	standing := s.chainStatus(patience)
-	out := Status{
-		Node: s.self, Connected: standing.Connected, View: standing.View, Head: standing.Head, Tail: standing.Tail,
-		Members: standing.Members, Chain: standing.Chain, Leaving: standing.Leaving, CatchingUp: standing.CatchingUp, Committed: standing.Committed, StoreFailed: standing.StoreFailed,
+	body, _ := json.Marshal(s.status(timeout)) // a struct of plain fields always marshals
+	respondJSON(ctx, body)
+}
+
+// status collects a Status. What of it only the replica knows is left empty where ctx ends before.
+func (s *Service) status(ctx context.Context) *Status {
+	chain := s.chainStatus(ctx)
+	status := &Status{
+		Node: s.self, Connected: chain.Connected, View: chain.View, Head: chain.Head, Tail: chain.Tail,
+		Members: chain.Members, Chain: chain.Chain, Leaving: chain.Leaving, CatchingUp: chain.CatchingUp,
+		Committed: chain.Committed, StoreFailed: chain.StoreFailed,
 	}
-	s.feed.View(func(m *state.Machine) {
-		out.Version, out.Evacuated = m.Version(), m.EvacuatedZones()
-		for _, o := range m.Ownerships() {
-			out.Leases = append(out.Leases, LeaseStatus{Key: o.Key, Holder: o.Holder, FencingToken: o.FencingToken})
+	s.feed.View(func(machine *state.Machine) {
+		status.Version, status.Evacuated = machine.Version(), machine.EvacuatedZones()
+		for _, o := range machine.Ownerships() {
+			status.Leases = append(status.Leases, LeaseStatus{Key: o.Key, Holder: o.Holder, FencingToken: o.FencingToken})
 		}
 	})
-	out.Subscribers = s.membership.Subscribers()
+	status.Subscribers = s.membership.Subscribers()
 	for _, n := range s.feed.Nodes() {
-		out.Nodes = append(out.Nodes, NodeStatus{Name: n.Name, Zone: n.Zone, AgeMS: n.AgeMs})
+		status.Nodes = append(status.Nodes, NodeStatus{Name: n.Name, Zone: n.Zone, AgeMS: n.AgeMs})
 	}
 	for _, b := range s.feed.Backends() {
-		status := BackendStatus{ID: b.Id, Service: b.Service, Zone: b.Zone, Draining: b.Draining, WarmupLeftMS: b.WarmupLeftMs, AgeMS: b.AgeMs}
-		for _, m := range b.Models {
-			status.Models = append(status.Models, m.Name)
-		}
-		out.Backends = append(out.Backends, status)
+		status.Backends = append(status.Backends, backendStatus(b))
+	}
+	return status
+}
+
+func backendStatus(b *api.Backend) BackendStatus {
+	status := BackendStatus{
+		ID: b.Id, Service: b.Service, Zone: b.Zone, Draining: b.Draining, WarmupLeftMS: b.WarmupLeftMs, AgeMS: b.AgeMs,
+	}
+	for _, model := range b.Models {
+		status.Models = append(status.Models, model.Name)
 	}
-	ctx.SetContentType("application/json")
-	body, _ := json.Marshal(out) // a struct of plain fields always marshals
-	ctx.SetBody(body)
+	return status
 }
