--- a/internal/controlplane/backend_handlers.go
+++ b/internal/controlplane/backend_handlers.go
@@ -60,7 +60,7 @@
 func (s *Service) handleHeartbeat(ctx *fasthttp.RequestCtx, id string) {
 	var received heartbeat
 	if err := json.Unmarshal(ctx.PostBody(), &received); err != nil {
-		reject(ctx, result.Errorf(result.Unreadable, "heartbeat: %v", err))
+		reject(ctx, result.Errorf(result.Malformed, "heartbeat: %v", err))
 		return
 	}
 	if received.Service == "" || received.Address == "" {
@@ -72,7 +72,7 @@
 		s.handleRetirement(ctx, id)
 		return
 	}
-	respond(ctx, &result.Error{Code: result.Accepted})
+	respond(ctx, &result.Error{Code: result.Committed})
 	if address := s.membership.peerInZone(received.Zone); address != "" {
 		body, _ := json.Marshal(heartbeatReply{Address: address}) // a struct of plain fields always marshals
 		ctx.SetBody(body)
--- a/internal/controlplane/chain/chain_test.go
+++ b/internal/controlplane/chain/chain_test.go
@@ -8,16 +8,16 @@
 	"github.com/matryer/is"
 )
 
-// settle is how long a cluster has to come back after a fault.
-const settle = 4 * time.Second
+// settleTime is how long a cluster has to come back after a fault.
+const settleTime = 4 * time.Second
 
 func (c *cluster) mustServe(why string) {
 	c.t.Helper()
-	c.runFor(settle)
-	before := len(c.acked)
+	c.runFor(settleTime)
+	before := len(c.acknowledged)
 	c.runFor(200 * time.Millisecond)
-	if len(c.acked) == before {
-		c.fail("%s: nothing is acknowledged after %v", why, settle)
+	if len(c.acknowledged) == before {
+		c.fail("%s: nothing is acknowledged after %v", why, settleTime)
 	}
 	c.audit()
 	c.auditService()
@@ -103,7 +103,7 @@
 	head := c.head()
 	c.isolate(head, true)
 	c.mustServe("the head is cut off")
-	is.Equal(head.node.MayPropose(), false)
+	is.Equal(head.node.CanPropose(), false)
 	c.isolate(head, false)
 	c.mustServe("the cut has healed")
 	is.True(head.node.InService())
@@ -117,13 +117,13 @@
 		head := c.head()
 		for _, other := range c.processes {
 			if deaf {
-				c.cut[other.address+">"+head.address] = true
+				c.partitioned[other.address+">"+head.address] = true
 			} else {
-				c.cut[head.address+">"+other.address] = true
+				c.partitioned[head.address+">"+other.address] = true
 			}
 		}
 		c.mustServe("words pass one way alone")
-		clear(c.cut)
+		clear(c.partitioned)
 		c.mustServe("and both ways again")
 		if !head.node.InService() {
 			c.fail("the head is not back")
@@ -152,20 +152,20 @@
 	c.mustServe("founding")
 	tail := c.processes[0]
 	for _, p := range c.processes {
-		if p.node.MayRead() {
+		if p.node.CanRead() {
 			tail = p
 		}
 	}
 	confirmed := func(token uint64) bool {
 		got := false
-		out := tail.node.Confirm(c.now, token)
-		for _, t := range out.Confirmed {
+		out := tail.node.ConfirmView(c.now, token)
+		for _, t := range out.ConfirmedTokens {
 			got = got || t == token
 		}
 		c.carryOut(tail, out)
 		for range 200 {
 			c.runFor(time.Millisecond)
-			if _, waits := tail.node.confirms[token]; !waits {
+			if _, waits := tail.node.confirmations[token]; !waits {
 				got = true
 				break
 			}
@@ -174,9 +174,9 @@
 	}
 	is.True(confirmed(1)) // a tail in touch reads
 	c.isolate(tail, true)
-	tail.node.Confirm(c.now, 2)
+	tail.node.ConfirmView(c.now, 2)
 	c.runFor(100 * time.Millisecond)
-	_, waits := tail.node.confirms[2]
+	_, waits := tail.node.confirmations[2]
 	is.True(waits) // a tail that is cut off does not
 }
 
@@ -201,9 +201,9 @@
 		c.mustServe("an old one has left")
 	}
 	c.isolate(lonely, false)
-	c.runFor(settle)
+	c.runFor(settleTime)
 	is.True(!lonely.node.Connected()) // nobody is left whom it knows
-	lonely.node.SetContacts(newcomers)
+	lonely.node.SetSeeds(newcomers)
 	c.mustServe("it knows the new ones")
 	is.True(lonely.node.InService())
 }
--- a/internal/controlplane/chain_rpc.go
+++ b/internal/controlplane/chain_rpc.go
@@ -47,7 +47,7 @@
 		})
 	})
 	if !answered {
-		return &api.SubmitReply{Code: uint32(result.Unclear), Detail: "no answer in time"}
+		return &api.SubmitReply{Code: uint32(result.OutcomeUnknown), Detail: "no answer in time"}
 	}
 	return reply
 }
--- a/internal/controlplane/chain_status.go
+++ b/internal/controlplane/chain_status.go
@@ -25,7 +25,7 @@
 	node := replica.Node()
 	return ChainStatus{
 		Head: node.Head().GetAddress(), Tail: node.Tail().GetAddress(), Connected: node.Connected(),
-		View: node.View().GetNumber(), Committed: node.Committed(), CatchingUp: node.CatchingUp(),
+		View: node.View().GetNumber(), Committed: node.Committed(), CatchingUp: node.CatchUpAddress(),
 		Members: addressesOf(node.View().Members), Chain: addressesOf(node.View().Chain),
 	}
 }
--- a/internal/controlplane/chain_view.go
+++ b/internal/controlplane/chain_view.go
@@ -56,7 +56,7 @@
 }
 
 // OnChainStatus handles the chain's status at a time.
-func (f *freshnessTracker) OnChainStatus(status ChainStatus, now time.Time) watch.Standing {
+func (f *freshnessTracker) OnChainStatus(status ChainStatus, now time.Time) watch.SourceStatus {
 	switch {
 	case !status.Connected:
 		f.connectedSince = time.Time{}
@@ -64,7 +64,7 @@
 		f.connectedSince = now
 	}
 	established := status.Connected && now.Sub(f.connectedSince) > f.establishedAfter
-	return watch.Standing{Fresh: status.Connected, Established: established}
+	return watch.SourceStatus{Fresh: status.Connected, Established: established}
 }
 
 // publishChainStatus hands the chain's status to the view, and what follows from it to the feed, until ctx ends.
@@ -80,8 +80,8 @@
 		}
 		runner.ChainStatus(func(status ChainStatus) {
 			view.OnChainStatus(status)
-			feed.SetControls(membership.ControlNodes(status.Members))
-			feed.SetStanding(freshness.OnChainStatus(status, time.Now()))
+			feed.SetControlNodes(membership.ControlNodes(status.Members))
+			feed.SetSourceStatus(freshness.OnChainStatus(status, time.Now()))
 		})
 	}
 }
--- a/internal/controlplane/configuration_read.go
+++ b/internal/controlplane/configuration_read.go
@@ -28,7 +28,7 @@
 		return nil
 	}
 	reply, err := s.readAt(ctx, tail)
-	if err != nil || result.Code(reply.Code) != result.Accepted {
+	if err != nil || result.Code(reply.Code) != result.Committed {
 		return nil
 	}
 	return reply
--- a/internal/controlplane/lease_granter.go
+++ b/internal/controlplane/lease_granter.go
@@ -28,7 +28,7 @@
 func newLeaseGranter(bounds bootstrap.Bounds, feed *watch.Store, headOf func() (uint64, bool), submit func(*api.Operation, uint64),
 	now func() time.Time,
 ) *leaseGranter {
-	config := lease.NewConfig(bootstrap.Milliseconds(bounds.LeaseMS), bounds.Fencing)
+	config := lease.NewConfig(bootstrap.Milliseconds(bounds.LeaseDurationMS), bounds.Fencing)
 	return &leaseGranter{manager: lease.NewManager(config, now), feed: feed, headOf: headOf, submit: submit}
 }
 
@@ -66,13 +66,13 @@
 // leaseRecords returns the leases that the configuration calls for: one for each service whose models are placed.
 func (g *leaseGranter) leaseRecords() []lease.Record {
 	var records []lease.Record
-	g.feed.View(func(machine *state.Machine) {
+	g.feed.ReadState(func(machine *state.Machine) {
 		if machine.Document() == nil {
 			return
 		}
 		for i := range machine.Document().Services {
 			if key := placementLease(&machine.Document().Services[i]); key != "" {
-				records = append(records, lease.Record{Key: key, Ownership: machine.Owner(key)})
+				records = append(records, lease.Record{Key: key, Ownership: machine.Lease(key)})
 			}
 		}
 	})
--- a/internal/controlplane/lease_granter_test.go
+++ b/internal/controlplane/lease_granter_test.go
@@ -38,7 +38,7 @@
 func newGranterTrial(t *testing.T) *granterTrial {
 	t.Helper()
 	o := &granterTrial{machine: state.New(), out: watch.New("head", time.Now), commits: true}
-	o.leaseGranter = newLeaseGranter(bootstrap.Bounds{Fencing: true, LeaseMS: 3000}, o.out, func() (uint64, bool) { return 1, true }, o.take, time.Now)
+	o.leaseGranter = newLeaseGranter(bootstrap.Bounds{Fencing: true, LeaseDurationMS: 3000}, o.out, func() (uint64, bool) { return 1, true }, o.take, time.Now)
 	o.manager.OnView(1, true)
 	o.commit(&api.Operation{Kind: &api.Operation_Replace{Replace: &api.ReplaceConfiguration{Document: []byte(ownedDocument)}}})
 	if o.machine.Document() == nil {
@@ -58,23 +58,23 @@
 func (o *granterTrial) commit(operation *api.Operation) {
 	o.sequence++
 	o.machine.Apply(&api.Entry{Sequence: o.sequence, Operations: []*api.Operation{operation}})
-	o.out.Reset(o.sequence, o.sequence, o.machine.State())
+	o.out.InstallSnapshot(o.sequence, o.sequence, o.machine.State())
 }
 
 // look does what the head does ever again, while these nodes report.
 func (o *granterTrial) look(nodes ...string) {
 	for _, name := range nodes {
-		o.out.PutNode(&api.Node{Name: name, Address: name + ":1", Incarnation: 1})
+		o.out.RecordNode(&api.Node{Name: name, Address: name + ":1", Incarnation: 1})
 	}
 	o.submitDueGrants()
 }
 
 // holds tells whether a node's renewal is answered with the role.
 func (o *granterTrial) holds(node string) bool {
-	return len(o.manager.Renew(lease.HolderID(node, 1), false, o.machine.Ownerships())) > 0
+	return len(o.manager.Renew(lease.HolderID(node, 1), false, o.machine.Leases())) > 0
 }
 
-func (o *granterTrial) holder() string { return o.machine.Owner(llmKey).GetHolder() }
+func (o *granterTrial) holder() string { return o.machine.Lease(llmKey).GetHolder() }
 
 // A holder that was silent until its lease had run out, and renews while the grant to another one is under way, gets
 // nothing: both would hold the role at once.
@@ -131,7 +131,7 @@
 		time.Sleep(trialTimes.AcceptTimeout + time.Millisecond)
 		o.look("a", "b")
 		is.True(o.holder() != first)
-		is.Equal(o.machine.Owner(llmKey).FencingToken, uint64(2))
+		is.Equal(o.machine.Lease(llmKey).FencingToken, uint64(2))
 	})
 }
 
--- a/internal/controlplane/lease_rpc.go
+++ b/internal/controlplane/lease_rpc.go
@@ -34,7 +34,7 @@
 	if machine == nil {
 		return reply
 	}
-	reply.Renewed = s.leases.manager.Renew(request.Holder, request.Release, machine.Ownerships())
+	reply.Renewed = s.leases.manager.Renew(request.Holder, request.Release, machine.Leases())
 	reply.ValidMs = uint32(s.leases.manager.GrantDuration().Milliseconds())
 	return reply
 }
@@ -55,7 +55,7 @@
 func (s *Service) submitGrant(grant *api.Operation, view uint64) {
 	deadline := s.clock.at(time.Now().Add(orderTimeout))
 	s.runner.SubmitInView(grant, view, deadline, func(code result.Code, detail string) {
-		if code.Done() {
+		if code.Succeeded() {
 			return
 		}
 		s.log.V(1).Info(logevent.LeaseGrantFailed, logevent.KeyLease, grant.GetGrant().GetKey(), logevent.KeyView, view,
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -48,7 +48,7 @@
 	m.mu.Lock()
 	m.backends.lastSeen.onSignOfLife(time.Now(), b.Id)
 	m.mu.Unlock()
-	if m.feed.Put(b) {
+	if m.feed.RecordBackend(b) {
 		m.wakeLinks()
 	}
 }
@@ -59,7 +59,7 @@
 	m.mu.Lock()
 	known := m.nodes.onCall(time.Now(), n.Name)
 	m.mu.Unlock()
-	m.feed.PutNode(n)
+	m.feed.RecordNode(n)
 	if !known {
 		m.wakeLinks()
 	}
@@ -84,7 +84,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, observation := range observations {
-		m.feed.Observe(observation)
+		m.feed.RecordObservation(observation)
 		m.links.onObservation(observation)
 	}
 }
@@ -148,6 +148,6 @@
 	m.nodes.expire(now)
 	m.subscribers.expire(now)
 	m.mu.Unlock()
-	m.feed.Expire(func(b *api.Backend, _ time.Duration) bool { return expired[b.Id] })
+	m.feed.ExpireBackends(func(b *api.Backend, _ time.Duration) bool { return expired[b.Id] })
 	m.feed.ExpireNodes(nodeTimeout)
 }
--- a/internal/controlplane/membership_rpc.go
+++ b/internal/controlplane/membership_rpc.go
@@ -26,7 +26,7 @@
 		s.membership.OnWatch(request.Subscriber)
 	}
 	wait := min(maxWatchWait, time.Duration(request.WaitMs)*time.Millisecond)
-	return s.feed.Wait(ctx, request, wait), nil
+	return s.feed.HandleWatch(ctx, request, wait), nil
 }
 
 // Renew implements api.Control: a node says that it lives.
--- a/internal/controlplane/metrics.go
+++ b/internal/controlplane/metrics.go
@@ -17,7 +17,7 @@
 	set.RegisterMetricsWriter(s.writeChainMetrics)
 	set.NewGauge("marlreel_config_version", func() float64 {
 		version := uint64(0)
-		s.feed.View(func(machine *state.Machine) { version = machine.Version() })
+		s.feed.ReadState(func(machine *state.Machine) { version = machine.Version() })
 		return float64(version)
 	})
 	set.NewGauge("marlreel_backends", func() float64 { return float64(len(s.feed.Backends())) })
@@ -33,7 +33,7 @@
 	if set == nil {
 		return
 	}
-	name := metricserver.Name("marlreel_orders_total", metricserver.Label{Key: "result", Value: outcome.Code.String()})
+	name := metricserver.SeriesName("marlreel_orders_total", metricserver.Label{Key: "result", Value: outcome.Code.String()})
 	set.GetOrCreateCounter(name).Inc()
 }
 
@@ -43,12 +43,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
 	status := s.chainStatus(ctx)
-	vm.WriteGaugeFloat64(w, "marlreel_chain_connected", metricserver.Flag(status.Connected))
+	vm.WriteGaugeFloat64(w, "marlreel_chain_connected", metricserver.BoolValue(status.Connected))
 	vm.WriteGaugeUint64(w, "marlreel_chain_view", status.View)
 	vm.WriteGaugeUint64(w, "marlreel_chain_members", uint64(len(status.Members)))
 	vm.WriteGaugeUint64(w, "marlreel_chain_length", uint64(len(status.Chain)))
-	vm.WriteGaugeFloat64(w, "marlreel_chain_leaving", metricserver.Flag(status.Leaving))
-	vm.WriteGaugeFloat64(w, "marlreel_chain_catching_up", metricserver.Flag(status.CatchingUp != ""))
+	vm.WriteGaugeFloat64(w, "marlreel_chain_leaving", metricserver.BoolValue(status.Leaving))
+	vm.WriteGaugeFloat64(w, "marlreel_chain_catching_up", metricserver.BoolValue(status.CatchingUp != ""))
 	vm.WriteGaugeUint64(w, "marlreel_chain_committed", status.Committed)
-	vm.WriteGaugeFloat64(w, "marlreel_store_failed", metricserver.Flag(status.StoreFailed))
+	vm.WriteGaugeFloat64(w, "marlreel_store_failed", metricserver.BoolValue(status.StoreFailed))
 }
--- a/internal/controlplane/operator_handlers.go
+++ b/internal/controlplane/operator_handlers.go
@@ -80,7 +80,7 @@
 
 // respond answers with the outcome of an order.
 func respond(ctx *fasthttp.RequestCtx, outcome *result.Error) {
-	if !outcome.Code.Done() {
+	if !outcome.Code.Succeeded() {
 		reject(ctx, outcome)
 		return
 	}
@@ -118,7 +118,7 @@
 		return
 	}
 	body := append([]byte(nil), ctx.PostBody()...)
-	if _, unreadable := configuration.Version(body); unreadable != nil {
+	if _, unreadable := configuration.DecodeVersion(body); unreadable != nil {
 		reject(ctx, unreadable)
 		return
 	}
--- a/internal/controlplane/orders.go
+++ b/internal/controlplane/orders.go
@@ -45,9 +45,9 @@
 // OnReply handles the answer to an attempt. It returns whether that is the order's outcome.
 func (a *orderAttempts) OnReply(reply *api.SubmitReply) bool {
 	code := result.Code(reply.Code)
-	final := code != result.Unavailable && code != result.Unclear
+	final := code != result.Unavailable && code != result.OutcomeUnknown
 	// What may have been done stays unclear, whatever later attempts say.
-	if final || code == result.Unclear || a.outcome.Code != result.Unclear {
+	if final || code == result.OutcomeUnknown || a.outcome.Code != result.OutcomeUnknown {
 		a.outcome = &result.Error{Code: code, Detail: reply.Detail}
 	}
 	return final
@@ -68,7 +68,7 @@
 	}
 	reply, err := s.submitTo(ctx, head, &api.SubmitRequest{Operation: operation, Deadline: headDeadline})
 	if err != nil {
-		return &api.SubmitReply{Code: uint32(result.Unclear), Detail: "the head can't be reached"}
+		return &api.SubmitReply{Code: uint32(result.OutcomeUnknown), Detail: "the head can't be reached"}
 	}
 	return reply
 }
--- a/internal/controlplane/peer_link.go
+++ b/internal/controlplane/peer_link.go
@@ -99,7 +99,7 @@
 		return
 	}
 	l.sentRevision, l.synced = revision, true
-	l.observations.Delivered(hints)
+	l.observations.Remove(hints)
 }
 
 // isFailedPrecondition tells whether a call was answered with twirp.FailedPrecondition.
--- a/internal/controlplane/peer_links.go
+++ b/internal/controlplane/peer_links.go
@@ -45,7 +45,7 @@
 // onObservation has each peer told of an observation, as soon as it can be reached.
 func (t *peerLinks) onObservation(observation *api.Observation) {
 	for _, link := range t.links {
-		link.observations.Put(link.now(), observation.Id, observation)
+		link.observations.Store(link.now(), observation.Id, observation)
 		link.wake()
 	}
 }
--- a/internal/controlplane/peer_update.go
+++ b/internal/controlplane/peer_update.go
@@ -12,14 +12,14 @@
 func (m *Membership) OnPeerUpdate(update *api.MembershipUpdate) bool {
 	m.mergeLastSeen(time.Now(), update)
 	for _, b := range update.Backends {
-		m.feed.Put(b)
+		m.feed.RecordBackend(b)
 	}
 	allKnown := m.onPeerHeartbeats(update.Heartbeats)
 	for _, n := range update.Nodes {
-		m.feed.PutNode(n)
+		m.feed.RecordNode(n)
 	}
 	for _, observation := range update.Observations {
-		m.feed.Observe(observation)
+		m.feed.RecordObservation(observation)
 	}
 	return allKnown
 }
@@ -45,7 +45,7 @@
 func (m *Membership) onPeerHeartbeats(heartbeats []*api.BackendHeartbeat) bool {
 	allKnown := true
 	for _, heartbeat := range heartbeats {
-		known := m.feed.Seen(heartbeat.Id, heartbeat.CallSequence, time.Duration(heartbeat.AgeMs)*time.Millisecond)
+		known := m.feed.RefreshBackend(heartbeat.Id, heartbeat.CallSequence, time.Duration(heartbeat.AgeMs)*time.Millisecond)
 		allKnown = allKnown && known
 	}
 	return allKnown
@@ -60,7 +60,7 @@
 	if !l.synced {
 		sinceRevision, full = 0, true
 	}
-	changed, revision := m.feed.ChangedSince(sinceRevision)
+	changed, revision := m.feed.BackendsChangedSince(sinceRevision)
 	update := &api.MembershipUpdate{From: m.self.Address, Complete: !l.synced}
 	included := map[string]bool{}
 	for _, b := range changed {
@@ -76,7 +76,7 @@
 	if full || m.feed.NodesChangedSince(sinceRevision) {
 		m.addNodes(update)
 	}
-	hints := l.observations.Due(l.now())
+	hints := l.observations.Pending(l.now())
 	for _, hint := range hints {
 		update.Observations = append(update.Observations, hint.Message)
 	}
--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -15,7 +15,7 @@
 
 // Saver puts the chain's durable state on disk.
 type Saver interface {
-	Save(d *chain.Durable, changed chain.Changed) error
+	Save(d *chain.DurableState, changed chain.Changes) error
 }
 
 // Sender hands messages to other members. It does not wait, and may lose them.
@@ -44,7 +44,7 @@
 }
 
 // NewReplica makes a replica of what the disk holds. contacts are addresses of members to begin with.
-func NewReplica(cfg chain.Config, durable chain.Durable, contacts []string, saver Saver, sender Sender,
+func NewReplica(cfg chain.Config, durable chain.DurableState, contacts []string, saver Saver, sender Sender,
 	feed *watch.Store, log logr.Logger, now time.Duration,
 ) *Replica {
 	r := &Replica{
@@ -92,52 +92,66 @@
 }
 
 // isHead tells whether this is the head of its view, by its own word: only a confirmation makes that sure.
-func (r *Replica) isHead() bool { return chain.Key(r.node.Head()) == chain.Key(r.node.Durable().Self) }
+func (r *Replica) isHead() bool {
+	return chain.MemberKey(r.node.Head()) == chain.MemberKey(r.node.DurableState().Self)
+}
 
 // headInService tells whether this is the head of a chain in service.
 func (r *Replica) headInService() bool { return r.failure == nil && r.node.InService() && r.isHead() }
 
 // apply does what the node wants done, in the order that the chain's argument needs: save, then send, then reply.
 func (r *Replica) apply(out chain.Output) {
-	for _, note := range out.Notes {
-		r.log.Info(note, "event", "view")
+	for _, event := range out.Events {
+		r.logEvent(event)
 	}
 	if out.Save.Any() {
-		if err := r.saver.Save(r.node.Durable(), out.Save); err != nil {
+		if err := r.saver.Save(r.node.DurableState(), out.Save); err != nil {
 			r.fail(err)
 			return
 		}
 	}
-	for _, message := range out.Send {
+	for _, message := range out.Messages {
 		r.sender.Send(message)
 	}
-	if out.Deposed {
+	if out.ViewChanged {
 		r.onDeposed()
 	}
-	if out.Restored {
+	if out.SnapshotRestored {
 		r.publishRestored()
 	} else {
-		r.feed.Append(out.Committed)
+		r.feed.AppendEntries(out.Committed)
 	}
 	for _, entry := range out.Committed {
 		r.onCommitted(entry)
 	}
-	for _, token := range out.Confirmed {
+	for _, token := range out.ConfirmedTokens {
 		r.onConfirmed(token)
 	}
 }
 
+// logEvent logs what the chain reports.
+func (r *Replica) logEvent(event chain.Event) {
+	switch event := event.(type) {
+	case chain.ViewProposed:
+		r.log.Info(logevent.ViewProposed, logevent.KeyView, event.Number, logevent.KeyReason, string(event.Reason),
+			logevent.KeyMember, event.Member)
+	case chain.ViewInstalled:
+		r.log.Info(logevent.ViewInstalled, logevent.KeyView, event.Number, logevent.KeyChain, event.Chain,
+			logevent.KeyMembers, event.Members)
+	}
+}
+
 // publishRestored hands the feed the state as it stands, from the snapshot on.
 func (r *Replica) publishRestored() {
-	snapshot := r.node.Durable().Snapshot
-	r.feed.Reset(snapshot.GetSequence(), snapshot.GetHash(), snapshot.GetState())
+	snapshot := r.node.DurableState().Snapshot
+	r.feed.InstallSnapshot(snapshot.GetSequence(), snapshot.GetHash(), snapshot.GetState())
 	var committed []*api.Entry
-	for _, entry := range r.node.Durable().Entries {
+	for _, entry := range r.node.DurableState().Entries {
 		if entry.Sequence <= r.node.Committed() {
 			committed = append(committed, entry)
 		}
 	}
-	r.feed.Append(committed)
+	r.feed.AppendEntries(committed)
 }
 
 // onConfirmed handles that a majority has confirmed that this process was in its place when it asked.
@@ -148,7 +162,7 @@
 	}
 	if read := r.pendingReads[token]; read != nil {
 		delete(r.pendingReads, token)
-		read.reply(result.Accepted, r.machine)
+		read.reply(result.Committed, r.machine)
 	}
 }
 
--- a/internal/controlplane/replica_reads.go
+++ b/internal/controlplane/replica_reads.go
@@ -10,7 +10,7 @@
 )
 
 // ReadReply receives the result of a read, once: the state, which may be read until the callback returns and not be
-// changed. It is nil where the code is not result.Accepted.
+// changed. It is nil where the code is not result.Committed.
 type ReadReply func(code result.Code, machine *state.Machine)
 
 // pendingRead is a read that waits for its confirmation.
@@ -21,7 +21,7 @@
 
 // ReadAtTail reads the newest state. Only the tail can, once a majority has confirmed that it is.
 func (r *Replica) ReadAtTail(now time.Duration, reply ReadReply) {
-	if r.failure != nil || !r.node.MayRead() {
+	if r.failure != nil || !r.node.CanRead() {
 		reply(result.Unavailable, nil)
 		return
 	}
@@ -41,7 +41,7 @@
 func (r *Replica) readAfterConfirmation(now time.Duration, reply ReadReply) {
 	r.lastToken++
 	r.pendingReads[r.lastToken] = &pendingRead{reply, now + submissionTimeout}
-	r.apply(r.node.Confirm(now, r.lastToken))
+	r.apply(r.node.ConfirmView(now, r.lastToken))
 }
 
 // abortConfirmations replies to all that waits for a confirmation, in the order in which it came.
@@ -58,14 +58,14 @@
 	for _, token := range slices.Sorted(maps.Keys(r.pendingConfirmations)) {
 		if b := r.pendingConfirmations[token]; expired(b.deadline) {
 			delete(r.pendingConfirmations, token)
-			r.node.Abandon(token)
+			r.node.CancelConfirmation(token)
 			b.abort(result.Unavailable, reason)
 		}
 	}
 	for _, token := range slices.Sorted(maps.Keys(r.pendingReads)) {
 		if read := r.pendingReads[token]; expired(read.deadline) {
 			delete(r.pendingReads, token)
-			r.node.Abandon(token)
+			r.node.CancelConfirmation(token)
 			read.reply(result.Unavailable, nil)
 		}
 	}
--- a/internal/controlplane/replica_runner.go
+++ b/internal/controlplane/replica_runner.go
@@ -85,7 +85,7 @@
 		}
 	}
 	if r.replica != nil {
-		r.replica.Node().SetContacts(r.settings.SeedPeers())
+		r.replica.Node().SetSeeds(r.settings.SeedPeers())
 		r.replica.Tick(r.clock.now())
 	}
 }
@@ -125,7 +125,7 @@
 
 // hasLeft answers whether the chain can do without this process.
 func (r *ReplicaRunner) hasLeft(answer func(bool)) {
-	r.post(func() { answer(r.replica == nil || r.replica.Node().Left()) })
+	r.post(func() { answer(r.replica == nil || r.replica.Node().HasLeft()) })
 }
 
 // Deliver handles messages of other members. They are lost where the backlog is full.
--- a/internal/controlplane/replica_store.go
+++ b/internal/controlplane/replica_store.go
@@ -15,17 +15,17 @@
 // openStore opens the store and makes a replica of what it holds. A damaged store is set aside; the next attempt finds
 // an empty one.
 func (r *ReplicaRunner) openStore() error {
-	opened, err := r.host.Open()
+	opened, err := r.host.OpenStore()
 	if err != nil {
 		return err
 	}
 	r.store = opened
 	durable, err := opened.Load()
-	if eris.Is(err, store.ErrDamaged) {
+	if eris.Is(err, store.ErrCorrupted) {
 		// What it has promised can't be trusted: it comes back as another member, without any promise.
 		r.log.Error(err, logevent.StoreDiscarded)
 		r.closeStore()
-		return r.host.Forget()
+		return r.host.RemoveStore()
 	}
 	if err != nil {
 		return err
@@ -55,19 +55,19 @@
 
 // initialiseStore gives an empty store an identity: a founder's at the very first start of the system, or else that of
 // a member that waits to be added to the view.
-func (r *ReplicaRunner) initialiseStore() (chain.Durable, error) {
+func (r *ReplicaRunner) initialiseStore() (chain.DurableState, error) {
 	self := &api.Member{Address: r.settings.PeerAddress(), Incarnation: chain.FounderIncarnation}
-	durable := chain.Durable{Self: self}
+	durable := chain.DurableState{Self: self}
 	if r.settings.FirstStart && r.settings.IsSeed() {
 		durable.View = chain.FoundingView(r.settings.SeedPeers())
-		return durable, r.store.Save(&durable, chain.Changed{Self: true, View: true})
+		return durable, r.store.Save(&durable, chain.Changes{Self: true, View: true})
 	}
 	incarnation, err := drawIncarnation()
 	if err != nil {
 		return durable, err
 	}
 	self.Incarnation = incarnation
-	return durable, r.store.Save(&durable, chain.Changed{Self: true})
+	return durable, r.store.Save(&durable, chain.Changes{Self: true})
 }
 
 // drawIncarnation draws the incarnation of a member that is no founder. It is above all founders'.
--- a/internal/controlplane/replica_submissions.go
+++ b/internal/controlplane/replica_submissions.go
@@ -80,7 +80,7 @@
 
 // proposeQueued proposes the next batch of the queue, where none is in flight.
 func (r *Replica) proposeQueued(now time.Duration) {
-	if r.failure != nil || r.inFlight != nil || !r.node.MayPropose() {
+	if r.failure != nil || r.inFlight != nil || !r.node.CanPropose() {
 		return
 	}
 	r.rejectOverdue(now)
@@ -93,7 +93,7 @@
 		// Nothing changes, but that is sure only while this is still the head.
 		r.lastToken++
 		r.pendingConfirmations[r.lastToken] = b
-		r.apply(r.node.Confirm(now, r.lastToken))
+		r.apply(r.node.ConfirmView(now, r.lastToken))
 		r.proposeQueued(now)
 		return
 	}
@@ -117,15 +117,15 @@
 	trial := r.machine.Clone()
 	var operations []*api.Operation
 	for _, s := range b.submissions {
-		changed, failure := trial.Do(s.operation)
+		changed, failure := trial.Execute(s.operation)
 		switch {
 		case failure != nil:
 			s.code, s.detail = failure.Code, failure.Detail
 		case changed:
-			s.code = result.Accepted
+			s.code = result.Committed
 			operations = append(operations, s.operation)
 		default:
-			s.code = result.AlreadyAccepted
+			s.code = result.AlreadyCommitted
 		}
 	}
 	return operations
@@ -141,7 +141,7 @@
 
 // abortInFlight replies that the result of what is in flight is unclear.
 func (r *Replica) abortInFlight(reason string) {
-	r.inFlight.abort(result.Unclear, reason)
+	r.inFlight.abort(result.OutcomeUnknown, reason)
 	r.inFlight = nil
 }
 
@@ -150,7 +150,7 @@
 	if r.inFlight == nil || now < r.inFlight.deadline {
 		return
 	}
-	r.inFlight.abort(result.Unclear, "the chain has not acknowledged it in time")
+	r.inFlight.abort(result.OutcomeUnknown, "the chain has not acknowledged it in time")
 	r.inFlight.submissions = nil
 }
 
--- a/internal/controlplane/run.go
+++ b/internal/controlplane/run.go
@@ -80,7 +80,7 @@
 	p := &controlProcess{host: machine, socket: socket, view: &chainView{seeds: settings.SeedPeers}, serveErrors: make(chan error, 2)}
 	p.sender = NewPeerSender(ctx, client, socket)
 	p.runner = NewReplicaRunner(machine, p.sender, feed, clock)
-	p.membership = NewMembership(self, feed, settings.BeatInterval(), client)
+	p.membership = NewMembership(self, feed, settings.HeartbeatInterval(), client)
 	p.service = &Service{
 		runner: p.runner, membership: p.membership, feed: feed, self: settings.PeerAddress(), client: client,
 		clock: clock, fragments: newReassembler(), log: machine.Log,
@@ -128,7 +128,7 @@
 	case <-parent.Done():
 	}
 	p.host.Log.Info(logevent.ChainLeaving)
-	leaving, cancel := context.WithTimeout(p.host.Alive(), leaveTimeout(p.host.Settings))
+	leaving, cancel := context.WithTimeout(p.host.UntilCrash(), leaveTimeout(p.host.Settings))
 	defer cancel()
 	p.runner.Leave(leaving)
 	return nil
@@ -137,7 +137,7 @@
 // leaveTimeout is how long a process that is told to end waits until the chain can do without it, within the
 // platform's grace period.
 func leaveTimeout(settings *bootstrap.Settings) time.Duration {
-	return min(bootstrap.Seconds(settings.Bounds.GraceS)/leaveGraceShare, maxLeaveTimeout)
+	return min(bootstrap.Seconds(settings.Bounds.ShutdownGraceS)/leaveGraceShare, maxLeaveTimeout)
 }
 
 // shutdown ends the servers and the loops: operators are answered first, peers last. stop ends the context of the
--- a/internal/controlplane/simulation_test.go
+++ b/internal/controlplane/simulation_test.go
@@ -304,7 +304,7 @@
 	c.clocks, c.members = peerClocks{}, chainView{seeds: func() []string { return w.seeds }}
 	c.word = freshnessTracker{establishedAfter: 4 * time.Second}
 	c.feed = watch.New(fmt.Sprintf("%s/%d", c.address, c.life), w.clock)
-	c.leases = newLeaseGranter(bootstrap.Bounds{Fencing: true, LeaseMS: 3000}, c.feed, func() (uint64, bool) { return c.members.headOf(c.address) },
+	c.leases = newLeaseGranter(bootstrap.Bounds{Fencing: true, LeaseDurationMS: 3000}, c.feed, func() (uint64, bool) { return c.members.headOf(c.address) },
 		c.grant, w.clock)
 	life := c.life
 	alive := func() bool { return c.up && c.life == life }
@@ -350,7 +350,7 @@
 		c.open()
 	}
 	if c.replica != nil {
-		c.replica.Node().SetContacts(c.world.seeds)
+		c.replica.Node().SetSeeds(c.world.seeds)
 		c.replica.Tick(c.clock(c.world.now))
 	}
 }
@@ -380,7 +380,7 @@
 		} else {
 			durable.Self.Incarnation = c.world.rng.Uint64() | 1<<63
 		}
-		if err := opened.Save(&durable, chain.Changed{Self: true, View: durable.View != nil}); err != nil {
+		if err := opened.Save(&durable, chain.Changes{Self: true, View: durable.View != nil}); err != nil {
 			c.world.fault("%s: founding: %v", c.address, err)
 		}
 	}
@@ -394,12 +394,12 @@
 // worldChain is the chain's configuration: logs are compacted often.
 func worldChain(members int) chain.Config {
 	cfg := chain.DefaultConfig(members)
-	cfg.CompactAfter, cfg.NearBytes = 8, 2<<10
+	cfg.MaxLogEntries, cfg.MaxJoinLagBytes = 8, 2<<10
 	return cfg
 }
 
 // Save implements Saver.
-func (c *core) Save(d *chain.Durable, changed chain.Changed) error {
+func (c *core) Save(d *chain.DurableState, changed chain.Changes) error {
 	if c.fullDisk {
 		if c.world.rng.IntN(2) == 0 {
 			_ = c.store.Save(d, changed) // a write that is refused may be in the journal
@@ -480,7 +480,7 @@
 func (c *core) followStanding() {
 	s := chainStatusOf(c.replica)
 	c.members.OnChainStatus(s)
-	c.feed.SetStanding(c.word.OnChainStatus(s, c.world.clock()))
+	c.feed.SetSourceStatus(c.word.OnChainStatus(s, c.world.clock()))
 	if s.Connected {
 		c.world.clients.auditFresh(c)
 	}
@@ -526,7 +526,7 @@
 		}
 		over = true
 		if asking && tries.outcome.Code == result.Unavailable {
-			tries.outcome = result.Errorf(result.Unclear, "no answer in time")
+			tries.outcome = result.Errorf(result.OutcomeUnknown, "no answer in time")
 		}
 		reply(tries.outcome)
 	}
@@ -568,7 +568,7 @@
 	submit := func(until *api.Instant) {
 		c.submitTo(head, &api.SubmitRequest{Operation: operation, Deadline: until}, deadline, func(answer *api.SubmitReply) {
 			if answer == nil {
-				answer = &api.SubmitReply{Code: uint32(result.Unclear)}
+				answer = &api.SubmitReply{Code: uint32(result.OutcomeUnknown)}
 			}
 			reply(answer)
 		})
@@ -666,15 +666,15 @@
 }
 
 func stateRead(code result.Code, m *state.Machine, ids []string) *newestState {
-	if code != result.Accepted {
+	if code != result.Committed {
 		return nil
 	}
-	s := &newestState{version: m.Version(), evacuated: m.Evacuated(evacuatedZone), retired: map[string]bool{}}
+	s := &newestState{version: m.Version(), evacuated: m.IsEvacuated(evacuatedZone), retired: map[string]bool{}}
 	if m.Document() != nil {
 		s.text = string(m.Document().Raw())
 	}
 	for _, id := range ids {
-		s.retired[id] = m.Retired(id)
+		s.retired[id] = m.IsRetired(id)
 	}
 	return s
 }
@@ -690,7 +690,7 @@
 		c.replica.ReadAtHead(c.clock(w.now), func(code result.Code, m *state.Machine) {
 			answer := &api.LeaseReply{Code: uint32(code)}
 			if m != nil {
-				answer.Renewed = c.leases.manager.Renew(holder, false, m.Ownerships())
+				answer.Renewed = c.leases.manager.Renew(holder, false, m.Leases())
 				answer.ValidMs = uint32(c.leases.manager.GrantDuration().Milliseconds())
 			}
 			reply(answer)
--- a/internal/controlplane/state/machine.go
+++ b/internal/controlplane/state/machine.go
@@ -70,7 +70,7 @@
 	m.state = copyOf(s)
 	m.document, m.retired = nil, map[string]bool{}
 	if len(s.Document) > 0 {
-		m.document, _ = configuration.Load(s.Document) // it was checked when it was taken
+		m.document, _ = configuration.Decode(s.Document) // it was checked when it was taken
 	}
 	for _, r := range s.Retired {
 		m.retired[r.Id] = true
@@ -83,16 +83,16 @@
 // Version is that of the configuration in force; 0 is none.
 func (m *Machine) Version() uint64 { return m.state.Version }
 
-// Evacuated tells whether a zone's backends are to get nothing.
-func (m *Machine) Evacuated(zone string) bool {
+// IsEvacuated tells whether a zone's backends are to get nothing.
+func (m *Machine) IsEvacuated(zone string) bool {
 	return slices.ContainsFunc(m.state.Evacuations, func(e *api.Evacuation) bool { return e.Zone == zone })
 }
 
-// Retired tells whether a backend has announced its end.
-func (m *Machine) Retired(id string) bool { return m.retired[id] }
+// IsRetired tells whether a backend has announced its end.
+func (m *Machine) IsRetired(id string) bool { return m.retired[id] }
 
-// Owner is who holds a role, or nil.
-func (m *Machine) Owner(key string) *api.Ownership {
+// Lease is who holds a role, or nil.
+func (m *Machine) Lease(key string) *api.Ownership {
 	for _, o := range m.state.Ownerships {
 		if o.Key == key {
 			return o
@@ -101,20 +101,20 @@
 	return nil
 }
 
-// Ownerships are all roles that are held. They must not be changed.
-func (m *Machine) Ownerships() []*api.Ownership { return m.state.Ownerships }
+// Leases are all roles that are held. They must not be changed.
+func (m *Machine) Leases() []*api.Ownership { return m.state.Ownerships }
 
 // Apply takes an entry's operations into the state. They were tried before they became an
 // entry: documents are not checked again.
 func (m *Machine) Apply(entry *api.Entry) {
 	for _, operation := range entry.Operations {
-		m.do(operation, configuration.Load)
+		m.do(operation, configuration.Decode)
 	}
 }
 
-// Do tries one operation. changed tells whether the state is another one now; where it
+// Execute tries one operation. changed tells whether the state is another one now; where it
 // is not, the error says why, or the operation had its effect before.
-func (m *Machine) Do(operation *api.Operation) (changed bool, failure *result.Error) {
+func (m *Machine) Execute(operation *api.Operation) (changed bool, failure *result.Error) {
 	return m.do(operation, configuration.Parse)
 }
 
@@ -134,7 +134,7 @@
 	case *api.Operation_Grant:
 		return m.grant(kind.Grant)
 	}
-	return false, result.Errorf(result.Unreadable, "an operation that is not known here")
+	return false, result.Errorf(result.Malformed, "an operation that is not known here")
 }
 
 func (m *Machine) replace(c *api.ReplaceConfiguration, read reader) (bool, *result.Error) {
@@ -171,7 +171,7 @@
 // version before the last one that is forgotten may have been taken: that is never refused.
 func (m *Machine) conflict(base uint64) *result.Error {
 	if base < m.state.ForgottenVersion {
-		return result.Errorf(result.Unclear, "built on version %d; which changes were taken up to version %d is not known any more",
+		return result.Errorf(result.OutcomeUnknown, "built on version %d; which changes were taken up to version %d is not known any more",
 			base, m.state.ForgottenVersion)
 	}
 	return result.Errorf(result.VersionConflict, "built on version %d, and %d is current", base, m.state.Version)
@@ -213,7 +213,7 @@
 	if e.Zone == "" {
 		return false, result.Errorf(result.InvalidField, "a zone is needed")
 	}
-	if m.Evacuated(e.Zone) == e.Active {
+	if m.IsEvacuated(e.Zone) == e.Active {
 		return false, nil
 	}
 	if e.Active {
@@ -250,7 +250,7 @@
 		return false, result.Errorf(result.InvalidField, "a key and a holder are needed")
 	}
 	// A grant that was decided on an earlier holder comes late, or a second time.
-	if held := m.Owner(g.Key); g.ReplacesFencingToken != nil && held.GetFencingToken() != g.GetReplacesFencingToken() {
+	if held := m.Lease(g.Key); g.ReplacesFencingToken != nil && held.GetFencingToken() != g.GetReplacesFencingToken() {
 		if held.GetHolder() == g.Holder {
 			return false, nil
 		}
--- a/internal/controlplane/status_handler.go
+++ b/internal/controlplane/status_handler.go
@@ -76,9 +76,9 @@
 		Members: chain.Members, Chain: chain.Chain, Leaving: chain.Leaving, CatchingUp: chain.CatchingUp,
 		Committed: chain.Committed, StoreFailed: chain.StoreFailed,
 	}
-	s.feed.View(func(machine *state.Machine) {
+	s.feed.ReadState(func(machine *state.Machine) {
 		status.Version, status.Evacuated = machine.Version(), machine.EvacuatedZones()
-		for _, o := range machine.Ownerships() {
+		for _, o := range machine.Leases() {
 			status.Leases = append(status.Leases, LeaseStatus{Key: o.Key, Holder: o.Holder, FencingToken: o.FencingToken})
 		}
 	})
