--- a/cmd/marlreeld/whole_test.go
+++ b/cmd/marlreeld/whole_test.go
@@ -215,13 +215,13 @@
 		return linearizability.Configuration{}, false
 	}
 	version, _ := strconv.ParseUint(found[1], 10, 64)
-	w.note(began, linearizability.ConfigurationCall{Read: true}, linearizability.ConfigurationAnswer{Known: true, Version: version, Text: text})
+	w.note(began, linearizability.ConfigurationRequest{Read: true}, linearizability.ConfigurationResponse{Definite: true, Version: version, Text: text})
 	return linearizability.Configuration{Version: version, Text: text}, true
 }
 
-func (w *whole) note(began time.Time, call linearizability.ConfigurationCall, answer linearizability.ConfigurationAnswer) {
+func (w *whole) note(began time.Time, call linearizability.ConfigurationRequest, answer linearizability.ConfigurationResponse) {
 	returned := int64(time.Since(w.began))
-	if !answer.Known {
+	if !answer.Definite {
 		returned = math.MaxInt64 // it may still come true
 	}
 	w.mu.Lock()
@@ -230,7 +230,7 @@
 		ClientId: len(w.operations), Input: call, Call: int64(began.Sub(w.began)),
 		Output: answer, Return: returned,
 	})
-	if answer.Taken && call.Base+1 > w.newest.Version {
+	if answer.Committed && call.Base+1 > w.newest.Version {
 		w.newest = linearizability.Configuration{Version: call.Base + 1, Text: call.Text}
 	}
 }
@@ -251,22 +251,22 @@
 	w.writes++
 	text := wholeDocument(on.Version+1, fmt.Sprintf("w%d", w.writes))
 	w.mu.Unlock()
-	call, answer, began := linearizability.ConfigurationCall{Base: on.Version, Text: text}, linearizability.ConfigurationAnswer{}, time.Now()
+	call, answer, began := linearizability.ConfigurationRequest{Base: on.Version, Text: text}, linearizability.ConfigurationResponse{}, time.Now()
 	const sends = 10
-	for send := 0; send < sends && !answer.Known; send++ {
+	for send := 0; send < sends && !answer.Definite; send++ {
 		c := w.controls[(operator+send)%len(w.controls)]
 		code, _ := w.call(c.settings.Listen.Control, http.MethodPost, "/marlreel/config/replace", strconv.FormatUint(on.Version, 10), text)
 		switch code {
 		case http.StatusOK:
-			answer = linearizability.ConfigurationAnswer{Known: true, Taken: true}
+			answer = linearizability.ConfigurationResponse{Definite: true, Committed: true}
 		case http.StatusPreconditionFailed:
-			answer = linearizability.ConfigurationAnswer{Known: true}
+			answer = linearizability.ConfigurationResponse{Definite: true}
 		default:
 			pass(50 * time.Millisecond)
 		}
 	}
 	w.note(began, call, answer)
-	return answer.Taken
+	return answer.Committed
 }
 
 // ask sends a request that may run once to a proxy.
--- a/internal/controlplane/simulation_clients_test.go
+++ b/internal/controlplane/simulation_clients_test.go
@@ -158,8 +158,8 @@
 			}
 			s := *answer
 			w.note("read %d", s.version)
-			cl.addConfig(began, linearizability.ConfigurationCall{Read: true}, linearizability.ConfigurationAnswer{Known: true, Version: s.version, Text: s.text})
-			cl.addSwitch(began, linearizability.SwitchCall{Read: true}, linearizability.SwitchAnswer{Known: true, On: s.evacuated})
+			cl.addConfig(began, linearizability.ConfigurationRequest{Read: true}, linearizability.ConfigurationResponse{Definite: true, Version: s.version, Text: s.text})
+			cl.addSwitch(began, linearizability.FlagRequest{Read: true}, linearizability.FlagResponse{Definite: true, On: s.evacuated})
 			for _, id := range ids {
 				if !s.retired[id] {
 					w.fault("the end of %s was acknowledged at %v, and a read that began at %v knows nothing of it", id, cl.retired[id], began)
@@ -177,17 +177,17 @@
 	return math.MaxInt64
 }
 
-func (cl *worldClients) addConfig(began time.Duration, input linearizability.ConfigurationCall, answer linearizability.ConfigurationAnswer) {
+func (cl *worldClients) addConfig(began time.Duration, input linearizability.ConfigurationRequest, answer linearizability.ConfigurationResponse) {
 	cl.configs = append(cl.configs, porcupine.Operation{
 		ClientId: len(cl.configs), Input: input, Call: int64(began), Output: answer,
-		Return: cl.returned(answer.Known),
+		Return: cl.returned(answer.Definite),
 	})
 }
 
-func (cl *worldClients) addSwitch(began time.Duration, input linearizability.SwitchCall, answer linearizability.SwitchAnswer) {
+func (cl *worldClients) addSwitch(began time.Duration, input linearizability.FlagRequest, answer linearizability.FlagResponse) {
 	cl.switches = append(cl.switches, porcupine.Operation{
 		ClientId: len(cl.switches), Input: input, Call: int64(began), Output: answer,
-		Return: cl.returned(answer.Known),
+		Return: cl.returned(answer.Definite),
 	})
 }
 
@@ -204,20 +204,20 @@
 		began, base := w.now, s.version
 		operation := &api.Operation{Kind: &api.Operation_Replace{Replace: &api.ReplaceConfiguration{BaseVersion: base, Document: []byte(text)}}}
 		cl.operate(operation, func(outcome *result.Error) {
-			answer := linearizability.ConfigurationAnswer{Known: outcome != nil, Taken: outcome != nil && outcome.Code.Succeeded()}
-			if answer.Known && !answer.Taken && outcome.Code != result.VersionConflict {
+			answer := linearizability.ConfigurationResponse{Definite: outcome != nil, Committed: outcome != nil && outcome.Code.Succeeded()}
+			if answer.Definite && !answer.Committed && outcome.Code != result.VersionConflict {
 				w.fault("operator %d: a change on %d was answered with %v", operator, base, outcome)
 			}
 			w.note("change %d by %d: %v", base, operator, answer)
-			if answer.Taken {
+			if answer.Committed {
 				cl.taken++
 				if base+1 > cl.newest.version {
 					cl.newest = acknowledged{base + 1, w.now}
 				}
-			} else if answer.Known {
+			} else if answer.Definite {
 				cl.refused++
 			}
-			cl.addConfig(began, linearizability.ConfigurationCall{Base: base, Text: text}, answer)
+			cl.addConfig(began, linearizability.ConfigurationRequest{Base: base, Text: text}, answer)
 			done()
 		})
 	})
@@ -232,7 +232,7 @@
 			w.fault("an evacuation was refused: %v", outcome)
 		}
 		w.note("evacuation %v: %v", on, outcome)
-		cl.addSwitch(began, linearizability.SwitchCall{On: on}, linearizability.SwitchAnswer{Known: outcome != nil})
+		cl.addSwitch(began, linearizability.FlagRequest{On: on}, linearizability.FlagResponse{Definite: outcome != nil})
 		done(outcome != nil)
 	})
 }
@@ -290,7 +290,7 @@
 	if porcupine.CheckOperationsTimeout(linearizability.ConfigurationModel(linearizability.Configuration{}), cl.configs, patience) != porcupine.Ok {
 		w.fault("the answers to %d calls are not those of one register", len(cl.configs))
 	}
-	if porcupine.CheckOperationsTimeout(linearizability.SwitchModel(), cl.switches, patience) != porcupine.Ok {
+	if porcupine.CheckOperationsTimeout(linearizability.FlagModel(), cl.switches, patience) != porcupine.Ok {
 		w.fault("the answers to %d calls are not those of one switch", len(cl.switches))
 	}
 }
--- a/internal/testing/linearizability/configuration.go
+++ b/internal/testing/linearizability/configuration.go
@@ -1,82 +1,49 @@
-// Package linearizability says what the calls of control may answer, as models for a checker of
-// linearizability: whole clusters under faults, in whatever simulation, are checked by the same
-// models. The daemon never links it.
 package linearizability
 
 import "github.com/anishathalye/porcupine"
 
-// ConfigurationCall is an operator's call: a read, or a configuration on top of a version.
-type ConfigurationCall struct {
-	Read bool
-	Base uint64
-	Text string
+// Configuration is a version of the configuration and its text. Version 0 is none.
+type Configuration struct {
+	Version uint64
+	Text    string
 }
 
-// ConfigurationAnswer is what came of a call.
-type ConfigurationAnswer struct {
-	Known   bool // there was a clear answer
-	Taken   bool
-	Version uint64 // of a read
-	Text    string // of a read
+// ConfigurationRequest is an operator's request: a read, or a configuration based on a version, which it replaces.
+type ConfigurationRequest struct {
+	Read bool
+	Base uint64 // of a change
+	Text string // of a change
 }
 
-// Configuration is a version and its text.
-type Configuration struct {
-	Version uint64
-	Text    string
+// ConfigurationResponse is what the operator was answered.
+type ConfigurationResponse struct {
+	Definite  bool   // whether a change was committed is known
+	Committed bool   // of a definite change
+	Version   uint64 // of a read
+	Text      string // of a read
 }
 
-// ConfigurationModel says what a register with one order of changes may answer. Each change makes
-// the next version.
+// ConfigurationModel is a compare-and-swap register that begins with a configuration: a change is committed if and only
+// if its base is the current version, and makes the next version.
 func ConfigurationModel(first Configuration) porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return first },
 		Step: func(state, input, output any) (bool, any) {
-			s, call, answer := state.(Configuration), input.(ConfigurationCall), output.(ConfigurationAnswer)
-			switch {
-			case call.Read:
-				return answer.Version == s.Version && answer.Text == s.Text, s
-			case answer.Known && !answer.Taken:
-				return call.Base != s.Version, s
-			case call.Base == s.Version:
-				return true, Configuration{s.Version + 1, call.Text}
-			}
-			return !answer.Known, s // what came to nothing is taken to come after all others
+			return stepConfiguration(state.(Configuration), input.(ConfigurationRequest), output.(ConfigurationResponse))
 		},
 		Equal: func(a, b any) bool { return a == b },
 	}
 }
 
-// SwitchCall is a call at something that is on or off, as a zone's evacuation is: it is set, or read.
-type SwitchCall struct {
-	Read bool
-	On   bool // what it is set to
-}
-
-// SwitchAnswer is what came of a call.
-type SwitchAnswer struct {
-	Known bool // there was a clear answer
-	On    bool // what was read
-}
-
-// SwitchModel says what a switch that is off at first may answer. A call without a clear answer may
-// have had no effect.
-func SwitchModel() porcupine.Model {
-	model := porcupine.NondeterministicModel{
-		Init: func() []any { return []any{false} },
-		Step: func(state, input, output any) []any {
-			on, call, answer := state.(bool), input.(SwitchCall), output.(SwitchAnswer)
-			switch {
-			case call.Read && answer.On == on:
-				return []any{on}
-			case call.Read:
-				return nil
-			case answer.Known:
-				return []any{call.On}
-			}
-			return []any{on, call.On}
-		},
-		Equal: func(a, b any) bool { return a == b },
+func stepConfiguration(current Configuration, request ConfigurationRequest, response ConfigurationResponse) (bool, any) {
+	switch {
+	case request.Read:
+		return response.Version == current.Version && response.Text == current.Text, current
+	case response.Definite && !response.Committed:
+		return request.Base != current.Version, current
+	case request.Base == current.Version:
+		return true, Configuration{current.Version + 1, request.Text}
 	}
-	return model.ToModel()
+	// One that had no effect, and whose client doesn't know, is ordered behind all others.
+	return !response.Definite, current
 }
--- a/internal/testing/linearizability/configuration_test.go
+++ b/internal/testing/linearizability/configuration_test.go
@@ -7,65 +7,65 @@
 	"github.com/matryer/is"
 )
 
-// calls are operations in a row, each between two instants.
-func calls(operations ...porcupine.Operation) []porcupine.Operation {
+// fromOwnClients gives each operation a client of its own, so that any two may overlap.
+func fromOwnClients(operations ...porcupine.Operation) []porcupine.Operation {
 	for i := range operations {
 		operations[i].ClientId = i
 	}
 	return operations
 }
 
-func TestConfigurationsThatFitNoOrderAreFound(t *testing.T) {
+func TestConfigurationModel(t *testing.T) {
 	first := Configuration{Version: 1, Text: "first"}
-	write := func(call, returned int64, base uint64, text string, answer ConfigurationAnswer) porcupine.Operation {
-		return porcupine.Operation{Input: ConfigurationCall{Base: base, Text: text}, Call: call, Output: answer, Return: returned}
+	write := func(call, returned int64, base uint64, text string, answer ConfigurationResponse) porcupine.Operation {
+		return porcupine.Operation{Input: ConfigurationRequest{Base: base, Text: text}, Call: call, Output: answer, Return: returned}
 	}
 	read := func(call, returned int64, version uint64, text string) porcupine.Operation {
 		return porcupine.Operation{
-			Input: ConfigurationCall{Read: true}, Call: call,
-			Output: ConfigurationAnswer{Known: true, Version: version, Text: text}, Return: returned,
+			Input: ConfigurationRequest{Read: true}, Call: call,
+			Output: ConfigurationResponse{Definite: true, Version: version, Text: text}, Return: returned,
 		}
 	}
-	taken, refused := ConfigurationAnswer{Known: true, Taken: true}, ConfigurationAnswer{Known: true}
+	committed, rejected := ConfigurationResponse{Definite: true, Committed: true}, ConfigurationResponse{Definite: true}
 	for name, of := range map[string]struct {
-		operations []porcupine.Operation
-		right      bool
+		operations   []porcupine.Operation
+		linearizable bool
 	}{
-		"one of two on a base":          {calls(write(1, 5, 1, "a", taken), write(2, 6, 1, "b", refused), read(7, 8, 2, "a")), true},
-		"both of two on a base":         {calls(write(1, 5, 1, "a", taken), write(2, 6, 1, "b", taken)), false},
-		"none of two on a base":         {calls(write(1, 5, 1, "a", refused), write(2, 6, 1, "b", refused)), false},
-		"an old one is read":            {calls(write(1, 2, 1, "a", taken), read(3, 4, 1, "first")), false},
-		"unclear and in force":          {calls(write(1, 20, 1, "a", ConfigurationAnswer{}), read(3, 4, 2, "a")), true},
-		"unclear and not in force":      {calls(write(1, 20, 1, "a", ConfigurationAnswer{}), read(3, 4, 1, "first")), true},
-		"in force and in force no more": {calls(write(1, 20, 1, "a", ConfigurationAnswer{}), read(3, 4, 2, "a"), read(5, 6, 1, "first")), false},
+		"one of two on a base":          {fromOwnClients(write(1, 5, 1, "a", committed), write(2, 6, 1, "b", rejected), read(7, 8, 2, "a")), true},
+		"both of two on a base":         {fromOwnClients(write(1, 5, 1, "a", committed), write(2, 6, 1, "b", committed)), false},
+		"none of two on a base":         {fromOwnClients(write(1, 5, 1, "a", rejected), write(2, 6, 1, "b", rejected)), false},
+		"an old one is read":            {fromOwnClients(write(1, 2, 1, "a", committed), read(3, 4, 1, "first")), false},
+		"unclear and in force":          {fromOwnClients(write(1, 20, 1, "a", ConfigurationResponse{}), read(3, 4, 2, "a")), true},
+		"unclear and not in force":      {fromOwnClients(write(1, 20, 1, "a", ConfigurationResponse{}), read(3, 4, 1, "first")), true},
+		"in force and in force no more": {fromOwnClients(write(1, 20, 1, "a", ConfigurationResponse{}), read(3, 4, 2, "a"), read(5, 6, 1, "first")), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(porcupine.CheckOperations(ConfigurationModel(first), of.operations), of.right)
+			is.Equal(porcupine.CheckOperations(ConfigurationModel(first), of.operations), of.linearizable)
 		})
 	}
 }
 
-func TestSwitchesThatFitNoOrderAreFound(t *testing.T) {
+func TestFlagModel(t *testing.T) {
 	set := func(call, returned int64, on, known bool) porcupine.Operation {
-		return porcupine.Operation{Input: SwitchCall{On: on}, Call: call, Output: SwitchAnswer{Known: known}, Return: returned}
+		return porcupine.Operation{Input: FlagRequest{On: on}, Call: call, Output: FlagResponse{Definite: known}, Return: returned}
 	}
 	read := func(call, returned int64, on bool) porcupine.Operation {
-		return porcupine.Operation{Input: SwitchCall{Read: true}, Call: call, Output: SwitchAnswer{Known: true, On: on}, Return: returned}
+		return porcupine.Operation{Input: FlagRequest{Read: true}, Call: call, Output: FlagResponse{Definite: true, On: on}, Return: returned}
 	}
 	for name, of := range map[string]struct {
-		operations []porcupine.Operation
-		right      bool
+		operations   []porcupine.Operation
+		linearizable bool
 	}{
-		"on and off":               {calls(set(1, 2, true, true), read(3, 4, true), set(5, 6, false, true), read(7, 8, false)), true},
-		"on again by a late call":  {calls(set(1, 2, true, true), set(3, 4, false, true), read(5, 6, true)), false},
-		"unclear, and on":          {calls(set(1, 2, true, false), read(3, 4, true)), true},
-		"unclear, and off":         {calls(set(1, 2, true, false), read(3, 4, false)), true},
-		"acknowledged, and undone": {calls(set(1, 2, true, true), read(3, 4, false)), false},
+		"on and off":               {fromOwnClients(set(1, 2, true, true), read(3, 4, true), set(5, 6, false, true), read(7, 8, false)), true},
+		"on again by a late call":  {fromOwnClients(set(1, 2, true, true), set(3, 4, false, true), read(5, 6, true)), false},
+		"unclear, and on":          {fromOwnClients(set(1, 2, true, false), read(3, 4, true)), true},
+		"unclear, and off":         {fromOwnClients(set(1, 2, true, false), read(3, 4, false)), true},
+		"acknowledged, and undone": {fromOwnClients(set(1, 2, true, true), read(3, 4, false)), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(porcupine.CheckOperations(SwitchModel(), of.operations), of.right)
+			is.Equal(porcupine.CheckOperations(FlagModel(), of.operations), of.linearizable)
 		})
 	}
 }
--- a/internal/testing/simcluster/register_test.go
+++ b/internal/testing/simcluster/register_test.go
@@ -25,9 +25,9 @@
 }
 
 // recordCall writes a call down.
-func (w *historyRun) recordCall(began time.Time, call linearizability.ConfigurationCall, answer linearizability.ConfigurationAnswer) {
+func (w *historyRun) recordCall(began time.Time, call linearizability.ConfigurationRequest, answer linearizability.ConfigurationResponse) {
 	ended := time.Now().UnixNano()
-	if !call.Read && !answer.Known {
+	if !call.Read && !answer.Definite {
 		ended = math.MaxInt64 // it may still come true
 	}
 	w.mu.Lock()
@@ -72,7 +72,7 @@
 func (w *historyRun) read() {
 	began := time.Now()
 	if state, answered := w.readConfiguration(); answered {
-		w.recordCall(began, linearizability.ConfigurationCall{Read: true}, linearizability.ConfigurationAnswer{Known: true, Version: state.Version, Text: state.Text})
+		w.recordCall(began, linearizability.ConfigurationRequest{Read: true}, linearizability.ConfigurationResponse{Definite: true, Version: state.Version, Text: state.Text})
 	}
 }
 
@@ -96,22 +96,22 @@
 	}
 	w.mu.Unlock()
 	text := historyDocument(prefix)(state.Version + 1)
-	call, answer := linearizability.ConfigurationCall{Base: state.Version, Text: text}, linearizability.ConfigurationAnswer{}
+	call, answer := linearizability.ConfigurationRequest{Base: state.Version, Text: text}, linearizability.ConfigurationResponse{}
 	began := time.Now()
-	for send := 0; send < maxSends && !answer.Known; send++ {
+	for send := 0; send < maxSends && !answer.Definite; send++ {
 		m := w.cluster.control(operator + send)
 		status, _, err := w.cluster.callControl(m, http.MethodPost, "/marlreel/config/replace", strconv.FormatUint(call.Base, 10), text)
 		switch {
 		case err == nil && status == http.StatusOK:
-			answer = linearizability.ConfigurationAnswer{Known: true, Taken: true}
+			answer = linearizability.ConfigurationResponse{Definite: true, Committed: true}
 		case err == nil && status == http.StatusPreconditionFailed:
-			answer = linearizability.ConfigurationAnswer{Known: true}
+			answer = linearizability.ConfigurationResponse{Definite: true}
 		default:
 			w.cluster.Sleep(100 * time.Millisecond)
 		}
 	}
 	w.recordCall(began, call, answer)
-	return answer.Taken
+	return answer.Committed
 }
 
 // checkRegister checks that all answers are those of one register.
