--- a/internal/dataplane/gateway/class.go
+++ b/internal/dataplane/gateway/class.go
@@ -38,8 +38,8 @@
 		target = r.Timeout()
 	}
 	class := balancer.Class{
-		Name: className(r), Aim: target, GiveUp: maxRequestTimeout, LateShare: lateShare, Value: 1,
-		Generates: r.Streaming(), MostRuns: r.AttemptLimit(),
+		Name: className(r), LatencyTarget: target, ClientTimeout: maxRequestTimeout, LateValueRatio: lateShare, Value: 1,
+		Generates: r.Streaming(), MaxRuns: r.AttemptLimit(),
 	}
 	if r.Idempotent() {
 		class.Effect = balancer.Safe
--- a/internal/dataplane/gateway/service.go
+++ b/internal/dataplane/gateway/service.go
@@ -48,8 +48,8 @@
 }
 
 // warmupConfig is what backends that have just started bear.
-func (b SharedBudgets) warmupConfig(cfg *configuration.Service) budgetshare.ColdConfig {
-	return budgetshare.ColdConfig{PerSecond: cfg.WarmupRequestsPerS, Excess: b.WarmupExcess, Slack: b.WarmupSlack}
+func (b SharedBudgets) warmupConfig(cfg *configuration.Service) budgetshare.WarmupConfig {
+	return budgetshare.WarmupConfig{PerSecond: cfg.WarmupRequestsPerS, Excess: b.WarmupExcess, Slack: b.WarmupSlack}
 }
 
 func (s *service) balancerConfig() balancer.Config {
@@ -158,7 +158,7 @@
 			WarmupLeft: time.Duration(b.WarmupLeftMs) * time.Millisecond,
 		}
 		for _, m := range b.Models {
-			backend.Held = append(backend.Held, prefixcache.Held{Model: m.Name, Adapters: m.Adapters})
+			backend.Loaded = append(backend.Loaded, prefixcache.LoadedModel{Model: m.Name, Adapters: m.Adapters})
 		}
 		advised = append(advised, backend)
 	}
@@ -173,7 +173,7 @@
 // takeRetry takes one retry from the budget, for an attempt that the engine knows nothing of.
 func (s *service) takeRetry() bool {
 	taken := make(chan bool, 1)
-	s.engine.Post(func() { taken <- s.advisor.Repeats(s.engine.Now()) })
+	s.engine.Post(func() { taken <- s.advisor.TryRetry(s.engine.Now()) })
 	select {
 	case took := <-taken:
 		return took
--- a/internal/dataplane/gateway/streaming.go
+++ b/internal/dataplane/gateway/streaming.go
@@ -137,7 +137,7 @@
 	if next == nil {
 		return false
 	}
-	next.Spent = s.attempts
+	next.PriorRuns = s.attempts
 	answer := r.execute(next)
 	reply, is := answer.Reply.(*httpproxy.Reply)
 	if !is {
--- a/internal/dataplane/routing/config.go
+++ b/internal/dataplane/routing/config.go
@@ -30,7 +30,7 @@
 	return balancer.Config{
 		Instances: max(1, proxies), Rank: rank, Zone: zone, Tick: time.Millisecond,
 		Classes: classes, Goal: balancer.Goal{Whole: 1}, Prices: balancer.Prices{CrossZone: crossZonePrice},
-		Obligations: balancer.Obligations{Cold: restartWarmup, StartCapacity: 1, FallMultiple: 1, Fall: time.Second},
+		Obligations: balancer.Obligations{WarmupDuration: restartWarmup, InitialCapacity: 1, OverloadMultiple: 1, OverloadWindow: time.Second},
 		Caps: balancer.Caps{
 			Cancel: true, Probes: true, RetryAfter: true, ConnIdle: connectionIdleTimeout,
 			ConnectTimeout: connectTimeout, SweepEvery: sweepInterval, MaxRetryAfter: maxRetryAfter, MaxAttempts: maxAttempts,
