--- a/cmd/marlreeld/history_test.go
+++ b/cmd/marlreeld/history_test.go
@@ -37,13 +37,13 @@
 		return linearizability.Configuration{}, false
 	}
 	version, _ := strconv.ParseUint(found[1], 10, 64)
-	s.recordOperation(began, linearizability.ConfigurationCall{Read: true}, linearizability.ConfigurationAnswer{Known: true, Version: version, Text: text})
+	s.recordOperation(began, linearizability.ConfigurationRequest{Read: true}, linearizability.ConfigurationResponse{Definite: true, Version: version, Text: text})
 	return linearizability.Configuration{Version: version, Text: text}, true
 }
 
-func (s *testSystem) recordOperation(began time.Time, call linearizability.ConfigurationCall, answer linearizability.ConfigurationAnswer) {
+func (s *testSystem) recordOperation(began time.Time, call linearizability.ConfigurationRequest, answer linearizability.ConfigurationResponse) {
 	returned := int64(time.Since(s.began))
-	if !answer.Known {
+	if !answer.Definite {
 		returned = math.MaxInt64 // it may still come true
 	}
 	s.mu.Lock()
@@ -52,7 +52,7 @@
 		ClientId: len(s.operations), Input: call, Call: int64(began.Sub(s.began)),
 		Output: answer, Return: returned,
 	})
-	if answer.Taken && call.Base+1 > s.newest.Version {
+	if answer.Committed && call.Base+1 > s.newest.Version {
 		s.newest = linearizability.Configuration{Version: call.Base + 1, Text: call.Text}
 	}
 }
@@ -74,24 +74,24 @@
 	s.writes++
 	text := testDocument(current.Version+1, fmt.Sprintf("w%d", s.writes))
 	s.mu.Unlock()
-	call := linearizability.ConfigurationCall{Base: current.Version, Text: text}
-	answer := linearizability.ConfigurationAnswer{}
+	call := linearizability.ConfigurationRequest{Base: current.Version, Text: text}
+	answer := linearizability.ConfigurationResponse{}
 	began := time.Now()
 	const maxAttempts = 10
-	for attempt := 0; attempt < maxAttempts && !answer.Known; attempt++ {
+	for attempt := 0; attempt < maxAttempts && !answer.Definite; attempt++ {
 		c := s.controls[(operator+attempt)%len(s.controls)]
 		code, _ := s.call(c.settings.Listen.Control, http.MethodPost, "/marlreel/config/replace", strconv.FormatUint(current.Version, 10), text)
 		switch code {
 		case http.StatusOK:
-			answer = linearizability.ConfigurationAnswer{Known: true, Taken: true}
+			answer = linearizability.ConfigurationResponse{Definite: true, Committed: true}
 		case http.StatusPreconditionFailed:
-			answer = linearizability.ConfigurationAnswer{Known: true}
+			answer = linearizability.ConfigurationResponse{Definite: true}
 		default:
 			sleep(50 * time.Millisecond)
 		}
 	}
 	s.recordOperation(began, call, answer)
-	return answer.Taken
+	return answer.Committed
 }
 
 // sendRequest sends a request that may run once to a proxy.
