--- a/cmd/marlreeltry/main_test.go
+++ b/cmd/marlreeltry/main_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// The real roles on real sockets: a model that nobody holds is loaded, and its stream comes.
-func TestTryServesAStream(t *testing.T) {
+// The real roles on real sockets: a model that no backend has loaded is loaded, and its stream comes.
+func TestOnceServesAStream(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	command := newCommand(io.Discard)
--- a/internal/testing/scale/system.go
+++ b/internal/testing/scale/system.go
@@ -99,6 +99,7 @@
 		s.startHollow(ctx, s.cfg.settings(fmt.Sprint("edge-", i), kindProxy, i))
 	}
 	s.startBackends(ctx, controls)
+	//nolint:contextcheck // fasthttp dials without a context; each call has a deadline instead
 	s.operator = operatorclient.NewClient(controls, callTimeout, host.OSNetwork{}.Dial)
 	if _, err := s.ChangeConfiguration(ctx); err != nil {
 		return err
@@ -136,7 +137,7 @@
 	subscriber := newSubscriber()
 	s.subscribers = append(s.subscribers, subscriber)
 	store := watch.New(settings.NodeName, time.Now)
-	client := transport.NewClient(host.OSNetwork{}.Dial)
+	client := transport.NewClient(host.OSNetwork{}.Dial) //nolint:contextcheck // as above
 	s.hollow.Go(func() {
 		watch.RunSubscriber(ctx, store, watch.SubscriberConfig{
 			MaxWait: time.Second, Log: logr.Discard(),
@@ -152,7 +153,7 @@
 func (s *System) startBackends(ctx context.Context, controls []string) {
 	for i := range s.cfg.Backends {
 		model := fmt.Sprint("model-", i%max(1, s.cfg.Models))
-		b := fakesystem.NewBackend(fakesystem.BackendConfig{
+		b := fakesystem.NewBackend(fakesystem.BackendConfig{ //nolint:contextcheck // as above
 			ID: fmt.Sprint("i-", i), Service: "llm", Zone: s.cfg.zone(i), Slots: 64,
 			Address: addressOf(kindBackend, i, backendPort), Controls: func() []string { return controls },
 			HeartbeatInterval: s.cfg.HeartbeatInterval,
