--- a/cmd/marlreelscale/main.go
+++ b/cmd/marlreelscale/main.go
@@ -1,5 +1,5 @@
-// Command marlreelscale runs systems of several sizes on the loopback addresses of one
-// machine, measures what each role costs, and fits lines through the figures.
+// Command marlreelscale runs systems of several sizes on the loopback addresses of one machine, measures what each role
+// costs, and fits lines through the measurements (docs/CAPACITY.md).
 package main
 
 import (
@@ -10,11 +10,11 @@
 	"os"
 	"os/signal"
 	"syscall"
-	"text/tabwriter"
 	"time"
 
 	"github.com/rotisserie/eris"
 	"github.com/spf13/cobra"
+	"go.uber.org/multierr"
 
 	"marlreel/internal/testing/scale"
 )
@@ -28,54 +28,68 @@
 	}
 }
 
-// sizes are the sizes of the trials: each list is varied by itself, from the first values.
+// sizes are those of the trials. Each list is varied by itself; the first values of the others count meanwhile.
 type sizes struct {
 	proxies, backends, routes []int
 }
 
+// options are what the flags say.
+type options struct {
+	base  scale.Config // but for the sizes
+	plan  scale.Plan
+	sizes sizes
+	// resultsFile is where each trial's result goes as a line of JSON; empty: nowhere.
+	resultsFile string
+}
+
 func newCommand() *cobra.Command {
-	cfg := scale.Config{}
-	plan := scale.Plan{}
-	var vary sizes
-	raw := ""
+	var o options
 	command := &cobra.Command{
 		Use: "marlreelscale", Short: "measure what each role costs at several sizes",
 		Long: `Runs marlreeld's control processes and one proxy with its agent as real processes, beside hollow
 proxies and stand-in backends, for each size; prints a table, and the line through the figures.
 
   go build -o target/ ./cmd/marlreeld && go run ./cmd/marlreelscale --proxies 25,50,100,200,380`,
-		Args: cobra.NoArgs, SilenceUsage: true, SilenceErrors: true, RunE: func(command *cobra.Command, _ []string) error {
-			results, err := playAll(command.Context(), cfg, plan, vary, command.ErrOrStderr())
+		Args: cobra.NoArgs, SilenceUsage: true, SilenceErrors: true,
+		RunE: func(command *cobra.Command, _ []string) error {
+			results, err := runTrials(command.Context(), o, command.ErrOrStderr())
 			if err != nil {
 				return err
 			}
-			if raw != "" {
-				if err := writeRaw(raw, results); err != nil {
+			if o.resultsFile != "" {
+				if err := writeResults(o.resultsFile, results); err != nil {
 					return err
 				}
 			}
-			return report(command.OutOrStdout(), results)
+			return printReport(command.OutOrStdout(), results)
 		},
 	}
-	flags := command.Flags()
-	flags.StringVar(&cfg.Program, "program", "target/marlreeld", "the program")
-	flags.IntVar(&cfg.Controls, "controls", 5, "control processes")
-	flags.IntVar(&cfg.Zones, "zones", 6, "zones")
-	flags.IntVar(&cfg.Models, "models", 100, "models")
-	flags.IntSliceVar(&vary.proxies, "proxies", []int{25, 50, 100, 200}, "how many proxies, the first with each number of backends and routes")
-	flags.IntSliceVar(&vary.backends, "backends", []int{50}, "how many backends, the first with each number of proxies and routes")
-	flags.IntSliceVar(&vary.routes, "routes", []int{20}, "how many routes, the first with each number of proxies and backends")
-	flags.DurationVar(&cfg.HeartbeatInterval, "beat", 1200*time.Millisecond, "the time between two heartbeats of a backend")
-	flags.DurationVar(&plan.WarmupTime, "settle", 5*time.Second, "how long a system rests before it is measured")
-	flags.DurationVar(&plan.IdleTime, "idle", 10*time.Second, "how long it is measured without changes")
-	flags.IntVar(&plan.Changes, "changes", 10, "how many changes, one a second")
-	flags.StringVar(&raw, "raw", "", "a file for the raw figures, a line of JSON a trial")
+	o.addFlags(command)
 	return command
 }
 
-// trials are the configurations to play: one list varies at a time.
-func trials(base scale.Config, vary sizes) []scale.Config {
-	base.Proxies, base.Backends, base.Routes = vary.proxies[0], vary.backends[0], vary.routes[0]
+// addFlags has a command line set the options.
+func (o *options) addFlags(command *cobra.Command) {
+	flags := command.Flags()
+	flags.StringVar(&o.base.Program, "program", "target/marlreeld", "the program")
+	flags.IntVar(&o.base.Controls, "controls", 5, "control processes")
+	flags.IntVar(&o.base.Zones, "zones", 6, "zones")
+	flags.IntVar(&o.base.Models, "models", 100, "models")
+	flags.IntSliceVar(&o.sizes.proxies, "proxies", []int{25, 50, 100, 200}, "how many proxies, the first with each number of backends and routes")
+	flags.IntSliceVar(&o.sizes.backends, "backends", []int{50}, "how many backends, the first with each number of proxies and routes")
+	flags.IntSliceVar(&o.sizes.routes, "routes", []int{20}, "how many routes, the first with each number of proxies and backends")
+	flags.DurationVar(&o.base.HeartbeatInterval, "beat", 1200*time.Millisecond, "the time between two heartbeats of a backend")
+	flags.DurationVar(&o.plan.WarmupTime, "settle", 5*time.Second, "how long a system rests before it is measured")
+	flags.DurationVar(&o.plan.IdleTime, "idle", 10*time.Second, "how long it is measured without changes")
+	flags.IntVar(&o.plan.Changes, "changes", 10, "how many changes, one a second")
+	flags.StringVar(&o.resultsFile, "raw", "", "a file for the raw figures, a line of JSON a trial")
+}
+
+// configsOf returns the configurations to run: one list varies at a time.
+func configsOf(base scale.Config, vary sizes) []scale.Config {
+	base.Proxies = vary.proxies[0]
+	base.Backends = vary.backends[0]
+	base.Routes = vary.routes[0]
 	configs := []scale.Config{base}
 	add := func(list []int, set func(cfg *scale.Config, value int)) {
 		for _, value := range list[1:] {
@@ -90,17 +104,18 @@
 	return configs
 }
 
-func playAll(ctx context.Context, base scale.Config, plan scale.Plan, vary sizes, progress io.Writer) ([]*scale.Result, error) {
-	if len(vary.proxies) == 0 || len(vary.backends) == 0 || len(vary.routes) == 0 {
+// runTrials runs one trial after the other; progress goes to a writer of its own.
+func runTrials(ctx context.Context, o options, progress io.Writer) ([]*scale.Result, error) {
+	if len(o.sizes.proxies) == 0 || len(o.sizes.backends) == 0 || len(o.sizes.routes) == 0 {
 		return nil, eris.New("each of --proxies, --backends and --routes needs a number")
 	}
-	if _, err := os.Stat(base.Program); err != nil {
+	if _, err := os.Stat(o.base.Program); err != nil {
 		return nil, eris.Wrap(err, "build the program first: go build -o target/ ./cmd/marlreeld")
 	}
 	var results []*scale.Result
-	for _, cfg := range trials(base, vary) {
+	for _, cfg := range configsOf(o.base, o.sizes) {
 		fmt.Fprintf(progress, "%d proxies, %d backends, %d routes\n", cfg.Proxies, cfg.Backends, cfg.Routes)
-		result, err := scale.Run(ctx, cfg, plan)
+		result, err := scale.Run(ctx, cfg, o.plan)
 		if err != nil {
 			return nil, eris.Wrapf(err, "%d proxies, %d backends, %d routes", cfg.Proxies, cfg.Backends, cfg.Routes)
 		}
@@ -109,7 +124,8 @@
 	return results, nil
 }
 
-func writeRaw(path string, results []*scale.Result) error {
+// writeResults writes a line of JSON a result.
+func writeResults(path string, results []*scale.Result) error {
 	out, err := os.Create(path)
 	if err != nil {
 		return eris.Wrap(err, "writing the raw figures")
@@ -117,83 +133,8 @@
 	encoder := json.NewEncoder(out)
 	for _, result := range results {
 		if err := encoder.Encode(result); err != nil {
-			out.Close()
-			return eris.Wrap(err, "writing the raw figures")
+			return multierr.Append(eris.Wrap(err, "writing the raw figures"), out.Close())
 		}
 	}
 	return out.Close()
 }
-
-// roles are the roles in the order of the report.
-var roles = []string{"control", "agent", "proxy"}
-
-// report prints the table and the lines.
-func report(out io.Writer, results []*scale.Result) error {
-	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(table, "proxies\tbackends\troutes\trole\tcore %\tMB\tKB/s in\tKB/s out\tcore % changing\tKB/s in\tKB/s out\t")
-	for _, r := range results {
-		for _, role := range roles {
-			idle, changing := r.IdleUsage[role], r.ChangingUsage[role]
-			fmt.Fprintf(table, "%d\t%d\t%d\t%s\t%.2f\t%.1f\t%.1f\t%.1f\t%.2f\t%.1f\t%.1f\t\n", r.Proxies, r.Backends, r.Routes, role,
-				idle.CPUPercent, idle.ResidentMB, idle.ReadKBps, idle.WriteKBps, changing.CPUPercent, changing.ReadKBps, changing.WriteKBps)
-		}
-	}
-	fmt.Fprintln(table, "\nproxies\tbackends\troutes\tin force ms p50\tp99\tworst\tacknowledged ms p50\tworst\tafter a loss ms\t")
-	for _, r := range results {
-		fmt.Fprintf(table, "%d\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t\n", r.Proxies, r.Backends, r.Routes, r.PropagationMS.Median,
-			r.PropagationMS.P99, r.PropagationMS.Max, r.AcknowledgementMS.Median, r.AcknowledgementMS.Max, r.FailoverMS)
-	}
-	fmt.Fprintln(table, "\nline by\trole\tfigure\tat none\tfor each\tresidue\t")
-	lines(table, "proxies", results, func(r *scale.Result) int { return r.Proxies })
-	lines(table, "backends", results, func(r *scale.Result) int { return r.Backends })
-	lines(table, "routes", results, func(r *scale.Result) int { return r.Routes })
-	return table.Flush()
-}
-
-// figures are what lines are fitted through.
-var figures = []struct {
-	name string
-	of   func(r *scale.Result, role string) float64
-}{
-	{"core %", func(r *scale.Result, role string) float64 { return r.IdleUsage[role].CPUPercent }},
-	{"MB", func(r *scale.Result, role string) float64 { return r.IdleUsage[role].ResidentMB }},
-	{"KB/s in", func(r *scale.Result, role string) float64 { return r.IdleUsage[role].ReadKBps }},
-	{"KB/s out", func(r *scale.Result, role string) float64 { return r.IdleUsage[role].WriteKBps }},
-	{"core % changing", func(r *scale.Result, role string) float64 { return r.ChangingUsage[role].CPUPercent }},
-	{"KB/s in changing", func(r *scale.Result, role string) float64 { return r.ChangingUsage[role].ReadKBps }},
-	{"KB/s out changing", func(r *scale.Result, role string) float64 { return r.ChangingUsage[role].WriteKBps }},
-}
-
-// leastPoints is from how many sizes on a line is fitted.
-const leastPoints = 3
-
-// lines fits the figures by one size, over the trials in which the others are those of the
-// first trial.
-func lines(out io.Writer, name string, results []*scale.Result, size func(*scale.Result) int) {
-	first := results[0]
-	var used []*scale.Result
-	for _, r := range results {
-		others := 0
-		for _, same := range []bool{r.Proxies == first.Proxies, r.Backends == first.Backends, r.Routes == first.Routes} {
-			if !same {
-				others++
-			}
-		}
-		if others == 0 || others == 1 && size(r) != size(first) {
-			used = append(used, r)
-		}
-	}
-	if len(used) < leastPoints {
-		return
-	}
-	for _, role := range roles {
-		for _, figure := range figures {
-			var x, y []float64
-			for _, r := range used {
-				x, y = append(x, float64(size(r))), append(y, figure.of(r, role))
-			}
-			fit := scale.FitLine(x, y)
-			fmt.Fprintf(out, "%s\t%s\t%s\t%.3f\t%.5f\t%.3f\t\n", name, role, figure.name, fit.Intercept, fit.Slope, fit.RootMeanSquareError)
-		}
-	}
-}
