--- a/internal/dataplane/gateway/clientrequest.go
+++ b/internal/dataplane/gateway/clientrequest.go
@@ -35,7 +35,7 @@
 	if !known {
 		return nil
 	}
-	c := &call{answers: make(chan engine.Answer, 1), latencyTarget: book.Settings.Classes[class].Aim, modelLoaded: true}
+	c := &call{answers: make(chan engine.Answer, 1), latencyTarget: book.Settings.Classes[class].LatencyTarget, modelLoaded: true}
 	c.Call = engine.Call{
 		Request: balancer.Request{Class: class, Cost: work, Needs: needs}, Carrier: s.carrier, Book: book,
 		Payload: message, Front: c,
--- a/internal/dataplane/gateway/process.go
+++ b/internal/dataplane/gateway/process.go
@@ -110,6 +110,6 @@
 func sharedBudgetsOf(b bootstrap.Bounds) SharedBudgets {
 	return SharedBudgets{
 		WarmupExcess: b.WarmupExcess, WarmupSlack: b.WarmupSlack,
-		Retry: budgetshare.RepeatsConfig{Ratio: b.RetryBudgetRatio, Slack: b.RetrySlack, Window: bootstrap.Seconds(b.RetryWindowS)},
+		Retry: budgetshare.RetryConfig{Ratio: b.RetryBudgetRatio, Slack: b.RetrySlack, Window: bootstrap.Seconds(b.RetryWindowS)},
 	}
 }
