--- a/cmd/marlreeld/process_test.go
+++ b/cmd/marlreeld/process_test.go
@@ -21,6 +21,7 @@
 	"marlreel/internal/dataplane/gateway"
 	"marlreel/internal/process/bootstrap"
 	"marlreel/internal/process/host"
+	"marlreel/internal/process/logevent"
 )
 
 // Whole programs run as processes of their own, on real sockets, clocks and folders. They are this test's program,
@@ -46,7 +47,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
-	machine := host.New(settings, newLogger(os.Stderr, false).WithValues("node", settings.NodeName))
+	machine := host.New(settings, newLogger(os.Stderr, false).WithValues(logevent.KeyNode, settings.NodeName))
 	network := &partitionableNetwork{ip: settings.IP, partitioned: map[string]bool{}, changed: make(chan struct{})}
 	machine.Network = network
 	go network.serveCommands(os.Stdin, os.Stdout)
--- a/cmd/marlreeld/role.go
+++ b/cmd/marlreeld/role.go
@@ -13,6 +13,7 @@
 
 	"marlreel/internal/process/bootstrap"
 	"marlreel/internal/process/host"
+	"marlreel/internal/process/logevent"
 )
 
 // runRole is what a role does until its context ends.
@@ -24,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	log = log.WithValues("node", settings.NodeName)
+	log = log.WithValues(logevent.KeyNode, settings.NodeName)
 	ctx, stop := signal.NotifyContext(parent, syscall.SIGTERM, syscall.SIGINT)
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
--- a/internal/process/logevent/logevent.go
+++ b/internal/process/logevent/logevent.go
@@ -7,6 +7,8 @@
 
 // Keys of the values of a log line.
 const (
+	// KeyNode is the name of the machine whose process writes the line; each line has it.
+	KeyNode = "node"
 	// KeyBackend is a backend's id.
 	KeyBackend = "backend"
 	// KeyBackends is a number of backends.
