--- a/cmd/marlreeld/compatibility_test.go
+++ b/cmd/marlreeld/compatibility_test.go
@@ -14,32 +14,12 @@
 
 	"github.com/pelletier/go-toml/v2"
 	"github.com/spf13/cobra"
-)
 
-// The files under testdata/compatibility were written by the code of commit 6fb9894, with
-// WRITE_COMPATIBILITY=1. They hold forms that other processes, backends and operators rely on.
-// They must not be written anew to get a pass. Those named sent-… are after the forms of that commit.
+	"marlreel/internal/testing/recorded"
+)
 
-// checkRecorded compares a text with the recorded one.
-func checkRecorded(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "compatibility", name)
-	if os.Getenv("WRITE_COMPATIBILITY") != "" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs from what was recorded\n got:\n%s\nwant:\n%s", path, got, want)
-	}
-}
+// The files under testdata/compatibility must not be written anew to get a pass (package recorded). Those named
+// sent-… are after the forms of commit 6fb9894.
 
 // flagLine is a flag in a command's help: its names, the kind of its value, and what it usually is.
 var flagLine = regexp.MustCompile(`(?m)^ +((?:-\w, )?--[\w-]+(?: \w+)?) {3}.*?(\(default [^)]*\))?$`)
@@ -66,7 +46,7 @@
 func TestCompatibilityOfCommandLine(t *testing.T) {
 	var out strings.Builder
 	describe(newCommand(&bytes.Buffer{}), &out)
-	checkRecorded(t, "commands.txt", out.String())
+	recorded.Check(t, "commands.txt", out.String())
 }
 
 // The deploy file has the keys that the platform reads, and starts subcommands that there are.
@@ -128,7 +108,7 @@
 		printed, err := execute(t, args...)
 		fmt.Fprintf(&out, "== %s\n%s-> %v\n", strings.Join(args, " "), printed, err)
 	}
-	checkRecorded(t, "prints.txt", out.String())
+	recorded.Check(t, "prints.txt", out.String())
 }
 
 // Commands that call control read a recorded status and answers, and print what they printed.
@@ -170,5 +150,5 @@
 		printed, err := execute(t, append(args, "--control", address)...)
 		fmt.Fprintf(&out, "== %s\n%s\n%s-> %v\n", strings.Join(args, " "), strings.Join(calls, "\n"), printed, err)
 	}
-	checkRecorded(t, "operator-commands.txt", out.String())
+	recorded.Check(t, "operator-commands.txt", out.String())
 }
--- a/internal/controlplane/operatorclient/compatibility_test.go
+++ b/internal/controlplane/operatorclient/compatibility_test.go
@@ -11,40 +11,16 @@
 	"io"
 	"net"
 	"net/http"
-	"os"
-	"path/filepath"
 	"regexp"
 	"strings"
 	"testing"
 	"time"
 
 	"marlreel/internal/controlplane/result"
+	"marlreel/internal/testing/recorded"
 )
 
-// The files under testdata/compatibility were written by the code of commit 6fb9894, with
-// WRITE_COMPATIBILITY=1. They hold forms that other processes, backends and operators rely on.
-// They must not be written anew to get a pass.
-
-// checkRecorded compares a text with the recorded one.
-func checkRecorded(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "compatibility", name)
-	if os.Getenv("WRITE_COMPATIBILITY") != "" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs from what was recorded\n got:\n%s\nwant:\n%s", path, got, want)
-	}
-}
+// The files under testdata/compatibility must not be written anew to get a pass (package recorded).
 
 // byteReader gives a byte at a time, so that what is noted ends where the request does.
 type byteReader struct{ from *bufio.Reader }
@@ -114,7 +90,7 @@
 		}
 		fmt.Fprintf(&out, "== %s\n%s\n", call.name, strings.Join(control.seen, "\n--\n"))
 	}
-	checkRecorded(t, "calls.txt", out.String())
+	recorded.Check(t, "calls.txt", out.String())
 }
 
 // Answers of a control process of the recorded version are read as they were.
@@ -178,5 +154,5 @@
 		}
 		fmt.Fprintf(&out, "== %s %o\n%s\n", header.Name, header.Mode, program.ReplaceAll(body, []byte(`"program": (varies)`)))
 	}
-	checkRecorded(t, "bundle.txt", out.String())
+	recorded.Check(t, "bundle.txt", out.String())
 }
