--- a/cmd/marlreeld/history_test.go
+++ b/cmd/marlreeld/history_test.go
@@ -17,7 +17,7 @@
 	"marlreel/internal/testing/linearizability"
 )
 
-// testDocument is a configuration with a route at a path of its own, by which it is told in force.
+// testDocument is a configuration with a route at a path of its own, which shows when it is in force.
 func testDocument(version uint64, path string) string {
 	return fmt.Sprintf(`{"config_version":%d,"route_list":[{"name":"slip","host":"a.example","path_prefix":"/slip/",`+
 		`"route_class":"unsafe","timeout_ms":2000,"target_latency_ms":150,"priority":2,"service":"slips","max_attempts":1},`+
--- a/cmd/marlreeld/main_test.go
+++ b/cmd/marlreeld/main_test.go
@@ -14,15 +14,15 @@
 	"marlreel/internal/process/bootstrap"
 )
 
-// Agreement, membership, discovery and proxying are this project's own: the program links
+// Consensus, membership, discovery and proxying are this project's own: the program links
 // no library for them. Nor does it link what only tests and trials are made of.
-func TestLinksNoForeignAgreementAndNoStandIn(t *testing.T) {
+func TestLinksNoConsensusLibraryAndNoFakes(t *testing.T) {
 	is := is.New(t)
 	out, err := exec.Command("go", "list", "-deps", ".").Output()
 	is.NoErr(err)
 	for _, forbidden := range []string{
 		"raft", "memberlist", "etcd", "serf", "consul", "simnet", "simcluster", "net/http/httputil",
-		"marlreel/internal/fleet",
+		"marlreel/internal/fleet", "marlreel/internal/testing",
 	} {
 		for line := range strings.Lines(string(out)) {
 			if strings.Contains(strings.TrimSpace(line), forbidden) {
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestBadSettingsAreOneClearError(t *testing.T) {
+func TestInvalidSettingsAreOneLine(t *testing.T) {
 	is := is.New(t)
 	for text, named := range map[string]string{
 		"":                              "node_name",
--- a/cmd/marlreeld/partition_test.go
+++ b/cmd/marlreeld/partition_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// reaches tells whether a machine can be reached, and what is closed when that changes.
+// reaches reports whether a machine can be reached, and returns what is closed when that changes.
 func (n *partitionableNetwork) reaches(ip string) (bool, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/controlplane/operatorclient/client.go
+++ b/internal/controlplane/operatorclient/client.go
@@ -12,6 +12,7 @@
 	"github.com/valyala/fasthttp"
 
 	"marlreel/internal/controlplane/result"
+	"marlreel/internal/process/timing"
 	"marlreel/internal/process/transport"
 )
 
@@ -101,8 +102,9 @@
 		if time.Now().Add(retryBackoff).After(deadline) {
 			break
 		}
-		if err := sleep(ctx, retryBackoff); err != nil {
-			return nil, &NoAnswerError{Last: err}
+		timing.Sleep(ctx, retryBackoff)
+		if ctx.Err() != nil {
+			return nil, &NoAnswerError{Last: ctx.Err()}
 		}
 	}
 	return nil, &NoAnswerError{Last: last}
@@ -145,15 +147,3 @@
 	}
 	return &result.Error{Code: body.Code, Detail: body.Cause}
 }
-
-// sleep waits, and returns the error of ctx where that ends first.
-func sleep(ctx context.Context, duration time.Duration) error {
-	timer := time.NewTimer(duration)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return nil
-	case <-ctx.Done():
-		return ctx.Err()
-	}
-}
--- a/internal/process/metricserver/compatibility_test.go
+++ b/internal/process/metricserver/compatibility_test.go
@@ -14,9 +14,9 @@
 
 // The files under testdata/compatibility must not be written anew to get a pass (package recorded).
 
-// The door answers at the path, and in the format, where readers look; names have their form. The
-// names of all figures are recorded with the cluster's tests, where all processes run.
-func TestCompatibilityOfDoor(t *testing.T) {
+// The server answers at the path, and in the format, that scrapers know; names have their form. The
+// names of all metrics are recorded with the cluster's tests, where all processes run.
+func TestCompatibilityOfServer(t *testing.T) {
 	set := vm.NewSet()
 	set.NewGauge(SeriesName("plain"), func() float64 { return BoolValue(true) })
 	set.NewGauge(SeriesName("off"), func() float64 { return BoolValue(false) })
--- a/internal/testing/fakesystem/heartbeat.go
+++ b/internal/testing/fakesystem/heartbeat.go
@@ -9,6 +9,8 @@
 	"time"
 
 	"github.com/valyala/fasthttp"
+
+	"marlreel/internal/process/timing"
 )
 
 const (
@@ -67,10 +69,10 @@
 		if !b.sendHeartbeat(target) {
 			b.heartbeatTarget = ""
 			attempt++
-			pause(ctx, b.cfg.HeartbeatInterval/retryFraction)
+			timing.Sleep(ctx, b.cfg.HeartbeatInterval/retryFraction)
 			continue
 		}
-		pause(ctx, b.cfg.HeartbeatInterval)
+		timing.Sleep(ctx, b.cfg.HeartbeatInterval)
 	}
 }
 
@@ -97,13 +99,3 @@
 	b.drainAcknowledged = b.isDraining
 	return true
 }
-
-// pause waits, or until ctx ends.
-func pause(ctx context.Context, duration time.Duration) {
-	timer := time.NewTimer(duration)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-	case <-ctx.Done():
-	}
-}
--- a/internal/testing/scale/system.go
+++ b/internal/testing/scale/system.go
@@ -20,6 +20,7 @@
 	"marlreel/internal/distribution/watch"
 	"marlreel/internal/process/bootstrap"
 	"marlreel/internal/process/host"
+	"marlreel/internal/process/timing"
 	"marlreel/internal/process/transport"
 	"marlreel/internal/testing/fakesystem"
 )
@@ -174,7 +175,7 @@
 		if isRead && len(status.Nodes) == s.cfg.Proxies && len(status.Backends) == s.cfg.Backends && s.missing(s.version) == 0 {
 			return nil
 		}
-		pause(ctx, pollInterval)
+		timing.Sleep(ctx, pollInterval)
 	}
 	return eris.Errorf("after %v: %d of %d proxies and %d of %d backends are known, %d subscribers lack the configuration",
 		startTimeout, len(status.Nodes), s.cfg.Proxies, len(status.Backends), s.cfg.Backends, s.missing(s.version))
@@ -212,13 +213,3 @@
 	}
 	return delays
 }
-
-// pause waits, or until ctx ends.
-func pause(ctx context.Context, duration time.Duration) {
-	timer := time.NewTimer(duration)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-	case <-ctx.Done():
-	}
-}
--- a/internal/testing/scale/trial.go
+++ b/internal/testing/scale/trial.go
@@ -6,6 +6,8 @@
 	"time"
 
 	"github.com/rotisserie/eris"
+
+	"marlreel/internal/process/timing"
 )
 
 const (
@@ -83,9 +85,9 @@
 		Controls: cfg.Controls, Proxies: cfg.Proxies, Backends: cfg.Backends, Models: cfg.Models, Zones: cfg.Zones,
 		Routes: cfg.Routes,
 	}
-	pause(ctx, plan.WarmupTime)
+	timing.Sleep(ctx, plan.WarmupTime)
 	r.IdleUsage, err = s.usageDuring(func() error {
-		pause(ctx, plan.IdleTime)
+		timing.Sleep(ctx, plan.IdleTime)
 		return ctx.Err()
 	})
 	if err != nil {
@@ -152,7 +154,7 @@
 			return err
 		}
 		propagation = append(propagation, s.PropagationDelays(s.version, acknowledged)...)
-		pause(ctx, changeInterval-time.Since(began))
+		timing.Sleep(ctx, changeInterval-time.Since(began))
 	}
 	r.PropagationMS = percentilesOf(propagation)
 	r.AcknowledgementMS = percentilesOf(acknowledgement)
@@ -166,7 +168,7 @@
 		if time.Now().After(deadline) || ctx.Err() != nil {
 			return eris.Errorf("version %d is missing at %d proxies after %v", s.version, s.missing(s.version), propagationTimeout)
 		}
-		pause(ctx, propagationPoll)
+		timing.Sleep(ctx, propagationPoll)
 	}
 	return nil
 }
