--- a/internal/testing/scale/system.go
+++ b/internal/testing/scale/system.go
@@ -20,6 +20,7 @@
 	"marlreel/internal/distribution/watch"
 	"marlreel/internal/process/bootstrap"
 	"marlreel/internal/process/host"
+	"marlreel/internal/process/timing"
 	"marlreel/internal/process/transport"
 	"marlreel/internal/testing/fakesystem"
 )
@@ -99,6 +100,7 @@
 		s.startHollow(ctx, s.cfg.settings(fmt.Sprint("edge-", i), kindProxy, i))
 	}
 	s.startBackends(ctx, controls)
+	//nolint:contextcheck // fasthttp dials without a context; each call has a deadline instead
 	s.operator = operatorclient.NewClient(controls, callTimeout, host.OSNetwork{}.Dial)
 	if _, err := s.ChangeConfiguration(ctx); err != nil {
 		return err
@@ -136,7 +138,7 @@
 	subscriber := newSubscriber()
 	s.subscribers = append(s.subscribers, subscriber)
 	store := watch.New(settings.NodeName, time.Now)
-	client := transport.NewClient(host.OSNetwork{}.Dial)
+	client := transport.NewClient(host.OSNetwork{}.Dial) //nolint:contextcheck // as above
 	s.hollow.Go(func() {
 		watch.RunSubscriber(ctx, store, watch.SubscriberConfig{
 			MaxWait: time.Second, Log: logr.Discard(),
@@ -152,7 +154,7 @@
 func (s *System) startBackends(ctx context.Context, controls []string) {
 	for i := range s.cfg.Backends {
 		model := fmt.Sprint("model-", i%max(1, s.cfg.Models))
-		b := fakesystem.NewBackend(fakesystem.BackendConfig{
+		b := fakesystem.NewBackend(fakesystem.BackendConfig{ //nolint:contextcheck // as above
 			ID: fmt.Sprint("i-", i), Service: "llm", Zone: s.cfg.zone(i), Slots: 64,
 			Address: addressOf(kindBackend, i, backendPort), Controls: func() []string { return controls },
 			HeartbeatInterval: s.cfg.HeartbeatInterval,
@@ -173,7 +175,7 @@
 		if isRead && len(status.Nodes) == s.cfg.Proxies && len(status.Backends) == s.cfg.Backends && s.missing(s.version) == 0 {
 			return nil
 		}
-		pause(ctx, pollInterval)
+		timing.Sleep(ctx, pollInterval)
 	}
 	return eris.Errorf("after %v: %d of %d proxies and %d of %d backends are known, %d subscribers lack the configuration",
 		startTimeout, len(status.Nodes), s.cfg.Proxies, len(status.Backends), s.cfg.Backends, s.missing(s.version))
@@ -211,13 +213,3 @@
 	}
 	return delays
 }
-
-// pause waits, or until ctx ends.
-func pause(ctx context.Context, duration time.Duration) {
-	timer := time.NewTimer(duration)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-	case <-ctx.Done():
-	}
-}
