--- a/internal/testing/simcluster/client.go
+++ b/internal/testing/simcluster/client.go
@@ -11,24 +11,25 @@
 	"time"
 )
 
-// Request is a client's request.
+// Request is a client's request. Fields other than the first three and the timeout may be empty.
 type Request struct {
 	ID, Host, Path, Model, Tokens, Prompt, LastEventID, Body string
 	Timeout                                                  time.Duration
 }
 
-// Response is what a client got.
+// Response is what a client received.
 type Response struct {
 	Status     int
-	Seal       string
-	TimeToHead time.Duration // until the head
+	Seal       string        // the header Server-Seal
+	TimeToHead time.Duration // from when the connection was there
 	Body       string
-	Events     []string // whole events, of a stream
-	Complete   bool     // the answer ended as it should
+	Events     []string // of a stream; the last one may be cut short unless Complete
+	Complete   bool     // the response ended as it should
 	Header     http.Header
 }
 
-// Send sends a request to an edge machine and reads the answer to its end.
+// Send sends a request to an edge machine over a connection of its own, and reads the response to its end. A response
+// that breaks off is no error: it is not Complete.
 func (c *Cluster) Send(edge *Machine, r Request) (Response, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), r.Timeout)
 	defer cancel()
@@ -38,7 +39,30 @@
 	}
 	defer conn.Close()
 	began := time.Now()
-	conn.SetDeadline(began.Add(r.Timeout))
+	if err := conn.SetDeadline(began.Add(r.Timeout)); err != nil {
+		return Response{}, err
+	}
+	if _, err := io.WriteString(conn, r.head()+r.Body); err != nil {
+		return Response{}, err
+	}
+	reply, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil {
+		return Response{}, err
+	}
+	defer reply.Body.Close()
+	response := Response{Status: reply.StatusCode, Seal: reply.Header.Get("Server-Seal"), TimeToHead: time.Since(began), Header: reply.Header}
+	body, err := io.ReadAll(reply.Body)
+	response.Body, response.Complete = string(body), err == nil
+	for event := range bytes.SplitSeq(body, []byte("\n\n")) {
+		if len(event) > 0 {
+			response.Events = append(response.Events, string(event))
+		}
+	}
+	return response, nil
+}
+
+// head is the request's head as it is sent.
+func (r *Request) head() string {
 	var head strings.Builder
 	fmt.Fprintf(&head, "POST %s HTTP/1.1\r\nHost: %s\r\nRequest-Id: %s\r\nTime-Remaining: %d\r\nContent-Length: %d\r\n", r.Path,
 		r.Host, r.ID, r.Timeout.Milliseconds(), len(r.Body))
@@ -50,22 +74,5 @@
 			fmt.Fprintf(&head, "%s: %s\r\n", name, value)
 		}
 	}
-	if _, err := io.WriteString(conn, head.String()+"\r\n"+r.Body); err != nil {
-		return Response{}, err
-	}
-	in := bufio.NewReader(conn)
-	response, err := http.ReadResponse(in, nil)
-	if err != nil {
-		return Response{}, err
-	}
-	defer response.Body.Close()
-	got := Response{Status: response.StatusCode, Seal: response.Header.Get("Server-Seal"), TimeToHead: time.Since(began), Header: response.Header}
-	body, err := io.ReadAll(response.Body)
-	got.Body, got.Complete = string(body), err == nil
-	for event := range bytes.SplitSeq(body, []byte("\n\n")) {
-		if len(event) > 0 {
-			got.Events = append(got.Events, string(event))
-		}
-	}
-	return got, nil
+	return head.String() + "\r\n"
 }
--- a/internal/testing/simcluster/cluster.go
+++ b/internal/testing/simcluster/cluster.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"io"
+	"slices"
 	"sync"
 	"time"
 
@@ -16,11 +17,12 @@
 	"marlreel/internal/dataplane/gateway"
 	"marlreel/internal/process/bootstrap"
 	"marlreel/internal/process/host"
+	"marlreel/internal/process/timing"
 	"marlreel/internal/process/transport"
 	"marlreel/internal/testing/simnet"
 )
 
-// outsideIP is where clients and the operator are, on a simulated network.
+// outsideIP is the address of clients and the operator on a simulated network.
 const outsideIP = "10.99.0.1"
 
 // Ports of all machines.
@@ -31,32 +33,32 @@
 	controlPort = 8082
 )
 
-// Config says what a cluster is made of.
+// Config describes a cluster.
 type Config struct {
 	Controls, Edges int
 	Zones           []string // machines are spread over them in turn
 	Net             simnet.Config
 	Loopback        bool // on the machine's loopback addresses in place of a simulated network
 	Log             logr.Logger
-	Bounds          func(*bootstrap.Bounds) // changes the usual bounds; nil: none
+	Bounds          func(*bootstrap.Bounds) // changes the default bounds; nil: they stay
 }
 
-// Cluster is a running system.
+// Cluster is a running system. Its methods may be called by any goroutine, but for those that start and stop processes.
 type Cluster struct {
 	cfg           Config
 	Net           *simnet.Network // nil on loopback
 	Controls      []*Machine
 	Edges         []*Machine
 	Backends      []*Backend
-	outside       host.Network // where clients and the operator are
-	ctx           context.Context
+	outside       host.Network    // where clients and the operator are
+	ctx           context.Context // of the backends; ends at Stop
 	cancel        context.CancelFunc
 	backendsEnded sync.WaitGroup
-	client        *fasthttp.Client
-	version       uint64
+	client        *fasthttp.Client // of the operator
+	version       uint64           // of the configuration that was replaced last
 }
 
-// New starts a cluster.
+// New starts all machines of a cluster. It doesn't wait until they serve.
 func New(cfg Config) *Cluster {
 	c := &Cluster{cfg: cfg}
 	if !cfg.Loopback {
@@ -66,18 +68,12 @@
 	c.outside = c.network(outsideIP)
 	c.client = transport.NewHTTPClient(c.outside.Dial)
 	for i := range cfg.Controls {
-		m := &Machine{
-			cluster: c, Name: fmt.Sprintf("core-%d", i), IP: c.machineIP(1, i), Zone: cfg.Zones[i%len(cfg.Zones)],
-			roles: []func(context.Context, *host.Host) error{controlplane.Run}, disk: storage.NewMemStorage(), firstStart: true,
-		}
+		m := c.newMachine(fmt.Sprintf("core-%d", i), controlMachine, i, controlplane.Run)
+		m.disk = storage.NewMemStorage()
 		c.Controls = append(c.Controls, m)
 	}
 	for i := range cfg.Edges {
-		m := &Machine{
-			cluster: c, Name: fmt.Sprintf("edge-%d", i), IP: c.machineIP(2, i), Zone: cfg.Zones[i%len(cfg.Zones)],
-			roles: []func(context.Context, *host.Host) error{agent.Run, gateway.Run}, firstStart: true,
-		}
-		c.Edges = append(c.Edges, m)
+		c.Edges = append(c.Edges, c.newMachine(fmt.Sprintf("edge-%d", i), edgeMachine, i, agent.Run, gateway.Run))
 	}
 	for _, m := range c.Machines() {
 		m.Start()
@@ -85,12 +81,25 @@
 	return c
 }
 
-// machineIP is that of a machine, by its kind and number.
-func (c *Cluster) machineIP(kind, number int) string {
+// machineKind is a part of the addresses of machines.
+type machineKind int
+
+const (
+	controlMachine machineKind = iota + 1
+	edgeMachine
+	backendMachine
+)
+
+// machinesPerSubnet is how many machines of a kind have addresses that differ in the last byte alone.
+const machinesPerSubnet = 200
+
+// machineIP returns the address of a machine.
+func (c *Cluster) machineIP(kind machineKind, number int) string {
+	subnet, last := number/machinesPerSubnet, number%machinesPerSubnet+1
 	if c.cfg.Loopback {
-		return fmt.Sprintf("127.0.%d.%d", 10*kind+number/200, number%200+1)
+		return fmt.Sprintf("127.0.%d.%d", 10*int(kind)+subnet, last)
 	}
-	return fmt.Sprintf("10.%d.%d.%d", kind, number/200, number%200+1)
+	return fmt.Sprintf("10.%d.%d.%d", kind, subnet, last)
 }
 
 // network is the network as a machine sees it.
@@ -101,7 +110,7 @@
 	return c.Net.Machine(ip)
 }
 
-// disconnect ends all that a machine has open on a simulated network.
+// disconnect ends all connections and listeners of a machine on a simulated network, and lets it open no more.
 func (c *Cluster) disconnect(ip string) {
 	if c.Net != nil {
 		c.Net.Machine(ip).Kill()
@@ -115,12 +124,12 @@
 	}
 }
 
-// Machines are all machines of the system.
+// Machines returns all machines of the system: those of control, then the edges.
 func (c *Cluster) Machines() []*Machine {
-	return append(append([]*Machine(nil), c.Controls...), c.Edges...)
+	return slices.Concat(c.Controls, c.Edges)
 }
 
-// Stop ends everything and waits for it.
+// Stop ends all processes, backends and connections, and returns once they have ended.
 func (c *Cluster) Stop() {
 	for _, m := range c.Machines() {
 		m.Kill()
@@ -128,16 +137,16 @@
 	c.cancel()
 	c.backendsEnded.Wait()
 	c.client.CloseIdleConnections()
-	// Idle connections are looked after by goroutines that end by themselves; on a simulated
-	// clock that takes no time.
 	if c.Net != nil {
 		time.Sleep(idleConnectionLifetime)
 	}
 }
 
+// idleConnectionLifetime is after what time fasthttp's goroutines for idle connections have ended. They have no other
+// owner; on a simulated clock the wait takes no time.
 const idleConnectionLifetime = 5 * time.Minute
 
-// ControlAddresses are those of all control machines.
+// ControlAddresses returns the addresses of all control machines for the operator and backends.
 func (c *Cluster) ControlAddresses() []string {
 	var addresses []string
 	for _, m := range c.Controls {
@@ -146,20 +155,12 @@
 	return addresses
 }
 
-// fasthttp keeps one goroutine for the time of day from its first answer on. It has to begin
-// outside of any simulated clock.
+// fasthttp starts a goroutine for the time of day with its first response, and never ends it. It has to start outside of
+// any synctest bubble.
 func init() {
 	var first fasthttp.Response
-	// Nothing that could fail reads it.
-	_, _ = first.WriteTo(io.Discard)
+	_, _ = first.WriteTo(io.Discard) // discarding can't fail
 }
 
-// Sleep lets time pass: on a simulated clock that costs none.
-func (c *Cluster) Sleep(span time.Duration) {
-	timer := time.NewTimer(span)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-	case <-c.ctx.Done():
-	}
-}
+// Sleep lets time pass, or returns when the cluster is stopped. On a simulated clock it takes no time.
+func (c *Cluster) Sleep(pause time.Duration) { timing.Sleep(c.ctx, pause) }
--- a/internal/testing/simcluster/fixture_test.go
+++ b/internal/testing/simcluster/fixture_test.go
@@ -1,8 +1,10 @@
 package simcluster
 
 import (
+	"cmp"
 	"encoding/json"
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 	"testing/synctest"
@@ -254,3 +256,27 @@
 		return strings.Replace(document(version), `"/slip/"`, `"`+prefix+`"`, 1)
 	}
 }
+
+// executionsOf returns what backends executed of a request, in the order of the events at which they began.
+func (c *Cluster) executionsOf(id string) []fakesystem.Execution {
+	var executions []fakesystem.Execution
+	for _, b := range c.Backends {
+		for _, execution := range b.Executions() {
+			if execution.Request == id {
+				executions = append(executions, execution)
+			}
+		}
+	}
+	slices.SortStableFunc(executions, func(a, b fakesystem.Execution) int { return cmp.Compare(a.LastEventID, b.LastEventID) })
+	return executions
+}
+
+// backend returns the backend of an id; nil: there is none.
+func (c *Cluster) backend(id string) *Backend {
+	for _, b := range c.Backends {
+		if b.ID() == id {
+			return b
+		}
+	}
+	return nil
+}
--- a/internal/testing/simcluster/machine.go
+++ b/internal/testing/simcluster/machine.go
@@ -11,28 +11,39 @@
 	"marlreel/internal/controlplane/store"
 	"marlreel/internal/process/bootstrap"
 	"marlreel/internal/process/host"
+	"marlreel/internal/process/logevent"
 )
 
-// Machine is a machine with its roles.
+// role is what a process does until ctx ends.
+type role func(ctx context.Context, machine *host.Host) error
+
+// Machine is a machine and its processes.
 type Machine struct {
+	Name string
+	IP   string
+	Zone string
+
 	cluster    *Cluster
-	Name       string
-	IP         string
-	Zone       string
-	roles      []func(context.Context, *host.Host) error
+	roles      []role
 	disk       storage.Storage // nil: there is none
 	firstStart bool
 
-	mu      sync.Mutex
+	mu      sync.Mutex // held while processes are started or stopped
 	running sync.WaitGroup
-	cancel  context.CancelFunc
-	crash   context.CancelFunc // of the processes' life
+	cancel  context.CancelFunc // terminates the processes; nil: none run
+	crash   context.CancelFunc // ends what processes do in their shutdown
+}
+
+func (c *Cluster) newMachine(name string, kind machineKind, number int, roles ...role) *Machine {
+	zone := c.cfg.Zones[number%len(c.cfg.Zones)]
+	return &Machine{cluster: c, Name: name, IP: c.machineIP(kind, number), Zone: zone, roles: roles, firstStart: true}
 }
 
+// settings are those of a machine's processes.
 func (c *Cluster) settings(m *Machine) *bootstrap.Settings {
 	s := &bootstrap.Settings{
 		NodeName: m.Name, IP: m.IP, Zone: m.Zone, InternalPorts: []int{peerPort, peerPort + 15},
-		FirstStart: m.firstStart, HeartbeatIntervalMS: 1200, Zones: map[string]string{}, DataDir: "none",
+		FirstStart: m.firstStart, HeartbeatIntervalMS: float64(heartbeatInterval.Milliseconds()), Zones: map[string]string{}, DataDir: "none",
 		Limits:    bootstrap.Limits{MemoryMB: 256, MaxOpenFiles: 4096},
 		Tolerance: bootstrap.FaultTolerance{Machines: (c.cfg.Controls - 1) / 2},
 		Bounds: bootstrap.Bounds{
@@ -59,7 +70,7 @@
 	return s
 }
 
-// Start starts a machine's roles.
+// Start starts a machine's processes. It doesn't wait until they serve.
 func (m *Machine) Start() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -67,25 +78,25 @@
 	m.firstStart = false
 	m.cluster.reconnect(m.IP)
 	ctx, cancel := context.WithCancel(context.Background())
-	life, end := context.WithCancel(context.Background())
-	m.cancel, m.crash = cancel, end
+	crashCtx, crash := context.WithCancel(context.Background())
+	m.cancel, m.crash = cancel, crash
 	disk := m.disk
-	for _, role := range m.roles {
+	for _, run := range m.roles {
 		machine := &host.Host{
 			Settings: settings, Network: m.cluster.network(m.IP),
 			Log:         m.cluster.cfg.Log.WithValues("node", m.Name),
 			OpenStore:   func() (*store.Store, error) { return store.OpenStorage(disk) },
-			RemoveStore: func() error { return nil }, CrashContext: life,
+			RemoveStore: func() error { return nil }, CrashContext: crashCtx,
 		}
 		m.running.Go(func() {
-			if err := role(ctx, machine); err != nil {
-				machine.Log.V(1).Info("a role has ended", "error", err.Error())
+			if err := run(ctx, machine); err != nil {
+				machine.Log.V(1).Info("process failed", logevent.KeyDetail, err.Error())
 			}
 		})
 	}
 }
 
-// Kill ends a machine's processes at once.
+// Kill ends a machine's processes at once, as SIGKILL or a loss of power does: they say nothing to anyone any more.
 func (m *Machine) Kill() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -100,7 +111,7 @@
 	m.cancel = nil
 }
 
-// Terminate asks a machine's processes to end, and waits for it.
+// Terminate asks a machine's processes to shut down gracefully, as SIGTERM does, and waits until they have.
 func (m *Machine) Terminate() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -113,13 +124,14 @@
 	m.cancel = nil
 }
 
-// EraseDisk loses a machine's disk. The machine must be down.
+// EraseDisk loses what is on a machine's disk. No process of the machine may run.
 func (m *Machine) EraseDisk() { m.disk = storage.NewMemStorage() }
 
-// Front is where clients reach an edge machine.
+// Front returns the address of an edge machine for clients.
 func (m *Machine) Front() string { return fmt.Sprintf("%s:%d", m.IP, frontPort) }
 
-// ControlAddress is where the operator and backends reach a control machine.
+// ControlAddress returns the address of a control machine for the operator and backends.
 func (m *Machine) ControlAddress() string { return fmt.Sprintf("%s:%d", m.IP, controlPort) }
 
+// peerAddress returns the address of a machine for other machines of the system.
 func (m *Machine) peerAddress() string { return fmt.Sprintf("%s:%d", m.IP, peerPort) }
--- a/internal/testing/simcluster/operator.go
+++ b/internal/testing/simcluster/operator.go
@@ -9,23 +9,37 @@
 	"github.com/valyala/fasthttp"
 )
 
-// ErrNoClearAnswer says that nobody gave a clear answer in time.
+// ErrNoClearAnswer says that no control process gave a clear answer in time: what was called for may have happened or not.
 var ErrNoClearAnswer = errors.New("no clear answer")
 
-// CallOperatorAPI makes a call to control as the operator does: to one process after the other until
-// one gives a clear answer.
-func (c *Cluster) CallOperatorAPI(method, path, base, body string, patience time.Duration) (status int, answer string, err error) {
-	end := time.Now().Add(patience)
-	for at := 0; time.Now().Before(end); at++ {
-		status, answer, err := c.callControl(c.Controls[at%len(c.Controls)], method, path, base, body)
-		if err == nil && status < 500 && status != fasthttp.StatusRequestTimeout && status != fasthttp.StatusTooManyRequests {
+const (
+	// operatorCallTimeout bounds one call of the operator, and operatorBackoff is the pause after one without a clear
+	// answer.
+	operatorCallTimeout = time.Second
+	operatorBackoff     = 100 * time.Millisecond
+)
+
+// CallOperatorAPI makes a call to control as the operator does: to one process after the other until one gives a clear
+// answer, whose status and body it returns. base is the version that a change is based on; empty: none. The error is
+// ErrNoClearAnswer, or nil.
+func (c *Cluster) CallOperatorAPI(method, path, base, body string, timeout time.Duration) (status int, answer string, err error) {
+	deadline := time.Now().Add(timeout)
+	for next := 0; time.Now().Before(deadline); next++ {
+		status, answer, err := c.callControl(c.Controls[next%len(c.Controls)], method, path, base, body)
+		if err == nil && isClear(status) {
 			return status, answer, nil
 		}
-		time.Sleep(100 * time.Millisecond)
+		time.Sleep(operatorBackoff)
 	}
 	return 0, "", ErrNoClearAnswer
 }
 
+// isClear reports whether a status says what became of a call.
+func isClear(status int) bool {
+	return status < http.StatusInternalServerError && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
+}
+
+// callControl makes one call to one control process.
 func (c *Cluster) callControl(m *Machine, method, path, base, body string) (int, string, error) {
 	return c.callHTTP(m.ControlAddress(), method, path, base, body)
 }
@@ -41,16 +55,16 @@
 		request.Header.Set("Base-Version", base)
 	}
 	request.SetBodyString(body)
-	if err := c.client.DoTimeout(request, response, time.Second); err != nil {
+	if err := c.client.DoTimeout(request, response, operatorCallTimeout); err != nil {
 		return 0, "", err
 	}
 	return response.StatusCode(), string(response.Body()), nil
 }
 
-// ReplaceConfiguration has a whole configuration taken, on top of the one before.
-func (c *Cluster) ReplaceConfiguration(document func(version uint64) string, patience time.Duration) (status int, answer string, err error) {
+// ReplaceConfiguration replaces the configuration by the next version of a document, as CallOperatorAPI does.
+func (c *Cluster) ReplaceConfiguration(document func(version uint64) string, timeout time.Duration) (status int, answer string, err error) {
 	base := c.version
-	status, answer, err = c.CallOperatorAPI(http.MethodPost, "/marlreel/config/replace", strconv.FormatUint(base, 10), document(base+1), patience)
+	status, answer, err = c.CallOperatorAPI(http.MethodPost, "/marlreel/config/replace", strconv.FormatUint(base, 10), document(base+1), timeout)
 	if err == nil && status == http.StatusOK {
 		c.version = base + 1
 	}
--- a/internal/testing/simcluster/serving_test.go
+++ b/internal/testing/simcluster/serving_test.go
@@ -40,13 +40,13 @@
 		var asked sync.WaitGroup
 		asked.Go(func() { got, err = c.Send(c.Edges[0], r) })
 		c.Sleep(time.Second)
-		first := c.runsOf(r.ID)
+		first := c.executionsOf(r.ID)
 		is.Equal(len(first), 1)
 		c.backend(first[0].Backend).Kill()
 		asked.Wait()
 		is.NoErr(err)
 		checkStream(t, r, got, 100)
-		runs := c.runsOf(r.ID)
+		runs := c.executionsOf(r.ID)
 		is.Equal(len(runs), 2)
 		is.True(runs[1].LastEventID > 0) // it did not begin anew
 		is.Equal(got.Seal, "seal."+first[0].Backend+"."+r.ID)
@@ -64,12 +64,12 @@
 			var asked sync.WaitGroup
 			asked.Go(func() { got, err = c.Send(c.Edges[i%3], r) })
 			c.Sleep(10 * time.Millisecond)
-			if runs := c.runsOf(r.ID); i == 7 && len(runs) == 1 {
+			if runs := c.executionsOf(r.ID); i == 7 && len(runs) == 1 {
 				c.backend(runs[0].Backend).Kill()
 			}
 			asked.Wait()
 			is.NoErr(err)
-			runs := len(c.runsOf(r.ID))
+			runs := len(c.executionsOf(r.ID))
 			is.True(runs <= 1)
 			if got.Status == 503 || got.Status == 429 {
 				is.Equal(runs, 0) // a promise
@@ -105,7 +105,7 @@
 		checkStream(t, long, streamed, 50)
 		is.True(refused.Status == 200 || refused.Status == 503) // an answer, whichever
 		if refused.Status == 503 {
-			is.Equal(len(c.runsOf(waits.ID)), 0)
+			is.Equal(len(c.executionsOf(waits.ID)), 0)
 		}
 	})
 }
