--- a/internal/testing/simcluster/bundle_test.go
+++ b/internal/testing/simcluster/bundle_test.go
@@ -44,7 +44,7 @@
 func TestSupportBundle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := startCluster(t, 3, 2)
+		c := startCluster(t, controls, 2)
 		defer c.Stop()
 		secret := chatRequest("m0")
 		secret.Body = "the buyer's secret"
--- a/internal/testing/simcluster/catchup_test.go
+++ b/internal/testing/simcluster/catchup_test.go
@@ -23,7 +23,7 @@
 		t.Run(fmt.Sprint(place), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				c := startControlPlane(t, 3)
+				c := startControlPlane(t)
 				defer c.Stop()
 				status, _, err := c.ReplaceConfiguration(documentWithRemark(largeDocument), 10*time.Second)
 				is.NoErr(err)
@@ -60,7 +60,7 @@
 		t.Run(fmt.Sprint(place), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				c := startCluster(t, 3, 6)
+				c := startCluster(t, controls, 6)
 				defer c.Stop()
 				status, _, err := c.ReplaceConfiguration(documentWithRemark(largeDocument), 10*time.Second)
 				is.NoErr(err)
@@ -92,7 +92,7 @@
 func TestThousandRoutesAreInForceInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := startCluster(t, 3, manyEdges)
+		c := startCluster(t, controls, manyEdges)
 		defer c.Stop()
 		for _, edge := range c.Edges {
 			c.Net.SetRateOf(edge.IP, slowLink)
--- a/internal/testing/simcluster/compatibility_test.go
+++ b/internal/testing/simcluster/compatibility_test.go
@@ -128,7 +128,7 @@
 // Requests of operators and backends to control, as they were sent, are answered as they were.
 func TestCompatibilityOfControl(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := startControlPlane(t, 3)
+		c := startControlPlane(t)
 		defer c.Stop()
 		c.Sleep(3 * time.Second)
 		var got strings.Builder
@@ -207,7 +207,7 @@
 // differs from run to run.
 func TestCompatibilityOfStatusAndMetrics(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := startCluster(t, 3, 2)
+		c := startCluster(t, controls, 2)
 		defer c.Stop()
 		if _, err := c.Send(c.Edges[0], chatRequest("m0")); err != nil {
 			t.Fatal(err)
@@ -359,7 +359,7 @@
 // proxies and agents at the backend.
 func TestCompatibilityOfProxy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := startCluster(t, 3, 1)
+		c := startCluster(t, controls, 1)
 		defer c.Stop()
 		listener, err := c.network("10.3.0.150").Listen(capturedAddress)
 		if err != nil {
@@ -529,7 +529,7 @@
 // Heartbeats between control processes go as datagrams, each one message of the chain.
 func TestCompatibilityOfDatagrams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := startControlPlane(t, 3)
+		c := startControlPlane(t)
 		defer c.Stop()
 		c.Sleep(3 * time.Second)
 		gone := c.Controls[2]
--- a/internal/testing/simcluster/configuration_test.go
+++ b/internal/testing/simcluster/configuration_test.go
@@ -13,178 +13,178 @@
 
 func TestConfigurationIsInForceEverywhere(t *testing.T) {
 	runWithCluster(t, func(t *testing.T, c *Cluster) {
-		is := is.New(t)
-		status, _, err := c.ReplaceConfiguration(documentWithSlipsAt("/voucher/"), 4*time.Second)
-		is.NoErr(err)
-		is.Equal(status, 200)
-		c.Sleep(2 * time.Second) // config_apply_ms
-		for _, edge := range c.Edges {
-			r := slipRequest()
-			got, err := c.Send(edge, r)
-			is.NoErr(err)
-			is.Equal(got.Status, 404) // the old place is gone
-			r = slipRequest()
-			r.Path = "/voucher/1"
-			got, err = c.Send(edge, r)
-			is.NoErr(err)
-			is.Equal(got.Status, 200)
-		}
+		c.replaceConfiguration(t, documentWithSlipsAt("/voucher/"), 4*time.Second)
+		c.Sleep(applyTime)
+		c.checkServed(t, c.Edges, "/slip/1", 404) // the old prefix is gone
+		c.checkServed(t, c.Edges, "/voucher/1", 200)
 	})
 }
 
+// replaceOn replaces the configuration on top of a version, and returns the answer.
+func (c *Cluster) replaceOn(t *testing.T, base, body string) (status int, answer string) {
+	t.Helper()
+	status, answer, err := c.CallOperatorAPI("POST", "/marlreel/config/replace", base, body, 4*time.Second)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return status, answer
+}
+
+// readDocument reads the configuration.
+func (c *Cluster) readDocument(t *testing.T, timeout time.Duration) string {
+	t.Helper()
+	status, answer, err := c.CallOperatorAPI("GET", "/marlreel/config/read", "", "", timeout)
+	if err != nil || status != 200 {
+		t.Fatalf("a read of the configuration: %d %s %v", status, answer, err)
+	}
+	return answer
+}
+
 func TestOperatorRequests(t *testing.T) {
 	runWithCluster(t, func(t *testing.T, c *Cluster) {
 		is := is.New(t)
-		replace := func(base string, body string) (int, string) {
-			status, answer, err := c.CallOperatorAPI("POST", "/marlreel/config/replace", base, body, 4*time.Second)
-			is.NoErr(err)
-			return status, answer
-		}
 		next := documentWithSlipsAt("/voucher/")(5)
-		status, _ := replace("1", next)
+		status, _ := c.replaceOn(t, "1", next)
 		is.Equal(status, 200)
-		status, _ = replace("1", next)
+		status, _ = c.replaceOn(t, "1", next)
 		is.Equal(status, 200) // the same again
-		status, answer := replace("1", documentWithSlipsAt("/other/")(6))
-		is.Equal(status, 412) // another one on the same base
-		is.True(strings.Contains(answer, `"code":300`))
-		status, answer = replace("5", documentWithSlipsAt("/voucher/")(5))
-		is.True(status == 400 && strings.Contains(answer, `"code":205`)) // not higher
-		status, answer = replace("5", `{"config_version":7,`)
-		is.True(status == 400 && strings.Contains(answer, `"code":200`)) // cut short
-		status, answer = replace("5", strings.Replace(document(7), `"service":"slips"`, `"service":"none"`, 1))
-		is.True(status == 400 && strings.Contains(answer, `"code":201`)) // unknown service
+		for name, rejected := range map[string]struct {
+			base, body string
+			status     int
+			code       string
+		}{
+			"another one on the same base": {"1", documentWithSlipsAt("/other/")(6), 412, `"code":300`},
+			"the version is not higher":    {"5", documentWithSlipsAt("/voucher/")(5), 400, `"code":205`},
+			"cut short":                    {"5", `{"config_version":7,`, 400, `"code":200`},
+			"unknown service":              {"5", strings.Replace(document(7), `"service":"slips"`, `"service":"none"`, 1), 400, `"code":201`},
+		} {
+			status, answer := c.replaceOn(t, rejected.base, rejected.body)
+			if status != rejected.status || !strings.Contains(answer, rejected.code) {
+				t.Errorf("%s: %d %s, want %d with %s", name, status, answer, rejected.status, rejected.code)
+			}
+		}
 
 		change := `{"config_version":9,"upsert":{"route_list":[{"name":"slip","host":"b.example","path_prefix":"/s/",` +
 			`"route_class":"unsafe","timeout_ms":900,"service":"slips","max_attempts":1,"later_field":{"kept":true}}]},"remove":{"route_list":["chat"]}}`
 		status, _, err := c.CallOperatorAPI("POST", "/marlreel/config/modify", "5", change, 4*time.Second)
 		is.NoErr(err)
 		is.Equal(status, 200)
-		status, answer, err = c.CallOperatorAPI("GET", "/marlreel/config/read", "", "", 4*time.Second)
-		is.NoErr(err)
-		is.Equal(status, 200)
 		var read struct {
-			Version uint64                   `json:"config_version"`
-			Routes  []map[string]interface{} `json:"route_list"`
+			Version uint64           `json:"config_version"`
+			Routes  []map[string]any `json:"route_list"`
 		}
-		is.NoErr(json.Unmarshal([]byte(answer), &read))
+		is.NoErr(json.Unmarshal([]byte(c.readDocument(t, 4*time.Second)), &read))
 		is.Equal(read.Version, uint64(9))
 		is.Equal(len(read.Routes), 1)
-		is.True(read.Routes[0]["later_field"] != nil) // what isn't known here is kept
-		status, _ = replace("1", next)
-		is.Equal(status, 200) // what was taken once is acknowledged again, whatever came after
+		is.True(read.Routes[0]["later_field"] != nil) // an unknown field is kept
+		status, _ = c.replaceOn(t, "1", next)
+		is.Equal(status, 200) // what was committed once is acknowledged again, whatever came after
 	})
 }
 
-// Of two changes on one base one is taken, whoever they reach.
+// replaceUntilClear sends a replacement to one control process after the other until one gives a clear answer, and
+// reports whether it was committed.
+func (c *Cluster) replaceUntilClear(first int, base, body string) bool {
+	for next := first; ; next++ {
+		status, _, err := c.callControl(c.control(next), "POST", "/marlreel/config/replace", base, body)
+		if err == nil && status < 500 {
+			return status == 200
+		}
+		c.Sleep(50 * time.Millisecond)
+	}
+}
+
+// Of two changes on one base one is committed, whichever control process each reaches.
 func TestOneOfTwoChangesOnABaseIsCommitted(t *testing.T) {
 	runWithCluster(t, func(t *testing.T, c *Cluster) {
 		is := is.New(t)
 		for round := range 5 {
 			base := fmt.Sprint(1 + round)
-			var taken []string
 			var mu sync.Mutex
+			var committed []string
 			var both sync.WaitGroup
 			for i := range 2 {
 				both.Go(func() {
 					body := documentWithSlipsAt(fmt.Sprintf("/r%d-%d/", round, i))(uint64(2 + round))
-					for at := i; ; at++ {
-						status, _, err := c.callControl(c.Controls[at%3], "POST", "/marlreel/config/replace", base, body)
-						if err != nil || status >= 500 {
-							c.Sleep(50 * time.Millisecond)
-							continue
-						}
+					if c.replaceUntilClear(i, base, body) {
 						mu.Lock()
 						defer mu.Unlock()
-						if status == 200 {
-							taken = append(taken, body)
-						}
-						return
+						committed = append(committed, body)
 					}
 				})
 			}
 			both.Wait()
-			is.Equal(len(taken), 1)
-			_, answer, err := c.CallOperatorAPI("GET", "/marlreel/config/read", "", "", 4*time.Second)
-			is.NoErr(err)
-			is.Equal(answer, taken[0])
+			is.Equal(len(committed), 1)
+			is.Equal(c.readDocument(t, 4*time.Second), committed[0])
 		}
 	})
 }
 
-func TestAcknowledgedChangesSurviveControlFaults(t *testing.T) {
-	faults := map[string]func(c *Cluster){
-		"each process dies in turn": func(c *Cluster) {
-			for _, m := range c.Controls {
-				m.Kill()
-				c.Sleep(2 * time.Second)
-				m.Start()
-				c.Sleep(2 * time.Second)
-			}
-		},
-		"all die at once": func(c *Cluster) {
-			for _, m := range c.Controls {
-				m.Kill()
-			}
-			c.Sleep(500 * time.Millisecond)
-			for _, m := range c.Controls {
-				m.Start()
-			}
-		},
-		"one disk is lost and all die": func(c *Cluster) {
-			for _, m := range c.Controls {
-				m.Kill()
-			}
-			c.Controls[0].EraseDisk()
-			for _, m := range c.Controls {
-				m.Start()
-			}
-		},
-		"a disk is lost, then all die with another one": func(c *Cluster) {
-			c.Controls[1].Kill()
-			c.Controls[1].EraseDisk()
-			c.Controls[1].Start()
-			c.Sleep(4 * time.Second)
-			for _, m := range c.Controls {
-				m.Kill()
-			}
-			c.Controls[0].EraseDisk()
-			for _, m := range c.Controls {
-				m.Start()
-			}
-		},
-		"one is cut off, the others die": func(c *Cluster) {
-			ips := []string{"10.1.0.1", "10.1.0.2", "10.1.0.3"}
-			c.Net.Isolate(ips[0], ips, true)
+// controlFaults are faults of control that fault_tolerance allows.
+var controlFaults = map[string]func(c *Cluster){
+	"each process dies in turn": func(c *Cluster) {
+		for _, m := range c.Controls {
+			m.Kill()
+			c.Sleep(2 * time.Second)
+			m.Start()
 			c.Sleep(2 * time.Second)
-			c.Controls[1].Kill()
-			c.Controls[2].Kill()
-			c.Net.Isolate(ips[0], ips, false)
-			c.Sleep(500 * time.Millisecond)
-			c.Controls[1].Start()
-			c.Controls[2].Start()
-		},
+		}
+	},
+	"all die at once": func(c *Cluster) {
+		for _, m := range c.Controls {
+			m.Kill()
+		}
+		c.Sleep(500 * time.Millisecond)
+		c.startControls()
+	},
+	"one disk is lost and all die": func(c *Cluster) {
+		for _, m := range c.Controls {
+			m.Kill()
+		}
+		c.Controls[0].EraseDisk()
+		c.startControls()
+	},
+	"a disk is lost, then all die with another one": func(c *Cluster) {
+		c.Controls[1].Kill()
+		c.Controls[1].EraseDisk()
+		c.Controls[1].Start()
+		c.Sleep(4 * time.Second)
+		for _, m := range c.Controls {
+			m.Kill()
+		}
+		c.Controls[0].EraseDisk()
+		c.startControls()
+	},
+	"one is partitioned, the others die": func(c *Cluster) {
+		addresses := []string{"10.1.0.1", "10.1.0.2", "10.1.0.3"}
+		c.Net.Isolate(addresses[0], addresses, true)
+		c.Sleep(2 * time.Second)
+		c.Controls[1].Kill()
+		c.Controls[2].Kill()
+		c.Net.Isolate(addresses[0], addresses, false)
+		c.Sleep(500 * time.Millisecond)
+		c.Controls[1].Start()
+		c.Controls[2].Start()
+	},
+}
+
+func (c *Cluster) startControls() {
+	for _, m := range c.Controls {
+		m.Start()
 	}
-	for name, fault := range faults {
+}
+
+func TestAcknowledgedChangesSurviveControlFaults(t *testing.T) {
+	for name, fault := range controlFaults {
 		t.Run(name, func(t *testing.T) {
 			runWithCluster(t, func(t *testing.T, c *Cluster) {
 				is := is.New(t)
-				status, _, err := c.ReplaceConfiguration(documentWithSlipsAt("/kept/"), 4*time.Second)
-				is.NoErr(err)
-				is.Equal(status, 200)
+				c.replaceConfiguration(t, documentWithSlipsAt("/kept/"), 4*time.Second)
 				fault(c)
-				_, answer, err := c.CallOperatorAPI("GET", "/marlreel/config/read", "", "", 10*time.Second)
-				is.NoErr(err)
-				is.Equal(answer, documentWithSlipsAt("/kept/")(2))
-				status, _, err = c.ReplaceConfiguration(documentWithSlipsAt("/after/"), 10*time.Second) // and changes go on
-				is.NoErr(err)
-				is.Equal(status, 200)
-				c.Sleep(2 * time.Second)
-				r := slipRequest()
-				r.Path = "/after/1"
-				got, err := c.Send(c.Edges[0], r)
-				is.NoErr(err)
-				is.Equal(got.Status, 200)
+				is.Equal(c.readDocument(t, 10*time.Second), documentWithSlipsAt("/kept/")(2))
+				c.replaceConfiguration(t, documentWithSlipsAt("/after/"), 10*time.Second) // and changes go on
+				c.Sleep(applyTime)
+				c.checkServed(t, c.Edges[:1], "/after/1", 200)
 			})
 		})
 	}
--- a/internal/testing/simcluster/draining_test.go
+++ b/internal/testing/simcluster/draining_test.go
@@ -1,6 +1,7 @@
 package simcluster
 
 import (
+	"net/http"
 	"testing"
 	"time"
 
@@ -10,46 +11,45 @@
 func TestDrainingBackendGetsNoNewRequests(t *testing.T) {
 	runWithCluster(t, func(t *testing.T, c *Cluster) {
 		is := is.New(t)
-		leaving := c.Backends[2] // one of two that take slips
-		leaving.Drain()
-		for !leaving.DrainAcknowledged() {
+		draining := c.Backends[2] // one of the two of the plain route
+		draining.Drain()
+		for !draining.DrainAcknowledged() {
 			c.Sleep(50 * time.Millisecond)
 		}
-		c.Sleep(2 * time.Second) // drain_ms
-		before := len(leaving.Executions())
+		c.Sleep(drainTime)
+		before := len(draining.Executions())
 		for range 10 {
-			for _, edge := range c.Edges {
-				got, err := c.Send(edge, slipRequest())
-				is.NoErr(err)
-				is.Equal(got.Status, 200)
-			}
+			c.checkServed(t, c.Edges, "/slip/1", 200)
 		}
-		is.Equal(len(leaving.Executions()), before)
+		is.Equal(len(draining.Executions()), before)
 	})
 }
 
+// evacuate begins or terminates the evacuation of a zone, and waits until that is in force.
+func (c *Cluster) evacuate(t *testing.T, zone, verb string) {
+	t.Helper()
+	status, answer, err := c.CallOperatorAPI(http.MethodPost, "/marlreel/evacuation/"+zone+"/"+verb, "", "", 4*time.Second)
+	if err != nil || status != 200 {
+		t.Fatalf("evacuation of %s, %s: %d %s %v", zone, verb, status, answer, err)
+	}
+	c.Sleep(applyTime)
+}
+
 func TestEvacuatedZoneGetsNoRequests(t *testing.T) {
 	runWithCluster(t, func(t *testing.T, c *Cluster) {
 		is := is.New(t)
-		status, _, err := c.CallOperatorAPI("POST", "/marlreel/evacuation/west/begin", "", "", 4*time.Second)
-		is.NoErr(err)
-		is.Equal(status, 200)
-		c.Sleep(2 * time.Second)
-		before := len(c.Backends[2].Executions())
+		inZone, edge := c.Backends[2], c.Edges[2]
+		c.evacuate(t, "west", "begin")
+		before := len(inZone.Executions())
 		for range 10 {
-			got, err := c.Send(c.Edges[2], slipRequest())
-			is.NoErr(err)
-			is.Equal(got.Status, 200)
+			c.checkServed(t, []*Machine{edge}, "/slip/1", 200)
 		}
-		is.Equal(len(c.Backends[2].Executions()), before)
-		status, _, err = c.CallOperatorAPI("POST", "/marlreel/evacuation/west/terminate", "", "", 4*time.Second)
-		is.NoErr(err)
-		is.Equal(status, 200)
-		c.Sleep(2 * time.Second)
+		is.Equal(len(inZone.Executions()), before)
+		c.evacuate(t, "west", "terminate")
 		for range 10 {
-			_, err := c.Send(c.Edges[2], slipRequest())
+			_, err := c.Send(edge, slipRequest())
 			is.NoErr(err)
 		}
-		is.True(len(c.Backends[2].Executions()) > before) // it is near
+		is.True(len(inZone.Executions()) > before) // it is in the proxy's zone
 	})
 }
--- a/internal/testing/simcluster/forwarding_test.go
+++ b/internal/testing/simcluster/forwarding_test.go
@@ -38,7 +38,7 @@
 // An order that a cut holds up on its way to the head is not taken once its caller was answered: the operator has
 // turned to another process, and gone on.
 func TestDelayedRequestIsNotCommittedLate(t *testing.T) {
-	runWithControlPlane(t, 3, func(t *testing.T, c *Cluster) {
+	runWithControlPlane(t, func(t *testing.T, c *Cluster) {
 		is := is.New(t)
 		head, others := c.headAndOthers(t)
 		by := others[0]
@@ -66,7 +66,7 @@
 func TestRequestOfAGoneCallerIsNotCommitted(t *testing.T) {
 	for place := range 3 {
 		t.Run(fmt.Sprint(place), func(t *testing.T) {
-			runWithControlPlane(t, 3, func(t *testing.T, c *Cluster) {
+			runWithControlPlane(t, func(t *testing.T, c *Cluster) {
 				is := is.New(t)
 				m := c.Controls[place]
 				status, _, err := c.callControl(m, http.MethodPost, "/marlreel/evacuation/west/begin", "", "") // a connection is made
@@ -98,7 +98,7 @@
 // A question for the head is passed on once: two processes that take each other for the head don't play it back
 // and forth.
 func TestLeaseRequestIsForwardedOnce(t *testing.T) {
-	runWithControlPlane(t, 3, func(t *testing.T, c *Cluster) {
+	runWithControlPlane(t, func(t *testing.T, c *Cluster) {
 		is := is.New(t)
 		head, others := c.headAndOthers(t)
 		client := transport.NewClient(c.outside.Dial)
@@ -119,7 +119,7 @@
 func TestControlProcessLeavesTheChainBeforeItExits(t *testing.T) {
 	for place := range 3 {
 		t.Run(fmt.Sprint(place), func(t *testing.T) {
-			runWithControlPlane(t, 3, func(t *testing.T, c *Cluster) {
+			runWithControlPlane(t, func(t *testing.T, c *Cluster) {
 				is := is.New(t)
 				var ended sync.WaitGroup
 				m := c.Controls[place]
--- a/internal/testing/simcluster/metrics_test.go
+++ b/internal/testing/simcluster/metrics_test.go
@@ -42,7 +42,7 @@
 func TestEachProcessServesItsMetrics(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := startCluster(t, 3, 2)
+		c := startCluster(t, controls, 2)
 		defer c.Stop()
 		edge := c.Edges[0]
 		got, err := c.Send(edge, chatRequest("m0"))
@@ -79,7 +79,7 @@
 	}
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := startCluster(t, 3, 1)
+		c := startCluster(t, controls, 1)
 		defer c.Stop()
 		_, err := c.Send(c.Edges[0], chatRequest("m0"))
 		is.NoErr(err)
@@ -111,7 +111,7 @@
 func TestServesWithoutAMetricsServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := startCluster(t, 3, 2)
+		c := startCluster(t, controls, 2)
 		defer c.Stop()
 		edge := c.Edges[0]
 		edge.Kill()
--- a/internal/testing/simcluster/serving_test.go
+++ b/internal/testing/simcluster/serving_test.go
@@ -12,7 +12,7 @@
 func TestStreamsAndPlainRequestsAreServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := startCluster(t, 3, 2)
+		c := startCluster(t, controls, 2)
 		defer c.Stop()
 		for _, edge := range c.Edges {
 			r := chatRequest("m0")
