--- a/internal/testing/simcluster/bundle_test.go
+++ b/internal/testing/simcluster/bundle_test.go
@@ -45,7 +45,6 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := startCluster(t, controls, 2)
-		defer c.Stop()
 		secret := chatRequest("m0")
 		secret.Body = "the buyer's secret"
 		_, err := c.Send(c.Edges[0], secret)
--- a/internal/testing/simcluster/catchup_test.go
+++ b/internal/testing/simcluster/catchup_test.go
@@ -24,7 +24,6 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				c := startControlPlane(t)
-				defer c.Stop()
 				c.replaceConfiguration(t, documentWithRemark(largeDocumentBytes), 10*time.Second)
 				c.Sleep(time.Second)
 				c.Net.SetRate(slowLinkBytesPerSecond)
@@ -65,7 +64,6 @@
 		t.Run(fmt.Sprint(number), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := startCluster(t, controls, 6)
-				defer c.Stop()
 				c.replaceConfiguration(t, documentWithRemark(largeDocumentBytes), 10*time.Second)
 				c.Sleep(3 * time.Second)
 				c.Net.SetRate(slowLinkBytesPerSecond)
@@ -94,7 +92,6 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := startCluster(t, controls, manyEdges)
-		defer c.Stop()
 		for _, edge := range c.Edges {
 			c.Net.SetRateOf(edge.IP, slowLinkBytesPerSecond)
 		}
--- a/internal/testing/simcluster/cluster_fixture_test.go
+++ b/internal/testing/simcluster/cluster_fixture_test.go
@@ -28,17 +28,20 @@
 	startTimeout = 10 * time.Second
 )
 
-// startMachines starts control processes and proxies on a simulated network, with nothing configured.
+// startMachines starts control processes and proxies on a simulated network, with nothing configured. They are stopped
+// when the test ends.
 func startMachines(t *testing.T, controls, edges int) *Cluster {
 	t.Helper()
 	log := logr.Discard()
 	if testing.Verbose() {
 		log = testr.New(t)
 	}
-	return New(Config{
+	c := New(Config{
 		Controls: controls, Edges: edges, Zones: zones, Log: log,
 		Net: simnet.Config{Delay: time.Millisecond, Jitter: time.Millisecond, Seed: 1},
 	})
+	t.Cleanup(c.Stop)
+	return c
 }
 
 // startControlPlane starts control processes alone, with nothing configured.
@@ -74,7 +77,6 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := startCluster(t, controls, 3)
-		defer c.Stop()
 		test(t, c)
 		for _, b := range c.Backends {
 			if violations := b.Violations(); len(violations) > 0 {
@@ -89,7 +91,6 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := startCluster(t, controls, relayEdges)
-		defer c.Stop()
 		test(t, c)
 	})
 }
@@ -99,7 +100,6 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := startControlPlane(t)
-		defer c.Stop()
 		c.configureFirst(t, document)
 		c.Sleep(time.Second)
 		test(t, c)
--- a/internal/testing/simcluster/compatibility_test.go
+++ b/internal/testing/simcluster/compatibility_test.go
@@ -129,7 +129,6 @@
 func TestCompatibilityOfControl(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startControlPlane(t)
-		defer c.Stop()
 		c.Sleep(3 * time.Second)
 		var got strings.Builder
 		got.WriteString(replayAll(t, c, c.Controls[0].ControlAddress(), []rawExchange{
@@ -208,7 +207,6 @@
 func TestCompatibilityOfStatusAndMetrics(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startCluster(t, controls, 2)
-		defer c.Stop()
 		if _, err := c.Send(c.Edges[0], chatRequest("m0")); err != nil {
 			t.Fatal(err)
 		}
@@ -360,7 +358,6 @@
 func TestCompatibilityOfProxy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startCluster(t, controls, 1)
-		defer c.Stop()
 		listener, err := c.network("10.3.0.150").Listen(capturedAddress)
 		if err != nil {
 			t.Fatal(err)
@@ -472,7 +469,6 @@
 func TestCompatibilityOfPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startCluster(t, 1, 2)
-		defer c.Stop()
 		control, agent := c.Controls[0].IP+":7660", c.Edges[0].IP+":7660"
 		node := wire{}.text(1, "edge-9").text(2, "10.2.0.90:7660").text(3, "east").whole(4, 77)
 		backend := wire{}.text(1, "i-9").text(2, "slips").text(3, "10.3.0.99:9000").text(4, "east").text(5, "v1").whole(6, 8).whole(10, 3)
@@ -530,7 +526,6 @@
 func TestCompatibilityOfDatagrams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startControlPlane(t)
-		defer c.Stop()
 		c.Sleep(3 * time.Second)
 		gone := c.Controls[2]
 		gone.Kill()
--- a/internal/testing/simcluster/history_test.go
+++ b/internal/testing/simcluster/history_test.go
@@ -37,6 +37,7 @@
 		Controls: historyControls, Edges: historyEdges, Zones: zones, Log: logr.Discard(),
 		Net: simnet.Config{Delay: time.Millisecond, Jitter: time.Millisecond, Seed: 1},
 	})
+	t.Cleanup(c.Stop)
 	for i, zone := range zones {
 		if i < historyModelBackends {
 			c.AddBackend(busyModelBackend(fmt.Sprintf("i-%d", i), zone, "m0"))
@@ -72,7 +73,6 @@
 func runClusterHistory(t *testing.T, faults []clusterFault) []string {
 	t.Helper()
 	c := startHistoryCluster(t)
-	defer c.Stop()
 	r := &historyRun{cluster: c, over: make(chan struct{}), changesOver: make(chan struct{})}
 	r.register.begin(historyDocument("/mark/")(1))
 	r.start()
--- a/internal/testing/simcluster/metrics_test.go
+++ b/internal/testing/simcluster/metrics_test.go
@@ -43,7 +43,6 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := startCluster(t, controls, 2)
-		defer c.Stop()
 		edge := c.Edges[0]
 		got, err := c.Send(edge, chatRequest("m0"))
 		is.NoErr(err)
@@ -80,7 +79,6 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := startCluster(t, controls, 1)
-		defer c.Stop()
 		_, err := c.Send(c.Edges[0], chatRequest("m0"))
 		is.NoErr(err)
 		told := map[string]bool{}
@@ -112,7 +110,6 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := startCluster(t, controls, 2)
-		defer c.Stop()
 		edge := c.Edges[0]
 		edge.Kill()
 		c.reconnect(edge.IP)
--- a/internal/testing/simcluster/serving_test.go
+++ b/internal/testing/simcluster/serving_test.go
@@ -30,7 +30,6 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := startCluster(t, controls, 2)
-		defer c.Stop()
 		for _, edge := range c.Edges {
 			r := chatRequest("m0")
 			got, err := c.Send(edge, r)
--- a/internal/testing/simcluster/traffic_test.go
+++ b/internal/testing/simcluster/traffic_test.go
@@ -45,7 +45,6 @@
 func TestIdleTrafficIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startCluster(t, controls, 6)
-		defer c.Stop()
 		for i := range 12 {
 			c.AddBackend(slipBackend(fmt.Sprintf("s-%d", i), zones[i%len(zones)]))
 		}
