--- a/internal/testing/simcluster/compatibility_test.go
+++ b/internal/testing/simcluster/compatibility_test.go
@@ -128,8 +128,7 @@
 // Requests of operators and backends to control, as they were sent, are answered as they were.
 func TestCompatibilityOfControl(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := startControlPlane(t, 3)
-		defer c.Stop()
+		c := startControlPlane(t)
 		c.Sleep(3 * time.Second)
 		var got strings.Builder
 		got.WriteString(replayAll(t, c, c.Controls[0].ControlAddress(), []rawExchange{
@@ -207,8 +206,7 @@
 // differs from run to run.
 func TestCompatibilityOfStatusAndMetrics(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := startCluster(t, 3, 2)
-		defer c.Stop()
+		c := startCluster(t, controls, 2)
 		if _, err := c.Send(c.Edges[0], chatRequest("m0")); err != nil {
 			t.Fatal(err)
 		}
@@ -359,8 +357,7 @@
 // proxies and agents at the backend.
 func TestCompatibilityOfProxy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := startCluster(t, 3, 1)
-		defer c.Stop()
+		c := startCluster(t, controls, 1)
 		listener, err := c.network("10.3.0.150").Listen(capturedAddress)
 		if err != nil {
 			t.Fatal(err)
@@ -472,7 +469,6 @@
 func TestCompatibilityOfPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startCluster(t, 1, 2)
-		defer c.Stop()
 		control, agent := c.Controls[0].IP+":7660", c.Edges[0].IP+":7660"
 		node := wire{}.text(1, "edge-9").text(2, "10.2.0.90:7660").text(3, "east").whole(4, 77)
 		backend := wire{}.text(1, "i-9").text(2, "slips").text(3, "10.3.0.99:9000").text(4, "east").text(5, "v1").whole(6, 8).whole(10, 3)
@@ -529,8 +525,7 @@
 // Heartbeats between control processes go as datagrams, each one message of the chain.
 func TestCompatibilityOfDatagrams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := startControlPlane(t, 3)
-		defer c.Stop()
+		c := startControlPlane(t)
 		c.Sleep(3 * time.Second)
 		gone := c.Controls[2]
 		gone.Kill()
