--- a/internal/controlplane/run.go
+++ b/internal/controlplane/run.go
@@ -128,9 +128,9 @@
 	case <-parent.Done():
 	}
 	p.host.Log.Info(logevent.ChainLeaving)
-	leaving, cancel := context.WithTimeout(p.host.UntilCrash(), leaveTimeout(p.host.Settings))
+	ctx, cancel := context.WithTimeout(p.host.UntilCrash(), leaveTimeout(p.host.Settings))
 	defer cancel()
-	p.runner.Leave(leaving)
+	p.runner.Leave(ctx) //nolint:contextcheck // parent has ended; this one ends with a simulated crash
 	return nil
 }
 
--- a/internal/controlplane/simulation_test.go
+++ b/internal/controlplane/simulation_test.go
@@ -287,11 +287,10 @@
 
 var errFullDisk = errors.New("no space left on device")
 
-func (w *world) addCore(address string, first bool) *core {
+func (w *world) addCore(address string, first bool) {
 	c := &core{world: w, address: address, disk: storage.NewMemStorage(), first: first}
 	w.cores = append(w.cores, c)
 	c.start()
-	return c
 }
 
 // clock is the steady clock of this life.
--- /dev/null
+++ b/internal/process/transport/client.go
@@ -0,0 +1,101 @@
+package transport
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+
+	"github.com/valyala/fasthttp"
+)
+
+const (
+	// defaultCallTimeout bounds a call whose context has no deadline.
+	defaultCallTimeout = 5 * time.Second
+	// idleConnTimeout is how long a connection without a call is kept.
+	idleConnTimeout = 30 * time.Second
+	// maxMessageBytes bounds a message either way.
+	maxMessageBytes = 32 << 20
+	// maxConnsPerPeer bounds the connections to one process of the system.
+	maxConnsPerPeer = 64
+)
+
+// NewHTTPClient makes a plain client, for calls to others than processes of the system. It makes each call once, on a
+// connection that holds nothing unread (ErrUnexpectedData).
+func NewHTTPClient(dial DialFunc) *fasthttp.Client {
+	return &fasthttp.Client{
+		Dial: dialer{dial, dialTimeout}.connectGuarded, NoDefaultUserAgentHeader: true, MaxIdemponentCallAttempts: 1,
+		DisablePathNormalizing: true,
+	}
+}
+
+// Client makes calls to processes of the system: it is an HTTP client as twirp wants one.
+type Client struct {
+	http fasthttp.Client
+}
+
+// NewClient makes a client.
+func NewClient(dial DialFunc) *Client {
+	return &Client{fasthttp.Client{
+		Dial:                     dialer{dial, peerDialTimeout}.connect,
+		NoDefaultUserAgentHeader: true, MaxIdleConnDuration: idleConnTimeout, MaxResponseBodySize: maxMessageBytes,
+		DisablePathNormalizing: true, MaxIdemponentCallAttempts: 1, MaxConnsPerHost: maxConnsPerPeer,
+	}}
+}
+
+// Do implements twirp's HTTPClient. Of the request's context only the deadline counts, where its error is
+// context.DeadlineExceeded: a call that is under way isn't cancelled before.
+func (c *Client) Do(request *http.Request) (*http.Response, error) {
+	out, in := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(out)
+	defer fasthttp.ReleaseResponse(in)
+	if err := copyRequest(out, request); err != nil {
+		return nil, err
+	}
+	err := c.http.DoDeadline(out, in, deadlineOf(request.Context()))
+	if errors.Is(err, fasthttp.ErrTimeout) {
+		return nil, context.DeadlineExceeded
+	}
+	if err != nil {
+		return nil, err
+	}
+	return responseTo(request, in), nil
+}
+
+// copyRequest makes fasthttp's request of one of net/http.
+func copyRequest(out *fasthttp.Request, request *http.Request) error {
+	out.Header.SetMethod(request.Method)
+	out.SetRequestURI(request.URL.String())
+	out.Header.SetContentType(request.Header.Get("Content-Type"))
+	if request.Body == nil {
+		return nil
+	}
+	body, err := io.ReadAll(request.Body)
+	if err != nil {
+		return err
+	}
+	out.SetBodyRaw(body)
+	return nil
+}
+
+// responseTo makes net/http's response of one of fasthttp, which may be released.
+func responseTo(request *http.Request, in *fasthttp.Response) *http.Response {
+	body := bytes.Clone(in.Body())
+	response := &http.Response{
+		StatusCode: in.StatusCode(), Status: strconv.Itoa(in.StatusCode()), Proto: "HTTP/1.1",
+		ProtoMajor: 1, ProtoMinor: 1, Header: http.Header{}, Request: request,
+		Body: io.NopCloser(bytes.NewReader(body)), ContentLength: int64(len(body)),
+	}
+	response.Header.Set("Content-Type", string(in.Header.ContentType()))
+	return response
+}
+
+func deadlineOf(ctx context.Context) time.Time {
+	if deadline, set := ctx.Deadline(); set {
+		return deadline
+	}
+	return time.Now().Add(defaultCallTimeout)
+}
--- /dev/null
+++ b/internal/process/transport/server.go
@@ -0,0 +1,58 @@
+package transport
+
+import (
+	"bytes"
+	"net/http"
+
+	"github.com/valyala/fasthttp"
+	"github.com/valyala/fasthttp/fasthttpadaptor"
+)
+
+// Service is a twirp server.
+type Service interface {
+	http.Handler
+	PathPrefix() string
+}
+
+// route is a service and the prefix of its paths.
+type route struct {
+	prefix  []byte
+	handler fasthttp.RequestHandler
+}
+
+// NewServer makes a server for services. Requests for other paths go to fallback; nil answers them with 404.
+func NewServer(fallback fasthttp.RequestHandler, services ...Service) *fasthttp.Server {
+	if fallback == nil {
+		fallback = func(ctx *fasthttp.RequestCtx) { ctx.SetStatusCode(fasthttp.StatusNotFound) }
+	}
+	var routes []route
+	for _, service := range services {
+		routes = append(routes, route{[]byte(service.PathPrefix()), fasthttpadaptor.NewFastHTTPHandler(service)})
+	}
+	return &fasthttp.Server{
+		Handler: dispatch(routes, fallback), NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true,
+		MaxRequestBodySize: maxMessageBytes, IdleTimeout: 2 * idleConnTimeout, ReadTimeout: 2 * idleConnTimeout,
+		DisablePreParseMultipartForm: true, CloseOnShutdown: true, Logger: discardLogger{},
+	}
+}
+
+// dispatch hands a request to the first route that it fits.
+func dispatch(routes []route, fallback fasthttp.RequestHandler) fasthttp.RequestHandler {
+	return func(ctx *fasthttp.RequestCtx) {
+		for _, r := range routes {
+			if bytes.HasPrefix(ctx.Path(), r.prefix) {
+				r.handler(ctx)
+				return
+			}
+		}
+		fallback(ctx)
+	}
+}
+
+// discardLogger drops the server's lines on single connections: broken ones are usual.
+type discardLogger struct{}
+
+var _ fasthttp.Logger = discardLogger{}
+
+// Printf implements fasthttp.Logger.
+func (discardLogger) Printf(string, ...any) {}
