--- a/internal/controlplane/fragment_test.go
+++ b/internal/controlplane/fragment_test.go
@@ -45,7 +45,7 @@
 
 var errNoAnswer = errors.New("no answer")
 
-func TestAMessageComesInParts(t *testing.T) {
+func TestLargeMessageIsSentInFragments(t *testing.T) {
 	peers := &PeerSender{incarnation: 7}
 	for name, lost := range map[string]func(call int) (bool, bool){
 		"nothing is lost":                 func(int) (bool, bool) { return false, false },
@@ -66,7 +66,7 @@
 }
 
 // A receiver that was restarted in between refuses the rest, and the sender gives that message up.
-func TestARestartedReceiverRefusesTheRest(t *testing.T) {
+func TestRestartedReceiverRejectsTheRest(t *testing.T) {
 	is := is.New(t)
 	out := (&PeerSender{incarnation: 7}).split(largeMessage(4*maxFragmentBytes, 1))
 	before := newReassembler()
@@ -79,7 +79,7 @@
 }
 
 // Parts of another message, of another sender or out of order never mix.
-func TestPartsDoNotMix(t *testing.T) {
+func TestFragmentsDoNotMix(t *testing.T) {
 	is := is.New(t)
 	in := newReassembler()
 	first, second := &PeerSender{incarnation: 1}, &PeerSender{incarnation: 2}
--- a/internal/controlplane/lease_granter_test.go
+++ b/internal/controlplane/lease_granter_test.go
@@ -78,7 +78,7 @@
 
 // A holder that was silent until its lease had run out, and renews while the grant to another one is under way, gets
 // nothing: both would hold the role at once.
-func TestNoRenewalWhileAGrantIsUnderWay(t *testing.T) {
+func TestNoRenewalWhileAGrantIsPending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		o := newGranterTrial(t)
@@ -104,7 +104,7 @@
 }
 
 // A grant that took long to be committed is given its whole time to be taken up.
-func TestTimeToTakeUpCountsFromTheCommit(t *testing.T) {
+func TestAcceptTimeoutCountsFromTheCommit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		o := newGranterTrial(t)
@@ -121,7 +121,7 @@
 }
 
 // A role that is not taken up passes on, and to each node in turn.
-func TestARoleThatIsNotTakenUpPassesOn(t *testing.T) {
+func TestUnacceptedLeaseIsTransferred(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		o := newGranterTrial(t)
@@ -136,7 +136,7 @@
 }
 
 // A grant that was ordered while somebody else gave the role away is not ordered any more, and holds up nobody's renewals.
-func TestAGrantThatWasOvertakenIsGivenUp(t *testing.T) {
+func TestSupersededGrantIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		o := newGranterTrial(t)
@@ -159,7 +159,7 @@
 }
 
 // Where a view was missed, another head may have renewed the holder's lease: it is waited out from then on.
-func TestRolesAreForgottenWhereAViewWasMissed(t *testing.T) {
+func TestLeasesAreForgottenAfterAMissedView(t *testing.T) {
 	for _, of := range []struct {
 		view   uint64 // in which this process is the head again
 		orders int
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -46,7 +46,7 @@
 // OnHeartbeat handles the heartbeat of a backend. The other control processes are told at once of what is new in it.
 func (m *Membership) OnHeartbeat(b *api.Backend) {
 	m.mu.Lock()
-	m.backends.lastSeen.onSignOfLife(time.Now(), b.Id)
+	m.backends.lastSeen.onContact(time.Now(), b.Id)
 	m.mu.Unlock()
 	if m.feed.RecordBackend(b) {
 		m.wakeLinks()
--- a/internal/controlplane/membership_tables_test.go
+++ b/internal/controlplane/membership_tables_test.go
@@ -20,11 +20,11 @@
 		expired bool
 	}{
 		"a heartbeat counts for the timeout": {
-			report: func(b *backendTable) { b.lastSeen.onSignOfLife(tableTestStart, "b") },
+			report: func(b *backendTable) { b.lastSeen.onContact(tableTestStart, "b") },
 			after:  3500 * time.Millisecond,
 		},
 		"and no longer": {
-			report: func(b *backendTable) { b.lastSeen.onSignOfLife(tableTestStart, "b") },
+			report: func(b *backendTable) { b.lastSeen.onContact(tableTestStart, "b") },
 			after:  3501 * time.Millisecond, expired: true,
 		},
 		"a peer's report counts as long": {
@@ -41,7 +41,7 @@
 		},
 		"an older report changes nothing": {
 			report: func(b *backendTable) {
-				b.lastSeen.onSignOfLife(tableTestStart, "b")
+				b.lastSeen.onContact(tableTestStart, "b")
 				b.lastSeen.onReport("peer", "b", tableTestStart.Add(-time.Second))
 			},
 			after: 3501 * time.Millisecond, lost: true, expired: true,
@@ -58,13 +58,13 @@
 	}
 }
 
-func TestOnlySignsOfLifeHereAreReported(t *testing.T) {
+func TestOnlyDirectContactsAreReported(t *testing.T) {
 	is := is.New(t)
 	table := lastSeenTable{}
 	is.True(!table.reportedHere("b"))
 	table.onReport("peer", "b", tableTestStart)
 	is.True(!table.reportedHere("b"))
-	table.onSignOfLife(tableTestStart.Add(1), "b")
+	table.onContact(tableTestStart.Add(1), "b")
 	is.True(table.reportedHere("b"))
 	table.onReport("peer", "b", tableTestStart.Add(1)) // no newer
 	is.True(table.reportedHere("b"))
--- a/internal/controlplane/node_table.go
+++ b/internal/controlplane/node_table.go
@@ -20,7 +20,7 @@
 // onCall records a node's call, and tells whether the node was known before.
 func (t *nodeTable) onCall(now time.Time, name string) bool {
 	_, known := t.lastSeen[name]
-	t.lastSeen.onSignOfLife(now, name)
+	t.lastSeen.onContact(now, name)
 	return known
 }
 
--- a/internal/controlplane/run.go
+++ b/internal/controlplane/run.go
@@ -26,8 +26,8 @@
 	shutdownTimeout = time.Second
 	// maxLeaveTimeout is long enough for another member to take a state of some MB.
 	maxLeaveTimeout = 4 * time.Second
-	// leaveGraceShare divides the platform's grace period: leaving may take that part of it.
-	leaveGraceShare = 2
+	// leaveGraceDivisor divides the platform's grace period: leaving may take that part of it.
+	leaveGraceDivisor = 2
 )
 
 // Run runs a control process until parent ends and the chain can do without it, or until one of its servers fails,
@@ -137,7 +137,7 @@
 // leaveTimeout is how long a process that is told to end waits until the chain can do without it, within the
 // platform's grace period.
 func leaveTimeout(settings *bootstrap.Settings) time.Duration {
-	return min(bootstrap.Seconds(settings.Bounds.ShutdownGraceS)/leaveGraceShare, maxLeaveTimeout)
+	return min(bootstrap.Seconds(settings.Bounds.ShutdownGraceS)/leaveGraceDivisor, maxLeaveTimeout)
 }
 
 // shutdown ends the servers and the loops: operators are answered first, peers last. stop ends the context of the
--- a/internal/controlplane/simulation_histories_test.go
+++ b/internal/controlplane/simulation_histories_test.go
@@ -524,7 +524,7 @@
 }
 
 // A history is the same each time, to the byte.
-func TestAWorldHistoryIsTheSameEachTime(t *testing.T) {
+func TestHistoryIsDeterministic(t *testing.T) {
 	is := is.New(t)
 	for number := range 6 {
 		h := drawWorldHistory(number)
--- a/internal/controlplane/submit_in_view_test.go
+++ b/internal/controlplane/submit_in_view_test.go
@@ -12,7 +12,7 @@
 
 // What a head decides on what it alone knows is done in the view in which it decided, and in no other: neither at once,
 // nor from the queue after the view has changed.
-func TestADecisionOfAnotherViewIsNotDone(t *testing.T) {
+func TestGrantDecidedInAnotherViewIsRejected(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1, 3)
 	w.pass(3 * time.Second)
