--- a/internal/balancer/connectionfailure/model.go
+++ b/internal/balancer/connectionfailure/model.go
@@ -1,13 +1,13 @@
-// Package connectionfailure says what a run of broken connections, or of attempts without an answer,
-// tells of a backend: whether it has died, or whether connections just break here.
+// Package connectionfailure says whether a run of broken connections, or of attempts without an answer,
+// means that a backend has crashed, or whether connections just break here.
 //
 // Where connections break by themselves (a middlebox, a restart of something between), a
 // living backend has several breaks in a row now and then, and taking each such run for a
-// death would put all backends out. So the share of attempts that break though their
-// backend lives is learnt: a break that an answer follows was a false alarm.
+// crash would eject all backends. So the share of attempts that break though their
+// backend lives is learned: a break that an answer follows was a false alarm.
 //
-// It is pure: no goroutine, no clock, no input or output. It never says which backend is
-// out: package balancer does.
+// It is pure: no goroutine, no clock, no I/O. It never decides which backend is ejected:
+// package balancer does, which owns the Model.
 package connectionfailure
 
 import (
@@ -18,15 +18,15 @@
 )
 
 const (
-	maxAliveProbability = 1e-5 // a run that a living backend has less often than this is a death's
+	maxAliveProbability = 1e-5 // a run that a living backend has with a lower probability is a crash's
 	priorFailures       = 0.5  // breaks assumed of a living backend before any was seen,
 	priorAttempts       = 25   // in so many attempts
 )
 
 // The bounds of DeathRun.
 const (
-	MinFailureRun = 3  // a shorter run is no death's
-	MaxFailureRun = 12 // one of this length is, however usual breaks are
+	MinFailureRun = 3  // a shorter run is no crash's
+	MaxFailureRun = 12 // a run of this length is one, however usual breaks are
 )
 
 // Model learns how usual breaks are, over all backends. Not safe for concurrent use.
@@ -35,19 +35,19 @@
 	falseAlarms, answers decay.Sum
 }
 
-// New gives a model that forgets within about the span.
-func New(span time.Duration) *Model { return &Model{timeConstant: span} }
+// New gives a model whose evidence decays to 1/e within the time constant.
+func New(timeConstant time.Duration) *Model { return &Model{timeConstant: timeConstant} }
 
-// SetTimeConstant lets it forget within another span.
-func (m *Model) SetTimeConstant(span time.Duration) { m.timeConstant = span }
+// SetTimeConstant changes the time constant; the evidence stays.
+func (m *Model) SetTimeConstant(timeConstant time.Duration) { m.timeConstant = timeConstant }
 
-// RecordAnswer takes in an answer of a backend, behind so many broken attempts in a row.
+// RecordAnswer takes in an answer of a backend that came after so many broken attempts in a row.
 func (m *Model) RecordAnswer(broken int, now time.Duration) {
 	m.falseAlarms.Add(float64(broken), now, m.timeConstant)
 	m.answers.Add(1, now, m.timeConstant)
 }
 
-// runProbability is how likely a living backend has so many breaks in a row.
+// runProbability is the probability that a living backend has so many breaks in a row.
 func (m *Model) runProbability(run int, now time.Duration) float64 {
 	alarms, answered := m.falseAlarms.Value(now, m.timeConstant), m.answers.Value(now, m.timeConstant)
 	return math.Pow((alarms+priorFailures)/(alarms+answered+priorAttempts), float64(run))
@@ -67,12 +67,12 @@
 	return n
 }
 
-// State gives the alarms and the answers that are remembered, for another process to go on with.
+// State gives the evidence for another process to go on with: breaks that were false alarms, and answers, decayed.
 func (m *Model) State(now time.Duration) (alarms, answered float64) {
 	return m.falseAlarms.Value(now, m.timeConstant), m.answers.Value(now, m.timeConstant)
 }
 
-// Resume goes on with what was remembered away ago.
+// Resume goes on with the State of another process, age ago.
 func (m *Model) Resume(alarms, answered float64, away, now time.Duration) {
 	m.falseAlarms, m.answers = decay.NewSum(alarms, now-away), decay.NewSum(answered, now-away)
 }
--- a/internal/balancer/goodput/tracker.go
+++ b/internal/balancer/goodput/tracker.go
@@ -1,21 +1,21 @@
-// Package goodput keeps the worth that was asked for and served lately, in all, by class
-// and by tenant, and says from it what serving more would add to the goal.
+// Package goodput tracks the utility that was offered and completed recently, in all, by class
+// and by tenant, and derives from it what completing more would add to the goal.
 //
 // The goal mixes the whole service with its worst-served class and its worst-served
-// tenant. So a unit of worth counts once by its part of all worth, and once more by its
+// tenant. So a unit of utility counts once by its part of all utility, and once more by its
 // part of its class's where no class is served worse, and of its tenant's likewise.
 //
-// It is pure: no clock, no input or output. It never says what is sent or refused:
-// package balancer does.
+// It is pure: no clock, no I/O. It never decides what is sent or rejected: package balancer does, which owns the
+// Tracker.
 package goodput
 
-// near: classes, or tenants, served within this share of each other are all the worst.
+// worstTolerance: classes, or tenants, whose success ratios differ by less are all the worst.
 const worstTolerance = 0.02
 
 // Goal weighs the parts of the goal.
 type Goal struct{ Total, WorstClass, WorstTenant, WorstWindow float64 }
 
-// Tracker is worth asked for and served. Not safe for concurrent use.
+// Tracker has the utility that was offered and completed. Not safe for concurrent use.
 type Tracker struct {
 	goal             Goal
 	total            tally
@@ -24,7 +24,7 @@
 
 type tally struct{ offered, completed float64 }
 
-// successRatio is what was served of what was asked, all of it where nothing was.
+// successRatio is what was completed of what was offered, 1 where nothing was.
 func (t *tally) successRatio() float64 {
 	if t.offered <= 0 {
 		return 1
@@ -34,13 +34,13 @@
 
 func (t *tally) decay(left float64) { t.offered, t.completed = t.offered*left, t.completed*left }
 
-// New gives an empty ledger for so many classes and tenants.
+// New gives an empty tracker for so many classes and tenants.
 func New(goal Goal, classes, tenants int) *Tracker {
 	return &Tracker{goal: goal, classes: make([]tally, classes), tenants: make([]tally, tenants)}
 }
 
 // Reset puts another goal in force, with room for so many classes, and a tenant for each of from, which has the
-// place that it had before or one that there wasn't. What was booked is kept.
+// index that it had before, or one that there wasn't. What was recorded is kept.
 func (l *Tracker) Reset(goal Goal, classes int, from []int) {
 	l.goal = goal
 	for len(l.classes) < classes {
@@ -55,19 +55,19 @@
 	}
 }
 
-// Clear drops all that was booked.
+// Clear drops all that was recorded.
 func (l *Tracker) Clear() {
 	l.total = tally{}
 	clear(l.classes)
 	clear(l.tenants)
 }
 
-// ClearClass drops what was booked of a class. Danger: asked and served fade alike, so one that
-// was served badly when it went would stay the worst of all for good.
+// ClearClass drops what was recorded of a class. Offered and completed decay alike, so one that
+// was served badly when it was removed would stay the worst of all for good.
 func (l *Tracker) ClearClass(class int) { l.classes[class] = tally{} }
 
-// Record adds worth that was asked for, and worth that was served. A class or a tenant that
-// there isn't counts for the whole alone.
+// Record adds utility that was offered, and utility that was completed. A class or a tenant that
+// is not known counts for the total alone.
 func (l *Tracker) Record(class, tenant int, asked, served float64) {
 	for _, t := range [3]*tally{&l.total, at(l.classes, class), at(l.tenants, tenant)} {
 		if t != nil {
@@ -76,7 +76,7 @@
 	}
 }
 
-// Decay leaves so much of all that was booked.
+// Decay multiplies all that was recorded by a factor, 0 to 1.
 func (l *Tracker) Decay(left float64) {
 	l.total.decay(left)
 	for _, list := range [2][]tally{l.classes, l.tenants} {
@@ -86,8 +86,8 @@
 	}
 }
 
-// MarginalUtility is what a unit of worth that is served adds to the goal; inShare is the part of it
-// that lies within its tenant's share, which alone counts for the tenant.
+// MarginalUtility is what a completed unit of utility adds to the goal; inShare is the part of it, 0 to 1,
+// that lies within its tenant's quota, which alone counts for the tenant.
 func (l *Tracker) MarginalUtility(class, tenant int, inShare float64) float64 {
 	v := (l.goal.Total + l.goal.WorstWindow) / max(l.total.offered, 1e-9)
 	if t := at(l.classes, class); t != nil && isWorst(t, l.classes) {
@@ -99,13 +99,13 @@
 	return v
 }
 
-// RelativeUtility is Gain for a unit of worth as a share of all that was asked: 1 and more where the
-// whole counts alone, several times as much for a small class that is served worst.
+// RelativeUtility is MarginalUtility in units of all that was offered: 1 and more where the
+// total counts alone, several times as much for a small class that is served worst.
 func (l *Tracker) RelativeUtility(class, tenant int, inShare float64) float64 {
 	return l.MarginalUtility(class, tenant, inShare) * max(l.total.offered, 1e-9)
 }
 
-// isWorst tells whether none of the others is served much less.
+// isWorst tells whether no other one has a clearly lower success ratio.
 func isWorst(t *tally, others []tally) bool {
 	for i := range others {
 		if others[i].successRatio() < t.successRatio()-worstTolerance {
@@ -122,7 +122,8 @@
 	return &list[i]
 }
 
-// Tally is worth asked for and served, for another process to go on with.
+// Tally is utility offered and completed, for another process to go on with. Its encoding is an array: the order of
+// the fields is the stored form.
 type Tally struct {
 	//lint:ignore U1000 the codec reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -130,23 +131,22 @@
 	Offered, Completed float64
 }
 
-// All, Class and Tenant give what was booked in all, of a class and of a tenant.
+// Total gives what was recorded in all.
 func (l *Tracker) Total() Tally { return l.total.state() }
 
-// Class is described with All.
+// Class gives what was recorded of a class.
 func (l *Tracker) Class(i int) Tally { return l.classes[i].state() }
 
-// Tenant is described with All.
+// Tenant gives what was recorded of a tenant.
 func (l *Tracker) Tenant(i int) Tally { return l.tenants[i].state() }
 
 func (t tally) state() Tally { return Tally{Offered: t.offered, Completed: t.completed} }
 
-// ResumeTotal goes on with what was booked in all; ResumeClass and ResumeTenant do so for one of
-// them.
+// ResumeTotal goes on with the total of another process.
 func (l *Tracker) ResumeTotal(t Tally) { l.total = tally{t.Offered, t.Completed} }
 
-// ResumeClass is described with Resume.
+// ResumeClass does the same for a class.
 func (l *Tracker) ResumeClass(i int, t Tally) { l.classes[i] = tally{t.Offered, t.Completed} }
 
-// ResumeTenant is described with Resume.
+// ResumeTenant does the same for a tenant.
 func (l *Tracker) ResumeTenant(i int, t Tally) { l.tenants[i] = tally{t.Offered, t.Completed} }
