--- a/internal/balancer/idempotency/terms.go
+++ b/internal/balancer/idempotency/terms.go
@@ -1,7 +1,8 @@
-// Package idempotency says whether a request of which attempts may have run may go again: where, and until when. It owns
-// what the settings' words on effects mean for one request, also while the settings change under it. It is pure: no
-// clock, no input or output. It never decides whether another attempt is worth making, nor where it goes: package
-// marlreel does.
+// Package idempotency says whether a request of which attempts may have run may be retried: where, and until when. It
+// owns what the settings' words on effects mean for one request, also while the settings change under it.
+//
+// It is pure: no clock, no I/O. It never decides whether a retry is worth making, nor where it goes: package
+// balancer does.
 package idempotency
 
 import "time"
@@ -16,8 +17,8 @@
 	Safe                 // nothing
 )
 
-// Scope is what a backend has to share with the one that ran a keyed request to drop its repeats. A cell may reach
-// over zones, so that neither is within the other: what is allowed by both scopes shares both.
+// Scope is what a backend has to share with the one that ran a keyed request to deduplicate its retries. A cell may
+// reach over zones, so that neither is within the other: what is allowed by both scopes shares both.
 type Scope uint8
 
 // The scopes, and All, where any backend does.
@@ -31,7 +32,7 @@
 type Terms struct {
 	Effect Effect
 	Scope  Scope
-	Window time.Duration // for which repeats are dropped, from the first attempt that may have run
+	Window time.Duration // for which retries are deduplicated, from the first attempt that may have run
 }
 
 // Strictest is what both allow. Settings may change between two attempts: the backends go by the new ones at some
@@ -49,13 +50,13 @@
 	return t
 }
 
-// Location is where an attempt went, or may go.
+// Location is where an attempt was sent, or may be sent: a zone and a cell by their numbers.
 type Location struct{ Zone, Cell int }
 
 // Attempt is an earlier one that may have run, or may yet.
 type Attempt struct {
 	Location
-	SentAt time.Duration // when it went out, at the earliest
+	SentAt time.Duration // when it was sent, at the earliest
 }
 
 // Never is no bound on when an attempt may begin.
--- a/internal/balancer/prefixcache/table.go
+++ b/internal/balancer/prefixcache/table.go
@@ -1,15 +1,15 @@
-// Package prefixcache knows what model backends hold: models, adapters, and the parts of
-// prompts that they have read lately. By it requests go where they can run, and where
-// the least of their prompt is still to be read.
+// Package prefixcache knows what model backends have loaded: models and adapters, and how many requests they decode at
+// once. By it requests go where they can run.
 //
-// It is pure: no goroutine, no clock, no input or output.
+// It is pure: no goroutine, no clock, no I/O. Its Table belongs to one routing advisor (internal/dataplane/routing),
+// which replaces it with each change of the membership; it never chooses a backend.
 package prefixcache
 
 import (
 	"marlreel/internal/balancer"
 )
 
-// LoadedModel is a model that a backend holds, with its adapters.
+// LoadedModel is a model that a backend has loaded, with its adapters.
 type LoadedModel struct {
 	Model    string
 	Adapters []string
@@ -22,24 +22,24 @@
 	Loaded []LoadedModel
 }
 
-// modelKey is a model, or an adapter of it, that is held somewhere.
+// modelKey is a model, or an adapter of it, that is loaded somewhere.
 type modelKey struct{ model, adapter string }
 
 // Table is what is known of all backends. Not safe for concurrent use.
 type Table struct {
-	modelBackends bool // the backends are model backends
+	modelBackends bool // the backends serve models
 	slots         map[balancer.BackendID]int
 	replicas      map[modelKey]map[balancer.BackendID]bool
 
-	// The holders of what was asked for last: a pick asks for one request of all backends.
+	// The replicas of what was asked for last: a selection asks about one request for each backend.
 	cachedNeeds    *balancer.Needs
 	cachedReplicas map[balancer.BackendID]bool
 }
 
-// New makes an empty table; engines says that the backends hold models.
-func New(engines bool) *Table { return &Table{modelBackends: engines} }
+// New makes an empty table; modelBackends says that the backends serve models.
+func New(modelBackends bool) *Table { return &Table{modelBackends: modelBackends} }
 
-// Replace makes the table that of a list of backends.
+// Replace makes the table that of a membership.
 func (t *Table) Replace(list []Backend) {
 	t.cachedNeeds, t.cachedReplicas = nil, nil
 	t.slots = make(map[balancer.BackendID]int, len(list))
@@ -64,7 +64,7 @@
 	holders[id] = true
 }
 
-// CanServe tells whether a backend holds the model, and the adapter if one is needed.
+// CanServe tells whether a backend has loaded the model, and the adapter if one is needed.
 func (t *Table) CanServe(needs *balancer.Needs, id balancer.BackendID) bool {
 	if needs == nil {
 		return true
@@ -81,5 +81,5 @@
 	return t.cachedReplicas[id]
 }
 
-// Slots is how many requests a backend works on at once; 0 is not known.
+// Slots is how many requests a backend executes at once; 0: not known.
 func (t *Table) Slots(id balancer.BackendID) int { return t.slots[id] }
--- a/internal/balancer/stableindex/table.go
+++ b/internal/balancer/stableindex/table.go
@@ -1,15 +1,17 @@
-// Package stableindex gives things that are known by name, such as the classes of requests, a
-// number each that stays theirs while the list of them changes. What was learnt of one
-// hangs on its number: one that stays in the list keeps it, and so does one that comes
-// back. It is pure. What a thing is, and what was learnt of it, is its callers'.
+// Package stableindex gives named things, such as the classes of requests, an index each that stays theirs while
+// the list of names changes. What was learned of one is kept under its index: a name that stays in the list keeps it,
+// and so does one that comes back.
+//
+// It is pure, and its Table belongs to its caller. What a name stands for, and what was learned of it, is the caller's.
 package stableindex
 
 import (
 	"fmt"
+	"slices"
 	"time"
 )
 
-// Table is the numbers in use. The zero value has none and room for none: see New.
+// Table has the indices in use. The zero value has room for none: see New.
 type Table struct {
 	maxLen int
 	slots  []slot
@@ -21,79 +23,97 @@
 	removedAt time.Duration // gone: since when
 }
 
-// MinReuseAge is how long a number stays its last owner's after that has gone: what was on its
-// way to be counted under it has come by then.
+// MinReuseAge is how long an index stays its last owner's after that was removed: what was in flight under it has
+// been counted by then.
 const MinReuseAge = 10 * time.Second
 
-// New makes a table of at most so many numbers.
-func New(most int) *Table { return &Table{maxLen: most} }
+// New makes a table of at most maxLen indices.
+func New(maxLen int) *Table { return &Table{maxLen: maxLen} }
 
-// Len is how many numbers there are: from 0 to it.
+// Len is how many indices there are: 0 to Len-1.
 func (t *Table) Len() int { return len(t.slots) }
 
-// Name is the owner of a number, also one that is not in the list now.
+// Name is the owner of an index, also one that is not in the list now.
 func (t *Table) Name(i int) string { return t.slots[i].name }
 
-// Removed tells whether the owner of a number is not in the list now.
+// Removed tells whether the owner of an index is not in the list now.
 func (t *Table) Removed(i int) bool { return t.slots[i].removed }
 
-// Assign puts a new list of names in force and gives the number of each. fresh are the
-// numbers, among those that were there before, whose owner is another one now: what was
-// learnt under them is to be forgotten. inUse tells whether something of a number's owner
-// is still open; such a number is not given away. Where it fails, nothing has changed.
-func (t *Table) Assign(now time.Duration, names []string, inUse func(i int) bool) (at, fresh []int, err error) {
-	next := append([]slot(nil), t.slots...)
+// DuplicateError is a list in which a name stands twice.
+type DuplicateError struct{ Name string }
+
+// Error implements error.
+func (e *DuplicateError) Error() string { return fmt.Sprintf("%q stands in the list twice", e.Name) }
+
+// FullError is a list for which there are not enough indices.
+type FullError struct {
+	Name   string // the first that has none
+	MaxLen int
+}
+
+// Error implements error.
+func (e *FullError) Error() string {
+	return fmt.Sprintf("%q is one too many beside those of which something is still open: there is room for %d", e.Name, e.MaxLen)
+}
+
+// Assign puts a new list of names in force and gives the index of each. reused are the
+// indices, among those that there were before, whose owner is another one now: what was
+// learned under them is to be forgotten. inUse tells whether something of an index's owner
+// is still open; such an index is not reused. The error is a DuplicateError or a FullError; then nothing has changed.
+func (t *Table) Assign(now time.Duration, names []string, inUse func(i int) bool) (indices, reused []int, err error) {
+	next := slices.Clone(t.slots)
 	for i := range next {
 		if !next[i].removed {
 			next[i].removed, next[i].removedAt = true, now
 		}
 	}
-	at = make([]int, len(names))
-	var left []int // places in names that have no number yet
-	for k, name := range names {
-		at[k] = -1
-		for i := range next {
-			if next[i].name != name {
-				continue
-			}
-			if !next[i].removed {
-				return nil, nil, fmt.Errorf("%q stands in the list twice", name)
-			}
-			next[i].removed, at[k] = false, i
-		}
-		if at[k] < 0 {
-			left = append(left, k)
-		}
+	indices, unassigned, err := keepAssigned(next, names)
+	if err != nil {
+		return nil, nil, err
 	}
-	for n, k := range left {
-		for _, before := range left[:n] {
-			if names[before] == names[k] {
-				return nil, nil, fmt.Errorf("%q stands in the list twice", names[k])
-			}
-		}
+	for _, k := range unassigned {
 		i := len(next)
 		if i < t.maxLen {
 			next = append(next, slot{})
-		} else if i = oldestRemoved(next, now, len(t.slots), inUse); i >= 0 {
-			fresh = append(fresh, i)
 		} else {
-			return nil, nil, fmt.Errorf("%q is one too many beside those of which something is still open: there is room for %d",
-				names[k], t.maxLen)
+			i = oldestRemoved(next, now, len(t.slots), inUse)
+			if i < 0 {
+				return nil, nil, &FullError{names[k], t.maxLen}
+			}
+			reused = append(reused, i)
 		}
-		next[i], at[k] = slot{name: names[k]}, i
+		next[i], indices[k] = slot{name: names[k]}, i
 	}
 	t.slots = next
-	return at, fresh, nil
+	return indices, reused, nil
+}
+
+// keepAssigned gives the names that have an index already theirs, and the positions in names of those that have none.
+func keepAssigned(slots []slot, names []string) (indices, unassigned []int, err error) {
+	indices = make([]int, len(names))
+	for k, name := range names {
+		if slices.Contains(names[:k], name) {
+			return nil, nil, &DuplicateError{name}
+		}
+		indices[k] = slices.IndexFunc(slots, func(s slot) bool { return s.name == name })
+		if indices[k] < 0 {
+			unassigned = append(unassigned, k)
+			continue
+		}
+		slots[indices[k]].removed = false
+	}
+	return indices, unassigned, nil
 }
 
-// oldestRemoved finds the number that is the longest without an owner and may be given away, or -1.
-func oldestRemoved(s []slot, now time.Duration, old int, inUse func(i int) bool) int {
+// oldestRemoved finds the index, below old, that has been without an owner for the longest time and may be reused, or
+// -1.
+func oldestRemoved(slots []slot, now time.Duration, old int, inUse func(i int) bool) int {
 	best := -1
-	for i := range s[:old] {
-		if !s[i].removed || now-s[i].removedAt < MinReuseAge || inUse(i) {
+	for i := range slots[:old] {
+		if !slots[i].removed || now-slots[i].removedAt < MinReuseAge || inUse(i) {
 			continue
 		}
-		if best < 0 || s[i].removedAt < s[best].removedAt {
+		if best < 0 || slots[i].removedAt < slots[best].removedAt {
 			best = i
 		}
 	}
--- a/internal/balancer/staleness/staleness.go
+++ b/internal/balancer/staleness/staleness.go
@@ -1,6 +1,8 @@
-// Package staleness judges what a proxy had learnt in an earlier life before it goes on with it: how long it was
-// away, whether that can be known at all, and how much of what it knew still weighs anything. It is pure, and
-// no rule rests on it: who is told nothing keeps them all.
+// Package staleness discounts the learned state of an earlier process before the next one goes on with it: how old it
+// is, whether that can be known at all, and how much of it still counts.
+//
+// It is pure. It never reads the file (internal/process/store) nor puts anything in force, and no promise to clients
+// rests on it: a proxy without learned state keeps them all.
 package staleness
 
 import (
@@ -13,16 +15,16 @@
 	"marlreel/internal/process/learnedstate"
 )
 
-// Timestamp is a time by two clocks: the wall's, which may be set, and the machine's since it was started, which
+// Timestamp is a time by two clocks: the wall clock, which may be set, and the machine's uptime, which
 // only goes forward and ends with the machine.
 type Timestamp struct {
 	Wall   time.Time
-	BootID string        // which start of the machine; "" is not known
-	Uptime time.Duration // since then
+	BootID string        // identifies a start of the machine; "": not known
+	Uptime time.Duration // since that start
 }
 
-// Age is how long a life that ended at one moment lies behind another. Where neither clock can tell, or the
-// wall's has been set back, it is an error: what is of unknown age must not pass for young.
+// Age is how long before now a process ended. Where neither clock can tell, or the wall clock has been set back, it
+// is an error: what is of unknown age must not pass for young.
 func Age(then, now Timestamp) (time.Duration, error) {
 	if then.BootID != "" && then.BootID == now.BootID {
 		if d := now.Uptime - then.Uptime; d >= 0 {
@@ -39,14 +41,14 @@
 	return 0, fmt.Errorf("it was written %v after now: a clock was set back", then.Wall.Sub(now.Wall).Round(time.Second))
 }
 
-// Config is how long what was learnt holds.
+// Config says how fast learned state loses its weight.
 type Config struct {
-	MaxAge   time.Duration // beyond which nothing of it is believed
-	HalfLife time.Duration // in which it loses half its weight
+	MaxAge   time.Duration // beyond which nothing of it counts
+	HalfLife time.Duration // in which it loses half of its weight
 }
 
-// Discount gives what is still to be believed after a time away, and nil where nothing is. crashed says that the
-// life did not end as told: then the last seconds of it, in which things went wrong, are not in what it knew,
+// Discount gives what still counts of a state of an age, and nil where nothing does. crashed says that the process did
+// not shut down in order: then the last seconds, in which things went wrong, are not in what it saved,
 // and it counts for half. s stays as it is.
 func Discount(cfg Config, s *learnedstate.State, away time.Duration, crashed bool) *learnedstate.State {
 	if away > cfg.MaxAge || away < 0 {
