--- a/internal/balancer/prediction/model.go
+++ b/internal/balancer/prediction/model.go
@@ -1,20 +1,20 @@
-// Package prediction says how likely an attempt is to be answered in time, and what
-// sending it is worth by that.
+// Package prediction gives the probability that an attempt is answered in time, and the expected utility of
+// sending it.
 //
 // An estimate of a delay is a number of milliseconds that is too low for some requests
 // and too high for others, and by how much differs between deployments: how well hints
-// foretell work, how backends share a core, how long the tails are. So the model is told
-// of each attempt what was estimated and what came, and learns for each kind of work the
-// distribution of the logarithm of their ratio, which is taken to be normal. The chance of
+// predict work, how backends share a core, how long the tails are. So the model is told
+// of each attempt what was estimated and what it took, and learns for each class the
+// distribution of the logarithm of their ratio, which is taken to be normal. The probability of
 // an answer within a time is that distribution's.
 //
 // An attempt that got no answer says only that it takes longer than it was given. Leaving
-// these out would teach that slow is fast: what is lost to time-outs is the slow. So one
+// these out would teach that slow is fast: what is lost to timeouts is the slow. So one
 // counts with the mean of what lies beyond, as the present distribution has it (the E step
 // of the EM algorithm for censored data: Dempster, Laird and Rubin, 1977).
 //
-// It is pure: no goroutine, no clock, no input or output, no random numbers. It never
-// decides what is sent, refused or where to: package balancer does.
+// It is pure: no goroutine, no clock, no I/O, no random numbers. It never
+// decides what is sent or rejected, nor where to: package balancer does, which owns the Model.
 package prediction
 
 import (
@@ -31,28 +31,28 @@
 	maxLogRatio   = 4.0 // logarithm of the ratio that one end counts for at most, either way
 )
 
-// Model holds one distribution for each kind of work. Not safe for concurrent use.
+// Model has one distribution for each class. Not safe for concurrent use.
 type Model struct{ kinds []kind }
 
 // kind has sums over the ends, older ones for less.
 type kind struct{ n, sum, sum2 float64 }
 
-// New gives a model with nothing learnt. It panics where kinds is below 1.
+// New gives a model that has learned nothing. It panics where kinds is below 1.
 func New(kinds int) *Model {
 	if kinds < 1 {
-		panic(fmt.Sprintf("forecast: %d kinds", kinds))
+		panic(fmt.Sprintf("prediction: %d classes", kinds))
 	}
 	return &Model{kinds: make([]kind, kinds)}
 }
 
-// Grow makes room for so many kinds of work; those there are stay as they are.
+// Grow makes room for so many classes; those there are stay as they are.
 func (m *Model) Grow(kinds int) {
 	for len(m.kinds) < kinds {
 		m.kinds = append(m.kinds, kind{})
 	}
 }
 
-// Forget drops what was learnt of a kind.
+// Forget drops what was learned of a class.
 func (m *Model) Forget(k int) { m.kinds[k] = kind{} }
 
 // distribution gives the mean and the standard deviation of the logarithm of the ratio.
@@ -63,7 +63,7 @@
 	return mean, math.Sqrt(max(v, minVariance))
 }
 
-// RecordOutcome takes in that an attempt of kind k took so long (ms), where estimate was foretold.
+// RecordOutcome takes in that an attempt of class k took so long (ms), where estimate (ms) was predicted.
 // answered is not set where it was given up: it would have taken longer.
 func (m *Model) RecordOutcome(k int, estimate, took float64, answered bool) {
 	if !(estimate > 0) || !(took > 0) {
@@ -90,8 +90,8 @@
 	return math.Exp(-z*z/2) / math.Sqrt(2*math.Pi) / (math.Erfc(z/math.Sqrt2) / 2)
 }
 
-// SuccessProbability is how likely an attempt of kind k is to be answered within left (ms), where
-// estimate is foretold.
+// SuccessProbability is the probability, 0 to 1, that an attempt of class k is answered within left (ms), where
+// estimate (ms) is predicted.
 func (m *Model) SuccessProbability(k int, estimate, left float64) float64 {
 	switch {
 	case left <= 0:
@@ -103,7 +103,7 @@
 	return 1 - math.Erfc((math.Log(left/estimate)-mean)/dev/math.Sqrt2)/2
 }
 
-// Costs says what sending costs, in the worth of a mean request.
+// Costs says what sending costs, in requests of mean utility.
 type Costs struct {
 	Waste     float64 // a mean request's work, done for nothing
 	CrossZone float64 // an attempt in another zone
@@ -111,14 +111,14 @@
 
 // Attempt is what one attempt has to win and to lose.
 type Attempt struct {
-	Utility            float64 // of an answer in time, in mean requests'
-	Work               float64 // in mean requests'
+	Utility            float64 // of an answer in time, in requests of mean utility
+	Work               float64 // in requests of mean work
 	CrossZone          bool    // it goes to another zone
 	SuccessProbability float64 // of an answer in time
 }
 
-// ExpectedUtility is what an attempt adds to the service, in the worth of a mean request. It is below 0
-// where the waste to be feared, or the crossing, is more.
+// ExpectedUtility is what an attempt adds, in requests of mean utility. It is below 0
+// where the expected waste, or crossing zones, costs more.
 func (p Costs) ExpectedUtility(s Attempt) float64 {
 	v := s.Utility*s.SuccessProbability - p.Waste*s.Work*(1-s.SuccessProbability)
 	if s.CrossZone {
@@ -127,16 +127,16 @@
 	return v
 }
 
-// IsWorthwhile tells whether an attempt adds more than such a share of its worth, least; and if not,
+// IsWorthwhile tells whether an attempt adds at least such a part of its utility; and if not,
 // whether it is hopeless: it would not in its own zone either.
-func (p Costs) IsWorthwhile(s Attempt, least float64) (goes, hopeless bool) {
-	goes = p.ExpectedUtility(s) >= least*s.Utility
+func (p Costs) IsWorthwhile(s Attempt, minRatio float64) (worthwhile, hopeless bool) {
+	worthwhile = p.ExpectedUtility(s) >= minRatio*s.Utility
 	s.CrossZone = false
-	return goes, !goes && p.ExpectedUtility(s) < least*s.Utility
+	return worthwhile, !worthwhile && p.ExpectedUtility(s) < minRatio*s.Utility
 }
 
-// State is what was learnt of a kind, for another process to go on with: the number of ends
-// and the sums over them.
+// State is what was learned of a class, for another process to go on with: the number of outcomes
+// and the sums over them. Its encoding is an array: the order of the fields is the stored form.
 type State struct {
 	//lint:ignore U1000 the codec reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -144,13 +144,13 @@
 	N, Sum, Sum2 float64
 }
 
-// State gives what was learnt of a kind.
+// State gives what was learned of a class.
 func (m *Model) State(k int) State {
 	g := m.kinds[k]
 	return State{N: g.n, Sum: g.sum, Sum2: g.sum2}
 }
 
-// Resume goes on with what was learnt of a kind, as if by so many ends at most.
+// Resume goes on with what was learned of a class, as if by so many outcomes at most.
 func (m *Model) Resume(k int, s State, most float64) {
 	f := min(1, most/max(s.N, 1e-9))
 	m.kinds[k] = kind{s.N * f, s.Sum * f, s.Sum2 * f}
--- a/internal/balancer/retrystorm/model.go
+++ b/internal/balancer/retrystorm/model.go
@@ -1,14 +1,14 @@
-// Package retrystorm notices retry storms from what one proxy sees alone, and says what they change: which
-// requests are repeats and since when their clients wait, how many of them may be served beside fresh
-// ones, and when those that are turned away should come again.
+// Package retrystorm detects retry storms from what one proxy sees alone, and says what they change: which
+// requests are retries and since when their clients wait, how they are ranked beside fresh
+// ones, and when clients of rejected requests should retry.
 //
-// A storm is an overload that feeds itself: what is not served comes again, and what is sent for
-// repeats whose time is over is not sent for fresh requests, which go unserved in turn ("Metastable
-// Failures in the Wild", OSDI 2022). So the sign of a storm is not much traffic but that much of it goes
-// unserved and comes again. A jump of traffic that is served is none.
+// A storm is an overload that feeds itself: what fails is retried, and what is sent for
+// retries whose deadline is over is not sent for fresh requests, which fail in turn ("Metastable
+// Failures in the Wild", OSDI 2022). So the sign of a storm is not much traffic but that much of it
+// fails and is retried. A jump of traffic that is served is none.
 //
-// It is pure: events with the time on them in, judgements out; no goroutine, no clock, no input or
-// output, no random numbers. It never sends or refuses anything: package balancer does.
+// It is pure: events with the time on them in, a state out; no goroutine, no clock, no I/O, no random
+// numbers. It never sends or rejects anything: package balancer does, which owns the Model.
 package retrystorm
 
 import (
@@ -19,15 +19,15 @@
 	"marlreel/internal/balancer/decay"
 )
 
-// State is how things are.
+// State is the phase of a storm.
 type State uint8
 
 // The states.
 const (
 	Calm       State = iota
-	Rising           // much goes unserved
-	Storm            // and comes again
-	Recovering       // little goes unserved any more, or comes again
+	Rising           // many requests fail
+	Storm            // and are retried
+	Recovering       // few fail or are retried any more
 )
 
 func (s State) String() string {
@@ -35,26 +35,26 @@
 }
 
 const (
-	rateWindow         = time.Second     // over which shares are taken
-	minEnds            = 8               // ends within that before anything is judged
-	risingThreshold    = 0.08            // share unserved
-	fallingThreshold   = 0.04            // and below it for calmAfter: it is over
-	stormThreshold     = 0.10            // share of what comes that are repeats
+	rateWindow         = time.Second     // over which ratios are taken
+	minEnds            = 8               // ends within it before anything is concluded
+	risingThreshold    = 0.08            // ratio of failed requests
+	fallingThreshold   = 0.04            // below it for calmAfter: the storm is over
+	stormThreshold     = 0.10            // ratio of arrivals that are retries
 	calmAfter          = 2 * time.Second // how long it must be quiet
 	minStateDuration   = 300 * time.Millisecond
-	scheduleSlot       = 50 * time.Millisecond // of the plan of who comes again when
+	scheduleSlot       = 50 * time.Millisecond // of the schedule of retries
 	scheduleSlots      = 128
-	earlyRetryPriority = 0.5                   // of its worth that a repeat is given which did not wait for as long as it was told
-	earlyTolerance     = 20 * time.Millisecond // by which who waited may come before the time that it was told
-	peakDecay          = 10 * time.Second      // over which the most that was served of late is forgotten
+	earlyRetryPriority = 0.5                   // factor of its utility that a retry has which came before the time that its client was told
+	earlyTolerance     = 20 * time.Millisecond // by which a retry may come before that time
+	peakDecay          = 10 * time.Second      // over which the peak rate decays
 )
 
-// Config is what a model is told.
+// Config is what a model goes by.
 type Config struct {
-	ClientTimeout   time.Duration // for how long a client waits over all its tries, at most
-	SendsRetryAfter bool          // clients may be told when to come again;
-	CalmRetryAfter  time.Duration // what they are told while it is calm,
-	MaxRetryAfter   time.Duration // and the longest that they may be told
+	ClientTimeout   time.Duration // how long a client waits over all its attempts, at most
+	SendsRetryAfter bool          // rejections may carry a time to retry after
+	CalmRetryAfter  time.Duration // that time while it is calm
+	MaxRetryAfter   time.Duration // the longest such time
 }
 
 // Model is one proxy's view. Not safe for concurrent use.
@@ -65,9 +65,9 @@
 	arrivals, retries     decay.Sum
 	ends, unserved        decay.Sum
 	served                decay.Sum
-	peakRate, peakRateAt  float64               // served a second at the best of late; when, s
-	retrySchedule         [scheduleSlots]uint16 // repeats that were told to come in each slot, a ring
-	scheduleFrom          int64                 // the slot at its first place that still counts
+	peakRate, peakRateAt  float64               // served a second at the recent best; when, s
+	retrySchedule         [scheduleSlots]uint16 // retries scheduled in each slot, a ring
+	scheduleFrom          int64                 // the first slot that still counts
 	scheduled             uint64
 	state                 State
 	stateSince, calmSince time.Duration
@@ -78,19 +78,19 @@
 	return &Model{cfg: cfg, ended: newEndedRequests(cfg.ClientTimeout)}
 }
 
-// Configure puts other figures in force; what has been seen stays.
+// Configure puts other settings in force; what has been seen stays.
 func (m *Model) Configure(cfg Config) { m.cfg, m.ended.span = cfg, cfg.ClientTimeout }
 
-// Arrival is what is known of a request that comes.
+// Arrival is what is known of a request that arrives.
 type Arrival struct {
-	IsRetry        bool          // it is one, or most likely
-	FirstArrival   time.Duration // when the request came first that it repeats; its own time for one that is none
-	CountFrom      time.Duration // from when on its time is to be counted
-	PriorityFactor float64       // part of its worth that it is to be given, beside others
+	IsRetry        bool          // it is one, or most likely is
+	FirstArrival   time.Duration // when the request that it retries came first; its own time for a fresh one
+	CountFrom      time.Duration // from when on its latency target counts
+	PriorityFactor float64       // factor of its utility, beside others
 }
 
-// RecordArrival takes in a request. what stands for its class, tenant and key; 0 is no key: such requests
-// can't be told apart. marked says that its client has marked it.
+// RecordArrival takes in a request. what identifies its class, tenant and key; 0 is no key: such requests
+// can't be told apart. marked says that its client has marked it as a retry.
 func (m *Model) RecordArrival(now time.Duration, what uint64, marked bool) Arrival {
 	m.arrivals.Add(1, now, rateWindow)
 	s, early := Arrival{FirstArrival: now, CountFrom: now, PriorityFactor: 1}, false
@@ -106,8 +106,8 @@
 		return s
 	}
 	m.retries.Add(1, now, rateWindow)
-	// Danger: what its client asked long ago earns nothing; in a storm it would take what fresh ones need.
-	// While it is calm there is enough for all, and whoever asks gets an answer.
+	// What its client asked long ago earns nothing; in a storm it would take what fresh requests need.
+	// While it is calm there is enough for all.
 	if m.state != Calm {
 		s.CountFrom = s.FirstArrival
 		if early {
@@ -117,8 +117,8 @@
 	return s
 }
 
-// RecordEnd takes in the end of a request: served, or refused, failed or given up. due is when its client
-// was told to come again; 0 is not told.
+// RecordEnd takes in the end of a request: served, or rejected, failed or given up. due is when its client
+// was told to retry; 0: it was not told.
 func (m *Model) RecordEnd(now time.Duration, what uint64, first, due time.Duration, served bool) {
 	m.ends.Add(1, now, rateWindow)
 	if served {
@@ -132,7 +132,7 @@
 	}
 }
 
-// updatePeakRate follows the most that was served a second, and forgets it slowly.
+// updatePeakRate follows the highest rate at which requests were served, which decays slowly.
 func (m *Model) updatePeakRate(now time.Duration) float64 {
 	at := now.Seconds()
 	m.peakRate *= math.Exp(-(at - m.peakRateAt) / peakDecay.Seconds())
@@ -141,10 +141,10 @@
 	return m.peakRate
 }
 
-// RetryAfter says after what time a client that is turned away now should come again, and counts on it;
-// 0 is not to be told. left is for how long serving it would still be worth anything. The times given
-// out in a storm fill what is foreseen to be free, slot by slot, so that the next wave comes flat; who
-// can't be served while it is worth anything is told the longest.
+// RetryAfter says after what time the client of a request that is rejected now should retry, and schedules it;
+// 0: not to be told. left is for how long serving it would still be useful. The times given
+// out in a storm fill the capacity that is expected to be free, slot by slot, so that the next wave is flat; who
+// can't be served usefully is told MaxRetryAfter.
 func (m *Model) RetryAfter(now, left time.Duration) time.Duration {
 	longest := m.cfg.MaxRetryAfter
 	switch {
@@ -164,7 +164,7 @@
 	}
 	m.scheduled++
 	part := float64(m.scheduled%16) / 16 // within the slot
-	// What all slots up to one can take is what counts: a part of a request a slot adds up.
+	// What all slots up to one can take together counts: a part of a request a slot adds up.
 	room, taken := 0.0, 0.0
 	for k := range int64(min(left, longest, (scheduleSlots-1)*scheduleSlot) / scheduleSlot) {
 		room += free
@@ -177,25 +177,25 @@
 	return longest
 }
 
-// State is how things are.
+// State is the phase of a storm.
 func (m *Model) State() State { return m.state }
 
-// Evidence is what a judgement rests on.
+// Evidence is what the phase rests on.
 type Evidence struct {
-	ArrivalRate, FailureRatio, RetryRatio float64 // a second; share of the ends; share of what comes
+	ArrivalRate, FailureRatio, RetryRatio float64 // a second; of the ends; of the arrivals
 }
 
-// Evidence gives it.
+// Evidence gives it at a time.
 func (m *Model) Evidence(now time.Duration) Evidence {
 	e := Evidence{ArrivalRate: m.arrivals.Rate(now, rateWindow), FailureRatio: m.unserved.Mean(&m.ends, now, rateWindow)}
 	e.RetryRatio = m.retries.Mean(&m.arrivals, now, rateWindow)
 	return e
 }
 
-// Evaluate judges, and gives a line where the state has changed.
+// Evaluate moves to another phase where the evidence says so, and gives a log line where it did.
 func (m *Model) Evaluate(now time.Duration) (line string, changed bool) {
 	if m.stateSince == 0 {
-		m.stateSince = now // the first look: times count from whenever the clock began
+		m.stateSince = now // the first evaluation: times count from whenever the clock began
 	}
 	e := m.Evidence(now)
 	enough := m.ends.Value(now, rateWindow) >= minEnds
--- a/internal/balancer/slowstart/slowstart.go
+++ b/internal/balancer/slowstart/slowstart.go
@@ -1,6 +1,8 @@
 // Package slowstart says how much backends that have all just started may be sent, where there is no warm one to
-// compare them with, as after a power loss: what any backend bears that can meet the aims at all, and then more by
-// what they answer. It is pure. It owns that figure; it never decides where a request goes, and it reads no clock.
+// compare them with, as after a power loss: what any backend bears that can meet the latency targets at all, and then
+// more by what they answer.
+//
+// It is pure, and reads no clock. It never decides where a request goes: package balancer does, which owns the Model.
 package slowstart
 
 import (
@@ -10,10 +12,10 @@
 
 // Config is what the settings say of backends that start.
 type Config struct {
-	OverloadMultiple float64       // of its capacity, beyond which a cold backend falls over
+	OverloadMultiple float64       // of its capacity, beyond which a warming backend is overloaded
 	OverloadWindow   time.Duration // for so long
-	LatencyTarget    time.Duration // the shortest of all classes
-	SafetyFactor     float64       // of what would make it fall, that is used
+	LatencyTarget    time.Duration // the shortest one of all classes
+	SafetyFactor     float64       // part of what would overload it that is used
 }
 
 const (
@@ -27,8 +29,8 @@
 	maxFactor    = 4096 // of the factor: beyond it the comparison with warm ones has long taken over
 )
 
-// MinRate is how many requests of mean work a second any backend surely bears at a share of its capacity, from all
-// proxies together. One that meets the shortest aim at all does a request in it when it is warm.
+// MinRate is how many requests of mean work a second any backend bears at a part of its capacity, from all
+// proxies together. One that meets the shortest latency target at all does a request in it when it is warm.
 func (c Config) MinRate(share float64) float64 {
 	window := max(c.OverloadWindow, time.Second).Seconds()
 	aim := c.LatencyTarget.Seconds()
@@ -38,7 +40,7 @@
 	return max(1/window, c.SafetyFactor*c.OverloadMultiple*share/aim)
 }
 
-// Model is what cold backends have answered lately.
+// Model is what warming backends have answered recently. Not safe for concurrent use.
 type Model struct {
 	cfg                 Config
 	factor              float64
@@ -54,8 +56,8 @@
 	}
 }
 
-// Rate is how many requests of mean work a second a cold backend may be sent by all proxies together, at a share of
-// its capacity that it surely has. Where some are warm it is one a window: the rest is for who compares them.
+// Rate is how many requests of mean work a second a warming backend may be sent by all proxies together, at a part of
+// its capacity that it has at least. Where some are warm it is one a window: the caller compares with those.
 func (m *Model) Rate(now time.Duration, share float64, warm bool) float64 {
 	if warm {
 		m.factor, m.stepStarted, m.successes, m.failures = 1, now, 0, 0
@@ -64,8 +66,8 @@
 	return m.cfg.MinRate(share) * m.Factor(now)
 }
 
-// RecordOutcome takes what became of an attempt at a cold backend: well is an answer within its aim, and not is one that
-// was turned away, late or never came.
+// RecordOutcome takes what became of an attempt at a warming backend: well is an answer within its latency target;
+// a rejected, late or lost one is not.
 func (m *Model) RecordOutcome(now time.Duration, well bool) {
 	m.advance(now)
 	if well {
@@ -75,7 +77,7 @@
 	}
 }
 
-// Factor is by how much more than Least each may be sent now.
+// Factor is by how much more than MinRate each may be sent now.
 func (m *Model) Factor(now time.Duration) float64 {
 	m.advance(now)
 	return m.factor
@@ -94,8 +96,8 @@
 	m.stepStarted, m.successes, m.failures = now, 0, 0
 }
 
-// Stagger spreads proxies evenly over 0 to 1 by their places, in another order for each backend: what each waits for
-// before its first request there, in turns.
+// Stagger spreads proxies evenly over 0 to 1 by their ranks, in another order for each backend: the part of a turn
+// that each waits before its first request there.
 func Stagger(rank int, backend uint64) float64 {
 	_, p := math.Modf(float64(rank)*0.6180339887498949 + float64(backend)*0.7548776662466927)
 	return p
