--- a/cmd/marlreelsim/main.go
+++ b/cmd/marlreelsim/main.go
@@ -1,7 +1,7 @@
-// Command marlreelsim plays the system's decisions in simulated time: demand that moves between hundreds of models,
-// ninety proxies, and backends that read prompts in batches. It prints what part of the worth that was asked for
-// was served, with the same day beside it for a planner that is told of demand before it comes, and for proxies that
-// see all backends as they are.
+// Command marlreelsim simulates the system's decisions (internal/testing/emulator): demand that moves between hundreds
+// of models, ninety proxies, and backends that batch requests. It prints the share of the requests' value that was
+// served, with the same runs beside it for a planner that knows of demand before it comes, and for proxies that see all
+// backends as they are.
 package main
 
 import (
@@ -18,11 +18,22 @@
 	"marlreel/internal/testing/emulator"
 )
 
-// knowledges are what is played beside each other, with their names.
-var knowledges = []struct {
-	name string
-	what emulator.Knowledge
-}{{"in service", emulator.AsInService}, {"each proxy alone", emulator.Alone}, {"demand known ahead", emulator.DemandAhead}, {"all known at once", emulator.AllAtOnce}}
+// scenario is a kind of knowledge by its name in the output.
+type scenario struct {
+	name      string
+	knowledge emulator.Knowledge
+}
+
+// scenarios are simulated beside each other; the first is what is in service.
+var scenarios = []scenario{
+	{"in service", emulator.AsInService},
+	{"each proxy alone", emulator.NoPeerBacklogs},
+	{"demand known ahead", emulator.KnownDemand},
+	{"all known at once", emulator.PerfectKnowledge},
+}
+
+// tableHeader names the columns of the output.
+const tableHeader = "knowledge\tseed\tserved\tworst 2 s\tin time\tlate\tpaused\tlost\trefused\tloads\tconnections\tcrossings\tmedian late\tby kind"
 
 func main() {
 	if err := command().Execute(); err != nil {
@@ -40,9 +51,13 @@
 				return &usageError{seeds, first, jobs}
 			}
 			out := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 8, 2, ' ', 0)
-			fmt.Fprintln(out, "knowledge\tseed\tserved\tworst 2 s\tin time\tlate\tpaused\tlost\trefused\tloads\tconnections\tcrossings\tmedian late\tby kind")
-			for _, k := range knowledges[:map[bool]int{true: 1, false: len(knowledges)}[brief]] {
-				if err := playSeeds(out, k.name, days{knowledge: k.what, first: first, seeds: seeds, jobs: jobs, vary: vary}); err != nil {
+			fmt.Fprintln(out, tableHeader)
+			simulated := scenarios
+			if brief {
+				simulated = scenarios[:1]
+			}
+			for _, s := range simulated {
+				if err := runSeeds(out, s.name, runSet{knowledge: s.knowledge, first: first, seeds: seeds, jobs: jobs, vary: vary}); err != nil {
 					return err
 				}
 			}
@@ -57,16 +72,16 @@
 	return cmd
 }
 
-// byKind words what part of each kind's worth was served.
+// byKind lists the share of each kind's value that was served.
 func byKind(r *emulator.Result) string {
-	var words []string
+	var shares []string
 	for _, kind := range slices.Sorted(maps.Keys(r.ByKind)) {
-		words = append(words, fmt.Sprintf("%s %.3f", kind, r.ByKind[kind]))
+		shares = append(shares, fmt.Sprintf("%s %.3f", kind, r.ByKind[kind]))
 	}
-	return strings.Join(words, ", ")
+	return strings.Join(shares, ", ")
 }
 
-// usageError says which numbers can't be used.
+// usageError says which numbers of the command line can't be used.
 type usageError struct{ seeds, first, jobs int }
 
 // Error implements error.
@@ -74,39 +89,39 @@
 	return fmt.Sprintf("--seeds %d, --first %d, --jobs %d: at least one day and one at once are needed, and seeds from 0 on", e.seeds, e.first, e.jobs)
 }
 
-// days are what is to be played.
-type days struct {
+// runSet is the runs of one scenario, one for each seed.
+type runSet struct {
 	knowledge          emulator.Knowledge
 	first, seeds, jobs int
 	vary               bool
-	change             func(emulator.Config) emulator.Config // of each; nil: none
+	change             func(emulator.Config) emulator.Config // of each configuration; nil: none
 }
 
-// config is that of one seed.
-func (d days) config(i int) emulator.Config {
-	seed := uint64(d.first + i)
+// config is the configuration of one run.
+func (r runSet) config(i int) emulator.Config {
+	seed := uint64(r.first + i)
 	cfg := emulator.Default(seed)
-	if d.vary {
-		cfg = emulator.Vary(cfg, seed)
+	if r.vary {
+		cfg = emulator.RandomDeployment(cfg, seed)
 	}
-	if d.change != nil {
-		cfg = d.change(cfg)
+	if r.change != nil {
+		cfg = r.change(cfg)
 	}
-	cfg.Knowledge = d.knowledge
+	cfg.Knowledge = r.knowledge
 	return cfg
 }
 
-// playSeeds plays one kind of knowledge on several seeds and prints a line for each, and the mean.
-func playSeeds(out *tabwriter.Writer, name string, d days) error {
-	results := make([]*emulator.Result, d.seeds)
-	errs := make([]error, d.seeds)
+// runSeeds simulates one scenario on several seeds and prints a line for each, and the mean.
+func runSeeds(out *tabwriter.Writer, name string, set runSet) error {
+	results := make([]*emulator.Result, set.seeds)
+	errs := make([]error, set.seeds)
 	var group sync.WaitGroup
-	room := make(chan struct{}, max(1, d.jobs))
-	for i := range d.seeds {
-		room <- struct{}{}
+	slots := make(chan struct{}, max(1, set.jobs))
+	for i := range set.seeds {
+		slots <- struct{}{}
 		group.Go(func() {
-			defer func() { <-room }()
-			results[i], errs[i] = emulator.Play(d.config(i))
+			defer func() { <-slots }()
+			results[i], errs[i] = emulator.Run(set.config(i))
 		})
 	}
 	group.Wait()
@@ -115,9 +130,9 @@
 		if errs[i] != nil {
 			return errs[i]
 		}
-		mean += r.Share / float64(d.seeds)
-		fmt.Fprintf(out, "%s\t%d\t%.3f\t%.3f\t%d\t%d\t%d\t%d\t%d+%d\t%d\t%d\t%d\t%v\t%s\n", name, d.first+i, r.Share, r.WorstWindow, r.InTime, r.Late, r.Paused,
-			r.Lost, r.Refusals, r.RefusedLast, r.Loads, r.Connections, r.Crossings, r.LateMedian.Round(1e7), byKind(r))
+		mean += r.ValueShare / float64(set.seeds)
+		fmt.Fprintf(out, "%s\t%d\t%.3f\t%.3f\t%d\t%d\t%d\t%d\t%d+%d\t%d\t%d\t%d\t%v\t%s\n", name, set.first+i, r.ValueShare, r.WorstWindowShare, r.InTime, r.Late, r.Paused,
+			r.Lost, r.Rejections, r.FinalRejections, r.Loads, r.Connections, r.CrossZoneAttempts, r.MedianLateLatency.Round(1e7), byKind(r))
 	}
 	fmt.Fprintf(out, "%s\tmean\t%.3f\n", name, mean)
 	return nil
--- a/cmd/marlreelsim/main_test.go
+++ b/cmd/marlreelsim/main_test.go
@@ -13,7 +13,7 @@
 	"marlreel/internal/testing/emulator"
 )
 
-func TestWrongNumbersAreNamed(t *testing.T) {
+func TestUsageErrors(t *testing.T) {
 	for _, arguments := range [][]string{{"--seeds", "0"}, {"--first", "-1"}, {"--jobs", "0"}} {
 		is := is.New(t)
 		cmd := command()
@@ -25,26 +25,26 @@
 	}
 }
 
-// A day is drawn by its seed and by what is known, another deployment where that is wanted.
-func TestDaysAreDrawnBySeed(t *testing.T) {
+// A run is drawn by its seed and by what is known, another deployment where that is wanted.
+func TestConfigDependsOnSeed(t *testing.T) {
 	is := is.New(t)
-	usual := days{knowledge: emulator.Alone, first: 3}.config(2)
+	usual := runSet{knowledge: emulator.NoPeerBacklogs, first: 3}.config(2)
 	is.Equal(usual.Seed, uint64(5))
-	is.Equal(usual.Knowledge, emulator.Alone)
+	is.Equal(usual.Knowledge, emulator.NoPeerBacklogs)
 	is.Equal(usual.Engine, emulator.Default(5).Engine)
-	drawn := days{first: 3, vary: true}.config(2)
+	drawn := runSet{first: 3, vary: true}.config(2)
 	is.True(drawn.Engine.LoadTime != usual.Engine.LoadTime)
 }
 
-func TestALineForEachDayAndTheMean(t *testing.T) {
+func TestRunSeedsPrintsEachRunAndMean(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	table := tabwriter.NewWriter(&out, 0, 8, 2, ' ', 0)
 	small := func(c emulator.Config) emulator.Config {
-		c.Zones, c.ProxiesPerZone, c.BackendsEach, c.Length = 1, 2, 20, time.Second
+		c.Zones, c.ProxiesPerZone, c.BackendsPerZone, c.Duration = 1, 2, 20, time.Second
 		return c
 	}
-	is.NoErr(playSeeds(table, "in service", days{seeds: 2, jobs: 2, change: small}))
+	is.NoErr(runSeeds(table, "in service", runSet{seeds: 2, jobs: 2, change: small}))
 	is.NoErr(table.Flush())
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	is.Equal(len(lines), 3)
--- a/internal/testing/emulator/backend.go
+++ b/internal/testing/emulator/backend.go
@@ -3,136 +3,137 @@
 import (
 	"cmp"
 	"slices"
+	"strings"
 	"time"
 )
 
-// run is one attempt at a backend.
-type run struct {
-	request  *request
-	priority int
-	order    int
-	toRead   int // tokens of the prompt
-	toWrite  int
-	has      int // tokens of the prompt that are read
-	wrote    int
-	eventAt  time.Duration // when the last event was written
-	began    bool
-	off      bool // called off
-	first    func()
-	paused   func() // two events lie too far apart
-	last     func()
-	rejected func() // it did not run
+// execution is an attempt at a backend.
+type execution struct {
+	request      *request
+	priority     int
+	order        int
+	promptLeft   int // tokens of the prompt that are not read yet
+	outputLeft   int
+	promptRead   int // tokens of the prompt that are read
+	written      int
+	eventAt      time.Duration // when the last event was written
+	started      bool
+	cancelled    bool // by the proxy, or because it is complete
+	onFirstToken func()
+	onPause      func() // two events lie too far apart
+	onEnd        func()
+	onReject     func() // it was not executed
 }
 
 // backend is a model backend: it reads prompts in chunks between the tokens of those that run.
 type backend struct {
-	world     *world
-	id        string
-	zone      int
-	held      map[string]map[string]bool // adapters by model
-	had       map[string]bool
-	kept      map[string]bool // shared parts that were read, by model
-	runs      []*run
-	arrivals  int
-	stepping  bool
-	orders    uint64
-	busy      bool   // with an order
-	unloading string // that waits for its runs
-	unloaded  func()
+	sim            *simulation
+	id             string
+	zone           int
+	loaded         map[string]map[string]bool // adapters by model
+	everLoaded     map[string]bool
+	cachedPrefixes map[string]bool // shared parts of prompts that were read, by model and kind
+	executions     []*execution
+	arrivals       int
+	stepping       bool
+	revision       uint64
+	busy           bool   // carries out an order
+	unloading      string // model whose unload waits for its requests
+	unloaded       func()
 }
 
-// take begins an attempt, or rejects it.
-func (b *backend) take(r *run) {
+// accept begins an execution, or rejects it.
+func (b *backend) accept(r *execution) {
 	q := r.request
-	adapters, holds := b.held[q.model]
+	adapters, holds := b.loaded[q.model]
 	switch {
 	case !holds || q.adapter != "" && !adapters[q.adapter] || b.unloading == q.model:
-		r.rejected()
+		r.onReject()
 		return
-	case len(b.runs) >= b.world.cfg.Engine.Slots:
-		r.rejected()
+	case len(b.executions) >= b.sim.cfg.Engine.Slots:
+		r.onReject()
 		return
 	}
 	b.arrivals++
-	r.order, r.toRead, r.toWrite = b.arrivals, q.promptTokens, q.outputTokens
-	part := q.model + "/" + q.kind.Name
-	if !b.kept[part] {
-		b.kept[part] = true
-		r.toRead += q.kind.SharedTokens
+	r.order, r.promptLeft, r.outputLeft = b.arrivals, q.promptTokens, q.outputTokens
+	prefix := q.model + "/" + q.kind.Name
+	if !b.cachedPrefixes[prefix] {
+		b.cachedPrefixes[prefix] = true
+		r.promptLeft += q.kind.SharedTokens
 	}
-	b.runs = append(b.runs, r)
+	b.executions = append(b.executions, r)
 	if !b.stepping {
 		b.step()
 	}
 }
 
-// pending is the work of what has not begun, in ms.
-func (b *backend) pending() float64 {
+// pendingPrefillMS is the work of the prompts of executions that have not started, ms.
+func (b *backend) pendingPrefillMS() float64 {
 	tokens := 0
-	for _, r := range b.runs {
-		if !r.began && !r.off {
-			tokens += r.toRead
+	for _, r := range b.executions {
+		if !r.started && !r.cancelled {
+			tokens += r.promptLeft
 		}
 	}
-	return float64(tokens) / b.world.cfg.Engine.TokensPerMS
+	return float64(tokens) / b.sim.cfg.Engine.PrefillTokensPerMS
 }
 
-// step plays one step of the batch.
+// step runs one step of the batch: chunks of prompts, and one token of each answer whose prompt is read.
 func (b *backend) step() {
-	b.runs = slices.DeleteFunc(b.runs, func(r *run) bool { return r.off })
+	b.executions = slices.DeleteFunc(b.executions, func(r *execution) bool { return r.cancelled })
 	b.unloadIdle()
-	if len(b.runs) == 0 {
+	if len(b.executions) == 0 {
 		b.stepping = false
 		return
 	}
 	b.stepping = true
-	e := &b.world.cfg.Engine
-	slices.SortStableFunc(b.runs, func(x, y *run) int {
+	e := &b.sim.cfg.Engine
+	slices.SortStableFunc(b.executions, func(x, y *execution) int {
 		return cmp.Or(cmp.Compare(x.priority, y.priority), cmp.Compare(x.order, y.order))
 	})
-	budget, pairs := e.Chunk, 0.0
-	var writing []*run
-	for _, r := range b.runs {
-		read := min(budget, r.toRead)
-		r.toRead -= read
-		r.has += read
-		pairs += float64(read) * float64(r.has)
+	budget, pairs := e.PrefillChunk, 0.0
+	var writing []*execution
+	for _, r := range b.executions {
+		read := min(budget, r.promptLeft)
+		r.promptLeft -= read
+		r.promptRead += read
+		pairs += float64(read) * float64(r.promptRead)
 		budget -= read
-		if r.toRead == 0 {
+		if r.promptLeft == 0 {
 			writing = append(writing, r)
 		}
 	}
-	span := e.Step + time.Duration(len(b.runs))*e.StepPerSlot + milliseconds(float64(e.Chunk-budget)/e.TokensPerMS+pairs/1e6*e.PairsMSPerM)
-	b.world.clock.after(span, func() { b.write(writing) })
+	span := e.StepTime + time.Duration(len(b.executions))*e.StepTimePerRequest + milliseconds(float64(e.PrefillChunk-budget)/e.PrefillTokensPerMS+pairs/1e6*e.AttentionMSPerMPairs)
+	b.sim.clock.after(span, func() { b.endStep(writing) })
 }
 
-// write ends a step: each request that is read has one more token.
-func (b *backend) write(writing []*run) {
+// endStep ends a step: each execution whose prompt is read has one more token.
+func (b *backend) endStep(writing []*execution) {
 	for _, r := range writing {
-		if r.off {
+		if r.cancelled {
 			continue
 		}
-		b.writeOne(r)
-		if r.toWrite--; r.toWrite <= 0 {
-			r.off = true
-			r.last()
+		b.decodeToken(r)
+		if r.outputLeft--; r.outputLeft <= 0 {
+			r.cancelled = true
+			r.onEnd()
 		}
 	}
 	b.step()
 }
 
-// writeOne writes one token of an answer. Tokens go out in events of several.
-func (b *backend) writeOne(r *run) {
-	e, now := &b.world.cfg.Engine, b.world.clock.now
-	if !r.began {
-		r.began, r.eventAt = true, now
-		r.first()
+// decodeToken writes one token of an answer. Several tokens go out in an event.
+func (b *backend) decodeToken(r *execution) {
+	e, now := &b.sim.cfg.Engine, b.sim.clock.now
+	if !r.started {
+		r.started, r.eventAt = true, now
+		r.onFirstToken()
 	}
-	if r.wrote++; r.wrote%max(1, e.Stride) != 0 {
+	if r.written++; r.written%max(1, e.TokensPerEvent) != 0 {
 		return
 	}
-	if now-r.eventAt > e.LongestPause {
-		r.paused()
+	if now-r.eventAt > e.MaxPause {
+		r.onPause()
 	}
 	r.eventAt = now
 }
@@ -140,28 +141,28 @@
 // load begins an order to load; done is called when it is done.
 func (b *backend) load(model, adapter string, done func()) {
 	b.busy = true
-	b.orders++
+	b.revision++
 	span := 5 * time.Millisecond
 	if adapter == "" {
-		span = b.world.loadTime(b.had[model])
+		span = b.sim.loadTime(b.everLoaded[model])
 	}
-	b.world.clock.after(span, func() {
+	b.sim.clock.after(span, func() {
 		if adapter == "" {
-			b.held[model], b.had[model] = map[string]bool{}, true
-		} else if b.held[model] != nil {
-			b.held[model][adapter] = true
+			b.loaded[model], b.everLoaded[model] = map[string]bool{}, true
+		} else if b.loaded[model] != nil {
+			b.loaded[model][adapter] = true
 		}
 		b.busy = false
 		done()
 	})
 }
 
-// unload begins an order to unload: it waits for what runs.
+// unload begins an order to unload: it waits for what is executed.
 func (b *backend) unload(model, adapter string, done func()) {
 	b.busy = true
-	b.orders++
+	b.revision++
 	if adapter != "" {
-		delete(b.held[model], adapter)
+		delete(b.loaded[model], adapter)
 		b.busy = false
 		done()
 		return
@@ -170,26 +171,26 @@
 	b.unloadIdle()
 }
 
-// unloadIdle ends an order to unload once nothing of the model runs.
+// unloadIdle completes an order to unload once nothing of the model is executed.
 func (b *backend) unloadIdle() {
-	if b.unloading == "" || slices.ContainsFunc(b.runs, func(r *run) bool { return !r.off && r.request.model == b.unloading }) {
+	if b.unloading == "" || slices.ContainsFunc(b.executions, func(r *execution) bool { return !r.cancelled && r.request.model == b.unloading }) {
 		return
 	}
-	for part := range b.kept {
-		if len(part) > len(b.unloading) && part[:len(b.unloading)+1] == b.unloading+"/" {
-			delete(b.kept, part)
+	for prefix := range b.cachedPrefixes {
+		if strings.HasPrefix(prefix, b.unloading+"/") {
+			delete(b.cachedPrefixes, prefix)
 		}
 	}
-	delete(b.held, b.unloading)
+	delete(b.loaded, b.unloading)
 	done := b.unloaded
 	b.unloading, b.unloaded, b.busy = "", nil, false
 	done()
 }
 
-// holdings are what the backend holds, as it reports it.
-func (b *backend) holdings() map[string][]string {
+// loadedNames is what the backend has loaded, as it reports it.
+func (b *backend) loadedNames() map[string][]string {
 	holds := map[string][]string{}
-	for model, adapters := range b.held {
+	for model, adapters := range b.loaded {
 		names := []string{}
 		for name := range adapters {
 			names = append(names, name)
--- a/internal/testing/emulator/clients.go
+++ b/internal/testing/emulator/clients.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// request is one try of a client.
+// request is one attempt of a client.
 type request struct {
-	kind           *Kind
-	at             time.Duration // of this try
+	kind           *RequestKind
+	at             time.Duration // of this attempt
 	model, adapter string
 	promptTokens   int
 	outputTokens   int
 	zone, proxy    int
-	worth          float64
+	value          float64
 	retried        bool
 	deadline       time.Duration
-	firstTry       time.Duration
-	refusedSoon    bool // a try before was refused within a quarter of the aim
+	firstAttempt   time.Duration
+	rejectedEarly  bool // an attempt before was rejected within a quarter of the latency target
 }
 
-// arrivals draws all first tries of a day, in order.
+// arrivals draws all first attempts of a run, in order: a Poisson process by thinning (Lewis and Shedler, 1979).
 func arrivals(cfg *Config, rng *rand.Rand) []*request {
 	var all []*request
-	most := 0.0
+	maxRate := 0.0
 	for i := range cfg.Kinds {
-		most += cfg.Kinds[i].PerSecond * cfg.largestFactor(cfg.Kinds[i].Name)
+		maxRate += cfg.Kinds[i].PerSecond * cfg.maxFactor(cfg.Kinds[i].Name)
 	}
 	for at := time.Duration(0); ; {
-		at += time.Duration(rng.ExpFloat64() / most * float64(time.Second))
-		if at >= cfg.Length {
+		at += time.Duration(rng.ExpFloat64() / maxRate * float64(time.Second))
+		if at >= cfg.Duration {
 			return all
 		}
-		draw := rng.Float64() * most
+		draw := rng.Float64() * maxRate
 		for i := range cfg.Kinds {
 			kind := &cfg.Kinds[i]
 			rate := kind.PerSecond * cfg.factorAt(kind.Name, at)
@@ -47,14 +47,14 @@
 	}
 }
 
-func (c *Config) largestFactor(kind string) float64 {
-	largest := 1.0
+func (c *Config) maxFactor(kind string) float64 {
+	greatest := 1.0
 	for _, b := range c.Bursts {
 		if b.Kind == kind {
-			largest *= max(1, b.Factor)
+			greatest *= max(1, b.Factor)
 		}
 	}
-	return largest
+	return greatest
 }
 
 func (c *Config) factorAt(kind string, at time.Duration) float64 {
@@ -68,37 +68,37 @@
 }
 
 // draw makes a request of a kind.
-func (c *Config) draw(kind *Kind, at time.Duration, rng *rand.Rand) *request {
+func (c *Config) draw(kind *RequestKind, at time.Duration, rng *rand.Rand) *request {
 	q := &request{
-		kind: kind, at: at, firstTry: at, zone: rng.IntN(c.Zones), proxy: rng.IntN(c.ProxiesPerZone),
+		kind: kind, at: at, firstAttempt: at, zone: rng.IntN(c.Zones), proxy: rng.IntN(c.ProxiesPerZone),
 		deadline: at + kind.Deadline,
 	}
 	if kind.Rare {
 		q.model = fmt.Sprintf("rare-%d", drawRank(c.RareModels, c.RareSkew, rng))
 	} else {
-		q.model = busyName((c.placesAt(at, rng) + drawRank(c.BusyNow, c.Skew, rng)) % c.BusyModels)
+		q.model = busyName((c.positionsAt(at, rng) + drawRank(c.BusyNow, c.Skew, rng)) % c.BusyModels)
 		if c.Adapters > 0 && rng.Float64() < kind.AdapterShare {
 			q.adapter = fmt.Sprintf("a%d", 1+drawRank(c.Adapters, 1, rng))
 		}
 	}
-	q.promptTokens = drawLength(kind.PromptTokens, rng)
-	q.outputTokens = drawLength(kind.OutputTokens, rng)
-	q.worth = min(4, 0.3+0.7*float64(q.promptTokens)/float64(max(1, kind.PromptTokens)))
+	q.promptTokens = drawTokens(kind.PromptTokens, rng)
+	q.outputTokens = drawTokens(kind.OutputTokens, rng)
+	q.value = min(4, 0.3+0.7*float64(q.promptTokens)/float64(max(1, kind.PromptTokens)))
 	return q
 }
 
 func busyName(i int) string { return fmt.Sprintf("busy-%d", i) }
 
-// placesAt is by how many places demand has moved on for a request at a time: during a shift each request
+// positionsAt is by how many positions demand has moved on for a request at a time: during a shift each request
 // is of the time before it or of the time after it.
-func (c *Config) placesAt(at time.Duration, rng *rand.Rand) int {
-	places := 0
+func (c *Config) positionsAt(at time.Duration, rng *rand.Rand) int {
+	positions := 0
 	for _, s := range c.Shifts {
 		if at >= s.At && rng.Float64() < (at-s.At).Seconds()/max(s.Over.Seconds(), 1e-9) {
-			places += s.Places
+			positions += s.Positions
 		}
 	}
-	return places
+	return positions
 }
 
 // drawRank draws from n ranks, the first most often.
@@ -117,13 +117,13 @@
 }
 
 const (
-	// lengthSpread is the deviation of the logarithm of lengths; longestLength how many times the mean they reach.
-	lengthSpread  = 1.0
-	longestLength = 3.8
+	// lengthSpread is the deviation of the logarithm of lengths; maxLength how many times the mean they reach.
+	lengthSpread = 1.0
+	maxLength    = 3.8
 )
 
-// drawLength draws a number of tokens about a mean.
-func drawLength(mean int, rng *rand.Rand) int {
+// drawTokens draws a number of tokens about a mean.
+func drawTokens(mean int, rng *rand.Rand) int {
 	length := math.Exp(rng.NormFloat64()*lengthSpread - lengthSpread*lengthSpread/2)
-	return max(1, int(float64(mean)*min(length, longestLength)))
+	return max(1, int(float64(mean)*min(length, maxLength)))
 }
--- a/internal/testing/emulator/emulator_test.go
+++ b/internal/testing/emulator/emulator_test.go
@@ -1,6 +1,7 @@
 package emulator
 
 import (
+	"errors"
 	"testing"
 	"time"
 
@@ -10,84 +11,84 @@
 // small is a deployment that plays in a second.
 func small(seed uint64) Config {
 	c := Default(seed)
-	c.Zones, c.ProxiesPerZone, c.BackendsEach = 2, 3, 8
+	c.Zones, c.ProxiesPerZone, c.BackendsPerZone = 2, 3, 8
 	c.BusyModels, c.BusyNow, c.RareModels = 6, 3, 36
 	c.Adapters = 4
 	for i := range c.Kinds {
 		c.Kinds[i].PerSecond /= 9
 	}
-	c.Engine.LoadPerSecond = 6
-	c.Length = 14 * time.Second
-	c.Shifts = []Shift{{At: 4 * time.Second, Over: 6 * time.Second, Places: 1}}
+	c.Engine.MaxLoadsPerSecond = 6
+	c.Duration = 14 * time.Second
+	c.Shifts = []Shift{{At: 4 * time.Second, Over: 6 * time.Second, Positions: 1}}
 	c.Bursts = nil
 	return c
 }
 
-func play(t *testing.T, c Config) *Result {
+func run(t *testing.T, c Config) *Result {
 	t.Helper()
-	r, err := Play(c)
+	r, err := Run(c)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-func TestADayIsPlayedTheSameAgain(t *testing.T) {
+func TestRunIsDeterministic(t *testing.T) {
 	is := is.New(t)
-	first, again := play(t, small(1)), play(t, small(1))
+	first, again := run(t, small(1)), run(t, small(1))
 	is.Equal(first, again)
 	is.True(first.InTime > 500)
-	is.True(first.Share > 0.8)
+	is.True(first.ValueShare > 0.8)
 	is.True(first.Loads > 0)
 }
 
 // Who knows more serves more: over some days, what is known in service is worth more than nothing, and less than all.
-func TestKnowledgeIsWorthSomething(t *testing.T) {
+func TestMoreKnowledgeServesMore(t *testing.T) {
 	is := is.New(t)
 	share := map[Knowledge]float64{}
-	for _, knowledge := range []Knowledge{Alone, AsInService, AllAtOnce} {
+	for _, knowledge := range []Knowledge{NoPeerBacklogs, AsInService, PerfectKnowledge} {
 		for seed := range uint64(4) {
 			c := small(seed + 1)
 			c.Knowledge = knowledge
-			share[knowledge] += play(t, c).Share / 4
+			share[knowledge] += run(t, c).ValueShare / 4
 		}
 	}
-	is.True(share[Alone] < share[AsInService])
-	is.True(share[AsInService] < share[AllAtOnce])
+	is.True(share[NoPeerBacklogs] < share[AsInService])
+	is.True(share[AsInService] < share[PerfectKnowledge])
 }
 
-func TestADayWithoutDemandOwesNothing(t *testing.T) {
+func TestRunWithoutDemand(t *testing.T) {
 	is := is.New(t)
 	c := small(1)
 	for i := range c.Kinds {
 		c.Kinds[i].PerSecond = 0.001
 	}
-	r := play(t, c)
+	r := run(t, c)
 	is.True(r.InTime+r.Late+r.Lost <= 3)
 	is.Equal(r.Loads, 0)
 }
 
-func TestWhatCannotBePlayedIsSaid(t *testing.T) {
+func TestRunRejectsWrongConfigs(t *testing.T) {
 	is := is.New(t)
 	for _, spoil := range []func(*Config){
 		func(c *Config) { c.Zones = 0 },
 		func(c *Config) { c.BusyNow = c.BusyModels + 1 },
-		func(c *Config) { c.Engine.TokensPerMS = 0 },
-		func(c *Config) { c.Length = 0 },
+		func(c *Config) { c.Engine.PrefillTokensPerMS = 0 },
+		func(c *Config) { c.Duration = 0 },
 	} {
 		c := small(1)
 		spoil(&c)
-		_, err := Play(c)
-		is.True(err != nil)
+		_, err := Run(c)
+		is.True(errors.Is(err, ErrConfig))
 	}
 }
 
 // Every deployment that is drawn can be played, and another seed draws another one.
-func TestDrawnDeploymentsCanBePlayed(t *testing.T) {
+func TestRandomDeploymentsAreValid(t *testing.T) {
 	is := is.New(t)
 	loads := map[time.Duration]bool{}
 	for seed := range uint64(50) {
-		c := Vary(Default(1), seed)
+		c := RandomDeployment(Default(1), seed)
 		is.NoErr(c.Check())
 		loads[c.Engine.LoadTime] = true
 	}
--- a/internal/testing/emulator/stats.go
+++ b/internal/testing/emulator/median.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// middle is the median; 0 of none.
-func middle(spans []time.Duration) time.Duration {
+// median is the median of spans; 0 of none.
+func median(spans []time.Duration) time.Duration {
 	if len(spans) == 0 {
 		return 0
 	}
--- a/internal/testing/emulator/proxy.go
+++ b/internal/testing/emulator/proxy.go
@@ -11,37 +11,37 @@
 	"marlreel/internal/placement"
 )
 
-// clockStart is what the decision module's clock shows at the start: starts of backends from before are above 0.
+// clockStart is what the balancer's clock shows at the start: starts of backends from before are above 0.
 const clockStart = time.Hour
 
 // reportSoon is how long the first request that waits for a model waits for others to be reported with it.
 const reportSoon = 5 * time.Millisecond
 
-// connectionIdle is how long a connection to a backend may rest until it is closed.
-const connectionIdle = 20 * time.Second
+// connectionIdleTimeout is how long a connection to a backend may be idle until it is closed.
+const connectionIdleTimeout = 20 * time.Second
 
-// proxy runs one decision module.
+// proxy runs one balancer.
 type proxy struct {
-	world    *world
-	name     string
-	zone     int
-	balancer *balancer.Balancer
-	advisor  *routing.Advisor
-	calls    map[balancer.RequestID]*call
-	lastID   balancer.RequestID
-	woken    bool // a report is due soon: a request waits
-	asked    map[placement.Key]*asked
-	idle     map[balancer.BackendID][]time.Duration // when connections came to rest
+	sim             *simulation
+	name            string
+	zone            int
+	balancer        *balancer.Balancer
+	advisor         *routing.Advisor
+	calls           map[balancer.RequestID]*call
+	lastID          balancer.RequestID
+	reportScheduled bool // a report is scheduled: a request waits
+	demand          map[placement.Key]*demandCount
+	idleConnections map[balancer.BackendID][]time.Duration // since when connections are idle
 }
 
-// asked is what was asked of a model since the last report.
-type asked struct {
-	arrived int
-	workMS  float64
-	aim     time.Duration // of those that came last
+// demandCount is what was demandCount of a model since the last report.
+type demandCount struct {
+	arrived       int
+	workMS        float64
+	latencyTarget time.Duration // of the last one
 }
 
-// call is a request in hand.
+// call is a pending request.
 type call struct {
 	request  *request
 	cost     time.Duration
@@ -49,20 +49,22 @@
 	answered bool
 	firstAt  time.Duration // when its answer began
 	paused   bool          // it paused for longer than is allowed
-	waits    bool          // nobody held its model when it came
+	waits    bool          // no backend had its model loaded when it came
 }
 
 type attempt struct {
-	run  *run
+	run  *execution
 	to   balancer.BackendID
 	done bool
 }
 
-func newProxy(w *world, zone, index int) (*proxy, error) {
+var _ balancer.Host = (*proxy)(nil)
+
+func newProxy(w *simulation, zone, index int) (*proxy, error) {
 	name := fmt.Sprintf("proxy-%d-%d", zone, index)
 	p := &proxy{
-		world: w, name: name, zone: zone, calls: map[balancer.RequestID]*call{}, asked: map[placement.Key]*asked{},
-		idle: map[balancer.BackendID][]time.Duration{},
+		sim: w, name: name, zone: zone, calls: map[balancer.RequestID]*call{}, demand: map[placement.Key]*demandCount{},
+		idleConnections: map[balancer.BackendID][]time.Duration{},
 	}
 	p.advisor = routing.New(routing.Config{
 		Self: name, ServesModels: true, Warmup: budgetshare.ColdConfig{PerSecond: 1e6, Excess: 1},
@@ -76,66 +78,66 @@
 	return p, err
 }
 
-func (p *proxy) now() time.Duration { return p.world.clock.now + clockStart }
+func (p *proxy) now() time.Duration { return p.sim.clock.now + clockStart }
 
-// start begins the module's timers with the list of backends.
+// start starts the balancer with the membership.
 func (p *proxy) start() {
-	p.list()
+	p.updateBackends()
 	p.balancer.Start(p.now())
 	var list []balancer.Backend
-	for i, b := range p.world.backends {
+	for i, b := range p.sim.backends {
 		list = append(list, balancer.Backend{ID: balancer.BackendID(i + 1), Zone: b.zone, Kind: -1, Cell: -1, State: balancer.Ready})
 	}
 	p.balancer.Membership(p.now(), balancer.Membership{Kind: balancer.ListFull, Backends: list})
 }
 
-// list tells the advice what backends hold, by what is known of them.
-func (p *proxy) list() { p.advisor.SetBackends(p.now(), p.world.known) }
+// updateBackends tells the advisor what backends have loaded, by what they have reported.
+func (p *proxy) updateBackends() { p.advisor.SetBackends(p.now(), p.sim.reportedBackends) }
 
-// take takes a client's request.
-func (p *proxy) take(q *request) {
-	w := p.world
+// onRequest handles a client's request.
+func (p *proxy) onRequest(q *request) {
+	w := p.sim
 	cost := routing.EstimateWork(q.promptTokens+q.kind.SharedTokens, q.outputTokens)
 	key := placement.Key{Model: q.model, Adapter: q.adapter}
-	count := p.asked[key]
+	count := p.demand[key]
 	if count == nil {
-		count = &asked{}
-		p.asked[key] = count
+		count = &demandCount{}
+		p.demand[key] = count
 	}
 	count.arrived++
-	count.aim = q.kind.Aim
+	count.latencyTarget = q.kind.LatencyTarget
 	count.workMS += float64(cost) / float64(time.Millisecond)
-	if w.cfg.Knowledge == AllAtOnce {
+	if w.cfg.Knowledge == PerfectKnowledge {
 		p.advisor.RecordPeerBacklog(p.now(), w.pending())
 	}
 	p.lastID++
 	id := p.lastID
-	c := &call{request: q, cost: cost, waits: !w.heldByAny[key]}
+	c := &call{request: q, cost: cost, waits: !w.reportedLoaded[key]}
 	p.calls[id] = c
-	if c.waits && !p.woken {
-		p.woken = true
+	if c.waits && !p.reportScheduled {
+		p.reportScheduled = true
 		w.clock.after(reportSoon, func() {
-			p.woken = false
+			p.reportScheduled = false
 			w.report(p)
 		})
 	}
-	w.clock.after(q.deadline-w.clock.now, func() { p.leave(id) })
+	w.clock.after(q.deadline-w.clock.now, func() { p.onClientTimeout(id) })
 	p.balancer.Request(p.now(), balancer.Request{
 		ID: id, Class: w.classOf[q.kind], Cost: cost, Deadline: q.deadline + clockStart,
 		Needs: &balancer.Needs{Model: q.model, Adapter: q.adapter, Output: q.outputTokens},
 	})
 }
 
-// leave is a client's end: its time is up.
-func (p *proxy) leave(id balancer.RequestID) {
+// onClientTimeout handles that a client's time is up.
+func (p *proxy) onClientTimeout(id balancer.RequestID) {
 	c := p.calls[id]
 	if c == nil || c.answered {
 		return
 	}
 	c.answered = true
-	p.world.score.lost(p.world.clock.now, c)
+	p.sim.score.recordLost(c)
 	for _, a := range c.attempts {
-		a.run.off = true
+		a.run.cancelled = true
 	}
 	delete(p.calls, id)
 	p.balancer.Gone(p.now(), id)
@@ -147,69 +149,69 @@
 	if c == nil {
 		return
 	}
-	w, n := p.world, len(c.attempts)
+	w, n := p.sim, len(c.attempts)
 	b := w.backends[to-1]
-	way := w.cfg.way(p.zone, b.zone)
+	way := w.cfg.networkDelay(p.zone, b.zone)
 	a := &attempt{to: to}
 	c.attempts = append(c.attempts, a)
 	p.connect(to)
 	if b.zone != p.zone {
-		w.score.Crossings++
+		w.score.CrossZoneAttempts++
 	}
 	end := func(result balancer.Result) {
 		if a.done {
 			return
 		}
 		a.done = true
-		p.idle[to] = append(p.idle[to], w.clock.now)
+		p.idleConnections[to] = append(p.idleConnections[to], w.clock.now)
 		p.balancer.Outcome(p.now(), balancer.Outcome{ID: id, Attempt: n, Backend: to, Result: result, Final: c.answered})
 		if c.answered {
 			delete(p.calls, id)
 		}
 	}
 	kind := c.request.kind
-	a.run = &run{
-		request: c.request, priority: routing.BackendPriority(kind.Aim, kind.Priority, w.clock.now-c.request.at),
-		first:  func() { w.clock.after(way, func() { p.first(id, n) }) },
-		paused: func() { c.paused = true },
-		last: func() {
+	a.run = &execution{
+		request: c.request, priority: routing.BackendPriority(kind.LatencyTarget, kind.Priority, w.clock.now-c.request.at),
+		onFirstToken: func() { w.clock.after(way, func() { p.onFirstByte(id, n) }) },
+		onPause:      func() { c.paused = true },
+		onEnd: func() {
 			w.clock.after(way, func() {
-				w.score.served(c)
+				w.score.recordServed(c)
 				end(balancer.OK)
 			})
 		},
-		rejected: func() { w.clock.after(way, func() { end(balancer.Full) }) },
+		onReject: func() { w.clock.after(way, func() { end(balancer.Full) }) },
 	}
 	w.clock.after(way, func() {
-		if !a.run.off {
-			b.take(a.run)
+		if !a.run.cancelled {
+			b.accept(a.run)
 		}
 	})
 }
 
-// connect takes a connection to a backend, a resting one where there is one.
+// connect uses an idle connection to a backend, or makes one.
 func (p *proxy) connect(to balancer.BackendID) {
-	resting := p.idle[to]
-	for len(resting) > 0 {
-		last := resting[len(resting)-1]
-		resting = resting[:len(resting)-1]
-		if p.world.clock.now-last <= connectionIdle {
-			p.idle[to] = resting
+	idle := p.idleConnections[to]
+	for len(idle) > 0 {
+		last := idle[len(idle)-1]
+		idle = idle[:len(idle)-1]
+		if p.sim.clock.now-last <= connectionIdleTimeout {
+			p.idleConnections[to] = idle
 			return
 		}
 	}
-	p.idle[to] = resting
-	p.world.score.Connections++
+	p.idleConnections[to] = idle
+	p.sim.score.Connections++
 }
 
-// first is an answer's first token.
-func (p *proxy) first(id balancer.RequestID, n int) {
+// onFirstByte is an answer's onFirstByte token.
+func (p *proxy) onFirstByte(id balancer.RequestID, n int) {
 	c := p.calls[id]
 	if c == nil || c.answered {
 		return
 	}
 	c.answered = true
-	c.firstAt = p.world.clock.now
+	c.firstAt = p.sim.clock.now
 	p.balancer.FirstByte(p.now(), balancer.FirstByte{ID: id, Attempt: n, Backend: c.attempts[n].to})
 }
 
@@ -220,8 +222,8 @@
 		return
 	}
 	c.answered = true
-	p.world.clock.after(0, func() { delete(p.calls, id) })
-	p.world.refused(c, retryAfter)
+	p.sim.clock.after(0, func() { delete(p.calls, id) })
+	p.sim.onRejected(c, retryAfter)
 }
 
 // Fail implements balancer.Host.
@@ -231,8 +233,8 @@
 		return
 	}
 	c.answered = true
-	p.world.clock.after(0, func() { delete(p.calls, id) })
-	p.world.score.lost(p.world.clock.now, c)
+	p.sim.clock.after(0, func() { delete(p.calls, id) })
+	p.sim.score.recordLost(c)
 }
 
 // Cancel implements balancer.Host.
@@ -242,8 +244,8 @@
 		return
 	}
 	a := c.attempts[n]
-	a.run.off = true
-	p.world.clock.after(0, func() {
+	a.run.cancelled = true
+	p.sim.clock.after(0, func() {
 		if !a.done {
 			a.done = true
 			p.balancer.Outcome(p.now(), balancer.Outcome{ID: id, Attempt: n, Backend: a.to, Result: balancer.Cancelled, Final: c.answered})
@@ -251,20 +253,20 @@
 	})
 }
 
-// Probe implements balancer.Host: all backends are well.
+// Probe implements balancer.Host: all backends are healthy.
 func (p *proxy) Probe(b balancer.BackendID) {
-	p.world.clock.after(2*p.world.cfg.CrossZone, func() {
+	p.sim.clock.after(2*p.sim.cfg.CrossZone, func() {
 		p.balancer.Probed(p.now(), balancer.ProbeResult{Backend: b, Result: balancer.OK})
 	})
 }
 
 // After implements balancer.Host.
 func (p *proxy) After(span time.Duration, token uint64) {
-	p.world.clock.after(span, func() { p.balancer.Timer(p.now(), token) })
+	p.sim.clock.after(span, func() { p.balancer.Timer(p.now(), token) })
 }
 
 // Release implements balancer.Host.
-func (p *proxy) Release(b balancer.BackendID) { p.idle[b] = nil }
+func (p *proxy) Release(b balancer.BackendID) { p.idleConnections[b] = nil }
 
 // Watch implements balancer.Host.
 func (p *proxy) Watch(bool) {}
@@ -278,7 +280,7 @@
 // Log implements balancer.Host.
 func (p *proxy) Log(string) {}
 
-// backlog is the work that was sent and has not begun to be answered.
+// backlog is the work that was sent and that backends have not begun to answer.
 func (p *proxy) backlog() backlog.Work {
 	work := backlog.Work{}
 	for _, c := range p.calls {
@@ -287,14 +289,14 @@
 		}
 		for _, a := range c.attempts {
 			if !a.done {
-				work[backlog.Key(p.world.backends[a.to-1].id)] += uint32(max(1, c.cost.Milliseconds()))
+				work[backlog.Key(p.sim.backends[a.to-1].id)] += uint32(max(1, c.cost.Milliseconds()))
 			}
 		}
 	}
 	return work
 }
 
-// waiting counts the requests that nobody could run when they came, by model.
+// waiting counts the pending requests that no backend could run when they came, by model.
 func (p *proxy) waiting() map[placement.Key]int {
 	waits := map[placement.Key]int{}
 	for _, c := range p.calls {
--- a/internal/testing/emulator/result.go
+++ b/internal/testing/emulator/result.go
@@ -4,31 +4,29 @@
 	"maps"
 	"slices"
 	"time"
-
-	"marlreel/internal/balancer"
 )
 
 // window is the span over which the worst seconds are taken.
 const window = 2 * time.Second
 
-// Result is what a day was worth.
+// Result is how well a run served its clients. Value is that of answers, as the kinds of requests give it.
 type Result struct {
-	Share       float64            // of the worth that was owed
-	WorstWindow float64            // the same in the worst two seconds
-	ByKind      map[string]float64 // the same by kind of requests
-	InTime      int
-	Late        int
-	Paused      int // answers that began in time or not, with a pause that was too long
-	Lost        int
-	Refusals    int // of a first try
-	RefusedLast int // that were all the client got
-	Loads       int
-	Connections int
-	Crossings   int
-	LateMedian  time.Duration // of the late ones
+	ValueShare        float64            // share of the value of all requests that was earned
+	WorstWindowShare  float64            // the same in the worst two seconds
+	ByKind            map[string]float64 // the same by kind of requests
+	InTime            int
+	Late              int
+	Paused            int // answers, in time or late, with too long a pause
+	Lost              int
+	Rejections        int // of first attempts of a client
+	FinalRejections   int // rejections that were the last answer to a client
+	Loads             int
+	Connections       int
+	CrossZoneAttempts int
+	MedianLateLatency time.Duration // of late answers
 }
 
-// score adds up what answers are worth.
+// score adds up the value of answers.
 type score struct {
 	Result
 	earned, owed             map[string]float64
@@ -36,48 +34,48 @@
 	lateTimes                []time.Duration
 }
 
-func newScore(*Config) *score {
+func newScore() *score {
 	return &score{earned: map[string]float64{}, owed: map[string]float64{}, windowEarned: map[int]float64{}, windowOwed: map[int]float64{}}
 }
 
-// book takes in that a request is over, with the part of its worth that it has earned.
-func (s *score) book(q *request, earned float64) {
-	owed := q.kind.Worth * q.worth
-	at := int(q.firstTry / window)
+// record adds a request that is over, with the value that it has earned.
+func (s *score) record(q *request, earned float64) {
+	owed := q.kind.Value * q.value
+	at := int(q.firstAttempt / window)
 	s.owed[q.kind.Name] += owed
-	s.earned[q.kind.Name] += earned * q.worth
+	s.earned[q.kind.Name] += earned * q.value
 	s.windowOwed[at] += owed
-	s.windowEarned[at] += earned * q.worth
+	s.windowEarned[at] += earned * q.value
 }
 
-// served is an answer's end.
-func (s *score) served(c *call) {
+// recordServed is an answer's end.
+func (s *score) recordServed(c *call) {
 	q, now := c.request, c.firstAt
 	switch {
 	case c.paused:
 		s.Paused++
-		s.book(q, q.kind.Late)
-	case now-q.firstTry <= q.kind.Aim:
+		s.record(q, q.kind.LateValue)
+	case now-q.firstAttempt <= q.kind.LatencyTarget:
 		s.InTime++
-		s.book(q, q.kind.Worth)
-	case q.refusedSoon && now-q.at <= q.kind.Aim:
+		s.record(q, q.kind.Value)
+	case q.rejectedEarly && now-q.at <= q.kind.LatencyTarget:
 		s.InTime++
-		s.book(q, (q.kind.Worth+q.kind.Late)/2)
+		s.record(q, (q.kind.Value+q.kind.LateValue)/2)
 	default:
 		s.Late++
-		s.lateTimes = append(s.lateTimes, now-q.firstTry)
-		s.book(q, q.kind.Late)
+		s.lateTimes = append(s.lateTimes, now-q.firstAttempt)
+		s.record(q, q.kind.LateValue)
 	}
 }
 
-func (s *score) lost(_ time.Duration, c *call) {
+func (s *score) recordLost(c *call) {
 	s.Lost++
-	s.book(c.request, 0)
+	s.record(c.request, 0)
 }
 
-func (s *score) refused(_ time.Duration, c *call) {
-	s.RefusedLast++
-	s.book(c.request, 0)
+func (s *score) recordRejected(c *call) {
+	s.FinalRejections++
+	s.record(c.request, 0)
 }
 
 // result sums up.
@@ -91,13 +89,11 @@
 		owed += due
 		r.ByKind[kind] = s.earned[kind] / due
 	}
-	r.Share = earned / max(owed, 1e-9)
-	r.WorstWindow = 1
+	r.ValueShare = earned / max(owed, 1e-9)
+	r.WorstWindowShare = 1
 	for at, due := range s.windowOwed {
-		r.WorstWindow = min(r.WorstWindow, s.windowEarned[at]/due)
+		r.WorstWindowShare = min(r.WorstWindowShare, s.windowEarned[at]/due)
 	}
-	r.LateMedian = middle(s.lateTimes)
+	r.MedianLateLatency = median(s.lateTimes)
 	return &r
 }
-
-var _ balancer.Host = (*proxy)(nil)
