--- a/internal/testing/simcluster/catchup_test.go
+++ b/internal/testing/simcluster/catchup_test.go
@@ -95,10 +95,10 @@
 		c := startCluster(t, 3, manyEdges)
 		defer c.Stop()
 		for _, edge := range c.Edges {
-			c.Net.SetRateOf(edge.IP, slowLink)
+			c.Net.SetMachineRate(edge.IP, slowLink)
 		}
 		for _, m := range c.Controls {
-			c.Net.SetRateOf(m.IP, coreLink)
+			c.Net.SetMachineRate(m.IP, coreLink)
 		}
 		var routes []string
 		for i := range manyRoutes {
--- a/internal/testing/simcluster/forwarding_test.go
+++ b/internal/testing/simcluster/forwarding_test.go
@@ -45,7 +45,7 @@
 		status, _, err := c.callControl(by, http.MethodPost, "/marlreel/evacuation/west/begin", "", "") // a connection is made
 		is.NoErr(err)
 		is.Equal(status, 200)
-		c.Net.Cut(by.IP, head.IP, true)
+		c.Net.SetPartitioned(by.IP, head.IP, true)
 		status, _, err = c.callControl(by, http.MethodPost, evacuationPath("begin"), "", "")
 		is.True(err != nil || status >= 500) // no clear answer
 		for _, verb := range []string{"begin", "terminate"} {
@@ -53,7 +53,7 @@
 			is.NoErr(err)
 			is.Equal(status, 200)
 		}
-		c.Net.Cut(by.IP, head.IP, false)
+		c.Net.SetPartitioned(by.IP, head.IP, false)
 		c.Sleep(2 * time.Second)
 		for _, m := range c.Controls {
 			is.True(!slices.Contains(c.fetchStatus(m).Evacuated, "north")) // it was taken back, and stays so
@@ -72,7 +72,7 @@
 				status, _, err := c.callControl(m, http.MethodPost, "/marlreel/evacuation/west/begin", "", "") // a connection is made
 				is.NoErr(err)
 				is.Equal(status, 200)
-				c.Net.Cut(outsideIP, m.IP, true)
+				c.Net.SetPartitioned(outsideIP, m.IP, true)
 				_, _, err = c.callControl(m, http.MethodPost, evacuationPath("begin"), "", "")
 				is.True(err != nil)
 				for _, verb := range []string{"begin", "terminate"} {
@@ -85,7 +85,7 @@
 						is.Equal(status, 200)
 					}
 				}
-				c.Net.Cut(outsideIP, m.IP, false)
+				c.Net.SetPartitioned(outsideIP, m.IP, false)
 				c.Sleep(2 * time.Second)
 				for _, m := range c.Controls {
 					is.True(!slices.Contains(c.fetchStatus(m).Evacuated, "north"))
--- a/internal/testing/simcluster/history_faults_test.go
+++ b/internal/testing/simcluster/history_faults_test.go
@@ -84,9 +84,9 @@
 	"cut-one-way": func(c *Cluster, f clusterFault) {
 		all := c.addresses()
 		from, to := all[f.machine%len(all)], all[f.other%len(all)]
-		c.Net.Cut(from, to, true)
+		c.Net.SetPartitioned(from, to, true)
 		c.Sleep(f.lasts)
-		c.Net.Cut(from, to, false)
+		c.Net.SetPartitioned(from, to, false)
 	},
 	"lose-datagrams": func(c *Cluster, f clusterFault) {
 		c.Net.SetLoss(0.3)
