--- a/cmd/marlreeld/system_test.go
+++ b/cmd/marlreeld/system_test.go
@@ -85,10 +85,7 @@
 		NodeName: name, IP: ip, Zone: zoneNames[number%len(zoneNames)], InternalPorts: []int{27660, 27675},
 		FirstStart: true, HeartbeatIntervalMS: 600, Zones: map[string]string{}, LoopbackIP: strings.Replace(ip, "127.77", "127.78", 1),
 		Limits: bootstrap.Limits{MemoryMB: 256, MaxOpenFiles: 4096}, Tolerance: bootstrap.FaultTolerance{Machines: (controlCount - 1) / 2},
-		Bounds: bootstrap.Bounds{
-			ShutdownGraceS: 8, ConfigApplyMS: 2000, RetryBudgetRatio: 0.2, RetryWindowS: 10, RetrySlack: 52,
-			WarmupExcess: 1.5, WarmupSlack: 5, Fencing: true, LeaseDurationMS: 3000, DrainMS: 2000,
-		},
+		Bounds: fakesystem.Bounds(),
 		Listen: bootstrap.ListenAddresses{Front: ip + ":28080", Readiness: ip + ":28081", Control: ip + ":28082"},
 	}
 	for _, zone := range zoneNames {
--- /dev/null
+++ b/internal/testing/fakesystem/settings.go
@@ -0,0 +1,12 @@
+package fakesystem
+
+import "marlreel/internal/process/bootstrap"
+
+// Bounds returns the bounds that the platform's settings file has in tests, as far as processes go by them: those of the
+// users' small sites (SYSTEM.md).
+func Bounds() bootstrap.Bounds {
+	return bootstrap.Bounds{
+		ShutdownGraceS: 8, ConfigApplyMS: 2000, RetryBudgetRatio: 0.2, RetryWindowS: 10, RetrySlack: 52,
+		WarmupExcess: 1.5, WarmupSlack: 5, Fencing: true, LeaseDurationMS: 3000, DrainMS: 2000,
+	}
+}
--- a/internal/testing/scale/settings.go
+++ b/internal/testing/scale/settings.go
@@ -4,6 +4,7 @@
 	"fmt"
 
 	"marlreel/internal/process/bootstrap"
+	"marlreel/internal/testing/fakesystem"
 )
 
 // The address of a machine on loopback says its kind and number; all machines use the same ports.
@@ -43,10 +44,7 @@
 		HeartbeatIntervalMS: float64(cfg.HeartbeatInterval.Milliseconds()), Zones: map[string]string{},
 		Limits:    bootstrap.Limits{MemoryMB: 256, MaxOpenFiles: 4096},
 		Tolerance: bootstrap.FaultTolerance{Machines: (cfg.Controls - 1) / 2},
-		Bounds: bootstrap.Bounds{
-			ShutdownGraceS: 8, ConfigApplyMS: 2000, RetryBudgetRatio: 0.2, RetryWindowS: 10, RetrySlack: 52,
-			WarmupExcess: 1.5, WarmupSlack: 5, Fencing: true, LeaseDurationMS: 3000, DrainMS: 2000,
-		},
+		Bounds:    fakesystem.Bounds(),
 		Listen: bootstrap.ListenAddresses{
 			Front:     addressOf(kind, number, frontPort),
 			Readiness: addressOf(kind, number, readyPort),
--- a/internal/testing/simcluster/machine.go
+++ b/internal/testing/simcluster/machine.go
@@ -11,6 +11,7 @@
 	"marlreel/internal/controlplane/store"
 	"marlreel/internal/process/bootstrap"
 	"marlreel/internal/process/host"
+	"marlreel/internal/testing/fakesystem"
 )
 
 // Machine is a machine with its roles.
@@ -35,10 +36,7 @@
 		FirstStart: m.firstStart, HeartbeatIntervalMS: 1200, Zones: map[string]string{}, DataDir: "none",
 		Limits:    bootstrap.Limits{MemoryMB: 256, MaxOpenFiles: 4096},
 		Tolerance: bootstrap.FaultTolerance{Machines: (c.cfg.Controls - 1) / 2},
-		Bounds: bootstrap.Bounds{
-			ShutdownGraceS: 8, ConfigApplyMS: 2000, RetryBudgetRatio: 0.2, RetryWindowS: 10, RetrySlack: 52,
-			WarmupExcess: 1.5, WarmupSlack: 5, Fencing: true, LeaseDurationMS: 3000, DrainMS: 2000,
-		},
+		Bounds:    fakesystem.Bounds(),
 		Listen: bootstrap.ListenAddresses{
 			Front: fmt.Sprintf("%s:%d", m.IP, frontPort), Readiness: fmt.Sprintf("%s:%d", m.IP, readyPort),
 			Control: fmt.Sprintf("%s:%d", m.IP, controlPort),
