--- a/internal/testing/simcluster/metrics_test.go
+++ b/internal/testing/simcluster/metrics_test.go
@@ -42,8 +42,7 @@
 func TestEachProcessServesItsMetrics(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := startCluster(t, 3, 2)
-		defer c.Stop()
+		c := startCluster(t, controls, 2)
 		edge := c.Edges[0]
 		got, err := c.Send(edge, chatRequest("m0"))
 		is.NoErr(err)
@@ -79,8 +78,7 @@
 	}
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := startCluster(t, 3, 1)
-		defer c.Stop()
+		c := startCluster(t, controls, 1)
 		_, err := c.Send(c.Edges[0], chatRequest("m0"))
 		is.NoErr(err)
 		told := map[string]bool{}
@@ -111,8 +109,7 @@
 func TestServesWithoutAMetricsServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := startCluster(t, 3, 2)
-		defer c.Stop()
+		c := startCluster(t, controls, 2)
 		edge := c.Edges[0]
 		edge.Kill()
 		c.reconnect(edge.IP)
