--- a/internal/dataplane/gateway/gateway.go
+++ b/internal/dataplane/gateway/gateway.go
@@ -53,7 +53,7 @@
 	// and the slack (requests) beside that.
 	WarmupExcess, WarmupSlack float64
 	// Retry bounds the requests that are sent once more.
-	Retry budgetshare.RepeatsConfig
+	Retry budgetshare.RetryConfig
 }
 
 // New makes a gateway that has no state yet. state is where it will find one.
--- a/internal/dataplane/routing/advisor.go
+++ b/internal/dataplane/routing/advisor.go
@@ -12,9 +12,9 @@
 // Advisor is the balancer's Advice for one service. Not safe for concurrent use.
 type Advisor struct {
 	models      *prefixcache.Table
-	sharers     *budgetshare.Sharers
-	warmup      *budgetshare.Cold
-	retryBudget *budgetshare.Repeats
+	sharers     *budgetshare.Membership
+	warmup      *budgetshare.WarmupBudget
+	retryBudget *budgetshare.RetryBudget
 	names       map[balancer.BackendID]string // ids on the wire
 	peerBacklog peerBacklog
 }
@@ -28,57 +28,57 @@
 	// ServesModels says that the backends load models.
 	ServesModels bool
 	// Warmup limits the requests to backends that have just started.
-	Warmup budgetshare.ColdConfig
+	Warmup budgetshare.WarmupConfig
 	// RetryBudget limits the requests that are sent once more.
-	RetryBudget budgetshare.RepeatsConfig
+	RetryBudget budgetshare.RetryConfig
 }
 
 // New makes the advisor of a process that starts now.
 func New(cfg Config, now time.Duration) *Advisor {
-	sharers := budgetshare.NewSharers(cfg.Self, now)
+	sharers := budgetshare.NewMembership(cfg.Self, now)
 	return &Advisor{
 		models:      prefixcache.New(cfg.ServesModels),
 		sharers:     sharers,
-		warmup:      budgetshare.NewCold(cfg.Warmup, sharers),
-		retryBudget: budgetshare.NewRepeats(cfg.RetryBudget, sharers, now),
+		warmup:      budgetshare.NewWarmupBudget(cfg.Warmup, sharers),
+		retryBudget: budgetshare.NewRetryBudget(cfg.RetryBudget, sharers, now),
 		names:       map[balancer.BackendID]string{},
 		peerBacklog: newPeerBacklog(),
 	}
 }
 
-// Holds implements balancer.Advice: whether a backend has the request's model and adapter loaded.
-func (a *Advisor) Holds(q *balancer.Request, to balancer.BackendID) bool {
-	return a.models.Holds(q.Needs, to)
+// CanServe implements balancer.Advice: whether a backend has the request's model and adapter loaded.
+func (a *Advisor) CanServe(q *balancer.Request, to balancer.BackendID) bool {
+	return a.models.CanServe(q.Needs, to)
 }
 
-// Admits implements balancer.Advice: whether a backend that warms up may have one more request.
-func (a *Advisor) Admits(now time.Duration, to balancer.BackendID) bool {
-	return a.warmup.Admits(now, a.names[to])
+// Allows implements balancer.Advice: whether a backend that warms up may have one more request.
+func (a *Advisor) Allows(now time.Duration, to balancer.BackendID) bool {
+	return a.warmup.Allows(now, a.names[to])
 }
 
-// Sent implements balancer.Advice.
-func (a *Advisor) Sent(now time.Duration, _ *balancer.Request, to balancer.BackendID) {
-	a.warmup.Sent(now, a.names[to])
-	a.retryBudget.Came(now)
+// RecordSent implements balancer.Advice.
+func (a *Advisor) RecordSent(now time.Duration, _ *balancer.Request, to balancer.BackendID) {
+	a.warmup.RecordSent(now, a.names[to])
+	a.retryBudget.RecordRequest(now)
 }
 
 // Slots implements balancer.Advice.
 func (a *Advisor) Slots(to balancer.BackendID) int { return a.models.Slots(to) }
 
-// Extra implements balancer.Advice: what peers have sent there has to be begun first.
-func (a *Advisor) Extra(now time.Duration, _ *balancer.Request, to balancer.BackendID) float64 {
+// ExtraDelay implements balancer.Advice: what peers have sent there has to be begun first.
+func (a *Advisor) ExtraDelay(now time.Duration, _ *balancer.Request, to balancer.BackendID) float64 {
 	return a.peerBacklog.workMS(now, to)
 }
 
-// Repeats implements balancer.Advice: it takes a retry from the budget where there is one left.
-func (a *Advisor) Repeats(now time.Duration) bool { return a.retryBudget.Take(now) }
+// TryRetry implements balancer.Advice: it takes a retry from the budget where there is one left.
+func (a *Advisor) TryRetry(now time.Duration) bool { return a.retryBudget.TryAcquire(now) }
 
 // ConfigureWarmup sets what backends that have just started bear.
-func (a *Advisor) ConfigureWarmup(cfg budgetshare.ColdConfig) { a.warmup.Configure(cfg) }
+func (a *Advisor) ConfigureWarmup(cfg budgetshare.WarmupConfig) { a.warmup.Configure(cfg) }
 
 // SetSharers sets the names of the proxies that share the budgets. fresh says that the membership is up to date.
 func (a *Advisor) SetSharers(now time.Duration, names []string, fresh bool) {
-	a.sharers.Listed(now, names, fresh)
+	a.sharers.Update(now, names, fresh)
 }
 
 // RecordPeerBacklog records the work that peers have sent to the backends.
@@ -106,8 +106,8 @@
 		a.names[b.ID] = b.Name
 		a.peerBacklog.keys[b.ID] = backlog.Key(b.Name)
 		listed[b.Name] = true
-		a.warmup.Set(now, b.Name, now+b.WarmupLeft)
+		a.warmup.SetWarmupEnd(now, b.Name, now+b.WarmupLeft)
 	}
-	a.models.Set(loaded)
-	a.warmup.Forget(func(name string) bool { return listed[name] })
+	a.models.Replace(loaded)
+	a.warmup.RemoveExcept(func(name string) bool { return listed[name] })
 }
--- a/internal/proxy/imports_test.go
+++ b/internal/proxy/imports_test.go
@@ -61,10 +61,6 @@
 		"marlreel/internal/placement":                  {},
 		"marlreel/internal/controlplane/lease":         {"marlreel/internal/api"},
 		"marlreel/internal/distribution/watch":         {"marlreel/internal/api", "marlreel/internal/controlplane/state", "marlreel/internal/process/logevent", "marlreel/internal/process/timing"},
-		"marlreel/internal/distribution/relay":         {"marlreel/internal/api", "marlreel/internal/controlplane/lease", "marlreel/internal/distribution/watch"},
-		"marlreel/internal/distribution/hintedhandoff": {},
-		"marlreel/internal/placement/reconciler":       {"marlreel/internal/api", "marlreel/internal/controlplane/configuration", "marlreel/internal/controlplane/lease", "marlreel/internal/controlplane/state", "marlreel/internal/distribution/watch", "marlreel/internal/placement", "marlreel/internal/process/bootstrap", "marlreel/internal/process/logevent", "marlreel/internal/process/timing", "marlreel/internal/process/transport"},
-		"marlreel/internal/process/timing":             {},
 		"marlreel/internal/controlplane/store":         {"marlreel/internal/api", "marlreel/internal/controlplane/chain"},
 		"marlreel/internal/process/logevent":           {},
 		"marlreel/internal/process/transport":          {"marlreel/internal/sockets"},
@@ -73,6 +69,7 @@
 		"marlreel/internal/dataplane/backlog":          {"marlreel/internal/api"},
 		"marlreel/internal/dataplane/routing":          {"marlreel/internal/balancer", "marlreel/internal/balancer/prefixcache", "marlreel/internal/balancer/budgetshare", "marlreel/internal/dataplane/backlog"},
 		"marlreel/internal/process/metricserver":       {"marlreel/internal/process/host", "marlreel/internal/process/logevent", "marlreel/internal/process/transport"},
+		"marlreel/internal/process/timing":             {},
 		"marlreel/internal/lists/sources":              {"marlreel/internal/balancer", "marlreel/internal/lists/discovery", "marlreel/internal/engine", "marlreel/internal/lists/members", "marlreel/internal/lists/registry"},
 	}
 	out, err := exec.Command("go", "list", "-f", "{{.ImportPath}} {{join .Imports \" \"}}", "marlreel/...").Output()
--- a/internal/testing/simcluster/history_register_test.go
+++ b/internal/testing/simcluster/history_register_test.go
@@ -26,9 +26,9 @@
 }
 
 // recordCall records a call that has ended.
-func (r *historyRun) recordCall(began time.Time, call linearizability.ConfigurationCall, answer linearizability.ConfigurationAnswer) {
+func (r *historyRun) recordCall(began time.Time, call linearizability.ConfigurationRequest, answer linearizability.ConfigurationResponse) {
 	ended := time.Now().UnixNano()
-	if !call.Read && !answer.Known {
+	if !call.Read && !answer.Definite {
 		ended = math.MaxInt64 // it may still take effect
 	}
 	r.mu.Lock()
@@ -78,8 +78,8 @@
 	began := time.Now()
 	current, answered := r.readConfiguration()
 	if answered {
-		r.recordCall(began, linearizability.ConfigurationCall{Read: true},
-			linearizability.ConfigurationAnswer{Known: true, Version: current.Version, Text: current.Text})
+		r.recordCall(began, linearizability.ConfigurationRequest{Read: true},
+			linearizability.ConfigurationResponse{Definite: true, Version: current.Version, Text: current.Text})
 	}
 }
 
@@ -113,20 +113,20 @@
 // replace replaces the configuration on top of a version, beginning at an operator's control process. It reports whether
 // that was committed.
 func (r *historyRun) replace(operator int, base uint64, text string) bool {
-	call, answer := linearizability.ConfigurationCall{Base: base, Text: text}, linearizability.ConfigurationAnswer{}
+	call, answer := linearizability.ConfigurationRequest{Base: base, Text: text}, linearizability.ConfigurationResponse{}
 	began := time.Now()
-	for send := 0; send < maxSends && !answer.Known; send++ {
+	for send := 0; send < maxSends && !answer.Definite; send++ {
 		m := r.cluster.control(operator + send)
 		status, _, err := r.cluster.callControl(m, http.MethodPost, "/marlreel/config/replace", strconv.FormatUint(base, 10), text)
 		switch {
 		case err == nil && status == http.StatusOK:
-			answer = linearizability.ConfigurationAnswer{Known: true, Taken: true}
+			answer = linearizability.ConfigurationResponse{Definite: true, Committed: true}
 		case err == nil && status == http.StatusPreconditionFailed:
-			answer = linearizability.ConfigurationAnswer{Known: true}
+			answer = linearizability.ConfigurationResponse{Definite: true}
 		default:
 			r.cluster.Sleep(100 * time.Millisecond)
 		}
 	}
 	r.recordCall(began, call, answer)
-	return answer.Taken
+	return answer.Committed
 }
