--- a/internal/placement/reconciler/compatibility_test.go
+++ b/internal/placement/reconciler/compatibility_test.go
@@ -107,7 +107,7 @@
 			}
 		}
 		checkRecorded(t, "orders.txt", out.String())
-		time.Sleep(cleanersEnd)
+		time.Sleep(clientGoroutinesEnd)
 	})
 }
 
@@ -126,7 +126,7 @@
 					t.Errorf("counts as %d, not as %d", got, want)
 				}
 				client.http.CloseIdleConnections()
-				time.Sleep(cleanersEnd)
+				time.Sleep(clientGoroutinesEnd)
 			})
 		})
 	}
@@ -156,6 +156,6 @@
 		}
 		checkRecorded(t, "report.txt", out.String())
 		client.http.CloseIdleConnections()
-		time.Sleep(cleanersEnd)
+		time.Sleep(clientGoroutinesEnd)
 	})
 }
