--- a/internal/controlplane/simulation_clients_test.go
+++ b/internal/controlplane/simulation_clients_test.go
@@ -20,19 +20,19 @@
 const (
 	// evacuatedZone is the zone that operators evacuate and take back.
 	evacuatedZone = "north"
-	// callerPatience is how long a caller waits for one control process.
-	callerPatience = time.Second
-	// mostSends is how often a caller sends the same again.
-	mostSends = 12
+	// callerTimeout is how long a caller waits for one control process.
+	callerTimeout = time.Second
+	// maxSends is how often a caller sends the same again.
+	maxSends = 12
 	// applyTime is within what time a change is in force at every agent in touch.
 	applyTime = 2 * time.Second
 	// freshAge is how old what a process counts as fresh may be.
 	freshAge = 2 * time.Second
 )
 
-// worldClients are the operators and what they were answered.
-type worldClients struct {
-	world     *world
+// simulatedOperators are the operators and what they were answered.
+type simulatedOperators struct {
+	world     *simulation
 	configs   []porcupine.Operation
 	switches  []porcupine.Operation
 	writes    int
@@ -50,14 +50,14 @@
 	at      time.Duration
 }
 
-// worldDocument is a configuration with one model, and a mark by which it is known.
-func worldDocument(version uint64, mark string) string {
+// simulatedDocument is a configuration with one model, and a mark by which it is known.
+func simulatedDocument(version uint64, mark string) string {
 	return strings.NewReplacer(`"config_version":1`, fmt.Sprintf(`"config_version":%d`, version), `"path_prefix":"/"`,
 		fmt.Sprintf(`"path_prefix":"/%s/"`, mark)).Replace(ownedDocument)
 }
 
-func newWorldClients(w *world) *worldClients {
-	cl := &worldClients{world: w, retired: map[string]time.Duration{}}
+func newSimulatedOperators(w *simulation) *simulatedOperators {
+	cl := &simulatedOperators{world: w, retired: map[string]time.Duration{}}
 	for operator := range 2 {
 		cl.loop(350*time.Millisecond, func(done func()) { cl.change(operator, done) })
 	}
@@ -76,7 +76,7 @@
 }
 
 // loop does something ever again, some time after it was done, while operators make changes.
-func (cl *worldClients) loop(pause time.Duration, do func(done func())) {
+func (cl *simulatedOperators) loop(pause time.Duration, do func(done func())) {
 	var again func()
 	again = func() {
 		if cl.world.calm {
@@ -89,22 +89,22 @@
 
 // send makes a call of an operator to one control process after the other, until one gives a clear answer.
 // done is given nil where none did.
-func send[A any](cl *worldClients, serve func(c *core, answer func(A)), clear func(A) bool, done func(*A)) {
+func send[A any](cl *simulatedOperators, serve func(c *simulatedControl, answer func(A)), clear func(A) bool, done func(*A)) {
 	w, sends := cl.world, 0
-	first := w.rng.IntN(len(w.cores))
+	first := w.rng.IntN(len(w.controls))
 	var again func()
 	again = func() {
-		if sends >= mostSends {
+		if sends >= maxSends {
 			done(nil)
 			return
 		}
-		c := w.cores[(first+sends)%len(w.cores)]
+		c := w.controls[(first+sends)%len(w.controls)]
 		sends++
 		gone := false
-		call(w, "operator", c.address, callerPatience, func(answer func(A)) {
+		call(w, "operator", c.address, callerTimeout, func(answer func(A)) {
 			c.run(func() {
 				if gone { // the end of the connection stands right behind the call
-					w.crossed["a caller had gone"]++
+					w.coverage["a caller had gone"]++
 					return
 				}
 				serve(c, answer)
@@ -127,8 +127,8 @@
 }
 
 // operate has an operation done.
-func (cl *worldClients) operate(operation *api.Operation, done func(outcome *result.Error)) {
-	send(cl, func(c *core, answer func(*result.Error)) { c.order(operation, answer) }, isClear, func(outcome **result.Error) {
+func (cl *simulatedOperators) operate(operation *api.Operation, done func(outcome *result.Error)) {
+	send(cl, func(c *simulatedControl, answer func(*result.Error)) { c.order(operation, answer) }, isClear, func(outcome **result.Error) {
 		if outcome == nil {
 			done(nil)
 			return
@@ -138,7 +138,7 @@
 }
 
 // ids are the backends whose ends were acknowledged.
-func (cl *worldClients) ids() []string {
+func (cl *simulatedOperators) ids() []string {
 	ids := make([]string, 0, len(cl.retired))
 	for id := range cl.retired {
 		ids = append(ids, id)
@@ -148,21 +148,21 @@
 }
 
 // read reads the newest state. Whoever is not sure of it gives none.
-func (cl *worldClients) read(done func(*newestState)) {
+func (cl *simulatedOperators) read(done func(*newestState)) {
 	w, began, ids := cl.world, cl.world.now, cl.ids()
-	send(cl, func(c *core, answer func(*newestState)) { c.read(ids, answer) }, func(s *newestState) bool { return s != nil },
+	send(cl, func(c *simulatedControl, answer func(*newestState)) { c.read(ids, answer) }, func(s *newestState) bool { return s != nil },
 		func(answer **newestState) {
 			if answer == nil {
 				done(nil)
 				return
 			}
 			s := *answer
-			w.note("read %d", s.version)
+			w.record("read %d", s.version)
 			cl.addConfig(began, linearizability.ConfigurationCall{Read: true}, linearizability.ConfigurationAnswer{Known: true, Version: s.version, Text: s.text})
 			cl.addSwitch(began, linearizability.SwitchCall{Read: true}, linearizability.SwitchAnswer{Known: true, On: s.evacuated})
 			for _, id := range ids {
 				if !s.retired[id] {
-					w.fault("the end of %s was acknowledged at %v, and a read that began at %v knows nothing of it", id, cl.retired[id], began)
+					w.failf("the end of %s was acknowledged at %v, and a read that began at %v knows nothing of it", id, cl.retired[id], began)
 				}
 			}
 			done(s)
@@ -170,21 +170,21 @@
 }
 
 // returned is when a call was answered; one without a clear answer may still come true.
-func (cl *worldClients) returned(known bool) int64 {
+func (cl *simulatedOperators) returned(known bool) int64 {
 	if known {
 		return int64(cl.world.now)
 	}
 	return math.MaxInt64
 }
 
-func (cl *worldClients) addConfig(began time.Duration, input linearizability.ConfigurationCall, answer linearizability.ConfigurationAnswer) {
+func (cl *simulatedOperators) addConfig(began time.Duration, input linearizability.ConfigurationCall, answer linearizability.ConfigurationAnswer) {
 	cl.configs = append(cl.configs, porcupine.Operation{
 		ClientId: len(cl.configs), Input: input, Call: int64(began), Output: answer,
 		Return: cl.returned(answer.Known),
 	})
 }
 
-func (cl *worldClients) addSwitch(began time.Duration, input linearizability.SwitchCall, answer linearizability.SwitchAnswer) {
+func (cl *simulatedOperators) addSwitch(began time.Duration, input linearizability.SwitchCall, answer linearizability.SwitchAnswer) {
 	cl.switches = append(cl.switches, porcupine.Operation{
 		ClientId: len(cl.switches), Input: input, Call: int64(began), Output: answer,
 		Return: cl.returned(answer.Known),
@@ -192,7 +192,7 @@
 }
 
 // change has a configuration taken on top of the newest one; two operators do so at once.
-func (cl *worldClients) change(operator int, done func()) {
+func (cl *simulatedOperators) change(operator int, done func()) {
 	w := cl.world
 	cl.read(func(s *newestState) {
 		if s == nil {
@@ -200,15 +200,15 @@
 			return
 		}
 		cl.writes++
-		text := worldDocument(s.version+1, fmt.Sprintf("w%d", cl.writes))
+		text := simulatedDocument(s.version+1, fmt.Sprintf("w%d", cl.writes))
 		began, base := w.now, s.version
 		operation := &api.Operation{Kind: &api.Operation_Replace{Replace: &api.ReplaceConfiguration{BaseVersion: base, Document: []byte(text)}}}
 		cl.operate(operation, func(outcome *result.Error) {
 			answer := linearizability.ConfigurationAnswer{Known: outcome != nil, Taken: outcome != nil && outcome.Code.Succeeded()}
 			if answer.Known && !answer.Taken && outcome.Code != result.VersionConflict {
-				w.fault("operator %d: a change on %d was answered with %v", operator, base, outcome)
+				w.failf("operator %d: a change on %d was answered with %v", operator, base, outcome)
 			}
-			w.note("change %d by %d: %v", base, operator, answer)
+			w.record("change %d by %d: %v", base, operator, answer)
 			if answer.Taken {
 				cl.taken++
 				if base+1 > cl.newest.version {
@@ -224,58 +224,58 @@
 }
 
 // evacuate begins or ends an evacuation.
-func (cl *worldClients) evacuate(on bool, done func(known bool)) {
+func (cl *simulatedOperators) evacuate(on bool, done func(known bool)) {
 	w, began := cl.world, cl.world.now
 	operation := &api.Operation{Kind: &api.Operation_Evacuation{Evacuation: &api.SetEvacuation{Zone: evacuatedZone, Active: on}}}
 	cl.operate(operation, func(outcome *result.Error) {
 		if outcome != nil && !outcome.Code.Succeeded() {
-			w.fault("an evacuation was refused: %v", outcome)
+			w.failf("an evacuation was refused: %v", outcome)
 		}
-		w.note("evacuation %v: %v", on, outcome)
+		w.record("evacuation %v: %v", on, outcome)
 		cl.addSwitch(began, linearizability.SwitchCall{On: on}, linearizability.SwitchAnswer{Known: outcome != nil})
 		done(outcome != nil)
 	})
 }
 
 // retire announces a backend's end.
-func (cl *worldClients) retire(done func()) {
+func (cl *simulatedOperators) retire(done func()) {
 	w := cl.world
 	cl.retiring++
 	id := fmt.Sprintf("b%d", cl.retiring)
 	cl.operate(&api.Operation{Kind: &api.Operation_Retire{Retire: &api.RetireBackend{Id: id}}}, func(outcome *result.Error) {
 		if outcome != nil && !outcome.Code.Succeeded() {
-			w.fault("the end of a backend was refused: %v", outcome)
+			w.failf("the end of a backend was refused: %v", outcome)
 		}
 		if outcome != nil {
 			cl.retired[id] = w.now
 		}
-		w.note("end of %s: %v", id, outcome)
+		w.record("end of %s: %v", id, outcome)
 		done()
 	})
 }
 
 // auditFresh checks that a process whose word counts as fresh has what was acknowledged some time ago.
-func (cl *worldClients) auditFresh(c *core) {
+func (cl *simulatedOperators) auditFresh(c *simulatedControl) {
 	if c.replica.Machine().Version() < cl.newest.version && cl.world.now-cl.newest.at > freshAge {
-		cl.world.fault("%s counts as fresh with version %d; %d was acknowledged at %v", c.address, c.replica.Machine().Version(),
+		cl.world.failf("%s counts as fresh with version %d; %d was acknowledged at %v", c.address, c.replica.Machine().Version(),
 			cl.newest.version, cl.newest.at)
 	}
 }
 
 // powerIsLost ends all control processes at once, and starts them again after a while.
-func (cl *worldClients) powerIsLost() {
+func (cl *simulatedOperators) powerIsLost() {
 	w := cl.world
 	if cl.darkUntil > w.now {
 		return
 	}
 	const dark = 400 * time.Millisecond
 	cl.darkUntil = w.now + dark
-	for _, c := range w.cores {
+	for _, c := range w.controls {
 		c.dieAt = 0
 		c.kill()
 	}
 	w.after(dark, func() {
-		for _, c := range w.cores {
+		for _, c := range w.controls {
 			if !c.replaced && !c.up {
 				c.start()
 			}
@@ -284,22 +284,22 @@
 }
 
 // auditAnswers checks that all answers are those of one register, and of one switch.
-func (cl *worldClients) auditAnswers() {
+func (cl *simulatedOperators) auditAnswers() {
 	const patience = 30 * time.Second
 	w := cl.world
 	if porcupine.CheckOperationsTimeout(linearizability.ConfigurationModel(linearizability.Configuration{}), cl.configs, patience) != porcupine.Ok {
-		w.fault("the answers to %d calls are not those of one register", len(cl.configs))
+		w.failf("the answers to %d calls are not those of one register", len(cl.configs))
 	}
 	if porcupine.CheckOperationsTimeout(linearizability.SwitchModel(), cl.switches, patience) != porcupine.Ok {
-		w.fault("the answers to %d calls are not those of one switch", len(cl.switches))
+		w.failf("the answers to %d calls are not those of one switch", len(cl.switches))
 	}
 }
 
 // ---- agents ----
 
-// simAgent follows control, and gives orders while it holds the role.
-type simAgent struct {
-	world    *world
+// simulatedAgent follows control, and gives orders while it holds the role.
+type simulatedAgent struct {
+	world    *simulation
 	node     *api.Node
 	holder   string
 	feed     *watch.Store
@@ -315,19 +315,19 @@
 }
 
 const (
-	agentLook    = 50 * time.Millisecond
-	agentRenew   = 400 * time.Millisecond
-	agentReport  = 600 * time.Millisecond
-	agentOrder   = 70 * time.Millisecond
-	agentTimeout = 600 * time.Millisecond
-	agentStale   = 300 * time.Millisecond
+	agentWatchInterval  = 50 * time.Millisecond
+	agentRenewInterval  = 400 * time.Millisecond
+	agentReportInterval = 600 * time.Millisecond
+	agentOrderInterval  = 70 * time.Millisecond
+	agentTimeout        = 600 * time.Millisecond
+	maxAgentStaleness   = 300 * time.Millisecond
 )
 
 var placementKey = lease.PlacementKey("llm")
 
-func (w *world) addAgent(number int) {
+func (w *simulation) addAgent(number int) {
 	name := fmt.Sprintf("a%d", number)
-	a := &simAgent{
+	a := &simulatedAgent{
 		world: w, node: &api.Node{Name: name, Address: name + ":1", Incarnation: 1}, holder: lease.HolderID(name, 1),
 		feed: watch.New(name, w.clock), cursor: watch.NewCursor(nil), at: number,
 	}
@@ -340,17 +340,19 @@
 			return true
 		})
 	}
-	regularly(agentLook, a.follow)
-	regularly(agentReport, a.report)
-	regularly(agentRenew, a.renew)
-	regularly(agentOrder, a.giveOrder)
+	regularly(agentWatchInterval, a.follow)
+	regularly(agentReportInterval, a.report)
+	regularly(agentRenewInterval, a.renew)
+	regularly(agentOrderInterval, a.sendOrder)
 }
 
 // source is the control process that the agent follows.
-func (a *simAgent) source() *core { return a.world.cores[a.at%len(a.world.cores)] }
+func (a *simulatedAgent) source() *simulatedControl {
+	return a.world.controls[a.at%len(a.world.controls)]
+}
 
 // follow asks for what is new.
-func (a *simAgent) follow() {
+func (a *simulatedAgent) follow() {
 	if a.asking {
 		return
 	}
@@ -366,45 +368,45 @@
 			return
 		}
 		if !a.frozen {
-			a.take(*answer)
+			a.onReply(*answer)
 		}
 	})
 }
 
-func (a *simAgent) take(answer *api.WatchReply) {
+func (a *simulatedAgent) onReply(answer *api.WatchReply) {
 	w := a.world
 	a.feed.ApplyReply(answer, a.cursor)
 	sequence, _ := a.feed.Position()
 	if sequence < a.sequence {
-		w.fault("%s went back from entry %d to %d", a.node.Name, a.sequence, sequence)
+		w.failf("%s went back from entry %d to %d", a.node.Name, a.sequence, sequence)
 	}
 	a.sequence = sequence
-	if newest := w.clients.newest; answer.Fresh && agentVersion(a) < newest.version && w.now-newest.at > freshAge+agentTimeout {
-		w.fault("%s was told that version %d is fresh; %d was acknowledged at %v", a.node.Name, agentVersion(a), newest.version, newest.at)
+	if newest := w.operators.newest; answer.Fresh && agentVersion(a) < newest.version && w.now-newest.at > freshAge+agentTimeout {
+		w.failf("%s was told that version %d is fresh; %d was acknowledged at %v", a.node.Name, agentVersion(a), newest.version, newest.at)
 	}
 	switch {
 	case answer.Fresh:
 		a.stale = 0
 	case a.stale == 0:
 		a.stale = w.now
-	case w.now-a.stale > agentStale:
+	case w.now-a.stale > maxAgentStaleness:
 		a.at++
 		a.stale = 0
 	}
 }
 
 // report tells control processes that the agent lives.
-func (a *simAgent) report() {
-	for _, c := range a.world.cores {
+func (a *simulatedAgent) report() {
+	for _, c := range a.world.controls {
 		node := &api.Node{Name: a.node.Name, Address: a.node.Address, Incarnation: a.node.Incarnation}
 		a.world.datagram(a.node.Name, c.address, func() { c.run(func() { c.feed.RecordNode(node) }) })
 	}
 }
 
 // renew asks for its lease.
-func (a *simAgent) renew() {
+func (a *simulatedAgent) renew() {
 	w, asked := a.world, a.world.now
-	c := w.cores[w.rng.IntN(len(w.cores))]
+	c := w.controls[w.rng.IntN(len(w.controls))]
 	call(w, a.node.Name, c.address, agentTimeout, func(answer func(*api.LeaseReply)) {
 		c.run(func() { c.lease(a.holder, false, answer) })
 	}, func(answer **api.LeaseReply) {
@@ -420,40 +422,40 @@
 	})
 }
 
-// holds tells whether the agent's lease runs.
-func (a *simAgent) holds() bool { return a.world.now < a.until }
+// holdsLease tells whether the agent's lease runs.
+func (a *simulatedAgent) holdsLease() bool { return a.world.now < a.until }
 
-// giveOrder gives the backend an order, if the agent may. Nobody else may at that moment.
-func (a *simAgent) giveOrder() {
+// sendOrder gives the backend an order, if the agent may. Nobody else may at that moment.
+func (a *simulatedAgent) sendOrder() {
 	w := a.world
-	if !a.holds() {
+	if !a.holdsLease() {
 		return
 	}
 	for _, other := range w.agents {
-		if other != a && other.holds() {
-			w.fault("%s gives an order under token %d, and %s holds the role under %d", a.node.Name, a.fence, other.node.Name, other.fence)
+		if other != a && other.holdsLease() {
+			w.failf("%s gives an order under token %d, and %s holds the role under %d", a.node.Name, a.fence, other.node.Name, other.fence)
 		}
 	}
 	a.orders++
 	fence := a.fence
-	w.datagram(a.node.Name, "backend", func() { w.backend.take(a.holder, fence) })
+	w.datagram(a.node.Name, "backend", func() { w.backend.onOrder(a.holder, fence) })
 }
 
-// simBackend takes orders.
-type simBackend struct {
-	world  *world
+// simulatedBackend takes orders.
+type simulatedBackend struct {
+	world  *simulation
 	holder string
 	fence  uint64
 	tokens int // under which orders came
 }
 
-// take takes an order. Tokens never go back, and none is two holders'.
-func (b *simBackend) take(holder string, fence uint64) {
+// onOrder takes an order. Tokens never go back, and none is two holders'.
+func (b *simulatedBackend) onOrder(holder string, fence uint64) {
 	switch {
 	case fence < b.fence:
-		b.world.fault("an order under token %d after one under %d", fence, b.fence)
+		b.world.failf("an order under token %d after one under %d", fence, b.fence)
 	case fence == b.fence && holder != b.holder:
-		b.world.fault("%s and %s give orders under token %d", holder, b.holder, fence)
+		b.world.failf("%s and %s give orders under token %d", holder, b.holder, fence)
 	case fence > b.fence:
 		b.tokens++
 		b.fence, b.holder = fence, holder
@@ -461,7 +463,7 @@
 }
 
 // agentVersion is the version of the configuration that an agent goes by.
-func agentVersion(a *simAgent) (version uint64) {
+func agentVersion(a *simulatedAgent) (version uint64) {
 	a.feed.ReadState(func(m *state.Machine) { version = m.Version() })
 	return version
 }
--- a/internal/controlplane/simulation_histories_test.go
+++ b/internal/controlplane/simulation_histories_test.go
@@ -13,51 +13,51 @@
 	"github.com/matryer/is"
 )
 
-// worldFault is one thing that happens to a world.
-type worldFault struct {
+// simulatedFault is one thing that happens to a world.
+type simulatedFault struct {
 	kind        string
 	lasts, rest time.Duration
 	seed        uint64 // of what is drawn when it happens
 }
 
-func (f worldFault) String() string {
+func (f simulatedFault) String() string {
 	return fmt.Sprintf("%s lasts=%s rest=%s seed=%d", f.kind, f.lasts, f.rest, f.seed)
 }
 
 const (
-	worldSettle = 4 * time.Second
-	// worldRecovery is within what time of the last fault all has to be well.
-	worldRecovery = 10 * time.Second
-	// longCut is a cut of the users' worst days.
-	longCut = 20 * time.Second
+	settleTime = 4 * time.Second
+	// recoveryTime is within what time of the last fault all has to be well.
+	recoveryTime = 10 * time.Second
+	// longPartition is a cut of the users' worst days.
+	longPartition = 20 * time.Second
 )
 
 // live are the machines that have not been replaced.
-func (w *world) live() []*core {
-	return slices.DeleteFunc(slices.Clone(w.cores), func(c *core) bool { return c.replaced })
+func (w *simulation) live() []*simulatedControl {
+	return slices.DeleteFunc(slices.Clone(w.controls), func(c *simulatedControl) bool { return c.replaced })
 }
 
-// isolate cuts a machine off from others, or ends that.
-func (w *world) isolate(c *core, others []string, cut bool) {
+// setIsolated cuts a machine off from others, or ends that.
+func (w *simulation) setIsolated(c *simulatedControl, others []string, cut bool) {
 	for _, other := range others {
 		if other != c.address {
-			w.setCut(c.address, other, cut)
-			w.setCut(other, c.address, cut)
+			w.setPartitioned(c.address, other, cut)
+			w.setPartitioned(other, c.address, cut)
 		}
 	}
 }
 
-// coreAddresses are those of all control machines.
-func (w *world) coreAddresses() []string {
+// controlAddresses are those of all control machines.
+func (w *simulation) controlAddresses() []string {
 	var all []string
-	for _, c := range w.cores {
+	for _, c := range w.controls {
 		all = append(all, c.address)
 	}
 	return all
 }
 
 // outside are the addresses of agents and operators.
-func (w *world) outside() []string {
+func (w *simulation) outside() []string {
 	all := []string{"operator"}
 	for _, a := range w.agents {
 		all = append(all, a.node.Name)
@@ -66,7 +66,7 @@
 }
 
 // pick draws a machine: any one, the one that acts, or the one that is read.
-func (w *world) pick(rng *rand.Rand) *core {
+func (w *simulation) pick(rng *rand.Rand) *simulatedControl {
 	live := w.live()
 	standing := chainStatusOf(nil)
 	for _, c := range live {
@@ -76,46 +76,46 @@
 	}
 	switch rng.IntN(3) {
 	case 0:
-		if c := w.coreAt(standing.Head); c != nil {
-			w.crossed["the head was met"]++
+		if c := w.controlAt(standing.Head); c != nil {
+			w.coverage["the head was met"]++
 			return c
 		}
 	case 1:
-		if c := w.coreAt(standing.Tail); c != nil {
-			w.crossed["the tail was met"]++
+		if c := w.controlAt(standing.Tail); c != nil {
+			w.coverage["the tail was met"]++
 			return c
 		}
 	}
 	return live[rng.IntN(len(live))]
 }
 
-// bounce ends a process at once and starts it after a while.
-func (w *world) bounce(c *core, down time.Duration) {
+// restart ends a process at once and starts it after a while.
+func (w *simulation) restart(c *simulatedControl, down time.Duration) {
 	c.kill()
-	w.pass(down)
+	w.advance(down)
 	if !c.up && !c.replaced {
 		c.start()
 	}
 }
 
 // heal ends all faults.
-func (w *world) heal() {
-	for l, cut := range w.cut {
-		w.cut[l] = cut
+func (w *simulation) heal() {
+	for l, cut := range w.partitioned {
+		w.partitioned[l] = cut
 	}
-	links := make([]link, 0, len(w.cut))
-	for l := range w.cut {
+	links := make([]direction, 0, len(w.partitioned))
+	for l := range w.partitioned {
 		links = append(links, l)
 	}
-	slices.SortFunc(links, func(a, b link) int { return strings.Compare(a.from+">"+a.to, b.from+">"+b.to) })
+	slices.SortFunc(links, func(a, b direction) int { return strings.Compare(a.from+">"+a.to, b.from+">"+b.to) })
 	for _, l := range links {
-		w.setCut(l.from, l.to, false)
+		w.setPartitioned(l.from, l.to, false)
 	}
 	w.loss, w.ackLoss = 0, 0
-	for _, c := range w.cores {
+	for _, c := range w.controls {
 		c.fullDisk, c.slowDisk, c.dieAt = false, 0, 0
-		if c.still {
-			c.goOn()
+		if c.frozen {
+			c.resume()
 		}
 		if !c.up && !c.replaced {
 			c.start()
@@ -126,228 +126,228 @@
 	}
 }
 
-// worldFaults are what can happen.
-var worldFaults = map[string]func(w *world, f worldFault, rng *rand.Rand){
-	"kill": func(w *world, f worldFault, rng *rand.Rand) { w.bounce(w.pick(rng), f.lasts) },
-	"kill-some": func(w *world, f worldFault, rng *rand.Rand) {
+// faultKinds are what can happen.
+var faultKinds = map[string]func(w *simulation, f simulatedFault, rng *rand.Rand){
+	"kill": func(w *simulation, f simulatedFault, rng *rand.Rand) { w.restart(w.pick(rng), f.lasts) },
+	"kill-some": func(w *simulation, f simulatedFault, rng *rand.Rand) {
 		for _, c := range w.live() {
 			if rng.IntN(2) == 0 {
 				c.kill()
 			}
 		}
-		w.pass(f.lasts)
+		w.advance(f.lasts)
 		w.heal()
 	},
-	"lose-power": func(w *world, f worldFault, _ *rand.Rand) {
-		w.clients.powerIsLost()
-		w.pass(f.lasts)
+	"lose-power": func(w *simulation, f simulatedFault, _ *rand.Rand) {
+		w.operators.powerIsLost()
+		w.advance(f.lasts)
 	},
-	"lose-power-in-a-write": func(w *world, f worldFault, rng *rand.Rand) {
+	"lose-power-in-a-write": func(w *simulation, f simulatedFault, rng *rand.Rand) {
 		w.pick(rng).dieAt = 1 + rng.IntN(6)
-		w.pass(f.lasts)
+		w.advance(f.lasts)
 		w.heal()
 	},
-	"lose-disk": func(w *world, f worldFault, rng *rand.Rand) {
+	"lose-disk": func(w *simulation, f simulatedFault, rng *rand.Rand) {
 		w.heal()
-		w.pass(worldSettle)
+		w.advance(settleTime)
 		c := w.pick(rng)
 		c.wipe()
-		w.pass(f.lasts)
+		w.advance(f.lasts)
 		c.start()
-		w.pass(worldSettle)
+		w.advance(settleTime)
 	},
-	"lose-disk-and-power": func(w *world, f worldFault, rng *rand.Rand) {
+	"lose-disk-and-power": func(w *simulation, f simulatedFault, rng *rand.Rand) {
 		w.heal()
-		w.pass(worldSettle + f.lasts/4)
+		w.advance(settleTime + f.lasts/4)
 		c := w.pick(rng)
 		c.wipe()
-		w.clients.powerIsLost()
-		w.pass(worldSettle)
+		w.operators.powerIsLost()
+		w.advance(settleTime)
 	},
 	// A disk is lost, and while its machine is being brought up to date another one dies, or is cut off.
-	"second-loss": func(w *world, f worldFault, rng *rand.Rand) {
+	"second-loss": func(w *simulation, f simulatedFault, rng *rand.Rand) {
 		w.heal()
-		w.pass(worldSettle)
+		w.advance(settleTime)
 		c := w.pick(rng)
 		c.wipe()
-		w.pass(f.lasts / 4)
+		w.advance(f.lasts / 4)
 		c.start()
-		if w.passUntil(2*time.Second, func() bool { return c.replica != nil && c.replica.Node().View().GetNumber() > 0 }) {
-			w.crossed["a second loss met a repair"]++
+		if w.advanceUntil(2*time.Second, func() bool { return c.replica != nil && c.replica.Node().View().GetNumber() > 0 }) {
+			w.coverage["a second loss met a repair"]++
 		}
-		w.pass(time.Duration(rng.IntN(500)) * time.Millisecond)
+		w.advance(time.Duration(rng.IntN(500)) * time.Millisecond)
 		other := w.pick(rng)
 		if other != c {
 			if rng.IntN(2) == 0 {
-				w.bounce(other, f.lasts)
+				w.restart(other, f.lasts)
 			} else {
-				w.isolate(other, w.coreAddresses(), true)
-				w.pass(f.lasts)
+				w.setIsolated(other, w.controlAddresses(), true)
+				w.advance(f.lasts)
 			}
 		}
 		w.heal()
-		w.pass(worldSettle)
+		w.advance(settleTime)
 	},
-	"freeze": func(w *world, f worldFault, rng *rand.Rand) {
-		w.pick(rng).stand(f.lasts)
-		w.pass(f.lasts)
+	"freeze": func(w *simulation, f simulatedFault, rng *rand.Rand) {
+		w.pick(rng).freeze(f.lasts)
+		w.advance(f.lasts)
 	},
-	"freeze-all": func(w *world, f worldFault, rng *rand.Rand) {
+	"freeze-all": func(w *simulation, f simulatedFault, rng *rand.Rand) {
 		for _, c := range w.live() {
-			c.stand(f.lasts + time.Duration(rng.IntN(300))*time.Millisecond)
+			c.freeze(f.lasts + time.Duration(rng.IntN(300))*time.Millisecond)
 		}
-		w.pass(f.lasts + 300*time.Millisecond)
+		w.advance(f.lasts + 300*time.Millisecond)
 	},
-	"freeze-agent": func(w *world, f worldFault, rng *rand.Rand) {
+	"freeze-agent": func(w *simulation, f simulatedFault, rng *rand.Rand) {
 		a := w.agents[rng.IntN(len(w.agents))]
 		a.frozen = true
-		w.pass(2 * f.lasts)
+		w.advance(2 * f.lasts)
 		a.frozen = false
 	},
 	// Full speed for a while, then nothing for the rest of a tenth of a second.
-	"quota": func(w *world, f worldFault, rng *rand.Rand) {
+	"quota": func(w *simulation, f simulatedFault, rng *rand.Rand) {
 		c := w.pick(rng)
-		for end := w.now + f.lasts; w.now < end; w.pass(100 * time.Millisecond) {
-			c.stand(time.Duration(60+rng.IntN(39)) * time.Millisecond)
+		for end := w.now + f.lasts; w.now < end; w.advance(100 * time.Millisecond) {
+			c.freeze(time.Duration(60+rng.IntN(39)) * time.Millisecond)
 		}
 	},
-	"full-disk": func(w *world, f worldFault, rng *rand.Rand) {
+	"full-disk": func(w *simulation, f simulatedFault, rng *rand.Rand) {
 		c := w.pick(rng)
 		c.fullDisk = true
-		w.pass(f.lasts)
+		w.advance(f.lasts)
 		c.fullDisk = false
 	},
-	"slow-disk": func(w *world, f worldFault, rng *rand.Rand) {
+	"slow-disk": func(w *simulation, f simulatedFault, rng *rand.Rand) {
 		c := w.pick(rng)
 		c.slowDisk = time.Duration(10+rng.IntN(60)) * time.Millisecond
-		w.pass(f.lasts)
+		w.advance(f.lasts)
 		c.slowDisk = 0
 	},
-	"cut": func(w *world, f worldFault, rng *rand.Rand) {
+	"cut": func(w *simulation, f simulatedFault, rng *rand.Rand) {
 		c := w.pick(rng)
-		others := w.coreAddresses()
+		others := w.controlAddresses()
 		if rng.IntN(2) == 0 { // alone, or from the others that count and not from clients
 			others = append(others, w.outside()...)
 		}
-		w.isolate(c, others, true)
-		w.pass(f.lasts)
-		w.isolate(c, others, false)
+		w.setIsolated(c, others, true)
+		w.advance(f.lasts)
+		w.setIsolated(c, others, false)
 	},
-	"long-cut": func(w *world, _ worldFault, rng *rand.Rand) {
+	"long-cut": func(w *simulation, _ simulatedFault, rng *rand.Rand) {
 		c := w.pick(rng)
-		w.isolate(c, w.coreAddresses(), true)
-		before := w.clients.taken
-		w.pass(longCut)
-		if w.clients.taken > before {
-			w.crossed["changes were taken while one was cut off for 20 s"]++
+		w.setIsolated(c, w.controlAddresses(), true)
+		before := w.operators.taken
+		w.advance(longPartition)
+		if w.operators.taken > before {
+			w.coverage["changes were taken while one was cut off for 20 s"]++
 		}
-		w.isolate(c, w.coreAddresses(), false)
+		w.setIsolated(c, w.controlAddresses(), false)
 	},
-	"cut-halves": func(w *world, f worldFault, rng *rand.Rand) {
+	"cut-halves": func(w *simulation, f simulatedFault, rng *rand.Rand) {
 		live := w.live()
 		rng.Shuffle(len(live), func(i, j int) { live[i], live[j] = live[j], live[i] })
 		for i, a := range live {
 			for j, b := range live {
 				if (i < len(live)/2) != (j < len(live)/2) {
-					w.setCut(a.address, b.address, true)
+					w.setPartitioned(a.address, b.address, true)
 				}
 			}
 		}
-		w.pass(2 * f.lasts)
+		w.advance(2 * f.lasts)
 		w.heal()
 	},
-	"hears-nobody": func(w *world, f worldFault, rng *rand.Rand) {
+	"hears-nobody": func(w *simulation, f simulatedFault, rng *rand.Rand) {
 		c := w.pick(rng)
-		for _, other := range w.coreAddresses() {
+		for _, other := range w.controlAddresses() {
 			if other != c.address {
-				w.setCut(other, c.address, true)
+				w.setPartitioned(other, c.address, true)
 			}
 		}
-		w.pass(f.lasts)
+		w.advance(f.lasts)
 		w.heal()
 	},
-	"is-not-heard": func(w *world, f worldFault, rng *rand.Rand) {
+	"is-not-heard": func(w *simulation, f simulatedFault, rng *rand.Rand) {
 		c := w.pick(rng)
-		for _, other := range w.coreAddresses() {
+		for _, other := range w.controlAddresses() {
 			if other != c.address {
-				w.setCut(c.address, other, true)
+				w.setPartitioned(c.address, other, true)
 			}
 		}
-		w.pass(f.lasts)
+		w.advance(f.lasts)
 		w.heal()
 	},
-	"cut-one-way": func(w *world, f worldFault, rng *rand.Rand) {
-		all := append(w.coreAddresses(), w.outside()...)
+	"cut-one-way": func(w *simulation, f simulatedFault, rng *rand.Rand) {
+		all := append(w.controlAddresses(), w.outside()...)
 		from, to := all[rng.IntN(len(all))], w.pick(rng).address
-		w.setCut(from, to, true)
-		w.pass(f.lasts)
-		w.setCut(from, to, false)
+		w.setPartitioned(from, to, true)
+		w.advance(f.lasts)
+		w.setPartitioned(from, to, false)
 	},
-	"cut-and-restart": func(w *world, f worldFault, rng *rand.Rand) {
+	"cut-and-restart": func(w *simulation, f simulatedFault, rng *rand.Rand) {
 		c, other := w.pick(rng), w.pick(rng)
-		w.isolate(c, w.coreAddresses(), true)
-		w.pass(f.lasts / 2)
+		w.setIsolated(c, w.controlAddresses(), true)
+		w.advance(f.lasts / 2)
 		if other != c {
-			w.bounce(other, 200*time.Millisecond)
+			w.restart(other, 200*time.Millisecond)
 		}
-		w.pass(f.lasts / 2)
+		w.advance(f.lasts / 2)
 		w.heal()
 	},
-	"lose-datagrams": func(w *world, f worldFault, _ *rand.Rand) {
+	"lose-datagrams": func(w *simulation, f simulatedFault, _ *rand.Rand) {
 		w.loss = 0.3
-		w.pass(f.lasts)
+		w.advance(f.lasts)
 		w.loss = 0
 	},
-	"lose-answers": func(w *world, f worldFault, _ *rand.Rand) {
+	"lose-answers": func(w *simulation, f simulatedFault, _ *rand.Rand) {
 		w.ackLoss = 0.7
-		w.pass(2 * f.lasts)
+		w.advance(2 * f.lasts)
 		w.ackLoss = 0
 	},
 	// A process is told to end, and does once the chain can do without it.
-	"leave": func(w *world, f worldFault, rng *rand.Rand) { w.leave(w.pick(rng), f, false) },
-	"leave-and-cut": func(w *world, f worldFault, rng *rand.Rand) {
+	"leave": func(w *simulation, f simulatedFault, rng *rand.Rand) { w.leave(w.pick(rng), f, false) },
+	"leave-and-cut": func(w *simulation, f simulatedFault, rng *rand.Rand) {
 		other := w.pick(rng)
-		w.isolate(other, w.coreAddresses(), true)
+		w.setIsolated(other, w.controlAddresses(), true)
 		w.leave(w.pick(rng), f, false)
 		w.heal()
 	},
 	// Another machine takes the place of one: planned, the new one first; or the old one is gone.
-	"replace-planned": func(w *world, f worldFault, rng *rand.Rand) {
+	"replace-planned": func(w *simulation, f simulatedFault, rng *rand.Rand) {
 		w.heal()
-		w.pass(worldSettle)
+		w.advance(settleTime)
 		w.addReplacement()
-		w.pass(worldSettle)
+		w.advance(settleTime)
 		w.leave(w.pick(rng), f, true)
 		if rng.IntN(2) == 0 { // and a disk is lost right behind it
-			w.crossed["a disk was lost right after a replacement"]++
+			w.coverage["a disk was lost right after a replacement"]++
 			c := w.pick(rng)
 			c.wipe()
-			w.pass(f.rest / 2)
+			w.advance(f.rest / 2)
 			c.start()
-			w.pass(worldSettle)
+			w.advance(settleTime)
 		}
 	},
-	"replace-lost": func(w *world, f worldFault, rng *rand.Rand) {
+	"replace-lost": func(w *simulation, f simulatedFault, rng *rand.Rand) {
 		w.heal()
-		w.pass(worldSettle)
+		w.advance(settleTime)
 		old := w.pick(rng)
 		old.kill()
 		old.replaced = true
-		w.pass(f.lasts)
+		w.advance(f.lasts)
 		w.addReplacement()
-		w.pass(worldSettle)
+		w.advance(settleTime)
 	},
 }
 
 // leave tells a process to end. Where it is replaced it does not come back.
-func (w *world) leave(c *core, f worldFault, forGood bool) {
+func (w *simulation) leave(c *simulatedControl, f simulatedFault, forGood bool) {
 	if !c.up || c.replica == nil {
 		return
 	}
 	c.leaving = true
 	c.run(func() { c.replica.Leave(c.clock(w.now)) })
-	if w.passUntil(4*time.Second, func() bool { return c.replica == nil || c.replica.Node().HasLeft() }) {
-		w.crossed["a process left the chain"]++
+	if w.advanceUntil(4*time.Second, func() bool { return c.replica == nil || c.replica.Node().HasLeft() }) {
+		w.coverage["a process left the chain"]++
 	}
 	c.kill()
 	if forGood {
@@ -355,21 +355,21 @@
 		w.renewSeeds()
 		return
 	}
-	w.pass(f.lasts / 2)
+	w.advance(f.lasts / 2)
 	if !c.up {
 		c.start()
 	}
 }
 
 // addReplacement adds an empty machine.
-func (w *world) addReplacement() {
+func (w *simulation) addReplacement() {
 	w.renewSeeds()
-	w.addCore(fmt.Sprintf("r%d", len(w.cores)), false)
+	w.addControl(fmt.Sprintf("r%d", len(w.controls)), false)
 	w.renewSeeds()
 }
 
 // renewSeeds names machines that are there to those that start from now on.
-func (w *world) renewSeeds() {
+func (w *simulation) renewSeeds() {
 	w.seeds = nil
 	for _, c := range w.live() {
 		w.seeds = append(w.seeds, c.address)
@@ -378,19 +378,19 @@
 }
 
 const (
-	worldHistoryFaults = 6
-	worldLongestFault  = 2500 * time.Millisecond
-	worldLongestRest   = 1500 * time.Millisecond
+	faultsPerHistory = 6
+	maxFaultDuration = 2500 * time.Millisecond
+	maxPauseDuration = 1500 * time.Millisecond
 )
 
-// worldHistory is what befalls a world.
-type worldHistory struct {
+// history is what befalls a world.
+type history struct {
 	seed   uint64
 	cores  int
-	faults []worldFault
+	faults []simulatedFault
 }
 
-func (h worldHistory) String() string {
+func (h history) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "seed %d, %d control processes\n", h.seed, h.cores)
 	for _, f := range h.faults {
@@ -399,24 +399,24 @@
 	return text.String()
 }
 
-// drawWorldHistory draws the history of a number: three control processes mostly, or five.
-func drawWorldHistory(number int) worldHistory {
+// drawHistory draws the history of a number: three control processes mostly, or five.
+func drawHistory(number int) history {
 	rng := rand.New(rand.NewPCG(uint64(number), 13))
-	h := worldHistory{seed: uint64(number), cores: 3}
+	h := history{seed: uint64(number), cores: 3}
 	if number%5 == 4 {
 		h.cores = 5
 	}
-	kinds := make([]string, 0, len(worldFaults))
-	for kind := range worldFaults {
+	kinds := make([]string, 0, len(faultKinds))
+	for kind := range faultKinds {
 		kinds = append(kinds, kind)
 	}
 	slices.Sort(kinds)
 	span := func(most time.Duration) time.Duration {
 		return time.Duration(rng.Int64N(int64(most))).Truncate(time.Millisecond)
 	}
-	for range worldHistoryFaults {
-		h.faults = append(h.faults, worldFault{
-			kind: kinds[rng.IntN(len(kinds))], lasts: span(worldLongestFault), rest: span(worldLongestRest),
+	for range faultsPerHistory {
+		h.faults = append(h.faults, simulatedFault{
+			kind: kinds[rng.IntN(len(kinds))], lasts: span(maxFaultDuration), rest: span(maxPauseDuration),
 			seed: rng.Uint64(),
 		})
 	}
@@ -424,60 +424,60 @@
 }
 
 // play plays a history.
-func (h worldHistory) play(t *testing.T) *world {
-	w := newWorld(t, h.seed, h.cores)
-	w.pass(2 * time.Second)
+func (h history) play(t *testing.T) *simulation {
+	w := newSimulation(t, h.seed, h.cores)
+	w.advance(2 * time.Second)
 	for _, f := range h.faults {
-		w.note("%s", f)
-		worldFaults[f.kind](w, f, rand.New(rand.NewPCG(f.seed, 17)))
-		w.crossed[f.kind]++
-		w.pass(f.rest)
+		w.record("%s", f)
+		faultKinds[f.kind](w, f, rand.New(rand.NewPCG(f.seed, 17)))
+		w.coverage[f.kind]++
+		w.advance(f.rest)
 	}
 	w.heal()
 	w.recover()
-	w.clients.auditAnswers()
-	for _, c := range w.cores {
+	w.operators.auditAnswers()
+	for _, c := range w.controls {
 		c.kill()
 	}
 	return w
 }
 
 // recover checks that within the time for it changes are taken, every process is back, and every agent knows all.
-func (w *world) recover() {
-	before := w.clients.taken
-	if !w.passUntil(worldRecovery, func() bool { return w.clients.taken > before }) {
-		w.fault("no change is taken within %v of the last fault", worldRecovery)
+func (w *simulation) recover() {
+	before := w.operators.taken
+	if !w.advanceUntil(recoveryTime, func() bool { return w.operators.taken > before }) {
+		w.failf("no change is taken within %v of the last fault", recoveryTime)
 		return
 	}
-	w.pass(worldSettle)
-	newest := w.clients.newest.version
-	w.pass(applyTime)
+	w.advance(settleTime)
+	newest := w.operators.newest.version
+	w.advance(applyTime)
 	for _, a := range w.agents {
 		if agentVersion(a) < newest {
-			w.fault("%s knows version %d %v after %d was acknowledged", a.node.Name, agentVersion(a), applyTime, newest)
+			w.failf("%s knows version %d %v after %d was acknowledged", a.node.Name, agentVersion(a), applyTime, newest)
 		}
 	}
 	w.calm = true
-	w.pass(worldSettle)
+	w.advance(settleTime)
 	for _, c := range w.live() {
 		if !c.inService() {
-			w.fault("%s is not back in the chain", c.address)
+			w.failf("%s is not back in the chain", c.address)
 		}
 	}
 	for _, a := range w.agents {
 		version := agentVersion(a)
-		if version < w.clients.newest.version || !a.feed.Fresh(nil) {
-			w.fault("%s knows version %d, fresh %v; %d was acknowledged", a.node.Name, version, a.feed.Fresh(nil), w.clients.newest.version)
+		if version < w.operators.newest.version || !a.feed.Fresh(nil) {
+			w.failf("%s knows version %d, fresh %v; %d was acknowledged", a.node.Name, version, a.feed.Fresh(nil), w.operators.newest.version)
 		}
 	}
 	orders := 0
 	for _, a := range w.agents {
 		orders += a.orders
 	}
-	if orders == 0 || w.clients.taken == 0 || len(w.clients.retired) == 0 || len(w.clients.switches) == 0 {
-		w.fault("the history had no life in it: %d orders, %d changes", orders, w.clients.taken)
+	if orders == 0 || w.operators.taken == 0 || len(w.operators.retired) == 0 || len(w.operators.switches) == 0 {
+		w.failf("the history had no life in it: %d orders, %d changes", orders, w.operators.taken)
 	}
-	w.note("%d taken, %d refused, %d orders under %d tokens", w.clients.taken, w.clients.refused, orders, w.backend.tokens)
+	w.record("%d taken, %d refused, %d orders under %d tokens", w.operators.taken, w.operators.refused, orders, w.backend.tokens)
 }
 
 // Worlds live through drawn histories. CI plays the first ones; more by WORLD_HISTORIES, from WORLD_FIRST on.
@@ -494,12 +494,12 @@
 		for number := first; number < first+histories; number++ {
 			t.Run(strconv.Itoa(number), func(t *testing.T) {
 				t.Parallel()
-				h := drawWorldHistory(number)
+				h := drawHistory(number)
 				w := h.play(t)
-				if len(w.wrong) > 0 {
-					t.Errorf("%s\nthe history:\n%s", strings.Join(w.wrong, "\n"), h)
+				if len(w.failures) > 0 {
+					t.Errorf("%s\nthe history:\n%s", strings.Join(w.failures, "\n"), h)
 				}
-				crossed <- w.crossed
+				crossed <- w.coverage
 			})
 		}
 	})
@@ -527,7 +527,7 @@
 func TestHistoryIsDeterministic(t *testing.T) {
 	is := is.New(t)
 	for number := range 6 {
-		h := drawWorldHistory(number)
+		h := drawHistory(number)
 		first, second := h.play(t), h.play(t)
 		is.True(first.events > 1000)
 		is.Equal(first.events, second.events)
--- a/internal/controlplane/simulation_test.go
+++ b/internal/controlplane/simulation_test.go
@@ -48,77 +48,77 @@
 	return last
 }
 
-// link is one direction between two addresses.
-type link struct{ from, to string }
-
-// heldCall is what a cut holds up on a connection.
-type heldCall struct {
-	link     link
-	fromLife int
-	deliver  func()
-}
-
-type world struct {
-	t       *testing.T
-	rng     *rand.Rand
-	now     time.Duration
-	queue   schedule
-	order   int
-	cores   []*core
-	agents  []*simAgent
-	backend *simBackend
-	seeds   []string
-	cut     map[link]bool
-	held    []heldCall
-	loss    float64 // of datagrams
-	ackLoss float64 // of answers to operators
-	trace   hash.Hash64
-	events  int
-	wrong   []string
-	crossed map[string]int // how often what a fault is about did happen
-	clients *worldClients
-	calm    bool // operators make no more changes
+// direction is one direction between two addresses.
+type direction struct{ from, to string }
+
+// delayedCall is what a cut holds up on a connection.
+type delayedCall struct {
+	link            direction
+	fromIncarnation int
+	deliver         func()
+}
+
+type simulation struct {
+	t           *testing.T
+	rng         *rand.Rand
+	now         time.Duration
+	queue       schedule
+	order       int
+	controls    []*simulatedControl
+	agents      []*simulatedAgent
+	backend     *simulatedBackend
+	seeds       []string
+	partitioned map[direction]bool
+	delayed     []delayedCall
+	loss        float64 // of datagrams
+	ackLoss     float64 // of answers to operators
+	trace       hash.Hash64
+	events      int
+	failures    []string
+	coverage    map[string]int // how often what a fault is about did happen
+	operators   *simulatedOperators
+	calm        bool // operators make no more changes
 }
 
 const (
-	worldAgents = 3
-	// coreTick is how often a control process looks at the time.
-	coreTick = 30 * time.Millisecond
-	// mostBacklog bounds what waits for a process that stands still.
-	mostBacklog = 1024
+	simulatedAgents = 3
+	// controlTickInterval is how often a control process looks at the time.
+	controlTickInterval = 30 * time.Millisecond
+	// maxBacklog bounds what waits for a process that stands still.
+	maxBacklog = 1024
 	// mostLog bounds what is kept to tell of a history that fails.
-	mostWrong = 12
+	maxFailures = 12
 )
 
-func newWorld(t *testing.T, seed uint64, cores int) *world {
-	w := &world{
-		t: t, rng: rand.New(rand.NewPCG(seed, 11)), now: time.Second, cut: map[link]bool{}, trace: fnv.New64a(),
-		crossed: map[string]int{},
+func newSimulation(t *testing.T, seed uint64, cores int) *simulation {
+	w := &simulation{
+		t: t, rng: rand.New(rand.NewPCG(seed, 11)), now: time.Second, partitioned: map[direction]bool{}, trace: fnv.New64a(),
+		coverage: map[string]int{},
 	}
 	for i := range cores {
 		w.seeds = append(w.seeds, fmt.Sprintf("c%d", i))
 	}
 	for _, address := range w.seeds {
-		w.addCore(address, true)
+		w.addControl(address, true)
 	}
-	w.backend = &simBackend{world: w}
-	for i := range worldAgents {
+	w.backend = &simulatedBackend{world: w}
+	for i := range simulatedAgents {
 		w.addAgent(i)
 	}
-	w.clients = newWorldClients(w)
+	w.operators = newSimulatedOperators(w)
 	return w
 }
 
 // clock is the time of the package time at this moment.
-func (w *world) clock() time.Time { return time.Unix(1_700_000_000, 0).Add(w.now) }
+func (w *simulation) clock() time.Time { return time.Unix(1_700_000_000, 0).Add(w.now) }
 
-func (w *world) after(span time.Duration, do func()) {
+func (w *simulation) after(span time.Duration, do func()) {
 	w.order++
 	heap.Push(&w.queue, occurrence{w.now + span, w.order, do})
 }
 
 // every does something again and again, from some moment within the first span on, until it gives false.
-func (w *world) every(span time.Duration, do func() bool) {
+func (w *simulation) every(span time.Duration, do func() bool) {
 	var again func()
 	again = func() {
 		if do() {
@@ -128,8 +128,8 @@
 	w.after(time.Duration(w.rng.Int64N(int64(span))), again)
 }
 
-// pass lets time pass.
-func (w *world) pass(span time.Duration) {
+// advance lets time advance.
+func (w *simulation) advance(span time.Duration) {
 	end := w.now + span
 	for len(w.queue) > 0 && w.queue[0].at <= end {
 		next := heap.Pop(&w.queue).(occurrence)
@@ -140,9 +140,9 @@
 	w.now = end
 }
 
-// passUntil lets time pass until something is so, for most.
-func (w *world) passUntil(most time.Duration, is func() bool) bool {
-	for end := w.now + most; w.now < end; w.pass(time.Millisecond) {
+// advanceUntil lets time pass until something is so, for most.
+func (w *simulation) advanceUntil(most time.Duration, is func() bool) bool {
+	for end := w.now + most; w.now < end; w.advance(time.Millisecond) {
 		if is() {
 			return true
 		}
@@ -150,8 +150,8 @@
 	return is()
 }
 
-// note adds something that happened to the trace.
-func (w *world) note(format string, args ...any) {
+// record adds something that happened to the trace.
+func (w *simulation) record(format string, args ...any) {
 	fmt.Fprintf(w.trace, "%d ", w.now)
 	fmt.Fprintf(w.trace, format, args...)
 	if testing.Verbose() && w.t != nil && traceWorlds {
@@ -162,25 +162,25 @@
 // traceWorlds is set to look into a single history.
 const traceWorlds = false
 
-func (w *world) fault(format string, args ...any) {
-	if len(w.wrong) < mostWrong {
-		w.wrong = append(w.wrong, fmt.Sprintf("%v ", w.now)+fmt.Sprintf(format, args...))
+func (w *simulation) failf(format string, args ...any) {
+	if len(w.failures) < maxFailures {
+		w.failures = append(w.failures, fmt.Sprintf("%v ", w.now)+fmt.Sprintf(format, args...))
 	}
 }
 
 // ---- the network ----
 
-func (w *world) delay() time.Duration {
+func (w *simulation) delay() time.Duration {
 	return time.Millisecond + time.Duration(w.rng.Int64N(int64(2*time.Millisecond)))
 }
 
 // datagram carries something that is lost where a cut is in the way.
-func (w *world) datagram(from, to string, deliver func()) {
-	if w.cut[link{from, to}] || w.rng.Float64() < w.loss {
+func (w *simulation) datagram(from, to string, deliver func()) {
+	if w.partitioned[direction{from, to}] || w.rng.Float64() < w.loss {
 		return
 	}
 	w.after(w.delay(), func() {
-		if !w.cut[link{from, to}] {
+		if !w.partitioned[direction{from, to}] {
 			deliver()
 		}
 	})
@@ -188,58 +188,58 @@
 
 // carry carries something on a connection: what meets a cut waits for its end, whether or not its sender has given
 // up. It is lost with either end's process.
-func (w *world) carry(from, to string, deliver func()) {
-	l, fromLife, toLife := link{from, to}, w.life(from), w.life(to)
+func (w *simulation) carry(from, to string, deliver func()) {
+	l, fromLife, toLife := direction{from, to}, w.incarnationOf(from), w.incarnationOf(to)
 	arrive := func() {
-		if w.life(to) == toLife {
+		if w.incarnationOf(to) == toLife {
 			deliver()
 		}
 	}
-	if w.cut[l] {
-		w.held = append(w.held, heldCall{l, fromLife, arrive})
+	if w.partitioned[l] {
+		w.delayed = append(w.delayed, delayedCall{l, fromLife, arrive})
 		return
 	}
 	w.after(w.delay(), func() {
-		if w.cut[l] {
-			w.held = append(w.held, heldCall{l, fromLife, arrive})
+		if w.partitioned[l] {
+			w.delayed = append(w.delayed, delayedCall{l, fromLife, arrive})
 			return
 		}
 		arrive()
 	})
 }
 
-// life counts the starts of the process at an address.
-func (w *world) life(address string) int {
-	for _, c := range w.cores {
+// incarnationOf counts the starts of the process at an address.
+func (w *simulation) incarnationOf(address string) int {
+	for _, c := range w.controls {
 		if c.address == address {
-			return c.life
+			return c.incarnation
 		}
 	}
 	return 0
 }
 
-// setCut begins or ends a cut in one direction. What it held up arrives, unless its sender has died.
-func (w *world) setCut(from, to string, cut bool) {
-	l := link{from, to}
-	w.cut[l] = cut
+// setPartitioned begins or ends a cut in one direction. What it held up arrives, unless its sender has died.
+func (w *simulation) setPartitioned(from, to string, cut bool) {
+	l := direction{from, to}
+	w.partitioned[l] = cut
 	if cut {
 		return
 	}
-	var still []heldCall
-	for _, h := range w.held {
+	var still []delayedCall
+	for _, h := range w.delayed {
 		switch {
 		case h.link != l:
 			still = append(still, h)
-		case w.life(from) == h.fromLife:
-			w.crossed["a call was held up"]++
+		case w.incarnationOf(from) == h.fromIncarnation:
+			w.coverage["a call was held up"]++
 			w.after(w.delay(), h.deliver)
 		}
 	}
-	w.held = still
+	w.delayed = still
 }
 
 // call makes a call and hands its answer back; answered is called once, with nil where none came in time.
-func call[A any](w *world, from, to string, timeout time.Duration, serve func(answer func(A)), answered func(answer *A)) {
+func call[A any](w *simulation, from, to string, timeout time.Duration, serve func(answer func(A)), answered func(answer *A)) {
 	over := false
 	finish := func(answer *A) {
 		if !over {
@@ -257,28 +257,28 @@
 
 // ---- control processes ----
 
-// core is a machine with a control process.
-type core struct {
-	world    *world
+// simulatedControl is a machine with a control process.
+type simulatedControl struct {
+	world    *simulation
 	address  string
 	disk     storage.Storage
 	first    bool
 	replaced bool // another machine has taken its place
 
-	up      bool
-	life    int
-	began   time.Duration // of this life's clock
-	store   *store.Store
-	replica *Replica // nil: there is no store
-	openAt  time.Duration
-	feed    *watch.Store
-	leases  *leaseGranter
-	clocks  peerClocks
-	members chainView
-	word    freshnessTracker
-	leaving bool
-
-	still    bool // frozen, or its disk stalls
+	up          bool
+	incarnation int
+	began       time.Duration // of this life's clock
+	store       *store.Store
+	replica     *Replica // nil: there is no store
+	reopenAt    time.Duration
+	feed        *watch.Store
+	leases      *leaseGranter
+	peerClocks  peerClocks
+	view        chainView
+	freshness   freshnessTracker
+	leaving     bool
+
+	frozen   bool // frozen, or its disk stalls
 	backlog  []func()
 	fullDisk bool
 	slowDisk time.Duration // what each write takes
@@ -287,46 +287,46 @@
 
 var errFullDisk = errors.New("no space left on device")
 
-func (w *world) addCore(address string, first bool) {
-	c := &core{world: w, address: address, disk: storage.NewMemStorage(), first: first}
-	w.cores = append(w.cores, c)
+func (w *simulation) addControl(address string, first bool) {
+	c := &simulatedControl{world: w, address: address, disk: storage.NewMemStorage(), first: first}
+	w.controls = append(w.controls, c)
 	c.start()
 }
 
 // clock is the steady clock of this life.
-func (c *core) clock(at time.Duration) time.Duration { return at - c.began + time.Second }
+func (c *simulatedControl) clock(at time.Duration) time.Duration { return at - c.began + time.Second }
 
-func (c *core) start() {
+func (c *simulatedControl) start() {
 	w := c.world
-	c.life++
-	c.up, c.began, c.still, c.backlog, c.leaving, c.openAt = true, w.now, false, nil, false, 0
-	c.clocks, c.members = peerClocks{}, chainView{seeds: func() []string { return w.seeds }}
-	c.word = freshnessTracker{establishedAfter: 4 * time.Second}
-	c.feed = watch.New(fmt.Sprintf("%s/%d", c.address, c.life), w.clock)
-	c.leases = newLeaseGranter(bootstrap.Bounds{Fencing: true, LeaseDurationMS: 3000}, c.feed, func() (uint64, bool) { return c.members.headOf(c.address) },
+	c.incarnation++
+	c.up, c.began, c.frozen, c.backlog, c.leaving, c.reopenAt = true, w.now, false, nil, false, 0
+	c.peerClocks, c.view = peerClocks{}, chainView{seeds: func() []string { return w.seeds }}
+	c.freshness = freshnessTracker{establishedAfter: 4 * time.Second}
+	c.feed = watch.New(fmt.Sprintf("%s/%d", c.address, c.incarnation), w.clock)
+	c.leases = newLeaseGranter(bootstrap.Bounds{Fencing: true, LeaseDurationMS: 3000}, c.feed, func() (uint64, bool) { return c.view.headOf(c.address) },
 		c.grant, w.clock)
-	life := c.life
-	alive := func() bool { return c.up && c.life == life }
+	life := c.incarnation
+	alive := func() bool { return c.up && c.incarnation == life }
 	regularly := func(span time.Duration, do func()) {
 		w.every(span, func() bool {
-			if alive() && !c.still { // a ticker that is not read drops its ticks
+			if alive() && !c.frozen { // a ticker that is not read drops its ticks
 				do()
 			}
 			return alive()
 		})
 	}
-	regularly(coreTick, c.tick)
-	regularly(chainStatusInterval, c.followStanding)
+	regularly(controlTickInterval, c.tick)
+	regularly(chainStatusInterval, c.publishChainStatus)
 	regularly(grantInterval, c.leases.submitDueGrants)
 	regularly(expiryInterval, func() { c.feed.ExpireNodes(nodeTimeout) })
 }
 
-func (c *core) kill() {
-	c.up, c.life = false, c.life+1
+func (c *simulatedControl) kill() {
+	c.up, c.incarnation = false, c.incarnation+1
 	c.close()
 }
 
-func (c *core) close() {
+func (c *simulatedControl) close() {
 	c.replica = nil
 	if c.store != nil {
 		_ = c.store.Close() // the storage lives on, as a disk does
@@ -335,17 +335,17 @@
 }
 
 // wipe loses the disk.
-func (c *core) wipe() {
+func (c *simulatedControl) wipe() {
 	c.kill()
 	c.disk, c.first = storage.NewMemStorage(), false
 }
 
-func (c *core) tick() {
+func (c *simulatedControl) tick() {
 	if c.replica != nil && c.replica.Failure() != nil {
 		c.close()
-		c.openAt = c.world.now + storeReopenDelay
+		c.reopenAt = c.world.now + storeReopenDelay
 	}
-	if c.replica == nil && c.world.now >= c.openAt {
+	if c.replica == nil && c.world.now >= c.reopenAt {
 		c.open()
 	}
 	if c.replica != nil {
@@ -355,20 +355,20 @@
 }
 
 // open opens the store, as the keeper does.
-func (c *core) open() {
+func (c *simulatedControl) open() {
 	if c.fullDisk { // opening writes
-		c.openAt = c.world.now + storeReopenDelay
+		c.reopenAt = c.world.now + storeReopenDelay
 		return
 	}
 	opened, err := store.OpenStorage(c.disk)
 	if err != nil {
-		c.world.fault("%s: opening the store: %v", c.address, err)
+		c.world.failf("%s: opening the store: %v", c.address, err)
 		return
 	}
 	c.store = opened
 	durable, err := opened.Load()
 	if err != nil {
-		c.world.fault("%s: reading the store: %v", c.address, err)
+		c.world.failf("%s: reading the store: %v", c.address, err)
 		c.close()
 		return
 	}
@@ -380,30 +380,30 @@
 			durable.Self.Incarnation = c.world.rng.Uint64() | 1<<63
 		}
 		if err := opened.Save(&durable, chain.Changes{Self: true, View: durable.View != nil}); err != nil {
-			c.world.fault("%s: founding: %v", c.address, err)
+			c.world.failf("%s: founding: %v", c.address, err)
 		}
 	}
 	c.first = false
-	c.replica = NewReplica(worldChain(len(c.world.seeds)), durable, c.world.seeds, c, c, c.feed, logr.Discard(), c.clock(c.world.now))
+	c.replica = NewReplica(simulatedChainConfig(len(c.world.seeds)), durable, c.world.seeds, c, c, c.feed, logr.Discard(), c.clock(c.world.now))
 	if c.leaving {
 		c.replica.Leave(c.clock(c.world.now))
 	}
 }
 
-// worldChain is the chain's configuration: logs are compacted often.
-func worldChain(members int) chain.Config {
+// simulatedChainConfig is the chain's configuration: logs are compacted often.
+func simulatedChainConfig(members int) chain.Config {
 	cfg := chain.DefaultConfig(members)
 	cfg.MaxLogEntries, cfg.MaxJoinLagBytes = 8, 2<<10
 	return cfg
 }
 
 // Save implements Saver.
-func (c *core) Save(d *chain.DurableState, changed chain.Changes) error {
+func (c *simulatedControl) Save(d *chain.DurableState, changed chain.Changes) error {
 	if c.fullDisk {
 		if c.world.rng.IntN(2) == 0 {
 			_ = c.store.Save(d, changed) // a write that is refused may be in the journal
 		}
-		c.world.crossed["a write was refused"]++
+		c.world.coverage["a write was refused"]++
 		return errFullDisk
 	}
 	if c.dieAt > 0 {
@@ -411,23 +411,23 @@
 			if c.world.rng.IntN(2) == 0 {
 				_ = c.store.Save(d, changed)
 			}
-			c.world.crossed["power was lost in a write"]++
-			c.world.after(0, c.world.clients.powerIsLost)
+			c.world.coverage["power was lost in a write"]++
+			c.world.after(0, c.world.operators.powerIsLost)
 			return errFullDisk // nothing of what follows gets out
 		}
 	}
 	if c.slowDisk > 0 {
-		c.stand(c.slowDisk)
+		c.freeze(c.slowDisk)
 	}
 	return c.store.Save(d, changed)
 }
 
 // Send implements Sender.
-func (c *core) Send(message *api.ChainMessage) {
+func (c *simulatedControl) Send(message *api.ChainMessage) {
 	w, to := c.world, message.To.GetAddress()
 	copied := proto.CloneOf(message)
 	deliver := func() {
-		if receiver := w.coreAt(to); receiver != nil {
+		if receiver := w.controlAt(to); receiver != nil {
 			receiver.run(func() {
 				if receiver.replica != nil {
 					receiver.replica.Receive(receiver.clock(w.now), copied)
@@ -443,32 +443,32 @@
 }
 
 // run does something on the process, or keeps it for when the process goes on.
-func (c *core) run(do func()) {
+func (c *simulatedControl) run(do func()) {
 	switch {
 	case !c.up:
-	case c.still && len(c.backlog) < mostBacklog:
+	case c.frozen && len(c.backlog) < maxBacklog:
 		c.backlog = append(c.backlog, do)
-	case !c.still:
+	case !c.frozen:
 		do()
 	}
 }
 
-// stand lets the process stand still for a while.
-func (c *core) stand(span time.Duration) {
-	if c.still {
+// freeze lets the process freeze still for a while.
+func (c *simulatedControl) freeze(span time.Duration) {
+	if c.frozen {
 		return
 	}
-	c.still = true
-	life := c.life
+	c.frozen = true
+	life := c.incarnation
 	c.world.after(span, func() {
-		if c.life == life {
-			c.goOn()
+		if c.incarnation == life {
+			c.resume()
 		}
 	})
 }
 
-func (c *core) goOn() {
-	c.still = false
+func (c *simulatedControl) resume() {
+	c.frozen = false
 	backlog := c.backlog
 	c.backlog = nil
 	for _, do := range backlog {
@@ -476,18 +476,18 @@
 	}
 }
 
-func (c *core) followStanding() {
+func (c *simulatedControl) publishChainStatus() {
 	s := chainStatusOf(c.replica)
-	c.members.OnChainStatus(s)
-	c.feed.SetSourceStatus(c.word.OnChainStatus(s, c.world.clock()))
+	c.view.OnChainStatus(s)
+	c.feed.SetSourceStatus(c.freshness.OnChainStatus(s, c.world.clock()))
 	if s.Connected {
-		c.world.clients.auditFresh(c)
+		c.world.operators.auditFresh(c)
 	}
 }
 
-// coreAt is the machine at an address that has not been replaced.
-func (w *world) coreAt(address string) *core {
-	for _, c := range w.cores {
+// controlAt is the machine at an address that has not been replaced.
+func (w *simulation) controlAt(address string) *simulatedControl {
+	for _, c := range w.controls {
 		if c.address == address && !c.replaced {
 			return c
 		}
@@ -496,27 +496,27 @@
 }
 
 // inService tells whether a process is in a chain in service, by its own word.
-func (c *core) inService() bool {
+func (c *simulatedControl) inService() bool {
 	return c.up && c.replica != nil && c.replica.Failure() == nil && c.replica.Node().InService()
 }
 
 // ---- the calls of control, as Service makes them ----
 
 // grant is Service.grant.
-func (c *core) grant(operation *api.Operation, view uint64) {
+func (c *simulatedControl) grant(operation *api.Operation, view uint64) {
 	w := c.world
 	if c.replica == nil {
 		return
 	}
 	c.replica.SubmitInView(c.clock(w.now), operation, view, c.clock(w.now+orderTimeout), func(code result.Code, _ string) {
 		if code == result.Unavailable {
-			w.crossed["a grant came to nothing"]++
+			w.coverage["a grant came to nothing"]++
 		}
 	})
 }
 
 // order has an operation done, wherever the head is.
-func (c *core) order(operation *api.Operation, reply func(*result.Error)) {
+func (c *simulatedControl) order(operation *api.Operation, reply func(*result.Error)) {
 	w, deadline, tries := c.world, c.world.now+orderTimeout, newOrderAttempts()
 	over, asking := false, false
 	finish := func() {
@@ -557,13 +557,13 @@
 }
 
 // submitAt has an operation done by the head, if it gets there in time.
-func (c *core) submitAt(head string, operation *api.Operation, deadline time.Duration, reply func(*api.SubmitReply)) {
+func (c *simulatedControl) submitAt(head string, operation *api.Operation, deadline time.Duration, reply func(*api.SubmitReply)) {
 	w := c.world
 	if head == c.address {
 		c.submitHere(operation, c.clock(deadline), reply)
 		return
 	}
-	at := func() *api.Instant { return c.clocks.instantAt(head, w.clock().Add(deadline-w.now)) }
+	at := func() *api.Instant { return c.peerClocks.instantAt(head, w.clock().Add(deadline-w.now)) }
 	submit := func(until *api.Instant) {
 		c.submitTo(head, &api.SubmitRequest{Operation: operation, Deadline: until}, deadline, func(answer *api.SubmitReply) {
 			if answer == nil {
@@ -585,10 +585,10 @@
 	})
 }
 
-func (c *core) submitTo(head string, request *api.SubmitRequest, deadline time.Duration, reply func(*api.SubmitReply)) {
+func (c *simulatedControl) submitTo(head string, request *api.SubmitRequest, deadline time.Duration, reply func(*api.SubmitReply)) {
 	w := c.world
 	call(w, c.address, head, deadline-w.now, func(answer func(*api.SubmitReply)) {
-		if server := w.coreAt(head); server != nil {
+		if server := w.controlAt(head); server != nil {
 			server.run(func() { server.submit(request, answer) })
 		}
 	}, func(answer **api.SubmitReply) {
@@ -596,28 +596,28 @@
 			reply(nil)
 			return
 		}
-		c.clocks.OnClockReading(head, (*answer).Clock, w.clock())
+		c.peerClocks.OnClockReading(head, (*answer).Clock, w.clock())
 		reply(*answer)
 	})
 }
 
 // submit is Service.Submit.
-func (c *core) submit(request *api.SubmitRequest, reply func(*api.SubmitReply)) {
+func (c *simulatedControl) submit(request *api.SubmitRequest, reply func(*api.SubmitReply)) {
 	stamped := func(answer *api.SubmitReply) {
-		answer.Clock = &api.Instant{Incarnation: uint64(c.life), MonotonicNs: uint64(c.clock(c.world.now))}
+		answer.Clock = &api.Instant{Incarnation: uint64(c.incarnation), MonotonicNs: uint64(c.clock(c.world.now))}
 		reply(answer)
 	}
-	if request.Operation == nil || request.Deadline.GetIncarnation() != uint64(c.life) {
+	if request.Operation == nil || request.Deadline.GetIncarnation() != uint64(c.incarnation) {
 		stamped(&api.SubmitReply{Code: uint32(result.Unavailable)})
 		return
 	}
 	if time.Duration(request.Deadline.MonotonicNs) <= c.clock(c.world.now) {
-		c.world.crossed["an order came too late"]++
+		c.world.coverage["an order came too late"]++
 	}
 	c.submitHere(request.Operation, time.Duration(request.Deadline.MonotonicNs), stamped)
 }
 
-func (c *core) submitHere(operation *api.Operation, until time.Duration, reply func(*api.SubmitReply)) {
+func (c *simulatedControl) submitHere(operation *api.Operation, until time.Duration, reply func(*api.SubmitReply)) {
 	if c.replica == nil {
 		reply(&api.SubmitReply{Code: uint32(result.Unavailable)})
 		return
@@ -636,7 +636,7 @@
 }
 
 // read reads the newest state, wherever the tail is; nil: nobody can be sure of it.
-func (c *core) read(ids []string, reply func(*newestState)) {
+func (c *simulatedControl) read(ids []string, reply func(*newestState)) {
 	tail := chainStatusOf(c.replica).Tail
 	if tail == "" {
 		reply(nil)
@@ -644,7 +644,7 @@
 	}
 	w := c.world
 	call(w, c.address, tail, orderTimeout, func(answer func(*newestState)) {
-		server := w.coreAt(tail)
+		server := w.controlAt(tail)
 		if server == nil {
 			return
 		}
@@ -679,7 +679,7 @@
 }
 
 // lease is Service.Lease: the head answers, and others pass the question on once.
-func (c *core) lease(holder string, forwarded bool, reply func(*api.LeaseReply)) {
+func (c *simulatedControl) lease(holder string, forwarded bool, reply func(*api.LeaseReply)) {
 	w, unavailable := c.world, &api.LeaseReply{Code: uint32(result.Unavailable)}
 	head := chainStatusOf(c.replica).Head
 	switch {
@@ -698,7 +698,7 @@
 		reply(unavailable)
 	default:
 		call(w, c.address, head, forwardTimeout, func(answer func(*api.LeaseReply)) {
-			if server := w.coreAt(head); server != nil {
+			if server := w.controlAt(head); server != nil {
 				server.run(func() { server.lease(holder, true, answer) })
 			}
 		}, func(answer **api.LeaseReply) {
--- a/internal/controlplane/submit_in_view_test.go
+++ b/internal/controlplane/submit_in_view_test.go
@@ -14,9 +14,9 @@
 // nor from the queue after the view has changed.
 func TestGrantDecidedInAnotherViewIsRejected(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1, 3)
-	w.pass(3 * time.Second)
-	head := w.coreAt(chainStatusOf(w.cores[0].replica).Head)
+	w := newSimulation(t, 1, 3)
+	w.advance(3 * time.Second)
+	head := w.controlAt(chainStatusOf(w.controls[0].replica).Head)
 	view := head.replica.Node().View().GetNumber()
 	grant := func(view uint64) *result.Code {
 		answer := new(result.Code)
@@ -27,16 +27,16 @@
 		return answer
 	}
 	next, other := grant(view+1), grant(view+7)
-	w.pass(time.Second)
+	w.advance(time.Second)
 	is.Equal(*next, result.Unavailable)
 	is.Equal(*other, result.Unavailable)
 	is.True(head.replica.Machine().Lease("a role") == nil)
 
 	inView := grant(view)
-	w.pass(time.Second)
+	w.advance(time.Second)
 	is.Equal(*inView, result.Committed)
 	is.Equal(head.replica.Machine().Lease("a role").GetHolder(), "x/1")
-	for _, c := range w.cores {
+	for _, c := range w.controls {
 		c.kill()
 	}
 }
