--- a/internal/controlplane/lease_granter_test.go
+++ b/internal/controlplane/lease_granter_test.go
@@ -61,15 +61,15 @@
 	o.out.InstallSnapshot(o.sequence, o.sequence, o.machine.State())
 }
 
-// look does what the head does ever again, while these nodes report.
-func (o *granterTrial) look(nodes ...string) {
+// lookWith submits the due grants while these nodes report.
+func (o *granterTrial) lookWith(nodes ...string) {
 	for _, name := range nodes {
 		o.out.RecordNode(&api.Node{Name: name, Address: name + ":1", Incarnation: 1})
 	}
 	o.submitDueGrants()
 }
 
-// holds tells whether a node's renewal is answered with the role.
+// holds tells whether a node's renewal is answered with the lease.
 func (o *granterTrial) holds(node string) bool {
 	return len(o.manager.Renew(lease.HolderID(node, 1), false, o.machine.Leases())) > 0
 }
@@ -77,26 +77,26 @@
 func (o *granterTrial) holder() string { return o.machine.Lease(llmKey).GetHolder() }
 
 // A holder that was silent until its lease had run out, and renews while the grant to another one is under way, gets
-// nothing: both would hold the role at once.
+// nothing: both would hold the lease at once.
 func TestNoRenewalWhileAGrantIsPending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		o := newGranterTrial(t)
-		o.look("a")
+		o.lookWith("a")
 		is.True(o.holds("a"))
 		time.Sleep(trialTimes.TransferWait + time.Millisecond)
 		o.commits = false // the chain has trouble
-		o.look("a", "b")
+		o.lookWith("a", "b")
 		is.Equal(len(o.ordered), 2)
 		is.True(!o.holds("a"))
 		time.Sleep(grantInterval)
-		o.look("a", "b")
+		o.lookWith("a", "b")
 		is.True(!o.holds("a")) // nor later, while nobody knows what has become of it
 
-		// It is ordered again, for the same node: whichever comes through, nobody else was given the role.
+		// It is ordered again, for the same node: whichever comes through, nobody else was given the lease.
 		is.Equal(o.ordered[2].GetGrant().Holder, o.ordered[1].GetGrant().Holder)
 		o.commits = true
-		o.look("a", "b")
+		o.lookWith("a", "b")
 		is.Equal(o.holder(), o.ordered[1].GetGrant().Holder)
 		is.True(!o.holds("a"))
 		is.True(o.holds("b"))
@@ -109,47 +109,47 @@
 		is := is.New(t)
 		o := newGranterTrial(t)
 		o.commits = false
-		o.look("a", "b")
+		o.lookWith("a", "b")
 		first := o.ordered[0]
 		time.Sleep(trialTimes.AcceptTimeout + grantInterval)
 		o.commit(first)
 		o.commits = true
-		o.look("a", "b")
-		is.Equal(o.holder(), first.GetGrant().Holder) // nobody else was given the role meanwhile
+		o.lookWith("a", "b")
+		is.Equal(o.holder(), first.GetGrant().Holder) // nobody else was given the lease meanwhile
 		is.Equal(len(o.ordered), 1)
 	})
 }
 
-// A role that is not taken up passes on, and to each node in turn.
+// A lease that is not accepted passes on, and to each node in turn.
 func TestUnacceptedLeaseIsTransferred(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		o := newGranterTrial(t)
-		o.look("a", "b")
+		o.lookWith("a", "b")
 		first := o.holder()
-		o.look("a", "b") // the grant is seen
+		o.lookWith("a", "b") // the grant is seen
 		time.Sleep(trialTimes.AcceptTimeout + time.Millisecond)
-		o.look("a", "b")
+		o.lookWith("a", "b")
 		is.True(o.holder() != first)
 		is.Equal(o.machine.Lease(llmKey).FencingToken, uint64(2))
 	})
 }
 
-// A grant that was ordered while somebody else gave the role away is not ordered any more, and holds up nobody's renewals.
+// A grant that was ordered while somebody else gave the lease away is not ordered any more, and holds up nobody's renewals.
 func TestSupersededGrantIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		o := newGranterTrial(t)
-		o.look("a")
+		o.lookWith("a")
 		is.True(o.holds("a"))
 		time.Sleep(trialTimes.TransferWait + time.Millisecond)
 		o.commits = false // the chain has trouble
-		o.look("a", "b")
+		o.lookWith("a", "b")
 		overtaken := o.ordered[1]
 		is.Equal(overtaken.GetGrant().GetReplacesFencingToken(), uint64(1))
 		other, replaces := lease.HolderID("c", 1), uint64(1)
 		o.commit(&api.Operation{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{Key: llmKey, Holder: other, Address: "c:1", ReplacesFencingToken: &replaces}}})
-		o.look("a", "b", "c")
+		o.lookWith("a", "b", "c")
 		is.Equal(len(o.ordered), 2)
 		is.True(o.holds("c"))
 		o.commit(overtaken) // it comes through in the end
@@ -170,15 +170,15 @@
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			o := newGranterTrial(t)
-			o.look("a")
+			o.lookWith("a")
 			is.True(o.holds("a"))
 			time.Sleep(trialTimes.TransferWait + time.Millisecond)
 			o.headOf = func() (uint64, bool) { return of.view, true }
-			o.look("a", "b")
+			o.lookWith("a", "b")
 			is.Equal(len(o.ordered), of.orders)
 			time.Sleep(trialTimes.TransferWait + time.Millisecond)
-			o.look("a", "b")
-			is.Equal(len(o.ordered), 2) // in time the role passes on
+			o.lookWith("a", "b")
+			is.Equal(len(o.ordered), 2) // in time the lease passes on
 		})
 	}
 }
--- /dev/null
+++ b/internal/controlplane/simulation_calls_test.go
@@ -0,0 +1,218 @@
+package controlplane
+
+import (
+	"time"
+
+	"marlreel/internal/api"
+	"marlreel/internal/controlplane/result"
+	"marlreel/internal/controlplane/state"
+)
+
+// The calls of control processes, as Service makes them.
+
+// grant is Service.grant.
+func (c *simulatedControl) grant(operation *api.Operation, view uint64) {
+	w := c.sim
+	if c.replica == nil {
+		return
+	}
+	c.replica.SubmitInView(c.clock(w.now), operation, view, c.clock(w.now+orderTimeout), func(code result.Code, _ string) {
+		if code == result.Unavailable {
+			w.coverage["a grant came to nothing"]++
+		}
+	})
+}
+
+// order has an operation done, wherever the head is.
+func (c *simulatedControl) order(operation *api.Operation, reply func(*result.Error)) {
+	w, deadline, attempts := c.sim, c.sim.now+orderTimeout, newOrderAttempts()
+	over, asking := false, false
+	finish := func() {
+		if over {
+			return
+		}
+		over = true
+		if asking && attempts.outcome.Code == result.Unavailable {
+			attempts.outcome = result.Errorf(result.OutcomeUnknown, "no answer in time")
+		}
+		reply(attempts.outcome)
+	}
+	w.after(orderTimeout, finish)
+	var attempt func()
+	again := func() { w.after(attemptInterval, func() { c.run(attempt) }) }
+	attempt = func() {
+		head := chainStatusOf(c.replica).Head
+		if over || head == "" {
+			if !over {
+				again()
+			}
+			return
+		}
+		asking = true
+		c.submitAt(head, operation, deadline, func(answer *api.SubmitReply) {
+			asking = false
+			if over {
+				return
+			}
+			if attempts.OnReply(answer) {
+				finish()
+				return
+			}
+			again()
+		})
+	}
+	attempt()
+}
+
+// submitAt has an operation done by the head, if it gets there in time.
+func (c *simulatedControl) submitAt(head string, operation *api.Operation, deadline time.Duration, reply func(*api.SubmitReply)) {
+	w := c.sim
+	if head == c.address {
+		c.submitHere(operation, c.clock(deadline), reply)
+		return
+	}
+	at := func() *api.Instant { return c.peerClocks.instantAt(head, w.clock().Add(deadline-w.now)) }
+	submit := func(until *api.Instant) {
+		c.submitTo(head, &api.SubmitRequest{Operation: operation, Deadline: until}, deadline, func(answer *api.SubmitReply) {
+			if answer == nil {
+				answer = &api.SubmitReply{Code: uint32(result.OutcomeUnknown)}
+			}
+			reply(answer)
+		})
+	}
+	if until := at(); until != nil {
+		submit(until)
+		return
+	}
+	c.submitTo(head, &api.SubmitRequest{}, deadline, func(answer *api.SubmitReply) {
+		if answer == nil || at() == nil {
+			reply(&api.SubmitReply{Code: uint32(result.Unavailable)})
+			return
+		}
+		submit(at())
+	})
+}
+
+func (c *simulatedControl) submitTo(head string, request *api.SubmitRequest, deadline time.Duration, reply func(*api.SubmitReply)) {
+	w := c.sim
+	call(w, c.address, head, deadline-w.now, func(answer func(*api.SubmitReply)) {
+		if server := w.controlAt(head); server != nil {
+			server.run(func() { server.submit(request, answer) })
+		}
+	}, func(answer **api.SubmitReply) {
+		if answer == nil {
+			reply(nil)
+			return
+		}
+		c.peerClocks.OnClockReading(head, (*answer).Clock, w.clock())
+		reply(*answer)
+	})
+}
+
+// submit is Service.Submit.
+func (c *simulatedControl) submit(request *api.SubmitRequest, reply func(*api.SubmitReply)) {
+	stamped := func(answer *api.SubmitReply) {
+		answer.Clock = &api.Instant{Incarnation: uint64(c.incarnation), MonotonicNs: uint64(c.clock(c.sim.now))}
+		reply(answer)
+	}
+	if request.Operation == nil || request.Deadline.GetIncarnation() != uint64(c.incarnation) {
+		stamped(&api.SubmitReply{Code: uint32(result.Unavailable)})
+		return
+	}
+	if time.Duration(request.Deadline.MonotonicNs) <= c.clock(c.sim.now) {
+		c.sim.coverage["an order came too late"]++
+	}
+	c.submitHere(request.Operation, time.Duration(request.Deadline.MonotonicNs), stamped)
+}
+
+func (c *simulatedControl) submitHere(operation *api.Operation, deadline time.Duration, reply func(*api.SubmitReply)) {
+	if c.replica == nil {
+		reply(&api.SubmitReply{Code: uint32(result.Unavailable)})
+		return
+	}
+	c.replica.Submit(c.clock(c.sim.now), operation, deadline, func(code result.Code, detail string) {
+		reply(&api.SubmitReply{Code: uint32(code), Detail: detail})
+	})
+}
+
+// reading is what a read of the newest state gives.
+type newestState struct {
+	version   uint64
+	text      string
+	evacuated bool // the zone that operators evacuate
+	retired   map[string]bool
+}
+
+// read reads the newest state, wherever the tail is; nil: nobody can be sure of it.
+func (c *simulatedControl) read(ids []string, reply func(*newestState)) {
+	tail := chainStatusOf(c.replica).Tail
+	if tail == "" {
+		reply(nil)
+		return
+	}
+	w := c.sim
+	call(w, c.address, tail, orderTimeout, func(answer func(*newestState)) {
+		server := w.controlAt(tail)
+		if server == nil {
+			return
+		}
+		server.run(func() {
+			if server.replica == nil {
+				answer(nil)
+				return
+			}
+			server.replica.ReadAtTail(server.clock(w.now), func(code result.Code, m *state.Machine) { answer(stateRead(code, m, ids)) })
+		})
+	}, func(answer **newestState) {
+		if answer == nil {
+			reply(nil)
+			return
+		}
+		reply(*answer)
+	})
+}
+
+func stateRead(code result.Code, m *state.Machine, ids []string) *newestState {
+	if code != result.Committed {
+		return nil
+	}
+	s := &newestState{version: m.Version(), evacuated: m.IsEvacuated(evacuatedZone), retired: map[string]bool{}}
+	if m.Document() != nil {
+		s.text = string(m.Document().Raw())
+	}
+	for _, id := range ids {
+		s.retired[id] = m.IsRetired(id)
+	}
+	return s
+}
+
+// lease is Service.Lease: the head answers, and others pass the question on once.
+func (c *simulatedControl) lease(holder string, forwarded bool, reply func(*api.LeaseReply)) {
+	w, unavailable := c.sim, &api.LeaseReply{Code: uint32(result.Unavailable)}
+	head := chainStatusOf(c.replica).Head
+	switch {
+	case c.replica == nil || head == "":
+		reply(unavailable)
+	case head == c.address:
+		c.replica.ReadAtHead(c.clock(w.now), func(code result.Code, m *state.Machine) {
+			answer := &api.LeaseReply{Code: uint32(code)}
+			if m != nil {
+				answer.Renewed = c.leases.manager.Renew(holder, false, m.Leases())
+				answer.ValidMs = uint32(c.leases.manager.GrantDuration().Milliseconds())
+			}
+			reply(answer)
+		})
+	case forwarded:
+		reply(unavailable)
+	default:
+		call(w, c.address, head, forwardTimeout, func(answer func(*api.LeaseReply)) {
+			if server := w.controlAt(head); server != nil {
+				server.run(func() { server.lease(holder, true, answer) })
+			}
+		}, func(answer **api.LeaseReply) {
+			if answer != nil {
+				reply(*answer)
+			}
+		})
+	}
+}
--- a/internal/controlplane/simulation_clients_test.go
+++ b/internal/controlplane/simulation_operators_test.go
@@ -10,10 +10,7 @@
 	"github.com/anishathalye/porcupine"
 
 	"marlreel/internal/api"
-	"marlreel/internal/controlplane/lease"
 	"marlreel/internal/controlplane/result"
-	"marlreel/internal/controlplane/state"
-	"marlreel/internal/distribution/watch"
 	"marlreel/internal/testing/linearizability"
 )
 
@@ -32,7 +29,7 @@
 
 // simulatedOperators are the operators and what they were answered.
 type simulatedOperators struct {
-	world     *simulation
+	sim       *simulation
 	configs   []porcupine.Operation
 	switches  []porcupine.Operation
 	writes    int
@@ -57,7 +54,7 @@
 }
 
 func newSimulatedOperators(w *simulation) *simulatedOperators {
-	cl := &simulatedOperators{world: w, retired: map[string]time.Duration{}}
+	cl := &simulatedOperators{sim: w, retired: map[string]time.Duration{}}
 	for operator := range 2 {
 		cl.loop(350*time.Millisecond, func(done func()) { cl.change(operator, done) })
 	}
@@ -79,18 +76,18 @@
 func (cl *simulatedOperators) loop(pause time.Duration, do func(done func())) {
 	var again func()
 	again = func() {
-		if cl.world.calm {
+		if cl.sim.calm {
 			return
 		}
-		do(func() { cl.world.after(pause, again) })
+		do(func() { cl.sim.after(pause, again) })
 	}
-	cl.world.after(time.Duration(cl.world.rng.Int64N(int64(pause))), again)
+	cl.sim.after(time.Duration(cl.sim.rng.Int64N(int64(pause))), again)
 }
 
 // send makes a call of an operator to one control process after the other, until one gives a clear answer.
 // done is given nil where none did.
 func send[A any](cl *simulatedOperators, serve func(c *simulatedControl, answer func(A)), clear func(A) bool, done func(*A)) {
-	w, sends := cl.world, 0
+	w, sends := cl.sim, 0
 	first := w.rng.IntN(len(w.controls))
 	var again func()
 	again = func() {
@@ -149,7 +146,7 @@
 
 // read reads the newest state. Whoever is not sure of it gives none.
 func (cl *simulatedOperators) read(done func(*newestState)) {
-	w, began, ids := cl.world, cl.world.now, cl.ids()
+	w, began, ids := cl.sim, cl.sim.now, cl.ids()
 	send(cl, func(c *simulatedControl, answer func(*newestState)) { c.read(ids, answer) }, func(s *newestState) bool { return s != nil },
 		func(answer **newestState) {
 			if answer == nil {
@@ -172,7 +169,7 @@
 // returned is when a call was answered; one without a clear answer may still come true.
 func (cl *simulatedOperators) returned(known bool) int64 {
 	if known {
-		return int64(cl.world.now)
+		return int64(cl.sim.now)
 	}
 	return math.MaxInt64
 }
@@ -193,7 +190,7 @@
 
 // change has a configuration taken on top of the newest one; two operators do so at once.
 func (cl *simulatedOperators) change(operator int, done func()) {
-	w := cl.world
+	w := cl.sim
 	cl.read(func(s *newestState) {
 		if s == nil {
 			done()
@@ -225,7 +222,7 @@
 
 // evacuate begins or ends an evacuation.
 func (cl *simulatedOperators) evacuate(on bool, done func(known bool)) {
-	w, began := cl.world, cl.world.now
+	w, began := cl.sim, cl.sim.now
 	operation := &api.Operation{Kind: &api.Operation_Evacuation{Evacuation: &api.SetEvacuation{Zone: evacuatedZone, Active: on}}}
 	cl.operate(operation, func(outcome *result.Error) {
 		if outcome != nil && !outcome.Code.Succeeded() {
@@ -239,7 +236,7 @@
 
 // retire announces a backend's end.
 func (cl *simulatedOperators) retire(done func()) {
-	w := cl.world
+	w := cl.sim
 	cl.retiring++
 	id := fmt.Sprintf("b%d", cl.retiring)
 	cl.operate(&api.Operation{Kind: &api.Operation_Retire{Retire: &api.RetireBackend{Id: id}}}, func(outcome *result.Error) {
@@ -256,15 +253,15 @@
 
 // auditFresh checks that a process whose word counts as fresh has what was acknowledged some time ago.
 func (cl *simulatedOperators) auditFresh(c *simulatedControl) {
-	if c.replica.Machine().Version() < cl.newest.version && cl.world.now-cl.newest.at > freshAge {
-		cl.world.failf("%s counts as fresh with version %d; %d was acknowledged at %v", c.address, c.replica.Machine().Version(),
+	if c.replica.Machine().Version() < cl.newest.version && cl.sim.now-cl.newest.at > freshAge {
+		cl.sim.failf("%s counts as fresh with version %d; %d was acknowledged at %v", c.address, c.replica.Machine().Version(),
 			cl.newest.version, cl.newest.at)
 	}
 }
 
 // powerIsLost ends all control processes at once, and starts them again after a while.
 func (cl *simulatedOperators) powerIsLost() {
-	w := cl.world
+	w := cl.sim
 	if cl.darkUntil > w.now {
 		return
 	}
@@ -286,7 +283,7 @@
 // auditAnswers checks that all answers are those of one register, and of one switch.
 func (cl *simulatedOperators) auditAnswers() {
 	const patience = 30 * time.Second
-	w := cl.world
+	w := cl.sim
 	if porcupine.CheckOperationsTimeout(linearizability.ConfigurationModel(linearizability.Configuration{}), cl.configs, patience) != porcupine.Ok {
 		w.failf("the answers to %d calls are not those of one register", len(cl.configs))
 	}
@@ -294,176 +291,3 @@
 		w.failf("the answers to %d calls are not those of one switch", len(cl.switches))
 	}
 }
-
-// ---- agents ----
-
-// simulatedAgent follows control, and gives orders while it holds the role.
-type simulatedAgent struct {
-	world    *simulation
-	node     *api.Node
-	holder   string
-	feed     *watch.Store
-	cursor   *watch.Cursor
-	at       int // which control process it follows
-	asking   bool
-	stale    time.Duration // since when its source's word is not fresh; 0: it is
-	sequence uint64
-	frozen   bool
-	fence    uint64
-	until    time.Duration // of its lease
-	orders   int
-}
-
-const (
-	agentWatchInterval  = 50 * time.Millisecond
-	agentRenewInterval  = 400 * time.Millisecond
-	agentReportInterval = 600 * time.Millisecond
-	agentOrderInterval  = 70 * time.Millisecond
-	agentTimeout        = 600 * time.Millisecond
-	maxAgentStaleness   = 300 * time.Millisecond
-)
-
-var placementKey = lease.PlacementKey("llm")
-
-func (w *simulation) addAgent(number int) {
-	name := fmt.Sprintf("a%d", number)
-	a := &simulatedAgent{
-		world: w, node: &api.Node{Name: name, Address: name + ":1", Incarnation: 1}, holder: lease.HolderID(name, 1),
-		feed: watch.New(name, w.clock), cursor: watch.NewCursor(nil), at: number,
-	}
-	w.agents = append(w.agents, a)
-	regularly := func(span time.Duration, do func()) {
-		w.every(span, func() bool {
-			if !a.frozen {
-				do()
-			}
-			return true
-		})
-	}
-	regularly(agentWatchInterval, a.follow)
-	regularly(agentReportInterval, a.report)
-	regularly(agentRenewInterval, a.renew)
-	regularly(agentOrderInterval, a.sendOrder)
-}
-
-// source is the control process that the agent follows.
-func (a *simulatedAgent) source() *simulatedControl {
-	return a.world.controls[a.at%len(a.world.controls)]
-}
-
-// follow asks for what is new.
-func (a *simulatedAgent) follow() {
-	if a.asking {
-		return
-	}
-	a.asking = true
-	w, c := a.world, a.source()
-	request := a.feed.NewRequest(a.cursor)
-	call(w, a.node.Name, c.address, agentTimeout, func(answer func(*api.WatchReply)) {
-		c.run(func() { answer(c.feed.HandleWatch(w.t.Context(), request, 0)) })
-	}, func(answer **api.WatchReply) {
-		a.asking = false
-		if answer == nil {
-			a.at++
-			return
-		}
-		if !a.frozen {
-			a.onReply(*answer)
-		}
-	})
-}
-
-func (a *simulatedAgent) onReply(answer *api.WatchReply) {
-	w := a.world
-	a.feed.ApplyReply(answer, a.cursor)
-	sequence, _ := a.feed.Position()
-	if sequence < a.sequence {
-		w.failf("%s went back from entry %d to %d", a.node.Name, a.sequence, sequence)
-	}
-	a.sequence = sequence
-	if newest := w.operators.newest; answer.Fresh && agentVersion(a) < newest.version && w.now-newest.at > freshAge+agentTimeout {
-		w.failf("%s was told that version %d is fresh; %d was acknowledged at %v", a.node.Name, agentVersion(a), newest.version, newest.at)
-	}
-	switch {
-	case answer.Fresh:
-		a.stale = 0
-	case a.stale == 0:
-		a.stale = w.now
-	case w.now-a.stale > maxAgentStaleness:
-		a.at++
-		a.stale = 0
-	}
-}
-
-// report tells control processes that the agent lives.
-func (a *simulatedAgent) report() {
-	for _, c := range a.world.controls {
-		node := &api.Node{Name: a.node.Name, Address: a.node.Address, Incarnation: a.node.Incarnation}
-		a.world.datagram(a.node.Name, c.address, func() { c.run(func() { c.feed.RecordNode(node) }) })
-	}
-}
-
-// renew asks for its lease.
-func (a *simulatedAgent) renew() {
-	w, asked := a.world, a.world.now
-	c := w.controls[w.rng.IntN(len(w.controls))]
-	call(w, a.node.Name, c.address, agentTimeout, func(answer func(*api.LeaseReply)) {
-		c.run(func() { c.lease(a.holder, false, answer) })
-	}, func(answer **api.LeaseReply) {
-		if answer == nil || result.Code((*answer).Code) != result.Committed {
-			return
-		}
-		a.until = 0
-		for _, held := range (*answer).Renewed {
-			if held.Key == placementKey {
-				a.fence, a.until = held.FencingToken, asked+time.Duration((*answer).ValidMs)*time.Millisecond
-			}
-		}
-	})
-}
-
-// holdsLease tells whether the agent's lease runs.
-func (a *simulatedAgent) holdsLease() bool { return a.world.now < a.until }
-
-// sendOrder gives the backend an order, if the agent may. Nobody else may at that moment.
-func (a *simulatedAgent) sendOrder() {
-	w := a.world
-	if !a.holdsLease() {
-		return
-	}
-	for _, other := range w.agents {
-		if other != a && other.holdsLease() {
-			w.failf("%s gives an order under token %d, and %s holds the role under %d", a.node.Name, a.fence, other.node.Name, other.fence)
-		}
-	}
-	a.orders++
-	fence := a.fence
-	w.datagram(a.node.Name, "backend", func() { w.backend.onOrder(a.holder, fence) })
-}
-
-// simulatedBackend takes orders.
-type simulatedBackend struct {
-	world  *simulation
-	holder string
-	fence  uint64
-	tokens int // under which orders came
-}
-
-// onOrder takes an order. Tokens never go back, and none is two holders'.
-func (b *simulatedBackend) onOrder(holder string, fence uint64) {
-	switch {
-	case fence < b.fence:
-		b.world.failf("an order under token %d after one under %d", fence, b.fence)
-	case fence == b.fence && holder != b.holder:
-		b.world.failf("%s and %s give orders under token %d", holder, b.holder, fence)
-	case fence > b.fence:
-		b.tokens++
-		b.fence, b.holder = fence, holder
-	}
-}
-
-// agentVersion is the version of the configuration that an agent goes by.
-func agentVersion(a *simulatedAgent) (version uint64) {
-	a.feed.ReadState(func(m *state.Machine) { version = m.Version() })
-	return version
-}
