--- a/internal/process/logevent/logevent.go
+++ b/internal/process/logevent/logevent.go
@@ -7,6 +7,8 @@
 
 // Keys of the values of a log line.
 const (
+	// KeyNode is the name of the machine whose process writes the line; each line has it.
+	KeyNode = "node"
 	// KeyBackend is a backend's id.
 	KeyBackend = "backend"
 	// KeyBackends is a number of backends.
@@ -49,7 +51,7 @@
 	KeyChain = "chain"
 	// KeyMembers is how many members of a view vote.
 	KeyMembers = "members"
-	// KeyRequest is the engine's number of a request.
+	// KeyRequest is the Request-Id that a client gave its request.
 	KeyRequest = "request"
 	// KeyAttempts is how many attempts a request had.
 	KeyAttempts = "attempts"
--- /dev/null
+++ b/internal/testing/simcluster/power_loss_test.go
@@ -0,0 +1,66 @@
+package simcluster
+
+import (
+	"testing"
+	"time"
+)
+
+// controlBootDelay is how much later than the proxies' machines control's are back.
+const controlBootDelay = 300 * time.Millisecond
+
+// losePower kills all processes at once, and starts them again after an outage: those of the proxies' machines first,
+// while control's answer nothing yet.
+func (c *Cluster) losePower(outage time.Duration) {
+	for _, m := range c.Machines() {
+		m.Kill()
+	}
+	var addresses []string
+	for _, m := range c.Machines() {
+		addresses = append(addresses, m.IP)
+	}
+	for _, control := range c.Controls {
+		c.Net.Isolate(control.IP, addresses, true)
+	}
+	c.Sleep(outage)
+	for _, edge := range c.Edges {
+		edge.Start()
+	}
+	c.Sleep(controlBootDelay)
+	for _, control := range c.Controls {
+		c.Net.Isolate(control.IP, addresses, false)
+	}
+	c.startControls()
+}
+
+// awaitServing waits until a proxy serves, and returns the time that it took: pauses alone, not the requests.
+func (c *Cluster) awaitServing(t *testing.T, edge *Machine, timeout time.Duration) time.Duration {
+	t.Helper()
+	const interval = 10 * time.Millisecond
+	for waited := time.Duration(0); waited < timeout; waited += interval {
+		got, err := c.Send(edge, slipRequest())
+		if err == nil && got.Status == 200 {
+			return waited
+		}
+		c.Sleep(interval)
+	}
+	t.Fatalf("%s does not serve after %s", edge.Name, timeout)
+	return 0
+}
+
+// After a loss of power everywhere, each proxy serves soon after control does: a call to a machine that was still down
+// delays nobody.
+func TestProxiesServeSoonAfterPowerIsBack(t *testing.T) {
+	runWithRelays(t, func(t *testing.T, c *Cluster) {
+		c.losePower(time.Second)
+		began := time.Now()
+		for _, edge := range c.Edges {
+			c.awaitServing(t, edge, 10*time.Second)
+		}
+		took := time.Since(began)
+		t.Logf("all proxies serve %v after control has started", took)
+		const maxTime = 900 * time.Millisecond // control starts, a backend reports, and three hops batch updates
+		if took >= maxTime {
+			t.Errorf("all proxies serve after %v, and not within %v", took, maxTime)
+		}
+	})
+}
--- /dev/null
+++ b/internal/testing/simcluster/serving_test.go
@@ -0,0 +1,123 @@
+package simcluster
+
+import (
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/matryer/is"
+)
+
+// sendAsync sends a request. The function that it returns waits for the response, and fails the test if there is none.
+func (c *Cluster) sendAsync(t *testing.T, edge *Machine, r Request) (await func() Response) {
+	t.Helper()
+	var got Response
+	var err error
+	var sent sync.WaitGroup
+	sent.Go(func() { got, err = c.Send(edge, r) })
+	return func() Response {
+		t.Helper()
+		sent.Wait()
+		if err != nil {
+			t.Fatalf("request %s to %s: %v", r.ID, edge.Name, err)
+		}
+		return got
+	}
+}
+
+func TestStreamsAndPlainRequestsAreServed(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		c := startCluster(t, controls, 2)
+		for _, edge := range c.Edges {
+			r := chatRequest("m0")
+			got, err := c.Send(edge, r)
+			is.NoErr(err)
+			checkStream(t, r, got, 10)
+			got, err = c.Send(edge, slipRequest())
+			is.NoErr(err)
+			is.Equal(got.Status, 200)
+			got, err = c.Send(edge, Request{ID: newID(), Host: "a.example", Path: "/nothing/", Timeout: time.Second})
+			is.NoErr(err)
+			is.Equal(got.Status, 404)
+		}
+	})
+}
+
+// A stream that may be resumed continues at another backend within one response, with every event once.
+func TestBrokenStreamIsResumed(t *testing.T) {
+	runWithCluster(t, func(t *testing.T, c *Cluster) {
+		is := is.New(t)
+		r := chatRequest("m0")
+		r.Tokens = "1000,200"
+		await := c.sendAsync(t, c.Edges[0], r)
+		c.Sleep(time.Second)
+		first := c.executionsOf(r.ID)
+		is.Equal(len(first), 1)
+		c.backend(first[0].Backend).Kill()
+		got := await()
+		checkStream(t, r, got, 100)
+		executions := c.executionsOf(r.ID)
+		is.Equal(len(executions), 2)
+		is.True(executions[1].LastEventID > 0) // it did not start over
+		is.Equal(got.Seal, "seal."+first[0].Backend+"."+r.ID)
+	})
+}
+
+// An unsafe request runs at most once, and never where its response promises that it did not.
+func TestUnsafeRequestRunsAtMostOnce(t *testing.T) {
+	runWithCluster(t, func(t *testing.T, c *Cluster) {
+		is := is.New(t)
+		for i := range 20 {
+			r := slipRequest()
+			await := c.sendAsync(t, c.Edges[i%3], r)
+			c.Sleep(10 * time.Millisecond)
+			if executions := c.executionsOf(r.ID); i == 7 && len(executions) == 1 {
+				c.backend(executions[0].Backend).Kill()
+			}
+			got := await()
+			count := len(c.executionsOf(r.ID))
+			is.True(count <= 1)
+			switch got.Status {
+			case 503, 429:
+				is.Equal(count, 0)
+			case 200:
+				is.Equal(count, 1)
+			}
+		}
+	})
+}
+
+func TestDrainingProxyAnswersAllRequests(t *testing.T) {
+	runWithCluster(t, func(t *testing.T, c *Cluster) {
+		is := is.New(t)
+		running, waiting := chatRequest("m0"), chatRequest("m2")
+		running.Tokens = "1000,100" // a second
+		awaitRunning := c.sendAsync(t, c.Edges[0], running)
+		c.Sleep(200 * time.Millisecond)
+		awaitWaiting := c.sendAsync(t, c.Edges[0], waiting)
+		c.Sleep(50 * time.Millisecond)
+		c.Edges[0].Terminate()
+		checkStream(t, running, awaitRunning(), 50)
+		got := awaitWaiting()
+		is.True(got.Status == 200 || got.Status == 503) // an answer, whichever
+		if got.Status == 503 {
+			is.Equal(len(c.executionsOf(waiting.ID)), 0)
+		}
+	})
+}
+
+// A proxy without control goes on serving by what it knows.
+func TestProxiesServeWithoutControl(t *testing.T) {
+	runWithCluster(t, func(t *testing.T, c *Cluster) {
+		for _, m := range c.Controls {
+			m.Kill()
+		}
+		c.Sleep(20 * time.Second)
+		c.checkServed(t, c.Edges, "/slip/1", 200)
+		c.startControls()
+		c.Sleep(5 * time.Second)
+		c.replaceConfiguration(t, documentWithSlipsAt("/back/"), 5*time.Second)
+	})
+}
