--- a/internal/testing/simcluster/catchup_test.go
+++ b/internal/testing/simcluster/catchup_test.go
@@ -93,10 +93,10 @@
 		is := is.New(t)
 		c := startCluster(t, controls, manyEdges)
 		for _, edge := range c.Edges {
-			c.Net.SetRateOf(edge.IP, slowLinkBytesPerSecond)
+			c.Net.SetMachineRate(edge.IP, slowLinkBytesPerSecond)
 		}
 		for _, m := range c.Controls {
-			c.Net.SetRateOf(m.IP, coreLinkBytesPerSecond)
+			c.Net.SetMachineRate(m.IP, coreLinkBytesPerSecond)
 		}
 		var routes []string
 		for i := range manyRoutes {
