--- a/internal/balancer/budgetshare/membership.go
+++ b/internal/balancer/budgetshare/membership.go
@@ -1,7 +1,6 @@
 package budgetshare
 
 import (
-	"cmp"
 	"hash/fnv"
 	"io"
 	"slices"
@@ -9,13 +8,13 @@
 )
 
 const (
-	// SettleTime is how long a list must stand before a part that grows by it is used.
+	// SettleTime is how long a list must stand before a share that grows by it is used.
 	SettleTime = 4 * time.Second
-	// MembershipTimeout is how long a list holds without word that it is fresh.
+	// MembershipTimeout is how long a list counts without an update that says that it is fresh.
 	MembershipTimeout = 3 * time.Second
 )
 
-// Membership is who shares the budgets, as one proxy knows it. Not safe for concurrent use.
+// Membership is the list of proxies that share the budgets, as one proxy knows it. Not safe for concurrent use.
 type Membership struct {
 	self        string
 	names       []string // the newest list, sorted
@@ -24,14 +23,14 @@
 	everUpdated bool
 }
 
-// previousMembers is a list that held until a time.
+// previousMembers is a list that was in force until a time.
 type previousMembers struct {
 	names []string
 	until time.Duration
 }
 
-// NewMembership makes the sharers of a proxy that has just started: it has no part until its
-// list has stood for Settle.
+// NewMembership makes the membership of a proxy that has just started: it has no share until its
+// list has stood for SettleTime.
 func NewMembership(self string, now time.Duration) *Membership {
 	return &Membership{self: self, previous: []previousMembers{{nil, now}}}
 }
@@ -60,7 +59,7 @@
 	return !s.everUpdated || now-s.updatedAt > MembershipTimeout
 }
 
-// minShare gives the smallest part that any list gives which held within Settle.
+// minShare gives the smallest share by any list that was in force within SettleTime.
 func (s *Membership) minShare(now time.Duration, part func(names []string) int) int {
 	if s.Expired(now) {
 		return 0
@@ -73,7 +72,7 @@
 	return smallest
 }
 
-// Share is this proxy's part of a whole number that belongs to a key, such as a backend.
+// Share is this proxy's share of a total that belongs to a key, such as a backend.
 func (s *Membership) Share(now time.Duration, key string, whole int) int {
 	return s.minShare(now, func(names []string) int { return s.shareAmong(names, key, whole) })
 }
@@ -101,39 +100,9 @@
 
 func score(key, name string) uint64 {
 	hash := fnv.New64a()
-	io.WriteString(hash, key)
-	io.WriteString(hash, "|")
-	io.WriteString(hash, name)
+	_, _ = io.WriteString(hash, key+"|"+name) // a hash takes all that it is given
 	h := hash.Sum64()
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
 	return h ^ h>>33
 }
-
-// Window counts what happened within a sliding span.
-type Window struct {
-	span time.Duration
-	at   []time.Duration
-}
-
-// NewWindow makes an empty window.
-func NewWindow(span time.Duration) Window { return Window{span: span} }
-
-// Add notes one at a time.
-func (w *Window) Add(now time.Duration) {
-	w.expire(now)
-	w.at = append(w.at, now)
-}
-
-// Count is how many were within the span before now.
-func (w *Window) Count(now time.Duration) int {
-	w.expire(now)
-	return len(w.at)
-}
-
-func (w *Window) expire(now time.Duration) {
-	old, _ := slices.BinarySearchFunc(w.at, now-w.span, func(at, limit time.Duration) int { return cmp.Compare(at, limit+1) })
-	if old > 0 {
-		w.at = slices.Delete(w.at, 0, old)
-	}
-}
--- /dev/null
+++ b/internal/balancer/budgetshare/retry.go
@@ -0,0 +1,54 @@
+package budgetshare
+
+import "time"
+
+// RetryConfig is the bound on retries to a service from all proxies.
+type RetryConfig struct {
+	Ratio  float64 // retries for each request
+	Slack  float64 // and so many more
+	Window time.Duration
+}
+
+const (
+	// retryMargin is the part of the ratio that is used.
+	retryMargin = 0.8
+	// slackMargin is the part of the slack that is given out: lists may differ for a
+	// moment, and a process may have replaced another one within a window.
+	slackMargin = 0.5
+)
+
+// RetryBudget keeps this proxy's share of the budget. Not safe for concurrent use.
+type RetryBudget struct {
+	cfg        RetryConfig
+	membership *Membership
+	startedAt  time.Duration
+	requests   Window
+	retries    Window
+}
+
+// NewRetryBudget makes the budget of a process that starts now.
+func NewRetryBudget(cfg RetryConfig, sharers *Membership, now time.Duration) *RetryBudget {
+	return &RetryBudget{cfg: cfg, membership: sharers, startedAt: now, requests: NewWindow(cfg.Window), retries: NewWindow(cfg.Window)}
+}
+
+// RecordRequest counts a request that is sent, for the first time or again.
+func (r *RetryBudget) RecordRequest(now time.Duration) { r.requests.Add(now) }
+
+// Remaining is how many retries there may still be now.
+func (r *RetryBudget) Remaining(now time.Duration) float64 {
+	earned := min(1, float64(now-r.startedAt)/float64(max(r.cfg.Window, 1)))
+	slack := slackMargin * r.cfg.Slack / float64(r.membership.Count()) * earned
+	if r.membership.Expired(now) {
+		slack /= 2
+	}
+	return retryMargin*r.cfg.Ratio*float64(r.requests.Count(now)-r.retries.Count(now)) + slack - float64(r.retries.Count(now))
+}
+
+// TryAcquire takes one retry, if there may be one.
+func (r *RetryBudget) TryAcquire(now time.Duration) bool {
+	if r.Remaining(now) < 1 {
+		return false
+	}
+	r.retries.Add(now)
+	return true
+}
--- a/internal/balancer/connections/model.go
+++ b/internal/balancer/connections/model.go
@@ -1,16 +1,16 @@
-// Package connections is a model of connections: how likely each is to break under the next
+// Package connections is a model of pooled connections: how likely each is to break under the next
 // request, and so which one a request should have. It is pure: events come with the
 // time on them, choices go out; it opens nothing, reads no clock and starts no goroutine.
-// It never decides which backend gets a request, nor what may be sent again: those are
-// the decision module's.
+// It never decides which backend gets a request, nor what may be retried: package balancer does. Its Model belongs to
+// the connection pool of internal/httpproxy.
 //
 // A use of a connection either breaks after the request was written and before an
 // answer (when it may have run, so that an unsafe request is lost) or does not. Uses
 // fall into cells: the first use of a new connection, and reuse by how long the
 // connection stood idle, in steps of about a factor of 3; large requests have cells of
 // their own. In each cell the hazard has a Beta prior with a stated mean and weight, and
-// is learnt at three levels, each the prior of the next: all backends, those of one
-// zone, one backend. Old evidence fades exponentially, so a hazard that goes is
+// is learned at three levels, each the prior of the next: all backends, those of one
+// zone, one backend. Old evidence decays exponentially, so a hazard that goes is
 // forgotten, and one that comes is seen after some ten uses. Over idle time the hazard
 // of all backends is made non-decreasing by pooling neighbours that violate it: what
 // resets idle connections resets older ones at least as often, and sparse cells borrow
@@ -24,24 +24,24 @@
 	"time"
 )
 
-// Config is what the model assumes before it has learnt anything.
+// Config is what the model assumes before it has learned anything.
 type Config struct {
-	// PriorNew and PriorKept are the hazards assumed of new and of kept connections.
-	// Raising PriorKept above PriorNew makes a model that knows nothing dial.
+	// PriorNew and PriorReused are the hazards assumed of new and of reused connections.
+	// Raising PriorReused above PriorNew makes a model that knows nothing dial.
 	PriorNew, PriorReused float64
 	// Weight is how many uses the prior counts for at each level. Lower learns sooner
 	// and is fooled sooner.
 	Weight float64
-	// TimeConstant is the time in which evidence fades to 1/e.
+	// TimeConstant is the time in which evidence decays to 1/e.
 	TimeConstant time.Duration
-	// HandshakeCost is what a new connection costs, in worth: its price, and the work that
+	// HandshakeCost is what a new connection costs, in utility: its price, and the work that
 	// it takes from other requests.
 	HandshakeCost float64
-	// MaxBackends bounds what is kept; past it, the one heard of the longest ago goes.
+	// MaxBackends bounds what is kept; past it, the one used the longest ago is dropped.
 	MaxBackends int
 }
 
-// DefaultConfig fits requests whose mean worth is given.
+// DefaultConfig fits requests whose mean utility is given.
 func DefaultConfig(meanWorth, handshakePrice float64) Config {
 	return Config{
 		PriorNew: 0.004, PriorReused: 0.002, Weight: 8, TimeConstant: 30 * time.Second,
@@ -49,28 +49,28 @@
 	}
 }
 
-// handshakeWork is the part of a mean request's worth that a handshake costs others: it
+// handshakeWork is the part of a mean request's utility that a handshake costs others: it
 // takes some 12 ms of a backend whose requests take some 50, which matters at most as
 // much as they do while nodes are busy.
 const handshakeWork = 0.05
 
-// SetHandshakeCost says what a new connection costs from now on, in worth.
+// SetHandshakeCost says what a new connection costs from now on, in utility.
 func (m *Model) SetHandshakeCost(worth float64) { m.cfg.HandshakeCost = worth }
 
-// BreakEffect is what a break does to a request.
+// BreakEffect is what a broken connection does to a request.
 type BreakEffect uint8
 
 // The effects.
 const (
 	Lost    BreakEffect = iota // it may have run, and must not run twice: it fails
-	Delayed                    // it may be sent again, as time and budgets allow
+	Delayed                    // it may be retried, as time and budgets allow
 )
 
-// delayedLoss is the part of its worth that a request loses, in the mean, by a break
-// that lets it be sent again.
+// delayedLoss is the part of its utility that a request loses, on average, by a break
+// after which it may be retried.
 const delayedLoss = 0.35
 
-// Request is what a request has to lose.
+// Request is what a request has to lose by a broken connection.
 type Request struct {
 	Utility float64
 	Effect  BreakEffect
@@ -87,7 +87,7 @@
 // Use is one use of a connection.
 type Use struct {
 	New   bool
-	Idle  time.Duration // how long it stood before; of a kept one
+	Idle  time.Duration // how long a reused one had been idle
 	Large bool          // the request
 }
 
@@ -119,17 +119,17 @@
 	return i
 }
 
-// tally is evidence of one cell: uses and breaks, faded.
+// tally is evidence of one cell: uses and broken uses, decayed.
 type tally struct{ uses, broken float64 }
 
 // level is the evidence of one scope, and the hazards that follow from it.
 type level struct {
 	at         time.Duration
 	cells      [cells]tally
-	early      tally // of all uses: breaks that came soon after the first bytes
+	early      tally // of all uses: those that broke soon after the first bytes
 	hazards    [cells]float64
 	computedAt time.Duration
-	current    bool // hazards are those of the evidence, but for what has faded since
+	current    bool // hazards are those of the evidence, but for what has decayed since
 }
 
 func (l *level) decay(now, memory time.Duration) {
@@ -145,7 +145,7 @@
 	}
 }
 
-// Model is what was learnt. Not safe for use by several goroutines at once.
+// Model is what was learned. Not safe for concurrent use.
 type Model struct {
 	cfg      Config
 	all      level
@@ -154,7 +154,7 @@
 	holdback time.Duration
 }
 
-// New makes a model that has learnt nothing.
+// New makes a model that has learned nothing.
 func New(cfg Config) *Model {
 	return &Model{cfg: cfg, zones: map[int]*level{}, backends: map[uint32]*level{}, holdback: initialHoldback}
 }
@@ -170,7 +170,7 @@
 func (m *Model) RecordOutcome(now time.Duration, backend uint32, zone int, u Use, end Outcome) {
 	broke, early := end.Broken, end.Broken && end.After < maxHoldback
 	if early {
-		// The hold follows a high quantile of when early breaks come: one that came after
+		// The holdback follows a high quantile of when early breaks come: one that came after
 		// it lengthens it by much, one within it shortens it by little.
 		if end.Complete && end.After > m.holdback {
 			m.holdback = min(time.Duration(float64(m.holdback)*holdbackIncrease), maxHoldback)
@@ -218,17 +218,17 @@
 	delete(m.backends, oldest)
 }
 
-// Forget drops a backend that has left.
+// Forget drops a backend that has left the membership.
 func (m *Model) Forget(backend uint32) { delete(m.backends, backend) }
 
 // Backends is how many are known.
 func (m *Model) Backends() int { return len(m.backends) }
 
-// refreshInterval is how old worked-out hazards may grow, while no break has come.
+// refreshInterval is how old computed hazards may grow, while no break has come.
 const refreshInterval = time.Second / 4
 
-// refreshHazards brings a level's hazards up to its evidence. Those of the wider level are the
-// means of its priors; nil is the widest.
+// refreshHazards computes a level's hazards from its evidence. Those of the wider level are the
+// means of its priors; nil: it is the widest.
 func (m *Model) refreshHazards(now time.Duration, l, wider *level) {
 	if l.current && now-l.computedAt < refreshInterval && (wider == nil || wider.computedAt <= l.computedAt) {
 		return
@@ -296,7 +296,7 @@
 	return m.hazards(now, backend, zone)[cell(u)]
 }
 
-// The hold: how long the last byte of a request is kept back.
+// The holdback: how long the last byte of a request is held back.
 const (
 	initialHoldback   = 1 * time.Millisecond
 	minHoldback       = 300 * time.Microsecond
@@ -306,7 +306,7 @@
 	holdbackThreshold = 0.005
 )
 
-// Holdback is how long the last byte of a request should be kept back after the others were
+// Holdback is how long the last byte of a request should be held back after the others were
 // written. A backend begins a request when its last byte has come, so what breaks until
 // then proves that nothing ran. Where hardly any connection breaks so early it is 0: one
 // write, and no wait.
@@ -327,7 +327,7 @@
 // Dial is Choose's answer for a new connection.
 const Dial = -1
 
-// equalHazard is by how little hazards differ that are taken for one.
+// equalHazard is the difference of hazards up to which they count as equal.
 const equalHazard = 0.004
 
 // significantSpread is by how much the hazards of kept connections must differ for it to matter
@@ -379,8 +379,8 @@
 		m.Hazard(now, backend, zone, Use{New: true})*s.loss()+m.cfg.HandshakeCost
 }
 
-// State is what was learnt of all connections together, for another process to go on with.
-// What was learnt of a zone or a backend alone follows from it within some ten uses.
+// State is what was learned of all connections together, for another process to go on with. Its encoding is an
+// array: the order of the fields is the stored form. What was learned of a zone or a backend alone follows from it within some ten uses.
 type State struct {
 	//lint:ignore U1000 the codec reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -401,7 +401,7 @@
 	return s
 }
 
-// Resume goes on with what another process had learnt, away ago, if it had seen more.
+// Resume goes on with what another process had learned, age ago, if it had seen more.
 func (m *Model) Resume(s State, away, now time.Duration) {
 	l := &m.all
 	l.decay(now, m.cfg.TimeConstant)
