--- a/internal/testing/simcluster/bundle_test.go
+++ b/internal/testing/simcluster/bundle_test.go
@@ -44,8 +44,7 @@
 func TestSupportBundle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := startCluster(t, 3, 2)
-		defer c.Stop()
+		c := startCluster(t, controls, 2)
 		secret := chatRequest("m0")
 		secret.Body = "the buyer's secret"
 		_, err := c.Send(c.Edges[0], secret)
