--- a/cmd/marlreel/state.go
+++ b/cmd/marlreel/state.go
@@ -11,7 +11,7 @@
 
 	"marlreel/internal/balancer/staleness"
 	"marlreel/internal/process/learnedstate"
-	"marlreel/internal/process/store"
+	"marlreel/internal/process/learnedstate/statefile"
 )
 
 const stateUsage = `marlreel state show FILE [--json]   what a proxy's memory holds
@@ -49,12 +49,12 @@
 	if err != nil {
 		return fail(1, err)
 	}
-	r, err := store.Decode(data)
+	r, err := statefile.Decode(data)
 	if err != nil {
 		return fail(1, fmt.Errorf("%s: %w", files[0], err))
 	}
 	if args[0] == "check" {
-		fmt.Fprintf(out, "%s is whole: %s's, %d backends, %d classes\n", files[0], r.State.Of, len(r.State.Backends), len(r.State.Classes))
+		fmt.Fprintf(out, "%s is whole: %s's, %d backends, %d classes\n", files[0], r.State.ProxyName, len(r.State.Backends), len(r.State.Classes))
 		return 0
 	}
 	if *asJSON {
@@ -65,28 +65,28 @@
 		}
 		return 0
 	}
-	show(out, r, store.Now())
+	show(out, r, statefile.CurrentTimestamp())
 	return 0
 }
 
 // show prints a record for a person.
-func show(out io.Writer, r *store.Record, now staleness.Timestamp) {
+func show(out io.Writer, r *statefile.Record, now staleness.Timestamp) {
 	age := "of unknown age"
-	if d, err := staleness.Age(r.At, now); err == nil {
+	if d, err := staleness.Age(r.WrittenAt, now); err == nil {
 		age = d.Round(time.Second).String() + " old"
 	}
 	how := "while it ran: the process did not end as told, or runs"
-	if r.Stopped {
+	if r.ShutDown {
 		how = "at its stop"
 	}
 	s := r.State
-	fmt.Fprintf(out, "%s, %s, written %s\n\n%-20s %10s %10s %12s\n", s.Of, age, how, "class", "answers", "delay ms", "served lately")
+	fmt.Fprintf(out, "%s, %s, written %s\n\n%-20s %10s %10s %12s\n", s.ProxyName, age, how, "class", "answers", "delay ms", "served lately")
 	for _, c := range s.Classes {
 		mean := 0.0
-		if c.Line[0] > 0 {
-			mean = c.Line[2] / c.Line[0]
+		if c.DelayFit[0] > 0 {
+			mean = c.DelayFit[2] / c.DelayFit[0]
 		}
-		fmt.Fprintf(out, "%-20s %10.0f %10.1f %12.1f\n", c.Name, c.Line[0], mean, c.Served)
+		fmt.Fprintf(out, "%-20s %10.0f %10.1f %12.1f\n", c.Name, c.DelayFit[0], mean, c.Served)
 	}
 	fmt.Fprintf(out, "\n%-20s %-22s %-9s %8s %8s %10s %s\n", "backend", "address", "health", "limit", "answers", "last ok", "")
 	for _, b := range s.Backends {
@@ -94,16 +94,16 @@
 		if !b.Healthy {
 			health = "not well"
 		}
-		if b.Ejected > 0 {
-			more += fmt.Sprintf(" out for %v still", b.Ejected.Round(time.Millisecond))
+		if b.EjectedFor > 0 {
+			more += fmt.Sprintf(" out for %v still", b.EjectedFor.Round(time.Millisecond))
 		}
-		if b.Cold >= 0 {
-			more += fmt.Sprintf(" started %v before", b.Cold.Round(time.Millisecond))
+		if b.SinceStart >= 0 {
+			more += fmt.Sprintf(" started %v before", b.SinceStart.Round(time.Millisecond))
 		}
 		ago := "never"
 		if b.LastOK != learnedstate.Never {
 			ago = b.LastOK.Round(time.Millisecond).String()
 		}
-		fmt.Fprintf(out, "%-20s %-22s %-9s %8.1f %8.1f %10s%s\n", b.Name, b.Addr, health, b.Limit, b.Answers, ago, more)
+		fmt.Fprintf(out, "%-20s %-22s %-9s %8.1f %8.1f %10s%s\n", b.Name, b.Address, health, b.ConcurrencyLimit, b.Answers, ago, more)
 	}
 }
--- a/cmd/marlreel/state_test.go
+++ b/cmd/marlreel/state_test.go
@@ -12,22 +12,22 @@
 	"marlreel/internal/balancer/staleness"
 	"marlreel/internal/process/learnedstate"
 	"marlreel/internal/process/learnedstate/codec"
-	"marlreel/internal/process/store"
+	"marlreel/internal/process/learnedstate/statefile"
 )
 
 func TestState(t *testing.T) {
 	t.Parallel()
 	state, err := codec.Encode(&learnedstate.State{
-		Of: "n0",
+		ProxyName: "n0",
 		Backends: []learnedstate.Backend{
-			{Name: "s-1", Addr: "127.0.0.1:80", Healthy: true, Limit: 7, LastOK: time.Second, Cold: learnedstate.Never},
-			{Name: "s-2", Addr: "127.0.0.1:81", Ejected: 3 * time.Second, LastOK: learnedstate.Never, Cold: 2 * time.Second},
+			{Name: "s-1", Address: "127.0.0.1:80", Healthy: true, ConcurrencyLimit: 7, LastOK: time.Second, SinceStart: learnedstate.Never},
+			{Name: "s-2", Address: "127.0.0.1:81", EjectedFor: 3 * time.Second, LastOK: learnedstate.Never, SinceStart: 2 * time.Second},
 		},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	data, err := store.Encode(staleness.Timestamp{Wall: time.Now().Add(-time.Minute)}, true, state)
+	data, err := statefile.Encode(staleness.Timestamp{Wall: time.Now().Add(-time.Minute)}, true, state)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,8 +62,8 @@
 	}
 	var out bytes.Buffer
 	run([]string{"state", "show", path, "--json"}, &out, &out)
-	var r store.Record
-	if err := json.Unmarshal(out.Bytes(), &r); err != nil || r.State.Of != "n0" {
+	var r statefile.Record
+	if err := json.Unmarshal(out.Bytes(), &r); err != nil || r.State.ProxyName != "n0" {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/balancer/connections/model.go
+++ b/internal/balancer/connections/model.go
@@ -42,10 +42,10 @@
 }
 
 // DefaultConfig fits requests whose mean utility is given.
-func DefaultConfig(meanWorth, handshakePrice float64) Config {
+func DefaultConfig(meanUtility, handshakePrice float64) Config {
 	return Config{
 		PriorNew: 0.004, PriorReused: 0.002, Weight: 8, TimeConstant: 30 * time.Second,
-		HandshakeCost: (handshakePrice + handshakeWork) * meanWorth, MaxBackends: 4096,
+		HandshakeCost: (handshakePrice + handshakeWork) * meanUtility, MaxBackends: 4096,
 	}
 }
 
@@ -55,7 +55,7 @@
 const handshakeWork = 0.05
 
 // SetHandshakeCost says what a new connection costs from now on, in utility.
-func (m *Model) SetHandshakeCost(worth float64) { m.cfg.HandshakeCost = worth }
+func (m *Model) SetHandshakeCost(utility float64) { m.cfg.HandshakeCost = utility }
 
 // BreakEffect is what a broken connection does to a request.
 type BreakEffect uint8
@@ -347,34 +347,34 @@
 	if mayDial {
 		dial = hazards[cell(Use{New: true, Large: s.Large})]*s.loss() + m.cfg.HandshakeCost
 	}
-	lowest, most := math.Inf(1), -1
+	lowest, worstAcceptable := math.Inf(1), -1
 	for i := range idle {
 		h := of(i)
 		lowest = min(lowest, h)
-		if h*s.loss() <= dial && (most < 0 || h > of(most)) {
-			most = i
+		if h*s.loss() <= dial && (worstAcceptable < 0 || h > of(worstAcceptable)) {
+			worstAcceptable = i
 		}
 	}
 	if lowest*s.loss() > dial {
 		return Dial
 	}
-	least := len(idle) - 1 // of those that are alike the latest used
-	for of(least) > lowest+equalHazard {
-		least--
+	best := len(idle) - 1 // of those that are alike the latest used
+	for of(best) > lowest+equalHazard {
+		best--
 	}
 	// One that can be sent again takes the worst that is still better than a new one, and
 	// so leaves the best for who needs it and tests the rest. While all are alike, the
 	// latest used is taken: the others grow old and leave.
-	if s.Effect == Delayed && most >= 0 && of(most)-lowest > significantSpread {
-		return most
+	if s.Effect == Delayed && worstAcceptable >= 0 && of(worstAcceptable)-lowest > significantSpread {
+		return worstAcceptable
 	}
-	return least
+	return best
 }
 
 // ShouldClose tells whether a connection that has stood idle for so long should be closed
 // before anyone has it: even a request that can be sent again would rather dial.
-func (m *Model) ShouldClose(now time.Duration, backend uint32, zone int, idle time.Duration, worth float64) bool {
-	s := Request{Utility: worth, Effect: Delayed}
+func (m *Model) ShouldClose(now time.Duration, backend uint32, zone int, idle time.Duration, utility float64) bool {
+	s := Request{Utility: utility, Effect: Delayed}
 	return m.Hazard(now, backend, zone, Use{Idle: idle})*s.loss() >
 		m.Hazard(now, backend, zone, Use{New: true})*s.loss()+m.cfg.HandshakeCost
 }
@@ -385,9 +385,11 @@
 	//lint:ignore U1000 the codec reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	Uses, Broken           [cells]float64
-	EarlyUses, EarlyBroken float64
-	Holdback               time.Duration
+	Uses        [cells]float64 // decayed, by cell
+	Broken      [cells]float64 `json:"Breaks"` // of these
+	EarlyUses   float64        // decayed, of all cells
+	EarlyBroken float64        `json:"EarlyBreaks"` // of these, soon after the first bytes
+	Holdback    time.Duration  `json:"Hold"`
 }
 
 // State gives it.
--- a/internal/balancer/goodput/tracker.go
+++ b/internal/balancer/goodput/tracker.go
@@ -88,21 +88,21 @@
 
 // MarginalUtility is what a completed unit of utility adds to the goal; inShare is the part of it, 0 to 1,
 // that lies within its tenant's quota, which alone counts for the tenant.
-func (l *Tracker) MarginalUtility(class, tenant int, inShare float64) float64 {
+func (l *Tracker) MarginalUtility(class, tenant int, withinQuota float64) float64 {
 	v := (l.goal.Total + l.goal.WorstWindow) / max(l.total.offered, 1e-9)
 	if t := at(l.classes, class); t != nil && isWorst(t, l.classes) {
 		v += l.goal.WorstClass / t.offered
 	}
 	if t := at(l.tenants, tenant); t != nil && isWorst(t, l.tenants) {
-		v += l.goal.WorstTenant / t.offered * inShare
+		v += l.goal.WorstTenant / t.offered * withinQuota
 	}
 	return v
 }
 
 // RelativeUtility is MarginalUtility in units of all that was offered: 1 and more where the
 // total counts alone, several times as much for a small class that is served worst.
-func (l *Tracker) RelativeUtility(class, tenant int, inShare float64) float64 {
-	return l.MarginalUtility(class, tenant, inShare) * max(l.total.offered, 1e-9)
+func (l *Tracker) RelativeUtility(class, tenant int, withinQuota float64) float64 {
+	return l.MarginalUtility(class, tenant, withinQuota) * max(l.total.offered, 1e-9)
 }
 
 // isWorst tells whether no other one has a clearly lower success ratio.
@@ -128,7 +128,8 @@
 	//lint:ignore U1000 the codec reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	Offered, Completed float64
+	Offered   float64 `json:"Asked"`
+	Completed float64 `json:"Served"`
 }
 
 // Total gives what was recorded in all.
--- a/internal/balancer/grayfailure/config.go
+++ b/internal/balancer/grayfailure/config.go
@@ -7,8 +7,8 @@
 
 // Config has the figures of the judgement. DefaultConfig gives those in service.
 type Config struct {
-	// Kinds of work that are told apart. Each costs about 200 bytes a backend.
-	Kinds int
+	// Classes of work that are told apart. Each costs about 200 bytes a backend.
+	Classes int
 
 	// AnsweredRatio is the share of attempts that a bad cell is assumed to answer. Higher notices
 	// milder troubles, and takes chance for trouble more often: with e of 2%, what fails more
@@ -35,7 +35,7 @@
 // DefaultConfig gives the figures in service, for so many kinds of work.
 func DefaultConfig(kinds int) Config {
 	return Config{
-		Kinds: kinds, AnsweredRatio: 0.25, MeanTimeBetweenFaults: 600 * time.Second, MinFaultDuration: 2 * time.Second,
+		Classes: kinds, AnsweredRatio: 0.25, MeanTimeBetweenFaults: 600 * time.Second, MinFaultDuration: 2 * time.Second,
 		MaxFaultDuration: 10 * time.Second, TimeConstant: 10 * time.Second, TrialRatio: 0.0075, TrialBurst: 1,
 	}
 }
@@ -43,8 +43,8 @@
 // Validate names the first figure that makes no sense.
 func (c Config) Validate() error {
 	switch {
-	case c.Kinds < 1:
-		return fmt.Errorf("gray: Kinds = %d: at least 1 is needed", c.Kinds)
+	case c.Classes < 1:
+		return fmt.Errorf("gray: Kinds = %d: at least 1 is needed", c.Classes)
 	case !(c.AnsweredRatio > 0 && c.AnsweredRatio < 1):
 		return fmt.Errorf("gray: Answered = %v: a share between 0 and 1 is needed", c.AnsweredRatio)
 	case c.MinFaultDuration <= 0 || c.MaxFaultDuration < c.MinFaultDuration || c.MeanTimeBetweenFaults < c.MaxFaultDuration:
--- a/internal/balancer/grayfailure/model.go
+++ b/internal/balancer/grayfailure/model.go
@@ -45,11 +45,11 @@
 
 // Model holds what is common to the cells of each kind. Not safe for concurrent use.
 type Model struct {
-	cfg   Config
-	kinds []kind
+	cfg     Config
+	classes []class
 }
 
-type kind struct {
+type class struct {
 	failed, ended   decay.Sum // in good cells
 	n, dev, dev2    float64
 	recentEjections decay.Sum // cells that went out lately
@@ -66,23 +66,23 @@
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
-	m := &Model{cfg: cfg, kinds: make([]kind, cfg.Kinds)}
-	for i := range m.kinds {
-		m.kinds[i].trialTokens, m.kinds[i].best = cfg.TrialBurst, 1
+	m := &Model{cfg: cfg, classes: make([]class, cfg.Classes)}
+	for i := range m.classes {
+		m.classes[i].trialTokens, m.classes[i].best = cfg.TrialBurst, 1
 	}
 	return m, nil
 }
 
 // Grow makes room for so many kinds of work; those there are stay as they are.
 func (m *Model) Grow(kinds int) {
-	for len(m.kinds) < kinds {
-		m.kinds = append(m.kinds, kind{trialTokens: m.cfg.TrialBurst, best: 1})
+	for len(m.classes) < kinds {
+		m.classes = append(m.classes, class{trialTokens: m.cfg.TrialBurst, best: 1})
 	}
-	m.cfg.Kinds = len(m.kinds)
+	m.cfg.Classes = len(m.classes)
 }
 
 // Forget drops what was learnt of a kind; its cells are the caller's to drop.
-func (m *Model) Forget(k int) { m.kinds[k] = kind{trialTokens: m.cfg.TrialBurst, best: 1} }
+func (m *Model) Forget(k int) { m.classes[k] = class{trialTokens: m.cfg.TrialBurst, best: 1} }
 
 // Cell is one kind of work at one backend. The zero value knows nothing.
 type Cell struct {
@@ -101,7 +101,7 @@
 
 // failureRatio is how often an attempt of the kind gets no answer in a good cell.
 func (m *Model) failureRatio(k int, now time.Duration) float64 {
-	f, n := m.kinds[k].failed.Value(now, m.cfg.TimeConstant), m.kinds[k].ended.Value(now, m.cfg.TimeConstant)
+	f, n := m.classes[k].failed.Value(now, m.cfg.TimeConstant), m.classes[k].ended.Value(now, m.cfg.TimeConstant)
 	return (f + priorFailures) / (n + priorAttempts)
 }
 
@@ -110,7 +110,7 @@
 	if age <= 0 || u.Delay <= 0 {
 		return 1
 	}
-	c := &m.kinds[k]
+	c := &m.classes[k]
 	n := c.n + priorAnswers
 	mean := c.dev / n
 	variance := (c.dev2+priorAnswers*priorVariance)/n - mean*mean
@@ -126,8 +126,8 @@
 	return (1 - e) * s / (e + (1-e)*s)
 }
 
-// silenceEvidence is the log likelihood ratio, bad against good, of no answer at age.
-func (m *Model) silenceEvidence(k int, now time.Duration, age float64, u Expectation) float64 {
+// timeoutEvidence is the log likelihood ratio, bad against good, of no answer at age.
+func (m *Model) timeoutEvidence(k int, now time.Duration, age float64, u Expectation) float64 {
 	return m.evidence(m.failureRatio(k, now), m.SurvivalProbability(k, age, u))
 }
 
@@ -142,13 +142,13 @@
 	if c.ejectedAt > 0 {
 		lasts = m.cfg.MaxFaultDuration // tries tell sooner; time alone is for what is hardly ever tried
 	}
-	begin, end := (1+m.kinds[k].recentEjections.Value(now, waveWindow)*waveFactor)/m.cfg.MeanTimeBetweenFaults.Seconds(), 1/lasts.Seconds()
-	rest := begin / (begin + end)
+	begin, end := (1+m.classes[k].recentEjections.Value(now, waveWindow)*waveFactor)/m.cfg.MeanTimeBetweenFaults.Seconds(), 1/lasts.Seconds()
+	stationary := begin / (begin + end)
 	if c.faultProbability == 0 {
-		c.faultProbability = rest
+		c.faultProbability = stationary
 	}
 	if d := (now - c.updatedAt).Seconds(); d > 0 {
-		c.faultProbability = rest + (c.faultProbability-rest)*math.Exp(-d*(begin+end))
+		c.faultProbability = stationary + (c.faultProbability-stationary)*math.Exp(-d*(begin+end))
 	}
 	c.updatedAt = now
 }
@@ -199,7 +199,7 @@
 	if !c.Suspected() {
 		return 1
 	}
-	return min(1, m.successRatio(c, k, now)/m.kinds[k].best)
+	return min(1, m.successRatio(c, k, now)/m.classes[k].best)
 }
 
 // RecordDelayRatio takes a delay ratio (what an attempt took over what its kind leads one to expect of
@@ -216,9 +216,9 @@
 
 // RecordOutcome learns from the end of an attempt that left at sent. It returns how far the end speaks
 // of the backend as a whole, from 1 (all of it) to 0 (of this kind alone).
-func (m *Model) RecordOutcome(c *Cell, k int, end Outcome, sent, now time.Duration, u Expectation) float64 {
-	age, g := millis(now-sent), &m.kinds[k]
-	switch end {
+func (m *Model) RecordOutcome(c *Cell, k int, outcome Outcome, sent, now time.Duration, u Expectation) float64 {
+	age, g := millis(now-sent), &m.classes[k]
+	switch outcome {
 	case Unknown:
 		return 1
 	case Answered:
@@ -238,7 +238,7 @@
 		return 1
 	}
 	e, longer := m.failureRatio(k, now), 0.0
-	if end == TimedOut {
+	if outcome == TimedOut {
 		longer = m.SurvivalProbability(k, age, u)
 	}
 	ratio := m.evidence(e, longer)
@@ -285,7 +285,7 @@
 
 // AddInFlight adds an attempt that is out, at its present age.
 func (m *Model) AddInFlight(c *Cell, k int, sent, now time.Duration, u Expectation) {
-	r := m.silenceEvidence(k, now, millis(now-sent), u)
+	r := m.timeoutEvidence(k, now, millis(now-sent), u)
 	if r < minEvidence {
 		return
 	}
--- a/internal/balancer/grayfailure/model_test.go
+++ b/internal/balancer/grayfailure/model_test.go
@@ -418,7 +418,7 @@
 
 func TestConfigNamesWhatMakesNoSense(t *testing.T) {
 	for name, spoil := range map[string]func(*Config){
-		"Kinds":    func(c *Config) { c.Kinds = 0 },
+		"Kinds":    func(c *Config) { c.Classes = 0 },
 		"Answered": func(c *Config) { c.AnsweredRatio = 1 },
 		"Longest":  func(c *Config) { c.MaxFaultDuration = c.MinFaultDuration - 1 },
 		"Memory":   func(c *Config) { c.TimeConstant = 0 },
@@ -501,8 +501,8 @@
 					}
 				}
 			}
-			for k := range m.kinds {
-				if g := m.kinds[k]; g.trialTokens > m.cfg.TrialBurst || g.trialsInFlight < 0 {
+			for k := range m.classes {
+				if g := m.classes[k]; g.trialTokens > m.cfg.TrialBurst || g.trialsInFlight < 0 {
 					t.Fatalf("%v tokens, %d tries", g.trialTokens, g.trialsInFlight)
 				}
 			}
--- a/internal/balancer/grayfailure/state.go
+++ b/internal/balancer/grayfailure/state.go
@@ -13,10 +13,20 @@
 	//lint:ignore U1000 the codec reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	FaultProbability, OtherAnswers                 float64
-	At, SuspectedFor, EjectedFor                   time.Duration
-	Failures                                       int
-	OK, Ended, OKEver, EndedEver, Delays, Answered float64
+	FaultProbability float64       `json:"Bad"`     // 0 to 1
+	OtherAnswers     float64       `json:"Vouched"` // of other classes, to attempts sent since SuspectedFor
+	SinceUpdate      time.Duration `json:"At"`      // of FaultProbability
+	SuspectedFor     time.Duration `json:"Silent"`
+	EjectedFor       time.Duration `json:"OutFor"`
+	Failures         int           // in a row
+
+	// Sums, decayed.
+	OK        float64 // attempts answered while suspected,
+	Ended     float64 // of so many
+	OKEver    float64 // attempts answered, suspected or not,
+	EndedEver float64 // of so many
+	Delays    float64 // delay ratios
+	Answered  float64 // number of delay ratios
 }
 
 // never is the age of what has not been.
@@ -32,7 +42,7 @@
 	}
 	sum := func(f decay.Sum) float64 { return f.Value(now, m.cfg.TimeConstant) }
 	return CellState{
-		FaultProbability: c.faultProbability, OtherAnswers: c.otherAnswers, At: max(0, now-c.updatedAt), SuspectedFor: age(c.suspectedSince), EjectedFor: age(c.ejectedAt),
+		FaultProbability: c.faultProbability, OtherAnswers: c.otherAnswers, SinceUpdate: max(0, now-c.updatedAt), SuspectedFor: age(c.suspectedSince), EjectedFor: age(c.ejectedAt),
 		Failures: c.consecutiveFailures, OK: sum(c.ok), Ended: sum(c.ended), OKEver: sum(c.okEver), EndedEver: sum(c.endedEver),
 		Delays: sum(c.delays), Answered: sum(c.answers),
 	}
@@ -49,33 +59,39 @@
 	}
 	sum := func(v float64) decay.Sum { return decay.NewSum(v, now-away) }
 	return Cell{
-		faultProbability: min(max(s.FaultProbability, 0), maxFaultProbability), otherAnswers: s.OtherAnswers, updatedAt: now - away - s.At, suspectedSince: at(s.SuspectedFor), ejectedAt: at(s.EjectedFor),
+		faultProbability: min(max(s.FaultProbability, 0), maxFaultProbability), otherAnswers: s.OtherAnswers, updatedAt: now - away - s.SinceUpdate, suspectedSince: at(s.SuspectedFor), ejectedAt: at(s.EjectedFor),
 		consecutiveFailures: s.Failures, ok: sum(s.OK), ended: sum(s.Ended), okEver: sum(s.OKEver), endedEver: sum(s.EndedEver),
 		delays: sum(s.Delays), answers: sum(s.Answered),
 	}
 }
 
-// KindState is what is common to the cells of a kind.
-type KindState struct {
+// ClassState is what is common to the cells of a kind.
+type ClassState struct {
 	//lint:ignore U1000 the codec reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	Failed, Ended, N, Dev, Dev2, RecentEjections, Tokens float64
+	Failed          float64 // attempts without an answer, in good cells, decayed,
+	Ended           float64 // of so many
+	N               float64 // answers that the spread rests on,
+	Dev             float64 // sum of the logarithms of their delays over what was expected,
+	Dev2            float64 // and of the squares
+	RecentEjections float64 `json:"Wave"` // decayed
+	Tokens          float64 // for trials; below 0 is a debt
 }
 
-// KindState gives what is known of a kind.
-func (m *Model) KindState(k int, now time.Duration) KindState {
-	g := &m.kinds[k]
-	return KindState{
+// ClassState gives what is known of a kind.
+func (m *Model) ClassState(k int, now time.Duration) ClassState {
+	g := &m.classes[k]
+	return ClassState{
 		Failed: g.failed.Value(now, m.cfg.TimeConstant), Ended: g.ended.Value(now, m.cfg.TimeConstant), N: g.n, Dev: g.dev,
 		Dev2: g.dev2, RecentEjections: g.recentEjections.Value(now, waveWindow), Tokens: g.trialTokens,
 	}
 }
 
-// ResumeKind goes on with what was known of a kind, away ago, its spread as if by so many answers
+// ResumeClass goes on with what was known of a kind, away ago, its spread as if by so many answers
 // at most. Tries that were paid for there are not to be had again.
-func (m *Model) ResumeKind(k int, s KindState, most float64, away, now time.Duration) {
-	g := &m.kinds[k]
+func (m *Model) ResumeClass(k int, s ClassState, most float64, away, now time.Duration) {
+	g := &m.classes[k]
 	g.failed, g.ended, g.recentEjections = decay.NewSum(s.Failed, now-away), decay.NewSum(s.Ended, now-away), decay.NewSum(s.RecentEjections, now-away)
 	f := min(1, most/max(s.N, 1e-9))
 	g.n, g.dev, g.dev2, g.trialTokens = s.N*f, s.Dev*f, s.Dev2*f, min(g.trialTokens, s.Tokens)
--- a/internal/balancer/learnedstate.go
+++ b/internal/balancer/learnedstate.go
@@ -1,7 +1,7 @@
 package balancer
 
-// The learned state, for the process that takes over, and back. What is in flight, queued or owed is
-// its own process's and stays there; so do health checks that are under way.
+// The learned state, for the process that takes over, and back. What is in flight, queued or not answered yet is its
+// own process's and stays there; so do health checks that are under way.
 
 import (
 	"slices"
@@ -12,46 +12,70 @@
 	"marlreel/internal/process/learnedstate"
 )
 
-// maxRestoredWeight is how many ends of attempts what another process had learnt of a class counts for at
-// most: that many of its own, and this process knows as much itself.
+// maxRestoredWeight is how many outcomes what another process learned of a class counts for at most: after as
+// many of its own, this process knows as much itself.
 const maxRestoredWeight = 50
 
-// LearnedBackends are the backends of which something was learnt that another process can't know from
-// the list, in no order.
+// LearnedBackends are the backends of which something was learned that another process can't know from
+// the membership, in no order.
 func (b *Balancer) LearnedBackends() []BackendID {
 	var ids []BackendID
 	for _, t := range b.targets {
-		if t.State != Gone && (t.lastOK > 0 || t.consecutiveFailures > 0 || t.warmupStarted > 0 || !t.healthy || t.failedChecks > 0) {
+		if t.State != Gone && t.hasLearnedState() {
 			ids = append(ids, t.ID)
 		}
 	}
 	return ids
 }
 
-// LearnedState is what was learnt, but for the backends: LearntOf gives one. They are taken one by
+func (t *target) hasLearnedState() bool {
+	return t.lastOK > 0 || t.consecutiveFailures > 0 || t.warmupStarted > 0 || !t.healthy || t.failedChecks > 0
+}
+
+// LearnedState is what was learned, but for the backends: LearnedBackend gives one. They are taken one by
 // one, so that no event takes as long as all of them.
 func (b *Balancer) LearnedState(now time.Duration) learnedstate.State {
 	b.now = now
-	alarms, answered := b.connectionFailures.State(now)
-	s := learnedstate.State{Common: learnedstate.Common{
-		Mean: b.meanDelay(), MeanWork: b.meanWork, MeanWorth: b.meanUtility, MeanRank: b.meanUtilityPerWork,
-		Over: b.meanWindow, Gap: b.requestGap, Retries: b.retryTokens, Alarms: alarms, Answered: answered, Asked: b.goodput.Total(),
-	}}
+	s := learnedstate.State{Common: b.learnedCommon()}
 	for i := range b.cfg.Classes {
-		l := b.delayModels[i]
-		s.Classes = append(s.Classes, learnedstate.Class{
-			Name: b.cfg.Classes[i].Name, Line: [5]float64{l.n, l.x, l.y, l.xx, l.xy},
-			Tail: b.delayTails[i].parts(), Served: b.servedByClass[i].Value(now, b.healthCheckInterval), Forecast: b.prediction.State(i),
-			Gray: b.grayFailure.KindState(i, now), Asked: b.goodput.Class(i),
-		})
+		s.Classes = append(s.Classes, b.learnedClass(i))
 	}
 	for i, t := range b.cfg.Tenants {
-		s.Tenants = append(s.Tenants, learnedstate.Tenant{Name: t.Name, Asked: b.goodput.Tenant(i)})
+		s.Tenants = append(s.Tenants, learnedstate.Tenant{Name: t.Name, Offered: b.goodput.Tenant(i)})
 	}
 	return s
 }
 
-// LearnedBackend is what was learnt of a backend, if it is still there.
+func (b *Balancer) learnedCommon() learnedstate.Common {
+	falseAlarms, answers := b.connectionFailures.State(b.now)
+	return learnedstate.Common{
+		MeanDelay:          b.meanDelay(),
+		MeanWork:           b.meanWork,
+		MeanUtility:        b.meanUtility,
+		MeanUtilityPerWork: b.meanUtilityPerWork,
+		MeanWindow:         b.meanWindow,
+		RequestGap:         b.requestGap,
+		RetryTokens:        b.retryTokens,
+		FalseAlarms:        falseAlarms,
+		Answers:            answers,
+		Offered:            b.goodput.Total(),
+	}
+}
+
+func (b *Balancer) learnedClass(class int) learnedstate.Class {
+	l := b.delayModels[class]
+	return learnedstate.Class{
+		Name:       b.cfg.Classes[class].Name,
+		DelayFit:   [5]float64{l.n, l.x, l.y, l.xx, l.xy},
+		DelayTail:  b.delayTails[class].parts(),
+		Served:     b.servedByClass[class].Value(b.now, b.healthCheckInterval),
+		Prediction: b.prediction.State(class),
+		Gray:       b.grayFailure.ClassState(class, b.now),
+		Offered:    b.goodput.Class(class),
+	}
+}
+
+// LearnedBackend is what was learned of a backend; found is not set if it is not known any more.
 func (b *Balancer) LearnedBackend(now time.Duration, id BackendID) (k learnedstate.Backend, found bool) {
 	b.now = now
 	t := b.byID[id]
@@ -65,10 +89,21 @@
 		return max(0, now-at)
 	}
 	k = learnedstate.Backend{
-		ID: uint32(id), Healthy: t.healthy, Fails: t.failedChecks, Passes: t.passedChecks, Bad: t.consecutiveFailures, Broken: t.consecutiveBreaks,
-		LastOK: age(t.lastOK), Ejected: max(0, t.ejectedUntil-now), Hold: t.ejectionDuration, Cold: age(t.warmupStarted), Tokens: t.warmupTokens,
-		Limit: t.concurrencyLimit, Delays: t.delays.Value(now, b.decayTime), Answers: t.answers.Value(now, b.decayTime),
-		Tail: t.tail.parts(),
+		ID:                  uint32(id),
+		Healthy:             t.healthy,
+		FailedChecks:        t.failedChecks,
+		PassedChecks:        t.passedChecks,
+		ConsecutiveFailures: t.consecutiveFailures,
+		ConsecutiveBreaks:   t.consecutiveBreaks,
+		LastOK:              age(t.lastOK),
+		EjectedFor:          max(0, t.ejectedUntil-now),
+		EjectionDuration:    t.ejectionDuration,
+		SinceStart:          age(t.warmupStarted),
+		WarmupTokens:        t.warmupTokens,
+		ConcurrencyLimit:    t.concurrencyLimit,
+		DelayRatios:         t.delays.Value(now, b.decayTime),
+		Answers:             t.answers.Value(now, b.decayTime),
+		DelayTail:           t.tail.parts(),
 	}
 	for i := range t.classHealth {
 		k.Cells = append(k.Cells, b.grayFailure.State(&t.classHealth[i].Cell, now))
@@ -76,19 +111,15 @@
 	return k, true
 }
 
-// Restore goes on with what another process of this proxy had learnt, away ago. It is believed
-// where this one knows nothing itself: of a class or a backend that it has had answers of, its
-// own word stands. Budgets are what is less on either side. A backend that has started since is
-// another one to all that was learnt. k.ID of each backend is this process's.
+// Restore goes on with what another process of this proxy had learned, away ago. It counts only where this process
+// knows nothing itself: of a class or a backend that it has had answers of, its own evidence stands. Budgets
+// are the lower ones of both sides. A backend that has started since is a new one to all that was learned.
+// The ID of each backend is this process's.
 func (b *Balancer) Restore(now, away time.Duration, s *learnedstate.State) {
 	b.now = now
-	c := &s.Common
-	b.retryTokens = min(b.retryTokens, max(0, c.Retries))
-	// Danger: where none of its classes is known here it is of another customer, as is all that it says of
-	// work.
-	if !slices.ContainsFunc(s.Classes, func(k learnedstate.Class) bool {
-		return slices.ContainsFunc(b.cfg.Classes, func(c Class) bool { return c.Name == k.Name })
-	}) {
+	b.retryTokens = min(b.retryTokens, max(0, s.Common.RetryTokens))
+	if !b.knowsAnyClass(s) {
+		// It is another customer's, as is all that it says of work; but a start is a start.
 		for i := range s.Backends {
 			if t := b.byID[BackendID(s.Backends[i].ID)]; t != nil {
 				b.restoreStart(t, away, &s.Backends[i])
@@ -96,31 +127,20 @@
 		}
 		return
 	}
-	if b.meanWindow < c.Over && c.Mean > 0 && c.MeanWork > 0 {
-		b.meanExpectedDelay, b.meanWork, b.meanUtility, b.meanUtilityPerWork, b.meanWindow = c.Mean, c.MeanWork, c.MeanWorth, c.MeanRank, min(c.Over, maxMeanWindow)
-		b.requestGap = max(c.Gap, 1)
-		// Else it is a guess.
-		if slices.ContainsFunc(s.Classes, func(k learnedstate.Class) bool { return k.Line[0] >= 1 }) {
-			b.knownDelay = average{b.meanWindow, c.Mean}
-		}
-		b.goodput.ResumeTotal(c.Asked)
-	}
-	if _, answered := b.connectionFailures.State(now); answered == 0 {
-		b.connectionFailures.Resume(c.Alarms, c.Answered, away, now)
-	}
-	place := make([]int, len(s.Classes)) // of each class here; -1: it is not known here, or by itself
+	b.restoreCommon(away, s)
+	indices := make([]int, len(s.Classes)) // of each class here; -1: it is not known here
 	for i := range s.Classes {
-		place[i] = b.restoreClass(away, &s.Classes[i])
+		indices[i] = b.restoreClass(away, &s.Classes[i])
 	}
 	for _, known := range s.Tenants {
 		i := slices.IndexFunc(b.cfg.Tenants, func(t Tenant) bool { return t.Name == known.Name })
 		if i >= 0 && b.goodput.Tenant(i).Offered == 0 {
-			b.goodput.ResumeTenant(i, known.Asked)
+			b.goodput.ResumeTenant(i, known.Offered)
 		}
 	}
 	for i := range s.Backends {
 		if t := b.byID[BackendID(s.Backends[i].ID)]; t != nil {
-			b.restoreBackend(t, away, &s.Backends[i], place)
+			b.restoreBackend(t, away, &s.Backends[i], indices)
 		}
 	}
 	b.selectSubset()
@@ -128,68 +148,113 @@
 	b.updateWarmupRates()
 }
 
-// restoreClass gives the place of a class here, or -1 if it is none or has been learnt here.
+// knowsAnyClass tells whether a class of the state is one of the settings.
+func (b *Balancer) knowsAnyClass(s *learnedstate.State) bool {
+	return slices.ContainsFunc(s.Classes, func(k learnedstate.Class) bool {
+		return slices.ContainsFunc(b.cfg.Classes, func(c Class) bool { return c.Name == k.Name })
+	})
+}
+
+// restoreCommon takes over what was learned of no class and no backend alone.
+func (b *Balancer) restoreCommon(away time.Duration, s *learnedstate.State) {
+	c := &s.Common
+	if b.meanWindow < c.MeanWindow && c.MeanDelay > 0 && c.MeanWork > 0 {
+		b.meanExpectedDelay = c.MeanDelay
+		b.meanWork = c.MeanWork
+		b.meanUtility = c.MeanUtility
+		b.meanUtilityPerWork = c.MeanUtilityPerWork
+		b.meanWindow = min(c.MeanWindow, maxMeanWindow)
+		b.requestGap = max(c.RequestGap, 1)
+		// Without an answer in any class the mean delay is a guess.
+		if slices.ContainsFunc(s.Classes, func(k learnedstate.Class) bool { return k.DelayFit[0] >= 1 }) {
+			b.knownDelay = average{b.meanWindow, c.MeanDelay}
+		}
+		b.goodput.ResumeTotal(c.Offered)
+	}
+	if _, answers := b.connectionFailures.State(b.now); answers == 0 {
+		b.connectionFailures.Resume(c.FalseAlarms, c.Answers, away, b.now)
+	}
+}
+
+// restoreClass takes over what was learned of a class, unless this process knows more of it. It gives the index of
+// the class here, or -1 if there is none.
 func (b *Balancer) restoreClass(away time.Duration, k *learnedstate.Class) int {
 	i := slices.IndexFunc(b.cfg.Classes, func(c Class) bool { return c.Name == k.Name })
-	if i < 0 || b.delayModels[i].n >= k.Line[0] {
+	if i < 0 || b.delayModels[i].n >= k.DelayFit[0] {
 		return i
 	}
-	// Danger: a delay that none of its requests can have had would refuse all of them, or let them wait
-	// for longer than their clients do, and then nothing is learnt that would mend it.
-	l := linearFit{k.Line[0], k.Line[1], k.Line[2], k.Line[3], k.Line[4]}
-	l = l.limitedTo(maxRestoredWeight)
-	if !(l.n >= 1 && l.mean() > 0 && l.mean() <= millis(b.cfg.Classes[i].ClientTimeout)) {
+	fit := linearFit{k.DelayFit[0], k.DelayFit[1], k.DelayFit[2], k.DelayFit[3], k.DelayFit[4]}
+	fit = fit.limitedTo(maxRestoredWeight)
+	// A delay that no request of the class can have had would reject all of them, or queue them for longer than
+	// their clients wait; then none is sent, and nothing is learned that would correct it.
+	if !(fit.n >= 1 && fit.mean() > 0 && fit.mean() <= millis(b.cfg.Classes[i].ClientTimeout)) {
 		return i
 	}
-	b.delayModels[i] = l
-	b.delayTails[i] = newTailQuantile(k.Tail)
+	b.delayModels[i] = fit
+	b.delayTails[i] = newTailQuantile(k.DelayTail)
 	b.servedByClass[i] = decay.NewSum(k.Served, b.now-away)
-	b.prediction.Resume(i, k.Forecast, maxRestoredWeight)
-	b.grayFailure.ResumeKind(i, k.Gray, maxRestoredWeight, away, b.now)
+	b.prediction.Resume(i, k.Prediction, maxRestoredWeight)
+	b.grayFailure.ResumeClass(i, k.Gray, maxRestoredWeight, away, b.now)
 	if b.goodput.Class(i).Offered == 0 {
-		b.goodput.ResumeClass(i, k.Asked)
+		b.goodput.ResumeClass(i, k.Offered)
 	}
 	return i
 }
 
-// restoreStart takes over what is known of a backend's start. Danger: the budget that another process has
-// spent on a cold backend is spent for this one too.
+// restoreStart takes over what is known of a backend's start. What another process has spent of a warming backend's
+// budget is spent for this one too: the backend got the work.
 func (b *Balancer) restoreStart(t *target, away time.Duration, k *learnedstate.Backend) {
-	if k.Cold >= 0 {
-		tokens := k.Tokens
-		if _, cold := b.warmupCapacity(t); cold {
-			tokens = min(tokens, t.warmupTokens)
-		}
-		t.warmupStarted = max(t.warmupStarted, b.now-away-k.Cold, 1)
-		t.warmupTokens, t.warmupTokensAt = tokens, b.now
+	if k.SinceStart < 0 {
+		return
 	}
+	tokens := k.WarmupTokens
+	if _, warming := b.warmupCapacity(t); warming {
+		tokens = min(tokens, t.warmupTokens)
+	}
+	t.warmupStarted = max(t.warmupStarted, b.now-away-k.SinceStart, 1)
+	t.warmupTokens = tokens
+	t.warmupTokensAt = b.now
 }
 
-func (b *Balancer) restoreBackend(t *target, away time.Duration, k *learnedstate.Backend, place []int) {
+// restoreBackend takes over what was learned of a backend; indices are those of the state's classes here.
+func (b *Balancer) restoreBackend(t *target, away time.Duration, k *learnedstate.Backend, indices []int) {
 	b.restoreStart(t, away, k)
 	if t.Started > b.now-away || t.answers.Value(b.now, b.decayTime) > 0 {
 		return
 	}
-	t.healthy, t.failedChecks, t.passedChecks, t.consecutiveFailures, t.consecutiveBreaks = k.Healthy, k.Fails, k.Passes, k.Bad, k.Broken
+	b.restoreHealth(t, away, k)
+	t.concurrencyLimit = concurrencylimit.Clamp(k.ConcurrencyLimit, b.sharers())
+	t.delays = decay.NewSum(k.DelayRatios, b.now-away)
+	t.answers = decay.NewSum(k.Answers, b.now-away)
+	t.tail = newTailQuantile(k.DelayTail)
+	for n, i := range indices {
+		if i < 0 {
+			continue
+		}
+		health := &t.classHealth[i]
+		health.Cell = b.grayFailure.Resume(k.Cells[n], away, b.now)
+		_, _, ejected := health.EjectionState()
+		t.setIsolated(health, ejected)
+		health.lastTrial = b.now
+	}
+}
+
+// restoreHealth takes over a backend's health and ejection; a suspect one is checked at once.
+func (b *Balancer) restoreHealth(t *target, away time.Duration, k *learnedstate.Backend) {
+	t.healthy = k.Healthy
+	t.failedChecks = k.FailedChecks
+	t.passedChecks = k.PassedChecks
+	t.consecutiveFailures = k.ConsecutiveFailures
+	t.consecutiveBreaks = k.ConsecutiveBreaks
 	if k.LastOK >= 0 {
 		t.lastOK = max(1, b.now-away-k.LastOK)
 	}
-	if left := k.Ejected - away; left > 0 {
-		t.ejectedUntil = b.now + min(left, maxEjectionIntervals*b.suspectCheckInterval())
+	maxEjection := maxEjectionIntervals * b.suspectCheckInterval()
+	if left := k.EjectedFor - away; left > 0 {
+		t.ejectedUntil = b.now + min(left, maxEjection)
 	}
-	t.ejectionDuration = min(k.Hold, maxEjectionIntervals*b.suspectCheckInterval())
-	t.concurrencyLimit = concurrencylimit.Clamp(k.Limit, b.sharers())
-	t.delays, t.answers = decay.NewSum(k.Delays, b.now-away), decay.NewSum(k.Answers, b.now-away)
-	t.tail = newTailQuantile(k.Tail)
+	t.ejectionDuration = min(k.EjectionDuration, maxEjection)
 	if !t.healthy || t.failedChecks > 0 {
 		t.nextCheck = b.now
 	}
-	for n, i := range place {
-		if i >= 0 {
-			t.classHealth[i].Cell = b.grayFailure.Resume(k.Cells[n], away, b.now)
-			_, _, out := t.classHealth[i].EjectionState()
-			t.setIsolated(&t.classHealth[i], out)
-			t.classHealth[i].lastTrial = b.now
-		}
-	}
 }
--- a/internal/balancer/memory_test.go
+++ b/internal/balancer/memory_test.go
@@ -6,6 +6,7 @@
 	"math/rand/v2"
 	"reflect"
 	"slices"
+	"strings"
 	"testing"
 	"time"
 
@@ -72,7 +73,7 @@
 	others := map[string]bool{".Backends[0].ID": true, ".Backends[1].ID": true}
 	tried, missed := 0, []string(nil)
 	leaves(reflect.ValueOf(base()).Elem(), "", func(path string, _ reflect.Value) {
-		if others[path] || len(path) > 6 && path[:6] == ".Conns" {
+		if others[path] || strings.HasPrefix(path, ".Connections") {
 			return
 		}
 		tried++
--- a/internal/balancer/prediction/model.go
+++ b/internal/balancer/prediction/model.go
@@ -32,31 +32,31 @@
 )
 
 // Model has one distribution for each class. Not safe for concurrent use.
-type Model struct{ kinds []kind }
+type Model struct{ classes []class }
 
-// kind has sums over the ends, older ones for less.
-type kind struct{ n, sum, sum2 float64 }
+// class has sums over the ends, older ones for less.
+type class struct{ n, sum, sum2 float64 }
 
 // New gives a model that has learned nothing. It panics where kinds is below 1.
 func New(kinds int) *Model {
 	if kinds < 1 {
 		panic(fmt.Sprintf("prediction: %d classes", kinds))
 	}
-	return &Model{kinds: make([]kind, kinds)}
+	return &Model{classes: make([]class, kinds)}
 }
 
 // Grow makes room for so many classes; those there are stay as they are.
 func (m *Model) Grow(kinds int) {
-	for len(m.kinds) < kinds {
-		m.kinds = append(m.kinds, kind{})
+	for len(m.classes) < kinds {
+		m.classes = append(m.classes, class{})
 	}
 }
 
 // Forget drops what was learned of a class.
-func (m *Model) Forget(k int) { m.kinds[k] = kind{} }
+func (m *Model) Forget(k int) { m.classes[k] = class{} }
 
 // distribution gives the mean and the standard deviation of the logarithm of the ratio.
-func (k *kind) distribution() (mean, dev float64) {
+func (k *class) distribution() (mean, dev float64) {
 	n := k.n + priorCount
 	mean = (k.sum + priorCount*priorMean) / n
 	v := (k.sum2+priorCount*(priorVariance+priorMean*priorMean))/n - mean*mean
@@ -69,7 +69,7 @@
 	if !(estimate > 0) || !(took > 0) {
 		return
 	}
-	g := &m.kinds[k]
+	g := &m.classes[k]
 	x := min(max(math.Log(took)-math.Log(estimate), -maxLogRatio), maxLogRatio)
 	more := 0.0 // variance of what lies beyond
 	if !answered {
@@ -99,7 +99,7 @@
 	case estimate <= 0:
 		return 1
 	}
-	mean, dev := m.kinds[k].distribution()
+	mean, dev := m.classes[k].distribution()
 	return 1 - math.Erfc((math.Log(left/estimate)-mean)/dev/math.Sqrt2)/2
 }
 
@@ -146,12 +146,12 @@
 
 // State gives what was learned of a class.
 func (m *Model) State(k int) State {
-	g := m.kinds[k]
+	g := m.classes[k]
 	return State{N: g.n, Sum: g.sum, Sum2: g.sum2}
 }
 
 // Resume goes on with what was learned of a class, as if by so many outcomes at most.
-func (m *Model) Resume(k int, s State, most float64) {
-	f := min(1, most/max(s.N, 1e-9))
-	m.kinds[k] = kind{s.N * f, s.Sum * f, s.Sum2 * f}
+func (m *Model) Resume(k int, s State, maxWeight float64) {
+	f := min(1, maxWeight/max(s.N, 1e-9))
+	m.classes[k] = class{s.N * f, s.Sum * f, s.Sum2 * f}
 }
--- a/internal/balancer/restart_test.go
+++ b/internal/balancer/restart_test.go
@@ -139,11 +139,11 @@
 		live(250*milli, 0) // the bad one is well by now
 	}
 	last := memoryOf(b, now)
-	if len(last.Backends) > 6 || last.Common.Over > first.Common.Over+1e4 {
-		t.Errorf("%d backends, %v requests", len(last.Backends), last.Common.Over)
+	if len(last.Backends) > 6 || last.Common.MeanWindow > first.Common.MeanWindow+1e4 {
+		t.Errorf("%d backends, %v requests", len(last.Backends), last.Common.MeanWindow)
 	}
 	i := slices.IndexFunc(last.Backends, func(k learnedstate.Backend) bool { return k.ID == 3 })
-	if i < 0 || !last.Backends[i].Healthy || last.Backends[i].Ejected > 0 || last.Backends[i].LastOK > 3*second {
+	if i < 0 || !last.Backends[i].Healthy || last.Backends[i].EjectedFor > 0 || last.Backends[i].LastOK > 3*second {
 		t.Errorf("the one that was bad twelve seconds ago: %+v", last.Backends)
 	}
 }
@@ -182,15 +182,15 @@
 			if how == falsely {
 				for k := range s.Backends {
 					b := &s.Backends[k]
-					b.Healthy, b.Limit, b.Tokens, b.Hold = !b.Healthy, 1+40*rng.Float64(), 1e4*rng.Float64(), time.Duration(rng.IntN(5000))*milli
-					b.Delays, b.Answers, b.LastOK = b.Answers*rng.Float64()*10, 50*rng.Float64(), 0
+					b.Healthy, b.ConcurrencyLimit, b.WarmupTokens, b.EjectionDuration = !b.Healthy, 1+40*rng.Float64(), 1e4*rng.Float64(), time.Duration(rng.IntN(5000))*milli
+					b.DelayRatios, b.Answers, b.LastOK = b.Answers*rng.Float64()*10, 50*rng.Float64(), 0
 				}
 				for k := range s.Classes {
 					f := 0.2 + 4*rng.Float64()
-					s.Classes[k].Line[2] *= f
-					s.Classes[k].Line[4] *= f
+					s.Classes[k].DelayFit[2] *= f
+					s.Classes[k].DelayFit[4] *= f
 				}
-				s.Common.Retries = 1e6
+				s.Common.RetryTokens = 1e6
 			}
 			s = staleness.Discount(staleness.Config{MaxAge: 600 * second, HalfLife: 30 * second}, s, 2*second, true)
 			w.proxies[i].b.(*Balancer).Restore(w.now, 2*second, s)
--- a/internal/balancer/slowstart/slowstart.go
+++ b/internal/balancer/slowstart/slowstart.go
@@ -31,13 +31,13 @@
 
 // MinRate is how many requests of mean work a second any backend bears at a part of its capacity, from all
 // proxies together. One that meets the shortest latency target at all does a request in it when it is warm.
-func (c Config) MinRate(share float64) float64 {
+func (c Config) MinRate(capacity float64) float64 {
 	window := max(c.OverloadWindow, time.Second).Seconds()
-	aim := c.LatencyTarget.Seconds()
-	if aim <= 0 {
+	target := c.LatencyTarget.Seconds()
+	if target <= 0 {
 		return 1 / window
 	}
-	return max(1/window, c.SafetyFactor*c.OverloadMultiple*share/aim)
+	return max(1/window, c.SafetyFactor*c.OverloadMultiple*capacity/target)
 }
 
 // Model is what warming backends have answered recently. Not safe for concurrent use.
@@ -58,12 +58,12 @@
 
 // Rate is how many requests of mean work a second a warming backend may be sent by all proxies together, at a part of
 // its capacity that it has at least. Where some are warm it is one a window: the caller compares with those.
-func (m *Model) Rate(now time.Duration, share float64, warm bool) float64 {
+func (m *Model) Rate(now time.Duration, capacity float64, warm bool) float64 {
 	if warm {
 		m.factor, m.stepStarted, m.successes, m.failures = 1, now, 0, 0
 		return 1 / max(m.cfg.OverloadWindow, time.Second).Seconds()
 	}
-	return m.cfg.MinRate(share) * m.Factor(now)
+	return m.cfg.MinRate(capacity) * m.Factor(now)
 }
 
 // RecordOutcome takes what became of an attempt at a warming backend: well is an answer within its latency target;
--- a/internal/balancer/staleness/staleness.go
+++ b/internal/balancer/staleness/staleness.go
@@ -1,7 +1,7 @@
 // Package staleness discounts the learned state of an earlier process before the next one goes on with it: how old it
 // is, whether that can be known at all, and how much of it still counts.
 //
-// It is pure. It never reads the file (internal/process/store) nor puts anything in force, and no promise to clients
+// It is pure. It never reads the file (internal/process/learnedstate/statefile) nor puts anything in force, and no promise to clients
 // rests on it: a proxy without learned state keeps them all.
 package staleness
 
@@ -17,10 +17,12 @@
 
 // Timestamp is a time by two clocks: the wall clock, which may be set, and the machine's uptime, which
 // only goes forward and ends with the machine.
+//
+// The json tags are the names under which 'marlreel state show --json' prints the fields.
 type Timestamp struct {
 	Wall   time.Time
-	BootID string        // identifies a start of the machine; "": not known
-	Uptime time.Duration // since that start
+	BootID string        `json:"Boot"` // identifies a start of the machine; "": not known
+	Uptime time.Duration `json:"Up"`   // since that start
 }
 
 // Age is how long before now a process ended. Where neither clock can tell, or the wall clock has been set back, it
@@ -64,33 +66,33 @@
 	out.Classes = slices.Clone(s.Classes)
 	for i := range out.Classes {
 		c := &out.Classes[i]
-		for k := range c.Line {
-			c.Line[k] *= weight
+		for k := range c.DelayFit {
+			c.DelayFit[k] *= weight
 		}
-		c.Tail[0] *= weight
+		c.DelayTail[0] *= weight
 		c.Served *= weight
 	}
 	out.Backends = slices.Clone(s.Backends)
-	limit := medianOf(out.Backends, func(b *learnedstate.Backend) float64 { return b.Limit })
+	limit := medianOf(out.Backends, func(b *learnedstate.Backend) float64 { return b.ConcurrencyLimit })
 	for i := range out.Backends {
 		b := &out.Backends[i]
 		// Towards what the others have, not towards nothing: a backend of which nothing is known is one of them.
-		if b.Limit > 0 && limit > 0 {
-			b.Limit = limit + (b.Limit-limit)*weight
+		if b.ConcurrencyLimit > 0 && limit > 0 {
+			b.ConcurrencyLimit = limit + (b.ConcurrencyLimit-limit)*weight
 		}
-		b.Delays *= weight
+		b.DelayRatios *= weight
 		b.Answers *= weight
-		b.Tail[0] *= weight
+		b.DelayTail[0] *= weight
 		// What was out is tried at once, by what costs least: a probe where there are any. How long it would
 		// have to stay out after another failure is remembered, less the longer it was.
-		b.Ejected = 0
-		b.Hold = time.Duration(float64(b.Hold) * weight)
+		b.EjectedFor = 0
+		b.EjectionDuration = time.Duration(float64(b.EjectionDuration) * weight)
 		// Danger: a cold budget that was saved up is not there after a time in which others spent theirs; a
 		// debt is.
-		b.Tokens = min(b.Tokens, 0)
+		b.WarmupTokens = min(b.WarmupTokens, 0)
 	}
-	out.Common.Retries = min(s.Common.Retries, s.Common.Retries*weight)
-	out.Common.Over *= weight
+	out.Common.RetryTokens = min(s.Common.RetryTokens, s.Common.RetryTokens*weight)
+	out.Common.MeanWindow *= weight
 	return &out
 }
 
--- a/internal/balancer/staleness/staleness_test.go
+++ b/internal/balancer/staleness/staleness_test.go
@@ -46,36 +46,36 @@
 	rapid.Check(t, func(t *rapid.T) {
 		positive := rapid.Float64Range(0, 1e4)
 		s := &learnedstate.State{
-			Common:  learnedstate.Common{Retries: positive.Draw(t, "retries"), Over: positive.Draw(t, "over")},
-			Classes: []learnedstate.Class{{Name: "bid", Line: [5]float64{positive.Draw(t, "n"), 3, 4, 5, 6}, Tail: [3]float64{9, 2, 1}, Served: 7}},
+			Common:  learnedstate.Common{RetryTokens: positive.Draw(t, "retries"), MeanWindow: positive.Draw(t, "over")},
+			Classes: []learnedstate.Class{{Name: "bid", DelayFit: [5]float64{positive.Draw(t, "n"), 3, 4, 5, 6}, DelayTail: [3]float64{9, 2, 1}, Served: 7}},
 		}
 		for i := range rapid.IntRange(0, 6).Draw(t, "backends") {
 			_ = i
 			s.Backends = append(s.Backends, learnedstate.Backend{
-				Limit: positive.Draw(t, "limit"), Answers: positive.Draw(t, "answers"),
-				Ejected: time.Duration(rapid.IntRange(0, 1e10).Draw(t, "ejected")), Hold: time.Duration(rapid.IntRange(0, 1e10).Draw(t, "hold")),
-				Tokens: rapid.Float64Range(-1e3, 1e3).Draw(t, "tokens"),
+				ConcurrencyLimit: positive.Draw(t, "limit"), Answers: positive.Draw(t, "answers"),
+				EjectedFor: time.Duration(rapid.IntRange(0, 1e10).Draw(t, "ejected")), EjectionDuration: time.Duration(rapid.IntRange(0, 1e10).Draw(t, "hold")),
+				WarmupTokens: rapid.Float64Range(-1e3, 1e3).Draw(t, "tokens"),
 			})
 		}
 		a := time.Duration(rapid.Int64Range(0, int64(cfg.MaxAge)).Draw(t, "away"))
 		b := a + time.Duration(rapid.Int64Range(0, int64(cfg.MaxAge-a)).Draw(t, "longer"))
 		young, old, crashed := Discount(cfg, s, a, false), Discount(cfg, s, b, false), Discount(cfg, s, a, true)
-		if old.Classes[0].Line[0] > young.Classes[0].Line[0] || crashed.Classes[0].Line[0] > young.Classes[0].Line[0]*0.5+1e-9 || young.Classes[0].Line[0] > s.Classes[0].Line[0] {
-			t.Fatalf("%v, %v, %v of %v", young.Classes[0].Line, old.Classes[0].Line, crashed.Classes[0].Line, s.Classes[0].Line)
+		if old.Classes[0].DelayFit[0] > young.Classes[0].DelayFit[0] || crashed.Classes[0].DelayFit[0] > young.Classes[0].DelayFit[0]*0.5+1e-9 || young.Classes[0].DelayFit[0] > s.Classes[0].DelayFit[0] {
+			t.Fatalf("%v, %v, %v of %v", young.Classes[0].DelayFit, old.Classes[0].DelayFit, crashed.Classes[0].DelayFit, s.Classes[0].DelayFit)
 		}
 		low, high := math.Inf(1), 0.0
 		for i := range s.Backends {
-			if v := s.Backends[i].Limit; v > 0 {
+			if v := s.Backends[i].ConcurrencyLimit; v > 0 {
 				low, high = min(low, v), max(high, v)
 			}
 		}
 		for i, k := range old.Backends {
 			was := s.Backends[i]
-			if k.Ejected != 0 || k.Hold > was.Hold || k.Tokens > 0 || k.Tokens > was.Tokens || k.Answers > was.Answers || k.Limit > 0 && (k.Limit < low-1e-6 || k.Limit > high+1e-6) {
+			if k.EjectedFor != 0 || k.EjectionDuration > was.EjectionDuration || k.WarmupTokens > 0 || k.WarmupTokens > was.WarmupTokens || k.Answers > was.Answers || k.ConcurrencyLimit > 0 && (k.ConcurrencyLimit < low-1e-6 || k.ConcurrencyLimit > high+1e-6) {
 				t.Fatalf("%+v of %+v", k, was)
 			}
 		}
-		if young.Common.Retries > s.Common.Retries || Discount(cfg, s, cfg.MaxAge+1, false) != nil || Discount(cfg, s, -1, false) != nil {
+		if young.Common.RetryTokens > s.Common.RetryTokens || Discount(cfg, s, cfg.MaxAge+1, false) != nil || Discount(cfg, s, -1, false) != nil {
 			t.Fatal("a budget that grew, or what is too old, or of the future, is believed")
 		}
 	})
--- a/internal/engine/memory.go
+++ b/internal/engine/memory.go
@@ -18,9 +18,9 @@
 // the engine's goroutine. Only on that.
 func (e *Engine) Learnt(done func(*learnedstate.State)) {
 	s := e.balancer.LearnedState(e.Now())
-	s.Taken = time.Now()
+	s.TakenAt = time.Now()
 	ids := e.balancer.LearnedBackends()
-	ids = ids[:min(len(ids), learnedstate.MostBackends)]
+	ids = ids[:min(len(ids), learnedstate.MaxBackends)]
 	var part func()
 	part = func() {
 		now := e.Now()
@@ -33,7 +33,7 @@
 			if b == nil || !found || len(k.Cells) < len(s.Classes) {
 				continue
 			}
-			k.Name, k.Addr, k.Cells = b.Name, b.Addr, k.Cells[:len(s.Classes)]
+			k.Name, k.Address, k.Cells = b.Name, b.Addr, k.Cells[:len(s.Classes)]
 			s.Backends = append(s.Backends, k)
 		}
 		if len(ids) == 0 {
@@ -52,11 +52,11 @@
 	known := *s
 	known.Backends = nil
 	for _, k := range s.Backends {
-		if b := e.Backend(k.Name); b != nil && b.Addr == k.Addr && b.State != balancer.Gone {
+		if b := e.Backend(k.Name); b != nil && b.Addr == k.Address && b.State != balancer.Gone {
 			k.ID = uint32(b.ID)
 			known.Backends = append(known.Backends, k)
 		}
 	}
-	e.balancer.Restore(e.Now(), s.Away(time.Now()), &known)
+	e.balancer.Restore(e.Now(), s.Age(time.Now()), &known)
 	return len(known.Backends)
 }
--- a/internal/engine/memory_test.go
+++ b/internal/engine/memory_test.go
@@ -64,8 +64,8 @@
 	if len(again.Backends) != 1 || again.Backends[0].Name != "s-0" {
 		t.Errorf("known are %+v", again.Backends)
 	}
-	if again.Backends[0].Cold < time.Second {
-		t.Errorf("its start is %v ago", again.Backends[0].Cold)
+	if again.Backends[0].SinceStart < time.Second {
+		t.Errorf("its start is %v ago", again.Backends[0].SinceStart)
 	}
 }
 
--- a/internal/process/learnedstate/codec/codec.go
+++ b/internal/process/learnedstate/codec/codec.go
@@ -19,8 +19,8 @@
 	version = 1
 	header  = len(magic) + 2 + 4 + 4
 
-	// Most is the length of a state at most, all in all.
-	Most = 4 << 20
+	// MaxBytes is the length of a state at most, all in all.
+	MaxBytes = 4 << 20
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -31,8 +31,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("state: %w", err)
 	}
-	if len(body) > Most-header {
-		return nil, fmt.Errorf("state: %d bytes, %d at most", len(body), Most-header)
+	if len(body) > MaxBytes-header {
+		return nil, fmt.Errorf("state: %d bytes, %d at most", len(body), MaxBytes-header)
 	}
 	return Seal(magic, version, body), nil
 }
@@ -47,16 +47,16 @@
 }
 
 // Open gives the body of a frame that is whole, of this magic and version, and no longer than most.
-func Open(magic string, version uint16, most int, data []byte) ([]byte, error) {
+func Open(magic string, version uint16, maxBytes int, data []byte) ([]byte, error) {
 	if len(data) < header || string(data[:len(magic)]) != magic {
 		return nil, fmt.Errorf("it does not begin as a %s file does", magic)
 	}
-	rest := data[len(magic):]
-	if v := binary.BigEndian.Uint16(rest); v != version {
+	fields := data[len(magic):]
+	if v := binary.BigEndian.Uint16(fields); v != version {
 		return nil, fmt.Errorf("version %d, %d is known here", v, version)
 	}
-	n, sum, body := binary.BigEndian.Uint32(rest[2:]), binary.BigEndian.Uint32(rest[6:]), data[header:]
-	if uint64(n) != uint64(len(body)) || len(data) > most {
+	n, sum, body := binary.BigEndian.Uint32(fields[2:]), binary.BigEndian.Uint32(fields[6:]), data[header:]
+	if uint64(n) != uint64(len(body)) || len(data) > maxBytes {
 		return nil, fmt.Errorf("%d bytes where it says %d", len(body), n)
 	}
 	if got := crc32.Checksum(body, castagnoli); got != sum {
@@ -73,7 +73,7 @@
 			s, err = nil, fmt.Errorf("state: %v", p)
 		}
 	}()
-	body, err := Open(magic, version, Most, data)
+	body, err := Open(magic, version, MaxBytes, data)
 	if err != nil {
 		return nil, fmt.Errorf("state: %w", err)
 	}
--- a/internal/process/learnedstate/codec/codec_test.go
+++ b/internal/process/learnedstate/codec/codec_test.go
@@ -13,12 +13,12 @@
 
 // sample has something of everything.
 func sample() *learnedstate.State {
-	s := &learnedstate.State{Of: "n0", Taken: time.UnixMilli(1_790_000_000_123).UTC(), Classes: make([]learnedstate.Class, 2), Tenants: make([]learnedstate.Tenant, 1)}
-	s.Common.Mean, s.Common.Gap, s.Conns.Holdback = 41.5, 3*time.Millisecond, time.Millisecond
-	s.Classes[0].Name, s.Classes[0].Line, s.Classes[1].Name = "bid", [5]float64{1, 2, 3, 4, 5}, "lot-list"
-	s.Conns.Uses[3] = 7
+	s := &learnedstate.State{ProxyName: "n0", TakenAt: time.UnixMilli(1_790_000_000_123).UTC(), Classes: make([]learnedstate.Class, 2), Tenants: make([]learnedstate.Tenant, 1)}
+	s.Common.MeanDelay, s.Common.RequestGap, s.Connections.Holdback = 41.5, 3*time.Millisecond, time.Millisecond
+	s.Classes[0].Name, s.Classes[0].DelayFit, s.Classes[1].Name = "bid", [5]float64{1, 2, 3, 4, 5}, "lot-list"
+	s.Connections.Uses[3] = 7
 	for range 3 {
-		b := learnedstate.Backend{Name: "s-1", Addr: "127.0.0.1:1", Healthy: true, Limit: 4, Cold: learnedstate.Never, Cells: make([]grayfailure.CellState, 2)}
+		b := learnedstate.Backend{Name: "s-1", Address: "127.0.0.1:1", Healthy: true, ConcurrencyLimit: 4, SinceStart: learnedstate.Never, Cells: make([]grayfailure.CellState, 2)}
 		b.Cells[1].FaultProbability = 0.25
 		s.Backends = append(s.Backends, b)
 	}
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got.Taken = got.Taken.UTC()
+	got.TakenAt = got.TakenAt.UTC()
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v\nwas written, and read is\n%+v", want, got)
 	}
@@ -69,16 +69,16 @@
 func TestNonsense(t *testing.T) {
 	t.Parallel()
 	for name, spoil := range map[string]func(*learnedstate.State){
-		"state.Common.Mean is NaN":                           func(s *learnedstate.State) { s.Common.Mean = math.NaN() },
-		"state.Classes[0].Line[4] is +Inf":                   func(s *learnedstate.State) { s.Classes[0].Line[4] = math.Inf(1) },
-		"state.Backends[2].Cells[1].FaultProbability is NaN": func(s *learnedstate.State) { s.Backends[2].Cells[1].FaultProbability = math.NaN() },
-		"state.Backends[0].Fails is -1":                      func(s *learnedstate.State) { s.Backends[0].Fails = -1 },
-		"state.Backends[0].LastOK is":                        func(s *learnedstate.State) { s.Backends[0].LastOK = math.MinInt64 },
-		"state.Classes[1].Name has 300 bytes":                func(s *learnedstate.State) { s.Classes[1].Name = strings.Repeat("x", 300) },
-		"backend \"s-1\" has 1 classes, there are 2":         func(s *learnedstate.State) { s.Backends[1].Cells = s.Backends[1].Cells[:1] },
-		"65 classes, 64 at most":                             func(s *learnedstate.State) { s.Classes = make([]learnedstate.Class, 65) },
-		"2049 backends, 2048 at most":                        func(s *learnedstate.State) { s.Backends = make([]learnedstate.Backend, 2049) },
-		"state.Conns.Uses[3] is NaN":                         func(s *learnedstate.State) { s.Conns.Uses[3] = math.NaN() },
+		"state.Common.Mean is NaN":                   func(s *learnedstate.State) { s.Common.MeanDelay = math.NaN() },
+		"state.Classes[0].Line[4] is +Inf":           func(s *learnedstate.State) { s.Classes[0].DelayFit[4] = math.Inf(1) },
+		"state.Backends[2].Cells[1].Bad is NaN":      func(s *learnedstate.State) { s.Backends[2].Cells[1].FaultProbability = math.NaN() },
+		"state.Backends[0].Fails is -1":              func(s *learnedstate.State) { s.Backends[0].FailedChecks = -1 },
+		"state.Backends[0].LastOK is":                func(s *learnedstate.State) { s.Backends[0].LastOK = math.MinInt64 },
+		"state.Classes[1].Name has 300 bytes":        func(s *learnedstate.State) { s.Classes[1].Name = strings.Repeat("x", 300) },
+		"backend \"s-1\" has 1 classes, there are 2": func(s *learnedstate.State) { s.Backends[1].Cells = s.Backends[1].Cells[:1] },
+		"65 classes, 64 at most":                     func(s *learnedstate.State) { s.Classes = make([]learnedstate.Class, 65) },
+		"2049 backends, 2048 at most":                func(s *learnedstate.State) { s.Backends = make([]learnedstate.Backend, 2049) },
+		"state.Conns.Uses[3] is NaN":                 func(s *learnedstate.State) { s.Connections.Uses[3] = math.NaN() },
 	} {
 		s := sample()
 		spoil(s)
--- a/internal/process/learnedstate/codec/compatibility_test.go
+++ b/internal/process/learnedstate/codec/compatibility_test.go
@@ -33,59 +33,59 @@
 // structures are stored in order and without names.
 func storedState() *learnedstate.State {
 	return &learnedstate.State{
-		Of:    "proxy-7",
-		Taken: time.Date(2026, 11, 30, 12, 34, 56, 789_000_000, time.UTC),
+		ProxyName: "proxy-7",
+		TakenAt:   time.Date(2026, 11, 30, 12, 34, 56, 789_000_000, time.UTC),
 		Common: learnedstate.Common{
-			Mean: 1.5, MeanWork: 2.5, MeanWorth: 3.5, MeanRank: 4.5, Over: 5.5,
-			Gap:     6 * time.Millisecond,
-			Retries: 7.5,
-			Alarms:  8.5, Answered: 9.5,
-			Asked: goodput.Tally{Offered: 10.5, Completed: 11.5},
+			MeanDelay: 1.5, MeanWork: 2.5, MeanUtility: 3.5, MeanUtilityPerWork: 4.5, MeanWindow: 5.5,
+			RequestGap:  6 * time.Millisecond,
+			RetryTokens: 7.5,
+			FalseAlarms: 8.5, Answers: 9.5,
+			Offered: goodput.Tally{Offered: 10.5, Completed: 11.5},
 		},
 		Classes: []learnedstate.Class{
 			{
-				Name:     "interactive",
-				Line:     [5]float64{20.25, 21.25, 22.25, 23.25, 24.25},
-				Tail:     [3]float64{25.25, 26.25, 27.25},
-				Served:   28.25,
-				Forecast: prediction.State{N: 29.25, Sum: -30.25, Sum2: 31.25},
-				Gray:     grayfailure.KindState{Failed: 32.25, Ended: 33.25, N: 34.25, Dev: -35.25, Dev2: 36.25, RecentEjections: 37.25, Tokens: -38.25},
-				Asked:    goodput.Tally{Offered: 39.25, Completed: 40.25},
+				Name:       "interactive",
+				DelayFit:   [5]float64{20.25, 21.25, 22.25, 23.25, 24.25},
+				DelayTail:  [3]float64{25.25, 26.25, 27.25},
+				Served:     28.25,
+				Prediction: prediction.State{N: 29.25, Sum: -30.25, Sum2: 31.25},
+				Gray:       grayfailure.ClassState{Failed: 32.25, Ended: 33.25, N: 34.25, Dev: -35.25, Dev2: 36.25, RecentEjections: 37.25, Tokens: -38.25},
+				Offered:    goodput.Tally{Offered: 39.25, Completed: 40.25},
 			},
 			{Name: "batch"},
 		},
 		Tenants: []learnedstate.Tenant{
-			{Name: "tenant-a", Asked: goodput.Tally{Offered: 50.75, Completed: 51.75}},
-			{Name: "tenant-b", Asked: goodput.Tally{Offered: 52.75, Completed: 53.75}},
+			{Name: "tenant-a", Offered: goodput.Tally{Offered: 50.75, Completed: 51.75}},
+			{Name: "tenant-b", Offered: goodput.Tally{Offered: 52.75, Completed: 53.75}},
 		},
 		Backends: []learnedstate.Backend{
 			{
-				Name: "llm-1", Addr: "10.0.0.1:8000",
-				Healthy: true,
-				Fails:   60, Passes: 61, Bad: 62, Broken: 63,
-				LastOK: 64 * time.Second, Ejected: 65 * time.Second, Hold: 66 * time.Second,
-				Cold:   67 * time.Second,
-				Tokens: -68.125,
-				Limit:  69.125,
-				Delays: 70.125, Answers: 71.125,
-				Tail: [3]float64{72.125, 73.125, 74.125},
+				Name: "llm-1", Address: "10.0.0.1:8000",
+				Healthy:      true,
+				FailedChecks: 60, PassedChecks: 61, ConsecutiveFailures: 62, ConsecutiveBreaks: 63,
+				LastOK: 64 * time.Second, EjectedFor: 65 * time.Second, EjectionDuration: 66 * time.Second,
+				SinceStart:       67 * time.Second,
+				WarmupTokens:     -68.125,
+				ConcurrencyLimit: 69.125,
+				DelayRatios:      70.125, Answers: 71.125,
+				DelayTail: [3]float64{72.125, 73.125, 74.125},
 				Cells: []grayfailure.CellState{
 					{
 						FaultProbability: 80.5, OtherAnswers: 81.5,
-						At: 82 * time.Second, SuspectedFor: 83 * time.Second, EjectedFor: 84 * time.Second,
+						SinceUpdate: 82 * time.Second, SuspectedFor: 83 * time.Second, EjectedFor: 84 * time.Second,
 						Failures: 85,
 						OK:       86.5, Ended: 87.5, OKEver: 88.5, EndedEver: 89.5, Delays: 90.5, Answered: 91.5,
 					},
-					{At: 92 * time.Second, SuspectedFor: -1, EjectedFor: -1},
+					{SinceUpdate: 92 * time.Second, SuspectedFor: -1, EjectedFor: -1},
 				},
 			},
 			{
-				Name: "llm-2", Addr: "10.0.0.2:8000",
-				LastOK: learnedstate.Never, Ejected: learnedstate.Never, Cold: learnedstate.Never,
+				Name: "llm-2", Address: "10.0.0.2:8000",
+				LastOK: learnedstate.Never, EjectedFor: learnedstate.Never, SinceStart: learnedstate.Never,
 				Cells: make([]grayfailure.CellState, 2),
 			},
 		},
-		Conns: connections.State{
+		Connections: connections.State{
 			EarlyUses: 100.5, EarlyBroken: 101.5,
 			Holdback: 102 * time.Millisecond,
 		},
@@ -112,8 +112,8 @@
 
 func wantState() *learnedstate.State {
 	s := storedState()
-	copy(s.Conns.Uses[:], storedUses)
-	copy(s.Conns.Broken[:], storedBreaks)
+	copy(s.Connections.Uses[:], storedUses)
+	copy(s.Connections.Broken[:], storedBreaks)
 	return s
 }
 
@@ -124,13 +124,13 @@
 		t.Fatal(err)
 	}
 	want := wantState()
-	if len(got.Conns.Uses) != len(storedUses) || len(got.Conns.Broken) != len(storedBreaks) {
-		t.Errorf("connections have %d and %d cells, want %d", len(got.Conns.Uses), len(got.Conns.Broken), len(storedUses))
+	if len(got.Connections.Uses) != len(storedUses) || len(got.Connections.Broken) != len(storedBreaks) {
+		t.Errorf("connections have %d and %d cells, want %d", len(got.Connections.Uses), len(got.Connections.Broken), len(storedUses))
 	}
-	if !got.Taken.Equal(want.Taken) {
-		t.Errorf("Taken is %v, want %v", got.Taken, want.Taken)
+	if !got.TakenAt.Equal(want.TakenAt) {
+		t.Errorf("Taken is %v, want %v", got.TakenAt, want.TakenAt)
 	}
-	got.Taken = want.Taken // its zone is not stored
+	got.TakenAt = want.TakenAt // its zone is not stored
 	compareFields(t, "state", reflect.ValueOf(*got), reflect.ValueOf(*want))
 }
 
--- /dev/null
+++ b/internal/process/learnedstate/statefile/clock.go
@@ -0,0 +1,31 @@
+package statefile
+
+import (
+	"os"
+	"strings"
+	"time"
+
+	"marlreel/internal/balancer/staleness"
+)
+
+// CurrentTimestamp is the present time by this machine's clocks. Where the system doesn't give its uptime, as other
+// systems than Linux don't, the wall clock alone is left.
+func CurrentTimestamp() staleness.Timestamp {
+	now := staleness.Timestamp{Wall: time.Now()}
+	bootID, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
+	if err != nil {
+		return now
+	}
+	uptimeAndIdle, err := os.ReadFile("/proc/uptime")
+	if err != nil {
+		return now
+	}
+	seconds, _, _ := strings.Cut(string(uptimeAndIdle), " ")
+	uptime, err := time.ParseDuration(seconds + "s")
+	if err != nil {
+		return now
+	}
+	now.BootID = strings.TrimSpace(string(bootID))
+	now.Uptime = uptime
+	return now
+}
--- a/internal/process/store/compatibility_test.go
+++ b/internal/process/learnedstate/statefile/compatibility_test.go
@@ -1,7 +1,8 @@
-package store
+package statefile
 
 import (
 	"bytes"
+	"encoding/json"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -23,7 +24,7 @@
 //
 // A file that is missing is written by
 //
-//	WRITE_COMPATIBILITY_FILES=1 go test -run TestCompatibility ./internal/process/store
+//	WRITE_COMPATIBILITY_FILES=1 go test -run TestCompatibility ./internal/process/learnedstate/statefile
 //
 // Files that exist are never overwritten.
 const (
@@ -40,27 +41,27 @@
 
 func storedRecords() []storedRecord {
 	state := &learnedstate.State{
-		Of:      "edge-1",
-		Taken:   time.Date(2026, 11, 30, 12, 34, 56, 0, time.UTC),
-		Classes: []learnedstate.Class{{Name: "interactive", Served: 2.5}},
-		Tenants: []learnedstate.Tenant{{Name: "tenant-a"}},
+		ProxyName: "edge-1",
+		TakenAt:   time.Date(2026, 11, 30, 12, 34, 56, 0, time.UTC),
+		Classes:   []learnedstate.Class{{Name: "interactive", Served: 2.5}},
+		Tenants:   []learnedstate.Tenant{{Name: "tenant-a"}},
 		Backends: []learnedstate.Backend{{
-			Name: "llm-1", Addr: "10.0.0.1:8000", Healthy: true, Fails: 3, Limit: 4.5,
-			LastOK: time.Second, Ejected: learnedstate.Never, Cold: learnedstate.Never, Cells: []grayfailure.CellState{{FaultProbability: 0.5, At: time.Minute}},
+			Name: "llm-1", Address: "10.0.0.1:8000", Healthy: true, FailedChecks: 3, ConcurrencyLimit: 4.5,
+			LastOK: time.Second, EjectedFor: learnedstate.Never, SinceStart: learnedstate.Never, Cells: []grayfailure.CellState{{FaultProbability: 0.5, SinceUpdate: time.Minute}},
 		}},
 	}
 	return []storedRecord{
 		{proxy: "edge-1", file: "marlreel-edge-1.memory", Record: Record{
-			At: staleness.Timestamp{
+			WrittenAt: staleness.Timestamp{
 				Wall: time.Date(2026, 11, 30, 12, 34, 57, 123_456_789, time.UTC), BootID: "0c3f9f0e-7a53-4a32-9d3c-8f6f2c1b7a11",
 				Uptime: 36*time.Hour + 250*time.Millisecond,
 			},
-			Stopped: true,
-			State:   state,
+			ShutDown: true,
+			State:    state,
 		}},
 		{proxy: "zone a/Edge_2", file: "marlreel-zone.a.Edge_2.memory", Record: Record{
-			At:    staleness.Timestamp{Wall: time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)}, // the start of the machine is not known
-			State: &learnedstate.State{Of: "zone a/Edge_2", Taken: time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)},
+			WrittenAt: staleness.Timestamp{Wall: time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)}, // the start of the machine is not known
+			State:     &learnedstate.State{ProxyName: "zone a/Edge_2", TakenAt: time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)},
 		}},
 	}
 }
@@ -78,19 +79,19 @@
 			if err != nil || got == nil {
 				t.Fatalf("the record is %v: %v", got, err)
 			}
-			if !got.At.Wall.Equal(want.At.Wall) {
-				t.Errorf("At.Wall is %v, want %v", got.At.Wall, want.At.Wall)
+			if !got.WrittenAt.Wall.Equal(want.WrittenAt.Wall) {
+				t.Errorf("At.Wall is %v, want %v", got.WrittenAt.Wall, want.WrittenAt.Wall)
 			}
-			if got.At.BootID != want.At.BootID {
-				t.Errorf("At.Boot is %q, want %q", got.At.BootID, want.At.BootID)
+			if got.WrittenAt.BootID != want.WrittenAt.BootID {
+				t.Errorf("At.Boot is %q, want %q", got.WrittenAt.BootID, want.WrittenAt.BootID)
 			}
-			if got.At.Uptime != want.At.Uptime {
-				t.Errorf("At.Up is %v, want %v", got.At.Uptime, want.At.Uptime)
+			if got.WrittenAt.Uptime != want.WrittenAt.Uptime {
+				t.Errorf("At.Up is %v, want %v", got.WrittenAt.Uptime, want.WrittenAt.Uptime)
 			}
-			if got.Stopped != want.Stopped {
-				t.Errorf("Stopped is %t, want %t", got.Stopped, want.Stopped)
+			if got.ShutDown != want.ShutDown {
+				t.Errorf("Stopped is %t, want %t", got.ShutDown, want.ShutDown)
 			}
-			got.State.Taken = got.State.Taken.UTC() // its zone is not stored
+			got.State.TakenAt = got.State.TakenAt.UTC() // its zone is not stored
 			if !reflect.DeepEqual(got.State, want.State) {
 				t.Errorf("State is\n%+v\nwant\n%+v", got.State, want.State)
 			}
@@ -147,6 +148,28 @@
 	}
 }
 
+// TestCompatibilityOfPrintedNames compares what 'marlreel state show --json' prints of a stored file: its JSON, with the
+// names of the fields. The file testdata/compatibility/marlreel-edge-1.json was printed by the code of commit 6fb9894.
+func TestCompatibilityOfPrintedNames(t *testing.T) {
+	want, err := os.ReadFile(filepath.Join(compatibilityFolder, "marlreel-edge-1.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	record, err := Open(compatibilityFolder, "edge-1").Load()
+	if err != nil {
+		t.Fatal(err)
+	}
+	record.State.TakenAt = record.State.TakenAt.UTC() // its zone is not stored
+	record.WrittenAt.Wall = record.WrittenAt.Wall.UTC()
+	got, err := json.MarshalIndent(record, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(append(got, '\n'), want) {
+		t.Errorf("printed is\n%s\nwant\n%s", got, want)
+	}
+}
+
 // TestCompatibilityOfReplacement writes a record over a stored one.
 func TestCompatibilityOfReplacement(t *testing.T) {
 	writeMissingFiles(t)
--- a/internal/process/store/store_test.go
+++ b/internal/process/learnedstate/statefile/file_test.go
@@ -1,4 +1,4 @@
-package store
+package statefile
 
 import (
 	"bytes"
@@ -18,38 +18,38 @@
 )
 
 func numbered(n int) *Record {
-	s := &learnedstate.State{Of: "n0", Taken: time.Unix(int64(n), 0)}
+	s := &learnedstate.State{ProxyName: "n0", TakenAt: time.Unix(int64(n), 0)}
 	for i := range 3 + n%5 {
-		s.Backends = append(s.Backends, learnedstate.Backend{Name: fmt.Sprint("s-", i), Addr: "127.0.0.1:1", Fails: n, LastOK: learnedstate.Never, Cold: learnedstate.Never})
+		s.Backends = append(s.Backends, learnedstate.Backend{Name: fmt.Sprint("s-", i), Address: "127.0.0.1:1", FailedChecks: n, LastOK: learnedstate.Never, SinceStart: learnedstate.Never})
 	}
-	return &Record{At: staleness.Timestamp{Wall: time.Unix(int64(n), 0), BootID: "b", Uptime: time.Duration(n)}, Stopped: n%2 == 0, State: s}
+	return &Record{WrittenAt: staleness.Timestamp{Wall: time.Unix(int64(n), 0), BootID: "b", Uptime: time.Duration(n)}, ShutDown: n%2 == 0, State: s}
 }
 
-// encoded and save are for a record as a whole.
+// encoded gives the bytes of a record with its state.
 func encoded(r *Record) ([]byte, error) {
 	state, err := codec.Encode(r.State)
 	if err != nil {
 		return nil, err
 	}
-	return Encode(r.At, r.Stopped, state)
+	return Encode(r.WrittenAt, r.ShutDown, state)
 }
 
-func save(s *Store, r *Record) error {
+func save(f *File, r *Record) error {
 	state, err := codec.Encode(r.State)
 	if err != nil {
 		return err
 	}
-	return s.Save(r.At, r.Stopped, state)
+	return f.Save(r.WrittenAt, r.ShutDown, state)
 }
 
 // number tells which of the numbered ones a record is; -1: it is a mixture.
 func number(r *Record) int {
-	n := int(r.At.Uptime)
-	if r.State.Taken.Unix() != int64(n) || len(r.State.Backends) != 3+n%5 || r.Stopped != (n%2 == 0) {
+	n := int(r.WrittenAt.Uptime)
+	if r.State.TakenAt.Unix() != int64(n) || len(r.State.Backends) != 3+n%5 || r.ShutDown != (n%2 == 0) {
 		return -1
 	}
 	for _, b := range r.State.Backends {
-		if b.Fails != n {
+		if b.FailedChecks != n {
 			return -1
 		}
 	}
@@ -77,13 +77,13 @@
 	if p := Open(dir, "../../etc/n0").Path(); filepath.Dir(p) != dir {
 		t.Errorf("a name leads to %s", p)
 	}
-	if now := Now(); now.Wall.IsZero() {
+	if now := CurrentTimestamp(); now.Wall.IsZero() {
 		t.Error("no time")
 	}
 }
 
-// What is no record is an error in one line that names the file; what is in it is left alone.
-func TestFilesThatAreNone(t *testing.T) {
+// What is not a record is an error in one line that names the file; what is in it is left alone.
+func TestInvalidFilesAreReported(t *testing.T) {
 	t.Parallel()
 	good, err := encoded(numbered(7))
 	if err != nil {
@@ -93,7 +93,14 @@
 	newer[5] = 9
 	damaged := bytes.Clone(good)
 	damaged[len(damaged)-3] ^= 1
-	for name, data := range map[string][]byte{"empty": {}, "text": []byte("hello"), "cut": good[:len(good)-1], "longer": append(bytes.Clone(good), 0), "newer": newer, "damaged": damaged} {
+	for name, data := range map[string][]byte{
+		"empty":   {},
+		"text":    []byte("hello"),
+		"cut":     good[:len(good)-1],
+		"longer":  append(bytes.Clone(good), 0),
+		"newer":   newer,
+		"damaged": damaged,
+	} {
 		s := Open(t.TempDir(), "n0")
 		if err := os.WriteFile(s.Path(), data, 0o600); err != nil {
 			t.Fatal(err)
@@ -118,6 +125,8 @@
 	}
 }
 
+var _ fileSystem = (*disk)(nil)
+
 // disk is a file system that may fail or lose power at any step: what was not synced is then there in part,
 // in whole or not at all, and renames that were not synced too.
 type disk struct {
@@ -182,7 +191,7 @@
 	return nil, fs.ErrNotExist
 }
 
-func (d *disk) Create(name string) (file, error) {
+func (d *disk) Create(name string) (writableFile, error) {
 	if err := d.step(); err != nil {
 		return nil, err
 	}
@@ -240,42 +249,42 @@
 	h.c.synced = len(h.c.data)
 	return nil
 }
+
 func (h *handle) Close() error { return nil }
 
 // Power that goes at any step, and disks that fail: what comes back is the last that was saved without an
 // error, or one that was being saved since; never a mixture, never nothing where there was one.
-func TestPowerGoes(t *testing.T) {
+func TestPowerLossKeepsTheLastSave(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(5000) {
 		rng := rand.New(rand.NewPCG(seed, 9))
 		d := &disk{rng: rng, steps: -1, files: map[string]*content{}, durable: map[string]*content{}}
-		saved, tried := -1, -1
+		lastSaved := -1
 		for n := range 6 {
 			d.steps, d.fails, d.broken = 1+rng.IntN(60), 0, false
 			if rng.IntN(3) == 0 {
 				d.fails = 0.02
 			}
-			s := &Store{"dir/n0", d}
-			tried = n
+			s := &File{"dir/n0", d}
 			if err := save(s, numbered(n)); err == nil {
-				saved = n
+				lastSaved = n
 			}
 			lost := rng.IntN(2) == 0 || d.broken
 			if lost {
 				d = d.after()
 			}
 			d.steps, d.fails, d.broken = -1, 0, false
-			r, err := (&Store{"dir/n0", d}).Load()
+			r, err := (&File{"dir/n0", d}).Load()
 			switch {
 			case err != nil:
 				t.Fatalf("seed %d, save %d: %v", seed, n, err)
-			case r == nil && saved >= 0:
-				t.Fatalf("seed %d, save %d: nothing is there, and %d was saved", seed, n, saved)
-			case r != nil && (number(r) < saved || number(r) > tried):
-				t.Fatalf("seed %d, save %d: %d is there; %d was saved", seed, n, number(r), saved)
+			case r == nil && lastSaved >= 0:
+				t.Fatalf("seed %d, save %d: nothing is there, and %d was saved", seed, n, lastSaved)
+			case r != nil && (number(r) < lastSaved || number(r) > n):
+				t.Fatalf("seed %d, save %d: %d is there; %d was saved", seed, n, number(r), lastSaved)
 			}
 			if r != nil && lost { // what is there after that is there for good
-				saved = max(saved, number(r))
+				lastSaved = max(lastSaved, number(r))
 			}
 		}
 	}
--- a/internal/proxy/keep.go
+++ b/internal/proxy/keep.go
@@ -12,14 +12,14 @@
 	"marlreel/internal/config"
 	"marlreel/internal/process/background"
 	"marlreel/internal/process/learnedstate"
+	"marlreel/internal/process/learnedstate/statefile"
 	"marlreel/internal/process/logs"
-	"marlreel/internal/process/store"
 )
 
 // saver keeps what this proxy learns in a file, where the operator has set a folder for it. It is beside all
 // serving: the engine is asked for its state in small parts, and nobody waits for the disk.
 type saver struct {
-	store *store.Store
+	store *statefile.File
 	every time.Duration
 	state func(context.Context) ([]byte, error)
 	now   func() staleness.Timestamp
@@ -31,7 +31,7 @@
 
 // remember reads what an earlier life has learnt, as far as it is still to be believed. Whatever is wrong with
 // it is one line, and the proxy starts as it does without.
-func remember(cfg config.Memory, s *store.Store, name string, now staleness.Timestamp, logger *slog.Logger) *learnedstate.State {
+func remember(cfg config.Memory, s *statefile.File, name string, now staleness.Timestamp, logger *slog.Logger) *learnedstate.State {
 	r, err := s.Load()
 	if err != nil {
 		logger.Info(fmt.Sprintf("memory: nothing is taken from it: %v", err), "event", "memory-refused")
@@ -40,22 +40,22 @@
 	if r == nil {
 		return nil
 	}
-	if r.State.Of != name {
-		logger.Info(fmt.Sprintf("memory: nothing is taken from %s: it is %q's, and this is %q", s.Path(), r.State.Of, name), "event", "memory-refused")
+	if r.State.ProxyName != name {
+		logger.Info(fmt.Sprintf("memory: nothing is taken from %s: it is %q's, and this is %q", s.Path(), r.State.ProxyName, name), "event", "memory-refused")
 		return nil
 	}
-	away, err := staleness.Age(r.At, now)
+	away, err := staleness.Age(r.WrittenAt, now)
 	if err != nil {
 		logger.Info(fmt.Sprintf("memory: nothing is taken from %s: %v", s.Path(), err), "event", "memory-refused")
 		return nil
 	}
-	known := staleness.Discount(staleness.Config{MaxAge: cfg.Keep.D(), HalfLife: cfg.Half.D()}, r.State, away, !r.Stopped)
+	known := staleness.Discount(staleness.Config{MaxAge: cfg.Keep.D(), HalfLife: cfg.Half.D()}, r.State, away, !r.ShutDown)
 	if known == nil {
 		logger.Info(fmt.Sprintf("memory: nothing is taken from %s: it is %v old, and %v is the most", s.Path(), away.Round(time.Second), cfg.Keep.D()), "event", "memory-refused")
 		return nil
 	}
 	// From here on its age is counted by the wall's clock of this life, whatever the other life's said.
-	known.Taken = now.Wall.Add(-away)
+	known.TakenAt = now.Wall.Add(-away)
 	return known
 }
 
--- a/internal/proxy/keep_test.go
+++ b/internal/proxy/keep_test.go
@@ -14,7 +14,7 @@
 	"marlreel/internal/config"
 	"marlreel/internal/process/learnedstate"
 	"marlreel/internal/process/learnedstate/codec"
-	"marlreel/internal/process/store"
+	"marlreel/internal/process/learnedstate/statefile"
 	"marlreel/internal/strict"
 	"marlreel/internal/testutil"
 )
@@ -35,16 +35,16 @@
 	for range 30 {
 		do(t, newRequest(t, p, "bid", "x"))
 	}
-	path := store.Open(dir, cfg.Name).Path()
-	knows := func() *store.Record {
-		r, err := store.Open(dir, cfg.Name).Load()
-		if err != nil || r == nil || len(r.State.Backends) < 1 || r.State.Common.Over == 0 {
+	path := statefile.Open(dir, cfg.Name).Path()
+	knows := func() *statefile.Record {
+		r, err := statefile.Open(dir, cfg.Name).Load()
+		if err != nil || r == nil || len(r.State.Backends) < 1 || r.State.Common.MeanWindow == 0 {
 			return nil
 		}
 		return r
 	}
 	eventually(t, "a memory of the node", func() bool { return knows() != nil })
-	if r := knows(); r == nil || r.Stopped {
+	if r := knows(); r == nil || r.ShutDown {
 		t.Errorf("%+v", r)
 	}
 	crashed, err := os.ReadFile(path) // what a kill would leave
@@ -53,7 +53,7 @@
 	}
 	p.stop()
 	receive(t, p.ended, "the end")
-	if r := knows(); r == nil || !r.Stopped {
+	if r := knows(); r == nil || !r.ShutDown {
 		t.Errorf("after a stop: %+v", r)
 	}
 	again := startWith(t, cfg, remembering(t, dir))
@@ -75,11 +75,11 @@
 func TestMemoriesThatAreNone(t *testing.T) {
 	t.Parallel()
 	good := func(of string, age time.Duration) []byte {
-		state, err := codec.Encode(&learnedstate.State{Of: of, Taken: time.Now()})
+		state, err := codec.Encode(&learnedstate.State{ProxyName: of, TakenAt: time.Now()})
 		if err != nil {
 			t.Fatal(err)
 		}
-		data, err := store.Encode(staleness.Timestamp{Wall: time.Now().Add(-age)}, false, state)
+		data, err := statefile.Encode(staleness.Timestamp{Wall: time.Now().Add(-age)}, false, state)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -100,7 +100,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			dir := t.TempDir()
-			if err := os.WriteFile(store.Open(dir, "n0").Path(), c.data, 0o600); err != nil {
+			if err := os.WriteFile(statefile.Open(dir, "n0").Path(), c.data, 0o600); err != nil {
 				t.Fatal(err)
 			}
 			p := startWith(t, testConfig(t, closedAddr(t), ready("s-1", named(t, "one"))), remembering(t, dir))
@@ -109,8 +109,8 @@
 				t.Errorf("%s", got)
 			}
 			eventually(t, "a memory of its own", func() bool {
-				r, err := store.Open(dir, "n0").Load()
-				return err == nil && r != nil && r.State.Of == "n0" && len(r.State.Backends) > 0
+				r, err := statefile.Open(dir, "n0").Load()
+				return err == nil && r != nil && r.State.ProxyName == "n0" && len(r.State.Backends) > 0
 			})
 		})
 	}
@@ -130,7 +130,7 @@
 // disk that hangs.
 func TestSlowDisks(t *testing.T) {
 	t.Parallel()
-	state, err := codec.Encode(&learnedstate.State{Of: "n0", Taken: time.Now()})
+	state, err := codec.Encode(&learnedstate.State{ProxyName: "n0", TakenAt: time.Now()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,7 +138,7 @@
 	wall := time.Now()
 	slow, broken := time.Duration(0), error(nil)
 	k := &saver{
-		store: store.Open(t.TempDir(), "n0"), every: time.Second, logf: log.New(&lines, "", 0).Printf,
+		store: statefile.Open(t.TempDir(), "n0"), every: time.Second, logf: log.New(&lines, "", 0).Printf,
 		now:   func() staleness.Timestamp { return staleness.Timestamp{Wall: wall} },
 		state: func(context.Context) ([]byte, error) { wall = wall.Add(slow); return state, broken },
 	}
--- a/internal/proxy/memory.go
+++ b/internal/proxy/memory.go
@@ -38,8 +38,8 @@
 			s, err := ask(meeting, other.ID)
 			if err != nil {
 				logger.Info(fmt.Sprintf("nothing is taken over of what process %d has learnt: %v", other.ID, err), "event", "learnt-refused")
-			} else if s.Of != name {
-				logger.Info(fmt.Sprintf("nothing is taken over of what process %d has learnt: it is of %q, and this is %q", other.ID, s.Of, name), "event", "learnt-refused")
+			} else if s.ProxyName != name {
+				logger.Info(fmt.Sprintf("nothing is taken over of what process %d has learnt: it is of %q, and this is %q", other.ID, s.ProxyName, name), "event", "learnt-refused")
 				s = nil
 			}
 			p.engine.Post(func() {
@@ -65,7 +65,7 @@
 		taken := make(chan *learnedstate.State, 1)
 		p.engine.Post(func() {
 			p.engine.Learnt(func(s *learnedstate.State) {
-				s.Of, s.Conns = name, p.carrier.Learnt()
+				s.ProxyName, s.Connections = name, p.carrier.Learnt()
 				taken <- s
 			})
 		})
@@ -97,16 +97,16 @@
 		m.kept = nil
 		began := time.Now()
 		n := p.engine.Restore(s)
-		p.carrier.Restore(s.Conns, s.Away(began))
-		logger.Info(fmt.Sprintf("memory: taken over from an earlier life: what it had learnt of %d backends and %d classes, %v old", n, len(s.Classes), s.Away(began).Round(time.Millisecond)), "event", "memory-taken")
+		p.carrier.Restore(s.Connections, s.Age(began))
+		logger.Info(fmt.Sprintf("memory: taken over from an earlier life: what it had learnt of %d backends and %d classes, %v old", n, len(s.Classes), s.Age(began).Round(time.Millisecond)), "event", "memory-taken")
 	}
 	if s := m.state; s != nil {
 		m.state, m.kept = nil, nil
 		began := time.Now()
 		n := p.engine.Restore(s)
-		p.carrier.Restore(s.Conns, s.Away(began))
+		p.carrier.Restore(s.Connections, s.Age(began))
 		logger.Info(fmt.Sprintf("taken over from process %d: what it has learnt of %d backends and %d classes, %v old",
-			m.from, n, len(s.Classes), s.Away(began).Round(time.Millisecond)), "event", "learnt-taken")
+			m.from, n, len(s.Classes), s.Age(began).Round(time.Millisecond)), "event", "learnt-taken")
 	}
 	p.front.SetReady(true)
 	if p.meeting != nil {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -27,9 +27,9 @@
 	"marlreel/internal/process/budget"
 	"marlreel/internal/process/control"
 	"marlreel/internal/process/handover"
+	"marlreel/internal/process/learnedstate/statefile"
 	"marlreel/internal/process/logs"
 	"marlreel/internal/process/metrics"
-	"marlreel/internal/process/store"
 	"marlreel/internal/rpc"
 )
 
@@ -334,7 +334,7 @@
 // keep readies the file of what is learnt, and takes over what an earlier life has left in it, unless another
 // process of this proxy tells more. Before the engine runs.
 func (p *parts) keep(name string, cfg config.Memory, logger *slog.Logger) *saver {
-	k := &saver{store: store.Open(cfg.Dir, name), every: cfg.Every.D(), state: p.tell(name), now: store.Now, logf: logs.Event(logger, "memory")}
+	k := &saver{store: statefile.Open(cfg.Dir, name), every: cfg.Every.D(), state: p.tell(name), now: statefile.CurrentTimestamp, logf: logs.Event(logger, "memory")}
 	p.memory.kept = remember(cfg, k.store, name, k.now(), logger)
 	return k
 }
