--- a/internal/balancer/grayfailure/compare.go
+++ b/internal/balancer/grayfailure/compare.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// BeginComparison starts a comparison of all cells that could get work now, to find the best of each kind
-// and how much they differ: See each, then End it, then Judge each.
+// BeginComparison starts a comparison of all cells that could get requests now, to find the best of each class and how
+// much they differ: AddToComparison each, then EndComparison, then Evaluate each.
 func (m *Model) BeginComparison() {
 	for i := range m.classes {
 		g := &m.classes[i]
@@ -14,8 +14,8 @@
 	}
 }
 
-// AddToComparison takes in a cell; mean is the mean of its backend's delay ratios over all kinds, of what was
-// noted alone: what is out, or assumed beforehand, is in no cell's mean.
+// AddToComparison takes in a cell; mean is the mean of its backend's recorded delay ratios over all classes: what is in
+// flight, or assumed beforehand, is in no cell's mean.
 func (m *Model) AddToComparison(c *Cell, k int, now time.Duration, mean float64) {
 	g := &m.classes[k]
 	g.best = max(g.best, m.recentSuccess(c, k, now))
@@ -45,7 +45,7 @@
 	}
 }
 
-// Change is what Judge made of a cell.
+// Change is what Evaluate made of a cell.
 type Change uint8
 
 // The changes.
@@ -55,14 +55,14 @@
 	Reinstated
 )
 
-// Evaluate decides whether the cell is out, against the best of its kind.
+// Evaluate ejects a cell or reinstates it, by comparison with the best of its class.
 func (m *Model) Evaluate(c *Cell, k int, now time.Duration) Change {
 	if !c.Suspected() {
 		return Unchanged
 	}
 	g, p := &m.classes[k], m.RelativeSuccess(c, k, now)
 	if g.best < ejectBelow {
-		p = 1 // nobody serves it well: it is the kind
+		p = 1 // no backend serves it well: the class fails everywhere
 	}
 	switch {
 	case c.ejectedAt == 0 && p < ejectBelow:
@@ -76,23 +76,23 @@
 	case c.ejectedAt > 0:
 		g.ejected++
 	default:
-		m.clearSuspicion(c) // it may have faded
+		m.clearSuspicion(c) // its probability may have drifted down
 	}
 	return Unchanged
 }
 
-// EjectionState tells whether the cell gets nothing but tries, since when, and after how many attempts
-// in a row without an answer.
-func (c *Cell) EjectionState() (since time.Duration, failures int, out bool) {
+// EjectionState tells whether the cell gets nothing but trials, since when, and how many attempts in a row are without an
+// answer.
+func (c *Cell) EjectionState() (since time.Duration, failures int, ejected bool) {
 	return c.ejectedAt, c.consecutiveFailures + c.inFlightSuspicious, c.ejectedAt > 0
 }
 
-// AnyEjected tells whether any cell of the kind was out at the last comparison.
+// AnyEjected tells whether any cell of the class was ejected at the last comparison.
 func (m *Model) AnyEjected(k int) bool { return m.classes[k].ejected > 0 }
 
-// DelayRatio is the delay ratio to expect of the cell; own is its backend's over all kinds, with the
-// ages of what is out, and mean as with See. Danger: a cell's own mean knows nothing of what is
-// out; taken in place of own, it would hide a crowd until its answers come.
+// DelayRatio is the delay ratio to expect of the cell; own is its backend's over all classes, with the ages of what is in
+// flight, and mean as with AddToComparison. The cell's mean only scales own: it has nothing of what is in flight, and
+// in place of own it would hide an overload until its answers come.
 func (m *Model) DelayRatio(c *Cell, k int, now time.Duration, own, mean float64) float64 {
 	b, n := m.classes[k].between, c.answers.Value(now, m.cfg.TimeConstant)
 	if b <= 0 || n <= 0 || mean <= 0 {
@@ -102,7 +102,7 @@
 	return own * (1 + w*(c.delays.Value(now, m.cfg.TimeConstant)/n/mean-1))
 }
 
-// RecordSent counts an attempt that leaves, and earns the kind a part of a try.
+// RecordSent counts an attempt that is sent, and earns the class a part of a trial.
 func (m *Model) RecordSent(c *Cell, k int, trial bool) {
 	g := &m.classes[k]
 	g.trialTokens = min(g.trialTokens+m.cfg.TrialRatio, m.cfg.TrialBurst)
@@ -112,19 +112,19 @@
 	}
 }
 
-// MayTrial tells whether a cell that is out may get an attempt now.
+// MayTrial tells whether an ejected cell may get an attempt now.
 func (m *Model) MayTrial(c *Cell, k int) bool {
 	g := &m.classes[k]
 	return c.trialsInFlight == 0 && g.trialTokens > float64(g.trialsInFlight)*0.5
 }
 
-// RecordTrialOutcome takes the end of a try; again says that the request could go elsewhere afterwards.
+// RecordTrialOutcome takes the outcome of a trial; mayRetry says that its request may be retried elsewhere.
 func (m *Model) RecordTrialOutcome(c *Cell, k int, outcome Outcome, mayRetry bool) {
 	g := &m.classes[k]
 	c.trialsInFlight, g.trialsInFlight = max(0, c.trialsInFlight-1), max(0, g.trialsInFlight-1)
 	switch {
 	case outcome == Answered:
-		g.trialTokens = max(g.trialTokens, m.cfg.TrialRatio) // what one has recovered from, others may have too
+		g.trialTokens = max(g.trialTokens, m.cfg.TrialRatio) // what one cell has recovered from, others may have too
 	case outcome == Unknown:
 	case mayRetry:
 		g.trialTokens -= rescuedTrialCost
@@ -133,7 +133,7 @@
 	}
 }
 
-// ForgetTrials forgets the tries that are out at a cell whose backend leaves.
+// ForgetTrials forgets the trials in flight at a cell whose backend is removed.
 func (m *Model) ForgetTrials(c *Cell, k int) {
 	m.classes[k].trialsInFlight = max(0, m.classes[k].trialsInFlight-c.trialsInFlight)
 	c.trialsInFlight = 0
--- a/internal/balancer/grayfailure/config.go
+++ b/internal/balancer/grayfailure/config.go
@@ -5,55 +5,76 @@
 	"time"
 )
 
-// Config has the figures of the judgement. DefaultConfig gives those in service.
+// Config has the parameters of the model. DefaultConfig gives those in service.
 type Config struct {
-	// Classes of work that are told apart. Each costs about 200 bytes a backend.
+	// Classes is how many classes of requests are told apart, 1 or more. Each costs about 200 bytes a backend.
 	Classes int
 
-	// AnsweredRatio is the share of attempts that a bad cell is assumed to answer. Higher notices
-	// milder troubles, and takes chance for trouble more often: with e of 2%, what fails more
-	// than 27% is judged bad at 0.25, more than 40% at 0.4.
+	// AnsweredRatio is the part of its attempts that a bad cell is assumed to answer, between 0 and 1. A higher one
+	// notices milder faults, and takes chance for a fault more often: with e of 2%, a cell is judged bad that fails
+	// more than 27% at 0.25, and more than 40% at 0.4.
 	AnsweredRatio float64
 
-	// MeanTimeBetweenFaults is the mean time between two troubles of one cell. Longer wants more evidence: at
-	// 600 s two or three silences in a row, with nothing answered between them.
+	// MeanTimeBetweenFaults is that of one cell, MaxFaultDuration or more. A longer one wants more evidence: at 600 s
+	// two or three attempts in a row without an answer, with nothing answered between them.
 	MeanTimeBetweenFaults time.Duration
 
-	// MinFaultDuration and Longest bound how long a trouble is expected to last further; within them
-	// it is as long as it has lasted. They matter where a kind is so rare that it is hardly
-	// ever tried: then a cell is back after about half of this by time alone.
+	// MinFaultDuration, above 0, and MaxFaultDuration bound how much longer a fault is expected to last; within them
+	// it is as long as it has lasted. They matter where a class is so rare that it hardly ever has a trial: then a cell
+	// is reinstated after about half of this by time alone.
 	MinFaultDuration, MaxFaultDuration time.Duration
 
-	// TimeConstant is the time over which the share of failures in good cells, and delays, fade.
+	// TimeConstant, above 0, is the time over which the ratio of failures in good cells, and delays, decay to 1/e.
 	TimeConstant time.Duration
 
-	// TrialRatio is the share of a kind's attempts that may be lost on trying bad cells, and Burst
-	// how many may be saved up.
+	// TrialRatio, 0 to 1, is the part of a class's attempts that may be lost to trials of ejected cells, and
+	// TrialBurst, 1 or more, how many may be saved up.
 	TrialRatio, TrialBurst float64
 }
 
-// DefaultConfig gives the figures in service, for so many kinds of work.
-func DefaultConfig(kinds int) Config {
+// DefaultConfig gives the parameters in service, for so many classes.
+func DefaultConfig(classes int) Config {
 	return Config{
-		Classes: kinds, AnsweredRatio: 0.25, MeanTimeBetweenFaults: 600 * time.Second, MinFaultDuration: 2 * time.Second,
-		MaxFaultDuration: 10 * time.Second, TimeConstant: 10 * time.Second, TrialRatio: 0.0075, TrialBurst: 1,
+		Classes:               classes,
+		AnsweredRatio:         0.25,
+		MeanTimeBetweenFaults: 600 * time.Second,
+		MinFaultDuration:      2 * time.Second,
+		MaxFaultDuration:      10 * time.Second,
+		TimeConstant:          10 * time.Second,
+		TrialRatio:            0.0075,
+		TrialBurst:            1,
 	}
 }
 
-// Validate names the first figure that makes no sense.
+// ConfigError is a parameter out of its range.
+type ConfigError struct{ Field, Value, Want string }
+
+var _ error = (*ConfigError)(nil)
+
+// Error implements error.
+func (e *ConfigError) Error() string {
+	return fmt.Sprintf("gray failures: %s is %s, want %s", e.Field, e.Value, e.Want)
+}
+
+// Validate gives a ConfigError for the first parameter that is out of its range, or nil.
 func (c Config) Validate() error {
 	switch {
 	case c.Classes < 1:
-		return fmt.Errorf("gray: Kinds = %d: at least 1 is needed", c.Classes)
+		return &ConfigError{"Classes", fmt.Sprint(c.Classes), "1 or more"}
 	case !(c.AnsweredRatio > 0 && c.AnsweredRatio < 1):
-		return fmt.Errorf("gray: Answered = %v: a share between 0 and 1 is needed", c.AnsweredRatio)
-	case c.MinFaultDuration <= 0 || c.MaxFaultDuration < c.MinFaultDuration || c.MeanTimeBetweenFaults < c.MaxFaultDuration:
-		return fmt.Errorf("gray: Shortest = %v, Longest = %v, Onset = %v: above 0 and rising is needed",
-			c.MinFaultDuration, c.MaxFaultDuration, c.MeanTimeBetweenFaults)
+		return &ConfigError{"AnsweredRatio", fmt.Sprint(c.AnsweredRatio), "a ratio between 0 and 1"}
+	case c.MinFaultDuration <= 0:
+		return &ConfigError{"MinFaultDuration", c.MinFaultDuration.String(), "above 0"}
+	case c.MaxFaultDuration < c.MinFaultDuration:
+		return &ConfigError{"MaxFaultDuration", c.MaxFaultDuration.String(), "MinFaultDuration or more"}
+	case c.MeanTimeBetweenFaults < c.MaxFaultDuration:
+		return &ConfigError{"MeanTimeBetweenFaults", c.MeanTimeBetweenFaults.String(), "MaxFaultDuration or more"}
 	case c.TimeConstant <= 0:
-		return fmt.Errorf("gray: Memory = %v: above 0 is needed", c.TimeConstant)
-	case !(c.TrialRatio >= 0 && c.TrialRatio <= 1) || !(c.TrialBurst >= 1):
-		return fmt.Errorf("gray: Spend = %v, Burst = %v: a share, and 1 or more, are needed", c.TrialRatio, c.TrialBurst)
+		return &ConfigError{"TimeConstant", c.TimeConstant.String(), "above 0"}
+	case !(c.TrialRatio >= 0 && c.TrialRatio <= 1):
+		return &ConfigError{"TrialRatio", fmt.Sprint(c.TrialRatio), "a ratio from 0 to 1"}
+	case !(c.TrialBurst >= 1):
+		return &ConfigError{"TrialBurst", fmt.Sprint(c.TrialBurst), "1 or more"}
 	}
 	return nil
 }
--- a/internal/balancer/grayfailure/state.go
+++ b/internal/balancer/grayfailure/state.go
@@ -6,9 +6,11 @@
 	"marlreel/internal/balancer/decay"
 )
 
-// CellState is what is known of a cell, for another process to go on with. Spans are ages;
-// one below 0 stands for what has not been. What is out at the cell is not in it: the
-// attempts are their process's own.
+// CellState is what is known of a cell, for another process to go on with. Spans are ages; one below 0 stands for what
+// has not happened. What is in flight at the cell is not in it: the attempts are their process's own.
+//
+// Its encoding is an array: the order of the fields is the stored form. The json tags are the names under which 'marlreel
+// state show --json' prints the fields.
 type CellState struct {
 	//lint:ignore U1000 the codec reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -29,7 +31,7 @@
 	Answered  float64 // number of delay ratios
 }
 
-// never is the age of what has not been.
+// never is the age of what has not happened.
 const never = -1
 
 // State gives what is known of a cell.
@@ -42,14 +44,23 @@
 	}
 	sum := func(f decay.Sum) float64 { return f.Value(now, m.cfg.TimeConstant) }
 	return CellState{
-		FaultProbability: c.faultProbability, OtherAnswers: c.otherAnswers, SinceUpdate: max(0, now-c.updatedAt), SuspectedFor: age(c.suspectedSince), EjectedFor: age(c.ejectedAt),
-		Failures: c.consecutiveFailures, OK: sum(c.ok), Ended: sum(c.ended), OKEver: sum(c.okEver), EndedEver: sum(c.endedEver),
-		Delays: sum(c.delays), Answered: sum(c.answers),
+		FaultProbability: c.faultProbability,
+		OtherAnswers:     c.otherAnswers,
+		SinceUpdate:      max(0, now-c.updatedAt),
+		SuspectedFor:     age(c.suspectedSince),
+		EjectedFor:       age(c.ejectedAt),
+		Failures:         c.consecutiveFailures,
+		OK:               sum(c.ok),
+		Ended:            sum(c.ended),
+		OKEver:           sum(c.okEver),
+		EndedEver:        sum(c.endedEver),
+		Delays:           sum(c.delays),
+		Answered:         sum(c.answers),
 	}
 }
 
-// Resume makes a cell of what was known of one, away ago. The chance that it is bad drifts over
-// that time as over any other, and the sums fade.
+// Resume makes a cell of what was known of one, away ago. Its fault probability drifts over that time as over any other,
+// and the sums decay.
 func (m *Model) Resume(s CellState, away, now time.Duration) Cell {
 	at := func(age time.Duration) time.Duration {
 		if age < 0 {
@@ -59,13 +70,22 @@
 	}
 	sum := func(v float64) decay.Sum { return decay.NewSum(v, now-away) }
 	return Cell{
-		faultProbability: min(max(s.FaultProbability, 0), maxFaultProbability), otherAnswers: s.OtherAnswers, updatedAt: now - away - s.SinceUpdate, suspectedSince: at(s.SuspectedFor), ejectedAt: at(s.EjectedFor),
-		consecutiveFailures: s.Failures, ok: sum(s.OK), ended: sum(s.Ended), okEver: sum(s.OKEver), endedEver: sum(s.EndedEver),
-		delays: sum(s.Delays), answers: sum(s.Answered),
+		faultProbability:    min(max(s.FaultProbability, 0), maxFaultProbability),
+		otherAnswers:        s.OtherAnswers,
+		updatedAt:           now - away - s.SinceUpdate,
+		suspectedSince:      at(s.SuspectedFor),
+		ejectedAt:           at(s.EjectedFor),
+		consecutiveFailures: s.Failures,
+		ok:                  sum(s.OK),
+		ended:               sum(s.Ended),
+		okEver:              sum(s.OKEver),
+		endedEver:           sum(s.EndedEver),
+		delays:              sum(s.Delays),
+		answers:             sum(s.Answered),
 	}
 }
 
-// ClassState is what is common to the cells of a kind.
+// ClassState is what is common to the cells of a class, in a form like CellState's.
 type ClassState struct {
 	//lint:ignore U1000 the codec reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -79,20 +99,30 @@
 	Tokens          float64 // for trials; below 0 is a debt
 }
 
-// ClassState gives what is known of a kind.
+// ClassState gives what is known of a class.
 func (m *Model) ClassState(k int, now time.Duration) ClassState {
 	g := &m.classes[k]
 	return ClassState{
-		Failed: g.failed.Value(now, m.cfg.TimeConstant), Ended: g.ended.Value(now, m.cfg.TimeConstant), N: g.n, Dev: g.dev,
-		Dev2: g.dev2, RecentEjections: g.recentEjections.Value(now, waveWindow), Tokens: g.trialTokens,
+		Failed:          g.failed.Value(now, m.cfg.TimeConstant),
+		Ended:           g.ended.Value(now, m.cfg.TimeConstant),
+		N:               g.n,
+		Dev:             g.dev,
+		Dev2:            g.dev2,
+		RecentEjections: g.recentEjections.Value(now, waveWindow),
+		Tokens:          g.trialTokens,
 	}
 }
 
-// ResumeClass goes on with what was known of a kind, away ago, its spread as if by so many answers
-// at most. Tries that were paid for there are not to be had again.
-func (m *Model) ResumeClass(k int, s ClassState, most float64, away, now time.Duration) {
+// ResumeClass goes on with what was known of a class, away ago, its spread as if by maxWeight answers at most. Trials that
+// were paid for there are not to be had again.
+func (m *Model) ResumeClass(k int, s ClassState, maxWeight float64, away, now time.Duration) {
 	g := &m.classes[k]
-	g.failed, g.ended, g.recentEjections = decay.NewSum(s.Failed, now-away), decay.NewSum(s.Ended, now-away), decay.NewSum(s.RecentEjections, now-away)
-	f := min(1, most/max(s.N, 1e-9))
-	g.n, g.dev, g.dev2, g.trialTokens = s.N*f, s.Dev*f, s.Dev2*f, min(g.trialTokens, s.Tokens)
+	g.failed = decay.NewSum(s.Failed, now-away)
+	g.ended = decay.NewSum(s.Ended, now-away)
+	g.recentEjections = decay.NewSum(s.RecentEjections, now-away)
+	f := min(1, maxWeight/max(s.N, 1e-9))
+	g.n = s.N * f
+	g.dev = s.Dev * f
+	g.dev2 = s.Dev2 * f
+	g.trialTokens = min(g.trialTokens, s.Tokens)
 }
