--- a/internal/balancer/budgetshare/budgetshare_test.go
+++ b/internal/balancer/budgetshare/budgetshare_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-func namesOf(n int) []string {
+func proxyNames(n int) []string {
 	var names []string
 	for i := range n {
 		names = append(names, fmt.Sprintf("p%03d", i))
@@ -17,131 +17,163 @@
 	return names
 }
 
-// The parts of all proxies add up to the whole, however many there are.
-func TestPartsAddUp(t *testing.T) {
+// The shares of all proxies add up to the total, however many there are.
+func TestSharesAddUp(t *testing.T) {
 	is := is.New(t)
 	for _, proxies := range []int{1, 2, 6, 7, 17, 18, 380} {
-		for _, whole := range []int{0, 1, 5, 17, 400} {
-			names, sum := namesOf(proxies), 0
+		for _, total := range []int{0, 1, 5, 17, 400} {
+			names, sum := proxyNames(proxies), 0
 			for _, name := range names {
 				s := NewMembership(name, 0)
 				s.Update(0, names, true)
 				s.Update(SettleTime+time.Second, names, true)
-				sum += s.Share(SettleTime+2*time.Second, "backend-1", whole)
+				sum += s.Share(SettleTime+2*time.Second, "backend-1", total)
 			}
-			is.Equal(sum, whole) // no request more, and none less
+			is.Equal(sum, total) // no request more, and none less
 		}
 	}
 }
 
-func TestAPartGrowsLateAndShrinksAtOnce(t *testing.T) {
+func TestShareGrowsLateAndShrinksAtOnce(t *testing.T) {
 	is := is.New(t)
 	s := NewMembership("p000", 0)
-	part := func(at time.Duration, names int) int {
-		s.Update(at, namesOf(names), true)
+	share := func(at time.Duration, names int) int {
+		s.Update(at, proxyNames(names), true)
 		return s.Share(at, "b", 12)
 	}
-	is.Equal(part(0, 2), 0)                                           // it has just started
-	is.Equal(part(SettleTime+time.Second, 2), 6)                      // and now it has stood for long enough
-	is.Equal(part(6*time.Second, 3), 4)                               // a third one joins: at once
-	is.Equal(part(7*time.Second, 2), 4)                               // it leaves: not yet
-	is.Equal(part(12*time.Second, 2), 6)                              // but now
-	is.Equal(s.Share(12*time.Second+MembershipTimeout+1, "b", 12), 0) // no word: no part
+	is.Equal(share(0, 2), 0)                                          // it has just started
+	is.Equal(share(SettleTime+time.Second, 2), 6)                     // and now it has stood for long enough
+	is.Equal(share(6*time.Second, 3), 4)                              // a third one joins: at once
+	is.Equal(share(7*time.Second, 2), 4)                              // it leaves: not yet
+	is.Equal(share(12*time.Second, 2), 6)                             // but now
+	is.Equal(s.Share(12*time.Second+MembershipTimeout+1, "b", 12), 0) // no update: no share
 }
 
-// Drawn histories of proxies that join, leave, start anew and are cut off: the sums never
-// pass the bounds, in any window.
-func TestSumsHoldInDrawnHistories(t *testing.T) {
+// Random histories of proxies that join, leave, restart and are partitioned: the sums never exceed the bounds, in any
+// window.
+func TestBudgetsHoldInRandomHistories(t *testing.T) {
 	for seed := range 30 {
 		rng := rand.New(rand.NewPCG(uint64(seed), 7))
-		playShares(t, rng, seed)
+		h := newHistory(rng)
+		h.play()
+		h.check(t, seed)
 	}
 }
 
+const (
+	maxUpdateDelay = 700 * time.Millisecond // that a list takes to reach a proxy
+	historyLength  = 60 * time.Second
+	historyStep    = 10 * time.Millisecond
+)
+
+// The bounds of the histories.
+var (
+	warmupBound = WarmupConfig{PerSecond: 8, Excess: 1.5, Slack: 5}
+	retryBound  = RetryConfig{Ratio: 0.2, Slack: 52, Window: 10 * time.Second}
+)
+
 type simulatedProxy struct {
-	name    string
-	sharers *Membership
-	cold    *WarmupBudget
-	repeats *RetryBudget
-	up      bool
-	cut     bool
+	name        string
+	membership  *Membership
+	warmup      *WarmupBudget
+	retries     *RetryBudget
+	running     bool
+	partitioned bool
 }
 
-const spread = 700 * time.Millisecond // that a list takes to reach a proxy, at most
+func (p *simulatedProxy) start(now time.Duration) {
+	p.running = true
+	p.partitioned = false
+	p.membership = NewMembership(p.name, now)
+	p.warmup = NewWarmupBudget(warmupBound, p.membership)
+	p.retries = NewRetryBudget(retryBound, p.membership, now)
+}
 
-func playShares(t *testing.T, rng *rand.Rand, seed int) {
-	t.Helper()
-	coldBound := WarmupConfig{PerSecond: 8, Excess: 1.5, Slack: 5}
-	repeatBound := RetryConfig{Ratio: 0.2, Slack: 52, Window: 10 * time.Second}
-	now := time.Duration(0)
-	var proxies []*simulatedProxy
-	start := func(p *simulatedProxy) {
-		p.up, p.cut = true, false
-		p.sharers = NewMembership(p.name, now)
-		p.cold = NewWarmupBudget(coldBound, p.sharers)
-		p.repeats = NewRetryBudget(repeatBound, p.sharers, now)
-	}
-	for _, name := range namesOf(3 + rng.IntN(12)) {
+// history is what some proxies did, and when.
+type history struct {
+	rng     *rand.Rand
+	now     time.Duration
+	proxies []*simulatedProxy
+	lists   [][]string // of the proxies that ran, a list each step
+
+	warmupSent, requests, retries []time.Duration
+}
+
+func newHistory(rng *rand.Rand) *history {
+	h := &history{rng: rng}
+	for _, name := range proxyNames(3 + rng.IntN(12)) {
 		p := &simulatedProxy{name: name}
-		start(p)
-		proxies = append(proxies, p)
+		p.start(0)
+		h.proxies = append(h.proxies, p)
 	}
-	type listed struct {
-		names []string
-		at    time.Duration
-	}
-	var history []listed
-	var coldSent, requests, repeats []time.Duration
-	const step = 10 * time.Millisecond
-	for ; now < 60*time.Second; now += step {
+	return h
+}
+
+func (h *history) play() {
+	for ; h.now < historyLength; h.now += historyStep {
 		var names []string
-		for _, p := range proxies {
-			if p.up {
+		for _, p := range h.proxies {
+			if p.running {
 				names = append(names, p.name)
 			}
 		}
-		history = append(history, listed{names, now})
-		for _, p := range proxies {
-			if rng.IntN(4000) == 0 {
-				p.up = false
-			} else if !p.up && rng.IntN(200) == 0 {
-				start(p)
-			}
-			if rng.IntN(2000) == 0 {
-				p.cut = !p.cut
-			}
-			if !p.up {
-				continue
-			}
-			if !p.cut && rng.IntN(10) == 0 {
-				h := history[max(0, len(history)-1-rng.IntN(int(spread/step)))]
-				p.sharers.Update(now, h.names, true)
-			}
-			p.cold.SetWarmupEnd(now, "b", time.Hour)
-			if p.cold.Allows(now, "b") {
-				p.cold.RecordSent(now, "b")
-				coldSent = append(coldSent, now)
-			}
-			if rng.IntN(50) == 0 {
-				p.repeats.RecordRequest(now)
-				requests = append(requests, now)
-			}
-			if p.repeats.TryAcquire(now) {
-				p.repeats.RecordRequest(now)
-				repeats = append(repeats, now)
+		h.lists = append(h.lists, names)
+		for _, p := range h.proxies {
+			h.disturb(p)
+			if p.running {
+				h.serve(p)
 			}
 		}
 	}
-	for at := time.Duration(0); at < 60*time.Second; at += 100 * time.Millisecond {
-		if n := within(coldSent, at, time.Second); float64(n) > coldBound.PerSecond*coldBound.Excess+coldBound.Slack {
-			t.Fatalf("seed %d: %d requests reach a cold backend in the second from %v", seed, n, at)
+}
+
+// disturb ends or starts a proxy, or begins or ends a partition, now and then.
+func (h *history) disturb(p *simulatedProxy) {
+	if h.rng.IntN(4000) == 0 {
+		p.running = false
+	} else if !p.running && h.rng.IntN(200) == 0 {
+		p.start(h.now)
+	}
+	if h.rng.IntN(2000) == 0 {
+		p.partitioned = !p.partitioned
+	}
+}
+
+// serve lets a proxy learn a list, maybe, and use its budgets.
+func (h *history) serve(p *simulatedProxy) {
+	if !p.partitioned && h.rng.IntN(10) == 0 {
+		steps := h.rng.IntN(int(maxUpdateDelay / historyStep))
+		p.membership.Update(h.now, h.lists[max(0, len(h.lists)-1-steps)], true)
+	}
+	p.warmup.SetWarmupEnd(h.now, "b", time.Hour)
+	if p.warmup.Allows(h.now, "b") {
+		p.warmup.RecordSent(h.now, "b")
+		h.warmupSent = append(h.warmupSent, h.now)
+	}
+	if h.rng.IntN(50) == 0 {
+		p.retries.RecordRequest(h.now)
+		h.requests = append(h.requests, h.now)
+	}
+	if p.retries.TryAcquire(h.now) {
+		p.retries.RecordRequest(h.now)
+		h.retries = append(h.retries, h.now)
+	}
+}
+
+// check asserts the bounds in each window.
+func (h *history) check(t *testing.T, seed int) {
+	t.Helper()
+	maxWarmup := warmupBound.PerSecond*warmupBound.Excess + warmupBound.Slack
+	for at := time.Duration(0); at < historyLength; at += 100 * time.Millisecond {
+		if n := within(h.warmupSent, at, time.Second); float64(n) > maxWarmup {
+			t.Fatalf("seed %d: %d requests reach a warming backend in the second from %v", seed, n, at)
 		}
-		bound := repeatBound.Ratio*float64(within(requests, at, repeatBound.Window)) + repeatBound.Slack
-		if n := within(repeats, at, repeatBound.Window); float64(n) > bound {
-			t.Fatalf("seed %d: %d repeats in the window from %v, and %v are allowed", seed, n, at, bound)
+		maxRetries := retryBound.Ratio*float64(within(h.requests, at, retryBound.Window)) + retryBound.Slack
+		if n := within(h.retries, at, retryBound.Window); float64(n) > maxRetries {
+			t.Fatalf("seed %d: %d retries in the window from %v, and %v are allowed", seed, n, at, maxRetries)
 		}
 	}
-	if len(coldSent) == 0 || len(repeats) == 0 {
+	if len(h.warmupSent) == 0 || len(h.retries) == 0 {
 		t.Fatalf("seed %d: nothing was sent", seed)
 	}
 }
--- a/internal/balancer/budgetshare/membership.go
+++ b/internal/balancer/budgetshare/membership.go
@@ -60,28 +60,28 @@
 }
 
 // minShare gives the smallest share by any list that was in force within SettleTime.
-func (s *Membership) minShare(now time.Duration, part func(names []string) int) int {
+func (s *Membership) minShare(now time.Duration, share func(names []string) int) int {
 	if s.Expired(now) {
 		return 0
 	}
 	s.previous = slices.DeleteFunc(s.previous, func(v previousMembers) bool { return now-v.until > SettleTime })
-	smallest := part(s.names)
+	smallest := share(s.names)
 	for _, v := range s.previous {
-		smallest = min(smallest, part(v.names))
+		smallest = min(smallest, share(v.names))
 	}
 	return smallest
 }
 
 // Share is this proxy's share of a total that belongs to a key, such as a backend.
-func (s *Membership) Share(now time.Duration, key string, whole int) int {
-	return s.minShare(now, func(names []string) int { return s.shareAmong(names, key, whole) })
+func (s *Membership) Share(now time.Duration, key string, total int) int {
+	return s.minShare(now, func(names []string) int { return s.shareAmong(names, key, total) })
 }
 
-func (s *Membership) shareAmong(names []string, key string, whole int) int {
+func (s *Membership) shareAmong(names []string, key string, total int) int {
 	if !slices.Contains(names, s.self) {
 		return 0
 	}
-	each, left := whole/len(names), whole%len(names)
+	each, left := total/len(names), total%len(names)
 	if left == 0 {
 		return each
 	}
--- a/internal/balancer/budgetshare/retry.go
+++ b/internal/balancer/budgetshare/retry.go
@@ -27,8 +27,8 @@
 }
 
 // NewRetryBudget makes the budget of a process that starts now.
-func NewRetryBudget(cfg RetryConfig, sharers *Membership, now time.Duration) *RetryBudget {
-	return &RetryBudget{cfg: cfg, membership: sharers, startedAt: now, requests: NewWindow(cfg.Window), retries: NewWindow(cfg.Window)}
+func NewRetryBudget(cfg RetryConfig, membership *Membership, now time.Duration) *RetryBudget {
+	return &RetryBudget{cfg: cfg, membership: membership, startedAt: now, requests: NewWindow(cfg.Window), retries: NewWindow(cfg.Window)}
 }
 
 // RecordRequest counts a request that is sent, for the first time or again.
--- a/internal/balancer/budgetshare/warmup.go
+++ b/internal/balancer/budgetshare/warmup.go
@@ -33,8 +33,8 @@
 }
 
 // NewWarmupBudget makes a budget in which no backend is warming.
-func NewWarmupBudget(cfg WarmupConfig, sharers *Membership) *WarmupBudget {
-	return &WarmupBudget{cfg: cfg, membership: sharers, backends: map[string]*warmingBackend{}}
+func NewWarmupBudget(cfg WarmupConfig, membership *Membership) *WarmupBudget {
+	return &WarmupBudget{cfg: cfg, membership: membership, backends: map[string]*warmingBackend{}}
 }
 
 // Configure sets the bound.
--- a/internal/balancer/concurrencylimit/limit_test.go
+++ b/internal/balancer/concurrencylimit/limit_test.go
@@ -29,7 +29,7 @@
 }
 
 // A limit just under two lets one out, which is less than near of it; it has to grow all the same.
-func TestOneOutGrowsALimitUnderTwo(t *testing.T) {
+func TestLoadOfOneIncreasesLimitUnderTwo(t *testing.T) {
 	if got := Increase(1.9, 1, 1); got <= 1.9 {
 		t.Errorf("1.9 with one out stays at %v", got)
 	}
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestALimitSinksToTheNeedAndNoFurther(t *testing.T) {
+func TestUnusedLimitDecaysToUse(t *testing.T) {
 	l := 100.0
 	for range 1000 {
 		l = DecayTowardsUse(l, 20, 1, 40)
--- a/internal/balancer/connectionfailure/model_test.go
+++ b/internal/balancer/connectionfailure/model_test.go
@@ -7,7 +7,7 @@
 
 const second = time.Second
 
-func TestRunsWantMoreWhereBreaksAreUsual(t *testing.T) {
+func TestThresholdGrowsWithUsualBreaks(t *testing.T) {
 	m := New(20 * second)
 	if n := m.FailureThreshold(second); n != MinFailureRun {
 		t.Errorf("with nothing learnt, %d in a row are a death", n)
--- a/internal/balancer/connections/model.go
+++ b/internal/balancer/connections/model.go
@@ -249,20 +249,20 @@
 				prior = wider.hazards[i]
 			}
 			t := l.cells[i]
-			k := block{(t.broken + prior*w) / (t.uses + w), t.uses + w, 1}
-			prior = k.hazard // of the widest: older ones break as often at least, nothing else being known
-			for ; n > 0 && blocks[n-1].hazard > k.hazard; n-- {
+			merged := block{(t.broken + prior*w) / (t.uses + w), t.uses + w, 1}
+			prior = merged.hazard // of the widest: older ones break as often at least, nothing else being known
+			for ; n > 0 && blocks[n-1].hazard > merged.hazard; n-- {
 				a := blocks[n-1]
-				sum := a.weight + k.weight
-				k = block{(a.hazard*a.weight + k.hazard*k.weight) / sum, sum, a.n + k.n}
+				sum := a.weight + merged.weight
+				merged = block{(a.hazard*a.weight + merged.hazard*merged.weight) / sum, sum, a.n + merged.n}
 			}
-			blocks[n] = k
+			blocks[n] = merged
 			n++
 		}
 		i := from
-		for _, k := range blocks[:n] {
-			for range k.n {
-				l.hazards[i] = k.hazard
+		for _, merged := range blocks[:n] {
+			for range merged.n {
+				l.hazards[i] = merged.hazard
 				i++
 			}
 		}
--- a/internal/balancer/connections/model_test.go
+++ b/internal/balancer/connections/model_test.go
@@ -22,7 +22,7 @@
 }
 
 // On a calm day nothing is dialled, and the latest used is taken: as before.
-func TestCalm(t *testing.T) {
+func TestFewBreaksKeepConnections(t *testing.T) {
 	m, now := model(), time.Duration(0)
 	for _, idle := range []time.Duration{0, 20 * ms, 200 * ms, 2 * time.Second, 20 * time.Second} {
 		teach(m, &now, 1, 0, Use{Idle: idle}, 40, 0)
@@ -73,7 +73,7 @@
 }
 
 // Where new ones break more often than kept ones, nothing is dialled for safety.
-func TestNewOnesBreak(t *testing.T) {
+func TestNewConnectionsBreak(t *testing.T) {
 	m, now := model(), time.Duration(0)
 	teach(m, &now, 1, 0, Use{New: true}, 30, 6)
 	teach(m, &now, 1, 0, Use{Idle: 300 * ms}, 30, 1)
@@ -83,7 +83,7 @@
 }
 
 // A hazard that holds in one zone only, at one backend only, for large requests only.
-func TestScopes(t *testing.T) {
+func TestHazardsByZoneAndBackend(t *testing.T) {
 	m, now := model(), time.Duration(0)
 	for range 10 { // mixed, as they come
 		teach(m, &now, 1, 0, Use{Idle: 400 * ms}, 8, 3)
@@ -103,7 +103,7 @@
 }
 
 // A hazard that comes is seen after some ten uses, and one that goes is forgotten.
-func TestChangesInTheDay(t *testing.T) {
+func TestHazardsChangeOverTime(t *testing.T) {
 	m, now := model(), time.Duration(0)
 	u := Use{Idle: 400 * ms}
 	teach(m, &now, 1, 0, u, 2000, 0)
@@ -206,7 +206,7 @@
 
 // The last byte is kept back only where connections break early, for about as long as
 // nine in ten of those breaks take, and no longer when that has passed.
-func TestHold(t *testing.T) {
+func TestHoldback(t *testing.T) {
 	m, now := model(), time.Duration(0)
 	for range 500 {
 		now += ms
--- a/internal/balancer/decay/sum_test.go
+++ b/internal/balancer/decay/sum_test.go
@@ -9,7 +9,7 @@
 )
 
 // A sum is what its parts have faded to, whenever and however often it was looked at.
-func TestASumIsThatOfItsFadedParts(t *testing.T) {
+func TestSumIsThatOfItsDecayedParts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const span = 3 * time.Second
 		var s, n Sum
@@ -38,7 +38,7 @@
 	})
 }
 
-func TestWhatHasNoPartsIsNothing(t *testing.T) {
+func TestEmptySum(t *testing.T) {
 	var s, n Sum
 	if s.Mean(&n, time.Second, time.Second) != 0 || s.Value(time.Hour, 0) != 0 {
 		t.Error("an empty sum is something")
--- a/internal/balancer/goodput/tracker.go
+++ b/internal/balancer/goodput/tracker.go
@@ -68,10 +68,10 @@
 
 // Record adds utility that was offered, and utility that was completed. A class or a tenant that
 // is not known counts for the total alone.
-func (l *Tracker) Record(class, tenant int, asked, served float64) {
+func (l *Tracker) Record(class, tenant int, offered, completed float64) {
 	for _, t := range [3]*tally{&l.total, at(l.classes, class), at(l.tenants, tenant)} {
 		if t != nil {
-			t.offered, t.completed = t.offered+asked, t.completed+served
+			t.offered, t.completed = t.offered+offered, t.completed+completed
 		}
 	}
 }
--- a/internal/balancer/goodput/tracker_test.go
+++ b/internal/balancer/goodput/tracker_test.go
@@ -31,7 +31,7 @@
 }
 
 // The gain of a unit is the slope of the goal, where one class and tenant is clearly the worst.
-func TestGainIsTheSlopeOfTheGoal(t *testing.T) {
+func TestMarginalUtilityIsTheSlopeOfTheGoal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := Goal{Total: 0.6, WorstClass: 0.2, WorstTenant: 0.1, WorstWindow: 0.1}
 		l := New(g, 3, 2)
@@ -62,7 +62,7 @@
 	})
 }
 
-func TestFadingKeepsSharesAndUnknownOnesCountForTheWhole(t *testing.T) {
+func TestDecayKeepsRatiosAndUnknownClassesCountForTheTotal(t *testing.T) {
 	l := New(Goal{Total: 1, WorstTenant: 1}, 1, 1)
 	l.Record(0, 7, 10, 5) // no such tenant
 	l.Decay(0.5)
--- a/internal/balancer/idempotency/terms_test.go
+++ b/internal/balancer/idempotency/terms_test.go
@@ -27,8 +27,8 @@
 		if may != (mayA && mayB) || may && by != min(byA, byB) {
 			t.Fatalf("%+v and %+v: %+v: %v by %v, and each alone %v by %v, %v by %v", a, b, both, may, by, mayA, byA, mayB, byB)
 		}
-		if both.MayReject() && !(a.MayReject() && b.MayReject()) {
-			t.Fatalf("%+v and %+v may be refused as %+v", a, b, both)
+		if both.MayReject() && (!a.MayReject() || !b.MayReject()) {
+			t.Fatalf("%+v and %+v may be rejected as %+v", a, b, both)
 		}
 		if Strictest(b, a) != both {
 			t.Fatalf("%+v and %+v: it depends on which comes first", a, b)
--- a/internal/balancer/prediction/model_test.go
+++ b/internal/balancer/prediction/model_test.go
@@ -8,19 +8,19 @@
 	"pgregory.net/rapid"
 )
 
-// truth draws what attempts really take: estimates are off by a factor and a spread.
-type truth struct {
+// actualDelays draws what attempts really take: estimates are off by a factor and a spread.
+type actualDelays struct {
 	rng      *rand.Rand
 	off, dev float64
 }
 
-func (w *truth) took(estimate float64) float64 {
+func (w *actualDelays) took(estimate float64) float64 {
 	return estimate * math.Exp(w.off+w.dev*w.rng.NormFloat64())
 }
 
 // teach lets a model see so many attempts, each given up at limit; counted says whether
 // those that were given up are told.
-func (w *truth) teach(m *Model, n int, limit float64, counted bool) {
+func (w *actualDelays) teach(m *Model, n int, limit float64, counted bool) {
 	for range n {
 		estimate := 50 + 400*w.rng.Float64()
 		if took := w.took(estimate); took <= limit {
@@ -32,8 +32,8 @@
 }
 
 // Whatever estimates are worth, chances come true, though the slowest were given up.
-func TestChancesComeTrue(t *testing.T) {
-	for seed, w := range []truth{{off: 0, dev: 0.7}, {off: -0.8, dev: 0.7}, {off: 0.7, dev: 0.5}, {off: 0, dev: 0.35}, {off: 0.3, dev: 1}} {
+func TestProbabilitiesAreCalibrated(t *testing.T) {
+	for seed, w := range []actualDelays{{off: 0, dev: 0.7}, {off: -0.8, dev: 0.7}, {off: 0.7, dev: 0.5}, {off: 0, dev: 0.35}, {off: 0.3, dev: 1}} {
 		w.rng = rand.New(rand.NewPCG(uint64(seed), 1))
 		m := New(1)
 		w.teach(m, 1500, 700, true)
@@ -53,10 +53,10 @@
 }
 
 // What is given up says something: without it, slow work looks quick.
-func TestWhatWasGivenUpCounts(t *testing.T) {
+func TestTimeoutsAreCensoredObservations(t *testing.T) {
 	const limit = 200 // half of all is slower
 	chance := func(counted bool) float64 {
-		w := &truth{rand.New(rand.NewPCG(3, 1)), 0, 0.7}
+		w := &actualDelays{rand.New(rand.NewPCG(3, 1)), 0, 0.7}
 		m := New(1)
 		w.teach(m, 2000, limit, counted)
 		return m.SuccessProbability(0, 400, 400)
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestChanceIsAChanceWhateverItIsTold(t *testing.T) {
+func TestProbabilityInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, any := New(2), rapid.Float64()
 		for range rapid.IntRange(0, 50).Draw(t, "ends") {
@@ -90,7 +90,7 @@
 	})
 }
 
-func TestValueWeighsWorthWasteAndTheCrossing(t *testing.T) {
+func TestExpectedUtilityAndWorthwhile(t *testing.T) {
 	p := Costs{Waste: 0.25, CrossZone: 0.08}
 	for _, c := range []struct {
 		s              Attempt
@@ -113,7 +113,7 @@
 	}
 }
 
-func BenchmarkChance(b *testing.B) {
+func BenchmarkSuccessProbability(b *testing.B) {
 	m := New(1)
 	m.RecordOutcome(0, 100, 120, true)
 	b.ReportAllocs()
--- a/internal/balancer/prefixcache/table.go
+++ b/internal/balancer/prefixcache/table.go
@@ -40,11 +40,11 @@
 func New(modelBackends bool) *Table { return &Table{modelBackends: modelBackends} }
 
 // Replace makes the table that of a membership.
-func (t *Table) Replace(list []Backend) {
+func (t *Table) Replace(backends []Backend) {
 	t.cachedNeeds, t.cachedReplicas = nil, nil
-	t.slots = make(map[balancer.BackendID]int, len(list))
+	t.slots = make(map[balancer.BackendID]int, len(backends))
 	t.replicas = map[modelKey]map[balancer.BackendID]bool{}
-	for _, b := range list {
+	for _, b := range backends {
 		t.slots[b.ID] = b.Slots
 		for _, h := range b.Loaded {
 			t.add(modelKey{h.Model, ""}, b.ID)
@@ -56,12 +56,12 @@
 }
 
 func (t *Table) add(what modelKey, id balancer.BackendID) {
-	holders := t.replicas[what]
-	if holders == nil {
-		holders = map[balancer.BackendID]bool{}
-		t.replicas[what] = holders
+	replicas := t.replicas[what]
+	if replicas == nil {
+		replicas = map[balancer.BackendID]bool{}
+		t.replicas[what] = replicas
 	}
-	holders[id] = true
+	replicas[id] = true
 }
 
 // CanServe tells whether a backend has loaded the model, and the adapter if one is needed.
--- a/internal/balancer/quota/quota_test.go
+++ b/internal/balancer/quota/quota_test.go
@@ -15,7 +15,7 @@
 	return over
 }
 
-func TestWhatIsBeyondTheShare(t *testing.T) {
+func TestRatioBeyondTheQuota(t *testing.T) {
 	t.Parallel()
 	const over = 3 * time.Second
 	for _, c := range []struct {
@@ -37,7 +37,7 @@
 }
 
 // A new quota takes what has come already into account.
-func TestANewQuotaKeepsTheTraffic(t *testing.T) {
+func TestReconfiguredQuotaKeepsTheTraffic(t *testing.T) {
 	t.Parallel()
 	m := New([]float64{300}, 3, 3*time.Second)
 	if got := rate(m, 80, time.Hour); got != 0 {
@@ -50,7 +50,7 @@
 }
 
 // Whatever comes, the answer is a share, and tenants that there aren't have none.
-func TestAlwaysAShare(t *testing.T) {
+func TestRatioStaysWithinBounds(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		m := New(rapid.SliceOfN(rapid.Float64Range(-1, 1e6), 0, 4).Draw(t, "quotas"), rapid.IntRange(-1, 9).Draw(t, "proxies"), time.Second)
--- a/internal/balancer/retrystorm/ended_requests.go
+++ b/internal/balancer/retrystorm/ended_requests.go
@@ -86,7 +86,7 @@
 
 // match gives when the request came first that one is likely the repeat of, and when it was told to
 // come again.
-func (s *endedRequests) match(now time.Duration, key uint64) (first, due time.Duration, repeat bool) {
+func (s *endedRequests) match(now time.Duration, key uint64) (first, due time.Duration, isRetry bool) {
 	x, there := s.byKey[key]
 	if !there || now-x.ended > s.span {
 		return 0, 0, false
--- a/internal/balancer/retrystorm/model.go
+++ b/internal/balancer/retrystorm/model.go
@@ -146,12 +146,12 @@
 // out in a storm fill the capacity that is expected to be free, slot by slot, so that the next wave is flat; who
 // can't be served usefully is told MaxRetryAfter.
 func (m *Model) RetryAfter(now, left time.Duration) time.Duration {
-	longest := m.cfg.MaxRetryAfter
+	maxRetryAfter := m.cfg.MaxRetryAfter
 	switch {
 	case !m.cfg.SendsRetryAfter:
 		return 0
 	case m.state == Calm:
-		return min(m.cfg.CalmRetryAfter, longest)
+		return min(m.cfg.CalmRetryAfter, maxRetryAfter)
 	}
 	fresh := m.arrivals.Rate(now, rateWindow) - m.retries.Rate(now, rateWindow)
 	free := max(0, m.updatePeakRate(now)-fresh) * scheduleSlot.Seconds()
@@ -163,18 +163,18 @@
 		m.retrySchedule[m.scheduleFrom%scheduleSlots] = 0
 	}
 	m.scheduled++
-	part := float64(m.scheduled%16) / 16 // within the slot
+	offset := float64(m.scheduled%16) / 16 // within the slot
 	// What all slots up to one can take together counts: a part of a request a slot adds up.
-	room, taken := 0.0, 0.0
-	for k := range int64(min(left, longest, (scheduleSlots-1)*scheduleSlot) / scheduleSlot) {
-		room += free
+	capacity, taken := 0.0, 0.0
+	for k := range int64(min(left, maxRetryAfter, (scheduleSlots-1)*scheduleSlot) / scheduleSlot) {
+		capacity += free
 		taken += float64(m.retrySchedule[(from+k)%scheduleSlots])
-		if room >= taken+1 {
+		if capacity >= taken+1 {
 			m.retrySchedule[(from+k)%scheduleSlots]++
-			return min(time.Duration(from+k)*scheduleSlot+time.Duration(part*float64(scheduleSlot))-now, longest)
+			return min(time.Duration(from+k)*scheduleSlot+time.Duration(offset*float64(scheduleSlot))-now, maxRetryAfter)
 		}
 	}
-	return longest
+	return maxRetryAfter
 }
 
 // State is the phase of a storm.
--- a/internal/balancer/retrystorm/model_test.go
+++ b/internal/balancer/retrystorm/model_test.go
@@ -17,9 +17,9 @@
 	return New(Config{ClientTimeout: 2 * time.Second, SendsRetryAfter: true, CalmRetryAfter: 400 * ms, MaxRetryAfter: 2 * time.Second})
 }
 
-// day lets requests come at a rate, of which a part goes unserved; the unserved come again after a
+// traffic lets requests come at a rate, of which a part goes unserved; the unserved come again after a
 // while with a chance, unmarked.
-type day struct {
+type traffic struct {
 	m        *Model
 	now      time.Duration
 	rng      *rand.Rand
@@ -37,11 +37,11 @@
 	first time.Duration
 }
 
-func newDay() *day {
-	return &day{m: model(), now: time.Second, rng: rand.New(rand.NewPCG(1, 2)), keys: 100000}
+func newDay() *traffic {
+	return &traffic{m: model(), now: time.Second, rng: rand.New(rand.NewPCG(1, 2)), keys: 100000}
 }
 
-func (d *day) one(key uint64, first time.Duration, unserved, comesAgain float64) {
+func (d *traffic) one(key uint64, first time.Duration, unserved, comesAgain float64) {
 	repeat := first != d.now
 	s := d.m.RecordArrival(d.now, key, false)
 	switch {
@@ -60,7 +60,7 @@
 	}
 }
 
-func (d *day) play(span time.Duration, rate, unserved, comesAgain float64) {
+func (d *traffic) play(span time.Duration, rate, unserved, comesAgain float64) {
 	for end := d.now + span; d.now < end; {
 		d.now += time.Duration(d.rng.ExpFloat64() / rate * float64(time.Second))
 		var left []coming
@@ -80,7 +80,7 @@
 }
 
 // However late the clock begins, the first line says how long it has been calm here.
-func TestTimesCountFromTheFirstLook(t *testing.T) {
+func TestStateDurationCountsFromTheFirstEvaluation(t *testing.T) {
 	t.Parallel()
 	d := newDay()
 	d.now = time.Hour
@@ -92,7 +92,7 @@
 }
 
 // Calm, rising, storm, recovering, calm: and a line for each change with what it rests on.
-func TestAStormComesAndGoes(t *testing.T) {
+func TestStormPhases(t *testing.T) {
 	d := newDay()
 	d.play(10*time.Second, 100, 0.01, 1)
 	if d.m.State() != Calm || len(d.lines) > 0 {
@@ -120,7 +120,7 @@
 
 // A jump of traffic that is served is no storm; nor is a hiccup; nor is much that goes unserved and
 // does not come again.
-func TestWhatIsNoStorm(t *testing.T) {
+func TestServedTrafficIsNoStorm(t *testing.T) {
 	d := newDay()
 	d.play(5*time.Second, 100, 0.01, 1)
 	d.play(6*time.Second, 240, 0.03, 1)
@@ -149,7 +149,7 @@
 
 // While it is calm who comes again is served like anybody; in a storm its time counts from its first
 // try, and who did not wait as it was told stands behind.
-func TestFavour(t *testing.T) {
+func TestPriorityOfRetries(t *testing.T) {
 	d := newDay()
 	d.play(5*time.Second, 100, 0.5, 1)
 	first := d.now
@@ -175,7 +175,7 @@
 
 // A thousand are turned away at once, and a hundred a second can be served beside fresh ones: they are
 // told times that fill the coming seconds evenly, and who finds no place in its time is told the longest.
-func TestComeAgainIsPlanned(t *testing.T) {
+func TestRetryAfterFillsFreeCapacity(t *testing.T) {
 	m := model()
 	now := time.Second
 	for range 4000 { // 400 are served a second
@@ -250,7 +250,7 @@
 }
 
 // However many go unserved, only so many are remembered.
-func TestSightsAreBounded(t *testing.T) {
+func TestEndedRequestsAreBounded(t *testing.T) {
 	m := model()
 	for i := range uint64(10 * maxEndedRequests) {
 		m.RecordEnd(time.Second, i+1, 0, 0, false)
--- a/internal/balancer/slowstart/slowstart_test.go
+++ b/internal/balancer/slowstart/slowstart_test.go
@@ -10,70 +10,115 @@
 	"marlreel/internal/standin/machine"
 )
 
-// Cold machines of all sizes that can meet the aim at all, and proxies that send all that they may: whatever the
-// machines' speeds, the proxies' number and how late answers come, no machine is pushed over, and where there is
-// enough of it the rate comes to what the machine can do before it is warm.
-func TestNoColdMachineIsPushedOver(t *testing.T) {
+// warmupRun is a warming machine, and proxies that send it all that they may.
+type warmupRun struct {
+	machine       *machine.Machine
+	models        []Model
+	tokens        []float64
+	work          time.Duration // of a request
+	latencyTarget time.Duration
+
+	now     time.Duration
+	pending map[uint64]pendingRequest
+	lastID  uint64
+	served  int
+}
+
+type pendingRequest struct {
+	proxy  int
+	sentAt time.Duration
+}
+
+const (
+	initialCapacity = 0.32
+	warmupTime      = 9 * time.Second
+	overloadWindow  = 3 * time.Second
+	stepTime        = 5 * time.Millisecond
+)
+
+// completeRequests tells the proxies what the machine has answered.
+func (w *warmupRun) completeRequests() {
+	for _, e := range w.machine.Advance(w.now) {
+		q, known := w.pending[e.ID]
+		if !known {
+			continue
+		}
+		delete(w.pending, e.ID)
+		w.served++
+		w.models[q.proxy].RecordOutcome(w.now, e.Why == machine.Done && w.now-q.sentAt <= w.latencyTarget)
+	}
+}
+
+// expireRequests cancels what the machine has not answered in time.
+func (w *warmupRun) expireRequests() {
+	for id, q := range w.pending {
+		if w.now-q.sentAt > 2*w.latencyTarget {
+			delete(w.pending, id)
+			w.machine.Cancel(w.now, id)
+			w.models[q.proxy].RecordOutcome(w.now, false)
+		}
+	}
+}
+
+// sendRequests lets each proxy send what its tokens allow.
+func (w *warmupRun) sendRequests() {
+	capacity := initialCapacity + (1-initialCapacity)*w.now.Seconds()/warmupTime.Seconds()
+	proxies := float64(len(w.models))
+	for i := range w.models {
+		rate := w.models[i].Rate(w.now, capacity, false) / proxies
+		w.tokens[i] = min(w.tokens[i]+rate*stepTime.Seconds(), 1+rate*overloadWindow.Seconds()/4)
+		for w.tokens[i] >= 1 {
+			w.tokens[i]--
+			w.lastID++
+			w.pending[w.lastID] = pendingRequest{i, w.now}
+			if w.machine.Offer(w.now, w.lastID, machine.Job{Work: w.work}) == machine.QueueFull {
+				delete(w.pending, w.lastID)
+				w.models[i].RecordOutcome(w.now, false)
+			}
+		}
+	}
+}
+
+// Warming machines of all sizes that can meet the latency target at all, and proxies that send all that they may:
+// whatever the machines' speeds, the proxies' number and how late answers come, no machine is overloaded, and where there
+// is enough of it the rate comes to what the machine can do before it is warm.
+func TestNoWarmingMachineIsOverloaded(t *testing.T) {
 	reached, cases := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		proxies := rapid.IntRange(1, 40).Draw(t, "proxies")
 		speed := rapid.Float64Range(0.3, 3).Draw(t, "speed")
 		cores := rapid.IntRange(1, 8).Draw(t, "cores")
 		work := time.Duration(rapid.IntRange(20, 120).Draw(t, "work")) * time.Millisecond
-		aim := time.Duration(rapid.IntRange(150, 900).Draw(t, "aim")) * time.Millisecond
-		if alone := time.Duration(float64(work) / speed); alone > aim*2/3 {
-			t.Skip("such a machine meets no aim")
+		target := time.Duration(rapid.IntRange(150, 900).Draw(t, "target")) * time.Millisecond
+		if alone := time.Duration(float64(work) / speed); alone > target*2/3 {
+			t.Skip("such a machine meets no latency target")
 		}
-		mc := machine.Config{Cores: cores, Speed: speed, Slots: 40, Queue: 10, Cold: machine.Cold{From: 0.32, For: 9 * time.Second, Multiple: 2.5, Over: 3 * time.Second}}
-		m := machine.New(mc, 0, false)
-		cfg := Config{OverloadMultiple: 2.5, OverloadWindow: 3 * time.Second, LatencyTarget: aim, SafetyFactor: 0.8}
-		models, tokens := make([]Model, proxies), make([]float64, proxies)
-		for i := range models {
-			models[i].Configure(cfg)
-			tokens[i] = -float64(i) / float64(proxies)
+		cold := machine.Cold{From: initialCapacity, For: warmupTime, Multiple: 2.5, Over: overloadWindow}
+		w := &warmupRun{
+			machine:       machine.New(machine.Config{Cores: cores, Speed: speed, Slots: 40, Queue: 10, Cold: cold}, 0, false),
+			models:        make([]Model, proxies),
+			tokens:        make([]float64, proxies),
+			work:          work,
+			latencyTarget: target,
+			pending:       map[uint64]pendingRequest{},
 		}
-		type sent struct {
-			proxy int
-			at    time.Duration
+		for i := range w.models {
+			w.models[i].Configure(Config{
+				OverloadMultiple: 2.5, OverloadWindow: overloadWindow, LatencyTarget: target, SafetyFactor: 0.8,
+			})
+			w.tokens[i] = -float64(i) / float64(proxies)
 		}
-		open, next := map[uint64]sent{}, uint64(0)
-		now, served := time.Duration(0), 0
-		for ; now < 9*time.Second; now += 5 * time.Millisecond {
-			for _, e := range m.Advance(now) {
-				s, known := open[e.ID]
-				if !known {
-					continue
-				}
-				delete(open, e.ID)
-				served++
-				models[s.proxy].RecordOutcome(now, e.Why == machine.Done && now-s.at <= aim)
-			}
-			if m.Fallen() {
-				t.Fatalf("pushed over at %v", now)
-			}
-			for id, s := range open {
-				if now-s.at > 2*aim {
-					delete(open, id)
-					m.Cancel(now, id)
-					models[s.proxy].RecordOutcome(now, false)
-				}
-			}
-			share := 0.32 + 0.68*now.Seconds()/9
-			for i := range models {
-				tokens[i] = min(tokens[i]+models[i].Rate(now, share, false)/float64(proxies)*0.005, 1+models[i].Rate(now, share, false)/float64(proxies)*0.75)
-				for tokens[i] >= 1 {
-					tokens[i]--
-					next++
-					open[next] = sent{i, now}
-					if m.Offer(now, next, machine.Job{Work: work}) == machine.QueueFull {
-						delete(open, next)
-						models[i].RecordOutcome(now, false)
-					}
-				}
+		for ; w.now < warmupTime; w.now += stepTime {
+			w.completeRequests()
+			if w.machine.Fallen() {
+				t.Fatalf("overloaded at %v", w.now)
 			}
+			w.expireRequests()
+			w.sendRequests()
 		}
 		cases++
-		if capacity := float64(cores) * speed / work.Seconds() * 0.66; float64(served)/9 > capacity/4 || proxies > 12 {
+		capacity := float64(cores) * speed / work.Seconds() * 0.66
+		if float64(w.served)/warmupTime.Seconds() > capacity/4 || proxies > 12 {
 			reached++
 		}
 	})
@@ -82,7 +127,7 @@
 	}
 }
 
-// Over whatever answers: the factor rises by Grow a step at most, never under 1, and warm ones end it.
+// Whatever the answers: the factor rises by GrowthFactor a step at most, is never under 1, and warm backends end it.
 func TestFactor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var m Model
@@ -103,11 +148,11 @@
 				m.RecordOutcome(now, true)
 			}
 			f := m.Factor(now)
-			most := 1.0
+			maxFactor := 1.0
 			for k := 0.0; k < min(steps, now.Seconds()+1); k++ {
-				most *= GrowthFactor
+				maxFactor *= GrowthFactor
 			}
-			if f < 1 || f > most+1e-9 {
+			if f < 1 || f > maxFactor+1e-9 {
 				t.Fatal(fmt.Sprintf("a factor of %v after %v and %v steps", f, now, steps))
 			}
 		}
--- a/internal/balancer/stableindex/table_test.go
+++ b/internal/balancer/stableindex/table_test.go
@@ -20,7 +20,7 @@
 	return at
 }
 
-func TestNumbersStay(t *testing.T) {
+func TestIndicesStay(t *testing.T) {
 	t.Parallel()
 	tab := New(4)
 	if at := place(t, tab, 0, "a", "b"); !slices.Equal(at, []int{0, 1}) {
@@ -36,7 +36,7 @@
 
 // The number of one that has gone goes to another only when there is no room, it has
 // rested, and nothing of it is open.
-func TestNumbersAreGivenAwayLate(t *testing.T) {
+func TestIndicesAreReusedLate(t *testing.T) {
 	t.Parallel()
 	tab := New(2)
 	place(t, tab, 0, "a", "b")
@@ -56,7 +56,7 @@
 
 // Whatever lists come, no two names have one number, a name that stays keeps its own, and
 // a list that is turned down changes nothing.
-func TestNoTwoUnderOneNumber(t *testing.T) {
+func TestIndicesAreUnique(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		tab, now := New(rapid.IntRange(1, 5).Draw(t, "most")), time.Duration(0)
--- a/internal/balancer/staleness/staleness_test.go
+++ b/internal/balancer/staleness/staleness_test.go
@@ -13,7 +13,7 @@
 var noon = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
 // Clocks that were set make nothing younger: what can't be known is an error.
-func TestAway(t *testing.T) {
+func TestAge(t *testing.T) {
 	t.Parallel()
 	at := func(wall time.Duration, boot string, up time.Duration) Timestamp {
 		return Timestamp{noon.Add(wall), boot, up}
@@ -40,7 +40,7 @@
 
 // The longer away, the less it weighs, down to nothing; a crash counts as half. What is left is nearer to what
 // the others have, nobody is kept out for longer, and no budget is greater than it was.
-func TestWeigh(t *testing.T) {
+func TestDiscount(t *testing.T) {
 	t.Parallel()
 	cfg := Config{MaxAge: 10 * time.Minute, HalfLife: 30 * time.Second}
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/process/learnedstate/codec/codec_test.go
+++ b/internal/process/learnedstate/codec/codec_test.go
@@ -25,7 +25,7 @@
 	return s
 }
 
-func TestWhatIsWrittenIsRead(t *testing.T) {
+func TestRoundTrip(t *testing.T) {
 	t.Parallel()
 	want := sample()
 	data, err := Encode(want)
@@ -43,7 +43,7 @@
 }
 
 // What is damaged anywhere, cut off anywhere, or of another version, is turned down.
-func TestDamage(t *testing.T) {
+func TestDamagedBytesAreRejected(t *testing.T) {
 	t.Parallel()
 	data, err := Encode(sample())
 	if err != nil {
@@ -66,7 +66,7 @@
 }
 
 // What carries the right sum and can't be true is turned down by its name.
-func TestNonsense(t *testing.T) {
+func TestImpossibleValuesAreRejected(t *testing.T) {
 	t.Parallel()
 	for name, spoil := range map[string]func(*learnedstate.State){
 		"state.Common.Mean is NaN":                   func(s *learnedstate.State) { s.Common.MeanDelay = math.NaN() },
--- a/internal/process/learnedstate/codec/compatibility_test.go
+++ b/internal/process/learnedstate/codec/compatibility_test.go
@@ -42,49 +42,12 @@
 			FalseAlarms: 8.5, Answers: 9.5,
 			Offered: goodput.Tally{Offered: 10.5, Completed: 11.5},
 		},
-		Classes: []learnedstate.Class{
-			{
-				Name:       "interactive",
-				DelayFit:   [5]float64{20.25, 21.25, 22.25, 23.25, 24.25},
-				DelayTail:  [3]float64{25.25, 26.25, 27.25},
-				Served:     28.25,
-				Prediction: prediction.State{N: 29.25, Sum: -30.25, Sum2: 31.25},
-				Gray:       grayfailure.ClassState{Failed: 32.25, Ended: 33.25, N: 34.25, Dev: -35.25, Dev2: 36.25, RecentEjections: 37.25, Tokens: -38.25},
-				Offered:    goodput.Tally{Offered: 39.25, Completed: 40.25},
-			},
-			{Name: "batch"},
-		},
+		Classes: storedClasses(),
 		Tenants: []learnedstate.Tenant{
 			{Name: "tenant-a", Offered: goodput.Tally{Offered: 50.75, Completed: 51.75}},
 			{Name: "tenant-b", Offered: goodput.Tally{Offered: 52.75, Completed: 53.75}},
 		},
-		Backends: []learnedstate.Backend{
-			{
-				Name: "llm-1", Address: "10.0.0.1:8000",
-				Healthy:      true,
-				FailedChecks: 60, PassedChecks: 61, ConsecutiveFailures: 62, ConsecutiveBreaks: 63,
-				LastOK: 64 * time.Second, EjectedFor: 65 * time.Second, EjectionDuration: 66 * time.Second,
-				SinceStart:       67 * time.Second,
-				WarmupTokens:     -68.125,
-				ConcurrencyLimit: 69.125,
-				DelayRatios:      70.125, Answers: 71.125,
-				DelayTail: [3]float64{72.125, 73.125, 74.125},
-				Cells: []grayfailure.CellState{
-					{
-						FaultProbability: 80.5, OtherAnswers: 81.5,
-						SinceUpdate: 82 * time.Second, SuspectedFor: 83 * time.Second, EjectedFor: 84 * time.Second,
-						Failures: 85,
-						OK:       86.5, Ended: 87.5, OKEver: 88.5, EndedEver: 89.5, Delays: 90.5, Answered: 91.5,
-					},
-					{SinceUpdate: 92 * time.Second, SuspectedFor: -1, EjectedFor: -1},
-				},
-			},
-			{
-				Name: "llm-2", Address: "10.0.0.2:8000",
-				LastOK: learnedstate.Never, EjectedFor: learnedstate.Never, SinceStart: learnedstate.Never,
-				Cells: make([]grayfailure.CellState, 2),
-			},
-		},
+		Backends: storedBackends(),
 		Connections: connections.State{
 			EarlyUses: 100.5, EarlyBroken: 101.5,
 			Holdback: 102 * time.Millisecond,
@@ -92,6 +55,51 @@
 	}
 }
 
+func storedClasses() []learnedstate.Class {
+	return []learnedstate.Class{
+		{
+			Name:       "interactive",
+			DelayFit:   [5]float64{20.25, 21.25, 22.25, 23.25, 24.25},
+			DelayTail:  [3]float64{25.25, 26.25, 27.25},
+			Served:     28.25,
+			Prediction: prediction.State{N: 29.25, Sum: -30.25, Sum2: 31.25},
+			Gray:       grayfailure.ClassState{Failed: 32.25, Ended: 33.25, N: 34.25, Dev: -35.25, Dev2: 36.25, RecentEjections: 37.25, Tokens: -38.25},
+			Offered:    goodput.Tally{Offered: 39.25, Completed: 40.25},
+		},
+		{Name: "batch"},
+	}
+}
+
+func storedBackends() []learnedstate.Backend {
+	return []learnedstate.Backend{
+		{
+			Name: "llm-1", Address: "10.0.0.1:8000",
+			Healthy:      true,
+			FailedChecks: 60, PassedChecks: 61, ConsecutiveFailures: 62, ConsecutiveBreaks: 63,
+			LastOK: 64 * time.Second, EjectedFor: 65 * time.Second, EjectionDuration: 66 * time.Second,
+			SinceStart:       67 * time.Second,
+			WarmupTokens:     -68.125,
+			ConcurrencyLimit: 69.125,
+			DelayRatios:      70.125, Answers: 71.125,
+			DelayTail: [3]float64{72.125, 73.125, 74.125},
+			Cells: []grayfailure.CellState{
+				{
+					FaultProbability: 80.5, OtherAnswers: 81.5,
+					SinceUpdate: 82 * time.Second, SuspectedFor: 83 * time.Second, EjectedFor: 84 * time.Second,
+					Failures: 85,
+					OK:       86.5, Ended: 87.5, OKEver: 88.5, EndedEver: 89.5, Delays: 90.5, Answered: 91.5,
+				},
+				{SinceUpdate: 92 * time.Second, SuspectedFor: -1, EjectedFor: -1},
+			},
+		},
+		{
+			Name: "llm-2", Address: "10.0.0.2:8000",
+			LastOK: learnedstate.Never, EjectedFor: learnedstate.Never, SinceStart: learnedstate.Never,
+			Cells: make([]grayfailure.CellState, 2),
+		},
+	}
+}
+
 // storedUses and storedBreaks are the sums by cell of the stored state of connections.
 var (
 	storedUses = []float64{
