--- a/internal/balancer/hopeless_test.go
+++ b/internal/balancer/admission_test.go
@@ -34,7 +34,7 @@
 // A request whose hint foretells several times its aim would be answered late, and its work wasted:
 // it is given up at once, while those beside it are sent. Some go out all the same, or nothing would
 // ever show that they are answered in time again.
-func TestTheHopelessAreGivenUpAtOnce(t *testing.T) {
+func TestHopelessRequestsAreRejectedAtOnce(t *testing.T) {
 	for _, class := range []int{safe, unsafe} {
 		b, h := newBalancer(t, pricedConfig(), 2)
 		twice := func(cost time.Duration, _ BackendID) time.Duration { return 2 * cost }
@@ -67,7 +67,7 @@
 }
 
 // Where nothing is known of a class, the aim alone makes nothing hopeless.
-func TestNothingIsHopelessBeforeItWasTried(t *testing.T) {
+func TestNothingIsHopelessBeforeAnswers(t *testing.T) {
 	b, h := newBalancer(t, pricedConfig(), 2)
 	for i := range 5 {
 		now := second + time.Duration(i)*50*milli
@@ -80,7 +80,7 @@
 
 // A crossing costs as much whatever it is for. So what is worth little stays in its own zone though
 // that is the slower one, and what is worth much goes where it is answered in time.
-func TestZonesAreCrossedForWorth(t *testing.T) {
+func TestZonesAreCrossedForUtility(t *testing.T) {
 	cfg := pricedConfig()
 	cfg.Classes[safe].Value, cfg.Classes[anywhere].Value = 0.1, 20
 	b, h := newBalancer(t, cfg, 2) // one backend in each zone; this proxy is in zone 0
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -18,7 +18,7 @@
 	anywhere
 )
 
-func TestNewNamesTheSettingThatMakesNoSense(t *testing.T) {
+func TestNewNamesTheInvalidSetting(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		break_ func(*Config)
@@ -39,7 +39,7 @@
 }
 
 // How a request that got the given result may go on, by its class's effect.
-func TestFurtherAttemptsByEffect(t *testing.T) {
+func TestRetriesByEffect(t *testing.T) {
 	for _, c := range []struct {
 		class  int
 		result Result
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestNoBackendsMeansARefusalInTime(t *testing.T) {
+func TestNoBackendsMeansRejectionInTime(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 0)
 	b.OnRequest(second, Request{ID: 1, Class: unsafe, Deadline: 2 * second})
 	b.OnTimer(2*second-100*milli, timerDispatch<<56)
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestAListThatComesInTimeServesWhatWaits(t *testing.T) {
+func TestMembershipInTimeServesTheQueue(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 0)
 	b.OnRequest(second, Request{ID: 1, Class: unsafe, Deadline: 2 * second})
 	b.OnMembership(second+50*milli, Membership{Kind: ListDelta, Backends: list(1)})
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestNothingNewGoesToADrainingOrGoneBackend(t *testing.T) {
+func TestDrainingAndGoneBackendsGetNothingNew(t *testing.T) {
 	for _, state := range []State{Draining, Gone} {
 		b, h := newBalancer(t, testConfig(), 3)
 		b.OnMembership(second, Membership{Kind: ListDelta, Backends: []Backend{{ID: 2, State: state}}})
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestHealthOutlivesListChanges(t *testing.T) {
+func TestHealthSurvivesMembershipChanges(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 3)
 	for now := second; now < 12*second; now += b.healthCheckInterval / sweepsPerInterval {
 		b.OnTimer(now, timerSweep<<56)
@@ -139,7 +139,7 @@
 }
 
 // A late attempt that was alone at its backend is no sign of a crowd: the limit sinks a little, not to it.
-func TestOneLateAttemptAloneDoesNotCloseABackend(t *testing.T) {
+func TestOneOverdueAttemptKeepsALimitOfOne(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
 	only.concurrencyLimit = 20
@@ -151,7 +151,7 @@
 }
 
 // Waiting for a late attempt's end would show a crowd when the server has tipped.
-func TestAnAttemptCountsAsLateWhileStillOut(t *testing.T) {
+func TestAttemptIsOverdueWhileInFlight(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
 	only.concurrencyLimit = 20
@@ -165,7 +165,7 @@
 }
 
 // A backend that turns requests away at once must not look idle.
-func TestAFullBackendDoesNotLookIdle(t *testing.T) {
+func TestFullBackendDoesNotLookIdle(t *testing.T) {
 	cfg := testConfig()
 	cfg.Zone = 9 // no backend is near
 	b, h := newBalancer(t, cfg, 2)
@@ -186,7 +186,7 @@
 
 // One of many proxies has just started, and its guess of what a request takes is far too high: once it has an answer, it
 // doesn't space attempts out by the guess, and refuse what comes meanwhile.
-func TestAGuessSpacesNothingOut(t *testing.T) {
+func TestGuessedDelaySpacesNothingOut(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances = 30
 	b, h := newBalancer(t, cfg, 1)
@@ -202,7 +202,7 @@
 }
 
 // One out at each of many proxies is a crowd too: below one, a limit spaces attempts out.
-func TestALimitBelowOneSpacesAttemptsOut(t *testing.T) {
+func TestLimitBelowOneSpacesAttemptsOut(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
 	b.knownDelay, only.concurrencyLimit = average{maxMeanWindow, 200}, 0.5
@@ -226,7 +226,7 @@
 }
 
 // A backend that breaks fast has nothing out, so it looks idle; its probes may pass all the while.
-func TestABackendThatAnswersErrorsGetsLittle(t *testing.T) {
+func TestBackendThatAnswersErrorsGetsLittle(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 4)
 	sends, broken, unsafeLost := 0, 0, 0
 	out := map[RequestID]action{}
@@ -264,7 +264,7 @@
 }
 
 // Keys that go wherever there is room find nothing warm, and their extra work keeps all at their limits.
-func TestAKeyWaitsForItsOwnBackendsBeforeItGoesElsewhere(t *testing.T) {
+func TestAffinityWaitsBeforeItIsGivenUp(t *testing.T) {
 	cfg := testConfig()
 	cfg.KeyAffinity = true
 	b, h := newBalancer(t, cfg, 6)
@@ -295,7 +295,7 @@
 }
 
 // A backend may die and come back before the list says so: until warm it counts as just started.
-func TestASuspectedStartCountsAsOne(t *testing.T) {
+func TestSuspectedRestartCountsAsStart(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		fail func(b *Balancer, h *recorder, now time.Duration)
@@ -335,7 +335,7 @@
 }
 
 // A second copy beside a slow attempt feeds the overload that made it slow.
-func TestAnOverdueAttemptIsLeftAlone(t *testing.T) {
+func TestOverdueAttemptIsNotCancelled(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 4)
 	b.OnRequest(second, Request{ID: 1, Class: safe, Deadline: 4 * second})
 	for _, a := range h.take("after") {
@@ -349,7 +349,7 @@
 
 // In an overload all attempts time out: a backend that still answers others is only slow, and
 // however many fail, attempts alone put out no more than half.
-func TestEjectionSparesTheSlowAndTheHalf(t *testing.T) {
+func TestEjectionSparesSlowBackendsAndHalfOfAll(t *testing.T) {
 	fail := func(b *Balancer, to *target, sent, now time.Duration) {
 		b.now = now
 		b.recordPassiveCheck(&attempt{request: &request{}, target: to, sent: sent}, Timeout)
@@ -383,7 +383,7 @@
 }
 
 // A heavy request is too much for a cold backend even alone.
-func TestAHeavyRequestDoesNotGoAloneToAColdBackend(t *testing.T) {
+func TestHeavyRequestDoesNotGoToWarmingBackend(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
 	only.warmupStarted, b.meanWork, only.warmupTokens = second, 100, 10
@@ -396,7 +396,7 @@
 }
 
 // A limit far above the need would let a burst tip the server before answers tell.
-func TestALimitThatIsNotUsedSinks(t *testing.T) {
+func TestUnusedLimitDecays(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
 	only.concurrencyLimit = 100
@@ -409,7 +409,7 @@
 }
 
 // While all fail, what failures count for must not raise the median that they are measured by.
-func TestFailuresAllRoundDoNotFeedTheMedian(t *testing.T) {
+func TestFailuresEverywhereDoNotRaiseTheMedian(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 4)
 	now := second
 	for id := range RequestID(400) {
@@ -426,7 +426,7 @@
 }
 
 // What a backend served before it restarted says nothing of what it can do cold.
-func TestARestartForgetsWhatWasServed(t *testing.T) {
+func TestRestartForgetsServedWork(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 2)
 	b.targets[0].servedWork.Add(5000, second, second)
 	b.OnMembership(2*second, Membership{Kind: ListDelta, Backends: []Backend{
@@ -439,7 +439,7 @@
 }
 
 // Light requests fit any budget of work, but each costs a handshake.
-func TestLightRequestsCountForTheMeanInAColdBudget(t *testing.T) {
+func TestLightRequestsCountAsMeanInWarmupBudget(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
 	b.meanWork, only.warmupStarted, only.warmupTokens = 50, second, 100
@@ -460,7 +460,7 @@
 }
 
 // Without a bound, a burst makes each outcome walk a waiting room of thousands.
-func TestTheWaitingRoomIsBounded(t *testing.T) {
+func TestQueueIsBounded(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 3)
 	for i := range 2000 {
 		b.OnRequest(second, Request{ID: RequestID(i), Deadline: 4 * second})
@@ -471,7 +471,7 @@
 }
 
 // Under pressure the request that adds more to the goal goes first.
-func TestWorthGoesFirst(t *testing.T) {
+func TestMoreUtilityGoesFirst(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[anywhere].Value = 10
 	b, h := newBalancer(t, cfg, 1)
@@ -489,7 +489,7 @@
 	}
 }
 
-func TestTheListIsAskedForAgainAfterAFailure(t *testing.T) {
+func TestFetchIsRetriedAfterFailure(t *testing.T) {
 	cfg := testConfig()
 	cfg.PollMembership = true
 	h := &recorder{}
@@ -516,7 +516,7 @@
 	}
 }
 
-func TestOddInputIsPassedOver(t *testing.T) {
+func TestInvalidEventsAreIgnored(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 2)
 	twice := append(list(2), list(2)...)
 	b.OnMembership(second, Membership{Kind: ListFull, Backends: twice})
@@ -541,7 +541,7 @@
 
 // A request that a backend can't use is at fault itself: no other can use it either,
 // and it must not cost a backend its place.
-func TestADeclinedRequestFailsAndBlamesNobody(t *testing.T) {
+func TestUnprocessableRequestFailsWithoutBlame(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 4)
 	for i := range 40 {
 		id, now := RequestID(i), second+time.Duration(i)*10*milli
@@ -564,7 +564,7 @@
 
 // A backend that goes with a request out leaves when that has ended, with or without
 // a further list: on a day of ever new ones they would add up.
-func TestAGoneBackendLeavesWithItsLastRequest(t *testing.T) {
+func TestGoneBackendIsRemovedWithItsLastRequest(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 1)
 	b.OnRequest(second, Request{ID: 1, Class: unsafe, Deadline: 4 * second})
 	a := h.take("send")[0]
@@ -582,7 +582,7 @@
 
 // Where connections break by themselves, two failures in a row are nothing odd. A
 // backend that has just answered is then not taken for one that died and starts cold.
-func TestWhereConnectionsBreakAFailureIsNoStart(t *testing.T) {
+func TestUsualBreaksAreNoRestart(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 4)
 	only := b.targets[0]
 	judge := func(now time.Duration, result Result) {
@@ -615,7 +615,7 @@
 
 // A backend may fail most of one class alone: it passes its probes and answers the others,
 // so nothing else keeps that class away from it.
-func TestABackendThatFailsOneClassGetsNoMoreOfIt(t *testing.T) {
+func TestGrayFailureEjectsTheClass(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 6)
 	const broken = 3
 	now := second
@@ -651,7 +651,7 @@
 // All backends break one request in three, and live: nobody is ejected for it. One that
 // dies among them is out after as few failures as its breaks allow; where breaks are
 // rare, after three.
-func TestUsualBreaksEjectNobodyAndHideNoDeath(t *testing.T) {
+func TestUsualBreaksEjectNoneAndHideNoCrash(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 6)
 	now := 30 * second
 	judge := func(to *target, result Result) {
@@ -698,7 +698,7 @@
 
 // A connection that many requests share breaks under all of them in one moment: that is one break, and no run
 // of failures that a living backend hardly ever has.
-func TestOneBreakUnderManyRequestsIsOne(t *testing.T) {
+func TestOneConnectionBreakCountsOnce(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 3)
 	now := 30 * second
 	var on []RequestID
--- a/internal/balancer/bench_test.go
+++ b/internal/balancer/bench_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// nobody is a Host that does nothing but remember the last send.
-type nobody struct {
+// benchmarkHost is a Host that does nothing but remember the last send.
+type benchmarkHost struct {
 	recorder
 	to BackendID
 }
 
-func (h *nobody) Send(_ RequestID, to BackendID, _, _ time.Duration) { h.to = to }
-func (h *nobody) Reject(RequestID, time.Duration)                    { h.to = 0 }
-func (h *nobody) Fail(RequestID)                                     { h.to = 0 }
-func (h *nobody) CheckHealth(BackendID)                              {}
-func (h *nobody) StartTimer(time.Duration, uint64)                   {}
+func (h *benchmarkHost) Send(_ RequestID, to BackendID, _, _ time.Duration) { h.to = to }
+func (h *benchmarkHost) Reject(RequestID, time.Duration)                    { h.to = 0 }
+func (h *benchmarkHost) Fail(RequestID)                                     { h.to = 0 }
+func (h *benchmarkHost) CheckHealth(BackendID)                              {}
+func (h *benchmarkHost) StartTimer(time.Duration, uint64)                   {}
 
 // BenchmarkRequest is a request's whole life: arrival, choice, send and answer, with a sweep of the
 // timers every hundred. Keyed requests choose by their key.
@@ -24,7 +24,7 @@
 	for _, backends := range []int{10, 50} {
 		for _, keyed := range []bool{false, true} {
 			b.Run(fmt.Sprintf("backends=%d/keyed=%v", backends, keyed), func(b *testing.B) {
-				cfg, h := testConfig(), &nobody{}
+				cfg, h := testConfig(), &benchmarkHost{}
 				cfg.KeyAffinity = keyed
 				m, err := New(cfg, 1, h)
 				if err != nil {
--- a/internal/balancer/blackout_test.go
+++ b/internal/balancer/blackstart_test.go
@@ -10,20 +10,20 @@
 
 // blackout is a day on which all machines and all proxies lose power together and come back, the machines cold, with
 // every client calling again.
-func blackout(t testing.TB, seed uint64, proxies int, load float64, thin bool) (w *stormLoop, area float64, back time.Duration) {
+func blackout(t testing.TB, seed uint64, proxies int, load float64, thin bool) (w *stormSimulation, area float64, back time.Duration) {
 	t.Helper()
-	d := stormDay{
-		seed: seed, backends: 12, proxies: proxies, load: load, retries: 4, backoff: 400 * milli, honour: 1, retryAfter: true,
-		dies: 12 * second, back: 20 * second, length: 50 * second, part: 1, house: -1, policy: marl,
+	d := stormScenario{
+		seed: seed, backends: 12, proxies: proxies, load: load, retries: 4, backoff: 400 * milli, followRatio: 1, retryAfter: true,
+		dies: 12 * second, back: 20 * second, length: 50 * second, failedRatio: 1, stormingTenant: -1, policy: marlreelPolicy,
 	}
-	w = newStorm(t, d)
+	w = newStormSimulation(t, d)
 	for i := range proxies {
 		w.in(d.dies-w.now, func() { w.restart(i, slices.Clone(w.listed)) }) // what it held is lost; it is dark until power is back
 		w.in(d.back+time.Duration(w.rng.IntN(2000))*milli-w.now, func() { w.restart(i, slices.Clone(w.listed)) })
 	}
 	if thin { // a third of the machines stay dark
 		for i := range 4 {
-			w.in(d.back+2100*milli-w.now, func() { w.down[i] = true; w.tell(i, Gone) })
+			w.in(d.back+2100*milli-w.now, func() { w.down[i] = true; w.announce(i, Gone) })
 		}
 	}
 	w.run()
@@ -34,7 +34,7 @@
 	}
 	var best, served float64
 	for s := 21; s < 48; s++ {
-		asked := w.seconds[s].asked
+		asked := w.seconds[s].offered
 		room := 0.0
 		for i := range w.machines {
 			if thin && i < 4 {
@@ -51,7 +51,7 @@
 	for s := 21; s < 44; s++ {
 		var a, b float64
 		for k := s; k < s+3; k++ {
-			a, b = a+w.seconds[k].asked, b+w.seconds[k].served
+			a, b = a+w.seconds[k].offered, b+w.seconds[k].served
 		}
 		if b >= 0.95*a*w.service(4*second, 12*second) {
 			back = time.Duration(s)*second - d.back
@@ -62,7 +62,7 @@
 }
 
 // bestWorth is what so many mean requests are worth at most, with so much room for work (ms).
-func bestWorth(w *stormLoop, requests, room float64) float64 {
+func bestWorth(w *stormSimulation, requests, room float64) float64 {
 	order := []int{0, 1, 2, 3}
 	slices.SortFunc(order, func(a, b int) int {
 		x, y := w.cfg.Classes[a].Value/w.work[a], w.cfg.Classes[b].Value/w.work[b]
@@ -95,7 +95,7 @@
 				for seed := range uint64(4) {
 					w, a, back := blackout(t, seed, proxies, load, thin)
 					areas = append(areas, a)
-					falls, twice = falls+w.falls, twice+w.twice
+					falls, twice = falls+w.overloads, twice+w.ranTwice
 					if back < 0 {
 						back = 99 * second
 					}
@@ -116,8 +116,8 @@
 		sum := 0.0
 		for seed := range uint64(3) {
 			w, area, _ := blackout(t, 40+seed, proxies, 0.6, false)
-			if sum += area; w.falls > 0 || w.twice > 0 {
-				t.Errorf("%d proxies, seed %d: %d machines pushed over, %d unsafe requests run twice", proxies, seed, w.falls, w.twice)
+			if sum += area; w.overloads > 0 || w.ranTwice > 0 {
+				t.Errorf("%d proxies, seed %d: %d machines pushed over, %d unsafe requests run twice", proxies, seed, w.overloads, w.ranTwice)
 			}
 		}
 		if sum/3 < 0.76 {
--- a/internal/balancer/limits_test.go
+++ b/internal/balancer/decisionfiles_test.go
@@ -12,7 +12,7 @@
 
 // An auditor of the decisions reads the files that the deploy file names under policy: each file that decides is
 // named there, lines fit on a screen, and the first file leads to the interface.
-func TestDecisionFilesAreNamed(t *testing.T) {
+func TestPolicyNamesEveryDecisionFile(t *testing.T) {
 	const root = "../../"
 	deploy, err := os.ReadFile(root + "deploy/balancer.toml")
 	if err != nil {
--- a/internal/balancer/kinds_test.go
+++ b/internal/balancer/grayfailure_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// troubled plays two auctions of nine backends and three proxies at 0.55 of capacity, with faults from 11 s
+// simulateFaults plays two auctions of nine backends and three proxies at 0.55 of capacity, with faults from 11 s
 // on, and gives the mean service from then until the end: of all, and by class.
-func troubled(t *testing.T, until time.Duration, faults ...fault) (all float64, classes [4]float64, ws []*loop) {
+func simulateFaults(t *testing.T, until time.Duration, faults ...fault) (all float64, classes [4]float64, ws []*simulation) {
 	for seed := range uint64(2) {
-		w := newLoop(t, seed, 9, 3, 0.55)
+		w := newSimulation(t, seed, 9, 3, 0.55)
 		w.faults = faults
 		w.run(11 * second)
 		w.reset()
@@ -26,8 +26,8 @@
 	return all, classes, ws
 }
 
-// outs is how many pairs of a proxy and a backend don't let the class be sent.
-func (w *loop) outs(class int) (n int) {
+// ejections is how many pairs of a proxy and a backend don't let the class be sent.
+func (w *simulation) ejections(class int) (n int) {
 	for _, p := range w.proxies {
 		for _, x := range p.b.targets {
 			if _, _, out := x.classHealth[class].EjectionState(); out {
@@ -38,8 +38,8 @@
 	return n
 }
 
-// on is a fault of a class at the first n backends, from 11 to 21 s.
-func on(class, n int) fault {
+// faultOf is a fault of a class at the first n backends, from 11 to 21 s.
+func faultOf(class, n int) fault {
 	f := fault{class: class, from: 11 * second, to: 21 * second}
 	for i := range n {
 		f.backends = append(f.backends, i+1)
@@ -47,21 +47,21 @@
 	return f
 }
 
-func silently(f fault) fault { f.silent = 0.87; return f }
+func withoutAnswers(f fault) fault { f.unansweredRatio = 0.87; return f }
 
 // What the module before this judgement kept of the same auctions stands beside each bound, as measured
 // with the same loop.
-func TestServiceUnderPartialFailures(t *testing.T) {
-	slow := []fault{on(lotList, 2), on(catchSheet, 2), on(bid, 2), on(pickup, 2)}
+func TestServiceUnderGrayFailures(t *testing.T) {
+	slow := []fault{faultOf(lotList, 2), faultOf(catchSheet, 2), faultOf(bid, 2), faultOf(pickup, 2)}
 	for i := range slow {
-		slow[i].slower = 4
+		slow[i].slowdown = 4
 	}
-	slowBids, failing, moving := on(bid, 2), on(bid, 2), silently(on(bid, 0))
-	slowBids.slower, failing.failing = 4, 0.8
+	slowBids, failing, moving := faultOf(bid, 2), faultOf(bid, 2), withoutAnswers(faultOf(bid, 0))
+	slowBids.slowdown, failing.errorRatio = 4, 0.8
 	moving.to, moving.every = 41*second, 5*second
-	breaks := fault{class: -1, from: 11 * second, to: 21 * second, resets: 0.1}
-	crowded := on(bid, 2)
-	crowded.silent, crowded.aboveLoad = 1, 6
+	breaks := fault{class: -1, from: 11 * second, to: 21 * second, resetRatio: 0.1}
+	crowded := faultOf(bid, 2)
+	crowded.unansweredRatio, crowded.minLoad = 1, 6
 	for _, c := range []struct {
 		name   string
 		faults []fault
@@ -69,18 +69,18 @@
 		least  float64 // of the class
 		others float64 // of each other class
 	}{
-		{"bids late on four of nine (0.71 before)", []fault{silently(on(bid, 4))}, bid, 0.87, 0.98},
-		{"listings late on four of nine (0.80)", []fault{silently(on(lotList, 4))}, lotList, 0.93, 0.97},
-		{"bids late on all but one (0.25, listings 0.83)", []fault{silently(on(bid, 8))}, bid, 0.34, 0.97},
-		{"bids late on all (0.13, listings 0.77)", []fault{silently(on(bid, 9))}, bid, 0.08, 0.96},
+		{"bids late on four of nine (0.71 before)", []fault{withoutAnswers(faultOf(bid, 4))}, bid, 0.87, 0.98},
+		{"listings late on four of nine (0.80)", []fault{withoutAnswers(faultOf(lotList, 4))}, lotList, 0.93, 0.97},
+		{"bids late on all but one (0.25, listings 0.83)", []fault{withoutAnswers(faultOf(bid, 8))}, bid, 0.34, 0.97},
+		{"bids late on all (0.13, listings 0.77)", []fault{withoutAnswers(faultOf(bid, 9))}, bid, 0.08, 0.96},
 		{"bids answered with errors on two (0.93)", []fault{failing}, bid, 0.92, 0.98},
 		{"bids four times slower on two (0.92)", []fault{slowBids}, bid, 0.92, 0.98},
 		{"a failure that moves each 5 s (0.94)", []fault{moving}, bid, 0.945, 0.98},
-		{"two classes on different backends (0.66)", []fault{silently(on(bid, 4)), {
+		{"two classes on different backends (0.66)", []fault{withoutAnswers(faultOf(bid, 4)), {
 			class:    lotList,
-			backends: []int{5, 6}, from: 13 * second, to: 19 * second, silent: 0.87,
+			backends: []int{5, 6}, from: 13 * second, to: 19 * second, unansweredRatio: 0.87,
 		}}, bid, 0.87, 0.95},
-		{"one connection in ten breaks too (0.64)", []fault{silently(on(bid, 4)), breaks}, bid, 0.75, 0.96},
+		{"one connection in ten breaks too (0.64)", []fault{withoutAnswers(faultOf(bid, 4)), breaks}, bid, 0.75, 0.96},
 		{"two backends slow for all (0.95)", slow, bid, 0.91, 0.97},
 		{"bids late where crowded (0.99)", []fault{crowded}, bid, 0.96, 0.98},
 	} {
@@ -90,7 +90,7 @@
 			if len(c.faults) > 0 && c.faults[0].every > 0 {
 				until = c.faults[0].to
 			}
-			_, got, _ := troubled(t, until, c.faults...)
+			_, got, _ := simulateFaults(t, until, c.faults...)
 			t.Logf("by class: %.3f", got)
 			for i, v := range got {
 				if i == c.class && v < c.least || i != c.class && v < c.others {
@@ -103,9 +103,9 @@
 
 // Other classes go on being sent to a backend that serves one badly, and the class is back there soon after
 // it recovered.
-func TestOneClassLeavesAndComesBackAlone(t *testing.T) {
-	w := newLoop(t, 5, 9, 3, 0.55)
-	w.faults = []fault{silently(on(bid, 4))}
+func TestClassIsEjectedAndReinstatedAlone(t *testing.T) {
+	w := newSimulation(t, 5, 9, 3, 0.55)
+	w.faults = []fault{withoutAnswers(faultOf(bid, 4))}
 	w.run(15 * second)
 	w.reset()
 	w.run(21 * second)
@@ -119,8 +119,8 @@
 	if float64(bids) > 0.04*float64(all) {
 		t.Errorf("%d of %d bids went where one in eight is answered", bids, all)
 	}
-	if float64(w.triesLost) > 0.02*float64(all) {
-		t.Errorf("%d of %d bids were lost on trying", w.triesLost, all)
+	if float64(w.lostTrials) > 0.02*float64(all) {
+		t.Errorf("%d of %d bids were lost on trying", w.lostTrials, all)
 	}
 	if lists < 100 {
 		t.Errorf("%d listings went there, which are served as ever", lists)
@@ -144,14 +144,14 @@
 }
 
 // What is bad everywhere is no backend's fault.
-func TestNobodyIsOutForAClassThatFailsEverywhere(t *testing.T) {
-	w := newLoop(t, 6, 9, 3, 0.55)
-	w.faults = []fault{silently(on(bid, 9))}
+func TestClassThatFailsEverywhereIsNotEjected(t *testing.T) {
+	w := newSimulation(t, 6, 9, 3, 0.55)
+	w.faults = []fault{withoutAnswers(faultOf(bid, 9))}
 	w.run(13 * second)
 	out, seen := 0, 0
 	for w.now < 21*second {
 		w.run(w.now + 100*milli)
-		out, seen = out+w.outs(bid), seen+27
+		out, seen = out+w.ejections(bid), seen+27
 	}
 	if out*4 > seen {
 		t.Errorf("%d of %d", out, seen)
@@ -166,10 +166,10 @@
 }
 
 // Slow for all, broken connections, long tails, overload: none of it is a matter of a class.
-func TestWhatIsNoMatterOfAClass(t *testing.T) {
-	all := []fault{on(lotList, 2), on(catchSheet, 2), on(bid, 2), on(pickup, 2)}
+func TestNoClassEjectionWithoutGrayFailure(t *testing.T) {
+	all := []fault{faultOf(lotList, 2), faultOf(catchSheet, 2), faultOf(bid, 2), faultOf(pickup, 2)}
 	for i := range all {
-		all[i].slower = 4
+		all[i].slowdown = 4
 	}
 	for _, c := range []struct {
 		name   string
@@ -179,17 +179,17 @@
 	}{
 		{"nothing", nil, -1, 0.55},
 		{"two slow for all", all, -1, 0.55},
-		{"one connection in ten breaks", []fault{{class: -1, from: 0, to: 21 * second, resets: 0.1}}, -1, 0.55},
+		{"one connection in ten breaks", []fault{{class: -1, from: 0, to: 21 * second, resetRatio: 0.1}}, -1, 0.55},
 		{"a class with a long tail", nil, bid, 0.55},
 		{"overload", nil, -1, 1.2},
 	} {
-		w := newLoop(t, 11, 9, 3, c.load)
+		w := newSimulation(t, 11, 9, 3, c.load)
 		w.faults, w.tailed = c.faults, c.tailed
 		out, seen := 0, 0
 		for w.now < 21*second {
 			w.run(w.now + 100*milli)
 			for class := range 4 {
-				out, seen = out+w.outs(class), seen+27
+				out, seen = out+w.ejections(class), seen+27
 			}
 		}
 		if out*200 > seen {
@@ -199,10 +199,10 @@
 }
 
 // A class of one request a second a proxy: it leaves, is hardly ever tried, and is back by time.
-func TestARareClassLeavesAndComesBack(t *testing.T) {
-	w := newLoop(t, 3, 4, 2, 0.5)
+func TestRareClassIsEjectedAndReinstated(t *testing.T) {
+	w := newSimulation(t, 3, 4, 2, 0.5)
 	w.shares = []float64{0.5, 0.35, 0.02, 0.13}
-	w.faults = []fault{{class: bid, backends: []int{1}, from: 5 * second, to: 35 * second, silent: 1}}
+	w.faults = []fault{{class: bid, backends: []int{1}, from: 5 * second, to: 35 * second, unansweredRatio: 1}}
 	w.run(35 * second)
 	lost := w.lost[[2]int{1, bid}]
 	free := 0
@@ -220,9 +220,9 @@
 }
 
 // A proxy that starts in the middle of a trouble has learnt nothing, and finds out.
-func TestAProxyThatStartsInATroubleFindsOut(t *testing.T) {
-	w := newLoop(t, 4, 9, 3, 0.55)
-	f := silently(on(bid, 4))
+func TestProxyStartedDuringFaultDetectsIt(t *testing.T) {
+	w := newSimulation(t, 4, 9, 3, 0.55)
+	f := withoutAnswers(faultOf(bid, 4))
 	f.from = 0
 	w.faults = []fault{f}
 	w.run(4 * second)
@@ -234,7 +234,7 @@
 }
 
 // A second attempt never goes where its class is late, and one that has nowhere else to go is answered at once.
-func TestNoSecondAttemptWhereTheClassIsLate(t *testing.T) {
+func TestNoRetryWhereTheClassIsEjected(t *testing.T) {
 	cfg := testConfig()
 	cfg.Zone = 9                   // of no backend, so that all are met
 	b, h := newBalancer(t, cfg, 6) // zone 1 has the backends 2, 4 and 6
@@ -289,9 +289,9 @@
 }
 
 // What may be sent again is fetched back from a backend that turns out to serve it badly, while there is time.
-func TestWhatIsOutIsFetchedBackInTime(t *testing.T) {
-	w := newLoop(t, 2, 9, 3, 0.55)
-	w.faults = []fault{{class: lotList, backends: []int{1, 2}, from: 11 * second, to: 31 * second, silent: 1}}
+func TestAttemptsAtEjectedClassesAreCancelledInTime(t *testing.T) {
+	w := newSimulation(t, 2, 9, 3, 0.55)
+	w.faults = []fault{{class: lotList, backends: []int{1, 2}, from: 11 * second, to: 31 * second, unansweredRatio: 1}}
 	w.run(13 * second)
 	w.reset()
 	w.run(31 * second)
@@ -299,29 +299,29 @@
 	for _, n := range w.lost {
 		lost += n
 	}
-	missed := (w.asked[lotList] - w.served[lotList])
+	missed := (w.offered[lotList] - w.served[lotList])
 	if lost == 0 || missed > 0.7*float64(lost) {
 		t.Errorf("%d listings met silence, %v were not served in time", lost, missed)
 	}
 }
 
 // Rules outlive the judgement: whatever a class's state, bids are sent once.
-func TestABidIsSentOnceWhateverItsBackendsDo(t *testing.T) {
-	w := newLoop(t, 9, 6, 2, 0.6)
-	w.faults = []fault{silently(on(bid, 3)), {class: -1, from: 11 * second, to: 21 * second, resets: 0.2}}
-	w.onSend = func(p *loopProxy, r *loopReq) {
-		if r.class == bid && slices.ContainsFunc(r.attempts, func(j *loopJob) bool { return !j.ended || !j.result.NeverRan() }) {
+func TestUnsafeRequestsRunOnceUnderGrayFailures(t *testing.T) {
+	w := newSimulation(t, 9, 6, 2, 0.6)
+	w.faults = []fault{withoutAnswers(faultOf(bid, 3)), {class: -1, from: 11 * second, to: 21 * second, resetRatio: 0.2}}
+	w.onSend = func(p *simulatedProxy, r *simulatedRequest) {
+		if r.class == bid && slices.ContainsFunc(r.attempts, func(j *simulatedAttempt) bool { return !j.ended || !j.result.NeverRan() }) {
 			t.Fatal("a bid that may have run was sent again")
 		}
 	}
 	w.run(22 * second)
 }
 
-// BenchmarkJudgeKinds is a sweep's judgement over a fleet, nothing being wrong.
-func BenchmarkJudgeKinds(b *testing.B) {
+// BenchmarkEvaluateGrayFailures is a sweep's judgement over a fleet, nothing being wrong.
+func BenchmarkEvaluateGrayFailures(b *testing.B) {
 	for _, n := range []int{10, 500, 5000} {
 		b.Run(fmt.Sprintf("backends=%d", n), func(b *testing.B) {
-			m, err := New(testConfig(), 1, &nobody{})
+			m, err := New(testConfig(), 1, &benchmarkHost{})
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/balancer/repeats_test.go
+++ b/internal/balancer/idempotency_test.go
@@ -6,7 +6,7 @@
 )
 
 // Settings that change between two attempts: what may have run goes again only as both allow.
-func TestStricterSettingsHoldBetweenTwoAttempts(t *testing.T) {
+func TestStricterSettingsHoldBetweenAttempts(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		class int
@@ -39,7 +39,7 @@
 }
 
 // The module says by when a repeat has to be out: within the window of the first that may have run.
-func TestARepeatHasToBeOutWithinItsWindow(t *testing.T) {
+func TestRetryIsSentWithinTheWindow(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 2)
 	b.OnRequest(second, Request{ID: 1, Class: anywhere, Deadline: 5 * second})
 	first := h.take("send")[0]
@@ -52,7 +52,7 @@
 }
 
 // Tenants are known by their names: what one asked for must not weigh on the one that has its place now.
-func TestATenantsPlaceIsNotItsName(t *testing.T) {
+func TestTenantsKeepTheirQuotasByName(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{Name: "a", Share: 0.5, QuotaPerS: 1}, {Name: "b", Share: 0.5, QuotaPerS: 1}}
 	b, h := newBalancer(t, cfg, 2)
@@ -79,7 +79,7 @@
 
 // Where none of the classes stays, another customer's settings have come: what was learnt of work goes, and what the
 // rules rest on stays.
-func TestAnotherCustomersSettings(t *testing.T) {
+func TestOtherClassesDiscardLearnedState(t *testing.T) {
 	cfg := testConfig()
 	b, h := newBalancer(t, cfg, 3)
 	drive(b, h, second, 20*second, 20*milli, 400*milli)
--- a/internal/balancer/memory_test.go
+++ b/internal/balancer/learnedstate_test.go
@@ -13,8 +13,8 @@
 	"marlreel/internal/process/learnedstate"
 )
 
-// memoryOf is all that a balancer has learnt.
-func memoryOf(b *Balancer, now time.Duration) *learnedstate.State {
+// learnedStateOf is all that a balancer has learnt.
+func learnedStateOf(b *Balancer, now time.Duration) *learnedstate.State {
 	s := b.LearnedState(now)
 	ids := b.LearnedBackends()
 	slices.Sort(ids)
@@ -25,14 +25,14 @@
 	return &s
 }
 
-// leaves calls for each number and truth value within v.
-func leaves(v reflect.Value, path string, each func(path string, v reflect.Value)) {
+// forEachValue calls for each number and truth value within v.
+func forEachValue(v reflect.Value, path string, each func(path string, v reflect.Value)) {
 	switch v.Kind() {
 	case reflect.Float64, reflect.Int64, reflect.Int, reflect.Bool:
 		each(path, v)
 	case reflect.Slice, reflect.Array:
 		for i := range v.Len() {
-			leaves(v.Index(i), fmt.Sprintf("%s[%d]", path, i), each)
+			forEachValue(v.Index(i), fmt.Sprintf("%s[%d]", path, i), each)
 		}
 	case reflect.Struct:
 		if v.Type() == reflect.TypeFor[time.Time]() {
@@ -40,7 +40,7 @@
 		}
 		for i := range v.NumField() {
 			if f := v.Type().Field(i); f.IsExported() {
-				leaves(v.Field(i), path+"."+f.Name, each)
+				forEachValue(v.Field(i), path+"."+f.Name, each)
 			}
 		}
 	}
@@ -48,7 +48,7 @@
 
 // Each field of what was learnt is taken over: what one process says of it, the next one would
 // say as well.
-func TestEveryFieldIsTakenOver(t *testing.T) {
+func TestEveryFieldIsRestored(t *testing.T) {
 	const now = 100 * second
 	cfg := testConfig()
 	cfg.Instances, cfg.Tenants = 1, []Tenant{{Name: "a", Share: 1}}
@@ -67,12 +67,12 @@
 		for _, t := range b.targets {
 			t.lastOK, t.warmupStarted, t.warmupTokensAt, t.warmupTokens = now-second, now-2*second, now, -40
 		}
-		return memoryOf(b, now)
+		return learnedStateOf(b, now)
 	}
 	// What is not the module's, or no value of its own.
 	others := map[string]bool{".Backends[0].ID": true, ".Backends[1].ID": true}
 	tried, missed := 0, []string(nil)
-	leaves(reflect.ValueOf(base()).Elem(), "", func(path string, _ reflect.Value) {
+	forEachValue(reflect.ValueOf(base()).Elem(), "", func(path string, _ reflect.Value) {
 		if others[path] || strings.HasPrefix(path, ".Connections") {
 			return
 		}
@@ -80,7 +80,7 @@
 		// One of these is within every field's bounds.
 		for _, x := range []float64{0.25, 1.5, 12.5, -0.25} {
 			s, want := base(), 0.0
-			leaves(reflect.ValueOf(s).Elem(), "", func(p string, v reflect.Value) {
+			forEachValue(reflect.ValueOf(s).Elem(), "", func(p string, v reflect.Value) {
 				if p != path {
 					return
 				}
@@ -94,14 +94,14 @@
 				case reflect.Bool:
 					v.SetBool(!v.Bool())
 				}
-				want = number(v)
+				want = valueOf(v)
 			})
 			b := fresh()
 			b.Restore(now, 0, s)
 			got := math.NaN()
-			leaves(reflect.ValueOf(memoryOf(b, now)).Elem(), "", func(p string, v reflect.Value) {
+			forEachValue(reflect.ValueOf(learnedStateOf(b, now)).Elem(), "", func(p string, v reflect.Value) {
 				if p == path {
-					got = number(v)
+					got = valueOf(v)
 				}
 			})
 			if math.Abs(got-want) <= 1e-9*math.Abs(want) {
@@ -118,7 +118,7 @@
 	}
 }
 
-func number(v reflect.Value) float64 {
+func valueOf(v reflect.Value) float64 {
 	switch v.Kind() {
 	case reflect.Float64:
 		return v.Float()
@@ -130,7 +130,7 @@
 
 // What was learnt grows old: sums fade, ejections end, starts lie further back, and what has
 // started since is another one.
-func TestWhatWasLearntGrowsOld(t *testing.T) {
+func TestLearnedStateAges(t *testing.T) {
 	const now, away = 100 * second, 3 * second
 	from, _ := newBalancer(t, testConfig(), 3)
 	for _, x := range from.targets {
@@ -138,7 +138,7 @@
 		x.delays.Add(8, now, from.decayTime)
 		x.answers.Add(4, now, from.decayTime)
 	}
-	s := memoryOf(from, now)
+	s := learnedStateOf(from, now)
 	to, _ := newBalancer(t, testConfig(), 0)
 	all := list(3)
 	all[2].Started = now + away - second
@@ -162,7 +162,7 @@
 
 // A process that has had answers itself believes them, and budgets are never more than either
 // side has left.
-func TestItsOwnWordStands(t *testing.T) {
+func TestOwnEvidenceStands(t *testing.T) {
 	const now = 100 * second
 	from, _ := newBalancer(t, testConfig(), 2)
 	to, _ := newBalancer(t, testConfig(), 2)
@@ -174,7 +174,7 @@
 	mine := to.byID[1]
 	mine.answers.Add(1, now, to.decayTime)
 	mine.warmupStarted, mine.warmupTokens = now-second, -7
-	to.Restore(now, 0, memoryOf(from, now))
+	to.Restore(now, 0, learnedStateOf(from, now))
 	if !mine.healthy || to.byID[2].healthy {
 		t.Errorf("healthy: %v by own answers, %v by the other's word", mine.healthy, to.byID[2].healthy)
 	}
@@ -182,7 +182,7 @@
 		t.Errorf("budgets: %v of cold work, %v of retries", mine.warmupTokens, to.retryTokens)
 	}
 	from.retryTokens = 1
-	to.Restore(now, 0, memoryOf(from, now))
+	to.Restore(now, 0, learnedStateOf(from, now))
 	if to.retryTokens != 1 {
 		t.Errorf("%v retries, the other process has one left", to.retryTokens)
 	}
@@ -190,12 +190,12 @@
 
 // The rules hold over any hand-over, whatever the next process is told: the truth, nothing, or
 // nonsense.
-func TestTheFourRulesOverHandOvers(t *testing.T) {
+func TestObligationsOverHandovers(t *testing.T) {
 	for name, tell := range map[string]func(rng *rand.Rand, s *learnedstate.State){
 		"the truth": func(*rand.Rand, *learnedstate.State) {},
 		"nonsense": func(rng *rand.Rand, s *learnedstate.State) {
 			signs := rng.IntN(4) == 0
-			leaves(reflect.ValueOf(s).Elem(), "", func(path string, v reflect.Value) {
+			forEachValue(reflect.ValueOf(s).Elem(), "", func(path string, v reflect.Value) {
 				if len(path) > 3 && path[len(path)-3:] == ".ID" || rng.IntN(3) > 0 {
 					return
 				}
@@ -218,8 +218,8 @@
 	} {
 		taken := 0
 		for seed := range uint64(40) {
-			broken := day(t, seed, func(rng *rand.Rand, now time.Duration, from, to *Balancer) {
-				s := memoryOf(from, now)
+			broken := playRandomScenario(t, seed, func(rng *rand.Rand, now time.Duration, from, to *Balancer) {
+				s := learnedStateOf(from, now)
 				tell(rng, s)
 				if s.Check() == nil {
 					taken++
@@ -241,22 +241,22 @@
 
 // A day on which all proxies are replaced while one node is silent for bids, one is slow and
 // one fails all: what is served in the four seconds after it with what was learnt, and without.
-func TestMemorySparesTheNextProcess(t *testing.T) {
+func TestLearnedStateHelpsTheNextProcess(t *testing.T) {
 	const seeds, at = 6, 16 * second
 	var with, without []float64
 	for seed := range uint64(seeds) {
 		for _, remembers := range []bool{false, true} {
-			w := newLoop(t, seed, 9, 3, 0.55)
+			w := newSimulation(t, seed, 9, 3, 0.55)
 			w.faults = []fault{
-				{class: bid, backends: []int{1}, from: 5 * second, to: time.Hour, silent: 1},
-				{class: bid, backends: []int{2}, from: 5 * second, to: time.Hour, slower: 4},
-				{class: lotList, backends: []int{2}, from: 5 * second, to: time.Hour, slower: 4},
-				{class: pickup, backends: []int{4}, from: 5 * second, to: time.Hour, failing: 1},
+				{class: bid, backends: []int{1}, from: 5 * second, to: time.Hour, unansweredRatio: 1},
+				{class: bid, backends: []int{2}, from: 5 * second, to: time.Hour, slowdown: 4},
+				{class: lotList, backends: []int{2}, from: 5 * second, to: time.Hour, slowdown: 4},
+				{class: pickup, backends: []int{4}, from: 5 * second, to: time.Hour, errorRatio: 1},
 			}
 			w.run(at)
-			w.takeOver(t, func(from, to *Balancer) {
+			w.handOver(t, func(from, to *Balancer) {
 				if remembers {
-					to.Restore(w.now, 0, memoryOf(from, w.now))
+					to.Restore(w.now, 0, learnedStateOf(from, w.now))
 				}
 			})
 			w.reset()
--- /dev/null
+++ b/internal/balancer/obligations_test.go
@@ -0,0 +1,483 @@
+package balancer
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+)
+
+// obligationHost is a Host that plays backends, clients and discovery at random and
+// asserts the four rules on every action. It knows nothing of the module's insides.
+type obligationHost struct {
+	t                testing.TB
+	cfg              Config
+	rng              *rand.Rand
+	now              time.Duration
+	processes        []*proxyProcess // processes of the proxy, one after the other
+	events           []hostEvent
+	serial           int
+	requests         map[RequestID]*hostRequest
+	backends         map[BackendID]*hostBackend
+	unavailableSince map[BackendID]time.Duration // when the module was told that it drains or is gone
+	peakWork         time.Duration               // most work that a backend served within a window of the cold budget
+	violations       []string
+}
+
+const meanCost = 60 * milli
+
+// proxyProcess is one process of the proxy: the world as it is to that one.
+type proxyProcess struct {
+	*obligationHost
+	b *Balancer
+}
+
+// current is the process that takes what comes.
+func (w *obligationHost) current() *proxyProcess { return w.processes[len(w.processes)-1] }
+
+// startProcess starts a process.
+func (w *obligationHost) startProcess(seed uint64) *proxyProcess {
+	l := &proxyProcess{obligationHost: w}
+	b, err := New(w.cfg, seed, l)
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	l.b = b
+	w.processes = append(w.processes, l)
+	b.Start(w.now)
+	return l
+}
+
+type hostEvent struct {
+	at     time.Duration
+	serial int
+	do     func()
+}
+
+type hostRequest struct {
+	Request
+	process  *proxyProcess // the process that took it
+	attempts []hostAttempt
+	answered bool // a final answer was given or seen
+}
+
+type hostAttempt struct {
+	backend    BackendID
+	zone, cell int
+	sent       time.Duration
+	done       bool
+	result     Result
+}
+
+type hostBackend struct {
+	Backend
+	result Result // what it answers with; OK if well
+	sent   []sentWork
+	done   []sentWork
+}
+
+type sentWork struct {
+	at   time.Duration
+	work time.Duration
+}
+
+func (w *obligationHost) report(format string, args ...any) {
+	if len(w.violations) < 5 {
+		w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, args...))
+	}
+}
+
+func (w *obligationHost) after(d time.Duration, do func()) {
+	w.serial++
+	w.events = append(w.events, hostEvent{w.now + max(d, 0), w.serial, do})
+}
+
+func (w *obligationHost) run(until time.Duration) {
+	for len(w.events) > 0 {
+		i := 0
+		for j, e := range w.events {
+			if e.at < w.events[i].at || e.at == w.events[i].at && e.serial < w.events[i].serial {
+				i = j
+			}
+		}
+		e := w.events[i]
+		if e.at > until {
+			return
+		}
+		w.events = slices.Delete(w.events, i, i+1)
+		w.now = max(w.now, e.at)
+		e.do()
+	}
+}
+
+func (w *obligationHost) Send(id RequestID, to BackendID, until, _ time.Duration) {
+	r, s := w.requests[id], w.backends[to]
+	if r == nil || s == nil {
+		w.report("send of request %d to %d, unknown", id, to)
+		return
+	}
+	c := w.cfg.Classes[r.Class]
+	if r.answered {
+		w.report("rule 1: request %d is sent after its end", id)
+	}
+	if len(r.attempts) >= w.cfg.Caps.MaxAttempts {
+		w.report("request %d has more than %d attempts", id, w.cfg.Caps.MaxAttempts)
+	}
+	var first time.Duration = -1
+	for n, a := range r.attempts {
+		if !a.done && !w.cfg.Caps.Hedging {
+			w.report("rule 2: request %d has two attempts out", id)
+		}
+		if a.done && a.result.NeverRan() || c.Effect == Safe {
+			continue
+		}
+		switch {
+		case c.Effect == Unsafe:
+			w.report("rule 2: unsafe request %d is sent again after attempt %d may have run", id, n)
+		case c.Group == GroupZone && a.zone != s.Zone, c.Group == GroupCell && a.cell != s.Cell:
+			w.report("rule 2: keyed request %d leaves its group", id)
+		}
+		if first < 0 {
+			first = a.sent
+		}
+	}
+	if first >= 0 && w.now-first >= c.IdempotencyWindow {
+		w.report("rule 2: keyed request %d is sent again after its window", id)
+	}
+	if told, out := w.unavailableSince[to]; out && w.now-told > w.cfg.Obligations.DrainGrace {
+		w.report("rule 3: send to %d, %v after it was told to drain", to, w.now-told)
+	}
+	w.checkWarmupBudget(s, r.Cost)
+	n := len(r.attempts)
+	r.attempts = append(r.attempts, hostAttempt{backend: to, zone: s.Zone, cell: s.Cell, sent: w.now})
+	result, took := s.result, time.Duration(w.rng.ExpFloat64()*float64(80*milli))
+	switch result {
+	case Timeout:
+		took = time.Hour
+	case ConnectFailed:
+		took = w.cfg.Caps.ConnectTimeout
+	case Rejected, Error, Reset:
+		took = time.Duration(w.rng.IntN(5)) * milli
+	}
+	if until <= 0 || until > r.Deadline {
+		until = r.Deadline
+	}
+	if w.now+took > until {
+		result, took = Timeout, max(0, until-w.now)
+	}
+	w.after(took, func() { w.endAttempt(id, n, result) })
+}
+
+// checkWarmupBudget asserts the budget: multiple x capacity x window. A backend here can do what the busiest one
+// was seen to serve within a window, and there is some slack for chance.
+func (w *obligationHost) checkWarmupBudget(s *hostBackend, work time.Duration) {
+	o := w.cfg.Obligations
+	age := w.now - s.Started
+	if s.Started == 0 || age >= o.WarmupDuration {
+		return
+	}
+	s.sent = append(s.sent, sentWork{w.now, work})
+	var sum time.Duration
+	for _, c := range s.sent {
+		if w.now-c.at < o.OverloadWindow {
+			sum += c.work
+		}
+	}
+	share := o.InitialCapacity + (1-o.InitialCapacity)*max(0, float64(age-o.OverloadWindow))/float64(o.WarmupDuration)
+	slack := 4 * meanCost
+	if budget := o.OverloadMultiple*share*w.peakWork.Seconds() + slack.Seconds(); sum.Seconds() > budget {
+		w.report("rule 4: %d was sent %v of work in %v, %v after its start", s.ID, sum, o.OverloadWindow, age)
+	}
+}
+
+func (w *obligationHost) endAttempt(id RequestID, n int, result Result) {
+	r := w.requests[id]
+	a := &r.attempts[n]
+	if a.done {
+		return
+	}
+	a.done, a.result = true, result
+	if result == OK {
+		r.answered = true
+		s := w.backends[a.backend]
+		s.done = append(s.done, sentWork{w.now, r.Cost})
+		var sum time.Duration
+		for i := len(s.done) - 1; i >= 0 && w.now-s.done[i].at < w.cfg.Obligations.OverloadWindow; i-- {
+			sum += s.done[i].work
+		}
+		w.peakWork = max(w.peakWork, sum)
+	}
+	r.process.b.OnAttemptEnd(w.now, Outcome{
+		ID: id, Attempt: n, Backend: a.backend, Result: result, Took: w.now - a.sent,
+		Final: r.answered,
+	})
+}
+
+func (w *obligationHost) Reject(id RequestID, _ time.Duration) {
+	r := w.requests[id]
+	if r.answered {
+		w.report("rule 1: request %d gets a second answer", id)
+	}
+	c := w.cfg.Classes[r.Class]
+	for _, a := range r.attempts {
+		if c.Effect != Safe && (c.Effect != Keyed || c.Group != GroupAll) && !(a.done && a.result.NeverRan()) {
+			w.report("rule 2: request %d is refused though it may have run", id)
+		}
+	}
+	r.answered = true
+}
+
+func (w *obligationHost) Fail(id RequestID) {
+	if w.requests[id].answered {
+		w.report("rule 1: request %d gets a second answer", id)
+	}
+	w.requests[id].answered = true
+}
+
+func (w *obligationHost) Cancel(id RequestID, n int) {
+	if n >= len(w.requests[id].attempts) {
+		w.report("cancel of attempt %d of request %d, never made", n, id)
+		return
+	}
+	w.after(0, func() { w.endAttempt(id, n, Cancelled) })
+}
+
+func (w *proxyProcess) CheckHealth(id BackendID) {
+	if !w.cfg.Caps.Probes {
+		w.report("a probe where none is allowed")
+	}
+	if told, out := w.unavailableSince[id]; out && w.now-told > w.cfg.Obligations.DrainGrace {
+		w.report("rule 3: probe of %d after it was told to drain", id)
+	}
+	s := w.backends[id]
+	w.after(2*milli, func() { w.b.OnHealthCheck(w.now, HealthCheckResult{Backend: id, Result: s.result, Took: 2 * milli}) })
+}
+
+func (w *obligationHost) Release(BackendID)         {}
+func (w *obligationHost) SendToPeer(uint32, []byte) {}
+func (w *obligationHost) Log(string)                {}
+func (w *proxyProcess) Fetch()                      { w.Watch(true) }
+func (w *proxyProcess) Watch(bool) {
+	w.after(20*milli, func() {
+		if w.rng.IntN(3) == 0 {
+			w.b.OnMembership(w.now, Membership{Kind: ListFailed})
+			return
+		}
+		w.announce(ListFull, w.membership())
+	})
+}
+
+func (w *proxyProcess) StartTimer(d time.Duration, token uint64) {
+	// A timer never fires in the batch that sets it.
+	w.after(max(d, milli), func() { w.b.OnTimer(w.now, token) })
+}
+
+func (w *obligationHost) membership() []Backend {
+	var bs []Backend
+	for id := BackendID(1); id < 100; id++ {
+		if s := w.backends[id]; s != nil && s.State != Gone {
+			bs = append(bs, s.Backend)
+		}
+	}
+	return bs
+}
+
+func (w *obligationHost) announce(kind ListKind, bs []Backend) {
+	if kind != ListDelta {
+		for id, s := range w.backends {
+			if _, out := w.unavailableSince[id]; !out && s.State == Gone {
+				w.unavailableSince[id] = w.now
+			}
+		}
+	}
+	for _, e := range bs {
+		if _, out := w.unavailableSince[e.ID]; e.State == Ready {
+			delete(w.unavailableSince, e.ID)
+		} else if !out {
+			w.unavailableSince[e.ID] = w.now
+		}
+	}
+	for _, l := range w.processes {
+		l.b.OnMembership(w.now, Membership{Kind: kind, Backends: bs})
+	}
+}
+
+// playRandomScenario plays some seconds at random and gives the rules that were broken. Where handOver is given,
+// a new process takes over now and then, and that is called with the old one and the new one.
+func playRandomScenario(t testing.TB, seed uint64, handOver func(rng *rand.Rand, now time.Duration, from, to *Balancer)) []string {
+	rng := rand.New(rand.NewPCG(seed, 1))
+	cfg := testConfig()
+	cfg.Instances = 1
+	cfg.Caps.Hedging = rng.IntN(2) == 0
+	cfg.Caps.Probes = rng.IntN(4) > 0
+	cfg.PollMembership = rng.IntN(2) == 0
+	cfg.KeyAffinity = rng.IntN(2) == 0
+	cfg.Classes[unsafe].Group, cfg.Classes[unsafe].IdempotencyWindow = GroupAll, second // neither may matter
+	cfg.Classes[keyed].Group = []Group{GroupZone, GroupCell}[rng.IntN(2)]
+	cfg.Classes[anywhere].IdempotencyWindow = time.Duration(100+rng.IntN(900)) * milli
+	for i := range cfg.Classes {
+		if rng.IntN(2) == 0 {
+			cfg.Classes[i].LateValueRatio = 0.5
+		}
+	}
+	w := &obligationHost{
+		t: t, cfg: cfg, rng: rng, now: second, requests: map[RequestID]*hostRequest{}, backends: map[BackendID]*hostBackend{},
+		unavailableSince: map[BackendID]time.Duration{},
+	}
+	for _, e := range list(2 + rng.IntN(8)) {
+		w.backends[e.ID] = &hostBackend{Backend: e}
+	}
+	w.startProcess(seed)
+	w.announce(ListCached, w.membership())
+	end := w.now + 8*second
+	id := RequestID(0)
+	for at := w.now; at < end; at += time.Duration(rng.ExpFloat64() * float64(8*milli)) {
+		id++
+		req := Request{
+			ID: id, Class: rng.IntN(len(cfg.Classes)), Key: uint64(rng.IntN(20)),
+			Cost:     time.Duration(rng.ExpFloat64() * float64(meanCost)),
+			Deadline: at + time.Duration(rng.IntN(3000))*milli,
+		}
+		gone := rng.IntN(50) == 0
+		w.after(at-w.now, func() {
+			r := &hostRequest{Request: req, process: w.current()}
+			w.requests[req.ID] = r
+			r.process.b.OnRequest(w.now, req)
+		})
+		w.after(req.Deadline-w.now, func() {
+			w.after(cfg.Obligations.AnswerSlack, func() {
+				if !w.requests[req.ID].answered {
+					w.report("rule 1: request %d has no answer in time", req.ID)
+				}
+			})
+		})
+		if gone {
+			w.after(at+50*milli-w.now, func() {
+				if r := w.requests[req.ID]; !r.answered {
+					r.answered = true
+					r.process.b.OnClientGone(w.now, req.ID)
+				}
+			})
+		}
+	}
+	for at := w.now; at < end; at += time.Duration(rng.IntN(600)) * milli {
+		w.after(at-w.now, func() { w.injectFault() })
+	}
+	if handOver != nil {
+		for n := range uint64(1 + rng.IntN(3)) {
+			w.after(time.Duration(rng.Int64N(int64(8*second))), func() {
+				old := w.current().b
+				next := w.startProcess(seed + 1000*(n+1))
+				next.b.OnMembership(w.now, Membership{Kind: ListFull, Backends: w.membership()})
+				handOver(rng, w.now, old, next.b)
+			})
+		}
+	}
+	w.run(end + 5*second)
+	return w.violations
+}
+
+func (w *obligationHost) injectFault() {
+	id := BackendID(1 + w.rng.IntN(len(w.backends)))
+	s := w.backends[id]
+	switch w.rng.IntN(6) {
+	case 0, 1: // it falls ill, or gets well
+		s.result = []Result{OK, Error, Rejected, Timeout, ConnectFailed, Reset, OK}[w.rng.IntN(7)]
+	case 2: // it drains or leaves
+		s.State = []State{Draining, Gone}[w.rng.IntN(2)]
+		w.announce(ListDelta, []Backend{s.Backend})
+	case 3: // it restarts
+		s.State, s.Started, s.result, s.sent = Ready, w.now, OK, nil
+		w.announce(ListDelta, []Backend{s.Backend})
+	case 4:
+		w.announce(ListFull, w.membership())
+	case 5: // odd but harmless events
+		b := w.current().b
+		b.OnHealthCheck(w.now, HealthCheckResult{Backend: 9999})
+		b.OnAttemptEnd(w.now, Outcome{ID: 1 << 30, Attempt: 3})
+		b.OnClientGone(w.now, 1<<30)
+		b.OnPeerMessage(w.now, PeerMessage{From: 7, Body: []byte("odd")})
+		b.OnTimer(w.now, w.rng.Uint64())
+		b.OnFirstByte(w.now, FirstByte{ID: 1 << 30})
+	}
+}
+
+func TestObligationsInRandomScenarios(t *testing.T) {
+	for seed := range uint64(60) {
+		for _, broken := range playRandomScenario(t, seed, nil) {
+			t.Errorf("seed %d: %s", seed, broken)
+		}
+		if t.Failed() {
+			return
+		}
+	}
+}
+
+func FuzzObligations(f *testing.F) {
+	for _, seed := range []uint64{0, 1, 1000, 1 << 40} {
+		f.Add(seed)
+	}
+	f.Fuzz(func(t *testing.T, seed uint64) {
+		for _, broken := range playRandomScenario(t, seed, nil) {
+			t.Error(broken)
+		}
+	})
+}
+
+// Each guard by itself: send must say no, whoever asks.
+func TestSendChecksEveryGuard(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		class int
+		set   func(b *Balancer, r *request, other *target)
+	}{
+		{"ended", safe, func(_ *Balancer, r *request, _ *target) { r.ended = true }},
+		{"streaming", safe, func(_ *Balancer, r *request, _ *target) { r.streaming = true }},
+		{"past the deadline", safe, func(b *Balancer, r *request, _ *target) { b.now = r.Deadline }},
+		{"draining", safe, func(_ *Balancer, _ *request, o *target) { o.State = Draining }},
+		{"gone", safe, func(_ *Balancer, _ *request, o *target) { o.State = Gone }},
+		{"second copy", safe, func(b *Balancer, _ *request, _ *target) { b.cfg.Caps.Hedging = false }},
+		{"attempts used up", safe, func(b *Balancer, _ *request, _ *target) { b.cfg.Caps.MaxAttempts = 1 }},
+		{"unsafe that may run", unsafe, func(*Balancer, *request, *target) {}},
+		{"other zone", keyed, func(_ *Balancer, r *request, o *target) { o.Zone = r.attempts[0].location.Zone + 1 }},
+		{"other cell", keyed, func(b *Balancer, r *request, o *target) {
+			b.cfg.Classes[keyed].Group, o.Cell = GroupCell, r.attempts[0].location.Cell+1
+			r.terms = b.cfg.Classes[keyed].terms()
+		}},
+		{"after the window", anywhere, func(b *Balancer, _ *request, _ *target) { b.now += 2 * second }},
+		{"cold without budget", safe, func(b *Balancer, _ *request, o *target) {
+			o.warmupStarted, o.warmupTokens = b.now, -1
+		}},
+	} {
+		b, h := newBalancer(t, testConfig(), 2)
+		b.OnRequest(second, Request{ID: 1, Class: c.class, Deadline: 5 * second})
+		r := b.requests[1]
+		other := b.targets[0]
+		if other == r.attempts[0].target {
+			other = b.targets[1]
+		}
+		other.Zone, other.Cell = r.attempts[0].location.Zone, r.attempts[0].location.Cell
+		h.take()
+		c.set(b, r, other)
+		if b.send(r, other) || len(h.take("send")) > 0 {
+			t.Errorf("%s: sent all the same", c.name)
+		}
+	}
+	b, h := newBalancer(t, testConfig(), 2)
+	b.OnRequest(second, Request{ID: 1, Deadline: 5 * second})
+	h.take()
+	r := b.requests[1]
+	other := b.targets[0]
+	if other == r.attempts[0].target {
+		other = b.targets[1]
+	}
+	if !b.send(r, other) {
+		t.Error("a second copy of a safe request was not sent, so the cases above show nothing")
+	}
+	b.rejectOrFail(r)
+	b.rejectOrFail(r)
+	if got := h.take("refuse", "fail"); len(got) != 1 {
+		t.Errorf("%d final answers", len(got))
+	}
+}
--- a/internal/balancer/reconfigure_test.go
+++ b/internal/balancer/reconfigure_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func nobodyGone(int) bool { return false }
+func noneRemoved(int) bool { return false }
 
 // withClass is the settings with one more class at the end.
 func withClass(c Config, more Class) Config {
@@ -17,14 +17,14 @@
 
 // What was learnt of a class survives a reload that keeps it, and one that is new knows
 // nothing of it.
-func TestReconfigureKeepsWhatWasLearnt(t *testing.T) {
+func TestReconfigureKeepsLearnedState(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 2)
 	for range 30 {
 		b.delayModels[0].add(0, 80, classRetention)
 	}
 	before := b.expectedDelay(0, 0)
 	next := withClass(b.cfg, Class{Name: "new", LatencyTarget: second, ClientTimeout: 2 * second, Effect: Unsafe, Value: 1})
-	if err := b.Reconfigure(second, next, nil, nobodyGone); err != nil {
+	if err := b.Reconfigure(second, next, nil, noneRemoved); err != nil {
 		t.Fatal(err)
 	}
 	last := len(next.Classes) - 1
@@ -39,7 +39,7 @@
 	other := b.cfg
 	other.Classes = append([]Class(nil), other.Classes...)
 	other.Classes[last] = Class{Name: "other", LatencyTarget: 4 * second, ClientTimeout: 4 * second, Value: 1}
-	if err := b.Reconfigure(2*second, other, []int{last}, nobodyGone); err != nil {
+	if err := b.Reconfigure(2*second, other, []int{last}, noneRemoved); err != nil {
 		t.Fatal(err)
 	}
 	if got := b.expectedDelay(last, 0); got != 1000 {
@@ -48,7 +48,7 @@
 }
 
 // Settings that can't be used change nothing.
-func TestReconfigureTurnsDownWhole(t *testing.T) {
+func TestReconfigureRejectsAsAWhole(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 2)
 	for name, change := range map[string]func(*Config){
 		"fewer places":   func(c *Config) { c.Classes = c.Classes[:len(c.Classes)-1] },
@@ -60,7 +60,7 @@
 		next.Classes = append([]Class(nil), next.Classes...)
 		change(&next)
 		old := &b.cfg.Classes[0]
-		if b.Reconfigure(second, next, nil, nobodyGone) == nil {
+		if b.Reconfigure(second, next, nil, noneRemoved) == nil {
 			t.Errorf("%s: taken", name)
 		}
 		if &b.cfg.Classes[0] != old {
@@ -70,11 +70,11 @@
 }
 
 // A class that went while it was served badly does not stay the worst of all for good.
-func TestAClassThatHasGoneNoLongerWeighs(t *testing.T) {
+func TestRemovedClassNoLongerCounts(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 2)
 	b.cfg.Goal = Goal{Whole: 1, WorstClass: 1}
 	next := withClass(b.cfg, Class{Name: "late", LatencyTarget: second, ClientTimeout: 2 * second, Value: 1})
-	if err := b.Reconfigure(second, next, nil, nobodyGone); err != nil {
+	if err := b.Reconfigure(second, next, nil, noneRemoved); err != nil {
 		t.Fatal(err)
 	}
 	gone := len(next.Classes) - 1
@@ -91,7 +91,7 @@
 
 // Over any sequence of settings, sends and ends, a request keeps the effect it came with
 // and gets no more attempts than either settings allow.
-func TestRequestsKeepTheirEffectOverReconfigures(t *testing.T) {
+func TestRequestsKeepTheirClassOverReconfigures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := testConfig()
 		cfg.Classes = []Class{{Name: "a", LatencyTarget: 50 * second, ClientTimeout: 60 * second, Value: 1, Effect: Safe}}
@@ -139,7 +139,7 @@
 				next.Classes = append([]Class(nil), next.Classes...)
 				next.Classes[0].Effect = rapid.SampledFrom([]Effect{Safe, Unsafe}).Draw(t, "effect")
 				next.Caps.MaxAttempts = rapid.IntRange(1, 4).Draw(t, "most")
-				if err := b.Reconfigure(now, next, nil, nobodyGone); err != nil {
+				if err := b.Reconfigure(now, next, nil, noneRemoved); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/internal/balancer/recorded_test.go
+++ b/internal/balancer/recorded_test.go
@@ -21,7 +21,7 @@
 	const path = "testdata/recorded.txt"
 	got := ""
 	for seed := range uint64(6) {
-		lines := recordedLife(t, seed)
+		lines := recordActions(t, seed)
 		sum := sha256.Sum256([]byte(strings.Join(lines, "\n")))
 		got += fmt.Sprintf("seed %d: %d actions, %s\n", seed, len(lines), hex.EncodeToString(sum[:]))
 		if seed == 0 {
@@ -52,8 +52,8 @@
 	t.Fatal("one is longer than the other")
 }
 
-// recordedLife plays 40 s and gives what the module did, a line each.
-func recordedLife(t *testing.T, seed uint64) []string {
+// recordActions plays 40 s and gives what the module did, a line each.
+func recordActions(t *testing.T, seed uint64) []string {
 	t.Helper()
 	cfg := testConfig()
 	cfg.Classes[1].Value, cfg.Classes[2].Value, cfg.Classes[0].LateValueRatio = 2, 8, 0.2
--- a/internal/balancer/restart_test.go
+++ b/internal/balancer/restart_test.go
@@ -18,13 +18,13 @@
 // All proxies start again in one second, with memories of one minute, in which the same backends looked best:
 // they must not all choose alike. No backend has more of their first requests than the pick of two gives the best one of
 // their zone, nor of the first few more than twice its part; counted over many such fleets, as a single one is a draw.
-func TestMemoriesOfOneMinuteDontChooseAlike(t *testing.T) {
+func TestProxiesWithLikeStatesChooseDifferently(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig()
 	cfg.Instances = 12
-	teacher := taught(t, cfg, 8, 400, 0)
+	teacher := newTaughtBalancer(t, cfg, 8, 400, 0)
 	now := teacher.now
-	s := memoryOf(teacher, now)
+	s := learnedStateOf(teacher, now)
 	if len(s.Backends) < 6 {
 		t.Fatalf("it knows %d backends", len(s.Backends))
 	}
@@ -61,8 +61,8 @@
 	}
 }
 
-// taught is one that has had so many requests, 5 ms apart, all but the first few answered after 40 ms.
-func taught(t *testing.T, cfg Config, backends, requests, unanswered int) *Balancer {
+// newTaughtBalancer is one that has had so many requests, 5 ms apart, all but the first few answered after 40 ms.
+func newTaughtBalancer(t *testing.T, cfg Config, backends, requests, unanswered int) *Balancer {
 	b, host := newBalancer(t, cfg, backends)
 	now := 5 * second
 	for i := range requests {
@@ -80,12 +80,12 @@
 
 // What a request takes on average is gone on with, not taken from the first one that comes, and without the guesses of
 // the process before; where that had no answers, it is no more than a guess here.
-func TestTheMeanDelayIsRemembered(t *testing.T) {
+func TestMeanDelayIsRestored(t *testing.T) {
 	t.Parallel()
 	for _, unanswered := range []int{0, 3, 40} {
-		teacher := taught(t, testConfig(), 2, 40, unanswered)
+		teacher := newTaughtBalancer(t, testConfig(), 2, 40, unanswered)
 		b, _ := newBalancer(t, testConfig(), 2)
-		b.Restore(teacher.now, 300*milli, memoryOf(teacher, teacher.now))
+		b.Restore(teacher.now, 300*milli, learnedStateOf(teacher, teacher.now))
 		want := average{teacher.meanWindow, teacher.knownDelay.mean}
 		if unanswered == 40 {
 			want = average{}
@@ -98,7 +98,7 @@
 
 // A proxy that starts anew every 300 ms, each time with the memory of the life before: nothing grows, nobody
 // is kept out for ever, and what was learnt is neither lost nor made younger.
-func TestARestartLoop(t *testing.T) {
+func TestRestartLoop(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig()
 	b, host := newBalancer(t, cfg, 6)
@@ -123,9 +123,9 @@
 		}
 	}
 	live(3*second, 3)
-	first := memoryOf(b, now)
+	first := learnedStateOf(b, now)
 	for range 40 {
-		s := memoryOf(b, now)
+		s := learnedStateOf(b, now)
 		now += 50 * milli
 		h := &recorder{}
 		next, err := New(cfg, uint64(now), h)
@@ -138,7 +138,7 @@
 		b, host = next, h
 		live(250*milli, 0) // the bad one is well by now
 	}
-	last := memoryOf(b, now)
+	last := learnedStateOf(b, now)
 	if len(last.Backends) > 6 || last.Common.MeanWindow > first.Common.MeanWindow+1e4 {
 		t.Errorf("%d backends, %v requests", len(last.Backends), last.Common.MeanWindow)
 	}
@@ -148,32 +148,32 @@
 	}
 }
 
-// rebirth is what a proxy that starts again knows.
-type rebirth int
+// restartKind is what a proxy that starts again knows.
+type restartKind int
 
 const (
-	nothing    rebirth = iota // the list of the start
-	remembered                // and what it had learnt, two seconds before it was killed
-	falsely                   // and what is not so: well for bad, limits, delays and budgets drawn
+	nothing    restartKind = iota // the list of the start
+	remembered                    // and what it had learnt, two seconds before it was killed
+	falsely                       // and what is not so: well for bad, limits, delays and budgets drawn
 )
 
-func (r rebirth) String() string { return [...]string{"nothing", "memory", "false memory"}[r] }
+func (r restartKind) String() string { return [...]string{"nothing", "memory", "false memory"}[r] }
 
-// badDay is a day on which a machine is slow and one dies and is back cold; all proxies are killed within a
+// simulateRestarts is a day on which a machine is slow and one dies and is back cold; all proxies are killed within a
 // second at 20 s, when the dead one is just back.
-func badDay(t testing.TB, seed uint64, proxies int, how rebirth) *stormLoop {
+func simulateRestarts(t testing.TB, seed uint64, proxies int, how restartKind) *stormSimulation {
 	t.Helper()
-	d := usualStorm(seed)
-	d.load, d.retries, d.dies, d.back, d.part, d.length = 0.65, 1, 14*second, 19*second, 0.12, 40*second
+	d := usualStormScenario(seed)
+	d.load, d.retries, d.dies, d.back, d.failedRatio, d.length = 0.65, 1, 14*second, 19*second, 0.12, 40*second
 	d.proxies = proxies
-	w := newStorm(t, d)
+	w := newStormSimulation(t, d)
 	w.in(3*second-w.now, func() { w.machines[seed%9].Slow(w.now, 5) })
 	old := append([]Backend(nil), w.listed...)
 	rng := rand.New(rand.NewPCG(seed, 77))
 	for i := range w.proxies {
 		var s *learnedstate.State
 		at := 20*second + time.Duration(i)*second/time.Duration(proxies)
-		w.in(at-2*second-w.now, func() { s = memoryOf(w.proxies[i].b.(*Balancer), w.now) })
+		w.in(at-2*second-w.now, func() { s = learnedStateOf(w.proxies[i].b.(*Balancer), w.now) })
 		w.in(at-w.now, func() {
 			w.restart(i, old)
 			if how == nothing {
@@ -216,9 +216,9 @@
 		var figures [3][]float64
 		for how := range figures {
 			for seed := range seeds {
-				w := badDay(t, uint64(300+seed), proxies, rebirth(how))
-				if w.falls > 0 || w.twice > 0 {
-					t.Errorf("%d proxies, %v, seed %d: %d machines fell over, %d unsafe requests ran twice", proxies, rebirth(how), seed, w.falls, w.twice)
+				w := simulateRestarts(t, uint64(300+seed), proxies, restartKind(how))
+				if w.overloads > 0 || w.ranTwice > 0 {
+					t.Errorf("%d proxies, %v, seed %d: %d machines fell over, %d unsafe requests ran twice", proxies, restartKind(how), seed, w.overloads, w.ranTwice)
 				}
 				figures[how] = append(figures[how], w.service(20*second, 30*second))
 			}
@@ -236,7 +236,7 @@
 			}
 			slices.Sort(diffs)
 			sorted := slices.Sorted(slices.Values(x))
-			fmt.Fprintf(&b, "| %d | %v | %.3f | %.3f | %+.3f | %+.3f to %+.3f |\n", proxies, rebirth(how), sorted[len(x)/2], sorted[0], diffs[len(x)/2], diffs[0], diffs[len(x)-1])
+			fmt.Fprintf(&b, "| %d | %v | %.3f | %.3f | %+.3f | %+.3f to %+.3f |\n", proxies, restartKind(how), sorted[len(x)/2], sorted[0], diffs[len(x)/2], diffs[0], diffs[len(x)-1])
 		}
 		if mean(figures[remembered]) < mean(figures[nothing])-0.03 || mean(figures[falsely]) < mean(figures[nothing])-0.08 {
 			t.Errorf("after a restart:\n%s", b.String())
--- a/internal/balancer/storm_policies_test.go
+++ b/internal/balancer/retrystorm_policies_test.go
@@ -34,16 +34,16 @@
 }
 
 // noControl sends all there is, once more where the first attempt never ran.
-func noControl(w *stormLoop, rank int, h Host) decider {
+func noControl(w *stormSimulation, rank int, h Host) decider {
 	return &plainPolicy{
-		host: h, cfg: w.cfg, rng: rand.New(rand.NewPCG(w.day.seed, uint64(rank))), out: map[BackendID]int{},
+		host: h, cfg: w.cfg, rng: rand.New(rand.NewPCG(w.scenario.seed, uint64(rank))), out: map[BackendID]int{},
 		broken: map[BackendID]time.Duration{}, requests: map[RequestID]*plainRequest{}, budget: 1,
 	}
 }
 
 // retryBudget is no control, but that no more than a fifth of what is open may be second attempts
 // (Envoy's retry budget: 20%, and three at least).
-func retryBudget(w *stormLoop, rank int, h Host) decider {
+func retryBudget(w *stormSimulation, rank int, h Host) decider {
 	p := noControl(w, rank, h).(*plainPolicy)
 	p.budget = 0.2
 	return p
@@ -51,7 +51,7 @@
 
 // adaptiveThrottling is that, and turns requests away with the chance (asked - 2 accepts) / (asked + 1),
 // over ten seconds (Site Reliability Engineering, "Handling Overload"; there it is two minutes).
-func adaptiveThrottling(w *stormLoop, rank int, h Host) decider {
+func adaptiveThrottling(w *stormSimulation, rank int, h Host) decider {
 	p := retryBudget(w, rank, h).(*plainPolicy)
 	p.throttle = true
 	return p
--- a/internal/balancer/storm_loop_test.go
+++ b/internal/balancer/retrystorm_simulation_test.go
@@ -15,23 +15,23 @@
 // simulated time. Clients count a request and its retries as one, from its first arrival, as the
 // operators do.
 
-// stormDay is what such a day is drawn from.
-type stormDay struct {
+// stormScenario is what such a day is drawn from.
+type stormScenario struct {
 	seed               uint64
 	backends, proxies  int
 	load               float64 // of what all machines can do
 	retries            int     // by a client, beside its first try
 	backoff            time.Duration
 	exponential        bool
-	honour             float64 // share of the clients that wait as long as they are told
+	followRatio        float64 // share of the clients that wait as long as they are told
 	marks              bool    // retries are marked
 	retryAfter         bool    // the settings allow telling
 	dies, back, length time.Duration
-	part               float64 // of the machines that die
-	crowd              bool    // crowded machines turn slow
-	strays             float64 // share of the tries that come to any proxy, not that of the client's zone
-	house              int     // one whose clients come again at once, and often; -1: none
-	policy             func(d *stormLoop, rank int, h Host) decider
+	failedRatio        float64 // of the machines that die
+	slowWhenCrowded    bool    // crowded machines turn slow
+	strayRatio         float64 // share of the tries that come to any proxy, not that of the client's zone
+	stormingTenant     int     // one whose clients come again at once, and often; -1: none
+	policy             func(d *stormSimulation, rank int, h Host) decider
 }
 
 // decider is a Balancer, or one of the policies that it is held against.
@@ -45,63 +45,63 @@
 	OnTimer(now time.Duration, token uint64)
 }
 
-type stormLoop struct {
-	day      stormDay
+type stormSimulation struct {
+	scenario stormScenario
 	cfg      Config
 	rng      *rand.Rand
 	now      time.Duration
-	due      dueHeap
+	due      eventHeap
 	machines []*machine.Machine
 	listed   []Backend
 	down     []bool
 	proxies  []*stormProxy
-	jobs     map[uint64]*stormTry
+	jobs     map[uint64]*stormRequest
 	capacity float64 // ms of work a ms, of all machines
 	work     []float64
 	nextID   RequestID
 	nextJob  uint64
-	users    []*stormUser
+	users    []*stormClientRequest
 
-	seconds []secondOf // by the second of the first arrival
-	falls   int
-	sends   int
-	twice   int // unsafe requests that were run twice
-	homes   [][2]float64
+	seconds   []stormSecond // by the second of the first arrival
+	overloads int
+	sends     int
+	ranTwice  int // unsafe requests that were run twice
+	homes     [][2]float64
 
 	admitted float64 // ms of work taken by machines, from 4 s on
 }
 
-type secondOf struct {
-	asked, served float64
-	offered       int // tries
+type stormSecond struct {
+	offered, served float64
+	requests        int // tries
 }
 
-// stormUser is one request of a client with all its tries.
-type stormUser struct {
-	class, house int
-	home         int // the proxy of its zone
-	key          uint64
-	came         time.Duration
-	tries        int
-	inTime       bool // it was served
-	honours      bool // it waits for as long as it is told
-	over         bool
-	ran          int
-	worth        float64
+// stormClientRequest is one request of a client with all its tries.
+type stormClientRequest struct {
+	class, tenant int
+	home          int // the proxy of its zone
+	key           uint64
+	arrived       time.Duration
+	attempts      int
+	inTime        bool // it was served
+	honours       bool // it waits for as long as it is told
+	over          bool
+	ran           int
+	value         float64
 }
 
 type stormProxy struct {
-	w    *stormLoop
+	w    *stormSimulation
 	b    decider
 	rank int
-	reqs map[RequestID]*stormTry
+	reqs map[RequestID]*stormRequest
 	logs []string
 }
 
-// stormTry is a client's try at a proxy, with that one's attempts.
-type stormTry struct {
+// stormRequest is a client's try at a proxy, with that one's attempts.
+type stormRequest struct {
 	p        *stormProxy
-	u        *stormUser
+	u        *stormClientRequest
 	id       RequestID
 	leaves   time.Duration
 	over     bool
@@ -109,7 +109,7 @@
 }
 
 type stormAttempt struct {
-	t     *stormTry
+	t     *stormRequest
 	n     int
 	to    BackendID
 	until time.Duration
@@ -118,14 +118,14 @@
 	ended bool
 }
 
-func (w *stormLoop) in(d time.Duration, f func()) {
+func (w *stormSimulation) in(d time.Duration, f func()) {
 	w.due.seq++
-	heap.Push(&w.due, dueEvent{w.now + max(d, 0), w.due.seq, f})
+	heap.Push(&w.due, scheduledEvent{w.now + max(d, 0), w.due.seq, f})
 }
 
 const stormHouses = 4
 
-func newStorm(t testing.TB, d stormDay) *stormLoop {
+func newStormSimulation(t testing.TB, d stormScenario) *stormSimulation {
 	t.Helper()
 	cfg := testConfig()
 	cfg.Instances, cfg.Classes = d.proxies, auctionClasses()
@@ -138,8 +138,8 @@
 	cfg.Goal = Goal{Whole: 0.45, WorstClass: 0.3, WorstTenant: 0.1, WorstWindow: 0.15}
 	cfg.Obligations.WarmupDuration, cfg.Obligations.OverloadWindow, cfg.Obligations.OverloadMultiple, cfg.Obligations.InitialCapacity = 8*second, 3*second, 2.5, 0.32
 	cfg.OverQuotaValue = 0.1
-	w := &stormLoop{
-		day: d, cfg: cfg, rng: rand.New(rand.NewPCG(d.seed, 31)), now: second, jobs: map[uint64]*stormTry{},
+	w := &stormSimulation{
+		scenario: d, cfg: cfg, rng: rand.New(rand.NewPCG(d.seed, 31)), now: second, jobs: map[uint64]*stormRequest{},
 		work: []float64{45, 60, 55, 46}, homes: make([][2]float64, stormHouses),
 	}
 	for i := range d.backends {
@@ -149,7 +149,7 @@
 			Cores: 2, Speed: speed, Slots: 20, Queue: 5,
 			Cold: machine.Cold{From: 0.32, For: 8 * second, Multiple: 2.5, Over: 3 * second},
 		}
-		if d.crowd {
+		if d.slowWhenCrowded {
 			mc.Crowd = machine.Crowd{At: 7, Over: 2500 * milli, Slower: 2.5, Rest: 3 * second, Below: 0.4, Most: 20 * second}
 		}
 		w.machines = append(w.machines, machine.New(mc, w.now, true))
@@ -160,9 +160,9 @@
 	for i := range stormHouses {
 		w.cfg.Tenants = append(w.cfg.Tenants, Tenant{Name: string(rune('a' + i)), Share: 0.25, QuotaPerS: total * 0.9 / stormHouses})
 	}
-	w.seconds = make([]secondOf, int(d.length/second)+10)
+	w.seconds = make([]stormSecond, int(d.length/second)+10)
 	for i := range d.proxies {
-		p := &stormProxy{w: w, rank: i, reqs: map[RequestID]*stormTry{}}
+		p := &stormProxy{w: w, rank: i, reqs: map[RequestID]*stormRequest{}}
 		w.proxies = append(w.proxies, p)
 		p.b = d.policy(w, i, p)
 		p.b.Start(w.now)
@@ -174,15 +174,15 @@
 }
 
 // capacityRate is how many mean requests a second all machines can do.
-func (d *stormDay) capacityRate(w *stormLoop) float64 {
+func (d *stormScenario) capacityRate(w *stormSimulation) float64 {
 	return w.capacity * 1000 / 51.3
 }
 
-// marl is the module itself.
-func marl(w *stormLoop, rank int, h Host) decider {
+// marlreelPolicy is the module itself.
+func marlreelPolicy(w *stormSimulation, rank int, h Host) decider {
 	one := w.cfg
 	one.Rank, one.Zone = rank, rank%3
-	b, err := New(one, w.day.seed*100+uint64(rank), h)
+	b, err := New(one, w.scenario.seed*100+uint64(rank), h)
 	if err != nil {
 		panic(err)
 	}
@@ -191,71 +191,71 @@
 
 var stormShares = []float64{0.32, 0.28, 0.24, 0.16}
 
-func (w *stormLoop) arrive(rate float64) {
+func (w *stormSimulation) arrive(rate float64) {
 	gap := time.Duration(-math.Log(1-w.rng.Float64()) / rate * float64(second))
 	w.in(gap, func() {
-		if w.now > w.day.length {
+		if w.now > w.scenario.length {
 			return
 		}
 		x, class := w.rng.Float64(), 0
 		for class < 3 && x > stormShares[class] {
 			x, class = x-stormShares[class], class+1
 		}
-		u := &stormUser{
-			class: class, house: w.rng.IntN(stormHouses), home: w.rng.IntN(len(w.proxies)), key: uint64(1 + w.rng.IntN(4000)), came: w.now,
-			worth: w.cfg.Classes[class].Value,
+		u := &stormClientRequest{
+			class: class, tenant: w.rng.IntN(stormHouses), home: w.rng.IntN(len(w.proxies)), key: uint64(1 + w.rng.IntN(4000)), arrived: w.now,
+			value: w.cfg.Classes[class].Value,
 		}
-		u.honours = w.rng.Float64() < w.day.honour
+		u.honours = w.rng.Float64() < w.scenario.followRatio
 		w.users = append(w.users, u)
-		w.at(u.came).asked += u.worth
-		w.homes[u.house][0] += u.worth
+		w.at(u.arrived).offered += u.value
+		w.homes[u.tenant][0] += u.value
 		w.try(u)
 		w.arrive(rate)
 	})
 }
 
-func (w *stormLoop) at(t time.Duration) *secondOf {
+func (w *stormSimulation) at(t time.Duration) *stormSecond {
 	return &w.seconds[min(int(t/second), len(w.seconds)-1)]
 }
 
 // try is one try of a client, at whichever proxy it comes to.
-func (w *stormLoop) try(u *stormUser) {
+func (w *stormSimulation) try(u *stormClientRequest) {
 	p := w.proxies[u.home]
-	if w.rng.Float64() < w.day.strays {
+	if w.rng.Float64() < w.scenario.strayRatio {
 		p = w.proxies[w.rng.IntN(len(w.proxies))]
 	}
 	c := &w.cfg.Classes[u.class]
 	w.nextID++
-	t := &stormTry{p: p, u: u, id: w.nextID, leaves: w.now + c.ClientTimeout*85/100}
-	t.leaves = min(t.leaves, u.came+c.ClientTimeout)
-	u.tries++
-	w.at(w.now).offered++
+	t := &stormRequest{p: p, u: u, id: w.nextID, leaves: w.now + c.ClientTimeout*85/100}
+	t.leaves = min(t.leaves, u.arrived+c.ClientTimeout)
+	u.attempts++
+	w.at(w.now).requests++
 	p.reqs[t.id] = t
 	w.in(t.leaves-w.now, func() {
 		if !t.over {
 			t.over = true
 			p.b.OnClientGone(w.now, t.id)
-			w.again(t, 0, c.Effect == Safe)
+			w.retry(t, 0, c.Effect == Safe)
 		}
 	})
 	p.b.OnRequest(w.now, Request{
-		ID: t.id, Class: u.class, Tenant: u.house, Key: u.key, Deadline: t.leaves,
-		IsRetry: w.day.marks && u.tries > 1,
+		ID: t.id, Class: u.class, Tenant: u.tenant, Key: u.key, Deadline: t.leaves,
+		IsRetry: w.scenario.marks && u.attempts > 1,
 	})
 }
 
-// again lets a client come again, if it may and has time and patience left.
-func (w *stormLoop) again(t *stormTry, after time.Duration, may bool) {
-	u, retries, wait := t.u, w.day.retries, w.day.backoff
-	if u.house == w.day.house {
+// retry lets a client come again, if it may and has time and patience left.
+func (w *stormSimulation) retry(t *stormRequest, after time.Duration, may bool) {
+	u, retries, wait := t.u, w.scenario.retries, w.scenario.backoff
+	if u.tenant == w.scenario.stormingTenant {
 		retries, wait = 12, 10*milli
-	} else if w.day.exponential {
-		wait <<= u.tries - 1
+	} else if w.scenario.exponential {
+		wait <<= u.attempts - 1
 	}
 	if u.honours {
 		wait = max(wait, after)
 	}
-	if !may || u.over || u.tries > retries || w.now+wait >= u.came+w.cfg.Classes[u.class].ClientTimeout {
+	if !may || u.over || u.attempts > retries || w.now+wait >= u.arrived+w.cfg.Classes[u.class].ClientTimeout {
 		return
 	}
 	w.in(wait, func() { w.try(u) })
@@ -263,7 +263,7 @@
 
 // restart kills a proxy and starts it anew, with the list that it had and nothing else: what it held
 // is its clients' to ask again.
-func (w *stormLoop) restart(i int, stale []Backend) {
+func (w *stormSimulation) restart(i int, stale []Backend) {
 	old := w.proxies[i]
 	for _, t := range old.reqs {
 		if t.over {
@@ -277,10 +277,10 @@
 			}
 			a.ended = true
 		}
-		w.in(milli, func() { w.again(t, 0, w.cfg.Classes[t.u.class].Effect == Safe) })
+		w.in(milli, func() { w.retry(t, 0, w.cfg.Classes[t.u.class].Effect == Safe) })
 	}
-	p := &stormProxy{w: w, rank: i, reqs: map[RequestID]*stormTry{}}
-	p.b = w.day.policy(w, i, p)
+	p := &stormProxy{w: w, rank: i, reqs: map[RequestID]*stormRequest{}}
+	p.b = w.scenario.policy(w, i, p)
 	w.proxies[i] = p
 	p.b.Start(w.now)
 	p.b.OnMembership(w.now, Membership{Kind: ListCached, Version: 1, Backends: stale})
@@ -290,12 +290,12 @@
 }
 
 // outage lets a part of the machines die together and return cold, and discovery tell of it late.
-func (w *stormLoop) outage() {
-	d := w.day
-	if d.part <= 0 {
+func (w *stormSimulation) outage() {
+	d := w.scenario
+	if d.failedRatio <= 0 {
 		return
 	}
-	n := max(1, int(d.part*float64(d.backends)+0.5))
+	n := max(1, int(d.failedRatio*float64(d.backends)+0.5))
 	for _, i := range w.rng.Perm(d.backends)[:n] {
 		w.in(d.dies-w.now, func() {
 			w.down[i] = true
@@ -310,7 +310,7 @@
 			}
 			w.in(time.Duration(2200+w.rng.IntN(1800))*milli, func() {
 				if w.down[i] {
-					w.tell(i, Gone)
+					w.announce(i, Gone)
 				}
 			})
 		})
@@ -319,12 +319,12 @@
 			w.down[i] = false
 			w.machines[i].Restart(w.now, false)
 			w.listed[i].Started = w.now
-			w.in(time.Duration(1100+w.rng.IntN(1300))*milli, func() { w.tell(i, Ready) })
+			w.in(time.Duration(1100+w.rng.IntN(1300))*milli, func() { w.announce(i, Ready) })
 		})
 	}
 }
 
-func (w *stormLoop) tell(i int, s State) {
+func (w *stormSimulation) announce(i int, s State) {
 	w.listed[i].State = s
 	for k := range w.proxies {
 		e := w.listed[i]
@@ -355,7 +355,7 @@
 	if t := p.reqs[id]; t != nil && !t.over {
 		t.over = true
 		p.forget(t)
-		p.w.in(milli, func() { p.w.again(t, after, true) })
+		p.w.in(milli, func() { p.w.retry(t, after, true) })
 	}
 }
 
@@ -363,11 +363,11 @@
 	if t := p.reqs[id]; t != nil && !t.over {
 		t.over = true
 		p.forget(t)
-		p.w.in(milli, func() { p.w.again(t, 0, p.w.cfg.Classes[t.u.class].Effect == Safe) })
+		p.w.in(milli, func() { p.w.retry(t, 0, p.w.cfg.Classes[t.u.class].Effect == Safe) })
 	}
 }
 
-func (p *stormProxy) forget(t *stormTry) {
+func (p *stormProxy) forget(t *stormRequest) {
 	if !slices.ContainsFunc(t.attempts, func(a *stormAttempt) bool { return !a.ended }) {
 		delete(p.reqs, t.id)
 	}
@@ -398,7 +398,7 @@
 }
 
 // reach is an attempt's last byte at its backend.
-func (w *stormLoop) reach(a *stormAttempt) {
+func (w *stormSimulation) reach(a *stormAttempt) {
 	if a.ended {
 		return
 	}
@@ -415,14 +415,14 @@
 	w.jobs[a.job] = a.t
 	switch m.Offer(w.now, a.job, machine.Job{Work: fromMillis(work), Wait: fromMillis(1.2 * w.work[u.class]), Until: a.until}) {
 	case machine.Taken:
-		if w.now >= 4*second && w.now < w.day.length {
+		if w.now >= 4*second && w.now < w.scenario.length {
 			w.admitted += millis(fromMillis(work))
 		}
 		if u.ran++; u.ran > 1 && w.cfg.Classes[u.class].Effect == Unsafe {
-			w.twice++
+			w.ranTwice++
 		}
 	case machine.Down:
-		w.falls++
+		w.overloads++
 		delete(w.jobs, a.job)
 		w.in(0, func() { a.end(Reset) })
 	default:
@@ -451,10 +451,10 @@
 		t.over = true
 		if u := t.u; !u.over {
 			u.over = true
-			if w.now <= u.came+w.cfg.Classes[u.class].LatencyTarget {
+			if w.now <= u.arrived+w.cfg.Classes[u.class].LatencyTarget {
 				u.inTime = true
-				w.at(u.came).served += u.worth
-				w.homes[u.house][1] += u.worth
+				w.at(u.arrived).served += u.value
+				w.homes[u.tenant][1] += u.value
 			}
 		}
 	}
@@ -465,9 +465,9 @@
 }
 
 // run plays the day.
-func (w *stormLoop) run() *stormLoop {
-	for w.now < w.day.length+5*second {
-		next, m := w.day.length+5*second, -1
+func (w *stormSimulation) run() *stormSimulation {
+	for w.now < w.scenario.length+5*second {
+		next, m := w.scenario.length+5*second, -1
 		if len(w.due.list) > 0 {
 			next = min(next, w.due.list[0].at)
 		}
@@ -501,28 +501,28 @@
 		if len(w.due.list) == 0 || w.due.list[0].at > w.now {
 			continue
 		}
-		heap.Pop(&w.due).(dueEvent).f()
+		heap.Pop(&w.due).(scheduledEvent).f()
 	}
 	return w
 }
 
 // service is the share of worth served of what was first asked within a span.
-func (w *stormLoop) service(from, to time.Duration) float64 {
+func (w *stormSimulation) service(from, to time.Duration) float64 {
 	asked, served := 0.0, 0.0
 	for s := int(from / second); s < int(to/second); s++ {
-		asked, served = asked+w.seconds[s].asked, served+w.seconds[s].served
+		asked, served = asked+w.seconds[s].offered, served+w.seconds[s].served
 	}
 	return served / max(asked, 1e-9)
 }
 
 // recovery is how long after the machines' return five seconds begin in which 95% of what was served
 // before the outage is served again.
-func (w *stormLoop) recovery() time.Duration {
-	before := w.service(4*second, w.day.dies)
-	for from := w.day.back; from+5*second <= w.day.length; from += second {
+func (w *stormSimulation) recovery() time.Duration {
+	before := w.service(4*second, w.scenario.dies)
+	for from := w.scenario.back; from+5*second <= w.scenario.length; from += second {
 		if w.service(from, from+5*second) >= 0.95*before {
-			return from - w.day.back
+			return from - w.scenario.back
 		}
 	}
-	return w.day.length - w.day.back
+	return w.scenario.length - w.scenario.back
 }
--- a/internal/balancer/storm_table_test.go
+++ b/internal/balancer/retrystorm_table_test.go
@@ -28,23 +28,23 @@
 	}
 	policies := []struct {
 		name, colour string
-		policy       func(w *stormLoop, rank int, h Host) decider
+		policy       func(w *stormSimulation, rank int, h Host) decider
 	}{
 		{"no control", "#999999", noControl},
 		{"retry budget", "#d08020", retryBudget},
 		{"adaptive throttling", "#8040a0", adaptiveThrottling},
-		{"marlreel", "#107050", marl},
+		{"marlreel", "#107050", marlreelPolicy},
 	}
 	kinds := []struct {
 		name   string
-		change func(d *stormDay)
+		change func(d *stormScenario)
 	}{
-		{"a quarter dies, load 0.6", func(d *stormDay) { d.load = 0.6 }},
-		{"a quarter dies, load 0.75", func(*stormDay) {}},
-		{"a quarter dies, load 0.9", func(d *stormDay) { d.load = 0.9 }},
-		{"a quarter dies, plain machines", func(d *stormDay) { d.crowd = false }},
-		{"half die, clients told when", func(d *stormDay) { d.part, d.retries, d.backoff, d.retryAfter = 0.5, 10, 30*milli, true }},
-		{"load 1.1, ten retries", func(d *stormDay) { d.load, d.part, d.retries, d.backoff = 1.1, 0, 10, 30*milli }},
+		{"a quarter dies, load 0.6", func(d *stormScenario) { d.load = 0.6 }},
+		{"a quarter dies, load 0.75", func(*stormScenario) {}},
+		{"a quarter dies, load 0.9", func(d *stormScenario) { d.load = 0.9 }},
+		{"a quarter dies, plain machines", func(d *stormScenario) { d.slowWhenCrowded = false }},
+		{"half die, clients told when", func(d *stormScenario) { d.failedRatio, d.retries, d.backoff, d.retryAfter = 0.5, 10, 30*milli, true }},
+		{"load 1.1, ten retries", func(d *stormScenario) { d.load, d.failedRatio, d.retries, d.backoff = 1.1, 0, 10, 30*milli }},
 	}
 	if !write {
 		kinds = kinds[1:2]
@@ -65,15 +65,15 @@
 				jobs.Go(func() {
 					room <- struct{}{}
 					defer func() { <-room }()
-					d := usualStorm(uint64(100 + seed)) // not those that the tests are held to
+					d := usualStormScenario(uint64(100 + seed)) // not those that the tests are held to
 					if !write {
 						d.length = 30 * second
 					}
 					kinds[k].change(&d)
 					d.policy = policies[p].policy
-					w := newStorm(t, d).run()
-					r := played{served: w.service(4*second, d.length), after: w.service(d.back, d.length), recovery: -1, falls: w.falls, twice: w.twice}
-					if got := w.recovery(); d.part > 0 && got < d.length-d.back {
+					w := newStormSimulation(t, d).run()
+					r := played{served: w.service(4*second, d.length), after: w.service(d.back, d.length), recovery: -1, falls: w.overloads, twice: w.ranTwice}
+					if got := w.recovery(); d.failedRatio > 0 && got < d.length-d.back {
 						r.recovery = got.Seconds()
 					}
 					for s := 1; s < int(d.length/second); s++ {
--- a/internal/balancer/storm_test.go
+++ b/internal/balancer/retrystorm_test.go
@@ -5,46 +5,46 @@
 	"time"
 )
 
-// usualStorm is an outage of a quarter of the machines, which return cold while all clients come
+// usualStormScenario is an outage of a quarter of the machines, which return cold while all clients come
 // again; a crowded machine turns slow, which is what lets an outage go on by itself.
-func usualStorm(seed uint64) stormDay {
-	return stormDay{
-		seed: seed, backends: 9, proxies: 3, load: 0.75, retries: 3, backoff: 80 * milli, honour: 0.9, strays: 0.1,
-		dies: 12 * second, back: 22 * second, length: 60 * second, part: 0.24, house: -1, crowd: true, policy: marl,
+func usualStormScenario(seed uint64) stormScenario {
+	return stormScenario{
+		seed: seed, backends: 9, proxies: 3, load: 0.75, retries: 3, backoff: 80 * milli, followRatio: 0.9, strayRatio: 0.1,
+		dies: 12 * second, back: 22 * second, length: 60 * second, failedRatio: 0.24, stormingTenant: -1, slowWhenCrowded: true, policy: marlreelPolicy,
 	}
 }
 
 // stormMean plays a kind of storm over some seeds, and gives the mean of a figure.
-func stormMean(t *testing.T, seeds uint64, change func(d *stormDay), figure func(w *stormLoop) float64) float64 {
+func stormMean(t *testing.T, seeds uint64, change func(d *stormScenario), figure func(w *stormSimulation) float64) float64 {
 	t.Helper()
 	sum := 0.0
 	for seed := range seeds {
-		d := usualStorm(seed)
+		d := usualStormScenario(seed)
 		change(&d)
-		w := newStorm(t, d).run()
+		w := newStormSimulation(t, d).run()
 		sum += figure(w) / float64(seeds)
-		if w.falls > 0 || w.twice > 0 {
-			t.Errorf("seed %d: %d machines fell over, %d unsafe requests ran twice", seed, w.falls, w.twice)
+		if w.overloads > 0 || w.ranTwice > 0 {
+			t.Errorf("seed %d: %d machines fell over, %d unsafe requests ran twice", seed, w.overloads, w.ranTwice)
 		}
 	}
 	return sum
 }
 
-func whole(w *stormLoop) float64 { return w.service(4*second, w.day.length) }
+func totalService(w *stormSimulation) float64 { return w.service(4*second, w.scenario.length) }
 
 // An outage is over within 30 s of the machines' return, and no cold one is pushed over. Without any
 // control the same days don't end: so they are storms.
-func TestAnOutageIsOver(t *testing.T) {
+func TestRecoveryAfterOutage(t *testing.T) {
 	t.Parallel()
 	collapsed := 0
 	for seed := uint64(1); seed < 4; seed++ {
-		w := newStorm(t, usualStorm(seed)).run()
-		if r, after := w.recovery(), w.service(w.day.back, w.day.length); r > 30*second || after < 0.94 || w.falls > 0 || w.twice > 0 {
-			t.Errorf("seed %d: over after %v, %.3f served since, %d fell over, %d unsafe ones ran twice", seed, r, after, w.falls, w.twice)
+		w := newStormSimulation(t, usualStormScenario(seed)).run()
+		if r, after := w.recovery(), w.service(w.scenario.back, w.scenario.length); r > 30*second || after < 0.94 || w.overloads > 0 || w.ranTwice > 0 {
+			t.Errorf("seed %d: over after %v, %.3f served since, %d fell over, %d unsafe ones ran twice", seed, r, after, w.overloads, w.ranTwice)
 		}
-		d := usualStorm(seed)
+		d := usualStormScenario(seed)
 		d.policy = noControl
-		if w := newStorm(t, d).run(); w.recovery() > 30*second {
+		if w := newStormSimulation(t, d).run(); w.recovery() > 30*second {
 			collapsed++
 		}
 	}
@@ -56,16 +56,16 @@
 // A tenth more is asked than can be done, for a minute, and clients come again
 // ten times: what is served is near what is served if nobody does. The module before it knew of repeats
 // served 0.66 where nobody's coming again gives 0.79, and 0.46 to the worst of four houses.
-func TestComingAgainCostsLittle(t *testing.T) {
+func TestRetriesCostLittle(t *testing.T) {
 	t.Parallel()
-	overload := func(retries int, marks, told bool) func(d *stormDay) {
-		return func(d *stormDay) {
-			d.load, d.part, d.retries, d.backoff, d.honour, d.marks, d.retryAfter = 1.1, 0, retries, 30*milli, 0.9, marks, told
+	overload := func(retries int, marks, told bool) func(d *stormScenario) {
+		return func(d *stormScenario) {
+			d.load, d.failedRatio, d.retries, d.backoff, d.followRatio, d.marks, d.retryAfter = 1.1, 0, retries, 30*milli, 0.9, marks, told
 			d.length = 40 * second
 		}
 	}
 	worst := 1.0
-	none := stormMean(t, 2, overload(0, false, false), whole)
+	none := stormMean(t, 2, overload(0, false, false), totalService)
 	for _, c := range []struct {
 		name        string
 		marks, told bool
@@ -73,11 +73,11 @@
 	}{
 		{"unmarked", false, false, 0.09}, {"marked", true, false, 0.05}, {"unmarked, and told when to come", false, true, 0.05},
 	} {
-		many := stormMean(t, 2, overload(10, c.marks, c.told), func(w *stormLoop) float64 {
+		many := stormMean(t, 2, overload(10, c.marks, c.told), func(w *stormSimulation) float64 {
 			for _, h := range w.homes {
 				worst = min(worst, h[1]/h[0])
 			}
-			return whole(w)
+			return totalService(w)
 		})
 		t.Logf("%s: %.3f served, %.3f if nobody comes again", c.name, many, none)
 		if many < none-c.least {
@@ -91,18 +91,18 @@
 
 // Clients that are told when to come again, and wait, hardly come in vain: half of the machines die,
 // and each request is tried little more than once.
-func TestWhoIsToldComesOnce(t *testing.T) {
+func TestRetryAfterIsFollowedOnce(t *testing.T) {
 	t.Parallel()
-	tries := func(w *stormLoop) float64 {
+	tries := func(w *stormSimulation) float64 {
 		n := 0
 		for _, s := range w.seconds {
-			n += s.offered
+			n += s.requests
 		}
 		return float64(n) / float64(len(w.users))
 	}
 	for _, honour := range []float64{1, 0.9} { // to the millisecond, and most of them
-		got := stormMean(t, 2, func(d *stormDay) {
-			d.part, d.retries, d.backoff, d.honour, d.retryAfter = 0.5, 10, 30*milli, honour, true
+		got := stormMean(t, 2, func(d *stormScenario) {
+			d.failedRatio, d.retries, d.backoff, d.followRatio, d.retryAfter = 0.5, 10, 30*milli, honour, true
 		}, tries)
 		if got > 1.15 {
 			t.Errorf("%.2f tries each, where %v of the clients wait", got, honour)
@@ -111,9 +111,9 @@
 }
 
 // One house whose clients come again at once and often takes nothing from the others within their share.
-func TestAHouseThatStormsTakesNothing(t *testing.T) {
+func TestStormingTenantTakesNothingFromOthers(t *testing.T) {
 	t.Parallel()
-	others := func(w *stormLoop) float64 {
+	others := func(w *stormSimulation) float64 {
 		asked, served := 0.0, 0.0
 		for i, h := range w.homes {
 			if i > 0 {
@@ -122,8 +122,8 @@
 		}
 		return served / asked
 	}
-	calm := stormMean(t, 2, func(d *stormDay) { d.part = 0.5 }, others)
-	beside := stormMean(t, 2, func(d *stormDay) { d.part, d.house = 0.5, 0 }, others)
+	calm := stormMean(t, 2, func(d *stormScenario) { d.failedRatio = 0.5 }, others)
+	beside := stormMean(t, 2, func(d *stormScenario) { d.failedRatio, d.stormingTenant = 0.5, 0 }, others)
 	if t.Logf("the others have %.3f, and %.3f beside one that storms", calm, beside); beside < calm-0.02 {
 		t.Errorf("the others have %.3f, and %.3f beside one that storms", calm, beside)
 	}
@@ -131,10 +131,10 @@
 
 // Three proxies that see a third each, with no word between them, send the machines what they can do in
 // an overload, within 15%.
-func TestTogetherTheySendWhatFits(t *testing.T) {
+func TestProxiesTogetherSendWhatFits(t *testing.T) {
 	t.Parallel()
-	work := stormMean(t, 2, func(d *stormDay) { d.load, d.part, d.retries, d.crowd = 1.6, 0, 3, false }, func(w *stormLoop) float64 {
-		return w.admitted / (w.capacity * 1000 * (w.day.length - 4*second).Seconds())
+	work := stormMean(t, 2, func(d *stormScenario) { d.load, d.failedRatio, d.retries, d.slowWhenCrowded = 1.6, 0, 3, false }, func(w *stormSimulation) float64 {
+		return w.admitted / (w.capacity * 1000 * (w.scenario.length - 4*second).Seconds())
 	})
 	if t.Logf("%.3f of the capacity", work); work < 0.85 || work > 1.15 {
 		t.Errorf("all together send %.2f of what the machines can do", work)
@@ -143,26 +143,26 @@
 
 // A storm that meets a proxy without a memory and with an old list, and one that begins while a machine
 // drains, are over as soon.
-func TestAStormMeetsRestartsAndDrains(t *testing.T) {
+func TestStormWithRestartsAndDrains(t *testing.T) {
 	t.Parallel()
-	for name, meet := range map[string]func(w *stormLoop){
-		"restarts": func(w *stormLoop) {
+	for name, meet := range map[string]func(w *stormSimulation){
+		"restarts": func(w *stormSimulation) {
 			old := append([]Backend(nil), w.listed...)
 			for i := range w.proxies {
 				w.in(13*second+time.Duration(i)*3*second-w.now, func() { w.restart(i, old) })
 			}
 		},
-		"a drain": func(w *stormLoop) {
-			w.in(11*second-w.now, func() { w.tell(0, Draining) })
-			w.in(30*second-w.now, func() { w.tell(0, Ready) })
+		"a drain": func(w *stormSimulation) {
+			w.in(11*second-w.now, func() { w.announce(0, Draining) })
+			w.in(30*second-w.now, func() { w.announce(0, Ready) })
 		},
 	} {
 		for seed := range uint64(2) {
-			w := newStorm(t, usualStorm(seed))
+			w := newStormSimulation(t, usualStormScenario(seed))
 			meet(w)
 			w.run()
-			if r := w.recovery(); r > 30*second || w.falls > 0 || w.twice > 0 {
-				t.Errorf("%s, seed %d: over after %v, %d fell over, %d ran twice", name, seed, r, w.falls, w.twice)
+			if r := w.recovery(); r > 30*second || w.overloads > 0 || w.ranTwice > 0 {
+				t.Errorf("%s, seed %d: over after %v, %d fell over, %d ran twice", name, seed, r, w.overloads, w.ranTwice)
 			}
 		}
 	}
--- a/internal/balancer/holders_test.go
+++ b/internal/balancer/selection_test.go
@@ -5,16 +5,18 @@
 	"time"
 )
 
-// told is an Advice by which all backends hold everything, and others have sent work to some.
-type told struct {
+// replicaAdvice is an Advice by which all backends hold everything, and others have sent work to some.
+type replicaAdvice struct {
 	NoAdvice
-	ahead map[BackendID]float64
+	extraDelays map[BackendID]float64
 }
 
-func (a *told) ExtraDelay(_ time.Duration, _ *Request, to BackendID) float64 { return a.ahead[to] }
+func (a *replicaAdvice) ExtraDelay(_ time.Duration, _ *Request, to BackendID) float64 {
+	return a.extraDelays[to]
+}
 
-// playNeeds has a proxy serve requests for what few backends hold, one after the other, and tells where they went.
-func playNeeds(t *testing.T, advice *told, requests int) map[BackendID]int {
+// sendNeeds has a proxy serve requests for what few backends hold, one after the other, and tells where they went.
+func sendNeeds(t *testing.T, advice *replicaAdvice, requests int) map[BackendID]int {
 	t.Helper()
 	cfg := testConfig()
 	cfg.Instances, cfg.Advice = 90, advice
@@ -38,8 +40,8 @@
 }
 
 // Of many holders a proxy turns to a few, of its own zone where there are any, so that connections last.
-func TestRequestsGoToFewHoldersNearby(t *testing.T) {
-	went := playNeeds(t, &told{}, 100)
+func TestRequestsGoToFewReplicasNearby(t *testing.T) {
+	went := sendNeeds(t, &replicaAdvice{}, 100)
 	if len(went) > preferredReplicas+2 { // the first one of all has nothing to be compared by
 		t.Errorf("they went to %d holders: %v", len(went), went)
 	}
@@ -51,15 +53,15 @@
 }
 
 // Holders to which others have sent far more than they can begin soon are passed by, though connections rest there.
-func TestHoldersThatOthersKeepBusyArePassedBy(t *testing.T) {
-	advice := &told{ahead: map[BackendID]float64{}}
-	usual := playNeeds(t, advice, 100)
+func TestBusyReplicasAreAvoided(t *testing.T) {
+	advice := &replicaAdvice{extraDelays: map[BackendID]float64{}}
+	usual := sendNeeds(t, advice, 100)
 	for id := range usual {
-		advice.ahead[id] = 20000
+		advice.extraDelays[id] = 20000
 	}
 	busy := 0
-	for id, count := range playNeeds(t, advice, 100) {
-		if advice.ahead[id] > 0 {
+	for id, count := range sendNeeds(t, advice, 100) {
+		if advice.extraDelays[id] > 0 {
 			busy += count
 		}
 	}
@@ -70,13 +72,13 @@
 
 // A proxy's subset of backends, made for probes and for requests that any backend can run, does not narrow the holders
 // of what few hold: of forty backends and ninety proxies it would be three.
-func TestTheSubsetDoesNotNarrowHolders(t *testing.T) {
-	advice := &told{ahead: map[BackendID]float64{}}
+func TestSubsetDoesNotNarrowReplicas(t *testing.T) {
+	advice := &replicaAdvice{extraDelays: map[BackendID]float64{}}
 	for id := BackendID(1); id <= 40; id++ {
-		advice.ahead[id] = 20000
+		advice.extraDelays[id] = 20000
 	}
-	advice.ahead[17] = 0
-	went := playNeeds(t, advice, 200)
+	advice.extraDelays[17] = 0
+	went := sendNeeds(t, advice, 200)
 	if went[17] < 20 {
 		t.Errorf("%d of 200 went to the one holder that is idle: %v", went[17], went)
 	}
--- a/internal/balancer/loop_test.go
+++ b/internal/balancer/simulation_test.go
@@ -18,20 +18,20 @@
 
 // fault is what becomes of a request of a class at a backend at a time.
 type fault struct {
-	class           int
-	backends        []int
-	from, to        time.Duration
-	silent, failing float64 // shares without an answer; answered with an error
-	slower          float64 // times the work and the wait; 0 is 1
-	resets          float64 // share whose connection breaks, of any class
-	aboveLoad       int     // only while so many are held
-	every           time.Duration
+	class                       int
+	backends                    []int
+	from, to                    time.Duration
+	unansweredRatio, errorRatio float64 // shares without an answer; answered with an error
+	slowdown                    float64 // times the work and the wait; 0 is 1
+	resetRatio                  float64 // share whose connection breaks, of any class
+	minLoad                     int     // only while so many are held
+	every                       time.Duration
 }
 
-type loop struct {
+type simulation struct {
 	cfg      Config
 	rng      *rand.Rand
-	proxies  []*loopProxy
+	proxies  []*simulatedProxy
 	machines []*machine.Machine
 	listed   []Backend
 	faults   []fault
@@ -39,39 +39,39 @@
 	shares   []float64
 	work     []float64 // mean ms of work by class; it waits 1.2 times that
 	tailed   int       // class whose work is long-tailed; -1: none
-	due      dueHeap
+	due      eventHeap
 	now      time.Duration
-	jobs     map[uint64]*loopJob
+	jobs     map[uint64]*simulatedAttempt
 	nextID   RequestID
 	nextJob  uint64
 
-	asked, served []float64 // worth by class
-	sends         map[[2]int][]time.Duration
-	lost          map[[2]int]int // attempts that a fault swallowed,
-	triesLost     int            // and how many of them were tries
-	onSend        func(*loopProxy, *loopReq)
-	onSent        func(to BackendID) // nil: nobody counts
+	offered, served []float64 // worth by class
+	sends           map[[2]int][]time.Duration
+	lost            map[[2]int]int // attempts that a fault swallowed,
+	lostTrials      int            // and how many of them were tries
+	onSend          func(*simulatedProxy, *simulatedRequest)
+	onSent          func(to BackendID) // nil: nobody counts
 }
 
-type loopProxy struct {
-	w    *loop
+type simulatedProxy struct {
+	w    *simulation
 	b    *Balancer
-	reqs map[RequestID]*loopReq
+	reqs map[RequestID]*simulatedRequest
 	logs []string
-	next *loopProxy // the process that has taken over; nil: none has
+	next *simulatedProxy // the process that has taken over; nil: none has
 
 	factor float64 // of its traffic; 0 is 1
 }
 
-type loopReq struct {
+type simulatedRequest struct {
 	class    int
 	arrived  time.Duration
-	attempts []*loopJob
+	attempts []*simulatedAttempt
 	over     bool
 }
 
-type loopJob struct {
-	p      *loopProxy
+type simulatedAttempt struct {
+	p      *simulatedProxy
 	id     RequestID
 	n      int
 	to     BackendID
@@ -83,36 +83,36 @@
 	result Result
 }
 
-type dueEvent struct {
+type scheduledEvent struct {
 	at  time.Duration
 	seq uint64
 	f   func()
 }
-type dueHeap struct {
-	list []dueEvent
+type eventHeap struct {
+	list []scheduledEvent
 	seq  uint64
 }
 
-func (h *dueHeap) Len() int { return len(h.list) }
-func (h *dueHeap) Less(i, j int) bool {
+func (h *eventHeap) Len() int { return len(h.list) }
+func (h *eventHeap) Less(i, j int) bool {
 	return h.list[i].at < h.list[j].at || h.list[i].at == h.list[j].at && h.list[i].seq < h.list[j].seq
 }
-func (h *dueHeap) Swap(i, j int) { h.list[i], h.list[j] = h.list[j], h.list[i] }
-func (h *dueHeap) Push(x any)    { h.list = append(h.list, x.(dueEvent)) }
-func (h *dueHeap) Pop() any {
+func (h *eventHeap) Swap(i, j int) { h.list[i], h.list[j] = h.list[j], h.list[i] }
+func (h *eventHeap) Push(x any)    { h.list = append(h.list, x.(scheduledEvent)) }
+func (h *eventHeap) Pop() any {
 	last := h.list[len(h.list)-1]
 	h.list = h.list[:len(h.list)-1]
 	return last
 }
 
-func (w *loop) in(d time.Duration, f func()) {
+func (w *simulation) in(d time.Duration, f func()) {
 	w.due.seq++
-	heap.Push(&w.due, dueEvent{w.now + d, w.due.seq, f})
+	heap.Push(&w.due, scheduledEvent{w.now + d, w.due.seq, f})
 }
 
-func (p *loopProxy) Send(id RequestID, to BackendID, until, _ time.Duration) {
+func (p *simulatedProxy) Send(id RequestID, to BackendID, until, _ time.Duration) {
 	w, r := p.w, p.reqs[id]
-	j := &loopJob{p: p, id: id, n: len(r.attempts), to: to, class: r.class, sent: w.now, until: until}
+	j := &simulatedAttempt{p: p, id: id, n: len(r.attempts), to: to, class: r.class, sent: w.now, until: until}
 	if w.onSend != nil {
 		w.onSend(p, r)
 	}
@@ -125,29 +125,29 @@
 		w.onSent(to)
 	}
 }
-func (p *loopProxy) Reject(id RequestID, _ time.Duration) { delete(p.reqs, id) }
-func (p *loopProxy) Fail(id RequestID)                    { delete(p.reqs, id) }
-func (p *loopProxy) Cancel(id RequestID, n int) {
+func (p *simulatedProxy) Reject(id RequestID, _ time.Duration) { delete(p.reqs, id) }
+func (p *simulatedProxy) Fail(id RequestID)                    { delete(p.reqs, id) }
+func (p *simulatedProxy) Cancel(id RequestID, n int) {
 	if r := p.reqs[id]; r != nil {
 		j := r.attempts[n]
 		p.w.in(0, func() { j.end(Cancelled) })
 	}
 }
 
-func (p *loopProxy) CheckHealth(to BackendID) {
+func (p *simulatedProxy) CheckHealth(to BackendID) {
 	p.w.in(2*milli, func() { p.b.OnHealthCheck(p.w.now, HealthCheckResult{Backend: to, Result: OK, Took: 2 * milli}) })
 }
-func (p *loopProxy) Release(BackendID)         {}
-func (p *loopProxy) Watch(bool)                {}
-func (p *loopProxy) Fetch()                    {}
-func (p *loopProxy) SendToPeer(uint32, []byte) {}
-func (p *loopProxy) Log(line string)           { p.logs = append(p.logs, line) }
-func (p *loopProxy) StartTimer(d time.Duration, token uint64) {
+func (p *simulatedProxy) Release(BackendID)         {}
+func (p *simulatedProxy) Watch(bool)                {}
+func (p *simulatedProxy) Fetch()                    {}
+func (p *simulatedProxy) SendToPeer(uint32, []byte) {}
+func (p *simulatedProxy) Log(line string)           { p.logs = append(p.logs, line) }
+func (p *simulatedProxy) StartTimer(d time.Duration, token uint64) {
 	p.w.in(d, func() { p.b.OnTimer(p.w.now, token) })
 }
 
 // arrive is a request's last byte at its backend.
-func (w *loop) arrive(j *loopJob) {
+func (w *simulation) arrive(j *simulatedAttempt) {
 	if j.ended {
 		return
 	}
@@ -155,10 +155,10 @@
 	slower := 1.0
 	for i := range w.faults {
 		f := &w.faults[i]
-		if w.now < f.from || w.now >= f.to || m.Held() < f.aboveLoad {
+		if w.now < f.from || w.now >= f.to || m.Held() < f.minLoad {
 			continue
 		}
-		if w.rng.Float64() < f.resets {
+		if w.rng.Float64() < f.resetRatio {
 			w.in(time.Duration(w.rng.IntN(20))*milli, func() { j.end(Reset) })
 			return
 		}
@@ -170,15 +170,15 @@
 			continue
 		}
 		switch x := w.rng.Float64(); {
-		case x < f.silent:
+		case x < f.unansweredRatio:
 			w.lose(j)
 			return
-		case x < f.silent+f.failing:
+		case x < f.unansweredRatio+f.errorRatio:
 			w.lose(j)
 			w.in(2*milli, func() { j.end(Error) })
 			return
 		}
-		slower = max(slower, f.slower)
+		slower = max(slower, f.slowdown)
 	}
 	work := w.work[j.class] * -math.Log(1-w.rng.Float64())
 	if j.class == w.tailed {
@@ -198,14 +198,14 @@
 	}
 }
 
-func (w *loop) lose(j *loopJob) {
+func (w *simulation) lose(j *simulatedAttempt) {
 	w.lost[[2]int{int(j.to), j.class}]++
 	if r := j.p.b.requests[j.id]; r != nil && r.attempts[j.n].trial {
-		w.triesLost++
+		w.lostTrials++
 	}
 }
 
-func (j *loopJob) end(result Result) {
+func (j *simulatedAttempt) end(result Result) {
 	r := j.p.reqs[j.id]
 	if j.ended {
 		return
@@ -253,16 +253,16 @@
 	pickup
 )
 
-func newLoop(t testing.TB, seed uint64, backends, proxies int, load float64) *loop {
+func newSimulation(t testing.TB, seed uint64, backends, proxies int, load float64) *simulation {
 	cfg := testConfig()
 	cfg.Instances, cfg.Classes, cfg.Caps.RetryAfter = proxies, auctionClasses(), false
 	cfg.Caps.ConnectTimeout = 100 * milli
 	cfg.Goal = Goal{Whole: 0.45, WorstClass: 0.3, WorstTenant: 0.1, WorstWindow: 0.15}
-	w := &loop{
+	w := &simulation{
 		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 9)), now: second, tailed: -1,
 		shares: []float64{0.32, 0.28, 0.24, 0.16}, work: []float64{19, 26, 23, 20},
-		jobs: map[uint64]*loopJob{}, sends: map[[2]int][]time.Duration{}, lost: map[[2]int]int{},
-		asked: make([]float64, 4), served: make([]float64, 4),
+		jobs: map[uint64]*simulatedAttempt{}, sends: map[[2]int][]time.Duration{}, lost: map[[2]int]int{},
+		offered: make([]float64, 4), served: make([]float64, 4),
 	}
 	capacity := 0.0
 	all := list(backends)
@@ -275,7 +275,7 @@
 	w.listed = all
 	w.rate = load * capacity / float64(proxies) / 0.0222
 	for i := range proxies {
-		p := &loopProxy{w: w, reqs: map[RequestID]*loopReq{}}
+		p := &simulatedProxy{w: w, reqs: map[RequestID]*simulatedRequest{}}
 		one := cfg
 		one.Rank, one.Zone = i, i%3
 		b, err := New(one, seed*100+uint64(i), p)
@@ -291,7 +291,7 @@
 	return w
 }
 
-func (w *loop) arrivals(p *loopProxy) {
+func (w *simulation) arrivals(p *simulatedProxy) {
 	gap := time.Duration(-math.Log(1-w.rng.Float64()) / (w.rate * cmp.Or(p.factor, 1)) * float64(second))
 	w.in(gap, func() {
 		for p.next != nil {
@@ -303,15 +303,15 @@
 		}
 		c := &w.cfg.Classes[class]
 		w.nextID++
-		p.reqs[w.nextID] = &loopReq{class: class, arrived: w.now}
-		w.asked[class] += c.Value
+		p.reqs[w.nextID] = &simulatedRequest{class: class, arrived: w.now}
+		w.offered[class] += c.Value
 		p.b.OnRequest(w.now, Request{ID: w.nextID, Class: class, Deadline: w.now + c.ClientTimeout})
 		w.arrivals(p)
 	})
 }
 
 // run plays the loop until the time to; what is asked and served is counted from the time on.
-func (w *loop) run(to time.Duration) {
+func (w *simulation) run(to time.Duration) {
 	for w.now < to {
 		next, m := to, -1
 		if len(w.due.list) > 0 {
@@ -336,17 +336,17 @@
 			continue
 		}
 		if len(w.due.list) > 0 && w.due.list[0].at <= w.now {
-			heap.Pop(&w.due).(dueEvent).f()
+			heap.Pop(&w.due).(scheduledEvent).f()
 		}
 	}
 }
 
-// takeOver starts a new process for each proxy, which takes what comes from now on; with is
+// handOver starts a new process for each proxy, which takes what comes from now on; with is
 // called with the old one and the new one.
-func (w *loop) takeOver(t testing.TB, with func(from, to *Balancer)) {
+func (w *simulation) handOver(t testing.TB, with func(from, to *Balancer)) {
 	t.Helper()
 	for i, old := range w.proxies {
-		p := &loopProxy{w: w, reqs: map[RequestID]*loopReq{}, factor: old.factor}
+		p := &simulatedProxy{w: w, reqs: map[RequestID]*simulatedRequest{}, factor: old.factor}
 		one := w.cfg
 		one.Rank, one.Zone = i, i%3
 		b, err := New(one, uint64(7000+i), p)
@@ -361,28 +361,28 @@
 	}
 }
 
-func (w *loop) reset() {
-	clear(w.asked)
+func (w *simulation) reset() {
+	clear(w.offered)
 	clear(w.served)
 	clear(w.sends)
 	clear(w.lost)
-	w.triesLost = 0
+	w.lostTrials = 0
 }
 
 // service is the share of worth answered in time, of all or of one class.
-func (w *loop) service(class int) float64 {
+func (w *simulation) service(class int) float64 {
 	if class >= 0 {
-		return w.served[class] / w.asked[class]
+		return w.served[class] / w.offered[class]
 	}
 	a, s := 0.0, 0.0
-	for i := range w.asked {
-		a, s = a+w.asked[i], s+w.served[i]
+	for i := range w.offered {
+		a, s = a+w.offered[i], s+w.served[i]
 	}
 	return s / a
 }
 
 // sent counts attempts of a class at a backend in a span of time.
-func (w *loop) sent(to, class int, from, until time.Duration) (n int) {
+func (w *simulation) sent(to, class int, from, until time.Duration) (n int) {
 	for _, at := range w.sends[[2]int{to, class}] {
 		if at >= from && at < until {
 			n++
--- a/internal/balancer/cold_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -14,73 +14,73 @@
 	"marlreel/internal/standin/machine"
 )
 
-// coldDay is a closed loop in which machines start cold among warm ones, and what each is sent is counted.
-type coldDay struct {
-	seed    uint64
-	proxies int
-	calls   float64 // mean requests that the settings allow a cold machine in their window at its start
-	skew    float64 // of the proxies' traffic: the sigma of a log-normal factor
-	load    float64
-	at      time.Duration // when machines start, from the loop's beginning
-	fresh   bool          // the proxies start when the machines do, and know nothing
-	again   bool          // the machines start once more while they are cold
+// warmupScenario is a closed loop in which machines start cold among warm ones, and what each is sent is counted.
+type warmupScenario struct {
+	seed         uint64
+	proxies      int
+	budgetCalls  float64 // mean requests that the settings allow a cold machine in their window at its start
+	skew         float64 // of the proxies' traffic: the sigma of a log-normal factor
+	load         float64
+	startAt      time.Duration // when machines start, from the loop's beginning
+	freshProxies bool          // the proxies start when the machines do, and know nothing
+	restartTwice bool          // the machines start once more while they are cold
 }
 
 const (
-	coldMachines = 12
-	coldNew      = 3 // of them, that start cold
+	warmupScenarioMachines = 12
+	startedMachines        = 3 // of them, that start cold
 )
 
-// coldCount is what the day came to.
-type coldCount struct {
-	over    int     // windows in which a machine was sent more than its budget and chance allow
-	windows int     // looked at: one a request
-	worst   float64 // of all windows: what was sent beyond the budget, in roots of it
-	fair    time.Duration
-	served  float64 // share of the worth
-	sent    int
+// warmupResult is what the day came to.
+type warmupResult struct {
+	over        int     // windows in which a machine was sent more than its budget and chance allow
+	windows     int     // looked at: one a request
+	worstExcess float64 // of all windows: what was sent beyond the budget, in roots of it
+	fairAfter   time.Duration
+	served      float64 // share of the worth
+	sent        int
 }
 
-// coldKind is machines and work by which so many calls are the budget at a start.
-type coldKind struct {
-	calls  float64
-	cores  int
-	from   float64
-	whole  time.Duration
-	window time.Duration
-	times  float64 // the work, the aims and the deadlines, of the loop's
+// warmupMachines is machines and work by which so many calls are the budget at a start.
+type warmupMachines struct {
+	calls           float64
+	cores           int
+	initialCapacity float64
+	warmup          time.Duration
+	window          time.Duration
+	workFactor      float64 // the work, the aims and the deadlines, of the loop's
 }
 
-const coldMultiple = 2.5
+const overloadMultiple = 2.5
 
-var coldKinds = map[float64]coldKind{
+var warmupMachinesByCalls = map[float64]warmupMachines{
 	1: {1, 1, 0.12, 21 * second, 2 * second, 25.7}, 4: {4, 1, 0.12, 21 * second, 2 * second, 6.42}, 12: {12, 1, 0.12, 21 * second, 2 * second, 2.14},
 	40: {40, 1, 0.32, 9 * second, 3 * second, 2.57}, 200: {200, 2, 0.32, 9 * second, 3 * second, 1.03},
 }
 
 // budget is what a machine of a speed bears in its window, in mean requests, at a share of its capacity.
-func (k coldKind) budget(speed, share float64) float64 {
-	return coldMultiple * share * float64(k.cores) * speed / (0.0222 * k.times) * k.window.Seconds()
+func (k warmupMachines) budget(speed, share float64) float64 {
+	return overloadMultiple * share * float64(k.cores) * speed / (0.0222 * k.workFactor) * k.window.Seconds()
 }
 
-func (d coldDay) play(t testing.TB) coldCount {
-	k := coldKinds[d.calls]
-	w := newLoop(t, d.seed, coldMachines, d.proxies, d.load)
-	w.cfg.Obligations.OverloadWindow, w.cfg.Obligations.OverloadMultiple = k.window, coldMultiple
-	w.cfg.Obligations.WarmupDuration, w.cfg.Obligations.InitialCapacity = k.whole, k.from
-	w.rate *= float64(k.cores) / 2 / k.times
+func (d warmupScenario) play(t testing.TB) warmupResult {
+	k := warmupMachinesByCalls[d.budgetCalls]
+	w := newSimulation(t, d.seed, warmupScenarioMachines, d.proxies, d.load)
+	w.cfg.Obligations.OverloadWindow, w.cfg.Obligations.OverloadMultiple = k.window, overloadMultiple
+	w.cfg.Obligations.WarmupDuration, w.cfg.Obligations.InitialCapacity = k.warmup, k.initialCapacity
+	w.rate *= float64(k.cores) / 2 / k.workFactor
 	for i := range w.work {
-		w.work[i] *= k.times
+		w.work[i] *= k.workFactor
 	}
 	for i := range w.cfg.Classes {
 		c := &w.cfg.Classes[i]
 		for _, at := range []*time.Duration{&c.LatencyTarget, &c.ClientTimeout, &c.IdempotencyWindow} {
-			*at = time.Duration(float64(*at) * k.times)
+			*at = time.Duration(float64(*at) * k.workFactor)
 		}
 	}
 	speeds := []float64{1.3, 0.95, 0.7}
-	whole, window := k.whole, k.window
-	cold := machine.Cold{From: k.from, For: whole, Multiple: coldMultiple, Over: window}
+	whole, window := k.warmup, k.window
+	cold := machine.Cold{From: k.initialCapacity, For: whole, Multiple: overloadMultiple, Over: window}
 	for i := range w.machines {
 		w.machines[i] = machine.New(machine.Config{Cores: k.cores, Speed: speeds[i%3], Slots: 16, Queue: 40, Cold: cold}, w.now, true)
 	}
@@ -92,24 +92,24 @@
 			t.Fatal(err)
 		}
 	}
-	var sent [coldNew][]time.Duration
-	started := [coldNew]time.Duration{}
-	var c coldCount
+	var sent [startedMachines][]time.Duration
+	started := [startedMachines]time.Duration{}
+	var c warmupResult
 	w.onSent = func(to BackendID) {
 		i := int(to) - 1
-		if i >= coldNew || started[i] == 0 || w.now-started[i] >= whole {
+		if i >= startedMachines || started[i] == 0 || w.now-started[i] >= whole {
 			return
 		}
 		sent[i] = append(sent[i], w.now)
 		for len(sent[i]) > 0 && w.now-sent[i][0] > window {
 			sent[i] = sent[i][1:]
 		}
-		share := k.from + (1-k.from)*float64(w.now-started[i])/float64(whole)
+		share := k.initialCapacity + (1-k.initialCapacity)*float64(w.now-started[i])/float64(whole)
 		budget := k.budget(speeds[i%3], share)
 		n := float64(len(sent[i]))
 		c.windows++
 		c.sent++
-		c.worst = max(c.worst, (n-budget)/math.Sqrt(budget))
+		c.worstExcess = max(c.worstExcess, (n-budget)/math.Sqrt(budget))
 		if n > budget+2*math.Sqrt(budget)+2 {
 			c.over++
 		}
@@ -117,7 +117,7 @@
 	start := func(at time.Duration) {
 		w.in(at, func() {
 			var all []Backend
-			for i := range coldNew {
+			for i := range startedMachines {
 				w.machines[i].Restart(w.now, false)
 				started[i], sent[i] = w.now, nil
 				w.listed[i].Started = w.now
@@ -127,15 +127,15 @@
 				// What is sent by who has not been told is nobody's fault: all are told with the start.
 				p.b.OnMembership(w.now, Membership{Kind: ListDelta, Version: 2, Backends: all})
 			}
-			if d.fresh {
-				w.takeOver(t, func(_, _ *Balancer) {})
+			if d.freshProxies {
+				w.handOver(t, func(_, _ *Balancer) {})
 			}
 		})
 	}
-	begin := d.at
-	start(d.at)
-	if d.again {
-		start(d.at + 3*second)
+	begin := d.startAt
+	start(d.startAt)
+	if d.restartTwice {
+		start(d.startAt + 3*second)
 		begin += 3 * second
 	}
 	w.run(w.now + begin)
@@ -143,37 +143,37 @@
 	w.run(w.now + whole + 2*second)
 	c.served = w.service(-1)
 	// A fair share is half of what the warm machines get each, over a second.
-	c.fair = whole
+	c.fairAfter = whole
 	for at := time.Duration(0); at < whole; at += 250 * milli { // over a second, or as long as 40 requests take
 		var mine, theirs float64
 		from := second + begin + at
 		for class := range 4 {
-			for i := 1; i <= coldMachines; i++ {
+			for i := 1; i <= warmupScenarioMachines; i++ {
 				n := float64(w.sent(i, class, from, from+second))
-				if i <= coldNew {
-					mine += n / coldNew
+				if i <= startedMachines {
+					mine += n / startedMachines
 				} else {
-					theirs += n / (coldMachines - coldNew)
+					theirs += n / (warmupScenarioMachines - startedMachines)
 				}
 			}
 		}
 		if mine >= theirs/2 {
-			c.fair = at
+			c.fairAfter = at
 			break
 		}
 	}
 	return c
 }
 
-// coldDays plays a day with many seeds and sums up.
-type coldDays struct {
-	days, over, windows int
-	worst               float64
-	fair                time.Duration
-	served              float64
+// warmupSummary plays a day with many seeds and sums up.
+type warmupSummary struct {
+	scenarios, over, windows int
+	worstExcess              float64
+	fairAfter                time.Duration
+	served                   float64
 }
 
-func (d coldDay) seeds(t testing.TB, from, to uint64) (sum coldDays) {
+func (d warmupScenario) seeds(t testing.TB, from, to uint64) (sum warmupSummary) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	next := from
@@ -191,10 +191,10 @@
 				c := d.play(t)
 				mu.Lock()
 				if c.over > 0 {
-					sum.days++
+					sum.scenarios++
 				}
-				sum.over, sum.windows, sum.worst = sum.over+c.over, sum.windows+c.windows, max(sum.worst, c.worst)
-				sum.fair, sum.served = sum.fair+c.fair/time.Duration(to-from), sum.served+c.served/float64(to-from)
+				sum.over, sum.windows, sum.worstExcess = sum.over+c.over, sum.windows+c.windows, max(sum.worstExcess, c.worstExcess)
+				sum.fairAfter, sum.served = sum.fairAfter+c.fairAfter/time.Duration(to-from), sum.served+c.served/float64(to-from)
 				mu.Unlock()
 			}
 		})
@@ -206,30 +206,30 @@
 // Whatever the number of processes, the size of the budget, the skew of their traffic and what they know: no cold
 // machine is sent more in any window than its budget and what chance may add, by all of them together. And it still
 // gets enough to serve while it is cold.
-func TestTheRampHoldsForTheFleet(t *testing.T) {
-	var all coldDays
+func TestWarmupBudgetHoldsOverAllProxies(t *testing.T) {
+	var all warmupSummary
 	for _, proxies := range []int{1, 3, 10, 30} {
 		for _, calls := range []float64{1, 4, 12} {
-			for _, d := range []coldDay{{}, {skew: 1}, {fresh: true}, {again: true}, {load: 1.3}} {
-				d.proxies, d.calls, d.load, d.at = proxies, calls, max(d.load, 0.7), 12*second
+			for _, d := range []warmupScenario{{}, {skew: 1}, {freshProxies: true}, {restartTwice: true}, {load: 1.3}} {
+				d.proxies, d.budgetCalls, d.load, d.startAt = proxies, calls, max(d.load, 0.7), 12*second
 				c := d.seeds(t, 0, 3)
 				if c.over > 0 {
-					t.Errorf("%d proxies, a budget of %.0f calls, %+v: %d of %d windows over, %.1f roots at worst", proxies, calls, d, c.over, c.windows, c.worst)
+					t.Errorf("%d proxies, a budget of %.0f calls, %+v: %d of %d windows over, %.1f roots at worst", proxies, calls, d, c.over, c.windows, c.worstExcess)
 				}
 				if want := 0.6 * min(1, 1/d.load); c.served < want {
 					t.Errorf("%d proxies, a budget of %.0f calls, %+v: %.2f served, want %.2f", proxies, calls, d, c.served, want)
 				}
-				all.windows, all.worst = all.windows+c.windows, max(all.worst, c.worst)
+				all.windows, all.worstExcess = all.windows+c.windows, max(all.worstExcess, c.worstExcess)
 			}
 		}
 	}
-	t.Logf("%d windows, %.1f roots of the budget beyond it at worst", all.windows, all.worst)
+	t.Logf("%d windows, %.1f roots of the budget beyond it at worst", all.windows, all.worstExcess)
 }
 
 // A budget's debt begins with the start that makes it, however long the machine had been warm: what is saved up or paid
 // back in that time was no cold budget.
-func TestADebtBeginsWithTheStart(t *testing.T) {
-	w := newLoop(t, 1, coldMachines, 10, 0.7)
+func TestWarmupDebtBeginsWithTheStart(t *testing.T) {
+	w := newSimulation(t, 1, warmupScenarioMachines, 10, 0.7)
 	w.run(w.now + 40*second)
 	w.machines[0].Restart(w.now, false)
 	w.listed[0].Started = w.now
@@ -254,8 +254,8 @@
 	}
 }
 
-// some gives those of all that an environment variable names, or all of them.
-func some(name string, all ...float64) (chosen []float64) {
+// chosenValues gives those of all that an environment variable names, or all of them.
+func chosenValues(name string, all ...float64) (chosen []float64) {
 	for word := range strings.FieldsSeq(os.Getenv(name)) {
 		if n, err := strconv.ParseFloat(word, 64); err == nil {
 			chosen = append(chosen, n)
@@ -267,24 +267,24 @@
 	return chosen
 }
 
-// TestMeasureCold prints the table of docs/design/rare-moments.md: MARLREEL_MEASURE is the seeds of each kind, and
+// TestMeasureWarmup prints the table of docs/design/rare-moments.md: MARLREEL_MEASURE is the seeds of each kind, and
 // MARLREEL_PROXIES, MARLREEL_CALLS and MARLREEL_LOADS name some of the numbers there.
-func TestMeasureCold(t *testing.T) {
+func TestMeasureWarmup(t *testing.T) {
 	seeds, _ := strconv.Atoi(os.Getenv("MARLREEL_MEASURE"))
 	if seeds == 0 {
 		t.Skip()
 	}
 	fmt.Println("| load | proxies | calls | skew | kind | days over | windows over | worst, roots | fair share after | served |")
-	for _, load := range some("MARLREEL_LOADS", 0.7, 1.3) {
-		for _, n := range some("MARLREEL_PROXIES", 1, 3, 10, 20, 30, 300) {
-			for _, calls := range some("MARLREEL_CALLS", 1, 4, 12, 40, 200) {
+	for _, load := range chosenValues("MARLREEL_LOADS", 0.7, 1.3) {
+		for _, n := range chosenValues("MARLREEL_PROXIES", 1, 3, 10, 20, 30, 300) {
+			for _, calls := range chosenValues("MARLREEL_CALLS", 1, 4, 12, 40, 200) {
 				proxies := int(n)
-				for _, d := range []coldDay{{}, {skew: 1}, {fresh: true}, {again: true}} {
-					d.proxies, d.calls, d.load, d.at = proxies, calls, load, 12*second
+				for _, d := range []warmupScenario{{}, {skew: 1}, {freshProxies: true}, {restartTwice: true}} {
+					d.proxies, d.budgetCalls, d.load, d.startAt = proxies, calls, load, 12*second
 					c := d.seeds(t, 0, uint64(seeds))
-					kind := map[bool]string{true: "fresh"}[d.fresh] + map[bool]string{true: "again"}[d.again]
-					fmt.Printf("| %.1f | %d | %.0f | %.0f | %s | %d of %d | %d of %d | %.1f | %v | %.3f |\n", load, proxies, calls, d.skew, kind, c.days, seeds, c.over, c.windows, c.worst,
-						c.fair.Round(10*milli), c.served)
+					kind := map[bool]string{true: "fresh"}[d.freshProxies] + map[bool]string{true: "again"}[d.restartTwice]
+					fmt.Printf("| %.1f | %d | %.0f | %.0f | %s | %d of %d | %d of %d | %.1f | %v | %.3f |\n", load, proxies, calls, d.skew, kind, c.scenarios, seeds, c.over, c.windows, c.worstExcess,
+						c.fairAfter.Round(10*milli), c.served)
 				}
 			}
 		}
--- a/internal/balancer/oldlist_test.go
+++ b/internal/balancer/stalemembership_test.go
@@ -4,7 +4,7 @@
 
 // A proxy that starts with its old list alone: a node on it that is gone costs a failed connect or two before
 // probes and attempts have it out, and the new list, when it comes, makes no node that stayed look cold.
-func TestAnOldListCostsLittle(t *testing.T) {
+func TestStaleMembershipCostsLittle(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig()
 	for seed := range uint64(20) {
--- a/internal/balancer/scale_test.go
+++ b/internal/balancer/subset_test.go
@@ -49,7 +49,7 @@
 }
 
 // Hundreds of proxies that each probe every server by the clock wear the servers out.
-func TestProbesStayAShareOfTheProxysOwnRequests(t *testing.T) {
+func TestHealthChecksAreAShareOfRequests(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		gap      time.Duration
@@ -74,7 +74,7 @@
 
 // Where many proxies have little traffic each, none can measure every backend: each keeps to a few of its
 // own, which list changes hardly touch.
-func TestASubsetIsSmallEvenAndStable(t *testing.T) {
+func TestSubsetIsSmallEvenAndStable(t *testing.T) {
 	const proxies, backends = 400, 60
 	users := map[BackendID]int{}
 	moved := 0
@@ -113,7 +113,7 @@
 }
 
 // When those of its subset die, a proxy goes on to the next in its own order.
-func TestASubsetWidensWhenItsBackendsAreUnfit(t *testing.T) {
+func TestSubsetWidensWhenBackendsAreUnhealthy(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances = 400
 	b, h := newBalancer(t, cfg, 60)
@@ -135,7 +135,7 @@
 
 // A few one-core backends behind hundreds of proxies: what each may send at first is its part of one
 // limit, or the first second alone crowds them all.
-func TestTheFirstLimitIsSharedByAllProxies(t *testing.T) {
+func TestInitialLimitIsSharedByAllProxies(t *testing.T) {
 	for _, proxies := range []int{1, 3, 40, 400} {
 		cfg := testConfig()
 		cfg.Instances = proxies
@@ -149,7 +149,7 @@
 
 // Where a proxy sees few answers, the first crowd would be over before it had learnt what is usual: until
 // then a share of the aim tells.
-func TestLatenessIsKnownBeforeTheTailIs(t *testing.T) {
+func TestOverdueWithoutAKnownTail(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances = 400
 	b, h := newBalancer(t, cfg, 60)
@@ -163,7 +163,7 @@
 }
 
 // Each of many sharers sees few answers, so one that is late must count for more there.
-func TestManySharersLearnFasterEach(t *testing.T) {
+func TestManySharersLearnFaster(t *testing.T) {
 	cut := func(proxies int) float64 {
 		cfg := testConfig()
 		cfg.Instances = proxies
@@ -180,7 +180,7 @@
 }
 
 // Connections that stay open to backends out of use fill their tables, and no proxy gets in.
-func TestABackendThatLeavesTheSubsetGetsItsConnectionsBack(t *testing.T) {
+func TestLeavingTheSubsetReleasesConnections(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances = 400
 	b, h := newBalancer(t, cfg, 60)
@@ -202,7 +202,7 @@
 
 // A bank that restarts while servers come back cold knows no request's work yet: without debt each proxy
 // would send each of them one request at once.
-func TestRestartedProxiesDoNotAllSendToAColdBackendAtOnce(t *testing.T) {
+func TestRestartedProxiesTakeTurnsAtWarmingBackends(t *testing.T) {
 	const proxies = 300
 	sent := 0
 	for rank := range proxies {
@@ -228,7 +228,7 @@
 }
 
 // With hundreds of proxies hardly anything waits, so what is worth more must get room sooner.
-func TestARequestOfMoreGainGetsRoomSooner(t *testing.T) {
+func TestMoreUtilityIsSpacedLess(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
 	only.concurrencyLimit, b.meanExpectedDelay, b.meanUtilityPerWork, only.lastSent = 0.5, 200, 1, second // 400 ms between two sends
@@ -246,7 +246,7 @@
 }
 
 // A time-out says more of a crowd than an answer that was late.
-func TestATimeOutCutsTheLimitOnceMore(t *testing.T) {
+func TestTimeoutDecreasesTheLimitOnceMore(t *testing.T) {
 	after := func(result Result) float64 {
 		cfg := testConfig()
 		cfg.Instances = 400
@@ -263,7 +263,7 @@
 }
 
 // Outcomes and probes that come twice, late or for nothing change nothing, and worth may be nothing at all.
-func TestLateAndDoubleEventsChangeNothing(t *testing.T) {
+func TestLateAndDuplicateEventsChangeNothing(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances = 400
 	for i := range cfg.Classes {
