--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -20,8 +20,8 @@
 
 func TestNewNamesTheInvalidSetting(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		break_ func(*Config)
+		name  string
+		spoil func(*Config)
 	}{
 		{"Classes", func(c *Config) { c.Classes = nil }},
 		{"Classes[0]", func(c *Config) { c.Classes[0].LatencyTarget = 0 }},
@@ -31,7 +31,7 @@
 		{"Instances", func(c *Config) { c.Instances = 0 }},
 	} {
 		cfg := testConfig()
-		c.break_(&cfg)
+		c.spoil(&cfg)
 		if _, err := New(cfg, 1, &recorder{}); err == nil || !strings.Contains(err.Error(), c.name) {
 			t.Errorf("%s: error %v", c.name, err)
 		}
--- a/internal/balancer/delay.go
+++ b/internal/balancer/delay.go
@@ -9,12 +9,11 @@
 )
 
 const (
-	decayIntervals     = 4     // health check intervals over which measurements decay at least,
-	minAnswersInMemory = 8     // and long enough for so many answers of each backend in the subset
-	priorAnswers       = 0.5   // answers that the others' median counts for in a backend's delay ratio
-	classRetention     = 0.998 // weight of a class's earlier delays as each new one comes: some 500 count
-	maxMeanWindow      = 256   // requests over which means are taken
-	loadExponent       = 0.3   // of the load, with which a predicted delay rises
+	decayIntervals     = 4   // health check intervals over which measurements decay at least,
+	minAnswersInMemory = 8   // and long enough for so many answers of each backend in the subset
+	priorAnswers       = 0.5 // answers that the others' median counts for in a backend's delay ratio
+	maxMeanWindow      = 256 // requests over which means are taken
+	loadExponent       = 0.3 // of the load, with which a predicted delay rises
 	// Of its latency target that a class is expected to take before its first answer.
 	guessedDelayRatio = 0.25
 )
@@ -75,7 +74,7 @@
 
 // recordDelay takes in what an answer took, ms. What is queued at the first one of all is judged by it.
 func (b *Balancer) recordDelay(r *request, took float64) {
-	b.delayModels[r.Class].add(millis(r.Cost), took, classRetention)
+	b.delayModels[r.Class].add(millis(r.Cost), took)
 	if b.knownDelay.n == 0 {
 		b.knownDelay.add(b.expectedDelay(r.Class, millis(r.Cost)), maxMeanWindow)
 	}
--- a/internal/balancer/learnedstate_test.go
+++ b/internal/balancer/learnedstate_test.go
@@ -46,75 +46,82 @@
 	}
 }
 
-// Each field of what was learnt is taken over: what one process says of it, the next one would
-// say as well.
+// restorable is a state in which every field may be set to another value and restored.
+func restorable(t *testing.T, cfg Config, now time.Duration) *learnedstate.State {
+	t.Helper()
+	b, _ := newBalancer(t, cfg, 2)
+	for i := range b.delayModels {
+		for range 10 {
+			b.delayModels[i].add(0, 40)
+		}
+	}
+	b.meanWindow, b.meanExpectedDelay, b.meanWork = 10, 40, 40
+	for _, x := range b.targets {
+		x.lastOK, x.warmupStarted, x.warmupTokensAt, x.warmupTokens = now-second, now-2*second, now, -40
+	}
+	return learnedStateOf(b, now)
+}
+
+// setValue sets the value at a path of a state to one that follows from x, and gives it.
+func setValue(s *learnedstate.State, path string, x float64) (set float64) {
+	forEachValue(reflect.ValueOf(s).Elem(), "", func(p string, v reflect.Value) {
+		if p != path {
+			return
+		}
+		switch v.Kind() {
+		case reflect.Float64:
+			v.SetFloat(x)
+		case reflect.Int64:
+			v.SetInt(int64(x * float64(100*milli)))
+		case reflect.Int:
+			v.SetInt(int64(x * 8))
+		case reflect.Bool:
+			v.SetBool(!v.Bool())
+		}
+		set = valueOf(v)
+	})
+	return set
+}
+
+// isRestored tells whether a value at a path, if x gives one, is what the next process says of it too.
+func isRestored(t *testing.T, cfg Config, now time.Duration, path string, x float64) bool {
+	t.Helper()
+	s := restorable(t, cfg, now)
+	want := setValue(s, path, x)
+	b, _ := newBalancer(t, cfg, 2)
+	b.Restore(now, 0, s)
+	got := math.NaN()
+	forEachValue(reflect.ValueOf(learnedStateOf(b, now)).Elem(), "", func(p string, v reflect.Value) {
+		if p == path {
+			got = valueOf(v)
+		}
+	})
+	return math.Abs(got-want) <= 1e-9*math.Abs(want)
+}
+
+// Each field of the learned state is restored: what one process says of it, the next one says as well.
 func TestEveryFieldIsRestored(t *testing.T) {
 	const now = 100 * second
 	cfg := testConfig()
 	cfg.Instances, cfg.Tenants = 1, []Tenant{{Name: "a", Share: 1}}
-	fresh := func() *Balancer {
-		b, _ := newBalancer(t, cfg, 2)
-		return b
-	}
-	base := func() *learnedstate.State {
-		b := fresh()
-		for i := range b.delayModels {
-			for range 10 {
-				b.delayModels[i].add(0, 40, classRetention)
-			}
-		}
-		b.meanWindow, b.meanExpectedDelay, b.meanWork = 10, 40, 40
-		for _, t := range b.targets {
-			t.lastOK, t.warmupStarted, t.warmupTokensAt, t.warmupTokens = now-second, now-2*second, now, -40
-		}
-		return learnedStateOf(b, now)
-	}
-	// What is not the module's, or no value of its own.
+	// What is not the balancer's, or no value of its own.
 	others := map[string]bool{".Backends[0].ID": true, ".Backends[1].ID": true}
-	tried, missed := 0, []string(nil)
-	forEachValue(reflect.ValueOf(base()).Elem(), "", func(path string, _ reflect.Value) {
+	checked := 0
+	forEachValue(reflect.ValueOf(restorable(t, cfg, now)).Elem(), "", func(path string, _ reflect.Value) {
 		if others[path] || strings.HasPrefix(path, ".Connections") {
 			return
 		}
-		tried++
+		checked++
 		// One of these is within every field's bounds.
 		for _, x := range []float64{0.25, 1.5, 12.5, -0.25} {
-			s, want := base(), 0.0
-			forEachValue(reflect.ValueOf(s).Elem(), "", func(p string, v reflect.Value) {
-				if p != path {
-					return
-				}
-				switch v.Kind() {
-				case reflect.Float64:
-					v.SetFloat(x)
-				case reflect.Int64:
-					v.SetInt(int64(x * float64(100*milli)))
-				case reflect.Int:
-					v.SetInt(int64(x * 8))
-				case reflect.Bool:
-					v.SetBool(!v.Bool())
-				}
-				want = valueOf(v)
-			})
-			b := fresh()
-			b.Restore(now, 0, s)
-			got := math.NaN()
-			forEachValue(reflect.ValueOf(learnedStateOf(b, now)).Elem(), "", func(p string, v reflect.Value) {
-				if p == path {
-					got = valueOf(v)
-				}
-			})
-			if math.Abs(got-want) <= 1e-9*math.Abs(want) {
+			if isRestored(t, cfg, now, path, x) {
 				return
 			}
 		}
-		missed = append(missed, path)
+		t.Errorf("%s is not restored", path)
 	})
-	if tried < 100 {
-		t.Errorf("only %d fields were tried", tried)
-	}
-	for _, path := range missed {
-		t.Errorf("%s is not taken over", path)
+	if checked < 100 {
+		t.Errorf("only %d fields were checked", checked)
 	}
 }
 
--- a/internal/balancer/obligations_test.go
+++ b/internal/balancer/obligations_test.go
@@ -111,48 +111,66 @@
 	}
 }
 
+// Send asserts the rules on an attempt, and plays what becomes of it.
 func (w *obligationHost) Send(id RequestID, to BackendID, until, _ time.Duration) {
 	r, s := w.requests[id], w.backends[to]
 	if r == nil || s == nil {
 		w.report("send of request %d to %d, unknown", id, to)
 		return
 	}
-	c := w.cfg.Classes[r.Class]
 	if r.answered {
 		w.report("rule 1: request %d is sent after its end", id)
 	}
 	if len(r.attempts) >= w.cfg.Caps.MaxAttempts {
 		w.report("request %d has more than %d attempts", id, w.cfg.Caps.MaxAttempts)
 	}
+	w.checkRerun(r, s)
+	if since, unavailable := w.unavailableSince[to]; unavailable && w.now-since > w.cfg.Obligations.DrainGrace {
+		w.report("rule 3: send to %d, %v after it was told to drain", to, w.now-since)
+	}
+	w.checkWarmupBudget(s, r.Cost)
+	n := len(r.attempts)
+	r.attempts = append(r.attempts, hostAttempt{backend: to, zone: s.Zone, cell: s.Cell, sent: w.now})
+	result, took := w.draw(s)
+	if until <= 0 || until > r.Deadline {
+		until = r.Deadline
+	}
+	if w.now+took > until {
+		result, took = Timeout, max(0, until-w.now)
+	}
+	w.after(took, func() { w.endAttempt(id, n, result) })
+}
+
+// checkRerun asserts rule 2 on another attempt of a request at a backend.
+func (w *obligationHost) checkRerun(r *hostRequest, s *hostBackend) {
+	c := w.cfg.Classes[r.Class]
 	var first time.Duration = -1
 	for n, a := range r.attempts {
 		if !a.done && !w.cfg.Caps.Hedging {
-			w.report("rule 2: request %d has two attempts out", id)
+			w.report("rule 2: request %d has two attempts in flight", r.ID)
 		}
 		if a.done && a.result.NeverRan() || c.Effect == Safe {
 			continue
 		}
 		switch {
 		case c.Effect == Unsafe:
-			w.report("rule 2: unsafe request %d is sent again after attempt %d may have run", id, n)
+			w.report("rule 2: unsafe request %d is sent again after attempt %d may have run", r.ID, n)
 		case c.Group == GroupZone && a.zone != s.Zone, c.Group == GroupCell && a.cell != s.Cell:
-			w.report("rule 2: keyed request %d leaves its group", id)
+			w.report("rule 2: keyed request %d leaves its group", r.ID)
 		}
 		if first < 0 {
 			first = a.sent
 		}
 	}
 	if first >= 0 && w.now-first >= c.IdempotencyWindow {
-		w.report("rule 2: keyed request %d is sent again after its window", id)
+		w.report("rule 2: keyed request %d is sent again after its window", r.ID)
 	}
-	if told, out := w.unavailableSince[to]; out && w.now-told > w.cfg.Obligations.DrainGrace {
-		w.report("rule 3: send to %d, %v after it was told to drain", to, w.now-told)
-	}
-	w.checkWarmupBudget(s, r.Cost)
-	n := len(r.attempts)
-	r.attempts = append(r.attempts, hostAttempt{backend: to, zone: s.Zone, cell: s.Cell, sent: w.now})
-	result, took := s.result, time.Duration(w.rng.ExpFloat64()*float64(80*milli))
-	switch result {
+}
+
+// draw gives how an attempt at a backend ends, and after what time.
+func (w *obligationHost) draw(s *hostBackend) (Result, time.Duration) {
+	took := time.Duration(w.rng.ExpFloat64() * float64(80*milli))
+	switch s.result {
 	case Timeout:
 		took = time.Hour
 	case ConnectFailed:
@@ -160,13 +178,7 @@
 	case Rejected, Error, Reset:
 		took = time.Duration(w.rng.IntN(5)) * milli
 	}
-	if until <= 0 || until > r.Deadline {
-		until = r.Deadline
-	}
-	if w.now+took > until {
-		result, took = Timeout, max(0, until-w.now)
-	}
-	w.after(took, func() { w.endAttempt(id, n, result) })
+	return s.result, took
 }
 
 // checkWarmupBudget asserts the budget: multiple x capacity x window. A backend here can do what the busiest one
@@ -221,7 +233,7 @@
 	}
 	c := w.cfg.Classes[r.Class]
 	for _, a := range r.attempts {
-		if c.Effect != Safe && (c.Effect != Keyed || c.Group != GroupAll) && !(a.done && a.result.NeverRan()) {
+		if c.Effect != Safe && (c.Effect != Keyed || c.Group != GroupAll) && (!a.done || !a.result.NeverRan()) {
 			w.report("rule 2: request %d is refused though it may have run", id)
 		}
 	}
@@ -303,10 +315,8 @@
 	}
 }
 
-// playRandomScenario plays some seconds at random and gives the rules that were broken. Where handOver is given,
-// a new process takes over now and then, and that is called with the old one and the new one.
-func playRandomScenario(t testing.TB, seed uint64, handOver func(rng *rand.Rand, now time.Duration, from, to *Balancer)) []string {
-	rng := rand.New(rand.NewPCG(seed, 1))
+// randomConfig draws settings.
+func randomConfig(rng *rand.Rand) Config {
 	cfg := testConfig()
 	cfg.Instances = 1
 	cfg.Caps.Hedging = rng.IntN(2) == 0
@@ -321,9 +331,20 @@
 			cfg.Classes[i].LateValueRatio = 0.5
 		}
 	}
+	return cfg
+}
+
+// handover gives the next process what it likes of the one before.
+type handover func(rng *rand.Rand, now time.Duration, from, to *Balancer)
+
+// playRandomScenario plays some seconds at random and gives the rules that were broken. Where handOver is given, a new
+// process takes over now and then.
+func playRandomScenario(t testing.TB, seed uint64, handOver handover) []string {
+	t.Helper()
+	rng := rand.New(rand.NewPCG(seed, 1))
 	w := &obligationHost{
-		t: t, cfg: cfg, rng: rng, now: second, requests: map[RequestID]*hostRequest{}, backends: map[BackendID]*hostBackend{},
-		unavailableSince: map[BackendID]time.Duration{},
+		t: t, cfg: randomConfig(rng), rng: rng, now: second, requests: map[RequestID]*hostRequest{},
+		backends: map[BackendID]*hostBackend{}, unavailableSince: map[BackendID]time.Duration{},
 	}
 	for _, e := range list(2 + rng.IntN(8)) {
 		w.backends[e.ID] = &hostBackend{Backend: e}
@@ -334,50 +355,60 @@
 	id := RequestID(0)
 	for at := w.now; at < end; at += time.Duration(rng.ExpFloat64() * float64(8*milli)) {
 		id++
-		req := Request{
-			ID: id, Class: rng.IntN(len(cfg.Classes)), Key: uint64(rng.IntN(20)),
-			Cost:     time.Duration(rng.ExpFloat64() * float64(meanCost)),
-			Deadline: at + time.Duration(rng.IntN(3000))*milli,
-		}
-		gone := rng.IntN(50) == 0
-		w.after(at-w.now, func() {
-			r := &hostRequest{Request: req, process: w.current()}
-			w.requests[req.ID] = r
-			r.process.b.OnRequest(w.now, req)
-		})
-		w.after(req.Deadline-w.now, func() {
-			w.after(cfg.Obligations.AnswerSlack, func() {
-				if !w.requests[req.ID].answered {
-					w.report("rule 1: request %d has no answer in time", req.ID)
-				}
-			})
-		})
-		if gone {
-			w.after(at+50*milli-w.now, func() {
-				if r := w.requests[req.ID]; !r.answered {
-					r.answered = true
-					r.process.b.OnClientGone(w.now, req.ID)
-				}
-			})
-		}
+		w.scheduleRequest(id, at)
 	}
 	for at := w.now; at < end; at += time.Duration(rng.IntN(600)) * milli {
 		w.after(at-w.now, func() { w.injectFault() })
 	}
 	if handOver != nil {
-		for n := range uint64(1 + rng.IntN(3)) {
-			w.after(time.Duration(rng.Int64N(int64(8*second))), func() {
-				old := w.current().b
-				next := w.startProcess(seed + 1000*(n+1))
-				next.b.OnMembership(w.now, Membership{Kind: ListFull, Backends: w.membership()})
-				handOver(rng, w.now, old, next.b)
-			})
-		}
+		w.scheduleHandovers(seed, handOver)
 	}
 	w.run(end + 5*second)
 	return w.violations
 }
 
+// scheduleRequest draws a request that comes at a time, and asserts that it gets its answer in time.
+func (w *obligationHost) scheduleRequest(id RequestID, at time.Duration) {
+	req := Request{
+		ID: id, Class: w.rng.IntN(len(w.cfg.Classes)), Key: uint64(w.rng.IntN(20)),
+		Cost:     time.Duration(w.rng.ExpFloat64() * float64(meanCost)),
+		Deadline: at + time.Duration(w.rng.IntN(3000))*milli,
+	}
+	clientLeaves := w.rng.IntN(50) == 0
+	w.after(at-w.now, func() {
+		r := &hostRequest{Request: req, process: w.current()}
+		w.requests[req.ID] = r
+		r.process.b.OnRequest(w.now, req)
+	})
+	w.after(req.Deadline-w.now, func() {
+		w.after(w.cfg.Obligations.AnswerSlack, func() {
+			if !w.requests[req.ID].answered {
+				w.report("rule 1: request %d has no answer in time", req.ID)
+			}
+		})
+	})
+	if clientLeaves {
+		w.after(at+50*milli-w.now, func() {
+			if r := w.requests[req.ID]; !r.answered {
+				r.answered = true
+				r.process.b.OnClientGone(w.now, req.ID)
+			}
+		})
+	}
+}
+
+// scheduleHandovers lets one to three processes take over, one after the other.
+func (w *obligationHost) scheduleHandovers(seed uint64, handOver handover) {
+	for n := range uint64(1 + w.rng.IntN(3)) {
+		w.after(time.Duration(w.rng.Int64N(int64(8*second))), func() {
+			old := w.current().b
+			next := w.startProcess(seed + 1000*(n+1))
+			next.b.OnMembership(w.now, Membership{Kind: ListFull, Backends: w.membership()})
+			handOver(w.rng, w.now, old, next.b)
+		})
+	}
+}
+
 func (w *obligationHost) injectFault() {
 	id := BackendID(1 + w.rng.IntN(len(w.backends)))
 	s := w.backends[id]
@@ -425,55 +456,60 @@
 	})
 }
 
-// Each guard by itself: send must say no, whoever asks.
-func TestSendChecksEveryGuard(t *testing.T) {
-	for _, c := range []struct {
-		name  string
-		class int
-		set   func(b *Balancer, r *request, other *target)
-	}{
-		{"ended", safe, func(_ *Balancer, r *request, _ *target) { r.ended = true }},
-		{"streaming", safe, func(_ *Balancer, r *request, _ *target) { r.streaming = true }},
-		{"past the deadline", safe, func(b *Balancer, r *request, _ *target) { b.now = r.Deadline }},
-		{"draining", safe, func(_ *Balancer, _ *request, o *target) { o.State = Draining }},
-		{"gone", safe, func(_ *Balancer, _ *request, o *target) { o.State = Gone }},
-		{"second copy", safe, func(b *Balancer, _ *request, _ *target) { b.cfg.Caps.Hedging = false }},
-		{"attempts used up", safe, func(b *Balancer, _ *request, _ *target) { b.cfg.Caps.MaxAttempts = 1 }},
-		{"unsafe that may run", unsafe, func(*Balancer, *request, *target) {}},
-		{"other zone", keyed, func(_ *Balancer, r *request, o *target) { o.Zone = r.attempts[0].location.Zone + 1 }},
-		{"other cell", keyed, func(b *Balancer, r *request, o *target) {
-			b.cfg.Classes[keyed].Group, o.Cell = GroupCell, r.attempts[0].location.Cell+1
-			r.terms = b.cfg.Classes[keyed].terms()
-		}},
-		{"after the window", anywhere, func(b *Balancer, _ *request, _ *target) { b.now += 2 * second }},
-		{"cold without budget", safe, func(b *Balancer, _ *request, o *target) {
-			o.warmupStarted, o.warmupTokens = b.now, -1
-		}},
-	} {
-		b, h := newBalancer(t, testConfig(), 2)
-		b.OnRequest(second, Request{ID: 1, Class: c.class, Deadline: 5 * second})
-		r := b.requests[1]
-		other := b.targets[0]
-		if other == r.attempts[0].target {
-			other = b.targets[1]
-		}
-		other.Zone, other.Cell = r.attempts[0].location.Zone, r.attempts[0].location.Cell
-		h.take()
-		c.set(b, r, other)
-		if b.send(r, other) || len(h.take("send")) > 0 {
-			t.Errorf("%s: sent all the same", c.name)
-		}
-	}
+// sendGuards are what forbids an attempt of a request at the other backend.
+var sendGuards = []struct {
+	name  string
+	class int
+	set   func(b *Balancer, r *request, other *target)
+}{
+	{"ended", safe, func(_ *Balancer, r *request, _ *target) { r.ended = true }},
+	{"streaming", safe, func(_ *Balancer, r *request, _ *target) { r.streaming = true }},
+	{"past the deadline", safe, func(b *Balancer, r *request, _ *target) { b.now = r.Deadline }},
+	{"draining", safe, func(_ *Balancer, _ *request, o *target) { o.State = Draining }},
+	{"gone", safe, func(_ *Balancer, _ *request, o *target) { o.State = Gone }},
+	{"second copy", safe, func(b *Balancer, _ *request, _ *target) { b.cfg.Caps.Hedging = false }},
+	{"attempts used up", safe, func(b *Balancer, _ *request, _ *target) { b.cfg.Caps.MaxAttempts = 1 }},
+	{"unsafe that may run", unsafe, func(*Balancer, *request, *target) {}},
+	{"other zone", keyed, func(_ *Balancer, r *request, o *target) { o.Zone = r.attempts[0].location.Zone + 1 }},
+	{"other cell", keyed, func(b *Balancer, r *request, o *target) {
+		b.cfg.Classes[keyed].Group, o.Cell = GroupCell, r.attempts[0].location.Cell+1
+		r.terms = b.cfg.Classes[keyed].terms()
+	}},
+	{"after the window", anywhere, func(b *Balancer, _ *request, _ *target) { b.now += 2 * second }},
+	{"cold without budget", safe, func(b *Balancer, _ *request, o *target) {
+		o.warmupStarted, o.warmupTokens = b.now, -1
+	}},
+}
+
+// startedRequest gives a Balancer with a request of a class that has one attempt in flight, and the other backend.
+func startedRequest(t *testing.T, class int) (*Balancer, *recorder, *request, *target) {
+	t.Helper()
 	b, h := newBalancer(t, testConfig(), 2)
-	b.OnRequest(second, Request{ID: 1, Deadline: 5 * second})
-	h.take()
+	b.OnRequest(second, Request{ID: 1, Class: class, Deadline: 5 * second})
 	r := b.requests[1]
 	other := b.targets[0]
 	if other == r.attempts[0].target {
 		other = b.targets[1]
 	}
+	h.take()
+	return b, h, r, other
+}
+
+// Each guard by itself: send must say no, whoever asks.
+func TestSendChecksEveryGuard(t *testing.T) {
+	for _, c := range sendGuards {
+		t.Run(c.name, func(t *testing.T) {
+			b, h, r, other := startedRequest(t, c.class)
+			other.Zone, other.Cell = r.attempts[0].location.Zone, r.attempts[0].location.Cell
+			c.set(b, r, other)
+			if b.send(r, other) || len(h.take("send")) > 0 {
+				t.Error("sent all the same")
+			}
+		})
+	}
+	b, h, r, other := startedRequest(t, safe)
 	if !b.send(r, other) {
-		t.Error("a second copy of a safe request was not sent, so the cases above show nothing")
+		t.Error("a hedged attempt of a safe request was not sent, so the cases above show nothing")
 	}
 	b.rejectOrFail(r)
 	b.rejectOrFail(r)
--- a/internal/balancer/outcome.go
+++ b/internal/balancer/outcome.go
@@ -134,7 +134,7 @@
 	class := a.request.Class
 	if result == Timeout && overload > minOverloadEvidence { // not lost: it takes longer
 		b.prediction.RecordOutcome(class, a.predicted, took, false)
-		b.delayModels[class].add(millis(a.request.Cost), max(took, a.expected), classRetention)
+		b.delayModels[class].add(millis(a.request.Cost), max(took, a.expected))
 	}
 	latencyTarget := millis(a.request.class.LatencyTarget)
 	ratio := max(took/a.expected, latencyTarget/a.expected, b.medianDelayRatio)
--- a/internal/balancer/reconfigure_test.go
+++ b/internal/balancer/reconfigure_test.go
@@ -1,6 +1,7 @@
 package balancer
 
 import (
+	"errors"
 	"testing"
 	"time"
 
@@ -20,7 +21,7 @@
 func TestReconfigureKeepsLearnedState(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 2)
 	for range 30 {
-		b.delayModels[0].add(0, 80, classRetention)
+		b.delayModels[0].add(0, 80)
 	}
 	before := b.expectedDelay(0, 0)
 	next := withClass(b.cfg, Class{Name: "new", LatencyTarget: second, ClientTimeout: 2 * second, Effect: Unsafe, Value: 1})
@@ -35,7 +36,7 @@
 		t.Errorf("the new class is expected to take %v ms, want a quarter of its aim", got)
 	}
 	// Its place goes to another class: nothing stays.
-	b.delayModels[last].add(0, 9, classRetention)
+	b.delayModels[last].add(0, 9)
 	other := b.cfg
 	other.Classes = append([]Class(nil), other.Classes...)
 	other.Classes[last] = Class{Name: "other", LatencyTarget: 4 * second, ClientTimeout: 4 * second, Value: 1}
@@ -51,7 +52,7 @@
 func TestReconfigureRejectsAsAWhole(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 2)
 	for name, change := range map[string]func(*Config){
-		"fewer places":   func(c *Config) { c.Classes = c.Classes[:len(c.Classes)-1] },
+		"fewer classes":  func(c *Config) { c.Classes = c.Classes[:len(c.Classes)-1] },
 		"no deadline":    func(c *Config) { c.Classes[0].ClientTimeout = 0 },
 		"asked for":      func(c *Config) { c.PollMembership = !c.PollMembership },
 		"negative share": func(c *Config) { c.Tenants = []Tenant{{Name: "x", Share: -1}} },
@@ -60,8 +61,10 @@
 		next.Classes = append([]Class(nil), next.Classes...)
 		change(&next)
 		old := &b.cfg.Classes[0]
-		if b.Reconfigure(second, next, nil, noneRemoved) == nil {
-			t.Errorf("%s: taken", name)
+		err := b.Reconfigure(second, next, nil, noneRemoved)
+		var invalid *ConfigError
+		if !errors.As(err, &invalid) {
+			t.Errorf("%s: the error is %v", name, err)
 		}
 		if &b.cfg.Classes[0] != old {
 			t.Errorf("%s: half of it was taken", name)
@@ -89,6 +92,65 @@
 	}
 }
 
+// reconfigured is a Balancer whose settings change while requests are under way.
+type reconfigured struct {
+	b        *Balancer
+	h        *recorder
+	now      time.Duration
+	requests map[RequestID]*reconfiguredRequest
+	lastID   RequestID
+}
+
+// reconfiguredRequest is a request as the settings had it when it came.
+type reconfiguredRequest struct {
+	effect      Effect
+	maxAttempts int
+	attempts    int
+}
+
+// checkSends asserts what holds for each attempt that was sent since the last call.
+func (q *reconfigured) checkSends(t *rapid.T) {
+	for _, a := range q.h.take("send") {
+		r := q.requests[a.id]
+		r.attempts++
+		if r.attempts > 1 && r.effect == Unsafe {
+			t.Fatalf("request %d was sent again: it was unsafe when it came", a.id)
+		}
+		if maxAttempts := min(r.maxAttempts, q.b.cfg.Caps.MaxAttempts); r.attempts > maxAttempts {
+			t.Fatalf("request %d: attempt %d of %d", a.id, r.attempts, maxAttempts)
+		}
+	}
+}
+
+func (q *reconfigured) arrive() {
+	q.lastID++
+	q.requests[q.lastID] = &reconfiguredRequest{effect: q.b.cfg.Classes[0].Effect, maxAttempts: q.b.cfg.Caps.MaxAttempts}
+	q.b.OnRequest(q.now, Request{ID: q.lastID, Deadline: q.now + 60*second})
+}
+
+// failOne ends the last attempt of the first request that has one in flight.
+func (q *reconfigured) failOne() {
+	for id := RequestID(1); id <= q.lastID; id++ {
+		r := q.b.requests[id]
+		if r == nil || r.inFlight == 0 {
+			continue
+		}
+		n := len(r.attempts) - 1
+		q.b.OnAttemptEnd(q.now, Outcome{ID: id, Attempt: n, Backend: r.attempts[n].target.ID, Result: Error, Took: milli})
+		return
+	}
+}
+
+func (q *reconfigured) reconfigure(t *rapid.T) {
+	next := q.b.cfg
+	next.Classes = append([]Class(nil), next.Classes...)
+	next.Classes[0].Effect = rapid.SampledFrom([]Effect{Safe, Unsafe}).Draw(t, "effect")
+	next.Caps.MaxAttempts = rapid.IntRange(1, 4).Draw(t, "maxAttempts")
+	if err := q.b.Reconfigure(q.now, next, nil, noneRemoved); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // Over any sequence of settings, sends and ends, a request keeps the effect it came with
 // and gets no more attempts than either settings allow.
 func TestRequestsKeepTheirClassOverReconfigures(t *testing.T) {
@@ -96,54 +158,24 @@
 		cfg := testConfig()
 		cfg.Classes = []Class{{Name: "a", LatencyTarget: 50 * second, ClientTimeout: 60 * second, Value: 1, Effect: Safe}}
 		cfg.Caps.MaxAttempts = 4
-		h := &recorder{}
-		b, err := New(cfg, 7, h)
+		q := &reconfigured{h: &recorder{}, now: second, requests: map[RequestID]*reconfiguredRequest{}}
+		var err error
+		q.b, err = New(cfg, 7, q.h)
 		if err != nil {
 			t.Fatal(err)
 		}
-		now := second
-		b.OnMembership(now, Membership{Kind: ListFull, Backends: list(3)})
-		type open struct {
-			effect    Effect
-			most, ran int
-		}
-		live, last := map[RequestID]*open{}, RequestID(0)
-		count := func() {
-			for _, a := range h.take("send") {
-				id, o := a.id, live[a.id]
-				if o.ran++; o.ran > 1 && o.effect == Unsafe {
-					t.Fatalf("request %d went out again: it was unsafe when it came", id)
-				}
-				if most := min(o.most, b.cfg.Caps.MaxAttempts); o.ran > most {
-					t.Fatalf("request %d: attempt %d of %d", id, o.ran, most)
-				}
-			}
-		}
+		q.b.OnMembership(q.now, Membership{Kind: ListFull, Backends: list(3)})
 		for range rapid.IntRange(5, 40).Draw(t, "steps") {
-			now += time.Duration(rapid.IntRange(1, 50).Draw(t, "ms")) * milli
+			q.now += time.Duration(rapid.IntRange(1, 50).Draw(t, "ms")) * milli
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
-				last++
-				live[last] = &open{effect: b.cfg.Classes[0].Effect, most: b.cfg.Caps.MaxAttempts}
-				b.OnRequest(now, Request{ID: last, Deadline: now + 60*second})
+				q.arrive()
 			case 1:
-				for id := RequestID(1); id <= last; id++ {
-					if r := b.requests[id]; r != nil && r.inFlight > 0 {
-						n := len(r.attempts) - 1
-						b.OnAttemptEnd(now, Outcome{ID: id, Attempt: n, Backend: r.attempts[n].target.ID, Result: Error, Took: milli})
-						break
-					}
-				}
+				q.failOne()
 			case 2:
-				next := b.cfg
-				next.Classes = append([]Class(nil), next.Classes...)
-				next.Classes[0].Effect = rapid.SampledFrom([]Effect{Safe, Unsafe}).Draw(t, "effect")
-				next.Caps.MaxAttempts = rapid.IntRange(1, 4).Draw(t, "most")
-				if err := b.Reconfigure(now, next, nil, noneRemoved); err != nil {
-					t.Fatal(err)
-				}
+				q.reconfigure(t)
 			}
-			count()
+			q.checkSends(t)
 		}
 	})
 }
--- a/internal/balancer/recorded_test.go
+++ b/internal/balancer/recorded_test.go
@@ -52,9 +52,25 @@
 	t.Fatal("one is longer than the other")
 }
 
-// recordActions plays 40 s and gives what the module did, a line each.
-func recordActions(t *testing.T, seed uint64) []string {
-	t.Helper()
+// recording is a proxy, its backends and its clients over 40 s, in an order that a seed gives.
+type recording struct {
+	b        *Balancer
+	h        *recorder
+	rng      *rand.Rand
+	now      time.Duration
+	due      []recordedEvent // by time; of equal times the earlier entered first
+	sent     map[RequestID]int
+	answered map[RequestID]bool
+	lastID   RequestID
+	lines    []string
+}
+
+type recordedEvent struct {
+	at time.Duration
+	do func(now time.Duration)
+}
+
+func recordedConfig(seed uint64) Config {
 	cfg := testConfig()
 	cfg.Classes[1].Value, cfg.Classes[2].Value, cfg.Classes[0].LateValueRatio = 2, 8, 0.2
 	cfg.Tenants = []Tenant{{Name: "a", Share: 0.7, QuotaPerS: 40}, {Name: "b", Share: 0.3, QuotaPerS: 8}}
@@ -62,129 +78,149 @@
 	cfg.Goal = Goal{Whole: 0.45, WorstClass: 0.3, WorstTenant: 0.1, WorstWindow: 0.15}
 	cfg.KeyAffinity = seed%3 == 1
 	cfg.PollMembership = seed%3 == 2
-	h := &recorder{}
-	b, err := New(cfg, seed, h)
+	return cfg
+}
+
+// recordActions plays 40 s and gives what the Balancer did, a line each.
+func recordActions(t *testing.T, seed uint64) []string {
+	t.Helper()
+	w := &recording{
+		h: &recorder{}, rng: rand.New(rand.NewPCG(seed, 99)), now: second,
+		sent: map[RequestID]int{}, answered: map[RequestID]bool{},
+	}
+	var err error
+	w.b, err = New(recordedConfig(seed), seed, w.h)
 	if err != nil {
 		t.Fatal(err)
 	}
-	rng := rand.New(rand.NewPCG(seed, 99))
-	var lines []string
-	type event struct {
-		at time.Duration
-		do func(now time.Duration)
-	}
-	var due []event
-	at := func(when time.Duration, do func(now time.Duration)) {
-		i := len(due)
-		for i > 0 && due[i-1].at > when {
-			i--
-		}
-		due = append(due[:i], append([]event{{when, do}}, due[i:]...)...)
-	}
-	now, out, sent := second, map[RequestID]int{}, map[RequestID]int{}
-	answered := map[RequestID]bool{}
-	drain := func() {
-		for len(h.acts) > 0 {
-			acts := h.acts
-			h.acts = nil
-			for _, a := range acts {
-				lines = append(lines, fmt.Sprintf("%v %+v", now, a))
-				switch a.verb {
-				case "send":
-					n := sent[a.id]
-					sent[a.id]++
-					out[a.id]++
-					result, took := OK, time.Duration(20+rng.IntN(300))*milli
-					if bad := rng.IntN(100); bad < 25 {
-						result = []Result{Error, Rejected, Timeout, ConnectFailed, Reset, Cancelled, NotSent, Unprocessable}[rng.IntN(8)]
-					}
-					if a.to%5 == 0 && now > 8*second && now < 20*second { // these are dead for a while
-						result, took = ConnectFailed, 5*milli
-					}
-					at(now+took, func(at time.Duration) {
-						out[a.id]--
-						final := answered[a.id] || result == OK
-						answered[a.id] = final
-						b.OnAttemptEnd(at, Outcome{ID: a.id, Attempt: n, Backend: a.to, Result: result, Took: took, Final: final})
-					})
-				case "refuse", "fail":
-					answered[a.id] = true
-				case "probe":
-					result := OK
-					if a.to%5 == 0 && now > 8*second && now < 20*second || rng.IntN(30) == 0 {
-						result = Timeout
-					}
-					at(now+3*milli, func(at time.Duration) {
-						b.OnHealthCheck(at, HealthCheckResult{Backend: a.to, Result: result, Took: 3 * milli})
-					})
-				case "after":
-					at(now+a.at, func(at time.Duration) { b.OnTimer(at, a.token) })
-				}
-			}
-		}
+	w.b.Start(w.now)
+	w.drain()
+	w.b.OnMembership(w.now, Membership{Kind: ListCached, Version: 1, Backends: list(9)})
+	w.drain()
+	w.at(second+milli, w.arrive)
+	for i := range 12 {
+		w.at(time.Duration(3+3*i)*second, func(now time.Duration) { w.b.OnMembership(now, w.drawMembership(i, now)) })
 	}
-	b.Start(now)
-	drain()
-	b.OnMembership(now, Membership{Kind: ListCached, Version: 1, Backends: list(9)})
-	drain()
-	id := RequestID(0)
-	var arrive func(now time.Duration)
-	arrive = func(now time.Duration) {
-		id++
-		class := rng.IntN(4)
-		q := Request{
-			ID: id, Class: class, Tenant: rng.IntN(2), Key: rng.Uint64N(50), Deadline: now + time.Duration(300+rng.IntN(2700))*milli,
-			IsRetry: rng.IntN(20) == 0,
-		}
-		if rng.IntN(4) == 0 {
-			q.Cost = time.Duration(rng.IntN(200)) * milli
-		}
-		b.OnRequest(now, q)
-		if rng.IntN(25) == 0 {
-			mine := id
-			at(now+time.Duration(rng.IntN(200))*milli, func(at time.Duration) {
-				answered[mine] = true
-				b.OnClientGone(at, mine)
-			})
+	for len(w.due) > 0 && w.due[0].at < 41*second {
+		e := w.due[0]
+		w.due = w.due[1:]
+		w.now = max(w.now, e.at)
+		e.do(w.now)
+		w.drain()
+	}
+	return w.lines
+}
+
+func (w *recording) at(when time.Duration, do func(now time.Duration)) {
+	i := len(w.due)
+	for i > 0 && w.due[i-1].at > when {
+		i--
+	}
+	w.due = append(w.due[:i], append([]recordedEvent{{when, do}}, w.due[i:]...)...)
+}
+
+// drain records the actions, and plays what comes of each.
+func (w *recording) drain() {
+	for len(w.h.acts) > 0 {
+		acts := w.h.acts
+		w.h.acts = nil
+		for _, a := range acts {
+			w.lines = append(w.lines, fmt.Sprintf("%v %+v", w.now, a))
+			w.carryOut(a)
 		}
-		gap := time.Duration(rng.IntN(40)) * milli
-		if now > 25*second && now < 30*second {
-			gap /= 4
+	}
+}
+
+func (w *recording) carryOut(a action) {
+	switch a.verb {
+	case "send":
+		w.send(a)
+	case "refuse", "fail":
+		w.answered[a.id] = true
+	case "probe":
+		result := OK
+		if w.dead(a.to) || w.rng.IntN(30) == 0 {
+			result = Timeout
 		}
-		at(now+gap, arrive)
+		w.at(w.now+3*milli, func(at time.Duration) {
+			w.b.OnHealthCheck(at, HealthCheckResult{Backend: a.to, Result: result, Took: 3 * milli})
+		})
+	case "after":
+		w.at(w.now+a.at, func(at time.Duration) { w.b.OnTimer(at, a.token) })
 	}
-	at(second+milli, arrive)
-	for i := range 12 {
-		at(time.Duration(3+3*i)*second, func(now time.Duration) {
-			n := 7 + rng.IntN(6)
-			m := Membership{Kind: ListDelta, Version: uint32(i + 2)}
-			if i%3 == 0 {
-				m.Kind = ListFull
-			}
-			if i%5 == 4 {
-				m.Kind, m.Backends = ListFailed, nil
-			} else {
-				m.Backends = list(n)
-				for k := range m.Backends {
-					switch e := &m.Backends[k]; {
-					case e.ID%5 == 0 && now > 20*second:
-						e.Started = 20 * second
-					case rng.IntN(8) == 0:
-						e.State = Draining
-					case rng.IntN(12) == 0 && m.Kind == ListDelta:
-						e.State = Gone
-					}
-				}
-			}
-			b.OnMembership(now, m)
+}
+
+// dead tells whether a backend answers nothing: every fifth one for a while.
+func (w *recording) dead(id BackendID) bool {
+	return id%5 == 0 && w.now > 8*second && w.now < 20*second
+}
+
+func (w *recording) send(a action) {
+	n := w.sent[a.id]
+	w.sent[a.id]++
+	result, took := OK, time.Duration(20+w.rng.IntN(300))*milli
+	if w.rng.IntN(100) < 25 {
+		failures := []Result{Error, Rejected, Timeout, ConnectFailed, Reset, Cancelled, NotSent, Unprocessable}
+		result = failures[w.rng.IntN(8)]
+	}
+	if w.dead(a.to) {
+		result, took = ConnectFailed, 5*milli
+	}
+	w.at(w.now+took, func(at time.Duration) {
+		final := w.answered[a.id] || result == OK
+		w.answered[a.id] = final
+		w.b.OnAttemptEnd(at, Outcome{ID: a.id, Attempt: n, Backend: a.to, Result: result, Took: took, Final: final})
+	})
+}
+
+// arrive lets a request come, and schedules the next one.
+func (w *recording) arrive(now time.Duration) {
+	w.lastID++
+	id := w.lastID
+	class := w.rng.IntN(4)
+	q := Request{
+		ID: id, Class: class, Tenant: w.rng.IntN(2), Key: w.rng.Uint64N(50),
+		Deadline: now + time.Duration(300+w.rng.IntN(2700))*milli,
+		IsRetry:  w.rng.IntN(20) == 0,
+	}
+	if w.rng.IntN(4) == 0 {
+		q.Cost = time.Duration(w.rng.IntN(200)) * milli
+	}
+	w.b.OnRequest(now, q)
+	if w.rng.IntN(25) == 0 {
+		w.at(now+time.Duration(w.rng.IntN(200))*milli, func(at time.Duration) {
+			w.answered[id] = true
+			w.b.OnClientGone(at, id)
 		})
 	}
-	for len(due) > 0 && due[0].at < 41*second {
-		e := due[0]
-		due = due[1:]
-		now = max(now, e.at)
-		e.do(now)
-		drain()
+	gap := time.Duration(w.rng.IntN(40)) * milli
+	if now > 25*second && now < 30*second {
+		gap /= 4
+	}
+	w.at(now+gap, w.arrive)
+}
+
+// drawMembership gives the i-th change of the membership.
+func (w *recording) drawMembership(i int, now time.Duration) Membership {
+	n := 7 + w.rng.IntN(6)
+	m := Membership{Kind: ListDelta, Version: uint32(i + 2)}
+	if i%3 == 0 {
+		m.Kind = ListFull
+	}
+	if i%5 == 4 {
+		m.Kind = ListFailed
+		return m
+	}
+	m.Backends = list(n)
+	for k := range m.Backends {
+		switch e := &m.Backends[k]; {
+		case e.ID%5 == 0 && now > 20*second:
+			e.Started = 20 * second
+		case w.rng.IntN(8) == 0:
+			e.State = Draining
+		case w.rng.IntN(12) == 0 && m.Kind == ListDelta:
+			e.State = Gone
+		}
 	}
-	return lines
+	return m
 }
--- a/internal/balancer/retrystorm_test.go
+++ b/internal/balancer/retrystorm_test.go
@@ -15,14 +15,15 @@
 }
 
 // stormMean plays a kind of storm over some seeds, and gives the mean of a figure.
-func stormMean(t *testing.T, seeds uint64, change func(d *stormScenario), figure func(w *stormSimulation) float64) float64 {
+func stormMean(t *testing.T, change func(d *stormScenario), figure func(w *stormSimulation) float64) float64 {
 	t.Helper()
+	const seeds = 2
 	sum := 0.0
-	for seed := range seeds {
+	for seed := range uint64(seeds) {
 		d := usualStormScenario(seed)
 		change(&d)
 		w := newStormSimulation(t, d).run()
-		sum += figure(w) / float64(seeds)
+		sum += figure(w) / seeds
 		if w.overloads > 0 || w.ranTwice > 0 {
 			t.Errorf("seed %d: %d machines fell over, %d unsafe requests ran twice", seed, w.overloads, w.ranTwice)
 		}
@@ -65,7 +66,7 @@
 		}
 	}
 	worst := 1.0
-	none := stormMean(t, 2, overload(0, false, false), totalService)
+	none := stormMean(t, overload(0, false, false), totalService)
 	for _, c := range []struct {
 		name        string
 		marks, told bool
@@ -73,7 +74,7 @@
 	}{
 		{"unmarked", false, false, 0.09}, {"marked", true, false, 0.05}, {"unmarked, and told when to come", false, true, 0.05},
 	} {
-		many := stormMean(t, 2, overload(10, c.marks, c.told), func(w *stormSimulation) float64 {
+		many := stormMean(t, overload(10, c.marks, c.told), func(w *stormSimulation) float64 {
 			for _, h := range w.homes {
 				worst = min(worst, h[1]/h[0])
 			}
@@ -101,7 +102,7 @@
 		return float64(n) / float64(len(w.users))
 	}
 	for _, honour := range []float64{1, 0.9} { // to the millisecond, and most of them
-		got := stormMean(t, 2, func(d *stormScenario) {
+		got := stormMean(t, func(d *stormScenario) {
 			d.failedRatio, d.retries, d.backoff, d.followRatio, d.retryAfter = 0.5, 10, 30*milli, honour, true
 		}, tries)
 		if got > 1.15 {
@@ -122,8 +123,8 @@
 		}
 		return served / asked
 	}
-	calm := stormMean(t, 2, func(d *stormScenario) { d.failedRatio = 0.5 }, others)
-	beside := stormMean(t, 2, func(d *stormScenario) { d.failedRatio, d.stormingTenant = 0.5, 0 }, others)
+	calm := stormMean(t, func(d *stormScenario) { d.failedRatio = 0.5 }, others)
+	beside := stormMean(t, func(d *stormScenario) { d.failedRatio, d.stormingTenant = 0.5, 0 }, others)
 	if t.Logf("the others have %.3f, and %.3f beside one that storms", calm, beside); beside < calm-0.02 {
 		t.Errorf("the others have %.3f, and %.3f beside one that storms", calm, beside)
 	}
@@ -133,7 +134,7 @@
 // an overload, within 15%.
 func TestProxiesTogetherSendWhatFits(t *testing.T) {
 	t.Parallel()
-	work := stormMean(t, 2, func(d *stormScenario) { d.load, d.failedRatio, d.retries, d.slowWhenCrowded = 1.6, 0, 3, false }, func(w *stormSimulation) float64 {
+	work := stormMean(t, func(d *stormScenario) { d.load, d.failedRatio, d.retries, d.slowWhenCrowded = 1.6, 0, 3, false }, func(w *stormSimulation) float64 {
 		return w.admitted / (w.capacity * 1000 * (w.scenario.length - 4*second).Seconds())
 	})
 	if t.Logf("%.3f of the capacity", work); work < 0.85 || work > 1.15 {
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -63,9 +63,45 @@
 	return overloadMultiple * share * float64(k.cores) * speed / (0.0222 * k.workFactor) * k.window.Seconds()
 }
 
+// warmupRun is a scenario that is played.
+type warmupRun struct {
+	warmupScenario
+	t        testing.TB
+	machines warmupMachines
+	w        *simulation
+	sent     [startedMachines][]time.Duration // within a window
+	started  [startedMachines]time.Duration
+	result   warmupResult
+}
+
+// machineSpeeds are those of the machines, in turn.
+var machineSpeeds = [...]float64{1.3, 0.95, 0.7}
+
 func (d warmupScenario) play(t testing.TB) warmupResult {
-	k := warmupMachinesByCalls[d.budgetCalls]
+	t.Helper()
 	w := newSimulation(t, d.seed, warmupScenarioMachines, d.proxies, d.load)
+	run := &warmupRun{warmupScenario: d, t: t, machines: warmupMachinesByCalls[d.budgetCalls], w: w}
+	run.scaleWork()
+	run.replaceMachines()
+	run.skewProxies()
+	w.onSent = run.countSent
+	begin := d.startAt
+	run.scheduleStart(d.startAt)
+	if d.restartTwice {
+		run.scheduleStart(d.startAt + 3*second)
+		begin += 3 * second
+	}
+	w.run(w.now + begin)
+	w.reset()
+	w.run(w.now + run.machines.warmup + 2*second)
+	run.result.served = w.service(-1)
+	run.result.fairAfter = run.fairShareAfter(begin)
+	return run.result
+}
+
+// scaleWork makes the simulation's work, targets and deadlines those of the machines.
+func (r *warmupRun) scaleWork() {
+	k, w := r.machines, r.w
 	w.cfg.Obligations.OverloadWindow, w.cfg.Obligations.OverloadMultiple = k.window, overloadMultiple
 	w.cfg.Obligations.WarmupDuration, w.cfg.Obligations.InitialCapacity = k.warmup, k.initialCapacity
 	w.rate *= float64(k.cores) / 2 / k.workFactor
@@ -78,91 +114,92 @@
 			*at = time.Duration(float64(*at) * k.workFactor)
 		}
 	}
-	speeds := []float64{1.3, 0.95, 0.7}
-	whole, window := k.warmup, k.window
-	cold := machine.Cold{From: k.initialCapacity, For: whole, Multiple: overloadMultiple, Over: window}
-	for i := range w.machines {
-		w.machines[i] = machine.New(machine.Config{Cores: k.cores, Speed: speeds[i%3], Slots: 16, Queue: 40, Cold: cold}, w.now, true)
+}
+
+func (r *warmupRun) replaceMachines() {
+	k := r.machines
+	cold := machine.Cold{From: k.initialCapacity, For: k.warmup, Multiple: overloadMultiple, Over: k.window}
+	for i := range r.w.machines {
+		cfg := machine.Config{Cores: k.cores, Speed: machineSpeeds[i%3], Slots: 16, Queue: 40, Cold: cold}
+		r.w.machines[i] = machine.New(cfg, r.w.now, true)
 	}
-	for i, p := range w.proxies {
-		p.factor = math.Exp(d.skew*w.rng.NormFloat64() - d.skew*d.skew/2)
-		one := w.cfg
+}
+
+// skewProxies draws each proxy's part of the traffic.
+func (r *warmupRun) skewProxies() {
+	for i, p := range r.w.proxies {
+		p.factor = math.Exp(r.skew*r.w.rng.NormFloat64() - r.skew*r.skew/2)
+		one := r.w.cfg
 		one.Rank, one.Zone = i, i%3
-		if err := p.b.Reconfigure(w.now, one, nil, func(int) bool { return false }); err != nil {
-			t.Fatal(err)
+		if err := p.b.Reconfigure(r.w.now, one, nil, noneRemoved); err != nil {
+			r.t.Fatal(err)
 		}
 	}
-	var sent [startedMachines][]time.Duration
-	started := [startedMachines]time.Duration{}
-	var c warmupResult
-	w.onSent = func(to BackendID) {
-		i := int(to) - 1
-		if i >= startedMachines || started[i] == 0 || w.now-started[i] >= whole {
-			return
-		}
-		sent[i] = append(sent[i], w.now)
-		for len(sent[i]) > 0 && w.now-sent[i][0] > window {
-			sent[i] = sent[i][1:]
-		}
-		share := k.initialCapacity + (1-k.initialCapacity)*float64(w.now-started[i])/float64(whole)
-		budget := k.budget(speeds[i%3], share)
-		n := float64(len(sent[i]))
-		c.windows++
-		c.sent++
-		c.worstExcess = max(c.worstExcess, (n-budget)/math.Sqrt(budget))
-		if n > budget+2*math.Sqrt(budget)+2 {
-			c.over++
-		}
+}
+
+// countSent compares what a warming machine was sent within the window with its budget.
+func (r *warmupRun) countSent(to BackendID) {
+	k, now, i := r.machines, r.w.now, int(to)-1
+	if i >= startedMachines || r.started[i] == 0 || now-r.started[i] >= k.warmup {
+		return
 	}
-	start := func(at time.Duration) {
-		w.in(at, func() {
-			var all []Backend
-			for i := range startedMachines {
-				w.machines[i].Restart(w.now, false)
-				started[i], sent[i] = w.now, nil
-				w.listed[i].Started = w.now
-				all = append(all, w.listed[i])
-			}
-			for _, p := range w.proxies {
-				// What is sent by who has not been told is nobody's fault: all are told with the start.
-				p.b.OnMembership(w.now, Membership{Kind: ListDelta, Version: 2, Backends: all})
-			}
-			if d.freshProxies {
-				w.handOver(t, func(_, _ *Balancer) {})
-			}
-		})
+	r.sent[i] = append(r.sent[i], now)
+	for len(r.sent[i]) > 0 && now-r.sent[i][0] > k.window {
+		r.sent[i] = r.sent[i][1:]
 	}
-	begin := d.startAt
-	start(d.startAt)
-	if d.restartTwice {
-		start(d.startAt + 3*second)
-		begin += 3 * second
+	share := k.initialCapacity + (1-k.initialCapacity)*float64(now-r.started[i])/float64(k.warmup)
+	budget := k.budget(machineSpeeds[i%3], share)
+	n := float64(len(r.sent[i]))
+	r.result.windows++
+	r.result.sent++
+	r.result.worstExcess = max(r.result.worstExcess, (n-budget)/math.Sqrt(budget))
+	if n > budget+2*math.Sqrt(budget)+2 {
+		r.result.over++
 	}
-	w.run(w.now + begin)
-	w.reset()
-	w.run(w.now + whole + 2*second)
-	c.served = w.service(-1)
-	// A fair share is half of what the warm machines get each, over a second.
-	c.fairAfter = whole
-	for at := time.Duration(0); at < whole; at += 250 * milli { // over a second, or as long as 40 requests take
-		var mine, theirs float64
+}
+
+// scheduleStart lets the first machines start after a time. What is sent by a proxy that does not know of the start is
+// nobody's fault: all know of it at once.
+func (r *warmupRun) scheduleStart(after time.Duration) {
+	w := r.w
+	w.in(after, func() {
+		var all []Backend
+		for i := range startedMachines {
+			w.machines[i].Restart(w.now, false)
+			r.started[i], r.sent[i] = w.now, nil
+			w.listed[i].Started = w.now
+			all = append(all, w.listed[i])
+		}
+		for _, p := range w.proxies {
+			p.b.OnMembership(w.now, Membership{Kind: ListDelta, Version: 2, Backends: all})
+		}
+		if r.freshProxies {
+			w.handOver(r.t, func(_, _ *Balancer) {})
+		}
+	})
+}
+
+// fairShareAfter is how long after the start the machines that started get half of what the warm ones get each, over a
+// second.
+func (r *warmupRun) fairShareAfter(begin time.Duration) time.Duration {
+	for at := time.Duration(0); at < r.machines.warmup; at += 250 * milli {
+		var warming, warm float64
 		from := second + begin + at
 		for class := range 4 {
 			for i := 1; i <= warmupScenarioMachines; i++ {
-				n := float64(w.sent(i, class, from, from+second))
+				n := float64(r.w.sent(i, class, from, from+second))
 				if i <= startedMachines {
-					mine += n / startedMachines
+					warming += n / startedMachines
 				} else {
-					theirs += n / (warmupScenarioMachines - startedMachines)
+					warm += n / (warmupScenarioMachines - startedMachines)
 				}
 			}
 		}
-		if mine >= theirs/2 {
-			c.fairAfter = at
-			break
+		if warming >= warm/2 {
+			return at
 		}
 	}
-	return c
+	return r.machines.warmup
 }
 
 // warmupSummary plays a day with many seeds and sums up.
--- a/internal/balancer/stalemembership_test.go
+++ b/internal/balancer/stalemembership_test.go
@@ -1,62 +1,81 @@
 package balancer
 
-import "testing"
+import (
+	"testing"
+	"time"
+)
 
-// A proxy that starts with its old list alone: a node on it that is gone costs a failed connect or two before
-// probes and attempts have it out, and the new list, when it comes, makes no node that stayed look cold.
+// staleMembership is a proxy that knows an old membership, of which some backends are gone.
+type staleMembership struct {
+	b        *Balancer
+	h        *recorder
+	now      time.Duration
+	gone     map[BackendID]int // attempts there
+	attempts map[RequestID]int
+	served   int
+}
+
+// respond ends all attempts and health checks, and those that follow from their ends.
+func (w *staleMembership) respond() {
+	for acts := w.h.take("send", "probe"); len(acts) > 0; acts = w.h.take("send", "probe") {
+		for _, a := range acts {
+			w.end(a)
+		}
+	}
+}
+
+func (w *staleMembership) end(a action) {
+	_, gone := w.gone[a.to]
+	result := OK
+	if gone {
+		result = ConnectFailed
+	}
+	if a.verb == "probe" {
+		w.b.OnHealthCheck(w.now, HealthCheckResult{Backend: a.to, Result: result, Took: milli})
+		return
+	}
+	if gone {
+		w.gone[a.to]++
+	} else {
+		w.served++
+	}
+	n := w.attempts[a.id]
+	w.attempts[a.id]++
+	w.b.OnAttemptEnd(w.now, Outcome{ID: a.id, Attempt: n, Backend: a.to, Result: result, Took: milli, Final: !gone})
+}
+
+// A proxy that starts with a stale membership alone: a backend that is gone costs a failed connection or two before
+// health checks and attempts eject it, and the new membership makes no backend that stayed look as if it had started.
 func TestStaleMembershipCostsLittle(t *testing.T) {
 	t.Parallel()
-	cfg := testConfig()
 	for seed := range uint64(20) {
-		h := &recorder{}
-		b, err := New(cfg, seed, h)
+		w := &staleMembership{
+			h: &recorder{}, now: 5 * second, gone: map[BackendID]int{2: 0, 5: 0, 9: 0}, attempts: map[RequestID]int{},
+		}
+		var err error
+		w.b, err = New(testConfig(), seed, w.h)
 		if err != nil {
 			t.Fatal(err)
 		}
-		now := 5 * second
-		b.Start(now)
-		b.OnMembership(now, Membership{Kind: ListCached, Version: 7, Backends: list(10)})
-		gone := map[BackendID]int{2: 0, 5: 0, 9: 0}
-		attempts := map[RequestID]int{}
-		served := 0
+		w.b.Start(w.now)
+		w.b.OnMembership(w.now, Membership{Kind: ListCached, Version: 7, Backends: list(10)})
 		for i := range 400 {
-			now += 5 * milli
-			id := RequestID(i + 1)
-			b.OnRequest(now, Request{ID: id, Class: 0, Deadline: now + second})
-			for acts := h.take("send", "probe"); len(acts) > 0; acts = h.take("send", "probe") {
-				for _, a := range acts {
-					_, dead := gone[a.to]
-					r := OK
-					if dead {
-						r = ConnectFailed
-					}
-					if a.verb == "probe" {
-						b.OnHealthCheck(now, HealthCheckResult{Backend: a.to, Result: r, Took: milli})
-						continue
-					}
-					if dead {
-						gone[a.to]++
-					} else {
-						served++
-					}
-					n := attempts[a.id]
-					attempts[a.id]++
-					b.OnAttemptEnd(now, Outcome{ID: a.id, Attempt: n, Backend: a.to, Result: r, Took: milli, Final: r == OK})
-				}
-			}
+			w.now += 5 * milli
+			w.b.OnRequest(w.now, Request{ID: RequestID(i + 1), Class: 0, Deadline: w.now + second})
+			w.respond()
 		}
-		for id, n := range gone {
+		for id, n := range w.gone {
 			if n > 3 {
-				t.Errorf("seed %d: %d attempts went to node %d, which is gone", seed, n, id)
+				t.Errorf("seed %d: %d attempts went to backend %d, which is gone", seed, n, id)
 			}
 		}
-		if served < 395 {
-			t.Errorf("seed %d: %d of 400 served", seed, served)
+		if w.served < 395 {
+			t.Errorf("seed %d: %d of 400 served", seed, w.served)
 		}
-		b.OnMembership(now, Membership{Kind: ListFull, Version: 9, Backends: list(10)})
-		for _, x := range b.targets {
-			if _, dead := gone[x.ID]; !dead && x.warmupStarted > 0 {
-				t.Errorf("seed %d: node %d looks cold with the new list", seed, x.ID)
+		w.b.OnMembership(w.now, Membership{Kind: ListFull, Version: 9, Backends: list(10)})
+		for _, x := range w.b.targets {
+			if _, gone := w.gone[x.ID]; !gone && x.warmupStarted > 0 {
+				t.Errorf("seed %d: backend %d counts as started with the new membership", seed, x.ID)
 			}
 		}
 	}
--- a/internal/balancer/stats.go
+++ b/internal/balancer/stats.go
@@ -11,10 +11,16 @@
 // linearFit is a least-squares line through points of which old ones decay with the number of newer ones.
 type linearFit struct{ n, x, y, xx, xy float64 }
 
-// add takes in a point, and keeps this part of the weight of those before.
-func (l *linearFit) add(x, y, keep float64) {
-	l.n, l.x, l.y = l.n*keep+1, l.x*keep+x, l.y*keep+y
-	l.xx, l.xy = l.xx*keep+x*x, l.xy*keep+x*y
+// fitRetention is the weight that earlier points of a linearFit keep as each new one comes: some 500 count.
+const fitRetention = 0.998
+
+// add takes in a point.
+func (l *linearFit) add(x, y float64) {
+	l.n = l.n*fitRetention + 1
+	l.x = l.x*fitRetention + x
+	l.y = l.y*fitRetention + y
+	l.xx = l.xx*fitRetention + x*x
+	l.xy = l.xy*fitRetention + x*y
 }
 
 // mean is the points' mean y. There must be a point.
