--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -16,7 +16,7 @@
 	minWorthwhileRatio    = 0.5  // part of its utility that sending a request must add
 	maxHopelessPicks      = 4    // picks that have to be hopeless before a request is
 	minAnswersForHopeless = 20   // answers of a class before that is asked
-	hopelessSampleRatio   = 0.05 // part of the hopeless that goes out, and shows whether they still are
+	hopelessSampleRatio   = 0.05 // of the hopeless requests, that is sent and shows whether they are
 )
 
 // OnRequest takes a request that the proxy has just received.
@@ -105,11 +105,12 @@
 // valueProbability is the part of its utility that a request earns on average with a predicted delay, ms.
 func (b *Balancer) valueProbability(r *request, delay float64) float64 {
 	inTime := b.prediction.SuccessProbability(r.Class, delay, millis(r.targetAt-b.now))
-	late := r.class.LateValueRatio
-	if late <= 0 {
+	lateRatio := r.class.LateValueRatio
+	if lateRatio <= 0 {
 		return inTime
 	}
-	return inTime + late*(b.prediction.SuccessProbability(r.Class, delay, millis(r.Deadline-b.now))-inTime)
+	byDeadline := b.prediction.SuccessProbability(r.Class, delay, millis(r.Deadline-b.now))
+	return inTime + lateRatio*(byDeadline-inTime)
 }
 
 // dispatch sends what is queued, the greatest utility for its work first, while backends have room.
@@ -192,7 +193,7 @@
 	return b.costs.IsWorthwhile(b.evaluate(r, t), minWorthwhileRatio)
 }
 
-// usefulUntil is the time after which an answer is worth nothing.
+// usefulUntil is the time after which an answer earns nothing.
 func (b *Balancer) usefulUntil(r *request) time.Duration {
 	if r.class.LateValueRatio > 0 {
 		return r.Deadline
@@ -231,5 +232,5 @@
 	}
 }
 
-// RetryStormState is how things stand with retry storms, as seen from here.
+// RetryStormState is the phase of a retry storm, as this proxy alone sees it.
 func (b *Balancer) RetryStormState() retrystorm.State { return b.retryStorm.State() }
--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -9,7 +9,7 @@
 func pricedConfig() Config {
 	cfg := testConfig()
 	cfg.ValueByWork, cfg.Prices = true, Prices{Waste: 0.25, CrossZone: 0.08}
-	cfg.Instances, cfg.Caps.Probes = 1, false
+	cfg.Instances, cfg.Caps.HealthChecks = 1, false
 	return cfg
 }
 
--- a/internal/balancer/api.go
+++ b/internal/balancer/api.go
@@ -81,12 +81,12 @@
 
 // Goal weighs the parts of the result: the value earned in all, by the worst-served class, by the worst-served
 // tenant and in the worst window of time. The weights are 0 or more.
-type Goal struct{ Whole, WorstClass, WorstTenant, WorstWindow float64 }
+type Goal struct{ Total, WorstClass, WorstTenant, WorstWindow float64 }
 
 // Prices are taken off the result, each times its rate: of new connections, attempts in other zones, calls for the
 // membership, handshakes, failures that come late, messages to peers, health checks and work done for nothing.
 type Prices struct {
-	Connection, CrossZone, Discovery, Handshake, LateFail, Peer, Probe, Waste float64
+	Connection, CrossZone, Discovery, Handshake, LateFailure, PeerMessage, HealthCheck, Waste float64
 }
 
 // Obligations are the bounds of the four rules: one answer a request, no unsafe rerun, no send to what is draining,
@@ -103,7 +103,7 @@
 
 // Caps is what the deployment allows.
 type Caps struct {
-	Cancel, Peers, Probes, RetryAfter, Hedging bool
+	Cancel, Peers, HealthChecks, RetryAfter, Hedging bool
 
 	ConnIdle, ConnectTimeout, MaxRetryAfter time.Duration
 	// Between two sweeps, which do what time alone brings about; 0: by the health check interval.
@@ -134,23 +134,23 @@
 
 // Config has the settings of a Balancer. Validate says what is wrong with them.
 type Config struct {
-	Instances, Rank int           // how many proxies there are, 1 or more, and which this one is, from 0
-	Zone            int           // in which the proxy runs
-	Tick            time.Duration // the resolution of the caller's timers
-	Classes         []Class
-	Tenants         []Tenant
-	OverQuotaValue  float64 // 0 to 1: part of its value that traffic beyond a tenant's quota keeps
-	ValueByWork     bool    // value counts by work, not by request
-	KeyAffinity     bool    // a backend that has served a key recently does so with less work
-	MarksRetry      bool    // clients mark their retries
-	PollMembership  bool    // the membership comes only when it is fetched
-	Weights         WeightKind
-	Report          []ReportField // order of the values of a load report
-	Goal            Goal
-	Prices          Prices
-	Obligations     Obligations
-	Caps            Caps
-	Advice          Advice // nil is NoAdvice
+	Instances, Rank    int           // how many proxies there are, 1 or more, and which this one is, from 0
+	Zone               int           // in which the proxy runs
+	Tick               time.Duration // the resolution of the caller's timers
+	Classes            []Class
+	Tenants            []Tenant
+	OverQuotaValue     float64 // 0 to 1: part of its value that traffic beyond a tenant's quota keeps
+	ValueByWork        bool    // value counts by work, not by request
+	KeyAffinity        bool    // a backend that has served a key recently does so with less work
+	ClientsMarkRetries bool    // clients mark their retries
+	PollMembership     bool    // the membership comes only when it is fetched
+	Weights            WeightKind
+	Report             []ReportField // order of the values of a load report
+	Goal               Goal
+	Prices             Prices
+	Obligations        Obligations
+	Caps               Caps
+	Advice             Advice // nil is NoAdvice
 }
 
 // Advice is what a caller knows of backends beyond what their answers teach: which models they have loaded, how many
@@ -207,14 +207,14 @@
 
 // Needs is what a request asks of a backend beyond its class.
 type Needs struct {
-	Model, Adapter string
-	Prompt         []PromptPart // in order
-	Output         int          // tokens generated, at most
-	Avoid          BackendID    // which has just failed it; 0 is none
+	Model, Adapter  string
+	Prompt          []PromptSegment // in order
+	MaxOutputTokens int             // tokens generated, at most
+	Avoid           BackendID       // which has just failed it; 0 is none
 }
 
-// PromptPart is a part of a prompt, such as other prompts begin with too.
-type PromptPart struct {
+// PromptSegment is a part of a prompt, such as other prompts begin with too.
+type PromptSegment struct {
 	ID     uint64
 	Tokens int
 }
@@ -238,20 +238,20 @@
 	Started          time.Duration // the time of its last start; 0 is long ago
 }
 
-// ListKind says how a Membership is to be read.
-type ListKind uint8
+// MembershipKind says how a Membership is to be read.
+type MembershipKind uint8
 
 // The kinds of Membership.
 const (
-	ListDelta  ListKind = iota // changed entries only
-	ListFull                   // all entries
-	ListCached                 // all entries as they were last known, maybe stale
-	ListFailed                 // a Watch or Fetch failed; the membership stays as it was
+	MembershipDelta  MembershipKind = iota // changed entries only
+	MembershipFull                         // all entries
+	MembershipCached                       // all entries as they were last known, maybe stale
+	MembershipFailed                       // a Watch or Fetch failed; the membership stays as it was
 )
 
 // Membership is what discovery says of the backends.
 type Membership struct {
-	Kind     ListKind
+	Kind     MembershipKind
 	Version  uint32
 	Backends []Backend
 }
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -1,8 +1,8 @@
 package balancer
 
-// The state of the decision maker, its start and its timers. The interface (settings,
-// events, actions) is in api.go; each mechanism has a file of its own: state, membership, subset,
-// healthcheck, outlier, slowstart, concurrency, selection, admission, attempt, outcome, grayfailure, delay.
+// The state of the decision maker, its start and its timers. The interface (settings, events, actions) is in
+// api.go; each mechanism has a file of its own: state, reconfigure, membership, subset, healthcheck, outlier,
+// slowstart, concurrency, selection, admission, attempt, outcome, grayfailure, delay.
 
 import (
 	"math"
@@ -90,7 +90,7 @@
 	ratios        []float64 // while updateMedians runs
 }
 
-// New makes a Balancer. Settings that make no sense give an error that names them.
+// New makes a Balancer. Settings that can't be used give a ConfigError.
 func New(cfg Config, seed uint64, host Host) (*Balancer, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -135,8 +135,8 @@
 	}
 }
 
-func (b *Balancer) startTimer(d time.Duration, kind uint64) {
-	b.host.StartTimer(d, kind<<timerKindShift)
+func (b *Balancer) startTimer(d time.Duration, timer uint64) {
+	b.host.StartTimer(d, timer<<timerKindShift)
 }
 
 // OnPeerMessage takes a message from another proxy.
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -92,7 +92,7 @@
 func TestMembershipInTimeServesTheQueue(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 0)
 	b.OnRequest(second, Request{ID: 1, Class: unsafe, Deadline: 2 * second})
-	b.OnMembership(second+50*milli, Membership{Kind: ListDelta, Backends: list(1)})
+	b.OnMembership(second+50*milli, Membership{Kind: MembershipDelta, Backends: list(1)})
 	b.OnTimer(second+60*milli, timerDispatch<<56)
 	if got := h.take("send", "refuse", "fail"); len(got) != 1 || got[0].verb != "send" {
 		t.Errorf("got %v", got)
@@ -102,7 +102,7 @@
 func TestDrainingAndGoneBackendsGetNothingNew(t *testing.T) {
 	for _, state := range []State{Draining, Gone} {
 		b, h := newBalancer(t, testConfig(), 3)
-		b.OnMembership(second, Membership{Kind: ListDelta, Backends: []Backend{{ID: 2, State: state}}})
+		b.OnMembership(second, Membership{Kind: MembershipDelta, Backends: []Backend{{ID: 2, State: state}}})
 		for i := range 200 {
 			b.OnRequest(second, Request{ID: RequestID(i), Deadline: 4 * second})
 		}
@@ -127,7 +127,7 @@
 			b.OnHealthCheck(now, HealthCheckResult{Backend: p.to, Result: r})
 		}
 	}
-	b.OnMembership(12*second, Membership{Kind: ListFull, Version: 2, Backends: list(5)})
+	b.OnMembership(12*second, Membership{Kind: MembershipFull, Version: 2, Backends: list(5)})
 	for i := range 100 {
 		b.OnRequest(12*second, Request{ID: RequestID(i), Deadline: 14 * second})
 	}
@@ -429,7 +429,7 @@
 func TestRestartForgetsServedWork(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 2)
 	b.targets[0].servedWork.Add(5000, second, second)
-	b.OnMembership(2*second, Membership{Kind: ListDelta, Backends: []Backend{
+	b.OnMembership(2*second, Membership{Kind: MembershipDelta, Backends: []Backend{
 		{ID: b.targets[0].ID, State: Ready, Started: 2 * second},
 	}})
 	b.updateWarmupRates()
@@ -512,14 +512,14 @@
 		if len(h.take("watch")) != 1 {
 			t.Fatalf("round %d: not asked", i)
 		}
-		b.OnMembership(second, Membership{Kind: ListFailed})
+		b.OnMembership(second, Membership{Kind: MembershipFailed})
 	}
 }
 
 func TestInvalidEventsAreIgnored(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 2)
 	twice := append(list(2), list(2)...)
-	b.OnMembership(second, Membership{Kind: ListFull, Backends: twice})
+	b.OnMembership(second, Membership{Kind: MembershipFull, Backends: twice})
 	if len(b.ready) != 2 {
 		t.Errorf("%d ready after a list that names each twice", len(b.ready))
 	}
@@ -530,7 +530,7 @@
 	b.OnHealthCheck(second, HealthCheckResult{Backend: 99})
 	b.OnFirstByte(second, FirstByte{ID: 99})
 	b.OnTimer(second, ^uint64(0))
-	b.OnMembership(second, Membership{Kind: ListFull})
+	b.OnMembership(second, Membership{Kind: MembershipFull})
 	if len(b.ready) != 0 {
 		t.Error("an empty list leaves ready backends")
 	}
@@ -568,7 +568,7 @@
 	b, h := newBalancer(t, testConfig(), 1)
 	b.OnRequest(second, Request{ID: 1, Class: unsafe, Deadline: 4 * second})
 	a := h.take("send")[0]
-	b.OnMembership(second+milli, Membership{Kind: ListDelta, Backends: []Backend{{ID: a.to, State: Gone}}})
+	b.OnMembership(second+milli, Membership{Kind: MembershipDelta, Backends: []Backend{{ID: a.to, State: Gone}}})
 	b.OnTimer(second+2*milli, timerSweep<<56)
 	if len(b.targets) != 1 {
 		t.Fatal("it left with a request out")
--- a/internal/balancer/bench_test.go
+++ b/internal/balancer/bench_test.go
@@ -31,7 +31,7 @@
 					b.Fatal(err)
 				}
 				m.Start(second)
-				m.OnMembership(second, Membership{Kind: ListFull, Version: 1, Backends: list(backends)})
+				m.OnMembership(second, Membership{Kind: MembershipFull, Version: 1, Backends: list(backends)})
 				b.ReportAllocs()
 				now, answered := second, 0
 				for i := range b.N {
--- a/internal/balancer/concurrency.go
+++ b/internal/balancer/concurrency.go
@@ -14,7 +14,7 @@
 )
 
 // underLimit tells whether a backend may have one more attempt in flight. A limit below one spaces attempts
-// out, as where many proxies share a backend.
+// out in time, as where many proxies share a backend.
 func (b *Balancer) underLimit(r *request, t *target) bool {
 	if slots := b.advice.Slots(t.ID); slots > 0 {
 		return len(t.inFlight) < slots
@@ -29,8 +29,8 @@
 }
 
 // spacedOut tells whether the last attempt at a backend whose limit is below one lies back far enough.
-// There is no queue that would let utility go first, so more utility waits less; and no request may be
-// worth anything.
+// There is no queue that would let utility go first, so a request of more utility waits less. The mean
+// utility may be 0.
 func (b *Balancer) spacedOut(r *request, t *target) bool {
 	speedup := min(max(r.utilityPerWork/max(b.meanUtilityPerWork, 1e-300), 1), maxUtilitySpeedup)
 	return b.now >= t.lastSent+fromMillis(b.meanDelay()*b.delayRatio(t)/t.concurrencyLimit/speedup)
--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -149,7 +149,7 @@
 
 // weights are those of the goal, for the model of goodput.
 func (g Goal) weights() goodput.Goal {
-	return goodput.Goal{Total: g.Whole, WorstClass: g.WorstClass, WorstTenant: g.WorstTenant, WorstWindow: g.WorstWindow}
+	return goodput.Goal{Total: g.Total, WorstClass: g.WorstClass, WorstTenant: g.WorstTenant, WorstWindow: g.WorstWindow}
 }
 
 // terms are what a class allows of retries.
--- a/internal/balancer/connections/model.go
+++ b/internal/balancer/connections/model.go
@@ -1,6 +1,6 @@
 // Package connections is a model of pooled connections: how likely each is to break under the next
 // request, and so which one a request should have. It is pure: events come with the
-// time on them, choices go out; it opens nothing, reads no clock and starts no goroutine.
+// time on them, choices come back; it opens nothing, reads no clock and starts no goroutine.
 // It never decides which backend gets a request, nor what may be retried: package balancer does. Its Model belongs to
 // the connection pool of internal/httpproxy.
 //
--- a/internal/balancer/example_test.go
+++ b/internal/balancer/example_test.go
@@ -40,8 +40,8 @@
 			Name: "page", LatencyTarget: 300 * time.Millisecond, ClientTimeout: time.Second,
 			Effect: balancer.Safe, Value: 1,
 		}},
-		Goal: balancer.Goal{Whole: 1},
-		Caps: balancer.Caps{Probes: true, ConnectTimeout: 100 * time.Millisecond, MaxAttempts: 3},
+		Goal: balancer.Goal{Total: 1},
+		Caps: balancer.Caps{HealthChecks: true, ConnectTimeout: 100 * time.Millisecond, MaxAttempts: 3},
 	}
 	b, err := balancer.New(cfg, 1, printer{})
 	if err != nil {
@@ -49,7 +49,7 @@
 		return
 	}
 	b.Start(time.Second)
-	b.OnMembership(time.Second, balancer.Membership{Kind: balancer.ListFull, Backends: []balancer.Backend{
+	b.OnMembership(time.Second, balancer.Membership{Kind: balancer.MembershipFull, Backends: []balancer.Backend{
 		{ID: 7, State: balancer.Ready},
 		{ID: 8, State: balancer.Draining},
 	}})
--- a/internal/balancer/grayfailure_test.go
+++ b/internal/balancer/grayfailure_test.go
@@ -325,7 +325,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			m.OnMembership(second, Membership{Kind: ListFull, Version: 1, Backends: list(n)})
+			m.OnMembership(second, Membership{Kind: MembershipFull, Version: 1, Backends: list(n)})
 			b.ReportAllocs()
 			for b.Loop() {
 				m.evaluateGrayFailures()
--- a/internal/balancer/healthcheck.go
+++ b/internal/balancer/healthcheck.go
@@ -72,7 +72,7 @@
 
 // scheduleHealthChecks begins the checks that are due.
 func (b *Balancer) scheduleHealthChecks() {
-	if !b.cfg.Caps.Probes {
+	if !b.cfg.Caps.HealthChecks {
 		return
 	}
 	interval := b.suspectCheckInterval()
--- a/internal/balancer/learnedstate_test.go
+++ b/internal/balancer/learnedstate_test.go
@@ -149,7 +149,7 @@
 	to, _ := newBalancer(t, testConfig(), 0)
 	all := list(3)
 	all[2].Started = now + away - second
-	to.OnMembership(now+away, Membership{Kind: ListFull, Backends: all})
+	to.OnMembership(now+away, Membership{Kind: MembershipFull, Backends: all})
 	to.Restore(now+away, away, s)
 	a, c := to.byID[1], to.byID[3]
 	left := 4 * math.Exp(-away.Seconds()/to.decayTime.Seconds())
--- a/internal/balancer/membership.go
+++ b/internal/balancer/membership.go
@@ -15,12 +15,12 @@
 // OnMembership reconciles the backends in place: those that stay keep their status.
 func (b *Balancer) OnMembership(now time.Duration, m Membership) {
 	b.now = now
-	if m.Kind == ListFailed {
+	if m.Kind == MembershipFailed {
 		b.retryFetch()
 		return
 	}
 	b.failedFetches = 0
-	if m.Kind != ListDelta {
+	if m.Kind != MembershipDelta {
 		b.markMissingGone(m.Backends)
 	}
 	for _, e := range m.Backends {
--- a/internal/balancer/obligations_test.go
+++ b/internal/balancer/obligations_test.go
@@ -256,7 +256,7 @@
 }
 
 func (w *proxyProcess) CheckHealth(id BackendID) {
-	if !w.cfg.Caps.Probes {
+	if !w.cfg.Caps.HealthChecks {
 		w.report("a probe where none is allowed")
 	}
 	if told, out := w.unavailableSince[id]; out && w.now-told > w.cfg.Obligations.DrainGrace {
@@ -273,10 +273,10 @@
 func (w *proxyProcess) Watch(bool) {
 	w.after(20*milli, func() {
 		if w.rng.IntN(3) == 0 {
-			w.b.OnMembership(w.now, Membership{Kind: ListFailed})
+			w.b.OnMembership(w.now, Membership{Kind: MembershipFailed})
 			return
 		}
-		w.announce(ListFull, w.membership())
+		w.announce(MembershipFull, w.membership())
 	})
 }
 
@@ -295,8 +295,8 @@
 	return bs
 }
 
-func (w *obligationHost) announce(kind ListKind, bs []Backend) {
-	if kind != ListDelta {
+func (w *obligationHost) announce(kind MembershipKind, bs []Backend) {
+	if kind != MembershipDelta {
 		for id, s := range w.backends {
 			if _, out := w.unavailableSince[id]; !out && s.State == Gone {
 				w.unavailableSince[id] = w.now
@@ -320,7 +320,7 @@
 	cfg := testConfig()
 	cfg.Instances = 1
 	cfg.Caps.Hedging = rng.IntN(2) == 0
-	cfg.Caps.Probes = rng.IntN(4) > 0
+	cfg.Caps.HealthChecks = rng.IntN(4) > 0
 	cfg.PollMembership = rng.IntN(2) == 0
 	cfg.KeyAffinity = rng.IntN(2) == 0
 	cfg.Classes[unsafe].Group, cfg.Classes[unsafe].IdempotencyWindow = GroupAll, second // neither may matter
@@ -350,7 +350,7 @@
 		w.backends[e.ID] = &hostBackend{Backend: e}
 	}
 	w.startProcess(seed)
-	w.announce(ListCached, w.membership())
+	w.announce(MembershipCached, w.membership())
 	end := w.now + 8*second
 	id := RequestID(0)
 	for at := w.now; at < end; at += time.Duration(rng.ExpFloat64() * float64(8*milli)) {
@@ -403,7 +403,7 @@
 		w.after(time.Duration(w.rng.Int64N(int64(8*second))), func() {
 			old := w.current().b
 			next := w.startProcess(seed + 1000*(n+1))
-			next.b.OnMembership(w.now, Membership{Kind: ListFull, Backends: w.membership()})
+			next.b.OnMembership(w.now, Membership{Kind: MembershipFull, Backends: w.membership()})
 			handOver(w.rng, w.now, old, next.b)
 		})
 	}
@@ -417,12 +417,12 @@
 		s.result = []Result{OK, Error, Rejected, Timeout, ConnectFailed, Reset, OK}[w.rng.IntN(7)]
 	case 2: // it drains or leaves
 		s.State = []State{Draining, Gone}[w.rng.IntN(2)]
-		w.announce(ListDelta, []Backend{s.Backend})
+		w.announce(MembershipDelta, []Backend{s.Backend})
 	case 3: // it restarts
 		s.State, s.Started, s.result, s.sent = Ready, w.now, OK, nil
-		w.announce(ListDelta, []Backend{s.Backend})
+		w.announce(MembershipDelta, []Backend{s.Backend})
 	case 4:
-		w.announce(ListFull, w.membership())
+		w.announce(MembershipFull, w.membership())
 	case 5: // odd but harmless events
 		b := w.current().b
 		b.OnHealthCheck(w.now, HealthCheckResult{Backend: 9999})
--- a/internal/balancer/outcome.go
+++ b/internal/balancer/outcome.go
@@ -81,7 +81,7 @@
 	a.mayRun = !o.Result.NeverRan()
 	r.inFlight--
 	t.removeInFlight(a)
-	if a.firstByteAt > 0 { // what was to be learnt came with the first byte
+	if a.firstByteAt > 0 { // what could be learned came with the first byte
 		b.recordPassiveCheck(a, o.Result)
 		return
 	}
--- a/internal/balancer/prediction/model.go
+++ b/internal/balancer/prediction/model.go
@@ -9,7 +9,7 @@
 // an answer within a time is that distribution's.
 //
 // An attempt that got no answer says only that it takes longer than it was given. Leaving
-// these out would teach that slow is fast: what is lost to timeouts is the slow. So one
+// these out would make slow look fast: timeouts are the slow attempts. So one
 // counts with the mean of what lies beyond, as the present distribution has it (the E step
 // of the EM algorithm for censored data: Dempster, Laird and Rubin, 1977).
 //
@@ -37,17 +37,17 @@
 // class has sums over the ends, older ones for less.
 type class struct{ n, sum, sum2 float64 }
 
-// New gives a model that has learned nothing. It panics where kinds is below 1.
-func New(kinds int) *Model {
-	if kinds < 1 {
-		panic(fmt.Sprintf("prediction: %d classes", kinds))
+// New gives a model that has learned nothing. It panics where classes is below 1.
+func New(classes int) *Model {
+	if classes < 1 {
+		panic(fmt.Sprintf("prediction: %d classes", classes))
 	}
-	return &Model{classes: make([]class, kinds)}
+	return &Model{classes: make([]class, classes)}
 }
 
 // Grow makes room for so many classes; those there are stay as they are.
-func (m *Model) Grow(kinds int) {
-	for len(m.classes) < kinds {
+func (m *Model) Grow(classes int) {
+	for len(m.classes) < classes {
 		m.classes = append(m.classes, class{})
 	}
 }
--- a/internal/balancer/reconfigure_test.go
+++ b/internal/balancer/reconfigure_test.go
@@ -75,7 +75,7 @@
 // A class that went while it was served badly does not stay the worst of all for good.
 func TestRemovedClassNoLongerCounts(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 2)
-	b.cfg.Goal = Goal{Whole: 1, WorstClass: 1}
+	b.cfg.Goal = Goal{Total: 1, WorstClass: 1}
 	next := withClass(b.cfg, Class{Name: "late", LatencyTarget: second, ClientTimeout: 2 * second, Value: 1})
 	if err := b.Reconfigure(second, next, nil, noneRemoved); err != nil {
 		t.Fatal(err)
@@ -164,7 +164,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		q.b.OnMembership(q.now, Membership{Kind: ListFull, Backends: list(3)})
+		q.b.OnMembership(q.now, Membership{Kind: MembershipFull, Backends: list(3)})
 		for range rapid.IntRange(5, 40).Draw(t, "steps") {
 			q.now += time.Duration(rapid.IntRange(1, 50).Draw(t, "ms")) * milli
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
--- a/internal/balancer/recorded_test.go
+++ b/internal/balancer/recorded_test.go
@@ -75,7 +75,7 @@
 	cfg.Classes[1].Value, cfg.Classes[2].Value, cfg.Classes[0].LateValueRatio = 2, 8, 0.2
 	cfg.Tenants = []Tenant{{Name: "a", Share: 0.7, QuotaPerS: 40}, {Name: "b", Share: 0.3, QuotaPerS: 8}}
 	cfg.OverQuotaValue = 0.1
-	cfg.Goal = Goal{Whole: 0.45, WorstClass: 0.3, WorstTenant: 0.1, WorstWindow: 0.15}
+	cfg.Goal = Goal{Total: 0.45, WorstClass: 0.3, WorstTenant: 0.1, WorstWindow: 0.15}
 	cfg.KeyAffinity = seed%3 == 1
 	cfg.PollMembership = seed%3 == 2
 	return cfg
@@ -95,7 +95,7 @@
 	}
 	w.b.Start(w.now)
 	w.drain()
-	w.b.OnMembership(w.now, Membership{Kind: ListCached, Version: 1, Backends: list(9)})
+	w.b.OnMembership(w.now, Membership{Kind: MembershipCached, Version: 1, Backends: list(9)})
 	w.drain()
 	w.at(second+milli, w.arrive)
 	for i := range 12 {
@@ -203,12 +203,12 @@
 // drawMembership gives the i-th change of the membership.
 func (w *recording) drawMembership(i int, now time.Duration) Membership {
 	n := 7 + w.rng.IntN(6)
-	m := Membership{Kind: ListDelta, Version: uint32(i + 2)}
+	m := Membership{Kind: MembershipDelta, Version: uint32(i + 2)}
 	if i%3 == 0 {
-		m.Kind = ListFull
+		m.Kind = MembershipFull
 	}
 	if i%5 == 4 {
-		m.Kind = ListFailed
+		m.Kind = MembershipFailed
 		return m
 	}
 	m.Backends = list(n)
@@ -218,7 +218,7 @@
 			e.Started = 20 * second
 		case w.rng.IntN(8) == 0:
 			e.State = Draining
-		case w.rng.IntN(12) == 0 && m.Kind == ListDelta:
+		case w.rng.IntN(12) == 0 && m.Kind == MembershipDelta:
 			e.State = Gone
 		}
 	}
--- a/internal/balancer/recorder_test.go
+++ b/internal/balancer/recorder_test.go
@@ -72,13 +72,13 @@
 			{Name: "unsafe", LatencyTarget: second, ClientTimeout: 3 * second, Effect: Unsafe, Value: 1},
 			{Name: "anywhere", LatencyTarget: second, ClientTimeout: 3 * second, Effect: Keyed, Group: GroupAll, IdempotencyWindow: 2 * second, Value: 1},
 		},
-		Goal: Goal{Whole: 1},
+		Goal: Goal{Total: 1},
 		Obligations: Obligations{
 			AnswerSlack: 20 * milli, MaxMembershipAge: 10 * second, WarmupDuration: 20 * second,
 			DrainGrace: 250 * milli, OverloadWindow: 2 * second, OverloadMultiple: 2.5, InitialCapacity: 0.2,
 		},
 		Caps: Caps{
-			Cancel: true, Peers: true, Probes: true, RetryAfter: true, Hedging: true,
+			Cancel: true, Peers: true, HealthChecks: true, RetryAfter: true, Hedging: true,
 			ConnIdle: 15 * second, ConnectTimeout: 250 * milli, MaxRetryAfter: 2 * second,
 			MaxAttempts: 4, StreamsPerConn: 1,
 		},
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	b.Start(second)
-	b.OnMembership(second, Membership{Kind: ListFull, Version: 1, Backends: list(n)})
+	b.OnMembership(second, Membership{Kind: MembershipFull, Version: 1, Backends: list(n)})
 	h.take()
 	return b, h
 }
--- a/internal/balancer/restart_test.go
+++ b/internal/balancer/restart_test.go
@@ -40,7 +40,7 @@
 				t.Fatal(err)
 			}
 			b.Start(now)
-			b.OnMembership(now, Membership{Kind: ListFull, Version: 1, Backends: list(8)})
+			b.OnMembership(now, Membership{Kind: MembershipFull, Version: 1, Backends: list(8)})
 			b.Restore(now, 300*milli, s)
 			h.take()
 			for i := range first {
@@ -133,7 +133,7 @@
 			t.Fatal(err)
 		}
 		next.Start(now)
-		next.OnMembership(now, Membership{Kind: ListFull, Version: 1, Backends: list(6)})
+		next.OnMembership(now, Membership{Kind: MembershipFull, Version: 1, Backends: list(6)})
 		next.Restore(now, 50*milli, s)
 		b, host = next, h
 		live(250*milli, 0) // the bad one is well by now
--- a/internal/balancer/retrystorm_simulation_test.go
+++ b/internal/balancer/retrystorm_simulation_test.go
@@ -133,9 +133,9 @@
 		cfg.Classes[i].LatencyTarget = []time.Duration{600, 800, 400, 600}[i] * milli
 		cfg.Classes[i].ClientTimeout = []time.Duration{1200, 2000, 2000, 2000}[i] * milli
 	}
-	cfg.MarksRetry = d.marks
+	cfg.ClientsMarkRetries = d.marks
 	cfg.Caps.RetryAfter, cfg.Caps.MaxRetryAfter, cfg.Caps.ConnectTimeout = d.retryAfter, 2*second, 100*milli
-	cfg.Goal = Goal{Whole: 0.45, WorstClass: 0.3, WorstTenant: 0.1, WorstWindow: 0.15}
+	cfg.Goal = Goal{Total: 0.45, WorstClass: 0.3, WorstTenant: 0.1, WorstWindow: 0.15}
 	cfg.Obligations.WarmupDuration, cfg.Obligations.OverloadWindow, cfg.Obligations.OverloadMultiple, cfg.Obligations.InitialCapacity = 8*second, 3*second, 2.5, 0.32
 	cfg.OverQuotaValue = 0.1
 	w := &stormSimulation{
@@ -166,7 +166,7 @@
 		w.proxies = append(w.proxies, p)
 		p.b = d.policy(w, i, p)
 		p.b.Start(w.now)
-		p.b.OnMembership(w.now, Membership{Kind: ListFull, Version: 1, Backends: slices.Clone(w.listed)})
+		p.b.OnMembership(w.now, Membership{Kind: MembershipFull, Version: 1, Backends: slices.Clone(w.listed)})
 	}
 	w.arrive(total * d.load)
 	w.outage()
@@ -283,9 +283,9 @@
 	p.b = w.scenario.policy(w, i, p)
 	w.proxies[i] = p
 	p.b.Start(w.now)
-	p.b.OnMembership(w.now, Membership{Kind: ListCached, Version: 1, Backends: stale})
+	p.b.OnMembership(w.now, Membership{Kind: MembershipCached, Version: 1, Backends: stale})
 	w.in(time.Duration(300+w.rng.IntN(600))*milli, func() {
-		p.b.OnMembership(w.now, Membership{Kind: ListFull, Version: 2, Backends: slices.Clone(w.listed)})
+		p.b.OnMembership(w.now, Membership{Kind: MembershipFull, Version: 2, Backends: slices.Clone(w.listed)})
 	})
 }
 
@@ -329,7 +329,7 @@
 	for k := range w.proxies {
 		e := w.listed[i]
 		w.in(time.Duration(300+w.rng.IntN(600))*milli, func() {
-			w.proxies[k].b.OnMembership(w.now, Membership{Kind: ListDelta, Backends: []Backend{e}})
+			w.proxies[k].b.OnMembership(w.now, Membership{Kind: MembershipDelta, Backends: []Backend{e}})
 		})
 	}
 }
--- a/internal/balancer/simulation_test.go
+++ b/internal/balancer/simulation_test.go
@@ -257,7 +257,7 @@
 	cfg := testConfig()
 	cfg.Instances, cfg.Classes, cfg.Caps.RetryAfter = proxies, auctionClasses(), false
 	cfg.Caps.ConnectTimeout = 100 * milli
-	cfg.Goal = Goal{Whole: 0.45, WorstClass: 0.3, WorstTenant: 0.1, WorstWindow: 0.15}
+	cfg.Goal = Goal{Total: 0.45, WorstClass: 0.3, WorstTenant: 0.1, WorstWindow: 0.15}
 	w := &simulation{
 		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 9)), now: second, tailed: -1,
 		shares: []float64{0.32, 0.28, 0.24, 0.16}, work: []float64{19, 26, 23, 20},
@@ -285,7 +285,7 @@
 		p.b = b
 		w.proxies = append(w.proxies, p)
 		b.Start(w.now)
-		b.OnMembership(w.now, Membership{Kind: ListFull, Version: 1, Backends: all})
+		b.OnMembership(w.now, Membership{Kind: MembershipFull, Version: 1, Backends: all})
 		w.arrivals(p)
 	}
 	return w
@@ -355,7 +355,7 @@
 		}
 		p.b = b
 		b.Start(w.now)
-		b.OnMembership(w.now, Membership{Kind: ListFull, Version: 1, Backends: w.listed})
+		b.OnMembership(w.now, Membership{Kind: MembershipFull, Version: 1, Backends: w.listed})
 		with(old.b, b)
 		old.next, w.proxies[i] = p, p
 	}
--- a/internal/balancer/slowstart/slowstart.go
+++ b/internal/balancer/slowstart/slowstart.go
@@ -21,7 +21,7 @@
 const (
 	// Steps of a window: growth is judged so often in it.
 	stepsPerWindow = 3
-	// GrowthFactor is by how much the rate may rise in a step that went well. Danger: a backend falls by what it is sent
+	// GrowthFactor is by how much the rate may rise in a step that went well. A backend is overloaded by what it is sent
 	// over a whole window. At 1.6 a step the window's mean is under two thirds of its last step, so what was well
 	// answered a step ago, at no more than capacity, is followed by at most 1.6 x (1 + 1/1.6 + 1/2.56)/3 = 1.08
 	// times capacity before the next look, and a step that was not looked at in time by 1.7 times: under 2.5.
@@ -29,7 +29,7 @@
 	maxFactor    = 4096 // of the factor: beyond it the comparison with warm ones has long taken over
 )
 
-// MinRate is how many requests of mean work a second any backend bears at a part of its capacity, from all
+// MinRate is how many requests of mean work a second any backend bears at a part of its capacity, 0 to 1, from all
 // proxies together. One that meets the shortest latency target at all does a request in it when it is warm.
 func (c Config) MinRate(capacity float64) float64 {
 	window := max(c.OverloadWindow, time.Second).Seconds()
@@ -66,11 +66,11 @@
 	return m.cfg.MinRate(capacity) * m.Factor(now)
 }
 
-// RecordOutcome takes what became of an attempt at a warming backend: well is an answer within its latency target;
+// RecordOutcome takes what became of an attempt at a warming backend: inTime is an answer within its latency target;
 // a rejected, late or lost one is not.
-func (m *Model) RecordOutcome(now time.Duration, well bool) {
+func (m *Model) RecordOutcome(now time.Duration, inTime bool) {
 	m.advance(now)
-	if well {
+	if inTime {
 		m.successes++
 	} else {
 		m.failures++
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -171,7 +171,7 @@
 			all = append(all, w.listed[i])
 		}
 		for _, p := range w.proxies {
-			p.b.OnMembership(w.now, Membership{Kind: ListDelta, Version: 2, Backends: all})
+			p.b.OnMembership(w.now, Membership{Kind: MembershipDelta, Version: 2, Backends: all})
 		}
 		if r.freshProxies {
 			w.handOver(r.t, func(_, _ *Balancer) {})
@@ -272,7 +272,7 @@
 	w.listed[0].Started = w.now
 	debts := map[*target]float64{}
 	for _, p := range w.proxies {
-		p.b.OnMembership(w.now, Membership{Kind: ListDelta, Version: 2, Backends: w.listed[:1]})
+		p.b.OnMembership(w.now, Membership{Kind: MembershipDelta, Version: 2, Backends: w.listed[:1]})
 		for _, m := range p.b.targets {
 			if m.ID == w.listed[0].ID {
 				debts[m] = m.warmupTokens
--- a/internal/balancer/stalemembership_test.go
+++ b/internal/balancer/stalemembership_test.go
@@ -58,7 +58,7 @@
 			t.Fatal(err)
 		}
 		w.b.Start(w.now)
-		w.b.OnMembership(w.now, Membership{Kind: ListCached, Version: 7, Backends: list(10)})
+		w.b.OnMembership(w.now, Membership{Kind: MembershipCached, Version: 7, Backends: list(10)})
 		for i := range 400 {
 			w.now += 5 * milli
 			w.b.OnRequest(w.now, Request{ID: RequestID(i + 1), Class: 0, Deadline: w.now + second})
@@ -72,7 +72,7 @@
 		if w.served < 395 {
 			t.Errorf("seed %d: %d of 400 served", seed, w.served)
 		}
-		w.b.OnMembership(w.now, Membership{Kind: ListFull, Version: 9, Backends: list(10)})
+		w.b.OnMembership(w.now, Membership{Kind: MembershipFull, Version: 9, Backends: list(10)})
 		for _, x := range w.b.targets {
 			if _, gone := w.gone[x.ID]; !gone && x.warmupStarted > 0 {
 				t.Errorf("seed %d: backend %d counts as started with the new membership", seed, x.ID)
--- a/internal/balancer/staleness/staleness.go
+++ b/internal/balancer/staleness/staleness.go
@@ -25,22 +25,39 @@
 	Uptime time.Duration `json:"Up"`   // since that start
 }
 
-// Age is how long before now a process ended. Where neither clock can tell, or the wall clock has been set back, it
-// is an error: what is of unknown age must not pass for young.
+// Errors of Age.
+var (
+	ErrUptimeWentBack = errors.New("it was written later in this machine's life than now")
+	ErrNoTimestamp    = errors.New("it does not say when it was written")
+)
+
+// ClockSetBackError is a time of writing that lies ahead by the wall clock.
+type ClockSetBackError struct{ Ahead time.Duration }
+
+var _ error = (*ClockSetBackError)(nil)
+
+// Error implements error.
+func (e *ClockSetBackError) Error() string {
+	return fmt.Sprintf("it was written %v after now: a clock was set back", e.Ahead.Round(time.Second))
+}
+
+// Age is how long before now a process ended, 0 or more. Where neither clock can tell, or the wall clock has been set
+// back, it is an error (ErrUptimeWentBack, ErrNoTimestamp, ClockSetBackError): what is of unknown age must not pass for
+// young.
 func Age(then, now Timestamp) (time.Duration, error) {
 	if then.BootID != "" && then.BootID == now.BootID {
 		if d := now.Uptime - then.Uptime; d >= 0 {
 			return d, nil
 		}
-		return 0, errors.New("it was written later in this machine's life than now")
+		return 0, ErrUptimeWentBack
 	}
 	if then.Wall.IsZero() {
-		return 0, errors.New("it does not say when it was written")
+		return 0, ErrNoTimestamp
 	}
 	if d := now.Wall.Sub(then.Wall); d >= 0 {
 		return d, nil
 	}
-	return 0, fmt.Errorf("it was written %v after now: a clock was set back", then.Wall.Sub(now.Wall).Round(time.Second))
+	return 0, &ClockSetBackError{then.Wall.Sub(now.Wall)}
 }
 
 // Config says how fast learned state loses its weight.
@@ -60,22 +77,22 @@
 	if crashed {
 		weight /= 2
 	}
-	out := *s
+	kept := *s
 	// Sums of points weigh as many points as they have: fewer points, the same line. What is left is soon
-	// outvoted by what this life sees.
-	out.Classes = slices.Clone(s.Classes)
-	for i := range out.Classes {
-		c := &out.Classes[i]
+	// outweighed by what this process sees.
+	kept.Classes = slices.Clone(s.Classes)
+	for i := range kept.Classes {
+		c := &kept.Classes[i]
 		for k := range c.DelayFit {
 			c.DelayFit[k] *= weight
 		}
 		c.DelayTail[0] *= weight
 		c.Served *= weight
 	}
-	out.Backends = slices.Clone(s.Backends)
-	limit := medianOf(out.Backends, func(b *learnedstate.Backend) float64 { return b.ConcurrencyLimit })
-	for i := range out.Backends {
-		b := &out.Backends[i]
+	kept.Backends = slices.Clone(s.Backends)
+	limit := medianOf(kept.Backends, func(b *learnedstate.Backend) float64 { return b.ConcurrencyLimit })
+	for i := range kept.Backends {
+		b := &kept.Backends[i]
 		// Towards what the others have, not towards nothing: a backend of which nothing is known is one of them.
 		if b.ConcurrencyLimit > 0 && limit > 0 {
 			b.ConcurrencyLimit = limit + (b.ConcurrencyLimit-limit)*weight
@@ -83,20 +100,19 @@
 		b.DelayRatios *= weight
 		b.Answers *= weight
 		b.DelayTail[0] *= weight
-		// What was out is tried at once, by what costs least: a probe where there are any. How long it would
-		// have to stay out after another failure is remembered, less the longer it was.
+		// What was ejected is tried at once, by what costs least: a health check where there are any. How long its next
+		// ejection would last is remembered, less the longer ago it was.
 		b.EjectedFor = 0
 		b.EjectionDuration = time.Duration(float64(b.EjectionDuration) * weight)
-		// Danger: a cold budget that was saved up is not there after a time in which others spent theirs; a
-		// debt is.
+		// Warm-up tokens that were saved up are gone after a time in which other proxies spent theirs; a debt stays.
 		b.WarmupTokens = min(b.WarmupTokens, 0)
 	}
-	out.Common.RetryTokens = min(s.Common.RetryTokens, s.Common.RetryTokens*weight)
-	out.Common.MeanWindow *= weight
-	return &out
+	kept.Common.RetryTokens = min(s.Common.RetryTokens, s.Common.RetryTokens*weight)
+	kept.Common.MeanWindow *= weight
+	return &kept
 }
 
-// medianOf is the median of a figure over the backends that have it; 0 is none.
+// medianOf is the median of a value over the backends that have it; 0 is none.
 func medianOf(all []learnedstate.Backend, of func(*learnedstate.Backend) float64) float64 {
 	var x []float64
 	for i := range all {
--- a/internal/balancer/subset_test.go
+++ b/internal/balancer/subset_test.go
@@ -86,7 +86,7 @@
 		for i := range all {
 			all[i].Zone = 0
 		}
-		b.OnMembership(second, Membership{Kind: ListFull, Version: 1, Backends: all[:backends]})
+		b.OnMembership(second, Membership{Kind: MembershipFull, Version: 1, Backends: all[:backends]})
 		before := map[BackendID]bool{}
 		for _, x := range b.subset {
 			users[x.ID]++
@@ -95,7 +95,7 @@
 		if n := len(b.subset); n < minSubsetSize || n > backends/4 {
 			t.Fatalf("proxy %d uses %d of %d backends", rank, n, backends)
 		}
-		b.OnMembership(second, Membership{Kind: ListDelta, Version: 2, Backends: all[backends:]})
+		b.OnMembership(second, Membership{Kind: MembershipDelta, Version: 2, Backends: all[backends:]})
 		for _, x := range b.subset {
 			if !before[x.ID] {
 				moved++
@@ -218,7 +218,7 @@
 		for i := range cold {
 			cold[i].Started = 99 * second
 		}
-		b.OnMembership(100*second, Membership{Kind: ListCached, Version: 1, Backends: cold})
+		b.OnMembership(100*second, Membership{Kind: MembershipCached, Version: 1, Backends: cold})
 		b.OnRequest(100*second, Request{ID: 1, Deadline: 103 * second})
 		sent += len(h.take("send"))
 	}
--- a/internal/dataplane/gateway/request.go
+++ b/internal/dataplane/gateway/request.go
@@ -100,13 +100,13 @@
 	needs.Model, needs.Adapter, _ = strings.Cut(name, "/")
 	in, out, _ := strings.Cut(string(header.Peek(headerTokens)), ",")
 	prompt, _ := strconv.Atoi(strings.TrimSpace(in))
-	needs.Output, _ = strconv.Atoi(strings.TrimSpace(out))
-	return needs, routing.EstimateWork(prompt, needs.Output)
+	needs.MaxOutputTokens, _ = strconv.Atoi(strings.TrimSpace(out))
+	return needs, routing.EstimateWork(prompt, needs.MaxOutputTokens)
 }
 
 // parsePrompt gives the parts of a prompt: ID:TOKENS, the id hexadecimal, separated by commas.
-func parsePrompt(value string) []balancer.PromptPart {
-	var parts []balancer.PromptPart
+func parsePrompt(value string) []balancer.PromptSegment {
+	var parts []balancer.PromptSegment
 	for part := range strings.SplitSeq(value, ",") {
 		id, tokens, found := strings.Cut(strings.TrimSpace(part), ":")
 		if !found || len(parts) >= maxPromptParts {
@@ -120,7 +120,7 @@
 		if err != nil {
 			break
 		}
-		parts = append(parts, balancer.PromptPart{ID: number, Tokens: count})
+		parts = append(parts, balancer.PromptSegment{ID: number, Tokens: count})
 	}
 	return parts
 }
--- a/internal/dataplane/gateway/service.go
+++ b/internal/dataplane/gateway/service.go
@@ -125,7 +125,7 @@
 
 // setBackends sets the service's backends among all backends.
 func (s *service) setBackends(all []*api.Backend, self identity, evacuated map[string]bool) {
-	list := engine.List{Kind: balancer.ListFull}
+	list := engine.List{Kind: balancer.MembershipFull}
 	for _, b := range all {
 		if b.Service != s.name {
 			continue
--- a/internal/dataplane/routing/config.go
+++ b/internal/dataplane/routing/config.go
@@ -29,10 +29,10 @@
 func BalancerConfig(classes []balancer.Class, proxies, rank, zone int, advice balancer.Advice) balancer.Config {
 	return balancer.Config{
 		Instances: max(1, proxies), Rank: rank, Zone: zone, Tick: time.Millisecond,
-		Classes: classes, Goal: balancer.Goal{Whole: 1}, Prices: balancer.Prices{CrossZone: crossZonePrice},
+		Classes: classes, Goal: balancer.Goal{Total: 1}, Prices: balancer.Prices{CrossZone: crossZonePrice},
 		Obligations: balancer.Obligations{WarmupDuration: restartWarmup, InitialCapacity: 1, OverloadMultiple: 1, OverloadWindow: time.Second},
 		Caps: balancer.Caps{
-			Cancel: true, Probes: true, RetryAfter: true, ConnIdle: connectionIdleTimeout,
+			Cancel: true, HealthChecks: true, RetryAfter: true, ConnIdle: connectionIdleTimeout,
 			ConnectTimeout: connectTimeout, SweepEvery: sweepInterval, MaxRetryAfter: maxRetryAfter, MaxAttempts: maxAttempts,
 		},
 		Advice: advice,
--- a/internal/engine/backends.go
+++ b/internal/engine/backends.go
@@ -11,7 +11,7 @@
 
 // List is a list of backends, or changes to one, as a Source tells it.
 type List struct {
-	Kind    balancer.ListKind // not ListFailed: sources go on by themselves
+	Kind    balancer.MembershipKind // not ListFailed: sources go on by themselves
 	Version uint32
 	Entries []Entry
 }
@@ -123,7 +123,7 @@
 		}
 		kept[id] = true
 	}
-	if l.Kind != balancer.ListDelta {
+	if l.Kind != balancer.MembershipDelta {
 		for id := range k.byID {
 			if !kept[id] {
 				gone = append(gone, id)
@@ -144,7 +144,7 @@
 	if e.observer != nil {
 		e.observer.Listed(now, &l)
 	}
-	if l.Kind != balancer.ListCached && e.listed != nil {
+	if l.Kind != balancer.MembershipCached && e.listed != nil {
 		e.listed()
 		e.listed = nil
 	}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -188,7 +188,7 @@
 func (e *Engine) Begin() {
 	e.balancer.Start(e.Now())
 	known := e.cfg.Known
-	known.Kind = balancer.ListCached
+	known.Kind = balancer.MembershipCached
 	e.List(known)
 	if !e.Settings().PollMembership && e.source != nil {
 		e.source.Watch(true)
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -40,7 +40,7 @@
 	}
 	l := &still{e, &held{}}
 	e.Carry(l.carrier)
-	l.Do(func() { l.List(List{Kind: balancer.ListCached, Entries: entries}) })
+	l.Do(func() { l.List(List{Kind: balancer.MembershipCached, Entries: entries}) })
 	return l
 }
 
@@ -222,7 +222,7 @@
 	l := stillEngine(t, ready("s-1", "127.0.0.1:1"))
 	for i := range 50 {
 		l.Do(func() {
-			l.List(List{Kind: balancer.ListFull, Version: uint32(i + 2), Entries: []Entry{ready(fmt.Sprintf("s-new-%d", i), "127.0.0.1:1")}})
+			l.List(List{Kind: balancer.MembershipFull, Version: uint32(i + 2), Entries: []Entry{ready(fmt.Sprintf("s-new-%d", i), "127.0.0.1:1")}})
 		})
 	}
 	if len(l.backends.ids) != 1 || len(l.backends.names) != 1 || len(l.backends.byID) != 1 {
@@ -238,7 +238,7 @@
 	b := l.Backend("s-1")
 	e := ready("s-1", "127.0.0.1:1")
 	e.State = balancer.Draining
-	l.Do(func() { l.List(List{Kind: balancer.ListDelta, Version: 2, Entries: []Entry{e}}) })
+	l.Do(func() { l.List(List{Kind: balancer.MembershipDelta, Version: 2, Entries: []Entry{e}}) })
 	if b.Ready() {
 		t.Error("a draining backend may still be written to")
 	}
@@ -261,7 +261,7 @@
 	} {
 		e := ready("s-1", "127.0.0.1:1")
 		e.Started = c.at
-		l.Do(func() { l.List(List{Kind: balancer.ListDelta, Version: 2, Entries: []Entry{e}}) })
+		l.Do(func() { l.List(List{Kind: balancer.MembershipDelta, Version: 2, Entries: []Entry{e}}) })
 		if got := l.Backend("s-1").Started; got != c.want {
 			t.Errorf("started at %v: %v, want %v", c.at, got, c.want)
 		}
--- a/internal/engine/memory_test.go
+++ b/internal/engine/memory_test.go
@@ -81,7 +81,7 @@
 		if err := l.Reconfigure(next); err != nil {
 			t.Fatal(err)
 		}
-		l.List(List{Kind: balancer.ListDelta, Entries: []Entry{{Name: "s-99", State: balancer.Gone}}})
+		l.List(List{Kind: balancer.MembershipDelta, Entries: []Entry{{Name: "s-99", State: balancer.Gone}}})
 	})
 	for s == nil {
 		l.Do(heap.Pop(&l.timers).(*Timer).event)
--- a/internal/engine/observer_test.go
+++ b/internal/engine/observer_test.go
@@ -51,7 +51,7 @@
 	l.Observe(Join(nil, a, nil, b))
 	l.ProbeWith(prober{balancer.OK})
 	l.Do(func() {
-		l.List(List{Kind: balancer.ListFull, Version: 2, Entries: []Entry{ready("s-1", "127.0.0.1:1")}})
+		l.List(List{Kind: balancer.MembershipFull, Version: 2, Entries: []Entry{ready("s-1", "127.0.0.1:1")}})
 	})
 	first := l.ask(0, time.Minute)
 	l.Do(func() { first.attempts[0].End(End{Result: balancer.Error}) })
--- a/internal/fleet/rules/rules.go
+++ b/internal/fleet/rules/rules.go
@@ -40,7 +40,7 @@
 	o.WarmupDuration, o.OverloadWindow = max(o.WarmupDuration, older.Obligations.WarmupDuration), max(o.OverloadWindow, older.Obligations.OverloadWindow)
 	c.MaxAttempts = min(c.MaxAttempts, older.Caps.MaxAttempts)
 	c.MaxRetryAfter = min(c.MaxRetryAfter, older.Caps.MaxRetryAfter)
-	c.Cancel, c.Peers, c.Probes = c.Cancel && older.Caps.Cancel, c.Peers && older.Caps.Peers, c.Probes && older.Caps.Probes
+	c.Cancel, c.Peers, c.HealthChecks = c.Cancel && older.Caps.Cancel, c.Peers && older.Caps.Peers, c.HealthChecks && older.Caps.HealthChecks
 	c.RetryAfter, c.Hedging = c.RetryAfter && older.Caps.RetryAfter, c.Hedging && older.Caps.Hedging
 	return m
 }
--- a/internal/httpproxy/carrier_test.go
+++ b/internal/httpproxy/carrier_test.go
@@ -77,7 +77,7 @@
 	const replaced = 3000
 	for i := range replaced {
 		gone := engine.Entry{Name: fmt.Sprintf("s-%d", i), State: balancer.Gone}
-		list := engine.List{Kind: balancer.ListDelta, Version: uint32(i + 2), Entries: []engine.Entry{gone, ready(fmt.Sprintf("s-%d", i+1), addr)}}
+		list := engine.List{Kind: balancer.MembershipDelta, Version: uint32(i + 2), Entries: []engine.Entry{gone, ready(fmt.Sprintf("s-%d", i+1), addr)}}
 		l.Do(func() { l.List(list) })
 		if i < 3 {
 			serve()
@@ -114,7 +114,7 @@
 	r := l.ask(1, time.Minute)
 	receive(t, came, "the attempt")
 	l.Do(func() {
-		l.List(engine.List{Kind: balancer.ListFull, Version: 2, Entries: []engine.Entry{ready("s-2", addr)}})
+		l.List(engine.List{Kind: balancer.MembershipFull, Version: 2, Entries: []engine.Entry{ready("s-2", addr)}})
 	})
 	close(answer)
 	l.Do(receive(t, l.Events(), "the attempt's end"))
--- a/internal/httpproxy/crossing_test.go
+++ b/internal/httpproxy/crossing_test.go
@@ -135,7 +135,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	go l.Run(ctx)
-	l.Post(func() { l.List(engine.List{Kind: balancer.ListFull, Version: 1, Entries: entries}) })
+	l.Post(func() { l.List(engine.List{Kind: balancer.MembershipFull, Version: 1, Entries: entries}) })
 	go l.front.Serve(l.ln)
 	t.Cleanup(func() {
 		l.ln.Close()
--- a/internal/httpproxy/front_test.go
+++ b/internal/httpproxy/front_test.go
@@ -74,11 +74,11 @@
 		l.front.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/ready", nil))
 		return w.Code
 	}
-	l.Do(func() { l.List(engine.List{Kind: balancer.ListCached}) })
+	l.Do(func() { l.List(engine.List{Kind: balancer.MembershipCached}) })
 	if got := ask(); got != http.StatusServiceUnavailable {
 		t.Errorf("/ready before any list: %d", got)
 	}
-	l.Do(func() { l.List(engine.List{Kind: balancer.ListFull, Version: 1}) })
+	l.Do(func() { l.List(engine.List{Kind: balancer.MembershipFull, Version: 1}) })
 	if got := ask(); got != http.StatusOK {
 		t.Errorf("/ready with discovery's list: %d", got)
 	}
--- a/internal/httpproxy/harness_test.go
+++ b/internal/httpproxy/harness_test.go
@@ -68,7 +68,7 @@
 	t.Cleanup(l.carrier.Close)
 	e.Carry(l.carrier)
 	e.ProbeWith(l.carrier)
-	l.Do(func() { l.List(engine.List{Kind: balancer.ListCached, Entries: entries}) })
+	l.Do(func() { l.List(engine.List{Kind: balancer.MembershipCached, Entries: entries}) })
 	return l
 }
 
--- a/internal/lists/discovery/source.go
+++ b/internal/lists/discovery/source.go
@@ -165,13 +165,13 @@
 
 // take takes in what an address has told.
 func (s *Source) take(w *watcher, l *List) {
-	kind := balancer.ListDelta
+	kind := balancer.MembershipDelta
 	switch {
 	case l.partial:
 		s.sink.List(engine.List{Kind: kind, Version: s.version, Entries: l.entries})
 		return
 	case l.Reset:
-		kind = balancer.ListFull
+		kind = balancer.MembershipFull
 	case s.numbers == w.addr && l.Generation < s.version:
 		return // a check has told of it, and of more
 	}
--- a/internal/lists/discovery/source_test.go
+++ b/internal/lists/discovery/source_test.go
@@ -123,7 +123,7 @@
 		t.Fatalf("%v", err)
 	}
 	d.tell(l)
-	if len(got.lists) != 1 || got.lists[0].Kind != balancer.ListDelta || got.lists[0].Version != 41 || len(got.lists[0].Entries) != 2 || s.version != 41 {
+	if len(got.lists) != 1 || got.lists[0].Kind != balancer.MembershipDelta || got.lists[0].Version != 41 || len(got.lists[0].Entries) != 2 || s.version != 41 {
 		t.Errorf("%+v, version %d", got.lists, s.version)
 	}
 }
--- a/internal/lists/sources/sources.go
+++ b/internal/lists/sources/sources.go
@@ -217,7 +217,7 @@
 		puts = append(puts, i)
 	}
 	now := s.host.Now()
-	if l.Kind == balancer.ListDelta {
+	if l.Kind == balancer.MembershipDelta {
 		s.apply(s.model.Change(now, ofPlatform, members.Change{Revision: int64(l.Version), Puts: puts, Deletes: gone}))
 		return
 	}
@@ -321,9 +321,9 @@
 
 // tell gives the engine a whole list.
 func (s *Source) tell(list map[string]members.Entry, cached bool) {
-	l := engine.List{Kind: balancer.ListFull, Entries: make([]engine.Entry, 0, len(list))}
+	l := engine.List{Kind: balancer.MembershipFull, Entries: make([]engine.Entry, 0, len(list))}
 	if cached {
-		l.Kind = balancer.ListCached
+		l.Kind = balancer.MembershipCached
 	}
 	s.number++
 	l.Version = s.number
@@ -336,7 +336,7 @@
 // tellSome gives the engine a change.
 func (s *Source) tellSome(d members.Delta) {
 	s.number++
-	l := engine.List{Kind: balancer.ListDelta, Version: s.number}
+	l := engine.List{Kind: balancer.MembershipDelta, Version: s.number}
 	for _, name := range d.Gone { // first: another may have the address now
 		l.Entries = append(l.Entries, engine.Entry{Name: name, Zone: -1, Kind: -1, State: balancer.Gone})
 	}
--- a/internal/process/learnedstate/codec/codec.go
+++ b/internal/process/learnedstate/codec/codec.go
@@ -1,73 +1,52 @@
-// Package codec puts what was learnt in bytes, versioned and checked, and reads it again, whole
-// or not at all. It never judges what it says.
+// Package codec encodes a learned state into bytes with a version and a checksum, and decodes it as a whole or not at
+// all. It owns the frame (see Seal), which package statefile uses too. It never judges what a state says, beyond
+// learnedstate's Check; it does no input or output.
 package codec
 
 import (
-	"encoding/binary"
 	"fmt"
-	"hash/crc32"
 
 	"github.com/vmihailenco/msgpack/v5"
 
 	"marlreel/internal/process/learnedstate"
 )
 
-// The form: a frame (see Seal) around MessagePack. A version that is not known is turned down
-// whole: fields are in order and have no names.
+// The form: a frame (see Seal) around MessagePack. A version that is not known is rejected as a whole: most fields are in
+// order and have no names.
 const (
 	magic   = "MRLT"
 	version = 1
-	header  = len(magic) + 2 + 4 + 4
 
-	// MaxBytes is the length of a state at most, all in all.
+	// MaxBytes is the length of an encoded state at most, with its frame.
 	MaxBytes = 4 << 20
 )
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+// TooLargeError is a state of more than MaxBytes.
+type TooLargeError struct{ Bytes int }
 
-// Encode puts a state in words.
+var _ error = (*TooLargeError)(nil)
+
+// Error implements error.
+func (e *TooLargeError) Error() string {
+	return fmt.Sprintf("state: %d bytes, %d at most", e.Bytes, MaxBytes-frameHeader)
+}
+
+// Encode gives the bytes of a state, MaxBytes at most; more is a TooLargeError.
 func Encode(s *learnedstate.State) ([]byte, error) {
 	body, err := msgpack.Marshal(s)
 	if err != nil {
 		return nil, fmt.Errorf("state: %w", err)
 	}
-	if len(body) > MaxBytes-header {
-		return nil, fmt.Errorf("state: %d bytes, %d at most", len(body), MaxBytes-header)
+	if len(body) > MaxBytes-frameHeader {
+		return nil, &TooLargeError{len(body)}
 	}
 	return Seal(magic, version, body), nil
 }
 
-// Seal puts a body into a frame: magic, version, length and CRC-32C of what follows.
-func Seal(magic string, version uint16, body []byte) []byte {
-	out := append(make([]byte, 0, header+len(body)), magic...)
-	out = binary.BigEndian.AppendUint16(out, version)
-	out = binary.BigEndian.AppendUint32(out, uint32(len(body)))
-	out = binary.BigEndian.AppendUint32(out, crc32.Checksum(body, castagnoli))
-	return append(out, body...)
-}
-
-// Open gives the body of a frame that is whole, of this magic and version, and no longer than most.
-func Open(magic string, version uint16, maxBytes int, data []byte) ([]byte, error) {
-	if len(data) < header || string(data[:len(magic)]) != magic {
-		return nil, fmt.Errorf("it does not begin as a %s file does", magic)
-	}
-	fields := data[len(magic):]
-	if v := binary.BigEndian.Uint16(fields); v != version {
-		return nil, fmt.Errorf("version %d, %d is known here", v, version)
-	}
-	n, sum, body := binary.BigEndian.Uint32(fields[2:]), binary.BigEndian.Uint32(fields[6:]), data[header:]
-	if uint64(n) != uint64(len(body)) || len(data) > maxBytes {
-		return nil, fmt.Errorf("%d bytes where it says %d", len(body), n)
-	}
-	if got := crc32.Checksum(body, castagnoli); got != sum {
-		return nil, fmt.Errorf("it is damaged: sum %08x, not %08x", got, sum)
-	}
-	return body, nil
-}
-
-// Decode reads a state, whole and checked, or says what is wrong with it.
+// Decode reads a state that is whole and passes its Check. The error says what is wrong with it: a FrameError or a
+// VersionError, wrapped, one of learnedstate's, or the decoder's.
 func Decode(data []byte) (s *learnedstate.State, err error) {
-	// The reader of the body meets only what carries the right sum; but a sum is no proof.
+	// What has the right checksum may still be made up, and the decoder panics at some of that.
 	defer func() {
 		if p := recover(); p != nil {
 			s, err = nil, fmt.Errorf("state: %v", p)
--- a/internal/process/learnedstate/statefile/record.go
+++ b/internal/process/learnedstate/statefile/record.go
@@ -1,7 +1,6 @@
 package statefile
 
 import (
-	"errors"
 	"fmt"
 	"time"
 
@@ -35,9 +34,6 @@
 	maxBootIDBytes = 64
 )
 
-// errNoTimestamp: a record without a time can't be told from a stale one.
-var errNoTimestamp = errors.New("it does not say when it was written")
-
 // UnreadableError is a record, whole by its checksum, that can't be decoded.
 type UnreadableError struct{ Err error }
 
@@ -58,7 +54,8 @@
 	return codec.Seal(magic, version, body), nil
 }
 
-// Decode reads a record that is whole and whose state passes its checks. The error says what is wrong with it.
+// Decode reads a record that is whole and whose state passes its checks. The error says what is wrong with it: one of
+// package codec's, an UnreadableError, or staleness.ErrNoTimestamp for one without a time.
 func Decode(data []byte) (r *Record, err error) {
 	// What has the right checksum may still be made up, and the decoder panics at some of that.
 	defer func() {
@@ -75,7 +72,7 @@
 		return nil, &UnreadableError{err}
 	}
 	if len(stored.BootID) > maxBootIDBytes || stored.Uptime < 0 {
-		return nil, errNoTimestamp
+		return nil, staleness.ErrNoTimestamp
 	}
 	state, err := codec.Decode(stored.State)
 	if err != nil {
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -181,7 +181,7 @@
 		ends = append(ends, agree.End{Source: source, Name: name, Revision: revision, Gone: gone})
 	}
 	was := o.own
-	if l.Kind != balancer.ListDelta {
+	if l.Kind != balancer.MembershipDelta {
 		o.own = make(map[string]engine.Entry, len(l.Entries))
 	}
 	for _, e := range l.Entries {
@@ -196,7 +196,7 @@
 		}
 		o.own[e.Name] = e
 	}
-	if l.Kind == balancer.ListFull && same {
+	if l.Kind == balancer.MembershipFull && same {
 		for name := range was {
 			if _, there := o.own[name]; !there {
 				end(name, true)
@@ -213,7 +213,7 @@
 	}
 	o.Engine.List(l)
 	o.settle()
-	if l.Kind != balancer.ListCached {
+	if l.Kind != balancer.MembershipCached {
 		o.told(o.summary(), ends)
 	}
 }
@@ -255,7 +255,7 @@
 	}
 	if len(changed) > 0 {
 		slices.SortFunc(changed, func(a, b engine.Entry) int { return strings.Compare(a.Name, b.Name) })
-		o.Engine.List(engine.List{Kind: balancer.ListDelta, Version: o.version, Entries: changed})
+		o.Engine.List(engine.List{Kind: balancer.MembershipDelta, Version: o.version, Entries: changed})
 	}
 }
 
--- a/internal/rpc/link_test.go
+++ b/internal/rpc/link_test.go
@@ -42,7 +42,7 @@
 	l := &still{e, NewCarrier(e, &cfg, new(Counts))}
 	t.Cleanup(l.carrier.Close)
 	e.Carry(l.carrier)
-	l.Do(func() { l.List(engine.List{Kind: balancer.ListCached, Entries: entries}) })
+	l.Do(func() { l.List(engine.List{Kind: balancer.MembershipCached, Entries: entries}) })
 	return l
 }
 
--- a/internal/testing/emulator/proxy.go
+++ b/internal/testing/emulator/proxy.go
@@ -88,7 +88,7 @@
 	for i, b := range p.sim.backends {
 		list = append(list, balancer.Backend{ID: balancer.BackendID(i + 1), Zone: b.zone, Kind: -1, Cell: -1, State: balancer.Ready})
 	}
-	p.balancer.OnMembership(p.now(), balancer.Membership{Kind: balancer.ListFull, Backends: list})
+	p.balancer.OnMembership(p.now(), balancer.Membership{Kind: balancer.MembershipFull, Backends: list})
 }
 
 // updateBackends tells the advisor what backends have loaded, by what they have reported.
@@ -124,7 +124,7 @@
 	w.clock.after(q.deadline-w.clock.now, func() { p.onClientTimeout(id) })
 	p.balancer.OnRequest(p.now(), balancer.Request{
 		ID: id, Class: w.classOf[q.kind], Cost: cost, Deadline: q.deadline + clockStart,
-		Needs: &balancer.Needs{Model: q.model, Adapter: q.adapter, Output: q.outputTokens},
+		Needs: &balancer.Needs{Model: q.model, Adapter: q.adapter, MaxOutputTokens: q.outputTokens},
 	})
 }
 
--- a/internal/wire/bootinfo.go
+++ b/internal/wire/bootinfo.go
@@ -90,21 +90,21 @@
 func (s *settings) config() balancer.Config {
 	c := balancer.Config{
 		Instances: s.count("Balancers", 1), Rank: s.count("Rank", 0), Zone: s.count("Zone", 0),
-		Tick:           s.span("Tick", 0),
-		OverQuotaValue: s.number("OverShareWorth", 1),
-		ValueByWork:    s.word("WorthBy", "request", "work") == "work",
-		KeyAffinity:    s.flag("Extra.WarmKeys"),
-		MarksRetry:     s.flag("Clients.MarksRetry"),
-		PollMembership: s.word("Discovery", "pushed", "on_request") == "on_request",
+		Tick:               s.span("Tick", 0),
+		OverQuotaValue:     s.number("OverShareWorth", 1),
+		ValueByWork:        s.word("WorthBy", "request", "work") == "work",
+		KeyAffinity:        s.flag("Extra.WarmKeys"),
+		ClientsMarkRetries: s.flag("Clients.MarksRetry"),
+		PollMembership:     s.word("Discovery", "pushed", "on_request") == "on_request",
 		Goal: balancer.Goal{
-			Whole: s.number("Goal.Whole", 1), WorstClass: s.number("Goal.WorstClass", 0),
+			Total: s.number("Goal.Whole", 1), WorstClass: s.number("Goal.WorstClass", 0),
 			WorstTenant: s.number("Goal.WorstTenant", 0), WorstWindow: s.number("Goal.WorstWindow", 0),
 		},
 		Prices: balancer.Prices{
 			Connection: s.number("Prices.Connection", 0),
 			CrossZone:  s.number("Prices.CrossZone", 0), Discovery: s.number("Prices.Discovery", 0),
-			Handshake: s.number("Prices.Handshake", 0), LateFail: s.number("Prices.LateFail", 0),
-			Peer: s.number("Prices.Peer", 0), Probe: s.number("Prices.Probe", 0), Waste: s.number("Prices.Waste", 0),
+			Handshake: s.number("Prices.Handshake", 0), LateFailure: s.number("Prices.LateFail", 0),
+			PeerMessage: s.number("Prices.Peer", 0), HealthCheck: s.number("Prices.Probe", 0), Waste: s.number("Prices.Waste", 0),
 		},
 		Obligations: balancer.Obligations{
 			AnswerSlack:      s.span("Obligations.AnswerSlack", 0),
@@ -114,7 +114,7 @@
 			InitialCapacity:  s.number("Obligations.StartCapacity", 1),
 		},
 		Caps: balancer.Caps{
-			Cancel: s.flag("Caps.Cancel"), Peers: s.flag("Caps.Peers"), Probes: s.flag("Caps.Probes"),
+			Cancel: s.flag("Caps.Cancel"), Peers: s.flag("Caps.Peers"), HealthChecks: s.flag("Caps.Probes"),
 			RetryAfter: s.flag("Caps.RetryAfter"), Hedging: s.flag("Caps.SecondCopies"),
 			ConnIdle: s.span("Caps.ConnIdle", 0), ConnectTimeout: s.span("Caps.ConnectTimeout", 0),
 			MaxRetryAfter: s.span("Caps.MaxRetryAfter", 0), MaxAttempts: s.count("Caps.MaxAttempts", 1),
--- a/internal/wire/bootinfo_test.go
+++ b/internal/wire/bootinfo_test.go
@@ -26,7 +26,7 @@
 		Instances: 3, Rank: 2, Zone: 1, Tick: 5 * ms, PollMembership: true, KeyAffinity: true,
 		OverQuotaValue: 1, ValueByWork: true, Weights: balancer.WeightNominal,
 		Report: []balancer.ReportField{balancer.FieldErrors, balancer.FieldInFlight, balancer.FieldOther},
-		Goal:   balancer.Goal{Whole: 1},
+		Goal:   balancer.Goal{Total: 1},
 		Classes: []balancer.Class{
 			{Name: "a", LatencyTarget: time.Second, ClientTimeout: 3 * time.Second, Effect: balancer.Safe, Group: balancer.GroupAll, Value: 1},
 			{
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -216,7 +216,7 @@
 
 var states = [...]balancer.State{balancer.Gone, balancer.Ready, balancer.Draining}
 
-var listKinds = [...]balancer.ListKind{balancer.ListDelta, balancer.ListFull, balancer.ListCached, balancer.ListFailed}
+var listKinds = [...]balancer.MembershipKind{balancer.MembershipDelta, balancer.MembershipFull, balancer.MembershipCached, balancer.MembershipFailed}
 
 func (d *decoder) list() balancer.Membership {
 	kind, version, n := d.u8(), d.u32(), int(d.u32())
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -69,12 +69,12 @@
 		{"init", raw(1, uint64(77), uint32(3), "a=b"), func(e Event) any { return string(e.BootInfo) }, "a=b"},
 		{
 			"membership", raw(2, 1, uint32(5), uint32(1), row), func(e Event) any { return e.List },
-			balancer.Membership{Kind: balancer.ListFull, Version: 5, Backends: []balancer.Backend{{
+			balancer.Membership{Kind: balancer.MembershipFull, Version: 5, Backends: []balancer.Backend{{
 				ID: 70, Zone: 2,
 				Kind: 1, Cell: 9, State: balancer.Ready, Weight: 1.5, Started: 8000*ms + 250*time.Microsecond,
 			}}},
 		},
-		{"a failed list", raw(2, 3, uint32(5), uint32(0)), func(e Event) any { return e.List.Kind }, balancer.ListFailed},
+		{"a failed list", raw(2, 3, uint32(5), uint32(0)), func(e Event) any { return e.List.Kind }, balancer.MembershipFailed},
 		{
 			"ask", raw(3, uint32(9), 12.5, 900.0, 3, 2, uint64(1<<60), uint32(4)), func(e Event) any { return e.Request },
 			balancer.Request{
