--- a/internal/balancer/connectionfailure/model.go
+++ b/internal/balancer/connectionfailure/model.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	maxAliveProbability = 1e-5 // a run that a living backend has with a lower probability is a crash's
+	maxAliveProbability = 1e-5 // a run that a living backend has with a lower probability is a crash
 	priorFailures       = 0.5  // breaks assumed of a living backend before any was seen,
 	priorAttempts       = 25   // in so many attempts
 )
 
-// The bounds of DeathRun.
+// The bounds of FailureThreshold.
 const (
-	MinFailureRun = 3  // a shorter run is no crash's
+	MinFailureRun = 3  // a shorter run is no crash
 	MaxFailureRun = 12 // a run of this length is one, however usual breaks are
 )
 
@@ -47,7 +47,7 @@
 	m.answers.Add(1, now, m.timeConstant)
 }
 
-// runProbability is the probability that a living backend has so many breaks in a row.
+// runProbability is the probability, 0 to 1, that a living backend has so many breaks in a row.
 func (m *Model) runProbability(run int, now time.Duration) float64 {
 	alarms, answered := m.falseAlarms.Value(now, m.timeConstant), m.answers.Value(now, m.timeConstant)
 	return math.Pow((alarms+priorFailures)/(alarms+answered+priorAttempts), float64(run))
@@ -72,7 +72,7 @@
 	return m.falseAlarms.Value(now, m.timeConstant), m.answers.Value(now, m.timeConstant)
 }
 
-// Resume goes on with the State of another process, age ago.
+// Resume goes on with the State of another process, away ago.
 func (m *Model) Resume(alarms, answered float64, away, now time.Duration) {
 	m.falseAlarms, m.answers = decay.NewSum(alarms, now-away), decay.NewSum(answered, now-away)
 }
--- a/internal/balancer/connections/model.go
+++ b/internal/balancer/connections/model.go
@@ -1,22 +1,3 @@
-// Package connections is a model of pooled connections: how likely each is to break under the next
-// request, and so which one a request should have. It is pure: events come with the
-// time on them, choices come back; it opens nothing, reads no clock and starts no goroutine.
-// It never decides which backend gets a request, nor what may be retried: package balancer does. Its Model belongs to
-// the connection pool of internal/httpproxy.
-//
-// A use of a connection either breaks after the request was written and before an
-// answer (when it may have run, so that an unsafe request is lost) or does not. Uses
-// fall into cells: the first use of a new connection, and reuse by how long the
-// connection stood idle, in steps of about a factor of 3; large requests have cells of
-// their own. In each cell the hazard has a Beta prior with a stated mean and weight, and
-// is learned at three levels, each the prior of the next: all backends, those of one
-// zone, one backend. Old evidence decays exponentially, so a hazard that goes is
-// forgotten, and one that comes is seen after some ten uses. Over idle time the hazard
-// of all backends is made non-decreasing by pooling neighbours that violate it: what
-// resets idle connections resets older ones at least as often, and sparse cells borrow
-// from their neighbours so.
-//
-// docs/design/connections.md derives it and names the sources.
 package connections
 
 import (
@@ -26,11 +7,10 @@
 
 // Config is what the model assumes before it has learned anything.
 type Config struct {
-	// PriorNew and PriorReused are the hazards assumed of new and of reused connections.
+	// PriorNew and PriorReused are the hazards, 0 to 1, assumed of new and of reused connections.
 	// Raising PriorReused above PriorNew makes a model that knows nothing dial.
 	PriorNew, PriorReused float64
-	// Weight is how many uses the prior counts for at each level. Lower learns sooner
-	// and is fooled sooner.
+	// Weight is how many uses the prior counts for at each level. A lower one learns sooner, from chance too.
 	Weight float64
 	// TimeConstant is the time in which evidence decays to 1/e.
 	TimeConstant time.Duration
@@ -41,7 +21,7 @@
 	MaxBackends int
 }
 
-// DefaultConfig fits requests whose mean utility is given.
+// DefaultConfig fits requests whose mean utility is given; handshakePrice is in requests of mean utility.
 func DefaultConfig(meanUtility, handshakePrice float64) Config {
 	return Config{
 		PriorNew: 0.004, PriorReused: 0.002, Weight: 8, TimeConstant: 30 * time.Second,
@@ -168,36 +148,18 @@
 
 // RecordOutcome takes the end of a use.
 func (m *Model) RecordOutcome(now time.Duration, backend uint32, zone int, u Use, end Outcome) {
-	broke, early := end.Broken, end.Broken && end.After < maxHoldback
+	early := end.Broken && end.After < maxHoldback
 	if early {
-		// The holdback follows a high quantile of when early breaks come: one that came after
-		// it lengthens it by much, one within it shortens it by little.
-		if end.Complete && end.After > m.holdback {
-			m.holdback = min(time.Duration(float64(m.holdback)*holdbackIncrease), maxHoldback)
-		} else {
-			m.holdback = max(time.Duration(float64(m.holdback)*holdbackDecrease), minHoldback)
-		}
-	}
-	i, b := cell(u), 0.0
-	if broke {
-		b = 1
-	}
-	z := m.zones[zone]
-	if z == nil {
-		z = &level{at: now}
-		m.zones[zone] = z
+		m.adjustHoldback(end)
 	}
-	o := m.backends[backend]
-	if o == nil {
-		m.evictOldest()
-		o = &level{at: now}
-		m.backends[backend] = o
-	}
-	for _, l := range []*level{&m.all, z, o} {
+	i := cell(u)
+	for _, l := range [...]*level{&m.all, m.zoneLevel(now, zone), m.backendLevel(now, backend)} {
 		l.decay(now, m.cfg.TimeConstant)
 		l.cells[i].uses++
-		l.cells[i].broken += b
-		l.current = l.current && !broke
+		if end.Broken {
+			l.cells[i].broken++
+		}
+		l.current = l.current && !end.Broken
 		l.early.uses++
 		if early {
 			l.early.broken++
@@ -205,6 +167,36 @@
 	}
 }
 
+// adjustHoldback follows a high quantile of when early breaks come: one that came after the holdback lengthens it by
+// much, one within it shortens it by little.
+func (m *Model) adjustHoldback(end Outcome) {
+	if end.Complete && end.After > m.holdback {
+		m.holdback = min(time.Duration(float64(m.holdback)*holdbackIncrease), maxHoldback)
+		return
+	}
+	m.holdback = max(time.Duration(float64(m.holdback)*holdbackDecrease), minHoldback)
+}
+
+func (m *Model) zoneLevel(now time.Duration, zone int) *level {
+	l := m.zones[zone]
+	if l == nil {
+		l = &level{at: now}
+		m.zones[zone] = l
+	}
+	return l
+}
+
+func (m *Model) backendLevel(now time.Duration, backend uint32) *level {
+	l := m.backends[backend]
+	if l == nil {
+		m.evictOldest()
+		l = &level{at: now}
+		m.backends[backend] = l
+	}
+	return l
+}
+
+// evictOldest makes room for another backend.
 func (m *Model) evictOldest() {
 	if len(m.backends) < m.cfg.MaxBackends {
 		return
@@ -234,46 +226,57 @@
 		return
 	}
 	l.decay(now, m.cfg.TimeConstant)
-	w := m.cfg.Weight
-	for from := 0; from < cells; from += reusedCells + 1 {
-		// Pool adjacent violators: blocks of cells with one hazard each, rising.
-		type block struct {
-			hazard, weight float64
-			n              int
+	for from := 0; from < cells; from += reusedCells + 1 { // small requests, then large ones
+		m.refreshReused(l, wider, from)
+		newCell := from + reusedCells
+		prior := m.cfg.PriorNew
+		if wider != nil {
+			prior = wider.hazards[newCell]
 		}
-		var blocks [reusedCells]block
-		n := 0
-		prior := m.cfg.PriorReused
-		for i := from; i < from+reusedCells; i++ {
-			if wider != nil {
-				prior = wider.hazards[i]
-			}
-			t := l.cells[i]
-			merged := block{(t.broken + prior*w) / (t.uses + w), t.uses + w, 1}
-			prior = merged.hazard // of the widest: older ones break as often at least, nothing else being known
-			for ; n > 0 && blocks[n-1].hazard > merged.hazard; n-- {
-				a := blocks[n-1]
-				sum := a.weight + merged.weight
-				merged = block{(a.hazard*a.weight + merged.hazard*merged.weight) / sum, sum, a.n + merged.n}
-			}
-			blocks[n] = merged
-			n++
+		l.hazards[newCell] = l.cells[newCell].hazard(prior, m.cfg.Weight)
+	}
+	l.computedAt, l.current = now, true
+}
+
+// hazard is the mean of the Beta posterior with a prior of a mean and a weight.
+func (t tally) hazard(prior, weight float64) float64 {
+	return (t.broken + prior*weight) / (t.uses + weight)
+}
+
+// hazardBlock is neighbouring cells with one hazard.
+type hazardBlock struct {
+	hazard, weight float64
+	cells          int
+}
+
+// refreshReused computes the hazards of reused connections, from a first cell on, by pooling adjacent violators: blocks
+// of cells with one hazard each, rising with the idle time.
+func (m *Model) refreshReused(l, wider *level, from int) {
+	var blocks [reusedCells]hazardBlock
+	n := 0
+	prior := m.cfg.PriorReused
+	for i := from; i < from+reusedCells; i++ {
+		if wider != nil {
+			prior = wider.hazards[i]
 		}
-		i := from
-		for _, merged := range blocks[:n] {
-			for range merged.n {
-				l.hazards[i] = merged.hazard
-				i++
-			}
+		t := l.cells[i]
+		merged := hazardBlock{t.hazard(prior, m.cfg.Weight), t.uses + m.cfg.Weight, 1}
+		prior = merged.hazard // of the widest level: older ones break as often at least, nothing else being known
+		for ; n > 0 && blocks[n-1].hazard > merged.hazard; n-- {
+			a := blocks[n-1]
+			sum := a.weight + merged.weight
+			merged = hazardBlock{(a.hazard*a.weight + merged.hazard*merged.weight) / sum, sum, a.cells + merged.cells}
 		}
-		prior = m.cfg.PriorNew
-		if wider != nil {
-			prior = wider.hazards[from+reusedCells]
+		blocks[n] = merged
+		n++
+	}
+	i := from
+	for _, block := range blocks[:n] {
+		for range block.cells {
+			l.hazards[i] = block.hazard
+			i++
 		}
-		t := l.cells[from+reusedCells]
-		l.hazards[from+reusedCells] = (t.broken + prior*w) / (t.uses + w)
 	}
-	l.computedAt, l.current = now, true
 }
 
 // hazards are those of a backend; a level that has seen nothing has the wider one's.
@@ -362,9 +365,9 @@
 	for of(best) > lowest+equalHazard {
 		best--
 	}
-	// One that can be sent again takes the worst that is still better than a new one, and
-	// so leaves the best for who needs it and tests the rest. While all are alike, the
-	// latest used is taken: the others grow old and leave.
+	// A request that may be retried takes the worst that is still better than a new one, and
+	// so leaves the best for one that needs it and tests the rest. While all are alike, the
+	// latest used is taken: the others stay idle until they are closed.
 	if s.Effect == Delayed && worstAcceptable >= 0 && of(worstAcceptable)-lowest > significantSpread {
 		return worstAcceptable
 	}
@@ -372,47 +375,9 @@
 }
 
 // ShouldClose tells whether a connection that has stood idle for so long should be closed
-// before anyone has it: even a request that can be sent again would rather dial.
+// before any request has it: even one that may be retried would rather dial.
 func (m *Model) ShouldClose(now time.Duration, backend uint32, zone int, idle time.Duration, utility float64) bool {
 	s := Request{Utility: utility, Effect: Delayed}
 	return m.Hazard(now, backend, zone, Use{Idle: idle})*s.loss() >
 		m.Hazard(now, backend, zone, Use{New: true})*s.loss()+m.cfg.HandshakeCost
 }
-
-// State is what was learned of all connections together, for another process to go on with. Its encoding is an
-// array: the order of the fields is the stored form. What was learned of a zone or a backend alone follows from it within some ten uses.
-type State struct {
-	//lint:ignore U1000 the codec reads its tag
-	_msgpack struct{} `msgpack:",as_array"`
-
-	Uses        [cells]float64 // decayed, by cell
-	Broken      [cells]float64 `json:"Breaks"` // of these
-	EarlyUses   float64        // decayed, of all cells
-	EarlyBroken float64        `json:"EarlyBreaks"` // of these, soon after the first bytes
-	Holdback    time.Duration  `json:"Hold"`
-}
-
-// State gives it.
-func (m *Model) State(now time.Duration) State {
-	l := &m.all
-	l.decay(now, m.cfg.TimeConstant)
-	s := State{EarlyUses: l.early.uses, EarlyBroken: l.early.broken, Holdback: m.holdback}
-	for i, t := range l.cells {
-		s.Uses[i], s.Broken[i] = t.uses, t.broken
-	}
-	return s
-}
-
-// Resume goes on with what another process had learned, age ago, if it had seen more.
-func (m *Model) Resume(s State, away, now time.Duration) {
-	l := &m.all
-	l.decay(now, m.cfg.TimeConstant)
-	if l.early.uses >= s.EarlyUses {
-		return
-	}
-	*l = level{at: now - away, early: tally{s.EarlyUses, min(s.EarlyBroken, s.EarlyUses)}}
-	for i := range l.cells {
-		l.cells[i] = tally{s.Uses[i], min(s.Broken[i], s.Uses[i])}
-	}
-	m.holdback = min(max(s.Holdback, minHoldback), maxHoldback)
-}
--- a/internal/balancer/retrystorm/ended_requests.go
+++ b/internal/balancer/retrystorm/ended_requests.go
@@ -6,24 +6,23 @@
 	"marlreel/internal/balancer/decay"
 )
 
-// Unmarked repeats. A client's repeat has a new name, and what it asks may be asked by others: a
-// match of class, tenant and key with a request that went unserved lately proves nothing by itself.
-// So what was served is watched alike, as a control: nobody repeats that, and what matches it comes
-// by chance. How much oftener the unserved are matched is the share of their matches that are
-// repeats.
+// Unmarked retries. A client's retry has a new identifier, and others may ask the same: a match of class, tenant and
+// key with a request that went unserved recently proves nothing by itself. So served requests are sampled as a control
+// group: they are not retried, and what matches them comes by chance. By how much more often the unserved are matched
+// gives the part of their matches that are retries.
 
 const (
-	maxEndedRequests = 4096            // requests that are remembered
-	controlSampling  = 8               // one in so many of the served is watched
-	matchWindow      = 5 * time.Second // over which shares of matches are taken
-	minUnserved      = 12              // unserved requests, of late, before any match counts
-	retryThreshold   = 0.5             // chance from which a match is taken for a repeat
+	maxEndedRequests = 4096            // requests that are kept
+	controlSampling  = 8               // one in so many of the served is in the control group
+	matchWindow      = 5 * time.Second // over which ratios of matches are taken
+	minUnserved      = 12              // unserved requests within it before any match counts
+	retryThreshold   = 0.5             // probability from which a match is taken for a retry
 )
 
 // endedRequest is a request that has ended.
 type endedRequest struct {
 	first, ended time.Duration
-	retryDue     time.Duration // when it was told to come again; 0: it was told nothing
+	retryDue     time.Duration // when its client was told to retry; 0: it was not told
 	served       bool
 }
 
@@ -37,7 +36,7 @@
 
 	unserved, unservedMatched    decay.Sum
 	control, controlMatched      decay.Sum
-	retryDelays, retryDelayCount decay.Sum // from the first arrival to the repeat, ms
+	retryDelays, retryDelayCount decay.Sum // from the first arrival to the retry, ms
 }
 
 type expiry struct {
@@ -52,9 +51,9 @@
 // record takes in the end of a request.
 func (s *endedRequests) record(now time.Duration, key uint64, first, due time.Duration, served bool) {
 	if served {
-		// Seldom matched by chance, so few have to be watched.
+		// There are many more of these, so few have to be kept.
 		if s.servedCount++; s.servedCount%controlSampling != 0 {
-			delete(s.byKey, key) // what it repeated is done
+			delete(s.byKey, key) // what it retried is done
 			return
 		}
 		s.control.Add(1, now, matchWindow)
@@ -84,8 +83,8 @@
 	}
 }
 
-// match gives when the request came first that one is likely the repeat of, and when it was told to
-// come again.
+// match tells whether a request is likely a retry, and gives when the one that it retries came first and when its client
+// was told to retry.
 func (s *endedRequests) match(now time.Duration, key uint64) (first, due time.Duration, isRetry bool) {
 	x, there := s.byKey[key]
 	if !there || now-x.ended > s.span {
@@ -106,7 +105,7 @@
 	return x.first, x.retryDue, true
 }
 
-// retryProbability is the part of the matches of unserved requests that are repeats.
+// retryProbability is the part of the matches of unserved requests that are retries, 0 to 1.
 func (s *endedRequests) retryProbability(now time.Duration) float64 {
 	n := s.unserved.Value(now, matchWindow)
 	if n < minUnserved {
@@ -120,7 +119,7 @@
 	return max(0, 1-by/met)
 }
 
-// meanRetryDelay is how long after its first arrival a repeat comes, about; 0 is not known.
+// meanRetryDelay is how long after the first arrival a retry comes, about; 0 is not known.
 func (s *endedRequests) meanRetryDelay(now time.Duration) time.Duration {
 	return time.Duration(s.retryDelays.Mean(&s.retryDelayCount, now, matchWindow) * float64(time.Millisecond))
 }
--- a/internal/balancer/retrystorm/model.go
+++ b/internal/balancer/retrystorm/model.go
@@ -106,7 +106,7 @@
 		return s
 	}
 	m.retries.Add(1, now, rateWindow)
-	// What its client asked long ago earns nothing; in a storm it would take what fresh requests need.
+	// What a client asked long ago earns nothing; in a storm it would take the capacity that fresh requests need.
 	// While it is calm there is enough for all.
 	if m.state != Calm {
 		s.CountFrom = s.FirstArrival
@@ -142,9 +142,9 @@
 }
 
 // RetryAfter says after what time the client of a request that is rejected now should retry, and schedules it;
-// 0: not to be told. left is for how long serving it would still be useful. The times given
-// out in a storm fill the capacity that is expected to be free, slot by slot, so that the next wave is flat; who
-// can't be served usefully is told MaxRetryAfter.
+// 0: its client is not told a time. left is for how long serving it would still be useful. The times
+// given in a storm fill the capacity that is expected to be free, slot by slot, so that the next wave is flat; a client
+// that can't be served usefully is told MaxRetryAfter.
 func (m *Model) RetryAfter(now, left time.Duration) time.Duration {
 	maxRetryAfter := m.cfg.MaxRetryAfter
 	switch {
