--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -125,7 +125,7 @@
 			continue
 		}
 		if misses < maxDispatchMisses {
-			if b.trySend(r) {
+			if b.sendOrEnd(r) {
 				continue
 			}
 			misses++
@@ -148,8 +148,8 @@
 	})
 }
 
-// trySend sends a request, or ends it where that is hopeless. done is not set where it has to wait.
-func (b *Balancer) trySend(r *request) (done bool) {
+// sendOrEnd sends a request, or ends it where that is hopeless. done is not set where it has to wait.
+func (b *Balancer) sendOrEnd(r *request) (done bool) {
 	t, worthwhile, hopeless := b.pickWorthwhile(r)
 	// What is never sent teaches nothing; but a retry whose time is over does not either.
 	if hopeless && (b.rng.Float64() >= hopelessSampleRatio || r.firstArrived < r.arrived) {
--- a/internal/balancer/api.go
+++ b/internal/balancer/api.go
@@ -74,9 +74,9 @@
 
 // Tenant is a customer with a quota of the service.
 type Tenant struct {
-	Name      string
-	Share     float64 // 0 to 1, of the traffic; for the worst tenant's part of the goal
-	QuotaPerS float64 // requests a second within its quota, over all proxies; 0 is no bound
+	Name         string
+	TrafficShare float64 // 0 to 1, of the traffic; for the worst tenant's part of the goal
+	QuotaPerS    float64 // requests a second within its quota, over all proxies; 0 is no bound
 }
 
 // Goal weighs the parts of the result: the value earned in all, by the worst-served class, by the worst-served
--- a/internal/balancer/attempt.go
+++ b/internal/balancer/attempt.go
@@ -10,12 +10,12 @@
 
 // maySend guards further attempts: it tells whether a request may be sent (again) to a backend.
 func (b *Balancer) maySend(r *request, t *target) bool {
-	_, may := b.startBefore(r, t)
+	_, may := b.attemptDeadline(r, t)
 	return may
 }
 
-// startBefore also tells before when the attempt has to begin there; 0 is no bound.
-func (b *Balancer) startBefore(r *request, t *target) (before time.Duration, may bool) {
+// attemptDeadline also tells before when the attempt has to begin there; 0 is no bound.
+func (b *Balancer) attemptDeadline(r *request, t *target) (before time.Duration, may bool) {
 	may = !r.ended && !r.streaming && b.attemptsLeft(r) && b.advice.CanServe(&r.Request, t.ID) &&
 		b.now < r.Deadline && (r.inFlight == 0 || b.cfg.Caps.Hedging)
 	before = idempotency.Never
@@ -51,7 +51,7 @@
 // send is the one place where requests leave; both guards are asked again here.
 func (b *Balancer) send(r *request, t *target) bool {
 	work := b.work(r)
-	before, may := b.startBefore(r, t)
+	before, may := b.attemptDeadline(r, t)
 	if !may || !b.mayReceive(t, work) {
 		return false
 	}
--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -37,7 +37,7 @@
 		return err
 	}
 	for i, t := range c.Tenants {
-		if t.Share < 0 || t.QuotaPerS < 0 {
+		if t.TrafficShare < 0 || t.QuotaPerS < 0 {
 			return &ConfigError{fmt.Sprintf("Tenants[%d]", i), "Share or QuotaPerS is negative"}
 		}
 	}
--- a/internal/balancer/idempotency_test.go
+++ b/internal/balancer/idempotency_test.go
@@ -54,7 +54,7 @@
 // Tenants are known by their names: what one asked for must not weigh on the one that has its place now.
 func TestTenantsKeepTheirQuotasByName(t *testing.T) {
 	cfg := testConfig()
-	cfg.Tenants = []Tenant{{Name: "a", Share: 0.5, QuotaPerS: 1}, {Name: "b", Share: 0.5, QuotaPerS: 1}}
+	cfg.Tenants = []Tenant{{Name: "a", TrafficShare: 0.5, QuotaPerS: 1}, {Name: "b", TrafficShare: 0.5, QuotaPerS: 1}}
 	b, h := newBalancer(t, cfg, 2)
 	for i := range 40 {
 		b.OnRequest(second, Request{ID: RequestID(i + 1), Tenant: 0, Deadline: 5 * second})
@@ -65,7 +65,7 @@
 		t.Fatal("the quota is not counted")
 	}
 	next := cfg
-	next.Tenants = []Tenant{cfg.Tenants[1], {Name: "c", Share: 0.5, QuotaPerS: 1}, cfg.Tenants[0]}
+	next.Tenants = []Tenant{cfg.Tenants[1], {Name: "c", TrafficShare: 0.5, QuotaPerS: 1}, cfg.Tenants[0]}
 	if err := b.Reconfigure(second, next, nil, func(int) bool { return false }); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/balancer/learnedstate_test.go
+++ b/internal/balancer/learnedstate_test.go
@@ -103,7 +103,7 @@
 func TestEveryFieldIsRestored(t *testing.T) {
 	const now = 100 * second
 	cfg := testConfig()
-	cfg.Instances, cfg.Tenants = 1, []Tenant{{Name: "a", Share: 1}}
+	cfg.Instances, cfg.Tenants = 1, []Tenant{{Name: "a", TrafficShare: 1}}
 	// What is not the balancer's, or no value of its own.
 	others := map[string]bool{".Backends[0].ID": true, ".Backends[1].ID": true}
 	checked := 0
--- a/internal/balancer/membership.go
+++ b/internal/balancer/membership.go
@@ -21,7 +21,7 @@
 	}
 	b.failedFetches = 0
 	if m.Kind != MembershipDelta {
-		b.markMissingGone(m.Backends)
+		b.setMissingGone(m.Backends)
 	}
 	for _, e := range m.Backends {
 		b.updateTarget(e)
@@ -37,8 +37,8 @@
 	b.startTimer(backoff/2+jitter(b.rng, backoff/2), timerDiscover)
 }
 
-// markMissingGone marks the backends that a complete membership does not have.
-func (b *Balancer) markMissingGone(listed []Backend) {
+// setMissingGone marks the backends that a complete membership does not have.
+func (b *Balancer) setMissingGone(listed []Backend) {
 	for _, t := range b.targets {
 		if !slices.ContainsFunc(listed, func(e Backend) bool { return e.ID == t.ID }) {
 			t.State = Gone
--- a/internal/balancer/reconfigure_test.go
+++ b/internal/balancer/reconfigure_test.go
@@ -55,7 +55,7 @@
 		"fewer classes":  func(c *Config) { c.Classes = c.Classes[:len(c.Classes)-1] },
 		"no deadline":    func(c *Config) { c.Classes[0].ClientTimeout = 0 },
 		"asked for":      func(c *Config) { c.PollMembership = !c.PollMembership },
-		"negative share": func(c *Config) { c.Tenants = []Tenant{{Name: "x", Share: -1}} },
+		"negative share": func(c *Config) { c.Tenants = []Tenant{{Name: "x", TrafficShare: -1}} },
 	} {
 		next := b.cfg
 		next.Classes = append([]Class(nil), next.Classes...)
--- a/internal/balancer/recorded_test.go
+++ b/internal/balancer/recorded_test.go
@@ -73,7 +73,7 @@
 func recordedConfig(seed uint64) Config {
 	cfg := testConfig()
 	cfg.Classes[1].Value, cfg.Classes[2].Value, cfg.Classes[0].LateValueRatio = 2, 8, 0.2
-	cfg.Tenants = []Tenant{{Name: "a", Share: 0.7, QuotaPerS: 40}, {Name: "b", Share: 0.3, QuotaPerS: 8}}
+	cfg.Tenants = []Tenant{{Name: "a", TrafficShare: 0.7, QuotaPerS: 40}, {Name: "b", TrafficShare: 0.3, QuotaPerS: 8}}
 	cfg.OverQuotaValue = 0.1
 	cfg.Goal = Goal{Total: 0.45, WorstClass: 0.3, WorstTenant: 0.1, WorstWindow: 0.15}
 	cfg.KeyAffinity = seed%3 == 1
--- a/internal/balancer/retrystorm/model.go
+++ b/internal/balancer/retrystorm/model.go
@@ -93,28 +93,38 @@
 // can't be told apart. marked says that its client has marked it as a retry.
 func (m *Model) RecordArrival(now time.Duration, what uint64, marked bool) Arrival {
 	m.arrivals.Add(1, now, rateWindow)
-	s, early := Arrival{FirstArrival: now, CountFrom: now, PriorityFactor: 1}, false
-	if what != 0 {
-		if first, due, repeat := m.ended.match(now, what); repeat {
-			s.IsRetry, s.FirstArrival, early = true, first, now < due-earlyTolerance
-		}
-	}
-	if marked && !s.IsRetry { // its original came by another proxy, or is forgotten
-		s.IsRetry, s.FirstArrival = true, max(0, now-m.ended.meanRetryDelay(now))
-	}
-	if !s.IsRetry {
-		return s
+	a, early := m.identify(now, what, marked)
+	if !a.IsRetry {
+		return a
 	}
 	m.retries.Add(1, now, rateWindow)
 	// What a client asked long ago earns nothing; in a storm it would take the capacity that fresh requests need.
 	// While it is calm there is enough for all.
 	if m.state != Calm {
-		s.CountFrom = s.FirstArrival
+		a.CountFrom = a.FirstArrival
 		if early {
-			s.PriorityFactor = earlyRetryPriority
+			a.PriorityFactor = earlyRetryPriority
+		}
+	}
+	return a
+}
+
+// identify tells whether a request is a retry, and whether it came before the time that its client was told.
+func (m *Model) identify(now time.Duration, what uint64, marked bool) (a Arrival, early bool) {
+	a = Arrival{FirstArrival: now, CountFrom: now, PriorityFactor: 1}
+	if what != 0 {
+		first, due, isRetry := m.ended.match(now, what)
+		if isRetry {
+			a.IsRetry = true
+			a.FirstArrival = first
+			return a, now < due-earlyTolerance
 		}
 	}
-	return s
+	if marked { // its original came by another proxy, or is forgotten
+		a.IsRetry = true
+		a.FirstArrival = max(0, now-m.ended.meanRetryDelay(now))
+	}
+	return a, false
 }
 
 // RecordEnd takes in the end of a request: served, or rejected, failed or given up. due is when its client
@@ -156,12 +166,7 @@
 	fresh := m.arrivals.Rate(now, rateWindow) - m.retries.Rate(now, rateWindow)
 	free := max(0, m.updatePeakRate(now)-fresh) * scheduleSlot.Seconds()
 	from := int64(now/scheduleSlot) + 1
-	for ; m.scheduleFrom < from; m.scheduleFrom++ {
-		if m.scheduleFrom+scheduleSlots < from {
-			m.scheduleFrom = from - scheduleSlots
-		}
-		m.retrySchedule[m.scheduleFrom%scheduleSlots] = 0
-	}
+	m.clearSlotsBefore(from)
 	m.scheduled++
 	offset := float64(m.scheduled%16) / 16 // within the slot
 	// What all slots up to one can take together counts: a part of a request a slot adds up.
@@ -171,12 +176,23 @@
 		taken += float64(m.retrySchedule[(from+k)%scheduleSlots])
 		if capacity >= taken+1 {
 			m.retrySchedule[(from+k)%scheduleSlots]++
-			return min(time.Duration(from+k)*scheduleSlot+time.Duration(offset*float64(scheduleSlot))-now, maxRetryAfter)
+			at := time.Duration(from+k)*scheduleSlot + time.Duration(offset*float64(scheduleSlot))
+			return min(at-now, maxRetryAfter)
 		}
 	}
 	return maxRetryAfter
 }
 
+// clearSlotsBefore frees the slots of the schedule that are over.
+func (m *Model) clearSlotsBefore(from int64) {
+	for ; m.scheduleFrom < from; m.scheduleFrom++ {
+		if m.scheduleFrom+scheduleSlots < from {
+			m.scheduleFrom = from - scheduleSlots
+		}
+		m.retrySchedule[m.scheduleFrom%scheduleSlots] = 0
+	}
+}
+
 // State is the phase of a storm.
 func (m *Model) State() State { return m.state }
 
@@ -200,7 +216,7 @@
 	e := m.Evidence(now)
 	enough := m.ends.Value(now, rateWindow) >= minEnds
 	bad := enough && e.FailureRatio > risingThreshold
-	if quiet := !enough || e.FailureRatio < fallingThreshold; !quiet {
+	if enough && e.FailureRatio >= fallingThreshold {
 		m.calmSince = now
 	}
 	next := m.state
--- a/internal/balancer/retrystorm_simulation_test.go
+++ b/internal/balancer/retrystorm_simulation_test.go
@@ -158,7 +158,7 @@
 	w.down = make([]bool, d.backends)
 	total := d.capacityRate(w)
 	for i := range stormHouses {
-		w.cfg.Tenants = append(w.cfg.Tenants, Tenant{Name: string(rune('a' + i)), Share: 0.25, QuotaPerS: total * 0.9 / stormHouses})
+		w.cfg.Tenants = append(w.cfg.Tenants, Tenant{Name: string(rune('a' + i)), TrafficShare: 0.25, QuotaPerS: total * 0.9 / stormHouses})
 	}
 	w.seconds = make([]stormSecond, int(d.length/second)+10)
 	for i := range d.proxies {
--- a/internal/balancer/selection.go
+++ b/internal/balancer/selection.go
@@ -133,7 +133,7 @@
 		return best
 	}
 	local := b.sample(r, preferred)
-	if b.worthLeaving(r, local, best) {
+	if b.shouldLeavePreferred(r, local, best) {
 		return best
 	}
 	return local
@@ -147,9 +147,9 @@
 	return first
 }
 
-// worthLeaving tells whether the best of all is so much better than the best of the preferred that it is
-// taken.
-func (b *Balancer) worthLeaving(r *request, local, best *target) bool {
+// shouldLeavePreferred tells whether the best of all is so much better than the best of the preferred that it
+// is taken.
+func (b *Balancer) shouldLeavePreferred(r *request, local, best *target) bool {
 	localScore, bestScore := b.score(r, local), b.score(r, best)
 	if bestScore*(1+crossZonePenalty*r.replicaFactor()) >= localScore {
 		return false
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -355,12 +355,12 @@
 	t.Parallel()
 	l := stillEngine(t, ready("s-1", "127.0.0.1:1"))
 	cfg := testutil.Module(t)
-	cfg.Tenants = []balancer.Tenant{{Name: "obala", Share: 0.5}, {Name: "solina", Share: 0.5}}
+	cfg.Tenants = []balancer.Tenant{{Name: "obala", TrafficShare: 0.5}, {Name: "solina", TrafficShare: 0.5}}
 	if err := l.Reconfigure(cfg); err != nil {
 		t.Fatal(err)
 	}
 	read := l.Book()
-	cfg.Tenants = []balancer.Tenant{{Name: "lovec", Share: 0.5}, {Name: "solina", Share: 0.5}}
+	cfg.Tenants = []balancer.Tenant{{Name: "lovec", TrafficShare: 0.5}, {Name: "solina", TrafficShare: 0.5}}
 	if err := l.Reconfigure(cfg); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/rules/rules.go
+++ b/internal/fleet/rules/rules.go
@@ -28,7 +28,7 @@
 	m.Tenants = slices.Clone(newer.Tenants)
 	for i, n := range m.Tenants {
 		if k := slices.IndexFunc(older.Tenants, func(o balancer.Tenant) bool { return o.Name == n.Name }); k >= 0 {
-			m.Tenants[i].Share, m.Tenants[i].QuotaPerS = min(n.Share, older.Tenants[k].Share), min(n.QuotaPerS, older.Tenants[k].QuotaPerS)
+			m.Tenants[i].TrafficShare, m.Tenants[i].QuotaPerS = min(n.TrafficShare, older.Tenants[k].TrafficShare), min(n.QuotaPerS, older.Tenants[k].QuotaPerS)
 		}
 	}
 	o, c := &m.Obligations, &m.Caps
--- a/internal/fleet/rules/rules_test.go
+++ b/internal/fleet/rules/rules_test.go
@@ -26,7 +26,7 @@
 		if k.Name == class {
 			return allowed{
 				true, c.Caps.MaxAttempts, k.ClientTimeout, k.Effect != balancer.Unsafe && !k.NeverRerun, k.Effect == balancer.Safe && !k.NeverRerun, k.IdempotencyWindow, c.Caps.Hedging,
-				c.Obligations.DrainGrace, c.Obligations.OverloadMultiple, c.Tenants[0].Share, -c.Obligations.WarmupDuration.Seconds(),
+				c.Obligations.DrainGrace, c.Obligations.OverloadMultiple, c.Tenants[0].TrafficShare, -c.Obligations.WarmupDuration.Seconds(),
 			}
 		}
 	}
@@ -45,7 +45,7 @@
 var names = []string{"lot-list", "bid", "pickup", "notice"}
 
 func settings(t *rapid.T, name string) balancer.Config {
-	c := balancer.Config{Instances: 3, Tenants: []balancer.Tenant{{Name: "obala", Share: rapid.Float64Range(0.1, 1).Draw(t, name+" share"), QuotaPerS: 10}}}
+	c := balancer.Config{Instances: 3, Tenants: []balancer.Tenant{{Name: "obala", TrafficShare: rapid.Float64Range(0.1, 1).Draw(t, name+" share"), QuotaPerS: 10}}}
 	c.Caps.MaxAttempts = rapid.IntRange(1, 5).Draw(t, name+" attempts")
 	c.Caps.Hedging = rapid.Bool().Draw(t, name+" copies")
 	c.Obligations.DrainGrace = time.Duration(rapid.IntRange(1, 3).Draw(t, name+" grace")) * time.Second
--- a/internal/wire/bootinfo.go
+++ b/internal/wire/bootinfo.go
@@ -136,7 +136,7 @@
 	for i := range s.items("Tenants.count") {
 		p := fmt.Sprintf("Tenants.%d.", i)
 		c.Tenants = append(c.Tenants, balancer.Tenant{
-			Name: s.text(p + "Name"), Share: s.number(p+"Share", 0),
+			Name: s.text(p + "Name"), TrafficShare: s.number(p+"Share", 0),
 			QuotaPerS: s.number(p+"QuotaPerS", 0),
 		})
 	}
