--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// A request whose hint foretells several times its aim would be answered late, and its work wasted:
+// A request whose hint predicts several times its latency target would be answered late, and its work wasted:
 // it is given up at once, while those beside it are sent. Some go out all the same, or nothing would
 // ever show that they are answered in time again.
 func TestHopelessRequestsAreRejectedAtOnce(t *testing.T) {
@@ -40,7 +40,7 @@
 		twice := func(cost time.Duration, _ BackendID) time.Duration { return 2 * cost }
 		serve(t, b, h, class, 120, twice)
 		const n = 400
-		sent, refused := 0, 0
+		sent, rejected := 0, 0
 		for i := range n {
 			now := b.now + 3*second
 			b.OnTimer(now, timerSweep<<56)
@@ -48,9 +48,9 @@
 			b.OnRequest(now, Request{ID: id, Class: class, Cost: 2 * second, Deadline: now + 3*second})
 			for _, a := range h.take("send", "refuse") {
 				if a.verb == "refuse" {
-					refused++
+					rejected++
 					if a.at <= 0 {
-						t.Fatal("a refusal that does not say when to come back")
+						t.Fatal("a rejection that does not say when to come back")
 					}
 					continue
 				}
@@ -60,13 +60,13 @@
 			}
 			serve(t, b, h, class, 3, twice) // light ones beside them are sent
 		}
-		if sent+refused != n || sent < n/200 || sent > n/8 {
-			t.Errorf("class %d: %d sent, %d refused of %d", class, sent, refused, n)
+		if sent+rejected != n || sent < n/200 || sent > n/8 {
+			t.Errorf("class %d: %d sent, %d rejected of %d", class, sent, rejected, n)
 		}
 	}
 }
 
-// Where nothing is known of a class, the aim alone makes nothing hopeless.
+// Where nothing is known of a class, the latency target alone makes nothing hopeless.
 func TestNothingIsHopelessBeforeAnswers(t *testing.T) {
 	b, h := newBalancer(t, pricedConfig(), 2)
 	for i := range 5 {
@@ -78,8 +78,8 @@
 	}
 }
 
-// A crossing costs as much whatever it is for. So what is worth little stays in its own zone though
-// that is the slower one, and what is worth much goes where it is answered in time.
+// A crossing costs as much whatever it is for. So what is of little value stays in its own zone though
+// that is the slower one, and what is of much value goes where it is answered in time.
 func TestZonesAreCrossedForUtility(t *testing.T) {
 	cfg := pricedConfig()
 	cfg.Classes[safe].Value, cfg.Classes[anywhere].Value = 0.1, 20
@@ -90,7 +90,7 @@
 		}
 		return 2 * cost
 	}
-	b.cfg.Zone = 9 // of no backend: both are learnt alike
+	b.cfg.Zone = 9 // of no backend: both are learned alike
 	serve(t, b, h, safe, 60, took)
 	serve(t, b, h, anywhere, 60, took)
 	b.cfg.Zone = 0
@@ -110,6 +110,6 @@
 		}
 	}
 	if crossed[safe] > n/6 || crossed[anywhere] < n/3 {
-		t.Errorf("of %d each, %d of what is worth little crossed, and %d of what is worth much", n, crossed[safe], crossed[anywhere])
+		t.Errorf("of %d each, %d of what is of little value crossed, and %d of what is of much value", n, crossed[safe], crossed[anywhere])
 	}
 }
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -185,7 +185,7 @@
 }
 
 // One of many proxies has just started, and its guess of what a request takes is far too high: once it has an answer, it
-// doesn't space attempts out by the guess, and refuse what comes meanwhile.
+// doesn't space attempts out by the guess, and reject what comes meanwhile.
 func TestGuessedDelaySpacesNothingOut(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances = 30
@@ -225,7 +225,7 @@
 	}
 }
 
-// A backend that breaks fast has nothing out, so it looks idle; its probes may pass all the while.
+// A backend that breaks fast has nothing in flight, so it looks idle; its health checks may pass all the while.
 func TestBackendThatAnswersErrorsGetsLittle(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 4)
 	sends, broken, unsafeLost := 0, 0, 0
@@ -290,7 +290,7 @@
 	}
 	b.OnTimer(second+200*milli, timerDispatch<<56)
 	if late := h.take("send"); len(late) != 1 || own[late[0].to] {
-		t.Errorf("after a fifth of the aim, with room elsewhere: %v", late)
+		t.Errorf("after a fifth of the latency target, with room elsewhere: %v", late)
 	}
 }
 
@@ -300,7 +300,7 @@
 		name string
 		fail func(b *Balancer, h *recorder, now time.Duration)
 	}{
-		{"probes fail", func(b *Balancer, h *recorder, now time.Duration) {
+		{"health checks fail", func(b *Balancer, h *recorder, now time.Duration) {
 			for range checkThreshold {
 				b.targets[0].checkInFlight = true
 				b.OnHealthCheck(now, HealthCheckResult{Backend: 1, Result: ConnectFailed})
@@ -319,17 +319,17 @@
 	} {
 		b, h := newBalancer(t, testConfig(), 1)
 		now := 30 * second
-		if _, cold := b.warmupCapacity(b.targets[0]); cold {
-			t.Fatalf("%s: cold before", c.name)
+		if _, warming := b.warmupCapacity(b.targets[0]); warming {
+			t.Fatalf("%s: warming before", c.name)
 		}
 		c.fail(b, h, now)
 		b.now = now + second
-		if share, cold := b.warmupCapacity(b.targets[0]); !cold || share > 0.3 {
-			t.Errorf("%s: cold %v, share %v a second later", c.name, cold, share)
+		if share, warming := b.warmupCapacity(b.targets[0]); !warming || share > 0.3 {
+			t.Errorf("%s: warming %v, share %v a second later", c.name, warming, share)
 		}
 		b.now = now + 21*second
-		if _, cold := b.warmupCapacity(b.targets[0]); cold {
-			t.Errorf("%s: still cold after the cold span", c.name)
+		if _, warming := b.warmupCapacity(b.targets[0]); warming {
+			t.Errorf("%s: still warming after the warm-up", c.name)
 		}
 	}
 }
@@ -382,7 +382,7 @@
 	}
 }
 
-// A heavy request is too much for a cold backend even alone.
+// A heavy request is too much for a warming backend even alone.
 func TestHeavyRequestDoesNotGoToWarmingBackend(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
@@ -425,7 +425,7 @@
 	}
 }
 
-// What a backend served before it restarted says nothing of what it can do cold.
+// What a backend served before it restarted says nothing of what it can do while it warms up.
 func TestRestartForgetsServedWork(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 2)
 	b.targets[0].servedWork.Add(5000, second, second)
@@ -581,7 +581,7 @@
 }
 
 // Where connections break by themselves, two failures in a row are nothing odd. A
-// backend that has just answered is then not taken for one that died and starts cold.
+// backend that has just answered is then not taken for one that died and starts.
 func TestUsualBreaksAreNoRestart(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 4)
 	only := b.targets[0]
@@ -601,19 +601,19 @@
 		only.checkInFlight = true
 		b.OnHealthCheck(now+2*milli, HealthCheckResult{Backend: only.ID, Result: Reset})
 	}
-	if _, cold := b.warmupCapacity(only); cold {
-		t.Error("a backend that answers between its failures counts as cold")
+	if _, warming := b.warmupCapacity(only); warming {
+		t.Error("a backend that answers between its failures counts as warming")
 	}
 	if only.ejectedUntil <= now {
 		t.Error("if it did die, further attempts are lost on it")
 	}
 	judge(now+b.healthCheckInterval, ConnectFailed)
-	if _, cold := b.warmupCapacity(only); !cold {
+	if _, warming := b.warmupCapacity(only); !warming {
 		t.Error("one that has answered nothing for an interval does not")
 	}
 }
 
-// A backend may fail most of one class alone: it passes its probes and answers the others,
+// A backend may fail most of one class alone: it passes its health checks and answers the others,
 // so nothing else keeps that class away from it.
 func TestGrayFailureEjectsTheClass(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 6)
@@ -670,7 +670,7 @@
 		if !b.isHealthy(to) {
 			t.Fatalf("a living backend is out: after %d in a row", to.consecutiveFailures)
 		}
-		if _, cold := b.warmupCapacity(to); cold {
+		if _, warming := b.warmupCapacity(to); warming {
 			t.Fatal("a living backend counts as newly started")
 		}
 	}
@@ -728,5 +728,5 @@
 			return
 		}
 	}
-	t.Error("a dead backend is not out after three refused connections")
+	t.Error("a dead backend is not ejected after three refused connections")
 }
--- a/internal/balancer/blackstart_test.go
+++ b/internal/balancer/blackstart_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// blackout is a day on which all machines and all proxies lose power together and come back, the machines cold, with
+// blackout is a day on which all machines and all proxies lose power together and come back, the machines warming up, with
 // every client calling again.
 func blackout(t testing.TB, seed uint64, proxies int, load float64, thin bool) (w *stormSimulation, area float64, back time.Duration) {
 	t.Helper()
@@ -27,7 +27,7 @@
 		}
 	}
 	w.run()
-	// What could have been served: by the machines' true curves, the requests with the most worth for their work first.
+	// What could have been served: by the machines' true curves, the requests with the most value for their work first.
 	worth := 0.0
 	for i, s := range stormShares {
 		worth += s * w.cfg.Classes[i].Value
@@ -108,8 +108,8 @@
 	}
 }
 
-// After a power loss, with nothing warm to compare with, what cold machines are sent grows by what they answer: none
-// is pushed over, no unsafe request runs twice, and three quarters of what could have been served is.
+// After a power loss, with nothing warm to compare with, what warming machines are sent grows by what they answer: none
+// is overloaded, no unsafe request runs twice, and three quarters of what could have been served is.
 func TestBlackout(t *testing.T) {
 	t.Parallel()
 	for _, proxies := range []int{3, 12} {
@@ -117,7 +117,7 @@
 		for seed := range uint64(3) {
 			w, area, _ := blackout(t, 40+seed, proxies, 0.6, false)
 			if sum += area; w.overloads > 0 || w.ranTwice > 0 {
-				t.Errorf("%d proxies, seed %d: %d machines pushed over, %d unsafe requests run twice", proxies, seed, w.overloads, w.ranTwice)
+				t.Errorf("%d proxies, seed %d: %d machines overloaded, %d unsafe requests run twice", proxies, seed, w.overloads, w.ranTwice)
 			}
 		}
 		if sum/3 < 0.76 {
--- a/internal/balancer/decisionfiles_test.go
+++ b/internal/balancer/decisionfiles_test.go
@@ -41,7 +41,7 @@
 		}
 	}
 	// What is neither the interface, nor the settings' check, nor plain arithmetic, log lines
-	// and figures, nor the translation of what was learnt for another process, decides.
+	// and figures, nor the translation of what was learned for another process, decides.
 	all, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/balancer/grayfailure_test.go
+++ b/internal/balancer/grayfailure_test.go
@@ -49,7 +49,7 @@
 
 func withoutAnswers(f fault) fault { f.unansweredRatio = 0.87; return f }
 
-// What the module before this judgement kept of the same auctions stands beside each bound, as measured
+// What the balancer before this model kept of the same auctions stands beside each bound, as measured
 // with the same loop.
 func TestServiceUnderGrayFailures(t *testing.T) {
 	slow := []fault{faultOf(lotList, 2), faultOf(catchSheet, 2), faultOf(bid, 2), faultOf(pickup, 2)}
@@ -94,7 +94,7 @@
 			t.Logf("by class: %.3f", got)
 			for i, v := range got {
 				if i == c.class && v < c.least || i != c.class && v < c.others {
-					t.Errorf("class %d keeps %.3f of its worth", i, v)
+					t.Errorf("class %d keeps %.3f of its value", i, v)
 				}
 			}
 		})
@@ -131,7 +131,7 @@
 		back += w.sent(i, bid, 23*second, 24*second)
 	}
 	if back < 10 {
-		t.Errorf("2 s after the trouble %d bids a second go there", back)
+		t.Errorf("2 s after the fault %d bids a second go there", back)
 	}
 	for _, p := range w.proxies {
 		log := strings.Join(p.logs, "\n")
@@ -215,11 +215,11 @@
 	w.reset()
 	w.run(60 * second)
 	if n := w.sent(1, bid, 45*second, 60*second); n == 0 {
-		t.Error("nothing of it goes there ten seconds after the trouble")
+		t.Error("nothing of the class goes there ten seconds after the fault")
 	}
 }
 
-// A proxy that starts in the middle of a trouble has learnt nothing, and finds out.
+// A proxy that starts in the middle of a fault has learned nothing, and finds out.
 func TestProxyStartedDuringFaultDetectsIt(t *testing.T) {
 	w := newSimulation(t, 4, 9, 3, 0.55)
 	f := withoutAnswers(faultOf(bid, 4))
@@ -272,7 +272,7 @@
 				t.Fatalf("the second attempt went to %d", a.to)
 			}
 			if a.verb == "refuse" {
-				t.Fatal("refused what may have run")
+				t.Fatal("rejected what may have run")
 			}
 			if a.verb == "send" {
 				b.OnAttemptEnd(now, Outcome{ID: id, Attempt: 1, Backend: 2, Result: OK, Final: true})
@@ -305,7 +305,7 @@
 	}
 }
 
-// Rules outlive the judgement: whatever a class's state, bids are sent once.
+// Rules hold beside the model: whatever a class's state, bids are sent once.
 func TestUnsafeRequestsRunOnceUnderGrayFailures(t *testing.T) {
 	w := newSimulation(t, 9, 6, 2, 0.6)
 	w.faults = []fault{withoutAnswers(faultOf(bid, 3)), {class: -1, from: 11 * second, to: 21 * second, resetRatio: 0.2}}
--- a/internal/balancer/idempotency_test.go
+++ b/internal/balancer/idempotency_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// Where none of the classes stays, another customer's settings have come: what was learnt of work goes, and what the
+// Where none of the classes stays, another customer's settings have come: what was learned of work goes, and what the
 // rules rest on stays.
 func TestOtherClassesDiscardLearnedState(t *testing.T) {
 	cfg := testConfig()
@@ -100,7 +100,7 @@
 		}
 	}
 	if old.warmupStarted != b.now || old.warmupTokens != -3 || old.healthy {
-		t.Error("a cold start, its budget or its health was forgotten")
+		t.Error("a start, its budget or its health was forgotten")
 	}
 	b.OnRequest(b.now, Request{ID: 1 << 20, Class: gone, Deadline: b.now + 5*second})
 	if want := b.expectedDelay(gone, 0); b.meanExpectedDelay != want {
--- a/internal/balancer/learnedstate_test.go
+++ b/internal/balancer/learnedstate_test.go
@@ -13,7 +13,7 @@
 	"marlreel/internal/process/learnedstate"
 )
 
-// learnedStateOf is all that a balancer has learnt.
+// learnedStateOf is all that a balancer has learned.
 func learnedStateOf(b *Balancer, now time.Duration) *learnedstate.State {
 	s := b.LearnedState(now)
 	ids := b.LearnedBackends()
@@ -135,7 +135,7 @@
 	return float64(v.Int())
 }
 
-// What was learnt grows old: sums fade, ejections end, starts lie further back, and what has
+// What was learned grows old: sums decay, ejections end, starts lie further back, and what has
 // started since is another one.
 func TestLearnedStateAges(t *testing.T) {
 	const now, away = 100 * second, 3 * second
@@ -159,10 +159,10 @@
 	if !to.isHealthy(a) {
 		t.Error("an ejection that would be over by now holds")
 	}
-	if _, cold := to.warmupCapacity(a); cold {
-		t.Error("it started 22 s ago, and counts as cold")
+	if _, warming := to.warmupCapacity(a); warming {
+		t.Error("it started 22 s ago, and counts as warming")
 	}
-	if _, cold := to.warmupCapacity(c); !cold || c.answers.Value(now+away, to.decayTime) > 0 {
+	if _, warming := to.warmupCapacity(c); !warming || c.answers.Value(now+away, to.decayTime) > 0 {
 		t.Error("one that has started since is taken for the one before")
 	}
 }
@@ -186,7 +186,7 @@
 		t.Errorf("healthy: %v by own answers, %v by the other's word", mine.healthy, to.byID[2].healthy)
 	}
 	if mine.warmupTokens > -7 || to.retryTokens != 2 {
-		t.Errorf("budgets: %v of cold work, %v of retries", mine.warmupTokens, to.retryTokens)
+		t.Errorf("budgets: %v of warm-up work, %v of retries", mine.warmupTokens, to.retryTokens)
 	}
 	from.retryTokens = 1
 	to.Restore(now, 0, learnedStateOf(from, now))
@@ -247,7 +247,7 @@
 }
 
 // A day on which all proxies are replaced while one node is silent for bids, one is slow and
-// one fails all: what is served in the four seconds after it with what was learnt, and without.
+// one fails all: what is served in the four seconds after it with what was learned, and without.
 func TestLearnedStateHelpsTheNextProcess(t *testing.T) {
 	const seeds, at = 6, 16 * second
 	var with, without []float64
--- a/internal/balancer/obligations_test.go
+++ b/internal/balancer/obligations_test.go
@@ -20,14 +20,14 @@
 	serial           int
 	requests         map[RequestID]*hostRequest
 	backends         map[BackendID]*hostBackend
-	unavailableSince map[BackendID]time.Duration // when the module was told that it drains or is gone
-	peakWork         time.Duration               // most work that a backend served within a window of the cold budget
+	unavailableSince map[BackendID]time.Duration // when the Balancer was told that it drains or is gone
+	peakWork         time.Duration               // most work that a backend served within a window of the warm-up budget
 	violations       []string
 }
 
 const meanCost = 60 * milli
 
-// proxyProcess is one process of the proxy: the world as it is to that one.
+// proxyProcess is one process of the proxy: the host as it is to that one.
 type proxyProcess struct {
 	*obligationHost
 	b *Balancer
@@ -234,7 +234,7 @@
 	c := w.cfg.Classes[r.Class]
 	for _, a := range r.attempts {
 		if c.Effect != Safe && (c.Effect != Keyed || c.Group != GroupAll) && (!a.done || !a.result.NeverRan()) {
-			w.report("rule 2: request %d is refused though it may have run", id)
+			w.report("rule 2: request %d is rejected though it may have run", id)
 		}
 	}
 	r.answered = true
@@ -257,10 +257,10 @@
 
 func (w *proxyProcess) CheckHealth(id BackendID) {
 	if !w.cfg.Caps.HealthChecks {
-		w.report("a probe where none is allowed")
+		w.report("a health check where none is allowed")
 	}
-	if told, out := w.unavailableSince[id]; out && w.now-told > w.cfg.Obligations.DrainGrace {
-		w.report("rule 3: probe of %d after it was told to drain", id)
+	if since, unavailable := w.unavailableSince[id]; unavailable && w.now-since > w.cfg.Obligations.DrainGrace {
+		w.report("rule 3: health check of %d after it was told to drain", id)
 	}
 	s := w.backends[id]
 	w.after(2*milli, func() { w.b.OnHealthCheck(w.now, HealthCheckResult{Backend: id, Result: s.result, Took: 2 * milli}) })
@@ -476,7 +476,7 @@
 		r.terms = b.cfg.Classes[keyed].terms()
 	}},
 	{"after the window", anywhere, func(b *Balancer, _ *request, _ *target) { b.now += 2 * second }},
-	{"cold without budget", safe, func(b *Balancer, _ *request, o *target) {
+	{"warming without budget", safe, func(b *Balancer, _ *request, o *target) {
 		o.warmupStarted, o.warmupTokens = b.now, -1
 	}},
 }
--- a/internal/balancer/reconfigure_test.go
+++ b/internal/balancer/reconfigure_test.go
@@ -16,7 +16,7 @@
 	return c
 }
 
-// What was learnt of a class survives a reload that keeps it, and one that is new knows
+// What was learned of a class survives a reload that keeps it, and one that is new knows
 // nothing of it.
 func TestReconfigureKeepsLearnedState(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 2)
@@ -33,7 +33,7 @@
 		t.Errorf("class 0 is expected to take %v, it was %v", got, before)
 	}
 	if got := b.expectedDelay(last, 0); got != 250 {
-		t.Errorf("the new class is expected to take %v ms, want a quarter of its aim", got)
+		t.Errorf("the new class is expected to take %v ms, want a quarter of its latency target", got)
 	}
 	// Its place goes to another class: nothing stays.
 	b.delayModels[last].add(0, 9)
--- a/internal/balancer/recorded_test.go
+++ b/internal/balancer/recorded_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// A recorded life of a proxy: list changes, deaths, cold starts, storms, every kind of
-// outcome, in an order that a seed gives. What the module did about it is kept as a
+// A recorded run of a proxy: membership changes, crashes, starts, storms, every kind of
+// outcome, in an order that a seed gives. What the Balancer did about it is kept as a
 // digest in testdata, and its first lines as text, so that a refactoring that changes
 // a decision is told, and where. A change of decisions that is meant writes it anew:
 // MARLREEL_RECORD=1 go test -run TestRecordedActions .
--- a/internal/balancer/restart_test.go
+++ b/internal/balancer/restart_test.go
@@ -97,7 +97,7 @@
 }
 
 // A proxy that starts anew every 300 ms, each time with the memory of the life before: nothing grows, nobody
-// is kept out for ever, and what was learnt is neither lost nor made younger.
+// is kept out for ever, and what was learned is neither lost nor made younger.
 func TestRestartLoop(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig()
@@ -153,13 +153,13 @@
 
 const (
 	nothing    restartKind = iota // the list of the start
-	remembered                    // and what it had learnt, two seconds before it was killed
+	remembered                    // and what it had learned, two seconds before it was killed
 	falsely                       // and what is not so: well for bad, limits, delays and budgets drawn
 )
 
 func (r restartKind) String() string { return [...]string{"nothing", "memory", "false memory"}[r] }
 
-// simulateRestarts is a day on which a machine is slow and one dies and is back cold; all proxies are killed within a
+// simulateRestarts is a day on which a machine is slow and one dies, returns and warms up; all proxies are killed within a
 // second at 20 s, when the dead one is just back.
 func simulateRestarts(t testing.TB, seed uint64, proxies int, how restartKind) *stormSimulation {
 	t.Helper()
--- a/internal/balancer/retrystorm_simulation_test.go
+++ b/internal/balancer/retrystorm_simulation_test.go
@@ -11,7 +11,7 @@
 	"marlreel/internal/standin/machine"
 )
 
-// A closed loop of clients that come again, proxies, and machines that die and return cold, all in
+// A closed loop of clients that come again, proxies, and machines that die and return and warm up, all in
 // simulated time. Clients count a request and its retries as one, from its first arrival, as the
 // operators do.
 
@@ -20,7 +20,7 @@
 	seed               uint64
 	backends, proxies  int
 	load               float64 // of what all machines can do
-	retries            int     // by a client, beside its first try
+	retries            int     // by a client, beside its first attempt
 	backoff            time.Duration
 	exponential        bool
 	followRatio        float64 // share of the clients that wait as long as they are told
@@ -29,7 +29,7 @@
 	dies, back, length time.Duration
 	failedRatio        float64 // of the machines that die
 	slowWhenCrowded    bool    // crowded machines turn slow
-	strayRatio         float64 // share of the tries that come to any proxy, not that of the client's zone
+	strayRatio         float64 // share of the attempts that come to any proxy, not that of the client's zone
 	stormingTenant     int     // one whose clients come again at once, and often; -1: none
 	policy             func(d *stormSimulation, rank int, h Host) decider
 }
@@ -73,10 +73,10 @@
 
 type stormSecond struct {
 	offered, served float64
-	requests        int // tries
+	requests        int // attempts
 }
 
-// stormClientRequest is one request of a client with all its tries.
+// stormClientRequest is one request of a client with all its attempts.
 type stormClientRequest struct {
 	class, tenant int
 	home          int // the proxy of its zone
@@ -98,7 +98,7 @@
 	logs []string
 }
 
-// stormRequest is a client's try at a proxy, with that one's attempts.
+// stormRequest is a client's attempt at a proxy, with that one's attempts.
 type stormRequest struct {
 	p        *stormProxy
 	u        *stormClientRequest
@@ -209,7 +209,7 @@
 		w.users = append(w.users, u)
 		w.at(u.arrived).offered += u.value
 		w.homes[u.tenant][0] += u.value
-		w.try(u)
+		w.sendRequest(u)
 		w.arrive(rate)
 	})
 }
@@ -218,8 +218,8 @@
 	return &w.seconds[min(int(t/second), len(w.seconds)-1)]
 }
 
-// try is one try of a client, at whichever proxy it comes to.
-func (w *stormSimulation) try(u *stormClientRequest) {
+// sendRequest is one attempt of a client, at whichever proxy it comes to.
+func (w *stormSimulation) sendRequest(u *stormClientRequest) {
 	p := w.proxies[u.home]
 	if w.rng.Float64() < w.scenario.strayRatio {
 		p = w.proxies[w.rng.IntN(len(w.proxies))]
@@ -258,7 +258,7 @@
 	if !may || u.over || u.attempts > retries || w.now+wait >= u.arrived+w.cfg.Classes[u.class].ClientTimeout {
 		return
 	}
-	w.in(wait, func() { w.try(u) })
+	w.in(wait, func() { w.sendRequest(u) })
 }
 
 // restart kills a proxy and starts it anew, with the list that it had and nothing else: what it held
@@ -289,7 +289,7 @@
 	})
 }
 
-// outage lets a part of the machines die together and return cold, and discovery tell of it late.
+// outage lets a part of the machines die together and return and warm up, and discovery tell of it late.
 func (w *stormSimulation) outage() {
 	d := w.scenario
 	if d.failedRatio <= 0 {
@@ -506,7 +506,7 @@
 	return w
 }
 
-// service is the share of worth served of what was first asked within a span.
+// service is the share of value served of what was first asked within a span.
 func (w *stormSimulation) service(from, to time.Duration) float64 {
 	asked, served := 0.0, 0.0
 	for s := int(from / second); s < int(to/second); s++ {
--- a/internal/balancer/retrystorm_test.go
+++ b/internal/balancer/retrystorm_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// usualStormScenario is an outage of a quarter of the machines, which return cold while all clients come
+// usualStormScenario is an outage of a quarter of the machines, which return and warm up while all clients come
 // again; a crowded machine turns slow, which is what lets an outage go on by itself.
 func usualStormScenario(seed uint64) stormScenario {
 	return stormScenario{
@@ -33,7 +33,7 @@
 
 func totalService(w *stormSimulation) float64 { return w.service(4*second, w.scenario.length) }
 
-// An outage is over within 30 s of the machines' return, and no cold one is pushed over. Without any
+// An outage is over within 30 s of the machines' return, and no warming one is overloaded. Without any
 // control the same days don't end: so they are storms.
 func TestRecoveryAfterOutage(t *testing.T) {
 	t.Parallel()
@@ -106,7 +106,7 @@
 			d.failedRatio, d.retries, d.backoff, d.followRatio, d.retryAfter = 0.5, 10, 30*milli, honour, true
 		}, tries)
 		if got > 1.15 {
-			t.Errorf("%.2f tries each, where %v of the clients wait", got, honour)
+			t.Errorf("%.2f attempts each, where %v of the clients wait", got, honour)
 		}
 	}
 }
--- a/internal/balancer/selection_test.go
+++ b/internal/balancer/selection_test.go
@@ -39,11 +39,11 @@
 	return went
 }
 
-// Of many holders a proxy turns to a few, of its own zone where there are any, so that connections last.
+// Of many replicas a proxy turns to a few, of its own zone where there are any, so that connections last.
 func TestRequestsGoToFewReplicasNearby(t *testing.T) {
 	went := sendNeeds(t, &replicaAdvice{}, 100)
 	if len(went) > preferredReplicas+2 { // the first one of all has nothing to be compared by
-		t.Errorf("they went to %d holders: %v", len(went), went)
+		t.Errorf("they went to %d replicas: %v", len(went), went)
 	}
 	for id, count := range went {
 		if zone := list(40)[id-1].Zone; zone != testConfig().Zone && count > 10 {
@@ -66,12 +66,12 @@
 		}
 	}
 	if busy > 10 {
-		t.Errorf("%d of 100 went to holders with 20 s of work", busy)
+		t.Errorf("%d of 100 went to replicas with 20 s of work", busy)
 	}
 }
 
-// A proxy's subset of backends, made for probes and for requests that any backend can run, does not narrow the holders
-// of what few hold: of forty backends and ninety proxies it would be three.
+// A proxy's subset of backends, made for health checks and for requests that any backend can run, does not narrow the
+// replicas of what few have loaded: of forty backends and ninety proxies it would be three.
 func TestSubsetDoesNotNarrowReplicas(t *testing.T) {
 	advice := &replicaAdvice{extraDelays: map[BackendID]float64{}}
 	for id := BackendID(1); id <= 40; id++ {
@@ -80,6 +80,6 @@
 	advice.extraDelays[17] = 0
 	went := sendNeeds(t, advice, 200)
 	if went[17] < 20 {
-		t.Errorf("%d of 200 went to the one holder that is idle: %v", went[17], went)
+		t.Errorf("%d of 200 went to the one replica that is idle: %v", went[17], went)
 	}
 }
--- a/internal/balancer/simulation_test.go
+++ b/internal/balancer/simulation_test.go
@@ -45,10 +45,10 @@
 	nextID   RequestID
 	nextJob  uint64
 
-	offered, served []float64 // worth by class
+	offered, served []float64 // value by class
 	sends           map[[2]int][]time.Duration
 	lost            map[[2]int]int // attempts that a fault swallowed,
-	lostTrials      int            // and how many of them were tries
+	lostTrials      int            // and how many of them were trials
 	onSend          func(*simulatedProxy, *simulatedRequest)
 	onSent          func(to BackendID) // nil: nobody counts
 }
@@ -369,7 +369,7 @@
 	w.lostTrials = 0
 }
 
-// service is the share of worth answered in time, of all or of one class.
+// service is the share of value answered in time, of all or of one class.
 func (w *simulation) service(class int) float64 {
 	if class >= 0 {
 		return w.served[class] / w.offered[class]
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -14,21 +14,21 @@
 	"marlreel/internal/standin/machine"
 )
 
-// warmupScenario is a closed loop in which machines start cold among warm ones, and what each is sent is counted.
+// warmupScenario is a closed loop in which machines start among warm ones, and what each is sent is counted.
 type warmupScenario struct {
 	seed         uint64
 	proxies      int
-	budgetCalls  float64 // mean requests that the settings allow a cold machine in their window at its start
+	budgetCalls  float64 // mean requests that the settings allow a warming machine in their window at its start
 	skew         float64 // of the proxies' traffic: the sigma of a log-normal factor
 	load         float64
 	startAt      time.Duration // when machines start, from the loop's beginning
 	freshProxies bool          // the proxies start when the machines do, and know nothing
-	restartTwice bool          // the machines start once more while they are cold
+	restartTwice bool          // the machines start once more while they are warming
 }
 
 const (
 	warmupScenarioMachines = 12
-	startedMachines        = 3 // of them, that start cold
+	startedMachines        = 3 // of them, that start in the scenario
 )
 
 // warmupResult is what the day came to.
@@ -37,7 +37,7 @@
 	windows     int     // looked at: one a request
 	worstExcess float64 // of all windows: what was sent beyond the budget, in roots of it
 	fairAfter   time.Duration
-	served      float64 // share of the worth
+	served      float64 // share of the value
 	sent        int
 }
 
@@ -48,7 +48,7 @@
 	initialCapacity float64
 	warmup          time.Duration
 	window          time.Duration
-	workFactor      float64 // the work, the aims and the deadlines, of the loop's
+	workFactor      float64 // the work, the latency targets and the deadlines, times those of the simulation
 }
 
 const overloadMultiple = 2.5
@@ -118,9 +118,9 @@
 
 func (r *warmupRun) replaceMachines() {
 	k := r.machines
-	cold := machine.Cold{From: k.initialCapacity, For: k.warmup, Multiple: overloadMultiple, Over: k.window}
+	warmup := machine.Cold{From: k.initialCapacity, For: k.warmup, Multiple: overloadMultiple, Over: k.window}
 	for i := range r.w.machines {
-		cfg := machine.Config{Cores: k.cores, Speed: machineSpeeds[i%3], Slots: 16, Queue: 40, Cold: cold}
+		cfg := machine.Config{Cores: k.cores, Speed: machineSpeeds[i%3], Slots: 16, Queue: 40, Cold: warmup}
 		r.w.machines[i] = machine.New(cfg, r.w.now, true)
 	}
 }
@@ -240,9 +240,9 @@
 	return sum
 }
 
-// Whatever the number of processes, the size of the budget, the skew of their traffic and what they know: no cold
+// Whatever the number of processes, the size of the budget, the skew of their traffic and what they know: no warming
 // machine is sent more in any window than its budget and what chance may add, by all of them together. And it still
-// gets enough to serve while it is cold.
+// gets enough to serve while it is warming.
 func TestWarmupBudgetHoldsOverAllProxies(t *testing.T) {
 	var all warmupSummary
 	for _, proxies := range []int{1, 3, 10, 30} {
@@ -264,7 +264,7 @@
 }
 
 // A budget's debt begins with the start that makes it, however long the machine had been warm: what is saved up or paid
-// back in that time was no cold budget.
+// back in that time was no warm-up budget.
 func TestWarmupDebtBeginsWithTheStart(t *testing.T) {
 	w := newSimulation(t, 1, warmupScenarioMachines, 10, 0.7)
 	w.run(w.now + 40*second)
--- a/internal/balancer/subset_test.go
+++ b/internal/balancer/subset_test.go
@@ -9,9 +9,9 @@
 )
 
 // drive plays d of a proxy's life in steps of 10 ms: a request every gap, each answered after took, every
-// probe passed, and the sweep timer. It returns the sends and the probes by backend.
-func drive(b *Balancer, h *recorder, from, d, gap, took time.Duration) (sends, probes map[BackendID]int) {
-	sends, probes = map[BackendID]int{}, map[BackendID]int{}
+// health check passed, and the sweep timer. It returns the sends and the health checks by backend.
+func drive(b *Balancer, h *recorder, from, d, gap, took time.Duration) (sends, checks map[BackendID]int) {
+	sends, checks = map[BackendID]int{}, map[BackendID]int{}
 	id, next := RequestID(from/milli), from
 	type due struct {
 		at time.Duration
@@ -33,12 +33,12 @@
 				sends[a.to]++
 				out = append(out, due{now + took, Outcome{ID: a.id, Backend: a.to, Result: OK, Took: took, Final: true}})
 			} else {
-				probes[a.to]++
+				checks[a.to]++
 				b.OnHealthCheck(now, HealthCheckResult{Backend: a.to, Result: OK, Took: milli})
 			}
 		}
 	}
-	return sends, probes
+	return sends, checks
 }
 
 func total(counts map[BackendID]int) (n int) {
@@ -48,7 +48,7 @@
 	return n
 }
 
-// Hundreds of proxies that each probe every server by the clock wear the servers out.
+// Hundreds of proxies that each check every backend by the clock wear the backends out.
 func TestHealthChecksAreAShareOfRequests(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -61,13 +61,13 @@
 		cfg := testConfig()
 		cfg.Instances = 300
 		b, h := newBalancer(t, cfg, c.backends)
-		drive(b, h, second, 60*second, c.gap, 5*milli) // the gap is learnt
-		sends, probes := drive(b, h, 61*second, 120*second, c.gap, 5*milli)
-		if n := total(sends); float64(total(probes)) > 1.2*maxCheckRatio*float64(n) {
-			t.Errorf("%s: %d probes for %d requests", c.name, total(probes), n)
+		drive(b, h, second, 60*second, c.gap, 5*milli) // the gap is learned
+		sends, checks := drive(b, h, 61*second, 120*second, c.gap, 5*milli)
+		if n := total(sends); float64(total(checks)) > 1.2*maxCheckRatio*float64(n) {
+			t.Errorf("%s: %d health checks for %d requests", c.name, total(checks), n)
 		}
-		if total(probes) == 0 {
-			t.Errorf("%s: no probe at all", c.name)
+		if total(checks) == 0 {
+			t.Errorf("%s: no health check at all", c.name)
 		}
 	}
 }
@@ -147,8 +147,8 @@
 	}
 }
 
-// Where a proxy sees few answers, the first crowd would be over before it had learnt what is usual: until
-// then a share of the aim tells.
+// Where a proxy sees few answers, the first crowd would be over before it had learned what is usual: until
+// then a share of the latency target tells.
 func TestOverdueWithoutAKnownTail(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances = 400
@@ -158,7 +158,7 @@
 	before := to.concurrencyLimit
 	b.OnTimer(10*second+400*milli, timerSweep<<56)
 	if to.concurrencyLimit >= before {
-		t.Errorf("out for 0.4 of its aim, the limit went from %.3f to %.3f", before, to.concurrencyLimit)
+		t.Errorf("out for 0.4 of its latency target, the limit went from %.3f to %.3f", before, to.concurrencyLimit)
 	}
 }
 
@@ -200,7 +200,7 @@
 	}
 }
 
-// A bank that restarts while servers come back cold knows no request's work yet: without debt each proxy
+// Proxies that restart while backends warm up know no request's work yet: without debt each proxy
 // would send each of them one request at once.
 func TestRestartedProxiesTakeTurnsAtWarmingBackends(t *testing.T) {
 	const proxies = 300
@@ -214,20 +214,20 @@
 			t.Fatal(err)
 		}
 		b.Start(100 * second)
-		cold := list(4)
-		for i := range cold {
-			cold[i].Started = 99 * second
+		warming := list(4)
+		for i := range warming {
+			warming[i].Started = 99 * second
 		}
-		b.OnMembership(100*second, Membership{Kind: MembershipCached, Version: 1, Backends: cold})
+		b.OnMembership(100*second, Membership{Kind: MembershipCached, Version: 1, Backends: warming})
 		b.OnRequest(100*second, Request{ID: 1, Deadline: 103 * second})
 		sent += len(h.take("send"))
 	}
 	if sent > proxies/20 {
-		t.Errorf("%d of %d restarted proxies sent to 4 cold backends at once", sent, proxies)
+		t.Errorf("%d of %d restarted proxies sent to 4 warming backends at once", sent, proxies)
 	}
 }
 
-// With hundreds of proxies hardly anything waits, so what is worth more must get room sooner.
+// With hundreds of proxies hardly anything waits, so what has more utility must get room sooner.
 func TestMoreUtilityIsSpacedLess(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
@@ -262,7 +262,7 @@
 	}
 }
 
-// Outcomes and probes that come twice, late or for nothing change nothing, and worth may be nothing at all.
+// Outcomes and health checks that come twice, late or for nothing change nothing, and utility may be 0.
 func TestLateAndDuplicateEventsChangeNothing(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances = 400
@@ -273,11 +273,11 @@
 	b.OnRequest(10*second, Request{ID: 1, Class: unsafe, Deadline: 13 * second})
 	got := h.take("send")
 	if len(got) != 1 {
-		t.Fatalf("a request worth nothing: %v", got)
+		t.Fatalf("a request of no utility: %v", got)
 	}
 	to := b.byID[got[0].to]
 	if to.concurrencyLimit < 1 && b.underLimit(&request{}, to) {
-		t.Error("room for one more at once where nothing is worth anything")
+		t.Error("room for one more at once where nothing has any utility")
 	}
 	once := Outcome{ID: 1, Backend: to.ID, Result: Error, Took: milli}
 	b.OnAttemptEnd(10*second+milli, once)
@@ -289,6 +289,6 @@
 	b.OnHealthCheck(10*second+2*milli, HealthCheckResult{Backend: to.ID, Result: Timeout})
 	b.OnClientGone(10*second+3*milli, 1)
 	if got := h.take("fail", "refuse", "send"); len(got) != 0 || to.consecutiveFailures != bad || to.load != load || to.failedChecks != 0 {
-		t.Errorf("%v; %d bad, load %v, %d probes failed", got, to.consecutiveFailures, to.load, to.failedChecks)
+		t.Errorf("%v; %d bad, load %v, %d health checks failed", got, to.consecutiveFailures, to.load, to.failedChecks)
 	}
 }
