--- a/internal/controlplane/chain/catchup_test.go
+++ b/internal/controlplane/chain/catchup_test.go
@@ -56,7 +56,7 @@
 }
 
 // A member that was away catches up while the chain serves on, however much it has missed.
-func TestAMemberThatWasAwayCatchesUp(t *testing.T) {
+func TestReturningMemberCatchesUpWhileInService(t *testing.T) {
 	for _, away := range []int{1, 64, 65, 1000, 5000} {
 		t.Run(fmt.Sprint(away), func(t *testing.T) {
 			t.Parallel()
@@ -80,7 +80,7 @@
 }
 
 // A state of 2 MB reaches a member over 10 Mbit/s while changes go on, and the chain serves on.
-func TestALargeStateReachesAMemberWhileChangesGoOn(t *testing.T) {
+func TestLargeSnapshotTransferWhileEntriesAreCommitted(t *testing.T) {
 	for name, lose := range map[string]func(c *cluster, p *process){
 		"an old log": func(c *cluster, p *process) { c.kill(p) },
 		"no log":     func(c *cluster, p *process) { c.wipe(p) },
@@ -107,7 +107,7 @@
 }
 
 // What interrupts a member that takes the state in: it begins anew, and gets there.
-func TestATransferThatIsInterruptedEnds(t *testing.T) {
+func TestInterruptedCatchUpCompletes(t *testing.T) {
 	for name, interrupt := range map[string]func(c *cluster, learner, head, other *process){
 		"the member is restarted": func(c *cluster, learner, _, _ *process) { c.restart(learner) },
 		"its link is cut": func(c *cluster, learner, _, _ *process) {
@@ -158,7 +158,7 @@
 
 // Where the chain needs a member that is being brought up to date, it rests until that one has all,
 // and nothing is lost.
-func TestAChainThatNeedsAMemberThatLagsWaitsForIt(t *testing.T) {
+func TestChainWaitsForLaggingMemberItNeeds(t *testing.T) {
 	is := is.New(t)
 	c := newLargeCluster(t, 24, 3)
 	c.mustServe("founding")
@@ -181,7 +181,7 @@
 
 // A member that lags far behind is not taken into a chain that can do without it: the chain would be
 // out of service until it has all.
-func TestAMemberThatLagsIsNotTakenInWithoutNeed(t *testing.T) {
+func TestLaggingMemberIsLeftOutOfNewChain(t *testing.T) {
 	is := is.New(t)
 	c := newLargeCluster(t, 25, 5)
 	c.mustServe("founding")
@@ -203,7 +203,7 @@
 }
 
 // The log stays within its bounds while somebody is brought up to date who never gets there.
-func TestTheLogIsBoundedWhileSomebodyIsBroughtUp(t *testing.T) {
+func TestLogIsBoundedDuringCatchUp(t *testing.T) {
 	is := is.New(t)
 	c := newLargeCluster(t, 26, 3)
 	c.cfg.MaxCatchUpLogEntries = 60
@@ -230,7 +230,7 @@
 }
 
 // Entries of many bytes are compacted sooner.
-func TestTheLogIsBoundedInBytes(t *testing.T) {
+func TestLogIsBoundedInBytes(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 27, 3)
 	c.cfg.MaxLogEntries = 64
@@ -255,7 +255,7 @@
 }
 
 // A copy of the log that comes late, or to a member of the chain, takes nothing back.
-func TestALateCopyTakesNothingBack(t *testing.T) {
+func TestStaleCatchUpIsIgnored(t *testing.T) {
 	for name, leaves := range map[string]bool{"at a member of the chain": false, "at one that is outside": true} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -284,7 +284,7 @@
 }
 
 // A copy that is newer than a member's log changes nothing there either: what is in the chain gets entries by the chain.
-func TestACopyChangesNothingInTheChain(t *testing.T) {
+func TestCatchUpIsIgnoredInTheChain(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 29, 3)
 	c.mustServe("founding")
--- a/internal/controlplane/chain/chain_test.go
+++ b/internal/controlplane/chain/chain_test.go
@@ -23,7 +23,7 @@
 	c.auditService()
 }
 
-func TestFoundingTakesAllFoundersIn(t *testing.T) {
+func TestFoundersFormTheFirstChain(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 1, 3)
 	c.mustServe("founding")
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestEachMemberMayDieAndComeBack(t *testing.T) {
+func TestEachMemberFailsAndReturns(t *testing.T) {
 	for victim := range 3 {
 		t.Run(fmt.Sprint(victim), func(t *testing.T) {
 			is := is.New(t)
@@ -50,7 +50,7 @@
 
 // A machine whose disk was lost comes back under a new incarnation. The chain's
 // heartbeats to its old one must not be all that it hears, or it never joins.
-func TestWipedMemberIsTakenInAnew(t *testing.T) {
+func TestWipedMemberRejoinsUnderNewIncarnation(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3, 3)
 	c.mustServe("founding")
@@ -72,7 +72,7 @@
 	c.mustServe("power is back, and one more disk is empty")
 }
 
-func TestReplacedMemberAtAnotherAddress(t *testing.T) {
+func TestReplacementAtAnotherAddress(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 4, 3)
 	c.mustServe("founding")
@@ -84,7 +84,7 @@
 	is.Equal(len(joined.node.View().Members), 3)
 }
 
-func TestPlannedReplacementComesFirst(t *testing.T) {
+func TestReplacementJoinsBeforeMemberIsRemoved(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 5, 3)
 	c.mustServe("founding")
@@ -110,7 +110,7 @@
 }
 
 // A head that hears nobody, and whose own heartbeats arrive, is left out like one that is silent.
-func TestDeafHeadIsLeftOut(t *testing.T) {
+func TestHeadWithOneWayPartitionIsReplaced(t *testing.T) {
 	for _, deaf := range []bool{true, false} {
 		c := newCluster(t, 9, 3)
 		c.mustServe("founding")
@@ -131,7 +131,7 @@
 	}
 }
 
-func TestAllDieAtOnce(t *testing.T) {
+func TestAllMembersRestartAtOnce(t *testing.T) {
 	c := newCluster(t, 7, 3)
 	c.mustServe("founding")
 	for range 3 {
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestConfirmNeedsAMajority(t *testing.T) {
+func TestConfirmViewNeedsMajority(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 8, 3)
 	c.mustServe("founding")
@@ -182,7 +182,7 @@
 
 // A member that hears nothing while all others are replaced finds the chain by the seeds
 // that it is told of then.
-func TestMemberThatKnowsOnlyStrangersFindsTheChain(t *testing.T) {
+func TestIsolatedMemberFindsReplacedChainBySeeds(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 6, 3)
 	c.mustServe("founding")
@@ -210,7 +210,7 @@
 
 // A machine whose disk was lost, and whose seeds name nobody who is left, finds the chain by
 // those who call for its old self.
-func TestWipedMemberWhoseSeedsAreGoneFindsTheChain(t *testing.T) {
+func TestWipedMemberFindsChainWithoutSeeds(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 7, 3)
 	c.mustServe("founding")
--- a/internal/controlplane/chain/history_test.go
+++ b/internal/controlplane/chain/history_test.go
@@ -336,7 +336,7 @@
 	}
 }
 
-func TestHistoriesAreReadAsTheyAreWritten(t *testing.T) {
+func TestHistoryFilesRoundTrip(t *testing.T) {
 	is := is.New(t)
 	for number := range 50 {
 		h := drawHistory(number)
@@ -350,7 +350,7 @@
 	}
 }
 
-func TestAHistoryIsTheSameEachTime(t *testing.T) {
+func TestHistoryIsDeterministic(t *testing.T) {
 	is := is.New(t)
 	trace := func() []string {
 		h := drawHistory(5)
@@ -364,7 +364,7 @@
 }
 
 // What shrinks a history leaves what the failure needs, and nothing else.
-func TestShrinking(t *testing.T) {
+func TestShrinkHistory(t *testing.T) {
 	is := is.New(t)
 	h := drawHistory(3)
 	h.faults = append(h.faults, fault{kind: "kill", machine: 1, lasts: time.Second, rest: time.Second},
--- a/internal/controlplane/chain/leave_test.go
+++ b/internal/controlplane/chain/leave_test.go
@@ -16,7 +16,7 @@
 }
 
 // A member that is about to end is out of the chain before it does, and hardly a write waits for that.
-func TestAMemberLeavesBeforeItEnds(t *testing.T) {
+func TestMemberLeavesBeforeItStops(t *testing.T) {
 	for place := range 3 {
 		t.Run(fmt.Sprint(place), func(t *testing.T) {
 			is := is.New(t)
@@ -39,7 +39,7 @@
 }
 
 // A member that leaves while the chain needs it stays until another one has all.
-func TestAMemberThatIsNeededStays(t *testing.T) {
+func TestNeededMemberCannotLeave(t *testing.T) {
 	is := is.New(t)
 	c := newLargeCluster(t, 32, 3)
 	c.mustServe("founding")
@@ -60,7 +60,7 @@
 }
 
 // A planned replacement: the new one first, then the old one leaves. A second loss may follow at once.
-func TestALossRightAfterAPlannedReplacement(t *testing.T) {
+func TestLossRightAfterPlannedReplacement(t *testing.T) {
 	for name, lose := range map[string]func(c *cluster, p *process){
 		"a disk":               func(c *cluster, p *process) { c.wipe(p) },
 		"a disk and all power": func(c *cluster, p *process) { c.wipe(p); c.restartAll(200 * time.Millisecond) },
@@ -92,7 +92,7 @@
 }
 
 // Where all leave, the chain stays what it must be.
-func TestAllLeave(t *testing.T) {
+func TestAllMembersLeave(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 34, 3)
 	c.mustServe("founding")
@@ -112,7 +112,7 @@
 }
 
 // A planned change waits for a member that is slow to promise, as one with a slow disk is: the chain keeps its length.
-func TestAPlannedChangeLeavesNoSlowMemberOut(t *testing.T) {
+func TestPlannedChangeWaitsForSlowMember(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 35, 5)
 	c.mustServe("founding")
@@ -132,7 +132,7 @@
 
 // Who counts is changed from a chain in service alone: of several changes in a row, none of them completed, a majority
 // could know nothing.
-func TestMembersChangeOnlyFromAChainInService(t *testing.T) {
+func TestMembershipChangesOnlyInService(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 36, 3)
 	c.mustServe("founding")
--- a/internal/controlplane/chain/linearizable_test.go
+++ b/internal/controlplane/chain/linearizable_test.go
@@ -117,7 +117,7 @@
 }
 
 // The check finds each kind of wrong answer.
-func TestTheCheckOfAnswersFindsWrongOnes(t *testing.T) {
+func TestRegisterModel(t *testing.T) {
 	const ms = int64(time.Millisecond)
 	write := func(call, answered int64, place int) porcupine.Operation {
 		return porcupine.Operation{Input: operation{name: fmt.Sprint(place)}, Call: call * ms, Output: observed{place}, Return: answered * ms}
--- a/internal/controlplane/chain/repair_test.go
+++ b/internal/controlplane/chain/repair_test.go
@@ -77,7 +77,7 @@
 
 // After each kind of loss the chain has its length again within the time that a machine has to catch up; and writes
 // do not rest for longer than it takes to miss a member.
-func TestTimesOfRepair(t *testing.T) {
+func TestRepairTimes(t *testing.T) {
 	for name, lose := range losses {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -107,7 +107,7 @@
 
 // How long a member takes to catch up, by entries missed and by the size of the state, over 10 Mbit/s and while
 // changes go on: a line, and no step where entries are no longer kept.
-func TestTimesToCatchUp(t *testing.T) {
+func TestCatchUpTimes(t *testing.T) {
 	for _, of := range []struct{ entries, state int }{
 		{1, 0}, {64, 0}, {65, 0}, {1000, 0}, {5000, 0}, {100, 256 << 10}, {100, 1 << 20}, {100, 2 << 20}, {100, 4 << 20},
 	} {
--- a/internal/controlplane/chain/votes_test.go
+++ b/internal/controlplane/chain/votes_test.go
@@ -36,7 +36,7 @@
 	c.start(p, false)
 }
 
-func TestAPromiseOutlivesARestart(t *testing.T) {
+func TestPromiseSurvivesRestart(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 8, 3)
 	c.mustServe("founding")
@@ -46,7 +46,7 @@
 	is.Equal(c.prepare(p, from, 999).GetRefusedFor().GetRound(), uint64(1000))
 }
 
-func TestAnAcceptanceOutlivesARestart(t *testing.T) {
+func TestAcceptanceSurvivesRestart(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 9, 3)
 	c.mustServe("founding")
@@ -62,7 +62,7 @@
 }
 
 // A member that has promised takes no part in its old view any more.
-func TestAMemberThatHasPromisedIsOutOfItsView(t *testing.T) {
+func TestWedgedMemberTakesNoPartInItsView(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 10, 3)
 	c.mustServe("founding")
@@ -125,7 +125,7 @@
 }
 
 // A view that one member has accepted may have been agreed: whoever proposes next takes it over.
-func TestAnAcceptedViewIsTakenOver(t *testing.T) {
+func TestAcceptedViewIsProposedAgain(t *testing.T) {
 	for _, acceptor := range []int{0, 1} {
 		is := is.New(t)
 		c := newCluster(t, 11, 3)
@@ -149,7 +149,7 @@
 }
 
 // A view is in force when a majority has accepted it, and not before.
-func TestAViewNeedsAMajority(t *testing.T) {
+func TestViewNeedsMajorityOfAcceptances(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 12, 5)
 	c.mustServe("founding")
@@ -170,7 +170,7 @@
 
 // A chain holds a majority of the members that its view will have, also where a promise came from
 // a member that leaves: a later majority must meet it.
-func TestAChainHoldsAMajorityOfItsMembers(t *testing.T) {
+func TestChainHasMajorityOfNewMembers(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 13, 3)
 	c.mustServe("founding")
@@ -186,7 +186,7 @@
 }
 
 // The head is the one whose log was made equal in the latest view, and reaches furthest among these.
-func TestTheFurthestLogLeads(t *testing.T) {
+func TestFurthestLogBecomesHead(t *testing.T) {
 	for _, story := range []struct {
 		name      string
 		near, far *api.Position
@@ -222,7 +222,7 @@
 }
 
 // An entry that was sent in an earlier view is not taken: its head may have been left out since.
-func TestAnEntryOfAnEarlierViewIsNotTaken(t *testing.T) {
+func TestEntryOfEarlierViewIsIgnored(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 15, 3)
 	c.mustServe("founding")
@@ -266,7 +266,7 @@
 
 // A head that was restarted makes the logs equal before it is in service, whatever the others say of their view:
 // what it proposed before that would be committed without its tail.
-func TestARestartedHeadIsNotInServiceByOthersWord(t *testing.T) {
+func TestRestartedHeadIgnoresReportsOfService(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 16, 3)
 	c.mustServe("founding")
@@ -283,7 +283,7 @@
 
 // A tail that was restarted answers by all that its log holds, whatever the others know yet: it may have answered by
 // it before.
-func TestARestartedTailReadsAllThatItHolds(t *testing.T) {
+func TestRestartedTailCommitsItsWholeLog(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 17, 3)
 	c.mustServe("founding")
@@ -307,7 +307,7 @@
 }
 
 // Who leaves is kept where it alone has an entry: in the chain that follows nobody would have it.
-func TestWhoLeavesIsKeptWhereItAloneHasAnEntry(t *testing.T) {
+func TestLeavingMemberWithTheFurthestLogStays(t *testing.T) {
 	for name, story := range map[string]struct {
 		alone bool
 		chain int
--- a/internal/controlplane/state/machine_test.go
+++ b/internal/controlplane/state/machine_test.go
@@ -65,7 +65,7 @@
 }
 
 // The same order again has its effect once and is never refused, whatever came between.
-func TestTheSameOrderAgain(t *testing.T) {
+func TestRepeatedOperationIsDuplicate(t *testing.T) {
 	is := is.New(t)
 	m := New()
 	first, second := replace(0, document(3, "a")), modify(3, `{"config_version":5,"remove":{"route_list":["r"]}}`)
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestAVersionThatIsNotHigher(t *testing.T) {
+func TestVersionMustRise(t *testing.T) {
 	is := is.New(t)
 	m := New()
 	mustChange(t, m, replace(0, document(3, "a")))
@@ -94,7 +94,7 @@
 	is.Equal(code(failure), result.VersionTooLow)
 }
 
-func TestTokensRiseWithEveryChangeOfHands(t *testing.T) {
+func TestFencingTokensRiseWithEachGrant(t *testing.T) {
 	is := is.New(t)
 	m := New()
 	last := uint64(0)
@@ -108,7 +108,7 @@
 	is.Equal(len(m.Leases()), 3)
 }
 
-func TestWhatIsKeptHasABound(t *testing.T) {
+func TestStateIsBounded(t *testing.T) {
 	is := is.New(t)
 	m := New()
 	for i := range maxRetired + 5 {
@@ -127,7 +127,7 @@
 // Whatever is done in whatever order: a trial on a copy leaves the machine as it was, what is
 // committed without another check leads to the same state as what was tried, and a state is
 // the same after it was written and read.
-func TestCopiesAndReplicasAgree(t *testing.T) {
+func TestClonesAndReplicasAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		head, replica := New(), New()
 		small := rapid.IntRange(0, 4)
@@ -174,7 +174,7 @@
 }
 
 // A change that was taken is never refused, also once its digest is forgotten: then it is unclear.
-func TestAForgottenChangeIsNeverRefused(t *testing.T) {
+func TestForgottenChangeIsNeverRejected(t *testing.T) {
 	is := is.New(t)
 	m := New()
 	changes := make([]*api.Operation, 0, maxDigests+2)
@@ -219,7 +219,7 @@
 }
 
 // A grant that comes late, or twice, takes a role from nobody who was given it since.
-func TestALateGrantHasNoEffect(t *testing.T) {
+func TestStaleGrantHasNoEffect(t *testing.T) {
 	is := is.New(t)
 	m := New()
 	first := conditional("llm", "a", 0)
--- a/internal/controlplane/store/store_test.go
+++ b/internal/controlplane/store/store_test.go
@@ -103,7 +103,7 @@
 }
 
 // A chain of one member writes a log that is read back whole, also when it was compacted.
-func TestALogIsReadBack(t *testing.T) {
+func TestLogRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := chain.DefaultConfig(1)
 		config.MaxLogEntries = rapid.IntRange(1, 6).Draw(t, "max log entries")
@@ -127,7 +127,7 @@
 	})
 }
 
-func TestAnEmptyStoreHasNoIdentity(t *testing.T) {
+func TestEmptyStoreHasNoSelf(t *testing.T) {
 	is := is.New(t)
 	s, err := Open(t.TempDir())
 	is.NoErr(err)
@@ -138,7 +138,7 @@
 }
 
 // A log with an entry that is missing or another one is no log: its member can't be trusted.
-func TestALogThatDoesNotFitTogetherIsSetAside(t *testing.T) {
+func TestCorruptedLogIsReported(t *testing.T) {
 	is := is.New(t)
 	s, err := OpenStorage(storage.NewMemStorage())
 	is.NoErr(err)
@@ -149,7 +149,7 @@
 }
 
 // A store whose table of files was damaged by a loss of power is recovered from its files.
-func TestADamagedTableOfFilesIsRecovered(t *testing.T) {
+func TestDamagedManifestIsRecovered(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	s, err := Open(folder)
@@ -171,7 +171,7 @@
 	is.True(equal(&read, &written))
 }
 
-func TestARemovedStoreIsEmpty(t *testing.T) {
+func TestRemovedStoreIsEmpty(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	s, err := Open(folder)
