--- a/internal/controlplane/chain/votes_test.go
+++ b/internal/controlplane/chain/agreement_test.go
@@ -95,7 +95,7 @@
 	return answers
 }
 
-// beginProposal has a process propose the next view, and nobody hears of it.
+// beginProposal has a process propose the next view, and none of its messages arrives.
 func (c *cluster) beginProposal(p *process, members []*api.Member) *proposal {
 	c.t.Helper()
 	p.node.now = c.now
@@ -124,7 +124,7 @@
 	}}})
 }
 
-// A view that one member has accepted may have been agreed: whoever proposes next takes it over.
+// A view that one member has accepted may have been agreed: the next proposer has to propose it again.
 func TestAcceptedViewIsProposedAgain(t *testing.T) {
 	for _, acceptor := range []int{0, 1} {
 		is := is.New(t)
@@ -162,14 +162,14 @@
 	}
 	is.True(proposed.view != nil) // all have promised
 	c.acceptedBy(proposer, others[0])
-	c.acceptedBy(proposer, others[0]) // the same one twice is one
+	c.acceptedBy(proposer, others[0]) // a repeated acceptance counts once
 	is.Equal(proposer.node.View().Number, proposed.instance-1)
 	c.acceptedBy(proposer, others[1])
 	is.Equal(proposer.node.View().Number, proposed.instance)
 }
 
 // A chain holds a majority of the members that its view will have, also where a promise came from
-// a member that leaves: a later majority must meet it.
+// a member that leaves: a later majority must share a member with it.
 func TestChainHasMajorityOfNewMembers(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 13, 3)
@@ -221,7 +221,7 @@
 	}
 }
 
-// An entry that was sent in an earlier view is not taken: its head may have been left out since.
+// An entry that was sent in an earlier view is ignored: its head may have been replaced since.
 func TestEntryOfEarlierViewIsIgnored(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 15, 3)
@@ -264,7 +264,7 @@
 	return nil
 }
 
-// A head that was restarted makes the logs equal before it is in service, whatever the others say of their view:
+// A head that was restarted makes the logs equal before it is in service, whatever heartbeats say of the view:
 // what it proposed before that would be committed without its tail.
 func TestRestartedHeadIgnoresReportsOfService(t *testing.T) {
 	is := is.New(t)
@@ -281,7 +281,7 @@
 	c.mustServe("its head was restarted")
 }
 
-// A tail that was restarted answers by all that its log holds, whatever the others know yet: it may have answered by
+// A tail that was restarted answers by its whole log, whatever the others have committed: it may have answered by
 // it before.
 func TestRestartedTailCommitsItsWholeLog(t *testing.T) {
 	is := is.New(t)
@@ -306,7 +306,7 @@
 	is.Equal(tail.node.Committed(), entry.Sequence)
 }
 
-// Who leaves is kept where it alone has an entry: in the chain that follows nobody would have it.
+// A leaving member that alone has an entry stays: no member of the chain without it would have the entry.
 func TestLeavingMemberWithTheFurthestLogStays(t *testing.T) {
 	for name, story := range map[string]struct {
 		alone bool
--- a/internal/controlplane/chain/catchup_test.go
+++ b/internal/controlplane/chain/catchup_test.go
@@ -55,7 +55,7 @@
 	c.runUntil(fmt.Sprintf("%d entries", entries), time.Hour, func() bool { return len(c.acknowledged) >= until })
 }
 
-// A member that was away catches up while the chain serves on, however much it has missed.
+// A member that was away catches up while the chain stays in service, however much it missed.
 func TestReturningMemberCatchesUpWhileInService(t *testing.T) {
 	for _, away := range []int{1, 64, 65, 1000, 5000} {
 		t.Run(fmt.Sprint(away), func(t *testing.T) {
@@ -79,7 +79,7 @@
 	}
 }
 
-// A state of 2 MB reaches a member over 10 Mbit/s while changes go on, and the chain serves on.
+// A state of 2 MB reaches a member over 10 Mbit/s while changes go on, and the chain stays in service.
 func TestLargeSnapshotTransferWhileEntriesAreCommitted(t *testing.T) {
 	for name, lose := range map[string]func(c *cluster, p *process){
 		"an old log": func(c *cluster, p *process) { c.kill(p) },
@@ -106,7 +106,7 @@
 	}
 }
 
-// What interrupts a member that takes the state in: it begins anew, and gets there.
+// A member whose transfer is interrupted starts again, and completes.
 func TestInterruptedCatchUpCompletes(t *testing.T) {
 	for name, interrupt := range map[string]func(c *cluster, learner, head, other *process){
 		"the member is restarted": func(c *cluster, learner, _, _ *process) { c.restart(learner) },
@@ -143,8 +143,8 @@
 			c.wipe(learner)
 			c.runFor(time.Second)
 			c.start(learner, false)
-			c.runUntil("it is being brought up to date", time.Second, func() bool { return head.node.isCatchingUp() })
-			c.runFor(800 * time.Millisecond) // half of the state has come
+			c.runUntil("it catches up", time.Second, func() bool { return head.node.isCatchingUp() })
+			c.runFor(800 * time.Millisecond) // half of the snapshot has arrived
 			is.True(head.node.isCatchingUp() && !learner.node.inChain())
 			interrupt(c, learner, head, other)
 			c.runUntil("all are in the chain", 15*time.Second, func() bool {
@@ -156,7 +156,7 @@
 	}
 }
 
-// Where the chain needs a member that is being brought up to date, it rests until that one has all,
+// Where the chain needs a member that catches up, it is out of service until that one has the whole log,
 // and nothing is lost.
 func TestChainWaitsForLaggingMemberItNeeds(t *testing.T) {
 	is := is.New(t)
@@ -169,18 +169,18 @@
 	c.runFor(time.Second)
 	c.awaitEntries(50)
 	c.start(lagging, false)
-	c.runUntil("it is being brought up to date", time.Second, func() bool { return head.node.isCatchingUp() })
+	c.runUntil("it catches up", time.Second, func() bool { return head.node.isCatchingUp() })
 	c.kill(head) // for good, as far as this goes
 	took := c.runUntil("the two that are left serve", 10*time.Second, func() bool {
 		return c.inChain(other)() && c.inChain(lagging)()
 	})
 	t.Logf("the two that are left serve after %v", took)
-	is.True(sameMember(other.node.Head(), other.node.durable.Self)) // who has all leads
+	is.True(sameMember(other.node.Head(), other.node.durable.Self)) // the member with the whole log is head
 	c.mustServe("two are left")
 }
 
-// A member that lags far behind is not taken into a chain that can do without it: the chain would be
-// out of service until it has all.
+// A member that lags far behind is left out of a chain that has a majority without it: the chain would be
+// out of service until it has the whole log.
 func TestLaggingMemberIsLeftOutOfNewChain(t *testing.T) {
 	is := is.New(t)
 	c := newLargeCluster(t, 25, 5)
@@ -191,7 +191,7 @@
 	c.runFor(time.Second)
 	c.awaitEntries(50)
 	c.start(lagging, false)
-	c.runUntil("it is being brought up to date", time.Second, func() bool { return c.head().node.isCatchingUp() })
+	c.runUntil("it catches up", time.Second, func() bool { return c.head().node.isCatchingUp() })
 	c.longestGap, c.lastAcknowledgement = 0, c.now
 	c.kill(dying)
 	c.runUntil("the dead one is left out", 2*time.Second, func() bool { return len(c.head().node.View().Chain) == 3 })
@@ -202,7 +202,7 @@
 	c.mustServe("the lagging one is in")
 }
 
-// The log stays within its bounds while somebody is brought up to date who never gets there.
+// The log stays within its bounds while a process catches up that never completes.
 func TestLogIsBoundedDuringCatchUp(t *testing.T) {
 	is := is.New(t)
 	c := newLargeCluster(t, 26, 3)
@@ -216,7 +216,7 @@
 	c.wipe(learner)
 	c.runFor(time.Second)
 	c.start(learner, false)
-	c.runUntil("it is being brought up to date", time.Second, func() bool { return head.node.isCatchingUp() })
+	c.runUntil("it catches up", time.Second, func() bool { return head.node.isCatchingUp() })
 	// Its link lets heartbeats pass and is too slow for the state.
 	c.linkRate = 1000
 	longest := 0
@@ -225,7 +225,7 @@
 		return len(c.acknowledged) > 800
 	})
 	t.Logf("longest log %d entries", longest)
-	is.True(longest > 2*c.cfg.MaxLogEntries) // it was deferred
+	is.True(longest > 2*c.cfg.MaxLogEntries) // compaction was deferred
 	is.True(longest <= c.cfg.MaxCatchUpLogEntries+1)
 }
 
@@ -248,13 +248,13 @@
 	}
 }
 
-// catchUpMessage is what a head would send to a process that has nothing.
+// catchUpMessage is what a head would send to a process whose log is empty.
 func catchUpMessage(head *process) *api.ChainMessage {
 	data := head.node.catchUpFor(&peer{position: &api.Position{Sequence: 1 << 40}})
 	return &api.ChainMessage{Body: &api.ChainMessage_CatchUp{CatchUp: proto.CloneOf(data)}}
 }
 
-// A copy of the log that comes late, or to a member of the chain, takes nothing back.
+// A CatchUp that arrives late, or at a member of the chain, removes nothing.
 func TestStaleCatchUpIsIgnored(t *testing.T) {
 	for name, leaves := range map[string]bool{"at a member of the chain": false, "at one that is outside": true} {
 		t.Run(name, func(t *testing.T) {
@@ -269,7 +269,7 @@
 			view := p.node.View()
 			early := catchUpMessage(head)
 			c.awaitEntries(20)
-			if leaves { // it is brought up to date, and knows more than the early copy
+			if leaves { // it catches up, and has more than the stale message
 				c.receive(p, view.Chain[0], catchUpMessage(head))
 			}
 			end, committed := p.node.durable.lastPosition(), p.node.Committed()
@@ -283,7 +283,7 @@
 	}
 }
 
-// A copy that is newer than a member's log changes nothing there either: what is in the chain gets entries by the chain.
+// A CatchUp that is newer than a member's log changes nothing there either: members get entries by replication.
 func TestCatchUpIsIgnoredInTheChain(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 29, 3)
--- a/internal/controlplane/chain/chain_test.go
+++ b/internal/controlplane/chain/chain_test.go
@@ -49,7 +49,7 @@
 }
 
 // A machine whose disk was lost comes back under a new incarnation. The chain's
-// heartbeats to its old one must not be all that it hears, or it never joins.
+// heartbeats to its old one must not be all that it receives, or it never joins.
 func TestWipedMemberRejoinsUnderNewIncarnation(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3, 3)
@@ -60,7 +60,7 @@
 	c.start(wiped, false)
 	c.mustServe("a wiped member is back")
 	is.True(wiped.node.InService())
-	is.Equal(len(wiped.node.View().Members), 3) // in the place of its old self
+	is.Equal(len(wiped.node.View().Members), 3) // in place of its old incarnation
 	// Now two copies are all there is if another disk goes with all of the power.
 	c.wipe(c.processes[0])
 	c.kill(c.processes[1])
@@ -93,7 +93,7 @@
 	is.Equal(len(joined.node.View().Members), 4)
 	c.kill(c.processes[0])
 	c.mustServe("the first has left")
-	is.Equal(len(joined.node.View().Members), 3) // it no longer counts
+	is.Equal(len(joined.node.View().Members), 3) // it is no member any more
 }
 
 func TestIsolatedHeadAcknowledgesNothing(t *testing.T) {
@@ -109,7 +109,7 @@
 	is.True(head.node.InService())
 }
 
-// A head that hears nobody, and whose own heartbeats arrive, is left out like one that is silent.
+// A head that receives nothing, and whose own heartbeats arrive, is replaced like one that sends nothing, and so the other way round.
 func TestHeadWithOneWayPartitionIsReplaced(t *testing.T) {
 	for _, deaf := range []bool{true, false} {
 		c := newCluster(t, 9, 3)
@@ -122,9 +122,9 @@
 				c.partitioned[head.address+">"+other.address] = true
 			}
 		}
-		c.mustServe("words pass one way alone")
+		c.mustServe("messages pass in one direction alone")
 		clear(c.partitioned)
-		c.mustServe("and both ways again")
+		c.mustServe("and in both directions again")
 		if !head.node.InService() {
 			c.fail("the head is not back")
 		}
@@ -172,16 +172,16 @@
 		}
 		return got
 	}
-	is.True(confirmed(1)) // a tail in touch reads
+	is.True(confirmed(1)) // a tail that reaches a majority reads
 	c.isolate(tail, true)
 	tail.node.ConfirmView(c.now, 2)
 	c.runFor(100 * time.Millisecond)
 	_, waits := tail.node.confirmations[2]
-	is.True(waits) // a tail that is cut off does not
+	is.True(waits) // an isolated tail does not
 }
 
-// A member that hears nothing while all others are replaced finds the chain by the seeds
-// that it is told of then.
+// A member that is isolated while all others are replaced finds the chain by the seeds
+// that it is given then.
 func TestIsolatedMemberFindsReplacedChainBySeeds(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 6, 3)
@@ -202,14 +202,14 @@
 	}
 	c.isolate(lonely, false)
 	c.runFor(settleTime)
-	is.True(!lonely.node.Connected()) // nobody is left whom it knows
+	is.True(!lonely.node.Connected()) // none of the members that it knows is left
 	lonely.node.SetSeeds(newcomers)
 	c.mustServe("it knows the new ones")
 	is.True(lonely.node.InService())
 }
 
 // A machine whose disk was lost, and whose seeds name nobody who is left, finds the chain by
-// those who call for its old self.
+// the members that send to its old incarnation.
 func TestWipedMemberFindsChainWithoutSeeds(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 7, 3)
@@ -223,7 +223,7 @@
 	wiped := c.processes[0]
 	c.wipe(wiped)
 	c.runFor(time.Second)
-	c.start(wiped, false) // it knows the founders alone
+	c.start(wiped, false) // its seeds are the founders
 	c.mustServe("it is back")
 	is.True(wiped.node.InService())
 }
--- a/internal/controlplane/chain/faults_test.go
+++ b/internal/controlplane/chain/faults_test.go
@@ -84,7 +84,7 @@
 		c.loseDiskAndPower(p)
 	},
 	"replace": func(c *cluster, f fault) { c.replace(c.live(f.machine), f.lasts, f.back) },
-	// What a machine sends is held up, as connections hold it up, and arrives at the end.
+	// What a machine sends is delayed, as a connection delays it, and arrives at the end.
 	"hold": func(c *cluster, f fault) {
 		p := c.live(f.machine)
 		for _, other := range c.processes {
@@ -233,7 +233,7 @@
 }
 
 // interruptHandover lets some members miss entries, and kills others in the moment in which they are back: the new
-// chain needs them. Whoever makes that chain's logs equal reaches some of it alone, and is killed in turn; those
+// chain needs them. The head that makes that chain's logs equal reaches some of it alone, and is killed in turn; those
 // that were killed first come back.
 func (c *cluster) interruptHandover(f fault) {
 	rng := rand.New(rand.NewPCG(uint64(f.machine), uint64(f.other)+1))
@@ -294,7 +294,7 @@
 	}
 	c.runFor(time.Duration(rng.IntN(12)) * time.Millisecond)
 	c.kill(head)
-	if rng.IntN(2) == 0 && len(c.processes) > 3 { // and one that is equal with it
+	if rng.IntN(2) == 0 && len(c.processes) > 3 { // and one whose log is equal to its
 		for _, p := range c.processes {
 			if p.node != nil && !slices.Contains(lagging, p) {
 				c.kill(p)
@@ -316,7 +316,7 @@
 }
 
 // interruptVote cuts two members off from each other, so that one of them proposes a view that the other one knows
-// nothing of. In the moment in which a third has voted, the proposer's words are held up, and voters are restarted.
+// nothing of. In the moment in which a third has voted, the proposer's messages are delayed, and voters are restarted.
 func (c *cluster) interruptVote(f fault) {
 	rng := rand.New(rand.NewPCG(uint64(f.machine), uint64(f.other)+2))
 	c.heal()
@@ -339,7 +339,7 @@
 		c.faultHits["a vote"]++
 		c.runFor(time.Duration(rng.IntN(4)) * time.Millisecond)
 		c.holdFrom(proposer)
-		// Another one may be voted for meanwhile, whose words are held up as well.
+		// Another one may be voted for meanwhile, whose messages are delayed as well.
 		var rival *process
 		if rng.IntN(2) == 0 && c.await(time.Second, func() bool { rival = c.proposerWithVote(false, proposer); return rival != nil }) {
 			c.holdFrom(rival)
@@ -360,7 +360,7 @@
 	c.heal()
 }
 
-// lateEntry holds up an entry that a head sends, lets views pass in which that head and others go and come back, and
+// lateEntry delays an entry that a head sends, lets views pass in which that head and others go and come back, and
 // then lets the entry arrive, where nothing else has come since.
 func (c *cluster) lateEntry(f fault) {
 	rng := rand.New(rand.NewPCG(uint64(f.machine), uint64(f.other)+3))
@@ -402,7 +402,7 @@
 	c.runFor(f.lasts / 4)
 }
 
-// delayProposal holds up what a process sends, and so the ballot with which it proposes a view, until others have
+// delayProposal delays what a process sends, and so the ballot with which it proposes a view, until others have
 // voted for another one's.
 func (c *cluster) delayProposal(p *process, rng *rand.Rand, rest time.Duration) {
 	accepted := rng.IntN(2) == 0
@@ -417,7 +417,7 @@
 	c.heal()
 }
 
-// holdFrom holds up what a process sends.
+// holdFrom delays what a process sends.
 func (c *cluster) holdFrom(p *process) {
 	for _, other := range c.processes {
 		c.delayedLinks[p.address+">"+other.address] = true
@@ -432,7 +432,7 @@
 	late := c.delayed
 	c.delayed = nil
 	for _, message := range late {
-		c.deliver(message.from, message.message) // what others sent is held up again
+		c.deliver(message.from, message.message) // what others sent is delayed again
 	}
 }
 
@@ -471,7 +471,7 @@
 	return nil
 }
 
-// release lets what was held up arrive.
+// release lets what was delayed arrive.
 func (c *cluster) release() {
 	clear(c.delayedLinks)
 	late := c.delayed
--- a/internal/controlplane/chain/history_test.go
+++ b/internal/controlplane/chain/history_test.go
@@ -23,7 +23,7 @@
 	machine int
 	other   int
 	lasts   time.Duration
-	back    time.Duration // how long the old self of a replaced machine is back; 0: it stays away
+	back    time.Duration // how long a replaced machine is back with its old disk; 0: it stays away
 	rest    time.Duration // how long nothing happens afterwards
 }
 
@@ -39,7 +39,7 @@
 const (
 	// drawnFaults is how many faults a drawn history has.
 	drawnFaults = 12
-	// maxFaultDuration and longestRest bound how long one lasts, and the calm behind it.
+	// maxFaultDuration and maxRest bound how long one lasts, and the time without faults after it.
 	maxFaultDuration = 1500 * time.Millisecond
 	maxRest          = 600 * time.Millisecond
 )
@@ -93,7 +93,7 @@
 	return []fault{f}
 }
 
-// drawTimeouts draws how eager the members are: where they propose at once, they outbid each other.
+// drawTimeouts draws how eager the members are: where they propose at once, they preempt each other's ballots.
 func (c *cluster) drawTimeouts() {
 	rng := rand.New(rand.NewPCG(uint64(c.rng.Uint32()), 7))
 	if rng.IntN(2) == 0 {
@@ -178,7 +178,7 @@
 	return h.shorten(stillFails)
 }
 
-// shorten takes away calm times and halves how long faults last, where it still fails.
+// shorten removes the times without faults and halves how long faults last, where it still fails.
 func (h history) shorten(stillFails func(history) bool) history {
 	for i := range h.faults {
 		for _, change := range []func(f *fault){
@@ -285,8 +285,8 @@
 
 // ---- the tests ----
 
-// Histories are drawn: kills, lost disks, freezes, stalls, cuts one way and both, losses
-// of messages, and total losses of power. What fault_tolerance allows is kept: one disk
+// Histories are drawn: kills, lost disks, freezes, stalls, partitions in one direction and both, losses
+// of messages, and losses of all power. They stay within what fault_tolerance allows: one disk
 // at a time is lost, and its machine is given time to catch up.
 func TestDrawnHistories(t *testing.T) {
 	histories := 40
--- a/internal/controlplane/chain/leave_test.go
+++ b/internal/controlplane/chain/leave_test.go
@@ -15,7 +15,7 @@
 	return c.runUntil(p.address+" has left", most, p.node.HasLeft)
 }
 
-// A member that is about to end is out of the chain before it does, and hardly a write waits for that.
+// A member that is about to end is out of the chain before it stops, and hardly a write waits for that.
 func TestMemberLeavesBeforeItStops(t *testing.T) {
 	for place := range 3 {
 		t.Run(fmt.Sprint(place), func(t *testing.T) {
@@ -30,7 +30,7 @@
 			t.Logf("out after %v, longest time without an acknowledgement %v", took, c.longestGap)
 			is.True(c.longestGap < maxCalmGap)
 			is.Equal(len(c.head().node.View().Chain), 2)
-			is.Equal(len(c.head().node.View().Members), 3) // it still counts: it may come back
+			is.Equal(len(c.head().node.View().Members), 3) // it is still a member: it may come back
 			c.start(p, false)
 			c.mustServe("it is back")
 			is.True(p.node.InService())
@@ -38,7 +38,7 @@
 	}
 }
 
-// A member that leaves while the chain needs it stays until another one has all.
+// A member that leaves while the chain needs it stays until another one has the whole log.
 func TestNeededMemberCannotLeave(t *testing.T) {
 	is := is.New(t)
 	c := newLargeCluster(t, 32, 3)
@@ -49,7 +49,7 @@
 	c.wipe(learner)
 	c.runFor(time.Second)
 	c.start(learner, false)
-	c.runUntil("it is being brought up to date", time.Second, func() bool { return head.node.isCatchingUp() })
+	c.runUntil("it catches up", time.Second, func() bool { return head.node.isCatchingUp() })
 	c.carryOut(leaving, leaving.node.Leave(c.now))
 	c.runFor(500 * time.Millisecond)
 	is.True(!leaving.node.HasLeft()) // with it goes the only other copy
@@ -75,7 +75,7 @@
 				c.mustServe("the new one is there")
 				is.Equal(len(c.head().node.View().Members), 4)
 				c.leave(old, time.Second)
-				is.Equal(len(c.head().node.View().Members), 3) // it no longer counts
+				is.Equal(len(c.head().node.View().Members), 3) // it is no member any more
 				c.kill(old)
 				old.replaced = true
 				lost := c.head()
@@ -91,7 +91,7 @@
 	}
 }
 
-// Where all leave, the chain stays what it must be.
+// Where all leave, the chain keeps a majority.
 func TestAllMembersLeave(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 34, 3)
@@ -130,8 +130,8 @@
 	is.Equal(len(c.head().node.View().Chain), 4)
 }
 
-// Who counts is changed from a chain in service alone: of several changes in a row, none of them completed, a majority
-// could know nothing.
+// Membership changes only from a chain in service: after several changes in a row, none of them completed, a majority
+// could have none of the committed entries.
 func TestMembershipChangesOnlyInService(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 36, 3)
--- a/internal/controlplane/chain/repair_test.go
+++ b/internal/controlplane/chain/repair_test.go
@@ -12,9 +12,9 @@
 const (
 	// repairSeeds is how often each kind of loss is played, each place in the chain in turn.
 	repairSeeds = 30
-	// backAfter is after what time a machine that was lost is there again, or another one in its place.
+	// backAfter is after what time a machine that was lost is back, or its replacement is there.
 	backAfter = time.Second
-	// catchUpTime is within what time of its start a machine holds all (catch_up_s of the deployments).
+	// catchUpTime is within what time of its start a machine has the whole log (catch_up_s of the deployments).
 	catchUpTime = 4 * time.Second
 )
 
@@ -64,7 +64,7 @@
 	},
 }
 
-// fullLength tells whether a chain in service has all members that there should be, and nobody else counts.
+// fullLength tells whether a chain in service has all members that there should be, and no other members.
 func (c *cluster) fullLength() bool {
 	for _, p := range c.processes {
 		if p.node != nil && p.node.isHead() && p.node.Connected() {
@@ -76,7 +76,7 @@
 }
 
 // After each kind of loss the chain has its length again within the time that a machine has to catch up; and writes
-// do not rest for longer than it takes to miss a member.
+// stop for no longer than it takes to detect a failure.
 func TestRepairTimes(t *testing.T) {
 	for name, lose := range losses {
 		t.Run(name, func(t *testing.T) {
--- a/internal/controlplane/chain/sim_test.go
+++ b/internal/controlplane/chain/simulation_test.go
@@ -4,8 +4,6 @@
 	"container/heap"
 	"fmt"
 	"math/rand/v2"
-	"slices"
-	"strings"
 	"testing"
 	"time"
 
@@ -17,8 +15,8 @@
 // A cluster of nodes on a simulated network, clock and disks. Everything that happens
 // comes from one seed. Faults are methods; audit looks at all that was ever committed.
 
-// register is the machine of the tests: the list of operations that were applied. Its state
-// is larger by so much ballast.
+// register is the state machine of the tests: the list of operations that were applied. Its state
+// is larger by the ballast.
 type register struct {
 	applied []string
 	ballast []byte
@@ -75,7 +73,7 @@
 	disk       *DurableState // nil: empty
 	generation int
 	frozen     bool
-	stalled    bool // its disk answers nothing
+	stalled    bool // writes to its disk don't return
 	// replaced: another machine has taken its place, and it does not come back.
 	replaced  bool
 	backlog   []func()
@@ -103,7 +101,7 @@
 	cfg          Config
 	acknowledged []string // in the order of their acknowledgements
 	founders     []string
-	contacts     []string // what processes that start are told
+	contacts     []string // the seeds of processes that start
 	proposed     int
 	log          []string
 	// faultHits counts how often a fault came upon the step of the protocol that it is about.
@@ -123,7 +121,7 @@
 }
 
 const (
-	// maxDelayed bounds the messages that are held up.
+	// maxDelayed bounds the delayed messages.
 	maxDelayed = 2000
 	// largeMessage is what goes in parts, between which small messages pass.
 	largeMessage           = 32 << 10
@@ -181,12 +179,6 @@
 	c.after(time.Duration(c.rng.Int64N(int64(simulatedTick))), tick)
 }
 
-func cloneDurable(d *DurableState) DurableState {
-	next := *d
-	next.Entries = slices.Clone(d.Entries)
-	return next
-}
-
 // run does something on a process, or keeps it for when it thaws.
 func (c *cluster) run(p *process, do func()) {
 	if p.node == nil {
@@ -244,65 +236,6 @@
 	}
 }
 
-// auditAcknowledged checks that each disk of a head's chain holds what the head has just acknowledged: the tail had
-// it, and so had all before it.
-func (c *cluster) auditAcknowledged(head *process, entry *api.Entry) {
-	c.t.Helper()
-	for _, p := range c.processes {
-		if p.disk == nil || !containsMember(head.node.View().Chain, p.disk.Self) {
-			continue
-		}
-		if last := p.disk.lastPosition(); last.GetSequence() < entry.Sequence {
-			c.fail("%s has acknowledged %d, and the disk of %s reaches to %d", head.address, entry.Sequence, p.address, last.GetSequence())
-		}
-	}
-}
-
-// save gives what a disk holds once what has changed was written to it, and no more. What is
-// written is a copy: it shares nothing with what goes on.
-func save(disk, now *DurableState, changed Changes) DurableState {
-	next := cloneDurable(disk)
-	if changed.Self {
-		next.Self = proto.CloneOf(now.Self)
-	}
-	if changed.View {
-		next.View = proto.CloneOf(now.View)
-	}
-	if changed.Acceptor {
-		next.Promised = proto.CloneOf(now.Promised)
-		next.AcceptedBallot = proto.CloneOf(now.AcceptedBallot)
-		next.AcceptedView = proto.CloneOf(now.AcceptedView)
-	}
-	if changed.SyncedView {
-		next.SyncedView = now.SyncedView
-	}
-	added := changed.Appended
-	if changed.LogReplaced {
-		next.Entries, added = nil, now.Entries
-	}
-	next.Entries = append(next.Entries, cloneEntries(added)...)
-	if changed.Snapshot {
-		next.Snapshot = proto.CloneOf(now.Snapshot)
-	}
-	next.Entries = slices.DeleteFunc(next.Entries, func(e *api.Entry) bool { return e.Sequence <= next.Snapshot.GetSequence() })
-	return next
-}
-
-func cloneEntries(entries []*api.Entry) []*api.Entry {
-	clones := make([]*api.Entry, 0, len(entries))
-	for _, entry := range entries {
-		clones = append(clones, proto.CloneOf(entry))
-	}
-	return clones
-}
-
-// load gives what a starting process reads from a disk.
-func load(disk *DurableState) DurableState {
-	var empty DurableState
-	all := Changes{Self: true, View: true, Acceptor: true, SyncedView: true, LogReplaced: true, Snapshot: true}
-	return save(&empty, disk, all)
-}
-
 func (c *cluster) deliver(from string, message *api.ChainMessage) {
 	to := message.To.Address
 	if c.delayedLinks[from+">"+to] && len(c.delayed) < maxDelayed {
@@ -355,7 +288,7 @@
 	}
 }
 
-// runFor lets time pass; every so often something is proposed, and read.
+// runFor lets time pass, with proposals and reads at their intervals.
 func (c *cluster) runFor(span time.Duration) {
 	end := c.now + span
 	next := c.now
@@ -390,90 +323,3 @@
 		c.partitioned[other.address+">"+p.address] = cut
 	}
 }
-
-// audit checks that all that was acknowledged is there, once, in one order for all.
-func (c *cluster) audit() {
-	c.t.Helper()
-	var longest []string
-	for _, p := range c.processes {
-		if p.node == nil {
-			continue
-		}
-		applied := p.machine.applied
-		short, long := applied, longest
-		if len(short) > len(long) {
-			short, long = long, short
-		}
-		for i, name := range short {
-			if long[i] != name {
-				c.fail("%s has applied %s in place %d, another one %s", p.address, applied[i], i, longest[i])
-			}
-		}
-		if len(applied) > len(longest) {
-			longest = applied
-		}
-	}
-	seen := map[string]bool{}
-	for _, name := range longest {
-		if seen[name] {
-			c.fail("%s was applied twice", name)
-		}
-		seen[name] = true
-	}
-	logged := map[string]bool{}
-	for _, p := range c.processes {
-		if p.disk == nil {
-			continue
-		}
-		for _, entry := range p.disk.Entries {
-			logged[entry.Operations[0].GetEvacuation().GetZone()] = true
-		}
-	}
-	for _, name := range c.acknowledged {
-		if !seen[name] && !logged[name] {
-			c.fail("%s was acknowledged and is gone", name)
-		}
-	}
-}
-
-// auditService checks that whoever is in service, and hears a majority, has all that was
-// acknowledged: its word counts as new.
-func (c *cluster) auditService() {
-	c.t.Helper()
-	for _, p := range c.processes {
-		if p.node == nil || !p.node.Connected() {
-			continue
-		}
-		applied := map[string]bool{}
-		for _, name := range p.machine.applied {
-			applied[name] = true
-		}
-		for _, name := range c.acknowledged[:max(0, len(c.acknowledged)-2)] { // the last ones are on their way
-			if !applied[name] {
-				c.fail("%s was acknowledged, and %s is in service without it", name, p.address)
-			}
-		}
-	}
-}
-
-func (c *cluster) fail(format string, args ...any) {
-	c.t.Helper()
-	if c.panicOnFailure {
-		panic(failure{fmt.Sprintf(format, args...)})
-	}
-	for _, line := range c.log {
-		c.t.Log(line)
-	}
-	for _, p := range c.processes {
-		if p.node != nil {
-			c.t.Logf("%s: %s, position %v, in service %v, wedged %v, member %v", p.address, describe(p.node.View()),
-				p.node.durable.lastPosition(), p.node.InService(), p.node.wedged(), p.node.isMember())
-		}
-	}
-	c.t.Fatalf(format, args...)
-}
-
-// describe words a view for a failed test.
-func describe(view *api.View) string {
-	return fmt.Sprintf("view %d: chain %s, %d members", view.Number, strings.Join(addressesOf(view.Chain), " "), len(view.Members))
-}
