--- a/cmd/marlreeld/system_test.go
+++ b/cmd/marlreeld/system_test.go
@@ -53,7 +53,22 @@
 
 var zoneNames = []string{"east", "north", "west"}
 
-func loopbackIP(kind, number int) string { return fmt.Sprintf("127.77.%d.%d", kind, number+1) }
+func loopbackIP(kind, number int) string {
+	return fmt.Sprintf("127.%d.%d.%d", loopbackNetwork(), kind, number+1)
+}
+
+// loopbackNetwork is the second byte of the addresses of this test process: two of them, as from two checkouts, must
+// not share addresses. The one above it is for the processes of one machine among themselves.
+func loopbackNetwork() int {
+	const first, networks = 2, 120
+	return first + 2*(os.Getpid()%networks)
+}
+
+// machineIP is the address on which the processes of one machine reach each other.
+func machineIP(ip string) string {
+	network := loopbackNetwork()
+	return strings.Replace(ip, fmt.Sprintf("127.%d.", network), fmt.Sprintf("127.%d.", network+1), 1)
+}
 
 // startSystem starts all processes and backends. They end with the test; what the processes have written is logged
 // where it has failed.
@@ -83,7 +98,7 @@
 func testSettings(name, ip string, number int) *bootstrap.Settings {
 	s := &bootstrap.Settings{
 		NodeName: name, IP: ip, Zone: zoneNames[number%len(zoneNames)], InternalPorts: []int{27660, 27675},
-		FirstStart: true, HeartbeatIntervalMS: 600, Zones: map[string]string{}, LoopbackIP: strings.Replace(ip, "127.77", "127.78", 1),
+		FirstStart: true, HeartbeatIntervalMS: 600, Zones: map[string]string{}, LoopbackIP: machineIP(ip),
 		Limits: bootstrap.Limits{MemoryMB: 256, MaxOpenFiles: 4096}, Tolerance: bootstrap.FaultTolerance{Machines: (controlCount - 1) / 2},
 		Bounds: fakesystem.Bounds(),
 		Listen: bootstrap.ListenAddresses{Front: ip + ":28080", Readiness: ip + ":28081", Control: ip + ":28082"},
