--- a/internal/controlplane/backend_table.go
+++ b/internal/controlplane/backend_table.go
@@ -24,7 +24,7 @@
 	return &backendTable{timeout: maxMissedHeartbeats*interval + interval/2, lastSeen: lastSeenTable{}}
 }
 
-// expire removes the backends that have timed out, and returns their ids. peerTimedOut tells whether another control
+// expire removes the backends that have timed out, and returns their ids. peerTimedOut reports whether another control
 // process has timed out: its silence says nothing of the backends that reported to it.
 func (t *backendTable) expire(now time.Time, peerTimedOut func(address string) bool) map[string]bool {
 	expired := map[string]bool{}
--- a/internal/controlplane/configuration_read.go
+++ b/internal/controlplane/configuration_read.go
@@ -5,6 +5,7 @@
 
 	"marlreel/internal/api"
 	"marlreel/internal/controlplane/result"
+	"marlreel/internal/process/timing"
 )
 
 // Configuration reads the newest configuration, wherever the tail is. Its error is Unavailable: no tail has answered
@@ -16,7 +17,7 @@
 		if reply := s.readAtTail(ctx); reply != nil {
 			return reply, nil
 		}
-		sleep(ctx, attemptInterval)
+		timing.Sleep(ctx, attemptInterval)
 	}
 	return nil, result.Errorf(result.Unavailable, "no tail answers")
 }
--- a/internal/controlplane/fragment_reassembly.go
+++ b/internal/controlplane/fragment_reassembly.go
@@ -64,7 +64,7 @@
 	return message, nil
 }
 
-// isWellFormed tells whether a fragment is one of a message that is not too large.
+// isWellFormed reports whether a fragment is one of a message that is not too large.
 func isWellFormed(f *api.Fragment) bool {
 	end := f.Offset + uint64(len(f.Data))
 	return len(f.Data) > 0 && end <= f.Total && f.Total <= maxFragmentedBytes
--- a/internal/controlplane/fragment_sending.go
+++ b/internal/controlplane/fragment_sending.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// isFailing tells whether the last fragment has not arrived.
+// isFailing reports whether the last fragment has not arrived.
 func (m *fragmentedMessage) isFailing() bool { return !m.failingSince.IsZero() }
 
 // onSent handles how sending the fragment went. It returns true where the message is over: all of it has arrived, or it
@@ -72,7 +72,7 @@
 	return time.Since(m.failingSince) > fragmentTimeout
 }
 
-// isRejection tells whether the receiver has rejected a fragment, which it does again however often it is sent.
+// isRejection reports whether the receiver has rejected a fragment, which it does again however often it is sent.
 func isRejection(err error) bool {
 	var reply twirp.Error
 	if !errors.As(err, &reply) {
--- a/internal/controlplane/last_seen.go
+++ b/internal/controlplane/last_seen.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// reportedHere tells whether the newest contact was to this process: it tells the others of that.
+// reportedHere reports whether the newest contact was to this process: it tells the others of that.
 func (t lastSeenTable) reportedHere(id string) bool {
 	seen, known := t[id]
 	return known && seen.reporter == ""
--- a/internal/controlplane/lease/grants.go
+++ b/internal/controlplane/lease/grants.go
@@ -60,7 +60,7 @@
 	return unresponsive
 }
 
-// vacant tells whether a lease may be given to another holder: it has expired or was released, was not accepted in
+// vacant reports whether a lease may be given to another holder: it has expired or was released, was not accepted in
 // time, or was never granted. Called with the lock.
 func (m *Manager) vacant(ownership *api.Ownership, nodes []*api.Node) bool {
 	if ownership == nil {
@@ -86,7 +86,7 @@
 	return last
 }
 
-// restarted tells whether a holder's node has come back as another incarnation.
+// restarted reports whether a holder's node has come back as another incarnation.
 func restarted(ownership *api.Ownership, nodes []*api.Node) bool {
 	name, _, _ := strings.Cut(ownership.Holder, "/")
 	return slices.ContainsFunc(nodes, func(n *api.Node) bool {
--- a/internal/controlplane/lease/manager.go
+++ b/internal/controlplane/lease/manager.go
@@ -90,7 +90,7 @@
 	return lease
 }
 
-// transferPending tells whether a grant is under way that takes a lease from its holder by the replicated state, or
+// transferPending reports whether a grant is under way that takes a lease from its holder by the replicated state, or
 // from nobody. Called with the lock.
 func (m *Manager) transferPending(key string, ownership *api.Ownership) bool {
 	lease := m.leases[key]
--- a/internal/controlplane/lease/manager_test.go
+++ b/internal/controlplane/lease/manager_test.go
@@ -46,7 +46,7 @@
 	t.owned = &api.Ownership{Key: grant.Key, Holder: grant.Holder, FencingToken: grant.GetReplacesFencingToken() + 1}
 }
 
-// renews tells whether the holder's renewal is answered with the lease.
+// renews reports whether the holder's renewal is answered with the lease.
 func (t *trial) renews(holder string) bool {
 	return len(t.Renew(holder, false, []*api.Ownership{t.owned})) > 0
 }
--- a/internal/controlplane/lease_granter_test.go
+++ b/internal/controlplane/lease_granter_test.go
@@ -69,7 +69,7 @@
 	o.submitDueGrants()
 }
 
-// holds tells whether a node's renewal is answered with the lease.
+// holds reports whether a node's renewal is answered with the lease.
 func (o *granterTrial) holds(node string) bool {
 	return len(o.manager.Renew(lease.HolderID(node, 1), false, o.machine.Leases())) > 0
 }
--- /dev/null
+++ b/internal/controlplane/membership_test.go
@@ -0,0 +1,160 @@
+package controlplane
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/matryer/is"
+
+	"marlreel/internal/api"
+	"marlreel/internal/distribution/watch"
+)
+
+// newTestMembership makes the membership of a control process in a zone, which no goroutine runs.
+func newTestMembership(address, zone string) *Membership {
+	self := &api.ControlNode{Address: address, Zone: zone, PublicAddress: address + "-public"}
+	return NewMembership(self, watch.New(address, time.Now), time.Second, nil)
+}
+
+// linkTo makes a link to another process, which no goroutine runs.
+func linkTo(m *Membership, address string) *peerLink {
+	link := newPeerLink(m, address, func() {})
+	m.links.links[address] = link
+	return link
+}
+
+// deliver sends an update over a link whose peer is given, as sendUpdate does.
+func deliver(from *peerLink, to *Membership, full bool) (update *api.MembershipUpdate, accepted bool) {
+	update, revision, hints := from.membership.updateFor(from, full)
+	if !to.OnPeerUpdate(update) {
+		from.synced = false
+		return update, false
+	}
+	from.sentRevision, from.synced = revision, true
+	from.observations.Remove(hints)
+	return update, true
+}
+
+func backendIDs(m *Membership) []string {
+	ids := []string{}
+	for _, b := range m.feed.Backends() {
+		ids = append(ids, b.Id)
+	}
+	return ids
+}
+
+// What a peer is sent: everything first, then what has changed, and who lives with each full update.
+func TestUpdatesToAPeer(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		m, peer := newTestMembership("c0", "east"), newTestMembership("c1", "west")
+		link := linkTo(m, "c1")
+		m.OnHeartbeat(&api.Backend{Id: "b0", Service: "s", Address: "b0:1"})
+		m.OnNodeCall(&api.Node{Name: "n0", Address: "n0:1", Incarnation: 1})
+		is.Equal(len(link.changes), 1) // it is woken
+
+		update, accepted := deliver(link, peer, false)
+		is.True(accepted)
+		is.True(update.Complete)
+		is.Equal(update.Node.GetAddress(), "c0")
+		is.Equal(len(update.Backends), 1)
+		is.Equal(len(update.Nodes), 1)
+		is.Equal(backendIDs(peer), []string{"b0"})
+
+		update, accepted = deliver(link, peer, false)
+		is.True(accepted)
+		is.Equal(len(update.Backends)+len(update.Heartbeats)+len(update.Nodes), 0) // nothing has changed
+		is.True(update.Node == nil)
+
+		update, accepted = deliver(link, peer, true)
+		is.True(accepted)
+		is.Equal(len(update.Backends), 0)
+		is.Equal(len(update.Heartbeats), 1)
+		is.Equal(len(update.Nodes), 1)
+		is.Equal(update.Node.GetAddress(), "c0")
+	})
+}
+
+// A peer that was restarted rejects the word of a backend that it does not know, and is sent everything then.
+func TestRestartedPeerIsSentEverything(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		m, before := newTestMembership("c0", "east"), newTestMembership("c1", "west")
+		link := linkTo(m, "c1")
+		m.OnHeartbeat(&api.Backend{Id: "b0", Service: "s", Address: "b0:1"})
+		_, accepted := deliver(link, before, false)
+		is.True(accepted)
+
+		restarted := newTestMembership("c1", "west")
+		_, accepted = deliver(link, restarted, true)
+		is.True(!accepted)
+		update, accepted := deliver(link, restarted, false)
+		is.True(accepted)
+		is.True(update.Complete)
+		is.Equal(backendIDs(restarted), []string{"b0"})
+	})
+}
+
+// A process sends on only what was reported to itself: what a peer has told it is not echoed.
+func TestReportsOfAPeerAreNotSentOn(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		m, peer := newTestMembership("c0", "east"), newTestMembership("c1", "west")
+		m.OnHeartbeat(&api.Backend{Id: "b0", Service: "s", Address: "b0:1"})
+		_, accepted := deliver(linkTo(m, "c1"), peer, true)
+		is.True(accepted)
+		update, _ := deliver(linkTo(peer, "c0"), m, true)
+		is.Equal(len(update.Backends)+len(update.Heartbeats), 0)
+	})
+}
+
+// Observations wait for a peer that can't be reached, and are sent once.
+func TestObservationsAreHandedOver(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		m, peer := newTestMembership("c0", "east"), newTestMembership("c1", "west")
+		link := linkTo(m, "c1")
+		m.OnObservations([]*api.Observation{{Id: "b0"}, {Id: "b1"}})
+		update, _ := deliver(link, peer, false)
+		is.Equal(len(update.Observations), 2)
+		update, _ = deliver(link, peer, false)
+		is.Equal(len(update.Observations), 0)
+		m.OnObservations([]*api.Observation{{Id: "b0"}})
+		time.Sleep(hintTTL + time.Millisecond)
+		update, _ = deliver(link, peer, false)
+		is.Equal(len(update.Observations), 0) // a heartbeat has said the same by then
+	})
+}
+
+func TestExpiredMembersLeaveTheFeed(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		m := newTestMembership("c0", "east")
+		m.OnHeartbeat(&api.Backend{Id: "b0", Service: "s", Address: "b0:1"})
+		m.OnNodeCall(&api.Node{Name: "n0", Address: "n0:1", Incarnation: 1})
+		m.OnWatch("n0")
+		time.Sleep(m.BackendTimeout())
+		m.expire()
+		is.Equal(backendIDs(m), []string{"b0"})
+		time.Sleep(nodeTimeout)
+		m.expire()
+		is.Equal(len(backendIDs(m)), 0)
+		is.Equal(len(m.feed.Nodes()), 0)
+		is.Equal(len(m.Subscribers()), 0)
+	})
+}
+
+// A backend of another zone is named a control process in its own, while that one sends updates.
+func TestBackendIsNamedAPeerInItsZone(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		m := newTestMembership("c0", "east")
+		m.OnPeerUpdate(&api.MembershipUpdate{From: "c1", Node: &api.ControlNode{Address: "c1", Zone: "west", PublicAddress: "c1-public"}})
+		is.Equal(m.peerInZone("west"), "c1-public")
+		is.Equal(m.peerInZone("east"), "") // it is in that zone itself
+		is.Equal(m.peerInZone("north"), "")
+		time.Sleep(peerTimeout)
+		is.Equal(m.peerInZone("west"), "")
+	})
+}
--- a/internal/controlplane/node_table.go
+++ b/internal/controlplane/node_table.go
@@ -17,7 +17,7 @@
 
 func newNodeTable() *nodeTable { return &nodeTable{lastSeen: lastSeenTable{}} }
 
-// onCall records a node's call, and tells whether the node was known before.
+// onCall records a node's call, and reports whether the node was known before.
 func (t *nodeTable) onCall(now time.Time, name string) bool {
 	_, known := t.lastSeen[name]
 	t.lastSeen.onContact(now, name)
--- a/internal/controlplane/operator_handlers.go
+++ b/internal/controlplane/operator_handlers.go
@@ -137,7 +137,7 @@
 	}
 }
 
-// callerConnected tells whether the caller of an order still waits for its answer. A process that stood still, or was
+// callerConnected reports whether the caller of an order still waits for its answer. A process that stood still, or was
 // cut off, finds orders whose callers have turned to another process long since, and gone on.
 func callerConnected(ctx *fasthttp.RequestCtx) bool {
 	conn := ctx.Conn()
--- a/internal/controlplane/orders.go
+++ b/internal/controlplane/orders.go
@@ -6,6 +6,7 @@
 
 	"marlreel/internal/api"
 	"marlreel/internal/controlplane/result"
+	"marlreel/internal/process/timing"
 )
 
 const (
@@ -27,7 +28,7 @@
 		if head != "" && attempts.OnReply(s.submitAt(ctx, head, operation)) {
 			break
 		}
-		sleep(ctx, attemptInterval)
+		timing.Sleep(ctx, attemptInterval)
 	}
 	s.countOrder(attempts.outcome)
 	return attempts.outcome
--- a/internal/controlplane/peer_link.go
+++ b/internal/controlplane/peer_link.go
@@ -102,7 +102,7 @@
 	l.observations.Remove(hints)
 }
 
-// isFailedPrecondition tells whether a call was answered with twirp.FailedPrecondition.
+// isFailedPrecondition reports whether a call was answered with twirp.FailedPrecondition.
 func isFailedPrecondition(err error) bool {
 	var reply twirp.Error
 	return errors.As(err, &reply) && reply.Code() == twirp.FailedPrecondition
--- a/internal/controlplane/peer_sender.go
+++ b/internal/controlplane/peer_sender.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"marlreel/internal/api"
+	"marlreel/internal/process/timing"
 	"marlreel/internal/process/transport"
 )
 
@@ -89,7 +90,7 @@
 		case over:
 			large = nil
 		case large.isFailing():
-			sleep(p.ctx, fragmentRetryInterval)
+			timing.Sleep(p.ctx, fragmentRetryInterval)
 		}
 	}
 }
--- a/internal/controlplane/peer_table.go
+++ b/internal/controlplane/peer_table.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// timedOut tells whether a peer has sent no update for too long, or never one.
+// timedOut reports whether a peer has sent no update for too long, or never one.
 func (t *peerTable) timedOut(now time.Time, address string) bool {
 	return now.Sub(t.lastUpdate[address]) > peerTimeout
 }
--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -91,12 +91,12 @@
 	}
 }
 
-// isHead tells whether this is the head of its view, by its own word: only a confirmation makes that sure.
+// isHead reports whether this is the head of its view, by its own word: only a confirmation makes that sure.
 func (r *Replica) isHead() bool {
 	return chain.MemberKey(r.node.Head()) == chain.MemberKey(r.node.DurableState().Self)
 }
 
-// headInService tells whether this is the head of a chain in service.
+// headInService reports whether this is the head of a chain in service.
 func (r *Replica) headInService() bool { return r.failure == nil && r.node.InService() && r.isHead() }
 
 // apply does what the node wants done, in the order that the chain's argument needs: save, then send, then reply.
--- a/internal/controlplane/replica_runner.go
+++ b/internal/controlplane/replica_runner.go
@@ -14,6 +14,7 @@
 	"marlreel/internal/process/bootstrap"
 	"marlreel/internal/process/host"
 	"marlreel/internal/process/logevent"
+	"marlreel/internal/process/timing"
 )
 
 const (
@@ -119,7 +120,7 @@
 		if left {
 			return
 		}
-		sleep(ctx, leavePollInterval)
+		timing.Sleep(ctx, leavePollInterval)
 	}
 }
 
--- a/internal/controlplane/service.go
+++ b/internal/controlplane/service.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"sync/atomic"
-	"time"
 
 	vm "github.com/VictoriaMetrics/metrics"
 	"github.com/go-logr/logr"
@@ -52,13 +51,3 @@
 		return none, false
 	}
 }
-
-// sleep returns after span, or when ctx ends.
-func sleep(ctx context.Context, span time.Duration) {
-	timer := time.NewTimer(span)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-	case <-ctx.Done():
-	}
-}
--- a/internal/controlplane/simulation_agents_test.go
+++ b/internal/controlplane/simulation_agents_test.go
@@ -136,7 +136,7 @@
 	})
 }
 
-// holdsLease tells whether the agent's lease runs.
+// holdsLease reports whether the agent's lease runs.
 func (a *simulatedAgent) holdsLease() bool { return a.sim.now < a.leaseExpiry }
 
 // sendOrder gives the backend an order, if the agent may. Nobody else may at that moment.
--- a/internal/controlplane/simulation_control_test.go
+++ b/internal/controlplane/simulation_control_test.go
@@ -254,7 +254,7 @@
 	return nil
 }
 
-// inService tells whether a process is in a chain in service, by its own word.
+// inService reports whether a process is in a chain in service, by its own word.
 func (c *simulatedControl) inService() bool {
 	return c.up && c.replica != nil && c.replica.Failure() == nil && c.replica.Node().InService()
 }
--- a/internal/controlplane/simulation_operators_test.go
+++ b/internal/controlplane/simulation_operators_test.go
@@ -118,7 +118,7 @@
 	again()
 }
 
-// isClear tells whether an order's outcome is one that callers don't send again for.
+// isClear reports whether an order's outcome is one that callers don't send again for.
 func isClear(outcome *result.Error) bool {
 	return outcome.Code != result.Unavailable && outcome.Code != result.OutcomeUnknown
 }
