--- a/internal/controlplane/chain/simulation_test.go
+++ b/internal/controlplane/chain/simulation_test.go
@@ -104,6 +104,7 @@
 	contacts     []string // the seeds of processes that start
 	proposed     int
 	log          []string
+	events       []Event // of all processes, in order
 	// faultHits counts how often a fault came upon the step of the protocol that it is about.
 	faultHits      map[string]int
 	panicOnFailure bool // what is wrong ends the history, not the test
@@ -216,6 +217,7 @@
 		p.disk = &saved
 	}
 	for _, event := range out.Events {
+		c.events = append(c.events, event)
 		c.log = append(c.log, fmt.Sprintf("%v %s: %T%+v", c.now, p.address, event, event))
 	}
 	for _, message := range out.Messages {
