--- a/internal/controlplane/chain/event_test.go
+++ b/internal/controlplane/chain/event_test.go
@@ -8,67 +8,72 @@
 	"github.com/matryer/is"
 )
 
-// Each cause of a view change is reported with its reason and the member that it concerns, and then the view that came
-// of it.
-func TestEventsOfViewChanges(t *testing.T) {
-	for _, story := range []struct {
-		name    string
-		change  func(c *cluster) (member string)
-		reason  Reason
-		chain   int
-		members int
-	}{
-		{
-			name:   "founding",
-			change: func(*cluster) string { return "" },
-			reason: ReasonFounding, chain: 3, members: 3,
-		},
-		{
-			name: "a member of the chain fails",
-			change: func(c *cluster) string {
-				p := c.processOf(c.head().node.View().Chain[1])
-				c.kill(p)
-				return p.address
-			},
-			reason: ReasonMemberFailed, chain: 2, members: 3,
-		},
-		{
-			name: "a member comes back",
-			change: func(c *cluster) string {
-				p := c.processOf(c.head().node.View().Chain[2])
-				c.kill(p)
-				c.runFor(time.Second)
-				c.start(p, false)
-				return p.address
-			},
-			reason: ReasonMemberRejoining, chain: 3, members: 3,
+// viewChange is something that makes another view necessary, in a cluster of three that is in service.
+type viewChange struct {
+	name    string
+	change  func(c *cluster) (member string)
+	reason  Reason
+	chain   int
+	members int
+}
+
+var viewChanges = []viewChange{
+	{
+		name:   "founding",
+		change: func(*cluster) string { return "" },
+		reason: ReasonFounding, chain: 3, members: 3,
+	},
+	{
+		name: "a member of the chain fails",
+		change: func(c *cluster) string {
+			p := c.processOf(c.head().node.View().Chain[1])
+			c.kill(p)
+			return p.address
 		},
-		{
-			name:   "a process joins",
-			change: func(c *cluster) string { return c.add("d0", false).address },
-			reason: ReasonMemberJoining, chain: 4, members: 4,
+		reason: ReasonMemberFailed, chain: 2, members: 3,
+	},
+	{
+		name: "a member comes back",
+		change: func(c *cluster) string {
+			p := c.processOf(c.head().node.View().Chain[2])
+			c.kill(p)
+			c.runFor(time.Second)
+			c.start(p, false)
+			return p.address
 		},
-		{
-			name: "a member leaves",
-			change: func(c *cluster) string {
-				p := c.processOf(c.head().node.View().Chain[1])
-				c.carryOut(p, p.node.Leave(c.now))
-				return p.address
-			},
-			reason: ReasonMemberLeaving, chain: 2, members: 3,
+		reason: ReasonMemberRejoining, chain: 3, members: 3,
+	},
+	{
+		name:   "a process joins",
+		change: func(c *cluster) string { return c.add("d0", false).address },
+		reason: ReasonMemberJoining, chain: 4, members: 4,
+	},
+	{
+		name: "a member leaves",
+		change: func(c *cluster) string {
+			p := c.processOf(c.head().node.View().Chain[1])
+			c.carryOut(p, p.node.Leave(c.now))
+			return p.address
 		},
-		{
-			name: "a member too many fails for long",
-			change: func(c *cluster) string {
-				c.add("d0", false)
-				c.runFor(settleTime)
-				p := c.processOf(c.head().node.View().Chain[1])
-				c.kill(p)
-				return p.address
-			},
-			reason: ReasonMemberRemoved, chain: 3, members: 3,
+		reason: ReasonMemberLeaving, chain: 2, members: 3,
+	},
+	{
+		name: "a member too many fails for long",
+		change: func(c *cluster) string {
+			c.add("d0", false)
+			c.runFor(settleTime)
+			p := c.processOf(c.head().node.View().Chain[1])
+			c.kill(p)
+			return p.address
 		},
-	} {
+		reason: ReasonMemberRemoved, chain: 3, members: 3,
+	},
+}
+
+// Each cause of a view change is reported with its reason and the member that it concerns, and then the view that came
+// of it.
+func TestEventsOfViewChanges(t *testing.T) {
+	for _, story := range viewChanges {
 		t.Run(story.name, func(t *testing.T) {
 			is := is.New(t)
 			c := newCluster(t, 40, 3)
