--- a/cmd/marlreel/handover_test.go
+++ b/cmd/marlreel/handover_test.go
@@ -20,7 +20,7 @@
 	"testing"
 	"time"
 
-	"marlreel/internal/lists/discovery"
+	"marlreel/internal/discovery/platformwatch"
 )
 
 const upgradeSettings = `{"Balancers":1,"Rank":0,"Zone":0,"Tick":5.0,"Discovery":"pushed","FailureDomains":["koper"],
@@ -59,10 +59,10 @@
 	audit  audit
 
 	mu        sync.Mutex
-	instances []discovery.Instance // the list, as processes find it
-	alone     atomic.Bool          // processes can't find each other: long answers end with theirs
-	killed    atomic.Bool          // a process that served has been killed: what it held is lost
-	kills     atomic.Int64         // how many have been
+	instances []platformwatch.Instance // the list, as processes find it
+	alone     atomic.Bool              // processes can't find each other: long answers end with theirs
+	killed    atomic.Bool              // a process that served has been killed: what it held is lost
+	kills     atomic.Int64             // how many have been
 }
 
 func newPlatform(t *testing.T, seed uint64) *platform {
@@ -78,7 +78,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { p.file.Close() })
-	var instances []discovery.Instance
+	var instances []platformwatch.Instance
 	var n atomic.Uint64
 	for i := range 3 {
 		b := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -103,7 +103,7 @@
 			}
 		}))
 		t.Cleanup(b.Close)
-		instances = append(instances, discovery.Instance{
+		instances = append(instances, platformwatch.Instance{
 			InstanceID: fmt.Sprint("s-", i), HostPort: b.Listener.Addr().String(),
 			Zone: "koper", MachineType: "mid-2c", Lifecycle: "Ready", Weight: 1,
 		})
@@ -113,7 +113,7 @@
 	go func() {
 		for w := range watches {
 			p.mu.Lock()
-			list, _ := json.Marshal(discovery.List{Generation: 1, Reset: true, Instances: p.instances})
+			list, _ := json.Marshal(platformwatch.List{Generation: 1, Reset: true, Instances: p.instances})
 			p.mu.Unlock()
 			w.Lines <- string(list)
 		}
@@ -138,7 +138,7 @@
 	defer p.mu.Unlock()
 	p.instances = nil
 	for i, addr := range addrs {
-		p.instances = append(p.instances, discovery.Instance{
+		p.instances = append(p.instances, platformwatch.Instance{
 			InstanceID: fmt.Sprint("t-", i), HostPort: addr,
 			Zone: "koper", MachineType: "mid-2c", Lifecycle: "Ready", Weight: 1,
 		})
--- a/cmd/marlreelctl/main.go
+++ b/cmd/marlreelctl/main.go
@@ -22,8 +22,8 @@
 
 	"marlreel/internal/advice"
 	"marlreel/internal/config"
-	"marlreel/internal/lists/members"
-	"marlreel/internal/lists/registry"
+	"marlreel/internal/discovery/membership"
+	"marlreel/internal/discovery/registry"
 )
 
 const about = `Keep the list of nodes in a registry, and the settings on which a fleet of proxies agrees.
@@ -163,7 +163,7 @@
 		_, err = s.out.Write(body)
 		return err
 	}
-	var st members.Status
+	var st membership.Status
 	if err := json.Unmarshal(body, &st); err != nil {
 		return &DoorError{d.Control, err}
 	}
@@ -200,18 +200,18 @@
 type listCmd struct{}
 
 func (listCmd) Run(s *site) error {
-	var w members.Whole
+	var w membership.Whole
 	if err := s.reach(tries, func() (err error) { w, err = s.w.Whole(s.ctx); return err }); err != nil {
 		return err
 	}
 	if w.Stale {
 		fmt.Fprintln(s.out, "the registry has no quorum: this may be old")
 	}
-	slices.SortFunc(w.Items, func(a, b members.Item) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(w.Items, func(a, b membership.Item) int { return strings.Compare(a.Name, b.Name) })
 	fmt.Fprintf(s.out, "%-20s %-9s %-22s %-12s %-12s %s\n", "node", "state", "address", "zone", "kind", "revision")
 	for _, i := range w.Items {
 		switch {
-		case i.Name == members.Confirm:
+		case i.Name == membership.Confirm:
 		case i.Bad != "":
 			fmt.Fprintf(s.out, "%-20s can't be read: %s\n", i.Name, i.Bad)
 		default:
@@ -234,8 +234,8 @@
 }
 
 // change reads an entry, and writes what becomes of it, if nobody else wrote meanwhile.
-func (s *site) change(name string, how func(i members.Item) (registry.Value, error)) error {
-	if name == members.Confirm || strings.ContainsAny(name, "/ ") {
+func (s *site) change(name string, how func(i membership.Item) (registry.Value, error)) error {
+	if name == membership.Confirm || strings.ContainsAny(name, "/ ") {
 		return &NodeError{strconv.Quote(name), "is no node's name", nil}
 	}
 	return s.reach(tries, func() error {
@@ -260,7 +260,7 @@
 }
 
 func (c putCmd) Run(s *site) error {
-	return s.change(c.Name, func(i members.Item) (registry.Value, error) {
+	return s.change(c.Name, func(i membership.Item) (registry.Value, error) {
 		return registry.Value{Address: c.Address, Zone: c.Zone, Kind: c.Kind, Weight: c.Weight, State: "ready", Started: i.Entry.Started}, nil
 	})
 }
@@ -270,7 +270,7 @@
 }
 
 func (c drainCmd) Run(s *site) error {
-	return s.change(c.Name, func(i members.Item) (registry.Value, error) {
+	return s.change(c.Name, func(i membership.Item) (registry.Value, error) {
 		switch e := i.Entry; {
 		case i.Mod == 0:
 			return registry.Value{}, &NodeError{c.Name, "is not in the list", nil}
@@ -310,7 +310,7 @@
 
 func (confirmCmd) Run(s *site) error {
 	return s.reach(tries, func() error {
-		if err := s.w.Put(s.ctx, members.Confirm, []byte(fmt.Sprintf(`{"at":%q}`, time.Now().UTC().Format(time.RFC3339))), registry.Any, ""); err != nil {
+		if err := s.w.Put(s.ctx, membership.Confirm, []byte(fmt.Sprintf(`{"at":%q}`, time.Now().UTC().Format(time.RFC3339))), registry.Any, ""); err != nil {
 			return err
 		}
 		fmt.Fprintln(s.out, "confirmed: the proxies let go what is no longer in the list")
--- a/cmd/marlreelctl/main_test.go
+++ b/cmd/marlreelctl/main_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"marlreel/internal/lists/members"
+	"marlreel/internal/discovery/membership"
 	"marlreel/internal/standin"
 )
 
@@ -82,9 +82,9 @@
 // What a proxy says of its lists, in words; and that there is no registry.
 func TestDiscovery(t *testing.T) {
 	t.Parallel()
-	said := members.Status{
+	said := membership.Status{
 		Source: "registry", Revision: 42, Age: 1500 * time.Millisecond, Entries: 7, Held: []string{"s-1", "s-2"}, Damped: []string{"s-9"},
-		Sources: []members.SourceStatus{{Name: "registry", Revision: 42, Lost: true, Why: "connection refused", Bad: map[string]string{"s-3": "v = 2"}}, {Name: "platform", Revision: 5, Synced: true}},
+		Sources: []membership.SourceStatus{{Name: "registry", Revision: 42, Lost: true, Why: "connection refused", Bad: map[string]string{"s-3": "v = 2"}}, {Name: "platform", Revision: 5, Synced: true}},
 	}
 	on := true
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/balancer/connections/model.go
+++ b/internal/balancer/connections/model.go
@@ -2,7 +2,7 @@
 // request, and so which one a request should have. It is pure: events come with the
 // time on them, choices go out; it opens nothing, reads no clock and starts no goroutine.
 // It never decides which backend gets a request, nor what may be retried: package balancer does. Its Model belongs to
-// the connection pool of internal/httpproxy.
+// the connection pool of internal/dataplane/httpproxy.
 //
 // A use of a connection either breaks after the request was written and before an
 // answer (when it may have run, so that an unsafe request is lost) or does not. Uses
--- a/internal/config/marlreel.go
+++ b/internal/config/marlreel.go
@@ -6,21 +6,21 @@
 	"path/filepath"
 	"time"
 
+	"marlreel/internal/dataplane/msgpackrpc"
+	"marlreel/internal/discovery/registry"
 	"marlreel/internal/fleet"
-	"marlreel/internal/lists/registry"
 	"marlreel/internal/process/logs"
-	"marlreel/internal/rpc"
 	"marlreel/internal/strict"
 )
 
 // Marlreel is what an operator sets beyond what the platform says: deploy/marlreel.toml.
 // All of it is off unless it is set there.
 type Marlreel struct {
-	RPC      rpc.Config      `toml:"rpc"`
-	Registry registry.Config `toml:"registry"`
-	Memory   Memory          `toml:"memory"`
-	Fleet    fleet.Config    `toml:"fleet"`
-	Log      Log             `toml:"log"`
+	RPC      msgpackrpc.Config `toml:"rpc"`
+	Registry registry.Config   `toml:"registry"`
+	Memory   Memory            `toml:"memory"`
+	Fleet    fleet.Config      `toml:"fleet"`
+	Log      Log               `toml:"log"`
 	// Background is what work that is no request may take.
 	Background Background `toml:"background"`
 }
@@ -79,7 +79,7 @@
 // DefaultMarlreel is what holds without a file: everything off.
 func DefaultMarlreel() *Marlreel {
 	return &Marlreel{
-		RPC: rpc.DefaultConfig(), Registry: registry.DefaultConfig(), Fleet: fleet.DefaultConfig(), Log: Log{Format: logs.Text},
+		RPC: msgpackrpc.DefaultConfig(), Registry: registry.DefaultConfig(), Fleet: fleet.DefaultConfig(), Log: Log{Format: logs.Text},
 		Memory:     Memory{Every: strict.Span(5 * time.Second), Keep: strict.Span(10 * time.Minute), Half: strict.Span(30 * time.Second)},
 		Background: Background{Share: 0.02, Most: 2},
 	}
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"marlreel/internal/balancer"
-	"marlreel/internal/lists/discovery"
+	"marlreel/internal/discovery/platformwatch"
 	"marlreel/internal/wire"
 )
 
@@ -32,12 +32,12 @@
 	Sockets  int // file descriptors that the process may hold
 	MemoryMB int
 	Cores    float64
-	Known    *discovery.List // the list as last held; nil is none
+	Known    *platformwatch.List // the list as last held; nil is none
 	Settings balancer.Config
 
 	settings any // as they stand in the file
 
-	Names   discovery.Names
+	Names   platformwatch.Names
 	Report  []string // names of the values of a load report
 	MaxOpen int      // open requests; 0 is no limit
 	// AcceptLonger is how long after the signal to stop connections are taken.
@@ -85,7 +85,7 @@
 			MemoryMB int     `json:"memory_mb"`
 			Sockets  int     `json:"sockets"`
 		}
-		Known    *discovery.List
+		Known    *platformwatch.List
 		Settings json.RawMessage
 	}
 	if err := json.Unmarshal(data, &file); err != nil {
@@ -180,7 +180,7 @@
 	if err := json.Unmarshal(text, &names); err != nil {
 		return &KeyError{"settings", err}
 	}
-	c.Names = discovery.Names{Zones: positions(names.FailureDomains), Kinds: positions(names.Kinds)}
+	c.Names = platformwatch.Names{Zones: positions(names.FailureDomains), Kinds: positions(names.Kinds)}
 	c.Report, c.MaxOpen = names.Feedback.Names, names.Caps.MaxOpen
 	return nil
 }
--- a/internal/dataplane/gateway/backlog.go
+++ b/internal/dataplane/gateway/backlog.go
@@ -5,7 +5,7 @@
 
 	"marlreel/internal/api"
 	"marlreel/internal/dataplane/backlog"
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 )
 
 const (
--- a/internal/dataplane/gateway/cause.go
+++ b/internal/dataplane/gateway/cause.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 )
 
 // cause is why a request was not answered within its latency target.
--- a/internal/dataplane/gateway/cause_test.go
+++ b/internal/dataplane/gateway/cause_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 )
 
 func TestCauses(t *testing.T) {
--- a/internal/dataplane/gateway/clientrequest.go
+++ b/internal/dataplane/gateway/clientrequest.go
@@ -6,8 +6,8 @@
 
 	"marlreel/internal/balancer"
 	"marlreel/internal/controlplane/configuration"
-	"marlreel/internal/engine"
-	"marlreel/internal/httpproxy"
+	"marlreel/internal/dataplane/engine"
+	"marlreel/internal/dataplane/httpproxy"
 )
 
 // call is a request as the engine has it. A stream that is resumed is one more call.
--- a/internal/dataplane/gateway/compatibility_test.go
+++ b/internal/dataplane/gateway/compatibility_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"marlreel/internal/engine"
-	"marlreel/internal/httpproxy"
+	"marlreel/internal/dataplane/engine"
+	"marlreel/internal/dataplane/httpproxy"
 )
 
 // The files under testdata/compatibility were written by the code of commit 6fb9894, with
--- a/internal/dataplane/gateway/handler.go
+++ b/internal/dataplane/gateway/handler.go
@@ -9,8 +9,8 @@
 	"github.com/valyala/fasthttp"
 
 	"marlreel/internal/controlplane/configuration"
-	"marlreel/internal/engine"
-	"marlreel/internal/httpproxy"
+	"marlreel/internal/dataplane/engine"
+	"marlreel/internal/dataplane/httpproxy"
 )
 
 const (
--- a/internal/dataplane/gateway/metrics.go
+++ b/internal/dataplane/gateway/metrics.go
@@ -7,7 +7,7 @@
 	vm "github.com/VictoriaMetrics/metrics"
 
 	"marlreel/internal/balancer"
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 	"marlreel/internal/process/metricserver"
 )
 
--- a/internal/dataplane/gateway/protocol.go
+++ b/internal/dataplane/gateway/protocol.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"marlreel/internal/balancer"
-	"marlreel/internal/engine"
-	"marlreel/internal/httpproxy"
+	"marlreel/internal/dataplane/engine"
+	"marlreel/internal/dataplane/httpproxy"
 )
 
 // The headers of the protocol between clients, proxies and backends (docs/design/system.md).
--- a/internal/dataplane/gateway/request.go
+++ b/internal/dataplane/gateway/request.go
@@ -10,8 +10,8 @@
 
 	"marlreel/internal/balancer"
 	"marlreel/internal/controlplane/configuration"
+	"marlreel/internal/dataplane/httpproxy"
 	"marlreel/internal/dataplane/routing"
-	"marlreel/internal/httpproxy"
 )
 
 const (
--- a/internal/dataplane/gateway/requesttrace.go
+++ b/internal/dataplane/gateway/requesttrace.go
@@ -6,8 +6,8 @@
 	"github.com/go-logr/logr"
 
 	"marlreel/internal/balancer"
-	"marlreel/internal/engine"
-	"marlreel/internal/httpproxy"
+	"marlreel/internal/dataplane/engine"
+	"marlreel/internal/dataplane/httpproxy"
 	"marlreel/internal/process/logevent"
 )
 
--- a/internal/dataplane/gateway/service.go
+++ b/internal/dataplane/gateway/service.go
@@ -15,9 +15,9 @@
 	"marlreel/internal/balancer/budgetshare"
 	"marlreel/internal/balancer/prefixcache"
 	"marlreel/internal/controlplane/configuration"
+	"marlreel/internal/dataplane/engine"
+	"marlreel/internal/dataplane/httpproxy"
 	"marlreel/internal/dataplane/routing"
-	"marlreel/internal/engine"
-	"marlreel/internal/httpproxy"
 	"marlreel/internal/process/logevent"
 )
 
--- a/internal/httpproxy/carrier.go
+++ b/internal/dataplane/httpproxy/carrier.go
@@ -8,7 +8,7 @@
 
 	"marlreel/internal/balancer"
 	"marlreel/internal/balancer/connections"
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 	"marlreel/internal/process/budget"
 )
 
--- a/internal/httpproxy/carrier_test.go
+++ b/internal/dataplane/httpproxy/carrier_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"marlreel/internal/balancer"
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 	"marlreel/internal/testutil"
 )
 
--- a/internal/httpproxy/compatibility_sent_test.go
+++ b/internal/dataplane/httpproxy/compatibility_sent_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 )
 
 // goodRequest is a client's request that is taken, with all headers that mean something here.
--- a/internal/httpproxy/crossing_test.go
+++ b/internal/dataplane/httpproxy/crossing_test.go
@@ -17,7 +17,7 @@
 	"golang.org/x/sys/unix"
 
 	"marlreel/internal/balancer"
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 	"marlreel/internal/testutil"
 )
 
--- a/internal/httpproxy/dialect.go
+++ b/internal/dataplane/httpproxy/dialect.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"marlreel/internal/balancer"
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 )
 
 // Dialect is what the protocols of platforms word differently between a proxy and its backends.
--- a/internal/httpproxy/exchange_test.go
+++ b/internal/dataplane/httpproxy/exchange_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"marlreel/internal/balancer"
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 )
 
 // While an attempt dials, its backend may be listed as draining, or its request
--- a/internal/httpproxy/front_test.go
+++ b/internal/dataplane/httpproxy/front_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"marlreel/internal/balancer"
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 )
 
 // What is owed to bad clients is owed within 3 s of connecting.
--- a/internal/httpproxy/handon_test.go
+++ b/internal/dataplane/httpproxy/handon_test.go
@@ -18,7 +18,7 @@
 	"pgregory.net/rapid"
 
 	"marlreel/internal/balancer"
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 	"marlreel/internal/process/budget"
 	"marlreel/internal/sockets"
 	"marlreel/internal/testutil"
--- a/internal/httpproxy/harness_test.go
+++ b/internal/dataplane/httpproxy/harness_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"marlreel/internal/balancer"
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 	"marlreel/internal/process/budget"
 	"marlreel/internal/process/logs"
 	"marlreel/internal/testutil"
--- a/internal/httpproxy/parse.go
+++ b/internal/dataplane/httpproxy/parse.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"marlreel/internal/balancer"
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 )
 
 const (
--- a/internal/httpproxy/pool.go
+++ b/internal/dataplane/httpproxy/pool.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"marlreel/internal/balancer/connections"
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 )
 
 // pool keeps the connections to all backends within a bound. The engine's goroutine owns it.
--- a/internal/httpproxy/pool_test.go
+++ b/internal/dataplane/httpproxy/pool_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"marlreel/internal/balancer/connections"
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 )
 
 // poolOf has n idle connections to a listener, oldest first, and the listener's ends of them.
--- a/internal/httpproxy/server.go
+++ b/internal/dataplane/httpproxy/server.go
@@ -28,7 +28,7 @@
 	"sync/atomic"
 	"time"
 
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 	"marlreel/internal/process/budget"
 )
 
--- a/internal/rpc/carrier.go
+++ b/internal/dataplane/msgpackrpc/carrier.go
@@ -1,4 +1,4 @@
-package rpc
+package msgpackrpc
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"time"
 
 	"marlreel/internal/balancer"
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 )
 
 const (
--- a/internal/rpc/compatibility_test.go
+++ b/internal/dataplane/msgpackrpc/compatibility_test.go
@@ -1,4 +1,4 @@
-package rpc
+package msgpackrpc
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"time"
 
 	"marlreel/internal/balancer"
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 )
 
 // compatibilityMeta is a call's metadata with all keys.
--- a/internal/rpc/doc.go
+++ b/internal/dataplane/msgpackrpc/doc.go
@@ -1,4 +1,4 @@
-// Package rpc speaks MessagePack-RPC with callers and with backends, after the
+// Package msgpackrpc speaks MessagePack-RPC with callers and with backends, after the
 // MessagePack-RPC specification (github.com/msgpack-rpc/msgpack-rpc, spec.md) and the
 // MessagePack specification (github.com/msgpack/msgpack, spec.md): requests
 // [0, msgid, method, params], responses [1, msgid, error, result], notifications
@@ -21,4 +21,4 @@
 //	it breaks, or can't be read, after the last byte      Reset           no
 //	nothing until its time is up                          Timeout         no
 //	a notification was written whole                      Cancelled       no; its call is over with it
-package rpc
+package msgpackrpc
--- a/internal/rpc/front.go
+++ b/internal/dataplane/msgpackrpc/front.go
@@ -1,4 +1,4 @@
-package rpc
+package msgpackrpc
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"time"
 
 	"marlreel/internal/balancer"
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 	"marlreel/internal/process/logs"
 )
 
--- a/internal/rpc/link.go
+++ b/internal/dataplane/msgpackrpc/link.go
@@ -1,4 +1,4 @@
-package rpc
+package msgpackrpc
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"time"
 
 	"marlreel/internal/balancer"
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 )
 
 // link is one connection to a backend. The engine's goroutine owns it, but for what is
--- a/internal/rpc/link_sockets.go
+++ b/internal/dataplane/msgpackrpc/link_sockets.go
@@ -1,4 +1,4 @@
-package rpc
+package msgpackrpc
 
 import (
 	"context"
--- a/internal/rpc/link_test.go
+++ b/internal/dataplane/msgpackrpc/link_test.go
@@ -1,4 +1,4 @@
-package rpc
+package msgpackrpc
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"time"
 
 	"marlreel/internal/balancer"
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 	"marlreel/internal/process/logs"
 	"marlreel/internal/testutil"
 )
--- a/internal/lists/members/compatibility_test.go
+++ b/internal/discovery/membership/compatibility_test.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"bytes"
--- a/internal/lists/members/members.go
+++ b/internal/discovery/membership/members.go
@@ -1,4 +1,4 @@
-// Package members keeps the list of backends as registries tell it: whole lists at a revision, changes, words
+// Package membership keeps the list of backends as registries tell it: whole lists at a revision, changes, words
 // that nothing has changed, lost connections, lost histories. It owns the hard judgements: what may be taken
 // out of the list, when an old list may be trusted, when to move from one source to another, how to damp an
 // entry that comes and goes.
@@ -6,7 +6,7 @@
 // It is pure: events with the time on them in, actions out; no goroutine, no clock, no input or output. It
 // judges no backend's health, and never holds back a drain: whoever is told that a backend drains, or is
 // gone, is told at once, but where most of the list goes together (see guard.go).
-package members
+package membership
 
 import (
 	"cmp"
--- a/internal/lists/discovery/compatibility_test.go
+++ b/internal/discovery/platformwatch/compatibility_test.go
@@ -1,4 +1,4 @@
-package discovery
+package platformwatch
 
 import (
 	"bufio"
@@ -19,7 +19,7 @@
 	"time"
 
 	"marlreel/internal/balancer"
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 )
 
 var compatibilityNames = Names{Zones: map[string]int{"koper": 0, "maribor": 1}, Kinds: map[string]int{"mid-2c": 0, "big-4c": 1}}
--- a/internal/lists/discovery/list.go
+++ b/internal/discovery/platformwatch/list.go
@@ -1,4 +1,4 @@
-package discovery
+package platformwatch
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"time"
 
 	"marlreel/internal/balancer"
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 )
 
 // List is the platform's form of the list, or of changes to it.
--- a/internal/lists/discovery/platform.go
+++ b/internal/discovery/platformwatch/platform.go
@@ -1,8 +1,8 @@
-// Package discovery tells the engine which backends there are: it follows the
+// Package platformwatch tells the engine which backends there are: it follows the
 // platform's list over HTTP, pushed or asked for, and moves from one address to
 // another without a gap. It owns how soon a change is known, whatever fails on the way (Pace). It knows nothing of
 // health, and never drops a list that it has because it can't get a newer one.
-package discovery
+package platformwatch
 
 import (
 	"bufio"
--- a/internal/lists/discovery/pursuit.go
+++ b/internal/discovery/platformwatch/pursuit.go
@@ -1,4 +1,4 @@
-package discovery
+package platformwatch
 
 import (
 	"slices"
--- a/internal/lists/discovery/source.go
+++ b/internal/discovery/platformwatch/source.go
@@ -1,4 +1,4 @@
-package discovery
+package platformwatch
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"sync/atomic"
 
 	"marlreel/internal/balancer"
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 )
 
 // Sink takes what the source has to tell. All but Post are called on the goroutine
--- a/internal/lists/discovery/source_test.go
+++ b/internal/discovery/platformwatch/source_test.go
@@ -1,4 +1,4 @@
-package discovery
+package platformwatch
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 	"go.uber.org/goleak"
 
 	"marlreel/internal/balancer"
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 	"marlreel/internal/standin"
 	"marlreel/internal/testutil"
 )
--- a/internal/lists/registry/compatibility_test.go
+++ b/internal/discovery/registry/compatibility_test.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"marlreel/internal/lists/members"
+	"marlreel/internal/discovery/membership"
 )
 
 // recordedRegistry answers calls in their order from a script, and writes them down.
@@ -61,19 +61,19 @@
 // told writes down what a client tells.
 type told struct{ strings.Builder }
 
-func (w *told) item(i members.Item) {
+func (w *told) item(i membership.Item) {
 	fmt.Fprintf(w, "    %s at %d: address %s, zone %s, kind %s, cell %d, draining %v, weight %v, started %d, can be read %v\n", i.Name, i.Mod,
 		i.Entry.Addr, i.Entry.Zone, i.Entry.Kind, i.Entry.Cell, i.Entry.Draining, i.Entry.Weight, i.Entry.Started, i.Bad == "")
 }
 
-func (w *told) Whole(l members.Whole) {
+func (w *told) Whole(l membership.Whole) {
 	fmt.Fprintf(w, "  list: history %d, revision %d, stale %v\n", l.History, l.Revision, l.Stale)
 	for _, i := range l.Items {
 		w.item(i)
 	}
 }
 
-func (w *told) Change(c members.Change) {
+func (w *told) Change(c membership.Change) {
 	fmt.Fprintf(w, "  change at %d: deleted %q\n", c.Revision, c.Deletes)
 	for _, i := range c.Puts {
 		w.item(i)
@@ -218,7 +218,7 @@
 		fmt.Fprintf(&got, "%s\n", text)
 		got.item(Item("marlreel/nodes/", "marlreel/nodes/n1", text, 5))
 	}
-	got.item(Item("marlreel/nodes/", "marlreel/nodes/"+members.Confirm, []byte("17"), 6))
+	got.item(Item("marlreel/nodes/", "marlreel/nodes/"+membership.Confirm, []byte("17"), 6))
 	compareRecorded(t, "node-values.txt", []byte(got.String()))
 }
 
--- a/internal/lists/registry/registry.go
+++ b/internal/discovery/registry/registry.go
@@ -16,13 +16,13 @@
 	"strings"
 	"time"
 
-	"marlreel/internal/lists/members"
+	"marlreel/internal/discovery/membership"
 )
 
 // Told is what a client has to tell. Its methods are called on one goroutine.
 type Told interface {
-	Whole(w members.Whole)
-	Change(c members.Change)
+	Whole(w membership.Whole)
+	Change(c membership.Change)
 	Progress(revision int64)
 	Compacted()
 	Lost(why string)
@@ -31,10 +31,10 @@
 // Client speaks one registry's protocol.
 type Client interface {
 	// Whole reads all nodes at one revision.
-	Whole(ctx context.Context) (members.Whole, error)
+	Whole(ctx context.Context) (membership.Whole, error)
 	// Watch tells what comes after a revision until it breaks. ErrCompacted and ErrHistory say that the whole
 	// list is needed first.
-	Watch(ctx context.Context, w members.Whole, told Told) error
+	Watch(ctx context.Context, w membership.Whole, told Told) error
 	// Next goes on to the next endpoint.
 	Next()
 }
@@ -66,7 +66,7 @@
 		case <-time.After(d):
 		}
 	}
-	var held members.Whole
+	var held membership.Whole
 	have := false
 	for ctx.Err() == nil {
 		if !have {
@@ -130,16 +130,16 @@
 // position follows how far a watch has come: the next one goes on from there.
 type position struct {
 	Told
-	at    *members.Whole
+	at    *membership.Whole
 	moved bool
 }
 
-func (p *position) Whole(w members.Whole) {
-	*p.at, p.moved = members.Whole{History: w.History, Revision: w.Revision}, true
+func (p *position) Whole(w membership.Whole) {
+	*p.at, p.moved = membership.Whole{History: w.History, Revision: w.Revision}, true
 	p.Told.Whole(w)
 }
 
-func (p *position) Change(c members.Change) {
+func (p *position) Change(c membership.Change) {
 	p.at.Revision, p.moved = max(p.at.Revision, c.Revision), true
 	p.Told.Change(c)
 }
@@ -176,10 +176,10 @@
 const longestValue = 4096
 
 // Item reads a node's entry. What can't be read is an item that says why.
-func Item(prefix, key string, value []byte, mod int64) members.Item {
+func Item(prefix, key string, value []byte, mod int64) membership.Item {
 	name, ok := strings.CutPrefix(key, prefix)
-	i := members.Item{Name: name, Mod: mod}
-	if ok && name == members.Confirm {
+	i := membership.Item{Name: name, Mod: mod}
+	if ok && name == membership.Confirm {
 		return i
 	}
 	v, err := parseValue(value)
@@ -193,7 +193,7 @@
 		if weight == 0 {
 			weight = 1
 		}
-		i.Entry = members.Entry{Addr: v.Address, Zone: v.Zone, Kind: v.Kind, Cell: v.Cell, Draining: v.State == "draining", Weight: weight, Started: v.Started}
+		i.Entry = membership.Entry{Addr: v.Address, Zone: v.Zone, Kind: v.Kind, Cell: v.Cell, Draining: v.State == "draining", Weight: weight, Started: v.Started}
 	}
 	return i
 }
--- a/internal/lists/registry/registry_test.go
+++ b/internal/discovery/registry/registry_test.go
@@ -23,7 +23,7 @@
 
 	"go.uber.org/goleak"
 
-	"marlreel/internal/lists/members"
+	"marlreel/internal/discovery/membership"
 	"marlreel/internal/standin"
 	"marlreel/internal/testutil"
 )
@@ -36,8 +36,8 @@
 type follower struct {
 	t     *testing.T
 	mu    sync.Mutex
-	model *members.Model
-	list  map[string]members.Entry
+	model *membership.Model
+	list  map[string]membership.Entry
 	lists int
 	lines []string
 	again chan struct{}
@@ -45,15 +45,15 @@
 	seen  func() // after each event, under the lock
 }
 
-func (f *follower) do(acts []members.Action) {
+func (f *follower) do(acts []membership.Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
-		case members.List:
+		case membership.List:
 			f.list = a.Entries
 			f.lists++
-		case members.Say:
+		case membership.Say:
 			f.lines = append(f.lines, string(a))
-		case members.Load:
+		case membership.Load:
 			select {
 			case f.again <- struct{}{}:
 			default:
@@ -67,39 +67,39 @@
 
 func (f *follower) now() time.Duration { return time.Second + time.Since(f.began) }
 
-func (f *follower) on(event func() []members.Action) {
+func (f *follower) on(event func() []membership.Action) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.do(event())
 }
 
-func (f *follower) Whole(w members.Whole) {
-	f.on(func() []members.Action { return f.model.Whole(f.now(), 0, w) })
+func (f *follower) Whole(w membership.Whole) {
+	f.on(func() []membership.Action { return f.model.Whole(f.now(), 0, w) })
 }
 
-func (f *follower) Change(c members.Change) {
-	f.on(func() []members.Action { return f.model.Change(f.now(), 0, c) })
+func (f *follower) Change(c membership.Change) {
+	f.on(func() []membership.Action { return f.model.Change(f.now(), 0, c) })
 }
 
 func (f *follower) Progress(r int64) {
-	f.on(func() []members.Action { return f.model.Progress(f.now(), 0, r) })
+	f.on(func() []membership.Action { return f.model.Progress(f.now(), 0, r) })
 }
 
 func (f *follower) Compacted() {
-	f.on(func() []members.Action { return f.model.Compacted(f.now(), 0) })
+	f.on(func() []membership.Action { return f.model.Compacted(f.now(), 0) })
 }
 
 func (f *follower) Lost(why string) {
-	f.on(func() []members.Action { return f.model.Lost(f.now(), 0, why) })
+	f.on(func() []membership.Action { return f.model.Lost(f.now(), 0, why) })
 }
 
-func (f *follower) status() members.Status {
+func (f *follower) status() membership.Status {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.model.Status(f.now())
 }
 
-func (f *follower) holds(want map[string]members.Entry) bool {
+func (f *follower) holds(want map[string]membership.Entry) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return maps.Equal(f.list, want)
@@ -112,7 +112,7 @@
 }
 
 // follow starts a follower of a registry until the test ends.
-func follow(t *testing.T, cfg Config, m members.Config) *follower {
+func follow(t *testing.T, cfg Config, m membership.Config) *follower {
 	t.Helper()
 	c, err := New(cfg)
 	if err != nil {
@@ -121,7 +121,7 @@
 	if e, is := c.(*etcd); is {
 		e.checkEvery = 300 * time.Millisecond
 	}
-	f := &follower{t: t, model: members.New(m), again: make(chan struct{}, 1), began: time.Now()}
+	f := &follower{t: t, model: membership.New(m), again: make(chan struct{}, 1), began: time.Now()}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); Follow(ctx, c, f, f.again) }()
@@ -149,8 +149,8 @@
 	return c
 }
 
-func plain() members.Config {
-	return members.Config{Sources: []string{"registry"}, Patience: time.Minute, Guard: 1, Most: 20000}
+func plain() membership.Config {
+	return membership.Config{Sources: []string{"registry"}, Patience: time.Minute, Guard: 1, Most: 20000}
 }
 
 func node(n, port int, state string) standin.RegistryOp {
@@ -162,8 +162,8 @@
 }
 
 // stateOf is what a registry's state means.
-func stateOf(r *standin.Registry, revision int64) map[string]members.Entry {
-	out := map[string]members.Entry{}
+func stateOf(r *standin.Registry, revision int64) map[string]membership.Entry {
+	out := map[string]membership.Entry{}
 	for k, v := range r.State(revision) {
 		if strings.HasPrefix(k, prefix) {
 			if i := Item(prefix, k, []byte(v), 1); i.Bad == "" {
--- a/internal/lists/registry/write.go
+++ b/internal/discovery/registry/write.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"marlreel/internal/lists/members"
+	"marlreel/internal/discovery/membership"
 )
 
 // Any is the revision of a write that doesn't mind what stood before; 0 is that nothing did.
@@ -215,20 +215,20 @@
 }
 
 // Read gives an entry's value and revision; 0 is that there is none.
-func Read(ctx context.Context, w Writer, name string) (members.Item, error) {
+func Read(ctx context.Context, w Writer, name string) (membership.Item, error) {
 	all, err := w.Whole(ctx)
 	if err != nil {
-		return members.Item{}, err
+		return membership.Item{}, err
 	}
 	if all.Stale {
-		return members.Item{}, &QuorumError{}
+		return membership.Item{}, &QuorumError{}
 	}
 	for _, i := range all.Items {
 		if i.Name == name {
 			return i, nil
 		}
 	}
-	return members.Item{}, nil
+	return membership.Item{}, nil
 }
 
 // Registration is how a node keeps itself in the list.
--- a/internal/lists/sources/sources.go
+++ b/internal/discovery/sources/sources.go
@@ -15,10 +15,10 @@
 	"time"
 
 	"marlreel/internal/balancer"
-	"marlreel/internal/engine"
-	"marlreel/internal/lists/discovery"
-	"marlreel/internal/lists/members"
-	"marlreel/internal/lists/registry"
+	"marlreel/internal/dataplane/engine"
+	"marlreel/internal/discovery/membership"
+	"marlreel/internal/discovery/platformwatch"
+	"marlreel/internal/discovery/registry"
 )
 
 // Host is the engine, as far as it matters here. All but Post and Now are called on its goroutine.
@@ -40,14 +40,14 @@
 // Source is the engine's source. The engine's goroutine owns it, but for Close.
 type Source struct {
 	host     Host
-	platform *discovery.Source
-	names    atomic.Pointer[discovery.Names]
+	platform *platformwatch.Source
+	names    atomic.Pointer[platformwatch.Names]
 	zones    map[int]string
 	kinds    map[int]string
 	logf     func(format string, args ...any)
 
 	cfg     registry.Config
-	model   *members.Model // nil: the platform alone
+	model   *membership.Model // nil: the platform alone
 	life    *life
 	version uint32 // the platform's last
 	number  uint32 // of the lists told here
@@ -63,10 +63,10 @@
 }
 
 // New makes a source. Nothing is called before Watch or Fetch, and Set.
-func New(cfg discovery.Config, version uint32, host Host) *Source {
+func New(cfg platformwatch.Config, version uint32, host Host) *Source {
 	s := &Source{host: host, logf: cfg.Logf, version: version, number: version, zones: map[int]string{}, kinds: map[int]string{}}
 	s.name(cfg.Names)
-	s.platform = discovery.New(cfg, version, platform{s})
+	s.platform = platformwatch.New(cfg, version, platformSink{s})
 	return s
 }
 
@@ -77,13 +77,13 @@
 func (s *Source) Fetch() { s.platform.Fetch() }
 
 // Reload puts another address of the platform's discovery in force, and other names.
-func (s *Source) Reload(addr string, names discovery.Names) {
+func (s *Source) Reload(addr string, names platformwatch.Names) {
 	s.name(names)
 	s.platform.Reload(addr, names)
 }
 
 // name notes what the places of zones and kinds are called.
-func (s *Source) name(names discovery.Names) {
+func (s *Source) name(names platformwatch.Names) {
 	s.names.Store(&names)
 	clear(s.zones)
 	clear(s.kinds)
@@ -151,14 +151,14 @@
 // enter begins to judge between two lists: the one that stands is the platform's.
 func (s *Source) enter() {
 	c := s.cfg
-	s.model = members.New(members.Config{
+	s.model = membership.New(membership.Config{
 		Sources: []string{"registry", "platform"}, Patience: c.Patience.D(), Settle: c.Settle.D(), Guard: c.Guard,
 		Over: c.GuardOver.D(), FlapMost: c.Flaps, FlapOver: c.FlapOver.D(), Most: 20_000, Deltas: true,
 	})
-	w := members.Whole{Revision: int64(s.version)}
-	known := map[string]members.Entry{}
+	w := membership.Whole{Revision: int64(s.version)}
+	known := map[string]membership.Entry{}
 	s.host.Backends(func(b *engine.Backend) {
-		i := members.Item{Name: b.Name, Mod: int64(s.version), Entry: s.entryOf(b)}
+		i := membership.Item{Name: b.Name, Mod: int64(s.version), Entry: s.entryOf(b)}
 		w.Items = append(w.Items, i)
 		known[i.Name] = i.Entry
 	})
@@ -187,12 +187,12 @@
 }
 
 // platform is the sink of the platform's watch.
-type platform struct{ *Source }
+type platformSink struct{ *Source }
 
-func (p platform) Post(event func()) { p.host.Post(event) }
+func (p platformSink) Post(event func()) { p.host.Post(event) }
 
 // List takes the platform's word.
-func (p platform) List(l engine.List) {
+func (p platformSink) List(l engine.List) {
 	s := p.Source
 	s.version, s.told = l.Version, true
 	if s.model == nil {
@@ -200,14 +200,14 @@
 		s.host.List(l)
 		return
 	}
-	var puts []members.Item
+	var puts []membership.Item
 	var gone []string
 	for _, e := range l.Entries {
 		if e.State == balancer.Gone {
 			gone = append(gone, e.Name)
 			continue
 		}
-		i := members.Item{Name: e.Name, Mod: int64(l.Version), Entry: members.Entry{
+		i := membership.Item{Name: e.Name, Mod: int64(l.Version), Entry: membership.Entry{
 			Addr: e.Addr, Zone: s.zones[e.Zone], Kind: s.kinds[e.Kind], Cell: e.Cell,
 			Draining: e.State == balancer.Draining, Weight: e.Weight,
 		}}
@@ -218,10 +218,10 @@
 	}
 	now := s.host.Now()
 	if l.Kind == balancer.ListDelta {
-		s.apply(s.model.Change(now, ofPlatform, members.Change{Revision: int64(l.Version), Puts: puts, Deletes: gone}))
+		s.apply(s.model.Change(now, ofPlatform, membership.Change{Revision: int64(l.Version), Puts: puts, Deletes: gone}))
 		return
 	}
-	s.apply(s.model.Whole(now, ofPlatform, members.Whole{Revision: int64(l.Version), Items: puts}))
+	s.apply(s.model.Whole(now, ofPlatform, membership.Whole{Revision: int64(l.Version), Items: puts}))
 }
 
 // told is what a registry's client tells, on its own goroutine.
@@ -230,7 +230,7 @@
 	l *life
 }
 
-func (t told) on(event func(m *members.Model, now time.Duration) []members.Action) {
+func (t told) on(event func(m *membership.Model, now time.Duration) []membership.Action) {
 	t.s.host.Post(func() {
 		if t.s.life == t.l && t.s.model != nil {
 			t.s.apply(event(t.s.model, t.s.host.Now()))
@@ -238,35 +238,35 @@
 	})
 }
 
-func (t told) Whole(w members.Whole) {
+func (t told) Whole(w membership.Whole) {
 	t.s.checkZones(w.Items)
-	t.on(func(m *members.Model, now time.Duration) []members.Action { return m.Whole(now, ofRegistry, w) })
+	t.on(func(m *membership.Model, now time.Duration) []membership.Action { return m.Whole(now, ofRegistry, w) })
 }
 
-func (t told) Change(c members.Change) {
+func (t told) Change(c membership.Change) {
 	t.s.checkZones(c.Puts)
-	t.on(func(m *members.Model, now time.Duration) []members.Action { return m.Change(now, ofRegistry, c) })
+	t.on(func(m *membership.Model, now time.Duration) []membership.Action { return m.Change(now, ofRegistry, c) })
 }
 
 func (t told) Progress(revision int64) {
-	t.on(func(m *members.Model, now time.Duration) []members.Action {
+	t.on(func(m *membership.Model, now time.Duration) []membership.Action {
 		return m.Progress(now, ofRegistry, revision)
 	})
 }
 
 func (t told) Compacted() {
-	t.on(func(m *members.Model, now time.Duration) []members.Action { return m.Compacted(now, ofRegistry) })
+	t.on(func(m *membership.Model, now time.Duration) []membership.Action { return m.Compacted(now, ofRegistry) })
 }
 
 func (t told) Lost(why string) {
-	t.on(func(m *members.Model, now time.Duration) []members.Action { return m.Lost(now, ofRegistry, why) })
+	t.on(func(m *membership.Model, now time.Duration) []membership.Action { return m.Lost(now, ofRegistry, why) })
 }
 
 // checkZones marks entries in zones that the settings don't have. Names are never changed.
-func (s *Source) checkZones(items []members.Item) {
+func (s *Source) checkZones(items []membership.Item) {
 	zones := s.names.Load().Zones
 	for k := range items {
-		if i := &items[k]; i.Bad == "" && i.Name != members.Confirm {
+		if i := &items[k]; i.Bad == "" && i.Name != membership.Confirm {
 			if _, known := zones[i.Entry.Zone]; !known {
 				i.Bad = fmt.Sprintf("unknown zone %.80q", i.Entry.Zone)
 			}
@@ -275,12 +275,12 @@
 }
 
 // apply carries a model's actions out.
-func (s *Source) apply(acts []members.Action) {
+func (s *Source) apply(acts []membership.Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
-		case members.Say:
+		case membership.Say:
 			s.logf("list: %s", string(a))
-		case members.Load:
+		case membership.Load:
 			if a.Source == ofPlatform {
 				s.platform.Fetch()
 			} else if s.life != nil {
@@ -289,9 +289,9 @@
 				default: // it is asked for already
 				}
 			}
-		case members.List:
+		case membership.List:
 			s.tell(a.Entries, a.Cached)
-		case members.Delta:
+		case membership.Delta:
 			s.tellSome(a)
 		}
 	}
@@ -299,8 +299,8 @@
 }
 
 // drop carries out all but lists: the engine has this one.
-func (s *Source) drop(acts []members.Action) {
-	s.apply(slices.DeleteFunc(acts, func(a members.Action) bool { _, is := a.(members.List); return is }))
+func (s *Source) drop(acts []membership.Action) {
+	s.apply(slices.DeleteFunc(acts, func(a membership.Action) bool { _, is := a.(membership.List); return is }))
 }
 
 // schedule sees to it that what time alone brings about happens.
@@ -320,7 +320,7 @@
 }
 
 // tell gives the engine a whole list.
-func (s *Source) tell(list map[string]members.Entry, cached bool) {
+func (s *Source) tell(list map[string]membership.Entry, cached bool) {
 	l := engine.List{Kind: balancer.ListFull, Entries: make([]engine.Entry, 0, len(list))}
 	if cached {
 		l.Kind = balancer.ListCached
@@ -334,7 +334,7 @@
 }
 
 // tellSome gives the engine a change.
-func (s *Source) tellSome(d members.Delta) {
+func (s *Source) tellSome(d membership.Delta) {
 	s.number++
 	l := engine.List{Kind: balancer.ListDelta, Version: s.number}
 	for _, name := range d.Gone { // first: another may have the address now
@@ -347,7 +347,7 @@
 }
 
 // toEngine is an entry as the engine has it.
-func (s *Source) toEngine(name string, e members.Entry) engine.Entry {
+func (s *Source) toEngine(name string, e membership.Entry) engine.Entry {
 	names := s.names.Load()
 	entry := engine.Entry{Name: name, Addr: e.Addr, Zone: -1, Kind: -1, Cell: e.Cell, State: balancer.Ready, Weight: e.Weight}
 	if zone, known := names.Zones[e.Zone]; known {
@@ -366,8 +366,8 @@
 }
 
 // entryOf is a backend that stands, as an entry.
-func (s *Source) entryOf(b *engine.Backend) members.Entry {
-	e := members.Entry{Addr: b.Addr, Zone: s.zones[b.Zone], Kind: s.kinds[b.Kind], Cell: b.Cell, Draining: b.State == balancer.Draining, Weight: b.Weight}
+func (s *Source) entryOf(b *engine.Backend) membership.Entry {
+	e := membership.Entry{Addr: b.Addr, Zone: s.zones[b.Zone], Kind: s.kinds[b.Kind], Cell: b.Cell, Draining: b.State == balancer.Draining, Weight: b.Weight}
 	if b.Started > 0 {
 		e.Started = s.host.Wall(b.Started).UnixMilli()
 	}
@@ -384,9 +384,9 @@
 }
 
 // Status is how the lists stand; false: there is the platform's alone.
-func (s *Source) Status() (members.Status, bool) {
+func (s *Source) Status() (membership.Status, bool) {
 	if s.model == nil {
-		return members.Status{}, false
+		return membership.Status{}, false
 	}
 	return s.model.Status(s.host.Now()), true
 }
--- a/internal/process/metrics/compatibility_test.go
+++ b/internal/process/metrics/compatibility_test.go
@@ -10,7 +10,7 @@
 
 	"marlreel/internal/balancer"
 	"marlreel/internal/balancer/retrystorm"
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 )
 
 // The lines of /control/counters, in their order: names, kinds and how a class's name stands in them.
--- a/internal/process/metrics/metrics.go
+++ b/internal/process/metrics/metrics.go
@@ -11,7 +11,7 @@
 
 	"marlreel/internal/balancer"
 	"marlreel/internal/balancer/retrystorm"
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 )
 
 // Every is how often the gauges are published: the figures are no older.
--- a/internal/process/metrics/metrics_test.go
+++ b/internal/process/metrics/metrics_test.go
@@ -6,7 +6,7 @@
 
 	"marlreel/internal/balancer"
 	"marlreel/internal/balancer/retrystorm"
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 )
 
 func text(c *Counts) string { return string(c.Append(nil)) }
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -17,7 +17,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"marlreel/internal/config"
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
 	"marlreel/internal/process/logs"
 	"marlreel/internal/standin"
 )
--- a/internal/proxy/breaks_test.go
+++ b/internal/proxy/breaks_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"marlreel/internal/lists/discovery"
+	"marlreel/internal/discovery/platformwatch"
 	"marlreel/internal/standin"
 	"marlreel/internal/standin/machine"
 )
@@ -119,7 +119,7 @@
 func TestBreakInTheMiddleOfABody(t *testing.T) {
 	t.Parallel()
 	j := &standin.Journal{}
-	var list []discovery.Instance
+	var list []platformwatch.Instance
 	for i := range 4 {
 		id := fmt.Sprintf("s-%d", i)
 		list = append(list, ready(id, breaking(t, id, j, standin.Network{BodyRate: 0.5}).Addr()))
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -6,7 +6,7 @@
 	"net/http/httptest"
 	"testing"
 
-	"marlreel/internal/lists/discovery"
+	"marlreel/internal/discovery/platformwatch"
 )
 
 func named(t *testing.T, name string) string {
@@ -51,7 +51,7 @@
 		if status, text, _ := do(t, newRequest(t, p, "bid", "x")); status != 200 || text != "a" {
 			t.Errorf("after the bad line: %d %q", status, text)
 		}
-		gone := discovery.Instance{InstanceID: "s-1", Lifecycle: "Gone"}
+		gone := platformwatch.Instance{InstanceID: "s-1", Lifecycle: "Gone"}
 		w.Lines <- line(t, 9, false, gone, ready("s-2", b))
 		servedBy(t, p, "b")
 		close(w.Lines)
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -16,10 +16,10 @@
 	"marlreel/internal/advice"
 	"marlreel/internal/balancer"
 	"marlreel/internal/config"
-	"marlreel/internal/engine"
+	"marlreel/internal/dataplane/engine"
+	"marlreel/internal/discovery/sources"
 	"marlreel/internal/fleet"
 	"marlreel/internal/fleet/agree"
-	"marlreel/internal/lists/sources"
 )
 
 // member puts the proxy's parts and its fleet together: rules and their lease for the engine, lists for the fleet
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"marlreel/internal/config"
-	"marlreel/internal/lists/discovery"
+	"marlreel/internal/discovery/platformwatch"
 	"marlreel/internal/process/logs"
 	"marlreel/internal/standin"
 	"marlreel/internal/testutil"
@@ -58,17 +58,17 @@
 }
 
 // ready is a list's entry for a backend at an address.
-func ready(id, addr string) discovery.Instance {
-	return discovery.Instance{InstanceID: id, HostPort: addr, Zone: "koper", MachineType: "mid-2c", Lifecycle: "Ready", Weight: 1}
+func ready(id, addr string) platformwatch.Instance {
+	return platformwatch.Instance{InstanceID: id, HostPort: addr, Zone: "koper", MachineType: "mid-2c", Lifecycle: "Ready", Weight: 1}
 }
 
-func testConfig(t *testing.T, addr string, known ...discovery.Instance) *config.Platform {
+func testConfig(t *testing.T, addr string, known ...platformwatch.Instance) *config.Platform {
 	t.Helper()
 	return configWith(t, testutil.Settings, addr, known...)
 }
 
 // configWith is testConfig with a customer's settings.
-func configWith(t *testing.T, settings, addr string, known ...discovery.Instance) *config.Platform {
+func configWith(t *testing.T, settings, addr string, known ...platformwatch.Instance) *config.Platform {
 	t.Helper()
 	file := map[string]any{
 		"name": "n0", "listen": "127.0.0.1:0", "discovery": addr, "seed": "8c1f30d27a5be964",
@@ -76,7 +76,7 @@
 		"settings": json.RawMessage(settings),
 	}
 	if known != nil {
-		file["known"] = discovery.List{Generation: 1, Reset: true, Instances: known}
+		file["known"] = platformwatch.List{Generation: 1, Reset: true, Instances: known}
 	}
 	data, err := json.Marshal(file)
 	if err != nil {
@@ -109,9 +109,9 @@
 	return receive(t, g.Watches, "a watch")
 }
 
-func line(t *testing.T, generation uint32, reset bool, entries ...discovery.Instance) string {
+func line(t *testing.T, generation uint32, reset bool, entries ...platformwatch.Instance) string {
 	t.Helper()
-	data, err := json.Marshal(discovery.List{Generation: generation, Reset: reset, Instances: entries})
+	data, err := json.Marshal(platformwatch.List{Generation: generation, Reset: reset, Instances: entries})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/left_test.go
+++ b/internal/proxy/left_test.go
@@ -14,8 +14,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"marlreel/internal/config"
+	"marlreel/internal/discovery/platformwatch"
 	"marlreel/internal/fleettest"
-	"marlreel/internal/lists/discovery"
 	"marlreel/internal/standin"
 )
 
@@ -110,7 +110,7 @@
 }
 
 // watched are the settings of a proxy that tells its figures.
-func watched(t *testing.T, entries ...discovery.Instance) *config.Platform {
+func watched(t *testing.T, entries ...platformwatch.Instance) *config.Platform {
 	t.Helper()
 	cfg := testConfig(t, closedAddr(t), entries...)
 	cfg.Control = "127.0.0.1:0"
@@ -251,7 +251,7 @@
 			t.Parallel()
 			s := newScene()
 			came, gate := make(chan struct{}, 64), make(chan struct{})
-			var list []discovery.Instance
+			var list []platformwatch.Instance
 			for _, name := range []string{"s-1", "s-2"} {
 				list = append(list, ready(name, rpcScript(t, func(c net.Conn, d *msgpack.Decoder) {
 					q, ok := readCall(d)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -19,18 +19,18 @@
 
 	"marlreel/internal/advice"
 	"marlreel/internal/config"
-	"marlreel/internal/engine"
-	"marlreel/internal/httpproxy"
-	"marlreel/internal/lists/discovery"
-	"marlreel/internal/lists/members"
-	"marlreel/internal/lists/sources"
+	"marlreel/internal/dataplane/engine"
+	"marlreel/internal/dataplane/httpproxy"
+	"marlreel/internal/dataplane/msgpackrpc"
+	"marlreel/internal/discovery/membership"
+	"marlreel/internal/discovery/platformwatch"
+	"marlreel/internal/discovery/sources"
 	"marlreel/internal/process/budget"
 	"marlreel/internal/process/control"
 	"marlreel/internal/process/handover"
 	"marlreel/internal/process/logs"
 	"marlreel/internal/process/metrics"
 	"marlreel/internal/process/store"
-	"marlreel/internal/rpc"
 )
 
 const (
@@ -121,9 +121,9 @@
 	meeting *handover.Rendezvous // with other processes of this proxy; nil: there are none
 	memory  memory
 
-	rpcCarrier *rpc.Carrier // nil where RPC is off
-	rpcFront   *rpc.Front
-	rpcCounts  rpc.Counts
+	rpcCarrier *msgpackrpc.Carrier // nil where RPC is off
+	rpcFront   *msgpackrpc.Front
+	rpcCounts  msgpackrpc.Counts
 
 	limitMemory func(bytes int64) // what the runtime is told; nil: nothing
 
@@ -131,7 +131,7 @@
 
 	counts *metrics.Counts // nil where nobody asks
 	door   *control.Door
-	lists  atomic.Pointer[members.Status] // nil: there is the platform's list alone
+	lists  atomic.Pointer[membership.Status] // nil: there is the platform's list alone
 }
 
 // tellLists is what the door says of the lists.
@@ -180,8 +180,8 @@
 		}
 		host = p.member.lists
 	}
-	p.source = sources.New(discovery.Config{
-		Addr: cfg.Discovery, Pace: discovery.PaceFor(cfg.Settings.PollMembership, cfg.Settings.Instances), Names: cfg.Names,
+	p.source = sources.New(platformwatch.Config{
+		Addr: cfg.Discovery, Pace: platformwatch.PaceFor(cfg.Settings.PollMembership, cfg.Settings.Instances), Names: cfg.Names,
 		Logf: logs.Event(logger, "list"),
 	}, version, host)
 	if p.member != nil && own.Registry.On() {
@@ -205,8 +205,8 @@
 	}
 	p.engine.Observe(engine.Join(watchers...))
 	if own.RPC.Listen != "" {
-		p.rpcCarrier = rpc.NewCarrier(p.engine, &own.RPC, &p.rpcCounts)
-		p.rpcFront = rpc.NewFront(p.engine, p.rpcCarrier, &own.RPC, logger, &p.rpcCounts)
+		p.rpcCarrier = msgpackrpc.NewCarrier(p.engine, &own.RPC, &p.rpcCounts)
+		p.rpcFront = msgpackrpc.NewFront(p.engine, p.rpcCarrier, &own.RPC, logger, &p.rpcCounts)
 		p.engine.Carry(p.rpcCarrier)
 	}
 	return p, nil
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -9,7 +9,7 @@
 
 	"marlreel/internal/advice"
 	"marlreel/internal/config"
-	"marlreel/internal/lists/sources"
+	"marlreel/internal/discovery/sources"
 )
 
 // Reload is what a signal to read the configuration again came to.
--- a/internal/proxy/rpc_test.go
+++ b/internal/proxy/rpc_test.go
@@ -14,8 +14,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"marlreel/internal/config"
-	"marlreel/internal/lists/discovery"
-	"marlreel/internal/rpc"
+	"marlreel/internal/dataplane/msgpackrpc"
+	"marlreel/internal/discovery/platformwatch"
 	"marlreel/internal/standin"
 	"marlreel/internal/standin/machine"
 	"marlreel/internal/testutil"
@@ -27,7 +27,7 @@
 	own := config.DefaultMarlreel()
 	own.RPC.Listen = "127.0.0.1:0"
 	own.RPC.House = "obala"
-	own.RPC.Methods = []rpc.Method{
+	own.RPC.Methods = []msgpackrpc.Method{
 		{Name: "post.", Prefix: true, Class: "bid"},
 		{Name: "list", Class: "lot-list", Notify: true},
 		{Name: "post.bid", Class: "bid", Notify: true},
@@ -485,7 +485,7 @@
 	r := caller(t, p.rpc)
 	first, _ := r.Call("post.bid", 1, meta())
 	was := receive(t, old, "the first call")
-	w.Lines <- line(t, 2, false, discovery.Instance{InstanceID: "s-1", Lifecycle: "Gone"}, ready("s-2", addr))
+	w.Lines <- line(t, 2, false, platformwatch.Instance{InstanceID: "s-1", Lifecycle: "Gone"}, ready("s-2", addr))
 
 	var second <-chan standin.RPCAnswer
 	eventually(t, "a call on a new connection", func() bool {
--- a/internal/proxy/sources_test.go
+++ b/internal/proxy/sources_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"marlreel/internal/config"
-	"marlreel/internal/lists/members"
-	kvstore "marlreel/internal/lists/registry"
+	"marlreel/internal/discovery/membership"
+	kvstore "marlreel/internal/discovery/registry"
 	"marlreel/internal/process/logs"
 	"marlreel/internal/standin"
 	"marlreel/internal/strict"
@@ -116,7 +116,7 @@
 			return false
 		}
 		defer resp.Body.Close()
-		var s members.Status
+		var s membership.Status
 		return json.NewDecoder(resp.Body).Decode(&s) == nil && s.Source == "registry" && len(s.Held) == 3 && s.Entries == 3
 	})
 	r.Txn(listed(t, "s-4", named(t, "two"), "ready"), standin.RegistryOp{Key: nodesPrefix + "_confirm", Value: "{}"})
--- a/internal/proxy/storm_test.go
+++ b/internal/proxy/storm_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"marlreel/internal/lists/discovery"
+	"marlreel/internal/discovery/platformwatch"
 	"marlreel/internal/standin"
 	"marlreel/internal/testutil"
 )
@@ -162,7 +162,7 @@
 	there, gone := ready("s-1", n.Addr()), ready("s-1", n.Addr())
 	gone.Lifecycle = "Terminating"
 	silent, open := testutil.Silent(t)
-	of := func(list discovery.Instance, most int) cost {
+	of := func(list platformwatch.Instance, most int) cost {
 		cfg := testConfig(t, closedAddr(t), list)
 		if most > 0 {
 			cfg.MaxOpen = most
