--- a/internal/controlplane/fragment_reassembly.go
+++ b/internal/controlplane/fragment_reassembly.go
@@ -72,7 +72,8 @@
 
 // begin makes room for a message, in place of the one before by the same sender. Called with the lock.
 func (r *reassembler) begin(f *api.Fragment) {
-	if p := r.partial[f.SenderIncarnation]; p != nil && p.id == f.Message {
+	p := r.partial[f.SenderIncarnation]
+	if p != nil && p.id == f.Message {
 		return // its first fragment came twice
 	}
 	if len(r.partial) >= maxSenders {
@@ -83,11 +84,12 @@
 
 // dropOldest drops the message whose last fragment came the longest ago. Called with the lock.
 func (r *reassembler) dropOldest() {
-	var oldest uint64
+	var oldest *partialMessage
+	oldestSender := uint64(0)
 	for sender, p := range r.partial {
-		if o := r.partial[oldest]; o == nil || p.lastFragmentAt.Before(o.lastFragmentAt) {
-			oldest = sender
+		if oldest == nil || p.lastFragmentAt.Before(oldest.lastFragmentAt) {
+			oldest, oldestSender = p, sender
 		}
 	}
-	delete(r.partial, oldest)
+	delete(r.partial, oldestSender)
 }
--- a/internal/controlplane/fragment_test.go
+++ b/internal/controlplane/fragment_test.go
@@ -19,24 +19,26 @@
 	}}}
 }
 
-// carry sends a message in parts until it is over; lost tells which calls get no answer, and whether the part
-// has arrived all the same.
-func carry(t *testing.T, out *fragmentedMessage, in *reassembler, lost func(call int) (noAnswer, arrives bool)) (got *api.ChainMessage, calls int) {
+// carry sends a message in fragments until it is over, and returns what has arrived and how many calls it took. lost
+// says of each call whether its answer is lost, and whether the fragment arrives all the same.
+func carry(t *testing.T, out *fragmentedMessage, in *reassembler, lost func(call int) (noAnswer, arrives bool)) (*api.ChainMessage, int) {
 	t.Helper()
-	for ; calls < 1000; calls++ {
-		noAnswer, arrives := lost(calls)
+	var arrived *api.ChainMessage
+	for call := range 1000 {
+		noAnswer, arrives := lost(call)
 		var err error
 		if !noAnswer || arrives {
 			var message *api.ChainMessage
-			if message, err = in.OnFragment(out.next()); message != nil {
-				got = message
+			message, err = in.OnFragment(out.next())
+			if message != nil {
+				arrived = message
 			}
 		}
 		if noAnswer {
 			err = errNoAnswer
 		}
 		if out.onSent(err) {
-			return got, calls + 1
+			return arrived, call + 1
 		}
 	}
 	t.Fatal("it does not end")
--- a/internal/controlplane/heartbeat_datagrams.go
+++ b/internal/controlplane/heartbeat_datagrams.go
@@ -50,7 +50,8 @@
 // parseHeartbeat reads a datagram; nil: it holds no heartbeat.
 func parseHeartbeat(datagram []byte) *api.ChainMessage {
 	message := new(api.ChainMessage)
-	if err := proto.Unmarshal(datagram, message); err != nil || message.GetHeartbeat() == nil {
+	err := proto.Unmarshal(datagram, message)
+	if err != nil || message.GetHeartbeat() == nil {
 		return nil
 	}
 	return message
--- a/internal/controlplane/membership_test.go
+++ b/internal/controlplane/membership_test.go
@@ -24,8 +24,9 @@
 	return link
 }
 
-// deliver sends an update over a link whose peer is given, as sendUpdate does.
-func deliver(from *peerLink, to *Membership, full bool) (update *api.MembershipUpdate, accepted bool) {
+// deliver sends an update over a link whose peer is given, as sendUpdate does. It returns the update, and whether the
+// peer accepted it.
+func deliver(from *peerLink, to *Membership, full bool) (*api.MembershipUpdate, bool) {
 	update, revision, hints := from.membership.updateFor(from, full)
 	if !to.OnPeerUpdate(update) {
 		from.synced = false
--- a/internal/controlplane/simulation_agents_test.go
+++ b/internal/controlplane/simulation_agents_test.go
@@ -95,7 +95,8 @@
 		w.failf("%s went back from entry %d to %d", a.node.Name, a.sequence, sequence)
 	}
 	a.sequence = sequence
-	if newest := w.operators.newest; answer.Fresh && agentVersion(a) < newest.version && w.now-newest.at > freshAge+agentTimeout {
+	newest := w.operators.newest
+	if answer.Fresh && agentVersion(a) < newest.version && w.now-newest.at > freshAge+agentTimeout {
 		w.failf("%s was told that version %d is fresh; %d was acknowledged at %v", a.node.Name, agentVersion(a), newest.version, newest.at)
 	}
 	switch {
@@ -177,7 +178,8 @@
 }
 
 // agentVersion is the version of the configuration that an agent goes by.
-func agentVersion(a *simulatedAgent) (version uint64) {
+func agentVersion(a *simulatedAgent) uint64 {
+	version := uint64(0)
 	a.feed.ReadState(func(m *state.Machine) { version = m.Version() })
 	return version
 }
--- a/internal/controlplane/simulation_faults_test.go
+++ b/internal/controlplane/simulation_faults_test.go
@@ -33,11 +33,11 @@
 }
 
 // setIsolated cuts a machine off from others, or ends that.
-func (w *simulation) setIsolated(c *simulatedControl, others []string, cut bool) {
+func (w *simulation) setIsolated(c *simulatedControl, others []string, partitioned bool) {
 	for _, other := range others {
 		if other != c.address {
-			w.setPartitioned(c.address, other, cut)
-			w.setPartitioned(other, c.address, cut)
+			w.setPartitioned(c.address, other, partitioned)
+			w.setPartitioned(other, c.address, partitioned)
 		}
 	}
 }
@@ -95,9 +95,6 @@
 
 // heal ends all faults.
 func (w *simulation) heal() {
-	for l, cut := range w.partitioned {
-		w.partitioned[l] = cut
-	}
 	links := make([]direction, 0, len(w.partitioned))
 	for l := range w.partitioned {
 		links = append(links, l)
--- a/internal/controlplane/simulation_network_test.go
+++ b/internal/controlplane/simulation_network_test.go
@@ -21,19 +21,19 @@
 // carry carries something on a connection: what meets a cut waits for its end, whether or not its sender has given
 // up. It is lost with either end's process.
 func (w *simulation) carry(from, to string, deliver func()) {
-	l, fromLife, toLife := direction{from, to}, w.incarnationOf(from), w.incarnationOf(to)
+	l, fromIncarnation, toIncarnation := direction{from, to}, w.incarnationOf(from), w.incarnationOf(to)
 	arrive := func() {
-		if w.incarnationOf(to) == toLife {
+		if w.incarnationOf(to) == toIncarnation {
 			deliver()
 		}
 	}
 	if w.partitioned[l] {
-		w.delayed = append(w.delayed, delayedCall{l, fromLife, arrive})
+		w.delayed = append(w.delayed, delayedCall{l, fromIncarnation, arrive})
 		return
 	}
 	w.after(w.delay(), func() {
 		if w.partitioned[l] {
-			w.delayed = append(w.delayed, delayedCall{l, fromLife, arrive})
+			w.delayed = append(w.delayed, delayedCall{l, fromIncarnation, arrive})
 			return
 		}
 		arrive()
@@ -51,16 +51,16 @@
 }
 
 // setPartitioned begins or ends a partition in one direction. What it delayed arrives, unless its sender has died.
-func (w *simulation) setPartitioned(from, to string, cut bool) {
+func (w *simulation) setPartitioned(from, to string, partitioned bool) {
 	l := direction{from, to}
-	w.partitioned[l] = cut
-	if cut {
+	w.partitioned[l] = partitioned
+	if partitioned {
 		return
 	}
 	var remaining []delayedCall
 	for _, h := range w.delayed {
 		switch {
-		case h.link != l:
+		case h.direction != l:
 			remaining = append(remaining, h)
 		case w.incarnationOf(from) == h.fromIncarnation:
 			w.coverage["a call was held up"]++
--- a/internal/controlplane/simulation_test.go
+++ b/internal/controlplane/simulation_test.go
@@ -40,7 +40,7 @@
 
 // delayedCall is what a cut holds up on a connection.
 type delayedCall struct {
-	link            direction
+	direction       direction
 	fromIncarnation int
 	deliver         func()
 }
