--- a/internal/controlplane/chain/catchup_test.go
+++ b/internal/controlplane/chain/catchup_test.go
@@ -32,12 +32,12 @@
 }
 
 // runUntil passes time until something is so, or fails.
-func (c *cluster) runUntil(what string, most time.Duration, is func() bool) (took time.Duration) {
+func (c *cluster) runUntil(what string, limit time.Duration, is func() bool) (took time.Duration) {
 	c.t.Helper()
 	began := c.now
 	for !is() {
-		if c.now-began > most {
-			c.fail("%s: not within %v", what, most)
+		if c.now-began > limit {
+			c.fail("%s: not within %v", what, limit)
 		}
 		c.runFor(10 * time.Millisecond)
 	}
--- a/internal/controlplane/chain/faults_test.go
+++ b/internal/controlplane/chain/faults_test.go
@@ -139,9 +139,9 @@
 	},
 }
 
-// await passes time until something is so, or for most.
-func (c *cluster) await(most time.Duration, is func() bool) bool {
-	for end := c.now + most; c.now < end; c.runFor(time.Millisecond) {
+// await passes time until something is so, or for at most limit.
+func (c *cluster) await(limit time.Duration, is func() bool) bool {
+	for end := c.now + limit; c.now < end; c.runFor(time.Millisecond) {
 		if is() {
 			return true
 		}
@@ -338,11 +338,11 @@
 		}
 		c.faultHits["a vote"]++
 		c.runFor(time.Duration(rng.IntN(4)) * time.Millisecond)
-		c.holdFrom(proposer)
+		c.delayFrom(proposer)
 		// Another one may be voted for meanwhile, whose messages are delayed as well.
 		var rival *process
 		if rng.IntN(2) == 0 && c.await(time.Second, func() bool { rival = c.proposerWithVote(false, proposer); return rival != nil }) {
-			c.holdFrom(rival)
+			c.delayFrom(rival)
 		}
 		for _, voter := range c.processes {
 			if voter != proposer && voter != rival && voter.node != nil && voter.node.wedged() && rng.IntN(3) > 0 {
@@ -374,7 +374,7 @@
 		c.proposalsPaused = false
 		c.heal()
 	}()
-	c.holdFrom(head)
+	c.delayFrom(head)
 	if !c.await(time.Second, func() bool { return head.node.committed < head.node.durable.lastPosition().GetSequence() }) {
 		return
 	}
@@ -404,21 +404,21 @@
 
 // delayProposal delays what a process sends, and so the ballot with which it proposes a view, until others have
 // voted for another one's.
-func (c *cluster) delayProposal(p *process, rng *rand.Rand, rest time.Duration) {
+func (c *cluster) delayProposal(p *process, rng *rand.Rand, lasts time.Duration) {
 	accepted := rng.IntN(2) == 0
 	c.runFor(time.Duration(rng.IntN(400)) * time.Millisecond)
-	c.holdFrom(p)
+	c.delayFrom(p)
 	if c.await(3*time.Second, func() bool { return p.node.proposal != nil && c.proposerWithVote(accepted, p) != nil }) {
 		c.faultHits["a vote for a rival"]++
 		c.runFor(time.Duration(rng.IntN(4)) * time.Millisecond)
 	}
 	c.release()
-	c.runFor(rest)
+	c.runFor(lasts)
 	c.heal()
 }
 
-// holdFrom delays what a process sends.
-func (c *cluster) holdFrom(p *process) {
+// delayFrom delays what a process sends.
+func (c *cluster) delayFrom(p *process) {
 	for _, other := range c.processes {
 		c.delayedLinks[p.address+">"+other.address] = true
 	}
--- a/internal/controlplane/chain/history_test.go
+++ b/internal/controlplane/chain/history_test.go
@@ -57,8 +57,8 @@
 
 // drawFaults draws one fault, or some that come in a row.
 func drawFaults(rng *rand.Rand) []fault {
-	span := func(most time.Duration) time.Duration {
-		return time.Duration(rng.Int64N(int64(most))).Truncate(time.Millisecond)
+	span := func(limit time.Duration) time.Duration {
+		return time.Duration(rng.Int64N(int64(limit))).Truncate(time.Millisecond)
 	}
 	const machines = 64
 	f := fault{machine: rng.IntN(machines), other: rng.IntN(machines), lasts: span(maxFaultDuration), rest: span(maxRest)}
--- a/internal/controlplane/chain/leave_test.go
+++ b/internal/controlplane/chain/leave_test.go
@@ -9,10 +9,10 @@
 )
 
 // leave lets a process ask to be left out, and gives the time until it is. The process is not ended.
-func (c *cluster) leave(p *process, most time.Duration) (took time.Duration) {
+func (c *cluster) leave(p *process, limit time.Duration) (took time.Duration) {
 	c.t.Helper()
 	c.carryOut(p, p.node.Leave(c.now))
-	return c.runUntil(p.address+" has left", most, p.node.HasLeft)
+	return c.runUntil(p.address+" has left", limit, p.node.HasLeft)
 }
 
 // A member that is about to end is out of the chain before it stops, and hardly a write waits for that.
--- a/internal/controlplane/chain/simulation_test.go
+++ b/internal/controlplane/chain/simulation_test.go
@@ -168,10 +168,10 @@
 	}
 	p.machine = &register{ballast: c.ballast}
 	p.node = New(c.cfg, load(p.disk), p.machine, c.contacts, c.now)
-	life := p.generation
+	generation := p.generation
 	var tick func()
 	tick = func() {
-		if p.generation != life || p.node == nil {
+		if p.generation != generation || p.node == nil {
 			return
 		}
 		c.run(p, func() { c.carryOut(p, p.node.Tick(c.now)) })
@@ -257,9 +257,9 @@
 		if p.address != to {
 			continue
 		}
-		life := p.generation
+		generation := p.generation
 		c.after(delay, func() {
-			if p.generation != life || c.partitioned[from+">"+to] {
+			if p.generation != generation || c.partitioned[from+">"+to] {
 				return
 			}
 			c.run(p, func() { c.carryOut(p, p.node.Receive(c.now, message)) })
@@ -319,9 +319,9 @@
 	p.disk = nil
 }
 
-func (c *cluster) isolate(p *process, cut bool) {
+func (c *cluster) isolate(p *process, isolated bool) {
 	for _, other := range c.processes {
-		c.partitioned[p.address+">"+other.address] = cut
-		c.partitioned[other.address+">"+p.address] = cut
+		c.partitioned[p.address+">"+other.address] = isolated
+		c.partitioned[other.address+">"+p.address] = isolated
 	}
 }
