--- a/internal/controlplane/chain/simulation_test.go
+++ b/internal/controlplane/chain/simulation_test.go
@@ -104,6 +104,7 @@
 	contacts     []string // the seeds of processes that start
 	proposed     int
 	log          []string
+	events       []Event // of all processes, in order
 	// faultHits counts how often a fault came upon the step of the protocol that it is about.
 	faultHits      map[string]int
 	panicOnFailure bool // what is wrong ends the history, not the test
@@ -167,10 +168,10 @@
 	}
 	p.machine = &register{ballast: c.ballast}
 	p.node = New(c.cfg, load(p.disk), p.machine, c.contacts, c.now)
-	life := p.generation
+	generation := p.generation
 	var tick func()
 	tick = func() {
-		if p.generation != life || p.node == nil {
+		if p.generation != generation || p.node == nil {
 			return
 		}
 		c.run(p, func() { c.carryOut(p, p.node.Tick(c.now)) })
@@ -216,6 +217,7 @@
 		p.disk = &saved
 	}
 	for _, event := range out.Events {
+		c.events = append(c.events, event)
 		c.log = append(c.log, fmt.Sprintf("%v %s: %T%+v", c.now, p.address, event, event))
 	}
 	for _, message := range out.Messages {
@@ -255,9 +257,9 @@
 		if p.address != to {
 			continue
 		}
-		life := p.generation
+		generation := p.generation
 		c.after(delay, func() {
-			if p.generation != life || c.partitioned[from+">"+to] {
+			if p.generation != generation || c.partitioned[from+">"+to] {
 				return
 			}
 			c.run(p, func() { c.carryOut(p, p.node.Receive(c.now, message)) })
@@ -317,9 +319,9 @@
 	p.disk = nil
 }
 
-func (c *cluster) isolate(p *process, cut bool) {
+func (c *cluster) isolate(p *process, isolated bool) {
 	for _, other := range c.processes {
-		c.partitioned[p.address+">"+other.address] = cut
-		c.partitioned[other.address+">"+p.address] = cut
+		c.partitioned[p.address+">"+other.address] = isolated
+		c.partitioned[other.address+">"+p.address] = isolated
 	}
 }
