--- a/internal/controlplane/backend_handlers.go
+++ b/internal/controlplane/backend_handlers.go
@@ -93,5 +93,5 @@
 
 // handleRetirement acknowledges a backend's end once that is on more than half of the disks.
 func (s *Service) handleRetirement(ctx *fasthttp.RequestCtx, id string) {
-	respond(ctx, s.Order(&api.Operation{Kind: &api.Operation_Retire{Retire: &api.RetireBackend{Id: id}}}))
+	respond(ctx, s.CommitOperation(&api.Operation{Kind: &api.Operation_Retire{Retire: &api.RetireBackend{Id: id}}}))
 }
--- a/internal/controlplane/configuration_read.go
+++ b/internal/controlplane/configuration_read.go
@@ -9,9 +9,9 @@
 )
 
 // Configuration reads the newest configuration, wherever the tail is. Its error is Unavailable: no tail has answered
-// within orderTimeout.
+// within operationTimeout.
 func (s *Service) Configuration() (*api.ReadReply, *result.Error) {
-	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), operationTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		if reply := s.readAtTail(ctx); reply != nil {
--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -10,8 +10,8 @@
 //     timeout each (the shape is that of HashiCorp's memberlist; updates go to each peer directly, as there are few);
 //   - what the head alone knows of leases: lease.Manager.
 //
-// The local feed (package watch) gets the first two, and serves the watches. The path of an order is operator_handlers.go,
-// orders.go (to the head), replica_submissions.go, chain; that of a heartbeat is backend_handlers.go, membership.go,
+// The local feed (package watch) gets the first two, and serves the watches. The path of an operation is operator_handlers.go,
+// operations.go (to the head), replica_submissions.go, chain; that of a heartbeat is backend_handlers.go, membership.go,
 // peer_link.go (to the other control processes).
 //
 // A control process carries no traffic and gives backends no orders. It never answers from a state that a majority has
--- a/internal/controlplane/lease_rpc.go
+++ b/internal/controlplane/lease_rpc.go
@@ -53,7 +53,7 @@
 // submitGrant has a grant committed, if this process is the head of the view in which that was decided. Nobody else
 // may: a later head may have renewed the lease of the holder before.
 func (s *Service) submitGrant(grant *api.Operation, view uint64) {
-	deadline := s.clock.at(time.Now().Add(orderTimeout))
+	deadline := s.clock.at(time.Now().Add(operationTimeout))
 	s.runner.SubmitInView(grant, view, deadline, func(code result.Code, detail string) {
 		if code.Succeeded() {
 			return
--- a/internal/controlplane/metrics.go
+++ b/internal/controlplane/metrics.go
@@ -27,8 +27,8 @@
 	return set
 }
 
-// countOrder counts an order that was answered, by its result.
-func (s *Service) countOrder(outcome *result.Error) {
+// countOperation counts an operation that was answered, by its result.
+func (s *Service) countOperation(outcome *result.Error) {
 	set := s.counters.Load()
 	if set == nil {
 		return
--- a/internal/controlplane/orders.go
+++ b/internal/controlplane/operations.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// orderTimeout is for how long an order is attempted before it is answered. Callers turn to another process after
-	// a second; lowering it answers more orders with unavailable while a new view is agreed on.
-	orderTimeout = 850 * time.Millisecond
+	// operationTimeout is for how long an operation is attempted before it is answered. Callers turn to another process after
+	// a second; lowering it answers more operations with unavailable while a new view is agreed on.
+	operationTimeout = 850 * time.Millisecond
 	// attemptInterval is the pause between two attempts.
 	attemptInterval = 40 * time.Millisecond
 )
 
-// Order has an operation done, wherever the head is, and attempts that again while there is time: operations are
-// idempotent. It goes on though its caller leaves, as the operation may be on its way.
-func (s *Service) Order(operation *api.Operation) *result.Error {
-	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
+// CommitOperation has an operation done, wherever the head is, and attempts that again while there is time: operations
+// are idempotent. It goes on though its caller leaves, as the operation may be on its way.
+func (s *Service) CommitOperation(operation *api.Operation) *result.Error {
+	ctx, cancel := context.WithTimeout(context.Background(), operationTimeout)
 	defer cancel()
-	attempts := newOrderAttempts()
+	attempts := newOperationAttempts()
 	for ctx.Err() == nil {
 		head := s.chainStatus(ctx).Head
 		if head != "" && attempts.OnReply(s.submitAt(ctx, head, operation)) {
@@ -30,21 +30,21 @@
 		}
 		timing.Sleep(ctx, attemptInterval)
 	}
-	s.countOrder(attempts.outcome)
+	s.countOperation(attempts.outcome)
 	return attempts.outcome
 }
 
-// orderAttempts follows the attempts of one order.
-type orderAttempts struct {
+// operationAttempts follows the attempts at one operation.
+type operationAttempts struct {
 	outcome *result.Error // as far as it is known
 }
 
-func newOrderAttempts() *orderAttempts {
-	return &orderAttempts{result.Errorf(result.Unavailable, "no head is known")}
+func newOperationAttempts() *operationAttempts {
+	return &operationAttempts{result.Errorf(result.Unavailable, "no head is known")}
 }
 
-// OnReply handles the answer to an attempt. It returns whether that is the order's outcome.
-func (a *orderAttempts) OnReply(reply *api.SubmitReply) bool {
+// OnReply handles the answer to an attempt. It returns whether that is the outcome of the operation.
+func (a *operationAttempts) OnReply(reply *api.SubmitReply) bool {
 	code := result.Code(reply.Code)
 	final := code != result.Unavailable && code != result.OutcomeUnknown
 	// What may have been done stays unclear, whatever later attempts say.
--- a/internal/controlplane/operator_handlers.go
+++ b/internal/controlplane/operator_handlers.go
@@ -78,7 +78,7 @@
 	return &api.Operation{Kind: &api.Operation_Modify{Modify: &api.ModifyConfiguration{BaseVersion: base, Change: change}}}
 }
 
-// respond answers with the outcome of an order.
+// respond answers with the outcome of an operation.
 func respond(ctx *fasthttp.RequestCtx, outcome *result.Error) {
 	if !outcome.Code.Succeeded() {
 		reject(ctx, outcome)
@@ -122,7 +122,7 @@
 		reject(ctx, unreadable)
 		return
 	}
-	respond(ctx, s.Order(operation(base, body)))
+	respond(ctx, s.CommitOperation(operation(base, body)))
 }
 
 func (s *Service) handleRead(ctx *fasthttp.RequestCtx) {
@@ -137,8 +137,8 @@
 	}
 }
 
-// callerConnected reports whether the caller of an order still waits for its answer. A process that stood still, or was
-// cut off, finds orders whose callers have turned to another process long since, and gone on.
+// callerConnected reports whether the caller of an operation still waits for its answer. A process that stood still, or was
+// cut off, finds requests whose callers have turned to another process long since, and gone on.
 func callerConnected(ctx *fasthttp.RequestCtx) bool {
 	conn := ctx.Conn()
 	return conn == nil || sockets.PeerIsThere(conn)
@@ -160,7 +160,7 @@
 		rejectDisconnected(ctx)
 		return
 	}
-	respond(ctx, s.Order(&api.Operation{Kind: &api.Operation_Evacuation{
+	respond(ctx, s.CommitOperation(&api.Operation{Kind: &api.Operation_Evacuation{
 		Evacuation: &api.SetEvacuation{Zone: zone, Active: verb == verbBegin},
 	}}))
 }
--- a/internal/controlplane/replica_submissions.go
+++ b/internal/controlplane/replica_submissions.go
@@ -13,7 +13,7 @@
 	// maxBatchSize bounds the operations in one entry.
 	maxBatchSize = 64
 	// submissionTimeout is when an operation or a read that got nowhere is replied to: before its caller's own timeout
-	// (orderTimeout, and a call). Raising it has callers time out without a reply.
+	// (operationTimeout, and a call). Raising it has callers time out without a reply.
 	submissionTimeout = 900 * time.Millisecond
 )
 
--- a/internal/controlplane/simulation_calls_test.go
+++ b/internal/controlplane/simulation_calls_test.go
@@ -16,16 +16,16 @@
 	if c.replica == nil {
 		return
 	}
-	c.replica.SubmitInView(c.clock(w.now), operation, view, c.clock(w.now+orderTimeout), func(code result.Code, _ string) {
+	c.replica.SubmitInView(c.clock(w.now), operation, view, c.clock(w.now+operationTimeout), func(code result.Code, _ string) {
 		if code == result.Unavailable {
 			w.coverage["a grant came to nothing"]++
 		}
 	})
 }
 
-// order has an operation done, wherever the head is.
-func (c *simulatedControl) order(operation *api.Operation, reply func(*result.Error)) {
-	w, deadline, attempts := c.sim, c.sim.now+orderTimeout, newOrderAttempts()
+// commitOperation has an operation done, wherever the head is.
+func (c *simulatedControl) commitOperation(operation *api.Operation, reply func(*result.Error)) {
+	w, deadline, attempts := c.sim, c.sim.now+operationTimeout, newOperationAttempts()
 	over, asking := false, false
 	finish := func() {
 		if over {
@@ -37,7 +37,7 @@
 		}
 		reply(attempts.outcome)
 	}
-	w.after(orderTimeout, finish)
+	w.after(operationTimeout, finish)
 	var attempt func()
 	again := func() { w.after(attemptInterval, func() { c.run(attempt) }) }
 	attempt = func() {
@@ -151,7 +151,7 @@
 		return
 	}
 	w := c.sim
-	call(w, c.address, tail, orderTimeout, func(answer func(*newestState)) {
+	call(w, c.address, tail, operationTimeout, func(answer func(*newestState)) {
 		server := w.controlAt(tail)
 		if server == nil {
 			return
--- a/internal/controlplane/simulation_operators_test.go
+++ b/internal/controlplane/simulation_operators_test.go
@@ -125,7 +125,7 @@
 
 // operate has an operation done.
 func (cl *simulatedOperators) operate(operation *api.Operation, done func(outcome *result.Error)) {
-	send(cl, func(c *simulatedControl, answer func(*result.Error)) { c.order(operation, answer) }, isClear, func(outcome **result.Error) {
+	send(cl, func(c *simulatedControl, answer func(*result.Error)) { c.commitOperation(operation, answer) }, isClear, func(outcome **result.Error) {
 		if outcome == nil {
 			done(nil)
 			return
--- a/internal/controlplane/submit_in_view_test.go
+++ b/internal/controlplane/submit_in_view_test.go
@@ -22,7 +22,7 @@
 		answer := new(result.Code)
 		token := head.replica.Machine().Lease("a role").GetFencingToken()
 		operation := &api.Operation{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{Key: "a role", Holder: "x/1", ReplacesFencingToken: &token}}}
-		head.replica.SubmitInView(head.clock(w.now), operation, view, head.clock(w.now+orderTimeout),
+		head.replica.SubmitInView(head.clock(w.now), operation, view, head.clock(w.now+operationTimeout),
 			func(code result.Code, _ string) { *answer = code })
 		return answer
 	}
