--- a/internal/controlplane/chain_rpc.go
+++ b/internal/controlplane/chain_rpc.go
@@ -17,7 +17,7 @@
 	if batch.Fragment == nil {
 		return &api.Empty{}, nil
 	}
-	message, err := s.fragments.OnFragment(batch.Fragment)
+	message, err := s.fragments.onFragment(batch.Fragment)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/controlplane/chain_view.go
+++ b/internal/controlplane/chain_view.go
@@ -22,8 +22,8 @@
 	view    uint64
 }
 
-// OnChainStatus handles the chain's status.
-func (v *chainView) OnChainStatus(status ChainStatus) {
+// onChainStatus handles the chain's status.
+func (v *chainView) onChainStatus(status ChainStatus) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.members, v.view, v.head = status.Members, status.View, ""
@@ -55,8 +55,8 @@
 	connectedSince   time.Time     // zero: it is not connected
 }
 
-// OnChainStatus handles the chain's status at a time.
-func (f *freshnessTracker) OnChainStatus(status ChainStatus, now time.Time) watch.SourceStatus {
+// onChainStatus handles the chain's status at a time.
+func (f *freshnessTracker) onChainStatus(status ChainStatus, now time.Time) watch.SourceStatus {
 	switch {
 	case !status.Connected:
 		f.connectedSince = time.Time{}
@@ -79,9 +79,9 @@
 			return
 		}
 		runner.ChainStatus(func(status ChainStatus) {
-			view.OnChainStatus(status)
+			view.onChainStatus(status)
 			feed.SetControlNodes(membership.ControlNodes(status.Members))
-			feed.SetSourceStatus(freshness.OnChainStatus(status, time.Now()))
+			feed.SetSourceStatus(freshness.onChainStatus(status, time.Now()))
 		})
 	}
 }
--- a/internal/controlplane/chain_view_test.go
+++ b/internal/controlplane/chain_view_test.go
@@ -24,7 +24,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			view := &chainView{seeds: func() []string { return []string{"seed"} }}
-			view.OnChainStatus(c.status)
+			view.onChainStatus(c.status)
 			number, isHead := view.headOf("c0")
 			is.Equal(number, c.status.View)
 			is.Equal(isHead, c.isHead)
@@ -52,7 +52,7 @@
 		{"cut off", cutOff, at(time.Minute), watch.SourceStatus{}},
 		{"connected anew", connected, at(time.Minute + 1), watch.SourceStatus{Fresh: true}},
 	} {
-		t.Run(step.name, func(t *testing.T) { is.New(t).Equal(freshness.OnChainStatus(step.status, step.now), step.want) })
+		t.Run(step.name, func(t *testing.T) { is.New(t).Equal(freshness.onChainStatus(step.status, step.now), step.want) })
 	}
 }
 
@@ -61,14 +61,14 @@
 	is := is.New(t)
 	var clocks peerClocks
 	is.True(clocks.instantAt("c1", tableTestStart) == nil)
-	clocks.OnClockReading("c1", nil, tableTestStart)
+	clocks.onClockReading("c1", nil, tableTestStart)
 	is.True(clocks.instantAt("c1", tableTestStart) == nil)
-	clocks.OnClockReading("c1", &api.Instant{Incarnation: 7, MonotonicNs: 1000}, tableTestStart)
+	clocks.onClockReading("c1", &api.Instant{Incarnation: 7, MonotonicNs: 1000}, tableTestStart)
 	is.Equal(clocks.instantAt("c1", tableTestStart.Add(50)).MonotonicNs, uint64(1050))
 	is.Equal(clocks.instantAt("c1", tableTestStart.Add(50)).Incarnation, uint64(7))
 	is.Equal(clocks.instantAt("c1", tableTestStart.Add(-50)).MonotonicNs, uint64(1000)) // the reading is no older
 	for i := range maxPeerClocks {
-		clocks.OnClockReading(string(rune('a'+i)), &api.Instant{}, tableTestStart)
+		clocks.onClockReading(string(rune('a'+i)), &api.Instant{}, tableTestStart)
 	}
 	is.True(len(clocks.readings) <= maxPeerClocks)
 }
--- a/internal/controlplane/compatibility_test.go
+++ b/internal/controlplane/compatibility_test.go
@@ -95,7 +95,7 @@
 	const size = 7
 	var message *api.ChainMessage
 	for offset := 0; offset < len(data); offset += size {
-		got, err := in.OnFragment(&api.Fragment{
+		got, err := in.onFragment(&api.Fragment{
 			SenderIncarnation: 1, Message: 2, Offset: uint64(offset), Total: uint64(len(data)),
 			Data: data[offset:min(offset+size, len(data))],
 		})
--- a/internal/controlplane/fragment_reassembly.go
+++ b/internal/controlplane/fragment_reassembly.go
@@ -33,10 +33,10 @@
 
 func newReassembler() *reassembler { return &reassembler{partial: map[uint64]*partialMessage{}} }
 
-// OnFragment handles a fragment. It returns the message where that was its last one, and nil otherwise. Its errors are
+// onFragment handles a fragment. It returns the message where that was its last one, and nil otherwise. Its errors are
 // of twirp: InvalidArgument for what is no fragment of a message, and FailedPrecondition where the message's beginning
 // is not known here.
-func (r *reassembler) OnFragment(f *api.Fragment) (*api.ChainMessage, error) {
+func (r *reassembler) onFragment(f *api.Fragment) (*api.ChainMessage, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !isWellFormed(f) {
--- a/internal/controlplane/fragment_test.go
+++ b/internal/controlplane/fragment_test.go
@@ -29,7 +29,7 @@
 		var err error
 		if !noAnswer || arrives {
 			var message *api.ChainMessage
-			message, err = in.OnFragment(out.next())
+			message, err = in.onFragment(out.next())
 			if message != nil {
 				arrived = message
 			}
@@ -72,10 +72,10 @@
 	is := is.New(t)
 	out := (&PeerSender{incarnation: 7}).split(largeMessage(4*maxFragmentBytes, 1))
 	before := newReassembler()
-	_, err := before.OnFragment(out.next())
+	_, err := before.onFragment(out.next())
 	is.NoErr(err)
 	is.Equal(out.onSent(err), false)
-	_, err = newReassembler().OnFragment(out.next())
+	_, err = newReassembler().onFragment(out.next())
 	is.True(err != nil)
 	is.True(out.onSent(err))
 }
@@ -87,7 +87,7 @@
 	first, second := &PeerSender{incarnation: 1}, &PeerSender{incarnation: 2}
 	a, b := first.split(largeMessage(2*maxFragmentBytes, 1)), second.split(largeMessage(2*maxFragmentBytes, 2))
 	for _, out := range []*fragmentedMessage{a, b, b, a, a, b} { // three parts each
-		message, err := in.OnFragment(out.next())
+		message, err := in.onFragment(out.next())
 		is.NoErr(err)
 		if out.onSent(err) {
 			is.Equal(message.ViewNumber, uint64(message.GetCatchUp().Snapshot.State.Document[0]))
@@ -97,17 +97,17 @@
 
 	// A newer message of the same sender takes the place of the older one.
 	old, newer := first.split(largeMessage(2*maxFragmentBytes, 1)), first.split(largeMessage(2*maxFragmentBytes, 4))
-	_, err := in.OnFragment(old.next())
+	_, err := in.onFragment(old.next())
 	is.NoErr(err)
 	is.Equal(old.onSent(err), false)
-	_, err = in.OnFragment(newer.next())
+	_, err = in.onFragment(newer.next())
 	is.NoErr(err)
 	is.Equal(newer.onSent(err), false)
-	_, err = in.OnFragment(old.next()) // it would fit behind the newer one's beginning
+	_, err = in.onFragment(old.next()) // it would fit behind the newer one's beginning
 	is.True(err != nil)
 	got, _ := carry(t, newer, in, func(int) (bool, bool) { return false, false })
 	is.Equal(got.ViewNumber, uint64(4))
-	_, err = in.OnFragment(old.next())
+	_, err = in.onFragment(old.next())
 	is.True(err != nil)
 }
 
@@ -120,13 +120,13 @@
 		{SenderIncarnation: 1, Message: 1, Total: 4},
 		{SenderIncarnation: 1, Message: 1, Total: 1, Data: []byte{0xff}}, // no message
 	} {
-		_, err := in.OnFragment(wrong)
+		_, err := in.onFragment(wrong)
 		var refused twirp.Error
 		is.True(errors.As(err, &refused))
 		is.Equal(refused.Code(), twirp.InvalidArgument)
 	}
 	for sender := range uint64(3 * maxSenders) {
-		_, err := in.OnFragment(&api.Fragment{SenderIncarnation: sender, Message: 1, Total: 2, Data: []byte{1}})
+		_, err := in.onFragment(&api.Fragment{SenderIncarnation: sender, Message: 1, Total: 2, Data: []byte{1}})
 		is.NoErr(err)
 	}
 	is.Equal(len(in.partial), maxSenders)
--- a/internal/controlplane/operations.go
+++ b/internal/controlplane/operations.go
@@ -25,7 +25,7 @@
 	attempts := newOperationAttempts()
 	for ctx.Err() == nil {
 		head := s.chainStatus(ctx).Head
-		if head != "" && attempts.OnReply(s.submitAt(ctx, head, operation)) {
+		if head != "" && attempts.onReply(s.submitAt(ctx, head, operation)) {
 			break
 		}
 		timing.Sleep(ctx, attemptInterval)
@@ -43,8 +43,8 @@
 	return &operationAttempts{result.Errorf(result.Unavailable, "no head is known")}
 }
 
-// OnReply handles the answer to an attempt. It returns whether that is the outcome of the operation.
-func (a *operationAttempts) OnReply(reply *api.SubmitReply) bool {
+// onReply handles the answer to an attempt. It returns whether that is the outcome of the operation.
+func (a *operationAttempts) onReply(reply *api.SubmitReply) bool {
 	code := result.Code(reply.Code)
 	final := code != result.Unavailable && code != result.OutcomeUnknown
 	// What may have been done stays unclear, whatever later attempts say.
@@ -88,6 +88,6 @@
 	if err != nil {
 		return nil, err
 	}
-	s.peerClocks.OnClockReading(head, reply.Clock, time.Now())
+	s.peerClocks.onClockReading(head, reply.Clock, time.Now())
 	return reply, nil
 }
--- a/internal/controlplane/peer_clocks.go
+++ b/internal/controlplane/peer_clocks.go
@@ -24,8 +24,8 @@
 	receivedAt time.Time // the clock showed more by then
 }
 
-// OnClockReading handles what a process says of its clock, in an answer that was received at a time; nil: nothing.
-func (c *peerClocks) OnClockReading(address string, instant *api.Instant, receivedAt time.Time) {
+// onClockReading handles what a process says of its clock, in an answer that was received at a time; nil: nothing.
+func (c *peerClocks) onClockReading(address string, instant *api.Instant, receivedAt time.Time) {
 	if instant == nil {
 		return
 	}
--- a/internal/controlplane/simulation_calls_test.go
+++ b/internal/controlplane/simulation_calls_test.go
@@ -54,7 +54,7 @@
 			if over {
 				return
 			}
-			if attempts.OnReply(answer) {
+			if attempts.onReply(answer) {
 				finish()
 				return
 			}
@@ -104,7 +104,7 @@
 			reply(nil)
 			return
 		}
-		c.peerClocks.OnClockReading(head, (*answer).Clock, w.clock())
+		c.peerClocks.onClockReading(head, (*answer).Clock, w.clock())
 		reply(*answer)
 	})
 }
--- a/internal/controlplane/simulation_control_test.go
+++ b/internal/controlplane/simulation_control_test.go
@@ -237,8 +237,8 @@
 
 func (c *simulatedControl) publishChainStatus() {
 	s := chainStatusOf(c.replica)
-	c.view.OnChainStatus(s)
-	c.feed.SetSourceStatus(c.freshness.OnChainStatus(s, c.sim.clock()))
+	c.view.onChainStatus(s)
+	c.feed.SetSourceStatus(c.freshness.onChainStatus(s, c.sim.clock()))
 	if s.Connected {
 		c.sim.operators.auditFresh(c)
 	}
--- a/internal/process/transport/client.go
+++ b/internal/process/transport/client.go
@@ -9,6 +9,7 @@
 	"strconv"
 	"time"
 
+	"github.com/rotisserie/eris"
 	"github.com/valyala/fasthttp"
 )
 
@@ -75,7 +76,7 @@
 	}
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
-		return err
+		return eris.Wrap(err, "reading the body of the request")
 	}
 	out.SetBodyRaw(body)
 	return nil
