--- a/internal/testing/simcluster/fixture_test.go
+++ b/internal/testing/simcluster/fixture_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"slices"
 	"strings"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -65,13 +66,10 @@
 	return fakesystem.BackendConfig{ID: id, Service: "slips", Zone: zone, Slots: 6, RequestTime: 20 * time.Millisecond}
 }
 
-// lastID is the number of the last request of all tests.
-var lastID int
+// lastID is the number of the last request of all tests, some of which run in parallel.
+var lastID atomic.Uint64
 
-func newID() string {
-	lastID++
-	return fmt.Sprintf("%016x", lastID)
-}
+func newID() string { return fmt.Sprintf("%016x", lastID.Add(1)) }
 
 // chatRequest is a streaming request, of 10 events.
 func chatRequest(model string) Request {
--- a/internal/testing/simcluster/history_checks_test.go
+++ b/internal/testing/simcluster/history_checks_test.go
@@ -82,7 +82,7 @@
 // servesBefore reports whether a proxy serves a route before a deadline.
 func (r *historyRun) servesBefore(edge *Machine, prefix string, deadline time.Time) bool {
 	for {
-		request := r.newRequest(func() Request { return slipRequestTo(prefix + "1") })
+		request := slipRequestTo(prefix + "1")
 		got, err := r.cluster.Send(edge, request)
 		if err == nil && got.Status == 200 {
 			return true
--- a/internal/testing/simcluster/history_run_test.go
+++ b/internal/testing/simcluster/history_run_test.go
@@ -52,7 +52,7 @@
 
 // sendOnce sends an unsafe request.
 func (r *historyRun) sendOnce(edge *Machine) {
-	request := r.newRequest(slipRequest)
+	request := slipRequest()
 	got, err := r.cluster.Send(edge, request)
 	if err != nil {
 		got.Status = 0
@@ -62,19 +62,12 @@
 	r.onceRequests = append(r.onceRequests, onceRequest{request.ID, got.Status})
 }
 
-// newRequest makes a request, whose number is drawn under the lock.
-func (r *historyRun) newRequest(make func() Request) Request {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return make()
-}
-
 // streamEvents is how many events a stream of a history has.
 const streamEvents = 10
 
 // stream sends a streaming request. Each event that comes has to be the next one.
 func (r *historyRun) stream(edge *Machine, model string) {
-	request := r.newRequest(func() Request { return chatRequest(model) })
+	request := chatRequest(model)
 	request.Timeout = 6 * time.Second
 	got, err := r.cluster.Send(edge, request)
 	if err != nil || got.Status != 200 {
