--- a/internal/dataplane/gateway/request_test.go
+++ b/internal/dataplane/gateway/request_test.go
@@ -11,8 +11,8 @@
 
 	"marlreel/internal/balancer"
 	"marlreel/internal/controlplane/configuration"
+	"marlreel/internal/dataplane/httpproxy"
 	"marlreel/internal/dataplane/routing"
-	"marlreel/internal/httpproxy"
 )
 
 func headerOf(values map[string]string) *fasthttp.RequestHeader {
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -1,7 +1,8 @@
 // Package placement plans which model backends load which models and adapters. It is a pure planner: it is given the
 // configuration, the state of the backends, the demand and the outcomes of orders, each with its time, and returns the
-// orders to send next. Its one owner is the holder of a service's placement lease (internal/agent), which sends the
-// orders; the emulator (internal/testing/emulator) drives the same planner in simulated time.
+// orders to send next. Its one owner is the reconciler of a service (internal/placement/reconciler) on the node that
+// holds the placement lease, which sends the orders; the emulator (internal/testing/emulator) drives the same planner in
+// simulated time.
 //
 // # Objective
 //
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -17,7 +17,7 @@
 	doneAt     map[string]time.Duration
 	pending    map[string]Order
 	service    Service
-	loads      []time.Duration // from the store: what a backend has held before comes from its own disk
+	loads      []time.Duration // from the store: what a backend has had loaded before comes from its own disk
 	everLoaded map[string]bool // by backend and model
 	t          *testing.T
 }
@@ -291,7 +291,7 @@
 // target outlasts a load: whoever asks for that one next can wait for it as well.
 func TestWaitingRareModelEvictsIdleOne(t *testing.T) {
 	is := is.New(t)
-	c := newFakeCluster(t, 2, 12) // with room for three models each
+	c := newFakeCluster(t, 2, 12) // with memory for three models each
 	for i := range 12 {
 		c.planner.RecordLatencyTarget(fmt.Sprintf("m%d", i), 6*time.Second, 1)
 	}
