--- a/cmd/marlreeltry/demo.go
+++ b/internal/testing/demo/demo.go
@@ -1,4 +1,4 @@
-package main
+package demo
 
 import (
 	"context"
--- a/cmd/marlreeltry/main_test.go
+++ b/internal/testing/demo/demo_test.go
@@ -1,4 +1,4 @@
-package main
+package demo
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 func TestOnceServesAStream(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
-	command := newCommand(io.Discard)
+	command := NewCommand("marlreeldemo", io.Discard)
 	command.SetOut(&out)
 	command.SetArgs([]string{"--once"})
 	is.NoErr(command.Execute())
