--- a/internal/testing/emulator/placer.go
+++ b/internal/testing/emulator/placer.go
@@ -7,10 +7,11 @@
 )
 
 const (
-	// planInterval is how often the planner looks, and orderWay how long an order is on its way.
+	// planInterval is how often the planner plans, and orderDelay how long an order takes to arrive.
 	planInterval = 100 * time.Millisecond
 	orderDelay   = 2 * time.Millisecond
-	// reportLag is how old a backend's report is; reportAgain and reportLead are when it is asked.
+	// reportLag is how old a backend's report is. A backend is asked for one once an interval, from reportLead before
+	// an order is expected to be done.
 	reportLag      = 100 * time.Millisecond
 	reportInterval = 180 * time.Millisecond
 	reportLead     = 50 * time.Millisecond
--- a/internal/testing/emulator/proxy.go
+++ b/internal/testing/emulator/proxy.go
@@ -34,7 +34,7 @@
 	idleConnections map[balancer.BackendID][]time.Duration // since when connections are idle
 }
 
-// demandCount is what was demandCount of a model since the last report.
+// demandCount is the demand for a model since the last report.
 type demandCount struct {
 	arrived       int
 	workMS        float64
@@ -204,7 +204,7 @@
 	p.sim.score.Connections++
 }
 
-// onFirstByte is an answer's onFirstByte token.
+// onFirstByte handles the first token of an answer.
 func (p *proxy) onFirstByte(id balancer.RequestID, n int) {
 	c := p.calls[id]
 	if c == nil || c.answered {
--- /dev/null
+++ b/internal/testing/emulator/reports.go
@@ -0,0 +1,122 @@
+package emulator
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+
+	"marlreel/internal/balancer"
+	"marlreel/internal/balancer/prefixcache"
+	"marlreel/internal/dataplane/backlog"
+	"marlreel/internal/dataplane/routing"
+	"marlreel/internal/placement"
+)
+
+// recordLoaded records what proxies will know of a backend.
+func (s *simulation) recordLoaded(i int, loaded map[string][]string) {
+	k := routing.Backend{Backend: prefixcache.Backend{ID: balancer.BackendID(i + 1), Slots: s.cfg.Engine.Slots}, Name: s.backends[i].id}
+	for model, adapters := range loaded {
+		k.Loaded = append(k.Loaded, prefixcache.LoadedModel{Model: model, Adapters: adapters})
+	}
+	s.reportedBackends[i] = k
+	s.reportsChanged = true
+}
+
+// observeLoaded handles what the planner observes a backend to have loaded.
+func (s *simulation) observeLoaded(id string, loaded map[string][]string) {
+	for i, b := range s.backends {
+		if b.id == id {
+			s.recordLoaded(i, loaded)
+		}
+	}
+}
+
+// distributeReports tells all proxies what backends have loaded, where that has changed.
+func (s *simulation) distributeReports() {
+	if !s.reportsChanged {
+		return
+	}
+	s.reportsChanged = false
+	s.updateReportedLoaded()
+	for _, p := range s.proxies {
+		p.updateBackends()
+	}
+}
+
+func (s *simulation) updateReportedLoaded() {
+	s.reportedLoaded = map[placement.Key]bool{}
+	for _, k := range s.reportedBackends {
+		for _, h := range k.Loaded {
+			s.reportedLoaded[placement.Key{Model: h.Model}] = true
+			for _, adapter := range h.Adapters {
+				s.reportedLoaded[placement.Key{Model: h.Model, Adapter: adapter}] = true
+			}
+		}
+	}
+}
+
+// report is one proxy's report: of demand to the planner, of its backlog to its relay, and the answer.
+func (s *simulation) report(p *proxy) {
+	now := s.clock.now
+	waiting := p.waiting()
+	for _, key := range sortedKeys(p.demand) {
+		count := p.demand[key]
+		arrived, work := count.arrived, count.workMS
+		if s.cfg.Knowledge == KnownDemand || s.cfg.Knowledge == PerfectKnowledge {
+			arrived, work = 0, 0
+		}
+		s.placer.planner.RecordLatencyTarget(key.Model, count.latencyTarget, count.arrived)
+		s.placer.planner.RecordDemand(now, p.name, zoneName(p.zone), key, arrived, work, waiting[key])
+		delete(waiting, key)
+	}
+	for _, key := range sortedKeys(waiting) {
+		s.placer.planner.RecordDemand(now, p.name, zoneName(p.zone), key, 0, 0, waiting[key])
+	}
+	clear(p.demand)
+	if s.cfg.Knowledge == NoPeerBacklogs || s.cfg.Knowledge == PerfectKnowledge {
+		return
+	}
+	reporter := backlog.Reporter{Node: p.name, Zone: zoneName(p.zone)}
+	work := p.backlog()
+	s.relays[p.zone].RecordReport(now, serviceName, reporter, work)
+	s.leaseHolder.RecordReport(now, serviceName, reporter, work)
+	peers := s.relays[p.zone].Sum(now, serviceName, func(r backlog.Reporter) bool { return r.Node != p.name })
+	s.clock.after(2*s.cfg.InZone, func() { p.advisor.RecordPeerBacklog(p.now(), peers) })
+}
+
+// sortedKeys are the keys of a map in order: a run is the same retry.
+func sortedKeys[V any](of map[placement.Key]V) []placement.Key {
+	return slices.SortedFunc(maps.Keys(of), func(x, y placement.Key) int {
+		return cmp.Or(cmp.Compare(x.Model, y.Model), cmp.Compare(x.Adapter, y.Adapter))
+	})
+}
+
+// syncRelay tells a relay the backlog of other zones.
+func (s *simulation) syncRelay(zone int) {
+	elsewhere := s.leaseHolder.Sum(s.clock.now, serviceName, func(r backlog.Reporter) bool { return r.Zone != zoneName(zone) })
+	s.clock.after(2*s.cfg.CrossZone, func() { s.relays[zone].RecordReport(s.clock.now, serviceName, backlog.OtherZones, elsewhere) })
+}
+
+// pending is the pending work of all backends as it is.
+func (s *simulation) pending() backlog.Work {
+	work := backlog.Work{}
+	for _, b := range s.backends {
+		if ms := b.pendingPrefillMS(); ms > 0 {
+			work[backlog.Key(b.id)] = uint32(max(1, ms))
+		}
+	}
+	return work
+}
+
+// announceDemand has the planner know of requests before they come.
+func (s *simulation) announceDemand(all []*request) {
+	lead := s.cfg.Engine.LoadTime
+	for _, q := range all {
+		cost := routing.EstimateWork(q.promptTokens+q.kind.SharedTokens, q.outputTokens)
+		s.clock.after(q.at-lead, func() {
+			s.placer.planner.RecordDemand(s.clock.now, "ahead", zoneName(q.zone), placement.Key{Model: q.model, Adapter: q.adapter}, 1,
+				float64(cost)/float64(time.Millisecond), 0)
+		})
+	}
+}
--- /dev/null
+++ b/internal/testing/emulator/setup.go
@@ -0,0 +1,111 @@
+package emulator
+
+import (
+	"fmt"
+	"math"
+	"time"
+
+	"marlreel/internal/balancer"
+	"marlreel/internal/dataplane/backlog"
+	"marlreel/internal/dataplane/routing"
+)
+
+// lateShare is the share of its value that the balancer takes a late answer to earn, as in service.
+const lateShare = 0.6
+
+func (s *simulation) makeClasses() {
+	for i := range s.cfg.Kinds {
+		kind := &s.cfg.Kinds[i]
+		s.classOf[kind] = len(s.classes)
+		s.classes = append(s.classes, balancer.Class{
+			Name: kind.Name, LatencyTarget: kind.LatencyTarget, ClientTimeout: 2 * time.Minute, LateValueRatio: lateShare,
+			Value: 1, Generates: true, MaxRuns: 2,
+		})
+	}
+}
+
+func zoneName(zone int) string { return fmt.Sprintf("zone-%d", zone) }
+
+// networkDelay is how long a message takes between two zones.
+func (c *Config) networkDelay(a, b int) time.Duration {
+	if a == b {
+		return c.InZone
+	}
+	return c.CrossZone
+}
+
+// models are the names of all models, busy ones first.
+func (c *Config) models() []string {
+	var names []string
+	for i := range c.BusyModels {
+		names = append(names, busyName(i))
+	}
+	for i := range c.RareModels {
+		names = append(names, fmt.Sprintf("rare-%d", i))
+	}
+	return names
+}
+
+// busyCapacityShare is the share of the capacity at which busy models are placed at first.
+const busyCapacityShare = 0.27
+
+// makeBackends places models as far as there is capacity: busy ones on several backends, each other one on one.
+func (s *simulation) makeBackends() {
+	c := &s.cfg
+	for i := range c.Zones * c.BackendsPerZone {
+		b := &backend{
+			sim: s, id: fmt.Sprintf("backend-%d", i), zone: i % c.Zones, loaded: map[string]map[string]bool{},
+			everLoaded: map[string]bool{}, cachedPrefixes: map[string]bool{},
+		}
+		s.backends = append(s.backends, b)
+		s.byID[b.id] = b
+	}
+	capacity := int(c.Engine.CapacityMB / c.ModelMB) // models
+	total := 0.0
+	for rank := range c.BusyNow {
+		total += math.Pow(float64(rank+1), -c.Skew)
+	}
+	next := 0
+	put := func(name string) {
+		for range s.backends {
+			b := s.backends[next%len(s.backends)]
+			next++
+			if b.loaded[name] == nil && len(b.loaded) < capacity {
+				b.loaded[name], b.everLoaded[name] = map[string]bool{}, true
+				return
+			}
+		}
+	}
+	for rank := range c.BusyNow {
+		part := math.Pow(float64(rank+1), -c.Skew) / total
+		for range max(1, int(part*busyCapacityShare*float64(capacity*len(s.backends)))) {
+			put(busyName(rank))
+		}
+	}
+	for _, name := range c.models()[c.BusyNow:] {
+		put(name)
+	}
+	s.reportedBackends = make([]routing.Backend, len(s.backends))
+	for i, b := range s.backends {
+		s.recordLoaded(i, b.loadedNames())
+	}
+	s.updateReportedLoaded()
+}
+
+func (s *simulation) makeProxies() error {
+	for zone := range s.cfg.Zones {
+		s.relays = append(s.relays, backlog.NewTable())
+		for index := range s.cfg.ProxiesPerZone {
+			p, err := newProxy(s, zone, index)
+			if err != nil {
+				return fmt.Errorf("making a proxy: %w", err)
+			}
+			s.proxies = append(s.proxies, p)
+			p.start()
+			first := time.Duration(s.rng.Float64() * float64(s.cfg.ReportInterval))
+			s.clock.every(s.cfg.ReportInterval, first, func() { s.report(p) })
+		}
+		s.clock.every(s.cfg.ReportInterval, s.cfg.ReportInterval, func() { s.syncRelay(zone) })
+	}
+	return nil
+}
