--- a/internal/process/logevent/logevent.go
+++ b/internal/process/logevent/logevent.go
@@ -41,7 +41,7 @@
 	KeySeeds = "seeds"
 	// KeyCode is a result code by its name.
 	KeyCode = "code"
-	// KeyDetail says more of a failure.
+	// KeyDetail says more of a failure, or is the text of a decision.
 	KeyDetail = "detail"
 	// KeyReason is why a view is proposed.
 	KeyReason = "reason"
