--- a/internal/distribution/relay/compatibility_test.go
+++ b/internal/distribution/relay/compatibility_test.go
@@ -2,40 +2,18 @@
 
 import (
 	"fmt"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
 	"marlreel/internal/api"
 	"marlreel/internal/distribution/watch"
+	"marlreel/internal/testing/recorded"
 )
 
 // The files under testdata/compatibility were written by the code of commit 6fb9894, with
 // WRITE_COMPATIBILITY=1. They hold forms that other processes, backends and operators rely on.
 // They must not be written anew to get a pass.
 
-// checkRecorded compares a text with the recorded one.
-func checkRecorded(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "compatibility", name)
-	if os.Getenv("WRITE_COMPATIBILITY") != "" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs from what was recorded\n got:\n%s\nwant:\n%s", path, got, want)
-	}
-}
-
 // Each agent chooses the relays by itself: versions that choose otherwise watch at nodes that don't watch the topic.
 func TestCompatibilityOfRelays(t *testing.T) {
 	var nodes []*api.Node
@@ -55,5 +33,5 @@
 			fmt.Fprintf(&out, "%s reads from %q: %s\n", self.Name, subscription.Relay, strings.Join(subscription.Topics, " "))
 		}
 	}
-	checkRecorded(t, "homes.txt", out.String())
+	recorded.Check(t, "homes.txt", out.String())
 }
--- a/internal/placement/reconciler/compatibility_test.go
+++ b/internal/placement/reconciler/compatibility_test.go
@@ -9,8 +9,6 @@
 	"maps"
 	"net"
 	"net/http"
-	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
@@ -18,45 +16,14 @@
 	"time"
 
 	"marlreel/internal/placement"
+	"marlreel/internal/testing/recorded"
 )
 
 // The files under testdata/compatibility were written by the code of commit 6fb9894, with
 // WRITE_COMPATIBILITY=1. They hold forms that other processes, backends and operators rely on.
 // They must not be written anew to get a pass. Those named sent-… are after the users' pages.
 
-// checkRecorded compares a text with the recorded one.
-func checkRecorded(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "compatibility", name)
-	if os.Getenv("WRITE_COMPATIBILITY") != "" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs from what was recorded\n got:\n%s\nwant:\n%s", path, got, want)
-	}
-}
-
-// byteReader gives a byte at a time, so that what is noted ends where the request does.
-type byteReader struct{ from *bufio.Reader }
-
-// Read implements io.Reader.
-func (r *byteReader) Read(p []byte) (int, error) {
-	if len(p) == 0 {
-		return 0, nil
-	}
-	return r.from.Read(p[:1])
-}
-
-// recordingBackend notes the bytes of requests and gives set answers.
+// recordingBackend records the bytes of requests and gives a set answer.
 type recordingBackend struct {
 	seen   []string
 	answer string
@@ -68,15 +35,11 @@
 		defer far.Close()
 		in := bufio.NewReader(far)
 		for {
-			var raw strings.Builder
-			request, err := http.ReadRequest(bufio.NewReader(io.TeeReader(&byteReader{in}, &raw)))
+			_, raw, err := recorded.ReadRequest(in)
 			if err != nil {
 				return
 			}
-			if _, err := io.Copy(io.Discard, request.Body); err != nil {
-				return
-			}
-			b.seen = append(b.seen, strings.ReplaceAll(raw.String(), "\r\n", "\n"))
+			b.seen = append(b.seen, raw)
 			if _, err := io.WriteString(far, b.answer); err != nil {
 				return
 			}
@@ -106,7 +69,7 @@
 				client.http.CloseIdleConnections()
 			}
 		}
-		checkRecorded(t, "orders.txt", out.String())
+		recorded.Check(t, "orders.txt", out.String())
 		time.Sleep(clientGoroutinesEnd)
 	})
 }
@@ -135,10 +98,7 @@
 // A backend's report, as the pages have it, is asked for and read as it was.
 func TestCompatibilityOfReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		body, err := os.ReadFile(filepath.Join("testdata", "compatibility", "sent-report.json"))
-		if err != nil {
-			t.Fatal(err)
-		}
+		body := recorded.Read(t, "sent-report.json")
 		backend := &recordingBackend{answer: fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)}
 		client := newBackendClient(backend.dial)
 		report, err := client.report("10.3.0.1:9000", "i-7f3a91c2")
@@ -154,7 +114,7 @@
 			}
 			fmt.Fprintf(&out, "holds %s %s\n", name, adapters)
 		}
-		checkRecorded(t, "report.txt", out.String())
+		recorded.Check(t, "report.txt", out.String())
 		client.http.CloseIdleConnections()
 		time.Sleep(clientGoroutinesEnd)
 	})
--- a/internal/testing/simcluster/compatibility_test.go
+++ b/internal/testing/simcluster/compatibility_test.go
@@ -9,8 +9,6 @@
 	"maps"
 	"net"
 	"net/http"
-	"os"
-	"path/filepath"
 	"regexp"
 	"slices"
 	"strings"
@@ -22,39 +20,19 @@
 	"google.golang.org/protobuf/encoding/protowire"
 
 	"marlreel/internal/process/bootstrap"
+	"marlreel/internal/testing/recorded"
 )
 
 // The files under testdata/compatibility were written by the code of commit 6fb9894, with
 // WRITE_COMPATIBILITY=1. They hold forms that other processes, backends and operators rely on.
 // They must not be written anew to get a pass.
 
-// checkRecorded compares a text with the recorded one.
-func checkRecorded(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "compatibility", name)
-	if os.Getenv("WRITE_COMPATIBILITY") != "" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs from what was recorded\n got:\n%s\nwant:\n%s", path, got, want)
-	}
-}
-
-// rawExchange is one request as an old process writes it.
+// rawExchange is a request as a process of the recorded version sends it.
 type rawExchange struct {
 	name, head, body string
 }
 
-// replay writes a request and words the reply.
+// replay sends a request and returns the reply.
 func replay(t *testing.T, c *Cluster, address string, e rawExchange) (status int, header http.Header, body string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -83,7 +61,7 @@
 	return response.StatusCode, response.Header, string(data)
 }
 
-// replayAll words all replies, in order.
+// replayAll returns all requests and replies as text, in order.
 func replayAll(t *testing.T, c *Cluster, address string, exchanges []rawExchange) string {
 	t.Helper()
 	var out strings.Builder
@@ -186,7 +164,7 @@
 			}
 			got.WriteString(replayAll(t, c, m.ControlAddress(), []rawExchange{e}))
 		}
-		checkRecorded(t, "control.txt", got.String())
+		recorded.Check(t, "control.txt", got.String())
 	})
 }
 
@@ -238,7 +216,7 @@
 		}
 		// Whether a list is empty, and null, at one of them differs from run to run.
 		maps.DeleteFunc(shape, func(line string, _ bool) bool { return strings.HasSuffix(line, " null") })
-		checkRecorded(t, "status.txt", strings.Join(slices.Sorted(maps.Keys(shape)), "\n")+"\n")
+		recorded.Check(t, "status.txt", strings.Join(slices.Sorted(maps.Keys(shape)), "\n")+"\n")
 
 		number := regexp.MustCompile(` [0-9.e+-]+$`)
 		for name, from := range map[string]struct {
@@ -253,7 +231,7 @@
 					lines[number.ReplaceAllString(strings.TrimSpace(line), "")] = true
 				}
 			}
-			checkRecorded(t, "metrics-"+name+".txt", strings.Join(slices.Sorted(maps.Keys(lines)), "\n")+"\n")
+			recorded.Check(t, "metrics-"+name+".txt", strings.Join(slices.Sorted(maps.Keys(lines)), "\n")+"\n")
 		}
 		orders := ""
 		for _, m := range c.Controls {
@@ -266,7 +244,7 @@
 	})
 }
 
-// capture is a backend that notes what reaches it, without what differs from run to run.
+// capture is a backend that records what reaches it, without what differs from run to run.
 type capture struct {
 	mu   sync.Mutex
 	seen map[string]bool
@@ -291,21 +269,17 @@
 	}
 }
 
-// serveConn notes the bytes of each request; all that come have a length, or no body.
+// serveConn records the bytes of each request; all that come have a length, or no body.
 func (b *capture) serveConn(conn net.Conn) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for {
-		var raw strings.Builder
-		request, err := http.ReadRequest(bufio.NewReader(io.TeeReader(&byteReader{in}, &raw)))
+		request, raw, err := recorded.ReadRequest(in)
 		if err != nil {
 			return
 		}
-		if _, err := io.Copy(io.Discard, request.Body); err != nil {
-			return
-		}
 		b.mu.Lock()
-		b.seen[withoutVariable(strings.ReplaceAll(raw.String(), "\r\n", "\n"))] = true
+		b.seen[withoutVariable(raw)] = true
 		b.mu.Unlock()
 		answer, extra := "", "Server-Seal: 3e1b.07\r\nRequest-Id: "+request.Header.Get("Request-Id")+"\r\n"
 		switch request.URL.Path {
@@ -338,18 +312,7 @@
 	}
 }
 
-// byteReader gives a byte at a time, so that what is noted ends where the request does.
-type byteReader struct{ from *bufio.Reader }
-
-// Read implements io.Reader.
-func (r *byteReader) Read(p []byte) (int, error) {
-	if len(p) == 0 {
-		return 0, nil
-	}
-	return r.from.Read(p[:1])
-}
-
-// of gives what was seen that begins so, in order.
+// of returns what was recorded that begins with a prefix, in order.
 func (b *capture) of(prefix string) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -419,24 +382,24 @@
 			{"a model that is not held", "POST /chat/4 HTTP/1.1\nHost: a.example\nRequest-Id: 9c41d07be2a35f71\nModel: m1\nToken-Count: 10,8\nTime-Remaining: 4000", "hello"},
 		})
 		c.Sleep(10 * time.Second)
-		checkRecorded(t, "proxy.txt", got)
-		checkRecorded(t, "backend-requests.txt", backend.of("POST /chat/")+"----\n"+backend.of("POST /once/"))
-		checkRecorded(t, "backend-probe.txt", backend.of("GET /health"))
-		checkRecorded(t, "backend-report.txt", backend.of("GET /marlreel/report"))
-		checkRecorded(t, "backend-order.txt", backend.of("POST /marlreel/order"))
+		recorded.Check(t, "proxy.txt", got)
+		recorded.Check(t, "backend-requests.txt", backend.of("POST /chat/")+"----\n"+backend.of("POST /once/"))
+		recorded.Check(t, "backend-probe.txt", backend.of("GET /health"))
+		recorded.Check(t, "backend-report.txt", backend.of("GET /marlreel/report"))
+		recorded.Check(t, "backend-order.txt", backend.of("POST /marlreel/order"))
 	})
 }
 
 func documentOf2(version uint64) string { return documentOf(fmt.Sprint(version)) }
 
-// wire makes the bytes of a protobuf message by numbers of fields alone.
+// wire is a protobuf message that is made by numbers of fields alone.
 type wire []byte
 
 func (w wire) text(number protowire.Number, value string) wire {
 	return protowire.AppendString(protowire.AppendTag(w, number, protowire.BytesType), value)
 }
 
-func (w wire) whole(number protowire.Number, value uint64) wire {
+func (w wire) varint(number protowire.Number, value uint64) wire {
 	return protowire.AppendVarint(protowire.AppendTag(w, number, protowire.VarintType), value)
 }
 
@@ -444,7 +407,7 @@
 	return protowire.AppendBytes(protowire.AppendTag(w, number, protowire.BytesType), value)
 }
 
-// fieldsOf words which fields a message has at its top, in order of their numbers.
+// fieldsOf returns which fields a message has at its top, in order of their numbers.
 func fieldsOf(t *testing.T, data []byte) string {
 	t.Helper()
 	found := map[string]bool{}
@@ -459,7 +422,7 @@
 	return strings.Join(slices.Sorted(maps.Keys(found)), ", ")
 }
 
-// valueOf gives the last value of a field that is bytes or text.
+// valueOf returns the last value of a field that is bytes or text.
 func valueOf(t *testing.T, data []byte, wanted protowire.Number) string {
 	t.Helper()
 	value := ""
@@ -489,26 +452,26 @@
 
 // peerCalls are calls of all kinds to a control process and an agent, in the order in which they were recorded.
 func peerCalls(control, agent string) []peerCall {
-	node := wire{}.text(1, "edge-9").text(2, "10.2.0.90:7660").text(3, "east").whole(4, 77)
-	backend := wire{}.text(1, "i-9").text(2, "slips").text(3, "10.3.0.99:9000").text(4, "east").text(5, "v1").whole(6, 8).whole(10, 3)
-	demand := wire{}.text(1, "llm").text(2, "m0").whole(4, 3).whole(7, 800)
+	node := wire{}.text(1, "edge-9").text(2, "10.2.0.90:7660").text(3, "east").varint(4, 77)
+	backend := wire{}.text(1, "i-9").text(2, "slips").text(3, "10.3.0.99:9000").text(4, "east").text(5, "v1").varint(6, 8).varint(10, 3)
+	demand := wire{}.text(1, "llm").text(2, "m0").varint(4, 3).varint(7, 800)
 	report := wire{}.text(1, "edge-9").message(2, demand).text(3, "east")
-	evacuate := wire{}.message(3, wire{}.text(1, "west").whole(2, 1))
+	evacuate := wire{}.message(3, wire{}.text(1, "west").varint(2, 1))
 	return []peerCall{
 		{"an order without a time", control, "marlreel.system.Control/Submit", wire{}.message(1, evacuate)},
-		{"an order with a time of another life", control, "marlreel.system.Control/Submit", wire{}.message(1, evacuate).message(2, wire{}.whole(1, 5).whole(2, 6))},
+		{"an order with a time of another life", control, "marlreel.system.Control/Submit", wire{}.message(1, evacuate).message(2, wire{}.varint(1, 5).varint(2, 6))},
 		{"a read", control, "marlreel.system.Control/Read", nil},
 		{"the first word of another control process", control, "marlreel.system.Control/Share", wire{}.text(1, "10.1.0.9:7660").message(2, backend).message(4, node).
-			message(6, wire{}.text(1, "10.1.0.9:7660").text(2, "north").text(3, "10.1.0.9:8082")).whole(5, 1)},
-		{"a life sign", control, "marlreel.system.Control/Share", wire{}.text(1, "10.1.0.9:7660").message(3, wire{}.text(1, "i-9").whole(3, 9))},
-		{"a life sign of an unknown backend", control, "marlreel.system.Control/Share", wire{}.text(1, "10.1.0.9:7660").message(3, wire{}.text(1, "i-unknown").whole(3, 9))},
+			message(6, wire{}.text(1, "10.1.0.9:7660").text(2, "north").text(3, "10.1.0.9:8082")).varint(5, 1)},
+		{"a life sign", control, "marlreel.system.Control/Share", wire{}.text(1, "10.1.0.9:7660").message(3, wire{}.text(1, "i-9").varint(3, 9))},
+		{"a life sign of an unknown backend", control, "marlreel.system.Control/Share", wire{}.text(1, "10.1.0.9:7660").message(3, wire{}.text(1, "i-unknown").varint(3, 9))},
 		{"a reader of all", control, "marlreel.system.Control/Watch", wire{}.text(7, "edge-9")},
 		{"a reader of the state", control, "marlreel.system.Control/Watch", wire{}.text(7, "edge-9").text(8, "state")},
 		{"a reader of a service", control, "marlreel.system.Control/Watch", wire{}.text(7, "edge-9").text(8, "service/llm")},
 		{"a node", control, "marlreel.system.Control/Renew", wire{}.message(1, node)},
 		{"a node without a name", control, "marlreel.system.Control/Renew", nil},
 		{"a holder", control, "marlreel.system.Control/Lease", wire{}.text(1, "edge-9/0000004d")},
-		{"an observation", control, "marlreel.system.Control/Observe", wire{}.message(1, wire{}.text(1, "i-1").message(2, wire{}.text(1, "m0").whole(2, 1)))},
+		{"an observation", control, "marlreel.system.Control/Observe", wire{}.message(1, wire{}.text(1, "i-1").message(2, wire{}.text(1, "m0").varint(2, 1)))},
 		{"a proxy that reads", agent, "marlreel.system.Agent/Watch", wire{}.text(8, "state")},
 		{"demand of a proxy", agent, "marlreel.system.Agent/ReportDemand", report},
 		{"demand that is passed on", agent, "marlreel.system.Agent/PassDemand", wire{}.message(1, report).text(2, "edge-9").text(3, "east")},
@@ -543,7 +506,7 @@
 				}
 			}
 		}
-		checkRecorded(t, "peers.txt", out.String())
+		recorded.Check(t, "peers.txt", out.String())
 	})
 }
 
