--- a/internal/controlplane/chain/peer.go
+++ b/internal/controlplane/chain/peer.go
@@ -82,7 +82,11 @@
 }
 
 // sortedPeers are the peers' keys in an order that is the same in each run.
-func (n *Node) sortedPeers() []string { return slices.Sorted(maps.Keys(n.peers)) }
+func (n *Node) sortedPeers() []string {
+	keys := slices.AppendSeq(make([]string, 0, len(n.peers)), maps.Keys(n.peers))
+	slices.Sort(keys)
+	return keys
+}
 
 // longestUnseen is the member outside the chain that was last seen the longest ago, and not for at least minSilence;
 // nil: there is none.
