--- a/internal/controlplane/simulation_agents_test.go
+++ b/internal/controlplane/simulation_agents_test.go
@@ -39,15 +39,15 @@
 
 var placementKey = lease.PlacementKey("llm")
 
-func (w *simulation) addAgent(number int) {
+func (sim *simulation) addAgent(number int) {
 	name := fmt.Sprintf("a%d", number)
 	a := &simulatedAgent{
-		sim: w, node: &api.Node{Name: name, Address: name + ":1", Incarnation: 1}, holder: lease.HolderID(name, 1),
-		feed: watch.New(name, w.clock), cursor: watch.NewCursor(nil), at: number,
+		sim: sim, node: &api.Node{Name: name, Address: name + ":1", Incarnation: 1}, holder: lease.HolderID(name, 1),
+		feed: watch.New(name, sim.clock), cursor: watch.NewCursor(nil), at: number,
 	}
-	w.agents = append(w.agents, a)
+	sim.agents = append(sim.agents, a)
 	regularly := func(span time.Duration, do func()) {
-		w.every(span, func() bool {
+		sim.every(span, func() bool {
 			if !a.frozen {
 				do()
 			}
@@ -71,10 +71,10 @@
 		return
 	}
 	a.asking = true
-	w, c := a.sim, a.source()
+	sim, c := a.sim, a.source()
 	request := a.feed.NewRequest(a.cursor)
-	call(w, a.node.Name, c.address, agentTimeout, func(answer func(*api.WatchReply)) {
-		c.run(func() { answer(c.feed.HandleWatch(w.t.Context(), request, 0)) })
+	call(sim, a.node.Name, c.address, agentTimeout, func(answer func(*api.WatchReply)) {
+		c.run(func() { answer(c.feed.HandleWatch(sim.t.Context(), request, 0)) })
 	}, func(answer **api.WatchReply) {
 		a.asking = false
 		if answer == nil {
@@ -88,23 +88,23 @@
 }
 
 func (a *simulatedAgent) onReply(answer *api.WatchReply) {
-	w := a.sim
+	sim := a.sim
 	a.feed.ApplyReply(answer, a.cursor)
 	sequence, _ := a.feed.Position()
 	if sequence < a.sequence {
-		w.failf("%s went back from entry %d to %d", a.node.Name, a.sequence, sequence)
+		sim.failf("%s went back from entry %d to %d", a.node.Name, a.sequence, sequence)
 	}
 	a.sequence = sequence
-	newest := w.operators.newest
-	if answer.Fresh && agentVersion(a) < newest.version && w.now-newest.at > freshAge+agentTimeout {
-		w.failf("%s was told that version %d is fresh; %d was acknowledged at %v", a.node.Name, agentVersion(a), newest.version, newest.at)
+	newest := sim.operators.newest
+	if answer.Fresh && agentVersion(a) < newest.version && sim.now-newest.at > freshAge+agentTimeout {
+		sim.failf("%s was told that version %d is fresh; %d was acknowledged at %v", a.node.Name, agentVersion(a), newest.version, newest.at)
 	}
 	switch {
 	case answer.Fresh:
 		a.stale = 0
 	case a.stale == 0:
-		a.stale = w.now
-	case w.now-a.stale > maxAgentStaleness:
+		a.stale = sim.now
+	case sim.now-a.stale > maxAgentStaleness:
 		a.at++
 		a.stale = 0
 	}
@@ -120,9 +120,9 @@
 
 // renew asks for its lease.
 func (a *simulatedAgent) renew() {
-	w, asked := a.sim, a.sim.now
-	c := w.controls[w.rng.IntN(len(w.controls))]
-	call(w, a.node.Name, c.address, agentTimeout, func(answer func(*api.LeaseReply)) {
+	sim, asked := a.sim, a.sim.now
+	c := sim.controls[sim.rng.IntN(len(sim.controls))]
+	call(sim, a.node.Name, c.address, agentTimeout, func(answer func(*api.LeaseReply)) {
 		c.run(func() { c.lease(a.holder, false, answer) })
 	}, func(answer **api.LeaseReply) {
 		if answer == nil || result.Code((*answer).Code) != result.Committed {
@@ -142,18 +142,18 @@
 
 // sendOrder gives the backend an order, if the agent may. Nobody else may at that moment.
 func (a *simulatedAgent) sendOrder() {
-	w := a.sim
+	sim := a.sim
 	if !a.holdsLease() {
 		return
 	}
-	for _, other := range w.agents {
+	for _, other := range sim.agents {
 		if other != a && other.holdsLease() {
-			w.failf("%s gives an order under token %d, and %s holds the role under %d", a.node.Name, a.fencingToken, other.node.Name, other.fencingToken)
+			sim.failf("%s gives an order under token %d, and %s holds the role under %d", a.node.Name, a.fencingToken, other.node.Name, other.fencingToken)
 		}
 	}
 	a.orders++
 	token := a.fencingToken
-	w.datagram(a.node.Name, "backend", func() { w.backend.onOrder(a.holder, token) })
+	sim.datagram(a.node.Name, "backend", func() { sim.backend.onOrder(a.holder, token) })
 }
 
 // simulatedBackend takes orders.
--- a/internal/controlplane/simulation_calls_test.go
+++ b/internal/controlplane/simulation_calls_test.go
@@ -12,20 +12,20 @@
 
 // grant is Service.grant.
 func (c *simulatedControl) grant(operation *api.Operation, view uint64) {
-	w := c.sim
+	sim := c.sim
 	if c.replica == nil {
 		return
 	}
-	c.replica.SubmitInView(c.clock(w.now), operation, view, c.clock(w.now+operationTimeout), func(code result.Code, _ string) {
+	c.replica.SubmitInView(c.clock(sim.now), operation, view, c.clock(sim.now+operationTimeout), func(code result.Code, _ string) {
 		if code == result.Unavailable {
-			w.coverage["a grant came to nothing"]++
+			sim.coverage["a grant came to nothing"]++
 		}
 	})
 }
 
 // commitOperation has an operation done, wherever the head is.
 func (c *simulatedControl) commitOperation(operation *api.Operation, reply func(*result.Error)) {
-	w, deadline, attempts := c.sim, c.sim.now+operationTimeout, newOperationAttempts()
+	sim, deadline, attempts := c.sim, c.sim.now+operationTimeout, newOperationAttempts()
 	over, asking := false, false
 	finish := func() {
 		if over {
@@ -37,9 +37,9 @@
 		}
 		reply(attempts.outcome)
 	}
-	w.after(operationTimeout, finish)
+	sim.after(operationTimeout, finish)
 	var attempt func()
-	again := func() { w.after(attemptInterval, func() { c.run(attempt) }) }
+	again := func() { sim.after(attemptInterval, func() { c.run(attempt) }) }
 	attempt = func() {
 		head := chainStatusOf(c.replica).Head
 		if over || head == "" {
@@ -66,12 +66,12 @@
 
 // submitAt has an operation done by the head, if it gets there in time.
 func (c *simulatedControl) submitAt(head string, operation *api.Operation, deadline time.Duration, reply func(*api.SubmitReply)) {
-	w := c.sim
+	sim := c.sim
 	if head == c.address {
 		c.submitHere(operation, c.clock(deadline), reply)
 		return
 	}
-	at := func() *api.Instant { return c.peerClocks.instantAt(head, w.clock().Add(deadline-w.now)) }
+	at := func() *api.Instant { return c.peerClocks.instantAt(head, sim.clock().Add(deadline-sim.now)) }
 	submit := func(until *api.Instant) {
 		c.submitTo(head, &api.SubmitRequest{Operation: operation, Deadline: until}, deadline, func(answer *api.SubmitReply) {
 			if answer == nil {
@@ -94,9 +94,9 @@
 }
 
 func (c *simulatedControl) submitTo(head string, request *api.SubmitRequest, deadline time.Duration, reply func(*api.SubmitReply)) {
-	w := c.sim
-	call(w, c.address, head, deadline-w.now, func(answer func(*api.SubmitReply)) {
-		if server := w.controlAt(head); server != nil {
+	sim := c.sim
+	call(sim, c.address, head, deadline-sim.now, func(answer func(*api.SubmitReply)) {
+		if server := sim.controlAt(head); server != nil {
 			server.run(func() { server.submit(request, answer) })
 		}
 	}, func(answer **api.SubmitReply) {
@@ -104,7 +104,7 @@
 			reply(nil)
 			return
 		}
-		c.peerClocks.onClockReading(head, (*answer).Clock, w.clock())
+		c.peerClocks.onClockReading(head, (*answer).Clock, sim.clock())
 		reply(*answer)
 	})
 }
@@ -150,9 +150,9 @@
 		reply(nil)
 		return
 	}
-	w := c.sim
-	call(w, c.address, tail, operationTimeout, func(answer func(*newestState)) {
-		server := w.controlAt(tail)
+	sim := c.sim
+	call(sim, c.address, tail, operationTimeout, func(answer func(*newestState)) {
+		server := sim.controlAt(tail)
 		if server == nil {
 			return
 		}
@@ -161,7 +161,7 @@
 				answer(nil)
 				return
 			}
-			server.replica.ReadAtTail(server.clock(w.now), func(code result.Code, m *state.Machine) { answer(stateRead(code, m, ids)) })
+			server.replica.ReadAtTail(server.clock(sim.now), func(code result.Code, m *state.Machine) { answer(stateRead(code, m, ids)) })
 		})
 	}, func(answer **newestState) {
 		if answer == nil {
@@ -188,13 +188,13 @@
 
 // lease is Service.Lease: the head answers, and others pass the question on once.
 func (c *simulatedControl) lease(holder string, forwarded bool, reply func(*api.LeaseReply)) {
-	w, unavailable := c.sim, &api.LeaseReply{Code: uint32(result.Unavailable)}
+	sim, unavailable := c.sim, &api.LeaseReply{Code: uint32(result.Unavailable)}
 	head := chainStatusOf(c.replica).Head
 	switch {
 	case c.replica == nil || head == "":
 		reply(unavailable)
 	case head == c.address:
-		c.replica.ReadAtHead(c.clock(w.now), func(code result.Code, m *state.Machine) {
+		c.replica.ReadAtHead(c.clock(sim.now), func(code result.Code, m *state.Machine) {
 			answer := &api.LeaseReply{Code: uint32(code)}
 			if m != nil {
 				answer.Renewed = c.leases.manager.Renew(holder, false, m.Leases())
@@ -205,8 +205,8 @@
 	case forwarded:
 		reply(unavailable)
 	default:
-		call(w, c.address, head, forwardTimeout, func(answer func(*api.LeaseReply)) {
-			if server := w.controlAt(head); server != nil {
+		call(sim, c.address, head, forwardTimeout, func(answer func(*api.LeaseReply)) {
+			if server := sim.controlAt(head); server != nil {
 				server.run(func() { server.lease(holder, true, answer) })
 			}
 		}, func(answer **api.LeaseReply) {
--- a/internal/controlplane/simulation_control_test.go
+++ b/internal/controlplane/simulation_control_test.go
@@ -46,9 +46,9 @@
 
 var errFullDisk = errors.New("no space left on device")
 
-func (w *simulation) addControl(address string, first bool) {
-	c := &simulatedControl{sim: w, address: address, disk: storage.NewMemStorage(), first: first}
-	w.controls = append(w.controls, c)
+func (sim *simulation) addControl(address string, first bool) {
+	c := &simulatedControl{sim: sim, address: address, disk: storage.NewMemStorage(), first: first}
+	sim.controls = append(sim.controls, c)
 	c.start()
 }
 
@@ -56,18 +56,18 @@
 func (c *simulatedControl) clock(at time.Duration) time.Duration { return at - c.began + time.Second }
 
 func (c *simulatedControl) start() {
-	w := c.sim
+	sim := c.sim
 	c.incarnation++
-	c.up, c.began, c.frozen, c.backlog, c.leaving, c.reopenAt = true, w.now, false, nil, false, 0
-	c.peerClocks, c.view = peerClocks{}, chainView{seeds: func() []string { return w.seeds }}
+	c.up, c.began, c.frozen, c.backlog, c.leaving, c.reopenAt = true, sim.now, false, nil, false, 0
+	c.peerClocks, c.view = peerClocks{}, chainView{seeds: func() []string { return sim.seeds }}
 	c.freshness = freshnessTracker{establishedAfter: 4 * time.Second}
-	c.feed = watch.New(fmt.Sprintf("%s/%d", c.address, c.incarnation), w.clock)
+	c.feed = watch.New(fmt.Sprintf("%s/%d", c.address, c.incarnation), sim.clock)
 	c.leases = newLeaseGranter(bootstrap.Bounds{Fencing: true, LeaseDurationMS: 3000}, c.feed, func() (uint64, bool) { return c.view.headOf(c.address) },
-		c.grant, w.clock)
+		c.grant, sim.clock)
 	incarnation := c.incarnation
 	alive := func() bool { return c.up && c.incarnation == incarnation }
 	regularly := func(span time.Duration, do func()) {
-		w.every(span, func() bool {
+		sim.every(span, func() bool {
 			if alive() && !c.frozen { // a ticker that is not read drops its ticks
 				do()
 			}
@@ -183,22 +183,22 @@
 
 // Send implements Sender.
 func (c *simulatedControl) Send(message *api.ChainMessage) {
-	w, to := c.sim, message.To.GetAddress()
+	sim, to := c.sim, message.To.GetAddress()
 	copied := proto.CloneOf(message)
 	deliver := func() {
-		if receiver := w.controlAt(to); receiver != nil {
+		if receiver := sim.controlAt(to); receiver != nil {
 			receiver.run(func() {
 				if receiver.replica != nil {
-					receiver.replica.Receive(receiver.clock(w.now), copied)
+					receiver.replica.Receive(receiver.clock(sim.now), copied)
 				}
 			})
 		}
 	}
 	if message.GetHeartbeat() != nil {
-		w.datagram(c.address, to, deliver)
+		sim.datagram(c.address, to, deliver)
 		return
 	}
-	w.carry(c.address, to, deliver)
+	sim.carry(c.address, to, deliver)
 }
 
 // run does something on the process, or keeps it for when the process goes on.
@@ -245,8 +245,8 @@
 }
 
 // controlAt is the machine at an address that has not been replaced.
-func (w *simulation) controlAt(address string) *simulatedControl {
-	for _, c := range w.controls {
+func (sim *simulation) controlAt(address string) *simulatedControl {
+	for _, c := range sim.controls {
 		if c.address == address && !c.replaced {
 			return c
 		}
--- a/internal/controlplane/simulation_faults_test.go
+++ b/internal/controlplane/simulation_faults_test.go
@@ -28,41 +28,41 @@
 )
 
 // live are the machines that have not been replaced.
-func (w *simulation) live() []*simulatedControl {
-	return slices.DeleteFunc(slices.Clone(w.controls), func(c *simulatedControl) bool { return c.replaced })
+func (sim *simulation) live() []*simulatedControl {
+	return slices.DeleteFunc(slices.Clone(sim.controls), func(c *simulatedControl) bool { return c.replaced })
 }
 
 // setIsolated cuts a machine off from others, or ends that.
-func (w *simulation) setIsolated(c *simulatedControl, others []string, partitioned bool) {
+func (sim *simulation) setIsolated(c *simulatedControl, others []string, partitioned bool) {
 	for _, other := range others {
 		if other != c.address {
-			w.setPartitioned(c.address, other, partitioned)
-			w.setPartitioned(other, c.address, partitioned)
+			sim.setPartitioned(c.address, other, partitioned)
+			sim.setPartitioned(other, c.address, partitioned)
 		}
 	}
 }
 
 // controlAddresses are those of all control machines.
-func (w *simulation) controlAddresses() []string {
+func (sim *simulation) controlAddresses() []string {
 	var all []string
-	for _, c := range w.controls {
+	for _, c := range sim.controls {
 		all = append(all, c.address)
 	}
 	return all
 }
 
 // outside are the addresses of agents and operators.
-func (w *simulation) outside() []string {
+func (sim *simulation) outside() []string {
 	all := []string{"operator"}
-	for _, a := range w.agents {
+	for _, a := range sim.agents {
 		all = append(all, a.node.Name)
 	}
 	return all
 }
 
 // pick draws a machine: any one, the one that acts, or the one that is read.
-func (w *simulation) pick(rng *rand.Rand) *simulatedControl {
-	live := w.live()
+func (sim *simulation) pick(rng *rand.Rand) *simulatedControl {
+	live := sim.live()
 	standing := chainStatusOf(nil)
 	for _, c := range live {
 		if c.up && c.replica != nil && c.replica.Node().Connected() {
@@ -71,13 +71,13 @@
 	}
 	switch rng.IntN(3) {
 	case 0:
-		if c := w.controlAt(standing.Head); c != nil {
-			w.coverage["the head was met"]++
+		if c := sim.controlAt(standing.Head); c != nil {
+			sim.coverage["the head was met"]++
 			return c
 		}
 	case 1:
-		if c := w.controlAt(standing.Tail); c != nil {
-			w.coverage["the tail was met"]++
+		if c := sim.controlAt(standing.Tail); c != nil {
+			sim.coverage["the tail was met"]++
 			return c
 		}
 	}
@@ -85,26 +85,26 @@
 }
 
 // restart ends a process at once and starts it after a while.
-func (w *simulation) restart(c *simulatedControl, down time.Duration) {
+func (sim *simulation) restart(c *simulatedControl, down time.Duration) {
 	c.kill()
-	w.advance(down)
+	sim.advance(down)
 	if !c.up && !c.replaced {
 		c.start()
 	}
 }
 
 // heal ends all faults.
-func (w *simulation) heal() {
-	links := make([]direction, 0, len(w.partitioned))
-	for l := range w.partitioned {
+func (sim *simulation) heal() {
+	links := make([]direction, 0, len(sim.partitioned))
+	for l := range sim.partitioned {
 		links = append(links, l)
 	}
 	slices.SortFunc(links, func(a, b direction) int { return strings.Compare(a.from+">"+a.to, b.from+">"+b.to) })
 	for _, l := range links {
-		w.setPartitioned(l.from, l.to, false)
+		sim.setPartitioned(l.from, l.to, false)
 	}
-	w.loss, w.ackLoss = 0, 0
-	for _, c := range w.controls {
+	sim.loss, sim.ackLoss = 0, 0
+	for _, c := range sim.controls {
 		c.fullDisk, c.slowDisk, c.dieAt = false, 0, 0
 		if c.frozen {
 			c.resume()
@@ -113,258 +113,258 @@
 			c.start()
 		}
 	}
-	for _, a := range w.agents {
+	for _, a := range sim.agents {
 		a.frozen = false
 	}
 }
 
 // faultKinds are what can happen.
-var faultKinds = map[string]func(w *simulation, f simulatedFault, rng *rand.Rand){
-	"kill": func(w *simulation, f simulatedFault, rng *rand.Rand) { w.restart(w.pick(rng), f.lasts) },
-	"kill-some": func(w *simulation, f simulatedFault, rng *rand.Rand) {
-		for _, c := range w.live() {
+var faultKinds = map[string]func(sim *simulation, f simulatedFault, rng *rand.Rand){
+	"kill": func(sim *simulation, f simulatedFault, rng *rand.Rand) { sim.restart(sim.pick(rng), f.lasts) },
+	"kill-some": func(sim *simulation, f simulatedFault, rng *rand.Rand) {
+		for _, c := range sim.live() {
 			if rng.IntN(2) == 0 {
 				c.kill()
 			}
 		}
-		w.advance(f.lasts)
-		w.heal()
+		sim.advance(f.lasts)
+		sim.heal()
 	},
-	"lose-power": func(w *simulation, f simulatedFault, _ *rand.Rand) {
-		w.operators.powerIsLost()
-		w.advance(f.lasts)
+	"lose-power": func(sim *simulation, f simulatedFault, _ *rand.Rand) {
+		sim.operators.powerIsLost()
+		sim.advance(f.lasts)
 	},
-	"lose-power-in-a-write": func(w *simulation, f simulatedFault, rng *rand.Rand) {
-		w.pick(rng).dieAt = 1 + rng.IntN(6)
-		w.advance(f.lasts)
-		w.heal()
+	"lose-power-in-a-write": func(sim *simulation, f simulatedFault, rng *rand.Rand) {
+		sim.pick(rng).dieAt = 1 + rng.IntN(6)
+		sim.advance(f.lasts)
+		sim.heal()
 	},
-	"lose-disk": func(w *simulation, f simulatedFault, rng *rand.Rand) {
-		w.heal()
-		w.advance(settleTime)
-		c := w.pick(rng)
+	"lose-disk": func(sim *simulation, f simulatedFault, rng *rand.Rand) {
+		sim.heal()
+		sim.advance(settleTime)
+		c := sim.pick(rng)
 		c.wipe()
-		w.advance(f.lasts)
+		sim.advance(f.lasts)
 		c.start()
-		w.advance(settleTime)
+		sim.advance(settleTime)
 	},
-	"lose-disk-and-power": func(w *simulation, f simulatedFault, rng *rand.Rand) {
-		w.heal()
-		w.advance(settleTime + f.lasts/4)
-		c := w.pick(rng)
+	"lose-disk-and-power": func(sim *simulation, f simulatedFault, rng *rand.Rand) {
+		sim.heal()
+		sim.advance(settleTime + f.lasts/4)
+		c := sim.pick(rng)
 		c.wipe()
-		w.operators.powerIsLost()
-		w.advance(settleTime)
+		sim.operators.powerIsLost()
+		sim.advance(settleTime)
 	},
 	// A disk is lost, and while its machine is being brought up to date another one dies, or is cut off.
-	"second-loss": func(w *simulation, f simulatedFault, rng *rand.Rand) {
-		w.heal()
-		w.advance(settleTime)
-		c := w.pick(rng)
+	"second-loss": func(sim *simulation, f simulatedFault, rng *rand.Rand) {
+		sim.heal()
+		sim.advance(settleTime)
+		c := sim.pick(rng)
 		c.wipe()
-		w.advance(f.lasts / 4)
+		sim.advance(f.lasts / 4)
 		c.start()
-		if w.advanceUntil(2*time.Second, func() bool { return c.replica != nil && c.replica.Node().View().GetNumber() > 0 }) {
-			w.coverage["a second loss met a repair"]++
+		if sim.advanceUntil(2*time.Second, func() bool { return c.replica != nil && c.replica.Node().View().GetNumber() > 0 }) {
+			sim.coverage["a second loss met a repair"]++
 		}
-		w.advance(time.Duration(rng.IntN(500)) * time.Millisecond)
-		other := w.pick(rng)
+		sim.advance(time.Duration(rng.IntN(500)) * time.Millisecond)
+		other := sim.pick(rng)
 		if other != c {
 			if rng.IntN(2) == 0 {
-				w.restart(other, f.lasts)
+				sim.restart(other, f.lasts)
 			} else {
-				w.setIsolated(other, w.controlAddresses(), true)
-				w.advance(f.lasts)
+				sim.setIsolated(other, sim.controlAddresses(), true)
+				sim.advance(f.lasts)
 			}
 		}
-		w.heal()
-		w.advance(settleTime)
+		sim.heal()
+		sim.advance(settleTime)
 	},
-	"freeze": func(w *simulation, f simulatedFault, rng *rand.Rand) {
-		w.pick(rng).freeze(f.lasts)
-		w.advance(f.lasts)
+	"freeze": func(sim *simulation, f simulatedFault, rng *rand.Rand) {
+		sim.pick(rng).freeze(f.lasts)
+		sim.advance(f.lasts)
 	},
-	"freeze-all": func(w *simulation, f simulatedFault, rng *rand.Rand) {
-		for _, c := range w.live() {
+	"freeze-all": func(sim *simulation, f simulatedFault, rng *rand.Rand) {
+		for _, c := range sim.live() {
 			c.freeze(f.lasts + time.Duration(rng.IntN(300))*time.Millisecond)
 		}
-		w.advance(f.lasts + 300*time.Millisecond)
+		sim.advance(f.lasts + 300*time.Millisecond)
 	},
-	"freeze-agent": func(w *simulation, f simulatedFault, rng *rand.Rand) {
-		a := w.agents[rng.IntN(len(w.agents))]
+	"freeze-agent": func(sim *simulation, f simulatedFault, rng *rand.Rand) {
+		a := sim.agents[rng.IntN(len(sim.agents))]
 		a.frozen = true
-		w.advance(2 * f.lasts)
+		sim.advance(2 * f.lasts)
 		a.frozen = false
 	},
 	// Full speed for a while, then nothing for the rest of a tenth of a second.
-	"quota": func(w *simulation, f simulatedFault, rng *rand.Rand) {
-		c := w.pick(rng)
-		for end := w.now + f.lasts; w.now < end; w.advance(100 * time.Millisecond) {
+	"quota": func(sim *simulation, f simulatedFault, rng *rand.Rand) {
+		c := sim.pick(rng)
+		for end := sim.now + f.lasts; sim.now < end; sim.advance(100 * time.Millisecond) {
 			c.freeze(time.Duration(60+rng.IntN(39)) * time.Millisecond)
 		}
 	},
-	"full-disk": func(w *simulation, f simulatedFault, rng *rand.Rand) {
-		c := w.pick(rng)
+	"full-disk": func(sim *simulation, f simulatedFault, rng *rand.Rand) {
+		c := sim.pick(rng)
 		c.fullDisk = true
-		w.advance(f.lasts)
+		sim.advance(f.lasts)
 		c.fullDisk = false
 	},
-	"slow-disk": func(w *simulation, f simulatedFault, rng *rand.Rand) {
-		c := w.pick(rng)
+	"slow-disk": func(sim *simulation, f simulatedFault, rng *rand.Rand) {
+		c := sim.pick(rng)
 		c.slowDisk = time.Duration(10+rng.IntN(60)) * time.Millisecond
-		w.advance(f.lasts)
+		sim.advance(f.lasts)
 		c.slowDisk = 0
 	},
-	"cut": func(w *simulation, f simulatedFault, rng *rand.Rand) {
-		c := w.pick(rng)
-		others := w.controlAddresses()
+	"cut": func(sim *simulation, f simulatedFault, rng *rand.Rand) {
+		c := sim.pick(rng)
+		others := sim.controlAddresses()
 		if rng.IntN(2) == 0 { // alone, or from the others that count and not from clients
-			others = append(others, w.outside()...)
+			others = append(others, sim.outside()...)
 		}
-		w.setIsolated(c, others, true)
-		w.advance(f.lasts)
-		w.setIsolated(c, others, false)
+		sim.setIsolated(c, others, true)
+		sim.advance(f.lasts)
+		sim.setIsolated(c, others, false)
 	},
-	"long-cut": func(w *simulation, _ simulatedFault, rng *rand.Rand) {
-		c := w.pick(rng)
-		w.setIsolated(c, w.controlAddresses(), true)
-		before := w.operators.taken
-		w.advance(longPartition)
-		if w.operators.taken > before {
-			w.coverage["changes were taken while one was cut off for 20 s"]++
+	"long-cut": func(sim *simulation, _ simulatedFault, rng *rand.Rand) {
+		c := sim.pick(rng)
+		sim.setIsolated(c, sim.controlAddresses(), true)
+		before := sim.operators.taken
+		sim.advance(longPartition)
+		if sim.operators.taken > before {
+			sim.coverage["changes were taken while one was cut off for 20 s"]++
 		}
-		w.setIsolated(c, w.controlAddresses(), false)
+		sim.setIsolated(c, sim.controlAddresses(), false)
 	},
-	"cut-halves": func(w *simulation, f simulatedFault, rng *rand.Rand) {
-		live := w.live()
+	"cut-halves": func(sim *simulation, f simulatedFault, rng *rand.Rand) {
+		live := sim.live()
 		rng.Shuffle(len(live), func(i, j int) { live[i], live[j] = live[j], live[i] })
 		for i, a := range live {
 			for j, b := range live {
 				if (i < len(live)/2) != (j < len(live)/2) {
-					w.setPartitioned(a.address, b.address, true)
+					sim.setPartitioned(a.address, b.address, true)
 				}
 			}
 		}
-		w.advance(2 * f.lasts)
-		w.heal()
+		sim.advance(2 * f.lasts)
+		sim.heal()
 	},
-	"hears-nobody": func(w *simulation, f simulatedFault, rng *rand.Rand) {
-		c := w.pick(rng)
-		for _, other := range w.controlAddresses() {
+	"hears-nobody": func(sim *simulation, f simulatedFault, rng *rand.Rand) {
+		c := sim.pick(rng)
+		for _, other := range sim.controlAddresses() {
 			if other != c.address {
-				w.setPartitioned(other, c.address, true)
+				sim.setPartitioned(other, c.address, true)
 			}
 		}
-		w.advance(f.lasts)
-		w.heal()
+		sim.advance(f.lasts)
+		sim.heal()
 	},
-	"is-not-heard": func(w *simulation, f simulatedFault, rng *rand.Rand) {
-		c := w.pick(rng)
-		for _, other := range w.controlAddresses() {
+	"is-not-heard": func(sim *simulation, f simulatedFault, rng *rand.Rand) {
+		c := sim.pick(rng)
+		for _, other := range sim.controlAddresses() {
 			if other != c.address {
-				w.setPartitioned(c.address, other, true)
+				sim.setPartitioned(c.address, other, true)
 			}
 		}
-		w.advance(f.lasts)
-		w.heal()
+		sim.advance(f.lasts)
+		sim.heal()
 	},
-	"cut-one-way": func(w *simulation, f simulatedFault, rng *rand.Rand) {
-		all := append(w.controlAddresses(), w.outside()...)
-		from, to := all[rng.IntN(len(all))], w.pick(rng).address
-		w.setPartitioned(from, to, true)
-		w.advance(f.lasts)
-		w.setPartitioned(from, to, false)
+	"cut-one-way": func(sim *simulation, f simulatedFault, rng *rand.Rand) {
+		all := append(sim.controlAddresses(), sim.outside()...)
+		from, to := all[rng.IntN(len(all))], sim.pick(rng).address
+		sim.setPartitioned(from, to, true)
+		sim.advance(f.lasts)
+		sim.setPartitioned(from, to, false)
 	},
-	"cut-and-restart": func(w *simulation, f simulatedFault, rng *rand.Rand) {
-		c, other := w.pick(rng), w.pick(rng)
-		w.setIsolated(c, w.controlAddresses(), true)
-		w.advance(f.lasts / 2)
+	"cut-and-restart": func(sim *simulation, f simulatedFault, rng *rand.Rand) {
+		c, other := sim.pick(rng), sim.pick(rng)
+		sim.setIsolated(c, sim.controlAddresses(), true)
+		sim.advance(f.lasts / 2)
 		if other != c {
-			w.restart(other, 200*time.Millisecond)
+			sim.restart(other, 200*time.Millisecond)
 		}
-		w.advance(f.lasts / 2)
-		w.heal()
+		sim.advance(f.lasts / 2)
+		sim.heal()
 	},
-	"lose-datagrams": func(w *simulation, f simulatedFault, _ *rand.Rand) {
-		w.loss = 0.3
-		w.advance(f.lasts)
-		w.loss = 0
+	"lose-datagrams": func(sim *simulation, f simulatedFault, _ *rand.Rand) {
+		sim.loss = 0.3
+		sim.advance(f.lasts)
+		sim.loss = 0
 	},
-	"lose-answers": func(w *simulation, f simulatedFault, _ *rand.Rand) {
-		w.ackLoss = 0.7
-		w.advance(2 * f.lasts)
-		w.ackLoss = 0
+	"lose-answers": func(sim *simulation, f simulatedFault, _ *rand.Rand) {
+		sim.ackLoss = 0.7
+		sim.advance(2 * f.lasts)
+		sim.ackLoss = 0
 	},
 	// A process is told to end, and does once the chain can do without it.
-	"leave": func(w *simulation, f simulatedFault, rng *rand.Rand) { w.leave(w.pick(rng), f, false) },
-	"leave-and-cut": func(w *simulation, f simulatedFault, rng *rand.Rand) {
-		other := w.pick(rng)
-		w.setIsolated(other, w.controlAddresses(), true)
-		w.leave(w.pick(rng), f, false)
-		w.heal()
+	"leave": func(sim *simulation, f simulatedFault, rng *rand.Rand) { sim.leave(sim.pick(rng), f, false) },
+	"leave-and-cut": func(sim *simulation, f simulatedFault, rng *rand.Rand) {
+		other := sim.pick(rng)
+		sim.setIsolated(other, sim.controlAddresses(), true)
+		sim.leave(sim.pick(rng), f, false)
+		sim.heal()
 	},
 	// Another machine takes the place of one: planned, the new one first; or the old one is gone.
-	"replace-planned": func(w *simulation, f simulatedFault, rng *rand.Rand) {
-		w.heal()
-		w.advance(settleTime)
-		w.addReplacement()
-		w.advance(settleTime)
-		w.leave(w.pick(rng), f, true)
+	"replace-planned": func(sim *simulation, f simulatedFault, rng *rand.Rand) {
+		sim.heal()
+		sim.advance(settleTime)
+		sim.addReplacement()
+		sim.advance(settleTime)
+		sim.leave(sim.pick(rng), f, true)
 		if rng.IntN(2) == 0 { // and a disk is lost right behind it
-			w.coverage["a disk was lost right after a replacement"]++
-			c := w.pick(rng)
+			sim.coverage["a disk was lost right after a replacement"]++
+			c := sim.pick(rng)
 			c.wipe()
-			w.advance(f.rest / 2)
+			sim.advance(f.rest / 2)
 			c.start()
-			w.advance(settleTime)
+			sim.advance(settleTime)
 		}
 	},
-	"replace-lost": func(w *simulation, f simulatedFault, rng *rand.Rand) {
-		w.heal()
-		w.advance(settleTime)
-		old := w.pick(rng)
+	"replace-lost": func(sim *simulation, f simulatedFault, rng *rand.Rand) {
+		sim.heal()
+		sim.advance(settleTime)
+		old := sim.pick(rng)
 		old.kill()
 		old.replaced = true
-		w.advance(f.lasts)
-		w.addReplacement()
-		w.advance(settleTime)
+		sim.advance(f.lasts)
+		sim.addReplacement()
+		sim.advance(settleTime)
 	},
 }
 
 // leave tells a process to end. Where it is replaced it does not come back.
-func (w *simulation) leave(c *simulatedControl, f simulatedFault, forGood bool) {
+func (sim *simulation) leave(c *simulatedControl, f simulatedFault, forGood bool) {
 	if !c.up || c.replica == nil {
 		return
 	}
 	c.leaving = true
-	c.run(func() { c.replica.Leave(c.clock(w.now)) })
-	if w.advanceUntil(4*time.Second, func() bool { return c.replica == nil || c.replica.Node().HasLeft() }) {
-		w.coverage["a process left the chain"]++
+	c.run(func() { c.replica.Leave(c.clock(sim.now)) })
+	if sim.advanceUntil(4*time.Second, func() bool { return c.replica == nil || c.replica.Node().HasLeft() }) {
+		sim.coverage["a process left the chain"]++
 	}
 	c.kill()
 	if forGood {
 		c.replaced = true
-		w.renewSeeds()
+		sim.renewSeeds()
 		return
 	}
-	w.advance(f.lasts / 2)
+	sim.advance(f.lasts / 2)
 	if !c.up {
 		c.start()
 	}
 }
 
 // addReplacement adds an empty machine.
-func (w *simulation) addReplacement() {
-	w.renewSeeds()
-	w.addControl(fmt.Sprintf("r%d", len(w.controls)), false)
-	w.renewSeeds()
+func (sim *simulation) addReplacement() {
+	sim.renewSeeds()
+	sim.addControl(fmt.Sprintf("r%d", len(sim.controls)), false)
+	sim.renewSeeds()
 }
 
 // renewSeeds names machines that are there to those that start from now on.
-func (w *simulation) renewSeeds() {
-	w.seeds = nil
-	for _, c := range w.live() {
-		w.seeds = append(w.seeds, c.address)
+func (sim *simulation) renewSeeds() {
+	sim.seeds = nil
+	for _, c := range sim.live() {
+		sim.seeds = append(sim.seeds, c.address)
 	}
-	w.seeds = w.seeds[max(0, len(w.seeds)-3):]
+	sim.seeds = sim.seeds[max(0, len(sim.seeds)-3):]
 }
--- a/internal/controlplane/simulation_histories_test.go
+++ b/internal/controlplane/simulation_histories_test.go
@@ -61,59 +61,59 @@
 
 // play plays a history.
 func (h history) play(t *testing.T) *simulation {
-	w := newSimulation(t, h.seed, h.controls)
-	w.advance(2 * time.Second)
+	sim := newSimulation(t, h.seed, h.controls)
+	sim.advance(2 * time.Second)
 	for _, f := range h.faults {
-		w.record("%s", f)
-		faultKinds[f.kind](w, f, rand.New(rand.NewPCG(f.seed, 17)))
-		w.coverage[f.kind]++
-		w.advance(f.rest)
-	}
-	w.heal()
-	w.recover()
-	w.operators.auditAnswers()
-	for _, c := range w.controls {
+		sim.record("%s", f)
+		faultKinds[f.kind](sim, f, rand.New(rand.NewPCG(f.seed, 17)))
+		sim.coverage[f.kind]++
+		sim.advance(f.rest)
+	}
+	sim.heal()
+	sim.recover()
+	sim.operators.auditAnswers()
+	for _, c := range sim.controls {
 		c.kill()
 	}
-	return w
+	return sim
 }
 
 // recover checks that within the time for it changes are taken, every process is back, and every agent knows all.
-func (w *simulation) recover() {
-	before := w.operators.taken
-	if !w.advanceUntil(recoveryTime, func() bool { return w.operators.taken > before }) {
-		w.failf("no change is taken within %v of the last fault", recoveryTime)
+func (sim *simulation) recover() {
+	before := sim.operators.taken
+	if !sim.advanceUntil(recoveryTime, func() bool { return sim.operators.taken > before }) {
+		sim.failf("no change is taken within %v of the last fault", recoveryTime)
 		return
 	}
-	w.advance(settleTime)
-	newest := w.operators.newest.version
-	w.advance(applyTime)
-	for _, a := range w.agents {
+	sim.advance(settleTime)
+	newest := sim.operators.newest.version
+	sim.advance(applyTime)
+	for _, a := range sim.agents {
 		if agentVersion(a) < newest {
-			w.failf("%s knows version %d %v after %d was acknowledged", a.node.Name, agentVersion(a), applyTime, newest)
+			sim.failf("%s knows version %d %v after %d was acknowledged", a.node.Name, agentVersion(a), applyTime, newest)
 		}
 	}
-	w.calm = true
-	w.advance(settleTime)
-	for _, c := range w.live() {
+	sim.calm = true
+	sim.advance(settleTime)
+	for _, c := range sim.live() {
 		if !c.inService() {
-			w.failf("%s is not back in the chain", c.address)
+			sim.failf("%s is not back in the chain", c.address)
 		}
 	}
-	for _, a := range w.agents {
+	for _, a := range sim.agents {
 		version := agentVersion(a)
-		if version < w.operators.newest.version || !a.feed.Fresh(nil) {
-			w.failf("%s knows version %d, fresh %v; %d was acknowledged", a.node.Name, version, a.feed.Fresh(nil), w.operators.newest.version)
+		if version < sim.operators.newest.version || !a.feed.Fresh(nil) {
+			sim.failf("%s knows version %d, fresh %v; %d was acknowledged", a.node.Name, version, a.feed.Fresh(nil), sim.operators.newest.version)
 		}
 	}
 	orders := 0
-	for _, a := range w.agents {
+	for _, a := range sim.agents {
 		orders += a.orders
 	}
-	if orders == 0 || w.operators.taken == 0 || len(w.operators.retired) == 0 || len(w.operators.switches) == 0 {
-		w.failf("the history had no life in it: %d orders, %d changes", orders, w.operators.taken)
+	if orders == 0 || sim.operators.taken == 0 || len(sim.operators.retired) == 0 || len(sim.operators.switches) == 0 {
+		sim.failf("the history had no life in it: %d orders, %d changes", orders, sim.operators.taken)
 	}
-	w.record("%d taken, %d refused, %d orders under %d tokens", w.operators.taken, w.operators.refused, orders, w.backend.tokens)
+	sim.record("%d taken, %d refused, %d orders under %d tokens", sim.operators.taken, sim.operators.refused, orders, sim.backend.tokens)
 }
 
 // Worlds live through drawn histories. CI plays the first ones; more by WORLD_HISTORIES, from WORLD_FIRST on.
@@ -131,11 +131,11 @@
 			t.Run(strconv.Itoa(number), func(t *testing.T) {
 				t.Parallel()
 				h := drawHistory(number)
-				w := h.play(t)
-				if len(w.failures) > 0 {
-					t.Errorf("%s\nthe history:\n%s", strings.Join(w.failures, "\n"), h)
+				sim := h.play(t)
+				if len(sim.failures) > 0 {
+					t.Errorf("%s\nthe history:\n%s", strings.Join(sim.failures, "\n"), h)
 				}
-				crossed <- w.coverage
+				crossed <- sim.coverage
 			})
 		}
 	})
--- a/internal/controlplane/simulation_network_test.go
+++ b/internal/controlplane/simulation_network_test.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-func (w *simulation) delay() time.Duration {
-	return time.Millisecond + time.Duration(w.rng.Int64N(int64(2*time.Millisecond)))
+func (sim *simulation) delay() time.Duration {
+	return time.Millisecond + time.Duration(sim.rng.Int64N(int64(2*time.Millisecond)))
 }
 
-// datagram carries something that is lost where a cut is in the way.
-func (w *simulation) datagram(from, to string, deliver func()) {
-	if w.partitioned[direction{from, to}] || w.rng.Float64() < w.loss {
+// datagram carries something that is lost where a partition is in the way.
+func (sim *simulation) datagram(from, to string, deliver func()) {
+	if sim.partitioned[direction{from, to}] || sim.rng.Float64() < sim.loss {
 		return
 	}
-	w.after(w.delay(), func() {
-		if !w.partitioned[direction{from, to}] {
+	sim.after(sim.delay(), func() {
+		if !sim.partitioned[direction{from, to}] {
 			deliver()
 		}
 	})
 }
 
-// carry carries something on a connection: what meets a cut waits for its end, whether or not its sender has given
+// carry carries something on a connection: what meets a partition waits for its end, whether or not its sender has given
 // up. It is lost with either end's process.
-func (w *simulation) carry(from, to string, deliver func()) {
-	l, fromIncarnation, toIncarnation := direction{from, to}, w.incarnationOf(from), w.incarnationOf(to)
+func (sim *simulation) carry(from, to string, deliver func()) {
+	l, fromIncarnation, toIncarnation := direction{from, to}, sim.incarnationOf(from), sim.incarnationOf(to)
 	arrive := func() {
-		if w.incarnationOf(to) == toIncarnation {
+		if sim.incarnationOf(to) == toIncarnation {
 			deliver()
 		}
 	}
-	if w.partitioned[l] {
-		w.delayed = append(w.delayed, delayedCall{l, fromIncarnation, arrive})
+	if sim.partitioned[l] {
+		sim.delayed = append(sim.delayed, delayedCall{l, fromIncarnation, arrive})
 		return
 	}
-	w.after(w.delay(), func() {
-		if w.partitioned[l] {
-			w.delayed = append(w.delayed, delayedCall{l, fromIncarnation, arrive})
+	sim.after(sim.delay(), func() {
+		if sim.partitioned[l] {
+			sim.delayed = append(sim.delayed, delayedCall{l, fromIncarnation, arrive})
 			return
 		}
 		arrive()
@@ -41,8 +41,8 @@
 }
 
 // incarnationOf counts the starts of the process at an address.
-func (w *simulation) incarnationOf(address string) int {
-	for _, c := range w.controls {
+func (sim *simulation) incarnationOf(address string) int {
+	for _, c := range sim.controls {
 		if c.address == address {
 			return c.incarnation
 		}
@@ -51,27 +51,27 @@
 }
 
 // setPartitioned begins or ends a partition in one direction. What it delayed arrives, unless its sender has died.
-func (w *simulation) setPartitioned(from, to string, partitioned bool) {
+func (sim *simulation) setPartitioned(from, to string, partitioned bool) {
 	l := direction{from, to}
-	w.partitioned[l] = partitioned
+	sim.partitioned[l] = partitioned
 	if partitioned {
 		return
 	}
 	var remaining []delayedCall
-	for _, h := range w.delayed {
+	for _, h := range sim.delayed {
 		switch {
 		case h.direction != l:
 			remaining = append(remaining, h)
-		case w.incarnationOf(from) == h.fromIncarnation:
-			w.coverage["a call was held up"]++
-			w.after(w.delay(), h.deliver)
+		case sim.incarnationOf(from) == h.fromIncarnation:
+			sim.coverage["a call was held up"]++
+			sim.after(sim.delay(), h.deliver)
 		}
 	}
-	w.delayed = remaining
+	sim.delayed = remaining
 }
 
 // call makes a call and hands its answer back; answered is called once, with nil where none came in time.
-func call[A any](w *simulation, from, to string, timeout time.Duration, serve func(answer func(A)), answered func(answer *A)) {
+func call[A any](sim *simulation, from, to string, timeout time.Duration, serve func(answer func(A)), answered func(answer *A)) {
 	over := false
 	finish := func(answer *A) {
 		if !over {
@@ -79,10 +79,10 @@
 			answered(answer)
 		}
 	}
-	w.after(timeout, func() { finish(nil) })
-	w.carry(from, to, func() {
+	sim.after(timeout, func() { finish(nil) })
+	sim.carry(from, to, func() {
 		serve(func(answer A) {
-			w.carry(to, from, func() { finish(&answer) })
+			sim.carry(to, from, func() { finish(&answer) })
 		})
 	})
 }
--- a/internal/controlplane/simulation_operators_test.go
+++ b/internal/controlplane/simulation_operators_test.go
@@ -53,8 +53,8 @@
 		fmt.Sprintf(`"path_prefix":"/%s/"`, mark)).Replace(ownedDocument)
 }
 
-func newSimulatedOperators(w *simulation) *simulatedOperators {
-	cl := &simulatedOperators{sim: w, retired: map[string]time.Duration{}}
+func newSimulatedOperators(sim *simulation) *simulatedOperators {
+	cl := &simulatedOperators{sim: sim, retired: map[string]time.Duration{}}
 	for operator := range 2 {
 		cl.loop(350*time.Millisecond, func(done func()) { cl.change(operator, done) })
 	}
@@ -87,32 +87,32 @@
 // send makes a call of an operator to one control process after the other, until one gives a clear answer.
 // done is given nil where none did.
 func send[A any](cl *simulatedOperators, serve func(c *simulatedControl, answer func(A)), clear func(A) bool, done func(*A)) {
-	w, sends := cl.sim, 0
-	first := w.rng.IntN(len(w.controls))
+	sim, sends := cl.sim, 0
+	first := sim.rng.IntN(len(sim.controls))
 	var again func()
 	again = func() {
 		if sends >= maxSends {
 			done(nil)
 			return
 		}
-		c := w.controls[(first+sends)%len(w.controls)]
+		c := sim.controls[(first+sends)%len(sim.controls)]
 		sends++
 		gone := false
-		call(w, "operator", c.address, callerTimeout, func(answer func(A)) {
+		call(sim, "operator", c.address, callerTimeout, func(answer func(A)) {
 			c.run(func() {
 				if gone { // the end of the connection stands right behind the call
-					w.coverage["a caller had gone"]++
+					sim.coverage["a caller had gone"]++
 					return
 				}
 				serve(c, answer)
 			})
 		}, func(answer *A) {
 			gone = true
-			if answer != nil && clear(*answer) && w.rng.Float64() >= w.ackLoss {
+			if answer != nil && clear(*answer) && sim.rng.Float64() >= sim.ackLoss {
 				done(answer)
 				return
 			}
-			w.after(time.Duration(50+50*sends)*time.Millisecond, again)
+			sim.after(time.Duration(50+50*sends)*time.Millisecond, again)
 		})
 	}
 	again()
@@ -146,7 +146,7 @@
 
 // read reads the newest state. Whoever is not sure of it gives none.
 func (cl *simulatedOperators) read(done func(*newestState)) {
-	w, began, ids := cl.sim, cl.sim.now, cl.ids()
+	sim, began, ids := cl.sim, cl.sim.now, cl.ids()
 	send(cl, func(c *simulatedControl, answer func(*newestState)) { c.read(ids, answer) }, func(s *newestState) bool { return s != nil },
 		func(answer **newestState) {
 			if answer == nil {
@@ -154,12 +154,12 @@
 				return
 			}
 			s := *answer
-			w.record("read %d", s.version)
+			sim.record("read %d", s.version)
 			cl.addConfig(began, linearizability.ConfigurationRequest{Read: true}, linearizability.ConfigurationResponse{Definite: true, Version: s.version, Text: s.text})
 			cl.addSwitch(began, linearizability.FlagRequest{Read: true}, linearizability.FlagResponse{Definite: true, On: s.evacuated})
 			for _, id := range ids {
 				if !s.retired[id] {
-					w.failf("the end of %s was acknowledged at %v, and a read that began at %v knows nothing of it", id, cl.retired[id], began)
+					sim.failf("the end of %s was acknowledged at %v, and a read that began at %v knows nothing of it", id, cl.retired[id], began)
 				}
 			}
 			done(s)
@@ -190,7 +190,7 @@
 
 // change has a configuration taken on top of the newest one; two operators do so at once.
 func (cl *simulatedOperators) change(operator int, done func()) {
-	w := cl.sim
+	sim := cl.sim
 	cl.read(func(s *newestState) {
 		if s == nil {
 			done()
@@ -198,18 +198,18 @@
 		}
 		cl.writes++
 		text := simulatedDocument(s.version+1, fmt.Sprintf("w%d", cl.writes))
-		began, base := w.now, s.version
+		began, base := sim.now, s.version
 		operation := &api.Operation{Kind: &api.Operation_Replace{Replace: &api.ReplaceConfiguration{BaseVersion: base, Document: []byte(text)}}}
 		cl.operate(operation, func(outcome *result.Error) {
 			answer := linearizability.ConfigurationResponse{Definite: outcome != nil, Committed: outcome != nil && outcome.Code.Succeeded()}
 			if answer.Definite && !answer.Committed && outcome.Code != result.VersionConflict {
-				w.failf("operator %d: a change on %d was answered with %v", operator, base, outcome)
+				sim.failf("operator %d: a change on %d was answered with %v", operator, base, outcome)
 			}
-			w.record("change %d by %d: %v", base, operator, answer)
+			sim.record("change %d by %d: %v", base, operator, answer)
 			if answer.Committed {
 				cl.taken++
 				if base+1 > cl.newest.version {
-					cl.newest = acknowledged{base + 1, w.now}
+					cl.newest = acknowledged{base + 1, sim.now}
 				}
 			} else if answer.Definite {
 				cl.refused++
@@ -222,13 +222,13 @@
 
 // evacuate begins or ends an evacuation.
 func (cl *simulatedOperators) evacuate(on bool, done func(known bool)) {
-	w, began := cl.sim, cl.sim.now
+	sim, began := cl.sim, cl.sim.now
 	operation := &api.Operation{Kind: &api.Operation_Evacuation{Evacuation: &api.SetEvacuation{Zone: evacuatedZone, Active: on}}}
 	cl.operate(operation, func(outcome *result.Error) {
 		if outcome != nil && !outcome.Code.Succeeded() {
-			w.failf("an evacuation was refused: %v", outcome)
+			sim.failf("an evacuation was refused: %v", outcome)
 		}
-		w.record("evacuation %v: %v", on, outcome)
+		sim.record("evacuation %v: %v", on, outcome)
 		cl.addSwitch(began, linearizability.FlagRequest{On: on}, linearizability.FlagResponse{Definite: outcome != nil})
 		done(outcome != nil)
 	})
@@ -236,17 +236,17 @@
 
 // retire announces a backend's end.
 func (cl *simulatedOperators) retire(done func()) {
-	w := cl.sim
+	sim := cl.sim
 	cl.retiring++
 	id := fmt.Sprintf("b%d", cl.retiring)
 	cl.operate(&api.Operation{Kind: &api.Operation_Retire{Retire: &api.RetireBackend{Id: id}}}, func(outcome *result.Error) {
 		if outcome != nil && !outcome.Code.Succeeded() {
-			w.failf("the end of a backend was refused: %v", outcome)
+			sim.failf("the end of a backend was refused: %v", outcome)
 		}
 		if outcome != nil {
-			cl.retired[id] = w.now
+			cl.retired[id] = sim.now
 		}
-		w.record("end of %s: %v", id, outcome)
+		sim.record("end of %s: %v", id, outcome)
 		done()
 	})
 }
@@ -261,18 +261,18 @@
 
 // powerIsLost ends all control processes at once, and starts them again after a while.
 func (cl *simulatedOperators) powerIsLost() {
-	w := cl.sim
-	if cl.darkUntil > w.now {
+	sim := cl.sim
+	if cl.darkUntil > sim.now {
 		return
 	}
 	const dark = 400 * time.Millisecond
-	cl.darkUntil = w.now + dark
-	for _, c := range w.controls {
+	cl.darkUntil = sim.now + dark
+	for _, c := range sim.controls {
 		c.dieAt = 0
 		c.kill()
 	}
-	w.after(dark, func() {
-		for _, c := range w.controls {
+	sim.after(dark, func() {
+		for _, c := range sim.controls {
 			if !c.replaced && !c.up {
 				c.start()
 			}
@@ -283,11 +283,11 @@
 // auditAnswers checks that all answers are those of one register, and of one switch.
 func (cl *simulatedOperators) auditAnswers() {
 	const patience = 30 * time.Second
-	w := cl.sim
+	sim := cl.sim
 	if porcupine.CheckOperationsTimeout(linearizability.ConfigurationModel(linearizability.Configuration{}), cl.configs, patience) != porcupine.Ok {
-		w.failf("the answers to %d calls are not those of one register", len(cl.configs))
+		sim.failf("the answers to %d calls are not those of one register", len(cl.configs))
 	}
 	if porcupine.CheckOperationsTimeout(linearizability.FlagModel(), cl.switches, patience) != porcupine.Ok {
-		w.failf("the answers to %d calls are not those of one switch", len(cl.switches))
+		sim.failf("the answers to %d calls are not those of one switch", len(cl.switches))
 	}
 }
--- a/internal/controlplane/simulation_test.go
+++ b/internal/controlplane/simulation_test.go
@@ -38,7 +38,7 @@
 // direction is one direction between two addresses.
 type direction struct{ from, to string }
 
-// delayedCall is what a cut holds up on a connection.
+// delayedCall is a call that a partition delays on its connection.
 type delayedCall struct {
 	direction       direction
 	fromIncarnation int
@@ -73,63 +73,63 @@
 	controlTickInterval = 30 * time.Millisecond
 	// maxBacklog bounds what waits for a process that is frozen.
 	maxBacklog = 1024
-	// mostLog bounds what is kept to tell of a history that fails.
+	// maxFailures bounds what is kept to tell of a history that fails.
 	maxFailures = 12
 )
 
 func newSimulation(t *testing.T, seed uint64, controls int) *simulation {
-	w := &simulation{
+	sim := &simulation{
 		t: t, rng: rand.New(rand.NewPCG(seed, 11)), now: time.Second, partitioned: map[direction]bool{}, trace: fnv.New64a(),
 		coverage: map[string]int{},
 	}
 	for i := range controls {
-		w.seeds = append(w.seeds, fmt.Sprintf("c%d", i))
+		sim.seeds = append(sim.seeds, fmt.Sprintf("c%d", i))
 	}
-	for _, address := range w.seeds {
-		w.addControl(address, true)
+	for _, address := range sim.seeds {
+		sim.addControl(address, true)
 	}
-	w.backend = &simulatedBackend{sim: w}
+	sim.backend = &simulatedBackend{sim: sim}
 	for i := range simulatedAgents {
-		w.addAgent(i)
+		sim.addAgent(i)
 	}
-	w.operators = newSimulatedOperators(w)
-	return w
+	sim.operators = newSimulatedOperators(sim)
+	return sim
 }
 
 // clock is the time of the package time at this moment.
-func (w *simulation) clock() time.Time { return time.Unix(1_700_000_000, 0).Add(w.now) }
+func (sim *simulation) clock() time.Time { return time.Unix(1_700_000_000, 0).Add(sim.now) }
 
-func (w *simulation) after(span time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.queue, occurrence{w.now + span, w.order, do})
+func (sim *simulation) after(span time.Duration, do func()) {
+	sim.order++
+	heap.Push(&sim.queue, occurrence{sim.now + span, sim.order, do})
 }
 
 // every does something again and again, from some moment within the first span on, until it gives false.
-func (w *simulation) every(span time.Duration, do func() bool) {
+func (sim *simulation) every(span time.Duration, do func() bool) {
 	var again func()
 	again = func() {
 		if do() {
-			w.after(span, again)
+			sim.after(span, again)
 		}
 	}
-	w.after(time.Duration(w.rng.Int64N(int64(span))), again)
+	sim.after(time.Duration(sim.rng.Int64N(int64(span))), again)
 }
 
-// advance lets time advance.
-func (w *simulation) advance(span time.Duration) {
-	end := w.now + span
-	for len(w.queue) > 0 && w.queue[0].at <= end {
-		next := heap.Pop(&w.queue).(occurrence)
-		w.now = next.at
-		w.events++
+// advance lets time pass.
+func (sim *simulation) advance(span time.Duration) {
+	end := sim.now + span
+	for len(sim.queue) > 0 && sim.queue[0].at <= end {
+		next := heap.Pop(&sim.queue).(occurrence)
+		sim.now = next.at
+		sim.events++
 		next.do()
 	}
-	w.now = end
+	sim.now = end
 }
 
-// advanceUntil lets time pass until something is so, for most.
-func (w *simulation) advanceUntil(most time.Duration, is func() bool) bool {
-	for end := w.now + most; w.now < end; w.advance(time.Millisecond) {
+// advanceUntil lets time pass until something is so, or the timeout is over.
+func (sim *simulation) advanceUntil(timeout time.Duration, is func() bool) bool {
+	for end := sim.now + timeout; sim.now < end; sim.advance(time.Millisecond) {
 		if is() {
 			return true
 		}
@@ -138,19 +138,19 @@
 }
 
 // record adds something that happened to the trace.
-func (w *simulation) record(format string, args ...any) {
-	fmt.Fprintf(w.trace, "%d ", w.now)
-	fmt.Fprintf(w.trace, format, args...)
-	if testing.Verbose() && w.t != nil && traceWorlds {
-		w.t.Logf("%v "+format, append([]any{w.now}, args...)...)
+func (sim *simulation) record(format string, args ...any) {
+	fmt.Fprintf(sim.trace, "%d ", sim.now)
+	fmt.Fprintf(sim.trace, format, args...)
+	if testing.Verbose() && sim.t != nil && traceWorlds {
+		sim.t.Logf("%v "+format, append([]any{sim.now}, args...)...)
 	}
 }
 
 // traceWorlds is set to look into a single history.
 const traceWorlds = false
 
-func (w *simulation) failf(format string, args ...any) {
-	if len(w.failures) < maxFailures {
-		w.failures = append(w.failures, fmt.Sprintf("%v ", w.now)+fmt.Sprintf(format, args...))
+func (sim *simulation) failf(format string, args ...any) {
+	if len(sim.failures) < maxFailures {
+		sim.failures = append(sim.failures, fmt.Sprintf("%v ", sim.now)+fmt.Sprintf(format, args...))
 	}
 }
--- a/internal/controlplane/submit_in_view_test.go
+++ b/internal/controlplane/submit_in_view_test.go
@@ -14,29 +14,29 @@
 // nor from the queue after the view has changed.
 func TestGrantDecidedInAnotherViewIsRejected(t *testing.T) {
 	is := is.New(t)
-	w := newSimulation(t, 1, 3)
-	w.advance(3 * time.Second)
-	head := w.controlAt(chainStatusOf(w.controls[0].replica).Head)
+	sim := newSimulation(t, 1, 3)
+	sim.advance(3 * time.Second)
+	head := sim.controlAt(chainStatusOf(sim.controls[0].replica).Head)
 	view := head.replica.Node().View().GetNumber()
 	grant := func(view uint64) *result.Code {
 		answer := new(result.Code)
 		token := head.replica.Machine().Lease("a role").GetFencingToken()
 		operation := &api.Operation{Kind: &api.Operation_Grant{Grant: &api.GrantOwnership{Key: "a role", Holder: "x/1", ReplacesFencingToken: &token}}}
-		head.replica.SubmitInView(head.clock(w.now), operation, view, head.clock(w.now+operationTimeout),
+		head.replica.SubmitInView(head.clock(sim.now), operation, view, head.clock(sim.now+operationTimeout),
 			func(code result.Code, _ string) { *answer = code })
 		return answer
 	}
 	next, other := grant(view+1), grant(view+7)
-	w.advance(time.Second)
+	sim.advance(time.Second)
 	is.Equal(*next, result.Unavailable)
 	is.Equal(*other, result.Unavailable)
 	is.True(head.replica.Machine().Lease("a role") == nil)
 
 	inView := grant(view)
-	w.advance(time.Second)
+	sim.advance(time.Second)
 	is.Equal(*inView, result.Committed)
 	is.Equal(head.replica.Machine().Lease("a role").GetHolder(), "x/1")
-	for _, c := range w.controls {
+	for _, c := range sim.controls {
 		c.kill()
 	}
 }
