--- a/internal/controlplane/replica_submissions.go
+++ b/internal/controlplane/replica_submissions.go
@@ -12,8 +12,9 @@
 	maxQueuedSubmissions = 1024
 	// maxBatchSize bounds the operations in one entry.
 	maxBatchSize = 64
-	// submissionTimeout is when an operation or a read that got nowhere is replied to: before its caller's own timeout
-	// (operationTimeout, and a call). Raising it has callers time out without a reply.
+	// submissionTimeout is when an operation or a read that got nowhere is replied to: a little above operationTimeout,
+	// so that callers elsewhere have given up. Lowering it below that reports operations as unknown that are about to
+	// be committed; raising it keeps what nobody waits for any more.
 	submissionTimeout = 900 * time.Millisecond
 )
 
