--- a/internal/dataplane/gateway/compatibility_test.go
+++ b/internal/dataplane/gateway/compatibility_test.go
@@ -4,41 +4,19 @@
 	"bufio"
 	"fmt"
 	"net/http"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
 	"marlreel/internal/dataplane/engine"
 	"marlreel/internal/dataplane/httpproxy"
+	"marlreel/internal/testing/recorded"
 )
 
 // The files under testdata/compatibility were written by the code of commit 6fb9894, with
 // WRITE_COMPATIBILITY=1. They hold forms that other processes, backends and operators rely on.
 // They must not be written anew to get a pass.
 
-// checkRecorded compares a text with the recorded one.
-func checkRecorded(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "compatibility", name)
-	if os.Getenv("WRITE_COMPATIBILITY") != "" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs from what was recorded\n got:\n%s\nwant:\n%s", path, got, want)
-	}
-}
-
 // Exchanges of clients and backends with a proxy are recorded with the tests of the simulated
 // cluster (simcluster), where such a process runs as a whole.
 
@@ -66,7 +44,7 @@
 			fmt.Fprintf(&out, "probe %t | %s | %s\n", probe, strings.ReplaceAll(head, "\n", " | "), resultNames[meaning])
 		}
 	}
-	checkRecorded(t, "answers.txt", out.String())
+	recorded.Check(t, "answers.txt", out.String())
 }
 
 // Requests to backends carry the headers of the pages, and probes go to the service's path.
@@ -76,7 +54,7 @@
 	bounds := dialect.Bounds([]byte("POST /chat/2f HTTP/1.1\r\n"), backend, 1234*time.Millisecond)
 	probe := dialect.Probe(backend)
 	text := fmt.Sprintf("%s\n%s %t\n%s", bounds, probe.Method, probe.Probe, probe.Head)
-	checkRecorded(t, "heads.txt", strings.ReplaceAll(text, "\r\n", "\n"))
+	recorded.Check(t, "heads.txt", strings.ReplaceAll(text, "\r\n", "\n"))
 
 	for id, mine := range map[string]bool{"9c41d07be2a35f68": true, "": true, "other": false} {
 		response := &http.Response{Header: http.Header{}}
@@ -108,5 +86,5 @@
 	} {
 		fmt.Fprintf(&out, "%s: %t\n", word, words[word])
 	}
-	checkRecorded(t, "labels.txt", out.String())
+	recorded.Check(t, "labels.txt", out.String())
 }
