--- a/internal/api/compatibility_test.go
+++ b/internal/api/compatibility_test.go
@@ -15,6 +15,8 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/reflect/protoreflect"
 	"google.golang.org/protobuf/types/dynamicpb"
+
+	"marlreel/internal/testing/recorded"
 )
 
 // The files under testdata/compatibility were written by the code of commit 6fb9894, with
@@ -22,27 +24,6 @@
 // written anew to get a pass: a difference means that two versions can't work side by side.
 const writeCompatibility = "WRITE_COMPATIBILITY"
 
-// checkRecorded compares a text with the recorded one.
-func checkRecorded(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "compatibility", name)
-	if os.Getenv(writeCompatibility) != "" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs from what was recorded:\n%s", path, firstDifference(got, string(want)))
-	}
-}
-
 func firstDifference(got, want string) string {
 	g, w := strings.Split(got, "\n"), strings.Split(want, "\n")
 	for i := range max(len(g), len(w)) {
@@ -167,7 +148,7 @@
 			fmt.Fprintf(&out, "  %d\n", enums.Get(i).Values().Get(j).Number())
 		}
 	}
-	checkRecorded(t, "schema.txt", out.String())
+	recorded.Check(t, "schema.txt", out.String())
 }
 
 // sampler fills messages with values that differ from field to field.
@@ -305,7 +286,7 @@
 			if err := proto.Unmarshal(sent, message); err != nil {
 				t.Fatal(err)
 			}
-			checkRecorded(t, filepath.Join("messages", sample.name+".txt"), content(message.ProtoReflect(), ""))
+			recorded.Check(t, filepath.Join("messages", sample.name+".txt"), content(message.ProtoReflect(), ""))
 			again, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/controlplane/chain/compatibility_test.go
+++ b/internal/controlplane/chain/compatibility_test.go
@@ -11,33 +11,13 @@
 	"google.golang.org/protobuf/proto"
 
 	"marlreel/internal/api"
+	"marlreel/internal/testing/recorded"
 )
 
 // The files under testdata/compatibility were written by the code of commit 6fb9894, with
 // WRITE_COMPATIBILITY=1. They hold forms that other processes, backends and operators rely on.
 // They must not be written anew to get a pass.
 
-// checkRecorded compares a text with the recorded one.
-func checkRecorded(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "compatibility", name)
-	if os.Getenv("WRITE_COMPATIBILITY") != "" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs from what was recorded\n got:\n%s\nwant:\n%s", path, got, want)
-	}
-}
-
 // recordedOperations are one of each kind, and some together.
 func recordedOperations() [][]*api.Operation {
 	replaces := uint64(1)
@@ -68,7 +48,7 @@
 			}
 			fmt.Fprintf(&lines, "%x\n", data)
 		}
-		checkRecorded(t, "entries.hex", lines.String())
+		recorded.Check(t, "entries.hex", lines.String())
 	}
 	text, err := os.ReadFile(filepath.Join("testdata", "compatibility", "entries.hex"))
 	if err != nil {
@@ -95,5 +75,5 @@
 	if !log.LogIsIntact() {
 		t.Error("recorded entries have other hashes here")
 	}
-	checkRecorded(t, "hashes.txt", hashes.String())
+	recorded.Check(t, "hashes.txt", hashes.String())
 }
--- a/internal/controlplane/state/compatibility_sent_test.go
+++ b/internal/controlplane/state/compatibility_sent_test.go
@@ -10,33 +10,13 @@
 	"google.golang.org/protobuf/proto"
 
 	"marlreel/internal/api"
+	"marlreel/internal/testing/recorded"
 )
 
 // The files under testdata/compatibility were written by the code of commit 6fb9894, with
 // WRITE_COMPATIBILITY=1. They hold forms that other processes, backends and operators rely on.
 // They must not be written anew to get a pass.
 
-// checkRecorded compares a text with the recorded one.
-func checkRecorded(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "compatibility", name)
-	if os.Getenv("WRITE_COMPATIBILITY") != "" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs from what was recorded\n got:\n%s\nwant:\n%s", path, got, want)
-	}
-}
-
 const recordedDocument = `{"config_version":1,"route_list":[{"name":"chat","host":"a.example","path_prefix":"/","route_class":"safe",` +
 	`"timeout_ms":15000,"target_latency_ms":800,"priority":1,"service":"llm","max_attempts":1}],` +
 	`"service_list":[{"name":"llm","health_path":"/health","conn_limit":300}],` +
@@ -68,7 +48,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		checkRecorded(t, "entry.hex", hex.EncodeToString(data)+"\n")
+		recorded.Check(t, "entry.hex", hex.EncodeToString(data)+"\n")
 	}
 	text, err := os.ReadFile(filepath.Join("testdata", "compatibility", "entry.hex"))
 	if err != nil {
@@ -91,7 +71,7 @@
 		}
 		return hex.EncodeToString(data) + "\n"
 	}
-	checkRecorded(t, "state.hex", state())
+	recorded.Check(t, "state.hex", state())
 	// The same changes once more change nothing: they are known by their digests.
 	before := state()
 	for _, operation := range entry.Operations[:2] {
