--- a/internal/api/compatibility_test.go
+++ b/internal/api/compatibility_test.go
@@ -24,23 +24,6 @@
 // written anew to get a pass: a difference means that two versions can't work side by side.
 const writeCompatibility = "WRITE_COMPATIBILITY"
 
-func firstDifference(got, want string) string {
-	g, w := strings.Split(got, "\n"), strings.Split(want, "\n")
-	for i := range max(len(g), len(w)) {
-		var a, b string
-		if i < len(g) {
-			a = g[i]
-		}
-		if i < len(w) {
-			b = w[i]
-		}
-		if a != b {
-			return fmt.Sprintf("line %d\n got: %s\nwant: %s", i+1, a, b)
-		}
-	}
-	return "none"
-}
-
 // schema numbers the messages in the order in which the services lead to them. Names of
 // messages and fields are not on the wire, so they are not used.
 type schema struct {
