--- a/cmd/marlreelctl/main.go
+++ b/cmd/marlreelctl/main.go
@@ -178,18 +178,18 @@
 	for _, x := range st.Sources {
 		state := "well"
 		switch {
-		case x.Lost:
-			state = "lost: " + x.Why
+		case x.Unreachable:
+			state = "lost: " + x.LossReason
 		case !x.Synced:
 			state = "its whole list is on its way, or was never told"
 		}
 		fmt.Fprintf(s.out, "  %-10s revision %-8d %s\n", x.Name, x.Revision, state)
-		for _, name := range slices.Sorted(maps.Keys(x.Bad)) {
-			fmt.Fprintf(s.out, "    %s can't be read: %s\n", name, x.Bad[name])
+		for _, name := range slices.Sorted(maps.Keys(x.Malformed)) {
+			fmt.Fprintf(s.out, "    %s can't be read: %s\n", name, x.Malformed[name])
 		}
 	}
-	if len(st.Held) > 0 {
-		fmt.Fprintf(s.out, "held, for most of the list went at once (marlreelctl nodes confirm lets them go): %s\n", strings.Join(st.Held, ", "))
+	if len(st.Retained) > 0 {
+		fmt.Fprintf(s.out, "held, for most of the list went at once (marlreelctl nodes confirm lets them go): %s\n", strings.Join(st.Retained, ", "))
 	}
 	if len(st.Damped) > 0 {
 		fmt.Fprintf(s.out, "out, for they come and go: %s\n", strings.Join(st.Damped, ", "))
@@ -200,7 +200,7 @@
 type listCmd struct{}
 
 func (listCmd) Run(s *site) error {
-	var w membership.Whole
+	var w membership.Snapshot
 	if err := s.reach(tries, func() (err error) { w, err = s.w.Whole(s.ctx); return err }); err != nil {
 		return err
 	}
@@ -211,15 +211,15 @@
 	fmt.Fprintf(s.out, "%-20s %-9s %-22s %-12s %-12s %s\n", "node", "state", "address", "zone", "kind", "revision")
 	for _, i := range w.Items {
 		switch {
-		case i.Name == membership.Confirm:
-		case i.Bad != "":
-			fmt.Fprintf(s.out, "%-20s can't be read: %s\n", i.Name, i.Bad)
+		case i.Name == membership.ConfirmKey:
+		case i.Malformed != "":
+			fmt.Fprintf(s.out, "%-20s can't be read: %s\n", i.Name, i.Malformed)
 		default:
 			state := "ready"
 			if i.Entry.Draining {
 				state = "draining"
 			}
-			fmt.Fprintf(s.out, "%-20s %-9s %-22s %-12s %-12s %d\n", i.Name, state, i.Entry.Addr, i.Entry.Zone, i.Entry.Kind, i.Mod)
+			fmt.Fprintf(s.out, "%-20s %-9s %-22s %-12s %-12s %d\n", i.Name, state, i.Entry.Addr, i.Entry.Zone, i.Entry.Kind, i.ModRevision)
 		}
 	}
 	return nil
@@ -235,7 +235,7 @@
 
 // change reads an entry, and writes what becomes of it, if nobody else wrote meanwhile.
 func (s *site) change(name string, how func(i membership.Item) (registry.Value, error)) error {
-	if name == membership.Confirm || strings.ContainsAny(name, "/ ") {
+	if name == membership.ConfirmKey || strings.ContainsAny(name, "/ ") {
 		return &NodeError{strconv.Quote(name), "is no node's name", nil}
 	}
 	return s.reach(tries, func() error {
@@ -251,7 +251,7 @@
 		if err != nil {
 			return err
 		}
-		if err := s.w.Put(s.ctx, name, data, i.Mod, ""); err != nil {
+		if err := s.w.Put(s.ctx, name, data, i.ModRevision, ""); err != nil {
 			return &NodeError{name, "it could not be written", err}
 		}
 		fmt.Fprintf(s.out, "%s: %s at %s\n", name, v.State, v.Address)
@@ -272,10 +272,10 @@
 func (c drainCmd) Run(s *site) error {
 	return s.change(c.Name, func(i membership.Item) (registry.Value, error) {
 		switch e := i.Entry; {
-		case i.Mod == 0:
+		case i.ModRevision == 0:
 			return registry.Value{}, &NodeError{c.Name, "is not in the list", nil}
-		case i.Bad != "":
-			return registry.Value{}, &NodeError{c.Name, "can't be read (" + i.Bad + "): put it first", nil}
+		case i.Malformed != "":
+			return registry.Value{}, &NodeError{c.Name, "can't be read (" + i.Malformed + "): put it first", nil}
 		default:
 			return registry.Value{Address: e.Addr, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Weight: e.Weight, Started: e.Started, State: "draining"}, nil
 		}
@@ -293,12 +293,12 @@
 		switch {
 		case err != nil:
 			return err
-		case i.Mod == 0:
+		case i.ModRevision == 0:
 			return &NodeError{c.Name, "is not in the list", nil}
-		case i.Bad == "" && !i.Entry.Draining && !c.Now:
+		case i.Malformed == "" && !i.Entry.Draining && !c.Now:
 			return &NodeError{c.Name, "does not drain: drain it first, or --now", nil}
 		}
-		if err := s.w.Delete(s.ctx, c.Name, i.Mod); err != nil {
+		if err := s.w.Delete(s.ctx, c.Name, i.ModRevision); err != nil {
 			return &NodeError{c.Name, "it could not be removed", err}
 		}
 		fmt.Fprintf(s.out, "%s: removed\n", c.Name)
@@ -310,7 +310,7 @@
 
 func (confirmCmd) Run(s *site) error {
 	return s.reach(tries, func() error {
-		if err := s.w.Put(s.ctx, membership.Confirm, []byte(fmt.Sprintf(`{"at":%q}`, time.Now().UTC().Format(time.RFC3339))), registry.Any, ""); err != nil {
+		if err := s.w.Put(s.ctx, membership.ConfirmKey, []byte(fmt.Sprintf(`{"at":%q}`, time.Now().UTC().Format(time.RFC3339))), registry.Any, ""); err != nil {
 			return err
 		}
 		fmt.Fprintln(s.out, "confirmed: the proxies let go what is no longer in the list")
--- a/cmd/marlreelctl/main_test.go
+++ b/cmd/marlreelctl/main_test.go
@@ -83,8 +83,8 @@
 func TestDiscovery(t *testing.T) {
 	t.Parallel()
 	said := membership.Status{
-		Source: "registry", Revision: 42, Age: 1500 * time.Millisecond, Entries: 7, Held: []string{"s-1", "s-2"}, Damped: []string{"s-9"},
-		Sources: []membership.SourceStatus{{Name: "registry", Revision: 42, Lost: true, Why: "connection refused", Bad: map[string]string{"s-3": "v = 2"}}, {Name: "platform", Revision: 5, Synced: true}},
+		Source: "registry", Revision: 42, Age: 1500 * time.Millisecond, Entries: 7, Retained: []string{"s-1", "s-2"}, Damped: []string{"s-9"},
+		Sources: []membership.SourceStatus{{Name: "registry", Revision: 42, Unreachable: true, LossReason: "connection refused", Malformed: map[string]string{"s-3": "v = 2"}}, {Name: "platform", Revision: 5, Synced: true}},
 	}
 	on := true
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/discovery/membership/compatibility_test.go
+++ b/internal/discovery/membership/compatibility_test.go
@@ -15,8 +15,8 @@
 func TestCompatibilityStatus(t *testing.T) {
 	for name, status := range map[string]Status{
 		"status.json": {
-			Source: "etcd", Revision: 17, Age: 250 * time.Millisecond, Entries: 12, Held: []string{"a1"}, Damped: []string{"a2"},
-			Sources: []SourceStatus{{Name: "etcd", Revision: 17, Synced: true, Lost: true, Why: "answered 503", Bad: map[string]string{"a3": "no JSON"}}, {Name: "platform", Revision: 4}},
+			Source: "etcd", Revision: 17, Age: 250 * time.Millisecond, Entries: 12, Retained: []string{"a1"}, Damped: []string{"a2"},
+			Sources: []SourceStatus{{Name: "etcd", Revision: 17, Synced: true, Unreachable: true, LossReason: "answered 503", Malformed: map[string]string{"a3": "no JSON"}}, {Name: "platform", Revision: 4}},
 		},
 		"status-empty.json": {Age: -1},
 	} {
@@ -41,7 +41,7 @@
 
 // The name under which an operator confirms a list is a key in the registry.
 func TestCompatibilityConfirmKey(t *testing.T) {
-	compareRecorded(t, "confirm-key.txt", []byte(Confirm+"\n"))
+	compareRecorded(t, "confirm-key.txt", []byte(ConfirmKey+"\n"))
 }
 
 // The files under testdata/compatibility hold what the tree at commit 6fb9894 wrote. They stay as they are: a
--- a/internal/discovery/membership/guard.go
+++ b/internal/discovery/membership/guard.go
@@ -12,75 +12,75 @@
 // ever, and goes when an operator says so or when the registry has it again. A drain is never held: it says
 // that the backend is there and must get nothing new.
 
-// size is the list's at a time.
-type size struct {
-	at time.Duration
-	n  int
+// sizeSample is the list's at a time.
+type sizeSample struct {
+	at      time.Duration
+	entries int
 }
 
-// guard puts what is held back into the list.
-func (m *Model) guard(now time.Duration, next map[string]Entry) {
-	for name := range m.held {
-		if _, back := next[name]; back || m.has(name) {
-			delete(m.held, name)
+// retainMassRemovals puts what is held back into the list.
+func (m *Model) retainMassRemovals(now time.Duration, next map[string]Entry) {
+	for name := range m.retained {
+		if _, back := next[name]; back || m.listedBySource(name) {
+			delete(m.retained, name)
 		}
 	}
-	if m.cfg.Guard >= 1 || m.cfg.Guard <= 0 {
-		clear(m.held)
+	if m.config.MaxLossFraction >= 1 || m.config.MaxLossFraction <= 0 {
+		clear(m.retained)
 		return
 	}
-	floor := m.floor(now, len(next))
+	floor := m.minSize(now, len(next))
 	if len(next) < floor {
-		for name, e := range m.shown {
-			if _, stays := next[name]; !stays && !e.Draining && !m.damp[name] && !m.has(name) && !m.replaced(e, next) {
-				m.held[name] = e
+		for name, e := range m.list {
+			if _, stays := next[name]; !stays && !e.Draining && !m.damped[name] && !m.listedBySource(name) && !m.addressTaken(e, next) {
+				m.retained[name] = e
 			}
 		}
 	}
-	m.measure(now, len(next))
-	for name, e := range m.held {
-		if m.replaced(e, next) {
-			delete(m.held, name)
+	m.recordSize(now, len(next))
+	for name, e := range m.retained {
+		if m.addressTaken(e, next) {
+			delete(m.retained, name)
 			continue
 		}
 		next[name] = e
 	}
-	if n := len(m.held); n > 0 {
-		m.say("guard", "WARNING: the list lost most of its entries at once; %d that are no longer in it are kept, and judged by their answers, until an operator confirms", n)
+	if n := len(m.retained); n > 0 {
+		m.log("guard", "WARNING: the list lost most of its entries at once; %d that are no longer in it are kept, and judged by their answers, until an operator confirms", n)
 	} else {
-		m.unsay("guard")
+		m.forgetLine("guard")
 	}
 }
 
-// floor is how small a list that had n entries now may be. It is measured by what a registry had, held ones
+// minSize is how small a list that had n entries now may be. It is measured by what a registry had, held ones
 // left out: they are not there by its word.
-func (m *Model) floor(now time.Duration, n int) int {
+func (m *Model) minSize(now time.Duration, n int) int {
 	// The last size counts however old it is: it is what the list was until now.
-	for len(m.sizes) > 1 && now-m.sizes[0].at > m.cfg.Over {
-		m.sizes = m.sizes[1:]
+	for len(m.recentSizes) > 1 && now-m.recentSizes[0].at > m.config.LossWindow {
+		m.recentSizes = m.recentSizes[1:]
 	}
-	for _, s := range m.sizes {
-		n = max(n, s.n)
+	for _, s := range m.recentSizes {
+		n = max(n, s.entries)
 	}
-	return int(math.Ceil(float64(n) * (1 - m.cfg.Guard)))
+	return int(math.Ceil(float64(n) * (1 - m.config.MaxLossFraction)))
 }
 
-// measure notes a list's size.
-func (m *Model) measure(now time.Duration, n int) {
-	switch last := len(m.sizes) - 1; {
-	case last >= 0 && m.sizes[last].n == n && now-m.sizes[last].at <= m.cfg.Over/4:
-	case last >= 1 && now-m.sizes[last-1].at < m.cfg.Over/50 && m.sizes[last].n < n:
-		m.sizes[last].n = n // of many at once the largest counts
+// recordSize notes a list's size.
+func (m *Model) recordSize(now time.Duration, n int) {
+	switch last := len(m.recentSizes) - 1; {
+	case last >= 0 && m.recentSizes[last].entries == n && now-m.recentSizes[last].at <= m.config.LossWindow/4:
+	case last >= 1 && now-m.recentSizes[last-1].at < m.config.LossWindow/50 && m.recentSizes[last].entries < n:
+		m.recentSizes[last].entries = n // of many at once the largest counts
 	default:
-		m.sizes = append(m.sizes, size{now, n})
+		m.recentSizes = append(m.recentSizes, sizeSample{now, n})
 	}
-	if len(m.sizes) > 1000 {
-		m.sizes = m.sizes[len(m.sizes)-1000:]
+	if len(m.recentSizes) > 1000 {
+		m.recentSizes = m.recentSizes[len(m.recentSizes)-1000:]
 	}
 }
 
-// has tells whether the source that counts has an entry, shown or not: then its word on it stands.
-func (m *Model) has(name string) bool {
+// listedBySource tells whether the source that counts has an entry, shown or not: then its word on it stands.
+func (m *Model) listedBySource(name string) bool {
 	if m.active < 0 {
 		return false
 	}
@@ -88,8 +88,8 @@
 	return there
 }
 
-// replaced tells whether another has the address of one that went.
-func (m *Model) replaced(e Entry, next map[string]Entry) bool {
+// addressTaken tells whether another has the address of one that went.
+func (m *Model) addressTaken(e Entry, next map[string]Entry) bool {
 	for _, o := range next {
 		if o.Addr == e.Addr {
 			return true
@@ -98,25 +98,25 @@
 	return false
 }
 
-// Confirm lets what is held go: an operator says that it is gone.
-func (m *Model) Confirm(now time.Duration) []Action {
-	m.confirm(now)
-	return m.take()
+// ConfirmRemovals lets what is held go: an operator says that it is gone.
+func (m *Model) ConfirmRemovals(now time.Duration) []Action {
+	m.confirmRemovals(now)
+	return m.takeActions()
 }
 
-func (m *Model) confirm(now time.Duration) {
-	if len(m.held) > 0 {
-		clear(m.held)
-		m.sizes = nil // what is left is the list's size from now on
-		next := m.wanted()
+func (m *Model) confirmRemovals(now time.Duration) {
+	if len(m.retained) > 0 {
+		clear(m.retained)
+		m.recentSizes = nil // what is left is the list's size from now on
+		next := m.desiredList()
 		m.dampFlaps(now, next)
-		if !maps.Equal(next, m.shown) {
-			m.shown = next
-			m.out = append(m.out, List{Entries: maps.Clone(next), Cached: m.cached})
+		if !maps.Equal(next, m.list) {
+			m.list = next
+			m.actions = append(m.actions, FullList{Entries: maps.Clone(next), Cached: m.wantCached})
 		}
-		m.sizes = []size{{now, len(next)}}
-		m.unsay("guard")
-		m.say("confirmed", "an operator confirmed the list: %d entries", len(next))
-		m.unsay("confirmed")
+		m.recentSizes = []sizeSample{{now, len(next)}}
+		m.forgetLine("guard")
+		m.log("confirmed", "an operator confirmed the list: %d entries", len(next))
+		m.forgetLine("confirmed")
 	}
 }
--- a/internal/discovery/membership/members_test.go
+++ b/internal/discovery/membership/members_test.go
@@ -18,13 +18,13 @@
 )
 
 func plain() Config {
-	return Config{Sources: []string{"registry"}, Patience: 10 * second, Guard: 1, Most: 10000}
+	return Config{Sources: []string{"registry"}, LossTimeout: 10 * second, MaxLossFraction: 1, MaxEntries: 10000}
 }
 
 func guarded() Config {
 	return Config{
-		Sources: []string{"registry", "platform"}, Patience: 10 * second, Settle: 5 * second, Guard: 0.5, Over: 30 * second,
-		FlapMost: 4, FlapOver: 20 * second, Most: 10000,
+		Sources: []string{"registry", "platform"}, LossTimeout: 10 * second, FailbackDelay: 5 * second, MaxLossFraction: 0.5, LossWindow: 30 * second,
+		MaxFlaps: 4, FlapDecay: 20 * second, MaxEntries: 10000,
 	}
 }
 
@@ -32,7 +32,7 @@
 
 func items(mod int64, ns ...int) (all []Item) {
 	for _, n := range ns {
-		all = append(all, Item{Name: fmt.Sprint("n", n), Mod: mod, Entry: at(n)})
+		all = append(all, Item{Name: fmt.Sprint("n", n), ModRevision: mod, Entry: at(n)})
 	}
 	return all
 }
@@ -45,14 +45,14 @@
 }
 
 // the last list and all lines of some actions.
-func read(acts []Action) (list *List, lines string, loads int) {
+func read(acts []Action) (list *FullList, lines string, loads int) {
 	for _, a := range acts {
 		switch a := a.(type) {
-		case List:
+		case FullList:
 			list = &a
-		case Say:
+		case LogLine:
 			lines += string(a) + "\n"
-		case Load:
+		case RequestSnapshot:
 			loads++
 		}
 	}
@@ -63,11 +63,11 @@
 func fold(list map[string]Entry, acts []Action) map[string]Entry {
 	for _, a := range acts {
 		switch a := a.(type) {
-		case List:
+		case FullList:
 			list = maps.Clone(a.Entries)
 		case Delta:
 			maps.Copy(list, a.Changed)
-			for _, name := range a.Gone {
+			for _, name := range a.Removed {
 				delete(list, name)
 			}
 		}
@@ -80,12 +80,12 @@
 	rng       *rand.Rand
 	history   uint64
 	states    []map[string]Entry // by revision
-	changes   []Change
+	changes   []Update
 	compacted int64
 }
 
 func newRegistry(seed uint64) *registry {
-	return &registry{rng: rand.New(rand.NewPCG(seed, 7)), history: 1, states: []map[string]Entry{{}}, changes: []Change{{}}}
+	return &registry{rng: rand.New(rand.NewPCG(seed, 7)), history: 1, states: []map[string]Entry{{}}, changes: []Update{{}}}
 }
 
 func (r *registry) newest() int64 { return int64(len(r.states) - 1) }
@@ -93,7 +93,7 @@
 // write is one transaction over a few names: puts, deletes, moves of an address from one to another.
 func (r *registry) write() {
 	next := maps.Clone(r.states[r.newest()])
-	c := Change{Revision: r.newest() + 1}
+	c := Update{Revision: r.newest() + 1}
 	for range 1 + r.rng.IntN(3) {
 		name := fmt.Sprint("n", r.rng.IntN(12))
 		if slices.ContainsFunc(c.Puts, func(i Item) bool { return i.Name == name }) || slices.Contains(c.Deletes, name) {
@@ -106,15 +106,15 @@
 		}
 		e := Entry{Addr: name + fmt.Sprint(":", r.rng.IntN(3)), Draining: r.rng.IntN(4) == 0, Weight: float64(1 + r.rng.IntN(3))}
 		next[name] = e
-		c.Puts = append(c.Puts, Item{Name: name, Mod: c.Revision, Entry: e})
+		c.Puts = append(c.Puts, Item{Name: name, ModRevision: c.Revision, Entry: e})
 	}
 	r.states, r.changes = append(r.states, next), append(r.changes, c)
 }
 
-func (r *registry) whole(revision int64, stale bool) Whole {
-	w := Whole{History: r.history, Revision: revision, Stale: stale}
+func (r *registry) whole(revision int64, stale bool) Snapshot {
+	w := Snapshot{History: r.history, Revision: revision, Stale: stale}
 	for name, e := range r.states[revision] {
-		w.Items = append(w.Items, Item{Name: name, Mod: 1, Entry: e})
+		w.Items = append(w.Items, Item{Name: name, ModRevision: 1, Entry: e})
 	}
 	return w
 }
@@ -126,7 +126,7 @@
 	t.Parallel()
 	for seed := range uint64(3000) {
 		cfg := plain()
-		cfg.Deltas = seed%2 == 0
+		cfg.EmitDeltas = seed%2 == 0
 		r, m := newRegistry(seed), New(cfg)
 		now := second
 		var shown map[string]Entry
@@ -147,16 +147,16 @@
 				r.compacted = min(r.newest(), r.compacted+int64(r.rng.IntN(10)))
 			case x < 8:
 				connected = false
-				take(m.Lost(now, 0, "the connection was reset"))
+				take(m.OnSourceLost(now, 0, "the connection was reset"))
 			case x < 10 && !connected:
 				connected = true
 				if m.sources[0].revision < r.compacted && acked >= 0 {
-					take(m.Compacted(now, 0))
+					take(m.OnCompacted(now, 0))
 				}
 				position = m.sources[0].revision
 			case x < 11 && connected && acked >= 0: // a transaction again
 				if back := m.sources[0].revision - int64(r.rng.IntN(4)); back > 0 && back <= r.newest() {
-					take(m.Change(now, 0, r.changes[back]))
+					take(m.OnUpdate(now, 0, r.changes[back]))
 				}
 			case x < 13 && loading && connected:
 				stale := r.rng.IntN(3) == 0
@@ -166,7 +166,7 @@
 				}
 				older := rev < acked
 				loading = false
-				take(m.Whole(now, 0, r.whole(rev, stale)))
+				take(m.OnSnapshot(now, 0, r.whole(rev, stale)))
 				if older && !loading {
 					t.Fatalf("seed %d, step %d: an old list of a follower was enough", seed, step)
 				}
@@ -178,11 +178,11 @@
 				if position < r.newest() {
 					position = max(position, m.sources[0].revision) + 1
 					if position <= r.newest() {
-						take(m.Change(now, 0, r.changes[position]))
+						take(m.OnUpdate(now, 0, r.changes[position]))
 						acked = max(acked, position)
 					}
 				} else {
-					take(m.Progress(now, 0, r.newest()))
+					take(m.OnProgress(now, 0, r.newest()))
 				}
 			default:
 				take(m.Tick(now))
@@ -211,28 +211,28 @@
 // with most of the others is held, until an operator confirms or it comes back.
 func TestRestoredFromABackup(t *testing.T) {
 	t.Parallel()
-	for name, w := range map[string]Whole{
+	for name, w := range map[string]Snapshot{
 		"lower":   {History: 1, Revision: 5, Items: items(3, 0, 1, 2)},
 		"another": {History: 2, Revision: 900, Items: items(3, 0, 1, 2)},
 		"empty":   {History: 2, Revision: 1},
 	} {
 		m := New(guarded())
-		m.Whole(second, 0, Whole{History: 1, Revision: 100, Items: items(1, upTo(10)...)})
-		list, lines, _ := read(m.Whole(2*second, 0, w))
+		m.OnSnapshot(second, 0, Snapshot{History: 1, Revision: 100, Items: items(1, upTo(10)...)})
+		list, lines, _ := read(m.OnSnapshot(2*second, 0, w))
 		if list != nil && len(list.Entries) != 10 || !strings.Contains(lines, "its history is another") || !strings.Contains(lines, "WARNING") {
 			t.Errorf("%s: %v\n%s", name, list, lines)
 		}
-		if got := m.Status(2 * second); len(got.Held) != 10-len(w.Items) || got.Revision != w.Revision {
+		if got := m.Status(2 * second); len(got.Retained) != 10-len(w.Items) || got.Revision != w.Revision {
 			t.Errorf("%s: %+v", name, got)
 		}
 		// What is written after that counts as ever, for those held too.
-		draining := Item{Name: "n9", Mod: w.Revision + 1, Entry: at(9)}
+		draining := Item{Name: "n9", ModRevision: w.Revision + 1, Entry: at(9)}
 		draining.Entry.Draining = true
-		if list, _, _ = read(m.Change(3*second, 0, Change{Revision: w.Revision + 1, Puts: []Item{draining}})); list == nil || !list.Entries["n9"].Draining {
+		if list, _, _ = read(m.OnUpdate(3*second, 0, Update{Revision: w.Revision + 1, Puts: []Item{draining}})); list == nil || !list.Entries["n9"].Draining {
 			t.Errorf("%s: a drain was held back: %v", name, list)
 		}
-		list, lines, _ = read(m.Confirm(4 * second))
-		if list == nil || len(list.Entries) != len(w.Items)+1 || !strings.Contains(lines, "confirmed") || len(m.Status(4*second).Held) != 0 {
+		list, lines, _ = read(m.ConfirmRemovals(4 * second))
+		if list == nil || len(list.Entries) != len(w.Items)+1 || !strings.Contains(lines, "confirmed") || len(m.Status(4*second).Retained) != 0 {
 			t.Errorf("%s: confirmed: %v\n%s", name, list, lines)
 		}
 		if list, lines, _ = read(m.Tick(5 * second)); list != nil || lines != "" {
@@ -241,9 +241,9 @@
 	}
 	// They come back by themselves: nothing is held any more.
 	m := New(guarded())
-	m.Whole(second, 0, Whole{History: 1, Revision: 100, Items: items(1, upTo(10)...)})
-	m.Whole(2*second, 0, Whole{History: 1, Revision: 101})
-	if m.Whole(3*second, 0, Whole{History: 1, Revision: 102, Items: items(1, upTo(10)...)}); len(m.Status(3*second).Held) != 0 || m.Status(3*second).Entries != 10 {
+	m.OnSnapshot(second, 0, Snapshot{History: 1, Revision: 100, Items: items(1, upTo(10)...)})
+	m.OnSnapshot(2*second, 0, Snapshot{History: 1, Revision: 101})
+	if m.OnSnapshot(3*second, 0, Snapshot{History: 1, Revision: 102, Items: items(1, upTo(10)...)}); len(m.Status(3*second).Retained) != 0 || m.Status(3*second).Entries != 10 {
 		t.Errorf("%+v", m.Status(3*second))
 	}
 }
@@ -251,27 +251,27 @@
 // A confirmation counts when it is written, not when it comes with a whole list that a backup brought back.
 func TestConfirmedInTheRegistry(t *testing.T) {
 	t.Parallel()
-	confirm := func(mod int64) Item { return Item{Name: Confirm, Mod: mod} }
+	confirm := func(mod int64) Item { return Item{Name: ConfirmKey, ModRevision: mod} }
 	m := New(guarded())
-	m.Whole(second, 0, Whole{History: 1, Revision: 100, Items: append(items(1, upTo(10)...), confirm(40))})
+	m.OnSnapshot(second, 0, Snapshot{History: 1, Revision: 100, Items: append(items(1, upTo(10)...), confirm(40))})
 	if n := m.Status(second).Entries; n != 10 {
 		t.Fatalf("%d entries: the confirmation counts as one", n)
 	}
-	m.Whole(2*second, 0, Whole{History: 2, Revision: 50, Items: []Item{confirm(45)}})
-	if s := m.Status(2 * second); len(s.Held) != 10 {
+	m.OnSnapshot(2*second, 0, Snapshot{History: 2, Revision: 50, Items: []Item{confirm(45)}})
+	if s := m.Status(2 * second); len(s.Retained) != 10 {
 		t.Errorf("an old confirmation: %+v", s)
 	}
-	m.Whole(3*second, 0, Whole{History: 2, Revision: 51, Items: []Item{confirm(45)}})
-	if s := m.Status(3 * second); len(s.Held) != 10 {
+	m.OnSnapshot(3*second, 0, Snapshot{History: 2, Revision: 51, Items: []Item{confirm(45)}})
+	if s := m.Status(3 * second); len(s.Retained) != 10 {
 		t.Errorf("the same again: %+v", s)
 	}
-	if m.Whole(4*second, 0, Whole{History: 2, Revision: 52, Items: []Item{confirm(52)}}); m.Status(4*second).Entries != 0 {
+	if m.OnSnapshot(4*second, 0, Snapshot{History: 2, Revision: 52, Items: []Item{confirm(52)}}); m.Status(4*second).Entries != 0 {
 		t.Errorf("a new one: %+v", m.Status(4*second))
 	}
 	m = New(guarded())
-	m.Whole(second, 0, Whole{History: 1, Revision: 100, Items: items(1, upTo(10)...)})
-	m.Whole(2*second, 0, Whole{History: 1, Revision: 101, Items: items(1, 0)})
-	if m.Change(3*second, 0, Change{Revision: 102, Puts: []Item{confirm(102)}}); m.Status(3*second).Entries != 1 || len(m.Status(3*second).Held) != 0 {
+	m.OnSnapshot(second, 0, Snapshot{History: 1, Revision: 100, Items: items(1, upTo(10)...)})
+	m.OnSnapshot(2*second, 0, Snapshot{History: 1, Revision: 101, Items: items(1, 0)})
+	if m.OnUpdate(3*second, 0, Update{Revision: 102, Puts: []Item{confirm(102)}}); m.Status(3*second).Entries != 1 || len(m.Status(3*second).Retained) != 0 {
 		t.Errorf("written: %+v", m.Status(3*second))
 	}
 }
@@ -281,41 +281,41 @@
 	t.Parallel()
 	start := func() *Model {
 		m := New(guarded())
-		m.Whole(second, 0, Whole{History: 1, Revision: 1, Items: items(1, upTo(10)...)})
+		m.OnSnapshot(second, 0, Snapshot{History: 1, Revision: 1, Items: items(1, upTo(10)...)})
 		return m
 	}
 	m := start()
 	for i := range 5 {
-		m.Change(2*second+time.Duration(i)*ms, 0, Change{Revision: int64(2 + i), Deletes: []string{fmt.Sprint("n", i)}})
+		m.OnUpdate(2*second+time.Duration(i)*ms, 0, Update{Revision: int64(2 + i), Deletes: []string{fmt.Sprint("n", i)}})
 	}
-	if s := m.Status(3 * second); s.Entries != 5 || len(s.Held) != 0 {
+	if s := m.Status(3 * second); s.Entries != 5 || len(s.Retained) != 0 {
 		t.Errorf("half went one by one: %+v", s)
 	}
-	if m.Change(3*second, 0, Change{Revision: 9, Deletes: []string{"n5"}}); m.Status(3*second).Entries != 5 || len(m.Status(3*second).Held) != 1 {
+	if m.OnUpdate(3*second, 0, Update{Revision: 9, Deletes: []string{"n5"}}); m.Status(3*second).Entries != 5 || len(m.Status(3*second).Retained) != 1 {
 		t.Errorf("one more within the time: %+v", m.Status(3*second))
 	}
 	m = start()
-	all := Change{Revision: 2}
+	all := Update{Revision: 2}
 	for i := range 10 {
 		all.Deletes = append(all.Deletes, fmt.Sprint("n", i))
-		all.Puts = append(all.Puts, Item{Name: fmt.Sprint("m", i), Mod: 2, Entry: at(i)})
+		all.Puts = append(all.Puts, Item{Name: fmt.Sprint("m", i), ModRevision: 2, Entry: at(i)})
 	}
-	list, _, _ := read(m.Change(2*second, 0, all))
-	if s := m.Status(2 * second); list == nil || s.Entries != 10 || len(s.Held) != 0 || list.Entries["m3"] != at(3) {
+	list, _, _ := read(m.OnUpdate(2*second, 0, all))
+	if s := m.Status(2 * second); list == nil || s.Entries != 10 || len(s.Retained) != 0 || list.Entries["m3"] != at(3) {
 		t.Errorf("all were replaced at their addresses: %+v", s)
 	}
 	m = start()
-	drains := Change{Revision: 2, Puts: items(2, upTo(10)...)}
+	drains := Update{Revision: 2, Puts: items(2, upTo(10)...)}
 	for i := range drains.Puts {
 		drains.Puts[i].Entry.Draining = true
 	}
-	list, _, _ = read(m.Change(2*second, 0, drains))
+	list, _, _ = read(m.OnUpdate(2*second, 0, drains))
 	for name, e := range list.Entries {
 		if !e.Draining {
 			t.Errorf("%s does not drain", name)
 		}
 	}
-	if list, _, _ = read(m.Change(3*second, 0, Change{Revision: 3, Deletes: all.Deletes})); list == nil || len(list.Entries) != 0 {
+	if list, _, _ = read(m.OnUpdate(3*second, 0, Update{Revision: 3, Deletes: all.Deletes})); list == nil || len(list.Entries) != 0 {
 		t.Errorf("what drained and is gone: %v", list)
 	}
 }
@@ -329,32 +329,32 @@
 	for _, i := range items(0, upTo(10)...) {
 		old[i.Name] = i.Entry
 	}
-	list, _, _ := read(m.Known(second, old))
+	list, _, _ := read(m.OnCachedList(second, old))
 	if list == nil || !list.Cached || len(list.Entries) != 10 || m.Status(second).Age != -1 {
 		t.Fatalf("%+v", list)
 	}
-	if list, lines, _ := read(m.Lost(2*second, 0, "no route")); list != nil || !strings.Contains(lines, "registry: lost (no route)") {
+	if list, lines, _ := read(m.OnSourceLost(2*second, 0, "no route")); list != nil || !strings.Contains(lines, "registry: lost (no route)") {
 		t.Errorf("%v %s", list, lines)
 	}
-	if _, lines, _ := read(m.Lost(3*second, 0, "no route")); lines != "" {
+	if _, lines, _ := read(m.OnSourceLost(3*second, 0, "no route")); lines != "" {
 		t.Errorf("said again: %s", lines)
 	}
-	list, _, _ = read(m.Whole(time.Hour, 0, Whole{History: 1, Revision: 4, Items: items(1, upTo(9)...)}))
+	list, _, _ = read(m.OnSnapshot(time.Hour, 0, Snapshot{History: 1, Revision: 4, Items: items(1, upTo(9)...)}))
 	if list == nil || list.Cached || len(list.Entries) != 9 {
 		t.Errorf("%+v", list)
 	}
 	// The same list, confirmed: the module is told that it is no old one any more.
 	m = New(guarded())
-	m.Known(second, old)
-	if list, _, _ = read(m.Whole(2*second, 0, Whole{History: 1, Revision: 4, Items: items(1, upTo(10)...)})); list == nil || list.Cached {
+	m.OnCachedList(second, old)
+	if list, _, _ = read(m.OnSnapshot(2*second, 0, Snapshot{History: 1, Revision: 4, Items: items(1, upTo(10)...)})); list == nil || list.Cached {
 		t.Errorf("%+v", list)
 	}
-	if list, _, _ = read(m.Known(3*second, nil)); list != nil {
+	if list, _, _ = read(m.OnCachedList(3*second, nil)); list != nil {
 		t.Errorf("an old list after a new one: %+v", list)
 	}
 	m = New(guarded())
-	m.Known(second, old)
-	if list, lines, _ := read(m.Whole(2*time.Hour, 0, Whole{History: 1, Revision: 4})); list == nil || len(list.Entries) != 10 || !strings.Contains(lines, "WARNING") {
+	m.OnCachedList(second, old)
+	if list, lines, _ := read(m.OnSnapshot(2*time.Hour, 0, Snapshot{History: 1, Revision: 4})); list == nil || len(list.Entries) != 10 || !strings.Contains(lines, "WARNING") {
 		t.Errorf("an empty list after an old one: %+v\n%s", list, lines)
 	}
 }
@@ -364,19 +364,19 @@
 func TestFlaps(t *testing.T) {
 	t.Parallel()
 	m, now, rev := New(guarded()), second, int64(1)
-	m.Whole(now, 0, Whole{History: 1, Revision: 1, Items: items(1, upTo(10)...)})
+	m.OnSnapshot(now, 0, Snapshot{History: 1, Revision: 1, Items: items(1, upTo(10)...)})
 	changes, in := 0, true
 	for range 100 {
 		now, rev, in = now+50*ms, rev+1, !in
-		c := Change{Revision: rev, Deletes: []string{"n3"}}
+		c := Update{Revision: rev, Deletes: []string{"n3"}}
 		if in {
-			c = Change{Revision: rev, Puts: items(rev, 3)}
+			c = Update{Revision: rev, Puts: items(rev, 3)}
 		}
-		list, _, _ := read(m.Change(now, 0, c))
+		list, _, _ := read(m.OnUpdate(now, 0, c))
 		if list != nil {
 			changes++
 		}
-		if _, there := m.shown["n3"]; there && !in {
+		if _, there := m.list["n3"]; there && !in {
 			t.Fatalf("it is gone, and still shown")
 		}
 	}
@@ -386,28 +386,28 @@
 	if changes > 12 || len(m.Status(now).Damped) != 1 {
 		t.Errorf("%d lists for a hundred changes, damped %v", changes, m.Status(now).Damped)
 	}
-	due := m.Next(now)
+	due := m.NextTick(now)
 	if due <= now || due > now+3*time.Minute {
 		t.Fatalf("it may come back after %v", due-now)
 	}
 	if m.Tick(due - second); len(m.Status(due).Damped) != 1 {
 		t.Error("it came back too early")
 	}
-	if list, _, _ := read(m.Tick(due)); list == nil || list.Entries["n3"] != at(3) || m.Next(due) != 0 {
+	if list, _, _ := read(m.Tick(due)); list == nil || list.Entries["n3"] != at(3) || m.NextTick(due) != 0 {
 		t.Errorf("after %v: %+v", due-now, list)
 	}
 
 	m, rev = New(guarded()), 1
-	m.Whole(now, 0, Whole{History: 1, Revision: 1, Items: items(1, upTo(10)...)})
+	m.OnSnapshot(now, 0, Snapshot{History: 1, Revision: 1, Items: items(1, upTo(10)...)})
 	for k := range 40 {
 		now, rev = now+50*ms, rev+1
-		c := Change{Revision: rev, Puts: items(rev, upTo(10)...)}
+		c := Update{Revision: rev, Puts: items(rev, upTo(10)...)}
 		for i := range c.Puts {
 			c.Puts[i].Entry.Draining = k%2 == 0
 		}
-		m.Change(now, 0, c)
+		m.OnUpdate(now, 0, c)
 	}
-	if n := len(m.shown); n != 10 {
+	if n := len(m.list); n != 10 {
 		t.Errorf("all flap, and %d are shown", n)
 	}
 }
@@ -417,26 +417,26 @@
 func TestMovesBetweenSources(t *testing.T) {
 	t.Parallel()
 	m := New(guarded())
-	list, _, _ := read(m.Whole(second, 1, Whole{History: 9, Revision: 7, Items: items(1, 0, 1, 2, 3)}))
+	list, _, _ := read(m.OnSnapshot(second, 1, Snapshot{History: 9, Revision: 7, Items: items(1, 0, 1, 2, 3)}))
 	if list == nil || m.Status(second).Source != "platform" {
 		t.Fatalf("%+v", m.Status(second))
 	}
-	m.Whole(2*second, 0, Whole{History: 1, Revision: 1, Items: items(1, 0, 1, 2, 3, 4)})
+	m.OnSnapshot(2*second, 0, Snapshot{History: 1, Revision: 1, Items: items(1, 0, 1, 2, 3, 4)})
 	if m.Status(2*second).Source != "platform" {
 		t.Error("moved to what was never well before")
 	}
-	if due := m.Next(2 * second); due != 5*second {
+	if due := m.NextTick(2 * second); due != 5*second {
 		t.Errorf("next at %v", due)
 	}
 	list, lines, _ := read(m.Tick(7*second + ms))
 	if list == nil || len(list.Entries) != 5 || !strings.Contains(lines, "the list is now registry's, and was platform's") {
 		t.Fatalf("%+v %s", list, lines)
 	}
-	m.Lost(8*second, 0, "reset")
+	m.OnSourceLost(8*second, 0, "reset")
 	if m.Tick(17 * second); m.Status(17*second).Source != "registry" {
 		t.Error("moved within the patience")
 	}
-	if due := m.Next(17 * second); due != 18*second {
+	if due := m.NextTick(17 * second); due != 18*second {
 		t.Errorf("next at %v", due)
 	}
 	if m.Tick(18 * second); m.Status(18*second).Source != "platform" || m.Status(18*second).Entries != 4 {
@@ -444,13 +444,13 @@
 	}
 	for k := range 20 { // it comes and goes each two seconds
 		now := 20*second + time.Duration(k)*2*second
-		m.Progress(now, 0, int64(1))
+		m.OnProgress(now, 0, int64(1))
 		m.Tick(now + second)
-		if m.Lost(now+second, 0, "reset"); m.Status(now).Source != "platform" {
+		if m.OnSourceLost(now+second, 0, "reset"); m.Status(now).Source != "platform" {
 			t.Fatalf("moved at %v", now)
 		}
 	}
-	m.Lost(90*second, 1, "gone too")
+	m.OnSourceLost(90*second, 1, "gone too")
 	if m.Tick(120 * second); m.Status(120*second).Entries != 4 {
 		t.Errorf("with both lost: %+v", m.Status(120*second))
 	}
@@ -461,31 +461,31 @@
 func TestADrainIsHeardFromAnySource(t *testing.T) {
 	t.Parallel()
 	m := New(guarded())
-	m.Whole(second, 0, Whole{History: 1, Revision: 1, Items: items(1, upTo(6)...)})
-	m.Whole(2*second, 1, Whole{History: 9, Revision: 1, Items: items(1, upTo(6)...)})
-	drains := Item{Name: "n2", Mod: 2, Entry: at(2)}
+	m.OnSnapshot(second, 0, Snapshot{History: 1, Revision: 1, Items: items(1, upTo(6)...)})
+	m.OnSnapshot(2*second, 1, Snapshot{History: 9, Revision: 1, Items: items(1, upTo(6)...)})
+	drains := Item{Name: "n2", ModRevision: 2, Entry: at(2)}
 	drains.Entry.Draining = true
-	m.Lost(3*second, 0, "cut off")
-	list, _, _ := read(m.Change(4*second, 1, Change{Revision: 2, Puts: []Item{drains}, Deletes: []string{"n1"}}))
+	m.OnSourceLost(3*second, 0, "cut off")
+	list, _, _ := read(m.OnUpdate(4*second, 1, Update{Revision: 2, Puts: []Item{drains}, Deletes: []string{"n1"}}))
 	if list == nil || !list.Entries["n1"].Draining || !list.Entries["n2"].Draining || list.Entries["n3"].Draining || len(list.Entries) != 6 {
 		t.Fatalf("%+v", list)
 	}
-	if list, _, _ = read(m.Progress(5*second, 0, 1)); list != nil {
+	if list, _, _ = read(m.OnProgress(5*second, 0, 1)); list != nil {
 		t.Errorf("that nothing has changed there takes nothing back: %+v", list)
 	}
-	list, _, _ = read(m.Change(6*second, 0, Change{Revision: 2, Puts: items(2, 1)}))
+	list, _, _ = read(m.OnUpdate(6*second, 0, Update{Revision: 2, Puts: items(2, 1)}))
 	if list == nil || list.Entries["n1"].Draining || !list.Entries["n2"].Draining {
 		t.Errorf("it speaks of one again: %+v", list)
 	}
-	ready := Item{Name: "n2", Mod: 3, Entry: at(2)}
-	if list, _, _ = read(m.Change(7*second, 1, Change{Revision: 3, Puts: []Item{ready}})); list == nil || list.Entries["n2"].Draining {
+	ready := Item{Name: "n2", ModRevision: 3, Entry: at(2)}
+	if list, _, _ = read(m.OnUpdate(7*second, 1, Update{Revision: 3, Puts: []Item{ready}})); list == nil || list.Entries["n2"].Draining {
 		t.Errorf("the other takes it back: %+v", list)
 	}
-	list, lines, _ := read(m.Whole(8*second, 1, Whole{History: 9, Revision: 4}))
+	list, lines, _ := read(m.OnSnapshot(8*second, 1, Snapshot{History: 9, Revision: 4}))
 	if list != nil || !strings.Contains(lines, "by the word of a source that does not count: left alone") {
 		t.Errorf("an empty list of the other: %+v %s", list, lines)
 	}
-	if list, _, _ = read(m.Whole(9*second, 1, Whole{History: 10, Revision: 1})); list != nil {
+	if list, _, _ = read(m.OnSnapshot(9*second, 1, Snapshot{History: 10, Revision: 1})); list != nil {
 		t.Errorf("a restored one: %+v", list)
 	}
 }
@@ -495,26 +495,26 @@
 func TestMonthsOfNewNames(t *testing.T) {
 	t.Parallel()
 	m := New(guarded())
-	m.Whole(second, 0, Whole{History: 1, Revision: 1, Items: items(1, upTo(6)...)})
-	m.Whole(second, 1, Whole{History: 9, Revision: 1, Items: items(1, upTo(6)...)})
+	m.OnSnapshot(second, 0, Snapshot{History: 1, Revision: 1, Items: items(1, upTo(6)...)})
+	m.OnSnapshot(second, 1, Snapshot{History: 9, Revision: 1, Items: items(1, upTo(6)...)})
 	now, rev := second, int64(1)
 	for n := range 250 {
 		now += time.Minute
-		come, goes := Change{Revision: rev + 1}, Change{Revision: rev + 2}
+		come, goes := Update{Revision: rev + 1}, Update{Revision: rev + 2}
 		rev += 2
 		for k := range 200 {
 			name := fmt.Sprint("x", 200*n+k)
-			come.Puts = append(come.Puts, Item{Name: name, Mod: rev, Bad: []string{"", "noise"}[k%2], Entry: at(1000 + k)})
+			come.Puts = append(come.Puts, Item{Name: name, ModRevision: rev, Malformed: []string{"", "noise"}[k%2], Entry: at(1000 + k)})
 			goes.Deletes = append(goes.Deletes, name)
 		}
-		m.Change(now, 1, come)
-		m.Change(now, 1, goes)
+		m.OnUpdate(now, 1, come)
+		m.OnUpdate(now, 1, goes)
 	}
-	if n := len(m.sources[1].left); n > mostLeft || len(m.said) > mostLines || len(m.sources[1].bad) > 0 {
-		t.Errorf("%d that left, %d lines, %d bad ones are remembered", n, len(m.said), len(m.sources[1].bad))
+	if n := len(m.sources[1].removedAt); n > maxRemovalsKept || len(m.lastLines) > maxLinesKept || len(m.sources[1].malformed) > 0 {
+		t.Errorf("%d that left, %d lines, %d bad ones are remembered", n, len(m.lastLines), len(m.sources[1].malformed))
 	}
-	m.Lost(now, 0, "cut off")
-	list, _, _ := read(m.Change(now+second, 1, Change{Revision: rev + 1, Deletes: []string{"n1"}}))
+	m.OnSourceLost(now, 0, "cut off")
+	list, _, _ := read(m.OnUpdate(now+second, 1, Update{Revision: rev + 1, Deletes: []string{"n1"}}))
 	if list == nil || !list.Entries["n1"].Draining {
 		t.Errorf("after all these nobody hears that one has left: %+v", list)
 	}
@@ -524,22 +524,22 @@
 func TestBadValues(t *testing.T) {
 	t.Parallel()
 	m := New(plain())
-	m.Whole(second, 0, Whole{History: 1, Revision: 1, Items: append(items(1, 0, 1), Item{Name: "n7", Mod: 1, Bad: "no address"})})
-	list, lines, _ := read(m.Change(2*second, 0, Change{Revision: 2, Puts: []Item{{Name: "n1", Mod: 2, Bad: "weight is text"}}}))
+	m.OnSnapshot(second, 0, Snapshot{History: 1, Revision: 1, Items: append(items(1, 0, 1), Item{Name: "n7", ModRevision: 1, Malformed: "no address"})})
+	list, lines, _ := read(m.OnUpdate(2*second, 0, Update{Revision: 2, Puts: []Item{{Name: "n1", ModRevision: 2, Malformed: "weight is text"}}}))
 	if list != nil || !strings.Contains(lines, "entry n1 can't be read (weight is text): its last good one stands") {
 		t.Errorf("%v %s", list, lines)
 	}
-	if _, lines, _ = read(m.Change(3*second, 0, Change{Revision: 3, Puts: []Item{{Name: "n1", Mod: 3, Bad: "weight is text"}}})); lines != "" {
+	if _, lines, _ = read(m.OnUpdate(3*second, 0, Update{Revision: 3, Puts: []Item{{Name: "n1", ModRevision: 3, Malformed: "weight is text"}}})); lines != "" {
 		t.Errorf("said again: %s", lines)
 	}
-	if bad := m.Status(3 * second).Sources[0].Bad; len(bad) != 2 || bad["n7"] != "no address" {
+	if bad := m.Status(3 * second).Sources[0].Malformed; len(bad) != 2 || bad["n7"] != "no address" {
 		t.Errorf("%v", bad)
 	}
-	m.Change(4*second, 0, Change{Revision: 4, Puts: items(4, 1), Deletes: []string{"n7"}})
-	if bad := m.Status(4 * second).Sources[0].Bad; len(bad) != 0 {
+	m.OnUpdate(4*second, 0, Update{Revision: 4, Puts: items(4, 1), Deletes: []string{"n7"}})
+	if bad := m.Status(4 * second).Sources[0].Malformed; len(bad) != 0 {
 		t.Errorf("%v", bad)
 	}
-	list, _, _ = read(m.Whole(5*second, 0, Whole{History: 1, Revision: 5, Items: []Item{{Name: "n1", Mod: 5, Bad: "cut off"}}}))
+	list, _, _ = read(m.OnSnapshot(5*second, 0, Snapshot{History: 1, Revision: 5, Items: []Item{{Name: "n1", ModRevision: 5, Malformed: "cut off"}}}))
 	if list == nil || len(list.Entries) != 1 || list.Entries["n1"] != at(1) {
 		t.Errorf("%+v", list)
 	}
@@ -550,12 +550,12 @@
 func TestAddresses(t *testing.T) {
 	t.Parallel()
 	m := New(plain())
-	m.Whole(second, 0, Whole{History: 1, Revision: 1, Items: items(1, 0, 1)})
-	acts := m.Change(2*second, 0, Change{Revision: 2, Puts: []Item{{Name: "n0", Mod: 2, Entry: at(5)}, {Name: "n9", Mod: 2, Entry: at(0)}}})
+	m.OnSnapshot(second, 0, Snapshot{History: 1, Revision: 1, Items: items(1, 0, 1)})
+	acts := m.OnUpdate(2*second, 0, Update{Revision: 2, Puts: []Item{{Name: "n0", ModRevision: 2, Entry: at(5)}, {Name: "n9", ModRevision: 2, Entry: at(0)}}})
 	if list, lines, _ := read(acts); len(acts) != 1 || lines != "" || len(list.Entries) != 3 || list.Entries["n0"] != at(5) || list.Entries["n9"] != at(0) {
 		t.Errorf("%+v", acts)
 	}
-	list, lines, _ := read(m.Change(3*second, 0, Change{Revision: 3, Puts: []Item{{Name: "n4", Mod: 3, Entry: at(1)}}}))
+	list, lines, _ := read(m.OnUpdate(3*second, 0, Update{Revision: 3, Puts: []Item{{Name: "n4", ModRevision: 3, Entry: at(1)}}}))
 	if len(list.Entries) != 3 || list.Entries["n4"] != at(1) || !strings.Contains(lines, "n1, n4 are all at") {
 		t.Errorf("%+v %s", list, lines)
 	}
@@ -565,15 +565,15 @@
 func TestHeldAndBackAtAnothersAddress(t *testing.T) {
 	t.Parallel()
 	m := New(guarded())
-	m.Whole(second, 0, Whole{History: 1, Revision: 1, Items: items(1, 1)})
-	if m.Whole(2*second, 0, Whole{History: 1, Revision: 2}); len(m.Status(2*second).Held) != 1 {
+	m.OnSnapshot(second, 0, Snapshot{History: 1, Revision: 1, Items: items(1, 1)})
+	if m.OnSnapshot(2*second, 0, Snapshot{History: 1, Revision: 2}); len(m.Status(2*second).Retained) != 1 {
 		t.Fatalf("%+v", m.Status(2*second))
 	}
-	draining := Item{Name: "n1", Mod: 1, Entry: at(3)}
+	draining := Item{Name: "n1", ModRevision: 1, Entry: at(3)}
 	draining.Entry.Draining = true
-	m.Whole(3*second, 0, Whole{History: 1, Revision: 3, Items: []Item{draining, {Name: "n0", Mod: 2, Entry: at(3)}}})
-	if e, there := m.shown["n1"]; there && !e.Draining || m.shown["n0"] != at(3) {
-		t.Errorf("%v", m.shown)
+	m.OnSnapshot(3*second, 0, Snapshot{History: 1, Revision: 3, Items: []Item{draining, {Name: "n0", ModRevision: 2, Entry: at(3)}}})
+	if e, there := m.list["n1"]; there && !e.Draining || m.list["n0"] != at(3) {
+		t.Errorf("%v", m.list)
 	}
 }
 
@@ -581,16 +581,16 @@
 func TestLarge(t *testing.T) {
 	t.Parallel()
 	cfg := guarded()
-	cfg.Most = 5000
+	cfg.MaxEntries = 5000
 	m := New(cfg)
-	if list, _, _ := read(m.Whole(second, 0, Whole{History: 1, Revision: 1, Items: items(1, upTo(5000)...)})); len(list.Entries) != 5000 {
+	if list, _, _ := read(m.OnSnapshot(second, 0, Snapshot{History: 1, Revision: 1, Items: items(1, upTo(5000)...)})); len(list.Entries) != 5000 {
 		t.Fatal(len(list.Entries))
 	}
-	c := Change{Revision: 2, Puts: items(2, upTo(5003)...)}
+	c := Update{Revision: 2, Puts: items(2, upTo(5003)...)}
 	for i := range c.Puts {
 		c.Puts[i].Entry.Weight = 2
 	}
-	acts := m.Change(2*second, 0, c)
+	acts := m.OnUpdate(2*second, 0, c)
 	list, lines, _ := read(acts)
 	if len(list.Entries) != 5000 || list.Entries["n77"].Weight != 2 || !strings.Contains(lines, "more than 5000 entries") {
 		t.Errorf("%d entries, %s", len(list.Entries), lines)
@@ -603,47 +603,47 @@
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := guarded()
-		cfg.Deltas = rapid.Bool().Draw(t, "deltas")
+		cfg.EmitDeltas = rapid.Bool().Draw(t, "deltas")
 		m, now := New(cfg), second
 		var last map[string]Entry
 		item := rapid.Custom(func(t *rapid.T) Item {
 			n := rapid.IntRange(0, 9).Draw(t, "n")
-			i := Item{Name: fmt.Sprint("n", n), Mod: int64(rapid.IntRange(1, 50).Draw(t, "mod")), Entry: at(rapid.IntRange(0, 11).Draw(t, "address"))}
+			i := Item{Name: fmt.Sprint("n", n), ModRevision: int64(rapid.IntRange(1, 50).Draw(t, "mod")), Entry: at(rapid.IntRange(0, 11).Draw(t, "address"))}
 			i.Entry.Draining = rapid.Bool().Draw(t, "drains")
 			if rapid.IntRange(0, 9).Draw(t, "bad") == 0 {
-				i.Bad = "noise"
+				i.Malformed = "noise"
 			}
 			return i
 		})
 		distinct := func(i Item) string { return i.Name }
 		t.Repeat(map[string]func(*rapid.T){
 			"": func(t *rapid.T) {
-				if n := m.Next(now); n != 0 && n <= now {
+				if n := m.NextTick(now); n != 0 && n <= now {
 					t.Fatalf("next at %v, now %v", n, now)
 				}
 				s := m.Status(now)
-				for _, h := range s.Held {
-					if _, there := m.shown[h]; !there {
+				for _, h := range s.Retained {
+					if _, there := m.list[h]; !there {
 						t.Fatalf("%s is held, and not shown", h)
 					}
 				}
-				if !maps.Equal(last, m.shown) {
-					t.Fatalf("told %v, shown %v", last, m.shown)
+				if !maps.Equal(last, m.list) {
+					t.Fatalf("told %v, shown %v", last, m.list)
 				}
 				// The long way comes to the same.
 				fresh := *m
-				fresh.held, fresh.flaps, fresh.damp, fresh.said = maps.Clone(m.held), maps.Clone(m.flaps), maps.Clone(m.damp), maps.Clone(m.said)
-				fresh.sizes, fresh.out = slices.Clone(m.sizes), nil
-				if fresh.show(now); !maps.Equal(fresh.shown, m.shown) {
-					t.Fatalf("shown %v, and the long way %v", m.shown, fresh.shown)
+				fresh.retained, fresh.flaps, fresh.damped, fresh.lastLines = maps.Clone(m.retained), maps.Clone(m.flaps), maps.Clone(m.damped), maps.Clone(m.lastLines)
+				fresh.recentSizes, fresh.actions = slices.Clone(m.recentSizes), nil
+				if fresh.publish(now); !maps.Equal(fresh.list, m.list) {
+					t.Fatalf("shown %v, and the long way %v", m.list, fresh.list)
 				}
 				if m.active < 0 {
 					return
 				}
 				src := m.sources[m.active]
-				for name, e := range m.shown {
+				for name, e := range m.list {
 					i, there := src.items[name]
-					if !there && !slices.Contains(s.Held, name) {
+					if !there && !slices.Contains(s.Retained, name) {
 						t.Fatalf("%s is gone, not held, and shown", name)
 					}
 					if there && i.Entry.Draining && !e.Draining {
@@ -657,7 +657,7 @@
 			},
 			"whole": func(t *rapid.T) {
 				src := rapid.IntRange(0, 1).Draw(t, "source")
-				keep(&last, m.Whole(now, src, Whole{
+				keep(&last, m.OnSnapshot(now, src, Snapshot{
 					History: uint64(rapid.IntRange(1, 2).Draw(t, "history")), Revision: int64(rapid.IntRange(0, 60).Draw(t, "revision")),
 					Items: rapid.SliceOfNDistinct(item, 0, 10, distinct).Draw(t, "items"), Stale: rapid.Bool().Draw(t, "stale"),
 				}))
@@ -671,17 +671,17 @@
 						deletes = append(deletes, name)
 					}
 				}
-				keep(&last, m.Change(now, src, Change{m.sources[src].revision + int64(rapid.IntRange(0, 3).Draw(t, "by")), puts, deletes}))
+				keep(&last, m.OnUpdate(now, src, Update{m.sources[src].revision + int64(rapid.IntRange(0, 3).Draw(t, "by")), puts, deletes}))
 			},
 			"progress": func(t *rapid.T) {
 				src := rapid.IntRange(0, 1).Draw(t, "source")
-				keep(&last, m.Progress(now, src, int64(rapid.IntRange(0, 60).Draw(t, "revision"))))
+				keep(&last, m.OnProgress(now, src, int64(rapid.IntRange(0, 60).Draw(t, "revision"))))
 			},
-			"compacted": func(t *rapid.T) { keep(&last, m.Compacted(now, rapid.IntRange(0, 1).Draw(t, "source"))) },
-			"lost":      func(t *rapid.T) { keep(&last, m.Lost(now, rapid.IntRange(0, 1).Draw(t, "source"), "reset")) },
-			"confirm":   func(t *rapid.T) { keep(&last, m.Confirm(now)) },
+			"compacted": func(t *rapid.T) { keep(&last, m.OnCompacted(now, rapid.IntRange(0, 1).Draw(t, "source"))) },
+			"lost":      func(t *rapid.T) { keep(&last, m.OnSourceLost(now, rapid.IntRange(0, 1).Draw(t, "source"), "reset")) },
+			"confirm":   func(t *rapid.T) { keep(&last, m.ConfirmRemovals(now)) },
 			"old": func(t *rapid.T) {
-				keep(&last, m.Known(now, map[string]Entry{"n0": at(0), "n1": at(1)}))
+				keep(&last, m.OnCachedList(now, map[string]Entry{"n0": at(0), "n1": at(1)}))
 			},
 		})
 	})
--- a/internal/discovery/membership/some.go
+++ b/internal/discovery/membership/some.go
@@ -9,15 +9,15 @@
 // Of thousands of entries a few change at a time. Where nothing is held, damped or heeded, what becomes of
 // these shows without a look at all the others. Every doubt goes the long way.
 
-// showSome tells what a change of a source comes to, and tells whether it could.
-func (m *Model) showSome(now time.Duration, src int, touched []string) bool {
-	if !m.whole || m.active < 0 || m.cached != m.shownCached || len(m.held) > 0 || len(m.damp) > 0 || m.unheeded || len(m.flaps) > 2*len(m.shown)+1000 {
+// publishIncrementally tells what a change of a source comes to, and tells whether it could.
+func (m *Model) publishIncrementally(now time.Duration, src int, touched []string) bool {
+	if !m.incremental || m.active < 0 || m.wantCached != m.listCached || len(m.retained) > 0 || len(m.damped) > 0 || m.drainsIgnored || len(m.flaps) > 2*len(m.list)+1000 {
 		return false
 	}
 	items := m.sources[m.active].items
 	if src != m.active {
 		for _, name := range touched {
-			if e, shown := m.shown[name]; shown && (e.Draining && !items[name].Entry.Draining) != m.leaves(name) {
+			if e, shown := m.list[name]; shown && (e.Draining && !items[name].Entry.Draining) != m.drainsElsewhere(name) {
 				return false
 			}
 		}
@@ -26,82 +26,82 @@
 	// Whoever shares an address with one that changed may count now, or no more.
 	for _, name := range touched {
 		if i, there := items[name]; there {
-			if at := m.addresses[i.Entry.Addr]; !slices.Contains(at, name) {
-				m.addresses[i.Entry.Addr] = append(at, name)
+			if at := m.namesByAddress[i.Entry.Addr]; !slices.Contains(at, name) {
+				m.namesByAddress[i.Entry.Addr] = append(at, name)
 			}
 		}
 	}
 	for _, name := range slices.Clone(touched) {
 		i, there := items[name]
-		if e, was := m.shown[name]; was && (!there || e.Addr != i.Entry.Addr) {
-			touched = append(touched, m.addresses[e.Addr]...)
+		if e, was := m.list[name]; was && (!there || e.Addr != i.Entry.Addr) {
+			touched = append(touched, m.namesByAddress[e.Addr]...)
 		}
 		if there {
-			touched = append(touched, m.addresses[i.Entry.Addr]...)
+			touched = append(touched, m.namesByAddress[i.Entry.Addr]...)
 		}
 	}
 	slices.Sort(touched)
 	d := Delta{Changed: map[string]Entry{}}
 	for _, name := range slices.Compact(touched) {
 		i, there := items[name]
-		there = there && m.latest(m.addresses[i.Entry.Addr]) == name
-		e, was := m.shown[name]
+		there = there && m.latestAt(m.namesByAddress[i.Entry.Addr]) == name
+		e, was := m.list[name]
 		switch {
-		case there && (m.leaves(name) || m.flaps[name].fade(now, m.cfg).n+1 > m.cfg.FlapMost && m.cfg.FlapMost > 0):
+		case there && (m.drainsElsewhere(name) || m.flaps[name].decayed(now, m.config).penalty+1 > m.config.MaxFlaps && m.config.MaxFlaps > 0):
 			return false
 		case there && (!was || e != i.Entry):
 			d.Changed[name] = i.Entry
 		case !there && was:
-			d.Gone = append(d.Gone, name)
+			d.Removed = append(d.Removed, name)
 		}
 	}
-	n := len(m.shown) - len(d.Gone)
+	n := len(m.list) - len(d.Removed)
 	for name := range d.Changed {
-		if _, was := m.shown[name]; !was {
+		if _, was := m.list[name]; !was {
 			n++
 		}
 	}
-	if m.cfg.Guard > 0 && m.cfg.Guard < 1 {
-		if n < m.floor(now, n) {
+	if m.config.MaxLossFraction > 0 && m.config.MaxLossFraction < 1 {
+		if n < m.minSize(now, n) {
 			return false
 		}
-		m.measure(now, n)
+		m.recordSize(now, n)
 	}
-	if len(d.Changed)+len(d.Gone) == 0 {
+	if len(d.Changed)+len(d.Removed) == 0 {
 		return true
 	}
-	for _, name := range d.Gone {
-		delete(m.shown, name)
+	for _, name := range d.Removed {
+		delete(m.list, name)
 		if f, seen := m.flaps[name]; seen {
-			f.in = false
+			f.ready = false
 			m.flaps[name] = f
 		}
 	}
 	for name, e := range d.Changed {
-		m.shown[name] = e
-		m.flapped(now, name, !e.Draining)
+		m.list[name] = e
+		m.recordFlap(now, name, !e.Draining)
 	}
-	if m.cfg.Deltas {
-		m.out = append(m.out, d)
+	if m.config.EmitDeltas {
+		m.actions = append(m.actions, d)
 	} else {
-		m.out = append(m.out, List{Entries: maps.Clone(m.shown), Cached: m.cached})
+		m.actions = append(m.actions, FullList{Entries: maps.Clone(m.list), Cached: m.wantCached})
 	}
 	return true
 }
 
-// leaveAddresses takes those out of the addresses that a change moves or removes.
-func (m *Model) leaveAddresses(c Change) {
-	if m.addresses == nil {
+// dropAddresses takes those out of the addresses that a change moves or removes.
+func (m *Model) dropAddresses(c Update) {
+	if m.namesByAddress == nil {
 		return
 	}
 	items := m.sources[m.active].items
 	leave := func(name string) {
 		if i, there := items[name]; there {
-			at := m.addresses[i.Entry.Addr]
+			at := m.namesByAddress[i.Entry.Addr]
 			if at = slices.DeleteFunc(slices.Clone(at), func(n string) bool { return n == name }); len(at) == 0 {
-				delete(m.addresses, i.Entry.Addr)
+				delete(m.namesByAddress, i.Entry.Addr)
 			} else {
-				m.addresses[i.Entry.Addr] = at
+				m.namesByAddress[i.Entry.Addr] = at
 			}
 		}
 	}
@@ -109,7 +109,7 @@
 		leave(name)
 	}
 	for _, i := range c.Puts {
-		if i.Bad == "" && i.Name != Confirm {
+		if i.Malformed == "" && i.Name != ConfirmKey {
 			leave(i.Name)
 		}
 	}
--- a/internal/discovery/registry/compatibility_test.go
+++ b/internal/discovery/registry/compatibility_test.go
@@ -62,18 +62,18 @@
 type told struct{ strings.Builder }
 
 func (w *told) item(i membership.Item) {
-	fmt.Fprintf(w, "    %s at %d: address %s, zone %s, kind %s, cell %d, draining %v, weight %v, started %d, can be read %v\n", i.Name, i.Mod,
-		i.Entry.Addr, i.Entry.Zone, i.Entry.Kind, i.Entry.Cell, i.Entry.Draining, i.Entry.Weight, i.Entry.Started, i.Bad == "")
+	fmt.Fprintf(w, "    %s at %d: address %s, zone %s, kind %s, cell %d, draining %v, weight %v, started %d, can be read %v\n", i.Name, i.ModRevision,
+		i.Entry.Addr, i.Entry.Zone, i.Entry.Kind, i.Entry.Cell, i.Entry.Draining, i.Entry.Weight, i.Entry.Started, i.Malformed == "")
 }
 
-func (w *told) Whole(l membership.Whole) {
+func (w *told) Whole(l membership.Snapshot) {
 	fmt.Fprintf(w, "  list: history %d, revision %d, stale %v\n", l.History, l.Revision, l.Stale)
 	for _, i := range l.Items {
 		w.item(i)
 	}
 }
 
-func (w *told) Change(c membership.Change) {
+func (w *told) Change(c membership.Update) {
 	fmt.Fprintf(w, "  change at %d: deleted %q\n", c.Revision, c.Deletes)
 	for _, i := range c.Puts {
 		w.item(i)
@@ -218,7 +218,7 @@
 		fmt.Fprintf(&got, "%s\n", text)
 		got.item(Item("marlreel/nodes/", "marlreel/nodes/n1", text, 5))
 	}
-	got.item(Item("marlreel/nodes/", "marlreel/nodes/"+membership.Confirm, []byte("17"), 6))
+	got.item(Item("marlreel/nodes/", "marlreel/nodes/"+membership.ConfirmKey, []byte("17"), 6))
 	compareRecorded(t, "node-values.txt", []byte(got.String()))
 }
 
--- a/internal/discovery/registry/consul.go
+++ b/internal/discovery/registry/consul.go
@@ -29,7 +29,7 @@
 const blockFor = 55 * time.Second
 
 // Whole implements Client. Where there is no leader, a server's own word is taken as what it is.
-func (c *consul) Whole(ctx context.Context) (membership.Whole, error) {
+func (c *consul) Whole(ctx context.Context) (membership.Snapshot, error) {
 	w, err := c.query(ctx, 0, "consistent")
 	if bad, is := err.(*callError); is && bad.Status >= 500 {
 		if old, err := c.query(ctx, 0, "stale"); err == nil {
@@ -41,7 +41,7 @@
 }
 
 // Watch implements Client: one query after the other.
-func (c *consul) Watch(ctx context.Context, from membership.Whole, told Told) error {
+func (c *consul) Watch(ctx context.Context, from membership.Snapshot, told Told) error {
 	index := from.Revision
 	for {
 		w, err := c.query(ctx, index, "consistent")
@@ -66,7 +66,7 @@
 }
 
 // query asks for all nodes, and waits for an index beyond the one given; 0 is not to wait.
-func (c *consul) query(ctx context.Context, index int64, mode string) (membership.Whole, error) {
+func (c *consul) query(ctx context.Context, index int64, mode string) (membership.Snapshot, error) {
 	within := callWithin
 	ask := "?recurse=true&" + mode
 	if index > 0 {
@@ -78,25 +78,25 @@
 	head := http.Header{}
 	token, err := c.cfg.password()
 	if err != nil {
-		return membership.Whole{}, err
+		return membership.Snapshot{}, err
 	}
 	if token != "" {
 		head.Set("X-Consul-Token", token)
 	}
 	r, err := c.call(ctx, http.MethodGet, "/v1/kv/"+escape(c.cfg.Prefix)+ask, head, nil)
 	if err != nil {
-		return membership.Whole{}, err
+		return membership.Snapshot{}, err
 	}
 	defer r.Body.Close()
 	// 404 with an index: there are no keys.
 	at, err := strconv.ParseInt(r.Header.Get("X-Consul-Index"), 10, 64)
 	if r.StatusCode != http.StatusOK && (r.StatusCode != http.StatusNotFound || err != nil) {
-		return membership.Whole{}, readError(r)
+		return membership.Snapshot{}, readError(r)
 	}
 	if err != nil || at < 1 {
-		return membership.Whole{}, fmt.Errorf("X-Consul-Index = %.40q: a number above 0 is needed", r.Header.Get("X-Consul-Index"))
+		return membership.Snapshot{}, fmt.Errorf("X-Consul-Index = %.40q: a number above 0 is needed", r.Header.Get("X-Consul-Index"))
 	}
-	w := membership.Whole{Revision: at}
+	w := membership.Snapshot{Revision: at}
 	if r.StatusCode == http.StatusNotFound {
 		return w, nil
 	}
--- a/internal/discovery/registry/etcd.go
+++ b/internal/discovery/registry/etcd.go
@@ -144,7 +144,7 @@
 
 // Whole implements Client: page by page, all at the revision of the first. Where no member can tell what is
 // newest, one's own word is taken as what it is: perhaps old.
-func (e *etcd) Whole(ctx context.Context) (membership.Whole, error) {
+func (e *etcd) Whole(ctx context.Context) (membership.Snapshot, error) {
 	w, err := e.whole(ctx, false)
 	var bad *callError
 	if err != nil && (errors.As(err, &bad) && bad.Code != codeOutOfRange && bad.Status >= 500 || errors.Is(err, context.DeadlineExceeded)) && ctx.Err() == nil {
@@ -155,8 +155,8 @@
 	return w, err
 }
 
-func (e *etcd) whole(ctx context.Context, stale bool) (membership.Whole, error) {
-	w := membership.Whole{Stale: stale}
+func (e *etcd) whole(ctx context.Context, stale bool) (membership.Snapshot, error) {
+	w := membership.Snapshot{Stale: stale}
 	key := []byte(e.cfg.Prefix)
 	for {
 		ask := map[string]any{"key": key, "range_end": rangeEnd(e.cfg.Prefix), "limit": pageOf, "serializable": stale || w.Revision > 0}
@@ -187,7 +187,7 @@
 const watchSilence = 15 * time.Minute
 
 // Watch implements Client.
-func (e *etcd) Watch(ctx context.Context, from membership.Whole, told Told) error {
+func (e *etcd) Watch(ctx context.Context, from membership.Snapshot, told Told) error {
 	head, err := e.authorization(ctx)
 	if err != nil {
 		return err
@@ -250,11 +250,11 @@
 }
 
 // read tells what a watch brings.
-func (e *etcd) read(ctx context.Context, body io.Reader, opening *silence, from membership.Whole, told Told) error {
+func (e *etcd) read(ctx context.Context, body io.Reader, opening *silence, from membership.Snapshot, told Told) error {
 	// A message has its bound; so has what fragments add up to.
 	in := &bounded{r: body, left: longestBody}
 	d := json.NewDecoder(in)
-	var parts []membership.Change
+	var parts []membership.Update
 	total := 0
 	for {
 		var m etcdWatch
@@ -296,7 +296,7 @@
 			}
 			// Transactions are told whole: one message may have several, and one may come in fragments.
 			if n := len(parts); n == 0 || parts[n-1].Revision != ev.KV.Mod {
-				parts = append(parts, membership.Change{Revision: ev.KV.Mod})
+				parts = append(parts, membership.Update{Revision: ev.KV.Mod})
 			}
 			c := &parts[len(parts)-1]
 			if ev.Type == "DELETE" {
--- a/internal/discovery/registry/registry.go
+++ b/internal/discovery/registry/registry.go
@@ -21,8 +21,8 @@
 
 // Told is what a client has to tell. Its methods are called on one goroutine.
 type Told interface {
-	Whole(w membership.Whole)
-	Change(c membership.Change)
+	Whole(w membership.Snapshot)
+	Change(c membership.Update)
 	Progress(revision int64)
 	Compacted()
 	Lost(why string)
@@ -31,10 +31,10 @@
 // Client speaks one registry's protocol.
 type Client interface {
 	// Whole reads all nodes at one revision.
-	Whole(ctx context.Context) (membership.Whole, error)
+	Whole(ctx context.Context) (membership.Snapshot, error)
 	// Watch tells what comes after a revision until it breaks. ErrCompacted and ErrHistory say that the whole
 	// list is needed first.
-	Watch(ctx context.Context, w membership.Whole, told Told) error
+	Watch(ctx context.Context, w membership.Snapshot, told Told) error
 	// Next goes on to the next endpoint.
 	Next()
 }
@@ -66,7 +66,7 @@
 		case <-time.After(d):
 		}
 	}
-	var held membership.Whole
+	var held membership.Snapshot
 	have := false
 	for ctx.Err() == nil {
 		if !have {
@@ -130,16 +130,16 @@
 // position follows how far a watch has come: the next one goes on from there.
 type position struct {
 	Told
-	at    *membership.Whole
+	at    *membership.Snapshot
 	moved bool
 }
 
-func (p *position) Whole(w membership.Whole) {
-	*p.at, p.moved = membership.Whole{History: w.History, Revision: w.Revision}, true
+func (p *position) Whole(w membership.Snapshot) {
+	*p.at, p.moved = membership.Snapshot{History: w.History, Revision: w.Revision}, true
 	p.Told.Whole(w)
 }
 
-func (p *position) Change(c membership.Change) {
+func (p *position) Change(c membership.Update) {
 	p.at.Revision, p.moved = max(p.at.Revision, c.Revision), true
 	p.Told.Change(c)
 }
@@ -178,16 +178,16 @@
 // Item reads a node's entry. What can't be read is an item that says why.
 func Item(prefix, key string, value []byte, mod int64) membership.Item {
 	name, ok := strings.CutPrefix(key, prefix)
-	i := membership.Item{Name: name, Mod: mod}
-	if ok && name == membership.Confirm {
+	i := membership.Item{Name: name, ModRevision: mod}
+	if ok && name == membership.ConfirmKey {
 		return i
 	}
 	v, err := parseValue(value)
 	switch {
 	case !ok || name == "" || len(name) > 128 || strings.ContainsFunc(name, func(r rune) bool { return r <= ' ' || r == 0x7f || r == '/' }):
-		i.Bad = fmt.Sprintf("key %.140q: %s and an id of printable characters without spaces and slashes is needed", key, prefix)
+		i.Malformed = fmt.Sprintf("key %.140q: %s and an id of printable characters without spaces and slashes is needed", key, prefix)
 	case err != nil:
-		i.Bad = err.Error()
+		i.Malformed = err.Error()
 	default:
 		weight := v.Weight
 		if weight == 0 {
--- a/internal/discovery/registry/registry_test.go
+++ b/internal/discovery/registry/registry_test.go
@@ -48,12 +48,12 @@
 func (f *follower) do(acts []membership.Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
-		case membership.List:
+		case membership.FullList:
 			f.list = a.Entries
 			f.lists++
-		case membership.Say:
+		case membership.LogLine:
 			f.lines = append(f.lines, string(a))
-		case membership.Load:
+		case membership.RequestSnapshot:
 			select {
 			case f.again <- struct{}{}:
 			default:
@@ -73,24 +73,24 @@
 	f.do(event())
 }
 
-func (f *follower) Whole(w membership.Whole) {
-	f.on(func() []membership.Action { return f.model.Whole(f.now(), 0, w) })
+func (f *follower) Whole(w membership.Snapshot) {
+	f.on(func() []membership.Action { return f.model.OnSnapshot(f.now(), 0, w) })
 }
 
-func (f *follower) Change(c membership.Change) {
-	f.on(func() []membership.Action { return f.model.Change(f.now(), 0, c) })
+func (f *follower) Change(c membership.Update) {
+	f.on(func() []membership.Action { return f.model.OnUpdate(f.now(), 0, c) })
 }
 
 func (f *follower) Progress(r int64) {
-	f.on(func() []membership.Action { return f.model.Progress(f.now(), 0, r) })
+	f.on(func() []membership.Action { return f.model.OnProgress(f.now(), 0, r) })
 }
 
 func (f *follower) Compacted() {
-	f.on(func() []membership.Action { return f.model.Compacted(f.now(), 0) })
+	f.on(func() []membership.Action { return f.model.OnCompacted(f.now(), 0) })
 }
 
 func (f *follower) Lost(why string) {
-	f.on(func() []membership.Action { return f.model.Lost(f.now(), 0, why) })
+	f.on(func() []membership.Action { return f.model.OnSourceLost(f.now(), 0, why) })
 }
 
 func (f *follower) status() membership.Status {
@@ -150,7 +150,7 @@
 }
 
 func plain() membership.Config {
-	return membership.Config{Sources: []string{"registry"}, Patience: time.Minute, Guard: 1, Most: 20000}
+	return membership.Config{Sources: []string{"registry"}, LossTimeout: time.Minute, MaxLossFraction: 1, MaxEntries: 20000}
 }
 
 func node(n, port int, state string) standin.RegistryOp {
@@ -166,7 +166,7 @@
 	out := map[string]membership.Entry{}
 	for k, v := range r.State(revision) {
 		if strings.HasPrefix(k, prefix) {
-			if i := Item(prefix, k, []byte(v), 1); i.Bad == "" {
+			if i := Item(prefix, k, []byte(v), 1); i.Malformed == "" {
 				out[i.Name] = i.Entry
 			}
 		}
@@ -212,13 +212,13 @@
 		r.Txn(gone(0), gone(1))
 		caughtUp(t, f, r)
 		r.Txn(standin.RegistryOp{Key: prefix + "n2", Value: "{"}, standin.RegistryOp{Key: prefix + "n9", Value: `{"v":2}`}, node(3, 1003, "ready"))
-		testutil.Eventually(t, "the bad values", func() bool { return len(f.status().Sources[0].Bad) == 2 })
+		testutil.Eventually(t, "the bad values", func() bool { return len(f.status().Sources[0].Malformed) == 2 })
 		if s := f.status(); s.Entries != 2 || s.Age < 0 {
 			t.Errorf("%+v", s)
 		}
 		r.Txn(node(2, 1002, "ready"), standin.RegistryOp{Key: prefix + "n9", Delete: true})
 		caughtUp(t, f, r)
-		if s := f.status(); len(s.Sources[0].Bad) != 0 {
+		if s := f.status(); len(s.Sources[0].Malformed) != 0 {
 			t.Errorf("%+v", s)
 		}
 	})
@@ -334,14 +334,14 @@
 		cfg.Endpoints = []string{"http://" + dead.Addr().String(), r.URL()}
 		f := follow(t, cfg, plain())
 		caughtUp(t, f, r)
-		if !f.said("lost (") || !f.said("found again") && f.status().Sources[0].Lost {
+		if !f.said("lost (") || !f.said("found again") && f.status().Sources[0].Unreachable {
 			t.Errorf("%v", f.lines)
 		}
 		if kind == "consul" {
 			return // a blocking query that is cut off ends with its own time, a minute
 		}
 		r.Cut(true)
-		testutil.Eventually(t, "the loss", func() bool { return f.status().Sources[0].Lost })
+		testutil.Eventually(t, "the loss", func() bool { return f.status().Sources[0].Unreachable })
 		if f.status().Entries != 1 {
 			t.Error("the list went with the registry")
 		}
@@ -543,11 +543,11 @@
 	}
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
 		i := Item(prefix, key, value, 3)
-		if i.Bad == "" && (i.Name == "" || prefix+i.Name != key || i.Entry.Addr == "" || i.Entry.Zone == "" || !(i.Entry.Weight > 0) || i.Mod != 3) {
+		if i.Malformed == "" && (i.Name == "" || prefix+i.Name != key || i.Entry.Addr == "" || i.Entry.Zone == "" || !(i.Entry.Weight > 0) || i.ModRevision != 3) {
 			t.Errorf("%q: %+v", value, i)
 		}
-		if strings.Contains(i.Bad, "\n") {
-			t.Errorf("%q", i.Bad)
+		if strings.Contains(i.Malformed, "\n") {
+			t.Errorf("%q", i.Malformed)
 		}
 	})
 }
--- a/internal/discovery/registry/write.go
+++ b/internal/discovery/registry/write.go
@@ -312,16 +312,16 @@
 	if err != nil {
 		return "", err
 	}
-	if there.Mod != 0 && there.Bad == "" && there.Entry.Addr != r.Value.Address {
+	if there.ModRevision != 0 && there.Malformed == "" && there.Entry.Addr != r.Value.Address {
 		return "", &NameHeldError{r.Name, there.Entry.Addr}
 	}
 	lease, err := w.Grant(ctx, r.TTL)
 	if err != nil {
 		return "", err
 	}
-	if there.Mod != 0 {
+	if there.ModRevision != 0 {
 		// Its old lease would take the entry with it at its end: it is made anew.
-		if err := w.Delete(ctx, r.Name, there.Mod); err != nil {
+		if err := w.Delete(ctx, r.Name, there.ModRevision); err != nil {
 			return "", errors.Join(err, w.Revoke(ctx, lease))
 		}
 	}
--- a/internal/discovery/registry/write_test.go
+++ b/internal/discovery/registry/write_test.go
@@ -48,19 +48,19 @@
 			t.Fatalf("%+v, %v", i, err)
 		}
 		r.Txn(node(9, 9, "ready")) // another key's write is no conflict
-		if err := w.Put(t.Context(), "n1", value(t, "127.0.0.1:3", "draining"), i.Mod, ""); err != nil {
+		if err := w.Put(t.Context(), "n1", value(t, "127.0.0.1:3", "draining"), i.ModRevision, ""); err != nil {
 			t.Error(err)
 		}
-		if err := w.Delete(t.Context(), "n1", i.Mod); !errors.Is(err, ErrConflict) {
+		if err := w.Delete(t.Context(), "n1", i.ModRevision); !errors.Is(err, ErrConflict) {
 			t.Errorf("a deletion of what has changed: %v", err)
 		}
 		if i, _ = Read(t.Context(), w, "n1"); !i.Entry.Draining {
 			t.Errorf("%+v", i)
 		}
-		if err := w.Delete(t.Context(), "n1", i.Mod); err != nil {
+		if err := w.Delete(t.Context(), "n1", i.ModRevision); err != nil {
 			t.Error(err)
 		}
-		if i, err = Read(t.Context(), w, "n1"); err != nil || i.Mod != 0 {
+		if i, err = Read(t.Context(), w, "n1"); err != nil || i.ModRevision != 0 {
 			t.Errorf("%+v, %v", i, err)
 		}
 		r.Quorum(false)
--- a/internal/discovery/sources/sources.go
+++ b/internal/discovery/sources/sources.go
@@ -152,13 +152,13 @@
 func (s *Source) enter() {
 	c := s.cfg
 	s.model = membership.New(membership.Config{
-		Sources: []string{"registry", "platform"}, Patience: c.Patience.D(), Settle: c.Settle.D(), Guard: c.Guard,
-		Over: c.GuardOver.D(), FlapMost: c.Flaps, FlapOver: c.FlapOver.D(), Most: 20_000, Deltas: true,
+		Sources: []string{"registry", "platform"}, LossTimeout: c.Patience.D(), FailbackDelay: c.Settle.D(), MaxLossFraction: c.Guard,
+		LossWindow: c.GuardOver.D(), MaxFlaps: c.Flaps, FlapDecay: c.FlapOver.D(), MaxEntries: 20_000, EmitDeltas: true,
 	})
-	w := membership.Whole{Revision: int64(s.version)}
+	w := membership.Snapshot{Revision: int64(s.version)}
 	known := map[string]membership.Entry{}
 	s.host.Backends(func(b *engine.Backend) {
-		i := membership.Item{Name: b.Name, Mod: int64(s.version), Entry: s.entryOf(b)}
+		i := membership.Item{Name: b.Name, ModRevision: int64(s.version), Entry: s.entryOf(b)}
 		w.Items = append(w.Items, i)
 		known[i.Name] = i.Entry
 	})
@@ -167,9 +167,9 @@
 	}
 	// What stands may be the list from before this process. The platform goes on from it, so it has to know
 	// it; whose it is shows with the first word of either.
-	s.drop(s.model.Known(s.host.Now(), known))
+	s.drop(s.model.OnCachedList(s.host.Now(), known))
 	if s.heard() {
-		s.drop(s.model.Whole(s.host.Now(), ofPlatform, w))
+		s.drop(s.model.OnSnapshot(s.host.Now(), ofPlatform, w))
 	}
 }
 
@@ -178,7 +178,7 @@
 
 // leave ends it: the platform's list counts from now on, as far as it is known.
 func (s *Source) leave() {
-	list, known := s.model.Of(ofPlatform)
+	list, known := s.model.SourceList(ofPlatform)
 	s.model, s.due = nil, 0
 	s.logf("registry: off")
 	if known {
@@ -207,7 +207,7 @@
 			gone = append(gone, e.Name)
 			continue
 		}
-		i := membership.Item{Name: e.Name, Mod: int64(l.Version), Entry: membership.Entry{
+		i := membership.Item{Name: e.Name, ModRevision: int64(l.Version), Entry: membership.Entry{
 			Addr: e.Addr, Zone: s.zones[e.Zone], Kind: s.kinds[e.Kind], Cell: e.Cell,
 			Draining: e.State == balancer.Draining, Weight: e.Weight,
 		}}
@@ -218,10 +218,10 @@
 	}
 	now := s.host.Now()
 	if l.Kind == balancer.ListDelta {
-		s.apply(s.model.Change(now, ofPlatform, membership.Change{Revision: int64(l.Version), Puts: puts, Deletes: gone}))
+		s.apply(s.model.OnUpdate(now, ofPlatform, membership.Update{Revision: int64(l.Version), Puts: puts, Deletes: gone}))
 		return
 	}
-	s.apply(s.model.Whole(now, ofPlatform, membership.Whole{Revision: int64(l.Version), Items: puts}))
+	s.apply(s.model.OnSnapshot(now, ofPlatform, membership.Snapshot{Revision: int64(l.Version), Items: puts}))
 }
 
 // told is what a registry's client tells, on its own goroutine.
@@ -238,37 +238,45 @@
 	})
 }
 
-func (t told) Whole(w membership.Whole) {
+func (t told) Whole(w membership.Snapshot) {
 	t.s.checkZones(w.Items)
-	t.on(func(m *membership.Model, now time.Duration) []membership.Action { return m.Whole(now, ofRegistry, w) })
+	t.on(func(m *membership.Model, now time.Duration) []membership.Action {
+		return m.OnSnapshot(now, ofRegistry, w)
+	})
 }
 
-func (t told) Change(c membership.Change) {
+func (t told) Change(c membership.Update) {
 	t.s.checkZones(c.Puts)
-	t.on(func(m *membership.Model, now time.Duration) []membership.Action { return m.Change(now, ofRegistry, c) })
+	t.on(func(m *membership.Model, now time.Duration) []membership.Action {
+		return m.OnUpdate(now, ofRegistry, c)
+	})
 }
 
 func (t told) Progress(revision int64) {
 	t.on(func(m *membership.Model, now time.Duration) []membership.Action {
-		return m.Progress(now, ofRegistry, revision)
+		return m.OnProgress(now, ofRegistry, revision)
 	})
 }
 
 func (t told) Compacted() {
-	t.on(func(m *membership.Model, now time.Duration) []membership.Action { return m.Compacted(now, ofRegistry) })
+	t.on(func(m *membership.Model, now time.Duration) []membership.Action {
+		return m.OnCompacted(now, ofRegistry)
+	})
 }
 
 func (t told) Lost(why string) {
-	t.on(func(m *membership.Model, now time.Duration) []membership.Action { return m.Lost(now, ofRegistry, why) })
+	t.on(func(m *membership.Model, now time.Duration) []membership.Action {
+		return m.OnSourceLost(now, ofRegistry, why)
+	})
 }
 
 // checkZones marks entries in zones that the settings don't have. Names are never changed.
 func (s *Source) checkZones(items []membership.Item) {
 	zones := s.names.Load().Zones
 	for k := range items {
-		if i := &items[k]; i.Bad == "" && i.Name != membership.Confirm {
+		if i := &items[k]; i.Malformed == "" && i.Name != membership.ConfirmKey {
 			if _, known := zones[i.Entry.Zone]; !known {
-				i.Bad = fmt.Sprintf("unknown zone %.80q", i.Entry.Zone)
+				i.Malformed = fmt.Sprintf("unknown zone %.80q", i.Entry.Zone)
 			}
 		}
 	}
@@ -278,9 +286,9 @@
 func (s *Source) apply(acts []membership.Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
-		case membership.Say:
+		case membership.LogLine:
 			s.logf("list: %s", string(a))
-		case membership.Load:
+		case membership.RequestSnapshot:
 			if a.Source == ofPlatform {
 				s.platform.Fetch()
 			} else if s.life != nil {
@@ -289,7 +297,7 @@
 				default: // it is asked for already
 				}
 			}
-		case membership.List:
+		case membership.FullList:
 			s.tell(a.Entries, a.Cached)
 		case membership.Delta:
 			s.tellSome(a)
@@ -300,13 +308,13 @@
 
 // drop carries out all but lists: the engine has this one.
 func (s *Source) drop(acts []membership.Action) {
-	s.apply(slices.DeleteFunc(acts, func(a membership.Action) bool { _, is := a.(membership.List); return is }))
+	s.apply(slices.DeleteFunc(acts, func(a membership.Action) bool { _, is := a.(membership.FullList); return is }))
 }
 
 // schedule sees to it that what time alone brings about happens.
 func (s *Source) schedule() {
 	now := s.host.Now()
-	next := s.model.Next(now)
+	next := s.model.NextTick(now)
 	if next == 0 || s.due > now && s.due <= next {
 		return
 	}
@@ -337,7 +345,7 @@
 func (s *Source) tellSome(d membership.Delta) {
 	s.number++
 	l := engine.List{Kind: balancer.ListDelta, Version: s.number}
-	for _, name := range d.Gone { // first: another may have the address now
+	for _, name := range d.Removed { // first: another may have the address now
 		l.Entries = append(l.Entries, engine.Entry{Name: name, Zone: -1, Kind: -1, State: balancer.Gone})
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.Changed)) {
--- a/internal/proxy/sources_test.go
+++ b/internal/proxy/sources_test.go
@@ -117,7 +117,7 @@
 		}
 		defer resp.Body.Close()
 		var s membership.Status
-		return json.NewDecoder(resp.Body).Decode(&s) == nil && s.Source == "registry" && len(s.Held) == 3 && s.Entries == 3
+		return json.NewDecoder(resp.Body).Decode(&s) == nil && s.Source == "registry" && len(s.Retained) == 3 && s.Entries == 3
 	})
 	r.Txn(listed(t, "s-4", named(t, "two"), "ready"), standin.RegistryOp{Key: nodesPrefix + "_confirm", Value: "{}"})
 	eventually(t, "the confirmation", func() bool { return strings.Contains(p.log.String(), "an operator confirmed the list: 1 entries") })
