--- a/internal/process/transport/server.go
+++ b/internal/process/transport/server.go
@@ -27,7 +27,7 @@
 	}
 	var routes []route
 	for _, service := range services {
-		routes = append(routes, route{[]byte(service.PathPrefix()), fasthttpadaptor.NewFastHTTPHandler(service)})
+		routes = append(routes, route{[]byte(service.PathPrefix()), fasthttpadaptor.NewFastHTTPHandler(withServerContext(service))})
 	}
 	return &fasthttp.Server{
 		Handler: dispatch(routes, fallback), NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true,
--- /dev/null
+++ b/internal/process/transport/server_context_test.go
@@ -0,0 +1,71 @@
+package transport
+
+import (
+	"context"
+	"errors"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"github.com/valyala/fasthttp"
+	"github.com/valyala/fasthttp/fasthttputil"
+)
+
+// contextService hands the context of each of its requests to a channel.
+type contextService struct{ contexts chan context.Context }
+
+func (contextService) PathPrefix() string { return "/context/" }
+
+func (s contextService) ServeHTTP(_ http.ResponseWriter, r *http.Request) { s.contexts <- r.Context() }
+
+// A context derived from that of a request may be looked at when the server has long gone on to the next one, as the
+// timer of a context with a timeout does: run with -race, this test failed on fasthttp's own context.
+func TestContextsOutliveTheirRequests(t *testing.T) {
+	service := contextService{make(chan context.Context, 1)}
+	server := NewServer(nil, service)
+	listener := fasthttputil.NewInmemoryListener()
+	served := make(chan error, 1)
+	go func() { served <- server.Serve(listener) }()
+	client := &fasthttp.HostClient{Addr: "memory", Dial: func(string) (net.Conn, error) { return listener.Dial() }}
+	const requests = 50
+	var kept []context.Context
+	for range requests {
+		if status, _, err := client.Get(nil, "http://memory/context/x"); err != nil || status != http.StatusOK {
+			t.Fatal(status, err)
+		}
+		ctx := <-service.contexts
+		derived, cancel := context.WithTimeout(ctx, time.Millisecond)
+		t.Cleanup(cancel)
+		kept = append(kept, derived)
+	}
+	for _, ctx := range kept {
+		<-ctx.Done()
+		if !errors.Is(ctx.Err(), context.DeadlineExceeded) {
+			t.Error(ctx.Err())
+		}
+		if ctx.Value("key") != nil {
+			t.Error("a value that nobody set")
+		}
+	}
+	if err := server.Shutdown(); err != nil {
+		t.Fatal(err)
+	}
+	if err := <-served; err != nil {
+		t.Fatal(err)
+	}
+}
+
+// The server's end is the end of its requests' contexts.
+func TestContextsEndWithTheServer(t *testing.T) {
+	shutdown := make(chan struct{})
+	ctx := serverContext{shutdown}
+	if err := ctx.Err(); err != nil {
+		t.Error(err)
+	}
+	close(shutdown)
+	<-ctx.Done()
+	if err := ctx.Err(); !errors.Is(err, context.Canceled) {
+		t.Error(err)
+	}
+}
