--- /dev/null
+++ b/internal/discovery/membership/action.go
@@ -0,0 +1,34 @@
+package membership
+
+// Action is a FullList, a Delta, a RequestSnapshot or a LogLine.
+type Action interface{ action() }
+
+var (
+	_ Action = FullList{}
+	_ Action = Delta{}
+	_ Action = RequestSnapshot{}
+	_ Action = LogLine("")
+)
+
+// FullList replaces the list that was in force.
+type FullList struct {
+	Entries map[string]Entry
+	Cached  bool // from an earlier process: no source has confirmed it yet
+}
+
+// Delta is the difference between the list that was in force and the one that is.
+type Delta struct {
+	Changed map[string]Entry
+	Removed []string
+}
+
+// RequestSnapshot asks for a new snapshot of a source, by its index in Config.Sources.
+type RequestSnapshot struct{ Source int }
+
+// LogLine is a line for the log.
+type LogLine string
+
+func (FullList) action()        {}
+func (Delta) action()           {}
+func (RequestSnapshot) action() {}
+func (LogLine) action()         {}
--- /dev/null
+++ b/internal/discovery/membership/event.go
@@ -0,0 +1,201 @@
+package membership
+
+import (
+	"maps"
+	"time"
+)
+
+// OnCachedList handles the list of an earlier process: it is in force until a source has sent a snapshot.
+func (m *Model) OnCachedList(now time.Duration, list map[string]Entry) []Action {
+	if m.active < 0 {
+		m.cachedList = maps.Clone(list)
+		m.wantCached = true
+		m.publish(now)
+	}
+	return m.takeActions()
+}
+
+// OnSnapshot handles a source's snapshot.
+func (m *Model) OnSnapshot(now time.Duration, index int, snapshot Snapshot) []Action {
+	s := m.sources[index]
+	s.loading = false
+	replaced := s.replacedBy(snapshot)
+	if replaced && snapshot.Stale && snapshot.History == s.history {
+		// A member that lags would bring back entries that were removed.
+		m.log(s.name+" stale", "%s: a list of revision %d is older than the one that is held (%d): left alone", s.name, snapshot.Revision, s.revision)
+		m.requestSnapshot(index)
+		return m.takeActions()
+	}
+	if replaced {
+		m.log(s.name+" history", "%s: its history is another (revision %d of %x, and it was %d of %x): it was restored or set up anew, and its list counts",
+			s.name, snapshot.Revision, snapshot.History, s.revision, s.history)
+		s.malformed = map[string]string{}
+	}
+	items, confirmed := s.takeConfirmation(snapshot.Items, replaced)
+	previous := s.items
+	s.items = make(map[string]Item, len(items))
+	for _, item := range items {
+		m.putItem(s, item, previous)
+	}
+	if !snapshot.Stale {
+		s.recordReports(now, previous, replaced)
+	}
+	s.history, s.revision = snapshot.History, snapshot.Revision
+	s.synced, s.hasSnapshot = true, true
+	s.forgetMalformed(items)
+	m.markReachable(now, s, !snapshot.Stale)
+	m.chooseSource(now)
+	m.publish(now)
+	if confirmed {
+		m.dropRetained(now)
+	}
+	return m.takeActions()
+}
+
+// OnUpdate handles one transaction as a whole. One that is contained in what is known already has no effect.
+func (m *Model) OnUpdate(now time.Duration, index int, update Update) []Action {
+	s := m.sources[index]
+	if !s.synced || update.Revision <= s.revision {
+		return nil // without a snapshot: the one on its way contains the update
+	}
+	if index == m.active {
+		m.dropAddresses(update)
+	}
+	for _, name := range update.Deletes {
+		s.remove(name, now)
+	}
+	confirmed := false
+	touched := make([]string, 0, len(update.Puts)+len(update.Deletes))
+	touched = append(touched, update.Deletes...)
+	for _, item := range update.Puts {
+		if item.Name == ConfirmKey {
+			confirmed, s.confirmedRevision = true, item.ModRevision
+			continue
+		}
+		touched = append(touched, item.Name)
+		m.putItem(s, item, s.items)
+		if item.Malformed == "" {
+			s.reportedAt[item.Name] = now
+			delete(s.removedAt, item.Name)
+		}
+	}
+	s.revision = update.Revision
+	previous, wasUnreachable := m.active, s.unreachable
+	m.markReachable(now, s, true)
+	m.chooseSource(now)
+	sourcesStand := !wasUnreachable && previous == m.active
+	if !sourcesStand || !m.publishIncrementally(now, index, touched) {
+		m.publish(now)
+	}
+	if confirmed {
+		m.dropRetained(now)
+	}
+	return m.takeActions()
+}
+
+// OnProgress handles the report that nothing has changed up to a revision.
+func (m *Model) OnProgress(now time.Duration, index int, revision int64) []Action {
+	s := m.sources[index]
+	switch {
+	case !s.synced:
+		return nil
+	case revision < s.revision: // revisions never fall: the registry was replaced
+		s.synced = false
+		m.requestSnapshot(index)
+	default:
+		s.revision = revision
+		m.markReachable(now, s, true)
+		m.chooseSource(now)
+		m.publish(now)
+	}
+	return m.takeActions()
+}
+
+// OnCompacted handles the report that the updates after the known revision are gone. The known list stands
+// until the snapshot that is requested arrives.
+func (m *Model) OnCompacted(now time.Duration, index int) []Action {
+	s := m.sources[index]
+	s.synced = false
+	m.requestSnapshot(index)
+	return m.takeActions()
+}
+
+// OnSourceLost handles that a source can't be reached. Its list stands for Config.LossTimeout.
+func (m *Model) OnSourceLost(now time.Duration, index int, reason string) []Action {
+	s := m.sources[index]
+	s.loading, s.lossReason = false, reason
+	if !s.unreachable {
+		s.unreachable, s.reachabilityChangedAt = true, now
+		m.log(s.name+" lost", "%s: lost (%s); its list stands", s.name, reason)
+	}
+	m.chooseSource(now)
+	m.publish(now)
+	return m.takeActions()
+}
+
+// Tick does what is due by time alone; NextTick tells when to call it.
+func (m *Model) Tick(now time.Duration) []Action {
+	m.chooseSource(now)
+	m.publish(now)
+	return m.takeActions()
+}
+
+// NextTick returns when Tick has something to do, always after now; 0 if never, as things stand.
+func (m *Model) NextTick(now time.Duration) time.Duration {
+	next := time.Duration(0)
+	consider := func(t time.Duration) {
+		if t > now && (next == 0 || t < next) {
+			next = t
+		}
+	}
+	for i, s := range m.sources {
+		if s.hasSnapshot && s.unreachable && i == m.active {
+			consider(s.reachabilityChangedAt + m.config.LossTimeout)
+		}
+		if s.hasSnapshot && !s.unreachable && i != m.active {
+			consider(s.reachabilityChangedAt + m.config.FailbackDelay)
+		}
+	}
+	for name := range m.damped {
+		consider(now + m.flaps[name].reuseDelay(now, m.config))
+	}
+	return next
+}
+
+// markReachable notes that a source has answered; upToDate: with what was the newest at this time.
+func (m *Model) markReachable(now time.Duration, s *source, upToDate bool) {
+	if s.unreachable {
+		s.unreachable, s.reachabilityChangedAt = false, now
+		m.forgetLine(s.name + " lost")
+		m.log(s.name+" found", "%s: found again", s.name)
+		m.forgetLine(s.name + " found")
+	}
+	if upToDate {
+		s.upToDateAt = now
+	}
+}
+
+// putItem stores one item. In place of a malformed one the last good one of previous stands.
+func (m *Model) putItem(s *source, item Item, previous map[string]Item) {
+	topic := s.name + " bad " + item.Name
+	if item.Malformed == "" {
+		delete(s.malformed, item.Name)
+		m.forgetLine(topic)
+		_, listed := s.items[item.Name]
+		if !listed && m.config.MaxEntries > 0 && len(s.items) >= m.config.MaxEntries {
+			m.log(s.name+" most", "%s: more than %d entries: the others are left out", s.name, m.config.MaxEntries)
+			return
+		}
+		s.items[item.Name] = item
+		return
+	}
+	if old, listed := previous[item.Name]; listed {
+		s.items[item.Name] = old
+		m.log(topic, "%s: entry %s can't be read (%s): its last good one stands", s.name, item.Name, item.Malformed)
+	} else {
+		m.log(topic, "%s: entry %s can't be read (%s): it is left out", s.name, item.Name, item.Malformed)
+	}
+	if len(s.malformed) < maxMalformed {
+		s.malformed[item.Name] = item.Malformed
+	}
+}
--- a/internal/discovery/membership/members_test.go
+++ b/internal/discovery/membership/model_test.go
@@ -59,8 +59,8 @@
 	return list, lines, loads
 }
 
-// fold is what a list comes to with some actions.
-func fold(list map[string]Entry, acts []Action) map[string]Entry {
+// applyLists applies the lists among some actions to a list.
+func applyLists(list map[string]Entry, acts []Action) map[string]Entry {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case FullList:
@@ -122,90 +122,120 @@
 // Over thousands of days with lost watches, compactions, stale followers, repeats and silent times: what is
 // shown is always the registry's list at a revision between the last one acknowledged and the newest, and
 // never goes back.
-func TestHistories(t *testing.T) {
+func TestRegistryHistories(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3000) {
-		cfg := plain()
-		cfg.EmitDeltas = seed%2 == 0
-		r, m := newRegistry(seed), New(cfg)
-		now := second
-		var shown map[string]Entry
-		acked, position, loading, connected := int64(-1), int64(0), true, true
-		take := func(acts []Action) {
-			_, _, loads := read(acts)
-			shown = fold(shown, acts)
-			if loads > 0 {
-				loading = true
-			}
+		config := plain()
+		config.EmitDeltas = seed%2 == 0
+		h := &history{t: t, seed: seed, registry: newRegistry(seed), model: New(config), now: second, acked: -1, loading: true, connected: true}
+		for h.step = range 120 {
+			h.now += time.Duration(h.registry.rng.IntN(500)) * ms
+			h.act(h.registry.rng.IntN(20))
+			h.check()
 		}
-		for step := range 120 {
-			now += time.Duration(r.rng.IntN(500)) * ms
-			switch x := r.rng.IntN(20); {
-			case x < 6:
-				r.write()
-			case x < 7 && r.newest() > 0:
-				r.compacted = min(r.newest(), r.compacted+int64(r.rng.IntN(10)))
-			case x < 8:
-				connected = false
-				take(m.OnSourceLost(now, 0, "the connection was reset"))
-			case x < 10 && !connected:
-				connected = true
-				if m.sources[0].revision < r.compacted && acked >= 0 {
-					take(m.OnCompacted(now, 0))
-				}
-				position = m.sources[0].revision
-			case x < 11 && connected && acked >= 0: // a transaction again
-				if back := m.sources[0].revision - int64(r.rng.IntN(4)); back > 0 && back <= r.newest() {
-					take(m.OnUpdate(now, 0, r.changes[back]))
-				}
-			case x < 13 && loading && connected:
-				stale := r.rng.IntN(3) == 0
-				rev := r.newest()
-				if stale {
-					rev = max(0, rev-int64(r.rng.IntN(6)))
-				}
-				older := rev < acked
-				loading = false
-				take(m.OnSnapshot(now, 0, r.whole(rev, stale)))
-				if older && !loading {
-					t.Fatalf("seed %d, step %d: an old list of a follower was enough", seed, step)
-				}
-				if !older {
-					acked = max(acked, rev)
-					position = max(position, rev)
-				}
-			case connected && acked >= 0 && !loading:
-				if position < r.newest() {
-					position = max(position, m.sources[0].revision) + 1
-					if position <= r.newest() {
-						take(m.OnUpdate(now, 0, r.changes[position]))
-						acked = max(acked, position)
-					}
-				} else {
-					take(m.OnProgress(now, 0, r.newest()))
-				}
-			default:
-				take(m.Tick(now))
-			}
-			if acked < 0 {
-				if shown != nil {
-					t.Fatalf("seed %d: a list before any was told", seed)
-				}
-				continue
-			}
-			held := m.sources[0].revision
-			if held < acked || held > r.newest() {
-				t.Fatalf("seed %d, step %d: revision %d, acknowledged %d, newest %d", seed, step, held, acked, r.newest())
-			}
-			if want := unique(r.states[held]); !maps.Equal(shown, want) {
-				t.Fatalf("seed %d, step %d: at revision %d\nshown %v\nwant  %v", seed, step, held, shown, want)
-			}
+	}
+}
+
+// history is one run of a registry and a model that follows it.
+type history struct {
+	t         *testing.T
+	seed      uint64
+	step      int
+	registry  *registry
+	model     *Model
+	now       time.Duration
+	list      map[string]Entry // as emitted
+	acked     int64            // the newest revision that the model has been sent; -1: none
+	position  int64            // of the watch
+	loading   bool             // a snapshot is requested
+	connected bool
+}
+
+func (h *history) apply(actions []Action) {
+	_, _, loads := read(actions)
+	h.list = applyLists(h.list, actions)
+	if loads > 0 {
+		h.loading = true
+	}
+}
+
+// act does one of the things that happen, by a number below 20.
+func (h *history) act(event int) {
+	r, m := h.registry, h.model
+	switch {
+	case event < 6:
+		r.write()
+	case event < 7 && r.newest() > 0:
+		r.compacted = min(r.newest(), r.compacted+int64(r.rng.IntN(10)))
+	case event < 8:
+		h.connected = false
+		h.apply(m.OnSourceLost(h.now, 0, "the connection was reset"))
+	case event < 10 && !h.connected:
+		h.connected = true
+		if m.sources[0].revision < r.compacted && h.acked >= 0 {
+			h.apply(m.OnCompacted(h.now, 0))
+		}
+		h.position = m.sources[0].revision
+	case event < 11 && h.connected && h.acked >= 0: // a transaction again
+		if back := m.sources[0].revision - int64(r.rng.IntN(4)); back > 0 && back <= r.newest() {
+			h.apply(m.OnUpdate(h.now, 0, r.changes[back]))
 		}
+	case event < 13 && h.loading && h.connected:
+		h.sendSnapshot()
+	case h.connected && h.acked >= 0 && !h.loading:
+		h.sendUpdate()
+	default:
+		h.apply(m.Tick(h.now))
+	}
+}
+
+// sendSnapshot sends the newest list, or an older one from a follower.
+func (h *history) sendSnapshot() {
+	stale := h.registry.rng.IntN(3) == 0
+	revision := h.registry.newest()
+	if stale {
+		revision = max(0, revision-int64(h.registry.rng.IntN(6)))
+	}
+	older := revision < h.acked
+	h.loading = false
+	h.apply(h.model.OnSnapshot(h.now, 0, h.registry.whole(revision, stale)))
+	if older && !h.loading {
+		h.t.Fatalf("seed %d, step %d: an old list of a follower was enough", h.seed, h.step)
+	}
+	if !older {
+		h.acked = max(h.acked, revision)
+		h.position = max(h.position, revision)
+	}
+}
+
+// sendUpdate sends the next update, or that there is none.
+func (h *history) sendUpdate() {
+	if h.position >= h.registry.newest() {
+		h.apply(h.model.OnProgress(h.now, 0, h.registry.newest()))
+		return
+	}
+	h.position = max(h.position, h.model.sources[0].revision) + 1
+	if h.position <= h.registry.newest() {
+		h.apply(h.model.OnUpdate(h.now, 0, h.registry.changes[h.position]))
+		h.acked = max(h.acked, h.position)
 	}
 }
 
-// unique is a state without those whose address another has: in these days none share one.
-func unique(s map[string]Entry) map[string]Entry { return s }
+func (h *history) check() {
+	if h.acked < 0 {
+		if h.list != nil {
+			h.t.Fatalf("seed %d: a list before any was told", h.seed)
+		}
+		return
+	}
+	revision := h.model.sources[0].revision
+	if revision < h.acked || revision > h.registry.newest() {
+		h.t.Fatalf("seed %d, step %d: revision %d, acknowledged %d, newest %d", h.seed, h.step, revision, h.acked, h.registry.newest())
+	}
+	if want := h.registry.states[revision]; !maps.Equal(h.list, want) { // no two share an address here
+		h.t.Fatalf("seed %d, step %d: at revision %d\nshown %v\nwant  %v", h.seed, h.step, revision, h.list, want)
+	}
+}
 
 // A registry that was restored has lower revisions, or another history: its list counts, and what is gone
 // with most of the others is held, until an operator confirms or it comes back.
@@ -510,7 +540,7 @@
 		m.OnUpdate(now, 1, come)
 		m.OnUpdate(now, 1, goes)
 	}
-	if n := len(m.sources[1].removedAt); n > maxRemovalsKept || len(m.lastLines) > maxLinesKept || len(m.sources[1].malformed) > 0 {
+	if n := len(m.sources[1].removedAt); n > maxRemovals || len(m.lastLines) > maxLastLines || len(m.sources[1].malformed) > 0 {
 		t.Errorf("%d that left, %d lines, %d bad ones are remembered", n, len(m.lastLines), len(m.sources[1].malformed))
 	}
 	m.OnSourceLost(now, 0, "cut off")
@@ -599,92 +629,116 @@
 
 // Whatever comes in whatever order: a drain or an end that the shown source tells shows at once, unless the
 // guard holds it; what is held is in the list; every list is another than the one before; Next is not past.
-func TestWhateverComes(t *testing.T) {
+func TestAnyEventsInAnyOrder(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := guarded()
-		cfg.EmitDeltas = rapid.Bool().Draw(t, "deltas")
-		m, now := New(cfg), second
-		var last map[string]Entry
-		item := rapid.Custom(func(t *rapid.T) Item {
-			n := rapid.IntRange(0, 9).Draw(t, "n")
-			i := Item{Name: fmt.Sprint("n", n), ModRevision: int64(rapid.IntRange(1, 50).Draw(t, "mod")), Entry: at(rapid.IntRange(0, 11).Draw(t, "address"))}
-			i.Entry.Draining = rapid.Bool().Draw(t, "drains")
-			if rapid.IntRange(0, 9).Draw(t, "bad") == 0 {
-				i.Malformed = "noise"
-			}
-			return i
-		})
-		distinct := func(i Item) string { return i.Name }
+		config := guarded()
+		config.EmitDeltas = rapid.Bool().Draw(t, "deltas")
+		a := &anyEvents{model: New(config), now: second}
 		t.Repeat(map[string]func(*rapid.T){
-			"": func(t *rapid.T) {
-				if n := m.NextTick(now); n != 0 && n <= now {
-					t.Fatalf("next at %v, now %v", n, now)
-				}
-				s := m.Status(now)
-				for _, h := range s.Retained {
-					if _, there := m.list[h]; !there {
-						t.Fatalf("%s is held, and not shown", h)
-					}
-				}
-				if !maps.Equal(last, m.list) {
-					t.Fatalf("told %v, shown %v", last, m.list)
-				}
-				// The long way comes to the same.
-				fresh := *m
-				fresh.retained, fresh.flaps, fresh.damped, fresh.lastLines = maps.Clone(m.retained), maps.Clone(m.flaps), maps.Clone(m.damped), maps.Clone(m.lastLines)
-				fresh.recentSizes, fresh.actions = slices.Clone(m.recentSizes), nil
-				if fresh.publish(now); !maps.Equal(fresh.list, m.list) {
-					t.Fatalf("shown %v, and the long way %v", m.list, fresh.list)
-				}
-				if m.active < 0 {
-					return
-				}
-				src := m.sources[m.active]
-				for name, e := range m.list {
-					i, there := src.items[name]
-					if !there && !slices.Contains(s.Retained, name) {
-						t.Fatalf("%s is gone, not held, and shown", name)
-					}
-					if there && i.Entry.Draining && !e.Draining {
-						t.Fatalf("%s drains, and is shown as ready", name)
-					}
-				}
-			},
-			"time": func(t *rapid.T) {
-				now += time.Duration(rapid.IntRange(1, 9000).Draw(t, "ms")) * ms
-				keep(&last, m.Tick(now))
-			},
-			"whole": func(t *rapid.T) {
-				src := rapid.IntRange(0, 1).Draw(t, "source")
-				keep(&last, m.OnSnapshot(now, src, Snapshot{
-					History: uint64(rapid.IntRange(1, 2).Draw(t, "history")), Revision: int64(rapid.IntRange(0, 60).Draw(t, "revision")),
-					Items: rapid.SliceOfNDistinct(item, 0, 10, distinct).Draw(t, "items"), Stale: rapid.Bool().Draw(t, "stale"),
-				}))
-			},
-			"change": func(t *rapid.T) {
-				src := rapid.IntRange(0, 1).Draw(t, "source")
-				puts := rapid.SliceOfNDistinct(item, 0, 4, distinct).Draw(t, "puts")
-				var deletes []string
-				for _, n := range rapid.SliceOfDistinct(rapid.IntRange(0, 9), rapid.ID).Draw(t, "deletes") {
-					if name := fmt.Sprint("n", n); !slices.ContainsFunc(puts, func(i Item) bool { return i.Name == name }) {
-						deletes = append(deletes, name)
-					}
-				}
-				keep(&last, m.OnUpdate(now, src, Update{m.sources[src].revision + int64(rapid.IntRange(0, 3).Draw(t, "by")), puts, deletes}))
-			},
-			"progress": func(t *rapid.T) {
-				src := rapid.IntRange(0, 1).Draw(t, "source")
-				keep(&last, m.OnProgress(now, src, int64(rapid.IntRange(0, 60).Draw(t, "revision"))))
-			},
-			"compacted": func(t *rapid.T) { keep(&last, m.OnCompacted(now, rapid.IntRange(0, 1).Draw(t, "source"))) },
-			"lost":      func(t *rapid.T) { keep(&last, m.OnSourceLost(now, rapid.IntRange(0, 1).Draw(t, "source"), "reset")) },
-			"confirm":   func(t *rapid.T) { keep(&last, m.ConfirmRemovals(now)) },
-			"old": func(t *rapid.T) {
-				keep(&last, m.OnCachedList(now, map[string]Entry{"n0": at(0), "n1": at(1)}))
+			"":          a.check,
+			"time":      a.tick,
+			"whole":     a.snapshot,
+			"change":    a.update,
+			"progress":  a.progress,
+			"compacted": func(t *rapid.T) { a.apply(a.model.OnCompacted(a.now, drawSource(t))) },
+			"lost":      func(t *rapid.T) { a.apply(a.model.OnSourceLost(a.now, drawSource(t), "reset")) },
+			"confirm":   func(*rapid.T) { a.apply(a.model.ConfirmRemovals(a.now)) },
+			"old": func(*rapid.T) {
+				a.apply(a.model.OnCachedList(a.now, map[string]Entry{"n0": at(0), "n1": at(1)}))
 			},
 		})
 	})
 }
 
-func keep(last *map[string]Entry, acts []Action) { *last = fold(*last, acts) }
+// anyEvents is a model that gets drawn events.
+type anyEvents struct {
+	model *Model
+	now   time.Duration
+	list  map[string]Entry // as emitted
+}
+
+func drawSource(t *rapid.T) int { return rapid.IntRange(0, 1).Draw(t, "source") }
+
+func itemName(i Item) string { return i.Name }
+
+var drawnItem = rapid.Custom(func(t *rapid.T) Item {
+	n := rapid.IntRange(0, 9).Draw(t, "n")
+	i := Item{Name: fmt.Sprint("n", n), ModRevision: int64(rapid.IntRange(1, 50).Draw(t, "mod")), Entry: at(rapid.IntRange(0, 11).Draw(t, "address"))}
+	i.Entry.Draining = rapid.Bool().Draw(t, "drains")
+	if rapid.IntRange(0, 9).Draw(t, "bad") == 0 {
+		i.Malformed = "noise"
+	}
+	return i
+})
+
+func (a *anyEvents) apply(actions []Action) { a.list = applyLists(a.list, actions) }
+
+func (a *anyEvents) tick(t *rapid.T) {
+	a.now += time.Duration(rapid.IntRange(1, 9000).Draw(t, "ms")) * ms
+	a.apply(a.model.Tick(a.now))
+}
+
+func (a *anyEvents) snapshot(t *rapid.T) {
+	a.apply(a.model.OnSnapshot(a.now, drawSource(t), Snapshot{
+		History: uint64(rapid.IntRange(1, 2).Draw(t, "history")), Revision: int64(rapid.IntRange(0, 60).Draw(t, "revision")),
+		Items: rapid.SliceOfNDistinct(drawnItem, 0, 10, itemName).Draw(t, "items"), Stale: rapid.Bool().Draw(t, "stale"),
+	}))
+}
+
+func (a *anyEvents) update(t *rapid.T) {
+	source := drawSource(t)
+	puts := rapid.SliceOfNDistinct(drawnItem, 0, 4, itemName).Draw(t, "puts")
+	var deletes []string
+	for _, n := range rapid.SliceOfDistinct(rapid.IntRange(0, 9), rapid.ID).Draw(t, "deletes") {
+		if name := fmt.Sprint("n", n); !slices.ContainsFunc(puts, func(i Item) bool { return i.Name == name }) {
+			deletes = append(deletes, name)
+		}
+	}
+	revision := a.model.sources[source].revision + int64(rapid.IntRange(0, 3).Draw(t, "by"))
+	a.apply(a.model.OnUpdate(a.now, source, Update{revision, puts, deletes}))
+}
+
+func (a *anyEvents) progress(t *rapid.T) {
+	a.apply(a.model.OnProgress(a.now, drawSource(t), int64(rapid.IntRange(0, 60).Draw(t, "revision"))))
+}
+
+func (a *anyEvents) check(t *rapid.T) {
+	if n := a.model.NextTick(a.now); n != 0 && n <= a.now {
+		t.Fatalf("next at %v, now %v", n, a.now)
+	}
+	status := a.model.Status(a.now)
+	for _, name := range status.Retained {
+		if _, listed := a.model.list[name]; !listed {
+			t.Fatalf("%s is held, and not shown", name)
+		}
+	}
+	if !maps.Equal(a.list, a.model.list) {
+		t.Fatalf("told %v, shown %v", a.list, a.model.list)
+	}
+	a.checkCompleteWay(t)
+	if a.model.active < 0 {
+		return
+	}
+	source := a.model.sources[a.model.active]
+	for name, entry := range a.model.list {
+		item, listed := source.items[name]
+		if !listed && !slices.Contains(status.Retained, name) {
+			t.Fatalf("%s is gone, not held, and shown", name)
+		}
+		if listed && item.Entry.Draining && !entry.Draining {
+			t.Fatalf("%s drains, and is shown as ready", name)
+		}
+	}
+}
+
+// checkCompleteWay checks that deriving the list completely comes to the same.
+func (a *anyEvents) checkCompleteWay(t *rapid.T) {
+	m := a.model
+	fresh := *m
+	fresh.retained, fresh.flaps, fresh.damped, fresh.lastLines = maps.Clone(m.retained), maps.Clone(m.flaps), maps.Clone(m.damped), maps.Clone(m.lastLines)
+	fresh.recentSizes, fresh.actions = slices.Clone(m.recentSizes), nil
+	if fresh.publish(a.now); !maps.Equal(fresh.list, m.list) {
+		t.Fatalf("shown %v, and the long way %v", m.list, fresh.list)
+	}
+}
--- /dev/null
+++ b/internal/discovery/membership/status.go
@@ -0,0 +1,57 @@
+package membership
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+// Status is the state of the list in force and of its sources. Its JSON is read by operators.
+type Status struct {
+	Source   string         `json:"source"` // whose list is in force; "": a cached one
+	Revision int64          `json:"revision"`
+	Age      time.Duration  `json:"age_ns"` // since the list was last known to be up to date; -1 if unknown
+	Entries  int            `json:"entries"`
+	Retained []string       `json:"held,omitempty"` // names kept after a mass removal
+	Damped   []string       `json:"damped,omitempty"`
+	Sources  []SourceStatus `json:"sources"`
+}
+
+// SourceStatus is the state of one source.
+type SourceStatus struct {
+	Name        string            `json:"name"`
+	Revision    int64             `json:"revision"`
+	Synced      bool              `json:"synced"` // its list is complete at the revision
+	Unreachable bool              `json:"lost"`
+	LossReason  string            `json:"why,omitempty"` // of the last loss
+	Malformed   map[string]string `json:"bad,omitempty"` // why an entry can't be read, by name
+}
+
+// Status returns the state at a time.
+func (m *Model) Status(now time.Duration) Status {
+	status := Status{Age: -1, Entries: len(m.list), Retained: slices.Sorted(maps.Keys(m.retained)), Damped: slices.Sorted(maps.Keys(m.damped))}
+	if m.active >= 0 {
+		active := m.sources[m.active]
+		status.Source, status.Revision = active.name, active.revision
+		if active.upToDateAt > 0 {
+			status.Age = now - active.upToDateAt
+		}
+	}
+	for _, s := range m.sources {
+		status.Sources = append(status.Sources, SourceStatus{
+			Name: s.name, Revision: s.revision, Synced: s.synced, Unreachable: s.unreachable,
+			LossReason: s.lossReason, Malformed: maps.Clone(s.malformed),
+		})
+	}
+	return status
+}
+
+// SourceList returns a source's own list, and whether it has sent a snapshot.
+func (m *Model) SourceList(index int) (map[string]Entry, bool) {
+	s := m.sources[index]
+	list := make(map[string]Entry, len(s.items))
+	for name, item := range s.items {
+		list[name] = item.Entry
+	}
+	return list, s.hasSnapshot
+}
