--- a/internal/discovery/membership/event.go
+++ b/internal/discovery/membership/event.go
@@ -177,10 +177,9 @@
 
 // putItem stores one item. In place of a malformed one the last good one of previous stands.
 func (m *Model) putItem(s *source, item Item, previous map[string]Item) {
-	topic := s.name + " bad " + item.Name
 	if item.Malformed == "" {
 		delete(s.malformed, item.Name)
-		m.forgetLine(topic)
+		m.forgetLine(malformedTopic(s, item.Name))
 		_, listed := s.items[item.Name]
 		if !listed && m.config.MaxEntries > 0 && len(s.items) >= m.config.MaxEntries {
 			m.log(s.name+" most", "%s: more than %d entries: the others are left out", s.name, m.config.MaxEntries)
@@ -189,6 +188,7 @@
 		s.items[item.Name] = item
 		return
 	}
+	topic := malformedTopic(s, item.Name)
 	if old, listed := previous[item.Name]; listed {
 		s.items[item.Name] = old
 		m.log(topic, "%s: entry %s can't be read (%s): its last good one stands", s.name, item.Name, item.Malformed)
@@ -199,3 +199,5 @@
 		s.malformed[item.Name] = item.Malformed
 	}
 }
+
+func malformedTopic(s *source, name string) string { return s.name + " bad " + name }
