--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -132,7 +132,7 @@
 		return nil, err
 	}
 	if c.Known != nil {
-		if _, err := c.Known.Check(c.Names); err != nil {
+		if _, err := c.Known.ParseEntries(c.Names); err != nil {
 			return nil, &KeyError{"known", err}
 		}
 	}
--- a/internal/discovery/platformwatch/compatibility_test.go
+++ b/internal/discovery/platformwatch/compatibility_test.go
@@ -34,7 +34,7 @@
 	var names atomic.Pointer[Names]
 	names.Store(&compatibilityNames)
 	d := &follower{names: &names}
-	in := lines{in: bufio.NewReader(bytes.NewReader(recorded))}
+	in := listReader{in: bufio.NewReader(bytes.NewReader(recorded))}
 	for {
 		text, err := in.next()
 		if err != nil {
@@ -43,7 +43,7 @@
 		if len(text) == 0 {
 			continue
 		}
-		l, err := d.read(text)
+		l, err := d.parseList(text)
 		if err != nil {
 			t.Fatalf("%s: %v", text, err)
 		}
@@ -102,13 +102,13 @@
 	var names atomic.Pointer[Names]
 	names.Store(&compatibilityNames)
 	d := &follower{names: &names, addr: strings.TrimPrefix(server.URL, "http://"), client: newClient()}
-	words := make(chan heard, 8)
-	d.watch(t.Context(), 1, 41, words)
-	l, err := d.whole(t.Context(), time.Minute, nil)
+	words := make(chan callEvent, 8)
+	d.watchOnce(t.Context(), 1, 41, words)
+	l, err := d.fetchOnce(t.Context(), time.Minute, nil)
 	if err != nil || l.Generation != 41 || !l.Reset {
 		t.Errorf("the whole list: %+v, %v", l, err)
 	}
-	if l, err := d.whole(context.Background(), time.Minute, func() uint32 { return 41 }); l != nil || err != nil {
+	if l, err := d.fetchOnce(context.Background(), time.Minute, func() uint32 { return 41 }); l != nil || err != nil {
 		t.Errorf("a list that is known: %+v, %v", l, err)
 	}
 	compareRecorded(t, "calls.txt", []byte(strings.Join(calls, "")))
--- a/internal/discovery/platformwatch/lines.go
+++ b/internal/discovery/platformwatch/lines.go
@@ -8,27 +8,27 @@
 	"io"
 )
 
-// longestList bounds a list on the wire.
-const longestList = 4 << 20
+// maxListBytes bounds a list on the wire.
+const maxListBytes = 4 << 20
 
-var errTooLong error = &LineError{Why: fmt.Errorf("it has more than %d bytes", longestList)}
+var errListTooLong error = &ListError{Err: fmt.Errorf("it has more than %d bytes", maxListBytes)}
 
-// lines reads a watch: lists, each an object over one line or several, and blank lines between them.
-type lines struct {
+// listReader reads a watch: lists, each an object over one line or several, and blank lines between them.
+type listReader struct {
 	in      *bufio.Reader
-	object  []byte // what has come of a list
+	buffer  []byte // what has come of a list
 	depth   int    // of braces and brackets that are open
 	quoted  bool   // within a string
 	escaped bool   // behind a backslash there
 }
 
 // next gives the next list's text, or nothing for a blank line. The text is good until the next call.
-func (l *lines) next() ([]byte, error) {
-	l.object = l.object[:0]
+func (l *listReader) next() ([]byte, error) {
+	l.buffer = l.buffer[:0]
 	for {
 		part, err := l.in.ReadSlice('\n')
-		if len(l.object)+len(part) > longestList {
-			return nil, errTooLong
+		if len(l.buffer)+len(part) > maxListBytes {
+			return nil, errListTooLong
 		}
 		if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
 			if err == io.EOF {
@@ -36,17 +36,17 @@
 			}
 			return nil, err
 		}
-		l.object = append(l.object, part...)
-		l.see(part)
+		l.buffer = append(l.buffer, part...)
+		l.track(part)
 		if err != nil || l.depth > 0 || l.quoted { // the line or the list goes on
 			continue
 		}
-		return bytes.TrimSpace(l.object), nil
+		return bytes.TrimSpace(l.buffer), nil
 	}
 }
 
-// see follows what is open.
-func (l *lines) see(part []byte) {
+// track follows what is open.
+func (l *listReader) track(part []byte) {
 	for _, b := range part {
 		switch {
 		case l.escaped:
--- a/internal/discovery/platformwatch/list.go
+++ b/internal/discovery/platformwatch/list.go
@@ -15,8 +15,8 @@
 	Reset      bool       `json:"reset"`
 	Instances  []Instance `json:"instances"`
 
-	entries []engine.Entry // as Check gave them
-	partial bool           // it is a part of one that can't be used: its number says nothing
+	entries    []engine.Entry // as Check gave them
+	onlyDrains bool           // it is a part of one that can't be used: its number says nothing
 }
 
 // Instance is a backend in it.
@@ -39,29 +39,29 @@
 	"Gone": balancer.Gone,
 }
 
-// LineError is a list, or a change to it, that can't be used. The one before stands.
-type LineError struct {
+// ListError is a list, or a change to it, that can't be used. The one before stands.
+type ListError struct {
 	Instance string // its id, or its place in the list; "" is that the list itself can't be read
 	Key      string
-	Why      error // what is wrong, or what would be right
+	Err      error // what is wrong, or what would be right
 }
 
-func (e *LineError) Error() string {
+func (e *ListError) Error() string {
 	if e.Instance == "" {
-		return fmt.Sprintf("bad line: the list can't be read: %v", e.Why)
+		return fmt.Sprintf("bad line: the list can't be read: %v", e.Err)
 	}
-	return fmt.Sprintf("bad line: instance %s: %s: %v", e.Instance, e.Key, e.Why)
+	return fmt.Sprintf("bad line: instance %s: %s: %v", e.Instance, e.Key, e.Err)
 }
-func (e *LineError) Unwrap() error { return e.Why }
+func (e *ListError) Unwrap() error { return e.Err }
 
 // Advice says what an operator can do.
-func (e *LineError) Advice() string {
+func (e *ListError) Advice() string {
 	return "mend that entry where the platform keeps its list; until then this proxy goes by the list before, and heeds drains alone"
 }
 
-// Check reads the entries. A list with one bad entry is bad as a whole: half of it
+// ParseEntries reads the entries. A list with one bad entry is bad as a whole: half of it
 // would pass for all of it.
-func (l *List) Check(names Names) ([]engine.Entry, error) {
+func (l *List) ParseEntries(names Names) ([]engine.Entry, error) {
 	entries := make([]engine.Entry, len(l.Instances))
 	for i, e := range l.Instances {
 		var err error
@@ -72,10 +72,10 @@
 	return entries, nil
 }
 
-// leaving is what a list that can't be used says, in entries that can, of backends that drain or are gone. Danger:
+// drainsOnly is what a list that can't be used says, in entries that can, of backends that drain or are gone. Danger:
 // the rule on drains counts from when this was told, whatever else is wrong with the list.
-func (l *List) leaving(names Names) *List {
-	part := &List{partial: true}
+func (l *List) drainsOnly(names Names) *List {
+	part := &List{onlyDrains: true}
 	for i, e := range l.Instances {
 		if entry, err := e.entry(i, names); err == nil && entry.State != balancer.Ready {
 			part.Instances, part.entries = append(part.Instances, e), append(part.entries, entry)
@@ -90,7 +90,7 @@
 		if which == "" {
 			which = fmt.Sprint("number ", i+1)
 		}
-		return engine.Entry{}, &LineError{which, key, fmt.Errorf(format, v...)}
+		return engine.Entry{}, &ListError{which, key, fmt.Errorf(format, v...)}
 	}
 	state, known := lifecycles[e.Lifecycle]
 	switch {
@@ -118,7 +118,7 @@
 	return entry, nil
 }
 
-// Engine is the list as the engine takes it.
-func (l *List) Engine(kind balancer.ListKind, entries []engine.Entry) engine.List {
+// ForEngine is the list as the engine takes it.
+func (l *List) ForEngine(kind balancer.ListKind, entries []engine.Entry) engine.List {
 	return engine.List{Kind: kind, Version: l.Generation, Entries: entries}
 }
--- a/internal/discovery/platformwatch/platform.go
+++ b/internal/discovery/platformwatch/platform.go
@@ -21,12 +21,12 @@
 // follower makes the calls at one address. A new configuration may name another
 // address; then there is a new follower, and this one stays as it is.
 type follower struct {
-	pace   Pace
-	names  *atomic.Pointer[Names]
-	addr   string
-	client *http.Client
-	logf   func(string, ...any)
-	tell   func(l *List) // a list or a change has come
+	timings Timings
+	names   *atomic.Pointer[Names]
+	addr    string
+	client  *http.Client
+	logf    func(string, ...any)
+	onList  func(l *List) // a list or a change has come
 }
 
 // newClient makes the client of all calls. One connection a call: a watch
@@ -35,20 +35,20 @@
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{}).DialContext}}
 }
 
-// heard is what a call brings.
-type heard struct {
+// callEvent is what a call brings.
+type callEvent struct {
 	id   int
-	what heardWhat
+	kind callEventKind
 	list *List // at an end: what is to be heeded all the same
 	err  error // at an end: why
 }
 
-type heardWhat uint8
+type callEventKind uint8
 
 const (
-	heardHead heardWhat = iota
-	heardLine           // a whole one; a list, or blank
-	heardEnd
+	headReceived callEventKind = iota
+	lineReceived               // a whole one; a list, or blank
+	callEnded
 )
 
 // follow keeps a watch up, from the given version on, until ctx ends. All calls are made, heard and given up here, so
@@ -58,8 +58,8 @@
 	defer cancel()
 	start := time.Now()
 	now := func() time.Duration { return time.Since(start) }
-	p := pursuit{pace: d.pace, jitter: rand.Float64, failed: 1} // a whole fleet may start with this process
-	calls, words := map[int]context.CancelFunc{}, make(chan heard)
+	p := callScheduler{timings: d.timings, jitter: rand.Float64, failures: 1} // a whole fleet may start with this process
+	calls, words := map[int]context.CancelFunc{}, make(chan callEvent)
 	drop := func(ids []int) {
 		for _, id := range ids {
 			calls[id]()
@@ -75,24 +75,24 @@
 			return
 		case <-timer.C:
 		case w := <-words:
-			switch w.what {
-			case heardHead:
-				p.answered(now(), w.id)
-			case heardLine:
-				gone, counts := p.spoke(now(), w.id)
+			switch w.kind {
+			case headReceived:
+				p.onHead(now(), w.id)
+			case lineReceived:
+				gone, counts := p.onLine(now(), w.id)
 				drop(gone)
 				if counts && w.list != nil {
 					from, said = w.list.Generation, ""
-					d.tell(w.list)
+					d.onList(w.list)
 				}
-			case heardEnd:
+			case callEnded:
 				if cancel := calls[w.id]; cancel != nil {
 					cancel()
 					delete(calls, w.id)
 					if w.list != nil {
-						d.tell(w.list) // what leaves by a list that can't be used; its number does not count
+						d.onList(w.list) // what leaves by a list that can't be used; its number does not count
 					}
-					if live := p.ended(now(), w.id); live || w.err.Error() != said {
+					if live := p.onEnd(now(), w.id); live || w.err.Error() != said {
 						said = w.err.Error()
 						d.logf("discovery: watch ended: %v", w.err)
 					}
@@ -104,15 +104,15 @@
 		if id != 0 {
 			mine, cancel := context.WithCancel(ctx)
 			calls[id] = cancel
-			go d.watch(mine, id, from, words)
+			go d.watchOnce(mine, id, from, words)
 		}
 		timer.Reset(max(next-now(), 0))
 	}
 }
 
-// watch makes one call for a watch, and tells what it brings until it ends or is given up.
-func (d *follower) watch(ctx context.Context, id int, from uint32, words chan<- heard) {
-	say := func(w heard) bool {
+// watchOnce makes one call for a watch, and tells what it brings until it ends or is given up.
+func (d *follower) watchOnce(ctx context.Context, id int, from uint32, words chan<- callEvent) {
+	say := func(w callEvent) bool {
 		w.id = id
 		select {
 		case words <- w:
@@ -123,92 +123,92 @@
 	}
 	body, err := d.get(ctx, "?watch=1&from="+strconv.FormatUint(uint64(from), 10))
 	if err != nil {
-		say(heard{what: heardEnd, err: err})
+		say(callEvent{kind: callEnded, err: err})
 		return
 	}
 	defer body.Close()
-	if !say(heard{what: heardHead}) {
+	if !say(callEvent{kind: headReceived}) {
 		return
 	}
-	in := lines{in: bufio.NewReader(body)}
+	in := listReader{in: bufio.NewReader(body)}
 	for {
 		text, err := in.next()
 		if err != nil {
-			say(heard{what: heardEnd, err: err})
+			say(callEvent{kind: callEnded, err: err})
 			return
 		}
 		if len(text) == 0 {
-			if !say(heard{what: heardLine}) {
+			if !say(callEvent{kind: lineReceived}) {
 				return
 			}
 			continue
 		}
-		l, err := d.read(text)
+		l, err := d.parseList(text)
 		if err != nil {
 			// A line that can't be read may hide a change. The watch is dropped, the
 			// list so far stands, and the next watch brings what was missed.
-			say(heard{what: heardEnd, list: l, err: err})
+			say(callEvent{kind: callEnded, list: l, err: err})
 			return
 		}
-		if !say(heard{what: heardLine, list: l}) {
+		if !say(callEvent{kind: lineReceived, list: l}) {
 			return
 		}
 	}
 }
 
-// read reads a list. Of one that can't be used it gives, beside the error, what its good entries say of backends that
+// parseList reads a list. Of one that can't be used it gives, beside the error, what its good entries say of backends that
 // leave: that is heeded at once.
-func (d *follower) read(text []byte) (*List, error) {
+func (d *follower) parseList(text []byte) (*List, error) {
 	var l List
 	if err := json.Unmarshal(text, &l); err != nil {
-		return nil, &LineError{Why: err}
+		return nil, &ListError{Err: err}
 	}
 	var err error
-	if l.entries, err = l.Check(*d.names.Load()); err == nil {
+	if l.entries, err = l.ParseEntries(*d.names.Load()); err == nil {
 		return &l, nil
 	}
-	leaving := l.leaving(*d.names.Load())
+	leaving := l.drainsOnly(*d.names.Load())
 	if len(leaving.Instances) == 0 {
 		return nil, err
 	}
 	return leaving, err
 }
 
-// check asks for the whole list ever again. What the watch has told is known by its number, and is not read further.
-func (d *follower) check(ctx context.Context, has func() uint32, newer func(*List)) {
-	wait := d.pace.Check
+// resync asks for the whole list ever again. What the watch has told is known by its number, and is not read further.
+func (d *follower) resync(ctx context.Context, has func() uint32, newer func(*List)) {
+	wait := d.timings.ResyncInterval
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(wait):
 		}
-		wait = d.pace.Check
-		l, err := d.whole(ctx, d.pace.checkPatience(), has)
+		wait = d.timings.ResyncInterval
+		l, err := d.fetchOnce(ctx, d.timings.resyncTimeout(), has)
 		switch {
 		case err != nil:
-			wait = d.pace.Most // the watch's own calls say what is wrong
+			wait = d.timings.MaxBackoff // the watch's own calls say what is wrong
 		case l != nil:
 			newer(l)
 		}
 	}
 }
 
-// fetch asks for the whole list until it has come.
-func (d *follower) fetch(ctx context.Context) {
-	said, usual := "", max(d.pace.Patience, d.pace.Turn)
+// fetchUntilDone asks for the whole list until it has come.
+func (d *follower) fetchUntilDone(ctx context.Context) {
+	said, usual := "", max(d.timings.CallTimeout, d.timings.QueueWait)
 	patience := usual
-	for wait := d.pace.Least; ; wait = min(2*wait, d.pace.Most) {
-		l, err := d.whole(ctx, patience, nil)
+	for wait := d.timings.MinBackoff; ; wait = min(2*wait, d.timings.MaxBackoff) {
+		l, err := d.fetchOnce(ctx, patience, nil)
 		if err == nil {
-			d.tell(l)
+			d.onList(l)
 			return
 		}
 		if ctx.Err() != nil {
 			return
 		}
 		if errors.Is(err, context.DeadlineExceeded) { // it was given up just before its turn, perhaps
-			patience = min(2*patience, usual<<doubled)
+			patience = min(2*patience, usual<<maxDoublings)
 		}
 		if err.Error() != said {
 			said = err.Error()
@@ -222,8 +222,8 @@
 	}
 }
 
-// whole asks for the whole list once. It gives nil where the list is of the version that has gives.
-func (d *follower) whole(ctx context.Context, patience time.Duration, has func() uint32) (*List, error) {
+// fetchOnce asks for the whole list once. It gives nil where the list is of the version that has gives.
+func (d *follower) fetchOnce(ctx context.Context, patience time.Duration, has func() uint32) (*List, error) {
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
 	body, err := d.get(ctx, "")
@@ -231,12 +231,12 @@
 		return nil, err
 	}
 	defer body.Close()
-	text, err := io.ReadAll(io.LimitReader(body, longestList+1))
+	text, err := io.ReadAll(io.LimitReader(body, maxListBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(text) > longestList {
-		return nil, errTooLong
+	if len(text) > maxListBytes {
+		return nil, errListTooLong
 	}
 	if has != nil {
 		var number struct {
@@ -246,7 +246,7 @@
 			return nil, nil
 		}
 	}
-	l, err := d.read(text)
+	l, err := d.parseList(text)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/discovery/platformwatch/pursuit.go
+++ b/internal/discovery/platformwatch/pursuit.go
@@ -5,232 +5,232 @@
 	"time"
 )
 
-// Pace is how the list is pursued. Every constant that counts for when a change is known stands here, and Told sums
+// Timings is how the list is pursued. Every constant that counts for when a change is known stands here, and Told sums
 // them up.
-type Pace struct {
-	// Silence is without a whole line for how long a watch is taken for broken. One brings a line every 2 s. Lower
+type Timings struct {
+	// WatchTimeout is without a whole line for how long a watch is taken for broken. One brings a line every 2 s. Lower
 	// gives up good watches of a machine that is short of time.
-	Silence time.Duration
-	// Head is how long a call may be without the head of its answer, dialling included, before another is made
+	WatchTimeout time.Duration
+	// HeadHedgeDelay is how long a call may be without the head of its answer, dialling included, before another is made
 	// beside it, and Line the same for what follows the head. Lower costs calls where answers are slow.
-	Head, Line time.Duration
-	// Patience is after what time a call without a head is given up. Until then it keeps its place, whatever is
+	HeadHedgeDelay, LineHedgeDelay time.Duration
+	// CallTimeout is after what time a call without a head is given up. Until then it keeps its place, whatever is
 	// made beside it: where calls wait in turn, its turn is the next to come.
-	Patience time.Duration
-	// Turn is how long a call keeps its place alone where calls or watches have just failed: discovery may be taking a
+	CallTimeout time.Duration
+	// QueueWait is how long a call keeps its place alone where calls or watches have just failed: discovery may be taking a
 	// whole fleet's calls in turn, and turn away what comes beyond its patience. A second call is turned away then, and
 	// where one answer fails all that a proxy has asked, the first with it, just before its turn. 0: nothing waits.
-	Turn time.Duration
-	// Least and Most bound the wait between two calls that fail at once; it doubles from one to the other.
-	Least, Most time.Duration
-	// Check is how often the whole list is asked for beside a watch that works, whose word is all there is to tell
+	QueueWait time.Duration
+	// MinBackoff and Most bound the wait between two calls that fail at once; it doubles from one to the other.
+	MinBackoff, MaxBackoff time.Duration
+	// ResyncInterval is how often the whole list is asked for beside a watch that works, whose word is all there is to tell
 	// that nothing has changed; 0 is never.
-	Check time.Duration
+	ResyncInterval time.Duration
 }
 
 const (
-	// told is by when a change counts as told, whether or not it has arrived, if discovery could be reached.
-	told = 6 * time.Second
-	// faults is how many calls in a row may go wrong, each in the slowest way, for a change to be known in time.
-	faults = 2
-	// headless is how many calls without a head there may be at a time, and mostCalls how many that have said nothing.
-	headless, mostCalls = 2, 4
-	// beat is how long a watch may say nothing behind its head before it is given up: it brings a line every 2 s.
-	beat = 2300 * time.Millisecond
-	// doubled is how often the time in which a call keeps its place is doubled at most.
-	doubled = 2
-	// lastCall is how long after the last word of a watch another call has to be made for a change to be known in time.
-	lastCall = 4900 * time.Millisecond
-	// answer is what a call takes that goes well, and decode a list, on a machine that is short of time.
-	answer, decode = 300 * time.Millisecond, 250 * time.Millisecond
+	// maxUpdateDelay is by when a change counts as told, whether or not it has arrived, if discovery could be reached.
+	maxUpdateDelay = 6 * time.Second
+	// toleratedFaults is how many calls in a row may go wrong, each in the slowest way, for a change to be known in time.
+	toleratedFaults = 2
+	// maxHeadless is how many calls without a head there may be at a time, and mostCalls how many that have said nothing.
+	maxHeadless, maxCalls = 2, 4
+	// lineTimeout is how long a watch may say nothing behind its head before it is given up: it brings a line every 2 s.
+	lineTimeout = 2300 * time.Millisecond
+	// maxDoublings is how often the time in which a call keeps its place is doubled at most.
+	maxDoublings = 2
+	// maxCallDelay is how long after the last word of a watch another call has to be made for a change to be known in time.
+	maxCallDelay = 4900 * time.Millisecond
+	// answerTime is what a call takes that goes well, and decode a list, on a machine that is short of time.
+	answerTime, decodeTime = 300 * time.Millisecond, 250 * time.Millisecond
 )
 
-// PaceFor gives the pace. Pushed, the address is an agent on this machine, which answers at once and at no cost; what
+// TimingsFor gives the pace. Pushed, the address is an agent on this machine, which answers at once and at no cost; what
 // it has after an outage counts at once. Asked for, it is one service for all proxies, which takes their calls in
 // turn: there is no check, a second call is made late, or not at all where others fail, and a fleet's calls are spread.
-func PaceFor(onRequest bool, proxies int) Pace {
+func TimingsFor(onRequest bool, proxies int) Timings {
 	if !onRequest {
-		return Pace{
-			Silence: 3 * time.Second, Head: 300 * time.Millisecond, Line: 1200 * time.Millisecond, Patience: time.Second,
-			Least: 30 * time.Millisecond, Most: 250 * time.Millisecond, Check: 2500 * time.Millisecond,
+		return Timings{
+			WatchTimeout: 3 * time.Second, HeadHedgeDelay: 300 * time.Millisecond, LineHedgeDelay: 1200 * time.Millisecond, CallTimeout: time.Second,
+			MinBackoff: 30 * time.Millisecond, MaxBackoff: 250 * time.Millisecond, ResyncInterval: 2500 * time.Millisecond,
 		}
 	}
 	// All proxies together make some hundred calls a second at most while discovery is down.
 	each := time.Duration(max(proxies, 1)) * time.Millisecond
-	return Pace{
-		Silence: 2500 * time.Millisecond, Head: 600 * time.Millisecond, Line: 600 * time.Millisecond, Patience: 2400 * time.Millisecond, Turn: 3100 * time.Millisecond,
-		Least: min(max(100*time.Millisecond, 2*each), 600*time.Millisecond), Most: min(max(500*time.Millisecond, 8*each), 2250*time.Millisecond),
+	return Timings{
+		WatchTimeout: 2500 * time.Millisecond, HeadHedgeDelay: 600 * time.Millisecond, LineHedgeDelay: 600 * time.Millisecond, CallTimeout: 2400 * time.Millisecond, QueueWait: 3100 * time.Millisecond,
+		MinBackoff: min(max(100*time.Millisecond, 2*each), 600*time.Millisecond), MaxBackoff: min(max(500*time.Millisecond, 8*each), 2250*time.Millisecond),
 	}
 }
 
-// Told is how long after discovery has a change it is known here at the latest, whatever is wrong with the watch and
+// MaxUpdateDelay is how long after discovery has a change it is known here at the latest, whatever is wrong with the watch and
 // with the next calls, up to faults of them. Where there is a check it is enough that either way holds.
-func (p Pace) Told() time.Duration {
-	if p.Check > 0 {
-		return min(p.watchTold(), p.checkTold())
+func (p Timings) MaxUpdateDelay() time.Duration {
+	if p.ResyncInterval > 0 {
+		return min(p.maxDelayByWatch(), p.maxDelayByResync())
 	}
-	return p.watchTold()
+	return p.maxDelayByWatch()
 }
 
-// watchTold is the longest of the ways by a watch. Each is a sum of what comes one after the other.
-func (p Pace) watchTold() time.Duration {
-	calls := max(p.Patience, faults*(p.Head+p.Line)) // two without a head: the third comes when the first is given up
-	silent := p.Silence + calls                      // the watch is silent, or brings half a line, from the change on
-	broken := p.Least + calls                        // it ends with the change
-	back := p.Most + calls                           // discovery was down for long
-	if p.Turn > 0 {
-		broken = max(lastCall, 3*p.Least+p.Turn) // a call fails, too: the next waits its turn, and the one after it comes
-		back = p.Most + p.Turn                   // the outage is one fault, and a call without a head the other
-	}
-	return max(silent, broken, back) + answer + decode
+// maxDelayByWatch is the longest of the ways by a watch. Each is a sum of what comes one after the other.
+func (p Timings) maxDelayByWatch() time.Duration {
+	calls := max(p.CallTimeout, toleratedFaults*(p.HeadHedgeDelay+p.LineHedgeDelay)) // two without a head: the third comes when the first is given up
+	silent := p.WatchTimeout + calls                                                 // the watch is silent, or brings half a line, from the change on
+	broken := p.MinBackoff + calls                                                   // it ends with the change
+	back := p.MaxBackoff + calls                                                     // discovery was down for long
+	if p.QueueWait > 0 {
+		broken = max(maxCallDelay, 3*p.MinBackoff+p.QueueWait) // a call fails, too: the next waits its turn, and the one after it comes
+		back = p.MaxBackoff + p.QueueWait                      // the outage is one fault, and a call without a head the other
+	}
+	return max(silent, broken, back) + answerTime + decodeTime
 }
 
-// checkTold is the longest way by the check alone, also where the watch says that nothing has changed, and lies.
-func (p Pace) checkTold() time.Duration {
-	return p.Check + faults*(p.checkPatience()+p.Most) + answer + decode
+// maxDelayByResync is the longest way by the check alone, also where the watch says that nothing has changed, and lies.
+func (p Timings) maxDelayByResync() time.Duration {
+	return p.ResyncInterval + toleratedFaults*(p.resyncTimeout()+p.MaxBackoff) + answerTime + decodeTime
 }
 
-// checkPatience is how long the whole list may take to come.
-func (p Pace) checkPatience() time.Duration { return 2 * p.Head }
+// resyncTimeout is how long the whole list may take to come.
+func (p Timings) resyncTimeout() time.Duration { return 2 * p.HeadHedgeDelay }
 
 // call is one call for a watch.
 type call struct {
-	id          int
-	began, head time.Duration // head: when its head came; 0 is not yet
+	id                int
+	startedAt, headAt time.Duration // head: when its head came; 0 is not yet
 }
 
-// pursuit decides when calls for a watch are made and given up, at one address. It is pure: time is a parameter. Of
+// callScheduler decides when calls for a watch are made and given up, at one address. It is pure: time is a parameter. Of
 // its calls one, the live one, may have said something; the others have not.
-type pursuit struct {
-	pace   Pace
-	jitter func() float64 // from 0 to 1
-	live   int            // its id; 0: there is none
-	fresh  time.Duration  // when the live one last said something, or ended
-	calls  []call         // that have said nothing, the oldest first
-	lastID int
-	failed int // calls and watches that have ended, one after the other, since something was last said
-	lost   int // calls that were given up in their turn since then
-	notBefore,
+type callScheduler struct {
+	timings    Timings
+	jitter     func() float64 // from 0 to 1
+	liveID     int            // its id; 0: there is none
+	lastLineAt time.Duration  // when the live one last said something, or ended
+	pending    []call         // that have said nothing, the oldest first
+	lastID     int
+	failures   int // calls and watches that have ended, one after the other, since something was last said
+	abandoned  int // calls that were given up in their turn since then
+	nextCallAt,
 	backoff time.Duration
 }
 
 // step gives what is to be done now: calls to be given up, a call to be made (0: none), and when to look again.
-func (p *pursuit) step(now time.Duration) (drop []int, start int, next time.Duration) {
-	p.calls = slices.DeleteFunc(p.calls, func(c call) bool {
-		late := now >= p.givenUp(c)
+func (p *callScheduler) step(now time.Duration) (drop []int, start int, next time.Duration) {
+	p.pending = slices.DeleteFunc(p.pending, func(c call) bool {
+		late := now >= p.abandonAt(c)
 		if late {
 			drop = append(drop, c.id)
 		}
-		if late && c.head == 0 && p.failed > 1 {
-			p.lost++
+		if late && c.headAt == 0 && p.failures > 1 {
+			p.abandoned++
 		}
 		return late
 	})
-	if silent := p.fresh + p.pace.Silence; p.live != 0 && now < silent {
+	if silent := p.lastLineAt + p.timings.WatchTimeout; p.liveID != 0 && now < silent {
 		return drop, 0, silent
 	}
-	next, waiting := p.notBefore, 0
-	for _, c := range p.calls {
-		if c.head == 0 {
+	next, waiting := p.nextCallAt, 0
+	for _, c := range p.pending {
+		if c.headAt == 0 {
 			waiting++
 		}
 	}
-	if n := len(p.calls); n > 0 {
-		next = max(next, p.overdue(p.calls[n-1]))
+	if n := len(p.pending); n > 0 {
+		next = max(next, p.hedgeAt(p.pending[n-1]))
 	}
-	full := waiting >= headless || len(p.calls) >= mostCalls
+	full := waiting >= maxHeadless || len(p.pending) >= maxCalls
 	if now >= next && !full {
 		p.lastID++
 		start = p.lastID
-		p.calls = append(p.calls, call{id: start, began: now})
-		next, full = p.overdue(p.calls[len(p.calls)-1]), false
+		p.pending = append(p.pending, call{id: start, startedAt: now})
+		next, full = p.hedgeAt(p.pending[len(p.pending)-1]), false
 	}
-	for i, c := range p.calls {
-		if up := p.givenUp(c); up < next || full && i == 0 {
+	for i, c := range p.pending {
+		if up := p.abandonAt(c); up < next || full && i == 0 {
 			next = up
 		}
 	}
 	return drop, start, next
 }
 
-// givenUp is when a call is given up that has said nothing.
-func (p *pursuit) givenUp(c call) time.Duration {
+// abandonAt is when a call is given up that has said nothing.
+func (p *callScheduler) abandonAt(c call) time.Duration {
 	switch {
-	case c.head > 0:
-		return c.head + beat
-	case p.failed > 0:
-		return c.began + max(p.pace.Patience, p.turn())
+	case c.headAt > 0:
+		return c.headAt + lineTimeout
+	case p.failures > 0:
+		return c.startedAt + max(p.timings.CallTimeout, p.exclusiveWait())
 	}
-	return c.began + p.pace.Patience
+	return c.startedAt + p.timings.CallTimeout
 }
 
-// turn is how long a call keeps its place alone. Danger: where discovery lets calls wait for longer than that, all
+// exclusiveWait is how long a call keeps its place alone. Danger: where discovery lets calls wait for longer than that, all
 // would be given up just before their turn, for ever; so it grows with those that were.
-func (p *pursuit) turn() time.Duration {
-	return p.pace.Turn << min(p.lost, doubled)
+func (p *callScheduler) exclusiveWait() time.Duration {
+	return p.timings.QueueWait << min(p.abandoned, maxDoublings)
 }
 
-// overdue is when another call is made beside one that says nothing. Danger: where calls fail for want of room, a
+// hedgeAt is when another call is made beside one that says nothing. Danger: where calls fail for want of room, a
 // second one takes the place of others and may cost the first its own; so it waits for as long as time allows.
-func (p *pursuit) overdue(c call) time.Duration {
-	switch soon, turn := c.began+p.pace.Head, c.began+p.turn(); {
-	case c.head > 0:
-		return c.head + p.pace.Line
-	case p.failed == 0 || p.pace.Turn == 0:
+func (p *callScheduler) hedgeAt(c call) time.Duration {
+	switch soon, turn := c.startedAt+p.timings.HeadHedgeDelay, c.startedAt+p.exclusiveWait(); {
+	case c.headAt > 0:
+		return c.headAt + p.timings.LineHedgeDelay
+	case p.failures == 0 || p.timings.QueueWait == 0:
 		return soon
-	case p.failed == 1:
-		return max(soon, min(turn, p.fresh+lastCall))
+	case p.failures == 1:
+		return max(soon, min(turn, p.lastLineAt+maxCallDelay))
 	default:
 		return turn
 	}
 }
 
-// answered takes in that a call's head has come.
-func (p *pursuit) answered(now time.Duration, id int) {
-	for i := range p.calls {
-		if p.calls[i].id == id {
-			p.calls[i].head = now
+// onHead takes in that a call's head has come.
+func (p *callScheduler) onHead(now time.Duration, id int) {
+	for i := range p.pending {
+		if p.pending[i].id == id {
+			p.pending[i].headAt = now
 		}
 	}
 }
 
-// spoke takes in a whole line of a call, and gives the calls that are not wanted any more. Counts tells whether the
+// onLine takes in a whole line of a call, and gives the calls that are not wanted any more. Counts tells whether the
 // call's word still counts.
-func (p *pursuit) spoke(now time.Duration, id int) (drop []int, counts bool) {
-	if id == p.live {
-		p.fresh = now
+func (p *callScheduler) onLine(now time.Duration, id int) (drop []int, counts bool) {
+	if id == p.liveID {
+		p.lastLineAt = now
 		return nil, true
 	}
-	if !slices.ContainsFunc(p.calls, func(c call) bool { return c.id == id }) {
+	if !slices.ContainsFunc(p.pending, func(c call) bool { return c.id == id }) {
 		return nil, false
 	}
-	if p.live != 0 {
-		drop = append(drop, p.live)
+	if p.liveID != 0 {
+		drop = append(drop, p.liveID)
 	}
-	for _, c := range p.calls {
+	for _, c := range p.pending {
 		if c.id != id {
 			drop = append(drop, c.id)
 		}
 	}
-	p.live, p.fresh, p.calls, p.backoff, p.failed, p.lost = id, now, nil, 0, 0, 0
+	p.liveID, p.lastLineAt, p.pending, p.backoff, p.failures, p.abandoned = id, now, nil, 0, 0, 0
 	return drop, true
 }
 
-// ended takes in that a call is over, and tells whether that was the live one.
-func (p *pursuit) ended(now time.Duration, id int) (was bool) {
-	was = id == p.live && id != 0
+// onEnd takes in that a call is over, and tells whether that was the live one.
+func (p *callScheduler) onEnd(now time.Duration, id int) (was bool) {
+	was = id == p.liveID && id != 0
 	if was {
-		p.live, p.fresh = 0, now
-	} else if i := slices.IndexFunc(p.calls, func(c call) bool { return c.id == id }); i >= 0 {
-		p.calls = slices.Delete(p.calls, i, i+1)
+		p.liveID, p.lastLineAt = 0, now
+	} else if i := slices.IndexFunc(p.pending, func(c call) bool { return c.id == id }); i >= 0 {
+		p.pending = slices.Delete(p.pending, i, i+1)
 	} else {
 		return false
 	}
-	p.backoff = min(max(2*p.backoff, p.pace.Least), p.pace.Most)
+	p.backoff = min(max(2*p.backoff, p.timings.MinBackoff), p.timings.MaxBackoff)
 	// Danger: what ends ends for all proxies at once; without a spread all would come back together, ever again.
-	p.notBefore = now + p.backoff/2 + time.Duration(p.jitter()*float64(p.backoff/2))
-	if p.failed++; p.failed == 1 && p.pace.Turn > 0 {
-		p.notBefore = min(p.notBefore, max(now, p.fresh+lastCall))
+	p.nextCallAt = now + p.backoff/2 + time.Duration(p.jitter()*float64(p.backoff/2))
+	if p.failures++; p.failures == 1 && p.timings.QueueWait > 0 {
+		p.nextCallAt = min(p.nextCallAt, max(now, p.lastLineAt+maxCallDelay))
 	}
 	return was
 }
--- a/internal/discovery/platformwatch/pursuit_test.go
+++ b/internal/discovery/platformwatch/pursuit_test.go
@@ -19,9 +19,9 @@
 	for _, onRequest := range []bool{false, true} {
 		margin := 6 * time.Second
 		for _, proxies := range []int{0, 1, 4, 30, 300, 5000} {
-			sum := PaceFor(onRequest, proxies).Told()
-			if margin = min(margin, told-sum); margin < 0 {
-				t.Errorf("asked for: %v, %d proxies: known after %v, and %v is allowed", onRequest, proxies, sum, told)
+			sum := TimingsFor(onRequest, proxies).MaxUpdateDelay()
+			if margin = min(margin, maxUpdateDelay-sum); margin < 0 {
+				t.Errorf("asked for: %v, %d proxies: known after %v, and %v is allowed", onRequest, proxies, sum, maxUpdateDelay)
 			}
 		}
 		t.Logf("asked for: %v: margin %v", onRequest, margin)
@@ -44,16 +44,16 @@
 
 // play runs a pursuit whose first calls go wrong and whose others are answered at once, from a moment on at which
 // the watch falls silent or ends, and gives how long it takes until something is said.
-func play(t *testing.T, pace Pace, silent bool, seed float64, first ...wrong) time.Duration {
+func play(t *testing.T, pace Timings, silent bool, seed float64, first ...wrong) time.Duration {
 	type event struct {
 		at   time.Duration
 		do   func(now time.Duration)
 		call int
 	}
 	var events []event
-	p := pursuit{pace: pace, jitter: func() float64 { return seed }, live: 1, lastID: 1}
+	p := callScheduler{timings: pace, jitter: func() float64 { return seed }, liveID: 1, lastID: 1}
 	if !silent {
-		p.ended(0, 1)
+		p.onEnd(0, 1)
 	}
 	made, said, most := 0, time.Duration(0), 0
 	next := time.Duration(0)
@@ -77,11 +77,11 @@
 			if made++; made > len(first) {
 				events = append(events, event{now + 50*time.Millisecond, func(now time.Duration) { said = now }, start})
 			} else if w.refused > 0 {
-				events = append(events, event{now + w.refused, func(now time.Duration) { p.ended(now, start) }, start})
+				events = append(events, event{now + w.refused, func(now time.Duration) { p.onEnd(now, start) }, start})
 			} else if w.head > 0 {
-				events = append(events, event{now + w.head, func(now time.Duration) { p.answered(now, start) }, start})
+				events = append(events, event{now + w.head, func(now time.Duration) { p.onHead(now, start) }, start})
 			}
-			most = max(most, len(p.calls))
+			most = max(most, len(p.pending))
 		}
 		if wake <= now && start == 0 {
 			t.Fatalf("it looks again at %v, and it is %v", wake, now)
@@ -95,7 +95,7 @@
 			t.Fatal("nothing is ever heard")
 		}
 	}
-	if most > mostCalls {
+	if most > maxCalls {
 		t.Fatalf("%d calls at once", most)
 	}
 	return said
@@ -107,12 +107,12 @@
 	t.Parallel()
 	for _, onRequest := range []bool{false, true} {
 		for _, proxies := range []int{1, 30, 300} {
-			holdsTo(t, PaceFor(onRequest, proxies), fmt.Sprintf("asked for: %v, %d proxies", onRequest, proxies))
+			holdsTo(t, TimingsFor(onRequest, proxies), fmt.Sprintf("asked for: %v, %d proxies", onRequest, proxies))
 		}
 	}
 }
 
-func holdsTo(t *testing.T, pace Pace, name string) {
+func holdsTo(t *testing.T, pace Timings, name string) {
 	worst := time.Duration(0)
 	for _, silent := range []bool{true, false} {
 		for _, seed := range []float64{0, 0.5, 0.999} {
@@ -120,16 +120,16 @@
 				worst = max(worst, play(t, pace, silent, seed, a))
 				for _, b := range wrongs {
 					took := play(t, pace, silent, seed, a, b)
-					if worst = max(worst, took); took > pace.watchTold() {
-						t.Errorf("%s, watch silent: %v, a call %s, then one %s: known after %v, summed %v", name, silent, a.name, b.name, took, pace.watchTold())
+					if worst = max(worst, took); took > pace.maxDelayByWatch() {
+						t.Errorf("%s, watch silent: %v, a call %s, then one %s: known after %v, summed %v", name, silent, a.name, b.name, took, pace.maxDelayByWatch())
 					}
 				}
 			}
 		}
 	}
-	t.Logf("%s: %v at most, %v summed", name, worst, pace.watchTold())
-	if worst < pace.watchTold()/2 {
-		t.Errorf("%s: the sum is %v, and nothing takes more than %v: it says nothing", name, pace.watchTold(), worst)
+	t.Logf("%s: %v at most, %v summed", name, worst, pace.maxDelayByWatch())
+	if worst < pace.maxDelayByWatch()/2 {
+		t.Errorf("%s: the sum is %v, and nothing takes more than %v: it says nothing", name, pace.maxDelayByWatch(), worst)
 	}
 }
 
@@ -138,19 +138,19 @@
 	t.Parallel()
 	for _, onRequest := range []bool{false, true} {
 		for _, down := range []time.Duration{time.Second, 8 * time.Second, time.Hour} {
-			pace := PaceFor(onRequest, 30)
-			p := pursuit{pace: pace, jitter: func() float64 { return 0.999 }, live: 1, lastID: 1}
-			p.ended(0, 1)
+			pace := TimingsFor(onRequest, 30)
+			p := callScheduler{timings: pace, jitter: func() float64 { return 0.999 }, liveID: 1, lastID: 1}
+			p.onEnd(0, 1)
 			now := time.Duration(0)
 			for now <= down {
 				_, start, wake := p.step(now)
 				if start != 0 {
-					p.ended(now, start) // refused
+					p.onEnd(now, start) // refused
 					_, _, wake = p.step(now)
 				}
 				now = wake
 			}
-			if now-down > pace.Most {
+			if now-down > pace.MaxBackoff {
 				t.Errorf("asked for: %v, down for %v: called %v after its return", onRequest, down, now-down)
 			}
 		}
@@ -165,13 +165,13 @@
 		perSecond, last := make([]int, 9), map[time.Duration]int{}
 		for proxy := range proxies {
 			state := uint64(proxy)*0x9e3779b97f4a7c15 + 1
-			p := pursuit{pace: PaceFor(onRequest, proxies), live: 1, lastID: 1, jitter: func() float64 {
+			p := callScheduler{timings: TimingsFor(onRequest, proxies), liveID: 1, lastID: 1, jitter: func() float64 {
 				state ^= state << 13
 				state ^= state >> 7
 				state ^= state << 17
 				return float64(state>>11) / (1 << 53)
 			}}
-			p.ended(0, 1) // all watches end at once
+			p.onEnd(0, 1) // all watches end at once
 			for now := time.Duration(0); now < down; {
 				_, start, wake := p.step(now)
 				if start != 0 {
@@ -179,7 +179,7 @@
 					if now > 6*time.Second {
 						last[now/(50*time.Millisecond)]++
 					}
-					p.ended(now, start) // refused
+					p.onEnd(now, start) // refused
 					_, _, wake = p.step(now)
 				}
 				now = max(wake, now+time.Millisecond)
@@ -227,7 +227,7 @@
 	d := turns{each: all / time.Duration(proxies), patience: patience}
 	d.free = d.patience // it has just been busy
 	type proxy struct {
-		pursuit
+		callScheduler
 		wake  time.Duration
 		turn  map[int]time.Duration // when its calls are answered
 		heard bool
@@ -235,20 +235,20 @@
 	fleet := make([]*proxy, proxies)
 	for i := range fleet {
 		state := uint64(i)*0x9e3779b97f4a7c15 + 1
-		fleet[i] = &proxy{turn: map[int]time.Duration{}, pursuit: pursuit{pace: PaceFor(true, proxies), live: 1, lastID: 1, jitter: func() float64 {
+		fleet[i] = &proxy{turn: map[int]time.Duration{}, callScheduler: callScheduler{timings: TimingsFor(true, proxies), liveID: 1, lastID: 1, jitter: func() float64 {
 			state ^= state << 13
 			state ^= state >> 7
 			state ^= state << 17
 			return float64(state>>11) / (1 << 53)
 		}}}
-		fleet[i].ended(0, 1)
+		fleet[i].onEnd(0, 1)
 	}
 	calls, last, left := 0, time.Duration(0), proxies
 	// One look of a proxy at a moment.
 	look := func(p *proxy, now time.Duration) {
 		for id, at := range p.turn {
 			if at <= now {
-				p.spoke(now, id)
+				p.onLine(now, id)
 				p.heard, last, left = true, now, left-1
 				return
 			}
@@ -270,9 +270,9 @@
 			p.turn[start] = d.free
 			return
 		}
-		p.ended(now, start)
+		p.onEnd(now, start)
 		for id := range p.turn {
-			p.ended(now, id)
+			p.onEnd(now, id)
 		}
 		clear(p.turn)
 		_, _, p.wake = p.step(now)
@@ -286,7 +286,7 @@
 	}
 	t.Logf("%d proxies, %v for all, %v of patience: the last is answered after %v, %d calls", proxies, all, patience, last, calls)
 	most := d.patience + all + 2*time.Second
-	if patience > PaceFor(true, proxies).Turn {
+	if patience > TimingsFor(true, proxies).QueueWait {
 		most *= 3 // how long its calls wait has to be learnt
 	}
 	if left > 0 || last > most {
@@ -313,7 +313,7 @@
 			}
 			want, text = append(want, list), text+list+"\n"
 		}
-		l := lines{in: bufio.NewReaderSize(iotestReader{strings.NewReader(text), rapid.IntRange(1, 40).Draw(t, "piece")}, 16)}
+		l := listReader{in: bufio.NewReaderSize(iotestReader{strings.NewReader(text), rapid.IntRange(1, 40).Draw(t, "piece")}, 16)}
 		for i, w := range want {
 			got, err := l.next()
 			if err != nil || string(got) != strings.TrimSpace(w) {
@@ -337,9 +337,9 @@
 // What has no end is refused within its bound.
 func TestAListWithoutEnd(t *testing.T) {
 	t.Parallel()
-	endless := io.MultiReader(strings.NewReader(`{"generation":1,"instances":[`), strings.NewReader(strings.Repeat("{},\n", longestList/4)))
-	l := lines{in: bufio.NewReader(endless)}
-	if _, err := l.next(); err != errTooLong {
+	endless := io.MultiReader(strings.NewReader(`{"generation":1,"instances":[`), strings.NewReader(strings.Repeat("{},\n", maxListBytes/4)))
+	l := listReader{in: bufio.NewReader(endless)}
+	if _, err := l.next(); err != errListTooLong {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/discovery/platformwatch/source.go
+++ b/internal/discovery/platformwatch/source.go
@@ -13,15 +13,15 @@
 // that Post leads to.
 type Sink interface {
 	Post(event func())
-	List(l engine.List)
+	OnList(l engine.List)
 }
 
 // Config is what a Source is told.
 type Config struct {
-	Addr  string // of the platform's discovery
-	Pace  Pace
-	Names Names
-	Logf  func(format string, args ...any)
+	Addr    string // of the platform's discovery
+	Timings Timings
+	Names   Names
+	Logf    func(format string, args ...any)
 }
 
 // Source is where the engine watches the list. Of two addresses the older is watched
@@ -29,21 +29,21 @@
 // answers costs nothing. It goes on until it is told not to: nobody has to ask again. The engine's goroutine owns
 // it, but for Close.
 type Source struct {
-	cfg      Config
-	ctx      context.Context // of all that it starts
-	cancel   context.CancelFunc
-	sink     Sink
-	client   *http.Client
-	version  uint32
-	numbers  string   // the address whose numbers version is one of
-	current  *watcher // whose word counts; nil: nothing is watched
-	next     *watcher // takes over with its first word
-	fetching bool
+	config      Config
+	ctx         context.Context // of all that it starts
+	cancel      context.CancelFunc
+	sink        Sink
+	client      *http.Client
+	version     uint32
+	versionAddr string   // the address whose numbers version is one of
+	current     *watcher // whose word counts; nil: nothing is watched
+	next        *watcher // takes over with its first word
+	fetching    bool
 }
 
 // New makes a source that goes on from a version. Nothing is called before Watch or Fetch.
 func New(cfg Config, version uint32, sink Sink) *Source {
-	s := &Source{cfg: cfg, sink: sink, client: newClient(), version: version, numbers: cfg.Addr}
+	s := &Source{config: cfg, sink: sink, client: newClient(), version: version, versionAddr: cfg.Addr}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	return s
 }
@@ -53,8 +53,8 @@
 
 // Reload puts another address in force, and other names.
 func (s *Source) Reload(addr string, names Names) {
-	moves := addr != s.cfg.Addr
-	s.cfg.Names = names
+	moves := addr != s.config.Addr
+	s.config.Names = names
 	for _, w := range []*watcher{s.current, s.next} {
 		if w != nil {
 			w.names.Store(&names)
@@ -63,8 +63,8 @@
 	if !moves {
 		return
 	}
-	s.cfg.Logf("discovery: from %s to %s", s.cfg.Addr, addr)
-	s.cfg.Addr = addr
+	s.config.Logf("discovery: from %s to %s", s.config.Addr, addr)
+	s.config.Addr = addr
 	if s.current == nil {
 		return // nothing is watched; the next call goes to the new address
 	}
@@ -85,7 +85,7 @@
 // newWatcher stands for calls at the address now in force. Danger: what it reads names from is its own, as SIGHUP writes
 // the source's.
 func (s *Source) newWatcher(cancel context.CancelFunc) *watcher {
-	w, names := &watcher{cancel: cancel, addr: s.cfg.Addr}, s.cfg.Names
+	w, names := &watcher{cancel: cancel, addr: s.config.Addr}, s.config.Names
 	w.names.Store(&names)
 	return w
 }
@@ -117,13 +117,13 @@
 	s.fetching = true
 	w := s.newWatcher(nil)
 	d := s.follower(w)
-	d.tell = func(l *List) {
+	d.onList = func(l *List) {
 		s.sink.Post(func() {
 			s.fetching = false
-			s.take(w, l)
+			s.handleList(w, l)
 		})
 	}
-	go d.fetch(s.ctx)
+	go d.fetchUntilDone(s.ctx)
 }
 
 // startWatch watches the address in force, from the version on that it has told before.
@@ -131,17 +131,17 @@
 func (s *Source) startWatch() *watcher {
 	ctx, cancel := context.WithCancel(s.ctx)
 	w := s.newWatcher(cancel)
-	if s.numbers == s.cfg.Addr {
+	if s.versionAddr == s.config.Addr {
 		w.version.Store(s.version)
 	}
 	d := s.follower(w)
 	go d.follow(ctx, w.version.Load())
-	if s.cfg.Pace.Check > 0 {
-		go d.check(ctx, w.version.Load, func(l *List) {
+	if s.config.Timings.ResyncInterval > 0 {
+		go d.resync(ctx, w.version.Load, func(l *List) {
 			s.sink.Post(func() {
 				// Danger: the watch may have told more since this was asked for.
-				if l.Generation > w.version.Load() && s.speaks(w) {
-					s.take(w, l)
+				if l.Generation > w.version.Load() && s.accepts(w) {
+					s.handleList(w, l)
 				}
 			})
 		})
@@ -152,37 +152,37 @@
 // follower makes calls at the address now in force.
 func (s *Source) follower(w *watcher) *follower {
 	return &follower{
-		pace: s.cfg.Pace, names: &w.names, addr: w.addr, client: s.client, logf: s.cfg.Logf,
-		tell: func(l *List) {
+		timings: s.config.Timings, names: &w.names, addr: w.addr, client: s.client, logf: s.config.Logf,
+		onList: func(l *List) {
 			s.sink.Post(func() {
-				if s.speaks(w) {
-					s.take(w, l)
+				if s.accepts(w) {
+					s.handleList(w, l)
 				}
 			})
 		},
 	}
 }
 
-// take takes in what an address has told.
-func (s *Source) take(w *watcher, l *List) {
+// handleList takes in what an address has told.
+func (s *Source) handleList(w *watcher, l *List) {
 	kind := balancer.ListDelta
 	switch {
-	case l.partial:
-		s.sink.List(engine.List{Kind: kind, Version: s.version, Entries: l.entries})
+	case l.onlyDrains:
+		s.sink.OnList(engine.List{Kind: kind, Version: s.version, Entries: l.entries})
 		return
 	case l.Reset:
 		kind = balancer.ListFull
-	case s.numbers == w.addr && l.Generation < s.version:
+	case s.versionAddr == w.addr && l.Generation < s.version:
 		return // a check has told of it, and of more
 	}
-	s.version, s.numbers = l.Generation, w.addr
+	s.version, s.versionAddr = l.Generation, w.addr
 	w.version.Store(l.Generation)
-	s.sink.List(l.Engine(kind, l.entries))
+	s.sink.OnList(l.ForEngine(kind, l.entries))
 }
 
-// speaks tells whether a watcher's word still counts. The next one's first word makes
+// accepts tells whether a watcher's word still counts. The next one's first word makes
 // it the current one: what the older had on its way is void from then on.
-func (s *Source) speaks(w *watcher) bool {
+func (s *Source) accepts(w *watcher) bool {
 	if w == s.next {
 		s.current.stop()
 		s.current, s.next = w, nil
--- a/internal/discovery/platformwatch/source_test.go
+++ b/internal/discovery/platformwatch/source_test.go
@@ -24,11 +24,11 @@
 // sink runs what is posted at once.
 type sink struct{ lists []engine.List }
 
-func (s *sink) Post(event func())  { event() }
-func (s *sink) List(l engine.List) { s.lists = append(s.lists, l) }
+func (s *sink) Post(event func())    { event() }
+func (s *sink) OnList(l engine.List) { s.lists = append(s.lists, l) }
 
 func newSource(t *testing.T, onRequest bool) *Source {
-	s := New(Config{Addr: testutil.ClosedAddr(t), Pace: PaceFor(onRequest, 3), Logf: func(string, ...any) {}}, 41, &sink{})
+	s := New(Config{Addr: testutil.ClosedAddr(t), Timings: TimingsFor(onRequest, 3), Logf: func(string, ...any) {}}, 41, &sink{})
 	t.Cleanup(s.Close)
 	return s
 }
@@ -41,14 +41,14 @@
 	old := s.current
 	s.Reload(testutil.ClosedAddr(t), Names{})
 	next := s.next
-	if next == nil || !s.speaks(old) {
+	if next == nil || !s.accepts(old) {
 		t.Fatal("the old watch is not heard before the new one has told anything")
 	}
-	if !s.speaks(next) || s.speaks(old) || s.next != nil {
+	if !s.accepts(next) || s.accepts(old) || s.next != nil {
 		t.Error("after the new one's first word the old one still counts")
 	}
 	s.Watch(false)
-	if s.speaks(next) {
+	if s.accepts(next) {
 		t.Error("a watch that was given up still counts")
 	}
 }
@@ -64,10 +64,10 @@
 	s.Reload(testutil.ClosedAddr(t), Names{})
 	next := s.next
 	s.Watch(true)
-	if s.current != old || next == nil || s.next != next || next.addr != s.cfg.Addr {
+	if s.current != old || next == nil || s.next != next || next.addr != s.config.Addr {
 		t.Fatal("asking again gave something up")
 	}
-	if !s.speaks(next) || s.current != next {
+	if !s.accepts(next) || s.current != next {
 		t.Error("the new address is not heard")
 	}
 	if s.Watch(true); s.current != next {
@@ -97,11 +97,11 @@
 	s := newSource(t, false)
 	s.Watch(true)
 	zones, reads := map[string]int{"koper": 0}, s.current.names.Load()
-	s.Reload(s.cfg.Addr, Names{Zones: zones, Kinds: map[string]int{"std-1c": 3}})
+	s.Reload(s.config.Addr, Names{Zones: zones, Kinds: map[string]int{"std-1c": 3}})
 	if reads.Zones != nil || reads.Kinds != nil {
 		t.Error("what the watch is reading from was written")
 	}
-	l, err := s.follower(s.current).read([]byte(`{"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1","zone":"koper","machineType":"std-1c","lifecycle":"Ready"}]}`))
+	l, err := s.follower(s.current).parseList([]byte(`{"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1","zone":"koper","machineType":"std-1c","lifecycle":"Ready"}]}`))
 	if err != nil || l.entries[0].Kind != 3 {
 		t.Errorf("%+v, %v", l, err)
 	}
@@ -111,18 +111,18 @@
 func TestDrainsOfABadListAreHeeded(t *testing.T) {
 	t.Parallel()
 	got := &sink{}
-	s := New(Config{Addr: testutil.ClosedAddr(t), Pace: PaceFor(false, 3), Names: Names{Zones: map[string]int{"koper": 0}}, Logf: t.Logf}, 41, got)
+	s := New(Config{Addr: testutil.ClosedAddr(t), Timings: TimingsFor(false, 3), Names: Names{Zones: map[string]int{"koper": 0}}, Logf: t.Logf}, 41, got)
 	t.Cleanup(s.Close)
 	s.Watch(true)
 	d := s.follower(s.current)
-	l, err := d.read([]byte(`{"generation":99,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1","zone":"koper","lifecycle":"Terminating"},
+	l, err := d.parseList([]byte(`{"generation":99,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1","zone":"koper","lifecycle":"Terminating"},
 		{"instanceId":"s-2","lifecycle":"Gone"},{"instanceId":"s-3","hostPort":"127.0.0.1:3","zone":"koper","lifecycle":"Ready"},
 		{"instanceId":"s-4","hostPort":"127.0.0.1:4","zone":"nowhere","lifecycle":"Terminating"}]}`))
-	var bad *LineError
+	var bad *ListError
 	if !errors.As(err, &bad) || bad.Instance != "s-4" || bad.Key != "zone" || bad.Advice() == "" {
 		t.Fatalf("%v", err)
 	}
-	d.tell(l)
+	d.onList(l)
 	if len(got.lists) != 1 || got.lists[0].Kind != balancer.ListDelta || got.lists[0].Version != 41 || len(got.lists[0].Entries) != 2 || s.version != 41 {
 		t.Errorf("%+v, version %d", got.lists, s.version)
 	}
@@ -133,7 +133,7 @@
 func TestAWholeListIsWaitedFor(t *testing.T) {
 	t.Parallel()
 	const takes, patience = 250 * time.Millisecond, 100 * time.Millisecond
-	for name, pace := range map[string]Pace{"asked for": {Turn: patience}, "pushed": {}} {
+	for name, pace := range map[string]Timings{"asked for": {QueueWait: patience}, "pushed": {}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			raw, err := standin.StartRaw(func(c net.Conn, in *bufio.Reader) {
@@ -157,15 +157,15 @@
 			}
 			t.Cleanup(raw.Close)
 			got := make(chan *List, 1)
-			pace.Patience, pace.Least, pace.Most = patience, time.Millisecond, 2*time.Millisecond
+			pace.CallTimeout, pace.MinBackoff, pace.MaxBackoff = patience, time.Millisecond, 2*time.Millisecond
 			d := &follower{
-				pace: pace, names: new(atomic.Pointer[Names]), addr: raw.Addr, client: newClient(), logf: t.Logf,
-				tell: func(l *List) { got <- l },
+				timings: pace, names: new(atomic.Pointer[Names]), addr: raw.Addr, client: newClient(), logf: t.Logf,
+				onList: func(l *List) { got <- l },
 			}
 			d.names.Store(&Names{})
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			go d.fetch(ctx)
+			go d.fetchUntilDone(ctx)
 			if l := testutil.Receive(t, got, "the list"); l.Generation != 7 || raw.Accepted.Load() < 2 {
 				t.Errorf("%+v after %d calls", l, raw.Accepted.Load())
 			}
--- a/internal/discovery/sources/sources.go
+++ b/internal/discovery/sources/sources.go
@@ -191,8 +191,8 @@
 
 func (p platformSink) Post(event func()) { p.host.Post(event) }
 
-// List takes the platform's word.
-func (p platformSink) List(l engine.List) {
+// OnList takes the platform's word.
+func (p platformSink) OnList(l engine.List) {
 	s := p.Source
 	s.version, s.told = l.Version, true
 	if s.model == nil {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -152,11 +152,11 @@
 	p := &parts{limitMemory: limitMemory}
 	known, version := engine.List{}, uint32(0)
 	if cfg.Known != nil {
-		entries, err := cfg.Known.Check(cfg.Names)
+		entries, err := cfg.Known.ParseEntries(cfg.Names)
 		if err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
-		known, version = cfg.Known.Engine(0, entries), cfg.Known.Generation
+		known, version = cfg.Known.ForEngine(0, entries), cfg.Known.Generation
 	}
 	var err error
 	p.engine, err = engine.New(engine.Config{
@@ -181,7 +181,7 @@
 		host = p.member.lists
 	}
 	p.source = sources.New(platformwatch.Config{
-		Addr: cfg.Discovery, Pace: platformwatch.PaceFor(cfg.Settings.PollMembership, cfg.Settings.Instances), Names: cfg.Names,
+		Addr: cfg.Discovery, Timings: platformwatch.TimingsFor(cfg.Settings.PollMembership, cfg.Settings.Instances), Names: cfg.Names,
 		Logf: logs.Event(logger, "list"),
 	}, version, host)
 	if p.member != nil && own.Registry.On() {
