--- a/internal/discovery/platformwatch/source.go
+++ b/internal/discovery/platformwatch/source.go
@@ -165,13 +165,13 @@
 
 // handleList takes in what an address has told.
 func (s *Source) handleList(w *watcher, l *List) {
-	kind := balancer.ListDelta
+	kind := balancer.MembershipDelta
 	switch {
 	case l.onlyDrains:
 		s.sink.OnList(engine.List{Kind: kind, Version: s.version, Entries: l.entries})
 		return
 	case l.Reset:
-		kind = balancer.ListFull
+		kind = balancer.MembershipFull
 	case s.versionAddr == w.addr && l.Generation < s.version:
 		return // a check has told of it, and of more
 	}
