--- a/internal/controlplane/configuration_read.go
+++ b/internal/controlplane/configuration_read.go
@@ -5,18 +5,19 @@
 
 	"marlreel/internal/api"
 	"marlreel/internal/controlplane/result"
+	"marlreel/internal/process/timing"
 )
 
 // Configuration reads the newest configuration, wherever the tail is. Its error is Unavailable: no tail has answered
-// within orderTimeout.
+// within operationTimeout.
 func (s *Service) Configuration() (*api.ReadReply, *result.Error) {
-	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), operationTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		if reply := s.readAtTail(ctx); reply != nil {
 			return reply, nil
 		}
-		sleep(ctx, attemptInterval)
+		timing.Sleep(ctx, attemptInterval)
 	}
 	return nil, result.Errorf(result.Unavailable, "no tail answers")
 }
