--- a/internal/dataplane/gateway/request_test.go
+++ b/internal/dataplane/gateway/request_test.go
@@ -30,14 +30,14 @@
 		work   time.Duration
 	}{
 		"no model":        {map[string]string{headerTokens: "100,10"}, nil, 0},
-		"model":           {map[string]string{headerModel: "m", headerTokens: "100,10"}, &balancer.Needs{Model: "m", Output: 10}, routing.EstimateWork(100, 10)},
-		"adapter":         {map[string]string{headerModel: "m/a", headerTokens: " 100 , 10 "}, &balancer.Needs{Model: "m", Adapter: "a", Output: 10}, routing.EstimateWork(100, 10)},
+		"model":           {map[string]string{headerModel: "m", headerTokens: "100,10"}, &balancer.Needs{Model: "m", MaxOutputTokens: 10}, routing.EstimateWork(100, 10)},
+		"adapter":         {map[string]string{headerModel: "m/a", headerTokens: " 100 , 10 "}, &balancer.Needs{Model: "m", Adapter: "a", MaxOutputTokens: 10}, routing.EstimateWork(100, 10)},
 		"no tokens":       {map[string]string{headerModel: "m"}, &balancer.Needs{Model: "m"}, time.Millisecond},
-		"tokens unread":   {map[string]string{headerModel: "m", headerTokens: "many,10"}, &balancer.Needs{Model: "m", Output: 10}, routing.EstimateWork(0, 10)},
-		"prompt":          {map[string]string{headerModel: "m", headerPrompt: "a1:600, b2:400"}, &balancer.Needs{Model: "m", Prompt: []balancer.PromptPart{{ID: 0xa1, Tokens: 600}, {ID: 0xb2, Tokens: 400}}}, time.Millisecond},
-		"part unread":     {map[string]string{headerModel: "m", headerPrompt: "a1:600,x:400,b2:1"}, &balancer.Needs{Model: "m", Prompt: []balancer.PromptPart{{ID: 0xa1, Tokens: 600}}}, time.Millisecond},
+		"tokens unread":   {map[string]string{headerModel: "m", headerTokens: "many,10"}, &balancer.Needs{Model: "m", MaxOutputTokens: 10}, routing.EstimateWork(0, 10)},
+		"prompt":          {map[string]string{headerModel: "m", headerPrompt: "a1:600, b2:400"}, &balancer.Needs{Model: "m", Prompt: []balancer.PromptSegment{{ID: 0xa1, Tokens: 600}, {ID: 0xb2, Tokens: 400}}}, time.Millisecond},
+		"part unread":     {map[string]string{headerModel: "m", headerPrompt: "a1:600,x:400,b2:1"}, &balancer.Needs{Model: "m", Prompt: []balancer.PromptSegment{{ID: 0xa1, Tokens: 600}}}, time.Millisecond},
 		"no count":        {map[string]string{headerModel: "m", headerPrompt: "a1,b2:1"}, &balancer.Needs{Model: "m"}, time.Millisecond},
-		"count unread":    {map[string]string{headerModel: "m", headerPrompt: "a1:1,b2:one"}, &balancer.Needs{Model: "m", Prompt: []balancer.PromptPart{{ID: 0xa1, Tokens: 1}}}, time.Millisecond},
+		"count unread":    {map[string]string{headerModel: "m", headerPrompt: "a1:1,b2:one"}, &balancer.Needs{Model: "m", Prompt: []balancer.PromptSegment{{ID: 0xa1, Tokens: 1}}}, time.Millisecond},
 		"id out of range": {map[string]string{headerModel: "m", headerPrompt: "11111111111111111:1"}, &balancer.Needs{Model: "m"}, time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
