--- a/internal/dataplane/engine/backends.go
+++ b/internal/dataplane/engine/backends.go
@@ -9,8 +9,8 @@
 	"marlreel/internal/balancer"
 )
 
-// List is a list of backends, or changes to one, as a Source tells it.
-type List struct {
+// Membership is a list of backends, or changes to one, as a Source tells it.
+type Membership struct {
 	Kind    balancer.ListKind // not ListFailed: sources go on by themselves
 	Version uint32
 	Entries []Entry
@@ -81,15 +81,15 @@
 	return nil
 }
 
-// Backends calls for each backend of the list, in no order. Only on the engine's goroutine.
-func (e *Engine) Backends(each func(*Backend)) {
+// EachBackend calls for each backend of the list, in no order. Only on the engine's goroutine.
+func (e *Engine) EachBackend(each func(*Backend)) {
 	for _, b := range e.backends.byID {
 		each(b)
 	}
 }
 
-// List takes a list in. Only on the engine's goroutine.
-func (e *Engine) List(l List) {
+// ApplyMembership takes a list in. Only on the engine's goroutine.
+func (e *Engine) ApplyMembership(l Membership) {
 	k := &e.backends
 	kept, gone := map[balancer.BackendID]bool{}, []balancer.BackendID(nil)
 	entries := make([]balancer.Backend, len(l.Entries))
@@ -112,14 +112,14 @@
 		// A backend at the address of one that has gone is another one: connections
 		// belong to the name, and are dropped with it or with its old address.
 		if b == nil || b.Addr != n.Addr {
-			e.drop(b)
+			e.removeFromCarriers(b)
 			b = &Backend{Name: n.Name, Addr: n.Addr}
 			k.byID[id] = b
 		}
 		b.Backend = entries[i]
 		b.ready.Store(b.State == balancer.Ready)
 		if b.State != balancer.Ready {
-			e.release(b)
+			e.releaseIdle(b)
 		}
 		kept[id] = true
 	}
@@ -133,7 +133,7 @@
 	// Names are ever new all day: what has gone is forgotten, or the maps grow for good.
 	for _, id := range gone {
 		if b := k.byID[id]; b != nil {
-			e.drop(b)
+			e.removeFromCarriers(b)
 			delete(k.byID, id)
 		}
 		delete(k.ids, k.names[id]) // the same name gets the same identifier again
@@ -142,30 +142,30 @@
 	now := e.Now()
 	e.balancer.OnMembership(now, balancer.Membership{Kind: l.Kind, Version: l.Version, Backends: entries})
 	if e.observer != nil {
-		e.observer.Listed(now, &l)
+		e.observer.OnMembership(now, &l)
 	}
-	if l.Kind != balancer.ListCached && e.listed != nil {
-		e.listed()
-		e.listed = nil
+	if l.Kind != balancer.ListCached && e.onFirstMembership != nil {
+		e.onFirstMembership()
+		e.onFirstMembership = nil
 	}
 }
 
-// drop sees to it that nothing more is sent to a backend that has left.
-func (e *Engine) drop(b *Backend) {
+// removeFromCarriers sees to it that nothing more is sent to a backend that has left.
+func (e *Engine) removeFromCarriers(b *Backend) {
 	if b == nil {
 		return
 	}
 	b.ready.Store(false)
 	for _, c := range e.carriers {
-		c.Forget(b)
+		c.RemoveBackend(b)
 	}
 }
 
-func (e *Engine) release(b *Backend) {
+func (e *Engine) releaseIdle(b *Backend) {
 	for _, c := range e.carriers {
-		c.Release(b)
+		c.ReleaseIdle(b)
 	}
 }
 
-// Names is how many backends' names are known. Only on the engine's goroutine.
-func (e *Engine) Names() int { return len(e.backends.ids) }
+// KnownNames is how many backends' names are known. Only on the engine's goroutine.
+func (e *Engine) KnownNames() int { return len(e.backends.ids) }
--- a/internal/dataplane/engine/engine_test.go
+++ b/internal/dataplane/engine/engine_test.go
@@ -10,37 +10,37 @@
 	"marlreel/internal/testutil"
 )
 
-// held is a carrier whose attempts the test ends.
-type held struct{ begun []*Attempt }
+// manualCarrier is a carrier whose attempts the test ends.
+type manualCarrier struct{ started []*Attempt }
 
-func (h *held) Begin(a *Attempt)     { h.begun = append(h.begun, a) }
-func (h *held) Release(*Backend)     {}
-func (h *held) Forget(*Backend)      {}
-func (h *held) Retire(time.Duration) {}
+func (h *manualCarrier) StartAttempt(a *Attempt)    { h.started = append(h.started, a) }
+func (h *manualCarrier) ReleaseIdle(*Backend)       {}
+func (h *manualCarrier) RemoveBackend(*Backend)     {}
+func (h *manualCarrier) CloseExpired(time.Duration) {}
 
-// asked is a client's call, with the answers that it got.
-type asked struct {
+// clientCall is a client's call, with the answers that it got.
+type clientCall struct {
 	Call
 	answers []Answer
 }
 
-func (c *asked) Answer(_ *Call, a Answer) { c.answers = append(c.answers, a) }
+func (c *clientCall) HandleAnswer(_ *Call, a Answer) { c.answers = append(c.answers, a) }
 
-// still is an engine that the test moves by hand, timer by timer.
-type still struct {
+// manualEngine is an engine that the test moves by hand, timer by timer.
+type manualEngine struct {
 	*Engine
-	carrier *held
+	carrier *manualCarrier
 }
 
-func stillEngine(t testing.TB, entries ...Entry) *still {
+func newManualEngine(t testing.TB, entries ...Entry) *manualEngine {
 	t.Helper()
 	e, err := New(Config{Settings: testutil.Module(t), Seed: 1, Logf: t.Logf})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &still{e, &held{}}
-	e.Carry(l.carrier)
-	l.Do(func() { l.List(List{Kind: balancer.ListCached, Entries: entries}) })
+	l := &manualEngine{e, &manualCarrier{}}
+	e.AddCarrier(l.carrier)
+	l.Dispatch(func() { l.ApplyMembership(Membership{Kind: balancer.ListCached, Entries: entries}) })
 	return l
 }
 
@@ -49,11 +49,11 @@
 	return Entry{Name: name, Addr: addr, State: balancer.Ready, Weight: 1}
 }
 
-func (l *still) ask(class int, left time.Duration) *asked {
+func (l *manualEngine) submit(class int, left time.Duration) *clientCall {
 	now := l.Now()
-	c := &asked{Call: Call{Name: fmt.Sprint(len(l.carrier.begun), l.lastID), Carrier: l.carrier}}
+	c := &clientCall{Call: Call{ClientRequestID: fmt.Sprint(len(l.carrier.started), l.lastID), Carrier: l.carrier}}
 	c.Front, c.Class, c.Deadline = c, class, now+left
-	l.Do(func() { l.Take(&c.Call, now) })
+	l.Dispatch(func() { l.HandleCall(&c.Call, now) })
 	return c
 }
 
@@ -61,29 +61,29 @@
 // has its answer before it leaves, and nothing is sent for it from then on.
 func TestBackstopAnswersBeforeTheDeadline(t *testing.T) {
 	t.Parallel()
-	l := stillEngine(t, ready("s-1", "127.0.0.1:1"))
-	c := l.ask(1, time.Minute)
+	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
+	c := l.submit(1, time.Minute)
 	if len(c.attempts) != 1 {
 		t.Fatalf("%d attempts", len(c.attempts))
 	}
 	var last *Timer
 	for len(l.timers) > 0 { // the backstop alone: the attempt's own end and the module's timers are passed over
-		if last = heap.Pop(&l.timers).(*Timer); last.at == c.Deadline-Backstop {
+		if last = heap.Pop(&l.timers).(*Timer); last.at == c.Deadline-MaxDeadlineMargin {
 			break
 		}
 	}
-	if last.at != c.Deadline-Backstop {
+	if last.at != c.Deadline-MaxDeadlineMargin {
 		t.Fatal("no backstop is set")
 	}
-	l.Do(last.event)
-	if len(c.answers) != 1 || c.answers[0].Verdict != OutOfTime {
+	l.Dispatch(last.event)
+	if len(c.answers) != 1 || c.answers[0].Verdict != TimedOut {
 		t.Fatalf("the backstop's answer: %+v", c.answers)
 	}
 	if _, held := l.calls[c.ID]; held {
 		t.Error("the call is still in the table")
 	}
-	l.Do(func() { host{l.Engine}.Send(c.ID, l.backends.id("s-1"), 0, 0) })
-	l.Do(func() { host{l.Engine}.Reject(c.ID, 0) })
+	l.Dispatch(func() { host{l.Engine}.Send(c.ID, l.backends.id("s-1"), 0, 0) })
+	l.Dispatch(func() { host{l.Engine}.Reject(c.ID, 0) })
 	if len(c.attempts) != 1 || len(c.answers) != 1 {
 		t.Error("something came after the final answer")
 	}
@@ -92,10 +92,10 @@
 // An attempt ends early enough for the module to hear of it before the backstop.
 func TestAttemptEndsBeforeTheBackstop(t *testing.T) {
 	t.Parallel()
-	l := stillEngine(t, ready("s-1", "127.0.0.1:1"))
-	c := l.ask(1, time.Second)
-	if until := c.attempts[0].Until; until.After(l.Wall(c.Deadline - Backstop - time.Millisecond)) {
-		t.Errorf("the attempt may last until %v before the deadline", l.Wall(c.Deadline).Sub(until))
+	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
+	c := l.submit(1, time.Second)
+	if until := c.attempts[0].Deadline; until.After(l.WallTime(c.Deadline - MaxDeadlineMargin - time.Millisecond)) {
+		t.Errorf("the attempt may last until %v before the deadline", l.WallTime(c.Deadline).Sub(until))
 	}
 }
 
@@ -104,13 +104,13 @@
 func TestAShortWaitIsNotSpentOnMargins(t *testing.T) {
 	t.Parallel()
 	for _, wait := range []time.Duration{30 * time.Millisecond, 40 * time.Millisecond, 200 * time.Millisecond, time.Second} {
-		l := stillEngine(t, ready("s-1", "127.0.0.1:1"))
-		c := l.ask(1, wait)
-		if len(c.attempts) != 1 || c.attempts[0].Done() {
+		l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
+		c := l.submit(1, wait)
+		if len(c.attempts) != 1 || c.attempts[0].Ended() {
 			t.Fatalf("%v: %d attempts", wait, len(c.attempts))
 		}
-		until := c.attempts[0].Until
-		if left := l.Wall(c.Deadline).Sub(until); left > wait/4 || left <= 0 {
+		until := c.attempts[0].Deadline
+		if left := l.WallTime(c.Deadline).Sub(until); left > wait/4 || left <= 0 {
 			t.Errorf("%v: the attempt ends %v before the client leaves", wait, left)
 		}
 	}
@@ -119,13 +119,13 @@
 // An answer takes the permit from attempts that are not yet written.
 func TestAnswerRevokesUnsentAttempts(t *testing.T) {
 	t.Parallel()
-	l := stillEngine(t, ready("s-1", "127.0.0.1:1"))
-	c := l.ask(1, time.Minute)
+	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
+	c := l.submit(1, time.Minute)
 	stopped := false
 	a := c.attempts[0]
 	a.Stop = func() { stopped = true }
-	l.Do(func() { l.answer(&c.Call, Answer{Verdict: Failed}) })
-	if a.Permit.Use() || !a.done || !stopped {
+	l.Dispatch(func() { l.answer(&c.Call, Answer{Verdict: Failed}) })
+	if a.Permit.TryClaim() || !a.ended || !stopped {
 		t.Error("an unsent attempt may still go out after the answer, or has no outcome")
 	}
 }
@@ -134,40 +134,40 @@
 // call's place is kept until then.
 func TestWrittenAttemptsOutliveTheAnswer(t *testing.T) {
 	t.Parallel()
-	l := stillEngine(t, ready("s-1", "127.0.0.1:1"))
-	c := l.ask(1, time.Minute)
+	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
+	c := l.submit(1, time.Minute)
 	a := c.attempts[0]
-	if !a.Permit.Use() {
+	if !a.Permit.TryClaim() {
 		t.Fatal("no permit")
 	}
-	l.Do(func() { l.answer(&c.Call, Answer{Verdict: Failed}) })
-	if a.done || l.Open() != 1 {
-		t.Errorf("done: %v, open: %d", a.done, l.Open())
+	l.Dispatch(func() { l.answer(&c.Call, Answer{Verdict: Failed}) })
+	if a.ended || l.OpenCalls() != 1 {
+		t.Errorf("done: %v, open: %d", a.ended, l.OpenCalls())
 	}
-	l.Do(func() { a.End(End{Result: balancer.OK, Reply: "late"}) })
-	l.Do(func() { a.End(End{Result: balancer.Reset}) }) // a second end is let be
-	if len(c.answers) != 1 || l.Open() != 0 {
-		t.Errorf("answers: %+v, open: %d", c.answers, l.Open())
+	l.Dispatch(func() { a.End(AttemptEnd{Result: balancer.OK, Reply: "late"}) })
+	l.Dispatch(func() { a.End(AttemptEnd{Result: balancer.Reset}) }) // a second end is let be
+	if len(c.answers) != 1 || l.OpenCalls() != 0 {
+		t.Errorf("answers: %+v, open: %d", c.answers, l.OpenCalls())
 	}
 }
 
 // A call whose name is another's is not taken; one beyond the bound is refused.
 func TestNamesAndBounds(t *testing.T) {
 	t.Parallel()
-	l := stillEngine(t, ready("s-1", "127.0.0.1:1"))
-	l.cfg.MaxOpen = 2
-	first := l.ask(1, time.Minute)
-	twin := &asked{Call: Call{Name: first.Name, Carrier: l.carrier}}
+	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
+	l.cfg.MaxOpenCalls = 2
+	first := l.submit(1, time.Minute)
+	twin := &clientCall{Call: Call{ClientRequestID: first.ClientRequestID, Carrier: l.carrier}}
 	twin.Front, twin.Deadline = twin, l.Now()+time.Minute
-	l.Do(func() { l.Take(&twin.Call, l.Now()) })
-	if len(twin.answers) != 1 || twin.answers[0].Verdict != InUse {
+	l.Dispatch(func() { l.HandleCall(&twin.Call, l.Now()) })
+	if len(twin.answers) != 1 || twin.answers[0].Verdict != DuplicateID {
 		t.Errorf("under another's name: %+v", twin.answers)
 	}
-	l.ask(1, time.Minute)
-	if third := l.ask(1, time.Minute); len(third.answers) != 1 || third.answers[0].Verdict != Overloaded || third.answers[0].RetryAfter != l.ComeAgain() {
+	l.submit(1, time.Minute)
+	if third := l.submit(1, time.Minute); len(third.answers) != 1 || third.answers[0].Verdict != Overloaded || third.answers[0].RetryAfter != l.RetryAfter() {
 		t.Errorf("beyond the bound: %+v", third.answers)
 	}
-	l.Do(func() { l.FailAll(true) })
+	l.Dispatch(func() { l.FailAll(true) })
 	if len(first.answers) != 1 || first.answers[0].Verdict != Stopped {
 		t.Errorf("at the stop: %+v", first.answers)
 	}
@@ -186,14 +186,14 @@
 		{true, 2 * time.Second, time.Second},
 		{true, 300 * time.Millisecond, 300 * time.Millisecond},
 	} {
-		l := stillEngine(t, ready("s-1", "127.0.0.1:1"))
-		b, s := *l.Book(), *l.Settings()
+		l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
+		b, s := *l.SettingsSnapshot(), *l.Settings()
 		s.Caps.RetryAfter, s.Caps.MaxRetryAfter = c.may, c.most
 		b.Settings = &s
-		l.book.Store(&b)
-		l.cfg.MaxOpen = 1
-		l.ask(1, time.Minute)
-		if got := l.ask(1, time.Minute); len(got.answers) != 1 || got.answers[0].RetryAfter != c.want {
+		l.snapshot.Store(&b)
+		l.cfg.MaxOpenCalls = 1
+		l.submit(1, time.Minute)
+		if got := l.submit(1, time.Minute); len(got.answers) != 1 || got.answers[0].RetryAfter != c.want {
 			t.Errorf("%v, at most %v: %+v", c.may, c.most, got.answers)
 		}
 	}
@@ -202,15 +202,15 @@
 // What its client is still writing at a stop may come whole yet: it ends last.
 func TestTheStopEndsWhatIsStillComingLast(t *testing.T) {
 	t.Parallel()
-	l := stillEngine(t, ready("s-1", "127.0.0.1:1"))
-	c := &asked{Call: Call{Name: "coming", Carrier: l.carrier, Coming: true, Wait: time.Second}}
+	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
+	c := &clientCall{Call: Call{ClientRequestID: "coming", Carrier: l.carrier, Receiving: true, Timeout: time.Second}}
 	c.Front = c
-	l.Do(func() { l.Take(&c.Call, l.Now()) })
-	l.Do(func() { l.FailAll(false) })
+	l.Dispatch(func() { l.HandleCall(&c.Call, l.Now()) })
+	l.Dispatch(func() { l.FailAll(false) })
 	if len(c.answers) != 0 {
 		t.Errorf("still coming, and answered: %+v", c.answers)
 	}
-	l.Do(func() { l.FailAll(true) })
+	l.Dispatch(func() { l.FailAll(true) })
 	if len(c.answers) != 1 || c.answers[0].Verdict != Stopped {
 		t.Errorf("at the end: %+v", c.answers)
 	}
@@ -219,10 +219,10 @@
 // Backends come under new names all day. The ones that have gone are forgotten.
 func TestGoneBackendsAreForgotten(t *testing.T) {
 	t.Parallel()
-	l := stillEngine(t, ready("s-1", "127.0.0.1:1"))
+	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
 	for i := range 50 {
-		l.Do(func() {
-			l.List(List{Kind: balancer.ListFull, Version: uint32(i + 2), Entries: []Entry{ready(fmt.Sprintf("s-new-%d", i), "127.0.0.1:1")}})
+		l.Dispatch(func() {
+			l.ApplyMembership(Membership{Kind: balancer.ListFull, Version: uint32(i + 2), Entries: []Entry{ready(fmt.Sprintf("s-new-%d", i), "127.0.0.1:1")}})
 		})
 	}
 	if len(l.backends.ids) != 1 || len(l.backends.names) != 1 || len(l.backends.byID) != 1 {
@@ -234,15 +234,15 @@
 // idle connections are given back.
 func TestDrainingBackendGetsNothing(t *testing.T) {
 	t.Parallel()
-	l := stillEngine(t, ready("s-1", "127.0.0.1:1"))
+	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
 	b := l.Backend("s-1")
 	e := ready("s-1", "127.0.0.1:1")
 	e.State = balancer.Draining
-	l.Do(func() { l.List(List{Kind: balancer.ListDelta, Version: 2, Entries: []Entry{e}}) })
+	l.Dispatch(func() { l.ApplyMembership(Membership{Kind: balancer.ListDelta, Version: 2, Entries: []Entry{e}}) })
 	if b.Ready() {
 		t.Error("a draining backend may still be written to")
 	}
-	if c := l.ask(1, time.Minute); len(c.attempts) != 0 {
+	if c := l.submit(1, time.Minute); len(c.attempts) != 0 {
 		t.Error("a draining backend was sent a request")
 	}
 }
@@ -250,7 +250,7 @@
 // Start times are Unix times; the module's are on the engine's clock, where 0 is long ago.
 func TestStartTimes(t *testing.T) {
 	t.Parallel()
-	l := stillEngine(t, ready("s-1", "127.0.0.1:1"))
+	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
 	for _, c := range []struct {
 		at   time.Time
 		want time.Duration
@@ -261,7 +261,7 @@
 	} {
 		e := ready("s-1", "127.0.0.1:1")
 		e.Started = c.at
-		l.Do(func() { l.List(List{Kind: balancer.ListDelta, Version: 2, Entries: []Entry{e}}) })
+		l.Dispatch(func() { l.ApplyMembership(Membership{Kind: balancer.ListDelta, Version: 2, Entries: []Entry{e}}) })
 		if got := l.Backend("s-1").Started; got != c.want {
 			t.Errorf("started at %v: %v, want %v", c.at, got, c.want)
 		}
@@ -271,10 +271,10 @@
 // A panic in one event does not end the engine, nor the calls in hand.
 func TestOneBadEventEndsNothing(t *testing.T) {
 	t.Parallel()
-	l := stillEngine(t, ready("s-1", "127.0.0.1:1"))
-	c := l.ask(1, time.Minute)
-	l.Do(func() { panic("one bad event") })
-	l.Do(func() { c.attempts[0].End(End{Result: balancer.OK, Reply: "good"}) })
+	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
+	c := l.submit(1, time.Minute)
+	l.Dispatch(func() { panic("one bad event") })
+	l.Dispatch(func() { c.attempts[0].End(AttemptEnd{Result: balancer.OK, Reply: "good"}) })
 	if len(c.answers) != 1 || c.answers[0].Reply != "good" {
 		t.Errorf("%+v", c.answers)
 	}
@@ -282,7 +282,7 @@
 
 func TestRecentForgets(t *testing.T) {
 	t.Parallel()
-	r := newRecent(time.Second)
+	r := newRecentNames(time.Second)
 	for i := range 5000 {
 		at := time.Duration(i) * 10 * time.Millisecond
 		if !r.add(fmt.Sprint(i), at) {
@@ -292,7 +292,7 @@
 			t.Fatalf("%d is forgotten too early", i-90)
 		}
 	}
-	if n := len(r.now) + len(r.old); n > 200 {
+	if n := len(r.current) + len(r.previous); n > 200 {
 		t.Errorf("%d names are kept of 200 in two spans", n)
 	}
 	if !r.add("1", time.Minute) {
@@ -304,30 +304,30 @@
 // until then that one is still out, and the backend may yet begin it.
 func TestTheNextAttemptWaitsForTheEndOfTheLast(t *testing.T) {
 	t.Parallel()
-	for name, giveUp := range map[string]func(l *still, a *Attempt){
-		"expired":   func(l *still, a *Attempt) { a.expire() },
-		"cancelled": func(l *still, a *Attempt) { host{l.Engine}.Cancel(a.Call.ID, a.N) },
+	for name, giveUp := range map[string]func(l *manualEngine, a *Attempt){
+		"expired":   func(l *manualEngine, a *Attempt) { a.expire() },
+		"cancelled": func(l *manualEngine, a *Attempt) { host{l.Engine}.Cancel(a.Call.ID, a.Index) },
 	} {
-		l := stillEngine(t, ready("s-1", "127.0.0.1:1"), ready("s-2", "127.0.0.1:2"))
+		l := newManualEngine(t, ready("s-1", "127.0.0.1:1"), ready("s-2", "127.0.0.1:2"))
 		cfg := testutil.Module(t)
 		cfg.Caps.Hedging = false
 		if err := l.Reconfigure(cfg); err != nil {
 			t.Fatal(err)
 		}
-		c := l.ask(0, time.Minute)
+		c := l.submit(0, time.Minute)
 		a, stopped := c.attempts[0], 0
 		a.Stop = func() { stopped++ }
-		if !a.Permit.Use() {
+		if !a.Permit.TryClaim() {
 			t.Fatal("no permit")
 		}
-		l.Do(func() { giveUp(l, a) })
-		l.Do(func() { giveUp(l, a) }) // twice is as good as once
-		if stopped != 1 || a.Done() || len(l.carrier.begun) != 1 {
-			t.Errorf("%s: stopped %d times, ended %v, %d attempts, and its connection is open", name, stopped, a.Done(), len(l.carrier.begun))
+		l.Dispatch(func() { giveUp(l, a) })
+		l.Dispatch(func() { giveUp(l, a) }) // twice is as good as once
+		if stopped != 1 || a.Ended() || len(l.carrier.started) != 1 {
+			t.Errorf("%s: stopped %d times, ended %v, %d attempts, and its connection is open", name, stopped, a.Ended(), len(l.carrier.started))
 		}
-		l.Do(func() { a.End(End{Result: balancer.Reset}) }) // the break is this side's own
-		if !a.Done() || len(l.carrier.begun) != 2 {
-			t.Errorf("%s: ended %v, %d attempts once its connection is closed", name, a.Done(), len(l.carrier.begun))
+		l.Dispatch(func() { a.End(AttemptEnd{Result: balancer.Reset}) }) // the break is this side's own
+		if !a.Ended() || len(l.carrier.started) != 2 {
+			t.Errorf("%s: ended %v, %d attempts once its connection is closed", name, a.Ended(), len(l.carrier.started))
 		}
 	}
 }
@@ -337,15 +337,15 @@
 func TestWhatACalledOffAttemptWasAfterAll(t *testing.T) {
 	t.Parallel()
 	for result, want := range map[balancer.Result]int{balancer.OK: 1, balancer.NotSent: 0} {
-		l := stillEngine(t, ready("s-1", "127.0.0.1:1"), ready("s-2", "127.0.0.1:2"))
-		c := l.ask(1, time.Minute) // unsafe
+		l := newManualEngine(t, ready("s-1", "127.0.0.1:1"), ready("s-2", "127.0.0.1:2"))
+		c := l.submit(1, time.Minute) // unsafe
 		a := c.attempts[0]
 		a.Stop = func() {}
-		a.Permit.Use()
-		l.Do(a.expire)
-		l.Do(func() { a.End(End{Result: result, Reply: "good"}) })
-		if result == balancer.OK && (len(c.answers) != want || c.answers[0].Reply != "good") || result == balancer.NotSent && len(l.carrier.begun) != 2 {
-			t.Errorf("%v: answers %+v, %d attempts", result, c.answers, len(l.carrier.begun))
+		a.Permit.TryClaim()
+		l.Dispatch(a.expire)
+		l.Dispatch(func() { a.End(AttemptEnd{Result: result, Reply: "good"}) })
+		if result == balancer.OK && (len(c.answers) != want || c.answers[0].Reply != "good") || result == balancer.NotSent && len(l.carrier.started) != 2 {
+			t.Errorf("%v: answers %+v, %d attempts", result, c.answers, len(l.carrier.started))
 		}
 	}
 }
@@ -353,22 +353,22 @@
 // A request that was read by settings in which its tenant's place was another's is refused: it has not run.
 func TestATenantsPlaceMayBeAnothersNow(t *testing.T) {
 	t.Parallel()
-	l := stillEngine(t, ready("s-1", "127.0.0.1:1"))
+	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
 	cfg := testutil.Module(t)
 	cfg.Tenants = []balancer.Tenant{{Name: "obala", Share: 0.5}, {Name: "solina", Share: 0.5}}
 	if err := l.Reconfigure(cfg); err != nil {
 		t.Fatal(err)
 	}
-	read := l.Book()
+	read := l.SettingsSnapshot()
 	cfg.Tenants = []balancer.Tenant{{Name: "lovec", Share: 0.5}, {Name: "solina", Share: 0.5}}
 	if err := l.Reconfigure(cfg); err != nil {
 		t.Fatal(err)
 	}
 	for tenant, want := range []int{0, 1} {
-		c := &asked{Call: Call{Name: fmt.Sprint("t", tenant), Carrier: l.carrier, Book: read}}
+		c := &clientCall{Call: Call{ClientRequestID: fmt.Sprint("t", tenant), Carrier: l.carrier, Snapshot: read}}
 		c.Front, c.Tenant, c.Deadline = c, tenant, l.Now()+time.Minute
-		l.Do(func() { l.Take(&c.Call, l.Now()) })
-		if len(c.attempts) != want || want == 0 && (len(c.answers) != 1 || c.answers[0].Verdict != Refused) {
+		l.Dispatch(func() { l.HandleCall(&c.Call, l.Now()) })
+		if len(c.attempts) != want || want == 0 && (len(c.answers) != 1 || c.answers[0].Verdict != Rejected) {
 			t.Errorf("tenant %d: %d attempts, %+v", tenant, len(c.attempts), c.answers)
 		}
 	}
--- a/internal/dataplane/engine/host.go
+++ b/internal/dataplane/engine/host.go
@@ -6,8 +6,8 @@
 	"marlreel/internal/balancer"
 )
 
-// probeLonger is how many connect time-outs a probe may take.
-const probeLonger = 1.25
+// healthCheckConnectTimeouts is how many connect time-outs a probe may take.
+const healthCheckConnectTimeouts = 1.25
 
 // host implements balancer.Host. No method blocks or calls the module.
 type host struct{ *Engine }
@@ -19,18 +19,18 @@
 		e.cfg.Logf("send for request %d, which is over", id)
 		return
 	}
-	a := &Attempt{Call: c, N: len(c.attempts), sent: e.Now(), engine: e.Engine}
+	a := &Attempt{Call: c, Index: len(c.attempts), startedAt: e.Now(), engine: e.Engine}
 	c.attempts = append(c.attempts, a)
-	c.open++
-	if latest := c.Deadline - 2*c.margin; until == 0 || until > latest || c.Coming {
+	c.pendingAttempts++
+	if latest := c.Deadline - 2*c.deadlineMargin; until == 0 || until > latest || c.Receiving {
 		until = latest
 	}
 	a.Backend = e.backends.byID[to]
 	unsent := balancer.OK
 	switch {
-	case e.lease != nil && !e.mayGo(c, a, until):
+	case e.lease != nil && !e.mayStart(c, a, until):
 		unsent = balancer.NotSent
-	case c.answered || until <= a.sent || a.N >= e.Settings().Caps.MaxAttempts:
+	case c.answered || until <= a.startedAt || a.Index >= e.Settings().Caps.MaxAttempts:
 		unsent = balancer.NotSent
 	case a.Backend == nil:
 		unsent = balancer.ConnectFailed
@@ -40,72 +40,72 @@
 			a.Backend = &Backend{Backend: balancer.Backend{ID: to}}
 		}
 		a.Permit.Revoke()
-		e.Later(func() { a.End(End{Result: unsent}) })
+		e.Defer(func() { a.End(AttemptEnd{Result: unsent}) })
 		return
 	}
-	a.Until = e.Wall(until)
+	a.Deadline = e.WallTime(until)
 	if before > 0 {
-		a.Permit.before = e.Wall(before)
+		a.Permit.writeDeadline = e.WallTime(before)
 	}
-	a.end = e.At(until, a.expire)
+	a.timeout = e.Schedule(until, a.expire)
 	if e.observer != nil {
-		e.observer.Sent(a.sent, a)
+		e.observer.OnAttemptStarted(a.startedAt, a)
 	}
-	c.Carrier.Begin(a)
+	c.Carrier.StartAttempt(a)
 }
 
 // Reject answers that coming again is harmless.
 func (e host) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	if c := e.calls[id]; c != nil {
-		e.answer(c, Answer{Verdict: Refused, RetryAfter: retryAfter})
+		e.answer(c, Answer{Verdict: Rejected, RetryAfter: retryAfter})
 	}
 }
 
 // Fail answers without a promise.
 func (e host) Fail(id balancer.RequestID) {
 	if c := e.calls[id]; c != nil {
-		e.answer(c, Answer{Verdict: Failed, Reply: c.declined})
+		e.answer(c, Answer{Verdict: Failed, Reply: c.declinedReply})
 	}
 }
 
 // Cancel calls an attempt off.
 func (e host) Cancel(id balancer.RequestID, n int) {
 	c := e.calls[id]
-	if c == nil || n < 0 || n >= len(c.attempts) || c.attempts[n].done {
+	if c == nil || n < 0 || n >= len(c.attempts) || c.attempts[n].ended {
 		return
 	}
 	a := c.attempts[n]
 	if a.Permit.Revoke() {
 		a.stop()
-		e.Later(func() { a.End(End{Result: balancer.NotSent}) })
+		e.Defer(func() { a.End(AttemptEnd{Result: balancer.NotSent}) })
 		return
 	}
-	a.callOff(balancer.Cancelled)
+	a.cancel(balancer.Cancelled)
 }
 
 // CheckHealth asks for a backend's health.
 func (e host) CheckHealth(id balancer.BackendID) {
 	b := e.backends.byID[id]
 	sent := e.Now()
-	end := func(r End) {
+	end := func(r AttemptEnd) {
 		now := e.Now()
 		if e.observer != nil && b != nil {
-			e.observer.Probed(now, b, r.Result, now-sent)
+			e.observer.OnHealthCheck(now, b, r.Result, now-sent)
 		}
 		e.balancer.OnHealthCheck(now, balancer.HealthCheckResult{Backend: id, Result: r.Result, Took: now - sent, Load: r.Load})
 	}
-	if b == nil || e.prober == nil {
-		e.Later(func() { end(End{Result: balancer.NotSent}) })
+	if b == nil || e.healthChecker == nil {
+		e.Defer(func() { end(AttemptEnd{Result: balancer.NotSent}) })
 		return
 	}
-	wait := time.Duration(probeLonger * float64(e.Settings().Caps.ConnectTimeout))
-	e.prober.Probe(b, time.Now().Add(wait), end)
+	wait := time.Duration(healthCheckConnectTimeouts * float64(e.Settings().Caps.ConnectTimeout))
+	e.healthChecker.CheckHealth(b, time.Now().Add(wait), end)
 }
 
 // Release closes what is idle at a backend.
 func (e host) Release(id balancer.BackendID) {
 	if b := e.backends.byID[id]; b != nil {
-		e.release(b)
+		e.releaseIdle(b)
 	}
 }
 
@@ -130,7 +130,7 @@
 
 // StartTimer asks for a Timer event.
 func (e host) StartTimer(d time.Duration, token uint64) {
-	e.At(e.Now()+d, func() { e.balancer.OnTimer(e.Now(), token) })
+	e.Schedule(e.Now()+d, func() { e.balancer.OnTimer(e.Now(), token) })
 }
 
 // Log writes a line of the module's; it is sparing by itself.
--- a/internal/dataplane/engine/lease_test.go
+++ b/internal/dataplane/engine/lease_test.go
@@ -11,22 +11,22 @@
 	"marlreel/internal/testutil"
 )
 
-// governed is an engine whose settings hold under a lease, on a clock of the test's.
-func governed(t testing.TB) (*still, *time.Duration, func(inForce, strict balancer.Config)) {
+// leasedEngine is an engine whose settings hold under a lease, on a clock of the test's.
+func leasedEngine(t testing.TB) (*manualEngine, *time.Duration, func(inForce, strict balancer.Config)) {
 	now := time.Hour
-	l := stillEngine(t, ready("s-1", "127.0.0.1:1"), ready("s-2", "127.0.0.1:2"), ready("s-3", "127.0.0.1:3"))
-	l.Under(&Lease{Now: func() time.Duration { return now }})
+	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"), ready("s-2", "127.0.0.1:2"), ready("s-3", "127.0.0.1:3"))
+	l.SetLease(&Lease{Clock: func() time.Duration { return now }})
 	return l, &now, func(inForce, strict balancer.Config) {
 		t.Helper()
 		var err error
-		l.Do(func() { err = l.Rule(inForce, strict) })
+		l.Dispatch(func() { err = l.ReconfigureLeased(inForce, strict) })
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-func once(c balancer.Config) balancer.Config {
+func withoutRetries(c balancer.Config) balancer.Config {
 	c.Classes = append([]balancer.Class(nil), c.Classes...)
 	for i := range c.Classes {
 		c.Classes[i].NeverRerun = true
@@ -42,29 +42,29 @@
 	written, kept, again, woken := 0, 0, 0, 0
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		l, now, rule := governed(t)
+		l, now, rule := leasedEngine(t)
 		usual := testutil.Module(t)
 		settings := []balancer.Config{usual, usual, usual}
 		settings[1].Caps.MaxAttempts = 1
 		settings[2].Caps.MaxAttempts = 2
 		settings[2].Classes = usual.Classes[:2]
-		inForce, strict := usual, once(usual)
+		inForce, strict := usual, withoutRetries(usual)
 		rule(inForce, strict)
 		l.lease.Extend(*now + time.Minute)
-		var calls []*asked
+		var calls []*clientCall
 		ran, seen := map[*Call]int{}, 0
 		for range 60 {
-			for ; seen < len(l.carrier.begun); seen++ {
-				if a := l.carrier.begun[seen]; l.lease.Lapsed() && !a.done && ran[a.Call] > 0 {
+			for ; seen < len(l.carrier.started); seen++ {
+				if a := l.carrier.started[seen]; l.lease.Expired() && !a.ended && ran[a.Call] > 0 {
 					t.Fatalf("seed %d: without a lease another attempt is begun at what may have run", seed)
 				}
 			}
 			switch rng.IntN(8) {
 			case 0, 1:
-				calls = append(calls, l.ask(rng.IntN(3), time.Minute))
+				calls = append(calls, l.submit(rng.IntN(3), time.Minute))
 			case 2:
 				inForce = settings[rng.IntN(3)]
-				strict = once(inForce)
+				strict = withoutRetries(inForce)
 				strict.Caps.MaxAttempts = min(strict.Caps.MaxAttempts, 2)
 				rule(inForce, strict)
 			case 3:
@@ -72,16 +72,16 @@
 			case 4: // the process is stopped; nobody has told the engine
 				*now += time.Duration(rng.IntN(4)) * time.Second
 			default:
-				if len(l.carrier.begun) == 0 {
+				if len(l.carrier.started) == 0 {
 					continue
 				}
-				a := l.carrier.begun[rng.IntN(len(l.carrier.begun))]
-				if a.done || !a.Permit.Open() {
+				a := l.carrier.started[rng.IntN(len(l.carrier.started))]
+				if a.ended || !a.Permit.Available() {
 					continue
 				}
-				if a.Permit.Use() {
+				if a.Permit.TryClaim() {
 					written++
-					by, lapsed := inForce, l.lease.Lapsed()
+					by, lapsed := inForce, l.lease.Expired()
 					if lapsed {
 						by, woken = strict, woken+1
 					}
@@ -94,8 +94,8 @@
 					switch {
 					case class < 0:
 						t.Fatalf("seed %d: written for a class that is gone", seed)
-					case a.N >= by.Caps.MaxAttempts:
-						t.Fatalf("seed %d: attempt %d of %d is written, lapsed %v", seed, a.N+1, by.Caps.MaxAttempts, lapsed)
+					case a.Index >= by.Caps.MaxAttempts:
+						t.Fatalf("seed %d: attempt %d of %d is written, lapsed %v", seed, a.Index+1, by.Caps.MaxAttempts, lapsed)
 					case ran[a.Call] > 0 && (by.Classes[class].Effect == balancer.Unsafe || by.Classes[class].NeverRerun):
 						t.Fatalf("seed %d: a %s that may have run is written again, lapsed %v", seed, by.Classes[class].Name, lapsed)
 					}
@@ -103,12 +103,12 @@
 					if ran[a.Call] > 1 {
 						again++
 					}
-					l.Do(func() {
-						a.End(End{Result: []balancer.Result{balancer.Error, balancer.Reset, balancer.OK}[rng.IntN(3)]})
+					l.Dispatch(func() {
+						a.End(AttemptEnd{Result: []balancer.Result{balancer.Error, balancer.Reset, balancer.OK}[rng.IntN(3)]})
 					})
 				} else {
 					kept++
-					l.Do(func() { a.End(End{Result: balancer.NotSent}) })
+					l.Dispatch(func() { a.End(AttemptEnd{Result: balancer.NotSent}) })
 				}
 			}
 		}
@@ -126,21 +126,21 @@
 
 // A lease costs a call no allocation.
 func TestALeaseAllocatesNothing(t *testing.T) {
-	count := func(l *still) float64 {
+	count := func(l *manualEngine) float64 {
 		n := 0
 		return testing.AllocsPerRun(200, func() {
-			c := l.ask(0, time.Minute)
-			a := l.carrier.begun[len(l.carrier.begun)-1]
-			a.Permit.Use()
-			l.Do(func() { a.End(End{Result: balancer.OK}) })
-			l.carrier.begun = l.carrier.begun[:0]
+			c := l.submit(0, time.Minute)
+			a := l.carrier.started[len(l.carrier.started)-1]
+			a.Permit.TryClaim()
+			l.Dispatch(func() { a.End(AttemptEnd{Result: balancer.OK}) })
+			l.carrier.started = l.carrier.started[:0]
 			_ = c
 			n++
 		})
 	}
-	plain := stillEngine(t, ready("s-1", "127.0.0.1:1"), ready("s-2", "127.0.0.1:2"), ready("s-3", "127.0.0.1:3"))
-	l, now, rule := governed(t)
-	rule(testutil.Module(t), once(testutil.Module(t)))
+	plain := newManualEngine(t, ready("s-1", "127.0.0.1:1"), ready("s-2", "127.0.0.1:2"), ready("s-3", "127.0.0.1:3"))
+	l, now, rule := leasedEngine(t)
+	rule(testutil.Module(t), withoutRetries(testutil.Module(t)))
 	l.lease.Extend(*now + time.Hour)
 	without, with := count(plain), count(l)
 	if with > without+0.5 {
@@ -150,25 +150,25 @@
 
 // The engine's part of a request without and with a lease, in turn: what counts is the ratio, in one run.
 func BenchmarkLease(b *testing.B) {
-	plain := stillEngine(b, ready("s-1", "127.0.0.1:1"), ready("s-2", "127.0.0.1:2"))
-	l, _, rule := governed(b)
-	l.lease.Now = func() time.Duration { // as the fleet's
+	plain := newManualEngine(b, ready("s-1", "127.0.0.1:1"), ready("s-2", "127.0.0.1:2"))
+	l, _, rule := leasedEngine(b)
+	l.lease.Clock = func() time.Duration { // as the fleet's
 		var t unix.Timespec
 		unix.ClockGettime(unix.CLOCK_MONOTONIC, &t)
 		return time.Duration(t.Nano())
 	}
-	rule(testutil.Module(b), once(testutil.Module(b)))
-	l.lease.Extend(l.lease.Now() + time.Hour)
+	rule(testutil.Module(b), withoutRetries(testutil.Module(b)))
+	l.lease.Extend(l.lease.Clock() + time.Hour)
 	var took [2]time.Duration
-	one := func(s *still) {
-		s.ask(0, time.Minute)
-		a := s.carrier.begun[0]
-		a.Permit.Use()
-		s.Do(func() { a.End(End{Result: balancer.OK}) })
-		s.carrier.begun = s.carrier.begun[:0]
+	one := func(s *manualEngine) {
+		s.submit(0, time.Minute)
+		a := s.carrier.started[0]
+		a.Permit.TryClaim()
+		s.Dispatch(func() { a.End(AttemptEnd{Result: balancer.OK}) })
+		s.carrier.started = s.carrier.started[:0]
 	}
 	for b.Loop() {
-		for i, s := range []*still{plain, l} {
+		for i, s := range []*manualEngine{plain, l} {
 			began := time.Now()
 			for range 100 {
 				one(s)
--- a/internal/dataplane/engine/memory.go
+++ b/internal/dataplane/engine/memory.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// learntAtOnce is how many backends one event writes down, and learntRest how long after
+	// learnedStateBatch is how many backends one event writes down, and learntRest how long after
 	// it the next one does: what is written down for another process holds up no request.
-	learntAtOnce = 16
-	learntRest   = 100 * time.Microsecond
+	learnedStateBatch = 16
+	learnedStatePause = 100 * time.Microsecond
 )
 
-// Learnt writes down what the module has learnt, a part at a time, and calls done with it, on
+// CollectLearnedState writes down what the module has learnt, a part at a time, and calls done with it, on
 // the engine's goroutine. Only on that.
-func (e *Engine) Learnt(done func(*learnedstate.State)) {
+func (e *Engine) CollectLearnedState(done func(*learnedstate.State)) {
 	s := e.balancer.LearnedState(e.Now())
 	s.TakenAt = time.Now()
 	ids := e.balancer.LearnedBackends()
 	ids = ids[:min(len(ids), learnedstate.MaxBackends)]
-	var part func()
-	part = func() {
+	var collectBatch func()
+	collectBatch = func() {
 		now := e.Now()
-		for range min(learntAtOnce, len(ids)) {
+		for range min(learnedStateBatch, len(ids)) {
 			id := ids[0]
 			ids = ids[1:]
 			b := e.backends.byID[id]
@@ -40,15 +40,15 @@
 			done(&s)
 			return
 		}
-		e.At(now+learntRest, part)
+		e.Schedule(now+learnedStatePause, collectBatch)
 	}
-	part()
+	collectBatch()
 }
 
-// Restore lets the module go on with what another process had learnt, and gives of how many
+// RestoreLearnedState lets the module go on with what another process had learnt, and gives of how many
 // backends: those that are in the list at the address at which that process knew them. Only on
 // the engine's goroutine.
-func (e *Engine) Restore(s *learnedstate.State) (backends int) {
+func (e *Engine) RestoreLearnedState(s *learnedstate.State) (backends int) {
 	known := *s
 	known.Backends = nil
 	for _, k := range s.Backends {
--- a/internal/dataplane/engine/memory_test.go
+++ b/internal/dataplane/engine/memory_test.go
@@ -10,8 +10,8 @@
 	"marlreel/internal/process/learnedstate"
 )
 
-// warmed is an engine in whose module something is known of each of n backends.
-func warmed(t testing.TB, n int) *still {
+// engineWithLearnedState is an engine in whose module something is known of each of n backends.
+func engineWithLearnedState(t testing.TB, n int) *manualEngine {
 	t.Helper()
 	var entries []Entry
 	for i := range n {
@@ -19,18 +19,18 @@
 		e.Started = time.Now().Add(-time.Second) // a start, known from the list
 		entries = append(entries, e)
 	}
-	return stillEngine(t, entries...)
+	return newManualEngine(t, entries...)
 }
 
-// take has what was learnt written down, and counts the events that it takes.
-func (l *still) take(t *testing.T) (s *learnedstate.State, events int) {
+// collect has what was learnt written down, and counts the events that it takes.
+func (l *manualEngine) collect(t *testing.T) (s *learnedstate.State, events int) {
 	t.Helper()
-	l.Do(func() { l.Learnt(func(got *learnedstate.State) { s = got }) })
+	l.Dispatch(func() { l.CollectLearnedState(func(got *learnedstate.State) { s = got }) })
 	for events = 1; s == nil; events++ {
 		if len(l.timers) == 0 {
 			t.Fatal("it never ends")
 		}
-		l.Do(heap.Pop(&l.timers).(*Timer).event)
+		l.Dispatch(heap.Pop(&l.timers).(*Timer).event)
 	}
 	return s, events
 }
@@ -39,8 +39,8 @@
 func TestLearntIsWrittenDownInParts(t *testing.T) {
 	t.Parallel()
 	const n = 200
-	s, events := warmed(t, n).take(t)
-	if len(s.Backends) != n || events < n/learntAtOnce {
+	s, events := engineWithLearnedState(t, n).collect(t)
+	if len(s.Backends) != n || events < n/learnedStateBatch {
 		t.Errorf("%d backends in %d events", len(s.Backends), events)
 	}
 	if err := s.Check(); err != nil {
@@ -52,15 +52,15 @@
 // of them alone, and not of one that has left.
 func TestRestoreMeetsTheList(t *testing.T) {
 	t.Parallel()
-	from := warmed(t, 4)
-	s, _ := from.take(t)
-	to := stillEngine(t, ready("s-0", "127.0.0.1:1000"), ready("s-1", "127.0.0.1:9999"), ready("other", "127.0.0.1:1002"))
-	to.Do(func() {
-		if n := to.Restore(s); n != 1 {
+	from := engineWithLearnedState(t, 4)
+	s, _ := from.collect(t)
+	to := newManualEngine(t, ready("s-0", "127.0.0.1:1000"), ready("s-1", "127.0.0.1:9999"), ready("other", "127.0.0.1:1002"))
+	to.Dispatch(func() {
+		if n := to.RestoreLearnedState(s); n != 1 {
 			t.Errorf("%d backends are taken for those that were there", n)
 		}
 	})
-	again, _ := to.take(t)
+	again, _ := to.collect(t)
 	if len(again.Backends) != 1 || again.Backends[0].Name != "s-0" {
 		t.Errorf("known are %+v", again.Backends)
 	}
@@ -72,19 +72,19 @@
 // A class that comes while it is written down spoils nothing.
 func TestSettingsChangeWhileItIsWrittenDown(t *testing.T) {
 	t.Parallel()
-	l := warmed(t, 100)
+	l := engineWithLearnedState(t, 100)
 	var s *learnedstate.State
-	l.Do(func() { l.Learnt(func(got *learnedstate.State) { s = got }) })
+	l.Dispatch(func() { l.CollectLearnedState(func(got *learnedstate.State) { s = got }) })
 	next := *l.Settings()
 	next.Classes = append(append([]balancer.Class(nil), next.Classes...), balancer.Class{Name: "new", LatencyTarget: time.Second, ClientTimeout: time.Second, Value: 1})
-	l.Do(func() {
+	l.Dispatch(func() {
 		if err := l.Reconfigure(next); err != nil {
 			t.Fatal(err)
 		}
-		l.List(List{Kind: balancer.ListDelta, Entries: []Entry{{Name: "s-99", State: balancer.Gone}}})
+		l.ApplyMembership(Membership{Kind: balancer.ListDelta, Entries: []Entry{{Name: "s-99", State: balancer.Gone}}})
 	})
 	for s == nil {
-		l.Do(heap.Pop(&l.timers).(*Timer).event)
+		l.Dispatch(heap.Pop(&l.timers).(*Timer).event)
 	}
 	if err := s.Check(); err != nil || len(s.Backends) != 99 {
 		t.Errorf("%d backends, %v", len(s.Backends), err)
@@ -93,9 +93,9 @@
 
 // BenchmarkLearnt writes one part down.
 func BenchmarkLearnt(b *testing.B) {
-	l := warmed(b, learntAtOnce)
+	l := engineWithLearnedState(b, learnedStateBatch)
 	b.ReportAllocs()
 	for b.Loop() {
-		l.Learnt(func(*learnedstate.State) {})
+		l.CollectLearnedState(func(*learnedstate.State) {})
 	}
 }
--- a/internal/dataplane/engine/observer.go
+++ b/internal/dataplane/engine/observer.go
@@ -12,16 +12,16 @@
 // path of a call, and must not call the engine back; what it is given it may read
 // only until it returns.
 type Observer interface {
-	Taken(now time.Duration, c *Call)
-	Sent(now time.Duration, a *Attempt)
-	Ended(now time.Duration, a *Attempt, end End)
-	Answered(now time.Duration, c *Call, a Answer)
-	// Streamed is the end of an answer that Answered called a stream: the whole of it
+	OnCallAccepted(now time.Duration, c *Call)
+	OnAttemptStarted(now time.Duration, a *Attempt)
+	OnAttemptEnded(now time.Duration, a *Attempt, end AttemptEnd)
+	OnAnswered(now time.Duration, c *Call, a Answer)
+	// OnStreamEnded is the end of an answer that Answered called a stream: the whole of it
 	// has gone to the client, or it broke off.
-	Streamed(now time.Duration, c *Call, whole bool)
-	Left(now time.Duration, c *Call) // its client went away unanswered
-	Listed(now time.Duration, l *List)
-	Probed(now time.Duration, b *Backend, r balancer.Result, took time.Duration)
+	OnStreamEnded(now time.Duration, c *Call, whole bool)
+	OnClientGone(now time.Duration, c *Call) // its client went away unanswered
+	OnMembership(now time.Duration, l *Membership)
+	OnHealthCheck(now time.Duration, b *Backend, r balancer.Result, took time.Duration)
 }
 
 // Observers are several as one.
@@ -39,58 +39,58 @@
 	return Observers(all)
 }
 
-// Taken implements Observer.
-func (s Observers) Taken(now time.Duration, c *Call) {
+// OnCallAccepted implements Observer.
+func (s Observers) OnCallAccepted(now time.Duration, c *Call) {
 	for _, o := range s {
-		o.Taken(now, c)
+		o.OnCallAccepted(now, c)
 	}
 }
 
-// Sent implements Observer.
-func (s Observers) Sent(now time.Duration, a *Attempt) {
+// OnAttemptStarted implements Observer.
+func (s Observers) OnAttemptStarted(now time.Duration, a *Attempt) {
 	for _, o := range s {
-		o.Sent(now, a)
+		o.OnAttemptStarted(now, a)
 	}
 }
 
-// Ended implements Observer.
-func (s Observers) Ended(now time.Duration, a *Attempt, end End) {
+// OnAttemptEnded implements Observer.
+func (s Observers) OnAttemptEnded(now time.Duration, a *Attempt, end AttemptEnd) {
 	for _, o := range s {
-		o.Ended(now, a, end)
+		o.OnAttemptEnded(now, a, end)
 	}
 }
 
-// Answered implements Observer.
-func (s Observers) Answered(now time.Duration, c *Call, a Answer) {
+// OnAnswered implements Observer.
+func (s Observers) OnAnswered(now time.Duration, c *Call, a Answer) {
 	for _, o := range s {
-		o.Answered(now, c, a)
+		o.OnAnswered(now, c, a)
 	}
 }
 
-// Streamed implements Observer.
-func (s Observers) Streamed(now time.Duration, c *Call, whole bool) {
+// OnStreamEnded implements Observer.
+func (s Observers) OnStreamEnded(now time.Duration, c *Call, whole bool) {
 	for _, o := range s {
-		o.Streamed(now, c, whole)
+		o.OnStreamEnded(now, c, whole)
 	}
 }
 
-// Left implements Observer.
-func (s Observers) Left(now time.Duration, c *Call) {
+// OnClientGone implements Observer.
+func (s Observers) OnClientGone(now time.Duration, c *Call) {
 	for _, o := range s {
-		o.Left(now, c)
+		o.OnClientGone(now, c)
 	}
 }
 
-// Listed implements Observer.
-func (s Observers) Listed(now time.Duration, l *List) {
+// OnMembership implements Observer.
+func (s Observers) OnMembership(now time.Duration, l *Membership) {
 	for _, o := range s {
-		o.Listed(now, l)
+		o.OnMembership(now, l)
 	}
 }
 
-// Probed implements Observer.
-func (s Observers) Probed(now time.Duration, b *Backend, r balancer.Result, took time.Duration) {
+// OnHealthCheck implements Observer.
+func (s Observers) OnHealthCheck(now time.Duration, b *Backend, r balancer.Result, took time.Duration) {
 	for _, o := range s {
-		o.Probed(now, b, r, took)
+		o.OnHealthCheck(now, b, r, took)
 	}
 }
--- a/internal/dataplane/engine/recent.go
+++ b/internal/dataplane/engine/recent.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// recent remembers names for a span and up to twice as long. It keeps two sets and
+// recentNames remembers names for a span and up to twice as long. It keeps two sets and
 // throws the older away whole, so that it costs no timer for each name and its
 // memory follows the rate of names, never their number.
-type recent struct {
-	span     time.Duration
-	turned   time.Duration
-	now, old map[string]struct{}
+type recentNames struct {
+	span              time.Duration
+	rotatedAt         time.Duration
+	current, previous map[string]struct{}
 }
 
-func newRecent(span time.Duration) *recent {
-	return &recent{span: span, now: map[string]struct{}{}, old: map[string]struct{}{}}
+func newRecentNames(span time.Duration) *recentNames {
+	return &recentNames{span: span, current: map[string]struct{}{}, previous: map[string]struct{}{}}
 }
 
 // add remembers a name, and tells whether it was new.
-func (r *recent) add(name string, at time.Duration) bool {
-	if gone := at - r.turned; gone >= r.span {
-		r.old, r.now = r.now, map[string]struct{}{}
-		if gone >= 2*r.span {
-			r.old = nil
+func (r *recentNames) add(name string, at time.Duration) bool {
+	if elapsed := at - r.rotatedAt; elapsed >= r.span {
+		r.previous, r.current = r.current, map[string]struct{}{}
+		if elapsed >= 2*r.span {
+			r.previous = nil
 		}
-		r.turned = at
+		r.rotatedAt = at
 	}
-	_, now := r.now[name]
-	_, old := r.old[name]
-	if now || old {
+	_, isCurrent := r.current[name]
+	_, isPrevious := r.previous[name]
+	if isCurrent || isPrevious {
 		return false
 	}
-	r.now[name] = struct{}{}
+	r.current[name] = struct{}{}
 	return true
 }
--- a/internal/dataplane/engine/settings.go
+++ b/internal/dataplane/engine/settings.go
@@ -7,57 +7,57 @@
 	"marlreel/internal/balancer"
 )
 
-// mostClasses bounds the classes, those that have gone and are remembered among them.
-const mostClasses = 64
+// maxClasses bounds the classes, those that have gone and are remembered among them.
+const maxClasses = 64
 
-// Book is what fronts read requests by: the settings in force, and the numbers of names.
+// SettingsSnapshot is what fronts read requests by: the settings in force, and the numbers of names.
 // It is never changed.
-type Book struct {
+type SettingsSnapshot struct {
 	// Settings is what the module is told: a class that has left the settings stays under
 	// its number, as it was last, and is not in Classes.
-	Settings         *balancer.Config
-	Classes, Tenants map[string]int
+	Settings                    *balancer.Config
+	ClassIndexes, TenantIndexes map[string]int
 }
 
-// Book is the one in force. Any goroutine may call it.
-func (e *Engine) Book() *Book { return e.book.Load() }
+// SettingsSnapshot is the one in force. Any goroutine may call it.
+func (e *Engine) SettingsSnapshot() *SettingsSnapshot { return e.snapshot.Load() }
 
 // Settings is what the module is told now. Any goroutine may call it; what it gives is
 // never changed.
-func (e *Engine) Settings() *balancer.Config { return e.book.Load().Settings }
+func (e *Engine) Settings() *balancer.Config { return e.snapshot.Load().Settings }
 
-// write makes a book and puts it in force.
-func (e *Engine) write(settings *balancer.Config) {
-	b := &Book{Settings: settings, Classes: map[string]int{}, Tenants: map[string]int{}}
+// publishSettings makes a book and puts it in force.
+func (e *Engine) publishSettings(settings *balancer.Config) {
+	b := &SettingsSnapshot{Settings: settings, ClassIndexes: map[string]int{}, TenantIndexes: map[string]int{}}
 	for i, c := range settings.Classes {
 		if !e.classes.Removed(i) {
-			b.Classes[c.Name] = i
+			b.ClassIndexes[c.Name] = i
 		}
 	}
 	for i, t := range settings.Tenants {
-		b.Tenants[t.Name] = i
+		b.TenantIndexes[t.Name] = i
 	}
-	e.book.Store(b)
+	e.snapshot.Store(b)
 }
 
-// stillMeans tells whether a call that was read by an older book means the same by the one
+// meansTheSame tells whether a call that was read by an older book means the same by the one
 // in force. Danger: one that was let through as safe to repeat must not run as one that is
 // not, nor as a keyed one without its key.
-func (e *Engine) stillMeans(c *Call) bool {
-	now := e.book.Load()
-	if c.Book == nil || c.Book == now {
+func (e *Engine) meansTheSame(c *Call) bool {
+	now := e.snapshot.Load()
+	if c.Snapshot == nil || c.Snapshot == now {
 		return true
 	}
-	is, was := &now.Settings.Classes[c.Class], &c.Book.Settings.Classes[c.Class]
-	return is.Name == was.Name && is.Effect == was.Effect && tenant(now, c.Tenant) == tenant(c.Book, c.Tenant)
+	is, was := &now.Settings.Classes[c.Class], &c.Snapshot.Settings.Classes[c.Class]
+	return is.Name == was.Name && is.Effect == was.Effect && tenantName(now, c.Tenant) == tenantName(c.Snapshot, c.Tenant)
 }
 
-// tenant is the name of a tenant by its place, or "".
-func tenant(b *Book, place int) string {
-	if place < 0 || place >= len(b.Settings.Tenants) {
+// tenantName is the name of a tenant by its place, or "".
+func tenantName(b *SettingsSnapshot, index int) string {
+	if index < 0 || index >= len(b.Settings.Tenants) {
 		return ""
 	}
-	return b.Settings.Tenants[place].Name
+	return b.Settings.Tenants[index].Name
 }
 
 // Reconfigure puts other settings in force, whole and at once, or leaves the old ones and
@@ -84,8 +84,8 @@
 		return fmt.Errorf("settings: %w", err)
 	}
 	*e.classes = trial
-	e.write(&next)
-	e.asked.span = max(e.asked.span, longestGiveUp(&next)+time.Second)
+	e.publishSettings(&next)
+	e.recentNames.span = max(e.recentNames.span, longestClientTimeout(&next)+time.Second)
 	return nil
 }
 
@@ -99,20 +99,20 @@
 	return false
 }
 
-// comeAgain is what is said to clients that are turned away before the module hears of them.
-const comeAgain = time.Second
+// defaultRetryAfter is what is said to clients that are turned away before the module hears of them.
+const defaultRetryAfter = time.Second
 
-// ComeAgain is after what time who is turned away at the door should come again, as far as the
+// RetryAfter is after what time who is turned away at the door should come again, as far as the
 // settings let it be told; 0 is not to be told. Any goroutine may call it.
-func (e *Engine) ComeAgain() time.Duration {
+func (e *Engine) RetryAfter() time.Duration {
 	caps := &e.Settings().Caps
 	if !caps.RetryAfter {
 		return 0
 	}
-	return min(comeAgain, caps.MaxRetryAfter)
+	return min(defaultRetryAfter, caps.MaxRetryAfter)
 }
 
-func longestGiveUp(s *balancer.Config) time.Duration {
+func longestClientTimeout(s *balancer.Config) time.Duration {
 	longest := time.Duration(0)
 	for _, c := range s.Classes {
 		longest = max(longest, c.ClientTimeout)
--- a/internal/dataplane/gateway/backlog.go
+++ b/internal/dataplane/gateway/backlog.go
@@ -24,7 +24,7 @@
 	counted := make(chan backlog.Work, 1)
 	s.engine.Post(func() {
 		work := backlog.Work{}
-		s.engine.Unanswered(func(a *engine.Attempt) {
+		s.engine.EachPendingAttempt(func(a *engine.Attempt) {
 			work[backlog.Key(a.Backend.Name)] += uint32(max(1, a.Call.Cost.Milliseconds()))
 		})
 		counted <- work
--- a/internal/dataplane/gateway/cause.go
+++ b/internal/dataplane/gateway/cause.go
@@ -49,7 +49,7 @@
 	}
 	if attempts := c.Attempts(); len(attempts) > 0 {
 		t.attempts = len(attempts)
-		t.firstAttempt, t.lastAttempt = attempts[0].Sent(), attempts[len(attempts)-1].Sent()
+		t.firstAttempt, t.lastAttempt = attempts[0].StartedAt(), attempts[len(attempts)-1].StartedAt()
 	}
 	return t
 }
@@ -58,7 +58,7 @@
 func (t timeline) cause() cause {
 	served := !t.cancelled && t.verdict == engine.Served
 	inTarget := t.answered-t.arrived <= t.latencyTarget
-	rejected := t.verdict == engine.Refused || t.verdict == engine.Overloaded
+	rejected := t.verdict == engine.Rejected || t.verdict == engine.Overloaded
 	switch {
 	case served && inTarget:
 		return causeNone
--- a/internal/dataplane/gateway/cause_test.go
+++ b/internal/dataplane/gateway/cause_test.go
@@ -29,13 +29,13 @@
 		"a model was loaded, and slow": {with(sent(50*ms, 50*ms, 300*ms), func(l *timeline) { l.modelLoaded = false }), causeBackend},
 		"the first backend died":       {sent(11*ms, 200*ms, 300*ms), causeRetried},
 		"all attempts failed":          {with(sent(11*ms, 20*ms, 30*ms), func(l *timeline) { l.verdict = engine.Failed }), causeFailed},
-		"out of time at a backend":     {with(sent(11*ms, 20*ms, 300*ms), func(l *timeline) { l.verdict = engine.OutOfTime }), causeFailed},
+		"out of time at a backend":     {with(sent(11*ms, 20*ms, 300*ms), func(l *timeline) { l.verdict = engine.TimedOut }), causeFailed},
 		"out of time, never sent": {
-			timeline{modelLoaded: true, verdict: engine.OutOfTime, latencyTarget: 100 * ms, answered: 300 * ms},
+			timeline{modelLoaded: true, verdict: engine.TimedOut, latencyTarget: 100 * ms, answered: 300 * ms},
 			causeQueued,
 		},
-		"rejected at once": {timeline{modelLoaded: true, verdict: engine.Refused, latencyTarget: 100 * ms, answered: ms}, causeRejected},
-		"rejected late":    {timeline{modelLoaded: true, verdict: engine.Refused, latencyTarget: 100 * ms, answered: 300 * ms}, causeRejected},
+		"rejected at once": {timeline{modelLoaded: true, verdict: engine.Rejected, latencyTarget: 100 * ms, answered: ms}, causeRejected},
+		"rejected late":    {timeline{modelLoaded: true, verdict: engine.Rejected, latencyTarget: 100 * ms, answered: 300 * ms}, causeRejected},
 		"the client left early": {
 			with(sent(11*ms, 11*ms, 50*ms), func(l *timeline) { l.cancelled = true }),
 			causeCancelled,
--- a/internal/dataplane/gateway/clientrequest.go
+++ b/internal/dataplane/gateway/clientrequest.go
@@ -20,8 +20,8 @@
 
 var _ engine.Front = (*call)(nil)
 
-// Answer implements engine.Front.
-func (c *call) Answer(_ *engine.Call, a engine.Answer) {
+// HandleAnswer implements engine.Front.
+func (c *call) HandleAnswer(_ *engine.Call, a engine.Answer) {
 	if reply, is := a.Reply.(*httpproxy.Reply); is {
 		reply.Claim()
 	}
@@ -30,14 +30,14 @@
 
 // newCall makes a call of a request; nil where the engine does not know the route's class yet.
 func newCall(s *service, route *configuration.Route, message *httpproxy.Message, needs *balancer.Needs, work time.Duration) *call {
-	book := s.engine.Book()
-	class, known := book.Classes[className(route)]
+	book := s.engine.SettingsSnapshot()
+	class, known := book.ClassIndexes[className(route)]
 	if !known {
 		return nil
 	}
 	c := &call{answers: make(chan engine.Answer, 1), latencyTarget: book.Settings.Classes[class].LatencyTarget, modelLoaded: true}
 	c.Call = engine.Call{
-		Request: balancer.Request{Class: class, Cost: work, Needs: needs}, Carrier: s.carrier, Book: book,
+		Request: balancer.Request{Class: class, Cost: work, Needs: needs}, Carrier: s.carrier, Snapshot: book,
 		Payload: message, Front: c,
 	}
 	return c
@@ -67,7 +67,7 @@
 	s := r.service
 	arrived := s.engine.Now()
 	c.Deadline = arrived + time.Until(r.deadline)
-	s.engine.Post(func() { s.engine.Take(&c.Call, arrived) })
+	s.engine.Post(func() { s.engine.HandleCall(&c.Call, arrived) })
 	answer := r.awaitAnswer(c)
 	if reply, is := answer.Reply.(*httpproxy.Reply); !is || !reply.Streams() {
 		r.disconnect.stop()
@@ -84,14 +84,14 @@
 		return engine.Answer{Verdict: engine.Stopped}
 	case <-r.disconnect.disconnected:
 		s.engine.Post(func() {
-			s.engine.Gone(&c.Call)
+			s.engine.HandleClientGone(&c.Call)
 			select {
 			case answer := <-c.answers:
 				r.discardAnswer(answer)
 			default:
 			}
 		})
-		return engine.Answer{Verdict: engine.Left}
+		return engine.Answer{Verdict: engine.ClientGone}
 	}
 }
 
@@ -104,14 +104,14 @@
 	streams := reply.Streams()
 	reply.Release(r.gateway.memory, false)
 	if streams {
-		r.service.engine.Streamed(&r.current.Call, false)
+		r.service.engine.HandleStreamEnd(&r.current.Call, false)
 	}
 }
 
 // reportStreamEnd tells the engine how a stream ended.
 func (r *clientRequest) reportStreamEnd(complete bool) {
 	s, c := r.service, r.current
-	s.engine.Post(func() { s.engine.Streamed(&c.Call, complete) })
+	s.engine.Post(func() { s.engine.HandleStreamEnd(&c.Call, complete) })
 }
 
 // disconnected tells whether the client has disconnected.
--- a/internal/dataplane/gateway/gateway.go
+++ b/internal/dataplane/gateway/gateway.go
@@ -93,7 +93,7 @@
 // rejectUnsent rejects requests that have waited for long and were not sent.
 func (g *Gateway) rejectUnsent() {
 	for _, s := range g.table.Load().services {
-		s.engine.Post(func() { s.engine.RefuseUnsent(maxUnsentWait) })
+		s.engine.Post(func() { s.engine.RejectUnsent(maxUnsentWait) })
 	}
 }
 
@@ -101,7 +101,7 @@
 func (g *Gateway) failPending() {
 	for _, s := range g.table.Load().services {
 		s.engine.Post(func() {
-			s.engine.RefuseUnsent(0)
+			s.engine.RejectUnsent(0)
 			s.engine.FailAll(true)
 		})
 	}
--- a/internal/dataplane/gateway/handler.go
+++ b/internal/dataplane/gateway/handler.go
@@ -84,16 +84,16 @@
 func (g *Gateway) writeAnswer(ctx *fasthttp.RequestCtx, r *clientRequest, a engine.Answer) {
 	reply, _ := a.Reply.(*httpproxy.Reply)
 	switch {
-	case a.Verdict == engine.Left:
+	case a.Verdict == engine.ClientGone:
 		ctx.HijackSetNoResponse(true)
 		ctx.Hijack(func(net.Conn) {})
 	case reply != nil && (a.Verdict == engine.Served || a.Verdict == engine.Failed):
 		g.writeReply(ctx, r, reply)
-	case a.Verdict == engine.Refused, a.Verdict == engine.Overloaded:
+	case a.Verdict == engine.Rejected, a.Verdict == engine.Overloaded:
 		reject(ctx, a.RetryAfter)
-	case a.Verdict == engine.OutOfTime:
+	case a.Verdict == engine.TimedOut:
 		ctx.Error("out of time", fasthttp.StatusGatewayTimeout)
-	case a.Verdict == engine.InUse:
+	case a.Verdict == engine.DuplicateID:
 		ctx.Error(headerRequestID+" is in use", fasthttp.StatusConflict)
 	default:
 		ctx.Error("failed", fasthttp.StatusBadGateway)
--- a/internal/dataplane/gateway/metrics.go
+++ b/internal/dataplane/gateway/metrics.go
@@ -52,7 +52,7 @@
 
 // ofClass gives the metrics of a call's class.
 func (m *serviceMetrics) ofClass(c *engine.Call) *classMetrics {
-	class := &c.Book.Settings.Classes[c.Class]
+	class := &c.Snapshot.Settings.Classes[c.Class]
 	metrics := m.classes[class.Name]
 	if metrics == nil {
 		metrics = m.newClass(class)
@@ -96,41 +96,42 @@
 	}
 }
 
-// Taken implements engine.Observer.
-func (m *serviceMetrics) Taken(time.Duration, *engine.Call) {}
+// OnCallAccepted implements engine.Observer.
+func (m *serviceMetrics) OnCallAccepted(time.Duration, *engine.Call) {}
 
-// Sent implements engine.Observer.
-func (m *serviceMetrics) Sent(time.Duration, *engine.Attempt) {}
+// OnAttemptStarted implements engine.Observer.
+func (m *serviceMetrics) OnAttemptStarted(time.Duration, *engine.Attempt) {}
 
-// Ended implements engine.Observer.
-func (m *serviceMetrics) Ended(_ time.Duration, _ *engine.Attempt, end engine.End) {
+// OnAttemptEnded implements engine.Observer.
+func (m *serviceMetrics) OnAttemptEnded(_ time.Duration, _ *engine.Attempt, end engine.AttemptEnd) {
 	if counter := m.attempts[end.Result]; counter != nil {
 		counter.Inc()
 	}
 }
 
-// Answered implements engine.Observer.
-func (m *serviceMetrics) Answered(now time.Duration, c *engine.Call, a engine.Answer) {
+// OnAnswered implements engine.Observer.
+func (m *serviceMetrics) OnAnswered(now time.Duration, c *engine.Call, a engine.Answer) {
 	m.recordEnd(now, c, a.Verdict, false)
 }
 
-// Streamed implements engine.Observer.
-func (m *serviceMetrics) Streamed(_ time.Duration, _ *engine.Call, complete bool) {
+// OnStreamEnded implements engine.Observer.
+func (m *serviceMetrics) OnStreamEnded(_ time.Duration, _ *engine.Call, complete bool) {
 	if !complete {
 		m.brokenStreams.Inc()
 	}
 }
 
-// Left implements engine.Observer.
-func (m *serviceMetrics) Left(now time.Duration, c *engine.Call) {
-	m.recordEnd(now, c, engine.Left, true)
+// OnClientGone implements engine.Observer.
+func (m *serviceMetrics) OnClientGone(now time.Duration, c *engine.Call) {
+	m.recordEnd(now, c, engine.ClientGone, true)
 }
 
-// Listed implements engine.Observer.
-func (m *serviceMetrics) Listed(time.Duration, *engine.List) {}
+// OnMembership implements engine.Observer.
+func (m *serviceMetrics) OnMembership(time.Duration, *engine.Membership) {}
 
-// Probed implements engine.Observer.
-func (m *serviceMetrics) Probed(time.Duration, *engine.Backend, balancer.Result, time.Duration) {}
+// OnHealthCheck implements engine.Observer.
+func (m *serviceMetrics) OnHealthCheck(time.Duration, *engine.Backend, balancer.Result, time.Duration) {
+}
 
 // metricsLabel is the name under which a service is counted. Called with the lock.
 func (g *Gateway) metricsLabel(service string) string {
--- a/internal/dataplane/gateway/requesttrace.go
+++ b/internal/dataplane/gateway/requesttrace.go
@@ -27,9 +27,9 @@
 		balancer.Cancelled: "cancelled", balancer.NotSent: "not sent", balancer.Unprocessable: "declined",
 	}
 	verdictNames = map[engine.Verdict]string{
-		engine.Served: "served", engine.Refused: "refused",
-		engine.Overloaded: "overloaded", engine.Failed: "failed", engine.OutOfTime: "out of time",
-		engine.Stopped: "stopped", engine.InUse: "in use", engine.Left: "left",
+		engine.Served: "served", engine.Rejected: "refused",
+		engine.Overloaded: "overloaded", engine.Failed: "failed", engine.TimedOut: "out of time",
+		engine.Stopped: "stopped", engine.DuplicateID: "in use", engine.ClientGone: "left",
 	}
 )
 
@@ -48,17 +48,17 @@
 // rounded is a span as lines show it.
 func rounded(span time.Duration) string { return span.Round(time.Millisecond).String() }
 
-// Ended implements engine.Observer.
-func (t *requestTracer) Ended(now time.Duration, a *engine.Attempt, end engine.End) {
+// OnAttemptEnded implements engine.Observer.
+func (t *requestTracer) OnAttemptEnded(now time.Duration, a *engine.Attempt, end engine.AttemptEnd) {
 	if end.Result == balancer.OK {
 		return
 	}
 	t.forRequest(a.Call).Info(logevent.AttemptFailed, logevent.KeyBackend, a.Backend.Name,
-		logevent.KeyResult, resultNames[end.Result], logevent.KeyDuration, rounded(now-a.Sent()))
+		logevent.KeyResult, resultNames[end.Result], logevent.KeyDuration, rounded(now-a.StartedAt()))
 }
 
-// Answered implements engine.Observer.
-func (t *requestTracer) Answered(now time.Duration, c *engine.Call, a engine.Answer) {
+// OnAnswered implements engine.Observer.
+func (t *requestTracer) OnAnswered(now time.Duration, c *engine.Call, a engine.Answer) {
 	times := timelineOf(now, c, a.Verdict, false)
 	if a.Verdict == engine.Served {
 		t.logLate(times, c)
@@ -80,14 +80,14 @@
 		logevent.KeyAttempts, times.attempts)
 }
 
-// Left implements engine.Observer.
-func (t *requestTracer) Left(now time.Duration, c *engine.Call) {
+// OnClientGone implements engine.Observer.
+func (t *requestTracer) OnClientGone(now time.Duration, c *engine.Call) {
 	t.forRequest(c).Info(logevent.RequestCancelled, logevent.KeyAttempts, len(c.Attempts()),
 		logevent.KeyDuration, rounded(now-c.Arrived()))
 }
 
-// Probed implements engine.Observer.
-func (t *requestTracer) Probed(_ time.Duration, b *engine.Backend, r balancer.Result, took time.Duration) {
+// OnHealthCheck implements engine.Observer.
+func (t *requestTracer) OnHealthCheck(_ time.Duration, b *engine.Backend, r balancer.Result, took time.Duration) {
 	if r == balancer.OK {
 		return
 	}
@@ -95,14 +95,14 @@
 		logevent.KeyDuration, rounded(took))
 }
 
-// Taken implements engine.Observer.
-func (t *requestTracer) Taken(time.Duration, *engine.Call) {}
+// OnCallAccepted implements engine.Observer.
+func (t *requestTracer) OnCallAccepted(time.Duration, *engine.Call) {}
 
-// Sent implements engine.Observer.
-func (t *requestTracer) Sent(time.Duration, *engine.Attempt) {}
+// OnAttemptStarted implements engine.Observer.
+func (t *requestTracer) OnAttemptStarted(time.Duration, *engine.Attempt) {}
 
-// Streamed implements engine.Observer.
-func (t *requestTracer) Streamed(time.Duration, *engine.Call, bool) {}
+// OnStreamEnded implements engine.Observer.
+func (t *requestTracer) OnStreamEnded(time.Duration, *engine.Call, bool) {}
 
-// Listed implements engine.Observer.
-func (t *requestTracer) Listed(time.Duration, *engine.List) {}
+// OnMembership implements engine.Observer.
+func (t *requestTracer) OnMembership(time.Duration, *engine.Membership) {}
--- a/internal/dataplane/gateway/requesttrace_test.go
+++ b/internal/dataplane/gateway/requesttrace_test.go
@@ -28,22 +28,22 @@
 		want  string
 	}{
 		"served in time": {func(r *requestTracer) {
-			r.Answered(50*ms, newRequest(100*ms), engine.Answer{Verdict: engine.Served})
+			r.OnAnswered(50*ms, newRequest(100*ms), engine.Answer{Verdict: engine.Served})
 		}, ""},
 		"served late": {func(r *requestTracer) {
-			r.Answered(150*ms, newRequest(100*ms), engine.Answer{Verdict: engine.Served})
+			r.OnAnswered(150*ms, newRequest(100*ms), engine.Answer{Verdict: engine.Served})
 		}, `"level"=0 "msg"="request late" "request"="7" "model"="m" "adapter"="a" "cause"="queued" "latency_target"="100ms" "queued"="0s" "retrying"="0s" "running"="150ms" "attempts"=0`},
 		"rejected": {func(r *requestTracer) {
-			r.Answered(50*ms, newRequest(100*ms), engine.Answer{Verdict: engine.Refused, RetryAfter: 20 * ms})
+			r.OnAnswered(50*ms, newRequest(100*ms), engine.Answer{Verdict: engine.Rejected, RetryAfter: 20 * ms})
 		}, `"level"=0 "msg"="request failed" "request"="7" "model"="m" "adapter"="a" "cause"="refused" "verdict"="refused" "attempts"=0 "duration"="50ms" "retry_after"="20ms"`},
 		"cancelled": {func(r *requestTracer) {
-			r.Left(30*ms, newRequest(100*ms))
+			r.OnClientGone(30*ms, newRequest(100*ms))
 		}, `"level"=0 "msg"="request cancelled by client" "request"="7" "model"="m" "adapter"="a" "attempts"=0 "duration"="30ms"`},
 		"health check passed": {func(r *requestTracer) {
-			r.Probed(0, &engine.Backend{Name: "i-1"}, balancer.OK, ms)
+			r.OnHealthCheck(0, &engine.Backend{Name: "i-1"}, balancer.OK, ms)
 		}, ""},
 		"health check failed": {func(r *requestTracer) {
-			r.Probed(0, &engine.Backend{Name: "i-1"}, balancer.Timeout, 600*ms)
+			r.OnHealthCheck(0, &engine.Backend{Name: "i-1"}, balancer.Timeout, 600*ms)
 		}, `"level"=0 "msg"="health check failed" "backend"="i-1" "result"="timeout" "duration"="600ms"`},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/dataplane/gateway/service.go
+++ b/internal/dataplane/gateway/service.go
@@ -70,7 +70,7 @@
 	observers := []engine.Observer{newServiceMetrics(g.metrics, g.metricsLabel(cfg.Name))}
 	var err error
 	s.engine, err = engine.New(engine.Config{
-		Settings: s.balancerConfig(), Seed: uint64(s.rank), Listed: func() {},
+		Settings: s.balancerConfig(), Seed: uint64(s.rank), OnFirstMembership: func() {},
 		Logf: func(format string, args ...any) {
 			log.V(1).Info(logevent.Decision, logevent.KeyDetail, fmt.Sprintf(format, args...))
 		},
@@ -81,12 +81,12 @@
 	s.carrier = httpproxy.NewCarrier(s.engine, g.maxConnections, nil, g.memory)
 	s.carrier.DialWith(g.dial)
 	s.carrier.Speak(newDialect(func() string { return *s.healthPath.Load() }))
-	s.engine.Carry(s.carrier)
-	s.engine.ProbeWith(s.carrier)
+	s.engine.AddCarrier(s.carrier)
+	s.engine.SetHealthChecker(s.carrier)
 	if detail := log.V(1); detail.Enabled() {
 		observers = append(observers, &requestTracer{detail})
 	}
-	s.engine.Observe(engine.Join(observers...))
+	s.engine.SetObserver(engine.Join(observers...))
 	running, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	s.cancel = cancel
 	go s.engine.Run(running)
@@ -125,7 +125,7 @@
 
 // setBackends sets the service's backends among all backends.
 func (s *service) setBackends(all []*api.Backend, self identity, evacuated map[string]bool) {
-	list := engine.List{Kind: balancer.ListFull}
+	list := engine.Membership{Kind: balancer.ListFull}
 	for _, b := range all {
 		if b.Service != s.name {
 			continue
@@ -140,7 +140,7 @@
 		})
 	}
 	s.engine.Post(func() {
-		s.engine.List(list)
+		s.engine.ApplyMembership(list)
 		s.advisor.SetBackends(s.engine.Now(), s.advisedBackends(all))
 	})
 }
--- a/internal/dataplane/httpproxy/carrier.go
+++ b/internal/dataplane/httpproxy/carrier.go
@@ -53,9 +53,9 @@
 // Close breaks all exchanges off. Any goroutine may call it.
 func (c *Carrier) Close() { c.cancel() }
 
-// Begin implements engine.Carrier. The call's payload is a *Message.
-func (c *Carrier) Begin(a *engine.Attempt) {
-	x := &exchange{to: a.Backend, msg: a.Call.Payload.(*Message), until: a.Until, permit: &a.Permit, attempt: a, here: a.Call.Here, coming: a.Call.Coming}
+// StartAttempt implements engine.Carrier. The call's payload is a *Message.
+func (c *Carrier) StartAttempt(a *engine.Attempt) {
+	x := &exchange{to: a.Backend, msg: a.Call.Payload.(*Message), until: a.Deadline, permit: &a.Permit, attempt: a, here: a.Call.ClientConnected, coming: a.Call.Receiving}
 	class := &c.engine.Settings().Classes[a.Call.Class]
 	stake := connections.Request{Utility: class.Value, Large: len(x.msg.Body) >= largeBody || x.msg.up != nil}
 	if class.Effect != balancer.Unsafe {
@@ -79,23 +79,23 @@
 	return sum / float64(max(1, len(s.Classes)))
 }
 
-// Probe implements engine.Prober.
-func (c *Carrier) Probe(b *engine.Backend, until time.Time, end func(engine.End)) {
+// CheckHealth implements engine.HealthChecker.
+func (c *Carrier) CheckHealth(b *engine.Backend, until time.Time, end func(engine.AttemptEnd)) {
 	c.launch(&exchange{to: b, msg: c.speaks.Probe(b), until: until, permit: new(engine.Permit)}, probeStake, end)
 }
 
-// Release implements engine.Carrier.
-func (c *Carrier) Release(b *engine.Backend) { c.pool.release(b) }
+// ReleaseIdle implements engine.Carrier.
+func (c *Carrier) ReleaseIdle(b *engine.Backend) { c.pool.release(b) }
 
-// Forget implements engine.Carrier.
-func (c *Carrier) Forget(b *engine.Backend) {
+// RemoveBackend implements engine.Carrier.
+func (c *Carrier) RemoveBackend(b *engine.Backend) {
 	c.pool.release(b)
 	delete(c.lastOK, b)
 	c.pool.model.Forget(uint32(b.ID))
 }
 
-// Retire implements engine.Carrier.
-func (c *Carrier) Retire(now time.Duration) { c.pool.retire(now) }
+// CloseExpired implements engine.Carrier.
+func (c *Carrier) CloseExpired(now time.Duration) { c.pool.retire(now) }
 
 // SetMost puts another bound on connections in force. Only on the engine's goroutine.
 func (c *Carrier) SetMost(most int) { c.pool.setMost(most) }
@@ -122,14 +122,14 @@
 
 // launch starts an exchange and brings its end back to the engine. The connection is
 // counted from here on, and until end has it.
-func (c *Carrier) launch(x *exchange, stake connections.Request, end func(engine.End)) (stop func()) {
+func (c *Carrier) launch(x *exchange, stake connections.Request, end func(engine.AttemptEnd)) (stop func()) {
 	now, caps := c.engine.Now(), &c.engine.Settings().Caps
 	c.pool.maxIdle = caps.ConnIdle - caps.ConnIdle/4
 	use := connections.Use{New: true, Large: stake.Large}
 	if x.conn = c.pool.take(x.to, now, stake); x.conn != nil {
 		use = connections.Use{Idle: now - x.conn.idleSince, Large: stake.Large}
 	} else if !c.pool.mayDial() {
-		c.engine.Later(func() { end(engine.End{Result: balancer.ConnectFailed}) })
+		c.engine.Defer(func() { end(engine.AttemptEnd{Result: balancer.ConnectFailed}) })
 		return nil
 	}
 	x.room, x.speaks, x.dial = c.room, c.speaks, c.dial
@@ -147,12 +147,12 @@
 			if r.conn != nil {
 				r.conn.turnedAway = r.result == balancer.Rejected
 			}
-			e := engine.End{Result: r.result, Load: r.load, Left: r.left}
+			e := engine.AttemptEnd{Result: r.result, Load: r.load, ClientGone: r.left}
 			if r.result == balancer.OK || c.speaks.KeepsFailures && (r.result == balancer.Error || r.result == balancer.Unprocessable) {
 				e.Reply = &r
 			}
 			if r.stream != nil {
-				e.Stream = true
+				e.Streaming = true
 				r.stream.done = func(left *conn) {
 					c.engine.Post(func() { c.pool.put(x.to, left, c.engine.Now()) })
 				}
--- a/internal/dataplane/httpproxy/carrier_test.go
+++ b/internal/dataplane/httpproxy/carrier_test.go
@@ -20,12 +20,12 @@
 	l := stillEngine(t, ready("s-1", addr))
 	r := l.ask(1, time.Minute)
 	receive(t, got, "the attempt")
-	l.Do(func() { l.Gone(&r.Call) })
-	if r.Attempts()[0].Done() {
+	l.Dispatch(func() { l.HandleClientGone(&r.Call) })
+	if r.Attempts()[0].Ended() {
 		t.Error("the attempt has ended, and its connection has not: it is still out")
 	}
-	l.Do(receive(t, l.Events(), "the connection's end"))
-	if !r.Attempts()[0].Done() || l.Open() != 0 {
+	l.Dispatch(receive(t, l.Events(), "the connection's end"))
+	if !r.Attempts()[0].Ended() || l.OpenCalls() != 0 {
 		t.Error("the cancelled attempt has no outcome")
 	}
 	if l.carrier.pool.open != 0 {
@@ -45,15 +45,15 @@
 		}
 	})
 	l := stillEngine(t, ready("s-1", addr))
-	before := l.Timers()
+	before := l.TimerCount()
 	for range 20 {
 		r := l.ask(1, longestSpan)
 		for len(r.answers) == 0 {
-			l.Do(receive(t, l.Events(), "the attempt's end"))
+			l.Dispatch(receive(t, l.Events(), "the attempt's end"))
 		}
 	}
-	if n := l.Timers() - before; n > 1 || l.Open() != 0 { // the module may have one of its own
-		t.Errorf("%d timers and %d requests are left", n, l.Open())
+	if n := l.TimerCount() - before; n > 1 || l.OpenCalls() != 0 { // the module may have one of its own
+		t.Errorf("%d timers and %d requests are left", n, l.OpenCalls())
 	}
 }
 
@@ -67,7 +67,7 @@
 	serve := func() {
 		r := l.ask(1, time.Minute)
 		for len(r.answers) == 0 {
-			l.Do(receive(t, l.Events(), "the attempt's end"))
+			l.Dispatch(receive(t, l.Events(), "the attempt's end"))
 		}
 		if a := <-r.answers; a.status != 200 {
 			t.Fatalf("status %d", a.status)
@@ -77,8 +77,8 @@
 	const replaced = 3000
 	for i := range replaced {
 		gone := engine.Entry{Name: fmt.Sprintf("s-%d", i), State: balancer.Gone}
-		list := engine.List{Kind: balancer.ListDelta, Version: uint32(i + 2), Entries: []engine.Entry{gone, ready(fmt.Sprintf("s-%d", i+1), addr)}}
-		l.Do(func() { l.List(list) })
+		list := engine.Membership{Kind: balancer.ListDelta, Version: uint32(i + 2), Entries: []engine.Entry{gone, ready(fmt.Sprintf("s-%d", i+1), addr)}}
+		l.Dispatch(func() { l.ApplyMembership(list) })
 		if i < 3 {
 			serve()
 			if n := conns.Load(); n != int64(i+2) {
@@ -87,11 +87,11 @@
 		}
 	}
 	backends := 0
-	l.Backends(func(*engine.Backend) { backends++ })
-	if l.Names() != 1 || backends != 1 || l.Open() != 0 || l.Caused() != 0 || l.carrier.pool.open != 0 ||
-		len(l.carrier.pool.idle) != 0 || l.Timers() > 3 {
-		t.Errorf("kept: %d names, %d backends, %d requests, %d events, %d connections, %d timers", l.Names(), backends,
-			l.Open(), l.Caused(), l.carrier.pool.open, l.Timers())
+	l.EachBackend(func(*engine.Backend) { backends++ })
+	if l.KnownNames() != 1 || backends != 1 || l.OpenCalls() != 0 || l.DeferredCount() != 0 || l.carrier.pool.open != 0 ||
+		len(l.carrier.pool.idle) != 0 || l.TimerCount() > 3 {
+		t.Errorf("kept: %d names, %d backends, %d requests, %d events, %d connections, %d timers", l.KnownNames(), backends,
+			l.OpenCalls(), l.DeferredCount(), l.carrier.pool.open, l.TimerCount())
 	}
 }
 
@@ -113,11 +113,11 @@
 	l := stillEngine(t, ready("s-1", addr))
 	r := l.ask(1, time.Minute)
 	receive(t, came, "the attempt")
-	l.Do(func() {
-		l.List(engine.List{Kind: balancer.ListFull, Version: 2, Entries: []engine.Entry{ready("s-2", addr)}})
+	l.Dispatch(func() {
+		l.ApplyMembership(engine.Membership{Kind: balancer.ListFull, Version: 2, Entries: []engine.Entry{ready("s-2", addr)}})
 	})
 	close(answer)
-	l.Do(receive(t, l.Events(), "the attempt's end"))
+	l.Dispatch(receive(t, l.Events(), "the attempt's end"))
 	if a := receive(t, r.answers, "the answer"); a.status != 200 {
 		t.Errorf("the attempt in hand ended with %d", a.status)
 	}
--- a/internal/dataplane/httpproxy/compatibility_sent_test.go
+++ b/internal/dataplane/httpproxy/compatibility_sent_test.go
@@ -44,12 +44,12 @@
 // What goes to backends: a client's request with the headers that go on, and a probe.
 func TestCompatibilityToBackends(t *testing.T) {
 	l := stillEngine(t)
-	c, left, a := l.front.parse(goodRequest(), l.front.engine.Book())
+	c, left, a := l.front.parse(goodRequest(), l.front.engine.SettingsSnapshot())
 	if a.status != 0 {
 		t.Fatalf("%d %s", a.status, a.body)
 	}
-	if c.Name != "00000000000000aa" || left != 900*time.Millisecond || !c.IsRetry || c.Cost != 1500500*time.Nanosecond || c.Key == 0 {
-		t.Errorf("read as %q, %v, repeat %v, cost %v, about %d", c.Name, left, c.IsRetry, c.Cost, c.Key)
+	if c.ClientRequestID != "00000000000000aa" || left != 900*time.Millisecond || !c.IsRetry || c.Cost != 1500500*time.Nanosecond || c.Key == 0 {
+		t.Errorf("read as %q, %v, repeat %v, cost %v, about %d", c.ClientRequestID, left, c.IsRetry, c.Cost, c.Key)
 	}
 	to := engine.NewBackend("s-1", "127.0.0.1:8001", true)
 	dialect := platformDialect()
@@ -151,15 +151,15 @@
 			"Content-Type":   {"application/json"},
 			"X-Backend-Load": {`{"busy_reqs":1}`}, "X-Other": {"a", "b"}, "Connection": {"close, X-Own-Hop"}, "X-Own-Hop": {"1"}, "Keep-Alive": {"timeout=5"},
 		}}}},
-		{"refused", engine.Answer{Verdict: engine.Refused, RetryAfter: 1250 * time.Millisecond}},
+		{"refused", engine.Answer{Verdict: engine.Rejected, RetryAfter: 1250 * time.Millisecond}},
 		{"overloaded", engine.Answer{Verdict: engine.Overloaded, RetryAfter: 250 * time.Millisecond}},
-		{"out of time", engine.Answer{Verdict: engine.OutOfTime}},
+		{"out of time", engine.Answer{Verdict: engine.TimedOut}},
 		{"stopped", engine.Answer{Verdict: engine.Stopped}},
-		{"in use", engine.Answer{Verdict: engine.InUse}},
+		{"in use", engine.Answer{Verdict: engine.DuplicateID}},
 		{"failed", engine.Answer{Verdict: engine.Failed}},
 	} {
 		c := &call{answers: make(chan answer, 1)}
-		c.Answer(&c.Call, v.answer)
+		c.HandleAnswer(&c.Call, v.answer)
 		w := httptest.NewRecorder()
 		l.front.write(w, httptest.NewRequest(http.MethodGet, "/lot-list", nil), c, <-c.answers)
 		fmt.Fprintf(&got, "--- %s\n%s\n", v.name, recordedAnswer(w))
--- a/internal/dataplane/httpproxy/crossing_test.go
+++ b/internal/dataplane/httpproxy/crossing_test.go
@@ -135,7 +135,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	go l.Run(ctx)
-	l.Post(func() { l.List(engine.List{Kind: balancer.ListFull, Version: 1, Entries: entries}) })
+	l.Post(func() { l.ApplyMembership(engine.Membership{Kind: balancer.ListFull, Version: 1, Entries: entries}) })
 	go l.front.Serve(l.ln)
 	t.Cleanup(func() {
 		l.ln.Close()
@@ -455,14 +455,14 @@
 	}
 	r := l.ask(2, time.Minute)
 	first := l.Now()
-	r.Here = func() bool { // the dial is done: what follows is the write
+	r.ClientConnected = func() bool { // the dial is done: what follows is the write
 		if len(r.Attempts()) > 1 {
-			time.Sleep(time.Until(l.Wall(first + window + time.Millisecond)))
+			time.Sleep(time.Until(l.WallTime(first + window + time.Millisecond)))
 		}
 		return true
 	}
 	for !r.Answered() {
-		l.Do(receive(t, l.Events(), "the next event"))
+		l.Dispatch(receive(t, l.Events(), "the next event"))
 	}
 	if n := len(paths[0]) + len(paths[1]); n != 1 || len(r.Attempts()) < 2 {
 		t.Errorf("%d of %d attempts went out", n, len(r.Attempts()))
--- a/internal/dataplane/httpproxy/front_test.go
+++ b/internal/dataplane/httpproxy/front_test.go
@@ -28,7 +28,7 @@
 	r.Header.Set(headerID, "00000000000000aa")
 	r.Header.Set(headerAccount, "obala")
 	r.Header.Set(headerTimeout, "3599000m")
-	_, left, a := l.front.parse(r, l.front.engine.Book())
+	_, left, a := l.front.parse(r, l.front.engine.SettingsSnapshot())
 	if a.status != 0 || left != l.Settings().Classes[0].ClientTimeout {
 		t.Errorf("%d %s: %v", a.status, a.body, left)
 	}
@@ -39,8 +39,8 @@
 func TestWhoIsTurnedAwayIsToldWhen(t *testing.T) {
 	t.Parallel()
 	l := stillEngine(t)
-	told := strconv.FormatFloat(l.ComeAgain().Seconds(), 'f', 3, 64)
-	if l.ComeAgain() == 0 {
+	told := strconv.FormatFloat(l.RetryAfter().Seconds(), 'f', 3, 64)
+	if l.RetryAfter() == 0 {
 		t.Fatal("these settings tell nobody")
 	}
 	l.front.Refuse()
@@ -74,11 +74,11 @@
 		l.front.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/ready", nil))
 		return w.Code
 	}
-	l.Do(func() { l.List(engine.List{Kind: balancer.ListCached}) })
+	l.Dispatch(func() { l.ApplyMembership(engine.Membership{Kind: balancer.ListCached}) })
 	if got := ask(); got != http.StatusServiceUnavailable {
 		t.Errorf("/ready before any list: %d", got)
 	}
-	l.Do(func() { l.List(engine.List{Kind: balancer.ListFull, Version: 1}) })
+	l.Dispatch(func() { l.ApplyMembership(engine.Membership{Kind: balancer.ListFull, Version: 1}) })
 	if got := ask(); got != http.StatusOK {
 		t.Errorf("/ready with discovery's list: %d", got)
 	}
--- a/internal/dataplane/httpproxy/handon_test.go
+++ b/internal/dataplane/httpproxy/handon_test.go
@@ -45,7 +45,9 @@
 	served := make(chan error, 1)
 	go func() { served <- front.Serve(ln) }()
 	// The engine begins with the list that it was made with, and that has none.
-	front.engine.Post(func() { front.engine.List(engine.List{Kind: balancer.ListFull, Version: 1, Entries: entries}) })
+	front.engine.Post(func() {
+		front.engine.ApplyMembership(engine.Membership{Kind: balancer.ListFull, Version: 1, Entries: entries})
+	})
 	t.Cleanup(func() {
 		front.http.Close()
 		front.clients.close()
--- a/internal/dataplane/httpproxy/harness_test.go
+++ b/internal/dataplane/httpproxy/harness_test.go
@@ -58,7 +58,7 @@
 func stillEngine(t *testing.T, entries ...engine.Entry) *still {
 	t.Helper()
 	l := &still{}
-	e, err := engine.New(engine.Config{Settings: testutil.Module(t), Seed: 1, Logf: t.Logf, Listed: func() { l.front.SetReady(true) }})
+	e, err := engine.New(engine.Config{Settings: testutil.Module(t), Seed: 1, Logf: t.Logf, OnFirstMembership: func() { l.front.SetReady(true) }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,9 +66,9 @@
 	l.Engine, l.carrier = e, NewCarrier(e, 256, nil, room)
 	l.front = NewFront(e, l.carrier, room, logs.Plain(t.Output()))
 	t.Cleanup(l.carrier.Close)
-	e.Carry(l.carrier)
-	e.ProbeWith(l.carrier)
-	l.Do(func() { l.List(engine.List{Kind: balancer.ListCached, Entries: entries}) })
+	e.AddCarrier(l.carrier)
+	e.SetHealthChecker(l.carrier)
+	l.Dispatch(func() { l.ApplyMembership(engine.Membership{Kind: balancer.ListCached, Entries: entries}) })
 	return l
 }
 
@@ -77,11 +77,11 @@
 func (l *still) ask(class int, left time.Duration) *call {
 	now := l.Now()
 	r := &call{
-		Call:    engine.Call{Name: fmt.Sprintf("%016x", lastName.Add(1)), Carrier: l.carrier, Payload: probeMessage("origin.svc")},
+		Call:    engine.Call{ClientRequestID: fmt.Sprintf("%016x", lastName.Add(1)), Carrier: l.carrier, Payload: probeMessage("origin.svc")},
 		answers: make(chan answer, 1),
 	}
 	r.Front, r.Class, r.Deadline = r, class, now+left
-	l.Do(func() { l.Take(&r.Call, now) })
+	l.Dispatch(func() { l.HandleCall(&r.Call, now) })
 	return r
 }
 
--- a/internal/dataplane/httpproxy/parse.go
+++ b/internal/dataplane/httpproxy/parse.go
@@ -30,7 +30,7 @@
 // client's fault, and the answer says how; its status is 0 for a good request. A
 // backend closes on what it can't read, which would count as its own failure. The
 // cheap checks come first: a flood of bad requests must cost little.
-func (s *Front) parse(r *http.Request, by *engine.Book) (*call, time.Duration, answer) {
+func (s *Front) parse(r *http.Request, by *engine.SettingsSnapshot) (*call, time.Duration, answer) {
 	bad := func(status int, format string, args ...any) (*call, time.Duration, answer) {
 		return nil, 0, badRequest(status, format, args...)
 	}
@@ -39,7 +39,7 @@
 	}
 	h := r.Header
 	name, rest, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	class, known := by.Classes[name]
+	class, known := by.ClassIndexes[name]
 	if !known {
 		return bad(http.StatusNotFound, "unknown class")
 	}
@@ -49,8 +49,8 @@
 		}
 	}
 	tenant := 0
-	if len(by.Tenants) > 0 {
-		if tenant, known = by.Tenants[h.Get(headerAccount)]; !known {
+	if len(by.TenantIndexes) > 0 {
+		if tenant, known = by.TenantIndexes[h.Get(headerAccount)]; !known {
 			return bad(http.StatusBadRequest, "unknown account")
 		}
 	}
@@ -105,7 +105,7 @@
 		Call: engine.Call{Request: balancer.Request{
 			Class: class, Tenant: tenant, Key: about, Cost: cost,
 			IsRetry: h.Get(headerRepeat) == "1",
-		}, Name: id, Carrier: s.carrier, Book: by},
+		}, ClientRequestID: id, Carrier: s.carrier, Snapshot: by},
 		answers: make(chan answer, 1),
 	}
 	req.Front = req
--- a/internal/dataplane/httpproxy/server.go
+++ b/internal/dataplane/httpproxy/server.go
@@ -181,27 +181,27 @@
 	return nil
 }
 
-// Answer implements engine.Front: it words the engine's verdict.
-func (c *call) Answer(_ *engine.Call, a engine.Answer) {
+// HandleAnswer implements engine.Front: it words the engine's verdict.
+func (c *call) HandleAnswer(_ *engine.Call, a engine.Answer) {
 	var w answer
 	switch a.Verdict {
 	case engine.Served:
 		r := a.Reply.(*Reply)
 		r.claimed = true
 		w = answer{status: http.StatusOK, header: passedOn(r.header), body: r.body, from: r}
-	case engine.Refused:
+	case engine.Rejected:
 		w = ownAnswer(http.StatusServiceUnavailable, "refused")
 		w.retryAfter = a.RetryAfter
 	case engine.Overloaded:
 		w = ownAnswer(http.StatusServiceUnavailable, "too many requests")
 		w.retryAfter = a.RetryAfter
-	case engine.OutOfTime:
+	case engine.TimedOut:
 		w = ownAnswer(http.StatusGatewayTimeout, "out of time")
 	case engine.Stopped:
 		w = ownAnswer(http.StatusBadGateway, "the proxy stops")
-	case engine.Left:
+	case engine.ClientGone:
 		w.left = true
-	case engine.InUse:
+	case engine.DuplicateID:
 		w = badRequest(http.StatusConflict, "%s is in use", headerID)
 	default:
 		w = ownAnswer(http.StatusBadGateway, "failed")
@@ -225,7 +225,7 @@
 		w.WriteHeader(status)
 		return
 	}
-	req, left, a := s.parse(r, s.engine.Book())
+	req, left, a := s.parse(r, s.engine.SettingsSnapshot())
 	if odd {
 		a = badRequest(http.StatusBadRequest, "the head can be read in more than one way")
 	}
@@ -253,7 +253,7 @@
 		if a.status == 0 {
 			req.Payload = newMessage(r, body, up)
 			if c != nil {
-				req.Here = c.here
+				req.ClientConnected = c.here
 				c.busy()
 			}
 			if s.refusing.Load() {
@@ -287,7 +287,7 @@
 func (s *Front) serve(r *http.Request, req *call, left time.Duration) answer {
 	arrived := s.engine.Now()
 	req.Deadline = arrived + left
-	s.engine.Post(func() { s.engine.Take(&req.Call, arrived) })
+	s.engine.Post(func() { s.engine.HandleCall(&req.Call, arrived) })
 	select {
 	case a := <-req.answers:
 		return a
@@ -310,14 +310,14 @@
 		defer c.setPartly(false)
 	}
 	arrived := s.engine.Now()
-	req.Coming, req.Wait = true, left
-	s.engine.Post(func() { s.engine.Take(&req.Call, arrived) })
+	req.Receiving, req.Timeout = true, left
+	s.engine.Post(func() { s.engine.HandleCall(&req.Call, arrived) })
 	filled := make(chan error, 1)
 	go func() {
 		err := up.fill(ctx, in, true)
 		if err == nil {
 			came := s.engine.Now()
-			s.engine.Post(func() { s.engine.Came(&req.Call, came) })
+			s.engine.Post(func() { s.engine.HandleRequestComplete(&req.Call, came) })
 		}
 		filled <- err
 	}()
@@ -361,7 +361,7 @@
 // leave takes a client's leave. An answer that came meanwhile is nobody's.
 func (s *Front) leave(req *call) {
 	s.engine.Post(func() {
-		s.engine.Gone(&req.Call)
+		s.engine.HandleClientGone(&req.Call)
 		select {
 		case a := <-req.answers:
 			s.drop(req, a)
@@ -378,7 +378,7 @@
 	streams := a.from.stream != nil
 	a.from.release(s.room)
 	if streams {
-		s.engine.Streamed(&req.Call, false)
+		s.engine.HandleStreamEnd(&req.Call, false)
 	}
 }
 
@@ -395,7 +395,7 @@
 		h.Set("Connection", "close")
 	}
 	if a.retryAfter == 0 && a.from == nil && a.status == http.StatusServiceUnavailable {
-		a.retryAfter = s.engine.ComeAgain() // it was turned away at the door
+		a.retryAfter = s.engine.RetryAfter() // it was turned away at the door
 	}
 	if a.retryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64))
@@ -420,7 +420,7 @@
 		a.from.stream = nil
 		a.from.release(s.room)
 		// One that is handed on has been served as far as this process goes.
-		s.engine.Post(func() { s.engine.Streamed(&req.Call, err == nil || err == errHandedOn) })
+		s.engine.Post(func() { s.engine.HandleStreamEnd(&req.Call, err == nil || err == errHandedOn) })
 		return
 	}
 	if d.length >= 0 {
@@ -431,7 +431,7 @@
 	d.end(err == nil)
 	a.from.stream = nil
 	a.from.release(s.room)
-	s.engine.Post(func() { s.engine.Streamed(&req.Call, err == nil) })
+	s.engine.Post(func() { s.engine.HandleStreamEnd(&req.Call, err == nil) })
 	if err == nil {
 		return
 	}
--- a/internal/dataplane/httpproxy/upload_send.go
+++ b/internal/dataplane/httpproxy/upload_send.go
@@ -28,7 +28,7 @@
 		if last && x.gone() {
 			return Reply{result: balancer.NotSent, left: true}
 		}
-		if last && !x.permit.Use() || !last && !x.permit.Open() {
+		if last && !x.permit.TryClaim() || !last && !x.permit.Available() {
 			return Reply{result: balancer.NotSent}
 		}
 		parts := net.Buffers{head, p}
@@ -54,7 +54,7 @@
 		}
 	}
 	if x.attempt != nil {
-		x.attempt.Wrote()
+		x.attempt.MarkWritten()
 	}
 	if !x.coming {
 		c.SetReadDeadline(x.until) // else the engine ends it
--- a/internal/dataplane/httpproxy/upstream.go
+++ b/internal/dataplane/httpproxy/upstream.go
@@ -156,7 +156,7 @@
 	}
 	// The last look before writing: dialling took its time. The backend may be
 	// draining or gone by now, the request answered, or its client gone.
-	if up := x.msg.up; !x.to.Ready() || !x.permit.Open() || up != nil && !up.begin() {
+	if up := x.msg.up; !x.to.Ready() || !x.permit.Available() || up != nil && !up.begin() {
 		return Reply{result: balancer.NotSent, conn: c}
 	}
 	if x.gone() {
@@ -236,7 +236,7 @@
 		}
 		data = data[len(data)-1:]
 	}
-	if !x.permit.Use() {
+	if !x.permit.TryClaim() {
 		if begun { // what has been written of it must not be completed by the next request
 			return Reply{result: balancer.NotSent}
 		}
@@ -249,7 +249,7 @@
 		return failed(err)
 	}
 	if x.attempt != nil {
-		x.attempt.Wrote()
+		x.attempt.MarkWritten()
 	}
 	return c.answer(x, report)
 }
--- a/internal/dataplane/msgpackrpc/carrier.go
+++ b/internal/dataplane/msgpackrpc/carrier.go
@@ -95,21 +95,21 @@
 	return b
 }
 
-// Begin implements engine.Carrier. The call's payload is a *payload.
-func (c *Carrier) Begin(a *engine.Attempt) {
+// StartAttempt implements engine.Carrier. The call's payload is a *payload.
+func (c *Carrier) StartAttempt(a *engine.Attempt) {
 	l := c.pick(a.Backend)
 	if l == nil {
 		// Every connection has as many calls open as it may: one more is too many for
 		// this backend, and has not run.
 		a.Permit.Revoke()
-		c.engine.Later(func() { a.End(engine.End{Result: balancer.Rejected}) })
+		c.engine.Defer(func() { a.End(engine.AttemptEnd{Result: balancer.Rejected}) })
 		return
 	}
 	f := &flight{a: a, body: a.Call.Payload.(*payload), id: l.newID()}
 	l.open[f.id] = f
 	a.Stop = func() {
 		l.giveUp(f) // the connection is shared and stays: this is the attempt's end
-		c.engine.Later(func() { a.End(engine.End{Result: balancer.Cancelled}) })
+		c.engine.Defer(func() { a.End(engine.AttemptEnd{Result: balancer.Cancelled}) })
 	}
 	l.enqueue(f)
 }
@@ -163,8 +163,8 @@
 	return true
 }
 
-// Release implements engine.Carrier.
-func (c *Carrier) Release(b *engine.Backend) {
+// ReleaseIdle implements engine.Carrier.
+func (c *Carrier) ReleaseIdle(b *engine.Backend) {
 	for _, l := range c.peers[b] {
 		if len(l.open) == 0 {
 			l.retire()
@@ -172,17 +172,17 @@
 	}
 }
 
-// Forget implements engine.Carrier. Calls that are open go on to their own ends, on
+// RemoveBackend implements engine.Carrier. Calls that are open go on to their own ends, on
 // connections that nobody gets any more.
-func (c *Carrier) Forget(b *engine.Backend) {
+func (c *Carrier) RemoveBackend(b *engine.Backend) {
 	for _, l := range c.peers[b] {
 		l.retire()
 	}
 	delete(c.peers, b)
 }
 
-// Retire implements engine.Carrier.
-func (c *Carrier) Retire(now time.Duration) {
+// CloseExpired implements engine.Carrier.
+func (c *Carrier) CloseExpired(now time.Duration) {
 	for _, links := range c.peers {
 		for _, l := range links {
 			if len(l.open) == 0 && c.maxIdle > 0 && now-l.idle >= c.maxIdle {
--- a/internal/dataplane/msgpackrpc/compatibility_test.go
+++ b/internal/dataplane/msgpackrpc/compatibility_test.go
@@ -140,11 +140,11 @@
 		{"served", engine.Answer{Verdict: engine.Served, Reply: &reply{error: nilValue, result: appendUint(nil, 5)}}},
 		{"failed by the backend's word", engine.Answer{Verdict: engine.Failed, Reply: &reply{error: appendString(nil, "no"), result: nilValue}}},
 		{"failed", engine.Answer{Verdict: engine.Failed}},
-		{"refused", engine.Answer{Verdict: engine.Refused, RetryAfter: 1500 * time.Millisecond}},
+		{"refused", engine.Answer{Verdict: engine.Rejected, RetryAfter: 1500 * time.Millisecond}},
 		{"overloaded", engine.Answer{Verdict: engine.Overloaded, RetryAfter: 250 * time.Millisecond}},
-		{"out of time", engine.Answer{Verdict: engine.OutOfTime}},
+		{"out of time", engine.Answer{Verdict: engine.TimedOut}},
 		{"stopped", engine.Answer{Verdict: engine.Stopped}},
-		{"in use", engine.Answer{Verdict: engine.InUse}},
+		{"in use", engine.Answer{Verdict: engine.DuplicateID}},
 	}
 	cfg := DefaultConfig()
 	var got strings.Builder
@@ -152,7 +152,7 @@
 		c := &callerConn{open: map[uint32]*call{}, wake: make(chan struct{}, 1), front: &Front{cfg: &cfg}}
 		q := &call{conn: c, id: 77}
 		c.open[q.id] = q
-		q.Answer(&q.Call, v.answer)
+		q.HandleAnswer(&q.Call, v.answer)
 		fmt.Fprintf(&got, "%s: %s\n", v.name, hex.EncodeToString(bytes.Join(c.queue, nil)))
 	}
 	compareRecorded(t, "verdicts.txt", []byte(got.String()))
--- a/internal/dataplane/msgpackrpc/front.go
+++ b/internal/dataplane/msgpackrpc/front.go
@@ -319,7 +319,7 @@
 		c.open = map[uint32]*call{}
 		c.mu.Unlock()
 		for _, q := range open {
-			c.front.engine.Post(func() { c.front.engine.Gone(&q.Call) })
+			c.front.engine.Post(func() { c.front.engine.HandleClientGone(&q.Call) })
 		}
 		c.front.left(c)
 	}()
@@ -382,7 +382,7 @@
 	case draining:
 		problem = &callError{Code: codeDraining, Message: "this process ends; connect again", Retry: true}
 	case open >= c.front.cfg.OpenCalls:
-		problem = &callError{Code: codeOverloaded, Message: "too many calls are open on this connection", Retry: true, After: c.front.engine.ComeAgain()}
+		problem = &callError{Code: codeOverloaded, Message: "too many calls are open on this connection", Retry: true, After: c.front.engine.RetryAfter()}
 	}
 	if problem != nil {
 		if note {
@@ -392,13 +392,13 @@
 		}
 		return true
 	}
-	q.Here = c.here
+	q.ClientConnected = c.here
 	if !note {
 		c.mu.Lock()
 		c.open[m.id] = q
 		c.mu.Unlock()
 	}
-	c.front.engine.Post(func() { c.front.engine.Take(&q.Call, arrived) })
+	c.front.engine.Post(func() { c.front.engine.HandleCall(&q.Call, arrived) })
 	return true
 }
 
@@ -425,8 +425,8 @@
 	if err != nil {
 		return nil, &callError{Code: codeBadRequest, Message: err.Error()}
 	}
-	by := f.engine.Book()
-	class, known := by.Classes[method.Class]
+	by := f.engine.SettingsSnapshot()
+	class, known := by.ClassIndexes[method.Class]
 	if !known {
 		return nil, &callError{Code: codeNoMethod, Message: "the method's class is out of use"}
 	}
@@ -438,8 +438,8 @@
 	if house == "" {
 		house = f.cfg.House
 	}
-	if len(by.Tenants) > 0 {
-		t, known := by.Tenants[house]
+	if len(by.TenantIndexes) > 0 {
+		t, known := by.TenantIndexes[house]
 		if !known {
 			return nil, &callError{Code: codeBadRequest, Message: "$house is missing or unknown"}
 		}
@@ -461,7 +461,7 @@
 		about = h.Sum64()
 	}
 	q := &call{conn: c, id: m.id, note: note, Call: engine.Call{
-		Name: meta.ID, Carrier: f.carrier, Book: by,
+		ClientRequestID: meta.ID, Carrier: f.carrier, Snapshot: by,
 		Request: balancer.Request{Class: class, Tenant: tenant, Key: about, IsRetry: meta.Repeat, Deadline: arrived + left},
 		Payload: &payload{method: m.method, args: args, count: count, meta: meta, given: given, notify: note},
 	}}
@@ -469,8 +469,8 @@
 	return q, nil
 }
 
-// Answer implements engine.Front: it words the engine's verdict.
-func (q *call) Answer(_ *engine.Call, a engine.Answer) {
+// HandleAnswer implements engine.Front: it words the engine's verdict.
+func (q *call) HandleAnswer(_ *engine.Call, a engine.Answer) {
 	if q.note {
 		return
 	}
@@ -495,17 +495,17 @@
 			break
 		}
 		problem = (&callError{Code: codeFailed, Message: "failed; it may have run"}).encode()
-	case engine.Refused:
+	case engine.Rejected:
 		problem = (&callError{Code: codeRefused, Message: "refused", Retry: true, After: a.RetryAfter}).encode()
 	case engine.Overloaded:
 		problem = (&callError{Code: codeOverloaded, Message: "too many calls are open", Retry: true, After: a.RetryAfter}).encode()
-	case engine.OutOfTime:
+	case engine.TimedOut:
 		problem = (&callError{Code: codeOutOfTime, Message: "out of time; it may have run"}).encode()
 	case engine.Stopped:
 		problem = (&callError{Code: codeFailed, Message: "this process stops; it may have run"}).encode()
-	case engine.Left:
+	case engine.ClientGone:
 		return // nobody is there to read it
-	case engine.InUse:
+	case engine.DuplicateID:
 		problem = (&callError{Code: codeInUse, Message: "$id is in use"}).encode()
 	}
 	c.enqueue(appendResponse(make([]byte, 0, len(problem)+len(result)+8), q.id, problem, result))
--- a/internal/dataplane/msgpackrpc/link.go
+++ b/internal/dataplane/msgpackrpc/link.go
@@ -70,7 +70,7 @@
 	}
 	delete(l.open, f.id)
 	f.gone = true
-	if f.a.Permit.Used() {
+	if f.a.Permit.Claimed() {
 		l.orphans[f.id] = struct{}{}
 		l.window = max(1, l.window/2)
 		if name := l.of.cfg.Cancel; name != "" {
@@ -131,7 +131,7 @@
 		} else {
 			f.a.Permit.Revoke()
 		}
-		f.a.End(engine.End{Result: result})
+		f.a.End(engine.AttemptEnd{Result: result})
 	}
 }
 
@@ -139,7 +139,7 @@
 func (l *link) moot(f *flight, left bool) {
 	if l.open[f.id] == f {
 		delete(l.open, f.id)
-		f.a.End(engine.End{Result: balancer.NotSent, Left: left})
+		f.a.End(engine.AttemptEnd{Result: balancer.NotSent, ClientGone: left})
 		l.rest()
 	}
 }
@@ -151,7 +151,7 @@
 	if l.open[f.id] == f {
 		delete(l.open, f.id)
 		l.of.counts.Notified.Add(1)
-		f.a.End(engine.End{Result: balancer.Cancelled, Over: true})
+		f.a.End(engine.AttemptEnd{Result: balancer.Cancelled, CompletesCall: true})
 		l.rest()
 	}
 }
@@ -164,7 +164,7 @@
 		return
 	}
 	f := l.open[m.id]
-	if f == nil || !f.a.Permit.Used() {
+	if f == nil || !f.a.Permit.Claimed() {
 		l.of.counts.UnknownReplies.Add(1)
 		if l.unknown++; l.unknown > mostUnknown {
 			l.retired = true
@@ -180,15 +180,15 @@
 
 // endOf is what a reply means to the engine. Only an answer that a caller may get goes
 // with it: of a failure or a refusal the proxy words its own.
-func endOf(m message) engine.End {
+func endOf(m message) engine.AttemptEnd {
 	if isNil(m.error) {
-		return engine.End{Result: balancer.OK, Reply: &reply{error: m.error, result: m.result}}
+		return engine.AttemptEnd{Result: balancer.OK, Reply: &reply{error: m.error, result: m.result}}
 	}
 	result := readError(m.error)
 	if result == balancer.Unprocessable {
-		return engine.End{Result: result, Reply: &reply{error: m.error, result: m.result}}
+		return engine.AttemptEnd{Result: result, Reply: &reply{error: m.error, result: m.result}}
 	}
-	return engine.End{Result: result}
+	return engine.AttemptEnd{Result: result}
 }
 
 // reply is a backend's answer, as it came.
--- a/internal/dataplane/msgpackrpc/link_sockets.go
+++ b/internal/dataplane/msgpackrpc/link_sockets.go
@@ -64,16 +64,16 @@
 	}
 	// The last look before writing: it may have waited for the dial or for others. The
 	// backend may be draining or gone by now, or the call answered.
-	left := f.a.Call != nil && f.a.Call.Here != nil && !f.a.Call.Here()
-	if left || !l.backend.Ready() || !f.a.Permit.Use() {
+	left := f.a.Call != nil && f.a.Call.ClientConnected != nil && !f.a.Call.ClientConnected()
+	if left || !l.backend.Ready() || !f.a.Permit.TryClaim() {
 		l.of.engine.Post(func() { l.moot(f, left) })
 		return true
 	}
-	data := f.body.encode(f.id, time.Until(f.a.Until))
+	data := f.body.encode(f.id, time.Until(f.a.Deadline))
 	n, err := conn.Write(data)
 	if n == len(data) {
 		f.sent.Store(true)
-		f.a.Wrote()
+		f.a.MarkWritten()
 		if f.body.notify {
 			l.of.engine.Post(func() { l.notified(f) })
 		}
--- a/internal/dataplane/msgpackrpc/link_test.go
+++ b/internal/dataplane/msgpackrpc/link_test.go
@@ -26,11 +26,11 @@
 	answers []engine.Answer
 }
 
-func (c *taker) Answer(_ *engine.Call, a engine.Answer) { c.answers = append(c.answers, a) }
+func (c *taker) HandleAnswer(_ *engine.Call, a engine.Answer) { c.answers = append(c.answers, a) }
 
 func stillEngine(t testing.TB, change func(*Config), entries ...engine.Entry) *still {
 	t.Helper()
-	e, err := engine.New(engine.Config{Settings: testutil.Module(t), Seed: 1, Logf: t.Logf, Known: engine.List{Entries: entries}})
+	e, err := engine.New(engine.Config{Settings: testutil.Module(t), Seed: 1, Logf: t.Logf, InitialMembership: engine.Membership{Entries: entries}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,8 +41,8 @@
 	}
 	l := &still{e, NewCarrier(e, &cfg, new(Counts))}
 	t.Cleanup(l.carrier.Close)
-	e.Carry(l.carrier)
-	l.Do(func() { l.List(engine.List{Kind: balancer.ListCached, Entries: entries}) })
+	e.AddCarrier(l.carrier)
+	l.Dispatch(func() { l.ApplyMembership(engine.Membership{Kind: balancer.ListCached, Entries: entries}) })
 	return l
 }
 
@@ -57,14 +57,14 @@
 		Carrier: l.carrier, Front: c, Payload: &payload{method: "m", args: args, count: 1},
 		Request: balancer.Request{Class: class, Deadline: now + time.Minute},
 	}
-	l.Do(func() { l.Take(&c.Call, now) })
+	l.Dispatch(func() { l.HandleCall(&c.Call, now) })
 	return c
 }
 
 func (l *still) until(t testing.TB, what string, reached func() bool) {
 	t.Helper()
 	for !reached() {
-		l.Do(testutil.Receive(t, l.Events(), what))
+		l.Dispatch(testutil.Receive(t, l.Events(), what))
 	}
 }
 
@@ -83,7 +83,7 @@
 			cancel: func() {}, wake: make(chan struct{}, 1),
 		}
 		body := &payload{method: "m", args: append([]byte{0xc6, 0, 1, 0, 0}, make([]byte, 1<<16)...), count: 1}
-		f := &flight{a: &engine.Attempt{Backend: b, Until: time.Now().Add(time.Minute)}, id: 1, body: body}
+		f := &flight{a: &engine.Attempt{Backend: b, Deadline: time.Now().Add(time.Minute)}, id: 1, body: body}
 		go func() {
 			if c.read < 0 {
 				io.CopyN(io.Discard, far, int64(len(body.encode(1, 0))))
@@ -99,7 +99,7 @@
 		if went != f.sent.Load() {
 			t.Errorf("%s: the connection is said to be good: %v", name, went)
 		}
-		if !f.a.Permit.Used() {
+		if !f.a.Permit.Claimed() {
 			t.Errorf("%s: written without its permit", name)
 		}
 	}
@@ -148,7 +148,7 @@
 	for range 3 {
 		f := &flight{a: &engine.Attempt{Backend: b}, id: link.newID()}
 		link.open[f.id] = f
-		f.a.Permit.Use()
+		f.a.Permit.TryClaim()
 		link.giveUp(f)
 	}
 	if link.window != 1 || len(link.orphans) != 3 || len(link.open) != 0 {
@@ -165,7 +165,7 @@
 	for range mostOrphans {
 		f := &flight{a: &engine.Attempt{Backend: b}, id: link.newID()}
 		link.open[f.id] = f
-		f.a.Permit.Use()
+		f.a.Permit.TryClaim()
 		link.giveUp(f)
 	}
 	if !link.retired {
@@ -268,10 +268,10 @@
 	if r, ok := c.answers[0].Reply.(*reply); !ok || !bytes.Equal(r.result, []byte{0x91, 7}) {
 		t.Errorf("%+v", c.answers)
 	}
-	if l.carrier.Connections() != 1 || l.Open() != 0 {
-		t.Errorf("%d connections, %d open", l.carrier.Connections(), l.Open())
+	if l.carrier.Connections() != 1 || l.OpenCalls() != 0 {
+		t.Errorf("%d connections, %d open", l.carrier.Connections(), l.OpenCalls())
 	}
-	l.Do(func() { l.carrier.Retire(l.Now() + time.Hour) })
+	l.Dispatch(func() { l.carrier.CloseExpired(l.Now() + time.Hour) })
 	l.until(t, "the connection's end", func() bool { return l.carrier.Connections() == 0 })
 }
 
--- a/internal/discovery/platformwatch/list.go
+++ b/internal/discovery/platformwatch/list.go
@@ -119,6 +119,6 @@
 }
 
 // Engine is the list as the engine takes it.
-func (l *List) Engine(kind balancer.ListKind, entries []engine.Entry) engine.List {
-	return engine.List{Kind: kind, Version: l.Generation, Entries: entries}
+func (l *List) Engine(kind balancer.ListKind, entries []engine.Entry) engine.Membership {
+	return engine.Membership{Kind: kind, Version: l.Generation, Entries: entries}
 }
--- a/internal/discovery/platformwatch/source.go
+++ b/internal/discovery/platformwatch/source.go
@@ -13,7 +13,7 @@
 // that Post leads to.
 type Sink interface {
 	Post(event func())
-	List(l engine.List)
+	List(l engine.Membership)
 }
 
 // Config is what a Source is told.
@@ -168,7 +168,7 @@
 	kind := balancer.ListDelta
 	switch {
 	case l.partial:
-		s.sink.List(engine.List{Kind: kind, Version: s.version, Entries: l.entries})
+		s.sink.List(engine.Membership{Kind: kind, Version: s.version, Entries: l.entries})
 		return
 	case l.Reset:
 		kind = balancer.ListFull
--- a/internal/discovery/platformwatch/source_test.go
+++ b/internal/discovery/platformwatch/source_test.go
@@ -22,10 +22,10 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // sink runs what is posted at once.
-type sink struct{ lists []engine.List }
+type sink struct{ lists []engine.Membership }
 
-func (s *sink) Post(event func())  { event() }
-func (s *sink) List(l engine.List) { s.lists = append(s.lists, l) }
+func (s *sink) Post(event func())        { event() }
+func (s *sink) List(l engine.Membership) { s.lists = append(s.lists, l) }
 
 func newSource(t *testing.T, onRequest bool) *Source {
 	s := New(Config{Addr: testutil.ClosedAddr(t), Pace: PaceFor(onRequest, 3), Logf: func(string, ...any) {}}, 41, &sink{})
--- a/internal/discovery/sources/sources.go
+++ b/internal/discovery/sources/sources.go
@@ -24,11 +24,11 @@
 // Host is the engine, as far as it matters here. All but Post and Now are called on its goroutine.
 type Host interface {
 	Post(event func())
-	List(l engine.List)
+	ApplyMembership(l engine.Membership)
 	Now() time.Duration
-	At(when time.Duration, event func()) *engine.Timer
-	Backends(each func(*engine.Backend))
-	Wall(at time.Duration) time.Time
+	Schedule(when time.Duration, event func()) *engine.Timer
+	EachBackend(each func(*engine.Backend))
+	WallTime(at time.Duration) time.Time
 }
 
 // The model's sources.
@@ -157,7 +157,7 @@
 	})
 	w := membership.Whole{Revision: int64(s.version)}
 	known := map[string]membership.Entry{}
-	s.host.Backends(func(b *engine.Backend) {
+	s.host.EachBackend(func(b *engine.Backend) {
 		i := membership.Item{Name: b.Name, Mod: int64(s.version), Entry: s.entryOf(b)}
 		w.Items = append(w.Items, i)
 		known[i.Name] = i.Entry
@@ -192,12 +192,12 @@
 func (p platformSink) Post(event func()) { p.host.Post(event) }
 
 // List takes the platform's word.
-func (p platformSink) List(l engine.List) {
+func (p platformSink) List(l engine.Membership) {
 	s := p.Source
 	s.version, s.told = l.Version, true
 	if s.model == nil {
 		s.number = l.Version
-		s.host.List(l)
+		s.host.ApplyMembership(l)
 		return
 	}
 	var puts []membership.Item
@@ -311,7 +311,7 @@
 		return
 	}
 	s.due = next
-	s.host.At(next, func() {
+	s.host.Schedule(next, func() {
 		if s.model != nil && s.due == next {
 			s.due = 0
 			s.apply(s.model.Tick(s.host.Now()))
@@ -321,7 +321,7 @@
 
 // tell gives the engine a whole list.
 func (s *Source) tell(list map[string]membership.Entry, cached bool) {
-	l := engine.List{Kind: balancer.ListFull, Entries: make([]engine.Entry, 0, len(list))}
+	l := engine.Membership{Kind: balancer.ListFull, Entries: make([]engine.Entry, 0, len(list))}
 	if cached {
 		l.Kind = balancer.ListCached
 	}
@@ -330,20 +330,20 @@
 	for _, name := range slices.Sorted(maps.Keys(list)) {
 		l.Entries = append(l.Entries, s.toEngine(name, list[name]))
 	}
-	s.host.List(l)
+	s.host.ApplyMembership(l)
 }
 
 // tellSome gives the engine a change.
 func (s *Source) tellSome(d membership.Delta) {
 	s.number++
-	l := engine.List{Kind: balancer.ListDelta, Version: s.number}
+	l := engine.Membership{Kind: balancer.ListDelta, Version: s.number}
 	for _, name := range d.Gone { // first: another may have the address now
 		l.Entries = append(l.Entries, engine.Entry{Name: name, Zone: -1, Kind: -1, State: balancer.Gone})
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.Changed)) {
 		l.Entries = append(l.Entries, s.toEngine(name, d.Changed[name]))
 	}
-	s.host.List(l)
+	s.host.ApplyMembership(l)
 }
 
 // toEngine is an entry as the engine has it.
@@ -369,7 +369,7 @@
 func (s *Source) entryOf(b *engine.Backend) membership.Entry {
 	e := membership.Entry{Addr: b.Addr, Zone: s.zones[b.Zone], Kind: s.kinds[b.Kind], Cell: b.Cell, Draining: b.State == balancer.Draining, Weight: b.Weight}
 	if b.Started > 0 {
-		e.Started = s.host.Wall(b.Started).UnixMilli()
+		e.Started = s.host.WallTime(b.Started).UnixMilli()
 	}
 	return e
 }
--- a/internal/process/metrics/compatibility_test.go
+++ b/internal/process/metrics/compatibility_test.go
@@ -16,11 +16,11 @@
 // The lines of /control/counters, in their order: names, kinds and how a class's name stands in them.
 func TestCompatibilityCounters(t *testing.T) {
 	c := New(func() uint64 { return 7 }, []balancer.Class{{Name: "bid"}, {Name: "lot-list"}, {Name: "odd name:1|c"}})
-	for _, v := range []engine.Verdict{engine.Served, engine.Served, engine.Served, engine.Refused, engine.Overloaded, engine.Failed, engine.OutOfTime, engine.Stopped} {
+	for _, v := range []engine.Verdict{engine.Served, engine.Served, engine.Served, engine.Rejected, engine.Overloaded, engine.Failed, engine.TimedOut, engine.Stopped} {
 		answered(c, 0, v)
 	}
 	answered(c, 1, engine.Served)
-	c.Taken(0, &engine.Call{})
+	c.OnCallAccepted(0, &engine.Call{})
 	c.Gauges(12, 3, retrystorm.Rising)
 	c.Settings(true)
 	c.Settings(false)
--- a/internal/process/metrics/metrics.go
+++ b/internal/process/metrics/metrics.go
@@ -136,22 +136,22 @@
 	return false
 }
 
-// Taken implements engine.Observer.
-func (c *Counts) Taken(time.Duration, *engine.Call) { c.open.Add(1) }
+// OnCallAccepted implements engine.Observer.
+func (c *Counts) OnCallAccepted(time.Duration, *engine.Call) { c.open.Add(1) }
 
-// Answered implements engine.Observer. What is served as a stream counts when that ends.
-func (c *Counts) Answered(_ time.Duration, call *engine.Call, a engine.Answer) {
-	if a.Streams {
+// OnAnswered implements engine.Observer. What is served as a stream counts when that ends.
+func (c *Counts) OnAnswered(_ time.Duration, call *engine.Call, a engine.Answer) {
+	if a.Streaming {
 		return
 	}
-	if call.Taken() {
+	if call.Accepted() {
 		c.open.Add(-1)
 	}
 	c.count(call.Class, a.Verdict)
 }
 
-// Streamed implements engine.Observer.
-func (c *Counts) Streamed(_ time.Duration, call *engine.Call, whole bool) {
+// OnStreamEnded implements engine.Observer.
+func (c *Counts) OnStreamEnded(_ time.Duration, call *engine.Call, whole bool) {
 	c.open.Add(-1)
 	verdict := engine.Served
 	if !whole {
@@ -168,24 +168,24 @@
 	switch verdict {
 	case engine.Served:
 		all[number].succeeded.Add(1)
-	case engine.Refused, engine.Overloaded:
+	case engine.Rejected, engine.Overloaded:
 		all[number].declined.Add(1)
 	default:
 		all[number].aborted.Add(1)
 	}
 }
 
-// Left implements engine.Observer: nobody waits for an answer any more.
-func (c *Counts) Left(time.Duration, *engine.Call) { c.open.Add(-1) }
+// OnClientGone implements engine.Observer: nobody waits for an answer any more.
+func (c *Counts) OnClientGone(time.Duration, *engine.Call) { c.open.Add(-1) }
 
-// Sent implements engine.Observer.
-func (c *Counts) Sent(time.Duration, *engine.Attempt) {}
+// OnAttemptStarted implements engine.Observer.
+func (c *Counts) OnAttemptStarted(time.Duration, *engine.Attempt) {}
 
-// Ended implements engine.Observer.
-func (c *Counts) Ended(time.Duration, *engine.Attempt, engine.End) {}
+// OnAttemptEnded implements engine.Observer.
+func (c *Counts) OnAttemptEnded(time.Duration, *engine.Attempt, engine.AttemptEnd) {}
 
-// Listed implements engine.Observer.
-func (c *Counts) Listed(time.Duration, *engine.List) {}
+// OnMembership implements engine.Observer.
+func (c *Counts) OnMembership(time.Duration, *engine.Membership) {}
 
-// Probed implements engine.Observer.
-func (c *Counts) Probed(time.Duration, *engine.Backend, balancer.Result, time.Duration) {}
+// OnHealthCheck implements engine.Observer.
+func (c *Counts) OnHealthCheck(time.Duration, *engine.Backend, balancer.Result, time.Duration) {}
--- a/internal/process/metrics/metrics_test.go
+++ b/internal/process/metrics/metrics_test.go
@@ -23,13 +23,13 @@
 
 func answered(c *Counts, class int, v engine.Verdict) {
 	call := &engine.Call{Request: balancer.Request{Class: class}}
-	c.Answered(0, call, engine.Answer{Verdict: v})
+	c.OnAnswered(0, call, engine.Answer{Verdict: v})
 }
 
 func TestLines(t *testing.T) {
 	t.Parallel()
 	c := New(func() uint64 { return 7 }, []balancer.Class{{Name: "bid"}, {Name: "lot-list"}})
-	for _, v := range []engine.Verdict{engine.Served, engine.Served, engine.Refused, engine.Overloaded, engine.Failed, engine.OutOfTime, engine.Stopped} {
+	for _, v := range []engine.Verdict{engine.Served, engine.Served, engine.Rejected, engine.Overloaded, engine.Failed, engine.TimedOut, engine.Stopped} {
 		answered(c, 0, v)
 	}
 	answered(c, 9, engine.Served) // a class that there isn't
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -213,7 +213,7 @@
 		time.Sleep(50 * time.Millisecond)
 		b.ReportMetric((heap()-before)/1000, "B/open-call")
 		open := make(chan int, 1)
-		engineOf.Post(func() { open <- engineOf.Open() })
+		engineOf.Post(func() { open <- engineOf.OpenCalls() })
 		b.ReportMetric(float64(<-open), "open")
 		for _, c := range conns {
 			c.Close()
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -37,9 +37,9 @@
 // enlist makes a proxy a member of its fleet. Nothing runs yet; the engine goes by the strict rules of the file
 // until the fleet is heard.
 func (p *parts) enlist(cfg *config.Platform, own *config.Marlreel, log *slog.Logger) (*member, error) {
-	m := &member{parts: p, cfg: cfg, lease: &engine.Lease{Now: fleet.Now}}
+	m := &member{parts: p, cfg: cfg, lease: &engine.Lease{Clock: fleet.Now}}
 	m.lists = &overlay{Engine: p.engine, own: map[string]engine.Entry{}, held: map[string]bool{}, told: func(l agree.Lists, ends []agree.End) { m.fleet.List(l, ends) }}
-	p.engine.Under(m.lease)
+	p.engine.SetLease(m.lease)
 	if own.Fleet.Trace != "" {
 		var err error
 		if m.trace, err = openTrace(own.Fleet.Trace, m); err != nil {
@@ -55,7 +55,7 @@
 		return nil, err
 	}
 	first := m.fleet.First(cfg.Settings)
-	if err := p.engine.Rule(first.InForce, first.Strict); err != nil {
+	if err := p.engine.ReconfigureLeased(first.InForce, first.Strict); err != nil {
 		return nil, err
 	}
 	return m, nil
@@ -64,7 +64,7 @@
 // Rule implements fleet.Host.
 func (m *member) Rule(r fleet.Rules, done func(error)) {
 	m.parts.engine.Post(func() {
-		err := m.parts.engine.Rule(r.InForce, r.Strict)
+		err := m.parts.engine.ReconfigureLeased(r.InForce, r.Strict)
 		if err == nil {
 			m.ruled.Store(&r)
 			if m.parts.counts != nil {
@@ -159,15 +159,15 @@
 }
 
 // begin notes the list of the start, which the engine has already.
-func (o *overlay) begin(l engine.List) {
+func (o *overlay) begin(l engine.Membership) {
 	o.source, o.revision = "platform", int64(l.Version)
 	for _, e := range l.Entries {
 		o.own[e.Name] = e
 	}
 }
 
-// List takes a list from its source.
-func (o *overlay) List(l engine.List) {
+// ApplyMembership takes a list from its source.
+func (o *overlay) ApplyMembership(l engine.Membership) {
 	source, revision := "platform", int64(l.Version)
 	if o.origin != nil {
 		if s, r, there := o.origin(); there {
@@ -211,7 +211,7 @@
 			o.held[e.Name] = true
 		}
 	}
-	o.Engine.List(l)
+	o.Engine.ApplyMembership(l)
 	o.settle()
 	if l.Kind != balancer.ListCached {
 		o.told(o.summary(), ends)
@@ -255,7 +255,7 @@
 	}
 	if len(changed) > 0 {
 		slices.SortFunc(changed, func(a, b engine.Entry) int { return strings.Compare(a.Name, b.Name) })
-		o.Engine.List(engine.List{Kind: balancer.ListDelta, Version: o.version, Entries: changed})
+		o.Engine.ApplyMembership(engine.Membership{Kind: balancer.ListDelta, Version: o.version, Entries: changed})
 	}
 }
 
@@ -320,9 +320,9 @@
 	t.line(traceRule{time.Now().UnixNano(), r.Seq, r.Versions})
 }
 
-// Sent implements engine.Observer.
-func (t *trace) Sent(_ time.Duration, a *engine.Attempt) {
-	act := traceAct{At: time.Now().UnixNano(), ID: a.Call.Name, Attempt: a.N, Node: a.Backend.Name, Strict: t.member.lease.Lapsed()}
+// OnAttemptStarted implements engine.Observer.
+func (t *trace) OnAttemptStarted(_ time.Duration, a *engine.Attempt) {
+	act := traceAct{At: time.Now().UnixNano(), ID: a.Call.ClientRequestID, Attempt: a.Index, Node: a.Backend.Name, Strict: t.member.lease.Expired()}
 	if s := t.member.parts.engine.Settings(); a.Call.Class < len(s.Classes) {
 		act.Class = s.Classes[a.Call.Class].Name
 	}
@@ -332,10 +332,10 @@
 	t.line(act)
 }
 
-func (t *trace) Taken(time.Duration, *engine.Call)                                     {}
-func (t *trace) Ended(time.Duration, *engine.Attempt, engine.End)                      {}
-func (t *trace) Answered(time.Duration, *engine.Call, engine.Answer)                   {}
-func (t *trace) Streamed(time.Duration, *engine.Call, bool)                            {}
-func (t *trace) Left(time.Duration, *engine.Call)                                      {}
-func (t *trace) Listed(time.Duration, *engine.List)                                    {}
-func (t *trace) Probed(time.Duration, *engine.Backend, balancer.Result, time.Duration) {}
+func (t *trace) OnCallAccepted(time.Duration, *engine.Call)                                   {}
+func (t *trace) OnAttemptEnded(time.Duration, *engine.Attempt, engine.AttemptEnd)             {}
+func (t *trace) OnAnswered(time.Duration, *engine.Call, engine.Answer)                        {}
+func (t *trace) OnStreamEnded(time.Duration, *engine.Call, bool)                              {}
+func (t *trace) OnClientGone(time.Duration, *engine.Call)                                     {}
+func (t *trace) OnMembership(time.Duration, *engine.Membership)                               {}
+func (t *trace) OnHealthCheck(time.Duration, *engine.Backend, balancer.Result, time.Duration) {}
--- a/internal/proxy/keep.go
+++ b/internal/proxy/keep.go
@@ -77,9 +77,9 @@
 		})
 	var look func()
 	look = func() {
-		s := p.engine.Storm()
+		s := p.engine.RetryStormState()
 		r.Busy(s == retrystorm.Rising || s == retrystorm.Storm)
-		p.engine.At(p.engine.Now()+overloadEvery, look)
+		p.engine.Schedule(p.engine.Now()+overloadEvery, look)
 	}
 	p.engine.Post(look)
 	return r
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -150,7 +150,7 @@
 // assemble puts a proxy together. Nothing runs yet.
 func assemble(cfg *config.Platform, own *config.Marlreel, limitMemory func(int64), logger *slog.Logger) (*parts, error) {
 	p := &parts{limitMemory: limitMemory}
-	known, version := engine.List{}, uint32(0)
+	known, version := engine.Membership{}, uint32(0)
 	if cfg.Known != nil {
 		entries, err := cfg.Known.Check(cfg.Names)
 		if err != nil {
@@ -160,8 +160,8 @@
 	}
 	var err error
 	p.engine, err = engine.New(engine.Config{
-		Settings: cfg.Settings, Seed: cfg.Seed, MaxOpen: cfg.MaxOpen, Known: known,
-		Logf: logs.Event(logger, "engine"), Listed: func() { p.becomeReady(logger) },
+		Settings: cfg.Settings, Seed: cfg.Seed, MaxOpenCalls: cfg.MaxOpen, InitialMembership: known,
+		Logf: logs.Event(logger, "engine"), OnFirstMembership: func() { p.becomeReady(logger) },
 	})
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -191,11 +191,11 @@
 	p.carrier = httpproxy.NewCarrier(p.engine, cfg.UpstreamConns(), cfg.Report, p.room)
 	p.front = httpproxy.NewFront(p.engine, p.carrier, p.room, logger)
 	p.setShare(cfg, handover.Whole)
-	p.engine.Carry(p.carrier)
-	p.engine.ProbeWith(p.carrier)
-	p.engine.Follow(p.source)
+	p.engine.AddCarrier(p.carrier)
+	p.engine.SetHealthChecker(p.carrier)
+	p.engine.SetSource(p.source)
 	if cfg.Control != "" {
-		p.counts = metrics.New(p.engine.Written, cfg.Settings.Classes)
+		p.counts = metrics.New(p.engine.WrittenAttempts, cfg.Settings.Classes)
 		p.door = control.New(p.front.Ready, p.figures, cfg.DoorCalls())
 		p.door.Also("/control/discovery", p.tellLists)
 		if p.member != nil {
@@ -203,11 +203,11 @@
 		}
 		watchers = append(watchers, p.counts)
 	}
-	p.engine.Observe(engine.Join(watchers...))
+	p.engine.SetObserver(engine.Join(watchers...))
 	if own.RPC.Listen != "" {
 		p.rpcCarrier = msgpackrpc.NewCarrier(p.engine, &own.RPC, &p.rpcCounts)
 		p.rpcFront = msgpackrpc.NewFront(p.engine, p.rpcCarrier, &own.RPC, logger, &p.rpcCounts)
-		p.engine.Carry(p.rpcCarrier)
+		p.engine.AddCarrier(p.rpcCarrier)
 	}
 	return p, nil
 }
@@ -424,13 +424,13 @@
 
 // publish sets the gauges now and ever again. On the engine's goroutine.
 func (p *parts) publish() {
-	p.counts.Gauges(p.engine.Listed(), p.engine.Avoided(), p.engine.Storm())
+	p.counts.Gauges(p.engine.BackendCount(), p.engine.EjectedCount(), p.engine.RetryStormState())
 	if s, on := p.source.Status(); on {
 		p.lists.Store(&s)
 	} else if p.lists.Load() != nil {
 		p.lists.Store(nil)
 	}
-	p.engine.At(p.engine.Now()+metrics.Every, p.publish)
+	p.engine.Schedule(p.engine.Now()+metrics.Every, p.publish)
 }
 
 // drain stops the fronts without losing a request: they go on accepting while
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -116,7 +116,7 @@
 		if err := p.engine.Reconfigure(next.Config.Settings); err != nil {
 			return fmt.Errorf("configuration: %w", err)
 		}
-		p.engine.SetMaxOpen(next.Config.MaxOpen)
+		p.engine.SetMaxOpenCalls(next.Config.MaxOpen)
 		p.carrier.Tune(next.Config.Report)
 		if p.counts != nil {
 			p.counts.SetClasses(p.engine.Settings().Classes)
--- a/internal/proxy/sources_test.go
+++ b/internal/proxy/sources_test.go
@@ -206,7 +206,7 @@
 					done := make(chan struct{})
 					p.engine.Post(func() {
 						b := p.engine.Backend("s-0")
-						list, there = p.engine.Listed(), b != nil && b.Addr == addr
+						list, there = p.engine.BackendCount(), b != nil && b.Addr == addr
 						close(done)
 					})
 					<-done
