--- a/internal/dataplane/engine/attempts.go
+++ b/internal/dataplane/engine/attempt.go
@@ -1,80 +1,37 @@
 package engine
 
 import (
-	"sync/atomic"
 	"time"
 
 	"marlreel/internal/balancer"
 )
 
-// Permit is the right to write one attempt whole. The engine and the carrier race for it: whoever is first decides
-// whether its last byte goes out at all, and with that whether it can run.
-type Permit struct {
-	state         atomic.Int32
-	lease         *Lease        // nil: there is none
-	needsLease    bool          // it goes out only while the lease runs
-	expiresAt     time.Duration // on the lease's clock: when the attempt is given up
-	writeDeadline time.Time     // by when the last byte has to be out; zero: there is no bound
-}
-
-const (
-	permitAvailable = iota
-	permitClaimed
-	permitRevoked
-	permitExpired
-)
-
-// TryClaim takes the right, just before the last byte. Where it gives false, that byte may not be written, and what has
-// been written of the attempt has to end with its connection. Any goroutine.
-//
-// Danger: the process may have been stopped since the engine decided on the attempt, or a dial have taken long. The
-// lease and the window for repeats are looked at here, where the attempt goes out.
-func (p *Permit) TryClaim() bool {
-	overdue := !p.writeDeadline.IsZero() && !time.Now().Before(p.writeDeadline)
-	if overdue || p.lease != nil && (p.needsLease && p.lease.Expired() || p.lease.Clock() >= p.expiresAt) {
-		p.state.CompareAndSwap(permitAvailable, permitExpired)
-		return false
-	}
-	return p.state.CompareAndSwap(permitAvailable, permitClaimed)
-}
-
-// Revoke takes the right away, unless it was used. Any goroutine.
-func (p *Permit) Revoke() bool {
-	return p.state.CompareAndSwap(permitAvailable, permitRevoked) || p.state.CompareAndSwap(permitExpired, permitRevoked)
-}
-
-// Available tells whether the attempt may still go out. Any goroutine.
-func (p *Permit) Available() bool { return p.state.Load() == permitAvailable }
-
-// Claimed tells whether the attempt may have gone out.
-func (p *Permit) Claimed() bool { return p.state.Load() == permitClaimed }
-
-// AttemptEnd is how an attempt or a probe ended.
+// AttemptEnd is how an attempt or a health check ended.
 type AttemptEnd struct {
 	Result        balancer.Result
 	Reply         any       // where Result is OK or Declined: the answer, for the front
 	CompletesCall bool      // the call is over with this, served as far as can be known
 	Streaming     bool      // OK: the reply is the beginning of a stream
-	ClientGone    bool      // Moot: the call's client was found to have left
+	ClientGone    bool      // NotSent: the call's client was found to have disconnected
 	Load          []float32 // a load report, in the settings' order; nil is none
 }
 
-// Attempt is one attempt at a call.
+// Attempt is one sending of a call to a backend.
 type Attempt struct {
 	Call     *Call
-	Index    int // which of the call's, from 0
+	Index    int // among the call's attempts, from 0
 	Backend  *Backend
-	Deadline time.Time // when it is given up
+	Deadline time.Time // when it times out
 	Permit   Permit
-	// Stop calls the attempt off: what is on its way is broken off, and End still
-	// comes. Begin sets it; nil is nothing to be done.
+	// Stop cancels the attempt: what is in flight is broken off, and End still comes. StartAttempt sets it; nil is
+	// nothing to be done.
 	Stop func()
 
 	engine       *Engine
 	startedAt    time.Duration
-	ended        bool // the module has its outcome
-	mayHaveRun   bool // done: or may have run
-	cancelled    bool // it is called off, and ends as off says
+	ended        bool // the balancer has its outcome
+	mayHaveRun   bool // where it has ended
+	cancelled    bool // its end counts as cancelResult
 	cancelResult balancer.Result
 	timeout      *Timer
 }
@@ -98,8 +55,18 @@
 	}
 }
 
-// cancel ends an attempt that may have run. Danger: until its connection is closed it is still out, and the module
-// may send the next one at once where no second copy is allowed: the carrier's own End has to come first.
+// withdraw ends an attempt that has not been written, and tells whether it could.
+func (a *Attempt) withdraw() bool {
+	if !a.Permit.Revoke() {
+		return false
+	}
+	a.stop()
+	a.engine.Defer(func() { a.End(AttemptEnd{Result: balancer.NotSent}) })
+	return true
+}
+
+// cancel ends an attempt that may have run. Until its connection is closed it is still in flight, and the balancer may
+// start the next one at once where no hedging is allowed: the carrier's own End has to come first.
 func (a *Attempt) cancel(result balancer.Result) {
 	if a.cancelled {
 		return
@@ -112,8 +79,8 @@
 	a.stop()
 }
 
-// End tells the module how the attempt ended, once; later calls are let be. The first
-// good answer is the client's. Only on the engine's goroutine.
+// End reports how the attempt ended, once; later calls do nothing. The first good answer is the client's. Only on the
+// engine's goroutine.
 func (a *Attempt) End(end AttemptEnd) {
 	if a.ended {
 		return
@@ -136,7 +103,7 @@
 	a.reportOutcome(end)
 }
 
-// beginStream hands on an answer that is generated as it goes. The attempt keeps its place until Streamed.
+// beginStream hands on an answer that is generated as it goes. The attempt stays in flight until HandleStreamEnd.
 func (a *Attempt) beginStream(end AttemptEnd) {
 	e, c := a.engine, a.Call
 	a.mayHaveRun = true
@@ -157,7 +124,7 @@
 	a.reportOutcome(end)
 }
 
-// finish takes the attempt off the call's open ones.
+// finish takes the attempt off the call's pending ones.
 func (a *Attempt) finish(end AttemptEnd) {
 	e := a.engine
 	a.ended, a.mayHaveRun = true, !end.Result.NeverRan()
@@ -168,7 +135,7 @@
 	}
 }
 
-// reportOutcome tells the module how the attempt ended.
+// reportOutcome tells the balancer how the attempt ended.
 func (a *Attempt) reportOutcome(end AttemptEnd) {
 	e, c := a.engine, a.Call
 	e.removeFinished(c)
@@ -183,7 +150,7 @@
 	})
 }
 
-// expire gives an attempt up when its time has run out.
+// expire ends an attempt when its time has run out.
 func (a *Attempt) expire() {
 	if a.ended {
 		return
--- a/internal/dataplane/engine/engine.go
+++ b/internal/dataplane/engine/engine.go
@@ -1,21 +1,3 @@
-// Package engine runs the decision module: it owns the Balancer, the table of open
-// calls, the attempts, the backends and the timers, all on one goroutine. It carries
-// decisions out and takes none, and it knows no wire protocol: requests come from
-// fronts as Calls with an opaque payload, and go out through Carriers.
-//
-// What each part promises the others:
-//
-//   - A front hands a Call over with Take and gets exactly one Answer for it, before
-//     the call's deadline. It may withdraw the call with Gone.
-//   - A Carrier is asked to begin an attempt, and ends it exactly once with what
-//     happened. It takes the attempt's Permit before the first byte that a backend
-//     could act on; from the moment at which the engine has revoked that permit,
-//     nothing of the attempt may be written.
-//   - A Source tells whole lists and changes. Backends are reconciled in place.
-//   - An Observer sees all of it, from the engine's goroutine.
-//
-// Everything that carriers, fronts and sources do to the engine they do on its
-// goroutine, which they reach with Post. Methods say where they may be called.
 package engine
 
 import (
@@ -35,25 +17,24 @@
 	// ClockStart is where the engine's clock starts, so that starts of backends from
 	// before this process's own stay above 0, which means long ago.
 	ClockStart = time.Hour
-	// MaxDeadlineMargin is by how much at most the engine's own answer comes before the client's
-	// time runs out: a call's own margin is a backstopShare of its time, up to this. An
-	// attempt ends as long before that, so that the module hears of it first. Danger: a
-	// fixed margin takes most of the time of a client that waits for 40 ms.
+	// MaxDeadlineMargin is by how much at most the engine's own answer comes before the client's deadline: a call's
+	// margin is its time divided by deadlineMarginDivisor, up to this. An attempt ends as long before that, so that
+	// the balancer hears of it first. A fixed margin would take most of the time of a client that waits for 40 ms.
 	MaxDeadlineMargin     = 15 * time.Millisecond
 	deadlineMarginDivisor = 20
-	// housekeepingInterval is how often carriers are told to retire what is old.
+	// housekeepingInterval is how often carriers close what has expired.
 	housekeepingInterval = time.Second
-	eventBuffer          = 1024
+	eventBuffer          = 1024 // posted events that wait before Post blocks
 )
 
-// Config is what an engine is told at its start.
+// Config is what an engine starts with.
 type Config struct {
 	Settings          balancer.Config
 	Seed              uint64
-	MaxOpenCalls      int // open calls; one more is refused; 0 is no limit
+	MaxOpenCalls      int // one more is rejected; 0 is no limit
 	InitialMembership Membership
 	Logf              func(format string, args ...any)
-	OnFirstMembership func() // called once, when the first list that is no old one has come; may be nil
+	OnFirstMembership func() // called once, when the first membership that is no cached one has come; may be nil
 }
 
 // Carrier takes attempts to backends over one protocol. The engine's goroutine calls
@@ -62,11 +43,11 @@
 	// StartAttempt starts an attempt. It sets a.Stop, and later, once, calls a.End on the
 	// engine's goroutine.
 	StartAttempt(a *Attempt)
-	// ReleaseIdle gives back what is kept for a backend without need: idle connections.
+	// ReleaseIdle closes the idle connections to a backend.
 	ReleaseIdle(b *Backend)
-	// RemoveBackend drops all that is kept for a backend that has left the list.
+	// RemoveBackend drops all that is kept for a backend that has left the membership.
 	RemoveBackend(b *Backend)
-	// CloseExpired closes what has grown old.
+	// CloseExpired closes idle connections that have outlived their time; now is on the engine's clock.
 	CloseExpired(now time.Duration)
 }
 
@@ -76,14 +57,16 @@
 	CheckHealth(b *Backend, until time.Time, end func(AttemptEnd))
 }
 
-// Source is where lists come from. The engine's goroutine calls it; nothing may block.
+// Source is where memberships come from. The engine's goroutine calls it; no method may block.
 type Source interface {
-	Watch(on bool) // follow the list from here on, or cease to
-	Fetch()        // ask for the whole list once
+	// Watch starts to follow the membership, or stops.
+	Watch(on bool)
+	// Fetch asks for the complete membership once.
+	Fetch()
 }
 
-// Engine is the one goroutine's state. Make it with New, give it its carriers, its
-// prober and its source, then run it.
+// Engine is the state of the one goroutine that Run is. Make it with New, give it its carriers, its health checker and
+// its source, then run it.
 type Engine struct {
 	cfg               Config
 	start             time.Time
@@ -101,50 +84,50 @@
 	snapshot          atomic.Pointer[SettingsSnapshot]
 	classes           *stableindex.Table // numbers of classes, which they keep while the settings change
 	calls             map[balancer.RequestID]*Call
-	recentNames       *recentNames // clients' names of calls
+	recentNames       *recentNames // request IDs that clients gave
 	lastID            balancer.RequestID
 	onFirstMembership func()
-	writtenAttempts   atomic.Uint64 // attempts, whole
+	writtenAttempts   atomic.Uint64 // attempts written completely
 	lease             *Lease        // on the settings in force; nil: they hold without one
 	leased            leasedSettings
 }
 
-// New makes an engine. Settings that make no sense give an error that names them.
+// New makes an engine. Invalid settings give an error that names the field.
 func New(cfg Config) (*Engine, error) {
 	e := &Engine{
 		cfg: cfg, start: time.Now(), events: make(chan func(), eventBuffer), stopped: make(chan struct{}),
 		calls: map[balancer.RequestID]*Call{}, onFirstMembership: cfg.OnFirstMembership, backends: newBackends(),
 	}
 	settings := cfg.Settings
-	names := make([]string, len(settings.Classes))
-	for i, c := range settings.Classes {
-		names[i] = c.Name
-	}
+	names := classNames(settings.Classes)
 	e.classes = stableindex.New(max(maxClasses, 2*len(names)))
 	if _, _, err := e.classes.Assign(0, names, nil); err != nil {
 		return nil, fmt.Errorf("field Services: %w", err)
 	}
 	e.publishSettings(&settings)
-	// What is open has come within the longest wait.
+	// Whatever is open has come within the longest timeout of a client.
 	e.recentNames = newRecentNames(longestClientTimeout(&settings) + time.Second)
-	var err error
-	e.balancer, err = balancer.New(cfg.Settings, cfg.Seed, host{e})
-	return e, err
+	b, err := balancer.New(cfg.Settings, cfg.Seed, host{e})
+	if err != nil {
+		return nil, err
+	}
+	e.balancer = b
+	return e, nil
 }
 
-// SetMaxOpenCalls puts another bound on open calls in force; 0 is none. Only on the engine's goroutine.
+// SetMaxOpenCalls changes how many calls may be open; 0 is no limit. Only on the engine's goroutine.
 func (e *Engine) SetMaxOpenCalls(limit int) { e.cfg.MaxOpenCalls = limit }
 
 // AddCarrier adds a carrier. Only before Run.
 func (e *Engine) AddCarrier(c Carrier) { e.carriers = append(e.carriers, c) }
 
-// SetHealthChecker sets who asks backends for their health. Only before Run.
+// SetHealthChecker sets who carries health checks out. Only before Run.
 func (e *Engine) SetHealthChecker(p HealthChecker) { e.healthChecker = p }
 
-// SetSource sets where lists come from. Only before Run.
+// SetSource sets where memberships come from. Only before Run.
 func (e *Engine) SetSource(s Source) { e.source = s }
 
-// SetObserver sets who sees what happens; nil is nobody. Only before Run.
+// SetObserver sets the observer; nil is none. Only before Run.
 func (e *Engine) SetObserver(o Observer) { e.observer = o }
 
 // Now is the time on the engine's clock. Any goroutine may call it.
@@ -153,8 +136,8 @@
 // WallTime is the time of day at which the engine's clock shows d.
 func (e *Engine) WallTime(d time.Duration) time.Time { return e.start.Add(d - ClockStart) }
 
-// Post hands the engine's goroutine an event. It gives up when the engine has ended.
-// Any other goroutine may call it; it may wait where the engine is behind.
+// Post hands the engine's goroutine an event, and drops it when the engine has ended. Any other goroutine may call it;
+// it blocks while the engine's queue of events is full.
 func (e *Engine) Post(event func()) {
 	select {
 	case e.events <- event:
@@ -162,34 +145,33 @@
 	}
 }
 
-// Defer hands on an event that the current one causes. Only on the engine's goroutine.
+// Defer queues an event that the current one causes, to be run right after it. Only on the engine's goroutine.
 func (e *Engine) Defer(event func()) { e.deferred = append(e.deferred, event) }
 
-// DeferredCount is how many events that others caused are still to be carried out.
+// DeferredCount is how many deferred events have not run yet.
 func (e *Engine) DeferredCount() int { return len(e.deferred) }
 
-// WrittenAttempts is how many attempts have been written whole. Any goroutine may call it.
+// WrittenAttempts is how many attempts have been written completely. Any goroutine may call it.
 func (e *Engine) WrittenAttempts() uint64 { return e.writtenAttempts.Load() }
 
-// BackendCount is how many backends the list has, and Avoided how many of them get nothing but
-// tries for now. Only on the engine's goroutine.
+// BackendCount is how many backends the membership has. Only on the engine's goroutine.
 func (e *Engine) BackendCount() int { return len(e.backends.byID) }
 
-// EjectedCount is described with Listed.
+// EjectedCount is how many backends are ejected for now. Only on the engine's goroutine.
 func (e *Engine) EjectedCount() int { return e.balancer.EjectedCount() }
 
-// RetryStormState is how things stand with retry storms. Only on the engine's goroutine.
+// RetryStormState is the state of the detection of retry storms. Only on the engine's goroutine.
 func (e *Engine) RetryStormState() retrystorm.State { return e.balancer.RetryStormState() }
 
 // Done is closed when the engine has ended.
 func (e *Engine) Done() <-chan struct{} { return e.stopped }
 
-// Start starts the module with the known list and the watch of the list.
+// Start starts the balancer with the initial membership and the watch of the membership.
 func (e *Engine) Start() {
 	e.balancer.Start(e.Now())
-	known := e.cfg.InitialMembership
-	known.Kind = balancer.ListCached
-	e.ApplyMembership(known)
+	initial := e.cfg.InitialMembership
+	initial.Kind = balancer.ListCached
+	e.ApplyMembership(initial)
 	if !e.Settings().PollMembership && e.source != nil {
 		e.source.Watch(true)
 	}
@@ -222,8 +204,8 @@
 	}
 }
 
-// Dispatch carries an event out, and then what it causes. Run does so by itself; a test that
-// moves an engine by hand, without Run, calls it and takes what was posted from Events.
+// Dispatch runs an event, and then the events that it defers. Run does so by itself; a test that drives an engine by
+// hand, without Run, calls it and takes what was posted from Events.
 func (e *Engine) Dispatch(event func()) {
 	e.runRecovered(event)
 	for len(e.deferred) > 0 {
@@ -232,11 +214,11 @@
 	}
 }
 
-// Events are what was posted, for who moves an engine by hand.
+// Events are the posted events, for a test that drives an engine by hand.
 func (e *Engine) Events() <-chan func() { return e.events }
 
-// runRecovered keeps one bad event from ending the process, and with it all calls in hand.
-// The one concerned is left to its backstop.
+// runRecovered keeps a panic in one event from ending the process, and with it all open calls. The call concerned is
+// left to its deadline timer.
 func (e *Engine) runRecovered(event func()) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/dataplane/engine/host.go
+++ b/internal/dataplane/engine/host.go
@@ -6,14 +6,16 @@
 	"marlreel/internal/balancer"
 )
 
-// healthCheckConnectTimeouts is how many connect time-outs a probe may take.
+// healthCheckConnectTimeouts is how many connect timeouts a health check may take.
 const healthCheckConnectTimeouts = 1.25
 
-// host implements balancer.Host. No method blocks or calls the module.
+// host implements balancer.Host. No method blocks or calls the balancer.
 type host struct{ *Engine }
 
-// Send starts an attempt.
-func (e host) Send(id balancer.RequestID, to balancer.BackendID, until, before time.Duration) {
+var _ balancer.Host = host{}
+
+// Send starts an attempt. Where it may not, or can't, go out, it ends as such right after the current event.
+func (e host) Send(id balancer.RequestID, to balancer.BackendID, timeout, writeDeadline time.Duration) {
 	c := e.calls[id]
 	if c == nil {
 		e.cfg.Logf("send for request %d, which is over", id)
@@ -22,68 +24,69 @@
 	a := &Attempt{Call: c, Index: len(c.attempts), startedAt: e.Now(), engine: e.Engine}
 	c.attempts = append(c.attempts, a)
 	c.pendingAttempts++
-	if latest := c.Deadline - 2*c.deadlineMargin; until == 0 || until > latest || c.Receiving {
-		until = latest
+	if latest := c.Deadline - 2*c.deadlineMargin; timeout == 0 || timeout > latest || c.Receiving {
+		timeout = latest
 	}
 	a.Backend = e.backends.byID[to]
-	unsent := balancer.OK
-	switch {
-	case e.lease != nil && !e.mayStart(c, a, until):
-		unsent = balancer.NotSent
-	case c.answered || until <= a.startedAt || a.Index >= e.Settings().Caps.MaxAttempts:
-		unsent = balancer.NotSent
-	case a.Backend == nil:
-		unsent = balancer.ConnectFailed
-	}
-	if unsent != balancer.OK {
+	if result := e.checkSend(c, a, timeout); result != balancer.OK {
 		if a.Backend == nil {
 			a.Backend = &Backend{Backend: balancer.Backend{ID: to}}
 		}
 		a.Permit.Revoke()
-		e.Defer(func() { a.End(AttemptEnd{Result: unsent}) })
+		e.Defer(func() { a.End(AttemptEnd{Result: result}) })
 		return
 	}
-	a.Deadline = e.WallTime(until)
-	if before > 0 {
-		a.Permit.writeDeadline = e.WallTime(before)
+	a.Deadline = e.WallTime(timeout)
+	if writeDeadline > 0 {
+		a.Permit.writeDeadline = e.WallTime(writeDeadline)
 	}
-	a.timeout = e.Schedule(until, a.expire)
+	a.timeout = e.Schedule(timeout, a.expire)
 	if e.observer != nil {
 		e.observer.OnAttemptStarted(a.startedAt, a)
 	}
 	c.Carrier.StartAttempt(a)
 }
 
-// Reject answers that coming again is harmless.
+// checkSend gives as what an attempt ends that may not, or can't, go out; OK is that it goes out.
+func (e host) checkSend(c *Call, a *Attempt, timeout time.Duration) balancer.Result {
+	switch {
+	case e.lease != nil && !e.mayStart(c, a, timeout):
+		return balancer.NotSent
+	case c.answered || timeout <= a.startedAt || a.Index >= e.Settings().Caps.MaxAttempts:
+		return balancer.NotSent
+	case a.Backend == nil:
+		return balancer.ConnectFailed
+	}
+	return balancer.OK
+}
+
+// Reject answers that the call was not executed.
 func (e host) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	if c := e.calls[id]; c != nil {
 		e.answer(c, Answer{Verdict: Rejected, RetryAfter: retryAfter})
 	}
 }
 
-// Fail answers without a promise.
+// Fail answers that the call may have been executed.
 func (e host) Fail(id balancer.RequestID) {
 	if c := e.calls[id]; c != nil {
 		e.answer(c, Answer{Verdict: Failed, Reply: c.declinedReply})
 	}
 }
 
-// Cancel calls an attempt off.
+// Cancel cancels an attempt.
 func (e host) Cancel(id balancer.RequestID, n int) {
 	c := e.calls[id]
 	if c == nil || n < 0 || n >= len(c.attempts) || c.attempts[n].ended {
 		return
 	}
 	a := c.attempts[n]
-	if a.Permit.Revoke() {
-		a.stop()
-		e.Defer(func() { a.End(AttemptEnd{Result: balancer.NotSent}) })
-		return
+	if !a.withdraw() {
+		a.cancel(balancer.Cancelled)
 	}
-	a.cancel(balancer.Cancelled)
 }
 
-// CheckHealth asks for a backend's health.
+// CheckHealth has a backend's health checked.
 func (e host) CheckHealth(id balancer.BackendID) {
 	b := e.backends.byID[id]
 	sent := e.Now()
@@ -102,36 +105,36 @@
 	e.healthChecker.CheckHealth(b, time.Now().Add(wait), end)
 }
 
-// Release closes what is idle at a backend.
+// Release closes the idle connections to a backend.
 func (e host) Release(id balancer.BackendID) {
 	if b := e.backends.byID[id]; b != nil {
 		e.releaseIdle(b)
 	}
 }
 
-// Watch follows the list, or ceases to.
+// Watch follows the membership, or stops.
 func (e host) Watch(on bool) {
 	if e.source != nil {
 		e.source.Watch(on)
 	}
 }
 
-// Fetch asks for the whole list once.
+// Fetch asks for the complete membership once.
 func (e host) Fetch() {
 	if e.source != nil {
 		e.source.Fetch()
 	}
 }
 
-// SendToPeer would reach other proxies. The module has nothing to tell them.
+// SendToPeer would reach other proxies. The balancer has nothing to tell them.
 func (e host) SendToPeer(peer uint32, body []byte) {
 	e.cfg.Logf("%d bytes for peer %d dropped: there is no way to it", len(body), peer)
 }
 
-// StartTimer asks for a Timer event.
+// StartTimer schedules an OnTimer event.
 func (e host) StartTimer(d time.Duration, token uint64) {
 	e.Schedule(e.Now()+d, func() { e.balancer.OnTimer(e.Now(), token) })
 }
 
-// Log writes a line of the module's; it is sparing by itself.
+// Log writes a line of the balancer's, which limits their rate by itself.
 func (e host) Log(line string) { e.cfg.Logf("%s", line) }
--- a/internal/dataplane/engine/memory.go
+++ b/internal/dataplane/engine/learnedstate.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// learnedStateBatch is how many backends one event writes down, and learntRest how long after
-	// it the next one does: what is written down for another process holds up no request.
+	// learnedStateBatch is how many backends one event collects, and learnedStatePause how long after it the next one
+	// does: collecting for another process must not delay requests.
 	learnedStateBatch = 16
 	learnedStatePause = 100 * time.Microsecond
 )
 
-// CollectLearnedState writes down what the module has learnt, a part at a time, and calls done with it, on
-// the engine's goroutine. Only on that.
+// CollectLearnedState collects what the balancer has learned, a batch at a time, and calls done with it on the engine's
+// goroutine. Only on that.
 func (e *Engine) CollectLearnedState(done func(*learnedstate.State)) {
 	s := e.balancer.LearnedState(e.Now())
 	s.TakenAt = time.Now()
@@ -28,13 +28,15 @@
 			id := ids[0]
 			ids = ids[1:]
 			b := e.backends.byID[id]
-			k, found := e.balancer.LearnedBackend(now, id)
-			// A class that has come meanwhile is in the backend's cells and not in the classes.
-			if b == nil || !found || len(k.Cells) < len(s.Classes) {
+			learned, found := e.balancer.LearnedBackend(now, id)
+			// A class that was added meanwhile is in the backend's cells and not in the classes.
+			if b == nil || !found || len(learned.Cells) < len(s.Classes) {
 				continue
 			}
-			k.Name, k.Address, k.Cells = b.Name, b.Addr, k.Cells[:len(s.Classes)]
-			s.Backends = append(s.Backends, k)
+			learned.Name = b.Name
+			learned.Address = b.Addr
+			learned.Cells = learned.Cells[:len(s.Classes)]
+			s.Backends = append(s.Backends, learned)
 		}
 		if len(ids) == 0 {
 			done(&s)
@@ -45,10 +47,9 @@
 	collectBatch()
 }
 
-// RestoreLearnedState lets the module go on with what another process had learnt, and gives of how many
-// backends: those that are in the list at the address at which that process knew them. Only on
-// the engine's goroutine.
-func (e *Engine) RestoreLearnedState(s *learnedstate.State) (backends int) {
+// RestoreLearnedState gives the balancer what another process had learned, and returns of how many backends: those that
+// are members at the address at which that process knew them. Only on the engine's goroutine.
+func (e *Engine) RestoreLearnedState(s *learnedstate.State) int {
 	known := *s
 	known.Backends = nil
 	for _, k := range s.Backends {
--- a/internal/dataplane/engine/observer.go
+++ b/internal/dataplane/engine/observer.go
@@ -7,27 +7,28 @@
 	"marlreel/internal/balancer"
 )
 
-// Observer sees what happens: metrics, captures and the table of open calls hang on
-// it. The engine's goroutine calls it. It must not block, must not allocate on the
-// path of a call, and must not call the engine back; what it is given it may read
-// only until it returns.
+// Observer is notified of what happens: metrics, captures and traces use it. The engine's goroutine calls it. It must
+// not block, must not allocate on the path of a call, and must not call the engine back; what it is given it may read
+// only until it returns. Times are on the engine's clock.
 type Observer interface {
 	OnCallAccepted(now time.Duration, c *Call)
 	OnAttemptStarted(now time.Duration, a *Attempt)
 	OnAttemptEnded(now time.Duration, a *Attempt, end AttemptEnd)
 	OnAnswered(now time.Duration, c *Call, a Answer)
-	// OnStreamEnded is the end of an answer that Answered called a stream: the whole of it
-	// has gone to the client, or it broke off.
-	OnStreamEnded(now time.Duration, c *Call, whole bool)
-	OnClientGone(now time.Duration, c *Call) // its client went away unanswered
+	// OnStreamEnded is the end of a streaming answer: all of it has gone to the client, or it broke off.
+	OnStreamEnded(now time.Duration, c *Call, complete bool)
+	// OnClientGone is that a call's client has disconnected before its answer.
+	OnClientGone(now time.Duration, c *Call)
 	OnMembership(now time.Duration, l *Membership)
 	OnHealthCheck(now time.Duration, b *Backend, r balancer.Result, took time.Duration)
 }
 
-// Observers are several as one.
+// Observers notify each of several, in order.
 type Observers []Observer
 
-// Join makes one observer of those that are not nil; nil where none is left.
+var _ Observer = Observers(nil)
+
+// Join makes one observer of those that are not nil; nil where there is none.
 func Join(all ...Observer) Observer {
 	all = slices.DeleteFunc(all, func(o Observer) bool { return o == nil })
 	switch len(all) {
@@ -68,9 +69,9 @@
 }
 
 // OnStreamEnded implements Observer.
-func (s Observers) OnStreamEnded(now time.Duration, c *Call, whole bool) {
+func (s Observers) OnStreamEnded(now time.Duration, c *Call, complete bool) {
 	for _, o := range s {
-		o.OnStreamEnded(now, c, whole)
+		o.OnStreamEnded(now, c, complete)
 	}
 }
 
--- a/internal/dataplane/engine/recent.go
+++ b/internal/dataplane/engine/recentnames.go
@@ -2,9 +2,8 @@
 
 import "time"
 
-// recentNames remembers names for a span and up to twice as long. It keeps two sets and
-// throws the older away whole, so that it costs no timer for each name and its
-// memory follows the rate of names, never their number.
+// recentNames remembers names for a span and up to twice as long. It keeps two generations and drops the older one at
+// once, so that it needs no timer for each name and its memory follows the rate of names, not their total.
 type recentNames struct {
 	span              time.Duration
 	rotatedAt         time.Duration
--- a/internal/dataplane/engine/settings.go
+++ b/internal/dataplane/engine/settings.go
@@ -7,26 +7,25 @@
 	"marlreel/internal/balancer"
 )
 
-// maxClasses bounds the classes, those that have gone and are remembered among them.
+// maxClasses bounds the classes, including those that have been removed and are remembered.
 const maxClasses = 64
 
-// SettingsSnapshot is what fronts read requests by: the settings in force, and the numbers of names.
-// It is never changed.
+// SettingsSnapshot is what fronts parse requests by: the settings in force, and the indexes of names in them. It is
+// immutable.
 type SettingsSnapshot struct {
-	// Settings is what the module is told: a class that has left the settings stays under
-	// its number, as it was last, and is not in Classes.
+	// Settings are the balancer's: a class that was removed keeps its index, as it was last, and is not in
+	// ClassIndexes.
 	Settings                    *balancer.Config
 	ClassIndexes, TenantIndexes map[string]int
 }
 
-// SettingsSnapshot is the one in force. Any goroutine may call it.
+// SettingsSnapshot gives the one in force. Any goroutine may call it.
 func (e *Engine) SettingsSnapshot() *SettingsSnapshot { return e.snapshot.Load() }
 
-// Settings is what the module is told now. Any goroutine may call it; what it gives is
-// never changed.
+// Settings are the balancer's settings now. Any goroutine may call it; what it gives is immutable.
 func (e *Engine) Settings() *balancer.Config { return e.snapshot.Load().Settings }
 
-// publishSettings makes a book and puts it in force.
+// publishSettings puts a snapshot of settings in force.
 func (e *Engine) publishSettings(settings *balancer.Config) {
 	b := &SettingsSnapshot{Settings: settings, ClassIndexes: map[string]int{}, TenantIndexes: map[string]int{}}
 	for i, c := range settings.Classes {
@@ -40,9 +39,8 @@
 	e.snapshot.Store(b)
 }
 
-// meansTheSame tells whether a call that was read by an older book means the same by the one
-// in force. Danger: one that was let through as safe to repeat must not run as one that is
-// not, nor as a keyed one without its key.
+// meansTheSame tells whether a call that was parsed by an older snapshot means the same by the one in force. A call
+// that was admitted as idempotent must not run as one that is not, nor as a keyed one without its key.
 func (e *Engine) meansTheSame(c *Call) bool {
 	now := e.snapshot.Load()
 	if c.Snapshot == nil || c.Snapshot == now {
@@ -52,7 +50,7 @@
 	return is.Name == was.Name && is.Effect == was.Effect && tenantName(now, c.Tenant) == tenantName(c.Snapshot, c.Tenant)
 }
 
-// tenantName is the name of a tenant by its place, or "".
+// tenantName is the name of a tenant by its index, or "".
 func tenantName(b *SettingsSnapshot, index int) string {
 	if index < 0 || index >= len(b.Settings.Tenants) {
 		return ""
@@ -60,23 +58,18 @@
 	return b.Settings.Tenants[index].Name
 }
 
-// Reconfigure puts other settings in force, whole and at once, or leaves the old ones and
-// says why. Calls that are open keep the class they came with. Only on the engine's
-// goroutine.
+// Reconfigure puts other settings in force, all at once, or leaves the old ones and returns an error that names the
+// field at fault. Calls that are open keep the class they came with. Only on the engine's goroutine.
 func (e *Engine) Reconfigure(next balancer.Config) error {
 	old := e.Settings()
-	names := make([]string, len(next.Classes))
-	for i, c := range next.Classes {
-		names[i] = c.Name
-	}
-	trial := *e.classes // Place leaves what it has and makes a new one
-	at, fresh, err := trial.Assign(e.Now(), names, e.classOpen)
+	trial := *e.classes // Assign leaves what it has and makes a new one
+	indexes, fresh, err := trial.Assign(e.Now(), classNames(next.Classes), e.classOpen)
 	if err != nil {
 		return fmt.Errorf("settings: Services: %w", err)
 	}
 	merged := make([]balancer.Class, trial.Len())
 	copy(merged, old.Classes)
-	for k, i := range at {
+	for k, i := range indexes {
 		merged[i] = next.Classes[k]
 	}
 	next.Classes = merged
@@ -99,11 +92,11 @@
 	return false
 }
 
-// defaultRetryAfter is what is said to clients that are turned away before the module hears of them.
+// defaultRetryAfter is what clients are told that are rejected before the balancer hears of them.
 const defaultRetryAfter = time.Second
 
-// RetryAfter is after what time who is turned away at the door should come again, as far as the
-// settings let it be told; 0 is not to be told. Any goroutine may call it.
+// RetryAfter is the Retry-After of clients that are rejected before the balancer hears of them; 0 where the settings
+// let none be sent. Any goroutine may call it.
 func (e *Engine) RetryAfter() time.Duration {
 	caps := &e.Settings().Caps
 	if !caps.RetryAfter {
@@ -112,6 +105,14 @@
 	return min(defaultRetryAfter, caps.MaxRetryAfter)
 }
 
+func classNames(classes []balancer.Class) []string {
+	names := make([]string, len(classes))
+	for i, c := range classes {
+		names[i] = c.Name
+	}
+	return names
+}
+
 func longestClientTimeout(s *balancer.Config) time.Duration {
 	longest := time.Duration(0)
 	for _, c := range s.Classes {
--- a/internal/dataplane/engine/timers.go
+++ b/internal/dataplane/engine/timers.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Timer is an event at a time. Make it with Engine.At.
+// Timer is an event at a time on the engine's clock. Make it with Engine.Schedule.
 type Timer struct {
 	at        time.Duration
-	sequence  uint64 // of two at one time the older comes first
-	heapIndex int    // in the heap; -1 is out of it
+	sequence  uint64 // of two at one time the older goes first
+	heapIndex int    // -1 is not in the heap
 	event     func()
 }
 
@@ -21,20 +21,22 @@
 	return t
 }
 
-// StopTimer takes a timer back; nil and one that has gone off are let be. What clients
-// name as their time may be long: left in the heap, timers would keep calls in memory
-// that were answered long ago.
+// StopTimer stops a timer; nil and one that has fired are no error. Clients' timeouts may be long: left in the heap,
+// timers would keep calls in memory that were answered long ago.
 func (e *Engine) StopTimer(t *Timer) {
 	if t != nil && t.heapIndex >= 0 {
 		heap.Remove(&e.timers, t.heapIndex)
 	}
 }
 
-// TimerCount is how many are set.
+// TimerCount is how many timers are set.
 func (e *Engine) TimerCount() int { return len(e.timers) }
 
+// timerHeap has the next timer first.
 type timerHeap []*Timer
 
+var _ heap.Interface = (*timerHeap)(nil)
+
 func (h timerHeap) Len() int { return len(h) }
 func (h timerHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
@@ -45,12 +47,14 @@
 	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
+// Push implements heap.Interface.
 func (h *timerHeap) Push(x any) {
 	t := x.(*Timer)
 	t.heapIndex = len(*h)
 	*h = append(*h, t)
 }
 
+// Pop implements heap.Interface.
 func (h *timerHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
