--- a/internal/discovery/platformwatch/source.go
+++ b/internal/discovery/platformwatch/source.go
@@ -13,7 +13,7 @@
 // that Post leads to.
 type Sink interface {
 	Post(event func())
-	OnList(l engine.List)
+	OnList(l engine.Membership)
 }
 
 // Config is what a Source is told.
@@ -168,7 +168,7 @@
 	kind := balancer.MembershipDelta
 	switch {
 	case l.onlyDrains:
-		s.sink.OnList(engine.List{Kind: kind, Version: s.version, Entries: l.entries})
+		s.sink.OnList(engine.Membership{Kind: kind, Version: s.version, Entries: l.entries})
 		return
 	case l.Reset:
 		kind = balancer.MembershipFull
