--- a/internal/discovery/platformwatch/pursuit_test.go
+++ b/internal/discovery/platformwatch/callscheduler_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"slices"
@@ -320,7 +321,7 @@
 				t.Fatalf("list %d of %q: %q, %v, want %q", i, text, got, err, w)
 			}
 		}
-		if _, err := l.next(); err != io.ErrUnexpectedEOF {
+		if _, err := l.next(); !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Fatalf("the end: %v", err)
 		}
 	})
@@ -339,7 +340,7 @@
 	t.Parallel()
 	endless := io.MultiReader(strings.NewReader(`{"generation":1,"instances":[`), strings.NewReader(strings.Repeat("{},\n", maxListBytes/4)))
 	l := listReader{in: bufio.NewReader(endless)}
-	if _, err := l.next(); err != errListTooLong {
+	if _, err := l.next(); !errors.Is(err, errListTooLong) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/discovery/platformwatch/list.go
+++ b/internal/discovery/platformwatch/list.go
@@ -15,11 +15,11 @@
 	Reset      bool       `json:"reset"`
 	Instances  []Instance `json:"instances"`
 
-	entries    []engine.Entry // as Check gave them
-	onlyDrains bool           // it is a part of one that can't be used: its number says nothing
+	entries    []engine.Entry // of Instances
+	onlyDrains bool           // the drains of a list that can't be used: its generation does not count
 }
 
-// Instance is a backend in it.
+// Instance is a backend in a list.
 type Instance struct {
 	InstanceID  string  `json:"instanceId"`
 	HostPort    string  `json:"hostPort"`
@@ -31,7 +31,7 @@
 	StartedAtMs int64   `json:"startedAtMs"` // Unix time; 0 is long ago
 }
 
-// Names are the positions that the settings give the names of zones and of kinds.
+// Names are the indices that the settings give the names of zones and of kinds.
 type Names struct{ Zones, Kinds map[string]int }
 
 var lifecycles = map[string]balancer.State{
@@ -39,58 +39,43 @@
 	"Gone": balancer.Gone,
 }
 
-// ListError is a list, or a change to it, that can't be used. The one before stands.
-type ListError struct {
-	Instance string // its id, or its place in the list; "" is that the list itself can't be read
-	Key      string
-	Err      error // what is wrong, or what would be right
-}
-
-func (e *ListError) Error() string {
-	if e.Instance == "" {
-		return fmt.Sprintf("bad line: the list can't be read: %v", e.Err)
-	}
-	return fmt.Sprintf("bad line: instance %s: %s: %v", e.Instance, e.Key, e.Err)
-}
-func (e *ListError) Unwrap() error { return e.Err }
-
-// Advice says what an operator can do.
-func (e *ListError) Advice() string {
-	return "mend that entry where the platform keeps its list; until then this proxy goes by the list before, and heeds drains alone"
-}
-
-// ParseEntries reads the entries. A list with one bad entry is bad as a whole: half of it
-// would pass for all of it.
+// ParseEntries reads the entries. A list with one bad entry is bad as a whole: half of it would pass for all of it.
+// The error is a ListError.
 func (l *List) ParseEntries(names Names) ([]engine.Entry, error) {
 	entries := make([]engine.Entry, len(l.Instances))
-	for i, e := range l.Instances {
-		var err error
-		if entries[i], err = e.entry(i, names); err != nil {
+	for i, instance := range l.Instances {
+		entry, err := instance.entry(i, names)
+		if err != nil {
 			return nil, err
 		}
+		entries[i] = entry
 	}
 	return entries, nil
 }
 
-// drainsOnly is what a list that can't be used says, in entries that can, of backends that drain or are gone. Danger:
-// the rule on drains counts from when this was told, whatever else is wrong with the list.
+// drainsOnly is what a list that can't be used says, in entries that can, of backends that drain or are gone. A drain
+// counts from when this proxy was first notified of it, whatever else is wrong with the list.
 func (l *List) drainsOnly(names Names) *List {
-	part := &List{onlyDrains: true}
-	for i, e := range l.Instances {
-		if entry, err := e.entry(i, names); err == nil && entry.State != balancer.Ready {
-			part.Instances, part.entries = append(part.Instances, e), append(part.entries, entry)
+	drains := &List{onlyDrains: true}
+	for i, instance := range l.Instances {
+		entry, err := instance.entry(i, names)
+		if err != nil || entry.State == balancer.Ready {
+			continue
 		}
+		drains.Instances = append(drains.Instances, instance)
+		drains.entries = append(drains.entries, entry)
 	}
-	return part
+	return drains
 }
 
-func (e *Instance) entry(i int, names Names) (engine.Entry, error) {
+// entry reads an instance, the one at an index of the list.
+func (e *Instance) entry(index int, names Names) (engine.Entry, error) {
 	bad := func(key, format string, v ...any) (engine.Entry, error) {
 		which := e.InstanceID
 		if which == "" {
-			which = fmt.Sprint("number ", i+1)
+			which = fmt.Sprint("number ", index+1)
 		}
-		return engine.Entry{}, &ListError{which, key, fmt.Errorf(format, v...)}
+		return engine.Entry{}, &ListError{Instance: which, Key: key, Err: fmt.Errorf(format, v...)}
 	}
 	state, known := lifecycles[e.Lifecycle]
 	switch {
@@ -118,7 +103,7 @@
 	return entry, nil
 }
 
-// ForEngine is the list as the engine takes it.
+// ForEngine is the list in the engine's form.
 func (l *List) ForEngine(kind balancer.ListKind, entries []engine.Entry) engine.List {
 	return engine.List{Kind: kind, Version: l.Generation, Entries: entries}
 }
--- a/internal/discovery/platformwatch/lines.go
+++ b/internal/discovery/platformwatch/listreader.go
@@ -16,13 +16,14 @@
 // listReader reads a watch: lists, each an object over one line or several, and blank lines between them.
 type listReader struct {
 	in      *bufio.Reader
-	buffer  []byte // what has come of a list
-	depth   int    // of braces and brackets that are open
+	buffer  []byte // of the list that is being read
+	depth   int    // of open braces and brackets
 	quoted  bool   // within a string
 	escaped bool   // behind a backslash there
 }
 
-// next gives the next list's text, or nothing for a blank line. The text is good until the next call.
+// next returns the next list's text, or an empty one for a blank line, valid until the next call. Errors: a ListError
+// for a list that is too long, io.ErrUnexpectedEOF where the watch ends.
 func (l *listReader) next() ([]byte, error) {
 	l.buffer = l.buffer[:0]
 	for {
@@ -31,8 +32,8 @@
 			return nil, errListTooLong
 		}
 		if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
-			if err == io.EOF {
-				err = io.ErrUnexpectedEOF // a watch has no end
+			if errors.Is(err, io.EOF) {
+				return nil, io.ErrUnexpectedEOF // a watch has no end
 			}
 			return nil, err
 		}
@@ -45,7 +46,7 @@
 	}
 }
 
-// track follows what is open.
+// track follows which braces, brackets and strings are open.
 func (l *listReader) track(part []byte) {
 	for _, b := range part {
 		switch {
--- a/internal/discovery/platformwatch/source.go
+++ b/internal/discovery/platformwatch/source.go
@@ -3,53 +3,57 @@
 import (
 	"context"
 	"net/http"
+	"sync"
 	"sync/atomic"
 
 	"marlreel/internal/balancer"
 	"marlreel/internal/dataplane/engine"
 )
 
-// Sink takes what the source has to tell. All but Post are called on the goroutine
-// that Post leads to.
+// Sink handles what the source reports. OnList is called on the goroutine that Post leads to.
 type Sink interface {
 	Post(event func())
 	OnList(l engine.List)
 }
 
-// Config is what a Source is told.
+// Config is what a Source follows, and how.
 type Config struct {
-	Addr    string // of the platform's discovery
+	Addr    string // of the platform's discovery, host:port
 	Timings Timings
 	Names   Names
 	Logf    func(format string, args ...any)
 }
 
-// Source is where the engine watches the list. Of two addresses the older is watched
-// until the newer has told its list: a change leaves no gap, and an address that never
-// answers costs nothing. It goes on until it is told not to: nobody has to ask again. The engine's goroutine owns
-// it, but for Close.
+// Source follows the list for the engine. Of two addresses the older is watched until the newer has brought its list:
+// a change leaves no gap, and an address that never answers costs nothing. It goes on until it is told not to: nobody
+// has to ask again. The engine's goroutine owns it, but for Close.
 type Source struct {
 	config      Config
-	ctx         context.Context // of all that it starts
+	ctx         context.Context // of all that it starts: from New to Close
 	cancel      context.CancelFunc
+	running     sync.WaitGroup // of all that it starts
 	sink        Sink
 	client      *http.Client
 	version     uint32
-	versionAddr string   // the address whose numbers version is one of
-	current     *watcher // whose word counts; nil: nothing is watched
-	next        *watcher // takes over with its first word
+	versionAddr string   // the address that counts version
+	current     *watcher // whose lists count; nil: nothing is watched
+	next        *watcher // takes over with its first list
 	fetching    bool
 }
 
-// New makes a source that goes on from a version. Nothing is called before Watch or Fetch.
-func New(cfg Config, version uint32, sink Sink) *Source {
-	s := &Source{config: cfg, sink: sink, client: newClient(), version: version, versionAddr: cfg.Addr}
+// New returns a source that goes on from a version. Nothing is called before Watch or Fetch.
+func New(config Config, version uint32, sink Sink) *Source {
+	s := &Source{config: config, sink: sink, client: newClient(), version: version, versionAddr: config.Addr}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	return s
 }
 
-// Close ends all calls. Any goroutine may call it.
-func (s *Source) Close() { s.cancel() }
+// Close ends all calls and waits for them. Only after the goroutine that Post leads to has ended, or where Post does
+// not wait for it.
+func (s *Source) Close() {
+	s.cancel()
+	s.running.Wait()
+}
 
 // Reload puts another address in force, and other names.
 func (s *Source) Reload(addr string, names Names) {
@@ -69,8 +73,8 @@
 		return // nothing is watched; the next call goes to the new address
 	}
 	s.next.stop()
-	// The new address may number its lists otherwise: it is asked for the whole one,
-	// and the module reconciles. What stays in it keeps its health and connections.
+	// The new address may count its generations otherwise: its complete list is asked for, and reconciled. What stays
+	// in it keeps its health and connections.
 	s.next = s.startWatch()
 }
 
@@ -79,13 +83,14 @@
 	cancel  context.CancelFunc
 	addr    string
 	names   atomic.Pointer[Names]
-	version atomic.Uint32 // the last that it has told
+	version atomic.Uint32 // of the last list or change it brought
 }
 
-// newWatcher stands for calls at the address now in force. Danger: what it reads names from is its own, as SIGHUP writes
-// the source's.
+// newWatcher stands for calls at the address in force. Its goroutines read the names from a copy: SIGHUP writes the
+// source's.
 func (s *Source) newWatcher(cancel context.CancelFunc) *watcher {
-	w, names := &watcher{cancel: cancel, addr: s.config.Addr}, s.config.Names
+	w := &watcher{cancel: cancel, addr: s.config.Addr}
+	names := s.config.Names
 	w.names.Store(&names)
 	return w
 }
@@ -96,7 +101,7 @@
 	}
 }
 
-// Watch follows the list, or ceases to. What is watched already goes on: a call that is on its way is worth more than
+// Watch follows the list, or stops following it. What is watched already goes on: a call on its way is worth more than
 // a new one, which may have to wait its turn behind it.
 func (s *Source) Watch(on bool) {
 	if on && s.current == nil {
@@ -109,47 +114,50 @@
 	}
 }
 
-// Fetch asks for the whole list until it has come.
+// Fetch fetches the complete list, with as many attempts as it takes. One fetch runs at a time.
 func (s *Source) Fetch() {
 	if s.fetching {
 		return
 	}
 	s.fetching = true
 	w := s.newWatcher(nil)
-	d := s.follower(w)
-	d.onList = func(l *List) {
+	f := s.follower(w)
+	f.onList = func(l *List) {
 		s.sink.Post(func() {
 			s.fetching = false
 			s.handleList(w, l)
 		})
 	}
-	go d.fetchUntilDone(s.ctx)
+	s.running.Go(func() { f.fetchUntilDone(s.ctx) })
 }
 
-// startWatch watches the address in force, from the version on that it has told before.
-// Another address may number its lists otherwise: that one is asked for the whole.
+// startWatch watches the address in force, from the version that it has brought before. Another address may count its
+// generations otherwise: that one is asked for the complete list.
 func (s *Source) startWatch() *watcher {
 	ctx, cancel := context.WithCancel(s.ctx)
 	w := s.newWatcher(cancel)
 	if s.versionAddr == s.config.Addr {
 		w.version.Store(s.version)
 	}
-	d := s.follower(w)
-	go d.follow(ctx, w.version.Load())
+	f := s.follower(w)
+	version := w.version.Load()
+	s.running.Go(func() { f.follow(ctx, version) })
 	if s.config.Timings.ResyncInterval > 0 {
-		go d.resync(ctx, w.version.Load, func(l *List) {
-			s.sink.Post(func() {
-				// Danger: the watch may have told more since this was asked for.
-				if l.Generation > w.version.Load() && s.accepts(w) {
-					s.handleList(w, l)
-				}
-			})
-		})
+		s.running.Go(func() { f.resync(ctx, w.version.Load, func(l *List) { s.postResynced(w, l) }) })
 	}
 	return w
 }
 
-// follower makes calls at the address now in force.
+// postResynced hands on a list of the resync, unless the watch has brought more since it was asked for.
+func (s *Source) postResynced(w *watcher, l *List) {
+	s.sink.Post(func() {
+		if l.Generation > w.version.Load() && s.accepts(w) {
+			s.handleList(w, l)
+		}
+	})
+}
+
+// follower makes the calls at a watcher's address.
 func (s *Source) follower(w *watcher) *follower {
 	return &follower{
 		timings: s.config.Timings, names: &w.names, addr: w.addr, client: s.client, logf: s.config.Logf,
@@ -163,7 +171,7 @@
 	}
 }
 
-// handleList takes in what an address has told.
+// handleList hands on what an address has brought.
 func (s *Source) handleList(w *watcher, l *List) {
 	kind := balancer.ListDelta
 	switch {
@@ -173,15 +181,15 @@
 	case l.Reset:
 		kind = balancer.ListFull
 	case s.versionAddr == w.addr && l.Generation < s.version:
-		return // a check has told of it, and of more
+		return // a resync has brought it, and more
 	}
 	s.version, s.versionAddr = l.Generation, w.addr
 	w.version.Store(l.Generation)
 	s.sink.OnList(l.ForEngine(kind, l.entries))
 }
 
-// accepts tells whether a watcher's word still counts. The next one's first word makes
-// it the current one: what the older had on its way is void from then on.
+// accepts reports whether a watcher's lists still count. The next one's first list makes it the current one: what the
+// older one had on its way is void from then on.
 func (s *Source) accepts(w *watcher) bool {
 	if w == s.next {
 		s.current.stop()
--- /dev/null
+++ b/internal/discovery/platformwatch/watch.go
@@ -0,0 +1,169 @@
+package platformwatch
+
+import (
+	"bufio"
+	"context"
+	"math/rand/v2"
+	"strconv"
+	"sync"
+	"time"
+)
+
+// callEvent is what a call for a watch brings.
+type callEvent struct {
+	id   int
+	kind callEventKind
+	list *List // of a line that has one; at an end: drains that count all the same
+	err  error // at an end: why
+}
+
+type callEventKind uint8
+
+const (
+	headReceived callEventKind = iota
+	lineReceived               // complete; a list, or blank
+	callEnded
+)
+
+// watchLoop keeps one watch up. Calls are started, heard and cancelled by its goroutine alone, so a cancelled call is
+// not heard.
+type watchLoop struct {
+	*follower
+	scheduler  callScheduler
+	start      time.Time // of the scheduler's clock
+	generation uint32    // of the last list or change
+	events     chan callEvent
+	calls      map[int]context.CancelFunc // that run and have not been cancelled
+	running    sync.WaitGroup             // of all calls
+	lastError  string                     // as logged: a series of the same is logged once
+}
+
+// follow keeps a watch up, from a generation on, until ctx ends and all its calls have.
+func (f *follower) follow(ctx context.Context, generation uint32) {
+	loop := &watchLoop{
+		follower: f, start: time.Now(), generation: generation,
+		// A whole fleet may start with this process: as after a failure.
+		scheduler: callScheduler{timings: f.timings, jitter: rand.Float64, failures: 1},
+		events:    make(chan callEvent), calls: map[int]context.CancelFunc{},
+	}
+	loop.run(ctx)
+}
+
+func (l *watchLoop) run(ctx context.Context) {
+	defer l.running.Wait()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-timer.C:
+		case event := <-l.events:
+			l.handle(event)
+		}
+		overdue, id, next := l.scheduler.step(l.now())
+		l.cancelCalls(overdue)
+		if id != 0 {
+			l.startCall(ctx, id)
+		}
+		timer.Reset(max(next-l.now(), 0))
+	}
+}
+
+func (l *watchLoop) now() time.Duration { return time.Since(l.start) }
+
+func (l *watchLoop) startCall(ctx context.Context, id int) {
+	ctx, cancel := context.WithCancel(ctx)
+	l.calls[id] = cancel
+	generation := l.generation
+	l.running.Go(func() { l.watchOnce(ctx, id, generation, l.events) })
+}
+
+func (l *watchLoop) cancelCalls(ids []int) {
+	for _, id := range ids {
+		l.calls[id]()
+		delete(l.calls, id)
+	}
+}
+
+func (l *watchLoop) handle(event callEvent) {
+	switch event.kind {
+	case headReceived:
+		l.scheduler.onHead(l.now(), event.id)
+	case lineReceived:
+		l.onLine(event)
+	case callEnded:
+		l.onEnd(event)
+	}
+}
+
+func (l *watchLoop) onLine(event callEvent) {
+	unwanted, counts := l.scheduler.onLine(l.now(), event.id)
+	l.cancelCalls(unwanted)
+	if counts && event.list != nil {
+		l.generation, l.lastError = event.list.Generation, ""
+		l.onList(event.list)
+	}
+}
+
+func (l *watchLoop) onEnd(event callEvent) {
+	if l.calls[event.id] == nil {
+		return
+	}
+	l.cancelCalls([]int{event.id})
+	if event.list != nil {
+		l.onList(event.list) // drains of a list that can't be used; its generation does not count
+	}
+	wasLive := l.scheduler.onEnd(l.now(), event.id)
+	text := event.err.Error()
+	if wasLive || text != l.lastError {
+		l.lastError = text
+		l.logf("discovery: watch ended: %v", event.err)
+	}
+}
+
+// watchOnce makes one call for a watch, and sends what it brings until it ends or ctx does.
+func (f *follower) watchOnce(ctx context.Context, id int, generation uint32, events chan<- callEvent) {
+	send := func(event callEvent) bool {
+		event.id = id
+		select {
+		case events <- event:
+			return true
+		case <-ctx.Done():
+			return false
+		}
+	}
+	body, err := f.get(ctx, "?watch=1&from="+strconv.FormatUint(uint64(generation), 10))
+	if err != nil {
+		send(callEvent{kind: callEnded, err: err})
+		return
+	}
+	defer body.Close()
+	if !send(callEvent{kind: headReceived}) {
+		return
+	}
+	lists := listReader{in: bufio.NewReader(body)}
+	for {
+		list, err := f.nextList(&lists)
+		if err != nil {
+			// A line that can't be read may hide a change. The watch is dropped, the list so far stands, and
+			// the next watch brings what was missed.
+			send(callEvent{kind: callEnded, list: list, err: err})
+			return
+		}
+		if !send(callEvent{kind: lineReceived, list: list}) {
+			return
+		}
+	}
+}
+
+// nextList reads the next list of a watch; nil for a blank line.
+func (f *follower) nextList(lists *listReader) (*List, error) {
+	text, err := lists.next()
+	if err != nil || len(text) == 0 {
+		return nil, err
+	}
+	return f.parseList(text)
+}
