--- a/internal/discovery/platformwatch/callscheduler_test.go
+++ b/internal/discovery/platformwatch/callscheduler_test.go
@@ -43,63 +43,83 @@
 	{name: "has a late head alone", head: 790 * time.Millisecond},
 }
 
-// play runs a pursuit whose first calls go wrong and whose others are answered at once, from a moment on at which
-// the watch falls silent or ends, and gives how long it takes until something is said.
-func play(t *testing.T, pace Timings, silent bool, seed float64, first ...wrong) time.Duration {
-	type event struct {
-		at   time.Duration
-		do   func(now time.Duration)
-		call int
-	}
-	var events []event
-	p := callScheduler{timings: pace, jitter: func() float64 { return seed }, liveID: 1, lastID: 1}
+// play runs a scheduler whose first calls go wrong and whose others are answered at once, from a moment on at which
+// the watch falls silent or ends, and returns how long it takes until a line comes.
+func play(t *testing.T, timings Timings, silent bool, seed float64, first ...wrong) time.Duration {
+	t.Helper()
+	s := &simulation{first: first, scheduler: callScheduler{timings: timings, jitter: func() float64 { return seed }, liveID: 1, lastID: 1}}
 	if !silent {
-		p.onEnd(0, 1)
+		s.scheduler.onEnd(0, 1)
 	}
-	made, said, most := 0, time.Duration(0), 0
-	next := time.Duration(0)
-	for said == 0 {
-		now := next
-		for i, e := range events {
-			if e.at <= now {
-				now = e.at
-				events = slices.Delete(events, i, i+1)
-				e.do(now)
-				break
-			}
-		}
-		drop, start, wake := p.step(now)
-		events = slices.DeleteFunc(events, func(e event) bool { return slices.Contains(drop, e.call) })
+	for next := time.Duration(0); s.lineAt == 0; {
+		now := s.runEvent(next)
+		cancelled, start, wake := s.scheduler.step(now)
+		s.events = slices.DeleteFunc(s.events, func(e simulatedEvent) bool { return slices.Contains(cancelled, e.call) })
 		if start != 0 {
-			w := wrong{}
-			if made < len(first) {
-				w = first[made]
-			}
-			if made++; made > len(first) {
-				events = append(events, event{now + 50*time.Millisecond, func(now time.Duration) { said = now }, start})
-			} else if w.refused > 0 {
-				events = append(events, event{now + w.refused, func(now time.Duration) { p.onEnd(now, start) }, start})
-			} else if w.head > 0 {
-				events = append(events, event{now + w.head, func(now time.Duration) { p.onHead(now, start) }, start})
-			}
-			most = max(most, len(p.pending))
+			s.startCall(now, start)
 		}
 		if wake <= now && start == 0 {
 			t.Fatalf("it looks again at %v, and it is %v", wake, now)
 		}
 		next = wake
-		slices.SortFunc(events, func(x, y event) int { return int(x.at - y.at) })
-		if len(events) > 0 {
-			next = min(next, events[0].at)
+		slices.SortFunc(s.events, func(x, y simulatedEvent) int { return int(x.at - y.at) })
+		if len(s.events) > 0 {
+			next = min(next, s.events[0].at)
 		}
 		if now > time.Minute {
 			t.Fatal("nothing is ever heard")
 		}
 	}
-	if most > maxCalls {
-		t.Fatalf("%d calls at once", most)
+	if s.maxPending > maxCalls {
+		t.Fatalf("%d calls at once", s.maxPending)
+	}
+	return s.lineAt
+}
+
+// simulation is a scheduler and what its calls will bring.
+type simulation struct {
+	scheduler  callScheduler
+	first      []wrong // how the first calls go wrong
+	started    int
+	events     []simulatedEvent
+	lineAt     time.Duration // when a line came; 0: not yet
+	maxPending int
+}
+
+type simulatedEvent struct {
+	at   time.Duration
+	do   func(now time.Duration)
+	call int
+}
+
+// runEvent runs an event that is due, if any, and returns the time of it.
+func (s *simulation) runEvent(now time.Duration) time.Duration {
+	index := slices.IndexFunc(s.events, func(e simulatedEvent) bool { return e.at <= now })
+	if index < 0 {
+		return now
 	}
-	return said
+	event := s.events[index]
+	s.events = slices.Delete(s.events, index, index+1)
+	event.do(event.at)
+	return event.at
+}
+
+// startCall plans what a call brings.
+func (s *simulation) startCall(now time.Duration, id int) {
+	s.started++
+	switch {
+	case s.started > len(s.first):
+		s.plan(now+50*time.Millisecond, id, func(now time.Duration) { s.lineAt = now })
+	case s.first[s.started-1].refused > 0:
+		s.plan(now+s.first[s.started-1].refused, id, func(now time.Duration) { s.scheduler.onEnd(now, id) })
+	case s.first[s.started-1].head > 0:
+		s.plan(now+s.first[s.started-1].head, id, func(now time.Duration) { s.scheduler.onHead(now, id) })
+	}
+	s.maxPending = max(s.maxPending, len(s.scheduler.pending))
+}
+
+func (s *simulation) plan(at time.Duration, id int, do func(now time.Duration)) {
+	s.events = append(s.events, simulatedEvent{at, do, id})
 }
 
 // Whatever goes wrong with the watch and with two calls after it, alone and in a row, the sum holds; played, not
@@ -113,24 +133,25 @@
 	}
 }
 
-func holdsTo(t *testing.T, pace Timings, name string) {
+func holdsTo(t *testing.T, timings Timings, name string) {
+	t.Helper()
 	worst := time.Duration(0)
 	for _, silent := range []bool{true, false} {
 		for _, seed := range []float64{0, 0.5, 0.999} {
 			for _, a := range wrongs {
-				worst = max(worst, play(t, pace, silent, seed, a))
+				worst = max(worst, play(t, timings, silent, seed, a))
 				for _, b := range wrongs {
-					took := play(t, pace, silent, seed, a, b)
-					if worst = max(worst, took); took > pace.maxDelayByWatch() {
-						t.Errorf("%s, watch silent: %v, a call %s, then one %s: known after %v, summed %v", name, silent, a.name, b.name, took, pace.maxDelayByWatch())
+					took := play(t, timings, silent, seed, a, b)
+					if worst = max(worst, took); took > timings.maxDelayByWatch() {
+						t.Errorf("%s, watch silent: %v, a call %s, then one %s: known after %v, summed %v", name, silent, a.name, b.name, took, timings.maxDelayByWatch())
 					}
 				}
 			}
 		}
 	}
-	t.Logf("%s: %v at most, %v summed", name, worst, pace.maxDelayByWatch())
-	if worst < pace.maxDelayByWatch()/2 {
-		t.Errorf("%s: the sum is %v, and nothing takes more than %v: it says nothing", name, pace.maxDelayByWatch(), worst)
+	t.Logf("%s: %v at most, %v summed", name, worst, timings.maxDelayByWatch())
+	if worst < timings.maxDelayByWatch()/2 {
+		t.Errorf("%s: the sum is %v, and nothing takes more than %v: it says nothing", name, timings.maxDelayByWatch(), worst)
 	}
 }
 
@@ -139,8 +160,8 @@
 	t.Parallel()
 	for _, onRequest := range []bool{false, true} {
 		for _, down := range []time.Duration{time.Second, 8 * time.Second, time.Hour} {
-			pace := TimingsFor(onRequest, 30)
-			p := callScheduler{timings: pace, jitter: func() float64 { return 0.999 }, liveID: 1, lastID: 1}
+			timings := TimingsFor(onRequest, 30)
+			p := callScheduler{timings: timings, jitter: func() float64 { return 0.999 }, liveID: 1, lastID: 1}
 			p.onEnd(0, 1)
 			now := time.Duration(0)
 			for now <= down {
@@ -151,7 +172,7 @@
 				}
 				now = wake
 			}
-			if now-down > pace.MaxBackoff {
+			if now-down > timings.MaxBackoff {
 				t.Errorf("asked for: %v, down for %v: called %v after its return", onRequest, down, now-down)
 			}
 		}
@@ -165,13 +186,7 @@
 		const proxies, down = 300, 8 * time.Second
 		perSecond, last := make([]int, 9), map[time.Duration]int{}
 		for proxy := range proxies {
-			state := uint64(proxy)*0x9e3779b97f4a7c15 + 1
-			p := callScheduler{timings: TimingsFor(onRequest, proxies), liveID: 1, lastID: 1, jitter: func() float64 {
-				state ^= state << 13
-				state ^= state >> 7
-				state ^= state << 17
-				return float64(state>>11) / (1 << 53)
-			}}
+			p := callScheduler{timings: TimingsFor(onRequest, proxies), liveID: 1, lastID: 1, jitter: jitterOf(proxy)}
 			p.onEnd(0, 1) // all watches end at once
 			for now := time.Duration(0); now < down; {
 				_, start, wake := p.step(now)
@@ -225,74 +240,97 @@
 }
 
 func takesTurns(t *testing.T, proxies int, all, patience time.Duration) {
-	d := turns{each: all / time.Duration(proxies), patience: patience}
-	d.free = d.patience // it has just been busy
-	type proxy struct {
-		callScheduler
-		wake  time.Duration
-		turn  map[int]time.Duration // when its calls are answered
-		heard bool
-	}
-	fleet := make([]*proxy, proxies)
-	for i := range fleet {
-		state := uint64(i)*0x9e3779b97f4a7c15 + 1
-		fleet[i] = &proxy{turn: map[int]time.Duration{}, callScheduler: callScheduler{timings: TimingsFor(true, proxies), liveID: 1, lastID: 1, jitter: func() float64 {
-			state ^= state << 13
-			state ^= state >> 7
-			state ^= state << 17
-			return float64(state>>11) / (1 << 53)
-		}}}
-		fleet[i].onEnd(0, 1)
-	}
-	calls, last, left := 0, time.Duration(0), proxies
-	// One look of a proxy at a moment.
-	look := func(p *proxy, now time.Duration) {
-		for id, at := range p.turn {
-			if at <= now {
-				p.onLine(now, id)
-				p.heard, last, left = true, now, left-1
-				return
+	t.Helper()
+	f := newQueuedFleet(proxies, &turns{each: all / time.Duration(proxies), patience: patience, free: patience}) // it has just been busy
+	for now := time.Duration(0); f.left > 0 && now < time.Minute; now += time.Millisecond {
+		for _, p := range f.proxies {
+			if !p.heard {
+				f.look(p, now)
 			}
 		}
-		if now < p.wake {
-			return
-		}
-		drop, start, wake := p.step(now)
-		for _, id := range drop {
-			delete(p.turn, id)
-		}
-		p.wake = wake
-		if start == 0 {
-			return
-		}
-		calls++
-		if wait := max(d.free-now, 0) + d.each; wait <= d.patience {
-			d.free = now + wait
-			p.turn[start] = d.free
+	}
+	t.Logf("%d proxies, %v for all, %v of patience: the last is answered after %v, %d calls", proxies, all, patience, f.last, f.calls)
+	enough := patience + all + 2*time.Second
+	if patience > TimingsFor(true, proxies).QueueWait {
+		enough *= 3 // how long its calls wait has to be learnt
+	}
+	if f.left > 0 || f.last > enough {
+		t.Errorf("%d proxies, %v for all, %v of patience: %d were never answered, the last after %v, and %v is enough", proxies, all, patience, f.left, f.last, enough)
+	}
+}
+
+// queuedFleet is a fleet whose calls wait in turn.
+type queuedFleet struct {
+	discovery *turns
+	proxies   []*queuedProxy
+	calls     int
+	last      time.Duration // when one was last answered
+	left      int           // not answered yet
+}
+
+type queuedProxy struct {
+	callScheduler
+	wake  time.Duration
+	turn  map[int]time.Duration // when its calls are answered
+	heard bool
+}
+
+// newQueuedFleet makes proxies whose watches have all just ended.
+func newQueuedFleet(proxies int, discovery *turns) *queuedFleet {
+	f := &queuedFleet{discovery: discovery, left: proxies}
+	for i := range proxies {
+		p := &queuedProxy{turn: map[int]time.Duration{}, callScheduler: callScheduler{timings: TimingsFor(true, proxies), liveID: 1, lastID: 1, jitter: jitterOf(i)}}
+		p.onEnd(0, 1)
+		f.proxies = append(f.proxies, p)
+	}
+	return f
+}
+
+// jitterOf is the random numbers of one proxy (xorshift).
+func jitterOf(proxy int) func() float64 {
+	state := uint64(proxy)*0x9e3779b97f4a7c15 + 1
+	return func() float64 {
+		state ^= state << 13
+		state ^= state >> 7
+		state ^= state << 17
+		return float64(state>>11) / (1 << 53)
+	}
+}
+
+// look is what a proxy does at a moment.
+func (f *queuedFleet) look(p *queuedProxy, now time.Duration) {
+	for id, at := range p.turn {
+		if at <= now {
+			p.onLine(now, id)
+			p.heard, f.last = true, now
+			f.left--
 			return
 		}
-		p.onEnd(now, start)
-		for id := range p.turn {
-			p.onEnd(now, id)
-		}
-		clear(p.turn)
-		_, _, p.wake = p.step(now)
 	}
-	for now := time.Duration(0); left > 0 && now < time.Minute; now += time.Millisecond {
-		for _, p := range fleet {
-			if !p.heard {
-				look(p, now)
-			}
-		}
+	if now < p.wake {
+		return
 	}
-	t.Logf("%d proxies, %v for all, %v of patience: the last is answered after %v, %d calls", proxies, all, patience, last, calls)
-	most := d.patience + all + 2*time.Second
-	if patience > TimingsFor(true, proxies).QueueWait {
-		most *= 3 // how long its calls wait has to be learnt
+	cancelled, start, wake := p.step(now)
+	for _, id := range cancelled {
+		delete(p.turn, id)
+	}
+	p.wake = wake
+	if start == 0 {
+		return
+	}
+	f.calls++
+	d := f.discovery
+	if wait := max(d.free-now, 0) + d.each; wait <= d.patience {
+		d.free = now + wait
+		p.turn[start] = d.free
+		return
 	}
-	if left > 0 || last > most {
-		t.Errorf("%d proxies, %v for all, %v of patience: %d were never answered, the last after %v, and %v is enough", proxies, all, patience, left, last, most)
+	p.onEnd(now, start)
+	for id := range p.turn {
+		p.onEnd(now, id)
 	}
+	clear(p.turn)
+	_, _, p.wake = p.step(now)
 }
 
 // Lists come over one line or several, with blank lines between them, and are cut anywhere by the network.
--- a/internal/discovery/platformwatch/source_test.go
+++ b/internal/discovery/platformwatch/source_test.go
@@ -133,7 +133,7 @@
 func TestAWholeListIsWaitedFor(t *testing.T) {
 	t.Parallel()
 	const takes, patience = 250 * time.Millisecond, 100 * time.Millisecond
-	for name, pace := range map[string]Timings{"asked for": {QueueWait: patience}, "pushed": {}} {
+	for name, timings := range map[string]Timings{"asked for": {QueueWait: patience}, "pushed": {}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			raw, err := standin.StartRaw(func(c net.Conn, in *bufio.Reader) {
@@ -143,7 +143,9 @@
 				gone := make(chan struct{})
 				go func() {
 					defer close(gone)
-					in.Peek(1)
+					if _, err := in.Peek(1); err == nil {
+						t.Error("the client sent more than its request")
+					}
 				}()
 				select {
 				case <-time.After(takes):
@@ -157,9 +159,9 @@
 			}
 			t.Cleanup(raw.Close)
 			got := make(chan *List, 1)
-			pace.CallTimeout, pace.MinBackoff, pace.MaxBackoff = patience, time.Millisecond, 2*time.Millisecond
+			timings.CallTimeout, timings.MinBackoff, timings.MaxBackoff = patience, time.Millisecond, 2*time.Millisecond
 			d := &follower{
-				timings: pace, names: new(atomic.Pointer[Names]), addr: raw.Addr, client: newClient(), logf: t.Logf,
+				timings: timings, names: new(atomic.Pointer[Names]), addr: raw.Addr, client: newClient(), logf: t.Logf,
 				onList: func(l *List) { got <- l },
 			}
 			d.names.Store(&Names{})
