--- a/cmd/marlreelctl/main.go
+++ b/cmd/marlreelctl/main.go
@@ -109,14 +109,14 @@
 	if err != nil {
 		return fail(2, err)
 	}
-	if !own.Registry.On() {
+	if !own.Registry.Enabled() {
 		return fail(2, &UsageError{c.Config + ": registry.kind is not set: there is no registry"})
 	}
 	w, err := registry.NewWriter(own.Registry)
 	if err != nil {
 		return fail(2, err)
 	}
-	defer w.Next()
+	defer w.NextEndpoint()
 	if err := k.Run(&site{ctx, w, out}); err != nil {
 		return fail(1, err)
 	}
@@ -129,7 +129,7 @@
 		if err = what(); err == nil || !registry.Unreachable(err) || s.ctx.Err() != nil {
 			return err
 		}
-		s.w.Next()
+		s.w.NextEndpoint()
 	}
 	return err
 }
@@ -201,7 +201,7 @@
 
 func (listCmd) Run(s *site) error {
 	var w membership.Snapshot
-	if err := s.reach(tries, func() (err error) { w, err = s.w.Whole(s.ctx); return err }); err != nil {
+	if err := s.reach(tries, func() (err error) { w, err = s.w.ReadSnapshot(s.ctx); return err }); err != nil {
 		return err
 	}
 	if w.Stale {
@@ -239,7 +239,7 @@
 		return &NodeError{strconv.Quote(name), "is no node's name", nil}
 	}
 	return s.reach(tries, func() error {
-		i, err := registry.Read(s.ctx, s.w, name)
+		i, err := registry.ReadItem(s.ctx, s.w, name)
 		if err != nil {
 			return err
 		}
@@ -289,7 +289,7 @@
 
 func (c removeCmd) Run(s *site) error {
 	return s.reach(tries, func() error {
-		i, err := registry.Read(s.ctx, s.w, c.Name)
+		i, err := registry.ReadItem(s.ctx, s.w, c.Name)
 		switch {
 		case err != nil:
 			return err
@@ -310,7 +310,7 @@
 
 func (confirmCmd) Run(s *site) error {
 	return s.reach(tries, func() error {
-		if err := s.w.Put(s.ctx, membership.ConfirmKey, []byte(fmt.Sprintf(`{"at":%q}`, time.Now().UTC().Format(time.RFC3339))), registry.Any, ""); err != nil {
+		if err := s.w.Put(s.ctx, membership.ConfirmKey, []byte(fmt.Sprintf(`{"at":%q}`, time.Now().UTC().Format(time.RFC3339))), registry.AnyRevision, ""); err != nil {
 			return err
 		}
 		fmt.Fprintln(s.out, "confirmed: the proxies let go what is no longer in the list")
--- a/internal/discovery/registry/compatibility_test.go
+++ b/internal/discovery/registry/compatibility_test.go
@@ -58,31 +58,31 @@
 	io.WriteString(w, text)
 }
 
-// told writes down what a client tells.
-type told struct{ strings.Builder }
+// recorder writes down what a client tells.
+type recorder struct{ strings.Builder }
 
-func (w *told) item(i membership.Item) {
+func (w *recorder) item(i membership.Item) {
 	fmt.Fprintf(w, "    %s at %d: address %s, zone %s, kind %s, cell %d, draining %v, weight %v, started %d, can be read %v\n", i.Name, i.ModRevision,
 		i.Entry.Addr, i.Entry.Zone, i.Entry.Kind, i.Entry.Cell, i.Entry.Draining, i.Entry.Weight, i.Entry.Started, i.Malformed == "")
 }
 
-func (w *told) Whole(l membership.Snapshot) {
+func (w *recorder) OnSnapshot(l membership.Snapshot) {
 	fmt.Fprintf(w, "  list: history %d, revision %d, stale %v\n", l.History, l.Revision, l.Stale)
 	for _, i := range l.Items {
 		w.item(i)
 	}
 }
 
-func (w *told) Change(c membership.Update) {
+func (w *recorder) OnUpdate(c membership.Update) {
 	fmt.Fprintf(w, "  change at %d: deleted %q\n", c.Revision, c.Deletes)
 	for _, i := range c.Puts {
 		w.item(i)
 	}
 }
 
-func (w *told) Progress(revision int64) { fmt.Fprintf(w, "  progress %d\n", revision) }
-func (w *told) Compacted()              { fmt.Fprintln(w, "  compacted") }
-func (w *told) Lost(why string)         { fmt.Fprintln(w, "  lost:", why) }
+func (w *recorder) OnProgress(revision int64) { fmt.Fprintf(w, "  progress %d\n", revision) }
+func (w *recorder) OnCompacted()              { fmt.Fprintln(w, "  compacted") }
+func (w *recorder) OnLost(why string)         { fmt.Fprintln(w, "  lost:", why) }
 
 // exchangeWith makes all calls of a client against recorded answers, and gives what went out and what was understood.
 func exchangeWith(t *testing.T, kind, user string, answers []string, watches int) string {
@@ -95,7 +95,7 @@
 		t.Fatal(err)
 	}
 	c := DefaultConfig()
-	c.Kind, c.Endpoints, c.User, c.Password = kind, []string{server.URL}, user, secret
+	c.Kind, c.Endpoints, c.User, c.PasswordFile = kind, []string{server.URL}, user, secret
 	if err := c.Validate(); err != nil {
 		t.Fatal(err)
 	}
@@ -103,10 +103,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Next()
+	defer w.NextEndpoint()
 	ctx, done := context.WithTimeout(t.Context(), time.Minute)
 	defer done()
-	var got told
+	var got recorder
 	say := func(what string, err error) {
 		r.mu.Lock()
 		fmt.Fprintf(&got, "--- %s\n%s", what, r.calls.String())
@@ -115,19 +115,19 @@
 		switch { // by what it is: the words for people may change
 		case errors.Is(err, ErrConflict):
 			fmt.Fprintln(&got, "  written by another")
-		case errors.Is(err, ErrLease):
+		case errors.Is(err, ErrLeaseEnded):
 			fmt.Fprintln(&got, "  the lease has ended")
 		case errors.Is(err, ErrCompacted):
 			fmt.Fprintln(&got, "  compacted")
-		case errors.Is(err, ErrHistory):
+		case errors.Is(err, ErrHistoryReplaced):
 			fmt.Fprintln(&got, "  another history")
 		case err != nil:
 			t.Errorf("%s: %v", what, err)
 		}
 	}
-	list, err := w.Whole(ctx)
+	list, err := w.ReadSnapshot(ctx)
 	say("list", err)
-	got.Whole(list)
+	got.OnSnapshot(list)
 	for range watches {
 		err = w.Watch(ctx, list, &got)
 		say("watch", err)
@@ -135,9 +135,9 @@
 	value := []byte(`{"v":1,"address":"127.0.0.1:9001","zone":"koper","state":"ready"}`)
 	say("put if new", w.Put(ctx, "n1", value, 0, ""))
 	say("put over revision 15", w.Put(ctx, "n1", value, 15, ""))
-	say("put over anything under a lease", w.Put(ctx, "n1", value, Any, "77"))
+	say("put over anything under a lease", w.Put(ctx, "n1", value, AnyRevision, "77"))
 	say("delete at 16", w.Delete(ctx, "n1", 16))
-	say("delete whatever", w.Delete(ctx, "n1", Any))
+	say("delete whatever", w.Delete(ctx, "n1", AnyRevision))
 	lease, err := w.Grant(ctx, 1500*time.Millisecond)
 	say("grant", err)
 	fmt.Fprintf(&got, "  lease %s\n", lease)
@@ -203,7 +203,7 @@
 
 // A node's value in the registry, with all keys and with the least, and how each is read.
 func TestCompatibilityNodeValue(t *testing.T) {
-	var got told
+	var got recorder
 	for _, v := range []Value{
 		{Address: "127.0.0.1:9001", Zone: "koper", State: "ready"},
 		{Address: "127.0.0.1:9002", Zone: "maribor", Kind: "big-4c", Cell: 3, State: "draining", Weight: 1.5, Started: 1764490500250},
@@ -216,9 +216,9 @@
 			t.Errorf("%s is no JSON", text)
 		}
 		fmt.Fprintf(&got, "%s\n", text)
-		got.item(Item("marlreel/nodes/", "marlreel/nodes/n1", text, 5))
+		got.item(ParseItem("marlreel/nodes/", "marlreel/nodes/n1", text, 5))
 	}
-	got.item(Item("marlreel/nodes/", "marlreel/nodes/"+membership.ConfirmKey, []byte("17"), 6))
+	got.item(ParseItem("marlreel/nodes/", "marlreel/nodes/"+membership.ConfirmKey, []byte("17"), 6))
 	compareRecorded(t, "node-values.txt", []byte(got.String()))
 }
 
--- a/internal/discovery/registry/consul.go
+++ b/internal/discovery/registry/consul.go
@@ -20,16 +20,16 @@
 type consul struct{ *transport }
 
 type consulKV struct {
-	Key    string `json:"Key"`
-	Value  []byte `json:"Value"`
-	Modify int64  `json:"ModifyIndex"`
+	Key         string `json:"Key"`
+	Value       []byte `json:"Value"`
+	ModifyIndex int64  `json:"ModifyIndex"`
 }
 
 // blockFor is how long a query may wait for a change. Consul adds up to a sixteenth of it.
 const blockFor = 55 * time.Second
 
-// Whole implements Client. Where there is no leader, a server's own word is taken as what it is.
-func (c *consul) Whole(ctx context.Context) (membership.Snapshot, error) {
+// ReadSnapshot implements Client. Where there is no leader, a server's own word is taken as what it is.
+func (c *consul) ReadSnapshot(ctx context.Context) (membership.Snapshot, error) {
 	w, err := c.query(ctx, 0, "consistent")
 	if bad, is := err.(*callError); is && bad.Status >= 500 {
 		if old, err := c.query(ctx, 0, "stale"); err == nil {
@@ -41,7 +41,7 @@
 }
 
 // Watch implements Client: one query after the other.
-func (c *consul) Watch(ctx context.Context, from membership.Snapshot, told Told) error {
+func (c *consul) Watch(ctx context.Context, from membership.Snapshot, told Observer) error {
 	index := from.Revision
 	for {
 		w, err := c.query(ctx, index, "consistent")
@@ -49,11 +49,11 @@
 		case err != nil:
 			return err
 		case w.Revision < index:
-			return ErrHistory
+			return ErrHistoryReplaced
 		case w.Revision == index:
-			told.Progress(index)
+			told.OnProgress(index)
 		default:
-			told.Whole(w)
+			told.OnSnapshot(w)
 		}
 		index = w.Revision
 		// Jitter: of many proxies that wait for the same change.
@@ -67,7 +67,7 @@
 
 // query asks for all nodes, and waits for an index beyond the one given; 0 is not to wait.
 func (c *consul) query(ctx context.Context, index int64, mode string) (membership.Snapshot, error) {
-	within := callWithin
+	within := callTimeout
 	ask := "?recurse=true&" + mode
 	if index > 0 {
 		within += blockFor + blockFor/16
@@ -76,14 +76,14 @@
 	ctx, done := context.WithTimeout(ctx, within)
 	defer done()
 	head := http.Header{}
-	token, err := c.cfg.password()
+	token, err := c.config.password()
 	if err != nil {
 		return membership.Snapshot{}, err
 	}
 	if token != "" {
 		head.Set("X-Consul-Token", token)
 	}
-	r, err := c.call(ctx, http.MethodGet, "/v1/kv/"+escape(c.cfg.Prefix)+ask, head, nil)
+	r, err := c.call(ctx, http.MethodGet, "/v1/kv/"+escape(c.config.Prefix)+ask, head, nil)
 	if err != nil {
 		return membership.Snapshot{}, err
 	}
@@ -101,17 +101,17 @@
 		return w, nil
 	}
 	var all []consulKV
-	if err := json.NewDecoder(io.LimitReader(r.Body, longestBody)).Decode(&all); err != nil {
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes)).Decode(&all); err != nil {
 		return w, err
 	}
-	if len(all) > mostNodes {
-		return w, fmt.Errorf("more than %d keys under %s", mostNodes, c.cfg.Prefix)
+	if len(all) > maxNodes {
+		return w, fmt.Errorf("more than %d keys under %s", maxNodes, c.config.Prefix)
 	}
 	for _, kv := range all {
-		if kv.Key == c.cfg.Prefix {
+		if kv.Key == c.config.Prefix {
 			continue // the folder itself
 		}
-		w.Items = append(w.Items, Item(c.cfg.Prefix, kv.Key, kv.Value, kv.Modify))
+		w.Items = append(w.Items, ParseItem(c.config.Prefix, kv.Key, kv.Value, kv.ModifyIndex))
 	}
 	return w, nil
 }
--- a/internal/discovery/registry/errors.go
+++ b/internal/discovery/registry/errors.go
@@ -3,9 +3,9 @@
 import "fmt"
 
 // SettingError is a key of [registry] that makes no sense.
-type SettingError struct{ Key, Want string }
+type SettingError struct{ Key, Problem string }
 
-func (e *SettingError) Error() string { return e.Key + e.Want }
+func (e *SettingError) Error() string { return e.Key + e.Problem }
 
 // Advice says what an operator can do.
 func (e *SettingError) Advice() string {
@@ -68,15 +68,15 @@
 // Advice says what an operator can do.
 func (e *QuorumError) Advice() string { return "bring a majority of the registry's members back first" }
 
-// NameHeldError is a node's name that another has.
-type NameHeldError struct{ Name, Address string }
+// NameTakenError is a node's name that another has.
+type NameTakenError struct{ Name, Address string }
 
-func (e *NameHeldError) Error() string {
+func (e *NameTakenError) Error() string {
 	return fmt.Sprintf("%s is already at %s: another node has the name, or it was this one's until its lease ends", e.Name, e.Address)
 }
 
 // Advice says what an operator can do.
-func (e *NameHeldError) Advice() string {
+func (e *NameTakenError) Advice() string {
 	return "give each node a name of its own, or wait until the lease has ended"
 }
 
--- a/internal/discovery/registry/etcd.go
+++ b/internal/discovery/registry/etcd.go
@@ -28,9 +28,9 @@
 }
 
 type etcdKV struct {
-	Key   []byte `json:"key"`
-	Value []byte `json:"value"`
-	Mod   int64  `json:"mod_revision,string"`
+	Key         []byte `json:"key"`
+	Value       []byte `json:"value"`
+	ModRevision int64  `json:"mod_revision,string"`
 }
 
 type etcdRange struct {
@@ -75,7 +75,7 @@
 
 // post makes a call that has one answer.
 func (e *etcd) post(ctx context.Context, path string, ask, into any) error {
-	ctx, done := context.WithTimeout(ctx, callWithin)
+	ctx, done := context.WithTimeout(ctx, callTimeout)
 	defer done()
 	for again := false; ; again = true {
 		head, err := e.authorization(ctx)
@@ -87,13 +87,13 @@
 			return err
 		}
 		if r.StatusCode == http.StatusOK {
-			err := json.NewDecoder(io.LimitReader(r.Body, longestBody)).Decode(into)
+			err := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes)).Decode(into)
 			r.Body.Close()
 			return err
 		}
 		bad := readError(r)
 		r.Body.Close()
-		if !again && e.expired(bad) {
+		if !again && e.dropToken(bad) {
 			continue
 		}
 		return bad
@@ -102,38 +102,38 @@
 
 // authorization logs in where that is asked for and was not done.
 func (e *etcd) authorization(ctx context.Context) (http.Header, error) {
-	if e.cfg.User == "" {
+	if e.config.User == "" {
 		return nil, nil
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.token == "" {
-		password, err := e.cfg.password()
+		password, err := e.config.password()
 		if err != nil {
 			return nil, err
 		}
-		r, err := e.call(ctx, http.MethodPost, "/v3/auth/authenticate", nil, map[string]string{"name": e.cfg.User, "password": password})
+		r, err := e.call(ctx, http.MethodPost, "/v3/auth/authenticate", nil, map[string]string{"name": e.config.User, "password": password})
 		if err != nil {
 			return nil, err
 		}
 		defer r.Body.Close()
 		if r.StatusCode != http.StatusOK {
-			return nil, fmt.Errorf("user %s: %w", e.cfg.User, readError(r))
+			return nil, fmt.Errorf("user %s: %w", e.config.User, readError(r))
 		}
 		var got struct {
 			Token string `json:"token"`
 		}
 		if err := json.NewDecoder(io.LimitReader(r.Body, 1<<16)).Decode(&got); err != nil || got.Token == "" {
-			return nil, fmt.Errorf("user %s: no token (%v)", e.cfg.User, err)
+			return nil, fmt.Errorf("user %s: no token (%v)", e.config.User, err)
 		}
 		e.token = got.Token
 	}
 	return http.Header{"Authorization": {e.token}}, nil
 }
 
-// expired drops a token that is no longer taken.
-func (e *etcd) expired(bad *callError) bool {
-	if e.cfg.User == "" || bad.Code != codeUnauthenticated && bad.Status != http.StatusUnauthorized {
+// dropToken drops a token that is no longer taken.
+func (e *etcd) dropToken(bad *callError) bool {
+	if e.config.User == "" || bad.Code != codeUnauthenticated && bad.Status != http.StatusUnauthorized {
 		return false
 	}
 	e.mu.Lock()
@@ -142,24 +142,24 @@
 	return true
 }
 
-// Whole implements Client: page by page, all at the revision of the first. Where no member can tell what is
+// ReadSnapshot implements Client: page by page, all at the revision of the first. Where no member can tell what is
 // newest, one's own word is taken as what it is: perhaps old.
-func (e *etcd) Whole(ctx context.Context) (membership.Snapshot, error) {
-	w, err := e.whole(ctx, false)
+func (e *etcd) ReadSnapshot(ctx context.Context) (membership.Snapshot, error) {
+	w, err := e.rangeAll(ctx, false)
 	var bad *callError
 	if err != nil && (errors.As(err, &bad) && bad.Code != codeOutOfRange && bad.Status >= 500 || errors.Is(err, context.DeadlineExceeded)) && ctx.Err() == nil {
-		if old, err := e.whole(ctx, true); err == nil {
+		if old, err := e.rangeAll(ctx, true); err == nil {
 			return old, nil
 		}
 	}
 	return w, err
 }
 
-func (e *etcd) whole(ctx context.Context, stale bool) (membership.Snapshot, error) {
+func (e *etcd) rangeAll(ctx context.Context, stale bool) (membership.Snapshot, error) {
 	w := membership.Snapshot{Stale: stale}
-	key := []byte(e.cfg.Prefix)
+	key := []byte(e.config.Prefix)
 	for {
-		ask := map[string]any{"key": key, "range_end": rangeEnd(e.cfg.Prefix), "limit": pageOf, "serializable": stale || w.Revision > 0}
+		ask := map[string]any{"key": key, "range_end": rangeEnd(e.config.Prefix), "limit": pageSize, "serializable": stale || w.Revision > 0}
 		if w.Revision > 0 {
 			ask["revision"] = w.Revision
 		}
@@ -171,34 +171,34 @@
 			w.History, w.Revision = page.Header.Cluster, page.Header.Revision
 		}
 		for _, kv := range page.KVs {
-			w.Items = append(w.Items, Item(e.cfg.Prefix, string(kv.Key), kv.Value, kv.Mod))
+			w.Items = append(w.Items, ParseItem(e.config.Prefix, string(kv.Key), kv.Value, kv.ModRevision))
 		}
 		if !page.More || len(page.KVs) == 0 {
 			return w, nil
 		}
-		if len(w.Items) > mostNodes {
-			return w, fmt.Errorf("more than %d keys under %s", mostNodes, e.cfg.Prefix)
+		if len(w.Items) > maxNodes {
+			return w, fmt.Errorf("more than %d keys under %s", maxNodes, e.config.Prefix)
 		}
 		key = append(page.KVs[len(page.KVs)-1].Key, 0)
 	}
 }
 
-// watchSilence is how long a watch may say nothing: progress comes oftener where it is asked for.
-const watchSilence = 15 * time.Minute
+// watchTimeout is how long a watch may say nothing: progress comes oftener where it is asked for.
+const watchTimeout = 15 * time.Minute
 
 // Watch implements Client.
-func (e *etcd) Watch(ctx context.Context, from membership.Snapshot, told Told) error {
+func (e *etcd) Watch(ctx context.Context, from membership.Snapshot, told Observer) error {
 	head, err := e.authorization(ctx)
 	if err != nil {
 		return err
 	}
 	ctx, end := context.WithCancel(ctx)
 	defer end()
-	opening := newSilence(callWithin, end)
+	opening := newIdleTimeout(callTimeout, end)
 	defer opening.stop()
 	r, err := e.call(ctx, http.MethodPost, "/v3/watch", head, map[string]any{"create_request": map[string]any{
-		"key":       []byte(e.cfg.Prefix),
-		"range_end": rangeEnd(e.cfg.Prefix), "start_revision": from.Revision + 1, "progress_notify": true, "fragment": true,
+		"key":       []byte(e.config.Prefix),
+		"range_end": rangeEnd(e.config.Prefix), "start_revision": from.Revision + 1, "progress_notify": true, "fragment": true,
 	}})
 	if err != nil {
 		return err
@@ -206,7 +206,7 @@
 	defer r.Body.Close()
 	if r.StatusCode != http.StatusOK {
 		bad := readError(r)
-		e.expired(bad)
+		e.dropToken(bad)
 		return bad
 	}
 	// Progress may come minutes apart, and a machine that is cut off says nothing: whether it is there is
@@ -216,7 +216,7 @@
 	defer func() { end(); <-over }()
 	go func() {
 		defer close(over)
-		if err := e.stays(ctx); err != nil {
+		if err := e.checkMember(ctx); err != nil {
 			gone <- err
 			end()
 		}
@@ -230,8 +230,8 @@
 	}
 }
 
-// stays asks the member now and then whether it is there, until it isn't, or ctx ends.
-func (e *etcd) stays(ctx context.Context) error {
+// checkMember asks the member now and then whether it is there, until it isn't, or ctx ends.
+func (e *etcd) checkMember(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -239,7 +239,7 @@
 		case <-time.After(e.checkEvery):
 		}
 		var got etcdRange
-		ask := map[string]any{"key": []byte(e.cfg.Prefix), "limit": 1, "keys_only": true, "serializable": true}
+		ask := map[string]any{"key": []byte(e.config.Prefix), "limit": 1, "keys_only": true, "serializable": true}
 		if err := e.post(ctx, "/v3/kv/range", ask, &got); err != nil {
 			if ctx.Err() != nil {
 				return nil
@@ -250,9 +250,9 @@
 }
 
 // read tells what a watch brings.
-func (e *etcd) read(ctx context.Context, body io.Reader, opening *silence, from membership.Snapshot, told Told) error {
+func (e *etcd) read(ctx context.Context, body io.Reader, opening *idleTimeout, from membership.Snapshot, told Observer) error {
 	// A message has its bound; so has what fragments add up to.
-	in := &bounded{r: body, left: longestBody}
+	in := &boundedReader{r: body, left: maxBodyBytes}
 	d := json.NewDecoder(in)
 	var parts []membership.Update
 	total := 0
@@ -264,13 +264,13 @@
 			}
 			return err
 		}
-		in.left = longestBody
-		opening.after = watchSilence
-		opening.heard()
+		in.left = maxBodyBytes
+		opening.after = watchTimeout
+		opening.reset()
 		h := m.Result.Header
 		switch {
 		case m.Error != nil:
-			e.expired(m.Error)
+			e.dropToken(m.Error)
 			if m.Error.Code == codeOutOfRange {
 				return ErrCompacted
 			}
@@ -283,50 +283,50 @@
 			}
 			return fmt.Errorf("the watch was cancelled: %.200s", m.Result.Why)
 		case h.Cluster != from.History:
-			return ErrHistory
+			return ErrHistoryReplaced
 		case m.Result.Created:
 			if h.Revision < from.Revision {
-				return ErrHistory // or a member that lags: the whole list tells which
+				return ErrHistoryReplaced // or a member that lags: the whole list tells which
 			}
 			continue
 		}
 		for _, ev := range m.Result.Events {
-			if total++; total > 2*mostNodes {
-				return fmt.Errorf("more than %d changes in one message", 2*mostNodes)
+			if total++; total > 2*maxNodes {
+				return fmt.Errorf("more than %d changes in one message", 2*maxNodes)
 			}
 			// Transactions are told whole: one message may have several, and one may come in fragments.
-			if n := len(parts); n == 0 || parts[n-1].Revision != ev.KV.Mod {
-				parts = append(parts, membership.Update{Revision: ev.KV.Mod})
+			if n := len(parts); n == 0 || parts[n-1].Revision != ev.KV.ModRevision {
+				parts = append(parts, membership.Update{Revision: ev.KV.ModRevision})
 			}
 			c := &parts[len(parts)-1]
 			if ev.Type == "DELETE" {
-				c.Deletes = append(c.Deletes, strings.TrimPrefix(string(ev.KV.Key), e.cfg.Prefix))
+				c.Deletes = append(c.Deletes, strings.TrimPrefix(string(ev.KV.Key), e.config.Prefix))
 			} else {
-				c.Puts = append(c.Puts, Item(e.cfg.Prefix, string(ev.KV.Key), ev.KV.Value, ev.KV.Mod))
+				c.Puts = append(c.Puts, ParseItem(e.config.Prefix, string(ev.KV.Key), ev.KV.Value, ev.KV.ModRevision))
 			}
 		}
 		if m.Result.Fragment {
 			continue
 		}
 		for _, c := range parts {
-			told.Change(c)
+			told.OnUpdate(c)
 		}
 		if len(parts) == 0 {
-			told.Progress(h.Revision)
+			told.OnProgress(h.Revision)
 		}
 		parts, total = nil, 0
 	}
 }
 
-// bounded ends a message that is longer than it may be.
-type bounded struct {
+// boundedReader ends a message that is longer than it may be.
+type boundedReader struct {
 	r    io.Reader
 	left int
 }
 
-func (b *bounded) Read(p []byte) (int, error) {
+func (b *boundedReader) Read(p []byte) (int, error) {
 	if b.left <= 0 {
-		return 0, fmt.Errorf("a message of more than %d bytes", longestBody)
+		return 0, fmt.Errorf("a message of more than %d bytes", maxBodyBytes)
 	}
 	n, err := b.r.Read(p[:min(len(p), b.left)])
 	b.left -= n
--- a/internal/discovery/registry/registry.go
+++ b/internal/discovery/registry/registry.go
@@ -19,48 +19,48 @@
 	"marlreel/internal/discovery/membership"
 )
 
-// Told is what a client has to tell. Its methods are called on one goroutine.
-type Told interface {
-	Whole(w membership.Snapshot)
-	Change(c membership.Update)
-	Progress(revision int64)
-	Compacted()
-	Lost(why string)
+// Observer is what a client has to tell. Its methods are called on one goroutine.
+type Observer interface {
+	OnSnapshot(w membership.Snapshot)
+	OnUpdate(c membership.Update)
+	OnProgress(revision int64)
+	OnCompacted()
+	OnLost(why string)
 }
 
 // Client speaks one registry's protocol.
 type Client interface {
-	// Whole reads all nodes at one revision.
-	Whole(ctx context.Context) (membership.Snapshot, error)
+	// ReadSnapshot reads all nodes at one revision.
+	ReadSnapshot(ctx context.Context) (membership.Snapshot, error)
 	// Watch tells what comes after a revision until it breaks. ErrCompacted and ErrHistory say that the whole
 	// list is needed first.
-	Watch(ctx context.Context, w membership.Snapshot, told Told) error
-	// Next goes on to the next endpoint.
-	Next()
+	Watch(ctx context.Context, w membership.Snapshot, told Observer) error
+	// NextEndpoint goes on to the next endpoint.
+	NextEndpoint()
 }
 
 // Errors of Watch.
 var (
-	ErrCompacted = errors.New("the changes behind this revision are no longer there")
-	ErrHistory   = errors.New("the registry's history is another")
+	ErrCompacted       = errors.New("the changes behind this revision are no longer there")
+	ErrHistoryReplaced = errors.New("the registry's history is another")
 )
 
 const (
-	backoffLeast = 100 * time.Millisecond
-	backoffMost  = 5 * time.Second
-	callWithin   = 5 * time.Second
-	longestBody  = 64 << 20 // of a page or an event
-	pageOf       = 500      // keys
-	mostNodes    = 20_000
+	minBackoff   = 100 * time.Millisecond
+	maxBackoff   = 5 * time.Second
+	callTimeout  = 5 * time.Second
+	maxBodyBytes = 64 << 20 // of a page or an event
+	pageSize     = 500      // keys
+	maxNodes     = 20_000
 )
 
 // Follow keeps a list up to date until ctx ends. again asks for the whole list once more.
-func Follow(ctx context.Context, c Client, told Told, again <-chan struct{}) {
-	backoff := backoffLeast
+func Follow(ctx context.Context, c Client, told Observer, again <-chan struct{}) {
+	backoff := minBackoff
 	rest := func() {
 		// Jitter: a registry that was restarted is not met by all proxies at once.
 		d := backoff/2 + time.Duration(rand.Int64N(int64(backoff)))
-		backoff = min(2*backoff, backoffMost)
+		backoff = min(2*backoff, maxBackoff)
 		select {
 		case <-ctx.Done():
 		case <-time.After(d):
@@ -70,15 +70,15 @@
 	have := false
 	for ctx.Err() == nil {
 		if !have {
-			within, done := context.WithTimeout(ctx, 4*callWithin)
-			w, err := c.Whole(within)
+			within, done := context.WithTimeout(ctx, 4*callTimeout)
+			w, err := c.ReadSnapshot(within)
 			done()
 			if ctx.Err() != nil {
 				return
 			}
 			if err != nil {
-				told.Lost(oneLine(err))
-				c.Next()
+				told.OnLost(oneLine(err))
+				c.NextEndpoint()
 				rest()
 				continue
 			}
@@ -86,7 +86,7 @@
 			case <-again:
 			default:
 			}
-			told.Whole(w)
+			told.OnSnapshot(w)
 			held, have = w, true
 		}
 		began := time.Now()
@@ -101,52 +101,52 @@
 				asked <- false
 			}
 		}()
-		p := &position{Told: told, at: &held}
+		p := &trackingObserver{Observer: told, reached: &held}
 		err := c.Watch(watch, held, p)
 		stop()
 		wantWhole := <-asked
 		if ctx.Err() != nil {
 			return
 		}
-		if p.moved || time.Since(began) > 2*backoffMost {
-			backoff = backoffLeast
+		if p.moved || time.Since(began) > 2*maxBackoff {
+			backoff = minBackoff
 		}
 		switch {
 		case wantWhole:
 			have = false
 		case errors.Is(err, ErrCompacted):
-			told.Compacted()
+			told.OnCompacted()
 			have = false
-		case errors.Is(err, ErrHistory):
+		case errors.Is(err, ErrHistoryReplaced):
 			have = false
 		default:
-			told.Lost(oneLine(err))
-			c.Next()
+			told.OnLost(oneLine(err))
+			c.NextEndpoint()
 		}
 		rest()
 	}
 }
 
-// position follows how far a watch has come: the next one goes on from there.
-type position struct {
-	Told
-	at    *membership.Snapshot
-	moved bool
+// trackingObserver follows how far a watch has come: the next one goes on from there.
+type trackingObserver struct {
+	Observer
+	reached *membership.Snapshot
+	moved   bool
 }
 
-func (p *position) Whole(w membership.Snapshot) {
-	*p.at, p.moved = membership.Snapshot{History: w.History, Revision: w.Revision}, true
-	p.Told.Whole(w)
+func (p *trackingObserver) OnSnapshot(w membership.Snapshot) {
+	*p.reached, p.moved = membership.Snapshot{History: w.History, Revision: w.Revision}, true
+	p.Observer.OnSnapshot(w)
 }
 
-func (p *position) Change(c membership.Update) {
-	p.at.Revision, p.moved = max(p.at.Revision, c.Revision), true
-	p.Told.Change(c)
+func (p *trackingObserver) OnUpdate(c membership.Update) {
+	p.reached.Revision, p.moved = max(p.reached.Revision, c.Revision), true
+	p.Observer.OnUpdate(c)
 }
 
-func (p *position) Progress(revision int64) {
-	p.at.Revision, p.moved = max(p.at.Revision, revision), true
-	p.Told.Progress(revision)
+func (p *trackingObserver) OnProgress(revision int64) {
+	p.reached.Revision, p.moved = max(p.reached.Revision, revision), true
+	p.Observer.OnProgress(revision)
 }
 
 func oneLine(err error) string {
@@ -172,11 +172,11 @@
 	Started int64   `json:"started_ms,omitempty"` // Unix time
 }
 
-// longestValue bounds what one node may take.
-const longestValue = 4096
+// maxValueBytes bounds what one node may take.
+const maxValueBytes = 4096
 
-// Item reads a node's entry. What can't be read is an item that says why.
-func Item(prefix, key string, value []byte, mod int64) membership.Item {
+// ParseItem reads a node's entry. What can't be read is an item that says why.
+func ParseItem(prefix, key string, value []byte, mod int64) membership.Item {
 	name, ok := strings.CutPrefix(key, prefix)
 	i := membership.Item{Name: name, ModRevision: mod}
 	if ok && name == membership.ConfirmKey {
@@ -199,8 +199,8 @@
 }
 
 func parseValue(data []byte) (v Value, err error) {
-	if len(data) > longestValue {
-		return v, &ValueError{fmt.Sprintf("%d bytes, and %d are the most", len(data), longestValue)}
+	if len(data) > maxValueBytes {
+		return v, &ValueError{fmt.Sprintf("%d bytes, and %d are the most", len(data), maxValueBytes)}
 	}
 	d := json.NewDecoder(bytes.NewReader(data))
 	if err := d.Decode(&v); err != nil {
--- a/internal/discovery/registry/registry_test.go
+++ b/internal/discovery/registry/registry_test.go
@@ -73,23 +73,23 @@
 	f.do(event())
 }
 
-func (f *follower) Whole(w membership.Snapshot) {
+func (f *follower) OnSnapshot(w membership.Snapshot) {
 	f.on(func() []membership.Action { return f.model.OnSnapshot(f.now(), 0, w) })
 }
 
-func (f *follower) Change(c membership.Update) {
+func (f *follower) OnUpdate(c membership.Update) {
 	f.on(func() []membership.Action { return f.model.OnUpdate(f.now(), 0, c) })
 }
 
-func (f *follower) Progress(r int64) {
+func (f *follower) OnProgress(r int64) {
 	f.on(func() []membership.Action { return f.model.OnProgress(f.now(), 0, r) })
 }
 
-func (f *follower) Compacted() {
+func (f *follower) OnCompacted() {
 	f.on(func() []membership.Action { return f.model.OnCompacted(f.now(), 0) })
 }
 
-func (f *follower) Lost(why string) {
+func (f *follower) OnLost(why string) {
 	f.on(func() []membership.Action { return f.model.OnSourceLost(f.now(), 0, why) })
 }
 
@@ -128,7 +128,7 @@
 	t.Cleanup(func() {
 		stop()
 		<-done
-		c.Next()
+		c.NextEndpoint()
 	})
 	return f
 }
@@ -166,7 +166,7 @@
 	out := map[string]membership.Entry{}
 	for k, v := range r.State(revision) {
 		if strings.HasPrefix(k, prefix) {
-			if i := Item(prefix, k, []byte(v), 1); i.Malformed == "" {
+			if i := ParseItem(prefix, k, []byte(v), 1); i.Malformed == "" {
 				out[i.Name] = i.Entry
 			}
 		}
@@ -359,8 +359,8 @@
 		r.Txn(node(0, 1000, "ready"))
 		r.Login("proxy", "s3cret")
 		cfg := config(kind, r)
-		cfg.Password = filepath.Join(t.TempDir(), "password")
-		if err := os.WriteFile(cfg.Password, []byte("wrong\n"), 0o600); err != nil {
+		cfg.PasswordFile = filepath.Join(t.TempDir(), "password")
+		if err := os.WriteFile(cfg.PasswordFile, []byte("wrong\n"), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if kind == "etcd" {
@@ -368,7 +368,7 @@
 		}
 		f := follow(t, cfg, plain())
 		testutil.Eventually(t, "the refusal", func() bool { return f.said("lost (") })
-		if err := os.WriteFile(cfg.Password, []byte("s3cret\n"), 0o600); err != nil {
+		if err := os.WriteFile(cfg.PasswordFile, []byte("s3cret\n"), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		caughtUp(t, f, r)
@@ -507,7 +507,7 @@
 		t.Error(c.Validate())
 	}
 	off := DefaultConfig()
-	if off.On() || off.Validate() != nil {
+	if off.Enabled() || off.Validate() != nil {
 		t.Error("a registry that is off is wrong")
 	}
 	for want, change := range map[string]func(c *Config){
@@ -519,11 +519,11 @@
 		"registry.prefix":                              func(c *Config) { c.Prefix = "" },
 		"registry.cert and registry.key":               func(c *Config) { c.Cert = "x" },
 		"registry.password-file is missing":            func(c *Config) { c.User = "x" },
-		"registry.user: Consul has tokens":             func(c *Config) { c.Kind, c.User, c.Password = "consul", "x", "y" },
+		"registry.user: Consul has tokens":             func(c *Config) { c.Kind, c.User, c.PasswordFile = "consul", "x", "y" },
 		"registry.ca: open /nowhere":                   func(c *Config) { c.CA = "/nowhere" },
-		"registry.guard = 0":                           func(c *Config) { c.Guard = 0 },
-		"registry.flaps = -1":                          func(c *Config) { c.Flaps = -1 },
-		"registry.patience, settle and guard-over can": func(c *Config) { c.Patience = -1 },
+		"registry.guard = 0":                           func(c *Config) { c.MaxLossFraction = 0 },
+		"registry.flaps = -1":                          func(c *Config) { c.MaxFlaps = -1 },
+		"registry.patience, settle and guard-over can": func(c *Config) { c.LossTimeout = -1 },
 	} {
 		c := good()
 		change(&c)
@@ -542,7 +542,7 @@
 		f.Add("marlreel/nodes/n1", []byte(s))
 	}
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
-		i := Item(prefix, key, value, 3)
+		i := ParseItem(prefix, key, value, 3)
 		if i.Malformed == "" && (i.Name == "" || prefix+i.Name != key || i.Entry.Addr == "" || i.Entry.Zone == "" || !(i.Entry.Weight > 0) || i.ModRevision != 3) {
 			t.Errorf("%q: %+v", value, i)
 		}
--- a/internal/discovery/registry/transport.go
+++ b/internal/discovery/registry/transport.go
@@ -22,36 +22,36 @@
 
 // Config is what an operator sets of a registry.
 type Config struct {
-	Kind      string      `toml:"kind"`      // etcd, consul; "" is off
-	Endpoints []string    `toml:"endpoints"` // http://host:port, or https
-	Prefix    string      `toml:"prefix"`    // of the nodes' keys
-	User      string      `toml:"user"`
-	Password  string      `toml:"password-file"` // a file that holds the password, or Consul's token
-	CA        string      `toml:"ca"`            // files, PEM
-	Cert      string      `toml:"cert"`
-	Key       string      `toml:"key"`
-	Patience  strict.Span `toml:"patience"`   // for which a lost registry's list counts before the platform's
-	Settle    strict.Span `toml:"settle"`     // for which it must be well before it is moved to
-	Guard     float64     `toml:"guard"`      // part of the list that may go at once
-	GuardOver strict.Span `toml:"guard-over"` // what at once is
-	Flaps     float64     `toml:"flaps"`      // returns within flap-over after which an entry stays out for a while
-	FlapOver  strict.Span `toml:"flap-over"`
+	Kind            string      `toml:"kind"`      // etcd, consul; "" is off
+	Endpoints       []string    `toml:"endpoints"` // http://host:port, or https
+	Prefix          string      `toml:"prefix"`    // of the nodes' keys
+	User            string      `toml:"user"`
+	PasswordFile    string      `toml:"password-file"` // a file that holds the password, or Consul's token
+	CA              string      `toml:"ca"`            // files, PEM
+	Cert            string      `toml:"cert"`
+	Key             string      `toml:"key"`
+	LossTimeout     strict.Span `toml:"patience"`   // for which a lost registry's list counts before the platform's
+	FailbackDelay   strict.Span `toml:"settle"`     // for which it must be well before it is moved to
+	MaxLossFraction float64     `toml:"guard"`      // part of the list that may go at once
+	LossWindow      strict.Span `toml:"guard-over"` // what at once is
+	MaxFlaps        float64     `toml:"flaps"`      // returns within flap-over after which an entry stays out for a while
+	FlapDecay       strict.Span `toml:"flap-over"`
 }
 
 // DefaultConfig is a registry that is off.
 func DefaultConfig() Config {
 	return Config{
-		Prefix: "marlreel/nodes/", Patience: strict.Span(30 * time.Second), Settle: strict.Span(10 * time.Second), Guard: 0.5,
-		GuardOver: strict.Span(30 * time.Second), Flaps: 6, FlapOver: strict.Span(30 * time.Second),
+		Prefix: "marlreel/nodes/", LossTimeout: strict.Span(30 * time.Second), FailbackDelay: strict.Span(10 * time.Second), MaxLossFraction: 0.5,
+		LossWindow: strict.Span(30 * time.Second), MaxFlaps: 6, FlapDecay: strict.Span(30 * time.Second),
 	}
 }
 
-// On tells whether there is one.
-func (c *Config) On() bool { return c.Kind != "" }
+// Enabled tells whether there is one.
+func (c *Config) Enabled() bool { return c.Kind != "" }
 
 // Validate names the first thing that makes no registry.
 func (c *Config) Validate() error {
-	if !c.On() {
+	if !c.Enabled() {
 		if len(c.Endpoints) > 0 {
 			return &SettingError{"registry.kind", " is missing: etcd or consul is needed"}
 		}
@@ -66,16 +66,16 @@
 		return &SettingError{"registry.prefix", fmt.Sprintf(" = %q: 1 to 512 characters are needed, no ? and #", c.Prefix)}
 	case (c.Cert == "") != (c.Key == ""):
 		return &SettingError{"registry.cert", " and registry.key: both are needed, or neither"}
-	case c.User != "" && c.Password == "":
+	case c.User != "" && c.PasswordFile == "":
 		return &SettingError{"registry.password-file", " is missing: user needs it"}
 	case c.Kind == "consul" && c.User != "":
 		return &SettingError{"registry.user", ": Consul has tokens alone; password-file holds it"}
-	case c.Patience < 0 || c.Settle < 0 || c.GuardOver < 0 || c.FlapOver <= 0:
+	case c.LossTimeout < 0 || c.FailbackDelay < 0 || c.LossWindow < 0 || c.FlapDecay <= 0:
 		return &SettingError{"registry.patience", ", settle and guard-over can't be below 0, and flap-over must be above"}
-	case !(c.Guard > 0 && c.Guard <= 1):
-		return &SettingError{"registry.guard", fmt.Sprintf(" = %v: above 0 and up to 1 is needed", c.Guard)}
-	case !(c.Flaps >= 0):
-		return &SettingError{"registry.flaps", fmt.Sprintf(" = %v: 0 (never) or more is needed", c.Flaps)}
+	case !(c.MaxLossFraction > 0 && c.MaxLossFraction <= 1):
+		return &SettingError{"registry.guard", fmt.Sprintf(" = %v: above 0 and up to 1 is needed", c.MaxLossFraction)}
+	case !(c.MaxFlaps >= 0):
+		return &SettingError{"registry.flaps", fmt.Sprintf(" = %v: 0 (never) or more is needed", c.MaxFlaps)}
 	}
 	for _, e := range c.Endpoints {
 		u, err := url.Parse(e)
@@ -88,7 +88,7 @@
 
 // CheckFiles reads the files that the settings name, and says what is wrong with them.
 func (c *Config) CheckFiles() error {
-	if !c.On() {
+	if !c.Enabled() {
 		return nil
 	}
 	if _, err := c.tls(); err != nil {
@@ -121,10 +121,10 @@
 
 // password reads the secret anew each time: it may be turned over while this runs.
 func (c *Config) password() (string, error) {
-	if c.Password == "" {
+	if c.PasswordFile == "" {
 		return "", nil
 	}
-	data, err := os.ReadFile(c.Password)
+	data, err := os.ReadFile(c.PasswordFile)
 	if err != nil {
 		return "", &FileError{"registry.password-file", err}
 	}
@@ -145,12 +145,12 @@
 
 // transport makes calls at one endpoint after the other.
 type transport struct {
-	cfg        Config
+	config     Config
 	client     *http.Client
 	checkEvery time.Duration // how often a member with a watch is asked whether it is there
 
-	mu sync.Mutex
-	at int
+	mu            sync.Mutex
+	endpointIndex int
 }
 
 func newTransport(c Config) (*transport, error) {
@@ -160,9 +160,9 @@
 	}
 	// Two connections: a watch has one, calls the other. Both end with their silence, not by a time-out over
 	// the whole: a watch has none.
-	return &transport{cfg: c, checkEvery: 10 * time.Second, client: &http.Client{
+	return &transport{config: c, checkEvery: 10 * time.Second, client: &http.Client{
 		Transport: &http.Transport{
-			TLSClientConfig: t, DialContext: (&net.Dialer{Timeout: callWithin / 2}).DialContext, TLSHandshakeTimeout: callWithin / 2,
+			TLSClientConfig: t, DialContext: (&net.Dialer{Timeout: callTimeout / 2}).DialContext, TLSHandshakeTimeout: callTimeout / 2,
 			MaxIdleConns: 1, MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second, DisableCompression: true,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -172,13 +172,13 @@
 func (t *transport) endpoint() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return strings.TrimSuffix(t.cfg.Endpoints[t.at%len(t.cfg.Endpoints)], "/")
+	return strings.TrimSuffix(t.config.Endpoints[t.endpointIndex%len(t.config.Endpoints)], "/")
 }
 
-// Next implements Client.
-func (t *transport) Next() {
+// NextEndpoint implements Client.
+func (t *transport) NextEndpoint() {
 	t.mu.Lock()
-	t.at++
+	t.endpointIndex++
 	t.mu.Unlock()
 	t.client.CloseIdleConnections()
 }
@@ -249,14 +249,14 @@
 	return e
 }
 
-// silence ends a call whose answer stops coming: a machine that is cut off never says so.
-type silence struct {
+// idleTimeout ends a call whose answer stops coming: a machine that is cut off never says so.
+type idleTimeout struct {
 	timer *time.Timer
 	after time.Duration
 }
 
-func newSilence(after time.Duration, end func()) *silence {
-	return &silence{time.AfterFunc(after, end), after}
+func newIdleTimeout(after time.Duration, end func()) *idleTimeout {
+	return &idleTimeout{time.AfterFunc(after, end), after}
 }
-func (s *silence) heard() { s.timer.Reset(s.after) }
-func (s *silence) stop()  { s.timer.Stop() }
+func (s *idleTimeout) reset() { s.timer.Reset(s.after) }
+func (s *idleTimeout) stop()  { s.timer.Stop() }
--- a/internal/discovery/registry/write.go
+++ b/internal/discovery/registry/write.go
@@ -16,14 +16,14 @@
 	"marlreel/internal/discovery/membership"
 )
 
-// Any is the revision of a write that doesn't mind what stood before; 0 is that nothing did.
-const Any = -1
+// AnyRevision is the revision of a write that doesn't mind what stood before; 0 is that nothing did.
+const AnyRevision = -1
 
 // ErrConflict says that an entry was written by another meanwhile.
 var ErrConflict error = &ConflictError{}
 
-// ErrLease says that a lease has ended.
-var ErrLease error = &LeaseError{}
+// ErrLeaseEnded says that a lease has ended.
+var ErrLeaseEnded error = &LeaseError{}
 
 // Writer writes entries, each if it is still at the revision at which it was read.
 type Writer interface {
@@ -48,7 +48,7 @@
 
 // Put implements Writer.
 func (e *etcd) Put(ctx context.Context, name string, value []byte, at int64, lease string) error {
-	put := map[string]any{"key": []byte(e.cfg.Prefix + name), "value": value}
+	put := map[string]any{"key": []byte(e.config.Prefix + name), "value": value}
 	if lease != "" {
 		put["lease"] = lease
 	}
@@ -57,13 +57,13 @@
 
 // Delete implements Writer.
 func (e *etcd) Delete(ctx context.Context, name string, at int64) error {
-	return e.write(ctx, name, at, map[string]any{"request_delete_range": map[string]any{"key": []byte(e.cfg.Prefix + name)}})
+	return e.write(ctx, name, at, map[string]any{"request_delete_range": map[string]any{"key": []byte(e.config.Prefix + name)}})
 }
 
 func (e *etcd) write(ctx context.Context, name string, at int64, op map[string]any) error {
 	ask := map[string]any{"success": []any{op}}
-	if at != Any {
-		ask["compare"] = []any{map[string]any{"key": []byte(e.cfg.Prefix + name), "target": "MOD", "result": "EQUAL", "mod_revision": strconv.FormatInt(at, 10)}}
+	if at != AnyRevision {
+		ask["compare"] = []any{map[string]any{"key": []byte(e.config.Prefix + name), "target": "MOD", "result": "EQUAL", "mod_revision": strconv.FormatInt(at, 10)}}
 	}
 	var got struct {
 		Succeeded bool `json:"succeeded"`
@@ -72,7 +72,7 @@
 	var bad *callError
 	switch {
 	case errors.As(err, &bad) && strings.Contains(bad.Error(), "lease not found"):
-		return ErrLease
+		return ErrLeaseEnded
 	case err != nil:
 		return err
 	case !got.Succeeded:
@@ -107,7 +107,7 @@
 		return err
 	}
 	if n, _ := got.Result.TTL.Int64(); n <= 0 {
-		return ErrLease
+		return ErrLeaseEnded
 	}
 	return nil
 }
@@ -128,7 +128,7 @@
 	if err == nil && !done {
 		// Consul says no alike to a session that has ended and to an entry that has changed.
 		if lease != "" && c.Renew(ctx, lease) != nil {
-			return ErrLease
+			return ErrLeaseEnded
 		}
 		return ErrConflict
 	}
@@ -145,18 +145,18 @@
 }
 
 func (c *consul) write(ctx context.Context, method, name string, at int64, query url.Values, value []byte) (done bool, err error) {
-	if at != Any {
+	if at != AnyRevision {
 		query.Set("cas", strconv.FormatInt(at, 10))
 	}
-	err = c.answer(ctx, method, "/v1/kv/"+escape(c.cfg.Prefix+name)+"?"+query.Encode(), value, &done)
+	err = c.answer(ctx, method, "/v1/kv/"+escape(c.config.Prefix+name)+"?"+query.Encode(), value, &done)
 	return done, err
 }
 
 // answer makes a call that has one answer, in JSON.
 func (c *consul) answer(ctx context.Context, method, path string, body []byte, into any) error {
-	ctx, done := context.WithTimeout(ctx, callWithin)
+	ctx, done := context.WithTimeout(ctx, callTimeout)
 	defer done()
-	token, err := c.cfg.password()
+	token, err := c.config.password()
 	if err != nil {
 		return err
 	}
@@ -203,7 +203,7 @@
 	err := c.answer(ctx, http.MethodPut, "/v1/session/renew/"+url.PathEscape(lease), nil, &got)
 	var bad *callError
 	if errors.As(err, &bad) && bad.Status == http.StatusNotFound {
-		return ErrLease
+		return ErrLeaseEnded
 	}
 	return err
 }
@@ -214,9 +214,9 @@
 	return c.answer(ctx, http.MethodPut, "/v1/session/destroy/"+url.PathEscape(lease), nil, &got)
 }
 
-// Read gives an entry's value and revision; 0 is that there is none.
-func Read(ctx context.Context, w Writer, name string) (membership.Item, error) {
-	all, err := w.Whole(ctx)
+// ReadItem gives an entry's value and revision; 0 is that there is none.
+func ReadItem(ctx context.Context, w Writer, name string) (membership.Item, error) {
+	all, err := w.ReadSnapshot(ctx)
 	if err != nil {
 		return membership.Item{}, err
 	}
@@ -233,11 +233,11 @@
 
 // Registration is how a node keeps itself in the list.
 type Registration struct {
-	Name  string
-	Value Value
-	TTL   time.Duration // after which the list forgets a node that has stopped
-	Drain time.Duration // for which it stays in the list as draining before it leaves
-	Logf  func(format string, args ...any)
+	Name      string
+	Value     Value
+	TTL       time.Duration // after which the list forgets a node that has stopped
+	DrainTime time.Duration // for which it stays in the list as draining before it leaves
+	Logf      func(format string, args ...any)
 }
 
 // Register keeps a node in the list until ctx ends: under a lease that is kept alive, anew where it has ended
@@ -257,26 +257,26 @@
 	if err != nil {
 		return err
 	}
-	lease, backoff := "", backoffLeast
+	lease, backoff := "", minBackoff
 	for ctx.Err() == nil {
 		err := error(nil)
 		if lease == "" {
-			lease, err = enter(ctx, w, r, value)
+			lease, err = createEntry(ctx, w, r, value)
 		} else {
 			err = w.Renew(ctx, lease)
 		}
 		wait := r.TTL / 3
 		switch {
-		case errors.Is(err, ErrLease):
+		case errors.Is(err, ErrLeaseEnded):
 			r.Logf("registry: the lease of %s has ended: it enters anew", r.Name)
 			lease, wait = "", 0
 		case err != nil && ctx.Err() == nil:
 			r.Logf("registry: %s: %s", r.Name, oneLine(err))
-			w.Next()
+			w.NextEndpoint()
 			wait = min(backoff/2+time.Duration(rand.Int64N(int64(backoff))), r.TTL/3)
-			backoff = min(2*backoff, backoffMost)
+			backoff = min(2*backoff, maxBackoff)
 		default:
-			backoff = backoffLeast
+			backoff = minBackoff
 		}
 		select {
 		case <-ctx.Done():
@@ -289,10 +289,10 @@
 	// Danger: a node that just leaves has its requests cut off, and those on their way refused. The list says
 	// first that it drains; only then it goes.
 	renewed := time.Now()
-	if err := w.Put(leave, r.Name, last, Any, lease); err != nil {
+	if err := w.Put(leave, r.Name, last, AnyRevision, lease); err != nil {
 		r.Logf("registry: %s could not say that it drains: %s", r.Name, oneLine(err))
 	}
-	for end := time.Now().Add(r.Drain); time.Now().Before(end) && leave.Err() == nil; {
+	for end := time.Now().Add(r.DrainTime); time.Now().Before(end) && leave.Err() == nil; {
 		select {
 		case <-leave.Done():
 		case <-time.After(min(time.Until(end), r.TTL/3)):
@@ -305,15 +305,15 @@
 	return w.Revoke(leave, lease)
 }
 
-// enter puts a node into the list under a new lease. An entry of the same name that another node's lease holds
+// createEntry puts a node into the list under a new lease. An entry of the same name that another node's lease holds
 // is written over only where it is this node's own, from before: two nodes of one name are an error of a site.
-func enter(ctx context.Context, w Writer, r Registration, value []byte) (string, error) {
-	there, err := Read(ctx, w, r.Name)
+func createEntry(ctx context.Context, w Writer, r Registration, value []byte) (string, error) {
+	there, err := ReadItem(ctx, w, r.Name)
 	if err != nil {
 		return "", err
 	}
 	if there.ModRevision != 0 && there.Malformed == "" && there.Entry.Addr != r.Value.Address {
-		return "", &NameHeldError{r.Name, there.Entry.Addr}
+		return "", &NameTakenError{r.Name, there.Entry.Addr}
 	}
 	lease, err := w.Grant(ctx, r.TTL)
 	if err != nil {
--- a/internal/discovery/registry/write_test.go
+++ b/internal/discovery/registry/write_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.Next)
+	t.Cleanup(w.NextEndpoint)
 	return w
 }
 
@@ -43,7 +43,7 @@
 		if err := w.Put(t.Context(), "n1", value(t, "127.0.0.1:2", "ready"), 0, ""); !errors.Is(err, ErrConflict) {
 			t.Errorf("a second one that must be the first: %v", err)
 		}
-		i, err := Read(t.Context(), w, "n1")
+		i, err := ReadItem(t.Context(), w, "n1")
 		if err != nil || i.Entry.Addr != "127.0.0.1:1" {
 			t.Fatalf("%+v, %v", i, err)
 		}
@@ -54,17 +54,17 @@
 		if err := w.Delete(t.Context(), "n1", i.ModRevision); !errors.Is(err, ErrConflict) {
 			t.Errorf("a deletion of what has changed: %v", err)
 		}
-		if i, _ = Read(t.Context(), w, "n1"); !i.Entry.Draining {
+		if i, _ = ReadItem(t.Context(), w, "n1"); !i.Entry.Draining {
 			t.Errorf("%+v", i)
 		}
 		if err := w.Delete(t.Context(), "n1", i.ModRevision); err != nil {
 			t.Error(err)
 		}
-		if i, err = Read(t.Context(), w, "n1"); err != nil || i.ModRevision != 0 {
+		if i, err = ReadItem(t.Context(), w, "n1"); err != nil || i.ModRevision != 0 {
 			t.Errorf("%+v, %v", i, err)
 		}
 		r.Quorum(false)
-		if _, err = Read(t.Context(), w, "n9"); err == nil {
+		if _, err = ReadItem(t.Context(), w, "n9"); err == nil {
 			t.Error("what may be old is read for a write")
 		}
 	})
@@ -91,7 +91,7 @@
 		}
 		ctx, stop := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
-		reg := Registration{Name: "n1", Value: Value{Address: "127.0.0.1:1", Zone: "koper"}, TTL: time.Second, Drain: 300 * time.Millisecond, Logf: t.Logf}
+		reg := Registration{Name: "n1", Value: Value{Address: "127.0.0.1:1", Zone: "koper"}, TTL: time.Second, DrainTime: 300 * time.Millisecond, Logf: t.Logf}
 		go func() { ended <- Register(ctx, t.Context(), w, reg) }()
 		testutil.Eventually(t, "the node", func() bool { return state() == "ready" })
 		var mu sync.Mutex
@@ -154,7 +154,7 @@
 		}
 		stopAgain()
 		testutil.Receive(t, ended, "its end")
-		if err := w.Put(t.Context(), "n1", value(t, "127.0.0.1:1", "ready"), 0, "4711"); !errors.Is(err, ErrLease) {
+		if err := w.Put(t.Context(), "n1", value(t, "127.0.0.1:1", "ready"), 0, "4711"); !errors.Is(err, ErrLeaseEnded) {
 			t.Errorf("under a lease that there isn't: %v", err)
 		}
 	})
--- a/internal/discovery/sources/sources.go
+++ b/internal/discovery/sources/sources.go
@@ -33,8 +33,8 @@
 
 // The model's sources.
 const (
-	ofRegistry = iota
-	ofPlatform
+	registryIndex = iota
+	platformIndex
 )
 
 // Source is the engine's source. The engine's goroutine owns it, but for Close.
@@ -46,26 +46,26 @@
 	kinds    map[int]string
 	logf     func(format string, args ...any)
 
-	cfg     registry.Config
-	model   *membership.Model // nil: the platform alone
-	life    *life
-	version uint32 // the platform's last
-	number  uint32 // of the lists told here
-	due     time.Duration
-	told    bool // the platform has told a list in this process
-	lives   sync.WaitGroup
+	config           registry.Config
+	model            *membership.Model // nil: the platform alone
+	registryWatch    *registryWatch
+	platformVersion  uint32 // the platform's last
+	listVersion      uint32 // of the lists told here
+	nextTickAt       time.Duration
+	platformReported bool // the platform has told a list in this process
+	running          sync.WaitGroup
 }
 
-// life is one following of one registry. The word of one that is over counts no more.
-type life struct {
+// registryWatch is one following of one registry. The word of one that is over counts no more.
+type registryWatch struct {
 	cancel context.CancelFunc
-	again  chan struct{}
+	resync chan struct{}
 }
 
 // New makes a source. Nothing is called before Watch or Fetch, and Set.
 func New(cfg platformwatch.Config, version uint32, host Host) *Source {
-	s := &Source{host: host, logf: cfg.Logf, version: version, number: version, zones: map[int]string{}, kinds: map[int]string{}}
-	s.name(cfg.Names)
+	s := &Source{host: host, logf: cfg.Logf, platformVersion: version, listVersion: version, zones: map[int]string{}, kinds: map[int]string{}}
+	s.setNames(cfg.Names)
 	s.platform = platformwatch.New(cfg, version, platformSink{s})
 	return s
 }
@@ -78,12 +78,12 @@
 
 // Reload puts another address of the platform's discovery in force, and other names.
 func (s *Source) Reload(addr string, names platformwatch.Names) {
-	s.name(names)
+	s.setNames(names)
 	s.platform.Reload(addr, names)
 }
 
-// name notes what the places of zones and kinds are called.
-func (s *Source) name(names platformwatch.Names) {
+// setNames notes what the places of zones and kinds are called.
+func (s *Source) setNames(names platformwatch.Names) {
 	s.names.Store(&names)
 	clear(s.zones)
 	clear(s.kinds)
@@ -98,67 +98,67 @@
 // Close ends all calls. Only when the engine has ended, or before it runs.
 func (s *Source) Close() {
 	s.platform.Close()
-	if s.life != nil {
-		s.life.cancel()
+	if s.registryWatch != nil {
+		s.registryWatch.cancel()
 	}
-	s.lives.Wait()
+	s.running.Wait()
 }
 
-// Check tells whether a registry can be set.
-func Check(cfg registry.Config) error {
+// CheckRegistry tells whether a registry can be set.
+func CheckRegistry(cfg registry.Config) error {
 	if err := cfg.Validate(); err != nil {
 		return err
 	}
 	return cfg.CheckFiles()
 }
 
-// Set puts a registry in force, another one, or none.
-func (s *Source) Set(cfg registry.Config) error {
-	if reflect.DeepEqual(cfg, s.cfg) || !cfg.On() && !s.cfg.On() {
+// SetRegistry puts a registry in force, another one, or none.
+func (s *Source) SetRegistry(cfg registry.Config) error {
+	if reflect.DeepEqual(cfg, s.config) || !cfg.Enabled() && !s.config.Enabled() {
 		return nil
 	}
-	if err := Check(cfg); err != nil {
+	if err := CheckRegistry(cfg); err != nil {
 		return err
 	}
-	if s.life != nil {
-		s.life.cancel() // its last words are not heard; it ends by itself
-		s.life = nil
+	if s.registryWatch != nil {
+		s.registryWatch.cancel() // its last words are not heard; it ends by itself
+		s.registryWatch = nil
 	}
-	was := s.cfg
-	if s.cfg = cfg; !cfg.On() {
-		s.leave()
+	was := s.config
+	if s.config = cfg; !cfg.Enabled() {
+		s.stopModel()
 		return nil
 	}
 	client, err := registry.New(cfg)
 	if err != nil {
-		s.cfg = was
+		s.config = was
 		return err
 	}
 	if s.model == nil {
-		s.enter()
+		s.startModel()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &life{cancel, make(chan struct{}, 1)}
-	s.life = l
+	l := &registryWatch{cancel, make(chan struct{}, 1)}
+	s.registryWatch = l
 	s.logf("registry: following %s at %v", cfg.Kind, cfg.Endpoints)
-	s.lives.Go(func() {
-		registry.Follow(ctx, client, told{s, l}, l.again)
-		client.Next() // nothing is kept open
+	s.running.Go(func() {
+		registry.Follow(ctx, client, registryObserver{s, l}, l.resync)
+		client.NextEndpoint() // nothing is kept open
 	})
 	return nil
 }
 
-// enter begins to judge between two lists: the one that stands is the platform's.
-func (s *Source) enter() {
-	c := s.cfg
+// startModel begins to judge between two lists: the one that stands is the platform's.
+func (s *Source) startModel() {
+	c := s.config
 	s.model = membership.New(membership.Config{
-		Sources: []string{"registry", "platform"}, LossTimeout: c.Patience.D(), FailbackDelay: c.Settle.D(), MaxLossFraction: c.Guard,
-		LossWindow: c.GuardOver.D(), MaxFlaps: c.Flaps, FlapDecay: c.FlapOver.D(), MaxEntries: 20_000, EmitDeltas: true,
+		Sources: []string{"registry", "platform"}, LossTimeout: c.LossTimeout.D(), FailbackDelay: c.FailbackDelay.D(), MaxLossFraction: c.MaxLossFraction,
+		LossWindow: c.LossWindow.D(), MaxFlaps: c.MaxFlaps, FlapDecay: c.FlapDecay.D(), MaxEntries: 20_000, EmitDeltas: true,
 	})
-	w := membership.Snapshot{Revision: int64(s.version)}
+	w := membership.Snapshot{Revision: int64(s.platformVersion)}
 	known := map[string]membership.Entry{}
 	s.host.Backends(func(b *engine.Backend) {
-		i := membership.Item{Name: b.Name, ModRevision: int64(s.version), Entry: s.entryOf(b)}
+		i := membership.Item{Name: b.Name, ModRevision: int64(s.platformVersion), Entry: s.fromBackend(b)}
 		w.Items = append(w.Items, i)
 		known[i.Name] = i.Entry
 	})
@@ -167,22 +167,22 @@
 	}
 	// What stands may be the list from before this process. The platform goes on from it, so it has to know
 	// it; whose it is shows with the first word of either.
-	s.drop(s.model.OnCachedList(s.host.Now(), known))
+	s.applyWithoutLists(s.model.OnCachedList(s.host.Now(), known))
 	if s.heard() {
-		s.drop(s.model.OnSnapshot(s.host.Now(), ofPlatform, w))
+		s.applyWithoutLists(s.model.OnSnapshot(s.host.Now(), platformIndex, w))
 	}
 }
 
 // heard tells whether the platform has told a list in this process.
-func (s *Source) heard() bool { return s.told }
+func (s *Source) heard() bool { return s.platformReported }
 
-// leave ends it: the platform's list counts from now on, as far as it is known.
-func (s *Source) leave() {
-	list, known := s.model.SourceList(ofPlatform)
-	s.model, s.due = nil, 0
+// stopModel ends it: the platform's list counts from now on, as far as it is known.
+func (s *Source) stopModel() {
+	list, known := s.model.SourceList(platformIndex)
+	s.model, s.nextTickAt = nil, 0
 	s.logf("registry: off")
 	if known {
-		s.tell(list, false)
+		s.emitList(list, false)
 	}
 }
 
@@ -194,9 +194,9 @@
 // OnList takes the platform's word.
 func (p platformSink) OnList(l engine.List) {
 	s := p.Source
-	s.version, s.told = l.Version, true
+	s.platformVersion, s.platformReported = l.Version, true
 	if s.model == nil {
-		s.number = l.Version
+		s.listVersion = l.Version
 		s.host.List(l)
 		return
 	}
@@ -218,60 +218,60 @@
 	}
 	now := s.host.Now()
 	if l.Kind == balancer.ListDelta {
-		s.apply(s.model.OnUpdate(now, ofPlatform, membership.Update{Revision: int64(l.Version), Puts: puts, Deletes: gone}))
+		s.apply(s.model.OnUpdate(now, platformIndex, membership.Update{Revision: int64(l.Version), Puts: puts, Deletes: gone}))
 		return
 	}
-	s.apply(s.model.OnSnapshot(now, ofPlatform, membership.Snapshot{Revision: int64(l.Version), Items: puts}))
+	s.apply(s.model.OnSnapshot(now, platformIndex, membership.Snapshot{Revision: int64(l.Version), Items: puts}))
 }
 
-// told is what a registry's client tells, on its own goroutine.
-type told struct {
-	s *Source
-	l *life
+// registryObserver is what a registry's client tells, on its own goroutine.
+type registryObserver struct {
+	source *Source
+	watch  *registryWatch
 }
 
-func (t told) on(event func(m *membership.Model, now time.Duration) []membership.Action) {
-	t.s.host.Post(func() {
-		if t.s.life == t.l && t.s.model != nil {
-			t.s.apply(event(t.s.model, t.s.host.Now()))
+func (t registryObserver) post(event func(m *membership.Model, now time.Duration) []membership.Action) {
+	t.source.host.Post(func() {
+		if t.source.registryWatch == t.watch && t.source.model != nil {
+			t.source.apply(event(t.source.model, t.source.host.Now()))
 		}
 	})
 }
 
-func (t told) Whole(w membership.Snapshot) {
-	t.s.checkZones(w.Items)
-	t.on(func(m *membership.Model, now time.Duration) []membership.Action {
-		return m.OnSnapshot(now, ofRegistry, w)
+func (t registryObserver) OnSnapshot(w membership.Snapshot) {
+	t.source.markUnknownZones(w.Items)
+	t.post(func(m *membership.Model, now time.Duration) []membership.Action {
+		return m.OnSnapshot(now, registryIndex, w)
 	})
 }
 
-func (t told) Change(c membership.Update) {
-	t.s.checkZones(c.Puts)
-	t.on(func(m *membership.Model, now time.Duration) []membership.Action {
-		return m.OnUpdate(now, ofRegistry, c)
+func (t registryObserver) OnUpdate(c membership.Update) {
+	t.source.markUnknownZones(c.Puts)
+	t.post(func(m *membership.Model, now time.Duration) []membership.Action {
+		return m.OnUpdate(now, registryIndex, c)
 	})
 }
 
-func (t told) Progress(revision int64) {
-	t.on(func(m *membership.Model, now time.Duration) []membership.Action {
-		return m.OnProgress(now, ofRegistry, revision)
+func (t registryObserver) OnProgress(revision int64) {
+	t.post(func(m *membership.Model, now time.Duration) []membership.Action {
+		return m.OnProgress(now, registryIndex, revision)
 	})
 }
 
-func (t told) Compacted() {
-	t.on(func(m *membership.Model, now time.Duration) []membership.Action {
-		return m.OnCompacted(now, ofRegistry)
+func (t registryObserver) OnCompacted() {
+	t.post(func(m *membership.Model, now time.Duration) []membership.Action {
+		return m.OnCompacted(now, registryIndex)
 	})
 }
 
-func (t told) Lost(why string) {
-	t.on(func(m *membership.Model, now time.Duration) []membership.Action {
-		return m.OnSourceLost(now, ofRegistry, why)
+func (t registryObserver) OnLost(why string) {
+	t.post(func(m *membership.Model, now time.Duration) []membership.Action {
+		return m.OnSourceLost(now, registryIndex, why)
 	})
 }
 
-// checkZones marks entries in zones that the settings don't have. Names are never changed.
-func (s *Source) checkZones(items []membership.Item) {
+// markUnknownZones marks entries in zones that the settings don't have. Names are never changed.
+func (s *Source) markUnknownZones(items []membership.Item) {
 	zones := s.names.Load().Zones
 	for k := range items {
 		if i := &items[k]; i.Malformed == "" && i.Name != membership.ConfirmKey {
@@ -289,62 +289,62 @@
 		case membership.LogLine:
 			s.logf("list: %s", string(a))
 		case membership.RequestSnapshot:
-			if a.Source == ofPlatform {
+			if a.Source == platformIndex {
 				s.platform.Fetch()
-			} else if s.life != nil {
+			} else if s.registryWatch != nil {
 				select {
-				case s.life.again <- struct{}{}:
+				case s.registryWatch.resync <- struct{}{}:
 				default: // it is asked for already
 				}
 			}
 		case membership.FullList:
-			s.tell(a.Entries, a.Cached)
+			s.emitList(a.Entries, a.Cached)
 		case membership.Delta:
-			s.tellSome(a)
+			s.emitDelta(a)
 		}
 	}
-	s.schedule()
+	s.scheduleTick()
 }
 
-// drop carries out all but lists: the engine has this one.
-func (s *Source) drop(acts []membership.Action) {
+// applyWithoutLists carries out all but lists: the engine has this one.
+func (s *Source) applyWithoutLists(acts []membership.Action) {
 	s.apply(slices.DeleteFunc(acts, func(a membership.Action) bool { _, is := a.(membership.FullList); return is }))
 }
 
-// schedule sees to it that what time alone brings about happens.
-func (s *Source) schedule() {
+// scheduleTick sees to it that what time alone brings about happens.
+func (s *Source) scheduleTick() {
 	now := s.host.Now()
 	next := s.model.NextTick(now)
-	if next == 0 || s.due > now && s.due <= next {
+	if next == 0 || s.nextTickAt > now && s.nextTickAt <= next {
 		return
 	}
-	s.due = next
+	s.nextTickAt = next
 	s.host.At(next, func() {
-		if s.model != nil && s.due == next {
-			s.due = 0
+		if s.model != nil && s.nextTickAt == next {
+			s.nextTickAt = 0
 			s.apply(s.model.Tick(s.host.Now()))
 		}
 	})
 }
 
-// tell gives the engine a whole list.
-func (s *Source) tell(list map[string]membership.Entry, cached bool) {
+// emitList gives the engine a whole list.
+func (s *Source) emitList(list map[string]membership.Entry, cached bool) {
 	l := engine.List{Kind: balancer.ListFull, Entries: make([]engine.Entry, 0, len(list))}
 	if cached {
 		l.Kind = balancer.ListCached
 	}
-	s.number++
-	l.Version = s.number
+	s.listVersion++
+	l.Version = s.listVersion
 	for _, name := range slices.Sorted(maps.Keys(list)) {
 		l.Entries = append(l.Entries, s.toEngine(name, list[name]))
 	}
 	s.host.List(l)
 }
 
-// tellSome gives the engine a change.
-func (s *Source) tellSome(d membership.Delta) {
-	s.number++
-	l := engine.List{Kind: balancer.ListDelta, Version: s.number}
+// emitDelta gives the engine a change.
+func (s *Source) emitDelta(d membership.Delta) {
+	s.listVersion++
+	l := engine.List{Kind: balancer.ListDelta, Version: s.listVersion}
 	for _, name := range d.Removed { // first: another may have the address now
 		l.Entries = append(l.Entries, engine.Entry{Name: name, Zone: -1, Kind: -1, State: balancer.Gone})
 	}
@@ -373,8 +373,8 @@
 	return entry
 }
 
-// entryOf is a backend that stands, as an entry.
-func (s *Source) entryOf(b *engine.Backend) membership.Entry {
+// fromBackend is a backend that stands, as an entry.
+func (s *Source) fromBackend(b *engine.Backend) membership.Entry {
 	e := membership.Entry{Addr: b.Addr, Zone: s.zones[b.Zone], Kind: s.kinds[b.Kind], Cell: b.Cell, Draining: b.State == balancer.Draining, Weight: b.Weight}
 	if b.Started > 0 {
 		e.Started = s.host.Wall(b.Started).UnixMilli()
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -166,7 +166,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if own.Registry.On() {
+	if own.Registry.Enabled() {
 		version = 0 // beside another list the platform's has to be known whole
 	}
 	host, watchers := sources.Host(p.engine), []engine.Observer(nil)
@@ -184,7 +184,7 @@
 		Addr: cfg.Discovery, Timings: platformwatch.TimingsFor(cfg.Settings.PollMembership, cfg.Settings.Instances), Names: cfg.Names,
 		Logf: logs.Event(logger, "list"),
 	}, version, host)
-	if p.member != nil && own.Registry.On() {
+	if p.member != nil && own.Registry.Enabled() {
 		p.member.lists.origin = p.source.Origin
 	}
 	p.room = budget.New(cfg.BodyBytes())
@@ -231,9 +231,9 @@
 	}
 	engineCtx, stopEngine := context.WithCancel(context.Background())
 	go p.engine.Run(engineCtx)
-	if own.Registry.On() {
+	if own.Registry.Enabled() {
 		p.engine.Post(func() {
-			if err := p.source.Set(own.Registry); err != nil { // its files may have changed since they were checked
+			if err := p.source.SetRegistry(own.Registry); err != nil { // its files may have changed since they were checked
 				logger.Info(fmt.Sprintf("registry: %v: the platform's list alone counts", err), "event", "registry-off")
 			}
 		})
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -63,7 +63,7 @@
 		err = cfg.CheckNext(next.Config)
 	}
 	if err == nil && next.Own != nil {
-		err = sources.Check(next.Own.Registry)
+		err = sources.CheckRegistry(next.Own.Registry)
 	}
 	if err == nil && next.Own != nil && !reflect.DeepEqual(own.Fleet, next.Own.Fleet) {
 		logger.Info("reloaded: what has changed of fleet counts at the next start", "event", "settings-later")
@@ -124,7 +124,7 @@
 	}
 	p.source.Reload(next.Config.Discovery, next.Config.Names)
 	if next.Own != nil {
-		return p.source.Set(next.Own.Registry)
+		return p.source.SetRegistry(next.Own.Registry)
 	}
 	return nil
 }
--- a/internal/proxy/sources_test.go
+++ b/internal/proxy/sources_test.go
@@ -33,7 +33,7 @@
 	t.Cleanup(r.Close)
 	own := config.DefaultMarlreel()
 	own.Registry.Kind, own.Registry.Endpoints, own.Registry.Prefix = kind, []string{r.URL()}, nodesPrefix
-	own.Registry.Settle, own.Registry.Patience = strict.Span(50*time.Millisecond), strict.Span(200*time.Millisecond)
+	own.Registry.FailbackDelay, own.Registry.LossTimeout = strict.Span(50*time.Millisecond), strict.Span(200*time.Millisecond)
 	return r, own
 }
 
@@ -201,7 +201,7 @@
 				heap := m.HeapAlloc
 				ctx, stop := context.WithCancel(t.Context())
 				go p.engine.Run(ctx)
-				p.engine.Post(func() { p.source.Set(own.Registry) })
+				p.engine.Post(func() { p.source.SetRegistry(own.Registry) })
 				size := func(addr string) (list int, there bool) {
 					done := make(chan struct{})
 					p.engine.Post(func() {
