--- a/internal/dataplane/httpproxy/body.go
+++ b/internal/dataplane/httpproxy/body.go
@@ -105,7 +105,7 @@
 	}
 	wait, cancel := context.WithTimeout(ctx, roomWait)
 	defer cancel()
-	if s.room.Wait(wait, n, budget.Small) != nil {
+	if s.room.Acquire(wait, n, budget.Small) != nil {
 		return 0, errNoRoom
 	}
 	return n, nil
--- a/internal/dataplane/httpproxy/clients.go
+++ b/internal/dataplane/httpproxy/clients.go
@@ -141,7 +141,7 @@
 		given += pieceSize
 	}
 	if left := c.beforeLeft.Add(int64(-given)); left >= 0 {
-		c.beforeRoom.Give(given, budget.Large)
+		c.beforeRoom.Release(given, budget.Large)
 	}
 	return n, nil
 }
@@ -476,7 +476,7 @@
 	}
 	cs.mu.Unlock()
 	if left := c.beforeLeft.Swap(0); c.beforeRoom != nil && left > 0 {
-		c.beforeRoom.Give(int(left), budget.Large)
+		c.beforeRoom.Release(int(left), budget.Large)
 	}
 	if !lingers {
 		return c.Conn.Close()
--- a/internal/dataplane/httpproxy/download.go
+++ b/internal/dataplane/httpproxy/download.go
@@ -91,7 +91,7 @@
 	if n <= smallBody || room == nil {
 		return true
 	}
-	if !room.Take(n, budget.Small) {
+	if !room.TryAcquire(n, budget.Small) {
 		return false
 	}
 	r.held = n
@@ -148,7 +148,7 @@
 // release gives back the room that a reply has taken, and ends its stream.
 func (r *Reply) release(room *budget.Budget) {
 	if r.held > 0 {
-		room.Give(r.held, budget.Small)
+		room.Release(r.held, budget.Small)
 		r.held = 0
 	}
 	if r.stream != nil {
@@ -184,9 +184,9 @@
 	size := smallBody
 	if room != nil {
 		wait, cancel := context.WithTimeout(ctx, pieceWait)
-		if room.Wait(wait, pieceSize, budget.Small) == nil {
+		if room.Acquire(wait, pieceSize, budget.Small) == nil {
 			size = pieceSize
-			defer room.Give(pieceSize, budget.Small)
+			defer room.Release(pieceSize, budget.Small)
 		}
 		cancel()
 	}
--- a/internal/dataplane/httpproxy/handon.go
+++ b/internal/dataplane/httpproxy/handon.go
@@ -175,13 +175,13 @@
 	if len(come) > maxHead {
 		// And a piece more, which is given back first: with all the room full of what has come, none of
 		// it could be read on.
-		if held = len(come) + pieceSize; !s.room.Take(held, budget.Large) {
+		if held = len(come) + pieceSize; !s.room.TryAcquire(held, budget.Large) {
 			return errNoRoom
 		}
 	}
 	c := s.clients.admit(nc)
 	if c == nil {
-		s.room.Give(held, budget.Large)
+		s.room.Release(held, budget.Large)
 		return errors.New("all places are taken")
 	}
 	if len(come) == 0 {
--- a/internal/dataplane/httpproxy/handon_test.go
+++ b/internal/dataplane/httpproxy/handon_test.go
@@ -228,7 +228,7 @@
 		body := strings.Repeat("abcdefgh", 96<<10/8)
 		client := testutil.Dial(t, ln.Addr().String())
 		const others = 680 << 10
-		if !old.room.Take(others, budget.Large) {
+		if !old.room.TryAcquire(others, budget.Large) {
 			t.Fatal("no room to take")
 		}
 		fmt.Fprintf(client, "POST /bid/x HTTP/1.1\r\nHost: a\r\nX-Account: obala\r\nX-Time-Left: 9000m\r\n%s: 00000000000000aa\r\nContent-Length: %d\r\n\r\n",
@@ -243,7 +243,7 @@
 			return false
 		}
 		eventually(t, "it to be on its way", partly)
-		old.room.Give(others, budget.Large)
+		old.room.Release(others, budget.Large)
 		run()
 		io.WriteString(client, body[40<<10:80<<10])
 		eventually(t, "all to be read", func() bool {
--- a/internal/dataplane/httpproxy/harness_test.go
+++ b/internal/dataplane/httpproxy/harness_test.go
@@ -64,7 +64,7 @@
 	}
 	room := budget.New(1 << 20)
 	l.Engine, l.carrier = e, NewCarrier(e, 256, nil, room)
-	l.front = NewFront(e, l.carrier, room, logs.Plain(t.Output()))
+	l.front = NewFront(e, l.carrier, room, logs.NewWithoutTime(t.Output()))
 	t.Cleanup(l.carrier.Close)
 	e.Carry(l.carrier)
 	e.ProbeWith(l.carrier)
--- a/internal/dataplane/httpproxy/relay.go
+++ b/internal/dataplane/httpproxy/relay.go
@@ -58,9 +58,9 @@
 // run passes the answer on until its end, or until leave is closed and give has taken it.
 func (r *relay) run(room *budget.Budget, leave <-chan struct{}, give func() Giver) error {
 	size := smallBody
-	if room.Take(pieceSize, budget.Small) {
+	if room.TryAcquire(pieceSize, budget.Small) {
 		size = pieceSize
-		defer room.Give(pieceSize, budget.Small)
+		defer room.Release(pieceSize, budget.Small)
 	}
 	stop := make(chan struct{})
 	stopped := make(chan struct{})
--- a/internal/dataplane/httpproxy/server.go
+++ b/internal/dataplane/httpproxy/server.go
@@ -239,7 +239,7 @@
 		var held int
 		body, held, up, a = s.readBody(r, in)
 		if held > 0 {
-			defer s.room.Give(held, budget.Small)
+			defer s.room.Release(held, budget.Small)
 		}
 		if c != nil {
 			defer func() { c.body = nil }()
--- a/internal/dataplane/httpproxy/upload.go
+++ b/internal/dataplane/httpproxy/upload.go
@@ -51,7 +51,7 @@
 
 // open takes room for the first piece.
 func (u *upload) open(ctx context.Context) error {
-	if err := u.room.Wait(ctx, pieceSize, budget.Large); err != nil {
+	if err := u.room.Acquire(ctx, pieceSize, budget.Large); err != nil {
 		return err
 	}
 	u.pieces, u.held = append(u.pieces, make([]byte, 0, pieceSize)), pieceSize
@@ -72,7 +72,7 @@
 			u.mu.Unlock()
 			return p[len(p):cap(p)], nil
 		}
-		if u.held+pieceSize <= u.most && u.room.Take(pieceSize, budget.Large) {
+		if u.held+pieceSize <= u.most && u.room.TryAcquire(pieceSize, budget.Large) {
 			u.held += pieceSize
 			u.pieces = append(u.pieces, make([]byte, 0, pieceSize))
 			u.mu.Unlock()
@@ -261,6 +261,6 @@
 	u.change()
 	u.mu.Unlock()
 	if held > 0 {
-		u.room.Give(held, budget.Large)
+		u.room.Release(held, budget.Large)
 	}
 }
--- a/internal/dataplane/msgpackrpc/front.go
+++ b/internal/dataplane/msgpackrpc/front.go
@@ -52,7 +52,7 @@
 func NewFront(e *engine.Engine, carrier *Carrier, cfg *Config, logger *slog.Logger, counts *Counts) *Front {
 	f := &Front{
 		engine: e, carrier: carrier, cfg: cfg, limits: Limits{Message: cfg.MessageBytes, Depth: cfg.Nesting},
-		logf: logs.Event(logger, "rpc"), counts: counts,
+		logf: logs.ForEvent(logger, "rpc"), counts: counts,
 		conns: map[*callerConn]struct{}{}, quiet: make(chan struct{}),
 	}
 	return f
--- a/internal/process/background/background_test.go
+++ b/internal/process/background/background_test.go
@@ -43,16 +43,16 @@
 	ends := map[ID]time.Duration{}
 	for p.now < until {
 		if busy != nil {
-			s.Busy(busy(p.now))
+			s.SetOverloaded(busy(p.now))
 		}
 		for id, at := range ends {
 			if at <= p.now {
 				delete(ends, id)
 				p.spent = append(p.spent, spending{p.now, costs[id]})
-				s.End(p.now, id, costs[id], false)
+				s.OnRunEnded(p.now, id, costs[id], false)
 			}
 		}
-		for _, id := range s.Start(p.now) {
+		for _, id := range s.StartDue(p.now) {
 			if n := p.runs[id]; n > 0 {
 				p.worst[id] = max(p.worst[id], p.now-p.last[id])
 			}
@@ -71,19 +71,19 @@
 func TestPromises(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := Config{Share: rapid.Float64Range(0.01, 0.3).Draw(t, "share"), Burst: time.Duration(rapid.IntRange(1, 100).Draw(t, "burst")) * ms, Most: rapid.IntRange(1, 3).Draw(t, "most")}
+		cfg := Config{Cores: rapid.Float64Range(0.01, 0.3).Draw(t, "share"), Burst: time.Duration(rapid.IntRange(1, 100).Draw(t, "burst")) * ms, MaxRunning: rapid.IntRange(1, 3).Draw(t, "most")}
 		r := rand.New(rand.NewPCG(1, rapid.Uint64().Draw(t, "seed")))
 		s := New(cfg, 0, r.Float64)
 		costs, specs := map[ID]time.Duration{}, map[ID]Spec{}
 		wants, sum := 0.0, time.Duration(0)
 		for i := range rapid.IntRange(1, 6).Draw(t, "jobs") {
 			spec := Spec{
-				Name: fmt.Sprint("j", i), Priority: Priority(rapid.IntRange(0, 2).Draw(t, "priority")), Every: time.Duration(rapid.IntRange(20, 2000).Draw(t, "every")) * ms,
-				Cost: time.Duration(rapid.IntRange(0, 50).Draw(t, "thought")) * ms, Longest: time.Hour,
+				Name: fmt.Sprint("j", i), Priority: Priority(rapid.IntRange(0, 2).Draw(t, "priority")), Interval: time.Duration(rapid.IntRange(20, 2000).Draw(t, "every")) * ms,
+				EstimatedCost: time.Duration(rapid.IntRange(0, 50).Draw(t, "thought")) * ms, MaxDuration: time.Hour,
 			}
 			id := s.Add(0, spec)
 			costs[id], specs[id] = time.Duration(rapid.IntRange(1, 50).Draw(t, "true cost"))*ms, spec
-			wants += costs[id].Seconds() / spec.Every.Seconds()
+			wants += costs[id].Seconds() / spec.Interval.Seconds()
 			sum += costs[id]
 		}
 		const until = 20 * time.Second
@@ -92,24 +92,24 @@
 			used := time.Duration(0)
 			for _, x := range p.spent[i:] {
 				used += x.used
-				if most := time.Duration(float64(x.at-p.spent[i].at)*cfg.Share) + cfg.Burst + 2*sum; used > most {
+				if most := time.Duration(float64(x.at-p.spent[i].at)*cfg.Cores) + cfg.Burst + 2*sum; used > most {
 					t.Fatalf("%v used from %v to %v, %v is the most", used, p.spent[i].at, x.at, most)
 				}
 			}
 		}
-		if p.most > cfg.Most {
+		if p.most > cfg.MaxRunning {
 			t.Fatalf("%d at once", p.most)
 		}
 		// Nothing starves: where more is wanted than there is, all wait by the same factor, about, and get their
 		// turn within a few rounds of all of them.
-		over := max(1, wants/cfg.Share)
-		round := time.Duration(float64(sum+cfg.Burst) / cfg.Share)
+		over := max(1, wants/cfg.Cores)
+		round := time.Duration(float64(sum+cfg.Burst) / cfg.Cores)
 		for _, spec := range specs {
-			round += spec.Every
+			round += spec.Interval
 		}
 		for id, spec := range specs {
-			if gap := max(p.worst[id], until-p.last[id]); gap > 4*round+time.Duration(4*over*float64(spec.Every+costs[id])) {
-				t.Fatalf("%s (every %v, priority %d) waited for %v, a round is %v; wanted %.2f of a core, there is %.2f", spec.Name, spec.Every, spec.Priority, gap, round, wants, cfg.Share)
+			if gap := max(p.worst[id], until-p.last[id]); gap > 4*round+time.Duration(4*over*float64(spec.Interval+costs[id])) {
+				t.Fatalf("%s (every %v, priority %d) waited for %v, a round is %v; wanted %.2f of a core, there is %.2f", spec.Name, spec.Interval, spec.Priority, gap, round, wants, cfg.Cores)
 			}
 		}
 	})
@@ -118,47 +118,47 @@
 // What is more urgent goes first where both wait; in an overload and in a stop nothing else begins.
 func TestPriorities(t *testing.T) {
 	t.Parallel()
-	s := New(Config{Share: 0.1, Burst: 10 * ms, Most: 1}, 0, func() float64 { return 0 })
-	idle := s.Add(0, Spec{Name: "idle", Priority: Idle, Every: time.Second, Cost: 10 * ms})
-	usual := s.Add(0, Spec{Name: "usual", Priority: Usual, Every: time.Second, Cost: 10 * ms})
-	soon := s.Add(0, Spec{Name: "soon", Priority: Soon, Every: time.Second, Cost: 10 * ms})
+	s := New(Config{Cores: 0.1, Burst: 10 * ms, MaxRunning: 1}, 0, func() float64 { return 0 })
+	idle := s.Add(0, Spec{Name: "idle", Priority: Idle, Interval: time.Second, EstimatedCost: 10 * ms})
+	usual := s.Add(0, Spec{Name: "usual", Priority: Normal, Interval: time.Second, EstimatedCost: 10 * ms})
+	soon := s.Add(0, Spec{Name: "soon", Priority: Urgent, Interval: time.Second, EstimatedCost: 10 * ms})
 	now := time.Duration(0)
 	for _, want := range []ID{soon, usual, idle} {
-		if got := s.Start(now); len(got) != 1 || got[0] != want {
+		if got := s.StartDue(now); len(got) != 1 || got[0] != want {
 			t.Fatalf("at %v: %v, want %d", now, got, want)
 		}
-		s.End(now+10*ms, want, 10*ms, false)
-		if now = s.Next(now + 10*ms); now == 0 {
+		s.OnRunEnded(now+10*ms, want, 10*ms, false)
+		if now = s.NextStart(now + 10*ms); now == 0 {
 			t.Fatal("nothing comes")
 		}
 	}
 	costs := map[ID]time.Duration{idle: 10 * ms, usual: 10 * ms, soon: 10 * ms}
-	p := play(New(Config{Share: 0.1, Burst: 10 * ms, Most: 1}, 0, func() float64 { return 0.5 }), costs, time.Second, nil)
+	p := play(New(Config{Cores: 0.1, Burst: 10 * ms, MaxRunning: 1}, 0, func() float64 { return 0.5 }), costs, time.Second, nil)
 	if len(p.runs) != 0 {
 		t.Error("jobs that nobody added run")
 	}
-	s = New(Config{Share: 0.1, Burst: 50 * ms, Most: 2}, 0, rand.New(rand.NewPCG(1, 2)).Float64)
-	for _, x := range []Priority{Idle, Usual, Soon} {
-		s.Add(0, Spec{Name: fmt.Sprint(x), Priority: x, Every: 200 * ms, Cost: ms})
+	s = New(Config{Cores: 0.1, Burst: 50 * ms, MaxRunning: 2}, 0, rand.New(rand.NewPCG(1, 2)).Float64)
+	for _, x := range []Priority{Idle, Normal, Urgent} {
+		s.Add(0, Spec{Name: fmt.Sprint(x), Priority: x, Interval: 200 * ms, EstimatedCost: ms})
 	}
 	all := map[ID]time.Duration{1: ms, 2: ms, 3: ms}
 	p = play(s, all, 60*time.Second, func(time.Duration) bool { return true })
 	if p.runs[1]+p.runs[2] != 0 || p.runs[3] < 200 {
 		t.Errorf("a minute of overload: %v", p.runs)
 	}
-	if lines := strings.Join(s.Lines(), "\n"); strings.Contains(lines, "late") {
+	if lines := strings.Join(s.TakeLogLines(), "\n"); strings.Contains(lines, "late") {
 		t.Errorf("what may not run is late: %s", lines)
 	}
-	s.Busy(false)
-	if got := s.Start(61 * time.Second); len(got) < 2 {
+	s.SetOverloaded(false)
+	if got := s.StartDue(61 * time.Second); len(got) < 2 {
 		t.Errorf("after it: %v", got)
 	}
 	if running := s.Drain(); len(running) != 2 {
 		t.Errorf("called off at a stop: %v", running)
 	}
-	s.End(62*time.Second, 1, 0, false)
-	s.End(62*time.Second, 2, 0, false)
-	if got := s.Start(100 * time.Second); len(got) > 1 || len(got) == 1 && got[0] != 3 {
+	s.OnRunEnded(62*time.Second, 1, 0, false)
+	s.OnRunEnded(62*time.Second, 2, 0, false)
+	if got := s.StartDue(100 * time.Second); len(got) > 1 || len(got) == 1 && got[0] != 3 {
 		t.Errorf("in a stop: %v", got)
 	}
 }
@@ -167,45 +167,45 @@
 // one that asks for more than can be saved up runs all the same, and the others wait for its debt.
 func TestBadJobs(t *testing.T) {
 	t.Parallel()
-	s := New(Config{Share: 0.1, Burst: 20 * ms, Most: 1}, 0, func() float64 { return 0.5 })
-	never := s.Add(0, Spec{Name: "never", Priority: Soon, Every: 100 * ms, Cost: ms, Longest: 300 * ms})
-	other := s.Add(0, Spec{Name: "other", Priority: Idle, Every: 100 * ms, Cost: ms})
-	if got := s.Start(60 * ms); len(got) != 1 || got[0] != never {
+	s := New(Config{Cores: 0.1, Burst: 20 * ms, MaxRunning: 1}, 0, func() float64 { return 0.5 })
+	never := s.Add(0, Spec{Name: "never", Priority: Urgent, Interval: 100 * ms, EstimatedCost: ms, MaxDuration: 300 * ms})
+	other := s.Add(0, Spec{Name: "other", Priority: Idle, Interval: 100 * ms, EstimatedCost: ms})
+	if got := s.StartDue(60 * ms); len(got) != 1 || got[0] != never {
 		t.Fatalf("%v", got)
 	}
-	if got := s.Start(200 * ms); len(got) != 0 {
+	if got := s.StartDue(200 * ms); len(got) != 0 {
 		t.Errorf("two at once: %v", got)
 	}
-	if got := s.Start(400 * ms); len(got) != 1 || got[0] != other || !strings.Contains(strings.Join(s.Lines(), ""), "never has run for 340ms, and 300ms is the most") {
+	if got := s.StartDue(400 * ms); len(got) != 1 || got[0] != other || !strings.Contains(strings.Join(s.TakeLogLines(), ""), "never has run for 340ms, and 300ms is the most") {
 		t.Errorf("beside one that does not end: %v", got)
 	}
-	s.End(401*ms, other, ms, false)
+	s.OnRunEnded(401*ms, other, ms, false)
 	for now := 500 * ms; now < 5*time.Second; now += 50 * ms {
-		for _, id := range s.Start(now) {
+		for _, id := range s.StartDue(now) {
 			if id == never {
 				t.Fatal("it begins while it runs")
 			}
-			s.End(now+ms, id, ms, false)
+			s.OnRunEnded(now+ms, id, ms, false)
 		}
 	}
-	if lines := s.Lines(); len(lines) != 0 {
+	if lines := s.TakeLogLines(); len(lines) != 0 {
 		t.Errorf("said again: %v", lines)
 	}
-	s.End(5*time.Second, never, time.Second, false) // a second of a core: ten seconds' worth
-	if got := s.Start(6 * time.Second); len(got) != 0 {
+	s.OnRunEnded(5*time.Second, never, time.Second, false) // a second of a core: ten seconds' worth
+	if got := s.StartDue(6 * time.Second); len(got) != 0 {
 		t.Errorf("in debt: %v", got)
 	}
-	if got := s.Start(16 * time.Second); len(got) == 0 {
+	if got := s.StartDue(16 * time.Second); len(got) == 0 {
 		t.Error("after the debt nothing begins")
 	}
 
-	s = New(Config{Share: 1, Burst: time.Second, Most: 1}, 0, func() float64 { return 0.5 })
-	id := s.Add(0, Spec{Name: "fails", Priority: Usual, Every: 100 * ms})
+	s = New(Config{Cores: 1, Burst: time.Second, MaxRunning: 1}, 0, func() float64 { return 0.5 })
+	id := s.Add(0, Spec{Name: "fails", Priority: Normal, Interval: 100 * ms})
 	fails := 0
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * ms {
-		for range s.Start(now) {
+		for range s.StartDue(now) {
 			fails++
-			s.End(now, id, 0, true)
+			s.OnRunEnded(now, id, 0, true)
 		}
 	}
 	if fails < 10 || fails > 18 {
@@ -218,12 +218,12 @@
 	t.Parallel()
 	begins := map[time.Duration]int{}
 	for n := range 100 {
-		s := New(Config{Share: 1, Burst: time.Second, Most: 1}, 0, rand.New(rand.NewPCG(uint64(n), 1)).Float64)
-		s.Add(0, Spec{Name: "j", Priority: Usual, Every: time.Second, Cost: ms})
+		s := New(Config{Cores: 1, Burst: time.Second, MaxRunning: 1}, 0, rand.New(rand.NewPCG(uint64(n), 1)).Float64)
+		s.Add(0, Spec{Name: "j", Priority: Normal, Interval: time.Second, EstimatedCost: ms})
 		for now := time.Duration(0); now < 5*time.Second; now += 10 * ms {
-			for _, id := range s.Start(now) {
+			for _, id := range s.StartDue(now) {
 				begins[now/(100*ms)]++
-				s.End(now, id, ms, false)
+				s.OnRunEnded(now, id, ms, false)
 			}
 		}
 	}
@@ -239,7 +239,7 @@
 func TestRunner(t *testing.T) {
 	var lines testutil.LockedLog
 	var mu sync.Mutex
-	r := NewRunner(Config{Share: 1, Burst: time.Second, Most: 4}, func(format string, v ...any) {
+	r := NewRunner(Config{Cores: 1, Burst: time.Second, MaxRunning: 4}, func(format string, v ...any) {
 		mu.Lock()
 		defer mu.Unlock()
 		fmt.Fprintf(&lines, format+"\n", v...)
@@ -248,11 +248,11 @@
 	ended := make(chan struct{})
 	go func() { defer close(ended); r.Run(ctx, 200*ms) }()
 	var good, bad atomic.Int64
-	r.Add(Spec{Name: "good", Priority: Usual, Every: 5 * ms}, func(context.Context) error { good.Add(1); return nil })
-	r.Add(Spec{Name: "panics", Priority: Usual, Every: 5 * ms}, func(context.Context) error { bad.Add(1); panic("by mistake") })
-	r.Add(Spec{Name: "fails", Priority: Usual, Every: 5 * ms}, func(context.Context) error { return errors.New("no such thing") })
+	r.Add(Spec{Name: "good", Priority: Normal, Interval: 5 * ms}, func(context.Context) error { good.Add(1); return nil })
+	r.Add(Spec{Name: "panics", Priority: Normal, Interval: 5 * ms}, func(context.Context) error { bad.Add(1); panic("by mistake") })
+	r.Add(Spec{Name: "fails", Priority: Normal, Interval: 5 * ms}, func(context.Context) error { return errors.New("no such thing") })
 	called, release := make(chan struct{}), make(chan struct{})
-	r.Add(Spec{Name: "long", Priority: Idle, Every: 5 * ms, Longest: time.Hour}, func(ctx context.Context) error {
+	r.Add(Spec{Name: "long", Priority: Idle, Interval: 5 * ms, MaxDuration: time.Hour}, func(ctx context.Context) error {
 		<-ctx.Done()
 		select {
 		case <-called:
@@ -278,12 +278,12 @@
 		t.Errorf("%s", lines.String())
 	}
 	close(release)
-	r.runs.Wait()
+	r.running.Wait()
 }
 
 // A run's cost is its thread's time, not the clock's.
 func TestCostIsTheCores(t *testing.T) {
-	used, err := measured(t.Context(), func(context.Context) error { time.Sleep(300 * ms); return nil })
+	used, err := runMeasured(t.Context(), func(context.Context) error { time.Sleep(300 * ms); return nil })
 	if err != nil || used > 200*ms {
 		t.Errorf("sleeping took %v of a core (%v)", used, err)
 	}
--- a/internal/process/background/runner.go
+++ b/internal/process/background/runner.go
@@ -13,29 +13,29 @@
 	logf func(format string, args ...any)
 
 	mu    sync.Mutex
-	s     *Scheduler
-	began time.Time
-	does  map[ID]func(context.Context) error
-	stops map[ID]context.CancelFunc
+	scheduler     *Scheduler
+	startedAt time.Time
+	functions  map[ID]func(context.Context) error
+	cancels map[ID]context.CancelFunc
 	wake  chan struct{}
-	runs  sync.WaitGroup
+	running  sync.WaitGroup
 }
 
 // NewRunner makes one.
 func NewRunner(cfg Config, logf func(format string, args ...any)) *Runner {
 	return &Runner{
-		logf: logf, s: New(cfg, 0, rand.Float64), began: time.Now(), does: map[ID]func(context.Context) error{},
-		stops: map[ID]context.CancelFunc{}, wake: make(chan struct{}, 1),
+		logf: logf, scheduler: New(cfg, 0, rand.Float64), startedAt: time.Now(), functions: map[ID]func(context.Context) error{},
+		cancels: map[ID]context.CancelFunc{}, wake: make(chan struct{}, 1),
 	}
 }
 
-func (r *Runner) now() time.Duration { return time.Since(r.began) }
+func (r *Runner) now() time.Duration { return time.Since(r.startedAt) }
 
-// do changes the scheduler, and has it looked at.
-func (r *Runner) do(how func()) {
+// update changes the scheduler, and has it looked at.
+func (r *Runner) update(how func()) {
 	r.mu.Lock()
 	how()
-	lines := r.s.Lines()
+	lines := r.scheduler.TakeLogLines()
 	r.mu.Unlock()
 	for _, l := range lines {
 		r.logf("background: %s", l)
@@ -48,17 +48,17 @@
 
 // Add takes a job in. What it does has to end when its context does.
 func (r *Runner) Add(spec Spec, what func(context.Context) error) {
-	r.do(func() { r.does[r.s.Add(r.now(), spec)] = what })
+	r.update(func() { r.functions[r.scheduler.Add(r.now(), spec)] = what })
 }
 
-// Busy says whether there is more to serve than can be.
-func (r *Runner) Busy(on bool) { r.do(func() { r.s.Busy(on) }) }
+// SetOverloaded says whether there is more to serve than can be.
+func (r *Runner) SetOverloaded(on bool) { r.update(func() { r.scheduler.SetOverloaded(on) }) }
 
 // Drain begins a stop: what is not Soon is called off, and does not begin again.
 func (r *Runner) Drain() {
-	r.do(func() {
-		for _, id := range r.s.Drain() {
-			r.stops[id]()
+	r.update(func() {
+		for _, id := range r.scheduler.Drain() {
+			r.cancels[id]()
 		}
 	})
 }
@@ -71,11 +71,11 @@
 		var next time.Duration
 		r.mu.Lock()
 		now := r.now()
-		for _, id := range r.s.Start(now) {
-			r.begin(ctx, id)
+		for _, id := range r.scheduler.StartDue(now) {
+			r.start(ctx, id)
 		}
-		next = r.s.Next(now)
-		lines := r.s.Lines()
+		next = r.scheduler.NextStart(now)
+		lines := r.scheduler.TakeLogLines()
 		r.mu.Unlock()
 		for _, l := range lines {
 			r.logf("background: %s", l)
@@ -91,7 +91,7 @@
 		}
 	}
 	ended := make(chan struct{})
-	go func() { defer close(ended); r.runs.Wait() }()
+	go func() { defer close(ended); r.running.Wait() }()
 	select {
 	case <-ended:
 	case <-time.After(patience):
@@ -99,24 +99,24 @@
 	}
 }
 
-// begin starts a run. Under the lock.
-func (r *Runner) begin(ctx context.Context, id ID) {
+// start starts a run. Under the lock.
+func (r *Runner) start(ctx context.Context, id ID) {
 	ctx, stop := context.WithCancel(ctx)
-	r.stops[id] = stop
-	what, name := r.does[id], r.s.jobs[id].Name
-	r.runs.Go(func() {
+	r.cancels[id] = stop
+	what, name := r.functions[id], r.scheduler.jobs[id].Name
+	r.running.Go(func() {
 		defer stop()
-		used, err := measured(ctx, what)
+		used, err := runMeasured(ctx, what)
 		if err != nil && ctx.Err() == nil {
 			r.logf("background: %s: %v", name, err)
 		}
-		r.do(func() { r.s.End(r.now(), id, used, err != nil && ctx.Err() == nil) })
+		r.update(func() { r.scheduler.OnRunEnded(r.now(), id, used, err != nil && ctx.Err() == nil) })
 	})
 }
 
-// measured runs a job and gives what it took of a core. A panic is its error.
-func measured(ctx context.Context, what func(context.Context) error) (used time.Duration, err error) {
-	done := threadTime()
+// runMeasured runs a job and gives what it took of a core. A panic is its error.
+func runMeasured(ctx context.Context, what func(context.Context) error) (used time.Duration, err error) {
+	done := startThreadTimer()
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("it panicked: %v", p)
--- a/internal/process/background/time_linux.go
+++ b/internal/process/background/time_linux.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// threadTime begins to count what this goroutine takes of a core; it has a thread to itself until it ends.
-func threadTime() func() time.Duration {
+// startThreadTimer begins to count what this goroutine takes of a core; it has a thread to itself until it ends.
+func startThreadTimer() func() time.Duration {
 	runtime.LockOSThread()
-	began := ofThread()
+	began := threadCPUTime()
 	return func() time.Duration {
-		used := ofThread() - began
+		used := threadCPUTime() - began
 		runtime.UnlockOSThread()
 		return used
 	}
 }
 
-func ofThread() time.Duration {
+func threadCPUTime() time.Duration {
 	const thread = 1 // RUSAGE_THREAD
 	var u syscall.Rusage
 	if syscall.Getrusage(thread, &u) != nil {
--- a/internal/process/budget/budget.go
+++ b/internal/process/budget/budget.go
@@ -19,50 +19,50 @@
 const (
 	Small Kind = iota // a body, or an answer, that is small enough to be held whole
 	Large             // what is held of larger ones
-	kinds
+	kindCount
 )
 
-// largeShare is the part of the limit that may be taken for Large, in percent.
-const largeShare = 70
+// maxLargePercent is the part of the limit that may be taken for Large, in percent.
+const maxLargePercent = 70
 
 // Budget is one process's bytes. Make it with New. Any goroutine may use it.
 type Budget struct {
 	mu      sync.Mutex
 	limit   int
-	used    [kinds]int
+	used    [kindCount]int
 	waiting list.List // of *waiter, the longest waiting first
 }
 
 type waiter struct {
-	n    int
+	bytes    int
 	kind Kind
-	got  chan struct{} // closed when the bytes are its own
+	granted  chan struct{} // closed when the bytes are its own
 }
 
 // New makes a budget of so many bytes.
 func New(limit int) *Budget { return &Budget{limit: max(0, limit)} }
 
-// fits tells whether there is room. Called with the lock.
-func (b *Budget) fits(n int, k Kind) bool {
+// hasRoom tells whether there is room. Called with the lock.
+func (b *Budget) hasRoom(n int, k Kind) bool {
 	if b.used[Small]+b.used[Large]+n > b.limit {
 		return false
 	}
-	return k != Large || b.used[Large]+n <= b.limit/100*largeShare
+	return k != Large || b.used[Large]+n <= b.limit/100*maxLargePercent
 }
 
-// Take takes bytes, or none where there is no room or others wait for it.
-func (b *Budget) Take(n int, k Kind) bool {
+// TryAcquire takes bytes, or none where there is no room or others wait for it.
+func (b *Budget) TryAcquire(n int, k Kind) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.fits(n, k) || b.waits(k) {
+	if !b.hasRoom(n, k) || b.hasWaiter(k) {
 		return false
 	}
 	b.used[k] += n
 	return true
 }
 
-// waits tells whether somebody waits for bytes of a kind: who comes later goes behind.
-func (b *Budget) waits(k Kind) bool {
+// hasWaiter tells whether somebody waits for bytes of a kind: who comes later goes behind.
+func (b *Budget) hasWaiter(k Kind) bool {
 	for e := b.waiting.Front(); e != nil; e = e.Next() {
 		if e.Value.(*waiter).kind == k {
 			return true
@@ -71,55 +71,55 @@
 	return false
 }
 
-// Wait takes bytes as soon as there is room, in turn. It gives an error, and has taken
+// Acquire takes bytes as soon as there is room, in turn. It gives an error, and has taken
 // nothing, when ctx ends before.
-func (b *Budget) Wait(ctx context.Context, n int, k Kind) error {
+func (b *Budget) Acquire(ctx context.Context, n int, k Kind) error {
 	b.mu.Lock()
-	if b.fits(n, k) && !b.waits(k) {
+	if b.hasRoom(n, k) && !b.hasWaiter(k) {
 		b.used[k] += n
 		b.mu.Unlock()
 		return nil
 	}
-	w := &waiter{n: n, kind: k, got: make(chan struct{})}
+	w := &waiter{bytes: n, kind: k, granted: make(chan struct{})}
 	e := b.waiting.PushBack(w)
 	b.mu.Unlock()
 	select {
-	case <-w.got:
+	case <-w.granted:
 		return nil
 	case <-ctx.Done():
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	select {
-	case <-w.got: // just now
+	case <-w.granted: // just now
 		return nil
 	default:
 	}
 	b.waiting.Remove(e)
-	b.serve() // it may have been first in a line that can go on without it
+	b.grantWaiting() // it may have been first in a line that can go on without it
 	return ctx.Err()
 }
 
-// Give gives bytes back.
-func (b *Budget) Give(n int, k Kind) {
+// Release gives bytes back.
+func (b *Budget) Release(n int, k Kind) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.used[k] -= n; b.used[k] < 0 {
 		panic("budget: more given back than was taken")
 	}
-	b.serve()
+	b.grantWaiting()
 }
 
-// serve gives room to those who wait, of each kind in turn. Called with the lock.
-func (b *Budget) serve() {
-	var stopped [kinds]bool
+// grantWaiting gives room to those who wait, of each kind in turn. Called with the lock.
+func (b *Budget) grantWaiting() {
+	var stopped [kindCount]bool
 	for e := b.waiting.Front(); e != nil; {
 		w, next := e.Value.(*waiter), e.Next()
 		if !stopped[w.kind] {
-			if b.fits(w.n, w.kind) {
-				b.used[w.kind] += w.n
+			if b.hasRoom(w.bytes, w.kind) {
+				b.used[w.kind] += w.bytes
 				b.waiting.Remove(e)
-				close(w.got)
+				close(w.granted)
 			} else {
 				stopped[w.kind] = true
 			}
@@ -134,7 +134,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.limit = max(0, limit)
-	b.serve()
+	b.grantWaiting()
 }
 
 // Limit is the limit in force.
--- a/internal/process/budget/budget_test.go
+++ b/internal/process/budget/budget_test.go
@@ -29,7 +29,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			if len(held) > 0 && rapid.Bool().Draw(t, "give") {
 				i := rapid.IntRange(0, len(held)-1).Draw(t, "which")
-				b.Give(held[i].n, held[i].k)
+				b.Release(held[i].n, held[i].k)
 				sum -= held[i].n
 				if held[i].k == Large {
 					large -= held[i].n
@@ -38,8 +38,8 @@
 				continue
 			}
 			n, k := rapid.IntRange(0, 500).Draw(t, "n"), Kind(rapid.IntRange(0, 1).Draw(t, "kind"))
-			fits := sum+n <= limit && (k == Small || large+n <= limit/100*largeShare)
-			if got := b.Take(n, k); got != fits {
+			fits := sum+n <= limit && (k == Small || large+n <= limit/100*maxLargePercent)
+			if got := b.TryAcquire(n, k); got != fits {
 				t.Fatalf("%d of %d, %d of them large: %d of kind %d taken: %v", sum, limit, large, n, k, got)
 			}
 			if fits {
@@ -53,7 +53,7 @@
 			}
 		}
 		for _, h := range held {
-			b.Give(h.n, h.k)
+			b.Release(h.n, h.k)
 		}
 		if b.Used() != 0 {
 			t.Fatalf("%d used when all is given back", b.Used())
@@ -66,12 +66,12 @@
 func TestWaiting(t *testing.T) {
 	t.Parallel()
 	b := New(1000)
-	if !b.Take(700, Large) || b.Take(1, Large) || !b.Take(300, Small) {
+	if !b.TryAcquire(700, Large) || b.TryAcquire(1, Large) || !b.TryAcquire(300, Small) {
 		t.Fatal("the parts are not as expected")
 	}
 	got := make(chan int, 3)
 	wait := func(ctx context.Context, name, n int, k Kind) {
-		if b.Wait(ctx, n, k) == nil {
+		if b.Acquire(ctx, n, k) == nil {
 			got <- name
 		} else {
 			got <- -name
@@ -91,12 +91,12 @@
 	queued(2)
 	go wait(t.Context(), 3, 200, Small)
 	queued(3)
-	b.Give(300, Small) // room for the small one; the first large one wants more
+	b.Release(300, Small) // room for the small one; the first large one wants more
 	if name := testutil.Receive(t, got, "the small one"); name != 3 {
 		t.Fatalf("%d was served", name)
 	}
-	b.Give(100, Large)
-	if b.Take(1, Large) {
+	b.Release(100, Large)
+	if b.TryAcquire(1, Large) {
 		t.Error("one that came later went before those who wait")
 	}
 	cancel()
@@ -104,8 +104,8 @@
 	if first+second != 1 { // -1 and 2
 		t.Errorf("%d and %d", first, second)
 	}
-	b.Give(600+100, Large)
-	b.Give(200, Small)
+	b.Release(600+100, Large)
+	b.Release(200, Small)
 	if b.Used() != 0 {
 		t.Errorf("%d used at the end", b.Used())
 	}
@@ -115,18 +115,18 @@
 func TestALowerLimit(t *testing.T) {
 	t.Parallel()
 	b := New(1000)
-	b.Take(600, Small)
+	b.TryAcquire(600, Small)
 	b.SetLimit(500)
-	if b.Take(1, Small) {
+	if b.TryAcquire(1, Small) {
 		t.Error("taken over the limit")
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 	defer cancel()
-	if b.Wait(ctx, 1, Small) == nil {
+	if b.Acquire(ctx, 1, Small) == nil {
 		t.Error("waited for, and got, over the limit")
 	}
-	b.Give(200, Small)
-	if !b.Take(100, Small) || b.Take(1, Small) {
+	b.Release(200, Small)
+	if !b.TryAcquire(100, Small) || b.TryAcquire(1, Small) {
 		t.Error("the new limit does not hold")
 	}
 }
--- a/internal/process/logs/compatibility_test.go
+++ b/internal/process/logs/compatibility_test.go
@@ -24,11 +24,11 @@
 		l.Warn("it can't be read: \"x y\"", "event", "list", "do", "mend that entry", "err", errors.New("a b"), "empty", "")
 		l.With("event", "http").Error("a \u010d line\nwith a break")
 		l.Debug("not said")
-		Event(l, "engine")("%d backends", 7)
+		ForEvent(l, "engine")("%d backends", 7)
 		compareRecorded(t, "lines-"+format+".txt", clock.ReplaceAll(b.Bytes(), []byte("TIME ")))
 	}
 	var b bytes.Buffer
-	Plain(&b).Info("without the time", "event", "x")
+	NewWithoutTime(&b).Info("without the time", "event", "x")
 	compareRecorded(t, "lines-plain.txt", b.Bytes())
 }
 
--- a/internal/process/logs/logs.go
+++ b/internal/process/logs/logs.go
@@ -23,44 +23,44 @@
 	if format == JSON {
 		return slog.New(slog.NewJSONHandler(w, nil))
 	}
-	return slog.New(&handler{w: w, mu: new(sync.Mutex), clock: true})
+	return slog.New(&textHandler{out: w, writeMu: new(sync.Mutex), withTime: true})
 }
 
-// Plain is New's text without the time of day.
-func Plain(w io.Writer) *slog.Logger { return slog.New(&handler{w: w, mu: new(sync.Mutex)}) }
+// NewWithoutTime is New's text without the time of day.
+func NewWithoutTime(w io.Writer) *slog.Logger { return slog.New(&textHandler{out: w, writeMu: new(sync.Mutex)}) }
 
 // Discard is a logger that writes nothing.
 func Discard() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// Event gives a part of the program that says lines a function to say them with: all under one event's name.
-func Event(l *slog.Logger, name string) func(format string, args ...any) {
+// ForEvent gives a part of the program that says lines a function to say them with: all under one event's name.
+func ForEvent(l *slog.Logger, name string) func(format string, args ...any) {
 	return func(format string, args ...any) { l.Info(fmt.Sprintf(format, args...), "event", name) }
 }
 
-type handler struct {
-	w     io.Writer
-	mu    *sync.Mutex
-	clock bool
-	attrs string
+type textHandler struct {
+	out     io.Writer
+	writeMu    *sync.Mutex
+	withTime bool
+	formattedAttrs string
 }
 
-func (h *handler) Enabled(_ context.Context, level slog.Level) bool { return level >= slog.LevelInfo }
+func (h *textHandler) Enabled(_ context.Context, level slog.Level) bool { return level >= slog.LevelInfo }
 
-func (h *handler) Handle(_ context.Context, r slog.Record) error {
+func (h *textHandler) Handle(_ context.Context, r slog.Record) error {
 	var b strings.Builder
-	if h.clock {
+	if h.withTime {
 		b.WriteString(r.Time.Format("15:04:05.000000 "))
 	}
 	b.WriteString(r.Message)
-	b.WriteString(h.attrs)
+	b.WriteString(h.formattedAttrs)
 	r.Attrs(func(a slog.Attr) bool {
 		appendAttr(&b, a)
 		return true
 	})
 	b.WriteByte('\n')
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	_, err := io.WriteString(h.w, b.String())
+	h.writeMu.Lock()
+	defer h.writeMu.Unlock()
+	_, err := io.WriteString(h.out, b.String())
 	return err
 }
 
@@ -72,15 +72,15 @@
 	b.WriteString(" " + a.Key + "=" + v)
 }
 
-func (h *handler) WithAttrs(attrs []slog.Attr) slog.Handler {
+func (h *textHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
 	next := *h
 	var b strings.Builder
 	for _, a := range attrs {
 		appendAttr(&b, a)
 	}
-	next.attrs += b.String()
+	next.formattedAttrs += b.String()
 	return &next
 }
 
 // WithGroup keeps fields flat: no part of this program groups them.
-func (h *handler) WithGroup(string) slog.Handler { return h }
+func (h *textHandler) WithGroup(string) slog.Handler { return h }
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -182,7 +182,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		p.ended <- serve(ctx, cfg, own, logs.Plain(p.log), in, p.reloads)
+		p.ended <- serve(ctx, cfg, own, logs.NewWithoutTime(p.log), in, p.reloads)
 	}()
 	t.Cleanup(func() { stop(); <-done })
 	return p
--- a/internal/proxy/keep.go
+++ b/internal/proxy/keep.go
@@ -69,8 +69,8 @@
 // background begins the work that is no request: the state is written down. What must not wait (lists, drains,
 // requests) is the engine's, and probes and sweeps are the module's, whose health of backends rests on them.
 func (p *parts) background(cfg config.Background, k *saver, logger *slog.Logger) *background.Runner {
-	r := background.NewRunner(background.Config{Share: cfg.Share, Burst: budgetBurst, Most: cfg.Most}, logs.Event(logger, "background"))
-	r.Add(background.Spec{Name: "writing the memory", Priority: background.Idle, Every: k.every, Cost: time.Millisecond, Longest: max(10*time.Second, 2*k.every)},
+	r := background.NewRunner(background.Config{Cores: cfg.Share, Burst: budgetBurst, MaxRunning: cfg.Most}, logs.ForEvent(logger, "background"))
+	r.Add(background.Spec{Name: "writing the memory", Priority: background.Idle, Interval: k.every, EstimatedCost: time.Millisecond, MaxDuration: max(10*time.Second, 2*k.every)},
 		func(ctx context.Context) error {
 			k.save(ctx, false)
 			return nil
@@ -78,7 +78,7 @@
 	var look func()
 	look = func() {
 		s := p.engine.Storm()
-		r.Busy(s == retrystorm.Rising || s == retrystorm.Storm)
+		r.SetOverloaded(s == retrystorm.Rising || s == retrystorm.Storm)
 		p.engine.At(p.engine.Now()+overloadEvery, look)
 	}
 	p.engine.Post(look)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -161,7 +161,7 @@
 	var err error
 	p.engine, err = engine.New(engine.Config{
 		Settings: cfg.Settings, Seed: cfg.Seed, MaxOpen: cfg.MaxOpen, Known: known,
-		Logf: logs.Event(logger, "engine"), Listed: func() { p.becomeReady(logger) },
+		Logf: logs.ForEvent(logger, "engine"), Listed: func() { p.becomeReady(logger) },
 	})
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -182,7 +182,7 @@
 	}
 	p.source = sources.New(platformwatch.Config{
 		Addr: cfg.Discovery, Pace: platformwatch.PaceFor(cfg.Settings.PollMembership, cfg.Settings.Instances), Names: cfg.Names,
-		Logf: logs.Event(logger, "list"),
+		Logf: logs.ForEvent(logger, "list"),
 	}, version, host)
 	if p.member != nil && own.Registry.On() {
 		p.member.lists.origin = p.source.Origin
@@ -243,12 +243,12 @@
 		defer meeting.Close()
 		watching, stopWatching := context.WithCancel(context.Background())
 		defer stopWatching()
-		go meeting.Receive(watching, p.adopt, p.tell(cfg.Name), logs.Event(logger, "rendezvous"))
+		go meeting.Receive(watching, p.adopt, p.tell(cfg.Name), logs.ForEvent(logger, "rendezvous"))
 		limits := cfg // those of the start: what a reload brings of them counts at the next one
 		go meeting.Watch(watching, func(s handover.Share, others []handover.Peer) {
 			logger.Info(fmt.Sprintf("%d other processes of this proxy are alive: a share of %d in %d", len(others), s.Part, s.Of), "event", "processes")
 			p.engine.Post(func() { p.setShare(limits, s) })
-		}, logs.Event(logger, "rendezvous"))
+		}, logs.ForEvent(logger, "rendezvous"))
 	}
 	if p.door != nil && in.control != nil {
 		p.engine.Post(p.publish)
@@ -334,7 +334,7 @@
 // keep readies the file of what is learnt, and takes over what an earlier life has left in it, unless another
 // process of this proxy tells more. Before the engine runs.
 func (p *parts) keep(name string, cfg config.Memory, logger *slog.Logger) *saver {
-	k := &saver{store: statefile.Open(cfg.Dir, name), every: cfg.Every.D(), state: p.tell(name), now: statefile.CurrentTimestamp, logf: logs.Event(logger, "memory")}
+	k := &saver{store: statefile.Open(cfg.Dir, name), every: cfg.Every.D(), state: p.tell(name), now: statefile.CurrentTimestamp, logf: logs.ForEvent(logger, "memory")}
 	p.memory.kept = remember(cfg, k.store, name, k.now(), logger)
 	return k
 }
