--- a/internal/process/control/compatibility_test.go
+++ b/internal/process/adminserver/compatibility_test.go
@@ -1,4 +1,4 @@
-package control
+package adminserver
 
 import (
 	"bytes"
@@ -17,15 +17,15 @@
 	"marlreel/internal/testutil"
 )
 
-// What the door answers to the platform, to the byte.
+// What the admin endpoint answers to the platform, to the byte.
 func TestCompatibilityAnswers(t *testing.T) {
 	var ready atomic.Bool
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := New(ready.Load, func(b []byte) []byte { return append(b, "proxy.outstanding:0|g\n"...) }, callers)
-	d.Also("/control/discovery", func() (int, []byte) { return 200, []byte("{}\n") })
+	d := New(ready.Load, func(b []byte) []byte { return append(b, "proxy.outstanding:0|g\n"...) }, maxTestConnections)
+	d.Handle("/control/discovery", func() (int, []byte) { return 200, []byte("{}\n") })
 	done := make(chan error, 1)
 	go func() { done <- d.Serve(ln) }()
 	defer func() {
@@ -51,8 +51,12 @@
 	} {
 		ready.Store(c.ready)
 		conn := testutil.Dial(t, ln.Addr().String())
-		conn.SetReadDeadline(time.Now().Add(testutil.Patience))
-		fmt.Fprintf(conn, "%s HTTP/1.1\r\nHost: n0\r\n\r\n", c.call)
+		if err := conn.SetReadDeadline(time.Now().Add(testutil.Patience)); err != nil {
+			t.Fatal(err)
+		}
+		if _, err := fmt.Fprintf(conn, "%s HTTP/1.1\r\nHost: n0\r\n\r\n", c.call); err != nil {
+			t.Fatal(err)
+		}
 		answer, err := io.ReadAll(conn)
 		if err != nil {
 			t.Fatalf("%s: %v", c.call, err)
--- a/internal/process/control/control_test.go
+++ b/internal/process/adminserver/server_test.go
@@ -1,4 +1,4 @@
-package control
+package adminserver
 
 import (
 	"bufio"
@@ -16,17 +16,17 @@
 	"marlreel/internal/testutil"
 )
 
-const callers = 8
+const maxTestConnections = 8
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func open(t *testing.T, ready *atomic.Bool) string {
+func startServer(t *testing.T, ready *atomic.Bool) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := New(ready.Load, func(b []byte) []byte { return append(b, "proxy.outstanding:0|g\n"...) }, callers)
+	d := New(ready.Load, func(b []byte) []byte { return append(b, "proxy.outstanding:0|g\n"...) }, maxTestConnections)
 	done := make(chan error, 1)
 	go func() { done <- d.Serve(ln) }()
 	t.Cleanup(func() {
@@ -38,25 +38,36 @@
 	return ln.Addr().String()
 }
 
-func call(t *testing.T, addr, text string) (*http.Response, string) {
+// answer is a response whose body has been read.
+type answer struct {
+	status int
+	allow  string
+	closes bool
+	body   string
+}
+
+func call(t *testing.T, addr, text string) answer {
 	t.Helper()
 	c := testutil.Dial(t, addr)
-	io.WriteString(c, text)
+	if _, err := io.WriteString(c, text); err != nil {
+		t.Fatal(err)
+	}
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatalf("%q: %v", text, err)
 	}
+	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return resp, string(body)
+	return answer{status: resp.StatusCode, allow: resp.Header.Get("Allow"), closes: resp.Close, body: string(body)}
 }
 
-func TestCalls(t *testing.T) {
+func TestRequests(t *testing.T) {
 	t.Parallel()
 	var ready atomic.Bool
-	addr := open(t, &ready)
+	addr := startServer(t, &ready)
 	get := func(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: n0\r\n\r\n" }
 	for _, c := range []struct {
 		name, text string
@@ -66,43 +77,49 @@
 	}{
 		{"not ready yet", get("/control/ready"), false, 503, "not ready\n"},
 		{"ready", get("/control/ready"), true, 200, "ready\n"},
-		{"figures", get("/control/counters"), false, 200, "proxy.outstanding:0|g\n"},
+		{"metrics", get("/control/counters"), false, 200, "proxy.outstanding:0|g\n"},
 		{"another path", get("/control"), true, 404, ""},
 		{"another method", "POST /control/ready HTTP/1.1\r\nHost: n0\r\nContent-Length: 3\r\n\r\nabc", true, 405, ""},
 		{"noise", "\x16\x03\x01\r\n\r\n", true, 400, ""},
-		{"an endless head", "GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 2*longestHead), true, 400, ""},
+		{"an endless head", "GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 2*maxHeadBytes), true, 400, ""},
 	} {
-		ready.Store(c.ready)
-		resp, body := call(t, addr, c.text)
-		if resp.StatusCode != c.status || c.body != "" && body != c.body || !resp.Close {
-			t.Errorf("%s: %d %q, close %v", c.name, resp.StatusCode, body, resp.Close)
-		}
-		if allow := resp.Header.Get("Allow"); (c.status == 405) != (allow == "GET") {
-			t.Errorf("%s: Allow %q", c.name, allow)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			ready.Store(c.ready)
+			got := call(t, addr, c.text)
+			if got.status != c.status || c.body != "" && got.body != c.body || !got.closes {
+				t.Errorf("%d %q, close %v", got.status, got.body, got.closes)
+			}
+			if (c.status == 405) != (got.allow == "GET") {
+				t.Errorf("Allow %q", got.allow)
+			}
+		})
 	}
 }
 
-// Callers that hold their connections and say nothing are closed for the new one, the
-// oldest first, and none is held for good.
-func TestCallersWithoutACallKeepNobodyOut(t *testing.T) {
+// Connections that send no complete request are closed for a new one, the oldest first, and none stays open for good.
+func TestIncompleteRequestsAreClosedForNewOnes(t *testing.T) {
 	t.Parallel()
 	var ready atomic.Bool
 	ready.Store(true)
-	addr := open(t, &ready)
+	addr := startServer(t, &ready)
 	var held []net.Conn
-	for i := range 3 * callers {
+	for i := range 3 * maxTestConnections {
 		c := testutil.Dial(t, addr)
 		if i%2 == 1 {
-			fmt.Fprint(c, "GET /control/re")
+			if _, err := fmt.Fprint(c, "GET /control/re"); err != nil {
+				t.Fatal(err)
+			}
 		}
 		held = append(held, c)
-		if resp, _ := call(t, addr, "GET /control/ready HTTP/1.1\r\nHost: n0\r\n\r\n"); resp.StatusCode != 200 {
-			t.Fatalf("beside %d: %d", len(held), resp.StatusCode)
+		got := call(t, addr, "GET /control/ready HTTP/1.1\r\nHost: n0\r\n\r\n")
+		if got.status != 200 {
+			t.Fatalf("beside %d: %d", len(held), got.status)
 		}
 	}
 	for i, c := range held {
-		c.SetReadDeadline(time.Now().Add(testutil.Patience))
+		if err := c.SetReadDeadline(time.Now().Add(testutil.Patience)); err != nil {
+			t.Fatal(err)
+		}
 		if _, err := io.Copy(io.Discard, c); testutil.IsTimeout(err) { // half a call may be told so first
 			t.Errorf("caller %d is still held: %v", i, err)
 		}
--- a/internal/process/background/background.go
+++ b/internal/process/background/background.go
@@ -17,60 +17,60 @@
 
 // The priorities.
 const (
-	Urgent  Priority = iota // also in an overload and while a stop is under way
+	Urgent Priority = iota // also in an overload and while a stop is under way
 	Normal                 // not in an overload
-	Idle                  // the same, behind the others
+	Idle                   // the same, behind the others
 )
 
 // Spec is a job.
 type Spec struct {
-	Name     string
-	Priority Priority
-	Interval    time.Duration // from the end of one run to the next; jitter of a quarter is added or taken off
-	EstimatedCost     time.Duration // of a core that a run is thought to take, until it is known
-	MaxDuration  time.Duration // a run that takes longer by the clock is said, and no longer counts as one of those at once; 0 is Every
+	Name          string
+	Priority      Priority
+	Interval      time.Duration // from the end of one run to the next; jitter of a quarter is added or taken off
+	EstimatedCost time.Duration // of a core that a run is thought to take, until it is known
+	MaxDuration   time.Duration // a run that takes longer by the clock is said, and no longer counts as one of those at once; 0 is Every
 }
 
 // Config is what jobs may take together.
 type Config struct {
-	Cores float64       // of a core
-	Burst time.Duration // of a core, that may be saved up
-	MaxRunning  int           // at once
+	Cores      float64       // of a core
+	Burst      time.Duration // of a core, that may be saved up
+	MaxRunning int           // at once
 }
 
 // ID is a job's number.
 type ID int
 
 const (
-	costRetention  = 0.7 // of what was known of a job's cost, with each run
-	maxBackoffFactor   = 8   // times Every at most, after runs that failed
-	jitter    = 0.25
+	costRetention    = 0.7 // of what was known of a job's cost, with each run
+	maxBackoffFactor = 8   // times Every at most, after runs that failed
+	jitter           = 0.25
 	overdueIntervals = 2 // times Every: a job that waits for longer is late, and said to be
 )
 
 type job struct {
 	Spec
-	dueAt      time.Duration
+	dueAt        time.Duration
 	startedAt    time.Duration
-	running  bool
-	exceeded    bool // it runs for longer than Longest
+	running      bool
+	exceeded     bool // it runs for longer than Longest
 	reservedCost time.Duration
-	expectedCost     time.Duration
-	failures int
-	overdue     bool
+	expectedCost time.Duration
+	failures     int
+	overdue      bool
 }
 
 // Scheduler is the state. Not safe for concurrent use.
 type Scheduler struct {
-	config      Config
-	random   func() float64
-	jobs     map[ID]*job
+	config     Config
+	random     func() float64
+	jobs       map[ID]*job
 	lastID     ID
-	cpuTokens   time.Duration // of a core
-	refilledAt       time.Duration
-	overloaded     bool
-	draining bool
-	logLines    []string
+	cpuTokens  time.Duration // of a core
+	refilledAt time.Duration
+	overloaded bool
+	draining   bool
+	logLines   []string
 }
 
 // New makes a scheduler. random gives numbers from 0 to 1: proxies that start together must not have the same.
--- a/internal/process/background/runner.go
+++ b/internal/process/background/runner.go
@@ -12,13 +12,13 @@
 type Runner struct {
 	logf func(format string, args ...any)
 
-	mu    sync.Mutex
-	scheduler     *Scheduler
+	mu        sync.Mutex
+	scheduler *Scheduler
 	startedAt time.Time
-	functions  map[ID]func(context.Context) error
-	cancels map[ID]context.CancelFunc
-	wake  chan struct{}
-	running  sync.WaitGroup
+	functions map[ID]func(context.Context) error
+	cancels   map[ID]context.CancelFunc
+	wake      chan struct{}
+	running   sync.WaitGroup
 }
 
 // NewRunner makes one.
--- a/internal/process/budget/budget.go
+++ b/internal/process/budget/budget.go
@@ -1,8 +1,3 @@
-// Package budget says who may hold how many bytes of a process's memory. Every buffer
-// whose size follows what others send is taken from here before it is filled, so that no
-// traffic makes the process larger than its limit. It owns the sums and the order of those
-// who wait. It never says which request goes on: a taker that gets nothing passes on what
-// it has, waits, or turns its request away.
 package budget
 
 import (
@@ -14,18 +9,18 @@
 // Kind is what bytes are for.
 type Kind uint8
 
-// The kinds. What is whole in hand can be sent again, and is small: a part of the limit is
-// for it alone, so that a few large bodies don't keep all the usual ones out.
+// The kinds. What is Small can be sent again: a part of the limit is for it alone, so that a few large bodies
+// don't keep all the usual ones out.
 const (
-	Small Kind = iota // a body, or an answer, that is small enough to be held whole
-	Large             // what is held of larger ones
+	Small Kind = iota // a body, or an answer, that is small enough to be buffered complete
+	Large             // what is buffered of larger ones
 	kindCount
 )
 
-// maxLargePercent is the part of the limit that may be taken for Large, in percent.
+// maxLargePercent is the part of the limit that may be acquired for Large.
 const maxLargePercent = 70
 
-// Budget is one process's bytes. Make it with New. Any goroutine may use it.
+// Budget is the bytes of one process. Make it with New. It is safe for concurrent use.
 type Budget struct {
 	mu      sync.Mutex
 	limit   int
@@ -34,102 +29,76 @@
 }
 
 type waiter struct {
-	bytes    int
-	kind Kind
-	granted  chan struct{} // closed when the bytes are its own
+	bytes   int
+	kind    Kind
+	granted chan struct{} // closed when the bytes are its own
 }
 
-// New makes a budget of so many bytes.
+// New makes a budget of limit bytes.
 func New(limit int) *Budget { return &Budget{limit: max(0, limit)} }
 
-// hasRoom tells whether there is room. Called with the lock.
-func (b *Budget) hasRoom(n int, k Kind) bool {
-	if b.used[Small]+b.used[Large]+n > b.limit {
-		return false
-	}
-	return k != Large || b.used[Large]+n <= b.limit/100*maxLargePercent
-}
-
-// TryAcquire takes bytes, or none where there is no room or others wait for it.
-func (b *Budget) TryAcquire(n int, k Kind) bool {
+// TryAcquire acquires bytes. It returns false, and acquires none, where there is no room or others wait for bytes
+// of the kind.
+func (b *Budget) TryAcquire(bytes int, kind Kind) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.hasRoom(n, k) || b.hasWaiter(k) {
-		return false
-	}
-	b.used[k] += n
-	return true
+	return b.tryAcquireLocked(bytes, kind)
 }
 
-// hasWaiter tells whether somebody waits for bytes of a kind: who comes later goes behind.
-func (b *Budget) hasWaiter(k Kind) bool {
-	for e := b.waiting.Front(); e != nil; e = e.Next() {
-		if e.Value.(*waiter).kind == k {
-			return true
-		}
+func (b *Budget) tryAcquireLocked(bytes int, kind Kind) bool {
+	if !b.hasRoom(bytes, kind) || b.hasWaiter(kind) {
+		return false
 	}
-	return false
+	b.used[kind] += bytes
+	return true
 }
 
-// Acquire takes bytes as soon as there is room, in turn. It gives an error, and has taken
-// nothing, when ctx ends before.
-func (b *Budget) Acquire(ctx context.Context, n int, k Kind) error {
+// Acquire acquires bytes as soon as there is room, in turn within the kind. It returns the context's error, and
+// has acquired nothing, when ctx ends before.
+func (b *Budget) Acquire(ctx context.Context, bytes int, kind Kind) error {
 	b.mu.Lock()
-	if b.hasRoom(n, k) && !b.hasWaiter(k) {
-		b.used[k] += n
+	if b.tryAcquireLocked(bytes, kind) {
 		b.mu.Unlock()
 		return nil
 	}
-	w := &waiter{bytes: n, kind: k, granted: make(chan struct{})}
-	e := b.waiting.PushBack(w)
+	w := &waiter{bytes: bytes, kind: kind, granted: make(chan struct{})}
+	element := b.waiting.PushBack(w)
 	b.mu.Unlock()
 	select {
 	case <-w.granted:
 		return nil
 	case <-ctx.Done():
+		return b.abandon(element, ctx.Err())
 	}
+}
+
+// abandon ends a wait with an error, or without one if the bytes were granted in the meantime.
+func (b *Budget) abandon(element *list.Element, err error) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	select {
-	case <-w.granted: // just now
+	case <-element.Value.(*waiter).granted:
 		return nil
 	default:
 	}
-	b.waiting.Remove(e)
-	b.grantWaiting() // it may have been first in a line that can go on without it
-	return ctx.Err()
+	b.waiting.Remove(element)
+	b.grantWaiting() // it may have been the first, and those behind it may fit
+	return err
 }
 
-// Release gives bytes back.
-func (b *Budget) Release(n int, k Kind) {
+// Release gives acquired bytes back. It panics when more is released than was acquired.
+func (b *Budget) Release(bytes int, kind Kind) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.used[k] -= n; b.used[k] < 0 {
-		panic("budget: more given back than was taken")
+	b.used[kind] -= bytes
+	if b.used[kind] < 0 {
+		panic("budget: more released than was acquired")
 	}
 	b.grantWaiting()
 }
 
-// grantWaiting gives room to those who wait, of each kind in turn. Called with the lock.
-func (b *Budget) grantWaiting() {
-	var stopped [kindCount]bool
-	for e := b.waiting.Front(); e != nil; {
-		w, next := e.Value.(*waiter), e.Next()
-		if !stopped[w.kind] {
-			if b.hasRoom(w.bytes, w.kind) {
-				b.used[w.kind] += w.bytes
-				b.waiting.Remove(e)
-				close(w.granted)
-			} else {
-				stopped[w.kind] = true
-			}
-		}
-		e = next
-	}
-}
-
-// SetLimit puts another limit in force. What is over it already stays taken: nothing more
-// is given until enough has come back.
+// SetLimit puts another limit in force, in bytes. What is acquired beyond it stays acquired: nothing more is
+// granted until enough has been released.
 func (b *Budget) SetLimit(limit int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -137,16 +106,55 @@
 	b.grantWaiting()
 }
 
-// Limit is the limit in force.
+// Limit is the limit in force, in bytes.
 func (b *Budget) Limit() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.limit
 }
 
-// Used is how many bytes are taken.
+// Used is how many bytes are acquired.
 func (b *Budget) Used() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.used[Small] + b.used[Large]
 }
+
+// hasRoom says whether bytes fit into the limit. Called with the lock.
+func (b *Budget) hasRoom(bytes int, kind Kind) bool {
+	if b.used[Small]+b.used[Large]+bytes > b.limit {
+		return false
+	}
+	return kind != Large || b.used[Large]+bytes <= b.limit/100*maxLargePercent
+}
+
+// hasWaiter says whether somebody waits for bytes of a kind: who comes later queues behind. Called with the lock.
+func (b *Budget) hasWaiter(kind Kind) bool {
+	for e := b.waiting.Front(); e != nil; e = e.Next() {
+		if e.Value.(*waiter).kind == kind {
+			return true
+		}
+	}
+	return false
+}
+
+// grantWaiting grants bytes to those who wait, in turn within each kind: the first of a kind that doesn't fit
+// holds up those behind it of the same kind. Called with the lock.
+func (b *Budget) grantWaiting() {
+	var blocked [kindCount]bool
+	var next *list.Element
+	for e := b.waiting.Front(); e != nil; e = next {
+		next = e.Next()
+		w := e.Value.(*waiter)
+		if blocked[w.kind] {
+			continue
+		}
+		if !b.hasRoom(w.bytes, w.kind) {
+			blocked[w.kind] = true
+			continue
+		}
+		b.used[w.kind] += w.bytes
+		b.waiting.Remove(e)
+		close(w.granted)
+	}
+}
--- a/internal/process/budget/budget_test.go
+++ b/internal/process/budget/budget_test.go
@@ -13,57 +13,57 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Whatever is taken and given back: never more than the limit, never more of the large
-// than their part, and what was given back can be taken again.
+// Whatever is acquired and released: never more than the limit, never more of the large
+// than their part, and what was released can be acquired again.
 func TestNeverOverTheLimit(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(0, 2000).Draw(t, "limit")
 		b := New(limit)
-		type taken struct {
+		type acquired struct {
 			n int
 			k Kind
 		}
-		var held []taken
+		var live []acquired
 		sum, large := 0, 0
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			if len(held) > 0 && rapid.Bool().Draw(t, "give") {
-				i := rapid.IntRange(0, len(held)-1).Draw(t, "which")
-				b.Release(held[i].n, held[i].k)
-				sum -= held[i].n
-				if held[i].k == Large {
-					large -= held[i].n
+			if len(live) > 0 && rapid.Bool().Draw(t, "release") {
+				i := rapid.IntRange(0, len(live)-1).Draw(t, "which")
+				b.Release(live[i].n, live[i].k)
+				sum -= live[i].n
+				if live[i].k == Large {
+					large -= live[i].n
 				}
-				held = append(held[:i], held[i+1:]...)
+				live = append(live[:i], live[i+1:]...)
 				continue
 			}
 			n, k := rapid.IntRange(0, 500).Draw(t, "n"), Kind(rapid.IntRange(0, 1).Draw(t, "kind"))
 			fits := sum+n <= limit && (k == Small || large+n <= limit/100*maxLargePercent)
 			if got := b.TryAcquire(n, k); got != fits {
-				t.Fatalf("%d of %d, %d of them large: %d of kind %d taken: %v", sum, limit, large, n, k, got)
+				t.Fatalf("%d of %d, %d of them large: %d of kind %d acquired: %v", sum, limit, large, n, k, got)
 			}
 			if fits {
-				held, sum = append(held, taken{n, k}), sum+n
+				live, sum = append(live, acquired{n, k}), sum+n
 				if k == Large {
 					large += n
 				}
 			}
 			if b.Used() != sum {
-				t.Fatalf("%d used, %d taken", b.Used(), sum)
+				t.Fatalf("%d used, %d acquired", b.Used(), sum)
 			}
 		}
-		for _, h := range held {
+		for _, h := range live {
 			b.Release(h.n, h.k)
 		}
 		if b.Used() != 0 {
-			t.Fatalf("%d used when all is given back", b.Used())
+			t.Fatalf("%d used when all is released", b.Used())
 		}
 	})
 }
 
-// Who waits is served in turn, and does not hold up the other kind; who gives up has
-// taken nothing and holds up nobody.
-func TestWaiting(t *testing.T) {
+// Who waits is granted its bytes in turn, and does not hold up the other kind; who gives up has
+// acquired nothing and holds up nobody.
+func TestWaitersAreGrantedInTurn(t *testing.T) {
 	t.Parallel()
 	b := New(1000)
 	if !b.TryAcquire(700, Large) || b.TryAcquire(1, Large) || !b.TryAcquire(300, Small) {
@@ -111,19 +111,19 @@
 	}
 }
 
-// A lower limit takes nothing away, and gives nothing until enough has come back.
-func TestALowerLimit(t *testing.T) {
+// A lower limit takes nothing away, and grants nothing until enough is released.
+func TestLowerLimit(t *testing.T) {
 	t.Parallel()
 	b := New(1000)
 	b.TryAcquire(600, Small)
 	b.SetLimit(500)
 	if b.TryAcquire(1, Small) {
-		t.Error("taken over the limit")
+		t.Error("acquired over the limit")
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 	defer cancel()
 	if b.Acquire(ctx, 1, Small) == nil {
-		t.Error("waited for, and got, over the limit")
+		t.Error("acquired over the limit after a wait")
 	}
 	b.Release(200, Small)
 	if !b.TryAcquire(100, Small) || b.TryAcquire(1, Small) {
--- a/internal/process/logs/logs.go
+++ b/internal/process/logs/logs.go
@@ -1,5 +1,3 @@
-// Package logs is the form of this program's log: log/slog, a line for people or an object for machines, with the
-// event's stable name and its fields. It owns that form alone; what is said, and when, is everybody's own.
 package logs
 
 import (
@@ -11,14 +9,14 @@
 	"sync"
 )
 
-// Formats of a log.
+// Formats of a log, by their names in the settings.
 const (
 	Text = "text"
 	JSON = "json"
 )
 
-// New makes a logger. In a line the text comes first, in the words that pages and people know, and then event=name
-// and the fields.
+// New makes a logger that writes to w in a format; any format but JSON is Text. A line of text is the time of day,
+// the message and then the attributes as key=value.
 func New(w io.Writer, format string) *slog.Logger {
 	if format == JSON {
 		return slog.New(slog.NewJSONHandler(w, nil))
@@ -27,7 +25,9 @@
 }
 
 // NewWithoutTime is New's text without the time of day.
-func NewWithoutTime(w io.Writer) *slog.Logger { return slog.New(&textHandler{out: w, writeMu: new(sync.Mutex)}) }
+func NewWithoutTime(w io.Writer) *slog.Logger {
+	return slog.New(&textHandler{out: w, writeMu: new(sync.Mutex)})
+}
 
 // Discard is a logger that writes nothing.
 func Discard() *slog.Logger { return slog.New(slog.DiscardHandler) }
@@ -37,50 +37,59 @@
 	return func(format string, args ...any) { l.Info(fmt.Sprintf(format, args...), "event", name) }
 }
 
+// textHandler writes each record as one line with one call of Write. Groups are not supported: no caller uses them.
 type textHandler struct {
-	out     io.Writer
-	writeMu    *sync.Mutex
-	withTime bool
+	out            io.Writer
+	writeMu        *sync.Mutex // shared by the handlers that WithAttrs derives
+	withTime       bool
 	formattedAttrs string
 }
 
-func (h *textHandler) Enabled(_ context.Context, level slog.Level) bool { return level >= slog.LevelInfo }
+var _ slog.Handler = (*textHandler)(nil)
+
+// Enabled implements slog.Handler: debug records are not written.
+func (h *textHandler) Enabled(_ context.Context, level slog.Level) bool {
+	return level >= slog.LevelInfo
+}
 
-func (h *textHandler) Handle(_ context.Context, r slog.Record) error {
-	var b strings.Builder
+// Handle implements slog.Handler.
+func (h *textHandler) Handle(_ context.Context, record slog.Record) error {
+	var line strings.Builder
 	if h.withTime {
-		b.WriteString(r.Time.Format("15:04:05.000000 "))
+		line.WriteString(record.Time.Format("15:04:05.000000 "))
 	}
-	b.WriteString(r.Message)
-	b.WriteString(h.formattedAttrs)
-	r.Attrs(func(a slog.Attr) bool {
-		appendAttr(&b, a)
+	line.WriteString(record.Message)
+	line.WriteString(h.formattedAttrs)
+	record.Attrs(func(attr slog.Attr) bool {
+		appendAttr(&line, attr)
 		return true
 	})
-	b.WriteByte('\n')
+	line.WriteByte('\n')
 	h.writeMu.Lock()
 	defer h.writeMu.Unlock()
-	_, err := io.WriteString(h.out, b.String())
+	_, err := io.WriteString(h.out, line.String())
 	return err
 }
 
-func appendAttr(b *strings.Builder, a slog.Attr) {
-	v := a.Value.Resolve().String()
-	if v == "" || strings.ContainsAny(v, " =\"\n\t") {
-		v = fmt.Sprintf("%q", v)
+// appendAttr writes " key=value", the value quoted where it could not be told from the rest of the line.
+func appendAttr(line *strings.Builder, attr slog.Attr) {
+	value := attr.Value.Resolve().String()
+	if value == "" || strings.ContainsAny(value, " =\"\n\t") {
+		value = fmt.Sprintf("%q", value)
 	}
-	b.WriteString(" " + a.Key + "=" + v)
+	line.WriteString(" " + attr.Key + "=" + value)
 }
 
+// WithAttrs implements slog.Handler.
 func (h *textHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	next := *h
-	var b strings.Builder
-	for _, a := range attrs {
-		appendAttr(&b, a)
+	derived := *h
+	var formatted strings.Builder
+	for _, attr := range attrs {
+		appendAttr(&formatted, attr)
 	}
-	next.formattedAttrs += b.String()
-	return &next
+	derived.formattedAttrs += formatted.String()
+	return &derived
 }
 
-// WithGroup keeps fields flat: no part of this program groups them.
+// WithGroup implements slog.Handler. Attributes stay flat.
 func (h *textHandler) WithGroup(string) slog.Handler { return h }
--- a/internal/process/metrics/compatibility_test.go
+++ b/internal/process/metrics/compatibility_test.go
@@ -21,10 +21,10 @@
 	}
 	answered(c, 1, engine.Served)
 	c.Taken(0, &engine.Call{})
-	c.Gauges(12, 3, retrystorm.Rising)
-	c.Settings(true)
-	c.Settings(false)
-	c.Settings(false)
+	c.SetGauges(12, 3, retrystorm.Rising)
+	c.RecordSettings(true)
+	c.RecordSettings(false)
+	c.RecordSettings(false)
 	compareRecorded(t, "counters.txt", c.Append(nil))
 }
 
--- a/internal/process/metrics/metrics_test.go
+++ b/internal/process/metrics/metrics_test.go
@@ -9,9 +9,9 @@
 	"marlreel/internal/dataplane/engine"
 )
 
-func text(c *Counts) string { return string(c.Append(nil)) }
+func text(c *ProxyMetrics) string { return string(c.Append(nil)) }
 
-func has(t *testing.T, c *Counts, lines ...string) {
+func has(t *testing.T, c *ProxyMetrics, lines ...string) {
 	t.Helper()
 	got := text(c)
 	for _, l := range lines {
@@ -21,7 +21,7 @@
 	}
 }
 
-func answered(c *Counts, class int, v engine.Verdict) {
+func answered(c *ProxyMetrics, class int, v engine.Verdict) {
 	call := &engine.Call{Request: balancer.Request{Class: class}}
 	c.Answered(0, call, engine.Answer{Verdict: v})
 }
@@ -33,10 +33,10 @@
 		answered(c, 0, v)
 	}
 	answered(c, 9, engine.Served) // a class that there isn't
-	c.Gauges(12, 3, retrystorm.Rising)
-	c.Settings(true)
-	c.Settings(false)
-	c.Settings(false)
+	c.SetGauges(12, 3, retrystorm.Rising)
+	c.RecordSettings(true)
+	c.RecordSettings(false)
+	c.RecordSettings(false)
 	has(t, c, "proxy.succeeded.bid:2|c", "proxy.declined.bid:2|c", "proxy.aborted.bid:3|c", "proxy.succeeded.lot-list:0|c",
 		"proxy.forwards:7|c", "proxy.outstanding:0|g", "proxy.discovered:12|g", "proxy.ejected:3|g", "proxy.storm:1|g",
 		"proxy.sighup_applied:1|c", "proxy.sighup_rejected:2|c")
--- a/internal/proxy/imports_test.go
+++ b/internal/proxy/imports_test.go
@@ -20,7 +20,7 @@
 		"marlreel/internal/process/learnedstate/codec":     {"marlreel/internal/process/learnedstate"},
 		"marlreel/internal/balancer/idempotency":           {},
 		"marlreel/internal/balancer/quota":                 {"marlreel/internal/balancer/decay"},
-		"marlreel/internal/process/control":                {},
+		"marlreel/internal/process/adminserver":            {},
 		"marlreel/internal/process/metrics":                {"marlreel/internal/balancer", "marlreel/internal/dataplane/engine", "marlreel/internal/balancer/retrystorm"},
 		"marlreel/internal/process/handover":               {},
 		"marlreel/internal/balancer/grayfailure":           {"marlreel/internal/balancer/decay"},
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -25,8 +25,8 @@
 	"marlreel/internal/discovery/membership"
 	"marlreel/internal/discovery/platformwatch"
 	"marlreel/internal/discovery/sources"
+	"marlreel/internal/process/adminserver"
 	"marlreel/internal/process/budget"
-	"marlreel/internal/process/control"
 	"marlreel/internal/process/handover"
 	"marlreel/internal/process/learnedstate/statefile"
 	"marlreel/internal/process/logs"
@@ -129,8 +129,8 @@
 
 	member *member // of a fleet; nil: there is none
 
-	counts *metrics.Counts // nil where nobody asks
-	door   *control.Door
+	counts *metrics.ProxyMetrics // nil where nobody asks
+	door   *adminserver.Server
 	lists  atomic.Pointer[membership.Status] // nil: there is the platform's list alone
 }
 
@@ -196,10 +196,10 @@
 	p.engine.Follow(p.source)
 	if cfg.Control != "" {
 		p.counts = metrics.New(p.engine.Written, cfg.Settings.Classes)
-		p.door = control.New(p.front.Ready, p.figures, cfg.DoorCalls())
-		p.door.Also("/control/discovery", p.tellLists)
+		p.door = adminserver.New(p.front.Ready, p.figures, cfg.DoorCalls())
+		p.door.Handle("/control/discovery", p.tellLists)
 		if p.member != nil {
-			p.door.Also("/control/fleet", p.member.status)
+			p.door.Handle("/control/fleet", p.member.status)
 		}
 		watchers = append(watchers, p.counts)
 	}
@@ -424,13 +424,13 @@
 
 // publish sets the gauges now and ever again. On the engine's goroutine.
 func (p *parts) publish() {
-	p.counts.Gauges(p.engine.Listed(), p.engine.Avoided(), p.engine.Storm())
+	p.counts.SetGauges(p.engine.Listed(), p.engine.Avoided(), p.engine.Storm())
 	if s, on := p.source.Status(); on {
 		p.lists.Store(&s)
 	} else if p.lists.Load() != nil {
 		p.lists.Store(nil)
 	}
-	p.engine.At(p.engine.Now()+metrics.Every, p.publish)
+	p.engine.At(p.engine.Now()+metrics.PublishInterval, p.publish)
 }
 
 // drain stops the fronts without losing a request: they go on accepting while
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -80,7 +80,7 @@
 	// The line comes before the figure: whoever waits for the figure finds the line.
 	taken := func(yes bool) {
 		if p.counts != nil {
-			p.counts.Settings(yes)
+			p.counts.RecordSettings(yes)
 		}
 	}
 	if err != nil {
