--- a/internal/process/background/runner.go
+++ b/internal/process/background/runner.go
@@ -8,53 +8,61 @@
 	"time"
 )
 
-// Runner runs jobs as a Scheduler says.
+// Func is the work of a job. It has to return when its context ends.
+type Func func(context.Context) error
+
+// Runner runs jobs as a Scheduler says. It is safe for concurrent use.
 type Runner struct {
-	logf func(format string, args ...any)
+	logf      func(format string, args ...any)
+	startedAt time.Time
+	wake      chan struct{} // Run is to look at the scheduler again
+	running   sync.WaitGroup
 
 	mu        sync.Mutex
 	scheduler *Scheduler
-	startedAt time.Time
-	functions map[ID]func(context.Context) error
-	cancels   map[ID]context.CancelFunc
-	wake      chan struct{}
-	running   sync.WaitGroup
+	functions map[ID]Func
+	cancels   map[ID]context.CancelFunc // of each job's last run
 }
 
-// NewRunner makes one.
+// NewRunner makes a runner, whose Run the caller starts. logf is called from any goroutine.
 func NewRunner(cfg Config, logf func(format string, args ...any)) *Runner {
 	return &Runner{
-		logf: logf, scheduler: New(cfg, 0, rand.Float64), startedAt: time.Now(), functions: map[ID]func(context.Context) error{},
-		cancels: map[ID]context.CancelFunc{}, wake: make(chan struct{}, 1),
+		logf: logf, startedAt: time.Now(), wake: make(chan struct{}, 1),
+		scheduler: New(cfg, 0, rand.Float64), functions: map[ID]Func{}, cancels: map[ID]context.CancelFunc{},
 	}
 }
 
 func (r *Runner) now() time.Duration { return time.Since(r.startedAt) }
 
-// update changes the scheduler, and has it looked at.
-func (r *Runner) update(how func()) {
-	r.mu.Lock()
-	how()
-	lines := r.scheduler.TakeLogLines()
-	r.mu.Unlock()
-	for _, l := range lines {
-		r.logf("background: %s", l)
-	}
+// update changes the scheduler under the lock, logs what it says and wakes Run.
+func (r *Runner) update(change func()) {
+	r.locked(change)
 	select {
 	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Add takes a job in. What it does has to end when its context does.
-func (r *Runner) Add(spec Spec, what func(context.Context) error) {
-	r.update(func() { r.functions[r.scheduler.Add(r.now(), spec)] = what })
+// locked calls a function under the lock, and then logs what the scheduler says.
+func (r *Runner) locked(do func()) {
+	r.mu.Lock()
+	do()
+	lines := r.scheduler.TakeLogLines()
+	r.mu.Unlock()
+	for _, line := range lines {
+		r.logf("background: %s", line)
+	}
+}
+
+// Add adds a job.
+func (r *Runner) Add(spec Spec, function Func) {
+	r.update(func() { r.functions[r.scheduler.Add(r.now(), spec)] = function })
 }
 
-// SetOverloaded says whether there is more to serve than can be.
+// SetOverloaded says whether requests are being shed: only Urgent jobs start then.
 func (r *Runner) SetOverloaded(on bool) { r.update(func() { r.scheduler.SetOverloaded(on) }) }
 
-// Drain begins a stop: what is not Soon is called off, and does not begin again.
+// Drain cancels the runs of jobs that are not Urgent, which don't start again.
 func (r *Runner) Drain() {
 	r.update(func() {
 		for _, id := range r.scheduler.Drain() {
@@ -63,27 +71,12 @@
 	})
 }
 
-// Run runs jobs until ctx ends, then calls off those that run, and waits for those that heed it, for a while.
-func (r *Runner) Run(ctx context.Context, patience time.Duration) {
+// Run runs jobs until ctx ends. Then it waits for those that run, which see ctx end too, for gracePeriod at most.
+func (r *Runner) Run(ctx context.Context, gracePeriod time.Duration) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for ctx.Err() == nil {
-		var next time.Duration
-		r.mu.Lock()
-		now := r.now()
-		for _, id := range r.scheduler.StartDue(now) {
-			r.start(ctx, id)
-		}
-		next = r.scheduler.NextStart(now)
-		lines := r.scheduler.TakeLogLines()
-		r.mu.Unlock()
-		for _, l := range lines {
-			r.logf("background: %s", l)
-		}
-		if next == 0 {
-			next = now + time.Hour
-		}
-		timer.Reset(next - now)
+		timer.Reset(r.startDue(ctx))
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
@@ -91,37 +84,58 @@
 		}
 	}
 	ended := make(chan struct{})
-	go func() { defer close(ended); r.running.Wait() }()
+	go func() { // ends with the last run, at the latest when a job heeds its context
+		defer close(ended)
+		r.running.Wait()
+	}()
 	select {
 	case <-ended:
-	case <-time.After(patience):
+	case <-time.After(gracePeriod):
 		r.logf("background: a job does not end")
 	}
 }
 
-// start starts a run. Under the lock.
+// startDue starts the jobs that are due, and returns for how long there is nothing to do.
+func (r *Runner) startDue(ctx context.Context) time.Duration {
+	wait := time.Hour
+	r.locked(func() {
+		now := r.now()
+		for _, id := range r.scheduler.StartDue(now) {
+			r.start(ctx, id)
+		}
+		next := r.scheduler.NextStart(now)
+		if next != 0 {
+			wait = next - now
+		}
+	})
+	return wait
+}
+
+// start starts a run. Called with the lock.
 func (r *Runner) start(ctx context.Context, id ID) {
-	ctx, stop := context.WithCancel(ctx)
-	r.cancels[id] = stop
-	what, name := r.functions[id], r.scheduler.jobs[id].Name
+	ctx, cancel := context.WithCancel(ctx)
+	r.cancels[id] = cancel
+	function, name := r.functions[id], r.scheduler.jobs[id].Name
 	r.running.Go(func() {
-		defer stop()
-		used, err := runMeasured(ctx, what)
-		if err != nil && ctx.Err() == nil {
+		defer cancel()
+		used, err := runMeasured(ctx, function)
+		failed := err != nil && ctx.Err() == nil
+		if failed {
 			r.logf("background: %s: %v", name, err)
 		}
-		r.update(func() { r.scheduler.OnRunEnded(r.now(), id, used, err != nil && ctx.Err() == nil) })
+		r.update(func() { r.scheduler.OnRunEnded(r.now(), id, used, failed) })
 	})
 }
 
-// runMeasured runs a job and gives what it took of a core. A panic is its error.
-func runMeasured(ctx context.Context, what func(context.Context) error) (used time.Duration, err error) {
-	done := startThreadTimer()
+// runMeasured runs a job and returns the CPU time that it used. A panic is its error.
+func runMeasured(ctx context.Context, function Func) (used time.Duration, err error) {
+	stopTimer := startThreadTimer()
 	defer func() {
-		if p := recover(); p != nil {
-			err = fmt.Errorf("it panicked: %v", p)
+		recovered := recover()
+		if recovered != nil {
+			err = fmt.Errorf("it panicked: %v", recovered)
 		}
-		used = done()
+		used = stopTimer()
 	}()
-	return 0, what(ctx)
+	return 0, function(ctx)
 }
--- a/internal/process/background/background_test.go
+++ b/internal/process/background/scheduler_test.go
@@ -21,15 +21,15 @@
 
 const ms = time.Millisecond
 
-// played is what jobs did in simulated time.
-type played struct {
-	s     *Scheduler
-	now   time.Duration
-	runs  map[ID]int
-	last  map[ID]time.Duration // begin of the last run
-	worst map[ID]time.Duration // longest between two begins
-	spent []spending
-	most  int
+// simulation is what jobs did in simulated time.
+type simulation struct {
+	s          *Scheduler
+	now        time.Duration
+	runs       map[ID]int
+	last       map[ID]time.Duration // begin of the last run
+	worst      map[ID]time.Duration // longest between two begins
+	spent      []spending
+	maxRunning int
 }
 
 type spending struct {
@@ -37,9 +37,9 @@
 	used time.Duration
 }
 
-// play runs jobs of true costs, each on a core of its own, for a time.
-func play(s *Scheduler, costs map[ID]time.Duration, until time.Duration, busy func(now time.Duration) bool) *played {
-	p := &played{s: s, runs: map[ID]int{}, last: map[ID]time.Duration{}, worst: map[ID]time.Duration{}}
+// simulate runs jobs of true costs, each on a core of its own, for a time.
+func simulate(s *Scheduler, costs map[ID]time.Duration, until time.Duration, busy func(now time.Duration) bool) *simulation {
+	p := &simulation{s: s, runs: map[ID]int{}, last: map[ID]time.Duration{}, worst: map[ID]time.Duration{}}
 	ends := map[ID]time.Duration{}
 	for p.now < until {
 		if busy != nil {
@@ -60,7 +60,7 @@
 			p.last[id] = p.now
 			ends[id] = p.now + costs[id]
 		}
-		p.most = max(p.most, len(ends))
+		p.maxRunning = max(p.maxRunning, len(ends))
 		p.now += ms
 	}
 	return p
@@ -68,7 +68,7 @@
 
 // Over any span jobs take no more than their share of it, what can be saved up, and the last run of each; never
 // more than so many at once; and each that may run does, however busy the others keep the budget.
-func TestPromises(t *testing.T) {
+func TestShareConcurrencyAndStarvation(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{Cores: rapid.Float64Range(0.01, 0.3).Draw(t, "share"), Burst: time.Duration(rapid.IntRange(1, 100).Draw(t, "burst")) * ms, MaxRunning: rapid.IntRange(1, 3).Draw(t, "most")}
@@ -87,7 +87,7 @@
 			sum += costs[id]
 		}
 		const until = 20 * time.Second
-		p := play(s, costs, until, nil)
+		p := simulate(s, costs, until, nil)
 		for i := range p.spent {
 			used := time.Duration(0)
 			for _, x := range p.spent[i:] {
@@ -97,8 +97,8 @@
 				}
 			}
 		}
-		if p.most > cfg.MaxRunning {
-			t.Fatalf("%d at once", p.most)
+		if p.maxRunning > cfg.MaxRunning {
+			t.Fatalf("%d at once", p.maxRunning)
 		}
 		// Nothing starves: where more is wanted than there is, all wait by the same factor, about, and get their
 		// turn within a few rounds of all of them.
@@ -133,7 +133,7 @@
 		}
 	}
 	costs := map[ID]time.Duration{idle: 10 * ms, usual: 10 * ms, soon: 10 * ms}
-	p := play(New(Config{Cores: 0.1, Burst: 10 * ms, MaxRunning: 1}, 0, func() float64 { return 0.5 }), costs, time.Second, nil)
+	p := simulate(New(Config{Cores: 0.1, Burst: 10 * ms, MaxRunning: 1}, 0, func() float64 { return 0.5 }), costs, time.Second, nil)
 	if len(p.runs) != 0 {
 		t.Error("jobs that nobody added run")
 	}
@@ -142,7 +142,7 @@
 		s.Add(0, Spec{Name: fmt.Sprint(x), Priority: x, Interval: 200 * ms, EstimatedCost: ms})
 	}
 	all := map[ID]time.Duration{1: ms, 2: ms, 3: ms}
-	p = play(s, all, 60*time.Second, func(time.Duration) bool { return true })
+	p = simulate(s, all, 60*time.Second, func(time.Duration) bool { return true })
 	if p.runs[1]+p.runs[2] != 0 || p.runs[3] < 200 {
 		t.Errorf("a minute of overload: %v", p.runs)
 	}
@@ -154,18 +154,18 @@
 		t.Errorf("after it: %v", got)
 	}
 	if running := s.Drain(); len(running) != 2 {
-		t.Errorf("called off at a stop: %v", running)
+		t.Errorf("cancelled at a drain: %v", running)
 	}
 	s.OnRunEnded(62*time.Second, 1, 0, false)
 	s.OnRunEnded(62*time.Second, 2, 0, false)
 	if got := s.StartDue(100 * time.Second); len(got) > 1 || len(got) == 1 && got[0] != 3 {
-		t.Errorf("in a stop: %v", got)
+		t.Errorf("in a drain: %v", got)
 	}
 }
 
 // A job that never ends is said to, counts no more, and is not begun again; one that fails comes less often;
 // one that asks for more than can be saved up runs all the same, and the others wait for its debt.
-func TestBadJobs(t *testing.T) {
+func TestExceedingFailingAndExpensiveJobs(t *testing.T) {
 	t.Parallel()
 	s := New(Config{Cores: 0.1, Burst: 20 * ms, MaxRunning: 1}, 0, func() float64 { return 0.5 })
 	never := s.Add(0, Spec{Name: "never", Priority: Urgent, Interval: 100 * ms, EstimatedCost: ms, MaxDuration: 300 * ms})
@@ -214,7 +214,7 @@
 }
 
 // Proxies that start together don't act in step.
-func TestNotInStep(t *testing.T) {
+func TestStartsAreSpread(t *testing.T) {
 	t.Parallel()
 	begins := map[time.Duration]int{}
 	for n := range 100 {
@@ -234,9 +234,9 @@
 	}
 }
 
-// The runner: jobs run, a panic is an error and ends nobody else, a stop calls off what runs, and a job that
-// does not heed it holds the end up for the patience alone.
-func TestRunner(t *testing.T) {
+// The runner: jobs run, a panic is an error and ends nobody else, a drain cancels what runs, and a job that
+// does not heed it holds the end up for the grace period alone.
+func TestRunnerStopsJobs(t *testing.T) {
 	var lines testutil.LockedLog
 	var mu sync.Mutex
 	r := NewRunner(Config{Cores: 1, Burst: time.Second, MaxRunning: 4}, func(format string, v ...any) {
@@ -266,11 +266,11 @@
 		return good.Load() > 20 && bad.Load() > 2 && strings.Contains(lines.String(), "panics: it panicked: by mistake") && strings.Contains(lines.String(), "fails: no such thing")
 	})
 	r.Drain()
-	testutil.Receive(t, called, "the word to the long one")
+	testutil.Receive(t, called, "the cancellation of the long one")
 	after := good.Load()
 	time.Sleep(50 * ms)
 	if n := good.Load(); n > after+1 {
-		t.Errorf("%d runs in a stop", n-after)
+		t.Errorf("%d runs in a drain", n-after)
 	}
 	stop()
 	testutil.Receive(t, ended, "the end")
@@ -282,7 +282,7 @@
 }
 
 // A run's cost is its thread's time, not the clock's.
-func TestCostIsTheCores(t *testing.T) {
+func TestCostIsCPUTime(t *testing.T) {
 	used, err := runMeasured(t.Context(), func(context.Context) error { time.Sleep(300 * ms); return nil })
 	if err != nil || used > 200*ms {
 		t.Errorf("sleeping took %v of a core (%v)", used, err)
--- a/internal/process/background/time_linux.go
+++ b/internal/process/background/time_linux.go
@@ -6,17 +6,19 @@
 	"time"
 )
 
-// startThreadTimer begins to count what this goroutine takes of a core; it has a thread to itself until it ends.
+// startThreadTimer begins to measure the CPU time of the calling goroutine, and returns what ends that and gives the
+// time. The goroutine has its thread to itself in between.
 func startThreadTimer() func() time.Duration {
 	runtime.LockOSThread()
-	began := threadCPUTime()
+	startedAt := threadCPUTime()
 	return func() time.Duration {
-		used := threadCPUTime() - began
+		used := threadCPUTime() - startedAt
 		runtime.UnlockOSThread()
 		return used
 	}
 }
 
+// threadCPUTime is the CPU time of the calling thread since its start; 0 where the kernel doesn't say.
 func threadCPUTime() time.Duration {
 	const thread = 1 // RUSAGE_THREAD
 	var u syscall.Rusage
--- a/internal/process/background/time_other.go
+++ b/internal/process/background/time_other.go
@@ -4,8 +4,8 @@
 
 import "time"
 
-// threadTime counts by the clock, where a thread's own time is not known: more than it takes.
-func threadTime() func() time.Duration {
+// startThreadTimer measures by the clock, where a thread's CPU time is not known: never less than it uses.
+func startThreadTimer() func() time.Duration {
 	began := time.Now()
 	return func() time.Duration { return time.Since(began) }
 }
--- a/internal/process/metrics/metrics.go
+++ b/internal/process/metrics/metrics.go
@@ -1,9 +1,7 @@
-// Package metrics counts what a proxy does, by observing its engine. It owns the counts
-// and their lines of text, and nothing that it counts. The engine's goroutine writes;
-// any other may read at any time, and neither waits for the other.
 package metrics
 
 import (
+	"slices"
 	"strconv"
 	"strings"
 	"sync/atomic"
@@ -14,19 +12,19 @@
 	"marlreel/internal/dataplane/engine"
 )
 
-// PublishInterval is how often the gauges are published: the figures are no older.
+// PublishInterval is how often the gauges are published: they are no older.
 const PublishInterval = 100 * time.Millisecond
 
-// classCounters is what a class of requests came to. Its counts outlive the class: a figure that
-// counts up must not fall because an operator took a class out of the settings and put it
-// back.
+// classCounters count the requests of a class. They outlive the class: a counter must not fall because an operator
+// took a class out of the settings and put it back.
 type classCounters struct {
-	label string // its name, as it may stand in a line
+	label string // the class's name, as it may stand in a line
 
 	succeeded, declined, aborted atomic.Uint64
 }
 
-// ProxyMetrics are a process's figures, from its start on.
+// ProxyMetrics are the metrics of a process, from its start on. Methods of engine.Observer are called by the
+// engine's goroutine; Append is safe to call from any.
 type ProxyMetrics struct {
 	writtenAttempts func() uint64
 
@@ -35,37 +33,41 @@
 	discovered       atomic.Int64
 	ejected          atomic.Int64
 	stormState       atomic.Int64
-	settingsApplied  atomic.Uint64 // settings files taken at SIGHUP
-	settingsRejected atomic.Uint64 // and turned down
+	settingsApplied  atomic.Uint64 // settings files applied at SIGHUP
+	settingsRejected atomic.Uint64 // and rejected
 }
 
-// New makes counts. written tells how many attempts have been written whole to backends.
-func New(written func() uint64, classes []balancer.Class) *ProxyMetrics {
-	c := &ProxyMetrics{writtenAttempts: written}
-	c.SetClasses(classes)
-	return c
+var _ engine.Observer = (*ProxyMetrics)(nil)
+
+// New makes metrics that are all 0. writtenAttempts says how many attempts have been written completely to
+// backends.
+func New(writtenAttempts func() uint64, classes []balancer.Class) *ProxyMetrics {
+	m := &ProxyMetrics{writtenAttempts: writtenAttempts}
+	m.SetClasses(classes)
+	return m
 }
 
-// SetClasses says which classes there are. One that is known by its number and name keeps
-// its counts. Only one goroutine at a time.
-func (c *ProxyMetrics) SetClasses(classes []balancer.Class) {
-	var old []*classCounters
-	if p := c.classes.Load(); p != nil {
-		old = *p
+// SetClasses says which classes there are. One whose name is known keeps its counters. It must not be called from
+// two goroutines at once.
+func (m *ProxyMetrics) SetClasses(classes []balancer.Class) {
+	var previous []*classCounters
+	p := m.classes.Load()
+	if p != nil {
+		previous = *p
 	}
-	now := make([]*classCounters, len(classes))
-	for i, s := range classes {
-		l := metricLabel(s.Name)
-		for _, o := range old {
-			if o.label == l {
-				now[i] = o
+	current := make([]*classCounters, len(classes))
+	for i := range classes {
+		label := metricLabel(classes[i].Name)
+		for _, known := range previous {
+			if known.label == label {
+				current[i] = known
 			}
 		}
-		if now[i] == nil {
-			now[i] = &classCounters{label: l}
+		if current[i] == nil {
+			current[i] = &classCounters{label: label}
 		}
 	}
-	c.classes.Store(&now)
+	m.classes.Store(&current)
 }
 
 // metricLabel is a class's name with what would break a line, or a path of names, replaced.
@@ -78,114 +80,57 @@
 	}, name)
 }
 
-// SetGauges publishes what stands at the moment: backends in the list, and those of them that
-// get nothing for now; and how it stands with retry storms.
-func (c *ProxyMetrics) SetGauges(listed, avoided int, storms retrystorm.State) {
-	c.discovered.Store(int64(listed))
-	c.ejected.Store(int64(avoided))
-	c.stormState.Store(int64(storms))
+// SetGauges publishes how many backends have been discovered, how many of them are ejected, and how far a retry
+// storm has come.
+func (m *ProxyMetrics) SetGauges(discovered, ejected int, storm retrystorm.State) {
+	m.discovered.Store(int64(discovered))
+	m.ejected.Store(int64(ejected))
+	m.stormState.Store(int64(storm))
 }
 
-// RecordSettings counts a settings file that was taken, or turned down.
-func (c *ProxyMetrics) RecordSettings(taken bool) {
-	if taken {
-		c.settingsApplied.Add(1)
+// RecordSettings counts a settings file that was applied or rejected.
+func (m *ProxyMetrics) RecordSettings(applied bool) {
+	if applied {
+		m.settingsApplied.Add(1)
 		return
 	}
-	c.settingsRejected.Add(1)
+	m.settingsRejected.Add(1)
 }
 
-// Append writes the figures behind b, a line each.
-func (c *ProxyMetrics) Append(b []byte) []byte {
-	line := func(name, class string, n int64, kind string) {
-		b = append(append(b, "proxy."...), name...)
-		if class != "" {
-			b = append(append(b, '.'), class...)
-		}
-		b = append(b, ':')
-		b = strconv.AppendInt(b, n, 10)
-		b = append(append(b, '|'), kind...)
-		b = append(b, '\n')
-	}
-	for i, s := range *c.classes.Load() {
-		if s == nil || s.label == "" || c.repeatsEarlierClass(i) {
-			continue
-		}
-		line("succeeded", s.label, int64(s.succeeded.Load()), "c")
-		line("declined", s.label, int64(s.declined.Load()), "c")
-		line("aborted", s.label, int64(s.aborted.Load()), "c")
-	}
-	line("forwards", "", int64(c.writtenAttempts()), "c")
-	line("outstanding", "", c.outstanding.Load(), "g")
-	line("discovered", "", c.discovered.Load(), "g")
-	line("ejected", "", c.ejected.Load(), "g")
-	line("storm", "", c.stormState.Load(), "g")
-	line("sighup_applied", "", int64(c.settingsApplied.Load()), "c")
-	line("sighup_rejected", "", int64(c.settingsRejected.Load()), "c")
-	return b
-}
+// The suffixes of a line, after the form of statsd.
+const (
+	counter = "c"
+	gauge   = "g"
+)
 
-// repeatsEarlierClass tells whether a class before this one has the same counts: one line is enough.
-func (c *ProxyMetrics) repeatsEarlierClass(i int) bool {
-	all := *c.classes.Load()
-	for _, s := range all[:i] {
-		if s == all[i] {
-			return true
+// Append appends the metrics to b, a line each, as proxy.NAME[.CLASS]:VALUE|KIND.
+func (m *ProxyMetrics) Append(b []byte) []byte {
+	classes := *m.classes.Load()
+	for i, c := range classes {
+		if c.label == "" || slices.Contains(classes[:i], c) {
+			continue // it has no name, or a line already under a name that is the same in a line
 		}
+		b = appendLine(b, "succeeded", c.label, int64(c.succeeded.Load()), counter)
+		b = appendLine(b, "declined", c.label, int64(c.declined.Load()), counter)
+		b = appendLine(b, "aborted", c.label, int64(c.aborted.Load()), counter)
 	}
-	return false
+	b = appendLine(b, "forwards", "", int64(m.writtenAttempts()), counter)
+	b = appendLine(b, "outstanding", "", m.outstanding.Load(), gauge)
+	b = appendLine(b, "discovered", "", m.discovered.Load(), gauge)
+	b = appendLine(b, "ejected", "", m.ejected.Load(), gauge)
+	b = appendLine(b, "storm", "", m.stormState.Load(), gauge)
+	b = appendLine(b, "sighup_applied", "", int64(m.settingsApplied.Load()), counter)
+	return appendLine(b, "sighup_rejected", "", int64(m.settingsRejected.Load()), counter)
 }
 
-// Taken implements engine.Observer.
-func (c *ProxyMetrics) Taken(time.Duration, *engine.Call) { c.outstanding.Add(1) }
-
-// Answered implements engine.Observer. What is served as a stream counts when that ends.
-func (c *ProxyMetrics) Answered(_ time.Duration, call *engine.Call, a engine.Answer) {
-	if a.Streams {
-		return
+// appendLine appends a line; class "" is of the whole process.
+func appendLine(b []byte, name, class string, value int64, kind string) []byte {
+	b = append(append(b, "proxy."...), name...)
+	if class != "" {
+		b = append(append(b, '.'), class...)
 	}
-	if call.Taken() {
-		c.outstanding.Add(-1)
-	}
-	c.recordVerdict(call.Class, a.Verdict)
+	b = append(b, ':')
+	b = strconv.AppendInt(b, value, 10)
+	b = append(append(b, '|'), kind...)
+	return append(b, '\n')
 }
-
-// Streamed implements engine.Observer.
-func (c *ProxyMetrics) Streamed(_ time.Duration, call *engine.Call, whole bool) {
-	c.outstanding.Add(-1)
-	verdict := engine.Served
-	if !whole {
-		verdict = engine.Failed
-	}
-	c.recordVerdict(call.Class, verdict)
-}
-
-func (c *ProxyMetrics) recordVerdict(number int, verdict engine.Verdict) {
-	all := *c.classes.Load()
-	if number < 0 || number >= len(all) {
-		return
-	}
-	switch verdict {
-	case engine.Served:
-		all[number].succeeded.Add(1)
-	case engine.Refused, engine.Overloaded:
-		all[number].declined.Add(1)
-	default:
-		all[number].aborted.Add(1)
-	}
-}
-
-// Left implements engine.Observer: nobody waits for an answer any more.
-func (c *ProxyMetrics) Left(time.Duration, *engine.Call) { c.outstanding.Add(-1) }
-
-// Sent implements engine.Observer.
-func (c *ProxyMetrics) Sent(time.Duration, *engine.Attempt) {}
-
-// Ended implements engine.Observer.
-func (c *ProxyMetrics) Ended(time.Duration, *engine.Attempt, engine.End) {}
-
-// Listed implements engine.Observer.
-func (c *ProxyMetrics) Listed(time.Duration, *engine.List) {}
-
-// Probed implements engine.Observer.
-func (c *ProxyMetrics) Probed(time.Duration, *engine.Backend, balancer.Result, time.Duration) {}
--- a/internal/process/metrics/metrics_test.go
+++ b/internal/process/metrics/metrics_test.go
@@ -11,7 +11,7 @@
 
 func text(c *ProxyMetrics) string { return string(c.Append(nil)) }
 
-func has(t *testing.T, c *ProxyMetrics, lines ...string) {
+func requireLines(t *testing.T, c *ProxyMetrics, lines ...string) {
 	t.Helper()
 	got := text(c)
 	for _, l := range lines {
@@ -37,14 +37,13 @@
 	c.RecordSettings(true)
 	c.RecordSettings(false)
 	c.RecordSettings(false)
-	has(t, c, "proxy.succeeded.bid:2|c", "proxy.declined.bid:2|c", "proxy.aborted.bid:3|c", "proxy.succeeded.lot-list:0|c",
+	requireLines(t, c, "proxy.succeeded.bid:2|c", "proxy.declined.bid:2|c", "proxy.aborted.bid:3|c", "proxy.succeeded.lot-list:0|c",
 		"proxy.forwards:7|c", "proxy.outstanding:0|g", "proxy.discovered:12|g", "proxy.ejected:3|g", "proxy.storm:1|g",
 		"proxy.sighup_applied:1|c", "proxy.sighup_rejected:2|c")
 }
 
-// A class that goes keeps its line, and one that comes back goes on from there: what counts
-// up must not fall. A name can't break a line.
-func TestClassesComeAndGo(t *testing.T) {
+// Classes that stay keep their counters: these must not fall. A name can't break a line.
+func TestCountersSurviveChangesOfClasses(t *testing.T) {
 	t.Parallel()
 	c := New(func() uint64 { return 0 }, []balancer.Class{{Name: "a"}, {Name: "b:|\n.c"}})
 	answered(c, 0, engine.Served)
@@ -52,7 +51,7 @@
 	c.SetClasses([]balancer.Class{{Name: "a"}, {Name: "b:|\n.c"}, {Name: "new"}})
 	answered(c, 0, engine.Served)
 	answered(c, 2, engine.Served)
-	has(t, c, "proxy.succeeded.a:2|c", "proxy.succeeded.b____c:1|c", "proxy.succeeded.new:1|c")
+	requireLines(t, c, "proxy.succeeded.a:2|c", "proxy.succeeded.b____c:1|c", "proxy.succeeded.new:1|c")
 	for line := range strings.Lines(text(c)) {
 		if strings.Count(line, ":") != 1 || strings.Count(line, "|") != 1 {
 			t.Errorf("%q", line)
