--- a/internal/config/marlreel_test.go
+++ b/internal/config/marlreel_test.go
@@ -23,7 +23,7 @@
 port-offset = 1000
 `
 	m, err := config.ParseMarlreel("m.toml", []byte(good))
-	if err != nil || m.RPC.Idle.D().Seconds() != 30 || m.RPC.Connections != 64 || len(m.RPC.Methods) != 1 {
+	if err != nil || m.RPC.IdleTimeout.D().Seconds() != 30 || m.RPC.MaxConnections != 64 || len(m.RPC.Methods) != 1 {
 		t.Fatalf("%+v %v", m, err)
 	}
 	for name, c := range map[string]struct{ old, new, want string }{
--- a/internal/dataplane/msgpackrpc/carrier.go
+++ b/internal/dataplane/msgpackrpc/carrier.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// mostOrphans is how many calls of one connection may have no owner any more whose
+	// maxAbandoned is how many calls of one connection may have no owner any more whose
 	// replies may still come. Past it, the connection gets no new call.
-	mostOrphans = 256
-	// mostUnknown is how many replies to nothing one connection may bring.
-	mostUnknown = 16
+	maxAbandoned = 256
+	// maxUnknownReplies is how many replies to nothing one connection may bring.
+	maxUnknownReplies = 16
 	// writeTimeout is how long a backend may take nothing of what is written to it.
-	writeTimeout = time.Second
-	readStep     = 4 << 10
+	writeTimeout    = time.Second
+	readBufferBytes = 4 << 10
 )
 
-// Counts are what went by without a caller who could be told. All only grow.
-type Counts struct {
-	LateReplies    atomic.Int64 // to calls that had been given up
-	UnknownReplies atomic.Int64 // to no call
-	SlowCallers    atomic.Int64 // dropped, as they did not read their answers
-	BadStreams     atomic.Int64 // connections ended for what came on them
-	Notified       atomic.Int64 // notifications that were sent on
-	DroppedNotes   atomic.Int64 // notifications that were not
+// Counters are what went by without a caller who could be told. All only grow.
+type Counters struct {
+	LateReplies            atomic.Int64 // to calls that had been given up
+	UnknownReplies         atomic.Int64 // to no call
+	SlowCallers            atomic.Int64 // dropped, as they did not read their answers
+	MalformedStreams       atomic.Int64 // connections ended for what came on them
+	ForwardedNotifications atomic.Int64 // notifications that were sent on
+	DroppedNotifications   atomic.Int64 // notifications that were not
 }
 
 // Carrier takes attempts to backends over MessagePack-RPC. Connections are shared: many
@@ -36,23 +36,23 @@
 // that writes and one that reads.
 type Carrier struct {
 	engine         *engine.Engine
-	cfg            Backend
+	config         Backend
 	limits         Limits
 	connectTimeout time.Duration
 	maxIdle        time.Duration // 0 is for ever
-	peers          map[*engine.Backend][]*link
-	open           int // links
+	connections    map[*engine.Backend][]*backendConn
+	openCount      int // links
 	ctx            context.Context
 	cancel         context.CancelFunc
-	counts         *Counts
+	counters       *Counters
 }
 
 // NewCarrier makes a carrier. The configuration has been validated.
-func NewCarrier(e *engine.Engine, cfg *Config, counts *Counts) *Carrier {
+func NewCarrier(e *engine.Engine, cfg *Config, counts *Counters) *Carrier {
 	caps := e.Settings().Caps
 	c := &Carrier{
-		engine: e, cfg: cfg.Backend, limits: Limits{Message: cfg.MessageBytes, Depth: cfg.Nesting},
-		connectTimeout: caps.ConnectTimeout, maxIdle: caps.ConnIdle - caps.ConnIdle/4, peers: map[*engine.Backend][]*link{}, counts: counts,
+		engine: e, config: cfg.Backend, limits: Limits{MaxMessageBytes: cfg.MaxMessageBytes, MaxDepth: cfg.MaxDepth},
+		connectTimeout: caps.ConnectTimeout, maxIdle: caps.ConnIdle - caps.ConnIdle/4, connections: map[*engine.Backend][]*backendConn{}, counters: counts,
 	}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	return c
@@ -62,23 +62,23 @@
 func (c *Carrier) Close() { c.cancel() }
 
 // Connections is how many are open, those being dialled among them.
-func (c *Carrier) Connections() int { return c.open }
+func (c *Carrier) Connections() int { return c.openCount }
 
 // payload is a call as it came, without its metadata.
 type payload struct {
-	method string
-	args   []byte // the parameters, one after the other
-	count  int
-	meta   Meta
-	given  bool // the call came with metadata, and goes on with them
-	notify bool
+	method       string
+	args         []byte // the parameters, one after the other
+	count        int
+	meta         Metadata
+	given        bool // the call came with metadata, and goes on with them
+	notification bool
 }
 
 // encode writes the call out, so that one write sends it and its count tells whether
 // the last byte went out.
 func (p *payload) encode(id uint32, left time.Duration) []byte {
 	b := make([]byte, 0, len(p.args)+len(p.method)+160)
-	if p.notify {
+	if p.notification {
 		b = append(appendArray(b, 3), typeNotification)
 	} else {
 		b = appendUint(append(appendArray(b, 4), typeRequest), uint64(id))
@@ -105,53 +105,53 @@
 		c.engine.Later(func() { a.End(engine.End{Result: balancer.Rejected}) })
 		return
 	}
-	f := &flight{a: a, body: a.Call.Payload.(*payload), id: l.newID()}
-	l.open[f.id] = f
+	f := &pendingAttempt{attempt: a, payload: a.Call.Payload.(*payload), msgid: l.newMsgid()}
+	l.pending[f.msgid] = f
 	a.Stop = func() {
-		l.giveUp(f) // the connection is shared and stays: this is the attempt's end
+		l.abandon(f) // the connection is shared and stays: this is the attempt's end
 		c.engine.Later(func() { a.End(engine.End{Result: balancer.Cancelled}) })
 	}
 	l.enqueue(f)
 }
 
 // pick gives the connection to a backend with the fewest calls open, or a new one.
-func (c *Carrier) pick(b *engine.Backend) *link {
-	var best *link
+func (c *Carrier) pick(b *engine.Backend) *backendConn {
+	var best *backendConn
 	used := 0
-	for _, l := range c.peers[b] {
+	for _, l := range c.connections[b] {
 		if l.retired {
 			continue
 		}
 		used++
-		if len(l.open) < int(l.window) && (best == nil || len(l.open) < len(best.open)) {
+		if len(l.pending) < int(l.window) && (best == nil || len(l.pending) < len(best.pending)) {
 			best = l
 		}
 	}
 	// A connection that is idle is taken before another is opened; one that has calls
 	// is shared only when no more may be opened, or it has few.
-	if best != nil && (len(best.open) <= int(best.window)/2 || used >= c.cfg.Connections || c.open >= c.cfg.All) {
+	if best != nil && (len(best.pending) <= int(best.window)/2 || used >= c.config.MaxConnections || c.openCount >= c.config.MaxTotalConnections) {
 		return best
 	}
-	if used >= c.cfg.Connections || c.open >= c.cfg.All && !c.spare() {
+	if used >= c.config.MaxConnections || c.openCount >= c.config.MaxTotalConnections && !c.closeIdlest() {
 		return best
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
-	l := &link{
-		of: c, backend: b, open: map[uint32]*flight{}, orphans: map[uint32]struct{}{}, window: float64(c.cfg.Pipeline),
-		cancel: cancel, wake: make(chan struct{}, 1), idle: c.engine.Now(),
+	l := &backendConn{
+		carrier: c, backend: b, pending: map[uint32]*pendingAttempt{}, abandoned: map[uint32]struct{}{}, window: float64(c.config.MaxPipeline),
+		cancel: cancel, wake: make(chan struct{}, 1), idleSince: c.engine.Now(),
 	}
-	c.peers[b] = append(c.peers[b], l)
-	c.open++
+	c.connections[b] = append(c.connections[b], l)
+	c.openCount++
 	go l.run(ctx)
 	return l
 }
 
-// spare closes the connection that has been idle the longest, if there is one.
-func (c *Carrier) spare() bool {
-	var oldest *link
-	for _, links := range c.peers {
+// closeIdlest closes the connection that has been idle the longest, if there is one.
+func (c *Carrier) closeIdlest() bool {
+	var oldest *backendConn
+	for _, links := range c.connections {
 		for _, l := range links {
-			if len(l.open) == 0 && !l.retired && (oldest == nil || l.idle < oldest.idle) {
+			if len(l.pending) == 0 && !l.retired && (oldest == nil || l.idleSince < oldest.idleSince) {
 				oldest = l
 			}
 		}
@@ -165,8 +165,8 @@
 
 // Release implements engine.Carrier.
 func (c *Carrier) Release(b *engine.Backend) {
-	for _, l := range c.peers[b] {
-		if len(l.open) == 0 {
+	for _, l := range c.connections[b] {
+		if len(l.pending) == 0 {
 			l.retire()
 		}
 	}
@@ -175,17 +175,17 @@
 // Forget implements engine.Carrier. Calls that are open go on to their own ends, on
 // connections that nobody gets any more.
 func (c *Carrier) Forget(b *engine.Backend) {
-	for _, l := range c.peers[b] {
+	for _, l := range c.connections[b] {
 		l.retire()
 	}
-	delete(c.peers, b)
+	delete(c.connections, b)
 }
 
 // Retire implements engine.Carrier.
 func (c *Carrier) Retire(now time.Duration) {
-	for _, links := range c.peers {
+	for _, links := range c.connections {
 		for _, l := range links {
-			if len(l.open) == 0 && c.maxIdle > 0 && now-l.idle >= c.maxIdle {
+			if len(l.pending) == 0 && c.maxIdle > 0 && now-l.idleSince >= c.maxIdle {
 				l.retire()
 			}
 		}
--- a/internal/dataplane/msgpackrpc/compatibility_test.go
+++ b/internal/dataplane/msgpackrpc/compatibility_test.go
@@ -17,7 +17,7 @@
 )
 
 // compatibilityMeta is a call's metadata with all keys.
-var compatibilityMeta = Meta{ID: "0123456789abcdef", House: "obala", Key: "k-1", About: "lot 7", LeftMs: 250, Repeat: true}
+var compatibilityMeta = Metadata{RequestID: "0123456789abcdef", Tenant: "obala", IdempotencyKey: "k-1", AffinityKey: "lot 7", TimeoutMs: 250, IsRetry: true}
 
 // sentMessages are what this proxy writes, by name.
 func sentMessages() []struct {
@@ -32,9 +32,9 @@
 	}{
 		{"request", (&payload{method: "scales.read", args: args, count: 2}).encode(300, time.Second)},
 		{"request with metadata", (&payload{method: "scales.read", args: args, count: 2, meta: compatibilityMeta, given: true}).encode(70000, 1500*time.Microsecond)},
-		{"request with the least metadata", (&payload{method: "m", meta: Meta{ID: "0123456789abcdef"}, given: true}).encode(1, 0)},
-		{"notification", (&payload{method: "scales.note", args: args, count: 2, notify: true}).encode(9, time.Second)},
-		{"notification with metadata", (&payload{method: "scales.note", args: args, count: 2, meta: compatibilityMeta, given: true, notify: true}).encode(9, time.Second)},
+		{"request with the least metadata", (&payload{method: "m", meta: Metadata{RequestID: "0123456789abcdef"}, given: true}).encode(1, 0)},
+		{"notification", (&payload{method: "scales.note", args: args, count: 2, notification: true}).encode(9, time.Second)},
+		{"notification with metadata", (&payload{method: "scales.note", args: args, count: 2, meta: compatibilityMeta, given: true, notification: true}).encode(9, time.Second)},
 		{"cancel notification", appendNotification(nil, "$cancel", appendUint(appendArray(nil, 1), 70000))},
 		{"drain notification", appendNotification(nil, drainMethod, appendArray(nil, 0))},
 		{"reply", appendResponse(nil, 200, nilValue, appendString(nil, strings.Repeat("x", 40)))},
@@ -68,7 +68,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		m, err := parse(data)
+		m, err := parseMessage(data)
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
@@ -90,8 +90,8 @@
 		}
 		args, count, meta, given, err := splitMeta(m.params)
 		want := compatibilityMeta
-		want.Repeat, want.LeftMs = false, meta.LeftMs // a repeat is the caller's own word; the time left is counted down
-		if err != nil || !given || count != 2 || meta != want || meta.LeftMs <= 0 || len(args) != 5 {
+		want.IsRetry, want.TimeoutMs = false, meta.TimeoutMs // a repeat is the caller's own word; the time left is counted down
+		if err != nil || !given || count != 2 || meta != want || meta.TimeoutMs <= 0 || len(args) != 5 {
 			t.Errorf("%s: metadata %+v, %d parameters, %v", name, meta, count, err)
 		}
 	}
@@ -125,7 +125,7 @@
 		{"said not to have failed", flag("$failed", false), balancer.Unprocessable},
 		{"the method's own", appendString(nil, "no such lot"), balancer.Unprocessable},
 	} {
-		if got := readError(c.value); got != c.want {
+		if got := classifyError(c.value); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -149,9 +149,9 @@
 	cfg := DefaultConfig()
 	var got strings.Builder
 	for _, v := range verdicts {
-		c := &callerConn{open: map[uint32]*call{}, wake: make(chan struct{}, 1), front: &Front{cfg: &cfg}}
-		q := &call{conn: c, id: 77}
-		c.open[q.id] = q
+		c := &clientConn{pending: map[uint32]*call{}, wake: make(chan struct{}, 1), server: &Server{config: &cfg}}
+		q := &call{conn: c, msgid: 77}
+		c.pending[q.msgid] = q
 		q.Answer(&q.Call, v.answer)
 		fmt.Fprintf(&got, "%s: %s\n", v.name, hex.EncodeToString(bytes.Join(c.queue, nil)))
 	}
--- a/internal/dataplane/msgpackrpc/config.go
+++ b/internal/dataplane/msgpackrpc/config.go
@@ -16,23 +16,23 @@
 type Config struct {
 	// Listen is where callers connect; "" is nowhere: RPC is off.
 	Listen string `toml:"listen"`
-	// Connections is how many callers' connections are kept. More costs descriptors;
+	// MaxConnections is how many callers' connections are kept. More costs descriptors;
 	// with fewer, the longest silent one makes room sooner.
-	Connections int `toml:"connections"`
-	// OpenCalls bounds the calls open on one connection. One more is refused.
-	OpenCalls int `toml:"open-calls"`
-	// MessageBytes bounds a message, in both directions. A longer one ends its connection.
-	MessageBytes int `toml:"message-bytes"`
-	// Nesting bounds arrays and maps within one another.
-	Nesting int `toml:"nesting"`
-	// QueueBytes bounds the answers that wait for a caller who does not read. One who
+	MaxConnections int `toml:"connections"`
+	// MaxOpenCalls bounds the calls open on one connection. One more is refused.
+	MaxOpenCalls int `toml:"open-calls"`
+	// MaxMessageBytes bounds a message, in both directions. A longer one ends its connection.
+	MaxMessageBytes int `toml:"message-bytes"`
+	// MaxDepth bounds arrays and maps within one another.
+	MaxDepth int `toml:"nesting"`
+	// MaxQueuedBytes bounds the answers that wait for a caller who does not read. One who
 	// lets more wait is dropped.
-	QueueBytes int `toml:"answer-queue-bytes"`
-	// Idle is how long a connection may stand with no call open.
-	Idle strict.Span `toml:"idle"`
-	// House is the tenant of calls whose metadata name none; "" refuses them, where the
+	MaxQueuedBytes int `toml:"answer-queue-bytes"`
+	// IdleTimeout is how long a connection may stand with no call open.
+	IdleTimeout strict.Span `toml:"idle"`
+	// DefaultTenant is the tenant of calls whose metadata name none; "" refuses them, where the
 	// settings have tenants.
-	House string `toml:"house"`
+	DefaultTenant string `toml:"house"`
 	// AnnounceDrain sends the notification "$drain" on each connection when this
 	// process is told to end. Off, as a plain client need not expect notifications.
 	AnnounceDrain bool     `toml:"announce-drain"`
@@ -42,10 +42,10 @@
 
 // Method says which class a method's calls are of.
 type Method struct {
-	Name   string `toml:"name"`
-	Prefix bool   `toml:"prefix"` // the name is the beginning of methods' names
-	Class  string `toml:"class"`
-	Notify bool   `toml:"notify"` // notifications of it are taken, and sent at most once
+	Name                string `toml:"name"`
+	IsPrefix            bool   `toml:"prefix"` // the name is the beginning of methods' names
+	Class               string `toml:"class"`
+	AcceptNotifications bool   `toml:"notify"` // notifications of it are taken, and sent at most once
 }
 
 // Backend says how backends are reached.
@@ -54,22 +54,22 @@
 	// port at which the list has it.
 	Port       int `toml:"port"`
 	PortOffset int `toml:"port-offset"`
-	// Connections is how many are opened to one backend at most, All to all together.
-	Connections int `toml:"connections"`
-	All         int `toml:"connections-in-all"`
-	// Pipeline is how many calls may be open on one connection at most. It is fewer on
+	// MaxConnections is how many are opened to one backend at most, All to all together.
+	MaxConnections      int `toml:"connections"`
+	MaxTotalConnections int `toml:"connections-in-all"`
+	// MaxPipeline is how many calls may be open on one connection at most. It is fewer on
 	// one whose calls run out of time, and rises again with its answers.
-	Pipeline int `toml:"pipeline"`
-	// Cancel is the notification that tells a backend of a call that nobody waits for
+	MaxPipeline int `toml:"pipeline"`
+	// CancelMethod is the notification that tells a backend of a call that nobody waits for
 	// any more, with its msgid; "" sends none.
-	Cancel string `toml:"cancel"`
+	CancelMethod string `toml:"cancel"`
 }
 
 // DefaultConfig is off, and has a bound for everything.
 func DefaultConfig() Config {
 	return Config{
-		Connections: 64, OpenCalls: 1024, MessageBytes: 64 << 10, Nesting: 64, QueueBytes: 1 << 20,
-		Idle: strict.Span(time.Minute), Backend: Backend{Connections: 4, All: 64, Pipeline: 32},
+		MaxConnections: 64, MaxOpenCalls: 1024, MaxMessageBytes: 64 << 10, MaxDepth: 64, MaxQueuedBytes: 1 << 20,
+		IdleTimeout: strict.Span(time.Minute), Backend: Backend{MaxConnections: 4, MaxTotalConnections: 64, MaxPipeline: 32},
 	}
 }
 
@@ -85,14 +85,14 @@
 		key         string
 		v, low, top int
 	}{
-		{"connections", c.Connections, 1, 65536},
-		{"open-calls", c.OpenCalls, 1, 1 << 20},
-		{"message-bytes", c.MessageBytes, 64, 16 << 20},
-		{"nesting", c.Nesting, 1, 10000},
-		{"answer-queue-bytes", c.QueueBytes, 1024, 1 << 30},
-		{"backend.connections", c.Backend.Connections, 1, 1024},
-		{"backend.connections-in-all", c.Backend.All, 1, 65536},
-		{"backend.pipeline", c.Backend.Pipeline, 1, 65536},
+		{"connections", c.MaxConnections, 1, 65536},
+		{"open-calls", c.MaxOpenCalls, 1, 1 << 20},
+		{"message-bytes", c.MaxMessageBytes, 64, 16 << 20},
+		{"nesting", c.MaxDepth, 1, 10000},
+		{"answer-queue-bytes", c.MaxQueuedBytes, 1024, 1 << 30},
+		{"backend.connections", c.Backend.MaxConnections, 1, 1024},
+		{"backend.connections-in-all", c.Backend.MaxTotalConnections, 1, 65536},
+		{"backend.pipeline", c.Backend.MaxPipeline, 1, 65536},
 		{"backend.port", c.Backend.Port, 0, 65535},
 		{"backend.port-offset", c.Backend.PortOffset, -65535, 65535},
 	} {
@@ -100,14 +100,14 @@
 			return fmt.Errorf("rpc.%s = %d: %d to %d is possible", n.key, n.v, n.low, n.top)
 		}
 	}
-	if c.Idle <= 0 {
-		return fmt.Errorf("rpc.idle = %v: more than 0 is needed", c.Idle.D())
+	if c.IdleTimeout <= 0 {
+		return fmt.Errorf("rpc.idle = %v: more than 0 is needed", c.IdleTimeout.D())
 	}
 	if len(c.Methods) == 0 {
 		return errors.New("rpc.method: no method has a class, so no call could be taken: give [[rpc.method]] name and class")
 	}
 	for i, m := range c.Methods {
-		if m.Name == "" && !m.Prefix || m.Class == "" {
+		if m.Name == "" && !m.IsPrefix || m.Class == "" {
 			return fmt.Errorf("rpc.method %d: name and class are needed", i+1)
 		}
 	}
@@ -132,8 +132,8 @@
 				strict.Closest(m.Class, classes), strings.Join(classes, ", "))
 		}
 	}
-	if c.House != "" && !contains(houses, c.House) {
-		return fmt.Errorf("rpc.house = %q%s: the settings have %s", c.House, strict.Closest(c.House, houses), strings.Join(houses, ", "))
+	if c.DefaultTenant != "" && !contains(houses, c.DefaultTenant) {
+		return fmt.Errorf("rpc.house = %q%s: the settings have %s", c.DefaultTenant, strict.Closest(c.DefaultTenant, houses), strings.Join(houses, ", "))
 	}
 	return nil
 }
@@ -147,8 +147,8 @@
 	return false
 }
 
-// addr is where a backend of the list speaks RPC.
-func (b *Backend) addr(listed string) (string, error) {
+// rpcAddr is where a backend of the list speaks RPC.
+func (b *Backend) rpcAddr(listed string) (string, error) {
 	host, port, err := net.SplitHostPort(listed)
 	if err != nil {
 		return "", err
--- a/internal/dataplane/msgpackrpc/front.go
+++ b/internal/dataplane/msgpackrpc/front.go
@@ -30,36 +30,36 @@
 	drainMethod = "$drain"
 )
 
-// Front takes callers' connections. Many calls are open on one, and are answered in
+// Server takes callers' connections. Many calls are open on one, and are answered in
 // any order.
-type Front struct {
-	engine  *engine.Engine
-	carrier engine.Carrier
-	cfg     *Config
-	limits  Limits
-	logf    func(string, ...any)
-	counts  *Counts
-
-	mu       sync.Mutex
-	conns    map[*callerConn]struct{}
-	draining bool
-	quiet    chan struct{} // closed when a draining front has no connection left
-	wg       sync.WaitGroup
+type Server struct {
+	engine   *engine.Engine
+	carrier  engine.Carrier
+	config   *Config
+	limits   Limits
+	logf     func(string, ...any)
+	counters *Counters
+
+	mu          sync.Mutex
+	connections map[*clientConn]struct{}
+	draining    bool
+	drained     chan struct{} // closed when a draining front has no connection left
+	goroutines  sync.WaitGroup
 }
 
-// NewFront makes a front whose calls go to backends by a carrier. The configuration has
+// NewServer makes a front whose calls go to backends by a carrier. The configuration has
 // been validated, also against the settings.
-func NewFront(e *engine.Engine, carrier *Carrier, cfg *Config, logger *slog.Logger, counts *Counts) *Front {
-	f := &Front{
-		engine: e, carrier: carrier, cfg: cfg, limits: Limits{Message: cfg.MessageBytes, Depth: cfg.Nesting},
-		logf: logs.ForEvent(logger, "rpc"), counts: counts,
-		conns: map[*callerConn]struct{}{}, quiet: make(chan struct{}),
+func NewServer(e *engine.Engine, carrier *Carrier, cfg *Config, logger *slog.Logger, counts *Counters) *Server {
+	f := &Server{
+		engine: e, carrier: carrier, config: cfg, limits: Limits{MaxMessageBytes: cfg.MaxMessageBytes, MaxDepth: cfg.MaxDepth},
+		logf: logs.ForEvent(logger, "rpc"), counters: counts,
+		connections: map[*clientConn]struct{}{}, drained: make(chan struct{}),
 	}
 	return f
 }
 
 // Serve takes connections until the listener is closed.
-func (f *Front) Serve(ln net.Listener) error {
+func (f *Server) Serve(ln net.Listener) error {
 	for {
 		nc, err := ln.Accept()
 		if err != nil {
@@ -78,13 +78,13 @@
 
 // admit takes a connection; at the bound the one that has been silent the longest
 // makes room, and where all have calls open the new one is closed.
-func (f *Front) admit(nc net.Conn) {
-	c := &callerConn{Conn: nc, front: f, open: map[uint32]*call{}, wake: make(chan struct{}, 1), heard: time.Now()}
+func (f *Server) admit(nc net.Conn) {
+	c := &clientConn{Conn: nc, server: f, pending: map[uint32]*call{}, wake: make(chan struct{}, 1), lastMessageAt: time.Now()}
 	f.mu.Lock()
-	if len(f.conns) >= f.cfg.Connections {
-		var silent *callerConn
-		for o := range f.conns {
-			if o.idle() && (silent == nil || o.lastHeard().Before(silent.lastHeard())) {
+	if len(f.connections) >= f.config.MaxConnections {
+		var silent *clientConn
+		for o := range f.connections {
+			if o.isIdle() && (silent == nil || o.lastMessage().Before(silent.lastMessage())) {
 				silent = o
 			}
 		}
@@ -93,62 +93,62 @@
 			nc.Close()
 			return
 		}
-		delete(f.conns, silent)
-		silent.end()
+		delete(f.connections, silent)
+		silent.close()
 	}
-	f.conns[c] = struct{}{}
+	f.connections[c] = struct{}{}
 	draining := f.draining
 	f.mu.Unlock()
-	f.wg.Go(c.read)
-	f.wg.Go(c.write)
+	f.goroutines.Go(c.readLoop)
+	f.goroutines.Go(c.writeLoop)
 	if draining {
-		c.drain(f.cfg.AnnounceDrain)
+		c.startDraining(f.config.AnnounceDrain)
 	}
 }
 
 // Connections is how many are open.
-func (f *Front) Connections() int {
+func (f *Server) Connections() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.conns)
+	return len(f.connections)
 }
 
-// Stop begins the drain: no connection takes a new call, which is answered so, and each
+// StartDraining begins the drain: no connection takes a new call, which is answered so, and each
 // closes when what it has open is answered.
-func (f *Front) Stop() {
+func (f *Server) StartDraining() {
 	f.mu.Lock()
 	f.draining = true
-	var all []*callerConn
-	for c := range f.conns {
+	var all []*clientConn
+	for c := range f.connections {
 		all = append(all, c)
 	}
 	if len(all) == 0 {
-		f.hush()
+		f.closeDrained()
 	}
 	f.mu.Unlock()
 	for _, c := range all {
-		c.drain(f.cfg.AnnounceDrain)
+		c.startDraining(f.config.AnnounceDrain)
 	}
 }
 
-// hush tells that nothing is left; the caller has the lock.
-func (f *Front) hush() {
+// closeDrained tells that nothing is left; the caller has the lock.
+func (f *Server) closeDrained() {
 	select {
-	case <-f.quiet:
+	case <-f.drained:
 	default:
-		close(f.quiet)
+		close(f.drained)
 	}
 }
 
 // Shutdown waits after Stop until all connections have ended or ctx does.
-func (f *Front) Shutdown(ctx context.Context) error {
+func (f *Server) Shutdown(ctx context.Context) error {
 	select {
-	case <-f.quiet:
+	case <-f.drained:
 		return nil
 	case <-ctx.Done():
 	}
 	select {
-	case <-f.quiet: // both at once
+	case <-f.drained: // both at once
 		return nil
 	default:
 		return ctx.Err()
@@ -156,142 +156,142 @@
 }
 
 // Close ends all connections and waits for their goroutines.
-func (f *Front) Close() {
+func (f *Server) Close() {
 	f.mu.Lock()
-	for c := range f.conns {
-		c.end()
+	for c := range f.connections {
+		c.close()
 	}
 	f.mu.Unlock()
-	f.wg.Wait()
+	f.goroutines.Wait()
 }
 
-func (f *Front) left(c *callerConn) {
+func (f *Server) onConnEnded(c *clientConn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.conns, c)
-	if f.draining && len(f.conns) == 0 {
-		f.hush()
+	delete(f.connections, c)
+	if f.draining && len(f.connections) == 0 {
+		f.closeDrained()
 	}
 }
 
-// method finds the entry for a method: an exact name before a prefix, of prefixes the
+// methodOf finds the entry for a method: an exact name before a prefix, of prefixes the
 // longest.
-func (f *Front) method(name string) *Method {
+func (f *Server) methodOf(name string) *Method {
 	var best *Method
-	for i := range f.cfg.Methods {
-		m := &f.cfg.Methods[i]
+	for i := range f.config.Methods {
+		m := &f.config.Methods[i]
 		switch {
-		case !m.Prefix && m.Name == name:
+		case !m.IsPrefix && m.Name == name:
 			return m
-		case m.Prefix && strings.HasPrefix(name, m.Name) && (best == nil || len(m.Name) > len(best.Name)):
+		case m.IsPrefix && strings.HasPrefix(name, m.Name) && (best == nil || len(m.Name) > len(best.Name)):
 			best = m
 		}
 	}
 	return best
 }
 
-// callerConn is one caller's connection.
-type callerConn struct {
+// clientConn is one caller's connection.
+type clientConn struct {
 	net.Conn
-	front *Front
-
-	mu       sync.Mutex
-	open     map[uint32]*call
-	heard    time.Time // when the last message came
-	draining bool
-	lingers  bool // draining, and calls may still be on their way
-	over     bool
-	queue    [][]byte
-	queued   int // bytes
-	wake     chan struct{}
+	server *Server
+
+	mu            sync.Mutex
+	pending       map[uint32]*call
+	lastMessageAt time.Time // when the last message came
+	draining      bool
+	lingering     bool // draining, and calls may still be on their way
+	ended         bool
+	queue         [][]byte
+	queuedBytes   int // bytes
+	wake          chan struct{}
 }
 
 // call is a call in hand.
 type call struct {
 	engine.Call
-	conn *callerConn
-	id   uint32
-	note bool // a notification: nobody waits
+	conn         *clientConn
+	msgid        uint32
+	notification bool // a notification: nobody waits
 }
 
-func (c *callerConn) idle() bool {
+func (c *clientConn) isIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.open) == 0 && c.queued == 0
+	return len(c.pending) == 0 && c.queuedBytes == 0
 }
 
-func (c *callerConn) lastHeard() time.Time {
+func (c *clientConn) lastMessage() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.heard
+	return c.lastMessageAt
 }
 
-// end closes the connection; its reader takes the caller's leave for what is open.
-func (c *callerConn) end() {
+// close closes the connection; its reader takes the caller's leave for what is open.
+func (c *clientConn) close() {
 	c.mu.Lock()
-	c.over = true
+	c.ended = true
 	c.mu.Unlock()
 	c.Conn.Close()
-	c.stir()
+	c.wakeWriter()
 }
 
-func (c *callerConn) stir() {
+func (c *clientConn) wakeWriter() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// drain lets the connection take no new call.
-func (c *callerConn) drain(announce bool) {
+// startDraining lets the connection take no new call.
+func (c *clientConn) startDraining(announce bool) {
 	if announce {
 		c.enqueue(appendNotification(nil, drainMethod, appendArray(nil, 0)))
 	}
 	c.mu.Lock()
-	c.draining, c.lingers = true, true
+	c.draining, c.lingering = true, true
 	c.mu.Unlock()
 	time.AfterFunc(drainLinger, func() {
 		c.mu.Lock()
-		c.lingers = false
+		c.lingering = false
 		c.mu.Unlock()
-		c.stir() // it may have nothing open
+		c.wakeWriter() // it may have nothing open
 	})
 }
 
 // enqueue hands the writer a message. It does not wait: a caller that does not read is
 // dropped when too much waits for it.
-func (c *callerConn) enqueue(data []byte) {
+func (c *clientConn) enqueue(data []byte) {
 	c.mu.Lock()
-	if c.over {
+	if c.ended {
 		c.mu.Unlock()
 		return
 	}
-	if c.queued+len(data) > c.front.cfg.QueueBytes {
+	if c.queuedBytes+len(data) > c.server.config.MaxQueuedBytes {
 		c.mu.Unlock()
-		c.front.counts.SlowCallers.Add(1)
-		c.end()
+		c.server.counters.SlowCallers.Add(1)
+		c.close()
 		return
 	}
-	c.queue, c.queued = append(c.queue, data), c.queued+len(data)
+	c.queue, c.queuedBytes = append(c.queue, data), c.queuedBytes+len(data)
 	c.mu.Unlock()
-	c.stir()
+	c.wakeWriter()
 }
 
-// write sends answers until the connection ends, and ends a draining one when all is
+// writeLoop sends answers until the connection ends, and ends a draining one when all is
 // answered.
-func (c *callerConn) write() {
+func (c *clientConn) writeLoop() {
 	for {
 		c.mu.Lock()
-		queue, bytes := net.Buffers(c.queue), c.queued
+		queue, bytes := net.Buffers(c.queue), c.queuedBytes
 		c.queue = nil
-		over := c.over
-		done := c.draining && !c.lingers && len(c.open) == 0 && len(queue) == 0
+		over := c.ended
+		done := c.draining && !c.lingering && len(c.pending) == 0 && len(queue) == 0
 		c.mu.Unlock()
 		if over {
 			return
 		}
 		if done {
-			c.end()
+			c.close()
 			return
 		}
 		if len(queue) == 0 {
@@ -300,42 +300,42 @@
 		}
 		c.SetWriteDeadline(time.Now().Add(answerTimeout))
 		if _, err := queue.WriteTo(c.Conn); err != nil {
-			c.end()
+			c.close()
 			return
 		}
 		c.mu.Lock()
-		c.queued -= bytes
+		c.queuedBytes -= bytes
 		c.mu.Unlock()
 	}
 }
 
-// read takes messages until the connection ends. Then the callers of what is open have
+// readLoop takes messages until the connection ends. Then the callers of what is open have
 // left.
-func (c *callerConn) read() {
+func (c *clientConn) readLoop() {
 	defer func() {
-		c.end()
+		c.close()
 		c.mu.Lock()
-		open := c.open
-		c.open = map[uint32]*call{}
+		open := c.pending
+		c.pending = map[uint32]*call{}
 		c.mu.Unlock()
 		for _, q := range open {
-			c.front.engine.Post(func() { c.front.engine.Gone(&q.Call) })
+			c.server.engine.Post(func() { c.server.engine.Gone(&q.Call) })
 		}
-		c.front.left(c)
+		c.server.onConnEnded(c)
 	}()
-	s := scanner{limits: c.front.limits}
-	buf := make([]byte, 0, readStep)
+	s := scanner{limits: c.server.limits}
+	buf := make([]byte, 0, readBufferBytes)
 	began := false // a message has begun, and its time runs
 	for {
-		n, done, err := s.next(buf)
+		n, done, err := s.advance(buf)
 		if err != nil {
-			c.front.counts.BadStreams.Add(1)
+			c.server.counters.MalformedStreams.Add(1)
 			return
 		}
 		if done {
-			m, err := parse(append([]byte(nil), buf[:n]...)) // its parts live on
-			if err != nil || !c.take(m) {
-				c.front.counts.BadStreams.Add(1)
+			m, err := parseMessage(append([]byte(nil), buf[:n]...)) // its parts live on
+			if err != nil || !c.handleMessage(m) {
+				c.server.counters.MalformedStreams.Add(1)
 				return
 			}
 			buf = append(buf[:0], buf[n:]...)
@@ -345,14 +345,14 @@
 		}
 		switch {
 		case len(buf) == 0:
-			c.SetReadDeadline(time.Now().Add(c.front.cfg.Idle.D()))
+			c.SetReadDeadline(time.Now().Add(c.server.config.IdleTimeout.D()))
 		case !began:
 			began = true
 			c.SetReadDeadline(time.Now().Add(messageTimeout))
 		}
-		if buf, err = readMore(c.Conn, buf, c.front.limits.Message); err != nil {
+		if buf, err = readMore(c.Conn, buf, c.server.limits.MaxMessageBytes); err != nil {
 			var ne net.Error
-			if errors.As(err, &ne) && ne.Timeout() && len(buf) == 0 && !c.idle() {
+			if errors.As(err, &ne) && ne.Timeout() && len(buf) == 0 && !c.isIdle() {
 				continue // its calls are open: it has a reason to be silent
 			}
 			return
@@ -360,65 +360,65 @@
 	}
 }
 
-// take takes a message, and tells whether the connection can go on: after a msgid that
+// handleMessage takes a message, and tells whether the connection can go on: after a msgid that
 // is open already, no answer could be told from the other's.
-func (c *callerConn) take(m message) bool {
-	arrived := c.front.engine.Now()
+func (c *clientConn) handleMessage(m message) bool {
+	arrived := c.server.engine.Now()
 	if m.kind == typeResponse {
 		return true // nothing was asked of the caller
 	}
 	note := m.kind == typeNotification
 	c.mu.Lock()
-	c.heard = time.Now()
-	_, twice := c.open[m.id]
-	open, draining := len(c.open), c.draining
+	c.lastMessageAt = time.Now()
+	_, twice := c.pending[m.id]
+	open, draining := len(c.pending), c.draining
 	c.mu.Unlock()
 	if twice && !note {
 		return false
 	}
-	q, problem := c.parse(m, arrived, note)
+	q, problem := c.newCall(m, arrived, note)
 	switch {
 	case problem != nil:
 	case draining:
 		problem = &callError{Code: codeDraining, Message: "this process ends; connect again", Retry: true}
-	case open >= c.front.cfg.OpenCalls:
-		problem = &callError{Code: codeOverloaded, Message: "too many calls are open on this connection", Retry: true, After: c.front.engine.ComeAgain()}
+	case open >= c.server.config.MaxOpenCalls:
+		problem = &callError{Code: codeOverloaded, Message: "too many calls are open on this connection", Retry: true, After: c.server.engine.ComeAgain()}
 	}
 	if problem != nil {
 		if note {
-			c.front.counts.DroppedNotes.Add(1)
+			c.server.counters.DroppedNotifications.Add(1)
 		} else {
 			c.enqueue(appendResponse(nil, m.id, problem.encode(), nilValue))
 		}
 		return true
 	}
-	q.Here = c.here
+	q.Here = c.isOpen
 	if !note {
 		c.mu.Lock()
-		c.open[m.id] = q
+		c.pending[m.id] = q
 		c.mu.Unlock()
 	}
-	c.front.engine.Post(func() { c.front.engine.Take(&q.Call, arrived) })
+	c.server.engine.Post(func() { c.server.engine.Take(&q.Call, arrived) })
 	return true
 }
 
-// here tells whether the caller is still there.
-func (c *callerConn) here() bool {
+// isOpen tells whether the caller is still there.
+func (c *clientConn) isOpen() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.over
+	return !c.ended
 }
 
 var nilValue = []byte{0xc0}
 
-// parse makes a call of a message. An error is the caller's fault.
-func (c *callerConn) parse(m message, arrived time.Duration, note bool) (*call, *callError) {
-	f := c.front
-	method := f.method(m.method)
+// newCall makes a call of a message. An error is the caller's fault.
+func (c *clientConn) newCall(m message, arrived time.Duration, note bool) (*call, *callError) {
+	f := c.server
+	method := f.methodOf(m.method)
 	if method == nil {
 		return nil, &callError{Code: codeNoMethod, Message: "no such method"}
 	}
-	if note && !method.Notify {
+	if note && !method.AcceptNotifications {
 		return nil, &callError{Code: codeBadRequest, Message: "no notification is taken of this method"}
 	}
 	args, count, meta, given, err := splitMeta(m.params)
@@ -431,12 +431,12 @@
 		return nil, &callError{Code: codeNoMethod, Message: "the method's class is out of use"}
 	}
 	k := &by.Settings.Classes[class]
-	if (meta.Key != "") != (k.Effect == balancer.Keyed) {
+	if (meta.IdempotencyKey != "") != (k.Effect == balancer.Keyed) {
 		return nil, &callError{Code: codeBadRequest, Message: "$key is missing or out of place"}
 	}
-	house, tenant := meta.House, 0
+	house, tenant := meta.Tenant, 0
 	if house == "" {
-		house = f.cfg.House
+		house = f.config.DefaultTenant
 	}
 	if len(by.Tenants) > 0 {
 		t, known := by.Tenants[house]
@@ -446,24 +446,24 @@
 		tenant = t
 	}
 	left := k.ClientTimeout
-	if meta.LeftMs > 0 {
-		left = min(left, time.Duration(meta.LeftMs*float64(time.Millisecond)))
+	if meta.TimeoutMs > 0 {
+		left = min(left, time.Duration(meta.TimeoutMs*float64(time.Millisecond)))
 	}
-	if meta.ID == "" {
-		var id [idLength / 2]byte
+	if meta.RequestID == "" {
+		var id [requestIDLength / 2]byte
 		rand.Read(id[:]) // never fails
-		meta.ID = hex.EncodeToString(id[:])
+		meta.RequestID = hex.EncodeToString(id[:])
 	}
 	about := uint64(0)
-	if meta.About != "" {
+	if meta.AffinityKey != "" {
 		h := fnv.New64a()
-		io.WriteString(h, meta.About)
+		io.WriteString(h, meta.AffinityKey)
 		about = h.Sum64()
 	}
-	q := &call{conn: c, id: m.id, note: note, Call: engine.Call{
-		Name: meta.ID, Carrier: f.carrier, Book: by,
-		Request: balancer.Request{Class: class, Tenant: tenant, Key: about, IsRetry: meta.Repeat, Deadline: arrived + left},
-		Payload: &payload{method: m.method, args: args, count: count, meta: meta, given: given, notify: note},
+	q := &call{conn: c, msgid: m.id, notification: note, Call: engine.Call{
+		Name: meta.RequestID, Carrier: f.carrier, Book: by,
+		Request: balancer.Request{Class: class, Tenant: tenant, Key: about, IsRetry: meta.IsRetry, Deadline: arrived + left},
+		Payload: &payload{method: m.method, args: args, count: count, meta: meta, given: given, notification: note},
 	}}
 	q.Front = q
 	return q, nil
@@ -471,14 +471,14 @@
 
 // Answer implements engine.Front: it words the engine's verdict.
 func (q *call) Answer(_ *engine.Call, a engine.Answer) {
-	if q.note {
+	if q.notification {
 		return
 	}
 	c := q.conn
 	c.mu.Lock()
-	mine := c.open[q.id] == q
+	mine := c.pending[q.msgid] == q
 	if mine {
-		delete(c.open, q.id)
+		delete(c.pending, q.msgid)
 	}
 	c.mu.Unlock()
 	if !mine { // the caller has left
@@ -508,7 +508,7 @@
 	case engine.InUse:
 		problem = (&callError{Code: codeInUse, Message: "$id is in use"}).encode()
 	}
-	c.enqueue(appendResponse(make([]byte, 0, len(problem)+len(result)+8), q.id, problem, result))
+	c.enqueue(appendResponse(make([]byte, 0, len(problem)+len(result)+8), q.msgid, problem, result))
 }
 
 // The codes of errors that are this proxy's own.
--- a/internal/dataplane/msgpackrpc/link.go
+++ b/internal/dataplane/msgpackrpc/link.go
@@ -10,49 +10,49 @@
 	"marlreel/internal/dataplane/engine"
 )
 
-// link is one connection to a backend. The engine's goroutine owns it, but for what is
+// backendConn is one connection to a backend. The engine's goroutine owns it, but for what is
 // marked.
-type link struct {
-	of      *Carrier
-	backend *engine.Backend
-	open    map[uint32]*flight
-	orphans map[uint32]struct{} // msgids of calls that were given up and may be answered yet
-	lastID  uint32
-	window  float64 // how many calls it may have open
-	idle    time.Duration
-	retired bool // gets no new call, and ends with its last one
-	unknown int
-	over    bool
+type backendConn struct {
+	carrier        *Carrier
+	backend        *engine.Backend
+	pending        map[uint32]*pendingAttempt
+	abandoned      map[uint32]struct{} // msgids of calls that were given up and may be answered yet
+	lastMsgid      uint32
+	window         float64 // how many calls it may have open
+	idleSince      time.Duration
+	retired        bool // gets no new call, and ends with its last one
+	unknownReplies int
+	ended          bool
 
 	cancel context.CancelFunc
 	mu     sync.Mutex // queue
-	queue  []*flight
+	queue  []*pendingAttempt
 	wake   chan struct{}
 }
 
-// flight is an attempt on a link.
-type flight struct {
-	a    *engine.Attempt
-	id   uint32
-	body *payload
-	gone bool        // the engine waits for it no more
-	sent atomic.Bool // its last byte was written: from then on it may have run
-	note string      // instead of a call: a notification that it was given up
+// pendingAttempt is an attempt on a link.
+type pendingAttempt struct {
+	attempt      *engine.Attempt
+	msgid        uint32
+	payload      *payload
+	gone         bool        // the engine waits for it no more
+	written      atomic.Bool // its last byte was written: from then on it may have run
+	cancelMethod string      // instead of a call: a notification that it was given up
 }
 
-// newID gives a msgid that no call of the connection has, nor had and may be answered by.
-func (l *link) newID() uint32 {
+// newMsgid gives a msgid that no call of the connection has, nor had and may be answered by.
+func (l *backendConn) newMsgid() uint32 {
 	for {
-		l.lastID++ // and round again at 2^32
-		_, open := l.open[l.lastID]
-		_, orphan := l.orphans[l.lastID]
+		l.lastMsgid++ // and round again at 2^32
+		_, open := l.pending[l.lastMsgid]
+		_, orphan := l.abandoned[l.lastMsgid]
 		if !open && !orphan {
-			return l.lastID
+			return l.lastMsgid
 		}
 	}
 }
 
-func (l *link) enqueue(f *flight) {
+func (l *backendConn) enqueue(f *pendingAttempt) {
 	l.mu.Lock()
 	l.queue = append(l.queue, f)
 	l.mu.Unlock()
@@ -62,55 +62,55 @@
 	}
 }
 
-// giveUp leaves a call without an owner: the engine has ended its attempt, or is about
+// abandon leaves a call without an owner: the engine has ended its attempt, or is about
 // to. What may have gone out may still be answered, and its msgid is kept from use.
-func (l *link) giveUp(f *flight) {
-	if l.open[f.id] != f {
+func (l *backendConn) abandon(f *pendingAttempt) {
+	if l.pending[f.msgid] != f {
 		return
 	}
-	delete(l.open, f.id)
+	delete(l.pending, f.msgid)
 	f.gone = true
-	if f.a.Permit.Used() {
-		l.orphans[f.id] = struct{}{}
+	if f.attempt.Permit.Used() {
+		l.abandoned[f.msgid] = struct{}{}
 		l.window = max(1, l.window/2)
-		if name := l.of.cfg.Cancel; name != "" {
-			l.enqueue(&flight{note: name, id: f.id})
+		if name := l.carrier.config.CancelMethod; name != "" {
+			l.enqueue(&pendingAttempt{cancelMethod: name, msgid: f.msgid})
 		}
-		if len(l.orphans) > mostOrphans {
+		if len(l.abandoned) > maxAbandoned {
 			l.retired = true
 		}
 	}
-	l.rest()
+	l.updateIdle()
 }
 
-// rest notes when nothing is open any more.
-func (l *link) rest() {
-	if len(l.open) > 0 {
+// updateIdle notes when nothing is open any more.
+func (l *backendConn) updateIdle() {
+	if len(l.pending) > 0 {
 		return
 	}
-	l.idle = l.of.engine.Now()
+	l.idleSince = l.carrier.engine.Now()
 	if l.retired {
 		l.cancel()
 	}
 }
 
 // retire lets the connection end with its last call.
-func (l *link) retire() {
+func (l *backendConn) retire() {
 	l.retired = true
-	l.rest()
+	l.updateIdle()
 }
 
 // ---- a connection's end and its replies, on the engine's goroutine ----
 
-// broke takes a connection's end. Nothing is written to it any more.
-func (l *link) broke() {
-	if l.over {
+// onEnded takes a connection's end. Nothing is written to it any more.
+func (l *backendConn) onEnded() {
+	if l.ended {
 		return
 	}
-	l.over, l.retired = true, true
-	c := l.of
-	c.open--
-	links := c.peers[l.backend]
+	l.ended, l.retired = true, true
+	c := l.carrier
+	c.openCount--
+	links := c.connections[l.backend]
 	for i, other := range links {
 		if other == l {
 			links = append(links[:i:i], links[i+1:]...)
@@ -118,73 +118,73 @@
 		}
 	}
 	if len(links) == 0 {
-		delete(c.peers, l.backend)
+		delete(c.connections, l.backend)
 	} else {
-		c.peers[l.backend] = links
+		c.connections[l.backend] = links
 	}
-	for id, f := range l.open {
-		delete(l.open, id)
+	for id, f := range l.pending {
+		delete(l.pending, id)
 		// Where its last byte never left, it never ran.
 		result := balancer.ConnectFailed
-		if f.sent.Load() {
+		if f.written.Load() {
 			result = balancer.Reset
 		} else {
-			f.a.Permit.Revoke()
+			f.attempt.Permit.Revoke()
 		}
-		f.a.End(engine.End{Result: result})
+		f.attempt.End(engine.End{Result: result})
 	}
 }
 
-// moot ends a call that was not written after all; left: its caller was found to have gone.
-func (l *link) moot(f *flight, left bool) {
-	if l.open[f.id] == f {
-		delete(l.open, f.id)
-		f.a.End(engine.End{Result: balancer.NotSent, Left: left})
-		l.rest()
+// onNotSent ends a call that was not written after all; left: its caller was found to have gone.
+func (l *backendConn) onNotSent(f *pendingAttempt, left bool) {
+	if l.pending[f.msgid] == f {
+		delete(l.pending, f.msgid)
+		f.attempt.End(engine.End{Result: balancer.NotSent, Left: left})
+		l.updateIdle()
 	}
 }
 
-// notified ends a notification that was written: more is never known of it. The call
+// onNotificationSent ends a notification that was written: more is never known of it. The call
 // is over with it, so that nothing is sent again, and the backend's delay is not
 // learnt from it.
-func (l *link) notified(f *flight) {
-	if l.open[f.id] == f {
-		delete(l.open, f.id)
-		l.of.counts.Notified.Add(1)
-		f.a.End(engine.End{Result: balancer.Cancelled, Over: true})
-		l.rest()
+func (l *backendConn) onNotificationSent(f *pendingAttempt) {
+	if l.pending[f.msgid] == f {
+		delete(l.pending, f.msgid)
+		l.carrier.counters.ForwardedNotifications.Add(1)
+		f.attempt.End(engine.End{Result: balancer.Cancelled, Over: true})
+		l.updateIdle()
 	}
 }
 
-// replied takes a reply.
-func (l *link) replied(m message) {
-	if _, orphan := l.orphans[m.id]; orphan {
-		delete(l.orphans, m.id)
-		l.of.counts.LateReplies.Add(1)
+// onReply takes a reply.
+func (l *backendConn) onReply(m message) {
+	if _, orphan := l.abandoned[m.id]; orphan {
+		delete(l.abandoned, m.id)
+		l.carrier.counters.LateReplies.Add(1)
 		return
 	}
-	f := l.open[m.id]
-	if f == nil || !f.a.Permit.Used() {
-		l.of.counts.UnknownReplies.Add(1)
-		if l.unknown++; l.unknown > mostUnknown {
+	f := l.pending[m.id]
+	if f == nil || !f.attempt.Permit.Used() {
+		l.carrier.counters.UnknownReplies.Add(1)
+		if l.unknownReplies++; l.unknownReplies > maxUnknownReplies {
 			l.retired = true
 			l.cancel() // whoever answers what was not asked may answer anything
 		}
 		return
 	}
-	delete(l.open, m.id)
-	l.window = min(float64(l.of.cfg.Pipeline), l.window+1/l.window)
-	f.a.End(endOf(m))
-	l.rest()
+	delete(l.pending, m.id)
+	l.window = min(float64(l.carrier.config.MaxPipeline), l.window+1/l.window)
+	f.attempt.End(outcomeOf(m))
+	l.updateIdle()
 }
 
-// endOf is what a reply means to the engine. Only an answer that a caller may get goes
+// outcomeOf is what a reply means to the engine. Only an answer that a caller may get goes
 // with it: of a failure or a refusal the proxy words its own.
-func endOf(m message) engine.End {
+func outcomeOf(m message) engine.End {
 	if isNil(m.error) {
 		return engine.End{Result: balancer.OK, Reply: &reply{error: m.error, result: m.result}}
 	}
-	result := readError(m.error)
+	result := classifyError(m.error)
 	if result == balancer.Unprocessable {
 		return engine.End{Result: result, Reply: &reply{error: m.error, result: m.result}}
 	}
@@ -194,8 +194,8 @@
 // reply is a backend's answer, as it came.
 type reply struct{ error, result []byte }
 
-// readError tells what a backend's error means. See the package comment.
-func readError(v []byte) balancer.Result {
+// classifyError tells what a backend's error means. See the package comment.
+func classifyError(v []byte) balancer.Result {
 	result := balancer.Unprocessable
 	mapEach(v, func(key string, value []byte) {
 		on, _ := readBool(value)
--- a/internal/dataplane/msgpackrpc/link_sockets.go
+++ b/internal/dataplane/msgpackrpc/link_sockets.go
@@ -8,14 +8,14 @@
 
 // run dials and writes until the connection ends, or ctx does. Then it tells the engine,
 // when neither this goroutine nor the reader does anything any more.
-func (l *link) run(ctx context.Context) {
+func (l *backendConn) run(ctx context.Context) {
 	defer l.cancel()
-	defer l.of.engine.Post(l.broke)
-	addr, err := l.of.cfg.addr(l.backend.Addr)
+	defer l.carrier.engine.Post(l.onEnded)
+	addr, err := l.carrier.config.rpcAddr(l.backend.Addr)
 	if err != nil {
 		return
 	}
-	dialer := net.Dialer{Timeout: l.of.connectTimeout}
+	dialer := net.Dialer{Timeout: l.carrier.connectTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return
@@ -26,21 +26,21 @@
 	go func() {
 		defer close(read)
 		defer l.cancel()
-		l.read(conn)
+		l.readLoop(conn)
 	}()
-	l.write(ctx, conn)
+	l.writeLoop(ctx, conn)
 	conn.Close()
 	<-read
 }
 
-func (l *link) write(ctx context.Context, conn net.Conn) {
+func (l *backendConn) writeLoop(ctx context.Context, conn net.Conn) {
 	for {
 		l.mu.Lock()
 		queue := l.queue
 		l.queue = nil
 		l.mu.Unlock()
 		for _, f := range queue {
-			if !l.send(conn, f) {
+			if !l.writeAttempt(conn, f) {
 				return
 			}
 		}
@@ -55,56 +55,56 @@
 	}
 }
 
-// send writes one call, and tells whether the connection can carry more.
-func (l *link) send(conn net.Conn, f *flight) bool {
+// writeAttempt writes one call, and tells whether the connection can carry more.
+func (l *backendConn) writeAttempt(conn net.Conn, f *pendingAttempt) bool {
 	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-	if f.note != "" {
-		_, err := conn.Write(appendNotification(nil, f.note, appendUint(appendArray(nil, 1), uint64(f.id))))
+	if f.cancelMethod != "" {
+		_, err := conn.Write(appendNotification(nil, f.cancelMethod, appendUint(appendArray(nil, 1), uint64(f.msgid))))
 		return err == nil
 	}
 	// The last look before writing: it may have waited for the dial or for others. The
 	// backend may be draining or gone by now, or the call answered.
-	left := f.a.Call != nil && f.a.Call.Here != nil && !f.a.Call.Here()
-	if left || !l.backend.Ready() || !f.a.Permit.Use() {
-		l.of.engine.Post(func() { l.moot(f, left) })
+	left := f.attempt.Call != nil && f.attempt.Call.Here != nil && !f.attempt.Call.Here()
+	if left || !l.backend.Ready() || !f.attempt.Permit.Use() {
+		l.carrier.engine.Post(func() { l.onNotSent(f, left) })
 		return true
 	}
-	data := f.body.encode(f.id, time.Until(f.a.Until))
+	data := f.payload.encode(f.msgid, time.Until(f.attempt.Until))
 	n, err := conn.Write(data)
 	if n == len(data) {
-		f.sent.Store(true)
-		f.a.Wrote()
-		if f.body.notify {
-			l.of.engine.Post(func() { l.notified(f) })
+		f.written.Store(true)
+		f.attempt.Wrote()
+		if f.payload.notification {
+			l.carrier.engine.Post(func() { l.onNotificationSent(f) })
 		}
 	}
 	return err == nil
 }
 
-// read takes replies until the connection ends or brings what can't be read.
-func (l *link) read(conn net.Conn) {
-	s := scanner{limits: l.of.limits}
-	buf := make([]byte, 0, readStep)
+// readLoop takes replies until the connection ends or brings what can't be read.
+func (l *backendConn) readLoop(conn net.Conn) {
+	s := scanner{limits: l.carrier.limits}
+	buf := make([]byte, 0, readBufferBytes)
 	for {
-		n, done, err := s.next(buf)
+		n, done, err := s.advance(buf)
 		if err != nil {
-			l.of.counts.BadStreams.Add(1)
+			l.carrier.counters.MalformedStreams.Add(1)
 			return
 		}
 		if done {
-			m, err := parse(append([]byte(nil), buf[:n]...)) // its parts live on
+			m, err := parseMessage(append([]byte(nil), buf[:n]...)) // its parts live on
 			if err != nil {
-				l.of.counts.BadStreams.Add(1)
+				l.carrier.counters.MalformedStreams.Add(1)
 				return
 			}
 			if m.kind == typeResponse { // a backend's own calls and notifications concern nobody
-				l.of.engine.Post(func() { l.replied(m) })
+				l.carrier.engine.Post(func() { l.onReply(m) })
 			}
 			buf = append(buf[:0], buf[n:]...)
 			s.reset()
 			continue
 		}
-		if buf, err = readMore(conn, buf, l.of.limits.Message); err != nil {
+		if buf, err = readMore(conn, buf, l.carrier.limits.MaxMessageBytes); err != nil {
 			return
 		}
 	}
@@ -114,7 +114,7 @@
 // most and a little more.
 func readMore(conn net.Conn, buf []byte, most int) ([]byte, error) {
 	if len(buf) == cap(buf) {
-		grown := make([]byte, len(buf), min(2*cap(buf), most+readStep))
+		grown := make([]byte, len(buf), min(2*cap(buf), most+readBufferBytes))
 		copy(grown, buf)
 		buf = grown
 	}
--- a/internal/dataplane/msgpackrpc/link_test.go
+++ b/internal/dataplane/msgpackrpc/link_test.go
@@ -14,21 +14,21 @@
 	"marlreel/internal/testutil"
 )
 
-// still is an engine that the test moves by hand, with this package's carrier.
-type still struct {
+// manualEngine is an engine that the test moves by hand, with this package's carrier.
+type manualEngine struct {
 	*engine.Engine
 	carrier *Carrier
 }
 
-// taker takes a call's answers.
-type taker struct {
+// recordedCall takes a call's answers.
+type recordedCall struct {
 	engine.Call
 	answers []engine.Answer
 }
 
-func (c *taker) Answer(_ *engine.Call, a engine.Answer) { c.answers = append(c.answers, a) }
+func (c *recordedCall) Answer(_ *engine.Call, a engine.Answer) { c.answers = append(c.answers, a) }
 
-func stillEngine(t testing.TB, change func(*Config), entries ...engine.Entry) *still {
+func newManualEngine(t testing.TB, change func(*Config), entries ...engine.Entry) *manualEngine {
 	t.Helper()
 	e, err := engine.New(engine.Config{Settings: testutil.Module(t), Seed: 1, Logf: t.Logf, Known: engine.List{Entries: entries}})
 	if err != nil {
@@ -39,7 +39,7 @@
 	if change != nil {
 		change(&cfg)
 	}
-	l := &still{e, NewCarrier(e, &cfg, new(Counts))}
+	l := &manualEngine{e, NewCarrier(e, &cfg, new(Counters))}
 	t.Cleanup(l.carrier.Close)
 	e.Carry(l.carrier)
 	l.Do(func() { l.List(engine.List{Kind: balancer.ListCached, Entries: entries}) })
@@ -50,9 +50,9 @@
 	return engine.Entry{Name: name, Addr: addr, State: balancer.Ready, Weight: 1}
 }
 
-func (l *still) call(class int, args []byte) *taker {
+func (l *manualEngine) call(class int, args []byte) *recordedCall {
 	now := l.Now()
-	c := &taker{}
+	c := &recordedCall{}
 	c.Call = engine.Call{
 		Carrier: l.carrier, Front: c, Payload: &payload{method: "m", args: args, count: 1},
 		Request: balancer.Request{Class: class, Deadline: now + time.Minute},
@@ -61,7 +61,7 @@
 	return c
 }
 
-func (l *still) until(t testing.TB, what string, reached func() bool) {
+func (l *manualEngine) until(t testing.TB, what string, reached func() bool) {
 	t.Helper()
 	for !reached() {
 		l.Do(testutil.Receive(t, l.Events(), what))
@@ -75,15 +75,15 @@
 		read int // bytes that the backend takes; -1 is all
 		want balancer.Result
 	}{"half": {50_000, balancer.ConnectFailed}, "whole": {-1, balancer.Reset}} {
-		l := stillEngine(t, nil)
+		l := newManualEngine(t, nil)
 		near, far := net.Pipe() // which hands over byte for byte
 		b := engine.NewBackend("s-1", "127.0.0.1:1", true)
-		link := &link{
-			of: l.carrier, backend: b, open: map[uint32]*flight{}, orphans: map[uint32]struct{}{}, window: 1,
+		link := &backendConn{
+			carrier: l.carrier, backend: b, pending: map[uint32]*pendingAttempt{}, abandoned: map[uint32]struct{}{}, window: 1,
 			cancel: func() {}, wake: make(chan struct{}, 1),
 		}
 		body := &payload{method: "m", args: append([]byte{0xc6, 0, 1, 0, 0}, make([]byte, 1<<16)...), count: 1}
-		f := &flight{a: &engine.Attempt{Backend: b, Until: time.Now().Add(time.Minute)}, id: 1, body: body}
+		f := &pendingAttempt{attempt: &engine.Attempt{Backend: b, Until: time.Now().Add(time.Minute)}, msgid: 1, payload: body}
 		go func() {
 			if c.read < 0 {
 				io.CopyN(io.Discard, far, int64(len(body.encode(1, 0))))
@@ -92,14 +92,14 @@
 			}
 			far.Close()
 		}()
-		went := link.send(near, f)
-		if got := f.sent.Load(); got != (c.want == balancer.Reset) {
+		went := link.writeAttempt(near, f)
+		if got := f.written.Load(); got != (c.want == balancer.Reset) {
 			t.Errorf("%s: the last byte is said to be out: %v", name, got)
 		}
-		if went != f.sent.Load() {
+		if went != f.written.Load() {
 			t.Errorf("%s: the connection is said to be good: %v", name, went)
 		}
-		if !f.a.Permit.Used() {
+		if !f.attempt.Permit.Used() {
 			t.Errorf("%s: written without its permit", name)
 		}
 	}
@@ -108,17 +108,17 @@
 // What is revoked, or whose backend leaves, while it waits for its connection is never written.
 func TestNothingIsWrittenAfterTheLastLook(t *testing.T) {
 	t.Parallel()
-	for name, spoil := range map[string]func(f *flight, l *link){
-		"answered": func(f *flight, _ *link) { f.a.Permit.Revoke() },
-		"draining": func(_ *flight, l *link) { l.backend = engine.NewBackend("s-1", "127.0.0.1:1", false) },
+	for name, spoil := range map[string]func(f *pendingAttempt, l *backendConn){
+		"answered": func(f *pendingAttempt, _ *backendConn) { f.attempt.Permit.Revoke() },
+		"draining": func(_ *pendingAttempt, l *backendConn) { l.backend = engine.NewBackend("s-1", "127.0.0.1:1", false) },
 	} {
-		l := stillEngine(t, nil)
+		l := newManualEngine(t, nil)
 		near, far := net.Pipe()
 		b := engine.NewBackend("s-1", "127.0.0.1:1", true)
-		link := &link{of: l.carrier, backend: b, open: map[uint32]*flight{}, orphans: map[uint32]struct{}{}, cancel: func() {}, wake: make(chan struct{}, 1)}
-		f := &flight{a: &engine.Attempt{Backend: b}, id: 1, body: &payload{method: "m"}}
+		link := &backendConn{carrier: l.carrier, backend: b, pending: map[uint32]*pendingAttempt{}, abandoned: map[uint32]struct{}{}, cancel: func() {}, wake: make(chan struct{}, 1)}
+		f := &pendingAttempt{attempt: &engine.Attempt{Backend: b}, msgid: 1, payload: &payload{method: "m"}}
 		spoil(f, link)
-		if !link.send(near, f) || f.sent.Load() {
+		if !link.writeAttempt(near, f) || f.written.Load() {
 			t.Errorf("%s: it was written", name)
 		}
 		near.Close()
@@ -131,8 +131,8 @@
 // Msgids go round at 2^32, and pass over those that are open or may be answered yet.
 func TestMsgidsGoRound(t *testing.T) {
 	t.Parallel()
-	l := &link{open: map[uint32]*flight{0: nil, 2: nil}, orphans: map[uint32]struct{}{1: {}}, lastID: 1<<32 - 2}
-	if a, b := l.newID(), l.newID(); a != 1<<32-1 || b != 3 {
+	l := &backendConn{pending: map[uint32]*pendingAttempt{0: nil, 2: nil}, abandoned: map[uint32]struct{}{1: {}}, lastMsgid: 1<<32 - 2}
+	if a, b := l.newMsgid(), l.newMsgid(); a != 1<<32-1 || b != 3 {
 		t.Errorf("after 2^32-2: %d, %d", a, b)
 	}
 }
@@ -142,31 +142,31 @@
 func TestPipelineFollowsTheBackend(t *testing.T) {
 	t.Parallel()
 	addr := testutil.ClosedAddr(t)
-	l := stillEngine(t, func(c *Config) { c.Backend.Pipeline, c.Backend.Connections = 8, 1 }, ready("s-1", addr))
+	l := newManualEngine(t, func(c *Config) { c.Backend.MaxPipeline, c.Backend.MaxConnections = 8, 1 }, ready("s-1", addr))
 	b := l.Backend("s-1")
-	link := &link{of: l.carrier, backend: b, open: map[uint32]*flight{}, orphans: map[uint32]struct{}{}, window: 8, cancel: func() {}, wake: make(chan struct{}, 1)}
+	link := &backendConn{carrier: l.carrier, backend: b, pending: map[uint32]*pendingAttempt{}, abandoned: map[uint32]struct{}{}, window: 8, cancel: func() {}, wake: make(chan struct{}, 1)}
 	for range 3 {
-		f := &flight{a: &engine.Attempt{Backend: b}, id: link.newID()}
-		link.open[f.id] = f
-		f.a.Permit.Use()
-		link.giveUp(f)
+		f := &pendingAttempt{attempt: &engine.Attempt{Backend: b}, msgid: link.newMsgid()}
+		link.pending[f.msgid] = f
+		f.attempt.Permit.Use()
+		link.abandon(f)
 	}
-	if link.window != 1 || len(link.orphans) != 3 || len(link.open) != 0 {
-		t.Errorf("window %v, %d without an owner", link.window, len(link.orphans))
+	if link.window != 1 || len(link.abandoned) != 3 || len(link.pending) != 0 {
+		t.Errorf("window %v, %d without an owner", link.window, len(link.abandoned))
 	}
-	link.replied(message{id: 2, error: nilValue, result: nilValue})
-	if l.carrier.counts.LateReplies.Load() != 1 || len(link.orphans) != 2 {
+	link.onReply(message{id: 2, error: nilValue, result: nilValue})
+	if l.carrier.counters.LateReplies.Load() != 1 || len(link.abandoned) != 2 {
 		t.Error("a late reply was not taken as one")
 	}
-	link.replied(message{id: 99, error: nilValue, result: nilValue})
-	if l.carrier.counts.UnknownReplies.Load() != 1 {
+	link.onReply(message{id: 99, error: nilValue, result: nilValue})
+	if l.carrier.counters.UnknownReplies.Load() != 1 {
 		t.Error("a reply to nothing was not counted")
 	}
-	for range mostOrphans {
-		f := &flight{a: &engine.Attempt{Backend: b}, id: link.newID()}
-		link.open[f.id] = f
-		f.a.Permit.Use()
-		link.giveUp(f)
+	for range maxAbandoned {
+		f := &pendingAttempt{attempt: &engine.Attempt{Backend: b}, msgid: link.newMsgid()}
+		link.pending[f.msgid] = f
+		f.attempt.Permit.Use()
+		link.abandon(f)
 	}
 	if !link.retired {
 		t.Error("a connection full of calls without an owner goes on")
@@ -178,21 +178,23 @@
 func TestConnectionBounds(t *testing.T) {
 	t.Parallel()
 	addr := silentRPC(t)
-	l := stillEngine(t, func(c *Config) { c.Backend.Pipeline, c.Backend.Connections, c.Backend.All = 1, 2, 2 }, ready("s-1", addr))
+	l := newManualEngine(t, func(c *Config) {
+		c.Backend.MaxPipeline, c.Backend.MaxConnections, c.Backend.MaxTotalConnections = 1, 2, 2
+	}, ready("s-1", addr))
 	b := l.Backend("s-1")
-	first, second := l.carrier.pick(b), func() *link {
-		l.carrier.peers[b][0].open[1] = &flight{}
+	first, second := l.carrier.pick(b), func() *backendConn {
+		l.carrier.connections[b][0].pending[1] = &pendingAttempt{}
 		return l.carrier.pick(b)
 	}()
 	if first == nil || second == nil || first == second || l.carrier.Connections() != 2 {
 		t.Fatalf("%d connections", l.carrier.Connections())
 	}
-	second.open[1] = &flight{}
+	second.pending[1] = &pendingAttempt{}
 	if l.carrier.pick(b) != nil || l.carrier.Connections() != 2 {
 		t.Error("one more was opened")
 	}
-	delete(first.open, 1)
-	delete(second.open, 1)
+	delete(first.pending, 1)
+	delete(second.pending, 1)
 }
 
 // silentRPC is a backend that takes connections and says nothing.
@@ -234,12 +236,12 @@
 				s := scanner{limits: wide}
 				var buf []byte
 				for {
-					n, done, err := s.next(buf)
+					n, done, err := s.advance(buf)
 					if err != nil {
 						return
 					}
 					if done {
-						if m, err := parse(buf[:n]); err == nil {
+						if m, err := parseMessage(buf[:n]); err == nil {
 							c.Write(appendResponse(nil, m.id, nilValue, m.params))
 						}
 						buf = append(buf[:0], buf[n:]...)
@@ -247,9 +249,9 @@
 						continue
 					}
 					if buf == nil {
-						buf = make([]byte, 0, readStep)
+						buf = make([]byte, 0, readBufferBytes)
 					}
-					if buf, err = readMore(c, buf, wide.Message); err != nil {
+					if buf, err = readMore(c, buf, wide.MaxMessageBytes); err != nil {
 						return
 					}
 				}
@@ -262,7 +264,7 @@
 // A call goes out and its answer comes back; what is idle for long ends.
 func TestCarrierServes(t *testing.T) {
 	t.Parallel()
-	l := stillEngine(t, nil, ready("s-1", echo(t)))
+	l := newManualEngine(t, nil, ready("s-1", echo(t)))
 	c := l.call(0, []byte{7})
 	l.until(t, "the answer", func() bool { return len(c.answers) == 1 })
 	if r, ok := c.answers[0].Reply.(*reply); !ok || !bytes.Equal(r.result, []byte{0x91, 7}) {
@@ -296,10 +298,10 @@
 		"methods":  {func(c *Config) { c.Methods = nil }, "rpc.method"},
 		"a method": {func(c *Config) { c.Methods = []Method{{Name: "a"}} }, "rpc.method 1"},
 		"a class":  {func(c *Config) { c.Methods[0].Class = "bit" }, "did you mean bid?"},
-		"a house":  {func(c *Config) { c.House = "obale" }, "did you mean obala?"},
-		"nesting":  {func(c *Config) { c.Nesting = 0 }, "rpc.nesting"},
-		"pipeline": {func(c *Config) { c.Backend.Pipeline = -1 }, "rpc.backend.pipeline"},
-		"idle":     {func(c *Config) { c.Idle = 0 }, "rpc.idle"},
+		"a house":  {func(c *Config) { c.DefaultTenant = "obale" }, "did you mean obala?"},
+		"nesting":  {func(c *Config) { c.MaxDepth = 0 }, "rpc.nesting"},
+		"pipeline": {func(c *Config) { c.Backend.MaxPipeline = -1 }, "rpc.backend.pipeline"},
+		"idle":     {func(c *Config) { c.IdleTimeout = 0 }, "rpc.idle"},
 	} {
 		bad := good
 		bad.Methods = append([]Method(nil), good.Methods...)
@@ -313,21 +315,21 @@
 		}
 	}
 	for listed, want := range map[string]string{"10.0.0.1:5000": "10.0.0.1:6000", "10.0.0.1:65000": ""} {
-		if got, _ := (&Backend{PortOffset: 1000}).addr(listed); got != want {
+		if got, _ := (&Backend{PortOffset: 1000}).rpcAddr(listed); got != want {
 			t.Errorf("%s: %q, want %q", listed, got, want)
 		}
 	}
-	if got, _ := (&Backend{Port: 7}).addr("10.0.0.1:5000"); got != "10.0.0.1:7" {
+	if got, _ := (&Backend{Port: 7}).rpcAddr("10.0.0.1:5000"); got != "10.0.0.1:7" {
 		t.Error(got)
 	}
 }
 
 // BenchmarkCall is one call through front, engine and carrier, over real sockets.
 func BenchmarkCall(b *testing.B) {
-	l := stillEngine(b, func(c *Config) { c.House, c.Methods = "obala", []Method{{Name: "m", Class: "lot-list"}} }, ready("s-1", echo(b)))
+	l := newManualEngine(b, func(c *Config) { c.DefaultTenant, c.Methods = "obala", []Method{{Name: "m", Class: "lot-list"}} }, ready("s-1", echo(b)))
 	cfg := DefaultConfig()
-	cfg.House, cfg.Methods = "obala", []Method{{Name: "m", Class: "lot-list"}}
-	f := NewFront(l.Engine, l.carrier, &cfg, logs.Discard(), new(Counts))
+	cfg.DefaultTenant, cfg.Methods = "obala", []Method{{Name: "m", Class: "lot-list"}}
+	f := NewServer(l.Engine, l.carrier, &cfg, logs.Discard(), new(Counters))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
--- a/internal/dataplane/msgpackrpc/message.go
+++ b/internal/dataplane/msgpackrpc/message.go
@@ -28,15 +28,15 @@
 // isNil tells whether an encoded value is nil.
 func isNil(v []byte) bool { return len(v) == 1 && v[0] == 0xc0 }
 
-// parse reads a whole message.
-func parse(data []byte) (m message, err error) {
+// parseMessage reads a whole message.
+func parseMessage(data []byte) (m message, err error) {
 	h, err := readHeader(data)
-	if err != nil || h.kind != kindArray || h.size == 0 {
+	if err != nil || h.kind != kindArray || h.headerBytes == 0 {
 		return m, ErrMessage
 	}
-	rest := data[h.size:]
+	rest := data[h.headerBytes:]
 	take := func() []byte {
-		n, e := whole(rest)
+		n, e := valueLength(rest)
 		if e != nil {
 			err = ErrMessage
 			return nil
@@ -53,7 +53,7 @@
 		return v
 	}
 	m.kind = int(number(typeNotification))
-	if want := map[int]uint64{typeRequest: 4, typeResponse: 4, typeNotification: 3}[m.kind]; err != nil || h.values != want {
+	if want := map[int]uint64{typeRequest: 4, typeResponse: 4, typeNotification: 3}[m.kind]; err != nil || h.elements != want {
 		return m, ErrMessage
 	}
 	if m.kind != typeNotification {
@@ -74,7 +74,7 @@
 // readUint reads an integer that is not negative.
 func readUint(v []byte) (uint64, bool) {
 	h, err := readHeader(v)
-	if err != nil || h.size == 0 || h.kind != kindInt && h.kind != kindUint || h.kind == kindInt && int64(h.bits) < 0 {
+	if err != nil || h.headerBytes == 0 || h.kind != kindInt && h.kind != kindUint || h.kind == kindInt && int64(h.bits) < 0 {
 		return 0, false
 	}
 	return h.bits, true
@@ -83,16 +83,16 @@
 // readString reads a string, or bytes that stand for one as in the specification's old form.
 func readString(v []byte) (string, bool) {
 	h, err := readHeader(v)
-	if err != nil || h.size == 0 || h.kind != kindString && h.kind != kindBinary {
+	if err != nil || h.headerBytes == 0 || h.kind != kindString && h.kind != kindBinary {
 		return "", false
 	}
-	return string(v[h.size : h.size+int(h.body)]), true
+	return string(v[h.headerBytes : h.headerBytes+int(h.bodyBytes)]), true
 }
 
 // readNumber reads any number.
 func readNumber(v []byte) (float64, bool) {
 	h, err := readHeader(v)
-	if err != nil || h.size == 0 {
+	if err != nil || h.headerBytes == 0 {
 		return 0, false
 	}
 	switch h.kind {
@@ -101,7 +101,7 @@
 	case kindUint:
 		return float64(h.bits), true
 	case kindFloat:
-		if h.size == 5 {
+		if h.headerBytes == 5 {
 			return float64(math.Float32frombits(uint32(h.bits))), true
 		}
 		return math.Float64frombits(h.bits), true
@@ -112,23 +112,23 @@
 // readBool reads a bool.
 func readBool(v []byte) (value, ok bool) {
 	h, err := readHeader(v)
-	return h.bits == 1, err == nil && h.kind == kindBool && h.size == 1
+	return h.bits == 1, err == nil && h.kind == kindBool && h.headerBytes == 1
 }
 
 // mapEach calls for each pair of an encoded map whose key is a string; it gives false
 // where v is no map.
 func mapEach(v []byte, each func(key string, value []byte)) bool {
 	h, err := readHeader(v)
-	if err != nil || h.size == 0 || h.kind != kindMap {
+	if err != nil || h.headerBytes == 0 || h.kind != kindMap {
 		return false
 	}
-	rest := v[h.size:]
-	for range h.values / 2 {
-		k, err := whole(rest)
+	rest := v[h.headerBytes:]
+	for range h.elements / 2 {
+		k, err := valueLength(rest)
 		if err != nil {
 			return false
 		}
-		n, err := whole(rest[k:])
+		n, err := valueLength(rest[k:])
 		if err != nil {
 			return false
 		}
@@ -209,36 +209,36 @@
 
 // ---- metadata ----
 
-// Meta is what travels with a call beside its parameters: a map as the last one, all
+// Metadata is what travels with a call beside its parameters: a map as the last one, all
 // of whose keys begin with "$".
-type Meta struct {
-	ID     string  // $id: 16 hexadecimal digits, new with each call
-	House  string  // $house: the tenant
-	Key    string  // $key: against repeats, for a keyed class
-	About  string  // $about: what the call is about
-	LeftMs float64 // $left_ms: how long the caller will wait
-	Repeat bool    // $repeat: a caller's retry
+type Metadata struct {
+	RequestID      string  // $id: 16 hexadecimal digits, new with each call
+	Tenant         string  // $house: the tenant
+	IdempotencyKey string  // $key: against repeats, for a keyed class
+	AffinityKey    string  // $about: what the call is about
+	TimeoutMs      float64 // $left_ms: how long the caller will wait
+	IsRetry        bool    // $repeat: a caller's retry
 }
 
 // splitMeta takes the metadata off a call's params. given is false, and count that of
 // all params, where there is none; an error says what in it can't be used.
-func splitMeta(params []byte) (args []byte, count int, m Meta, given bool, err error) {
+func splitMeta(params []byte) (args []byte, count int, m Metadata, given bool, err error) {
 	h, err := readHeader(params)
 	if err != nil {
 		return nil, 0, m, false, err
 	}
-	rest, last := params[h.size:], []byte(nil)
+	rest, last := params[h.headerBytes:], []byte(nil)
 	from := 0
 	for at := 0; at < len(rest); {
-		n, err := whole(rest[at:])
+		n, err := valueLength(rest[at:])
 		if err != nil {
 			return nil, 0, m, false, err
 		}
 		from, last = at, rest[at:at+n]
 		at += n
 	}
-	count = int(h.values)
-	if k, _ := readHeader(last); count == 0 || k.kind != kindMap || k.values == 0 {
+	count = int(h.elements)
+	if k, _ := readHeader(last); count == 0 || k.kind != kindMap || k.elements == 0 {
 		return rest, count, m, false, nil
 	}
 	marked, bad := true, ""
@@ -257,27 +257,27 @@
 		var ok bool
 		switch key {
 		case "$id":
-			m.ID, ok = readString(v)
-			want(key, ok && isID(m.ID))
+			m.RequestID, ok = readString(v)
+			want(key, ok && isRequestID(m.RequestID))
 		case "$house":
-			m.House, ok = readString(v)
+			m.Tenant, ok = readString(v)
 			want(key, ok)
 		case "$key":
-			m.Key, ok = readString(v)
-			want(key, ok && m.Key != "" && len(m.Key) <= longestKey)
+			m.IdempotencyKey, ok = readString(v)
+			want(key, ok && m.IdempotencyKey != "" && len(m.IdempotencyKey) <= maxKeyBytes)
 		case "$about":
-			m.About, ok = readString(v)
-			want(key, ok && len(m.About) <= longestKey)
+			m.AffinityKey, ok = readString(v)
+			want(key, ok && len(m.AffinityKey) <= maxKeyBytes)
 		case "$left_ms":
-			m.LeftMs, ok = readNumber(v)
-			want(key, ok && m.LeftMs > 0 && m.LeftMs <= longestLeftMs)
+			m.TimeoutMs, ok = readNumber(v)
+			want(key, ok && m.TimeoutMs > 0 && m.TimeoutMs <= maxTimeoutMs)
 		case "$repeat":
-			m.Repeat, ok = readBool(v)
+			m.IsRetry, ok = readBool(v)
 			want(key, ok)
 		}
 	})
-	if h, _ := readHeader(last); !marked || uint64(pairs) != h.values/2 {
-		return rest, count, Meta{}, false, nil // a parameter of the method's own
+	if h, _ := readHeader(last); !marked || uint64(pairs) != h.elements/2 {
+		return rest, count, Metadata{}, false, nil // a parameter of the method's own
 	}
 	if bad != "" {
 		return nil, 0, m, true, fmt.Errorf("%s is no good", bad)
@@ -286,26 +286,26 @@
 }
 
 const (
-	idLength      = 16
-	longestKey    = 128
-	longestLeftMs = 3_600_000
+	requestIDLength = 16
+	maxKeyBytes     = 128
+	maxTimeoutMs    = 3_600_000
 )
 
-func isID(s string) bool {
-	return len(s) == idLength && strings.Trim(s, "0123456789abcdef") == ""
+func isRequestID(s string) bool {
+	return len(s) == requestIDLength && strings.Trim(s, "0123456789abcdef") == ""
 }
 
 // appendMeta writes the metadata that a backend gets.
-func appendMeta(b []byte, m *Meta, leftMs float64) []byte {
+func appendMeta(b []byte, m *Metadata, leftMs float64) []byte {
 	n := 2
-	for _, s := range []string{m.House, m.Key, m.About} {
+	for _, s := range []string{m.Tenant, m.IdempotencyKey, m.AffinityKey} {
 		if s != "" {
 			n++
 		}
 	}
-	b = appendString(appendString(appendMap(b, n), "$id"), m.ID)
+	b = appendString(appendString(appendMap(b, n), "$id"), m.RequestID)
 	b = appendFloat(appendString(b, "$left_ms"), leftMs)
-	for _, p := range [3][2]string{{"$house", m.House}, {"$key", m.Key}, {"$about", m.About}} {
+	for _, p := range [3][2]string{{"$house", m.Tenant}, {"$key", m.IdempotencyKey}, {"$about", m.AffinityKey}} {
 		if p[1] != "" {
 			b = appendString(appendString(b, p[0]), p[1])
 		}
--- a/internal/dataplane/msgpackrpc/scan.go
+++ b/internal/dataplane/msgpackrpc/scan.go
@@ -8,8 +8,8 @@
 
 // Limits bound what a peer may send.
 type Limits struct {
-	Message int // bytes of one message
-	Depth   int // arrays and maps within one another
+	MaxMessageBytes int // bytes of one message
+	MaxDepth        int // arrays and maps within one another
 }
 
 // Errors of what can't be read. They end the connection: nothing after such bytes can
@@ -26,49 +26,49 @@
 // costs no more than one that arrives whole. What a header claims is believed only as
 // far as bytes come: no room is taken for it.
 type scanner struct {
-	limits Limits
-	at     int      // bytes of the value that are read
-	open   []uint64 // values still to come in each open array or map, outermost first
-	begun  bool
+	limits    Limits
+	scanned   int      // bytes of the value that are read
+	remaining []uint64 // values still to come in each open array or map, outermost first
+	started   bool
 }
 
 // reset begins the next value.
-func (s *scanner) reset() { s.at, s.open, s.begun = 0, s.open[:0], false }
+func (s *scanner) reset() { s.scanned, s.remaining, s.started = 0, s.remaining[:0], false }
 
-// next goes on over data, which holds the value from its first byte. It gives the
+// advance goes on over data, which holds the value from its first byte. It gives the
 // value's length and true when the value is whole.
-func (s *scanner) next(data []byte) (int, bool, error) {
-	for !s.begun || len(s.open) > 0 {
-		h, err := readHeader(data[s.at:])
+func (s *scanner) advance(data []byte) (int, bool, error) {
+	for !s.started || len(s.remaining) > 0 {
+		h, err := readHeader(data[s.scanned:])
 		if err != nil {
 			return 0, false, err
 		}
-		if s.at+max(h.size, 1)+int(min(h.body, 1<<40)) > s.limits.Message {
+		if s.scanned+max(h.headerBytes, 1)+int(min(h.bodyBytes, 1<<40)) > s.limits.MaxMessageBytes {
 			return 0, false, ErrTooLong
 		}
-		if h.size == 0 || len(data)-s.at < h.size+int(h.body) {
+		if h.headerBytes == 0 || len(data)-s.scanned < h.headerBytes+int(h.bodyBytes) {
 			return 0, false, nil // there is more to come
 		}
-		s.begun = true
-		s.at += h.size + int(h.body)
-		if n := len(s.open); n > 0 {
-			s.open[n-1]--
+		s.started = true
+		s.scanned += h.headerBytes + int(h.bodyBytes)
+		if n := len(s.remaining); n > 0 {
+			s.remaining[n-1]--
 		}
-		if h.values > 0 {
+		if h.elements > 0 {
 			// Each value takes a byte at least.
-			if h.values > uint64(s.limits.Message-s.at) {
+			if h.elements > uint64(s.limits.MaxMessageBytes-s.scanned) {
 				return 0, false, ErrTooLong
 			}
-			if len(s.open) >= s.limits.Depth {
+			if len(s.remaining) >= s.limits.MaxDepth {
 				return 0, false, ErrTooDeep
 			}
-			s.open = append(s.open, h.values)
+			s.remaining = append(s.remaining, h.elements)
 		}
-		for len(s.open) > 0 && s.open[len(s.open)-1] == 0 {
-			s.open = s.open[:len(s.open)-1]
+		for len(s.remaining) > 0 && s.remaining[len(s.remaining)-1] == 0 {
+			s.remaining = s.remaining[:len(s.remaining)-1]
 		}
 	}
-	return s.at, true, nil
+	return s.scanned, true, nil
 }
 
 // kind is what a value is.
@@ -89,11 +89,11 @@
 
 // header is the first bytes of a value.
 type header struct {
-	kind   kind
-	size   int    // of the header itself; 0: more bytes are needed to tell
-	body   uint64 // bytes that follow it
-	values uint64 // values that follow it: of an array, twice those of a map
-	bits   uint64 // of a number or a bool
+	kind        kind
+	headerBytes int    // of the header itself; 0: more bytes are needed to tell
+	bodyBytes   uint64 // bytes that follow it
+	elements    uint64 // values that follow it: of an array, twice those of a map
+	bits        uint64 // of a number or a bool
 }
 
 // readHeader reads the header at the start of data, after the MessagePack
@@ -105,15 +105,15 @@
 	b := data[0]
 	switch {
 	case b <= 0x7f:
-		return header{kind: kindInt, size: 1, bits: uint64(b)}, nil
+		return header{kind: kindInt, headerBytes: 1, bits: uint64(b)}, nil
 	case b <= 0x8f:
-		return header{kind: kindMap, size: 1, values: 2 * uint64(b&0x0f)}, nil
+		return header{kind: kindMap, headerBytes: 1, elements: 2 * uint64(b&0x0f)}, nil
 	case b <= 0x9f:
-		return header{kind: kindArray, size: 1, values: uint64(b & 0x0f)}, nil
+		return header{kind: kindArray, headerBytes: 1, elements: uint64(b & 0x0f)}, nil
 	case b <= 0xbf:
-		return header{kind: kindString, size: 1, body: uint64(b & 0x1f)}, nil
+		return header{kind: kindString, headerBytes: 1, bodyBytes: uint64(b & 0x1f)}, nil
 	case b >= 0xe0:
-		return header{kind: kindInt, size: 1, bits: uint64(int64(int8(b)))}, nil
+		return header{kind: kindInt, headerBytes: 1, bits: uint64(int64(int8(b)))}, nil
 	}
 	// number reads n bytes behind the first one.
 	number := func(n int) (uint64, bool) {
@@ -135,14 +135,14 @@
 		if !ok {
 			return header{}, nil
 		}
-		return header{kind: k, size: 1 + n, body: v}, nil
+		return header{kind: k, headerBytes: 1 + n, bodyBytes: v}, nil
 	}
 	counted := func(k kind, n int, each uint64) (header, error) {
 		v, ok := number(n)
 		if !ok {
 			return header{}, nil
 		}
-		return header{kind: k, size: 1 + n, values: v * each}, nil
+		return header{kind: k, headerBytes: 1 + n, elements: v * each}, nil
 	}
 	plain := func(k kind, n int, signed bool) (header, error) {
 		v, ok := number(n)
@@ -153,18 +153,18 @@
 			shift := 64 - 8*uint(n)
 			v = uint64(int64(v<<shift) >> shift)
 		}
-		return header{kind: k, size: 1 + n, bits: v}, nil
+		return header{kind: k, headerBytes: 1 + n, bits: v}, nil
 	}
 	switch b {
 	case 0xc0:
-		return header{kind: kindNil, size: 1}, nil
+		return header{kind: kindNil, headerBytes: 1}, nil
 	case 0xc2, 0xc3:
-		return header{kind: kindBool, size: 1, bits: uint64(b & 1)}, nil
+		return header{kind: kindBool, headerBytes: 1, bits: uint64(b & 1)}, nil
 	case 0xc4, 0xc5, 0xc6:
 		return sized(kindBinary, 1<<(b-0xc4))
 	case 0xc7, 0xc8, 0xc9:
 		h, err := sized(kindExt, 1<<(b-0xc7))
-		h.body++ // its type
+		h.bodyBytes++ // its type
 		return h, err
 	case 0xca:
 		return plain(kindFloat, 4, false)
@@ -175,7 +175,7 @@
 	case 0xd0, 0xd1, 0xd2, 0xd3:
 		return plain(kindInt, 1<<(b-0xd0), true)
 	case 0xd4, 0xd5, 0xd6, 0xd7, 0xd8:
-		return header{kind: kindExt, size: 1, body: 1 + 1<<(b-0xd4)}, nil
+		return header{kind: kindExt, headerBytes: 1, bodyBytes: 1 + 1<<(b-0xd4)}, nil
 	case 0xd9, 0xda, 0xdb:
 		return sized(kindString, 1<<(b-0xd9))
 	case 0xdc, 0xdd:
@@ -186,10 +186,10 @@
 	return header{}, fmt.Errorf("%w", ErrNoFormat)
 }
 
-// whole is the length of the value at the start of data, which holds it whole.
-func whole(data []byte) (int, error) {
-	s := scanner{limits: Limits{Message: len(data), Depth: 1 << 20}}
-	n, done, err := s.next(data)
+// valueLength is the length of the value at the start of data, which holds it whole.
+func valueLength(data []byte) (int, error) {
+	s := scanner{limits: Limits{MaxMessageBytes: len(data), MaxDepth: 1 << 20}}
+	n, done, err := s.advance(data)
 	if err == nil && !done {
 		err = ErrMessage
 	}
--- a/internal/dataplane/msgpackrpc/scan_test.go
+++ b/internal/dataplane/msgpackrpc/scan_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-var wide = Limits{Message: 1 << 20, Depth: 64}
+var wide = Limits{MaxMessageBytes: 1 << 20, MaxDepth: 64}
 
 func unhex(t testing.TB, s string) []byte {
 	t.Helper()
@@ -36,18 +36,18 @@
 		"d9 01 61", "da 0001 61", "db 00000001 61", "dc 0001 c0", "dd 00000001 c0", "de 0001 c0 c0", "df 00000001 c0 c0",
 	} {
 		data := unhex(t, v)
-		n, err := whole(append(append([]byte(nil), data...), 0xc0))
+		n, err := valueLength(append(append([]byte(nil), data...), 0xc0))
 		if err != nil || n != len(data) {
 			t.Errorf("%s: %d bytes, %v", v, n, err)
 		}
 		for k := range data {
 			s := scanner{limits: wide}
-			if n, done, err := s.next(data[:k]); done || err != nil {
+			if n, done, err := s.advance(data[:k]); done || err != nil {
 				t.Errorf("%s: after %d bytes: %d %v %v", v, k, n, done, err)
 			}
 		}
 	}
-	if _, err := whole([]byte{0xc1}); !errors.Is(err, ErrNoFormat) {
+	if _, err := valueLength([]byte{0xc1}); !errors.Is(err, ErrNoFormat) {
 		t.Errorf("0xc1: %v", err)
 	}
 }
@@ -56,7 +56,7 @@
 func TestMessagesOfTheSpecification(t *testing.T) {
 	// [0, 1, "sum", [1, 2]], [1, 1, nil, 3], [2, "log", ["x"]]
 	request := unhex(t, "94 00 01 a3 73756d 92 01 02")
-	m, err := parse(request)
+	m, err := parseMessage(request)
 	if err != nil || m.kind != typeRequest || m.id != 1 || m.method != "sum" || !bytes.Equal(m.params, unhex(t, "92 01 02")) {
 		t.Errorf("%+v %v", m, err)
 	}
@@ -65,25 +65,25 @@
 		t.Errorf("a request is %x", got)
 	}
 	response := unhex(t, "94 01 01 c0 03")
-	if m, err = parse(response); err != nil || m.kind != typeResponse || m.id != 1 || !isNil(m.error) || !bytes.Equal(m.result, []byte{3}) {
+	if m, err = parseMessage(response); err != nil || m.kind != typeResponse || m.id != 1 || !isNil(m.error) || !bytes.Equal(m.result, []byte{3}) {
 		t.Errorf("%+v %v", m, err)
 	}
 	if got := appendResponse(nil, 1, nilValue, []byte{3}); !bytes.Equal(got, response) {
 		t.Errorf("a response is %x", got)
 	}
 	note := unhex(t, "93 02 a3 6c6f67 91 a1 78")
-	if m, err = parse(note); err != nil || m.kind != typeNotification || m.method != "log" {
+	if m, err = parseMessage(note); err != nil || m.kind != typeNotification || m.method != "log" {
 		t.Errorf("%+v %v", m, err)
 	}
 	if got := appendNotification(nil, "log", unhex(t, "91 a1 78")); !bytes.Equal(got, note) {
 		t.Errorf("a notification is %x", got)
 	}
-	p.notify = true
+	p.notification = true
 	if got := p.encode(1, 0); !bytes.Equal(got, unhex(t, "93 02 a3 73756d 92 01 02")) {
 		t.Errorf("a notification sent on is %x", got)
 	}
 	// A msgid of 32 bits, and a method as bytes of the old form.
-	if m, err = parse(unhex(t, "94 00 ce ffffffff c4 01 61 90")); err != nil || m.id != 1<<32-1 || m.method != "a" {
+	if m, err = parseMessage(unhex(t, "94 00 ce ffffffff c4 01 61 90")); err != nil || m.id != 1<<32-1 || m.method != "a" {
 		t.Errorf("%+v %v", m, err)
 	}
 }
@@ -103,7 +103,7 @@
 		"params of nil":       "94 00 01 a1 61 c0",
 		"params of a map":     "94 00 01 a1 61 80",
 	} {
-		if m, err := parse(unhex(t, v)); err == nil {
+		if m, err := parseMessage(unhex(t, v)); err == nil {
 			t.Errorf("%s: taken as %+v", name, m)
 		}
 	}
@@ -127,12 +127,12 @@
 		"nothing of a value": {unhex(t, "92 c1"), ErrNoFormat},
 	} {
 		s := scanner{limits: wide}
-		if _, done, err := s.next(c.data); done || !errors.Is(err, c.want) {
+		if _, done, err := s.advance(c.data); done || !errors.Is(err, c.want) {
 			t.Errorf("%s: %v %v, want %v", name, done, err, c.want)
 		}
 	}
 	s := scanner{limits: wide}
-	if n, done, err := s.next(append(bytes.Repeat([]byte{0x91}, 64), 0xc0)); !done || n != 65 || err != nil {
+	if n, done, err := s.advance(append(bytes.Repeat([]byte{0x91}, 64), 0xc0)); !done || n != 65 || err != nil {
 		t.Errorf("nesting of 64: %d %v %v", n, done, err)
 	}
 }
@@ -146,10 +146,10 @@
 			t.Fatal(err)
 		}
 		stream := append(append([]byte(nil), data...), 0xc0, 0x93) // the next one's beginning
-		s := scanner{limits: Limits{Message: len(data), Depth: 16}}
+		s := scanner{limits: Limits{MaxMessageBytes: len(data), MaxDepth: 16}}
 		for at := 0; ; {
 			at = min(len(stream), at+rapid.IntRange(1, 7).Draw(t, "more"))
-			n, done, err := s.next(stream[:at])
+			n, done, err := s.advance(stream[:at])
 			if err != nil {
 				t.Fatalf("%x: %v", data, err)
 			}
@@ -189,7 +189,7 @@
 	full := map[string]any{"$id": "00000000000000aa", "$house": "obala", "$key": "k", "$about": "crate 7", "$left_ms": 480, "$repeat": true}
 	args, n, m, given, err := splitMeta(encode(1, "two", full))
 	if err != nil || !given || n != 2 || !bytes.Equal(args, unhex(t, "01 a3 74776f")) ||
-		m != (Meta{"00000000000000aa", "obala", "k", "crate 7", 480, true}) {
+		m != (Metadata{"00000000000000aa", "obala", "k", "crate 7", 480, true}) {
 		t.Errorf("%x %d %+v %v %v", args, n, m, given, err)
 	}
 	// What goes on is readable for the other library, and tells the time that is left.
@@ -212,7 +212,7 @@
 		"not the last":       encode(full, 1),
 	} {
 		args, n, _, given, err := splitMeta(params)
-		if h, _ := readHeader(params); err != nil || given || n != int(h.values) || !bytes.Equal(args, params[h.size:]) {
+		if h, _ := readHeader(params); err != nil || given || n != int(h.elements) || !bytes.Equal(args, params[h.headerBytes:]) {
 			t.Errorf("%s: %x %d %v %v", name, args, n, given, err)
 		}
 	}
@@ -239,23 +239,23 @@
 	f.Add(unhex(f, "dd ffffffff"))
 	f.Add(bytes.Repeat([]byte{0x91}, 200))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		limits := Limits{Message: 4096, Depth: 16}
+		limits := Limits{MaxMessageBytes: 4096, MaxDepth: 16}
 		s := scanner{limits: limits}
 		rest := data
 		for len(rest) > 0 {
-			n, done, err := s.next(rest)
+			n, done, err := s.advance(rest)
 			if err != nil || !done {
 				return
 			}
-			if n < 1 || n > len(rest) || n > limits.Message {
+			if n < 1 || n > len(rest) || n > limits.MaxMessageBytes {
 				t.Fatalf("%d bytes of %d", n, len(rest))
 			}
-			if w, err := whole(rest[:n]); err != nil || w != n {
+			if w, err := valueLength(rest[:n]); err != nil || w != n {
 				t.Fatalf("whole: %d %v, want %d", w, err, n)
 			}
-			if m, err := parse(rest[:n]); err == nil && m.kind != typeResponse {
-				if _, _, meta, given, err := splitMeta(m.params); err == nil && given && meta.ID != "" && !isID(meta.ID) {
-					t.Fatalf("an id of %q", meta.ID)
+			if m, err := parseMessage(rest[:n]); err == nil && m.kind != typeResponse {
+				if _, _, meta, given, err := splitMeta(m.params); err == nil && given && meta.RequestID != "" && !isRequestID(meta.RequestID) {
+					t.Fatalf("an id of %q", meta.RequestID)
 				}
 			}
 			rest = rest[n:]
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -91,7 +91,7 @@
 		}
 	}
 	own := rpcSettings()
-	own.RPC.Backend.All = 512
+	own.RPC.Backend.MaxTotalConnections = 512
 	p, err := assemble(cfg, own, nil, logs.Discard())
 	if err != nil {
 		b.Fatal(err)
--- a/internal/proxy/partial_test.go
+++ b/internal/proxy/partial_test.go
@@ -144,7 +144,7 @@
 		}
 	})
 	own := rpcSettings()
-	own.RPC.Backend.Connections = 1
+	own.RPC.Backend.MaxConnections = 1
 	p := startWith(t, testConfig(t, closedAddr(t), ready("s-1", addr)), own)
 	r := caller(t, p.rpc)
 	var calls []<-chan standin.RPCAnswer
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -122,8 +122,8 @@
 	memory  memory
 
 	rpcCarrier *msgpackrpc.Carrier // nil where RPC is off
-	rpcFront   *msgpackrpc.Front
-	rpcCounts  msgpackrpc.Counts
+	rpcFront   *msgpackrpc.Server
+	rpcCounts  msgpackrpc.Counters
 
 	limitMemory func(bytes int64) // what the runtime is told; nil: nothing
 
@@ -206,7 +206,7 @@
 	p.engine.Observe(engine.Join(watchers...))
 	if own.RPC.Listen != "" {
 		p.rpcCarrier = msgpackrpc.NewCarrier(p.engine, &own.RPC, &p.rpcCounts)
-		p.rpcFront = msgpackrpc.NewFront(p.engine, p.rpcCarrier, &own.RPC, logger, &p.rpcCounts)
+		p.rpcFront = msgpackrpc.NewServer(p.engine, p.rpcCarrier, &own.RPC, logger, &p.rpcCounts)
 		p.engine.Carry(p.rpcCarrier)
 	}
 	return p, nil
@@ -445,7 +445,7 @@
 	}
 	fronts := []func(context.Context) error{end}
 	if p.rpcFront != nil {
-		p.rpcFront.Stop()
+		p.rpcFront.StartDraining()
 		fronts = append(fronts, p.rpcFront.Shutdown)
 	}
 	// Where the platform holds the listener, another process takes what still comes, and
--- a/internal/proxy/rpc_test.go
+++ b/internal/proxy/rpc_test.go
@@ -26,16 +26,16 @@
 func rpcSettings() *config.Marlreel {
 	own := config.DefaultMarlreel()
 	own.RPC.Listen = "127.0.0.1:0"
-	own.RPC.House = "obala"
+	own.RPC.DefaultTenant = "obala"
 	own.RPC.Methods = []msgpackrpc.Method{
-		{Name: "post.", Prefix: true, Class: "bid"},
-		{Name: "list", Class: "lot-list", Notify: true},
-		{Name: "post.bid", Class: "bid", Notify: true},
+		{Name: "post.", IsPrefix: true, Class: "bid"},
+		{Name: "list", Class: "lot-list", AcceptNotifications: true},
+		{Name: "post.bid", Class: "bid", AcceptNotifications: true},
 		{Name: "post.pickup", Class: "pickup"},
 		{Name: "post.lot-list", Class: "lot-list"},
 	}
 	own.RPC.Backend.PortOffset = rpcOffset
-	own.RPC.Backend.Cancel = "$cancel"
+	own.RPC.Backend.CancelMethod = "$cancel"
 	return own
 }
 
@@ -390,7 +390,7 @@
 		}
 	})
 	own := rpcSettings()
-	own.RPC.Backend.Connections = 1
+	own.RPC.Backend.MaxConnections = 1
 	p := startWith(t, testConfig(t, closedAddr(t), ready("s-1", addr)), own)
 	// Two callers use the same msgids at once.
 	a, b := caller(t, p.rpc), caller(t, p.rpc)
@@ -436,7 +436,7 @@
 		}
 	})
 	own := rpcSettings()
-	own.RPC.Backend.Connections = 1
+	own.RPC.Backend.MaxConnections = 1
 	p := startWith(t, testConfig(t, closedAddr(t), ready("s-1", addr)), own)
 	r := caller(t, p.rpc)
 	got, _ := r.Call("post.bid", 1, meta("$left_ms", 300))
@@ -533,8 +533,8 @@
 		}
 	})
 	own := rpcSettings()
-	own.RPC.QueueBytes = 256 << 10
-	own.RPC.Backend.Connections = 1
+	own.RPC.MaxQueuedBytes = 256 << 10
+	own.RPC.Backend.MaxConnections = 1
 	p := startWith(t, testConfig(t, closedAddr(t), ready("s-1", addr)), own)
 	slow, err := net.Dial("tcp", p.rpc)
 	if err != nil {
@@ -772,7 +772,7 @@
 	t.Parallel()
 	addr := rpcScript(t, func(c net.Conn, d *msgpack.Decoder) { io.Copy(io.Discard, c) })
 	own := rpcSettings()
-	own.RPC.Connections, own.RPC.OpenCalls = 2, 3
+	own.RPC.MaxConnections, own.RPC.MaxOpenCalls = 2, 3
 	p := startWith(t, testConfig(t, closedAddr(t), ready("s-1", addr)), own)
 	busy := caller(t, p.rpc)
 	for range 3 {
