--- a/internal/dataplane/msgpackrpc/carrier.go
+++ b/internal/dataplane/msgpackrpc/carrier.go
@@ -79,11 +79,10 @@
 func (p *payload) encode(id uint32, left time.Duration) []byte {
 	b := make([]byte, 0, len(p.args)+len(p.method)+160)
 	if p.notification {
-		b = append(appendArray(b, 3), typeNotification)
+		b = appendNotification(b, p.method)
 	} else {
-		b = appendUint(append(appendArray(b, 4), typeRequest), uint64(id))
+		b = appendRequest(b, id, p.method)
 	}
-	b = appendString(b, p.method)
 	n := p.count
 	if p.given {
 		n++
--- a/internal/dataplane/msgpackrpc/compatibility_test.go
+++ b/internal/dataplane/msgpackrpc/compatibility_test.go
@@ -35,8 +35,8 @@
 		{"request with the least metadata", (&payload{method: "m", meta: Metadata{RequestID: "0123456789abcdef"}, given: true}).encode(1, 0)},
 		{"notification", (&payload{method: "scales.note", args: args, count: 2, notification: true}).encode(9, time.Second)},
 		{"notification with metadata", (&payload{method: "scales.note", args: args, count: 2, meta: compatibilityMeta, given: true, notification: true}).encode(9, time.Second)},
-		{"cancel notification", appendNotification(nil, "$cancel", appendUint(appendArray(nil, 1), 70000))},
-		{"drain notification", appendNotification(nil, drainMethod, appendArray(nil, 0))},
+		{"cancel notification", encodeNotification("$cancel", appendUint(appendArray(nil, 1), 70000))},
+		{"drain notification", encodeNotification(drainMethod, appendArray(nil, 0))},
 		{"reply", appendResponse(nil, 200, nilValue, appendString(nil, strings.Repeat("x", 40)))},
 		{"reply that is an error of the backend", appendResponse(nil, 200, appendString(nil, "no such lot"), nilValue)},
 		{"refused", problem(callError{Code: codeRefused, Message: "refused", Retry: true, After: 1500 * time.Millisecond})},
@@ -78,7 +78,7 @@
 		case typeResponse:
 			again = appendResponse(nil, m.id, m.error, m.result)
 		case typeNotification:
-			again = appendNotification(nil, m.method, m.params)
+			again = encodeNotification(m.method, m.params)
 		default:
 			again = append(appendString(appendUint(append(appendArray(nil, 4), typeRequest), uint64(m.id)), m.method), m.params...)
 		}
@@ -88,11 +88,11 @@
 		if m.kind == typeResponse || !strings.Contains(name, "with metadata") {
 			continue
 		}
-		args, count, meta, given, err := splitMeta(m.params)
+		params, err := splitParams(m.params)
 		want := compatibilityMeta
-		want.IsRetry, want.TimeoutMs = false, meta.TimeoutMs // a repeat is the caller's own word; the time left is counted down
-		if err != nil || !given || count != 2 || meta != want || meta.TimeoutMs <= 0 || len(args) != 5 {
-			t.Errorf("%s: metadata %+v, %d parameters, %v", name, meta, count, err)
+		want.IsRetry, want.TimeoutMs = false, params.meta.TimeoutMs // a repeat is the caller's own word; the time left is counted down
+		if err != nil || !params.hasMeta || params.count != 2 || params.meta != want || params.meta.TimeoutMs <= 0 || len(params.args) != 5 {
+			t.Errorf("%s: metadata %+v, %d parameters, %v", name, params.meta, params.count, err)
 		}
 	}
 }
@@ -106,8 +106,8 @@
 	b = appendFloat(appendString(b, "$left_ms"), 250)
 	b = appendBool(appendString(b, "$repeat"), true)
 	compareRecorded(t, "caller-metadata.txt", []byte(hex.EncodeToString(b)+"\n"))
-	if _, count, meta, given, err := splitMeta(b); err != nil || !given || count != 0 || meta != compatibilityMeta {
-		t.Errorf("%+v, %d parameters, %v", meta, count, err)
+	if params, err := splitParams(b); err != nil || !params.hasMeta || params.count != 0 || params.meta != compatibilityMeta {
+		t.Errorf("%+v, %d parameters, %v", params.meta, params.count, err)
 	}
 }
 
--- a/internal/dataplane/msgpackrpc/front.go
+++ b/internal/dataplane/msgpackrpc/front.go
@@ -245,7 +245,7 @@
 // startDraining lets the connection take no new call.
 func (c *clientConn) startDraining(announce bool) {
 	if announce {
-		c.enqueue(appendNotification(nil, drainMethod, appendArray(nil, 0)))
+		c.enqueue(encodeNotification(drainMethod, appendArray(nil, 0)))
 	}
 	c.mu.Lock()
 	c.draining, c.lingering = true, true
@@ -421,10 +421,11 @@
 	if note && !method.AcceptNotifications {
 		return nil, &callError{Code: codeBadRequest, Message: "no notification is taken of this method"}
 	}
-	args, count, meta, given, err := splitMeta(m.params)
+	params, err := splitParams(m.params)
 	if err != nil {
 		return nil, &callError{Code: codeBadRequest, Message: err.Error()}
 	}
+	meta := params.meta
 	by := f.engine.Book()
 	class, known := by.Classes[method.Class]
 	if !known {
@@ -463,7 +464,7 @@
 	q := &call{conn: c, msgid: m.id, notification: note, Call: engine.Call{
 		Name: meta.RequestID, Carrier: f.carrier, Book: by,
 		Request: balancer.Request{Class: class, Tenant: tenant, Key: about, IsRetry: meta.IsRetry, Deadline: arrived + left},
-		Payload: &payload{method: m.method, args: args, count: count, meta: meta, given: given, notification: note},
+		Payload: &payload{method: m.method, args: params.args, count: params.count, meta: meta, given: params.hasMeta, notification: note},
 	}}
 	q.Front = q
 	return q, nil
--- a/internal/dataplane/msgpackrpc/link.go
+++ b/internal/dataplane/msgpackrpc/link.go
@@ -197,7 +197,7 @@
 // classifyError tells what a backend's error means. See the package comment.
 func classifyError(v []byte) balancer.Result {
 	result := balancer.Unprocessable
-	mapEach(v, func(key string, value []byte) {
+	forEachPair(v, func(key string, value []byte) {
 		on, _ := readBool(value)
 		switch {
 		case key == "$unprocessed" && on:
--- a/internal/dataplane/msgpackrpc/link_sockets.go
+++ b/internal/dataplane/msgpackrpc/link_sockets.go
@@ -59,7 +59,7 @@
 func (l *backendConn) writeAttempt(conn net.Conn, f *pendingAttempt) bool {
 	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if f.cancelMethod != "" {
-		_, err := conn.Write(appendNotification(nil, f.cancelMethod, appendUint(appendArray(nil, 1), uint64(f.msgid))))
+		_, err := conn.Write(encodeNotification(f.cancelMethod, appendUint(appendArray(nil, 1), uint64(f.msgid))))
 		return err == nil
 	}
 	// The last look before writing: it may have waited for the dial or for others. The
--- a/internal/dataplane/msgpackrpc/scan_test.go
+++ b/internal/dataplane/msgpackrpc/scan_test.go
@@ -75,7 +75,7 @@
 	if m, err = parseMessage(note); err != nil || m.kind != typeNotification || m.method != "log" {
 		t.Errorf("%+v %v", m, err)
 	}
-	if got := appendNotification(nil, "log", unhex(t, "91 a1 78")); !bytes.Equal(got, note) {
+	if got := encodeNotification("log", unhex(t, "91 a1 78")); !bytes.Equal(got, note) {
 		t.Errorf("a notification is %x", got)
 	}
 	p.notification = true
@@ -187,13 +187,13 @@
 		return b
 	}
 	full := map[string]any{"$id": "00000000000000aa", "$house": "obala", "$key": "k", "$about": "crate 7", "$left_ms": 480, "$repeat": true}
-	args, n, m, given, err := splitMeta(encode(1, "two", full))
-	if err != nil || !given || n != 2 || !bytes.Equal(args, unhex(t, "01 a3 74776f")) ||
-		m != (Metadata{"00000000000000aa", "obala", "k", "crate 7", 480, true}) {
-		t.Errorf("%x %d %+v %v %v", args, n, m, given, err)
+	call, err := splitParams(encode(1, "two", full))
+	if err != nil || !call.hasMeta || call.count != 2 || !bytes.Equal(call.args, unhex(t, "01 a3 74776f")) ||
+		call.meta != (Metadata{"00000000000000aa", "obala", "k", "crate 7", 480, true}) {
+		t.Errorf("%+v %v", call, err)
 	}
 	// What goes on is readable for the other library, and tells the time that is left.
-	p := payload{method: "a", args: args, count: n, meta: m, given: true}
+	p := payload{method: "a", args: call.args, count: call.count, meta: call.meta, given: true}
 	var sent []any
 	if err := msgpack.Unmarshal(p.encode(9, 250e6), &sent); err != nil {
 		t.Fatal(err)
@@ -211,9 +211,9 @@
 		"a key that is none": encode(map[int]any{1: 2}),
 		"not the last":       encode(full, 1),
 	} {
-		args, n, _, given, err := splitMeta(params)
-		if h, _ := readHeader(params); err != nil || given || n != int(h.elements) || !bytes.Equal(args, params[h.headerBytes:]) {
-			t.Errorf("%s: %x %d %v %v", name, args, n, given, err)
+		got, err := splitParams(params)
+		if h, _ := readHeader(params); err != nil || got.hasMeta || got.count != int(h.elements) || !bytes.Equal(got.args, params[h.headerBytes:]) {
+			t.Errorf("%s: %+v %v", name, got, err)
 		}
 	}
 	for name, bad := range map[string]map[string]any{
@@ -225,7 +225,7 @@
 		"time as text":          {"$left_ms": "480"},
 		"a repeat as text":      {"$repeat": "yes"},
 	} {
-		if _, _, _, _, err := splitMeta(encode(bad)); err == nil {
+		if _, err := splitParams(encode(bad)); err == nil {
 			t.Errorf("%s: taken", name)
 		}
 	}
@@ -254,8 +254,8 @@
 				t.Fatalf("whole: %d %v, want %d", w, err, n)
 			}
 			if m, err := parseMessage(rest[:n]); err == nil && m.kind != typeResponse {
-				if _, _, meta, given, err := splitMeta(m.params); err == nil && given && meta.RequestID != "" && !isRequestID(meta.RequestID) {
-					t.Fatalf("an id of %q", meta.RequestID)
+				if p, err := splitParams(m.params); err == nil && p.hasMeta && p.meta.RequestID != "" && !isRequestID(p.meta.RequestID) {
+					t.Fatalf("an id of %q", p.meta.RequestID)
 				}
 			}
 			rest = rest[n:]
