--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -25,8 +25,8 @@
 	"marlreel/internal/discovery/membership"
 	"marlreel/internal/discovery/platformwatch"
 	"marlreel/internal/discovery/sources"
+	"marlreel/internal/process/adminserver"
 	"marlreel/internal/process/budget"
-	"marlreel/internal/process/control"
 	"marlreel/internal/process/handover"
 	"marlreel/internal/process/learnedstate/statefile"
 	"marlreel/internal/process/logs"
@@ -122,15 +122,15 @@
 	memory  memory
 
 	rpcCarrier *msgpackrpc.Carrier // nil where RPC is off
-	rpcFront   *msgpackrpc.Front
-	rpcCounts  msgpackrpc.Counts
+	rpcFront   *msgpackrpc.Server
+	rpcCounts  msgpackrpc.Counters
 
 	limitMemory func(bytes int64) // what the runtime is told; nil: nothing
 
 	member *member // of a fleet; nil: there is none
 
-	counts *metrics.Counts // nil where nobody asks
-	door   *control.Door
+	counts *metrics.ProxyMetrics // nil where nobody asks
+	door   *adminserver.Server
 	lists  atomic.Pointer[membership.Status] // nil: there is the platform's list alone
 }
 
@@ -161,7 +161,7 @@
 	var err error
 	p.engine, err = engine.New(engine.Config{
 		Settings: cfg.Settings, Seed: cfg.Seed, MaxOpenCalls: cfg.MaxOpen, InitialMembership: known,
-		Logf: logs.Event(logger, "engine"), OnFirstMembership: func() { p.becomeReady(logger) },
+		Logf: logs.ForEvent(logger, "engine"), OnFirstMembership: func() { p.becomeReady(logger) },
 	})
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -182,7 +182,7 @@
 	}
 	p.source = sources.New(platformwatch.Config{
 		Addr: cfg.Discovery, Timings: platformwatch.TimingsFor(cfg.Settings.PollMembership, cfg.Settings.Instances), Names: cfg.Names,
-		Logf: logs.Event(logger, "list"),
+		Logf: logs.ForEvent(logger, "list"),
 	}, version, host)
 	if p.member != nil && own.Registry.Enabled() {
 		p.member.lists.origin = p.source.Origin
@@ -196,17 +196,17 @@
 	p.engine.SetSource(p.source)
 	if cfg.Control != "" {
 		p.counts = metrics.New(p.engine.WrittenAttempts, cfg.Settings.Classes)
-		p.door = control.New(p.front.Ready, p.figures, cfg.DoorCalls())
-		p.door.Also("/control/discovery", p.tellLists)
+		p.door = adminserver.New(p.front.Ready, p.figures, cfg.DoorCalls())
+		p.door.Handle("/control/discovery", p.tellLists)
 		if p.member != nil {
-			p.door.Also("/control/fleet", p.member.status)
+			p.door.Handle("/control/fleet", p.member.status)
 		}
 		watchers = append(watchers, p.counts)
 	}
 	p.engine.SetObserver(engine.Join(watchers...))
 	if own.RPC.Listen != "" {
 		p.rpcCarrier = msgpackrpc.NewCarrier(p.engine, &own.RPC, &p.rpcCounts)
-		p.rpcFront = msgpackrpc.NewFront(p.engine, p.rpcCarrier, &own.RPC, logger, &p.rpcCounts)
+		p.rpcFront = msgpackrpc.NewServer(p.engine, p.rpcCarrier, &own.RPC, logger, &p.rpcCounts)
 		p.engine.AddCarrier(p.rpcCarrier)
 	}
 	return p, nil
@@ -243,12 +243,12 @@
 		defer meeting.Close()
 		watching, stopWatching := context.WithCancel(context.Background())
 		defer stopWatching()
-		go meeting.Receive(watching, p.adopt, p.tell(cfg.Name), logs.Event(logger, "rendezvous"))
+		go meeting.Receive(watching, p.adopt, p.tell(cfg.Name), logs.ForEvent(logger, "rendezvous"))
 		limits := cfg // those of the start: what a reload brings of them counts at the next one
 		go meeting.Watch(watching, func(s handover.Share, others []handover.Peer) {
 			logger.Info(fmt.Sprintf("%d other processes of this proxy are alive: a share of %d in %d", len(others), s.Part, s.Of), "event", "processes")
 			p.engine.Post(func() { p.setShare(limits, s) })
-		}, logs.Event(logger, "rendezvous"))
+		}, logs.ForEvent(logger, "rendezvous"))
 	}
 	if p.door != nil && in.control != nil {
 		p.engine.Post(p.publish)
@@ -334,7 +334,7 @@
 // keep readies the file of what is learnt, and takes over what an earlier life has left in it, unless another
 // process of this proxy tells more. Before the engine runs.
 func (p *parts) keep(name string, cfg config.Memory, logger *slog.Logger) *saver {
-	k := &saver{store: statefile.Open(cfg.Dir, name), every: cfg.Every.D(), state: p.tell(name), now: statefile.CurrentTimestamp, logf: logs.Event(logger, "memory")}
+	k := &saver{store: statefile.Open(cfg.Dir, name), every: cfg.Every.D(), state: p.tell(name), now: statefile.CurrentTimestamp, logf: logs.ForEvent(logger, "memory")}
 	p.memory.kept = remember(cfg, k.store, name, k.now(), logger)
 	return k
 }
@@ -424,13 +424,13 @@
 
 // publish sets the gauges now and ever again. On the engine's goroutine.
 func (p *parts) publish() {
-	p.counts.Gauges(p.engine.BackendCount(), p.engine.EjectedCount(), p.engine.RetryStormState())
+	p.counts.SetGauges(p.engine.BackendCount(), p.engine.EjectedCount(), p.engine.RetryStormState())
 	if s, on := p.source.Status(); on {
 		p.lists.Store(&s)
 	} else if p.lists.Load() != nil {
 		p.lists.Store(nil)
 	}
-	p.engine.Schedule(p.engine.Now()+metrics.Every, p.publish)
+	p.engine.Schedule(p.engine.Now()+metrics.PublishInterval, p.publish)
 }
 
 // drain stops the fronts without losing a request: they go on accepting while
@@ -445,7 +445,7 @@
 	}
 	fronts := []func(context.Context) error{end}
 	if p.rpcFront != nil {
-		p.rpcFront.Stop()
+		p.rpcFront.StartDraining()
 		fronts = append(fronts, p.rpcFront.Shutdown)
 	}
 	// Where the platform holds the listener, another process takes what still comes, and
