--- a/cmd/marlreelctl/fleet.go
+++ b/cmd/marlreelctl/fleet.go
@@ -24,7 +24,7 @@
 	"marlreel/internal/fleet"
 	"marlreel/internal/fleet/agree"
 	"marlreel/internal/fleet/rules"
-	"marlreel/internal/wire"
+	"marlreel/internal/simwire"
 )
 
 type fleetCmd struct {
@@ -279,7 +279,7 @@
 		if err := json.Unmarshal([]byte(text), &tree); err != nil {
 			return nil, err
 		}
-		if c, err := wire.ParseSettings([]byte(text)); err == nil {
+		if c, err := simwire.ParseSettings([]byte(text)); err == nil {
 			read = append(read, c)
 		}
 		all := map[string]string{}
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,15 +1,20 @@
-// Wirehost hosts instances of the decision module on the simulator's wire:
-// batches of events on standard input, one reply to each on standard output.
+// Wirehost hosts instances of the decision module on the simulator's wire ([marlreel/internal/simwire]): batches of
+// events on standard input, one reply to each on standard output. It ends with status 0 when the input ends between
+// batches, and otherwise with a line on standard error and status 1.
 package main
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"os"
+	"time"
+
+	"github.com/rotisserie/eris"
 
 	"marlreel/internal/balancer"
-	"marlreel/internal/wire"
+	"marlreel/internal/simwire"
 )
 
 func main() {
@@ -19,68 +24,80 @@
 	}
 }
 
-// serve answers batches until the input ends. A reply is written whole or not at all.
+// serve answers batches until the input ends. A reply is written in one piece, after the whole batch is
+// handled; nothing is written for a batch that has a fault.
 func serve(in io.Reader, out io.Writer) error {
 	in = bufio.NewReaderSize(in, 1<<16)
-	instances := map[uint16]*balancer.Balancer{}
-	var reply wire.Reply
+	running := instances{}
+	var reply simwire.Reply
 	var buf []byte
 	for {
-		var batch wire.Batch
-		var err error
-		if batch, buf, err = wire.ReadBatch(in, buf); err == io.EOF {
+		batch, used, err := simwire.ReadBatch(in, buf)
+		if errors.Is(err, io.EOF) {
 			return nil
-		} else if err != nil {
-			return err
 		}
-		reply.Reset(batch.Seq)
-		err = batch.Each(func(ev *wire.Event) error { return deliver(instances, &reply, batch, ev) })
 		if err != nil {
 			return err
 		}
-		if _, err := out.Write(reply.Bytes()); err != nil {
-			return fmt.Errorf("batch %d: writing the reply: %w", batch.Seq, err)
-		}
-	}
-}
-
-func deliver(instances map[uint16]*balancer.Balancer, reply *wire.Reply, batch wire.Batch, ev *wire.Event) error {
-	if ev.Code == wire.Init {
-		cfg, err := wire.ParseBootInfo(string(ev.BootInfo))
+		buf = used
+		reply.Reset(batch.Sequence)
+		err = batch.Each(func(event *simwire.Event) error { return running.handle(&reply, batch.Now, event) })
 		if err != nil {
 			return err
 		}
-		b, err := balancer.New(cfg, ev.Seed, wire.Actions{To: reply, Instance: ev.Instance})
+		_, err = out.Write(reply.Bytes())
 		if err != nil {
-			return err
+			return eris.Wrapf(err, "batch %d: writing the reply", batch.Sequence)
 		}
-		instances[ev.Instance] = b
-		b.Start(batch.Now)
-		return nil
 	}
-	b := instances[ev.Instance]
+}
+
+// instances are the running instances of the decision module, by their number on the wire.
+type instances map[uint16]*balancer.Balancer
+
+// handle gives an event to its instance, whose actions go into the reply.
+func (all instances) handle(reply *simwire.Reply, now time.Duration, event *simwire.Event) error {
+	if event.Code == simwire.EventInit {
+		return all.start(reply, now, event)
+	}
+	b := all[event.Instance]
 	if b == nil {
-		return fmt.Errorf("instance %d was never initialised", ev.Instance)
+		return fmt.Errorf("instance %d was never initialised", event.Instance)
+	}
+	switch event.Code {
+	case simwire.EventMembership:
+		b.OnMembership(now, event.Membership)
+	case simwire.EventRequest:
+		b.OnRequest(now, event.Request)
+	case simwire.EventFirstByte:
+		b.OnFirstByte(now, event.FirstByte)
+	case simwire.EventAttemptEnd:
+		b.OnAttemptEnd(now, event.Outcome)
+	case simwire.EventClientGone:
+		b.OnClientGone(now, event.RequestID)
+	case simwire.EventTimer:
+		b.OnTimer(now, event.TimerToken)
+	case simwire.EventHealthCheck:
+		b.OnHealthCheck(now, event.HealthCheck)
+	case simwire.EventPeerMessage:
+		b.OnPeerMessage(now, event.PeerMessage)
+	case simwire.EventDestroy:
+		delete(all, event.Instance)
+	}
+	return nil
+}
+
+// start begins an instance; one that runs under its number is replaced.
+func (all instances) start(reply *simwire.Reply, now time.Duration, event *simwire.Event) error {
+	cfg, err := simwire.ParseBootInfo(string(event.BootInfo))
+	if err != nil {
+		return err
 	}
-	switch now := batch.Now; ev.Code {
-	case wire.Membership:
-		b.OnMembership(now, ev.List)
-	case wire.Ask:
-		b.OnRequest(now, ev.Request)
-	case wire.Headers:
-		b.OnFirstByte(now, ev.First)
-	case wire.Returned:
-		b.OnAttemptEnd(now, ev.Outcome)
-	case wire.Aborted:
-		b.OnClientGone(now, ev.ID)
-	case wire.Elapsed:
-		b.OnTimer(now, ev.Token)
-	case wire.Probed:
-		b.OnHealthCheck(now, ev.Probe)
-	case wire.Peer:
-		b.OnPeerMessage(now, ev.Message)
-	case wire.Destroy:
-		delete(instances, ev.Instance)
+	b, err := balancer.New(cfg, event.Seed, simwire.Actions{Reply: reply, Instance: event.Instance})
+	if err != nil {
+		return err
 	}
+	all[event.Instance] = b
+	b.Start(now)
 	return nil
 }
--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -67,6 +67,7 @@
 		}},
 		{"bad settings line", "settings line 1", [][]byte{batch(1, 2, 11, uint16(5), 1, uint64(1), uint32(3), "abc")}},
 		{"settings that make no sense", "Classes", [][]byte{batch(1, 2, 11, uint16(5), 1, uint64(1), uint32(3), "a=b")}},
+		{"truncated after its header", "truncated", [][]byte{batch(1, 0), batch(2, 2, 11, uint16(5), 6, uint32(1))[:20]}},
 		{"truncated", "truncated", [][]byte{batch(1, 0), batch(2, 2, 11, uint16(5), 6, uint32(1))[:25]}},
 	} {
 		out, err := run(t, c.frames...)
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -14,7 +14,7 @@
 
 	"marlreel/internal/balancer"
 	"marlreel/internal/discovery/platformwatch"
-	"marlreel/internal/wire"
+	"marlreel/internal/simwire"
 )
 
 // Platform is what the platform tells a proxy at its start.
@@ -145,7 +145,7 @@
 		return &KeyError{"settings", errors.New("none given")}
 	}
 	var err error
-	if c.Settings, err = wire.ParseSettings(text); err != nil {
+	if c.Settings, err = simwire.ParseSettings(text); err != nil {
 		return err
 	}
 	if len(c.Settings.Classes) == 0 {
--- a/internal/wire/compatibility_test.go
+++ b/internal/simwire/compatibility_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
@@ -116,7 +116,7 @@
 	} {
 		var r Reply
 		r.Reset(6)
-		c.do(Actions{To: &r, Instance: 3})
+		c.do(Actions{Reply: &r, Instance: 3})
 		fmt.Fprintf(&got, "%s: %s\n", c.name, hex.EncodeToString(r.Bytes()))
 	}
 	compareRecorded(t, "actions.txt", got.Bytes())
--- a/internal/wire/frame_test.go
+++ b/internal/simwire/frame_test.go
@@ -1,8 +1,9 @@
-package wire
+package simwire
 
 import (
 	"bytes"
 	"encoding/binary"
+	"errors"
 	"io"
 	"math"
 	"reflect"
@@ -13,7 +14,7 @@
 	"marlreel/internal/balancer"
 )
 
-// frame builds little-endian bytes; a float64 is written as such, an int as one byte.
+// raw builds little-endian bytes; a float64 is written as such, an int as one byte.
 func raw(fields ...any) []byte {
 	var buf bytes.Buffer
 	for _, f := range fields {
@@ -48,8 +49,8 @@
 	err = b.Each(func(ev *Event) error {
 		e := *ev
 		e.Outcome.Load = append([]float32(nil), ev.Outcome.Load...)
-		e.Probe.Load = append([]float32(nil), ev.Probe.Load...)
-		e.List.Backends = append([]balancer.Backend(nil), ev.List.Backends...)
+		e.HealthCheck.Load = append([]float32(nil), ev.HealthCheck.Load...)
+		e.Membership.Backends = append([]balancer.Backend(nil), ev.Membership.Backends...)
 		out = append(out, e)
 		return nil
 	})
@@ -58,23 +59,26 @@
 
 const ms = time.Millisecond
 
-func TestEveryEventByItsLayout(t *testing.T) {
+// eventLayout is a record's bytes, and what part of the event they make.
+type eventLayout struct {
+	name   string
+	record []byte
+	got    func(Event) any
+	want   any
+}
+
+func eventLayouts() []eventLayout {
 	row := raw(uint32(70), uint16(2), uint16(1), uint16(9), 1, float32(1.5), 8000.25)
-	for _, c := range []struct {
-		name   string
-		record []byte
-		got    func(Event) any
-		want   any
-	}{
+	return []eventLayout{
 		{"init", raw(1, uint64(77), uint32(3), "a=b"), func(e Event) any { return string(e.BootInfo) }, "a=b"},
 		{
-			"membership", raw(2, 1, uint32(5), uint32(1), row), func(e Event) any { return e.List },
+			"membership", raw(2, 1, uint32(5), uint32(1), row), func(e Event) any { return e.Membership },
 			balancer.Membership{Kind: balancer.ListFull, Version: 5, Backends: []balancer.Backend{{
 				ID: 70, Zone: 2,
 				Kind: 1, Cell: 9, State: balancer.Ready, Weight: 1.5, Started: 8000*ms + 250*time.Microsecond,
 			}}},
 		},
-		{"a failed list", raw(2, 3, uint32(5), uint32(0)), func(e Event) any { return e.List.Kind }, balancer.ListFailed},
+		{"a failed list", raw(2, 3, uint32(5), uint32(0)), func(e Event) any { return e.Membership.Kind }, balancer.ListFailed},
 		{
 			"ask", raw(3, uint32(9), 12.5, 900.0, 3, 2, uint64(1<<60), uint32(4)), func(e Event) any { return e.Request },
 			balancer.Request{
@@ -87,7 +91,7 @@
 			func(e Event) any { return e.Request.Cost }, time.Duration(0),
 		},
 		{
-			"headers", raw(4, uint32(9), 1, uint32(70), 3.0), func(e Event) any { return e.First },
+			"headers", raw(4, uint32(9), 1, uint32(70), 3.0), func(e Event) any { return e.FirstByte },
 			balancer.FirstByte{ID: 9, Attempt: 1, Backend: 70, Took: 3 * ms},
 		},
 		{
@@ -98,15 +102,19 @@
 				Result: balancer.ConnectFailed, Took: 3 * ms, Final: true, Load: []float32{1, 2},
 			},
 		},
-		{"aborted", raw(6, uint32(9)), func(e Event) any { return e.ID }, balancer.RequestID(9)},
-		{"elapsed", raw(7, uint64(1)<<63), func(e Event) any { return e.Token }, uint64(1) << 63},
+		{"aborted", raw(6, uint32(9)), func(e Event) any { return e.RequestID }, balancer.RequestID(9)},
+		{"elapsed", raw(7, uint64(1)<<63), func(e Event) any { return e.TimerToken }, uint64(1) << 63},
 		{
-			"probed", raw(8, uint32(70), 1, 1.5, 0), func(e Event) any { return e.Probe },
+			"probed", raw(8, uint32(70), 1, 1.5, 0), func(e Event) any { return e.HealthCheck },
 			balancer.HealthCheckResult{Backend: 70, Result: balancer.OK, Took: 1500 * time.Microsecond},
 		},
-		{"neighbour_says", raw(9, uint16(2), uint16(2), "hi"), func(e Event) any { return string(e.Message.Body) }, "hi"},
-		{"destroy", raw(10), func(e Event) any { return e.Code }, Destroy},
-	} {
+		{"neighbour_says", raw(9, uint16(2), uint16(2), "hi"), func(e Event) any { return string(e.PeerMessage.Body) }, "hi"},
+		{"destroy", raw(10), func(e Event) any { return e.Code }, EventDestroy},
+	}
+}
+
+func TestEveryEventByItsLayout(t *testing.T) {
+	for _, c := range eventLayouts() {
 		evs, err := events(t, batch(1, 5, 2, raw(11, uint16(3), c.record)))
 		if err != nil || len(evs) != 1 || evs[0].Instance != 3 {
 			t.Errorf("%s: %d events, error %v", c.name, len(evs), err)
@@ -125,7 +133,7 @@
 	}
 	for code, result := range want {
 		evs, err := events(t, batch(1, 0, 2, raw(11, uint16(0), 8, uint32(1), code, 0.0, 0)))
-		if err != nil || evs[0].Probe.Result != result {
+		if err != nil || evs[0].HealthCheck.Result != result {
 			t.Errorf("code %d: %v, error %v", code, evs, err)
 		}
 	}
@@ -156,7 +164,7 @@
 			t.Errorf("%s: error %v, want one line with %q", c.name, err, c.want)
 		}
 	}
-	if _, _, err := ReadBatch(bytes.NewReader(nil), nil); err != io.EOF {
+	if _, _, err := ReadBatch(bytes.NewReader(nil), nil); !errors.Is(err, io.EOF) {
 		t.Errorf("end of input between frames: %v", err)
 	}
 }
@@ -194,7 +202,7 @@
 		{"resolve", func(h balancer.Host) { h.Fetch() }, raw(12)},
 	} {
 		r.Reset(6)
-		c.do(Actions{To: &r, Instance: 3})
+		c.do(Actions{Reply: &r, Instance: 3})
 		got := r.Bytes()
 		records := uint32(2)
 		if c.name == "observe" {
@@ -218,13 +226,25 @@
 	}
 }
 
+// An end within a frame is never taken for the end of the input, wherever it comes.
+func TestATruncatedFrameIsNoEndOfInput(t *testing.T) {
+	whole := batch(1, 0, 2, raw(11, uint16(3), 7, uint64(1)))
+	for length := 1; length < len(whole); length++ {
+		_, _, err := ReadBatch(bytes.NewReader(whole[:length]), nil)
+		var truncated *TruncatedFrameError
+		if !errors.As(err, &truncated) || errors.Is(err, io.EOF) || !errors.Is(err, io.ErrUnexpectedEOF) {
+			t.Errorf("%d of %d bytes: %v", length, len(whole), err)
+		}
+	}
+}
+
 func FuzzFrames(f *testing.F) {
 	f.Add(batch(1, 5, 2, raw(11, uint16(3), 7, uint64(1))))
 	f.Add(batch(1, 5, 2, raw(11, uint16(3), 1, uint64(1), uint32(3), "a=b")))
 	f.Add(batch(1, 5, 2, raw(11, uint16(0), 2, 1, uint32(0), uint32(1<<31))))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		_, err := events(t, data)
-		if err != nil && err != io.EOF && strings.Contains(err.Error(), "\n") {
+		if err != nil && !errors.Is(err, io.EOF) && strings.Contains(err.Error(), "\n") {
 			t.Errorf("more than one line: %q", err)
 		}
 	})
--- a/internal/wire/bootinfo_test.go
+++ b/internal/simwire/settings_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"reflect"
@@ -68,7 +68,7 @@
 	f.Add("Tick=1e9\nFeedback.How=inline\nFeedback.Names=,,\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		c, err := ParseBootInfo(text)
-		if err == nil && len(c.Classes) > maxItems {
+		if err == nil && len(c.Classes) > maxListLength {
 			t.Error("a list longer than the bound")
 		}
 	})
--- a/internal/testutil/testutil.go
+++ b/internal/testutil/testutil.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"marlreel/internal/balancer"
+	"marlreel/internal/simwire"
 	"marlreel/internal/standin"
-	"marlreel/internal/wire"
 )
 
 // Patience is how long a test waits for what must come. It is no measure of speed.
@@ -39,7 +39,7 @@
 // Module is what the module is told of Settings.
 func Module(t testing.TB) balancer.Config {
 	t.Helper()
-	c, err := wire.ParseSettings([]byte(Settings))
+	c, err := simwire.ParseSettings([]byte(Settings))
 	if err != nil {
 		t.Fatal(err)
 	}
