--- a/internal/config/marlreel.go
+++ b/internal/config/marlreel.go
@@ -10,7 +10,7 @@
 	"marlreel/internal/discovery/registry"
 	"marlreel/internal/fleet"
 	"marlreel/internal/process/logs"
-	"marlreel/internal/strict"
+	"marlreel/internal/stricttoml"
 )
 
 // Marlreel is what an operator sets beyond what the platform says: deploy/marlreel.toml.
@@ -54,10 +54,10 @@
 
 // Memory is where a proxy keeps what it learns, for its next life.
 type Memory struct {
-	Dir   string      `toml:"dir"`   // a folder that outlives the process; "" is off
-	Every strict.Span `toml:"every"` // how often it is written
-	Keep  strict.Span `toml:"keep"`  // beyond this age nothing of it is believed
-	Half  strict.Span `toml:"half"`  // in this time it loses half its weight
+	Dir   string              `toml:"dir"`   // a folder that outlives the process; "" is off
+	Every stricttoml.Duration `toml:"every"` // how often it is written
+	Keep  stricttoml.Duration `toml:"keep"`  // beyond this age nothing of it is believed
+	Half  stricttoml.Duration `toml:"half"`  // in this time it loses half its weight
 }
 
 // On tells whether anything is kept.
@@ -80,7 +80,7 @@
 func DefaultMarlreel() *Marlreel {
 	return &Marlreel{
 		RPC: msgpackrpc.DefaultConfig(), Registry: registry.DefaultConfig(), Fleet: fleet.DefaultConfig(), Log: Log{Format: logs.Text},
-		Memory:     Memory{Every: strict.Span(5 * time.Second), Keep: strict.Span(10 * time.Minute), Half: strict.Span(30 * time.Second)},
+		Memory:     Memory{Every: stricttoml.Duration(5 * time.Second), Keep: stricttoml.Duration(10 * time.Minute), Half: stricttoml.Duration(30 * time.Second)},
 		Background: Background{Share: 0.02, Most: 2},
 	}
 }
@@ -108,7 +108,7 @@
 // ParseMarlreel reads a file's text; path is for its errors.
 func ParseMarlreel(path string, data []byte) (*Marlreel, error) {
 	m := DefaultMarlreel()
-	if err := strict.Decode(path, data, m); err != nil {
+	if err := stricttoml.Decode(path, data, m); err != nil {
 		return nil, err
 	}
 	if err := m.RPC.Validate(); err != nil {
--- a/internal/dataplane/msgpackrpc/config.go
+++ b/internal/dataplane/msgpackrpc/config.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"marlreel/internal/balancer"
-	"marlreel/internal/strict"
+	"marlreel/internal/stricttoml"
 )
 
 // Config is the [rpc] part of deploy/marlreel.toml. DefaultConfig has what is not said.
@@ -29,7 +29,7 @@
 	// lets more wait is dropped.
 	QueueBytes int `toml:"answer-queue-bytes"`
 	// Idle is how long a connection may stand with no call open.
-	Idle strict.Span `toml:"idle"`
+	Idle stricttoml.Duration `toml:"idle"`
 	// House is the tenant of calls whose metadata name none; "" refuses them, where the
 	// settings have tenants.
 	House string `toml:"house"`
@@ -69,7 +69,7 @@
 func DefaultConfig() Config {
 	return Config{
 		Connections: 64, OpenCalls: 1024, MessageBytes: 64 << 10, Nesting: 64, QueueBytes: 1 << 20,
-		Idle: strict.Span(time.Minute), Backend: Backend{Connections: 4, All: 64, Pipeline: 32},
+		Idle: stricttoml.Duration(time.Minute), Backend: Backend{Connections: 4, All: 64, Pipeline: 32},
 	}
 }
 
@@ -129,11 +129,11 @@
 	for _, m := range c.Methods {
 		if !contains(classes, m.Class) {
 			return fmt.Errorf("rpc.method %q: class = %q%s: the settings have %s", m.Name, m.Class,
-				strict.Closest(m.Class, classes), strings.Join(classes, ", "))
+				stricttoml.SuggestClosest(m.Class, classes), strings.Join(classes, ", "))
 		}
 	}
 	if c.House != "" && !contains(houses, c.House) {
-		return fmt.Errorf("rpc.house = %q%s: the settings have %s", c.House, strict.Closest(c.House, houses), strings.Join(houses, ", "))
+		return fmt.Errorf("rpc.house = %q%s: the settings have %s", c.House, stricttoml.SuggestClosest(c.House, houses), strings.Join(houses, ", "))
 	}
 	return nil
 }
--- a/internal/discovery/registry/transport.go
+++ b/internal/discovery/registry/transport.go
@@ -17,32 +17,32 @@
 	"sync"
 	"time"
 
-	"marlreel/internal/strict"
+	"marlreel/internal/stricttoml"
 )
 
 // Config is what an operator sets of a registry.
 type Config struct {
-	Kind      string      `toml:"kind"`      // etcd, consul; "" is off
-	Endpoints []string    `toml:"endpoints"` // http://host:port, or https
-	Prefix    string      `toml:"prefix"`    // of the nodes' keys
-	User      string      `toml:"user"`
-	Password  string      `toml:"password-file"` // a file that holds the password, or Consul's token
-	CA        string      `toml:"ca"`            // files, PEM
-	Cert      string      `toml:"cert"`
-	Key       string      `toml:"key"`
-	Patience  strict.Span `toml:"patience"`   // for which a lost registry's list counts before the platform's
-	Settle    strict.Span `toml:"settle"`     // for which it must be well before it is moved to
-	Guard     float64     `toml:"guard"`      // part of the list that may go at once
-	GuardOver strict.Span `toml:"guard-over"` // what at once is
-	Flaps     float64     `toml:"flaps"`      // returns within flap-over after which an entry stays out for a while
-	FlapOver  strict.Span `toml:"flap-over"`
+	Kind      string              `toml:"kind"`      // etcd, consul; "" is off
+	Endpoints []string            `toml:"endpoints"` // http://host:port, or https
+	Prefix    string              `toml:"prefix"`    // of the nodes' keys
+	User      string              `toml:"user"`
+	Password  string              `toml:"password-file"` // a file that holds the password, or Consul's token
+	CA        string              `toml:"ca"`            // files, PEM
+	Cert      string              `toml:"cert"`
+	Key       string              `toml:"key"`
+	Patience  stricttoml.Duration `toml:"patience"`   // for which a lost registry's list counts before the platform's
+	Settle    stricttoml.Duration `toml:"settle"`     // for which it must be well before it is moved to
+	Guard     float64             `toml:"guard"`      // part of the list that may go at once
+	GuardOver stricttoml.Duration `toml:"guard-over"` // what at once is
+	Flaps     float64             `toml:"flaps"`      // returns within flap-over after which an entry stays out for a while
+	FlapOver  stricttoml.Duration `toml:"flap-over"`
 }
 
 // DefaultConfig is a registry that is off.
 func DefaultConfig() Config {
 	return Config{
-		Prefix: "marlreel/nodes/", Patience: strict.Span(30 * time.Second), Settle: strict.Span(10 * time.Second), Guard: 0.5,
-		GuardOver: strict.Span(30 * time.Second), Flaps: 6, FlapOver: strict.Span(30 * time.Second),
+		Prefix: "marlreel/nodes/", Patience: stricttoml.Duration(30 * time.Second), Settle: stricttoml.Duration(10 * time.Second), Guard: 0.5,
+		GuardOver: stricttoml.Duration(30 * time.Second), Flaps: 6, FlapOver: stricttoml.Duration(30 * time.Second),
 	}
 }
 
@@ -59,7 +59,7 @@
 	}
 	switch {
 	case c.Kind != "etcd" && c.Kind != "consul":
-		return &SettingError{"registry.kind", fmt.Sprintf(" = %q: etcd or consul is needed%s", c.Kind, strict.Closest(c.Kind, []string{"etcd", "consul"}))}
+		return &SettingError{"registry.kind", fmt.Sprintf(" = %q: etcd or consul is needed%s", c.Kind, stricttoml.SuggestClosest(c.Kind, []string{"etcd", "consul"}))}
 	case len(c.Endpoints) == 0 || len(c.Endpoints) > 16:
 		return &SettingError{"registry.endpoints", fmt.Sprintf(": 1 to 16 are needed, and there are %d", len(c.Endpoints))}
 	case c.Prefix == "" || len(c.Prefix) > 512 || strings.ContainsAny(c.Prefix, "?#\r\n"):
--- a/internal/experiment/compatibility_test.go
+++ b/internal/experiment/compatibility_test.go
@@ -13,7 +13,7 @@
 
 	bolt "go.etcd.io/bbolt"
 
-	"marlreel/internal/strict"
+	"marlreel/internal/stricttoml"
 )
 
 // The file testdata/compatibility/experiments.db was written by the code of commit 6fb9894. It stands for the results
@@ -43,7 +43,7 @@
 		Scenario:  "storm",
 		Seeds:     []uint64{7, 1 << 39},
 		Figures:   []string{"service", "p99_ms"},
-		Staircase: &Staircase{From: 0.5, To: 1.5, Steps: 4, Each: strict.Span(2500 * time.Millisecond), Below: 0.75},
+		Staircase: &Staircase{From: 0.5, To: 1.5, Steps: 4, Each: stricttoml.Duration(2500 * time.Millisecond), Below: 0.75},
 		Arms:      []Arm{{Name: "new", Marlreel: "bin/marlreel"}, {Name: "plain", Baseline: "round-robin"}},
 		Levels: []Level{
 			{{Key: "rate", Value: 100.0}, {Key: "daemon.retries.max", Value: 2.0, Also: true}},
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -12,24 +12,24 @@
 	"strings"
 	"time"
 
-	"marlreel/internal/strict"
+	"marlreel/internal/stricttoml"
 )
 
 // File is a question as its file asks it.
 type File struct {
-	Name       string         `toml:"name"`
-	About      string         `toml:"about"`
-	Scenario   string         `toml:"scenario"`   // a shipped one's name, or a path from the file's folder
-	Question   string         `toml:"question"`   // compare, sweep, tipping, recovery
-	Seed       uint64         `toml:"seed"`       // from which the runs' seeds are drawn
-	Replicates int            `toml:"replicates"` // seeds
-	Budget     strict.Span    `toml:"budget"`     // no run begins that would end later; 0: none
-	Figures    []string       `toml:"figures"`    // to report on; the first is the one asked about
-	Set        map[string]any `toml:"set"`        // in the scenario of every run, by path: "traffic.rate"
-	Daemon     map[string]any `toml:"daemon"`     // and in the daemon's own settings
-	Arms       []ArmSpec      `toml:"arms"`
-	Factors    []Factor       `toml:"factors"`
-	Tipping    Staircase      `toml:"tipping"`
+	Name       string              `toml:"name"`
+	About      string              `toml:"about"`
+	Scenario   string              `toml:"scenario"`   // a shipped one's name, or a path from the file's folder
+	Question   string              `toml:"question"`   // compare, sweep, tipping, recovery
+	Seed       uint64              `toml:"seed"`       // from which the runs' seeds are drawn
+	Replicates int                 `toml:"replicates"` // seeds
+	Budget     stricttoml.Duration `toml:"budget"`     // no run begins that would end later; 0: none
+	Figures    []string            `toml:"figures"`    // to report on; the first is the one asked about
+	Set        map[string]any      `toml:"set"`        // in the scenario of every run, by path: "traffic.rate"
+	Daemon     map[string]any      `toml:"daemon"`     // and in the daemon's own settings
+	Arms       []ArmSpec           `toml:"arms"`
+	Factors    []Factor            `toml:"factors"`
+	Tipping    Staircase           `toml:"tipping"`
 
 	path string
 	text []byte
@@ -63,11 +63,11 @@
 
 // Staircase is a load that rises in steps and falls again, within one run.
 type Staircase struct {
-	From  float64     `toml:"from"` // of the scenario's rate
-	To    float64     `toml:"to"`
-	Steps int         `toml:"steps"` // up, and as many down
-	Each  strict.Span `toml:"each"`
-	Below float64     `toml:"below"` // service under which it has tipped over
+	From  float64             `toml:"from"` // of the scenario's rate
+	To    float64             `toml:"to"`
+	Steps int                 `toml:"steps"` // up, and as many down
+	Each  stricttoml.Duration `toml:"each"`
+	Below float64             `toml:"below"` // service under which it has tipped over
 }
 
 // The questions.
@@ -112,12 +112,12 @@
 func Parse(path string, text []byte) (*File, error) {
 	f := &File{
 		Question: Compare, Seed: 1, path: path, text: text,
-		Tipping: Staircase{From: 0.5, To: 2, Steps: 6, Each: strict.Span(6 * time.Second), Below: 0.9},
+		Tipping: Staircase{From: 0.5, To: 2, Steps: 6, Each: stricttoml.Duration(6 * time.Second), Below: 0.9},
 	}
 	if len(text) > mostFile {
 		return nil, fmt.Errorf("%s: %d bytes, and %d are the most", path, len(text), mostFile)
 	}
-	if err := strict.Decode(path, text, f); err != nil {
+	if err := stricttoml.Decode(path, text, f); err != nil {
 		return nil, err
 	}
 	if f.Name == "" {
@@ -154,7 +154,7 @@
 		}
 		all = append(all, f.Arms[i].Name)
 	}
-	return fmt.Errorf("%s: no arm %q%s; there are %s", f.path, name, strict.Closest(name, all), strings.Join(all, ", "))
+	return fmt.Errorf("%s: no arm %q%s; there are %s", f.path, name, stricttoml.SuggestClosest(name, all), strings.Join(all, ", "))
 }
 
 // Beside is a path that the file names, from its own folder on.
@@ -183,7 +183,7 @@
 	case !names.MatchString(f.Name):
 		return bad("name", "name = %q: small letters, digits and dashes are needed, 64 at most", f.Name)
 	case !slices.Contains(questions, f.Question):
-		return bad("question", "question = %q: %s is needed%s", f.Question, strings.Join(questions, ", "), strict.Closest(f.Question, questions))
+		return bad("question", "question = %q: %s is needed%s", f.Question, strings.Join(questions, ", "), stricttoml.SuggestClosest(f.Question, questions))
 	case f.Scenario == "":
 		return bad("scenario", "scenario is missing: a shipped one's name, or a file's path")
 	case f.Replicates < 1 || f.Replicates > mostReplicates:
@@ -243,7 +243,7 @@
 	for _, name := range f.Figures {
 		if !KnownFigure(name) {
 			return bad("figures", "figures: %q is none%s; they are %s, and for each class class.NAME and class.NAME.p99-ms", name,
-				strict.Closest(name, figures), strings.Join(figures, ", "))
+				stricttoml.SuggestClosest(name, figures), strings.Join(figures, ", "))
 		}
 	}
 	return nil
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"marlreel/internal/fleet/peers"
-	"marlreel/internal/strict"
+	"marlreel/internal/stricttoml"
 )
 
 // Config is [fleet] of deploy/marlreel.toml.
@@ -20,13 +20,13 @@
 	Keepers []string     `toml:"keepers"`  // three or five of the peers, which found the fleet
 	// AgreeWithin is beyond what no two proxies act on rules that contradict each other. It is the same at all
 	// proxies, and fixed when the fleet is founded.
-	AgreeWithin strict.Span `toml:"agree-within"`
-	Dir         string      `toml:"dir"`   // a folder that outlives the process; "" is none: no keeper then
-	Trace       string      `toml:"trace"` // a file in which each act is written down with its rules; "" is none
+	AgreeWithin stricttoml.Duration `toml:"agree-within"`
+	Dir         string              `toml:"dir"`   // a folder that outlives the process; "" is none: no keeper then
+	Trace       string              `toml:"trace"` // a file in which each act is written down with its rules; "" is none
 }
 
 // DefaultConfig is a fleet that is off.
-func DefaultConfig() Config { return Config{AgreeWithin: strict.Span(5 * time.Second)} }
+func DefaultConfig() Config { return Config{AgreeWithin: stricttoml.Duration(5 * time.Second)} }
 
 // On tells whether there is a fleet.
 func (c *Config) On() bool { return c.Name != "" }
--- a/internal/proxy/compatibility_sent_test.go
+++ b/internal/proxy/compatibility_sent_test.go
@@ -22,7 +22,7 @@
 	"marlreel/internal/fleet"
 	"marlreel/internal/fleet/agree"
 	"marlreel/internal/fleet/peers"
-	"marlreel/internal/strict"
+	"marlreel/internal/stricttoml"
 	"marlreel/internal/testutil"
 )
 
@@ -114,7 +114,7 @@
 	}
 	own = config.DefaultMarlreel()
 	own.Fleet = fleet.Config{
-		Name: "pier", Listen: closedAddr(t), KeyFile: key, Keepers: []string{"n1", "n2", "n3"}, AgreeWithin: strict.Span(5 * time.Second),
+		Name: "pier", Listen: closedAddr(t), KeyFile: key, Keepers: []string{"n1", "n2", "n3"}, AgreeWithin: stricttoml.Duration(5 * time.Second),
 		Peers: []peers.Peer{{Name: "n0", Address: closedAddr(t)}, {Name: "n1", Address: closedAddr(t)}, {Name: "n2", Address: closedAddr(t)}, {Name: "n3", Address: closedAddr(t)}},
 	}
 	got.WriteString("=== with a fleet\n")
--- a/internal/proxy/keep_test.go
+++ b/internal/proxy/keep_test.go
@@ -15,14 +15,14 @@
 	"marlreel/internal/process/learnedstate"
 	"marlreel/internal/process/learnedstate/codec"
 	"marlreel/internal/process/learnedstate/statefile"
-	"marlreel/internal/strict"
+	"marlreel/internal/stricttoml"
 	"marlreel/internal/testutil"
 )
 
 func remembering(t *testing.T, dir string) *config.Marlreel {
 	t.Helper()
 	own := config.DefaultMarlreel()
-	own.Memory.Dir, own.Memory.Every = dir, strict.Span(100*time.Millisecond)
+	own.Memory.Dir, own.Memory.Every = dir, stricttoml.Duration(100*time.Millisecond)
 	return own
 }
 
--- a/internal/proxy/sources_test.go
+++ b/internal/proxy/sources_test.go
@@ -17,7 +17,7 @@
 	kvstore "marlreel/internal/discovery/registry"
 	"marlreel/internal/process/logs"
 	"marlreel/internal/standin"
-	"marlreel/internal/strict"
+	"marlreel/internal/stricttoml"
 	"marlreel/internal/testutil"
 )
 
@@ -33,7 +33,7 @@
 	t.Cleanup(r.Close)
 	own := config.DefaultMarlreel()
 	own.Registry.Kind, own.Registry.Endpoints, own.Registry.Prefix = kind, []string{r.URL()}, nodesPrefix
-	own.Registry.Settle, own.Registry.Patience = strict.Span(50*time.Millisecond), strict.Span(200*time.Millisecond)
+	own.Registry.Settle, own.Registry.Patience = stricttoml.Duration(50*time.Millisecond), stricttoml.Duration(200*time.Millisecond)
 	return r, own
 }
 
--- a/internal/rehearsal/scenario.go
+++ b/internal/rehearsal/scenario.go
@@ -10,11 +10,11 @@
 	"time"
 
 	"marlreel/internal/standin"
-	"marlreel/internal/strict"
+	"marlreel/internal/stricttoml"
 )
 
 // Span is a length of time as scenario files write it: "250ms", "8s".
-type Span = strict.Span
+type Span = stricttoml.Duration
 
 // Scenario is a day to rehearse, as its file says.
 type Scenario struct {
@@ -329,7 +329,7 @@
 // Parse reads a scenario's text; path is for its errors.
 func Parse(path string, data []byte) (*Scenario, error) {
 	s := defaults()
-	if err := strict.Decode(path, data, s); err != nil {
+	if err := stricttoml.Decode(path, data, s); err != nil {
 		return nil, err
 	}
 	if s.Name == "" {
@@ -508,15 +508,15 @@
 		for _, k := range faultKinds {
 			names = append(names, k.What)
 		}
-		return fmt.Errorf("what = %q%s: one of %s is needed", f.What, strict.Closest(f.What, names), strings.Join(names, ", "))
+		return fmt.Errorf("what = %q%s: one of %s is needed", f.What, stricttoml.SuggestClosest(f.What, names), strings.Join(names, ", "))
 	case f.At < 0 || f.At > s.Length || f.For < 0 || f.Each < 0:
 		return fmt.Errorf("at has to lie within the length of %v; for and each can't be below 0", s.Length.D())
 	case !ofProxies && (f.Nodes < 0 || f.Share < 0 || f.Share > 1 || (f.Nodes > 0) == (f.Share > 0)):
 		return errors.New("either nodes = a number or share = a part up to 1 is needed")
 	case f.Kind != "" && !slices.Contains(kinds, f.Kind):
-		return fmt.Errorf("kind = %q%s: the fleet has none", f.Kind, strict.Closest(f.Kind, kinds))
+		return fmt.Errorf("kind = %q%s: the fleet has none", f.Kind, stricttoml.SuggestClosest(f.Kind, kinds))
 	case f.Zone != "" && !slices.Contains(s.Fleet.Zones, f.Zone):
-		return fmt.Errorf("zone = %q%s: the fleet has none", f.Zone, strict.Closest(f.Zone, s.Fleet.Zones))
+		return fmt.Errorf("zone = %q%s: the fleet has none", f.Zone, stricttoml.SuggestClosest(f.Zone, s.Fleet.Zones))
 	case f.What == "slow" && f.Times <= 1:
 		return errors.New("times above 1 is needed")
 	case f.What == "neighbour" && (f.Taken <= 0 || f.Taken >= 1):
@@ -528,13 +528,13 @@
 	case f.What == "spoil" && spoils[f.How] == 0:
 		return fmt.Errorf("how = %q: noise, cut, huge or empty is needed", f.How)
 	case f.What == "partial" && !slices.Contains(partialHows, f.How):
-		return fmt.Errorf("how = %q%s: %s is needed", f.How, strict.Closest(f.How, partialHows), strings.Join(partialHows, ", "))
+		return fmt.Errorf("how = %q%s: %s is needed", f.How, stricttoml.SuggestClosest(f.How, partialHows), strings.Join(partialHows, ", "))
 	case f.What == "partial" && f.How == "slow" && f.Times <= 1:
 		return errors.New("times above 1 is needed")
 	case f.What == "partial" && f.Class == "" && f.Above == 0:
 		return errors.New("class or above-bytes is needed: a node that serves all of it badly is slow, or answers with errors")
 	case f.What == "partial" && f.Class != "" && !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == f.Class }):
-		return fmt.Errorf("class = %q%s: there is none", f.Class, strict.Closest(f.Class, s.classNames()))
+		return fmt.Errorf("class = %q%s: there is none", f.Class, stricttoml.SuggestClosest(f.Class, s.classNames()))
 	case f.What == "partial" && (f.Above < 0 || f.Above > 64<<10):
 		return fmt.Errorf("above-bytes = %d: 0 to %d is possible", f.Above, 64<<10)
 	case (f.Class != "" || f.Above != 0) && f.What != "partial":
@@ -546,7 +546,7 @@
 	case f.What == "retune" && (f.How == "") == (f.Attempts == 0):
 		return errors.New("either how or attempts is needed")
 	case f.What == "retune" && f.How != "" && !slices.Contains(brokenHows, f.How):
-		return fmt.Errorf("how = %q%s: %s is needed", f.How, strict.Closest(f.How, brokenHows), strings.Join(brokenHows, ", "))
+		return fmt.Errorf("how = %q%s: %s is needed", f.How, stricttoml.SuggestClosest(f.How, brokenHows), strings.Join(brokenHows, ", "))
 	case f.What == "retune" && (f.Attempts < 0 || f.Attempts > s.Rules.MaxAttempts):
 		return fmt.Errorf("attempts = %d: 1 to rules.max-attempts (%d) is possible", f.Attempts, s.Rules.MaxAttempts)
 	case f.Connections != 0 && f.What != "crowd" || f.Attempts != 0 && f.What != "retune":
