--- a/cmd/marlreel/main.go
+++ b/cmd/marlreel/main.go
@@ -15,7 +15,7 @@
 	"runtime/debug"
 	"syscall"
 
-	"marlreel/internal/advice"
+	"marlreel/internal/actionable"
 	"marlreel/internal/config"
 	"marlreel/internal/process/logs"
 	"marlreel/internal/proxy"
@@ -117,7 +117,7 @@
 		return 0
 	}
 	if err := serve(f, out); err != nil {
-		fmt.Fprintln(errOut, "marlreel:", advice.Line(err))
+		fmt.Fprintln(errOut, "marlreel:", actionable.Message(err))
 		return 1
 	}
 	return 0
--- a/cmd/marlreelctl/main.go
+++ b/cmd/marlreelctl/main.go
@@ -20,7 +20,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"marlreel/internal/advice"
+	"marlreel/internal/actionable"
 	"marlreel/internal/config"
 	"marlreel/internal/discovery/membership"
 	"marlreel/internal/discovery/registry"
@@ -78,7 +78,7 @@
 		return ended
 	}
 	fail := func(code int, err error) int {
-		fmt.Fprintf(errs, "marlreelctl: %s\n", strings.Join(strings.Fields(advice.Line(err)), " "))
+		fmt.Fprintf(errs, "marlreelctl: %s\n", strings.Join(strings.Fields(actionable.Message(err)), " "))
 		return code
 	}
 	if err != nil {
--- a/cmd/marlreeld/main.go
+++ b/cmd/marlreeld/main.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"marlreel/internal/advice"
+	"marlreel/internal/actionable"
 	"marlreel/internal/agent"
 	"marlreel/internal/controlplane"
 	"marlreel/internal/dataplane/gateway"
@@ -20,7 +20,7 @@
 
 func main() {
 	if err := newCommand(os.Stderr).Execute(); err != nil {
-		fmt.Fprintln(os.Stderr, advice.Line(err))
+		fmt.Fprintln(os.Stderr, actionable.Message(err))
 		os.Exit(1)
 	}
 }
--- a/cmd/marlreeld/main_test.go
+++ b/cmd/marlreeld/main_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/matryer/is"
 
-	"marlreel/internal/advice"
+	"marlreel/internal/actionable"
 	"marlreel/internal/process/bootstrap"
 )
 
@@ -46,7 +46,7 @@
 		command.SetArgs([]string{"agent"})
 		err := command.Execute()
 		is.True(err != nil)
-		line := advice.Line(err)
+		line := actionable.Message(err)
 		is.True(strings.Contains(line, named))                      // what is wrong
 		is.True(strings.Contains(line, bootstrap.SettingsVariable)) // what to do
 		is.True(!strings.Contains(line, "\n"))
--- a/cmd/marlreeld/operator_test.go
+++ b/cmd/marlreeld/operator_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/matryer/is"
 
-	"marlreel/internal/advice"
+	"marlreel/internal/actionable"
 )
 
 const smallConfiguration = `{"config_version":3,"route_list":[{"name":"chat","host":"a.example","path_prefix":"/chat/","route_class":"streaming",
@@ -68,7 +68,7 @@
 `)
 	_, err = execute(t, "route", "explain", "a.example", "/other", "--file", file)
 	is.True(err != nil)
-	is.True(strings.Contains(advice.Line(err), "no route takes a.example/other"))
+	is.True(strings.Contains(actionable.Message(err), "no route takes a.example/other"))
 }
 
 // A command that needs control says so where none is named.
@@ -81,7 +81,7 @@
 		{"bundle", filepath.Join(t.TempDir(), "b.tar.gz")},
 	} {
 		_, err := execute(t, args...)
-		if err == nil || !strings.Contains(advice.Line(err), "--control") {
+		if err == nil || !strings.Contains(actionable.Message(err), "--control") {
 			t.Errorf("%v: %v", args, err)
 		}
 	}
--- /dev/null
+++ b/internal/actionable/errorspage/page.go
@@ -0,0 +1,39 @@
+package main
+
+import (
+	"fmt"
+	"strings"
+)
+
+const pageHead = `# Errors, and what to do
+
+Generated from the types of errors in the code (` + "`go run ./internal/actionable/errorspage > docs/ERRORS.md`" + `); a test fails where it is not
+up to date. The programs print the advice behind the error; in the log it is the field ` + "`do`" + `.
+
+`
+
+// errorsPage is the page's text, of all packages under a folder. A type without a comment or without advice is an
+// error.
+func errorsPage(root string) (string, error) {
+	all, err := errorTypes(root)
+	if err != nil {
+		return "", err
+	}
+	var page strings.Builder
+	page.WriteString(pageHead)
+	currentPackage := ""
+	for _, t := range all {
+		if t.doc == "" {
+			return "", fmt.Errorf("%s.%s has no comment", t.packagePath, t.name)
+		}
+		if t.advice == "" {
+			return "", fmt.Errorf("%s.%s advises nothing", t.packagePath, t.name)
+		}
+		if t.packagePath != currentPackage {
+			fmt.Fprintf(&page, "## %s\n\n", t.packagePath)
+			currentPackage = t.packagePath
+		}
+		fmt.Fprintf(&page, "**%s**: %s\n%s\n\n", t.name, t.doc, t.advice)
+	}
+	return strings.TrimRight(page.String(), "\n") + "\n", nil
+}
--- a/internal/advice/page/page_test.go
+++ b/internal/actionable/errorspage/page_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestPageIsUpToDate(t *testing.T) {
-	want, err := Page("../../..")
+	want, err := errorsPage("../../..")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -15,6 +15,6 @@
 		t.Fatal(err)
 	}
 	if string(got) != want {
-		t.Error("docs/ERRORS.md is not what the types of errors say: go run ./internal/advice/page > docs/ERRORS.md")
+		t.Error("docs/ERRORS.md is not what the types of errors say: go run ./internal/actionable/errorspage > docs/ERRORS.md")
 	}
 }
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"marlreel/internal/advice"
+	"marlreel/internal/actionable"
 	"marlreel/internal/balancer"
 	"marlreel/internal/config"
 	"marlreel/internal/dataplane/engine"
@@ -118,7 +118,7 @@
 		}
 	}
 	if err != nil {
-		log.Warn("not reloaded: "+err.Error(), "event", "fleet-file-refused", "do", advice.Of(err))
+		log.Warn("not reloaded: "+err.Error(), "event", "fleet-file-refused", "do", actionable.AdviceFor(err))
 	}
 	taken(err == nil)
 }
--- a/internal/proxy/imports_test.go
+++ b/internal/proxy/imports_test.go
@@ -39,7 +39,7 @@
 		"marlreel/internal/sockets":                        {},
 		"marlreel/internal/dataplane/httpproxy":            {"marlreel/internal/balancer", "marlreel/internal/process/budget", "marlreel/internal/balancer/connections", "marlreel/internal/dataplane/engine", "marlreel/internal/sockets"},
 		"marlreel/internal/dataplane/msgpackrpc":           {"marlreel/internal/balancer", "marlreel/internal/dataplane/engine", "marlreel/internal/process/logs", "marlreel/internal/stricttoml"},
-		"marlreel/internal/advice":                         {},
+		"marlreel/internal/actionable":                     {},
 		"marlreel/internal/process/logs":                   {},
 		"marlreel/internal/fleet/rules":                    {"marlreel/internal/balancer"},
 		"marlreel/internal/fleet/agree":                    {},
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -17,7 +17,7 @@
 	"sync/atomic"
 	"time"
 
-	"marlreel/internal/advice"
+	"marlreel/internal/actionable"
 	"marlreel/internal/config"
 	"marlreel/internal/dataplane/engine"
 	"marlreel/internal/dataplane/httpproxy"
@@ -264,7 +264,7 @@
 		})
 		go func() {
 			if err := p.member.fleet.Serve(operators); err != nil {
-				logger.Warn(err.Error(), "event", "fleet-socket", "do", advice.Of(err))
+				logger.Warn(err.Error(), "event", "fleet-socket", "do", actionable.AdviceFor(err))
 			}
 		}()
 	}
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -7,7 +7,7 @@
 	"os"
 	"reflect"
 
-	"marlreel/internal/advice"
+	"marlreel/internal/actionable"
 	"marlreel/internal/config"
 	"marlreel/internal/discovery/sources"
 )
@@ -84,7 +84,7 @@
 		}
 	}
 	if err != nil {
-		logger.Warn("not reloaded: "+err.Error(), "event", "settings-refused", "do", advice.Of(err))
+		logger.Warn("not reloaded: "+err.Error(), "event", "settings-refused", "do", actionable.AdviceFor(err))
 		taken(false)
 		return cfg, own
 	}
