--- a/cmd/marlreel/main.go
+++ b/cmd/marlreel/main.go
@@ -130,7 +130,7 @@
 	signal.Notify(reload, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	own, err := config.LoadMarlreel(f.config)
+	own, err := config.LoadOperator(f.config)
 	if err != nil {
 		return err
 	}
@@ -142,8 +142,8 @@
 	if err != nil {
 		return err
 	}
-	if err := own.CheckPlatform(cfg); err != nil {
-		return &config.OwnError{Path: f.config, Err: err}
+	if err := own.CheckAgainst(cfg); err != nil {
+		return &config.OperatorFileError{Path: f.config, Err: err}
 	}
 	if f.check {
 		fmt.Fprintf(out, "%s is good\n", f.config)
--- a/cmd/marlreelctl/fleet.go
+++ b/cmd/marlreelctl/fleet.go
@@ -54,7 +54,7 @@
 		if file == "" {
 			return nil, &UsageError{"--socket or --config is missing: the operators' socket of a proxy on this machine, or the file with [fleet]"}
 		}
-		own, err := config.LoadMarlreel(file)
+		own, err := config.LoadOperator(file)
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/marlreelctl/main.go
+++ b/cmd/marlreelctl/main.go
@@ -105,7 +105,7 @@
 	if c.Config == "" {
 		return fail(2, &UsageError{"--config is missing: the file with [registry], as the proxies have it"})
 	}
-	own, err := config.LoadMarlreel(c.Config)
+	own, err := config.LoadOperator(c.Config)
 	if err != nil {
 		return fail(2, err)
 	}
--- a/internal/config/compatibility_test.go
+++ b/internal/config/compatibility_test.go
@@ -33,7 +33,7 @@
 		{"marlreel-defaults.toml", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m, err := config.ParseMarlreel("marlreel.toml", []byte(c.text))
+			m, err := config.ParseOperator("marlreel.toml", []byte(c.text))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -42,7 +42,7 @@
 				t.Fatal(err)
 			}
 			compareRecorded(t, c.name, got)
-			again, err := config.ParseMarlreel("marlreel.toml", got)
+			again, err := config.ParseOperator("marlreel.toml", got)
 			if err != nil {
 				t.Fatalf("the written form is not read: %v", err)
 			}
@@ -53,14 +53,13 @@
 	}
 }
 
-// The platform's configuration and environment keep their keys.
+// The platform's configuration keeps its keys.
 func TestCompatibilityPlatformFile(t *testing.T) {
 	data, err := os.ReadFile(filepath.Join("testdata", "compatibility", "platform.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	env := map[string]string{}
-	p, err := config.ParsePlatform(data, func(key string) string { return env[key] })
+	p, err := config.ParsePlatform(data, func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,17 +68,17 @@
 		got, want any
 	}{
 		{"name", p.Name, "n0"},
-		{"listen", p.Listen, "127.0.0.1:7800"},
-		{"discovery", p.Discovery, "127.0.0.1:7900"},
-		{"control", p.Control, "127.0.0.1:7801"},
+		{"listen", p.ListenAddress, "127.0.0.1:7800"},
+		{"discovery", p.DiscoveryAddress, "127.0.0.1:7900"},
+		{"control", p.ControlAddress, "127.0.0.1:7801"},
 		{"seed", p.Seed, uint64(0x8c1f)},
 		{"limits.cores", p.Cores, 1.5},
 		{"limits.memory_mb", p.MemoryMB, 96},
-		{"limits.sockets", p.Sockets, 512},
+		{"limits.sockets", p.MaxFileDescriptors, 512},
 		{"settings.FailureDomains", p.Names.Zones["maribor"], 1},
 		{"settings.Kinds", p.Names.Kinds["big-4c"], 1},
-		{"settings.Caps.MaxOpen", p.MaxOpen, 20000},
-		{"settings.Feedback.Names", len(p.Report), 2},
+		{"settings.Caps.MaxOpen", p.MaxOpenRequests, 20000},
+		{"settings.Feedback.Names", len(p.ReportNames), 2},
 		{"settings.Services", p.Settings.Classes[1].Name, "bid"},
 		{"settings.Services.GiveUp", p.Settings.Classes[1].ClientTimeout, 900 * time.Millisecond},
 		{"settings.Tenants", p.Settings.Tenants[0].Name, "obala"},
@@ -89,14 +88,23 @@
 			t.Errorf("%s: %v, want %v", c.key, c.got, c.want)
 		}
 	}
-	if p.Known == nil || len(p.Known.Instances) != 1 {
-		t.Errorf("known: %+v", p.Known)
+	if p.InitialList == nil || len(p.InitialList.Instances) != 1 {
+		t.Errorf("known: %+v", p.InitialList)
 	}
-	env = map[string]string{
+	compareRecordedSharedSettings(t, p)
+}
+
+// The environment goes before the file, under its names.
+func TestCompatibilityPlatformEnvironment(t *testing.T) {
+	data, err := os.ReadFile(filepath.Join("testdata", "compatibility", "platform.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	env := map[string]string{
 		"NODE_NAME": "n7", "NODE_LISTEN": "127.0.0.1:1", "NODE_DISCOVERY": "127.0.0.1:2",
 		"NODE_CONTROL": "127.0.0.1:3", "NODE_SOCKET_FD": "5", "TMPDIR": "/somewhere",
 	}
-	p, err = config.ParsePlatform(data, func(key string) string { return env[key] })
+	p, err := config.ParsePlatform(data, func(key string) string { return env[key] })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,9 +113,9 @@
 		got, want any
 	}{
 		{"NODE_NAME", p.Name, "n7"},
-		{"NODE_LISTEN", p.Listen, "127.0.0.1:1"},
-		{"NODE_DISCOVERY", p.Discovery, "127.0.0.1:2"},
-		{"NODE_CONTROL", p.Control, "127.0.0.1:3"},
+		{"NODE_LISTEN", p.ListenAddress, "127.0.0.1:1"},
+		{"NODE_DISCOVERY", p.DiscoveryAddress, "127.0.0.1:2"},
+		{"NODE_CONTROL", p.ControlAddress, "127.0.0.1:3"},
 		{"NODE_SOCKET_FD", p.ListenFD, 5},
 		{"TMPDIR", p.TempDir, "/somewhere"},
 	} {
@@ -115,13 +123,18 @@
 			t.Errorf("$%s: %v, want %v", c.key, c.got, c.want)
 		}
 	}
-	// What the proxies of a fleet agree on is a sent form too.
-	shared, err := p.Shared()
+	compareRecordedSharedSettings(t, p)
+}
+
+// What the proxies of a fleet agree on is a sent form too.
+func compareRecordedSharedSettings(t *testing.T, p *config.Platform) {
+	t.Helper()
+	shared, err := p.SharedSettings()
 	if err != nil {
 		t.Fatal(err)
 	}
 	compareRecorded(t, "shared-settings.json", []byte(shared+"\n"))
-	if _, err := p.Take(shared); err != nil {
+	if _, err := p.WithSharedSettings(shared); err != nil {
 		t.Errorf("shared settings are not taken: %v", err)
 	}
 }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -35,50 +35,53 @@
 	return "mend that key; a process that runs goes on by what it had until then"
 }
 
-// PlatformError is a configuration of the platform's that can't be used.
-type PlatformError struct {
+// PlatformFileError is a configuration of the platform's that can't be used.
+type PlatformFileError struct {
 	Path string
 	Err  error
 }
 
-func (e *PlatformError) Error() string { return fmt.Sprintf("configuration %s: %v", e.Path, e.Err) }
-func (e *PlatformError) Unwrap() error { return e.Err }
+func (e *PlatformFileError) Error() string { return fmt.Sprintf("configuration %s: %v", e.Path, e.Err) }
+func (e *PlatformFileError) Unwrap() error { return e.Err }
 
 // Advice says what an operator can do.
-func (e *PlatformError) Advice() string {
+func (e *PlatformFileError) Advice() string {
 	return "mend what it names in the platform's configuration; a process that runs goes on by what it had until then"
 }
 
-// OwnError is a file of --config that can't be used.
-type OwnError struct {
+// OperatorFileError is a file of --config that can't be used.
+type OperatorFileError struct {
 	Path string
 	Err  error
 }
 
-func (e *OwnError) Error() string { return e.Path + ": " + e.Err.Error() }
-func (e *OwnError) Unwrap() error { return e.Err }
+func (e *OperatorFileError) Error() string { return e.Path + ": " + e.Err.Error() }
+func (e *OperatorFileError) Unwrap() error { return e.Err }
 
 // Advice says what an operator can do.
-func (e *OwnError) Advice() string {
+func (e *OperatorFileError) Advice() string {
 	return "mend the key that it names, and try the file with 'marlreel --check --config FILE'"
 }
 
 // SettingError is a key of the operator's own file whose value makes no sense.
-type SettingError struct{ Key, Want string }
+type SettingError struct {
+	Key     string
+	Problem string // the value, and what is needed in its place
+}
 
-func (e *SettingError) Error() string { return e.Key + " " + e.Want }
+func (e *SettingError) Error() string { return e.Key + " " + e.Problem }
 
 // Advice says what an operator can do.
 func (e *SettingError) Advice() string {
 	return "set the key to what is needed; deploy/marlreel.toml shows each with a good value"
 }
 
-// ChangeError is a configuration that can't take the place of the one in force.
-type ChangeError struct{ Reason string }
+// IncompatibleChangeError is a configuration that can't take the place of the one in force.
+type IncompatibleChangeError struct{ Reason string }
 
-func (e *ChangeError) Error() string { return e.Reason }
+func (e *IncompatibleChangeError) Error() string { return e.Reason }
 
 // Advice says what an operator can do.
-func (e *ChangeError) Advice() string {
+func (e *IncompatibleChangeError) Advice() string {
 	return "put the key back, or start the process anew with the new file; until then it goes on by what it had"
 }
--- a/internal/config/marlreel_test.go
+++ b/internal/config/operator_test.go
@@ -22,7 +22,7 @@
 [rpc.backend]
 port-offset = 1000
 `
-	m, err := config.ParseMarlreel("m.toml", []byte(good))
+	m, err := config.ParseOperator("m.toml", []byte(good))
 	if err != nil || m.RPC.Idle.D().Seconds() != 30 || m.RPC.Connections != 64 || len(m.RPC.Methods) != 1 {
 		t.Fatalf("%+v %v", m, err)
 	}
@@ -40,15 +40,15 @@
 		if text == good {
 			t.Fatalf("%s: nothing changed", name)
 		}
-		_, err := config.ParseMarlreel("m.toml", []byte(text))
+		_, err := config.ParseOperator("m.toml", []byte(text))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, want %q in one line", name, err, c.want)
 		}
 	}
-	if _, err := config.LoadMarlreel(filepath.Join(t.TempDir(), "none.toml")); err == nil {
+	if _, err := config.LoadOperator(filepath.Join(t.TempDir(), "none.toml")); err == nil {
 		t.Error("a file that is not there is taken")
 	}
-	if m, err := config.LoadMarlreel(""); err != nil || m.RPC.Listen != "" {
+	if m, err := config.LoadOperator(""); err != nil || m.RPC.Listen != "" {
 		t.Errorf("without a file: %+v %v", m, err)
 	}
 }
@@ -61,7 +61,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, err := config.ParseMarlreel(path, data)
+	m, err := config.ParseOperator(path, data)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,7 +69,7 @@
 		t.Error("something is on in the file that is shipped")
 	}
 	on := regexp.MustCompile(`(?m)^# ((?:\[.*\]|[a-z-]+ = .*))$`).ReplaceAllString(string(data), "$1")
-	if m, err = config.ParseMarlreel(path, []byte(on)); err != nil || m.RPC.Listen == "" {
+	if m, err = config.ParseOperator(path, []byte(on)); err != nil || m.RPC.Listen == "" {
 		t.Errorf("with its comments taken off: %v", err)
 	}
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -1,6 +1,3 @@
-// Package config reads what the platform tells a proxy ($NODE_CONFIG) and what an
-// operator sets (deploy/marlreel.toml), strictly: what can't be used is one error that
-// names the file, the key and what would be right. It opens nothing but these files.
 package config
 
 import (
@@ -19,248 +16,238 @@
 
 // Platform is what the platform tells a proxy at its start.
 type Platform struct {
-	Name, Listen, Discovery string
-	Control                 string // where the platform asks for readiness and figures; "" is nowhere
+	Name             string
+	ListenAddress    string // host:port for clients
+	DiscoveryAddress string // host:port
+	ControlAddress   string // host:port where the platform asks for readiness and metrics; "" is nowhere
 	// ListenFD is the descriptor by which the platform hands the clients' listener on;
-	// -1 is none, and Listen is to be listened at.
+	// -1 is none, and ListenAddress is to be listened at.
 	ListenFD int
 	// TempDir is common to this process and the one before it or after it, where the
 	// platform hands a listener on.
 	TempDir string
 
-	Seed     uint64
-	Sockets  int // file descriptors that the process may hold
-	MemoryMB int
-	Cores    float64
-	Known    *platformwatch.List // the list as last held; nil is none
-	Settings balancer.Config
+	Seed               uint64
+	MaxFileDescriptors int // 0 is not said
+	MemoryMB           int // MiB; 0 is not said
+	Cores              float64
+	InitialList        *platformwatch.List // the list as the platform last had it; nil is none
+	Settings           balancer.Config
 
-	settings any // as they stand in the file
+	rawSettings any // as they stand in the file
 
-	Names   platformwatch.Names
-	Report  []string // names of the values of a load report
-	MaxOpen int      // open requests; 0 is no limit
-	// AcceptLonger is how long after the signal to stop connections are taken.
-	AcceptLonger time.Duration
+	Names           platformwatch.Names
+	ReportNames     []string // names of the values of a load report
+	MaxOpenRequests int      // 0 is no limit
+	// AcceptGrace is how long after the signal to stop connections are accepted.
+	AcceptGrace time.Duration
 }
 
-// After the signal to stop, new connections go on coming for up to 0.4 s. One that is
-// closed unaccepted is a lost request.
-const acceptLonger = 500 * time.Millisecond
-
 // EnvDiscovery is the environment's name for discovery's address.
 const EnvDiscovery = "NODE_DISCOVERY"
 
 // The environment's other names.
 const (
+	envName     = "NODE_NAME"
+	envListen   = "NODE_LISTEN"
 	envControl  = "NODE_CONTROL"
 	envListenFD = "NODE_SOCKET_FD"
 	envTempDir  = "TMPDIR"
 )
 
-// LoadPlatform reads the configuration file. NODE_NAME, NODE_LISTEN,
-// NODE_DISCOVERY and NODE_CONTROL, where getenv has them, go before what the file says.
+// LoadPlatform reads the configuration file. NODE_NAME, NODE_LISTEN, NODE_DISCOVERY and NODE_CONTROL, where getenv
+// has them, go before what the file says. Its errors are *FileError and *PlatformFileError.
 func LoadPlatform(path string, getenv func(string) string) (*Platform, error) {
 	if path == "" {
 		return nil, &FileError{}
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, &FileError{path, err}
+		return nil, &FileError{Path: path, Err: err}
 	}
 	c, err := ParsePlatform(data, getenv)
 	if err != nil {
-		return nil, &PlatformError{path, err}
+		return nil, &PlatformFileError{Path: path, Err: err}
 	}
 	return c, nil
 }
 
-// ParsePlatform reads the configuration's text; getenv as with LoadPlatform.
-func ParsePlatform(data []byte, getenv func(string) string) (*Platform, error) {
-	var file struct {
-		Name, Listen, Discovery, Control, Seed string
+// platformFile is the form of the file. It is an alias: the JSON decoder's errors name a type that has a name.
+type platformFile = struct {
+	Name, Listen, Discovery, Control, Seed string
 
-		Limits struct {
-			Cores    float64 `json:"cores"`
-			MemoryMB int     `json:"memory_mb"`
-			Sockets  int     `json:"sockets"`
-		}
-		Known    *platformwatch.List
-		Settings json.RawMessage
-	}
+	Limits   limits
+	Known    *platformwatch.List
+	Settings json.RawMessage
+}
+
+type limits = struct {
+	Cores    float64 `json:"cores"`
+	MemoryMB int     `json:"memory_mb"`
+	Sockets  int     `json:"sockets"`
+}
+
+// ParsePlatform reads the configuration's text; getenv as with LoadPlatform. What it can't use is a *KeyError, a
+// *simwire.SettingError, or the JSON decoder's error.
+func ParsePlatform(data []byte, getenv func(string) string) (*Platform, error) {
+	var file platformFile
 	if err := json.Unmarshal(data, &file); err != nil {
 		return nil, err
 	}
 	c := &Platform{
-		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Control: file.Control, ListenFD: -1,
-		TempDir: getenv(envTempDir), Cores: file.Limits.Cores,
-		MemoryMB: file.Limits.MemoryMB, Sockets: file.Limits.Sockets, Known: file.Known, AcceptLonger: acceptLonger,
+		Name: file.Name, ListenAddress: file.Listen, DiscoveryAddress: file.Discovery, ControlAddress: file.Control,
+		ListenFD: -1, TempDir: getenv(envTempDir), Cores: file.Limits.Cores, MemoryMB: file.Limits.MemoryMB,
+		MaxFileDescriptors: file.Limits.Sockets, InitialList: file.Known, AcceptGrace: defaultAcceptGrace,
 	}
-	for _, v := range []struct {
-		env  string
-		into *string
-	}{{"NODE_NAME", &c.Name}, {"NODE_LISTEN", &c.Listen}, {EnvDiscovery, &c.Discovery}, {envControl, &c.Control}} {
-		if s := getenv(v.env); s != "" {
-			*v.into = s
-		}
-	}
-	for what, addr := range map[string]string{"listen": c.Listen, "discovery": c.Discovery} {
-		if _, _, err := net.SplitHostPort(addr); err != nil {
-			return nil, &KeyError{what, err}
-		}
-	}
-	if c.Control != "" {
-		if _, _, err := net.SplitHostPort(c.Control); err != nil {
-			return nil, &KeyError{"control ($" + envControl + ")", err}
-		}
+	c.overrideFrom(getenv)
+	if err := c.checkAddresses(); err != nil {
+		return nil, err
 	}
-	if fd := getenv(envListenFD); fd != "" {
-		n, err := strconv.Atoi(fd)
-		if err != nil || n <= 2 { // 0 to 2 are the standard streams
-			return nil, &KeyError{"$" + envListenFD, fmt.Errorf("%q, must be the number of a descriptor above 2", fd)}
-		}
-		c.ListenFD = n
+	if err := c.readListenFD(getenv(envListenFD)); err != nil {
+		return nil, err
 	}
-	if l := file.Limits; l.Cores < 0 || l.MemoryMB < 0 || l.Sockets < 0 || l.Sockets > 0 && l.Sockets < LeastSockets {
-		return nil, &KeyError{"limits", fmt.Errorf("%+v leave nothing to work with", l)}
+	if err := checkLimits(file.Limits); err != nil {
+		return nil, err
 	}
-	var err error
-	if c.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
-		return nil, &KeyError{"seed", err}
+	seed, err := strconv.ParseUint(file.Seed, 16, 64)
+	if err != nil {
+		return nil, &KeyError{Key: "seed", Err: err}
 	}
+	c.Seed = seed
 	if err := c.readSettings(file.Settings); err != nil {
 		return nil, err
 	}
-	if c.Known != nil {
-		if _, err := c.Known.Check(c.Names); err != nil {
-			return nil, &KeyError{"known", err}
+	if c.InitialList != nil {
+		if _, err := c.InitialList.Check(c.Names); err != nil {
+			return nil, &KeyError{Key: "known", Err: err}
 		}
 	}
 	return c, nil
 }
 
+// overrideFrom puts what the environment has in place of what the file says.
+func (c *Platform) overrideFrom(getenv func(string) string) {
+	for _, override := range []struct {
+		env  string
+		into *string
+	}{
+		{envName, &c.Name},
+		{envListen, &c.ListenAddress},
+		{EnvDiscovery, &c.DiscoveryAddress},
+		{envControl, &c.ControlAddress},
+	} {
+		value := getenv(override.env)
+		if value != "" {
+			*override.into = value
+		}
+	}
+}
+
+func (c *Platform) checkAddresses() error {
+	for _, address := range []struct {
+		key, value string
+		isOptional bool
+	}{
+		{key: "listen", value: c.ListenAddress},
+		{key: "discovery", value: c.DiscoveryAddress},
+		{key: "control ($" + envControl + ")", value: c.ControlAddress, isOptional: true},
+	} {
+		if address.isOptional && address.value == "" {
+			continue
+		}
+		if _, _, err := net.SplitHostPort(address.value); err != nil {
+			return &KeyError{Key: address.key, Err: err}
+		}
+	}
+	return nil
+}
+
+func (c *Platform) readListenFD(text string) error {
+	if text == "" {
+		return nil
+	}
+	descriptor, err := strconv.Atoi(text)
+	if err != nil || descriptor <= 2 { // 0 to 2 are the standard streams
+		return &KeyError{Key: "$" + envListenFD, Err: fmt.Errorf("%q, must be the number of a descriptor above 2", text)}
+	}
+	c.ListenFD = descriptor
+	return nil
+}
+
+func checkLimits(l limits) error {
+	isNegative := l.Cores < 0 || l.MemoryMB < 0 || l.Sockets < 0
+	isTooFew := l.Sockets > 0 && l.Sockets < MinFileDescriptors
+	if isNegative || isTooFew {
+		return &KeyError{Key: "limits", Err: fmt.Errorf("%+v leave nothing to work with", l)}
+	}
+	return nil
+}
+
 // readSettings reads the object of settings, and checks all of it.
 func (c *Platform) readSettings(text []byte) error {
 	if len(text) == 0 {
-		return &KeyError{"settings", errors.New("none given")}
+		return settingsError(errors.New("none given"))
 	}
-	var err error
-	if c.Settings, err = simwire.ParseSettings(text); err != nil {
+	settings, err := simwire.ParseSettings(text)
+	c.Settings = settings
+	if err != nil {
 		return err
 	}
-	if len(c.Settings.Classes) == 0 {
-		return &KeyError{"settings: Services", errors.New("none given")}
+	if len(settings.Classes) == 0 {
+		return &KeyError{Key: "settings: Services", Err: errors.New("none given")}
 	}
-	for _, class := range c.Settings.Classes {
+	for _, class := range settings.Classes {
 		if class.Stream { // answers are read whole here
-			return &KeyError{"settings", fmt.Errorf("class %s is streamed, which is not supported", class.Name)}
+			return settingsError(fmt.Errorf("class %s is streamed, which is not supported", class.Name))
 		}
 	}
-	if err := c.Settings.Validate(); err != nil {
-		return &KeyError{"settings", err}
+	if err := settings.Validate(); err != nil {
+		return settingsError(err)
 	}
-	if err := json.Unmarshal(text, &c.settings); err != nil {
-		return &KeyError{"settings", err}
+	if err := json.Unmarshal(text, &c.rawSettings); err != nil {
+		return settingsError(err)
 	}
-	if c.Settings.Caps.MaxAttempts < 1 {
-		return &KeyError{"settings", fmt.Errorf("Caps.MaxAttempts is %d, must be 1 or more", c.Settings.Caps.MaxAttempts)}
+	if settings.Caps.MaxAttempts < 1 {
+		return settingsError(fmt.Errorf("Caps.MaxAttempts is %d, must be 1 or more", settings.Caps.MaxAttempts))
 	}
-	seen := map[string]bool{}
-	for i, class := range c.Settings.Classes {
-		if class.Name == "" || seen[class.Name] {
-			return &KeyError{"settings", fmt.Errorf("Services[%d].Name is %q, must be a name of its own", i, class.Name)}
-		}
-		seen[class.Name] = true
-	}
-	var names struct { // what only a real proxy needs: on the wire all names are positions
-		FailureDomains, Kinds []string
-		Feedback              struct{ Names []string }
-		Caps                  struct{ MaxOpen int }
-	}
-	if err := json.Unmarshal(text, &names); err != nil {
-		return &KeyError{"settings", err}
-	}
-	c.Names = platformwatch.Names{Zones: positions(names.FailureDomains), Kinds: positions(names.Kinds)}
-	c.Report, c.MaxOpen = names.Feedback.Names, names.Caps.MaxOpen
-	return nil
-}
-
-func positions(names []string) map[string]int {
-	m := make(map[string]int, len(names))
-	for i, n := range names {
-		m[n] = i
+	if err := checkClassNames(settings.Classes); err != nil {
+		return err
 	}
-	return m
+	return c.readNames(text)
 }
 
-// The shares of the descriptors: of 256, backends have 64, the process itself 40, and
-// clients the rest, 152. Good clients hold a third at most (85), so silent ones always find
-// some places to push each other out of.
-const (
-	defaultSockets = 1024
-	// LeastSockets is the fewest descriptors that a proxy can work with.
-	LeastSockets = 64
-)
+func settingsError(err error) error { return &KeyError{Key: "settings", Err: err} }
 
-func (c *Platform) sockets() int {
-	if c.Sockets == 0 {
-		return defaultSockets
+func checkClassNames(classes []balancer.Class) error {
+	used := map[string]bool{}
+	for i, class := range classes {
+		if class.Name == "" || used[class.Name] {
+			return settingsError(fmt.Errorf("Services[%d].Name is %q, must be a name of its own", i, class.Name))
+		}
+		used[class.Name] = true
 	}
-	return c.Sockets
-}
-
-// ownDescriptors is what a process needs beside clients and backends: the standard streams,
-// listeners, the poller, two watches of the list, the door's callers.
-const ownDescriptors = 40
-
-// ClientConns is how many client connections are kept: half of the descriptors, or all that
-// neither backends nor the process itself may need, where that is more.
-func (c *Platform) ClientConns() int {
-	return max(c.sockets()/2, c.sockets()-c.UpstreamConns()-ownDescriptors)
+	return nil
 }
 
-// DoorCalls is how many of the platform's calls are open at a time.
-func (c *Platform) DoorCalls() int { return min(max(c.sockets()/16, 4), 16) }
-
-// defaultMemoryMB is what a process may take where nothing is said.
-const defaultMemoryMB = 64
-
-// BodyBytes is how much of the memory bodies may take. What is left is for the program,
-// the connections' own buffers, and garbage, which may come to as much as what lives.
-func (c *Platform) BodyBytes() int {
-	mb := c.MemoryMB
-	if mb == 0 {
-		mb = defaultMemoryMB
+// readNames reads what only a real proxy needs: on the simulator's wire all names are positions.
+func (c *Platform) readNames(settings []byte) error {
+	var names struct {
+		FailureDomains, Kinds []string
+		Feedback              struct{ Names []string }
+		Caps                  struct{ MaxOpen int }
 	}
-	return mb << 20 / 4
+	if err := json.Unmarshal(settings, &names); err != nil {
+		return settingsError(err)
+	}
+	c.Names = platformwatch.Names{Zones: indexByName(names.FailureDomains), Kinds: indexByName(names.Kinds)}
+	c.ReportNames, c.MaxOpenRequests = names.Feedback.Names, names.Caps.MaxOpen
+	return nil
 }
 
-// UpstreamConns bounds the connections to backends.
-func (c *Platform) UpstreamConns() int { return c.sockets() / 4 }
-
-// The platform ends a process no sooner than its longest deadline after the signal to stop, and
-// 0.7 s more; a deadline beyond this counts as this (the protocol's page, Figures).
-const longestStop = 3 * time.Second
-
-// StopWithin is how long after AcceptLonger what is open may take at a stop. What the end of
-// the process finds open is lost, so a class that waits longer has to be answered before.
-func (c *Platform) StopWithin() time.Duration { return min(c.LongestGiveUp(), longestStop) }
-
-// stopSlack is what the platform gives beyond the longest deadline, and stopSpare what is
-// kept of it for the end of the process itself.
-const (
-	stopSlack = 700 * time.Millisecond
-	stopSpare = 120 * time.Millisecond
-)
-
-// StopLater is how long after AcceptLonger and StopWithin the process may still be there.
-func (c *Platform) StopLater() time.Duration { return max(0, stopSlack-stopSpare-c.AcceptLonger) }
-
-// LongestGiveUp is the longest time that a client waits.
-func (c *Platform) LongestGiveUp() time.Duration {
-	longest := time.Duration(0)
-	for _, class := range c.Settings.Classes {
-		longest = max(longest, class.ClientTimeout)
+func indexByName(names []string) map[string]int {
+	index := make(map[string]int, len(names))
+	for i, name := range names {
+		index[name] = i
 	}
-	return longest
+	return index
 }
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -47,7 +47,7 @@
 	for longest, want := range map[time.Duration]time.Duration{time.Second: time.Second, 4 * time.Second: 3 * time.Second} {
 		var c config.Platform
 		c.Settings.Classes = []balancer.Class{{ClientTimeout: time.Second / 2}, {ClientTimeout: longest}}
-		if got := c.StopWithin(); got != want {
+		if got := c.DrainTimeout(); got != want {
 			t.Errorf("a class waits %v: a stop takes %v, want %v", longest, got, want)
 		}
 	}
--- a/internal/proxy/bulk_test.go
+++ b/internal/proxy/bulk_test.go
@@ -125,7 +125,7 @@
 					}
 				})
 				cfg := testConfig(t, closedAddr(t), ready("s-1", addr))
-				cfg.Control = "127.0.0.1:0"
+				cfg.ControlAddress = "127.0.0.1:0"
 				p := start(t, cfg)
 				c := testutil.Dial(t, p.addr)
 				fmt.Fprintf(c, "GET /lot-list/x %s\r\nHost: origin.svc\r\nX-Account: obala\r\nX-Time-Left: 20000m\r\nX-Correlation-Id: %016x\r\n\r\n",
@@ -197,7 +197,7 @@
 		}
 	}
 	t.Cleanup(func() {
-		if used := cfg.BodyBytes(); used != 2<<20 {
+		if used := cfg.MaxBodyBytes(); used != 2<<20 {
 			t.Errorf("the test's budget is %d", used)
 		}
 	})
@@ -286,7 +286,7 @@
 	t.Parallel()
 	k := newKeeper(t, nil)
 	cfg := testConfig(t, closedAddr(t), ready("s-1", k.addr))
-	cfg.MemoryMB, cfg.Control = 8, "127.0.0.1:0"
+	cfg.MemoryMB, cfg.ControlAddress = 8, "127.0.0.1:0"
 	p := start(t, cfg)
 	for _, n := range []int{100 << 10, 2 << 20} {
 		c := testutil.Dial(t, p.addr)
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -19,10 +19,10 @@
 func TestSilentConnectionsKeepNobodyOut(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig(t, closedAddr(t), ready("s-1", named(t, "a")))
-	cfg.Sockets = config.LeastSockets
+	cfg.MaxFileDescriptors = config.MinFileDescriptors
 	p := start(t, cfg)
 	first := testutil.Dial(t, p.addr)
-	for range 2 * cfg.ClientConns() {
+	for range 2 * cfg.MaxClientConnections() {
 		testutil.Dial(t, p.addr)
 	}
 	if status, text, _ := do(t, newRequest(t, p, "bid", "x")); status != 200 || text != "a" {
@@ -184,7 +184,7 @@
 func TestAnswersEndConnectionsInACrowd(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig(t, closedAddr(t), ready("s-1", named(t, "a")))
-	cfg.Sockets = config.LeastSockets
+	cfg.MaxFileDescriptors = config.MinFileDescriptors
 	p := start(t, cfg)
 	ask := func() *http.Response {
 		c := testutil.Dial(t, p.addr)
--- a/internal/proxy/compatibility_sent_test.go
+++ b/internal/proxy/compatibility_sent_test.go
@@ -93,7 +93,7 @@
 	}
 	backend, _ := testutil.Counting(t, "served")
 	cfg := testConfig(t, closedAddr(t), ready("s-1", backend))
-	cfg.Control = "127.0.0.1:0"
+	cfg.ControlAddress = "127.0.0.1:0"
 	got.WriteString("=== neither a registry nor a fleet\n")
 	ask(start(t, cfg), "/control/ready", "/control/counters", "/control/discovery", "/control/fleet")
 
@@ -112,7 +112,7 @@
 	if err := os.WriteFile(key, []byte("0123456789-key-0123456789-key-01"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	own = config.DefaultMarlreel()
+	own = config.DefaultOperator()
 	own.Fleet = fleet.Config{
 		Name: "pier", Listen: closedAddr(t), KeyFile: key, Keepers: []string{"n1", "n2", "n3"}, AgreeWithin: stricttoml.Duration(5 * time.Second),
 		Peers: []peers.Peer{{Name: "n0", Address: closedAddr(t)}, {Name: "n1", Address: closedAddr(t)}, {Name: "n2", Address: closedAddr(t)}, {Name: "n3", Address: closedAddr(t)}},
--- a/internal/proxy/ending_test.go
+++ b/internal/proxy/ending_test.go
@@ -245,7 +245,7 @@
 func TestAStopBeforeReady(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig(t, closedAddr(t)) // no list, and nobody to ask for one
-	p := launch(t, cfg, config.DefaultMarlreel())
+	p := launch(t, cfg, config.DefaultOperator())
 	if status, _, _ := do(t, newRequest(t, p, "lot-list", "")); status != http.StatusServiceUnavailable {
 		t.Errorf("without a backend: %d", status)
 	}
--- a/internal/proxy/figures_test.go
+++ b/internal/proxy/figures_test.go
@@ -46,7 +46,7 @@
 	b.Config.ErrorLog = log.New(io.Discard, "", 0)
 	t.Cleanup(b.Close)
 	cfg := testConfig(t, closedAddr(t), ready("s-1", b.Listener.Addr().String()))
-	cfg.Control = "127.0.0.1:0"
+	cfg.ControlAddress = "127.0.0.1:0"
 	p := start(t, cfg)
 	var mu sync.Mutex
 	seen := map[string]int{}
@@ -101,13 +101,13 @@
 func TestTheDoorDoesNotWaitForTheEngine(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig(t, closedAddr(t), ready("s-1", closedAddr(t)))
-	cfg.Control = "127.0.0.1:0"
-	p, err := assemble(cfg, config.DefaultMarlreel(), nil, logs.Discard())
+	cfg.ControlAddress = "127.0.0.1:0"
+	p, err := assemble(cfg, config.DefaultOperator(), nil, logs.Discard())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.carrier.Close)
-	ln, err := net.Listen("tcp", cfg.Control)
+	ln, err := net.Listen("tcp", cfg.ControlAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -36,7 +36,7 @@
 
 // enlist makes a proxy a member of its fleet. Nothing runs yet; the engine goes by the strict rules of the file
 // until the fleet is heard.
-func (p *parts) enlist(cfg *config.Platform, own *config.Marlreel, log *slog.Logger) (*member, error) {
+func (p *parts) enlist(cfg *config.Platform, own *config.Operator, log *slog.Logger) (*member, error) {
 	m := &member{parts: p, cfg: cfg, lease: &engine.Lease{Now: fleet.Now}}
 	m.lists = &overlay{Engine: p.engine, own: map[string]engine.Entry{}, held: map[string]bool{}, told: func(l agree.Lists, ends []agree.End) { m.fleet.List(l, ends) }}
 	p.engine.Under(m.lease)
@@ -46,11 +46,11 @@
 			return nil, err
 		}
 	}
-	file, err := cfg.Shared()
+	file, err := cfg.SharedSettings()
 	if err != nil {
 		return nil, err
 	}
-	m.fleet, err = fleet.Start(fleet.Options{Config: own.Fleet, Proxy: cfg.Name, File: file, Check: cfg.CheckShared, Host: m, Log: log})
+	m.fleet, err = fleet.Start(fleet.Options{Config: own.Fleet, Proxy: cfg.Name, File: file, Check: cfg.CheckSharedSettings, Host: m, Log: log})
 	if err != nil {
 		return nil, err
 	}
@@ -82,7 +82,7 @@
 func (m *member) Extend(until time.Duration) { m.lease.Extend(until) }
 
 // Parse implements fleet.Host.
-func (m *member) Parse(text string) (balancer.Config, error) { return m.cfg.Parsed(text) }
+func (m *member) Parse(text string) (balancer.Config, error) { return m.cfg.ParseSharedSettings(text) }
 
 // Told implements fleet.Host.
 func (m *member) Told(s *agree.State) {
@@ -110,7 +110,7 @@
 
 // propose puts the file's settings to the fleet, and says what came of it.
 func (m *member) propose(next *config.Platform, log *slog.Logger, taken func(bool)) {
-	text, err := next.Shared()
+	text, err := next.SharedSettings()
 	if err == nil {
 		var r agree.Result
 		if r, err = m.fleet.ProposeFile(context.Background(), text); err == nil {
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -131,11 +131,11 @@
 // start runs a proxy until the test ends, and waits until it is ready.
 func start(t *testing.T, cfg *config.Platform) *running {
 	t.Helper()
-	return startWith(t, cfg, config.DefaultMarlreel())
+	return startWith(t, cfg, config.DefaultOperator())
 }
 
 // startWith is start with what an operator sets; where that wants RPC, it listens too.
-func startWith(t *testing.T, cfg *config.Platform, own *config.Marlreel) *running {
+func startWith(t *testing.T, cfg *config.Platform, own *config.Operator) *running {
 	t.Helper()
 	p := launch(t, cfg, own)
 	eventually(t, "the proxy to be ready", func() bool {
@@ -150,7 +150,7 @@
 }
 
 // launch runs a proxy until the test ends, and does not wait for it.
-func launch(t *testing.T, cfg *config.Platform, own *config.Marlreel) *running {
+func launch(t *testing.T, cfg *config.Platform, own *config.Operator) *running {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -162,8 +162,8 @@
 			t.Fatal(err)
 		}
 	}
-	if cfg.Control != "" {
-		if in.control, err = net.Listen("tcp", cfg.Control); err != nil {
+	if cfg.ControlAddress != "" {
+		if in.control, err = net.Listen("tcp", cfg.ControlAddress); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/proxy/keep.go
+++ b/internal/proxy/keep.go
@@ -31,7 +31,7 @@
 
 // remember reads what an earlier life has learnt, as far as it is still to be believed. Whatever is wrong with
 // it is one line, and the proxy starts as it does without.
-func remember(cfg config.Memory, s *statefile.File, name string, now staleness.Timestamp, logger *slog.Logger) *learnedstate.State {
+func remember(cfg config.LearnedState, s *statefile.File, name string, now staleness.Timestamp, logger *slog.Logger) *learnedstate.State {
 	r, err := s.Load()
 	if err != nil {
 		logger.Info(fmt.Sprintf("memory: nothing is taken from it: %v", err), "event", "memory-refused")
@@ -49,9 +49,9 @@
 		logger.Info(fmt.Sprintf("memory: nothing is taken from %s: %v", s.Path(), err), "event", "memory-refused")
 		return nil
 	}
-	known := staleness.Discount(staleness.Config{MaxAge: cfg.Keep.D(), HalfLife: cfg.Half.D()}, r.State, away, !r.ShutDown)
+	known := staleness.Discount(staleness.Config{MaxAge: cfg.MaxAge.D(), HalfLife: cfg.HalfLife.D()}, r.State, away, !r.ShutDown)
 	if known == nil {
-		logger.Info(fmt.Sprintf("memory: nothing is taken from %s: it is %v old, and %v is the most", s.Path(), away.Round(time.Second), cfg.Keep.D()), "event", "memory-refused")
+		logger.Info(fmt.Sprintf("memory: nothing is taken from %s: it is %v old, and %v is the most", s.Path(), away.Round(time.Second), cfg.MaxAge.D()), "event", "memory-refused")
 		return nil
 	}
 	// From here on its age is counted by the wall's clock of this life, whatever the other life's said.
@@ -69,7 +69,7 @@
 // background begins the work that is no request: the state is written down. What must not wait (lists, drains,
 // requests) is the engine's, and probes and sweeps are the module's, whose health of backends rests on them.
 func (p *parts) background(cfg config.Background, k *saver, logger *slog.Logger) *background.Runner {
-	r := background.NewRunner(background.Config{Share: cfg.Share, Burst: budgetBurst, Most: cfg.Most}, logs.Event(logger, "background"))
+	r := background.NewRunner(background.Config{Share: cfg.MaxCores, Burst: budgetBurst, Most: cfg.MaxJobs}, logs.Event(logger, "background"))
 	r.Add(background.Spec{Name: "writing the memory", Priority: background.Idle, Every: k.every, Cost: time.Millisecond, Longest: max(10*time.Second, 2*k.every)},
 		func(ctx context.Context) error {
 			k.save(ctx, false)
--- a/internal/proxy/keep_test.go
+++ b/internal/proxy/keep_test.go
@@ -19,10 +19,10 @@
 	"marlreel/internal/testutil"
 )
 
-func remembering(t *testing.T, dir string) *config.Marlreel {
+func remembering(t *testing.T, dir string) *config.Operator {
 	t.Helper()
-	own := config.DefaultMarlreel()
-	own.Memory.Dir, own.Memory.Every = dir, stricttoml.Duration(100*time.Millisecond)
+	own := config.DefaultOperator()
+	own.LearnedState.Dir, own.LearnedState.SaveInterval = dir, stricttoml.Duration(100*time.Millisecond)
 	return own
 }
 
--- a/internal/proxy/left_test.go
+++ b/internal/proxy/left_test.go
@@ -113,7 +113,7 @@
 func watched(t *testing.T, entries ...platformwatch.Instance) *config.Platform {
 	t.Helper()
 	cfg := testConfig(t, closedAddr(t), entries...)
-	cfg.Control = "127.0.0.1:0"
+	cfg.ControlAddress = "127.0.0.1:0"
 	return cfg
 }
 
--- a/internal/proxy/partial_test.go
+++ b/internal/proxy/partial_test.go
@@ -63,11 +63,11 @@
 	for i := range 17 {
 		n := breaking(t, fmt.Sprintf("s-%02d", i), j, standin.Network{NewRate: 0.1, CloseRate: 0.2})
 		nodes = append(nodes, n)
-		cfg.Known.Instances = append(cfg.Known.Instances, ready(n.ID(), n.Addr()))
+		cfg.InitialList.Instances = append(cfg.InitialList.Instances, ready(n.ID(), n.Addr()))
 	}
-	cfg.Sockets = 256
+	cfg.MaxFileDescriptors = 256
 	p := start(t, cfg)
-	for range 2 * cfg.ClientConns() {
+	for range 2 * cfg.MaxClientConnections() {
 		testutil.Dial(t, p.addr)
 	}
 	var most atomic.Int64
@@ -97,7 +97,7 @@
 		t.Errorf("%d of 600 listings were served: %v", good, got)
 	}
 	// A node counts a connection a moment longer than the proxy, which has closed it.
-	if bound := int64(cfg.UpstreamConns()); most.Load() > 2*bound {
+	if bound := int64(cfg.MaxBackendConnections()); most.Load() > 2*bound {
 		t.Errorf("%d connections to nodes at once, the bound is %d", most.Load(), bound)
 	}
 	noBidTwice(t, j)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -45,21 +45,21 @@
 
 // Run serves until ctx ends, then finishes what it has taken. Each new configuration
 // that reloads brings is put in force without a break.
-func Run(ctx context.Context, cfg *config.Platform, own *config.Marlreel, logger *slog.Logger, reloads <-chan Reload) error {
+func Run(ctx context.Context, cfg *config.Platform, own *config.Operator, logger *slog.Logger, reloads <-chan Reload) error {
 	var in listeners
 	var err error
 	if cfg.ListenFD >= 0 {
-		in.http, err = handover.Listener(cfg.ListenFD, cfg.Listen)
+		in.http, err = handover.Listener(cfg.ListenFD, cfg.ListenAddress)
 	} else {
-		in.http, err = net.Listen("tcp", cfg.Listen)
+		in.http, err = net.Listen("tcp", cfg.ListenAddress)
 	}
 	if err != nil {
-		return &ListenError{"listen", cfg.Listen, err}
+		return &ListenError{"listen", cfg.ListenAddress, err}
 	}
-	if cfg.Control != "" {
-		if in.control, err = net.Listen("tcp", cfg.Control); err != nil {
+	if cfg.ControlAddress != "" {
+		if in.control, err = net.Listen("tcp", cfg.ControlAddress); err != nil {
 			in.close()
-			return &ListenError{"control", cfg.Control, err}
+			return &ListenError{"control", cfg.ControlAddress, err}
 		}
 	}
 	if own.RPC.Listen != "" {
@@ -148,19 +148,19 @@
 }
 
 // assemble puts a proxy together. Nothing runs yet.
-func assemble(cfg *config.Platform, own *config.Marlreel, limitMemory func(int64), logger *slog.Logger) (*parts, error) {
+func assemble(cfg *config.Platform, own *config.Operator, limitMemory func(int64), logger *slog.Logger) (*parts, error) {
 	p := &parts{limitMemory: limitMemory}
 	known, version := engine.List{}, uint32(0)
-	if cfg.Known != nil {
-		entries, err := cfg.Known.Check(cfg.Names)
+	if cfg.InitialList != nil {
+		entries, err := cfg.InitialList.Check(cfg.Names)
 		if err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
-		known, version = cfg.Known.Engine(0, entries), cfg.Known.Generation
+		known, version = cfg.InitialList.Engine(0, entries), cfg.InitialList.Generation
 	}
 	var err error
 	p.engine, err = engine.New(engine.Config{
-		Settings: cfg.Settings, Seed: cfg.Seed, MaxOpen: cfg.MaxOpen, Known: known,
+		Settings: cfg.Settings, Seed: cfg.Seed, MaxOpen: cfg.MaxOpenRequests, Known: known,
 		Logf: logs.Event(logger, "engine"), Listed: func() { p.becomeReady(logger) },
 	})
 	if err != nil {
@@ -181,22 +181,22 @@
 		host = p.member.lists
 	}
 	p.source = sources.New(platformwatch.Config{
-		Addr: cfg.Discovery, Pace: platformwatch.PaceFor(cfg.Settings.PollMembership, cfg.Settings.Instances), Names: cfg.Names,
+		Addr: cfg.DiscoveryAddress, Pace: platformwatch.PaceFor(cfg.Settings.PollMembership, cfg.Settings.Instances), Names: cfg.Names,
 		Logf: logs.Event(logger, "list"),
 	}, version, host)
 	if p.member != nil && own.Registry.On() {
 		p.member.lists.origin = p.source.Origin
 	}
-	p.room = budget.New(cfg.BodyBytes())
-	p.carrier = httpproxy.NewCarrier(p.engine, cfg.UpstreamConns(), cfg.Report, p.room)
+	p.room = budget.New(cfg.MaxBodyBytes())
+	p.carrier = httpproxy.NewCarrier(p.engine, cfg.MaxBackendConnections(), cfg.ReportNames, p.room)
 	p.front = httpproxy.NewFront(p.engine, p.carrier, p.room, logger)
 	p.setShare(cfg, handover.Whole)
 	p.engine.Carry(p.carrier)
 	p.engine.ProbeWith(p.carrier)
 	p.engine.Follow(p.source)
-	if cfg.Control != "" {
+	if cfg.ControlAddress != "" {
 		p.counts = metrics.New(p.engine.Written, cfg.Settings.Classes)
-		p.door = control.New(p.front.Ready, p.figures, cfg.DoorCalls())
+		p.door = control.New(p.front.Ready, p.figures, cfg.MaxControlCalls())
 		p.door.Also("/control/discovery", p.tellLists)
 		if p.member != nil {
 			p.door.Also("/control/fleet", p.member.status)
@@ -212,7 +212,7 @@
 	return p, nil
 }
 
-func serve(ctx context.Context, cfg *config.Platform, own *config.Marlreel, logger *slog.Logger, in listeners, reloads <-chan Reload) error {
+func serve(ctx context.Context, cfg *config.Platform, own *config.Operator, logger *slog.Logger, in listeners, reloads <-chan Reload) error {
 	defer in.close()
 	p, err := assemble(cfg, own, in.limitMemory, logger)
 	if err != nil {
@@ -226,8 +226,8 @@
 	}
 	meeting := p.meeting
 	var keeps *saver
-	if own.Memory.On() {
-		keeps = p.keep(cfg.Name, own.Memory, logger)
+	if own.LearnedState.Enabled() {
+		keeps = p.keep(cfg.Name, own.LearnedState, logger)
 	}
 	engineCtx, stopEngine := context.WithCancel(context.Background())
 	go p.engine.Run(engineCtx)
@@ -298,7 +298,7 @@
 			}
 		}()
 	}
-	if cfg.Known != nil && len(cfg.Known.Instances) > 0 {
+	if cfg.InitialList != nil && len(cfg.InitialList.Instances) > 0 {
 		time.AfterFunc(oldListAfter, func() { p.engine.Post(func() { p.becomeReady(logger) }) })
 	}
 	failed := make(chan error, 2)
@@ -333,8 +333,8 @@
 
 // keep readies the file of what is learnt, and takes over what an earlier life has left in it, unless another
 // process of this proxy tells more. Before the engine runs.
-func (p *parts) keep(name string, cfg config.Memory, logger *slog.Logger) *saver {
-	k := &saver{store: statefile.Open(cfg.Dir, name), every: cfg.Every.D(), state: p.tell(name), now: statefile.CurrentTimestamp, logf: logs.Event(logger, "memory")}
+func (p *parts) keep(name string, cfg config.LearnedState, logger *slog.Logger) *saver {
+	k := &saver{store: statefile.Open(cfg.Dir, name), every: cfg.SaveInterval.D(), state: p.tell(name), now: statefile.CurrentTimestamp, logf: logs.Event(logger, "memory")}
 	p.memory.kept = remember(cfg, k.store, name, k.now(), logger)
 	return k
 }
@@ -405,9 +405,9 @@
 
 // setShare bounds what this process holds. On the engine's goroutine, or before it runs.
 func (p *parts) setShare(cfg *config.Platform, s handover.Share) {
-	p.room.SetLimit(s.Take(cfg.BodyBytes()))
-	p.carrier.SetMost(s.Take(cfg.UpstreamConns()))
-	p.front.SetMost(s.Take(cfg.ClientConns()))
+	p.room.SetLimit(s.Take(cfg.MaxBodyBytes()))
+	p.carrier.SetMost(s.Take(cfg.MaxBackendConnections()))
+	p.front.SetMost(s.Take(cfg.MaxClientConnections()))
 	if cfg.MemoryMB > 0 && p.limitMemory != nil {
 		p.limitMemory(int64(s.Take(cfg.MemoryMB << 20 / 4 * 3)))
 	}
@@ -451,16 +451,16 @@
 	// Where the platform holds the listener, another process takes what still comes, and
 	// what this one leaves in the queue is not lost.
 	if cfg.ListenFD < 0 {
-		time.Sleep(cfg.AcceptLonger)
+		time.Sleep(cfg.AcceptGrace)
 	}
 	in.stopTaking()
 	// What has been passed on in part by then goes on for as long as the platform waits.
-	rest := cfg.StopLater()
+	rest := cfg.ExitGrace()
 	if cfg.ListenFD >= 0 {
-		rest += cfg.AcceptLonger
+		rest += cfg.AcceptGrace
 	}
 	failed := false
-	for _, wait := range []time.Duration{cfg.StopWithin() - lastAnswers, lastAnswers + rest - veryLast, veryLast} {
+	for _, wait := range []time.Duration{cfg.DrainTimeout() - lastAnswers, lastAnswers + rest - veryLast, veryLast} {
 		ctx, cancel := context.WithTimeout(context.Background(), max(wait, 0))
 		open := false
 		for _, f := range fronts {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -213,7 +213,7 @@
 	}))
 	t.Cleanup(b.Close)
 	cfg := testConfig(t, closedAddr(t), ready("s-1", b.Listener.Addr().String()))
-	cfg.AcceptLonger = 4 * time.Second // the test has to fit into it
+	cfg.AcceptGrace = 4 * time.Second // the test has to fit into it
 	p := start(t, cfg)
 	// Runs first: where the test fails early, both ends would wait for this backend's
 	// answers, the proxy for as long as its classes say and the backend for good.
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -15,7 +15,7 @@
 // Reload is what a signal to read the configuration again came to.
 type Reload struct {
 	Config *config.Platform
-	Own    *config.Marlreel // nil: as it was
+	Own    *config.Operator // nil: as it was
 	Err    error            // why the files can't be used; Config is nil then
 }
 
@@ -37,10 +37,10 @@
 				return
 			case <-signals:
 			}
-			var own *config.Marlreel
+			var own *config.Operator
 			cfg, err := config.LoadPlatform(path, fileFirst)
 			if err == nil && ownPath != "" {
-				own, err = config.LoadMarlreel(ownPath)
+				own, err = config.LoadOperator(ownPath)
 			}
 			if err != nil {
 				cfg, own = nil, nil
@@ -57,10 +57,10 @@
 
 // reload puts a new configuration in force, whole, or says in one line why not. cfg and own are those in
 // force; what it gives is that from now on.
-func (p *parts) reload(cfg *config.Platform, own *config.Marlreel, next Reload, logger *slog.Logger) (*config.Platform, *config.Marlreel) {
+func (p *parts) reload(cfg *config.Platform, own *config.Operator, next Reload, logger *slog.Logger) (*config.Platform, *config.Operator) {
 	err := next.Err
 	if err == nil {
-		err = cfg.CheckNext(next.Config)
+		err = cfg.CheckReload(next.Config)
 	}
 	if err == nil && next.Own != nil {
 		err = sources.Check(next.Own.Registry)
@@ -104,7 +104,7 @@
 	if !reflect.DeepEqual(own.RPC, next.Own.RPC) {
 		logger.Info("reloaded: what has changed of rpc counts at the next start", "event", "settings-taken")
 	}
-	if own.Memory != next.Own.Memory {
+	if own.LearnedState != next.Own.LearnedState {
 		logger.Info("reloaded: what has changed of memory counts at the next start", "event", "settings-taken")
 	}
 	return next.Config, next.Own
@@ -116,13 +116,13 @@
 		if err := p.engine.Reconfigure(next.Config.Settings); err != nil {
 			return fmt.Errorf("configuration: %w", err)
 		}
-		p.engine.SetMaxOpen(next.Config.MaxOpen)
-		p.carrier.Tune(next.Config.Report)
+		p.engine.SetMaxOpen(next.Config.MaxOpenRequests)
+		p.carrier.Tune(next.Config.ReportNames)
 		if p.counts != nil {
 			p.counts.SetClasses(p.engine.Settings().Classes)
 		}
 	}
-	p.source.Reload(next.Config.Discovery, next.Config.Names)
+	p.source.Reload(next.Config.DiscoveryAddress, next.Config.Names)
 	if next.Own != nil {
 		return p.source.Set(next.Own.Registry)
 	}
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -15,7 +15,7 @@
 // moved is a configuration that names another address of discovery.
 func moved(cfg *config.Platform, addr string) *config.Platform {
 	next := *cfg
-	next.Discovery = addr
+	next.DiscoveryAddress = addr
 	return &next
 }
 
@@ -119,7 +119,7 @@
 	put(good("127.0.0.1:5"))
 	signals <- syscall.SIGHUP
 	got := receive(t, found, "the new configuration")
-	if got.Err != nil || got.Config.Discovery != "127.0.0.1:5" || got.Config.Listen != "127.0.0.1:7" {
+	if got.Err != nil || got.Config.DiscoveryAddress != "127.0.0.1:5" || got.Config.ListenAddress != "127.0.0.1:7" {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/proxy/retune_test.go
+++ b/internal/proxy/retune_test.go
@@ -83,7 +83,7 @@
 	t.Parallel()
 	addr := closedAddr(t)
 	cfg := testConfig(t, addr, ready("s-1", named(t, "a")))
-	cfg.Control = "127.0.0.1:0"
+	cfg.ControlAddress = "127.0.0.1:0"
 	p := start(t, cfg)
 	status := func(class, method string) int {
 		r := newRequest(t, p, class, "")
@@ -168,7 +168,7 @@
 	t.Cleanup(b.Close)
 	addr := closedAddr(t)
 	cfg := testConfig(t, addr, ready("s-1", b.Listener.Addr().String()))
-	cfg.Control = "127.0.0.1:0"
+	cfg.ControlAddress = "127.0.0.1:0"
 	p := start(t, cfg)
 	answered := make(chan int, 1)
 	r := newRequest(t, p, "lot-list", "")
--- a/internal/proxy/rpc_test.go
+++ b/internal/proxy/rpc_test.go
@@ -23,8 +23,8 @@
 
 const rpcOffset = 3000 // from a stand-in's HTTP port to its RPC port
 
-func rpcSettings() *config.Marlreel {
-	own := config.DefaultMarlreel()
+func rpcSettings() *config.Operator {
+	own := config.DefaultOperator()
 	own.RPC.Listen = "127.0.0.1:0"
 	own.RPC.House = "obala"
 	own.RPC.Methods = []msgpackrpc.Method{
--- a/internal/proxy/sources_test.go
+++ b/internal/proxy/sources_test.go
@@ -24,14 +24,14 @@
 const nodesPrefix = "marlreel/nodes/"
 
 // kvStore is a stand-in registry, and an operator's file that names it.
-func kvStore(t *testing.T, kind string) (*standin.Registry, *config.Marlreel) {
+func kvStore(t *testing.T, kind string) (*standin.Registry, *config.Operator) {
 	t.Helper()
 	r, err := standin.StartRegistry()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.Close)
-	own := config.DefaultMarlreel()
+	own := config.DefaultOperator()
 	own.Registry.Kind, own.Registry.Endpoints, own.Registry.Prefix = kind, []string{r.URL()}, nodesPrefix
 	own.Registry.Settle, own.Registry.Patience = stricttoml.Duration(50*time.Millisecond), stricttoml.Duration(200*time.Millisecond)
 	return r, own
@@ -104,7 +104,7 @@
 	r, own := kvStore(t, "etcd")
 	r.Txn(listed(t, "s-1", named(t, "one"), "ready"), listed(t, "s-2", named(t, "one"), "ready"), listed(t, "s-3", named(t, "one"), "ready"))
 	cfg := testConfig(t, closedAddr(t))
-	cfg.Control = "127.0.0.1:0"
+	cfg.ControlAddress = "127.0.0.1:0"
 	p := startWith(t, cfg, own)
 	servedBy(t, p, "one")
 	r.Txn(standin.RegistryOp{Key: nodesPrefix + "s-1", Delete: true}, standin.RegistryOp{Key: nodesPrefix + "s-2", Delete: true}, standin.RegistryOp{Key: nodesPrefix + "s-3", Delete: true})
@@ -146,12 +146,12 @@
 	servedBy(t, p, "platform now")
 	r.Cut(false)
 	servedBy(t, p, "registry")
-	p.reloads <- Reload{Config: cfg, Own: config.DefaultMarlreel()}
+	p.reloads <- Reload{Config: cfg, Own: config.DefaultOperator()}
 	servedBy(t, p, "platform now")
 	r.Txn(listed(t, "s-1", named(t, "nobody's"), "ready"))
 	w.Lines <- line(t, 6, false, ready("s-0", named(t, "platform at last")))
 	servedBy(t, p, "platform at last")
-	bad := config.DefaultMarlreel()
+	bad := config.DefaultOperator()
 	bad.Registry.Kind, bad.Registry.Endpoints, bad.Registry.CA = "etcd", []string{r.URL()}, "/nowhere/ca.pem"
 	p.reloads <- Reload{Config: cfg, Own: bad}
 	eventually(t, "the refusal", func() bool {
@@ -170,7 +170,7 @@
 	}
 	r.Txn(append(ops, listed(t, "s-1", one, "ready"))...)
 	cfg := testConfig(t, closedAddr(t))
-	cfg.Control = "127.0.0.1:0"
+	cfg.ControlAddress = "127.0.0.1:0"
 	p := startWith(t, cfg, own)
 	servedBy(t, p, "one")
 	eventually(t, "all in the figures", func() bool { return figure(t, p, "discovered") == "3001|g" })
--- a/internal/proxy/storm_test.go
+++ b/internal/proxy/storm_test.go
@@ -165,7 +165,7 @@
 	of := func(list platformwatch.Instance, most int) cost {
 		cfg := testConfig(t, closedAddr(t), list)
 		if most > 0 {
-			cfg.MaxOpen = most
+			cfg.MaxOpenRequests = most
 		}
 		p := start(t, cfg)
 		if most > 0 {
--- a/internal/proxy/told_test.go
+++ b/internal/proxy/told_test.go
@@ -67,7 +67,7 @@
 	cfg.Settings.PollMembership = onRequest
 	cfg.Settings.Obligations.MaxMembershipAge = 10 * time.Second
 	cfg.Settings.Caps.ConnectTimeout = 100 * time.Millisecond
-	cfg.AcceptLonger = 0 // its end is not looked at
+	cfg.AcceptGrace = 0 // its end is not looked at
 	return cfg
 }
 
