--- a/internal/dataplane/msgpackrpc/config.go
+++ b/internal/dataplane/msgpackrpc/config.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"marlreel/internal/balancer"
-	"marlreel/internal/strict"
+	"marlreel/internal/stricttoml"
 )
 
 // Config is the [rpc] part of deploy/marlreel.toml. DefaultConfig has what is not said.
@@ -29,7 +29,7 @@
 	// lets more wait is dropped.
 	MaxQueuedBytes int `toml:"answer-queue-bytes"`
 	// IdleTimeout is how long a connection may stand with no call open.
-	IdleTimeout strict.Span `toml:"idle"`
+	IdleTimeout stricttoml.Duration `toml:"idle"`
 	// DefaultTenant is the tenant of calls whose metadata name none; "" refuses them, where the
 	// settings have tenants.
 	DefaultTenant string `toml:"house"`
@@ -69,7 +69,7 @@
 func DefaultConfig() Config {
 	return Config{
 		MaxConnections: 64, MaxOpenCalls: 1024, MaxMessageBytes: 64 << 10, MaxDepth: 64, MaxQueuedBytes: 1 << 20,
-		IdleTimeout: strict.Span(time.Minute), Backend: Backend{MaxConnections: 4, MaxTotalConnections: 64, MaxPipeline: 32},
+		IdleTimeout: stricttoml.Duration(time.Minute), Backend: Backend{MaxConnections: 4, MaxTotalConnections: 64, MaxPipeline: 32},
 	}
 }
 
@@ -129,11 +129,11 @@
 	for _, m := range c.Methods {
 		if !contains(classes, m.Class) {
 			return fmt.Errorf("rpc.method %q: class = %q%s: the settings have %s", m.Name, m.Class,
-				strict.Closest(m.Class, classes), strings.Join(classes, ", "))
+				stricttoml.SuggestClosest(m.Class, classes), strings.Join(classes, ", "))
 		}
 	}
 	if c.DefaultTenant != "" && !contains(houses, c.DefaultTenant) {
-		return fmt.Errorf("rpc.house = %q%s: the settings have %s", c.DefaultTenant, strict.Closest(c.DefaultTenant, houses), strings.Join(houses, ", "))
+		return fmt.Errorf("rpc.house = %q%s: the settings have %s", c.DefaultTenant, stricttoml.SuggestClosest(c.DefaultTenant, houses), strings.Join(houses, ", "))
 	}
 	return nil
 }
--- a/internal/dataplane/msgpackrpc/link_test.go
+++ b/internal/dataplane/msgpackrpc/link_test.go
@@ -26,7 +26,9 @@
 	answers []engine.Answer
 }
 
-func (c *recordedCall) HandleAnswer(_ *engine.Call, a engine.Answer) { c.answers = append(c.answers, a) }
+func (c *recordedCall) HandleAnswer(_ *engine.Call, a engine.Answer) {
+	c.answers = append(c.answers, a)
+}
 
 func newManualEngine(t testing.TB, change func(*Config), entries ...engine.Entry) *manualEngine {
 	t.Helper()
--- a/internal/discovery/registry/transport.go
+++ b/internal/discovery/registry/transport.go
@@ -17,32 +17,32 @@
 	"sync"
 	"time"
 
-	"marlreel/internal/strict"
+	"marlreel/internal/stricttoml"
 )
 
 // Config is what an operator sets of a registry.
 type Config struct {
-	Kind            string      `toml:"kind"`      // etcd, consul; "" is off
-	Endpoints       []string    `toml:"endpoints"` // http://host:port, or https
-	Prefix          string      `toml:"prefix"`    // of the nodes' keys
-	User            string      `toml:"user"`
-	PasswordFile    string      `toml:"password-file"` // a file that holds the password, or Consul's token
-	CA              string      `toml:"ca"`            // files, PEM
-	Cert            string      `toml:"cert"`
-	Key             string      `toml:"key"`
-	LossTimeout     strict.Span `toml:"patience"`   // for which a lost registry's list counts before the platform's
-	FailbackDelay   strict.Span `toml:"settle"`     // for which it must be well before it is moved to
-	MaxLossFraction float64     `toml:"guard"`      // part of the list that may go at once
-	LossWindow      strict.Span `toml:"guard-over"` // what at once is
-	MaxFlaps        float64     `toml:"flaps"`      // returns within flap-over after which an entry stays out for a while
-	FlapDecay       strict.Span `toml:"flap-over"`
+	Kind            string              `toml:"kind"`      // etcd, consul; "" is off
+	Endpoints       []string            `toml:"endpoints"` // http://host:port, or https
+	Prefix          string              `toml:"prefix"`    // of the nodes' keys
+	User            string              `toml:"user"`
+	PasswordFile    string              `toml:"password-file"` // a file that holds the password, or Consul's token
+	CA              string              `toml:"ca"`            // files, PEM
+	Cert            string              `toml:"cert"`
+	Key             string              `toml:"key"`
+	LossTimeout     stricttoml.Duration `toml:"patience"`   // for which a lost registry's list counts before the platform's
+	FailbackDelay   stricttoml.Duration `toml:"settle"`     // for which it must be well before it is moved to
+	MaxLossFraction float64             `toml:"guard"`      // part of the list that may go at once
+	LossWindow      stricttoml.Duration `toml:"guard-over"` // what at once is
+	MaxFlaps        float64             `toml:"flaps"`      // returns within flap-over after which an entry stays out for a while
+	FlapDecay       stricttoml.Duration `toml:"flap-over"`
 }
 
 // DefaultConfig is a registry that is off.
 func DefaultConfig() Config {
 	return Config{
-		Prefix: "marlreel/nodes/", LossTimeout: strict.Span(30 * time.Second), FailbackDelay: strict.Span(10 * time.Second), MaxLossFraction: 0.5,
-		LossWindow: strict.Span(30 * time.Second), MaxFlaps: 6, FlapDecay: strict.Span(30 * time.Second),
+		Prefix: "marlreel/nodes/", LossTimeout: stricttoml.Duration(30 * time.Second), FailbackDelay: stricttoml.Duration(10 * time.Second), MaxLossFraction: 0.5,
+		LossWindow: stricttoml.Duration(30 * time.Second), MaxFlaps: 6, FlapDecay: stricttoml.Duration(30 * time.Second),
 	}
 }
 
@@ -59,7 +59,7 @@
 	}
 	switch {
 	case c.Kind != "etcd" && c.Kind != "consul":
-		return &SettingError{"registry.kind", fmt.Sprintf(" = %q: etcd or consul is needed%s", c.Kind, strict.Closest(c.Kind, []string{"etcd", "consul"}))}
+		return &SettingError{"registry.kind", fmt.Sprintf(" = %q: etcd or consul is needed%s", c.Kind, stricttoml.SuggestClosest(c.Kind, []string{"etcd", "consul"}))}
 	case len(c.Endpoints) == 0 || len(c.Endpoints) > 16:
 		return &SettingError{"registry.endpoints", fmt.Sprintf(": 1 to 16 are needed, and there are %d", len(c.Endpoints))}
 	case c.Prefix == "" || len(c.Prefix) > 512 || strings.ContainsAny(c.Prefix, "?#\r\n"):
