--- a/internal/dataplane/msgpackrpc/compatibility_test.go
+++ b/internal/dataplane/msgpackrpc/compatibility_test.go
@@ -17,7 +17,7 @@
 )
 
 // compatibilityMeta is a call's metadata with all keys.
-var compatibilityMeta = Meta{ID: "0123456789abcdef", House: "obala", Key: "k-1", About: "lot 7", LeftMs: 250, Repeat: true}
+var compatibilityMeta = Metadata{RequestID: "0123456789abcdef", Tenant: "obala", IdempotencyKey: "k-1", AffinityKey: "lot 7", TimeoutMs: 250, IsRetry: true}
 
 // sentMessages are what this proxy writes, by name.
 func sentMessages() []struct {
@@ -32,11 +32,11 @@
 	}{
 		{"request", (&payload{method: "scales.read", args: args, count: 2}).encode(300, time.Second)},
 		{"request with metadata", (&payload{method: "scales.read", args: args, count: 2, meta: compatibilityMeta, given: true}).encode(70000, 1500*time.Microsecond)},
-		{"request with the least metadata", (&payload{method: "m", meta: Meta{ID: "0123456789abcdef"}, given: true}).encode(1, 0)},
-		{"notification", (&payload{method: "scales.note", args: args, count: 2, notify: true}).encode(9, time.Second)},
-		{"notification with metadata", (&payload{method: "scales.note", args: args, count: 2, meta: compatibilityMeta, given: true, notify: true}).encode(9, time.Second)},
-		{"cancel notification", appendNotification(nil, "$cancel", appendUint(appendArray(nil, 1), 70000))},
-		{"drain notification", appendNotification(nil, drainMethod, appendArray(nil, 0))},
+		{"request with the least metadata", (&payload{method: "m", meta: Metadata{RequestID: "0123456789abcdef"}, given: true}).encode(1, 0)},
+		{"notification", (&payload{method: "scales.note", args: args, count: 2, notification: true}).encode(9, time.Second)},
+		{"notification with metadata", (&payload{method: "scales.note", args: args, count: 2, meta: compatibilityMeta, given: true, notification: true}).encode(9, time.Second)},
+		{"cancel notification", encodeNotification("$cancel", appendUint(appendArray(nil, 1), 70000))},
+		{"drain notification", encodeNotification(drainMethod, appendArray(nil, 0))},
 		{"reply", appendResponse(nil, 200, nilValue, appendString(nil, strings.Repeat("x", 40)))},
 		{"reply that is an error of the backend", appendResponse(nil, 200, appendString(nil, "no such lot"), nilValue)},
 		{"refused", problem(callError{Code: codeRefused, Message: "refused", Retry: true, After: 1500 * time.Millisecond})},
@@ -68,7 +68,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		m, err := parse(data)
+		m, err := parseMessage(data)
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
@@ -78,7 +78,7 @@
 		case typeResponse:
 			again = appendResponse(nil, m.id, m.error, m.result)
 		case typeNotification:
-			again = appendNotification(nil, m.method, m.params)
+			again = encodeNotification(m.method, m.params)
 		default:
 			again = append(appendString(appendUint(append(appendArray(nil, 4), typeRequest), uint64(m.id)), m.method), m.params...)
 		}
@@ -88,11 +88,11 @@
 		if m.kind == typeResponse || !strings.Contains(name, "with metadata") {
 			continue
 		}
-		args, count, meta, given, err := splitMeta(m.params)
+		params, err := splitParams(m.params)
 		want := compatibilityMeta
-		want.Repeat, want.LeftMs = false, meta.LeftMs // a repeat is the caller's own word; the time left is counted down
-		if err != nil || !given || count != 2 || meta != want || meta.LeftMs <= 0 || len(args) != 5 {
-			t.Errorf("%s: metadata %+v, %d parameters, %v", name, meta, count, err)
+		want.IsRetry, want.TimeoutMs = false, params.meta.TimeoutMs // a repeat is the caller's own word; the time left is counted down
+		if err != nil || !params.hasMeta || params.count != 2 || params.meta != want || params.meta.TimeoutMs <= 0 || len(params.args) != 5 {
+			t.Errorf("%s: metadata %+v, %d parameters, %v", name, params.meta, params.count, err)
 		}
 	}
 }
@@ -106,8 +106,8 @@
 	b = appendFloat(appendString(b, "$left_ms"), 250)
 	b = appendBool(appendString(b, "$repeat"), true)
 	compareRecorded(t, "caller-metadata.txt", []byte(hex.EncodeToString(b)+"\n"))
-	if _, count, meta, given, err := splitMeta(b); err != nil || !given || count != 0 || meta != compatibilityMeta {
-		t.Errorf("%+v, %d parameters, %v", meta, count, err)
+	if params, err := splitParams(b); err != nil || !params.hasMeta || params.count != 0 || params.meta != compatibilityMeta {
+		t.Errorf("%+v, %d parameters, %v", params.meta, params.count, err)
 	}
 }
 
@@ -125,7 +125,7 @@
 		{"said not to have failed", flag("$failed", false), balancer.Unprocessable},
 		{"the method's own", appendString(nil, "no such lot"), balancer.Unprocessable},
 	} {
-		if got := readError(c.value); got != c.want {
+		if got := classifyError(c.value); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -140,19 +140,19 @@
 		{"served", engine.Answer{Verdict: engine.Served, Reply: &reply{error: nilValue, result: appendUint(nil, 5)}}},
 		{"failed by the backend's word", engine.Answer{Verdict: engine.Failed, Reply: &reply{error: appendString(nil, "no"), result: nilValue}}},
 		{"failed", engine.Answer{Verdict: engine.Failed}},
-		{"refused", engine.Answer{Verdict: engine.Refused, RetryAfter: 1500 * time.Millisecond}},
+		{"refused", engine.Answer{Verdict: engine.Rejected, RetryAfter: 1500 * time.Millisecond}},
 		{"overloaded", engine.Answer{Verdict: engine.Overloaded, RetryAfter: 250 * time.Millisecond}},
-		{"out of time", engine.Answer{Verdict: engine.OutOfTime}},
+		{"out of time", engine.Answer{Verdict: engine.TimedOut}},
 		{"stopped", engine.Answer{Verdict: engine.Stopped}},
-		{"in use", engine.Answer{Verdict: engine.InUse}},
+		{"in use", engine.Answer{Verdict: engine.DuplicateID}},
 	}
 	cfg := DefaultConfig()
 	var got strings.Builder
 	for _, v := range verdicts {
-		c := &callerConn{open: map[uint32]*call{}, wake: make(chan struct{}, 1), front: &Front{cfg: &cfg}}
-		q := &call{conn: c, id: 77}
-		c.open[q.id] = q
-		q.Answer(&q.Call, v.answer)
+		c := &clientConn{pending: map[uint32]*call{}, wake: make(chan struct{}, 1), server: &Server{config: &cfg}}
+		q := &call{conn: c, msgid: 77}
+		c.pending[q.msgid] = q
+		q.HandleAnswer(&q.Call, v.answer)
 		fmt.Fprintf(&got, "%s: %s\n", v.name, hex.EncodeToString(bytes.Join(c.queue, nil)))
 	}
 	compareRecorded(t, "verdicts.txt", []byte(got.String()))
