--- a/internal/balancer/attempt.go
+++ b/internal/balancer/attempt.go
@@ -16,8 +16,7 @@
 
 // attemptDeadline also tells before when the attempt has to begin there; 0 is no bound.
 func (b *Balancer) attemptDeadline(r *request, t *target) (before time.Duration, may bool) {
-	may = !r.ended && !r.streaming && b.attemptsLeft(r) && b.advice.CanServe(&r.Request, t.ID) &&
-		b.now < r.Deadline && (r.inFlight == 0 || b.cfg.Caps.Hedging)
+	may = b.mayAttempt(r, t)
 	before = idempotency.Never
 	for _, a := range r.attempts {
 		if !a.mayRun {
@@ -34,6 +33,15 @@
 	return before, may && b.now < before
 }
 
+// mayAttempt tells whether a request may have another attempt at a backend, whatever its earlier ones did.
+func (b *Balancer) mayAttempt(r *request, t *target) bool {
+	switch {
+	case r.ended, r.streaming, !b.attemptsLeft(r), !b.advice.CanServe(&r.Request, t.ID), b.now >= r.Deadline:
+		return false
+	}
+	return r.inFlight == 0 || b.cfg.Caps.Hedging
+}
+
 // attemptsLeft bounds the attempts: those that may have run where the class says so, else all.
 func (b *Balancer) attemptsLeft(r *request) bool {
 	if r.class.MaxRuns == 0 {
--- a/internal/balancer/grayfailure/compare.go
+++ b/internal/balancer/grayfailure/compare.go
@@ -10,7 +10,7 @@
 func (m *Model) BeginComparison() {
 	for i := range m.classes {
 		g := &m.classes[i]
-		g.best, g.ejected, g.q, g.cells, g.sumN = 0, 0, 0, 0, 0
+		g.bestSuccess, g.ejectedCells, g.heterogeneity, g.comparedCells, g.comparedAnswers = 0, 0, 0, 0, 0
 	}
 }
 
@@ -18,10 +18,10 @@
 // flight, or assumed beforehand, is in no cell's mean.
 func (m *Model) AddToComparison(c *Cell, k int, now time.Duration, mean float64) {
 	g := &m.classes[k]
-	g.best = max(g.best, m.recentSuccess(c, k, now))
-	if n := c.answers.Value(now, m.cfg.TimeConstant); n > 1 && mean > 0 {
-		d := c.delays.Value(now, m.cfg.TimeConstant)/n/mean - 1
-		g.q, g.cells, g.sumN = g.q+n*d*d, g.cells+1, g.sumN+n
+	g.bestSuccess = max(g.bestSuccess, m.recentSuccess(c, k, now))
+	if n := c.delayRatioCount.Value(now, m.cfg.TimeConstant); n > 1 && mean > 0 {
+		d := c.delayRatioSum.Value(now, m.cfg.TimeConstant)/n/mean - 1
+		g.heterogeneity, g.comparedCells, g.comparedAnswers = g.heterogeneity+n*d*d, g.comparedCells+1, g.comparedAnswers+n
 	}
 }
 
@@ -29,18 +29,18 @@
 func (m *Model) EndComparison() {
 	for i := range m.classes {
 		g := &m.classes[i]
-		if g.best == 0 {
-			g.best = 1
+		if g.bestSuccess == 0 {
+			g.bestSuccess = 1
 		}
 		// Of a log-normal's ratio to its mean, from the variance of its logarithm.
-		n := g.n + priorAnswers
-		mean := g.dev / n
-		v := math.Expm1(min((g.dev2+priorAnswers*priorVariance)/n-mean*mean, 2))
+		n := g.answers + priorAnswers
+		mean := g.logRatioSum / n
+		v := math.Expm1(min((g.logRatioSquares+priorAnswers*priorVariance)/n-mean*mean, 2))
 		// Chance alone makes g.q about cells x v, with a deviation of root(2 cells) x v.
-		chance := v * (g.cells + 2*math.Sqrt(2*g.cells))
-		g.between = 0
-		if g.q > chance && g.sumN > 0 {
-			g.between = (g.q - g.cells*v) / g.sumN / v
+		chance := v * (g.comparedCells + 2*math.Sqrt(2*g.comparedCells))
+		g.varianceBeyondChance = 0
+		if g.heterogeneity > chance && g.comparedAnswers > 0 {
+			g.varianceBeyondChance = (g.heterogeneity - g.comparedCells*v) / g.comparedAnswers / v
 		}
 	}
 }
@@ -61,20 +61,20 @@
 		return Unchanged
 	}
 	g, p := &m.classes[k], m.RelativeSuccess(c, k, now)
-	if g.best < ejectBelow {
+	if g.bestSuccess < ejectBelow {
 		p = 1 // no backend serves it well: the class fails everywhere
 	}
 	switch {
 	case c.ejectedAt == 0 && p < ejectBelow:
 		c.ejectedAt = now
 		g.recentEjections.Add(1, now, waveWindow)
-		g.ejected++
+		g.ejectedCells++
 		return Ejected
 	case c.ejectedAt > 0 && p > reinstateAbove:
 		c.ejectedAt = 0
 		return Reinstated
 	case c.ejectedAt > 0:
-		g.ejected++
+		g.ejectedCells++
 	default:
 		m.clearSuspicion(c) // its probability may have drifted down
 	}
@@ -88,18 +88,18 @@
 }
 
 // AnyEjected tells whether any cell of the class was ejected at the last comparison.
-func (m *Model) AnyEjected(k int) bool { return m.classes[k].ejected > 0 }
+func (m *Model) AnyEjected(k int) bool { return m.classes[k].ejectedCells > 0 }
 
 // DelayRatio is the delay ratio to expect of the cell; own is its backend's over all classes, with the ages of what is in
 // flight, and mean as with AddToComparison. The cell's mean only scales own: it has nothing of what is in flight, and
 // in place of own it would hide an overload until its answers come.
 func (m *Model) DelayRatio(c *Cell, k int, now time.Duration, own, mean float64) float64 {
-	b, n := m.classes[k].between, c.answers.Value(now, m.cfg.TimeConstant)
+	b, n := m.classes[k].varianceBeyondChance, c.delayRatioCount.Value(now, m.cfg.TimeConstant)
 	if b <= 0 || n <= 0 || mean <= 0 {
 		return own
 	}
 	w := n / (n + 1/b)
-	return own * (1 + w*(c.delays.Value(now, m.cfg.TimeConstant)/n/mean-1))
+	return own * (1 + w*(c.delayRatioSum.Value(now, m.cfg.TimeConstant)/n/mean-1))
 }
 
 // RecordSent counts an attempt that is sent, and earns the class a part of a trial.
--- a/internal/balancer/grayfailure/model.go
+++ b/internal/balancer/grayfailure/model.go
@@ -51,15 +51,15 @@
 
 // class is what is common to the cells of one class.
 type class struct {
-	failed, ended   decay.Sum // in good cells
-	n, dev, dev2    float64
-	recentEjections decay.Sum // ejections, decayed over waveWindow
-	trialTokens     float64
-	trialsInFlight  int
-	ejected         int     // cells, at the last comparison
-	best            float64 // success of the best cell, as a ratio of a good one's
-	between         float64 // variance of the cells' delay ratios beyond chance
-	q, cells, sumN  float64 // for between, while a comparison runs
+	failed, ended                                 decay.Sum // in good cells
+	answers, logRatioSum, logRatioSquares         float64
+	recentEjections                               decay.Sum // ejections, decayed over waveWindow
+	trialTokens                                   float64
+	trialsInFlight                                int
+	ejectedCells                                  int     // cells, at the last comparison
+	bestSuccess                                   float64 // success of the best cell, as a ratio of a good one's
+	varianceBeyondChance                          float64 // of the cells' delay ratios
+	heterogeneity, comparedCells, comparedAnswers float64 // while a comparison runs
 }
 
 // New gives a model that has learned nothing, or a ConfigError.
@@ -69,7 +69,7 @@
 	}
 	m := &Model{cfg: cfg, classes: make([]class, cfg.Classes)}
 	for i := range m.classes {
-		m.classes[i].trialTokens, m.classes[i].best = cfg.TrialBurst, 1
+		m.classes[i].trialTokens, m.classes[i].bestSuccess = cfg.TrialBurst, 1
 	}
 	return m, nil
 }
@@ -77,13 +77,13 @@
 // Grow makes room for so many classes; those there are stay as they are.
 func (m *Model) Grow(classes int) {
 	for len(m.classes) < classes {
-		m.classes = append(m.classes, class{trialTokens: m.cfg.TrialBurst, best: 1})
+		m.classes = append(m.classes, class{trialTokens: m.cfg.TrialBurst, bestSuccess: 1})
 	}
 	m.cfg.Classes = len(m.classes)
 }
 
 // Forget drops what was learned of a class; its cells are the caller's to drop.
-func (m *Model) Forget(k int) { m.classes[k] = class{trialTokens: m.cfg.TrialBurst, best: 1} }
+func (m *Model) Forget(k int) { m.classes[k] = class{trialTokens: m.cfg.TrialBurst, bestSuccess: 1} }
 
 // Cell is one class at one backend. The zero value knows nothing.
 type Cell struct {
@@ -99,9 +99,9 @@
 	consecutiveFailures int // ended without an answer since the last one
 	inFlightSuspicious  int // in flight for so long that they count as evidence
 
-	ok, ended         decay.Sum // attempts while suspected: answered, and all
-	okEver, endedEver decay.Sum // the same, whether suspected or not
-	delays, answers   decay.Sum // sum of delay ratios, and their number
+	answeredWhileSuspected, endedWhileSuspected decay.Sum // attempts while suspected: answered, and all
+	answeredEver, endedEver                     decay.Sum // the same, whether suspected or not
+	delayRatioSum, delayRatioCount              decay.Sum // sum of delay ratios, and their number
 }
 
 // failureRatio is how often an attempt of the class gets no answer in a good cell, 0 to 1.
@@ -116,9 +116,9 @@
 		return 1
 	}
 	c := &m.classes[k]
-	n := c.n + priorAnswers
-	mean := c.dev / n
-	variance := (c.dev2+priorAnswers*priorVariance)/n - mean*mean
+	n := c.answers + priorAnswers
+	mean := c.logRatioSum / n
+	variance := (c.logRatioSquares+priorAnswers*priorVariance)/n - mean*mean
 	variance *= 1 + 1/(u.Answers+priorRatio) // the backend's ratio is known only so well
 	z := (math.Log(age/u.Delay) - mean) / math.Sqrt(max(variance, 1e-3))
 	return math.Erfc(z/math.Sqrt2) / 2
@@ -184,7 +184,7 @@
 // successRatio is the probability of an answer in time, as a ratio of a good cell's. What a suspected cell still answers
 // counts for it: one that fails two in five is to be used less, not ejected.
 func (m *Model) successRatio(c *Cell, k int, now time.Duration) float64 {
-	ok, n := c.ok.Value(now, m.cfg.TimeConstant), c.ended.Value(now, m.cfg.TimeConstant)
+	ok, n := c.answeredWhileSuspected.Value(now, m.cfg.TimeConstant), c.endedWhileSuspected.Value(now, m.cfg.TimeConstant)
 	answered := (ok + assumedAttempts*m.cfg.AnsweredRatio) / (n + assumedAttempts)
 	return 1 - m.FaultProbability(c, k, now)*(1-answered)
 }
@@ -199,7 +199,7 @@
 	case c.ejectedAt > 0:
 		return m.successRatio(c, k, now)
 	}
-	ok, n := c.okEver.Value(now, m.cfg.TimeConstant), c.endedEver.Value(now, m.cfg.TimeConstant)
+	ok, n := c.answeredEver.Value(now, m.cfg.TimeConstant), c.endedEver.Value(now, m.cfg.TimeConstant)
 	return (ok + assumedAttempts*m.successRatio(c, k, now)) / (n + assumedAttempts)
 }
 
@@ -209,19 +209,19 @@
 	if !c.Suspected() {
 		return 1
 	}
-	return min(1, m.successRatio(c, k, now)/m.classes[k].best)
+	return min(1, m.successRatio(c, k, now)/m.classes[k].bestSuccess)
 }
 
 // RecordDelayRatio takes a delay ratio (what an attempt took, divided by what its class takes on average at any backend)
 // into the cell's mean, with a weight from 0 to 1.
 func (m *Model) RecordDelayRatio(c *Cell, now time.Duration, ratio, weight float64) {
-	c.delays.Add(ratio*weight, now, m.cfg.TimeConstant)
-	c.answers.Add(weight, now, m.cfg.TimeConstant)
+	c.delayRatioSum.Add(ratio*weight, now, m.cfg.TimeConstant)
+	c.delayRatioCount.Add(weight, now, m.cfg.TimeConstant)
 }
 
 // DelayRatios is the sum of the ratios that RecordDelayRatio took in, and that of their weights, both decayed.
 func (m *Model) DelayRatios(c *Cell, now time.Duration) (sum, n float64) {
-	return c.delays.Value(now, m.cfg.TimeConstant), c.answers.Value(now, m.cfg.TimeConstant)
+	return c.delayRatioSum.Value(now, m.cfg.TimeConstant), c.delayRatioCount.Value(now, m.cfg.TimeConstant)
 }
 
 // RecordOutcome learns from the end of an attempt that was sent at a time. It returns how far the outcome is evidence on
@@ -246,20 +246,20 @@
 func (m *Model) recordAnswer(c *Cell, k int, age float64, now time.Duration, u Expectation) {
 	g := &m.classes[k]
 	g.ended.Add(1, now, m.cfg.TimeConstant)
-	c.okEver.Add(1, now, m.cfg.TimeConstant)
+	c.answeredEver.Add(1, now, m.cfg.TimeConstant)
 	c.endedEver.Add(1, now, m.cfg.TimeConstant)
 	dev := math.Log(max(age, 0.01) / max(u.Delay, 0.01))
-	g.n = g.n*deviationRetention + 1
-	g.dev = g.dev*deviationRetention + dev
-	g.dev2 = g.dev2*deviationRetention + dev*dev
+	g.answers = g.answers*deviationRetention + 1
+	g.logRatioSum = g.logRatioSum*deviationRetention + dev
+	g.logRatioSquares = g.logRatioSquares*deviationRetention + dev*dev
 	if !c.Suspected() {
 		return
 	}
 	m.drift(c, k, now)
 	c.faultProbability = update(c.faultProbability, math.Log(m.cfg.AnsweredRatio/(1-m.failureRatio(k, now))))
 	c.consecutiveFailures = 0
-	c.ok.Add(1, now, m.cfg.TimeConstant)
-	c.ended.Add(1, now, m.cfg.TimeConstant)
+	c.answeredWhileSuspected.Add(1, now, m.cfg.TimeConstant)
+	c.endedWhileSuspected.Add(1, now, m.cfg.TimeConstant)
 	m.clearSuspicion(c)
 }
 
@@ -279,7 +279,7 @@
 	if longer < 0.5 {
 		c.consecutiveFailures++
 	}
-	c.ended.Add(1-longer, now, m.cfg.TimeConstant)
+	c.endedWhileSuspected.Add(1-longer, now, m.cfg.TimeConstant)
 	c.endedEver.Add(1-longer, now, m.cfg.TimeConstant)
 	good := 1 - c.faultProbability*c.otherAnswers/(c.otherAnswers+1)
 	g := &m.classes[k]
@@ -292,7 +292,7 @@
 func (m *Model) clearSuspicion(c *Cell) {
 	if c.faultProbability < clearBelow && c.inFlightEvidence == 0 && c.ejectedAt == 0 {
 		c.suspectedSince, c.otherAnswers, c.consecutiveFailures = 0, 0, 0
-		c.ok, c.ended = decay.Sum{}, decay.Sum{}
+		c.answeredWhileSuspected, c.endedWhileSuspected = decay.Sum{}, decay.Sum{}
 	}
 }
 
--- a/internal/balancer/grayfailure/state.go
+++ b/internal/balancer/grayfailure/state.go
@@ -50,12 +50,12 @@
 		SuspectedFor:     age(c.suspectedSince),
 		EjectedFor:       age(c.ejectedAt),
 		Failures:         c.consecutiveFailures,
-		OK:               sum(c.ok),
-		Ended:            sum(c.ended),
-		OKEver:           sum(c.okEver),
+		OK:               sum(c.answeredWhileSuspected),
+		Ended:            sum(c.endedWhileSuspected),
+		OKEver:           sum(c.answeredEver),
 		EndedEver:        sum(c.endedEver),
-		Delays:           sum(c.delays),
-		Answered:         sum(c.answers),
+		Delays:           sum(c.delayRatioSum),
+		Answered:         sum(c.delayRatioCount),
 	}
 }
 
@@ -70,18 +70,18 @@
 	}
 	sum := func(v float64) decay.Sum { return decay.NewSum(v, now-away) }
 	return Cell{
-		faultProbability:    min(max(s.FaultProbability, 0), maxFaultProbability),
-		otherAnswers:        s.OtherAnswers,
-		updatedAt:           now - away - s.SinceUpdate,
-		suspectedSince:      at(s.SuspectedFor),
-		ejectedAt:           at(s.EjectedFor),
-		consecutiveFailures: s.Failures,
-		ok:                  sum(s.OK),
-		ended:               sum(s.Ended),
-		okEver:              sum(s.OKEver),
-		endedEver:           sum(s.EndedEver),
-		delays:              sum(s.Delays),
-		answers:             sum(s.Answered),
+		faultProbability:       min(max(s.FaultProbability, 0), maxFaultProbability),
+		otherAnswers:           s.OtherAnswers,
+		updatedAt:              now - away - s.SinceUpdate,
+		suspectedSince:         at(s.SuspectedFor),
+		ejectedAt:              at(s.EjectedFor),
+		consecutiveFailures:    s.Failures,
+		answeredWhileSuspected: sum(s.OK),
+		endedWhileSuspected:    sum(s.Ended),
+		answeredEver:           sum(s.OKEver),
+		endedEver:              sum(s.EndedEver),
+		delayRatioSum:          sum(s.Delays),
+		delayRatioCount:        sum(s.Answered),
 	}
 }
 
@@ -105,9 +105,9 @@
 	return ClassState{
 		Failed:          g.failed.Value(now, m.cfg.TimeConstant),
 		Ended:           g.ended.Value(now, m.cfg.TimeConstant),
-		N:               g.n,
-		Dev:             g.dev,
-		Dev2:            g.dev2,
+		N:               g.answers,
+		Dev:             g.logRatioSum,
+		Dev2:            g.logRatioSquares,
 		RecentEjections: g.recentEjections.Value(now, waveWindow),
 		Tokens:          g.trialTokens,
 	}
@@ -121,8 +121,8 @@
 	g.ended = decay.NewSum(s.Ended, now-away)
 	g.recentEjections = decay.NewSum(s.RecentEjections, now-away)
 	f := min(1, maxWeight/max(s.N, 1e-9))
-	g.n = s.N * f
-	g.dev = s.Dev * f
-	g.dev2 = s.Dev2 * f
+	g.answers = s.N * f
+	g.logRatioSum = s.Dev * f
+	g.logRatioSquares = s.Dev2 * f
 	g.trialTokens = min(g.trialTokens, s.Tokens)
 }
--- a/internal/balancer/prediction/model.go
+++ b/internal/balancer/prediction/model.go
@@ -35,7 +35,7 @@
 type Model struct{ classes []class }
 
 // class has sums over the ends, older ones for less.
-type class struct{ n, sum, sum2 float64 }
+type class struct{ count, logRatioSum, logRatioSquares float64 }
 
 // New gives a model that has learned nothing. It panics where classes is below 1.
 func New(classes int) *Model {
@@ -57,9 +57,9 @@
 
 // distribution gives the mean and the standard deviation of the logarithm of the ratio.
 func (k *class) distribution() (mean, dev float64) {
-	n := k.n + priorCount
-	mean = (k.sum + priorCount*priorMean) / n
-	v := (k.sum2+priorCount*(priorVariance+priorMean*priorMean))/n - mean*mean
+	n := k.count + priorCount
+	mean = (k.logRatioSum + priorCount*priorMean) / n
+	v := (k.logRatioSquares+priorCount*(priorVariance+priorMean*priorMean))/n - mean*mean
 	return mean, math.Sqrt(max(v, minVariance))
 }
 
@@ -79,7 +79,7 @@
 		x = min(mean+dev*mills, 2*maxLogRatio)
 		more = dev * dev * max(0, 1+z*mills-mills*mills)
 	}
-	g.n, g.sum, g.sum2 = g.n*retention+1, g.sum*retention+x, g.sum2*retention+x*x+more
+	g.count, g.logRatioSum, g.logRatioSquares = g.count*retention+1, g.logRatioSum*retention+x, g.logRatioSquares*retention+x*x+more
 }
 
 // normalTailMean is the mean of what lies beyond z in the standard normal distribution.
@@ -147,7 +147,7 @@
 // State gives what was learned of a class.
 func (m *Model) State(k int) State {
 	g := m.classes[k]
-	return State{N: g.n, Sum: g.sum, Sum2: g.sum2}
+	return State{N: g.count, Sum: g.logRatioSum, Sum2: g.logRatioSquares}
 }
 
 // Resume goes on with what was learned of a class, as if by so many outcomes at most.
