--- a/internal/tools/mutants/main.go
+++ b/internal/tools/mutants/main.go
@@ -1,10 +1,3 @@
-// Command mutants checks the checkers: it takes single guards out of the code, one at a
-// time, and runs the tests that should notice. It changes no file: the compiler is given
-// the changed text in place of the file's.
-//
-//	go run ./internal/tools/mutants internal/controlplane/chain/testdata/mutants.toml
-//
-// With -run and -env it runs other tests than the file names, as drawn histories alone.
 package main
 
 import (
@@ -27,32 +20,33 @@
 
 // mutant is one change of the code, and the tests that have to fail with it.
 type mutant struct {
-	Name    string   `toml:"name"`
-	File    string   `toml:"file"`
-	Find    string   `toml:"find"`
-	Put     string   `toml:"put"`
-	Package string   `toml:"package"`
-	Run     string   `toml:"run"`
-	Env     []string `toml:"env"`
+	Name        string   `toml:"name"`
+	File        string   `toml:"file"`
+	Original    string   `toml:"find"` // a text that is in the file once
+	Replacement string   `toml:"put"`
+	Package     string   `toml:"package"`
+	Run         string   `toml:"run"` // a regular expression, as go test has it
+	Env         []string `toml:"env"` // NAME=VALUE
 }
 
-// list is the file of mutants.
-type list struct {
+// mutantFile is a file of mutants.
+type mutantFile struct {
 	Mutants []mutant `toml:"mutant"`
 }
 
-// override is what is run in place of what the file says.
-type override struct {
-	Run, Only string
-	Env       []string
+// overrides is what the command line says in place of the file.
+type overrides struct {
+	Run         string   // "" is what the file says
+	NamePattern string   // a regular expression for the names of the mutants to be run
+	Env         []string // more variables, NAME=VALUE
 }
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	var instead override
+	var instead overrides
 	flag.StringVar(&instead.Run, "run", "", "the tests to run, in place of those that the file names")
-	flag.StringVar(&instead.Only, "only", "", "a regular expression for the names of the mutants to be played")
+	flag.StringVar(&instead.NamePattern, "only", "", "a regular expression for the names of the mutants to be played")
 	flag.Func("env", "a variable for the tests, NAME=VALUE; may be given more than once", func(value string) error {
 		instead.Env = append(instead.Env, value)
 		return nil
@@ -62,49 +56,58 @@
 		fmt.Fprintln(os.Stderr, "usage: mutants [-run TESTS] [-env NAME=VALUE] [-only MUTANTS] FILE")
 		os.Exit(2)
 	}
-	alive, err := playAll(ctx, flag.Arg(0), instead, os.Stdout)
+	survivors, err := runAll(ctx, flag.Arg(0), instead, os.Stdout)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
 	}
-	if alive > 0 {
+	if survivors > 0 {
 		os.Exit(1)
 	}
 }
 
-// playAll plays all mutants of a file and says how many no test has noticed.
-func playAll(ctx context.Context, path string, instead override, out io.Writer) (alive int, err error) {
-	data, err := os.ReadFile(path)
+// runAll runs the tests with each mutant of a file, and gives the number of survivors: those that no test noticed.
+func runAll(ctx context.Context, path string, instead overrides, out io.Writer) (int, error) {
+	mutants, err := readMutants(path)
 	if err != nil {
-		return 0, eris.Wrap(err, "reading the mutants")
-	}
-	var mutants list
-	if err := toml.Unmarshal(data, &mutants); err != nil {
-		return 0, eris.Wrap(err, "reading the mutants")
+		return 0, err
 	}
-	only, err := regexp.Compile(instead.Only)
+	name, err := regexp.Compile(instead.NamePattern)
 	if err != nil {
 		return 0, eris.Wrap(err, "reading -only")
 	}
-	for _, m := range mutants.Mutants {
-		if !only.MatchString(m.Name) {
+	survivors := 0
+	for _, m := range mutants {
+		if !name.MatchString(m.Name) {
 			continue
 		}
 		if instead.Run != "" {
 			m.Run = instead.Run
 		}
 		m.Env = append(m.Env, instead.Env...)
-		by, err := play(ctx, m)
+		noticedBy, err := runTests(ctx, m)
 		if err != nil {
-			return alive, eris.Wrap(err, m.Name)
+			return survivors, eris.Wrap(err, m.Name)
 		}
-		if by == "" {
-			alive++
-			by = "NOBODY"
+		if noticedBy == "" {
+			survivors++
+			noticedBy = "NOBODY"
 		}
-		fmt.Fprintf(out, "%-60s %s\n", m.Name, by)
+		fmt.Fprintf(out, "%-60s %s\n", m.Name, noticedBy)
+	}
+	return survivors, nil
+}
+
+func readMutants(path string) ([]mutant, error) {
+	data, err := os.ReadFile(path)
+	if err != nil {
+		return nil, eris.Wrap(err, "reading the mutants")
+	}
+	var file mutantFile
+	if err := toml.Unmarshal(data, &file); err != nil {
+		return nil, eris.Wrap(err, "reading the mutants")
 	}
-	return alive, nil
+	return file.Mutants, nil
 }
 
 // NotRunError says that the tests of a mutant did not run.
@@ -119,22 +122,22 @@
 // NotUniqueError says that the text that a mutant replaces is not there, or not alone.
 type NotUniqueError struct {
 	File  string
-	Times int
+	Count int
 }
 
 // Error implements error.
 func (e *NotUniqueError) Error() string {
-	return fmt.Sprintf("%s holds %d times what is to be found", e.File, e.Times)
+	return fmt.Sprintf("%s holds %d times what is to be found", e.File, e.Count)
 }
 
 // Advice is what can be done about it.
 func (e *NotUniqueError) Advice() string { return "let find name a text that is in the file once" }
 
-// failed is a line of the test command on a test that failed.
-var failed = regexp.MustCompile(`(?m)^\s*--- FAIL: (\S+)`)
+// failedTestLine is a line of the test command on a test that failed.
+var failedTestLine = regexp.MustCompile(`(?m)^\s*--- FAIL: (\S+)`)
 
-// play runs the tests with a mutant, and gives the first ones that fail.
-func play(ctx context.Context, m mutant) (by string, err error) {
+// runTests runs the tests with a mutant. It gives the last test that failed and how many did, or "" where none did.
+func runTests(ctx context.Context, m mutant) (string, error) {
 	folder, err := os.MkdirTemp("", "mutant-")
 	if err != nil {
 		return "", eris.Wrap(err, "making a folder")
@@ -150,31 +153,37 @@
 	if err == nil {
 		return "", nil
 	}
-	var ended *exec.ExitError
-	if !errors.As(err, &ended) {
+	var exit *exec.ExitError
+	if !errors.As(err, &exit) {
 		return "", eris.Wrap(err, "running the tests")
 	}
-	names := failed.FindAllStringSubmatch(string(output), -1)
-	if len(names) == 0 {
-		if strings.Contains(string(output), "panic:") {
-			return "a panic", nil
-		}
-		return "", &NotRunError{Output: string(output)}
+	return failures(string(output))
+}
+
+// failures reads which tests failed out of what the test command printed.
+func failures(output string) (string, error) {
+	failed := failedTestLine.FindAllStringSubmatch(output, -1)
+	if len(failed) > 0 {
+		return fmt.Sprintf("%s (%d failed)", failed[len(failed)-1][1], len(failed)), nil
+	}
+	if strings.Contains(output, "panic:") {
+		return "a panic", nil
 	}
-	return fmt.Sprintf("%s (%d failed)", names[len(names)-1][1], len(names)), nil
+	return "", &NotRunError{Output: output}
 }
 
-// writeOverlay writes the changed file, and what tells the compiler of it.
-func writeOverlay(folder string, m mutant) (path string, err error) {
+// writeOverlay writes the changed file, and the overlay by which the compiler reads it; it gives the overlay's path.
+func writeOverlay(folder string, m mutant) (string, error) {
 	text, err := os.ReadFile(m.File)
 	if err != nil {
 		return "", eris.Wrap(err, "reading the code")
 	}
-	if strings.Count(string(text), m.Find) != 1 {
-		return "", &NotUniqueError{File: m.File, Times: strings.Count(string(text), m.Find)}
+	count := strings.Count(string(text), m.Original)
+	if count != 1 {
+		return "", &NotUniqueError{File: m.File, Count: count}
 	}
 	changed := filepath.Join(folder, "changed.go")
-	if err := os.WriteFile(changed, []byte(strings.Replace(string(text), m.Find, m.Put, 1)), 0o600); err != nil {
+	if err := os.WriteFile(changed, []byte(strings.Replace(string(text), m.Original, m.Replacement, 1)), 0o600); err != nil {
 		return "", eris.Wrap(err, "writing the changed code")
 	}
 	original, err := filepath.Abs(m.File)
@@ -182,6 +191,6 @@
 		return "", eris.Wrap(err, "naming the code")
 	}
 	data, _ := json.Marshal(map[string]map[string]string{"Replace": {original: changed}}) // plain strings always marshal
-	path = filepath.Join(folder, "overlay.json")
+	path := filepath.Join(folder, "overlay.json")
 	return path, eris.Wrap(os.WriteFile(path, data, 0o600), "writing the overlay")
 }
--- a/internal/tools/mutants/main_test.go
+++ b/internal/tools/mutants/main_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -24,7 +25,7 @@
 	for _, path := range files {
 		data, err := os.ReadFile(path)
 		is.NoErr(err)
-		var mutants list
+		var mutants mutantFile
 		is.NoErr(toml.Unmarshal(data, &mutants))
 		for _, m := range mutants.Mutants {
 			if _, err := writeOverlay(t.TempDir(), m); err != nil {
@@ -39,7 +40,7 @@
 	folder := t.TempDir()
 	code := filepath.Join(folder, "code.go")
 	is.NoErr(os.WriteFile(code, []byte("a guard stands here"), 0o600))
-	path, err := writeOverlay(folder, mutant{File: code, Find: " guard", Put: ""})
+	path, err := writeOverlay(folder, mutant{File: code, Original: " guard", Replacement: ""})
 	is.NoErr(err)
 	data, err := os.ReadFile(path)
 	is.NoErr(err)
@@ -48,6 +49,19 @@
 	changed, err := os.ReadFile(overlay.Replace[code])
 	is.NoErr(err)
 	is.Equal(string(changed), "a stands here")
-	_, err = writeOverlay(folder, mutant{File: code, Find: "e"})
+	_, err = writeOverlay(folder, mutant{File: code, Original: "e"})
 	is.True(err != nil && strings.Contains(err.Error(), "holds 2 times"))
 }
+
+func TestFailures(t *testing.T) {
+	is := is.New(t)
+	got, err := failures("--- FAIL: TestA (0.1s)\n    --- FAIL: TestA/b (0.1s)\nFAIL\n")
+	is.NoErr(err)
+	is.Equal(got, "TestA/b (2 failed)")
+	got, err = failures("panic: nil map\n")
+	is.NoErr(err)
+	is.Equal(got, "a panic")
+	_, err = failures("undefined: x\n")
+	var notRun *NotRunError
+	is.True(errors.As(err, &notRun))
+}
