--- a/cmd/marlreelctl/compatibility_test.go
+++ b/cmd/marlreelctl/compatibility_test.go
@@ -31,46 +31,80 @@
 	compareRecorded(t, "command-line.txt", []byte(got.String()))
 }
 
-// What the commands on a fleet ask at the operators' socket: methods, paths, parameters and bodies.
-func TestCompatibilityFleetCalls(t *testing.T) {
-	dir, err := os.MkdirTemp("", "ctl") // a socket's path is short
+// fleetAnswers are what a proxy answers at its operators' socket; the path "" is any other.
+var fleetAnswers = map[string]string{
+	"/fleet":         `{"fleet":"pier","leader":"n1","members":[{"name":"n1","state":"alive"}],"view":{"open":1,"versions":[{"number":1,"hash":"h","by":"n0","text":"{\"Tick\":5}"}],"keepers":[{"name":"n1","id":12}]}}`,
+	"/fleet/holders": `[{"name":"n1","held":41,"left_ns":1000000000,"lists":{"source":"etcd","revision":17}}]`,
+	"/fleet/lists":   `{"proxies":[{"proxy":"n1","source":"etcd","revision":17,"ready":3}],"silent":["n2"],"partly":[{"name":"a1","seen_by":["n0"],"not":["n1"]}]}`,
+	"/fleet/check":   `{"good":true}`,
+	"/fleet/floor":   `{"asked":true}`,
+	"":               `{"id":"x","version":2,"by":"n0"}`,
+}
+
+// recordingFleet is an operators' socket that writes down what it is asked.
+type recordingFleet struct {
+	mu  sync.Mutex
+	got strings.Builder
+}
+
+func (f *recordingFleet) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		t.Fatal(err)
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	f.note("%s %s %s\n", r.Method, strings.ReplaceAll(r.RequestURI, "by="+url.QueryEscape(currentUser()), "by=WHO"), body)
+	answer, exists := fleetAnswers[r.URL.Path]
+	if !exists {
+		answer = fleetAnswers[""]
 	}
-	defer os.RemoveAll(dir)
+	writeAnswer(w, answer)
+}
+
+func (f *recordingFleet) note(format string, args ...any) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	fmt.Fprintf(&f.got, format, args...)
+}
+
+// writeAnswer answers; a caller that is gone is no fault of the server's.
+func writeAnswer(w io.Writer, answer string) { _, _ = io.WriteString(w, answer) }
+
+// serve answers at a socket until the test ends, and gives its path.
+func (f *recordingFleet) serve(t *testing.T, dir string) string {
+	t.Helper()
 	socket := filepath.Join(dir, "fleet.sock")
-	ln, err := net.Listen("unix", socket)
+	listener, err := net.Listen("unix", socket)
+	if err != nil {
+		t.Fatal(err)
+	}
+	server := &http.Server{Handler: f}
+	served := make(chan error, 1)
+	go func() { served <- server.Serve(listener) }()
+	t.Cleanup(func() {
+		if err := server.Close(); err != nil {
+			t.Error(err)
+		}
+		if err := <-served; !errors.Is(err, http.ErrServerClosed) {
+			t.Error(err)
+		}
+	})
+	return socket
+}
+
+// What the commands on a fleet ask at the operators' socket: methods, paths, parameters and bodies.
+func TestCompatibilityFleetCalls(t *testing.T) {
+	dir, err := os.MkdirTemp("", "ctl") // a socket's path is short
 	if err != nil {
 		t.Fatal(err)
 	}
+	t.Cleanup(func() { os.RemoveAll(dir) })
 	file := filepath.Join(dir, "platform.json")
 	if err := os.WriteFile(file, []byte(`{"name":"n0","settings":{"Tick":6,"Rank":1,"Zone":2}}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	var mu sync.Mutex
-	var got strings.Builder
-	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		body, _ := io.ReadAll(r.Body)
-		mu.Lock()
-		defer mu.Unlock()
-		fmt.Fprintf(&got, "%s %s %s\n", r.Method, strings.ReplaceAll(r.RequestURI, "by="+url.QueryEscape(who()), "by=WHO"), body)
-		switch r.URL.Path {
-		case "/fleet":
-			io.WriteString(w, `{"fleet":"pier","leader":"n1","members":[{"name":"n1","state":"alive"}],"view":{"open":1,"versions":[{"number":1,"hash":"h","by":"n0","text":"{\"Tick\":5}"}],"keepers":[{"name":"n1","id":12}]}}`)
-		case "/fleet/holders":
-			io.WriteString(w, `[{"name":"n1","held":41,"left_ns":1000000000,"lists":{"source":"etcd","revision":17}}]`)
-		case "/fleet/lists":
-			io.WriteString(w, `{"proxies":[{"proxy":"n1","source":"etcd","revision":17,"ready":3}],"silent":["n2"],"partly":[{"name":"a1","seen_by":["n0"],"not":["n1"]}]}`)
-		case "/fleet/check":
-			io.WriteString(w, `{"good":true}`)
-		case "/fleet/floor":
-			io.WriteString(w, `{"asked":true}`)
-		default:
-			io.WriteString(w, `{"id":"x","version":2,"by":"n0"}`)
-		}
-	})}
-	go server.Serve(ln)
-	defer server.Close()
+	var proxy recordingFleet
+	socket := proxy.serve(t, dir)
 	for _, args := range [][]string{
 		{"--json", "members"},
 		{"--json", "versions"},
@@ -85,22 +119,18 @@
 		{"floor", "reset", "etcd"},
 	} {
 		var out, errs bytes.Buffer
-		mu.Lock()
-		fmt.Fprintf(&got, "--- marlreelctl fleet %s\n", strings.ReplaceAll(strings.Join(args, " "), file, "FILE"))
-		mu.Unlock()
+		proxy.note("--- marlreelctl fleet %s\n", strings.ReplaceAll(strings.Join(args, " "), file, "FILE"))
 		code := run(t.Context(), append([]string{"fleet", "--socket", socket}, args...), &out, &errs)
 		if code != 0 {
 			t.Errorf("%q: exit %d: %s", args, code, errs.String())
 		}
 		if args[0] == "--json" {
-			mu.Lock()
-			got.Write(out.Bytes())
-			mu.Unlock()
+			proxy.note("%s", out.String())
 		}
 	}
-	mu.Lock()
-	defer mu.Unlock()
-	compareRecorded(t, "fleet-calls.txt", []byte(got.String()))
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	compareRecorded(t, "fleet-calls.txt", []byte(proxy.got.String()))
 }
 
 // Where a proxy's door is asked for its lists, and what is given on as the proxy says it.
@@ -109,7 +139,7 @@
 	asked := make(chan string, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		asked <- r.Method + " " + r.RequestURI
-		io.WriteString(w, said)
+		writeAnswer(w, said)
 	}))
 	defer server.Close()
 	var out, errs bytes.Buffer
--- a/cmd/marlreelctl/main_test.go
+++ b/cmd/marlreelctl/main_test.go
@@ -23,6 +23,25 @@
 	return code, out.String(), errs.String()
 }
 
+// nodeSteps are commands one after the other, and what they print.
+var nodeSteps = []struct {
+	args      []string
+	code      int
+	out, errs string
+}{
+	{[]string{"nodes", "put", "s-1", "127.0.0.1:80", "--zone", "koper"}, 0, "s-1: ready at 127.0.0.1:80", ""},
+	{[]string{"nodes", "put", "s-2", "nowhere", "--zone", "koper"}, 1, "", `address = "nowhere": ip:port is needed`},
+	{[]string{"nodes", "put", "_confirm", "127.0.0.1:80", "--zone", "koper"}, 1, "", "no node's name"},
+	{[]string{"nodes", "remove", "s-1"}, 1, "", "s-1 does not drain: drain it first, or --now"},
+	{[]string{"nodes", "drain", "s-1"}, 0, "s-1: draining at 127.0.0.1:80", ""},
+	{[]string{"nodes", "list"}, 0, "draining", ""},
+	{[]string{"nodes", "remove", "s-1"}, 0, "s-1: removed", ""},
+	{[]string{"nodes", "drain", "s-1"}, 1, "", "s-1 is not in the list"},
+	{[]string{"nodes", "remove", "s-1"}, 1, "", "s-1 is not in the list"},
+	{[]string{"nodes", "confirm"}, 0, "confirmed", ""},
+	{[]string{"nodes", "push", "s-1"}, 2, "", "marlreelctl -h says more"},
+}
+
 func TestNodes(t *testing.T) {
 	t.Parallel()
 	for _, kind := range []string{"etcd", "consul"} {
@@ -39,23 +58,7 @@
 			if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			for _, step := range []struct {
-				args      []string
-				code      int
-				out, errs string
-			}{
-				{[]string{"nodes", "put", "s-1", "127.0.0.1:80", "--zone", "koper"}, 0, "s-1: ready at 127.0.0.1:80", ""},
-				{[]string{"nodes", "put", "s-2", "nowhere", "--zone", "koper"}, 1, "", `address = "nowhere": ip:port is needed`},
-				{[]string{"nodes", "put", "_confirm", "127.0.0.1:80", "--zone", "koper"}, 1, "", "no node's name"},
-				{[]string{"nodes", "remove", "s-1"}, 1, "", "s-1 does not drain: drain it first, or --now"},
-				{[]string{"nodes", "drain", "s-1"}, 0, "s-1: draining at 127.0.0.1:80", ""},
-				{[]string{"nodes", "list"}, 0, "draining", ""},
-				{[]string{"nodes", "remove", "s-1"}, 0, "s-1: removed", ""},
-				{[]string{"nodes", "drain", "s-1"}, 1, "", "s-1 is not in the list"},
-				{[]string{"nodes", "remove", "s-1"}, 1, "", "s-1 is not in the list"},
-				{[]string{"nodes", "confirm"}, 0, "confirmed", ""},
-				{[]string{"nodes", "push", "s-1"}, 2, "", "marlreelctl -h says more"},
-			} {
+			for _, step := range nodeSteps {
 				code, out, errs := call(t, file, step.args...)
 				if code != step.code || !strings.Contains(out, step.out) || !strings.Contains(errs, step.errs) || code != 0 && strings.Count(errs, "\n") != 1 {
 					t.Errorf("%v: %d\n%s%s", step.args, code, out, errs)
@@ -92,7 +95,9 @@
 			http.Error(w, "no registry is set", http.StatusNotFound)
 			return
 		}
-		json.NewEncoder(w).Encode(said)
+		if err := json.NewEncoder(w).Encode(said); err != nil {
+			t.Error(err)
+		}
 	}))
 	t.Cleanup(s.Close)
 	addr := strings.TrimPrefix(s.URL, "http://")
