--- a/cmd/marlreelctl/compatibility_test.go
+++ b/cmd/marlreelctl/compatibility_test.go
@@ -5,7 +5,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"io/fs"
 	"net"
 	"net/http"
 	"net/http/httptest"
@@ -17,6 +16,8 @@
 	"testing"
 
 	"github.com/alecthomas/kong"
+
+	"marlreel/internal/testing/recorded"
 )
 
 // The commands and flags are the recorded ones.
@@ -28,7 +29,7 @@
 	}
 	var got strings.Builder
 	commandLine(&got, parser.Model.Node, "marlreelctl")
-	compareRecorded(t, "command-line.txt", []byte(got.String()))
+	recorded.Check(t, "command-line.txt", got.String())
 }
 
 // fleetAnswers are what a proxy answers at its operators' socket; the path "" is any other.
@@ -130,7 +131,7 @@
 	}
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
-	compareRecorded(t, "fleet-calls.txt", []byte(proxy.got.String()))
+	recorded.Check(t, "fleet-calls.txt", proxy.got.String())
 }
 
 // Where a proxy's door is asked for its lists, and what is given on as the proxy says it.
@@ -172,30 +173,3 @@
 		commandLine(b, c, path+" "+c.Name)
 	}
 }
-
-// The files under testdata/compatibility hold what the tree at commit 6fb9894 wrote. They stay as they are: a
-// difference is a change of a form that others read, not a reason to write them anew. The variable below wrote
-// them; it only makes files that are not there.
-const writeCompatibility = "MARLREEL_WRITE_COMPATIBILITY"
-
-// compareRecorded compares bytes with a recorded file.
-func compareRecorded(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "compatibility", name)
-	want, err := os.ReadFile(path)
-	if errors.Is(err, fs.ErrNotExist) && os.Getenv(writeCompatibility) != "" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs\n got %s\nwant %s", name, got, want)
-	}
-}
--- a/cmd/wirehost/compatibility_test.go
+++ b/cmd/wirehost/compatibility_test.go
@@ -4,14 +4,12 @@
 	"bytes"
 	"encoding/binary"
 	"encoding/hex"
-	"errors"
 	"fmt"
-	"io/fs"
 	"math"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
+
+	"marlreel/internal/testing/recorded"
 )
 
 // frame is a batch of events at a time in milliseconds.
@@ -121,12 +119,9 @@
 	for _, f := range in {
 		fmt.Fprintln(&sent, hex.EncodeToString(f))
 	}
-	compareRecorded(t, name+"-in.txt", []byte(sent.String()))
-	recorded, err := os.ReadFile(filepath.Join("testdata", "compatibility", name+"-in.txt"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	input, err := hex.DecodeString(strings.ReplaceAll(string(recorded), "\n", ""))
+	recorded.Check(t, name+"-in.txt", sent.String())
+	file := recorded.Read(t, name+"-in.txt")
+	input, err := hex.DecodeString(strings.ReplaceAll(string(file), "\n", ""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -143,32 +138,5 @@
 	if n := strings.Count(answers.String(), "\n"); n != len(in) {
 		t.Errorf("%d replies to %d batches", n, len(in))
 	}
-	compareRecorded(t, name+"-out.txt", []byte(answers.String()))
-}
-
-// The files under testdata/compatibility hold what the tree at commit 6fb9894 wrote. They stay as they are: a
-// difference is a change of a form that others read, not a reason to write them anew. The variable below wrote
-// them; it only makes files that are not there.
-const writeCompatibility = "MARLREEL_WRITE_COMPATIBILITY"
-
-// compareRecorded compares bytes with a recorded file.
-func compareRecorded(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "compatibility", name)
-	want, err := os.ReadFile(path)
-	if errors.Is(err, fs.ErrNotExist) && os.Getenv(writeCompatibility) != "" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs\n got %s\nwant %s", name, got, want)
-	}
+	recorded.Check(t, name+"-out.txt", answers.String())
 }
--- a/internal/config/compatibility_test.go
+++ b/internal/config/compatibility_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"bytes"
-	"errors"
-	"io/fs"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -13,6 +11,7 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"marlreel/internal/config"
+	"marlreel/internal/testing/recorded"
 )
 
 // An operator's file of the recorded tree, with all comments taken off, is read, and all of its keys and
@@ -22,12 +21,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	compareRecorded(t, "deploy-marlreel.toml", shipped)
-	recorded, err := os.ReadFile(filepath.Join("testdata", "compatibility", "deploy-marlreel.toml"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	on := regexp.MustCompile(`(?m)^# ((?:\[.*\]|[a-z-]+ = .*))$`).ReplaceAll(recorded, []byte("$1"))
+	recorded.Check(t, "deploy-marlreel.toml", string(shipped))
+	file := recorded.Read(t, "deploy-marlreel.toml")
+	on := regexp.MustCompile(`(?m)^# ((?:\[.*\]|[a-z-]+ = .*))$`).ReplaceAll(file, []byte("$1"))
 	for _, c := range []struct{ name, text string }{
 		{"marlreel-all-set.toml", string(on)},
 		{"marlreel-defaults.toml", ""},
@@ -41,7 +37,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			compareRecorded(t, c.name, got)
+			recorded.Check(t, c.name, string(got))
 			again, err := config.ParseOperator("marlreel.toml", got)
 			if err != nil {
 				t.Fatalf("the written form is not read: %v", err)
@@ -55,10 +51,7 @@
 
 // The platform's configuration keeps its keys.
 func TestCompatibilityPlatformFile(t *testing.T) {
-	data, err := os.ReadFile(filepath.Join("testdata", "compatibility", "platform.json"))
-	if err != nil {
-		t.Fatal(err)
-	}
+	data := recorded.Read(t, "platform.json")
 	p, err := config.ParsePlatform(data, func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
@@ -96,10 +89,7 @@
 
 // The environment goes before the file, under its names.
 func TestCompatibilityPlatformEnvironment(t *testing.T) {
-	data, err := os.ReadFile(filepath.Join("testdata", "compatibility", "platform.json"))
-	if err != nil {
-		t.Fatal(err)
-	}
+	data := recorded.Read(t, "platform.json")
 	env := map[string]string{
 		"NODE_NAME": "n7", "NODE_LISTEN": "127.0.0.1:1", "NODE_DISCOVERY": "127.0.0.1:2",
 		"NODE_CONTROL": "127.0.0.1:3", "NODE_SOCKET_FD": "5", "TMPDIR": "/somewhere",
@@ -133,35 +123,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	compareRecorded(t, "shared-settings.json", []byte(shared+"\n"))
+	recorded.Check(t, "shared-settings.json", shared+"\n")
 	if _, err := p.WithSharedSettings(shared); err != nil {
 		t.Errorf("shared settings are not taken: %v", err)
 	}
 }
-
-// The files under testdata/compatibility hold what the tree at commit 6fb9894 wrote. They stay as they are: a
-// difference is a change of a form that others read, not a reason to write them anew. The variable below wrote
-// them; it only makes files that are not there.
-const writeCompatibility = "MARLREEL_WRITE_COMPATIBILITY"
-
-// compareRecorded compares bytes with a recorded file.
-func compareRecorded(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "compatibility", name)
-	want, err := os.ReadFile(path)
-	if errors.Is(err, fs.ErrNotExist) && os.Getenv(writeCompatibility) != "" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs\n got %s\nwant %s", name, got, want)
-	}
-}
--- a/internal/simwire/compatibility_test.go
+++ b/internal/simwire/compatibility_test.go
@@ -4,12 +4,8 @@
 	"bytes"
 	"encoding/hex"
 	"encoding/json"
-	"errors"
 	"fmt"
-	"io/fs"
 	"maps"
-	"os"
-	"path/filepath"
 	"reflect"
 	"slices"
 	"strings"
@@ -17,20 +13,18 @@
 	"time"
 
 	"marlreel/internal/balancer"
+	"marlreel/internal/testing/recorded"
 )
 
 // Every key of the platform's settings is read under its name: without it, the settings are others. The names
 // are those of the users' pages, and of the recorded file.
 func TestCompatibilitySettingsKeys(t *testing.T) {
-	recorded, err := os.ReadFile(filepath.Join("testdata", "compatibility", "settings.json"))
-	if err != nil {
-		t.Fatal(err)
-	}
+	file := recorded.Read(t, "settings.json")
 	var tree map[string]any
-	if err := json.Unmarshal(recorded, &tree); err != nil {
+	if err := json.Unmarshal(file, &tree); err != nil {
 		t.Fatal(err)
 	}
-	complete, err := ParseSettings(recorded)
+	complete, err := ParseSettings(file)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +40,7 @@
 		return b.String()
 	}
 	// The adapter gets the same settings as lines of text.
-	compareRecorded(t, "settings.txt", []byte(text("")))
+	recorded.Check(t, "settings.txt", text(""))
 	if lines, err := ParseBootInfo(text("")); err != nil || !reflect.DeepEqual(lines, complete) {
 		t.Errorf("lines of text are read otherwise than JSON: %v\n got %+v\nwant %+v", err, lines, complete)
 	}
@@ -119,32 +113,5 @@
 		c.do(Actions{Reply: &r, Instance: 3})
 		fmt.Fprintf(&got, "%s: %s\n", c.name, hex.EncodeToString(r.Bytes()))
 	}
-	compareRecorded(t, "actions.txt", got.Bytes())
-}
-
-// The files under testdata/compatibility hold what the tree at commit 6fb9894 wrote. They stay as they are: a
-// difference is a change of a form that others read, not a reason to write them anew. The variable below wrote
-// them; it only makes files that are not there.
-const writeCompatibility = "MARLREEL_WRITE_COMPATIBILITY"
-
-// compareRecorded compares bytes with a recorded file.
-func compareRecorded(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "compatibility", name)
-	want, err := os.ReadFile(path)
-	if errors.Is(err, fs.ErrNotExist) && os.Getenv(writeCompatibility) != "" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs\n got %s\nwant %s", name, got, want)
-	}
+	recorded.Check(t, "actions.txt", got.String())
 }
--- a/internal/testing/recorded/recorded.go
+++ b/internal/testing/recorded/recorded.go
@@ -2,10 +2,12 @@
 // testdata/compatibility, written by the code of commit 6fb9894. Other processes, backends and operators rely on these
 // forms, so the files must not be written anew to get a pass.
 //
-// A file for a new form is written where the environment has WRITE_COMPATIBILITY=1. Only tests import the package.
+// A file for a new form is written where the environment has WRITE_COMPATIBILITY=1; one that is there never is. Only tests import the package.
 package recorded
 
 import (
+	"errors"
+	"io/fs"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -21,7 +23,8 @@
 // Check fails the test where a text differs from the recorded one.
 func Check(t testing.TB, name, got string) {
 	t.Helper()
-	if os.Getenv(writeVariable) != "" {
+	_, err := os.Stat(pathOf(name))
+	if errors.Is(err, fs.ErrNotExist) && os.Getenv(writeVariable) != "" {
 		write(t, name, got)
 	}
 	if want := string(Read(t, name)); got != want {
--- a/internal/testing/recorded/recorded_test.go
+++ b/internal/testing/recorded/recorded_test.go
@@ -46,6 +46,24 @@
 	}
 }
 
+// With the variable a file that is missing is written, and one that is there stays and is compared.
+func TestCheckWritesOnlyMissingFiles(t *testing.T) {
+	t.Setenv(writeVariable, "1")
+	t.Chdir(t.TempDir())
+	fake := &fakeT{TB: t}
+	Check(fake, "form.txt", "as it was")
+	if len(fake.errors) != 0 {
+		t.Errorf("a new form: %q", fake.errors)
+	}
+	Check(fake, "form.txt", "as it is")
+	if len(fake.errors) != 1 {
+		t.Errorf("failures for another form: %q, want one", fake.errors)
+	}
+	if data, err := os.ReadFile(pathOf("form.txt")); err != nil || string(data) != "as it was" {
+		t.Errorf("the file has become %q (%v)", data, err)
+	}
+}
+
 func TestKeysArePathsAndKinds(t *testing.T) {
 	type inner struct {
 		Raw   []byte `json:"raw"`
