--- /dev/null
+++ b/internal/discovery/registry/config.go
@@ -0,0 +1,133 @@
+package registry
+
+import (
+	"crypto/tls"
+	"crypto/x509"
+	"fmt"
+	"net/url"
+	"os"
+	"strings"
+	"time"
+
+	"marlreel/internal/strict"
+)
+
+// Config is the table [registry] of the settings.
+type Config struct {
+	Kind            string      `toml:"kind"`          // etcd, consul; "" is off
+	Endpoints       []string    `toml:"endpoints"`     // http://host:port, or https
+	Prefix          string      `toml:"prefix"`        // of the nodes' keys
+	User            string      `toml:"user"`          // of etcd
+	PasswordFile    string      `toml:"password-file"` // holds the password, or Consul's token
+	CA              string      `toml:"ca"`            // files, PEM
+	Cert            string      `toml:"cert"`
+	Key             string      `toml:"key"`
+	LossTimeout     strict.Span `toml:"patience"` // how long an unreachable registry's list stays in force
+	FailbackDelay   strict.Span `toml:"settle"`   // how long it must be reachable before its list is in force again
+	MaxLossFraction float64     `toml:"guard"`    // of the list, above 0 to 1, that may go within LossWindow
+	LossWindow      strict.Span `toml:"guard-over"`
+	MaxFlaps        float64     `toml:"flaps"` // returns within FlapDecay after which an entry is damped; 0 is no bound
+	FlapDecay       strict.Span `toml:"flap-over"`
+}
+
+// DefaultConfig returns the defaults, with no registry.
+func DefaultConfig() Config {
+	return Config{
+		Prefix: "marlreel/nodes/", LossTimeout: strict.Span(30 * time.Second), FailbackDelay: strict.Span(10 * time.Second), MaxLossFraction: 0.5,
+		LossWindow: strict.Span(30 * time.Second), MaxFlaps: 6, FlapDecay: strict.Span(30 * time.Second),
+	}
+}
+
+// Enabled reports whether a registry is set.
+func (c *Config) Enabled() bool { return c.Kind != "" }
+
+// Validate returns the first setting that is wrong, as a SettingError.
+func (c *Config) Validate() error {
+	if !c.Enabled() {
+		if len(c.Endpoints) > 0 {
+			return &SettingError{"registry.kind", " is missing: etcd or consul is needed"}
+		}
+		return nil
+	}
+	switch {
+	case c.Kind != "etcd" && c.Kind != "consul":
+		return &SettingError{"registry.kind", fmt.Sprintf(" = %q: etcd or consul is needed%s", c.Kind, strict.Closest(c.Kind, []string{"etcd", "consul"}))}
+	case len(c.Endpoints) == 0 || len(c.Endpoints) > 16:
+		return &SettingError{"registry.endpoints", fmt.Sprintf(": 1 to 16 are needed, and there are %d", len(c.Endpoints))}
+	case c.Prefix == "" || len(c.Prefix) > 512 || strings.ContainsAny(c.Prefix, "?#\r\n"):
+		return &SettingError{"registry.prefix", fmt.Sprintf(" = %q: 1 to 512 characters are needed, no ? and #", c.Prefix)}
+	case (c.Cert == "") != (c.Key == ""):
+		return &SettingError{"registry.cert", " and registry.key: both are needed, or neither"}
+	case c.User != "" && c.PasswordFile == "":
+		return &SettingError{"registry.password-file", " is missing: user needs it"}
+	case c.Kind == "consul" && c.User != "":
+		return &SettingError{"registry.user", ": Consul has tokens alone; password-file holds it"}
+	case c.LossTimeout < 0 || c.FailbackDelay < 0 || c.LossWindow < 0 || c.FlapDecay <= 0:
+		return &SettingError{"registry.patience", ", settle and guard-over can't be below 0, and flap-over must be above"}
+	case !(c.MaxLossFraction > 0 && c.MaxLossFraction <= 1):
+		return &SettingError{"registry.guard", fmt.Sprintf(" = %v: above 0 and up to 1 is needed", c.MaxLossFraction)}
+	case !(c.MaxFlaps >= 0):
+		return &SettingError{"registry.flaps", fmt.Sprintf(" = %v: 0 (never) or more is needed", c.MaxFlaps)}
+	}
+	for _, endpoint := range c.Endpoints {
+		if !validEndpoint(endpoint) {
+			return &SettingError{"registry.endpoints", fmt.Sprintf(": %q: http://host:port or https://host:port is needed", endpoint)}
+		}
+	}
+	return nil
+}
+
+func validEndpoint(endpoint string) bool {
+	u, err := url.Parse(endpoint)
+	if err != nil || u.Scheme != "http" && u.Scheme != "https" {
+		return false
+	}
+	return u.Host != "" && (u.Path == "" || u.Path == "/") && u.RawQuery == "" && u.User == nil
+}
+
+// CheckFiles reads the files that the settings name. Its errors are FileErrors.
+func (c *Config) CheckFiles() error {
+	if !c.Enabled() {
+		return nil
+	}
+	if _, err := c.tls(); err != nil {
+		return err
+	}
+	_, err := c.password()
+	return err
+}
+
+// tls returns the settings of TLS connections. Its errors are FileErrors.
+func (c *Config) tls() (*tls.Config, error) {
+	t := &tls.Config{MinVersion: tls.VersionTLS12}
+	if c.CA != "" {
+		pem, err := os.ReadFile(c.CA)
+		if err != nil {
+			return nil, &FileError{"registry.ca", err}
+		}
+		t.RootCAs = x509.NewCertPool()
+		if !t.RootCAs.AppendCertsFromPEM(pem) {
+			return nil, &FileError{"registry.ca", fmt.Errorf("%s holds no certificate in PEM", c.CA)}
+		}
+	}
+	if c.Cert != "" {
+		pair, err := tls.LoadX509KeyPair(c.Cert, c.Key)
+		if err != nil {
+			return nil, &FileError{"registry.cert, registry.key", err}
+		}
+		t.Certificates = []tls.Certificate{pair}
+	}
+	return t, nil
+}
+
+// password reads the secret anew each time: it may be rotated while this runs.
+func (c *Config) password() (string, error) {
+	if c.PasswordFile == "" {
+		return "", nil
+	}
+	data, err := os.ReadFile(c.PasswordFile)
+	if err != nil {
+		return "", &FileError{"registry.password-file", err}
+	}
+	return strings.TrimSpace(string(data)), nil
+}
--- a/internal/discovery/registry/consul.go
+++ b/internal/discovery/registry/consul.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -28,92 +29,110 @@
 // blockFor is how long a query may wait for a change. Consul adds up to a sixteenth of it.
 const blockFor = 55 * time.Second
 
-// ReadSnapshot implements Client. Where there is no leader, a server's own word is taken as what it is.
+// maxJitter spreads the queries of many proxies that wait for the same change.
+const maxJitter = 20 * time.Millisecond
+
+// ReadSnapshot implements Client. Where there is no leader, a server's own list is taken for what it is.
 func (c *consul) ReadSnapshot(ctx context.Context) (membership.Snapshot, error) {
-	w, err := c.query(ctx, 0, "consistent")
-	if bad, is := err.(*callError); is && bad.Status >= 500 {
-		if old, err := c.query(ctx, 0, "stale"); err == nil {
-			old.Stale = true
-			return old, nil
-		}
+	snapshot, err := c.query(ctx, 0, "consistent")
+	var failed *callError
+	if !errors.As(err, &failed) || failed.Status < http.StatusInternalServerError {
+		return snapshot, err
 	}
-	return w, err
+	stale, staleErr := c.query(ctx, 0, "stale")
+	if staleErr != nil {
+		return snapshot, err
+	}
+	stale.Stale = true
+	return stale, nil
 }
 
 // Watch implements Client: one query after the other.
-func (c *consul) Watch(ctx context.Context, from membership.Snapshot, told Observer) error {
+func (c *consul) Watch(ctx context.Context, from membership.Snapshot, observer Observer) error {
 	index := from.Revision
 	for {
-		w, err := c.query(ctx, index, "consistent")
+		snapshot, err := c.query(ctx, index, "consistent")
 		switch {
 		case err != nil:
 			return err
-		case w.Revision < index:
+		case snapshot.Revision < index:
 			return ErrHistoryReplaced
-		case w.Revision == index:
-			told.OnProgress(index)
+		case snapshot.Revision == index:
+			observer.OnProgress(index)
 		default:
-			told.OnSnapshot(w)
+			observer.OnSnapshot(snapshot)
 		}
-		index = w.Revision
-		// Jitter: of many proxies that wait for the same change.
-		select {
-		case <-ctx.Done():
+		index = snapshot.Revision
+		sleep(ctx, time.Duration(rand.Int64N(int64(maxJitter))))
+		if ctx.Err() != nil {
 			return ctx.Err()
-		case <-time.After(time.Duration(rand.Int64N(int64(20 * time.Millisecond)))):
 		}
 	}
 }
 
-// query asks for all nodes, and waits for an index beyond the one given; 0 is not to wait.
+// query reads all nodes, and waits for an index beyond the one given; 0 is not to wait.
 func (c *consul) query(ctx context.Context, index int64, mode string) (membership.Snapshot, error) {
-	within := callTimeout
-	ask := "?recurse=true&" + mode
+	timeout := callTimeout
+	query := "?recurse=true&" + mode
 	if index > 0 {
-		within += blockFor + blockFor/16
-		ask += "&index=" + strconv.FormatInt(index, 10) + "&wait=" + strconv.Itoa(int(blockFor.Seconds())) + "s"
+		timeout += blockFor + blockFor/16
+		query += "&index=" + strconv.FormatInt(index, 10) + "&wait=" + strconv.Itoa(int(blockFor.Seconds())) + "s"
 	}
-	ctx, done := context.WithTimeout(ctx, within)
-	defer done()
-	head := http.Header{}
-	token, err := c.config.password()
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	header, err := c.authorization()
 	if err != nil {
 		return membership.Snapshot{}, err
 	}
-	if token != "" {
-		head.Set("X-Consul-Token", token)
-	}
-	r, err := c.call(ctx, http.MethodGet, "/v1/kv/"+escape(c.config.Prefix)+ask, head, nil)
+	response, err := c.call(ctx, http.MethodGet, "/v1/kv/"+escape(c.config.Prefix)+query, header, nil)
 	if err != nil {
 		return membership.Snapshot{}, err
 	}
-	defer r.Body.Close()
-	// 404 with an index: there are no keys.
-	at, err := strconv.ParseInt(r.Header.Get("X-Consul-Index"), 10, 64)
-	if r.StatusCode != http.StatusOK && (r.StatusCode != http.StatusNotFound || err != nil) {
-		return membership.Snapshot{}, readError(r)
+	defer response.Body.Close()
+	return c.readSnapshot(response)
+}
+
+// authorization returns the header of calls.
+func (c *consul) authorization() (http.Header, error) {
+	token, err := c.config.password()
+	if err != nil {
+		return nil, err
 	}
-	if err != nil || at < 1 {
-		return membership.Snapshot{}, fmt.Errorf("X-Consul-Index = %.40q: a number above 0 is needed", r.Header.Get("X-Consul-Index"))
+	header := http.Header{}
+	if token != "" {
+		header.Set("X-Consul-Token", token)
 	}
-	w := membership.Snapshot{Revision: at}
-	if r.StatusCode == http.StatusNotFound {
-		return w, nil
+	return header, nil
+}
+
+// readSnapshot reads the answer to a query. 404 with an index means that there are no keys.
+func (c *consul) readSnapshot(response *http.Response) (membership.Snapshot, error) {
+	text := response.Header.Get("X-Consul-Index")
+	index, err := strconv.ParseInt(text, 10, 64)
+	noKeys := response.StatusCode == http.StatusNotFound && err == nil
+	switch {
+	case response.StatusCode != http.StatusOK && !noKeys:
+		return membership.Snapshot{}, readError(response)
+	case err != nil || index < 1:
+		return membership.Snapshot{}, &ProtocolError{fmt.Sprintf("X-Consul-Index = %.40q: a number above 0 is needed", text)}
+	case noKeys:
+		return membership.Snapshot{Revision: index}, nil
 	}
 	var all []consulKV
-	if err := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes)).Decode(&all); err != nil {
-		return w, err
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxBodyBytes)).Decode(&all); err != nil {
+		return membership.Snapshot{}, err
 	}
 	if len(all) > maxNodes {
-		return w, fmt.Errorf("more than %d keys under %s", maxNodes, c.config.Prefix)
+		return membership.Snapshot{}, tooManyKeys(c.config.Prefix)
 	}
+	snapshot := membership.Snapshot{Revision: index}
 	for _, kv := range all {
 		if kv.Key == c.config.Prefix {
 			continue // the folder itself
 		}
-		w.Items = append(w.Items, ParseItem(c.config.Prefix, kv.Key, kv.Value, kv.ModifyIndex))
+		snapshot.Items = append(snapshot.Items, ParseItem(c.config.Prefix, kv.Key, kv.Value, kv.ModifyIndex))
 	}
-	return w, nil
+	return snapshot, nil
 }
 
 // escape is a prefix as a path has it.
--- a/internal/discovery/registry/errors.go
+++ b/internal/discovery/registry/errors.go
@@ -1,6 +1,11 @@
 package registry
 
-import "fmt"
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"net/url"
+)
 
 // SettingError is a key of [registry] that makes no sense.
 type SettingError struct{ Key, Problem string }
@@ -89,3 +94,60 @@
 func (e *ValueError) Advice() string {
 	return "write the entry anew with 'marlreelctl nodes put'; until then the node is passed over"
 }
+
+// callError is an answer that is an error.
+type callError struct {
+	Status  int
+	Code    int    `json:"code"`
+	Message string `json:"message"`
+	Old     string `json:"error"`
+}
+
+func (e *callError) Error() string {
+	text := e.Message
+	if text == "" {
+		text = e.Old
+	}
+	return fmt.Sprintf("answered %d: %.200s", e.Status, text)
+}
+
+// Advice says what an operator can do.
+func (e *callError) Advice() string {
+	if e.Status == http.StatusUnauthorized || e.Status == http.StatusForbidden {
+		return "look at registry.user and registry.password-file, and at what that user may do in the registry"
+	}
+	return "look at the registry's own log; the proxies go by the platform's list while it is lost"
+}
+
+// Unreachable tells whether an error is an endpoint's: another one may do.
+func Unreachable(err error) bool {
+	var bad *callError
+	var call *url.Error
+	return errors.As(err, &call) || errors.As(err, &bad) && bad.Status >= 500
+}
+
+// ProtocolError is an answer of a registry that isn't as its protocol has it, or too large.
+type ProtocolError struct{ Reason string }
+
+func (e *ProtocolError) Error() string { return e.Reason }
+
+// Advice says what an operator can do.
+func (e *ProtocolError) Advice() string {
+	return "see whether registry.endpoints and registry.prefix name what is meant, and look at the registry's own log"
+}
+
+// LoginError is a login that etcd did not accept.
+type LoginError struct {
+	User string
+	Err  error
+}
+
+func (e *LoginError) Error() string { return fmt.Sprintf("user %s: %v", e.User, e.Err) }
+
+// Unwrap returns etcd's answer.
+func (e *LoginError) Unwrap() error { return e.Err }
+
+// Advice says what an operator can do.
+func (e *LoginError) Advice() string {
+	return "look at registry.user and registry.password-file, and at what that user may do in the registry"
+}
