--- a/internal/discovery/registry/compatibility_test.go
+++ b/internal/discovery/registry/compatibility_test.go
@@ -22,13 +22,17 @@
 
 // recordedRegistry answers calls in their order from a script, and writes them down.
 type recordedRegistry struct {
+	t       *testing.T
 	mu      sync.Mutex
 	calls   strings.Builder
 	answers []string // "STATUS BODY", or "INDEX STATUS BODY" for Consul
 }
 
 func (r *recordedRegistry) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	body, _ := io.ReadAll(q.Body)
+	body, err := io.ReadAll(q.Body)
+	if err != nil {
+		r.t.Errorf("the body of %s %s: %v", q.Method, q.RequestURI, err)
+	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	fmt.Fprintf(&r.calls, "%s %s\n", q.Method, q.RequestURI)
@@ -48,14 +52,20 @@
 	text := r.answers[0]
 	r.answers = r.answers[1:]
 	if strings.HasPrefix(text, "index ") {
-		fmt.Sscanf(text, "index %d", &index)
+		if _, err := fmt.Sscanf(text, "index %d", &index); err != nil {
+			r.t.Errorf("%q has no index: %v", text, err)
+		}
 		_, text, _ = strings.Cut(strings.TrimPrefix(text, "index "), " ")
 		w.Header().Set("X-Consul-Index", fmt.Sprint(index))
 	}
-	fmt.Sscan(text, &status)
+	if _, err := fmt.Sscan(text, &status); err != nil {
+		r.t.Errorf("%q has no status: %v", text, err)
+	}
 	_, text, _ = strings.Cut(text, " ")
 	w.WriteHeader(status)
-	io.WriteString(w, text)
+	if _, err := io.WriteString(w, text); err != nil {
+		r.t.Logf("the client left before the end of its answer: %v", err) // a watch may
+	}
 }
 
 // recorder writes down what a client tells.
@@ -84,18 +94,49 @@
 func (w *recorder) OnCompacted()              { fmt.Fprintln(w, "  compacted") }
 func (w *recorder) OnLost(why string)         { fmt.Fprintln(w, "  lost:", why) }
 
-// exchangeWith makes all calls of a client against recorded answers, and gives what went out and what was understood.
+// exchangeWith makes all calls of a client against recorded answers, and returns what went out and what was understood.
 func exchangeWith(t *testing.T, kind, user string, answers []string, watches int) string {
 	t.Helper()
-	r := &recordedRegistry{answers: answers}
+	r := &recordedRegistry{t: t, answers: answers}
 	server := httptest.NewServer(r)
 	defer server.Close()
+	w := recordedClient(t, kind, user, server.URL)
+	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
+	defer cancel()
+	var got recorder
+	list, err := w.ReadSnapshot(ctx)
+	got.call(t, r, "list", err)
+	got.OnSnapshot(list)
+	for range watches {
+		got.call(t, r, "watch", w.Watch(ctx, list, &got))
+	}
+	value := []byte(`{"v":1,"address":"127.0.0.1:9001","zone":"koper","state":"ready"}`)
+	got.call(t, r, "put if new", w.Put(ctx, "n1", value, 0, ""))
+	got.call(t, r, "put over revision 15", w.Put(ctx, "n1", value, 15, ""))
+	got.call(t, r, "put over anything under a lease", w.Put(ctx, "n1", value, AnyRevision, "77"))
+	got.call(t, r, "delete at 16", w.Delete(ctx, "n1", 16))
+	got.call(t, r, "delete whatever", w.Delete(ctx, "n1", AnyRevision))
+	lease, err := w.Grant(ctx, 1500*time.Millisecond)
+	got.call(t, r, "grant", err)
+	fmt.Fprintf(&got, "  lease %s\n", lease)
+	got.call(t, r, "renew", w.Renew(ctx, lease))
+	got.call(t, r, "renew a lease that has ended", w.Renew(ctx, lease))
+	got.call(t, r, "revoke", w.Revoke(ctx, lease))
+	if len(r.answers) > 0 {
+		t.Errorf("%d answers were not asked for", len(r.answers))
+	}
+	return got.String()
+}
+
+// recordedClient makes a client of a registry with a password.
+func recordedClient(t *testing.T, kind, user, endpoint string) Writer {
+	t.Helper()
 	secret := filepath.Join(t.TempDir(), "secret")
 	if err := os.WriteFile(secret, []byte("s3cret\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	c := DefaultConfig()
-	c.Kind, c.Endpoints, c.User, c.PasswordFile = kind, []string{server.URL}, user, secret
+	c.Kind, c.Endpoints, c.User, c.PasswordFile = kind, []string{endpoint}, user, secret
 	if err := c.Validate(); err != nil {
 		t.Fatal(err)
 	}
@@ -103,51 +144,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.NextEndpoint()
-	ctx, done := context.WithTimeout(t.Context(), time.Minute)
-	defer done()
-	var got recorder
-	say := func(what string, err error) {
-		r.mu.Lock()
-		fmt.Fprintf(&got, "--- %s\n%s", what, r.calls.String())
-		r.calls.Reset()
-		r.mu.Unlock()
-		switch { // by what it is: the words for people may change
-		case errors.Is(err, ErrConflict):
-			fmt.Fprintln(&got, "  written by another")
-		case errors.Is(err, ErrLeaseEnded):
-			fmt.Fprintln(&got, "  the lease has ended")
-		case errors.Is(err, ErrCompacted):
-			fmt.Fprintln(&got, "  compacted")
-		case errors.Is(err, ErrHistoryReplaced):
-			fmt.Fprintln(&got, "  another history")
-		case err != nil:
-			t.Errorf("%s: %v", what, err)
-		}
-	}
-	list, err := w.ReadSnapshot(ctx)
-	say("list", err)
-	got.OnSnapshot(list)
-	for range watches {
-		err = w.Watch(ctx, list, &got)
-		say("watch", err)
-	}
-	value := []byte(`{"v":1,"address":"127.0.0.1:9001","zone":"koper","state":"ready"}`)
-	say("put if new", w.Put(ctx, "n1", value, 0, ""))
-	say("put over revision 15", w.Put(ctx, "n1", value, 15, ""))
-	say("put over anything under a lease", w.Put(ctx, "n1", value, AnyRevision, "77"))
-	say("delete at 16", w.Delete(ctx, "n1", 16))
-	say("delete whatever", w.Delete(ctx, "n1", AnyRevision))
-	lease, err := w.Grant(ctx, 1500*time.Millisecond)
-	say("grant", err)
-	fmt.Fprintf(&got, "  lease %s\n", lease)
-	say("renew", w.Renew(ctx, lease))
-	say("renew a lease that has ended", w.Renew(ctx, lease))
-	say("revoke", w.Revoke(ctx, lease))
-	if len(r.answers) > 0 {
-		t.Errorf("%d answers were not asked for", len(r.answers))
+	t.Cleanup(w.NextEndpoint)
+	return w
+}
+
+// call writes down a call: what went out, and the error by what it is, as the words for people may change.
+func (w *recorder) call(t *testing.T, r *recordedRegistry, what string, err error) {
+	t.Helper()
+	r.mu.Lock()
+	fmt.Fprintf(w, "--- %s\n%s", what, r.calls.String())
+	r.calls.Reset()
+	r.mu.Unlock()
+	switch {
+	case errors.Is(err, ErrConflict):
+		fmt.Fprintln(w, "  written by another")
+	case errors.Is(err, ErrLeaseEnded):
+		fmt.Fprintln(w, "  the lease has ended")
+	case errors.Is(err, ErrCompacted):
+		fmt.Fprintln(w, "  compacted")
+	case errors.Is(err, ErrHistoryReplaced):
+		fmt.Fprintln(w, "  another history")
+	case err != nil:
+		t.Errorf("%s: %v", what, err)
 	}
-	return got.String()
 }
 
 // The calls to etcd's JSON gateway, and what is read of its answers.
--- a/internal/discovery/registry/write_test.go
+++ b/internal/discovery/registry/write_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"marlreel/internal/discovery/membership"
 	"marlreel/internal/standin"
 	"marlreel/internal/testutil"
 )
@@ -70,92 +71,137 @@
 	})
 }
 
-// A node stays in the list while it lives, comes again when its lease was lost, says that it drains before it
-// leaves, and is forgotten when it dies without a word.
+// A node stays in the list while it runs, comes again when its lease was lost, says that it drains before it leaves,
+// and is forgotten when it dies without a word.
 func TestRegister(t *testing.T) {
 	t.Parallel()
 	both(t, func(t *testing.T, kind string) {
-		r := start(t)
-		w := writer(t, kind, r)
-		f := follow(t, config(kind, r), plain())
-		state := func() string {
-			f.mu.Lock()
-			defer f.mu.Unlock()
-			switch e, there := f.list["n1"]; {
-			case !there:
-				return "gone"
-			case e.Draining:
-				return "draining"
-			}
-			return "ready"
-		}
-		ctx, stop := context.WithCancel(t.Context())
-		ended := make(chan error, 1)
-		reg := Registration{Name: "n1", Value: Value{Address: "127.0.0.1:1", Zone: "koper"}, TTL: time.Second, DrainTime: 300 * time.Millisecond, Logf: t.Logf}
-		go func() { ended <- Register(ctx, t.Context(), w, reg) }()
-		testutil.Eventually(t, "the node", func() bool { return state() == "ready" })
-		var mu sync.Mutex
-		var seen []string
-		f.mu.Lock()
-		f.seen = func() {
-			s := "gone"
-			if e, there := f.list["n1"]; there && e.Draining {
-				s = "draining"
-			} else if there {
-				s = "ready"
-			}
-			mu.Lock()
-			defer mu.Unlock()
-			if len(seen) == 0 || seen[len(seen)-1] != s {
-				seen = append(seen, s)
-			}
-		}
-		f.mu.Unlock()
-		r.ExpireLeases()
-		testutil.Eventually(t, "its return", func() bool {
-			mu.Lock()
-			defer mu.Unlock()
-			return strings.Join(seen, " ") == "gone ready"
-		})
-		// Another node of the same name does not get in, and does no harm.
-		other, stopOther := context.WithTimeout(t.Context(), 400*time.Millisecond)
-		defer stopOther()
-		second := reg
-		second.Value.Address = "127.0.0.1:2"
-		if err := Register(other, t.Context(), writer(t, kind, r), second); err != nil {
-			t.Error(err)
-		}
-		if state() != "ready" {
-			t.Errorf("another of the same name: %s", state())
-		}
+		n := newRegistered(t, kind)
+		stop, ended := n.register()
+		testutil.Eventually(t, "the node", func() bool { return n.state() == "ready" })
+		n.recordStates()
+		n.registry.ExpireLeases()
+		testutil.Eventually(t, "its return", func() bool { return n.states() == "gone ready" })
+		n.checkSecondOfTheName()
 		stop()
 		if err := testutil.Receive(t, ended, "its end"); err != nil {
 			t.Error(err)
 		}
-		testutil.Eventually(t, "its going", func() bool { return state() == "gone" })
-		mu.Lock()
-		if got := strings.Join(seen, " "); got != "gone ready draining gone" {
+		testutil.Eventually(t, "its going", func() bool { return n.state() == "gone" })
+		if got := n.states(); got != "gone ready draining gone" {
 			t.Errorf("it was %s", got)
 		}
-		mu.Unlock()
-		// Dead without a word: its lease ends by itself. One that starts again before that takes its place.
-		lease, err := w.Grant(t.Context(), time.Second)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := w.Put(t.Context(), "n1", value(t, "127.0.0.1:1", "ready"), 0, lease); err != nil {
-			t.Fatal(err)
-		}
-		again, stopAgain := context.WithCancel(t.Context())
-		go func() { ended <- Register(again, t.Context(), w, reg) }()
-		time.Sleep(1500 * time.Millisecond) // the old lease has ended, and the entry is the new one's
-		if state() != "ready" {
-			t.Errorf("%s after the end of its last life's lease", state())
-		}
-		stopAgain()
-		testutil.Receive(t, ended, "its end")
-		if err := w.Put(t.Context(), "n1", value(t, "127.0.0.1:1", "ready"), 0, "4711"); !errors.Is(err, ErrLeaseEnded) {
+		n.checkRestart()
+		err := n.writer.Put(t.Context(), "n1", value(t, "127.0.0.1:1", "ready"), 0, "4711")
+		if !errors.Is(err, ErrLeaseEnded) {
 			t.Errorf("under a lease that there isn't: %v", err)
 		}
 	})
 }
+
+// registered is a node n1 that registers itself, and a proxy that follows the registry.
+type registered struct {
+	t            *testing.T
+	kind         string
+	registry     *standin.Registry
+	writer       Writer
+	proxy        *follower
+	registration Registration
+
+	mu   sync.Mutex
+	seen []string // states in which the proxy saw the node
+}
+
+func newRegistered(t *testing.T, kind string) *registered {
+	t.Helper()
+	r := start(t)
+	return &registered{
+		t: t, kind: kind, registry: r, writer: writer(t, kind, r), proxy: follow(t, config(kind, r), plain()),
+		registration: Registration{
+			Name: "n1", Value: Value{Address: "127.0.0.1:1", Zone: "koper"}, TTL: time.Second, DrainTime: 300 * time.Millisecond, Logf: t.Logf,
+		},
+	}
+}
+
+// register registers the node until it is stopped; then it tells the error.
+func (n *registered) register() (stop func(), ended chan error) {
+	ctx, stop := context.WithCancel(n.t.Context())
+	ended = make(chan error, 1)
+	go func() { ended <- Register(ctx, n.t.Context(), n.writer, n.registration) }()
+	return stop, ended
+}
+
+// stateOfNode is the node's state in a proxy's list.
+func stateOfNode(list map[string]membership.Entry) string {
+	entry, listed := list["n1"]
+	switch {
+	case !listed:
+		return "gone"
+	case entry.Draining:
+		return "draining"
+	}
+	return "ready"
+}
+
+func (n *registered) state() string {
+	n.proxy.mu.Lock()
+	defer n.proxy.mu.Unlock()
+	return stateOfNode(n.proxy.list)
+}
+
+// recordStates records each state that the proxy sees from now on.
+func (n *registered) recordStates() {
+	n.proxy.mu.Lock()
+	defer n.proxy.mu.Unlock()
+	n.proxy.seen = func() {
+		state := stateOfNode(n.proxy.list)
+		n.mu.Lock()
+		defer n.mu.Unlock()
+		if len(n.seen) == 0 || n.seen[len(n.seen)-1] != state {
+			n.seen = append(n.seen, state)
+		}
+	}
+}
+
+func (n *registered) states() string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return strings.Join(n.seen, " ")
+}
+
+// checkSecondOfTheName checks that another node of the same name does not get in, and does no harm.
+func (n *registered) checkSecondOfTheName() {
+	n.t.Helper()
+	ctx, cancel := context.WithTimeout(n.t.Context(), 400*time.Millisecond)
+	defer cancel()
+	second := n.registration
+	second.Value.Address = "127.0.0.1:2"
+	if err := Register(ctx, n.t.Context(), writer(n.t, n.kind, n.registry), second); err != nil {
+		n.t.Error(err)
+	}
+	if n.state() != "ready" {
+		n.t.Errorf("another of the same name: %s", n.state())
+	}
+}
+
+// checkRestart checks that a node that starts again before the lease of its last incarnation has ended takes that
+// one's place.
+func (n *registered) checkRestart() {
+	n.t.Helper()
+	lease, err := n.writer.Grant(n.t.Context(), time.Second)
+	if err != nil {
+		n.t.Fatal(err)
+	}
+	if err := n.writer.Put(n.t.Context(), "n1", value(n.t, "127.0.0.1:1", "ready"), 0, lease); err != nil {
+		n.t.Fatal(err)
+	}
+	stop, ended := n.register()
+	time.Sleep(1500 * time.Millisecond) // the old lease has ended, and the entry is the new one's
+	if n.state() != "ready" {
+		n.t.Errorf("%s after the end of its last incarnation's lease", n.state())
+	}
+	stop()
+	if err := testutil.Receive(n.t, ended, "its end"); err != nil {
+		n.t.Error(err)
+	}
+}
