--- a/cmd/marlreelctl/fleet.go
+++ b/cmd/marlreelctl/fleet.go
@@ -24,7 +24,7 @@
 	"marlreel/internal/fleet"
 	"marlreel/internal/fleet/agree"
 	"marlreel/internal/fleet/rules"
-	"marlreel/internal/wire"
+	"marlreel/internal/simwire"
 )
 
 type fleetCmd struct {
@@ -54,7 +54,7 @@
 		if file == "" {
 			return nil, &UsageError{"--socket or --config is missing: the operators' socket of a proxy on this machine, or the file with [fleet]"}
 		}
-		own, err := config.LoadMarlreel(file)
+		own, err := config.LoadOperator(file)
 		if err != nil {
 			return nil, err
 		}
@@ -279,7 +279,7 @@
 		if err := json.Unmarshal([]byte(text), &tree); err != nil {
 			return nil, err
 		}
-		if c, err := wire.ParseSettings([]byte(text)); err == nil {
+		if c, err := simwire.ParseSettings([]byte(text)); err == nil {
 			read = append(read, c)
 		}
 		all := map[string]string{}
--- a/internal/balancer/memory_test.go
+++ b/internal/balancer/learnedstate_test.go
@@ -13,8 +13,8 @@
 	"marlreel/internal/process/learnedstate"
 )
 
-// memoryOf is all that a balancer has learnt.
-func memoryOf(b *Balancer, now time.Duration) *learnedstate.State {
+// learnedStateOf is all that a balancer has learnt.
+func learnedStateOf(b *Balancer, now time.Duration) *learnedstate.State {
 	s := b.LearnedState(now)
 	ids := b.LearnedBackends()
 	slices.Sort(ids)
@@ -25,14 +25,14 @@
 	return &s
 }
 
-// leaves calls for each number and truth value within v.
-func leaves(v reflect.Value, path string, each func(path string, v reflect.Value)) {
+// forEachValue calls for each number and truth value within v.
+func forEachValue(v reflect.Value, path string, each func(path string, v reflect.Value)) {
 	switch v.Kind() {
 	case reflect.Float64, reflect.Int64, reflect.Int, reflect.Bool:
 		each(path, v)
 	case reflect.Slice, reflect.Array:
 		for i := range v.Len() {
-			leaves(v.Index(i), fmt.Sprintf("%s[%d]", path, i), each)
+			forEachValue(v.Index(i), fmt.Sprintf("%s[%d]", path, i), each)
 		}
 	case reflect.Struct:
 		if v.Type() == reflect.TypeFor[time.Time]() {
@@ -40,85 +40,92 @@
 		}
 		for i := range v.NumField() {
 			if f := v.Type().Field(i); f.IsExported() {
-				leaves(v.Field(i), path+"."+f.Name, each)
+				forEachValue(v.Field(i), path+"."+f.Name, each)
 			}
 		}
 	}
 }
 
-// Each field of what was learnt is taken over: what one process says of it, the next one would
-// say as well.
-func TestEveryFieldIsTakenOver(t *testing.T) {
-	const now = 100 * second
-	cfg := testConfig()
-	cfg.Instances, cfg.Tenants = 1, []Tenant{{Name: "a", Share: 1}}
-	fresh := func() *Balancer {
-		b, _ := newBalancer(t, cfg, 2)
-		return b
+// restorable is a state in which every field may be set to another value and restored.
+func restorable(t *testing.T, cfg Config, now time.Duration) *learnedstate.State {
+	t.Helper()
+	b, _ := newBalancer(t, cfg, 2)
+	for i := range b.delayModels {
+		for range 10 {
+			b.delayModels[i].add(0, 40)
+		}
 	}
-	base := func() *learnedstate.State {
-		b := fresh()
-		for i := range b.delayModels {
-			for range 10 {
-				b.delayModels[i].add(0, 40, classRetention)
-			}
+	b.meanWindow, b.meanExpectedDelay, b.meanWork = 10, 40, 40
+	for _, x := range b.targets {
+		x.lastOK, x.warmupStarted, x.warmupTokensAt, x.warmupTokens = now-second, now-2*second, now, -40
+	}
+	return learnedStateOf(b, now)
+}
+
+// setValue sets the value at a path of a state to one that follows from x, and gives it.
+func setValue(s *learnedstate.State, path string, x float64) (set float64) {
+	forEachValue(reflect.ValueOf(s).Elem(), "", func(p string, v reflect.Value) {
+		if p != path {
+			return
 		}
-		b.meanWindow, b.meanExpectedDelay, b.meanWork = 10, 40, 40
-		for _, t := range b.targets {
-			t.lastOK, t.warmupStarted, t.warmupTokensAt, t.warmupTokens = now-second, now-2*second, now, -40
+		switch v.Kind() {
+		case reflect.Float64:
+			v.SetFloat(x)
+		case reflect.Int64:
+			v.SetInt(int64(x * float64(100*milli)))
+		case reflect.Int:
+			v.SetInt(int64(x * 8))
+		case reflect.Bool:
+			v.SetBool(!v.Bool())
 		}
-		return memoryOf(b, now)
-	}
-	// What is not the module's, or no value of its own.
+		set = valueOf(v)
+	})
+	return set
+}
+
+// isRestored tells whether a value at a path, if x gives one, is what the next process says of it too.
+func isRestored(t *testing.T, cfg Config, now time.Duration, path string, x float64) bool {
+	t.Helper()
+	s := restorable(t, cfg, now)
+	want := setValue(s, path, x)
+	b, _ := newBalancer(t, cfg, 2)
+	b.Restore(now, 0, s)
+	got := math.NaN()
+	forEachValue(reflect.ValueOf(learnedStateOf(b, now)).Elem(), "", func(p string, v reflect.Value) {
+		if p == path {
+			got = valueOf(v)
+		}
+	})
+	return math.Abs(got-want) <= 1e-9*math.Abs(want)
+}
+
+// Each field of the learned state is restored: what one process says of it, the next one says as well.
+func TestEveryFieldIsRestored(t *testing.T) {
+	const now = 100 * second
+	cfg := testConfig()
+	cfg.Instances, cfg.Tenants = 1, []Tenant{{Name: "a", TrafficShare: 1}}
+	// What is not the balancer's, or no value of its own.
 	others := map[string]bool{".Backends[0].ID": true, ".Backends[1].ID": true}
-	tried, missed := 0, []string(nil)
-	leaves(reflect.ValueOf(base()).Elem(), "", func(path string, _ reflect.Value) {
+	checked := 0
+	forEachValue(reflect.ValueOf(restorable(t, cfg, now)).Elem(), "", func(path string, _ reflect.Value) {
 		if others[path] || strings.HasPrefix(path, ".Connections") {
 			return
 		}
-		tried++
+		checked++
 		// One of these is within every field's bounds.
 		for _, x := range []float64{0.25, 1.5, 12.5, -0.25} {
-			s, want := base(), 0.0
-			leaves(reflect.ValueOf(s).Elem(), "", func(p string, v reflect.Value) {
-				if p != path {
-					return
-				}
-				switch v.Kind() {
-				case reflect.Float64:
-					v.SetFloat(x)
-				case reflect.Int64:
-					v.SetInt(int64(x * float64(100*milli)))
-				case reflect.Int:
-					v.SetInt(int64(x * 8))
-				case reflect.Bool:
-					v.SetBool(!v.Bool())
-				}
-				want = number(v)
-			})
-			b := fresh()
-			b.Restore(now, 0, s)
-			got := math.NaN()
-			leaves(reflect.ValueOf(memoryOf(b, now)).Elem(), "", func(p string, v reflect.Value) {
-				if p == path {
-					got = number(v)
-				}
-			})
-			if math.Abs(got-want) <= 1e-9*math.Abs(want) {
+			if isRestored(t, cfg, now, path, x) {
 				return
 			}
 		}
-		missed = append(missed, path)
+		t.Errorf("%s is not restored", path)
 	})
-	if tried < 100 {
-		t.Errorf("only %d fields were tried", tried)
-	}
-	for _, path := range missed {
-		t.Errorf("%s is not taken over", path)
+	if checked < 100 {
+		t.Errorf("only %d fields were checked", checked)
 	}
 }
 
-func number(v reflect.Value) float64 {
+func valueOf(v reflect.Value) float64 {
 	switch v.Kind() {
 	case reflect.Float64:
 		return v.Float()
@@ -130,7 +137,7 @@
 
 // What was learnt grows old: sums fade, ejections end, starts lie further back, and what has
 // started since is another one.
-func TestWhatWasLearntGrowsOld(t *testing.T) {
+func TestLearnedStateAges(t *testing.T) {
 	const now, away = 100 * second, 3 * second
 	from, _ := newBalancer(t, testConfig(), 3)
 	for _, x := range from.targets {
@@ -138,11 +145,11 @@
 		x.delays.Add(8, now, from.decayTime)
 		x.answers.Add(4, now, from.decayTime)
 	}
-	s := memoryOf(from, now)
+	s := learnedStateOf(from, now)
 	to, _ := newBalancer(t, testConfig(), 0)
 	all := list(3)
 	all[2].Started = now + away - second
-	to.OnMembership(now+away, Membership{Kind: ListFull, Backends: all})
+	to.OnMembership(now+away, Membership{Kind: MembershipFull, Backends: all})
 	to.Restore(now+away, away, s)
 	a, c := to.byID[1], to.byID[3]
 	left := 4 * math.Exp(-away.Seconds()/to.decayTime.Seconds())
@@ -162,7 +169,7 @@
 
 // A process that has had answers itself believes them, and budgets are never more than either
 // side has left.
-func TestItsOwnWordStands(t *testing.T) {
+func TestOwnEvidenceStands(t *testing.T) {
 	const now = 100 * second
 	from, _ := newBalancer(t, testConfig(), 2)
 	to, _ := newBalancer(t, testConfig(), 2)
@@ -174,7 +181,7 @@
 	mine := to.byID[1]
 	mine.answers.Add(1, now, to.decayTime)
 	mine.warmupStarted, mine.warmupTokens = now-second, -7
-	to.Restore(now, 0, memoryOf(from, now))
+	to.Restore(now, 0, learnedStateOf(from, now))
 	if !mine.healthy || to.byID[2].healthy {
 		t.Errorf("healthy: %v by own answers, %v by the other's word", mine.healthy, to.byID[2].healthy)
 	}
@@ -182,7 +189,7 @@
 		t.Errorf("budgets: %v of cold work, %v of retries", mine.warmupTokens, to.retryTokens)
 	}
 	from.retryTokens = 1
-	to.Restore(now, 0, memoryOf(from, now))
+	to.Restore(now, 0, learnedStateOf(from, now))
 	if to.retryTokens != 1 {
 		t.Errorf("%v retries, the other process has one left", to.retryTokens)
 	}
@@ -190,12 +197,12 @@
 
 // The rules hold over any hand-over, whatever the next process is told: the truth, nothing, or
 // nonsense.
-func TestTheFourRulesOverHandOvers(t *testing.T) {
+func TestObligationsOverHandovers(t *testing.T) {
 	for name, tell := range map[string]func(rng *rand.Rand, s *learnedstate.State){
 		"the truth": func(*rand.Rand, *learnedstate.State) {},
 		"nonsense": func(rng *rand.Rand, s *learnedstate.State) {
 			signs := rng.IntN(4) == 0
-			leaves(reflect.ValueOf(s).Elem(), "", func(path string, v reflect.Value) {
+			forEachValue(reflect.ValueOf(s).Elem(), "", func(path string, v reflect.Value) {
 				if len(path) > 3 && path[len(path)-3:] == ".ID" || rng.IntN(3) > 0 {
 					return
 				}
@@ -218,8 +225,8 @@
 	} {
 		taken := 0
 		for seed := range uint64(40) {
-			broken := day(t, seed, func(rng *rand.Rand, now time.Duration, from, to *Balancer) {
-				s := memoryOf(from, now)
+			broken := playRandomScenario(t, seed, func(rng *rand.Rand, now time.Duration, from, to *Balancer) {
+				s := learnedStateOf(from, now)
 				tell(rng, s)
 				if s.Check() == nil {
 					taken++
@@ -241,22 +248,22 @@
 
 // A day on which all proxies are replaced while one node is silent for bids, one is slow and
 // one fails all: what is served in the four seconds after it with what was learnt, and without.
-func TestMemorySparesTheNextProcess(t *testing.T) {
+func TestLearnedStateHelpsTheNextProcess(t *testing.T) {
 	const seeds, at = 6, 16 * second
 	var with, without []float64
 	for seed := range uint64(seeds) {
 		for _, remembers := range []bool{false, true} {
-			w := newLoop(t, seed, 9, 3, 0.55)
+			w := newSimulation(t, seed, 9, 3, 0.55)
 			w.faults = []fault{
-				{class: bid, backends: []int{1}, from: 5 * second, to: time.Hour, silent: 1},
-				{class: bid, backends: []int{2}, from: 5 * second, to: time.Hour, slower: 4},
-				{class: lotList, backends: []int{2}, from: 5 * second, to: time.Hour, slower: 4},
-				{class: pickup, backends: []int{4}, from: 5 * second, to: time.Hour, failing: 1},
+				{class: bid, backends: []int{1}, from: 5 * second, to: time.Hour, unansweredRatio: 1},
+				{class: bid, backends: []int{2}, from: 5 * second, to: time.Hour, slowdown: 4},
+				{class: lotList, backends: []int{2}, from: 5 * second, to: time.Hour, slowdown: 4},
+				{class: pickup, backends: []int{4}, from: 5 * second, to: time.Hour, errorRatio: 1},
 			}
 			w.run(at)
-			w.takeOver(t, func(from, to *Balancer) {
+			w.handOver(t, func(from, to *Balancer) {
 				if remembers {
-					to.Restore(w.now, 0, memoryOf(from, w.now))
+					to.Restore(w.now, 0, learnedStateOf(from, w.now))
 				}
 			})
 			w.reset()
--- a/internal/dataplane/httpproxy/handon_test.go
+++ b/internal/dataplane/httpproxy/handon_test.go
@@ -45,7 +45,9 @@
 	served := make(chan error, 1)
 	go func() { served <- front.Serve(ln) }()
 	// The engine begins with the list that it was made with, and that has none.
-	front.engine.Post(func() { front.engine.List(engine.List{Kind: balancer.ListFull, Version: 1, Entries: entries}) })
+	front.engine.Post(func() {
+		front.engine.ApplyMembership(engine.Membership{Kind: balancer.MembershipFull, Version: 1, Entries: entries})
+	})
 	t.Cleanup(func() {
 		front.http.Close()
 		front.clients.close()
@@ -228,7 +230,7 @@
 		body := strings.Repeat("abcdefgh", 96<<10/8)
 		client := testutil.Dial(t, ln.Addr().String())
 		const others = 680 << 10
-		if !old.room.Take(others, budget.Large) {
+		if !old.room.TryAcquire(others, budget.Large) {
 			t.Fatal("no room to take")
 		}
 		fmt.Fprintf(client, "POST /bid/x HTTP/1.1\r\nHost: a\r\nX-Account: obala\r\nX-Time-Left: 9000m\r\n%s: 00000000000000aa\r\nContent-Length: %d\r\n\r\n",
@@ -243,7 +245,7 @@
 			return false
 		}
 		eventually(t, "it to be on its way", partly)
-		old.room.Give(others, budget.Large)
+		old.room.Release(others, budget.Large)
 		run()
 		io.WriteString(client, body[40<<10:80<<10])
 		eventually(t, "all to be read", func() bool {
--- a/internal/discovery/platformwatch/list.go
+++ b/internal/discovery/platformwatch/list.go
@@ -104,6 +104,6 @@
 }
 
 // ForEngine is the list in the engine's form.
-func (l *List) ForEngine(kind balancer.ListKind, entries []engine.Entry) engine.List {
-	return engine.List{Kind: kind, Version: l.Generation, Entries: entries}
+func (l *List) ForEngine(kind balancer.MembershipKind, entries []engine.Entry) engine.Membership {
+	return engine.Membership{Kind: kind, Version: l.Generation, Entries: entries}
 }
--- a/internal/discovery/platformwatch/source.go
+++ b/internal/discovery/platformwatch/source.go
@@ -13,7 +13,7 @@
 // Sink handles what the source reports. OnList is called on the goroutine that Post leads to.
 type Sink interface {
 	Post(event func())
-	OnList(l engine.List)
+	OnList(l engine.Membership)
 }
 
 // Config is what a Source follows, and how.
@@ -173,13 +173,13 @@
 
 // handleList hands on what an address has brought.
 func (s *Source) handleList(w *watcher, l *List) {
-	kind := balancer.ListDelta
+	kind := balancer.MembershipDelta
 	switch {
 	case l.onlyDrains:
-		s.sink.OnList(engine.List{Kind: kind, Version: s.version, Entries: l.entries})
+		s.sink.OnList(engine.Membership{Kind: kind, Version: s.version, Entries: l.entries})
 		return
 	case l.Reset:
-		kind = balancer.ListFull
+		kind = balancer.MembershipFull
 	case s.versionAddr == w.addr && l.Generation < s.version:
 		return // a resync has brought it, and more
 	}
--- a/internal/discovery/platformwatch/source_test.go
+++ b/internal/discovery/platformwatch/source_test.go
@@ -22,10 +22,10 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // sink runs what is posted at once.
-type sink struct{ lists []engine.List }
+type sink struct{ lists []engine.Membership }
 
-func (s *sink) Post(event func())    { event() }
-func (s *sink) OnList(l engine.List) { s.lists = append(s.lists, l) }
+func (s *sink) Post(event func())          { event() }
+func (s *sink) OnList(l engine.Membership) { s.lists = append(s.lists, l) }
 
 func newSource(t *testing.T, onRequest bool) *Source {
 	s := New(Config{Addr: testutil.ClosedAddr(t), Timings: TimingsFor(onRequest, 3), Logf: func(string, ...any) {}}, 41, &sink{})
@@ -123,7 +123,7 @@
 		t.Fatalf("%v", err)
 	}
 	d.onList(l)
-	if len(got.lists) != 1 || got.lists[0].Kind != balancer.ListDelta || got.lists[0].Version != 41 || len(got.lists[0].Entries) != 2 || s.version != 41 {
+	if len(got.lists) != 1 || got.lists[0].Kind != balancer.MembershipDelta || got.lists[0].Version != 41 || len(got.lists[0].Entries) != 2 || s.version != 41 {
 		t.Errorf("%+v, version %d", got.lists, s.version)
 	}
 }
--- a/internal/discovery/registry/config.go
+++ b/internal/discovery/registry/config.go
@@ -9,32 +9,32 @@
 	"strings"
 	"time"
 
-	"marlreel/internal/strict"
+	"marlreel/internal/stricttoml"
 )
 
 // Config is the table [registry] of the settings.
 type Config struct {
-	Kind            string      `toml:"kind"`          // etcd, consul; "" is off
-	Endpoints       []string    `toml:"endpoints"`     // http://host:port, or https
-	Prefix          string      `toml:"prefix"`        // of the nodes' keys
-	User            string      `toml:"user"`          // of etcd
-	PasswordFile    string      `toml:"password-file"` // holds the password, or Consul's token
-	CA              string      `toml:"ca"`            // files, PEM
-	Cert            string      `toml:"cert"`
-	Key             string      `toml:"key"`
-	LossTimeout     strict.Span `toml:"patience"` // how long an unreachable registry's list stays in force
-	FailbackDelay   strict.Span `toml:"settle"`   // how long it must be reachable before its list is in force again
-	MaxLossFraction float64     `toml:"guard"`    // of the list, above 0 to 1, that may go within LossWindow
-	LossWindow      strict.Span `toml:"guard-over"`
-	MaxFlaps        float64     `toml:"flaps"` // returns within FlapDecay after which an entry is damped; 0 is no bound
-	FlapDecay       strict.Span `toml:"flap-over"`
+	Kind            string              `toml:"kind"`          // etcd, consul; "" is off
+	Endpoints       []string            `toml:"endpoints"`     // http://host:port, or https
+	Prefix          string              `toml:"prefix"`        // of the nodes' keys
+	User            string              `toml:"user"`          // of etcd
+	PasswordFile    string              `toml:"password-file"` // holds the password, or Consul's token
+	CA              string              `toml:"ca"`            // files, PEM
+	Cert            string              `toml:"cert"`
+	Key             string              `toml:"key"`
+	LossTimeout     stricttoml.Duration `toml:"patience"` // how long an unreachable registry's list stays in force
+	FailbackDelay   stricttoml.Duration `toml:"settle"`   // how long it must be reachable before its list is in force again
+	MaxLossFraction float64             `toml:"guard"`    // of the list, above 0 to 1, that may go within LossWindow
+	LossWindow      stricttoml.Duration `toml:"guard-over"`
+	MaxFlaps        float64             `toml:"flaps"` // returns within FlapDecay after which an entry is damped; 0 is no bound
+	FlapDecay       stricttoml.Duration `toml:"flap-over"`
 }
 
 // DefaultConfig returns the defaults, with no registry.
 func DefaultConfig() Config {
 	return Config{
-		Prefix: "marlreel/nodes/", LossTimeout: strict.Span(30 * time.Second), FailbackDelay: strict.Span(10 * time.Second), MaxLossFraction: 0.5,
-		LossWindow: strict.Span(30 * time.Second), MaxFlaps: 6, FlapDecay: strict.Span(30 * time.Second),
+		Prefix: "marlreel/nodes/", LossTimeout: stricttoml.Duration(30 * time.Second), FailbackDelay: stricttoml.Duration(10 * time.Second), MaxLossFraction: 0.5,
+		LossWindow: stricttoml.Duration(30 * time.Second), MaxFlaps: 6, FlapDecay: stricttoml.Duration(30 * time.Second),
 	}
 }
 
@@ -51,7 +51,7 @@
 	}
 	switch {
 	case c.Kind != "etcd" && c.Kind != "consul":
-		return &SettingError{"registry.kind", fmt.Sprintf(" = %q: etcd or consul is needed%s", c.Kind, strict.Closest(c.Kind, []string{"etcd", "consul"}))}
+		return &SettingError{"registry.kind", fmt.Sprintf(" = %q: etcd or consul is needed%s", c.Kind, stricttoml.SuggestClosest(c.Kind, []string{"etcd", "consul"}))}
 	case len(c.Endpoints) == 0 || len(c.Endpoints) > 16:
 		return &SettingError{"registry.endpoints", fmt.Sprintf(": 1 to 16 are needed, and there are %d", len(c.Endpoints))}
 	case c.Prefix == "" || len(c.Prefix) > 512 || strings.ContainsAny(c.Prefix, "?#\r\n"):
--- a/internal/discovery/sources/convert.go
+++ b/internal/discovery/sources/convert.go
@@ -13,27 +13,27 @@
 // emitList gives the engine a complete list.
 func (s *Source) emitList(list map[string]membership.Entry, cached bool) {
 	s.listVersion++
-	l := engine.List{Kind: balancer.ListFull, Version: s.listVersion, Entries: make([]engine.Entry, 0, len(list))}
+	l := engine.Membership{Kind: balancer.MembershipFull, Version: s.listVersion, Entries: make([]engine.Entry, 0, len(list))}
 	if cached {
-		l.Kind = balancer.ListCached
+		l.Kind = balancer.MembershipCached
 	}
 	for _, name := range slices.Sorted(maps.Keys(list)) {
 		l.Entries = append(l.Entries, s.toEngine(name, list[name]))
 	}
-	s.host.List(l)
+	s.host.ApplyMembership(l)
 }
 
 // emitDelta gives the engine a change.
 func (s *Source) emitDelta(delta membership.Delta) {
 	s.listVersion++
-	l := engine.List{Kind: balancer.ListDelta, Version: s.listVersion}
+	l := engine.Membership{Kind: balancer.MembershipDelta, Version: s.listVersion}
 	for _, name := range delta.Removed { // first: another may have the address now
 		l.Entries = append(l.Entries, engine.Entry{Name: name, Zone: -1, Kind: -1, State: balancer.Gone})
 	}
 	for _, name := range slices.Sorted(maps.Keys(delta.Changed)) {
 		l.Entries = append(l.Entries, s.toEngine(name, delta.Changed[name]))
 	}
-	s.host.List(l)
+	s.host.ApplyMembership(l)
 }
 
 // toEngine is an entry in the engine's form. Unknown zones and kinds are -1.
@@ -74,7 +74,7 @@
 		Draining: b.State == balancer.Draining, Weight: b.Weight,
 	}
 	if b.Started > 0 {
-		entry.Started = s.host.Wall(b.Started).UnixMilli()
+		entry.Started = s.host.WallTime(b.Started).UnixMilli()
 	}
 	return entry
 }
--- a/internal/discovery/sources/platformsink.go
+++ b/internal/discovery/sources/platformsink.go
@@ -16,12 +16,12 @@
 func (p platformSink) Post(event func()) { p.host.Post(event) }
 
 // OnList implements platformwatch.Sink.
-func (p platformSink) OnList(l engine.List) {
+func (p platformSink) OnList(l engine.Membership) {
 	s := p.Source
 	s.platformVersion, s.platformReported = l.Version, true
 	if s.model == nil {
 		s.listVersion = l.Version
-		s.host.List(l)
+		s.host.ApplyMembership(l)
 		return
 	}
 	var puts []membership.Item
@@ -34,7 +34,7 @@
 		puts = append(puts, membership.Item{Name: e.Name, ModRevision: int64(l.Version), Entry: s.fromEngine(e)})
 	}
 	now := s.host.Now()
-	if l.Kind == balancer.ListDelta {
+	if l.Kind == balancer.MembershipDelta {
 		s.apply(s.model.OnUpdate(now, platformIndex, membership.Update{Revision: int64(l.Version), Puts: puts, Deletes: deletes}))
 		return
 	}
--- a/internal/discovery/sources/registrywatch.go
+++ b/internal/discovery/sources/registrywatch.go
@@ -86,7 +86,7 @@
 	})
 	snapshot := membership.Snapshot{Revision: int64(s.platformVersion)}
 	list := map[string]membership.Entry{}
-	s.host.Backends(func(b *engine.Backend) {
+	s.host.EachBackend(func(b *engine.Backend) {
 		item := membership.Item{Name: b.Name, ModRevision: int64(s.platformVersion), Entry: s.fromBackend(b)}
 		snapshot.Items = append(snapshot.Items, item)
 		list[item.Name] = item.Entry
--- a/internal/discovery/sources/source.go
+++ b/internal/discovery/sources/source.go
@@ -14,11 +14,11 @@
 // Host is the part of the engine that a Source uses. All but Post and Now are called on its goroutine.
 type Host interface {
 	Post(event func())
-	List(l engine.List)
+	ApplyMembership(l engine.Membership)
 	Now() time.Duration
-	At(when time.Duration, event func()) *engine.Timer
-	Backends(each func(*engine.Backend))
-	Wall(at time.Duration) time.Time
+	Schedule(when time.Duration, event func()) *engine.Timer
+	EachBackend(each func(*engine.Backend))
+	WallTime(at time.Duration) time.Time
 }
 
 // The indices of the model's sources, in order of preference.
@@ -128,7 +128,7 @@
 		return
 	}
 	s.nextTickAt = next
-	s.host.At(next, func() {
+	s.host.Schedule(next, func() {
 		if s.model != nil && s.nextTickAt == next {
 			s.nextTickAt = 0
 			s.apply(s.model.Tick(s.host.Now()))
--- a/internal/fleet/rules/rules.go
+++ b/internal/fleet/rules/rules.go
@@ -28,7 +28,7 @@
 	m.Tenants = slices.Clone(newer.Tenants)
 	for i, n := range m.Tenants {
 		if k := slices.IndexFunc(older.Tenants, func(o balancer.Tenant) bool { return o.Name == n.Name }); k >= 0 {
-			m.Tenants[i].Share, m.Tenants[i].QuotaPerS = min(n.Share, older.Tenants[k].Share), min(n.QuotaPerS, older.Tenants[k].QuotaPerS)
+			m.Tenants[i].TrafficShare, m.Tenants[i].QuotaPerS = min(n.TrafficShare, older.Tenants[k].TrafficShare), min(n.QuotaPerS, older.Tenants[k].QuotaPerS)
 		}
 	}
 	o, c := &m.Obligations, &m.Caps
@@ -40,7 +40,7 @@
 	o.WarmupDuration, o.OverloadWindow = max(o.WarmupDuration, older.Obligations.WarmupDuration), max(o.OverloadWindow, older.Obligations.OverloadWindow)
 	c.MaxAttempts = min(c.MaxAttempts, older.Caps.MaxAttempts)
 	c.MaxRetryAfter = min(c.MaxRetryAfter, older.Caps.MaxRetryAfter)
-	c.Cancel, c.Peers, c.Probes = c.Cancel && older.Caps.Cancel, c.Peers && older.Caps.Peers, c.Probes && older.Caps.Probes
+	c.Cancel, c.Peers, c.HealthChecks = c.Cancel && older.Caps.Cancel, c.Peers && older.Caps.Peers, c.HealthChecks && older.Caps.HealthChecks
 	c.RetryAfter, c.Hedging = c.RetryAfter && older.Caps.RetryAfter, c.Hedging && older.Caps.Hedging
 	return m
 }
