--- a/internal/controlplane/operator_handlers.go
+++ b/internal/controlplane/operator_handlers.go
@@ -141,7 +141,7 @@
 // cut off, finds requests whose callers have turned to another process long since, and gone on.
 func callerConnected(ctx *fasthttp.RequestCtx) bool {
 	conn := ctx.Conn()
-	return conn == nil || sockets.PeerIsThere(conn)
+	return conn == nil || sockets.PeerConnected(conn)
 }
 
 func rejectDisconnected(ctx *fasthttp.RequestCtx) {
--- a/internal/dataplane/engine/engine_test.go
+++ b/internal/dataplane/engine/engine_test.go
@@ -26,7 +26,7 @@
 
 func (c *clientCall) HandleAnswer(_ *Call, a Answer) { c.answers = append(c.answers, a) }
 
-// manualEngine is an engine that the test moves by hand, timer by timer.
+// manualEngine is an engine that the test drives by hand, timer by timer.
 type manualEngine struct {
 	*Engine
 	carrier *manualCarrier
@@ -57,9 +57,9 @@
 	return c
 }
 
-// The module may forget a request or be wrong about its time. The client still
-// has its answer before it leaves, and nothing is sent for it from then on.
-func TestBackstopAnswersBeforeTheDeadline(t *testing.T) {
+// The balancer may forget a request or be wrong about its time. The client still has its answer before its deadline, and
+// nothing is sent for it from then on.
+func TestDeadlineTimerAnswersBeforeTheDeadline(t *testing.T) {
 	t.Parallel()
 	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
 	c := l.submit(1, time.Minute)
@@ -67,19 +67,19 @@
 		t.Fatalf("%d attempts", len(c.attempts))
 	}
 	var last *Timer
-	for len(l.timers) > 0 { // the backstop alone: the attempt's own end and the module's timers are passed over
+	for len(l.timers) > 0 { // the deadline timer alone: the attempt's timeout and the balancer's timers are passed over
 		if last = heap.Pop(&l.timers).(*Timer); last.at == c.Deadline-MaxDeadlineMargin {
 			break
 		}
 	}
 	if last.at != c.Deadline-MaxDeadlineMargin {
-		t.Fatal("no backstop is set")
+		t.Fatal("no deadline timer is set")
 	}
 	l.Dispatch(last.event)
 	if len(c.answers) != 1 || c.answers[0].Verdict != TimedOut {
-		t.Fatalf("the backstop's answer: %+v", c.answers)
+		t.Fatalf("the deadline timer's answer: %+v", c.answers)
 	}
-	if _, held := l.calls[c.ID]; held {
+	if _, open := l.calls[c.ID]; open {
 		t.Error("the call is still in the table")
 	}
 	l.Dispatch(func() { host{l.Engine}.Send(c.ID, l.backends.id("s-1"), 0, 0) })
@@ -89,8 +89,8 @@
 	}
 }
 
-// An attempt ends early enough for the module to hear of it before the backstop.
-func TestAttemptEndsBeforeTheBackstop(t *testing.T) {
+// An attempt times out early enough for the balancer to hear of it before the deadline timer.
+func TestAttemptTimesOutBeforeTheDeadlineTimer(t *testing.T) {
 	t.Parallel()
 	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
 	c := l.submit(1, time.Second)
@@ -101,7 +101,7 @@
 
 // A client that waits for a moment alone has most of that moment: the engine's margin is a
 // small part of it, as it is of a long wait.
-func TestAShortWaitIsNotSpentOnMargins(t *testing.T) {
+func TestDeadlineMarginOfShortTimeouts(t *testing.T) {
 	t.Parallel()
 	for _, wait := range []time.Duration{30 * time.Millisecond, 40 * time.Millisecond, 200 * time.Millisecond, time.Second} {
 		l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
@@ -151,8 +151,8 @@
 	}
 }
 
-// A call whose name is another's is not taken; one beyond the bound is refused.
-func TestNamesAndBounds(t *testing.T) {
+// A call whose request ID is another's is not accepted; one beyond the limit is rejected.
+func TestDuplicateIDsAndMaxOpenCalls(t *testing.T) {
 	t.Parallel()
 	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
 	l.cfg.MaxOpenCalls = 2
@@ -161,11 +161,11 @@
 	twin.Front, twin.Deadline = twin, l.Now()+time.Minute
 	l.Dispatch(func() { l.HandleCall(&twin.Call, l.Now()) })
 	if len(twin.answers) != 1 || twin.answers[0].Verdict != DuplicateID {
-		t.Errorf("under another's name: %+v", twin.answers)
+		t.Errorf("under another's request ID: %+v", twin.answers)
 	}
 	l.submit(1, time.Minute)
 	if third := l.submit(1, time.Minute); len(third.answers) != 1 || third.answers[0].Verdict != Overloaded || third.answers[0].RetryAfter != l.RetryAfter() {
-		t.Errorf("beyond the bound: %+v", third.answers)
+		t.Errorf("beyond the limit: %+v", third.answers)
 	}
 	l.Dispatch(func() { l.FailAll(true) })
 	if len(first.answers) != 1 || first.answers[0].Verdict != Stopped {
@@ -173,9 +173,9 @@
 	}
 }
 
-// Who is turned away at the door is told when to come again, where the settings let it be told and
-// within their bound.
-func TestWhenToComeAgain(t *testing.T) {
+// A client that is rejected before the balancer hears of it gets a Retry-After where the settings allow it, within their
+// bound.
+func TestRetryAfterOfRejectedCalls(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		may  bool
@@ -199,8 +199,8 @@
 	}
 }
 
-// What its client is still writing at a stop may come whole yet: it ends last.
-func TestTheStopEndsWhatIsStillComingLast(t *testing.T) {
+// What its client is still writing at a stop may yet be complete: it ends last.
+func TestFailAllEndsReceivingCallsLast(t *testing.T) {
 	t.Parallel()
 	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
 	c := &clientCall{Call: Call{ClientRequestID: "coming", Carrier: l.carrier, Receiving: true, Timeout: time.Second}}
@@ -217,7 +217,7 @@
 }
 
 // Backends come under new names all day. The ones that have gone are forgotten.
-func TestGoneBackendsAreForgotten(t *testing.T) {
+func TestRemovedBackendsAreForgotten(t *testing.T) {
 	t.Parallel()
 	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
 	for i := range 50 {
@@ -269,7 +269,7 @@
 }
 
 // A panic in one event does not end the engine, nor the calls in hand.
-func TestOneBadEventEndsNothing(t *testing.T) {
+func TestPanicInOneEventEndsNothing(t *testing.T) {
 	t.Parallel()
 	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
 	c := l.submit(1, time.Minute)
@@ -280,7 +280,7 @@
 	}
 }
 
-func TestRecentForgets(t *testing.T) {
+func TestRecentNamesForget(t *testing.T) {
 	t.Parallel()
 	r := newRecentNames(time.Second)
 	for i := range 5000 {
@@ -302,7 +302,7 @@
 
 // Where no second copy is allowed, the next attempt waits until the connection of the one that was given up is closed:
 // until then that one is still out, and the backend may yet begin it.
-func TestTheNextAttemptWaitsForTheEndOfTheLast(t *testing.T) {
+func TestNextAttemptWaitsForCancelledOnesEnd(t *testing.T) {
 	t.Parallel()
 	for name, giveUp := range map[string]func(l *manualEngine, a *Attempt){
 		"expired":   func(l *manualEngine, a *Attempt) { a.expire() },
@@ -334,7 +334,7 @@
 
 // What the carrier finds when it is called off goes before the call: an answer that had come, or the proof that
 // nothing ran.
-func TestWhatACalledOffAttemptWasAfterAll(t *testing.T) {
+func TestCancelledAttemptsOwnEndGoesFirst(t *testing.T) {
 	t.Parallel()
 	for result, want := range map[balancer.Result]int{balancer.OK: 1, balancer.NotSent: 0} {
 		l := newManualEngine(t, ready("s-1", "127.0.0.1:1"), ready("s-2", "127.0.0.1:2"))
@@ -351,7 +351,7 @@
 }
 
 // A request that was read by settings in which its tenant's place was another's is refused: it has not run.
-func TestATenantsPlaceMayBeAnothersNow(t *testing.T) {
+func TestCallOfATenantWhoseIndexChanged(t *testing.T) {
 	t.Parallel()
 	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
 	cfg := testutil.Module(t)
--- a/internal/dataplane/engine/learnedstate_test.go
+++ b/internal/dataplane/engine/learnedstate_test.go
@@ -36,7 +36,7 @@
 }
 
 // What is written down holds the engine for a few backends at a time, however many there are.
-func TestLearntIsWrittenDownInParts(t *testing.T) {
+func TestLearnedStateIsCollectedInBatches(t *testing.T) {
 	t.Parallel()
 	const n = 200
 	s, events := engineWithLearnedState(t, n).collect(t)
@@ -50,7 +50,7 @@
 
 // What was learnt is of the backend of a name at an address: not of who is there now under one
 // of them alone, and not of one that has left.
-func TestRestoreMeetsTheList(t *testing.T) {
+func TestRestoreMatchesTheMembership(t *testing.T) {
 	t.Parallel()
 	from := engineWithLearnedState(t, 4)
 	s, _ := from.collect(t)
@@ -70,7 +70,7 @@
 }
 
 // A class that comes while it is written down spoils nothing.
-func TestSettingsChangeWhileItIsWrittenDown(t *testing.T) {
+func TestSettingsChangeDuringCollection(t *testing.T) {
 	t.Parallel()
 	l := engineWithLearnedState(t, 100)
 	var s *learnedstate.State
@@ -91,8 +91,8 @@
 	}
 }
 
-// BenchmarkLearnt writes one part down.
-func BenchmarkLearnt(b *testing.B) {
+// BenchmarkCollectLearnedState collects one batch.
+func BenchmarkCollectLearnedState(b *testing.B) {
 	l := engineWithLearnedState(b, learnedStateBatch)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/dataplane/httpproxy/clients.go
+++ b/internal/dataplane/httpproxy/clients.go
@@ -236,7 +236,7 @@
 		for e := l.Back(); e != nil; e = e.Prev() {
 			c := e.Value.(*client)
 			// Danger: a request that has been read whole is this process's, however long ago that was.
-			if c.whole() || (l != &cs.idle || c.came) && (time.Since(c.progress) < moved || !sockets.Quiet(c.Conn)) {
+			if c.whole() || (l != &cs.idle || c.came) && (time.Since(c.progress) < moved || !sockets.Idle(c.Conn)) {
 				return true
 			}
 		}
@@ -286,7 +286,7 @@
 		if time.Since(c.progress) < since {
 			return nil
 		}
-		if sockets.Quiet(c.Conn) {
+		if sockets.Idle(c.Conn) {
 			return c
 		}
 		l.MoveToBack(c.place)
@@ -406,7 +406,7 @@
 	if c.over.Load() {
 		return false
 	}
-	return sockets.PeerIsThere(c.Conn)
+	return sockets.PeerConnected(c.Conn)
 }
 
 // begins says that the head of a request has come, and tells whether it must be refused: it
--- a/internal/dataplane/httpproxy/clients_test.go
+++ b/internal/dataplane/httpproxy/clients_test.go
@@ -142,7 +142,7 @@
 	asking, far := connect(t, cs)
 	silent, _ := connect(t, cs)
 	io.WriteString(asking, "GET")
-	eventually(t, "the bytes to arrive", func() bool { return !sockets.Quiet(far.Conn) })
+	eventually(t, "the bytes to arrive", func() bool { return !sockets.Idle(far.Conn) })
 	connect(t, cs)
 	testutil.Ends(t, silent, "the silent connection")
 	if _, err := far.Read(make([]byte, 1)); err != nil {
--- a/internal/dataplane/httpproxy/handon_test.go
+++ b/internal/dataplane/httpproxy/handon_test.go
@@ -143,7 +143,7 @@
 				old.clients.mu.Lock()
 				defer old.clients.mu.Unlock()
 				for c := range old.clients.open {
-					return sockets.Quiet(c.Conn)
+					return sockets.Idle(c.Conn)
 				}
 				return false
 			})
@@ -252,7 +252,7 @@
 			old.clients.mu.Lock()
 			defer old.clients.mu.Unlock()
 			for c := range old.clients.open {
-				return sockets.Quiet(c.Conn)
+				return sockets.Idle(c.Conn)
 			}
 			return false
 		})
@@ -386,7 +386,7 @@
 				return false
 			}
 			_, all := c.body.all()
-			return !all && sockets.Quiet(c.Conn)
+			return !all && sockets.Idle(c.Conn)
 		}
 		return false
 	})
--- a/internal/dataplane/httpproxy/park.go
+++ b/internal/dataplane/httpproxy/park.go
@@ -66,7 +66,7 @@
 		switch c := cs.admit(nc); {
 		case c == nil:
 			nc.Close() // every place has a request in hand
-		case !sockets.Quiet(nc):
+		case !sockets.Idle(nc):
 			cs.give(c)
 		default:
 			go c.park()
--- a/internal/dataplane/httpproxy/upload_send.go
+++ b/internal/dataplane/httpproxy/upload_send.go
@@ -49,7 +49,7 @@
 		u.wrote(&at, len(p))
 		// A backend may say early that it won't have it. What it says before the last byte
 		// has come is about the request, and the connection ends with it.
-		if !sockets.Quiet(c.Conn) {
+		if !sockets.Idle(c.Conn) {
 			return c.early(x, unsent)
 		}
 	}
--- a/internal/dataplane/httpproxy/upstream.go
+++ b/internal/dataplane/httpproxy/upstream.go
@@ -45,7 +45,7 @@
 	if c.in.Buffered() > 0 {
 		return false
 	}
-	return sockets.Quiet(c.Conn)
+	return sockets.Idle(c.Conn)
 }
 
 // Message is a request, ready to be sent on any number of times.
--- a/internal/process/transport/guarded_conn.go
+++ b/internal/process/transport/guarded_conn.go
@@ -37,7 +37,7 @@
 
 // Write implements net.Conn. Its error is ErrUnexpectedData where a call can't begin.
 func (c *guardedConn) Write(p []byte) (int, error) {
-	if c.answered && !sockets.Quiet(c.Conn) {
+	if c.answered && !sockets.Idle(c.Conn) {
 		return 0, ErrUnexpectedData
 	}
 	c.answered = false
--- a/internal/process/transport/transport_test.go
+++ b/internal/process/transport/transport_test.go
@@ -97,7 +97,7 @@
 	quiet bool
 }
 
-func (c *quietConn) Quiet() bool { return c.quiet }
+func (c *quietConn) Idle() bool { return c.quiet }
 
 func (c *quietConn) Read(p []byte) (int, error) { return copy(p, "answer"), nil }
 
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -1,59 +1,72 @@
-// Package sockets looks at open connections without waiting and without taking anything from them: whether
-// something has come that belongs to no request, and whether the other side has ended.
 package sockets
 
 import (
+	"errors"
 	"net"
 	"syscall"
 
 	"golang.org/x/sys/unix"
 )
 
-// Quiet tells that a connection is open and has nothing to read.
-func Quiet(nc net.Conn) bool {
-	if simulated, ok := nc.(interface{ Quiet() bool }); ok {
-		return simulated.Quiet()
+type idleReporter interface{ Idle() bool }
+
+type peerReporter interface{ PeerConnected() bool }
+
+// Idle tells whether a connection is open and has nothing to read. What is neither a socket nor has a method Idle counts
+// as idle.
+func Idle(conn net.Conn) bool {
+	if simulated, ok := conn.(idleReporter); ok {
+		return simulated.Idle()
 	}
-	return Look(nc, func(fd uintptr) bool {
+	return inspect(conn, func(fd uintptr) bool {
 		_, err := Peek(fd)
-		return err == syscall.EAGAIN
+		return errors.Is(err, syscall.EAGAIN)
 	})
 }
 
-// PeerIsThere tells whether the other side has not ended, whatever is still to be read of it. A side that has ended
-// its writing has gone.
-func PeerIsThere(nc net.Conn) bool {
-	if simulated, ok := nc.(interface{ PeerIsThere() bool }); ok {
-		return simulated.PeerIsThere()
+// PeerConnected tells whether the peer has not disconnected, whatever is still to be read of it. A peer that has shut
+// down its writing counts as disconnected.
+func PeerConnected(conn net.Conn) bool {
+	if simulated, ok := conn.(peerReporter); ok {
+		return simulated.PeerConnected()
 	}
-	return Look(nc, func(fd uintptr) bool {
-		n, err := Peek(fd)
-		if err != nil || n == 0 {
-			return err == syscall.EAGAIN || err == syscall.EINTR
-		}
-		// Something is there to be read, and the end may stand behind it.
-		poll := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		n, err = unix.Poll(poll, 0)
-		return err != nil || n == 0 || poll[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) == 0
-	})
+	return inspect(conn, peerConnected)
+}
+
+func peerConnected(fd uintptr) bool {
+	n, err := Peek(fd)
+	if err != nil {
+		return errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR)
+	}
+	if n == 0 {
+		return false
+	}
+	// There are bytes to be read, and the end may come behind them.
+	poll := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+	n, err = unix.Poll(poll, 0)
+	if err != nil || n == 0 {
+		return true
+	}
+	return poll[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) == 0
 }
 
-// Look gives what a look at a connection's socket tells: of one that is closed here false, and true of what is no
-// socket.
-func Look(nc net.Conn, at func(fd uintptr) bool) (is bool) {
-	sc, ok := nc.(syscall.Conn)
+// inspect gives what question answers of a connection's socket: false where it is closed here, true where it has none.
+func inspect(conn net.Conn, question func(fd uintptr) bool) bool {
+	socket, ok := conn.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	raw, err := sc.SyscallConn()
+	raw, err := socket.SyscallConn()
 	if err != nil {
 		return false
 	}
-	err = raw.Control(func(fd uintptr) { is = at(fd) })
-	return err == nil && is
+	answer := false
+	err = raw.Control(func(fd uintptr) { answer = question(fd) })
+	return err == nil && answer
 }
 
-// Peek looks for something to read, without waiting or taking it: no byte and no error are the peer's end.
+// Peek looks for bytes to read, without waiting or consuming them: no byte and no error are the peer's end, and
+// syscall.EAGAIN is that there is nothing to read.
 func Peek(fd uintptr) (int, error) {
 	var one [1]byte
 	n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/testing/simnet/conn.go
+++ b/internal/testing/simnet/conn.go
@@ -59,14 +59,14 @@
 	}
 }
 
-// Quiet tells that the connection is open and has nothing to read. sockets.Quiet asks for it.
-func (c *conn) Quiet() bool {
+// Idle tells that the connection is open and has nothing to read. sockets.Idle asks for it.
+func (c *conn) Idle() bool {
 	bytes, end := c.in.unread()
 	return !bytes && !end
 }
 
-// PeerIsThere tells whether the other side has not ended. sockets.PeerIsThere asks for it.
-func (c *conn) PeerIsThere() bool {
+// PeerConnected tells whether the other side has not ended. sockets.PeerConnected asks for it.
+func (c *conn) PeerConnected() bool {
 	_, end := c.in.unread()
 	return !end
 }
