--- a/internal/dataplane/httpproxy/relay.go
+++ b/internal/dataplane/httpproxy/relay.go
@@ -36,16 +36,16 @@
 
 // relayState is a relay in words. Versions that don't know each other's turn it down.
 type relayState struct {
-	Version int
-	Form    string // of the body: sized, chunks, end
-	Left    int64
-	Chunk   chunkState
-	Line    []byte
-	Trailer int
-	Chunked bool
-	Pending []byte
-	Ahead   []byte // read from the backend, and not decoded yet
-	Total   int64
+	Version int `json:"Version"`
+	Form string `json:"Form"` // of the body: sized, chunks, end
+	Left int64 `json:"Left"`
+	Chunk chunkState `json:"Chunk"`
+	Line []byte `json:"Line"`
+	Trailer int `json:"Trailer"`
+	Chunked bool `json:"Chunked"`
+	Pending []byte `json:"Pending"`
+	Ahead []byte `json:"Ahead"` // read from the backend, and not decoded yet
+	Total int64 `json:"Total"`
 }
 
 const relayVersion = 1
