--- a/internal/dataplane/gateway/clientrequest.go
+++ b/internal/dataplane/gateway/clientrequest.go
@@ -69,7 +69,7 @@
 	c.Deadline = arrived + time.Until(r.deadline)
 	s.engine.Post(func() { s.engine.HandleCall(&c.Call, arrived) })
 	answer := r.awaitAnswer(c)
-	if reply, is := answer.Reply.(*httpproxy.Reply); !is || !reply.Streams() {
+	if reply, is := answer.Reply.(*httpproxy.Reply); !is || !reply.Streaming() {
 		r.disconnect.stop()
 	}
 	return answer
@@ -101,7 +101,7 @@
 	if !is {
 		return
 	}
-	streams := reply.Streams()
+	streams := reply.Streaming()
 	reply.Release(r.gateway.memory, false)
 	if streams {
 		r.service.engine.HandleStreamEnd(&r.current.Call, false)
--- a/internal/dataplane/gateway/compatibility_test.go
+++ b/internal/dataplane/gateway/compatibility_test.go
@@ -40,7 +40,7 @@
 				t.Fatal(err)
 			}
 			response.Body.Close()
-			meaning := newDialect(func() string { return "/health" }).Judge(backend, &httpproxy.Message{Probe: probe}, response)
+			meaning := newDialect(func() string { return "/health" }).Judge(backend, &httpproxy.Message{HealthCheck: probe}, response)
 			fmt.Fprintf(&out, "probe %t | %s | %s\n", probe, strings.ReplaceAll(head, "\n", " | "), resultNames[meaning])
 		}
 	}
@@ -51,9 +51,9 @@
 func TestCompatibilityOfHeads(t *testing.T) {
 	backend := &engine.Backend{Name: "i-7f3a91c2", Addr: "10.3.0.1:9000"}
 	dialect := newDialect(func() string { return "/health" })
-	bounds := dialect.Bounds([]byte("POST /chat/2f HTTP/1.1\r\n"), backend, 1234*time.Millisecond)
-	probe := dialect.Probe(backend)
-	text := fmt.Sprintf("%s\n%s %t\n%s", bounds, probe.Method, probe.Probe, probe.Head)
+	bounds := dialect.AppendAttemptHeaders([]byte("POST /chat/2f HTTP/1.1\r\n"), backend, 1234*time.Millisecond)
+	probe := dialect.HealthCheck(backend)
+	text := fmt.Sprintf("%s\n%s %t\n%s", bounds, probe.Method, probe.HealthCheck, probe.Head)
 	recorded.Check(t, "heads.txt", strings.ReplaceAll(text, "\r\n", "\n"))
 
 	for id, mine := range map[string]bool{"9c41d07be2a35f68": true, "": true, "other": false} {
@@ -61,7 +61,7 @@
 		if id != "" {
 			response.Header.Set("Request-Id", id)
 		}
-		if got := dialect.Mine(&httpproxy.Message{ID: "9c41d07be2a35f68"}, response); got != mine {
+		if got := dialect.Matches(&httpproxy.Message{ID: "9c41d07be2a35f68"}, response); got != mine {
 			t.Errorf("an answer with the id %q counts as that of the request: %t", id, got)
 		}
 	}
--- a/internal/dataplane/gateway/handler.go
+++ b/internal/dataplane/gateway/handler.go
@@ -116,7 +116,7 @@
 			ctx.Response.Header.Add(key, value)
 		}
 	}
-	if !reply.Streams() {
+	if !reply.Streaming() {
 		ctx.Response.SetBodyRaw(reply.Body())
 		reply.Release(g.memory, true)
 		return
--- a/internal/dataplane/gateway/protocol.go
+++ b/internal/dataplane/gateway/protocol.go
@@ -30,24 +30,24 @@
 // service's path for health checks.
 func newDialect(healthPath func() string) *httpproxy.Dialect {
 	return &httpproxy.Dialect{
-		Bounds: func(head []byte, to *engine.Backend, wait time.Duration) []byte {
+		AppendAttemptHeaders: func(head []byte, to *engine.Backend, wait time.Duration) []byte {
 			head = append(append(append(head, headerExpected+": "...), to.Name...), "\r\n"...)
 			head = append(head, headerRemaining+": "...)
 			head = strconv.AppendInt(head, max(1, wait.Milliseconds()), 10)
 			return append(head, "\r\n"...)
 		},
 		Judge: classifyAnswer,
-		Mine: func(m *httpproxy.Message, resp *http.Response) bool {
+		Matches: func(m *httpproxy.Message, resp *http.Response) bool {
 			id := resp.Header.Get(headerRequestID)
 			return m.ID == "" || id == "" || id == m.ID
 		},
-		Probe: func(to *engine.Backend) *httpproxy.Message {
+		HealthCheck: func(to *engine.Backend) *httpproxy.Message {
 			return &httpproxy.Message{
-				Method: http.MethodGet, Probe: true,
+				Method: http.MethodGet, HealthCheck: true,
 				Head: []byte("GET " + healthPath() + " HTTP/1.1\r\nHost: " + to.Addr + "\r\n"),
 			}
 		},
-		KeepsFailures: true,
+		ForwardsFailures: true,
 	}
 }
 
@@ -58,7 +58,7 @@
 	switch {
 	case resp.Header.Get(headerNotExecuted) != "" && code >= 400, code == http.StatusMisdirectedRequest:
 		return balancer.Rejected
-	case m.Probe:
+	case m.HealthCheck:
 		if code == http.StatusOK && resp.Header.Get(headerBackendID) == to.Name {
 			return balancer.OK
 		}
--- a/internal/dataplane/gateway/request.go
+++ b/internal/dataplane/gateway/request.go
@@ -53,7 +53,7 @@
 	}
 	return &httpproxy.Message{
 		Method: string(header.Method()), Head: head, Body: body,
-		ID: string(header.Peek(headerRequestID)), Prompt: route.Streaming(),
+		ID: string(header.Peek(headerRequestID)), Streaming: route.Streaming(),
 	}
 }
 
--- a/internal/dataplane/gateway/service.go
+++ b/internal/dataplane/gateway/service.go
@@ -79,8 +79,8 @@
 		return nil, eris.Wrapf(err, "starting the engine of service %s", cfg.Name)
 	}
 	s.carrier = httpproxy.NewCarrier(s.engine, g.maxConnections, nil, g.memory)
-	s.carrier.DialWith(g.dial)
-	s.carrier.Speak(newDialect(func() string { return *s.healthPath.Load() }))
+	s.carrier.SetDialer(g.dial)
+	s.carrier.SetDialect(newDialect(func() string { return *s.healthPath.Load() }))
 	s.engine.AddCarrier(s.carrier)
 	s.engine.SetHealthChecker(s.carrier)
 	if detail := log.V(1); detail.Enabled() {
--- a/internal/dataplane/gateway/streaming.go
+++ b/internal/dataplane/gateway/streaming.go
@@ -60,7 +60,7 @@
 	watch.Go(func() {
 		select {
 		case <-r.disconnect.disconnected:
-			reply.Break()
+			reply.Abort()
 		case <-stopped:
 		}
 	})
@@ -143,7 +143,7 @@
 	if !is {
 		return false
 	}
-	if answer.Verdict != engine.Served || !reply.Streams() {
+	if answer.Verdict != engine.Served || !reply.Streaming() {
 		reply.Release(r.gateway.memory, true)
 		return false
 	}
--- a/internal/dataplane/httpproxy/park.go
+++ b/internal/dataplane/httpproxy/accept.go
@@ -13,61 +13,61 @@
 // small goroutine that waits for its first byte. net/http, with its buffers and all that hangs on
 // a request, gets it only then. So thousands that connect and say nothing cost next to nothing.
 
-func newClients(ln net.Listener, most int) *clients {
-	return &clients{
-		Listener: ln, most: most, open: map[*client]struct{}{},
-		asking: make(chan *client), ended: make(chan struct{}), over: make(chan struct{}),
+func newClientConns(ln net.Listener, maxOpen int) *clientConns {
+	return &clientConns{
+		Listener: ln, maxOpen: maxOpen, open: map[*clientConn]struct{}{},
+		active: make(chan *clientConn), listenerClosed: make(chan struct{}), acceptStopped: make(chan struct{}),
 	}
 }
 
 // Accept implements net.Listener. It gives connections that have something to read, also those
 // that begin after the listener has been closed.
-func (cs *clients) Accept() (net.Conn, error) {
-	cs.once.Do(func() { go cs.take() })
-	ended := cs.ended
+func (cs *clientConns) Accept() (net.Conn, error) {
+	cs.startAccepting.Do(func() { go cs.acceptLoop() })
+	ended := cs.listenerClosed
 	for {
 		select {
-		case c := <-cs.asking:
+		case c := <-cs.active:
 			return c, nil
-		case <-cs.over:
+		case <-cs.acceptStopped:
 			return nil, net.ErrClosed
 		case <-ended:
 			select { // from here on until the last of them has ended
-			case c := <-cs.asking:
+			case c := <-cs.active:
 				return c, nil
-			case <-cs.over:
+			case <-cs.acceptStopped:
 				return nil, net.ErrClosed
-			case <-cs.gone():
-				return nil, cs.endedBy
+			case <-cs.waitAllClosed():
+				return nil, cs.listenerErr
 			}
 		}
 	}
 }
 
-// take takes connections from the listener until that is closed.
-func (cs *clients) take() {
-	again := acceptAgain
+// acceptLoop takes connections from the listener until that is closed.
+func (cs *clientConns) acceptLoop() {
+	backoff := minAcceptBackoff
 	for {
 		nc, err := cs.Listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
-			cs.endedBy = err
-			close(cs.ended)
+			cs.listenerErr = err
+			close(cs.listenerClosed)
 			return
 		}
 		if err != nil { // such as: no descriptor is left
 			// Danger: what rests would hold them for as long as it likes, and nobody new would get in.
-			if !cs.makeRoom() {
-				time.Sleep(again)
-				again = min(2*again, longestAgain)
+			if !cs.evictForAccept() {
+				time.Sleep(backoff)
+				backoff = min(2*backoff, maxAcceptBackoff)
 			}
 			continue
 		}
-		again = acceptAgain
+		backoff = minAcceptBackoff
 		switch c := cs.admit(nc); {
 		case c == nil:
 			nc.Close() // every place has a request in hand
 		case !sockets.Idle(nc):
-			cs.give(c)
+			cs.deliver(c)
 		default:
 			go c.park()
 		}
@@ -76,21 +76,21 @@
 
 // An accept that failed is put off for acceptAgain, and up to longestAgain where it goes on to fail.
 const (
-	acceptAgain  = 5 * time.Millisecond
-	longestAgain = 100 * time.Millisecond
+	minAcceptBackoff = 5 * time.Millisecond
+	maxAcceptBackoff = 100 * time.Millisecond
 )
 
-// makeRoom closes the connection that can best be spared, if any can.
-func (cs *clients) makeRoom() bool {
+// evictForAccept closes the connection that can best be spared, if any can.
+func (cs *clientConns) evictForAccept() bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	return cs.spare()
+	return cs.evictOne()
 }
 
 // park waits for the first byte. A connection that is closed meanwhile, for another or at its
 // time's end, is told by no one else.
-func (c *client) park() {
-	c.SetReadDeadline(c.headBy)
+func (c *clientConn) park() {
+	c.SetReadDeadline(c.headDeadline)
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		c.Close()
@@ -98,11 +98,11 @@
 	}
 	raw, err := sc.SyscallConn()
 	for err == nil {
-		if err = raw.Read(something); err == nil {
-			c.clients.give(c)
+		if err = raw.Read(readable); err == nil {
+			c.conns.deliver(c)
 			return
 		}
-		if !c.takeNudge(err) || c.goesOn(nil) {
+		if !c.consumeInterrupt(err) || c.transferWith(nil) {
 			break
 		}
 		err = nil
@@ -110,28 +110,28 @@
 	c.Close()
 }
 
-// something tells that there is something to read, be it the end.
-func something(fd uintptr) bool {
+// readable tells that there is something to read, be it the end.
+func readable(fd uintptr) bool {
 	_, err := sockets.Peek(fd)
 	return err != syscall.EAGAIN && err != syscall.EINTR
 }
 
-// give hands a connection to who accepts.
-func (cs *clients) give(c *client) {
+// deliver hands a connection to who accepts.
+func (cs *clientConns) deliver(c *clientConn) {
 	select {
-	case cs.asking <- c:
-	case <-cs.over:
+	case cs.active <- c:
+	case <-cs.acceptStopped:
 		c.Close()
 	}
 }
 
 // close ends all that waits for its first byte. Only when nobody accepts any more.
-func (cs *clients) close() {
-	cs.closing.Do(func() { close(cs.over) })
+func (cs *clientConns) close() {
+	cs.stopAccepting.Do(func() { close(cs.acceptStopped) })
 	cs.mu.Lock()
-	parked := make([]*client, 0, cs.mute.Len())
-	for e := cs.mute.Front(); e != nil; e = e.Next() {
-		parked = append(parked, e.Value.(*client))
+	parked := make([]*clientConn, 0, cs.silent.Len())
+	for e := cs.silent.Front(); e != nil; e = e.Next() {
+		parked = append(parked, e.Value.(*clientConn))
 	}
 	cs.mu.Unlock()
 	for _, c := range parked {
--- a/internal/dataplane/httpproxy/carrier.go
+++ b/internal/dataplane/httpproxy/carrier.go
@@ -15,26 +15,26 @@
 // Carrier takes attempts to backends over HTTP/1.1. The engine's goroutine calls it
 // and owns its pool; each exchange has a goroutine of its own.
 type Carrier struct {
-	engine *engine.Engine
-	speaks *Dialect
-	dial   func(ctx context.Context, address string) (net.Conn, error) // nil: the machine's own
-	report []string                                                    // names of the values of a load report
-	room   *budget.Budget
-	pool   pool
-	lastOK map[*engine.Backend]time.Duration // a backend's last good answer
-	ctx    context.Context                   // of all exchanges
-	cancel context.CancelFunc
+	engine      *engine.Engine
+	dialect     *Dialect
+	dial        func(ctx context.Context, address string) (net.Conn, error) // nil: the machine's own
+	loadMetrics []string                                                    // names of the values of a load report
+	memory      *budget.Budget
+	pool        pool
+	lastOK      map[*engine.Backend]time.Duration // a backend's last good answer
+	ctx         context.Context                   // of all exchanges
+	cancel      context.CancelFunc
 }
 
 // NewCarrier makes a carrier with a bound on its connections. report names the values
 // of backends' load reports, in the settings' order; answers are held by what room there is.
-func NewCarrier(e *engine.Engine, most int, report []string, room *budget.Budget) *Carrier {
+func NewCarrier(e *engine.Engine, maxConnections int, report []string, memory *budget.Budget) *Carrier {
 	caps := e.Settings().Caps
-	worth := meanWorth(e.Settings())
+	worth := meanUtility(e.Settings())
 	c := &Carrier{
-		engine: e, speaks: platformDialect(), room: room, report: report, lastOK: map[*engine.Backend]time.Duration{},
+		engine: e, dialect: platformDialect(), memory: memory, loadMetrics: report, lastOK: map[*engine.Backend]time.Duration{},
 		pool: pool{
-			most: most, maxIdle: caps.ConnIdle - caps.ConnIdle/4, idle: map[*engine.Backend][]*conn{}, worth: worth,
+			maxOpen: maxConnections, maxIdle: caps.ConnIdle - caps.ConnIdle/4, idle: map[*engine.Backend][]*backendConn{}, meanUtility: worth,
 			model: connections.New(connections.DefaultConfig(worth, e.Settings().Prices.Handshake)),
 		},
 	}
@@ -42,11 +42,11 @@
 	return c
 }
 
-// Speak has the carrier use another dialect. Only before its first attempt.
-func (c *Carrier) Speak(d *Dialect) { c.speaks = d }
+// SetDialect has the carrier use another dialect. Only before its first attempt.
+func (c *Carrier) SetDialect(d *Dialect) { c.dialect = d }
 
-// DialWith has the carrier make connections otherwise. Only before its first attempt.
-func (c *Carrier) DialWith(dial func(ctx context.Context, address string) (net.Conn, error)) {
+// SetDialer has the carrier make connections otherwise. Only before its first attempt.
+func (c *Carrier) SetDialer(dial func(ctx context.Context, address string) (net.Conn, error)) {
 	c.dial = dial
 }
 
@@ -55,23 +55,23 @@
 
 // StartAttempt implements engine.Carrier. The call's payload is a *Message.
 func (c *Carrier) StartAttempt(a *engine.Attempt) {
-	x := &exchange{to: a.Backend, msg: a.Call.Payload.(*Message), until: a.Deadline, permit: &a.Permit, attempt: a, here: a.Call.ClientConnected, coming: a.Call.Receiving}
+	x := &exchange{backend: a.Backend, message: a.Call.Payload.(*Message), deadline: a.Deadline, permit: &a.Permit, attempt: a, clientConnected: a.Call.ClientConnected, receiving: a.Call.Receiving}
 	class := &c.engine.Settings().Classes[a.Call.Class]
-	stake := connections.Request{Utility: class.Value, Large: len(x.msg.Body) >= largeBody || x.msg.up != nil}
+	stake := connections.Request{Utility: class.Value, Large: len(x.message.Body) >= largeRequest || x.message.upload != nil}
 	if class.Effect != balancer.Unsafe {
 		stake.Effect = connections.Delayed
 	}
-	a.Stop = c.launch(x, stake, a.End)
+	a.Stop = c.startExchange(x, stake, a.End)
 }
 
-// largeBody is from where on a request may meet what only long ones do.
-const largeBody = 16 << 10
+// largeRequest is from where on a request may meet what only long ones do.
+const largeRequest = 16 << 10
 
 // probeStake: a probe that breaks speaks ill of a backend, and is worth no handshake.
-var probeStake = connections.Request{Utility: 0.1, Effect: connections.Lost}
+var healthCheckStake = connections.Request{Utility: 0.1, Effect: connections.Lost}
 
-// meanWorth is that of the classes; how often each comes is not known beforehand.
-func meanWorth(s *balancer.Config) float64 {
+// meanUtility is that of the classes; how often each comes is not known beforehand.
+func meanUtility(s *balancer.Config) float64 {
 	sum := 0.0
 	for _, c := range s.Classes {
 		sum += c.Value
@@ -81,61 +81,61 @@
 
 // CheckHealth implements engine.HealthChecker.
 func (c *Carrier) CheckHealth(b *engine.Backend, until time.Time, end func(engine.AttemptEnd)) {
-	c.launch(&exchange{to: b, msg: c.speaks.Probe(b), until: until, permit: new(engine.Permit)}, probeStake, end)
+	c.startExchange(&exchange{backend: b, message: c.dialect.HealthCheck(b), deadline: until, permit: new(engine.Permit)}, healthCheckStake, end)
 }
 
 // ReleaseIdle implements engine.Carrier.
-func (c *Carrier) ReleaseIdle(b *engine.Backend) { c.pool.release(b) }
+func (c *Carrier) ReleaseIdle(b *engine.Backend) { c.pool.closeIdle(b) }
 
 // RemoveBackend implements engine.Carrier.
 func (c *Carrier) RemoveBackend(b *engine.Backend) {
-	c.pool.release(b)
+	c.pool.closeIdle(b)
 	delete(c.lastOK, b)
 	c.pool.model.Forget(uint32(b.ID))
 }
 
 // CloseExpired implements engine.Carrier.
-func (c *Carrier) CloseExpired(now time.Duration) { c.pool.retire(now) }
+func (c *Carrier) CloseExpired(now time.Duration) { c.pool.closeExpired(now) }
 
-// SetMost puts another bound on connections in force. Only on the engine's goroutine.
-func (c *Carrier) SetMost(most int) { c.pool.setMost(most) }
+// SetMaxConnections puts another bound on connections in force. Only on the engine's goroutine.
+func (c *Carrier) SetMaxConnections(limit int) { c.pool.setMaxOpen(limit) }
 
-// Tune puts other settings in force: the names of the values of a load report are told, the rest is the engine's.
+// Reconfigure puts other settings in force: the names of the values of a load report are told, the rest is the engine's.
 // Only on the engine's goroutine.
-func (c *Carrier) Tune(report []string) {
+func (c *Carrier) Reconfigure(report []string) {
 	s := c.engine.Settings()
-	c.report, c.pool.worth = report, meanWorth(s)
-	c.pool.model.SetHandshakeCost(connections.DefaultConfig(c.pool.worth, s.Prices.Handshake).HandshakeCost)
+	c.loadMetrics, c.pool.meanUtility = report, meanUtility(s)
+	c.pool.model.SetHandshakeCost(connections.DefaultConfig(c.pool.meanUtility, s.Prices.Handshake).HandshakeCost)
 }
 
-// Learnt is what was learnt of connections, for the process that takes over. Only on the
+// LearnedState is what was learnt of connections, for the process that takes over. Only on the
 // engine's goroutine, like Restore.
-func (c *Carrier) Learnt() connections.State { return c.pool.model.State(c.engine.Now()) }
+func (c *Carrier) LearnedState() connections.State { return c.pool.model.State(c.engine.Now()) }
 
-// Restore goes on with what another process had learnt of them, away ago.
-func (c *Carrier) Restore(s connections.State, away time.Duration) {
+// RestoreLearnedState goes on with what another process had learnt of them, away ago.
+func (c *Carrier) RestoreLearnedState(s connections.State, away time.Duration) {
 	c.pool.model.Resume(s, away, c.engine.Now())
 }
 
 // Connections is how many are open, those being dialled among them.
 func (c *Carrier) Connections() int { return c.pool.open }
 
-// launch starts an exchange and brings its end back to the engine. The connection is
+// startExchange starts an exchange and brings its end back to the engine. The connection is
 // counted from here on, and until end has it.
-func (c *Carrier) launch(x *exchange, stake connections.Request, end func(engine.AttemptEnd)) (stop func()) {
+func (c *Carrier) startExchange(x *exchange, stake connections.Request, end func(engine.AttemptEnd)) (stop func()) {
 	now, caps := c.engine.Now(), &c.engine.Settings().Caps
 	c.pool.maxIdle = caps.ConnIdle - caps.ConnIdle/4
 	use := connections.Use{New: true, Large: stake.Large}
-	if x.conn = c.pool.take(x.to, now, stake); x.conn != nil {
+	if x.conn = c.pool.take(x.backend, now, stake); x.conn != nil {
 		use = connections.Use{Idle: now - x.conn.idleSince, Large: stake.Large}
-	} else if !c.pool.mayDial() {
+	} else if !c.pool.reserveDial() {
 		c.engine.Defer(func() { end(engine.AttemptEnd{Result: balancer.ConnectFailed}) })
 		return nil
 	}
-	x.room, x.speaks, x.dial = c.room, c.speaks, c.dial
-	x.hold = c.pool.model.Holdback(now, uint32(x.to.ID), x.to.Zone)
+	x.memory, x.dialect, x.dial = c.memory, c.dialect, c.dial
+	x.holdback = c.pool.model.Holdback(now, uint32(x.backend.ID), x.backend.Zone)
 	ctx, cancel := context.WithCancel(c.ctx)
-	report := c.report
+	report := c.loadMetrics
 	go func() {
 		defer cancel()
 		r := x.run(ctx, caps.ConnectTimeout, report)
@@ -143,37 +143,37 @@
 			if x.dialled {
 				use.New = true // the one from the pool was dead when it was looked at last
 			}
-			c.learn(x.to, use, now, &r)
+			c.recordOutcome(x.backend, use, now, &r)
 			if r.conn != nil {
-				r.conn.turnedAway = r.result == balancer.Rejected
+				r.conn.lastRejected = r.result == balancer.Rejected
 			}
-			e := engine.AttemptEnd{Result: r.result, Load: r.load, ClientGone: r.left}
-			if r.result == balancer.OK || c.speaks.KeepsFailures && (r.result == balancer.Error || r.result == balancer.Unprocessable) {
+			e := engine.AttemptEnd{Result: r.result, Load: r.load, ClientGone: r.clientGone}
+			if r.result == balancer.OK || c.dialect.ForwardsFailures && (r.result == balancer.Error || r.result == balancer.Unprocessable) {
 				e.Reply = &r
 			}
 			if r.stream != nil {
 				e.Streaming = true
-				r.stream.done = func(left *conn) {
-					c.engine.Post(func() { c.pool.put(x.to, left, c.engine.Now()) })
+				r.stream.returnConn = func(left *backendConn) {
+					c.engine.Post(func() { c.pool.put(x.backend, left, c.engine.Now()) })
 				}
 			} else {
-				c.pool.put(x.to, r.conn, c.engine.Now())
+				c.pool.put(x.backend, r.conn, c.engine.Now())
 			}
 			end(e)
 			if !r.claimed {
-				r.release(c.room)
+				r.release(c.memory)
 			}
 		})
 	}()
 	return cancel
 }
 
-// silentIdle is from which idle time on an answer that doesn't come may mean that
+// minSilentDropIdle is from which idle time on an answer that doesn't come may mean that
 // something between has dropped the connection without a word.
-const silentIdle = 500 * time.Millisecond
+const minSilentDropIdle = 500 * time.Millisecond
 
-// learn tells the model how a use of a connection ended.
-func (c *Carrier) learn(to *engine.Backend, use connections.Use, sent time.Duration, r *Reply) {
+// recordOutcome tells the model how a use of a connection ended.
+func (c *Carrier) recordOutcome(to *engine.Backend, use connections.Use, sent time.Duration, r *Reply) {
 	if !to.Ready() {
 		return // it drains or has left: what was kept for it is forgotten, and stays so
 	}
@@ -185,25 +185,25 @@
 	case balancer.Timeout:
 		// A backend that is slow is slow on all connections. One that has answered others
 		// since, while this long idle one is silent, is not to blame.
-		if use.New || use.Idle < silentIdle || c.lastOK[to] <= sent {
+		if use.New || use.Idle < minSilentDropIdle || c.lastOK[to] <= sent {
 			return
 		}
-		r.end = connections.Outcome{Broken: true, After: now - sent, Complete: true}
+		r.connOutcome = connections.Outcome{Broken: true, After: now - sent, Complete: true}
 	case balancer.NotSent:
-		if !r.early {
+		if !r.brokeEarly {
 			return
 		}
 	case balancer.Error, balancer.Rejected, balancer.Unprocessable:
 	default: // it says nothing of the connection
 		return
 	}
-	if !use.New && use.Idle < restFor {
+	if !use.New && use.Idle < restTime {
 		return // it had no rest: what closes right behind an answer is no matter of age
 	}
-	c.pool.model.RecordOutcome(now, uint32(to.ID), to.Zone, use, r.end)
+	c.pool.model.RecordOutcome(now, uint32(to.ID), to.Zone, use, r.connOutcome)
 }
 
-func passedOn(h http.Header) http.Header {
+func forwardedHeader(h http.Header) http.Header {
 	h = endToEnd(h)
 	h.Del(headerLoad)
 	return h
--- a/internal/dataplane/httpproxy/carrier_test.go
+++ b/internal/dataplane/httpproxy/carrier_test.go
@@ -47,7 +47,7 @@
 	l := stillEngine(t, ready("s-1", addr))
 	before := l.TimerCount()
 	for range 20 {
-		r := l.ask(1, longestSpan)
+		r := l.ask(1, maxSpan)
 		for len(r.answers) == 0 {
 			l.Dispatch(receive(t, l.Events(), "the attempt's end"))
 		}
@@ -138,12 +138,12 @@
 	for i := range next.Classes {
 		next.Classes[i].Value *= 4
 	}
-	before := l.carrier.pool.worth
+	before := l.carrier.pool.meanUtility
 	if err := l.Reconfigure(next); err != nil {
 		t.Fatal(err)
 	}
-	l.carrier.Tune([]string{"pending"})
-	if l.carrier.pool.worth != 4*before || len(l.carrier.report) != 1 {
-		t.Errorf("worth %v, was %v; reports are read for %q", l.carrier.pool.worth, before, l.carrier.report)
+	l.carrier.Reconfigure([]string{"pending"})
+	if l.carrier.pool.meanUtility != 4*before || len(l.carrier.loadMetrics) != 1 {
+		t.Errorf("worth %v, was %v; reports are read for %q", l.carrier.pool.meanUtility, before, l.carrier.loadMetrics)
 	}
 }
--- a/internal/dataplane/httpproxy/chunks.go
+++ b/internal/dataplane/httpproxy/chunkreader.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	longestChunkLine = 4 << 10 // a size with its extensions, or a line of the trailer
-	longestTrailer   = maxHead
-	sizeDigits       = 15 // more of them would overflow
+	maxChunkLine  = 4 << 10 // a size with its extensions, or a line of the trailer
+	maxTrailer    = maxHead
+	maxSizeDigits = 15 // more of them would overflow
 )
 
 // chunkReader reads a body that comes in chunks (RFC 9112, section 7.1). Unlike net/http's
 // it can go on after a time-out, wherever that met it: how long a piece may take is decided
 // while it is waited for. Extensions and trailers are read and left out.
 type chunkReader struct {
-	in      *bufio.Reader
-	state   chunkState
-	left    int64  // of the chunk
-	line    []byte // of which the end has not come yet
-	trailer int    // bytes of it
+	in        *bufio.Reader
+	state     chunkState
+	remaining int64  // of the chunk
+	line      []byte // of which the end has not come yet
+	trailer   int    // bytes of it
 }
 
 type chunkState uint8
@@ -50,13 +50,13 @@
 			}
 			return 0, io.EOF
 		case chunkData:
-			n, err := c.in.Read(p[got:min(int64(len(p)), int64(got)+c.left)])
-			got, c.left = got+n, c.left-int64(n)
-			if c.left == 0 {
+			n, err := c.in.Read(p[got:min(int64(len(p)), int64(got)+c.remaining)])
+			got, c.remaining = got+n, c.remaining-int64(n)
+			if c.remaining == 0 {
 				c.state = chunkDataEnd
 			}
 			if err != nil {
-				return got, broken(err)
+				return got, unexpectedEnd(err)
 			}
 			continue
 		}
@@ -67,22 +67,22 @@
 			}
 			return 0, err
 		}
-		if err := c.take(line); err != nil {
+		if err := c.processLine(line); err != nil {
 			return got, err
 		}
 		c.line = c.line[:0]
 	}
 }
 
-// take takes in a line between the data.
-func (c *chunkReader) take(line []byte) error {
+// processLine takes in a line between the data.
+func (c *chunkReader) processLine(line []byte) error {
 	switch c.state {
 	case chunkSizeLine:
 		n, err := parseSize(line)
 		if err != nil {
 			return err
 		}
-		c.left, c.state = n, chunkData
+		c.remaining, c.state = n, chunkData
 		if n == 0 {
 			c.state = chunkTrailer
 		}
@@ -92,7 +92,7 @@
 		}
 		c.state = chunkSizeLine
 	case chunkTrailer:
-		if c.trailer += len(line); c.trailer > longestTrailer {
+		if c.trailer += len(line); c.trailer > maxTrailer {
 			return fmt.Errorf("%w: the trailer is too long", errChunks)
 		}
 		if len(line) == 0 {
@@ -109,12 +109,12 @@
 		part, err := c.in.ReadSlice('\n')
 		c.line = append(c.line, part...)
 		switch {
-		case len(c.line) > longestChunkLine:
+		case len(c.line) > maxChunkLine:
 			return nil, fmt.Errorf("%w: a line is too long", errChunks)
 		case err == bufio.ErrBufferFull:
 			continue
 		case err != nil:
-			return nil, broken(err)
+			return nil, unexpectedEnd(err)
 		}
 		n := len(c.line)
 		// A line that ends with a bare LF here ends elsewhere for others.
@@ -125,8 +125,8 @@
 	}
 }
 
-// broken is an end within the chunks: a clean one is none.
-func broken(err error) error {
+// unexpectedEnd is an end within the chunks: a clean one is none.
+func unexpectedEnd(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
@@ -151,7 +151,7 @@
 		if v < 0 {
 			break
 		}
-		if digits == sizeDigits {
+		if digits == maxSizeDigits {
 			return 0, fmt.Errorf("%w: a size is too long", errChunks)
 		}
 		n = n<<4 | v
--- a/internal/dataplane/httpproxy/clients_test.go
+++ b/internal/dataplane/httpproxy/clientconns_test.go
@@ -13,13 +13,13 @@
 )
 
 // bounded is a clients listener, with a channel of what it accepts.
-func bounded(t *testing.T, most int) (*clients, chan *client) {
+func bounded(t *testing.T, most int) (*clientConns, chan *clientConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	cs, accepted := newClients(ln, most), make(chan *client, 16)
+	cs, accepted := newClientConns(ln, most), make(chan *clientConn, 16)
 	t.Cleanup(func() {
 		cs.close()
 		cs.Close()
@@ -30,14 +30,14 @@
 			if err != nil {
 				return
 			}
-			accepted <- c.(*client)
+			accepted <- c.(*clientConn)
 		}
 	}()
 	return cs, accepted
 }
 
 // connect opens a connection, and gives both ends.
-func connect(t *testing.T, cs *clients) (near net.Conn, far *client) {
+func connect(t *testing.T, cs *clientConns) (near net.Conn, far *clientConn) {
 	t.Helper()
 	near = testutil.Dial(t, cs.Addr().String())
 	eventually(t, "the connection to be taken", func() bool {
@@ -54,10 +54,10 @@
 }
 
 // aged makes a connection look as if nothing had come there for so long.
-func aged(c *client, d time.Duration) {
-	c.clients.mu.Lock()
-	defer c.clients.mu.Unlock()
-	c.progress = c.progress.Add(-d)
+func aged(c *clientConn, d time.Duration) {
+	c.conns.mu.Lock()
+	defer c.conns.mu.Unlock()
+	c.lastProgress = c.lastProgress.Add(-d)
 }
 
 // Connections that ask nothing once filled the bound, and nobody else was accepted any
@@ -71,13 +71,13 @@
 		goesAfter   time.Duration
 		staysAfter  time.Duration
 	}{
-		"who says nothing before who writes":        {silent, part, mute, paused},
-		"who says nothing before who rests":         {silent, rest, mute, rested / 2},
-		"who has rested long before who writes":     {rest, part, rested, paused},
-		"who has stopped writing before who rests":  {part, rest, stalled, 2 * rested},
-		"who has paused before who has just rested": {part, rest, paused, rested / 2},
-		"who rests before who has just connected":   {rest, silent, 0, mute / 2},
-		"of two who write, who has paused longer":   {part, part, paused / 2, 0},
+		"who says nothing before who writes":        {silent, part, silentGrace, usualPause},
+		"who says nothing before who rests":         {silent, rest, silentGrace, restedAfter / 2},
+		"who has rested long before who writes":     {rest, part, restedAfter, usualPause},
+		"who has stopped writing before who rests":  {part, rest, stalledAfter, 2 * restedAfter},
+		"who has paused before who has just rested": {part, rest, usualPause, restedAfter / 2},
+		"who rests before who has just connected":   {rest, silent, 0, silentGrace / 2},
+		"of two who write, who has paused longer":   {part, part, usualPause / 2, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -85,9 +85,9 @@
 			// Many others have a request in hand, and are out of the question.
 			for range 7 {
 				_, far := connect(t, cs)
-				far.busy()
+				far.markBusy()
 			}
-			set := func(what string, age time.Duration) (net.Conn, *client) {
+			set := func(what string, age time.Duration) (net.Conn, *clientConn) {
 				near, far := connect(t, cs)
 				switch what {
 				case part:
@@ -96,8 +96,8 @@
 						t.Fatal(err)
 					}
 				case rest:
-					far.busy()
-					far.rest(true)
+					far.markBusy()
+					far.markIdle(true)
 				}
 				aged(far, age)
 				return near, far
@@ -108,7 +108,7 @@
 			testutil.Ends(t, goes, "the one that can best be spared")
 			cs.mu.Lock()
 			defer cs.mu.Unlock()
-			if stays.in == nil || len(cs.open) != 9 {
+			if stays.queuedIn == nil || len(cs.open) != 9 {
 				t.Errorf("%d connections are kept", len(cs.open))
 			}
 		})
@@ -120,14 +120,14 @@
 	t.Parallel()
 	cs, _ := bounded(t, 1)
 	near, held := connect(t, cs)
-	held.busy()
+	held.markBusy()
 	turnedAway := testutil.Dial(t, cs.Addr().String())
 	testutil.Ends(t, turnedAway, "a connection beyond the bound")
 	io.WriteString(near, "x")
 	if _, err := held.Read(make([]byte, 1)); err != nil {
 		t.Fatalf("the connection with a request in hand: %v", err)
 	}
-	held.rest(true)
+	held.markIdle(true)
 	connect(t, cs)
 	testutil.Ends(t, near, "the connection that is at rest again")
 	if n := len(cs.open); n != 1 {
@@ -162,7 +162,7 @@
 		t.Error("who has said nothing is accepted")
 	}
 	cs.Close()
-	receive(t, cs.ended, "the listener's end")
+	receive(t, cs.listenerClosed, "the listener's end")
 	io.WriteString(first, "G")
 	c := receive(t, accepted, "who begins after the listener's end")
 	if n, err := c.Read(make([]byte, 9)); n != 1 || err != nil {
@@ -175,7 +175,7 @@
 func TestShutdownEndsWhoSaysNothing(t *testing.T) {
 	t.Parallel()
 	front := stillEngine(t).front
-	front.SetMost(9)
+	front.SetMaxConnections(9)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -184,9 +184,9 @@
 	go func() { served <- front.Serve(ln) }()
 	silent := testutil.Dial(t, ln.Addr().String())
 	eventually(t, "the connection to be taken", func() bool {
-		front.clients.mu.Lock()
-		defer front.clients.mu.Unlock()
-		return front.clients.mute.Len() == 1
+		front.conns.mu.Lock()
+		defer front.conns.mu.Unlock()
+		return front.conns.silent.Len() == 1
 	})
 	ln.Close()
 	if err := front.Shutdown(t.Context()); err != nil {
@@ -202,14 +202,14 @@
 	cs, accepted := bounded(t, 9)
 	near, far := connect(t, cs)
 	cs.mu.Lock()
-	by := far.headBy
+	by := far.headDeadline
 	cs.mu.Unlock()
 	if left := time.Until(by); left > headTimeout {
 		t.Fatalf("%v for a head", left)
 	}
 	io.WriteString(near, "G")
 	receive(t, accepted, "who has begun")
-	far.headBy = time.Now().Add(-time.Second)
+	far.headDeadline = time.Now().Add(-time.Second)
 	far.SetReadDeadline(time.Now().Add(time.Hour))
 	buf := make([]byte, 1)
 	if _, err := far.Read(buf); !testutil.IsTimeout(err) {
@@ -226,7 +226,7 @@
 func TestSilentConnectionsAreCheap(t *testing.T) {
 	const many = 300
 	front := stillEngine(t).front
-	front.SetMost(2 * many)
+	front.SetMaxConnections(2 * many)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -243,25 +243,25 @@
 	}
 	open := func(in *list.List) func() bool {
 		return func() bool {
-			front.clients.mu.Lock()
-			defer front.clients.mu.Unlock()
+			front.conns.mu.Lock()
+			defer front.conns.mu.Unlock()
 			return in.Len() == many
 		}
 	}
-	eventually(t, "all to be taken", open(&front.clients.mute))
+	eventually(t, "all to be taken", open(&front.conns.silent))
 	silent := inUse()
 	for _, c := range near {
 		io.WriteString(c, "G")
 	}
-	eventually(t, "all to be read", open(&front.clients.part))
+	eventually(t, "all to be read", open(&front.conns.partial))
 	begun := inUse()
 	each := func(with uint64) float64 { return (float64(with) - float64(before)) / many }
 	t.Logf("%.0f bytes each while they say nothing, %.0f when they have begun", each(silent), each(begun))
 	if each(silent) > each(begun)/2 {
 		t.Errorf("%.0f bytes for a connection that says nothing, %.0f for one that has begun", each(silent), each(begun))
 	}
-	front.clients.close()
-	front.http.Close()
+	front.conns.close()
+	front.server.Close()
 	receive(t, served, "the end")
 }
 
--- a/internal/dataplane/httpproxy/compatibility_sent_test.go
+++ b/internal/dataplane/httpproxy/compatibility_sent_test.go
@@ -63,7 +63,7 @@
 		{"post", newMessage(goodRequest(), []byte("body"), nil).encode(dialect, to, 850*time.Millisecond)},
 		{"post without a body", newMessage(goodRequest(), nil, nil).encode(dialect, to, 1500*time.Microsecond)},
 		{"get with no time left", newMessage(get, nil, nil).encode(dialect, to, 0)},
-		{"probe", dialect.Probe(to).encode(dialect, to, 200*time.Millisecond)},
+		{"probe", dialect.HealthCheck(to).encode(dialect, to, 200*time.Millisecond)},
 	} {
 		fmt.Fprintf(&got, "--- %s\n%s", m.name, sortedHead(m.data))
 	}
@@ -115,7 +115,7 @@
 		{"a key that is no plain word", func(r *http.Request) { r.Header.Set("Idempotency-Key", "k 1") }, goodRequest},
 		{"a hint that is no number", func(r *http.Request) { r.Header.Set("X-Weight-Hint", "much") }, get},
 		{"a header that is not plain text", func(r *http.Request) { r.Header.Set("Accept", "\x01") }, get},
-		{"while the proxy stops", func(*http.Request) { l.front.Refuse() }, get},
+		{"while the proxy stops", func(*http.Request) { l.front.RejectAll() }, get},
 	} {
 		r, w := c.good(), httptest.NewRecorder()
 		c.change(r)
@@ -127,13 +127,13 @@
 		err  error
 	}{
 		{"no room for a body", errNoRoom},
-		{"a body while the proxy leaves", errLeaving},
+		{"a body while the proxy leaves", errHandoverPending},
 		{"a body that is too long", errTooLong},
 		{"a body that comes too slowly", os.ErrDeadlineExceeded},
 		{"a body that ends early", errors.New("another")},
 	} {
 		w := httptest.NewRecorder()
-		l.front.write(w, get(), nil, bodyTrouble(c.err))
+		l.front.writeAnswer(w, get(), nil, bodyError(c.err))
 		fmt.Fprintf(&got, "--- %s\n%s", c.name, recordedAnswer(w))
 	}
 	compareRecorded(t, "refused-requests.txt", []byte(got.String()))
@@ -161,7 +161,7 @@
 		c := &call{answers: make(chan answer, 1)}
 		c.HandleAnswer(&c.Call, v.answer)
 		w := httptest.NewRecorder()
-		l.front.write(w, httptest.NewRequest(http.MethodGet, "/lot-list", nil), c, <-c.answers)
+		l.front.writeAnswer(w, httptest.NewRequest(http.MethodGet, "/lot-list", nil), c, <-c.answers)
 		fmt.Fprintf(&got, "--- %s\n%s\n", v.name, recordedAnswer(w))
 	}
 	compareRecorded(t, "verdicts.txt", []byte(got.String()))
@@ -184,14 +184,14 @@
 					fmt.Fprintf(&got, "%d with X-Unprocessed %q is like a plain %d\n", status, unprocessed, like)
 				}
 			}
-			if notRun(resp) {
+			if saysNotExecuted(resp) {
 				fmt.Fprintf(&got, "%d with X-Unprocessed %q has not run\n", status, unprocessed)
 			}
 		}
 	}
 	names := []string{"busy_reqs", "pending"}
 	for _, text := range []string{`{"pending":2.5,"busy_reqs":1,"other":3}`, `{"busy_reqs":1}`, `{"busy_reqs":-1,"pending":2}`, `busy_reqs=1`, ``} {
-		fmt.Fprintf(&got, "X-Backend-Load %s: %v\n", text, loadReport(http.Header{"X-Backend-Load": {text}}, names))
+		fmt.Fprintf(&got, "X-Backend-Load %s: %v\n", text, parseLoadReport(http.Header{"X-Backend-Load": {text}}, names))
 	}
 	compareRecorded(t, "from-backends.txt", []byte(got.String()))
 }
@@ -200,10 +200,10 @@
 // Go fields, which have to stay, or to get these names as tags.
 func TestCompatibilityRelayState(t *testing.T) {
 	var got bytes.Buffer
-	for _, s := range []relayState{
-		{Version: relayVersion, Form: "sized", Left: 1 << 20, Pending: []byte("ab"), Ahead: []byte("cd"), Total: 4096},
-		{Version: relayVersion, Form: "chunks", Left: 7, Chunk: chunkDone, Line: []byte("1f"), Trailer: 3, Chunked: true, Ahead: []byte{}, Total: 5},
-		{Version: relayVersion, Form: "end", Ahead: []byte{}},
+	for _, s := range []streamRelayState{
+		{Version: streamRelayVersion, Form: "sized", Remaining: 1 << 20, Pending: []byte("ab"), Undecoded: []byte("cd"), Passed: 4096},
+		{Version: streamRelayVersion, Form: "chunks", Remaining: 7, ChunkState: chunkDone, PartialLine: []byte("1f"), TrailerBytes: 3, Chunked: true, Undecoded: []byte{}, Passed: 5},
+		{Version: streamRelayVersion, Form: "end", Undecoded: []byte{}},
 	} {
 		text, err := json.Marshal(s)
 		if err != nil {
@@ -218,12 +218,12 @@
 	}
 	for line := range strings.Lines(string(recorded)) {
 		client, backend := net.Pipe()
-		r, err := newRelay([]byte(line), client, backend)
+		r, err := decodeRelay([]byte(line), client, backend)
 		if err != nil {
 			t.Fatalf("%s: %v", line, err)
 		}
 		if !strings.Contains(line, `"Ahead":""`) {
-			r.backend.in.Peek(1) // what was read ahead is in the buffer again
+			r.backend.reader.Peek(1) // what was read ahead is in the buffer again
 		}
 		again, err := json.Marshal(r.state())
 		client.Close()
--- a/internal/dataplane/httpproxy/compatibility_test.go
+++ b/internal/dataplane/httpproxy/compatibility_test.go
@@ -29,7 +29,7 @@
 // storedAnswer is a stored answer on its way.
 type storedAnswer struct {
 	file  string
-	state relayState
+	state streamRelayState
 	rest  string // what the backend still sends
 	body  string // what the client is still due, but for what is pending
 }
@@ -38,45 +38,45 @@
 	return []storedAnswer{
 		{
 			file:  "answer-sized.json",
-			state: relayState{Version: 1, Form: "sized", Left: 12, Pending: []byte("pending\r\n\x00\xff"), Ahead: []byte("ahead "), Total: 123456789},
+			state: streamRelayState{Version: 1, Form: "sized", Remaining: 12, Pending: []byte("pending\r\n\x00\xff"), Undecoded: []byte("ahead "), Passed: 123456789},
 			rest:  "behind",
 			body:  "ahead behind",
 		},
 		{
 			file: "answer-chunks-data.json",
-			state: relayState{
-				Version: 1, Form: "chunks", Left: 6, Chunk: chunkData, Chunked: true, Pending: []byte("5\r\nhello\r\n"),
-				Ahead: []byte("ahead "), Total: 5,
+			state: streamRelayState{
+				Version: 1, Form: "chunks", Remaining: 6, ChunkState: chunkData, Chunked: true, Pending: []byte("5\r\nhello\r\n"),
+				Undecoded: []byte("ahead "), Passed: 5,
 			},
 			rest: "\r\n3\r\nend\r\n0\r\n\r\n",
 			body: "ahead end",
 		},
 		{
 			file:  "answer-chunks-size.json",
-			state: relayState{Version: 1, Form: "chunks", Chunk: chunkSizeLine, Line: []byte("1"), Chunked: true, Ahead: []byte("0\r\n"), Total: 7},
+			state: streamRelayState{Version: 1, Form: "chunks", ChunkState: chunkSizeLine, PartialLine: []byte("1"), Chunked: true, Undecoded: []byte("0\r\n"), Passed: 7},
 			rest:  "0123456789abcdef\r\n0\r\n\r\n",
 			body:  "0123456789abcdef",
 		},
 		{
 			file:  "answer-chunks-data-end.json",
-			state: relayState{Version: 1, Form: "chunks", Chunk: chunkDataEnd, Line: []byte("\r"), Chunked: true, Ahead: []byte("\n"), Total: 8},
+			state: streamRelayState{Version: 1, Form: "chunks", ChunkState: chunkDataEnd, PartialLine: []byte("\r"), Chunked: true, Undecoded: []byte("\n"), Passed: 8},
 			rest:  "0\r\n\r\n",
 			body:  "",
 		},
 		{
 			file:  "answer-chunks-trailer.json",
-			state: relayState{Version: 1, Form: "chunks", Chunk: chunkTrailer, Line: []byte("X: "), Trailer: 9, Ahead: []byte("y\r\n"), Total: 10},
+			state: streamRelayState{Version: 1, Form: "chunks", ChunkState: chunkTrailer, PartialLine: []byte("X: "), TrailerBytes: 9, Undecoded: []byte("y\r\n"), Passed: 10},
 			rest:  "\r\n",
 			body:  "",
 		},
 		{
 			file:  "answer-chunks-done.json",
-			state: relayState{Version: 1, Form: "chunks", Chunk: chunkDone, Chunked: true, Pending: []byte("0\r\n\r\n"), Total: 11},
+			state: streamRelayState{Version: 1, Form: "chunks", ChunkState: chunkDone, Chunked: true, Pending: []byte("0\r\n\r\n"), Passed: 11},
 			body:  "",
 		},
 		{
 			file:  "answer-end.json",
-			state: relayState{Version: 1, Form: "end", Pending: []byte("p"), Ahead: []byte("until "), Total: 4_000_000_000},
+			state: streamRelayState{Version: 1, Form: "end", Pending: []byte("p"), Undecoded: []byte("until "), Passed: 4_000_000_000},
 			rest:  "the end",
 			body:  "until the end",
 		},
@@ -89,18 +89,18 @@
 	for _, want := range storedAnswers() {
 		t.Run(want.file, func(t *testing.T) {
 			stored := readStored(t, want.file)
-			var got relayState
+			var got streamRelayState
 			if err := json.Unmarshal(stored, &got); err != nil {
 				t.Fatal(err)
 			}
 			compareStates(t, got, want.state)
 
-			r := takenOver(t, stored, len(want.state.Ahead), want.rest)
+			r := takenOver(t, stored, len(want.state.Undecoded), want.rest)
 			if again := encodeAnswer(t, r); !bytes.Equal(again, stored) {
 				t.Errorf("passed on is\n%s\nand stored is\n%s", again, stored)
 			}
-			if !bytes.Equal(r.pending, want.state.Pending) || r.total != want.state.Total || r.chunked != want.state.Chunked {
-				t.Errorf("pending are %q, %d in all, chunked is %t", r.pending, r.total, r.chunked)
+			if !bytes.Equal(r.pending, want.state.Pending) || r.passed != want.state.Passed || r.chunked != want.state.Chunked {
+				t.Errorf("pending are %q, %d in all, chunked is %t", r.pending, r.passed, r.chunked)
 			}
 			body, err := io.ReadAll(r.body)
 			if err != nil || string(body) != want.body {
@@ -120,7 +120,7 @@
 	}
 }
 
-func compareStates(t *testing.T, got, want relayState) {
+func compareStates(t *testing.T, got, want streamRelayState) {
 	t.Helper()
 	if got.Version != want.Version {
 		t.Errorf("Version is %d, want %d", got.Version, want.Version)
@@ -128,17 +128,17 @@
 	if got.Form != want.Form {
 		t.Errorf("Form is %q, want %q", got.Form, want.Form)
 	}
-	if got.Left != want.Left {
-		t.Errorf("Left is %d, want %d", got.Left, want.Left)
+	if got.Remaining != want.Remaining {
+		t.Errorf("Left is %d, want %d", got.Remaining, want.Remaining)
 	}
-	if got.Chunk != want.Chunk {
-		t.Errorf("Chunk is %d, want %d", got.Chunk, want.Chunk)
+	if got.ChunkState != want.ChunkState {
+		t.Errorf("Chunk is %d, want %d", got.ChunkState, want.ChunkState)
 	}
-	if !bytes.Equal(got.Line, want.Line) {
-		t.Errorf("Line is %q, want %q", got.Line, want.Line)
+	if !bytes.Equal(got.PartialLine, want.PartialLine) {
+		t.Errorf("Line is %q, want %q", got.PartialLine, want.PartialLine)
 	}
-	if got.Trailer != want.Trailer {
-		t.Errorf("Trailer is %d, want %d", got.Trailer, want.Trailer)
+	if got.TrailerBytes != want.TrailerBytes {
+		t.Errorf("Trailer is %d, want %d", got.TrailerBytes, want.TrailerBytes)
 	}
 	if got.Chunked != want.Chunked {
 		t.Errorf("Chunked is %t, want %t", got.Chunked, want.Chunked)
@@ -146,11 +146,11 @@
 	if !bytes.Equal(got.Pending, want.Pending) {
 		t.Errorf("Pending is %q, want %q", got.Pending, want.Pending)
 	}
-	if !bytes.Equal(got.Ahead, want.Ahead) {
-		t.Errorf("Ahead is %q, want %q", got.Ahead, want.Ahead)
+	if !bytes.Equal(got.Undecoded, want.Undecoded) {
+		t.Errorf("Ahead is %q, want %q", got.Undecoded, want.Undecoded)
 	}
-	if got.Total != want.Total {
-		t.Errorf("Total is %d, want %d", got.Total, want.Total)
+	if got.Passed != want.Passed {
+		t.Errorf("Total is %d, want %d", got.Passed, want.Passed)
 	}
 }
 
@@ -164,19 +164,19 @@
 
 // takenOver makes a relay of what was passed, as of a backend that sends the rest. What was read ahead is buffered, as
 // it was where it came from.
-func takenOver(t *testing.T, state []byte, ahead int, rest string) *relay {
+func takenOver(t *testing.T, state []byte, ahead int, rest string) *streamRelay {
 	t.Helper()
-	r, err := newRelay(state, nil, textConn{text: strings.NewReader(rest)})
+	r, err := decodeRelay(state, nil, textConn{text: strings.NewReader(rest)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := r.backend.in.Peek(ahead); err != nil {
+	if _, err := r.backend.reader.Peek(ahead); err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-func encodeAnswer(t *testing.T, r *relay) []byte {
+func encodeAnswer(t *testing.T, r *streamRelay) []byte {
 	t.Helper()
 	data, err := json.Marshal(r.state())
 	if err != nil {
@@ -208,16 +208,16 @@
 		if _, err := os.Stat(path); err == nil {
 			continue
 		}
-		in := bufio.NewReader(bytes.NewReader(a.state.Ahead))
-		if _, err := in.Peek(len(a.state.Ahead)); err != nil {
+		in := bufio.NewReader(bytes.NewReader(a.state.Undecoded))
+		if _, err := in.Peek(len(a.state.Undecoded)); err != nil {
 			t.Fatal(err)
 		}
-		r := &relay{backend: &conn{in: in}, chunked: a.state.Chunked, pending: a.state.Pending, total: a.state.Total}
+		r := &streamRelay{backend: &backendConn{reader: in}, chunked: a.state.Chunked, pending: a.state.Pending, passed: a.state.Passed}
 		switch a.state.Form {
 		case "sized":
-			r.body = &sized{in, a.state.Left}
+			r.body = &sizedReader{in, a.state.Remaining}
 		case "chunks":
-			r.body = &chunkReader{in: in, state: a.state.Chunk, left: a.state.Left, line: a.state.Line, trailer: a.state.Trailer}
+			r.body = &chunkReader{in: in, state: a.state.ChunkState, remaining: a.state.Remaining, line: a.state.PartialLine, trailer: a.state.TrailerBytes}
 		case "end":
 			r.body = in
 		}
--- a/internal/dataplane/httpproxy/crossing_test.go
+++ b/internal/dataplane/httpproxy/crossing_test.go
@@ -125,9 +125,9 @@
 		read = func([]byte) {}
 	}
 	l.ln = &gates{ln, read, make(chan *gated, 8)}
-	l.front.SetMost(9)
-	told := l.front.http.ConnState
-	l.front.http.ConnState = func(c net.Conn, s http.ConnState) {
+	l.front.SetMaxConnections(9)
+	told := l.front.server.ConnState
+	l.front.server.ConnState = func(c net.Conn, s http.ConnState) {
 		told(c, s)
 		if s == http.StateClosed {
 			l.closed <- struct{}{}
@@ -139,8 +139,8 @@
 	go l.front.Serve(l.ln)
 	t.Cleanup(func() {
 		l.ln.Close()
-		l.front.http.Close()
-		l.front.clients.close()
+		l.front.server.Close()
+		l.front.conns.close()
 		stop()
 		<-l.Done()
 	})
@@ -195,7 +195,7 @@
 			return over
 		},
 		"to make room": func(t *testing.T, l *served) chan error {
-			l.front.SetMost(0)
+			l.front.SetMaxConnections(0)
 			over := make(chan error, 1)
 			over <- nil
 			return over
@@ -216,9 +216,9 @@
 			answered(t, in)
 			receive(t, got, "the first request")
 			eventually(t, "the connection to rest", func() bool {
-				l.front.clients.mu.Lock()
-				defer l.front.clients.mu.Unlock()
-				return l.front.clients.idle.Len() == 1
+				l.front.conns.mu.Lock()
+				defer l.front.conns.mu.Unlock()
+				return l.front.conns.idle.Len() == 1
 			})
 			io.WriteString(c, get("second"))
 			receive(t, gate.reached, "the second request to be read")
@@ -246,7 +246,7 @@
 	gate := newBarrier(t)
 	addr, got := answering(t, 6)
 	l := serveFront(t, nil, ready("s-1", addr))
-	l.front.http.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	l.front.server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.Contains(r.URL.Path, "second") {
 			gate.wait()
 		}
@@ -261,13 +261,13 @@
 	receive(t, gate.reached, "the handler")
 	l.front.Stop()
 	l.ln.Close()
-	l.front.clients.mu.Lock()
-	for far := range l.front.clients.open {
-		far.progress = far.progress.Add(-time.Minute) // nothing has come for long
+	l.front.conns.mu.Lock()
+	for far := range l.front.conns.open {
+		far.lastProgress = far.lastProgress.Add(-time.Minute) // nothing has come for long
 	}
-	l.front.clients.mu.Unlock()
-	l.front.clients.endResting()
-	if l.front.clients.endAll() {
+	l.front.conns.mu.Unlock()
+	l.front.conns.endIdle()
+	if l.front.conns.endAllIfQuiet() {
 		t.Fatal("the shutdown ends a connection whose request it has read")
 	}
 	over := make(chan error, 1)
@@ -341,7 +341,7 @@
 	}
 	defer passed.Close()
 	quick("a client that was passed on", passed)
-	x := &exchange{to: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), speaks: platformDialect(), msg: probeMessage(addr), until: time.Now().Add(patience)}
+	x := &exchange{backend: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), dialect: platformDialect(), message: probeMessage(addr), deadline: time.Now().Add(patience)}
 	r := x.run(t.Context(), patience, nil)
 	if r.conn == nil {
 		t.Fatalf("%+v", r)
@@ -359,8 +359,8 @@
 		then(c, in)
 	})
 	x = &exchange{
-		to: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), speaks: platformDialect(), msg: probeMessage(addr),
-		until: time.Now().Add(patience), hold: patience / 2,
+		backend: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), dialect: platformDialect(), message: probeMessage(addr),
+		deadline: time.Now().Add(patience), holdback: patience / 2,
 	}
 	ended = make(chan Reply, 1)
 	go func() { ended <- x.run(context.Background(), patience, nil) }()
@@ -416,13 +416,13 @@
 	t.Parallel()
 	addr, got := silent(t)
 	ctx, cancel := context.WithCancel(t.Context())
-	x := &exchange{to: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), speaks: platformDialect(), msg: probeMessage(addr), until: time.Now().Add(patience)}
+	x := &exchange{backend: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), dialect: platformDialect(), message: probeMessage(addr), deadline: time.Now().Add(patience)}
 	ended := make(chan Reply, 1)
 	go func() { ended <- x.run(ctx, patience, nil) }()
 	receive(t, got, "the request")
 	cancel()
-	if r := receive(t, ended, "the attempt's end"); r.result != balancer.Cancelled || r.end.Broken {
-		t.Errorf("%v, a break: %v", r.result, r.end.Broken)
+	if r := receive(t, ended, "the attempt's end"); r.result != balancer.Cancelled || r.connOutcome.Broken {
+		t.Errorf("%v, a break: %v", r.result, r.connOutcome.Broken)
 	}
 }
 
--- a/internal/dataplane/httpproxy/exchange_test.go
+++ b/internal/dataplane/httpproxy/exchange_test.go
@@ -21,7 +21,7 @@
 func TestLateDialSendsNothing(t *testing.T) {
 	t.Parallel()
 	for name, spoil := range map[string]func(x *exchange){
-		"draining": func(x *exchange) { x.to = engine.NewBackend("s-1", x.to.Addr, false) },
+		"draining": func(x *exchange) { x.backend = engine.NewBackend("s-1", x.backend.Addr, false) },
 		"answered": func(x *exchange) { x.permit.Revoke() },
 	} {
 		got := make(chan int64, 1)
@@ -29,7 +29,7 @@
 			n, _ := io.Copy(io.Discard, in)
 			got <- n
 		})
-		x := &exchange{to: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), speaks: platformDialect(), msg: probeMessage(addr), until: time.Now().Add(patience)}
+		x := &exchange{backend: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), dialect: platformDialect(), message: probeMessage(addr), deadline: time.Now().Add(patience)}
 		spoil(x)
 		r := x.run(context.Background(), patience, nil)
 		if r.result != balancer.NotSent || r.conn == nil {
@@ -46,7 +46,7 @@
 func TestSilenceIsATimeout(t *testing.T) {
 	t.Parallel()
 	addr, got := silent(t)
-	x := &exchange{to: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), speaks: platformDialect(), msg: probeMessage(addr), until: time.Now().Add(time.Second)}
+	x := &exchange{backend: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), dialect: platformDialect(), message: probeMessage(addr), deadline: time.Now().Add(time.Second)}
 	if r := x.run(context.Background(), patience, nil); r.result != balancer.Timeout || r.conn != nil {
 		t.Errorf("%+v", r)
 	}
@@ -65,14 +65,14 @@
 			io.WriteString(c, okAnswer)
 		}
 	})
-	x := &exchange{to: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), speaks: platformDialect(), msg: probeMessage(addr), until: time.Now().Add(2 * time.Second)}
+	x := &exchange{backend: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), dialect: platformDialect(), message: probeMessage(addr), deadline: time.Now().Add(2 * time.Second)}
 	r := x.run(context.Background(), patience, nil)
 	if r.conn == nil {
 		t.Fatalf("the connection was not kept: %+v", r)
 	}
 	defer r.conn.Close()
-	time.Sleep(time.Until(x.until) + 10*time.Millisecond)
-	if !r.conn.alive() {
+	time.Sleep(time.Until(x.deadline) + 10*time.Millisecond)
+	if !r.conn.reusable() {
 		t.Error("a good idle connection looks dead once its last exchange's time has passed")
 	}
 }
@@ -86,7 +86,7 @@
 			readRequest(in)
 		}
 	})
-	x := &exchange{to: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), speaks: platformDialect(), msg: probeMessage(addr), until: time.Now().Add(patience)}
+	x := &exchange{backend: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), dialect: platformDialect(), message: probeMessage(addr), deadline: time.Now().Add(patience)}
 	r := x.run(context.Background(), patience, nil)
 	if r.result != balancer.OK || string(r.body) != "served" || r.conn != nil {
 		t.Errorf("%v %q, connection kept: %v", r.result, r.body, r.conn != nil)
@@ -97,11 +97,11 @@
 	t.Parallel()
 	h := http.Header{}
 	h.Set(headerLoad, `{"pending":2,"busy_reqs":7}`)
-	if got := loadReport(h, []string{"busy_reqs", "pending"}); len(got) != 2 || got[0] != 7 || got[1] != 2 {
+	if got := parseLoadReport(h, []string{"busy_reqs", "pending"}); len(got) != 2 || got[0] != 7 || got[1] != 2 {
 		t.Error(got)
 	}
 	h.Set(headerLoad, `{"pending":`)
-	if got := loadReport(h, []string{"busy_reqs"}); got != nil {
+	if got := parseLoadReport(h, []string{"busy_reqs"}); got != nil {
 		t.Error(got)
 	}
 }
@@ -138,7 +138,7 @@
 					in.ReadByte() // stays open
 				}
 			})
-			x := &exchange{to: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), speaks: platformDialect(), msg: probeMessage(addr), until: time.Now().Add(patience)}
+			x := &exchange{backend: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), dialect: platformDialect(), message: probeMessage(addr), deadline: time.Now().Add(patience)}
 			ends := make(chan Reply, 1)
 			go func() { ends <- x.run(context.Background(), patience, nil) }()
 			select {
@@ -172,8 +172,8 @@
 			}
 		}
 	})
-	exchangeOn := func(c *conn) Reply {
-		x := &exchange{to: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), conn: c, speaks: platformDialect(), msg: probeMessage(addr), until: time.Now().Add(patience)}
+	exchangeOn := func(c *backendConn) Reply {
+		x := &exchange{backend: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), conn: c, dialect: platformDialect(), message: probeMessage(addr), deadline: time.Now().Add(patience)}
 		return x.run(context.Background(), patience, nil)
 	}
 	first := exchangeOn(nil)
@@ -181,7 +181,7 @@
 		t.Fatalf("the connection is not kept: %+v", first)
 	}
 	close(more)
-	eventually(t, "the surplus to arrive", func() bool { return !first.conn.alive() })
+	eventually(t, "the surplus to arrive", func() bool { return !first.conn.reusable() })
 	second := exchangeOn(first.conn)
 	if second.result != balancer.OK || string(second.body) != "2" {
 		t.Errorf("%v %q, want a new connection's answer", second.result, second.body)
@@ -201,7 +201,7 @@
 	} {
 		h := http.Header{}
 		h.Set(headerLoad, text)
-		if got := loadReport(h, []string{"busy_reqs", "pending"}); got != nil {
+		if got := parseLoadReport(h, []string{"busy_reqs", "pending"}); got != nil {
 			t.Errorf("%q: %v", text, got)
 		}
 	}
--- a/internal/dataplane/httpproxy/frames_test.go
+++ b/internal/dataplane/httpproxy/framing_test.go
@@ -48,24 +48,24 @@
 		"a chunk beyond all bounds": {chunked + "ffffffffffffffff\r\n" + get, 1, 2},
 	} {
 		for cut := range len(c.bytes) {
-			var f frames
-			f.see([]byte(c.bytes[:cut]))
-			f.see([]byte(c.bytes[cut:]))
-			if f.heads > 0 && !f.between() && f.head != 0 {
-				t.Errorf("%s, cut at %d: %d bytes of a head that has ended", name, cut, f.head)
+			var f requestFraming
+			f.observe([]byte(c.bytes[:cut]))
+			f.observe([]byte(c.bytes[cut:]))
+			if f.headsEnded > 0 && !f.betweenBodies() && f.headBytes != 0 {
+				t.Errorf("%s, cut at %d: %d bytes of a head that has ended", name, cut, f.headBytes)
 			}
-			if f.heads != c.heads || f.bad != c.bad {
-				t.Errorf("%s, cut at %d: %d heads, %d is bad", name, cut, f.heads, f.bad)
+			if f.headsEnded != c.heads || f.rejectFrom != c.bad {
+				t.Errorf("%s, cut at %d: %d heads, %d is bad", name, cut, f.headsEnded, f.rejectFrom)
 			}
 		}
-		var f frames
-		f.see([]byte(c.bytes))
+		var f requestFraming
+		f.observe([]byte(c.bytes))
 		for n := 1; n <= c.heads; n++ {
-			if refused := f.begins(); refused != (c.bad > 0 && n >= c.bad) {
+			if refused := f.beginRequest(); refused != (c.bad > 0 && n >= c.bad) {
 				t.Errorf("%s: head %d is refused: %v", name, n, refused)
 			}
 		}
-		if !f.begins() {
+		if !f.beginRequest() {
 			t.Errorf("%s: a head that never ended goes through", name)
 		}
 	}
@@ -86,7 +86,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		under := bytes.NewReader(data)
 		in := bufio.NewReader(under)
-		var seen frames
+		var seen requestFraming
 		fed := 0
 		for n := 1; ; n++ {
 			for n > 1 { // as net/http does after a POST
@@ -101,12 +101,12 @@
 			}
 			end := len(data) - under.Len() - in.Buffered()
 			before := seen
-			seen.see(data[fed:end])
-			if seen.begins() {
+			seen.observe(data[fed:end])
+			if seen.beginRequest() {
 				return
 			}
-			if before.see(data[fed : end-1]); seen.heads != n || before.heads != n-1 {
-				t.Fatalf("%q: net/http's head %d ends at byte %d; %d seen before it, %d with it", data, n, end, before.heads, seen.heads)
+			if before.observe(data[fed : end-1]); seen.headsEnded != n || before.headsEnded != n-1 {
+				t.Fatalf("%q: net/http's head %d ends at byte %d; %d seen before it, %d with it", data, n, end, before.headsEnded, seen.headsEnded)
 			}
 			fed = end
 			if _, err := io.Copy(io.Discard, r.Body); err != nil {
--- a/internal/dataplane/httpproxy/server.go
+++ b/internal/dataplane/httpproxy/front.go
@@ -39,8 +39,8 @@
 	// A connection between two requests may be closed after 2 s. Many clients ask
 	// once and keep theirs for good.
 	idleTimeout = 2500 * time.Millisecond
-	// shutdownLook is how often a shutdown looks whether something still moves.
-	shutdownLook = 20 * time.Millisecond
+	// shutdownPollInterval is how often a shutdown looks whether something still moves.
+	shutdownPollInterval = 20 * time.Millisecond
 )
 
 // answer is the one final answer to a request, in HTTP's words.
@@ -48,15 +48,15 @@
 	status     int
 	header     http.Header // a backend's; nil for the proxy's own answers
 	body       []byte
-	from       *Reply // whose room and stream go with the answer; nil for the proxy's own
+	reply      *Reply // whose room and stream go with the answer; nil for the proxy's own
 	retryAfter time.Duration
-	bad        bool // the request can't be used, and its connection ends with the answer
-	left       bool // nobody is there to take it
+	closesConn bool // the request can't be used, and its connection ends with the answer
+	clientGone bool // nobody is there to take it
 }
 
 func badRequest(status int, format string, args ...any) answer {
 	a := ownAnswer(status, fmt.Sprintf(format, args...))
-	a.bad = true
+	a.closesConn = true
 	return a
 }
 
@@ -72,50 +72,50 @@
 
 // Front is the side of the clients.
 type Front struct {
-	http     *http.Server
-	engine   *engine.Engine
-	carrier  engine.Carrier
-	room     *budget.Budget
-	clients  *clients      // of Serve
-	leaving  chan struct{} // closed when large answers are to go on elsewhere
-	giver    atomic.Pointer[Giver]
-	handsOn  bool // there may be another process to go on with large answers
-	ready    atomic.Bool
-	stopping atomic.Bool // every answer ends its connection
-	refusing atomic.Bool // nothing is taken any more
+	server          *http.Server
+	engine          *engine.Engine
+	carrier         engine.Carrier
+	memory          *budget.Budget
+	conns           *clientConns  // of Serve
+	handoverStarted chan struct{} // closed when large answers are to go on elsewhere
+	transfer        atomic.Pointer[TransferFunc]
+	handsOver       bool // there may be another process to go on with large answers
+	ready           atomic.Bool
+	stopping        atomic.Bool // every answer ends its connection
+	rejecting       atomic.Bool // nothing is taken any more
 }
 
 // NewFront makes a front whose calls go to backends by a carrier. What it holds of bodies
 // it takes from room.
-func NewFront(e *engine.Engine, carrier *Carrier, room *budget.Budget, logger *slog.Logger) *Front {
-	s := &Front{clients: newClients(nil, 0), leaving: make(chan struct{}), engine: e, carrier: carrier, room: room}
-	s.http = &http.Server{
+func NewFront(e *engine.Engine, carrier *Carrier, memory *budget.Budget, logger *slog.Logger) *Front {
+	s := &Front{conns: newClientConns(nil, 0), handoverStarted: make(chan struct{}), engine: e, carrier: carrier, memory: memory}
+	s.server = &http.Server{
 		Handler: s, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: maxHead, ErrorLog: slog.NewLogLogger(logger.With("event", "http").Handler(), slog.LevelInfo),
 		DisableGeneralOptionsHandler: true, // which would answer OPTIONS * with 200
 		ConnContext:                  withClient,
 		ConnState: func(nc net.Conn, state http.ConnState) {
 			// Only now has the answer gone out whole: a connection that rests may be closed.
-			if c, ok := nc.(*client); ok && state == http.StateIdle {
-				c.rest(true)
+			if c, ok := nc.(*clientConn); ok && state == http.StateIdle {
+				c.markIdle(true)
 			}
 		},
 	}
 	return s
 }
 
-// SetMost bounds the clients' connections. Any goroutine may call it.
-func (s *Front) SetMost(most int) { s.clients.setMost(most) }
+// SetMaxConnections bounds the clients' connections. Any goroutine may call it.
+func (s *Front) SetMaxConnections(limit int) { s.conns.setMaxOpen(limit) }
 
-// HandOn says that there may be another process to go on with large answers: their
+// EnableHandover says that there may be another process to go on with large answers: their
 // connections are then taken from net/http. Only before Serve.
-func (s *Front) HandOn() { s.handsOn = true }
+func (s *Front) EnableHandover() { s.handsOver = true }
 
 // Serve takes connections, within SetMost's bound, until the listener is closed.
 func (s *Front) Serve(ln net.Listener) error {
-	s.clients.Listener = ln
-	defer s.clients.close()
-	return s.http.Serve(s.clients)
+	s.conns.Listener = ln
+	defer s.conns.close()
+	return s.server.Serve(s.conns)
 }
 
 // SetReady says what /ready answers.
@@ -127,8 +127,8 @@
 // Stop lets every answer from now on end its connection.
 func (s *Front) Stop() { s.stopping.Store(true) }
 
-// Refuse lets every request from now on be refused at once.
-func (s *Front) Refuse() { s.refusing.Store(true) }
+// RejectAll lets every request from now on be refused at once.
+func (s *Front) RejectAll() { s.rejecting.Store(true) }
 
 // Shutdown closes what rests between two requests and waits, once the listener is closed,
 // until nothing is in hand or on its way, or ctx ends. Connections on which nothing moves
@@ -136,28 +136,28 @@
 // to the end of the platform's patience.
 func (s *Front) Shutdown(ctx context.Context) error {
 	// Danger: net/http ends a connection that rests while its next request is being read, and goes on to serve it.
-	s.clients.endResting()
+	s.conns.endIdle()
 	select {
-	case <-s.clients.ended:
+	case <-s.conns.listenerClosed:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	looks := time.NewTicker(shutdownLook)
+	looks := time.NewTicker(shutdownPollInterval)
 	defer looks.Stop()
-	for !s.clients.endAll() {
+	for !s.conns.endAllIfQuiet() {
 		select {
 		case <-looks.C:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
-	defer s.clients.close()
+	defer s.conns.close()
 	// net/http closes the listener too, which may have been closed long ago: Serve goes on for
 	// connections that have said nothing yet.
-	if err := s.http.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
+	if err := s.server.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
 		return err
 	}
-	for s.clients.leaves() { // for lingerFor at most
+	for s.conns.anyLingering() { // for lingerFor at most
 		select {
 		case <-looks.C:
 		case <-ctx.Done():
@@ -167,11 +167,11 @@
 	return nil
 }
 
-// Linger waits, once the listener is closed, until no client's connection is left, or ctx ends. Unlike Shutdown it closes
+// WaitForClients waits, once the listener is closed, until no client's connection is left, or ctx ends. Unlike Shutdown it closes
 // none that rests: a request may be on its way there, and be left unread.
-func (s *Front) Linger(ctx context.Context) error {
+func (s *Front) WaitForClients(ctx context.Context) error {
 	// Danger: the last connection may have left the listener and not be in the table yet.
-	for _, done := range []func() <-chan struct{}{func() <-chan struct{} { return s.clients.ended }, s.clients.gone} {
+	for _, done := range []func() <-chan struct{}{func() <-chan struct{} { return s.conns.listenerClosed }, s.conns.waitAllClosed} {
 		select {
 		case <-done():
 		case <-ctx.Done():
@@ -188,7 +188,7 @@
 	case engine.Served:
 		r := a.Reply.(*Reply)
 		r.claimed = true
-		w = answer{status: http.StatusOK, header: passedOn(r.header), body: r.body, from: r}
+		w = answer{status: http.StatusOK, header: forwardedHeader(r.header), body: r.body, reply: r}
 	case engine.Rejected:
 		w = ownAnswer(http.StatusServiceUnavailable, "refused")
 		w.retryAfter = a.RetryAfter
@@ -200,7 +200,7 @@
 	case engine.Stopped:
 		w = ownAnswer(http.StatusBadGateway, "the proxy stops")
 	case engine.ClientGone:
-		w.left = true
+		w.clientGone = true
 	case engine.DuplicateID:
 		w = badRequest(http.StatusConflict, "%s is in use", headerID)
 	default:
@@ -212,7 +212,7 @@
 // ServeHTTP implements http.Handler.
 func (s *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c := clientOf(r)
-	odd := c != nil && c.begins()
+	odd := c != nil && c.beginRequest()
 	if s.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
@@ -231,15 +231,15 @@
 	}
 	var up *upload
 	if a.status == 0 {
-		var in *paced
+		var in *pacedReader
 		if r.ContentLength != 0 {
-			in = newPaced(r, http.NewResponseController(w))
+			in = newPacedReader(r, http.NewResponseController(w))
 		}
 		var body []byte
 		var held int
 		body, held, up, a = s.readBody(r, in)
 		if held > 0 {
-			defer s.room.Give(held, budget.Small)
+			defer s.memory.Give(held, budget.Small)
 		}
 		if c != nil {
 			defer func() { c.body = nil }()
@@ -247,44 +247,44 @@
 		if up != nil {
 			defer up.release()
 		}
-		if a.status != 0 && c != nil && c.passRequest(r, body, up) {
+		if a.status != 0 && c != nil && c.transferRequest(r, body, up) {
 			panic(http.ErrAbortHandler)
 		}
 		if a.status == 0 {
 			req.Payload = newMessage(r, body, up)
 			if c != nil {
-				req.ClientConnected = c.here
-				c.busy()
+				req.ClientConnected = c.connected
+				c.markBusy()
 			}
-			if s.refusing.Load() {
+			if s.rejecting.Load() {
 				a = ownAnswer(http.StatusServiceUnavailable, "the proxy stops")
-			} else if up == nil || up.whole() {
-				a = s.serve(r, req, left)
+			} else if up == nil || up.complete() {
+				a = s.awaitAnswer(r, req, left)
 			} else {
-				a = s.serveComing(w, r, req, left, in)
+				a = s.awaitAnswerWhileReceiving(w, r, req, left, in)
 			}
-			if a.left || a.bad && c != nil && c.passRequest(r, nil, up) {
+			if a.clientGone || a.closesConn && c != nil && c.transferRequest(r, nil, up) {
 				panic(http.ErrAbortHandler)
 			}
 		}
 	}
-	if c != nil && (s.stopping.Load() || c.clients.crowded()) {
+	if c != nil && (s.stopping.Load() || c.conns.underPressure()) {
 		w.Header().Set("Connection", "close")
 	}
-	s.write(w, r, req, a)
-	if a.bad {
+	s.writeAnswer(w, r, req, a)
+	if a.closesConn {
 		// What follows on this connection, a body's rest or a request hidden in it,
 		// is not read. While net/http lets the client read the error, the connection
 		// may be closed for others.
 		http.NewResponseController(w).Flush()
 		if c != nil {
-			c.rest(false)
+			c.markIdle(false)
 		}
 	}
 }
 
-// serve has a request answered whose last byte is here.
-func (s *Front) serve(r *http.Request, req *call, left time.Duration) answer {
+// awaitAnswer has a request answered whose last byte is here.
+func (s *Front) awaitAnswer(r *http.Request, req *call, left time.Duration) answer {
 	arrived := s.engine.Now()
 	req.Deadline = arrived + left
 	s.engine.Post(func() { s.engine.HandleCall(&req.Call, arrived) })
@@ -292,22 +292,22 @@
 	case a := <-req.answers:
 		return a
 	case <-r.Context().Done():
-		s.leave(req)
+		s.abandon(req)
 		// Returning would answer 200 with nothing, to a client that may still read.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// serveComing has one answered whose body is larger than the room for it: it goes on as it
+// awaitAnswerWhileReceiving has one answered whose body is larger than the room for it: it goes on as it
 // comes.
-func (s *Front) serveComing(w http.ResponseWriter, r *http.Request, req *call, left time.Duration, in *paced) answer {
+func (s *Front) awaitAnswerWhileReceiving(w http.ResponseWriter, r *http.Request, req *call, left time.Duration, in *pacedReader) answer {
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
-	up := req.Payload.(*Message).up
+	up := req.Payload.(*Message).upload
 	c := clientOf(r)
 	if c != nil {
-		c.setPartly(true)
-		defer c.setPartly(false)
+		c.setReceivingBody(true)
+		defer c.setReceivingBody(false)
 	}
 	arrived := s.engine.Now()
 	req.Receiving, req.Timeout = true, left
@@ -331,8 +331,8 @@
 				cancel()
 				out.SetReadDeadline(time.Now())
 				if err := <-coming; err != nil {
-					out.SetReadDeadline(time.Now().Add(drainWait))
-					a.bad = true
+					out.SetReadDeadline(time.Now().Add(earlyAnswerDrain))
+					a.closesConn = true
 				}
 			}
 			return a
@@ -340,17 +340,17 @@
 			if coming = nil; err == nil {
 				continue
 			}
-			s.leave(req)
-			if a := bodyTrouble(err); a.status != http.StatusBadRequest || c != nil && c.left {
+			s.abandon(req)
+			if a := bodyError(err); a.status != http.StatusBadRequest || c != nil && c.readHandedOver {
 				return a
 			}
 			panic(http.ErrAbortHandler)
 		case <-r.Context().Done(): // also where a read has failed: that may be known here first
-			s.leave(req)
+			s.abandon(req)
 			if coming != nil {
 				out.SetReadDeadline(time.Now())
-				if err := <-coming; c != nil && c.left {
-					return bodyTrouble(err)
+				if err := <-coming; c != nil && c.readHandedOver {
+					return bodyError(err)
 				}
 			}
 			panic(http.ErrAbortHandler)
@@ -358,32 +358,32 @@
 	}
 }
 
-// leave takes a client's leave. An answer that came meanwhile is nobody's.
-func (s *Front) leave(req *call) {
+// abandon takes a client's leave. An answer that came meanwhile is nobody's.
+func (s *Front) abandon(req *call) {
 	s.engine.Post(func() {
 		s.engine.HandleClientGone(&req.Call)
 		select {
 		case a := <-req.answers:
-			s.drop(req, a)
+			s.discardAnswer(req, a)
 		default:
 		}
 	})
 }
 
-// drop gives up an answer that nobody takes. On the engine's goroutine.
-func (s *Front) drop(req *call, a answer) {
-	if a.from == nil {
+// discardAnswer gives up an answer that nobody takes. On the engine's goroutine.
+func (s *Front) discardAnswer(req *call, a answer) {
+	if a.reply == nil {
 		return
 	}
-	streams := a.from.stream != nil
-	a.from.release(s.room)
+	streams := a.reply.stream != nil
+	a.reply.release(s.memory)
 	if streams {
 		s.engine.HandleStreamEnd(&req.Call, false)
 	}
 }
 
-// write sends an answer.
-func (s *Front) write(w http.ResponseWriter, r *http.Request, req *call, a answer) {
+// writeAnswer sends an answer.
+func (s *Front) writeAnswer(w http.ResponseWriter, r *http.Request, req *call, a answer) {
 	h := w.Header()
 	for name, values := range a.header {
 		h[name] = values
@@ -391,46 +391,46 @@
 	if a.header == nil {
 		h.Set("Content-Type", "text/plain; charset=utf-8")
 	}
-	if a.bad {
+	if a.closesConn {
 		h.Set("Connection", "close")
 	}
-	if a.retryAfter == 0 && a.from == nil && a.status == http.StatusServiceUnavailable {
+	if a.retryAfter == 0 && a.reply == nil && a.status == http.StatusServiceUnavailable {
 		a.retryAfter = s.engine.RetryAfter() // it was turned away at the door
 	}
 	if a.retryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64))
 	}
-	if a.from == nil || a.from.stream == nil {
+	if a.reply == nil || a.reply.stream == nil {
 		h.Set("Content-Length", strconv.Itoa(len(a.body)))
 		if c := clientOf(r); c != nil {
-			c.SetWriteDeadline(time.Now().Add(stall))
+			c.SetWriteDeadline(time.Now().Add(stallTimeout))
 		}
 		w.WriteHeader(a.status)
 		w.Write(a.body) // an error says that the client has left
-		if a.from != nil {
-			a.from.release(s.room)
+		if a.reply != nil {
+			a.reply.release(s.memory)
 		}
 		return
 	}
-	d := a.from.stream
-	if s.handsOn {
-		err := s.hand(w, r, d, h)
-		d.keep = d.keep && err != errHandedOn
-		d.end(err == nil)
-		a.from.stream = nil
-		a.from.release(s.room)
+	d := a.reply.stream
+	if s.handsOver {
+		err := s.handStream(w, r, d, h)
+		d.reusable = d.reusable && err != errHandedOver
+		d.finish(err == nil)
+		a.reply.stream = nil
+		a.reply.release(s.memory)
 		// One that is handed on has been served as far as this process goes.
-		s.engine.Post(func() { s.engine.HandleStreamEnd(&req.Call, err == nil || err == errHandedOn) })
+		s.engine.Post(func() { s.engine.HandleStreamEnd(&req.Call, err == nil || err == errHandedOver) })
 		return
 	}
 	if d.length >= 0 {
 		h.Set("Content-Length", strconv.FormatInt(d.length, 10))
 	}
 	w.WriteHeader(a.status)
-	err := d.pass(r.Context(), w, http.NewResponseController(w), s.room)
-	d.end(err == nil)
-	a.from.stream = nil
-	a.from.release(s.room)
+	err := d.forward(r.Context(), w, http.NewResponseController(w), s.memory)
+	d.finish(err == nil)
+	a.reply.stream = nil
+	a.reply.release(s.memory)
 	s.engine.Post(func() { s.engine.HandleStreamEnd(&req.Call, err == nil) })
 	if err == nil {
 		return
@@ -439,7 +439,7 @@
 		// Only the connection's end tells this client where the answer ends: it has to be
 		// one that can't be taken for a good one.
 		if c := clientOf(r); c != nil {
-			c.reset()
+			c.markReset()
 		}
 	}
 	panic(http.ErrAbortHandler)
--- a/internal/dataplane/httpproxy/front_test.go
+++ b/internal/dataplane/httpproxy/front_test.go
@@ -14,7 +14,7 @@
 // What is owed to bad clients is owed within 3 s of connecting.
 func TestTimeoutsKeepWhatIsOwed(t *testing.T) {
 	t.Parallel()
-	h := stillEngine(t).front.http
+	h := stillEngine(t).front.server
 	if h.ReadHeaderTimeout >= 3*time.Second || h.ReadTimeout >= 3*time.Second || h.IdleTimeout < 2*time.Second {
 		t.Errorf("head %v, request %v, idle %v", h.ReadHeaderTimeout, h.ReadTimeout, h.IdleTimeout)
 	}
@@ -43,7 +43,7 @@
 	if l.RetryAfter() == 0 {
 		t.Fatal("these settings tell nobody")
 	}
-	l.front.Refuse()
+	l.front.RejectAll()
 	r := httptest.NewRequest(http.MethodGet, "/lot-list", nil)
 	r.Header.Set(headerID, "00000000000000ab")
 	r.Header.Set(headerAccount, "obala")
@@ -54,12 +54,12 @@
 		t.Errorf("at the stop: %d, Retry-After %q, want %q", w.Code, got, told)
 	}
 	full := httptest.NewRecorder()
-	l.front.write(full, r, nil, bodyTrouble(errNoRoom))
+	l.front.writeAnswer(full, r, nil, bodyError(errNoRoom))
 	if got := full.Header().Get("Retry-After"); full.Code != http.StatusServiceUnavailable || got != told {
 		t.Errorf("with no room for its body: %d, Retry-After %q, want %q", full.Code, got, told)
 	}
 	bad := httptest.NewRecorder()
-	l.front.write(bad, r, nil, bodyTrouble(errTooLong))
+	l.front.writeAnswer(bad, r, nil, bodyError(errTooLong))
 	if got := bad.Header().Get("Retry-After"); got != "" {
 		t.Errorf("%d with Retry-After %q: coming again helps nobody", bad.Code, got)
 	}
--- a/internal/dataplane/httpproxy/handon.go
+++ b/internal/dataplane/httpproxy/handover.go
@@ -19,97 +19,97 @@
 // A connection is given by who reads from it, at a moment at which nothing that has come is on its
 // way between two readers: its read is made to time out (nudge), and meets that in client.Read.
 
-// leave lets all such connections go on in another process.
-func (cs *clients) leave(give Giver) {
+// handOver lets all such connections go on in another process.
+func (cs *clientConns) handOver(give TransferFunc) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	cs.giver = give
+	cs.transfer = give
 	for c := range cs.open {
-		if c.in != nil && c.in != &cs.leaving || c.partly {
-			c.nudge()
+		if c.queuedIn != nil && c.queuedIn != &cs.lingering || c.receivingBody {
+			c.interruptRead()
 		}
 	}
 }
 
-// nudge lets a read that waits, or the next one, time out at once.
-func (c *client) nudge() {
-	c.reads.Lock()
-	defer c.reads.Unlock()
-	c.nudged = true
+// interruptRead lets a read that waits, or the next one, time out at once.
+func (c *clientConn) interruptRead() {
+	c.readDeadlineMu.Lock()
+	defer c.readDeadlineMu.Unlock()
+	c.interrupted = true
 	c.Conn.SetReadDeadline(time.Now())
 }
 
 // SetReadDeadline implements net.Conn. A client that is silent at first has no more time for
 // its head than one that begins at once.
-func (c *client) SetReadDeadline(t time.Time) error {
-	c.reads.Lock()
-	defer c.reads.Unlock()
-	if !c.later && !t.IsZero() && t.After(c.headBy) {
-		t = c.headBy
+func (c *clientConn) SetReadDeadline(t time.Time) error {
+	c.readDeadlineMu.Lock()
+	defer c.readDeadlineMu.Unlock()
+	if !c.headReceived && !t.IsZero() && t.After(c.headDeadline) {
+		t = c.headDeadline
 	}
-	if c.readBy = t; c.nudged || c.shut {
+	if c.readDeadline = t; c.interrupted || c.readsEnded {
 		return nil // until the read that is to see it has
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// takeNudge tells whether a read timed out because it was to, and puts the deadline back.
-func (c *client) takeNudge(err error) bool {
+// consumeInterrupt tells whether a read timed out because it was to, and puts the deadline back.
+func (c *clientConn) consumeInterrupt(err error) bool {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
 	}
-	c.reads.Lock()
-	defer c.reads.Unlock()
-	was := c.nudged && !c.shut
+	c.readDeadlineMu.Lock()
+	defer c.readDeadlineMu.Unlock()
+	was := c.interrupted && !c.readsEnded
 	if was {
-		c.nudged = false
-		c.Conn.SetReadDeadline(c.readBy)
+		c.interrupted = false
+		c.Conn.SetReadDeadline(c.readDeadline)
 	}
 	return was
 }
 
-// keepHead keeps what has come of a head that is not whole.
-func (c *client) keepHead(p []byte) {
-	switch n := c.frames.head; {
+// savePartialHead keeps what has come of a head that is not whole.
+func (c *clientConn) savePartialHead(p []byte) {
+	switch n := c.framing.headBytes; {
 	case n == 0:
-		c.head = nil
+		c.partialHead = nil
 	case n <= len(p):
-		c.head = append(c.head[:0], p[len(p)-n:]...)
-	case len(c.head) <= maxHead:
-		c.head = append(c.head, p...)
+		c.partialHead = append(c.partialHead[:0], p[len(p)-n:]...)
+	case len(c.partialHead) <= maxHead:
+		c.partialHead = append(c.partialHead, p...)
 	}
 }
 
-// goesOn gives the connection to the next process with what has come of a request, and tells
+// transferWith gives the connection to the next process with what has come of a request, and tells
 // whether that has taken it.
-func (c *client) goesOn(come []byte) bool {
-	c.clients.mu.Lock()
-	give := c.clients.giver
-	c.clients.mu.Unlock()
-	if give == nil || len(come) > mostCome || !give(come, c.Conn, nil) {
+func (c *clientConn) transferWith(received []byte) bool {
+	c.conns.mu.Lock()
+	transfer := c.conns.transfer
+	c.conns.mu.Unlock()
+	if transfer == nil || len(received) > maxReceived || !transfer(received, c.Conn, nil) {
 		return false
 	}
-	c.given.Store(true)
+	c.transferred.Store(true)
 	return true
 }
 
-// mostCome bounds what may have come of a request that goes on elsewhere.
-const mostCome = 3 << 20
+// maxReceived bounds what may have come of a request that goes on elsewhere.
+const maxReceived = 3 << 20
 
-// passable tells whether all that has come of a body is here. Danger: one that is on its way to a
+// transferable tells whether all that has come of a body is here. Danger: one that is on its way to a
 // backend and has made room there can't go on elsewhere, and comes whole in time more often than not:
 // ending its reading would lose it.
-func (c *client) passable() bool {
+func (c *clientConn) transferable() bool {
 	if c.body == nil {
 		return true
 	}
-	_, all := c.body.all()
+	_, all := c.body.received()
 	return all
 }
 
-// requestSoFar is what has come of a request, as it may stand on the wire. body is what has come of
+// encodePartialRequest is what has come of a request, as it may stand on the wire. body is what has come of
 // its body.
-func requestSoFar(r *http.Request, f *frames, body [][]byte) ([]byte, bool) {
+func encodePartialRequest(r *http.Request, f *requestFraming, body [][]byte) ([]byte, bool) {
 	data := 0
 	for _, p := range body {
 		data += len(p)
@@ -131,14 +131,14 @@
 		}
 	}
 	if r.ContentLength >= 0 {
-		if f.state != frameBody || f.left != r.ContentLength-int64(data) {
+		if f.state != frameBody || f.remaining != r.ContentLength-int64(data) {
 			return nil, false
 		}
 		out = strconv.AppendInt(append(out, "Content-Length: "...), r.ContentLength, 10)
 		out = append(out, "\r\n"...)
 	} else {
 		var ok bool
-		if before, behind, ok = f.rest(data); !ok {
+		if before, behind, ok = f.resumeBytes(data); !ok {
 			return nil, false
 		}
 		out = append(out, "Transfer-Encoding: chunked\r\n"...)
@@ -150,22 +150,22 @@
 	return append(out, behind...), true
 }
 
-// passRequest gives a request to the next process of which part of the body has come, if its
+// transferRequest gives a request to the next process of which part of the body has come, if its
 // reading has ended for that. What is left of it here has ended.
-func (c *client) passRequest(r *http.Request, body []byte, up *upload) bool {
-	if !c.left {
+func (c *clientConn) transferRequest(r *http.Request, body []byte, up *upload) bool {
+	if !c.readHandedOver {
 		return false
 	}
-	c.left = false
+	c.readHandedOver = false
 	parts := [][]byte{body}
 	if up != nil {
 		var all bool
-		if parts, all = up.all(); !all {
+		if parts, all = up.received(); !all {
 			return false
 		}
 	}
-	come, ok := requestSoFar(r, &c.frames, parts)
-	return ok && c.goesOn(come)
+	received, ok := encodePartialRequest(r, &c.framing, parts)
+	return ok && c.transferWith(received)
 }
 
 // AdoptClient goes on with a client's connection that another process has given, and with what had
@@ -175,24 +175,24 @@
 	if len(come) > maxHead {
 		// And a piece more, which is given back first: with all the room full of what has come, none of
 		// it could be read on.
-		if held = len(come) + pieceSize; !s.room.Take(held, budget.Large) {
+		if held = len(come) + pieceSize; !s.memory.Take(held, budget.Large) {
 			return errNoRoom
 		}
 	}
-	c := s.clients.admit(nc)
+	c := s.conns.admit(nc)
 	if c == nil {
-		s.room.Give(held, budget.Large)
+		s.memory.Give(held, budget.Large)
 		return errors.New("all places are taken")
 	}
 	if len(come) == 0 {
 		go c.park()
 		return nil
 	}
-	c.before = come
+	c.received = come
 	if held > 0 {
-		c.beforeRoom = s.room
-		c.beforeLeft.Store(int64(held))
+		c.receivedBudget = s.memory
+		c.receivedReserved.Store(int64(held))
 	}
-	go s.clients.give(c)
+	go s.conns.deliver(c)
 	return nil
 }
--- a/internal/dataplane/httpproxy/handon_test.go
+++ b/internal/dataplane/httpproxy/handover_test.go
@@ -36,7 +36,7 @@
 func servingLater(t *testing.T, entries ...engine.Entry) (front *Front, ln net.Listener, run func()) {
 	t.Helper()
 	front = stillEngine(t, entries...).front
-	front.SetMost(64)
+	front.SetMaxConnections(64)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -49,8 +49,8 @@
 		front.engine.ApplyMembership(engine.Membership{Kind: balancer.ListFull, Version: 1, Entries: entries})
 	})
 	t.Cleanup(func() {
-		front.http.Close()
-		front.clients.close()
+		front.server.Close()
+		front.conns.close()
 		<-served
 		stop()
 		<-front.engine.Done()
@@ -69,7 +69,7 @@
 
 // to gives connections to another front, as another process would have them: in descriptors of
 // its own.
-func to(t *testing.T, next *Front, taken *atomic.Int64) Giver {
+func to(t *testing.T, next *Front, taken *atomic.Int64) TransferFunc {
 	return func(state []byte, client, backend net.Conn) bool {
 		f, err := client.(*net.TCPConn).File()
 		if err != nil {
@@ -111,7 +111,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		old, ln := serving(t)
 		next, _ := serving(t)
-		next.http.Handler = http.HandlerFunc(echo)
+		next.server.Handler = http.HandlerFunc(echo)
 		body := strings.Repeat("abcdefg", rapid.IntRange(0, 110<<10).Draw(rt, "length")/7)
 		const id = "00000000000000aa"
 		head := "POST /bid/x HTTP/1.1\r\nHost: origin.svc\r\nX-Account: obala\r\nX-Time-Left: 9000m\r\n" + headerID + ": " + id + "\r\n"
@@ -134,22 +134,22 @@
 		client.SetDeadline(time.Now().Add(testutil.Patience))
 		io.WriteString(client, text[:cut])
 		eventually(t, "the connection to be taken", func() bool {
-			old.clients.mu.Lock()
-			defer old.clients.mu.Unlock()
-			return len(old.clients.open) == 1
+			old.conns.mu.Lock()
+			defer old.conns.mu.Unlock()
+			return len(old.conns.open) == 1
 		})
 		if settled {
 			eventually(t, "all to be read", func() bool {
-				old.clients.mu.Lock()
-				defer old.clients.mu.Unlock()
-				for c := range old.clients.open {
+				old.conns.mu.Lock()
+				defer old.conns.mu.Unlock()
+				for c := range old.conns.open {
 					return sockets.Idle(c.Conn)
 				}
 				return false
 			})
 		}
 		var taken atomic.Int64
-		old.LetGo(to(t, next, &taken))
+		old.HandOver(to(t, next, &taken))
 		if settled {
 			eventually(t, fmt.Sprintf("it to be taken, cut at %d of %.400q", cut, text), func() bool { return taken.Load() == 1 })
 		}
@@ -166,23 +166,23 @@
 			rt.Fatalf("cut at %d of %.300q: %d %q, want %q", cut, text, resp.StatusCode, got, want)
 		}
 		eventually(t, "the old one to have nothing left", func() bool {
-			old.clients.mu.Lock()
-			defer old.clients.mu.Unlock()
-			return len(old.clients.open) == 0 && old.room.Used() == 0
+			old.conns.mu.Lock()
+			defer old.conns.mu.Unlock()
+			return len(old.conns.open) == 0 && old.memory.Used() == 0
 		})
 		client.Close()
-		eventually(t, "the room to be given back", func() bool { return next.room.Used() == 0 })
+		eventually(t, "the room to be given back", func() bool { return next.memory.Used() == 0 })
 	})
 }
 
 // isNudged tells whether the one connection of a front has a nudge that no read has taken, and whether it has one.
 func isNudged(f *Front) (nudged, open bool) {
-	f.clients.mu.Lock()
-	defer f.clients.mu.Unlock()
-	for c := range f.clients.open {
-		c.reads.Lock()
-		defer c.reads.Unlock()
-		return c.nudged, true
+	f.conns.mu.Lock()
+	defer f.conns.mu.Unlock()
+	for c := range f.conns.open {
+		c.readDeadlineMu.Lock()
+		defer c.readDeadlineMu.Unlock()
+		return c.interrupted, true
 	}
 	return false, false
 }
@@ -194,7 +194,7 @@
 	old, ln := serving(t)
 	next, _ := serving(t)
 	gate := newBarrier(t)
-	old.http.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	old.server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		gate.wait()
 		old.ServeHTTP(w, r)
 	})
@@ -202,7 +202,7 @@
 	io.WriteString(client, get("whole"))
 	receive(t, gate.reached, "the handler")
 	var taken atomic.Int64
-	old.LetGo(to(t, next, &taken))
+	old.HandOver(to(t, next, &taken))
 	eventually(t, "the read behind the request to have seen that", func() bool {
 		nudged, open := isNudged(old)
 		return !nudged || !open // else it has been given away
@@ -226,38 +226,38 @@
 	for range 20 {
 		old, ln, run := servingLater(t, ready("s-1", reading))
 		next, _ := serving(t)
-		next.http.Handler = http.HandlerFunc(echo)
+		next.server.Handler = http.HandlerFunc(echo)
 		body := strings.Repeat("abcdefgh", 96<<10/8)
 		client := testutil.Dial(t, ln.Addr().String())
 		const others = 680 << 10
-		if !old.room.Take(others, budget.Large) {
+		if !old.memory.Take(others, budget.Large) {
 			t.Fatal("no room to take")
 		}
 		fmt.Fprintf(client, "POST /bid/x HTTP/1.1\r\nHost: a\r\nX-Account: obala\r\nX-Time-Left: 9000m\r\n%s: 00000000000000aa\r\nContent-Length: %d\r\n\r\n",
 			headerID, len(body))
 		io.WriteString(client, body[:40<<10])
 		partly := func() bool {
-			old.clients.mu.Lock()
-			defer old.clients.mu.Unlock()
-			for c := range old.clients.open {
-				return c.partly
+			old.conns.mu.Lock()
+			defer old.conns.mu.Unlock()
+			for c := range old.conns.open {
+				return c.receivingBody
 			}
 			return false
 		}
 		eventually(t, "it to be on its way", partly)
-		old.room.Give(others, budget.Large)
+		old.memory.Give(others, budget.Large)
 		run()
 		io.WriteString(client, body[40<<10:80<<10])
 		eventually(t, "all to be read", func() bool {
-			old.clients.mu.Lock()
-			defer old.clients.mu.Unlock()
-			for c := range old.clients.open {
+			old.conns.mu.Lock()
+			defer old.conns.mu.Unlock()
+			for c := range old.conns.open {
 				return sockets.Idle(c.Conn)
 			}
 			return false
 		})
 		var taken atomic.Int64
-		old.LetGo(to(t, next, &taken))
+		old.HandOver(to(t, next, &taken))
 		eventually(t, "it to be taken", func() bool { return taken.Load() == 1 })
 		io.WriteString(client, body[80<<10:])
 		resp, err := http.ReadResponse(bufio.NewReader(client), nil)
@@ -276,12 +276,12 @@
 	t.Parallel()
 	for _, takes := range []bool{true, false} {
 		old, ln := serving(t)
-		old.http.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			clientOf(r).begins()
+		old.server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			clientOf(r).beginRequest()
 			echo(w, r)
 		})
 		next, _ := serving(t)
-		next.http.Handler = http.HandlerFunc(echo)
+		next.server.Handler = http.HandlerFunc(echo)
 		client := testutil.Dial(t, ln.Addr().String())
 		in := bufio.NewReader(client)
 		ask := func() {
@@ -298,7 +298,7 @@
 		ask()
 		var taken, offered atomic.Int64
 		give := to(t, next, &taken)
-		old.LetGo(func(state []byte, c, b net.Conn) bool {
+		old.HandOver(func(state []byte, c, b net.Conn) bool {
 			offered.Add(1)
 			return takes && give(state, c, b)
 		})
@@ -316,10 +316,10 @@
 func TestARequestInHandStays(t *testing.T) {
 	t.Parallel()
 	old, ln := serving(t)
-	inHand, finish := make(chan *client, 1), make(chan struct{})
-	old.http.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	inHand, finish := make(chan *clientConn, 1), make(chan struct{})
+	old.server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c := clientOf(r)
-		c.begins()
+		c.beginRequest()
 		io.Copy(io.Discard, r.Body)
 		inHand <- c
 		select {
@@ -332,12 +332,12 @@
 	near := testutil.Dial(t, ln.Addr().String())
 	io.WriteString(near, "POST /bid/x HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc")
 	c := receive(t, inHand, "the request")
-	old.LetGo(func([]byte, net.Conn, net.Conn) bool { return false })
-	c.nudge() // as where it was still being read when the nudge was on its way
+	old.HandOver(func([]byte, net.Conn, net.Conn) bool { return false })
+	c.interruptRead() // as where it was still being read when the nudge was on its way
 	eventually(t, "the nudge to be taken", func() bool {
-		c.reads.Lock()
-		defer c.reads.Unlock()
-		return !c.nudged
+		c.readDeadlineMu.Lock()
+		defer c.readDeadlineMu.Unlock()
+		return !c.interrupted
 	})
 	close(finish)
 	resp, err := http.ReadResponse(bufio.NewReader(near), nil)
@@ -354,9 +354,9 @@
 	if err := next.AdoptClient(make([]byte, 2<<20), far); !errors.Is(err, errNoRoom) {
 		t.Errorf("2 MB in a room of 1: %v", err)
 	}
-	next.SetMost(0)
-	if err := next.AdoptClient(make([]byte, 100<<10), far); err == nil || next.room.Used() != 0 {
-		t.Errorf("with no place: %v, %d bytes held", err, next.room.Used())
+	next.SetMaxConnections(0)
+	if err := next.AdoptClient(make([]byte, 100<<10), far); err == nil || next.memory.Used() != 0 {
+		t.Errorf("with no place: %v, %d bytes held", err, next.memory.Used())
 	}
 }
 
@@ -379,18 +379,18 @@
 		headerID, len(body))
 	io.WriteString(client, body[:280<<10])
 	eventually(t, "its beginning to have gone", func() bool {
-		old.clients.mu.Lock()
-		defer old.clients.mu.Unlock()
-		for c := range old.clients.open {
-			if !c.partly {
+		old.conns.mu.Lock()
+		defer old.conns.mu.Unlock()
+		for c := range old.conns.open {
+			if !c.receivingBody {
 				return false
 			}
-			_, all := c.body.all()
+			_, all := c.body.received()
 			return !all && sockets.Idle(c.Conn)
 		}
 		return false
 	})
-	old.LetGo(func(come []byte, _, _ net.Conn) bool {
+	old.HandOver(func(come []byte, _, _ net.Conn) bool {
 		if len(come) > 0 { // else it is the connection, when all is answered
 			t.Error("it is given away")
 		}
--- a/internal/dataplane/httpproxy/harness_test.go
+++ b/internal/dataplane/httpproxy/harness_test.go
@@ -87,5 +87,5 @@
 
 // probeMessage is the request for the health of a backend at an address.
 func probeMessage(addr string) *Message {
-	return platformDialect().Probe(engine.NewBackend("s-1", addr, true))
+	return platformDialect().HealthCheck(engine.NewBackend("s-1", addr, true))
 }
--- a/internal/dataplane/httpproxy/parse.go
+++ b/internal/dataplane/httpproxy/parse.go
@@ -22,7 +22,7 @@
 	headerHint    = "X-Weight-Hint"
 	headerRepeat  = "X-Repeat"
 	idLength      = 16
-	longestKey    = 128
+	maxKeyLength  = 128
 	smallBody     = 4 << 10 // a body's room is taken at once up to here, and beyond it as it comes
 )
 
@@ -30,7 +30,7 @@
 // client's fault, and the answer says how; its status is 0 for a good request. A
 // backend closes on what it can't read, which would count as its own failure. The
 // cheap checks come first: a flood of bad requests must cost little.
-func (s *Front) parse(r *http.Request, by *engine.SettingsSnapshot) (*call, time.Duration, answer) {
+func (s *Front) parse(r *http.Request, snapshot *engine.SettingsSnapshot) (*call, time.Duration, answer) {
 	bad := func(status int, format string, args ...any) (*call, time.Duration, answer) {
 		return nil, 0, badRequest(status, format, args...)
 	}
@@ -39,7 +39,7 @@
 	}
 	h := r.Header
 	name, rest, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	class, known := by.ClassIndexes[name]
+	class, known := snapshot.ClassIndexes[name]
 	if !known {
 		return bad(http.StatusNotFound, "unknown class")
 	}
@@ -49,18 +49,18 @@
 		}
 	}
 	tenant := 0
-	if len(by.TenantIndexes) > 0 {
-		if tenant, known = by.TenantIndexes[h.Get(headerAccount)]; !known {
+	if len(snapshot.TenantIndexes) > 0 {
+		if tenant, known = snapshot.TenantIndexes[h.Get(headerAccount)]; !known {
 			return bad(http.StatusBadRequest, "unknown account")
 		}
 	}
-	left, err := parseSpan(h.Get(headerTimeout))
+	left, err := parseTimeout(h.Get(headerTimeout))
 	if err != nil {
 		return bad(http.StatusBadRequest, "%s: %v", headerTimeout, err)
 	}
 	// Whatever it says, no client waits longer than its class does over all its tries,
 	// and nobody may hold a place here for longer.
-	c := &by.Settings.Classes[class]
+	c := &snapshot.Settings.Classes[class]
 	left = min(left, c.ClientTimeout)
 	id := h.Get(headerID)
 	if len(id) != idLength || strings.Trim(id, "0123456789abcdef") != "" {
@@ -79,13 +79,13 @@
 	// Backends know a keyed request's repeats by this header alone. Without it a
 	// second attempt would run again; with it, an unsafe one would pass for keyed.
 	key := h.Get(headerKey)
-	if (key != "") != (c.Effect == balancer.Keyed) || len(key) > longestKey || !plain(key, "-._~") {
+	if (key != "") != (c.Effect == balancer.Keyed) || len(key) > maxKeyLength || !plain(key, "-._~") {
 		return bad(http.StatusBadRequest, "%s: %s is missing, out of place or no plain word", name, headerKey)
 	}
 	var cost time.Duration
 	if hint := h.Get(headerHint); hint != "" {
 		us, err := strconv.ParseFloat(hint, 64)
-		if err != nil || !(us >= 0 && us <= float64(longestSpan.Microseconds())) {
+		if err != nil || !(us >= 0 && us <= float64(maxSpan.Microseconds())) {
 			return bad(http.StatusBadRequest, "%s is no number of microseconds", headerHint)
 		}
 		cost = time.Duration(us * float64(time.Microsecond))
@@ -105,7 +105,7 @@
 		Call: engine.Call{Request: balancer.Request{
 			Class: class, Tenant: tenant, Key: about, Cost: cost,
 			IsRetry: h.Get(headerRepeat) == "1",
-		}, ClientRequestID: id, Carrier: s.carrier, Snapshot: by},
+		}, ClientRequestID: id, Carrier: s.carrier, Snapshot: snapshot},
 		answers: make(chan answer, 1),
 	}
 	req.Front = req
@@ -140,9 +140,9 @@
 	"Transfer-Encoding", "Content-Length", "Expect",
 }
 
-// staysHere tells whether a header ends at this hop: one of the fixed ones, or one
+// isHopByHop tells whether a header ends at this hop: one of the fixed ones, or one
 // that Connection names.
-func staysHere(h http.Header, field string) bool {
+func isHopByHop(h http.Header, field string) bool {
 	if slices.Contains(hopByHop, field) {
 		return true
 	}
@@ -160,15 +160,15 @@
 func endToEnd(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for field, values := range h {
-		if !staysHere(h, field) {
+		if !isHopByHop(h, field) {
 			out[field] = values
 		}
 	}
 	return out
 }
 
-// parseSpan reads a number with the unit m (milliseconds) or u (microseconds).
-func parseSpan(s string) (time.Duration, error) {
+// parseTimeout reads a number with the unit m (milliseconds) or u (microseconds).
+func parseTimeout(s string) (time.Duration, error) {
 	unit := time.Duration(0)
 	if s != "" {
 		switch s[len(s)-1] {
@@ -182,10 +182,10 @@
 		return 0, fmt.Errorf("%q has no unit m or u", s)
 	}
 	n, err := strconv.ParseFloat(s[:len(s)-1], 64)
-	if err != nil || !(n > 0 && n*float64(unit) <= float64(longestSpan)) {
-		return 0, fmt.Errorf("%q is no span above 0 and up to %v", s, longestSpan)
+	if err != nil || !(n > 0 && n*float64(unit) <= float64(maxSpan)) {
+		return 0, fmt.Errorf("%q is no span above 0 and up to %v", s, maxSpan)
 	}
 	return time.Duration(n * float64(unit)), nil
 }
 
-const longestSpan = time.Hour
+const maxSpan = time.Hour
--- a/internal/dataplane/httpproxy/pool_test.go
+++ b/internal/dataplane/httpproxy/pool_test.go
@@ -21,8 +21,8 @@
 	t.Cleanup(func() { ln.Close() })
 	b := engine.NewBackend("s-1", ln.Addr().String(), true)
 	p := &pool{
-		most: n, maxIdle: 45 * time.Second, idle: map[*engine.Backend][]*conn{},
-		model: connections.New(connections.DefaultConfig(3, 0.03)), worth: 3,
+		maxOpen: n, maxIdle: 45 * time.Second, idle: map[*engine.Backend][]*backendConn{},
+		model: connections.New(connections.DefaultConfig(3, 0.03)), meanUtility: 3,
 	}
 	var far []net.Conn
 	for i := range n {
@@ -36,10 +36,10 @@
 		}
 		t.Cleanup(func() { nc.Close(); other.Close() })
 		far = append(far, other)
-		if !p.mayDial() {
+		if !p.reserveDial() {
 			t.Fatal("no place for the connection")
 		}
-		p.put(b, &conn{Conn: nc, in: bufio.NewReader(nc)}, time.Duration(i)*time.Second)
+		p.put(b, &backendConn{Conn: nc, reader: bufio.NewReader(nc)}, time.Duration(i)*time.Second)
 	}
 	return p, b, far
 }
@@ -48,7 +48,7 @@
 	t.Parallel()
 	p, b, _ := poolOf(t, 3)
 	want := p.idle[b][2]
-	if c := p.take(b, 3*time.Second, probeStake); c != want {
+	if c := p.take(b, 3*time.Second, healthCheckStake); c != want {
 		t.Error("not the most recently used")
 	}
 }
@@ -59,10 +59,10 @@
 	t.Parallel()
 	p, b, _ := poolOf(t, 2) // the younger idle since 1 s
 	young, old := p.idle[b][1], p.idle[b][0]
-	if c := p.take(b, time.Second+restFor/2, probeStake); c != old {
+	if c := p.take(b, time.Second+restTime/2, healthCheckStake); c != old {
 		t.Error("the connection that was used just now was taken before the other")
 	}
-	if c := p.take(b, time.Second+restFor/2, probeStake); c != young {
+	if c := p.take(b, time.Second+restTime/2, healthCheckStake); c != young {
 		t.Error("where there is no other, it is not taken")
 	}
 }
@@ -72,11 +72,11 @@
 func TestPoolKeepsBidsOffConnectionsThatTurnedAway(t *testing.T) {
 	t.Parallel()
 	bid, listing := connections.Request{Utility: 8}, connections.Request{Utility: 1, Effect: connections.Delayed}
-	now := 2*time.Second + shyFor/2
+	now := 2*time.Second + rejectedRestTime/2
 	p, b, _ := poolOf(t, 2) // idle since 0 and 1 s
-	p.most++
+	p.maxOpen++
 	young := p.idle[b][1]
-	young.idleSince, young.turnedAway = 2*time.Second, true
+	young.idleSince, young.lastRejected = 2*time.Second, true
 	if c := p.take(b, now, bid); c == young || c == nil {
 		t.Error("with another at hand, a bid got the one that turned away, or none")
 	}
@@ -90,11 +90,11 @@
 		t.Error("a listing does not take it")
 	}
 	p.put(b, young, 2*time.Second)
-	if c := p.take(b, 2*time.Second+2*shyFor, bid); c != young {
+	if c := p.take(b, 2*time.Second+2*rejectedRestTime, bid); c != young {
 		t.Error("after its time a bid does not take it")
 	}
 	p.put(b, young, 4*time.Second)
-	p.most = p.open
+	p.maxOpen = p.open
 	if c := p.take(b, 4*time.Second, bid); c != young {
 		t.Error("where no other can be had, a bid does not take it")
 	}
@@ -105,7 +105,7 @@
 func TestPoolRetiresBeforeTheBackendDoes(t *testing.T) {
 	t.Parallel()
 	p, b, _ := poolOf(t, 2)
-	if c := p.take(b, 46*time.Second, probeStake); c != nil || p.open != 0 {
+	if c := p.take(b, 46*time.Second, healthCheckStake); c != nil || p.open != 0 {
 		t.Errorf("an old connection was taken, or %d are still counted", p.open)
 	}
 }
@@ -117,15 +117,15 @@
 	p, b, far := poolOf(t, 2)
 	want := p.idle[b][0]
 	far[1].Close()
-	eventually(t, "the end to arrive", func() bool { return !p.idle[b][1].alive() })
-	if c := p.take(b, 2*time.Second, probeStake); c != want {
+	eventually(t, "the end to arrive", func() bool { return !p.idle[b][1].reusable() })
+	if c := p.take(b, 2*time.Second, healthCheckStake); c != want {
 		t.Error("the closed connection was not passed over")
 	}
 	// What nobody asked for belongs to no request.
 	p.put(b, want, 2*time.Second)
 	io.WriteString(far[0], okAnswer)
-	eventually(t, "the noise to arrive", func() bool { return !want.alive() })
-	if c := p.take(b, 2*time.Second, probeStake); c != nil {
+	eventually(t, "the noise to arrive", func() bool { return !want.reusable() })
+	if c := p.take(b, 2*time.Second, healthCheckStake); c != nil {
 		t.Error("a connection with an answer to nothing was taken")
 	}
 }
@@ -133,11 +133,11 @@
 func TestPoolIsBounded(t *testing.T) {
 	t.Parallel()
 	p, b, _ := poolOf(t, 2)
-	if !p.mayDial() || p.open != 2 || len(p.idle[b]) != 1 {
+	if !p.reserveDial() || p.open != 2 || len(p.idle[b]) != 1 {
 		t.Errorf("with all places taken by idle ones: %d open, %d idle", p.open, len(p.idle[b]))
 	}
-	p.take(b, 2*time.Second, probeStake)
-	if p.mayDial() {
+	p.take(b, 2*time.Second, healthCheckStake)
+	if p.reserveDial() {
 		t.Error("a place was given beyond the bound")
 	}
 }
--- a/internal/dataplane/httpproxy/reply.go
+++ b/internal/dataplane/httpproxy/reply.go
@@ -23,8 +23,8 @@
 // Body is the answer's body, whole, unless it Streams.
 func (r *Reply) Body() []byte { return r.body }
 
-// Streams tells whether the body comes as it goes, by Read.
-func (r *Reply) Streams() bool { return r.stream != nil }
+// Streaming tells whether the body comes as it goes, by Read.
+func (r *Reply) Streaming() bool { return r.stream != nil }
 
 // Read reads what follows of a stream, as it comes; it ends with io.EOF only where the body
 // is whole. until bounds the wait.
@@ -43,8 +43,8 @@
 	return n, err
 }
 
-// Break ends a Read that waits, and whatever else is under way. Any goroutine.
-func (r *Reply) Break() {
+// Abort ends a Read that waits, and whatever else is under way. Any goroutine.
+func (r *Reply) Abort() {
 	if d := r.stream; d != nil {
 		d.conn.Close()
 	}
@@ -52,10 +52,10 @@
 
 // Release gives back what the reply holds. whole: its stream was read to its end, so the
 // connection can be used again.
-func (r *Reply) Release(room *budget.Budget, whole bool) {
+func (r *Reply) Release(memory *budget.Budget, complete bool) {
 	if d := r.stream; d != nil {
-		d.end(whole)
+		d.finish(complete)
 		r.stream = nil
 	}
-	r.release(room)
+	r.release(memory)
 }
--- a/internal/dataplane/httpproxy/body.go
+++ b/internal/dataplane/httpproxy/requestbody.go
@@ -12,43 +12,43 @@
 )
 
 const (
-	// maxLength bounds a body in either direction. What says that it is longer, or turns
+	// maxBodyLength bounds a body in either direction. What says that it is longer, or turns
 	// out to be, is no body of anybody's: three gigabytes of noise would be passed on.
-	maxLength = 64 << 20
+	maxBodyLength = 64 << 20
 	// A client's body is owed its first bytes within bodyGrace of its head, and comes at
 	// leastRate from there on: half of what the slowest clients manage.
-	bodyGrace = 2400 * time.Millisecond
-	leastRate = 32 << 10
-	// roomWait is how long a request waits for room for its body before it is refused.
-	roomWait = 250 * time.Millisecond
-	// drainWait is how long a client that still writes may read an answer that came early.
-	drainWait = 500 * time.Millisecond
+	bodyGrace   = 2400 * time.Millisecond
+	minBodyRate = 32 << 10
+	// budgetTimeout is how long a request waits for room for its body before it is refused.
+	budgetTimeout = 250 * time.Millisecond
+	// earlyAnswerDrain is how long a client that still writes may read an answer that came early.
+	earlyAnswerDrain = 500 * time.Millisecond
 )
 
 var errTooLong = errors.New("the body is too long")
 
-// paced reads a client's body and ends it where it comes too slowly.
-type paced struct {
-	in     io.Reader
-	until  func(time.Time) error // sets the deadline of a read
-	began  time.Time
-	got    int64
-	waited time.Duration // that it was not read, for want of room
-	idle   time.Time     // since when it has not been read
+// pacedReader reads a client's body and ends it where it comes too slowly.
+type pacedReader struct {
+	in           io.Reader
+	setDeadline  func(time.Time) error // sets the deadline of a read
+	began        time.Time
+	received     int64
+	waited       time.Duration // that it was not read, for want of room
+	notReadSince time.Time     // since when it has not been read
 }
 
-func newPaced(r *http.Request, out *http.ResponseController) *paced {
+func newPacedReader(r *http.Request, out *http.ResponseController) *pacedReader {
 	now := time.Now()
-	return &paced{in: r.Body, until: out.SetReadDeadline, began: now, idle: now}
+	return &pacedReader{in: r.Body, setDeadline: out.SetReadDeadline, began: now, notReadSince: now}
 }
 
 // Read implements io.Reader.
-func (p *paced) Read(b []byte) (int, error) {
-	p.waited += time.Since(p.idle)
-	p.until(p.began.Add(p.waited + bodyGrace + time.Duration(p.got)*time.Second/leastRate))
+func (p *pacedReader) Read(b []byte) (int, error) {
+	p.waited += time.Since(p.notReadSince)
+	p.setDeadline(p.began.Add(p.waited + bodyGrace + time.Duration(p.received)*time.Second/minBodyRate))
 	n, err := p.in.Read(b)
-	p.got += int64(n)
-	p.idle = time.Now()
+	p.received += int64(n)
+	p.notReadSince = time.Now()
 	return n, err
 }
 
@@ -57,26 +57,26 @@
 // 0 where that went well; it is the client's, or nobody's for now, where not, and then body or up
 // have what came. held is what a
 // whole body has taken of the room, to be given back when the request is over.
-func (s *Front) readBody(r *http.Request, in *paced) (body []byte, held int, up *upload, a answer) {
+func (s *Front) readBody(r *http.Request, in *pacedReader) (body []byte, reserved int, up *upload, a answer) {
 	switch n := r.ContentLength; {
 	case n == 0:
 		return nil, 0, nil, answer{}
-	case n > maxLength:
-		return nil, 0, nil, badRequest(http.StatusRequestEntityTooLarge, "the body has more than %d bytes", maxLength)
-	case n > 0 && n <= maxBody:
-		if held, err := s.hold(r.Context(), int(n)); err != nil {
-			return nil, 0, nil, bodyTrouble(err)
+	case n > maxBodyLength:
+		return nil, 0, nil, badRequest(http.StatusRequestEntityTooLarge, "the body has more than %d bytes", maxBodyLength)
+	case n > 0 && n <= maxBufferedBody:
+		if reserved, err := s.reserve(r.Context(), int(n)); err != nil {
+			return nil, 0, nil, bodyError(err)
 		} else if body, err = readSmall(in, int(n)); err != nil {
-			return body, held, nil, bodyTrouble(err)
+			return body, reserved, nil, bodyError(err)
 		} else {
-			return body, held, nil, answer{}
+			return body, reserved, nil, answer{}
 		}
 	}
-	up = newUpload(s.room, r.ContentLength)
+	up = newUpload(s.memory, r.ContentLength)
 	if c := clientOf(r); c != nil {
 		c.body = up
 	}
-	wait, cancel := context.WithTimeout(r.Context(), roomWait)
+	wait, cancel := context.WithTimeout(r.Context(), budgetTimeout)
 	defer cancel()
 	err := up.open(wait)
 	if err == nil {
@@ -84,28 +84,28 @@
 	} else {
 		err = errNoRoom
 	}
-	if body, small := up.small(); small && err == nil {
+	if body, small := up.inOnePiece(); small && err == nil {
 		up.release()
-		held, err := s.hold(r.Context(), len(body))
-		return body, held, nil, bodyTrouble(err)
+		reserved, err := s.reserve(r.Context(), len(body))
+		return body, reserved, nil, bodyError(err)
 	}
-	if err != nil && err != errFlow {
-		return nil, 0, up, bodyTrouble(err)
+	if err != nil && err != errBufferFull {
+		return nil, 0, up, bodyError(err)
 	}
 	return nil, 0, up, answer{}
 }
 
 var errNoRoom = errors.New("there is no room for the body")
 
-// hold takes room for a body that is held whole until its request is over; one that is as
+// reserve takes room for a body that is held whole until its request is over; one that is as
 // small as what every connection has needs none.
-func (s *Front) hold(ctx context.Context, n int) (held int, err error) {
+func (s *Front) reserve(ctx context.Context, n int) (reserved int, err error) {
 	if n <= smallBody {
 		return 0, nil
 	}
-	wait, cancel := context.WithTimeout(ctx, roomWait)
+	wait, cancel := context.WithTimeout(ctx, budgetTimeout)
 	defer cancel()
-	if s.room.Wait(wait, n, budget.Small) != nil {
+	if s.memory.Wait(wait, n, budget.Small) != nil {
 		return 0, errNoRoom
 	}
 	return n, nil
@@ -126,8 +126,8 @@
 	return body[:got], err
 }
 
-// bodyTrouble words what went wrong with a body.
-func bodyTrouble(err error) answer {
+// bodyError words what went wrong with a body.
+func bodyError(err error) answer {
 	var ne net.Error
 	switch {
 	case err == nil:
@@ -135,10 +135,10 @@
 	case errors.Is(err, errNoRoom):
 		a := badRequest(http.StatusServiceUnavailable, "%v", err)
 		return a
-	case errors.Is(err, errLeaving):
+	case errors.Is(err, errHandoverPending):
 		return badRequest(http.StatusServiceUnavailable, "%v", err)
 	case errors.Is(err, errTooLong):
-		return badRequest(http.StatusRequestEntityTooLarge, "the body has more than %d bytes", maxLength)
+		return badRequest(http.StatusRequestEntityTooLarge, "the body has more than %d bytes", maxBodyLength)
 	case errors.As(err, &ne) && ne.Timeout():
 		return badRequest(http.StatusRequestTimeout, "the body comes too slowly")
 	}
--- a/internal/dataplane/httpproxy/upload_send.go
+++ b/internal/dataplane/httpproxy/sendupload.go
@@ -11,22 +11,22 @@
 	"marlreel/internal/balancer"
 )
 
-// sendLarge writes a request whose body comes in pieces, as they come, and reads its
+// sendUpload writes a request whose body comes in pieces, as they come, and reads its
 // answer. The backend begins when the last byte has come: until then nothing has run, so
 // the permit is taken for the last piece alone, and whatever ends it before is a request
 // that was never sent.
-func (c *conn) sendLarge(ctx context.Context, x *exchange, head []byte, report []string) Reply {
-	unsent := Reply{result: balancer.NotSent, early: true}
-	u, at := x.msg.up, cursor{}
-	chunked := u.frame() < 0
+func (c *backendConn) sendUpload(ctx context.Context, x *exchange, head []byte, report []string) Reply {
+	unsent := Reply{result: balancer.NotSent, brokeEarly: true}
+	u, at := x.message.upload, uploadCursor{}
+	chunked := u.announcedLength() < 0
 	c.SetDeadline(time.Time{}) // what is to be waited for is each piece, and then the answer
 	for {
 		p, last, err := u.next(ctx, at)
 		if err != nil {
 			return Reply{result: balancer.NotSent} // it was the client's side: the connection speaks of nothing
 		}
-		if last && x.gone() {
-			return Reply{result: balancer.NotSent, left: true}
+		if last && x.clientGone() {
+			return Reply{result: balancer.NotSent, clientGone: true}
 		}
 		if last && !x.permit.TryClaim() || !last && !x.permit.Available() {
 			return Reply{result: balancer.NotSent}
@@ -36,36 +36,36 @@
 			parts = net.Buffers{head, chunkSize(len(p)), p, chunkEnd(len(p), last)}
 		}
 		head = nil
-		c.SetWriteDeadline(time.Now().Add(stall))
+		c.SetWriteDeadline(time.Now().Add(stallTimeout))
 		if _, err := parts.WriteTo(c.Conn); err != nil {
 			if last {
-				return failed(err)
+				return failedAfterWrite(err)
 			}
-			return c.early(x, unsent)
+			return c.readEarlyAnswer(x, unsent)
 		}
 		if last {
 			break
 		}
-		u.wrote(&at, len(p))
+		u.advance(&at, len(p))
 		// A backend may say early that it won't have it. What it says before the last byte
 		// has come is about the request, and the connection ends with it.
 		if !sockets.Idle(c.Conn) {
-			return c.early(x, unsent)
+			return c.readEarlyAnswer(x, unsent)
 		}
 	}
 	if x.attempt != nil {
 		x.attempt.MarkWritten()
 	}
-	if !x.coming {
-		c.SetReadDeadline(x.until) // else the engine ends it
+	if !x.receiving {
+		c.SetReadDeadline(x.deadline) // else the engine ends it
 	}
-	return c.answer(x, report)
+	return c.readAnswer(x, report)
 }
 
-// early reads what a backend says before it has had all of a request.
-func (c *conn) early(x *exchange, unsent Reply) Reply {
-	c.SetReadDeadline(time.Now().Add(stall / 10))
-	resp, err := c.readHead(x.msg.Method)
+// readEarlyAnswer reads what a backend says before it has had all of a request.
+func (c *backendConn) readEarlyAnswer(x *exchange, unsent Reply) Reply {
+	c.SetReadDeadline(time.Now().Add(stallTimeout / 10))
+	resp, err := c.readHead(x.message.Method)
 	if err != nil {
 		return unsent
 	}
--- /dev/null
+++ b/internal/dataplane/httpproxy/streamrelay.go
@@ -0,0 +1,278 @@
+package httpproxy
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"net"
+	"net/http"
+	"os"
+	"strconv"
+	"time"
+
+	"marlreel/internal/process/budget"
+)
+
+// TransferFunc gives a connection to another process, and tells whether that has taken it: from then on
+// nothing may be read or written here. With a backend's connection it is a large answer on its way,
+// and state is a relay's; without one (nil), state is what has come of a request.
+type TransferFunc func(state []byte, client, backend net.Conn) bool
+
+// streamRelay passes a large answer on in bytes of its own, so that it can stop between any two
+// of them and go on in another process. It is used in place of net/http's writer where
+// there may be one.
+type streamRelay struct {
+	client  net.Conn
+	backend *backendConn
+	body    io.Reader // one of *sized, *chunkReader, *bufio.Reader
+	chunked bool      // how the client is told where it ends, if not by length or close
+	pending []byte    // for the client, as it stands on the wire
+	passed  int64
+}
+
+// streamRelayState is a relay in words. Versions that don't know each other's turn it down.
+type streamRelayState struct {
+	Version      int        `json:"Version"`
+	Form         string     `json:"Form"` // of the body: sized, chunks, end
+	Remaining    int64      `json:"Left"`
+	ChunkState   chunkState `json:"Chunk"`
+	PartialLine  []byte     `json:"Line"`
+	TrailerBytes int        `json:"Trailer"`
+	Chunked      bool       `json:"Chunked"`
+	Pending      []byte     `json:"Pending"`
+	Undecoded    []byte     `json:"Ahead"` // read from the backend, and not decoded yet
+	Passed       int64      `json:"Total"`
+}
+
+const streamRelayVersion = 1
+
+var errHandedOver = errors.New("it goes on in another process")
+
+// pieceOverhead is the room kept around a piece for a chunk's size and end.
+const pieceOverhead = 16
+
+// run passes the answer on until its end, or until leave is closed and give has taken it.
+func (r *streamRelay) run(memory *budget.Budget, handoverStarted <-chan struct{}, transfer func() TransferFunc) error {
+	size := smallBody
+	if memory.Take(pieceSize, budget.Small) {
+		size = pieceSize
+		defer memory.Give(pieceSize, budget.Small)
+	}
+	stop := make(chan struct{})
+	stopped := make(chan struct{})
+	defer func() { close(stop); <-stopped }()
+	go func() {
+		defer close(stopped)
+		select {
+		case <-handoverStarted: // whoever waits for a peer stops waiting, and looks
+			r.client.SetWriteDeadline(time.Now())
+			r.backend.SetReadDeadline(time.Now())
+		case <-stop:
+		}
+	}()
+	buf := make([]byte, 0, size+2*pieceOverhead)
+	rejected := false
+	// left tells whether it has been given away; a peer's time-out is one only if not leaving.
+	handOver := func(err error) (bool, error) {
+		select {
+		case <-handoverStarted:
+		default:
+			return false, err
+		}
+		<-stopped // which has set times on connections that may be another's at once
+		if !rejected {
+			state, jsonErr := json.Marshal(r.state())
+			if g := transfer(); g != nil && jsonErr == nil && g(state, r.client, r.backend.Conn) {
+				if c, ok := r.client.(*clientConn); ok {
+					c.transferred.Store(true) // ending it here would end it there
+				}
+				return true, errHandedOver
+			}
+			rejected = true // it ends here, or with the process
+			return false, nil
+		}
+		return false, err
+	}
+	for done := false; ; {
+		for len(r.pending) > 0 {
+			r.setDeadline(r.client.SetWriteDeadline, handoverStarted, rejected)
+			n, err := r.client.Write(r.pending)
+			if r.pending = r.pending[n:]; err == nil {
+				continue
+			}
+			if !errors.Is(err, os.ErrDeadlineExceeded) {
+				return errClient
+			}
+			if gone, err := handOver(errClient); gone || err != nil {
+				return err
+			}
+		}
+		if done {
+			return nil
+		}
+		r.setDeadline(r.backend.SetReadDeadline, handoverStarted, rejected)
+		n, err := r.body.Read(buf[pieceOverhead : pieceOverhead+size])
+		if r.passed += int64(n); r.passed > maxBodyLength {
+			return errBackend
+		}
+		r.pending = r.encodePiece(buf, n, err == io.EOF)
+		switch {
+		case err == nil:
+		case err == io.EOF:
+			done = true
+		case !errors.Is(err, os.ErrDeadlineExceeded):
+			return errBackend
+		case n == 0:
+			if gone, err := handOver(errBackend); gone || err != nil {
+				return err
+			}
+		}
+	}
+}
+
+// setDeadline gives a peer its time, unless all are to stop.
+func (r *streamRelay) setDeadline(set func(time.Time) error, handoverStarted <-chan struct{}, rejected bool) {
+	set(time.Now().Add(stallTimeout))
+	select {
+	case <-handoverStarted:
+		if !rejected {
+			set(time.Now())
+		}
+	default:
+	}
+}
+
+// encodePiece makes of a piece what stands on the wire.
+func (r *streamRelay) encodePiece(buf []byte, n int, last bool) []byte {
+	if !r.chunked {
+		return buf[pieceOverhead : pieceOverhead+n]
+	}
+	out := buf[pieceOverhead : pieceOverhead+n]
+	if n > 0 {
+		head := strconv.AppendInt(nil, int64(n), 16)
+		head = append(head, "\r\n"...)
+		from := pieceOverhead - len(head)
+		copy(buf[from:pieceOverhead], head)
+		out = append(buf[from:pieceOverhead+n], "\r\n"...)
+	}
+	if last {
+		out = append(out, "0\r\n\r\n"...)
+	}
+	return out
+}
+
+// state is all that another process needs. Of the backend's bytes those that wait in the
+// buffer go along.
+func (r *streamRelay) state() streamRelayState {
+	s := streamRelayState{Version: streamRelayVersion, Chunked: r.chunked, Pending: r.pending, Passed: r.passed}
+	s.Undecoded, _ = r.backend.reader.Peek(r.backend.reader.Buffered())
+	switch body := r.body.(type) {
+	case *sizedReader:
+		s.Form, s.Remaining = "sized", body.remaining
+	case *chunkReader:
+		s.Form, s.Remaining, s.ChunkState, s.PartialLine, s.TrailerBytes = "chunks", body.remaining, body.state, body.line, body.trailer
+	default:
+		s.Form = "end"
+	}
+	return s
+}
+
+// decodeRelay makes a relay of what another process gave.
+func decodeRelay(state []byte, client, backend net.Conn) (*streamRelay, error) {
+	var s streamRelayState
+	if err := json.Unmarshal(state, &s); err != nil {
+		return nil, fmt.Errorf("an answer on its way: %w", err)
+	}
+	if s.Version != streamRelayVersion || s.Remaining < 0 || s.ChunkState > chunkDone || s.Passed < 0 {
+		return nil, fmt.Errorf("an answer on its way: version %d is not known here", s.Version)
+	}
+	c := &backendConn{Conn: backend, readLimit: &io.LimitedReader{R: io.MultiReader(bytes.NewReader(s.Undecoded), backend), N: math.MaxInt64}}
+	c.reader = bufio.NewReader(c.readLimit)
+	r := &streamRelay{client: client, backend: c, chunked: s.Chunked, pending: s.Pending, passed: s.Passed}
+	switch s.Form {
+	case "sized":
+		r.body = &sizedReader{c.reader, s.Remaining}
+	case "chunks":
+		r.body = &chunkReader{in: c.reader, state: s.ChunkState, remaining: s.Remaining, line: s.PartialLine, trailer: s.TrailerBytes}
+	case "end":
+		r.body = c.reader
+	default:
+		return nil, fmt.Errorf("an answer on its way: form %q is not known here", s.Form)
+	}
+	return r, nil
+}
+
+// handStream passes a stream on over a connection taken from net/http. It ends with the answer.
+func (s *Front) handStream(w http.ResponseWriter, r *http.Request, d *answerStream, header http.Header) error {
+	hijacker, ok := w.(http.Hijacker)
+	if !ok {
+		return errClient
+	}
+	nc, _, err := hijacker.Hijack()
+	if err != nil {
+		return errClient
+	}
+	defer nc.Close()
+	nc.SetDeadline(time.Time{})
+	relay := &streamRelay{client: nc, backend: d.conn, body: d.body, chunked: d.length < 0 && r.ProtoAtLeast(1, 1)}
+	var head bytes.Buffer
+	head.WriteString("HTTP/1.1 200 OK\r\n")
+	header.Set("Connection", "close")
+	switch {
+	case d.length >= 0:
+		header.Set("Content-Length", strconv.FormatInt(d.length, 10))
+	case relay.chunked:
+		header.Set("Transfer-Encoding", "chunked")
+	}
+	header.Write(&head)
+	head.WriteString("\r\n")
+	first := append(make([]byte, pieceOverhead, len(d.first)+2*pieceOverhead), d.first...)
+	relay.pending = append(head.Bytes(), relay.encodePiece(first, len(d.first), false)...)
+	relay.passed = int64(len(d.first))
+	if err = relay.run(s.memory, s.handoverStarted, s.currentTransfer); err != nil && err != errHandedOver && d.length < 0 && !relay.chunked {
+		if c, ok := nc.(*clientConn); ok {
+			c.markReset()
+		}
+	}
+	return err
+}
+
+// AdoptStream goes on with an answer that another process of this proxy had begun. The
+// connections are this process's from then on, unless it gives an error.
+func (s *Front) AdoptStream(state []byte, nc, backend net.Conn) error {
+	r, err := decodeRelay(state, nc, backend)
+	if err != nil {
+		return err
+	}
+	held := s.conns.adopt(nc)
+	r.client = held
+	go func() {
+		defer backend.Close()
+		defer held.Close()
+		err := r.run(s.memory, s.handoverStarted, s.currentTransfer)
+		if err != nil && err != errHandedOver && !r.chunked {
+			held.markReset()
+		}
+	}()
+	return nil
+}
+
+// HandOver lets go of large answers that are on their way, and of connections on which no request has
+// come whole: each is given to another process that goes on with it, if it takes them. What it does
+// not take goes on here.
+func (s *Front) HandOver(give TransferFunc) {
+	s.transfer.Store(&give)
+	close(s.handoverStarted)
+	s.conns.handOver(give)
+}
+
+func (s *Front) currentTransfer() TransferFunc {
+	if g := s.transfer.Load(); g != nil {
+		return *g
+	}
+	return nil
+}
--- a/internal/dataplane/httpproxy/relay_test.go
+++ b/internal/dataplane/httpproxy/streamrelay_test.go
@@ -34,19 +34,19 @@
 }
 
 // begun is a relay of an answer of some form, as it is when its head has been read.
-func begun(form string, client, backend net.Conn, length int) *relay {
-	c := &conn{Conn: backend, limit: &io.LimitedReader{R: backend, N: math.MaxInt64}}
-	c.in = bufio.NewReader(c.limit)
-	r := &relay{client: client, backend: c, pending: []byte("HTTP/1.1 200 OK\r\n")}
+func begun(form string, client, backend net.Conn, length int) *streamRelay {
+	c := &backendConn{Conn: backend, readLimit: &io.LimitedReader{R: backend, N: math.MaxInt64}}
+	c.reader = bufio.NewReader(c.readLimit)
+	r := &streamRelay{client: client, backend: c, pending: []byte("HTTP/1.1 200 OK\r\n")}
 	switch form {
 	case "sized":
-		r.body = &sized{c.in, int64(length)}
+		r.body = &sizedReader{c.reader, int64(length)}
 		r.pending = append(r.pending, fmt.Sprintf("Content-Length: %d\r\n\r\n", length)...)
 	case "chunks":
-		r.body, r.chunked = &chunkReader{in: c.in}, true
+		r.body, r.chunked = &chunkReader{in: c.reader}, true
 		r.pending = append(r.pending, "Transfer-Encoding: chunked\r\n\r\n"...)
 	default:
-		r.body = c.in
+		r.body = c.reader
 		r.pending = append(r.pending, "Connection: close\r\n\r\n"...)
 	}
 	return r
@@ -95,13 +95,13 @@
 			}
 		})
 		room := budget.New(1 << 20)
-		var run func(r *relay)
-		run = func(r *relay) {
+		var run func(r *streamRelay)
+		run = func(r *streamRelay) {
 			leave := make(chan struct{})
 			leaves <- leave
-			err := r.run(room, leave, func() Giver {
+			err := r.run(room, leave, func() TransferFunc {
 				return func(state []byte, client, backend net.Conn) bool {
-					next, err := newRelay(state, client, backend)
+					next, err := decodeRelay(state, client, backend)
 					if err != nil {
 						t.Error(err)
 						return false
@@ -110,7 +110,7 @@
 					return true
 				}
 			})
-			if err != nil && !errors.Is(err, errHandedOn) {
+			if err != nil && !errors.Is(err, errHandedOver) {
 				t.Errorf("%s of %d: %v", form, len(body), err)
 			}
 			if err == nil {
@@ -160,7 +160,7 @@
 	r := begun("sized", client, backend, 6)
 	done := make(chan error, 1)
 	go func() {
-		done <- r.run(budget.New(1<<20), leave, func() Giver {
+		done <- r.run(budget.New(1<<20), leave, func() TransferFunc {
 			return func([]byte, net.Conn, net.Conn) bool { asked++; return false }
 		})
 		client.Close()
@@ -187,7 +187,7 @@
 		"", "{}", `{"Version":2,"Form":"sized"}`, `{"Version":1,"Form":"other"}`,
 		`{"Version":1,"Form":"sized","Left":-1}`, `{"Version":1,"Form":"chunks","Chunk":99}`,
 	} {
-		if _, err := newRelay([]byte(s), nil, nil); err == nil {
+		if _, err := decodeRelay([]byte(s), nil, nil); err == nil {
 			t.Errorf("%q was taken", s)
 		}
 	}
--- a/internal/dataplane/httpproxy/upload.go
+++ b/internal/dataplane/httpproxy/upload.go
@@ -16,42 +16,42 @@
 //
 // One goroutine fills it from the client; attempts read it, one at a time until it is whole.
 type upload struct {
-	room   *budget.Budget
-	most   int   // bytes held at most
-	length int64 // as the client says; -1 is not said
+	memory  *budget.Budget
+	maxHeld int   // bytes held at most
+	length  int64 // as the client says; -1 is not said
 
-	mu      sync.Mutex
-	pieces  [][]byte // each but the last is full
-	base    int      // number of the first one held: those before it are gone
-	written int      // number of the first piece that is not yet written whole
-	total   int64    // what has come
-	held    int      // bytes taken from room
-	ended   error    // io.EOF: it is whole; else what broke it
-	reading int      // attempts that read
-	changed chan struct{}
+	mu         sync.Mutex
+	pieces     [][]byte // each but the last is full
+	firstPiece int      // number of the first one held: those before it are gone
+	written    int      // number of the first piece that is not yet written whole
+	total      int64    // what has come
+	held       int      // bytes taken from room
+	end        error    // io.EOF: it is whole; else what broke it
+	readers    int      // attempts that read
+	changed    chan struct{}
 }
 
 var (
-	// errFlow says that what has come fills the room: the rest has to wait until some of
+	// errBufferFull says that what has come fills the room: the rest has to wait until some of
 	// it has gone on.
-	errFlow = errors.New("no more room before some of it is sent")
-	errOver = errors.New("the request is over")
+	errBufferFull  = errors.New("no more room before some of it is sent")
+	errRequestOver = errors.New("the request is over")
 )
 
-func newUpload(room *budget.Budget, length int64) *upload {
+func newUpload(memory *budget.Budget, length int64) *upload {
 	// An eighth each: a few large bodies come whole, and many leave something to all.
-	return &upload{room: room, most: max(pieceSize, room.Limit()/8), length: length, changed: make(chan struct{})}
+	return &upload{memory: memory, maxHeld: max(pieceSize, memory.Limit()/8), length: length, changed: make(chan struct{})}
 }
 
-// change wakes all who wait for one. Called with the lock.
-func (u *upload) change() {
+// notify wakes all who wait for one. Called with the lock.
+func (u *upload) notify() {
 	close(u.changed)
 	u.changed = make(chan struct{})
 }
 
 // open takes room for the first piece.
 func (u *upload) open(ctx context.Context) error {
-	if err := u.room.Wait(ctx, pieceSize, budget.Large); err != nil {
+	if err := u.memory.Wait(ctx, pieceSize, budget.Large); err != nil {
 		return err
 	}
 	u.pieces, u.held = append(u.pieces, make([]byte, 0, pieceSize)), pieceSize
@@ -63,32 +63,32 @@
 func (u *upload) space(ctx context.Context, wait bool) ([]byte, error) {
 	for {
 		u.mu.Lock()
-		if u.ended != nil {
+		if u.end != nil {
 			u.mu.Unlock()
-			return nil, u.ended
+			return nil, u.end
 		}
 		if n := len(u.pieces); n > 0 && len(u.pieces[n-1]) < pieceSize {
 			p := u.pieces[n-1]
 			u.mu.Unlock()
 			return p[len(p):cap(p)], nil
 		}
-		if u.held+pieceSize <= u.most && u.room.Take(pieceSize, budget.Large) {
+		if u.held+pieceSize <= u.maxHeld && u.memory.Take(pieceSize, budget.Large) {
 			u.held += pieceSize
 			u.pieces = append(u.pieces, make([]byte, 0, pieceSize))
 			u.mu.Unlock()
 			continue
 		}
-		if wait && u.written > u.base {
+		if wait && u.written > u.firstPiece {
 			// Gone for good: from here on there is no sending it again.
 			old := u.pieces[0]
-			u.pieces, u.base = append(u.pieces[1:], old[:0]), u.base+1
+			u.pieces, u.firstPiece = append(u.pieces[1:], old[:0]), u.firstPiece+1
 			u.mu.Unlock()
 			continue
 		}
 		changed := u.changed
 		u.mu.Unlock()
 		if !wait {
-			return nil, errFlow
+			return nil, errBufferFull
 		}
 		select {
 		case <-changed:
@@ -116,17 +116,17 @@
 		switch {
 		case u.length >= 0 && u.total == u.length, err == io.EOF && u.length < 0:
 			// Danger: a last byte that is not known as the last goes out without the permit.
-			u.ended = io.EOF
+			u.end = io.EOF
 		case err != nil:
 			if err == io.EOF {
 				err = io.ErrUnexpectedEOF
 			}
-			u.ended = err
-		case u.total > maxLength:
-			u.ended = errTooLong
+			u.end = err
+		case u.total > maxBodyLength:
+			u.end = errTooLong
 		}
-		ended := u.ended
-		u.change()
+		ended := u.end
+		u.notify()
 		u.mu.Unlock()
 		if ended == io.EOF {
 			return nil
@@ -137,19 +137,19 @@
 	}
 }
 
-// whole tells whether all has come.
-func (u *upload) whole() bool {
+// complete tells whether all has come.
+func (u *upload) complete() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.ended == io.EOF
+	return u.end == io.EOF
 }
 
-// small gives the body in one piece where it is whole and no larger than what is held as
+// inOnePiece gives the body in one piece where it is whole and no larger than what is held as
 // a matter of course.
-func (u *upload) small() ([]byte, bool) {
+func (u *upload) inOnePiece() ([]byte, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.ended != io.EOF || u.total > maxBody || u.base > 0 {
+	if u.end != io.EOF || u.total > maxBufferedBody || u.firstPiece > 0 {
 		return nil, false
 	}
 	body := make([]byte, 0, u.total)
@@ -159,64 +159,64 @@
 	return body, true
 }
 
-// all gives what has come, if none of it has made room for more.
-func (u *upload) all() ([][]byte, bool) {
+// received gives what has come, if none of it has made room for more.
+func (u *upload) received() ([][]byte, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.pieces, u.base == 0
+	return u.pieces, u.firstPiece == 0
 }
 
-// frame gives the length to announce; -1 is one that is not known yet.
-func (u *upload) frame() int64 {
+// announcedLength gives the length to announce; -1 is one that is not known yet.
+func (u *upload) announcedLength() int64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.ended == io.EOF {
+	if u.end == io.EOF {
 		return u.total
 	}
 	return u.length
 }
 
-// cursor is how far an attempt has come.
-type cursor struct{ piece, at int }
+// uploadCursor is how far an attempt has come.
+type uploadCursor struct{ piece, offset int }
 
-// begin starts an attempt's reading. It can't where the beginning is gone, or, until all
+// beginRead starts an attempt's reading. It can't where the beginning is gone, or, until all
 // has come, where another attempt reads.
-func (u *upload) begin() bool {
+func (u *upload) beginRead() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.base > 0 || u.ended != io.EOF && (u.ended != nil || u.reading > 0) {
+	if u.firstPiece > 0 || u.end != io.EOF && (u.end != nil || u.readers > 0) {
 		return false
 	}
-	u.reading++
+	u.readers++
 	u.written = 0
 	return true
 }
 
-// end ends an attempt's reading.
-func (u *upload) end() {
+// endRead ends an attempt's reading.
+func (u *upload) endRead() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.reading--
+	u.readers--
 }
 
 // next gives what comes next, and whether that is the last of it; it waits where nothing
 // has come.
-func (u *upload) next(ctx context.Context, c cursor) (p []byte, last bool, err error) {
+func (u *upload) next(ctx context.Context, c uploadCursor) (p []byte, last bool, err error) {
 	for {
 		u.mu.Lock()
-		if c.at == pieceSize {
-			c.piece, c.at = c.piece+1, 0
+		if c.offset == pieceSize {
+			c.piece, c.offset = c.piece+1, 0
 		}
-		if c.piece < u.base {
+		if c.piece < u.firstPiece {
 			u.mu.Unlock()
-			return nil, false, errOver
+			return nil, false, errRequestOver
 		}
-		i := c.piece - u.base
+		i := c.piece - u.firstPiece
 		if i < len(u.pieces) {
-			p = u.pieces[i][c.at:]
+			p = u.pieces[i][c.offset:]
 		}
-		last = u.ended == io.EOF && i >= len(u.pieces)-1
-		ended, changed := u.ended, u.changed
+		last = u.end == io.EOF && i >= len(u.pieces)-1
+		ended, changed := u.end, u.changed
 		u.mu.Unlock()
 		switch {
 		case len(p) > 0 || last:
@@ -232,21 +232,21 @@
 	}
 }
 
-// wrote moves the cursor on by what has been written of what next gave.
-func (u *upload) wrote(c *cursor, n int) {
-	if c.at == pieceSize {
-		c.piece, c.at = c.piece+1, 0
+// advance moves the cursor on by what has been written of what next gave.
+func (u *upload) advance(c *uploadCursor, n int) {
+	if c.offset == pieceSize {
+		c.piece, c.offset = c.piece+1, 0
 	}
-	c.at += n
+	c.offset += n
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	done := c.piece
-	if c.at == pieceSize {
+	if c.offset == pieceSize {
 		done++
 	}
 	if done > u.written {
 		u.written = done
-		u.change()
+		u.notify()
 	}
 }
 
@@ -254,13 +254,13 @@
 func (u *upload) release() {
 	u.mu.Lock()
 	held := u.held
-	u.held, u.pieces, u.base = 0, nil, u.base+len(u.pieces)
-	if u.ended != io.EOF {
-		u.ended = errOver
+	u.held, u.pieces, u.firstPiece = 0, nil, u.firstPiece+len(u.pieces)
+	if u.end != io.EOF {
+		u.end = errRequestOver
 	}
-	u.change()
+	u.notify()
 	u.mu.Unlock()
 	if held > 0 {
-		u.room.Give(held, budget.Large)
+		u.memory.Give(held, budget.Large)
 	}
 }
--- a/internal/proxy/memory.go
+++ b/internal/proxy/memory.go
@@ -65,7 +65,7 @@
 		taken := make(chan *learnedstate.State, 1)
 		p.engine.Post(func() {
 			p.engine.CollectLearnedState(func(s *learnedstate.State) {
-				s.ProxyName, s.Connections = name, p.carrier.Learnt()
+				s.ProxyName, s.Connections = name, p.carrier.LearnedState()
 				taken <- s
 			})
 		})
@@ -97,14 +97,14 @@
 		m.kept = nil
 		began := time.Now()
 		n := p.engine.RestoreLearnedState(s)
-		p.carrier.Restore(s.Connections, s.Age(began))
+		p.carrier.RestoreLearnedState(s.Connections, s.Age(began))
 		logger.Info(fmt.Sprintf("memory: taken over from an earlier life: what it had learnt of %d backends and %d classes, %v old", n, len(s.Classes), s.Age(began).Round(time.Millisecond)), "event", "memory-taken")
 	}
 	if s := m.state; s != nil {
 		m.state, m.kept = nil, nil
 		began := time.Now()
 		n := p.engine.RestoreLearnedState(s)
-		p.carrier.Restore(s.Connections, s.Age(began))
+		p.carrier.RestoreLearnedState(s.Connections, s.Age(began))
 		logger.Info(fmt.Sprintf("taken over from process %d: what it has learnt of %d backends and %d classes, %v old",
 			m.from, n, len(s.Classes), s.Age(began).Round(time.Millisecond)), "event", "learnt-taken")
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -220,7 +220,7 @@
 	}
 	if cfg.ListenFD >= 0 {
 		if p.meeting = p.meet(cfg, logger); p.meeting != nil {
-			p.front.HandOn()
+			p.front.EnableHandover()
 			p.recall(p.meeting, cfg.Name, logger)
 		}
 	}
@@ -354,7 +354,7 @@
 	if len(others) == 0 {
 		return
 	}
-	p.front.LetGo(func(state []byte, client, backend net.Conn) bool {
+	p.front.HandOver(func(state []byte, client, backend net.Conn) bool {
 		conns := []net.Conn{client, backend}
 		if backend == nil {
 			conns = conns[:1]
@@ -378,7 +378,7 @@
 	case 1:
 		return p.front.AdoptClient(state, conns[0])
 	case 2:
-		return p.front.Adopt(state, conns[0], conns[1])
+		return p.front.AdoptStream(state, conns[0], conns[1])
 	}
 	return fmt.Errorf("%d connections were passed, 1 or 2 are needed", len(conns))
 }
@@ -406,8 +406,8 @@
 // setShare bounds what this process holds. On the engine's goroutine, or before it runs.
 func (p *parts) setShare(cfg *config.Platform, s handover.Share) {
 	p.room.SetLimit(s.Take(cfg.BodyBytes()))
-	p.carrier.SetMost(s.Take(cfg.UpstreamConns()))
-	p.front.SetMost(s.Take(cfg.ClientConns()))
+	p.carrier.SetMaxConnections(s.Take(cfg.UpstreamConns()))
+	p.front.SetMaxConnections(s.Take(cfg.ClientConns()))
 	if cfg.MemoryMB > 0 && p.limitMemory != nil {
 		p.limitMemory(int64(s.Take(cfg.MemoryMB << 20 / 4 * 3)))
 	}
@@ -441,7 +441,7 @@
 	// read: it is kept until its client has had the answer that ends it.
 	end := p.front.Shutdown
 	if cfg.ListenFD >= 0 {
-		end = p.front.Linger
+		end = p.front.WaitForClients
 	}
 	fronts := []func(context.Context) error{end}
 	if p.rpcFront != nil {
@@ -479,7 +479,7 @@
 		last := failed
 		if last {
 			// What comes whole only now is told at once that it can go elsewhere.
-			p.front.Refuse()
+			p.front.RejectAll()
 		}
 		failed = true
 		p.engine.Post(func() { p.engine.FailAll(last) })
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -117,7 +117,7 @@
 			return fmt.Errorf("configuration: %w", err)
 		}
 		p.engine.SetMaxOpenCalls(next.Config.MaxOpen)
-		p.carrier.Tune(next.Config.Report)
+		p.carrier.Reconfigure(next.Config.Report)
 		if p.counts != nil {
 			p.counts.SetClasses(p.engine.Settings().Classes)
 		}
