--- a/internal/dataplane/httpproxy/accept.go
+++ b/internal/dataplane/httpproxy/accept.go
@@ -90,7 +90,7 @@
 // park waits for the first byte. A connection that is closed meanwhile, for another or at its
 // time's end, is told by no one else.
 func (c *clientConn) park() {
-	c.SetReadDeadline(c.headDeadline)
+	_ = c.SetReadDeadline(c.headDeadline)
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		c.Close()
@@ -113,7 +113,7 @@
 // readable tells that there is something to read, be it the end.
 func readable(fd uintptr) bool {
 	_, err := sockets.Peek(fd)
-	return err != syscall.EAGAIN && err != syscall.EINTR
+	return !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
 }
 
 // deliver hands a connection to who accepts.
--- a/internal/dataplane/httpproxy/answerstream.go
+++ b/internal/dataplane/httpproxy/answerstream.go
@@ -79,7 +79,7 @@
 		return 0, io.EOF
 	}
 	n, err := s.in.Read(p[:min(int64(len(p)), s.remaining)])
-	if s.remaining -= int64(n); err == io.EOF {
+	if s.remaining -= int64(n); errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
 	}
 	return n, err
@@ -111,7 +111,7 @@
 		while = time.Time{}
 	}
 	if !x.message.Streaming && (x.receiving || while.Before(x.deadline)) {
-		c.SetReadDeadline(while)
+		_ = c.SetReadDeadline(while)
 	}
 	for len(body) <= most {
 		if len(body) == cap(body) {
@@ -121,12 +121,12 @@
 		body = body[:len(body)+n]
 		var ne net.Error
 		switch {
-		case err == io.EOF:
+		case errors.Is(err, io.EOF):
 			r.body = body
 			return nil
 		case errors.As(err, &ne) && ne.Timeout():
 			if len(body) == 0 && time.Now().Before(x.deadline) {
-				c.SetReadDeadline(x.deadline)
+				_ = c.SetReadDeadline(x.deadline)
 				continue
 			}
 			if len(body) == 0 {
@@ -161,7 +161,7 @@
 func (d *answerStream) finish(complete bool) {
 	c := d.conn
 	if complete && d.reusable && c.reader.Buffered() == 0 {
-		c.SetDeadline(time.Time{})
+		_ = c.SetDeadline(time.Time{})
 	} else {
 		c.Close()
 		c = nil
@@ -198,7 +198,7 @@
 			return errBackend
 		}
 		if len(piece) > 0 {
-			out.SetWriteDeadline(time.Now().Add(stallTimeout))
+			_ = out.SetWriteDeadline(time.Now().Add(stallTimeout))
 			if _, err := w.Write(piece); err != nil {
 				return errClient
 			}
@@ -206,13 +206,13 @@
 				return errClient
 			}
 		}
-		d.conn.SetReadDeadline(time.Now().Add(stallTimeout))
+		_ = d.conn.SetReadDeadline(time.Now().Add(stallTimeout))
 		n, err := d.body.Read(buf)
 		piece = buf[:n]
-		if err == io.EOF && n == 0 {
+		if errors.Is(err, io.EOF) && n == 0 {
 			return nil
 		}
-		if err != nil && err != io.EOF {
+		if err != nil && !errors.Is(err, io.EOF) {
 			return errBackend
 		}
 	}
--- a/internal/dataplane/httpproxy/carrier_test.go
+++ b/internal/dataplane/httpproxy/carrier_test.go
@@ -41,7 +41,7 @@
 			if _, ok := readRequest(in); !ok {
 				return
 			}
-			io.WriteString(c, okAnswer)
+			_, _ = io.WriteString(c, okAnswer)
 		}
 	})
 	l := stillEngine(t, ready("s-1", addr))
@@ -105,8 +105,8 @@
 		if _, ok := readRequest(in); ok {
 			came <- struct{}{}
 			<-answer
-			io.WriteString(c, okAnswer)
-			in.ReadByte()
+			_, _ = io.WriteString(c, okAnswer)
+			_, _ = in.ReadByte()
 			close(closed)
 		}
 	})
--- a/internal/dataplane/httpproxy/chunkreader.go
+++ b/internal/dataplane/httpproxy/chunkreader.go
@@ -111,7 +111,7 @@
 		switch {
 		case len(c.line) > maxChunkLine:
 			return nil, fmt.Errorf("%w: a line is too long", errChunks)
-		case err == bufio.ErrBufferFull:
+		case errors.Is(err, bufio.ErrBufferFull):
 			continue
 		case err != nil:
 			return nil, unexpectedEnd(err)
@@ -127,7 +127,7 @@
 
 // unexpectedEnd is an end within the chunks: a clean one is none.
 func unexpectedEnd(err error) error {
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
--- a/internal/dataplane/httpproxy/chunkreader_test.go
+++ b/internal/dataplane/httpproxy/chunkreader_test.go
@@ -44,7 +44,7 @@
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			continue
 		}
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return got, nil
 		}
 		if err != nil {
--- a/internal/dataplane/httpproxy/clientconns.go
+++ b/internal/dataplane/httpproxy/clientconns.go
@@ -397,7 +397,7 @@
 	c.readDeadlineMu.Lock()
 	defer c.readDeadlineMu.Unlock()
 	c.readsEnded = true
-	c.Conn.SetReadDeadline(time.Now())
+	_ = c.Conn.SetReadDeadline(time.Now())
 }
 
 // connected tells whether the client is still there, as its connection shows now. A client that has ended its side
@@ -494,7 +494,7 @@
 
 // linger reads what still comes, and closes.
 func (c *clientConn) linger() {
-	c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout))
+	_ = c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout))
 	var buf [512]byte
 	for left := maxLingerBytes; left > 0; {
 		n, err := c.Conn.Read(buf[:])
@@ -530,7 +530,7 @@
 	}
 	c.resetOnClose.Store(true)
 	if t, ok := c.Conn.(interface{ SetLinger(int) error }); ok {
-		t.SetLinger(0)
+		_ = t.SetLinger(0)
 	}
 }
 
--- a/internal/dataplane/httpproxy/clientconns_test.go
+++ b/internal/dataplane/httpproxy/clientconns_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"container/list"
-	"io"
 	"net"
 	"runtime"
 	"testing"
@@ -91,7 +90,7 @@
 				near, far := connect(t, cs)
 				switch what {
 				case part:
-					io.WriteString(near, "G")
+					send(t, near, "G")
 					if _, err := far.Read(make([]byte, 1)); err != nil {
 						t.Fatal(err)
 					}
@@ -123,7 +122,7 @@
 	held.markBusy()
 	turnedAway := testutil.Dial(t, cs.Addr().String())
 	testutil.Ends(t, turnedAway, "a connection beyond the bound")
-	io.WriteString(near, "x")
+	send(t, near, "x")
 	if _, err := held.Read(make([]byte, 1)); err != nil {
 		t.Fatalf("the connection with a request in hand: %v", err)
 	}
@@ -141,7 +140,7 @@
 	cs, _ := bounded(t, 2)
 	asking, far := connect(t, cs)
 	silent, _ := connect(t, cs)
-	io.WriteString(asking, "GET")
+	send(t, asking, "GET")
 	eventually(t, "the bytes to arrive", func() bool { return !sockets.Idle(far.Conn) })
 	connect(t, cs)
 	testutil.Ends(t, silent, "the silent connection")
@@ -157,13 +156,13 @@
 	cs, accepted := bounded(t, 9)
 	first, _ := connect(t, cs)
 	second, _ := connect(t, cs)
-	io.WriteString(second, "G")
+	send(t, second, "G")
 	if c := receive(t, accepted, "who has said something"); c.RemoteAddr().String() != second.LocalAddr().String() {
 		t.Error("who has said nothing is accepted")
 	}
 	cs.Close()
 	receive(t, cs.listenerClosed, "the listener's end")
-	io.WriteString(first, "G")
+	send(t, first, "G")
 	c := receive(t, accepted, "who begins after the listener's end")
 	if n, err := c.Read(make([]byte, 9)); n != 1 || err != nil {
 		t.Errorf("%d %v", n, err)
@@ -192,7 +191,7 @@
 	if err := front.Shutdown(t.Context()); err != nil {
 		t.Errorf("the shutdown: %v", err)
 	}
-	receive(t, served, "the end of Serve")
+	_ = receive(t, served, "the end of Serve") // its error says that it was closed
 	testutil.Ends(t, silent, "the silent connection")
 }
 
@@ -207,15 +206,19 @@
 	if left := time.Until(by); left > headTimeout {
 		t.Fatalf("%v for a head", left)
 	}
-	io.WriteString(near, "G")
+	send(t, near, "G")
 	receive(t, accepted, "who has begun")
 	far.headDeadline = time.Now().Add(-time.Second)
-	far.SetReadDeadline(time.Now().Add(time.Hour))
+	if err := far.SetReadDeadline(time.Now().Add(time.Hour)); err != nil {
+		t.Fatal(err)
+	}
 	buf := make([]byte, 1)
 	if _, err := far.Read(buf); !testutil.IsTimeout(err) {
 		t.Errorf("a head after its time: %v", err)
 	}
-	far.SetReadDeadline(time.Time{}) // as net/http does once the head is whole
+	if err := far.SetReadDeadline(time.Time{}); err != nil { // as net/http does once the head is complete
+		t.Fatal(err)
+	}
 	if _, err := far.Read(buf); err != nil {
 		t.Errorf("what follows the head: %v", err)
 	}
@@ -251,7 +254,7 @@
 	eventually(t, "all to be taken", open(&front.conns.silent))
 	silent := inUse()
 	for _, c := range near {
-		io.WriteString(c, "G")
+		send(t, c, "G")
 	}
 	eventually(t, "all to be read", open(&front.conns.partial))
 	begun := inUse()
@@ -262,7 +265,7 @@
 	}
 	front.conns.close()
 	front.server.Close()
-	receive(t, served, "the end")
+	_ = receive(t, served, "the end") // its error says that it was closed
 }
 
 // inUse is the memory of heap and stacks that is in use.
--- a/internal/dataplane/httpproxy/compatibility_sent_test.go
+++ b/internal/dataplane/httpproxy/compatibility_sent_test.go
@@ -223,7 +223,7 @@
 			t.Fatalf("%s: %v", line, err)
 		}
 		if !strings.Contains(line, `"Ahead":""`) {
-			r.backend.reader.Peek(1) // what was read ahead is in the buffer again
+			_, _ = r.backend.reader.Peek(1) // what was read ahead is in the buffer again
 		}
 		again, err := json.Marshal(r.state())
 		client.Close()
--- a/internal/dataplane/httpproxy/crossing_test.go
+++ b/internal/dataplane/httpproxy/crossing_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"bytes"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -136,7 +137,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	go l.Run(ctx)
 	l.Post(func() { l.ApplyMembership(engine.Membership{Kind: balancer.ListFull, Version: 1, Entries: entries}) })
-	go l.front.Serve(l.ln)
+	go func() { _ = l.front.Serve(l.ln) }() // until the cleanup closes the listener
 	t.Cleanup(func() {
 		l.ln.Close()
 		l.front.server.Close()
@@ -168,16 +169,17 @@
 	}), got
 }
 
-func answered(t *testing.T, in *bufio.Reader) *http.Response {
+func answered(t *testing.T, in *bufio.Reader) (status int, closes bool) {
 	t.Helper()
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
 		t.Fatalf("no answer: %v", err)
 	}
+	defer resp.Body.Close()
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 		t.Fatalf("half an answer: %v", err)
 	}
-	return resp
+	return resp.StatusCode, resp.Close
 }
 
 // A request that is read on a resting connection while that is ended, by the shutdown or to make room for others, is
@@ -212,7 +214,7 @@
 			}, ready("s-1", addr))
 			c := testutil.Dial(t, l.ln.Addr().String())
 			in := bufio.NewReader(c)
-			io.WriteString(c, get("first"))
+			send(t, c, get("first"))
 			answered(t, in)
 			receive(t, got, "the first request")
 			eventually(t, "the connection to rest", func() bool {
@@ -220,7 +222,7 @@
 				defer l.front.conns.mu.Unlock()
 				return l.front.conns.idle.Len() == 1
 			})
-			io.WriteString(c, get("second"))
+			send(t, c, get("second"))
 			receive(t, gate.reached, "the second request to be read")
 			over := end(t, l)
 			gate.let()
@@ -254,10 +256,10 @@
 	})
 	c := testutil.Dial(t, l.ln.Addr().String())
 	in := bufio.NewReader(c)
-	io.WriteString(c, get("first"))
+	send(t, c, get("first"))
 	answered(t, in)
 	receive(t, got, "the first request")
-	io.WriteString(c, get("second"))
+	send(t, c, get("second"))
 	receive(t, gate.reached, "the handler")
 	l.front.Stop()
 	l.ln.Close()
@@ -273,8 +275,8 @@
 	over := make(chan error, 1)
 	go func() { over <- l.front.Shutdown(t.Context()) }()
 	gate.let()
-	if resp := answered(t, in); resp.StatusCode != http.StatusOK || !resp.Close {
-		t.Errorf("%s, ends its connection: %v", resp.Status, resp.Close)
+	if status, closes := answered(t, in); status != http.StatusOK || !closes {
+		t.Errorf("status %d, ends its connection: %v", status, closes)
 	}
 	if err := receive(t, over, "the end of the shutdown"); err != nil {
 		t.Error(err)
@@ -289,20 +291,25 @@
 	l := serveFront(t, nil, ready("s-1", addr))
 	l.front.Stop() // every answer ends its connection
 	d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
-		return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
+		var optErr error
+		err := raw.Control(func(fd uintptr) {
+			optErr = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10)
+		})
+		return errors.Join(err, optErr)
 	}}
 	c, err := d.Dial("tcp", l.ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
-	io.WriteString(c, get("first")+get("second")+strings.Repeat("x", 16<<10))
+	_ = c.SetDeadline(time.Now().Add(patience))
+	send(t, c, get("first")+get("second")+strings.Repeat("x", 16<<10))
 	receive(t, l.closed, "the connection's end here")
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
+	defer resp.Body.Close()
 	if n, err := io.Copy(io.Discard, resp.Body); n != size || err != nil {
 		t.Errorf("%d bytes of %d: %v", n, size, err)
 	}
@@ -317,20 +324,23 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		raw.Control(func(fd uintptr) {
+		err = raw.Control(func(fd uintptr) {
 			if on, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY); err != nil || on == 0 {
 				t.Errorf("%s: what is small waits: %v", what, err)
 			}
 		})
+		if err != nil {
+			t.Fatal(err)
+		}
 	}
 	addr, _ := answering(t, 6)
 	l := serveFront(t, nil, ready("s-1", addr))
 	c := testutil.Dial(t, l.ln.Addr().String())
-	io.WriteString(c, get("first"))
+	send(t, c, get("first"))
 	answered(t, bufio.NewReader(c))
 	far := receive(t, l.ln.all, "the connection")
 	quick("a client", far.TCPConn)
-	file, err := far.TCPConn.File()
+	file, err := far.File()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -354,7 +364,7 @@
 func halfway(t *testing.T, then func(c net.Conn, in *bufio.Reader)) (x *exchange, ended chan Reply) {
 	begun := make(chan struct{})
 	addr := rawBackend(t, func(c net.Conn, in *bufio.Reader) {
-		in.Peek(1)
+		_, _ = in.Peek(1)
 		close(begun)
 		then(c, in)
 	})
@@ -375,7 +385,7 @@
 	gate := make(chan struct{})
 	x, ended := halfway(t, func(c net.Conn, in *bufio.Reader) {
 		<-gate
-		io.WriteString(c, okAnswer) // which ends the wait
+		_, _ = io.WriteString(c, okAnswer) // which ends the wait
 		all, _ := io.ReadAll(in)
 		rest <- all
 	})
@@ -402,8 +412,8 @@
 		"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n": balancer.NotSent,
 	} {
 		_, ended := halfway(t, func(c net.Conn, in *bufio.Reader) {
-			io.WriteString(c, text)
-			io.Copy(io.Discard, in)
+			_, _ = io.WriteString(c, text)
+			_, _ = io.Copy(io.Discard, in)
 		})
 		if r := receive(t, ended, "the attempt's end"); r.result != want || r.conn != nil {
 			t.Errorf("%.20q: %v, connection kept: %v", text, r.result, r.conn != nil)
@@ -442,7 +452,7 @@
 					return
 				}
 				got <- r.URL.Path
-				io.WriteString(c, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n") // it may have run
+				_, _ = io.WriteString(c, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n") // it may have run
 			}
 		})))
 	}
@@ -475,7 +485,7 @@
 	t.Parallel()
 	for _, ahead := range []string{"", "G", get("pipelined"), strings.Repeat("x", 64<<10)} {
 		for name, leave := range map[string]func(net.Conn){"closed": func(c net.Conn) { c.Close() }, "reset": func(c net.Conn) {
-			c.(*net.TCPConn).SetLinger(0)
+			_ = c.(*net.TCPConn).SetLinger(0)
 			c.Close()
 		}} {
 			addr, got := answering(t, 6)
@@ -484,10 +494,10 @@
 			l.Post(before.wait)
 			receive(t, before.reached, "the engine")
 			c := testutil.Dial(t, l.ln.Addr().String())
-			io.WriteString(c, get("first"))
+			send(t, c, get("first"))
 			eventually(t, "the request to be taken", func() bool { return len(l.Events()) > 0 })
-			l.Post(after.wait)       // the engine comes to the request, and to nothing that comes later
-			io.WriteString(c, ahead) // net/http looks for the client's end no further than this
+			l.Post(after.wait) // the engine comes to the request, and to nothing that comes later
+			send(t, c, ahead)  // net/http looks for the client's end no further than this
 			leave(c)
 			far := receive(t, l.ln.all, "the connection")
 			eventually(t, "the client's end to be here", func() bool { return ended(far.TCPConn) })
--- a/internal/dataplane/httpproxy/exchange.go
+++ b/internal/dataplane/httpproxy/exchange.go
@@ -221,14 +221,14 @@
 // is why it is told as one that was never sent: a backend that has died refuses the next.
 func (c *backendConn) roundTrip(x *exchange, data []byte, report []string) Reply {
 	until, hold := x.deadline, x.holdback
-	c.SetDeadline(until)
+	_ = c.SetDeadline(until)
 	begun := hold > 0 || len(data) > maxSingleWrite
 	if begun {
 		n, err := c.Write(data[:len(data)-1])
 		if err == nil && hold > 0 {
 			err = c.awaitEarlyAnswer(time.Now().Add(hold), until)
 		}
-		if err == errEarlyAnswer && c.earlyRejection(x) {
+		if errors.Is(err, errEarlyAnswer) && c.earlyRejection(x) {
 			return Reply{result: balancer.Rejected}
 		}
 		if err != nil || n < len(data)-1 {
@@ -240,7 +240,7 @@
 		if begun { // what has been written of it must not be completed by the next request
 			return Reply{result: balancer.NotSent}
 		}
-		c.SetDeadline(time.Time{})
+		_ = c.SetDeadline(time.Time{})
 		return Reply{result: balancer.NotSent, conn: c}
 	}
 	if n, err := c.Write(data); n < len(data) {
@@ -274,7 +274,7 @@
 		r.stream = nil // what else it says at length is of no use: the connection is closed
 	} else if !resp.Close && c.reader.Buffered() == 0 {
 		// The deadline was this exchange's. Left in place, it would end the next.
-		c.SetDeadline(time.Time{})
+		_ = c.SetDeadline(time.Time{})
 		r.conn = c
 	}
 	return r
@@ -290,8 +290,8 @@
 	if until.After(deadline) {
 		return nil
 	}
-	c.SetReadDeadline(until)
-	defer c.SetReadDeadline(deadline)
+	_ = c.SetReadDeadline(until)
+	defer func() { _ = c.SetReadDeadline(deadline) }()
 	c.readLimit.N = maxHead
 	_, err := c.reader.Peek(1)
 	var ne net.Error
@@ -308,6 +308,7 @@
 // one has not.
 func (c *backendConn) earlyRejection(x *exchange) bool {
 	buffered, _ := c.reader.Peek(c.reader.Buffered())
+	//nolint:bodyclose // its body is in memory
 	resp, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(buffered)), nil)
 	return err == nil && x.dialect.Judge(x.backend, x.message, resp) == balancer.Rejected
 }
@@ -319,7 +320,7 @@
 // request on the connection finds it in the place of its own.
 func (c *backendConn) readOwnHead(x *exchange) (*http.Response, error) {
 	for range maxForeignAnswers + 1 {
-		resp, err := c.readHead(x.message.Method)
+		resp, err := c.readHead(x.message.Method) //nolint:bodyclose // readBody reads it from the connection
 		if err != nil || x.dialect.Matches == nil || x.dialect.Matches(x.message, resp) {
 			return resp, err
 		}
@@ -352,6 +353,7 @@
 		if !strings.HasPrefix(start, string(first)) {
 			return nil, errMalformedAnswer
 		}
+		//nolint:bodyclose // readBody reads it from the connection, which carries more than this answer
 		resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
 			return nil, err
--- a/internal/dataplane/httpproxy/exchange_test.go
+++ b/internal/dataplane/httpproxy/exchange_test.go
@@ -62,7 +62,7 @@
 			if _, ok := readRequest(in); !ok {
 				return
 			}
-			io.WriteString(c, okAnswer)
+			_, _ = io.WriteString(c, okAnswer)
 		}
 	})
 	x := &exchange{backend: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), dialect: platformDialect(), message: probeMessage(addr), deadline: time.Now().Add(2 * time.Second)}
@@ -82,7 +82,7 @@
 	t.Parallel()
 	addr := rawBackend(t, func(c net.Conn, in *bufio.Reader) {
 		if _, ok := readRequest(in); ok {
-			io.WriteString(c, "HTTP/1.1 103 Early Hints\r\n\r\n"+okAnswer+strings.Repeat("x", 10))
+			_, _ = io.WriteString(c, "HTTP/1.1 103 Early Hints\r\n\r\n"+okAnswer+strings.Repeat("x", 10))
 			readRequest(in)
 		}
 	})
@@ -134,8 +134,8 @@
 			t.Parallel()
 			addr := rawBackend(t, func(c net.Conn, in *bufio.Reader) {
 				if _, ok := readRequest(in); ok {
-					io.WriteString(c, answer)
-					in.ReadByte() // stays open
+					_, _ = io.WriteString(c, answer)
+					_, _ = in.ReadByte() // stays open
 				}
 			})
 			x := &exchange{backend: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), dialect: platformDialect(), message: probeMessage(addr), deadline: time.Now().Add(patience)}
@@ -168,7 +168,7 @@
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", n)
 			if n == 1 {
 				<-more
-				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1")
+				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1")
 			}
 		}
 	})
--- a/internal/dataplane/httpproxy/framing_test.go
+++ b/internal/dataplane/httpproxy/framing_test.go
@@ -93,7 +93,9 @@
 				if p, _ := in.Peek(1); len(p) == 0 || p[0] != '\r' && p[0] != '\n' {
 					break
 				}
-				in.Discard(1)
+				if _, err := in.Discard(1); err != nil {
+					t.Fatal(err)
+				}
 			}
 			r, err := http.ReadRequest(in)
 			if err != nil {
--- a/internal/dataplane/httpproxy/front.go
+++ b/internal/dataplane/httpproxy/front.go
@@ -1,20 +1,3 @@
-// Package httpproxy speaks HTTP/1.1 with clients and with backends: requests in and
-// answers out on the one side, attempts, probes and the connections for them on the
-// other. It decides nothing: which backend, whether again and what to refuse comes
-// from the engine.
-//
-// What proves that an attempt never ran, and what it is told as:
-//
-//	outcome                                               told as         never ran
-//	200 with a body                                       OK              no
-//	503 or 504 with X-Unprocessed: 1                      Full            yes
-//	no connection came up                                 ConnectFailed   yes
-//	it breaks before the last byte is written             Moot            yes
-//	the permit was revoked before the first byte          Moot            yes
-//	another 4xx than 408 and 429                          Declined        no
-//	any other status                                      Error           no
-//	it breaks, or can't be read, after the last byte      Reset           no
-//	nothing until its time is up                          Timeout         no
 package httpproxy
 
 import (
@@ -212,74 +195,92 @@
 // ServeHTTP implements http.Handler.
 func (s *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c := clientOf(r)
-	odd := c != nil && c.beginRequest()
+	ambiguous := c != nil && c.beginRequest()
 	if s.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	if r.URL.Path == "/ready" {
-		w.Header().Set("Connection", "close") // who asks it asks seldom, and may keep the connection for good
-		status := http.StatusServiceUnavailable
-		if s.ready.Load() {
-			status = http.StatusOK
-		}
-		w.WriteHeader(status)
+		s.serveReady(w)
 		return
 	}
-	req, left, a := s.parse(r, s.engine.SettingsSnapshot())
-	if odd {
+	req, timeout, a := s.parse(r, s.engine.SettingsSnapshot())
+	if ambiguous {
 		a = badRequest(http.StatusBadRequest, "the head can be read in more than one way")
 	}
-	var up *upload
-	if a.status == 0 {
-		var in *pacedReader
-		if r.ContentLength != 0 {
-			in = newPacedReader(r, http.NewResponseController(w))
-		}
-		var body []byte
-		var held int
-		body, held, up, a = s.readBody(r, in)
-		if held > 0 {
-			defer s.memory.Give(held, budget.Small)
-		}
-		if c != nil {
-			defer func() { c.body = nil }()
-		}
-		if up != nil {
-			defer up.release()
-		}
-		if a.status != 0 && c != nil && c.transferRequest(r, body, up) {
+	if a.status != 0 {
+		s.finishRequest(w, r, req, a)
+		return
+	}
+	var in *pacedReader
+	if r.ContentLength != 0 {
+		in = newPacedReader(r, http.NewResponseController(w))
+	}
+	body, reserved, up, a := s.readBody(r, in)
+	if reserved > 0 {
+		defer s.memory.Give(reserved, budget.Small)
+	}
+	if c != nil {
+		defer func() { c.body = nil }()
+	}
+	if up != nil {
+		defer up.release()
+	}
+	if a.status != 0 {
+		if c != nil && c.transferRequest(r, body, up) {
 			panic(http.ErrAbortHandler)
 		}
-		if a.status == 0 {
-			req.Payload = newMessage(r, body, up)
-			if c != nil {
-				req.ClientConnected = c.connected
-				c.markBusy()
-			}
-			if s.rejecting.Load() {
-				a = ownAnswer(http.StatusServiceUnavailable, "the proxy stops")
-			} else if up == nil || up.complete() {
-				a = s.awaitAnswer(r, req, left)
-			} else {
-				a = s.awaitAnswerWhileReceiving(w, r, req, left, in)
-			}
-			if a.clientGone || a.closesConn && c != nil && c.transferRequest(r, nil, up) {
-				panic(http.ErrAbortHandler)
-			}
-		}
+		s.finishRequest(w, r, req, a)
+		return
+	}
+	req.Payload = newMessage(r, body, up)
+	if c != nil {
+		req.ClientConnected = c.connected
+		c.markBusy()
 	}
+	a = s.answerTo(w, r, req, timeout, in)
+	if a.clientGone || a.closesConn && c != nil && c.transferRequest(r, nil, up) {
+		panic(http.ErrAbortHandler)
+	}
+	s.finishRequest(w, r, req, a)
+}
+
+// serveReady answers the platform's readiness check.
+func (s *Front) serveReady(w http.ResponseWriter) {
+	w.Header().Set("Connection", "close") // it asks seldom, and may keep the connection for good
+	status := http.StatusServiceUnavailable
+	if s.ready.Load() {
+		status = http.StatusOK
+	}
+	w.WriteHeader(status)
+}
+
+// answerTo gives the answer to a request whose body has been read, or as much of it as fits.
+func (s *Front) answerTo(w http.ResponseWriter, r *http.Request, req *call, timeout time.Duration, in *pacedReader) answer {
+	up := req.Payload.(*Message).upload
+	switch {
+	case s.rejecting.Load():
+		return ownAnswer(http.StatusServiceUnavailable, "the proxy stops")
+	case up == nil || up.complete():
+		return s.awaitAnswer(r, req, timeout)
+	}
+	return s.awaitAnswerWhileReceiving(w, r, req, timeout, in)
+}
+
+// finishRequest writes the answer, and ends the connection where it has to.
+func (s *Front) finishRequest(w http.ResponseWriter, r *http.Request, req *call, a answer) {
+	c := clientOf(r)
 	if c != nil && (s.stopping.Load() || c.conns.underPressure()) {
 		w.Header().Set("Connection", "close")
 	}
 	s.writeAnswer(w, r, req, a)
-	if a.closesConn {
-		// What follows on this connection, a body's rest or a request hidden in it,
-		// is not read. While net/http lets the client read the error, the connection
-		// may be closed for others.
-		http.NewResponseController(w).Flush()
-		if c != nil {
-			c.markIdle(false)
-		}
+	if !a.closesConn {
+		return
+	}
+	// What follows on this connection, a body's rest or a request hidden in it, is not read. While net/http lets the
+	// client read the error, the connection may be closed for others.
+	_ = http.NewResponseController(w).Flush()
+	if c != nil {
+		c.markIdle(false)
 	}
 }
 
@@ -298,46 +299,33 @@
 	}
 }
 
-// awaitAnswerWhileReceiving has one answered whose body is larger than the room for it: it goes on as it
-// comes.
-func (s *Front) awaitAnswerWhileReceiving(w http.ResponseWriter, r *http.Request, req *call, left time.Duration, in *pacedReader) answer {
+// awaitAnswerWhileReceiving has one answered whose body is larger than the memory for it: it is forwarded as it comes.
+func (s *Front) awaitAnswerWhileReceiving(w http.ResponseWriter, r *http.Request, req *call, timeout time.Duration, in *pacedReader) answer {
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
-	up := req.Payload.(*Message).upload
 	c := clientOf(r)
 	if c != nil {
 		c.setReceivingBody(true)
 		defer c.setReceivingBody(false)
 	}
 	arrived := s.engine.Now()
-	req.Receiving, req.Timeout = true, left
+	req.Receiving, req.Timeout = true, timeout
 	s.engine.Post(func() { s.engine.HandleCall(&req.Call, arrived) })
 	filled := make(chan error, 1)
-	go func() {
-		err := up.fill(ctx, in, true)
-		if err == nil {
-			came := s.engine.Now()
-			s.engine.Post(func() { s.engine.HandleRequestComplete(&req.Call, came) })
-		}
-		filled <- err
-	}()
+	go func() { filled <- s.receiveRest(ctx, req, in) }()
 	out := http.NewResponseController(w)
-	coming := filled
+	receiving := filled // nil once the body has been received
 	for {
 		select {
 		case a := <-req.answers:
-			if coming != nil {
-				// The rest is not wanted. The client may still write, and reads the answer then.
+			if receiving != nil {
 				cancel()
-				out.SetReadDeadline(time.Now())
-				if err := <-coming; err != nil {
-					out.SetReadDeadline(time.Now().Add(earlyAnswerDrain))
-					a.closesConn = true
-				}
+				a.closesConn = endReceiving(out, receiving) || a.closesConn
 			}
 			return a
-		case err := <-coming:
-			if coming = nil; err == nil {
+		case err := <-receiving:
+			if err == nil {
+				receiving = nil
 				continue
 			}
 			s.abandon(req)
@@ -347,9 +335,9 @@
 			panic(http.ErrAbortHandler)
 		case <-r.Context().Done(): // also where a read has failed: that may be known here first
 			s.abandon(req)
-			if coming != nil {
-				out.SetReadDeadline(time.Now())
-				if err := <-coming; c != nil && c.readHandedOver {
+			if receiving != nil {
+				_ = out.SetReadDeadline(time.Now())
+				if err := <-receiving; c != nil && c.readHandedOver {
 					return bodyError(err)
 				}
 			}
@@ -358,6 +346,27 @@
 	}
 }
 
+// receiveRest receives the rest of a request's body, and tells the engine when it is complete.
+func (s *Front) receiveRest(ctx context.Context, req *call, in *pacedReader) error {
+	err := req.Payload.(*Message).upload.fill(ctx, in, true)
+	if err == nil {
+		completed := s.engine.Now()
+		s.engine.Post(func() { s.engine.HandleRequestComplete(&req.Call, completed) })
+	}
+	return err
+}
+
+// endReceiving ends the receiving of a body whose rest is not wanted, and tells whether its connection ends with the
+// answer. The client may still be writing, and reads the answer then.
+func endReceiving(out *http.ResponseController, receiving <-chan error) (closesConn bool) {
+	_ = out.SetReadDeadline(time.Now())
+	if err := <-receiving; err == nil {
+		return false
+	}
+	_ = out.SetReadDeadline(time.Now().Add(earlyAnswerDrain))
+	return true
+}
+
 // abandon takes a client's leave. An answer that came meanwhile is nobody's.
 func (s *Front) abandon(req *call) {
 	s.engine.Post(func() {
@@ -395,52 +404,61 @@
 		h.Set("Connection", "close")
 	}
 	if a.retryAfter == 0 && a.reply == nil && a.status == http.StatusServiceUnavailable {
-		a.retryAfter = s.engine.RetryAfter() // it was turned away at the door
+		a.retryAfter = s.engine.RetryAfter() // it was rejected before the balancer heard of it
 	}
 	if a.retryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64))
 	}
-	if a.reply == nil || a.reply.stream == nil {
-		h.Set("Content-Length", strconv.Itoa(len(a.body)))
-		if c := clientOf(r); c != nil {
-			c.SetWriteDeadline(time.Now().Add(stallTimeout))
-		}
-		w.WriteHeader(a.status)
-		w.Write(a.body) // an error says that the client has left
-		if a.reply != nil {
-			a.reply.release(s.memory)
-		}
+	if a.reply != nil && a.reply.stream != nil {
+		s.writeStream(w, r, req, a)
 		return
 	}
+	h.Set("Content-Length", strconv.Itoa(len(a.body)))
+	if c := clientOf(r); c != nil {
+		_ = c.SetWriteDeadline(time.Now().Add(stallTimeout))
+	}
+	w.WriteHeader(a.status)
+	_, _ = w.Write(a.body) // an error says that the client has disconnected
+	if a.reply != nil {
+		a.reply.release(s.memory)
+	}
+}
+
+// writeStream sends an answer of which more is to come than is here.
+func (s *Front) writeStream(w http.ResponseWriter, r *http.Request, req *call, a answer) {
 	d := a.reply.stream
 	if s.handsOver {
-		err := s.handStream(w, r, d, h)
-		d.reusable = d.reusable && err != errHandedOver
-		d.finish(err == nil)
-		a.reply.stream = nil
-		a.reply.release(s.memory)
-		// One that is handed on has been served as far as this process goes.
-		s.engine.Post(func() { s.engine.HandleStreamEnd(&req.Call, err == nil || err == errHandedOver) })
+		err := s.handStream(w, r, d, w.Header())
+		handedOver := errors.Is(err, errHandedOver)
+		d.reusable = d.reusable && !handedOver
+		// One that is handed over has been served as far as this process goes.
+		s.finishStream(req, a.reply, err == nil, err == nil || handedOver)
 		return
 	}
 	if d.length >= 0 {
-		h.Set("Content-Length", strconv.FormatInt(d.length, 10))
+		w.Header().Set("Content-Length", strconv.FormatInt(d.length, 10))
 	}
 	w.WriteHeader(a.status)
 	err := d.forward(r.Context(), w, http.NewResponseController(w), s.memory)
-	d.finish(err == nil)
-	a.reply.stream = nil
-	a.reply.release(s.memory)
-	s.engine.Post(func() { s.engine.HandleStreamEnd(&req.Call, err == nil) })
+	s.finishStream(req, a.reply, err == nil, err == nil)
 	if err == nil {
 		return
 	}
 	if d.length < 0 && !r.ProtoAtLeast(1, 1) {
-		// Only the connection's end tells this client where the answer ends: it has to be
-		// one that can't be taken for a good one.
+		// Only the connection's end tells this client where the answer ends: it has to be one that can't be taken for
+		// a good one.
 		if c := clientOf(r); c != nil {
 			c.markReset()
 		}
 	}
 	panic(http.ErrAbortHandler)
 }
+
+// finishStream gives a stream's connection and memory back, and tells the engine how it ended: complete says that all of
+// it was read here, served that it counts as answered.
+func (s *Front) finishStream(req *call, reply *Reply, complete, served bool) {
+	reply.stream.finish(complete)
+	reply.stream = nil
+	reply.release(s.memory)
+	s.engine.Post(func() { s.engine.HandleStreamEnd(&req.Call, served) })
+}
--- a/internal/dataplane/httpproxy/handover.go
+++ b/internal/dataplane/httpproxy/handover.go
@@ -36,7 +36,7 @@
 	c.readDeadlineMu.Lock()
 	defer c.readDeadlineMu.Unlock()
 	c.interrupted = true
-	c.Conn.SetReadDeadline(time.Now())
+	_ = c.Conn.SetReadDeadline(time.Now())
 }
 
 // SetReadDeadline implements net.Conn. A client that is silent at first has no more time for
@@ -63,7 +63,7 @@
 	was := c.interrupted && !c.readsEnded
 	if was {
 		c.interrupted = false
-		c.Conn.SetReadDeadline(c.readDeadline)
+		_ = c.Conn.SetReadDeadline(c.readDeadline)
 	}
 	return was
 }
--- a/internal/dataplane/httpproxy/handover_test.go
+++ b/internal/dataplane/httpproxy/handover_test.go
@@ -131,8 +131,10 @@
 			t.Fatal(err)
 		}
 		defer client.Close()
-		client.SetDeadline(time.Now().Add(testutil.Patience))
-		io.WriteString(client, text[:cut])
+		if err := client.SetDeadline(time.Now().Add(testutil.Patience)); err != nil {
+			t.Fatal(err)
+		}
+		send(t, client, text[:cut])
 		eventually(t, "the connection to be taken", func() bool {
 			old.conns.mu.Lock()
 			defer old.conns.mu.Unlock()
@@ -153,11 +155,12 @@
 		if settled {
 			eventually(t, fmt.Sprintf("it to be taken, cut at %d of %.400q", cut, text), func() bool { return taken.Load() == 1 })
 		}
-		io.WriteString(client, text[cut:])
+		send(t, client, text[cut:])
 		resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 		if err != nil {
 			rt.Fatalf("cut at %d of %q: %v", cut, text[:min(len(text), 300)], err)
 		}
+		defer resp.Body.Close()
 		got, _ := io.ReadAll(resp.Body)
 		if !settled && resp.StatusCode == http.StatusServiceUnavailable {
 			return // it had come whole before it could be given: the old one, which has no backends, answered
@@ -199,7 +202,7 @@
 		old.ServeHTTP(w, r)
 	})
 	client := testutil.Dial(t, ln.Addr().String())
-	io.WriteString(client, get("whole"))
+	send(t, client, get("whole"))
 	receive(t, gate.reached, "the handler")
 	var taken atomic.Int64
 	old.HandOver(to(t, next, &taken))
@@ -212,6 +215,7 @@
 	if err != nil {
 		t.Fatalf("no answer: %v", err)
 	}
+	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusServiceUnavailable { // it has no backends
 		t.Error(resp.Status)
 	}
@@ -222,7 +226,7 @@
 // before its reader hears of it: whichever is met first, it goes on (20 times over).
 func TestABodyOnItsWayGoesOnElsewhere(t *testing.T) {
 	t.Parallel()
-	reading := rawBackend(t, func(_ net.Conn, in *bufio.Reader) { io.Copy(io.Discard, in) })
+	reading := rawBackend(t, func(_ net.Conn, in *bufio.Reader) { _, _ = io.Copy(io.Discard, in) })
 	for range 20 {
 		old, ln, run := servingLater(t, ready("s-1", reading))
 		next, _ := serving(t)
@@ -235,7 +239,7 @@
 		}
 		fmt.Fprintf(client, "POST /bid/x HTTP/1.1\r\nHost: a\r\nX-Account: obala\r\nX-Time-Left: 9000m\r\n%s: 00000000000000aa\r\nContent-Length: %d\r\n\r\n",
 			headerID, len(body))
-		io.WriteString(client, body[:40<<10])
+		send(t, client, body[:40<<10])
 		partly := func() bool {
 			old.conns.mu.Lock()
 			defer old.conns.mu.Unlock()
@@ -247,7 +251,7 @@
 		eventually(t, "it to be on its way", partly)
 		old.memory.Give(others, budget.Large)
 		run()
-		io.WriteString(client, body[40<<10:80<<10])
+		send(t, client, body[40<<10:80<<10])
 		eventually(t, "all to be read", func() bool {
 			old.conns.mu.Lock()
 			defer old.conns.mu.Unlock()
@@ -259,11 +263,12 @@
 		var taken atomic.Int64
 		old.HandOver(to(t, next, &taken))
 		eventually(t, "it to be taken", func() bool { return taken.Load() == 1 })
-		io.WriteString(client, body[80<<10:])
+		send(t, client, body[80<<10:])
 		resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
+		defer resp.Body.Close()
 		if got, _ := io.ReadAll(resp.Body); !strings.HasSuffix(string(got), fmt.Sprintf("%x %d", sha256.Sum256([]byte(body)), len(body))) {
 			t.Fatalf("%d %q", resp.StatusCode, got)
 		}
@@ -286,11 +291,12 @@
 		in := bufio.NewReader(client)
 		ask := func() {
 			t.Helper()
-			io.WriteString(client, "POST /bid/x HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc")
+			send(t, client, "POST /bid/x HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc")
 			resp, err := http.ReadResponse(in, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
+			defer resp.Body.Close()
 			if body, _ := io.ReadAll(resp.Body); !strings.HasSuffix(string(body), " 3") {
 				t.Errorf("%d %q", resp.StatusCode, body)
 			}
@@ -320,7 +326,7 @@
 	old.server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c := clientOf(r)
 		c.beginRequest()
-		io.Copy(io.Discard, r.Body)
+		_, _ = io.Copy(io.Discard, r.Body)
 		inHand <- c
 		select {
 		case <-finish:
@@ -330,7 +336,7 @@
 		}
 	})
 	near := testutil.Dial(t, ln.Addr().String())
-	io.WriteString(near, "POST /bid/x HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc")
+	send(t, near, "POST /bid/x HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc")
 	c := receive(t, inHand, "the request")
 	old.HandOver(func([]byte, net.Conn, net.Conn) bool { return false })
 	c.interruptRead() // as where it was still being read when the nudge was on its way
@@ -369,7 +375,7 @@
 			if _, ok := readRequest(in); !ok {
 				return
 			}
-			io.WriteString(c, okAnswer)
+			_, _ = io.WriteString(c, okAnswer)
 		}
 	})
 	old, ln := serving(t, ready("s-1", served))
@@ -377,7 +383,7 @@
 	client := testutil.Dial(t, ln.Addr().String())
 	fmt.Fprintf(client, "POST /bid/x HTTP/1.1\r\nHost: a\r\nX-Account: obala\r\nX-Time-Left: 9000m\r\n%s: 00000000000000aa\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n",
 		headerID, len(body))
-	io.WriteString(client, body[:280<<10])
+	send(t, client, body[:280<<10])
 	eventually(t, "its beginning to have gone", func() bool {
 		old.conns.mu.Lock()
 		defer old.conns.mu.Unlock()
@@ -400,8 +406,8 @@
 		nudged, open := isNudged(old)
 		return open && !nudged
 	})
-	io.WriteString(client, body[280<<10:]+"\r\n0\r\n\r\n")
-	if resp, err := http.ReadResponse(bufio.NewReader(client), nil); err != nil || resp.StatusCode != 200 {
-		t.Errorf("%+v %v", resp, err)
+	send(t, client, body[280<<10:]+"\r\n0\r\n\r\n")
+	if status, _ := answered(t, bufio.NewReader(client)); status != http.StatusOK {
+		t.Errorf("status %d", status)
 	}
 }
--- a/internal/dataplane/httpproxy/harness_test.go
+++ b/internal/dataplane/httpproxy/harness_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"fmt"
+	"io"
 	"net"
 	"net/http"
 	"sync/atomic"
@@ -89,3 +90,11 @@
 func probeMessage(addr string) *Message {
 	return platformDialect().HealthCheck(engine.NewBackend("s-1", addr, true))
 }
+
+// send writes to a connection that must take it.
+func send(t testing.TB, to io.Writer, text string) {
+	t.Helper()
+	if _, err := io.WriteString(to, text); err != nil {
+		t.Fatal(err)
+	}
+}
--- a/internal/dataplane/httpproxy/parse.go
+++ b/internal/dataplane/httpproxy/parse.go
@@ -26,90 +26,105 @@
 	smallBody     = 4 << 10 // a body's room is taken at once up to here, and beyond it as it comes
 )
 
-// parse reads a request. What can't be read, or what a backend couldn't, is the
-// client's fault, and the answer says how; its status is 0 for a good request. A
-// backend closes on what it can't read, which would count as its own failure. The
-// cheap checks come first: a flood of bad requests must cost little.
+// parse reads a request's head, and gives how long its client waits. What can't be read, or what a backend couldn't, is
+// the client's fault, and the answer says how; its status is 0 for a good request. A backend closes on what it can't
+// read, which would count as its own failure. The cheap checks come first: a flood of bad requests must cost little.
 func (s *Front) parse(r *http.Request, snapshot *engine.SettingsSnapshot) (*call, time.Duration, answer) {
-	bad := func(status int, format string, args ...any) (*call, time.Duration, answer) {
-		return nil, 0, badRequest(status, format, args...)
-	}
 	if r.URL.Host != "" || r.URL.RawPath != "" || !plain(r.URL.Path, "/-._~") || !visible(r.URL.RawQuery) {
-		return bad(http.StatusBadRequest, "a path of letters, digits and -._~ is needed")
+		return nil, 0, badRequest(http.StatusBadRequest, "a path of letters, digits and -._~ is needed")
 	}
 	h := r.Header
 	name, rest, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	class, known := snapshot.ClassIndexes[name]
 	if !known {
-		return bad(http.StatusNotFound, "unknown class")
+		return nil, 0, badRequest(http.StatusNotFound, "unknown class")
 	}
 	for _, one := range []string{headerID, headerAccount, headerTimeout, headerKey, headerHint, headerRepeat} {
 		if len(h[one]) > 1 {
-			return bad(http.StatusBadRequest, "%s comes more than once", one)
+			return nil, 0, badRequest(http.StatusBadRequest, "%s comes more than once", one)
 		}
 	}
 	tenant := 0
 	if len(snapshot.TenantIndexes) > 0 {
 		if tenant, known = snapshot.TenantIndexes[h.Get(headerAccount)]; !known {
-			return bad(http.StatusBadRequest, "unknown account")
+			return nil, 0, badRequest(http.StatusBadRequest, "unknown account")
 		}
 	}
-	left, err := parseTimeout(h.Get(headerTimeout))
+	timeout, err := parseTimeout(h.Get(headerTimeout))
 	if err != nil {
-		return bad(http.StatusBadRequest, "%s: %v", headerTimeout, err)
-	}
-	// Whatever it says, no client waits longer than its class does over all its tries,
-	// and nobody may hold a place here for longer.
-	c := &snapshot.Settings.Classes[class]
-	left = min(left, c.ClientTimeout)
-	id := h.Get(headerID)
-	if len(id) != idLength || strings.Trim(id, "0123456789abcdef") != "" {
-		return bad(http.StatusBadRequest, "%s needs %d hexadecimal digits", headerID, idLength)
+		return nil, 0, badRequest(http.StatusBadRequest, "%s: %v", headerTimeout, err)
 	}
-	method := http.MethodPost
-	if c.Effect == balancer.Safe {
-		method = http.MethodGet
-	}
-	if r.Method != method {
-		return bad(http.StatusMethodNotAllowed, "%s takes %s", name, method)
+	settings := &snapshot.Settings.Classes[class]
+	if a := checkForClass(r, name, settings.Effect); a.status != 0 {
+		return nil, 0, a
 	}
-	if method == http.MethodGet && r.ContentLength != 0 {
-		return bad(http.StatusBadRequest, "%s takes no body", method)
-	}
-	// Backends know a keyed request's repeats by this header alone. Without it a
-	// second attempt would run again; with it, an unsafe one would pass for keyed.
-	key := h.Get(headerKey)
-	if (key != "") != (c.Effect == balancer.Keyed) || len(key) > maxKeyLength || !plain(key, "-._~") {
-		return bad(http.StatusBadRequest, "%s: %s is missing, out of place or no plain word", name, headerKey)
-	}
-	var cost time.Duration
-	if hint := h.Get(headerHint); hint != "" {
-		us, err := strconv.ParseFloat(hint, 64)
-		if err != nil || !(us >= 0 && us <= float64(maxSpan.Microseconds())) {
-			return bad(http.StatusBadRequest, "%s is no number of microseconds", headerHint)
-		}
-		cost = time.Duration(us * float64(time.Microsecond))
+	cost, a := parseCost(h.Get(headerHint))
+	if a.status != 0 {
+		return nil, 0, a
 	}
 	for field, values := range h {
 		if !plain(field, "-_.") || slices.ContainsFunc(values, func(v string) bool { return !printable(v) }) {
-			return bad(http.StatusBadRequest, "a header that is not plain text")
+			return nil, 0, badRequest(http.StatusBadRequest, "a header that is not plain text")
 		}
 	}
-	var about uint64
-	if rest != "" {
-		f := fnv.New64a()
-		io.WriteString(f, rest[strings.LastIndexByte(rest, '/')+1:])
-		about = f.Sum64()
-	}
 	req := &call{
 		Call: engine.Call{Request: balancer.Request{
-			Class: class, Tenant: tenant, Key: about, Cost: cost,
+			Class: class, Tenant: tenant, Key: affinityKey(rest), Cost: cost,
 			IsRetry: h.Get(headerRepeat) == "1",
-		}, ClientRequestID: id, Carrier: s.carrier, Snapshot: snapshot},
+		}, ClientRequestID: h.Get(headerID), Carrier: s.carrier, Snapshot: snapshot},
 		answers: make(chan answer, 1),
 	}
 	req.Front = req
-	return req, left, answer{}
+	// Whatever it says, no client waits longer than its class does over all its attempts, and nobody may hold a place
+	// here for longer.
+	return req, min(timeout, settings.ClientTimeout), answer{}
+}
+
+// checkForClass checks what a request needs by its class's effect.
+func checkForClass(r *http.Request, name string, effect balancer.Effect) answer {
+	id := r.Header.Get(headerID)
+	if len(id) != idLength || strings.Trim(id, "0123456789abcdef") != "" {
+		return badRequest(http.StatusBadRequest, "%s needs %d hexadecimal digits", headerID, idLength)
+	}
+	method := http.MethodPost
+	if effect == balancer.Safe {
+		method = http.MethodGet
+	}
+	if r.Method != method {
+		return badRequest(http.StatusMethodNotAllowed, "%s takes %s", name, method)
+	}
+	if method == http.MethodGet && r.ContentLength != 0 {
+		return badRequest(http.StatusBadRequest, "%s takes no body", method)
+	}
+	// Backends recognize a keyed request's retries by this header alone. Without it a second attempt would run again;
+	// with it, an unsafe one would pass for keyed.
+	key := r.Header.Get(headerKey)
+	if (key != "") != (effect == balancer.Keyed) || len(key) > maxKeyLength || !plain(key, "-._~") {
+		return badRequest(http.StatusBadRequest, "%s: %s is missing, out of place or no plain word", name, headerKey)
+	}
+	return answer{}
+}
+
+// parseCost reads the client's hint of a request's work, in microseconds; none is 0.
+func parseCost(hint string) (time.Duration, answer) {
+	if hint == "" {
+		return 0, answer{}
+	}
+	us, err := strconv.ParseFloat(hint, 64)
+	if err != nil || !(us >= 0 && us <= float64(maxSpan.Microseconds())) {
+		return 0, badRequest(http.StatusBadRequest, "%s is no number of microseconds", headerHint)
+	}
+	return time.Duration(us * float64(time.Microsecond)), answer{}
+}
+
+// affinityKey is the hash of the last element of a path behind its class; 0 is none.
+func affinityKey(rest string) uint64 {
+	if rest == "" {
+		return 0
+	}
+	f := fnv.New64a()
+	_, _ = io.WriteString(f, rest[strings.LastIndexByte(rest, '/')+1:]) // a hash returns no error
+	return f.Sum64()
 }
 
 // plain tells that s has only letters, digits and what else is named.
--- a/internal/dataplane/httpproxy/pool_test.go
+++ b/internal/dataplane/httpproxy/pool_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"io"
 	"net"
 	"testing"
 	"time"
@@ -123,7 +122,7 @@
 	}
 	// What nobody asked for belongs to no request.
 	p.put(b, want, 2*time.Second)
-	io.WriteString(far[0], okAnswer)
+	send(t, far[0], okAnswer)
 	eventually(t, "the noise to arrive", func() bool { return !want.reusable() })
 	if c := p.take(b, 2*time.Second, healthCheckStake); c != nil {
 		t.Error("a connection with an answer to nothing was taken")
--- a/internal/dataplane/httpproxy/reply.go
+++ b/internal/dataplane/httpproxy/reply.go
@@ -1,6 +1,7 @@
 package httpproxy
 
 import (
+	"errors"
 	"io"
 	"net/http"
 	"time"
@@ -35,9 +36,9 @@
 		d.first = d.first[n:]
 		return n, nil
 	}
-	d.conn.SetReadDeadline(until)
+	_ = d.conn.SetReadDeadline(until)
 	n, err := d.body.Read(p)
-	if n > 0 && err == io.EOF {
+	if n > 0 && errors.Is(err, io.EOF) {
 		err = nil // it is met again
 	}
 	return n, err
--- a/internal/dataplane/httpproxy/requestbody.go
+++ b/internal/dataplane/httpproxy/requestbody.go
@@ -45,7 +45,7 @@
 // Read implements io.Reader.
 func (p *pacedReader) Read(b []byte) (int, error) {
 	p.waited += time.Since(p.notReadSince)
-	p.setDeadline(p.began.Add(p.waited + bodyGrace + time.Duration(p.received)*time.Second/minBodyRate))
+	_ = p.setDeadline(p.began.Add(p.waited + bodyGrace + time.Duration(p.received)*time.Second/minBodyRate))
 	n, err := p.in.Read(b)
 	p.received += int64(n)
 	p.notReadSince = time.Now()
@@ -89,7 +89,7 @@
 		reserved, err := s.reserve(r.Context(), len(body))
 		return body, reserved, nil, bodyError(err)
 	}
-	if err != nil && err != errBufferFull {
+	if err != nil && !errors.Is(err, errBufferFull) {
 		return nil, 0, up, bodyError(err)
 	}
 	return nil, 0, up, answer{}
--- a/internal/dataplane/httpproxy/sendupload.go
+++ b/internal/dataplane/httpproxy/sendupload.go
@@ -36,7 +36,7 @@
 			parts = net.Buffers{head, chunkSize(len(p)), p, chunkEnd(len(p), last)}
 		}
 		head = nil
-		c.SetWriteDeadline(time.Now().Add(stallTimeout))
+		_ = c.SetWriteDeadline(time.Now().Add(stallTimeout))
 		if _, err := parts.WriteTo(c.Conn); err != nil {
 			if last {
 				return failedAfterWrite(err)
@@ -64,7 +64,7 @@
 
 // readEarlyAnswer reads what a backend says before it has had all of a request.
 func (c *backendConn) readEarlyAnswer(x *exchange, unsent Reply) Reply {
-	c.SetReadDeadline(time.Now().Add(stallTimeout / 10))
+	_ = c.SetReadDeadline(time.Now().Add(stallTimeout / 10))
 	resp, err := c.readHead(x.message.Method)
 	if err != nil {
 		return unsent
--- a/internal/dataplane/httpproxy/streamrelay.go
+++ b/internal/dataplane/httpproxy/streamrelay.go
@@ -31,7 +31,8 @@
 	body    io.Reader // one of *sized, *chunkReader, *bufio.Reader
 	chunked bool      // how the client is told where it ends, if not by length or close
 	pending []byte    // for the client, as it stands on the wire
-	passed  int64
+	passed  int64     // bytes of the body so far
+	done    bool      // the body has been read to its end
 }
 
 // streamRelayState is a relay in words. Versions that don't know each other's turn it down.
@@ -55,97 +56,128 @@
 // pieceOverhead is the room kept around a piece for a chunk's size and end.
 const pieceOverhead = 16
 
-// run passes the answer on until its end, or until leave is closed and give has taken it.
+// run passes the answer on until its end, or until a handover has started and another process has taken it, which is
+// errHandedOver.
 func (r *streamRelay) run(memory *budget.Budget, handoverStarted <-chan struct{}, transfer func() TransferFunc) error {
 	size := smallBody
 	if memory.Take(pieceSize, budget.Small) {
 		size = pieceSize
 		defer memory.Give(pieceSize, budget.Small)
 	}
+	h := &relayHandover{relay: r, started: handoverStarted, transfer: transfer, interrupted: make(chan struct{})}
 	stop := make(chan struct{})
-	stopped := make(chan struct{})
-	defer func() { close(stop); <-stopped }()
-	go func() {
-		defer close(stopped)
-		select {
-		case <-handoverStarted: // whoever waits for a peer stops waiting, and looks
-			r.client.SetWriteDeadline(time.Now())
-			r.backend.SetReadDeadline(time.Now())
-		case <-stop:
-		}
-	}()
+	defer func() { close(stop); <-h.interrupted }()
+	go h.interrupt(stop)
 	buf := make([]byte, 0, size+2*pieceOverhead)
-	rejected := false
-	// left tells whether it has been given away; a peer's time-out is one only if not leaving.
-	handOver := func(err error) (bool, error) {
-		select {
-		case <-handoverStarted:
-		default:
-			return false, err
+	for {
+		if err := r.writePending(h); err != nil {
+			return err
+		}
+		if r.done {
+			return nil
 		}
-		<-stopped // which has set times on connections that may be another's at once
-		if !rejected {
-			state, jsonErr := json.Marshal(r.state())
-			if g := transfer(); g != nil && jsonErr == nil && g(state, r.client, r.backend.Conn) {
-				if c, ok := r.client.(*clientConn); ok {
-					c.transferred.Store(true) // ending it here would end it there
-				}
-				return true, errHandedOver
-			}
-			rejected = true // it ends here, or with the process
-			return false, nil
+		if err := r.readPiece(buf, size, h); err != nil {
+			return err
 		}
-		return false, err
 	}
-	for done := false; ; {
-		for len(r.pending) > 0 {
-			r.setDeadline(r.client.SetWriteDeadline, handoverStarted, rejected)
-			n, err := r.client.Write(r.pending)
-			if r.pending = r.pending[n:]; err == nil {
-				continue
-			}
-			if !errors.Is(err, os.ErrDeadlineExceeded) {
-				return errClient
-			}
-			if gone, err := handOver(errClient); gone || err != nil {
-				return err
-			}
-		}
-		if done {
-			return nil
+}
+
+// writePending writes to the client what was read for it.
+func (r *streamRelay) writePending(h *relayHandover) error {
+	for len(r.pending) > 0 {
+		h.setDeadline(r.client.SetWriteDeadline)
+		n, err := r.client.Write(r.pending)
+		r.pending = r.pending[n:]
+		if err == nil {
+			continue
 		}
-		r.setDeadline(r.backend.SetReadDeadline, handoverStarted, rejected)
-		n, err := r.body.Read(buf[pieceOverhead : pieceOverhead+size])
-		if r.passed += int64(n); r.passed > maxBodyLength {
-			return errBackend
+		if !errors.Is(err, os.ErrDeadlineExceeded) {
+			return errClient
 		}
-		r.pending = r.encodePiece(buf, n, err == io.EOF)
-		switch {
-		case err == nil:
-		case err == io.EOF:
-			done = true
-		case !errors.Is(err, os.ErrDeadlineExceeded):
-			return errBackend
-		case n == 0:
-			if gone, err := handOver(errBackend); gone || err != nil {
-				return err
-			}
+		if err := h.onTimeout(errClient); err != nil {
+			return err
 		}
 	}
+	return nil
+}
+
+// readPiece reads what comes next of the body.
+func (r *streamRelay) readPiece(buf []byte, size int, h *relayHandover) error {
+	h.setDeadline(r.backend.SetReadDeadline)
+	n, err := r.body.Read(buf[pieceOverhead : pieceOverhead+size])
+	r.passed += int64(n)
+	if r.passed > maxBodyLength {
+		return errBackend
+	}
+	r.done = errors.Is(err, io.EOF)
+	r.pending = r.encodePiece(buf, n, r.done)
+	switch {
+	case err == nil, r.done:
+		return nil
+	case !errors.Is(err, os.ErrDeadlineExceeded):
+		return errBackend
+	case n == 0:
+		return h.onTimeout(errBackend)
+	}
+	return nil
 }
 
-// setDeadline gives a peer its time, unless all are to stop.
-func (r *streamRelay) setDeadline(set func(time.Time) error, handoverStarted <-chan struct{}, rejected bool) {
-	set(time.Now().Add(stallTimeout))
+// relayHandover is the handover of one relay to another process.
+type relayHandover struct {
+	relay       *streamRelay
+	started     <-chan struct{}
+	transfer    func() TransferFunc
+	interrupted chan struct{} // closed when interrupt sets no deadline any more
+	rejected    bool          // the other process has not taken it: it ends here, or with the process
+}
+
+// interrupt makes whoever waits for a peer time out once a handover has started.
+func (h *relayHandover) interrupt(stop <-chan struct{}) {
+	defer close(h.interrupted)
+	select {
+	case <-h.started:
+		_ = h.relay.client.SetWriteDeadline(time.Now())
+		_ = h.relay.backend.SetReadDeadline(time.Now())
+	case <-stop:
+	}
+}
+
+// setDeadline gives a peer its time, unless the relay is to be handed over.
+func (h *relayHandover) setDeadline(set func(time.Time) error) {
+	_ = set(time.Now().Add(stallTimeout))
 	select {
-	case <-handoverStarted:
-		if !rejected {
-			set(time.Now())
+	case <-h.started:
+		if !h.rejected {
+			_ = set(time.Now())
 		}
 	default:
 	}
 }
 
+// onTimeout hands the relay over after a timeout that was for that, and gives errHandedOver where it was taken, nil
+// where it goes on here. Any other timeout is a peer's: it gives stalled.
+func (h *relayHandover) onTimeout(stalled error) error {
+	select {
+	case <-h.started:
+	default:
+		return stalled
+	}
+	<-h.interrupted // it has set deadlines on connections that may be another process's at once
+	if h.rejected {
+		return stalled
+	}
+	r := h.relay
+	state, err := json.Marshal(r.state())
+	if transfer := h.transfer(); transfer != nil && err == nil && transfer(state, r.client, r.backend.Conn) {
+		if c, ok := r.client.(*clientConn); ok {
+			c.transferred.Store(true) // ending it here would end it there
+		}
+		return errHandedOver
+	}
+	h.rejected = true
+	return nil
+}
+
 // encodePiece makes of a piece what stands on the wire.
 func (r *streamRelay) encodePiece(buf []byte, n int, last bool) []byte {
 	if !r.chunked {
@@ -217,7 +249,7 @@
 		return errClient
 	}
 	defer nc.Close()
-	nc.SetDeadline(time.Time{})
+	_ = nc.SetDeadline(time.Time{})
 	relay := &streamRelay{client: nc, backend: d.conn, body: d.body, chunked: d.length < 0 && r.ProtoAtLeast(1, 1)}
 	var head bytes.Buffer
 	head.WriteString("HTTP/1.1 200 OK\r\n")
@@ -228,12 +260,12 @@
 	case relay.chunked:
 		header.Set("Transfer-Encoding", "chunked")
 	}
-	header.Write(&head)
+	_ = header.Write(&head) // a Buffer takes everything
 	head.WriteString("\r\n")
 	first := append(make([]byte, pieceOverhead, len(d.first)+2*pieceOverhead), d.first...)
 	relay.pending = append(head.Bytes(), relay.encodePiece(first, len(d.first), false)...)
 	relay.passed = int64(len(d.first))
-	if err = relay.run(s.memory, s.handoverStarted, s.currentTransfer); err != nil && err != errHandedOver && d.length < 0 && !relay.chunked {
+	if err = relay.run(s.memory, s.handoverStarted, s.currentTransfer); err != nil && !errors.Is(err, errHandedOver) && d.length < 0 && !relay.chunked {
 		if c, ok := nc.(*clientConn); ok {
 			c.markReset()
 		}
@@ -254,7 +286,7 @@
 		defer backend.Close()
 		defer held.Close()
 		err := r.run(s.memory, s.handoverStarted, s.currentTransfer)
-		if err != nil && err != errHandedOver && !r.chunked {
+		if err != nil && !errors.Is(err, errHandedOver) && !r.chunked {
 			held.markReset()
 		}
 	}()
--- a/internal/dataplane/httpproxy/streamrelay_test.go
+++ b/internal/dataplane/httpproxy/streamrelay_test.go
@@ -87,11 +87,11 @@
 				if form == "chunks" {
 					fmt.Fprintf(farBackend, "%x\r\n%s\r\n", len(p), p)
 				} else {
-					farBackend.Write(p)
+					_, _ = farBackend.Write(p)
 				}
 			}
 			if form == "chunks" {
-				io.WriteString(farBackend, "0\r\nX: y\r\n\r\n")
+				_, _ = io.WriteString(farBackend, "0\r\nX: y\r\n\r\n")
 			}
 		})
 		room := budget.New(1 << 20)
@@ -119,11 +119,14 @@
 			}
 		}
 		all.Go(func() { run(begun(form, client, backend, len(body))) })
-		farClient.SetReadDeadline(time.Now().Add(testutil.Patience))
+		if err := farClient.SetReadDeadline(time.Now().Add(testutil.Patience)); err != nil {
+			t.Fatal(err)
+		}
 		resp, err := http.ReadResponse(bufio.NewReader(farClient), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
+		defer resp.Body.Close()
 		got, err := io.ReadAll(resp.Body)
 		farClient.Close()
 		all.Wait()
@@ -165,13 +168,14 @@
 		})
 		client.Close()
 	}()
-	io.WriteString(farBackend, "abc")
+	send(t, farBackend, "abc")
 	in := bufio.NewReader(farClient)
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(farBackend, "def")
+	defer resp.Body.Close()
+	send(t, farBackend, "def")
 	if got, err := io.ReadAll(resp.Body); err != nil || string(got) != "abcdef" {
 		t.Errorf("%q %v", got, err)
 	}
--- a/internal/dataplane/httpproxy/upload.go
+++ b/internal/dataplane/httpproxy/upload.go
@@ -102,7 +102,7 @@
 func (u *upload) fill(ctx context.Context, in io.Reader, wait bool) error {
 	for {
 		space, err := u.space(ctx, wait)
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
@@ -114,11 +114,11 @@
 		u.pieces[last] = u.pieces[last][:len(u.pieces[last])+n]
 		u.total += int64(n)
 		switch {
-		case u.length >= 0 && u.total == u.length, err == io.EOF && u.length < 0:
+		case u.length >= 0 && u.total == u.length, errors.Is(err, io.EOF) && u.length < 0:
 			// Danger: a last byte that is not known as the last goes out without the permit.
 			u.end = io.EOF
 		case err != nil:
-			if err == io.EOF {
+			if errors.Is(err, io.EOF) {
 				err = io.ErrUnexpectedEOF
 			}
 			u.end = err
@@ -128,7 +128,7 @@
 		ended := u.end
 		u.notify()
 		u.mu.Unlock()
-		if ended == io.EOF {
+		if errors.Is(ended, io.EOF) {
 			return nil
 		}
 		if ended != nil {
@@ -141,7 +141,7 @@
 func (u *upload) complete() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.end == io.EOF
+	return errors.Is(u.end, io.EOF)
 }
 
 // inOnePiece gives the body in one piece where it is whole and no larger than what is held as
@@ -149,7 +149,7 @@
 func (u *upload) inOnePiece() ([]byte, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.end != io.EOF || u.total > maxBufferedBody || u.firstPiece > 0 {
+	if !errors.Is(u.end, io.EOF) || u.total > maxBufferedBody || u.firstPiece > 0 {
 		return nil, false
 	}
 	body := make([]byte, 0, u.total)
@@ -170,7 +170,7 @@
 func (u *upload) announcedLength() int64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.end == io.EOF {
+	if errors.Is(u.end, io.EOF) {
 		return u.total
 	}
 	return u.length
@@ -184,7 +184,7 @@
 func (u *upload) beginRead() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.firstPiece > 0 || u.end != io.EOF && (u.end != nil || u.readers > 0) {
+	if u.firstPiece > 0 || !errors.Is(u.end, io.EOF) && (u.end != nil || u.readers > 0) {
 		return false
 	}
 	u.readers++
@@ -215,7 +215,7 @@
 		if i < len(u.pieces) {
 			p = u.pieces[i][c.offset:]
 		}
-		last = u.end == io.EOF && i >= len(u.pieces)-1
+		last = errors.Is(u.end, io.EOF) && i >= len(u.pieces)-1
 		ended, changed := u.end, u.changed
 		u.mu.Unlock()
 		switch {
@@ -255,7 +255,7 @@
 	u.mu.Lock()
 	held := u.held
 	u.held, u.pieces, u.firstPiece = 0, nil, u.firstPiece+len(u.pieces)
-	if u.end != io.EOF {
+	if !errors.Is(u.end, io.EOF) {
 		u.end = errRequestOver
 	}
 	u.notify()
