--- a/internal/dataplane/httpproxy/accept.go
+++ b/internal/dataplane/httpproxy/accept.go
@@ -80,13 +80,6 @@
 	maxAcceptBackoff = 100 * time.Millisecond
 )
 
-// evictForAccept closes the connection that can best be spared, if any can.
-func (cs *clientConns) evictForAccept() bool {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	return cs.evictOne()
-}
-
 // park waits for the first byte. A connection that is closed meanwhile, for another or at its
 // time's end, is told by no one else.
 func (c *clientConn) park() {
--- /dev/null
+++ b/internal/dataplane/httpproxy/answerbody.go
@@ -0,0 +1,119 @@
+package httpproxy
+
+import (
+	"errors"
+	"io"
+	"math"
+	"net"
+	"net/http"
+	"time"
+
+	"marlreel/internal/process/budget"
+)
+
+// readBody reads the answer's body: all of it where it is small, else its beginning. An
+// error says that the answer can't be used.
+func (c *backendConn) readBody(resp *http.Response, x *exchange) (r Reply, err error) {
+	n := resp.ContentLength
+	switch {
+	case n == 0:
+		return r, nil
+	case n > maxBodyLength:
+		return r, errMalformedAnswer
+	case n > 0 && n <= maxBufferedBody && !x.message.Streaming && r.reserve(x.memory, int(n)):
+		r.body = make([]byte, n)
+		_, err = io.ReadFull(c.reader, r.body)
+	case n > 0:
+		// There is no sending it again once it has begun: so it begins with its first byte.
+		c.readLimit.N = math.MaxInt64
+		if _, err = c.reader.Peek(1); err == nil {
+			r.stream = &answerStream{conn: c, body: &sizedReader{c.reader, n}, length: n, reusable: !resp.Close}
+		}
+	case len(resp.TransferEncoding) > 0:
+		err = c.readUnsizedBody(&chunkReader{in: c.reader}, !resp.Close, x, &r)
+	default: // its connection's end ends it, if that is a good one
+		err = c.readUnsizedBody(c.reader, false, x, &r)
+	}
+	if err != nil {
+		r.release(x.memory)
+	}
+	return r, err
+}
+
+// sizedReader reads a body of known length.
+type sizedReader struct {
+	in        io.Reader
+	remaining int64
+}
+
+// Read implements io.Reader.
+func (s *sizedReader) Read(p []byte) (int, error) {
+	if s.remaining == 0 {
+		return 0, io.EOF
+	}
+	n, err := s.in.Read(p[:min(int64(len(p)), s.remaining)])
+	if s.remaining -= int64(n); errors.Is(err, io.EOF) {
+		err = io.ErrUnexpectedEOF
+	}
+	return n, err
+}
+
+// reserve takes room for a body that is held whole; one that is as small as what every
+// connection has needs none.
+func (r *Reply) reserve(memory *budget.Budget, n int) bool {
+	if n <= smallBody || memory == nil {
+		return true
+	}
+	if !memory.Take(n, budget.Small) {
+		return false
+	}
+	r.reserved = n
+	return true
+}
+
+// readUnsizedBody reads a body that only its own end delimits.
+func (c *backendConn) readUnsizedBody(in io.Reader, keep bool, x *exchange, r *Reply) error {
+	most := smallBody
+	if r.reserve(x.memory, maxBufferedBody) {
+		most = maxBufferedBody
+	}
+	c.readLimit.N = math.MaxInt64
+	body := make([]byte, 0, smallBody)
+	while := time.Now().Add(bufferTimeout)
+	if x.message.Streaming {
+		while = time.Time{}
+	}
+	if !x.message.Streaming && (x.receiving || while.Before(x.deadline)) {
+		_ = c.SetReadDeadline(while)
+	}
+	for len(body) <= most {
+		if len(body) == cap(body) {
+			body = append(make([]byte, 0, min(4*cap(body), most+1)), body...)
+		}
+		n, err := in.Read(body[len(body):cap(body)])
+		body = body[:len(body)+n]
+		var ne net.Error
+		switch {
+		case errors.Is(err, io.EOF):
+			r.body = body
+			return nil
+		case errors.As(err, &ne) && ne.Timeout():
+			if len(body) == 0 && time.Now().Before(x.deadline) {
+				_ = c.SetReadDeadline(x.deadline)
+				continue
+			}
+			if len(body) == 0 {
+				return err
+			}
+		case err != nil:
+			return err
+		case time.Now().Before(while):
+			continue
+		}
+		if len(body) > 0 {
+			break
+		}
+	}
+	r.stream = &answerStream{conn: c, first: body, body: in, length: -1, reusable: keep}
+	return nil
+}
--- /dev/null
+++ b/internal/dataplane/httpproxy/backendconn.go
@@ -0,0 +1,203 @@
+package httpproxy
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"time"
+
+	"marlreel/internal/balancer"
+	"marlreel/internal/sockets"
+)
+
+// backendConn is a connection to a backend. It carries one request at a time.
+type backendConn struct {
+	net.Conn
+	reader    *bufio.Reader
+	readLimit *io.LimitedReader // under in: bounds one answer, head and body
+	idleSince time.Duration
+
+	lastRejected bool // its last answer was that nothing ran
+}
+
+// reusable tells, without waiting, whether an idle connection can carry a request.
+// A backend that died or closed has left an end or a reset to read; anything
+// else unread belongs to no request.
+func (c *backendConn) reusable() bool {
+	if c.reader.Buffered() > 0 {
+		return false
+	}
+	return sockets.Idle(c.Conn)
+}
+
+// maxSingleWrite is how much is written together with its last byte: that much finds room in any connection's buffer. What
+// is longer may wait there, and its last byte goes out only if it still may then.
+const maxSingleWrite = 4 << 10
+
+// roundTrip writes a request and reads its answer. Where the last byte is kept back for
+// a moment, a break in that moment proves that nothing ran: a backend begins a request
+// when its last byte has come. It speaks of the connection and not of the backend, which
+// is why it is told as one that was never sent: a backend that has died refuses the next.
+func (c *backendConn) roundTrip(x *exchange, data []byte, report []string) Reply {
+	until, hold := x.deadline, x.holdback
+	_ = c.SetDeadline(until)
+	begun := hold > 0 || len(data) > maxSingleWrite
+	if begun {
+		n, err := c.Write(data[:len(data)-1])
+		if err == nil && hold > 0 {
+			err = c.awaitEarlyAnswer(time.Now().Add(hold), until)
+		}
+		if errors.Is(err, errEarlyAnswer) && c.earlyRejection(x) {
+			return Reply{result: balancer.Rejected}
+		}
+		if err != nil || n < len(data)-1 {
+			return Reply{result: balancer.NotSent, brokeEarly: true}
+		}
+		data = data[len(data)-1:]
+	}
+	if !x.permit.TryClaim() {
+		if begun { // what has been written of it must not be completed by the next request
+			return Reply{result: balancer.NotSent}
+		}
+		_ = c.SetDeadline(time.Time{})
+		return Reply{result: balancer.NotSent, conn: c}
+	}
+	if n, err := c.Write(data); n < len(data) {
+		return Reply{result: balancer.NotSent, brokeEarly: true}
+	} else if err != nil {
+		return failedAfterWrite(err)
+	}
+	if x.attempt != nil {
+		x.attempt.MarkWritten()
+	}
+	return c.readAnswer(x, report)
+}
+
+// readAnswer reads the answer to what has been written.
+func (c *backendConn) readAnswer(x *exchange, report []string) Reply {
+	resp, err := c.readOwnHead(x)
+	if err != nil {
+		return failedAfterWrite(err)
+	}
+	r, err := c.readBody(resp, x)
+	if err != nil {
+		return failedAfterWrite(err)
+	}
+	r.status, r.header, r.load = resp.StatusCode, resp.Header, parseLoadReport(resp.Header, report)
+	r.result = x.dialect.Judge(x.backend, x.message, resp)
+	if r.stream != nil {
+		if r.result == balancer.OK {
+			r.conn = c
+			return r
+		}
+		r.stream = nil // what else it says at length is of no use: the connection is closed
+	} else if !resp.Close && c.reader.Buffered() == 0 {
+		// The deadline was this exchange's. Left in place, it would end the next.
+		_ = c.SetDeadline(time.Time{})
+		r.conn = c
+	}
+	return r
+}
+
+// errEarlyAnswer is an answer that came before its request was whole.
+var errEarlyAnswer = errors.New("an answer came before its request")
+
+// awaitEarlyAnswer waits until a time for the connection's end, and gives it as an error. Danger: what comes before the
+// request is whole is no answer to it, but may be the second one to the request before; read as this one's, its
+// client would get another's.
+func (c *backendConn) awaitEarlyAnswer(until, deadline time.Time) error {
+	if until.After(deadline) {
+		return nil
+	}
+	_ = c.SetReadDeadline(until)
+	defer func() { _ = c.SetReadDeadline(deadline) }()
+	c.readLimit.N = maxHead
+	_, err := c.reader.Peek(1)
+	var ne net.Error
+	if errors.As(err, &ne) && ne.Timeout() {
+		return nil
+	}
+	if err == nil {
+		return errEarlyAnswer
+	}
+	return err
+}
+
+// earlyRejection tells whether what has come early says whole that nothing runs: of whatever request it speaks, this
+// one has not.
+func (c *backendConn) earlyRejection(x *exchange) bool {
+	buffered, _ := c.reader.Peek(c.reader.Buffered())
+	//nolint:bodyclose // its body is in memory
+	resp, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(buffered)), nil)
+	return err == nil && x.dialect.Judge(x.backend, x.message, resp) == balancer.Rejected
+}
+
+// maxForeignAnswers is how many answers to other requests are read over in the place of one's own.
+const maxForeignAnswers = 2
+
+// readOwnHead reads up to the head of the answer to this request. A backend may give one answer too many; the next
+// request on the connection finds it in the place of its own.
+func (c *backendConn) readOwnHead(x *exchange) (*http.Response, error) {
+	for range maxForeignAnswers + 1 {
+		resp, err := c.readHead(x.message.Method) //nolint:bodyclose // readBody reads it from the connection
+		if err != nil || x.dialect.Matches == nil || x.dialect.Matches(x.message, resp) {
+			return resp, err
+		}
+		other, err := c.readBody(resp, x)
+		if err != nil {
+			return nil, err
+		}
+		streams := other.stream != nil
+		other.release(x.memory)
+		if streams || resp.Close {
+			break
+		}
+	}
+	return nil, errMalformedAnswer
+}
+
+var errMalformedAnswer = errors.New("the answer can't be used")
+
+// readHead reads up to the head of the final answer. What can't be one is told at
+// once, not when the attempt's time is up: the connection stays open behind noise,
+// and three gigabytes go on coming.
+func (c *backendConn) readHead(method string) (*http.Response, error) {
+	const start = "HTTP/1."
+	for range maxInterimResponses {
+		c.readLimit.N = maxHead
+		if _, err := c.reader.Peek(1); err != nil {
+			return nil, err
+		}
+		first, _ := c.reader.Peek(min(len(start), c.reader.Buffered()))
+		if !strings.HasPrefix(start, string(first)) {
+			return nil, errMalformedAnswer
+		}
+		//nolint:bodyclose // readBody reads it from the connection, which carries more than this answer
+		resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
+		if err != nil {
+			return nil, err
+		}
+		if resp.StatusCode == http.StatusSwitchingProtocols {
+			return nil, errMalformedAnswer // nobody asked for it
+		}
+		if resp.StatusCode < 200 {
+			continue
+		}
+		c.readLimit.N = maxBufferedBody
+		return resp, nil
+	}
+	return nil, errMalformedAnswer
+}
+
+// failedAfterWrite tells how an attempt ended that was written and not answered. It may have run.
+func failedAfterWrite(err error) Reply {
+	var ne net.Error
+	if errors.As(err, &ne) && ne.Timeout() {
+		return Reply{result: balancer.Timeout}
+	}
+	return Reply{result: balancer.Reset}
+}
--- /dev/null
+++ b/internal/dataplane/httpproxy/message.go
@@ -0,0 +1,62 @@
+package httpproxy
+
+import (
+	"net/http"
+	"strconv"
+	"time"
+
+	"marlreel/internal/dataplane/engine"
+)
+
+// Message is a request, ready to be sent on any number of times.
+type Message struct {
+	Method      string
+	Head        []byte // all of the head that is the same with every attempt, each line with its end
+	Body        []byte
+	ID          string  // by which its answer is known; "" is not
+	HealthCheck bool    // it asks for the backend's health
+	Streaming   bool    // the answer goes on as it comes, from its first byte
+	upload      *upload // in place of Body, where that is large
+}
+
+// newMessage writes the head down once: what an attempt adds is its time.
+func newMessage(r *http.Request, body []byte, up *upload) *Message {
+	head := make([]byte, 0, 512)
+	for _, part := range []string{r.Method, " ", r.URL.RequestURI(), " HTTP/1.1\r\nHost: ", r.Host, "\r\n"} {
+		head = append(head, part...)
+	}
+	for field, values := range r.Header {
+		if field == headerTimeout || isHopByHop(r.Header, field) {
+			continue
+		}
+		for _, v := range values {
+			for _, part := range []string{field, ": ", v, "\r\n"} {
+				head = append(head, part...)
+			}
+		}
+	}
+	if r.Method != http.MethodGet && up == nil {
+		head = append(head, "Content-Length: "...)
+		head = strconv.AppendInt(head, int64(len(body)), 10)
+		head = append(head, "\r\n"...)
+	}
+	return &Message{Method: r.Method, Head: head, Body: body, upload: up}
+}
+
+// encode writes the message out whole, so that one write sends it and its count
+// tells whether the last byte went out.
+func (m *Message) encode(dialect *Dialect, to *engine.Backend, timeout time.Duration) []byte {
+	const spare = 160
+	data := append(make([]byte, 0, len(m.Head)+spare+len(m.Body)), m.Head...)
+	if m.upload != nil {
+		if n := m.upload.announcedLength(); n >= 0 {
+			data = strconv.AppendInt(append(data, "Content-Length: "...), n, 10)
+			data = append(data, "\r\n"...)
+		} else {
+			data = append(data, "Transfer-Encoding: chunked\r\n"...)
+		}
+	}
+	data = dialect.AppendAttemptHeaders(data, to, timeout)
+	data = append(data, "\r\n"...)
+	return append(data, m.Body...)
+}
