--- a/internal/dataplane/httpproxy/backendconn.go
+++ b/internal/dataplane/httpproxy/backendconn.go
@@ -79,7 +79,7 @@
 
 // readAnswer reads the answer to what has been written.
 func (c *backendConn) readAnswer(x *exchange, report []string) Reply {
-	resp, err := c.readOwnHead(x)
+	resp, err := c.readOwnHead(x) //nolint:bodyclose // readBody reads it from the connection
 	if err != nil {
 		return failedAfterWrite(err)
 	}
--- a/internal/dataplane/httpproxy/compatibility_sent_test.go
+++ b/internal/dataplane/httpproxy/compatibility_sent_test.go
@@ -82,6 +82,24 @@
 	return b.String() + strings.Join(lines, "") + "\n" + w.Body.String()
 }
 
+// recordBodyErrors writes down what clients get whose body can't be read.
+func recordBodyErrors(got *strings.Builder, front *Front, request func() *http.Request) {
+	for _, c := range []struct {
+		name string
+		err  error
+	}{
+		{"no room for a body", errNoRoom},
+		{"a body while the proxy leaves", errHandoverPending},
+		{"a body that is too long", errTooLong},
+		{"a body that comes too slowly", os.ErrDeadlineExceeded},
+		{"a body that ends early", errors.New("another")},
+	} {
+		w := httptest.NewRecorder()
+		front.writeAnswer(w, request(), nil, bodyError(c.err))
+		fmt.Fprintf(got, "--- %s\n%s", c.name, recordedAnswer(w))
+	}
+}
+
 // What clients get who ask for something that can't be taken.
 func TestCompatibilityRefusedRequests(t *testing.T) {
 	l := stillEngine(t)
@@ -122,20 +140,7 @@
 		l.front.ServeHTTP(w, r)
 		fmt.Fprintf(&got, "--- %s\n%s", c.name, recordedAnswer(w))
 	}
-	for _, c := range []struct {
-		name string
-		err  error
-	}{
-		{"no room for a body", errNoRoom},
-		{"a body while the proxy leaves", errHandoverPending},
-		{"a body that is too long", errTooLong},
-		{"a body that comes too slowly", os.ErrDeadlineExceeded},
-		{"a body that ends early", errors.New("another")},
-	} {
-		w := httptest.NewRecorder()
-		l.front.writeAnswer(w, get(), nil, bodyError(c.err))
-		fmt.Fprintf(&got, "--- %s\n%s", c.name, recordedAnswer(w))
-	}
+	recordBodyErrors(&got, l.front, get)
 	compareRecorded(t, "refused-requests.txt", []byte(got.String()))
 }
 
--- a/internal/dataplane/httpproxy/crossing_test.go
+++ b/internal/dataplane/httpproxy/crossing_test.go
@@ -182,27 +182,30 @@
 	return resp.StatusCode, resp.Close
 }
 
+// waysToEnd are what ends an idle connection; each gives a channel of its own result.
+var waysToEnd = map[string]func(t *testing.T, l *served) (ended chan error){
+	"by the shutdown": func(t *testing.T, l *served) chan error {
+		far := receive(t, l.ln.all, "the connection")
+		l.ln.Close()
+		over, ends := make(chan error, 1), far.watch()
+		go func() { over <- l.front.Shutdown(t.Context()) }()
+		receive(t, ends, "the connection's end")
+		return over
+	},
+	"to make room": func(t *testing.T, l *served) chan error {
+		l.front.SetMaxConnections(0)
+		over := make(chan error, 1)
+		over <- nil
+		return over
+	},
+}
+
 // A request that is read on a resting connection while that is ended, by the shutdown or to make room for others, is
 // nobody's: its client is told by the connection's end that it may send it once more, so it must not be sent on.
 // net/http ends a connection between the read and the state that shows it, and served the request all the same.
 func TestARequestReadAsItsConnectionEndsIsNotSentOn(t *testing.T) {
 	t.Parallel()
-	for name, end := range map[string]func(t *testing.T, l *served) (over chan error){
-		"by the shutdown": func(t *testing.T, l *served) chan error {
-			far := receive(t, l.ln.all, "the connection")
-			l.ln.Close()
-			over, ends := make(chan error, 1), far.watch()
-			go func() { over <- l.front.Shutdown(t.Context()) }()
-			receive(t, ends, "the connection's end")
-			return over
-		},
-		"to make room": func(t *testing.T, l *served) chan error {
-			l.front.SetMaxConnections(0)
-			over := make(chan error, 1)
-			over <- nil
-			return over
-		},
-	} {
+	for name, end := range waysToEnd {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			gate := newBarrier(t)
--- a/internal/dataplane/httpproxy/framing_test.go
+++ b/internal/dataplane/httpproxy/framing_test.go
@@ -9,19 +9,19 @@
 	"testing"
 )
 
-// What is seen of a connection does not depend on how its bytes were cut, and every head on
-// it is judged, also one that came together with the request before it.
-func TestFrames(t *testing.T) {
-	t.Parallel()
+// framingCase is bytes of a connection, how many heads end in them, and the number of the first that is rejected.
+type framingCase struct {
+	bytes      string
+	heads, bad int
+}
+
+func framingCases() map[string]framingCase {
 	const (
 		first   = "POST /bid HTTP/1.1\r\n"
 		get     = "GET /lot-list HTTP/1.1\r\nHost: a\r\n\r\n"
 		chunked = first + "transfer-encoding: chunked\r\n\r\n"
 	)
-	for name, c := range map[string]struct {
-		bytes      string
-		heads, bad int
-	}{
+	return map[string]framingCase{
 		"good":                      {first + "Host: a\r\nContent-Length: 3\r\n\r\nabc", 1, 0},
 		"no body":                   {get, 1, 0},
 		"both":                      {first + "Transfer-Encoding: chunked\r\nCONTENT-LENGTH: 3\r\n\r\n", 1, 1},
@@ -46,7 +46,14 @@
 		"a chunk without a size":    {chunked + ";x\r\n\r\n" + get, 1, 2},
 		"a chunk beyond its size":   {chunked + "1\r\nab\r\n0\r\n\r\n" + get, 1, 2},
 		"a chunk beyond all bounds": {chunked + "ffffffffffffffff\r\n" + get, 1, 2},
-	} {
+	}
+}
+
+// What is seen of a connection does not depend on how its bytes were cut, and every head on
+// it is judged, also one that came together with the request before it.
+func TestFrames(t *testing.T) {
+	t.Parallel()
+	for name, c := range framingCases() {
 		for cut := range len(c.bytes) {
 			var f requestFraming
 			f.observe([]byte(c.bytes[:cut]))
--- a/internal/dataplane/httpproxy/handover_test.go
+++ b/internal/dataplane/httpproxy/handover_test.go
@@ -104,28 +104,57 @@
 	return b.String() + "0\r\n" + rapid.SampledFrom([]string{"", "A: b\r\n", "A: b\r\nC: d\r\n"}).Draw(rt, "trailer") + "\r\n"
 }
 
+// drawnRequest is a request of any form, and where in it its connection is handed over.
+type drawnRequest struct {
+	text, body string
+	cut        int
+	settled    bool // what has come is read before the handover
+}
+
+const drawnID = "00000000000000aa"
+
+func drawRequest(rt *rapid.T) drawnRequest {
+	var d drawnRequest
+	d.body = strings.Repeat("abcdefg", rapid.IntRange(0, 110<<10).Draw(rt, "length")/7)
+	head := "POST /bid/x HTTP/1.1\r\nHost: origin.svc\r\nX-Account: obala\r\nX-Time-Left: 9000m\r\n" + headerID + ": " + drawnID + "\r\n"
+	switch rapid.SampledFrom([]string{"length", "chunks", "none"}).Draw(rt, "form") {
+	case "length":
+		d.text = fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(d.body), d.body)
+	case "chunks":
+		d.text = head + "Transfer-Encoding: chunked\r\n\r\n" + inChunks(rt, d.body)
+	default:
+		d.body, d.text = "", head+"\r\n"
+	}
+	d.cut = rapid.IntRange(0, len(d.text)-1).Draw(rt, "cut")
+	d.settled = rapid.Bool().Draw(rt, "what has come is read")
+	return d
+}
+
+// allRead tells whether a front's connection has nothing to be read.
+func allRead(f *Front) bool {
+	f.conns.mu.Lock()
+	defer f.conns.mu.Unlock()
+	for c := range f.conns.open {
+		return sockets.Idle(c.Conn)
+	}
+	return false
+}
+
+func openConns(f *Front) int {
+	f.conns.mu.Lock()
+	defer f.conns.mu.Unlock()
+	return len(f.conns.open)
+}
+
 // Wherever in a request, before it or between two, a connection is given to the next process: what
 // the client asks is what that one reads, and the client sees nothing of it.
-func TestARequestGoesOnElsewhere(t *testing.T) {
+func TestRequestIsHandedOver(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
 		old, ln := serving(t)
 		next, _ := serving(t)
 		next.server.Handler = http.HandlerFunc(echo)
-		body := strings.Repeat("abcdefg", rapid.IntRange(0, 110<<10).Draw(rt, "length")/7)
-		const id = "00000000000000aa"
-		head := "POST /bid/x HTTP/1.1\r\nHost: origin.svc\r\nX-Account: obala\r\nX-Time-Left: 9000m\r\n" + headerID + ": " + id + "\r\n"
-		var text string
-		switch rapid.SampledFrom([]string{"length", "chunks", "none"}).Draw(rt, "form") {
-		case "length":
-			text = fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(body), body)
-		case "chunks":
-			text = head + "Transfer-Encoding: chunked\r\n\r\n" + inChunks(rt, body)
-		default:
-			body, text = "", head+"\r\n"
-		}
-		cut := rapid.IntRange(0, len(text)-1).Draw(rt, "cut")
-		settled := rapid.Bool().Draw(rt, "what has come is read")
+		d := drawRequest(rt)
 		client, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -134,47 +163,32 @@
 		if err := client.SetDeadline(time.Now().Add(testutil.Patience)); err != nil {
 			t.Fatal(err)
 		}
-		send(t, client, text[:cut])
-		eventually(t, "the connection to be taken", func() bool {
-			old.conns.mu.Lock()
-			defer old.conns.mu.Unlock()
-			return len(old.conns.open) == 1
-		})
-		if settled {
-			eventually(t, "all to be read", func() bool {
-				old.conns.mu.Lock()
-				defer old.conns.mu.Unlock()
-				for c := range old.conns.open {
-					return sockets.Idle(c.Conn)
-				}
-				return false
-			})
+		send(t, client, d.text[:d.cut])
+		eventually(t, "the connection to be taken", func() bool { return openConns(old) == 1 })
+		if d.settled {
+			eventually(t, "all to be read", func() bool { return allRead(old) })
 		}
 		var taken atomic.Int64
 		old.HandOver(to(t, next, &taken))
-		if settled {
-			eventually(t, fmt.Sprintf("it to be taken, cut at %d of %.400q", cut, text), func() bool { return taken.Load() == 1 })
+		if d.settled {
+			eventually(t, fmt.Sprintf("it to be taken, cut at %d of %.400q", d.cut, d.text), func() bool { return taken.Load() == 1 })
 		}
-		send(t, client, text[cut:])
+		send(t, client, d.text[d.cut:])
 		resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 		if err != nil {
-			rt.Fatalf("cut at %d of %q: %v", cut, text[:min(len(text), 300)], err)
+			rt.Fatalf("cut at %d of %q: %v", d.cut, d.text[:min(len(d.text), 300)], err)
 		}
 		defer resp.Body.Close()
 		got, _ := io.ReadAll(resp.Body)
-		if !settled && resp.StatusCode == http.StatusServiceUnavailable {
-			return // it had come whole before it could be given: the old one, which has no backends, answered
+		if !d.settled && resp.StatusCode == http.StatusServiceUnavailable {
+			return // it was complete before it could be given: the old one, which has no backends, answered
 		}
-		if want := fmt.Sprintf("POST /bid/x %s %x %d", id, sha256.Sum256([]byte(body)), len(body)); string(got) != want {
-			rt.Fatalf("cut at %d of %.300q: %d %q, want %q", cut, text, resp.StatusCode, got, want)
+		if want := fmt.Sprintf("POST /bid/x %s %x %d", drawnID, sha256.Sum256([]byte(d.body)), len(d.body)); string(got) != want {
+			rt.Fatalf("cut at %d of %.300q: %d %q, want %q", d.cut, d.text, resp.StatusCode, got, want)
 		}
-		eventually(t, "the old one to have nothing left", func() bool {
-			old.conns.mu.Lock()
-			defer old.conns.mu.Unlock()
-			return len(old.conns.open) == 0 && old.memory.Used() == 0
-		})
+		eventually(t, "the old one to have nothing left", func() bool { return openConns(old) == 0 && old.memory.Used() == 0 })
 		client.Close()
-		eventually(t, "the room to be given back", func() bool { return next.memory.Used() == 0 })
+		eventually(t, "the memory to be given back", func() bool { return next.memory.Used() == 0 })
 	})
 }
 
@@ -346,9 +360,8 @@
 		return !c.interrupted
 	})
 	close(finish)
-	resp, err := http.ReadResponse(bufio.NewReader(near), nil)
-	if err != nil || resp.StatusCode != 200 {
-		t.Errorf("%+v %v", resp, err)
+	if status, _ := answered(t, bufio.NewReader(near)); status != http.StatusOK {
+		t.Errorf("status %d", status)
 	}
 }
 
--- a/internal/dataplane/httpproxy/sendupload.go
+++ b/internal/dataplane/httpproxy/sendupload.go
@@ -17,9 +17,10 @@
 // that was never sent.
 func (c *backendConn) sendUpload(ctx context.Context, x *exchange, head []byte, report []string) Reply {
 	unsent := Reply{result: balancer.NotSent, brokeEarly: true}
-	u, at := x.message.upload, uploadCursor{}
+	u := x.message.upload
+	var at uploadCursor
 	chunked := u.announcedLength() < 0
-	c.SetDeadline(time.Time{}) // what is to be waited for is each piece, and then the answer
+	_ = c.SetDeadline(time.Time{}) // what is to be waited for is each piece, and then the answer
 	for {
 		p, last, err := u.next(ctx, at)
 		if err != nil {
@@ -57,7 +58,7 @@
 		x.attempt.MarkWritten()
 	}
 	if !x.receiving {
-		c.SetReadDeadline(x.deadline) // else the engine ends it
+		_ = c.SetReadDeadline(x.deadline) // else the engine ends it
 	}
 	return c.readAnswer(x, report)
 }
@@ -65,7 +66,7 @@
 // readEarlyAnswer reads what a backend says before it has had all of a request.
 func (c *backendConn) readEarlyAnswer(x *exchange, unsent Reply) Reply {
 	_ = c.SetReadDeadline(time.Now().Add(stallTimeout / 10))
-	resp, err := c.readHead(x.message.Method)
+	resp, err := c.readHead(x.message.Method) //nolint:bodyclose // the connection is closed instead
 	if err != nil {
 		return unsent
 	}
--- a/internal/dataplane/httpproxy/streamrelay_test.go
+++ b/internal/dataplane/httpproxy/streamrelay_test.go
@@ -52,9 +52,70 @@
 	return r
 }
 
+// handedOverAnswer is an answer of some form that one relay after another passes on, each as another process would.
+type handedOverAnswer struct {
+	form    string
+	body    []byte
+	cuts    []int // of the body, at which a handover starts
+	pieces  int   // in which the backend writes it
+	started chan chan struct{}
+	memory  *budget.Budget
+	running sync.WaitGroup
+}
+
+// writeAsBackend writes the body, and starts the handovers on the way.
+func (h *handedOverAnswer) writeAsBackend(to net.Conn) {
+	defer to.Close()
+	step := len(h.body)/h.pieces + 1
+	for at := 0; at < len(h.body); at += step {
+		for _, c := range h.cuts {
+			if c >= at && c < at+step {
+				select {
+				case start := <-h.started:
+					close(start)
+				default:
+				}
+			}
+		}
+		p := h.body[at:min(at+step, len(h.body))]
+		if h.form == "chunks" {
+			fmt.Fprintf(to, "%x\r\n%s\r\n", len(p), p)
+		} else {
+			_, _ = to.Write(p)
+		}
+	}
+	if h.form == "chunks" {
+		_, _ = io.WriteString(to, "0\r\nX: y\r\n\r\n")
+	}
+}
+
+// run runs a relay, and those that go on with its answer.
+func (h *handedOverAnswer) run(t *testing.T, r *streamRelay) {
+	start := make(chan struct{})
+	h.started <- start
+	err := r.run(h.memory, start, func() TransferFunc {
+		return func(state []byte, client, backend net.Conn) bool {
+			next, err := decodeRelay(state, client, backend)
+			if err != nil {
+				t.Error(err)
+				return false
+			}
+			h.running.Go(func() { h.run(t, next) })
+			return true
+		}
+	})
+	if err != nil && !errors.Is(err, errHandedOver) {
+		t.Errorf("%s of %d: %v", h.form, len(h.body), err)
+	}
+	if err == nil {
+		r.client.Close()
+		r.backend.Close()
+	}
+}
+
 // Whatever an answer's form and wherever it is given from one process to the next, and to
 // the one after that, the client gets it as it is.
-func TestAnAnswerGoesOnElsewhere(t *testing.T) {
+func TestAnswerIsHandedOver(t *testing.T) {
 	t.Parallel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -62,63 +123,15 @@
 	}
 	defer ln.Close()
 	rapid.Check(t, func(rt *rapid.T) {
-		form := rapid.SampledFrom([]string{"sized", "chunks", "end"}).Draw(rt, "form")
-		body := noiseBytes(rapid.IntRange(0, 200<<10).Draw(rt, "length"))
+		h := &handedOverAnswer{started: make(chan chan struct{}, 4), memory: budget.New(1 << 20)}
+		h.form = rapid.SampledFrom([]string{"sized", "chunks", "end"}).Draw(rt, "form")
+		h.body = noiseBytes(rapid.IntRange(0, 200<<10).Draw(rt, "length"))
 		backend, farBackend := pair(t, ln)
 		client, farClient := pair(t, ln)
-		cuts := rapid.SliceOfN(rapid.IntRange(0, len(body)), 0, 3).Draw(rt, "cuts")
-		pieces := rapid.IntRange(1, 9).Draw(rt, "pieces")
-		leaves := make(chan chan struct{}, 4)
-		var all sync.WaitGroup
-		all.Go(func() { // the backend
-			defer farBackend.Close()
-			step := len(body)/pieces + 1
-			for at := 0; at < len(body); at += step {
-				for _, c := range cuts {
-					if c >= at && c < at+step {
-						select {
-						case l := <-leaves:
-							close(l)
-						default:
-						}
-					}
-				}
-				p := body[at:min(at+step, len(body))]
-				if form == "chunks" {
-					fmt.Fprintf(farBackend, "%x\r\n%s\r\n", len(p), p)
-				} else {
-					_, _ = farBackend.Write(p)
-				}
-			}
-			if form == "chunks" {
-				_, _ = io.WriteString(farBackend, "0\r\nX: y\r\n\r\n")
-			}
-		})
-		room := budget.New(1 << 20)
-		var run func(r *streamRelay)
-		run = func(r *streamRelay) {
-			leave := make(chan struct{})
-			leaves <- leave
-			err := r.run(room, leave, func() TransferFunc {
-				return func(state []byte, client, backend net.Conn) bool {
-					next, err := decodeRelay(state, client, backend)
-					if err != nil {
-						t.Error(err)
-						return false
-					}
-					all.Go(func() { run(next) })
-					return true
-				}
-			})
-			if err != nil && !errors.Is(err, errHandedOver) {
-				t.Errorf("%s of %d: %v", form, len(body), err)
-			}
-			if err == nil {
-				r.client.Close()
-				r.backend.Close()
-			}
-		}
-		all.Go(func() { run(begun(form, client, backend, len(body))) })
+		h.cuts = rapid.SliceOfN(rapid.IntRange(0, len(h.body)), 0, 3).Draw(rt, "cuts")
+		h.pieces = rapid.IntRange(1, 9).Draw(rt, "pieces")
+		h.running.Go(func() { h.writeAsBackend(farBackend) })
+		h.running.Go(func() { h.run(t, begun(h.form, client, backend, len(h.body))) })
 		if err := farClient.SetReadDeadline(time.Now().Add(testutil.Patience)); err != nil {
 			t.Fatal(err)
 		}
@@ -129,12 +142,12 @@
 		defer resp.Body.Close()
 		got, err := io.ReadAll(resp.Body)
 		farClient.Close()
-		all.Wait()
-		if err != nil || !bytes.Equal(got, body) {
-			rt.Fatalf("%s, cut at %v: %d bytes of %d: %v", form, cuts, len(got), len(body), err)
+		h.running.Wait()
+		if err != nil || !bytes.Equal(got, h.body) {
+			rt.Fatalf("%s, cut at %v: %d bytes of %d: %v", h.form, h.cuts, len(got), len(h.body), err)
 		}
-		if room.Used() != 0 {
-			rt.Fatalf("%d bytes of room are not given back", room.Used())
+		if h.memory.Used() != 0 {
+			rt.Fatalf("%d bytes of memory are not given back", h.memory.Used())
 		}
 	})
 }
