--- a/internal/dataplane/httpproxy/accept.go
+++ b/internal/dataplane/httpproxy/accept.go
@@ -9,10 +9,9 @@
 	"marlreel/internal/sockets"
 )
 
-// A connection on which nothing has come yet is parked: what it costs beside its descriptor is a
-// small goroutine that waits for its first byte. net/http, with its buffers and all that hangs on
-// a request, gets it only then. So thousands that connect and say nothing cost next to nothing.
-
+// newClientConns makes the table of a listener's connections. A connection on which nothing has come yet is parked: what
+// it costs beside its descriptor is a small goroutine that waits for its first byte. net/http, with its buffers and all
+// that belongs to a request, gets it only then. So thousands that connect and say nothing cost next to nothing.
 func newClientConns(ln net.Listener, maxOpen int) *clientConns {
 	return &clientConns{
 		Listener: ln, maxOpen: maxOpen, open: map[*clientConn]struct{}{},
@@ -55,7 +54,7 @@
 			return
 		}
 		if err != nil { // such as: no descriptor is left
-			// Danger: what rests would hold them for as long as it likes, and nobody new would get in.
+			// What rests would hold them for as long as it likes, and nobody new would get in.
 			if !cs.evictForAccept() {
 				time.Sleep(backoff)
 				backoff = min(2*backoff, maxAcceptBackoff)
@@ -81,7 +80,7 @@
 )
 
 // park waits for the first byte. A connection that is closed meanwhile, for another or at its
-// time's end, is told by no one else.
+// time's end, is noticed by nobody else.
 func (c *clientConn) park() {
 	_ = c.SetReadDeadline(c.headDeadline)
 	sc, ok := c.Conn.(syscall.Conn)
--- a/internal/dataplane/httpproxy/answerbody.go
+++ b/internal/dataplane/httpproxy/answerbody.go
@@ -58,7 +58,7 @@
 	return n, err
 }
 
-// reserve takes room for a body that is held whole; one that is as small as what every
+// reserve reserves memory for a body that is buffered; one that is as small as what every
 // connection has needs none.
 func (r *Reply) reserve(memory *budget.Budget, n int) bool {
 	if n <= smallBody || memory == nil {
--- a/internal/dataplane/httpproxy/answerstream.go
+++ b/internal/dataplane/httpproxy/answerstream.go
@@ -18,7 +18,7 @@
 	stallTimeout = 10 * time.Second
 	// pieceSize is what a stream passes on at a time, at most.
 	pieceSize = 32 << 10
-	// pieceBudgetTimeout is how long a stream waits for room for that; after it, it makes do with
+	// pieceBudgetTimeout is how long a stream waits for memory for that; after it, it makes do with
 	// what every connection has.
 	pieceBudgetTimeout = 20 * time.Millisecond
 )
@@ -36,7 +36,7 @@
 	returnConn func(*backendConn)
 }
 
-// release gives back the room that a reply has taken, and ends its stream.
+// release gives back the memory that a reply has taken, and ends its stream.
 func (r *Reply) release(memory *budget.Budget) {
 	if r.reserved > 0 {
 		memory.Give(r.reserved, budget.Small)
@@ -48,7 +48,7 @@
 	}
 }
 
-// finish gives the connection back; whole says that all of the body has been read.
+// finish gives the connection back; complete says that all of the body has been read.
 func (d *answerStream) finish(complete bool) {
 	c := d.conn
 	if complete && d.reusable && c.reader.Buffered() == 0 {
--- a/internal/dataplane/httpproxy/backendconn.go
+++ b/internal/dataplane/httpproxy/backendconn.go
@@ -41,7 +41,7 @@
 // roundTrip writes a request and reads its answer. Where the last byte is kept back for
 // a moment, a break in that moment proves that nothing ran: a backend begins a request
 // when its last byte has come. It speaks of the connection and not of the backend, which
-// is why it is told as one that was never sent: a backend that has died refuses the next.
+// is why it is reported as one that was never sent: a backend that has died refuses the next.
 func (c *backendConn) roundTrip(x *exchange, data []byte, report []string) Reply {
 	until, hold := x.deadline, x.holdback
 	_ = c.SetDeadline(until)
@@ -103,11 +103,11 @@
 	return r
 }
 
-// errEarlyAnswer is an answer that came before its request was whole.
+// errEarlyAnswer is an answer that came before its request was complete.
 var errEarlyAnswer = errors.New("an answer came before its request")
 
-// awaitEarlyAnswer waits until a time for the connection's end, and gives it as an error. Danger: what comes before the
-// request is whole is no answer to it, but may be the second one to the request before; read as this one's, its
+// awaitEarlyAnswer waits until a time for the connection's end, and gives it as an error. What comes before the
+// request is complete is no answer to it, but may be the second one to the request before; read as this one's, its
 // client would get another's.
 func (c *backendConn) awaitEarlyAnswer(until, deadline time.Time) error {
 	if until.After(deadline) {
@@ -127,7 +127,7 @@
 	return err
 }
 
-// earlyRejection tells whether what has come early says whole that nothing runs: of whatever request it speaks, this
+// earlyRejection tells whether what has come early says completely that nothing runs: of whatever request it speaks, this
 // one has not.
 func (c *backendConn) earlyRejection(x *exchange) bool {
 	buffered, _ := c.reader.Peek(c.reader.Buffered())
@@ -162,7 +162,7 @@
 
 var errMalformedAnswer = errors.New("the answer can't be used")
 
-// readHead reads up to the head of the final answer. What can't be one is told at
+// readHead reads up to the head of the final answer. What can't be one is reported at
 // once, not when the attempt's time is up: the connection stays open behind noise,
 // and three gigabytes go on coming.
 func (c *backendConn) readHead(method string) (*http.Response, error) {
--- a/internal/dataplane/httpproxy/carrier.go
+++ b/internal/dataplane/httpproxy/carrier.go
@@ -26,8 +26,13 @@
 	cancel      context.CancelFunc
 }
 
+var (
+	_ engine.Carrier       = (*Carrier)(nil)
+	_ engine.HealthChecker = (*Carrier)(nil)
+)
+
 // NewCarrier makes a carrier with a bound on its connections. report names the values
-// of backends' load reports, in the settings' order; answers are held by what room there is.
+// of backends' load reports, in the settings' order; answers are held by what memory there is.
 func NewCarrier(e *engine.Engine, maxConnections int, report []string, memory *budget.Budget) *Carrier {
 	caps := e.Settings().Caps
 	worth := meanUtility(e.Settings())
@@ -67,7 +72,7 @@
 // largeRequest is from where on a request may meet what only long ones do.
 const largeRequest = 16 << 10
 
-// probeStake: a probe that breaks speaks ill of a backend, and is worth no handshake.
+// healthCheckStake: a health check that breaks counts against a backend, and isn't worth a handshake.
 var healthCheckStake = connections.Request{Utility: 0.1, Effect: connections.Lost}
 
 // meanUtility is that of the classes; how often each comes is not known beforehand.
@@ -100,7 +105,7 @@
 // SetMaxConnections puts another bound on connections in force. Only on the engine's goroutine.
 func (c *Carrier) SetMaxConnections(limit int) { c.pool.setMaxOpen(limit) }
 
-// Reconfigure puts other settings in force: the names of the values of a load report are told, the rest is the engine's.
+// Reconfigure puts other settings in force: the names of the values of a load report are given, the rest is the engine's.
 // Only on the engine's goroutine.
 func (c *Carrier) Reconfigure(report []string) {
 	s := c.engine.Settings()
@@ -120,8 +125,8 @@
 // Connections is how many are open, those being dialled among them.
 func (c *Carrier) Connections() int { return c.pool.open }
 
-// startExchange starts an exchange and brings its end back to the engine. The connection is
-// counted from here on, and until end has it.
+// startExchange starts an exchange and brings its end back to the engine. The connection is counted from here on, and
+// until end has it. It returns what cancels the exchange; nil where none was started.
 func (c *Carrier) startExchange(x *exchange, stake connections.Request, end func(engine.AttemptEnd)) (stop func()) {
 	now, caps := c.engine.Now(), &c.engine.Settings().Caps
 	c.pool.maxIdle = caps.ConnIdle - caps.ConnIdle/4
@@ -135,39 +140,45 @@
 	x.memory, x.dialect, x.dial = c.memory, c.dialect, c.dial
 	x.holdback = c.pool.model.Holdback(now, uint32(x.backend.ID), x.backend.Zone)
 	ctx, cancel := context.WithCancel(c.ctx)
-	report := c.loadMetrics
+	loadMetrics := c.loadMetrics
 	go func() {
 		defer cancel()
-		r := x.run(ctx, caps.ConnectTimeout, report)
+		r := x.run(ctx, caps.ConnectTimeout, loadMetrics)
 		c.engine.Post(func() {
 			if x.dialled {
-				use.New = true // the one from the pool was dead when it was looked at last
+				use.New = true // the one from the pool was found dead at the last look
 			}
 			c.recordOutcome(x.backend, use, now, &r)
-			if r.conn != nil {
-				r.conn.lastRejected = r.result == balancer.Rejected
-			}
-			e := engine.AttemptEnd{Result: r.result, Load: r.load, ClientGone: r.clientGone}
-			if r.result == balancer.OK || c.dialect.ForwardsFailures && (r.result == balancer.Error || r.result == balancer.Unprocessable) {
-				e.Reply = &r
-			}
-			if r.stream != nil {
-				e.Streaming = true
-				r.stream.returnConn = func(left *backendConn) {
-					c.engine.Post(func() { c.pool.put(x.backend, left, c.engine.Now()) })
-				}
-			} else {
-				c.pool.put(x.backend, r.conn, c.engine.Now())
-			}
-			end(e)
-			if !r.claimed {
-				r.release(c.memory)
-			}
+			c.finishExchange(x, &r, end)
 		})
 	}()
 	return cancel
 }
 
+// finishExchange gives the connection back and reports the end. On the engine's goroutine.
+func (c *Carrier) finishExchange(x *exchange, r *Reply, end func(engine.AttemptEnd)) {
+	if r.conn != nil {
+		r.conn.lastRejected = r.result == balancer.Rejected
+	}
+	e := engine.AttemptEnd{Result: r.result, Load: r.load, ClientGone: r.clientGone}
+	failed := r.result == balancer.Error || r.result == balancer.Unprocessable
+	if r.result == balancer.OK || failed && c.dialect.ForwardsFailures {
+		e.Reply = r
+	}
+	if r.stream != nil {
+		e.Streaming = true
+		r.stream.returnConn = func(left *backendConn) {
+			c.engine.Post(func() { c.pool.put(x.backend, left, c.engine.Now()) })
+		}
+	} else {
+		c.pool.put(x.backend, r.conn, c.engine.Now())
+	}
+	end(e)
+	if !r.claimed {
+		r.release(c.memory)
+	}
+}
+
 // minSilentDropIdle is from which idle time on an answer that doesn't come may mean that
 // something between has dropped the connection without a word.
 const minSilentDropIdle = 500 * time.Millisecond
--- a/internal/dataplane/httpproxy/clientconn.go
+++ b/internal/dataplane/httpproxy/clientconn.go
@@ -19,7 +19,7 @@
 type clientConn struct {
 	net.Conn
 	conns    *clientConns
-	queuedIn *list.List // nil: it has a request in hand, or is closed
+	queuedIn *list.List // nil: it is serving a request, or is closed
 	element  *list.Element
 
 	lastProgress time.Time // when it came into its list, or something last came there
@@ -27,19 +27,19 @@
 	ended        bool      // nothing that comes counts any more; with the table's lock
 	closing      bool      // Close was called
 
-	headDeadline  time.Time // by when its first head has to have come whole
+	headDeadline  time.Time // by when its first head has to be complete
 	receivingBody bool      // a request that is in hand is still being written; with the table's lock
 
 	// Only who reads from the connection has these.
 	framing          requestFraming
 	headReceived     bool           // the first head has come
-	partialHead      []byte         // what has come of a head that is not whole
+	partialHead      []byte         // what has come of a head that is not complete
 	received         []byte         // what had come in another process; it is read first
-	receivedBudget   *budget.Budget // that it has taken room of; nil: none
+	receivedBudget   *budget.Budget // that it has taken memory from; nil: none
 	receivedReserved atomic.Int64   // bytes of that
 	receivedBegun    bool
-	body             *upload // of the request in hand, while it comes; nil: it is held whole
-	readHandedOver   bool    // the reading of a body has ended with errLeaving, or what net/http made of it
+	body             *upload // of the request in hand, while it comes; nil: it is buffered
+	readHandedOver   bool    // the reading of a body has ended with errHandoverPending, or what net/http made of it
 
 	inHandler    atomic.Bool // a request is in hand, from its head on
 	transferred  atomic.Bool // it is another process's: nothing more is read, written or ended here
@@ -56,7 +56,7 @@
 // Read implements net.Conn.
 func (c *clientConn) Read(p []byte) (int, error) {
 	for {
-		// Danger: net/http takes a line that an error cut off for a whole one, and reads on.
+		// net/http takes a line that an error cut off for a complete one, and reads on.
 		if c.transferred.Load() {
 			return 0, os.ErrDeadlineExceeded
 		}
@@ -79,7 +79,7 @@
 			c.readHandedOver = true
 			return 0, errHandoverPending // whoever reads the body knows what has come of it
 		case !c.hasRequest() && len(c.partialHead) == c.framing.headBytes && c.transferWith(c.partialHead):
-			return 0, err // the server takes its leave without a word
+			return 0, err // the server closes without an answer
 		}
 	}
 }
@@ -132,8 +132,8 @@
 	}
 }
 
-// recordRead says that something of a request has come, and tells whether it counts. Danger: a connection may be ended
-// between the read and this: what was read then is nobody's, or it would be sent on with no way for its answer.
+// recordRead says that something of a request has come, and tells whether it counts. A connection may be ended
+// between the read and this: what was read then is nobody's, or it would be forwarded with no way for its answer.
 func (c *clientConn) recordRead(p []byte) bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
@@ -147,7 +147,7 @@
 }
 
 // recordProgress notes progress. A list's element is made anew only where the list changes, which is
-// once for a connection: what rests between two requests stays among its like. Called with
+// once for a connection: idle connections stays among its like. Called with
 // the lock.
 func (c *clientConn) recordProgress() {
 	c.receivedAny = true
@@ -161,12 +161,12 @@
 	}
 }
 
-// hasUnhandledRequest tells whether a request has been read whole of which no handler has taken note. Called with the lock.
+// hasUnhandledRequest tells whether a request has been read completely of which no handler has taken note. Called with the lock.
 func (c *clientConn) hasUnhandledRequest() bool {
 	return c.framing.hasUnhandledHead() || c.inHandler.Load() && c.framing.betweenBodies()
 }
 
-// hasRequest tells whether a request is in hand, or has been read whole and its handler has not begun. Danger: net/http
+// hasRequest tells whether a request is in hand, or has been read completely and its handler has not begun. Net/http
 // reads on behind a request before it calls the handler; given away by that read, the connection would go without the
 // answer.
 func (c *clientConn) hasRequest() bool {
@@ -207,14 +207,14 @@
 	return c.framing.beginRequest()
 }
 
-// markBusy says that the connection has a whole request in hand.
+// markBusy says that the connection has a complete request in hand.
 func (c *clientConn) markBusy() {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
 	c.unqueue()
 }
 
-// markIdle says that nothing is owed any more: the request was answered, or turned away.
+// markIdle says that nothing is owed any more: the request was answered, or rejected.
 func (c *clientConn) markIdle(answered bool) {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
@@ -243,7 +243,7 @@
 	}
 }
 
-// Close implements net.Conn. Danger: a close over bytes that nobody has read resets the connection, and what was
+// Close implements net.Conn. A close over bytes that nobody has read resets the connection, and what was
 // written and is still on its way goes with it. So this side is ended alone, and what the client had on its way is
 // read and left, until it ends its side too, for a moment at most.
 func (c *clientConn) Close() error {
--- a/internal/dataplane/httpproxy/clientconns.go
+++ b/internal/dataplane/httpproxy/clientconns.go
@@ -7,44 +7,42 @@
 	"time"
 )
 
-// clientConns keeps the client connections within a bound. It always accepts: a
-// listener that waits at the bound lets connections that ask nothing keep out those
-// that do, for as long as they like. At the bound, the connection that has been
-// silent the longest makes room; one that has a request in hand never does.
+// clientConns is the table of client connections, and keeps them within a limit. It always accepts: a listener that waits
+// at the limit lets connections that ask nothing keep out those that do, for as long as they like. At the limit, the
+// connection that has been silent the longest is evicted; one that is serving a request never is.
 type clientConns struct {
 	net.Listener
 	maxOpen int
 
 	mu   sync.Mutex
 	open map[*clientConn]struct{}
-	// Connections with no request in hand, of each list the longest without progress first:
-	// those on which nothing has come, or only what was turned away; those on which part of a
-	// request has; and those that rest between two requests. And those that have been ended, and
-	// wait for their client to have read what was written.
+	// Connections that are not serving a request, in each list the longest without progress first: those on which
+	// nothing has come, or only what was rejected; those on which part of a request has; and those that are idle
+	// between two requests. And those that have been closed, and wait for their client to have read what was written.
 	silent, partial, idle, lingering list.List
 
-	ending    bool          // what rests is ended, and what comes to rest
-	allClosed chan struct{} // who waits for the last connection to end; nil: nobody
+	ending    bool          // idle connections are ended, also those that become idle
+	allClosed chan struct{} // closed with the last connection; nil: nobody waits for that
 
 	active                        chan *clientConn // those on which something has come for the first time
-	listenerClosed                chan struct{}    // closed when the listener takes no more; endedBy says why
-	acceptStopped                 chan struct{}    // closed when nobody takes from asking any more
+	listenerClosed                chan struct{}    // closed when the listener accepts no more; listenerErr says why
+	acceptStopped                 chan struct{}    // closed when nobody receives from active any more
 	startAccepting, stopAccepting sync.Once
 	transfer                      TransferFunc // takes connections to another process; nil: they stay
 	listenerErr                   error
 }
 
-// underPressure tells whether answers are to end their connections: where those that have asked
-// take much of the bound (clients may hold a third of the descriptors, and those that ask
-// once and keep theirs leave none for the others), or where most places are taken by
-// whatever it is, so that one that rests keeps somebody out.
+// underPressure tells whether answers are to end their connections: where those that have asked take much of the limit
+// (clients may hold a third of the descriptors, and those that ask once and keep theirs leave none for the others), or
+// where most of it is taken by any, so that an idle one keeps somebody out.
 func (cs *clientConns) underPressure() bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	return len(cs.open)-cs.silent.Len()-cs.partial.Len()-cs.lingering.Len() > cs.maxOpen/3 || len(cs.open) > cs.maxOpen/4*3
+	asked := len(cs.open) - cs.silent.Len() - cs.partial.Len() - cs.lingering.Len()
+	return asked > cs.maxOpen/3 || len(cs.open) > cs.maxOpen/4*3
 }
 
-// setMaxOpen puts another bound in force. Connections beyond it that can be spared are closed.
+// setMaxOpen changes the limit. Connections beyond it are evicted as far as they may be.
 func (cs *clientConns) setMaxOpen(limit int) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -53,6 +51,7 @@
 	}
 }
 
+// admit takes in a new connection; nil where the limit is reached and none may be evicted.
 func (cs *clientConns) admit(nc net.Conn) *clientConn {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -67,7 +66,7 @@
 	return c
 }
 
-// adopt takes a connection in that has a request in hand.
+// adopt takes in a connection that is serving a request.
 func (cs *clientConns) adopt(nc net.Conn) *clientConn {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
--- a/internal/dataplane/httpproxy/eviction.go
+++ b/internal/dataplane/httpproxy/eviction.go
@@ -7,7 +7,7 @@
 	"marlreel/internal/sockets"
 )
 
-// evictOne closes the connection that can best be spared, if any can.
+// evictOne closes the connection that can best be spared, and tells whether there was one. Called with the lock.
 func (cs *clientConns) evictOne() bool {
 	victim := cs.evictionCandidate()
 	if victim == nil {
@@ -19,11 +19,10 @@
 }
 
 const (
-	// stalledAfter is how long a request may make no progress before its connection is spared
-	// ahead of any other. A client that writes slowly writes on in less.
+	// stalledAfter is how long a request may make no progress before its connection is evicted ahead of any other. A
+	// client that writes slowly writes on in less.
 	stalledAfter = 1200 * time.Millisecond
-	// restedAfter is how long a connection has to have rested between two requests so that
-	// closing it will hardly cross the next one.
+	// restedAfter is how long a connection has to have been idle so that closing it will hardly cross the next request.
 	restedAfter = time.Second
 	// silentGrace is how long a client that has something to ask takes to begin, at most.
 	silentGrace = 100 * time.Millisecond
@@ -31,13 +30,13 @@
 	usualPause = 300 * time.Millisecond
 )
 
-// evictionCandidate gives the connection that can best be spared, or nil. Danger: by the time
-// since they connected, those who write slowly would go before a crowd of those who never
-// will; and by what they have asked for, those who keep their connection would go for it.
+// evictionCandidate gives the connection that can best be spared, or nil. Ranked by the time since they connected, those
+// who write slowly would go before a crowd of those who never will; ranked by what they have asked for, those who keep
+// their connection would go for it.
 func (cs *clientConns) evictionCandidate() *clientConn {
-	say := silentGrace
+	grace := silentGrace
 	if cs.silent.Len() > cs.maxOpen/4 {
-		say = 0 // so many at a time are a crowd that never will
+		grace = 0 // so many at a time are a crowd that never will
 	}
 	if e := cs.lingering.Front(); e != nil {
 		return e.Value.(*clientConn)
@@ -45,7 +44,16 @@
 	for _, rank := range [...]struct {
 		among *list.List
 		since time.Duration // at least so long
-	}{{&cs.silent, stalledAfter}, {&cs.partial, stalledAfter}, {&cs.idle, restedAfter}, {&cs.silent, say}, {&cs.partial, usualPause}, {&cs.idle, 0}, {&cs.silent, 0}, {&cs.partial, 0}} {
+	}{
+		{&cs.silent, stalledAfter},
+		{&cs.partial, stalledAfter},
+		{&cs.idle, restedAfter},
+		{&cs.silent, grace},
+		{&cs.partial, usualPause},
+		{&cs.idle, 0},
+		{&cs.silent, 0},
+		{&cs.partial, 0},
+	} {
 		if c := firstSilent(rank.among, rank.since); c != nil {
 			return c
 		}
@@ -71,7 +79,7 @@
 	return nil
 }
 
-// evictForAccept closes the connection that can best be spared, if any can.
+// evictForAccept evicts one connection where the process has no descriptor left, and tells whether there was one.
 func (cs *clientConns) evictForAccept() bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
--- a/internal/dataplane/httpproxy/exchange.go
+++ b/internal/dataplane/httpproxy/exchange.go
@@ -22,7 +22,7 @@
 	headerTimeout       = "X-Time-Left"
 )
 
-// exchange is one attempt or probe on its way.
+// exchange is one attempt or health check on its way.
 type exchange struct {
 	backend  *engine.Backend
 	conn     *backendConn // an idle one to use; nil: dial
@@ -32,7 +32,7 @@
 	deadline time.Time
 	permit   *engine.Permit
 
-	attempt         *engine.Attempt // is told when the last byte is written; nil is a probe
+	attempt         *engine.Attempt // is notified when the last byte is written; nil is a health check
 	clientConnected func() bool     // whether who asked is still there; nil: that can't be seen
 	memory          *budget.Budget
 	receiving       bool          // until is not known yet
--- a/internal/dataplane/httpproxy/framing.go
+++ b/internal/dataplane/httpproxy/framing.go
@@ -209,7 +209,7 @@
 	return f.rejectFrom > 0 && f.headsGiven >= f.rejectFrom || f.headsGiven > f.headsEnded
 }
 
-// hasUnhandledHead tells whether a whole head has been read that net/http has not given yet.
+// hasUnhandledHead tells whether a complete head has been read that net/http has not given yet.
 func (f *requestFraming) hasUnhandledHead() bool { return f.headsEnded > f.headsGiven }
 
 // headBegun tells whether something of the next head has been read.
--- a/internal/dataplane/httpproxy/front.go
+++ b/internal/dataplane/httpproxy/front.go
@@ -31,7 +31,7 @@
 	status     int
 	header     http.Header // a backend's; nil for the proxy's own answers
 	body       []byte
-	reply      *Reply // whose room and stream go with the answer; nil for the proxy's own
+	reply      *Reply // whose memory and stream go with the answer; nil for the proxy's own
 	retryAfter time.Duration
 	closesConn bool // the request can't be used, and its connection ends with the answer
 	clientGone bool // nobody is there to take it
@@ -47,12 +47,17 @@
 	return answer{status: status, body: []byte(text + "\n")}
 }
 
-// call is a request in hand.
+// call is a client's request that waits for its answer.
 type call struct {
 	engine.Call
-	answers chan answer // has room for the one answer
+	answers chan answer // has capacity for the one answer
 }
 
+var (
+	_ engine.Front = (*call)(nil)
+	_ http.Handler = (*Front)(nil)
+)
+
 // Front is the side of the clients.
 type Front struct {
 	server          *http.Server
@@ -69,7 +74,7 @@
 }
 
 // NewFront makes a front whose calls go to backends by a carrier. What it holds of bodies
-// it takes from room.
+// it takes from memory.
 func NewFront(e *engine.Engine, carrier *Carrier, memory *budget.Budget, logger *slog.Logger) *Front {
 	s := &Front{conns: newClientConns(nil, 0), handoverStarted: make(chan struct{}), engine: e, carrier: carrier, memory: memory}
 	s.server = &http.Server{
@@ -78,7 +83,7 @@
 		DisableGeneralOptionsHandler: true, // which would answer OPTIONS * with 200
 		ConnContext:                  withClient,
 		ConnState: func(nc net.Conn, state http.ConnState) {
-			// Only now has the answer gone out whole: a connection that rests may be closed.
+			// Only now has the answer gone out completely: an idle connection may be closed.
 			if c, ok := nc.(*clientConn); ok && state == http.StateIdle {
 				c.markIdle(true)
 			}
@@ -113,12 +118,12 @@
 // RejectAll lets every request from now on be refused at once.
 func (s *Front) RejectAll() { s.rejecting.Store(true) }
 
-// Shutdown closes what rests between two requests and waits, once the listener is closed,
+// Shutdown closes idle connections and waits, once the listener is closed,
 // until nothing is in hand or on its way, or ctx ends. Connections on which nothing moves
 // don't keep it: a crowd of those that never finish a request would hold every restart up
 // to the end of the platform's patience.
 func (s *Front) Shutdown(ctx context.Context) error {
-	// Danger: net/http ends a connection that rests while its next request is being read, and goes on to serve it.
+	// net/http ends an idle connection while its next request is being read, and goes on to serve it.
 	s.conns.endIdle()
 	select {
 	case <-s.conns.listenerClosed:
@@ -153,7 +158,7 @@
 // WaitForClients waits, once the listener is closed, until no client's connection is left, or ctx ends. Unlike Shutdown it closes
 // none that rests: a request may be on its way there, and be left unread.
 func (s *Front) WaitForClients(ctx context.Context) error {
-	// Danger: the last connection may have left the listener and not be in the table yet.
+	// The last connection may have left the listener and not be in the table yet.
 	for _, done := range []func() <-chan struct{}{func() <-chan struct{} { return s.conns.listenerClosed }, s.conns.waitAllClosed} {
 		select {
 		case <-done():
@@ -367,7 +372,7 @@
 	return true
 }
 
-// abandon takes a client's leave. An answer that came meanwhile is nobody's.
+// abandon tells the engine that the client has disconnected. An answer that came meanwhile is discarded.
 func (s *Front) abandon(req *call) {
 	s.engine.Post(func() {
 		s.engine.HandleClientGone(&req.Call)
@@ -379,7 +384,7 @@
 	})
 }
 
-// discardAnswer gives up an answer that nobody takes. On the engine's goroutine.
+// discardAnswer releases an answer that nobody takes. On the engine's goroutine.
 func (s *Front) discardAnswer(req *call, a answer) {
 	if a.reply == nil {
 		return
--- a/internal/dataplane/httpproxy/handover.go
+++ b/internal/dataplane/httpproxy/handover.go
@@ -11,13 +11,13 @@
 	"marlreel/internal/process/budget"
 )
 
-// Connections on which no request has come whole go on in the next process when this one leaves:
+// Connections on which no complete request has come go on in the next process when this one leaves:
 // those that say nothing, those that rest between two requests, and those whose client is still
 // writing. Nothing of what they ask has run, and what has come of it goes along. So who writes for
 // longer than the platform waits for a process's end loses nothing by it.
 //
 // A connection is given by who reads from it, at a moment at which nothing that has come is on its
-// way between two readers: its read is made to time out (nudge), and meets that in client.Read.
+// way between two readers: its read is made to time out (interruptRead), and meets that in clientConn.Read.
 
 // handOver lets all such connections go on in another process.
 func (cs *clientConns) handOver(give TransferFunc) {
@@ -68,7 +68,7 @@
 	return was
 }
 
-// savePartialHead keeps what has come of a head that is not whole.
+// savePartialHead keeps what has come of a head that is not complete.
 func (c *clientConn) savePartialHead(p []byte) {
 	switch n := c.framing.headBytes; {
 	case n == 0:
@@ -96,8 +96,8 @@
 // maxReceived bounds what may have come of a request that goes on elsewhere.
 const maxReceived = 3 << 20
 
-// transferable tells whether all that has come of a body is here. Danger: one that is on its way to a
-// backend and has made room there can't go on elsewhere, and comes whole in time more often than not:
+// transferable tells whether all that has come of a body is here. One that is on its way to a
+// backend and has made room there can't go on elsewhere, and is complete in time more often than not:
 // ending its reading would lose it.
 func (c *clientConn) transferable() bool {
 	if c.body == nil {
@@ -173,7 +173,7 @@
 func (s *Front) AdoptClient(come []byte, nc net.Conn) error {
 	held := 0
 	if len(come) > maxHead {
-		// And a piece more, which is given back first: with all the room full of what has come, none of
+		// And a piece more, which is given back first: with all the memory full of what has come, none of
 		// it could be read on.
 		if held = len(come) + pieceSize; !s.memory.Take(held, budget.Large) {
 			return errNoRoom
--- a/internal/dataplane/httpproxy/message.go
+++ b/internal/dataplane/httpproxy/message.go
@@ -8,7 +8,7 @@
 	"marlreel/internal/dataplane/engine"
 )
 
-// Message is a request, ready to be sent on any number of times.
+// Message is a request, ready to be forwarded any number of times.
 type Message struct {
 	Method      string
 	Head        []byte // all of the head that is the same with every attempt, each line with its end
@@ -43,7 +43,7 @@
 	return &Message{Method: r.Method, Head: head, Body: body, upload: up}
 }
 
-// encode writes the message out whole, so that one write sends it and its count
+// encode encodes the message at once, so that one write sends it and its count
 // tells whether the last byte went out.
 func (m *Message) encode(dialect *Dialect, to *engine.Backend, timeout time.Duration) []byte {
 	const spare = 160
--- a/internal/dataplane/httpproxy/parse.go
+++ b/internal/dataplane/httpproxy/parse.go
@@ -23,7 +23,7 @@
 	headerRepeat  = "X-Repeat"
 	idLength      = 16
 	maxKeyLength  = 128
-	smallBody     = 4 << 10 // a body's room is taken at once up to here, and beyond it as it comes
+	smallBody     = 4 << 10 // a body's memory is reserved at once up to here, and beyond it as it comes
 )
 
 // parse reads a request's head, and gives how long its client waits. What can't be read, or what a backend couldn't, is
--- a/internal/dataplane/httpproxy/pool.go
+++ b/internal/dataplane/httpproxy/pool.go
@@ -9,87 +9,110 @@
 	"marlreel/internal/dataplane/engine"
 )
 
-// pool keeps the connections to all backends within a bound. The engine's goroutine owns it.
+// pool keeps the connections to all backends within a limit. The engine's goroutine owns it.
 type pool struct {
 	open, maxOpen int                                // connections, those being dialled among them
 	maxIdle       time.Duration                      // 0 is for ever
 	idle          map[*engine.Backend][]*backendConn // of each the most recently used last
 	model         *connections.Model
 	meanUtility   float64         // of a mean request
-	idleTimes     []time.Duration // for use within take
+	idleTimes     []time.Duration // for use within choose
 }
 
 // restTime is how long a connection rests after an answer, where another can be had.
 // A backend that closes right behind its answer has done so by then.
 const restTime = time.Millisecond
 
-// rejectedRestTime is how long a connection whose last answer turned a request away is kept from what
-// must not be lost, where a new one can be had. A backend that turns away for its number of
-// connections closes behind that answer, and the next attempt is often for the same backend.
+// rejectedRestTime is how long a connection whose last answer was a rejection is kept from requests that must not be
+// lost, where a new one can be had. A backend that rejects for its number of connections closes behind that answer, and
+// the next attempt is often for the same backend.
 const rejectedRestTime = 250 * time.Millisecond
 
-// take gives an idle connection to the backend, the one that the model of connections
-// has for who stakes so much on it, and nil where a new one is worth its handshake or
-// none is there. One that has not had its rest is given only where there is no other.
+// take gives an idle connection to the backend: the one that the model of connections chooses for a request with that
+// stake, and nil where a new one is worth its handshake or none is idle. One that has not had its rest time is given only
+// where there is no other.
 func (p *pool) take(to *engine.Backend, now time.Duration, stake connections.Request) *backendConn {
 	idle := p.idle[to]
 	if len(idle) == 0 {
 		return nil
 	}
-	// A request that is written to a connection just as the backend closes it for age
-	// is a reset, which may have run. So age is checked here as well.
-	idle = slices.DeleteFunc(idle, func(c *backendConn) bool {
+	idle = p.withoutExpired(idle, now)
+	var avoided []*backendConn
+	if stake.Effect == connections.Lost && p.open < p.maxOpen {
+		idle, avoided = withoutRejected(idle, now)
+	}
+	taken, idle := p.takeReusable(to, idle, now, stake)
+	if len(avoided) > 0 {
+		idle = append(idle, avoided...)
+		slices.SortStableFunc(idle, func(x, y *backendConn) int { return cmp.Compare(x.idleSince, y.idleSince) })
+	}
+	p.setIdle(to, idle)
+	return taken
+}
+
+// withoutExpired closes the connections that have been idle for too long. A request that is written to a connection just
+// as the backend closes it for age is a reset, which may have run: that is why age is checked here as well.
+func (p *pool) withoutExpired(idle []*backendConn, now time.Duration) []*backendConn {
+	return slices.DeleteFunc(idle, func(c *backendConn) bool {
 		expired := p.idleExpired(c, now)
 		if expired {
 			p.close(c)
 		}
 		return expired
 	})
-	var avoided []*backendConn
-	if stake.Effect == connections.Lost && p.open < p.maxOpen {
-		idle = slices.DeleteFunc(idle, func(c *backendConn) bool {
-			avoid := c.lastRejected && now-c.idleSince < rejectedRestTime
-			if avoid {
-				avoided = append(avoided, c)
-			}
-			return avoid
-		})
-	}
-	var taken *backendConn
-	for taken == nil && len(idle) > 0 {
-		rested := idle // the latest used is last
-		for len(rested) > 0 && now-rested[len(rested)-1].idleSince < restTime {
-			rested = rested[:len(rested)-1]
+}
+
+// withoutRejected sets the connections apart whose last answer was a rejection, for rejectedRestTime.
+func withoutRejected(idle []*backendConn, now time.Duration) (kept, avoided []*backendConn) {
+	kept = slices.DeleteFunc(idle, func(c *backendConn) bool {
+		avoid := c.lastRejected && now-c.idleSince < rejectedRestTime
+		if avoid {
+			avoided = append(avoided, c)
 		}
-		choice := len(idle) - 1
-		if len(rested) > 0 {
-			p.idleTimes = p.idleTimes[:0]
-			for _, c := range rested {
-				p.idleTimes = append(p.idleTimes, now-c.idleSince)
-			}
-			if choice = p.model.Choose(now, uint32(to.ID), to.Zone, stake, p.idleTimes, p.open < p.maxOpen); choice == connections.Dial {
-				break
-			}
+		return avoid
+	})
+	return kept, avoided
+}
+
+// takeReusable takes the chosen one of the idle connections, and closes those that are chosen and turn out closed.
+func (p *pool) takeReusable(to *engine.Backend, idle []*backendConn, now time.Duration, stake connections.Request) (taken *backendConn, left []*backendConn) {
+	for len(idle) > 0 {
+		choice := p.choose(to, idle, now, stake)
+		if choice == connections.Dial {
+			break
 		}
 		c := idle[choice]
 		idle = slices.Delete(idle, choice, choice+1)
 		if c.reusable() {
-			taken = c
-		} else {
-			p.close(c)
+			return c, idle
 		}
+		p.close(c)
 	}
-	if len(avoided) > 0 {
-		idle = append(idle, avoided...)
-		slices.SortStableFunc(idle, func(x, y *backendConn) int { return cmp.Compare(x.idleSince, y.idleSince) })
+	return nil, idle
+}
+
+// choose gives the index of the connection to use, or connections.Dial. The latest used is last.
+func (p *pool) choose(to *engine.Backend, idle []*backendConn, now time.Duration, stake connections.Request) int {
+	rested := idle
+	for len(rested) > 0 && now-rested[len(rested)-1].idleSince < restTime {
+		rested = rested[:len(rested)-1]
 	}
-	p.setIdle(to, idle)
-	return taken
+	if len(rested) == 0 {
+		return len(idle) - 1
+	}
+	p.idleTimes = p.idleTimes[:0]
+	for _, c := range rested {
+		p.idleTimes = append(p.idleTimes, now-c.idleSince)
+	}
+	return p.model.Choose(now, uint32(to.ID), to.Zone, stake, p.idleTimes, p.open < p.maxOpen)
 }
 
 // reserveDial takes a place for a new connection; where all are taken, an idle one has to go.
 func (p *pool) reserveDial() bool {
-	if p.open >= p.maxOpen && !p.closeOldest() || p.open >= p.maxOpen {
+	if p.open >= p.maxOpen {
+		p.closeOldest()
+	}
+	if p.open >= p.maxOpen {
 		return false
 	}
 	p.open++
--- a/internal/dataplane/httpproxy/reply.go
+++ b/internal/dataplane/httpproxy/reply.go
@@ -21,14 +21,14 @@
 // Header gives the fields that go on beyond this hop.
 func (r *Reply) Header() http.Header { return endToEnd(r.header) }
 
-// Body is the answer's body, whole, unless it Streams.
+// Body is the complete body, unless it is Streaming.
 func (r *Reply) Body() []byte { return r.body }
 
 // Streaming tells whether the body comes as it goes, by Read.
 func (r *Reply) Streaming() bool { return r.stream != nil }
 
 // Read reads what follows of a stream, as it comes; it ends with io.EOF only where the body
-// is whole. until bounds the wait.
+// is complete. until bounds the wait.
 func (r *Reply) Read(p []byte, until time.Time) (int, error) {
 	d := r.stream
 	if len(d.first) > 0 {
@@ -51,7 +51,7 @@
 	}
 }
 
-// Release gives back what the reply holds. whole: its stream was read to its end, so the
+// Release gives back what the reply holds. complete: its stream was read to its end, so the
 // connection can be used again.
 func (r *Reply) Release(memory *budget.Budget, complete bool) {
 	if d := r.stream; d != nil {
--- a/internal/dataplane/httpproxy/requestbody.go
+++ b/internal/dataplane/httpproxy/requestbody.go
@@ -19,7 +19,7 @@
 	// leastRate from there on: half of what the slowest clients manage.
 	bodyGrace   = 2400 * time.Millisecond
 	minBodyRate = 32 << 10
-	// budgetTimeout is how long a request waits for room for its body before it is refused.
+	// budgetTimeout is how long a request waits for memory for its body before it is rejected.
 	budgetTimeout = 250 * time.Millisecond
 	// earlyAnswerDrain is how long a client that still writes may read an answer that came early.
 	earlyAnswerDrain = 500 * time.Millisecond
@@ -33,7 +33,7 @@
 	setDeadline  func(time.Time) error // sets the deadline of a read
 	began        time.Time
 	received     int64
-	waited       time.Duration // that it was not read, for want of room
+	waited       time.Duration // that it was not read, for want of memory
 	notReadSince time.Time     // since when it has not been read
 }
 
@@ -52,11 +52,11 @@
 	return n, err
 }
 
-// readBody reads a request's body: whole where it is small, else so much of it that it can
-// be sent on without waiting for its client, as far as there is room. The answer's status is
+// readBody reads a request's body: all of it where it is small, else so much of it that it can
+// be forwarded without waiting for its client, as far as there is memory. The answer's status is
 // 0 where that went well; it is the client's, or nobody's for now, where not, and then body or up
 // have what came. held is what a
-// whole body has taken of the room, to be given back when the request is over.
+// whole body has reserved, to be given back when the request is over.
 func (s *Front) readBody(r *http.Request, in *pacedReader) (body []byte, reserved int, up *upload, a answer) {
 	switch n := r.ContentLength; {
 	case n == 0:
@@ -97,7 +97,7 @@
 
 var errNoRoom = errors.New("there is no room for the body")
 
-// reserve takes room for a body that is held whole until its request is over; one that is as
+// reserve reserves memory for a body that is buffered until its request is over; one that is as
 // small as what every connection has needs none.
 func (s *Front) reserve(ctx context.Context, n int) (reserved int, err error) {
 	if n <= smallBody {
@@ -111,7 +111,7 @@
 	return n, nil
 }
 
-// readSmall reads a body that is held whole. A length alone takes no large buffer: what
+// readSmall reads a body that is buffered. A length alone takes no large buffer: what
 // follows it may never come.
 func readSmall(in io.Reader, n int) ([]byte, error) {
 	body := make([]byte, min(n, smallBody))
--- a/internal/dataplane/httpproxy/shutdown.go
+++ b/internal/dataplane/httpproxy/shutdown.go
@@ -7,10 +7,10 @@
 	"marlreel/internal/sockets"
 )
 
-// recentProgress is how lately something must have come of a request for it to be on its way.
+// recentProgress is how lately something of a request must have come for it to count as in progress.
 const recentProgress = 500 * time.Millisecond
 
-// anyInProgress tells whether any connection has a request in hand or on its way. Called with the lock.
+// anyInProgress tells whether any connection is serving a request or receiving one. Called with the lock.
 func (cs *clientConns) anyInProgress() bool {
 	if len(cs.open) > cs.silent.Len()+cs.partial.Len()+cs.idle.Len()+cs.lingering.Len() {
 		return true
@@ -18,8 +18,14 @@
 	for _, l := range [...]*list.List{&cs.silent, &cs.partial, &cs.idle} {
 		for e := l.Back(); e != nil; e = e.Prev() {
 			c := e.Value.(*clientConn)
-			// Danger: a request that has been read whole is this process's, however long ago that was.
-			if c.hasUnhandledRequest() || (l != &cs.idle || c.receivedAny) && (time.Since(c.lastProgress) < recentProgress || !sockets.Idle(c.Conn)) {
+			// A request that has been read completely is this process's, however long ago that was.
+			if c.hasUnhandledRequest() {
+				return true
+			}
+			if l == &cs.idle && !c.receivedAny {
+				continue
+			}
+			if time.Since(c.lastProgress) < recentProgress || !sockets.Idle(c.Conn) {
 				return true
 			}
 		}
@@ -27,7 +33,7 @@
 	return false
 }
 
-// endIdle ends what rests between two requests, now and from now on.
+// endIdle ends idle connections, now and from now on.
 func (cs *clientConns) endIdle() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -39,7 +45,7 @@
 	}
 }
 
-// endAllIfQuiet ends all that is open, if nothing moves, and tells whether it has.
+// endAllIfQuiet ends all open connections if none is in progress, and tells whether it has.
 func (cs *clientConns) endAllIfQuiet() bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
--- a/internal/dataplane/httpproxy/streamrelay.go
+++ b/internal/dataplane/httpproxy/streamrelay.go
@@ -29,7 +29,7 @@
 	client  net.Conn
 	backend *backendConn
 	body    io.Reader // one of *sized, *chunkReader, *bufio.Reader
-	chunked bool      // how the client is told where it ends, if not by length or close
+	chunked bool      // how the client learns where it ends, if not by length or close
 	pending []byte    // for the client, as it stands on the wire
 	passed  int64     // bytes of the body so far
 	done    bool      // the body has been read to its end
--- a/internal/dataplane/httpproxy/upload.go
+++ b/internal/dataplane/httpproxy/upload.go
@@ -14,7 +14,7 @@
 // like a small one; where it is not, what has gone out makes room for what comes, and from
 // then on the request can't be sent again.
 //
-// One goroutine fills it from the client; attempts read it, one at a time until it is whole.
+// One goroutine fills it from the client; attempts read it, one at a time until it is complete.
 type upload struct {
 	memory  *budget.Budget
 	maxHeld int   // bytes held at most
@@ -23,23 +23,23 @@
 	mu         sync.Mutex
 	pieces     [][]byte // each but the last is full
 	firstPiece int      // number of the first one held: those before it are gone
-	written    int      // number of the first piece that is not yet written whole
+	written    int      // number of the first piece that is not yet written completely
 	total      int64    // what has come
-	held       int      // bytes taken from room
-	end        error    // io.EOF: it is whole; else what broke it
+	held       int      // bytes reserved in memory
+	end        error    // io.EOF: it is complete; else what broke it
 	readers    int      // attempts that read
 	changed    chan struct{}
 }
 
 var (
-	// errBufferFull says that what has come fills the room: the rest has to wait until some of
+	// errBufferFull says that what has come fills the memory: the rest has to wait until some of
 	// it has gone on.
 	errBufferFull  = errors.New("no more room before some of it is sent")
 	errRequestOver = errors.New("the request is over")
 )
 
 func newUpload(memory *budget.Budget, length int64) *upload {
-	// An eighth each: a few large bodies come whole, and many leave something to all.
+	// An eighth each: a few large bodies are complete, and many leave something to all.
 	return &upload{memory: memory, maxHeld: max(pieceSize, memory.Limit()/8), length: length, changed: make(chan struct{})}
 }
 
@@ -49,7 +49,7 @@
 	u.changed = make(chan struct{})
 }
 
-// open takes room for the first piece.
+// open reserves memory for the first piece.
 func (u *upload) open(ctx context.Context) error {
 	if err := u.memory.Wait(ctx, pieceSize, budget.Large); err != nil {
 		return err
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// space gives where to read to. Where there is no room: errFlow if it must not wait, else
+// space gives where to read to. Where there is no memory: errBufferFull if it must not wait, else
 // it waits until a piece has gone out.
 func (u *upload) space(ctx context.Context, wait bool) ([]byte, error) {
 	for {
@@ -98,7 +98,7 @@
 	}
 }
 
-// fill reads until the body is whole. It gives errFlow where it must not wait for room.
+// fill reads until the body is complete. It gives errBufferFull where it must not wait for memory.
 func (u *upload) fill(ctx context.Context, in io.Reader, wait bool) error {
 	for {
 		space, err := u.space(ctx, wait)
@@ -115,7 +115,7 @@
 		u.total += int64(n)
 		switch {
 		case u.length >= 0 && u.total == u.length, errors.Is(err, io.EOF) && u.length < 0:
-			// Danger: a last byte that is not known as the last goes out without the permit.
+			// A last byte that is not known as the last goes out without the permit.
 			u.end = io.EOF
 		case err != nil:
 			if errors.Is(err, io.EOF) {
@@ -144,7 +144,7 @@
 	return errors.Is(u.end, io.EOF)
 }
 
-// inOnePiece gives the body in one piece where it is whole and no larger than what is held as
+// inOnePiece gives the body in one piece where it is complete and no larger than what is held as
 // a matter of course.
 func (u *upload) inOnePiece() ([]byte, bool) {
 	u.mu.Lock()
@@ -250,7 +250,7 @@
 	}
 }
 
-// release ends it and gives its room back. An attempt that still reads finds its end.
+// release ends it and gives its memory back. An attempt that still reads finds its end.
 func (u *upload) release() {
 	u.mu.Lock()
 	held := u.held
