--- a/internal/dataplane/engine/backends.go
+++ b/internal/dataplane/engine/backends.go
@@ -10,7 +10,7 @@
 
 // Membership is the set of backends, or changes to one, as a Source reports it.
 type Membership struct {
-	Kind    balancer.ListKind // not ListFailed: sources go on by themselves
+	Kind    balancer.MembershipKind // not ListFailed: sources go on by themselves
 	Version uint32
 	Entries []Entry
 }
@@ -111,7 +111,7 @@
 		reported[i] = e.applyEntry(id, entry)
 		present[id] = true
 	}
-	if m.Kind != balancer.ListDelta {
+	if m.Kind != balancer.MembershipDelta {
 		for id := range e.backends.byID {
 			if !present[id] {
 				removed = append(removed, id)
@@ -124,7 +124,7 @@
 	if e.observer != nil {
 		e.observer.OnMembership(now, &m)
 	}
-	if m.Kind != balancer.ListCached && e.onFirstMembership != nil {
+	if m.Kind != balancer.MembershipCached && e.onFirstMembership != nil {
 		e.onFirstMembership()
 		e.onFirstMembership = nil
 	}
--- a/internal/dataplane/engine/engine.go
+++ b/internal/dataplane/engine/engine.go
@@ -170,7 +170,7 @@
 func (e *Engine) Start() {
 	e.balancer.Start(e.Now())
 	initial := e.cfg.InitialMembership
-	initial.Kind = balancer.ListCached
+	initial.Kind = balancer.MembershipCached
 	e.ApplyMembership(initial)
 	if !e.Settings().PollMembership && e.source != nil {
 		e.source.Watch(true)
--- a/internal/dataplane/engine/engine_test.go
+++ b/internal/dataplane/engine/engine_test.go
@@ -40,7 +40,7 @@
 	}
 	l := &manualEngine{e, &manualCarrier{}}
 	e.AddCarrier(l.carrier)
-	l.Dispatch(func() { l.ApplyMembership(Membership{Kind: balancer.ListCached, Entries: entries}) })
+	l.Dispatch(func() { l.ApplyMembership(Membership{Kind: balancer.MembershipCached, Entries: entries}) })
 	return l
 }
 
@@ -222,7 +222,7 @@
 	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
 	for i := range 50 {
 		l.Dispatch(func() {
-			l.ApplyMembership(Membership{Kind: balancer.ListFull, Version: uint32(i + 2), Entries: []Entry{ready(fmt.Sprintf("s-new-%d", i), "127.0.0.1:1")}})
+			l.ApplyMembership(Membership{Kind: balancer.MembershipFull, Version: uint32(i + 2), Entries: []Entry{ready(fmt.Sprintf("s-new-%d", i), "127.0.0.1:1")}})
 		})
 	}
 	if len(l.backends.ids) != 1 || len(l.backends.names) != 1 || len(l.backends.byID) != 1 {
@@ -238,7 +238,7 @@
 	b := l.Backend("s-1")
 	e := ready("s-1", "127.0.0.1:1")
 	e.State = balancer.Draining
-	l.Dispatch(func() { l.ApplyMembership(Membership{Kind: balancer.ListDelta, Version: 2, Entries: []Entry{e}}) })
+	l.Dispatch(func() { l.ApplyMembership(Membership{Kind: balancer.MembershipDelta, Version: 2, Entries: []Entry{e}}) })
 	if b.Ready() {
 		t.Error("a draining backend may still be written to")
 	}
@@ -261,7 +261,7 @@
 	} {
 		e := ready("s-1", "127.0.0.1:1")
 		e.Started = c.at
-		l.Dispatch(func() { l.ApplyMembership(Membership{Kind: balancer.ListDelta, Version: 2, Entries: []Entry{e}}) })
+		l.Dispatch(func() { l.ApplyMembership(Membership{Kind: balancer.MembershipDelta, Version: 2, Entries: []Entry{e}}) })
 		if got := l.Backend("s-1").Started; got != c.want {
 			t.Errorf("started at %v: %v, want %v", c.at, got, c.want)
 		}
@@ -355,12 +355,12 @@
 	t.Parallel()
 	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
 	cfg := testutil.Module(t)
-	cfg.Tenants = []balancer.Tenant{{Name: "obala", Share: 0.5}, {Name: "solina", Share: 0.5}}
+	cfg.Tenants = []balancer.Tenant{{Name: "obala", TrafficShare: 0.5}, {Name: "solina", TrafficShare: 0.5}}
 	if err := l.Reconfigure(cfg); err != nil {
 		t.Fatal(err)
 	}
 	read := l.SettingsSnapshot()
-	cfg.Tenants = []balancer.Tenant{{Name: "lovec", Share: 0.5}, {Name: "solina", Share: 0.5}}
+	cfg.Tenants = []balancer.Tenant{{Name: "lovec", TrafficShare: 0.5}, {Name: "solina", TrafficShare: 0.5}}
 	if err := l.Reconfigure(cfg); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dataplane/engine/learnedstate_test.go
+++ b/internal/dataplane/engine/learnedstate_test.go
@@ -81,7 +81,7 @@
 		if err := l.Reconfigure(next); err != nil {
 			t.Fatal(err)
 		}
-		l.ApplyMembership(Membership{Kind: balancer.ListDelta, Entries: []Entry{{Name: "s-99", State: balancer.Gone}}})
+		l.ApplyMembership(Membership{Kind: balancer.MembershipDelta, Entries: []Entry{{Name: "s-99", State: balancer.Gone}}})
 	})
 	for s == nil {
 		l.Dispatch(heap.Pop(&l.timers).(*Timer).event)
--- a/internal/dataplane/engine/observer_test.go
+++ b/internal/dataplane/engine/observer_test.go
@@ -58,7 +58,7 @@
 	l.SetObserver(Join(nil, a, nil, b))
 	l.SetHealthChecker(healthChecker{balancer.OK})
 	l.Dispatch(func() {
-		l.ApplyMembership(Membership{Kind: balancer.ListFull, Version: 2, Entries: []Entry{ready("s-1", "127.0.0.1:1")}})
+		l.ApplyMembership(Membership{Kind: balancer.MembershipFull, Version: 2, Entries: []Entry{ready("s-1", "127.0.0.1:1")}})
 	})
 	first := l.submit(0, time.Minute)
 	l.Dispatch(func() { first.attempts[0].End(AttemptEnd{Result: balancer.Error}) })
--- a/internal/dataplane/httpproxy/answerbody.go
+++ b/internal/dataplane/httpproxy/answerbody.go
@@ -64,7 +64,7 @@
 	if n <= smallBody || memory == nil {
 		return true
 	}
-	if !memory.Take(n, budget.Small) {
+	if !memory.TryAcquire(n, budget.Small) {
 		return false
 	}
 	r.reserved = n
--- a/internal/dataplane/httpproxy/answerstream.go
+++ b/internal/dataplane/httpproxy/answerstream.go
@@ -39,7 +39,7 @@
 // release gives back the memory that a reply has taken, and ends its stream.
 func (r *Reply) release(memory *budget.Budget) {
 	if r.reserved > 0 {
-		memory.Give(r.reserved, budget.Small)
+		memory.Release(r.reserved, budget.Small)
 		r.reserved = 0
 	}
 	if r.stream != nil {
@@ -75,9 +75,9 @@
 	size := smallBody
 	if memory != nil {
 		wait, cancel := context.WithTimeout(ctx, pieceBudgetTimeout)
-		if memory.Wait(wait, pieceSize, budget.Small) == nil {
+		if memory.Acquire(wait, pieceSize, budget.Small) == nil {
 			size = pieceSize
-			defer memory.Give(pieceSize, budget.Small)
+			defer memory.Release(pieceSize, budget.Small)
 		}
 		cancel()
 	}
--- a/internal/dataplane/httpproxy/clientconn.go
+++ b/internal/dataplane/httpproxy/clientconn.go
@@ -104,7 +104,7 @@
 		given += pieceSize
 	}
 	if left := c.receivedReserved.Add(int64(-given)); left >= 0 {
-		c.receivedBudget.Give(given, budget.Large)
+		c.receivedBudget.Release(given, budget.Large)
 	}
 	return n, nil
 }
@@ -263,7 +263,7 @@
 	}
 	cs.mu.Unlock()
 	if left := c.receivedReserved.Swap(0); c.receivedBudget != nil && left > 0 {
-		c.receivedBudget.Give(int(left), budget.Large)
+		c.receivedBudget.Release(int(left), budget.Large)
 	}
 	if !lingers {
 		return c.Conn.Close()
--- a/internal/dataplane/httpproxy/crossing_test.go
+++ b/internal/dataplane/httpproxy/crossing_test.go
@@ -136,7 +136,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	go l.Run(ctx)
-	l.Post(func() { l.ApplyMembership(engine.Membership{Kind: balancer.ListFull, Version: 1, Entries: entries}) })
+	l.Post(func() { l.ApplyMembership(engine.Membership{Kind: balancer.MembershipFull, Version: 1, Entries: entries}) })
 	go func() { _ = l.front.Serve(l.ln) }() // until the cleanup closes the listener
 	t.Cleanup(func() {
 		l.ln.Close()
--- a/internal/dataplane/httpproxy/front.go
+++ b/internal/dataplane/httpproxy/front.go
@@ -222,7 +222,7 @@
 	}
 	body, reserved, up, a := s.readBody(r, in)
 	if reserved > 0 {
-		defer s.memory.Give(reserved, budget.Small)
+		defer s.memory.Release(reserved, budget.Small)
 	}
 	if c != nil {
 		defer func() { c.body = nil }()
--- a/internal/dataplane/httpproxy/front_test.go
+++ b/internal/dataplane/httpproxy/front_test.go
@@ -74,11 +74,11 @@
 		l.front.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/ready", nil))
 		return w.Code
 	}
-	l.Dispatch(func() { l.ApplyMembership(engine.Membership{Kind: balancer.ListCached}) })
+	l.Dispatch(func() { l.ApplyMembership(engine.Membership{Kind: balancer.MembershipCached}) })
 	if got := ask(); got != http.StatusServiceUnavailable {
 		t.Errorf("/ready before any list: %d", got)
 	}
-	l.Dispatch(func() { l.ApplyMembership(engine.Membership{Kind: balancer.ListFull, Version: 1}) })
+	l.Dispatch(func() { l.ApplyMembership(engine.Membership{Kind: balancer.MembershipFull, Version: 1}) })
 	if got := ask(); got != http.StatusOK {
 		t.Errorf("/ready with discovery's list: %d", got)
 	}
--- a/internal/dataplane/httpproxy/handover_test.go
+++ b/internal/dataplane/httpproxy/handover_test.go
@@ -46,7 +46,7 @@
 	go func() { served <- front.Serve(ln) }()
 	// The engine begins with the list that it was made with, and that has none.
 	front.engine.Post(func() {
-		front.engine.ApplyMembership(engine.Membership{Kind: balancer.ListFull, Version: 1, Entries: entries})
+		front.engine.ApplyMembership(engine.Membership{Kind: balancer.MembershipFull, Version: 1, Entries: entries})
 	})
 	t.Cleanup(func() {
 		front.server.Close()
@@ -248,7 +248,7 @@
 		body := strings.Repeat("abcdefgh", 96<<10/8)
 		client := testutil.Dial(t, ln.Addr().String())
 		const others = 680 << 10
-		if !old.memory.Take(others, budget.Large) {
+		if !old.memory.TryAcquire(others, budget.Large) {
 			t.Fatal("no room to take")
 		}
 		fmt.Fprintf(client, "POST /bid/x HTTP/1.1\r\nHost: a\r\nX-Account: obala\r\nX-Time-Left: 9000m\r\n%s: 00000000000000aa\r\nContent-Length: %d\r\n\r\n",
@@ -263,7 +263,7 @@
 			return false
 		}
 		eventually(t, "it to be on its way", partly)
-		old.memory.Give(others, budget.Large)
+		old.memory.Release(others, budget.Large)
 		run()
 		send(t, client, body[40<<10:80<<10])
 		eventually(t, "all to be read", func() bool {
--- a/internal/dataplane/httpproxy/harness_test.go
+++ b/internal/dataplane/httpproxy/harness_test.go
@@ -65,11 +65,11 @@
 	}
 	room := budget.New(1 << 20)
 	l.Engine, l.carrier = e, NewCarrier(e, 256, nil, room)
-	l.front = NewFront(e, l.carrier, room, logs.Plain(t.Output()))
+	l.front = NewFront(e, l.carrier, room, logs.NewWithoutTime(t.Output()))
 	t.Cleanup(l.carrier.Close)
 	e.AddCarrier(l.carrier)
 	e.SetHealthChecker(l.carrier)
-	l.Dispatch(func() { l.ApplyMembership(engine.Membership{Kind: balancer.ListCached, Entries: entries}) })
+	l.Dispatch(func() { l.ApplyMembership(engine.Membership{Kind: balancer.MembershipCached, Entries: entries}) })
 	return l
 }
 
--- a/internal/dataplane/httpproxy/requestbody.go
+++ b/internal/dataplane/httpproxy/requestbody.go
@@ -105,7 +105,7 @@
 	}
 	wait, cancel := context.WithTimeout(ctx, budgetTimeout)
 	defer cancel()
-	if s.memory.Wait(wait, n, budget.Small) != nil {
+	if s.memory.Acquire(wait, n, budget.Small) != nil {
 		return 0, errNoRoom
 	}
 	return n, nil
--- a/internal/dataplane/httpproxy/streamrelay.go
+++ b/internal/dataplane/httpproxy/streamrelay.go
@@ -60,9 +60,9 @@
 // errHandedOver.
 func (r *streamRelay) run(memory *budget.Budget, handoverStarted <-chan struct{}, transfer func() TransferFunc) error {
 	size := smallBody
-	if memory.Take(pieceSize, budget.Small) {
+	if memory.TryAcquire(pieceSize, budget.Small) {
 		size = pieceSize
-		defer memory.Give(pieceSize, budget.Small)
+		defer memory.Release(pieceSize, budget.Small)
 	}
 	h := &relayHandover{relay: r, started: handoverStarted, transfer: transfer, interrupted: make(chan struct{})}
 	stop := make(chan struct{})
--- a/internal/discovery/registry/registry_test.go
+++ b/internal/discovery/registry/registry_test.go
@@ -48,12 +48,12 @@
 func (f *follower) do(acts []membership.Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
-		case membership.List:
+		case membership.FullList:
 			f.list = a.Entries
 			f.lists++
-		case membership.Say:
+		case membership.LogLine:
 			f.lines = append(f.lines, string(a))
-		case membership.Load:
+		case membership.RequestSnapshot:
 			select {
 			case f.again <- struct{}{}:
 			default:
@@ -73,24 +73,24 @@
 	f.do(event())
 }
 
-func (f *follower) Whole(w membership.Whole) {
-	f.on(func() []membership.Action { return f.model.Whole(f.now(), 0, w) })
+func (f *follower) OnSnapshot(w membership.Snapshot) {
+	f.on(func() []membership.Action { return f.model.OnSnapshot(f.now(), 0, w) })
 }
 
-func (f *follower) Change(c membership.Change) {
-	f.on(func() []membership.Action { return f.model.Change(f.now(), 0, c) })
+func (f *follower) OnUpdate(c membership.Update) {
+	f.on(func() []membership.Action { return f.model.OnUpdate(f.now(), 0, c) })
 }
 
-func (f *follower) Progress(r int64) {
-	f.on(func() []membership.Action { return f.model.Progress(f.now(), 0, r) })
+func (f *follower) OnProgress(r int64) {
+	f.on(func() []membership.Action { return f.model.OnProgress(f.now(), 0, r) })
 }
 
-func (f *follower) Compacted() {
-	f.on(func() []membership.Action { return f.model.Compacted(f.now(), 0) })
+func (f *follower) OnCompacted() {
+	f.on(func() []membership.Action { return f.model.OnCompacted(f.now(), 0) })
 }
 
-func (f *follower) Lost(why string) {
-	f.on(func() []membership.Action { return f.model.Lost(f.now(), 0, why) })
+func (f *follower) OnLost(why string) {
+	f.on(func() []membership.Action { return f.model.OnSourceLost(f.now(), 0, why) })
 }
 
 func (f *follower) status() membership.Status {
@@ -128,7 +128,7 @@
 	t.Cleanup(func() {
 		stop()
 		<-done
-		c.Next()
+		c.NextEndpoint()
 	})
 	return f
 }
@@ -150,7 +150,7 @@
 }
 
 func plain() membership.Config {
-	return membership.Config{Sources: []string{"registry"}, Patience: time.Minute, Guard: 1, Most: 20000}
+	return membership.Config{Sources: []string{"registry"}, LossTimeout: time.Minute, MaxLossFraction: 1, MaxEntries: 20000}
 }
 
 func node(n, port int, state string) standin.RegistryOp {
@@ -166,7 +166,7 @@
 	out := map[string]membership.Entry{}
 	for k, v := range r.State(revision) {
 		if strings.HasPrefix(k, prefix) {
-			if i := Item(prefix, k, []byte(v), 1); i.Bad == "" {
+			if i := ParseItem(prefix, k, []byte(v), 1); i.Malformed == "" {
 				out[i.Name] = i.Entry
 			}
 		}
@@ -212,13 +212,13 @@
 		r.Txn(gone(0), gone(1))
 		caughtUp(t, f, r)
 		r.Txn(standin.RegistryOp{Key: prefix + "n2", Value: "{"}, standin.RegistryOp{Key: prefix + "n9", Value: `{"v":2}`}, node(3, 1003, "ready"))
-		testutil.Eventually(t, "the bad values", func() bool { return len(f.status().Sources[0].Bad) == 2 })
+		testutil.Eventually(t, "the bad values", func() bool { return len(f.status().Sources[0].Malformed) == 2 })
 		if s := f.status(); s.Entries != 2 || s.Age < 0 {
 			t.Errorf("%+v", s)
 		}
 		r.Txn(node(2, 1002, "ready"), standin.RegistryOp{Key: prefix + "n9", Delete: true})
 		caughtUp(t, f, r)
-		if s := f.status(); len(s.Sources[0].Bad) != 0 {
+		if s := f.status(); len(s.Sources[0].Malformed) != 0 {
 			t.Errorf("%+v", s)
 		}
 	})
@@ -334,14 +334,14 @@
 		cfg.Endpoints = []string{"http://" + dead.Addr().String(), r.URL()}
 		f := follow(t, cfg, plain())
 		caughtUp(t, f, r)
-		if !f.said("lost (") || !f.said("found again") && f.status().Sources[0].Lost {
+		if !f.said("lost (") || !f.said("found again") && f.status().Sources[0].Unreachable {
 			t.Errorf("%v", f.lines)
 		}
 		if kind == "consul" {
 			return // a blocking query that is cut off ends with its own time, a minute
 		}
 		r.Cut(true)
-		testutil.Eventually(t, "the loss", func() bool { return f.status().Sources[0].Lost })
+		testutil.Eventually(t, "the loss", func() bool { return f.status().Sources[0].Unreachable })
 		if f.status().Entries != 1 {
 			t.Error("the list went with the registry")
 		}
@@ -359,8 +359,8 @@
 		r.Txn(node(0, 1000, "ready"))
 		r.Login("proxy", "s3cret")
 		cfg := config(kind, r)
-		cfg.Password = filepath.Join(t.TempDir(), "password")
-		if err := os.WriteFile(cfg.Password, []byte("wrong\n"), 0o600); err != nil {
+		cfg.PasswordFile = filepath.Join(t.TempDir(), "password")
+		if err := os.WriteFile(cfg.PasswordFile, []byte("wrong\n"), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if kind == "etcd" {
@@ -368,7 +368,7 @@
 		}
 		f := follow(t, cfg, plain())
 		testutil.Eventually(t, "the refusal", func() bool { return f.said("lost (") })
-		if err := os.WriteFile(cfg.Password, []byte("s3cret\n"), 0o600); err != nil {
+		if err := os.WriteFile(cfg.PasswordFile, []byte("s3cret\n"), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		caughtUp(t, f, r)
@@ -507,7 +507,7 @@
 		t.Error(c.Validate())
 	}
 	off := DefaultConfig()
-	if off.On() || off.Validate() != nil {
+	if off.Enabled() || off.Validate() != nil {
 		t.Error("a registry that is off is wrong")
 	}
 	for want, change := range map[string]func(c *Config){
@@ -519,11 +519,11 @@
 		"registry.prefix":                              func(c *Config) { c.Prefix = "" },
 		"registry.cert and registry.key":               func(c *Config) { c.Cert = "x" },
 		"registry.password-file is missing":            func(c *Config) { c.User = "x" },
-		"registry.user: Consul has tokens":             func(c *Config) { c.Kind, c.User, c.Password = "consul", "x", "y" },
+		"registry.user: Consul has tokens":             func(c *Config) { c.Kind, c.User, c.PasswordFile = "consul", "x", "y" },
 		"registry.ca: open /nowhere":                   func(c *Config) { c.CA = "/nowhere" },
-		"registry.guard = 0":                           func(c *Config) { c.Guard = 0 },
-		"registry.flaps = -1":                          func(c *Config) { c.Flaps = -1 },
-		"registry.patience, settle and guard-over can": func(c *Config) { c.Patience = -1 },
+		"registry.guard = 0":                           func(c *Config) { c.MaxLossFraction = 0 },
+		"registry.flaps = -1":                          func(c *Config) { c.MaxFlaps = -1 },
+		"registry.patience, settle and guard-over can": func(c *Config) { c.LossTimeout = -1 },
 	} {
 		c := good()
 		change(&c)
@@ -542,12 +542,12 @@
 		f.Add("marlreel/nodes/n1", []byte(s))
 	}
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
-		i := Item(prefix, key, value, 3)
-		if i.Bad == "" && (i.Name == "" || prefix+i.Name != key || i.Entry.Addr == "" || i.Entry.Zone == "" || !(i.Entry.Weight > 0) || i.Mod != 3) {
+		i := ParseItem(prefix, key, value, 3)
+		if i.Malformed == "" && (i.Name == "" || prefix+i.Name != key || i.Entry.Addr == "" || i.Entry.Zone == "" || !(i.Entry.Weight > 0) || i.ModRevision != 3) {
 			t.Errorf("%q: %+v", value, i)
 		}
-		if strings.Contains(i.Bad, "\n") {
-			t.Errorf("%q", i.Bad)
+		if strings.Contains(i.Malformed, "\n") {
+			t.Errorf("%q", i.Malformed)
 		}
 	})
 }
