--- a/internal/dataplane/httpproxy/accept.go
+++ b/internal/dataplane/httpproxy/accept.go
@@ -54,7 +54,7 @@
 			return
 		}
 		if err != nil { // such as: no descriptor is left
-			// What rests would hold them for as long as it likes, and nobody new would get in.
+			// Idle connections would hold the descriptors for as long as they like, and nobody new would get in.
 			if !cs.evictForAccept() {
 				time.Sleep(backoff)
 				backoff = min(2*backoff, maxAcceptBackoff)
@@ -64,7 +64,7 @@
 		backoff = minAcceptBackoff
 		switch c := cs.admit(nc); {
 		case c == nil:
-			nc.Close() // every place has a request in hand
+			nc.Close() // every connection is serving a request
 		case !sockets.Idle(nc):
 			cs.deliver(c)
 		default:
@@ -73,7 +73,7 @@
 	}
 }
 
-// An accept that failed is put off for acceptAgain, and up to longestAgain where it goes on to fail.
+// After an accept that failed the next waits for minAcceptBackoff, and up to maxAcceptBackoff where they go on to fail.
 const (
 	minAcceptBackoff = 5 * time.Millisecond
 	maxAcceptBackoff = 100 * time.Millisecond
--- a/internal/dataplane/httpproxy/answerbody.go
+++ b/internal/dataplane/httpproxy/answerbody.go
@@ -72,23 +72,23 @@
 }
 
 // readUnsizedBody reads a body that only its own end delimits.
-func (c *backendConn) readUnsizedBody(in io.Reader, keep bool, x *exchange, r *Reply) error {
-	most := smallBody
+func (c *backendConn) readUnsizedBody(in io.Reader, reusable bool, x *exchange, r *Reply) error {
+	limit := smallBody
 	if r.reserve(x.memory, maxBufferedBody) {
-		most = maxBufferedBody
+		limit = maxBufferedBody
 	}
 	c.readLimit.N = math.MaxInt64
 	body := make([]byte, 0, smallBody)
-	while := time.Now().Add(bufferTimeout)
+	bufferUntil := time.Now().Add(bufferTimeout)
 	if x.message.Streaming {
-		while = time.Time{}
+		bufferUntil = time.Time{}
 	}
-	if !x.message.Streaming && (x.receiving || while.Before(x.deadline)) {
-		_ = c.SetReadDeadline(while)
+	if !x.message.Streaming && (x.receiving || bufferUntil.Before(x.deadline)) {
+		_ = c.SetReadDeadline(bufferUntil)
 	}
-	for len(body) <= most {
+	for len(body) <= limit {
 		if len(body) == cap(body) {
-			body = append(make([]byte, 0, min(4*cap(body), most+1)), body...)
+			body = append(make([]byte, 0, min(4*cap(body), limit+1)), body...)
 		}
 		n, err := in.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
@@ -107,13 +107,13 @@
 			}
 		case err != nil:
 			return err
-		case time.Now().Before(while):
+		case time.Now().Before(bufferUntil):
 			continue
 		}
 		if len(body) > 0 {
 			break
 		}
 	}
-	r.stream = &answerStream{conn: c, first: body, body: in, length: -1, reusable: keep}
+	r.stream = &answerStream{conn: c, first: body, body: in, length: -1, reusable: reusable}
 	return nil
 }
--- a/internal/dataplane/httpproxy/backendconn.go
+++ b/internal/dataplane/httpproxy/backendconn.go
@@ -18,12 +18,20 @@
 type backendConn struct {
 	net.Conn
 	reader    *bufio.Reader
-	readLimit *io.LimitedReader // under in: bounds one answer, head and body
+	readLimit *io.LimitedReader // under reader: bounds one answer, head and body
 	idleSince time.Duration
 
 	lastRejected bool // its last answer was that nothing ran
 }
 
+// newBackendConn reads a connection's answers from source, which is the connection itself where nothing was read of it
+// before.
+func newBackendConn(nc net.Conn, source io.Reader) *backendConn {
+	c := &backendConn{Conn: nc, readLimit: &io.LimitedReader{R: source}}
+	c.reader = bufio.NewReader(c.readLimit)
+	return c
+}
+
 // reusable tells, without waiting, whether an idle connection can carry a request.
 // A backend that died or closed has left an end or a reset to read; anything
 // else unread belongs to no request.
@@ -66,9 +74,11 @@
 		_ = c.SetDeadline(time.Time{})
 		return Reply{result: balancer.NotSent, conn: c}
 	}
-	if n, err := c.Write(data); n < len(data) {
+	n, err := c.Write(data)
+	if n < len(data) {
 		return Reply{result: balancer.NotSent, brokeEarly: true}
-	} else if err != nil {
+	}
+	if err != nil {
 		return failedAfterWrite(err)
 	}
 	if x.attempt != nil {
--- a/internal/dataplane/httpproxy/carrier_test.go
+++ b/internal/dataplane/httpproxy/carrier_test.go
@@ -97,7 +97,7 @@
 
 // While one attempt runs, its backend may be replaced at its own address: the
 // connection then belongs to nobody and is closed.
-func TestAConnectionDoesNotOutliveItsBackend(t *testing.T) {
+func TestConnectionDoesNotOutliveItsBackend(t *testing.T) {
 	t.Parallel()
 	came, answer := make(chan struct{}, 1), make(chan struct{})
 	closed := make(chan struct{})
@@ -131,7 +131,7 @@
 }
 
 // What load reports hold and what a handshake is worth is what the settings in force say, not those of the start.
-func TestTheCarrierFollowsTheSettings(t *testing.T) {
+func TestCarrierReconfigure(t *testing.T) {
 	t.Parallel()
 	l := stillEngine(t)
 	next := testutil.Module(t)
--- a/internal/dataplane/httpproxy/clientconns_test.go
+++ b/internal/dataplane/httpproxy/clientconns_test.go
@@ -62,7 +62,7 @@
 // Connections that ask nothing once filled the bound, and nobody else was accepted any
 // more; then those who wrote slowly went first. Now who makes room depends on what has come
 // and how long ago.
-func TestWhoMakesRoom(t *testing.T) {
+func TestEvictionOrder(t *testing.T) {
 	t.Parallel()
 	const part, rest, silent = "part of a request", "between two requests", "nothing yet"
 	for name, c := range map[string]struct {
@@ -115,7 +115,7 @@
 }
 
 // A connection with a request in hand is never closed for another: that loses it.
-func TestRequestsInHandKeepTheirConnections(t *testing.T) {
+func TestServingConnectionsAreNotEvicted(t *testing.T) {
 	t.Parallel()
 	cs, _ := bounded(t, 1)
 	near, held := connect(t, cs)
@@ -135,7 +135,7 @@
 }
 
 // A request that has come and is not read yet is taken: its connection is not silent.
-func TestUnreadRequestsAreNotSilent(t *testing.T) {
+func TestUnreadRequestsAreNotEvicted(t *testing.T) {
 	t.Parallel()
 	cs, _ := bounded(t, 2)
 	asking, far := connect(t, cs)
@@ -151,7 +151,7 @@
 
 // Who has said nothing is given to nobody; who says something is, also after the listener
 // has been closed; and that is over when the last has ended.
-func TestOnlyWhoAsksIsAccepted(t *testing.T) {
+func TestOnlyActiveConnectionsAreAccepted(t *testing.T) {
 	t.Parallel()
 	cs, accepted := bounded(t, 9)
 	first, _ := connect(t, cs)
@@ -171,7 +171,7 @@
 
 // A shutdown is over at once, and without an error, while connections are open that have said
 // nothing; and it ends them.
-func TestShutdownEndsWhoSaysNothing(t *testing.T) {
+func TestShutdownEndsSilentConnections(t *testing.T) {
 	t.Parallel()
 	front := stillEngine(t).front
 	front.SetMaxConnections(9)
@@ -196,7 +196,7 @@
 }
 
 // One that says nothing has no more time for its head than any other, however late it begins.
-func TestSilenceCountsForTheHead(t *testing.T) {
+func TestHeadTimeoutIncludesSilence(t *testing.T) {
 	t.Parallel()
 	cs, accepted := bounded(t, 9)
 	near, far := connect(t, cs)
--- a/internal/dataplane/httpproxy/crossing_test.go
+++ b/internal/dataplane/httpproxy/crossing_test.go
@@ -136,7 +136,9 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	go l.Run(ctx)
-	l.Post(func() { l.ApplyMembership(engine.Membership{Kind: balancer.MembershipFull, Version: 1, Entries: entries}) })
+	l.Post(func() {
+		l.ApplyMembership(engine.Membership{Kind: balancer.MembershipFull, Version: 1, Entries: entries})
+	})
 	go func() { _ = l.front.Serve(l.ln) }() // until the cleanup closes the listener
 	t.Cleanup(func() {
 		l.ln.Close()
@@ -203,7 +205,7 @@
 // A request that is read on a resting connection while that is ended, by the shutdown or to make room for others, is
 // nobody's: its client is told by the connection's end that it may send it once more, so it must not be sent on.
 // net/http ends a connection between the read and the state that shows it, and served the request all the same.
-func TestARequestReadAsItsConnectionEndsIsNotSentOn(t *testing.T) {
+func TestRequestReadAsItsConnectionEndsIsNotForwarded(t *testing.T) {
 	t.Parallel()
 	for name, end := range waysToEnd {
 		t.Run(name, func(t *testing.T) {
@@ -246,7 +248,7 @@
 }
 
 // One that has been read before is answered, however long its handler is in beginning.
-func TestARequestThatWasReadOutlivesTheShutdown(t *testing.T) {
+func TestRequestThatWasReadOutlivesShutdown(t *testing.T) {
 	t.Parallel()
 	gate := newBarrier(t)
 	addr, got := answering(t, 6)
@@ -287,7 +289,7 @@
 }
 
 // What a client has sent behind its request, and nobody reads, must not reset away the answer that it still reads.
-func TestAnAnswerOutlivesItsConnectionsEnd(t *testing.T) {
+func TestAnswerOutlivesItsConnectionsEnd(t *testing.T) {
 	t.Parallel()
 	const size = 60 << 10
 	addr, _ := answering(t, size)
@@ -319,7 +321,7 @@
 }
 
 // Nothing small is held back: neither to clients, whose connection came by a descriptor or not, nor to backends.
-func TestNothingSmallIsHeldBack(t *testing.T) {
+func TestNoDelayIsSet(t *testing.T) {
 	t.Parallel()
 	quick := func(what string, c net.Conn) {
 		t.Helper()
@@ -382,7 +384,7 @@
 }
 
 // While the last byte is kept back the call may be answered, or its client leave. That byte never goes out then.
-func TestTheLastByteNeedsThePermit(t *testing.T) {
+func TestLastByteNeedsThePermit(t *testing.T) {
 	t.Parallel()
 	rest := make(chan []byte, 1)
 	gate := make(chan struct{})
@@ -406,7 +408,7 @@
 
 // What a backend says before a request is whole is no answer to it: a second answer to the one before, or the end of
 // one. Read as this one's its client would get another's.
-func TestAnEarlyAnswerIsNobodys(t *testing.T) {
+func TestEarlyAnswerIsNoAnswer(t *testing.T) {
 	t.Parallel()
 	for text, want := range map[string]balancer.Result{
 		okAnswer: balancer.NotSent,
@@ -425,7 +427,7 @@
 }
 
 // Whoever was called off by this side has not seen a connection break.
-func TestACallOffTeachesNothingOfConnections(t *testing.T) {
+func TestCancellationIsNoConnectionOutcome(t *testing.T) {
 	t.Parallel()
 	addr, got := silent(t)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -441,7 +443,7 @@
 
 // A keyed request may go again within its window, and a dial may take longer than what is left of it: the permit is
 // looked at where the last byte goes out.
-func TestNothingGoesOutAfterTheWindow(t *testing.T) {
+func TestNothingIsSentAfterTheIdempotencyWindow(t *testing.T) {
 	t.Parallel()
 	var paths [2]chan string
 	var entries []engine.Entry
@@ -484,7 +486,7 @@
 
 // A client that has left gets no attempt, whatever stands before its end in the connection, and however far the
 // engine is behind with the word of it.
-func TestNoAttemptForAClientThatLeft(t *testing.T) {
+func TestNoAttemptForDisconnectedClient(t *testing.T) {
 	t.Parallel()
 	for _, ahead := range []string{"", "G", get("pipelined"), strings.Repeat("x", 64<<10)} {
 		for name, leave := range map[string]func(net.Conn){"closed": func(c net.Conn) { c.Close() }, "reset": func(c net.Conn) {
--- a/internal/dataplane/httpproxy/exchange.go
+++ b/internal/dataplane/httpproxy/exchange.go
@@ -1,9 +1,7 @@
 package httpproxy
 
 import (
-	"bufio"
 	"context"
-	"io"
 	"net"
 	"net/http"
 	"time"
@@ -15,9 +13,9 @@
 )
 
 const (
-	maxBufferedBody     = 64 << 10
-	maxHead             = 16 << 10
-	maxInterimResponses = 8
+	maxBufferedBody     = 64 << 10 // bytes of a body that is buffered as a matter of course
+	maxHead             = 16 << 10 // bytes
+	maxInterimResponses = 8        // 1xx, before an answer
 	headerLoad          = "X-Backend-Load"
 	headerTimeout       = "X-Time-Left"
 )
@@ -33,9 +31,9 @@
 	permit   *engine.Permit
 
 	attempt         *engine.Attempt // is notified when the last byte is written; nil is a health check
-	clientConnected func() bool     // whether who asked is still there; nil: that can't be seen
+	clientConnected func() bool     // whether the client is still there; nil: that can't be seen
 	memory          *budget.Budget
-	receiving       bool          // until is not known yet
+	receiving       bool          // deadline is not known yet
 	holdback        time.Duration // how long the last byte is kept back; 0 is not at all
 	dialled         bool          // run opened a new connection
 }
@@ -48,20 +46,20 @@
 	header      http.Header
 	body        []byte
 	stream      *answerStream // what follows; body is empty then
-	reserved    int           // bytes taken from the budget
+	reserved    int           // bytes acquired from the budget
 	claimed     bool          // by who passes it on, and releases it then
 	load        []float32
 	brokeEarly  bool                // it broke before its last byte was written
-	clientGone  bool                // who asked was found to have gone: nothing was written
+	clientGone  bool                // the client was found to have disconnected: nothing was written
 	connOutcome connections.Outcome // for the model of connections
 }
 
-// run carries the exchange out. It follows the protocol's table of outcomes:
-// until the last byte is written the request never ran; from then on it may have.
-func (x *exchange) run(ctx context.Context, connectTimeout time.Duration, report []string) Reply {
+// run carries the exchange out. It follows the table of outcomes in the package comment: until the last byte is written
+// the request never ran; from then on it may have.
+func (x *exchange) run(ctx context.Context, connectTimeout time.Duration, loadMetrics []string) Reply {
 	c := x.conn
-	// An answer's surplus, or the end of the connection, may have come since it was
-	// taken from the pool. Surplus would be read as the answer to this request.
+	// An answer's surplus, or the end of the connection, may have come since it was taken from the pool. Surplus would be
+	// read as the answer to this request.
 	if c != nil && !c.reusable() {
 		c.Close()
 		c = nil
@@ -72,41 +70,27 @@
 		if err != nil {
 			return Reply{result: balancer.ConnectFailed}
 		}
-		c = &backendConn{Conn: nc, readLimit: &io.LimitedReader{R: nc}}
-		c.reader = bufio.NewReader(c.readLimit)
+		c = newBackendConn(nc, nc)
 	}
-	// The last look before writing: dialling took its time. The backend may be
-	// draining or gone by now, the request answered, or its client gone.
-	if up := x.message.upload; !x.backend.Ready() || !x.permit.Available() || up != nil && !up.beginRead() {
-		return Reply{result: balancer.NotSent, conn: c}
-	}
-	if x.clientGone() {
-		if x.message.upload != nil {
-			x.message.upload.endRead()
-		}
-		return Reply{result: balancer.NotSent, conn: c, clientGone: true}
+	if unsent, writes := x.checkBeforeWrite(); !writes {
+		unsent.conn = c
+		return unsent
 	}
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	began := time.Now()
-	data := x.message.encode(x.dialect, x.backend, x.deadline.Sub(began)) // what a dial has taken is no longer there
+	data := x.message.encode(x.dialect, x.backend, x.deadline.Sub(began)) // less what the dial has taken
 	var r Reply
 	if x.message.upload != nil {
-		r = c.sendUpload(ctx, x, data, report)
+		r = c.sendUpload(ctx, x, data, loadMetrics)
 		x.message.upload.endRead()
 	} else {
-		r = c.roundTrip(x, data, report)
+		r = c.roundTrip(x, data, loadMetrics)
 	}
 	if r.result == balancer.Reset || r.brokeEarly {
 		r.connOutcome = connections.Outcome{Broken: true, After: time.Since(began), Complete: !r.brokeEarly}
 	}
 	if !stop() {
-		r.conn = nil
-		if r.result == balancer.Reset { // it was called off: the break is this side's, and says nothing
-			r.result, r.connOutcome = balancer.Cancelled, connections.Outcome{}
-			if !time.Now().Before(x.deadline) {
-				r.result = balancer.Timeout
-			}
-		}
+		x.markCancelled(&r)
 	}
 	if r.conn == nil {
 		c.Close()
@@ -114,6 +98,40 @@
 	return r
 }
 
+// checkBeforeWrite is the last check before writing, as dialling took its time: the backend may be draining or gone by
+// now, the request answered, or its client gone. Where it may be written, an upload has begun to be read.
+func (x *exchange) checkBeforeWrite() (unsent Reply, writes bool) {
+	unsent = Reply{result: balancer.NotSent}
+	if !x.backend.Ready() || !x.permit.Available() {
+		return unsent, false
+	}
+	up := x.message.upload
+	if up != nil && !up.beginRead() {
+		return unsent, false
+	}
+	if x.clientGone() {
+		if up != nil {
+			up.endRead()
+		}
+		unsent.clientGone = true
+		return unsent, false
+	}
+	return Reply{}, true
+}
+
+// markCancelled gives an exchange its result whose context ended: the break is this side's, and says nothing of the
+// backend or the connection.
+func (x *exchange) markCancelled(r *Reply) {
+	r.conn = nil
+	if r.result != balancer.Reset {
+		return
+	}
+	r.result, r.connOutcome = balancer.Cancelled, connections.Outcome{}
+	if !time.Now().Before(x.deadline) {
+		r.result = balancer.Timeout
+	}
+}
+
 // connect makes a connection to the backend.
 func (x *exchange) connect(ctx context.Context, timeout time.Duration) (net.Conn, error) {
 	if x.dial == nil {
@@ -129,5 +147,5 @@
 	return x.dial(ctx, x.backend.Addr)
 }
 
-// clientGone tells whether who asked has left.
+// clientGone tells whether the call's client has disconnected.
 func (x *exchange) clientGone() bool { return x.clientConnected != nil && !x.clientConnected() }
--- a/internal/dataplane/httpproxy/exchange_test.go
+++ b/internal/dataplane/httpproxy/exchange_test.go
@@ -108,7 +108,7 @@
 
 // A spoilt answer ends its attempt at once, as one that may have run. The connection
 // behind it stays open: who waits for more waits until the time is up.
-func TestSpoiltAnswersEndAtOnce(t *testing.T) {
+func TestMalformedAnswersEndAtOnce(t *testing.T) {
 	t.Parallel()
 	const ok = "HTTP/1.1 200 OK\r\n"
 	for name, answer := range map[string]string{
@@ -192,7 +192,7 @@
 }
 
 // Half a report would draw traffic to a backend as if it were idle.
-func TestLoadReportsThatSayNothing(t *testing.T) {
+func TestMalformedLoadReports(t *testing.T) {
 	t.Parallel()
 	for _, text := range []string{
 		"", "TEXT ?", "%%%", `{"`, `{}`, `{"busy_reqs":7}`, `{"busy_reqs":-1,"pending":0}`,
--- a/internal/dataplane/httpproxy/framing_test.go
+++ b/internal/dataplane/httpproxy/framing_test.go
@@ -51,7 +51,7 @@
 
 // What is seen of a connection does not depend on how its bytes were cut, and every head on
 // it is judged, also one that came together with the request before it.
-func TestFrames(t *testing.T) {
+func TestRequestFraming(t *testing.T) {
 	t.Parallel()
 	for name, c := range framingCases() {
 		for cut := range len(c.bytes) {
@@ -80,7 +80,7 @@
 
 // Whatever the bytes: where net/http finds the end of a head, it is found here too, or that
 // head is refused.
-func FuzzFrames(f *testing.F) {
+func FuzzRequestFraming(f *testing.F) {
 	const get = "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
 	for _, s := range []string{
 		get + get, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nab" + get,
--- a/internal/dataplane/httpproxy/front_test.go
+++ b/internal/dataplane/httpproxy/front_test.go
@@ -21,7 +21,7 @@
 }
 
 // However long a client says it waits, its class bounds what it may hold here.
-func TestTheClassBoundsTheTime(t *testing.T) {
+func TestClientTimeoutIsBoundedByTheClass(t *testing.T) {
 	t.Parallel()
 	l := stillEngine(t)
 	r := httptest.NewRequest(http.MethodGet, "/lot-list", nil)
@@ -36,7 +36,7 @@
 
 // Who is turned away before the module hears of him is told when to come again, where the settings let
 // it be told. What a backend says goes on as it is.
-func TestWhoIsTurnedAwayIsToldWhen(t *testing.T) {
+func TestRetryAfterOfRejectedRequests(t *testing.T) {
 	t.Parallel()
 	l := stillEngine(t)
 	told := strconv.FormatFloat(l.RetryAfter().Seconds(), 'f', 3, 64)
@@ -66,7 +66,7 @@
 }
 
 // Without any list it can't serve, and doesn't say so.
-func TestNotReadyWithoutAList(t *testing.T) {
+func TestNotReadyWithoutMembership(t *testing.T) {
 	t.Parallel()
 	l := stillEngine(t)
 	ask := func() int {
--- a/internal/dataplane/httpproxy/handover.go
+++ b/internal/dataplane/httpproxy/handover.go
@@ -47,7 +47,8 @@
 	if !c.headReceived && !t.IsZero() && t.After(c.headDeadline) {
 		t = c.headDeadline
 	}
-	if c.readDeadline = t; c.interrupted || c.readsEnded {
+	c.readDeadline = t
+	if c.interrupted || c.readsEnded {
 		return nil // until the read that is to see it has
 	}
 	return c.Conn.SetReadDeadline(t)
@@ -170,28 +171,29 @@
 
 // AdoptClient goes on with a client's connection that another process has given, and with what had
 // come there. It is this process's from then on, unless it gives an error.
-func (s *Front) AdoptClient(come []byte, nc net.Conn) error {
-	held := 0
-	if len(come) > maxHead {
+func (s *Front) AdoptClient(received []byte, nc net.Conn) error {
+	reserved := 0
+	if len(received) > maxHead {
 		// And a piece more, which is given back first: with all the memory full of what has come, none of
 		// it could be read on.
-		if held = len(come) + pieceSize; !s.memory.TryAcquire(held, budget.Large) {
+		reserved = len(received) + pieceSize
+		if !s.memory.TryAcquire(reserved, budget.Large) {
 			return errNoRoom
 		}
 	}
 	c := s.conns.admit(nc)
 	if c == nil {
-		s.memory.Release(held, budget.Large)
+		s.memory.Release(reserved, budget.Large)
 		return errors.New("all places are taken")
 	}
-	if len(come) == 0 {
+	if len(received) == 0 {
 		go c.park()
 		return nil
 	}
-	c.received = come
-	if held > 0 {
+	c.received = received
+	if reserved > 0 {
 		c.receivedBudget = s.memory
-		c.receivedReserved.Store(int64(held))
+		c.receivedReserved.Store(int64(reserved))
 	}
 	go s.conns.deliver(c)
 	return nil
--- a/internal/dataplane/httpproxy/handover_test.go
+++ b/internal/dataplane/httpproxy/handover_test.go
@@ -206,7 +206,7 @@
 
 // A request that has been read whole is this process's, also while its handler has not begun and net/http reads on
 // behind it: the connection goes to the next process with its answer, or after it.
-func TestARequestThatWasReadIsNotGivenAway(t *testing.T) {
+func TestRequestThatWasReadIsNotHandedOver(t *testing.T) {
 	t.Parallel()
 	old, ln := serving(t)
 	next, _ := serving(t)
@@ -238,7 +238,7 @@
 // A body that is already on its way to a backend, as there was no room to collect it, goes on
 // elsewhere too while all that has come of it is here. A read that fails ends the request's context
 // before its reader hears of it: whichever is met first, it goes on (20 times over).
-func TestABodyOnItsWayGoesOnElsewhere(t *testing.T) {
+func TestRequestWithPartialBodyIsHandedOver(t *testing.T) {
 	t.Parallel()
 	reading := rawBackend(t, func(_ net.Conn, in *bufio.Reader) { _, _ = io.Copy(io.Discard, in) })
 	for range 20 {
@@ -291,7 +291,7 @@
 
 // A connection that rests between two requests goes on too; and where nobody takes what is given,
 // all goes on here.
-func TestKeptConnectionsGoOnElsewhere(t *testing.T) {
+func TestIdleConnectionsAreHandedOver(t *testing.T) {
 	t.Parallel()
 	for _, takes := range []bool{true, false} {
 		old, ln := serving(t)
@@ -333,7 +333,7 @@
 
 // A request in hand, whose last byte has come, is answered where it is; the nudge to give its
 // connection away does not end it.
-func TestARequestInHandStays(t *testing.T) {
+func TestServedRequestIsNotHandedOver(t *testing.T) {
 	t.Parallel()
 	old, ln := serving(t)
 	inHand, finish := make(chan *clientConn, 1), make(chan struct{})
@@ -366,7 +366,7 @@
 }
 
 // What is too much, or finds no room, is not taken, and its giver keeps it.
-func TestAdoptTurnsDown(t *testing.T) {
+func TestAdoptRejects(t *testing.T) {
 	t.Parallel()
 	next, ln := serving(t)
 	far := testutil.Dial(t, ln.Addr().String())
@@ -381,7 +381,7 @@
 
 // A body on its way whose beginning has made room for more can't go on elsewhere: the nudge must not
 // end its reading here, where it comes whole.
-func TestWhatCannotGoOnStays(t *testing.T) {
+func TestHandoverThatIsRejected(t *testing.T) {
 	t.Parallel()
 	served := rawBackend(t, func(c net.Conn, in *bufio.Reader) {
 		for {
--- a/internal/dataplane/httpproxy/pool_test.go
+++ b/internal/dataplane/httpproxy/pool_test.go
@@ -54,7 +54,7 @@
 
 // A backend that closes behind its answer does so at once: a connection rests for a
 // moment where another can be had.
-func TestPoolLetsConnectionsRest(t *testing.T) {
+func TestPoolRestTime(t *testing.T) {
 	t.Parallel()
 	p, b, _ := poolOf(t, 2) // the younger idle since 1 s
 	young, old := p.idle[b][1], p.idle[b][0]
@@ -68,7 +68,7 @@
 
 // A backend that turns a request away for its number of connections closes behind that
 // answer. A bid right behind it would be a reset, which may have run; a listing may try.
-func TestPoolKeepsBidsOffConnectionsThatTurnedAway(t *testing.T) {
+func TestPoolAvoidsRejectedConnections(t *testing.T) {
 	t.Parallel()
 	bid, listing := connections.Request{Utility: 8}, connections.Request{Utility: 1, Effect: connections.Delayed}
 	now := 2*time.Second + rejectedRestTime/2
@@ -101,7 +101,7 @@
 
 // A request on a connection that the backend closes for age at that moment may or
 // may not have run.
-func TestPoolRetiresBeforeTheBackendDoes(t *testing.T) {
+func TestPoolClosesExpiredConnections(t *testing.T) {
 	t.Parallel()
 	p, b, _ := poolOf(t, 2)
 	if c := p.take(b, 46*time.Second, healthCheckStake); c != nil || p.open != 0 {
@@ -111,7 +111,7 @@
 
 // A process that died has reset its connections: a request on one would be a
 // reset, which may have run, where a new connection tells that it never did.
-func TestPoolPassesOverDeadConnections(t *testing.T) {
+func TestPoolSkipsDeadConnections(t *testing.T) {
 	t.Parallel()
 	p, b, far := poolOf(t, 2)
 	want := p.idle[b][0]
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestPoolIsBounded(t *testing.T) {
+func TestPoolMaxOpen(t *testing.T) {
 	t.Parallel()
 	p, b, _ := poolOf(t, 2)
 	if !p.reserveDial() || p.open != 2 || len(p.idle[b]) != 1 {
--- a/internal/dataplane/httpproxy/reply.go
+++ b/internal/dataplane/httpproxy/reply.go
@@ -10,7 +10,7 @@
 )
 
 // What a front of another package does with a backend's answer. It claims the reply in
-// Front.Answer, on the engine's goroutine, and releases it once, on any goroutine.
+// Front.HandleAnswer, on the engine's goroutine, and releases it once, on any goroutine.
 
 // Claim makes the reply the front's, who releases it.
 func (r *Reply) Claim() { r.claimed = true }
--- a/internal/dataplane/httpproxy/streamrelay.go
+++ b/internal/dataplane/httpproxy/streamrelay.go
@@ -1,7 +1,6 @@
 package httpproxy
 
 import (
-	"bufio"
 	"bytes"
 	"encoding/json"
 	"errors"
@@ -28,14 +27,14 @@
 type streamRelay struct {
 	client  net.Conn
 	backend *backendConn
-	body    io.Reader // one of *sized, *chunkReader, *bufio.Reader
+	body    io.Reader // one of *sizedReader, *chunkReader, *bufio.Reader
 	chunked bool      // how the client learns where it ends, if not by length or close
 	pending []byte    // for the client, as it stands on the wire
 	passed  int64     // bytes of the body so far
 	done    bool      // the body has been read to its end
 }
 
-// streamRelayState is a relay in words. Versions that don't know each other's turn it down.
+// streamRelayState is a relay as another process gets it, in JSON. A version that doesn't know it rejects it.
 type streamRelayState struct {
 	Version      int        `json:"Version"`
 	Form         string     `json:"Form"` // of the body: sized, chunks, end
@@ -222,8 +221,8 @@
 	if s.Version != streamRelayVersion || s.Remaining < 0 || s.ChunkState > chunkDone || s.Passed < 0 {
 		return nil, fmt.Errorf("an answer on its way: version %d is not known here", s.Version)
 	}
-	c := &backendConn{Conn: backend, readLimit: &io.LimitedReader{R: io.MultiReader(bytes.NewReader(s.Undecoded), backend), N: math.MaxInt64}}
-	c.reader = bufio.NewReader(c.readLimit)
+	c := newBackendConn(backend, io.MultiReader(bytes.NewReader(s.Undecoded), backend))
+	c.readLimit.N = math.MaxInt64
 	r := &streamRelay{client: client, backend: c, chunked: s.Chunked, pending: s.Pending, passed: s.Passed}
 	switch s.Form {
 	case "sized":
@@ -265,7 +264,9 @@
 	first := append(make([]byte, pieceOverhead, len(d.first)+2*pieceOverhead), d.first...)
 	relay.pending = append(head.Bytes(), relay.encodePiece(first, len(d.first), false)...)
 	relay.passed = int64(len(d.first))
-	if err = relay.run(s.memory, s.handoverStarted, s.currentTransfer); err != nil && !errors.Is(err, errHandedOver) && d.length < 0 && !relay.chunked {
+	err = relay.run(s.memory, s.handoverStarted, s.currentTransfer)
+	endsByClose := d.length < 0 && !relay.chunked
+	if err != nil && !errors.Is(err, errHandedOver) && endsByClose {
 		if c, ok := nc.(*clientConn); ok {
 			c.markReset()
 		}
--- a/internal/dataplane/httpproxy/streamrelay_test.go
+++ b/internal/dataplane/httpproxy/streamrelay_test.go
@@ -161,7 +161,7 @@
 }
 
 // Where nobody takes it, it goes on here.
-func TestAnAnswerThatNobodyTakes(t *testing.T) {
+func TestAnswerHandoverThatIsRejected(t *testing.T) {
 	t.Parallel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -198,7 +198,7 @@
 }
 
 // What another version, or nobody, wrote is turned down.
-func TestStatesThatAreNone(t *testing.T) {
+func TestMalformedRelayStates(t *testing.T) {
 	t.Parallel()
 	for _, s := range []string{
 		"", "{}", `{"Version":2,"Form":"sized"}`, `{"Version":1,"Form":"other"}`,
