--- a/internal/dataplane/httpproxy/carrier_test.go
+++ b/internal/dataplane/httpproxy/carrier_test.go
@@ -41,13 +41,13 @@
 			if _, ok := readRequest(in); !ok {
 				return
 			}
-			io.WriteString(c, okAnswer)
+			_, _ = io.WriteString(c, okAnswer)
 		}
 	})
 	l := stillEngine(t, ready("s-1", addr))
 	before := l.TimerCount()
 	for range 20 {
-		r := l.ask(1, longestSpan)
+		r := l.ask(1, maxSpan)
 		for len(r.answers) == 0 {
 			l.Dispatch(receive(t, l.Events(), "the attempt's end"))
 		}
@@ -97,7 +97,7 @@
 
 // While one attempt runs, its backend may be replaced at its own address: the
 // connection then belongs to nobody and is closed.
-func TestAConnectionDoesNotOutliveItsBackend(t *testing.T) {
+func TestConnectionDoesNotOutliveItsBackend(t *testing.T) {
 	t.Parallel()
 	came, answer := make(chan struct{}, 1), make(chan struct{})
 	closed := make(chan struct{})
@@ -105,8 +105,8 @@
 		if _, ok := readRequest(in); ok {
 			came <- struct{}{}
 			<-answer
-			io.WriteString(c, okAnswer)
-			in.ReadByte()
+			_, _ = io.WriteString(c, okAnswer)
+			_, _ = in.ReadByte()
 			close(closed)
 		}
 	})
@@ -131,19 +131,19 @@
 }
 
 // What load reports hold and what a handshake is worth is what the settings in force say, not those of the start.
-func TestTheCarrierFollowsTheSettings(t *testing.T) {
+func TestCarrierReconfigure(t *testing.T) {
 	t.Parallel()
 	l := stillEngine(t)
 	next := testutil.Module(t)
 	for i := range next.Classes {
 		next.Classes[i].Value *= 4
 	}
-	before := l.carrier.pool.worth
+	before := l.carrier.pool.meanUtility
 	if err := l.Reconfigure(next); err != nil {
 		t.Fatal(err)
 	}
-	l.carrier.Tune([]string{"pending"})
-	if l.carrier.pool.worth != 4*before || len(l.carrier.report) != 1 {
-		t.Errorf("worth %v, was %v; reports are read for %q", l.carrier.pool.worth, before, l.carrier.report)
+	l.carrier.Reconfigure([]string{"pending"})
+	if l.carrier.pool.meanUtility != 4*before || len(l.carrier.loadMetrics) != 1 {
+		t.Errorf("worth %v, was %v; reports are read for %q", l.carrier.pool.meanUtility, before, l.carrier.loadMetrics)
 	}
 }
--- a/internal/dataplane/httpproxy/clients_test.go
+++ b/internal/dataplane/httpproxy/clientconns_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"container/list"
-	"io"
 	"net"
 	"runtime"
 	"testing"
@@ -13,13 +12,13 @@
 )
 
 // bounded is a clients listener, with a channel of what it accepts.
-func bounded(t *testing.T, most int) (*clients, chan *client) {
+func bounded(t *testing.T, most int) (*clientConns, chan *clientConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	cs, accepted := newClients(ln, most), make(chan *client, 16)
+	cs, accepted := newClientConns(ln, most), make(chan *clientConn, 16)
 	t.Cleanup(func() {
 		cs.close()
 		cs.Close()
@@ -30,14 +29,14 @@
 			if err != nil {
 				return
 			}
-			accepted <- c.(*client)
+			accepted <- c.(*clientConn)
 		}
 	}()
 	return cs, accepted
 }
 
 // connect opens a connection, and gives both ends.
-func connect(t *testing.T, cs *clients) (near net.Conn, far *client) {
+func connect(t *testing.T, cs *clientConns) (near net.Conn, far *clientConn) {
 	t.Helper()
 	near = testutil.Dial(t, cs.Addr().String())
 	eventually(t, "the connection to be taken", func() bool {
@@ -54,16 +53,16 @@
 }
 
 // aged makes a connection look as if nothing had come there for so long.
-func aged(c *client, d time.Duration) {
-	c.clients.mu.Lock()
-	defer c.clients.mu.Unlock()
-	c.progress = c.progress.Add(-d)
+func aged(c *clientConn, d time.Duration) {
+	c.conns.mu.Lock()
+	defer c.conns.mu.Unlock()
+	c.lastProgress = c.lastProgress.Add(-d)
 }
 
 // Connections that ask nothing once filled the bound, and nobody else was accepted any
 // more; then those who wrote slowly went first. Now who makes room depends on what has come
 // and how long ago.
-func TestWhoMakesRoom(t *testing.T) {
+func TestEvictionOrder(t *testing.T) {
 	t.Parallel()
 	const part, rest, silent = "part of a request", "between two requests", "nothing yet"
 	for name, c := range map[string]struct {
@@ -71,13 +70,13 @@
 		goesAfter   time.Duration
 		staysAfter  time.Duration
 	}{
-		"who says nothing before who writes":        {silent, part, mute, paused},
-		"who says nothing before who rests":         {silent, rest, mute, rested / 2},
-		"who has rested long before who writes":     {rest, part, rested, paused},
-		"who has stopped writing before who rests":  {part, rest, stalled, 2 * rested},
-		"who has paused before who has just rested": {part, rest, paused, rested / 2},
-		"who rests before who has just connected":   {rest, silent, 0, mute / 2},
-		"of two who write, who has paused longer":   {part, part, paused / 2, 0},
+		"who says nothing before who writes":        {silent, part, silentGrace, usualPause},
+		"who says nothing before who rests":         {silent, rest, silentGrace, restedAfter / 2},
+		"who has rested long before who writes":     {rest, part, restedAfter, usualPause},
+		"who has stopped writing before who rests":  {part, rest, stalledAfter, 2 * restedAfter},
+		"who has paused before who has just rested": {part, rest, usualPause, restedAfter / 2},
+		"who rests before who has just connected":   {rest, silent, 0, silentGrace / 2},
+		"of two who write, who has paused longer":   {part, part, usualPause / 2, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -85,19 +84,19 @@
 			// Many others have a request in hand, and are out of the question.
 			for range 7 {
 				_, far := connect(t, cs)
-				far.busy()
+				far.markBusy()
 			}
-			set := func(what string, age time.Duration) (net.Conn, *client) {
+			set := func(what string, age time.Duration) (net.Conn, *clientConn) {
 				near, far := connect(t, cs)
 				switch what {
 				case part:
-					io.WriteString(near, "G")
+					send(t, near, "G")
 					if _, err := far.Read(make([]byte, 1)); err != nil {
 						t.Fatal(err)
 					}
 				case rest:
-					far.busy()
-					far.rest(true)
+					far.markBusy()
+					far.markIdle(true)
 				}
 				aged(far, age)
 				return near, far
@@ -108,7 +107,7 @@
 			testutil.Ends(t, goes, "the one that can best be spared")
 			cs.mu.Lock()
 			defer cs.mu.Unlock()
-			if stays.in == nil || len(cs.open) != 9 {
+			if stays.queuedIn == nil || len(cs.open) != 9 {
 				t.Errorf("%d connections are kept", len(cs.open))
 			}
 		})
@@ -116,18 +115,18 @@
 }
 
 // A connection with a request in hand is never closed for another: that loses it.
-func TestRequestsInHandKeepTheirConnections(t *testing.T) {
+func TestServingConnectionsAreNotEvicted(t *testing.T) {
 	t.Parallel()
 	cs, _ := bounded(t, 1)
 	near, held := connect(t, cs)
-	held.busy()
+	held.markBusy()
 	turnedAway := testutil.Dial(t, cs.Addr().String())
 	testutil.Ends(t, turnedAway, "a connection beyond the bound")
-	io.WriteString(near, "x")
+	send(t, near, "x")
 	if _, err := held.Read(make([]byte, 1)); err != nil {
 		t.Fatalf("the connection with a request in hand: %v", err)
 	}
-	held.rest(true)
+	held.markIdle(true)
 	connect(t, cs)
 	testutil.Ends(t, near, "the connection that is at rest again")
 	if n := len(cs.open); n != 1 {
@@ -136,13 +135,13 @@
 }
 
 // A request that has come and is not read yet is taken: its connection is not silent.
-func TestUnreadRequestsAreNotSilent(t *testing.T) {
+func TestUnreadRequestsAreNotEvicted(t *testing.T) {
 	t.Parallel()
 	cs, _ := bounded(t, 2)
 	asking, far := connect(t, cs)
 	silent, _ := connect(t, cs)
-	io.WriteString(asking, "GET")
-	eventually(t, "the bytes to arrive", func() bool { return !sockets.Quiet(far.Conn) })
+	send(t, asking, "GET")
+	eventually(t, "the bytes to arrive", func() bool { return !sockets.Idle(far.Conn) })
 	connect(t, cs)
 	testutil.Ends(t, silent, "the silent connection")
 	if _, err := far.Read(make([]byte, 1)); err != nil {
@@ -152,18 +151,18 @@
 
 // Who has said nothing is given to nobody; who says something is, also after the listener
 // has been closed; and that is over when the last has ended.
-func TestOnlyWhoAsksIsAccepted(t *testing.T) {
+func TestOnlyActiveConnectionsAreAccepted(t *testing.T) {
 	t.Parallel()
 	cs, accepted := bounded(t, 9)
 	first, _ := connect(t, cs)
 	second, _ := connect(t, cs)
-	io.WriteString(second, "G")
+	send(t, second, "G")
 	if c := receive(t, accepted, "who has said something"); c.RemoteAddr().String() != second.LocalAddr().String() {
 		t.Error("who has said nothing is accepted")
 	}
 	cs.Close()
-	receive(t, cs.ended, "the listener's end")
-	io.WriteString(first, "G")
+	receive(t, cs.listenerClosed, "the listener's end")
+	send(t, first, "G")
 	c := receive(t, accepted, "who begins after the listener's end")
 	if n, err := c.Read(make([]byte, 9)); n != 1 || err != nil {
 		t.Errorf("%d %v", n, err)
@@ -172,10 +171,10 @@
 
 // A shutdown is over at once, and without an error, while connections are open that have said
 // nothing; and it ends them.
-func TestShutdownEndsWhoSaysNothing(t *testing.T) {
+func TestShutdownEndsSilentConnections(t *testing.T) {
 	t.Parallel()
 	front := stillEngine(t).front
-	front.SetMost(9)
+	front.SetMaxConnections(9)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -184,38 +183,42 @@
 	go func() { served <- front.Serve(ln) }()
 	silent := testutil.Dial(t, ln.Addr().String())
 	eventually(t, "the connection to be taken", func() bool {
-		front.clients.mu.Lock()
-		defer front.clients.mu.Unlock()
-		return front.clients.mute.Len() == 1
+		front.conns.mu.Lock()
+		defer front.conns.mu.Unlock()
+		return front.conns.silent.Len() == 1
 	})
 	ln.Close()
 	if err := front.Shutdown(t.Context()); err != nil {
 		t.Errorf("the shutdown: %v", err)
 	}
-	receive(t, served, "the end of Serve")
+	_ = receive(t, served, "the end of Serve") // its error says that it was closed
 	testutil.Ends(t, silent, "the silent connection")
 }
 
 // One that says nothing has no more time for its head than any other, however late it begins.
-func TestSilenceCountsForTheHead(t *testing.T) {
+func TestHeadTimeoutIncludesSilence(t *testing.T) {
 	t.Parallel()
 	cs, accepted := bounded(t, 9)
 	near, far := connect(t, cs)
 	cs.mu.Lock()
-	by := far.headBy
+	by := far.headDeadline
 	cs.mu.Unlock()
 	if left := time.Until(by); left > headTimeout {
 		t.Fatalf("%v for a head", left)
 	}
-	io.WriteString(near, "G")
+	send(t, near, "G")
 	receive(t, accepted, "who has begun")
-	far.headBy = time.Now().Add(-time.Second)
-	far.SetReadDeadline(time.Now().Add(time.Hour))
+	far.headDeadline = time.Now().Add(-time.Second)
+	if err := far.SetReadDeadline(time.Now().Add(time.Hour)); err != nil {
+		t.Fatal(err)
+	}
 	buf := make([]byte, 1)
 	if _, err := far.Read(buf); !testutil.IsTimeout(err) {
 		t.Errorf("a head after its time: %v", err)
 	}
-	far.SetReadDeadline(time.Time{}) // as net/http does once the head is whole
+	if err := far.SetReadDeadline(time.Time{}); err != nil { // as net/http does once the head is complete
+		t.Fatal(err)
+	}
 	if _, err := far.Read(buf); err != nil {
 		t.Errorf("what follows the head: %v", err)
 	}
@@ -226,7 +229,7 @@
 func TestSilentConnectionsAreCheap(t *testing.T) {
 	const many = 300
 	front := stillEngine(t).front
-	front.SetMost(2 * many)
+	front.SetMaxConnections(2 * many)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -243,26 +246,26 @@
 	}
 	open := func(in *list.List) func() bool {
 		return func() bool {
-			front.clients.mu.Lock()
-			defer front.clients.mu.Unlock()
+			front.conns.mu.Lock()
+			defer front.conns.mu.Unlock()
 			return in.Len() == many
 		}
 	}
-	eventually(t, "all to be taken", open(&front.clients.mute))
+	eventually(t, "all to be taken", open(&front.conns.silent))
 	silent := inUse()
 	for _, c := range near {
-		io.WriteString(c, "G")
+		send(t, c, "G")
 	}
-	eventually(t, "all to be read", open(&front.clients.part))
+	eventually(t, "all to be read", open(&front.conns.partial))
 	begun := inUse()
 	each := func(with uint64) float64 { return (float64(with) - float64(before)) / many }
 	t.Logf("%.0f bytes each while they say nothing, %.0f when they have begun", each(silent), each(begun))
 	if each(silent) > each(begun)/2 {
 		t.Errorf("%.0f bytes for a connection that says nothing, %.0f for one that has begun", each(silent), each(begun))
 	}
-	front.clients.close()
-	front.http.Close()
-	receive(t, served, "the end")
+	front.conns.close()
+	front.server.Close()
+	_ = receive(t, served, "the end") // its error says that it was closed
 }
 
 // inUse is the memory of heap and stacks that is in use.
--- a/internal/dataplane/httpproxy/crossing_test.go
+++ b/internal/dataplane/httpproxy/crossing_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"bytes"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -125,9 +126,9 @@
 		read = func([]byte) {}
 	}
 	l.ln = &gates{ln, read, make(chan *gated, 8)}
-	l.front.SetMost(9)
-	told := l.front.http.ConnState
-	l.front.http.ConnState = func(c net.Conn, s http.ConnState) {
+	l.front.SetMaxConnections(9)
+	told := l.front.server.ConnState
+	l.front.server.ConnState = func(c net.Conn, s http.ConnState) {
 		told(c, s)
 		if s == http.StateClosed {
 			l.closed <- struct{}{}
@@ -138,11 +139,11 @@
 	l.Post(func() {
 		l.ApplyMembership(engine.Membership{Kind: balancer.MembershipFull, Version: 1, Entries: entries})
 	})
-	go l.front.Serve(l.ln)
+	go func() { _ = l.front.Serve(l.ln) }() // until the cleanup closes the listener
 	t.Cleanup(func() {
 		l.ln.Close()
-		l.front.http.Close()
-		l.front.clients.close()
+		l.front.server.Close()
+		l.front.conns.close()
 		stop()
 		<-l.Done()
 	})
@@ -170,39 +171,43 @@
 	}), got
 }
 
-func answered(t *testing.T, in *bufio.Reader) *http.Response {
+func answered(t *testing.T, in *bufio.Reader) (status int, closes bool) {
 	t.Helper()
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
 		t.Fatalf("no answer: %v", err)
 	}
+	defer resp.Body.Close()
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 		t.Fatalf("half an answer: %v", err)
 	}
-	return resp
+	return resp.StatusCode, resp.Close
+}
+
+// waysToEnd are what ends an idle connection; each gives a channel of its own result.
+var waysToEnd = map[string]func(t *testing.T, l *served) (ended chan error){
+	"by the shutdown": func(t *testing.T, l *served) chan error {
+		far := receive(t, l.ln.all, "the connection")
+		l.ln.Close()
+		over, ends := make(chan error, 1), far.watch()
+		go func() { over <- l.front.Shutdown(t.Context()) }()
+		receive(t, ends, "the connection's end")
+		return over
+	},
+	"to make room": func(t *testing.T, l *served) chan error {
+		l.front.SetMaxConnections(0)
+		over := make(chan error, 1)
+		over <- nil
+		return over
+	},
 }
 
 // A request that is read on a resting connection while that is ended, by the shutdown or to make room for others, is
 // nobody's: its client is told by the connection's end that it may send it once more, so it must not be sent on.
 // net/http ends a connection between the read and the state that shows it, and served the request all the same.
-func TestARequestReadAsItsConnectionEndsIsNotSentOn(t *testing.T) {
+func TestRequestReadAsItsConnectionEndsIsNotForwarded(t *testing.T) {
 	t.Parallel()
-	for name, end := range map[string]func(t *testing.T, l *served) (over chan error){
-		"by the shutdown": func(t *testing.T, l *served) chan error {
-			far := receive(t, l.ln.all, "the connection")
-			l.ln.Close()
-			over, ends := make(chan error, 1), far.watch()
-			go func() { over <- l.front.Shutdown(t.Context()) }()
-			receive(t, ends, "the connection's end")
-			return over
-		},
-		"to make room": func(t *testing.T, l *served) chan error {
-			l.front.SetMost(0)
-			over := make(chan error, 1)
-			over <- nil
-			return over
-		},
-	} {
+	for name, end := range waysToEnd {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			gate := newBarrier(t)
@@ -214,15 +219,15 @@
 			}, ready("s-1", addr))
 			c := testutil.Dial(t, l.ln.Addr().String())
 			in := bufio.NewReader(c)
-			io.WriteString(c, get("first"))
+			send(t, c, get("first"))
 			answered(t, in)
 			receive(t, got, "the first request")
 			eventually(t, "the connection to rest", func() bool {
-				l.front.clients.mu.Lock()
-				defer l.front.clients.mu.Unlock()
-				return l.front.clients.idle.Len() == 1
+				l.front.conns.mu.Lock()
+				defer l.front.conns.mu.Unlock()
+				return l.front.conns.idle.Len() == 1
 			})
-			io.WriteString(c, get("second"))
+			send(t, c, get("second"))
 			receive(t, gate.reached, "the second request to be read")
 			over := end(t, l)
 			gate.let()
@@ -243,12 +248,12 @@
 }
 
 // One that has been read before is answered, however long its handler is in beginning.
-func TestARequestThatWasReadOutlivesTheShutdown(t *testing.T) {
+func TestRequestThatWasReadOutlivesShutdown(t *testing.T) {
 	t.Parallel()
 	gate := newBarrier(t)
 	addr, got := answering(t, 6)
 	l := serveFront(t, nil, ready("s-1", addr))
-	l.front.http.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	l.front.server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.Contains(r.URL.Path, "second") {
 			gate.wait()
 		}
@@ -256,27 +261,27 @@
 	})
 	c := testutil.Dial(t, l.ln.Addr().String())
 	in := bufio.NewReader(c)
-	io.WriteString(c, get("first"))
+	send(t, c, get("first"))
 	answered(t, in)
 	receive(t, got, "the first request")
-	io.WriteString(c, get("second"))
+	send(t, c, get("second"))
 	receive(t, gate.reached, "the handler")
 	l.front.Stop()
 	l.ln.Close()
-	l.front.clients.mu.Lock()
-	for far := range l.front.clients.open {
-		far.progress = far.progress.Add(-time.Minute) // nothing has come for long
+	l.front.conns.mu.Lock()
+	for far := range l.front.conns.open {
+		far.lastProgress = far.lastProgress.Add(-time.Minute) // nothing has come for long
 	}
-	l.front.clients.mu.Unlock()
-	l.front.clients.endResting()
-	if l.front.clients.endAll() {
+	l.front.conns.mu.Unlock()
+	l.front.conns.endIdle()
+	if l.front.conns.endAllIfQuiet() {
 		t.Fatal("the shutdown ends a connection whose request it has read")
 	}
 	over := make(chan error, 1)
 	go func() { over <- l.front.Shutdown(t.Context()) }()
 	gate.let()
-	if resp := answered(t, in); resp.StatusCode != http.StatusOK || !resp.Close {
-		t.Errorf("%s, ends its connection: %v", resp.Status, resp.Close)
+	if status, closes := answered(t, in); status != http.StatusOK || !closes {
+		t.Errorf("status %d, ends its connection: %v", status, closes)
 	}
 	if err := receive(t, over, "the end of the shutdown"); err != nil {
 		t.Error(err)
@@ -284,34 +289,39 @@
 }
 
 // What a client has sent behind its request, and nobody reads, must not reset away the answer that it still reads.
-func TestAnAnswerOutlivesItsConnectionsEnd(t *testing.T) {
+func TestAnswerOutlivesItsConnectionsEnd(t *testing.T) {
 	t.Parallel()
 	const size = 60 << 10
 	addr, _ := answering(t, size)
 	l := serveFront(t, nil, ready("s-1", addr))
 	l.front.Stop() // every answer ends its connection
 	d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
-		return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
+		var optErr error
+		err := raw.Control(func(fd uintptr) {
+			optErr = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10)
+		})
+		return errors.Join(err, optErr)
 	}}
 	c, err := d.Dial("tcp", l.ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
-	io.WriteString(c, get("first")+get("second")+strings.Repeat("x", 16<<10))
+	_ = c.SetDeadline(time.Now().Add(patience))
+	send(t, c, get("first")+get("second")+strings.Repeat("x", 16<<10))
 	receive(t, l.closed, "the connection's end here")
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
+	defer resp.Body.Close()
 	if n, err := io.Copy(io.Discard, resp.Body); n != size || err != nil {
 		t.Errorf("%d bytes of %d: %v", n, size, err)
 	}
 }
 
 // Nothing small is held back: neither to clients, whose connection came by a descriptor or not, nor to backends.
-func TestNothingSmallIsHeldBack(t *testing.T) {
+func TestNoDelayIsSet(t *testing.T) {
 	t.Parallel()
 	quick := func(what string, c net.Conn) {
 		t.Helper()
@@ -319,20 +329,23 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		raw.Control(func(fd uintptr) {
+		err = raw.Control(func(fd uintptr) {
 			if on, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY); err != nil || on == 0 {
 				t.Errorf("%s: what is small waits: %v", what, err)
 			}
 		})
+		if err != nil {
+			t.Fatal(err)
+		}
 	}
 	addr, _ := answering(t, 6)
 	l := serveFront(t, nil, ready("s-1", addr))
 	c := testutil.Dial(t, l.ln.Addr().String())
-	io.WriteString(c, get("first"))
+	send(t, c, get("first"))
 	answered(t, bufio.NewReader(c))
 	far := receive(t, l.ln.all, "the connection")
 	quick("a client", far.TCPConn)
-	file, err := far.TCPConn.File()
+	file, err := far.File()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -343,7 +356,7 @@
 	}
 	defer passed.Close()
 	quick("a client that was passed on", passed)
-	x := &exchange{to: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), speaks: platformDialect(), msg: probeMessage(addr), until: time.Now().Add(patience)}
+	x := &exchange{backend: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), dialect: platformDialect(), message: probeMessage(addr), deadline: time.Now().Add(patience)}
 	r := x.run(t.Context(), patience, nil)
 	if r.conn == nil {
 		t.Fatalf("%+v", r)
@@ -356,13 +369,13 @@
 func halfway(t *testing.T, then func(c net.Conn, in *bufio.Reader)) (x *exchange, ended chan Reply) {
 	begun := make(chan struct{})
 	addr := rawBackend(t, func(c net.Conn, in *bufio.Reader) {
-		in.Peek(1)
+		_, _ = in.Peek(1)
 		close(begun)
 		then(c, in)
 	})
 	x = &exchange{
-		to: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), speaks: platformDialect(), msg: probeMessage(addr),
-		until: time.Now().Add(patience), hold: patience / 2,
+		backend: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), dialect: platformDialect(), message: probeMessage(addr),
+		deadline: time.Now().Add(patience), holdback: patience / 2,
 	}
 	ended = make(chan Reply, 1)
 	go func() { ended <- x.run(context.Background(), patience, nil) }()
@@ -371,13 +384,13 @@
 }
 
 // While the last byte is kept back the call may be answered, or its client leave. That byte never goes out then.
-func TestTheLastByteNeedsThePermit(t *testing.T) {
+func TestLastByteNeedsThePermit(t *testing.T) {
 	t.Parallel()
 	rest := make(chan []byte, 1)
 	gate := make(chan struct{})
 	x, ended := halfway(t, func(c net.Conn, in *bufio.Reader) {
 		<-gate
-		io.WriteString(c, okAnswer) // which ends the wait
+		_, _ = io.WriteString(c, okAnswer) // which ends the wait
 		all, _ := io.ReadAll(in)
 		rest <- all
 	})
@@ -395,7 +408,7 @@
 
 // What a backend says before a request is whole is no answer to it: a second answer to the one before, or the end of
 // one. Read as this one's its client would get another's.
-func TestAnEarlyAnswerIsNobodys(t *testing.T) {
+func TestEarlyAnswerIsNoAnswer(t *testing.T) {
 	t.Parallel()
 	for text, want := range map[string]balancer.Result{
 		okAnswer: balancer.NotSent,
@@ -404,8 +417,8 @@
 		"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n": balancer.NotSent,
 	} {
 		_, ended := halfway(t, func(c net.Conn, in *bufio.Reader) {
-			io.WriteString(c, text)
-			io.Copy(io.Discard, in)
+			_, _ = io.WriteString(c, text)
+			_, _ = io.Copy(io.Discard, in)
 		})
 		if r := receive(t, ended, "the attempt's end"); r.result != want || r.conn != nil {
 			t.Errorf("%.20q: %v, connection kept: %v", text, r.result, r.conn != nil)
@@ -414,23 +427,23 @@
 }
 
 // Whoever was called off by this side has not seen a connection break.
-func TestACallOffTeachesNothingOfConnections(t *testing.T) {
+func TestCancellationIsNoConnectionOutcome(t *testing.T) {
 	t.Parallel()
 	addr, got := silent(t)
 	ctx, cancel := context.WithCancel(t.Context())
-	x := &exchange{to: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), speaks: platformDialect(), msg: probeMessage(addr), until: time.Now().Add(patience)}
+	x := &exchange{backend: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), dialect: platformDialect(), message: probeMessage(addr), deadline: time.Now().Add(patience)}
 	ended := make(chan Reply, 1)
 	go func() { ended <- x.run(ctx, patience, nil) }()
 	receive(t, got, "the request")
 	cancel()
-	if r := receive(t, ended, "the attempt's end"); r.result != balancer.Cancelled || r.end.Broken {
-		t.Errorf("%v, a break: %v", r.result, r.end.Broken)
+	if r := receive(t, ended, "the attempt's end"); r.result != balancer.Cancelled || r.connOutcome.Broken {
+		t.Errorf("%v, a break: %v", r.result, r.connOutcome.Broken)
 	}
 }
 
 // A keyed request may go again within its window, and a dial may take longer than what is left of it: the permit is
 // looked at where the last byte goes out.
-func TestNothingGoesOutAfterTheWindow(t *testing.T) {
+func TestNothingIsSentAfterTheIdempotencyWindow(t *testing.T) {
 	t.Parallel()
 	var paths [2]chan string
 	var entries []engine.Entry
@@ -444,7 +457,7 @@
 					return
 				}
 				got <- r.URL.Path
-				io.WriteString(c, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n") // it may have run
+				_, _ = io.WriteString(c, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n") // it may have run
 			}
 		})))
 	}
@@ -473,11 +486,11 @@
 
 // A client that has left gets no attempt, whatever stands before its end in the connection, and however far the
 // engine is behind with the word of it.
-func TestNoAttemptForAClientThatLeft(t *testing.T) {
+func TestNoAttemptForDisconnectedClient(t *testing.T) {
 	t.Parallel()
 	for _, ahead := range []string{"", "G", get("pipelined"), strings.Repeat("x", 64<<10)} {
 		for name, leave := range map[string]func(net.Conn){"closed": func(c net.Conn) { c.Close() }, "reset": func(c net.Conn) {
-			c.(*net.TCPConn).SetLinger(0)
+			_ = c.(*net.TCPConn).SetLinger(0)
 			c.Close()
 		}} {
 			addr, got := answering(t, 6)
@@ -486,10 +499,10 @@
 			l.Post(before.wait)
 			receive(t, before.reached, "the engine")
 			c := testutil.Dial(t, l.ln.Addr().String())
-			io.WriteString(c, get("first"))
+			send(t, c, get("first"))
 			eventually(t, "the request to be taken", func() bool { return len(l.Events()) > 0 })
-			l.Post(after.wait)       // the engine comes to the request, and to nothing that comes later
-			io.WriteString(c, ahead) // net/http looks for the client's end no further than this
+			l.Post(after.wait) // the engine comes to the request, and to nothing that comes later
+			send(t, c, ahead)  // net/http looks for the client's end no further than this
 			leave(c)
 			far := receive(t, l.ln.all, "the connection")
 			eventually(t, "the client's end to be here", func() bool { return ended(far.TCPConn) })
--- a/internal/dataplane/httpproxy/frames_test.go
+++ b/internal/dataplane/httpproxy/framing_test.go
@@ -9,19 +9,19 @@
 	"testing"
 )
 
-// What is seen of a connection does not depend on how its bytes were cut, and every head on
-// it is judged, also one that came together with the request before it.
-func TestFrames(t *testing.T) {
-	t.Parallel()
+// framingCase is bytes of a connection, how many heads end in them, and the number of the first that is rejected.
+type framingCase struct {
+	bytes      string
+	heads, bad int
+}
+
+func framingCases() map[string]framingCase {
 	const (
 		first   = "POST /bid HTTP/1.1\r\n"
 		get     = "GET /lot-list HTTP/1.1\r\nHost: a\r\n\r\n"
 		chunked = first + "transfer-encoding: chunked\r\n\r\n"
 	)
-	for name, c := range map[string]struct {
-		bytes      string
-		heads, bad int
-	}{
+	return map[string]framingCase{
 		"good":                      {first + "Host: a\r\nContent-Length: 3\r\n\r\nabc", 1, 0},
 		"no body":                   {get, 1, 0},
 		"both":                      {first + "Transfer-Encoding: chunked\r\nCONTENT-LENGTH: 3\r\n\r\n", 1, 1},
@@ -46,26 +46,33 @@
 		"a chunk without a size":    {chunked + ";x\r\n\r\n" + get, 1, 2},
 		"a chunk beyond its size":   {chunked + "1\r\nab\r\n0\r\n\r\n" + get, 1, 2},
 		"a chunk beyond all bounds": {chunked + "ffffffffffffffff\r\n" + get, 1, 2},
-	} {
+	}
+}
+
+// What is seen of a connection does not depend on how its bytes were cut, and every head on
+// it is judged, also one that came together with the request before it.
+func TestRequestFraming(t *testing.T) {
+	t.Parallel()
+	for name, c := range framingCases() {
 		for cut := range len(c.bytes) {
-			var f frames
-			f.see([]byte(c.bytes[:cut]))
-			f.see([]byte(c.bytes[cut:]))
-			if f.heads > 0 && !f.between() && f.head != 0 {
-				t.Errorf("%s, cut at %d: %d bytes of a head that has ended", name, cut, f.head)
+			var f requestFraming
+			f.observe([]byte(c.bytes[:cut]))
+			f.observe([]byte(c.bytes[cut:]))
+			if f.headsEnded > 0 && !f.betweenBodies() && f.headBytes != 0 {
+				t.Errorf("%s, cut at %d: %d bytes of a head that has ended", name, cut, f.headBytes)
 			}
-			if f.heads != c.heads || f.bad != c.bad {
-				t.Errorf("%s, cut at %d: %d heads, %d is bad", name, cut, f.heads, f.bad)
+			if f.headsEnded != c.heads || f.rejectFrom != c.bad {
+				t.Errorf("%s, cut at %d: %d heads, %d is bad", name, cut, f.headsEnded, f.rejectFrom)
 			}
 		}
-		var f frames
-		f.see([]byte(c.bytes))
+		var f requestFraming
+		f.observe([]byte(c.bytes))
 		for n := 1; n <= c.heads; n++ {
-			if refused := f.begins(); refused != (c.bad > 0 && n >= c.bad) {
+			if refused := f.beginRequest(); refused != (c.bad > 0 && n >= c.bad) {
 				t.Errorf("%s: head %d is refused: %v", name, n, refused)
 			}
 		}
-		if !f.begins() {
+		if !f.beginRequest() {
 			t.Errorf("%s: a head that never ended goes through", name)
 		}
 	}
@@ -73,7 +80,7 @@
 
 // Whatever the bytes: where net/http finds the end of a head, it is found here too, or that
 // head is refused.
-func FuzzFrames(f *testing.F) {
+func FuzzRequestFraming(f *testing.F) {
 	const get = "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
 	for _, s := range []string{
 		get + get, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nab" + get,
@@ -86,14 +93,16 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		under := bytes.NewReader(data)
 		in := bufio.NewReader(under)
-		var seen frames
+		var seen requestFraming
 		fed := 0
 		for n := 1; ; n++ {
 			for n > 1 { // as net/http does after a POST
 				if p, _ := in.Peek(1); len(p) == 0 || p[0] != '\r' && p[0] != '\n' {
 					break
 				}
-				in.Discard(1)
+				if _, err := in.Discard(1); err != nil {
+					t.Fatal(err)
+				}
 			}
 			r, err := http.ReadRequest(in)
 			if err != nil {
@@ -101,12 +110,12 @@
 			}
 			end := len(data) - under.Len() - in.Buffered()
 			before := seen
-			seen.see(data[fed:end])
-			if seen.begins() {
+			seen.observe(data[fed:end])
+			if seen.beginRequest() {
 				return
 			}
-			if before.see(data[fed : end-1]); seen.heads != n || before.heads != n-1 {
-				t.Fatalf("%q: net/http's head %d ends at byte %d; %d seen before it, %d with it", data, n, end, before.heads, seen.heads)
+			if before.observe(data[fed : end-1]); seen.headsEnded != n || before.headsEnded != n-1 {
+				t.Fatalf("%q: net/http's head %d ends at byte %d; %d seen before it, %d with it", data, n, end, before.headsEnded, seen.headsEnded)
 			}
 			fed = end
 			if _, err := io.Copy(io.Discard, r.Body); err != nil {
--- a/internal/dataplane/httpproxy/handon_test.go
+++ b/internal/dataplane/httpproxy/handover_test.go
@@ -36,7 +36,7 @@
 func servingLater(t *testing.T, entries ...engine.Entry) (front *Front, ln net.Listener, run func()) {
 	t.Helper()
 	front = stillEngine(t, entries...).front
-	front.SetMost(64)
+	front.SetMaxConnections(64)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -49,8 +49,8 @@
 		front.engine.ApplyMembership(engine.Membership{Kind: balancer.MembershipFull, Version: 1, Entries: entries})
 	})
 	t.Cleanup(func() {
-		front.http.Close()
-		front.clients.close()
+		front.server.Close()
+		front.conns.close()
 		<-served
 		stop()
 		<-front.engine.Done()
@@ -69,7 +69,7 @@
 
 // to gives connections to another front, as another process would have them: in descriptors of
 // its own.
-func to(t *testing.T, next *Front, taken *atomic.Int64) Giver {
+func to(t *testing.T, next *Front, taken *atomic.Int64) TransferFunc {
 	return func(state []byte, client, backend net.Conn) bool {
 		f, err := client.(*net.TCPConn).File()
 		if err != nil {
@@ -104,105 +104,122 @@
 	return b.String() + "0\r\n" + rapid.SampledFrom([]string{"", "A: b\r\n", "A: b\r\nC: d\r\n"}).Draw(rt, "trailer") + "\r\n"
 }
 
+// drawnRequest is a request of any form, and where in it its connection is handed over.
+type drawnRequest struct {
+	text, body string
+	cut        int
+	settled    bool // what has come is read before the handover
+}
+
+const drawnID = "00000000000000aa"
+
+func drawRequest(rt *rapid.T) drawnRequest {
+	var d drawnRequest
+	d.body = strings.Repeat("abcdefg", rapid.IntRange(0, 110<<10).Draw(rt, "length")/7)
+	head := "POST /bid/x HTTP/1.1\r\nHost: origin.svc\r\nX-Account: obala\r\nX-Time-Left: 9000m\r\n" + headerID + ": " + drawnID + "\r\n"
+	switch rapid.SampledFrom([]string{"length", "chunks", "none"}).Draw(rt, "form") {
+	case "length":
+		d.text = fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(d.body), d.body)
+	case "chunks":
+		d.text = head + "Transfer-Encoding: chunked\r\n\r\n" + inChunks(rt, d.body)
+	default:
+		d.body, d.text = "", head+"\r\n"
+	}
+	d.cut = rapid.IntRange(0, len(d.text)-1).Draw(rt, "cut")
+	d.settled = rapid.Bool().Draw(rt, "what has come is read")
+	return d
+}
+
+// allRead tells whether a front's connection has nothing to be read.
+func allRead(f *Front) bool {
+	f.conns.mu.Lock()
+	defer f.conns.mu.Unlock()
+	for c := range f.conns.open {
+		return sockets.Idle(c.Conn)
+	}
+	return false
+}
+
+func openConns(f *Front) int {
+	f.conns.mu.Lock()
+	defer f.conns.mu.Unlock()
+	return len(f.conns.open)
+}
+
 // Wherever in a request, before it or between two, a connection is given to the next process: what
 // the client asks is what that one reads, and the client sees nothing of it.
-func TestARequestGoesOnElsewhere(t *testing.T) {
+func TestRequestIsHandedOver(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
 		old, ln := serving(t)
 		next, _ := serving(t)
-		next.http.Handler = http.HandlerFunc(echo)
-		body := strings.Repeat("abcdefg", rapid.IntRange(0, 110<<10).Draw(rt, "length")/7)
-		const id = "00000000000000aa"
-		head := "POST /bid/x HTTP/1.1\r\nHost: origin.svc\r\nX-Account: obala\r\nX-Time-Left: 9000m\r\n" + headerID + ": " + id + "\r\n"
-		var text string
-		switch rapid.SampledFrom([]string{"length", "chunks", "none"}).Draw(rt, "form") {
-		case "length":
-			text = fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(body), body)
-		case "chunks":
-			text = head + "Transfer-Encoding: chunked\r\n\r\n" + inChunks(rt, body)
-		default:
-			body, text = "", head+"\r\n"
-		}
-		cut := rapid.IntRange(0, len(text)-1).Draw(rt, "cut")
-		settled := rapid.Bool().Draw(rt, "what has come is read")
+		next.server.Handler = http.HandlerFunc(echo)
+		d := drawRequest(rt)
 		client, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer client.Close()
-		client.SetDeadline(time.Now().Add(testutil.Patience))
-		io.WriteString(client, text[:cut])
-		eventually(t, "the connection to be taken", func() bool {
-			old.clients.mu.Lock()
-			defer old.clients.mu.Unlock()
-			return len(old.clients.open) == 1
-		})
-		if settled {
-			eventually(t, "all to be read", func() bool {
-				old.clients.mu.Lock()
-				defer old.clients.mu.Unlock()
-				for c := range old.clients.open {
-					return sockets.Quiet(c.Conn)
-				}
-				return false
-			})
+		if err := client.SetDeadline(time.Now().Add(testutil.Patience)); err != nil {
+			t.Fatal(err)
+		}
+		send(t, client, d.text[:d.cut])
+		eventually(t, "the connection to be taken", func() bool { return openConns(old) == 1 })
+		if d.settled {
+			eventually(t, "all to be read", func() bool { return allRead(old) })
 		}
 		var taken atomic.Int64
-		old.LetGo(to(t, next, &taken))
-		if settled {
-			eventually(t, fmt.Sprintf("it to be taken, cut at %d of %.400q", cut, text), func() bool { return taken.Load() == 1 })
+		old.HandOver(to(t, next, &taken))
+		if d.settled {
+			eventually(t, fmt.Sprintf("it to be taken, cut at %d of %.400q", d.cut, d.text), func() bool { return taken.Load() == 1 })
 		}
-		io.WriteString(client, text[cut:])
+		send(t, client, d.text[d.cut:])
 		resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 		if err != nil {
-			rt.Fatalf("cut at %d of %q: %v", cut, text[:min(len(text), 300)], err)
+			rt.Fatalf("cut at %d of %q: %v", d.cut, d.text[:min(len(d.text), 300)], err)
 		}
+		defer resp.Body.Close()
 		got, _ := io.ReadAll(resp.Body)
-		if !settled && resp.StatusCode == http.StatusServiceUnavailable {
-			return // it had come whole before it could be given: the old one, which has no backends, answered
+		if !d.settled && resp.StatusCode == http.StatusServiceUnavailable {
+			return // it was complete before it could be given: the old one, which has no backends, answered
 		}
-		if want := fmt.Sprintf("POST /bid/x %s %x %d", id, sha256.Sum256([]byte(body)), len(body)); string(got) != want {
-			rt.Fatalf("cut at %d of %.300q: %d %q, want %q", cut, text, resp.StatusCode, got, want)
+		if want := fmt.Sprintf("POST /bid/x %s %x %d", drawnID, sha256.Sum256([]byte(d.body)), len(d.body)); string(got) != want {
+			rt.Fatalf("cut at %d of %.300q: %d %q, want %q", d.cut, d.text, resp.StatusCode, got, want)
 		}
-		eventually(t, "the old one to have nothing left", func() bool {
-			old.clients.mu.Lock()
-			defer old.clients.mu.Unlock()
-			return len(old.clients.open) == 0 && old.room.Used() == 0
-		})
+		eventually(t, "the old one to have nothing left", func() bool { return openConns(old) == 0 && old.memory.Used() == 0 })
 		client.Close()
-		eventually(t, "the room to be given back", func() bool { return next.room.Used() == 0 })
+		eventually(t, "the memory to be given back", func() bool { return next.memory.Used() == 0 })
 	})
 }
 
 // isNudged tells whether the one connection of a front has a nudge that no read has taken, and whether it has one.
 func isNudged(f *Front) (nudged, open bool) {
-	f.clients.mu.Lock()
-	defer f.clients.mu.Unlock()
-	for c := range f.clients.open {
-		c.reads.Lock()
-		defer c.reads.Unlock()
-		return c.nudged, true
+	f.conns.mu.Lock()
+	defer f.conns.mu.Unlock()
+	for c := range f.conns.open {
+		c.readDeadlineMu.Lock()
+		defer c.readDeadlineMu.Unlock()
+		return c.interrupted, true
 	}
 	return false, false
 }
 
 // A request that has been read whole is this process's, also while its handler has not begun and net/http reads on
 // behind it: the connection goes to the next process with its answer, or after it.
-func TestARequestThatWasReadIsNotGivenAway(t *testing.T) {
+func TestRequestThatWasReadIsNotHandedOver(t *testing.T) {
 	t.Parallel()
 	old, ln := serving(t)
 	next, _ := serving(t)
 	gate := newBarrier(t)
-	old.http.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	old.server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		gate.wait()
 		old.ServeHTTP(w, r)
 	})
 	client := testutil.Dial(t, ln.Addr().String())
-	io.WriteString(client, get("whole"))
+	send(t, client, get("whole"))
 	receive(t, gate.reached, "the handler")
 	var taken atomic.Int64
-	old.LetGo(to(t, next, &taken))
+	old.HandOver(to(t, next, &taken))
 	eventually(t, "the read behind the request to have seen that", func() bool {
 		nudged, open := isNudged(old)
 		return !nudged || !open // else it has been given away
@@ -212,6 +229,7 @@
 	if err != nil {
 		t.Fatalf("no answer: %v", err)
 	}
+	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusServiceUnavailable { // it has no backends
 		t.Error(resp.Status)
 	}
@@ -220,50 +238,51 @@
 // A body that is already on its way to a backend, as there was no room to collect it, goes on
 // elsewhere too while all that has come of it is here. A read that fails ends the request's context
 // before its reader hears of it: whichever is met first, it goes on (20 times over).
-func TestABodyOnItsWayGoesOnElsewhere(t *testing.T) {
+func TestRequestWithPartialBodyIsHandedOver(t *testing.T) {
 	t.Parallel()
-	reading := rawBackend(t, func(_ net.Conn, in *bufio.Reader) { io.Copy(io.Discard, in) })
+	reading := rawBackend(t, func(_ net.Conn, in *bufio.Reader) { _, _ = io.Copy(io.Discard, in) })
 	for range 20 {
 		old, ln, run := servingLater(t, ready("s-1", reading))
 		next, _ := serving(t)
-		next.http.Handler = http.HandlerFunc(echo)
+		next.server.Handler = http.HandlerFunc(echo)
 		body := strings.Repeat("abcdefgh", 96<<10/8)
 		client := testutil.Dial(t, ln.Addr().String())
 		const others = 680 << 10
-		if !old.room.TryAcquire(others, budget.Large) {
+		if !old.memory.TryAcquire(others, budget.Large) {
 			t.Fatal("no room to take")
 		}
 		fmt.Fprintf(client, "POST /bid/x HTTP/1.1\r\nHost: a\r\nX-Account: obala\r\nX-Time-Left: 9000m\r\n%s: 00000000000000aa\r\nContent-Length: %d\r\n\r\n",
 			headerID, len(body))
-		io.WriteString(client, body[:40<<10])
+		send(t, client, body[:40<<10])
 		partly := func() bool {
-			old.clients.mu.Lock()
-			defer old.clients.mu.Unlock()
-			for c := range old.clients.open {
-				return c.partly
+			old.conns.mu.Lock()
+			defer old.conns.mu.Unlock()
+			for c := range old.conns.open {
+				return c.receivingBody
 			}
 			return false
 		}
 		eventually(t, "it to be on its way", partly)
-		old.room.Release(others, budget.Large)
+		old.memory.Release(others, budget.Large)
 		run()
-		io.WriteString(client, body[40<<10:80<<10])
+		send(t, client, body[40<<10:80<<10])
 		eventually(t, "all to be read", func() bool {
-			old.clients.mu.Lock()
-			defer old.clients.mu.Unlock()
-			for c := range old.clients.open {
-				return sockets.Quiet(c.Conn)
+			old.conns.mu.Lock()
+			defer old.conns.mu.Unlock()
+			for c := range old.conns.open {
+				return sockets.Idle(c.Conn)
 			}
 			return false
 		})
 		var taken atomic.Int64
-		old.LetGo(to(t, next, &taken))
+		old.HandOver(to(t, next, &taken))
 		eventually(t, "it to be taken", func() bool { return taken.Load() == 1 })
-		io.WriteString(client, body[80<<10:])
+		send(t, client, body[80<<10:])
 		resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
+		defer resp.Body.Close()
 		if got, _ := io.ReadAll(resp.Body); !strings.HasSuffix(string(got), fmt.Sprintf("%x %d", sha256.Sum256([]byte(body)), len(body))) {
 			t.Fatalf("%d %q", resp.StatusCode, got)
 		}
@@ -272,25 +291,26 @@
 
 // A connection that rests between two requests goes on too; and where nobody takes what is given,
 // all goes on here.
-func TestKeptConnectionsGoOnElsewhere(t *testing.T) {
+func TestIdleConnectionsAreHandedOver(t *testing.T) {
 	t.Parallel()
 	for _, takes := range []bool{true, false} {
 		old, ln := serving(t)
-		old.http.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			clientOf(r).begins()
+		old.server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			clientOf(r).beginRequest()
 			echo(w, r)
 		})
 		next, _ := serving(t)
-		next.http.Handler = http.HandlerFunc(echo)
+		next.server.Handler = http.HandlerFunc(echo)
 		client := testutil.Dial(t, ln.Addr().String())
 		in := bufio.NewReader(client)
 		ask := func() {
 			t.Helper()
-			io.WriteString(client, "POST /bid/x HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc")
+			send(t, client, "POST /bid/x HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc")
 			resp, err := http.ReadResponse(in, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
+			defer resp.Body.Close()
 			if body, _ := io.ReadAll(resp.Body); !strings.HasSuffix(string(body), " 3") {
 				t.Errorf("%d %q", resp.StatusCode, body)
 			}
@@ -298,7 +318,7 @@
 		ask()
 		var taken, offered atomic.Int64
 		give := to(t, next, &taken)
-		old.LetGo(func(state []byte, c, b net.Conn) bool {
+		old.HandOver(func(state []byte, c, b net.Conn) bool {
 			offered.Add(1)
 			return takes && give(state, c, b)
 		})
@@ -313,14 +333,14 @@
 
 // A request in hand, whose last byte has come, is answered where it is; the nudge to give its
 // connection away does not end it.
-func TestARequestInHandStays(t *testing.T) {
+func TestServedRequestIsNotHandedOver(t *testing.T) {
 	t.Parallel()
 	old, ln := serving(t)
-	inHand, finish := make(chan *client, 1), make(chan struct{})
-	old.http.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	inHand, finish := make(chan *clientConn, 1), make(chan struct{})
+	old.server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c := clientOf(r)
-		c.begins()
-		io.Copy(io.Discard, r.Body)
+		c.beginRequest()
+		_, _ = io.Copy(io.Discard, r.Body)
 		inHand <- c
 		select {
 		case <-finish:
@@ -330,46 +350,45 @@
 		}
 	})
 	near := testutil.Dial(t, ln.Addr().String())
-	io.WriteString(near, "POST /bid/x HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc")
+	send(t, near, "POST /bid/x HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc")
 	c := receive(t, inHand, "the request")
-	old.LetGo(func([]byte, net.Conn, net.Conn) bool { return false })
-	c.nudge() // as where it was still being read when the nudge was on its way
+	old.HandOver(func([]byte, net.Conn, net.Conn) bool { return false })
+	c.interruptRead() // as where it was still being read when the nudge was on its way
 	eventually(t, "the nudge to be taken", func() bool {
-		c.reads.Lock()
-		defer c.reads.Unlock()
-		return !c.nudged
+		c.readDeadlineMu.Lock()
+		defer c.readDeadlineMu.Unlock()
+		return !c.interrupted
 	})
 	close(finish)
-	resp, err := http.ReadResponse(bufio.NewReader(near), nil)
-	if err != nil || resp.StatusCode != 200 {
-		t.Errorf("%+v %v", resp, err)
+	if status, _ := answered(t, bufio.NewReader(near)); status != http.StatusOK {
+		t.Errorf("status %d", status)
 	}
 }
 
 // What is too much, or finds no room, is not taken, and its giver keeps it.
-func TestAdoptTurnsDown(t *testing.T) {
+func TestAdoptRejects(t *testing.T) {
 	t.Parallel()
 	next, ln := serving(t)
 	far := testutil.Dial(t, ln.Addr().String())
 	if err := next.AdoptClient(make([]byte, 2<<20), far); !errors.Is(err, errNoRoom) {
 		t.Errorf("2 MB in a room of 1: %v", err)
 	}
-	next.SetMost(0)
-	if err := next.AdoptClient(make([]byte, 100<<10), far); err == nil || next.room.Used() != 0 {
-		t.Errorf("with no place: %v, %d bytes held", err, next.room.Used())
+	next.SetMaxConnections(0)
+	if err := next.AdoptClient(make([]byte, 100<<10), far); err == nil || next.memory.Used() != 0 {
+		t.Errorf("with no place: %v, %d bytes held", err, next.memory.Used())
 	}
 }
 
 // A body on its way whose beginning has made room for more can't go on elsewhere: the nudge must not
 // end its reading here, where it comes whole.
-func TestWhatCannotGoOnStays(t *testing.T) {
+func TestHandoverThatIsRejected(t *testing.T) {
 	t.Parallel()
 	served := rawBackend(t, func(c net.Conn, in *bufio.Reader) {
 		for {
 			if _, ok := readRequest(in); !ok {
 				return
 			}
-			io.WriteString(c, okAnswer)
+			_, _ = io.WriteString(c, okAnswer)
 		}
 	})
 	old, ln := serving(t, ready("s-1", served))
@@ -377,20 +396,20 @@
 	client := testutil.Dial(t, ln.Addr().String())
 	fmt.Fprintf(client, "POST /bid/x HTTP/1.1\r\nHost: a\r\nX-Account: obala\r\nX-Time-Left: 9000m\r\n%s: 00000000000000aa\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n",
 		headerID, len(body))
-	io.WriteString(client, body[:280<<10])
+	send(t, client, body[:280<<10])
 	eventually(t, "its beginning to have gone", func() bool {
-		old.clients.mu.Lock()
-		defer old.clients.mu.Unlock()
-		for c := range old.clients.open {
-			if !c.partly {
+		old.conns.mu.Lock()
+		defer old.conns.mu.Unlock()
+		for c := range old.conns.open {
+			if !c.receivingBody {
 				return false
 			}
-			_, all := c.body.all()
-			return !all && sockets.Quiet(c.Conn)
+			_, all := c.body.received()
+			return !all && sockets.Idle(c.Conn)
 		}
 		return false
 	})
-	old.LetGo(func(come []byte, _, _ net.Conn) bool {
+	old.HandOver(func(come []byte, _, _ net.Conn) bool {
 		if len(come) > 0 { // else it is the connection, when all is answered
 			t.Error("it is given away")
 		}
@@ -400,8 +419,8 @@
 		nudged, open := isNudged(old)
 		return open && !nudged
 	})
-	io.WriteString(client, body[280<<10:]+"\r\n0\r\n\r\n")
-	if resp, err := http.ReadResponse(bufio.NewReader(client), nil); err != nil || resp.StatusCode != 200 {
-		t.Errorf("%+v %v", resp, err)
+	send(t, client, body[280<<10:]+"\r\n0\r\n\r\n")
+	if status, _ := answered(t, bufio.NewReader(client)); status != http.StatusOK {
+		t.Errorf("status %d", status)
 	}
 }
--- a/internal/dataplane/httpproxy/pool_test.go
+++ b/internal/dataplane/httpproxy/pool_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"io"
 	"net"
 	"testing"
 	"time"
@@ -21,8 +20,8 @@
 	t.Cleanup(func() { ln.Close() })
 	b := engine.NewBackend("s-1", ln.Addr().String(), true)
 	p := &pool{
-		most: n, maxIdle: 45 * time.Second, idle: map[*engine.Backend][]*conn{},
-		model: connections.New(connections.DefaultConfig(3, 0.03)), worth: 3,
+		maxOpen: n, maxIdle: 45 * time.Second, idle: map[*engine.Backend][]*backendConn{},
+		model: connections.New(connections.DefaultConfig(3, 0.03)), meanUtility: 3,
 	}
 	var far []net.Conn
 	for i := range n {
@@ -36,10 +35,10 @@
 		}
 		t.Cleanup(func() { nc.Close(); other.Close() })
 		far = append(far, other)
-		if !p.mayDial() {
+		if !p.reserveDial() {
 			t.Fatal("no place for the connection")
 		}
-		p.put(b, &conn{Conn: nc, in: bufio.NewReader(nc)}, time.Duration(i)*time.Second)
+		p.put(b, &backendConn{Conn: nc, reader: bufio.NewReader(nc)}, time.Duration(i)*time.Second)
 	}
 	return p, b, far
 }
@@ -48,35 +47,35 @@
 	t.Parallel()
 	p, b, _ := poolOf(t, 3)
 	want := p.idle[b][2]
-	if c := p.take(b, 3*time.Second, probeStake); c != want {
+	if c := p.take(b, 3*time.Second, healthCheckStake); c != want {
 		t.Error("not the most recently used")
 	}
 }
 
 // A backend that closes behind its answer does so at once: a connection rests for a
 // moment where another can be had.
-func TestPoolLetsConnectionsRest(t *testing.T) {
+func TestPoolRestTime(t *testing.T) {
 	t.Parallel()
 	p, b, _ := poolOf(t, 2) // the younger idle since 1 s
 	young, old := p.idle[b][1], p.idle[b][0]
-	if c := p.take(b, time.Second+restFor/2, probeStake); c != old {
+	if c := p.take(b, time.Second+restTime/2, healthCheckStake); c != old {
 		t.Error("the connection that was used just now was taken before the other")
 	}
-	if c := p.take(b, time.Second+restFor/2, probeStake); c != young {
+	if c := p.take(b, time.Second+restTime/2, healthCheckStake); c != young {
 		t.Error("where there is no other, it is not taken")
 	}
 }
 
 // A backend that turns a request away for its number of connections closes behind that
 // answer. A bid right behind it would be a reset, which may have run; a listing may try.
-func TestPoolKeepsBidsOffConnectionsThatTurnedAway(t *testing.T) {
+func TestPoolAvoidsRejectedConnections(t *testing.T) {
 	t.Parallel()
 	bid, listing := connections.Request{Utility: 8}, connections.Request{Utility: 1, Effect: connections.Delayed}
-	now := 2*time.Second + shyFor/2
+	now := 2*time.Second + rejectedRestTime/2
 	p, b, _ := poolOf(t, 2) // idle since 0 and 1 s
-	p.most++
+	p.maxOpen++
 	young := p.idle[b][1]
-	young.idleSince, young.turnedAway = 2*time.Second, true
+	young.idleSince, young.lastRejected = 2*time.Second, true
 	if c := p.take(b, now, bid); c == young || c == nil {
 		t.Error("with another at hand, a bid got the one that turned away, or none")
 	}
@@ -90,11 +89,11 @@
 		t.Error("a listing does not take it")
 	}
 	p.put(b, young, 2*time.Second)
-	if c := p.take(b, 2*time.Second+2*shyFor, bid); c != young {
+	if c := p.take(b, 2*time.Second+2*rejectedRestTime, bid); c != young {
 		t.Error("after its time a bid does not take it")
 	}
 	p.put(b, young, 4*time.Second)
-	p.most = p.open
+	p.maxOpen = p.open
 	if c := p.take(b, 4*time.Second, bid); c != young {
 		t.Error("where no other can be had, a bid does not take it")
 	}
@@ -102,42 +101,42 @@
 
 // A request on a connection that the backend closes for age at that moment may or
 // may not have run.
-func TestPoolRetiresBeforeTheBackendDoes(t *testing.T) {
+func TestPoolClosesExpiredConnections(t *testing.T) {
 	t.Parallel()
 	p, b, _ := poolOf(t, 2)
-	if c := p.take(b, 46*time.Second, probeStake); c != nil || p.open != 0 {
+	if c := p.take(b, 46*time.Second, healthCheckStake); c != nil || p.open != 0 {
 		t.Errorf("an old connection was taken, or %d are still counted", p.open)
 	}
 }
 
 // A process that died has reset its connections: a request on one would be a
 // reset, which may have run, where a new connection tells that it never did.
-func TestPoolPassesOverDeadConnections(t *testing.T) {
+func TestPoolSkipsDeadConnections(t *testing.T) {
 	t.Parallel()
 	p, b, far := poolOf(t, 2)
 	want := p.idle[b][0]
 	far[1].Close()
-	eventually(t, "the end to arrive", func() bool { return !p.idle[b][1].alive() })
-	if c := p.take(b, 2*time.Second, probeStake); c != want {
+	eventually(t, "the end to arrive", func() bool { return !p.idle[b][1].reusable() })
+	if c := p.take(b, 2*time.Second, healthCheckStake); c != want {
 		t.Error("the closed connection was not passed over")
 	}
 	// What nobody asked for belongs to no request.
 	p.put(b, want, 2*time.Second)
-	io.WriteString(far[0], okAnswer)
-	eventually(t, "the noise to arrive", func() bool { return !want.alive() })
-	if c := p.take(b, 2*time.Second, probeStake); c != nil {
+	send(t, far[0], okAnswer)
+	eventually(t, "the noise to arrive", func() bool { return !want.reusable() })
+	if c := p.take(b, 2*time.Second, healthCheckStake); c != nil {
 		t.Error("a connection with an answer to nothing was taken")
 	}
 }
 
-func TestPoolIsBounded(t *testing.T) {
+func TestPoolMaxOpen(t *testing.T) {
 	t.Parallel()
 	p, b, _ := poolOf(t, 2)
-	if !p.mayDial() || p.open != 2 || len(p.idle[b]) != 1 {
+	if !p.reserveDial() || p.open != 2 || len(p.idle[b]) != 1 {
 		t.Errorf("with all places taken by idle ones: %d open, %d idle", p.open, len(p.idle[b]))
 	}
-	p.take(b, 2*time.Second, probeStake)
-	if p.mayDial() {
+	p.take(b, 2*time.Second, healthCheckStake)
+	if p.reserveDial() {
 		t.Error("a place was given beyond the bound")
 	}
 }
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -117,7 +117,7 @@
 			return fmt.Errorf("configuration: %w", err)
 		}
 		p.engine.SetMaxOpenCalls(next.Config.MaxOpenRequests)
-		p.carrier.Tune(next.Config.ReportNames)
+		p.carrier.Reconfigure(next.Config.ReportNames)
 		if p.counts != nil {
 			p.counts.SetClasses(p.engine.Settings().Classes)
 		}
