--- /dev/null
+++ b/internal/dataplane/msgpackrpc/call.go
@@ -0,0 +1,152 @@
+package msgpackrpc
+
+import (
+	"crypto/rand"
+	"encoding/hex"
+	"hash/fnv"
+	"io"
+	"time"
+
+	"marlreel/internal/balancer"
+	"marlreel/internal/dataplane/engine"
+)
+
+// nilValue is nil, encoded.
+var nilValue = []byte{0xc0}
+
+// call is a client's call, from its message to its answer.
+type call struct {
+	engine.Call
+	conn         *clientConn
+	msgid        uint32
+	notification bool // nobody waits for its answer
+}
+
+var _ engine.Front = (*call)(nil)
+
+// newCall makes a call of a message. Its error is the client's fault.
+func (c *clientConn) newCall(m message, arrived time.Duration, notification bool) (*call, *callError) {
+	s := c.server
+	method := s.methodOf(m.method)
+	if method == nil {
+		return nil, &callError{Code: codeNoMethod, Message: "no such method"}
+	}
+	if notification && !method.AcceptNotifications {
+		return nil, &callError{Code: codeBadRequest, Message: "no notification is taken of this method"}
+	}
+	params, err := splitParams(m.params)
+	if err != nil {
+		return nil, &callError{Code: codeBadRequest, Message: err.Error()}
+	}
+	request, rules, problem := s.newRequest(method, &params.meta, arrived)
+	if problem != nil {
+		return nil, problem
+	}
+	if params.meta.RequestID == "" {
+		params.meta.RequestID = newRequestID()
+	}
+	q := &call{conn: c, msgid: m.id, notification: notification, Call: engine.Call{
+		Name: params.meta.RequestID, Carrier: s.carrier, Book: rules, Request: request,
+		Payload: &payload{
+			method: m.method, args: params.args, count: params.count, meta: params.meta, hasMeta: params.hasMeta,
+			notification: notification,
+		},
+	}}
+	q.Front = q
+	q.Here = c.isOpen
+	return q, nil
+}
+
+// newRequest makes the balancer's request of a call, by the settings in force.
+func (s *Server) newRequest(method *Method, meta *Metadata, arrived time.Duration) (balancer.Request, *engine.Book, *callError) {
+	rules := s.engine.Book()
+	class, known := rules.Classes[method.Class]
+	if !known {
+		return balancer.Request{}, nil, &callError{Code: codeNoMethod, Message: "the method's class is out of use"}
+	}
+	settings := &rules.Settings.Classes[class]
+	if (meta.IdempotencyKey != "") != (settings.Effect == balancer.Keyed) {
+		return balancer.Request{}, nil, &callError{Code: codeBadRequest, Message: "$key is missing or out of place"}
+	}
+	tenant, known := s.tenantOf(rules, meta.Tenant)
+	if !known {
+		return balancer.Request{}, nil, &callError{Code: codeBadRequest, Message: "$house is missing or unknown"}
+	}
+	timeout := settings.ClientTimeout
+	if meta.TimeoutMs > 0 {
+		timeout = min(timeout, time.Duration(meta.TimeoutMs*float64(time.Millisecond)))
+	}
+	return balancer.Request{
+		Class: class, Tenant: tenant, Key: affinityHash(meta.AffinityKey), IsRetry: meta.IsRetry,
+		Deadline: arrived + timeout,
+	}, rules, nil
+}
+
+// tenantOf is the number of a tenant, and false where the settings have tenants and not this one.
+func (s *Server) tenantOf(rules *engine.Book, name string) (int, bool) {
+	if len(rules.Tenants) == 0 {
+		return 0, true
+	}
+	if name == "" {
+		name = s.config.DefaultTenant
+	}
+	tenant, known := rules.Tenants[name]
+	return tenant, known
+}
+
+// affinityHash is an affinity key as the balancer takes it; 0: none.
+func affinityHash(key string) uint64 {
+	if key == "" {
+		return 0
+	}
+	h := fnv.New64a()
+	_, _ = io.WriteString(h, key) // a hash takes everything
+	return h.Sum64()
+}
+
+// newRequestID makes a random request id.
+func newRequestID() string {
+	var id [requestIDLength / 2]byte
+	_, _ = rand.Read(id[:]) // by its documentation it never fails
+	return hex.EncodeToString(id[:])
+}
+
+// Answer implements engine.Front: it writes the engine's verdict to the client.
+func (q *call) Answer(_ *engine.Call, a engine.Answer) {
+	if q.notification || !q.conn.removePending(q) {
+		return
+	}
+	if a.Verdict == engine.Left {
+		return // nobody is there to read it
+	}
+	problem, result := encodeAnswer(a)
+	b := make([]byte, 0, len(problem)+len(result)+8)
+	q.conn.enqueue(appendResponse(b, q.msgid, problem, result))
+}
+
+// encodeAnswer returns the error and the result of an answer's message, encoded. What a backend has said goes on as
+// it came.
+func encodeAnswer(a engine.Answer) (problem, result []byte) {
+	switch a.Verdict {
+	case engine.Served:
+		r := a.Reply.(*reply)
+		return r.error, r.result
+	case engine.Failed:
+		r, fromBackend := a.Reply.(*reply)
+		if fromBackend {
+			return r.error, r.result
+		}
+		return (&callError{Code: codeFailed, Message: "failed; it may have run"}).encode(), nilValue
+	case engine.Refused:
+		return (&callError{Code: codeRefused, Message: "refused", Retry: true, After: a.RetryAfter}).encode(), nilValue
+	case engine.Overloaded:
+		return (&callError{Code: codeOverloaded, Message: "too many calls are open", Retry: true, After: a.RetryAfter}).encode(), nilValue
+	case engine.OutOfTime:
+		return (&callError{Code: codeOutOfTime, Message: "out of time; it may have run"}).encode(), nilValue
+	case engine.Stopped:
+		return (&callError{Code: codeFailed, Message: "this process stops; it may have run"}).encode(), nilValue
+	case engine.InUse:
+		return (&callError{Code: codeInUse, Message: "$id is in use"}).encode(), nilValue
+	}
+	return nilValue, nilValue
+}
--- a/internal/dataplane/msgpackrpc/carrier.go
+++ b/internal/dataplane/msgpackrpc/carrier.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"sync/atomic"
 	"time"
 
 	"marlreel/internal/balancer"
@@ -10,182 +9,160 @@
 )
 
 const (
-	// maxAbandoned is how many calls of one connection may have no owner any more whose
-	// replies may still come. Past it, the connection gets no new call.
+	// maxAbandoned is how many abandoned calls of a connection may still be answered. Beyond it, the connection gets
+	// no new call.
 	maxAbandoned = 256
-	// maxUnknownReplies is how many replies to nothing one connection may bring.
+	// maxUnknownReplies is how many replies to no call one connection may bring.
 	maxUnknownReplies = 16
-	// writeTimeout is how long a backend may take nothing of what is written to it.
-	writeTimeout    = time.Second
-	readBufferBytes = 4 << 10
+	// writeTimeout is how long a backend may read nothing of what is written to it.
+	writeTimeout = time.Second
 )
 
-// Counters are what went by without a caller who could be told. All only grow.
-type Counters struct {
-	LateReplies            atomic.Int64 // to calls that had been given up
-	UnknownReplies         atomic.Int64 // to no call
-	SlowCallers            atomic.Int64 // dropped, as they did not read their answers
-	MalformedStreams       atomic.Int64 // connections ended for what came on them
-	ForwardedNotifications atomic.Int64 // notifications that were sent on
-	DroppedNotifications   atomic.Int64 // notifications that were not
-}
-
-// Carrier takes attempts to backends over MessagePack-RPC. Connections are shared: many
-// calls are open on one, each under a msgid of the connection's own. The engine's
-// goroutine calls it and owns all but the sockets; each connection has a goroutine
-// that writes and one that reads.
+// Carrier sends attempts to backends over MessagePack-RPC. Connections are shared: many calls are pending on one,
+// each under a msgid of the connection's own. The engine's goroutine calls it and owns all but the sockets; each
+// connection has a goroutine that writes and one that reads, which end with it.
 type Carrier struct {
 	engine         *engine.Engine
 	config         Backend
 	limits         Limits
 	connectTimeout time.Duration
-	maxIdle        time.Duration // 0 is for ever
+	maxIdle        time.Duration // 0: no bound
 	connections    map[*engine.Backend][]*backendConn
-	openCount      int // links
-	ctx            context.Context
+	openCount      int             // connections, retired ones among them
+	ctx            context.Context // of all connections
 	cancel         context.CancelFunc
 	counters       *Counters
 }
 
+var _ engine.Carrier = (*Carrier)(nil)
+
 // NewCarrier makes a carrier. The configuration has been validated.
-func NewCarrier(e *engine.Engine, cfg *Config, counts *Counters) *Carrier {
+func NewCarrier(e *engine.Engine, cfg *Config, counters *Counters) *Carrier {
 	caps := e.Settings().Caps
 	c := &Carrier{
-		engine: e, config: cfg.Backend, limits: Limits{MaxMessageBytes: cfg.MaxMessageBytes, MaxDepth: cfg.MaxDepth},
-		connectTimeout: caps.ConnectTimeout, maxIdle: caps.ConnIdle - caps.ConnIdle/4, connections: map[*engine.Backend][]*backendConn{}, counters: counts,
+		engine: e, config: cfg.Backend, counters: counters,
+		limits:         Limits{MaxMessageBytes: cfg.MaxMessageBytes, MaxDepth: cfg.MaxDepth},
+		connectTimeout: caps.ConnectTimeout,
+		maxIdle:        caps.ConnIdle - caps.ConnIdle/4, // before the backend closes it
+		connections:    map[*engine.Backend][]*backendConn{},
 	}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	return c
 }
 
-// Close breaks all connections. Any goroutine may call it.
+// Close breaks all connections. It is safe to call from any goroutine.
 func (c *Carrier) Close() { c.cancel() }
 
 // Connections is how many are open, those being dialled among them.
 func (c *Carrier) Connections() int { return c.openCount }
 
-// payload is a call as it came, without its metadata.
-type payload struct {
-	method       string
-	args         []byte // the parameters, one after the other
-	count        int
-	meta         Metadata
-	given        bool // the call came with metadata, and goes on with them
-	notification bool
-}
-
-// encode writes the call out, so that one write sends it and its count tells whether
-// the last byte went out.
-func (p *payload) encode(id uint32, left time.Duration) []byte {
-	b := make([]byte, 0, len(p.args)+len(p.method)+160)
-	if p.notification {
-		b = appendNotification(b, p.method)
-	} else {
-		b = appendRequest(b, id, p.method)
-	}
-	n := p.count
-	if p.given {
-		n++
-	}
-	b = append(appendArray(b, n), p.args...)
-	if p.given {
-		b = appendMeta(b, &p.meta, max(0.001, float64(left)/float64(time.Millisecond)))
-	}
-	return b
-}
-
 // Begin implements engine.Carrier. The call's payload is a *payload.
 func (c *Carrier) Begin(a *engine.Attempt) {
-	l := c.pick(a.Backend)
-	if l == nil {
-		// Every connection has as many calls open as it may: one more is too many for
-		// this backend, and has not run.
+	b := c.connectionFor(a.Backend)
+	if b == nil {
+		// Every connection is full: one more call is too many for this backend, and has not run.
 		a.Permit.Revoke()
 		c.engine.Later(func() { a.End(engine.End{Result: balancer.Rejected}) })
 		return
 	}
-	f := &pendingAttempt{attempt: a, payload: a.Call.Payload.(*payload), msgid: l.newMsgid()}
-	l.pending[f.msgid] = f
+	p := &pendingAttempt{attempt: a, payload: a.Call.Payload.(*payload), msgid: b.newMsgid()}
+	b.pending[p.msgid] = p
 	a.Stop = func() {
-		l.abandon(f) // the connection is shared and stays: this is the attempt's end
+		b.abandon(p) // the connection is shared and stays: this is the attempt's end
 		c.engine.Later(func() { a.End(engine.End{Result: balancer.Cancelled}) })
 	}
-	l.enqueue(f)
+	b.enqueue(p)
 }
 
-// pick gives the connection to a backend with the fewest calls open, or a new one.
-func (c *Carrier) pick(b *engine.Backend) *backendConn {
+// connectionFor returns the connection to a backend with the fewest calls pending, or a new one; nil where all are
+// full. One that is at most half full is used before another is opened.
+func (c *Carrier) connectionFor(backend *engine.Backend) *backendConn {
+	leastLoaded, usable := c.leastLoaded(backend)
+	atBackendLimit := usable >= c.config.MaxConnections
+	if leastLoaded != nil {
+		overHalf := len(leastLoaded.pending) > int(leastLoaded.window)/2
+		if !overHalf || atBackendLimit || c.openCount >= c.config.MaxTotalConnections {
+			return leastLoaded
+		}
+	}
+	if atBackendLimit {
+		return leastLoaded
+	}
+	if c.openCount >= c.config.MaxTotalConnections && !c.closeIdlest() {
+		return leastLoaded
+	}
+	return c.open(backend)
+}
+
+// leastLoaded returns the connection to a backend with the fewest calls pending, nil where all are full, and how
+// many connections to it are not retired.
+func (c *Carrier) leastLoaded(backend *engine.Backend) (*backendConn, int) {
 	var best *backendConn
-	used := 0
-	for _, l := range c.connections[b] {
-		if l.retired {
+	usable := 0
+	for _, b := range c.connections[backend] {
+		if b.retired {
 			continue
 		}
-		used++
-		if len(l.pending) < int(l.window) && (best == nil || len(l.pending) < len(best.pending)) {
-			best = l
+		usable++
+		full := len(b.pending) >= int(b.window)
+		if !full && (best == nil || len(b.pending) < len(best.pending)) {
+			best = b
 		}
 	}
-	// A connection that is idle is taken before another is opened; one that has calls
-	// is shared only when no more may be opened, or it has few.
-	if best != nil && (len(best.pending) <= int(best.window)/2 || used >= c.config.MaxConnections || c.openCount >= c.config.MaxTotalConnections) {
-		return best
-	}
-	if used >= c.config.MaxConnections || c.openCount >= c.config.MaxTotalConnections && !c.closeIdlest() {
-		return best
-	}
+	return best, usable
+}
+
+// open begins to dial a backend. Calls can be sent on the connection at once: they wait for the dial.
+func (c *Carrier) open(backend *engine.Backend) *backendConn {
 	ctx, cancel := context.WithCancel(c.ctx)
-	l := &backendConn{
-		carrier: c, backend: b, pending: map[uint32]*pendingAttempt{}, abandoned: map[uint32]struct{}{}, window: float64(c.config.MaxPipeline),
-		cancel: cancel, wake: make(chan struct{}, 1), idleSince: c.engine.Now(),
-	}
-	c.connections[b] = append(c.connections[b], l)
+	b := newBackendConn(c, backend, cancel)
+	c.connections[backend] = append(c.connections[backend], b)
 	c.openCount++
-	go l.run(ctx)
-	return l
+	go b.run(ctx)
+	return b
 }
 
-// closeIdlest closes the connection that has been idle the longest, if there is one.
+// closeIdlest closes the connection that has been idle the longest, and returns false if none is idle.
 func (c *Carrier) closeIdlest() bool {
-	var oldest *backendConn
-	for _, links := range c.connections {
-		for _, l := range links {
-			if len(l.pending) == 0 && !l.retired && (oldest == nil || l.idleSince < oldest.idleSince) {
-				oldest = l
+	var idlest *backendConn
+	for _, connections := range c.connections {
+		for _, b := range connections {
+			if len(b.pending) == 0 && !b.retired && (idlest == nil || b.idleSince < idlest.idleSince) {
+				idlest = b
 			}
 		}
 	}
-	if oldest == nil {
+	if idlest == nil {
 		return false
 	}
-	oldest.retire()
+	idlest.retire()
 	return true
 }
 
 // Release implements engine.Carrier.
-func (c *Carrier) Release(b *engine.Backend) {
-	for _, l := range c.connections[b] {
-		if len(l.pending) == 0 {
-			l.retire()
+func (c *Carrier) Release(backend *engine.Backend) {
+	for _, b := range c.connections[backend] {
+		if len(b.pending) == 0 {
+			b.retire()
 		}
 	}
 }
 
-// Forget implements engine.Carrier. Calls that are open go on to their own ends, on
-// connections that nobody gets any more.
-func (c *Carrier) Forget(b *engine.Backend) {
-	for _, l := range c.connections[b] {
-		l.retire()
+// Forget implements engine.Carrier. Calls that are pending go on to their own ends, on connections that get no new
+// call.
+func (c *Carrier) Forget(backend *engine.Backend) {
+	for _, b := range c.connections[backend] {
+		b.retire()
 	}
-	delete(c.connections, b)
+	delete(c.connections, backend)
 }
 
 // Retire implements engine.Carrier.
 func (c *Carrier) Retire(now time.Duration) {
-	for _, links := range c.connections {
-		for _, l := range links {
-			if len(l.pending) == 0 && c.maxIdle > 0 && now-l.idleSince >= c.maxIdle {
-				l.retire()
+	for _, connections := range c.connections {
+		for _, b := range connections {
+			if len(b.pending) == 0 && c.maxIdle > 0 && now-b.idleSince >= c.maxIdle {
+				b.retire()
 			}
 		}
 	}
--- a/internal/dataplane/msgpackrpc/scan_test.go
+++ b/internal/dataplane/msgpackrpc/codec_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestWhatIsNoMessage(t *testing.T) {
+func TestMalformedMessages(t *testing.T) {
 	for name, v := range map[string]string{
 		"a number":            "01",
 		"a map":               "80",
@@ -110,7 +110,7 @@
 }
 
 // What is claimed and what is nested is bounded, long before it has come.
-func TestBounds(t *testing.T) {
+func TestLimits(t *testing.T) {
 	for name, c := range map[string]struct {
 		data []byte
 		want error
@@ -137,8 +137,8 @@
 	}
 }
 
-// Any value that the other library writes is found whole, however its bytes are split.
-func TestAnySplit(t *testing.T) {
+// Any value that the other library writes is found complete, however its bytes are split.
+func TestValuesSplitAnywhere(t *testing.T) {
 	value := rapid.Deferred(func() *rapid.Generator[any] { return anyValue(4) })
 	rapid.Check(t, func(t *rapid.T) {
 		data, err := msgpack.Marshal(value.Draw(t, "value"))
@@ -193,7 +193,7 @@
 		t.Errorf("%+v %v", call, err)
 	}
 	// What goes on is readable for the other library, and tells the time that is left.
-	p := payload{method: "a", args: call.args, count: call.count, meta: call.meta, given: true}
+	p := payload{method: "a", args: call.args, count: call.count, meta: call.meta, hasMeta: true}
 	var sent []any
 	if err := msgpack.Unmarshal(p.encode(9, 250e6), &sent); err != nil {
 		t.Fatal(err)
--- a/internal/dataplane/msgpackrpc/compatibility_test.go
+++ b/internal/dataplane/msgpackrpc/compatibility_test.go
@@ -31,10 +31,10 @@
 		data []byte
 	}{
 		{"request", (&payload{method: "scales.read", args: args, count: 2}).encode(300, time.Second)},
-		{"request with metadata", (&payload{method: "scales.read", args: args, count: 2, meta: compatibilityMeta, given: true}).encode(70000, 1500*time.Microsecond)},
-		{"request with the least metadata", (&payload{method: "m", meta: Metadata{RequestID: "0123456789abcdef"}, given: true}).encode(1, 0)},
+		{"request with metadata", (&payload{method: "scales.read", args: args, count: 2, meta: compatibilityMeta, hasMeta: true}).encode(70000, 1500*time.Microsecond)},
+		{"request with the least metadata", (&payload{method: "m", meta: Metadata{RequestID: "0123456789abcdef"}, hasMeta: true}).encode(1, 0)},
 		{"notification", (&payload{method: "scales.note", args: args, count: 2, notification: true}).encode(9, time.Second)},
-		{"notification with metadata", (&payload{method: "scales.note", args: args, count: 2, meta: compatibilityMeta, given: true, notification: true}).encode(9, time.Second)},
+		{"notification with metadata", (&payload{method: "scales.note", args: args, count: 2, meta: compatibilityMeta, hasMeta: true, notification: true}).encode(9, time.Second)},
 		{"cancel notification", encodeNotification("$cancel", appendUint(appendArray(nil, 1), 70000))},
 		{"drain notification", encodeNotification(drainMethod, appendArray(nil, 0))},
 		{"reply", appendResponse(nil, 200, nilValue, appendString(nil, strings.Repeat("x", 40)))},
--- a/internal/dataplane/msgpackrpc/config.go
+++ b/internal/dataplane/msgpackrpc/config.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"net"
+	"slices"
 	"strconv"
 	"strings"
 	"time"
@@ -12,29 +13,29 @@
 	"marlreel/internal/strict"
 )
 
-// Config is the [rpc] part of deploy/marlreel.toml. DefaultConfig has what is not said.
+// Config is the [rpc] part of deploy/marlreel.toml. DefaultConfig has the values of what is not given.
 type Config struct {
-	// Listen is where callers connect; "" is nowhere: RPC is off.
+	// Listen is the address at which clients connect; "": RPC is off.
 	Listen string `toml:"listen"`
-	// MaxConnections is how many callers' connections are kept. More costs descriptors;
-	// with fewer, the longest silent one makes room sooner.
+	// MaxConnections bounds clients' connections. More cost descriptors; with fewer, idle ones are closed for new
+	// ones sooner.
 	MaxConnections int `toml:"connections"`
-	// MaxOpenCalls bounds the calls open on one connection. One more is refused.
+	// MaxOpenCalls bounds the calls pending on one connection. One more is rejected.
 	MaxOpenCalls int `toml:"open-calls"`
-	// MaxMessageBytes bounds a message, in both directions. A longer one ends its connection.
+	// MaxMessageBytes bounds a message, in both directions, in bytes. A longer one ends its connection.
 	MaxMessageBytes int `toml:"message-bytes"`
 	// MaxDepth bounds arrays and maps within one another.
 	MaxDepth int `toml:"nesting"`
-	// MaxQueuedBytes bounds the answers that wait for a caller who does not read. One who
-	// lets more wait is dropped.
+	// MaxQueuedBytes bounds the answers that wait for a client that does not read, in bytes. One that lets more wait
+	// is disconnected.
 	MaxQueuedBytes int `toml:"answer-queue-bytes"`
-	// IdleTimeout is how long a connection may stand with no call open.
+	// IdleTimeout is how long a connection may stay open with no call pending.
 	IdleTimeout strict.Span `toml:"idle"`
-	// DefaultTenant is the tenant of calls whose metadata name none; "" refuses them, where the
-	// settings have tenants.
+	// DefaultTenant is the tenant of calls whose metadata name none; "": they are rejected where the settings have
+	// tenants.
 	DefaultTenant string `toml:"house"`
-	// AnnounceDrain sends the notification "$drain" on each connection when this
-	// process is told to end. Off, as a plain client need not expect notifications.
+	// AnnounceDrain sends the notification "$drain" on each connection when this process begins to shut down. It is
+	// off by default, as a plain client need not expect notifications.
 	AnnounceDrain bool     `toml:"announce-drain"`
 	Methods       []Method `toml:"method"`
 	Backend       Backend  `toml:"backend"`
@@ -43,29 +44,28 @@
 // Method says which class a method's calls are of.
 type Method struct {
 	Name                string `toml:"name"`
-	IsPrefix            bool   `toml:"prefix"` // the name is the beginning of methods' names
+	IsPrefix            bool   `toml:"prefix"` // Name is the beginning of methods' names
 	Class               string `toml:"class"`
-	AcceptNotifications bool   `toml:"notify"` // notifications of it are taken, and sent at most once
+	AcceptNotifications bool   `toml:"notify"` // notifications of it are forwarded, at most once
 }
 
 // Backend says how backends are reached.
 type Backend struct {
-	// Port is where every backend speaks RPC, or 0: then PortOffset is added to the
-	// port at which the list has it.
+	// Port is where every backend speaks RPC. With 0, PortOffset is added to the port that the membership gives.
 	Port       int `toml:"port"`
 	PortOffset int `toml:"port-offset"`
-	// MaxConnections is how many are opened to one backend at most, All to all together.
+	// MaxConnections bounds the connections to one backend, MaxTotalConnections those to all together.
 	MaxConnections      int `toml:"connections"`
 	MaxTotalConnections int `toml:"connections-in-all"`
-	// MaxPipeline is how many calls may be open on one connection at most. It is fewer on
-	// one whose calls run out of time, and rises again with its answers.
+	// MaxPipeline bounds the calls pending on one connection. On one whose calls run out of time there are fewer;
+	// with its answers there are more again.
 	MaxPipeline int `toml:"pipeline"`
-	// CancelMethod is the notification that tells a backend of a call that nobody waits for
-	// any more, with its msgid; "" sends none.
+	// CancelMethod is the method of the notification that tells a backend the msgid of a call that nobody waits for
+	// any more; "": none is sent.
 	CancelMethod string `toml:"cancel"`
 }
 
-// DefaultConfig is off, and has a bound for everything.
+// DefaultConfig has RPC off, and a bound for everything.
 func DefaultConfig() Config {
 	return Config{
 		MaxConnections: 64, MaxOpenCalls: 1024, MaxMessageBytes: 64 << 10, MaxDepth: 64, MaxQueuedBytes: 1 << 20,
@@ -73,7 +73,7 @@
 	}
 }
 
-// Validate names the first key that makes no sense.
+// Validate checks the values by themselves. Its error names the first key that can't be used, and what can.
 func (c *Config) Validate() error {
 	if c.Listen == "" {
 		return nil
@@ -114,7 +114,8 @@
 	return nil
 }
 
-// CheckSettings names what does not fit the platform's settings.
+// CheckSettings checks classes and tenants against the platform's settings. Its error names the first that these
+// don't have, and the closest that they do.
 func (c *Config) CheckSettings(s *balancer.Config) error {
 	if c.Listen == "" {
 		return nil
@@ -127,27 +128,18 @@
 		houses = append(houses, t.Name)
 	}
 	for _, m := range c.Methods {
-		if !contains(classes, m.Class) {
+		if !slices.Contains(classes, m.Class) {
 			return fmt.Errorf("rpc.method %q: class = %q%s: the settings have %s", m.Name, m.Class,
 				strict.Closest(m.Class, classes), strings.Join(classes, ", "))
 		}
 	}
-	if c.DefaultTenant != "" && !contains(houses, c.DefaultTenant) {
+	if c.DefaultTenant != "" && !slices.Contains(houses, c.DefaultTenant) {
 		return fmt.Errorf("rpc.house = %q%s: the settings have %s", c.DefaultTenant, strict.Closest(c.DefaultTenant, houses), strings.Join(houses, ", "))
 	}
 	return nil
 }
 
-func contains(names []string, name string) bool {
-	for _, n := range names {
-		if n == name {
-			return true
-		}
-	}
-	return false
-}
-
-// rpcAddr is where a backend of the list speaks RPC.
+// rpcAddr is the address at which a backend speaks RPC, from its address in the membership.
 func (b *Backend) rpcAddr(listed string) (string, error) {
 	host, port, err := net.SplitHostPort(listed)
 	if err != nil {
--- a/internal/proxy/imports_test.go
+++ b/internal/proxy/imports_test.go
@@ -38,7 +38,7 @@
 		"marlreel/internal/process/budget":                 {},
 		"marlreel/internal/sockets":                        {},
 		"marlreel/internal/dataplane/httpproxy":            {"marlreel/internal/balancer", "marlreel/internal/process/budget", "marlreel/internal/balancer/connections", "marlreel/internal/dataplane/engine", "marlreel/internal/sockets"},
-		"marlreel/internal/dataplane/msgpackrpc":           {"marlreel/internal/balancer", "marlreel/internal/dataplane/engine", "marlreel/internal/process/logs", "marlreel/internal/strict"},
+		"marlreel/internal/dataplane/msgpackrpc":           {"marlreel/internal/balancer", "marlreel/internal/dataplane/engine", "marlreel/internal/strict"},
 		"marlreel/internal/advice":                         {},
 		"marlreel/internal/process/logs":                   {},
 		"marlreel/internal/fleet/rules":                    {"marlreel/internal/balancer"},
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -206,7 +206,7 @@
 	p.engine.Observe(engine.Join(watchers...))
 	if own.RPC.Listen != "" {
 		p.rpcCarrier = msgpackrpc.NewCarrier(p.engine, &own.RPC, &p.rpcCounts)
-		p.rpcFront = msgpackrpc.NewServer(p.engine, p.rpcCarrier, &own.RPC, logger, &p.rpcCounts)
+		p.rpcFront = msgpackrpc.NewServer(p.engine, p.rpcCarrier, &own.RPC, &p.rpcCounts)
 		p.engine.Carry(p.rpcCarrier)
 	}
 	return p, nil
