--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -37,7 +37,7 @@
 		return err
 	}
 	for i, t := range c.Tenants {
-		if t.Share < 0 || t.QuotaPerS < 0 {
+		if t.TrafficShare < 0 || t.QuotaPerS < 0 {
 			return &ConfigError{fmt.Sprintf("Tenants[%d]", i), "Share or QuotaPerS is negative"}
 		}
 	}
@@ -149,7 +149,7 @@
 
 // weights are those of the goal, for the model of goodput.
 func (g Goal) weights() goodput.Goal {
-	return goodput.Goal{Total: g.Whole, WorstClass: g.WorstClass, WorstTenant: g.WorstTenant, WorstWindow: g.WorstWindow}
+	return goodput.Goal{Total: g.Total, WorstClass: g.WorstClass, WorstTenant: g.WorstTenant, WorstWindow: g.WorstWindow}
 }
 
 // terms are what a class allows of retries.
--- a/internal/balancer/membership.go
+++ b/internal/balancer/membership.go
@@ -15,13 +15,13 @@
 // OnMembership reconciles the backends in place: those that stay keep their status.
 func (b *Balancer) OnMembership(now time.Duration, m Membership) {
 	b.now = now
-	if m.Kind == ListFailed {
+	if m.Kind == MembershipFailed {
 		b.retryFetch()
 		return
 	}
 	b.failedFetches = 0
-	if m.Kind != ListDelta {
-		b.markMissingGone(m.Backends)
+	if m.Kind != MembershipDelta {
+		b.setMissingGone(m.Backends)
 	}
 	for _, e := range m.Backends {
 		b.updateTarget(e)
@@ -37,8 +37,8 @@
 	b.startTimer(backoff/2+jitter(b.rng, backoff/2), timerDiscover)
 }
 
-// markMissingGone marks the backends that a complete membership does not have.
-func (b *Balancer) markMissingGone(listed []Backend) {
+// setMissingGone marks the backends that a complete membership does not have.
+func (b *Balancer) setMissingGone(listed []Backend) {
 	for _, t := range b.targets {
 		if !slices.ContainsFunc(listed, func(e Backend) bool { return e.ID == t.ID }) {
 			t.State = Gone
--- a/internal/dataplane/engine/settings.go
+++ b/internal/dataplane/engine/settings.go
@@ -7,76 +7,69 @@
 	"marlreel/internal/balancer"
 )
 
-// mostClasses bounds the classes, those that have gone and are remembered among them.
-const mostClasses = 64
+// maxClasses bounds the classes, including those that have been removed and are remembered.
+const maxClasses = 64
 
-// Book is what fronts read requests by: the settings in force, and the numbers of names.
-// It is never changed.
-type Book struct {
-	// Settings is what the module is told: a class that has left the settings stays under
-	// its number, as it was last, and is not in Classes.
-	Settings         *balancer.Config
-	Classes, Tenants map[string]int
+// SettingsSnapshot is what fronts parse requests by: the settings in force, and the indexes of names in them. It is
+// immutable.
+type SettingsSnapshot struct {
+	// Settings are the balancer's: a class that was removed keeps its index, as it was last, and is not in
+	// ClassIndexes.
+	Settings                    *balancer.Config
+	ClassIndexes, TenantIndexes map[string]int
 }
 
-// Book is the one in force. Any goroutine may call it.
-func (e *Engine) Book() *Book { return e.book.Load() }
+// SettingsSnapshot gives the one in force. Any goroutine may call it.
+func (e *Engine) SettingsSnapshot() *SettingsSnapshot { return e.snapshot.Load() }
 
-// Settings is what the module is told now. Any goroutine may call it; what it gives is
-// never changed.
-func (e *Engine) Settings() *balancer.Config { return e.book.Load().Settings }
+// Settings are the balancer's settings now. Any goroutine may call it; what it gives is immutable.
+func (e *Engine) Settings() *balancer.Config { return e.snapshot.Load().Settings }
 
-// write makes a book and puts it in force.
-func (e *Engine) write(settings *balancer.Config) {
-	b := &Book{Settings: settings, Classes: map[string]int{}, Tenants: map[string]int{}}
+// publishSettings puts a snapshot of settings in force.
+func (e *Engine) publishSettings(settings *balancer.Config) {
+	b := &SettingsSnapshot{Settings: settings, ClassIndexes: map[string]int{}, TenantIndexes: map[string]int{}}
 	for i, c := range settings.Classes {
 		if !e.classes.Removed(i) {
-			b.Classes[c.Name] = i
+			b.ClassIndexes[c.Name] = i
 		}
 	}
 	for i, t := range settings.Tenants {
-		b.Tenants[t.Name] = i
+		b.TenantIndexes[t.Name] = i
 	}
-	e.book.Store(b)
+	e.snapshot.Store(b)
 }
 
-// stillMeans tells whether a call that was read by an older book means the same by the one
-// in force. Danger: one that was let through as safe to repeat must not run as one that is
-// not, nor as a keyed one without its key.
-func (e *Engine) stillMeans(c *Call) bool {
-	now := e.book.Load()
-	if c.Book == nil || c.Book == now {
+// meansTheSame tells whether a call that was parsed by an older snapshot means the same by the one in force. A call
+// that was admitted as idempotent must not run as one that is not, nor as a keyed one without its key.
+func (e *Engine) meansTheSame(c *Call) bool {
+	now := e.snapshot.Load()
+	if c.Snapshot == nil || c.Snapshot == now {
 		return true
 	}
-	is, was := &now.Settings.Classes[c.Class], &c.Book.Settings.Classes[c.Class]
-	return is.Name == was.Name && is.Effect == was.Effect && tenant(now, c.Tenant) == tenant(c.Book, c.Tenant)
+	is, was := &now.Settings.Classes[c.Class], &c.Snapshot.Settings.Classes[c.Class]
+	return is.Name == was.Name && is.Effect == was.Effect && tenantName(now, c.Tenant) == tenantName(c.Snapshot, c.Tenant)
 }
 
-// tenant is the name of a tenant by its place, or "".
-func tenant(b *Book, place int) string {
-	if place < 0 || place >= len(b.Settings.Tenants) {
+// tenantName is the name of a tenant by its index, or "".
+func tenantName(b *SettingsSnapshot, index int) string {
+	if index < 0 || index >= len(b.Settings.Tenants) {
 		return ""
 	}
-	return b.Settings.Tenants[place].Name
+	return b.Settings.Tenants[index].Name
 }
 
-// Reconfigure puts other settings in force, whole and at once, or leaves the old ones and
-// says why. Calls that are open keep the class they came with. Only on the engine's
-// goroutine.
+// Reconfigure puts other settings in force, all at once, or leaves the old ones and returns an error that names the
+// field at fault. Calls that are open keep the class they came with. Only on the engine's goroutine.
 func (e *Engine) Reconfigure(next balancer.Config) error {
 	old := e.Settings()
-	names := make([]string, len(next.Classes))
-	for i, c := range next.Classes {
-		names[i] = c.Name
-	}
-	trial := *e.classes // Place leaves what it has and makes a new one
-	at, fresh, err := trial.Assign(e.Now(), names, e.classOpen)
+	trial := *e.classes // Assign leaves what it has and makes a new one
+	indexes, fresh, err := trial.Assign(e.Now(), classNames(next.Classes), e.classOpen)
 	if err != nil {
 		return fmt.Errorf("settings: Services: %w", err)
 	}
 	merged := make([]balancer.Class, trial.Len())
 	copy(merged, old.Classes)
-	for k, i := range at {
+	for k, i := range indexes {
 		merged[i] = next.Classes[k]
 	}
 	next.Classes = merged
@@ -84,8 +77,8 @@
 		return fmt.Errorf("settings: %w", err)
 	}
 	*e.classes = trial
-	e.write(&next)
-	e.asked.span = max(e.asked.span, longestGiveUp(&next)+time.Second)
+	e.publishSettings(&next)
+	e.recentNames.span = max(e.recentNames.span, longestClientTimeout(&next)+time.Second)
 	return nil
 }
 
@@ -99,20 +92,28 @@
 	return false
 }
 
-// comeAgain is what is said to clients that are turned away before the module hears of them.
-const comeAgain = time.Second
+// defaultRetryAfter is what clients are told that are rejected before the balancer hears of them.
+const defaultRetryAfter = time.Second
 
-// ComeAgain is after what time who is turned away at the door should come again, as far as the
-// settings let it be told; 0 is not to be told. Any goroutine may call it.
-func (e *Engine) ComeAgain() time.Duration {
+// RetryAfter is the Retry-After of clients that are rejected before the balancer hears of them; 0 where the settings
+// let none be sent. Any goroutine may call it.
+func (e *Engine) RetryAfter() time.Duration {
 	caps := &e.Settings().Caps
 	if !caps.RetryAfter {
 		return 0
 	}
-	return min(comeAgain, caps.MaxRetryAfter)
+	return min(defaultRetryAfter, caps.MaxRetryAfter)
+}
+
+func classNames(classes []balancer.Class) []string {
+	names := make([]string, len(classes))
+	for i, c := range classes {
+		names[i] = c.Name
+	}
+	return names
 }
 
-func longestGiveUp(s *balancer.Config) time.Duration {
+func longestClientTimeout(s *balancer.Config) time.Duration {
 	longest := time.Duration(0)
 	for _, c := range s.Classes {
 		longest = max(longest, c.ClientTimeout)
--- a/internal/dataplane/msgpackrpc/backend_conn.go
+++ b/internal/dataplane/msgpackrpc/backend_conn.go
@@ -95,7 +95,7 @@
 	if !b.removePending(p) {
 		return
 	}
-	if p.attempt.Permit.Used() {
+	if p.attempt.Permit.Claimed() {
 		b.abandoned[p.msgid] = struct{}{}
 		b.window = max(1, b.window/2)
 		method := b.carrier.config.CancelMethod
@@ -141,14 +141,14 @@
 			result = balancer.ConnectFailed
 			p.attempt.Permit.Revoke()
 		}
-		p.attempt.End(engine.End{Result: result})
+		p.attempt.End(engine.AttemptEnd{Result: result})
 	}
 }
 
 // onNotSent ends an attempt that was not written after all; clientLeft: as its client had left.
 func (b *backendConn) onNotSent(p *pendingAttempt, clientLeft bool) {
 	if b.removePending(p) {
-		p.attempt.End(engine.End{Result: balancer.NotSent, Left: clientLeft})
+		p.attempt.End(engine.AttemptEnd{Result: balancer.NotSent, ClientGone: clientLeft})
 		b.updateIdle()
 	}
 }
@@ -158,7 +158,7 @@
 func (b *backendConn) onNotificationSent(p *pendingAttempt) {
 	if b.removePending(p) {
 		b.carrier.counters.ForwardedNotifications.Add(1)
-		p.attempt.End(engine.End{Result: balancer.Cancelled, Over: true})
+		p.attempt.End(engine.AttemptEnd{Result: balancer.Cancelled, CompletesCall: true})
 		b.updateIdle()
 	}
 }
@@ -172,7 +172,7 @@
 		return
 	}
 	p := b.pending[m.id]
-	if p == nil || !p.attempt.Permit.Used() {
+	if p == nil || !p.attempt.Permit.Claimed() {
 		b.onUnknownReply()
 		return
 	}
--- a/internal/dataplane/msgpackrpc/backend_conn_io.go
+++ b/internal/dataplane/msgpackrpc/backend_conn_io.go
@@ -68,16 +68,16 @@
 // backend is draining or gone, its client has left, or its call is answered.
 func (b *backendConn) writeAttempt(conn net.Conn, p *pendingAttempt) bool {
 	call := p.attempt.Call
-	clientLeft := call != nil && call.Here != nil && !call.Here()
-	if clientLeft || !b.backend.Ready() || !p.attempt.Permit.Use() {
+	clientLeft := call != nil && call.ClientConnected != nil && !call.ClientConnected()
+	if clientLeft || !b.backend.Ready() || !p.attempt.Permit.TryClaim() {
 		b.carrier.engine.Post(func() { b.onNotSent(p, clientLeft) })
 		return true
 	}
-	data := p.payload.encode(p.msgid, time.Until(p.attempt.Until))
+	data := p.payload.encode(p.msgid, time.Until(p.attempt.Deadline))
 	n, err := conn.Write(data)
 	if n == len(data) {
 		p.written.Store(true)
-		p.attempt.Wrote()
+		p.attempt.MarkWritten()
 		if p.payload.notification {
 			b.carrier.engine.Post(func() { b.onNotificationSent(p) })
 		}
--- a/internal/dataplane/msgpackrpc/backend_conn_test.go
+++ b/internal/dataplane/msgpackrpc/backend_conn_test.go
@@ -25,11 +25,13 @@
 	answers []engine.Answer
 }
 
-func (c *recordedCall) Answer(_ *engine.Call, a engine.Answer) { c.answers = append(c.answers, a) }
+func (c *recordedCall) HandleAnswer(_ *engine.Call, a engine.Answer) {
+	c.answers = append(c.answers, a)
+}
 
 func newManualEngine(t testing.TB, change func(*Config), entries ...engine.Entry) *manualEngine {
 	t.Helper()
-	e, err := engine.New(engine.Config{Settings: testutil.Module(t), Seed: 1, Logf: t.Logf, Known: engine.List{Entries: entries}})
+	e, err := engine.New(engine.Config{Settings: testutil.Module(t), Seed: 1, Logf: t.Logf, InitialMembership: engine.Membership{Entries: entries}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,8 +42,8 @@
 	}
 	l := &manualEngine{e, NewCarrier(e, &cfg, new(Counters))}
 	t.Cleanup(l.carrier.Close)
-	e.Carry(l.carrier)
-	l.Do(func() { l.List(engine.List{Kind: balancer.ListCached, Entries: entries}) })
+	e.AddCarrier(l.carrier)
+	l.Dispatch(func() { l.ApplyMembership(engine.Membership{Kind: balancer.MembershipCached, Entries: entries}) })
 	return l
 }
 
@@ -56,14 +58,14 @@
 		Carrier: l.carrier, Front: c, Payload: &payload{method: "m", args: args, count: 1},
 		Request: balancer.Request{Class: class, Deadline: now + time.Minute},
 	}
-	l.Do(func() { l.Take(&c.Call, now) })
+	l.Dispatch(func() { l.HandleCall(&c.Call, now) })
 	return c
 }
 
 func (l *manualEngine) until(t testing.TB, what string, reached func() bool) {
 	t.Helper()
 	for !reached() {
-		l.Do(testutil.Receive(t, l.Events(), what))
+		l.Dispatch(testutil.Receive(t, l.Events(), what))
 	}
 }
 
@@ -79,7 +81,7 @@
 		b := engine.NewBackend("s-1", "127.0.0.1:1", true)
 		conn := newBackendConn(l.carrier, b, func() {})
 		body := &payload{method: "m", args: append([]byte{0xc6, 0, 1, 0, 0}, make([]byte, 1<<16)...), count: 1}
-		f := &pendingAttempt{attempt: &engine.Attempt{Backend: b, Until: time.Now().Add(time.Minute)}, msgid: 1, payload: body}
+		f := &pendingAttempt{attempt: &engine.Attempt{Backend: b, Deadline: time.Now().Add(time.Minute)}, msgid: 1, payload: body}
 		go func() {
 			defer far.Close()
 			wanted := int64(c.read)
@@ -98,7 +100,7 @@
 		if went != f.written.Load() {
 			t.Errorf("%s: the connection is said to be good: %v", name, went)
 		}
-		if !f.attempt.Permit.Used() {
+		if !f.attempt.Permit.Claimed() {
 			t.Errorf("%s: written without its permit", name)
 		}
 	}
@@ -147,7 +149,7 @@
 	for range 3 {
 		f := &pendingAttempt{attempt: &engine.Attempt{Backend: b}, msgid: conn.newMsgid()}
 		conn.pending[f.msgid] = f
-		f.attempt.Permit.Use()
+		f.attempt.Permit.TryClaim()
 		conn.abandon(f)
 	}
 	if conn.window != 1 || len(conn.abandoned) != 3 || len(conn.pending) != 0 {
@@ -164,7 +166,7 @@
 	for range maxAbandoned {
 		f := &pendingAttempt{attempt: &engine.Attempt{Backend: b}, msgid: conn.newMsgid()}
 		conn.pending[f.msgid] = f
-		f.attempt.Permit.Use()
+		f.attempt.Permit.TryClaim()
 		conn.abandon(f)
 	}
 	if !conn.retired {
@@ -267,10 +269,10 @@
 	if r, ok := c.answers[0].Reply.(*reply); !ok || !bytes.Equal(r.result, []byte{0x91, 7}) {
 		t.Errorf("%+v", c.answers)
 	}
-	if l.carrier.Connections() != 1 || l.Open() != 0 {
-		t.Errorf("%d connections, %d open", l.carrier.Connections(), l.Open())
+	if l.carrier.Connections() != 1 || l.OpenCalls() != 0 {
+		t.Errorf("%d connections, %d open", l.carrier.Connections(), l.OpenCalls())
 	}
-	l.Do(func() { l.carrier.Retire(l.Now() + time.Hour) })
+	l.Dispatch(func() { l.carrier.CloseExpired(l.Now() + time.Hour) })
 	l.until(t, "the connection's end", func() bool { return l.carrier.Connections() == 0 })
 }
 
--- a/internal/dataplane/msgpackrpc/call.go
+++ b/internal/dataplane/msgpackrpc/call.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		return nil, &callError{Code: codeBadRequest, Message: err.Error()}
 	}
-	request, rules, problem := s.newRequest(method, &params.meta, arrived)
+	request, snapshot, problem := s.newRequest(method, &params.meta, arrived)
 	if problem != nil {
 		return nil, problem
 	}
@@ -46,29 +46,29 @@
 		params.meta.RequestID = newRequestID()
 	}
 	q := &call{conn: c, msgid: m.id, notification: notification, Call: engine.Call{
-		Name: params.meta.RequestID, Carrier: s.carrier, Book: rules, Request: request,
+		ClientRequestID: params.meta.RequestID, Carrier: s.carrier, Snapshot: snapshot, Request: request,
 		Payload: &payload{
 			method: m.method, args: params.args, count: params.count, meta: params.meta, hasMeta: params.hasMeta,
 			notification: notification,
 		},
 	}}
 	q.Front = q
-	q.Here = c.isOpen
+	q.ClientConnected = c.isOpen
 	return q, nil
 }
 
 // newRequest makes the balancer's request of a call, by the settings in force.
-func (s *Server) newRequest(method *Method, meta *Metadata, arrived time.Duration) (balancer.Request, *engine.Book, *callError) {
-	rules := s.engine.Book()
-	class, known := rules.Classes[method.Class]
+func (s *Server) newRequest(method *Method, meta *Metadata, arrived time.Duration) (balancer.Request, *engine.SettingsSnapshot, *callError) {
+	snapshot := s.engine.SettingsSnapshot()
+	class, known := snapshot.ClassIndexes[method.Class]
 	if !known {
 		return balancer.Request{}, nil, &callError{Code: codeNoMethod, Message: "the method's class is out of use"}
 	}
-	settings := &rules.Settings.Classes[class]
+	settings := &snapshot.Settings.Classes[class]
 	if (meta.IdempotencyKey != "") != (settings.Effect == balancer.Keyed) {
 		return balancer.Request{}, nil, &callError{Code: codeBadRequest, Message: "$key is missing or out of place"}
 	}
-	tenant, known := s.tenantOf(rules, meta.Tenant)
+	tenant, known := s.tenantOf(snapshot, meta.Tenant)
 	if !known {
 		return balancer.Request{}, nil, &callError{Code: codeBadRequest, Message: "$house is missing or unknown"}
 	}
@@ -79,18 +79,18 @@
 	return balancer.Request{
 		Class: class, Tenant: tenant, Key: affinityHash(meta.AffinityKey), IsRetry: meta.IsRetry,
 		Deadline: arrived + timeout,
-	}, rules, nil
+	}, snapshot, nil
 }
 
 // tenantOf is the number of a tenant, and false where the settings have tenants and not this one.
-func (s *Server) tenantOf(rules *engine.Book, name string) (int, bool) {
-	if len(rules.Tenants) == 0 {
+func (s *Server) tenantOf(snapshot *engine.SettingsSnapshot, name string) (int, bool) {
+	if len(snapshot.TenantIndexes) == 0 {
 		return 0, true
 	}
 	if name == "" {
 		name = s.config.DefaultTenant
 	}
-	tenant, known := rules.Tenants[name]
+	tenant, known := snapshot.TenantIndexes[name]
 	return tenant, known
 }
 
@@ -111,12 +111,12 @@
 	return hex.EncodeToString(id[:])
 }
 
-// Answer implements engine.Front: it writes the engine's verdict to the client.
-func (q *call) Answer(_ *engine.Call, a engine.Answer) {
+// HandleAnswer implements engine.Front: it writes the engine's verdict to the client.
+func (q *call) HandleAnswer(_ *engine.Call, a engine.Answer) {
 	if q.notification || !q.conn.removePending(q) {
 		return
 	}
-	if a.Verdict == engine.Left {
+	if a.Verdict == engine.ClientGone {
 		return // nobody is there to read it
 	}
 	problem, result := encodeAnswer(a)
@@ -137,15 +137,15 @@
 			return r.error, r.result
 		}
 		return (&callError{Code: codeFailed, Message: "failed; it may have run"}).encode(), nilValue
-	case engine.Refused:
+	case engine.Rejected:
 		return (&callError{Code: codeRefused, Message: "refused", Retry: true, After: a.RetryAfter}).encode(), nilValue
 	case engine.Overloaded:
 		return (&callError{Code: codeOverloaded, Message: "too many calls are open", Retry: true, After: a.RetryAfter}).encode(), nilValue
-	case engine.OutOfTime:
+	case engine.TimedOut:
 		return (&callError{Code: codeOutOfTime, Message: "out of time; it may have run"}).encode(), nilValue
 	case engine.Stopped:
 		return (&callError{Code: codeFailed, Message: "this process stops; it may have run"}).encode(), nilValue
-	case engine.InUse:
+	case engine.DuplicateID:
 		return (&callError{Code: codeInUse, Message: "$id is in use"}).encode(), nilValue
 	}
 	return nilValue, nilValue
--- a/internal/dataplane/msgpackrpc/carrier.go
+++ b/internal/dataplane/msgpackrpc/carrier.go
@@ -56,20 +56,20 @@
 // Connections is how many are open, those being dialled among them.
 func (c *Carrier) Connections() int { return c.openCount }
 
-// Begin implements engine.Carrier. The call's payload is a *payload.
-func (c *Carrier) Begin(a *engine.Attempt) {
+// StartAttempt implements engine.Carrier. The call's payload is a *payload.
+func (c *Carrier) StartAttempt(a *engine.Attempt) {
 	b := c.connectionFor(a.Backend)
 	if b == nil {
 		// Every connection is full: one more call is too many for this backend, and has not run.
 		a.Permit.Revoke()
-		c.engine.Later(func() { a.End(engine.End{Result: balancer.Rejected}) })
+		c.engine.Defer(func() { a.End(engine.AttemptEnd{Result: balancer.Rejected}) })
 		return
 	}
 	p := &pendingAttempt{attempt: a, payload: a.Call.Payload.(*payload), msgid: b.newMsgid()}
 	b.pending[p.msgid] = p
 	a.Stop = func() {
 		b.abandon(p) // the connection is shared and stays: this is the attempt's end
-		c.engine.Later(func() { a.End(engine.End{Result: balancer.Cancelled}) })
+		c.engine.Defer(func() { a.End(engine.AttemptEnd{Result: balancer.Cancelled}) })
 	}
 	b.enqueue(p)
 }
@@ -139,8 +139,8 @@
 	return true
 }
 
-// Release implements engine.Carrier.
-func (c *Carrier) Release(backend *engine.Backend) {
+// ReleaseIdle implements engine.Carrier.
+func (c *Carrier) ReleaseIdle(backend *engine.Backend) {
 	for _, b := range c.connections[backend] {
 		if len(b.pending) == 0 {
 			b.retire()
@@ -148,17 +148,17 @@
 	}
 }
 
-// Forget implements engine.Carrier. Calls that are pending go on to their own ends, on connections that get no new
+// RemoveBackend implements engine.Carrier. Calls that are pending go on to their own ends, on connections that get no new
 // call.
-func (c *Carrier) Forget(backend *engine.Backend) {
+func (c *Carrier) RemoveBackend(backend *engine.Backend) {
 	for _, b := range c.connections[backend] {
 		b.retire()
 	}
 	delete(c.connections, backend)
 }
 
-// Retire implements engine.Carrier.
-func (c *Carrier) Retire(now time.Duration) {
+// CloseExpired implements engine.Carrier.
+func (c *Carrier) CloseExpired(now time.Duration) {
 	for _, connections := range c.connections {
 		for _, b := range connections {
 			if len(b.pending) == 0 && c.maxIdle > 0 && now-b.idleSince >= c.maxIdle {
--- a/internal/dataplane/msgpackrpc/client_conn.go
+++ b/internal/dataplane/msgpackrpc/client_conn.go
@@ -198,7 +198,7 @@
 	c.pending = map[uint32]*call{}
 	c.mu.Unlock()
 	for _, q := range pending {
-		c.server.engine.Post(func() { c.server.engine.Gone(&q.Call) })
+		c.server.engine.Post(func() { c.server.engine.HandleClientGone(&q.Call) })
 	}
 	c.server.onConnEnded(c)
 }
@@ -232,7 +232,7 @@
 		c.pending[m.id] = q
 		c.mu.Unlock()
 	}
-	c.server.engine.Post(func() { c.server.engine.Take(&q.Call, arrived) })
+	c.server.engine.Post(func() { c.server.engine.HandleCall(&q.Call, arrived) })
 	return true
 }
 
@@ -244,7 +244,7 @@
 	if pending >= c.server.config.MaxOpenCalls {
 		return &callError{
 			Code: codeOverloaded, Message: "too many calls are open on this connection", Retry: true,
-			After: c.server.engine.ComeAgain(),
+			After: c.server.engine.RetryAfter(),
 		}
 	}
 	return nil
--- a/internal/dataplane/msgpackrpc/reply.go
+++ b/internal/dataplane/msgpackrpc/reply.go
@@ -10,15 +10,15 @@
 
 // outcomeOf is what a reply means to the engine. Only an answer that a client may get goes with it: of a failure or
 // a rejection the proxy writes its own.
-func outcomeOf(m message) engine.End {
+func outcomeOf(m message) engine.AttemptEnd {
 	result := balancer.OK
 	if !isNil(m.error) {
 		result = classifyError(m.error)
 	}
 	if result == balancer.OK || result == balancer.Unprocessable {
-		return engine.End{Result: result, Reply: &reply{error: m.error, result: m.result}}
+		return engine.AttemptEnd{Result: result, Reply: &reply{error: m.error, result: m.result}}
 	}
-	return engine.End{Result: result}
+	return engine.AttemptEnd{Result: result}
 }
 
 // classifyError says what a backend's error means. See the package comment.
--- a/internal/process/metrics/observer.go
+++ b/internal/process/metrics/observer.go
@@ -7,22 +7,22 @@
 	"marlreel/internal/dataplane/engine"
 )
 
-// Taken implements engine.Observer.
-func (m *ProxyMetrics) Taken(time.Duration, *engine.Call) { m.outstanding.Add(1) }
+// OnCallAccepted implements engine.Observer.
+func (m *ProxyMetrics) OnCallAccepted(time.Duration, *engine.Call) { m.outstanding.Add(1) }
 
-// Answered implements engine.Observer. A stream is counted when it ends.
-func (m *ProxyMetrics) Answered(_ time.Duration, call *engine.Call, a engine.Answer) {
-	if a.Streams {
+// OnAnswered implements engine.Observer. A stream is counted when it ends.
+func (m *ProxyMetrics) OnAnswered(_ time.Duration, call *engine.Call, a engine.Answer) {
+	if a.Streaming {
 		return
 	}
-	if call.Taken() {
+	if call.Accepted() {
 		m.outstanding.Add(-1)
 	}
 	m.recordVerdict(call.Class, a.Verdict)
 }
 
-// Streamed implements engine.Observer.
-func (m *ProxyMetrics) Streamed(_ time.Duration, call *engine.Call, complete bool) {
+// OnStreamEnded implements engine.Observer.
+func (m *ProxyMetrics) OnStreamEnded(_ time.Duration, call *engine.Call, complete bool) {
 	m.outstanding.Add(-1)
 	verdict := engine.Served
 	if !complete {
@@ -40,24 +40,25 @@
 	switch verdict {
 	case engine.Served:
 		all[number].succeeded.Add(1)
-	case engine.Refused, engine.Overloaded:
+	case engine.Rejected, engine.Overloaded:
 		all[number].declined.Add(1)
 	default:
 		all[number].aborted.Add(1)
 	}
 }
 
-// Left implements engine.Observer: the client has left before its answer.
-func (m *ProxyMetrics) Left(time.Duration, *engine.Call) { m.outstanding.Add(-1) }
+// OnClientGone implements engine.Observer: the client has left before its answer.
+func (m *ProxyMetrics) OnClientGone(time.Duration, *engine.Call) { m.outstanding.Add(-1) }
 
-// Sent implements engine.Observer.
-func (m *ProxyMetrics) Sent(time.Duration, *engine.Attempt) {}
+// OnAttemptStarted implements engine.Observer.
+func (m *ProxyMetrics) OnAttemptStarted(time.Duration, *engine.Attempt) {}
 
-// Ended implements engine.Observer.
-func (m *ProxyMetrics) Ended(time.Duration, *engine.Attempt, engine.End) {}
+// OnAttemptEnded implements engine.Observer.
+func (m *ProxyMetrics) OnAttemptEnded(time.Duration, *engine.Attempt, engine.AttemptEnd) {}
 
-// Listed implements engine.Observer.
-func (m *ProxyMetrics) Listed(time.Duration, *engine.List) {}
+// OnMembership implements engine.Observer.
+func (m *ProxyMetrics) OnMembership(time.Duration, *engine.Membership) {}
 
-// Probed implements engine.Observer.
-func (m *ProxyMetrics) Probed(time.Duration, *engine.Backend, balancer.Result, time.Duration) {}
+// OnHealthCheck implements engine.Observer.
+func (m *ProxyMetrics) OnHealthCheck(time.Duration, *engine.Backend, balancer.Result, time.Duration) {
+}
--- a/internal/proxy/sources_test.go
+++ b/internal/proxy/sources_test.go
@@ -17,23 +17,23 @@
 	kvstore "marlreel/internal/discovery/registry"
 	"marlreel/internal/process/logs"
 	"marlreel/internal/standin"
-	"marlreel/internal/strict"
+	"marlreel/internal/stricttoml"
 	"marlreel/internal/testutil"
 )
 
 const nodesPrefix = "marlreel/nodes/"
 
 // kvStore is a stand-in registry, and an operator's file that names it.
-func kvStore(t *testing.T, kind string) (*standin.Registry, *config.Marlreel) {
+func kvStore(t *testing.T, kind string) (*standin.Registry, *config.Operator) {
 	t.Helper()
 	r, err := standin.StartRegistry()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.Close)
-	own := config.DefaultMarlreel()
+	own := config.DefaultOperator()
 	own.Registry.Kind, own.Registry.Endpoints, own.Registry.Prefix = kind, []string{r.URL()}, nodesPrefix
-	own.Registry.Settle, own.Registry.Patience = strict.Span(50*time.Millisecond), strict.Span(200*time.Millisecond)
+	own.Registry.FailbackDelay, own.Registry.LossTimeout = stricttoml.Duration(50*time.Millisecond), stricttoml.Duration(200*time.Millisecond)
 	return r, own
 }
 
@@ -104,7 +104,7 @@
 	r, own := kvStore(t, "etcd")
 	r.Txn(listed(t, "s-1", named(t, "one"), "ready"), listed(t, "s-2", named(t, "one"), "ready"), listed(t, "s-3", named(t, "one"), "ready"))
 	cfg := testConfig(t, closedAddr(t))
-	cfg.Control = "127.0.0.1:0"
+	cfg.ControlAddress = "127.0.0.1:0"
 	p := startWith(t, cfg, own)
 	servedBy(t, p, "one")
 	r.Txn(standin.RegistryOp{Key: nodesPrefix + "s-1", Delete: true}, standin.RegistryOp{Key: nodesPrefix + "s-2", Delete: true}, standin.RegistryOp{Key: nodesPrefix + "s-3", Delete: true})
@@ -146,12 +146,12 @@
 	servedBy(t, p, "platform now")
 	r.Cut(false)
 	servedBy(t, p, "registry")
-	p.reloads <- Reload{Config: cfg, Own: config.DefaultMarlreel()}
+	p.reloads <- Reload{Config: cfg, Own: config.DefaultOperator()}
 	servedBy(t, p, "platform now")
 	r.Txn(listed(t, "s-1", named(t, "nobody's"), "ready"))
 	w.Lines <- line(t, 6, false, ready("s-0", named(t, "platform at last")))
 	servedBy(t, p, "platform at last")
-	bad := config.DefaultMarlreel()
+	bad := config.DefaultOperator()
 	bad.Registry.Kind, bad.Registry.Endpoints, bad.Registry.CA = "etcd", []string{r.URL()}, "/nowhere/ca.pem"
 	p.reloads <- Reload{Config: cfg, Own: bad}
 	eventually(t, "the refusal", func() bool {
@@ -170,7 +170,7 @@
 	}
 	r.Txn(append(ops, listed(t, "s-1", one, "ready"))...)
 	cfg := testConfig(t, closedAddr(t))
-	cfg.Control = "127.0.0.1:0"
+	cfg.ControlAddress = "127.0.0.1:0"
 	p := startWith(t, cfg, own)
 	servedBy(t, p, "one")
 	eventually(t, "all in the figures", func() bool { return figure(t, p, "discovered") == "3001|g" })
@@ -201,12 +201,12 @@
 				heap := m.HeapAlloc
 				ctx, stop := context.WithCancel(t.Context())
 				go p.engine.Run(ctx)
-				p.engine.Post(func() { p.source.Set(own.Registry) })
+				p.engine.Post(func() { p.source.SetRegistry(own.Registry) })
 				size := func(addr string) (list int, there bool) {
 					done := make(chan struct{})
 					p.engine.Post(func() {
 						b := p.engine.Backend("s-0")
-						list, there = p.engine.Listed(), b != nil && b.Addr == addr
+						list, there = p.engine.BackendCount(), b != nil && b.Addr == addr
 						close(done)
 					})
 					<-done
