--- a/internal/dataplane/msgpackrpc/compatibility_test.go
+++ b/internal/dataplane/msgpackrpc/compatibility_test.go
@@ -3,9 +3,7 @@
 import (
 	"bytes"
 	"encoding/hex"
-	"errors"
 	"fmt"
-	"io/fs"
 	"os"
 	"path/filepath"
 	"strings"
@@ -14,6 +12,7 @@
 
 	"marlreel/internal/balancer"
 	"marlreel/internal/dataplane/engine"
+	"marlreel/internal/testing/recorded"
 )
 
 // compatibilityMeta is a call's metadata with all keys.
@@ -56,7 +55,7 @@
 	for _, m := range sentMessages() {
 		fmt.Fprintf(&got, "%s: %s\n", m.name, hex.EncodeToString(m.data))
 	}
-	compareRecorded(t, "messages.txt", []byte(got.String()))
+	recorded.Check(t, "messages.txt", got.String())
 
 	recorded, err := os.ReadFile(filepath.Join("testdata", "compatibility", "messages.txt"))
 	if err != nil {
@@ -105,7 +104,7 @@
 	}
 	b = appendFloat(appendString(b, "$left_ms"), 250)
 	b = appendBool(appendString(b, "$repeat"), true)
-	compareRecorded(t, "caller-metadata.txt", []byte(hex.EncodeToString(b)+"\n"))
+	recorded.Check(t, "caller-metadata.txt", hex.EncodeToString(b)+"\n")
 	if params, err := splitParams(b); err != nil || !params.hasMeta || params.count != 0 || params.meta != compatibilityMeta {
 		t.Errorf("%+v, %d parameters, %v", params.meta, params.count, err)
 	}
@@ -155,32 +154,5 @@
 		q.HandleAnswer(&q.Call, v.answer)
 		fmt.Fprintf(&got, "%s: %s\n", v.name, hex.EncodeToString(bytes.Join(c.queue, nil)))
 	}
-	compareRecorded(t, "verdicts.txt", []byte(got.String()))
-}
-
-// The files under testdata/compatibility hold what the tree at commit 6fb9894 wrote. They stay as they are: a
-// difference is a change of a form that others read, not a reason to write them anew. The variable below wrote
-// them; it only makes files that are not there.
-const writeCompatibility = "MARLREEL_WRITE_COMPATIBILITY"
-
-// compareRecorded compares bytes with a recorded file.
-func compareRecorded(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "compatibility", name)
-	want, err := os.ReadFile(path)
-	if errors.Is(err, fs.ErrNotExist) && os.Getenv(writeCompatibility) != "" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs\n got %s\nwant %s", name, got, want)
-	}
+	recorded.Check(t, "verdicts.txt", got.String())
 }
--- a/internal/process/adminserver/compatibility_test.go
+++ b/internal/process/adminserver/compatibility_test.go
@@ -1,19 +1,15 @@
 package adminserver
 
 import (
-	"bytes"
-	"errors"
 	"fmt"
 	"io"
-	"io/fs"
 	"net"
-	"os"
-	"path/filepath"
 	"strings"
 	"sync/atomic"
 	"testing"
 	"time"
 
+	"marlreel/internal/testing/recorded"
 	"marlreel/internal/testutil"
 )
 
@@ -63,32 +59,5 @@
 		}
 		fmt.Fprintf(&got, "--- %s, ready %v\n%s", c.call, c.ready, strings.ReplaceAll(string(answer), "\r\n", "\\r\\n\n"))
 	}
-	compareRecorded(t, "answers.txt", []byte(got.String()))
-}
-
-// The files under testdata/compatibility hold what the tree at commit 6fb9894 wrote. They stay as they are: a
-// difference is a change of a form that others read, not a reason to write them anew. The variable below wrote
-// them; it only makes files that are not there.
-const writeCompatibility = "MARLREEL_WRITE_COMPATIBILITY"
-
-// compareRecorded compares bytes with a recorded file.
-func compareRecorded(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "compatibility", name)
-	want, err := os.ReadFile(path)
-	if errors.Is(err, fs.ErrNotExist) && os.Getenv(writeCompatibility) != "" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs\n got %s\nwant %s", name, got, want)
-	}
+	recorded.Check(t, "answers.txt", got.String())
 }
--- a/internal/process/logs/compatibility_test.go
+++ b/internal/process/logs/compatibility_test.go
@@ -3,12 +3,11 @@
 import (
 	"bytes"
 	"errors"
-	"io/fs"
-	"os"
-	"path/filepath"
 	"regexp"
 	"testing"
 	"time"
+
+	"marlreel/internal/testing/recorded"
 )
 
 // The forms of [log] format: a line for people, and an object for machines with the event's name and its fields.
@@ -25,36 +24,9 @@
 		l.With("event", "http").Error("a \u010d line\nwith a break")
 		l.Debug("not said")
 		ForEvent(l, "engine")("%d backends", 7)
-		compareRecorded(t, "lines-"+format+".txt", clock.ReplaceAll(b.Bytes(), []byte("TIME ")))
+		recorded.Check(t, "lines-"+format+".txt", string(clock.ReplaceAll(b.Bytes(), []byte("TIME "))))
 	}
 	var b bytes.Buffer
 	NewWithoutTime(&b).Info("without the time", "event", "x")
-	compareRecorded(t, "lines-plain.txt", b.Bytes())
-}
-
-// The files under testdata/compatibility hold what the tree at commit 6fb9894 wrote. They stay as they are: a
-// difference is a change of a form that others read, not a reason to write them anew. The variable below wrote
-// them; it only makes files that are not there.
-const writeCompatibility = "MARLREEL_WRITE_COMPATIBILITY"
-
-// compareRecorded compares bytes with a recorded file.
-func compareRecorded(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "compatibility", name)
-	want, err := os.ReadFile(path)
-	if errors.Is(err, fs.ErrNotExist) && os.Getenv(writeCompatibility) != "" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs\n got %s\nwant %s", name, got, want)
-	}
+	recorded.Check(t, "lines-plain.txt", b.String())
 }
