--- a/internal/dataplane/msgpackrpc/scan_test.go
+++ b/internal/dataplane/msgpackrpc/codec_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestWhatIsNoMessage(t *testing.T) {
+func TestMalformedMessages(t *testing.T) {
 	for name, v := range map[string]string{
 		"a number":            "01",
 		"a map":               "80",
@@ -110,7 +110,7 @@
 }
 
 // What is claimed and what is nested is bounded, long before it has come.
-func TestBounds(t *testing.T) {
+func TestLimits(t *testing.T) {
 	for name, c := range map[string]struct {
 		data []byte
 		want error
@@ -137,8 +137,8 @@
 	}
 }
 
-// Any value that the other library writes is found whole, however its bytes are split.
-func TestAnySplit(t *testing.T) {
+// Any value that the other library writes is found complete, however its bytes are split.
+func TestValuesSplitAnywhere(t *testing.T) {
 	value := rapid.Deferred(func() *rapid.Generator[any] { return anyValue(4) })
 	rapid.Check(t, func(t *rapid.T) {
 		data, err := msgpack.Marshal(value.Draw(t, "value"))
@@ -178,22 +178,27 @@
 	return rapid.OneOf(append(leaves, rapid.SliceOfN(inner, 0, 20).AsAny(), rapid.MapOfN(rapid.String(), inner, 0, 20).AsAny())...)
 }
 
-func TestMetadata(t *testing.T) {
-	encode := func(v ...any) []byte {
-		b, err := msgpack.Marshal(v)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return b
+// allMetadata has every key.
+var allMetadata = map[string]any{"$id": "00000000000000aa", "$house": "obala", "$key": "k", "$about": "crate 7", "$left_ms": 480, "$repeat": true}
+
+// encodeArray encodes an array by the other library.
+func encodeArray(t *testing.T, v ...any) []byte {
+	t.Helper()
+	b, err := msgpack.Marshal(v)
+	if err != nil {
+		t.Fatal(err)
 	}
-	full := map[string]any{"$id": "00000000000000aa", "$house": "obala", "$key": "k", "$about": "crate 7", "$left_ms": 480, "$repeat": true}
-	call, err := splitParams(encode(1, "two", full))
+	return b
+}
+
+func TestMetadataGoesOn(t *testing.T) {
+	call, err := splitParams(encodeArray(t, 1, "two", allMetadata))
 	if err != nil || !call.hasMeta || call.count != 2 || !bytes.Equal(call.args, unhex(t, "01 a3 74776f")) ||
 		call.meta != (Metadata{"00000000000000aa", "obala", "k", "crate 7", 480, true}) {
 		t.Errorf("%+v %v", call, err)
 	}
 	// What goes on is readable for the other library, and tells the time that is left.
-	p := payload{method: "a", args: call.args, count: call.count, meta: call.meta, given: true}
+	p := payload{method: "a", args: call.args, count: call.count, meta: call.meta, hasMeta: true}
 	var sent []any
 	if err := msgpack.Unmarshal(p.encode(9, 250e6), &sent); err != nil {
 		t.Fatal(err)
@@ -202,20 +207,33 @@
 	if got["$id"] != "00000000000000aa" || got["$left_ms"] != 250.0 || got["$key"] != "k" || got["$house"] != "obala" || got["$about"] != "crate 7" {
 		t.Errorf("sent on: %v", got)
 	}
+}
+
+// A last parameter that is not all metadata is the method's own.
+func TestParametersWithoutMetadata(t *testing.T) {
 	for name, params := range map[string][]byte{
-		"none":               encode(1, 2),
-		"no params":          encode(),
-		"an empty map":       encode(map[string]any{}),
-		"a map of its own":   encode(map[string]any{"weight": 7}),
-		"half of its own":    encode(map[string]any{"$id": "00000000000000aa", "weight": 7}),
-		"a key that is none": encode(map[int]any{1: 2}),
-		"not the last":       encode(full, 1),
+		"none":               encodeArray(t, 1, 2),
+		"no params":          encodeArray(t),
+		"an empty map":       encodeArray(t, map[string]any{}),
+		"a map of its own":   encodeArray(t, map[string]any{"weight": 7}),
+		"half of its own":    encodeArray(t, map[string]any{"$id": "00000000000000aa", "weight": 7}),
+		"a key that is none": encodeArray(t, map[int]any{1: 2}),
+		"not the last":       encodeArray(t, allMetadata, 1),
 	} {
-		got, err := splitParams(params)
-		if h, _ := readHeader(params); err != nil || got.hasMeta || got.count != int(h.elements) || !bytes.Equal(got.args, params[h.headerBytes:]) {
-			t.Errorf("%s: %+v %v", name, got, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			h, err := readHeader(params)
+			if err != nil {
+				t.Fatal(err)
+			}
+			got, err := splitParams(params)
+			if err != nil || got.hasMeta || got.count != int(h.elements) || !bytes.Equal(got.args, params[h.headerBytes:]) {
+				t.Errorf("%+v %v", got, err)
+			}
+		})
 	}
+}
+
+func TestUnusableMetadata(t *testing.T) {
 	for name, bad := range map[string]map[string]any{
 		"an id of another form": {"$id": "../../etc"},
 		"an id that is none":    {"$id": 7},
@@ -225,9 +243,12 @@
 		"time as text":          {"$left_ms": "480"},
 		"a repeat as text":      {"$repeat": "yes"},
 	} {
-		if _, err := splitParams(encode(bad)); err == nil {
-			t.Errorf("%s: taken", name)
-		}
+		t.Run(name, func(t *testing.T) {
+			got, err := splitParams(encodeArray(t, bad))
+			if err == nil {
+				t.Errorf("accepted: %+v", got)
+			}
+		})
 	}
 }
 
