--- a/cmd/marlreel/compatibility_test.go
+++ b/cmd/marlreel/compatibility_test.go
@@ -5,11 +5,11 @@
 	"errors"
 	"flag"
 	"fmt"
-	"io/fs"
-	"os"
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"marlreel/internal/testing/recorded"
 )
 
 // The flags, and how each command line is read.
@@ -66,32 +66,5 @@
 		words := strings.NewReplacer(missing, "MISSING", shipped, "SHIPPED").Replace(strings.Join(args, " "))
 		fmt.Fprintf(&got, "marlreel %s: exit %d, output %v, errors %v\n", words, code, out.Len() > 0, errs.Len() > 0)
 	}
-	compareRecorded(t, "exit-codes.txt", []byte(got.String()))
-}
-
-// The files under testdata/compatibility hold what the tree at commit 6fb9894 wrote. They stay as they are: a
-// difference is a change of a form that others read, not a reason to write them anew. The variable below wrote
-// them; it only makes files that are not there.
-const writeCompatibility = "MARLREEL_WRITE_COMPATIBILITY"
-
-// compareRecorded compares bytes with a recorded file.
-func compareRecorded(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "compatibility", name)
-	want, err := os.ReadFile(path)
-	if errors.Is(err, fs.ErrNotExist) && os.Getenv(writeCompatibility) != "" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs\n got %s\nwant %s", name, got, want)
-	}
+	recorded.Check(t, "exit-codes.txt", got.String())
 }
--- a/cmd/rehearse/compatibility_test.go
+++ b/cmd/rehearse/compatibility_test.go
@@ -3,17 +3,15 @@
 import (
 	"bytes"
 	"encoding/json"
-	"errors"
 	"fmt"
-	"io/fs"
 	"maps"
-	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
 
 	"github.com/alecthomas/kong"
+
+	"marlreel/internal/testing/recorded"
 )
 
 // The commands and flags are the recorded ones.
@@ -25,7 +23,7 @@
 	}
 	var got strings.Builder
 	commandLine(&got, parser.Model.Node, "rehearse")
-	compareRecorded(t, "command-line.txt", []byte(got.String()))
+	recorded.Check(t, "command-line.txt", got.String())
 }
 
 // What check tells a program of a scenario, its schedule among it.
@@ -34,7 +32,7 @@
 	if code := run(t.Context(), []string{"check", "smoke", "--seed", "7", "--json"}, &out, &errs); code != 0 {
 		t.Fatalf("exit %d: %s", code, errs.String())
 	}
-	compareRecorded(t, "check.json", out.Bytes())
+	recorded.Check(t, "check.json", string(out.Bytes()))
 }
 
 // The keys of list --json.
@@ -72,30 +70,3 @@
 		commandLine(b, c, path+" "+c.Name)
 	}
 }
-
-// The files under testdata/compatibility hold what the tree at commit 6fb9894 wrote. They stay as they are: a
-// difference is a change of a form that others read, not a reason to write them anew. The variable below wrote
-// them; it only makes files that are not there.
-const writeCompatibility = "MARLREEL_WRITE_COMPATIBILITY"
-
-// compareRecorded compares bytes with a recorded file.
-func compareRecorded(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "compatibility", name)
-	want, err := os.ReadFile(path)
-	if errors.Is(err, fs.ErrNotExist) && os.Getenv(writeCompatibility) != "" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs\n got %s\nwant %s", name, got, want)
-	}
-}
--- a/internal/dataplane/httpproxy/compatibility_sent_test.go
+++ b/internal/dataplane/httpproxy/compatibility_sent_test.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io/fs"
 	"net"
 	"net/http"
 	"net/http/httptest"
@@ -17,6 +16,7 @@
 	"time"
 
 	"marlreel/internal/dataplane/engine"
+	"marlreel/internal/testing/recorded"
 )
 
 // goodRequest is a client's request that is taken, with all headers that mean something here.
@@ -67,7 +67,7 @@
 	} {
 		fmt.Fprintf(&got, "--- %s\n%s", m.name, sortedHead(m.data))
 	}
-	compareRecorded(t, "to-backends.txt", []byte(got.String()))
+	recorded.Check(t, "to-backends.txt", got.String())
 }
 
 // recordedAnswer writes an answer down: status, headers in order, body.
@@ -141,7 +141,7 @@
 		fmt.Fprintf(&got, "--- %s\n%s", c.name, recordedAnswer(w))
 	}
 	recordBodyErrors(&got, l.front, get)
-	compareRecorded(t, "refused-requests.txt", []byte(got.String()))
+	recorded.Check(t, "refused-requests.txt", got.String())
 }
 
 // What clients get for each verdict of the engine, and which headers of a backend's answer go on.
@@ -169,7 +169,7 @@
 		l.front.writeAnswer(w, httptest.NewRequest(http.MethodGet, "/lot-list", nil), c, <-c.answers)
 		fmt.Fprintf(&got, "--- %s\n%s\n", v.name, recordedAnswer(w))
 	}
-	compareRecorded(t, "verdicts.txt", []byte(got.String()))
+	recorded.Check(t, "verdicts.txt", got.String())
 }
 
 // What a backend's status and headers mean, and its report of load.
@@ -198,7 +198,7 @@
 	for _, text := range []string{`{"pending":2.5,"busy_reqs":1,"other":3}`, `{"busy_reqs":1}`, `{"busy_reqs":-1,"pending":2}`, `busy_reqs=1`, ``} {
 		fmt.Fprintf(&got, "X-Backend-Load %s: %v\n", text, parseLoadReport(http.Header{"X-Backend-Load": {text}}, names))
 	}
-	compareRecorded(t, "from-backends.txt", []byte(got.String()))
+	recorded.Check(t, "from-backends.txt", got.String())
 }
 
 // What a process of one version tells the next at an upgrade of a large answer on its way. Its keys are the names of
@@ -216,7 +216,7 @@
 		}
 		got.Write(append(text, '\n'))
 	}
-	compareRecorded(t, "relay-states.txt", got.Bytes())
+	recorded.Check(t, "relay-states.txt", string(got.Bytes()))
 	recorded, err := os.ReadFile(filepath.Join("testdata", "compatibility", "relay-states.txt"))
 	if err != nil {
 		t.Fatal(err)
@@ -249,32 +249,5 @@
 		l.front.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/ready", nil))
 		fmt.Fprintf(&got, "--- ready %v\n%s", ready, recordedAnswer(w))
 	}
-	compareRecorded(t, "ready.txt", []byte(got.String()))
-}
-
-// The files under testdata/compatibility hold what the tree at commit 6fb9894 wrote. They stay as they are: a
-// difference is a change of a form that others read, not a reason to write them anew. The variable below wrote
-// them; it only makes files that are not there.
-const writeCompatibility = "MARLREEL_WRITE_COMPATIBILITY"
-
-// compareRecorded compares bytes with a recorded file.
-func compareRecorded(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "compatibility", name)
-	want, err := os.ReadFile(path)
-	if errors.Is(err, fs.ErrNotExist) && os.Getenv(writeCompatibility) != "" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs\n got %s\nwant %s", name, got, want)
-	}
+	recorded.Check(t, "ready.txt", got.String())
 }
--- a/internal/discovery/platformwatch/compatibility_test.go
+++ b/internal/discovery/platformwatch/compatibility_test.go
@@ -5,9 +5,7 @@
 	"bytes"
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
-	"io/fs"
 	"net/http"
 	"net/http/httptest"
 	"os"
@@ -20,6 +18,7 @@
 
 	"marlreel/internal/balancer"
 	"marlreel/internal/dataplane/engine"
+	"marlreel/internal/testing/recorded"
 )
 
 var compatibilityNames = Names{Zones: map[string]int{"koper": 0, "maribor": 1}, Kinds: map[string]int{"mid-2c": 0, "big-4c": 1}}
@@ -68,7 +67,7 @@
 		}
 		sent.Write(append(text, '\n', '\n'))
 	}
-	compareRecorded(t, "watch.txt", sent.Bytes())
+	recorded.Check(t, "watch.txt", string(sent.Bytes()))
 	lists := readRecorded(t)
 	if len(lists) != 2 {
 		t.Fatalf("%d lists", len(lists))
@@ -111,32 +110,5 @@
 	if l, err := d.fetchOnce(context.Background(), time.Minute, func() uint32 { return 41 }); l != nil || err != nil {
 		t.Errorf("a list that is known: %+v, %v", l, err)
 	}
-	compareRecorded(t, "calls.txt", []byte(strings.Join(calls, "")))
-}
-
-// The files under testdata/compatibility hold what the tree at commit 6fb9894 wrote. They stay as they are: a
-// difference is a change of a form that others read, not a reason to write them anew. The variable below wrote
-// them; it only makes files that are not there.
-const writeCompatibility = "MARLREEL_WRITE_COMPATIBILITY"
-
-// compareRecorded compares bytes with a recorded file.
-func compareRecorded(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "compatibility", name)
-	want, err := os.ReadFile(path)
-	if errors.Is(err, fs.ErrNotExist) && os.Getenv(writeCompatibility) != "" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs\n got %s\nwant %s", name, got, want)
-	}
+	recorded.Check(t, "calls.txt", strings.Join(calls, ""))
 }
--- a/internal/fleet/agree/compatibility_sent_test.go
+++ b/internal/fleet/agree/compatibility_sent_test.go
@@ -1,15 +1,14 @@
 package agree
 
 import (
-	"bytes"
-	"errors"
 	"fmt"
-	"io/fs"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 	"time"
+
+	"marlreel/internal/testing/recorded"
 )
 
 // compatibilityState is a state with all its keys.
@@ -59,7 +58,7 @@
 	} {
 		fmt.Fprintf(&got, "%s: %s\n", m.name, Encode(m.message))
 	}
-	compareRecorded(t, "messages.txt", []byte(got.String()))
+	recorded.Check(t, "messages.txt", got.String())
 
 	recorded, err := os.ReadFile(filepath.Join("testdata", "compatibility", "messages.txt"))
 	if err != nil {
@@ -104,32 +103,5 @@
 		r := s.apply(uint64(i+1), c)
 		fmt.Fprintf(&got, "%s: %s\n%s\n", c.Kind, Encode(Message{Result: &r}), Encode(Message{Grant: &Grant{State: s}}))
 	}
-	compareRecorded(t, "apply.txt", []byte(got.String()))
-}
-
-// The files under testdata/compatibility hold what the tree at commit 6fb9894 wrote. They stay as they are: a
-// difference is a change of a form that others read, not a reason to write them anew. The variable below wrote
-// them; it only makes files that are not there.
-const writeCompatibility = "MARLREEL_WRITE_COMPATIBILITY"
-
-// compareRecorded compares bytes with a recorded file.
-func compareRecorded(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "compatibility", name)
-	want, err := os.ReadFile(path)
-	if errors.Is(err, fs.ErrNotExist) && os.Getenv(writeCompatibility) != "" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs\n got %s\nwant %s", name, got, want)
-	}
+	recorded.Check(t, "apply.txt", got.String())
 }
--- a/internal/fleet/compatibility_test.go
+++ b/internal/fleet/compatibility_test.go
@@ -7,7 +7,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"io/fs"
 	"net"
 	"net/http"
 	"os"
@@ -19,6 +18,7 @@
 
 	"marlreel/internal/fleet/agree"
 	"marlreel/internal/fleet/peers"
+	"marlreel/internal/testing/recorded"
 )
 
 var compatibilityTime = time.Date(2026, 11, 30, 8, 15, 0, 250_000_000, time.UTC)
@@ -56,7 +56,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		compareRecorded(t, name, append(got, '\n'))
+		recorded.Check(t, name, string(append(got, '\n')))
 	}
 	for name, into := range map[string]any{"status.json": new(Status), "sight.json": new(Sight), "refusal.json": new(Reply)} {
 		recorded, err := os.ReadFile(filepath.Join("testdata", "compatibility", name))
@@ -76,7 +76,7 @@
 func TestCompatibilityFigures(t *testing.T) {
 	f := &Fleet{}
 	f.status.Store(compatibilityStatus())
-	compareRecorded(t, "counters.txt", f.Figures([]byte("proxy.before:1|c\n")))
+	recorded.Check(t, "counters.txt", string(f.Figures([]byte("proxy.before:1|c\n"))))
 }
 
 // The operators' socket: its name and mode, its paths, methods and parameters, what each asks the keeper that leads,
@@ -186,32 +186,5 @@
 	close(f.events)
 	<-over
 	got.WriteString("--- asked of the leader\n" + regexp.MustCompile(`"at":"[^"]*"`).ReplaceAllString(asked.String(), `"at":"TIME"`))
-	compareRecorded(t, "operators.txt", []byte(got.String()))
-}
-
-// The files under testdata/compatibility hold what the tree at commit 6fb9894 wrote. They stay as they are: a
-// difference is a change of a form that others read, not a reason to write them anew. The variable below wrote
-// them; it only makes files that are not there.
-const writeCompatibility = "MARLREEL_WRITE_COMPATIBILITY"
-
-// compareRecorded compares bytes with a recorded file.
-func compareRecorded(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "compatibility", name)
-	want, err := os.ReadFile(path)
-	if errors.Is(err, fs.ErrNotExist) && os.Getenv(writeCompatibility) != "" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs\n got %s\nwant %s", name, got, want)
-	}
+	recorded.Check(t, "operators.txt", got.String())
 }
--- a/internal/process/handover/compatibility_sent_test.go
+++ b/internal/process/handover/compatibility_sent_test.go
@@ -1,18 +1,18 @@
 package handover
 
 import (
-	"bytes"
 	"context"
 	"errors"
 	"fmt"
 	"io"
-	"io/fs"
 	"net"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 	"time"
+
+	"marlreel/internal/testing/recorded"
 )
 
 // The files by which two processes of a proxy, perhaps of two versions, find each other, and the stages in them.
@@ -36,7 +36,7 @@
 		fmt.Fprintf(&got, "%s: %q, read as %s, alive %v\n", s, text, stage, alive)
 	}
 	fmt.Fprintln(&got, "socket:", filepath.Base(r.socket(7)))
-	compareRecorded(t, "files.txt", []byte(got.String()))
+	recorded.Check(t, "files.txt", got.String())
 }
 
 // What goes over the socket: a state that is passed, the question for what was learnt, and their answers.
@@ -98,32 +98,5 @@
 		}
 		fmt.Fprintf(&got, "received %x: answers %x\n", text, said)
 	}
-	compareRecorded(t, "calls.txt", []byte(got.String()))
-}
-
-// The files under testdata/compatibility hold what the tree at commit 6fb9894 wrote. They stay as they are: a
-// difference is a change of a form that others read, not a reason to write them anew. The variable below wrote
-// them; it only makes files that are not there.
-const writeCompatibility = "MARLREEL_WRITE_COMPATIBILITY"
-
-// compareRecorded compares bytes with a recorded file.
-func compareRecorded(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "compatibility", name)
-	want, err := os.ReadFile(path)
-	if errors.Is(err, fs.ErrNotExist) && os.Getenv(writeCompatibility) != "" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs\n got %s\nwant %s", name, got, want)
-	}
+	recorded.Check(t, "calls.txt", got.String())
 }
--- a/internal/proxy/compatibility_sent_test.go
+++ b/internal/proxy/compatibility_sent_test.go
@@ -2,12 +2,9 @@
 
 import (
 	"bufio"
-	"bytes"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
-	"io/fs"
 	"net"
 	"net/http"
 	"os"
@@ -23,6 +20,7 @@
 	"marlreel/internal/fleet/agree"
 	"marlreel/internal/fleet/peers"
 	"marlreel/internal/stricttoml"
+	"marlreel/internal/testing/recorded"
 	"marlreel/internal/testutil"
 )
 
@@ -124,7 +122,7 @@
 		return strings.Contains(body, `"joined": true`) && strings.Contains(body, `"state": "alive"`)
 	})
 	ask(p, "/control/fleet", "/control/counters", "/control/discovery")
-	compareRecorded(t, "door.txt", []byte(got.String()))
+	recorded.Check(t, "door.txt", got.String())
 }
 
 // The lines of [fleet] trace.
@@ -144,7 +142,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	compareRecorded(t, "trace.txt", got)
+	recorded.Check(t, "trace.txt", string(got))
 }
 
 // recordingBackend gives each request with a body of four bytes on as it came, and answers all alike.
@@ -194,32 +192,5 @@
 		slices.Sort(lines[1:])
 		return strings.Join(lines, "\n") + "\n\n" + body + "\n"
 	}
-	compareRecorded(t, "through.txt", []byte("--- to the backend\n"+sorted(receive(t, seen, "the request"))+"--- to the client\n"+sorted(string(answer))))
-}
-
-// The files under testdata/compatibility hold what the tree at commit 6fb9894 wrote. They stay as they are: a
-// difference is a change of a form that others read, not a reason to write them anew. The variable below wrote
-// them; it only makes files that are not there.
-const writeCompatibility = "MARLREEL_WRITE_COMPATIBILITY"
-
-// compareRecorded compares bytes with a recorded file.
-func compareRecorded(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "compatibility", name)
-	want, err := os.ReadFile(path)
-	if errors.Is(err, fs.ErrNotExist) && os.Getenv(writeCompatibility) != "" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs\n got %s\nwant %s", name, got, want)
-	}
+	recorded.Check(t, "through.txt", "--- to the backend\n"+sorted(receive(t, seen, "the request"))+"--- to the client\n"+sorted(string(answer)))
 }
