--- a/internal/dataplane/httpproxy/handover.go
+++ b/internal/dataplane/httpproxy/handover.go
@@ -11,19 +11,16 @@
 	"marlreel/internal/process/budget"
 )
 
-// Connections on which no complete request has come go on in the next process when this one leaves:
-// those that say nothing, those that rest between two requests, and those whose client is still
-// writing. Nothing of what they ask has run, and what has come of it goes along. So who writes for
-// longer than the platform waits for a process's end loses nothing by it.
+// handOver lets connections on which no complete request has come go on in the next process when this one ends: silent
+// ones, idle ones, and those whose client is still writing. Nothing of what they ask has run, and what has come of it
+// goes along. So a client that writes for longer than the platform waits for a process's end loses nothing by it.
 //
-// A connection is given by who reads from it, at a moment at which nothing that has come is on its
-// way between two readers: its read is made to time out (interruptRead), and meets that in clientConn.Read.
-
-// handOver lets all such connections go on in another process.
-func (cs *clientConns) handOver(give TransferFunc) {
+// A connection is handed over by whoever reads from it, at a moment at which nothing that has come is on its way between
+// two readers: its read is made to time out (interruptRead), which clientConn.Read handles.
+func (cs *clientConns) handOver(transfer TransferFunc) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	cs.transfer = give
+	cs.transfer = transfer
 	for c := range cs.open {
 		if c.queuedIn != nil && c.queuedIn != &cs.lingering || c.receivingBody {
 			c.interruptRead()
@@ -61,12 +58,12 @@
 	}
 	c.readDeadlineMu.Lock()
 	defer c.readDeadlineMu.Unlock()
-	was := c.interrupted && !c.readsEnded
-	if was {
-		c.interrupted = false
-		_ = c.Conn.SetReadDeadline(c.readDeadline)
+	if !c.interrupted || c.readsEnded {
+		return false
 	}
-	return was
+	c.interrupted = false
+	_ = c.Conn.SetReadDeadline(c.readDeadline)
+	return true
 }
 
 // savePartialHead keeps what has come of a head that is not complete.
--- a/internal/dataplane/httpproxy/streamrelay.go
+++ b/internal/dataplane/httpproxy/streamrelay.go
@@ -281,31 +281,32 @@
 	if err != nil {
 		return err
 	}
-	held := s.conns.adopt(nc)
-	r.client = held
+	client := s.conns.adopt(nc)
+	r.client = client
 	go func() {
 		defer backend.Close()
-		defer held.Close()
+		defer client.Close()
 		err := r.run(s.memory, s.handoverStarted, s.currentTransfer)
 		if err != nil && !errors.Is(err, errHandedOver) && !r.chunked {
-			held.markReset()
+			client.markReset()
 		}
 	}()
 	return nil
 }
 
-// HandOver lets go of large answers that are on their way, and of connections on which no request has
-// come whole: each is given to another process that goes on with it, if it takes them. What it does
+// HandOver lets go of large answers that are on their way, and of connections on which no complete request has
+// come: each is given to another process that goes on with it, if it takes them. What it does
 // not take goes on here.
-func (s *Front) HandOver(give TransferFunc) {
-	s.transfer.Store(&give)
+func (s *Front) HandOver(transfer TransferFunc) {
+	s.transfer.Store(&transfer)
 	close(s.handoverStarted)
-	s.conns.handOver(give)
+	s.conns.handOver(transfer)
 }
 
+// currentTransfer is what HandOver was given; nil before it.
 func (s *Front) currentTransfer() TransferFunc {
-	if g := s.transfer.Load(); g != nil {
-		return *g
+	if transfer := s.transfer.Load(); transfer != nil {
+		return *transfer
 	}
 	return nil
 }
