--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -206,7 +206,7 @@
 	p.engine.SetObserver(engine.Join(watchers...))
 	if own.RPC.Listen != "" {
 		p.rpcCarrier = msgpackrpc.NewCarrier(p.engine, &own.RPC, &p.rpcCounts)
-		p.rpcFront = msgpackrpc.NewServer(p.engine, p.rpcCarrier, &own.RPC, logger, &p.rpcCounts)
+		p.rpcFront = msgpackrpc.NewServer(p.engine, p.rpcCarrier, &own.RPC, &p.rpcCounts)
 		p.engine.AddCarrier(p.rpcCarrier)
 	}
 	return p, nil
