--- a/internal/discovery/membership/compatibility_test.go
+++ b/internal/discovery/membership/compatibility_test.go
@@ -3,12 +3,10 @@
 import (
 	"bytes"
 	"encoding/json"
-	"errors"
-	"io/fs"
-	"os"
-	"path/filepath"
 	"testing"
 	"time"
+
+	"marlreel/internal/testing/recorded"
 )
 
 // The JSON of /control/discovery, with all keys and with what may be left out left out.
@@ -24,16 +22,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		compareRecorded(t, name, append(got, '\n'))
-		recorded, err := os.ReadFile(filepath.Join("testdata", "compatibility", name))
-		if err != nil {
-			t.Fatal(err)
-		}
+		recorded.Check(t, name, string(got)+"\n")
+		want := recorded.Read(t, name)
 		var read Status
-		if err := json.Unmarshal(recorded, &read); err != nil {
+		if err := json.Unmarshal(want, &read); err != nil {
 			t.Fatal(err)
 		}
-		if again, err := json.MarshalIndent(read, "", " "); err != nil || !bytes.Equal(append(again, '\n'), recorded) {
+		if again, err := json.MarshalIndent(read, "", " "); err != nil || !bytes.Equal(append(again, '\n'), want) {
 			t.Errorf("%s: read and written again it is %s (%v)", name, again, err)
 		}
 	}
@@ -41,32 +36,5 @@
 
 // The name under which an operator confirms a list is a key in the registry.
 func TestCompatibilityConfirmKey(t *testing.T) {
-	compareRecorded(t, "confirm-key.txt", []byte(ConfirmKey+"\n"))
-}
-
-// The files under testdata/compatibility hold what the tree at commit 6fb9894 wrote. They stay as they are: a
-// difference is a change of a form that others read, not a reason to write them anew. The variable below wrote
-// them; it only makes files that are not there.
-const writeCompatibility = "MARLREEL_WRITE_COMPATIBILITY"
-
-// compareRecorded compares bytes with a recorded file.
-func compareRecorded(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "compatibility", name)
-	want, err := os.ReadFile(path)
-	if errors.Is(err, fs.ErrNotExist) && os.Getenv(writeCompatibility) != "" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs\n got %s\nwant %s", name, got, want)
-	}
+	recorded.Check(t, "confirm-key.txt", ConfirmKey+"\n")
 }
--- a/internal/discovery/platformwatch/compatibility_test.go
+++ b/internal/discovery/platformwatch/compatibility_test.go
@@ -5,13 +5,9 @@
 	"bytes"
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
-	"io/fs"
 	"net/http"
 	"net/http/httptest"
-	"os"
-	"path/filepath"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -20,6 +16,7 @@
 
 	"marlreel/internal/balancer"
 	"marlreel/internal/dataplane/engine"
+	"marlreel/internal/testing/recorded"
 )
 
 var compatibilityNames = Names{Zones: map[string]int{"koper": 0, "maribor": 1}, Kinds: map[string]int{"mid-2c": 0, "big-4c": 1}}
@@ -27,14 +24,10 @@
 // readRecorded reads the recorded lines of a watch as a proxy does.
 func readRecorded(t *testing.T) (lists []*List) {
 	t.Helper()
-	recorded, err := os.ReadFile(filepath.Join("testdata", "compatibility", "watch.txt"))
-	if err != nil {
-		t.Fatal(err)
-	}
 	var names atomic.Pointer[Names]
 	names.Store(&compatibilityNames)
 	d := &follower{names: &names}
-	in := listReader{in: bufio.NewReader(bytes.NewReader(recorded))}
+	in := listReader{in: bufio.NewReader(bytes.NewReader(recorded.Read(t, "watch.txt")))}
 	for {
 		text, err := in.next()
 		if err != nil {
@@ -68,7 +61,7 @@
 		}
 		sent.Write(append(text, '\n', '\n'))
 	}
-	compareRecorded(t, "watch.txt", sent.Bytes())
+	recorded.Check(t, "watch.txt", sent.String())
 	lists := readRecorded(t)
 	if len(lists) != 2 {
 		t.Fatalf("%d lists", len(lists))
@@ -111,32 +104,5 @@
 	if l, err := d.fetchOnce(context.Background(), time.Minute, func() uint32 { return 41 }); l != nil || err != nil {
 		t.Errorf("a list that is known: %+v, %v", l, err)
 	}
-	compareRecorded(t, "calls.txt", []byte(strings.Join(calls, "")))
-}
-
-// The files under testdata/compatibility hold what the tree at commit 6fb9894 wrote. They stay as they are: a
-// difference is a change of a form that others read, not a reason to write them anew. The variable below wrote
-// them; it only makes files that are not there.
-const writeCompatibility = "MARLREEL_WRITE_COMPATIBILITY"
-
-// compareRecorded compares bytes with a recorded file.
-func compareRecorded(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "compatibility", name)
-	want, err := os.ReadFile(path)
-	if errors.Is(err, fs.ErrNotExist) && os.Getenv(writeCompatibility) != "" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs\n got %s\nwant %s", name, got, want)
-	}
+	recorded.Check(t, "calls.txt", strings.Join(calls, ""))
 }
--- a/internal/discovery/registry/compatibility_test.go
+++ b/internal/discovery/registry/compatibility_test.go
@@ -1,13 +1,11 @@
 package registry
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
-	"io/fs"
 	"net/http"
 	"net/http/httptest"
 	"os"
@@ -18,6 +16,7 @@
 	"time"
 
 	"marlreel/internal/discovery/membership"
+	"marlreel/internal/testing/recorded"
 )
 
 // recordedRegistry answers calls in their order from a script, and writes them down.
@@ -176,7 +175,7 @@
 		n2     = `{"key":"bWFybHJlZWwvbm9kZXMvbjI=","value":"e30=","mod_revision":"16"}`
 		header = `"header":{"cluster_id":"14841639068965178418","revision":"17"}`
 	)
-	compareRecorded(t, "etcd.txt", []byte(exchangeWith(t, "etcd", "proxy", []string{
+	recorded.Check(t, "etcd.txt", exchangeWith(t, "etcd", "proxy", []string{
 		`200 {"token":"t-1"}`,
 		`200 {` + header + `,"kvs":[` + n1 + `],"more":true,"count":"2"}`,
 		`200 {` + header + `,"kvs":[` + n2 + `],"count":"2"}`,
@@ -194,7 +193,7 @@
 		`200 {"result":{` + header + `,"ID":"7587862094","TTL":"2"}}`,
 		`200 {"result":{` + header + `,"ID":"7587862094"}}`,
 		`200 {` + header + `}`,
-	}, 2)))
+	}, 2))
 }
 
 // The calls to Consul, and what is read of its answers.
@@ -203,7 +202,7 @@
 		folder = `{"Key":"marlreel/nodes/","Value":null,"ModifyIndex":2}`
 		n1     = `{"Key":"marlreel/nodes/n1","Value":"eyJ2IjoxLCJhZGRyZXNzIjoiMTI3LjAuMC4xOjkwMDEiLCJ6b25lIjoia29wZXIiLCJzdGF0ZSI6InJlYWR5In0=","ModifyIndex":15}`
 	)
-	compareRecorded(t, "consul.txt", []byte(exchangeWith(t, "consul", "", []string{
+	recorded.Check(t, "consul.txt", exchangeWith(t, "consul", "", []string{
 		`index 17 200 [` + folder + `,` + n1 + `]`,
 		`index 18 200 [` + n1 + `]`,
 		`index 18 404 `,
@@ -217,7 +216,7 @@
 		`200 [{"ID":"adf4238a-882b-9ddc-4a9d-5b6758e4159e"}]`,
 		`404 no session`,
 		`200 true`,
-	}, 1)))
+	}, 1))
 }
 
 // A node's value in the registry, with all keys and with the least, and how each is read.
@@ -238,32 +237,5 @@
 		got.item(ParseItem("marlreel/nodes/", "marlreel/nodes/n1", text, 5))
 	}
 	got.item(ParseItem("marlreel/nodes/", "marlreel/nodes/"+membership.ConfirmKey, []byte("17"), 6))
-	compareRecorded(t, "node-values.txt", []byte(got.String()))
-}
-
-// The files under testdata/compatibility hold what the tree at commit 6fb9894 wrote. They stay as they are: a
-// difference is a change of a form that others read, not a reason to write them anew. The variable below wrote
-// them; it only makes files that are not there.
-const writeCompatibility = "MARLREEL_WRITE_COMPATIBILITY"
-
-// compareRecorded compares bytes with a recorded file.
-func compareRecorded(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "compatibility", name)
-	want, err := os.ReadFile(path)
-	if errors.Is(err, fs.ErrNotExist) && os.Getenv(writeCompatibility) != "" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs\n got %s\nwant %s", name, got, want)
-	}
+	recorded.Check(t, "node-values.txt", got.String())
 }
