--- a/internal/discovery/platformwatch/compatibility_test.go
+++ b/internal/discovery/platformwatch/compatibility_test.go
@@ -8,8 +8,6 @@
 	"fmt"
 	"net/http"
 	"net/http/httptest"
-	"os"
-	"path/filepath"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -26,14 +24,10 @@
 // readRecorded reads the recorded lines of a watch as a proxy does.
 func readRecorded(t *testing.T) (lists []*List) {
 	t.Helper()
-	recorded, err := os.ReadFile(filepath.Join("testdata", "compatibility", "watch.txt"))
-	if err != nil {
-		t.Fatal(err)
-	}
 	var names atomic.Pointer[Names]
 	names.Store(&compatibilityNames)
 	d := &follower{names: &names}
-	in := listReader{in: bufio.NewReader(bytes.NewReader(recorded))}
+	in := listReader{in: bufio.NewReader(bytes.NewReader(recorded.Read(t, "watch.txt")))}
 	for {
 		text, err := in.next()
 		if err != nil {
@@ -67,7 +61,7 @@
 		}
 		sent.Write(append(text, '\n', '\n'))
 	}
-	recorded.Check(t, "watch.txt", string(sent.Bytes()))
+	recorded.Check(t, "watch.txt", string(sent.String()))
 	lists := readRecorded(t)
 	if len(lists) != 2 {
 		t.Fatalf("%d lists", len(lists))
