--- a/internal/process/transport/server_context.go
+++ b/internal/process/transport/server_context.go
@@ -36,6 +36,6 @@
 func withServerContext(service http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx := serverContext{shutdown: r.Context().Done()}
-		service.ServeHTTP(w, r.WithContext(ctx))
+		service.ServeHTTP(w, r.WithContext(ctx)) //nolint:contextcheck // the request's own context is used again by the server
 	})
 }
