--- a/cmd/rehearse/compatibility_test.go
+++ b/cmd/rehearse/compatibility_test.go
@@ -32,7 +32,7 @@
 	if code := run(t.Context(), []string{"check", "smoke", "--seed", "7", "--json"}, &out, &errs); code != 0 {
 		t.Fatalf("exit %d: %s", code, errs.String())
 	}
-	recorded.Check(t, "check.json", string(out.Bytes()))
+	recorded.Check(t, "check.json", out.String())
 }
 
 // The keys of list --json.
