--- a/internal/placement/reconciler/backends.go
+++ b/internal/placement/reconciler/backends.go
@@ -18,23 +18,24 @@
 
 	headerExpectedBackend = "Expected-Backend"
 
-	// backendTimeout bounds a call to a backend. Raising it leaves the outcome of an order to a dead backend open for
-	// longer, lowering it gives up on backends that are busy.
+	// backendTimeout limits a call to a backend. Raising it leaves the outcome of an order to a failed backend unknown for
+	// longer; lowering it makes calls to busy backends time out.
 	backendTimeout = 700 * time.Millisecond
-	// maxBackendConnections bounds the connections to one backend for reports, and for orders: each go out one after the
-	// other.
+	// maxBackendConnections limits the connections to one backend, separately for reports and orders. Calls of one kind
+	// are sent one at a time.
 	maxBackendConnections = 1
-	// maxBackendIdle is how long an unused connection for reports is kept. Raising it costs connections, lowering it adds a
-	// handshake to reports.
+	// maxBackendIdle is how long an idle connection for reports is kept open. Raising it costs connections; lowering it
+	// adds a handshake to reports.
 	maxBackendIdle = 4 * time.Second
 	maxReportBytes = 1 << 20
 )
 
-// backendClient asks backends what they have loaded, and gives them orders.
+// backendClient requests reports from backends and sends them orders.
 //
-// Answers bear no id. An answer too many that comes after the next call was written would be taken for that one's: a refused
-// order would count as accepted, or a lease would be dropped for an old fence. So each order has a connection of its own. Reports
-// share one: the wrong one is an earlier report, and OnReport of the planner heeds none from before the last order.
+// Responses carry no request id. On a shared connection, a surplus response that arrives after the next request was
+// written would count as the response to that one: a rejected order would count as accepted, or a lease would be dropped
+// because of an old fencing token. Each order therefore has its own connection. Reports share one: a mismatched response
+// is an earlier report, and the planner's OnReport ignores reports from before the last order.
 type backendClient struct {
 	reports *fasthttp.Client
 	orders  *fasthttp.Client // keeps no connection
@@ -57,7 +58,7 @@
 	c.orders.CloseIdleConnections()
 }
 
-// reportMessage is a backend's report as it is sent.
+// reportMessage is the wire format of a backend's report.
 type reportMessage struct {
 	Models []struct {
 		Name     string   `json:"name"`
@@ -68,10 +69,10 @@
 	Sequence uint64 `json:"call_seq"`
 }
 
-// errReportRejected says that a backend answers, and gives no report: it may be another one at the same address.
+// errReportRejected means that a backend responded without a report: it may be another one at the same address.
 var errReportRejected = eris.New("report rejected")
 
-// report asks a backend what it has loaded.
+// report requests a backend's report.
 func (c *backendClient) report(address, id string) (placement.Report, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -95,7 +96,7 @@
 	return report, nil
 }
 
-// orderMessage is an order as it is sent.
+// orderMessage is the wire format of an order.
 type orderMessage struct {
 	Operation    string `json:"operation"`
 	Model        string `json:"model"`
@@ -105,25 +106,25 @@
 	FencingToken uint64 `json:"fence_number"`
 }
 
-// operationNames are the operations as they are sent.
+// operationNames are the wire names of the operations.
 var operationNames = map[placement.Operation]string{placement.Load: "model_load", placement.Unload: "model_unload"}
 
-// orderOutcome is how sending an order ended.
+// orderOutcome is the outcome of sending an order.
 type orderOutcome int
 
 const (
-	orderAccepted    orderOutcome = iota // the backend carries it out
-	orderUnnecessary                     // the backend is in the ordered state already
+	orderAccepted    orderOutcome = iota // the backend is carrying it out
+	orderUnnecessary                     // the backend is already in the requested state
 	orderRejected                        // the backend will not carry it out
 	orderFenced                          // the backend has seen a higher fencing token
 	orderUnknown                         // the backend may or may not have accepted it
 )
 
-// authorization reports whether an order may be given at this moment, and up to when it may be written.
+// authorization reports whether an order may be sent now, and the deadline for writing it.
 type authorization func() (deadline time.Time, authorized bool)
 
-// order gives a backend an order. authorize is asked at the last instant; an order that then waits for a connection is
-// not written after its deadline.
+// order sends an order to a backend. It calls authorize immediately before sending. An order that waits for a connection
+// until the deadline of its authorization is not written.
 func (c *backendClient) order(address, id string, message orderMessage, authorize authorization) orderOutcome {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -142,7 +143,7 @@
 	if leaseExpiry.Before(deadline) {
 		deadline = leaseExpiry
 	}
-	defer c.orders.CloseIdleConnections() // this order's, and those of others that are over
+	defer c.orders.CloseIdleConnections() // that of this order, and those of other completed orders
 	err := c.orders.DoDeadline(request, response, deadline)
 	switch {
 	case errors.Is(err, fasthttp.ErrNoFreeConns), errors.Is(err, transport.ErrUnexpectedData):
@@ -153,7 +154,7 @@
 	return outcomeOf(response.StatusCode())
 }
 
-// outcomeOf is what a backend's answer to an order means.
+// outcomeOf returns the meaning of a backend's response to an order.
 func outcomeOf(status int) orderOutcome {
 	switch status {
 	case fasthttp.StatusAccepted:
--- a/internal/placement/reconciler/backends_test.go
+++ b/internal/placement/reconciler/backends_test.go
@@ -17,10 +17,11 @@
 	"marlreel/internal/process/transport"
 )
 
-// clientGoroutinesEnd is after what time the goroutines of fasthttp's client have ended. They have no owner that waits.
+// clientGoroutinesEnd is the time after which the goroutines of fasthttp's client have ended. The client has no method to
+// wait for them.
 const clientGoroutinesEnd = 5 * time.Minute
 
-// slowBackend is a backend to which it takes long to connect. It counts the orders that reach it.
+// slowBackend is a backend with a long connection setup. It counts the orders that reach it.
 type slowBackend struct {
 	dialTime time.Duration
 	orders   int
@@ -45,7 +46,7 @@
 	return near, nil
 }
 
-// An order that waits for its connection until the lease has expired is not written.
+// An order whose connection is established only after the lease has expired is not written.
 func TestNoOrderIsWrittenAfterTheLeaseExpires(t *testing.T) {
 	for name, test := range map[string]struct {
 		dial, lease time.Duration
@@ -77,11 +78,12 @@
 	}
 }
 
-// strayBackend sends bytes beyond each complete response, which belong to no call or look like the response to another.
+// strayBackend sends extra bytes after each complete response. They are no valid response or look like the response to
+// another request.
 type strayBackend struct {
 	stray    string
 	answered chan struct{}
-	near     *net.TCPConn // the last connection to it
+	near     *net.TCPConn // client side of the last connection
 }
 
 func (b *strayBackend) dial(context.Context, string) (net.Conn, error) {
@@ -104,8 +106,8 @@
 			if _, err := far.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")); err != nil {
 				return
 			}
-			<-b.answered                      // the first response was read completely
-			_, _ = far.Write([]byte(b.stray)) // the other side may have closed
+			<-b.answered                      // the client has read the response completely
+			_, _ = far.Write([]byte(b.stray)) // the client may have closed the connection
 		}
 	}()
 	near, err := net.Dial("tcp4", listener.Addr().String())
@@ -116,7 +118,7 @@
 	return near, nil
 }
 
-// awaitStray waits until bytes have arrived that nobody has read.
+// awaitStray waits until unread bytes have arrived at the client.
 func (b *strayBackend) awaitStray(t *testing.T) {
 	t.Helper()
 	const timeoutMS = 5000
@@ -127,7 +129,7 @@
 	err = raw.Control(func(fd uintptr) {
 		poll := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
 		if n, err := unix.Poll(poll, timeoutMS); n != 1 || err != nil {
-			t.Errorf("no bytes came: %v", err)
+			t.Errorf("no bytes arrived at the client: %v", err)
 		}
 	})
 	if err != nil {
@@ -135,8 +137,8 @@
 	}
 }
 
-// Bytes that a backend sends beyond a response are not taken for the next one: the next question finds them, is not
-// written, and the one after it goes out on another connection.
+// Extra bytes that a backend sends after a response are not taken for the next response. The next request detects them
+// and is not written; the one after it uses a new connection.
 func TestUnexpectedBytesAreNoAnswer(t *testing.T) {
 	for name, stray := range map[string]string{
 		"another response":      "HTTP/1.1 412 Precondition Failed\r\nContent-Length: 0\r\n\r\n",
@@ -162,7 +164,8 @@
 	}
 }
 
-// lateBackend answers the first order on a connection twice: the second time when the next order has come there.
+// lateBackend accepts every order on its first connection and rejects those on later ones. The 202 for a second order on
+// the first connection stands for a surplus response to the first order that arrives late.
 type lateBackend struct{ connections int }
 
 func (b *lateBackend) dial(context.Context, string) (net.Conn, error) {
@@ -188,9 +191,9 @@
 	return near, nil
 }
 
-// An answer too many to an order that comes only when the next order has been written is not taken for that one's: the
-// backend refuses the second order, and on a shared connection that would count as accepted.
-func TestLateAnswerIsNotTheNextOrders(t *testing.T) {
+// A surplus response to an order that arrives after the next order was written is not taken for the response to that
+// one. The backend rejects the second order; on a shared connection, the order would count as accepted.
+func TestSurplusResponseIsNotTakenForNextOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		backend := &lateBackend{}
--- a/internal/placement/reconciler/compatibility_test.go
+++ b/internal/placement/reconciler/compatibility_test.go
@@ -19,11 +19,11 @@
 	"marlreel/internal/testing/recorded"
 )
 
-// The files under testdata/compatibility were written by the code of commit 6fb9894, with
-// WRITE_COMPATIBILITY=1. They hold forms that other processes, backends and operators rely on.
-// They must not be written anew to get a pass. Those named sent-… are after the users' pages.
+// The files under testdata/compatibility were recorded with the code of commit 6fb9894 and WRITE_COMPATIBILITY=1. They
+// contain formats that other processes, backends and operators rely on, so they must not be recorded again to make a
+// test pass. The files named sent-… follow the user documentation.
 
-// recordingBackend records the bytes of requests and gives a set answer.
+// recordingBackend records the bytes of requests and sends a fixed response.
 type recordingBackend struct {
 	seen   []string
 	answer string
@@ -48,9 +48,9 @@
 	return near, nil
 }
 
-func always() (time.Time, bool) { return time.Now().Add(time.Minute), true }
+func alwaysAuthorized() (time.Time, bool) { return time.Now().Add(time.Minute), true }
 
-// Orders to backends are the bytes that they were.
+// Orders to backends are sent as exactly the recorded bytes.
 func TestCompatibilityOfOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out strings.Builder
@@ -61,9 +61,9 @@
 				outcome := client.order("10.3.0.1:9000", "i-7f3a91c2", orderMessage{
 					Operation: operationNames[operation], Model: "m0", Adapter: adapter,
 					Revision: 2, Holder: "edge-1/0000002a", FencingToken: 41,
-				}, always)
+				}, alwaysAuthorized)
 				if outcome != orderAccepted {
-					t.Errorf("an order that is carried out counts as %d", outcome)
+					t.Errorf("outcome of an order with status 202 is %d, want orderAccepted", outcome)
 				}
 				fmt.Fprintf(&out, "%s\n\n", strings.Join(backend.seen, "\n--\n"))
 				client.closeIdle()
@@ -74,7 +74,7 @@
 	})
 }
 
-// What backends answer to orders has the meaning that the pages give it.
+// Each status that backends send in response to an order has the meaning given in the user documentation.
 func TestCompatibilityOfAnswersToOrders(t *testing.T) {
 	for status, want := range map[int]orderOutcome{
 		202: orderAccepted, 200: orderUnnecessary, 409: orderRejected, 412: orderFenced,
@@ -84,9 +84,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				backend := &recordingBackend{answer: fmt.Sprintf("HTTP/1.1 %d %s\r\nContent-Length: 0\r\n\r\n", status, http.StatusText(status))}
 				client := newBackendClient(backend.dial)
-				got := client.order("10.3.0.1:9000", "i-7f3a91c2", orderMessage{Operation: "model_load", Model: "m0", Holder: "edge-1/0000002a", FencingToken: 41}, always)
+				got := client.order("10.3.0.1:9000", "i-7f3a91c2", orderMessage{Operation: "model_load", Model: "m0", Holder: "edge-1/0000002a", FencingToken: 41}, alwaysAuthorized)
 				if got != want {
-					t.Errorf("counts as %d, not as %d", got, want)
+					t.Errorf("outcome is %d, want %d", got, want)
 				}
 				client.closeIdle()
 				time.Sleep(clientGoroutinesEnd)
@@ -95,7 +95,7 @@
 	}
 }
 
-// A backend's report, as the pages have it, is asked for and read as it was.
+// The request for a backend's report is sent as recorded, and the documented report is decoded as recorded.
 func TestCompatibilityOfReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		body := recorded.Read(t, "sent-report.json")
--- a/internal/placement/reconciler/inputs.go
+++ b/internal/placement/reconciler/inputs.go
@@ -7,8 +7,8 @@
 	"marlreel/internal/process/bootstrap"
 )
 
-// refreshInputs hands the planner the configuration and the backends, if they may have changed. It reports whether the
-// service is configured.
+// refreshInputs passes the configuration and the backends to the planner, if they may have changed. It reports whether
+// the service is configured.
 func (r *reconciler) refreshInputs() bool {
 	revision := r.cfg.Store.Revision()
 	if revision != r.revision || !r.configured {
@@ -18,6 +18,7 @@
 	return r.configured
 }
 
+// readInputs passes the configuration and the backends to the planner. It reports whether the service is configured.
 func (r *reconciler) readInputs() bool {
 	service, evacuated := r.readState()
 	if service == nil || service.Engine == nil {
@@ -42,7 +43,7 @@
 	return true
 }
 
-// readState returns the service's configuration, nil where it has none, and the zones that are evacuated.
+// readState returns the service's configuration (nil if there is none) and the evacuated zones.
 func (r *reconciler) readState() (*configuration.Service, map[string]bool) {
 	var service *configuration.Service
 	evacuated := map[string]bool{}
@@ -57,7 +58,7 @@
 	return service, evacuated
 }
 
-// plannerService is a service's configuration as the planner takes it.
+// plannerService converts a service's configuration to the form that the planner takes.
 func plannerService(cfg *configuration.Service) placement.Service {
 	service := placement.Service{
 		Models: map[string]placement.Model{}, CapacityMB: cfg.Engine.WeightsMB,
--- a/internal/placement/reconciler/manager.go
+++ b/internal/placement/reconciler/manager.go
@@ -20,25 +20,25 @@
 // Lease is a lease that this node holds.
 type Lease struct {
 	FencingToken uint64
-	Expiry       time.Time // by this node's monotonic clock; control counts it as held for a margin longer
-	Since        time.Time // by the same clock: nobody else has held it since
+	Expiry       time.Time // by this node's monotonic clock; control treats the lease as valid for a margin longer
+	Since        time.Time // by the same clock: no other node has held the lease since
 }
 
-// Leases are the leases that this node holds. All methods may be called by any goroutine.
+// Leases gives access to the leases that this node holds. Its methods are safe for concurrent use.
 type Leases interface {
-	// Lease returns the lease of a key, if it runs at this moment.
-	Lease(key string) (held Lease, runs bool)
+	// Lease returns the lease of a key, and whether this node holds it and it has not expired.
+	Lease(key string) (held Lease, valid bool)
 	// Named reports whether the replicated state names this node as the holder of any lease.
 	Named() bool
-	// AwaitNamed returns once Named does so, or ctx ends.
+	// AwaitNamed returns once Named reports true or ctx ends.
 	AwaitNamed(ctx context.Context)
-	// Drop gives up all leases until they are renewed.
+	// Drop makes all leases invalid until their next renewal.
 	Drop()
 }
 
-// Config is what reconcilers work with.
+// Config is the configuration of the reconcilers of a node.
 type Config struct {
-	Holder  string       // this node as the holder of leases, which orders carry
+	Holder  string       // this node's id as a lease holder; part of each order
 	Store   *watch.Store // the configuration and the backends
 	Leases  Leases
 	Dial    transport.DialFunc                               // to backends
@@ -50,7 +50,7 @@
 type Manager struct {
 	cfg      Config
 	backends *backendClient
-	ended    sync.WaitGroup // for the reconcilers
+	ended    sync.WaitGroup // waits for the reconcilers
 
 	mu      sync.Mutex
 	running map[string]*runningReconciler // by service
@@ -61,12 +61,13 @@
 	cancel context.CancelFunc
 }
 
-// NewManager returns a manager that runs nothing yet.
+// NewManager returns a manager. Run starts the reconcilers.
 func NewManager(cfg Config) *Manager {
 	return &Manager{cfg: cfg, backends: newBackendClient(cfg.Dial), running: map[string]*runningReconciler{}}
 }
 
-// Run starts and stops reconcilers as leases are acquired and lost, until ctx ends and all have ended.
+// Run starts and stops reconcilers as leases are acquired and lost. It returns when ctx has ended and all reconcilers
+// have stopped.
 func (m *Manager) Run(ctx context.Context) {
 	defer m.ended.Wait()
 	ticker := time.NewTicker(reconcileInterval)
@@ -85,14 +86,14 @@
 	}
 }
 
-// idle reports whether no reconciler runs.
+// idle reports whether no reconciler is running.
 func (m *Manager) idle() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.running) == 0
 }
 
-// adjust stops the reconcilers whose lease is lost or has another fencing token, and starts those that are missing.
+// adjust stops the reconcilers whose lease is lost or has a new fencing token, and starts the missing ones.
 func (m *Manager) adjust(ctx context.Context) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -111,7 +112,7 @@
 	}
 }
 
-// heldTokens returns the fencing tokens of the placement leases that run, by service.
+// heldTokens returns the fencing tokens of the valid placement leases, by service.
 func (m *Manager) heldTokens() map[string]uint64 {
 	var document *configuration.Document
 	m.cfg.Store.ReadState(func(s *state.Machine) { document = s.Document() })
@@ -121,8 +122,8 @@
 	}
 	for i := range document.Services {
 		service := &document.Services[i]
-		held, runs := m.cfg.Leases.Lease(lease.PlacementKey(service.Name))
-		if runs && service.Engine != nil {
+		held, valid := m.cfg.Leases.Lease(lease.PlacementKey(service.Name))
+		if valid && service.Engine != nil {
 			tokens[service.Name] = held.FencingToken
 		}
 	}
@@ -136,7 +137,7 @@
 	m.ended.Go(func() { r.run(leaseCtx, ctx) })
 }
 
-// RecordDemand hands a report of demand by a node's proxy to the reconcilers of its services.
+// RecordDemand passes a demand report of a node's proxy to the reconcilers of the reported services.
 func (m *Manager) RecordDemand(node, zone string, demands []*api.Demand) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/placement/reconciler/reconciler.go
+++ b/internal/placement/reconciler/reconciler.go
@@ -15,48 +15,50 @@
 )
 
 const (
-	// reconcileInterval is how often a reconciler plans. Raising it delays loads for new demand, lowering it costs the
-	// agent's processor: a plan looks at each backend and model.
+	// reconcileInterval is how often a reconciler plans. Raising it delays loads for new demand; lowering it costs the
+	// agent CPU time, because a plan evaluates each backend and model.
 	reconcileInterval = 100 * time.Millisecond
-	// eventDelay is how long an event waits for others before it is planned for. Raising it delays the order that
-	// follows on a report, lowering it plans for each of a batch of reports.
+	// eventDelay is the time from an event to the plan that it triggers, so that one plan serves several events. Raising
+	// it delays the order that follows a report; lowering it makes a plan for each of a batch of reports.
 	eventDelay = 15 * time.Millisecond
 	// reportInterval is the least time between two requests for a backend's report. Raising it delays the order that
-	// follows on a completed one, lowering it loads backends with calls.
+	// follows a completed one; lowering it loads backends with calls.
 	reportInterval = 180 * time.Millisecond
-	// reportLead is how long before an order's expected completion the first report is requested. Raising it costs calls
-	// that come too early, lowering it finds completed orders late.
+	// reportLead is how long before an order's expected completion the first report is requested. Raising it causes calls
+	// before completion; lowering it detects completion late.
 	reportLead = 50 * time.Millisecond
-	// quickOrderTime is after what time an order for an adapter, or to unload, counts as completed. Raising it leaves the
-	// backend's capacity unused, lowering it plans with capacity that is not free yet.
-	quickOrderTime = 60 * time.Millisecond
-	// maxEvents bounds the events that wait; beyond it new ones are dropped, and what they said is reported again.
+	// instantOrderTime is the time after which an instant order (an unload of an idle model, or any order for an adapter)
+	// is assumed to be completed. Raising it leaves the backend's capacity unused; lowering it plans with capacity that is
+	// not free yet.
+	instantOrderTime = 60 * time.Millisecond
+	// maxEvents limits the queued events. Beyond it, new ones are dropped; their content is reported again later.
 	maxEvents = 1024
-	// statusInterval and maxStatusModels bound the status lines of the debug log: how often, and of how many models.
+	// statusInterval and maxStatusModels limit the status lines of the debug log: how often they are written, and for how
+	// many models.
 	statusInterval  = time.Second
 	maxStatusModels = 5
-	// plannerHeadStart is how long a planner counts as begun when it is made: the planner takes 0 for "never".
+	// plannerHeadStart is the planner's time at its creation. It is above 0, because the planner takes 0 for "never".
 	plannerHeadStart = time.Second
 )
 
-// reconciler places the models of one service under one lease. Its fields belong to the goroutine of run, but for those
-// that never change and events.
+// reconciler controls the placement of one service's models under one lease. Only the goroutine of run accesses its
+// fields, except events and those that never change.
 type reconciler struct {
 	cfg     *Config
 	client  *backendClient
 	service string
 	token   uint64 // fencing token of the lease
 	began   time.Time
-	events  chan func() // run in turn by run
+	events  chan func() // executed one at a time by run
 	log     logr.Logger
-	calls   sync.WaitGroup // calls to backends that are in flight
+	calls   sync.WaitGroup // calls to backends in flight
 
 	planner    *placement.Planner
 	backends   map[string]*api.Backend // of the service, by id
-	reportedAt map[string]time.Time    // when each backend's report was requested last, by id
-	revision   uint64                  // of the store, when the planner got its inputs last
-	configured bool                    // the service was configured then
-	statusAt   time.Duration           // when the status was logged last
+	reportedAt map[string]time.Time    // when each backend's report was last requested, by id
+	revision   uint64                  // store revision when the planner's inputs were last read
+	configured bool                    // whether the service was configured at that revision
+	statusAt   time.Duration           // when the status was last logged
 }
 
 func newReconciler(cfg *Config, client *backendClient, service string, token uint64) *reconciler {
@@ -68,17 +70,18 @@
 	}
 }
 
-// now is the planner's time.
+// now returns the present time on the planner's time scale.
 func (r *reconciler) now() time.Duration { return time.Since(r.began) }
 
-// authorize reports whether this node holds the lease under this reconciler's token at this moment, and up to when.
+// authorize reports whether this node now holds the lease under this reconciler's fencing token, and until when.
 func (r *reconciler) authorize() (expiry time.Time, authorized bool) {
-	held, runs := r.cfg.Leases.Lease(lease.PlacementKey(r.service))
-	return held.Expiry, runs && held.FencingToken == r.token
+	held, valid := r.cfg.Leases.Lease(lease.PlacementKey(r.service))
+	return held.Expiry, valid && held.FencingToken == r.token
 }
 
-// run reconciles until leaseCtx ends, and returns once all calls in flight have. agentCtx ends with the agent: up to
-// then an order that was announced before the lease was lost is still sent if the lease comes back under its token.
+// run reconciles until leaseCtx ends, and returns once all calls in flight have ended. agentCtx ends with the agent:
+// until then, an order that was announced before the lease was lost is still sent if this node holds the lease again
+// under the same fencing token.
 func (r *reconciler) run(leaseCtx, agentCtx context.Context) {
 	defer r.calls.Wait()
 	ticker := time.NewTicker(reconcileInterval)
@@ -107,15 +110,16 @@
 	}
 }
 
-// post has an event handled on the goroutine of run.
+// post queues an event for the goroutine of run, and drops it if the queue is full.
 func (r *reconciler) post(event func()) {
 	select {
 	case r.events <- event:
-	default: // what it says is asked for again
+	default: // its content is reported again later
 	}
 }
 
-// step compares what is with what should be, and gives the orders that are due.
+// step runs one reconciliation cycle: it updates the planner's inputs, requests the reports that are due, and sends the
+// orders of a new plan.
 func (r *reconciler) step(agentCtx context.Context) {
 	if !r.refreshInputs() {
 		return
@@ -124,11 +128,11 @@
 	for _, id := range r.planner.UnknownBackends() {
 		r.requestReport(id)
 	}
-	r.planner.VisitPendingOrders(now, func(o placement.Order, since, expected time.Duration, quick bool) {
+	r.planner.VisitPendingOrders(now, func(o placement.Order, since, expected time.Duration, instant bool) {
 		switch {
-		case quick && now-since >= quickOrderTime:
+		case instant && now-since >= instantOrderTime:
 			r.assumeCompleted(o)
-		case !quick && now-since >= expected-reportLead:
+		case !instant && now-since >= expected-reportLead:
 			r.requestReport(o.Backend)
 		}
 	})
@@ -138,7 +142,7 @@
 	r.logStatus(now)
 }
 
-// requestReport asks a backend what it has loaded, unless it was asked of late.
+// requestReport requests a backend's report, unless the last request was less than reportInterval ago.
 func (r *reconciler) requestReport(id string) {
 	b := r.backends[id]
 	if b == nil || time.Since(r.reportedAt[id]) < reportInterval {
@@ -148,7 +152,7 @@
 	r.calls.Go(func() {
 		report, err := r.client.report(b.Address, id)
 		if err != nil {
-			return // it is requested again
+			return // a later cycle requests it again
 		}
 		r.post(func() {
 			if r.planner.OnReport(r.now(), id, report) {
@@ -158,7 +162,8 @@
 	})
 }
 
-// sendOrder gives an order. What the order takes away from running requests is announced first, as an observation.
+// sendOrder sends an order. If it unloads a model in demand, the loaded models after the unload are published first, as
+// an observation, so that proxies stop sending requests for the model there.
 func (r *reconciler) sendOrder(agentCtx context.Context, o placement.Order) {
 	b := r.backends[o.Backend]
 	if b == nil {
@@ -177,14 +182,14 @@
 	r.calls.Go(func() {
 		timing.Sleep(agentCtx, delay)
 		if agentCtx.Err() != nil {
-			return // the agent ends, and its leases with it
+			return // the agent is shutting down and has given up its leases
 		}
 		outcome := r.client.order(b.Address, o.Backend, message, r.authorize)
 		r.post(func() { r.onOutcome(o, outcome) })
 	})
 }
 
-// onOutcome records how sending an order ended.
+// onOutcome handles the outcome of sending an order.
 func (r *reconciler) onOutcome(o placement.Order, outcome orderOutcome) {
 	switch outcome {
 	case orderAccepted:
@@ -202,7 +207,7 @@
 	}
 }
 
-// assumeCompleted counts an order as completed that takes next to no time: a report would come later than the next plan.
+// assumeCompleted counts an instant order as completed without a report, which would come only after the next plan.
 func (r *reconciler) assumeCompleted(o placement.Order) {
 	loaded, done := r.planner.AssumeCompleted(r.now(), o)
 	if done {
@@ -210,7 +215,7 @@
 	}
 }
 
-// logStatus logs what the planner knows, for whoever looks into single decisions.
+// logStatus logs the state of the planner at debug level, for the analysis of single decisions.
 func (r *reconciler) logStatus(now time.Duration) {
 	if !r.log.V(1).Enabled() || now-r.statusAt < statusInterval {
 		return
