--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -18,14 +18,14 @@
 	"marlreel/internal/process/transport"
 )
 
-// maxWatchWait bounds how long a subscriber's poll is held, whatever it asks for. Raising it keeps the connections of
-// subscribers that have gone for longer, lowering it costs polls without an update.
+// maxWatchWait limits how long a subscriber's long poll stays open, whatever wait it requests. Raising it keeps the
+// connections of exited subscribers for longer; lowering it costs more polls without an update.
 const maxWatchWait = 10 * time.Second
 
-// Agent serves its proxy and its peers. All methods may be called by any goroutine.
+// Agent serves its proxy and other agents. Its methods are safe for concurrent use.
 type Agent struct {
 	settings     *bootstrap.Settings
-	node         *api.Node // this node, as it is listed in the membership
+	node         *api.Node // this node's entry in the membership
 	store        *watch.Store
 	client       *transport.Client
 	log          logr.Logger
@@ -43,7 +43,7 @@
 	_ api.QuotaOwner = (*Agent)(nil)
 )
 
-// newAgent wires an agent that does nothing yet.
+// newAgent returns an agent without running tasks; start starts them.
 func newAgent(machine *host.Host) *Agent {
 	settings := machine.Settings
 	incarnation := rand.Uint64()
@@ -66,7 +66,7 @@
 	return a
 }
 
-// Watch implements api.Agent: this agent's proxy and other agents of the zone watch.
+// Watch implements api.Agent. Its callers are this agent's proxy and other agents of the zone.
 func (a *Agent) Watch(ctx context.Context, request *api.WatchRequest) (*api.WatchReply, error) {
 	if request.Subscriber == "" {
 		a.lastProxyPoll.Store(time.Now().UnixNano())
@@ -75,16 +75,16 @@
 	return a.store.HandleWatch(ctx, request, wait), nil
 }
 
-// ReportDemand implements api.Agent: this agent's own proxy reports.
+// ReportDemand implements api.Agent. Its caller is this agent's own proxy.
 func (a *Agent) ReportDemand(ctx context.Context, report *api.DemandReport) (*api.DemandReply, error) {
 	report.Zone = a.settings.Zone
 	return a.demand.handleOwnReport(ctx, report), nil
 }
 
-// PassDemand implements api.Agent: agents of the zone, or relays of other zones, forward reports.
+// PassDemand implements api.Agent. Its callers are agents of the zone and relays of other zones, which forward reports.
 func (a *Agent) PassDemand(_ context.Context, batch *api.DemandBatch) (*api.DemandReply, error) {
 	return a.demand.handleForwarded(batch), nil
 }
 
-// controls returns the addresses of the control processes, in the order in which this agent asks them.
+// controls returns the addresses of the control processes, in the order in which this agent tries them.
 func (a *Agent) controls() []string { return controlAddresses(a.settings, a.store.ControlNodes()) }
--- a/internal/agent/controls.go
+++ b/internal/agent/controls.go
@@ -10,9 +10,9 @@
 	"marlreel/internal/process/bootstrap"
 )
 
-// controlAddresses returns the control processes to ask, the preferred one first: those that are known and the seeds of
-// the settings, those of the node's own zone before others. Among these each node has an order of its own, by a
-// hash, so that they share the load.
+// controlAddresses returns the addresses of the control processes, the preferred one first: the known ones and the seeds
+// of the settings. Those in the node's own zone come before others. Within each group a hash gives each node an order of
+// its own, which spreads the load over the control processes.
 func controlAddresses(settings *bootstrap.Settings, known []*api.ControlNode) []string {
 	inZone := map[string]bool{}
 	addresses := slices.Clone(settings.SeedPeers())
@@ -24,7 +24,7 @@
 	addresses = slices.Compact(addresses)
 	rank := func(address string) uint64 {
 		hash := fnv.New32a()
-		_, _ = io.WriteString(hash, settings.NodeName+" "+address) // a hash takes everything
+		_, _ = io.WriteString(hash, settings.NodeName+" "+address) // writing to a hash never fails
 		if inZone[address] {
 			return uint64(hash.Sum32())
 		}
--- a/internal/agent/demand.go
+++ b/internal/agent/demand.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	// forwardTimeout bounds a call that forwards reports to a lease holder. Raising it lets a holder that hangs delay the
-	// reports of a whole zone.
+	// forwardTimeout limits a call that forwards reports to a lease holder. Raising it lets an unresponsive holder delay
+	// the reports of a whole zone.
 	forwardTimeout = 500 * time.Millisecond
-	// relayTimeout bounds a call to a relay, for whose answer the proxy waits: one that comes later is too old to be of use.
+	// relayTimeout limits a call to a relay. The proxy waits for the reply, and a later one would be too old to be of use.
 	relayTimeout = 200 * time.Millisecond
 )
 
-// demandForwarder brings reports of demand to the agents that hold placement leases. Those of a zone's proxies go to the
-// relay of their service there, and from it to the holder: so a holder gets a call for each zone and not for each proxy.
-// The answers bring back the backlogs: how much work other proxies have sent to the backends.
+// demandForwarder forwards demand reports to the agents that hold placement leases. Reports of a zone's proxies go
+// through the service's relay in that zone, so that a holder gets one call for each zone instead of each proxy. The
+// replies carry the backlogs: the work that other proxies have sent to the backends.
 type demandForwarder struct {
 	self   *api.Node
 	store  *watch.Store
 	client *transport.Client
-	record func(node, zone string, demands []*api.Demand) // tells this agent's own reconcilers
+	record func(node, zone string, demands []*api.Demand) // passes demand to this agent's reconcilers
 	queue  *reportQueue
 	began  time.Time
 
@@ -45,11 +45,11 @@
 	return f
 }
 
-// stop ends the calls that are in flight. Reports that come later go nowhere.
+// stop cancels the calls in flight. Later reports are not forwarded.
 func (f *demandForwarder) stop() { f.queue.stop() }
 
-// handleOwnReport takes a report of this agent's own proxy. It answers what others have sent to the backends: by the
-// service's relay, or as this agent knows it as that relay.
+// handleOwnReport handles a report of this agent's own proxy. It returns the backlogs of other proxies, from the
+// service's relay or, if this agent is the relay, from its own records.
 func (f *demandForwarder) handleOwnReport(ctx context.Context, report *api.DemandReport) *api.DemandReply {
 	f.recordReport(report)
 	reply := &api.DemandReply{}
@@ -57,7 +57,7 @@
 		holder := f.holderAddress(service)
 		relayAddress := f.relayAddress(service)
 		if holder == f.self.Address {
-			part.Demands = nil // they are recorded here; the relay has to know the backlogs alone
+			part.Demands = nil // already recorded here, by the holder; the relay needs only the backlogs
 		}
 		if relayAddress != f.self.Address {
 			reply.OtherBacklogs = append(reply.OtherBacklogs, f.reportToRelay(ctx, relayAddress, holder, part)...)
@@ -71,7 +71,7 @@
 	return reply
 }
 
-// reportToRelay hands a report to the relay of its service. If that does not answer, the report goes to the holder.
+// reportToRelay sends a report to the relay of its service or, if the relay does not reply, queues it for the holder.
 func (f *demandForwarder) reportToRelay(ctx context.Context, relayAddress, holder string, report *api.DemandReport) []*api.Backlog {
 	call, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
@@ -83,7 +83,8 @@
 	return reply.OtherBacklogs
 }
 
-// handleForwarded takes reports that another agent forwards, and answers what others than it have sent to the backends.
+// handleForwarded handles reports that another agent forwards, and returns the backlogs of other nodes than that agent.
+// For final reports, it returns the backlogs of other zones instead.
 func (f *demandForwarder) handleForwarded(batch *api.DemandBatch) *api.DemandReply {
 	services := map[string]bool{}
 	final := false
@@ -93,26 +94,26 @@
 		for service, part := range splitByService(report) {
 			services[service] = true
 			holder := f.holderAddress(service)
-			// A final report goes no further: agents that know different holders don't forward it to and fro.
+			// A final report is not forwarded again: agents with different views of the holder could pass it back and forth.
 			if !report.Final {
 				f.enqueue(holder, part)
 			}
 		}
 	}
-	counts := func(reporter backlog.Reporter) bool { return reporter.Node != batch.Node }
+	included := func(reporter backlog.Reporter) bool { return reporter.Node != batch.Node }
 	if final {
-		counts = func(reporter backlog.Reporter) bool {
+		included = func(reporter backlog.Reporter) bool {
 			return reporter != backlog.OtherZones && reporter.Zone != batch.Zone
 		}
 	}
 	reply := &api.DemandReply{}
 	for service := range services {
-		reply.OtherBacklogs = append(reply.OtherBacklogs, f.sumBacklogs(service, counts))
+		reply.OtherBacklogs = append(reply.OtherBacklogs, f.sumBacklogs(service, included))
 	}
 	return reply
 }
 
-// recordReport records the demand and the backlogs that a report brings.
+// recordReport records the demand and the backlogs of a report.
 func (f *demandForwarder) recordReport(report *api.DemandReport) {
 	f.record(report.Node, report.Zone, report.Demands)
 	f.recordBacklogs(backlog.Reporter{Node: report.Node, Zone: report.Zone}, report.Backlogs)
@@ -126,34 +127,34 @@
 	}
 }
 
-// sumBacklogs returns how much work those reporters that count have sent to a service's backends.
-func (f *demandForwarder) sumBacklogs(service string, counts func(backlog.Reporter) bool) *api.Backlog {
+// sumBacklogs returns the work that the included reporters have sent to a service's backends.
+func (f *demandForwarder) sumBacklogs(service string, included func(backlog.Reporter) bool) *api.Backlog {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return backlog.ToProto(service, f.backlogs.Sum(time.Since(f.began), service, counts))
+	return backlog.ToProto(service, f.backlogs.Sum(time.Since(f.began), service, included))
 }
 
 // splitByService splits a report by service.
 func splitByService(report *api.DemandReport) map[string]*api.DemandReport {
 	reports := map[string]*api.DemandReport{}
-	of := func(service string) *api.DemandReport {
+	reportFor := func(service string) *api.DemandReport {
 		if reports[service] == nil {
 			reports[service] = &api.DemandReport{Node: report.Node, Zone: report.Zone}
 		}
 		return reports[service]
 	}
 	for _, demand := range report.Demands {
-		r := of(demand.Service)
+		r := reportFor(demand.Service)
 		r.Demands = append(r.Demands, demand)
 	}
 	for _, b := range report.Backlogs {
-		r := of(b.Service)
+		r := reportFor(b.Service)
 		r.Backlogs = append(r.Backlogs, b)
 	}
 	return reports
 }
 
-// holderAddress returns the address of the agent that holds a service's placement lease; empty: none does.
+// holderAddress returns the address of the agent that holds a service's placement lease, or "" if none does.
 func (f *demandForwarder) holderAddress(service string) string {
 	address := ""
 	f.store.ReadState(func(m *state.Machine) {
@@ -169,15 +170,15 @@
 	return relay.Select(watch.ServiceTopic(service), f.self, f.store.Nodes()).Address
 }
 
-// enqueue has a report forwarded to a lease holder, unless there is none or it is this agent.
+// enqueue queues a report for a lease holder, unless there is none or it is this agent.
 func (f *demandForwarder) enqueue(holder string, report *api.DemandReport) {
 	if holder != "" && holder != f.self.Address {
 		f.queue.add(holder, report)
 	}
 }
 
-// forward sends reports to a lease holder, and records what it answers of other zones. Reports that don't reach it are
-// lost: the proxies report again while requests wait.
+// forward sends reports to a lease holder, and records the backlogs of other zones from its reply. Reports that do not
+// reach the holder are not sent again: the proxies report again while requests wait.
 func (f *demandForwarder) forward(ctx context.Context, holder string, reports []*api.DemandReport) {
 	call, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
--- a/internal/agent/leases.go
+++ b/internal/agent/leases.go
@@ -14,33 +14,33 @@
 )
 
 const (
-	// leaseRenewInterval is how often the holder of leases renews them. Raising it leaves fewer attempts before a lease
-	// expires, lowering it costs control a confirmation by a majority each.
+	// leaseRenewInterval is how often a holder renews its leases. Raising it leaves fewer attempts before a lease expires;
+	// lowering it costs control more renewals, each confirmed by a majority.
 	leaseRenewInterval = 400 * time.Millisecond
-	// leaseRenewTimeout bounds one attempt. Raising it leaves fewer attempts where a control process hangs, lowering it
-	// fails renewals while control is slow.
+	// leaseRenewTimeout limits one attempt. Raising it leaves fewer attempts if a control process does not respond;
+	// lowering it makes renewals fail while control is slow.
 	leaseRenewTimeout = 600 * time.Millisecond
 )
 
-// leases are the leases that control has granted to this agent. A lease runs from before the call that renewed it, so it
-// expires here before control grants it to another node.
+// leases are the leases that control has granted to this agent. The validity of a lease is counted from before the call
+// that renewed it, so that it expires here before control grants it to another node.
 type leases struct {
-	holder   string // this agent, with its incarnation
+	holder   string // this agent's id as a lease holder, which contains its incarnation
 	controls func() []string
 	store    *watch.Store
 	client   *transport.Client
 
 	mu   sync.Mutex
-	held map[string]reconciler.Lease // by key; some may have expired
+	held map[string]reconciler.Lease // by key, including expired leases
 }
 
 var _ reconciler.Leases = (*leases)(nil)
 
-// run renews while the replicated state names this agent as a holder, until ctx ends.
+// run renews the leases while the replicated state names this agent as a holder, until ctx ends.
 func (l *leases) run(ctx context.Context) {
 	ticker := time.NewTicker(leaseRenewInterval)
 	defer ticker.Stop()
-	next := 0 // of the control processes, modulo their number
+	next := 0 // index of the control process to try, modulo their number
 	for ctx.Err() == nil {
 		if !l.Named() {
 			l.AwaitNamed(ctx)
@@ -82,20 +82,20 @@
 	}
 }
 
-// renew asks a control process once. It reports whether that has answered by a grant, be it of nothing.
+// renew makes one attempt at a control process. It reports whether that replied with a grant, possibly an empty one.
 func (l *leases) renew(ctx context.Context, control string) bool {
-	asked := time.Now()
+	requestedAt := time.Now()
 	call, cancel := context.WithTimeout(ctx, leaseRenewTimeout)
 	defer cancel()
 	reply, err := api.NewControlProtobufClient("http://"+control, l.client).Lease(call, &api.LeaseRequest{Holder: l.holder})
 	if err != nil || result.Code(reply.Code) != result.Committed {
 		return false
 	}
-	l.record(reply.Renewed, time.Now(), asked.Add(time.Duration(reply.ValidMs)*time.Millisecond))
+	l.record(reply.Renewed, time.Now(), requestedAt.Add(time.Duration(reply.ValidMs)*time.Millisecond))
 	return true
 }
 
-// record takes in the leases that control has renewed until expiry.
+// record replaces the leases by those that control has renewed until expiry.
 func (l *leases) record(renewed []*api.Ownership, now, expiry time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -111,24 +111,24 @@
 }
 
 // Lease implements reconciler.Leases.
-func (l *leases) Lease(key string) (held reconciler.Lease, runs bool) {
+func (l *leases) Lease(key string) (held reconciler.Lease, valid bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	held, known := l.held[key]
 	return held, known && time.Now().Before(held.Expiry)
 }
 
-// count returns how many leases run at this moment.
+// count returns the number of valid leases.
 func (l *leases) count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	running := 0
+	valid := 0
 	for _, held := range l.held {
 		if time.Now().Before(held.Expiry) {
-			running++
+			valid++
 		}
 	}
-	return running
+	return valid
 }
 
 // Drop implements reconciler.Leases.
@@ -138,8 +138,8 @@
 	l.held = nil
 }
 
-// release gives all leases up and tells control, so that they can be granted to other nodes at once. If no control
-// process answers they expire.
+// release gives up all leases and notifies control, so that it can grant them to other nodes at once. If no control
+// process replies, they expire.
 func (l *leases) release(ctx context.Context) {
 	l.Drop()
 	if !l.Named() {
--- a/internal/agent/membership.go
+++ b/internal/agent/membership.go
@@ -17,20 +17,21 @@
 )
 
 const (
-	// nodeRenewInterval is how often a node reports to control. Raising it lets lost nodes, and a state that lags, go
-	// unnoticed for longer; lowering it costs each control process calls from all nodes.
+	// nodeRenewInterval is how often a node reports to control. Raising it delays the detection of failed nodes and of a
+	// lagging state; lowering it costs each control process more calls from all nodes.
 	nodeRenewInterval = 600 * time.Millisecond
-	// nodeRenewTimeout bounds one report. Raising it lets a control process that hangs hold the node up.
+	// nodeRenewTimeout limits one report. Raising it lets an unresponsive control process delay the node's reports.
 	nodeRenewTimeout = 400 * time.Millisecond
-	// nodeRenewBackoff is between two reports that failed.
+	// nodeRenewBackoff is the pause after a report or a call for the state that failed.
 	nodeRenewBackoff = 20 * time.Millisecond
-	// fetchTimeout bounds one call for the state, and maxFetchTime all of them, where it comes in chunks.
+	// fetchTimeout limits one call for the state, and maxFetchTime all calls for a state that comes in chunks.
 	fetchTimeout = 500 * time.Millisecond
 	maxFetchTime = 2 * time.Second
 )
 
-// membership keeps this node listed at control, and sees by the answers whether the replicated state lags that the watch
-// brings. Then it fetches the state from control: so a change is in force here in time also where the relay hangs.
+// membership keeps this node listed at control. The replies show whether the replicated state from the watch lags. If it
+// does, membership fetches the state from control, so that changes take effect here in time even if the relay does not
+// respond.
 type membership struct {
 	node     *api.Node
 	controls func() []string
@@ -38,24 +39,24 @@
 	client   *transport.Client
 	log      logr.Logger
 
-	catchingUp atomic.Bool // one fetch is on its way at a time
+	catchingUp atomic.Bool // at most one catch-up runs at a time
 	running    sync.WaitGroup
 }
 
-// run reports until ctx ends. From when active ends on, the node reports that it drains.
+// run reports to control until ctx ends. Once active has ended, it reports the node as draining.
 func (m *membership) run(ctx, active context.Context) {
 	defer m.running.Wait()
 	ticker := time.NewTicker(nodeRenewInterval)
 	defer ticker.Stop()
 	draining := active.Done()
-	next := 0 // of the control processes, modulo their number
+	next := 0 // index of the control process to try, modulo their number
 	for {
 		controls := m.controls()
 		if len(controls) > 0 && !m.renew(ctx, controls[next%len(controls)], active.Err() != nil) {
 			next++
 			timing.Sleep(ctx, nodeRenewBackoff)
 			if next%len(controls) != 0 && ctx.Err() == nil {
-				continue // another one may answer
+				continue // try the next control process at once
 			}
 		}
 		select {
@@ -68,7 +69,7 @@
 	}
 }
 
-// renew reports to one control process. It reports whether that has answered.
+// renew sends a report to one control process, and returns whether that replied.
 func (m *membership) renew(ctx context.Context, control string, draining bool) bool {
 	node := &api.Node{Name: m.node.Name, Address: m.node.Address, Zone: m.node.Zone, Incarnation: m.node.Incarnation, Draining: draining}
 	call, cancel := context.WithTimeout(ctx, nodeRenewTimeout)
@@ -86,7 +87,7 @@
 	return true
 }
 
-// catchUp leaves it to the watch to bring the state up to a sequence number, and fetches it from control where that
+// catchUp waits for the watch to bring the state up to a sequence number, and fetches the state from control if that
 // takes too long.
 func (m *membership) catchUp(ctx context.Context, control string, sequence uint64) {
 	began := time.Now()
@@ -111,14 +112,14 @@
 	}
 }
 
-// lags reports whether the replicated state is known here to an earlier sequence number.
+// lags reports whether the local copy of the replicated state is older than a sequence number.
 func (m *membership) lags(sequence uint64) bool {
 	known, _ := m.store.Position()
 	return known < sequence
 }
 
-// fetchState reads the replicated state from control itself. Where a chunk of it is lost it goes on behind the ones that
-// it has. Where nothing has come, the next report finds that the state still lags, and may ask another process.
+// fetchState reads the replicated state directly from control. If the call for a chunk fails, it retries from that chunk.
+// If it receives nothing, the next report detects that the state still lags, and may use another control process.
 func (m *membership) fetchState(ctx context.Context, control string) {
 	cursor := watch.NewCursor(watch.Topics{watch.TopicState})
 	fetchCtx, cancel := context.WithTimeout(ctx, maxFetchTime)
--- a/internal/agent/membership_test.go
+++ b/internal/agent/membership_test.go
@@ -18,7 +18,7 @@
 	"marlreel/internal/testing/simnet"
 )
 
-// lossyControl serves watches from a store, and fails each second call.
+// lossyControl serves watches from a store, and fails every second call.
 type lossyControl struct {
 	api.Control
 	store *watch.Store
@@ -33,9 +33,9 @@
 	return c.store.HandleWatch(ctx, request, 0), nil
 }
 
-// Guards against fetches that begin anew with each chunk that is lost, as those on the largest site did until the links of
-// control were full: a state of a megabyte arrives though each second call is lost.
-func TestFetchGoesOnWhereItStopped(t *testing.T) {
+// Guards against a fetch that restarts from the first chunk whenever a chunk is lost. On the largest site, such fetches
+// saturated the links of control. Here a state of 1 MiB arrives although every second call fails.
+func TestFetchResumesAfterLostChunk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const address, documentBytes, chunkBytes = "10.1.0.1:7660", 1 << 20, 64 << 10
@@ -53,7 +53,7 @@
 			node.Kill()
 			is.NoErr(server.Shutdown())
 			is.NoErr(<-served)
-			time.Sleep(5 * time.Minute) // idle connections of fasthttp's have ended
+			time.Sleep(5 * time.Minute) // fasthttp has closed its idle connections
 		})
 		m := &membership{
 			node: &api.Node{Name: "edge-0"}, store: watch.New("agent", time.Now), client: transport.NewCompressedClient(node.Dial),
@@ -62,6 +62,6 @@
 		m.fetchState(t.Context(), address)
 		sequence, hash := m.store.Position()
 		is.True(sequence == 7 && hash == 99)
-		is.True(control.calls <= 2*(documentBytes/chunkBytes+1)) // each chunk once, and as many lost
+		is.True(control.calls <= 2*(documentBytes/chunkBytes+1)) // one successful and one failed call for each chunk
 	})
 }
--- a/internal/agent/observations.go
+++ b/internal/agent/observations.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	// observeTimeout bounds a call to control. Raising it lets a control process that hangs delay observations, lowering
-	// it fails calls while control is slow.
+	// observeTimeout limits a call to control. Raising it lets an unresponsive control process delay observations;
+	// lowering it makes calls fail while control is slow.
 	observeTimeout = 500 * time.Millisecond
-	// observeBackoff is the pause after no control process answered.
+	// observeBackoff is the pause after all control processes failed to reply.
 	observeBackoff = 100 * time.Millisecond
-	// maxPendingObservations bounds the backends of which observations wait; beyond it the oldest are dropped.
+	// maxPendingObservations limits the backends with a pending observation. Beyond it, the oldest are dropped.
 	maxPendingObservations = 4096
-	// observationTTL is how long observations wait: by then a backend's own heartbeats have said the same. Raising it
-	// sends outdated ones after a partition, lowering it loses some that are news.
+	// observationTTL is how long observations stay pending: by then, a backend's own heartbeats contain the same
+	// information. Raising it sends outdated observations after a partition; lowering it loses some that are still new.
 	observationTTL = 5 * time.Second
 )
 
-// observationSender tells control what the reconcilers have observed of backends. What can't be delivered waits, and is
-// delivered later: hinted handoff.
+// observationSender sends the reconcilers' observations of backends to control. Observations that can't be delivered stay
+// pending and are delivered later (hinted handoff).
 type observationSender struct {
 	store    *watch.Store
 	controls func() []string
 	client   *transport.Client
 	began    time.Time
-	wake     chan struct{} // holds one element while there is something new
+	wake     chan struct{} // has an element while there are new observations
 
 	mu    sync.Mutex
 	hints *hintedhandoff.Table[*api.Observation] // by backend
@@ -45,8 +45,8 @@
 	}
 }
 
-// add records what a backend has loaded, adapters by model: in the store that this agent's own proxy watches at once, at
-// control soon.
+// add records what a backend has loaded, adapters by model: immediately in the store that this agent's own proxy watches,
+// and soon after at control.
 func (s *observationSender) add(id string, loaded map[string][]string) {
 	observation := watch.NewObservation(id, loaded)
 	s.store.RecordObservation(observation)
@@ -59,7 +59,7 @@
 	}
 }
 
-// run delivers until ctx ends.
+// run delivers observations until ctx ends.
 func (s *observationSender) run(ctx context.Context) {
 	for {
 		select {
@@ -73,8 +73,8 @@
 	}
 }
 
-// deliver sends everything that waits to one control process, the first that answers. It reports whether what it took
-// up is delivered; what came meanwhile has woken run again.
+// deliver sends all pending observations to the first control process that replies. It reports whether they were
+// delivered; an observation that is added meanwhile wakes run again.
 func (s *observationSender) deliver(ctx context.Context) bool {
 	pending := s.pending()
 	if len(pending) == 0 {
--- a/internal/agent/quota.go
+++ b/internal/agent/quota.go
@@ -16,14 +16,14 @@
 	"marlreel/internal/quota/tokenbucket"
 )
 
-// leaseHolder says which leases this agent holds.
+// leaseHolder gives access to the leases that this agent holds.
 type leaseHolder interface {
-	// Lease returns the lease of a key, if it runs at this moment.
-	Lease(key string) (held reconciler.Lease, runs bool)
+	// Lease returns the lease of a key, and whether this agent holds it and it has not expired.
+	Lease(key string) (held reconciler.Lease, valid bool)
 }
 
-// quotaOwner counts the quotas of the shards of tenants whose leases this agent holds. Whether it does is looked at for
-// each request, at the moment at which the request counts: so no two owners grant at the same time.
+// quotaOwner counts the quotas of the tenant shards whose leases this agent holds. It checks the lease for each request
+// at the moment when the request is counted, so that no two owners grant at the same time.
 type quotaOwner struct {
 	store  *watch.Store
 	leases leaseHolder
@@ -31,7 +31,7 @@
 
 	mu         sync.Mutex
 	ledger     *ledger.Ledger
-	configured *configuration.Document // the one whose limits the ledger has
+	configured *configuration.Document // the configuration whose limits the ledger uses
 	verdicts   map[ledger.Verdict]uint64
 }
 
@@ -41,13 +41,13 @@
 	}
 }
 
-// Where the platform names no window, tenants are held to their limits as closely as on the sites that do.
+// If the platform sets no window, quotas are enforced as strictly as on sites that set one.
 const (
 	defaultQuotaWindow = 8 * time.Second
 	defaultQuotaExcess = 0.1
 )
 
-// quotaRule is the users' rule on quotas.
+// quotaRule returns the rule for quotas that the platform's settings specify.
 func quotaRule(bounds bootstrap.Bounds) tokenbucket.Rule {
 	if bounds.QuotaWindowS <= 0 {
 		return tokenbucket.Rule{Window: defaultQuotaWindow, Excess: defaultQuotaExcess}
@@ -55,17 +55,17 @@
 	return tokenbucket.Rule{Window: bootstrap.Seconds(bounds.QuotaWindowS), Excess: bounds.QuotaExcess, Slack: bounds.QuotaSlack}
 }
 
-// AcquireQuota implements api.QuotaOwner: proxies ask the owner of a tenant's shard.
+// AcquireQuota implements api.QuotaOwner. Its callers are proxies, which call the owner of a tenant's shard.
 func (a *Agent) AcquireQuota(_ context.Context, request *api.AcquireQuotaRequest) (*api.AcquireQuotaReply, error) {
 	return a.quotas.acquire(request), nil
 }
 
-// ReadQuotas implements api.QuotaOwner: the operator looks at the quotas that are counted here.
+// ReadQuotas implements api.QuotaOwner. Operators use it to read the quotas that are counted here.
 func (a *Agent) ReadQuotas(_ context.Context, request *api.QuotaStatusRequest) (*api.QuotaStatusReply, error) {
 	return &api.QuotaStatusReply{Node: a.settings.NodeName, Quotas: a.quotas.statuses(request.Subscriber)}, nil
 }
 
-// acquire takes back what the request returns, and answers it.
+// acquire applies the refunds of a request and then decides on it.
 func (o *quotaOwner) acquire(request *api.AcquireQuotaRequest) *api.AcquireQuotaReply {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -74,9 +74,9 @@
 	for _, refund := range request.Refunds {
 		o.ledger.Refund(now, refund.FencingToken, refund.Subscriber, refund.Number)
 	}
-	lease, runs := o.lease(request.Subscriber)
+	lease, valid := o.lease(request.Subscriber)
 	answer := ledger.Answer{Verdict: ledger.NotOwner}
-	if runs {
+	if valid {
 		answer = o.ledger.Acquire(now, lease, ledger.Request{
 			Subscriber: request.Subscriber, Cost: request.Cost, ConfigurationVersion: request.ConfigurationVersion,
 		})
@@ -85,15 +85,15 @@
 	return quotaReply(request.Subscriber, lease, answer)
 }
 
-// lease returns the lease of a tenant's shard, if this agent holds it.
-func (o *quotaOwner) lease(subscriber string) (lease ledger.Lease, runs bool) {
-	held, runs := o.leases.Lease(shard.LeaseKey(shard.Of(subscriber)))
+// lease returns the lease of a tenant's shard, and whether this agent holds it and it has not expired.
+func (o *quotaOwner) lease(subscriber string) (lease ledger.Lease, valid bool) {
+	held, valid := o.leases.Lease(shard.LeaseKey(shard.Of(subscriber)))
 	return ledger.Lease{
 		FencingToken: held.FencingToken, Since: held.Since.Sub(o.began), Expiry: held.Expiry.Sub(o.began),
-	}, runs
+	}, valid
 }
 
-// configure puts the limits of the newest configuration in force. Called with the lock.
+// configure applies the limits of the newest configuration to the ledger. The caller must hold mu.
 func (o *quotaOwner) configure(now time.Duration) {
 	var document *configuration.Document
 	o.store.ReadState(func(m *state.Machine) { document = m.Document() })
@@ -104,20 +104,20 @@
 	o.ledger.Configure(now, document.Version, limitsOf(document))
 }
 
-// unsaid stands for the tokens of a request that doesn't say them.
-const unsaid = -1
+// unknownTokens is the token count of a request that does not state one.
+const unknownTokens = -1
 
 // limitsOf returns the limits of all tenants of a configuration.
 func limitsOf(document *configuration.Document) map[string]tokenbucket.Limit {
 	limits := make(map[string]tokenbucket.Limit, len(document.Subscribers))
 	for i := range document.Subscribers {
 		s := &document.Subscribers[i]
-		limits[s.Name] = tokenbucket.Limit{RatePerS: s.RatePerS, BurstSize: s.BurstSize, Unit: s.Unit, RequestCost: s.Cost(unsaid)}
+		limits[s.Name] = tokenbucket.Limit{RatePerS: s.RatePerS, BurstSize: s.BurstSize, Unit: s.Unit, RequestCost: s.Cost(unknownTokens)}
 	}
 	return limits
 }
 
-// quotaReply is an answer of the ledger as it is sent.
+// quotaReply converts an answer of the ledger to its wire format.
 func quotaReply(subscriber string, lease ledger.Lease, answer ledger.Answer) *api.AcquireQuotaReply {
 	switch answer.Verdict {
 	case ledger.Granted:
@@ -139,7 +139,7 @@
 	return uint32((d + time.Millisecond - 1) / time.Millisecond)
 }
 
-// statuses returns the state of a tenant's quota, or of all that are counted here where none is named.
+// statuses returns the state of a tenant's quota or, if subscriber is "", of all quotas that are counted here.
 func (o *quotaOwner) statuses(subscriber string) []*api.QuotaStatus {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -158,7 +158,7 @@
 	return statuses
 }
 
-// count returns how many requests had a verdict.
+// count returns the number of requests that got a verdict.
 func (o *quotaOwner) count(verdict ledger.Verdict) float64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -167,6 +167,6 @@
 
 // owns reports whether this agent holds the lease of a shard.
 func (o *quotaOwner) owns(number int) bool {
-	_, runs := o.leases.Lease(shard.LeaseKey(number))
-	return runs
+	_, valid := o.leases.Lease(shard.LeaseKey(number))
+	return valid
 }
--- a/internal/agent/reportqueue.go
+++ b/internal/agent/reportqueue.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// forwardInterval is the least time between two calls to the same agent: reports that come in between go together.
-	// Raising it delays loads for new demand, lowering it costs the holder calls.
+	// forwardInterval is the least time between two calls to the same agent: reports that come in between are batched.
+	// Raising it delays loads for new demand; lowering it costs the holder more calls.
 	forwardInterval = 100 * time.Millisecond
-	// maxPendingReports bounds the reports that wait for one agent; beyond it the oldest are dropped.
+	// maxPendingReports limits the queued reports for one agent. Beyond it, the oldest are dropped.
 	maxPendingReports = 1024
 )
 
-// reportQueue forwards reports of demand, the first to an agent at once, and later ones in batches. It owns a goroutine
-// for each agent for which reports wait.
+// reportQueue forwards demand reports. The first report for an agent is sent at once, later ones in batches. The queue
+// runs one goroutine for each agent that has queued reports.
 type reportQueue struct {
 	forward func(ctx context.Context, address string, reports []*api.DemandReport)
-	ctx     context.Context // of the calls; ends at stop
+	ctx     context.Context // of the calls; canceled by stop
 	cancel  context.CancelFunc
 	senders sync.WaitGroup
 
 	mu      sync.Mutex
 	stopped bool
-	pending map[string][]*api.DemandReport // by address; each key, also of an empty batch, has a sender
+	pending map[string][]*api.DemandReport // by address; each key has a sender, even if its batch is empty
 }
 
 func newReportQueue(forward func(ctx context.Context, address string, reports []*api.DemandReport)) *reportQueue {
@@ -35,7 +35,7 @@
 	return &reportQueue{forward: forward, ctx: ctx, cancel: cancel, pending: map[string][]*api.DemandReport{}}
 }
 
-// stop ends the calls in flight and returns once all senders have ended. Reports that are added later are dropped.
+// stop cancels the calls in flight and waits for all senders to end. Reports that are added later are dropped.
 func (q *reportQueue) stop() {
 	q.cancel()
 	q.mu.Lock()
@@ -44,7 +44,7 @@
 	q.senders.Wait()
 }
 
-// add has a report forwarded: at once, or with others when the interval is over.
+// add queues a report, which is sent at once or, within forwardInterval of the last call, in the next batch.
 func (q *reportQueue) add(address string, report *api.DemandReport) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -61,7 +61,7 @@
 	}
 }
 
-// next returns what waits for an agent. If nothing does, its sender has to end.
+// next takes the queued reports for an agent. It returns nil if there are none; the sender must then end.
 func (q *reportQueue) next(address string) []*api.DemandReport {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -74,7 +74,7 @@
 	return batch
 }
 
-// send forwards what waits for an agent, until nothing does or the queue is stopped.
+// send forwards the reports for an agent until none are queued or the queue is stopped.
 func (q *reportQueue) send(address string) {
 	for q.ctx.Err() == nil {
 		batch := q.next(address)
--- a/internal/agent/reportqueue_test.go
+++ b/internal/agent/reportqueue_test.go
@@ -11,14 +11,14 @@
 	"marlreel/internal/api"
 )
 
-// recordedBatch is a call of a queue.
+// recordedBatch is one call of a queue's forward function.
 type recordedBatch struct {
 	address string
 	reports int
 	after   time.Duration // since the first report was added
 }
 
-// A report goes out at once, and those that come within the interval together.
+// The first report is sent at once, and those that come within the interval together.
 func TestReportsAreForwardedInBatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -62,7 +62,7 @@
 	})
 }
 
-// Stop ends a call in flight, waits for its sender, and drops what comes later.
+// stop cancels a call in flight, waits for its sender, and makes the queue drop later reports.
 func TestReportQueueStops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -19,20 +19,20 @@
 )
 
 const (
-	// exitMargin is how long before the platform's grace period ends an agent exits by itself. Raising it leaves its proxy
-	// without updates earlier, lowering it risks being killed.
+	// exitMargin is how long before the end of the platform's grace period an agent exits. Raising it leaves the proxy
+	// without updates earlier; lowering it risks that the platform kills the agent.
 	exitMargin = 300 * time.Millisecond
-	// proxyPollCheck is how often a draining agent looks whether its proxy still polls, and proxyPollTimeout after what time
-	// without a poll the proxy counts as exited. The latter has to be longer than a poll, or agents leave their proxies
-	// alone; raising it delays each shutdown.
+	// proxyPollCheck is how often a draining agent checks whether its proxy still polls. proxyPollTimeout is the time
+	// without a poll after which the proxy counts as exited. It must be longer than a poll, or agents exit before their
+	// proxies; raising it delays each shutdown.
 	proxyPollCheck   = 100 * time.Millisecond
 	proxyPollTimeout = 2 * time.Second
 	// shutdownTimeout is how long calls in flight may take when the process exits.
 	shutdownTimeout = 500 * time.Millisecond
 )
 
-// Run is an agent until ctx ends, and then drains: it gives its leases up at once, and serves its proxy until that has
-// exited or the grace period ends. It returns an error where it can't listen, or no longer.
+// Run runs an agent until ctx ends, and then drains it: the agent gives up its leases at once, and serves its proxy until
+// the proxy has exited or the grace period ends. Run returns an error if the agent can't listen or its server fails.
 func Run(ctx context.Context, machine *host.Host) error {
 	a := newAgent(machine) //nolint:contextcheck // fasthttp dials without a context; each call has a deadline instead
 	listeners, err := listen(machine.Network, a.settings.PeerAddress(), a.settings.AgentLoopback())
@@ -45,7 +45,7 @@
 	for _, listener := range listeners {
 		serving.Go(func() { failures <- server.Serve(listener) })
 	}
-	// The connection to control outlives the leases: the proxy still has its clients.
+	// The connection to control outlives the leases, because the proxy still serves clients.
 	linkCtx, disconnect := context.WithCancel(context.WithoutCancel(ctx))
 	defer disconnect()
 	leaseCtx, stopLeases := context.WithCancel(ctx)
@@ -63,12 +63,12 @@
 	a.demand.stop()
 	tasks.Wait()
 	failure = multierr.Append(failure, shutDown(ctx, server))
-	closeAll(listeners) // also of those that were not served yet
+	closeAll(listeners) // including those that the server does not serve yet
 	serving.Wait()
 	return failure
 }
 
-// listen opens some addresses, all or none.
+// listen opens listeners at all addresses, or at none if one fails.
 func listen(network host.Network, addresses ...string) ([]net.Listener, error) {
 	var listeners []net.Listener
 	for _, address := range addresses {
@@ -89,8 +89,8 @@
 	}
 }
 
-// start starts the agent's tasks: those of the connection to control end with linkCtx, those under leases with leaseCtx,
-// and all of them by the latter of the two.
+// start starts the agent's tasks: those of the connection to control end with linkCtx, those that need leases with
+// leaseCtx. All have ended once both contexts have.
 func (a *Agent) start(linkCtx, leaseCtx context.Context, machine *host.Host) *sync.WaitGroup {
 	tasks := new(sync.WaitGroup)
 	subscriptions := newSubscriptions(a)
@@ -106,7 +106,7 @@
 	return tasks
 }
 
-// drain gives the leases up and waits until the proxy has exited, within the grace period.
+// drain gives up the leases and waits for the proxy to exit, within the grace period.
 func (a *Agent) drain(ctx context.Context, machine *host.Host) {
 	a.leases.release(ctx)
 	grace := bootstrap.Seconds(a.settings.Bounds.ShutdownGraceS) - exitMargin
@@ -115,7 +115,7 @@
 	a.awaitProxyExit(graceCtx) //nolint:contextcheck // ctx outlives a simulated crash; this one ends with it
 }
 
-// awaitProxyExit waits until the proxy polls no more, or ctx ends.
+// awaitProxyExit waits until the proxy has stopped polling or ctx ends.
 func (a *Agent) awaitProxyExit(ctx context.Context) {
 	ticker := time.NewTicker(proxyPollCheck)
 	defer ticker.Stop()
--- a/internal/agent/run_test.go
+++ b/internal/agent/run_test.go
@@ -8,7 +8,7 @@
 	"marlreel/internal/testing/simnet"
 )
 
-// Where one of the addresses is taken, the others are free again.
+// If one of the addresses is in use, listen closes the listeners at the others.
 func TestListenOpensAllAddressesOrNone(t *testing.T) {
 	is := is.New(t)
 	machine := simnet.New(simnet.Config{}).Machine("10.2.0.1")
--- a/internal/agent/subscriptions.go
+++ b/internal/agent/subscriptions.go
@@ -15,31 +15,32 @@
 )
 
 const (
-	// relayWait is how long a relay may hold a poll that has no update, and controlWait control. Raising them leaves a
-	// source that hangs later, lowering them costs polls. A relay that hangs is left for control soon.
+	// relayWait and controlWait are how long a relay and control may keep a poll without an update open. Raising them
+	// delays the change away from an unresponsive source; lowering them costs more polls. relayWait is shorter, so that an
+	// unresponsive relay is soon replaced by control.
 	relayWait   = 800 * time.Millisecond
 	controlWait = 1200 * time.Millisecond
-	// replanInterval is the least time between two choices of the relays. Raising it keeps polling relays that have gone,
-	// lowering it costs the processor while many nodes come and go.
+	// replanInterval is the least time between two selections of the relays. Raising it keeps subscribers polling relays
+	// that have left; lowering it costs CPU time while many nodes join and leave.
 	replanInterval = 100 * time.Millisecond
 )
 
-// subscriptions runs one subscriber of the watch for each source. It belongs to the goroutine of run.
+// subscriptions runs one subscriber of the watch for each source. Only the goroutine of run uses it.
 type subscriptions struct {
 	agent       *Agent
 	running     map[string]context.CancelFunc // by subscriptionKey
 	subscribers sync.WaitGroup
 
-	// What the plan in force was made from.
-	topics        watch.Topics // nil: there is no plan yet
-	nodesRevision uint64       // of the store
+	// Inputs of the current plan.
+	topics        watch.Topics // nil: no plan yet
+	nodesRevision uint64       // revision of the store
 }
 
 func newSubscriptions(a *Agent) *subscriptions {
 	return &subscriptions{agent: a, running: map[string]context.CancelFunc{}}
 }
 
-// run keeps the subscribers as the plan has them, until ctx ends and all have ended.
+// run keeps the subscribers in line with the plan. It returns when ctx has ended and all subscribers have stopped.
 func (s *subscriptions) run(ctx context.Context) {
 	defer s.subscribers.Wait()
 	for ctx.Err() == nil {
@@ -54,7 +55,7 @@
 	}
 }
 
-// neededTopics returns what this agent has to watch: the state, and the backends of all services.
+// neededTopics returns the topics that this agent must watch: the state, and the backends of each service.
 func (s *subscriptions) neededTopics() watch.Topics {
 	topics := watch.Topics{watch.TopicState}
 	s.agent.store.ReadState(func(m *state.Machine) {
@@ -73,7 +74,8 @@
 	return subscription.Relay + " " + subscription.Fallback + " " + strings.Join(subscription.Topics, " ")
 }
 
-// adjust stops the subscribers that are not in the plan and starts those that are missing, where that may have changed.
+// adjust makes a new plan if its inputs have changed, stops the subscribers that are not in it and starts the missing
+// ones.
 func (s *subscriptions) adjust(ctx context.Context) {
 	topics, revision := s.neededTopics(), s.agent.store.Revision()
 	defer s.agent.store.RetainTopics(topics)
@@ -101,7 +103,8 @@
 	}
 }
 
-// subscribe watches one source until ctx ends. Where a relay does not answer, its own relay does, and then control.
+// subscribe watches one source until ctx ends. If a relay does not reply, the subscriber falls back to the relay's own
+// relay, and then to control.
 func (s *subscriptions) subscribe(ctx context.Context, subscription relay.Subscription) {
 	a := s.agent
 	relays := relaysOf(subscription)
@@ -121,7 +124,7 @@
 	watch.RunSubscriber(ctx, a.store, cfg)
 }
 
-// relaysOf returns the addresses of the agents at which topics may be watched, the preferred one first.
+// relaysOf returns the addresses of the relays at which a subscription's topics can be watched, the preferred one first.
 func relaysOf(subscription relay.Subscription) []string {
 	relays := []string{subscription.Relay, subscription.Fallback}
 	return slices.DeleteFunc(relays, func(address string) bool { return address == "" })
