--- a/internal/agent/leases.go
+++ b/internal/agent/leases.go
@@ -42,7 +42,7 @@
 	defer ticker.Stop()
 	next := 0 // index of the control process to try, modulo their number
 	for ctx.Err() == nil {
-		if !l.Named() {
+		if !l.NamedAsHolder() {
 			l.AwaitNamed(ctx)
 			continue
 		}
@@ -57,8 +57,8 @@
 	}
 }
 
-// Named implements reconciler.Leases.
-func (l *leases) Named() bool {
+// NamedAsHolder implements reconciler.Leases.
+func (l *leases) NamedAsHolder() bool {
 	named := false
 	l.store.ReadState(func(m *state.Machine) {
 		for _, o := range m.Leases() {
@@ -72,7 +72,7 @@
 func (l *leases) AwaitNamed(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := l.store.Changed()
-		if l.Named() {
+		if l.NamedAsHolder() {
 			return
 		}
 		select {
@@ -142,7 +142,7 @@
 // process replies, they expire.
 func (l *leases) release(ctx context.Context) {
 	l.Drop()
-	if !l.Named() {
+	if !l.NamedAsHolder() {
 		return
 	}
 	for _, control := range l.controls() {
--- a/internal/placement/reconciler/manager.go
+++ b/internal/placement/reconciler/manager.go
@@ -28,8 +28,8 @@
 type Leases interface {
 	// Lease returns the lease of a key, and whether this node holds it and it has not expired.
 	Lease(key string) (held Lease, valid bool)
-	// Named reports whether the replicated state names this node as the holder of any lease.
-	Named() bool
+	// NamedAsHolder reports whether the replicated state names this node as the holder of any lease.
+	NamedAsHolder() bool
 	// AwaitNamed returns once Named reports true or ctx ends.
 	AwaitNamed(ctx context.Context)
 	// Drop makes all leases invalid until their next renewal.
@@ -74,7 +74,7 @@
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		m.adjust(ctx)
-		if !m.cfg.Leases.Named() && m.idle() {
+		if !m.cfg.Leases.NamedAsHolder() && m.idle() {
 			m.cfg.Leases.AwaitNamed(ctx)
 			continue
 		}
