--- a/internal/agent/leases.go
+++ b/internal/agent/leases.go
@@ -43,7 +43,7 @@
 	next := 0 // index of the control process to try, modulo their number
 	for ctx.Err() == nil {
 		if !l.NamedAsHolder() {
-			l.AwaitNamed(ctx)
+			l.AwaitNamedAsHolder(ctx)
 			continue
 		}
 		controls := l.controls()
@@ -68,8 +68,8 @@
 	return named
 }
 
-// AwaitNamed implements reconciler.Leases.
-func (l *leases) AwaitNamed(ctx context.Context) {
+// AwaitNamedAsHolder implements reconciler.Leases.
+func (l *leases) AwaitNamedAsHolder(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := l.store.Changed()
 		if l.NamedAsHolder() {
--- a/internal/placement/reconciler/manager.go
+++ b/internal/placement/reconciler/manager.go
@@ -30,8 +30,8 @@
 	Lease(key string) (held Lease, valid bool)
 	// NamedAsHolder reports whether the replicated state names this node as the holder of any lease.
 	NamedAsHolder() bool
-	// AwaitNamed returns once Named reports true or ctx ends.
-	AwaitNamed(ctx context.Context)
+	// AwaitNamedAsHolder returns once Named reports true or ctx ends.
+	AwaitNamedAsHolder(ctx context.Context)
 	// Drop makes all leases invalid until their next renewal.
 	Drop()
 }
@@ -75,7 +75,7 @@
 	for ctx.Err() == nil {
 		m.adjust(ctx)
 		if !m.cfg.Leases.NamedAsHolder() && m.idle() {
-			m.cfg.Leases.AwaitNamed(ctx)
+			m.cfg.Leases.AwaitNamedAsHolder(ctx)
 			continue
 		}
 		select {
