--- a/internal/placement/reconciler/manager.go
+++ b/internal/placement/reconciler/manager.go
@@ -30,7 +30,7 @@
 	Lease(key string) (held Lease, valid bool)
 	// NamedAsHolder reports whether the replicated state names this node as the holder of any lease.
 	NamedAsHolder() bool
-	// AwaitNamedAsHolder returns once Named reports true or ctx ends.
+	// AwaitNamedAsHolder returns once NamedAsHolder reports true or ctx ends.
 	AwaitNamedAsHolder(ctx context.Context)
 	// Drop makes all leases invalid until their next renewal.
 	Drop()
