--- a/internal/controlplane/chain/acceptor.go
+++ b/internal/controlplane/chain/acceptor.go
@@ -2,8 +2,9 @@
 
 import "marlreel/internal/api"
 
-// The acceptor's state is DurableState.Promised, AcceptedBallot and AcceptedView. Each change of it is saved before the
-// answer that it leads to is sent, or a restarted member could promise or accept what it has rejected.
+// The acceptor's state is DurableState.Promised, AcceptedBallot and AcceptedView. Every change of it is saved before
+// the reply is sent; otherwise a restarted member could promise or accept a ballot lower than one that it promised
+// before.
 
 func (n *Node) onPrepare(from *api.Member, prepare *api.Prepare) {
 	if !n.isAcceptorOf(from, prepare.Instance) {
@@ -17,13 +18,14 @@
 	n.send(from, &api.ChainMessage{Body: &api.ChainMessage_Promise{Promise: reply}})
 }
 
-// isAcceptorOf tells whether this node votes on a proposer's view: both are members of the view before.
+// isAcceptorOf reports whether this node votes on a proposer's view: both must be members of the previous view.
 func (n *Node) isAcceptorOf(proposer *api.Member, instance uint64) bool {
 	return instance == n.durable.View.Number+1 && containsMember(n.durable.View.Members, proposer) && n.isMember()
 }
 
-// promiseBallot promises a ballot, unless a higher one was promised: no lower one is accepted here from now on. The
-// promise says what was accepted before, and how far this log reaches, which stays so while this node is wedged.
+// promiseBallot promises to accept no ballot lower than the given one, unless this node has already promised a higher
+// one. The promise includes the view accepted before, if any, and the position of this node's log, which does not
+// change while the node is wedged.
 func (n *Node) promiseBallot(prepare *api.Prepare) *api.Promise {
 	reply := &api.Promise{Instance: prepare.Instance, Ballot: prepare.Ballot}
 	n.highestRound = max(n.highestRound, prepare.Ballot.GetRound())
@@ -49,7 +51,7 @@
 	n.send(from, &api.ChainMessage{Body: &api.ChainMessage_Accepted{Accepted: n.acceptView(accept)}})
 }
 
-// acceptView accepts a view, unless a higher ballot was promised.
+// acceptView accepts a view, unless this node has promised a higher ballot.
 func (n *Node) acceptView(accept *api.Accept) *api.Accepted {
 	reply := &api.Accepted{Instance: accept.View.GetNumber(), Ballot: accept.Ballot}
 	n.highestRound = max(n.highestRound, accept.Ballot.GetRound())
--- a/internal/controlplane/chain/ballot.go
+++ b/internal/controlplane/chain/ballot.go
@@ -2,8 +2,8 @@
 
 import "marlreel/internal/api"
 
-// ballotLess orders ballots by round, then by proposer, so that two proposers never have the same one. A missing
-// ballot is the lowest.
+// ballotLess orders ballots by round, then by proposer, so that two proposers never have equal ballots. A nil ballot is
+// the lowest.
 func ballotLess(a, b *api.Ballot) bool {
 	if a.GetRound() != b.GetRound() {
 		return a.GetRound() < b.GetRound()
--- a/internal/controlplane/chain/catchup.go
+++ b/internal/controlplane/chain/catchup.go
@@ -9,23 +9,24 @@
 	"marlreel/internal/api"
 )
 
-// A process outside the chain catches up before it joins: the chain stays in service meanwhile, and its members all have
-// all but a little of the log. Only what is committed is sent, so a log that has caught up reaches no further than that
-// of any chain in service; its SyncedView stays what it was.
+// A process outside the chain catches up before it joins. The chain stays in service meanwhile, and once the process
+// has joined only a small part of the log is left to synchronize. Only committed entries are sent, so the log of a
+// process that has caught up is never longer than that of any chain in service. Catching up does not change its
+// SyncedView.
 
-// catchUp is what a head has sent to a process outside the chain.
+// catchUp is the head's progress in sending the log to a process outside the chain.
 type catchUp struct {
 	peerKey      string
 	target       *api.Position
 	sentAt       time.Duration // when the last part was sent
-	retransmitAt time.Duration // until when that may be on its way
-	keepsUp      bool          // a part arrived soon after it was sent: nothing is gained by sending another
+	retransmitAt time.Duration // until then the last part may be in flight
+	keepsUp      bool          // a part arrived soon after it was sent, so sending another would gain nothing
 }
 
-// isCatchingUp tells whether a process is catching up with this head.
+// isCatchingUp reports whether a process is catching up with this head.
 func (n *Node) isCatchingUp() bool { return n.catchUp != nil }
 
-// CatchUpAddress is the address of the process that is catching up with this head; "": there is none.
+// CatchUpAddress returns the address of the process that is catching up with this head, or "" if there is none.
 func (n *Node) CatchUpAddress() string {
 	if n.catchUp == nil || !n.isHead() {
 		return ""
@@ -34,7 +35,7 @@
 	return address
 }
 
-// dropCatchUp forgets a process that is not alive any more, or has joined.
+// dropCatchUp ends the catch-up of a process that has failed or has joined the chain.
 func (n *Node) dropCatchUp() {
 	if n.catchUp == nil {
 		return
@@ -45,8 +46,8 @@
 	}
 }
 
-// continueCatchUp sends a process what it lacks, one process at a time. It reports whether that is little enough for the
-// process to join the chain.
+// continueCatchUp sends a process the part of the log that it lacks. Only one process at a time catches up. It reports
+// whether the process lacks little enough to join the chain.
 func (n *Node) continueCatchUp(p *peer) bool {
 	key := MemberKey(p.member)
 	if n.catchUp != nil && n.catchUp.peerKey != key {
@@ -59,7 +60,7 @@
 	if n.catchUp == nil {
 		size := proto.Size(data)
 		if size <= n.config.MaxJoinLagBytes {
-			return true // a snapshot, and a small one
+			return true // the snapshot is small
 		}
 		n.sendCatchUp(p, data, size)
 		return false
@@ -79,7 +80,7 @@
 	return false
 }
 
-// sendCatchUp sends a process a part of so many bytes.
+// sendCatchUp sends a process a part of size bytes.
 func (n *Node) sendCatchUp(p *peer, data *api.CatchUp, size int) {
 	n.catchUp = &catchUp{
 		peerKey: MemberKey(p.member), target: data.Target, sentAt: n.now, retransmitAt: n.now + n.retransmitDelay(size),
@@ -87,7 +88,7 @@
 	n.send(p.member, &api.ChainMessage{Body: &api.ChainMessage_CatchUp{CatchUp: data}})
 }
 
-// catchUpFor is what is committed and a process does not have.
+// catchUpFor returns the committed part of the log that a process lacks.
 func (n *Node) catchUpFor(p *peer) *api.CatchUp {
 	data := &api.CatchUp{Target: n.durable.positionAt(n.committed)}
 	entries, found := n.durable.entriesAfter(p.position.GetSequence(), p.position.GetHash())
@@ -102,8 +103,8 @@
 	return data
 }
 
-// onCatchUp takes what is committed, on a process outside the chain. A copy that comes late, or to a member of the
-// chain, must not take anything back.
+// onCatchUp extends the log of a process outside the chain with committed entries. A message that is late, or reaches a
+// member of the chain, must not remove anything from the log.
 func (n *Node) onCatchUp(from *api.Member, data *api.CatchUp) {
 	if n.wedged() || n.inChain() || !sameMember(from, n.Head()) || data.Target.GetSequence() <= n.committed {
 		return
@@ -112,5 +113,5 @@
 		return
 	}
 	n.commitUpTo(data.Target.Sequence)
-	n.send(from, n.heartbeatMessage()) // which says how far the log reaches now
+	n.send(from, n.heartbeatMessage()) // reports the new position of the log
 }
--- a/internal/controlplane/chain/chainselection.go
+++ b/internal/controlplane/chain/chainselection.go
@@ -7,11 +7,11 @@
 	"marlreel/internal/api"
 )
 
-// chooseView is the view to propose: one that may have been agreed already, or else a chain of those that have promised,
-// the furthest log first. nil: there is none.
+// chooseView returns the view to propose: a view that may have been agreed already, or else one whose chain is made of
+// members that have promised, with the most advanced log as head. It returns nil if there is no such view.
 //
-// A chain has at least a majority of the new members. Every later majority then includes one that has all entries which
-// this chain commits.
+// A chain has at least a majority of the new members, so that every later majority includes a member that has all
+// entries committed by this chain.
 func (n *Node) chooseView() *api.View {
 	if accepted := n.proposal.highestAccepted(); accepted != nil {
 		return accepted
@@ -22,7 +22,7 @@
 	}
 	head := n.selectHead(candidates)
 	if head == nil {
-		return nil // only the leaving member has all that may have been acknowledged
+		return nil // only the leaving member has every entry that may have been acknowledged
 	}
 	chain := n.buildChain(head, candidates)
 	if len(chain) < majority(len(n.proposal.members)) {
@@ -31,8 +31,8 @@
 	return &api.View{Number: n.proposal.instance, Members: n.proposal.members, Chain: chain}
 }
 
-// highestAccepted is the view accepted under the highest ballot that promises name, or nil. It may have been agreed: a
-// proposer must not propose any other.
+// highestAccepted returns the view accepted under the highest ballot that any promise names, or nil. It may have been
+// agreed already, so the proposer must not propose a different one.
 func (p *proposal) highestAccepted() *api.View {
 	var highest *api.Promise
 	for _, promise := range p.promises {
@@ -46,13 +46,13 @@
 	return highest.GetAcceptedView()
 }
 
-// isLeaving tells whether a member is the one that the proposed view removes because it is shutting down.
+// isLeaving reports whether the proposed view removes a member because it is shutting down.
 func (p *proposal) isLeaving(member *api.Member) bool {
 	return p.change.leaving != nil && sameMember(member, p.change.leaving)
 }
 
-// promisedCandidates are the new view's members that have promised, those of the present chain first, in its order. A
-// leaving member that has promised is among them: its log counts, although it is not in the new chain.
+// promisedCandidates returns the members of the new view that have promised, those of the current chain first, in its
+// order. A leaving member that has promised is included: its log counts, although it will not be in the new chain.
 func (n *Node) promisedCandidates() []*api.Member {
 	var found []*api.Member
 	for _, member := range slices.Concat(n.durable.View.Chain, n.durable.View.Members) {
@@ -68,8 +68,8 @@
 	return found
 }
 
-// selectHead is the candidate whose log reaches furthest, but for the leaving member; nil if that one alone reaches so
-// far. The furthest log of a majority holds all that was ever committed.
+// selectHead returns the candidate with the most advanced log, other than the leaving member, or nil if the leaving
+// member's log is more advanced than all others. The most advanced log of a majority holds every committed entry.
 func (n *Node) selectHead(candidates []*api.Member) *api.Member {
 	position := func(member *api.Member) *api.Position { return n.proposal.promises[MemberKey(member)].Position }
 	var head, leaving *api.Member
@@ -87,8 +87,8 @@
 	return head
 }
 
-// buildChain makes a chain of candidates. Members from outside the old chain whose logs lag far behind are taken only
-// where a majority needs them: the chain is out of service until they have the whole log.
+// buildChain makes a chain of candidates. Members from outside the old chain whose logs lag far behind are included
+// only if they are needed for a majority, because the chain is out of service until they have the whole log.
 func (n *Node) buildChain(head *api.Member, candidates []*api.Member) []*api.Member {
 	chain := []*api.Member{head}
 	var lagging []*api.Member
@@ -113,12 +113,12 @@
 	return append(chain, lagging[:min(max(needed, 0), len(lagging))]...)
 }
 
-// promisedSequence is the end of a member's log when it promised.
+// promisedSequence returns the sequence number at the end of a member's log when it promised.
 func (n *Node) promisedSequence(member *api.Member) uint64 {
 	return n.proposal.promises[MemberKey(member)].GetPosition().GetSequence()
 }
 
-// isWithinLag tells whether a member lacks little of a head's log.
+// isWithinLag reports whether a member lags at most MaxLagEntries behind a head's log.
 func (n *Node) isWithinLag(member, head *api.Member) bool {
 	return n.promisedSequence(member)+n.config.MaxLagEntries >= n.promisedSequence(head)
 }
--- a/internal/controlplane/chain/confirm.go
+++ b/internal/controlplane/chain/confirm.go
@@ -7,22 +7,22 @@
 	"marlreel/internal/api"
 )
 
-// confirmation is a question to the members whether a view still stands.
+// confirmation is a pending request to the members to confirm that a view is still current.
 type confirmation struct {
 	view    uint64
-	members []string // keys of those that have confirmed it
+	members []string // keys of the members that have confirmed it
 }
 
-// CanRead tells whether this node is the tail of a view in service. Its state is the newest only once a ConfirmView that
-// began after the reader's call has come back: another view may be in force elsewhere.
+// CanRead reports whether this node is the tail of a view in service. Other members may have installed a newer view,
+// so a linearizable read must also wait for a ConfirmView that began after the read arrived.
 func (n *Node) CanRead() bool {
 	return n.isTail() && n.viewInService()
 }
 
-// ConfirmView asks the members whether this node's view still stands (as ReadIndex does in Raft). The token comes back
-// among an Output's ConfirmedTokens once a majority has confirmed it: since a majority is not wedged, no other view was
-// agreed when the call began. The token never comes back if this node is not in service or the view changes; the caller
-// uses each token once, and gives up by CancelConfirmation.
+// ConfirmView asks the members whether this node's view is still current (as ReadIndex does in Raft). The token appears
+// in an Output's ConfirmedTokens once a majority has confirmed the view: that majority was not wedged, so no newer view
+// had been agreed when the call began. The token never appears if this node is not in service or if the view changes.
+// The caller uses each token once, and calls CancelConfirmation to stop waiting.
 func (n *Node) ConfirmView(now time.Duration, token uint64) Output {
 	n.now = now
 	if !n.viewInService() {
@@ -36,10 +36,10 @@
 	return n.takeOutput()
 }
 
-// CancelConfirmation forgets a token that nobody waits for any more.
+// CancelConfirmation discards a token that no caller waits for any more.
 func (n *Node) CancelConfirmation(token uint64) { delete(n.confirmations, token) }
 
-// onConfirm confirms the view, unless this member has promised to agree on another one.
+// onConfirm confirms the view, unless this member is wedged.
 func (n *Node) onConfirm(from *api.Member, confirm *api.Confirm) {
 	if n.wedged() || !n.isMember() {
 		return
--- a/internal/controlplane/chain/durable.go
+++ b/internal/controlplane/chain/durable.go
@@ -2,23 +2,22 @@
 
 import "marlreel/internal/api"
 
-// DurableState is what a member keeps on disk. A Node owns it: callers read it to save it and change nothing.
+// DurableState is what a member keeps on disk. The Node owns it: callers only read it, to save it.
 type DurableState struct {
-	// Self is this member, with the incarnation that it has had since its disk was empty. It is always set.
+	// Self is this member, with the incarnation that it got when its disk was empty. It is always set.
 	Self *api.Member
 	// View is the newest view that this member knows to be agreed; nil before the first.
 	View *api.View
-	// Promised is the highest ballot promised for the view after View; nil: none was. While it is set this member is
-	// wedged.
+	// Promised is the highest ballot promised for the view after View, or nil. While it is set, this member is wedged.
 	Promised *api.Ballot
-	// AcceptedBallot and AcceptedView are the last that was accepted for the view after View; nil: nothing was.
+	// AcceptedBallot and AcceptedView are the ballot and view last accepted for the view after View, or nil.
 	AcceptedBallot *api.Ballot
 	AcceptedView   *api.View
-	// SyncedView is the number of the view in which the log was last made equal to the head's; 0: it never was.
+	// SyncedView is the number of the view in which the log was last synchronized with the head's; 0 if it never was.
 	SyncedView uint64
-	// Snapshot is the state up to the entry that it names; nil: the empty state before the first entry.
+	// Snapshot is the state up to the entry that it names; nil is the empty state before the first entry.
 	Snapshot *api.Snapshot
-	// Entries are the log after the snapshot, in order and without gaps.
+	// Entries is the log after the snapshot, in order and without gaps.
 	Entries []*api.Entry
 }
 
@@ -27,24 +26,24 @@
 type Changes struct {
 	Self bool
 	View bool
-	// Acceptor: Promised, AcceptedBallot and AcceptedView, each of which may have become nil.
+	// Acceptor covers Promised, AcceptedBallot and AcceptedView, each of which may have become nil.
 	Acceptor   bool
 	SyncedView bool
-	// Snapshot: a new snapshot, which covers the entries up to its sequence number: these are to be deleted.
+	// Snapshot means that there is a new snapshot. The entries up to its sequence number are to be deleted.
 	Snapshot bool
-	// Appended are entries behind those on disk. It is empty where LogReplaced is set.
+	// Appended are the entries to append to those on disk. It is empty if LogReplaced is set.
 	Appended []*api.Entry
-	// LogReplaced: all entries on disk are to be replaced by those of the DurableState.
+	// LogReplaced means that all entries on disk are to be replaced with those of the DurableState.
 	LogReplaced bool
 }
 
-// Any tells whether anything has to be written.
+// Any reports whether anything has to be written.
 func (c *Changes) Any() bool {
 	return c.Self || c.View || c.Acceptor || c.SyncedView || c.Snapshot || c.LogReplaced || len(c.Appended) > 0
 }
 
-// LogIsIntact tells whether a log that was read from disk is one that was written: whether its entries follow the
-// snapshot and each other without gaps, and have the hashes of their content.
+// LogIsIntact reports whether a log read from disk is valid: its entries must follow the snapshot and each other
+// without gaps, and their hashes must match their content.
 func (d *DurableState) LogIsIntact() bool {
 	sequence, hash := d.Snapshot.GetSequence(), d.Snapshot.GetHash()
 	for _, entry := range d.Entries {
--- a/internal/controlplane/chain/event.go
+++ b/internal/controlplane/chain/event.go
@@ -2,7 +2,7 @@
 
 import "marlreel/internal/api"
 
-// Event is something that a Node reports for the log: a ViewProposed or a ViewInstalled.
+// Event is something that a Node reports for the process's event log: a ViewProposed or a ViewInstalled.
 type Event interface{ event() }
 
 // Reason is why another view is needed.
@@ -14,38 +14,39 @@
 	ReasonFounding Reason = "cluster founded"
 	// ReasonMemberFailed: a member of the chain has sent nothing for Config.FailureTimeout.
 	ReasonMemberFailed Reason = "chain member failed"
-	// ReasonProposalStalled: an earlier proposal has wedged this member, and no view came of it.
+	// ReasonProposalStalled: an earlier proposal wedged this member but did not lead to a view.
 	ReasonProposalStalled Reason = "earlier proposal stalled"
-	// ReasonMemberRejoining: a member outside the chain is to be in it again.
+	// ReasonMemberRejoining: a member outside the chain joins it again.
 	ReasonMemberRejoining Reason = "member rejoining"
-	// ReasonMemberJoining: a process that is no member is to be one.
+	// ReasonMemberJoining: a process that is not a member becomes one.
 	ReasonMemberJoining Reason = "member joining"
-	// ReasonMemberRemoved: a member beyond Config.TargetMembers has failed for Config.RemovalTimeout.
+	// ReasonMemberRemoved: there are more than Config.TargetMembers, and one has been unreachable for
+	// Config.RemovalTimeout.
 	ReasonMemberRemoved Reason = "failed member removed"
 	// ReasonMemberLeaving: a member is shutting down.
 	ReasonMemberLeaving Reason = "member leaving"
 )
 
-// cause is why another view is needed, and whom that concerns; the zero cause: none is.
+// cause is why another view is needed, and which member that concerns. The zero cause means that none is needed.
 type cause struct {
 	reason Reason
-	member *api.Member // nil: nobody in particular
+	member *api.Member // nil if the reason concerns no particular member
 }
 
-// ViewProposed says that this node proposes a view. The view may differ if another one was accepted already, and none
-// may come of it.
+// ViewProposed reports that this node proposes a view. If an earlier proposal was already accepted, that view is
+// proposed instead; and the proposal may fail.
 type ViewProposed struct {
 	Number uint64
 	Reason Reason
-	// Member is the address of the member whom the reason concerns; "": nobody in particular.
+	// Member is the address of the member that the reason concerns, or "" if it concerns no particular one.
 	Member string
 }
 
-// ViewInstalled says that a view which was agreed is in force at this node. Its chain is not yet in service.
+// ViewInstalled reports that this node has installed an agreed view. The view is not in service yet.
 type ViewInstalled struct {
 	Number  uint64
 	Chain   []string // addresses, the head's first
-	Members int      // how many members vote, in the chain or not
+	Members int      // number of voting members, in the chain or not
 }
 
 func (ViewProposed) event()  {}
@@ -56,7 +57,7 @@
 	_ Event = ViewInstalled{}
 )
 
-// addressesOf are the addresses of members, in their order.
+// addressesOf returns the addresses of members, in the same order.
 func addressesOf(members []*api.Member) []string {
 	var addresses []string
 	for _, member := range members {
--- a/internal/controlplane/chain/heartbeat.go
+++ b/internal/controlplane/chain/heartbeat.go
@@ -7,12 +7,13 @@
 	"marlreel/internal/api"
 )
 
-// Tick does what is due at a time: heartbeats, retransmissions, and the look whether another view is needed. Call it a
+// Tick does the periodic work: it sends heartbeats, retransmits, and checks whether another view is needed. Call it a
 // few times in each Config.HeartbeatInterval.
 func (n *Node) Tick(now time.Duration) Output {
 	n.now = now
 	if n.now-n.lastTick > n.config.FailureTimeout/2 {
-		// The process stood still. What others sent meanwhile has not been read, so they don't count as failed yet.
+		// The process was paused. Messages that arrived meanwhile have not been read, so their senders must not count as
+		// failed yet.
 		n.runningSince = n.now
 	}
 	n.lastTick = n.now
@@ -25,7 +26,8 @@
 	return n.takeOutput()
 }
 
-// sendHeartbeats sends one to each member and joining process, and to the seeds too while this node is not connected.
+// sendHeartbeats sends a heartbeat to each member and joining process, and also to the seeds while this node is not
+// connected.
 func (n *Node) sendHeartbeats() {
 	sent := map[string]bool{}
 	for _, member := range n.otherMembers() {
@@ -35,7 +37,7 @@
 	if n.isMember() && n.Connected() {
 		return
 	}
-	// All members that this node knows may have been replaced while it received nothing.
+	// While this node received nothing, all members that it knows may have been replaced.
 	for _, address := range slices.Concat(n.seeds, n.learnedAddresses) {
 		if !sent[address] && address != n.durable.Self.Address {
 			sent[address] = true
@@ -44,8 +46,8 @@
 	}
 }
 
-// sendMemberHeartbeats sends a heartbeat to all members, and to those that are joining or leaving: they have to be in
-// touch with the chain, as each of its members must.
+// sendMemberHeartbeats sends a heartbeat to all members, and to live peers that are joining or leaving: these need to
+// know the chain's current view and state.
 func (n *Node) sendMemberHeartbeats() {
 	for _, member := range n.otherMembers() {
 		n.send(member, n.heartbeatMessage())
@@ -72,15 +74,15 @@
 	return &api.ChainMessage{Body: &api.ChainMessage_Heartbeat{Heartbeat: heartbeat}}
 }
 
-// onHeartbeat records what a peer says of itself.
+// onHeartbeat records what a peer reports about itself.
 func (n *Node) onHeartbeat(p *peer, message *api.ChainMessage, heartbeat *api.Heartbeat) {
 	p.wantsToJoin, p.leaving = heartbeat.WantsToJoin, heartbeat.Leaving
 	p.reachablePeers, p.position = heartbeat.ReachablePeers, heartbeat.Position
 	if slices.Contains(heartbeat.ReachablePeers, MemberKey(n.durable.Self)) {
-		p.lastReachedUs = n.now
+		p.lastReachedSelf = n.now
 	}
 	if message.ViewNumber < n.durable.View.Number {
-		n.send(message.From, n.heartbeatMessage()) // which carries the view
+		n.send(message.From, n.heartbeatMessage()) // carries the newer view
 		return
 	}
 	if message.ViewNumber == n.durable.View.Number && heartbeat.Active {
@@ -89,10 +91,10 @@
 	}
 }
 
-// maxLearnedAddresses bounds Node.learnedAddresses; the oldest go first.
+// maxLearnedAddresses bounds Node.learnedAddresses; the oldest are dropped first.
 const maxLearnedAddresses = 16
 
-// learnAddress remembers an address at which a member of the chain may be found.
+// learnAddress records an address where a member of the chain may be found.
 func (n *Node) learnAddress(address string) {
 	if slices.Contains(n.learnedAddresses, address) {
 		return
--- a/internal/controlplane/chain/leave.go
+++ b/internal/controlplane/chain/leave.go
@@ -6,8 +6,8 @@
 	"marlreel/internal/api"
 )
 
-// Leave begins to remove this process from the chain, since it is shutting down; it can't be undone. HasLeft tells when
-// that is done. A chain that would be too short without this process keeps it.
+// Leave starts removing this process from the chain because it is shutting down; this can't be undone. HasLeft reports
+// when it is done. The process stays in a chain that would be too short without it.
 func (n *Node) Leave(now time.Duration) Output {
 	n.now = now
 	n.leaving = true
@@ -18,8 +18,9 @@
 	return n.takeOutput()
 }
 
-// HasLeft tells whether this process is not needed any more: it is outside a chain that is in service. Before that is in
-// service its members may not all know of the view, and a member that does has to stay.
+// HasLeft reports whether this process may exit: it is outside the chain, and the chain is in service. Until the new
+// chain is in service, some of its members may not know the view yet, and a process that knows it has to stay to send
+// it.
 func (n *Node) HasLeft() bool {
 	if n.durable.View.Number == 0 {
 		return !n.isMember()
@@ -27,7 +28,7 @@
 	return !n.inChain() && n.reportedServiceView == n.durable.View.Number
 }
 
-// isLeaving tells whether a member has said that it is shutting down.
+// isLeaving reports whether a member has announced that it is shutting down.
 func (n *Node) isLeaving(member *api.Member) bool {
 	if sameMember(member, n.durable.Self) {
 		return n.leaving
@@ -36,12 +37,12 @@
 	return p != nil && p.leaving && n.isAlive(p)
 }
 
-// removeLeavingMember proposes a view without a member that is leaving, where a majority stays, and reports whether it
-// has. A member beyond Config.TargetMembers has no vote from then on: after a second loss right after it has ended, a
-// majority of the voting members is left.
+// removeLeavingMember proposes a view whose chain excludes a leaving member, if a majority remains without it, and
+// reports whether it did so. If there are more than Config.TargetMembers, the leaving member loses its vote too, so
+// that a majority of the voting members remains if another one fails right after it has exited.
 func (n *Node) removeLeavingMember() bool {
 	if n.committed != n.durable.lastPosition().Sequence {
-		return false // the entry in flight comes first
+		return false // wait for the entry in flight
 	}
 	view := n.durable.View
 	for _, member := range view.Members {
--- a/internal/controlplane/chain/leave_test.go
+++ b/internal/controlplane/chain/leave_test.go
@@ -149,7 +149,7 @@
 	})
 	head.now += c.cfg.MinStableTime
 	for _, p := range head.peers {
-		p.lastSeen, p.lastReachedUs = head.now, head.now
+		p.lastSeen, p.lastReachedSelf = head.now, head.now
 	}
 	active := head.inServiceView
 	head.inServiceView = 0 // as after a change of view, before logs are equal
--- a/internal/controlplane/chain/log.go
+++ b/internal/controlplane/chain/log.go
@@ -10,23 +10,23 @@
 	"marlreel/internal/api"
 )
 
-// StateMachine is the state that committed entries make. A Node calls it from within its own methods, in the order of
-// the log, and hands it only what is committed. Equal entries must make equal states.
+// StateMachine is the state built from the committed entries. A Node calls it from within its own methods, and applies
+// only committed entries, in log order. Applying must be deterministic: equal entries must result in equal states.
 type StateMachine interface {
-	// Apply takes the next entry.
+	// Apply applies the next entry.
 	Apply(entry *api.Entry)
-	// State is the whole state, for a snapshot. The Node keeps it: it must not change afterwards.
+	// State returns the whole state for a snapshot. The Node keeps it, so it must not change afterwards.
 	State() *api.State
-	// Restore replaces the state by that of a snapshot; nil is the empty state. It must not change the argument.
+	// Restore replaces the state with that of a snapshot; nil is the empty state. It must not change its argument.
 	Restore(state *api.State)
 }
 
-// lastPosition is that of the log's end.
+// lastPosition returns the position of the log's end.
 func (d *DurableState) lastPosition() *api.Position {
 	return d.positionAt(d.Snapshot.GetSequence() + uint64(len(d.Entries)))
 }
 
-// positionAt is the position of an entry in the log, or of its snapshot.
+// positionAt returns the position of an entry in the log, or that of the snapshot.
 func (d *DurableState) positionAt(sequence uint64) *api.Position {
 	position := &api.Position{
 		SyncedView: d.SyncedView, Sequence: d.Snapshot.GetSequence(), Hash: d.Snapshot.GetHash(),
@@ -38,8 +38,8 @@
 	return position
 }
 
-// positionLess orders logs by how far they reach: a log that was made equal to its head's in a later view is further,
-// however long the other one is, since what that has beyond was not committed.
+// positionLess reports whether log a is less advanced than log b. A log that was synchronized in a later view is more
+// advanced however long the other one is, because the other's additional entries were not committed.
 func positionLess(a, b *api.Position) bool {
 	if a.GetSyncedView() != b.GetSyncedView() {
 		return a.GetSyncedView() < b.GetSyncedView()
@@ -47,7 +47,7 @@
 	return a.GetSequence() < b.GetSequence()
 }
 
-// entriesAfter gives the entries that follow a position. It reports false if the log does not contain that position.
+// entriesAfter returns the entries that follow a position, and false if the log does not contain that position.
 func (d *DurableState) entriesAfter(sequence, hash uint64) ([]*api.Entry, bool) {
 	if sequence == d.Snapshot.GetSequence() {
 		return d.Entries, hash == d.Snapshot.GetHash()
@@ -59,7 +59,7 @@
 	return d.Entries[offset:], d.Entries[offset-1].Hash == hash
 }
 
-// sizeOfEntries is how many bytes entries take in a message.
+// sizeOfEntries returns how many bytes entries take in a message.
 func sizeOfEntries(entries []*api.Entry) int {
 	size := 0
 	for _, entry := range entries {
@@ -68,8 +68,8 @@
 	return size
 }
 
-// entryHash is an entry's hash, which covers that of the entry before it: logs that have the same hash at a sequence
-// number are equal up to there.
+// entryHash returns an entry's hash, which covers the previous entry's hash. Logs with the same hash at a sequence
+// number are therefore equal up to that number.
 func entryHash(previous, sequence uint64, operations []*api.Operation) uint64 {
 	hash := sha256.New()
 	var number [16]byte
@@ -77,7 +77,7 @@
 	binary.LittleEndian.PutUint64(number[8:], sequence)
 	hash.Write(number[:])
 	for _, operation := range operations {
-		// A message made of plain fields and lists always marshals.
+		// Marshaling an operation can't fail.
 		data, _ := proto.MarshalOptions{Deterministic: true}.Marshal(operation)
 		binary.LittleEndian.PutUint64(number[:8], uint64(len(data)))
 		hash.Write(number[:8])
@@ -86,7 +86,7 @@
 	return binary.LittleEndian.Uint64(hash.Sum(nil))
 }
 
-// appendEntry puts an entry behind the log.
+// appendEntry appends an entry to the log.
 func (n *Node) appendEntry(entry *api.Entry) {
 	size := proto.Size(entry)
 	n.durable.Entries = append(n.durable.Entries, entry)
@@ -95,9 +95,9 @@
 	n.retransmitAt = n.now + n.retransmitDelay(size)
 }
 
-// extendLog appends entries, or replaces the log by a snapshot and the entries behind it. It reports whether they lead
-// from this log, or the snapshot, to the target, and changes nothing if not: this log may have changed since the sender
-// knew it.
+// extendLog appends entries, or replaces the log with a snapshot and the entries after it. It reports whether the
+// entries connect the end of this log, or the snapshot, to the target. If they don't, it changes nothing: this log
+// may have changed since the sender learned its position.
 func (n *Node) extendLog(snapshot *api.Snapshot, entries []*api.Entry, target *api.Position) bool {
 	start := n.durable.lastPosition()
 	if snapshot != nil {
@@ -116,7 +116,7 @@
 	return true
 }
 
-// leadsTo tells whether entries follow one another from a position to a target.
+// leadsTo reports whether entries form an unbroken sequence from a position to a target.
 func leadsTo(start *api.Position, entries []*api.Entry, target *api.Position) bool {
 	sequence, hash := start.Sequence, start.Hash
 	for _, entry := range entries {
@@ -128,7 +128,7 @@
 	return sequence == target.GetSequence() && hash == target.GetHash()
 }
 
-// replaceLog takes the head's log in place of this one, which diverges from it or is too old.
+// replaceLog replaces this log, which diverges from the head's or is too old, with the head's.
 func (n *Node) replaceLog(snapshot *api.Snapshot, entries []*api.Entry) {
 	n.durable.Snapshot, n.durable.Entries = snapshot, slices.Clone(entries)
 	n.logBytes = sizeOfEntries(entries)
@@ -141,7 +141,7 @@
 	}
 }
 
-// commitUpTo applies the entries up to a sequence number, as far as the log has them.
+// commitUpTo commits and applies the entries up to a sequence number, or to the end of the log if that comes first.
 func (n *Node) commitUpTo(sequence uint64) {
 	sequence = min(sequence, n.durable.lastPosition().Sequence)
 	for n.committed < sequence {
@@ -153,13 +153,13 @@
 	n.compact()
 }
 
-// compact replaces committed entries by a snapshot where the log has reached its bounds.
+// compact replaces the committed entries with a snapshot once the log reaches a bound.
 func (n *Node) compact() {
 	committed := n.committed - n.durable.Snapshot.GetSequence()
 	if committed == 0 || !n.exceedsLogBounds(committed, n.config.MaxLogEntries, n.config.MaxLogBytes) {
 		return
 	}
-	// A process that catches up needs the entries behind the snapshot that it is being sent.
+	// A process that is catching up needs the entries after the snapshot that it is being sent.
 	if n.isCatchingUp() && !n.exceedsLogBounds(committed, n.config.MaxCatchUpLogEntries, n.config.MaxCatchUpLogBytes) {
 		return
 	}
@@ -170,7 +170,7 @@
 	n.output.Save.Snapshot = true
 }
 
-// exceedsLogBounds tells whether a number of committed entries, or the bytes of the log, reach a bound.
+// exceedsLogBounds reports whether the number of committed entries, or the size of the log, reaches its bound.
 func (n *Node) exceedsLogBounds(entries uint64, maxEntries, maxBytes int) bool {
 	return entries >= uint64(maxEntries) || n.logBytes >= maxBytes
 }
--- a/internal/controlplane/chain/member.go
+++ b/internal/controlplane/chain/member.go
@@ -7,12 +7,12 @@
 	"marlreel/internal/api"
 )
 
-// FounderIncarnation is the incarnation of the members that found a cluster. All others draw one at random, well
+// FounderIncarnation is the incarnation of the members that found a cluster. All others draw a random one, well
 // above it.
 const FounderIncarnation = 1
 
-// MemberKey identifies a member: its address and its incarnation, as "10.0.0.1:7100/1". A process whose disk was lost
-// comes back as another member.
+// MemberKey identifies a member by its address and its incarnation, for example "10.0.0.1:7100/1". A process that lost
+// its disk comes back as another member.
 func MemberKey(member *api.Member) string {
 	return member.GetAddress() + "/" + strconv.FormatUint(member.GetIncarnation(), 16)
 }
@@ -33,10 +33,10 @@
 	return slices.DeleteFunc(slices.Clone(members), func(other *api.Member) bool { return sameMember(other, member) })
 }
 
-// majority is how many of a number of members decide. Two majorities of the same members share at least one.
+// majority returns the size of a majority. Two majorities of the same members share at least one member.
 func majority(members int) int { return members/2 + 1 }
 
-// FoundingView is view 0, from which the founders agree on view 1: it names them as members and has no chain.
+// FoundingView returns view 0, which names the founders as members and has no chain. From it they agree on view 1.
 func FoundingView(addresses []string) *api.View {
 	view := &api.View{}
 	sorted := slices.Clone(addresses)
--- a/internal/controlplane/chain/message.go
+++ b/internal/controlplane/chain/message.go
@@ -6,16 +6,16 @@
 	"marlreel/internal/api"
 )
 
-// Receive handles a message of another member. It may have been lost, repeated or delayed for any time; one that is for
-// another incarnation or of another view has no effect on the log.
+// Receive handles a message from another member. Messages may be lost, repeated, or delayed for any time. A message for
+// another incarnation of this member, or from another view, has no effect on the log.
 func (n *Node) Receive(now time.Duration, message *api.ChainMessage) Output {
 	n.now = now
 	if message.GetFrom() == nil || sameMember(message.From, n.durable.Self) {
 		return n.takeOutput()
 	}
 	if to := message.To; to.GetIncarnation() != 0 && !sameMember(to, n.durable.Self) {
-		// It is for the member that had this address before its disk was lost. The sender's address may be the only
-		// one that leads this process to the chain.
+		// The message is for the member that had this address before its disk was lost. The sender's address may be
+		// the only way for this process to find the chain.
 		n.learnAddress(message.From.Address)
 		return n.takeOutput()
 	}
@@ -28,7 +28,7 @@
 		return n.takeOutput()
 	}
 	if message.ViewNumber != n.durable.View.Number {
-		// One of the two has missed a view; the newer one goes with the answer.
+		// One of the two nodes has missed a view; the reply carries the newer view if the sender missed it.
 		n.send(message.From, n.heartbeatMessage())
 		return n.takeOutput()
 	}
@@ -36,7 +36,7 @@
 	return n.takeOutput()
 }
 
-// dispatch hands a message of the present view to its handler.
+// dispatch passes a message from the current view to its handler.
 func (n *Node) dispatch(message *api.ChainMessage) {
 	from := message.From
 	switch body := message.Body.(type) {
@@ -69,8 +69,8 @@
 	}
 }
 
-// send adds a message to the output, with the view where the receiver may not know it. Nothing is sent to this node
-// itself.
+// send adds a message to the output, and attaches the view if the receiver may not know it. A message to this node
+// itself is dropped.
 func (n *Node) send(to *api.Member, message *api.ChainMessage) {
 	if sameMember(to, n.durable.Self) {
 		return
@@ -82,7 +82,7 @@
 	n.output.Messages = append(n.output.Messages, message)
 }
 
-// retransmit sends again what was not answered.
+// retransmit sends unanswered messages again.
 func (n *Node) retransmit() {
 	if n.wedged() {
 		return
@@ -94,12 +94,12 @@
 	n.retransmitEntry()
 }
 
-// retransmitDelay is after what time a message of so many bytes is sent again.
+// retransmitDelay returns how long to wait before sending a message of size bytes again.
 func (n *Node) retransmitDelay(size int) time.Duration {
 	return n.config.RetransmitTimeout + n.transmissionTime(size)
 }
 
-// transmissionTime is how long so many bytes take on the slowest link that is assumed.
+// transmissionTime returns how long size bytes take on the slowest link that is assumed.
 func (n *Node) transmissionTime(size int) time.Duration {
 	return time.Duration(float64(size) / float64(n.config.MinLinkBytesPerSecond) * float64(time.Second))
 }
--- a/internal/controlplane/chain/output.go
+++ b/internal/controlplane/chain/output.go
@@ -2,33 +2,35 @@
 
 import "marlreel/internal/api"
 
-// Output is what a Node wants done. The caller carries it out in the order of the fields, whole, before it calls the
-// Node again. The Node keeps no reference to an Output's slices; messages and entries are shared and must not be changed.
+// Output holds the actions that a Node requests. The caller carries out all of them, in the order of the fields, before
+// it calls the Node again. The Node keeps no reference to an Output's slices, but messages and entries are shared and
+// must not be changed.
 type Output struct {
-	// Events are for the log, in the order in which they happened. Nothing depends on them.
+	// Events are for the event log, in the order in which they happened. They have no effect on the protocol.
 	Events []Event
-	// Save says which parts of Node.DurableState must be on disk, synced, before any of Messages goes out and before
-	// anything that Committed or ConfirmedTokens names is answered. If that fails, the Node must not be called again:
-	// what its disk holds is not known.
+	// Save says which parts of Node.DurableState must be written and synced to disk before any of Messages is sent and
+	// before any caller waiting for Committed or ConfirmedTokens gets its answer. If saving fails, the Node must not be
+	// called again, because the content of its disk is unknown.
 	Save Changes
-	// Messages are to be sent to their field To, by its address. They may be lost, repeated and reordered; what
-	// matters is sent again.
+	// Messages are to be sent to the address in their field To. They may be lost, repeated and reordered; the protocol
+	// retransmits where it must.
 	Messages []*api.ChainMessage
-	// ViewChanged: another view is in force here. What was proposed at this node and is not among Committed may be
-	// lost if it is no longer head, and tokens of ConfirmView that have not come back never will.
+	// ViewChanged says that this node has installed another view. If the node is no longer head, entries that it
+	// proposed and that are not among Committed may be lost. Tokens of ConfirmView that are still outstanding will never
+	// be confirmed.
 	ViewChanged bool
-	// SnapshotRestored: the state machine was set to DurableState.Snapshot, and the entries in between were skipped.
-	// Committed holds only what came after it.
+	// SnapshotRestored says that the state machine was restored from DurableState.Snapshot without applying the entries
+	// before it. Committed holds only entries after the snapshot.
 	SnapshotRestored bool
-	// Committed are the entries that the state machine was given during the call, in order. Their proposer may
-	// acknowledge them.
+	// Committed are the entries applied to the state machine during the call, in order. Their proposer may acknowledge
+	// them.
 	Committed []*api.Entry
-	// ConfirmedTokens are tokens of ConfirmView that a majority has confirmed: when the call began, this node's view
-	// was the newest.
+	// ConfirmedTokens are tokens of ConfirmView that a majority has confirmed: this node's view was the newest when
+	// ConfirmView was called.
 	ConfirmedTokens []uint64
 }
 
-// takeOutput gives what has gathered since it was called last.
+// takeOutput returns the output collected since the last call, and resets it.
 func (n *Node) takeOutput() Output {
 	output := n.output
 	n.output = Output{}
--- a/internal/controlplane/chain/peer.go
+++ b/internal/controlplane/chain/peer.go
@@ -8,18 +8,19 @@
 	"marlreel/internal/api"
 )
 
-// peer is what is known of another member, or of a process that wants to be one.
+// peer is what this node knows about another member, or about a process that wants to become one.
 type peer struct {
 	member   *api.Member
 	lastSeen time.Duration
-	// lastReachedUs is when it last said that it receives this node's messages, or was seen again after a failure.
-	lastReachedUs  time.Duration
-	stableSince    time.Duration // seen without a gap since
-	wantsToJoin    bool
-	reachablePeers []string // member keys
-	hasOlderView   bool     // than this node has
-	leaving        bool     // it is about to end
-	position       *api.Position
+	// lastReachedSelf is when the peer last reported that it receives this node's messages, or was seen again after a
+	// failure.
+	lastReachedSelf time.Duration
+	stableSince     time.Duration // since when it has been seen without a gap
+	wantsToJoin     bool
+	reachablePeers  []string // member keys
+	hasOlderView    bool     // older than this node's
+	leaving         bool     // it is shutting down
+	position        *api.Position
 }
 
 // markSeen records that a peer has sent a message.
@@ -27,31 +28,31 @@
 	key := MemberKey(message.From)
 	p := n.peers[key]
 	if p == nil {
-		p = &peer{member: message.From, stableSince: n.now, lastReachedUs: n.now}
+		p = &peer{member: message.From, stableSince: n.now, lastReachedSelf: n.now}
 		n.peers[key] = p
 	} else if !n.isAlive(p) {
 		p.stableSince = n.now
 	}
 	if n.now-p.lastSeen >= n.config.FailureTimeout {
-		p.lastReachedUs = n.now // this node's messages may not have reached it yet
+		p.lastReachedSelf = n.now // give this node's messages time to reach it
 	}
 	p.lastSeen = n.now
 	p.hasOlderView = message.ViewNumber < n.durable.View.Number
 	return p
 }
 
-// isAlive tells whether a peer was seen of late, and has said so of this node. With one to which messages pass in one
-// direction alone nothing can be agreed.
+// isAlive reports whether this node has recently received messages from the peer, and the peer from this node. A peer
+// with which messages pass in only one direction cannot take part in an agreement.
 func (n *Node) isAlive(p *peer) bool {
-	return p != nil && n.now-p.lastSeen < n.config.FailureTimeout && n.now-p.lastReachedUs < 2*n.config.FailureTimeout
+	return p != nil && n.now-p.lastSeen < n.config.FailureTimeout && n.now-p.lastReachedSelf < 2*n.config.FailureTimeout
 }
 
-// isReachable tells whether a member is this node or alive.
+// isReachable reports whether a member is this node itself or a live peer.
 func (n *Node) isReachable(member *api.Member) bool {
 	return sameMember(member, n.durable.Self) || n.isAlive(n.peers[MemberKey(member)])
 }
 
-// reachesMajority tells whether a majority of the members is reachable.
+// reachesMajority reports whether a majority of the members is reachable.
 func (n *Node) reachesMajority() bool {
 	reachable := 0
 	for _, member := range n.durable.View.Members {
@@ -62,7 +63,7 @@
 	return reachable >= majority(len(n.durable.View.Members))
 }
 
-// reachesChain tells whether a peer reaches all of the chain, as each of its members must.
+// reachesChain reports whether a peer reaches all members of the chain, which is required of each of them.
 func (n *Node) reachesChain(p *peer) bool {
 	for _, member := range n.durable.View.Chain {
 		if !slices.Contains(p.reachablePeers, MemberKey(member)) {
@@ -72,7 +73,7 @@
 	return true
 }
 
-// expirePeers drops those that are no members and have not been seen for long.
+// expirePeers removes peers that are not members and have not been seen for a long time.
 func (n *Node) expirePeers() {
 	for key, p := range n.peers {
 		if n.now-p.lastSeen > 10*n.config.RemovalTimeout && !containsMember(n.durable.View.Members, p.member) {
@@ -81,15 +82,15 @@
 	}
 }
 
-// sortedPeers are the peers' keys in an order that is the same in each run.
+// sortedPeers returns the keys of the peers in a deterministic order.
 func (n *Node) sortedPeers() []string {
 	keys := slices.AppendSeq(make([]string, 0, len(n.peers)), maps.Keys(n.peers))
 	slices.Sort(keys)
 	return keys
 }
 
-// longestUnseen is the member outside the chain that was last seen the longest ago, and not for at least minSilence;
-// nil: there is none.
+// longestUnseen returns the member outside the chain that has been unseen for the longest time, or nil if none has been
+// unseen for at least minSilence.
 func (n *Node) longestUnseen(minSilence time.Duration) *api.Member {
 	var found *api.Member
 	var since time.Duration
--- a/internal/controlplane/chain/proposal.go
+++ b/internal/controlplane/chain/proposal.go
@@ -7,26 +7,26 @@
 	"marlreel/internal/api"
 )
 
-// proposal is this node's attempt, as a Paxos proposer, to have the next view agreed.
+// proposal is this node's attempt, as a Paxos proposer, to get the next view agreed.
 type proposal struct {
 	instance uint64 // the number of the view
 	ballot   *api.Ballot
-	members  []*api.Member // of the view that is proposed, unless another was accepted
+	members  []*api.Member // of the proposed view, unless a view was already accepted
 	change   chainChange
-	// startedAt is when the ballot was prepared, quorumAt when a majority had promised it; 0: not yet.
+	// startedAt is when the ballot was prepared, and quorumAt when a majority had promised it; 0 if it has not yet.
 	startedAt time.Duration
 	quorumAt  time.Duration
 	promises  map[string]*api.Promise // by member key
-	view      *api.View               // what is to be accepted, once there are promises
-	accepted  map[string]bool         // by members of the view before
+	view      *api.View               // sent for acceptance; nil until there are enough promises
+	accepted  map[string]bool         // by member key, of the previous view's members
 }
 
-// chainChange is who joins the chain and who leaves it; nil: nobody.
+// chainChange is the process that joins the chain and the member that leaves it; nil if there is none.
 type chainChange struct {
 	joining, leaving *api.Member
 }
 
-// propose prepares a ballot, higher than any seen, for the view after the present one.
+// propose prepares a ballot, higher than any seen, for the view after the current one.
 func (n *Node) propose(why cause, members []*api.Member, change chainChange) {
 	n.highestRound++
 	n.proposal = &proposal{
@@ -61,7 +61,7 @@
 	n.advanceProposal()
 }
 
-// yieldTo gives a proposal up for a higher ballot that somebody has promised.
+// yieldTo abandons this node's proposal if another member has promised a higher ballot.
 func (n *Node) yieldTo(ballot *api.Ballot) {
 	n.highestRound = max(n.highestRound, ballot.GetRound())
 	if n.proposal != nil && ballotLess(n.proposal.ballot, ballot) {
@@ -70,7 +70,8 @@
 	}
 }
 
-// advanceProposal asks for acceptance once there are enough promises, or gives the proposal up.
+// advanceProposal sends the view for acceptance once there are enough promises, or abandons the proposal after
+// ProposalTimeout.
 func (n *Node) advanceProposal() {
 	p := n.proposal
 	if n.now-p.startedAt > n.config.ProposalTimeout {
@@ -96,8 +97,8 @@
 	n.onAccepted(n.durable.Self, n.acceptView(accept))
 }
 
-// promiseGracePeriod is how long a proposer that has a majority waits for the others. Where nothing has failed it is
-// longer: a member whose disk is slow is not removed from the chain for that.
+// promiseGracePeriod returns how long a proposer that has a majority of promises waits for the others. It is longer for
+// a planned change, when no member has failed, so that a member with a slow disk is not removed from the chain.
 func (n *Node) promiseGracePeriod() time.Duration {
 	if n.proposal.change == (chainChange{}) && len(n.proposal.members) == len(n.durable.View.Members) {
 		return n.config.PromiseGracePeriod
@@ -105,7 +106,7 @@
 	return n.config.ProposalTimeout / 2
 }
 
-// allPromised tells whether all reachable members have promised.
+// allPromised reports whether all reachable members have promised.
 func (n *Node) allPromised() bool {
 	for _, member := range n.durable.View.Members {
 		if n.isReachable(member) && n.proposal.promises[MemberKey(member)] == nil {
@@ -115,7 +116,7 @@
 	return true
 }
 
-// onAccepted counts acceptances. The view is agreed when a majority of the members of the view before has accepted it.
+// onAccepted counts acceptances. The view is agreed when a majority of the previous view's members has accepted it.
 func (n *Node) onAccepted(from *api.Member, accepted *api.Accepted) {
 	if accepted.RefusedFor != nil {
 		n.yieldTo(accepted.RefusedFor)
@@ -135,7 +136,7 @@
 	n.announceView(p.view)
 }
 
-// announceView installs a view that was agreed and sends it to the members of the one before and its own.
+// announceView installs an agreed view and sends it to its members and to those of the previous view.
 func (n *Node) announceView(view *api.View) {
 	receivers := slices.Concat(n.durable.View.Members, view.Members)
 	n.installView(view)
--- a/internal/controlplane/chain/replicate.go
+++ b/internal/controlplane/chain/replicate.go
@@ -8,14 +8,15 @@
 	"marlreel/internal/api"
 )
 
-// CanPropose tells whether an entry can be proposed here now: this node is the head of a view in service, and the entry
-// before is committed. One entry is on its way at a time, so all but the last one of any log are committed.
+// CanPropose reports whether an entry can be proposed at this node now: it is the head of a view in service, and the
+// previous entry is committed. Only one entry is in flight at a time, so in any log all but the last entry are
+// committed.
 func (n *Node) CanPropose() bool {
 	return n.isHead() && n.viewInService() && n.committed == n.durable.lastPosition().Sequence
 }
 
-// Propose appends an entry and begins to replicate it. It may be called only where CanPropose. The entry is committed
-// when it is among an Output's Committed; if the view changes before, it may be lost.
+// Propose appends an entry and starts replicating it. It may be called only while CanPropose is true. The entry is
+// committed when it appears in an Output's Committed; if the view changes before that, it may be lost.
 func (n *Node) Propose(now time.Duration, operations []*api.Operation) (*api.Entry, Output) {
 	n.now = now
 	end := n.durable.lastPosition()
@@ -26,8 +27,8 @@
 	return entry, n.takeOutput()
 }
 
-// replicate sends an entry to the successor. The tail has none: there the entry is committed, since every member of the
-// chain has it on disk once this output is carried out.
+// replicate sends an entry to the successor. The tail has none and commits the entry, since every member of the chain
+// has it on disk once this output is carried out.
 func (n *Node) replicate(entry *api.Entry) {
 	successor := n.successor()
 	if successor == nil {
@@ -49,14 +50,14 @@
 	n.send(predecessor, &api.ChainMessage{Body: &api.ChainMessage_Acknowledge{Acknowledge: acknowledge}})
 }
 
-// onReplicate appends an entry of the predecessor and replicates it on. A member that is wedged, or whose log was not
-// made equal to the head's in this view, appends nothing.
+// onReplicate appends an entry from the predecessor and forwards it to the successor. A member that is wedged, or whose
+// log was not synchronized with the head's in this view, appends nothing.
 func (n *Node) onReplicate(from *api.Member, replicate *api.Replicate) {
 	entry := replicate.Entry
 	if n.wedged() || entry == nil || n.durable.SyncedView != n.durable.View.Number || !sameMember(from, n.predecessor()) {
 		return
 	}
-	n.enterService(replicate.Committed) // a head proposes only in a view in service
+	n.enterService(replicate.Committed) // a head proposes entries only while its view is in service
 	end := n.durable.lastPosition()
 	switch {
 	case entry.Sequence == end.Sequence && entry.Hash == end.Hash:
@@ -86,7 +87,7 @@
 	n.acknowledge(entry)
 }
 
-// retransmitEntry sends the last entry again where it was not acknowledged in time.
+// retransmitEntry sends the last entry again if it was not acknowledged in time.
 func (n *Node) retransmitEntry() {
 	if !n.viewInService() || n.now < n.retransmitAt || n.successor() == nil {
 		return
@@ -99,5 +100,5 @@
 	n.replicate(entry)
 }
 
-// lastEntry is the log's last entry, where it has one that is not committed.
+// lastEntry returns the log's last entry. The log must have an uncommitted one.
 func (n *Node) lastEntry() *api.Entry { return n.durable.Entries[len(n.durable.Entries)-1] }
--- a/internal/controlplane/chain/sync.go
+++ b/internal/controlplane/chain/sync.go
@@ -8,18 +8,19 @@
 	"marlreel/internal/api"
 )
 
-// Before a view is in service its head makes the chain's logs equal to its own: it asks each member for its position
-// (SyncQuery, SyncPosition), sends what it lacks (SyncData), and waits until it has that on disk (SyncDone).
+// Before a view is in service, its head synchronizes the logs of the chain with its own: it asks each member for its
+// position (SyncQuery, SyncPosition), sends the entries that it lacks (SyncData), and waits until it has them on disk
+// (SyncDone).
 
-// syncProgress is how far the head has got with one member.
+// syncProgress is the head's progress in synchronizing one member.
 type syncProgress struct {
 	done bool
-	// sentAt is when the member was last sent something, or, while data is on its way, when that should have arrived;
-	// 0: never.
+	// sentAt is when the last query was sent to the member, or, while data is in flight, when that should have arrived;
+	// 0 if nothing was sent yet.
 	sentAt time.Duration
 }
 
-// startSync lets the head of a new view find out what the others lack.
+// startSync starts synchronizing the chain with this node, the head of a new view.
 func (n *Node) startSync() {
 	n.syncing = map[string]*syncProgress{}
 	for _, member := range n.durable.View.Chain {
@@ -30,7 +31,7 @@
 	n.continueSync()
 }
 
-// continueSync queries those whose logs are not equal yet, again where they did not answer.
+// continueSync queries the members that are not synchronized yet, and queries them again if they did not answer.
 func (n *Node) continueSync() {
 	done := true
 	for _, member := range n.durable.View.Chain {
@@ -50,7 +51,8 @@
 	}
 }
 
-// finishSync puts the view in service: every member of the chain has the head's log on disk, so all of it is committed.
+// finishSync puts the view in service. Every member of the chain has the head's log on disk, so the whole log is
+// committed.
 func (n *Node) finishSync() {
 	n.syncing = nil
 	n.enterService(n.durable.lastPosition().Sequence)
@@ -76,19 +78,19 @@
 		data.Snapshot, entries = n.durable.Snapshot, n.durable.Entries
 	}
 	data.Entries = entries
-	// The member is not queried again for as long as that may be on its way.
+	// Don't query the member again while the data may be in flight.
 	progress.sentAt = n.now + n.transmissionTime(proto.Size(data))
 	n.send(from, &api.ChainMessage{Body: &api.ChainMessage_SyncData{SyncData: data}})
 }
 
-// onSyncData makes this node's log equal to the head's.
+// onSyncData brings this node's log up to the head's.
 func (n *Node) onSyncData(from *api.Member, data *api.SyncData) {
 	if n.wedged() || !sameMember(from, n.Head()) || !n.inChain() {
 		return
 	}
 	synced := n.durable.SyncedView == n.durable.View.Number
 	if synced && n.durable.lastPosition().Sequence >= data.Target.GetSequence() {
-		n.sendSyncDone(from) // it came twice
+		n.sendSyncDone(from) // the data is a duplicate
 		return
 	}
 	if !n.extendLog(data.Snapshot, data.Entries, data.Target) {
--- a/internal/controlplane/chain/view.go
+++ b/internal/controlplane/chain/view.go
@@ -2,8 +2,9 @@
 
 import "marlreel/internal/api"
 
-// installView puts a newer agreed view in force here. The promise and acceptance for it are void, and with them the
-// wedge. Entries of the view before that were not committed stay in the log: the new head decides on them.
+// installView makes a newer agreed view this node's current one. That discards the promise and acceptance for it, so
+// the node is no longer wedged. Uncommitted entries of the previous view stay in the log: the new head's log decides
+// whether they are kept.
 func (n *Node) installView(view *api.View) {
 	if view.GetNumber() <= n.durable.View.Number {
 		return
@@ -14,7 +15,7 @@
 	n.proposal, n.viewNeededSince, n.syncing, n.catchUp = nil, 0, nil, nil
 	clear(n.confirmations)
 	for _, p := range n.peers {
-		p.hasOlderView = true // until it says otherwise
+		p.hasOlderView = true // until a message from it says otherwise
 	}
 	n.output.ViewChanged = true
 	n.report(ViewInstalled{Number: view.Number, Chain: addressesOf(view.Chain), Members: len(view.Members)})
@@ -25,18 +26,18 @@
 	}
 }
 
-// enterService records that this node's view is in service and how far it has committed.
+// enterService records that this node's view is in service, and commits up to the given sequence number.
 //
-// A head that makes the chain's logs equal does not enter service by others' reports, not even where it has only been
-// restarted: what it proposed meanwhile would count as committed at the end of that, although members that have been
-// made equal before don't have it.
+// A head that is synchronizing the chain ignores other members' reports of service, even if it was only restarted in
+// the same view. Otherwise an entry that it proposes meanwhile would count as committed when synchronization
+// finishes, although members that were synchronized earlier don't have it.
 func (n *Node) enterService(committed uint64) {
 	if n.durable.SyncedView != n.durable.View.Number || n.syncing != nil {
 		return
 	}
 	n.inServiceView = n.durable.View.Number
 	if n.isTail() {
-		// All before it have what it has. It may have answered reads by that before it was restarted.
+		// All members before the tail have its whole log, and the tail may have answered reads from it before a restart.
 		committed = n.durable.lastPosition().Sequence
 	}
 	n.commitUpTo(committed)
--- a/internal/controlplane/chain/viewchange.go
+++ b/internal/controlplane/chain/viewchange.go
@@ -7,7 +7,7 @@
 	"marlreel/internal/api"
 )
 
-// checkView finds out whether another view is needed, and proposes it when it is this member's turn.
+// checkView checks whether another view is needed, and proposes it when it is this member's turn.
 func (n *Node) checkView() {
 	n.expirePeers()
 	if n.proposal != nil {
@@ -31,8 +31,8 @@
 	}
 }
 
-// viewChangeCause is why the view has to be replaced. Nothing is proposed where no majority is reachable: nothing could
-// be agreed, and a promise would take this member out of service.
+// viewChangeCause returns why the view has to be replaced. While no majority is reachable it returns no cause: nothing
+// could be agreed, and the promise to its own ballot would take this member out of service.
 func (n *Node) viewChangeCause() cause {
 	view := n.durable.View
 	if !n.reachesMajority() {
@@ -52,7 +52,8 @@
 	return cause{}
 }
 
-// proposerRank is how many reachable members propose before this one: by the chain's order, then the members'.
+// proposerRank returns how many reachable members propose before this one, in the order of the chain, then of the
+// members.
 func (n *Node) proposerRank() int {
 	rank := 0
 	for _, member := range slices.Concat(n.durable.View.Chain, n.durable.View.Members) {
@@ -66,9 +67,9 @@
 	return rank
 }
 
-// checkMembership lets the head of a chain in service add members, or remove those that are leaving or have failed.
-// Only from a view in service: all of its chain have the head's log then, so a majority of the members does, before
-// and after a change by one member.
+// checkMembership adds members, or removes those that are leaving or have failed, if this node is the head of a chain
+// in service. Only then do all members of the chain have the head's log, and so does a majority of the members, both
+// before and after a change by one member.
 func (n *Node) checkMembership() {
 	if !n.isHead() || !n.viewInService() {
 		return
@@ -89,8 +90,8 @@
 	}
 }
 
-// addCaughtUpPeer continues to bring up a peer that wants to join, and proposes a view with it when it lacks little.
-// It reports whether it has proposed one.
+// addCaughtUpPeer continues the catch-up of a peer that wants to join, and proposes a view with the peer once it lacks
+// little of the log. It reports whether it has proposed one.
 func (n *Node) addCaughtUpPeer() bool {
 	view := n.durable.View
 	for _, key := range n.sortedPeers() {
@@ -108,7 +109,8 @@
 	return false
 }
 
-// canJoin tells whether a peer outside the chain is in touch with it well enough to be one of it.
+// canJoin reports whether a peer outside the chain may join it: it asks to, knows the current view, has been
+// reachable for MinStableTime and reaches all of the chain.
 func (n *Node) canJoin(p *peer) bool {
 	if containsMember(n.durable.View.Chain, p.member) || p.member.Incarnation == 0 {
 		return false
@@ -117,8 +119,8 @@
 		n.now-p.stableSince >= n.config.MinStableTime && n.reachesChain(p)
 }
 
-// membersWith are the members once another one has joined. It replaces its earlier incarnation, or a member that has
-// failed where there are enough.
+// membersWith returns the members after a process has joined. It replaces its own earlier incarnation or, if there are
+// already TargetMembers, a failed member.
 func (n *Node) membersWith(joining *api.Member) []*api.Member {
 	members := n.durable.View.Members
 	for _, member := range members {
