--- a/internal/controlplane/chain/agreement_test.go
+++ b/internal/controlplane/chain/agreement_test.go
@@ -9,13 +9,13 @@
 	"marlreel/internal/api"
 )
 
-// receive gives a process a message of a member, and gives its answers.
+// receive delivers a message from a member to a process and returns the replies.
 func (c *cluster) receive(p *process, from *api.Member, body *api.ChainMessage) []*api.ChainMessage {
 	c.t.Helper()
 	return c.receiveInView(p, from, p.node.View().Number, body)
 }
 
-// prepare asks a process for its promise.
+// prepare sends a process a Prepare and returns its promise.
 func (c *cluster) prepare(p *process, from *api.Member, round uint64) *api.Promise {
 	c.t.Helper()
 	answers := c.receive(p, from, &api.ChainMessage{Body: &api.ChainMessage_Prepare{Prepare: &api.Prepare{
@@ -26,11 +26,11 @@
 			return promise
 		}
 	}
-	c.fail("%s has not answered a ballot", p.address)
+	c.fail("%s sent no Promise in reply to a Prepare", p.address)
 	return nil
 }
 
-// restart ends a process and starts it on what its disk holds.
+// restart kills a process and starts it again from its disk.
 func (c *cluster) restart(p *process) {
 	c.kill(p)
 	c.start(p, false)
@@ -61,7 +61,7 @@
 	is.Equal(len(promise.GetAcceptedView().GetChain()), 2)
 }
 
-// A member that has promised takes no part in its old view any more.
+// A member that has promised a ballot stops taking part in its current view.
 func TestWedgedMemberTakesNoPartInItsView(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 10, 3)
@@ -78,13 +78,13 @@
 	entry := &api.Entry{Sequence: end.Sequence + 1, PreviousHash: end.Hash}
 	entry.Hash = entryHash(end.Hash, entry.Sequence, nil)
 	answers := c.receive(tail, before, &api.ChainMessage{Body: &api.ChainMessage_Replicate{Replicate: &api.Replicate{Entry: entry}}})
-	is.Equal(tail.node.durable.lastPosition().Sequence, end.Sequence) // it appends nothing
+	is.Equal(tail.node.durable.lastPosition().Sequence, end.Sequence) // nothing is appended
 	is.Equal(len(answers), 0)
 	answers = c.receive(tail, before, &api.ChainMessage{Body: &api.ChainMessage_Confirm{Confirm: &api.Confirm{Token: 1}}})
-	is.Equal(len(answers), 0) // nor does it confirm
+	is.Equal(len(answers), 0) // the view is not confirmed
 }
 
-// receiveInView gives a process a message that was sent in a given view.
+// receiveInView delivers to a process a message sent in a given view, and returns the replies.
 func (c *cluster) receiveInView(p *process, from *api.Member, view uint64, body *api.ChainMessage) []*api.ChainMessage {
 	c.t.Helper()
 	body.From, body.To, body.ViewNumber = from, p.node.durable.Self, view
@@ -95,18 +95,18 @@
 	return answers
 }
 
-// beginProposal has a process propose the next view, and none of its messages arrives.
+// beginProposal makes a process propose the next view, and drops its messages.
 func (c *cluster) beginProposal(p *process, members []*api.Member) *proposal {
 	c.t.Helper()
 	p.node.now = c.now
-	p.node.propose(cause{reason: "a story"}, members, chainChange{})
+	p.node.propose(cause{reason: "test"}, members, chainChange{})
 	out := p.node.takeOutput()
 	out.Messages = nil
 	c.carryOut(p, out)
 	return p.node.proposal
 }
 
-// promiseTo hands a proposer a promise with a position of its giver's log.
+// promiseTo delivers to a proposer a member's promise that states a log position.
 func (c *cluster) promiseTo(p *process, from *api.Member, position *api.Position) []*api.ChainMessage {
 	c.t.Helper()
 	proposed := p.node.proposal
@@ -115,7 +115,7 @@
 	}}})
 }
 
-// acceptedBy hands a proposer an acceptance of what it has proposed.
+// acceptedBy delivers to a proposer a member's acceptance of its proposal.
 func (c *cluster) acceptedBy(p *process, from *api.Member) {
 	c.t.Helper()
 	proposed := p.node.proposal
@@ -124,7 +124,7 @@
 	}}})
 }
 
-// A view that one member has accepted may have been agreed: the next proposer has to propose it again.
+// A view that any member has accepted may have been agreed, so the next proposer must propose it again.
 func TestAcceptedViewIsProposedAgain(t *testing.T) {
 	for _, acceptor := range []int{0, 1} {
 		is := is.New(t)
@@ -144,11 +144,11 @@
 		}
 		is.Equal(survivors[0].node.View().Number, next)
 		is.Equal(describe(survivors[0].node.View()), describe(view))
-		c.mustServe("the accepted view names a dead head")
+		c.mustServe("the accepted view names a failed head")
 	}
 }
 
-// A view is in force when a majority has accepted it, and not before.
+// A view is installed once a majority has accepted it, and not before.
 func TestViewNeedsMajorityOfAcceptances(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 12, 5)
@@ -168,8 +168,8 @@
 	is.Equal(proposer.node.View().Number, proposed.instance)
 }
 
-// A chain holds a majority of the members that its view will have, also where a promise came from
-// a member that leaves: a later majority must share a member with it.
+// A chain must contain a majority of the new view's members, so that every later majority shares a member with it. A
+// promise from a member that leaves does not count towards that majority.
 func TestChainHasMajorityOfNewMembers(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 13, 3)
@@ -179,13 +179,13 @@
 	others := withoutMember(members, proposer.node.durable.Self)
 	stranger := &api.Member{Address: "d0", Incarnation: 1 << 63}
 	proposed := c.beginProposal(proposer, append(withoutMember(members, others[0]), stranger))
-	proposed.promises[MemberKey(others[0])] = &api.Promise{Position: proposer.node.durable.lastPosition()} // it leaves
+	proposed.promises[MemberKey(others[0])] = &api.Promise{Position: proposer.node.durable.lastPosition()} // it is replaced
 	is.True(proposer.node.chooseView() == nil)
 	proposed.promises[MemberKey(others[1])] = &api.Promise{Position: proposer.node.durable.lastPosition()}
 	is.Equal(len(proposer.node.chooseView().GetChain()), 2)
 }
 
-// The head is the one whose log was made equal in the latest view, and reaches furthest among these.
+// The head is the member whose log was synchronized in the latest view and, among several such members, is the longest.
 func TestFurthestLogBecomesHead(t *testing.T) {
 	for _, story := range []struct {
 		name      string
@@ -196,7 +196,7 @@
 			near: &api.Position{SyncedView: 7, Sequence: 40}, far: &api.Position{SyncedView: 7, Sequence: 41},
 		},
 		{
-			name: "shorter, and of a later view",
+			name: "shorter but synchronized in a later view",
 			near: &api.Position{SyncedView: 7, Sequence: 90}, far: &api.Position{SyncedView: 8, Sequence: 41},
 		},
 	} {
@@ -221,7 +221,7 @@
 	}
 }
 
-// An entry that was sent in an earlier view is ignored: its head may have been replaced since.
+// An entry sent in an earlier view is ignored, because its head may have been replaced since.
 func TestEntryOfEarlierViewIsIgnored(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 15, 3)
@@ -237,10 +237,10 @@
 	c.receiveInView(tail, view.Chain[1], view.Number-1, replicate())
 	is.Equal(tail.node.durable.lastPosition().Sequence, end.Sequence)
 	c.receiveInView(tail, view.Chain[1], view.Number, replicate())
-	is.Equal(tail.node.durable.lastPosition().Sequence, entry.Sequence) // in its own view it is
+	is.Equal(tail.node.durable.lastPosition().Sequence, entry.Sequence) // it is appended in the current view
 }
 
-// head is the process that says of itself that it is its chain's head.
+// head returns a process that considers itself the head of its chain.
 func (c *cluster) head() *process {
 	c.t.Helper()
 	for _, p := range c.processes {
@@ -248,11 +248,11 @@
 			return p
 		}
 	}
-	c.fail("no process is a head")
+	c.fail("no process is the head of a chain")
 	return nil
 }
 
-// processOf is the process of a member.
+// processOf returns the process of a member.
 func (c *cluster) processOf(member *api.Member) *process {
 	c.t.Helper()
 	for _, p := range c.processes {
@@ -260,12 +260,12 @@
 			return p
 		}
 	}
-	c.fail("no process is %s", MemberKey(member))
+	c.fail("no running process is member %s", MemberKey(member))
 	return nil
 }
 
-// A head that was restarted makes the logs equal before it is in service, whatever heartbeats say of the view:
-// what it proposed before that would be committed without its tail.
+// A restarted head synchronizes the chain before it enters service, even if heartbeats report the view as in service.
+// Otherwise an entry that it proposes meanwhile could be committed without being on the tail's disk.
 func TestRestartedHeadIgnoresReportsOfService(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 16, 3)
@@ -278,18 +278,18 @@
 	c.receive(head, view.Chain[1], heartbeat)
 	is.Equal(head.node.CanPropose(), false)
 	is.Equal(head.node.InService(), false)
-	c.mustServe("its head was restarted")
+	c.mustServe("the head was restarted")
 }
 
-// A tail that was restarted answers by its whole log, whatever the others have committed: it may have answered by
-// it before.
+// A restarted tail commits its whole log, however much the other members have committed, because it may have answered
+// reads from all of it before the restart.
 func TestRestartedTailCommitsItsWholeLog(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 17, 3)
 	c.mustServe("founding")
 	view := c.processes[0].node.View()
 	before, tail := c.processOf(view.Chain[1]), c.processOf(view.Chain[2])
-	c.isolate(before, true) // the acknowledgement is lost
+	c.isolate(before, true) // loses the acknowledgement
 	end := tail.node.durable.lastPosition()
 	entry := &api.Entry{Sequence: end.Sequence + 1, PreviousHash: end.Hash}
 	entry.Hash = entryHash(entry.PreviousHash, entry.Sequence, nil)
@@ -306,12 +306,13 @@
 	is.Equal(tail.node.Committed(), entry.Sequence)
 }
 
-// A leaving member that alone has an entry stays: no member of the chain without it would have the entry.
+// A leaving member stays if it is the only one with an entry, since no member of a chain without it would have the
+// entry.
 func TestLeavingMemberWithTheFurthestLogStays(t *testing.T) {
 	for name, story := range map[string]struct {
 		alone bool
 		chain int
-	}{"it alone has one": {alone: true}, "the others have it too": {chain: 2}} {
+	}{"only it has the entry": {alone: true}, "the others have the entry too": {chain: 2}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			c := newCluster(t, 18, 3)
--- a/internal/controlplane/chain/audit_test.go
+++ b/internal/controlplane/chain/audit_test.go
@@ -7,8 +7,8 @@
 	"marlreel/internal/api"
 )
 
-// auditAcknowledged checks that each disk of a head's chain holds what the head has just acknowledged: the tail had
-// it, and so had all before it.
+// auditAcknowledged checks that every disk in a head's chain holds the entry that the head has just acknowledged: the
+// tail acknowledges an entry only after all members before it have it on disk.
 func (c *cluster) auditAcknowledged(head *process, entry *api.Entry) {
 	c.t.Helper()
 	for _, p := range c.processes {
@@ -16,12 +16,13 @@
 			continue
 		}
 		if last := p.disk.lastPosition(); last.GetSequence() < entry.Sequence {
-			c.fail("%s has acknowledged %d, and the disk of %s reaches to %d", head.address, entry.Sequence, p.address, last.GetSequence())
+			c.fail("%s acknowledged entry %d, but the log on the disk of %s ends at %d", head.address, entry.Sequence, p.address, last.GetSequence())
 		}
 	}
 }
 
-// audit checks that all that was acknowledged is there, once, in one order for all.
+// audit checks that no acknowledged operation is lost, that none is applied twice, and that all processes apply them in
+// the same order.
 func (c *cluster) audit() {
 	c.t.Helper()
 	var longest []string
@@ -36,7 +37,7 @@
 		}
 		for i, name := range short {
 			if long[i] != name {
-				c.fail("%s has applied %s in place %d, another one %s", p.address, applied[i], i, longest[i])
+				c.fail("%s applied %s at index %d, but another process applied %s", p.address, applied[i], i, longest[i])
 			}
 		}
 		if len(applied) > len(longest) {
@@ -61,13 +62,13 @@
 	}
 	for _, name := range c.acknowledged {
 		if !seen[name] && !logged[name] {
-			c.fail("%s was acknowledged and is gone", name)
+			c.fail("%s was acknowledged but is lost", name)
 		}
 	}
 }
 
-// auditService checks that whoever is in service, and reaches a majority, has all that was
-// acknowledged: its state is not old.
+// auditService checks that every process that is in service and reaches a majority has applied all acknowledged
+// operations, so that its state is up to date.
 func (c *cluster) auditService() {
 	c.t.Helper()
 	for _, p := range c.processes {
@@ -78,9 +79,9 @@
 		for _, name := range p.machine.applied {
 			applied[name] = true
 		}
-		for _, name := range c.acknowledged[:max(0, len(c.acknowledged)-2)] { // the last ones are on their way
+		for _, name := range c.acknowledged[:max(0, len(c.acknowledged)-2)] { // the last ones may still be in flight
 			if !applied[name] {
-				c.fail("%s was acknowledged, and %s is in service without it", name, p.address)
+				c.fail("%s was acknowledged, but %s is in service without it", name, p.address)
 			}
 		}
 	}
@@ -103,7 +104,7 @@
 	c.t.Fatalf(format, args...)
 }
 
-// describe is a view in the text of a failed test.
+// describe formats a view for the output of a failed test.
 func describe(view *api.View) string {
 	return fmt.Sprintf("view %d: chain %s, %d members", view.Number, strings.Join(addressesOf(view.Chain), " "), len(view.Members))
 }
--- a/internal/controlplane/chain/catchup_test.go
+++ b/internal/controlplane/chain/catchup_test.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// slowLink is 10 Mbit/s, in bytes.
+	// slowLink is 10 Mbit/s, in bytes per second.
 	slowLink = 1_250_000
-	// largeState is a state of 2 MB.
+	// largeState is the size of a state of 2 MB.
 	largeState = 2 << 20
-	// maxCalmGap is the longest time without an acknowledgement where nothing fails: a view
-	// changes, and what little a member lacks is sent.
+	// maxCalmGap is the longest time without an acknowledgement while nothing fails: a view change, including the time
+	// to send a member the few entries that it lacks.
 	maxCalmGap = 300 * time.Millisecond
 )
 
-// newLargeCluster has a state of 2 MB on slow links.
+// newLargeCluster creates a cluster with a state of 2 MB and slow links.
 func newLargeCluster(t *testing.T, seed uint64, members int) *cluster {
 	c := newCluster(t, seed, members)
 	c.linkRate, c.ballast = slowLink, make([]byte, largeState)
@@ -31,13 +31,13 @@
 	return c
 }
 
-// runUntil passes time until something is so, or fails.
+// runUntil advances the simulation until a condition holds, and fails if that takes longer than limit.
 func (c *cluster) runUntil(what string, limit time.Duration, is func() bool) (took time.Duration) {
 	c.t.Helper()
 	began := c.now
 	for !is() {
 		if c.now-began > limit {
-			c.fail("%s: not within %v", what, limit)
+			c.fail("%s: not reached within %v", what, limit)
 		}
 		c.runFor(10 * time.Millisecond)
 	}
@@ -48,14 +48,14 @@
 	return func() bool { return p.node != nil && p.node.InService() }
 }
 
-// awaitEntries runs until so many more entries are acknowledged.
+// awaitEntries runs until the given number of further entries is acknowledged.
 func (c *cluster) awaitEntries(entries int) {
 	c.t.Helper()
 	until := len(c.acknowledged) + entries
 	c.runUntil(fmt.Sprintf("%d entries", entries), time.Hour, func() bool { return len(c.acknowledged) >= until })
 }
 
-// A member that was away catches up while the chain stays in service, however much it missed.
+// A member that was down catches up while the chain stays in service, however many entries it missed.
 func TestReturningMemberCatchesUpWhileInService(t *testing.T) {
 	for _, away := range []int{1, 64, 65, 1000, 5000} {
 		t.Run(fmt.Sprint(away), func(t *testing.T) {
@@ -79,7 +79,7 @@
 	}
 }
 
-// A state of 2 MB reaches a member over 10 Mbit/s while changes go on, and the chain stays in service.
+// A member receives a state of 2 MB over 10 Mbit/s while entries are committed, and the chain stays in service.
 func TestLargeSnapshotTransferWhileEntriesAreCommitted(t *testing.T) {
 	for name, lose := range map[string]func(c *cluster, p *process){
 		"an old log": func(c *cluster, p *process) { c.kill(p) },
@@ -99,14 +99,14 @@
 			c.longestGap, c.lastAcknowledgement = 0, c.now
 			took := c.runUntil("it is back", 8*time.Second, c.inChain(p))
 			t.Logf("back after %v, longest time without an acknowledgement %v", took, c.longestGap)
-			is.True(took > time.Second) // it did take a snapshot
+			is.True(took > time.Second) // it received a snapshot
 			is.True(c.longestGap < maxCalmGap)
 			c.mustServe("it is back")
 		})
 	}
 }
 
-// A member whose transfer is interrupted starts again, and completes.
+// A member whose catch-up is interrupted starts again and completes it.
 func TestInterruptedCatchUpCompletes(t *testing.T) {
 	for name, interrupt := range map[string]func(c *cluster, learner, head, other *process){
 		"the member is restarted": func(c *cluster, learner, _, _ *process) { c.restart(learner) },
@@ -120,7 +120,7 @@
 			c.runFor(2 * time.Second)
 			c.start(head, false)
 		},
-		"the other one is killed": func(c *cluster, _, _, other *process) {
+		"the other member is killed": func(c *cluster, _, _, other *process) {
 			c.kill(other)
 			c.runFor(2 * time.Second)
 			c.start(other, false)
@@ -150,14 +150,14 @@
 			c.runUntil("all are in the chain", 15*time.Second, func() bool {
 				return c.inChain(learner)() && c.inChain(head)() && c.inChain(other)()
 			})
-			c.mustServe("all is well")
+			c.mustServe("all members are in the chain")
 			c.auditLinearizable()
 		})
 	}
 }
 
-// Where the chain needs a member that catches up, it is out of service until that one has the whole log,
-// and nothing is lost.
+// A chain that needs a lagging member for its majority is out of service until that member has the whole log, and
+// nothing is lost.
 func TestChainWaitsForLaggingMemberItNeeds(t *testing.T) {
 	is := is.New(t)
 	c := newLargeCluster(t, 24, 3)
@@ -170,17 +170,17 @@
 	c.awaitEntries(50)
 	c.start(lagging, false)
 	c.runUntil("it catches up", time.Second, func() bool { return head.node.isCatchingUp() })
-	c.kill(head) // for good, as far as this goes
-	took := c.runUntil("the two that are left serve", 10*time.Second, func() bool {
+	c.kill(head) // it is not restarted in this test
+	took := c.runUntil("the remaining two are in service", 10*time.Second, func() bool {
 		return c.inChain(other)() && c.inChain(lagging)()
 	})
-	t.Logf("the two that are left serve after %v", took)
+	t.Logf("the remaining two are in service after %v", took)
 	is.True(sameMember(other.node.Head(), other.node.durable.Self)) // the member with the whole log is head
-	c.mustServe("two are left")
+	c.mustServe("two members remain")
 }
 
-// A member that lags far behind is left out of a chain that has a majority without it: the chain would be
-// out of service until it has the whole log.
+// A member that lags far behind is left out of a chain that has a majority without it, because the chain would be out
+// of service until that member has the whole log.
 func TestLaggingMemberIsLeftOutOfNewChain(t *testing.T) {
 	is := is.New(t)
 	c := newLargeCluster(t, 25, 5)
@@ -194,7 +194,7 @@
 	c.runUntil("it catches up", time.Second, func() bool { return c.head().node.isCatchingUp() })
 	c.longestGap, c.lastAcknowledgement = 0, c.now
 	c.kill(dying)
-	c.runUntil("the dead one is left out", 2*time.Second, func() bool { return len(c.head().node.View().Chain) == 3 })
+	c.runUntil("the failed one is left out", 2*time.Second, func() bool { return len(c.head().node.View().Chain) == 3 })
 	c.runFor(200 * time.Millisecond)
 	t.Logf("longest time without an acknowledgement %v", c.longestGap)
 	is.True(c.longestGap < time.Second)
@@ -202,7 +202,7 @@
 	c.mustServe("the lagging one is in")
 }
 
-// The log stays within its bounds while a process catches up that never completes.
+// The log stays within its bounds while a process that never completes is catching up.
 func TestLogIsBoundedDuringCatchUp(t *testing.T) {
 	is := is.New(t)
 	c := newLargeCluster(t, 26, 3)
@@ -217,7 +217,7 @@
 	c.runFor(time.Second)
 	c.start(learner, false)
 	c.runUntil("it catches up", time.Second, func() bool { return head.node.isCatchingUp() })
-	// Its link lets heartbeats pass and is too slow for the state.
+	// The link carries heartbeats but is too slow for the state.
 	c.linkRate = 1000
 	longest := 0
 	c.runUntil("many entries", time.Minute, func() bool {
@@ -229,7 +229,7 @@
 	is.True(longest <= c.cfg.MaxCatchUpLogEntries+1)
 }
 
-// Entries of many bytes are compacted sooner.
+// Large entries are compacted sooner.
 func TestLogIsBoundedInBytes(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 27, 3)
@@ -248,15 +248,15 @@
 	}
 }
 
-// catchUpMessage is what a head would send to a process whose log is empty.
+// catchUpMessage returns the message that a head would send to a process without a matching log.
 func catchUpMessage(head *process) *api.ChainMessage {
 	data := head.node.catchUpFor(&peer{position: &api.Position{Sequence: 1 << 40}})
 	return &api.ChainMessage{Body: &api.ChainMessage_CatchUp{CatchUp: proto.CloneOf(data)}}
 }
 
-// A CatchUp that arrives late, or at a member of the chain, removes nothing.
+// A CatchUp that arrives late, or at a member of the chain, removes no entries.
 func TestStaleCatchUpIsIgnored(t *testing.T) {
-	for name, leaves := range map[string]bool{"at a member of the chain": false, "at one that is outside": true} {
+	for name, leaves := range map[string]bool{"at a member of the chain": false, "at a member outside the chain": true} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			c := newCluster(t, 28, 3)
@@ -269,7 +269,7 @@
 			view := p.node.View()
 			early := catchUpMessage(head)
 			c.awaitEntries(20)
-			if leaves { // it catches up, and has more than the stale message
+			if leaves { // it catches up and has more entries than the stale message
 				c.receive(p, view.Chain[0], catchUpMessage(head))
 			}
 			end, committed := p.node.durable.lastPosition(), p.node.Committed()
@@ -278,12 +278,12 @@
 			is.Equal(p.node.durable.lastPosition().Sequence, end.Sequence)
 			is.Equal(p.node.Committed(), committed)
 			is.True(p.disk.lastPosition().Sequence >= end.Sequence)
-			c.mustServe("a copy came late")
+			c.mustServe("a CatchUp arrived late")
 		})
 	}
 }
 
-// A CatchUp that is newer than a member's log changes nothing there either: members get entries by replication.
+// Members of the chain ignore even a CatchUp that is newer than their log: they receive entries by replication.
 func TestCatchUpIsIgnoredInTheChain(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 29, 3)
@@ -300,5 +300,5 @@
 	data.GetCatchUp().Target = &api.Position{Sequence: entry.Sequence, Hash: entry.Hash}
 	c.receive(p, view.Chain[0], data)
 	is.Equal(p.node.durable.lastPosition().Sequence, before.Sequence)
-	c.mustServe("a copy came to a member of the chain")
+	c.mustServe("a CatchUp arrived at a member of the chain")
 }
--- a/internal/controlplane/chain/chain_test.go
+++ b/internal/controlplane/chain/chain_test.go
@@ -8,16 +8,17 @@
 	"github.com/matryer/is"
 )
 
-// settleTime is how long a cluster has to come back after a fault.
+// settleTime is how long a cluster may take to recover from a fault.
 const settleTime = 4 * time.Second
 
+// mustServe waits for settleTime, then fails the test unless the cluster acknowledges operations and passes its audits.
 func (c *cluster) mustServe(why string) {
 	c.t.Helper()
 	c.runFor(settleTime)
 	before := len(c.acknowledged)
 	c.runFor(200 * time.Millisecond)
 	if len(c.acknowledged) == before {
-		c.fail("%s: nothing is acknowledged after %v", why, settleTime)
+		c.fail("%s: no operation is acknowledged after %v", why, settleTime)
 	}
 	c.audit()
 	c.auditService()
@@ -40,7 +41,7 @@
 			c := newCluster(t, 2, 3)
 			c.mustServe("founding")
 			c.kill(c.processes[victim])
-			c.mustServe("one is dead")
+			c.mustServe("one has failed")
 			c.start(c.processes[victim], false)
 			c.mustServe("it is back")
 			is.True(c.processes[victim].node.InService())
@@ -48,8 +49,8 @@
 	}
 }
 
-// A machine whose disk was lost comes back under a new incarnation. The chain's
-// heartbeats to its old one must not be all that it receives, or it never joins.
+// A machine whose disk was lost comes back under a new incarnation. It must receive more than the chain's heartbeats to
+// its old incarnation; otherwise it never joins.
 func TestWipedMemberRejoinsUnderNewIncarnation(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3, 3)
@@ -60,8 +61,8 @@
 	c.start(wiped, false)
 	c.mustServe("a wiped member is back")
 	is.True(wiped.node.InService())
-	is.Equal(len(wiped.node.View().Members), 3) // in place of its old incarnation
-	// Now two copies are all there is if another disk goes with all of the power.
+	is.Equal(len(wiped.node.View().Members), 3) // it has replaced its old incarnation
+	// If another disk is now lost together with all power, only two copies remain.
 	c.wipe(c.processes[0])
 	c.kill(c.processes[1])
 	c.kill(c.processes[2])
@@ -79,7 +80,7 @@
 	c.kill(c.processes[0])
 	c.runFor(time.Second)
 	joined := c.add("d0", false)
-	c.mustServe("another one has come in its place")
+	c.mustServe("a replacement has started")
 	is.True(joined.node.InService())
 	is.Equal(len(joined.node.View().Members), 3)
 }
@@ -89,11 +90,11 @@
 	c := newCluster(t, 5, 3)
 	c.mustServe("founding")
 	joined := c.add("d0", false)
-	c.mustServe("a fourth has come")
+	c.mustServe("a fourth has joined")
 	is.Equal(len(joined.node.View().Members), 4)
 	c.kill(c.processes[0])
-	c.mustServe("the first has left")
-	is.Equal(len(joined.node.View().Members), 3) // it is no member any more
+	c.mustServe("the first was killed")
+	is.Equal(len(joined.node.View().Members), 3) // it is no longer a member
 }
 
 func TestIsolatedHeadAcknowledgesNothing(t *testing.T) {
@@ -102,14 +103,14 @@
 	c.mustServe("founding")
 	head := c.head()
 	c.isolate(head, true)
-	c.mustServe("the head is cut off")
+	c.mustServe("the head is isolated")
 	is.Equal(head.node.CanPropose(), false)
 	c.isolate(head, false)
-	c.mustServe("the cut has healed")
+	c.mustServe("the partition has healed")
 	is.True(head.node.InService())
 }
 
-// A head that receives nothing, and whose own heartbeats arrive, is replaced like one that sends nothing, and so the other way round.
+// A head is replaced if messages pass only from it, or only to it.
 func TestHeadWithOneWayPartitionIsReplaced(t *testing.T) {
 	for _, deaf := range []bool{true, false} {
 		c := newCluster(t, 9, 3)
@@ -122,11 +123,11 @@
 				c.partitioned[head.address+">"+other.address] = true
 			}
 		}
-		c.mustServe("messages pass in one direction alone")
+		c.mustServe("messages pass in only one direction")
 		clear(c.partitioned)
 		c.mustServe("and in both directions again")
 		if !head.node.InService() {
-			c.fail("the head is not back")
+			c.fail("the former head is not back in service")
 		}
 	}
 }
@@ -172,44 +173,43 @@
 		}
 		return got
 	}
-	is.True(confirmed(1)) // a tail that reaches a majority reads
+	is.True(confirmed(1)) // a tail that reaches a majority can read
 	c.isolate(tail, true)
 	tail.node.ConfirmView(c.now, 2)
 	c.runFor(100 * time.Millisecond)
 	_, waits := tail.node.confirmations[2]
-	is.True(waits) // an isolated tail does not
+	is.True(waits) // an isolated tail cannot
 }
 
-// A member that is isolated while all others are replaced finds the chain by the seeds
-// that it is given then.
+// A member that was isolated while all others were replaced finds the chain through new seeds.
 func TestIsolatedMemberFindsReplacedChainBySeeds(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 6, 3)
 	c.mustServe("founding")
 	lonely := c.processes[0]
 	c.isolate(lonely, true)
-	c.mustServe("one is cut off")
+	c.mustServe("one is isolated")
 	newcomers := []string{"d0", "d1", "d2"}
 	c.add(newcomers[0], false)
 	c.isolate(lonely, true)
-	c.mustServe("another one has come in its place")
+	c.mustServe("a replacement has started")
 	for i, address := range newcomers[1:] {
 		c.add(address, false)
 		c.isolate(lonely, true)
-		c.mustServe("a new one has come")
+		c.mustServe("a new one has joined")
 		c.kill(c.processes[1+i])
-		c.mustServe("an old one has left")
+		c.mustServe("an old one was killed")
 	}
 	c.isolate(lonely, false)
 	c.runFor(settleTime)
-	is.True(!lonely.node.Connected()) // none of the members that it knows is left
+	is.True(!lonely.node.Connected()) // all members that it knows were replaced
 	lonely.node.SetSeeds(newcomers)
-	c.mustServe("it knows the new ones")
+	c.mustServe("it has the new members as seeds")
 	is.True(lonely.node.InService())
 }
 
-// A machine whose disk was lost, and whose seeds name nobody who is left, finds the chain by
-// the members that send to its old incarnation.
+// A machine whose disk was lost, and whose seeds name no remaining member, finds the chain through the members that
+// send messages to its old incarnation.
 func TestWipedMemberFindsChainWithoutSeeds(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 7, 3)
@@ -218,7 +218,7 @@
 		c.kill(c.processes[1+i])
 		c.runFor(time.Second)
 		c.add(address, false)
-		c.mustServe("another one has come in its place")
+		c.mustServe("a replacement has started")
 	}
 	wiped := c.processes[0]
 	c.wipe(wiped)
--- a/internal/controlplane/chain/compatibility_test.go
+++ b/internal/controlplane/chain/compatibility_test.go
@@ -14,11 +14,11 @@
 	"marlreel/internal/testing/recorded"
 )
 
-// The files under testdata/compatibility were written by the code of commit 6fb9894, with
-// WRITE_COMPATIBILITY=1. They hold forms that other processes, backends and operators rely on.
-// They must not be written anew to get a pass.
+// The files under testdata/compatibility were written by the code of commit 6fb9894, with WRITE_COMPATIBILITY=1. They
+// hold encodings that other processes, backends and operators rely on. They must not be regenerated to make a test
+// pass.
 
-// recordedOperations are one of each kind, and some together.
+// recordedOperations returns the operations of the recorded entries, with one operation of each kind.
 func recordedOperations() [][]*api.Operation {
 	replaces := uint64(1)
 	replace := &api.Operation{Kind: &api.Operation_Replace{Replace: &api.ReplaceConfiguration{BaseVersion: 0, Document: []byte(`{"config_version":1}`)}}}
@@ -32,8 +32,8 @@
 	return [][]*api.Operation{{replace}, {modify}, {evacuate, retire}, {grant}, nil}
 }
 
-// Members compare logs by chained hashes of entries. The recorded entries, which a member of
-// that version sends, have the hashes that this one gives them.
+// Members compare logs by chained hashes of entries, so all versions must compute the same hash for an entry. The
+// recorded entries are those that a member of the recorded version sends.
 func TestCompatibilityOfEntryHashes(t *testing.T) {
 	if os.Getenv("WRITE_COMPATIBILITY") != "" {
 		var lines strings.Builder
@@ -70,10 +70,10 @@
 			entryHash(entry.PreviousHash, entry.Sequence, entry.Operations))
 	}
 	if len(log.Entries) != len(recordedOperations()) {
-		t.Errorf("%d entries are recorded", len(log.Entries))
+		t.Errorf("%d entries are recorded, which is not the number of recordedOperations", len(log.Entries))
 	}
 	if !log.LogIsIntact() {
-		t.Error("recorded entries have other hashes here")
+		t.Error("the hashes of the recorded entries differ from those computed here")
 	}
 	recorded.Check(t, "hashes.txt", hashes.String())
 }
--- a/internal/controlplane/chain/event_test.go
+++ b/internal/controlplane/chain/event_test.go
@@ -8,7 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// viewChange is something that makes another view necessary, in a cluster of three that is in service.
+// viewChange is an event that makes another view necessary in a cluster of three members in service, and the view that
+// it leads to.
 type viewChange struct {
 	name    string
 	change  func(c *cluster) (member string)
@@ -58,7 +59,7 @@
 		reason: ReasonMemberLeaving, chain: 2, members: 3,
 	},
 	{
-		name: "a member too many fails for long",
+		name: "a surplus member fails for long",
 		change: func(c *cluster) string {
 			c.add("d0", false)
 			c.runFor(settleTime)
@@ -70,8 +71,7 @@
 	},
 }
 
-// Each cause of a view change is reported with its reason and the member that it concerns, and then the view that came
-// of it.
+// Each view change is reported with its reason and the member that it concerns, and then with the installed view.
 func TestEventsOfViewChanges(t *testing.T) {
 	for _, story := range viewChanges {
 		t.Run(story.name, func(t *testing.T) {
--- a/internal/controlplane/chain/faults_test.go
+++ b/internal/controlplane/chain/faults_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// faultKinds are what can happen.
+// faultKinds inject a fault into a cluster, by the name of its kind.
 var faultKinds = map[string]func(c *cluster, f fault){
 	"kill": func(c *cluster, f fault) {
 		p := c.live(f.machine)
@@ -15,7 +15,7 @@
 		c.runFor(f.lasts)
 		c.start(p, false)
 	},
-	// One disk is lost at a time, and its machine is given time to catch up.
+	// Only one disk is lost at a time, and its machine gets time to catch up.
 	"lose-disk": func(c *cluster, f fault) {
 		p := c.live(f.machine)
 		c.heal()
@@ -55,7 +55,7 @@
 		c.loss = 0
 	},
 	"lose-power": func(c *cluster, f fault) { c.restartAll(f.lasts) },
-	// While one machine is cut off, another one is restarted.
+	// While one machine is isolated, another one is restarted.
 	"cut-and-restart": func(c *cluster, f fault) {
 		p, other := c.live(f.machine), c.live(f.other)
 		c.isolate(p, true)
@@ -67,7 +67,7 @@
 		c.runFor(f.lasts / 2)
 		c.isolate(p, false)
 	},
-	// A disk, and the power of all, some ms after something was sent.
+	// A disk is lost, and then all machines lose power, at a random time.
 	"lose-disk-and-power": func(c *cluster, f fault) {
 		p := c.live(f.machine)
 		c.heal()
@@ -75,7 +75,7 @@
 		c.runFor(f.lasts)
 		c.loseDiskAndPower(p)
 	},
-	// The same, right after something was acknowledged.
+	// The same, right after an operation was acknowledged.
 	"lose-disk-and-power-at-acknowledgement": func(c *cluster, f fault) {
 		p := c.live(f.machine)
 		c.heal()
@@ -84,7 +84,7 @@
 		c.loseDiskAndPower(p)
 	},
 	"replace": func(c *cluster, f fault) { c.replace(c.live(f.machine), f.lasts, f.back) },
-	// What a machine sends is delayed, as a connection delays it, and arrives at the end.
+	// Messages from a machine to one or all others are delayed, as on a stalled connection, and arrive at the end.
 	"hold": func(c *cluster, f fault) {
 		p := c.live(f.machine)
 		for _, other := range c.processes {
@@ -95,7 +95,7 @@
 		c.runFor(f.lasts)
 		c.release()
 	},
-	// A machine leaves, as it is told to, and comes back; meanwhile another one is cut off.
+	// A machine leaves as planned and comes back; meanwhile another one is isolated.
 	"leave": func(c *cluster, f fault) {
 		p, other := c.live(f.machine), c.live(f.other)
 		c.carryOut(p, p.node.Leave(c.now))
@@ -105,7 +105,7 @@
 		}
 		c.runFor(f.lasts)
 		c.isolate(other, false)
-		if f.machine%2 == 0 && len(c.processes) == 3 { // whoever is left is cut off in turn; the one that leaves still votes
+		if f.machine%2 == 0 && len(c.processes) == 3 { // then isolate the third machine; the leaving one still votes
 			for _, left := range c.processes {
 				if left != p && left != other {
 					c.isolate(left, true)
@@ -122,7 +122,7 @@
 	"interrupt-handover": func(c *cluster, f fault) { c.interruptHandover(f) },
 	"interrupt-vote":     func(c *cluster, f fault) { c.interruptVote(f) },
 	"late-entry":         func(c *cluster, f fault) { c.lateEntry(f) },
-	// A second loss right behind a first one, before the chain has its length again.
+	// A second loss follows a first one before the chain has its full length again.
 	"lose-two": func(c *cluster, f fault) {
 		p, other := c.live(f.machine), c.live(f.other)
 		c.heal()
@@ -139,7 +139,7 @@
 	},
 }
 
-// await passes time until something is so, or for at most limit.
+// await advances the simulation until a condition holds, or for at most limit. It reports whether the condition holds.
 func (c *cluster) await(limit time.Duration, is func() bool) bool {
 	for end := c.now + limit; c.now < end; c.runFor(time.Millisecond) {
 		if is() {
@@ -149,7 +149,7 @@
 	return is()
 }
 
-// minority draws some of the machines, less than half of them.
+// minority returns a random set of machines, fewer than half of them.
 func (c *cluster) minority(rng *rand.Rand) []*process {
 	var live []*process
 	for _, p := range c.processes {
@@ -161,8 +161,8 @@
 	return live[:1+rng.IntN(max(1, (len(live)-1)/2))]
 }
 
-// interruptProposal makes a view necessary, and interrupts whoever proposes it: at some step it reaches some of
-// the others alone, and then it is cut off, killed, or goes on.
+// interruptProposal makes another view necessary, and interrupts its proposer at a random step: the proposer's messages
+// reach only some of the others, and then it is isolated, killed, or continues.
 func (c *cluster) interruptProposal(f fault) {
 	rng := rand.New(rand.NewPCG(uint64(f.machine), uint64(f.other)))
 	c.heal()
@@ -182,7 +182,7 @@
 	defer func() {
 		c.heal()
 		if trigger.node.leaving {
-			c.restart(trigger) // it leaves, to come back
+			c.restart(trigger) // it may have left, and comes back
 		}
 	}()
 	if proposer == nil {
@@ -192,8 +192,8 @@
 	c.interruptProposer(proposer, rng, f.lasts)
 }
 
-// proposerAt is a process whose proposal has come to a step: it is begun, has a majority of promises, or a view; nil:
-// there is none.
+// proposerAt returns a process whose proposal has reached a step (0: it has started, 1: it has a majority of promises,
+// 2: it has chosen a view), or nil.
 func (c *cluster) proposerAt(step int) *process {
 	var proposer *process
 	for _, p := range c.processes {
@@ -208,7 +208,8 @@
 	return proposer
 }
 
-// interruptProposer lets a proposer reach some of the others alone, and then cuts it off, kills it, or lets it go on.
+// interruptProposer lets a proposer exchange messages with only some of the others, and then isolates it, kills it, or
+// lets it continue.
 func (c *cluster) interruptProposer(proposer *process, rng *rand.Rand, lasts time.Duration) {
 	for _, other := range c.processes {
 		if rng.IntN(2) == 0 {
@@ -232,9 +233,9 @@
 	}
 }
 
-// interruptHandover lets some members miss entries, and kills others in the moment in which they are back: the new
-// chain needs them. The head that makes that chain's logs equal reaches some of it alone, and is killed in turn; those
-// that were killed first come back.
+// interruptHandover makes some members miss entries, and kills others at the moment when the lagging ones are back, so
+// that the new chain needs them. The head that synchronizes the new chain reaches only some of its members and is then
+// killed too. Most of the members killed first are restarted.
 func (c *cluster) interruptHandover(f fault) {
 	rng := rand.New(rand.NewPCG(uint64(f.machine), uint64(f.other)+1))
 	c.heal()
@@ -263,11 +264,11 @@
 	}
 }
 
-// letLag cuts off a minority, which misses entries.
+// letLag isolates a minority, so that it misses entries, and returns it.
 func (c *cluster) letLag(rng *rand.Rand, lasts time.Duration) []*process {
 	lagging := c.minority(rng)
 	if head := c.servingHead(); head != nil && rng.IntN(2) == 0 {
-		lagging[0] = head // which keeps an entry that nobody else has
+		lagging[0] = head // it may have an entry that no other member has
 	}
 	for _, p := range lagging {
 		c.isolate(p, true)
@@ -276,7 +277,7 @@
 		c.runFor(time.Second + lasts/2)
 		return lagging
 	}
-	// One entry is acknowledged without them, and then all is quiet.
+	// One entry is acknowledged without them, and then proposals pause.
 	c.runFor(100 * time.Millisecond)
 	before := len(c.acknowledged)
 	c.await(2*time.Second, func() bool { return len(c.acknowledged) > before })
@@ -284,9 +285,9 @@
 	return lagging
 }
 
-// interruptSync lets a head that makes its chain's logs equal reach some of it alone, and kills it.
+// interruptSync lets a head that synchronizes its chain reach only some of its members, and kills it.
 func (c *cluster) interruptSync(head *process, lagging []*process, rng *rand.Rand) {
-	c.faultHits["a head that makes logs equal"]++
+	c.faultHits["a synchronizing head"]++
 	for _, other := range c.processes {
 		if rng.IntN(2) == 0 {
 			c.partitioned[head.address+">"+other.address] = true
@@ -294,7 +295,7 @@
 	}
 	c.runFor(time.Duration(rng.IntN(12)) * time.Millisecond)
 	c.kill(head)
-	if rng.IntN(2) == 0 && len(c.processes) > 3 { // and one whose log is equal to its
+	if rng.IntN(2) == 0 && len(c.processes) > 3 { // also kill a member that did not lag
 		for _, p := range c.processes {
 			if p.node != nil && !slices.Contains(lagging, p) {
 				c.kill(p)
@@ -305,7 +306,7 @@
 	clear(c.partitioned)
 }
 
-// servingHead is the head of a chain that acknowledges, or nil.
+// servingHead returns the head of a chain that can commit entries, or nil.
 func (c *cluster) servingHead() *process {
 	for _, p := range c.processes {
 		if p.node != nil && p.node.CanPropose() && p.node.Connected() {
@@ -315,8 +316,8 @@
 	return nil
 }
 
-// interruptVote cuts two members off from each other, so that one of them proposes a view that the other one knows
-// nothing of. In the moment in which a third has voted, the proposer's messages are delayed, and voters are restarted.
+// interruptVote partitions two members from each other, so that one of them proposes a view without the other one
+// learning of it. When a third member has voted, the proposer's messages are delayed and voters are restarted.
 func (c *cluster) interruptVote(f fault) {
 	rng := rand.New(rand.NewPCG(uint64(f.machine), uint64(f.other)+2))
 	c.heal()
@@ -339,7 +340,7 @@
 		c.faultHits["a vote"]++
 		c.runFor(time.Duration(rng.IntN(4)) * time.Millisecond)
 		c.delayFrom(proposer)
-		// Another one may be voted for meanwhile, whose messages are delayed as well.
+		// Members may meanwhile vote for another proposer, whose messages are delayed as well.
 		var rival *process
 		if rng.IntN(2) == 0 && c.await(time.Second, func() bool { rival = c.proposerWithVote(false, proposer); return rival != nil }) {
 			c.delayFrom(rival)
@@ -360,8 +361,8 @@
 	c.heal()
 }
 
-// lateEntry delays an entry that a head sends, lets views pass in which that head and others go and come back, and
-// then lets the entry arrive, where nothing else has come since.
+// lateEntry delays an entry that a head has sent while views change because that head and other members are isolated
+// and come back. Then it delivers the entry, with no other entry proposed in between.
 func (c *cluster) lateEntry(f fault) {
 	rng := rand.New(rand.NewPCG(uint64(f.machine), uint64(f.other)+3))
 	c.heal()
@@ -380,7 +381,7 @@
 	}
 	c.proposalsPaused = true
 	c.runFor(time.Millisecond)
-	clear(c.delayedLinks) // what comes after it passes
+	clear(c.delayedLinks) // later messages are not delayed
 	back := func(p *process) func() bool { return func() bool { return p.node.InService() } }
 	c.isolate(head, true)
 	c.runFor(time.Second)
@@ -402,8 +403,8 @@
 	c.runFor(f.lasts / 4)
 }
 
-// delayProposal delays what a process sends, and so the ballot with which it proposes a view, until others have
-// voted for another one's.
+// delayProposal delays the messages of a process, and so the ballot with which it proposes a view, until another member
+// has voted for a rival's ballot.
 func (c *cluster) delayProposal(p *process, rng *rand.Rand, lasts time.Duration) {
 	accepted := rng.IntN(2) == 0
 	c.runFor(time.Duration(rng.IntN(400)) * time.Millisecond)
@@ -417,14 +418,14 @@
 	c.heal()
 }
 
-// delayFrom delays what a process sends.
+// delayFrom starts delaying the messages that a process sends.
 func (c *cluster) delayFrom(p *process) {
 	for _, other := range c.processes {
 		c.delayedLinks[p.address+">"+other.address] = true
 	}
 }
 
-// releaseFrom lets what a process sent arrive.
+// releaseFrom delivers the delayed messages of a process and stops delaying them.
 func (c *cluster) releaseFrom(p *process) {
 	for _, other := range c.processes {
 		delete(c.delayedLinks, p.address+">"+other.address)
@@ -432,12 +433,12 @@
 	late := c.delayed
 	c.delayed = nil
 	for _, message := range late {
-		c.deliver(message.from, message.message) // what others sent is delayed again
+		c.deliver(message.from, message.message) // messages of others are delayed again
 	}
 }
 
-// proposerWithVote is a process, but for one, whose proposal another one has voted for; nil: there is none. accepted
-// asks for an acceptance, or else a promise.
+// proposerWithVote returns a process other than except for whose proposal another process has voted, or nil. The vote
+// is an acceptance if accepted is set, and otherwise a promise.
 func (c *cluster) proposerWithVote(accepted bool, except *process) *process {
 	for _, p := range c.processes {
 		if p == except || p.node == nil || p.node.proposal == nil {
@@ -461,7 +462,7 @@
 	return nil
 }
 
-// syncingHead is a head that makes its chain's logs equal, or nil.
+// syncingHead returns a head that is synchronizing its chain, or nil.
 func (c *cluster) syncingHead() *process {
 	for _, p := range c.processes {
 		if p.node != nil && p.node.syncing != nil {
@@ -471,7 +472,7 @@
 	return nil
 }
 
-// release lets what was delayed arrive.
+// release delivers all delayed messages and stops delaying.
 func (c *cluster) release() {
 	clear(c.delayedLinks)
 	late := c.delayed
@@ -481,7 +482,7 @@
 	}
 }
 
-// live is a process that has not been replaced.
+// live returns the process with a number, modulo their count, among those that have not been replaced.
 func (c *cluster) live(number int) *process {
 	var live []*process
 	for _, p := range c.processes {
@@ -492,7 +493,7 @@
 	return live[number%len(live)]
 }
 
-// awaitAcknowledgement passes time until something is acknowledged, or 200 ms.
+// awaitAcknowledgement advances the simulation until an operation is acknowledged, for at most 200 ms.
 func (c *cluster) awaitAcknowledgement() {
 	before := len(c.acknowledged)
 	for range 200 {
@@ -503,14 +504,14 @@
 	}
 }
 
-// loseDiskAndPower takes a disk, and the power of all.
+// loseDiskAndPower wipes the disk of a process and restarts all processes.
 func (c *cluster) loseDiskAndPower(p *process) {
 	c.wipe(p)
 	c.restartAll(200 * time.Millisecond)
 	c.runFor(settleTime)
 }
 
-// restartAll ends all processes at once, and starts them after a while.
+// restartAll kills all processes at once, and starts them after a time.
 func (c *cluster) restartAll(down time.Duration) {
 	for _, p := range c.processes {
 		c.kill(p)
@@ -523,8 +524,8 @@
 	}
 }
 
-// replace puts another machine in the place of one, which has gone for good, or comes back
-// with its old disk for a while when the other one has been taken in.
+// replace replaces a machine with another one. If back is positive, the old machine comes back with its old disk for
+// that time after the new one has joined.
 func (c *cluster) replace(p *process, gone, back time.Duration) {
 	c.heal()
 	c.runFor(settleTime)
@@ -542,8 +543,8 @@
 	c.runFor(settleTime)
 }
 
-// renewContacts names those that are there to machines that start from now on. One that replaces another is told
-// who was there before: of a list where nobody is any more, no machine could find the chain.
+// renewContacts makes the machines that have not been replaced the seeds of those that start from now on. With a list
+// that names no remaining machine, a starting machine could not find the chain.
 func (c *cluster) renewContacts() {
 	c.contacts = nil
 	for _, p := range c.processes {
--- a/internal/controlplane/chain/history_test.go
+++ b/internal/controlplane/chain/history_test.go
@@ -15,36 +15,35 @@
 	"github.com/matryer/is"
 )
 
-// fault is one thing that happens to a cluster. Machines are named by their number among
-// those that have not been replaced, modulo how many there are: so a fault means something
-// whatever came before it.
+// fault is one fault injected into a cluster. Machines are given by their index among those that have not been
+// replaced, modulo their number, so that a fault is valid whatever faults precede it.
 type fault struct {
 	kind    string
 	machine int
 	other   int
 	lasts   time.Duration
-	back    time.Duration // how long a replaced machine is back with its old disk; 0: it stays away
-	rest    time.Duration // how long nothing happens afterwards
+	back    time.Duration // how long a replaced machine is back with its old disk; 0 if it does not come back
+	rest    time.Duration // time without faults afterwards
 }
 
-// history is what befalls a cluster, and the seed of its delays and losses.
+// history is a sequence of faults to inject into a cluster, with the seed of the simulation's delays and losses.
 type history struct {
 	seed    uint64
 	members int
 	faults  []fault
 }
 
-// ---- drawing ----
+// ---- generating ----
 
 const (
-	// drawnFaults is how many faults a drawn history has.
+	// drawnFaults is the minimum number of faults in a random history.
 	drawnFaults = 12
-	// maxFaultDuration and maxRest bound how long one lasts, and the time without faults after it.
+	// maxFaultDuration and maxRest bound how long a fault lasts, and the time without faults after it.
 	maxFaultDuration = 1500 * time.Millisecond
 	maxRest          = 600 * time.Millisecond
 )
 
-// drawHistory draws the history of a number, with 3, 5 or 7 members.
+// drawHistory returns the random history with a number, for 3, 5 or 7 members. Equal numbers give equal histories.
 func drawHistory(number int) history {
 	seed := uint64(number) + 100
 	rng := rand.New(rand.NewPCG(seed, 2))
@@ -55,7 +54,7 @@
 	return h
 }
 
-// drawFaults draws one fault, or some that come in a row.
+// drawFaults returns one random fault, or several that follow each other immediately.
 func drawFaults(rng *rand.Rand) []fault {
 	span := func(limit time.Duration) time.Duration {
 		return time.Duration(rng.Int64N(int64(limit))).Truncate(time.Millisecond)
@@ -82,7 +81,7 @@
 		if rng.IntN(2) == 0 {
 			f.back = span(2 * time.Second)
 		}
-	case "views": // views change while views change
+	case "views": // further view changes while a view change is in progress
 		var row []fault
 		for range 4 {
 			row = append(row, fault{kind: "cut", machine: rng.IntN(machines), lasts: span(700 * time.Millisecond)})
@@ -93,7 +92,8 @@
 	return []fault{f}
 }
 
-// drawTimeouts draws how eager the members are: where they propose at once, they preempt each other's ballots.
+// drawTimeouts randomizes timeouts of the members. With short ones they propose at the same time and preempt each
+// other's ballots.
 func (c *cluster) drawTimeouts() {
 	rng := rand.New(rand.NewPCG(uint64(c.rng.Uint32()), 7))
 	if rng.IntN(2) == 0 {
@@ -110,19 +110,19 @@
 	}
 }
 
-// ---- playing ----
+// ---- running ----
 
-// failure is what a history showed to be wrong.
+// failure is the panic value with which a failed check ends a history.
 type failure struct{ what string }
 
-// play plays a history, and tells what was wrong; empty: nothing.
+// play runs a history and returns the failure that it found, or "".
 func (h history) play(t *testing.T) (wrong string) {
 	t.Helper()
 	wrong, _ = h.playCounted(t)
 	return wrong
 }
 
-// playCounted tells too how often faults came upon what they are about.
+// playCounted also returns how often each kind of fault reached the step of the protocol that it targets.
 func (h history) playCounted(t *testing.T) (wrong string, met map[string]int) {
 	t.Helper()
 	defer func() {
@@ -145,7 +145,7 @@
 		c.runFor(f.rest)
 	}
 	c.heal()
-	c.mustServe("all is healed")
+	c.mustServe("all faults have ended")
 	c.auditLinearizable()
 	for _, p := range c.processes {
 		if !p.replaced && !p.node.InService() {
@@ -155,10 +155,10 @@
 	return "", met
 }
 
-// maxShrinkPlays bounds how often a history is played to make it short.
+// maxShrinkPlays bounds how often a history is run to shrink it.
 const maxShrinkPlays = 400
 
-// shrink gives the shortest history found for which fails still says that something is wrong.
+// shrink returns the shortest history found for which fails is still true.
 func (h history) shrink(fails func(history) bool) history {
 	plays := 0
 	stillFails := func(shorter history) bool {
@@ -178,7 +178,7 @@
 	return h.shorten(stillFails)
 }
 
-// shorten removes the times without faults and halves how long faults last, where it still fails.
+// shorten removes the times without faults and halves the durations of faults, as long as the history still fails.
 func (h history) shorten(stillFails func(history) bool) history {
 	for i := range h.faults {
 		for _, change := range []func(f *fault){
@@ -196,8 +196,8 @@
 	return h
 }
 
-// mustPass plays a history. Where something is wrong, it gives the shortest one found that
-// shows it, as the files in testdata/histories have it.
+// mustPass runs a history. If it fails, the test's output contains the shortest failing history found, in the format of
+// the files in testdata/histories.
 func (h history) mustPass(t *testing.T) (met map[string]int) {
 	t.Helper()
 	wrong, met := h.playCounted(t)
@@ -208,13 +208,13 @@
 		t.Fatal(wrong)
 	}
 	short := h.shrink(func(shorter history) bool { return shorter.play(t) != "" })
-	t.Fatalf("%s\nthe shortest history found, in which %s:\n%s", wrong, short.play(t), short)
+	t.Fatalf("%s\nthe shortest failing history found, with failure %s:\n%s", wrong, short.play(t), short)
 	return nil
 }
 
-// ---- as text ----
+// ---- text format ----
 
-// String is a history as a file has it.
+// String returns a history in the format of the files in testdata/histories.
 func (h history) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "seed %d\nmembers %d\n", h.seed, h.members)
@@ -224,7 +224,7 @@
 	return text.String()
 }
 
-// parseHistory reads a file: comments, seed, members, and a line a fault with what it needs.
+// parseHistory parses a history file: comments, seed, members, and one line for each fault with its parameters.
 func parseHistory(text string) (history, error) {
 	var h history
 	lines := bufio.NewScanner(strings.NewReader(text))
@@ -249,7 +249,7 @@
 		}
 	}
 	if h.members < 1 {
-		return h, fmt.Errorf("members is missing")
+		return h, fmt.Errorf("the number of members is missing")
 	}
 	return h, lines.Err()
 }
@@ -257,7 +257,7 @@
 func parseFault(words []string) (fault, error) {
 	f := fault{kind: words[0]}
 	if faultKinds[f.kind] == nil {
-		return f, fmt.Errorf("there is no such fault")
+		return f, fmt.Errorf("unknown kind of fault")
 	}
 	for _, word := range words[1:] {
 		key, value, _ := strings.Cut(word, "=")
@@ -274,7 +274,7 @@
 		case "rest":
 			f.rest, err = time.ParseDuration(value)
 		default:
-			err = fmt.Errorf("%s is not known", key)
+			err = fmt.Errorf("unknown parameter %s", key)
 		}
 		if err != nil {
 			return f, err
@@ -285,9 +285,9 @@
 
 // ---- the tests ----
 
-// Histories are drawn: kills, lost disks, freezes, stalls, partitions in one direction and both, losses
-// of messages, and losses of all power. They stay within what fault_tolerance allows: one disk
-// at a time is lost, and its machine is given time to catch up.
+// Random histories contain kills, lost disks, freezes, stalls, one-way and two-way partitions, message loss, and losses
+// of all power. They stay within what fault_tolerance allows: one disk at a time is lost, and its machine gets time to
+// catch up.
 func TestDrawnHistories(t *testing.T) {
 	histories := 40
 	if more, err := strconv.Atoi(os.Getenv("CHAIN_HISTORIES")); err == nil {
@@ -309,19 +309,19 @@
 			total[what] += count
 		}
 	}
-	t.Logf("faults came upon %v", total)
-	for _, what := range []string{"a proposal", "a head that makes logs equal", "a vote", "a vote for a rival", "an entry of an earlier view"} {
+	t.Logf("faults reached %v", total)
+	for _, what := range []string{"a proposal", "a synchronizing head", "a vote", "a vote for a rival", "an entry of an earlier view"} {
 		if total[what] == 0 {
-			t.Errorf("in %d histories no fault came upon %s", histories, what)
+			t.Errorf("in %d histories no fault reached %s", histories, what)
 		}
 	}
 }
 
-// Each file of testdata/histories once showed a fault, of the chain or of a mutant of it.
+// Each file in testdata/histories once revealed a bug in the chain, or in a mutant of it.
 func TestRecordedHistories(t *testing.T) {
 	files, err := filepath.Glob("testdata/histories/*.txt")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no history is there: %v", err)
+		t.Fatalf("no files in testdata/histories: %v", err)
 	}
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
@@ -363,7 +363,7 @@
 	is.Equal(trace(), trace())
 }
 
-// What shrinks a history leaves what the failure needs, and nothing else.
+// Shrinking a history keeps only what the failure needs.
 func TestShrinkHistory(t *testing.T) {
 	is := is.New(t)
 	h := drawHistory(3)
--- a/internal/controlplane/chain/leave_test.go
+++ b/internal/controlplane/chain/leave_test.go
@@ -8,14 +8,14 @@
 	"github.com/matryer/is"
 )
 
-// leave lets a process ask to be left out, and gives the time until it is. The process is not ended.
+// leave makes a process leave the chain and returns how long that took. The process keeps running.
 func (c *cluster) leave(p *process, limit time.Duration) (took time.Duration) {
 	c.t.Helper()
 	c.carryOut(p, p.node.Leave(c.now))
-	return c.runUntil(p.address+" has left", limit, p.node.HasLeft)
+	return c.runUntil(p.address+" has left the chain", limit, p.node.HasLeft)
 }
 
-// A member that is about to end is out of the chain before it stops, and hardly a write waits for that.
+// A member that shuts down is removed from the chain before it exits, and writes are hardly delayed by that.
 func TestMemberLeavesBeforeItStops(t *testing.T) {
 	for place := range 3 {
 		t.Run(fmt.Sprint(place), func(t *testing.T) {
@@ -27,10 +27,10 @@
 			took := c.leave(p, time.Second)
 			c.kill(p)
 			c.runFor(time.Second)
-			t.Logf("out after %v, longest time without an acknowledgement %v", took, c.longestGap)
+			t.Logf("left after %v, longest time without an acknowledgement %v", took, c.longestGap)
 			is.True(c.longestGap < maxCalmGap)
 			is.Equal(len(c.head().node.View().Chain), 2)
-			is.Equal(len(c.head().node.View().Members), 3) // it is still a member: it may come back
+			is.Equal(len(c.head().node.View().Members), 3) // it remains a member, since it may come back
 			c.start(p, false)
 			c.mustServe("it is back")
 			is.True(p.node.InService())
@@ -52,14 +52,14 @@
 	c.runUntil("it catches up", time.Second, func() bool { return head.node.isCatchingUp() })
 	c.carryOut(leaving, leaving.node.Leave(c.now))
 	c.runFor(500 * time.Millisecond)
-	is.True(!leaving.node.HasLeft()) // with it goes the only other copy
+	is.True(!leaving.node.HasLeft()) // it has the only other complete copy
 	c.runUntil("it has left", 8*time.Second, leaving.node.HasLeft)
 	is.True(learner.node.InService() && len(learner.node.View().Chain) == 2)
 	c.kill(leaving)
 	c.mustServe("it has left")
 }
 
-// A planned replacement: the new one first, then the old one leaves. A second loss may follow at once.
+// In a planned replacement the new member joins before the old one leaves. Another loss may follow immediately.
 func TestLossRightAfterPlannedReplacement(t *testing.T) {
 	for name, lose := range map[string]func(c *cluster, p *process){
 		"a disk":               func(c *cluster, p *process) { c.wipe(p) },
@@ -72,10 +72,10 @@
 				c.mustServe("founding")
 				old := c.processOf(c.head().node.View().Chain[place])
 				c.add("d0", false)
-				c.mustServe("the new one is there")
+				c.mustServe("the new one has joined")
 				is.Equal(len(c.head().node.View().Members), 4)
 				c.leave(old, time.Second)
-				is.Equal(len(c.head().node.View().Members), 3) // it is no member any more
+				is.Equal(len(c.head().node.View().Members), 3) // it is no longer a member
 				c.kill(old)
 				old.replaced = true
 				lost := c.head()
@@ -91,7 +91,7 @@
 	}
 }
 
-// Where all leave, the chain keeps a majority.
+// If all members ask to leave, the chain keeps a majority.
 func TestAllMembersLeave(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 34, 3)
@@ -111,7 +111,8 @@
 	c.mustServe("all are back")
 }
 
-// A planned change waits for a member that is slow to promise, as one with a slow disk is: the chain keeps its length.
+// A planned change waits for a member that is slow to promise, such as one with a slow disk, instead of dropping it
+// from the chain.
 func TestPlannedChangeWaitsForSlowMember(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 35, 5)
@@ -119,7 +120,7 @@
 	view := c.head().node.View()
 	is.Equal(len(view.Chain), 5)
 	slow, leaving := c.processOf(view.Chain[2]), c.processOf(view.Chain[4])
-	c.proposalsPaused = true // an entry under way would wait for the slow one, and the proposal for the entry
+	c.proposalsPaused = true // an entry in flight would wait for the slow member, and the proposal for the entry
 	c.runFor(c.cfg.HeartbeatInterval)
 	slow.stalled = true
 	c.carryOut(leaving, leaving.node.Leave(c.now))
@@ -130,8 +131,8 @@
 	is.Equal(len(c.head().node.View().Chain), 4)
 }
 
-// Membership changes only from a chain in service: after several changes in a row, none of them completed, a majority
-// could have none of the committed entries.
+// Membership changes only while the chain is in service: after several incomplete changes in a row, a majority could
+// have none of the committed entries.
 func TestMembershipChangesOnlyInService(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 36, 3)
@@ -152,7 +153,7 @@
 		p.lastSeen, p.lastReachedSelf = head.now, head.now
 	}
 	active := head.inServiceView
-	head.inServiceView = 0 // as after a change of view, before logs are equal
+	head.inServiceView = 0 // as after a view change, before the chain is synchronized
 	head.checkMembership()
 	is.True(head.proposal == nil)
 	head.inServiceView = active
--- a/internal/controlplane/chain/linearizable_test.go
+++ b/internal/controlplane/chain/linearizable_test.go
@@ -10,20 +10,20 @@
 	"github.com/matryer/is"
 )
 
-// readInterval is how often each process that may answer a read gets one.
+// readInterval is the time between two reads at each process that can answer them.
 const readInterval = 70 * time.Millisecond
 
-// operation is a call at the chain's register as a client sees it.
+// operation is a client's call to the replicated register.
 type operation struct {
 	read bool
-	name string // of what was written
+	name string // the name that a write adds
 }
 
-// observed is what became of an operation: up to which entry the register reaches behind it.
+// observed is the result of an operation: the number of entries in the register after it.
 type observed struct{ entries int }
 
-// registerModel is a register of entries: each write adds one, and a read sees all that
-// came before it.
+// registerModel models a register of entries: each write adds one, and a read returns the number of entries written
+// before it.
 var registerModel = porcupine.Model{
 	Init: func() any { return 0 },
 	Step: func(state, input, output any) (bool, any) {
@@ -36,7 +36,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// clients keep what clients of a cluster called and were answered.
+// clients records the calls of a cluster's clients and their answers.
 type clients struct {
 	called map[string]time.Duration // writes, by name
 	acked  map[string]time.Duration
@@ -48,7 +48,7 @@
 	return &clients{called: map[string]time.Duration{}, acked: map[string]time.Duration{}}
 }
 
-// read asks each process that may answer.
+// read sends a read to each process that can answer it.
 func (c *cluster) read() {
 	for _, p := range c.processes {
 		if p.node == nil || p.frozen || p.stalled || !p.node.CanRead() {
@@ -73,9 +73,8 @@
 	})
 }
 
-// operations are all that were called, the writes with their places in the order that the
-// cluster has agreed on. Those that came to nothing are left out: where a read saw one, its
-// place is missing.
+// operations returns all reads and all agreed writes, with each write's index in the agreed order. Writes that were
+// lost are left out, so a read that saw one can't be linearized.
 func (c *cluster) operations(agreed []string) []porcupine.Operation {
 	operations := append([]porcupine.Operation(nil), c.clients.reads...)
 	for at, name := range agreed {
@@ -94,7 +93,7 @@
 	return operations
 }
 
-// auditLinearizable checks that all answers are those of one register.
+// auditLinearizable checks that the clients' operations are linearizable.
 func (c *cluster) auditLinearizable() {
 	c.t.Helper()
 	var agreed []string
@@ -105,18 +104,18 @@
 	}
 	operations := c.operations(agreed)
 	if len(c.clients.reads) == 0 {
-		c.fail("nothing was read")
+		c.fail("no read was answered")
 	}
 	const patience = 20 * time.Second
 	switch porcupine.CheckOperationsTimeout(registerModel, operations, patience) {
 	case porcupine.Illegal:
-		c.fail("the answers to %d operations are not those of one register", len(operations))
+		c.fail("%d operations are not linearizable", len(operations))
 	case porcupine.Unknown:
-		c.fail("%d operations could not be checked in %s", len(operations), patience)
+		c.fail("%d operations could not be checked for linearizability within %s", len(operations), patience)
 	}
 }
 
-// The check finds each kind of wrong answer.
+// The model accepts linearizable operations and rejects each kind of violation.
 func TestRegisterModel(t *testing.T) {
 	const ms = int64(time.Millisecond)
 	write := func(call, answered int64, place int) porcupine.Operation {
@@ -130,10 +129,10 @@
 		right      bool
 	}{
 		"in order":                     {[]porcupine.Operation{write(1, 2, 1), read(3, 4, 1), write(5, 6, 2), read(7, 8, 2)}, true},
-		"a read beside a write":        {[]porcupine.Operation{write(1, 2, 1), write(3, 9, 2), read(4, 5, 1), read(6, 7, 2)}, true},
+		"a read during a write":        {[]porcupine.Operation{write(1, 2, 1), write(3, 9, 2), read(4, 5, 1), read(6, 7, 2)}, true},
 		"a stale read":                 {[]porcupine.Operation{write(1, 2, 1), write(3, 4, 2), read(5, 6, 1)}, false},
-		"a read that goes back":        {[]porcupine.Operation{write(1, 9, 1), read(2, 3, 1), read(4, 5, 0)}, false},
-		"a read of what is not agreed": {[]porcupine.Operation{write(1, 2, 1), read(3, 4, 2)}, false},
+		"a later read sees less":       {[]porcupine.Operation{write(1, 9, 1), read(2, 3, 1), read(4, 5, 0)}, false},
+		"a read of an unagreed write":  {[]porcupine.Operation{write(1, 2, 1), read(3, 4, 2)}, false},
 		"agreed in another order":      {[]porcupine.Operation{write(1, 2, 2), write(3, 4, 1)}, false},
 		"a read before the write":      {[]porcupine.Operation{read(1, 2, 1), write(3, 4, 1)}, false},
 	} {
--- a/internal/controlplane/chain/repair_test.go
+++ b/internal/controlplane/chain/repair_test.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// repairSeeds is how often each kind of loss is played, each place in the chain in turn.
+	// repairSeeds is how often each kind of loss is simulated, at each position in the chain in turn.
 	repairSeeds = 30
-	// backAfter is after what time a machine that was lost is back, or its replacement is there.
+	// backAfter is how long a lost machine stays down before it, or its replacement, is started.
 	backAfter = time.Second
-	// catchUpTime is within what time of its start a machine has the whole log (catch_up_s of the deployments).
+	// catchUpTime is how long a machine may take after its start to have the whole log (catch_up_s of the deployments).
 	catchUpTime = 4 * time.Second
 )
 
-// losses are the kinds of losses. Each gives the time from which a full chain can be expected: when the machine is
-// there again, or the one in its place.
+// losses are the kinds of losses. Each returns the time from which the repair is measured: when the machine, or the one
+// that replaces it, is started, or when the replaced machine starts leaving.
 var losses = map[string]func(c *cluster, p *process) (from time.Duration){
 	"killed": func(c *cluster, p *process) time.Duration {
 		c.kill(p)
@@ -33,12 +33,12 @@
 		c.start(p, false)
 		return c.now
 	},
-	"its disk lost, and all power": func(c *cluster, p *process) time.Duration {
+	"its disk lost and all power lost": func(c *cluster, p *process) time.Duration {
 		c.wipe(p)
 		c.restartAll(200 * time.Millisecond)
 		return c.now
 	},
-	"gone, another one at another address": func(c *cluster, p *process) time.Duration {
+	"replaced after a failure, at another address": func(c *cluster, p *process) time.Duration {
 		c.kill(p)
 		p.replaced = true
 		c.runFor(backAfter)
@@ -56,7 +56,7 @@
 		p.replaced = true
 		return from
 	},
-	"cut off for 20 s": func(c *cluster, p *process) time.Duration {
+	"isolated for 20 s": func(c *cluster, p *process) time.Duration {
 		c.isolate(p, true)
 		c.runFor(20 * time.Second)
 		c.isolate(p, false)
@@ -64,7 +64,7 @@
 	},
 }
 
-// fullLength tells whether a chain in service has all members that there should be, and no other members.
+// fullLength reports whether the chain in service has TargetMembers, and no other members vote.
 func (c *cluster) fullLength() bool {
 	for _, p := range c.processes {
 		if p.node != nil && p.node.isHead() && p.node.Connected() {
@@ -75,8 +75,8 @@
 	return false
 }
 
-// After each kind of loss the chain has its length again within the time that a machine has to catch up; and writes
-// stop for no longer than it takes to detect a failure.
+// After each kind of loss the chain has its full length again within catchUpTime. The log also shows how long writes
+// stopped.
 func TestRepairTimes(t *testing.T) {
 	for name, lose := range losses {
 		t.Run(name, func(t *testing.T) {
@@ -89,7 +89,7 @@
 				p := c.processOf(c.head().node.View().Chain[seed%3])
 				c.longestGap, c.lastAcknowledgement = 0, c.now
 				from := lose(c, p)
-				c.runUntil("the chain has its length again", 20*time.Second, c.fullLength)
+				c.runUntil("the chain has its full length again", 20*time.Second, c.fullLength)
 				repairs = append(repairs, c.now-from)
 				c.runFor(time.Second)
 				rests = append(rests, c.longestGap)
@@ -105,8 +105,8 @@
 	}
 }
 
-// How long a member takes to catch up, by entries missed and by the size of the state, over 10 Mbit/s and while
-// changes go on: a line, and no step where entries are no longer kept.
+// The time that a member takes to catch up grows linearly with the size of the state, over 10 Mbit/s and while entries
+// are committed. It makes no jump where the member has missed more entries than the log keeps.
 func TestCatchUpTimes(t *testing.T) {
 	for _, of := range []struct{ entries, state int }{
 		{1, 0}, {64, 0}, {65, 0}, {1000, 0}, {5000, 0}, {100, 256 << 10}, {100, 1 << 20}, {100, 2 << 20}, {100, 4 << 20},
--- a/internal/controlplane/chain/simulation_disk_test.go
+++ b/internal/controlplane/chain/simulation_disk_test.go
@@ -14,8 +14,8 @@
 	return next
 }
 
-// save gives what a disk holds once what has changed was written to it, and no more. What is
-// written is a copy: it shares nothing with what goes on.
+// save returns the content of a disk after exactly the changed parts were written to it. It copies them, so that the
+// disk shares nothing with the running node.
 func save(disk, now *DurableState, changed Changes) DurableState {
 	next := cloneDurable(disk)
 	if changed.Self {
@@ -52,7 +52,7 @@
 	return clones
 }
 
-// load gives what a starting process reads from a disk.
+// load returns the state that a starting process reads from a disk.
 func load(disk *DurableState) DurableState {
 	var empty DurableState
 	all := Changes{Self: true, View: true, Acceptor: true, SyncedView: true, LogReplaced: true, Snapshot: true}
--- a/internal/controlplane/chain/simulation_test.go
+++ b/internal/controlplane/chain/simulation_test.go
@@ -12,11 +12,10 @@
 	"marlreel/internal/api"
 )
 
-// A cluster of nodes on a simulated network, clock and disks. Everything that happens
-// comes from one seed. Faults are methods; audit looks at all that was ever committed.
+// A cluster of nodes on a simulated network, clock and disks. All randomness comes from one seed. Methods of the
+// cluster inject faults; audit checks everything that was committed.
 
-// register is the state machine of the tests: the list of operations that were applied. Its state
-// is larger by the ballast.
+// register is the state machine of the tests: a list of the applied operations. The ballast makes its state larger.
 type register struct {
 	applied []string
 	ballast []byte
@@ -68,20 +67,20 @@
 // process is a machine with a disk and, while it runs, a node.
 type process struct {
 	address    string
-	node       *Node // nil: it is down
+	node       *Node // nil while it is down
 	machine    *register
-	disk       *DurableState // nil: empty
+	disk       *DurableState // nil if empty
 	generation int
 	frozen     bool
 	stalled    bool // writes to its disk don't return
-	// replaced: another machine has taken its place, and it does not come back.
+	// replaced means that another machine has replaced it for good.
 	replaced  bool
-	backlog   []func()
-	proposals map[uint64]string        // proposals by entry hash
-	reads     map[uint64]time.Duration // when reads were called, by token
+	backlog   []func()                 // work deferred while it is frozen or stalled
+	proposals map[uint64]string        // names of its proposals, by entry hash
+	reads     map[uint64]time.Duration // call times of pending reads, by token
 }
 
-// delayedMessage is a message that has not arrived yet, and will.
+// delayedMessage is a message that is delivered later.
 type delayedMessage struct {
 	from    string
 	message *api.ChainMessage
@@ -94,8 +93,8 @@
 	queue        events
 	order        int
 	processes    []*process
-	partitioned  map[string]bool // "a>b": nothing passes
-	delayedLinks map[string]bool // "a>b": what is sent waits
+	partitioned  map[string]bool // "a>b": messages are dropped
+	delayedLinks map[string]bool // "a>b": messages are delayed
 	delayed      []delayedMessage
 	loss         float64
 	cfg          Config
@@ -105,26 +104,27 @@
 	proposed     int
 	log          []string
 	events       []Event // of all processes, in order
-	// faultHits counts how often a fault came upon the step of the protocol that it is about.
+	// faultHits counts how often a fault reached the step of the protocol that it targets.
 	faultHits      map[string]int
-	panicOnFailure bool // what is wrong ends the history, not the test
+	panicOnFailure bool // a failed check ends the history, not the test
 	clients        *clients
 	nextRead       time.Duration
-	// linkRate is how many bytes a second a link carries of large messages; 0: any number.
+	// linkRate is the bandwidth of a link for large messages, in bytes per second; 0 means unlimited.
 	linkRate            int
-	linkFree            map[string]time.Duration // when a link has carried what it was given
-	ballast             []byte                   // of the state
-	padding             []byte                   // of each entry
+	linkFree            map[string]time.Duration // when a link has transmitted all its large messages
+	ballast             []byte                   // added to the state
+	padding             []byte                   // added to each entry
 	proposeInterval     time.Duration            // between two proposals
-	proposalsPaused     bool                     // nothing is proposed
+	proposalsPaused     bool
 	lastAcknowledgement time.Duration
-	longestGap          time.Duration // between two acknowledgements, since it was set to 0
+	longestGap          time.Duration // between two acknowledgements, since it was reset to 0
 }
 
 const (
 	// maxDelayed bounds the delayed messages.
 	maxDelayed = 2000
-	// largeMessage is what goes in parts, between which small messages pass.
+	// largeMessage is the size above which a message takes time on the link. Large messages are sent in parts, so small
+	// messages are not delayed behind them.
 	largeMessage           = 32 << 10
 	simulatedTick          = 20 * time.Millisecond
 	defaultProposeInterval = 40 * time.Millisecond
@@ -146,7 +146,7 @@
 	return c
 }
 
-// add makes a machine and starts it.
+// add creates a machine and starts it.
 func (c *cluster) add(address string, first bool) *process {
 	p := &process{address: address}
 	c.processes = append(c.processes, p)
@@ -180,7 +180,7 @@
 	c.after(time.Duration(c.rng.Int64N(int64(simulatedTick))), tick)
 }
 
-// run does something on a process, or keeps it for when it thaws.
+// run calls a function on behalf of a process, or defers it until the process thaws.
 func (c *cluster) run(p *process, do func()) {
 	if p.node == nil {
 		return
@@ -212,7 +212,7 @@
 	if out.Save.Any() {
 		saved := save(p.disk, p.node.DurableState(), out.Save)
 		if !saved.LogIsIntact() {
-			c.fail("the log on disk does not fit together: snapshot at %d, %d entries", saved.Snapshot.GetSequence(), len(saved.Entries))
+			c.fail("the log on disk is not intact: snapshot at %d, %d entries", saved.Snapshot.GetSequence(), len(saved.Entries))
 		}
 		p.disk = &saved
 	}
@@ -267,7 +267,7 @@
 	}
 }
 
-// propose has one more operation done, at any process that may.
+// propose proposes an operation at the first process that can propose.
 func (c *cluster) propose() {
 	if c.proposalsPaused {
 		return
@@ -290,7 +290,7 @@
 	}
 }
 
-// runFor lets time pass, with proposals and reads at their intervals.
+// runFor advances the simulation by a time, with proposals and reads at their intervals.
 func (c *cluster) runFor(span time.Duration) {
 	end := c.now + span
 	next := c.now
@@ -311,7 +311,7 @@
 	}
 }
 
-// kill ends a process; power: what its disk had not synced is gone, which here is nothing.
+// kill stops a process at once. No data is lost with it, because the simulated disk syncs every write.
 func (c *cluster) kill(p *process) { p.node, p.generation = nil, p.generation+1 }
 
 func (c *cluster) wipe(p *process) {
