--- a/internal/controlplane/chain/agreement_test.go
+++ b/internal/controlplane/chain/agreement_test.go
@@ -131,14 +131,14 @@
 		c := newCluster(t, 11, 3)
 		c.mustServe("founding")
 		chain := c.processes[0].node.View().Chain
-		dead := c.processOf(chain[2])
+		failed := c.processOf(chain[2])
 		survivors := []*process{c.processOf(chain[0]), c.processOf(chain[1])}
 		next := c.processes[0].node.View().Number + 1
-		view := &api.View{Number: next, Members: dead.node.View().Members, Chain: []*api.Member{chain[2], chain[acceptor]}}
+		view := &api.View{Number: next, Members: failed.node.View().Members, Chain: []*api.Member{chain[2], chain[acceptor]}}
 		c.receive(survivors[acceptor], chain[2], &api.ChainMessage{Body: &api.ChainMessage_Accept{Accept: &api.Accept{
 			Ballot: &api.Ballot{Round: 1000, Proposer: MemberKey(chain[2])}, View: view,
 		}}})
-		c.kill(dead)
+		c.kill(failed)
 		for survivors[0].node.View().Number < next && c.now < 2*settleTime+time.Minute {
 			c.runFor(time.Millisecond)
 		}
@@ -177,8 +177,8 @@
 	proposer := c.processes[0]
 	members := proposer.node.View().Members
 	others := withoutMember(members, proposer.node.durable.Self)
-	stranger := &api.Member{Address: "d0", Incarnation: 1 << 63}
-	proposed := c.beginProposal(proposer, append(withoutMember(members, others[0]), stranger))
+	joining := &api.Member{Address: "d0", Incarnation: 1 << 63}
+	proposed := c.beginProposal(proposer, append(withoutMember(members, others[0]), joining))
 	proposed.promises[MemberKey(others[0])] = &api.Promise{Position: proposer.node.durable.lastPosition()} // it is replaced
 	is.True(proposer.node.chooseView() == nil)
 	proposed.promises[MemberKey(others[1])] = &api.Promise{Position: proposer.node.durable.lastPosition()}
@@ -187,7 +187,7 @@
 
 // The head is the member whose log was synchronized in the latest view and, among several such members, is the longest.
 func TestFurthestLogBecomesHead(t *testing.T) {
-	for _, story := range []struct {
+	for _, tc := range []struct {
 		name      string
 		near, far *api.Position
 	}{
@@ -200,7 +200,7 @@
 			near: &api.Position{SyncedView: 7, Sequence: 90}, far: &api.Position{SyncedView: 8, Sequence: 41},
 		},
 	} {
-		t.Run(story.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			for furthest := range 3 {
 				is := is.New(t)
 				c := newCluster(t, 14, 3)
@@ -209,9 +209,9 @@
 				members := proposer.node.View().Members
 				proposed := c.beginProposal(proposer, members)
 				for i, member := range members {
-					position := story.near
+					position := tc.near
 					if i == furthest {
-						position = story.far
+						position = tc.far
 					}
 					proposed.promises[MemberKey(member)] = &api.Promise{Position: position}
 				}
@@ -309,7 +309,7 @@
 // A leaving member stays if it is the only one with an entry, since no member of a chain without it would have the
 // entry.
 func TestLeavingMemberWithTheFurthestLogStays(t *testing.T) {
-	for name, story := range map[string]struct {
+	for name, tc := range map[string]struct {
 		alone bool
 		chain int
 	}{"only it has the entry": {alone: true}, "the others have the entry too": {chain: 2}} {
@@ -324,13 +324,13 @@
 			proposed.change.leaving = leaving
 			for _, member := range members {
 				position := &api.Position{SyncedView: 7, Sequence: 40}
-				if story.alone && sameMember(member, leaving) {
+				if tc.alone && sameMember(member, leaving) {
 					position = &api.Position{SyncedView: 7, Sequence: 41}
 				}
 				proposed.promises[MemberKey(member)] = &api.Promise{Position: position}
 			}
 			view := proposer.node.chooseView()
-			is.Equal(len(view.GetChain()), story.chain)
+			is.Equal(len(view.GetChain()), tc.chain)
 			is.True(!containsMember(view.GetChain(), leaving))
 		})
 	}
--- a/internal/controlplane/chain/catchup_test.go
+++ b/internal/controlplane/chain/catchup_test.go
@@ -16,9 +16,9 @@
 	slowLink = 1_250_000
 	// largeState is the size of a state of 2 MB.
 	largeState = 2 << 20
-	// maxCalmGap is the longest time without an acknowledgement while nothing fails: a view change, including the time
-	// to send a member the few entries that it lacks.
-	maxCalmGap = 300 * time.Millisecond
+	// maxGapWithoutFaults is the longest time without an acknowledgement while nothing fails: a view change, including
+	// the time to send a member the few entries that it lacks.
+	maxGapWithoutFaults = 300 * time.Millisecond
 )
 
 // newLargeCluster creates a cluster with a state of 2 MB and slow links.
@@ -32,10 +32,10 @@
 }
 
 // runUntil advances the simulation until a condition holds, and fails if that takes longer than limit.
-func (c *cluster) runUntil(what string, limit time.Duration, is func() bool) (took time.Duration) {
+func (c *cluster) runUntil(what string, limit time.Duration, condition func() bool) (took time.Duration) {
 	c.t.Helper()
 	began := c.now
-	for !is() {
+	for !condition() {
 		if c.now-began > limit {
 			c.fail("%s: not reached within %v", what, limit)
 		}
@@ -73,7 +73,7 @@
 			c.longestGap, c.lastAcknowledgement = 0, c.now
 			took := c.runUntil("it is back", 5*time.Second, c.inChain(p))
 			t.Logf("%d entries: back after %v, longest time without an acknowledgement %v", away, took, c.longestGap)
-			is.True(c.longestGap < maxCalmGap)
+			is.True(c.longestGap < maxGapWithoutFaults)
 			c.mustServe("it is back")
 		})
 	}
@@ -100,7 +100,7 @@
 			took := c.runUntil("it is back", 8*time.Second, c.inChain(p))
 			t.Logf("back after %v, longest time without an acknowledgement %v", took, c.longestGap)
 			is.True(took > time.Second) // it received a snapshot
-			is.True(c.longestGap < maxCalmGap)
+			is.True(c.longestGap < maxGapWithoutFaults)
 			c.mustServe("it is back")
 		})
 	}
@@ -186,14 +186,14 @@
 	c := newLargeCluster(t, 25, 5)
 	c.mustServe("founding")
 	chain := c.head().node.View().Chain
-	lagging, dying := c.processOf(chain[4]), c.processOf(chain[1])
+	lagging, failing := c.processOf(chain[4]), c.processOf(chain[1])
 	c.kill(lagging)
 	c.runFor(time.Second)
 	c.awaitEntries(50)
 	c.start(lagging, false)
 	c.runUntil("it catches up", time.Second, func() bool { return c.head().node.isCatchingUp() })
 	c.longestGap, c.lastAcknowledgement = 0, c.now
-	c.kill(dying)
+	c.kill(failing)
 	c.runUntil("the failed one is left out", 2*time.Second, func() bool { return len(c.head().node.View().Chain) == 3 })
 	c.runFor(200 * time.Millisecond)
 	t.Logf("longest time without an acknowledgement %v", c.longestGap)
--- a/internal/controlplane/chain/chain_test.go
+++ b/internal/controlplane/chain/chain_test.go
@@ -112,12 +112,12 @@
 
 // A head is replaced if messages pass only from it, or only to it.
 func TestHeadWithOneWayPartitionIsReplaced(t *testing.T) {
-	for _, deaf := range []bool{true, false} {
+	for _, blockIncoming := range []bool{true, false} {
 		c := newCluster(t, 9, 3)
 		c.mustServe("founding")
 		head := c.head()
 		for _, other := range c.processes {
-			if deaf {
+			if blockIncoming {
 				c.partitioned[other.address+">"+head.address] = true
 			} else {
 				c.partitioned[head.address+">"+other.address] = true
@@ -186,26 +186,26 @@
 	is := is.New(t)
 	c := newCluster(t, 6, 3)
 	c.mustServe("founding")
-	lonely := c.processes[0]
-	c.isolate(lonely, true)
+	isolated := c.processes[0]
+	c.isolate(isolated, true)
 	c.mustServe("one is isolated")
-	newcomers := []string{"d0", "d1", "d2"}
-	c.add(newcomers[0], false)
-	c.isolate(lonely, true)
+	replacements := []string{"d0", "d1", "d2"}
+	c.add(replacements[0], false)
+	c.isolate(isolated, true)
 	c.mustServe("a replacement has started")
-	for i, address := range newcomers[1:] {
+	for i, address := range replacements[1:] {
 		c.add(address, false)
-		c.isolate(lonely, true)
+		c.isolate(isolated, true)
 		c.mustServe("a new one has joined")
 		c.kill(c.processes[1+i])
 		c.mustServe("an old one was killed")
 	}
-	c.isolate(lonely, false)
+	c.isolate(isolated, false)
 	c.runFor(settleTime)
-	is.True(!lonely.node.Connected()) // all members that it knows were replaced
-	lonely.node.SetSeeds(newcomers)
+	is.True(!isolated.node.Connected()) // all members that it knows were replaced
+	isolated.node.SetSeeds(replacements)
 	c.mustServe("it has the new members as seeds")
-	is.True(lonely.node.InService())
+	is.True(isolated.node.InService())
 }
 
 // A machine whose disk was lost, and whose seeds name no remaining member, finds the chain through the members that
--- a/internal/controlplane/chain/event_test.go
+++ b/internal/controlplane/chain/event_test.go
@@ -73,26 +73,26 @@
 
 // Each view change is reported with its reason and the member that it concerns, and then with the installed view.
 func TestEventsOfViewChanges(t *testing.T) {
-	for _, story := range viewChanges {
-		t.Run(story.name, func(t *testing.T) {
+	for _, tc := range viewChanges {
+		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			c := newCluster(t, 40, 3)
-			if story.reason != ReasonFounding {
+			if tc.reason != ReasonFounding {
 				c.mustServe("founding")
 				c.events = nil
 			}
-			member := story.change(c)
+			member := tc.change(c)
 			c.runFor(settleTime)
 			view := c.head().node.View()
-			is.True(slices.Contains(c.events, Event(ViewProposed{Number: view.Number, Reason: story.reason, Member: member})))
+			is.True(slices.Contains(c.events, Event(ViewProposed{Number: view.Number, Reason: tc.reason, Member: member})))
 			installed := 0
 			for _, event := range c.events {
 				event, ok := event.(ViewInstalled)
 				if ok && event.Number == view.Number {
 					installed++
 					is.Equal(event.Chain, addressesOf(view.Chain))
-					is.Equal(event.Members, story.members)
-					is.Equal(len(event.Chain), story.chain)
+					is.Equal(event.Members, tc.members)
+					is.Equal(len(event.Chain), tc.chain)
 				}
 			}
 			is.True(installed >= len(view.Chain)) // at each member of the chain
--- a/internal/controlplane/chain/faults_test.go
+++ b/internal/controlplane/chain/faults_test.go
@@ -140,13 +140,13 @@
 }
 
 // await advances the simulation until a condition holds, or for at most limit. It reports whether the condition holds.
-func (c *cluster) await(limit time.Duration, is func() bool) bool {
+func (c *cluster) await(limit time.Duration, condition func() bool) bool {
 	for end := c.now + limit; c.now < end; c.runFor(time.Millisecond) {
-		if is() {
+		if condition() {
 			return true
 		}
 	}
-	return is()
+	return condition()
 }
 
 // minority returns a random set of machines, fewer than half of them.
@@ -534,7 +534,7 @@
 	c.add(fmt.Sprintf("r%d", len(c.processes)), false)
 	c.runFor(settleTime)
 	p.replaced = true
-	c.renewContacts()
+	c.updateSeeds()
 	if back > 0 {
 		c.start(p, false)
 		c.runFor(back)
@@ -543,13 +543,13 @@
 	c.runFor(settleTime)
 }
 
-// renewContacts makes the machines that have not been replaced the seeds of those that start from now on. With a list
+// updateSeeds makes the machines that have not been replaced the seeds of those that start from now on. With a list
 // that names no remaining machine, a starting machine could not find the chain.
-func (c *cluster) renewContacts() {
-	c.contacts = nil
+func (c *cluster) updateSeeds() {
+	c.seeds = nil
 	for _, p := range c.processes {
 		if !p.replaced {
-			c.contacts = append(c.contacts, p.address)
+			c.seeds = append(c.seeds, p.address)
 		}
 	}
 }
--- a/internal/controlplane/chain/history_test.go
+++ b/internal/controlplane/chain/history_test.go
@@ -36,26 +36,26 @@
 // ---- generating ----
 
 const (
-	// drawnFaults is the minimum number of faults in a random history.
-	drawnFaults = 12
+	// minFaults is the minimum number of faults in a random history.
+	minFaults = 12
 	// maxFaultDuration and maxRest bound how long a fault lasts, and the time without faults after it.
 	maxFaultDuration = 1500 * time.Millisecond
 	maxRest          = 600 * time.Millisecond
 )
 
-// drawHistory returns the random history with a number, for 3, 5 or 7 members. Equal numbers give equal histories.
-func drawHistory(number int) history {
+// randomHistory returns the random history with a number, for 3, 5 or 7 members. Equal numbers give equal histories.
+func randomHistory(number int) history {
 	seed := uint64(number) + 100
 	rng := rand.New(rand.NewPCG(seed, 2))
 	h := history{seed: seed, members: 3 + 2*(number%3)}
-	for len(h.faults) < drawnFaults {
-		h.faults = append(h.faults, drawFaults(rng)...)
+	for len(h.faults) < minFaults {
+		h.faults = append(h.faults, randomFaults(rng)...)
 	}
 	return h
 }
 
-// drawFaults returns one random fault, or several that follow each other immediately.
-func drawFaults(rng *rand.Rand) []fault {
+// randomFaults returns one random fault, or several that follow each other immediately.
+func randomFaults(rng *rand.Rand) []fault {
 	span := func(limit time.Duration) time.Duration {
 		return time.Duration(rng.Int64N(int64(limit))).Truncate(time.Millisecond)
 	}
@@ -82,19 +82,19 @@
 			f.back = span(2 * time.Second)
 		}
 	case "views": // further view changes while a view change is in progress
-		var row []fault
+		var cuts []fault
 		for range 4 {
-			row = append(row, fault{kind: "cut", machine: rng.IntN(machines), lasts: span(700 * time.Millisecond)})
+			cuts = append(cuts, fault{kind: "cut", machine: rng.IntN(machines), lasts: span(700 * time.Millisecond)})
 		}
-		row[len(row)-1].rest = f.rest
-		return row
+		cuts[len(cuts)-1].rest = f.rest
+		return cuts
 	}
 	return []fault{f}
 }
 
-// drawTimeouts randomizes timeouts of the members. With short ones they propose at the same time and preempt each
+// randomizeTimeouts randomizes timeouts of the members. With short ones they propose at the same time and preempt each
 // other's ballots.
-func (c *cluster) drawTimeouts() {
+func (c *cluster) randomizeTimeouts() {
 	rng := rand.New(rand.NewPCG(uint64(c.rng.Uint32()), 7))
 	if rng.IntN(2) == 0 {
 		c.cfg.ProposalStagger = time.Duration(rng.IntN(30)) * time.Millisecond
@@ -115,29 +115,29 @@
 // failure is the panic value with which a failed check ends a history.
 type failure struct{ what string }
 
-// play runs a history and returns the failure that it found, or "".
-func (h history) play(t *testing.T) (wrong string) {
+// run runs a history and returns the failure that it found, or "".
+func (h history) run(t *testing.T) (problem string) {
 	t.Helper()
-	wrong, _ = h.playCounted(t)
-	return wrong
+	problem, _ = h.runCounted(t)
+	return problem
 }
 
-// playCounted also returns how often each kind of fault reached the step of the protocol that it targets.
-func (h history) playCounted(t *testing.T) (wrong string, met map[string]int) {
+// runCounted also returns how often each kind of fault reached the step of the protocol that it targets.
+func (h history) runCounted(t *testing.T) (problem string, hits map[string]int) {
 	t.Helper()
 	defer func() {
 		switch f := recover().(type) {
 		case nil:
 		case failure:
-			wrong = f.what
+			problem = f.what
 		default:
 			panic(f)
 		}
 	}()
 	c := newCluster(t, h.seed, h.members)
-	met = c.faultHits
+	hits = c.faultHits
 	c.panicOnFailure = true
-	c.drawTimeouts()
+	c.randomizeTimeouts()
 	c.mustServe("founding")
 	for _, f := range h.faults {
 		faultKinds[f.kind](c, f)
@@ -152,18 +152,18 @@
 			c.fail("%s is not back in the chain", p.address)
 		}
 	}
-	return "", met
+	return "", hits
 }
 
-// maxShrinkPlays bounds how often a history is run to shrink it.
-const maxShrinkPlays = 400
+// maxShrinkRuns bounds how often a history is run to shrink it.
+const maxShrinkRuns = 400
 
 // shrink returns the shortest history found for which fails is still true.
 func (h history) shrink(fails func(history) bool) history {
-	plays := 0
+	runs := 0
 	stillFails := func(shorter history) bool {
-		plays++
-		return plays <= maxShrinkPlays && fails(shorter)
+		runs++
+		return runs <= maxShrinkRuns && fails(shorter)
 	}
 	for again := true; again; {
 		again = false
@@ -198,17 +198,17 @@
 
 // mustPass runs a history. If it fails, the test's output contains the shortest failing history found, in the format of
 // the files in testdata/histories.
-func (h history) mustPass(t *testing.T) (met map[string]int) {
+func (h history) mustPass(t *testing.T) (hits map[string]int) {
 	t.Helper()
-	wrong, met := h.playCounted(t)
-	if wrong == "" {
-		return met
+	problem, hits := h.runCounted(t)
+	if problem == "" {
+		return hits
 	}
 	if os.Getenv("CHAIN_SHRINK") == "0" {
-		t.Fatal(wrong)
+		t.Fatal(problem)
 	}
-	short := h.shrink(func(shorter history) bool { return shorter.play(t) != "" })
-	t.Fatalf("%s\nthe shortest failing history found, with failure %s:\n%s", wrong, short.play(t), short)
+	short := h.shrink(func(shorter history) bool { return shorter.run(t) != "" })
+	t.Fatalf("%s\nthe shortest failing history found, with failure %s:\n%s", problem, short.run(t), short)
 	return nil
 }
 
@@ -288,23 +288,23 @@
 // Random histories contain kills, lost disks, freezes, stalls, one-way and two-way partitions, message loss, and losses
 // of all power. They stay within what fault_tolerance allows: one disk at a time is lost, and its machine gets time to
 // catch up.
-func TestDrawnHistories(t *testing.T) {
+func TestRandomHistories(t *testing.T) {
 	histories := 40
 	if more, err := strconv.Atoi(os.Getenv("CHAIN_HISTORIES")); err == nil {
 		histories = more
 	}
-	met := make(chan map[string]int, histories)
+	hits := make(chan map[string]int, histories)
 	t.Run("all", func(t *testing.T) {
 		for number := range histories {
 			t.Run(strconv.Itoa(number), func(t *testing.T) {
 				t.Parallel()
-				met <- drawHistory(number).mustPass(t)
+				hits <- randomHistory(number).mustPass(t)
 			})
 		}
 	})
-	close(met)
+	close(hits)
 	total := map[string]int{}
-	for counts := range met {
+	for counts := range hits {
 		for what, count := range counts {
 			total[what] += count
 		}
@@ -331,7 +331,7 @@
 			is.NoErr(err)
 			h, err := parseHistory(string(text))
 			is.NoErr(err)
-			is.Equal(h.play(t), "")
+			is.Equal(h.run(t), "")
 		})
 	}
 }
@@ -339,10 +339,10 @@
 func TestHistoryFilesRoundTrip(t *testing.T) {
 	is := is.New(t)
 	for number := range 50 {
-		h := drawHistory(number)
-		again, err := parseHistory(h.String())
+		h := randomHistory(number)
+		parsed, err := parseHistory(h.String())
 		is.NoErr(err)
-		is.Equal(again, h)
+		is.Equal(parsed, h)
 	}
 	for _, text := range []string{"", "members 3\nexplode machine=1", "members 3\nkill machine=x", "members 3\nkill for=1s", "members x"} {
 		_, err := parseHistory(text)
@@ -353,7 +353,7 @@
 func TestHistoryIsDeterministic(t *testing.T) {
 	is := is.New(t)
 	trace := func() []string {
-		h := drawHistory(5)
+		h := randomHistory(5)
 		c := newCluster(t, h.seed, h.members)
 		for _, f := range h.faults {
 			faultKinds[f.kind](c, f)
@@ -366,7 +366,7 @@
 // Shrinking a history keeps only what the failure needs.
 func TestShrinkHistory(t *testing.T) {
 	is := is.New(t)
-	h := drawHistory(3)
+	h := randomHistory(3)
 	h.faults = append(h.faults, fault{kind: "kill", machine: 1, lasts: time.Second, rest: time.Second},
 		fault{kind: "freeze", machine: 2, lasts: 400 * time.Millisecond, rest: time.Second})
 	needed := func(h history) bool {
--- a/internal/controlplane/chain/leave_test.go
+++ b/internal/controlplane/chain/leave_test.go
@@ -28,7 +28,7 @@
 			c.kill(p)
 			c.runFor(time.Second)
 			t.Logf("left after %v, longest time without an acknowledgement %v", took, c.longestGap)
-			is.True(c.longestGap < maxCalmGap)
+			is.True(c.longestGap < maxGapWithoutFaults)
 			is.Equal(len(c.head().node.View().Chain), 2)
 			is.Equal(len(c.head().node.View().Members), 3) // it remains a member, since it may come back
 			c.start(p, false)
--- a/internal/controlplane/chain/linearizable_test.go
+++ b/internal/controlplane/chain/linearizable_test.go
@@ -106,12 +106,12 @@
 	if len(c.clients.reads) == 0 {
 		c.fail("no read was answered")
 	}
-	const patience = 20 * time.Second
-	switch porcupine.CheckOperationsTimeout(registerModel, operations, patience) {
+	const checkTimeout = 20 * time.Second
+	switch porcupine.CheckOperationsTimeout(registerModel, operations, checkTimeout) {
 	case porcupine.Illegal:
 		c.fail("%d operations are not linearizable", len(operations))
 	case porcupine.Unknown:
-		c.fail("%d operations could not be checked for linearizability within %s", len(operations), patience)
+		c.fail("%d operations could not be checked for linearizability within %s", len(operations), checkTimeout)
 	}
 }
 
@@ -124,24 +124,24 @@
 	read := func(call, answered int64, entries int) porcupine.Operation {
 		return porcupine.Operation{Input: operation{read: true}, Call: call * ms, Output: observed{entries}, Return: answered * ms}
 	}
-	for name, of := range map[string]struct {
-		operations []porcupine.Operation
-		right      bool
+	for name, tc := range map[string]struct {
+		operations   []porcupine.Operation
+		linearizable bool
 	}{
-		"in order":                     {[]porcupine.Operation{write(1, 2, 1), read(3, 4, 1), write(5, 6, 2), read(7, 8, 2)}, true},
-		"a read during a write":        {[]porcupine.Operation{write(1, 2, 1), write(3, 9, 2), read(4, 5, 1), read(6, 7, 2)}, true},
-		"a stale read":                 {[]porcupine.Operation{write(1, 2, 1), write(3, 4, 2), read(5, 6, 1)}, false},
-		"a later read sees less":       {[]porcupine.Operation{write(1, 9, 1), read(2, 3, 1), read(4, 5, 0)}, false},
-		"a read of an unagreed write":  {[]porcupine.Operation{write(1, 2, 1), read(3, 4, 2)}, false},
-		"agreed in another order":      {[]porcupine.Operation{write(1, 2, 2), write(3, 4, 1)}, false},
-		"a read before the write":      {[]porcupine.Operation{read(1, 2, 1), write(3, 4, 1)}, false},
+		"in order":                    {[]porcupine.Operation{write(1, 2, 1), read(3, 4, 1), write(5, 6, 2), read(7, 8, 2)}, true},
+		"a read during a write":       {[]porcupine.Operation{write(1, 2, 1), write(3, 9, 2), read(4, 5, 1), read(6, 7, 2)}, true},
+		"a stale read":                {[]porcupine.Operation{write(1, 2, 1), write(3, 4, 2), read(5, 6, 1)}, false},
+		"a later read sees less":      {[]porcupine.Operation{write(1, 9, 1), read(2, 3, 1), read(4, 5, 0)}, false},
+		"a read of an unagreed write": {[]porcupine.Operation{write(1, 2, 1), read(3, 4, 2)}, false},
+		"agreed in another order":     {[]porcupine.Operation{write(1, 2, 2), write(3, 4, 1)}, false},
+		"a read before the write":     {[]porcupine.Operation{read(1, 2, 1), write(3, 4, 1)}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			for i := range of.operations {
-				of.operations[i].ClientId = i
+			for i := range tc.operations {
+				tc.operations[i].ClientId = i
 			}
-			is.Equal(porcupine.CheckOperations(registerModel, of.operations), of.right)
+			is.Equal(porcupine.CheckOperations(registerModel, tc.operations), tc.linearizable)
 		})
 	}
 }
--- a/internal/controlplane/chain/repair_test.go
+++ b/internal/controlplane/chain/repair_test.go
@@ -42,7 +42,7 @@
 		c.kill(p)
 		p.replaced = true
 		c.runFor(backAfter)
-		c.renewContacts()
+		c.updateSeeds()
 		c.add("d0", false)
 		return c.now
 	},
@@ -82,7 +82,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			var repairs, rests []time.Duration
+			var repairs, gaps []time.Duration
 			for seed := range uint64(repairSeeds) {
 				c := newCluster(t, 400+seed, 3)
 				c.mustServe("founding")
@@ -92,14 +92,14 @@
 				c.runUntil("the chain has its full length again", 20*time.Second, c.fullLength)
 				repairs = append(repairs, c.now-from)
 				c.runFor(time.Second)
-				rests = append(rests, c.longestGap)
+				gaps = append(gaps, c.longestGap)
 				c.audit()
 			}
 			slices.Sort(repairs)
-			slices.Sort(rests)
-			half, last := len(repairs)/2, len(repairs)-1
-			t.Logf("| %s | %v | %v | %v | %v |", name, repairs[half].Round(time.Millisecond), repairs[last].Round(time.Millisecond),
-				rests[half].Round(time.Millisecond), rests[last].Round(time.Millisecond))
+			slices.Sort(gaps)
+			median, last := len(repairs)/2, len(repairs)-1
+			t.Logf("| %s | %v | %v | %v | %v |", name, repairs[median].Round(time.Millisecond), repairs[last].Round(time.Millisecond),
+				gaps[median].Round(time.Millisecond), gaps[last].Round(time.Millisecond))
 			is.True(repairs[last] < catchUpTime)
 		})
 	}
@@ -108,15 +108,15 @@
 // The time that a member takes to catch up grows linearly with the size of the state, over 10 Mbit/s and while entries
 // are committed. It makes no jump where the member has missed more entries than the log keeps.
 func TestCatchUpTimes(t *testing.T) {
-	for _, of := range []struct{ entries, state int }{
+	for _, tc := range []struct{ entries, state int }{
 		{1, 0}, {64, 0}, {65, 0}, {1000, 0}, {5000, 0}, {100, 256 << 10}, {100, 1 << 20}, {100, 2 << 20}, {100, 4 << 20},
 	} {
-		t.Run(fmt.Sprintf("%d entries, %d KB", of.entries, of.state>>10), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d entries, %d KB", tc.entries, tc.state>>10), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
 			c := newCluster(t, 500, 3)
 			c.cfg.MaxLogEntries = 64
-			c.linkRate, c.ballast = slowLink, make([]byte, of.state)
+			c.linkRate, c.ballast = slowLink, make([]byte, tc.state)
 			for _, p := range c.processes {
 				p.node.config, p.machine.ballast = c.cfg, c.ballast
 			}
@@ -125,12 +125,12 @@
 			c.kill(p)
 			c.runFor(time.Second)
 			c.proposeInterval = 10 * time.Millisecond
-			c.awaitEntries(of.entries)
+			c.awaitEntries(tc.entries)
 			c.proposeInterval = defaultProposeInterval
 			c.start(p, false)
 			took := c.runUntil("it is back", 20*time.Second, c.inChain(p))
-			t.Logf("| %d | %d KB | %v |", of.entries, of.state>>10, took)
-			transfer := time.Duration(float64(of.state) / slowLink * float64(time.Second))
+			t.Logf("| %d | %d KB | %v |", tc.entries, tc.state>>10, took)
+			transfer := time.Duration(float64(tc.state) / slowLink * float64(time.Second))
 			is.True(took < time.Second+transfer+transfer/4)
 		})
 	}
--- a/internal/controlplane/chain/simulation_test.go
+++ b/internal/controlplane/chain/simulation_test.go
@@ -100,7 +100,7 @@
 	cfg          Config
 	acknowledged []string // in the order of their acknowledgements
 	founders     []string
-	contacts     []string // the seeds of processes that start
+	seeds        []string // of processes that start from now on
 	proposed     int
 	log          []string
 	events       []Event // of all processes, in order
@@ -139,7 +139,7 @@
 	for i := range members {
 		c.founders = append(c.founders, fmt.Sprintf("c%d", i))
 	}
-	c.contacts = c.founders
+	c.seeds = c.founders
 	for _, address := range c.founders {
 		c.add(address, true)
 	}
@@ -147,27 +147,27 @@
 }
 
 // add creates a machine and starts it.
-func (c *cluster) add(address string, first bool) *process {
+func (c *cluster) add(address string, founder bool) *process {
 	p := &process{address: address}
 	c.processes = append(c.processes, p)
-	c.start(p, first)
+	c.start(p, founder)
 	return p
 }
 
-func (c *cluster) start(p *process, first bool) {
+func (c *cluster) start(p *process, founder bool) {
 	p.generation++
 	p.frozen, p.stalled, p.backlog = false, false, nil
 	p.proposals, p.reads = map[uint64]string{}, map[uint64]time.Duration{}
 	if p.disk == nil {
 		p.disk = &DurableState{Self: &api.Member{Address: p.address, Incarnation: FounderIncarnation}}
-		if first {
+		if founder {
 			p.disk.View = FoundingView(c.founders)
 		} else {
 			p.disk.Self.Incarnation = c.rng.Uint64() | 1<<63
 		}
 	}
 	p.machine = &register{ballast: c.ballast}
-	p.node = New(c.cfg, load(p.disk), p.machine, c.contacts, c.now)
+	p.node = New(c.cfg, load(p.disk), p.machine, c.seeds, c.now)
 	generation := p.generation
 	var tick func()
 	tick = func() {
