--- a/internal/controlplane/chain/heartbeat.go
+++ b/internal/controlplane/chain/heartbeat.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// sendMemberHeartbeats sends a heartbeat to all members, and to live peers that are joining or leaving: these need to
-// know the chain's current view and state.
+// sendMemberHeartbeats sends a heartbeat to all members, and to live peers that are joining or leaving: like members,
+// these must be in contact with every member of the chain.
 func (n *Node) sendMemberHeartbeats() {
 	for _, member := range n.otherMembers() {
 		n.send(member, n.heartbeatMessage())
--- a/internal/controlplane/chain/leave.go
+++ b/internal/controlplane/chain/leave.go
@@ -19,8 +19,7 @@
 }
 
 // HasLeft reports whether this process may exit: it is outside the chain, and the chain is in service. Until the new
-// chain is in service, some of its members may not know the view yet, and a process that knows it has to stay to send
-// it.
+// chain is in service, some of its members may not know the view yet, so a process that knows it has to stay.
 func (n *Node) HasLeft() bool {
 	if n.durable.View.Number == 0 {
 		return !n.isMember()
