--- a/internal/controlplane/chain/history_test.go
+++ b/internal/controlplane/chain/history_test.go
@@ -15,48 +15,47 @@
 	"github.com/matryer/is"
 )
 
-// fault is one thing that happens to a cluster. Machines are named by their number among
-// those that have not been replaced, modulo how many there are: so a fault means something
-// whatever came before it.
+// fault is one fault injected into a cluster. Machines are given by their index among those that have not been
+// replaced, modulo their number, so that a fault is valid whatever faults precede it.
 type fault struct {
 	kind    string
 	machine int
 	other   int
 	lasts   time.Duration
-	back    time.Duration // how long a replaced machine is back with its old disk; 0: it stays away
-	rest    time.Duration // how long nothing happens afterwards
+	back    time.Duration // how long a replaced machine is back with its old disk; 0 if it does not come back
+	rest    time.Duration // time without faults afterwards
 }
 
-// history is what befalls a cluster, and the seed of its delays and losses.
+// history is a sequence of faults to inject into a cluster, with the seed of the simulation's delays and losses.
 type history struct {
 	seed    uint64
 	members int
 	faults  []fault
 }
 
-// ---- drawing ----
+// ---- generating ----
 
 const (
-	// drawnFaults is how many faults a drawn history has.
-	drawnFaults = 12
-	// maxFaultDuration and maxRest bound how long one lasts, and the time without faults after it.
+	// minFaults is the minimum number of faults in a random history.
+	minFaults = 12
+	// maxFaultDuration and maxRest bound how long a fault lasts, and the time without faults after it.
 	maxFaultDuration = 1500 * time.Millisecond
 	maxRest          = 600 * time.Millisecond
 )
 
-// drawHistory draws the history of a number, with 3, 5 or 7 members.
-func drawHistory(number int) history {
+// randomHistory returns the random history with a number, for 3, 5 or 7 members. Equal numbers give equal histories.
+func randomHistory(number int) history {
 	seed := uint64(number) + 100
 	rng := rand.New(rand.NewPCG(seed, 2))
 	h := history{seed: seed, members: 3 + 2*(number%3)}
-	for len(h.faults) < drawnFaults {
-		h.faults = append(h.faults, drawFaults(rng)...)
+	for len(h.faults) < minFaults {
+		h.faults = append(h.faults, randomFaults(rng)...)
 	}
 	return h
 }
 
-// drawFaults draws one fault, or some that come in a row.
-func drawFaults(rng *rand.Rand) []fault {
+// randomFaults returns one random fault, or several that follow each other immediately.
+func randomFaults(rng *rand.Rand) []fault {
 	span := func(limit time.Duration) time.Duration {
 		return time.Duration(rng.Int64N(int64(limit))).Truncate(time.Millisecond)
 	}
@@ -82,19 +81,20 @@
 		if rng.IntN(2) == 0 {
 			f.back = span(2 * time.Second)
 		}
-	case "views": // views change while views change
-		var row []fault
+	case "views": // further view changes while a view change is in progress
+		var cuts []fault
 		for range 4 {
-			row = append(row, fault{kind: "cut", machine: rng.IntN(machines), lasts: span(700 * time.Millisecond)})
+			cuts = append(cuts, fault{kind: "cut", machine: rng.IntN(machines), lasts: span(700 * time.Millisecond)})
 		}
-		row[len(row)-1].rest = f.rest
-		return row
+		cuts[len(cuts)-1].rest = f.rest
+		return cuts
 	}
 	return []fault{f}
 }
 
-// drawTimeouts draws how eager the members are: where they propose at once, they preempt each other's ballots.
-func (c *cluster) drawTimeouts() {
+// randomizeTimeouts randomizes timeouts of the members. With short ones they propose at the same time and preempt each
+// other's ballots.
+func (c *cluster) randomizeTimeouts() {
 	rng := rand.New(rand.NewPCG(uint64(c.rng.Uint32()), 7))
 	if rng.IntN(2) == 0 {
 		c.cfg.ProposalStagger = time.Duration(rng.IntN(30)) * time.Millisecond
@@ -110,34 +110,34 @@
 	}
 }
 
-// ---- playing ----
+// ---- running ----
 
-// failure is what a history showed to be wrong.
+// failure is the panic value with which a failed check ends a history.
 type failure struct{ what string }
 
-// play plays a history, and tells what was wrong; empty: nothing.
-func (h history) play(t *testing.T) (wrong string) {
+// run runs a history and returns the failure that it found, or "".
+func (h history) run(t *testing.T) (problem string) {
 	t.Helper()
-	wrong, _ = h.playCounted(t)
-	return wrong
+	problem, _ = h.runCounted(t)
+	return problem
 }
 
-// playCounted tells too how often faults came upon what they are about.
-func (h history) playCounted(t *testing.T) (wrong string, met map[string]int) {
+// runCounted also returns how often each kind of fault reached the step of the protocol that it targets.
+func (h history) runCounted(t *testing.T) (problem string, hits map[string]int) {
 	t.Helper()
 	defer func() {
 		switch f := recover().(type) {
 		case nil:
 		case failure:
-			wrong = f.what
+			problem = f.what
 		default:
 			panic(f)
 		}
 	}()
 	c := newCluster(t, h.seed, h.members)
-	met = c.faultHits
+	hits = c.faultHits
 	c.panicOnFailure = true
-	c.drawTimeouts()
+	c.randomizeTimeouts()
 	c.mustServe("founding")
 	for _, f := range h.faults {
 		faultKinds[f.kind](c, f)
@@ -145,25 +145,25 @@
 		c.runFor(f.rest)
 	}
 	c.heal()
-	c.mustServe("all is healed")
+	c.mustServe("all faults have ended")
 	c.auditLinearizable()
 	for _, p := range c.processes {
 		if !p.replaced && !p.node.InService() {
 			c.fail("%s is not back in the chain", p.address)
 		}
 	}
-	return "", met
+	return "", hits
 }
 
-// maxShrinkPlays bounds how often a history is played to make it short.
-const maxShrinkPlays = 400
+// maxShrinkRuns bounds how often a history is run to shrink it.
+const maxShrinkRuns = 400
 
-// shrink gives the shortest history found for which fails still says that something is wrong.
+// shrink returns the shortest history found for which fails is still true.
 func (h history) shrink(fails func(history) bool) history {
-	plays := 0
+	runs := 0
 	stillFails := func(shorter history) bool {
-		plays++
-		return plays <= maxShrinkPlays && fails(shorter)
+		runs++
+		return runs <= maxShrinkRuns && fails(shorter)
 	}
 	for again := true; again; {
 		again = false
@@ -178,7 +178,7 @@
 	return h.shorten(stillFails)
 }
 
-// shorten removes the times without faults and halves how long faults last, where it still fails.
+// shorten removes the times without faults and halves the durations of faults, as long as the history still fails.
 func (h history) shorten(stillFails func(history) bool) history {
 	for i := range h.faults {
 		for _, change := range []func(f *fault){
@@ -196,25 +196,25 @@
 	return h
 }
 
-// mustPass plays a history. Where something is wrong, it gives the shortest one found that
-// shows it, as the files in testdata/histories have it.
-func (h history) mustPass(t *testing.T) (met map[string]int) {
+// mustPass runs a history. If it fails, the test's output contains the shortest failing history found, in the format of
+// the files in testdata/histories.
+func (h history) mustPass(t *testing.T) (hits map[string]int) {
 	t.Helper()
-	wrong, met := h.playCounted(t)
-	if wrong == "" {
-		return met
+	problem, hits := h.runCounted(t)
+	if problem == "" {
+		return hits
 	}
 	if os.Getenv("CHAIN_SHRINK") == "0" {
-		t.Fatal(wrong)
+		t.Fatal(problem)
 	}
-	short := h.shrink(func(shorter history) bool { return shorter.play(t) != "" })
-	t.Fatalf("%s\nthe shortest history found, in which %s:\n%s", wrong, short.play(t), short)
+	short := h.shrink(func(shorter history) bool { return shorter.run(t) != "" })
+	t.Fatalf("%s\nthe shortest failing history found, with failure %s:\n%s", problem, short.run(t), short)
 	return nil
 }
 
-// ---- as text ----
+// ---- text format ----
 
-// String is a history as a file has it.
+// String returns a history in the format of the files in testdata/histories.
 func (h history) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "seed %d\nmembers %d\n", h.seed, h.members)
@@ -224,7 +224,7 @@
 	return text.String()
 }
 
-// parseHistory reads a file: comments, seed, members, and a line a fault with what it needs.
+// parseHistory parses a history file: comments, seed, members, and one line for each fault with its parameters.
 func parseHistory(text string) (history, error) {
 	var h history
 	lines := bufio.NewScanner(strings.NewReader(text))
@@ -249,7 +249,7 @@
 		}
 	}
 	if h.members < 1 {
-		return h, fmt.Errorf("members is missing")
+		return h, fmt.Errorf("the number of members is missing")
 	}
 	return h, lines.Err()
 }
@@ -257,7 +257,7 @@
 func parseFault(words []string) (fault, error) {
 	f := fault{kind: words[0]}
 	if faultKinds[f.kind] == nil {
-		return f, fmt.Errorf("there is no such fault")
+		return f, fmt.Errorf("unknown kind of fault")
 	}
 	for _, word := range words[1:] {
 		key, value, _ := strings.Cut(word, "=")
@@ -274,7 +274,7 @@
 		case "rest":
 			f.rest, err = time.ParseDuration(value)
 		default:
-			err = fmt.Errorf("%s is not known", key)
+			err = fmt.Errorf("unknown parameter %s", key)
 		}
 		if err != nil {
 			return f, err
@@ -285,43 +285,43 @@
 
 // ---- the tests ----
 
-// Histories are drawn: kills, lost disks, freezes, stalls, partitions in one direction and both, losses
-// of messages, and losses of all power. They stay within what fault_tolerance allows: one disk
-// at a time is lost, and its machine is given time to catch up.
-func TestDrawnHistories(t *testing.T) {
+// Random histories contain kills, lost disks, freezes, stalls, one-way and two-way partitions, message loss, and losses
+// of all power. They stay within what fault_tolerance allows: one disk at a time is lost, and its machine gets time to
+// catch up.
+func TestRandomHistories(t *testing.T) {
 	histories := 40
 	if more, err := strconv.Atoi(os.Getenv("CHAIN_HISTORIES")); err == nil {
 		histories = more
 	}
-	met := make(chan map[string]int, histories)
+	hits := make(chan map[string]int, histories)
 	t.Run("all", func(t *testing.T) {
 		for number := range histories {
 			t.Run(strconv.Itoa(number), func(t *testing.T) {
 				t.Parallel()
-				met <- drawHistory(number).mustPass(t)
+				hits <- randomHistory(number).mustPass(t)
 			})
 		}
 	})
-	close(met)
+	close(hits)
 	total := map[string]int{}
-	for counts := range met {
+	for counts := range hits {
 		for what, count := range counts {
 			total[what] += count
 		}
 	}
-	t.Logf("faults came upon %v", total)
-	for _, what := range []string{"a proposal", "a head that makes logs equal", "a vote", "a vote for a rival", "an entry of an earlier view"} {
+	t.Logf("faults reached %v", total)
+	for _, what := range []string{"a proposal", "a synchronizing head", "a vote", "a vote for a rival", "an entry of an earlier view"} {
 		if total[what] == 0 {
-			t.Errorf("in %d histories no fault came upon %s", histories, what)
+			t.Errorf("in %d histories no fault reached %s", histories, what)
 		}
 	}
 }
 
-// Each file of testdata/histories once showed a fault, of the chain or of a mutant of it.
+// Each file in testdata/histories once revealed a bug in the chain, or in a mutant of it.
 func TestRecordedHistories(t *testing.T) {
 	files, err := filepath.Glob("testdata/histories/*.txt")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no history is there: %v", err)
+		t.Fatalf("no files in testdata/histories: %v", err)
 	}
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
@@ -331,7 +331,7 @@
 			is.NoErr(err)
 			h, err := parseHistory(string(text))
 			is.NoErr(err)
-			is.Equal(h.play(t), "")
+			is.Equal(h.run(t), "")
 		})
 	}
 }
@@ -339,10 +339,10 @@
 func TestHistoryFilesRoundTrip(t *testing.T) {
 	is := is.New(t)
 	for number := range 50 {
-		h := drawHistory(number)
-		again, err := parseHistory(h.String())
+		h := randomHistory(number)
+		parsed, err := parseHistory(h.String())
 		is.NoErr(err)
-		is.Equal(again, h)
+		is.Equal(parsed, h)
 	}
 	for _, text := range []string{"", "members 3\nexplode machine=1", "members 3\nkill machine=x", "members 3\nkill for=1s", "members x"} {
 		_, err := parseHistory(text)
@@ -353,7 +353,7 @@
 func TestHistoryIsDeterministic(t *testing.T) {
 	is := is.New(t)
 	trace := func() []string {
-		h := drawHistory(5)
+		h := randomHistory(5)
 		c := newCluster(t, h.seed, h.members)
 		for _, f := range h.faults {
 			faultKinds[f.kind](c, f)
@@ -363,10 +363,10 @@
 	is.Equal(trace(), trace())
 }
 
-// What shrinks a history leaves what the failure needs, and nothing else.
+// Shrinking a history keeps only what the failure needs.
 func TestShrinkHistory(t *testing.T) {
 	is := is.New(t)
-	h := drawHistory(3)
+	h := randomHistory(3)
 	h.faults = append(h.faults, fault{kind: "kill", machine: 1, lasts: time.Second, rest: time.Second},
 		fault{kind: "freeze", machine: 2, lasts: 400 * time.Millisecond, rest: time.Second})
 	needed := func(h history) bool {
