--- a/internal/controlplane/state/backend.go
+++ b/internal/controlplane/state/backend.go
@@ -16,7 +16,7 @@
 
 func (m *Machine) retire(r *api.RetireBackend) (bool, *result.Error) {
 	if r.Id == "" {
-		return false, result.Errorf(result.InvalidField, "the id of the backend to retire is missing")
+		return false, result.Errorf(result.InvalidField, "a backend's id is needed")
 	}
 	if m.retired[r.Id] {
 		return false, nil
--- a/internal/controlplane/state/configuration.go
+++ b/internal/controlplane/state/configuration.go
@@ -55,7 +55,7 @@
 // rejected.
 func (m *Machine) conflict(base uint64) *result.Error {
 	if base < m.state.ForgottenVersion {
-		return result.Errorf(result.OutcomeUnknown, "built on version %d, and changes accepted up to version %d are no longer remembered",
+		return result.Errorf(result.OutcomeUnknown, "built on version %d; which changes were taken up to version %d is not known any more",
 			base, m.state.ForgottenVersion)
 	}
 	return result.Errorf(result.VersionConflict, "built on version %d, and %d is current", base, m.state.Version)
--- a/internal/controlplane/state/evacuation.go
+++ b/internal/controlplane/state/evacuation.go
@@ -26,7 +26,7 @@
 
 func (m *Machine) evacuate(e *api.SetEvacuation) (bool, *result.Error) {
 	if e.Zone == "" {
-		return false, result.Errorf(result.InvalidField, "the zone of the evacuation is missing")
+		return false, result.Errorf(result.InvalidField, "a zone is needed")
 	}
 	if m.IsEvacuated(e.Zone) == e.Active {
 		return false, nil
@@ -36,7 +36,7 @@
 		return true, nil
 	}
 	if len(m.state.Evacuations) >= maxEvacuations {
-		return false, result.Errorf(result.TooLarge, "%d zones are evacuated already, which is the limit", len(m.state.Evacuations))
+		return false, result.Errorf(result.TooLarge, "%d zones are evacuated", len(m.state.Evacuations))
 	}
 	m.state.Evacuations = append(m.state.Evacuations, &api.Evacuation{Zone: e.Zone})
 	return true, nil
--- a/internal/controlplane/state/lease.go
+++ b/internal/controlplane/state/lease.go
@@ -28,7 +28,7 @@
 // leases; Kleppmann 2016 for fencing tokens).
 func (m *Machine) grant(g *api.GrantOwnership) (bool, *result.Error) {
 	if g.Key == "" || g.Holder == "" {
-		return false, result.Errorf(result.InvalidField, "the key or the holder of the lease is missing")
+		return false, result.Errorf(result.InvalidField, "a key and a holder are needed")
 	}
 	current := m.Lease(g.Key)
 	// The grant is late or a duplicate: it was decided when another grant was current.
@@ -36,7 +36,7 @@
 		if current.GetHolder() == g.Holder {
 			return false, nil
 		}
-		return false, result.Errorf(result.VersionConflict, "the grant of lease %s replaces fencing token %d, and token %d is current",
+		return false, result.Errorf(result.VersionConflict, "the role %s was under token %d, and is under %d",
 			g.Key, g.GetReplacesFencingToken(), current.GetFencingToken())
 	}
 	m.state.LastFencingToken++
--- a/internal/controlplane/state/machine.go
+++ b/internal/controlplane/state/machine.go
@@ -105,5 +105,5 @@
 	case *api.Operation_Grant:
 		return m.grant(kind.Grant)
 	}
-	return false, result.Errorf(result.Malformed, "the kind of the operation is unknown to this version")
+	return false, result.Errorf(result.Malformed, "an operation that is not known here")
 }
