--- a/internal/controlplane/backend_handlers.go
+++ b/internal/controlplane/backend_handlers.go
@@ -14,11 +14,11 @@
 	verbHeartbeat = "heartbeat"
 	verbDetach    = "detach"
 
-	// stateDraining is the state of a backend that takes no more requests.
+	// stateDraining is the state of a backend that accepts no new requests.
 	stateDraining = "draining"
 )
 
-// heartbeat is what a backend says of itself.
+// heartbeat is the body of a backend's heartbeat request.
 type heartbeat struct {
 	Service      string        `json:"service"`
 	Address      string        `json:"address"`
@@ -31,14 +31,14 @@
 	Sequence     uint64        `json:"call_seq"`
 }
 
-// loadedModel is a model in a backend's memory.
+// loadedModel is a model that a backend has loaded into memory.
 type loadedModel struct {
 	Name     string   `json:"name"`
 	Version  uint64   `json:"config_version"`
 	Adapters []string `json:"adapter_list"`
 }
 
-// heartbeatReply names an address for a backend's later heartbeats.
+// heartbeatReply tells a backend which address to send its later heartbeats to.
 type heartbeatReply struct {
 	Address string `json:"beat_address"`
 }
@@ -56,7 +56,7 @@
 	}
 }
 
-// handleHeartbeat handles a backend's heartbeat. One that is draining is retired.
+// handleHeartbeat handles a backend's heartbeat. A backend that reports that it is draining is retired.
 func (s *Service) handleHeartbeat(ctx *fasthttp.RequestCtx, id string) {
 	var received heartbeat
 	if err := json.Unmarshal(ctx.PostBody(), &received); err != nil {
@@ -79,7 +79,7 @@
 	}
 }
 
-// backend is the backend that a heartbeat describes.
+// backend converts a heartbeat to the backend that it describes.
 func (h *heartbeat) backend(id string) *api.Backend {
 	b := &api.Backend{
 		Id: id, Service: h.Service, Address: h.Address, Zone: h.Zone, Software: h.Software, Slots: h.Slots,
@@ -91,7 +91,7 @@
 	return b
 }
 
-// handleRetirement acknowledges a backend's end once that is on more than half of the disks.
+// handleRetirement retires a backend. It acknowledges once the retirement is on the disks of a majority.
 func (s *Service) handleRetirement(ctx *fasthttp.RequestCtx, id string) {
 	respond(ctx, s.CommitOperation(&api.Operation{Kind: &api.Operation_Retire{Retire: &api.RetireBackend{Id: id}}}))
 }
--- a/internal/controlplane/backend_table.go
+++ b/internal/controlplane/backend_table.go
@@ -4,28 +4,28 @@
 
 const (
 	// maxMissedHeartbeats is how many heartbeats in a row a backend may miss before it expires. Raising it keeps
-	// dead backends in the proxies' membership for longer; lowering it drops live ones when datagrams are lost.
+	// failed backends in the proxies' membership for longer; lowering it drops live ones when heartbeats are lost.
 	maxMissedHeartbeats = 3
-	// lostPeerFactor is how many times longer a backend is kept whose heartbeats came by way of a control process
-	// that has timed out itself. Raising it keeps backends for longer that died together with their control
-	// process; lowering it drops live ones before they have turned to another process.
+	// lostPeerFactor multiplies the timeout of a backend whose heartbeats were reported by a control process that has
+	// itself timed out. Raising it keeps backends that failed together with that process for longer; lowering it
+	// drops live backends before they have switched to another control process.
 	lostPeerFactor = 5
 )
 
-// backendTable is when each backend sent its last heartbeat, to this control process or to another one. It does no
-// locking of its own.
+// backendTable records when each backend last sent a heartbeat, to this control process or to another one. The caller
+// must hold the lock.
 type backendTable struct {
-	timeout  time.Duration // without a heartbeat, after which a backend expires
-	lastSeen lastSeenTable // by the backend's id
+	timeout  time.Duration // a backend without a heartbeat for this long expires
+	lastSeen lastSeenTable // by backend id
 }
 
-// newBackendTable makes an empty table for backends that send a heartbeat each interval.
+// newBackendTable makes an empty table for backends that send a heartbeat every interval.
 func newBackendTable(interval time.Duration) *backendTable {
 	return &backendTable{timeout: maxMissedHeartbeats*interval + interval/2, lastSeen: lastSeenTable{}}
 }
 
 // expire removes the backends that have timed out, and returns their ids. peerTimedOut reports whether another control
-// process has timed out: its silence says nothing of the backends that reported to it.
+// process has timed out: its silence doesn't mean that the backends that reported to it have failed.
 func (t *backendTable) expire(now time.Time, peerTimedOut func(address string) bool) map[string]bool {
 	expired := map[string]bool{}
 	for id, seen := range t.lastSeen {
--- a/internal/controlplane/chain_rpc.go
+++ b/internal/controlplane/chain_rpc.go
@@ -27,11 +27,11 @@
 	return &api.Empty{}, nil
 }
 
-// Submit implements api.Control: only the head answers otherwise than unavailable. The request has to say its deadline
-// by the clock of this process, so that one that was delayed on its way is rejected.
+// Submit implements api.Control. Every process but the head answers Unavailable. The request must carry a deadline on
+// this process's clock, so that a request that was delayed in the network is rejected.
 func (s *Service) Submit(ctx context.Context, request *api.SubmitRequest) (*api.SubmitReply, error) {
 	deadline, ok := s.clock.deadline(request.Deadline)
-	reply := &api.SubmitReply{Code: uint32(result.Unavailable), Detail: "until when it may be taken is not said by this process's clock"}
+	reply := &api.SubmitReply{Code: uint32(result.Unavailable), Detail: "the request has no deadline on this process's current clock"}
 	if ok && request.Operation != nil {
 		reply = s.submitHere(ctx, request.Operation, deadline)
 	}
@@ -39,7 +39,8 @@
 	return reply, nil
 }
 
-// submitHere has this process's replica do an operation, if that begins before a deadline on its clock.
+// submitHere submits an operation to this process's replica, which rejects it unless it can propose it before the
+// deadline, a time on its clock.
 func (s *Service) submitHere(ctx context.Context, operation *api.Operation, deadline time.Duration) *api.SubmitReply {
 	reply, answered := await(ctx, func(answer func(*api.SubmitReply)) {
 		s.runner.Submit(operation, deadline, func(code result.Code, detail string) {
@@ -47,12 +48,12 @@
 		})
 	})
 	if !answered {
-		return &api.SubmitReply{Code: uint32(result.OutcomeUnknown), Detail: "no answer in time"}
+		return &api.SubmitReply{Code: uint32(result.OutcomeUnknown), Detail: "the replica did not answer before the call's timeout"}
 	}
 	return reply
 }
 
-// Read implements api.Control: only the tail answers otherwise than unavailable.
+// Read implements api.Control. Every process but the tail answers Unavailable.
 func (s *Service) Read(ctx context.Context, _ *api.ReadRequest) (*api.ReadReply, error) {
 	reply, answered := await(ctx, func(answer func(*api.ReadReply)) {
 		s.runner.ReadAtTail(func(code result.Code, machine *state.Machine) { answer(readReply(code, machine)) })
@@ -63,7 +64,7 @@
 	return reply, nil
 }
 
-// readReply is the answer to a read; machine is nil where the state can't be read.
+// readReply converts the result of a read to a reply. machine is nil if the state can't be read.
 func readReply(code result.Code, machine *state.Machine) *api.ReadReply {
 	reply := &api.ReadReply{Code: uint32(code)}
 	if machine == nil || machine.Document() == nil {
--- a/internal/controlplane/chain_status.go
+++ b/internal/controlplane/chain_status.go
@@ -4,20 +4,20 @@
 	"marlreel/internal/api"
 )
 
-// ChainStatus is the chain as this process's replica knows it. Members go by their addresses.
+// ChainStatus is the state of the chain as known to this process's replica. Members are identified by address.
 type ChainStatus struct {
-	Head, Tail  string // "" is not known
+	Head, Tail  string // "" if not known
 	Members     []string
 	Chain       []string // the members in the chain, the head first
-	Leaving     bool     // this process is shutting down, and asks to be left out of the chain
-	CatchingUp  string   // whom this head brings up to date; "" is nobody
-	Connected   bool     // the replica is in service, and hears a majority
-	View        uint64   // the number of the view; 0: there is none yet
+	Leaving     bool     // this process is shutting down and asks to be removed from the chain
+	CatchingUp  string   // the member that this head is bringing up to date; "" if none
+	Connected   bool     // the replica is in service and receives heartbeats from a majority
+	View        uint64   // the number of the view; 0 if there is none yet
 	Committed   uint64   // the sequence number of the newest committed entry
-	StoreFailed bool     // there is no store that can be written
+	StoreFailed bool     // the store is not open or can't be written
 }
 
-// chainStatusOf is the status by a replica; nil: there is no store.
+// chainStatusOf returns a replica's status. A nil replica means that its store is not open.
 func chainStatusOf(replica *Replica) ChainStatus {
 	if replica == nil {
 		return ChainStatus{StoreFailed: true}
@@ -30,7 +30,7 @@
 	}
 }
 
-// addressesOf returns the addresses of members, in their order; nil where there are none.
+// addressesOf returns the addresses of members in the same order, or nil if there are none.
 func addressesOf(members []*api.Member) []string {
 	var addresses []string
 	for _, member := range members {
--- a/internal/controlplane/chain_view.go
+++ b/internal/controlplane/chain_view.go
@@ -8,21 +8,21 @@
 	"marlreel/internal/distribution/watch"
 )
 
-// chainStatusInterval is how often the chain's status is handed to the feed and to whoever goes by chainView. Raising
-// it has subscribers told as much later that this process is not fresh.
+// chainStatusInterval is how often the chain's status is published to the feed and to chainView. Raising it delays by
+// as much the notice to subscribers that this process's state is no longer fresh.
 const chainStatusInterval = 100 * time.Millisecond
 
-// chainView is the view of the chain as this process last knew it, for goroutines that don't wait for the replica's.
+// chainView caches the view of the chain, for goroutines that must not wait for the replica's goroutine.
 type chainView struct {
-	seeds func() []string // addresses from the settings, where no view is known
+	seeds func() []string // addresses from the settings, used while no view is known
 
 	mu      sync.Mutex
 	members []string
-	head    string // "": this process is not connected
+	head    string // "" while this process is not connected
 	view    uint64
 }
 
-// onChainStatus handles the chain's status.
+// onChainStatus updates the cached view.
 func (v *chainView) onChainStatus(status ChainStatus) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -32,14 +32,15 @@
 	}
 }
 
-// headOf returns the view's number, and whether a process is the head of a chain to which this one is connected.
+// headOf returns the view's number, and whether the process at an address is the head. It is false while this process
+// is not connected to the chain.
 func (v *chainView) headOf(address string) (uint64, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.view, v.head == address
 }
 
-// addresses returns the addresses of the members, or of the seeds where there are none.
+// addresses returns the addresses of the members, or of the seeds if no members are known.
 func (v *chainView) addresses() []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -49,13 +50,13 @@
 	return v.seeds()
 }
 
-// freshnessTracker tells how far this process's state can be relied on by those that watch it.
+// freshnessTracker determines how far subscribers can rely on this process's state.
 type freshnessTracker struct {
-	establishedAfter time.Duration // connected for that long, the process has heard of all that live
-	connectedSince   time.Time     // zero: it is not connected
+	establishedAfter time.Duration // a process connected for this long has received a report of every live backend
+	connectedSince   time.Time     // zero while not connected
 }
 
-// onChainStatus handles the chain's status at a time.
+// onChainStatus returns the source status that follows from the chain's status at time now.
 func (f *freshnessTracker) onChainStatus(status ChainStatus, now time.Time) watch.SourceStatus {
 	switch {
 	case !status.Connected:
@@ -67,7 +68,7 @@
 	return watch.SourceStatus{Fresh: status.Connected, Established: established}
 }
 
-// publishChainStatus hands the chain's status to the view, and what follows from it to the feed, until ctx ends.
+// publishChainStatus regularly updates the view and the feed from the chain's status, until ctx ends.
 func publishChainStatus(ctx context.Context, runner *ReplicaRunner, membership *Membership, feed *watch.Store, view *chainView) {
 	ticker := time.NewTicker(chainStatusInterval)
 	defer ticker.Stop()
--- a/internal/controlplane/configuration_read.go
+++ b/internal/controlplane/configuration_read.go
@@ -8,8 +8,8 @@
 	"marlreel/internal/process/timing"
 )
 
-// Configuration reads the newest configuration, wherever the tail is. Its error is Unavailable: no tail has answered
-// within operationTimeout.
+// Configuration reads the newest configuration from the tail, on whichever process that is. Its error is Unavailable:
+// no tail has answered within operationTimeout.
 func (s *Service) Configuration() (*api.ReadReply, *result.Error) {
 	ctx, cancel := context.WithTimeout(context.Background(), operationTimeout)
 	defer cancel()
@@ -19,10 +19,10 @@
 		}
 		timing.Sleep(ctx, attemptInterval)
 	}
-	return nil, result.Errorf(result.Unavailable, "no tail answers")
+	return nil, result.Errorf(result.Unavailable, "no tail of the chain has answered the read in time")
 }
 
-// readAtTail makes one attempt; nil: it has failed.
+// readAtTail makes one attempt. It returns nil if that fails.
 func (s *Service) readAtTail(ctx context.Context) *api.ReadReply {
 	tail := s.chainStatus(ctx).Tail
 	if tail == "" {
@@ -35,7 +35,7 @@
 	return reply
 }
 
-// readAt reads at the process at an address.
+// readAt reads the state from the process at an address.
 func (s *Service) readAt(ctx context.Context, address string) (*api.ReadReply, error) {
 	if address == s.self {
 		return s.Read(ctx, &api.ReadRequest{})
--- a/internal/controlplane/fragment_sending.go
+++ b/internal/controlplane/fragment_sending.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// maxFragmentBytes is the size of a fragment of a large message. On 10 Mbit/s it takes 26 ms, for which the small
-	// messages to the same peer wait; lowering it costs more calls for a snapshot.
+	// maxFragmentBytes is the size of a fragment of a large message. Sending one over a 10 Mbit/s link takes 26 ms, and
+	// delays small messages to the same peer by that; lowering it costs more calls for a snapshot.
 	maxFragmentBytes = 32 << 10
-	// fragmentTimeout is how long a fragment that does not arrive is sent again. Raising it holds up the large messages
-	// behind it.
+	// fragmentTimeout is how long a fragment is retried before its message is given up. Raising it delays the large
+	// messages queued behind it.
 	fragmentTimeout = 3 * time.Second
-	// fragmentRetryInterval is between two attempts.
+	// fragmentRetryInterval is the pause between two attempts.
 	fragmentRetryInterval = 50 * time.Millisecond
 )
 
@@ -27,11 +27,11 @@
 	incarnation  uint64 // of the sender
 	id           uint64
 	data         []byte
-	sent         int       // bytes that have arrived
-	failingSince time.Time // zero: the last fragment has arrived
+	sent         int       // bytes that the receiver has acknowledged
+	failingSince time.Time // zero if the last attempt succeeded
 }
 
-// split prepares a message; nil for none.
+// split prepares a message to be sent in fragments. It returns nil for a nil message.
 func (p *PeerSender) split(message *api.ChainMessage) *fragmentedMessage {
 	if message == nil {
 		return nil
@@ -43,7 +43,7 @@
 	return &fragmentedMessage{incarnation: p.incarnation, id: rand.Uint64(), data: data}
 }
 
-// next returns the fragment to be sent.
+// next returns the next fragment to send.
 func (m *fragmentedMessage) next() *api.Fragment {
 	end := min(len(m.data), m.sent+maxFragmentBytes)
 	return &api.Fragment{
@@ -52,11 +52,11 @@
 	}
 }
 
-// isFailing reports whether the last fragment has not arrived.
+// isFailing reports whether the last attempt to send a fragment failed.
 func (m *fragmentedMessage) isFailing() bool { return !m.failingSince.IsZero() }
 
-// onSent handles how sending the fragment went. It returns true where the message is over: all of it has arrived, or it
-// is given up and the chain sends it anew.
+// onSent handles the result of sending a fragment. It returns true if the message is done: all of it was acknowledged,
+// or it is given up, and the chain will send it again.
 func (m *fragmentedMessage) onSent(err error) bool {
 	if err == nil {
 		m.sent += len(m.next().Data)
@@ -72,7 +72,7 @@
 	return time.Since(m.failingSince) > fragmentTimeout
 }
 
-// isRejection reports whether the receiver has rejected a fragment, which it does again however often it is sent.
+// isRejection reports whether the receiver has rejected a fragment, so that sending it again is pointless.
 func isRejection(err error) bool {
 	var reply twirp.Error
 	if !errors.As(err, &reply) {
--- a/internal/controlplane/heartbeat_datagrams.go
+++ b/internal/controlplane/heartbeat_datagrams.go
@@ -13,7 +13,7 @@
 // maxDatagramBytes bounds a datagram, so that it fits into one packet.
 const maxDatagramBytes = 1200
 
-// sendDatagram sends a message in one packet. It returns false where the message has to go by a call.
+// sendDatagram sends a message in one packet. It returns false if the message has to be sent by a call instead.
 func (p *PeerSender) sendDatagram(message *api.ChainMessage) bool {
 	if p.socket == nil {
 		return false
@@ -47,7 +47,7 @@
 	}
 }
 
-// parseHeartbeat reads a datagram; nil: it holds no heartbeat.
+// parseHeartbeat decodes a datagram. It returns nil if that holds no heartbeat.
 func parseHeartbeat(datagram []byte) *api.ChainMessage {
 	message := new(api.ChainMessage)
 	err := proto.Unmarshal(datagram, message)
--- a/internal/controlplane/lease_granter.go
+++ b/internal/controlplane/lease_granter.go
@@ -14,17 +14,17 @@
 	"marlreel/internal/quota/shard"
 )
 
-// grantInterval is how often the head looks whether leases need another holder. Raising it leaves the duties of lost
-// holders undone for longer; lowering it costs a look through the services each time.
+// grantInterval is how often the head checks whether leases need a new holder. Raising it leaves the work of failed
+// holders undone for longer; each check costs a pass over the services.
 const grantInterval = 150 * time.Millisecond
 
-// leaseGranter has leases granted while this process is the head of the chain: it tells the lease manager of views,
-// and submits the grants that are due in the view in which they were decided.
+// leaseGranter grants leases while this process is the head of the chain: it informs the lease manager of view changes,
+// and submits the grants that are due, each only in the view in which it was decided.
 type leaseGranter struct {
 	manager *lease.Manager
 	feed    *watch.Store
 	headOf  func() (view uint64, isHead bool)
-	submit  func(grant *api.Operation, view uint64) // has a grant committed, in that view and no other
+	submit  func(grant *api.Operation, view uint64) // commits a grant, in that view only
 }
 
 func newLeaseGranter(bounds bootstrap.Bounds, feed *watch.Store, headOf func() (uint64, bool), submit func(*api.Operation, uint64),
@@ -48,8 +48,8 @@
 	}
 }
 
-// submitDueGrants submits the grants that are due at this moment, where this process is the head. They hold in the
-// view that it is the head of: in a later one another head may have answered renewals that this one knows nothing of.
+// submitDueGrants submits the grants that are due now, if this process is the head. They are valid only in the current
+// view: in a later one, another head may have answered renewals that this process doesn't know of.
 func (g *leaseGranter) submitDueGrants() {
 	view, isHead := g.headOf()
 	g.manager.OnView(view, isHead)
@@ -65,8 +65,8 @@
 	}
 }
 
-// leaseRecords returns the leases that the configuration calls for: one for each service whose models are placed, and one
-// for each shard of tenants where a tenant has a quota.
+// leaseRecords returns the leases that the configuration calls for: one for each service whose models are placed and, if
+// any tenant has a quota, one for each shard of tenants.
 func (g *leaseGranter) leaseRecords() []lease.Record {
 	var records []lease.Record
 	g.feed.ReadState(func(machine *state.Machine) {
@@ -94,7 +94,7 @@
 	return slices.ContainsFunc(document.Subscribers, func(s configuration.Subscriber) bool { return s.Limited() })
 }
 
-// placementLease is the key of the lease to place a service's models; "" where it has none to place.
+// placementLease returns the key of the lease to place a service's models, or "" if it has none to place.
 func placementLease(service *configuration.Service) string {
 	if service.Engine == nil {
 		return ""
--- a/internal/controlplane/lease_rpc.go
+++ b/internal/controlplane/lease_rpc.go
@@ -10,7 +10,7 @@
 	"marlreel/internal/process/logevent"
 )
 
-// forwardTimeout bounds a call that is forwarded: its caller waits for no longer.
+// forwardTimeout bounds a forwarded call: the original caller waits no longer than that.
 const forwardTimeout = 600 * time.Millisecond
 
 // Lease implements api.Control: a holder renews or releases its leases. The head answers; others forward the request.
@@ -28,7 +28,7 @@
 	return reply, nil
 }
 
-// leaseReply renews or releases leases by the state as the head has it; nil: it can't be read.
+// leaseReply renews or releases leases, based on the head's state. machine is nil if the state can't be read.
 func (s *Service) leaseReply(request *api.LeaseRequest, code result.Code, machine *state.Machine) *api.LeaseReply {
 	reply := &api.LeaseReply{Code: uint32(code)}
 	if machine == nil {
@@ -39,7 +39,7 @@
 	return reply
 }
 
-// forwardLease forwards a request once: two processes may each take the other one for the head.
+// forwardLease forwards a request to the head, but only once: two processes may each consider the other the head.
 func (s *Service) forwardLease(ctx context.Context, head string, request *api.LeaseRequest) (*api.LeaseReply, error) {
 	if request.Forwarded {
 		return &api.LeaseReply{Code: uint32(result.Unavailable)}, nil
@@ -50,8 +50,8 @@
 	return api.NewControlProtobufClient("http://"+head, s.client).Lease(ctx, forwarded)
 }
 
-// submitGrant has a grant committed, if this process is the head of the view in which that was decided. Nobody else
-// may: a later head may have renewed the lease of the holder before.
+// submitGrant submits a grant, which is committed only if this process is still the head of the view in which it was
+// decided: a later head may have renewed the lease of the previous holder.
 func (s *Service) submitGrant(grant *api.Operation, view uint64) {
 	deadline := s.clock.at(time.Now().Add(operationTimeout))
 	s.runner.SubmitInView(grant, view, deadline, func(code result.Code, detail string) {
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -10,14 +10,14 @@
 	"marlreel/internal/process/transport"
 )
 
-// expiryInterval is how often timeouts are looked at and links are made. Raising it drops who has timed out up to as
-// much later; lowering it costs time under the lock.
+// expiryInterval is how often timeouts are checked and links are updated. Raising it delays the removal of members that
+// have timed out by up to that; lowering it costs time under the lock.
 const expiryInterval = 250 * time.Millisecond
 
-// Membership is who is there: the backends and the nodes that call this control process or another one, the other
-// control processes, and the nodes that watch the state here. It passes what it hears to the other control processes
-// over a link to each, and to the local feed. The tables are in files of their own; one mutex guards them all, and the
-// state of the links, and is never held while the network is used.
+// Membership tracks the live members of the system: the backends and nodes that call this control process or another
+// one, the other control processes, and the nodes that watch the state here. It passes what this process receives to
+// the other control processes, over a link to each, and to the local feed. One mutex guards all tables and the state of
+// the links; it is never held during network calls.
 type Membership struct {
 	self   *api.ControlNode
 	feed   *watch.Store
@@ -31,8 +31,8 @@
 	links       *peerLinks
 }
 
-// NewMembership makes a membership in which only self, this process, is known. heartbeatInterval is how often
-// backends send their heartbeats.
+// NewMembership makes a membership that initially knows only this process, self. heartbeatInterval is how often
+// backends send heartbeats.
 func NewMembership(self *api.ControlNode, feed *watch.Store, heartbeatInterval time.Duration, client *transport.Client) *Membership {
 	return &Membership{
 		self: self, feed: feed, client: client, backends: newBackendTable(heartbeatInterval), nodes: newNodeTable(),
@@ -40,10 +40,10 @@
 	}
 }
 
-// BackendTimeout is how long a backend counts without a heartbeat.
+// BackendTimeout is how long a backend without a heartbeat remains a member.
 func (m *Membership) BackendTimeout() time.Duration { return m.backends.timeout }
 
-// OnHeartbeat handles the heartbeat of a backend. The other control processes are told at once of what is new in it.
+// OnHeartbeat handles a backend's heartbeat. Changes in it are reported to the other control processes at once.
 func (m *Membership) OnHeartbeat(b *api.Backend) {
 	m.mu.Lock()
 	m.backends.lastSeen.onContact(time.Now(), b.Id)
@@ -53,8 +53,7 @@
 	}
 }
 
-// OnNodeCall handles the call by which a node says that it lives. The other control processes are told at once of a
-// node that is new.
+// OnNodeCall handles a node's keepalive call. A new node is reported to the other control processes at once.
 func (m *Membership) OnNodeCall(n *api.Node) {
 	m.mu.Lock()
 	known := m.nodes.onCall(time.Now(), n.Name)
@@ -79,7 +78,7 @@
 	return m.subscribers.names()
 }
 
-// OnObservations handles what an agent observed of backends; the other control processes are told at once.
+// OnObservations handles an agent's observations of backends, and reports them to the other control processes at once.
 func (m *Membership) OnObservations(observations []*api.Observation) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -89,15 +88,15 @@
 	}
 }
 
-// ControlNodes returns where the members of a view are, in their order.
+// ControlNodes returns the addresses and zones of the members of a view, in the same order.
 func (m *Membership) ControlNodes(members []string) []*api.ControlNode {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.peers.controlNodes(m.self, members)
 }
 
-// peerInZone returns the public address of another control process in a zone, where this one is not in that zone
-// itself; "" is none.
+// peerInZone returns the public address of another control process in a zone. It returns "" if there is none, or if
+// this process is in that zone itself.
 func (m *Membership) peerInZone(zone string) string {
 	if zone == m.self.Zone {
 		return ""
@@ -107,8 +106,8 @@
 	return m.peers.inZone(time.Now(), zone)
 }
 
-// Run keeps a link to each other member and expires who has timed out, until ctx ends. members returns the addresses of
-// all control processes that count.
+// Run keeps a link to each other member and expires members that have timed out, until ctx ends. members returns the
+// addresses of the control processes to link to.
 func (m *Membership) Run(ctx context.Context, members func() []string) {
 	ticker := time.NewTicker(expiryInterval)
 	defer ticker.Stop()
@@ -123,24 +122,24 @@
 	}
 }
 
-// Wait waits for the links' goroutines, after Run has returned: up to updateTimeout, where a call is pending.
+// Wait waits for the links' goroutines, after Run has returned. That takes up to updateTimeout if a call is pending.
 func (m *Membership) Wait() { m.links.running.Wait() }
 
-// updateLinks makes and ends links until there is one to each other member.
+// updateLinks starts and stops links so that there is exactly one to each other member.
 func (m *Membership) updateLinks(ctx context.Context, members []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.links.update(ctx, m, members)
 }
 
-// wakeLinks has the other control processes told of what is new.
+// wakeLinks has the links send changes to the other control processes.
 func (m *Membership) wakeLinks() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.links.wake()
 }
 
-// expire removes who has timed out, here and from the feed.
+// expire removes members that have timed out, here and from the feed.
 func (m *Membership) expire() {
 	now := time.Now()
 	m.mu.Lock()
--- a/internal/controlplane/membership_rpc.go
+++ b/internal/controlplane/membership_rpc.go
@@ -9,10 +9,10 @@
 	"marlreel/internal/api"
 )
 
-// maxWatchWait bounds how long a watch without an update is kept waiting.
+// maxWatchWait bounds how long a watch waits for an update.
 const maxWatchWait = 10 * time.Second
 
-// Share implements api.Control: another control process tells what it has heard.
+// Share implements api.Control: it receives a membership update from another control process.
 func (s *Service) Share(_ context.Context, update *api.MembershipUpdate) (*api.Empty, error) {
 	if !s.membership.OnPeerUpdate(update) {
 		return nil, twirp.NewError(twirp.FailedPrecondition, "a backend that lives is not known here: all is needed")
@@ -20,7 +20,7 @@
 	return &api.Empty{}, nil
 }
 
-// Watch implements api.Control: a node asks for what is new in the state.
+// Watch implements api.Control: it answers a node with the changes of the state since the node's position.
 func (s *Service) Watch(ctx context.Context, request *api.WatchRequest) (*api.WatchReply, error) {
 	if request.Subscriber != "" {
 		s.membership.OnWatch(request.Subscriber)
@@ -33,7 +33,7 @@
 	return reply, nil
 }
 
-// Renew implements api.Control: a node says that it lives.
+// Renew implements api.Control: it receives a node's keepalive.
 func (s *Service) Renew(_ context.Context, request *api.RenewRequest) (*api.RenewReply, error) {
 	if request.Node.GetName() == "" {
 		return nil, twirp.RequiredArgumentError("node")
@@ -43,7 +43,7 @@
 	return &api.RenewReply{Sequence: sequence}, nil
 }
 
-// Observe implements api.Control: an agent tells what it observed of backends.
+// Observe implements api.Control: it receives an agent's observations of backends.
 func (s *Service) Observe(_ context.Context, observed *api.Observations) (*api.Empty, error) {
 	s.membership.OnObservations(observed.Observations)
 	return &api.Empty{}, nil
--- a/internal/controlplane/metrics.go
+++ b/internal/controlplane/metrics.go
@@ -27,7 +27,7 @@
 	return set
 }
 
-// countOperation counts an operation that was answered, by its result.
+// countOperation counts a completed operation by its result.
 func (s *Service) countOperation(outcome *result.Error) {
 	set := s.counters.Load()
 	if set == nil {
@@ -37,8 +37,8 @@
 	set.GetOrCreateCounter(name).Inc()
 }
 
-// writeChainMetrics writes the metrics of the chain: those of a chain that nothing is known of where its status is not
-// known in time.
+// writeChainMetrics writes the metrics of the chain. They are those of the zero ChainStatus if the status is not
+// available in time.
 func (s *Service) writeChainMetrics(w io.Writer) {
 	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
--- a/internal/controlplane/node_table.go
+++ b/internal/controlplane/node_table.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// nodeTimeout is how long a node counts without a call. Raising it keeps dead nodes among the candidates for a lease
-// for longer; lowering it drops live ones that are slow to call.
+// nodeTimeout is how long a node without a call remains a member. Raising it keeps failed nodes among the candidates for
+// a lease for longer; lowering it drops live ones that are slow to call.
 const nodeTimeout = 4 * time.Second
 
-// nodeTable is when each node, a machine that carries traffic, called last, this control process or another one. It
-// does no locking of its own.
+// nodeTable records when each node, a machine that carries traffic, last called this control process or another one.
+// The caller must hold the lock.
 type nodeTable struct {
-	lastSeen lastSeenTable // by the node's name
+	lastSeen lastSeenTable // by node name
 }
 
 func newNodeTable() *nodeTable { return &nodeTable{lastSeen: lastSeenTable{}} }
--- a/internal/controlplane/operations.go
+++ b/internal/controlplane/operations.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// operationTimeout is for how long an operation is attempted before it is answered. Callers turn to another process after
-	// a second; lowering it answers more operations with unavailable while a new view is agreed on.
+	// operationTimeout is how long an operation is attempted before it is answered. It has to be below a second, after
+	// which callers switch to another process; lowering it answers more operations with Unavailable during a view change.
 	operationTimeout = 850 * time.Millisecond
 	// attemptInterval is the pause between two attempts.
 	attemptInterval = 40 * time.Millisecond
 )
 
-// CommitOperation has an operation done, wherever the head is, and attempts that again while there is time: operations
-// are idempotent. It goes on though its caller leaves, as the operation may be on its way.
+// CommitOperation submits an operation to the head, on whichever process that is, and retries until operationTimeout:
+// operations are idempotent. It continues after its caller has disconnected, as the operation may already be in flight.
 func (s *Service) CommitOperation(operation *api.Operation) *result.Error {
 	ctx, cancel := context.WithTimeout(context.Background(), operationTimeout)
 	defer cancel()
@@ -34,27 +34,27 @@
 	return attempts.outcome
 }
 
-// operationAttempts follows the attempts at one operation.
+// operationAttempts tracks the attempts at one operation.
 type operationAttempts struct {
-	outcome *result.Error // as far as it is known
+	outcome *result.Error // the best known so far
 }
 
 func newOperationAttempts() *operationAttempts {
-	return &operationAttempts{result.Errorf(result.Unavailable, "no head is known")}
+	return &operationAttempts{result.Errorf(result.Unavailable, "the head of the chain is not known")}
 }
 
-// onReply handles the answer to an attempt. It returns whether that is the outcome of the operation.
+// onReply handles the reply to an attempt. It reports whether that is the final outcome of the operation.
 func (a *operationAttempts) onReply(reply *api.SubmitReply) bool {
 	code := result.Code(reply.Code)
 	final := code != result.Unavailable && code != result.OutcomeUnknown
-	// What may have been done stays unclear, whatever later attempts say.
+	// Once an attempt may have committed, the outcome stays unknown until a later attempt is final.
 	if final || code == result.OutcomeUnknown || a.outcome.Code != result.OutcomeUnknown {
 		a.outcome = &result.Error{Code: code, Detail: reply.Detail}
 	}
 	return final
 }
 
-// submitAt has an operation done by the head, if it gets there before ctx ends.
+// submitAt submits an operation to the head, with the deadline of ctx.
 func (s *Service) submitAt(ctx context.Context, head string, operation *api.Operation) *api.SubmitReply {
 	deadline, _ := ctx.Deadline()
 	if head == s.self {
@@ -65,16 +65,16 @@
 		headDeadline = s.requestClock(ctx, head, deadline)
 	}
 	if headDeadline == nil {
-		return &api.SubmitReply{Code: uint32(result.Unavailable), Detail: "the head can't be reached"}
+		return &api.SubmitReply{Code: uint32(result.Unavailable), Detail: "the head did not answer the request for its clock"}
 	}
 	reply, err := s.submitTo(ctx, head, &api.SubmitRequest{Operation: operation, Deadline: headDeadline})
 	if err != nil {
-		return &api.SubmitReply{Code: uint32(result.OutcomeUnknown), Detail: "the head can't be reached"}
+		return &api.SubmitReply{Code: uint32(result.OutcomeUnknown), Detail: "the call to the head failed"}
 	}
 	return reply
 }
 
-// requestClock requests the head's clock, and returns the deadline by it; nil: the head does not answer.
+// requestClock requests the head's clock, and returns the deadline on it, or nil if the head does not answer.
 func (s *Service) requestClock(ctx context.Context, head string, deadline time.Time) *api.Instant {
 	if _, err := s.submitTo(ctx, head, &api.SubmitRequest{}); err != nil {
 		return nil
--- a/internal/controlplane/operator_handlers.go
+++ b/internal/controlplane/operator_handlers.go
@@ -13,7 +13,7 @@
 	"marlreel/internal/sockets"
 )
 
-// The paths of control's interface for operators and backends.
+// The paths of the HTTP interface for operators and backends.
 const (
 	pathReplace    = "/marlreel/config/replace"
 	pathModify     = "/marlreel/config/modify"
@@ -33,7 +33,7 @@
 
 const contentTypeJSON = "application/json"
 
-// failureReply is the body of an answer that is no success.
+// failureReply is the body of an error response.
 type failureReply struct {
 	Code   result.Code `json:"code"`
 	Result string      `json:"result"`
@@ -109,11 +109,12 @@
 	reject(ctx, result.Errorf(result.UnknownPath, "%s %s", ctx.Method(), path))
 }
 
-// handleChange handles a configuration, or a change of one, as which the body goes into an operation.
+// handleChange commits a new configuration, or a change of the current one. operation makes the operation from the
+// request's body and the version that it is based on.
 func (s *Service) handleChange(ctx *fasthttp.RequestCtx, operation func(base uint64, body []byte) *api.Operation) {
 	base, err := strconv.ParseUint(string(ctx.Request.Header.Peek(headerBase)), 10, 64)
 	if err != nil {
-		reject(ctx, result.Errorf(result.InvalidField, "%s: a version is needed", headerBase))
+		reject(ctx, result.Errorf(result.InvalidField, "%s: the header must be a configuration version (an unsigned integer)", headerBase))
 		return
 	}
 	if !callerConnected(ctx) {
@@ -140,8 +141,8 @@
 	}
 }
 
-// callerConnected reports whether the caller of an operation still waits for its answer. A process that stood still, or was
-// cut off, finds requests whose callers have turned to another process long since, and gone on.
+// callerConnected reports whether the caller of an operation is still connected. A process that was suspended, or cut
+// off from the network, finds requests whose callers have long since switched to another process and moved on.
 func callerConnected(ctx *fasthttp.RequestCtx) bool {
 	conn := ctx.Conn()
 	return conn == nil || sockets.PeerConnected(conn)
--- a/internal/controlplane/peer_clocks.go
+++ b/internal/controlplane/peer_clocks.go
@@ -7,24 +7,24 @@
 	"marlreel/internal/api"
 )
 
-// maxPeerClocks bounds the processes whose clocks are kept; beyond it all are forgotten, and read anew when they are
-// needed.
+// maxPeerClocks bounds the processes whose clock readings are kept. Beyond it all readings are dropped, and requested
+// again when they are needed.
 const maxPeerClocks = 64
 
-// peerClocks are the monotonic clocks of other processes, as they have told them. A deadline on the receiver's own
-// clock holds however long the call is delayed on its way. Its zero value is ready for use.
+// peerClocks holds readings of the monotonic clocks of other processes. They make it possible to send a deadline on the
+// receiver's own clock, which holds however long the call is delayed in the network. Its zero value is ready for use.
 type peerClocks struct {
 	mu       sync.Mutex
 	readings map[string]clockReading // by the peer's address
 }
 
-// clockReading is what a process has told of its clock.
+// clockReading is a reading of a process's clock.
 type clockReading struct {
 	instant    *api.Instant
-	receivedAt time.Time // the clock showed more by then
+	receivedAt time.Time // when the reply arrived; the peer's clock was already ahead of instant
 }
 
-// onClockReading handles what a process says of its clock, in an answer that was received at a time; nil: nothing.
+// onClockReading stores the clock reading of a reply that was received at receivedAt. instant is nil if it had none.
 func (c *peerClocks) onClockReading(address string, instant *api.Instant, receivedAt time.Time) {
 	if instant == nil {
 		return
@@ -37,7 +37,7 @@
 	c.readings[address] = clockReading{instant, receivedAt}
 }
 
-// instantAt returns what a process's clock shows at a time, or a little less; nil: its clock is not known.
+// instantAt returns what a process's clock shows at a time, or a little less. It returns nil if its clock is not known.
 func (c *peerClocks) instantAt(address string, t time.Time) *api.Instant {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controlplane/peer_link.go
+++ b/internal/controlplane/peer_link.go
@@ -12,35 +12,35 @@
 )
 
 const (
-	// fullUpdateInterval is how often a control process tells another one who lives, where nothing has changed. It
-	// has to be well below peerTimeout and the backends' timeout; lowering it costs a message a peer and interval
-	// with an entry for each backend.
+	// fullUpdateInterval is how often a control process sends a full update of all live members to each peer, even if
+	// nothing has changed. It has to be well below peerTimeout and the backends' timeout; each full update costs a
+	// message to each peer with an entry for each backend.
 	fullUpdateInterval = time.Second
-	// updateDelay is how long a change waits for more changes. Raising it makes fewer and larger updates; proxies
-	// hear of backends as much later.
+	// updateDelay is how long a change waits for more changes. Raising it makes fewer and larger updates, and delays
+	// changes of backends on their way to the proxies by as much.
 	updateDelay = 10 * time.Millisecond
 	// updateTimeout bounds the call of an update. Raising it delays the next update to a peer that does not answer;
 	// lowering it fails updates over slow links.
 	updateTimeout = 400 * time.Millisecond
-	// maxHints bounds the backends of which the observations are kept for a peer that can't be reached.
+	// maxHints bounds the backends whose observations are kept for a peer that can't be reached.
 	maxHints = 4096
-	// hintTTL is how long these are kept: a backend's own heartbeats say the same by then.
+	// hintTTL is how long an observation is kept for such a peer. By then, the backend's own heartbeats report the same.
 	hintTTL = 5 * time.Second
 )
 
-// peerLink sends one other control process what this one has heard. What that one misses while it can't be reached
-// is handed over when it answers again: backends and nodes by the revision up to which it was told, observations as
-// hints.
+// peerLink sends membership updates from this process to one peer. What the peer misses while it can't be reached is
+// sent when it answers again: backends and nodes from the last revision that it received, observations by hinted
+// handoff.
 type peerLink struct {
 	membership *Membership
 	address    string
 	cancel     context.CancelFunc
-	changes    chan struct{} // has a token where there is something new
+	changes    chan struct{} // has a token while there are unsent changes
 	startedAt  time.Time
 
 	// Guarded by the membership's mutex.
-	sentRevision uint64 // the feed's revision up to which the peer was told
-	synced       bool   // the peer has been told all up to that
+	sentRevision uint64 // the feed's revision of the last update that the peer accepted
+	synced       bool   // the peer has everything up to sentRevision
 	observations *hintedhandoff.Table[*api.Observation]
 }
 
@@ -51,10 +51,10 @@
 	}
 }
 
-// now is the time on the link's own clock, by which its hints expire.
+// now is the time since the link was started. Its hints expire on this clock.
 func (l *peerLink) now() time.Duration { return time.Since(l.startedAt) }
 
-// wake has the link send an update soon.
+// wake makes the link send an update soon.
 func (l *peerLink) wake() {
 	select {
 	case l.changes <- struct{}{}:
@@ -62,7 +62,7 @@
 	}
 }
 
-// run sends an update soon after each change and a full one each interval, until ctx ends.
+// run sends an update soon after each change and a full one every fullUpdateInterval, until ctx ends.
 func (l *peerLink) run(ctx context.Context) {
 	ticker := time.NewTicker(fullUpdateInterval)
 	defer ticker.Stop()
@@ -83,7 +83,7 @@
 	}
 }
 
-// sendUpdate makes one call.
+// sendUpdate sends one update to the peer. After a failure, the next update includes the same changes.
 func (l *peerLink) sendUpdate(ctx context.Context, full bool) {
 	update, revision, hints := l.membership.updateFor(l, full)
 	ctx, cancel := context.WithTimeout(ctx, updateTimeout)
@@ -92,7 +92,7 @@
 	l.membership.mu.Lock()
 	defer l.membership.mu.Unlock()
 	if err != nil {
-		// A peer that does not know what it was told of has started anew, and needs everything.
+		// A peer that doesn't know backends that it was sent before has been restarted, and needs everything.
 		if isFailedPrecondition(err) {
 			l.synced = false
 		}
@@ -102,7 +102,7 @@
 	l.observations.Remove(hints)
 }
 
-// isFailedPrecondition reports whether a call was answered with twirp.FailedPrecondition.
+// isFailedPrecondition reports whether a call failed with twirp.FailedPrecondition.
 func isFailedPrecondition(err error) bool {
 	var reply twirp.Error
 	return errors.As(err, &reply) && reply.Code() == twirp.FailedPrecondition
--- a/internal/controlplane/peer_links.go
+++ b/internal/controlplane/peer_links.go
@@ -8,7 +8,7 @@
 	"marlreel/internal/api"
 )
 
-// peerLinks are the links to the other control processes. It owns their goroutines and does no locking of its own.
+// peerLinks holds the links to the other control processes and owns their goroutines. The caller must hold the lock.
 type peerLinks struct {
 	links   map[string]*peerLink // by the peer's address
 	running sync.WaitGroup
@@ -16,8 +16,7 @@
 
 func newPeerLinks() *peerLinks { return &peerLinks{links: map[string]*peerLink{}} }
 
-// update ends the links to processes that are no members any more, and starts those to members that have none. They
-// end with ctx.
+// update stops the links to processes that are no longer members, and starts links to new members. Links end with ctx.
 func (t *peerLinks) update(ctx context.Context, m *Membership, members []string) {
 	for address, link := range t.links {
 		if !slices.Contains(members, address) {
@@ -35,14 +34,14 @@
 	}
 }
 
-// wake has each link send an update soon.
+// wake makes each link send an update soon.
 func (t *peerLinks) wake() {
 	for _, link := range t.links {
 		link.wake()
 	}
 }
 
-// onObservation has each peer told of an observation, as soon as it can be reached.
+// onObservation queues an observation for each peer, which is sent it as soon as it can be reached.
 func (t *peerLinks) onObservation(observation *api.Observation) {
 	for _, link := range t.links {
 		link.observations.Store(link.now(), observation.Id, observation)
--- a/internal/controlplane/peer_sender.go
+++ b/internal/controlplane/peer_sender.go
@@ -12,18 +12,18 @@
 	"marlreel/internal/process/transport"
 )
 
-// deliverTimeout bounds a call to a peer. A call of maxCallBytes needs a link of 2.6 Mbit/s for that; raising it holds
-// up what waits behind a call that is lost.
+// deliverTimeout bounds a call to a peer. A call of maxCallBytes needs a link of 2.6 Mbit/s to finish within it; raising
+// it delays the messages behind a lost call.
 const deliverTimeout = 400 * time.Millisecond
 
-// PeerSender sends messages to other members: heartbeats as datagrams, which may be lost, and all else over calls that
-// a goroutine for each member makes. Large messages go in fragments, between which small ones pass: votes and
+// PeerSender sends messages to other members: heartbeats as datagrams, which may be lost, and all others by calls, from
+// one goroutine for each member. Large messages are sent in fragments, with small messages in between: votes and
 // acknowledgements don't wait for a snapshot.
 type PeerSender struct {
 	ctx         context.Context // the goroutines end with it
 	client      *transport.Client
-	socket      net.PacketConn // nil: heartbeats go like the rest
-	incarnation uint64         // of this process, by which receivers tell fragments apart
+	socket      net.PacketConn // nil: heartbeats are sent by calls, too
+	incarnation uint64         // of this process; receivers reassemble fragments by it
 	running     sync.WaitGroup
 
 	mu     sync.Mutex
@@ -32,7 +32,7 @@
 
 var _ Sender = (*PeerSender)(nil)
 
-// NewPeerSender makes a sender that ends with ctx.
+// NewPeerSender makes a sender whose goroutines end with ctx.
 func NewPeerSender(ctx context.Context, client *transport.Client, socket net.PacketConn) *PeerSender {
 	return &PeerSender{ctx: ctx, client: client, socket: socket, incarnation: rand.Uint64(), queues: map[string]*sendQueue{}}
 }
@@ -50,11 +50,11 @@
 	}
 }
 
-// Wait waits for the sender's goroutines, after its context has ended and the last message was sent: up to
-// deliverTimeout, where a call is pending.
+// Wait waits for the sender's goroutines, after its context has ended and the last message was sent. That takes up to
+// deliverTimeout if a call is pending.
 func (p *PeerSender) Wait() { p.running.Wait() }
 
-// queueFor returns the queue for a peer, and makes it and its goroutine where there is none.
+// queueFor returns the queue for a peer. On first use it makes the queue and starts its goroutine.
 func (p *PeerSender) queueFor(address string) *sendQueue {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,14 +67,14 @@
 	return queue
 }
 
-// deliver delivers a peer's messages until the context ends: the small ones that wait, then a fragment of a large one,
+// deliver delivers a peer's messages until the context ends: all queued small ones, then one fragment of a large one,
 // and so on.
 func (p *PeerSender) deliver(address string, queue *sendQueue) {
 	peer := api.NewChainPeerProtobufClient("http://"+address, p.client)
 	var large *fragmentedMessage
 	for p.ctx.Err() == nil {
 		if messages := queue.dequeueSmall(); len(messages) > 0 {
-			// What is lost is sent again by the chain.
+			// The chain sends lost messages again.
 			_ = p.call(peer, &api.ChainBatch{Messages: messages})
 			continue
 		}
@@ -85,9 +85,9 @@
 			queue.wait(p.ctx)
 			continue
 		}
-		over := large.onSent(p.call(peer, &api.ChainBatch{Fragment: large.next()}))
+		done := large.onSent(p.call(peer, &api.ChainBatch{Fragment: large.next()}))
 		switch {
-		case over:
+		case done:
 			large = nil
 		case large.isFailing():
 			timing.Sleep(p.ctx, fragmentRetryInterval)
@@ -95,7 +95,7 @@
 	}
 }
 
-// call makes one call.
+// call makes one Deliver call, bounded by deliverTimeout.
 func (p *PeerSender) call(peer api.ChainPeer, batch *api.ChainBatch) error {
 	ctx, cancel := context.WithTimeout(p.ctx, deliverTimeout)
 	defer cancel()
--- a/internal/controlplane/peer_update.go
+++ b/internal/controlplane/peer_update.go
@@ -7,8 +7,8 @@
 	"marlreel/internal/distribution/hintedhandoff"
 )
 
-// OnPeerUpdate handles what another control process has heard. It returns false where that names a live backend that
-// is not known here: the peer has to send everything then.
+// OnPeerUpdate handles a membership update from another control process. It returns false if the update names a live
+// backend that is not known here: the peer then has to send everything.
 func (m *Membership) OnPeerUpdate(update *api.MembershipUpdate) bool {
 	m.mergeLastSeen(time.Now(), update)
 	for _, b := range update.Backends {
@@ -24,7 +24,7 @@
 	return allKnown
 }
 
-// mergeLastSeen takes an update's times into the tables.
+// mergeLastSeen merges an update's times of last contact into the tables.
 func (m *Membership) mergeLastSeen(now time.Time, update *api.MembershipUpdate) {
 	seenAt := func(ageMS uint32) time.Time { return now.Add(-time.Duration(ageMS) * time.Millisecond) }
 	m.mu.Lock()
@@ -41,7 +41,8 @@
 	}
 }
 
-// onPeerHeartbeats passes to the feed which backends live by the word of a peer. It returns whether it knows them all.
+// onPeerHeartbeats refreshes in the feed the backends whose heartbeats a peer reports. It reports whether all of them
+// are known here.
 func (m *Membership) onPeerHeartbeats(heartbeats []*api.BackendHeartbeat) bool {
 	allKnown := true
 	for _, heartbeat := range heartbeats {
@@ -51,8 +52,8 @@
 	return allKnown
 }
 
-// updateFor returns what a peer has not been told, the feed's revision up to which that reaches, and the hints in it.
-// A full update says besides who lives; a peer that knows nothing gets one in any case.
+// updateFor returns the changes that a peer has not been sent yet, the feed's revision that they reach, and the hints
+// among them. A full update also lists all live members; a peer that is not synced always gets a full one.
 func (m *Membership) updateFor(l *peerLink, full bool) (*api.MembershipUpdate, uint64, []hintedhandoff.Hint[*api.Observation]) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -83,7 +84,7 @@
 	return update, revision, hints
 }
 
-// addHeartbeats adds the backends that report to this process and are not in the update yet. Called with the lock.
+// addHeartbeats adds the backends that report to this process and are not in the update yet. The caller holds the lock.
 func (m *Membership) addHeartbeats(update *api.MembershipUpdate, included map[string]bool) {
 	now := time.Now()
 	for id, seen := range m.backends.lastSeen {
@@ -93,7 +94,7 @@
 	}
 }
 
-// addNodes adds the nodes that no other control process has reported since they called here. Called with the lock.
+// addNodes adds the nodes that no other control process has reported since they called here. The caller holds the lock.
 func (m *Membership) addNodes(update *api.MembershipUpdate) {
 	for _, n := range m.feed.Nodes() {
 		if m.nodes.lastSeen[n.Name].reporter == "" {
--- a/internal/controlplane/quota_handler.go
+++ b/internal/controlplane/quota_handler.go
@@ -16,24 +16,24 @@
 	"marlreel/internal/quota/shard"
 )
 
-// quotaStatusTimeout bounds the call to each owner of quotas: one that is dead holds the operator up for no longer.
+// quotaStatusTimeout bounds the call to each owner of quotas, and so the operator's wait for one that has failed.
 const quotaStatusTimeout = 500 * time.Millisecond
 
-// QuotaStatus is a tenant's quota as its owner counts it. Figures are requests or tokens, by the tenant's unit.
+// QuotaStatus is a tenant's quota as counted by its owner. Figures are requests or tokens, by the tenant's unit.
 type QuotaStatus struct {
 	Subscriber string  `json:"subscriber"`
 	Shard      uint32  `json:"shard"`
 	Owner      string  `json:"owner"`
 	RatePerS   float64 `json:"rate_per_s"`
 	BurstSize  float64 `json:"burst_size"`
-	Level      float64 `json:"level"`    // what could be granted now
-	Capacity   float64 `json:"capacity"` // what can be at most
+	Level      float64 `json:"level"`    // available now
+	Capacity   float64 `json:"capacity"` // the maximum of Level
 	Granted    float64 `json:"granted"`  // since the owner took over
-	Refused    uint64  `json:"refused"`  // requests since then
-	OwnedMS    uint64  `json:"owned_ms"` // how long ago that was
+	Refused    uint64  `json:"refused"`  // requests refused since the owner took over
+	OwnedMS    uint64  `json:"owned_ms"` // time since the owner took over
 }
 
-// QuotaReport is the quotas of all tenants that have one, and the shards whose owners did not answer.
+// QuotaReport holds the quotas of all tenants that have one, and the shards whose owners did not answer.
 type QuotaReport struct {
 	Quotas       []QuotaStatus `json:"quotas"`
 	Unresponsive []string      `json:"unresponsive_shards,omitempty"`
@@ -45,7 +45,7 @@
 	respondJSON(ctx, body)
 }
 
-// quotaReport asks all owners of quotas at once.
+// quotaReport queries all owners of quotas in parallel.
 func (s *Service) quotaReport() *QuotaReport {
 	report := &QuotaReport{Quotas: []QuotaStatus{}}
 	var mu sync.Mutex
@@ -74,7 +74,7 @@
 	return report
 }
 
-// quotaOwners returns the lease keys of the shards by the address of the agent that holds them.
+// quotaOwners returns the lease keys of the shards, by the address of the agent that holds the lease.
 func (s *Service) quotaOwners() map[string][]string {
 	owners := map[string][]string{}
 	s.feed.ReadState(func(machine *state.Machine) {
--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -13,19 +13,19 @@
 	"marlreel/internal/process/logevent"
 )
 
-// Saver puts the chain's durable state on disk.
+// Saver writes the chain's durable state to disk.
 type Saver interface {
 	Save(d *chain.DurableState, changed chain.Changes) error
 }
 
-// Sender hands messages to other members. It does not wait, and may lose them.
+// Sender sends messages to other members. It does not block, and may lose messages.
 type Sender interface {
 	Send(message *api.ChainMessage)
 }
 
-// Replica is this process's replica of the chain's state: it does what a chain.Node wants done (saves, sends, replies),
-// and batches the operations that are submitted to it. One goroutine at a time may call it; times are on the process's
-// monotonic clock. Once it has failed it does nothing any more.
+// Replica is this process's replica of the chain's state: it carries out the output of a chain.Node (saves, sends,
+// replies), and batches the operations that are submitted to it. It is not safe for concurrent use; times are on the
+// process's monotonic clock. After a failure it does nothing any more.
 type Replica struct {
 	node    *chain.Node
 	machine *state.Machine
@@ -35,15 +35,15 @@
 	log     logr.Logger
 
 	queue                []*submission
-	inFlight             *batch            // the entry that is not committed yet; nil: there is none
-	pendingConfirmations map[uint64]*batch // by the token of their confirmation
+	inFlight             *batch            // proposed but not committed yet; nil if there is none
+	pendingConfirmations map[uint64]*batch // batches without effect, by the token of their confirmation
 	pendingReads         map[uint64]*pendingRead
 	lastToken            uint64
 
 	failure error
 }
 
-// NewReplica makes a replica of what the disk holds. contacts are addresses of members to begin with.
+// NewReplica makes a replica from the durable state on disk. contacts are the addresses of members to contact first.
 func NewReplica(cfg chain.Config, durable chain.DurableState, contacts []string, saver Saver, sender Sender,
 	feed *watch.Store, log logr.Logger, now time.Duration,
 ) *Replica {
@@ -56,16 +56,16 @@
 	return r
 }
 
-// Failure is what the disk has failed with, or nil.
+// Failure is the error with which the disk has failed, or nil.
 func (r *Replica) Failure() error { return r.failure }
 
-// Node is the chain's node, to be read.
+// Node is the chain's node. The caller must not change it.
 func (r *Replica) Node() *chain.Node { return r.node }
 
-// Machine is the committed state, to be read.
+// Machine is the committed state. The caller must not change it.
 func (r *Replica) Machine() *state.Machine { return r.machine }
 
-// Tick handles that time has passed.
+// Tick handles timeouts. It has to be called regularly.
 func (r *Replica) Tick(now time.Duration) {
 	if r.failure != nil {
 		return
@@ -75,7 +75,7 @@
 	r.proposeQueued(now)
 }
 
-// Receive handles a message of another member.
+// Receive handles a message from another member.
 func (r *Replica) Receive(now time.Duration, message *api.ChainMessage) {
 	if r.failure != nil {
 		return
@@ -91,15 +91,16 @@
 	}
 }
 
-// isHead reports whether this is the head of its view, by its own word: only a confirmation makes that sure.
+// isHead reports whether this is the head of the newest view that it knows. Only a confirmation by a majority rules out
+// a newer view.
 func (r *Replica) isHead() bool {
 	return chain.MemberKey(r.node.Head()) == chain.MemberKey(r.node.DurableState().Self)
 }
 
-// headInService reports whether this is the head of a chain in service.
+// headInService reports whether this is the head of a chain that is in service.
 func (r *Replica) headInService() bool { return r.failure == nil && r.node.InService() && r.isHead() }
 
-// apply does what the node wants done, in the order that the chain's argument needs: save, then send, then reply.
+// apply carries out the node's output. The chain's safety depends on the order: save, then send, then reply.
 func (r *Replica) apply(out chain.Output) {
 	for _, event := range out.Events {
 		r.logEvent(event)
@@ -114,7 +115,7 @@
 		r.sender.Send(message)
 	}
 	if out.ViewChanged {
-		r.onDeposed()
+		r.onViewChanged()
 	}
 	if out.SnapshotRestored {
 		r.publishRestored()
@@ -129,7 +130,7 @@
 	}
 }
 
-// logEvent logs what the chain reports.
+// logEvent logs an event that the chain reports.
 func (r *Replica) logEvent(event chain.Event) {
 	switch event := event.(type) {
 	case chain.ViewProposed:
@@ -141,7 +142,7 @@
 	}
 }
 
-// publishRestored hands the feed the state as it stands, from the snapshot on.
+// publishRestored publishes the committed state to the feed: the snapshot and the committed entries after it.
 func (r *Replica) publishRestored() {
 	snapshot := r.node.DurableState().Snapshot
 	r.feed.InstallSnapshot(snapshot.GetSequence(), snapshot.GetHash(), snapshot.GetState())
@@ -154,7 +155,7 @@
 	r.feed.AppendEntries(committed)
 }
 
-// onConfirmed handles that a majority has confirmed that this process was in its place when it asked.
+// onConfirmed handles a confirmation by a majority that this process was still head or tail when it asked.
 func (r *Replica) onConfirmed(token uint64) {
 	if b := r.pendingConfirmations[token]; b != nil {
 		delete(r.pendingConfirmations, token)
@@ -166,10 +167,10 @@
 	}
 }
 
-// onDeposed replies to what another view may have overtaken. What is in flight at a process that stays head is
-// committed with the new view.
-func (r *Replica) onDeposed() {
-	const reason = "the view has changed"
+// onViewChanged aborts what may be superseded by the new view. The entry in flight at a process that stays head is
+// committed in the new view.
+func (r *Replica) onViewChanged() {
+	const reason = "the chain's view changed before the operation was committed"
 	if r.inFlight != nil && !r.isHead() {
 		r.abortInFlight(reason)
 	}
@@ -179,16 +180,16 @@
 	}
 }
 
-// expire replies to what has timed out.
+// expire aborts operations and reads that have timed out.
 func (r *Replica) expire(now time.Duration) {
 	r.expireInFlight(now)
 	r.expireConfirmations(now)
 	r.rejectOverdue(now)
 }
 
-// fail ends the replica: what its disk holds is no longer known.
+// fail stops the replica after a failed write: what the disk holds is no longer known.
 func (r *Replica) fail(err error) {
-	const reason = "the disk has failed"
+	const reason = "a write to this process's store failed"
 	r.failure = err
 	r.log.Error(err, logevent.StoreFailed)
 	if r.inFlight != nil {
--- a/internal/controlplane/replica_reads.go
+++ b/internal/controlplane/replica_reads.go
@@ -9,8 +9,8 @@
 	"marlreel/internal/controlplane/state"
 )
 
-// ReadReply receives the result of a read, once: the state, which may be read until the callback returns and not be
-// changed. It is nil where the code is not result.Committed.
+// ReadReply is called once with the result of a read. The state must not be changed, nor used after the callback has
+// returned. It is nil if the code is not result.Committed.
 type ReadReply func(code result.Code, machine *state.Machine)
 
 // pendingRead is a read that waits for its confirmation.
@@ -19,7 +19,7 @@
 	deadline time.Duration
 }
 
-// ReadAtTail reads the newest state. Only the tail can, once a majority has confirmed that it is.
+// ReadAtTail reads the newest state, if this is the tail. It replies once a majority has confirmed that.
 func (r *Replica) ReadAtTail(now time.Duration, reply ReadReply) {
 	if r.failure != nil || !r.node.CanRead() {
 		reply(result.Unavailable, nil)
@@ -28,7 +28,7 @@
 	r.readAfterConfirmation(now, reply)
 }
 
-// ReadAtHead reads the newest state as the head has it, once a majority has confirmed that it is the head.
+// ReadAtHead reads the newest state at the head, if this is the head. It replies once a majority has confirmed that.
 func (r *Replica) ReadAtHead(now time.Duration, reply ReadReply) {
 	if !r.headInService() {
 		reply(result.Unavailable, nil)
@@ -37,21 +37,21 @@
 	r.readAfterConfirmation(now, reply)
 }
 
-// readAfterConfirmation replies when a majority has confirmed that this process is in its place.
+// readAfterConfirmation replies when a majority has confirmed that this process is still head or tail.
 func (r *Replica) readAfterConfirmation(now time.Duration, reply ReadReply) {
 	r.lastToken++
 	r.pendingReads[r.lastToken] = &pendingRead{reply, now + submissionTimeout}
 	r.apply(r.node.ConfirmView(now, r.lastToken))
 }
 
-// abortConfirmations replies to all that waits for a confirmation, in the order in which it came.
+// abortConfirmations aborts everything that waits for a confirmation, in order of submission.
 func (r *Replica) abortConfirmations(reason string) {
 	r.abortConfirmationsIf(func(time.Duration) bool { return true }, reason)
 }
 
-// expireConfirmations replies to what has waited for a confirmation until its deadline.
+// expireConfirmations aborts what has waited for a confirmation until its deadline.
 func (r *Replica) expireConfirmations(now time.Duration) {
-	r.abortConfirmationsIf(func(deadline time.Duration) bool { return now >= deadline }, "no majority answers")
+	r.abortConfirmationsIf(func(deadline time.Duration) bool { return now >= deadline }, "no majority confirmed in time that this is the head")
 }
 
 func (r *Replica) abortConfirmationsIf(expired func(deadline time.Duration) bool, reason string) {
--- a/internal/controlplane/replica_runner.go
+++ b/internal/controlplane/replica_runner.go
@@ -18,21 +18,21 @@
 )
 
 const (
-	// tickInterval is how often the replica is told the time. Raising it detects failures and answers timeouts as
-	// much later.
+	// tickInterval is how often the replica checks its timeouts. Raising it delays failure detection and the replies to
+	// timed-out operations by as much.
 	tickInterval = 30 * time.Millisecond
-	// storeReopenDelay is how long a store that has failed rests before it is opened again.
+	// storeReopenDelay is the delay before a failed store is opened again.
 	storeReopenDelay = 500 * time.Millisecond
-	// leavePollInterval is how often it is looked whether the chain can do without this process.
+	// leavePollInterval is how often Leave checks whether this process has left the chain.
 	leavePollInterval = 20 * time.Millisecond
-	// maxPendingEvents bounds the backlog of the runner's goroutine. What is above it is rejected, or lost where it is
-	// sent again.
+	// maxPendingEvents bounds the queue of the runner's goroutine. Operations and reads beyond it are rejected;
+	// messages are dropped, as their senders retry.
 	maxPendingEvents = 1024
 )
 
-// ReplicaRunner owns this process's replica and its store: its goroutine opens the store, runs the replica, and opens
-// the store anew after a failure. All other goroutines reach the replica through the methods of the runner, which post
-// events to it.
+// ReplicaRunner owns this process's replica and its store: its goroutine opens the store, runs the replica, and reopens
+// the store after a failure. All other goroutines access the replica through the methods of the runner, which post
+// events to its goroutine.
 type ReplicaRunner struct {
 	host     *host.Host
 	settings *bootstrap.Settings
@@ -43,14 +43,14 @@
 	clock    processClock
 	events   chan func()
 
-	// Of the runner's goroutine.
+	// Used by the runner's goroutine only.
 	store    *store.Store
-	replica  *Replica  // nil: there is no store
-	reopenAt time.Time // when the store may be opened again
+	replica  *Replica  // nil while the store is not open
+	reopenAt time.Time // the earliest time to open the store again
 	leaving  bool      // the process is shutting down
 }
 
-// NewReplicaRunner makes a runner, which does nothing until it is run.
+// NewReplicaRunner makes a runner, which does nothing until Run is called.
 func NewReplicaRunner(machine *host.Host, sender Sender, feed *watch.Store, clock processClock) *ReplicaRunner {
 	return &ReplicaRunner{
 		host: machine, settings: machine.Settings, config: chain.DefaultConfig(machine.Settings.TargetMembers()),
@@ -91,13 +91,13 @@
 	}
 }
 
-// scheduleReopen closes the store, and has it opened again after a while.
+// scheduleReopen closes the store, to be opened again after storeReopenDelay.
 func (r *ReplicaRunner) scheduleReopen() {
 	r.closeStore()
 	r.reopenAt = time.Now().Add(storeReopenDelay)
 }
 
-// post has an event handled on the runner's goroutine. It returns false where the backlog is full.
+// post queues an event for the runner's goroutine. It returns false if the queue is full.
 func (r *ReplicaRunner) post(event func()) bool {
 	select {
 	case r.events <- event:
@@ -107,7 +107,7 @@
 	}
 }
 
-// Leave takes this process out of the chain. It returns when the chain can do without it, or when ctx ends.
+// Leave takes this process out of the chain. It returns when that is done and the process may stop, or when ctx ends.
 func (r *ReplicaRunner) Leave(ctx context.Context) {
 	r.post(func() {
 		r.leaving = true
@@ -124,12 +124,12 @@
 	}
 }
 
-// hasLeft answers whether the chain can do without this process.
+// hasLeft passes to answer whether this process has left the chain. It does not call answer if the queue is full.
 func (r *ReplicaRunner) hasLeft(answer func(bool)) {
 	r.post(func() { answer(r.replica == nil || r.replica.Node().HasLeft()) })
 }
 
-// Deliver handles messages of other members. They are lost where the backlog is full.
+// Deliver handles messages from other members. They are dropped if the queue is full.
 func (r *ReplicaRunner) Deliver(messages []*api.ChainMessage) {
 	r.post(func() {
 		if r.replica == nil {
@@ -141,22 +141,23 @@
 	})
 }
 
-// Submit has an operation done, if this process is the head and that begins before a deadline on its clock.
+// Submit submits an operation to the replica, which rejects it unless this process is the head and can propose it
+// before the deadline, a time on its clock.
 func (r *ReplicaRunner) Submit(operation *api.Operation, deadline time.Duration, reply Reply) {
 	posted := r.post(func() {
 		if r.replica == nil {
-			reply(result.Unavailable, "this process has no store")
+			reply(result.Unavailable, "the store of this process is not open")
 			return
 		}
 		r.replica.Submit(r.clock.now(), operation, deadline, reply)
 	})
 	if !posted {
-		reply(result.Unavailable, "too much waits")
+		reply(result.Unavailable, "the replica's queue is full")
 	}
 }
 
-// SubmitInView does the same, if this process is the head of a view. It does not reply where there is no store or the
-// backlog is full: who decides such operations decides again.
+// SubmitInView is Submit for an operation that may be proposed in one view only. It does not reply if the store is not
+// open or the queue is full: callers decide such operations anew at regular intervals.
 func (r *ReplicaRunner) SubmitInView(operation *api.Operation, view uint64, deadline time.Duration, reply Reply) {
 	r.post(func() {
 		if r.replica != nil {
@@ -184,7 +185,7 @@
 	}
 }
 
-// ChainStatus gives the status of the chain to a callback; its zero value where the backlog is full.
+// ChainStatus passes the status of the chain to a callback. It is the zero value if the queue is full.
 func (r *ReplicaRunner) ChainStatus(answer func(ChainStatus)) {
 	posted := r.post(func() {
 		status := chainStatusOf(r.replica)
--- a/internal/controlplane/replica_store.go
+++ b/internal/controlplane/replica_store.go
@@ -12,8 +12,8 @@
 	"marlreel/internal/process/logevent"
 )
 
-// openStore opens the store and makes a replica of what it holds. A damaged store is set aside; the next attempt finds
-// an empty one.
+// openStore opens the store and makes a replica from its contents. A corrupted store is set aside, so that the next
+// attempt finds an empty one.
 func (r *ReplicaRunner) openStore() error {
 	opened, err := r.host.OpenStore()
 	if err != nil {
@@ -22,7 +22,7 @@
 	r.store = opened
 	durable, err := opened.Load()
 	if eris.Is(err, store.ErrCorrupted) {
-		// What it has promised can't be trusted: it comes back as another member, without any promise.
+		// The votes and entries that it recorded are lost: this process has to rejoin as a new member, without any.
 		r.log.Error(err, logevent.StoreDiscarded)
 		r.closeStore()
 		return r.host.RemoveStore()
@@ -48,13 +48,13 @@
 	if r.store == nil {
 		return
 	}
-	// What it may not have written was answered as unclear.
+	// Operations that may not have been written were answered with OutcomeUnknown.
 	_ = r.store.Close()
 	r.store = nil
 }
 
-// initialiseStore gives an empty store an identity: a founder's at the very first start of the system, or else that of
-// a member that waits to be added to the view.
+// initialiseStore gives an empty store an identity: that of a founder at the very first start of the system, otherwise
+// that of a new member that waits to be added to the view.
 func (r *ReplicaRunner) initialiseStore() (chain.DurableState, error) {
 	self := &api.Member{Address: r.settings.PeerAddress(), Incarnation: chain.FounderIncarnation}
 	durable := chain.DurableState{Self: self}
@@ -70,7 +70,7 @@
 	return durable, r.store.Save(&durable, chain.Changes{Self: true})
 }
 
-// drawIncarnation draws the incarnation of a member that is no founder. It is above all founders'.
+// drawIncarnation returns a random incarnation for a member that is not a founder. It is above that of the founders.
 func drawIncarnation() (uint64, error) {
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
--- a/internal/controlplane/run.go
+++ b/internal/controlplane/run.go
@@ -22,18 +22,19 @@
 )
 
 const (
-	// shutdownTimeout is how long pending calls may take when the process ends.
+	// shutdownTimeout is how long pending calls may take when the process shuts down.
 	shutdownTimeout = time.Second
-	// maxLeaveTimeout is long enough for another member to take a state of some MB.
+	// maxLeaveTimeout bounds the time to leave the chain. It is long enough for another member to receive a state of
+	// several MB.
 	maxLeaveTimeout = 4 * time.Second
-	// leaveGraceDivisor divides the platform's grace period: leaving may take that part of it.
+	// leaveGraceDivisor is the divisor of the platform's grace period that gives the time to leave the chain.
 	leaveGraceDivisor = 2
 )
 
-// Run runs a control process until parent ends and the chain can do without it, or until one of its servers fails,
-// which is the error.
+// Run runs a control process until parent ends and the process has left the chain, or until one of its servers fails.
+// It returns that failure.
 func Run(parent context.Context, machine *host.Host) error {
-	// The process serves on after parent has ended, until the chain can do without it.
+	// After parent has ended, the process continues to serve until it has left the chain.
 	ctx, cancel := context.WithCancel(context.WithoutCancel(parent))
 	defer cancel()
 	socket, err := machine.Network.ListenPacket(machine.Settings.PeerAddress())
@@ -91,7 +92,7 @@
 	return p
 }
 
-// startServers begins to serve other processes, operators and backends.
+// startServers starts the servers for other processes, and for operators and backends.
 func (p *controlProcess) startServers() error {
 	p.peers = transport.NewServer(nil, api.NewChainPeerServer(p.service), api.NewControlServer(p.service))
 	p.operators = transport.NewServer(p.service.Handle)
@@ -110,7 +111,7 @@
 	return nil
 }
 
-// startLoops starts what the process does by itself, until ctx ends.
+// startLoops starts the background goroutines, which run until ctx ends.
 func (p *controlProcess) startLoops(ctx context.Context) {
 	feed, settings := p.service.feed, p.host.Settings
 	p.loops.Go(func() { p.runner.Run(ctx) })
@@ -122,7 +123,8 @@
 	})
 }
 
-// waitForEnd waits until parent ends and the chain can do without this process, or a server fails, which is the error.
+// waitForEnd waits until parent ends and this process has left the chain, or until a server fails. It returns that
+// failure.
 func (p *controlProcess) waitForEnd(parent context.Context) error {
 	select {
 	case err := <-p.serveErrors:
@@ -132,18 +134,18 @@
 	p.host.Log.Info(logevent.ChainLeaving)
 	ctx, cancel := context.WithTimeout(p.host.UntilCrash(), leaveTimeout(p.host.Settings))
 	defer cancel()
-	p.runner.Leave(ctx) //nolint:contextcheck // parent has ended; this one ends with a simulated crash
+	p.runner.Leave(ctx) //nolint:contextcheck // parent has ended; this context ends with a simulated crash
 	return nil
 }
 
-// leaveTimeout is how long a process that is told to end waits until the chain can do without it, within the
-// platform's grace period.
+// leaveTimeout is how long a process that shuts down waits until it has left the chain, within the platform's grace
+// period.
 func leaveTimeout(settings *bootstrap.Settings) time.Duration {
 	return min(bootstrap.Seconds(settings.Bounds.ShutdownGraceS)/leaveGraceDivisor, maxLeaveTimeout)
 }
 
-// shutdown ends the servers and the loops: operators are answered first, peers last. stop ends the context of the
-// process's parts; ctx is that context.
+// shutdown stops the servers and the loops: the server for operators first, that for peers last. stop cancels ctx, the
+// context of the loops and of the sender.
 func (p *controlProcess) shutdown(ctx context.Context, stop context.CancelFunc) error {
 	pending, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
@@ -164,7 +166,7 @@
 	}
 }
 
-// closeSocket closes the socket, and waits for all that received or served.
+// closeSocket closes the socket, and waits for the goroutines that receive from it and for the servers.
 func (p *controlProcess) closeSocket() {
 	_ = p.socket.Close()
 	p.serving.Wait()
--- a/internal/controlplane/send_queue.go
+++ b/internal/controlplane/send_queue.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// maxQueuedSmall bounds the small messages that wait for one peer; beyond it the oldest are dropped.
+	// maxQueuedSmall bounds the small messages that are queued for one peer; beyond it the oldest are dropped.
 	maxQueuedSmall = 256
-	// maxQueuedLarge is the same for large ones, each of which may be a whole snapshot.
+	// maxQueuedLarge is the same for large messages, each of which may be a whole snapshot.
 	maxQueuedLarge = 4
-	// maxCallBytes bounds the messages of one call. Raising it needs a faster link within deliverTimeout.
+	// maxCallBytes bounds the messages of one call. Raising it needs a faster link to finish within deliverTimeout.
 	maxCallBytes = 128 << 10
 )
 
-// sendQueue is the messages that wait for one peer. What is dropped is sent again by the chain.
+// sendQueue holds the messages that wait to be sent to one peer. The chain sends dropped messages again.
 type sendQueue struct {
-	wake chan struct{} // has a token where a message was added
+	wake chan struct{} // has a token after a message was added
 
 	mu    sync.Mutex
 	small []*api.ChainMessage
@@ -37,7 +37,7 @@
 	}
 }
 
-// enqueue adds a message behind those that wait.
+// enqueue adds a message at the end of the queue for its size.
 func (q *sendQueue) enqueue(message *api.ChainMessage) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -48,13 +48,13 @@
 	q.small = appendBounded(q.small, message, maxQueuedSmall)
 }
 
-// appendBounded appends a message, and drops the oldest where there are more than maxLength.
+// appendBounded appends a message, and drops the oldest if there are more than maxLength.
 func appendBounded(messages []*api.ChainMessage, message *api.ChainMessage, maxLength int) []*api.ChainMessage {
 	messages = append(messages, message)
 	return messages[max(0, len(messages)-maxLength):]
 }
 
-// dequeueSmall removes the small messages that go in one call, and returns them.
+// dequeueSmall removes and returns the oldest small messages, as many as fit in one call.
 func (q *sendQueue) dequeueSmall() []*api.ChainMessage {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -71,7 +71,7 @@
 	return messages
 }
 
-// dequeueLarge removes a large message and returns it; nil: there is none.
+// dequeueLarge removes and returns the oldest large message, or nil if there is none.
 func (q *sendQueue) dequeueLarge() *api.ChainMessage {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/controlplane/service.go
+++ b/internal/controlplane/service.go
@@ -12,18 +12,18 @@
 	"marlreel/internal/process/transport"
 )
 
-// Service answers the calls of other processes, operators and backends. What only the head or the tail of the chain
-// can do it has done there.
+// Service answers the calls of other processes, operators and backends. It forwards requests that only the head or the
+// tail of the chain can answer.
 type Service struct {
 	runner     *ReplicaRunner
 	membership *Membership
 	leases     *leaseGranter
 	feed       *watch.Store
 	transfers  *transferLimit
-	self       string // this process's address for its peers
+	self       string // the address of this process for its peers
 	client     *transport.Client
 	clock      processClock
-	fragments  *reassembler // of messages of other members
+	fragments  *reassembler // of messages from other members
 	peerClocks peerClocks
 	counters   atomic.Pointer[vm.Set]
 	log        logr.Logger
@@ -34,13 +34,13 @@
 	_ api.Control   = (*Service)(nil)
 )
 
-// chainStatus returns the status of the chain; its zero value where ctx ends before that is known.
+// chainStatus returns the status of the chain, or the zero value if ctx ends first.
 func (s *Service) chainStatus(ctx context.Context) ChainStatus {
 	status, _ := await(ctx, s.runner.ChainStatus)
 	return status
 }
 
-// await returns what is given to a callback. The second result is false where ctx ends before.
+// await calls request and returns what that passes to its callback. The second result is false if ctx ends first.
 func await[A any](ctx context.Context, request func(answer func(A))) (A, bool) {
 	answers := make(chan A, 1)
 	request(func(answer A) { answers <- answer })
--- a/internal/controlplane/status_handler.go
+++ b/internal/controlplane/status_handler.go
@@ -11,20 +11,20 @@
 	"marlreel/internal/controlplane/state"
 )
 
-// statusTimeout bounds the wait for the chain's status. Where it passes that is left empty.
+// statusTimeout bounds the wait for the chain's status. After it, the status is reported without the chain's fields.
 const statusTimeout = 500 * time.Millisecond
 
 // Status is the system as one control process sees it.
 type Status struct {
 	Node        string          `json:"node"`
-	Connected   bool            `json:"connected"` // in service, and a majority is heard
+	Connected   bool            `json:"connected"` // in service and receiving heartbeats from a majority
 	View        uint64          `json:"view"`
 	Head        string          `json:"head"`
 	Tail        string          `json:"tail"`
 	Members     []string        `json:"members"`
 	Chain       []string        `json:"chain"`       // the members in the chain, the head first
 	Leaving     bool            `json:"leaving"`     // this process is shutting down
-	CatchingUp  string          `json:"catching_up"` // whom this process, the head, brings up to date
+	CatchingUp  string          `json:"catching_up"` // the member that this process, the head, is bringing up to date
 	Committed   uint64          `json:"committed"`
 	Version     uint64          `json:"config_version"`
 	Evacuated   []string        `json:"evacuated_zones"`
@@ -35,7 +35,7 @@
 	StoreFailed bool            `json:"store_failed"`
 }
 
-// LeaseStatus is a lease and who holds it.
+// LeaseStatus is a lease and its holder.
 type LeaseStatus struct {
 	Key          string `json:"key"`
 	Holder       string `json:"holder"`
@@ -49,14 +49,14 @@
 	AgeMS uint32 `json:"silent_ms"` // since its last call
 }
 
-// BackendStatus is a backend by its last heartbeat.
+// BackendStatus is a backend as of its last heartbeat.
 type BackendStatus struct {
 	ID           string   `json:"id"`
 	Service      string   `json:"service"`
 	Zone         string   `json:"zone"`
 	Draining     bool     `json:"draining"`
 	WarmupLeftMS uint32   `json:"cold_ms"`
-	AgeMS        uint32   `json:"silent_ms"` // since that heartbeat
+	AgeMS        uint32   `json:"silent_ms"` // since its last heartbeat
 	Models       []string `json:"models"`
 }
 
@@ -68,7 +68,7 @@
 	respondJSON(ctx, body)
 }
 
-// status collects a Status. What of it only the replica knows is left empty where ctx ends before.
+// status collects a Status. The fields that come from the replica are left empty if ctx ends first.
 func (s *Service) status(ctx context.Context) *Status {
 	chain := s.chainStatus(ctx)
 	status := &Status{
--- a/internal/controlplane/subscriber_table.go
+++ b/internal/controlplane/subscriber_table.go
@@ -7,13 +7,13 @@
 )
 
 // subscriberTimeout is how long a node counts as a subscriber after its last watch here. It has to be longer than a
-// watch without an update takes (maxWatchWait is the most, clients ask for less), or subscribers come and go in the
-// status; raising it shows nodes for longer that have turned to another source.
+// watch without an update takes (clients request less than maxWatchWait), or subscribers come and go in the status.
+// Raising it shows nodes for longer that have switched to another source.
 const subscriberTimeout = nodeTimeout
 
-// subscriberTable is when each node watched the state at this process last. It does no locking of its own.
+// subscriberTable records when each node last watched the state at this process. The caller must hold the lock.
 type subscriberTable struct {
-	lastWatch map[string]time.Time // by the node's name
+	lastWatch map[string]time.Time // by node name
 }
 
 func newSubscriberTable() *subscriberTable {
--- a/internal/controlplane/transfer_limit.go
+++ b/internal/controlplane/transfer_limit.go
@@ -12,16 +12,17 @@
 )
 
 const (
-	// minTransferBytes is the least size, before it is compressed, of what counts as a large transfer.
+	// minTransferBytes is the smallest uncompressed size that counts as a large transfer.
 	minTransferBytes = 64 << 10
-	// transfersPerS and transferBurst bound the large transfers that a control process begins. Raising them lets
-	// subscribers that lag fill its link, behind which the chain's messages wait; lowering them keeps more of them waiting
-	// after a restart of all.
+	// transfersPerS and transferBurst bound the large transfers that a control process starts. Raising them lets
+	// lagging subscribers fill its link, which delays the chain's messages; lowering them makes subscribers wait longer
+	// after a restart of the whole system.
 	transfersPerS = 64
 	transferBurst = 16
 )
 
-// transferLimit bounds how many large transfers of the replicated state begin, by a token bucket. Any goroutine may use it.
+// transferLimit bounds by a token bucket how many large transfers of the replicated state start. It is safe for
+// concurrent use.
 type transferLimit struct {
 	mu     sync.Mutex
 	bucket *tokenbucket.Bucket
@@ -32,8 +33,8 @@
 	return &transferLimit{bucket: tokenbucket.NewBucket(parameters, 0)}
 }
 
-// admit returns an error where a reply begins a large transfer and too many have begun: the subscriber comes again, or
-// asks another process.
+// admit returns an error if a reply starts a large transfer and the limit is reached. The subscriber then retries, here
+// or at another process.
 func (l *transferLimit) admit(now time.Duration, reply *api.WatchReply) error {
 	if !beginsLargeTransfer(reply) {
 		return nil
@@ -41,14 +42,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.bucket.Take(now, 1) {
-		return twirp.NewError(twirp.ResourceExhausted, "too many others receive the state")
+		return twirp.NewError(twirp.ResourceExhausted, "too many other subscribers are receiving the state")
 	}
-	l.bucket.Lapse(1) // the rate alone bounds it: when the last byte has left is not known
+	l.bucket.Lapse(1) // only the rate is limited, as the end of a transfer is not known here
 	return nil
 }
 
-// beginsLargeTransfer reports whether a reply carries much of the state. A chunk that continues a snapshot is none: its
-// beginning was admitted.
+// beginsLargeTransfer reports whether a reply starts a large transfer. A later chunk of a snapshot does not count: the
+// first one was admitted.
 func beginsLargeTransfer(reply *api.WatchReply) bool {
 	if reply.StatePart != nil {
 		return reply.StatePart.Offset == 0
