--- a/internal/controlplane/operator_handlers.go
+++ b/internal/controlplane/operator_handlers.go
@@ -114,7 +114,7 @@
 func (s *Service) handleChange(ctx *fasthttp.RequestCtx, operation func(base uint64, body []byte) *api.Operation) {
 	base, err := strconv.ParseUint(string(ctx.Request.Header.Peek(headerBase)), 10, 64)
 	if err != nil {
-		reject(ctx, result.Errorf(result.InvalidField, "%s: the header must be a configuration version (an unsigned integer)", headerBase))
+		reject(ctx, result.Errorf(result.InvalidField, "%s: a version is needed", headerBase))
 		return
 	}
 	if !callerConnected(ctx) {
