--- a/internal/controlplane/lease_granter_test.go
+++ b/internal/controlplane/lease_granter_test.go
@@ -85,7 +85,7 @@
 		o.grantWith("a")
 		is.True(o.renews("a"))
 		time.Sleep(testLeaseConfig.TransferWait + time.Millisecond)
-		o.commitsAtOnce = false // the chain has trouble
+		o.commitsAtOnce = false // from now on, the outcome of grants is unknown
 		o.grantWith("a", "b")
 		is.Equal(len(o.submitted), 2)
 		is.True(!o.renews("a"))
@@ -143,7 +143,7 @@
 		o.grantWith("a")
 		is.True(o.renews("a"))
 		time.Sleep(testLeaseConfig.TransferWait + time.Millisecond)
-		o.commitsAtOnce = false // the chain has trouble
+		o.commitsAtOnce = false // from now on, the outcome of grants is unknown
 		o.grantWith("a", "b")
 		superseded := o.submitted[1]
 		is.Equal(superseded.GetGrant().GetReplacesFencingToken(), uint64(1))
--- a/internal/controlplane/operations.go
+++ b/internal/controlplane/operations.go
@@ -65,7 +65,7 @@
 		headDeadline = s.requestClock(ctx, head, deadline)
 	}
 	if headDeadline == nil {
-		return &api.SubmitReply{Code: uint32(result.Unavailable), Detail: "the head did not answer the request for its clock"}
+		return &api.SubmitReply{Code: uint32(result.Unavailable), Detail: "the head's clock could not be read"}
 	}
 	reply, err := s.submitTo(ctx, head, &api.SubmitRequest{Operation: operation, Deadline: headDeadline})
 	if err != nil {
--- a/internal/controlplane/replica_store.go
+++ b/internal/controlplane/replica_store.go
@@ -74,7 +74,7 @@
 func drawIncarnation() (uint64, error) {
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
-		return 0, eris.Wrap(err, "drawing an incarnation")
+		return 0, eris.Wrap(err, "generating a random incarnation")
 	}
 	return binary.BigEndian.Uint64(random[:]) | 1<<63, nil
 }
--- a/internal/controlplane/simulation_agents_test.go
+++ b/internal/controlplane/simulation_agents_test.go
@@ -155,7 +155,7 @@
 		}
 	}
 	a.orders++
-	holder, token := a.holder, a.fencingToken // the agent's own may change before the order arrives
+	holder, token := a.holder, a.fencingToken // copied, as the agent may lose power before the order arrives
 	sim.datagram(a.node.Name, "backend", func() { sim.backend.onOrder(holder, token) })
 }
 
--- a/internal/controlplane/simulation_faults_test.go
+++ b/internal/controlplane/simulation_faults_test.go
@@ -249,6 +249,7 @@
 		sim.advance(2 * f.duration)
 		sim.heal()
 	},
+	// A partition between a process and all others, in the inbound direction only.
 	"hears-nobody": func(sim *simulation, f simulatedFault, rng *rand.Rand) {
 		c := sim.pick(rng)
 		for _, other := range sim.controlAddresses() {
@@ -259,6 +260,7 @@
 		sim.advance(f.duration)
 		sim.heal()
 	},
+	// The same in the outbound direction only.
 	"is-not-heard": func(sim *simulation, f simulatedFault, rng *rand.Rand) {
 		c := sim.pick(rng)
 		for _, other := range sim.controlAddresses() {
--- a/internal/controlplane/simulation_finalfault_test.go
+++ b/internal/controlplane/simulation_finalfault_test.go
@@ -85,8 +85,8 @@
 }
 
 // Guards against the loss of acknowledged operations when, after other faults, disks are lost and all other machines lose
-// power at the same moment, including those outside the chain. CI plays the first histories; WORLD_HISTORIES sets a
-// higher number, and WORLD_FIRST the number of the first.
+// power at the same moment, including those outside the chain. CI plays the first histories; WORLD_HISTORIES sets
+// how many, and WORLD_FIRST from which number on.
 func TestNothingAcknowledgedIsLostWithDisksAndAllPower(t *testing.T) {
 	histories, first := historiesToPlay(30)
 	covered := make(chan map[string]int, histories)
--- a/internal/controlplane/simulation_histories_test.go
+++ b/internal/controlplane/simulation_histories_test.go
@@ -136,8 +136,8 @@
 	return histories, first
 }
 
-// Simulations with random histories of faults meet all checks. CI plays the first histories; WORLD_HISTORIES sets a
-// higher number, and WORLD_FIRST the number of the first.
+// Simulations with random histories of faults meet all checks. CI plays the first histories; WORLD_HISTORIES sets
+// how many, and WORLD_FIRST from which number on.
 func TestDrawnWorldHistories(t *testing.T) {
 	histories, first := historiesToPlay(100)
 	covered := make(chan map[string]int, histories)
--- a/internal/controlplane/simulation_operators_test.go
+++ b/internal/controlplane/simulation_operators_test.go
@@ -38,7 +38,7 @@
 	newest             acknowledged // the newest configuration that was acknowledged
 	retiring           int
 	retired            map[string]time.Duration // when the retirement of each backend was acknowledged, by backend id
-	powerOffUntil      time.Duration            // until then all machines are without power
+	powerOffUntil      time.Duration            // until then the control machines are without power
 }
 
 // acknowledged is a version and the time of its acknowledgement.
