--- a/internal/controlplane/chain_rpc.go
+++ b/internal/controlplane/chain_rpc.go
@@ -31,7 +31,7 @@
 // this process's clock, so that a request that was delayed in the network is rejected.
 func (s *Service) Submit(ctx context.Context, request *api.SubmitRequest) (*api.SubmitReply, error) {
 	deadline, ok := s.clock.deadline(request.Deadline)
-	reply := &api.SubmitReply{Code: uint32(result.Unavailable), Detail: "the request has no deadline on this process's current clock"}
+	reply := &api.SubmitReply{Code: uint32(result.Unavailable), Detail: "until when it may be taken is not said by this process's clock"}
 	if ok && request.Operation != nil {
 		reply = s.submitHere(ctx, request.Operation, deadline)
 	}
@@ -48,7 +48,7 @@
 		})
 	})
 	if !answered {
-		return &api.SubmitReply{Code: uint32(result.OutcomeUnknown), Detail: "the replica did not answer before the call's timeout"}
+		return &api.SubmitReply{Code: uint32(result.OutcomeUnknown), Detail: "no answer in time"}
 	}
 	return reply
 }
--- a/internal/controlplane/configuration_read.go
+++ b/internal/controlplane/configuration_read.go
@@ -19,7 +19,7 @@
 		}
 		timing.Sleep(ctx, attemptInterval)
 	}
-	return nil, result.Errorf(result.Unavailable, "no tail of the chain has answered the read in time")
+	return nil, result.Errorf(result.Unavailable, "no tail answers")
 }
 
 // readAtTail makes one attempt. It returns nil if that fails.
--- a/internal/controlplane/fragment_reassembly.go
+++ b/internal/controlplane/fragment_reassembly.go
@@ -41,14 +41,14 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !isWellFormed(f) {
-		return nil, twirp.InvalidArgumentError("fragment", "is empty, exceeds its message's total, or belongs to a message that is too large")
+		return nil, twirp.InvalidArgumentError("fragment", "is not a part of a message that is taken")
 	}
 	if f.Offset == 0 {
 		r.begin(f)
 	}
 	p := r.partial[f.SenderIncarnation]
 	if p == nil || p.id != f.Message || p.totalBytes != f.Total || f.Offset > uint64(len(p.data)) {
-		return nil, twirp.NewError(twirp.FailedPrecondition, "an earlier fragment of this message is missing")
+		return nil, twirp.NewError(twirp.FailedPrecondition, "the beginning of that message is not here")
 	}
 	if f.Offset < uint64(len(p.data)) {
 		return nil, nil // a retransmission: it was received before, but the reply was lost
@@ -60,7 +60,7 @@
 	delete(r.partial, f.SenderIncarnation)
 	message := new(api.ChainMessage)
 	if err := proto.Unmarshal(p.data, message); err != nil {
-		return nil, twirp.InvalidArgumentError("fragment", "completes a message that can't be decoded")
+		return nil, twirp.InvalidArgumentError("fragment", "its message can't be read")
 	}
 	return message, nil
 }
--- a/internal/controlplane/operations.go
+++ b/internal/controlplane/operations.go
@@ -40,7 +40,7 @@
 }
 
 func newOperationAttempts() *operationAttempts {
-	return &operationAttempts{result.Errorf(result.Unavailable, "the head of the chain is not known")}
+	return &operationAttempts{result.Errorf(result.Unavailable, "no head is known")}
 }
 
 // onReply handles the reply to an attempt. It reports whether that is the final outcome of the operation.
@@ -65,11 +65,11 @@
 		headDeadline = s.requestClock(ctx, head, deadline)
 	}
 	if headDeadline == nil {
-		return &api.SubmitReply{Code: uint32(result.Unavailable), Detail: "the head's clock could not be read"}
+		return &api.SubmitReply{Code: uint32(result.Unavailable), Detail: "the head can't be reached"}
 	}
 	reply, err := s.submitTo(ctx, head, &api.SubmitRequest{Operation: operation, Deadline: headDeadline})
 	if err != nil {
-		return &api.SubmitReply{Code: uint32(result.OutcomeUnknown), Detail: "the call to the head failed"}
+		return &api.SubmitReply{Code: uint32(result.OutcomeUnknown), Detail: "the head can't be reached"}
 	}
 	return reply
 }
--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -170,7 +170,7 @@
 // onViewChanged aborts what may be superseded by the new view. The entry in flight at a process that stays head is
 // committed in the new view.
 func (r *Replica) onViewChanged() {
-	const reason = "the chain's view changed before the operation was committed"
+	const reason = "the view has changed"
 	if r.inFlight != nil && !r.isHead() {
 		r.abortInFlight(reason)
 	}
@@ -189,7 +189,7 @@
 
 // fail stops the replica after a failed write: what the disk holds is no longer known.
 func (r *Replica) fail(err error) {
-	const reason = "a write to this process's store failed"
+	const reason = "the disk has failed"
 	r.failure = err
 	r.log.Error(err, logevent.StoreFailed)
 	if r.inFlight != nil {
--- a/internal/controlplane/replica_reads.go
+++ b/internal/controlplane/replica_reads.go
@@ -51,7 +51,7 @@
 
 // expireConfirmations aborts what has waited for a confirmation until its deadline.
 func (r *Replica) expireConfirmations(now time.Duration) {
-	r.abortConfirmationsIf(func(deadline time.Duration) bool { return now >= deadline }, "no majority confirmed in time that this is the head")
+	r.abortConfirmationsIf(func(deadline time.Duration) bool { return now >= deadline }, "no majority answers")
 }
 
 func (r *Replica) abortConfirmationsIf(expired func(deadline time.Duration) bool, reason string) {
--- a/internal/controlplane/replica_runner.go
+++ b/internal/controlplane/replica_runner.go
@@ -146,13 +146,13 @@
 func (r *ReplicaRunner) Submit(operation *api.Operation, deadline time.Duration, reply Reply) {
 	posted := r.post(func() {
 		if r.replica == nil {
-			reply(result.Unavailable, "the store of this process is not open")
+			reply(result.Unavailable, "this process has no store")
 			return
 		}
 		r.replica.Submit(r.clock.now(), operation, deadline, reply)
 	})
 	if !posted {
-		reply(result.Unavailable, "the replica's queue is full")
+		reply(result.Unavailable, "too much waits")
 	}
 }
 
--- a/internal/controlplane/replica_submissions.go
+++ b/internal/controlplane/replica_submissions.go
@@ -72,7 +72,7 @@
 		return
 	}
 	if !r.headInService() || len(r.queue) >= maxQueuedSubmissions {
-		reply(result.Unavailable, "this process is not the head of a chain in service, or its queue is full")
+		reply(result.Unavailable, "this process is not the head of a chain in service")
 		return
 	}
 	s.deadline = min(s.deadline, now+submissionTimeout)
@@ -153,7 +153,7 @@
 	if r.inFlight == nil || now < r.inFlight.deadline {
 		return
 	}
-	r.inFlight.abort(result.OutcomeUnknown, "the chain did not acknowledge the operation in time")
+	r.inFlight.abort(result.OutcomeUnknown, "the chain has not acknowledged it in time")
 	r.inFlight.submissions = nil
 }
 
@@ -171,9 +171,9 @@
 	for _, s := range r.queue {
 		switch {
 		case now >= s.deadline:
-			s.reply(result.Unavailable, "the operation's deadline passed while it was queued")
+			s.reply(result.Unavailable, "it has waited too long")
 		case s.view != 0 && s.view != r.node.View().GetNumber():
-			s.reply(result.Unavailable, "the operation was decided in another view")
+			s.reply(result.Unavailable, "it was decided in another view")
 		default:
 			kept = append(kept, s)
 		}
--- a/internal/controlplane/transfer_limit.go
+++ b/internal/controlplane/transfer_limit.go
@@ -42,7 +42,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.bucket.Take(now, 1) {
-		return twirp.NewError(twirp.ResourceExhausted, "too many other subscribers are receiving the state")
+		return twirp.NewError(twirp.ResourceExhausted, "too many others receive the state")
 	}
 	l.bucket.Lapse(1) // only the rate is limited, as the end of a transfer is not known here
 	return nil
