--- a/internal/controlplane/configuration/compatibility_subscribers_test.go
+++ b/internal/controlplane/configuration/compatibility_subscribers_test.go
@@ -9,31 +9,32 @@
 	"marlreel/internal/testing/recorded"
 )
 
-// recordIndented compares a value, as indented JSON, with a recorded file.
-func recordIndented(t *testing.T, name string, value any) {
+// checkIndented compares a value, as indented JSON, with a recorded file.
+func checkIndented(t *testing.T, name string, value any) {
 	t.Helper()
-	words, err := json.MarshalIndent(value, "", " ")
+	encoded, err := json.MarshalIndent(value, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	recorded.Check(t, name, string(words)+"\n")
+	recorded.Check(t, name, string(encoded)+"\n")
 }
 
-// Guards against other bytes or another content of a configuration with subscribers, and of what a change makes of it.
+// Guards against a version that decodes a configuration with subscribers differently, or that writes it or the result
+// of a change with different bytes.
 func TestCompatibilityOfSubscribers(t *testing.T) {
 	sent := recorded.Read(t, "sent-subscribers.json")
 	document := parsed(t, string(sent))
 	if string(document.Raw()) != string(sent) {
-		t.Errorf("the document is given back otherwise:\n%s", document.Raw())
+		t.Errorf("Raw differs from the JSON that was parsed:\n%s", document.Raw())
 	}
-	recordIndented(t, "subscribers-content.json", document)
+	checkIndented(t, "subscribers-content.json", document)
 	next := modified(t, document, string(recorded.Read(t, "sent-subscribers-change.json")))
 	recorded.Check(t, "subscribers-changed.json", string(next.Raw())+"\n")
 	found, err := Diff(sent, next.Raw())
 	if err != nil {
 		t.Fatal(err)
 	}
-	recordIndented(t, "subscribers-difference.json", found)
+	checkIndented(t, "subscribers-difference.json", found)
 	redacted, err := Redact(sent)
 	if err != nil {
 		t.Fatal(err)
@@ -41,7 +42,7 @@
 	recorded.Check(t, "subscribers-redacted.json", string(redacted)+"\n")
 }
 
-// Guards against faults of subscribers that get other codes.
+// Guards against invalid subscribers being rejected with different codes than before.
 func TestCompatibilityOfFaultsOfSubscribers(t *testing.T) {
 	sent := string(recorded.Read(t, "sent-subscribers.json"))
 	var out strings.Builder
@@ -60,7 +61,7 @@
 		{"the list is none", `"subscribers": [`, `"subscribers": 1, "others": [`},
 	} {
 		if !strings.Contains(sent, fault.old) {
-			t.Fatalf("%s: the configuration has no %s", fault.name, fault.old)
+			t.Fatalf("%s: the recorded configuration doesn't contain %s", fault.name, fault.old)
 		}
 		_, found := Validate([]byte(strings.Replace(sent, fault.old, fault.new, 1)))
 		fmt.Fprintf(&out, "%s:", fault.name)
--- a/internal/controlplane/configuration/compatibility_test.go
+++ b/internal/controlplane/configuration/compatibility_test.go
@@ -10,10 +10,10 @@
 	"marlreel/internal/testing/recorded"
 )
 
-// The files under testdata/compatibility must not be written anew to get a pass (package recorded). Those named
-// sent-… are after the users' pages.
+// The files under testdata/compatibility must not be rewritten to make a test pass (package recorded). Those named
+// sent-… follow the user documentation.
 
-// The keys of a configuration, of a change of one, and of a comparison.
+// Guards against changed JSON keys of a configuration, a change, or a comparison.
 func TestCompatibilityOfKeys(t *testing.T) {
 	for name, value := range map[string]any{"document": Document{}, "change": change{}, "difference": Difference{}} {
 		lines := recorded.Keys("json", reflect.TypeOf(value))
@@ -21,8 +21,8 @@
 	}
 }
 
-// A recorded configuration has each field. It is read into the same content, as JSON with the keys
-// of the pages, and is given back as it was.
+// The recorded configuration has every field. It must decode to the recorded content, whose keys are those of the user
+// documentation, and be returned by Raw with its original bytes.
 func TestCompatibilityOfDocument(t *testing.T) {
 	sent := recorded.Read(t, "sent-configuration.json")
 	document, err := Parse(sent)
@@ -30,13 +30,13 @@
 		t.Fatal(err)
 	}
 	if string(document.Raw()) != string(sent) {
-		t.Errorf("the document is given back otherwise:\n%s", document.Raw())
+		t.Errorf("Raw differs from the JSON that was parsed:\n%s", document.Raw())
 	}
-	words, failure := json.MarshalIndent(document, "", " ")
+	encoded, failure := json.MarshalIndent(document, "", " ")
 	if failure != nil {
 		t.Fatal(failure)
 	}
-	recorded.Check(t, "configuration-content.json", string(words)+"\n")
+	recorded.Check(t, "configuration-content.json", string(encoded)+"\n")
 
 	next, err := document.Modify(recorded.Read(t, "sent-change.json"))
 	if err != nil {
@@ -48,14 +48,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	words, failure = json.MarshalIndent(found, "", " ")
+	encoded, failure = json.MarshalIndent(found, "", " ")
 	if failure != nil {
 		t.Fatal(failure)
 	}
-	recorded.Check(t, "configuration-difference.json", string(words)+"\n")
+	recorded.Check(t, "configuration-difference.json", string(encoded)+"\n")
 }
 
-// Faults have the codes that they had.
+// Guards against invalid configurations being rejected with different codes than before.
 func TestCompatibilityOfFaults(t *testing.T) {
 	sent := string(recorded.Read(t, "sent-configuration.json"))
 	var out strings.Builder
@@ -72,7 +72,7 @@
 		{"cut short", `"limits"`, ``},
 	} {
 		if !strings.Contains(sent, fault.old) {
-			t.Fatalf("%s: the configuration has no %s", fault.name, fault.old)
+			t.Fatalf("%s: the recorded configuration doesn't contain %s", fault.name, fault.old)
 		}
 		_, found := Validate([]byte(strings.Replace(sent, fault.old, fault.new, 1)))
 		fmt.Fprintf(&out, "%s:", fault.name)
--- a/internal/controlplane/configuration/decode.go
+++ b/internal/controlplane/configuration/decode.go
@@ -10,8 +10,8 @@
 	"marlreel/internal/controlplane/result"
 )
 
-// Parse decodes and validates a complete configuration. The error has the code of the first violation, and the
-// texts of all of them up to maxListedViolations.
+// Parse decodes and validates a complete configuration. The error has the code of the first violation and the texts
+// of up to maxListedViolations of them.
 func Parse(data []byte) (*Document, *result.Error) {
 	document, violations := Validate(data)
 	if err := combine(violations); err != nil {
@@ -20,7 +20,8 @@
 	return document, nil
 }
 
-// Decode reads a complete configuration that was validated when it was accepted. It fails with result.Malformed.
+// Decode decodes a complete configuration without validating it, as that was done when it was accepted. It fails with
+// result.Malformed.
 func Decode(data []byte) (*Document, *result.Error) {
 	document := &Document{raw: newRawDocument(data)}
 	if err := decodeJSON(data, document); err != nil {
@@ -30,8 +31,8 @@
 	return document, nil
 }
 
-// DecodeVersion reads nothing but the version of a configuration or a change. It fails with result.Malformed, or
-// with result.InvalidField where there is no version.
+// DecodeVersion decodes only the version of a configuration or a change. It fails with result.Malformed, or with
+// result.InvalidField if there is no version.
 func DecodeVersion(data []byte) (uint64, *result.Error) {
 	var head struct {
 		Version *uint64 `json:"config_version"`
@@ -45,9 +46,9 @@
 	return *head.Version, nil
 }
 
-var errTrailingData = errors.New("more follows after the document")
+var errTrailingData = errors.New("unexpected data after the JSON document")
 
-// decodeJSON reads one JSON value with nothing behind it.
+// decodeJSON decodes data that consists of exactly one JSON value.
 func decodeJSON(data []byte, target any) error {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	if err := decoder.Decode(target); err != nil {
@@ -59,8 +60,8 @@
 	return nil
 }
 
-// describeJSONError says what is wrong with JSON. The text has nothing of the JSON in it, unlike that of the error: it
-// may hold keys.
+// describeJSONError describes a decoding error. Unlike the error's own text it quotes nothing of the JSON, which may
+// contain access keys.
 func describeJSONError(err error) string {
 	var syntax *json.SyntaxError
 	var mismatch *json.UnmarshalTypeError
--- a/internal/controlplane/configuration/diff.go
+++ b/internal/controlplane/configuration/diff.go
@@ -10,7 +10,7 @@
 	"marlreel/internal/controlplane/result"
 )
 
-// DifferenceKind says how two configurations differ at one path.
+// DifferenceKind is how two configurations differ at one path.
 type DifferenceKind string
 
 // The kinds of differences.
@@ -23,15 +23,16 @@
 // Difference is one path at which two configurations differ.
 type Difference struct {
 	Kind DifferenceKind `json:"kind"`
-	// Path is as in route_list[chat].timeout_ms.
+	// Path has the form route_list[chat].timeout_ms.
 	Path string          `json:"path"`
 	Old  json.RawMessage `json:"old,omitempty"`
 	New  json.RawMessage `json:"new,omitempty"`
 }
 
-// Diff returns all differences of two configurations, by path, fields that are not known here included. Items of
-// lists are paired by their names; a list with an item that has none, or with a name twice, is compared as one value.
-// Keys of subscribers are redacted, so that a change of one shows without it. It fails with result.Malformed.
+// Diff returns all differences between two configurations, ordered by path, including those in fields that this version
+// doesn't know. List items are paired by name; a list with an unnamed item or a duplicate name is compared as one
+// value. Access keys are replaced by fingerprints, so that a changed key shows without being revealed. It fails with
+// result.Malformed.
 func Diff(before, after []byte) ([]Difference, *result.Error) {
 	oldValue, err := decodeValue(before)
 	if err != nil {
@@ -48,7 +49,7 @@
 	return c.differences, nil
 }
 
-// decodeValue reads JSON with its numbers as they are written.
+// decodeValue decodes JSON and keeps numbers as they are written.
 func decodeValue(data []byte) (any, *result.Error) {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.UseNumber()
@@ -59,7 +60,7 @@
 	return value, nil
 }
 
-// comparison collects differences.
+// comparison collects the differences between two decoded values.
 type comparison struct {
 	differences []Difference
 }
@@ -67,7 +68,7 @@
 func (c *comparison) add(kind DifferenceKind, path string, oldValue, newValue any) {
 	d := Difference{Kind: kind, Path: path}
 	if kind != Added {
-		d.Old, _ = json.Marshal(oldValue) // it was decoded from JSON
+		d.Old, _ = json.Marshal(oldValue) // values decoded from JSON always marshal
 	}
 	if kind != Removed {
 		d.New, _ = json.Marshal(newValue)
@@ -75,7 +76,7 @@
 	c.differences = append(c.differences, d)
 }
 
-// compare adds the differences of two values.
+// compare adds the differences between the values at a path.
 func (c *comparison) compare(path string, oldValue, newValue any) {
 	before, after := childrenOf(oldValue), childrenOf(newValue)
 	if before == nil || after == nil {
@@ -112,7 +113,7 @@
 	list   bool
 }
 
-// path is the path of a child.
+// path returns the path of a child.
 func (c *children) path(parent, key string) string {
 	switch {
 	case c.list:
@@ -123,7 +124,7 @@
 	return parent + "." + key
 }
 
-// childrenOf returns nil for what is compared as one value.
+// childrenOf returns the children of an object or a list, and nil for a value that is compared as a whole.
 func childrenOf(value any) *children {
 	switch value := value.(type) {
 	case map[string]any:
@@ -136,7 +137,7 @@
 	return nil
 }
 
-// itemsByName returns a list's items by name; nil where one has no name, or two have the same.
+// itemsByName returns a list's items by name; nil if an item has no name, or two have the same.
 func itemsByName(list []any) map[string]any {
 	items := map[string]any{}
 	for _, item := range list {
@@ -172,7 +173,7 @@
 	return a == b // strings, booleans and null
 }
 
-// equalNumbers compares by text first: a float64 can't tell large versions apart.
+// equalNumbers compares the text first, as different large versions can be equal as float64.
 func equalNumbers(a, b json.Number) bool {
 	if strings.TrimSpace(a.String()) == strings.TrimSpace(b.String()) {
 		return true
--- a/internal/controlplane/configuration/diff_test.go
+++ b/internal/controlplane/configuration/diff_test.go
@@ -14,18 +14,18 @@
 		old, new string
 		want     []string
 	}{
-		"none":              {`{"config_version":1,"limits":{"a":5}}`, `{"limits":{"a":5.0},"config_version":1}`, nil},
-		"large versions":    {`{"config_version":9007199254740993}`, `{"config_version":9007199254740993}`, nil},
-		"a version":         {`{"config_version":1}`, `{"config_version":2}`, []string{"changed config_version 1 2"}},
-		"a field comes":     {`{"a":{}}`, `{"a":{"b":null}}`, []string{"added a.b  null"}},
-		"a field goes":      {`{"a":{"b":[1]}}`, `{"a":{}}`, []string{"removed a.b [1] "}},
-		"items by name":     {`{"l":[{"name":"x","t":1},{"name":"y"}]}`, `{"l":[{"name":"y"},{"name":"x","t":2}]}`, []string{"changed l[x].t 1 2"}},
-		"an item is new":    {`{"l":[{"name":"x"}]}`, `{"l":[{"name":"x"},{"name":"z"}]}`, []string{`added l[z]  {"name":"z"}`}},
-		"a name twice":      {`{"l":[{"name":"x"},{"name":"x"}]}`, `{"l":[{"name":"x"}]}`, []string{`changed l [{"name":"x"},{"name":"x"}] [{"name":"x"}]`}},
-		"a list of values":  {`{"l":[1,2]}`, `{"l":[2,1]}`, []string{"changed l [1,2] [2,1]"}},
-		"the same, apart":   {`{"l":[1,{"a":2}]}`, `{"l":[1.0,{"a":2e0}]}`, nil},
-		"another kind":      {`{"l":"1"}`, `{"l":1}`, []string{`changed l "1" 1`}},
-		"a list, an object": {`{"l":[{"name":"a"}]}`, `{"l":[]}`, []string{`changed l [{"name":"a"}] []`}},
+		"none":            {`{"config_version":1,"limits":{"a":5}}`, `{"limits":{"a":5.0},"config_version":1}`, nil},
+		"large versions":  {`{"config_version":9007199254740993}`, `{"config_version":9007199254740993}`, nil},
+		"version changed": {`{"config_version":1}`, `{"config_version":2}`, []string{"changed config_version 1 2"}},
+		"field added":     {`{"a":{}}`, `{"a":{"b":null}}`, []string{"added a.b  null"}},
+		"field removed":   {`{"a":{"b":[1]}}`, `{"a":{}}`, []string{"removed a.b [1] "}},
+		"items by name":   {`{"l":[{"name":"x","t":1},{"name":"y"}]}`, `{"l":[{"name":"y"},{"name":"x","t":2}]}`, []string{"changed l[x].t 1 2"}},
+		"item added":      {`{"l":[{"name":"x"}]}`, `{"l":[{"name":"x"},{"name":"z"}]}`, []string{`added l[z]  {"name":"z"}`}},
+		"duplicate name":  {`{"l":[{"name":"x"},{"name":"x"}]}`, `{"l":[{"name":"x"}]}`, []string{`changed l [{"name":"x"},{"name":"x"}] [{"name":"x"}]`}},
+		"list of values":  {`{"l":[1,2]}`, `{"l":[2,1]}`, []string{"changed l [1,2] [2,1]"}},
+		"equal numbers":   {`{"l":[1,{"a":2}]}`, `{"l":[1.0,{"a":2e0}]}`, nil},
+		"different types": {`{"l":"1"}`, `{"l":1}`, []string{`changed l "1" 1`}},
+		"list emptied":    {`{"l":[{"name":"a"}]}`, `{"l":[]}`, []string{`changed l [{"name":"a"}] []`}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/controlplane/configuration/manyroutes_test.go
+++ b/internal/controlplane/configuration/manyroutes_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// manyRoutes is a change of some 250 bytes for each of its routes.
+// manyRoutes returns a change that adds count routes, of some 250 bytes each.
 func manyRoutes(version, count int) []byte {
 	routes := make([]string, count)
 	for i := range routes {
@@ -20,7 +20,8 @@
 	return fmt.Appendf(nil, `{"config_version":%d,"upsert":{"route_list":[%s]}}`, version, strings.Join(routes, ","))
 }
 
-// What is merged without validation is what the validated change led to, also where the document remembers another change.
+// Merging without validation gives the same document as the validated change, also when the document has cached the
+// result of another change.
 func TestMergeEqualsModify(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d, err := Parse([]byte(baseDocument))
@@ -39,19 +40,19 @@
 		}
 		merged, err := d.Merge(change)
 		if err != nil || string(merged.Raw()) != string(modified.Raw()) {
-			t.Fatalf("%s\nis not\n%s", merged.Raw(), modified.Raw())
+			t.Fatalf("Merge returned\n%s\nand Modify returned\n%s", merged.Raw(), modified.Raw())
 		}
 	})
 }
 
-// A change that was rejected is not remembered.
-func TestRejectedChangeIsNotRemembered(t *testing.T) {
+// Guards against Merge returning the cached result of a change that was rejected.
+func TestRejectedChangeIsNotCached(t *testing.T) {
 	is := is.New(t)
 	d, err := Parse([]byte(baseDocument))
 	is.True(err == nil)
 	_, err = d.Modify([]byte(`{"config_version":8,"remove":{"service_list":["t"]}}`))
 	is.True(err != nil)
-	is.True(d.raw.modified == nil)
+	is.True(d.raw.lastResult == nil)
 }
 
 func BenchmarkManyRoutes(b *testing.B) {
@@ -69,7 +70,7 @@
 			_, _ = d.Modify(change)
 		}
 	})
-	d.raw.remember(nil, nil)
+	d.raw.cacheResult(nil, nil)
 	b.Run("merged", func(b *testing.B) {
 		for b.Loop() {
 			_, _ = d.Merge(change)
--- a/internal/controlplane/configuration/match.go
+++ b/internal/controlplane/configuration/match.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// buildIndex makes the tables by which services and subscribers are found and requests are matched.
+// buildIndex builds the tables that match requests to routes and look up services and subscribers.
 func (d *Document) buildIndex() {
 	d.indexRoutes()
 	d.indexServices()
@@ -36,8 +36,8 @@
 	}
 }
 
-// Match returns the route of a request, or nil: of the routes of its host, the one with the longest prefix that
-// begins the path. The host may have a port.
+// Match returns the route of a request: among the routes of its host, the one with the longest prefix of the path. It
+// returns nil if there is none. The host may include a port.
 func (d *Document) Match(host, path string) *Route {
 	for _, route := range d.routesOf(host) {
 		if strings.HasPrefix(path, route.PathPrefix) {
@@ -58,7 +58,7 @@
 	return d.routesByHost[strings.ToLower(name)]
 }
 
-// ChooseService picks a service of the route by weight. The caller draws from [0, 1).
+// ChooseService picks a service of the route by weight. draw is a random number from [0, 1).
 func (r *Route) ChooseService(draw float64) string {
 	total := 0.0
 	r.EachService(func(_ string, weight float64) { total += weight })
--- a/internal/controlplane/configuration/match_test.go
+++ b/internal/controlplane/configuration/match_test.go
@@ -15,7 +15,7 @@
 	}
 	is.Equal(d.Match("H.example:80", "/a/x").Name, "a")
 	is.True(d.Match("h.example", "/b/") == nil)
-	is.True(d.Match("h.example", "/a") == nil) // the prefix has a slash at its end
+	is.True(d.Match("h.example", "/a") == nil) // the prefix ends with a slash
 	is.True(d.Match("other.example", "/a/") == nil)
 }
 
--- a/internal/controlplane/configuration/modify.go
+++ b/internal/controlplane/configuration/modify.go
@@ -6,14 +6,15 @@
 	"marlreel/internal/controlplane/result"
 )
 
-// change is what a call to modify carries: items of the document's lists, each list under its own key.
+// change is the body of a modify call: the items to add or replace, and the names of those to remove, by the key of
+// their list.
 type change struct {
 	Version uint64                       `json:"config_version"`
 	Upsert  map[string][]json.RawMessage `json:"upsert"`
 	Remove  map[string][]string          `json:"remove"`
 }
 
-// decodeChange reads a change and refuses lists that can't be changed.
+// decodeChange decodes a change and rejects it if it names a list that doesn't exist.
 func decodeChange(data []byte) (*change, *result.Error) {
 	c := &change{}
 	if err := decodeJSON(data, c); err != nil {
@@ -36,12 +37,12 @@
 	return name == routesKey || name == servicesKey || name == subscribersKey
 }
 
-// touches reports whether the change names items of a list.
+// touches reports whether the change names items of the list with a key.
 func (c *change) touches(key string) bool { return len(c.Upsert[key]) > 0 || len(c.Remove[key]) > 0 }
 
-// Modify returns the document that a change leads to; this document stays as it is. Items that the change does not
-// name are neither decoded nor validated again, but for how they relate to the changed ones, and what was made of a
-// list that it does not touch is shared by both documents.
+// Modify validates a change and returns the resulting document; this document is not modified. Items that the change
+// doesn't name are neither decoded nor validated again, except for their relations to changed items. Both documents
+// share the items and lookup tables of lists that the change doesn't touch.
 func (d *Document) Modify(data []byte) (*Document, *result.Error) {
 	next, checked, err := d.merge(data)
 	if err != nil {
@@ -50,20 +51,20 @@
 	if err := combine(next.validate(checked)); err != nil {
 		return nil, err
 	}
-	d.raw.remember(data, next)
+	d.raw.cacheResult(data, next)
 	return next, nil
 }
 
-// Merge does the same for a change that was validated when it was accepted.
+// Merge is Modify without the validation, for a change that was validated when it was accepted.
 func (d *Document) Merge(data []byte) (*Document, *result.Error) {
-	if next := d.raw.recall(data); next != nil {
+	if next := d.raw.cachedResult(data); next != nil {
 		return next, nil
 	}
 	next, _, err := d.merge(data)
 	return next, err
 }
 
-// merge returns the document that a change leads to, and what of it is to be validated.
+// merge returns the document that results from a change, and the scope in which it has to be validated.
 func (d *Document) merge(data []byte) (*Document, scope, *result.Error) {
 	c, err := decodeChange(data)
 	if err != nil {
@@ -91,13 +92,13 @@
 	next.raw = &rawDocument{fields: &rawFields{
 		routes: routes.items, services: services.items, subscribers: subscribers.items, others: old.others,
 	}}
-	next.indexTouched(c)
+	next.rebuildTouchedIndexes(c)
 	isNew := func(name string) bool { return newNames[name] }
 	return &next, scope{touches: c.touches, isNew: isNew}, nil
 }
 
-// indexTouched makes the tables of those lists anew that a change touches.
-func (d *Document) indexTouched(c *change) {
+// rebuildTouchedIndexes rebuilds the lookup tables of the lists that a change touches.
+func (d *Document) rebuildTouchedIndexes(c *change) {
 	if c.touches(routesKey) {
 		d.indexRoutes()
 	}
@@ -109,7 +110,7 @@
 	}
 }
 
-// listItem is an item of one of the lists, which has a name.
+// listItem is a named item of one of the document's lists.
 type listItem interface {
 	Route | Service | Subscriber
 	itemName() string
@@ -121,7 +122,7 @@
 
 func (s Subscriber) itemName() string { return s.Name }
 
-// list is a list of a document: its items decoded, and as they were sent, in the same order.
+// list is a list of a document: its items both decoded and as they were sent, in the same order.
 type list[T any] struct {
 	values []T
 	items  []rawItem
@@ -132,9 +133,8 @@
 	l.items = append(l.items, item)
 }
 
-// applyChange applies what a change says of the list under a key. It adds the names of the items that come with
-// the change to newNames. A list that the change does not touch is returned as it is, and so is an absent one from
-// which items are removed.
+// applyChange applies a change to the list under a key, and adds the names of the added or replaced items to newNames.
+// A list that the change doesn't touch is returned unchanged, as is an absent list from which items are removed.
 func applyChange[T listItem](old list[T], c *change, key string, newNames map[string]bool) (list[T], *result.Error) {
 	if len(c.Upsert[key]) == 0 && (len(c.Remove[key]) == 0 || old.items == nil) {
 		return old, nil
@@ -146,12 +146,12 @@
 	for _, item := range upserts.items {
 		newNames[item.name] = true
 	}
-	return merge(old, upserts, c.Remove[key]), nil
+	return mergeList(old, upserts, c.Remove[key]), nil
 }
 
 // decodeUpserts decodes the items that a change adds or replaces.
 func decodeUpserts[T listItem](upsert []json.RawMessage) (list[T], *result.Error) {
-	if decoded, ok := decodeOnce[T](upsert); ok {
+	if decoded, ok := decodeInOnePass[T](upsert); ok {
 		return decoded, nil
 	}
 	items, err := namedItems(upsert)
@@ -162,7 +162,7 @@
 	values := make([]T, len(items))
 	for i, item := range items {
 		if names[item.name] {
-			return list[T]{}, result.Errorf(result.DuplicateName, "upsert: %s comes twice", item.name)
+			return list[T]{}, result.Errorf(result.DuplicateName, "upsert: %s is listed twice", item.name)
 		}
 		if err := json.Unmarshal(item.json, &values[i]); err != nil {
 			return list[T]{}, result.Errorf(result.Malformed, "%s: %s", item.name, describeJSONError(err))
@@ -172,9 +172,9 @@
 	return list[T]{values: values, items: items}, nil
 }
 
-// decodeOnce decodes items that have nothing wrong with them, each in one pass. It reports false where one has: what it is
-// takes another look.
-func decodeOnce[T listItem](upsert []json.RawMessage) (list[T], bool) {
+// decodeInOnePass decodes valid items, each in a single pass. It reports false if an item is invalid; finding out why
+// takes another pass.
+func decodeInOnePass[T listItem](upsert []json.RawMessage) (list[T], bool) {
 	decoded := list[T]{values: make([]T, len(upsert)), items: make([]rawItem, len(upsert))}
 	names := make(map[string]bool, len(upsert))
 	for i, data := range upsert {
@@ -191,10 +191,10 @@
 	return decoded, true
 }
 
-// merge replaces items of the old list by the upserts of their names, drops those that are removed, and appends the
-// other upserts. An upsert wins over a removal of its name.
-func merge[T any](old, upserts list[T], remove []string) list[T] {
-	pending := map[string]int{} // upserts by name that no old item has yet taken
+// mergeList replaces items of the old list by upserts of the same name, drops removed items, and appends the remaining
+// upserts. An upsert takes precedence over a removal of the same name.
+func mergeList[T any](old, upserts list[T], remove []string) list[T] {
+	pending := map[string]int{} // upserts that have not replaced an old item, by name
 	for i, item := range upserts.items {
 		pending[item.name] = i
 	}
--- a/internal/controlplane/configuration/modify_test.go
+++ b/internal/controlplane/configuration/modify_test.go
@@ -24,15 +24,15 @@
 	is.Equal(len(next.Routes), 2)
 	is.Equal(next.Match("h.example", "/z/1").Name, "b")
 	is.True(strings.Contains(string(next.Raw()), `"unknown":[1,2]`))
-	is.Equal(d.Version, uint64(3)) // the one before is as it was
+	is.Equal(d.Version, uint64(3)) // the original is unchanged
 	_, err = d.Modify([]byte(`{"config_version":8,"remove":{"service_list":["t"]}}`))
-	is.True(err != nil && err.Code == result.UnknownService) // a route would lose its service
+	is.True(err != nil && err.Code == result.UnknownService) // a route still uses the service
 	_, err = d.Modify([]byte(`{"config_version":8,"upsert":{"others":[{"name":"x"}]}}`))
 	is.True(err != nil && err.Code == result.InvalidField)
 }
 
-// Whatever changes follow one another: what they lead to is the document that is read from
-// its own JSON, and just the valid ones are accepted.
+// Draws random sequences of changes. Each accepted change must result in a valid document that equals the one parsed
+// from its own JSON.
 func TestModifyEqualsParsingItsResult(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d, err := Parse([]byte(baseDocument))
@@ -53,10 +53,10 @@
 				}
 				read, err := Parse(next.Raw())
 				if err != nil {
-					t.Fatalf("%s was accepted, and leads to %v", change, err)
+					t.Fatalf("%s was accepted, but its result is rejected by Parse: %v", change, err)
 				}
 				if got, want := asJSON(next), asJSON(read); got != want {
-					t.Fatalf("%s leads to %s, and is read back as %s", change, got, want)
+					t.Fatalf("%s results in %s, but is parsed back as %s", change, got, want)
 				}
 				d = next
 			},
@@ -64,13 +64,13 @@
 	})
 }
 
-// asJSON is the content of a document.
+// asJSON returns the decoded content of a document as JSON.
 func asJSON(d *Document) string {
 	data, _ := json.Marshal(d)
 	return string(data)
 }
 
-// A change is refused for what it does to items that it does not name.
+// A change is rejected if it makes an item invalid that it doesn't name.
 func TestModifyRejectsRemovalOfAServiceInUse(t *testing.T) {
 	is := is.New(t)
 	d, err := Parse([]byte(baseDocument))
@@ -80,7 +80,7 @@
 	is.Equal(err.Code, result.UnknownService)
 }
 
-// largeDocument is a document of so many routes.
+// largeDocument returns the JSON of a document with the given number of routes.
 func largeDocument(routes int) []byte {
 	var list []string
 	for i := range routes {
--- a/internal/controlplane/configuration/rawdocument.go
+++ b/internal/controlplane/configuration/rawdocument.go
@@ -18,35 +18,35 @@
 	versionKey     = "config_version"
 )
 
-// rawItem is an entry of a list as the operator sent it.
+// rawItem is a list item as the operator sent it.
 type rawItem struct {
 	name string
 	json json.RawMessage
 }
 
-// rawFields are a document's JSON by top-level field, so that a change touches only what it names.
+// rawFields is a document's JSON by top-level field, so that a change affects only the items that it names.
 type rawFields struct {
 	routes   []rawItem
 	services []rawItem
-	// subscribers is nil where the document has no such list, and empty where the list has no items.
+	// subscribers is nil if the document has no such list, and empty if the list has no items.
 	subscribers []rawItem
-	others      map[string]json.RawMessage // all fields but the lists and the version
+	others      map[string]json.RawMessage // all fields except the lists and the version
 }
 
-// rawDocument is a document's JSON as it was sent: the bytes, the fields, or both. Each is made of the other when
-// it is first needed, so that a change of a large configuration is not encoded before somebody reads it.
+// rawDocument is a document's JSON as it was sent: the bytes, the fields, or both. Each form is derived from the other
+// when it is first needed, so that a changed large configuration is encoded only when it is read.
 type rawDocument struct {
 	mu     sync.Mutex
 	data   []byte
 	fields *rawFields
 
-	change   []byte    // the last validated change of this document; nil: there was none
-	modified *Document // what it led to
+	lastChange []byte    // the last validated change of this document; nil: none
+	lastResult *Document // the document that resulted from lastChange
 }
 
 func newRawDocument(data []byte) *rawDocument { return &rawDocument{data: data} }
 
-// json returns the JSON of the document, which has the given version.
+// json returns the JSON of the document, whose version is given.
 func (r *rawDocument) json(version uint64) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,24 +56,25 @@
 	return r.data
 }
 
-// remember keeps what a validated change of this document led to: mostly it is accepted, and applied.
-func (r *rawDocument) remember(change []byte, modified *Document) {
+// cacheResult keeps the result of a validated change of this document, as the change is usually accepted and applied
+// next.
+func (r *rawDocument) cacheResult(change []byte, modified *Document) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.change, r.modified = change, modified
+	r.lastChange, r.lastResult = change, modified
 }
 
-// recall returns what a change led to, if it was the last that was validated; nil: it was not.
-func (r *rawDocument) recall(change []byte) *Document {
+// cachedResult returns the result of a change if it was the last one validated, and nil otherwise.
+func (r *rawDocument) cachedResult(change []byte) *Document {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.modified == nil || !bytes.Equal(r.change, change) {
+	if r.lastResult == nil || !bytes.Equal(r.lastChange, change) {
 		return nil
 	}
-	return r.modified
+	return r.lastResult
 }
 
-// split returns the fields of the document, whose JSON this is.
+// split returns the JSON by field; d is the document decoded from it.
 func (r *rawDocument) split(d *Document) (*rawFields, *result.Error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,14 +88,14 @@
 	return r.fields, nil
 }
 
-// decodeFields decodes a document's JSON by field. The items' names are those of the decoded document.
+// decodeFields decodes a document's JSON by field. Item names are taken from the decoded document.
 func decodeFields(data []byte, d *Document) (*rawFields, *result.Error) {
 	all := map[string]json.RawMessage{}
 	if err := decodeJSON(data, &all); err != nil {
-		return nil, result.Errorf(result.Malformed, "configuration in place: %s", describeJSONError(err))
+		return nil, result.Errorf(result.Malformed, "current configuration: %s", describeJSONError(err))
 	}
 	for _, key := range []string{routesKey, servicesKey, subscribersKey, versionKey} {
-		renameVariant(all, key)
+		normalizeKeyCase(all, key)
 	}
 	routes, err := decodeList(all[routesKey], len(d.Routes), func(i int) string { return d.Routes[i].Name })
 	if err != nil {
@@ -118,8 +119,8 @@
 	return &rawFields{routes: routes, services: services, subscribers: subscribers, others: all}, nil
 }
 
-// renameVariant gives the field of a known key that is written in another case, as the document is decoded, that key.
-func renameVariant(fields map[string]json.RawMessage, key string) {
+// normalizeKeyCase renames a field that equals key except for case to key: decoding the document ignores case too.
+func normalizeKeyCase(fields map[string]json.RawMessage, key string) {
 	if _, exact := fields[key]; exact {
 		return
 	}
@@ -132,16 +133,16 @@
 	}
 }
 
-// decodeList decodes a list of a document; a list that is absent is empty. name gives the name of each of its count
-// items, so that they need not be decoded again.
+// decodeList splits a list of a document into items; an absent list is empty. name returns the name of each of the
+// count items that the document has, so that items need not be decoded again.
 func decodeList(data json.RawMessage, count int, name func(i int) string) ([]rawItem, *result.Error) {
 	var list []json.RawMessage
 	if len(data) > 0 {
 		if err := json.Unmarshal(data, &list); err != nil {
-			return nil, result.Errorf(result.Malformed, "configuration in place: %s", describeJSONError(err))
+			return nil, result.Errorf(result.Malformed, "current configuration: %s", describeJSONError(err))
 		}
 	}
-	if len(list) != count { // the key stands in the JSON more than once
+	if len(list) != count { // the key occurs in the JSON more than once
 		return namedItems(list)
 	}
 	items := make([]rawItem, count)
@@ -151,7 +152,7 @@
 	return items, nil
 }
 
-// namedItems reads the names of a list's items. It fails with result.InvalidField where one has none.
+// namedItems decodes the names of a list's items. It fails with result.InvalidField if an item has none.
 func namedItems(list []json.RawMessage) ([]rawItem, *result.Error) {
 	items := make([]rawItem, 0, len(list))
 	for _, data := range list {
@@ -159,14 +160,14 @@
 			Name string `json:"name"`
 		}
 		if err := json.Unmarshal(data, &named); err != nil || named.Name == "" {
-			return nil, result.Errorf(result.InvalidField, "an item has no name")
+			return nil, result.Errorf(result.InvalidField, "a list item has no name")
 		}
 		items = append(items, rawItem{name: named.Name, json: data})
 	}
 	return items, nil
 }
 
-// encode makes the JSON of a document.
+// encode returns the JSON of a document with the given version.
 func (f *rawFields) encode(version uint64) []byte {
 	document := map[string]any{}
 	for name, value := range f.others {
--- a/internal/controlplane/configuration/redact.go
+++ b/internal/controlplane/configuration/redact.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// accessKeysField is the field of a subscriber's keys.
+	// accessKeysField is the JSON name of Subscriber.AccessKeys.
 	accessKeysField = "access_keys"
-	// fingerprintBytes is how much of a key's SHA-256 its fingerprint shows: enough to tell thousands of keys apart.
+	// fingerprintBytes is how many bytes of a key's SHA-256 its fingerprint has: enough to tell thousands of keys apart.
 	fingerprintBytes = 6
-	// redactedPrefix stands before the fingerprint that takes the place of a key.
+	// redactedPrefix precedes the fingerprint that replaces a key.
 	redactedPrefix = "redacted:"
 )
 
-// KeyFingerprint is what is shown of a key in its place: the same for the same key. It gives nothing away of a random
-// key; one that can be guessed can be tried against it.
+// KeyFingerprint returns the text that is shown instead of a key; equal keys have equal fingerprints. It reveals nothing
+// about a random key, but lets a guess of a weak key be checked.
 func KeyFingerprint(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:fingerprintBytes])
 }
 
-// Redact returns a configuration's JSON with a fingerprint in place of each key of a subscriber. JSON without such keys
-// is returned as it is. It fails with result.Malformed, as what can't be decoded can't be redacted.
+// Redact returns a configuration's JSON with each access key replaced by its fingerprint. JSON without access keys is
+// returned unchanged. It fails with result.Malformed, as JSON that can't be decoded can't be redacted.
 func Redact(document []byte) ([]byte, *result.Error) {
 	value, err := decodeValue(document)
 	if err != nil {
@@ -39,17 +39,17 @@
 	var out bytes.Buffer
 	encoder := json.NewEncoder(&out)
 	encoder.SetEscapeHTML(false)
-	_ = encoder.Encode(value) // it was decoded from JSON
+	_ = encoder.Encode(value) // values decoded from JSON always marshal
 	return bytes.TrimSuffix(out.Bytes(), []byte("\n")), nil
 }
 
-// redactKeys replaces the keys in a decoded value, at any depth, and reports whether there were any.
+// redactKeys replaces the access keys in a decoded value, at any depth, and reports whether there were any.
 func redactKeys(value any) bool {
 	found := false
 	switch value := value.(type) {
 	case map[string]any:
 		for name, field := range value {
-			// Names of fields are decoded without regard to case.
+			// Decoding a configuration ignores the case of field names, too.
 			if strings.EqualFold(name, accessKeysField) {
 				value[name] = redactedField(field)
 				found = true
@@ -67,8 +67,8 @@
 	return found
 }
 
-// redactedField is what takes the place of a field of keys: a list in which each item is redacted; where it is no list,
-// a redaction of the whole.
+// redactedField returns the replacement for a field of access keys: each item of a list is redacted, and any other value
+// is redacted as a whole.
 func redactedField(field any) any {
 	list, isList := field.([]any)
 	if !isList {
@@ -87,7 +87,7 @@
 	}
 	text, isText := value.(string)
 	if !isText {
-		data, _ := json.Marshal(value) // it was decoded from JSON
+		data, _ := json.Marshal(value) // values decoded from JSON always marshal
 		text = string(data)
 	}
 	return redactedPrefix + KeyFingerprint(text)
--- a/internal/controlplane/configuration/redact_test.go
+++ b/internal/controlplane/configuration/redact_test.go
@@ -11,7 +11,7 @@
 	"marlreel/internal/controlplane/result"
 )
 
-// Guards against a comparison that shows keys, or that doesn't show that one was changed.
+// Guards against a comparison that reveals keys, or that doesn't show that a key was changed.
 func TestDiffShowsAChangedKeyWithoutIt(t *testing.T) {
 	is := is.New(t)
 	old, changed := withTenants(tenantList), withTenants(strings.Replace(tenantList, "SECRET2", "SECRET9", 1))
@@ -22,14 +22,14 @@
 	is.True(strings.Contains(string(found[0].New), "redacted:"+KeyFingerprint("SECRET9")))
 	is.True(!bytes.Equal(found[0].Old, found[0].New))
 
-	found, err = Diff([]byte(baseDocument), []byte(old)) // the whole list is new
+	found, err = Diff([]byte(baseDocument), []byte(old)) // the list is added
 	is.True(err == nil)
 	is.Equal(len(found), 1)
 	text, _ := json.Marshal(found)
 	is.True(!bytes.Contains(text, []byte(secretMark)))
 }
 
-// Guards against keys that are given away because they don't stand where they should.
+// Guards against revealing keys that are in unexpected places or of unexpected types.
 func TestRedactFindsKeysInAnyForm(t *testing.T) {
 	for _, document := range []string{
 		withTenants(tenantList),
@@ -45,7 +45,7 @@
 	}
 }
 
-// Guards against a redacted configuration that differs from the one in force in more than its keys.
+// Guards against a redacted configuration that differs from the original in more than its keys.
 func TestRedactKeepsAllElse(t *testing.T) {
 	is := is.New(t)
 	same, err := Redact([]byte(baseDocument))
--- a/internal/controlplane/configuration/subscriber_index.go
+++ b/internal/controlplane/configuration/subscriber_index.go
@@ -2,19 +2,21 @@
 
 import "crypto/sha256"
 
-// keyDigest is the SHA-256 of a key: by it a key is looked up in a time that does not tell how much of it is right.
+// keyDigest is the SHA-256 of a key. Looking keys up by digest keeps the lookup time from revealing how much of a
+// guessed key is right.
 type keyDigest [sha256.Size]byte
 
 func digestOfKey(key string) keyDigest { return sha256.Sum256([]byte(key)) }
 
-// subscriberIndex finds the tenants of a list. It is immutable once it is made: documents with the same list share it.
+// subscriberIndex finds tenants by name and by key. It is immutable after construction, so documents with the same list
+// of tenants share it.
 type subscriberIndex struct {
 	byName map[string]*Subscriber
 	byKey  map[keyDigest]*Subscriber
 	shared []sharedKey
 }
 
-// sharedKey says that two tenants have the same key.
+// sharedKey names two tenants that have the same key.
 type sharedKey struct{ first, second string }
 
 func newSubscriberIndex(subscribers []Subscriber) *subscriberIndex {
--- a/internal/controlplane/configuration/subscriber_test.go
+++ b/internal/controlplane/configuration/subscriber_test.go
@@ -12,14 +12,14 @@
 	"marlreel/internal/controlplane/result"
 )
 
-// secretMark is part of every key of these tests, so that a key which is given away is noticed.
+// secretMark is part of every key in these tests, so that a leaked key is detected.
 const secretMark = "SECRET"
 
-// tenantList has two tenants, the first with a field that is not known here.
+// tenantList has two tenants, the first with a field that this version doesn't know.
 const tenantList = `[{"name":"north","access_keys":["SECRET1","SECRET2"],"priority":2,"unit":"token_metering","raw_tokens":200,` +
 	`"rate_per_s":10,"burst_size":5,"later":[1,2.50]},{"name":"south","access_keys":["SECRET3"]}]`
 
-// withTenants is baseDocument with a list of subscribers.
+// withTenants returns baseDocument with a list of subscribers.
 func withTenants(list string) string {
 	return strings.Replace(baseDocument, `"limits":{}`, `"limits":{},"subscribers":`+list, 1)
 }
@@ -42,7 +42,7 @@
 	return next
 }
 
-// tenantOf is the name of the tenant that has a key; empty: none has.
+// tenantOf returns the name of the tenant that has a key; empty: no tenant has it.
 func tenantOf(d *Document, key string) string {
 	if subscriber := d.SubscriberByKey(key); subscriber != nil {
 		return subscriber.Name
@@ -50,15 +50,15 @@
 	return ""
 }
 
-// Guards against changes of subscribers that are refused, or lose what they don't name.
+// Guards against changes of subscribers that are rejected, or lose items and fields that they don't name.
 func TestModifyChangesSubscribers(t *testing.T) {
 	is := is.New(t)
 	d := parsed(t, withTenants(tenantList))
 	next := modified(t, d, `{"config_version":4,"upsert":{"subscribers":[{"name":"south","access_keys":["SECRET4"]},{"name":"east","access_keys":["SECRET3"]}]}}`)
 	is.Equal(tenantOf(next, "SECRET1"), "north")
-	is.Equal(tenantOf(next, "SECRET3"), "east") // a key that one tenant gives up may become another's
+	is.Equal(tenantOf(next, "SECRET3"), "east") // a key removed from one tenant may be given to another
 	is.Equal(tenantOf(next, "SECRET4"), "south")
-	is.Equal(tenantOf(d, "SECRET3"), "south") // the one before is as it was
+	is.Equal(tenantOf(d, "SECRET3"), "south") // the original is unchanged
 	is.True(strings.Contains(string(next.Raw()), `"later":[1,2.50]`))
 
 	last := modified(t, next, `{"config_version":5,"remove":{"subscribers":["north","south","none"]}}`)
@@ -67,8 +67,8 @@
 	is.Equal(tenantOf(last, "SECRET3"), "east")
 }
 
-// Guards against requests without a key being let in once the last tenant is removed, and being refused where the
-// operator lists no subscribers.
+// Guards against requests without a key being accepted after the last tenant is removed, and being rejected when the
+// configuration has no list of subscribers.
 func TestModifyKeepsWhetherKeysAreRequired(t *testing.T) {
 	for _, c := range []struct {
 		name, document, change string
@@ -85,12 +85,13 @@
 			is := is.New(t)
 			next := modified(t, parsed(t, c.document), c.change)
 			is.Equal(next.RequiresKeys(), c.required)
-			is.Equal(parsed(t, string(next.Raw())).RequiresKeys(), c.required) // also as it is read back
+			is.Equal(parsed(t, string(next.Raw())).RequiresKeys(), c.required) // also after parsing its JSON
 		})
 	}
 }
 
-// Guards against lists that are in force and lost when they are read back, as their keys are written in another case.
+// Guards against losing lists whose keys are written in a different case: they are decoded, but must also be part of the
+// JSON after a change.
 func TestModifyKeepsListsWhoseKeysAreInAnotherCase(t *testing.T) {
 	is := is.New(t)
 	sent := strings.NewReplacer("subscribers", "Subscribers", "route_list", "Route_List", "service_list", "SERVICE_LIST").Replace(withTenants(tenantList))
@@ -104,7 +105,7 @@
 	}
 }
 
-// Guards against a change of one route that hashes the keys of thousands of tenants again.
+// Guards against rehashing the keys of thousands of tenants when only a route changes.
 func TestModifySharesTheTablesOfUntouchedLists(t *testing.T) {
 	is := is.New(t)
 	d := parsed(t, withTenants(tenantList))
@@ -123,23 +124,23 @@
 		name, list string
 		code       result.Code // 0: valid
 	}{
-		{"two of a name", `[{"name":"a"},{"name":"a"}]`, result.DuplicateName},
+		{"duplicate name", `[{"name":"a"},{"name":"a"}]`, result.DuplicateName},
 		{"no name", `[{"access_keys":["SECRET1"]}]`, result.InvalidField},
-		{"a name that ends a header", `[{"name":"a\r\nSubscriber: b"}]`, result.InvalidField},
-		{"a key of two tenants", `[{"name":"a","access_keys":["SECRET1"]},{"name":"b","access_keys":["SECRET2","SECRET1"]}]`, result.SharedKey},
-		{"a key twice in one tenant", `[{"name":"a","access_keys":["SECRET1","SECRET1"]}]`, 0},
-		{"an empty key", `[{"name":"a","access_keys":["SECRET1",""]}]`, result.InvalidField},
+		{"line break in the name", `[{"name":"a\r\nSubscriber: b"}]`, result.InvalidField},
+		{"key of two tenants", `[{"name":"a","access_keys":["SECRET1"]},{"name":"b","access_keys":["SECRET2","SECRET1"]}]`, result.SharedKey},
+		{"key twice in one tenant", `[{"name":"a","access_keys":["SECRET1","SECRET1"]}]`, 0},
+		{"empty key", `[{"name":"a","access_keys":["SECRET1",""]}]`, result.InvalidField},
 		{"no keys", `[{"name":"a","access_keys":[]},{"name":"b"}]`, 0},
 		{"negative rate", `[{"name":"a","rate_per_s":-1}]`, result.InvalidField},
 		{"negative burst", `[{"name":"a","burst_size":-0.5}]`, result.InvalidField},
 		{"negative tokens", `[{"name":"a","raw_tokens":-1}]`, result.InvalidField},
-		{"a rate beyond all numbers", `[{"name":"a","rate_per_s":1e999}]`, result.Malformed},
-		{"a unit that nobody knows", `[{"name":"a","unit":"other"}]`, 0},
+		{"rate too large for a float64", `[{"name":"a","rate_per_s":1e999}]`, result.Malformed},
+		{"unknown unit", `[{"name":"a","unit":"other"}]`, 0},
 		{"keys of another type", `[{"name":"a","access_keys":"SECRET1"}]`, result.Malformed},
 		{"keys in an object", `[{"name":"a","access_keys":{"SECRET1":true}}]`, result.Malformed},
-		{"a key in place of a rate", `[{"name":"a","rate_per_s":"SECRET1"}]`, result.Malformed},
-		{"cut short in a key", `[{"name":"a","access_keys":["SECRET`, result.Malformed},
-		{"a key without quotes", `[{"name":"a","access_keys":[SECRET1]}]`, result.Malformed},
+		{"key in place of a rate", `[{"name":"a","rate_per_s":"SECRET1"}]`, result.Malformed},
+		{"truncated in a key", `[{"name":"a","access_keys":["SECRET`, result.Malformed},
+		{"key without quotes", `[{"name":"a","access_keys":[SECRET1]}]`, result.Malformed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -147,14 +148,14 @@
 			_, change := parsed(t, withTenants("[]")).Modify([]byte(`{"config_version":4,"upsert":{"subscribers":` + c.list + `}}`))
 			for _, err := range []*result.Error{whole, change} {
 				is.Equal(err != nil, c.code != 0)
-				is.True(err == nil || !strings.Contains(err.Error(), secretMark)) // an error must not print a key
+				is.True(err == nil || !strings.Contains(err.Error(), secretMark)) // an error must not contain a key
 			}
 			is.True(whole == nil || whole.Code == c.code)
 		})
 	}
 }
 
-// Guards against a change that gives a tenant the key of one which the change does not name.
+// Guards against a change that gives a tenant a key of another tenant that the change doesn't name.
 func TestModifyRejectsAKeyOfAnotherTenant(t *testing.T) {
 	is := is.New(t)
 	_, err := parsed(t, withTenants(tenantList)).Modify([]byte(`{"config_version":4,"upsert":{"subscribers":[{"name":"x","access_keys":["SECRET3"]}]}}`))
@@ -164,7 +165,7 @@
 	is.True(strings.Contains(err.Detail, `"south" and "x"`) && !strings.Contains(err.Detail, secretMark))
 }
 
-// Guards against JSON errors, which quote the byte or the number that they stumble over, giving a key away.
+// Guards against leaking keys through encoding/json's errors, which quote the byte or number that they fail at.
 func TestJSONErrorsQuoteNothing(t *testing.T) {
 	is := is.New(t)
 	const key, unquoted = "8675309", "~"
@@ -182,7 +183,7 @@
 	}
 }
 
-// Guards against logs: a subscriber, or a document with some, that is formatted shows no key.
+// Guards against keys in logs: a formatted subscriber, or document with subscribers, must not contain them.
 func TestFormattedSubscribersShowNoKey(t *testing.T) {
 	is := is.New(t)
 	d := parsed(t, withTenants(tenantList))
@@ -193,8 +194,7 @@
 	}
 }
 
-// Guards against a change that leads to other tenants or keys than reading its result does, whatever changes follow one
-// another.
+// Draws random sequences of changes. Each must result in the same tenants and keys as parsing the result's JSON.
 func TestModifyOfSubscribersEqualsParsingItsResult(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.SampledFrom([]string{"a", "b", "c", "d"})
@@ -214,14 +214,14 @@
 				}
 				read, err := Parse(next.Raw())
 				if err != nil {
-					t.Fatalf("%s was accepted, and leads to %v", change, err)
+					t.Fatalf("%s was accepted, but its result is rejected by Parse: %v", change, err)
 				}
 				if got, want := asJSON(next), asJSON(read); got != want || next.RequiresKeys() != read.RequiresKeys() {
-					t.Fatalf("%s leads to %s, and is read back as %s", change, got, want)
+					t.Fatalf("%s results in %s, but is parsed back as %s", change, got, want)
 				}
 				for _, key := range []string{"k1", "k2", "k3", "k4", "k5", "k6", "SECRET1"} {
 					if got, want := tenantOf(next, key), tenantOf(read, key); got != want {
-						t.Fatalf("%s makes %s a key of %q, and it is read back as one of %q", change, key, got, want)
+						t.Fatalf("%s makes %s a key of %q, but parsed back it is a key of %q", change, key, got, want)
 					}
 				}
 				d = next
@@ -230,7 +230,7 @@
 	})
 }
 
-// tenantsDocument is a document of so many routes and tenants with two keys each.
+// tenantsDocument returns the JSON of a document with the given numbers of routes, and of tenants with two keys each.
 func tenantsDocument(tenants, routes int) []byte {
 	list := make([]string, tenants)
 	for i := range list {
@@ -240,7 +240,7 @@
 	return []byte(strings.Replace(string(largeDocument(routes)), `"limits":{}`, `"limits":{},"subscribers":[`+strings.Join(list, ",")+`]`, 1))
 }
 
-// What a change of one item costs at each proxy, among many tenants and routes.
+// Measures what a change of one item costs at each proxy, among many tenants and routes.
 func BenchmarkModifyAmongTenants(b *testing.B) {
 	for name, change := range map[string]string{
 		"one route":  `{"config_version":2,"upsert":{"route_list":[{"name":"r3","host":"x.example","path_prefix":"/x/","timeout_ms":9,"service":"s"}]}}`,
@@ -248,7 +248,7 @@
 	} {
 		b.Run(name, func(b *testing.B) {
 			d := parsed(b, string(tenantsDocument(2000, 3000)))
-			modified(b, d, change) // splits the document by field, once for all changes
+			modified(b, d, change) // splits the document's JSON by field, which later changes reuse
 			b.ReportAllocs()
 			for b.Loop() {
 				modified(b, d, change)
--- a/internal/controlplane/configuration/validate.go
+++ b/internal/controlplane/configuration/validate.go
@@ -11,14 +11,13 @@
 )
 
 const (
-	// maxNameLength bounds the names of routes and services, in bytes.
+	// maxNameLength bounds the names of routes, services and subscribers, in bytes.
 	maxNameLength = 256
-	// maxListedViolations is how many violations one error names.
+	// maxListedViolations bounds how many violations one error lists.
 	maxListedViolations = 20
 )
 
-// Validate decodes a complete configuration and returns everything that is wrong with it. The document is nil
-// where it can't be decoded.
+// Validate decodes a complete configuration and returns all its violations. The document is nil if it can't be decoded.
 func Validate(data []byte) (*Document, []*result.Error) {
 	document, err := Decode(data)
 	if err != nil {
@@ -28,7 +27,7 @@
 	return document, document.validate(scope{touches: always, isNew: always})
 }
 
-// combine makes one error of all violations; nil where there are none.
+// combine joins all violations into one error; nil if there are none.
 func combine(violations []*result.Error) *result.Error {
 	if len(violations) == 0 {
 		return nil
@@ -43,16 +42,16 @@
 	return result.Errorf(violations[0].Code, "%s", strings.Join(texts, "; "))
 }
 
-// scope says what of a document has to be validated.
+// scope selects the parts of a document that have to be validated.
 type scope struct {
-	// touches reports whether a list is another one than in the document before.
+	// touches reports whether the list with a key differs from that of the previous document.
 	touches func(key string) bool
 	// isNew reports whether an item's own fields have to be checked.
 	isNew func(name string) bool
 }
 
-// validate returns the violations of a document within a scope. How items of a list relate to one another and to
-// another list is checked where one of both was touched.
+// validate returns the violations of a document within a scope. Relations between items of one list, or of two lists,
+// are checked if one of these lists was touched.
 func (d *Document) validate(s scope) []*result.Error {
 	var violations []*result.Error
 	if d.Version == 0 {
@@ -91,7 +90,7 @@
 	var violations []*result.Error
 	type match struct{ host, prefix string }
 	names := make(map[string]bool, len(d.Routes))
-	routeByMatch := make(map[match]string, len(d.Routes)) // the routes' names
+	routeByMatch := make(map[match]string, len(d.Routes)) // route names
 	for i := range d.Routes {
 		route := &d.Routes[i]
 		violation := d.validateTargets(route)
@@ -144,11 +143,11 @@
 	return nil
 }
 
-// validateTargets checks the services that a route leads to.
+// validateTargets checks the services and weights of a route.
 func (d *Document) validateTargets(r *Route) *result.Error {
 	sum := 0.0
 	unknown := ""
-	hasUnknown := r.Service == "" && len(r.Split) == 0
+	noService := r.Service == "" && len(r.Split) == 0
 	hasNegative := false
 	r.EachService(func(service string, weight float64) {
 		if d.services[service] == nil {
@@ -160,7 +159,7 @@
 		sum += weight
 	})
 	switch {
-	case hasUnknown || unknown != "":
+	case noService || unknown != "":
 		return result.Errorf(result.UnknownService, "route %s: there is no service %q", r.Name, unknown)
 	case hasNegative:
 		return result.Errorf(result.InvalidField, "route %s: a weight is below 0", r.Name)
--- a/internal/controlplane/configuration/validate_subscriber.go
+++ b/internal/controlplane/configuration/validate_subscriber.go
@@ -9,7 +9,7 @@
 	"marlreel/internal/controlplane/result"
 )
 
-// validateSubscribers checks the tenants. Its errors name tenants and fields, and never a key.
+// validateSubscribers checks the tenants. Its errors contain names of tenants and fields, but never a key.
 func (d *Document) validateSubscribers(isNew func(name string) bool) []*result.Error {
 	var violations []*result.Error
 	names := make(map[string]bool, len(d.Subscribers))
@@ -31,8 +31,8 @@
 	return violations
 }
 
-// validate checks the tenant's own fields. A unit that is not known here counts requests, as none does: the pages call
-// no unit invalid.
+// validate checks the tenant's own fields. An unknown unit is accepted and counts requests, as an empty one does: the
+// user documentation calls no unit invalid.
 func (s *Subscriber) validate() *result.Error {
 	err := validation.ValidateStruct(s,
 		validation.Field(&s.Name, validation.Required, validation.Length(1, maxNameLength), validation.By(validateHeaderValue)),
@@ -46,7 +46,8 @@
 	return nil
 }
 
-// validateHeaderValue: the name is sent to backends as a header's value, so it must not end the header.
+// validateHeaderValue rejects control characters: the name is sent to backends as a header value, and a line break in
+// it would end the header.
 func validateHeaderValue(value any) error {
 	name, _ := value.(string)
 	if strings.ContainsFunc(name, func(r rune) bool { return r < ' ' || r == '\x7f' }) {
--- a/internal/controlplane/configuration/validate_test.go
+++ b/internal/controlplane/configuration/validate_test.go
@@ -9,7 +9,7 @@
 	"marlreel/internal/controlplane/result"
 )
 
-// baseDocument has a route with one service and one that is split.
+// baseDocument has one route with a single service and one with a weighted split.
 const baseDocument = `{"config_version":3,"route_list":[
  {"name":"a","host":"h.example","path_prefix":"/a/","route_class":"safe","timeout_ms":1000,"service":"s","max_attempts":2},
  {"name":"b","host":"h.example","path_prefix":"/a/b/","route_class":"unsafe","timeout_ms":1000,
@@ -21,17 +21,17 @@
 		name, old, new string
 		code           result.Code
 	}{
-		{"cut short", `"limits":{}}`, `"limits":{}`, result.Malformed},
-		{"data behind the document", `"limits":{}}`, `"limits":{}}x`, result.Malformed},
-		{"no time-out", `"timeout_ms":1000,"service":"s"`, `"timeout_ms":0,"service":"s"`, result.MissingTimeout},
+		{"truncated JSON", `"limits":{}}`, `"limits":{}`, result.Malformed},
+		{"data after the document", `"limits":{}}`, `"limits":{}}x`, result.Malformed},
+		{"no timeout", `"timeout_ms":1000,"service":"s"`, `"timeout_ms":0,"service":"s"`, result.MissingTimeout},
 		{"unknown service", `"service":"s","max`, `"service":"nobody","max`, result.UnknownService},
 		{"no service", `"service":"s","max`, `"max`, result.UnknownService},
 		{"same host and prefix", `"path_prefix":"/a/b/"`, `"path_prefix":"/a/"`, result.DuplicateMatch},
 		{"weights sum to 0", `"weight":3},{"service":"t","weight":1}`, `"weight":0},{"service":"t","weight":0}`, result.ZeroWeight},
 		{"negative weight", `"weight":3}`, `"weight":-3}`, result.InvalidField},
-		{"two routes of a name", `"name":"b"`, `"name":"a"`, result.DuplicateName},
-		{"two services of a name", `"name":"t"`, `"name":"s"`, result.DuplicateName},
-		{"prefix without a slash at its end", `"path_prefix":"/a/b/"`, `"path_prefix":"/a/b"`, result.InvalidField},
+		{"two routes with the same name", `"name":"b"`, `"name":"a"`, result.DuplicateName},
+		{"two services with the same name", `"name":"t"`, `"name":"s"`, result.DuplicateName},
+		{"prefix without a trailing slash", `"path_prefix":"/a/b/"`, `"path_prefix":"/a/b"`, result.InvalidField},
 		{"version 0", `"config_version":3`, `"config_version":0`, result.InvalidField},
 		{"version of another type", `"config_version":3`, `"config_version":"3"`, result.Malformed},
 	}
