--- a/internal/controlplane/store/compatibility_test.go
+++ b/internal/controlplane/store/compatibility_test.go
@@ -17,21 +17,21 @@
 	"marlreel/internal/controlplane/chain"
 )
 
-// The stores under testdata/compatibility were written by the code of commit 6fb9894. They stand for
-// the disks of running systems, which every later version has to open. They must not be written
-// again to make a test pass: where this test fails, the code has lost the ability to read stored data.
+// The stores under testdata/compatibility were written by the code of commit 6fb9894. They represent the
+// disks of running systems, which every later version has to open. They must not be rewritten to make a
+// test pass: if this test fails, the code can no longer read stored data.
 //
-// A store that is missing, as that of a new case, is written by
+// A missing store, such as that of a new case, is written by
 //
 //	WRITE_COMPATIBILITY_FILES=1 go test -run TestCompatibility ./internal/controlplane/store
 //
-// Files that exist are never overwritten.
+// Existing files are never overwritten.
 const (
 	compatibilityFolder = "testdata/compatibility"
 	writeVariable       = "WRITE_COMPATIBILITY_FILES"
 )
 
-// compatibilityCase is a stored folder and what it holds.
+// compatibilityCase is a stored folder and its expected content.
 type compatibilityCase struct {
 	name    string
 	durable chain.DurableState
@@ -48,7 +48,7 @@
 const compatibilityDocument = `{"config_version":41,"route_list":[{"name":"r","host":"h.example","path_prefix":"/a/","timeout_ms":9,"service":"s"}],` +
 	`"service_list":[{"name":"s"}],"limits":{}}`
 
-// compatibilityEntries are the stored log. There is an operation of every kind.
+// compatibilityEntries returns the stored log. It contains an operation of every kind.
 func compatibilityEntries() []*api.Entry {
 	nobody, seven := uint64(0), uint64(7)
 	return []*api.Entry{
@@ -73,7 +73,7 @@
 	}
 }
 
-// compatibilitySnapshot is the stored compacted state. Every field of it is set.
+// compatibilitySnapshot returns the stored compacted state. Every field of it is set.
 func compatibilitySnapshot() *api.Snapshot {
 	return &api.Snapshot{Sequence: 40, Hash: 0x1122334455667788, State: &api.State{
 		Version:  41,
@@ -110,12 +110,12 @@
 			keys: []string{"self", "view"},
 		},
 		{
-			name:    "waiting", // a process on an empty disk, with an incarnation of its own
+			name:    "waiting", // a process that starts on an empty disk, with an incarnation of its own
 			durable: chain.DurableState{Self: memberC},
 			keys:    []string{"self"},
 		},
 		{
-			name: "log", // a vote under way, a snapshot, and the log after it
+			name: "log", // a vote in progress, a snapshot, and the log after it
 			durable: chain.DurableState{
 				Self:           memberC,
 				View:           core,
@@ -129,7 +129,7 @@
 			keys: append(append([]string{"accepted-ballot", "accepted-view"}, entryKeys...), "promised", "self", "snapshot", "synced-view", "view"),
 		},
 		{
-			name: "compacted", // the same log after its first three entries went into the snapshot
+			name: "compacted", // the same log after its first three entries were compacted into the snapshot
 			durable: chain.DurableState{
 				Self:       memberC,
 				View:       core,
@@ -170,7 +170,7 @@
 }
 
 // TestCompatibilityOfStoredBytes compares the records of stores that an earlier version wrote with those that
-// this version writes for the same content, so that an earlier version can read them in turn.
+// this version writes for the same content: the earlier version has to be able to read them.
 func TestCompatibilityOfStoredBytes(t *testing.T) {
 	writeMissingStores(t)
 	for _, c := range compatibilityCases() {
@@ -184,28 +184,28 @@
 			written := records(t, folder)
 			for _, key := range slices.Sorted(maps.Keys(written)) {
 				if !bytes.Equal(written[key], stored[key]) {
-					t.Errorf("record %q is written as\n%s\nand is stored as\n%s", key, hex.EncodeToString(written[key]), hex.EncodeToString(stored[key]))
+					t.Errorf("record %q is written as\n%s\nbut is stored as\n%s", key, hex.EncodeToString(written[key]), hex.EncodeToString(stored[key]))
 				}
 			}
 			if len(written) != len(stored) {
-				t.Errorf("%d records are written, and %d are stored", len(written), len(stored))
+				t.Errorf("%d records are written, but %d are stored", len(written), len(stored))
 			}
 		})
 	}
 }
 
-// TestCompatibilityOfFoundingIdentity compares what a founder is given at its first start with what a founder has stored:
+// TestCompatibilityOfFoundingIdentity compares the identity that a founder gets at its first start with a stored one:
 // processes of two versions have to found the same system.
 func TestCompatibilityOfFoundingIdentity(t *testing.T) {
 	writeMissingStores(t)
 	stored := loadCopy(t, "founder")
 	if stored.Self.GetIncarnation() != chain.FounderIncarnation {
-		t.Errorf("a founder's incarnation is %d, and %d is stored", chain.FounderIncarnation, stored.Self.GetIncarnation())
+		t.Errorf("a founder's incarnation is %d, but %d is stored", chain.FounderIncarnation, stored.Self.GetIncarnation())
 	}
 	compareMessage(t, "the founding view", chain.FoundingView([]string{"10.0.0.2:7100", "10.0.0.1:7100"}), stored.View)
 }
 
-// TestCompatibilityOfStoredLogs continues a stored log and reads it again.
+// TestCompatibilityOfStoredLogs writes to a store with a log from an earlier version, and reads it back.
 func TestCompatibilityOfStoredLogs(t *testing.T) {
 	writeMissingStores(t)
 	folder := copyOfStore(t, "compacted")
@@ -230,7 +230,7 @@
 	}
 }
 
-// compareMessage compares two messages, nil being different from an empty one.
+// compareMessage compares two messages; nil differs from an empty message.
 func compareMessage[M interface {
 	proto.Message
 	comparable
@@ -242,7 +242,7 @@
 	}
 }
 
-// copyOfStore copies a stored folder, as opening a store changes it.
+// copyOfStore returns a copy of a stored folder, because opening a store changes its files.
 func copyOfStore(t *testing.T, name string) string {
 	t.Helper()
 	folder := t.TempDir()
@@ -271,7 +271,7 @@
 	return load(t, copyOfStore(t, name))
 }
 
-// records reads all records of the database in a process's folder, with no help from this package.
+// records reads all records of the database in a data directory, without using the code of this package.
 func records(t *testing.T, folder string) map[string][]byte {
 	t.Helper()
 	db, err := leveldb.OpenFile(filepath.Join(folder, "chain"), nil)
@@ -310,7 +310,7 @@
 	}
 }
 
-// writeMissingStores writes the stores of cases that have none, if that is asked for.
+// writeMissingStores writes the stores of cases that have none, if writeVariable is set.
 func writeMissingStores(t *testing.T) {
 	t.Helper()
 	if os.Getenv(writeVariable) == "" {
@@ -332,7 +332,7 @@
 				}
 			}
 		}
-		if c.name == "compacted" { // the entries were there before the snapshot that covers them
+		if c.name == "compacted" { // the entries were stored before the snapshot that covers them
 			before := compatibilityCases()[2].durable
 			before.AcceptedBallot, before.AcceptedView = nil, nil
 			saveAll(t, folder, before)
@@ -352,7 +352,8 @@
 	}
 }
 
-// chainedEntries has a chain of one member make the log of compatibilityEntries, hashes and all.
+// chainedEntries returns the log that a chain of one member writes for the operations of compatibilityEntries, including
+// the hashes.
 func chainedEntries(t *testing.T) []*api.Entry {
 	t.Helper()
 	config := chain.DefaultConfig(1)
@@ -365,7 +366,7 @@
 		node.Tick(now)
 		return now
 	}
-	for range 40 { // it agrees with itself on a view
+	for range 40 { // the member agrees on a view with itself
 		tick()
 	}
 	for _, entry := range compatibilityEntries() {
@@ -373,7 +374,7 @@
 	}
 	entries := node.DurableState().Entries
 	if len(entries) != len(compatibilityEntries()) {
-		t.Fatalf("the log has %d entries", len(entries))
+		t.Fatalf("the chain wrote a log of %d entries", len(entries))
 	}
 	return entries
 }
--- a/internal/controlplane/store/doc.go
+++ b/internal/controlplane/store/doc.go
@@ -1,10 +1,10 @@
-// Package store keeps the durable state of a chain member (chain.DurableState) in a directory, as records of goleveldb.
-// Its one owner is the goroutine of internal/controlplane that runs the member. It decides nothing and keeps nothing in
-// memory but goleveldb's caches.
+// Package store persists the durable state of a chain member (chain.DurableState) as goleveldb records in a directory.
+// A store belongs to one goroutine, the one in internal/controlplane that runs the member. The package makes no
+// decisions and keeps nothing in memory except goleveldb's caches.
 //
-// Every write is one atomic batch and is synced before it returns. An error of a write is final for its handle: whether
-// the batch reached the disk is not known, so the store has to be closed and opened again.
+// Every write is one atomic batch and is synced before it returns. After a failed write it is unknown whether the batch
+// reached the disk, so the store has to be closed and opened again.
 //
-// The keys and the protobuf messages under them (records.go) are read by other versions; testdata/compatibility holds
-// stores that earlier ones wrote.
+// Other versions read the keys and the protobuf messages stored under them (records.go); testdata/compatibility contains
+// stores that earlier versions wrote.
 package store
--- a/internal/controlplane/store/load.go
+++ b/internal/controlplane/store/load.go
@@ -9,12 +9,12 @@
 	"marlreel/internal/controlplane/chain"
 )
 
-// ErrCorrupted says that the store holds a log which is not one that was written: the member's promises can't be trusted
-// either.
-var ErrCorrupted = eris.New("store holds a corrupted log")
+// ErrCorrupted means that the stored log has a gap or a wrong hash. The ballots that the member promised and accepted
+// can't be trusted either.
+var ErrCorrupted = eris.New("stored log is corrupted: it has a gap or a wrong hash")
 
-// Load reads the durable state. An empty store gives one without Self. The error is ErrCorrupted if the log does not fit
-// together, or what goleveldb or decoding failed with.
+// Load reads the durable state; that of an empty store has no Self. The error is ErrCorrupted if the log is
+// corrupted, or else the error of goleveldb or of decoding.
 func (s *Store) Load() (chain.DurableState, error) {
 	state, err := s.loadRecords()
 	if err != nil || state.Self == nil {
@@ -30,7 +30,7 @@
 	return state, nil
 }
 
-// loadRecords reads all but the log.
+// loadRecords reads everything except the log.
 func (s *Store) loadRecords() (chain.DurableState, error) {
 	var state chain.DurableState
 	var err error
@@ -56,7 +56,7 @@
 	return state, err
 }
 
-// loadEntries reads the log after a sequence number.
+// loadEntries reads the log entries after a sequence number.
 func (s *Store) loadEntries(after uint64) ([]*api.Entry, error) {
 	iterator := s.db.NewIterator(util.BytesPrefix(entriesPrefix), nil)
 	defer iterator.Release()
--- a/internal/controlplane/store/records.go
+++ b/internal/controlplane/store/records.go
@@ -9,9 +9,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The keys of the records. An entry's key is the prefix and its sequence number, 8 bytes in big-endian order, so that an
-// iterator gives entries in the log's order. Values are protobuf messages of package api, but for the synced view,
-// which is a number of 8 bytes in big-endian order.
+// The keys of the records. A log entry's key is entriesPrefix and its sequence number, 8 bytes in big-endian order, so
+// that an iterator returns entries in log order. Values are protobuf messages of package api, except for the synced
+// view, which is a number of 8 bytes in big-endian order.
 var (
 	keySelf           = []byte("self")
 	keyView           = []byte("view")
@@ -33,7 +33,7 @@
 	proto.Message
 }
 
-// getMessage reads the message of a key; nil: there is none.
+// getMessage reads the message stored under a key; nil if there is none.
 func getMessage[T any, M message[T]](s *Store, key []byte) (M, error) {
 	data, err := s.db.Get(key, nil)
 	if errors.Is(err, leveldb.ErrNotFound) {
@@ -49,7 +49,7 @@
 	return value, nil
 }
 
-// getNumber reads the number of a key; 0: there is none.
+// getNumber reads the number stored under a key; 0 if there is none, or it doesn't have 8 bytes.
 func getNumber(s *Store, key []byte) (uint64, error) {
 	data, err := s.db.Get(key, nil)
 	if errors.Is(err, leveldb.ErrNotFound) || err == nil && len(data) != 8 {
@@ -61,7 +61,7 @@
 	return binary.BigEndian.Uint64(data), nil
 }
 
-// putMessage adds a message to a batch, or deletes its key where it is nil.
+// putMessage adds writing a message to a batch, or deleting its key if the message is nil.
 func putMessage[T any, M message[T]](batch *leveldb.Batch, key []byte, value M) error {
 	if value == nil {
 		batch.Delete(key)
--- a/internal/controlplane/store/save.go
+++ b/internal/controlplane/store/save.go
@@ -11,8 +11,8 @@
 	"marlreel/internal/controlplane/chain"
 )
 
-// Save writes what has changed, in one synced batch. After an error the store must be closed: whether the batch is on
-// disk is not known.
+// Save writes the parts of a state that have changed in one synced batch. After an error the store must be closed, as it
+// is unknown whether the batch is on disk.
 func (s *Store) Save(state *chain.DurableState, changes chain.Changes) error {
 	batch := new(leveldb.Batch)
 	if err := putRecords(batch, state, changes); err != nil {
@@ -29,7 +29,7 @@
 	return eris.Wrap(s.db.Write(batch, &opt.WriteOptions{Sync: true}), "write store")
 }
 
-// putRecords adds what has changed, but for the log, to a batch.
+// putRecords adds the changed records, except for the log, to a batch.
 func putRecords(batch *leveldb.Batch, state *chain.DurableState, changes chain.Changes) error {
 	if changes.Self {
 		if err := putMessage(batch, keySelf, state.Self); err != nil {
@@ -65,7 +65,7 @@
 	return putMessage(batch, keyAcceptedView, state.AcceptedView)
 }
 
-// putEntries adds the entries that are new on disk to a batch.
+// putEntries adds the log entries that are not on disk yet to a batch.
 func putEntries(batch *leveldb.Batch, state *chain.DurableState, changes chain.Changes) error {
 	entries := changes.Appended
 	if changes.LogReplaced {
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// deleteEntries deletes the entries that a snapshot covers, or all of them.
+// deleteEntries adds deleting the log entries up to a sequence number, or all of them, to a batch.
 func (s *Store) deleteEntries(batch *leveldb.Batch, upTo uint64, all bool) error {
 	iterator := s.db.NewIterator(util.BytesPrefix(entriesPrefix), nil)
 	defer iterator.Release()
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -12,14 +12,14 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// Store is an open store. One goroutine at a time may use it.
+// Store is an open store. It must not be used by several goroutines at once.
 type Store struct {
 	db *leveldb.DB
 }
 
 var _ io.Closer = (*Store)(nil)
 
-// options keep goleveldb's memory small, as the state is.
+// options keep goleveldb's memory use small, as the state is small.
 func options() *opt.Options {
 	const writeBufferBytes = 1 << 20
 	return &opt.Options{
@@ -28,11 +28,11 @@
 	}
 }
 
-// directoryName is the store's directory within the data directory of the process.
+// directoryName is the name of the store's directory within the data directory of the process.
 const directoryName = "chain"
 
-// Open opens the store in a data directory and creates it where it is missing. A store whose manifest was damaged by a
-// loss of power is recovered from its tables. The caller closes the store.
+// Open opens the store in a data directory and creates it if it is missing. A store whose manifest was damaged by a
+// power loss is recovered from its tables. The caller closes the store.
 func Open(dataDirectory string) (*Store, error) {
 	path := filepath.Join(dataDirectory, directoryName)
 	if err := createDirectory(dataDirectory, path); err != nil {
@@ -48,7 +48,7 @@
 	return &Store{db}, nil
 }
 
-// OpenStorage opens a store on a goleveldb storage in place of a directory, as simulated disks are.
+// OpenStorage opens a store on a goleveldb storage instead of a directory, such as a simulated disk.
 func OpenStorage(disk storage.Storage) (*Store, error) {
 	db, err := leveldb.Open(disk, options())
 	if leveldberrors.IsCorrupted(err) {
@@ -60,8 +60,8 @@
 	return &Store{db}, nil
 }
 
-// Remove removes the store of a data directory, which must not be open. What it held is lost, promises included: the
-// process must come back as another member.
+// Remove deletes the store of a data directory, which must not be open. As the ballots that the member promised and
+// accepted are lost, the process must rejoin as a different member.
 func Remove(dataDirectory string) error {
 	path := filepath.Join(dataDirectory, directoryName)
 	if err := os.RemoveAll(path); err != nil {
@@ -73,7 +73,7 @@
 // Close closes the store.
 func (s *Store) Close() error { return s.db.Close() }
 
-// createDirectory creates the store's directory where it is missing, so that it survives a loss of power.
+// createDirectory creates the store's directory if it is missing, and syncs its parent so that it survives a power loss.
 func createDirectory(parent, path string) error {
 	if _, err := os.Stat(path); err == nil {
 		return nil
@@ -84,7 +84,7 @@
 	return syncDirectory(parent)
 }
 
-// syncDirectory makes the names in a directory durable.
+// syncDirectory makes the entries of a directory durable.
 func syncDirectory(path string) error {
 	directory, err := os.Open(path)
 	if err != nil {
--- a/internal/controlplane/store/store_test.go
+++ b/internal/controlplane/store/store_test.go
@@ -17,7 +17,7 @@
 	"marlreel/internal/controlplane/chain"
 )
 
-// equal tells whether two durable states hold the same.
+// equal reports whether two durable states are equal.
 func equal(a, b *chain.DurableState) bool {
 	same := proto.Equal(a.Self, b.Self) && proto.Equal(a.View, b.View) && proto.Equal(a.Promised, b.Promised) &&
 		proto.Equal(a.AcceptedBallot, b.AcceptedBallot) && proto.Equal(a.AcceptedView, b.AcceptedView) &&
@@ -28,10 +28,10 @@
 	return same
 }
 
-// testMember is the one that the stores of the tests belong to.
+// testMember returns the member whose state the tests store.
 func testMember() *api.Member { return &api.Member{Address: "a", Incarnation: 1} }
 
-// noState is a state machine that keeps nothing.
+// noState is a state machine without state.
 type noState struct{}
 
 var _ chain.StateMachine = noState{}
@@ -40,7 +40,7 @@
 func (noState) State() *api.State  { return &api.State{} }
 func (noState) Restore(*api.State) {}
 
-// storedChain is a chain of one member with its store on a simulated disk.
+// storedChain is a chain of one member that has its store on a simulated disk.
 type storedChain struct {
 	t      rapid.TB
 	config chain.Config
@@ -69,7 +69,7 @@
 	c.store = opened
 }
 
-// save carries out what the node wants saved.
+// save writes what the node asks to be saved.
 func (c *storedChain) save(out chain.Output) {
 	if !out.Save.Any() {
 		return
@@ -84,7 +84,7 @@
 	c.save(c.node.Tick(c.now))
 }
 
-// reopen closes the store and checks that it reads back what the node holds.
+// reopen closes and opens the store, and checks that it reads back the node's durable state.
 func (c *storedChain) reopen() {
 	if err := c.store.Close(); err != nil {
 		c.t.Fatal(err)
@@ -95,24 +95,24 @@
 		c.t.Fatal(err)
 	}
 	if read.Snapshot == nil {
-		read.Snapshot = c.node.DurableState().Snapshot // none was written so far
+		read.Snapshot = c.node.DurableState().Snapshot // the node has not written one yet
 	}
 	if !equal(&read, c.node.DurableState()) {
 		c.t.Fatalf("read %v, written %v", read, *c.node.DurableState())
 	}
 }
 
-// A chain of one member writes a log that is read back whole, also when it was compacted.
+// A chain of one member writes a log that is read back completely, also after compaction.
 func TestLogRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := chain.DefaultConfig(1)
 		config.MaxLogEntries = rapid.IntRange(1, 6).Draw(t, "max log entries")
 		c := newStoredChain(t, config, noState{})
-		for range 40 { // it agrees with itself on a view
+		for range 40 { // the member agrees on a view with itself
 			c.tick()
 		}
 		if !c.node.CanPropose() {
-			t.Fatal("a chain of one is not in service")
+			t.Fatal("the chain of one member is not in service after 40 ticks")
 		}
 		for i := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			c.tick()
@@ -137,7 +137,7 @@
 	is.True(durable.Self == nil)
 }
 
-// A log with an entry that is missing or another one is no log: its member can't be trusted.
+// Guards against loading a log with a missing or replaced entry: a member with such a log can't be trusted.
 func TestCorruptedLogIsReported(t *testing.T) {
 	is := is.New(t)
 	s, err := OpenStorage(storage.NewMemStorage())
@@ -148,7 +148,7 @@
 	is.True(errors.Is(err, ErrCorrupted))
 }
 
-// A store whose table of files was damaged by a loss of power is recovered from its files.
+// A store whose manifest was damaged by a power loss is recovered from its tables.
 func TestDamagedManifestIsRecovered(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
--- a/internal/controlplane/store/subscribers_test.go
+++ b/internal/controlplane/store/subscribers_test.go
@@ -11,14 +11,14 @@
 	"marlreel/internal/controlplane/state"
 )
 
-// propose has an operation committed by a chain of one.
+// propose commits an operation in the chain of one member.
 func (c *storedChain) propose(operation *api.Operation) {
 	_, out := c.node.Propose(c.now, []*api.Operation{operation})
 	c.save(out)
 	c.tick()
 }
 
-// restarted is the state machine of a process that starts on what the store holds.
+// restarted reopens the store and returns the state machine of a process that starts from it.
 func (c *storedChain) restarted() *state.Machine {
 	c.reopen()
 	durable, err := c.store.Load()
@@ -27,14 +27,14 @@
 	}
 	machine := state.New()
 	c.node = chain.New(c.config, durable, machine, nil, c.now)
-	for range 40 { // it agrees with itself on a view, and so commits the last entry
+	for range 40 { // the member agrees on a view with itself, which commits the last entry
 		c.tick()
 	}
 	return machine
 }
 
-// Guards against tenants and keys that are lost, or come back, when a process starts again: from the log, and from a
-// snapshot of it.
+// Guards against tenants and keys that are lost, or reappear after their removal, when a process restarts from the log
+// or from a snapshot.
 func TestSubscribersSurviveSnapshotAndRestart(t *testing.T) {
 	const document = `{"config_version":1,"route_list":[],"service_list":[],"limits":{},"subscribers":[` +
 		`{"name":"north","access_keys":["k1","k2"],"later":[1,2.50]},{"name":"south","access_keys":["k3"]}]}`
@@ -63,7 +63,7 @@
 			is.Equal(string(read.Raw()), string(machine.Document().Raw()))
 			is.True(read.RequiresKeys())
 			is.Equal(read.SubscriberByKey("k1").Name, "north")
-			is.True(read.SubscriberByKey("k3") == nil) // it was taken away
+			is.True(read.SubscriberByKey("k3") == nil) // removed by the change
 			is.Equal(read.SubscriberByKey("k4").Name, "south")
 		})
 	}
