--- a/internal/controlplane/operatorclient/bundle.go
+++ b/internal/controlplane/operatorclient/bundle.go
@@ -17,14 +17,14 @@
 	"marlreel/internal/controlplane/configuration"
 )
 
-// maxPartBytes bounds one part of a bundle.
+// maxPartBytes bounds the size of one part of a bundle.
 const maxPartBytes = 8 << 20
 
-// BundleOptions says what a support bundle is made of.
+// BundleOptions are the options of WriteBundle.
 type BundleOptions struct {
 	// MetricsAddresses are the metrics servers to read, HOST:PORT.
 	MetricsAddresses []string
-	// Now is when the bundle is made.
+	// Now is the time that the bundle gives as its creation time.
 	Now time.Time
 }
 
@@ -32,21 +32,21 @@
 type BundlePart struct {
 	// Name is the path of the part in the archive.
 	Name string `json:"name"`
-	// From is the address that it was read from.
+	// From is the address that the part was read from.
 	From string `json:"from"`
-	// Error says why the part is missing; empty where it is there.
+	// Error is why the part is missing; empty if it is present.
 	Error string `json:"error,omitempty"`
 }
 
-// Manifest says what a support bundle contains, and what could not be read.
+// Manifest lists the parts of a support bundle, including those that could not be read.
 type Manifest struct {
 	Made time.Time `json:"made"`
-	// Program is the build that wrote the bundle.
+	// Program describes the build that wrote the bundle.
 	Program string       `json:"program"`
 	Parts   []BundlePart `json:"parts"`
 }
 
-// MissingParts is how many parts could not be read.
+// MissingParts returns how many parts could not be read.
 func (m *Manifest) MissingParts() int {
 	missing := 0
 	for _, part := range m.Parts {
@@ -63,9 +63,9 @@
 	manifest Manifest
 }
 
-// WriteBundle writes a gzipped tar of what helps to understand a system's state: the status of each control process,
-// the newest configuration with its keys redacted, metrics, and a manifest. It contains nothing of requests. A part that can't be read is
-// named in the manifest with its error; the error that is returned is one of writing to out.
+// WriteBundle writes a gzipped tar archive for diagnosing a system: the status of each control process, the newest
+// configuration with its access keys redacted, metrics, and a manifest. It contains no data of requests. A part that
+// can't be read is listed in the manifest with its error; the returned error is one of writing to out.
 func (c *Client) WriteBundle(ctx context.Context, out io.Writer, options BundleOptions) (*Manifest, error) {
 	compressed := gzip.NewWriter(out)
 	b := &bundleWriter{
@@ -95,12 +95,12 @@
 	}
 	manifest, err := json.MarshalIndent(b.manifest, "", " ")
 	if err != nil {
-		return eris.Wrap(err, "writing the manifest")
+		return eris.Wrap(err, "encoding the bundle's manifest")
 	}
 	return b.write("manifest.json", manifest)
 }
 
-// readRedactedConfiguration returns the newest configuration without the keys of subscribers.
+// readRedactedConfiguration returns the newest configuration with the keys of subscribers redacted.
 func (c *Client) readRedactedConfiguration(ctx context.Context) ([]byte, error) {
 	document, err := c.ReadConfiguration(ctx)
 	if err != nil {
@@ -127,7 +127,8 @@
 	return body, nil
 }
 
-// add writes a part, or notes in the manifest why it is missing. The error is that of writing.
+// add lists a part in the manifest and writes it, unless it is missing for the given reason. It returns the error of
+// writing.
 func (b *bundleWriter) add(name, from string, body []byte, missing error) error {
 	part := BundlePart{Name: name, From: from}
 	if missing != nil {
@@ -150,12 +151,12 @@
 	return eris.Wrapf(err, "writing %s", name)
 }
 
-// fileName returns an address in the form that names of parts have.
+// fileName returns an address in a form that is safe in file names.
 func fileName(address string) string {
 	return strings.NewReplacer(":", "_", "/", "_", "[", "", "]", "").Replace(address)
 }
 
-// buildDescription says which build this is.
+// buildDescription returns the module, version, Go version and VCS state of this build.
 func buildDescription() string {
 	info, known := debug.ReadBuildInfo()
 	if !known {
--- a/internal/controlplane/operatorclient/bundle_test.go
+++ b/internal/controlplane/operatorclient/bundle_test.go
@@ -11,7 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// unpackedBundle is a support bundle's archive, made of what a control process answers to the read of the configuration.
+// unpackedBundle returns the uncompressed archive and the manifest of a support bundle from a control process that
+// responds with the given configuration.
 func unpackedBundle(t *testing.T, configuration string) (string, *Manifest) {
 	t.Helper()
 	is := is.New(t)
@@ -31,7 +32,7 @@
 	return string(archive), manifest
 }
 
-// Guards against a support bundle, which leaves the operator's hands, that has keys in it.
+// Guards against access keys in a support bundle, which operators pass on to others.
 func TestBundleHasNoKeys(t *testing.T) {
 	is := is.New(t)
 	archive, manifest := unpackedBundle(t, `{"config_version":3,"subscribers":[{"name":"north","access_keys":["SECRET1"],"rate_per_s":10}]}`)
@@ -39,7 +40,7 @@
 	is.True(strings.Contains(archive, `"rate_per_s":10`) && strings.Contains(archive, "redacted:"))
 	is.True(!strings.Contains(archive, "SECRET1"))
 
-	archive, manifest = unpackedBundle(t, `{"subscribers":[{"access_keys":["SECRET1"]}`) // what can't be read can't be redacted
+	archive, manifest = unpackedBundle(t, `{"subscribers":[{"access_keys":["SECRET1"]}`) // JSON that can't be decoded can't be redacted
 	is.Equal(manifest.MissingParts(), 1)
 	is.True(!strings.Contains(archive, "SECRET1"))
 }
--- a/internal/controlplane/operatorclient/client.go
+++ b/internal/controlplane/operatorclient/client.go
@@ -30,8 +30,8 @@
 	http     *fasthttp.Client
 }
 
-// NewClient returns a client for control processes at these addresses, HOST:PORT. The timeout bounds the attempts of
-// one call; the first one is always made.
+// NewClient returns a client for the control processes at the given addresses, HOST:PORT. The timeout bounds the time in
+// which one call is retried; its first attempt is always made.
 func NewClient(controls []string, timeout time.Duration, dial transport.DialFunc) *Client {
 	return &Client{controls: controls, timeout: timeout, http: transport.NewHTTPClient(dial)}
 }
@@ -41,33 +41,32 @@
 	return c.call(ctx, operation{method: http.MethodGet, path: "/marlreel/config/read"})
 }
 
-// ReplaceConfiguration commits a complete configuration on top of the version base, 0 for the first one. It fails with
-// a *result.Error where control rejects it, and with a *NoAnswerError where it may have been committed.
+// ReplaceConfiguration commits a complete configuration on top of the version base, which is 0 for the first one. It
+// fails with a *result.Error if control rejects it, and with a *NoAnswerError if it may have been committed.
 func (c *Client) ReplaceConfiguration(ctx context.Context, base uint64, document []byte) error {
 	_, err := c.call(ctx, operation{method: http.MethodPost, path: "/marlreel/config/replace", base: formatVersion(base), body: document})
 	return err
 }
 
-// ModifyConfiguration commits a change of named items on top of the version base. Errors are those of
-// ReplaceConfiguration.
+// ModifyConfiguration commits a change of named items on top of the version base. It fails as ReplaceConfiguration does.
 func (c *Client) ModifyConfiguration(ctx context.Context, base uint64, change []byte) error {
 	_, err := c.call(ctx, operation{method: http.MethodPost, path: "/marlreel/config/modify", base: formatVersion(base), body: change})
 	return err
 }
 
-// BeginEvacuation has nothing more sent to the backends of a zone.
+// BeginEvacuation makes the proxies stop sending requests to the backends of a zone.
 func (c *Client) BeginEvacuation(ctx context.Context, zone string) error {
 	_, err := c.call(ctx, operation{method: http.MethodPost, path: "/marlreel/evacuation/" + zone + "/begin"})
 	return err
 }
 
-// EndEvacuation takes BeginEvacuation back.
+// EndEvacuation reverses BeginEvacuation.
 func (c *Client) EndEvacuation(ctx context.Context, zone string) error {
 	_, err := c.call(ctx, operation{method: http.MethodPost, path: "/marlreel/evacuation/" + zone + "/terminate"})
 	return err
 }
 
-// Status returns the status of the first control process that answers, as JSON (controlplane.Status).
+// Status returns the status of the first control process that responds, as JSON (controlplane.Status).
 func (c *Client) Status(ctx context.Context) ([]byte, error) {
 	return c.call(ctx, operation{method: http.MethodGet, path: "/marlreel/status"})
 }
@@ -79,18 +78,18 @@
 
 func formatVersion(version uint64) string { return strconv.FormatUint(version, 10) }
 
-// operation is a call to control's interface.
+// operation is an HTTP call to control.
 type operation struct {
 	method string
 	path   string
-	base   string // the version that a change builds on; empty: the call changes none
-	body   []byte // nil: the call has none
+	base   string // the version that a change builds on; empty for other calls
+	body   []byte // nil: the call has no body
 }
 
-// call makes attempts at one control process after the other until there is a definite answer, the client's timeout
-// is over, or ctx ends.
+// call tries the control processes in turn until one gives a definite response, the client's timeout expires, or ctx is
+// done.
 func (c *Client) call(ctx context.Context, op operation) ([]byte, error) {
-	last := eris.New("no control process is named")
+	last := eris.New("no address of a control process was given")
 	deadline := time.Now().Add(c.timeout)
 	for attempt := 0; len(c.controls) > 0; attempt++ {
 		status, answer, err := c.attempt(c.controls[attempt%len(c.controls)], op)
@@ -115,13 +114,13 @@
 	return nil, &NoAnswerError{Last: last}
 }
 
-// isDefinite reports whether the call is over with this status: another attempt would end alike.
+// isDefinite reports whether a status ends the call, because another attempt would have the same result.
 func isDefinite(status int) bool {
 	return status < http.StatusInternalServerError &&
 		status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 }
 
-// attempt makes one call to one control process, and returns the answer's status and body.
+// attempt makes one HTTP request and returns the status and body of the response.
 func (c *Client) attempt(address string, op operation) (int, []byte, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -141,14 +140,14 @@
 	return response.StatusCode(), slices.Clone(response.Body()), nil
 }
 
-// rejection returns control's own error, or one with the status alone where the answer has none.
+// rejection returns the error in control's response, or an error with only the status if the response has none.
 func rejection(status int, answer []byte) error {
 	var body struct {
 		Code  result.Code `json:"code"`
 		Cause string      `json:"error_cause"`
 	}
 	if err := json.Unmarshal(answer, &body); err != nil || body.Code == 0 {
-		return eris.Errorf("status %d", status)
+		return eris.Errorf("response has status %d and no result code", status)
 	}
 	return &result.Error{Code: body.Code, Detail: body.Cause}
 }
--- a/internal/controlplane/operatorclient/compatibility_manifest_test.go
+++ b/internal/controlplane/operatorclient/compatibility_manifest_test.go
@@ -10,20 +10,20 @@
 	"time"
 )
 
-// The file testdata/compatibility/manifest.json was written by the code of commit 6fb9894. It stands for the manifests of
-// support bundles that were kept. It must not be written again to make a test pass.
+// The file testdata/compatibility/manifest.json was written by the code of commit 6fb9894. It represents the manifests of
+// archived support bundles. It must not be rewritten to make a test pass.
 //
 // If the file is missing, it is written by
 //
 //	WRITE_COMPATIBILITY_FILES=1 go test -run TestCompatibility ./internal/controlplane/operatorclient
 //
-// A file that exists is never overwritten.
+// An existing file is never overwritten.
 const (
 	compatibilityFile = "testdata/compatibility/manifest.json"
 	writeVariable     = "WRITE_COMPATIBILITY_FILES"
 )
 
-// storedManifest is what the stored file holds.
+// storedManifest returns the content of the stored file.
 func storedManifest() Manifest {
 	return Manifest{
 		Made:    time.Date(2026, 11, 30, 12, 34, 56, 0, time.UTC),
@@ -35,7 +35,7 @@
 	}
 }
 
-// TestCompatibilityOfStoredManifests reads a stored manifest, and writes its content again.
+// TestCompatibilityOfStoredManifests reads a stored manifest, and compares the encoding of its content with it.
 func TestCompatibilityOfStoredManifests(t *testing.T) {
 	written, err := json.MarshalIndent(storedManifest(), "", " ")
 	if err != nil {
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(written, stored) {
-		t.Errorf("the manifest is written as\n%s\nand stored as\n%s", written, stored)
+		t.Errorf("the manifest is written as\n%s\nbut stored as\n%s", written, stored)
 	}
 	var got Manifest
 	if err := json.Unmarshal(stored, &got); err != nil {
@@ -68,7 +68,7 @@
 	}
 }
 
-// TestCompatibilityOfPartNames compares the names that addresses have in a bundle.
+// TestCompatibilityOfPartNames compares the file names that are derived from addresses.
 func TestCompatibilityOfPartNames(t *testing.T) {
 	for address, want := range map[string]string{
 		"10.0.0.1:7100": "10.0.0.1_7100",
--- a/internal/controlplane/operatorclient/compatibility_test.go
+++ b/internal/controlplane/operatorclient/compatibility_test.go
@@ -20,9 +20,9 @@
 	"marlreel/internal/testing/recorded"
 )
 
-// The files under testdata/compatibility must not be written anew to get a pass (package recorded).
+// The files under testdata/compatibility must not be rewritten to make a test pass (package recorded).
 
-// byteReader gives a byte at a time, so that what is noted ends where the request does.
+// byteReader reads one byte at a time, so that no bytes after the end of a request are recorded with it.
 type byteReader struct{ from *bufio.Reader }
 
 // Read implements io.Reader.
@@ -33,10 +33,10 @@
 	return r.from.Read(p[:1])
 }
 
-// recorder is a control process that notes the bytes of requests and gives set answers.
+// recorder is a fake control process that records the bytes of requests and gives predefined responses.
 type recorder struct {
-	seen   []string
-	answer func(path string) string
+	requests []string
+	answer   func(path string) string
 }
 
 func (r *recorder) dial(context.Context, string) (net.Conn, error) {
@@ -53,7 +53,7 @@
 			if _, err := io.Copy(io.Discard, request.Body); err != nil {
 				return
 			}
-			r.seen = append(r.seen, strings.ReplaceAll(raw.String(), "\r\n", "\n"))
+			r.requests = append(r.requests, strings.ReplaceAll(raw.String(), "\r\n", "\n"))
 			if _, err := io.WriteString(far, r.answer(request.URL.Path)); err != nil {
 				return
 			}
@@ -66,7 +66,7 @@
 	return fmt.Sprintf("HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), len(body), body)
 }
 
-// The operator's program writes the bytes that it wrote.
+// Guards against calls whose bytes differ from those that were recorded.
 func TestCompatibilityOfCalls(t *testing.T) {
 	control := &recorder{answer: func(string) string { return httpAnswer(200, "{}") }}
 	client := NewClient([]string{"10.1.0.1:8082"}, time.Second, control.dial)
@@ -84,16 +84,16 @@
 		{"restore", func() error { return client.EndEvacuation(ctx, "east") }},
 		{"status", func() error { _, err := client.Status(ctx); return err }},
 	} {
-		control.seen = nil
+		control.requests = nil
 		if err := call.make(); err != nil {
 			t.Errorf("%s: %v", call.name, err)
 		}
-		fmt.Fprintf(&out, "== %s\n%s\n", call.name, strings.Join(control.seen, "\n--\n"))
+		fmt.Fprintf(&out, "== %s\n%s\n", call.name, strings.Join(control.requests, "\n--\n"))
 	}
 	recorded.Check(t, "calls.txt", out.String())
 }
 
-// Answers of a control process of the recorded version are read as they were.
+// Guards against reading the responses of a control process of the recorded version differently.
 func TestCompatibilityOfAnswers(t *testing.T) {
 	for _, answer := range []struct {
 		name   string
@@ -111,15 +111,15 @@
 		t.Run(answer.name, func(t *testing.T) {
 			control := &recorder{answer: func(string) string { return httpAnswer(answer.status, answer.body) }}
 			err := NewClient([]string{"10.1.0.1:8082"}, time.Millisecond, control.dial).ReplaceConfiguration(t.Context(), 1, []byte(`{}`))
-			var said *result.Error
-			if !errors.As(err, &said) || said.Code != answer.want || said.Detail != answer.detail {
-				t.Errorf("read as %v", err)
+			var rejected *result.Error
+			if !errors.As(err, &rejected) || rejected.Code != answer.want || rejected.Detail != answer.detail {
+				t.Errorf("response is read as %v", err)
 			}
 		})
 	}
 }
 
-// A support bundle has the files and the manifest that it had.
+// Guards against a support bundle whose files or manifest differ from those that were recorded.
 func TestCompatibilityOfBundle(t *testing.T) {
 	control := &recorder{answer: func(path string) string {
 		if path == "/metrics" {
--- a/internal/controlplane/operatorclient/errors.go
+++ b/internal/controlplane/operatorclient/errors.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// NoAnswerError says that no control process gave a definite answer. What was sent may have
-// been committed.
+// NoAnswerError reports that no control process gave a definite response. The change that was sent may have been
+// committed.
 type NoAnswerError struct {
-	// Last is why the last attempt failed.
+	// Last is the error of the last attempt.
 	Last error
 }
 
@@ -13,23 +13,23 @@
 
 // Error implements error.
 func (e *NoAnswerError) Error() string {
-	return fmt.Sprintf("no clear answer from control: %v", e.Last)
+	return fmt.Sprintf("no definite response from control: %v", e.Last)
 }
 
-// Unwrap returns the last cause.
+// Unwrap returns the error of the last attempt.
 func (e *NoAnswerError) Unwrap() error { return e.Last }
 
-// Advice is what can be done about it.
+// Advice returns what the operator can do about the error.
 func (e *NoAnswerError) Advice() string {
-	return "see whether most control processes run (marlreeld status), and send the same again: it has its effect only once"
+	return "check that a majority of the control processes is running (marlreeld status), and repeat the call: it takes effect only once"
 }
 
-// UnexpectedAnswerError says that a process's answer can't be part of a bundle.
+// UnexpectedAnswerError reports that a process's response can't be included in a support bundle.
 type UnexpectedAnswerError struct {
 	Address string
 	// Status is the HTTP status.
 	Status int
-	// Bytes is the size of the answer where it is over maxPartBytes, or else 0.
+	// Bytes is the size of the response if it exceeds maxPartBytes, or else 0.
 	Bytes int
 }
 
@@ -38,12 +38,12 @@
 // Error implements error.
 func (e *UnexpectedAnswerError) Error() string {
 	if e.Bytes > 0 {
-		return fmt.Sprintf("%s answers with %d bytes, %d are the most", e.Address, e.Bytes, maxPartBytes)
+		return fmt.Sprintf("%s answers with %d bytes, the limit is %d", e.Address, e.Bytes, maxPartBytes)
 	}
 	return fmt.Sprintf("%s answers with status %d", e.Address, e.Status)
 }
 
-// Advice is what can be done about it.
+// Advice returns what the operator can do about the error.
 func (e *UnexpectedAnswerError) Advice() string {
-	return "see whether " + e.Address + " is a control process's address, or a door for metrics"
+	return "check that " + e.Address + " is the address of a control process or of a metrics server"
 }
