--- a/internal/controlplane/result/compatibility_test.go
+++ b/internal/controlplane/result/compatibility_test.go
@@ -8,17 +8,17 @@
 	"marlreel/internal/testing/recorded"
 )
 
-// The files under testdata/compatibility must not be written anew to get a pass (package recorded).
+// The files under testdata/compatibility must not be rewritten to make a test pass (package recorded).
 
-// Codes keep their numbers, names, statuses and remedies: callers go by them.
+// Guards against codes whose number, name, status or remedy has changed: callers depend on them.
 func TestCompatibilityOfCodes(t *testing.T) {
 	var out, added strings.Builder
 	for code := range Code(1000) {
 		to := &out
-		if code == SharedKey { // it came after codes.txt was recorded
+		if code == SharedKey { // added after codes.txt was recorded
 			to = &added
 		}
-		// A code that is not in the table is named by its number.
+		// An undefined code has its number as its name.
 		if code.String() != fmt.Sprintf("code %d", code) {
 			fmt.Fprintf(to, "%d | %d | %s | %t | %s\n", code, code.Status(), code, code.Succeeded(), code.Remedy())
 		}
--- a/internal/controlplane/result/doc.go
+++ b/internal/controlplane/result/doc.go
@@ -1,7 +1,7 @@
-// Package result has the numbered result codes of control's interfaces, and the error that carries one. It is the
-// only place where a code gets its number, name, HTTP status and remedy; docs/CODES.md is generated from it.
+// Package result defines the numbered result codes of control's interfaces, and the error type that carries one. It is
+// the only place that defines a code's number, name, HTTP status and remedy; docs/CODES.md is generated from it.
 //
-// Codes are grouped by what the caller has to do, as HTTP and gRPC group theirs: 1xx nothing, 2xx mend the call,
-// 3xx read and try on top of the newer version, 4xx send the same again. They never change their meaning, and the
-// package never decides which one a call gets.
+// Codes are grouped by what the caller has to do, as in HTTP and gRPC: 1xx nothing, 2xx correct the call, 3xx read the
+// newer version and retry on top of it, 4xx retry the same call. The meaning of a code never changes. Which code a call
+// gets is decided by the packages that use this one.
 package result
--- a/internal/controlplane/result/result.go
+++ b/internal/controlplane/result/result.go
@@ -5,41 +5,41 @@
 	"net/http"
 )
 
-// Code says how a call ended.
+// Code is the result of a call.
 type Code uint32
 
-// The codes, by what has to be done about them.
+// The codes, grouped by what the caller has to do.
 const (
 	Committed        Code = 100 // committed: on the disks of a majority of the members
 	AlreadyCommitted Code = 101 // the same call was committed before
 
-	Malformed      Code = 200 // not JSON, cut short, or of a wrong type
-	UnknownService Code = 201 // a route names a service that is not there
+	Malformed      Code = 200 // not JSON, truncated, or a value has the wrong type
+	UnknownService Code = 201 // a route names a service that is not listed
 	DuplicateMatch Code = 202 // two routes have the same host and prefix
 	ZeroWeight     Code = 203 // the weights of a route sum to 0
 	MissingTimeout Code = 204 // a route's timeout is 0
 	VersionTooLow  Code = 205 // the version is not higher than the current one
-	InvalidField   Code = 206 // a field is missing or out of its range
+	InvalidField   Code = 206 // a field is missing or out of range
 	DuplicateName  Code = 207 // two items of a list have the same name
-	TooLarge       Code = 208 // the body is larger than what is accepted
-	UnknownPath    Code = 209 // there is no such call
+	TooLarge       Code = 208 // the body exceeds the size limit
+	UnknownPath    Code = 209 // no call has this path
 	SharedKey      Code = 210 // two subscribers have the same key
 
 	VersionConflict Code = 300 // another version is current
 
-	Unavailable    Code = 400 // not committed: there is no majority, or it is not known where
+	Unavailable    Code = 400 // not committed: there is no majority, or the head of the chain is not known
 	OutcomeUnknown Code = 401 // it may or may not have been committed
 )
 
-// definition is what a code says and what can be done.
+// definition is a row of the table of codes.
 type definition struct {
 	code   Code
-	status int // of HTTP
+	status int // HTTP status
 	name   string
-	remedy string // one sentence: what the caller can do
+	remedy string // what the caller can do, in one sentence
 }
 
-// definitions are those of all codes, by number.
+// definitions has all codes, ordered by number.
 var definitions = []definition{
 	{Committed, http.StatusOK, "accepted", "nothing"},
 	{AlreadyCommitted, http.StatusOK, "already accepted", "nothing"},
@@ -68,22 +68,22 @@
 	return definition{code: c, status: http.StatusInternalServerError, name: fmt.Sprintf("code %d", c)}
 }
 
-// Status is the HTTP status that goes with a code; 500 for a code that is not defined here.
+// Status returns the HTTP status of the code; 500 for an undefined code.
 func (c Code) Status() int { return c.definition().status }
 
-// String implements fmt.Stringer: the name of the code.
+// String returns the name of the code.
 func (c Code) String() string { return c.definition().name }
 
-// Remedy is one sentence on what the caller can do; empty for a code that is not defined here.
+// Remedy returns one sentence on what the caller can do; empty for an undefined code.
 func (c Code) Remedy() string { return c.definition().remedy }
 
-// Succeeded reports whether a call has had its effect.
+// Succeeded reports whether the call took effect.
 func (c Code) Succeeded() bool { return c == Committed || c == AlreadyCommitted }
 
-// Error is a code with what it is about.
+// Error is an unsuccessful result with its cause.
 type Error struct {
 	Code Code
-	// Detail says what failed, with its values.
+	// Detail says what failed and on which values.
 	Detail string
 }
 
@@ -92,7 +92,7 @@
 // Error implements error.
 func (e *Error) Error() string { return fmt.Sprintf("%d %s: %s", e.Code, e.Code, e.Detail) }
 
-// Advice is what can be done about the error.
+// Advice returns what the caller can do about the error.
 func (e *Error) Advice() string { return e.Code.Remedy() }
 
 // Errorf returns an Error whose detail is formatted as by fmt.Sprintf.
