--- a/internal/controlplane/result/page.go
+++ b/internal/controlplane/result/page.go
@@ -7,8 +7,8 @@
 
 const pageHead = `# Result codes
 
-Generated from the code (` + "`go run ./internal/controlplane/result/codespage > docs/CODES.md`" + `); a test fails where it is not
-up to date. An answer of control that is no success carries the code, its name, the cause and the advice as JSON:
+Generated from the code (` + "`go run ./internal/controlplane/result/codespage > docs/CODES.md`" + `); a test fails if it is not
+up to date. Every response of control that reports a failure has the code, its name, the cause and the advice as JSON:
 ` + "`code`, `result`, `error_cause`, `advice`" + `. Codes never change their meaning.
 
 | code | HTTP | name | what to do |
