--- a/internal/controlplane/configuration/redact.go
+++ b/internal/controlplane/configuration/redact.go
@@ -20,7 +20,7 @@
 )
 
 // KeyFingerprint returns the text that is shown instead of a key; equal keys have equal fingerprints. It reveals nothing
-// about a random key, but lets a guess of a weak key be checked.
+// about a random key, but a guess of a weak key can be checked against it.
 func KeyFingerprint(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:fingerprintBytes])
--- a/internal/controlplane/operatorclient/bundle.go
+++ b/internal/controlplane/operatorclient/bundle.go
@@ -127,8 +127,8 @@
 	return body, nil
 }
 
-// add lists a part in the manifest and writes it, unless it is missing for the given reason. It returns the error of
-// writing.
+// add lists a part in the manifest and writes it. If missing is not nil, it only lists the part, with that error. It
+// returns the error of writing.
 func (b *bundleWriter) add(name, from string, body []byte, missing error) error {
 	part := BundlePart{Name: name, From: from}
 	if missing != nil {
--- a/internal/controlplane/store/records.go
+++ b/internal/controlplane/store/records.go
@@ -61,7 +61,7 @@
 	return binary.BigEndian.Uint64(data), nil
 }
 
-// putMessage adds writing a message to a batch, or deleting its key if the message is nil.
+// putMessage adds a message to a batch, or the deletion of its key if the message is nil.
 func putMessage[T any, M message[T]](batch *leveldb.Batch, key []byte, value M) error {
 	if value == nil {
 		batch.Delete(key)
--- a/internal/controlplane/store/save.go
+++ b/internal/controlplane/store/save.go
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// deleteEntries adds deleting the log entries up to a sequence number, or all of them, to a batch.
+// deleteEntries adds the deletion of the log entries up to a sequence number, or of all of them, to a batch.
 func (s *Store) deleteEntries(batch *leveldb.Batch, upTo uint64, all bool) error {
 	iterator := s.db.NewIterator(util.BytesPrefix(entriesPrefix), nil)
 	defer iterator.Release()
