--- a/internal/controlplane/configuration/decode.go
+++ b/internal/controlplane/configuration/decode.go
@@ -46,7 +46,7 @@
 	return *head.Version, nil
 }
 
-var errTrailingData = errors.New("unexpected data after the JSON document")
+var errTrailingData = errors.New("more follows after the document")
 
 // decodeJSON decodes data that consists of exactly one JSON value.
 func decodeJSON(data []byte, target any) error {
--- a/internal/controlplane/configuration/modify.go
+++ b/internal/controlplane/configuration/modify.go
@@ -162,7 +162,7 @@
 	values := make([]T, len(items))
 	for i, item := range items {
 		if names[item.name] {
-			return list[T]{}, result.Errorf(result.DuplicateName, "upsert: %s is listed twice", item.name)
+			return list[T]{}, result.Errorf(result.DuplicateName, "upsert: %s comes twice", item.name)
 		}
 		if err := json.Unmarshal(item.json, &values[i]); err != nil {
 			return list[T]{}, result.Errorf(result.Malformed, "%s: %s", item.name, describeJSONError(err))
--- a/internal/controlplane/configuration/rawdocument.go
+++ b/internal/controlplane/configuration/rawdocument.go
@@ -92,7 +92,7 @@
 func decodeFields(data []byte, d *Document) (*rawFields, *result.Error) {
 	all := map[string]json.RawMessage{}
 	if err := decodeJSON(data, &all); err != nil {
-		return nil, result.Errorf(result.Malformed, "current configuration: %s", describeJSONError(err))
+		return nil, result.Errorf(result.Malformed, "configuration in place: %s", describeJSONError(err))
 	}
 	for _, key := range []string{routesKey, servicesKey, subscribersKey, versionKey} {
 		normalizeKeyCase(all, key)
@@ -139,7 +139,7 @@
 	var list []json.RawMessage
 	if len(data) > 0 {
 		if err := json.Unmarshal(data, &list); err != nil {
-			return nil, result.Errorf(result.Malformed, "current configuration: %s", describeJSONError(err))
+			return nil, result.Errorf(result.Malformed, "configuration in place: %s", describeJSONError(err))
 		}
 	}
 	if len(list) != count { // the key occurs in the JSON more than once
@@ -160,7 +160,7 @@
 			Name string `json:"name"`
 		}
 		if err := json.Unmarshal(data, &named); err != nil || named.Name == "" {
-			return nil, result.Errorf(result.InvalidField, "a list item has no name")
+			return nil, result.Errorf(result.InvalidField, "an item has no name")
 		}
 		items = append(items, rawItem{name: named.Name, json: data})
 	}
--- a/internal/controlplane/configuration/rotate.go
+++ b/internal/controlplane/configuration/rotate.go
@@ -53,7 +53,7 @@
 	}
 	at := slices.IndexFunc(fields.subscribers, func(item rawItem) bool { return item.name == name })
 	if at < 0 {
-		return nil, result.Errorf(result.InvalidField, "subscriber %q is not in the list of the configuration's JSON", name)
+		return nil, result.Errorf(result.InvalidField, "subscriber %q is not in the list as it was sent", name)
 	}
 	subscriber := map[string]json.RawMessage{}
 	if err := json.Unmarshal(fields.subscribers[at].json, &subscriber); err != nil {
