--- a/internal/distribution/catchup/catchup_test.go
+++ b/internal/distribution/catchup/catchup_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against the fetches of all nodes at once that filled the links of control on the largest site: in no tenth of a
-// second more than twice the share begin that fetchInterval allows, at any size of a site.
+// Guards against simultaneous fetches by all nodes, which filled the links of control on the largest site: at any site
+// size, no tenth of a second has more than twice the fetches that fetchInterval allows on average.
 func TestFetchesAreSpreadOverTime(t *testing.T) {
 	const window = 100 * time.Millisecond
 	for _, nodes := range []int{9, 42, 295} {
@@ -21,7 +21,7 @@
 			}
 			for at, count := range counts {
 				if limit := 2 * int(window/fetchInterval); count > limit {
-					t.Errorf("%d nodes: %d fetches in the %v from %v on", nodes, count, window, at*window)
+					t.Errorf("%d nodes: %d fetches within the %v that start at %v", nodes, count, window, at*window)
 				}
 			}
 		}
@@ -33,15 +33,15 @@
 		nodes := rapid.IntRange(0, 10_000).Draw(t, "nodes")
 		delay := Delay(rapid.String().Draw(t, "node"), rapid.Uint64().Draw(t, "sequence"), nodes)
 		if delay < grace || delay > grace+min(maxSpread, time.Duration(nodes)*fetchInterval) {
-			t.Fatalf("a delay of %v among %d nodes", delay, nodes)
+			t.Fatalf("delay %v is out of bounds for %d nodes", delay, nodes)
 		}
 	})
 }
 
-// A node waits out its delay, and beyond it while chunks arrive, but never for longer than maxWait.
+// A node waits for its delay, and longer while chunks arrive, but never beyond maxWait.
 func TestWaitEndsInTime(t *testing.T) {
 	is := is.New(t)
-	const long = time.Hour // since the last chunk: none is on its way
+	const long = time.Hour // since the last chunk: none is in flight
 	is.Equal(Remaining(0, 200*time.Millisecond, long), 200*time.Millisecond)
 	is.Equal(Remaining(200*time.Millisecond, 200*time.Millisecond, long), time.Duration(0))
 	is.Equal(Remaining(300*time.Millisecond, 200*time.Millisecond, 100*time.Millisecond), stallTimeout-100*time.Millisecond)
--- a/internal/distribution/hintedhandoff/doc.go
+++ b/internal/distribution/hintedhandoff/doc.go
@@ -1,7 +1,7 @@
 // Package hintedhandoff keeps messages for a receiver that can't be reached, to deliver them once it can: hinted
-// handoff, after Dynamo (DeCandia et al., SOSP 2007). Of each key the newest message alone is kept, for a bounded time,
-// and of a bounded number of keys. A hint is lost when the process restarts: what it carries has to reach the receiver in
-// another way too, only later.
+// handoff, after Dynamo (DeCandia et al., SOSP 2007). It keeps only the newest message of each key, for a bounded time
+// and for a bounded number of keys. Hints are lost when the process restarts, so the receiver must also be able to
+// learn their content in another, slower way.
 //
-// The package is pure and sends nothing; a Table is owned by whoever sends, and used by one goroutine at a time.
+// The package is pure and sends nothing. A Table belongs to the sender and is used by one goroutine at a time.
 package hintedhandoff
--- a/internal/distribution/hintedhandoff/table.go
+++ b/internal/distribution/hintedhandoff/table.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Hint is a message that waits for its delivery.
+// Hint is a message that has not been delivered yet.
 type Hint[M any] struct {
 	Key     string // what the message is about
 	Message M
 
-	number   uint64 // of the Store call that brought it
+	number   uint64 // of the Store call that added it
 	deadline time.Duration
 }
 
@@ -23,15 +23,15 @@
 	hints   map[string]Hint[M]
 }
 
-// New returns a table of at most maxKeys keys. What could not be delivered within ttl is dropped. Raising ttl costs
-// memory, and a receiver that returns late gets messages that it has had in another way; with a lower one it learns of
-// them only in that way.
+// New returns a table of at most maxKeys keys. Messages that are not delivered within ttl are dropped. A higher ttl
+// costs memory, and a receiver that returns late gets messages that it has already received in another way; with a
+// lower ttl it receives them only in that slower way.
 func New[M any](maxKeys int, ttl time.Duration) *Table[M] {
 	return &Table[M]{maxKeys: maxKeys, ttl: ttl, hints: map[string]Hint[M]{}}
 }
 
-// Store keeps a message, in place of an older one of the same key. A full table drops the oldest hint for it. now is
-// the time since any fixed moment, the same for all calls.
+// Store adds a message and replaces an older one with the same key. If the table is full, it drops the oldest hint. now
+// is the time since some fixed moment, the same one in all calls.
 func (t *Table[M]) Store(now time.Duration, key string, message M) {
 	if _, known := t.hints[key]; !known {
 		t.makeRoom(now)
@@ -40,7 +40,7 @@
 	t.hints[key] = Hint[M]{Key: key, Message: message, number: t.stored, deadline: now + t.ttl}
 }
 
-// makeRoom lets the table take one more key.
+// makeRoom makes room for one more key by dropping expired hints or, if there are none, the oldest one.
 func (t *Table[M]) makeRoom(now time.Duration) {
 	if len(t.hints) < t.maxKeys {
 		return
@@ -69,7 +69,7 @@
 	}
 }
 
-// Pending returns what is to be delivered, the oldest first. Hints stay in the table until Remove.
+// Pending returns the hints to deliver, oldest first. They stay in the table until Remove is called.
 func (t *Table[M]) Pending(now time.Duration) []Hint[M] {
 	t.expire(now)
 	pending := make([]Hint[M], 0, len(t.hints))
@@ -80,7 +80,7 @@
 	return pending
 }
 
-// Remove drops hints that have been delivered. A message that has replaced one of them meanwhile stays.
+// Remove drops hints that have been delivered. A newer message that has replaced one of them in the meantime stays.
 func (t *Table[M]) Remove(delivered []Hint[M]) {
 	for _, hint := range delivered {
 		kept, known := t.hints[hint.Key]
--- a/internal/distribution/hintedhandoff/table_test.go
+++ b/internal/distribution/hintedhandoff/table_test.go
@@ -51,14 +51,13 @@
 	modelTTL     = 10
 )
 
-// modelHint is a hint in the model.
 type modelHint struct {
 	key      string
 	message  int
 	deadline time.Duration
 }
 
-// model is a table as a plain list in the order of arrival, beside the table that it is compared with.
+// model is a reference implementation of the table, a list in the order of arrival, with the table under test.
 type model struct {
 	table  *Table[int]
 	hints  []modelHint
@@ -105,12 +104,12 @@
 		want = append(want, h.message)
 	}
 	if got := messages(m.table.Pending(m.now)); !slices.Equal(got, want) {
-		t.Fatalf("pending are %v, want %v", got, want)
+		t.Fatalf("pending messages are %v, want %v", got, want)
 	}
 }
 
-// Whatever happens: what is pending is the newest undelivered message of each key, in the order of their arrival, and
-// nothing is kept beyond its time or the bound.
+// After any sequence of operations the newest undelivered message of each key is pending, in order of arrival, and
+// nothing is kept beyond its TTL or the bound on keys.
 func TestTableAgainstAModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{table: New[int](modelMaxKeys, modelTTL)}
--- a/internal/distribution/relay/compatibility_test.go
+++ b/internal/distribution/relay/compatibility_test.go
@@ -11,10 +11,11 @@
 )
 
 // The files under testdata/compatibility were written by the code of commit 6fb9894, with
-// WRITE_COMPATIBILITY=1. They hold forms that other processes, backends and operators rely on.
-// They must not be written anew to get a pass.
+// WRITE_COMPATIBILITY=1. They record formats that other processes, backends and operators rely on.
+// They must not be regenerated to make a test pass.
 
-// Each agent chooses the relays by itself: versions that choose otherwise watch at nodes that don't watch the topic.
+// Each agent chooses the relays by itself. An agent of a version that chooses differently would watch at a node that
+// does not watch the topic.
 func TestCompatibilityOfRelays(t *testing.T) {
 	var nodes []*api.Node
 	for i := range 6 {
--- a/internal/distribution/relay/relay.go
+++ b/internal/distribution/relay/relay.go
@@ -9,21 +9,22 @@
 	"marlreel/internal/distribution/watch"
 )
 
-// hashPrefix sets the choice of relays apart from that of lease holders, which is made by the same hash. All agents of
-// a zone have to use the same, whatever their version.
+// hashPrefix makes the choice of relays independent of that of lease holders, which uses the same hash. It must be the
+// same for all agents of a zone, whatever their version.
 const hashPrefix = "home/"
 
-// maxFanOut bounds the nodes that watch a topic at one node. Raising it makes changes wait longer for the link of a node,
-// which sends them to one after the other; lowering it makes the tree deeper.
+// maxFanOut bounds the number of nodes that watch a topic at one node. Raising it delays changes at the node's link,
+// which sends to its children one after the other; lowering it makes the tree deeper.
 const maxFanOut = 8
 
-// Select returns the relay of a topic in the zone of a node, as that node sees it: the root of the topic's tree there.
+// Select returns the relay of a topic in the zone of self, according to the nodes that self knows: the root of the
+// topic's tree.
 func Select(topic watch.Topic, self *api.Node, nodes []*api.Node) *api.Node {
 	return lease.SelectNode(hashPrefix+topic, candidates(self, nodes))
 }
 
-// candidates are the nodes of a zone that may serve a topic to others. The node itself is always one, even while it
-// drains.
+// candidates returns the nodes in the zone of self that may serve a topic to others. self is always one of them, even
+// while it drains.
 func candidates(self *api.Node, nodes []*api.Node) []*api.Node {
 	candidates := []*api.Node{self}
 	for _, node := range nodes {
@@ -34,11 +35,11 @@
 	return candidates
 }
 
-// Ancestors returns the nodes on the way of a topic from a node to control, as that node sees it, the nearest first;
-// none: it is the root of its zone's tree, and watches the topic at control.
+// Ancestors returns the nodes on the path from self to control in a topic's tree, the nearest first, according to the
+// nodes that self knows. The list is empty if self is the root, which watches the topic at control.
 //
-// The zone's nodes form a heap by their rank: each has up to maxFanOut children of lower ranks. From node to node the
-// rank only rises, so nodes that know different members of their zone never watch at each other in a circle.
+// The zone's nodes form a heap ordered by rank: each has up to maxFanOut children, which rank lower. The rank rises at
+// each step to the root, so there is no cycle even if nodes know different members of their zone.
 func Ancestors(topic watch.Topic, self *api.Node, nodes []*api.Node) []*api.Node {
 	ranked := lease.RankNodes(hashPrefix+topic, candidates(self, nodes))
 	var ancestors []*api.Node
@@ -49,14 +50,14 @@
 	return ancestors
 }
 
-// Subscription is what is watched at one source.
+// Subscription is a set of topics that a node watches at the same source.
 type Subscription struct {
 	Relay    string // address of the relay; empty: the topics are watched at control
-	Fallback string // address of the relay's own relay, which is asked where the relay does not answer; empty: control is
+	Fallback string // address to use if the relay does not answer, that of the relay's own relay; empty: control
 	Topics   watch.Topics
 }
 
-// Plan returns what a node watches where, in the order of the relays' addresses: what is watched at control comes first.
+// Plan returns the subscriptions of a node, ordered by the relays' addresses. Those at control come first.
 func Plan(self *api.Node, nodes []*api.Node, topics watch.Topics) []Subscription {
 	type source struct{ relay, fallback string }
 	bySource := map[source]watch.Topics{}
--- a/internal/distribution/relay/relay_test.go
+++ b/internal/distribution/relay/relay_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// Guards against links that fill as a zone grows, as on the largest site: at any size no node serves a topic to more than
-// maxFanOut others, and the way from control grows by the logarithm alone.
+// Guards against links that fill up as a zone grows, as on the largest site: at any size no node serves a topic to more
+// than maxFanOut others, and the depth of the tree grows only with the logarithm of the size.
 func TestFanOutAndDepthAreBounded(t *testing.T) {
 	for size, maxDepth := range map[int]int{1: 0, 9: 1, 42: 2, 73: 2, 295: 3, 585: 3} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -84,14 +84,14 @@
 					}
 				}
 				if depth > maxDepth {
-					t.Errorf("%s passes %d nodes", topic, depth)
+					t.Errorf("the tree of %s is %d levels deep", topic, depth)
 				}
 			}
 		})
 	}
 }
 
-// In a zone of up to maxFanOut others, all watch at the topic's relay, and at control where that does not answer.
+// In a zone with at most maxFanOut nodes besides the relay, all watch a topic at its relay and fall back to control.
 func TestSmallZoneWatchesAtItsRelay(t *testing.T) {
 	is := is.New(t)
 	var nodes []*api.Node
@@ -113,7 +113,7 @@
 	}
 }
 
-// Where a node's relay has a relay itself, that one is the fallback.
+// If a node's relay watches at another relay, that one is the fallback.
 func TestFallbackIsTheRelaysRelay(t *testing.T) {
 	is := is.New(t)
 	var nodes []*api.Node
@@ -135,8 +135,8 @@
 	is.Equal(fallbacks, 42-1-maxFanOut)
 }
 
-// Nodes that know any subsets of each other, some of which drain, never watch a topic at one another in a circle: the
-// way from relay to relay ends at control.
+// Relays never form a cycle, whatever subset of the others each node knows and whichever nodes drain: the path from
+// relay to relay ends at control.
 func TestRelaysNeverFormACycle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(2, 24).Draw(t, "nodes")
@@ -159,7 +159,7 @@
 				at := first
 				for step := 0; ; step++ {
 					if step > count {
-						t.Fatalf("topic %s: a cycle from node %d", topic, first)
+						t.Fatalf("topic %s: the relays form a cycle that starts at node %d", topic, first)
 					}
 					subscription := Plan(node(at, "east"), known[at], watch.Topics{topic})[0]
 					if subscription.Relay == "" {
