--- a/internal/distribution/watch/backends.go
+++ b/internal/distribution/watch/backends.go
@@ -9,22 +9,23 @@
 )
 
 const (
-	// maxDepartures is how many backends that left are remembered for subscribers that lag. One that lags further gets
-	// the complete list of backends: raising this costs some 50 bytes each, lowering it larger replies after a mass exit.
+	// maxDepartures is the number of departed backends that are kept for lagging subscribers. A subscriber that lags
+	// further gets the complete list of backends. Raising it costs some 50 bytes per departure; lowering it makes replies
+	// larger after a mass exit.
 	maxDepartures = 2048
 	// warmupTolerance is how much earlier than expected a warm-up may end before that counts as a change. Raising it
 	// hides shortened warm-ups from the proxies, lowering it makes the jitter of heartbeats a change each.
 	warmupTolerance = 400 * time.Millisecond
 )
 
-// backendRecord is what a backend said last. Its age and the rest of its warm-up are as of lastSeen.
+// backendRecord is the last report of a backend. The remaining warm-up in it is as of lastSeen.
 type backendRecord struct {
 	backend  *api.Backend
 	lastSeen time.Time
 	revision uint64 // of the last change
 }
 
-// departure is a backend that left, at a revision.
+// departure is a backend that was removed at a revision.
 type departure struct {
 	id       string
 	service  string
@@ -53,7 +54,7 @@
 		return true
 	}
 	if b.CallSequence < old.backend.CallSequence {
-		return false // it was overtaken by a later report
+		return false // a later report has already arrived
 	}
 	if !sameBackend(old.backend, b) {
 		s.setBackend(b, lastSeen)
@@ -66,13 +67,13 @@
 	return false
 }
 
-// setBackend keeps a changed backend, to be published.
+// setBackend stores a new or changed backend. The caller publishes.
 func (s *Store) setBackend(b *api.Backend, lastSeen time.Time) {
 	s.backends[b.Id] = &backendRecord{b, lastSeen, s.nextRevision()}
 	s.serviceRevision[b.Service] = s.nextRevision()
 }
 
-// sameBackend reports whether a later report b of a backend says nothing new after a.
+// sameBackend reports whether report b of a backend adds nothing to the earlier report a.
 func sameBackend(a, b *api.Backend) bool {
 	drift := int(a.WarmupLeftMs) - int(b.WarmupLeftMs)
 	warmsUp := a.WarmupLeftMs > 0
@@ -87,8 +88,8 @@
 	return a.Name == b.Name && a.Version == b.Version && slices.Equal(a.Adapters, b.Adapters)
 }
 
-// RefreshBackend records that a backend was in contact at an age before now, and has nothing new to say. It reports
-// false where the backend is not known, so that the caller asks for its whole report.
+// RefreshBackend records that a backend was in contact age ago and that its report has not changed. It returns false if
+// the backend is unknown, so that the caller requests a full report.
 func (s *Store) RefreshBackend(id string, callSequence uint64, age time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +105,7 @@
 	return true
 }
 
-// NewObservation returns an observation of what a backend has loaded: adapters by model.
+// NewObservation returns an observation of the models that a backend has loaded, given as adapters by model.
 func NewObservation(id string, loaded map[string][]string) *api.Observation {
 	o := &api.Observation{Id: id}
 	for model, adapters := range loaded {
@@ -114,9 +115,9 @@
 	return o
 }
 
-// RecordObservation records what a backend has loaded, as observed by the placement reconciler that gives it orders. It
-// is no contact with the backend as heartbeats are. It reports whether that changed anything; of a backend that is not
-// known nothing is recorded.
+// RecordObservation records the models that a backend has loaded, as observed by the placement reconciler that controls
+// it. Unlike a heartbeat it does not update when the backend was last seen. It reports whether anything has changed, and
+// ignores backends that are not known.
 func (s *Store) RecordObservation(o *api.Observation) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,7 +137,7 @@
 	return true
 }
 
-// ExpireBackends removes the backends for which expired says so, by the time since their last contact.
+// ExpireBackends removes the backends for which expired returns true. It is called with the time since the last contact.
 func (s *Store) ExpireBackends(expired func(b *api.Backend, sinceLastSeen time.Duration) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,7 +153,7 @@
 	}
 }
 
-// removeRetired removes the backends that have announced their end, by the replicated state.
+// removeRetired removes the backends that are retired according to the replicated state.
 func (s *Store) removeRetired() {
 	for id := range s.backends {
 		if s.machine.IsRetired(id) {
@@ -161,7 +162,7 @@
 	}
 }
 
-// removeBackend removes a known backend, to be published, and remembers its departure.
+// removeBackend removes a known backend and records its departure. The caller publishes.
 func (s *Store) removeBackend(id string) {
 	service := s.backends[id].backend.Service
 	delete(s.backends, id)
@@ -174,7 +175,7 @@
 	}
 }
 
-// Backends returns copies of all backends in the order of their ids, with their ages and warm-ups as of now.
+// Backends returns copies of all backends ordered by id, with their current ages and remaining warm-ups.
 func (s *Store) Backends() []*api.Backend {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -207,7 +208,7 @@
 	return backends
 }
 
-// departedSince returns the ids of the backends that have left since a revision and are not back.
+// departedSince returns the ids of the backends that were removed since a revision and have not returned.
 func (s *Store) departedSince(revision uint64, topics Topics) []string {
 	var ids []string
 	for _, d := range s.departures {
@@ -218,7 +219,7 @@
 	return ids
 }
 
-// backendAt copies a record's backend, with its age and the rest of its warm-up at a time.
+// backendAt returns a copy of a record's backend with its age and remaining warm-up at the time now.
 func backendAt(record *backendRecord, now time.Time) *api.Backend {
 	b := record.backend
 	age := max(0, now.Sub(record.lastSeen))
--- a/internal/distribution/watch/compatibility_test.go
+++ b/internal/distribution/watch/compatibility_test.go
@@ -12,15 +12,15 @@
 	"marlreel/internal/api"
 )
 
-// Topics are sent as text. These are those of commit 6fb9894.
+// Topics are sent as text. The expected ones are those of commit 6fb9894.
 func TestCompatibilityOfTopics(t *testing.T) {
 	if TopicState != "state" || ServiceTopic("llm") != "service/llm" {
-		t.Errorf("the topics are %q and %q", TopicState, ServiceTopic("llm"))
+		t.Errorf("the topics are %q and %q, not those of the recorded version", TopicState, ServiceTopic("llm"))
 	}
 }
 
-// A state that is too large for one reply is sent in parts, which make up the message of the
-// state in their order. A subscriber of the recorded version asks for the part after those it has.
+// A state that is too large for one reply is sent in parts, which concatenated in order are the encoded state. A
+// subscriber of the recorded version requests the part that follows those it has.
 func TestCompatibilityOfStateParts(t *testing.T) {
 	document := `{"config_version":1,"remark":"` + strings.Repeat("x", 3*maxReplyStateBytes) + `"}`
 	store := New("source", time.Now)
@@ -31,7 +31,7 @@
 		reply := store.HandleWatch(context.Background(), request, 0)
 		part := reply.StatePart
 		if part == nil || reply.State != nil || part.Sequence != 7 || part.Hash != 99 || part.Offset != uint64(len(data)) || len(part.Data) == 0 {
-			t.Fatalf("after %d bytes comes no part that goes on there", len(data))
+			t.Fatalf("the reply after %d bytes has no part that continues there", len(data))
 		}
 		data = append(data, part.Data...)
 		if uint64(len(data)) == part.Total {
@@ -44,6 +44,6 @@
 		t.Fatal(err)
 	}
 	if !slices.Equal(data, want) {
-		t.Errorf("the parts make up %d bytes that are not the state's %d", len(data), len(want))
+		t.Errorf("the parts are %d bytes that differ from the encoded state of %d bytes", len(data), len(want))
 	}
 }
--- a/internal/distribution/watch/cursor.go
+++ b/internal/distribution/watch/cursor.go
@@ -2,22 +2,22 @@
 
 import "marlreel/internal/api"
 
-// Cursor is how far a subscriber has followed one source. It belongs to one goroutine.
+// Cursor is the position up to which a subscriber has received the data of a source. Not safe for concurrent use.
 type Cursor struct {
 	topics      Topics
-	source      string // of the last reply; empty: there was none
+	source      string // of the last reply; empty: no reply yet
 	revision    uint64
 	unconfirmed map[string]bool  // ids of known backends that this source has not listed
-	partial     *partialSnapshot // nil: no snapshot is being received in chunks
+	partial     *partialSnapshot // the snapshot that is being received in chunks; nil: none
 }
 
 // NewCursor returns the cursor of a subscriber to some topics that has had no reply yet.
 func NewCursor(topics Topics) *Cursor { return &Cursor{topics: topics} }
 
-// ReceivingSnapshot reports whether some chunks of a snapshot have been received and others are still to be asked for.
+// ReceivingSnapshot reports whether a snapshot has been received in part and chunks of it are still to be requested.
 func (c *Cursor) ReceivingSnapshot() bool { return c.partial != nil }
 
-// nextChunk returns what to ask for of a snapshot that comes in chunks; nil: nothing.
+// nextChunk returns which chunk of the partial snapshot to request next; nil: none.
 func (c *Cursor) nextChunk() *api.StatePart {
 	if c.partial == nil || c.partial.source != c.source {
 		return nil
@@ -25,7 +25,8 @@
 	return &api.StatePart{Sequence: c.partial.sequence, Hash: c.partial.hash, Offset: uint64(len(c.partial.data))}
 }
 
-// NewRequest returns the request for what this store lacks of a source. The caller adds who asks and the wait.
+// NewRequest returns the request for the updates of a source that this store lacks. The caller sets Subscriber and
+// WaitMs.
 func (s *Store) NewRequest(cursor *Cursor) *api.WatchRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -35,7 +36,7 @@
 	}
 }
 
-// ApplyReply applies what a source replied, and advances the cursor. It reports whether that changed anything.
+// ApplyReply applies a source's reply and advances the cursor. It reports whether the store has changed.
 func (s *Store) ApplyReply(reply *api.WatchReply, cursor *Cursor) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,7 +56,7 @@
 	return s.revision != before
 }
 
-// applyState applies the snapshot, a chunk of one, or entries that a reply brings, and publishes them.
+// applyState applies and publishes the snapshot, the chunk of a snapshot, or the entries of a reply.
 func (s *Store) applyState(reply *api.WatchReply, cursor *Cursor) {
 	switch {
 	case reply.State != nil:
@@ -66,11 +67,11 @@
 		s.appendEntries(reply.Entries)
 	}
 	if cursor.partial != nil && cursor.partial.sequence <= s.sequence {
-		cursor.partial = nil // the state has come by another way, and the source sends no more chunks of it
+		cursor.partial = nil // the state has arrived in another way, and the source sends no more chunks of it
 	}
 }
 
-// knownBackends returns the ids of the backends that some topics select.
+// knownBackends returns the ids of the known backends that are selected by the topics.
 func (s *Store) knownBackends(topics Topics) map[string]bool {
 	ids := map[string]bool{}
 	for id, record := range s.backends {
@@ -81,8 +82,8 @@
 	return ids
 }
 
-// applyBackends applies changed and departed backends, to be published. Backends that the source has never listed go
-// once it is established.
+// applyBackends applies changed and departed backends. The caller publishes. Once the source is established, backends
+// that it has never listed are removed.
 func (s *Store) applyBackends(reply *api.WatchReply, cursor *Cursor) bool {
 	changed := false
 	for _, b := range reply.Backends {
@@ -103,7 +104,7 @@
 	return changed
 }
 
-// removeKnownBackend removes a backend if it is known, to be published. It reports whether it was.
+// removeKnownBackend removes a backend and reports whether it was known. The caller publishes.
 func (s *Store) removeKnownBackend(id string) bool {
 	if s.backends[id] == nil {
 		return false
@@ -112,7 +113,8 @@
 	return true
 }
 
-// applyNodes applies a list of nodes, to be published. Nodes that are not on it go if the source is established.
+// applyNodes applies a list of nodes. The caller publishes. If the source is established, nodes that are not on the list
+// are removed.
 func (s *Store) applyNodes(reply *api.WatchReply) bool {
 	if !reply.NodesChanged {
 		return false
@@ -134,7 +136,7 @@
 	return changed
 }
 
-// applyControlNodes applies the addresses of the control processes, to be published.
+// applyControlNodes applies the addresses of the control processes. The caller publishes.
 func (s *Store) applyControlNodes(reply *api.WatchReply) bool {
 	if len(reply.Controls) == 0 || sameControlNodes(s.controlNodes, reply.Controls) {
 		return false
@@ -144,8 +146,8 @@
 	return true
 }
 
-// applyStatus applies the status of the source, to be published. A store that was not fresh does not become so while a
-// snapshot comes in chunks. One that was fresh stays so: it is behind by no more than the time that the chunks take.
+// applyStatus applies the status of the source. The caller publishes. A store that is not fresh does not become fresh
+// while it receives a snapshot in chunks. One that is fresh stays so: it lags by no more than the time the chunks take.
 func (s *Store) applyStatus(reply *api.WatchReply, cursor *Cursor) bool {
 	fresh := reply.Fresh && (!cursor.ReceivingSnapshot() || s.statuses.of(cursor.topics).Fresh)
 	return s.setStatus(cursor.topics, SourceStatus{Fresh: fresh, Established: reply.Established})
--- a/internal/distribution/watch/cursor_test.go
+++ b/internal/distribution/watch/cursor_test.go
@@ -16,8 +16,8 @@
 	return ids
 }
 
-// A backend that the source doesn't list is removed only once the source is established, and only where the subscriber
-// watches its service there.
+// A backend that the source doesn't list is removed only once the source is established, and only if the subscriber
+// watches the backend's service at that source.
 func TestUnlistedBackendIsRemovedOnceTheSourceIsEstablished(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -29,7 +29,7 @@
 		second := New("second", time.Now)
 		subscriber.source, subscriber.cursor = second, NewCursor(Topics{ServiceTopic("slips")})
 		subscriber.poll()
-		is.Equal(backendIDs(subscriber.store), []string{"a", "b"}) // their heartbeats may not have reached it yet
+		is.Equal(backendIDs(subscriber.store), []string{"a", "b"}) // their heartbeats may not have reached the source yet
 		second.SetSourceStatus(SourceStatus{Fresh: true, Established: true})
 		subscriber.poll()
 		is.Equal(backendIDs(subscriber.store), []string{"a"})
--- a/internal/distribution/watch/entries.go
+++ b/internal/distribution/watch/entries.go
@@ -10,32 +10,33 @@
 )
 
 const (
-	// maxLogEntries is how many of the last entries are kept for subscribers that lag. Raising it costs memory in each
-	// process; with a lower one more subscribers get the whole state after a short interruption.
+	// maxLogEntries is the number of most recent entries that are kept for lagging subscribers. Raising it costs memory
+	// in each process; lowering it sends the whole state to more subscribers after a short interruption.
 	maxLogEntries = 256
-	// maxLogBytes bounds the same entries in bytes of their encoding; the last one is kept whatever its size.
+	// maxLogBytes bounds the encoded size of the same entries. The last entry is kept whatever its size.
 	maxLogBytes = 1 << 20
-	// maxReplyEntryBytes bounds the entries in one reply. They are smaller than the state, mostly, so more of them goes
-	// at once: a subscriber waits for 0.7 s at least, in which 10 Mbit/s carries 875 KB. A higher bound lets replies time
-	// out on slow links; with a lower one a burst of changes takes more round trips.
+	// maxReplyEntryBytes bounds the encoded size of the entries in one reply. It is larger than maxReplyStateBytes, as
+	// the entries are usually smaller than the state. A subscriber waits for at least 0.7 s, in which a link of 10 Mbit/s
+	// carries 875 KB. Raising the bound makes replies time out on slow links; lowering it takes more round trips for a
+	// burst of changes.
 	maxReplyEntryBytes = 512 << 10
 )
 
-// entryLog is the tail of the replicated log, up to the store's sequence.
+// entryLog is the tail of the replicated log, up to the store's sequence number.
 type entryLog struct {
 	entries []*api.Entry
 	sizes   []int // encoded bytes of each entry
-	bytes   int   // their sum
+	bytes   int   // sum of sizes
 }
 
-// add appends an entry. trim is to be called once all are added.
+// add appends an entry. Call trim after all entries have been added.
 func (l *entryLog) add(entry *api.Entry) {
 	size := proto.Size(entry)
 	l.entries, l.sizes = append(l.entries, entry), append(l.sizes, size)
 	l.bytes += size
 }
 
-// trim drops the oldest entries that are beyond the bounds.
+// trim drops the oldest entries until the log is within its bounds.
 func (l *entryLog) trim() {
 	extra := 0
 	for extra < len(l.entries)-1 && (len(l.entries)-extra > maxLogEntries || l.bytes > maxLogBytes) {
@@ -47,7 +48,7 @@
 	}
 }
 
-// forReply returns the first of the entries from an index on that fit into one reply.
+// forReply returns as many entries from an index on as fit into one reply.
 func (l *entryLog) forReply(from int) []*api.Entry {
 	size := 0
 	for i := from; i < len(l.entries); i++ {
@@ -59,7 +60,7 @@
 	return l.entries[from:]
 }
 
-// AppendEntries applies committed entries that directly follow the state that is known; others are passed over.
+// AppendEntries applies the committed entries that directly follow the known state, and skips the others.
 func (s *Store) AppendEntries(entries []*api.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,8 +69,8 @@
 
 func (s *Store) appendEntries(entries []*api.Entry) { s.append(entries, s.machine.Apply) }
 
-// AppendApplied does the same with the state that the entries led to where they were applied already. The store owns
-// that state from then on.
+// AppendApplied is AppendEntries for entries that the caller has already applied: machine is the resulting state, which
+// the store owns from then on.
 func (s *Store) AppendApplied(entries []*api.Entry, machine *state.Machine) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +83,7 @@
 	s.append(entries, func(*api.Entry) {})
 }
 
-// append adds the entries that directly follow the state, each once it is applied.
+// append applies the entries that directly follow the state and adds them to the log.
 func (s *Store) append(entries []*api.Entry, apply func(*api.Entry)) {
 	applied := false
 	for _, entry := range entries {
@@ -101,7 +102,7 @@
 	}
 }
 
-// InstallSnapshot replaces the replicated state by a snapshot of it at a sequence number, unless what is known is newer.
+// InstallSnapshot replaces the replicated state by a snapshot at a sequence number, unless the known state is newer.
 func (s *Store) InstallSnapshot(sequence, hash uint64, snapshot *api.State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,14 +121,14 @@
 	s.publishState()
 }
 
-// Position returns how far the replicated state is known: the sequence number and the hash of the last entry.
+// Position returns the sequence number and the hash of the last known entry of the replicated state.
 func (s *Store) Position() (sequence, hash uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sequence, s.hash
 }
 
-// ReadState calls read with the replicated state, under the store's lock: read must neither keep nor change it, nor
+// ReadState calls read with the replicated state, under the store's lock: read must not keep or modify the state, nor
 // call the store.
 func (s *Store) ReadState(read func(m *state.Machine)) {
 	s.mu.Lock()
@@ -135,13 +136,13 @@
 	read(s.machine)
 }
 
-// addState adds to a reply the entries that a subscriber lacks, or the snapshot where the log can't bridge the gap. A
-// subscriber that knows more gets nothing.
+// addState adds to a reply the entries that a subscriber lacks, or a snapshot if the log doesn't reach back far enough.
+// It adds nothing for a subscriber that is not behind this store.
 func (s *Store) addState(reply *api.WatchReply, request *api.WatchRequest) {
 	if request.Sequence >= s.sequence {
 		return
 	}
-	first := s.sequence - uint64(len(s.log.entries)) // the log begins after this sequence number
+	first := s.sequence - uint64(len(s.log.entries)) // the log starts after this sequence number
 	if request.Sequence >= first && request.Sequence > 0 {
 		missing := s.log.forReply(int(request.Sequence - first))
 		if len(missing) > 0 && missing[0].PreviousHash == request.Hash {
--- a/internal/distribution/watch/entries_test.go
+++ b/internal/distribution/watch/entries_test.go
@@ -11,7 +11,8 @@
 	"marlreel/internal/controlplane/state"
 )
 
-// The entries that are kept for subscribers that lag are bounded in bytes too; who lags further gets the snapshot.
+// The entries that are kept for lagging subscribers are bounded in bytes too. A subscriber that lags further gets the
+// snapshot.
 func TestLogIsBoundedInBytes(t *testing.T) {
 	is := is.New(t)
 	source := New("source", time.Now)
@@ -28,7 +29,7 @@
 	is.Equal(len(near.Entries), 2)
 	is.True(near.State == nil)
 	further := source.replyTo(&api.WatchRequest{Sequence: 88, Hash: 89})
-	is.Equal(len(further.Entries), 7) // as many as fit into a reply
+	is.Equal(len(further.Entries), 7) // as many as fit into one reply
 	far := source.replyTo(&api.WatchRequest{Sequence: 2, Hash: 3})
 	is.True(far.State != nil)
 	add(101, 2*maxLogBytes)
@@ -36,7 +37,7 @@
 	is.True(source.replyTo(&api.WatchRequest{Sequence: 100, Hash: 101}).State != nil)
 }
 
-// Entries that were applied elsewhere lead to the same state, and nothing of them is taken over where they do not follow.
+// AppendApplied leads to the same state as applying the entries, and ignores entries that do not directly follow.
 func TestAppliedEntriesLeadToTheSameState(t *testing.T) {
 	is := is.New(t)
 	entry := func(sequence uint64) *api.Entry {
@@ -60,6 +61,6 @@
 	is.True(sequence == 3 && hash == 4)
 	later := entry(5)
 	elsewhere.Apply(later)
-	applied.AppendApplied([]*api.Entry{later}, elsewhere.Clone()) // the one before is missing
+	applied.AppendApplied([]*api.Entry{later}, elsewhere.Clone()) // entry 4 is missing
 	is.Equal(zones(applied), []string{"zone-2", "zone-3"})
 }
--- a/internal/distribution/watch/fixture_test.go
+++ b/internal/distribution/watch/fixture_test.go
@@ -7,7 +7,7 @@
 	"marlreel/internal/api"
 )
 
-// testSubscriber polls a source into a store of its own, a call at a time.
+// testSubscriber polls a source into its own store, one call at a time.
 type testSubscriber struct {
 	source *Store
 	store  *Store
@@ -18,10 +18,10 @@
 	return &testSubscriber{source, New("subscriber", time.Now), NewCursor(topics)}
 }
 
-// pollTimeout is the wait of each poll.
+// pollTimeout is the maximum wait of each poll.
 const pollTimeout = time.Second
 
-// poll makes one call, and returns how long it took and how many backends were in the reply.
+// poll makes one call and returns its duration and the number of backends in the reply.
 func (f *testSubscriber) poll() (took time.Duration, backends int) {
 	began := time.Now()
 	reply := f.source.HandleWatch(context.Background(), f.store.NewRequest(f.cursor), pollTimeout)
--- a/internal/distribution/watch/longpoll.go
+++ b/internal/distribution/watch/longpoll.go
@@ -7,24 +7,26 @@
 	"marlreel/internal/api"
 )
 
-// batchWindow is the least time between two replies with changes of backends or nodes alone: what changes in between goes
-// in one reply. Changes of the replicated state don't wait. Raising it lets proxies learn of new and departed backends
-// later; lowering it multiplies the replies where many change at once, as after a restart of all. Each reply on nodes
-// lists all of them, so without it the bytes of a start would grow by the square of their number.
+// batchWindow is the minimum time between two replies that carry only changes of backends or nodes: changes in between
+// go into one reply. Changes of the replicated state are sent at once. Raising it delays the news of new and departed
+// backends; lowering it multiplies the replies when many change at once, as after a restart of the whole site. Each
+// reply about nodes lists all of them, so without batching the bytes sent at a start would grow with the square of their
+// number.
 const batchWindow = 100 * time.Millisecond
 
-// relayBatchWindow is the same at a relay, for subscribers of some topics: what it passes on was batched before it came.
-// Raising it adds to the delay at each level of a tree of relays; lowering it gains nothing.
+// relayBatchWindow is the batch window of a relay for subscribers of single topics: these updates have already been
+// batched at control. Raising it adds delay at each level of a tree of relays; lowering it gains nothing.
 const relayBatchWindow = 20 * time.Millisecond
 
-// BatchAsRelay makes the store, which is filled from other stores, pass on updates sooner.
+// BatchAsRelay marks the store as a relay, which is filled from other stores and so may use a shorter batch window.
 func (s *Store) BatchAsRelay() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.relays = true
 }
 
-// batchWindowFor is the batch window of a subscriber. One of everything gets the updates of several sources.
+// batchWindowFor returns the batch window of a subscriber. One that subscribes to everything always gets the long window,
+// as it receives the updates of several sources.
 func (s *Store) batchWindowFor(topics Topics) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -34,8 +36,8 @@
 	return batchWindow
 }
 
-// HandleWatch serves a subscriber's poll: it replies with what the subscriber lacks as soon as there is something, or
-// with nothing new after maxWait or when ctx ends.
+// HandleWatch serves a subscriber's poll. It replies as soon as there is an update for the subscriber, or without one
+// after maxWait or when ctx ends.
 func (s *Store) HandleWatch(ctx context.Context, request *api.WatchRequest, maxWait time.Duration) *api.WatchReply {
 	began := time.Now()
 	window := s.batchWindowFor(request.Topics)
@@ -59,14 +61,15 @@
 	}
 }
 
-// pollResult is a reply, or what to wait for.
+// pollResult is a reply or, if none is due yet, the event to wait for.
 type pollResult struct {
 	reply    *api.WatchReply // nil: none is due
 	changed  <-chan struct{} // closed at the next revision
-	batching bool            // there is an update, which waits for the end of the batch window
+	batching bool            // an update is waiting for the end of the batch window
 }
 
-// poll replies to a subscriber if that is due: the batch window may be over, or the poll timed out.
+// poll returns a reply if there is an urgent update, if the poll has timed out, or if there is an update and the batch
+// window is over.
 func (s *Store) poll(request *api.WatchRequest, windowOver, timedOut bool) pollResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,7 +81,7 @@
 	return pollResult{changed: s.changed, batching: pending == batchableUpdate}
 }
 
-// pendingUpdate says whether a subscriber lacks something, and whether that may wait for the batch window.
+// pendingUpdate says whether there is an update for a subscriber, and whether it may wait for the batch window.
 type pendingUpdate int
 
 const (
@@ -87,7 +90,7 @@
 	urgentUpdate
 )
 
-// pendingFor returns what is pending for a subscriber.
+// pendingFor returns the kind of update that is pending for a subscriber.
 func (s *Store) pendingFor(request *api.WatchRequest) pendingUpdate {
 	topics := Topics(request.Topics)
 	switch {
@@ -101,7 +104,7 @@
 	return noUpdate
 }
 
-// replyTo returns what a subscriber lacks as of now.
+// replyTo returns all updates that a subscriber lacks.
 func (s *Store) replyTo(request *api.WatchRequest) *api.WatchReply {
 	topics := Topics(request.Topics)
 	status := s.statuses.of(topics)
--- a/internal/distribution/watch/longpoll_test.go
+++ b/internal/distribution/watch/longpoll_test.go
@@ -11,7 +11,7 @@
 	"marlreel/internal/api"
 )
 
-// afterDelay makes a change while a subscriber waits.
+// afterDelay makes a change after a delay, while a subscriber waits.
 func afterDelay(t *testing.T, delay time.Duration, change func()) {
 	t.Helper()
 	timer := time.AfterFunc(delay, change)
@@ -76,14 +76,14 @@
 			source.InstallSnapshot(1, 7, &api.State{})
 		})
 		took, backends := subscriber.poll()
-		is.Equal(took, pollTimeout) // nothing of that is for it
+		is.Equal(took, pollTimeout) // no change concerns its topic
 		is.Equal(backends, 0)
 		sequence, _ := subscriber.store.Position()
 		is.Equal(sequence, uint64(0))
 	})
 }
 
-// A relay passes updates of some topics on sooner; its own proxy, which watches everything, gets them batched.
+// A relay passes updates on sooner to subscribers of single topics than to its own proxy, which watches everything.
 func TestRelayPassesUpdatesOnSooner(t *testing.T) {
 	for name, c := range map[string]struct {
 		topics []Topic
@@ -107,10 +107,10 @@
 	}
 }
 
-// Guards against bytes that grow by the square of the nodes when all of them start: a subscriber gets the list once a
-// batch window, whatever the size of the site.
+// Guards against traffic that grows with the square of the number of nodes when all of them start: a subscriber gets the
+// list once per batch window, whatever the size of the site.
 func TestUpdatesOfNodesAreBatched(t *testing.T) {
-	const start = time.Second // in which all nodes report for the first time
+	const start = time.Second // all nodes report for the first time within this
 	for _, nodes := range []int{9, 42, 295} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/distribution/watch/nodes.go
+++ b/internal/distribution/watch/nodes.go
@@ -8,7 +8,7 @@
 	"marlreel/internal/api"
 )
 
-// nodeRecord is a node as it reported last.
+// nodeRecord is the last report of a node on itself.
 type nodeRecord struct {
 	node     *api.Node
 	lastSeen time.Time
@@ -23,13 +23,13 @@
 	}
 }
 
-// publishNodes begins the next revision after a change of the nodes.
+// publishNodes starts the next revision after a change of the nodes.
 func (s *Store) publishNodes() {
 	s.nodesRevision = s.nextRevision()
 	s.publish()
 }
 
-// recordNode reports whether the report changed anything.
+// recordNode records a report and returns whether it changed anything.
 func (s *Store) recordNode(n *api.Node) bool {
 	lastSeen := s.now().Add(-time.Duration(n.AgeMs) * time.Millisecond)
 	old := s.nodes[n.Name]
@@ -50,12 +50,12 @@
 	return true
 }
 
-// sameNode reports whether a report b says nothing new after a. A node that drains doesn't return from that.
+// sameNode reports whether report b adds nothing to the earlier report a. A node that drains never stops draining.
 func sameNode(a, b *api.Node) bool {
 	return a.Incarnation == b.Incarnation && a.Address == b.Address && (a.Draining || !b.Draining)
 }
 
-// ExpireNodes removes the nodes whose last report is longer ago than a timeout.
+// ExpireNodes removes the nodes whose last report is older than timeout.
 func (s *Store) ExpireNodes(timeout time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,14 +71,14 @@
 	}
 }
 
-// Nodes returns copies of all nodes in the order of their names, with their ages as of now.
+// Nodes returns copies of all nodes ordered by name, with their current ages.
 func (s *Store) Nodes() []*api.Node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.listNodes()
 }
 
-// NodeCount returns how many nodes there are.
+// NodeCount returns the number of known nodes.
 func (s *Store) NodeCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,14 +99,14 @@
 	return nodes
 }
 
-// NodesChangedSince reports whether a node has come, gone or reported something new since a revision.
+// NodesChangedSince reports whether a node was added or removed, or has reported something new, since a revision.
 func (s *Store) NodesChangedSince(revision uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.nodesRevision > revision
 }
 
-// SetControlNodes records where the control processes are. An empty list changes nothing.
+// SetControlNodes records the addresses of the control processes. An empty list changes nothing.
 func (s *Store) SetControlNodes(nodes []*api.ControlNode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,7 +122,7 @@
 	})
 }
 
-// ControlNodes returns the control processes as last known. The list must not be changed.
+// ControlNodes returns the last known control processes. The caller must not modify the list.
 func (s *Store) ControlNodes() []*api.ControlNode {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/distribution/watch/snapshot_chunks.go
+++ b/internal/distribution/watch/snapshot_chunks.go
@@ -8,12 +8,12 @@
 	"marlreel/internal/api"
 )
 
-// maxReplyStateBytes bounds the replicated state, or a chunk of it, in one reply, in bytes. On 10 Mbit/s it takes 52 ms,
-// for which whatever else the source sends waits: raising it delays heartbeats and urgent updates there, lowering it
-// adds a round trip for each further chunk.
+// maxReplyStateBytes bounds the replicated state, or a chunk of it, in one reply. At 10 Mbit/s this much takes 52 ms,
+// during which everything else that the source sends has to wait: raising it delays heartbeats and urgent updates,
+// lowering it adds a round trip for each further chunk.
 const maxReplyStateBytes = 64 << 10
 
-// encodedSnapshot is the replicated state as it is served in chunks.
+// encodedSnapshot is the replicated state, encoded to be served in chunks.
 type encodedSnapshot struct {
 	sequence, hash uint64
 	data           []byte
@@ -27,7 +27,7 @@
 	data           []byte
 }
 
-// addSnapshot adds the whole state to a reply, or the chunk of it that is asked for where it is large.
+// addSnapshot adds the whole state to a reply or, if the state is large, the requested chunk of it.
 func (s *Store) addSnapshot(reply *api.WatchReply, request *api.WatchRequest) {
 	offset := uint64(0)
 	if s.canContinue(request) {
@@ -48,7 +48,7 @@
 	}
 }
 
-// canContinue reports whether a subscriber asks for a further chunk of the snapshot that is encoded here.
+// canContinue reports whether a subscriber requests another chunk of the snapshot in s.encoded.
 func (s *Store) canContinue(request *api.WatchRequest) bool {
 	chunk := request.StatePart
 	if chunk == nil || request.Source != s.source || s.encoded == nil {
@@ -57,18 +57,19 @@
 	return chunk.Sequence == s.encoded.sequence && chunk.Hash == s.encoded.hash && chunk.Offset < uint64(len(s.encoded.data))
 }
 
-// encodeSnapshot prepares the state for being served in chunks, to a subscriber that knows it up to an entry. One that
-// was prepared before is used again for who knows less, as long as the entries since then are kept: they are next.
+// encodeSnapshot prepares the state to be served in chunks to a subscriber that has it up to the sequence number known.
+// An earlier encoding is reused if it is newer than that and the log still has the entries since, which the subscriber
+// can fetch afterwards.
 func (s *Store) encodeSnapshot(snapshot *api.State, known uint64) {
 	if s.encoded != nil && known < s.encoded.sequence && s.sequence-s.encoded.sequence <= uint64(len(s.log.entries)) {
 		return
 	}
-	data, _ := proto.MarshalOptions{Deterministic: true}.Marshal(snapshot) // a message of plain fields always marshals
+	data, _ := proto.MarshalOptions{Deterministic: true}.Marshal(snapshot) // never fails for a message of plain fields
 	s.encoded = &encodedSnapshot{s.sequence, s.hash, data}
 }
 
-// applyChunk adds a chunk to those that a subscriber has, and installs the snapshot once it is complete. A chunk that does
-// not follow on these, or is of another snapshot or source, makes the subscriber start over.
+// applyChunk adds a chunk to the partial snapshot of a subscriber, and installs the snapshot once it is complete. If the
+// chunk is not the next one, or belongs to another snapshot or source, the subscriber starts over.
 func (s *Store) applyChunk(source string, chunk *api.StatePart, cursor *Cursor) {
 	if chunk.Offset == 0 {
 		cursor.partial = &partialSnapshot{source: source, sequence: chunk.Sequence, hash: chunk.Hash, totalBytes: chunk.Total}
@@ -90,7 +91,7 @@
 	}
 }
 
-// LastChunk returns when a chunk of a snapshot was received last; the zero time: none was.
+// LastChunk returns when the last chunk of a snapshot was received; the zero time means that there was none.
 func (s *Store) LastChunk() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/distribution/watch/snapshot_chunks_test.go
+++ b/internal/distribution/watch/snapshot_chunks_test.go
@@ -12,42 +12,42 @@
 	"marlreel/internal/controlplane/state"
 )
 
-// largeRemarkBytes is more than goes in one reply, be it of the state or of entries.
+// largeRemarkBytes exceeds the size of one reply, both of the state and of entries.
 const largeRemarkBytes = maxReplyEntryBytes + maxReplyStateBytes
 
-// largeDocument is a configuration of a version that takes several replies.
+// largeDocument returns a configuration that is too large for one reply.
 func largeDocument(version uint64) []byte {
 	return fmt.Appendf(nil, `{"config_version":%d,"remark":"%s","route_list":[],"service_list":[],"limits":{}}`, version,
 		strings.Repeat("x", largeRemarkBytes))
 }
 
-// appendConfiguration adds one more entry at the source, which replaces the configuration by a large one.
+// appendConfiguration adds an entry at the source that replaces the configuration by a large one.
 func (f *testSubscriber) appendConfiguration(sequence, version uint64) {
 	f.source.AppendEntries([]*api.Entry{{Sequence: sequence, PreviousHash: sequence, Hash: sequence + 1, Operations: []*api.Operation{{
 		Kind: &api.Operation_Replace{Replace: &api.ReplaceConfiguration{BaseVersion: version - 1, Document: largeDocument(version)}},
 	}}}})
 }
 
-// version is that of the configuration that a store has.
+// version returns the version of a store's configuration.
 func version(s *Store) uint64 {
 	var version uint64
 	s.ReadState(func(m *state.Machine) { version = m.Version() })
 	return version
 }
 
-// pollChunk polls without waiting, and returns the bytes of the chunk that came.
+// pollChunk polls without waiting and returns the size of the chunk in the reply.
 func (f *testSubscriber) pollChunk() int {
 	reply := f.source.replyTo(f.store.NewRequest(f.cursor))
 	f.store.ApplyReply(reply, f.cursor)
 	return len(reply.StatePart.GetData())
 }
 
-// pollUntil polls until the subscriber has a version; check is called before each poll.
+// pollUntil polls until the subscriber has the wanted version. It calls check before each poll.
 func (f *testSubscriber) pollUntil(t *testing.T, wanted uint64, maxPolls int, check func()) {
 	t.Helper()
 	for polls := 0; version(f.store) < wanted; polls++ {
 		if polls >= maxPolls {
-			t.Fatalf("version %d has not arrived after %d polls", wanted, polls)
+			t.Fatalf("the subscriber does not have version %d after %d polls", wanted, polls)
 		}
 		check()
 		f.pollChunk()
@@ -64,7 +64,7 @@
 
 func newLargeSubscriber() *testSubscriber { return newTestSubscriber(establishedSource("source")) }
 
-// A snapshot that is too large for one reply comes in chunks, and nothing counts as fresh before it is complete.
+// A snapshot that is too large for one reply arrives in chunks, and the store is not fresh before it is complete.
 func TestLargeSnapshotComesInChunks(t *testing.T) {
 	is := is.New(t)
 	f := newLargeSubscriber()
@@ -82,7 +82,7 @@
 	is.True(!f.cursor.ReceivingSnapshot())
 }
 
-// Changes that come meanwhile neither spoil nor prolong it, also where one of them is too large for a reply.
+// Changes during the transfer of a large snapshot neither break nor prolong it, even if they are too large for one reply.
 func TestLargeSnapshotArrivesWhileTheStateChanges(t *testing.T) {
 	is := is.New(t)
 	f := newLargeSubscriber()
@@ -95,8 +95,8 @@
 	is.True(f.store.Fresh(nil))
 }
 
-// A fresh store stays fresh while a large change comes in chunks; one that is not, as after a partition, does not become
-// so before the change is complete.
+// A fresh store stays fresh while a large change arrives in chunks. A stale store, as after a partition, does not become
+// fresh before the change is complete.
 func TestFreshnessWhileALargeChangeArrives(t *testing.T) {
 	for name, fresh := range map[string]bool{"fresh before": true, "stale before": false} {
 		t.Run(name, func(t *testing.T) {
@@ -114,7 +114,7 @@
 	}
 }
 
-// Chunks of two sources never make one snapshot.
+// Chunks of two sources are never combined into one snapshot.
 func TestChunksOfAnotherSourceStartOver(t *testing.T) {
 	is := is.New(t)
 	f := newLargeSubscriber()
@@ -127,7 +127,7 @@
 	is.Equal(len(f.store.machine.Document().Raw()), len(largeDocument(1)))
 }
 
-// A chunk that would fit by its position, but comes from another source, is not appended to those that are here.
+// A chunk from another source is not appended, even if its offset fits.
 func TestChunkOfAnotherSourceIsNotAppended(t *testing.T) {
 	is := is.New(t)
 	f := newLargeSubscriber()
@@ -142,12 +142,12 @@
 	f.pollUntil(t, 1, 20, noCheck)
 }
 
-// Guards against a store that is never fresh again, and against fetches that go on without an end: the state that comes in
-// chunks arrives by another way, as an agent's fetch and its watch overtake each other.
+// Guards against a store that never becomes fresh again, and against endless fetches: the state that is being received in
+// chunks arrives in another way first, as an agent's fetch and its watch can overtake each other.
 func TestChunksOfAKnownStateAreDropped(t *testing.T) {
 	for name, arrive := range map[string]func(f *testSubscriber){
 		"as a snapshot": func(f *testSubscriber) { f.store.InstallSnapshot(1, 2, f.source.machine.State()) },
-		"and more of it": func(f *testSubscriber) {
+		"as a newer snapshot": func(f *testSubscriber) {
 			f.appendConfiguration(2, 2)
 			f.store.InstallSnapshot(2, 3, f.source.machine.State())
 		},
--- a/internal/distribution/watch/sourcestatus.go
+++ b/internal/distribution/watch/sourcestatus.go
@@ -2,29 +2,29 @@
 
 import "slices"
 
-// SourceStatus says how far what a source serves can be relied on. Subscribers that serve others pass it on.
+// SourceStatus says how reliable the data of a source is. Subscribers that serve others pass it on.
 type SourceStatus struct {
-	// Fresh: the source is connected to a chain that has a majority. What is not fresh may be outdated, and is still
-	// what requests are served by.
+	// Fresh means that the source is connected to a chain that has a majority. Data that is not fresh may be outdated,
+	// but requests are still served by it.
 	Fresh bool
-	// Established: the source has received heartbeats for so long that a backend that it doesn't list is gone. Before
-	// that an absent backend means nothing, and subscribers keep it.
+	// Established means that the source has received heartbeats for long enough that a backend that it doesn't list is
+	// gone. Before that, subscribers keep backends that the source doesn't list.
 	Established bool
 }
 
-// and returns the status of two parts together.
+// and returns the combined status of two parts.
 func (s SourceStatus) and(other SourceStatus) SourceStatus {
 	return SourceStatus{Fresh: s.Fresh && other.Fresh, Established: s.Established && other.Established}
 }
 
-// statusTable holds the status of the sources that a store is filled from.
+// statusTable holds the status of the sources from which a store is filled.
 type statusTable struct {
-	all     *SourceStatus // of the one source of everything; nil: each topic has a source of its own
+	all     *SourceStatus // if a single source serves all topics; nil: each topic has its own source
 	byTopic map[Topic]SourceStatus
 }
 
-// of returns the status of some topics together. All of them are as fresh as the replicated state, and established
-// where each topic is.
+// of returns the combined status of the topics. The empty list, which selects everything, is fresh if the replicated
+// state is, and established if every topic is.
 func (t *statusTable) of(topics Topics) SourceStatus {
 	if t.all != nil {
 		return *t.all
@@ -48,7 +48,7 @@
 	return combined
 }
 
-// set records the status of some topics. It reports whether that has changed.
+// set records the status of the topics. It reports whether it has changed.
 func (t *statusTable) set(topics Topics, status SourceStatus) bool {
 	if topics.All() {
 		changed := t.all == nil || *t.all != status
@@ -66,7 +66,7 @@
 	return changed
 }
 
-// retain forgets all topics but some. It reports whether there were others.
+// retain removes the status of all other topics. It reports whether there were any.
 func (t *statusTable) retain(topics Topics) bool {
 	changed := false
 	for topic := range t.byTopic {
@@ -78,7 +78,7 @@
 	return changed
 }
 
-// SetSourceStatus records the status of a store that is filled by its own process.
+// SetSourceStatus sets the status of a store that is filled by its own process, not by a subscriber.
 func (s *Store) SetSourceStatus(status SourceStatus) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,7 +87,7 @@
 	}
 }
 
-// setStatus records the status of some topics, to be published. It reports whether that has changed.
+// setStatus records the status of the topics and reports whether it has changed. The caller publishes.
 func (s *Store) setStatus(topics Topics, status SourceStatus) bool {
 	if !s.statuses.set(topics, status) {
 		return false
@@ -96,7 +96,7 @@
 	return true
 }
 
-// RetainTopics forgets the status of all topics but those that are still subscribed to.
+// RetainTopics removes the status of all topics that are no longer subscribed to. topics are those that are.
 func (s *Store) RetainTopics(topics Topics) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +106,7 @@
 	}
 }
 
-// MarkStale records that no source of some topics answers: what is known of them may be outdated.
+// MarkStale records that no source of the topics answers, so that their data may be outdated.
 func (s *Store) MarkStale(topics Topics) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,7 +117,7 @@
 	}
 }
 
-// Fresh reports whether all sources of some topics said last that they are fresh.
+// Fresh reports whether all sources of the topics were fresh according to their last status.
 func (s *Store) Fresh(topics Topics) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/distribution/watch/sourcestatus_test.go
+++ b/internal/distribution/watch/sourcestatus_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-// All topics together are as fresh as the replicated state, and established where each topic is.
+// The combined status of all topics is fresh if the replicated state is, and established if every topic is.
 func TestSourceStatusByTopics(t *testing.T) {
 	is := is.New(t)
 	table := statusTable{byTopic: map[Topic]SourceStatus{}}
--- a/internal/distribution/watch/subscriber.go
+++ b/internal/distribution/watch/subscriber.go
@@ -11,57 +11,57 @@
 	"marlreel/internal/process/timing"
 )
 
-// Source serves watches: a control process, or an agent.
+// Source answers the polls of subscribers. It is a control process or an agent.
 type Source interface {
 	Watch(ctx context.Context, request *api.WatchRequest) (*api.WatchReply, error)
 }
 
-// SubscriberConfig says what a subscriber watches and where.
+// SubscriberConfig configures a subscriber.
 type SubscriberConfig struct {
-	Name    string                      // of the subscribing node; empty: an agent's own proxy
+	Name    string                      // the subscribing node; empty: an agent's own proxy
 	Topics  Topics                      // empty: everything
 	Sources func() []string             // addresses of the sources, the preferred one first
 	Connect func(address string) Source // returns the client of a source
-	OnReply func(changed bool)          // called after each reply was applied; may be nil
-	MaxWait time.Duration               // how long a source may hold a poll that has no update
+	OnReply func(changed bool)          // called after each reply has been applied; may be nil
+	MaxWait time.Duration               // how long a source may keep a poll open without an update
 	Log     logr.Logger
 }
 
 const (
-	// replySlack is how much longer than its wait a poll may take. Raising it lets a source that hangs go unnoticed for
-	// longer, lowering it makes polls over slow links fail.
+	// replySlack is how much longer than its wait a poll may take. Raising it delays the detection of a source that
+	// hangs; lowering it makes polls over slow links fail.
 	replySlack = 400 * time.Millisecond
-	// minBackoff and maxBackoff are the pauses after a first and after many failures. Raising them delays updates after
-	// an interruption; lowering them loads sources that are overloaded already.
+	// minBackoff and maxBackoff are the pauses after the first failure and after many. Raising them delays updates after
+	// an interruption; lowering them adds load to sources that are already overloaded.
 	minBackoff = 20 * time.Millisecond
 	maxBackoff = 300 * time.Millisecond
-	// staleAfter is after what time without any reply what is known counts as stale. Raising it hides a partition from
-	// the proxies for longer; lowering it makes a change of the source look like one.
+	// staleAfter is the time without any reply after which the data counts as stale. Raising it hides a partition from
+	// the proxies for longer; lowering it makes a failover to another source look like a partition.
 	staleAfter = 600 * time.Millisecond
-	// failbackAfter is after what time on another source the preferred one is asked again. Raising it keeps more
+	// failbackAfter is the time on another source after which the preferred one is tried again. Raising it keeps more
 	// subscribers at control after a relay's restart; lowering it costs more failed polls while the relay is down.
 	failbackAfter = 5 * time.Second
-	// maxStaleSource is after what time a source that is not fresh is left for another one. Raising it delays updates
-	// where the source is cut off from control; lowering it moves subscribers during each change of the chain's view.
+	// maxStaleSource is how long a subscriber stays with a source that is not fresh. Raising it delays updates if the
+	// source is cut off from control; lowering it makes subscribers move at each view change of the chain.
 	maxStaleSource = 300 * time.Millisecond
 )
 
-// subscriber polls one source at a time. It belongs to the goroutine of RunSubscriber.
+// subscriber polls one source at a time. Only the goroutine of RunSubscriber uses it.
 type subscriber struct {
 	store  *Store
 	cfg    SubscriberConfig
 	cursor *Cursor
 
 	preferred     string    // the first of the sources at the last poll
-	failovers     int       // since the preferred source was asked first: the index of the source, modulo their number
-	failedOver    time.Time // when the last of them was
+	failovers     int       // since the preferred source was chosen; modulo the number of sources, the index of the current one
+	failedOver    time.Time // when the last failover was
 	lastReply     time.Time
-	notFreshSince time.Time // since when the source says that it is not fresh; zero: it is fresh
+	notFreshSince time.Time // when the source started to report that it is not fresh; zero: it is fresh
 	backoff       time.Duration
 }
 
-// RunSubscriber keeps a store up to date from one of its sources until ctx ends. It stays with a source while that
-// replies and is fresh, goes on to the next one otherwise, and returns to the preferred one in time.
+// RunSubscriber keeps a store up to date from one of its sources until ctx ends. It stays with a source that replies and
+// is fresh. Otherwise it fails over to the next source, and tries the preferred one again after failbackAfter.
 func RunSubscriber(ctx context.Context, store *Store, cfg SubscriberConfig) {
 	s := &subscriber{store: store, cfg: cfg, cursor: NewCursor(cfg.Topics), backoff: minBackoff}
 	s.lastReply = time.Now()
@@ -75,7 +75,7 @@
 		address := s.choose(sources)
 		reply, err := s.poll(ctx, address)
 		if ctx.Err() != nil {
-			return // another subscriber may have taken over these topics by now
+			return // don't apply the reply: another subscriber may have taken over these topics by now
 		}
 		if err != nil {
 			s.onFailure(ctx, address, err)
@@ -94,7 +94,8 @@
 	return sources[current]
 }
 
-// poll makes one call. While the store is not fresh it waits less, so that a source that is not either is left soon.
+// poll makes one call. While the store is not fresh the wait is shorter, so that a source that is not fresh either is
+// soon replaced by another one.
 func (s *subscriber) poll(ctx context.Context, address string) (*api.WatchReply, error) {
 	request := s.store.NewRequest(s.cursor)
 	wait := s.cfg.MaxWait
@@ -107,7 +108,7 @@
 	return s.cfg.Connect(address).Watch(call, request)
 }
 
-// onFailure goes on to the next source, after a pause.
+// onFailure fails over to the next source and pauses before the next poll.
 func (s *subscriber) onFailure(ctx context.Context, address string, err error) {
 	s.cfg.Log.V(1).Info(logevent.WatchSourceFailed, logevent.KeySource, address, logevent.KeyDetail, err.Error())
 	s.failOver()
@@ -118,7 +119,8 @@
 	s.backoff = min(2*s.backoff, maxBackoff)
 }
 
-// onReply applies a reply, and leaves a source that has not been fresh for some time if there is another one.
+// onReply applies a reply. It fails over to another source, if there is one, when the current one has not been fresh for
+// maxStaleSource.
 func (s *subscriber) onReply(ctx context.Context, reply *api.WatchReply, hasAlternative bool) {
 	s.backoff, s.lastReply = minBackoff, time.Now()
 	changed := s.store.ApplyReply(reply, s.cursor)
--- a/internal/distribution/watch/topics.go
+++ b/internal/distribution/watch/topics.go
@@ -2,19 +2,19 @@
 
 import "slices"
 
-// Topic is a part of what is watched that can be subscribed to by itself. It is sent as text.
+// Topic names a part of the watched data that can be subscribed to separately. It is sent as text.
 type Topic = string
 
 // TopicState selects the replicated state, the nodes, and the addresses of the control processes.
 const TopicState Topic = "state"
 
-// serviceTopicPrefix begins the topics of services.
+// serviceTopicPrefix is the prefix of the topics of services.
 const serviceTopicPrefix = "service/"
 
 // ServiceTopic selects the backends of a service.
 func ServiceTopic(service string) Topic { return serviceTopicPrefix + service }
 
-// Topics is what a subscriber watches. An empty list selects everything.
+// Topics are the topics of a subscriber. An empty list selects everything.
 type Topics []Topic
 
 // All reports whether everything is selected.
