--- a/internal/quota/ledger/ledger.go
+++ b/internal/quota/ledger/ledger.go
@@ -1,9 +1,9 @@
-// Package ledger counts the quotas of the shards of tenants that an agent owns. Its one owner is the agent, which looks at
-// its leases and passes them in: under a new lease the tenants of a shard start with empty buckets, so what the owner
-// before has granted needs no handing over.
+// Package ledger keeps account of the quotas of the tenant shards that an agent owns. The agent owns the ledger and passes
+// in its leases. Under a new lease the tenants of a shard start with empty buckets, so nothing needs to be handed over
+// from the previous owner of the shard.
 //
-// The package is pure: time is a parameter, measured on a monotonic clock since any fixed point. It holds the tenants
-// of the configuration in force, and grants for RefundAge, of maxOutstanding each shard.
+// The package is pure: time is a parameter, measured on a monotonic clock from any fixed point. It keeps the tenants of
+// the configuration in force, and grants for RefundAge, up to maxOutstanding of them for each shard.
 package ledger
 
 import (
@@ -18,20 +18,21 @@
 
 // The verdicts.
 const (
-	// Granted: the cost is taken.
+	// Granted means that the cost was taken from the quota, or that the tenant has no limit.
 	Granted Verdict = iota + 1
-	// Exceeded: the tenant has spent its quota.
+	// Exceeded means that the tenant has used up its quota.
 	Exceeded
-	// NotOwner: the lease doesn't run, or a later one is known.
+	// NotOwner means that the lease has expired, or that a later one is known.
 	NotOwner
-	// SubscriberUnknown: the configuration has no such tenant, or is older than the caller's.
+	// SubscriberUnknown means that the configuration has no such tenant, or that it has no limit for the tenant and is
+	// older than the caller's.
 	SubscriberUnknown
 )
 
-// Lease is the lease under which an agent counts a shard.
+// Lease is the lease under which an agent owns a shard.
 type Lease struct {
 	FencingToken uint64
-	// Since is a moment since which nobody else has held it, and Expiry when it ends.
+	// Since is a time from which on no other agent has held the lease, and Expiry is when it ends.
 	Since, Expiry time.Duration
 }
 
@@ -39,20 +40,20 @@
 type Request struct {
 	Subscriber string
 	Cost       float64
-	// ConfigurationVersion is the one by which the caller knows the tenant.
+	// ConfigurationVersion is the version of the caller's configuration.
 	ConfigurationVersion uint64
 }
 
 // Answer is the answer to a Request.
 type Answer struct {
 	Verdict Verdict
-	// RetryAfter is when the bucket will hold the cost; 0 where it never does. Of Exceeded alone.
+	// RetryAfter is the time until the bucket can cover the cost; 0 if it never can. Only set with Exceeded.
 	RetryAfter time.Duration
-	// Grant is the number by which the grant can be returned; 0: it can't.
+	// Grant is the number by which the grant can be refunded; 0 if it can't be.
 	Grant uint64
 }
 
-// Ledger counts the quotas of shards. Not safe for concurrent use.
+// Ledger keeps account of the quotas of shards. Not safe for concurrent use.
 type Ledger struct {
 	rule      tokenbucket.Rule
 	version   uint64
@@ -61,12 +62,12 @@
 	lastGrant uint64
 }
 
-// New returns a ledger that knows of no tenant.
+// New returns a ledger without tenants.
 func New(rule tokenbucket.Rule) *Ledger {
 	return &Ledger{rule: rule, limits: map[string]tokenbucket.Limit{}, tenures: map[int]*tenure{}}
 }
 
-// Configure puts the limits of a configuration in force. It keeps limits, which must not be changed any more.
+// Configure applies the limits of a configuration. It retains limits, which the caller must not modify afterwards.
 func (l *Ledger) Configure(now time.Duration, version uint64, limits map[string]tokenbucket.Limit) {
 	l.version, l.limits = version, limits
 	for _, tenure := range l.tenures {
@@ -96,8 +97,8 @@
 	return tenure.acquire(now, request, l.lastGrant)
 }
 
-// Refund returns a grant that was made under a fencing token. Grants that are too old, were returned before or were made
-// by another owner are passed over.
+// Refund returns the cost of a grant that was made under a fencing token. It ignores grants that are too old, have already
+// been refunded or were made by another owner.
 func (l *Ledger) Refund(now time.Duration, fencingToken uint64, subscriber string, grant uint64) {
 	tenure := l.tenures[shard.Of(subscriber)]
 	if tenure != nil && tenure.fencingToken == fencingToken {
@@ -105,8 +106,8 @@
 	}
 }
 
-// tenure returns what is counted of a shard under a lease, and begins it where the lease is new; nil: a later lease is
-// known.
+// tenure returns the tenure of a shard under a lease and starts one if the lease is new. It returns nil if a later lease
+// is known.
 func (l *Ledger) tenure(number int, lease Lease) *tenure {
 	current := l.tenures[number]
 	switch {
--- a/internal/quota/ledger/status.go
+++ b/internal/quota/ledger/status.go
@@ -15,14 +15,15 @@
 	Limit      tokenbucket.Limit
 	Level      float64
 	Capacity   float64
-	// Granted, net of what was returned, and Refused count since the shard was taken over.
+	// Granted is the cost of all grants net of refunds, and Refused the number of refused requests, both since the agent
+	// took over the shard.
 	Granted float64
 	Refused uint64
-	// Owned is how long ago that was.
+	// Owned is the time since then.
 	Owned time.Duration
 }
 
-// Statuses returns the state of the quotas of all tenants in shards that are owned, in the order of their names.
+// Statuses returns the state of the quotas of all tenants with a limit in owned shards, ordered by name.
 func (l *Ledger) Statuses(now time.Duration, owned func(shard int) bool) []Status {
 	var statuses []Status
 	for number, tenure := range l.tenures {
--- a/internal/quota/ledger/tenure.go
+++ b/internal/quota/ledger/tenure.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// RefundAge is how old a grant may be that is returned. Raising it gives back more of what was granted in vain;
-	// the bucket's exposure bounds what it can add to a window.
+	// RefundAge is the maximum age at which a grant can be refunded. Raising it returns more of the quota of requests that
+	// did not run; the bucket's exposure bounds what refunds can add to a window.
 	RefundAge = 250 * time.Millisecond
-	// maxOutstanding bounds the grants of a shard that are remembered so that they can be returned. One beyond it can't.
+	// maxOutstanding bounds the grants per shard that are kept for a refund. Grants beyond it can't be refunded.
 	maxOutstanding = 8192
 )
 
-// tenure is what is counted of a shard under one lease.
+// tenure is the account of a shard under one lease.
 type tenure struct {
 	fencingToken uint64
 	since        time.Duration
 	accounts     map[string]*account // by tenant; only those with a limit
 	outstanding  map[uint64]grant    // by number
-	order        []uint64            // the numbers of grants, oldest first; some may have been returned
+	order        []uint64            // the numbers of grants, oldest first; some may already be refunded
 }
 
 // account is the quota of one tenant.
@@ -31,7 +31,7 @@
 	refused uint64
 }
 
-// grant is a grant that can be returned.
+// grant is a grant that can still be refunded.
 type grant struct {
 	account *account
 	name    string
@@ -46,7 +46,7 @@
 	}
 }
 
-// configure puts a tenant's limit in force. One that is new, or whose unit has changed, starts with an empty bucket.
+// configure applies a tenant's limit. A tenant that is new, or whose unit has changed, starts with an empty bucket.
 func (t *tenure) configure(now time.Duration, name string, limit tokenbucket.Limit, rule tokenbucket.Rule) {
 	current := t.accounts[name]
 	switch {
@@ -60,7 +60,7 @@
 	}
 }
 
-// removeExcept removes the tenants that a configuration doesn't have.
+// removeExcept removes the tenants that are not in limits.
 func (t *tenure) removeExcept(limits map[string]tokenbucket.Limit) {
 	for name := range t.accounts {
 		if _, stays := limits[name]; !stays {
@@ -69,7 +69,7 @@
 	}
 }
 
-// acquire answers a request of a tenant that has a limit.
+// acquire answers a request of a tenant that has a limit. number identifies the grant.
 func (t *tenure) acquire(now time.Duration, request Request, number uint64) Answer {
 	t.expire(now)
 	account := t.accounts[request.Subscriber]
@@ -91,7 +91,8 @@
 	return Answer{Verdict: Granted, Grant: number}
 }
 
-// refund returns a grant, once. A bucket that has been replaced meanwhile is nobody's any more.
+// refund returns the cost of a grant, at most once. If the tenant's bucket has been replaced since, the refund goes to the
+// old one and has no effect.
 func (t *tenure) refund(now time.Duration, subscriber string, number uint64) {
 	t.expire(now)
 	returned, known := t.outstanding[number]
@@ -103,7 +104,7 @@
 	returned.account.granted -= returned.cost
 }
 
-// expire lets the grants lapse that are too old to be returned.
+// expire removes the grants that are too old to be refunded.
 func (t *tenure) expire(now time.Duration) {
 	expired := 0
 	for _, number := range t.order {
--- a/internal/quota/shard/shard.go
+++ b/internal/quota/shard/shard.go
@@ -1,7 +1,8 @@
-// Package shard divides the tenants into a fixed number of shards. The quotas of a shard are counted by one agent at a
-// time, which holds the shard's lease.
+// Package shard divides the tenants into a fixed number of shards. One agent at a time, the holder of the shard's lease,
+// keeps account of the quotas of a shard.
 //
-// The package is pure. Proxies, agents and control processes of two versions have to agree on it.
+// The package is pure. Proxies, agents and control processes of different versions have to assign tenants to the same
+// shards.
 package shard
 
 import (
@@ -9,22 +10,22 @@
 	"hash/fnv"
 )
 
-// Count is the number of shards: enough for the loss of an owner to leave most tenants alone, and few enough for the
-// renewals of their leases to cost control little. It can't change while two versions run side by side.
+// Count is the number of shards: enough that the loss of an owner affects few tenants, and few enough that lease renewals
+// cost control little. It can't change while two versions run side by side.
 const Count = 16
 
 // Of returns the shard of a tenant, from 0 to Count-1.
 func Of(subscriber string) int {
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(subscriber)) // it never fails
+	_, _ = hash.Write([]byte(subscriber)) // a hash never returns an error
 	return int(mix(hash.Sum64()) % Count)
 }
 
-// LeaseKey is the key of the lease under which the quotas of a shard are counted. It is stored.
+// LeaseKey returns the key of the lease on a shard. The key is stored, so its format can't change.
 func LeaseKey(shard int) string { return fmt.Sprintf("quota/%d", shard) }
 
-// mix spreads a hash over all of its bits (the finalizer of MurmurHash3): FNV alone leaves names that differ in their
-// last byte close together.
+// mix spreads differences over all bits of a hash (the finalizer of MurmurHash3). With FNV alone, names that differ only
+// in their last byte get hashes that are close together.
 func mix(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
--- a/internal/quota/shard/shard_test.go
+++ b/internal/quota/shard/shard_test.go
@@ -8,7 +8,7 @@
 	"marlreel/internal/testing/recorded"
 )
 
-// Proxies, agents and control processes of two versions have to find the same shard for a tenant, and the same lease.
+// Proxies, agents and control processes of different versions have to compute the same shard and lease for a tenant.
 func TestCompatibilityOfShards(t *testing.T) {
 	var out strings.Builder
 	for _, name := range []string{"", "harbor", "quay", "huka270", "a", "b", "c", "tenant-1", "tenant-2", "tenant-3"} {
@@ -17,7 +17,7 @@
 	recorded.Check(t, "shards.txt", out.String())
 }
 
-// No shard has much more than its part of the tenants.
+// No shard has many more tenants than the average.
 func TestTenantsAreSpread(t *testing.T) {
 	const tenants = 3200
 	var counts [Count]int
--- a/internal/quota/tokenbucket/bucket_test.go
+++ b/internal/quota/tokenbucket/bucket_test.go
@@ -9,7 +9,6 @@
 	"pgregory.net/rapid"
 )
 
-// drawLimit draws a limit, and drawRule a rule.
 func drawLimit(t *rapid.T) Limit {
 	return Limit{
 		RatePerS: rapid.Float64Range(0.1, 1e5).Draw(t, "rate"), BurstSize: rapid.Float64Range(0, 1e5).Draw(t, "burst"),
@@ -24,7 +23,7 @@
 	}
 }
 
-// What a bucket may grant in a window and the delay allowance is the rule's bound, for any rule and limit.
+// For any rule and limit, a bucket grants at most the rule's bound in a window plus the delay allowance.
 func TestParametersKeepTheRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rule, limit := drawRule(t), drawLimit(t)
@@ -32,16 +31,16 @@
 		bound := rule.Bound(limit)
 		most := p.Exposure + p.RatePerS*(rule.Window+DelayAllowance).Seconds()
 		if p.RatePerS < 0 || p.Capacity < 0 || p.Capacity > p.Exposure || most > bound*(1+1e-9) {
-			t.Fatalf("%+v for %+v allows %.3f, the rule %.3f", p, limit, most, bound)
+			t.Fatalf("parameters %+v for limit %+v allow %.3f, but the rule allows %.3f", p, limit, most, bound)
 		}
 		if bound >= limit.RequestCost && p.Capacity < limit.RequestCost*(1-1e-9) {
-			t.Fatalf("%+v for %+v has no room for one request", p, limit)
+			t.Fatalf("the capacity in parameters %+v for limit %+v does not cover one request", p, limit)
 		}
 	})
 }
 
-// Guards against refunds and changes of limits that leave more to be granted than the exposure: the level and what is
-// outstanding stay within it whatever is taken, returned and lapsed, and a lower limit clamps the level at once.
+// Guards against refunds and changes of limits after which more than the exposure can be granted: the level plus the
+// outstanding costs stay within it in any sequence of operations, and a lower limit clamps the level at once.
 func TestLevelAndOutstandingStayWithinTheExposure(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rule, now := drawRule(t), time.Duration(0)
@@ -84,14 +83,14 @@
 	is := is.New(t)
 	p := Parameters{RatePerS: 100, Capacity: 50, Exposure: 60}
 	b := NewBucket(p, time.Second)
-	is.Equal(b.Level(time.Second), 0.0) // it starts empty
+	is.Equal(b.Level(time.Second), 0.0) // a bucket starts empty
 	is.True(!b.Take(time.Second, 1))
 	wait, ever := b.Wait(time.Second, 20)
 	is.True(ever)
 	is.Equal(wait, 200*time.Millisecond)
 	is.True(b.Take(1200*time.Millisecond, 20))
-	is.True(!b.Take(1100*time.Millisecond, 1)) // time doesn't run back
-	is.Equal(b.Level(10*time.Second), 40.0)    // 20 may come back
+	is.True(!b.Take(1100*time.Millisecond, 1)) // an earlier time changes nothing
+	is.Equal(b.Level(10*time.Second), 40.0)    // the outstanding 20 may be returned
 	b.Lapse(20)
 	is.Equal(b.Level(11*time.Second), 50.0)
 	_, ever = b.Wait(11*time.Second, 51)
