--- a/internal/dataplane/backlog/backlog.go
+++ b/internal/dataplane/backlog/backlog.go
@@ -7,31 +7,31 @@
 )
 
 const (
-	// ReportTTL is how long a report counts: some report intervals.
+	// ReportTTL is how long a report is valid. It spans several report intervals.
 	ReportTTL = 1500 * time.Millisecond
-	// maxReports bounds the reports that are kept, and maxBackends the backends of one of them.
+	// maxReports bounds the reports in a table, and maxBackends the backends in one report.
 	maxReports  = 8192
 	maxBackends = 4096
 )
 
-// Key stands for a backend: the FNV-1a hash of its id. Two backends with one key count as one.
+// Key returns the key of a backend, the FNV-1a hash of its id. Backends with the same key are counted as one.
 func Key(id string) uint32 {
 	hash := fnv.New32a()
-	_, _ = io.WriteString(hash, id) // a hash never fails
+	_, _ = io.WriteString(hash, id) // a hash never returns an error
 	return hash.Sum32()
 }
 
-// Work is the pending work of backends by their keys, in ms, as estimated from the requests.
+// Work is the pending work of backends by key, in ms, as estimated from the requests.
 type Work map[uint32]uint32
 
-// Reporter is whose work a report counts.
+// Reporter identifies the sender of the work in a report.
 type Reporter struct {
-	// Node is the node whose proxy has sent the work; "" is all nodes of other zones together.
+	// Node is the node whose proxy has sent the work; "" stands for all nodes of other zones together.
 	Node string
 	Zone string
 }
 
-// OtherZones is the reporter of the work of all other zones.
+// OtherZones is the reporter for the work from all other zones.
 var OtherZones = Reporter{}
 
 type reportKey struct {
@@ -44,16 +44,17 @@
 	receivedAt time.Duration
 }
 
-// Table is the newest report of each reporter. Not safe for concurrent use.
+// Table holds the newest report of each reporter for each service. Not safe for concurrent use.
 type Table struct {
 	reports map[reportKey]report
 }
 
-// NewTable makes an empty table.
+// NewTable returns an empty table.
 func NewTable() *Table { return &Table{reports: map[reportKey]report{}} }
 
-// RecordReport records a report on a service: all pending work of a reporter, in place of its previous report. A
-// report is dropped that names more than 4,096 backends, or that is one more than the 8,192 that the table keeps.
+// RecordReport records a report on a service. It contains all pending work of a reporter and replaces the previous
+// report. Reports with more than 4,096 backends are dropped, and so are those of new reporters while the table holds
+// 8,192 reports.
 func (t *Table) RecordReport(now time.Duration, service string, from Reporter, work Work) {
 	key := reportKey{service, from}
 	if _, known := t.reports[key]; !known && !t.hasCapacity(now) {
@@ -65,7 +66,8 @@
 	t.reports[key] = report{work, now}
 }
 
-// hasCapacity tells whether one more report can be kept, where need be after those that have expired are removed.
+// hasCapacity reports whether the table has room for another report. If the table is full, it first removes the expired
+// ones.
 func (t *Table) hasCapacity(now time.Duration) bool {
 	if len(t.reports) >= maxReports {
 		t.expireReports(now)
@@ -81,7 +83,7 @@
 	}
 }
 
-// Sum adds up the work that the reporters that count have sent to the backends of a service.
+// Sum returns the total work sent to the backends of a service by the reporters for which counts returns true.
 func (t *Table) Sum(now time.Duration, service string, counts func(Reporter) bool) Work {
 	t.expireReports(now)
 	sum := Work{}
--- a/internal/dataplane/backlog/backlog_test.go
+++ b/internal/dataplane/backlog/backlog_test.go
@@ -47,7 +47,7 @@
 	work := Work{Key("backend-1"): 120, Key("backend-2"): 1}
 	message := ToProto("llm", work)
 	is.Equal(FromProto(message), work)
-	message.WorkMs = message.WorkMs[:1] // cut short: a backend without a number is left out
+	message.WorkMs = message.WorkMs[:1] // truncated: the backend without a value is left out
 	is.Equal(len(FromProto(message)), 1)
 	is.Equal(FromProto(ToProto("llm", nil)), Work{})
 }
--- a/internal/dataplane/backlog/compatibility_test.go
+++ b/internal/dataplane/backlog/compatibility_test.go
@@ -15,10 +15,10 @@
 )
 
 // The files under testdata/compatibility were written by the code of commit 6fb9894, with
-// WRITE_COMPATIBILITY=1. They hold forms that other processes, backends and operators rely on.
-// They must not be written anew to get a pass.
+// WRITE_COMPATIBILITY=1. They record formats that other processes, backends and operators rely on.
+// They must not be regenerated to make a test pass.
 
-// Backends are told by a hash of their ids, and their work in the order of the hashes.
+// Messages identify backends by a hash of their ids and list them in the order of the hashes.
 func TestCompatibilityOfMessages(t *testing.T) {
 	work := Work{}
 	for i, id := range []string{"i-7f3a91c2", "i-1", "i-2", ""} {
@@ -31,7 +31,7 @@
 	recorded.Check(t, "message.hex", hex.EncodeToString(data)+"\n")
 }
 
-// A recorded message is read into the work of the same backends; what has no figure is left out.
+// A recorded message is decoded to the work of the same backends. Backends that are not in it have no work.
 func TestCompatibilityOfReading(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "compatibility", "message.hex"))
 	if err != nil {
--- a/internal/dataplane/backlog/doc.go
+++ b/internal/dataplane/backlog/doc.go
@@ -1,8 +1,8 @@
-// Package backlog adds up the work that backends have been sent and have not begun to answer, over all proxies. Each
-// proxy knows its own share; it reports that to the relay of the service in its zone, which passes the reports on to
-// the holder of the service's placement lease, and the answers carry back what the peers have sent. Such sums of
-// recent reports are a soft state (Clark, 1988): they are replaced by the next report and expire without one.
+// Package backlog sums up, over all proxies, the work that backends have been sent and have not started to answer. Each
+// proxy knows its own share and reports it to the relay of the service in its zone, which passes the reports on to the
+// holder of the service's placement lease. The replies carry back the work that the other proxies have sent. Such sums
+// of recent reports are soft state (Clark, 1988): each is replaced by the next report and expires without one.
 //
-// The owners of the tables are the relays of the agents (internal/agent); proxies read the sums (internal/dataplane/
-// routing). The package is pure: it is given the time, and neither sends nor waits for anything.
+// The tables are owned by the relays in the agents (internal/agent); proxies read the sums (internal/dataplane/routing).
+// The package is pure: time is a parameter, and it neither sends nor waits.
 package backlog
--- a/internal/dataplane/backlog/message.go
+++ b/internal/dataplane/backlog/message.go
@@ -7,7 +7,7 @@
 	"marlreel/internal/api"
 )
 
-// ToProto gives the message that carries the pending work of a service's backends, in the order of their keys.
+// ToProto returns the message for the pending work of a service's backends, ordered by key.
 func ToProto(service string, work Work) *api.Backlog {
 	message := &api.Backlog{Service: service}
 	for _, key := range slices.Sorted(maps.Keys(work)) {
@@ -17,7 +17,7 @@
 	return message
 }
 
-// FromProto gives the pending work that a message carries. Backends without a number are left out.
+// FromProto returns the pending work in a message. Backends without a value are left out.
 func FromProto(message *api.Backlog) Work {
 	work := make(Work, len(message.Backends))
 	for i, key := range message.Backends[:min(len(message.Backends), len(message.WorkMs))] {
--- a/internal/dataplane/quotaclient/client.go
+++ b/internal/dataplane/quotaclient/client.go
@@ -1,7 +1,8 @@
-// Package quotaclient asks the owners of tenants' quotas for each request of a proxy. The state that the proxy watches
-// names the owner of each shard of tenants. The proxy keeps no quota of its own: without an owner nothing is granted.
+// Package quotaclient acquires quota for each request of a proxy from the owner of the tenant's quota. The state that the
+// proxy watches names the owner of each shard of tenants. The proxy has no quota of its own: without an owner nothing is
+// granted.
 //
-// A Client is owned by its proxy. It starts no goroutine, and makes one call at a time for a request, and two at most.
+// A Client is owned by its proxy. It starts no goroutines. For one request it makes at most two calls, one after the other.
 package quotaclient
 
 import (
@@ -19,12 +20,12 @@
 )
 
 const (
-	// callTimeout bounds one call: a request that is refused without an owner has to be refused soon enough for its
-	// client to try again within its latency target.
+	// callTimeout bounds one call: if no owner answers, the request must be refused early enough for its client to retry
+	// within the latency target.
 	callTimeout = 150 * time.Millisecond
-	// maxAttempts counts the owners that are asked for one request.
+	// maxAttempts bounds the calls to owners for one request.
 	maxAttempts = 2
-	// unknownRetryAfter is when clients should come again while a shard has no owner.
+	// unknownRetryAfter is the time after which clients should retry while a shard has no owner.
 	unknownRetryAfter = 250 * time.Millisecond
 )
 
@@ -33,37 +34,38 @@
 
 // The verdicts.
 const (
-	// Granted: the cost was taken.
+	// Granted means that the cost was taken from the quota, or that the tenant has no limit.
 	Granted Verdict = iota + 1
-	// Exceeded: the tenant has spent its quota.
+	// Exceeded means that the tenant has used up its quota.
 	Exceeded
-	// Unknown: no owner has answered.
+	// Unknown means that no owner has answered.
 	Unknown
 )
 
-// Decision is the answer to Acquire.
+// Decision is the answer of Acquire.
 type Decision struct {
 	Verdict Verdict
-	// RetryAfter is when the client should come again; 0: its request costs more than the tenant can ever save up.
+	// RetryAfter is the time after which the client should retry; 0: the cost is above the capacity of the tenant's bucket.
 	RetryAfter time.Duration
-	// Grant is what the owner knows the grant by; nil: it can't be returned.
+	// Grant identifies the grant at the owner; nil: it can't be refunded.
 	Grant *api.QuotaGrant
-	// At is when the owner was asked.
+	// At is when the call to the owner started.
 	At time.Time
 }
 
-// Config is what a client works with.
+// Config configures a Client.
 type Config struct {
 	// Store is the state that the proxy watches.
 	Store *watch.Store
 	Dial  transport.DialFunc
-	// OwnAgent is the address of the agent on the proxy's machine, and OwnAgentLoopback the one to call it by.
+	// OwnAgent is the address of the agent on the proxy's machine, and OwnAgentLoopback its loopback address, which the
+	// client dials instead.
 	OwnAgent, OwnAgentLoopback string
-	// Metrics is where the client's metrics are added.
+	// Metrics is the set to which the client adds its metrics.
 	Metrics *vm.Set
 }
 
-// Client asks owners for quota. Its methods may be called by any goroutine.
+// Client acquires quota from owners. Its methods are safe for concurrent use.
 type Client struct {
 	config   Config
 	client   *transport.Client
@@ -72,7 +74,7 @@
 	results  results
 }
 
-// New returns a client.
+// New returns a client, which adds its metrics to config.Metrics.
 func New(config Config) *Client {
 	return &Client{
 		config: config, client: transport.NewClient(dialWithinCall(config.Dial)), refunds: newRefundQueue(), refusals: newRefusalCache(),
@@ -80,7 +82,8 @@
 	}
 }
 
-// dialWithinCall bounds the making of a connection by callTimeout: the call that waits for it isn't cancelled before.
+// dialWithinCall limits the time to connect to callTimeout, as the end of a call's context does not interrupt a dial that
+// the call waits for.
 func dialWithinCall(dial transport.DialFunc) transport.DialFunc {
 	return func(ctx context.Context, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -89,7 +92,7 @@
 	}
 }
 
-// Acquire takes a cost from a tenant's quota. It returns within the timeouts of maxAttempts calls, and by the deadline.
+// Acquire takes a cost from a tenant's quota. It returns by the deadline, and after at most maxAttempts times callTimeout.
 func (c *Client) Acquire(subscriber string, cost float64, deadline time.Time) Decision {
 	decision, asked := c.refusals.find(subscriber, cost, time.Now()), false
 	if decision.Verdict == 0 {
@@ -99,15 +102,15 @@
 	return decision
 }
 
-// Refund returns a grant with the next call to the owner of the tenant's shard.
+// Refund returns the cost of a grant with the next call to the owner of the tenant's shard.
 func (c *Client) Refund(decision Decision) {
 	if decision.Grant != nil {
 		c.refunds.add(decision.Grant, decision.At)
 	}
 }
 
-// askOwners asks the owner of the tenant's shard, and once more where another one is known by then, or where the connection
-// broke: what a first call has taken is spent in vain then.
+// askOwners calls the owner of the tenant's shard. It makes a second call if another owner is known by then, or if the
+// connection broke. If a broken call has taken quota, that quota is lost.
 func (c *Client) askOwners(subscriber string, cost float64, deadline time.Time) Decision {
 	number := shard.Of(subscriber)
 	asked, broken := owner{}, false
@@ -128,7 +131,7 @@
 	return Decision{Verdict: Unknown, RetryAfter: unknownRetryAfter}
 }
 
-// owner is who owns a shard by the state that is watched.
+// owner is the owner of a shard according to the watched state.
 type owner struct {
 	address      string
 	fencingToken uint64
@@ -150,8 +153,8 @@
 	return named, version
 }
 
-// ask makes one call. It reports whether the owner has answered in time; a grant that comes later is spent in vain. A call
-// that failed before its time was up is broken: its connection had ended, mostly.
+// ask makes one call to an owner. answered reports whether the owner decided in time; the quota of a later grant is lost.
+// broken reports that the call failed before its timeout, usually because the connection had been closed.
 func (c *Client) ask(asked owner, request *api.AcquireQuotaRequest, deadline time.Time) (decision Decision, answered, broken bool) {
 	began := time.Now()
 	end := began.Add(callTimeout)
@@ -169,9 +172,9 @@
 	return decision, answered, false
 }
 
-// decide takes in an owner's reply to a call that began at a time, and had an end. It reports whether that decides the
-// request. A reply that is found after the end, by a process that was stopped meanwhile, may be of any age: what it
-// grants is spent in vain.
+// decide processes an owner's reply to a call that started at began and timed out at end. It reports whether the reply
+// decides the request. A reply that is read after end may be of any age, as when the process was suspended in between:
+// it is ignored, and the quota that it grants is lost.
 func (c *Client) decide(request *api.AcquireQuotaRequest, reply *api.AcquireQuotaReply, began, now, end time.Time) (Decision, bool) {
 	if now.After(end) {
 		return Decision{}, false
--- a/internal/dataplane/quotaclient/client_test.go
+++ b/internal/dataplane/quotaclient/client_test.go
@@ -25,7 +25,7 @@
 	granted = &api.AcquireQuotaReply{Verdict: api.QuotaVerdict_QUOTA_GRANTED, Grant: &api.QuotaGrant{Subscriber: "harbor", Number: 1}}
 )
 
-// Guards against a proxy that was stopped, and sends requests for grants of long ago.
+// Guards against a proxy that was suspended, and on waking up forwards requests for grants that are too old.
 func TestLateGrantIsNotTaken(t *testing.T) {
 	is := is.New(t)
 	c := New(Config{Metrics: vm.NewSet()})
@@ -37,7 +37,8 @@
 	is.True(!decided)
 }
 
-// An owner's refusal counts for as much or more, until when it says, and for maxLocalRefusal at most.
+// An owner's refusal applies to requests of the same or a higher cost, until the time in the reply, but for at most
+// maxLocalRefusal.
 func TestRefusalCountsForAWhile(t *testing.T) {
 	is := is.New(t)
 	c := New(Config{Metrics: vm.NewSet()})
@@ -49,7 +50,7 @@
 	find := func(cost float64, after time.Duration) Decision {
 		return c.refusals.find("harbor", cost, now.Add(after))
 	}
-	refused(0) // it costs more than can be saved up: smaller requests may pass
+	refused(0) // the cost is above the bucket's capacity: smaller requests may be granted
 	is.Equal(find(100, 0), Decision{})
 	refused(40 * time.Millisecond)
 	is.Equal(find(100, 30*time.Millisecond), Decision{Verdict: Exceeded, RetryAfter: 10 * time.Millisecond})
@@ -60,7 +61,7 @@
 	is.Equal(find(101, maxLocalRefusal), Decision{})
 }
 
-// A grant goes back once, with a call that is made while it counts.
+// A grant is refunded once, with a call that is made before the grant exceeds RefundAge.
 func TestRefundsGoBackOnce(t *testing.T) {
 	is := is.New(t)
 	q, number := newRefundQueue(), shard.Of("harbor")
@@ -76,7 +77,7 @@
 	is.Equal(len(q.take(number, now)), maxRefunds)
 }
 
-// recordingOwner grants everything and counts the refunds that come.
+// recordingOwner grants everything and counts the calls and the refunds in them.
 type recordingOwner struct {
 	api.QuotaOwner
 	calls, refunds atomic.Int64
@@ -88,7 +89,7 @@
 	return granted, nil
 }
 
-// resettableConn fails once it was reset.
+// resettableConn closes itself and fails at the first write after reset was set.
 type resettableConn struct {
 	net.Conn
 	reset *atomic.Bool
@@ -102,7 +103,7 @@
 	return c.Conn.Write(p)
 }
 
-// storeWithOwner is a state in which harbor's quota has an owner.
+// storeWithOwner returns a store in which the shard of the tenant harbor has an owner.
 func storeWithOwner() *watch.Store {
 	store := watch.New("proxy", time.Now)
 	lease := &api.Ownership{Key: shard.LeaseKey(shard.Of("harbor")), Holder: "edge-0/1", Address: "owner", FencingToken: 3}
@@ -110,7 +111,8 @@
 	return store
 }
 
-// Guards against refusals that come too late for another attempt: an owner without power answers no connection.
+// Guards against refusals that come too late for the client to retry: a machine without power does not answer connection
+// attempts.
 func TestSilentOwnerIsGivenUpInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -121,11 +123,11 @@
 		began := time.Now()
 		is.Equal(c.Acquire("harbor", 100, began.Add(time.Minute)).Verdict, Unknown)
 		is.Equal(time.Since(began), callTimeout)
-		time.Sleep(5 * time.Minute) // fasthttp's goroutines for idle connections end by themselves
+		time.Sleep(5 * time.Minute) // lets fasthttp's goroutines for idle connections end
 	})
 }
 
-// Guards against requests that are refused below their limit since the kept connection to the owner was reset.
+// Guards against refusals of tenants below their limit because the pooled connection to the owner was reset.
 func TestBrokenConnectionToTheOwnerIsMadeAnew(t *testing.T) {
 	is := is.New(t)
 	listener, owner := fasthttputil.NewInmemoryListener(), new(recordingOwner)
@@ -142,9 +144,9 @@
 	c.Refund(first)
 	reset.Store(true)
 	is.Equal(acquire().Verdict, Granted)
-	is.True(!reset.Load()) // it was reset
+	is.True(!reset.Load()) // the connection has been reset
 	is.Equal(owner.calls.Load(), int64(2))
-	is.Equal(owner.refunds.Load(), int64(1)) // what the broken call took along is not lost
+	is.Equal(owner.refunds.Load(), int64(1)) // the refund of the broken call was sent again
 	is.NoErr(listener.Close())
 	is.NoErr(<-served)
 }
--- a/internal/dataplane/quotaclient/histories_test.go
+++ b/internal/dataplane/quotaclient/histories_test.go
@@ -23,18 +23,18 @@
 
 const (
 	historyTime = 40 * time.Second
-	// maxSendDelay is the longest time from a client's sending to the call for quota; the call takes the rest of the
-	// delay allowance.
+	// maxSendDelay is the longest time from the sending of a request by a client to the call for quota. The call may take
+	// the rest of the delay allowance.
 	maxSendDelay = tokenbucket.DelayAllowance - callTimeout
 )
 
-// event is something that happens at a time.
+// event is a function that runs at a simulated time.
 type event struct {
 	at  time.Duration
 	run func()
 }
 
-// events is a heap of events, the next one first.
+// events is a heap of events with the earliest one on top.
 type events []event
 
 func (e events) Len() int           { return len(e) }
@@ -53,15 +53,15 @@
 	client      *Client
 	ledger      *ledger.Ledger
 	leases      map[string]ledger.Lease
-	known       map[string]*api.Ownership // as the node has heard of it
-	version     uint64                    // of the limits that the ledger has
+	known       map[string]*api.Ownership // the owners of shards, by lease key, in the state that the node has received
+	version     uint64                    // the version of the limits in the ledger
 	frozenUntil time.Duration
 	cutUntil    time.Duration
 }
 
 func (n *node) holder() string { return lease.HolderID(n.Name, n.Incarnation) }
 
-// restart gives a node new processes, which know nothing.
+// restart replaces the processes of a node by new ones without any state.
 func (n *node) restart(rule tokenbucket.Rule) {
 	n.Incarnation++
 	n.version = 0
@@ -69,19 +69,20 @@
 	n.ledger, n.leases, n.known = ledger.New(rule), map[string]ledger.Lease{}, map[string]*api.Ownership{}
 }
 
-// sent is a request that a client has sent.
+// sent is a request that a client has sent. owed means that it is within the tenant's limit.
 type sent struct {
 	at                 time.Duration
 	owed, granted, ran bool
 }
 
-// limitChange says which limit a tenant has from a time on.
+// limitChange is the limit that a tenant has from a time on.
 type limitChange struct {
 	at    time.Duration
 	limit tokenbucket.Limit
 }
 
-// history is a drawn run of proxies, owners, leases and faults, on simulated time. An auditor looks at what backends ran.
+// history is a random run of proxies, owners, leases and faults in simulated time. Afterwards worstExcess and
+// refusedShare check which requests were granted and run by backends.
 type history struct {
 	*rand.Rand
 	now        time.Duration
@@ -96,12 +97,12 @@
 	requests   map[string][]*sent
 	rule       tokenbucket.Rule
 	cost       float64       // of each request
-	faultGap   time.Duration // the longest between two faults; 0: there are none
-	sendDelay  time.Duration // the longest until a request is asked for
-	faultKinds int           // with or without changes of limits
-	lossy      int           // one message in so many is late, lost or doubled
-	idle       time.Duration // the longest pause of a tenant's requests
-	down       time.Duration // for this long, in every two of them, no backend runs anything; 0: they always do
+	faultGap   time.Duration // the longest time between two faults; 0: no faults
+	sendDelay  time.Duration // the longest time from the sending of a request to the call for quota
+	faultKinds int           // the number of cases that disturb chooses from: 4, or 5 with changes of limits
+	lossy      int           // one in this many messages is late, lost or duplicated; 0: none
+	idle       time.Duration // the longest pause in a tenant's requests
+	down       time.Duration // backends are down for this long, then up for as long, and so on; 0: always up
 }
 
 func newHistory(seed uint64, nodes int, faults bool) *history {
@@ -127,7 +128,7 @@
 	return h
 }
 
-// drawFaults draws what goes wrong, and a rule that may leave nothing to spare.
+// drawFaults draws the faults of a history, and a rule that may have no excess and no slack.
 func (h *history) drawFaults() {
 	h.rule.Excess, h.rule.Slack = 0.1*float64(h.IntN(2)), 17000*float64(h.IntN(2))
 	h.cost = []float64{600, 2400}[h.IntN(2)]
@@ -144,12 +145,13 @@
 	heap.Push(&h.pending, event{h.now + delay, run})
 }
 
-// upTo draws a time.
+// upTo draws a duration below limit.
 func (h *history) upTo(limit time.Duration) time.Duration {
 	return time.Duration(h.Int64N(int64(limit)))
 }
 
-// onNode runs something at a node after a delay, or once it is frozen no more; never where it was restarted meanwhile.
+// onNode runs a function on a node after a delay. If the node is frozen then, it runs once the freeze ends; if the node
+// has been restarted in the meantime, it never runs.
 func (h *history) onNode(n *node, delay time.Duration, run func()) {
 	incarnation := n.Incarnation
 	h.after(delay, func() {
@@ -163,14 +165,14 @@
 	})
 }
 
-// setLimit changes a tenant's limit. Nodes hear of it each in its time.
+// setLimit changes a tenant's limit. Each node receives the change with its own delay.
 func (h *history) setLimit(name string, limit tokenbucket.Limit) {
 	h.version++
 	h.limits[name] = limit
 	h.changes[name] = append(h.changes[name], limitChange{h.now, limit})
 }
 
-// control is a round of the head: it grants leases, and every node hears of the state.
+// control simulates a round of the chain's head: it grants leases and sends the state to every node.
 func (h *history) control() {
 	var records []lease.Record
 	for number := range shard.Count {
@@ -203,7 +205,7 @@
 	h.after(150*time.Millisecond, h.control)
 }
 
-// renew has a node renew its leases, from before the call on.
+// renew makes a node renew its leases. Their expiry is computed from the time before the call.
 func (h *history) renew(n *node) {
 	asked, holder := h.now, n.holder()
 	var named []*api.Ownership
@@ -227,13 +229,13 @@
 	})
 }
 
-// sendRequests has clients of a tenant send requests through drawn proxies, at some times the rate of its limit.
+// sendRequests makes clients of a tenant send requests through random proxies at load times the rate of its limit.
 func (h *history) sendRequests(name string, load float64, reference *tokenbucket.Bucket) {
 	r := &sent{at: h.now, owed: reference.Take(h.now, h.cost)}
 	h.requests[name] = append(h.requests[name], r)
 	n := h.nodes[h.IntN(len(h.nodes))]
 	h.onNode(n, h.upTo(h.sendDelay), func() {
-		if h.now-r.at <= maxSendDelay { // a client of a machine that stood still has given up
+		if h.now-r.at <= maxSendDelay { // otherwise the machine was frozen, and the client has given up
 			h.ask(n, name, r)
 		}
 	})
@@ -245,7 +247,7 @@
 	h.after(pause, func() { h.sendRequests(name, load, reference) })
 }
 
-// ask is a proxy's call to the owner that it knows. Calls are lost, late or made twice.
+// ask simulates a proxy's call to the owner that it knows. The call may be lost, late or made twice.
 func (h *history) ask(n *node, name string, r *sent) {
 	began, end := h.time(), h.time().Add(callTimeout)
 	key := shard.LeaseKey(shard.Of(name))
@@ -275,7 +277,8 @@
 	}
 }
 
-// delay is that of a message between two nodes: mostly short, at times long, and beyond the end where one is cut off.
+// delay draws the delay of a message between two nodes: usually short, sometimes long, and beyond the end of the history
+// if one of the nodes is cut off.
 func (h *history) delay(from, to *node) time.Duration {
 	switch {
 	case from != to && (h.now < from.cutUntil || h.now < to.cutUntil):
@@ -286,7 +289,7 @@
 	return time.Millisecond + h.upTo(8*time.Millisecond)
 }
 
-// answer is what the owner's agent does.
+// answer simulates the owner's agent: it processes the refunds and acquires the quota.
 func (n *node) answer(now time.Duration, key string, request *api.AcquireQuotaRequest) *api.AcquireQuotaReply {
 	for _, refund := range request.Refunds {
 		n.ledger.Refund(now, refund.FencingToken, refund.Subscriber, refund.Number)
@@ -304,7 +307,7 @@
 	return &api.AcquireQuotaReply{}
 }
 
-// runOrRefund has a backend run a request, or not, where its grant goes back.
+// runOrRefund makes a backend run a request, or refunds the grant if the backends are down.
 func (h *history) runOrRefund(n *node, r *sent, decision Decision) {
 	r.granted = true
 	if h.down == 0 || h.now%(2*h.down) > h.down {
@@ -317,7 +320,7 @@
 // disturb draws faults and changes of limits.
 func (h *history) disturb() {
 	n := h.nodes[h.IntN(len(h.nodes))]
-	if h.IntN(2) == 0 { // an owner
+	if h.IntN(2) == 0 { // disturb the owner of tenant-0's shard
 		if ownership := h.owned[shard.LeaseKey(shard.Of("tenant-0"))]; ownership != nil {
 			index, _ := strconv.Atoi(ownership.Address)
 			n = h.nodes[index]
@@ -334,7 +337,7 @@
 		limit := tokenbucket.Limit{RatePerS: 1000 + 5000*h.Float64(), BurstSize: 16800 * h.Float64(), RequestCost: h.cost}
 		name := fmt.Sprintf("tenant-%d", h.IntN(3))
 		h.setLimit(name, limit)
-		if h.IntN(3) == 0 { // it leaves, and returns at once: some nodes hear of both
+		if h.IntN(3) == 0 { // remove the tenant and add it again soon: only some nodes receive both changes
 			delete(h.limits, name)
 			h.after(h.upTo(time.Second), func() { h.setLimit(name, limit) })
 		}
@@ -362,10 +365,10 @@
 	}
 }
 
-// worstExcess is the most that any tenant had run in one window, as a part of the rule's bound. Of the limits in force in
-// a window, or within the time that a change may take, the highest counts.
+// worstExcess returns the highest cost that any tenant had run in one window, as a fraction of the rule's bound. The bound
+// is that of the highest limit in force in the window, or within the time that a change may take before it.
 func (h *history) worstExcess() float64 {
-	const changeTime = 8 * time.Second // no cut or freeze is longer
+	const changeTime = 8 * time.Second // longer than any partition or freeze
 	worst := 0.0
 	for name, requests := range h.requests {
 		var ran []time.Duration
@@ -386,7 +389,7 @@
 	return worst
 }
 
-// boundOf is the highest bound of the limits that a tenant had between two times.
+// boundOf returns the highest bound of the limits that a tenant had between two times.
 func (h *history) boundOf(name string, from, to time.Duration) float64 {
 	bound := 0.0
 	changes := h.changes[name]
@@ -399,7 +402,7 @@
 	return bound
 }
 
-// refusedShare is the part of a tenant's requests within its limit that were not granted.
+// refusedShare returns the fraction of a tenant's requests within its limit that were not granted.
 func (h *history) refusedShare(name string) float64 {
 	owed, refused := 0, 0
 	for _, r := range h.requests[name] {
@@ -413,8 +416,8 @@
 	return float64(refused) / float64(max(1, owed))
 }
 
-// playAll plays histories and returns the most that a tenant ran of its bound in a window, and the shares that were refused of
-// what a tenant below its limit asked for, in their order.
+// playAll plays histories. It returns the highest result of worstExcess and, sorted, the refusedShare of each history for
+// the tenant that stays below its limit.
 func playAll(t *testing.T, histories, nodes int, faults bool) (worst float64, refused []float64) {
 	t.Helper()
 	for seed := range uint64(max(1, histories)) {
@@ -422,19 +425,19 @@
 		h.play()
 		excess := h.worstExcess()
 		if excess > 1 {
-			t.Errorf("%d nodes, seed %d: a tenant ran %.3f of its bound in one window", nodes, seed, excess)
+			t.Errorf("%d nodes, seed %d: a tenant ran %.3f times its bound in one window", nodes, seed, excess)
 		}
 		worst = max(worst, excess)
 		refused = append(refused, h.refusedShare("tenant-0"))
 	}
 	slices.Sort(refused)
-	t.Logf("%d nodes, faults %v: %d histories, at most %.3f of the bound; refused of what is owed: median %.3f, worst %.3f",
+	t.Logf("%d nodes, faults %v: %d histories, at most %.3f of the bound; refused of requests within the limit: median %.3f, worst %.3f",
 		nodes, faults, len(refused), worst, refused[len(refused)/2], refused[len(refused)-1])
 	return worst, refused
 }
 
-// In no history does a tenant run more than the rule allows in any window, through however many proxies, takeovers, cuts,
-// freezes, late and doubled calls, refunds and changes of its limit.
+// In no history does a tenant run more than the rule allows in any window, whatever the number of proxies, takeovers,
+// partitions, freezes, late and duplicated calls, refunds and changes of its limit.
 func TestDrawnHistoriesKeepTheBound(t *testing.T) {
 	histories := 160
 	if more, err := strconv.Atoi(os.Getenv("QUOTA_HISTORIES")); err == nil {
@@ -445,12 +448,12 @@
 	}
 }
 
-// Where nothing fails, a tenant below its limit is refused nothing, and others get nearly all that the bound allows.
+// Without faults, no request of a tenant below its limit is refused, and the others get nearly all that the bound allows.
 func TestCalmHistoriesRefuseNothingOwed(t *testing.T) {
 	for _, nodes := range []int{3, 30} {
 		worst, refused := playAll(t, 10, nodes, false)
 		if refused[len(refused)-1] > 0 || worst < 0.8 {
-			t.Errorf("%d nodes: %v refused, at most %.3f of the bound", nodes, refused, worst)
+			t.Errorf("%d nodes: refused shares %v, want 0; at most %.3f of the bound, want at least 0.8", nodes, refused, worst)
 		}
 	}
 }
--- a/internal/dataplane/quotaclient/metrics.go
+++ b/internal/dataplane/quotaclient/metrics.go
@@ -14,7 +14,7 @@
 	return results{counter("granted"), counter("exceeded"), counter("exceeded_locally"), counter("unknown")}
 }
 
-// count counts a decision for which an owner was asked, or was not.
+// count counts a decision. asked says whether an owner was called for it.
 func (r *results) count(verdict Verdict, asked bool) {
 	switch {
 	case verdict == Granted:
--- a/internal/dataplane/quotaclient/refunds.go
+++ b/internal/dataplane/quotaclient/refunds.go
@@ -9,11 +9,11 @@
 	"marlreel/internal/quota/shard"
 )
 
-// maxRefunds bounds the refunds that wait for a call to the owner of a shard; more of them lapse.
+// maxRefunds bounds the refunds that are queued for the owner of a shard. Further ones are dropped.
 const maxRefunds = 64
 
-// refundQueue holds the grants that are to be returned. Each is sent once: what a call that fails has taken along
-// lapses. Its methods may be called by any goroutine.
+// refundQueue holds the grants that are to be refunded with the next request to their owner. Each is attached to one
+// request only: if the calls for that request fail, the refund is lost. Its methods are safe for concurrent use.
 type refundQueue struct {
 	mu      sync.Mutex
 	waiting [shard.Count][]refund
@@ -26,7 +26,7 @@
 
 func newRefundQueue() *refundQueue { return &refundQueue{} }
 
-// add keeps a grant that was asked for at a moment until the next call to its owner.
+// add queues a grant for a refund. at is when the grant was requested.
 func (q *refundQueue) add(grant *api.QuotaGrant, at time.Time) {
 	number := shard.Of(grant.Subscriber)
 	q.mu.Lock()
@@ -36,7 +36,7 @@
 	}
 }
 
-// take returns the grants of a shard that are not too old to be returned, and forgets all of them.
+// take removes all grants of a shard from the queue and returns those that are not too old to be refunded.
 func (q *refundQueue) take(number int, now time.Time) []*api.QuotaGrant {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/dataplane/quotaclient/refusals.go
+++ b/internal/dataplane/quotaclient/refusals.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// maxLocalRefusal bounds how long a refusal of an owner counts for further requests of the tenant. Raising it spares
-	// the owner calls while a tenant floods; it also refuses what could be granted after a refund.
+	// maxLocalRefusal bounds how long an owner's refusal is applied to further requests of the tenant. Raising it saves
+	// calls to the owner while a tenant floods, but also refuses requests that could be granted after a refund.
 	maxLocalRefusal = 100 * time.Millisecond
-	// refusalsSwept is the number of refusals at which those that count no more are removed.
+	// refusalsSwept is the number of refusals from which on add removes the expired ones.
 	refusalsSwept = 256
 )
 
-// refusalCache refuses requests of tenants that an owner has just refused, until when the owner has said. Its methods
-// may be called by any goroutine.
+// refusalCache refuses requests of tenants that an owner has just refused, until the time that the owner gave. Its
+// methods are safe for concurrent use.
 type refusalCache struct {
 	mu       sync.Mutex
 	refusals map[string]refusal // by tenant
@@ -22,13 +22,14 @@
 
 type refusal struct {
 	cost       float64
-	until      time.Time // it counts
+	until      time.Time // the refusal applies up to then
 	retryAfter time.Time
 }
 
 func newRefusalCache() *refusalCache { return &refusalCache{refusals: map[string]refusal{}} }
 
-// add takes in an owner's refusal. One without a retryAfter is for ever, and counts for that cost alone.
+// add records an owner's refusal. It ignores refusals without a retryAfter: these are permanent, and say nothing about
+// requests of another cost.
 func (c *refusalCache) add(subscriber string, cost float64, now time.Time, retryAfter time.Duration) {
 	if retryAfter <= 0 {
 		return
@@ -45,7 +46,7 @@
 	c.refusals[subscriber] = refusal{cost, now.Add(min(retryAfter, maxLocalRefusal)), now.Add(retryAfter)}
 }
 
-// find returns the refusal of a request that needs not be asked for; a zero Decision: it has to be.
+// find returns the refusal that applies to a request, or a zero Decision if the owner has to be asked.
 func (c *refusalCache) find(subscriber string, cost float64, now time.Time) Decision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/dataplane/routing/advisor.go
+++ b/internal/dataplane/routing/advisor.go
@@ -15,25 +15,25 @@
 	sharers     *budgetshare.Membership
 	warmup      *budgetshare.WarmupBudget
 	retryBudget *budgetshare.RetryBudget
-	names       map[balancer.BackendID]string // ids on the wire
+	names       map[balancer.BackendID]string // the backends' ids on the wire
 	peerBacklog peerBacklog
 }
 
 var _ balancer.Advice = (*Advisor)(nil)
 
-// Config is how an Advisor starts.
+// Config configures an Advisor.
 type Config struct {
-	// Self is this proxy's name among those that share budgets.
+	// Self is this proxy's name among the proxies that share the budgets.
 	Self string
 	// ServesModels says that the backends load models.
 	ServesModels bool
 	// Warmup limits the requests to backends that have just started.
 	Warmup budgetshare.WarmupConfig
-	// RetryBudget limits the requests that are sent once more.
+	// RetryBudget limits the retries.
 	RetryBudget budgetshare.RetryConfig
 }
 
-// New makes the advisor of a process that starts now.
+// New returns an advisor. now is the start of the process.
 func New(cfg Config, now time.Duration) *Advisor {
 	sharers := budgetshare.NewMembership(cfg.Self, now)
 	return &Advisor{
@@ -46,12 +46,12 @@
 	}
 }
 
-// CanServe implements balancer.Advice: whether a backend has the request's model and adapter loaded.
+// CanServe implements balancer.Advice: it reports whether a backend has the request's model and adapter loaded.
 func (a *Advisor) CanServe(q *balancer.Request, to balancer.BackendID) bool {
 	return a.models.CanServe(q.Needs, to)
 }
 
-// Allows implements balancer.Advice: whether a backend that warms up may have one more request.
+// Allows implements balancer.Advice: it reports whether a backend that is warming up may receive another request.
 func (a *Advisor) Allows(now time.Duration, to balancer.BackendID) bool {
 	return a.warmup.Allows(now, a.names[to])
 }
@@ -65,15 +65,16 @@
 // Slots implements balancer.Advice.
 func (a *Advisor) Slots(to balancer.BackendID) int { return a.models.Slots(to) }
 
-// ExtraDelay implements balancer.Advice: what peers have sent there has to be begun first.
+// ExtraDelay implements balancer.Advice: it returns the work, in ms, that other proxies have sent to a backend and that
+// the backend has to start on first.
 func (a *Advisor) ExtraDelay(now time.Duration, _ *balancer.Request, to balancer.BackendID) float64 {
 	return a.peerBacklog.workMS(now, to)
 }
 
-// TryRetry implements balancer.Advice: it takes a retry from the budget where there is one left.
+// TryRetry implements balancer.Advice: it takes a retry from the budget if one is left.
 func (a *Advisor) TryRetry(now time.Duration) bool { return a.retryBudget.TryAcquire(now) }
 
-// ConfigureWarmup sets what backends that have just started bear.
+// ConfigureWarmup changes the limit on requests to backends that have just started.
 func (a *Advisor) ConfigureWarmup(cfg budgetshare.WarmupConfig) { a.warmup.Configure(cfg) }
 
 // SetSharers sets the names of the proxies that share the budgets. fresh says that the membership is up to date.
@@ -81,21 +82,21 @@
 	a.sharers.Update(now, names, fresh)
 }
 
-// RecordPeerBacklog records the work that peers have sent to the backends.
+// RecordPeerBacklog records the work that other proxies have sent to the backends.
 func (a *Advisor) RecordPeerBacklog(now time.Duration, work backlog.Work) {
 	a.peerBacklog.record(now, work)
 }
 
-// Backend is what the advisor knows of a backend of the membership.
+// Backend is a backend of the service's membership.
 type Backend struct {
 	prefixcache.Backend
 	// Name is the backend's id on the wire.
 	Name string
-	// WarmupLeft is how long the backend still warms up.
+	// WarmupLeft is the remaining warm-up time.
 	WarmupLeft time.Duration
 }
 
-// SetBackends sets the backends that exist.
+// SetBackends replaces the list of the service's backends.
 func (a *Advisor) SetBackends(now time.Duration, backends []Backend) {
 	clear(a.names)
 	clear(a.peerBacklog.keys)
--- a/internal/dataplane/routing/advisor_test.go
+++ b/internal/dataplane/routing/advisor_test.go
@@ -28,11 +28,11 @@
 	is := is.New(t)
 	a := newAdvisor()
 	q := &balancer.Request{}
-	is.Equal(a.ExtraDelay(0, q, 1), 0.0) // no report has come
+	is.Equal(a.ExtraDelay(0, q, 1), 0.0) // no report yet
 	a.RecordPeerBacklog(time.Second, backlog.Work{backlog.Key("one"): 250})
 	is.Equal(a.ExtraDelay(time.Second, q, 1), 250.0)
 	is.Equal(a.ExtraDelay(time.Second, q, 2), 0.0)
-	is.Equal(a.ExtraDelay(time.Second, q, 3), 0.0)                                    // it is not listed
+	is.Equal(a.ExtraDelay(time.Second, q, 3), 0.0)                                    // the backend is unknown
 	is.Equal(a.ExtraDelay(time.Second+backlog.ReportTTL+time.Millisecond, q, 1), 0.0) // the report has expired
 }
 
@@ -47,15 +47,15 @@
 	is.True(!holds("m", "a1", 2))
 	is.True(!holds("n", "", 1))
 	is.True(!holds("unknown", "", 1))
-	is.True(a.CanServe(&balancer.Request{}, 1)) // nothing is needed
+	is.True(a.CanServe(&balancer.Request{}, 1)) // the request needs no model
 	is.Equal(a.Slots(2), 8)
-	// The same question after another list has another answer.
+	// A new list of backends changes the answer for the same request.
 	q := &balancer.Request{Needs: &balancer.Needs{Model: "n"}}
 	is.True(!a.CanServe(q, 1))
 	a.SetBackends(0, []Backend{{Backend: prefixcache.Backend{ID: 1, Slots: 4, Loaded: []prefixcache.LoadedModel{{Model: "n"}}}, Name: "one"}})
 	is.True(a.CanServe(q, 1))
 	is.True(!a.CanServe(q, 2))
-	// Whoever has just failed it is passed by.
+	// The backend that has just failed the request is avoided.
 	is.True(!a.CanServe(&balancer.Request{Needs: &balancer.Needs{Model: "n", Avoid: 1}}, 1))
 }
 
@@ -64,9 +64,9 @@
 	const short, long = 800 * time.Millisecond, 6 * time.Second
 	is.Equal(BackendPriority(short, 1, 0), 1)
 	is.Equal(BackendPriority(short, 2, 0), 2)
-	is.Equal(BackendPriority(long, 0, 0), 3)                     // it has time
-	is.Equal(BackendPriority(short, 0, short+1), lowestPriority) // it misses its target
-	is.Equal(BackendPriority(long, 0, short+1), 3)               // it is not
-	is.Equal(BackendPriority(time.Hour, 20, 0), lowestPriority)  // as backends know them
+	is.Equal(BackendPriority(long, 0, 0), 3)                     // the request can wait
+	is.Equal(BackendPriority(short, 0, short+1), lowestPriority) // the request misses its target
+	is.Equal(BackendPriority(long, 0, short+1), 3)               // the target can still be met
+	is.Equal(BackendPriority(time.Hour, 20, 0), lowestPriority)  // backends support no lower one
 	is.Equal(BackendPriority(short, -3, 0), 0)
 }
--- a/internal/dataplane/routing/config.go
+++ b/internal/dataplane/routing/config.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// connectTimeout bounds the making of a connection to a backend, and paces health checks.
+	// connectTimeout bounds the time to connect to a backend, and paces health checks.
 	connectTimeout = 600 * time.Millisecond
-	// sweepInterval is how often a service looks at what time alone brings. Each sweep goes over
-	// all backends: it is much of what a proxy costs that has little to do.
+	// sweepInterval is the interval at which a service handles changes that depend on time alone. Each sweep goes over
+	// all backends, which is much of the cost of a proxy with little traffic.
 	sweepInterval = 100 * time.Millisecond
 	// connectionIdleTimeout is how long a connection to a backend may be idle.
 	connectionIdleTimeout = 20 * time.Second
-	// maxAttempts bounds the attempts of a request, those that did not run among them.
+	// maxAttempts bounds the attempts of a request, including those that a backend did not run.
 	maxAttempts = 6
-	// crossZonePrice is what sending a request to another zone costs, in requests of mean value.
+	// crossZonePrice is the cost of sending a request to another zone, in units of the mean value of a request.
 	crossZonePrice = 0.03
-	// maxRetryAfter bounds what clients are asked to wait.
+	// maxRetryAfter bounds the Retry-After sent to clients.
 	maxRetryAfter = 5 * time.Second
-	// restartWarmup is next to nothing: a backend that restarts has another id.
+	// restartWarmup is negligible, as a backend that restarts has a new id.
 	restartWarmup = time.Millisecond
 )
 
-// BalancerConfig is the balancer's configuration for one service. proxies is how many there are, rank a number
-// that tells this one apart, and zone the index of its zone.
+// BalancerConfig returns the balancer's configuration for one service. proxies is the number of proxies, rank a number
+// that distinguishes this one, and zone the index of its zone.
 func BalancerConfig(classes []balancer.Class, proxies, rank, zone int, advice balancer.Advice) balancer.Config {
 	return balancer.Config{
 		Instances: max(1, proxies), Rank: rank, Zone: zone, Tick: time.Millisecond,
--- a/internal/dataplane/routing/doc.go
+++ b/internal/dataplane/routing/doc.go
@@ -1,9 +1,9 @@
-// Package routing is what a proxy knows of a service's backends beyond what their answers teach: which models they
-// have loaded, how much of the budgets that all proxies share is this proxy's, and what its peers have sent them. The
-// balancer asks it in the course of its events (balancer.Advice), as a load balancer asks a control plane's xDS feed
-// for more than the endpoints. It also gives the balancer's configuration, the work of a request and the priority that
-// a backend is told.
+// Package routing provides the balancer with the data about a service's backends that it can't learn from their
+// responses: the models that they have loaded, this proxy's share of the budgets that all proxies share, and the work
+// that other proxies have sent them. The balancer queries it through balancer.Advice, as a load balancer gets more than
+// endpoints from a control plane's xDS feed. The package also provides the balancer's configuration, estimates the work
+// of a request, and computes the priority that is sent to a backend.
 //
-// An Advisor is owned by the engine of its service (internal/dataplane/gateway) and called on its goroutine only. The
-// package is pure: it is given the time, and never sends anything.
+// An Advisor is owned by the engine of its service (internal/dataplane/gateway) and called only on its goroutine. The
+// package is pure: time is a parameter, and it sends nothing.
 package routing
