--- a/internal/dataplane/quotaclient/histories_test.go
+++ b/internal/dataplane/quotaclient/histories_test.go
@@ -50,13 +50,13 @@
 // node is a machine with a proxy and an agent.
 type node struct {
 	*api.Node
-	client      *Client
-	ledger      *ledger.Ledger
-	leases      map[string]ledger.Lease
-	known       map[string]*api.Ownership // the owners of shards, by lease key, in the state that the node has received
-	version     uint64                    // the version of the limits in the ledger
-	frozenUntil time.Duration
-	cutUntil    time.Duration
+	client           *Client
+	ledger           *ledger.Ledger
+	leases           map[string]ledger.Lease
+	known            map[string]*api.Ownership // the owners of shards, by lease key, in the state that the node has received
+	version          uint64                    // the version of the limits in the ledger
+	frozenUntil      time.Duration
+	partitionedUntil time.Duration
 }
 
 func (n *node) holder() string { return lease.HolderID(n.Name, n.Incarnation) }
@@ -69,10 +69,10 @@
 	n.ledger, n.leases, n.known = ledger.New(rule), map[string]ledger.Lease{}, map[string]*api.Ownership{}
 }
 
-// sent is a request that a client has sent. owed means that it is within the tenant's limit.
+// sent is a request that a client has sent. withinLimit means that it is within the tenant's limit.
 type sent struct {
-	at                 time.Duration
-	owed, granted, ran bool
+	at                        time.Duration
+	withinLimit, granted, ran bool
 }
 
 // limitChange is the limit that a tenant has from a time on.
@@ -85,24 +85,24 @@
 // refusedShare check which requests were granted and run by backends.
 type history struct {
 	*rand.Rand
-	now        time.Duration
-	pending    events
-	nodes      []*node
-	manager    *lease.Manager
-	owned      map[string]*api.Ownership
-	lastToken  uint64
-	version    uint64
-	limits     map[string]tokenbucket.Limit
-	changes    map[string][]limitChange
-	requests   map[string][]*sent
-	rule       tokenbucket.Rule
-	cost       float64       // of each request
-	faultGap   time.Duration // the longest time between two faults; 0: no faults
-	sendDelay  time.Duration // the longest time from the sending of a request to the call for quota
-	faultKinds int           // the number of cases that disturb chooses from: 4, or 5 with changes of limits
-	lossy      int           // one in this many messages is late, lost or duplicated; 0: none
-	idle       time.Duration // the longest pause in a tenant's requests
-	down       time.Duration // backends are down for this long, then up for as long, and so on; 0: always up
+	now                time.Duration
+	pending            events
+	nodes              []*node
+	manager            *lease.Manager
+	owned              map[string]*api.Ownership
+	lastToken          uint64
+	version            uint64
+	limits             map[string]tokenbucket.Limit
+	changes            map[string][]limitChange
+	requests           map[string][]*sent
+	rule               tokenbucket.Rule
+	cost               float64       // of each request
+	faultGap           time.Duration // the longest time between two faults; 0: no faults
+	sendDelay          time.Duration // the longest time from the sending of a request to the call for quota
+	faultKinds         int           // the number of cases that injectFault chooses from: 4, or 5 with changes of limits
+	faultyMessageEvery int           // one in this many messages is late, lost or duplicated; 0: none
+	idle               time.Duration // the longest pause in a tenant's requests
+	down               time.Duration // backends are down for this long, then up for as long, and so on; 0: always up
 }
 
 func newHistory(seed uint64, nodes int, faults bool) *history {
@@ -134,7 +134,7 @@
 	h.cost = []float64{600, 2400}[h.IntN(2)]
 	h.faultGap, h.sendDelay = 2*time.Second+h.upTo(16*time.Second), maxSendDelay
 	h.faultKinds = 4 + h.IntN(2)
-	h.lossy = []int{6, 50}[h.IntN(2)]
+	h.faultyMessageEvery = []int{6, 50}[h.IntN(2)]
 	h.idle = time.Duration(h.IntN(2)) * 16 * time.Second
 	h.down = time.Duration(h.IntN(2)) * (time.Second + h.upTo(4*time.Second))
 }
@@ -190,7 +190,7 @@
 	}
 	owned, limits, version := maps.Clone(h.owned), maps.Clone(h.limits), h.version
 	for _, n := range h.nodes {
-		if h.now < n.cutUntil {
+		if h.now < n.partitionedUntil {
 			continue
 		}
 		h.onNode(n, h.upTo(100*time.Millisecond), func() {
@@ -214,7 +214,7 @@
 			named = append(named, ownership)
 		}
 	}
-	if len(named) == 0 || h.now < n.cutUntil {
+	if len(named) == 0 || h.now < n.partitionedUntil {
 		return
 	}
 	renewed := h.manager.Renew(holder, false, named)
@@ -231,7 +231,7 @@
 
 // sendRequests makes clients of a tenant send requests through random proxies at load times the rate of its limit.
 func (h *history) sendRequests(name string, load float64, reference *tokenbucket.Bucket) {
-	r := &sent{at: h.now, owed: reference.Take(h.now, h.cost)}
+	r := &sent{at: h.now, withinLimit: reference.Take(h.now, h.cost)}
 	h.requests[name] = append(h.requests[name], r)
 	n := h.nodes[h.IntN(len(h.nodes))]
 	h.onNode(n, h.upTo(h.sendDelay), func() {
@@ -259,7 +259,7 @@
 	owner := h.nodes[index]
 	request := &api.AcquireQuotaRequest{Subscriber: name, Cost: h.cost, Refunds: n.client.refunds.take(shard.Of(name), began)}
 	copies := 1
-	if h.lossy > 0 && h.IntN(h.lossy) == 0 {
+	if h.faultyMessageEvery > 0 && h.IntN(h.faultyMessageEvery) == 0 {
 		copies = h.IntN(3)
 	}
 	decided := false
@@ -281,9 +281,9 @@
 // if one of the nodes is cut off.
 func (h *history) delay(from, to *node) time.Duration {
 	switch {
-	case from != to && (h.now < from.cutUntil || h.now < to.cutUntil):
+	case from != to && (h.now < from.partitionedUntil || h.now < to.partitionedUntil):
 		return historyTime
-	case h.lossy > 0 && h.IntN(h.lossy) == 0:
+	case h.faultyMessageEvery > 0 && h.IntN(h.faultyMessageEvery) == 0:
 		return h.upTo(3 * time.Second)
 	}
 	return time.Millisecond + h.upTo(8*time.Millisecond)
@@ -317,10 +317,10 @@
 	h.onNode(n, h.upTo(500*time.Millisecond), func() { n.client.Refund(decision) })
 }
 
-// disturb draws faults and changes of limits.
-func (h *history) disturb() {
+// injectFault draws faults and changes of limits.
+func (h *history) injectFault() {
 	n := h.nodes[h.IntN(len(h.nodes))]
-	if h.IntN(2) == 0 { // disturb the owner of tenant-0's shard
+	if h.IntN(2) == 0 { // hit the owner of tenant-0's shard
 		if ownership := h.owned[shard.LeaseKey(shard.Of("tenant-0"))]; ownership != nil {
 			index, _ := strconv.Atoi(ownership.Address)
 			n = h.nodes[index]
@@ -332,7 +332,7 @@
 	case 2:
 		n.frozenUntil = h.now + h.upTo(6*time.Second)
 	case 3:
-		n.cutUntil = h.now + h.upTo(6*time.Second)
+		n.partitionedUntil = h.now + h.upTo(6*time.Second)
 	case 4:
 		limit := tokenbucket.Limit{RatePerS: 1000 + 5000*h.Float64(), BurstSize: 16800 * h.Float64(), RequestCost: h.cost}
 		name := fmt.Sprintf("tenant-%d", h.IntN(3))
@@ -342,7 +342,7 @@
 			h.after(h.upTo(time.Second), func() { h.setLimit(name, limit) })
 		}
 	}
-	h.after(h.upTo(h.faultGap), h.disturb)
+	h.after(h.upTo(h.faultGap), h.injectFault)
 }
 
 // play runs the history to its end.
@@ -356,7 +356,7 @@
 		h.after(6*time.Second, func() { h.sendRequests(name, load, reference) })
 	}
 	if h.faultGap > 0 {
-		h.after(4*time.Second, h.disturb)
+		h.after(4*time.Second, h.injectFault)
 	}
 	for len(h.pending) > 0 && h.pending[0].at < historyTime {
 		next := heap.Pop(&h.pending).(event)
@@ -404,16 +404,16 @@
 
 // refusedShare returns the fraction of a tenant's requests within its limit that were not granted.
 func (h *history) refusedShare(name string) float64 {
-	owed, refused := 0, 0
+	withinLimit, refused := 0, 0
 	for _, r := range h.requests[name] {
-		if r.owed {
-			owed++
+		if r.withinLimit {
+			withinLimit++
 		}
-		if r.owed && !r.granted {
+		if r.withinLimit && !r.granted {
 			refused++
 		}
 	}
-	return float64(refused) / float64(max(1, owed))
+	return float64(refused) / float64(max(1, withinLimit))
 }
 
 // playAll plays histories. It returns the highest result of worstExcess and, sorted, the refusedShare of each history for
--- a/internal/dataplane/quotaclient/refusals.go
+++ b/internal/dataplane/quotaclient/refusals.go
@@ -9,8 +9,8 @@
 	// maxLocalRefusal bounds how long an owner's refusal is applied to further requests of the tenant. Raising it saves
 	// calls to the owner while a tenant floods, but also refuses requests that could be granted after a refund.
 	maxLocalRefusal = 100 * time.Millisecond
-	// refusalsSwept is the number of refusals from which on add removes the expired ones.
-	refusalsSwept = 256
+	// refusalSweepSize is the number of refusals from which on add removes the expired ones.
+	refusalSweepSize = 256
 )
 
 // refusalCache refuses requests of tenants that an owner has just refused, until the time that the owner gave. Its
@@ -36,7 +36,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.refusals) >= refusalsSwept {
+	if len(c.refusals) >= refusalSweepSize {
 		for name, old := range c.refusals {
 			if !now.Before(old.until) {
 				delete(c.refusals, name)
--- a/internal/dataplane/routing/advisor_test.go
+++ b/internal/dataplane/routing/advisor_test.go
@@ -24,7 +24,7 @@
 	return a
 }
 
-func TestExtraIsPeerBacklog(t *testing.T) {
+func TestExtraDelayIsPeerBacklog(t *testing.T) {
 	is := is.New(t)
 	a := newAdvisor()
 	q := &balancer.Request{}
@@ -36,17 +36,17 @@
 	is.Equal(a.ExtraDelay(time.Second+backlog.ReportTTL+time.Millisecond, q, 1), 0.0) // the report has expired
 }
 
-func TestHoldsLoadedModels(t *testing.T) {
+func TestCanServeLoadedModels(t *testing.T) {
 	is := is.New(t)
 	a := newAdvisor()
-	holds := func(model, adapter string, id balancer.BackendID) bool {
+	canServe := func(model, adapter string, id balancer.BackendID) bool {
 		return a.CanServe(&balancer.Request{Needs: &balancer.Needs{Model: model, Adapter: adapter}}, id)
 	}
-	is.True(holds("m", "", 1))
-	is.True(holds("m", "a1", 1))
-	is.True(!holds("m", "a1", 2))
-	is.True(!holds("n", "", 1))
-	is.True(!holds("unknown", "", 1))
+	is.True(canServe("m", "", 1))
+	is.True(canServe("m", "a1", 1))
+	is.True(!canServe("m", "a1", 2))
+	is.True(!canServe("n", "", 1))
+	is.True(!canServe("unknown", "", 1))
 	is.True(a.CanServe(&balancer.Request{}, 1)) // the request needs no model
 	is.Equal(a.Slots(2), 8)
 	// A new list of backends changes the answer for the same request.
--- a/internal/distribution/watch/longpoll.go
+++ b/internal/distribution/watch/longpoll.go
@@ -22,7 +22,7 @@
 func (s *Store) BatchAsRelay() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.relays = true
+	s.isRelay = true
 }
 
 // batchWindowFor returns the batch window of a subscriber. One that subscribes to everything always gets the long window,
@@ -30,7 +30,7 @@
 func (s *Store) batchWindowFor(topics Topics) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.relays && !topics.All() {
+	if s.isRelay && !topics.All() {
 		return relayBatchWindow
 	}
 	return batchWindow
--- a/internal/distribution/watch/store.go
+++ b/internal/distribution/watch/store.go
@@ -15,7 +15,7 @@
 	source   string // identifies this store, and the incarnation of its process, to subscribers
 	revision uint64
 	changed  chan struct{} // closed at the next revision
-	relays   bool          // the store is filled from other stores: see BatchAsRelay
+	isRelay  bool          // the store is filled from other stores: see BatchAsRelay
 
 	machine  *state.Machine // the replicated state after the entry at sequence
 	sequence uint64
--- a/internal/quota/tokenbucket/rule.go
+++ b/internal/quota/tokenbucket/rule.go
@@ -27,6 +27,7 @@
 	RequestCost float64
 }
 
+// Limited reports whether the tenant has a limit.
 func (l Limit) Limited() bool { return l.RatePerS > 0 }
 
 // Bound returns the highest total cost that the rule allows in one window.
