--- a/internal/quota/ledger/ledger_test.go
+++ b/internal/quota/ledger/ledger_test.go
@@ -16,7 +16,7 @@
 	return map[string]tokenbucket.Limit{"harbor": {RatePerS: 100, BurstSize: 10, Unit: unit, RequestCost: 1}, "free": {}}
 }
 
-// lease returns a lease that is held since 1 s and does not expire during a test.
+// lease returns a lease that starts at 1 s and does not expire during a test.
 func lease(token uint64) Lease {
 	return Lease{FencingToken: token, Since: time.Second, Expiry: time.Hour}
 }
