--- a/internal/balancer/budgetshare/budgetshare_test.go
+++ b/internal/balancer/budgetshare/budgetshare_test.go
@@ -55,7 +55,7 @@
 	for seed := range 30 {
 		rng := rand.New(rand.NewPCG(uint64(seed), 7))
 		h := newHistory(rng)
-		h.play()
+		h.run()
 		h.check(t, seed)
 	}
 }
@@ -109,7 +109,7 @@
 	return h
 }
 
-func (h *history) play() {
+func (h *history) run() {
 	for ; h.now < historyLength; h.now += historyStep {
 		var names []string
 		for _, p := range h.proxies {
@@ -119,7 +119,7 @@
 		}
 		h.lists = append(h.lists, names)
 		for _, p := range h.proxies {
-			h.disturb(p)
+			h.injectFaults(p)
 			if p.running {
 				h.serve(p)
 			}
@@ -127,8 +127,8 @@
 	}
 }
 
-// disturb ends or starts a proxy, or begins or ends a partition, now and then.
-func (h *history) disturb(p *simulatedProxy) {
+// injectFaults ends or starts a proxy, or begins or ends a partition, now and then.
+func (h *history) injectFaults(p *simulatedProxy) {
 	if h.rng.IntN(4000) == 0 {
 		p.running = false
 	} else if !p.running && h.rng.IntN(200) == 0 {
@@ -165,11 +165,11 @@
 	t.Helper()
 	maxWarmup := warmupBound.PerSecond*warmupBound.Excess + warmupBound.Slack
 	for at := time.Duration(0); at < historyLength; at += 100 * time.Millisecond {
-		if n := within(h.warmupSent, at, time.Second); float64(n) > maxWarmup {
+		if n := countWithin(h.warmupSent, at, time.Second); float64(n) > maxWarmup {
 			t.Fatalf("seed %d: %d requests reach a warming backend in the second from %v", seed, n, at)
 		}
-		maxRetries := retryBound.Ratio*float64(within(h.requests, at, retryBound.Window)) + retryBound.Slack
-		if n := within(h.retries, at, retryBound.Window); float64(n) > maxRetries {
+		maxRetries := retryBound.Ratio*float64(countWithin(h.requests, at, retryBound.Window)) + retryBound.Slack
+		if n := countWithin(h.retries, at, retryBound.Window); float64(n) > maxRetries {
 			t.Fatalf("seed %d: %d retries in the window from %v, and %v are allowed", seed, n, at, maxRetries)
 		}
 	}
@@ -178,7 +178,7 @@
 	}
 }
 
-func within(times []time.Duration, from, span time.Duration) int {
+func countWithin(times []time.Duration, from, span time.Duration) int {
 	n := 0
 	for _, at := range times {
 		if at >= from && at < from+span {
--- a/internal/balancer/budgetshare/membership.go
+++ b/internal/balancer/budgetshare/membership.go
@@ -81,8 +81,8 @@
 	if !slices.Contains(names, s.self) {
 		return 0
 	}
-	each, left := total/len(names), total%len(names)
-	if left == 0 {
+	each, remainder := total/len(names), total%len(names)
+	if remainder == 0 {
 		return each
 	}
 	mine := score(key, s.self)
@@ -92,7 +92,7 @@
 			ahead++
 		}
 	}
-	if ahead < left {
+	if ahead < remainder {
 		return each + 1
 	}
 	return each
--- a/internal/balancer/connectionfailure/model.go
+++ b/internal/balancer/connectionfailure/model.go
@@ -73,6 +73,6 @@
 }
 
 // Resume goes on with the State of another process, away ago.
-func (m *Model) Resume(alarms, answered float64, away, now time.Duration) {
-	m.falseAlarms, m.answers = decay.NewSum(alarms, now-away), decay.NewSum(answered, now-away)
+func (m *Model) Resume(alarms, answered float64, elapsed, now time.Duration) {
+	m.falseAlarms, m.answers = decay.NewSum(alarms, now-elapsed), decay.NewSum(answered, now-elapsed)
 }
--- a/internal/balancer/connectionfailure/model_test.go
+++ b/internal/balancer/connectionfailure/model_test.go
@@ -7,7 +7,7 @@
 
 const second = time.Second
 
-func TestThresholdGrowsWithUsualBreaks(t *testing.T) {
+func TestThresholdRisesWithBreakRate(t *testing.T) {
 	m := New(20 * second)
 	if n := m.FailureThreshold(second); n != MinFailureRun {
 		t.Errorf("with nothing learnt, %d in a row are a death", n)
--- a/internal/balancer/connections/model.go
+++ b/internal/balancer/connections/model.go
@@ -112,9 +112,9 @@
 	current    bool // hazards are those of the evidence, but for what has decayed since
 }
 
-func (l *level) decay(now, memory time.Duration) {
+func (l *level) decay(now, timeConstant time.Duration) {
 	if now > l.at {
-		f := math.Exp(-float64(now-l.at) / float64(memory))
+		f := math.Exp(-float64(now-l.at) / float64(timeConstant))
 		for i := range l.cells {
 			l.cells[i].uses *= f
 			l.cells[i].broken *= f
@@ -263,9 +263,9 @@
 		merged := hazardBlock{t.hazard(prior, m.cfg.Weight), t.uses + m.cfg.Weight, 1}
 		prior = merged.hazard // of the widest level: older ones break as often at least, nothing else being known
 		for ; n > 0 && blocks[n-1].hazard > merged.hazard; n-- {
-			a := blocks[n-1]
-			sum := a.weight + merged.weight
-			merged = hazardBlock{(a.hazard*a.weight + merged.hazard*merged.weight) / sum, sum, a.cells + merged.cells}
+			previous := blocks[n-1]
+			sum := previous.weight + merged.weight
+			merged = hazardBlock{(previous.hazard*previous.weight + merged.hazard*merged.weight) / sum, sum, previous.cells + merged.cells}
 		}
 		blocks[n] = merged
 		n++
@@ -282,16 +282,16 @@
 // hazards are those of a backend; a level that has seen nothing has the wider one's.
 func (m *Model) hazards(now time.Duration, backend uint32, zone int) *[cells]float64 {
 	m.refreshHazards(now, &m.all, nil)
-	widest := &m.all
+	narrowest := &m.all
 	if z := m.zones[zone]; z != nil {
-		m.refreshHazards(now, z, widest)
-		widest = z
+		m.refreshHazards(now, z, narrowest)
+		narrowest = z
 	}
-	if o := m.backends[backend]; o != nil {
-		m.refreshHazards(now, o, widest)
-		widest = o
+	if b := m.backends[backend]; b != nil {
+		m.refreshHazards(now, b, narrowest)
+		narrowest = b
 	}
-	return &widest.hazards
+	return &narrowest.hazards
 }
 
 // Hazard is the chance that a use breaks after its request was written.
@@ -345,16 +345,16 @@
 		return Dial
 	}
 	hazards := m.hazards(now, backend, zone)
-	of := func(i int) float64 { return hazards[cell(Use{Idle: idle[i], Large: s.Large})] }
+	hazardOf := func(i int) float64 { return hazards[cell(Use{Idle: idle[i], Large: s.Large})] }
 	dial := math.Inf(1)
 	if mayDial {
 		dial = hazards[cell(Use{New: true, Large: s.Large})]*s.loss() + m.cfg.HandshakeCost
 	}
 	lowest, worstAcceptable := math.Inf(1), -1
 	for i := range idle {
-		h := of(i)
+		h := hazardOf(i)
 		lowest = min(lowest, h)
-		if h*s.loss() <= dial && (worstAcceptable < 0 || h > of(worstAcceptable)) {
+		if h*s.loss() <= dial && (worstAcceptable < 0 || h > hazardOf(worstAcceptable)) {
 			worstAcceptable = i
 		}
 	}
@@ -362,13 +362,13 @@
 		return Dial
 	}
 	best := len(idle) - 1 // of those that are alike the latest used
-	for of(best) > lowest+equalHazard {
+	for hazardOf(best) > lowest+equalHazard {
 		best--
 	}
 	// A request that may be retried takes the worst that is still better than a new one, and
 	// so leaves the best for one that needs it and tests the rest. While all are alike, the
 	// latest used is taken: the others stay idle until they are closed.
-	if s.Effect == Delayed && worstAcceptable >= 0 && of(worstAcceptable)-lowest > significantSpread {
+	if s.Effect == Delayed && worstAcceptable >= 0 && hazardOf(worstAcceptable)-lowest > significantSpread {
 		return worstAcceptable
 	}
 	return best
--- a/internal/balancer/connections/state.go
+++ b/internal/balancer/connections/state.go
@@ -30,13 +30,13 @@
 }
 
 // Resume goes on with what another process had learned, away ago, if it had seen more.
-func (m *Model) Resume(s State, away, now time.Duration) {
+func (m *Model) Resume(s State, elapsed, now time.Duration) {
 	l := &m.all
 	l.decay(now, m.cfg.TimeConstant)
 	if l.early.uses >= s.EarlyUses {
 		return
 	}
-	*l = level{at: now - away, early: tally{s.EarlyUses, min(s.EarlyBroken, s.EarlyUses)}}
+	*l = level{at: now - elapsed, early: tally{s.EarlyUses, min(s.EarlyBroken, s.EarlyUses)}}
 	for i := range l.cells {
 		l.cells[i] = tally{s.Uses[i], min(s.Broken[i], s.Uses[i])}
 	}
--- a/internal/balancer/goodput/tracker.go
+++ b/internal/balancer/goodput/tracker.go
@@ -49,7 +49,7 @@
 	old := l.tenants
 	l.tenants = make([]tally, len(from))
 	for i, k := range from {
-		if was := at(old, k); was != nil {
+		if was := tallyAt(old, k); was != nil {
 			l.tenants[i] = *was
 		}
 	}
@@ -69,7 +69,7 @@
 // Record adds utility that was offered, and utility that was completed. A class or a tenant that
 // is not known counts for the total alone.
 func (l *Tracker) Record(class, tenant int, offered, completed float64) {
-	for _, t := range [3]*tally{&l.total, at(l.classes, class), at(l.tenants, tenant)} {
+	for _, t := range [3]*tally{&l.total, tallyAt(l.classes, class), tallyAt(l.tenants, tenant)} {
 		if t != nil {
 			t.offered, t.completed = t.offered+offered, t.completed+completed
 		}
@@ -90,10 +90,10 @@
 // that lies within its tenant's quota, which alone counts for the tenant.
 func (l *Tracker) MarginalUtility(class, tenant int, withinQuota float64) float64 {
 	v := (l.goal.Total + l.goal.WorstWindow) / max(l.total.offered, 1e-9)
-	if t := at(l.classes, class); t != nil && isWorst(t, l.classes) {
+	if t := tallyAt(l.classes, class); t != nil && isWorst(t, l.classes) {
 		v += l.goal.WorstClass / t.offered
 	}
-	if t := at(l.tenants, tenant); t != nil && isWorst(t, l.tenants) {
+	if t := tallyAt(l.tenants, tenant); t != nil && isWorst(t, l.tenants) {
 		v += l.goal.WorstTenant / t.offered * withinQuota
 	}
 	return v
@@ -115,7 +115,7 @@
 	return t.offered > 0
 }
 
-func at(list []tally, i int) *tally {
+func tallyAt(list []tally, i int) *tally {
 	if i < 0 || i >= len(list) {
 		return nil
 	}
--- a/internal/balancer/goodput/tracker_test.go
+++ b/internal/balancer/goodput/tracker_test.go
@@ -8,26 +8,26 @@
 	"pgregory.net/rapid"
 )
 
-// goal is the goal by its definition, for the gain to be held against.
-func goal(g Goal, l *Tracker) float64 {
-	least := func(list []tally) float64 {
+// goalValue is the goalValue by its definition, for the gain to be held against.
+func goalValue(g Goal, l *Tracker) float64 {
+	worstRatio := func(list []tally) float64 {
 		low := 1.0
 		for i := range list {
 			low = min(low, list[i].successRatio())
 		}
 		return low
 	}
-	return (g.Total+g.WorstWindow)*l.total.successRatio() + g.WorstClass*least(l.classes) + g.WorstTenant*least(l.tenants)
+	return (g.Total+g.WorstWindow)*l.total.successRatio() + g.WorstClass*worstRatio(l.classes) + g.WorstTenant*worstRatio(l.tenants)
 }
 
-// apart tells whether one is served clearly worse than all others.
-func apart(list []tally) bool {
-	shares := []float64{}
+// hasClearWorst tells whether one is served clearly worse than all others.
+func hasClearWorst(list []tally) bool {
+	ratios := []float64{}
 	for i := range list {
-		shares = append(shares, list[i].successRatio())
+		ratios = append(ratios, list[i].successRatio())
 	}
-	slices.Sort(shares)
-	return shares[1]-shares[0] > worstTolerance
+	slices.Sort(ratios)
+	return ratios[1]-ratios[0] > worstTolerance
 }
 
 // The gain of a unit is the slope of the goal, where one class and tenant is clearly the worst.
@@ -38,26 +38,26 @@
 		worstClass, worstTenant := rapid.IntRange(0, 2).Draw(t, "class"), rapid.IntRange(0, 1).Draw(t, "tenant")
 		for c := range 3 {
 			for n := range 2 {
-				asked := rapid.Float64Range(10, 1000).Draw(t, "asked")
-				share := 0.95
+				offered := rapid.Float64Range(10, 1000).Draw(t, "asked")
+				ratio := 0.95
 				if c == worstClass {
-					share -= 0.3
+					ratio -= 0.3
 				}
 				if n == worstTenant {
-					share -= 0.2
+					ratio -= 0.2
 				}
-				l.Record(c, n, asked, asked*share)
+				l.Record(c, n, offered, offered*ratio)
 			}
 		}
-		if !apart(l.classes) || !apart(l.tenants) {
+		if !hasClearWorst(l.classes) || !hasClearWorst(l.tenants) {
 			t.Skip("two are served alike")
 		}
 		class, tenant := rapid.IntRange(0, 2).Draw(t, "of class"), rapid.IntRange(0, 1).Draw(t, "of tenant")
-		before, gain := goal(g, l), l.MarginalUtility(class, tenant, 1)
+		before, marginal := goalValue(g, l), l.MarginalUtility(class, tenant, 1)
 		const unit = 1e-3
 		l.Record(class, tenant, 0, unit)
-		if slope := (goal(g, l) - before) / unit; math.Abs(slope-gain) > 1e-6*gain {
-			t.Fatalf("gain %v, the goal rises by %v", gain, slope)
+		if slope := (goalValue(g, l) - before) / unit; math.Abs(slope-marginal) > 1e-6*marginal {
+			t.Fatalf("gain %v, the goal rises by %v", marginal, slope)
 		}
 	})
 }
--- a/internal/balancer/grayfailure/model.go
+++ b/internal/balancer/grayfailure/model.go
@@ -138,20 +138,20 @@
 
 // evidence is the log likelihood ratio of no answer, with the failure ratio e, where a good cell takes longer with the
 // probability longer.
-func (m *Model) evidence(e, longer float64) float64 {
+func (m *Model) evidence(e, survival float64) float64 {
 	q := m.cfg.AnsweredRatio
-	return math.Log((1 - q + q*longer) / (e + (1-e)*longer))
+	return math.Log((1 - q + q*survival) / (e + (1-e)*survival))
 }
 
 // drift brings a cell's fault probability to the time now.
 func (m *Model) drift(c *Cell, k int, now time.Duration) {
-	lasts := m.cfg.MinFaultDuration
+	faultDuration := m.cfg.MinFaultDuration
 	if c.ejectedAt > 0 {
-		lasts = m.cfg.MaxFaultDuration // trials tell sooner; time alone is for a class that hardly ever has one
+		faultDuration = m.cfg.MaxFaultDuration // trials tell sooner; time alone is for a class that hardly ever has one
 	}
 	wave := 1 + m.classes[k].recentEjections.Value(now, waveWindow)*waveFactor
 	begin := wave / m.cfg.MeanTimeBetweenFaults.Seconds()
-	end := 1 / lasts.Seconds()
+	end := 1 / faultDuration.Seconds()
 	stationary := begin / (begin + end)
 	if c.faultProbability == 0 {
 		c.faultProbability = stationary
@@ -162,9 +162,9 @@
 	c.updatedAt = now
 }
 
-// update is Bayes' rule: a probability after evidence of a log likelihood ratio.
-func update(bad, ratio float64) float64 {
-	odds := bad / (1 - bad) * math.Exp(ratio)
+// bayesUpdate is Bayes' rule: a probability after evidence of a log likelihood ratio.
+func bayesUpdate(probability, logLikelihoodRatio float64) float64 {
+	odds := probability / (1 - probability) * math.Exp(logLikelihoodRatio)
 	return min(odds/(1+odds), maxFaultProbability)
 }
 
@@ -176,7 +176,7 @@
 	m.drift(c, k, now)
 	bad := c.faultProbability
 	if c.inFlightEvidence != 0 {
-		bad = update(bad, c.inFlightEvidence)
+		bad = bayesUpdate(bad, c.inFlightEvidence)
 	}
 	return bad * c.otherAnswers / (c.otherAnswers + 1)
 }
@@ -235,11 +235,11 @@
 		m.recordAnswer(c, k, age, now, u)
 		return 1
 	}
-	longer := 0.0
+	survival := 0.0
 	if outcome == TimedOut {
-		longer = m.SurvivalProbability(k, age, u)
+		survival = m.SurvivalProbability(k, age, u)
 	}
-	return m.recordFailure(c, k, longer, sent, now)
+	return m.recordFailure(c, k, survival, sent, now)
 }
 
 // recordAnswer learns from an answer that came at an age (ms).
@@ -256,7 +256,7 @@
 		return
 	}
 	m.drift(c, k, now)
-	c.faultProbability = update(c.faultProbability, math.Log(m.cfg.AnsweredRatio/(1-m.failureRatio(k, now))))
+	c.faultProbability = bayesUpdate(c.faultProbability, math.Log(m.cfg.AnsweredRatio/(1-m.failureRatio(k, now))))
 	c.consecutiveFailures = 0
 	c.answeredWhileSuspected.Add(1, now, m.cfg.TimeConstant)
 	c.endedWhileSuspected.Add(1, now, m.cfg.TimeConstant)
@@ -265,26 +265,26 @@
 
 // recordFailure learns from an attempt that ended without an answer; longer is the probability that a good cell would
 // have taken longer. It returns what RecordOutcome does.
-func (m *Model) recordFailure(c *Cell, k int, longer float64, sent, now time.Duration) float64 {
+func (m *Model) recordFailure(c *Cell, k int, survival float64, sent, now time.Duration) float64 {
 	e := m.failureRatio(k, now)
-	ratio := m.evidence(e, longer)
+	logLikelihoodRatio := m.evidence(e, survival)
 	if !c.Suspected() {
-		if ratio < minEvidence { // it was cancelled before it could tell anything
+		if logLikelihoodRatio < minEvidence { // it was cancelled before it could tell anything
 			return 1
 		}
 		c.suspectedSince = sent
 	}
 	m.drift(c, k, now)
-	c.faultProbability = update(c.faultProbability, ratio)
-	if longer < 0.5 {
+	c.faultProbability = bayesUpdate(c.faultProbability, logLikelihoodRatio)
+	if survival < 0.5 {
 		c.consecutiveFailures++
 	}
-	c.endedWhileSuspected.Add(1-longer, now, m.cfg.TimeConstant)
-	c.endedEver.Add(1-longer, now, m.cfg.TimeConstant)
+	c.endedWhileSuspected.Add(1-survival, now, m.cfg.TimeConstant)
+	c.endedEver.Add(1-survival, now, m.cfg.TimeConstant)
 	good := 1 - c.faultProbability*c.otherAnswers/(c.otherAnswers+1)
 	g := &m.classes[k]
 	g.ended.Add(good, now, m.cfg.TimeConstant)
-	g.failed.Add(good*e/(e+(1-e)*longer), now, m.cfg.TimeConstant)
+	g.failed.Add(good*e/(e+(1-e)*survival), now, m.cfg.TimeConstant)
 	return good
 }
 
--- a/internal/balancer/grayfailure/model_test.go
+++ b/internal/balancer/grayfailure/model_test.go
@@ -79,22 +79,22 @@
 }
 
 func (d *simulation) send(k int) {
-	to, isTry := -1, false
-	var in []int
+	to, isTrial := -1, false
+	var candidates []int
 	for b := range d.cells {
-		if _, _, out := d.cells[b][k].EjectionState(); !out {
-			in = append(in, b)
-		} else if !isTry && d.model.MayTrial(&d.cells[b][k], k) && d.rng.IntN(3) == 0 {
-			to, isTry = b, true
+		if _, _, ejected := d.cells[b][k].EjectionState(); !ejected {
+			candidates = append(candidates, b)
+		} else if !isTrial && d.model.MayTrial(&d.cells[b][k], k) && d.rng.IntN(3) == 0 {
+			to, isTrial = b, true
 		}
 	}
 	if to < 0 {
-		if len(in) == 0 {
+		if len(candidates) == 0 {
 			return
 		}
-		to = in[d.rng.IntN(len(in))]
+		to = candidates[d.rng.IntN(len(candidates))]
 	}
-	x := &attempt{backend: to, class: k, sent: d.now, outcome: Answered, trial: isTry}
+	x := &attempt{backend: to, class: k, sent: d.now, outcome: Answered, trial: isTrial}
 	took := d.usualDelays[k] * d.delayRatios[to] * math.Exp(d.sigma[k]*d.rng.NormFloat64()-d.sigma[k]*d.sigma[k]/2)
 	x.endsAt = d.now + time.Duration(took*float64(ms))
 	silent, failing := d.fault(to, k, d.now)
@@ -106,7 +106,7 @@
 	}
 	d.inFlight = append(d.inFlight, x)
 	d.sent[k]++
-	d.model.RecordSent(&d.cells[to][k], k, isTry)
+	d.model.RecordSent(&d.cells[to][k], k, isTrial)
 }
 
 func (d *simulation) complete(x *attempt) {
@@ -231,7 +231,7 @@
 	missed, lost, sent      int
 }
 
-func (r *faultResults) play(t *testing.T, seed uint64) {
+func (r *faultResults) simulate(t *testing.T, seed uint64) {
 	t.Helper()
 	d := newSimulation(t, seed, 9, []float64{80, 70, 60, 40})
 	f := newRandomFault(d.rng)
@@ -262,7 +262,7 @@
 func TestEjectsAndReinstatesUnderRandomFaults(t *testing.T) {
 	var r faultResults
 	for seed := range uint64(60) {
-		r.play(t, seed)
+		r.simulate(t, seed)
 	}
 	t.Logf("ejected %d (missed %d): median %.2f s, worst %.2f s; reinstated %d: median %.2f s, worst %.2f s; lost to trials %.4f",
 		len(r.ejection), r.missed, quantile(r.ejection, 0.5), quantile(r.ejection, 1),
@@ -318,19 +318,19 @@
 		}
 		return 0, 0
 	}
-	out, seen := 0, 0
+	ejected, checked := 0, 0
 	d.run(13 * time.Second)
 	for d.now < 30*time.Second {
 		d.run(d.now + 200*ms)
 		for b := range d.cells {
-			seen++
+			checked++
 			if _, _, is := d.cells[b][2].EjectionState(); is {
-				out++
+				ejected++
 			}
 		}
 	}
-	if out*5 > seen {
-		t.Errorf("a class that no backend serves is ejected at %d of %d cells", out, seen)
+	if ejected*5 > checked {
+		t.Errorf("a class that no backend serves is ejected at %d of %d cells", ejected, checked)
 	}
 	for b := range d.cells {
 		for _, k := range []int{0, 1, 3} {
@@ -342,7 +342,7 @@
 }
 
 // A backend that answers nothing at all has no gray failure: no other class is answered there.
-func TestBackendThatAnswersNothingIsNoGrayFailure(t *testing.T) {
+func TestBackendThatAnswersNothingHasNoGrayFailure(t *testing.T) {
 	d := newSimulation(t, 8, 6, []float64{40, 40, 40})
 	d.fault = func(b, k int, now time.Duration) (float64, float64) {
 		if b == 0 && now > 5*time.Second {
@@ -359,7 +359,7 @@
 }
 
 // What a gray failure explains must not count against the backend: its other classes would lose it too.
-func TestOutcomeExplainedByItsClassIsNoEvidenceOnTheBackend(t *testing.T) {
+func TestOutcomeExplainedByGrayFailureIsNoEvidenceAgainstBackend(t *testing.T) {
 	m, err := New(DefaultConfig(2))
 	if err != nil {
 		t.Fatal(err)
@@ -388,7 +388,7 @@
 
 // Where the backend is slow for all classes, timeouts of one are expected.
 func TestSlowBackendExplainsTimeouts(t *testing.T) {
-	silent := func(ratio float64) float64 {
+	faultProbability := func(ratio float64) float64 {
 		m, err := New(DefaultConfig(1))
 		if err != nil {
 			t.Fatal(err)
@@ -402,20 +402,20 @@
 		}
 		return m.FaultProbability(&c, 0, now)
 	}
-	if usual, slow := silent(1), silent(4); usual < 0.5 || slow > 0.2 {
-		t.Errorf("fault probabilities of %.2f at the usual delay and %.2f at four times it", usual, slow)
+	if normal, slow := faultProbability(1), faultProbability(4); normal < 0.5 || slow > 0.2 {
+		t.Errorf("fault probabilities of %.2f at the usual delay and %.2f at four times it", normal, slow)
 	}
 }
 
 // Cells that answer but take longer for one class are told from chance.
-func TestDelayByClassOnlyBeyondChance(t *testing.T) {
+func TestClassDelayRatioIgnoresChanceVariation(t *testing.T) {
 	m, err := New(DefaultConfig(1))
 	if err != nil {
 		t.Fatal(err)
 	}
 	rng, now := rand.New(rand.NewPCG(1, 1)), time.Minute
 	cells := make([]Cell, 8)
-	fill := func(slow float64) {
+	recordAnswers := func(slow float64) {
 		for i := range cells {
 			cells[i] = Cell{}
 			for range 30 {
@@ -433,11 +433,11 @@
 		}
 		m.EndComparison()
 	}
-	fill(1)
+	recordAnswers(1)
 	if got := m.DelayRatio(&cells[0], 0, now, 1, 1); math.Abs(got-1) > 0.1 {
 		t.Errorf("all alike: %.2f times the backend's own", got)
 	}
-	fill(3)
+	recordAnswers(3)
 	if got := m.DelayRatio(&cells[0], 0, now, 1, 1); got < 2.2 || got > 4 {
 		t.Errorf("three times slower for the class: %.2f expected", got)
 	}
@@ -451,7 +451,7 @@
 }
 
 func TestValidateNamesTheField(t *testing.T) {
-	for field, spoil := range map[string]func(*Config){
+	for field, invalidate := range map[string]func(*Config){
 		"Classes":               func(c *Config) { c.Classes = 0 },
 		"AnsweredRatio":         func(c *Config) { c.AnsweredRatio = 1 },
 		"MinFaultDuration":      func(c *Config) { c.MinFaultDuration = 0 },
@@ -463,7 +463,7 @@
 	} {
 		t.Run(field, func(t *testing.T) {
 			c := DefaultConfig(3)
-			spoil(&c)
+			invalidate(&c)
 			_, err := New(c)
 			var invalid *ConfigError
 			if !errors.As(err, &invalid) || invalid.Field != field {
@@ -473,8 +473,8 @@
 	}
 }
 
-// sequence is a model with some cells, to which anything happens.
-type sequence struct {
+// eventSequence is a model with some cells, to which anything happens.
+type eventSequence struct {
 	model  *Model
 	cells  [][2]Cell
 	trials map[[2]int]int // in flight, by backend and class
@@ -482,7 +482,7 @@
 }
 
 // step lets one event happen.
-func (q *sequence) step(t *rapid.T) {
+func (q *eventSequence) step(t *rapid.T) {
 	q.now += time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "gap"))
 	b, k := rapid.IntRange(0, 2).Draw(t, "backend"), rapid.IntRange(0, 1).Draw(t, "class")
 	c, at := &q.cells[b][k], [2]int{b, k}
@@ -516,7 +516,7 @@
 }
 
 // compare compares all cells and evaluates each.
-func (q *sequence) compare() {
+func (q *eventSequence) compare() {
 	q.model.BeginComparison()
 	for b := range q.cells {
 		for k := range q.cells[b] {
@@ -532,7 +532,7 @@
 }
 
 // checkCell asserts what holds for every cell at any time.
-func (q *sequence) checkCell(t *rapid.T, b, k int) {
+func (q *eventSequence) checkCell(t *rapid.T, b, k int) {
 	c := &q.cells[b][k]
 	if p := q.model.FaultProbability(c, k, q.now); !(p >= 0 && p <= 1) {
 		t.Fatalf("fault probability %v", p)
@@ -555,7 +555,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		q := &sequence{model: m, cells: make([][2]Cell, 3), trials: map[[2]int]int{}, now: time.Second}
+		q := &eventSequence{model: m, cells: make([][2]Cell, 3), trials: map[[2]int]int{}, now: time.Second}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			q.step(t)
 			for b := range q.cells {
--- a/internal/balancer/grayfailure/state.go
+++ b/internal/balancer/grayfailure/state.go
@@ -61,18 +61,18 @@
 
 // Resume makes a cell of what was known of one, away ago. Its fault probability drifts over that time as over any other,
 // and the sums decay.
-func (m *Model) Resume(s CellState, away, now time.Duration) Cell {
+func (m *Model) Resume(s CellState, elapsed, now time.Duration) Cell {
 	at := func(age time.Duration) time.Duration {
 		if age < 0 {
 			return 0
 		}
-		return max(1, now-away-age)
+		return max(1, now-elapsed-age)
 	}
-	sum := func(v float64) decay.Sum { return decay.NewSum(v, now-away) }
+	sum := func(v float64) decay.Sum { return decay.NewSum(v, now-elapsed) }
 	return Cell{
 		faultProbability:       min(max(s.FaultProbability, 0), maxFaultProbability),
 		otherAnswers:           s.OtherAnswers,
-		updatedAt:              now - away - s.SinceUpdate,
+		updatedAt:              now - elapsed - s.SinceUpdate,
 		suspectedSince:         at(s.SuspectedFor),
 		ejectedAt:              at(s.EjectedFor),
 		consecutiveFailures:    s.Failures,
@@ -115,11 +115,11 @@
 
 // ResumeClass goes on with what was known of a class, away ago, its spread as if by maxWeight answers at most. Trials that
 // were paid for there are not to be had again.
-func (m *Model) ResumeClass(k int, s ClassState, maxWeight float64, away, now time.Duration) {
+func (m *Model) ResumeClass(k int, s ClassState, maxWeight float64, elapsed, now time.Duration) {
 	g := &m.classes[k]
-	g.failed = decay.NewSum(s.Failed, now-away)
-	g.ended = decay.NewSum(s.Ended, now-away)
-	g.recentEjections = decay.NewSum(s.RecentEjections, now-away)
+	g.failed = decay.NewSum(s.Failed, now-elapsed)
+	g.ended = decay.NewSum(s.Ended, now-elapsed)
+	g.recentEjections = decay.NewSum(s.RecentEjections, now-elapsed)
 	f := min(1, maxWeight/max(s.N, 1e-9))
 	g.answers = s.N * f
 	g.logRatioSum = s.Dev * f
--- a/internal/balancer/idempotency/terms.go
+++ b/internal/balancer/idempotency/terms.go
@@ -64,7 +64,7 @@
 
 // RetryDeadline tells whether a request may go to a place again after an earlier attempt, and before when it has to begin
 // there.
-func (t Terms) RetryDeadline(a Attempt, to Location) (before time.Duration, may bool) {
+func (t Terms) RetryDeadline(a Attempt, to Location) (deadline time.Duration, allowed bool) {
 	switch {
 	case t.Effect == Safe:
 		return Never, true
--- a/internal/balancer/idempotency/terms_test.go
+++ b/internal/balancer/idempotency/terms_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func drawn(t *rapid.T, name string) Terms {
+func drawTerms(t *rapid.T, name string) Terms {
 	return Terms{
 		Effect(rapid.IntRange(0, 2).Draw(t, name+" effect")), Scope(rapid.IntRange(0, 3).Draw(t, name+" scope")),
 		time.Duration(rapid.IntRange(0, 5).Draw(t, name+" window")),
@@ -17,15 +17,15 @@
 // What the strictest of two allows, both do; and it allows all that both do.
 func TestStrictestIsWhatBothAllow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := drawn(t, "a"), drawn(t, "b")
+		a, b := drawTerms(t, "a"), drawTerms(t, "b")
 		both := Strictest(a, b)
 		first := Attempt{Location{rapid.IntRange(0, 1).Draw(t, "zone"), rapid.IntRange(0, 1).Draw(t, "cell")}, time.Duration(rapid.IntRange(0, 5).Draw(t, "at"))}
 		to := Location{rapid.IntRange(0, 1).Draw(t, "to zone"), rapid.IntRange(0, 1).Draw(t, "to cell")}
-		byA, mayA := a.RetryDeadline(first, to)
-		byB, mayB := b.RetryDeadline(first, to)
-		by, may := both.RetryDeadline(first, to)
-		if may != (mayA && mayB) || may && by != min(byA, byB) {
-			t.Fatalf("%+v and %+v: %+v: %v by %v, and each alone %v by %v, %v by %v", a, b, both, may, by, mayA, byA, mayB, byB)
+		deadlineA, allowedA := a.RetryDeadline(first, to)
+		deadlineB, allowedB := b.RetryDeadline(first, to)
+		deadline, allowed := both.RetryDeadline(first, to)
+		if allowed != (allowedA && allowedB) || allowed && deadline != min(deadlineA, deadlineB) {
+			t.Fatalf("%+v and %+v: %+v: %v by %v, and each alone %v by %v, %v by %v", a, b, both, allowed, deadline, allowedA, deadlineA, allowedB, deadlineB)
 		}
 		if both.MayReject() && (!a.MayReject() || !b.MayReject()) {
 			t.Fatalf("%+v and %+v may be rejected as %+v", a, b, both)
--- a/internal/balancer/prediction/model.go
+++ b/internal/balancer/prediction/model.go
@@ -71,15 +71,15 @@
 	}
 	g := &m.classes[k]
 	x := min(max(math.Log(took)-math.Log(estimate), -maxLogRatio), maxLogRatio)
-	more := 0.0 // variance of what lies beyond
+	tailVariance := 0.0 // variance of what lies beyond
 	if !answered {
 		mean, dev := g.distribution()
 		z := (x - mean) / dev
 		mills := normalTailMean(z)
 		x = min(mean+dev*mills, 2*maxLogRatio)
-		more = dev * dev * max(0, 1+z*mills-mills*mills)
+		tailVariance = dev * dev * max(0, 1+z*mills-mills*mills)
 	}
-	g.count, g.logRatioSum, g.logRatioSquares = g.count*retention+1, g.logRatioSum*retention+x, g.logRatioSquares*retention+x*x+more
+	g.count, g.logRatioSum, g.logRatioSquares = g.count*retention+1, g.logRatioSum*retention+x, g.logRatioSquares*retention+x*x+tailVariance
 }
 
 // normalTailMean is the mean of what lies beyond z in the standard normal distribution.
--- a/internal/balancer/prediction/model_test.go
+++ b/internal/balancer/prediction/model_test.go
@@ -10,22 +10,22 @@
 
 // actualDelays draws what attempts really take: estimates are off by a factor and a spread.
 type actualDelays struct {
-	rng      *rand.Rand
-	off, dev float64
+	rng       *rand.Rand
+	bias, dev float64
 }
 
 func (w *actualDelays) took(estimate float64) float64 {
-	return estimate * math.Exp(w.off+w.dev*w.rng.NormFloat64())
+	return estimate * math.Exp(w.bias+w.dev*w.rng.NormFloat64())
 }
 
-// teach lets a model see so many attempts, each given up at limit; counted says whether
+// recordAttempts lets a model see so many attempts, each given up at limit; counted says whether
 // those that were given up are told.
-func (w *actualDelays) teach(m *Model, n int, limit float64, counted bool) {
+func (w *actualDelays) recordAttempts(m *Model, n int, limit float64, recordTimeouts bool) {
 	for range n {
 		estimate := 50 + 400*w.rng.Float64()
 		if took := w.took(estimate); took <= limit {
 			m.RecordOutcome(0, estimate, took, true)
-		} else if counted {
+		} else if recordTimeouts {
 			m.RecordOutcome(0, estimate, limit, false)
 		}
 	}
@@ -33,20 +33,20 @@
 
 // Whatever estimates are worth, chances come true, though the slowest were given up.
 func TestProbabilitiesAreCalibrated(t *testing.T) {
-	for seed, w := range []actualDelays{{off: 0, dev: 0.7}, {off: -0.8, dev: 0.7}, {off: 0.7, dev: 0.5}, {off: 0, dev: 0.35}, {off: 0.3, dev: 1}} {
+	for seed, w := range []actualDelays{{bias: 0, dev: 0.7}, {bias: -0.8, dev: 0.7}, {bias: 0.7, dev: 0.5}, {bias: 0, dev: 0.35}, {bias: 0.3, dev: 1}} {
 		w.rng = rand.New(rand.NewPCG(uint64(seed), 1))
 		m := New(1)
-		w.teach(m, 1500, 700, true)
+		w.recordAttempts(m, 1500, 700, true)
 		for _, left := range []float64{100, 250, 500} {
 			const n, estimate = 4000, 250.0
-			in := 0
+			inTime := 0
 			for range n {
 				if w.took(estimate) <= left {
-					in++
+					inTime++
 				}
 			}
-			if got, want := m.SuccessProbability(0, estimate, left), float64(in)/n; math.Abs(got-want) > 0.12 {
-				t.Errorf("off %v, dev %v: a chance of %.2f to have %v in %v, and %.2f had it", w.off, w.dev, got, estimate, left, want)
+			if got, want := m.SuccessProbability(0, estimate, left), float64(inTime)/n; math.Abs(got-want) > 0.12 {
+				t.Errorf("off %v, dev %v: a chance of %.2f to have %v in %v, and %.2f had it", w.bias, w.dev, got, estimate, left, want)
 			}
 		}
 	}
@@ -55,22 +55,22 @@
 // What is given up says something: without it, slow work looks quick.
 func TestTimeoutsAreCensoredObservations(t *testing.T) {
 	const limit = 200 // half of all is slower
-	chance := func(counted bool) float64 {
+	probability := func(recordTimeouts bool) float64 {
 		w := &actualDelays{rand.New(rand.NewPCG(3, 1)), 0, 0.7}
 		m := New(1)
-		w.teach(m, 2000, limit, counted)
+		w.recordAttempts(m, 2000, limit, recordTimeouts)
 		return m.SuccessProbability(0, 400, 400)
 	}
-	if with, without := chance(true), chance(false); math.Abs(with-0.5) > 0.1 || without < with+0.1 {
+	if with, without := probability(true), probability(false); math.Abs(with-0.5) > 0.1 || without < with+0.1 {
 		t.Errorf("one in two comes in time; foretold %.2f, and %.2f if time-outs don't count", with, without)
 	}
 }
 
 func TestProbabilityInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m, any := New(2), rapid.Float64()
+		m, anyFloat := New(2), rapid.Float64()
 		for range rapid.IntRange(0, 50).Draw(t, "ends") {
-			m.RecordOutcome(1, any.Draw(t, "estimate"), any.Draw(t, "took"), rapid.Bool().Draw(t, "answered"))
+			m.RecordOutcome(1, anyFloat.Draw(t, "estimate"), anyFloat.Draw(t, "took"), rapid.Bool().Draw(t, "answered"))
 		}
 		some := rapid.Float64Range(0.1, 1e5)
 		estimate, left, more := some.Draw(t, "e"), some.Draw(t, "left"), some.Draw(t, "more")
@@ -93,9 +93,9 @@
 func TestExpectedUtilityAndWorthwhile(t *testing.T) {
 	p := Costs{Waste: 0.25, CrossZone: 0.08}
 	for _, c := range []struct {
-		s              Attempt
-		want           float64
-		goes, hopeless bool
+		s                    Attempt
+		want                 float64
+		worthwhile, hopeless bool
 	}{
 		{Attempt{Utility: 1, Work: 1, SuccessProbability: 1}, 1, true, false},
 		{Attempt{Utility: 1, Work: 1, SuccessProbability: 0}, -0.25, false, true},
@@ -107,8 +107,8 @@
 		if got := p.ExpectedUtility(c.s); math.Abs(got-c.want) > 1e-12 {
 			t.Errorf("%+v: %v, want %v", c.s, got, c.want)
 		}
-		if goes, hopeless := p.IsWorthwhile(c.s, 0.3); goes != c.goes || hopeless != c.hopeless {
-			t.Errorf("%+v: goes %v, hopeless %v", c.s, goes, hopeless)
+		if worthwhile, hopeless := p.IsWorthwhile(c.s, 0.3); worthwhile != c.worthwhile || hopeless != c.hopeless {
+			t.Errorf("%+v: goes %v, hopeless %v", c.s, worthwhile, hopeless)
 		}
 	}
 }
--- a/internal/balancer/prefixcache/table.go
+++ b/internal/balancer/prefixcache/table.go
@@ -46,20 +46,20 @@
 	t.replicas = map[modelKey]map[balancer.BackendID]bool{}
 	for _, b := range backends {
 		t.slots[b.ID] = b.Slots
-		for _, h := range b.Loaded {
-			t.add(modelKey{h.Model, ""}, b.ID)
-			for _, name := range h.Adapters {
-				t.add(modelKey{h.Model, name}, b.ID)
+		for _, loaded := range b.Loaded {
+			t.add(modelKey{loaded.Model, ""}, b.ID)
+			for _, name := range loaded.Adapters {
+				t.add(modelKey{loaded.Model, name}, b.ID)
 			}
 		}
 	}
 }
 
-func (t *Table) add(what modelKey, id balancer.BackendID) {
-	replicas := t.replicas[what]
+func (t *Table) add(key modelKey, id balancer.BackendID) {
+	replicas := t.replicas[key]
 	if replicas == nil {
 		replicas = map[balancer.BackendID]bool{}
-		t.replicas[what] = replicas
+		t.replicas[key] = replicas
 	}
 	replicas[id] = true
 }
--- a/internal/balancer/quota/quota_test.go
+++ b/internal/balancer/quota/quota_test.go
@@ -7,17 +7,17 @@
 	"pgregory.net/rapid"
 )
 
-// rate sends so many requests a second of tenant 0 for a while and gives the last answer.
-func rate(m *Model, perSecond int, from time.Duration) (over float64) {
+// sendAtRate sends so many requests a second of tenant 0 for a while and gives the last answer.
+func sendAtRate(m *Model, perSecond int, from time.Duration) (beyond float64) {
 	for i := range 10 * perSecond {
-		over = m.RecordRequest(0, from+time.Duration(i)*time.Second/time.Duration(perSecond))
+		beyond = m.RecordRequest(0, from+time.Duration(i)*time.Second/time.Duration(perSecond))
 	}
-	return over
+	return beyond
 }
 
-func TestRatioBeyondTheQuota(t *testing.T) {
+func TestRatioBeyondQuota(t *testing.T) {
 	t.Parallel()
-	const over = 3 * time.Second
+	const window = 3 * time.Second
 	for _, c := range []struct {
 		name      string
 		quota     float64
@@ -30,7 +30,7 @@
 		{"four times", 60, 3, 80, 0.7, 0.8},
 		{"no bound", 0, 3, 500, 0, 0},
 	} {
-		if got := rate(New([]float64{c.quota}, c.proxies, over), c.perSecond, time.Hour); got < c.low || got > c.high {
+		if got := sendAtRate(New([]float64{c.quota}, c.proxies, window), c.perSecond, time.Hour); got < c.low || got > c.high {
 			t.Errorf("%s: %.3f is beyond, want %.2f to %.2f", c.name, got, c.low, c.high)
 		}
 	}
@@ -40,7 +40,7 @@
 func TestReconfiguredQuotaKeepsTheTraffic(t *testing.T) {
 	t.Parallel()
 	m := New([]float64{300}, 3, 3*time.Second)
-	if got := rate(m, 80, time.Hour); got != 0 {
+	if got := sendAtRate(m, 80, time.Hour); got != 0 {
 		t.Fatalf("within: %v", got)
 	}
 	m.Configure([]float64{60, 10}, []int{0, 1}, 3, 3*time.Second)
--- a/internal/balancer/retrystorm/ended_requests.go
+++ b/internal/balancer/retrystorm/ended_requests.go
@@ -72,7 +72,7 @@
 func (s *endedRequests) forget(now time.Duration) {
 	for s.head < len(s.order) && now-s.order[s.head].at > s.span {
 		o := s.order[s.head]
-		if x, there := s.byKey[o.key]; there && x.ended == o.at {
+		if x, found := s.byKey[o.key]; found && x.ended == o.at {
 			delete(s.byKey, o.key)
 		}
 		s.head++
@@ -86,8 +86,8 @@
 // match tells whether a request is likely a retry, and gives when the one that it retries came first and when its client
 // was told to retry.
 func (s *endedRequests) match(now time.Duration, key uint64) (first, due time.Duration, isRetry bool) {
-	x, there := s.byKey[key]
-	if !there || now-x.ended > s.span {
+	x, found := s.byKey[key]
+	if !found || now-x.ended > s.span {
 		return 0, 0, false
 	}
 	if x.served {
@@ -111,12 +111,12 @@
 	if n < minUnserved {
 		return 0
 	}
-	met := s.unservedMatched.Value(now, matchWindow) / n
-	by := (s.controlMatched.Value(now, matchWindow) + 0.1) / (s.control.Value(now, matchWindow) + 2)
-	if met <= 0 {
+	matchRatio := s.unservedMatched.Value(now, matchWindow) / n
+	chanceRatio := (s.controlMatched.Value(now, matchWindow) + 0.1) / (s.control.Value(now, matchWindow) + 2)
+	if matchRatio <= 0 {
 		return 0
 	}
-	return max(0, 1-by/met)
+	return max(0, 1-chanceRatio/matchRatio)
 }
 
 // meanRetryDelay is how long after the first arrival a retry comes, about; 0 is not known.
--- a/internal/balancer/retrystorm/model.go
+++ b/internal/balancer/retrystorm/model.go
@@ -92,9 +92,9 @@
 
 // RecordArrival takes in a request. what identifies its class, tenant and key; 0 is no key: such requests
 // can't be told apart. marked says that its client has marked it as a retry.
-func (m *Model) RecordArrival(now time.Duration, what uint64, marked bool) Arrival {
+func (m *Model) RecordArrival(now time.Duration, key uint64, marked bool) Arrival {
 	m.arrivals.Add(1, now, rateWindow)
-	a, early := m.identify(now, what, marked)
+	a, early := m.identify(now, key, marked)
 	if !a.IsRetry {
 		return a
 	}
@@ -111,10 +111,10 @@
 }
 
 // identify tells whether a request is a retry, and whether it came before the time that its client was told.
-func (m *Model) identify(now time.Duration, what uint64, marked bool) (a Arrival, early bool) {
+func (m *Model) identify(now time.Duration, key uint64, marked bool) (a Arrival, early bool) {
 	a = Arrival{FirstArrival: now, CountFrom: now, PriorityFactor: 1}
-	if what != 0 {
-		first, due, isRetry := m.ended.match(now, what)
+	if key != 0 {
+		first, due, isRetry := m.ended.match(now, key)
 		if isRetry {
 			a.IsRetry = true
 			a.FirstArrival = first
@@ -130,7 +130,7 @@
 
 // RecordEnd takes in the end of a request: served, or rejected, failed or given up. due is when its client
 // was told to retry; 0: it was not told.
-func (m *Model) RecordEnd(now time.Duration, what uint64, first, due time.Duration, served bool) {
+func (m *Model) RecordEnd(now time.Duration, key uint64, first, due time.Duration, served bool) {
 	m.ends.Add(1, now, rateWindow)
 	if served {
 		m.served.Add(1, now, rateWindow)
@@ -138,8 +138,8 @@
 	} else {
 		m.unserved.Add(1, now, rateWindow)
 	}
-	if what != 0 {
-		m.ended.record(now, what, first, due, served)
+	if key != 0 {
+		m.ended.record(now, key, first, due, served)
 	}
 }
 
--- a/internal/balancer/retrystorm/model_test.go
+++ b/internal/balancer/retrystorm/model_test.go
@@ -13,66 +13,66 @@
 
 const ms = time.Millisecond
 
-func model() *Model {
+func newTestModel() *Model {
 	return New(Config{ClientTimeout: 2 * time.Second, SendsRetryAfter: true, CalmRetryAfter: 400 * ms, MaxRetryAfter: 2 * time.Second})
 }
 
 // traffic lets requests come at a rate, of which a part goes unserved; the unserved come again after a
 // while with a chance, unmarked.
 type traffic struct {
-	m        *Model
-	now      time.Duration
-	rng      *rand.Rand
-	again    []coming
-	keys     int // that requests are about
-	lines    []string
-	repeats  int // real ones,
-	seen     int // recognised,
-	mistaken int // and taken for one that are none
+	m                *Model
+	now              time.Duration
+	rng              *rand.Rand
+	scheduledRetries []scheduledRetry
+	keys             int // that requests are about
+	lines            []string
+	retries          int // real ones,
+	recognized       int // recognised,
+	falsePositives   int // and taken for one that are none
 }
 
-type coming struct {
+type scheduledRetry struct {
 	at    time.Duration
 	key   uint64
 	first time.Duration
 }
 
-func newDay() *traffic {
-	return &traffic{m: model(), now: time.Second, rng: rand.New(rand.NewPCG(1, 2)), keys: 100000}
+func newTraffic() *traffic {
+	return &traffic{m: newTestModel(), now: time.Second, rng: rand.New(rand.NewPCG(1, 2)), keys: 100000}
 }
 
-func (d *traffic) one(key uint64, first time.Duration, unserved, comesAgain float64) {
-	repeat := first != d.now
+func (d *traffic) arrive(key uint64, first time.Duration, failureRatio, retryProbability float64) {
+	isRetry := first != d.now
 	s := d.m.RecordArrival(d.now, key, false)
 	switch {
-	case repeat:
-		d.repeats++
+	case isRetry:
+		d.retries++
 		if s.IsRetry && s.FirstArrival == first {
-			d.seen++
+			d.recognized++
 		}
 	case s.IsRetry:
-		d.mistaken++
+		d.falsePositives++
 	}
-	served := d.rng.Float64() >= unserved
+	served := d.rng.Float64() >= failureRatio
 	d.m.RecordEnd(d.now, key, s.FirstArrival, 0, served)
-	if !served && d.rng.Float64() < comesAgain && d.now-first < 2*time.Second {
-		d.again = append(d.again, coming{d.now + 50*ms + time.Duration(d.rng.IntN(50))*ms, key, first})
+	if !served && d.rng.Float64() < retryProbability && d.now-first < 2*time.Second {
+		d.scheduledRetries = append(d.scheduledRetries, scheduledRetry{d.now + 50*ms + time.Duration(d.rng.IntN(50))*ms, key, first})
 	}
 }
 
-func (d *traffic) play(span time.Duration, rate, unserved, comesAgain float64) {
+func (d *traffic) run(span time.Duration, rate, failureRatio, retryProbability float64) {
 	for end := d.now + span; d.now < end; {
 		d.now += time.Duration(d.rng.ExpFloat64() / rate * float64(time.Second))
-		var left []coming
-		for _, c := range d.again {
+		var left []scheduledRetry
+		for _, c := range d.scheduledRetries {
 			if c.at <= d.now {
-				d.one(c.key, c.first, unserved, comesAgain)
+				d.arrive(c.key, c.first, failureRatio, retryProbability)
 			} else {
 				left = append(left, c)
 			}
 		}
-		d.again = left
-		d.one(1+uint64(d.rng.IntN(d.keys)), d.now, unserved, comesAgain)
+		d.scheduledRetries = left
+		d.arrive(1+uint64(d.rng.IntN(d.keys)), d.now, failureRatio, retryProbability)
 		if line, changed := d.m.Evaluate(d.now); changed {
 			d.lines = append(d.lines, line)
 		}
@@ -82,10 +82,10 @@
 // However late the clock begins, the first line says how long it has been calm here.
 func TestStateDurationCountsFromTheFirstEvaluation(t *testing.T) {
 	t.Parallel()
-	d := newDay()
+	d := newTraffic()
 	d.now = time.Hour
-	d.play(3*time.Second, 200, 0, 0)
-	d.play(2*time.Second, 200, 0.5, 1)
+	d.run(3*time.Second, 200, 0, 0)
+	d.run(2*time.Second, 200, 0.5, 1)
 	if len(d.lines) == 0 || !strings.Contains(d.lines[0], "after calm for 3.") {
 		t.Errorf("%q", d.lines)
 	}
@@ -93,65 +93,65 @@
 
 // Calm, rising, storm, recovering, calm: and a line for each change with what it rests on.
 func TestStormPhases(t *testing.T) {
-	d := newDay()
-	d.play(10*time.Second, 100, 0.01, 1)
+	d := newTraffic()
+	d.run(10*time.Second, 100, 0.01, 1)
 	if d.m.State() != Calm || len(d.lines) > 0 {
 		t.Fatalf("%v on a calm day: %q", d.m.State(), d.lines)
 	}
-	d.play(5*time.Second, 100, 0.5, 1)
+	d.run(5*time.Second, 100, 0.5, 1)
 	if d.m.State() != Storm {
 		t.Errorf("%v with half of it coming again", d.m.State())
 	}
-	d.play(time.Second, 100, 0.01, 1)
+	d.run(time.Second, 100, 0.01, 1)
 	if d.m.State() != Recovering && d.m.State() != Storm {
 		t.Errorf("%v a second after it", d.m.State())
 	}
-	d.play(6*time.Second, 100, 0.01, 1)
+	d.run(6*time.Second, 100, 0.01, 1)
 	if d.m.State() != Calm {
 		t.Errorf("%v seven seconds after it", d.m.State())
 	}
 	if len(d.lines) < 3 || len(d.lines) > 6 || !strings.Contains(d.lines[len(d.lines)-1], "requests a second come") {
 		t.Errorf("%d lines: %q", len(d.lines), d.lines)
 	}
-	if d.seen < d.repeats*8/10 || d.mistaken > 5 {
-		t.Errorf("%d of %d repeats are recognised, and %d others taken for one", d.seen, d.repeats, d.mistaken)
+	if d.recognized < d.retries*8/10 || d.falsePositives > 5 {
+		t.Errorf("%d of %d repeats are recognised, and %d others taken for one", d.recognized, d.retries, d.falsePositives)
 	}
 }
 
 // A jump of traffic that is served is no storm; nor is a hiccup; nor is much that goes unserved and
 // does not come again.
 func TestServedTrafficIsNoStorm(t *testing.T) {
-	d := newDay()
-	d.play(5*time.Second, 100, 0.01, 1)
-	d.play(6*time.Second, 240, 0.03, 1)
-	d.play(100*ms, 100, 1, 0)
-	d.play(4*time.Second, 100, 0.01, 1)
+	d := newTraffic()
+	d.run(5*time.Second, 100, 0.01, 1)
+	d.run(6*time.Second, 240, 0.03, 1)
+	d.run(100*ms, 100, 1, 0)
+	d.run(4*time.Second, 100, 0.01, 1)
 	for _, l := range d.lines {
 		if strings.HasPrefix(l, "storm") {
 			t.Error(l)
 		}
 	}
-	d.play(5*time.Second, 100, 0.5, 0)
+	d.run(5*time.Second, 100, 0.5, 0)
 	if d.m.State() != Rising {
 		t.Errorf("%v where half goes unserved and nobody comes again", d.m.State())
 	}
 }
 
 // Where everybody asks the same few things, a match proves nothing, and none is taken for a repeat.
-func TestHotKeys(t *testing.T) {
-	d := newDay()
+func TestHotKeysAreNotTakenForRetries(t *testing.T) {
+	d := newTraffic()
 	d.keys = 3
-	d.play(10*time.Second, 100, 0.4, 0)
-	if d.mistaken > 20 {
-		t.Errorf("%d of some 1000 are taken for repeats", d.mistaken)
+	d.run(10*time.Second, 100, 0.4, 0)
+	if d.falsePositives > 20 {
+		t.Errorf("%d of some 1000 are taken for repeats", d.falsePositives)
 	}
 }
 
 // While it is calm who comes again is served like anybody; in a storm its time counts from its first
 // try, and who did not wait as it was told stands behind.
 func TestPriorityOfRetries(t *testing.T) {
-	d := newDay()
-	d.play(5*time.Second, 100, 0.5, 1)
+	d := newTraffic()
+	d.run(5*time.Second, 100, 0.5, 1)
 	first := d.now
 	d.m.RecordEnd(d.now, 7, first, d.now+time.Second, false)
 	d.now += 100 * ms
@@ -176,7 +176,7 @@
 // A thousand are turned away at once, and a hundred a second can be served beside fresh ones: they are
 // told times that fill the coming seconds evenly, and who finds no place in its time is told the longest.
 func TestRetryAfterFillsFreeCapacity(t *testing.T) {
-	m := model()
+	m := newTestModel()
 	now := time.Second
 	for range 4000 { // 400 are served a second
 		now += 5 * ms / 2
@@ -184,28 +184,28 @@
 		m.RecordEnd(now, 0, now, 0, true)
 	}
 	m.state = Storm
-	m.arrivals, m.retries = fadeOf(500, now), fadeOf(0, now)
+	m.arrivals, m.retries = sumAtRate(500, now), sumAtRate(0, now)
 	if after := m.RetryAfter(now, time.Second); after != m.cfg.MaxRetryAfter {
 		t.Errorf("with nothing free: %v", after)
 	}
-	m.arrivals = fadeOf(m.updatePeakRate(now)-100, now)
-	told := map[int]int{}
-	longest := 0
+	m.arrivals = sumAtRate(m.updatePeakRate(now)-100, now)
+	perTenth := map[int]int{}
+	atMaximum := 0
 	for range 1000 {
 		after := m.RetryAfter(now, 1500*ms)
 		if after == m.cfg.MaxRetryAfter {
-			longest++
+			atMaximum++
 			continue
 		}
-		told[int(after/(100*ms))]++
+		perTenth[int(after/(100*ms))]++
 	}
-	in := 1000 - longest
-	if in < 120 || in > 155 { // 1.5 s of a hundred a second
-		t.Errorf("%d are told to come within 1.5 s", in)
+	scheduled := 1000 - atMaximum
+	if scheduled < 120 || scheduled > 155 { // 1.5 s of a hundred a second
+		t.Errorf("%d are told to come within 1.5 s", scheduled)
 	}
 	for s := 1; s < 15; s++ {
-		if n := told[s]; n < 6 || n > 14 {
-			t.Errorf("%d in the %d. tenth of a second: %v", n, s, told)
+		if n := perTenth[s]; n < 6 || n > 14 {
+			t.Errorf("%d in the %d. tenth of a second: %v", n, s, perTenth)
 		}
 	}
 	m.state = Calm
@@ -220,9 +220,9 @@
 
 // Whatever comes in whatever order: times given out stay within bounds, tables too, and no repeat came
 // first later than it comes.
-func TestBounds(t *testing.T) {
+func TestResultsStayWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m, now := model(), time.Duration(0)
+		m, now := newTestModel(), time.Duration(0)
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now += time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "gap"))
 			key := uint64(rapid.IntRange(0, 5).Draw(t, "key"))
@@ -251,7 +251,7 @@
 
 // However many go unserved, only so many are remembered.
 func TestEndedRequestsAreBounded(t *testing.T) {
-	m := model()
+	m := newTestModel()
 	for i := range uint64(10 * maxEndedRequests) {
 		m.RecordEnd(time.Second, i+1, 0, 0, false)
 	}
@@ -264,8 +264,8 @@
 	}
 }
 
-func BenchmarkServed(b *testing.B) {
-	m, now := model(), time.Second
+func BenchmarkServedRequest(b *testing.B) {
+	m, now := newTestModel(), time.Second
 	b.ReportAllocs()
 	for i := uint64(1); b.Loop(); i++ {
 		now += ms
@@ -274,7 +274,7 @@
 	}
 }
 
-func fadeOf(perSecond float64, now time.Duration) decay.Sum {
+func sumAtRate(perSecond float64, now time.Duration) decay.Sum {
 	return decay.NewSum(perSecond*rateWindow.Seconds(), now)
 }
 
@@ -290,7 +290,7 @@
 		{"failed", false, Rising},
 		{"failed and retried", true, Storm},
 	} {
-		m, now := model(), time.Second
+		m, now := newTestModel(), time.Second
 		evaluate := func() {
 			now += 100 * time.Millisecond
 			m.Evaluate(now)
--- a/internal/balancer/slowstart/slowstart_test.go
+++ b/internal/balancer/slowstart/slowstart_test.go
@@ -128,7 +128,7 @@
 }
 
 // Whatever the answers: the factor rises by GrowthFactor a step at most, is never under 1, and warm backends end it.
-func TestFactor(t *testing.T) {
+func TestFactorStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var m Model
 		m.Configure(Config{OverloadMultiple: 2.5, OverloadWindow: 3 * time.Second, LatencyTarget: 400 * time.Millisecond, SafetyFactor: 0.8})
--- a/internal/balancer/stableindex/table_test.go
+++ b/internal/balancer/stableindex/table_test.go
@@ -9,27 +9,27 @@
 	"pgregory.net/rapid"
 )
 
-func none(int) bool { return false }
+func noneInUse(int) bool { return false }
 
-func place(t *testing.T, tab *Table, now time.Duration, names ...string) []int {
+func assign(t *testing.T, tab *Table, now time.Duration, names ...string) []int {
 	t.Helper()
-	at, _, err := tab.Assign(now, names, none)
+	indices, _, err := tab.Assign(now, names, noneInUse)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return at
+	return indices
 }
 
 func TestIndicesStay(t *testing.T) {
 	t.Parallel()
 	tab := New(4)
-	if at := place(t, tab, 0, "a", "b"); !slices.Equal(at, []int{0, 1}) {
+	if at := assign(t, tab, 0, "a", "b"); !slices.Equal(at, []int{0, 1}) {
 		t.Fatal(at)
 	}
-	if at := place(t, tab, 1, "c", "b"); !slices.Equal(at, []int{2, 1}) || !tab.Removed(0) {
+	if at := assign(t, tab, 1, "c", "b"); !slices.Equal(at, []int{2, 1}) || !tab.Removed(0) {
 		t.Fatal(at)
 	}
-	if at := place(t, tab, 2, "b", "a"); !slices.Equal(at, []int{1, 0}) || !tab.Removed(2) {
+	if at := assign(t, tab, 2, "b", "a"); !slices.Equal(at, []int{1, 0}) || !tab.Removed(2) {
 		t.Fatal(at)
 	}
 }
@@ -39,18 +39,18 @@
 func TestIndicesAreReusedLate(t *testing.T) {
 	t.Parallel()
 	tab := New(2)
-	place(t, tab, 0, "a", "b")
-	place(t, tab, time.Second, "b")
-	if _, _, err := tab.Assign(2*time.Second, []string{"b", "c"}, none); err == nil {
+	assign(t, tab, 0, "a", "b")
+	assign(t, tab, time.Second, "b")
+	if _, _, err := tab.Assign(2*time.Second, []string{"b", "c"}, noneInUse); err == nil {
 		t.Error("given away without a rest")
 	}
 	later := time.Second + MinReuseAge
 	if _, _, err := tab.Assign(later, []string{"b", "c"}, func(i int) bool { return i == 0 }); err == nil {
 		t.Error("given away while something is open")
 	}
-	at, fresh, err := tab.Assign(later, []string{"b", "c"}, none)
-	if err != nil || !slices.Equal(at, []int{1, 0}) || !slices.Equal(fresh, []int{0}) {
-		t.Error(at, fresh, err)
+	indices, reused, err := tab.Assign(later, []string{"b", "c"}, noneInUse)
+	if err != nil || !slices.Equal(indices, []int{1, 0}) || !slices.Equal(reused, []int{0}) {
+		t.Error(indices, reused, err)
 	}
 }
 
@@ -60,35 +60,35 @@
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		tab, now := New(rapid.IntRange(1, 5).Draw(t, "most")), time.Duration(0)
-		have := map[string]int{}
+		previous := map[string]int{}
 		for range rapid.IntRange(1, 12).Draw(t, "lists") {
 			now += time.Duration(rapid.IntRange(0, 20).Draw(t, "gap")) * time.Second
 			names := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"}), 0, 6).Draw(t, "names")
-			busy := rapid.IntRange(-1, 4).Draw(t, "busy")
+			indexInUse := rapid.IntRange(-1, 4).Draw(t, "busy")
 			before := fmt.Sprint(tab.slots)
-			at, fresh, err := tab.Assign(now, names, func(i int) bool { return i == busy })
+			indices, reused, err := tab.Assign(now, names, func(i int) bool { return i == indexInUse })
 			if err != nil {
 				if fmt.Sprint(tab.slots) != before {
 					t.Fatal("a list that was turned down changed something")
 				}
 				continue
 			}
-			if slices.Contains(fresh, busy) {
+			if slices.Contains(reused, indexInUse) {
 				t.Fatal("a number in use was given away")
 			}
-			now2 := map[string]int{}
+			assigned := map[string]int{}
 			for k, name := range names {
-				if i, was := have[name]; was && i != at[k] {
-					t.Fatalf("%s moved from %d to %d", name, i, at[k])
+				if i, was := previous[name]; was && i != indices[k] {
+					t.Fatalf("%s moved from %d to %d", name, i, indices[k])
 				}
-				for other, i := range now2 {
-					if i == at[k] {
+				for other, i := range assigned {
+					if i == indices[k] {
 						t.Fatalf("%s and %s have %d", other, name, i)
 					}
 				}
-				now2[name] = at[k]
+				assigned[name] = indices[k]
 			}
-			have = now2
+			previous = assigned
 		}
 	})
 }
--- a/internal/balancer/staleness/staleness.go
+++ b/internal/balancer/staleness/staleness.go
@@ -69,11 +69,11 @@
 // Discount gives what still counts of a state of an age, and nil where nothing does. crashed says that the process did
 // not shut down in order: then the last seconds, in which things went wrong, are not in what it saved,
 // and it counts for half. s stays as it is.
-func Discount(cfg Config, s *learnedstate.State, away time.Duration, crashed bool) *learnedstate.State {
-	if away > cfg.MaxAge || away < 0 {
+func Discount(cfg Config, s *learnedstate.State, age time.Duration, crashed bool) *learnedstate.State {
+	if age > cfg.MaxAge || age < 0 {
 		return nil
 	}
-	weight := math.Exp2(-away.Seconds() / cfg.HalfLife.Seconds())
+	weight := math.Exp2(-age.Seconds() / cfg.HalfLife.Seconds())
 	if crashed {
 		weight /= 2
 	}
@@ -113,10 +113,10 @@
 }
 
 // medianOf is the median of a value over the backends that have it; 0 is none.
-func medianOf(all []learnedstate.Backend, of func(*learnedstate.Backend) float64) float64 {
+func medianOf(all []learnedstate.Backend, value func(*learnedstate.Backend) float64) float64 {
 	var x []float64
 	for i := range all {
-		if v := of(&all[i]); v > 0 {
+		if v := value(&all[i]); v > 0 {
 			x = append(x, v)
 		}
 	}
