--- a/internal/balancer/budgetshare/budgetshare_test.go
+++ b/internal/balancer/budgetshare/budgetshare_test.go
@@ -17,7 +17,7 @@
 	return names
 }
 
-// The shares of all proxies add up to the total, however many there are.
+// The shares of all proxies add up to the total, for any number of proxies.
 func TestSharesAddUp(t *testing.T) {
 	is := is.New(t)
 	for _, proxies := range []int{1, 2, 6, 7, 17, 18, 380} {
@@ -29,7 +29,7 @@
 				s.Update(SettleTime+time.Second, names, true)
 				sum += s.Share(SettleTime+2*time.Second, "backend-1", total)
 			}
-			is.Equal(sum, total) // no request more, and none less
+			is.Equal(sum, total) // exactly the total
 		}
 	}
 }
@@ -42,14 +42,14 @@
 		return s.Share(at, "b", 12)
 	}
 	is.Equal(share(0, 2), 0)                                          // it has just started
-	is.Equal(share(SettleTime+time.Second, 2), 6)                     // and now it has stood for long enough
-	is.Equal(share(6*time.Second, 3), 4)                              // a third one joins: at once
-	is.Equal(share(7*time.Second, 2), 4)                              // it leaves: not yet
-	is.Equal(share(12*time.Second, 2), 6)                             // but now
+	is.Equal(share(SettleTime+time.Second, 2), 6)                     // the list has been unchanged for SettleTime
+	is.Equal(share(6*time.Second, 3), 4)                              // a third proxy joins: the share shrinks at once
+	is.Equal(share(7*time.Second, 2), 4)                              // it leaves: the share does not grow yet
+	is.Equal(share(12*time.Second, 2), 6)                             // the share has grown after SettleTime
 	is.Equal(s.Share(12*time.Second+MembershipTimeout+1, "b", 12), 0) // no update: no share
 }
 
-// Random histories of proxies that join, leave, restart and are partitioned: the sums never exceed the bounds, in any
+// In random histories of proxies that join, leave, restart and are partitioned, the sums never exceed the bounds in any
 // window.
 func TestBudgetsHoldInRandomHistories(t *testing.T) {
 	for seed := range 30 {
@@ -61,12 +61,12 @@
 }
 
 const (
-	maxUpdateDelay = 700 * time.Millisecond // that a list takes to reach a proxy
+	maxUpdateDelay = 700 * time.Millisecond // longest time that a list takes to reach a proxy
 	historyLength  = 60 * time.Second
 	historyStep    = 10 * time.Millisecond
 )
 
-// The bounds of the histories.
+// Limits that the simulated proxies enforce together.
 var (
 	warmupBound = WarmupConfig{PerSecond: 8, Excess: 1.5, Slack: 5}
 	retryBound  = RetryConfig{Ratio: 0.2, Slack: 52, Window: 10 * time.Second}
@@ -89,12 +89,12 @@
 	p.retries = NewRetryBudget(retryBound, p.membership, now)
 }
 
-// history is what some proxies did, and when.
+// history simulates some proxies and records what they sent and when.
 type history struct {
 	rng     *rand.Rand
 	now     time.Duration
 	proxies []*simulatedProxy
-	lists   [][]string // of the proxies that ran, a list each step
+	lists   [][]string // names of the running proxies, one list per step
 
 	warmupSent, requests, retries []time.Duration
 }
@@ -127,7 +127,7 @@
 	}
 }
 
-// injectFaults ends or starts a proxy, or begins or ends a partition, now and then.
+// injectFaults stops or starts a proxy, or begins or ends a partition, at random.
 func (h *history) injectFaults(p *simulatedProxy) {
 	if h.rng.IntN(4000) == 0 {
 		p.running = false
@@ -139,7 +139,7 @@
 	}
 }
 
-// serve lets a proxy learn a list, maybe, and use its budgets.
+// serve lets a proxy receive a list in some steps, and use its budgets.
 func (h *history) serve(p *simulatedProxy) {
 	if !p.partitioned && h.rng.IntN(10) == 0 {
 		steps := h.rng.IntN(int(maxUpdateDelay / historyStep))
@@ -160,7 +160,7 @@
 	}
 }
 
-// check asserts the bounds in each window.
+// check fails the test if a window exceeds a bound.
 func (h *history) check(t *testing.T, seed int) {
 	t.Helper()
 	maxWarmup := warmupBound.PerSecond*warmupBound.Excess + warmupBound.Slack
@@ -170,7 +170,7 @@
 		}
 		maxRetries := retryBound.Ratio*float64(countWithin(h.requests, at, retryBound.Window)) + retryBound.Slack
 		if n := countWithin(h.retries, at, retryBound.Window); float64(n) > maxRetries {
-			t.Fatalf("seed %d: %d retries in the window from %v, and %v are allowed", seed, n, at, maxRetries)
+			t.Fatalf("seed %d: %d retries in the window from %v, want at most %v", seed, n, at, maxRetries)
 		}
 	}
 	if len(h.warmupSent) == 0 || len(h.retries) == 0 {
--- a/internal/balancer/budgetshare/membership.go
+++ b/internal/balancer/budgetshare/membership.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// SettleTime is how long a list must stand before a share that grows by it is used.
+	// SettleTime is how long a list must stay unchanged before a share that it increases is used.
 	SettleTime = 4 * time.Second
-	// MembershipTimeout is how long a list counts without an update that says that it is fresh.
+	// MembershipTimeout is how long a list is used without a fresh update.
 	MembershipTimeout = 3 * time.Second
 )
 
@@ -23,19 +23,19 @@
 	everUpdated bool
 }
 
-// previousMembers is a list that was in force until a time.
+// previousMembers is an earlier list and the time until which it was in force.
 type previousMembers struct {
 	names []string
 	until time.Duration
 }
 
-// NewMembership makes the membership of a proxy that has just started: it has no share until its
-// list has stood for SettleTime.
+// NewMembership returns the membership of a proxy that has just started: it has no share until its list has been
+// unchanged for SettleTime.
 func NewMembership(self string, now time.Duration) *Membership {
 	return &Membership{self: self, previous: []previousMembers{{nil, now}}}
 }
 
-// Update takes in the list of proxies, and whether it is fresh.
+// Update sets the list of proxies; fresh says that the list is known to be current.
 func (s *Membership) Update(now time.Duration, names []string, fresh bool) {
 	if fresh {
 		s.updatedAt, s.everUpdated = now, true
@@ -51,15 +51,16 @@
 	s.names = sorted
 }
 
-// Count is how many proxies there are, itself among them.
+// Count returns the number of proxies, including this one.
 func (s *Membership) Count() int { return max(1, len(s.names)) }
 
-// Expired tells whether the list may be too old to act on.
+// Expired reports whether the list may be too old to act on.
 func (s *Membership) Expired(now time.Duration) bool {
 	return !s.everUpdated || now-s.updatedAt > MembershipTimeout
 }
 
-// minShare gives the smallest share by any list that was in force within SettleTime.
+// minShare returns the smallest share under any list that was in force within SettleTime, and 0 if the list has
+// expired.
 func (s *Membership) minShare(now time.Duration, share func(names []string) int) int {
 	if s.Expired(now) {
 		return 0
@@ -72,7 +73,7 @@
 	return smallest
 }
 
-// Share is this proxy's share of a total that belongs to a key, such as a backend.
+// Share returns this proxy's share of a total that belongs to a key, such as a backend.
 func (s *Membership) Share(now time.Duration, key string, total int) int {
 	return s.minShare(now, func(names []string) int { return s.shareAmong(names, key, total) })
 }
@@ -100,7 +101,7 @@
 
 func score(key, name string) uint64 {
 	hash := fnv.New64a()
-	_, _ = io.WriteString(hash, key+"|"+name) // a hash takes all that it is given
+	_, _ = io.WriteString(hash, key+"|"+name) // a hash never returns an error
 	h := hash.Sum64()
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
--- a/internal/balancer/budgetshare/retry.go
+++ b/internal/balancer/budgetshare/retry.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// RetryConfig is the bound on retries to a service from all proxies.
+// RetryConfig limits the retries that all proxies together send to a service.
 type RetryConfig struct {
-	Ratio  float64 // retries for each request
-	Slack  float64 // and so many more
+	Ratio  float64 // retries allowed per request
+	Slack  float64 // retries allowed in a window beyond the ratio
 	Window time.Duration
 }
 
 const (
-	// retryMargin is the part of the ratio that is used.
+	// retryMargin is the fraction of the ratio that is used.
 	retryMargin = 0.8
-	// slackMargin is the part of the slack that is given out: lists may differ for a
-	// moment, and a process may have replaced another one within a window.
+	// slackMargin is the fraction of the slack that is shared out: lists may differ for a moment, and a process may
+	// have replaced another one within a window.
 	slackMargin = 0.5
 )
 
-// RetryBudget keeps this proxy's share of the budget. Not safe for concurrent use.
+// RetryBudget enforces this proxy's share of the retry budget. Not safe for concurrent use.
 type RetryBudget struct {
 	cfg        RetryConfig
 	membership *Membership
@@ -26,15 +26,15 @@
 	retries    Window
 }
 
-// NewRetryBudget makes the budget of a process that starts now.
+// NewRetryBudget returns the budget of a process that starts now.
 func NewRetryBudget(cfg RetryConfig, membership *Membership, now time.Duration) *RetryBudget {
 	return &RetryBudget{cfg: cfg, membership: membership, startedAt: now, requests: NewWindow(cfg.Window), retries: NewWindow(cfg.Window)}
 }
 
-// RecordRequest counts a request that is sent, for the first time or again.
+// RecordRequest counts a request that is sent, whether for the first time or as a retry.
 func (r *RetryBudget) RecordRequest(now time.Duration) { r.requests.Add(now) }
 
-// Remaining is how many retries there may still be now.
+// Remaining returns how many retries the budget still allows now. It may be fractional or negative.
 func (r *RetryBudget) Remaining(now time.Duration) float64 {
 	earned := min(1, float64(now-r.startedAt)/float64(max(r.cfg.Window, 1)))
 	slack := slackMargin * r.cfg.Slack / float64(r.membership.Count()) * earned
@@ -44,7 +44,7 @@
 	return retryMargin*r.cfg.Ratio*float64(r.requests.Count(now)-r.retries.Count(now)) + slack - float64(r.retries.Count(now))
 }
 
-// TryAcquire takes one retry, if there may be one.
+// TryAcquire takes one retry from the budget and reports whether there was one.
 func (r *RetryBudget) TryAcquire(now time.Duration) bool {
 	if r.Remaining(now) < 1 {
 		return false
--- a/internal/balancer/budgetshare/warmup.go
+++ b/internal/balancer/budgetshare/warmup.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// WarmupConfig is the bound on what a warming backend gets from all proxies.
+// WarmupConfig limits what a warming backend gets from all proxies together.
 type WarmupConfig struct {
-	PerSecond float64 // requests that it bears a second
-	Excess    float64 // factor that is allowed
-	Slack     float64 // and so many more
+	PerSecond float64 // requests a second that the backend can take
+	Excess    float64 // allowed multiple of PerSecond
+	Slack     float64 // requests allowed beyond that
 }
 
 const (
-	// warmupWindow is the window of the bound, and what a request may take on its way: those
-	// that were sent before may arrive within it.
+	// warmupWindow is the window of the limit plus the time that a request may take to arrive: requests sent before the
+	// window may arrive within it.
 	warmupWindow = time.Second + 100*time.Millisecond
-	// warmupMargin is the part of the bound that is given out.
+	// warmupMargin is the fraction of the limit that is shared out.
 	warmupMargin = 0.9
 )
 
-// total is how many requests all proxies together may send within the window.
+// total returns how many requests all proxies together may send within the window.
 func (c WarmupConfig) total() int { return int(warmupMargin * (c.PerSecond*c.Excess + c.Slack)) }
 
-// WarmupBudget keeps this proxy's share of what warming backends get. Not safe for concurrent use.
+// WarmupBudget enforces this proxy's share of the requests to warming backends. Not safe for concurrent use.
 type WarmupBudget struct {
 	cfg        WarmupConfig
 	membership *Membership
@@ -32,15 +32,15 @@
 	sent      Window
 }
 
-// NewWarmupBudget makes a budget in which no backend is warming.
+// NewWarmupBudget returns a budget in which no backend is warming.
 func NewWarmupBudget(cfg WarmupConfig, membership *Membership) *WarmupBudget {
 	return &WarmupBudget{cfg: cfg, membership: membership, backends: map[string]*warmingBackend{}}
 }
 
-// Configure sets the bound.
+// Configure replaces the limit.
 func (c *WarmupBudget) Configure(cfg WarmupConfig) { c.cfg = cfg }
 
-// SetWarmupEnd says until when a backend is warming; a time that has passed: it is not.
+// SetWarmupEnd sets the time until which a backend is warming; if until is not after now, the backend is warm.
 func (c *WarmupBudget) SetWarmupEnd(now time.Duration, backend string, until time.Duration) {
 	b := c.backends[backend]
 	if until <= now && b == nil {
@@ -53,7 +53,7 @@
 	b.warmupEnd = until
 }
 
-// RemoveExcept drops the backends that are not to be kept.
+// RemoveExcept drops the backends for which kept returns false.
 func (c *WarmupBudget) RemoveExcept(kept func(backend string) bool) {
 	for id := range c.backends {
 		if !kept(id) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// Allows tells whether a backend may have one more request of this proxy now.
+// Allows reports whether this proxy may send a backend one more request now.
 func (c *WarmupBudget) Allows(now time.Duration, backend string) bool {
 	b := c.backends[backend]
 	if b == nil || b.warmupEnd <= now || c.cfg.PerSecond <= 0 {
@@ -71,7 +71,7 @@
 	return b.sent.Count(now) < c.membership.Share(now, backend, c.cfg.total())
 }
 
-// RecordSent counts a request.
+// RecordSent counts a request that this proxy sends to a backend.
 func (c *WarmupBudget) RecordSent(now time.Duration, backend string) {
 	if b := c.backends[backend]; b != nil && b.warmupEnd > now {
 		b.sent.Add(now)
--- a/internal/balancer/budgetshare/window.go
+++ b/internal/balancer/budgetshare/window.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Window counts events within a sliding window of time. Its size is bounded by the budgets that it counts for.
+// Window counts events within a sliding window of time. Its size is bounded by the budgets for which it counts.
 type Window struct {
 	span time.Duration
 	at   []time.Duration
 }
 
-// NewWindow makes an empty window.
+// NewWindow returns an empty window.
 func NewWindow(span time.Duration) Window { return Window{span: span} }
 
 // Add counts an event.
@@ -21,7 +21,7 @@
 	w.at = append(w.at, now)
 }
 
-// Count is how many there were within the window before now.
+// Count returns the number of events within the window before now.
 func (w *Window) Count(now time.Duration) int {
 	w.expire(now)
 	return len(w.at)
--- a/internal/balancer/connections/answertimes.go
+++ b/internal/balancer/connections/answertimes.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// answerTimes follows how long a backend takes from a request's last byte to the first byte of an answer.
+// answerTimes tracks how long a backend takes from a request's last byte to the first byte of an answer.
 type answerTimes struct {
 	mean  float64 // seconds
-	quick float64 // seconds; the quantile of QuickShare
-	count int     // of the answers so far, up to firstAnswers
+	quick float64 // seconds; the quantile given by QuickShare
+	count int     // answers so far, up to firstAnswers
 }
 
 const (
-	meanWeight    = 0.05 // of the newest answer time in the mean
-	quantileStep  = 0.2  // of the quantile, in logarithms, for each answer
-	firstAnswers  = 8    // the quantile begins with the quickest of these
-	minAnswerTime = 1e-6 // seconds: the quantile moves by factors, and must not be 0
+	meanWeight    = 0.05 // weight of the newest answer time in the mean
+	quantileStep  = 0.2  // step of the logarithm of the quantile for each answer
+	firstAnswers  = 8    // the quantile starts at the shortest of this many answer times
+	minAnswerTime = 1e-6 // seconds: the quantile changes by factors and must not become 0
 	maxQuickRest  = 250 * time.Millisecond
 )
 
-// RecordAnswer takes in how long a backend took for an answer, and returns how long the connection should rest. An answer
-// that comes much sooner than others may be one too many to the request before; then the request's own comes within that
-// time, and would be read as the next request's, and that one's as the one's after it, for as long as the connection
-// is never idle when one comes.
+// RecordAnswer records how long a backend took for an answer, and returns how long the connection should rest before it
+// is reused. An answer that comes much sooner than usual may be a surplus answer to the previous request. Then the
+// request's own answer arrives within the rest time. On a connection that is reused at once, it would be read as the
+// answer to the next request, and so on for each further request, until an answer arrives while the connection is idle.
 func (k *KeepAlive) RecordAnswer(backend uint32, took time.Duration) (rest time.Duration) {
 	t := k.answers[backend]
 	if t == nil {
@@ -39,7 +39,7 @@
 	return rest
 }
 
-// record takes in an answer time, and tells whether it is below the quantile.
+// record adds an answer time and reports whether it is below the quantile.
 func (t *answerTimes) record(seconds, share float64) bool {
 	if t.count < firstAnswers {
 		t.count++
--- a/internal/balancer/connections/doc.go
+++ b/internal/balancer/connections/doc.go
@@ -1,20 +1,16 @@
-// Package connections is a model of pooled connections: how likely each is to break under the next
-// request, and so which one a request should have. It is pure: events come with the
-// time on them, choices come back; it opens nothing, reads no clock and starts no goroutine.
-// It never decides which backend gets a request, nor what may be retried: package balancer does. Its Model belongs to
-// the connection pool of internal/httpproxy.
+// Package connections models pooled connections: how likely each is to break under the next request, and therefore
+// which one a request should use. It is pure: events come with their time, choices are returned; it opens nothing,
+// reads no clock and starts no goroutine. Package balancer decides which backend gets a request and what may be
+// retried. The Model belongs to the connection pool of internal/dataplane/httpproxy.
 //
-// A use of a connection either breaks after the request was written and before an
-// answer (when it may have run, so that an unsafe request is lost) or does not. Uses
-// fall into cells: the first use of a new connection, and reuse by how long the
-// connection stood idle, in steps of about a factor of 3; large requests have cells of
-// their own. In each cell the hazard has a Beta prior with a stated mean and weight, and
-// is learned at three levels, each the prior of the next: all backends, those of one
-// zone, one backend. Old evidence decays exponentially, so a hazard that goes is
-// forgotten, and one that comes is seen after some ten uses. Over idle time the hazard
-// of all backends is made non-decreasing by pooling neighbours that violate it: what
-// resets idle connections resets older ones at least as often, and sparse cells borrow
-// from their neighbours so.
+// A use of a connection either breaks after the request was written and before an answer (the request may have run, so
+// an unsafe request is lost) or does not. Uses fall into cells: the first use of a new connection, and reuse by how
+// long the connection was idle, in steps of about a factor of 3 up to 10 ms and of 1.3 to 2 beyond; large requests have
+// cells of their own. In each cell the hazard has a Beta prior with a configured mean and weight, and is learned at
+// three levels, each the prior of the next: all backends, those of one zone, one backend. Old evidence decays
+// exponentially, so a hazard that ends is forgotten, and a new one is detected after some ten uses. At each level the
+// hazard is made non-decreasing over the idle time by pooling adjacent cells that violate this: whatever resets idle
+// connections resets older ones at least as often, and cells with few uses borrow evidence from their neighbours.
 //
 // docs/design/connections.md derives it and names the sources.
 package connections
--- a/internal/balancer/connections/model.go
+++ b/internal/balancer/connections/model.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// Config is what the model assumes before it has learned anything.
+// Config sets what the model assumes before it has learned anything, and its bounds.
 type Config struct {
-	// PriorNew and PriorReused are the hazards, 0 to 1, assumed of new and of reused connections.
-	// Raising PriorReused above PriorNew makes a model that knows nothing dial.
+	// PriorNew and PriorReused are the hazards, 0 to 1, assumed of new and of reused connections. With PriorReused
+	// above PriorNew, a model that has learned nothing dials.
 	PriorNew, PriorReused float64
-	// Weight is how many uses the prior counts for at each level. A lower one learns sooner, from chance too.
+	// Weight is how many uses the prior counts for at each level. A lower weight learns sooner, but also learns from
+	// chance.
 	Weight float64
 	// TimeConstant is the time in which evidence decays to 1/e.
 	TimeConstant time.Duration
-	// HandshakeCost is what a new connection costs, in utility: its price, and the work that
-	// it takes from other requests.
+	// HandshakeCost is what a new connection costs, in utility: its price, and the work that it takes away from other
+	// requests.
 	HandshakeCost float64
-	// MaxBackends bounds what is kept; past it, the one used the longest ago is dropped.
+	// MaxBackends bounds the number of tracked backends; beyond it, the least recently used one is dropped.
 	MaxBackends int
 }
 
-// DefaultConfig fits requests whose mean utility is given; handshakePrice is in requests of mean utility.
+// DefaultConfig suits requests of the given mean utility; handshakePrice is in requests of mean utility.
 func DefaultConfig(meanUtility, handshakePrice float64) Config {
 	return Config{
 		PriorNew: 0.004, PriorReused: 0.002, Weight: 8, TimeConstant: 30 * time.Second,
@@ -29,28 +30,27 @@
 	}
 }
 
-// handshakeWork is the part of a mean request's utility that a handshake costs others: it
-// takes some 12 ms of a backend whose requests take some 50, which matters at most as
-// much as they do while nodes are busy.
+// handshakeWork is the part of a mean request's utility that a handshake costs others: it takes some 12 ms of a backend
+// whose requests take some 50 ms, and only while nodes are busy does this time matter as much as that of requests.
 const handshakeWork = 0.05
 
-// SetHandshakeCost says what a new connection costs from now on, in utility.
+// SetHandshakeCost changes what a new connection costs, in utility.
 func (m *Model) SetHandshakeCost(utility float64) { m.cfg.HandshakeCost = utility }
 
-// BreakEffect is what a broken connection does to a request.
+// BreakEffect is the effect of a broken connection on a request.
 type BreakEffect uint8
 
-// The effects.
+// The values of BreakEffect.
 const (
-	Lost    BreakEffect = iota // it may have run, and must not run twice: it fails
+	Lost    BreakEffect = iota // it may have run and must not run twice: it fails
 	Delayed                    // it may be retried, as time and budgets allow
 )
 
-// delayedLoss is the part of its utility that a request loses, on average, by a break
-// after which it may be retried.
+// delayedLoss is the part of its utility that a request loses, on average, when its connection breaks and it may be
+// retried.
 const delayedLoss = 0.35
 
-// Request is what a request has to lose by a broken connection.
+// Request describes what a request would lose by a broken connection.
 type Request struct {
 	Utility float64
 	Effect  BreakEffect
@@ -67,13 +67,13 @@
 // Use is one use of a connection.
 type Use struct {
 	New   bool
-	Idle  time.Duration // how long a reused one had been idle
-	Large bool          // the request
+	Idle  time.Duration // how long a reused connection was idle
+	Large bool          // the request is large
 }
 
-// edges of the idle times, and with that the cells: idle below the first edge, between
-// two, and beyond the last. Steps of a half to a third, as what closes idle connections
-// does so at one time, and a request that comes just before is safe.
+// edges of the idle times, which define the cells: idle below the first edge, between two edges, and beyond the last.
+// Most steps are a half to a third: whatever closes idle connections does so at one fixed idle time, and a request that
+// comes just before that is safe.
 var edges = [...]time.Duration{
 	1 * ms, 3 * ms, 10 * ms, 20 * ms, 35 * ms, 50 * ms, 75 * ms, 100 * ms, 150 * ms, 200 * ms, 300 * ms,
 	450 * ms, 700 * ms, 1000 * ms, 1500 * ms, 2000 * ms, 3000 * ms, 5000 * ms, 8000 * ms, 13000 * ms, 20000 * ms, 30000 * ms, 45000 * ms,
@@ -81,12 +81,12 @@
 
 const (
 	ms          = time.Millisecond
-	reusedCells = len(edges) + 1        // cells of kept connections
-	cells       = 2 * (reusedCells + 1) // and one of new ones; for small requests and for large ones
+	reusedCells = len(edges) + 1        // cells of reused connections
+	cells       = 2 * (reusedCells + 1) // plus one of new connections; for small requests and for large ones
 )
 
 func cell(u Use) int {
-	i := reusedCells // new
+	i := reusedCells // a new connection
 	if !u.New {
 		i = 0
 		for i < len(edges) && u.Idle >= edges[i] {
@@ -99,17 +99,17 @@
 	return i
 }
 
-// tally is evidence of one cell: uses and broken uses, decayed.
+// tally is the evidence of one cell: uses and broken uses, both decayed.
 type tally struct{ uses, broken float64 }
 
-// level is the evidence of one scope, and the hazards that follow from it.
+// level is the evidence of one scope (all backends, a zone or a backend) and the hazards derived from it.
 type level struct {
 	at         time.Duration
 	cells      [cells]tally
-	early      tally // of all uses: those that broke soon after the first bytes
+	early      tally // over all cells: uses, and those that broke soon after the first bytes
 	hazards    [cells]float64
 	computedAt time.Duration
-	current    bool // hazards are those of the evidence, but for what has decayed since
+	current    bool // no break was recorded since the hazards were computed
 }
 
 func (l *level) decay(now, timeConstant time.Duration) {
@@ -125,7 +125,7 @@
 	}
 }
 
-// Model is what was learned. Not safe for concurrent use.
+// Model estimates how likely connections are to break and chooses between them. Not safe for concurrent use.
 type Model struct {
 	cfg      Config
 	all      level
@@ -134,19 +134,19 @@
 	holdback time.Duration
 }
 
-// New makes a model that has learned nothing.
+// New returns a model that has learned nothing.
 func New(cfg Config) *Model {
 	return &Model{cfg: cfg, zones: map[int]*level{}, backends: map[uint32]*level{}, holdback: initialHoldback}
 }
 
 // Outcome is how a use of a connection ended.
 type Outcome struct {
-	Broken   bool          // after the request's first bytes were written, and before an answer
-	After    time.Duration // since those bytes, where it broke
-	Complete bool          // the last byte had been written: it may have run
+	Broken   bool          // it broke after the request's first bytes were written, and before an answer
+	After    time.Duration // if it broke: time since those bytes were written
+	Complete bool          // the last byte had been written, so the request may have run
 }
 
-// RecordOutcome takes the end of a use.
+// RecordOutcome records how a use ended.
 func (m *Model) RecordOutcome(now time.Duration, backend uint32, zone int, u Use, end Outcome) {
 	early := end.Broken && end.After < maxHoldback
 	if early {
@@ -167,8 +167,8 @@
 	}
 }
 
-// adjustHoldback follows a high quantile of when early breaks come: one that came after the holdback lengthens it by
-// much, one within it shortens it by little.
+// adjustHoldback tracks a high quantile of the times of early breaks: a break after the holdback lengthens it by a
+// large step, one within it shortens it by a small one.
 func (m *Model) adjustHoldback(end Outcome) {
 	if end.Complete && end.After > m.holdback {
 		m.holdback = min(time.Duration(float64(m.holdback)*holdbackIncrease), maxHoldback)
@@ -196,7 +196,7 @@
 	return l
 }
 
-// evictOldest makes room for another backend.
+// evictOldest makes room for another backend by dropping the least recently used one.
 func (m *Model) evictOldest() {
 	if len(m.backends) < m.cfg.MaxBackends {
 		return
@@ -213,14 +213,14 @@
 // Forget drops a backend that has left the membership.
 func (m *Model) Forget(backend uint32) { delete(m.backends, backend) }
 
-// Backends is how many are known.
+// Backends returns the number of tracked backends.
 func (m *Model) Backends() int { return len(m.backends) }
 
-// refreshInterval is how old computed hazards may grow, while no break has come.
+// refreshInterval is how old computed hazards may get while no break is recorded.
 const refreshInterval = time.Second / 4
 
-// refreshHazards computes a level's hazards from its evidence. Those of the wider level are the
-// means of its priors; nil: it is the widest.
+// refreshHazards computes a level's hazards from its evidence. The hazards of the wider level are the means of its
+// priors; wider is nil for the widest level.
 func (m *Model) refreshHazards(now time.Duration, l, wider *level) {
 	if l.current && now-l.computedAt < refreshInterval && (wider == nil || wider.computedAt <= l.computedAt) {
 		return
@@ -238,19 +238,19 @@
 	l.computedAt, l.current = now, true
 }
 
-// hazard is the mean of the Beta posterior with a prior of a mean and a weight.
+// hazard returns the mean of the Beta posterior, given the mean and the weight of the prior.
 func (t tally) hazard(prior, weight float64) float64 {
 	return (t.broken + prior*weight) / (t.uses + weight)
 }
 
-// hazardBlock is neighbouring cells with one hazard.
+// hazardBlock is a run of adjacent cells that share one hazard.
 type hazardBlock struct {
 	hazard, weight float64
 	cells          int
 }
 
-// refreshReused computes the hazards of reused connections, from a first cell on, by pooling adjacent violators: blocks
-// of cells with one hazard each, rising with the idle time.
+// refreshReused computes the hazards of reused connections, for the cells starting at from, by pooling adjacent
+// violators: blocks of cells that share one hazard, non-decreasing with the idle time.
 func (m *Model) refreshReused(l, wider *level, from int) {
 	var blocks [reusedCells]hazardBlock
 	n := 0
@@ -261,7 +261,7 @@
 		}
 		t := l.cells[i]
 		merged := hazardBlock{t.hazard(prior, m.cfg.Weight), t.uses + m.cfg.Weight, 1}
-		prior = merged.hazard // of the widest level: older ones break as often at least, nothing else being known
+		prior = merged.hazard // used only at the widest level: with no evidence, longer idle times break at least as often
 		for ; n > 0 && blocks[n-1].hazard > merged.hazard; n-- {
 			previous := blocks[n-1]
 			sum := previous.weight + merged.weight
@@ -279,7 +279,7 @@
 	}
 }
 
-// hazards are those of a backend; a level that has seen nothing has the wider one's.
+// hazards returns the hazards of a backend, from the narrowest level that has evidence.
 func (m *Model) hazards(now time.Duration, backend uint32, zone int) *[cells]float64 {
 	m.refreshHazards(now, &m.all, nil)
 	narrowest := &m.all
@@ -294,25 +294,24 @@
 	return &narrowest.hazards
 }
 
-// Hazard is the chance that a use breaks after its request was written.
+// Hazard returns the probability that a use breaks after its request was written.
 func (m *Model) Hazard(now time.Duration, backend uint32, zone int, u Use) float64 {
 	return m.hazards(now, backend, zone)[cell(u)]
 }
 
-// The holdback: how long the last byte of a request is held back.
+// The holdback is how long the last byte of a request is held back after the others were written.
 const (
 	initialHoldback   = 1 * time.Millisecond
 	minHoldback       = 300 * time.Microsecond
 	maxHoldback       = 2 * time.Millisecond
 	holdbackIncrease  = 1.2
-	holdbackDecrease  = 0.98 // so nine early breaks in ten fall into it
+	holdbackDecrease  = 0.98 // with holdbackIncrease, nine early breaks in ten fall within the holdback
 	holdbackThreshold = 0.005
 )
 
-// Holdback is how long the last byte of a request should be held back after the others were
-// written. A backend begins a request when its last byte has come, so what breaks until
-// then proves that nothing ran. Where hardly any connection breaks so early it is 0: one
-// write, and no wait.
+// Holdback returns how long the last byte of a request should be held back after the others were written. A backend
+// begins a request only when its last byte has arrived, so a connection that breaks before then proves that nothing
+// ran. Where hardly any connection breaks that early it is 0: one write and no wait.
 func (m *Model) Holdback(now time.Duration, backend uint32, zone int) time.Duration {
 	h, w := m.cfg.PriorReused, m.cfg.Weight
 	for _, l := range [3]*level{&m.all, m.zones[zone], m.backends[backend]} {
@@ -327,19 +326,19 @@
 	return m.holdback
 }
 
-// Dial is Choose's answer for a new connection.
+// Dial is the result of Choose that means a new connection.
 const Dial = -1
 
-// equalHazard is the difference of hazards up to which they count as equal.
+// equalHazard is the difference up to which hazards count as equal.
 const equalHazard = 0.004
 
-// significantSpread is by how much the hazards of kept connections must differ for it to matter
-// which one a request has; less is noise, and the latest used is taken.
+// significantSpread is by how much the hazards of idle connections must differ for the choice between them to matter; a
+// smaller difference is noise, and the most recently used one is taken.
 const significantSpread = 0.01
 
-// Choose gives the index of the kept connection that a request should have, or Dial.
-// idle are the times that they have stood idle; the latest used comes last. Where
-// mayDial is not set, one of them is given if there is any.
+// Choose returns the index of the idle connection that a request should use, or Dial. idle holds the time that each has
+// been idle; the most recently used connection comes last. If mayDial is not set, it returns one of them if there is
+// any.
 func (m *Model) Choose(now time.Duration, backend uint32, zone int, s Request, idle []time.Duration, mayDial bool) int {
 	if len(idle) == 0 {
 		return Dial
@@ -361,21 +360,21 @@
 	if lowest*s.loss() > dial {
 		return Dial
 	}
-	best := len(idle) - 1 // of those that are alike the latest used
+	best := len(idle) - 1 // of those with equal hazards, the most recently used
 	for hazardOf(best) > lowest+equalHazard {
 		best--
 	}
-	// A request that may be retried takes the worst that is still better than a new one, and
-	// so leaves the best for one that needs it and tests the rest. While all are alike, the
-	// latest used is taken: the others stay idle until they are closed.
+	// A request that may be retried takes the worst connection that is still better than a new one. This leaves the
+	// best for a request that needs it, and tests the others. While all hazards are alike, the most recently used one
+	// is taken, so that the others stay idle until they are closed.
 	if s.Effect == Delayed && worstAcceptable >= 0 && hazardOf(worstAcceptable)-lowest > significantSpread {
 		return worstAcceptable
 	}
 	return best
 }
 
-// ShouldClose tells whether a connection that has stood idle for so long should be closed
-// before any request has it: even one that may be retried would rather dial.
+// ShouldClose reports whether a connection that has been idle this long should be closed before any request uses it:
+// even for a request that may be retried, dialling would be better.
 func (m *Model) ShouldClose(now time.Duration, backend uint32, zone int, idle time.Duration, utility float64) bool {
 	s := Request{Utility: utility, Effect: Delayed}
 	return m.Hazard(now, backend, zone, Use{Idle: idle})*s.loss() >
--- a/internal/balancer/connections/model_test.go
+++ b/internal/balancer/connections/model_test.go
@@ -13,7 +13,7 @@
 
 func newTestModel() *Model { return New(DefaultConfig(2.9, 0.03)) }
 
-// recordUses observes n uses of which breaks break, one each millisecond.
+// recordUses records n uses, one per millisecond; the given number of them break.
 func recordUses(m *Model, now *time.Duration, backend uint32, zone int, u Use, n, breaks int) {
 	for i := range n {
 		*now += ms
@@ -21,7 +21,7 @@
 	}
 }
 
-// On a calm day nothing is dialled, and the latest used is taken: as before.
+// While hardly any connection breaks, nothing is dialled and the most recently used connection is taken.
 func TestFewBreaksKeepConnections(t *testing.T) {
 	m, now := newTestModel(), time.Duration(0)
 	for _, idle := range []time.Duration{0, 20 * ms, 200 * ms, 2 * time.Second, 20 * time.Second} {
@@ -30,20 +30,20 @@
 	for _, s := range []Request{unsafeRequest, {Utility: 1, Effect: Delayed}, {Utility: 2, Effect: Delayed, Large: true}} {
 		for _, b := range []uint32{1, 2} {
 			if got := m.Choose(now, b, 0, s, []time.Duration{20 * time.Second, time.Second, 5 * ms}, true); got != 2 {
-				t.Errorf("%+v at backend %d: %d", s, b, got)
+				t.Errorf("%+v at backend %d: chose %d", s, b, got)
 			}
 		}
 	}
 	if m.ShouldClose(now, 1, 0, 30*time.Second, 1) {
-		t.Error("a good connection is retired")
+		t.Error("a good connection is to be closed")
 	}
 	if got := m.Choose(now, 1, 0, unsafeRequest, nil, true); got != Dial {
-		t.Errorf("with none: %d", got)
+		t.Errorf("without idle connections: chose %d", got)
 	}
 }
 
-// Connections idle for over 50 ms break at one use in five: a bid gets one that was
-// just used, or a new one; what can be sent again takes the old ones.
+// Connections idle for over 50 ms break at one use in five: an unsafe request gets one that was just used, or a new
+// one; a request that may be retried takes the old ones.
 func TestStaleConnections(t *testing.T) {
 	m, now := newTestModel(), time.Duration(0)
 	recordUses(m, &now, 1, 0, Use{Idle: 10 * ms}, 30, 0)
@@ -51,41 +51,41 @@
 	recordUses(m, &now, 1, 0, Use{New: true}, 10, 0)
 	idle := []time.Duration{2 * time.Second, 400 * ms, 10 * ms}
 	if got := m.Choose(now, 1, 0, unsafeRequest, idle, true); got != 2 {
-		t.Errorf("a bid with a good one there: %d", got)
+		t.Errorf("an unsafe request with a good connection idle: chose %d", got)
 	}
 	if got := m.Choose(now, 1, 0, unsafeRequest, idle[:2], true); got != Dial {
-		t.Errorf("a bid with old ones only: %d", got)
+		t.Errorf("an unsafe request with only old connections idle: chose %d", got)
 	}
 	if got := m.Choose(now, 1, 0, unsafeRequest, idle[:2], false); got == Dial {
-		t.Error("a bid that may not dial got none")
+		t.Error("an unsafe request that may not dial got no connection")
 	}
 	if got := m.Choose(now, 1, 0, Request{Utility: 1, Effect: Delayed}, idle, true); got == 2 {
-		t.Error("a listing took the one that a bid needs")
+		t.Error("a request that may be retried took the connection that an unsafe one needs")
 	}
-	// Another backend of which nothing is known is judged by what all have in common.
+	// A backend about which nothing is known is judged by the evidence of all backends.
 	if got := m.Choose(now, 2, 0, unsafeRequest, idle[:2], true); got != Dial {
-		t.Errorf("at another backend: %d", got)
+		t.Errorf("at another backend: chose %d", got)
 	}
-	// What is known of 400 ms holds for 2 s at least.
+	// The hazard at 2 s is at least that known at 400 ms.
 	if a, b := m.Hazard(now, 2, 0, Use{Idle: 400 * ms}), m.Hazard(now, 2, 0, Use{Idle: 2 * time.Second}); b < a {
 		t.Errorf("hazard falls with idle time: %v, %v", a, b)
 	}
 }
 
-// Where new ones break more often than kept ones, nothing is dialled for safety.
+// Where new connections break more often than reused ones, an unsafe request does not dial.
 func TestNewConnectionsBreak(t *testing.T) {
 	m, now := newTestModel(), time.Duration(0)
 	recordUses(m, &now, 1, 0, Use{New: true}, 30, 6)
 	recordUses(m, &now, 1, 0, Use{Idle: 300 * ms}, 30, 1)
 	if got := m.Choose(now, 1, 0, unsafeRequest, []time.Duration{300 * ms}, true); got != 0 {
-		t.Errorf("%d", got)
+		t.Errorf("chose %d, want the idle connection", got)
 	}
 }
 
-// A hazard that holds in one zone only, at one backend only, for large requests only.
+// A hazard may exist in one zone only, at one backend only, or for large requests only.
 func TestHazardsByZoneAndBackend(t *testing.T) {
 	m, now := newTestModel(), time.Duration(0)
-	for range 10 { // mixed, as they come
+	for range 10 { // interleaved, as in real traffic
 		recordUses(m, &now, 1, 0, Use{Idle: 400 * ms}, 8, 3)
 		recordUses(m, &now, 2, 0, Use{Idle: 400 * ms}, 8, 3)
 		for b := uint32(3); b < 9; b++ {
@@ -95,14 +95,14 @@
 	}
 	h := func(b uint32, zone int, u Use) float64 { return m.Hazard(now, b, zone, u) }
 	if bad, good := h(99, 0, Use{Idle: 400 * ms}), h(98, 1, Use{Idle: 400 * ms}); bad < 0.25 || good > 0.05 {
-		t.Errorf("a new backend in the bad zone: %v; in the good one: %v", bad, good)
+		t.Errorf("hazard at a new backend in the bad zone: %v; in the good one: %v", bad, good)
 	}
 	if large, small := h(3, 1, Use{Idle: 10 * ms, Large: true}), h(3, 1, Use{Idle: 10 * ms}); large < 0.3 || small > 0.02 {
-		t.Errorf("large %v, small %v", large, small)
+		t.Errorf("hazard of large requests %v, of small ones %v", large, small)
 	}
 }
 
-// A hazard that comes is seen after some ten uses, and one that goes is forgotten.
+// A new hazard is detected after some ten uses, and one that has ended is forgotten.
 func TestHazardsChangeOverTime(t *testing.T) {
 	m, now := newTestModel(), time.Duration(0)
 	u := Use{Idle: 400 * ms}
@@ -110,11 +110,11 @@
 	now += 30 * time.Second
 	recordUses(m, &now, 1, 0, u, 200, 60)
 	if h := m.Hazard(now, 1, 0, u); h < 0.03 {
-		t.Errorf("after it came: %v", h)
+		t.Errorf("hazard after it began: %v", h)
 	}
 	now += 3 * time.Minute
 	if h := m.Hazard(now, 1, 0, u); h > 0.06 {
-		t.Errorf("long after it went: %v", h)
+		t.Errorf("hazard long after it ended: %v", h)
 	}
 	for i := range uint32(5000) {
 		m.RecordOutcome(now, i, 0, u, Outcome{})
@@ -124,15 +124,14 @@
 	}
 	m.Forget(4999)
 	if _, known := m.backends[4999]; known {
-		t.Error("one that left is kept")
+		t.Error("a removed backend is kept")
 	}
 }
 
-// After 200 requests, what the choice is expected to lose is, in the mean of a few days with the
-// same hazards, within a tenth of what one would lose who knows them, and a little for the noise.
-// A single day can be worse: a few early breaks by chance are believed until they fade, which at
-// hazards of 0.02 to 0.1 costs some 40 in about one day of 1,300. So the days are fixed, and it is
-// their mean that is held to the bound.
+// After 200 requests, the expected loss of the choices, averaged over a few days with the same hazards, is within a
+// tenth of the loss of a chooser that knows the hazards, plus a little for the noise. A single day can be worse: a few
+// early breaks by chance are believed until they decay, which at hazards of 0.02 to 0.1 costs some 40 in about one day
+// of 1,300. So the days are fixed by their seeds, and the bound applies to their mean.
 func TestChoiceIsNearOptimal(t *testing.T) {
 	const days = 4
 	for step := 0; step <= len(edges); step += 3 {
@@ -143,18 +142,18 @@
 					l, b := simulateChoices(day, step, reusedHazard, newHazard)
 					lost, best = lost+l/days, best+b/days
 				}
-				// Where all is well the best is 0, and a few looks at what was unknown cost something.
+				// Without hazards the least loss is 0, and exploration costs something.
 				if lost > best*1.1+10 {
-					t.Errorf("lost %.1f where %.1f is the least (old ones %v from step %d, new ones %v)", lost, best, reusedHazard, step, newHazard)
+					t.Errorf("lost %.1f where the least is %.1f (hazard of reused connections %v from cell %d on, of new ones %v)", lost, best, reusedHazard, step, newHazard)
 				}
 			}
 		}
 	}
 }
 
-// simulateChoices plays a day on which kept connections break with hazard kept if they stood idle
-// for step edges or more, and new ones with fresh. It gives what the choices for unsafe requests
-// are expected to lose, and the least that could be.
+// simulateChoices simulates a day on which reused connections whose idle time falls in cell step or beyond break with
+// reusedHazard, and new ones with newHazard. It returns the expected loss of the choices for unsafe requests, and the
+// least possible loss.
 func simulateChoices(seed uint64, step int, reusedHazard, newHazard float64) (lost, best float64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	truth := func(u Use) float64 {
@@ -184,7 +183,7 @@
 		for k := range idle {
 			idle[k] = time.Duration(math.Exp(rng.Float64()*11)) * ms / 2
 		}
-		slices.SortFunc(idle, func(a, b time.Duration) int { return cmp.Compare(b, a) }) // the latest used last
+		slices.SortFunc(idle, func(a, b time.Duration) int { return cmp.Compare(b, a) }) // the most recently used last
 		choice := m.Choose(now, 1, 0, s, idle, true)
 		u := Use{New: true}
 		if choice != Dial {
@@ -192,7 +191,7 @@
 		}
 		m.RecordOutcome(now, 1, 0, u, Outcome{Broken: rng.Float64() < truth(u), After: time.Second, Complete: true})
 		if i < warmup || s.Effect != Lost || len(idle) == 0 {
-			continue // safe ones test on purpose; with no choice there is none
+			continue // retryable requests explore on purpose; without an idle connection there is no choice
 		}
 		least := cost(s, idle, Dial)
 		for k := range idle {
@@ -204,8 +203,8 @@
 	return lost, best
 }
 
-// The last byte is kept back only where connections break early, for about as long as
-// nine in ten of those breaks take, and no longer when that has passed.
+// The last byte is held back only where connections break early, for about as long as nine in ten of those breaks take,
+// and no longer held back once they have ended.
 func TestHoldback(t *testing.T) {
 	m, now := newTestModel(), time.Duration(0)
 	for range 500 {
@@ -213,7 +212,7 @@
 		m.RecordOutcome(now, 1, 0, Use{Idle: 10 * ms}, Outcome{})
 	}
 	if h := m.Holdback(now, 1, 0); h != 0 {
-		t.Errorf("on a calm day: %v", h)
+		t.Errorf("holdback while nothing breaks: %v", h)
 	}
 	rng := rand.New(rand.NewPCG(3, 4))
 	within, breaks := 0, 0
@@ -233,14 +232,14 @@
 		m.RecordOutcome(now, 1, 0, Use{Idle: 10 * ms}, end)
 	}
 	if share := float64(within) / float64(breaks); share < 0.8 {
-		t.Errorf("%.2f of the early breaks came while the last byte was kept back, for %v", share, m.Holdback(now, 1, 0))
+		t.Errorf("%.2f of the early breaks came while the last byte was held back, for %v", share, m.Holdback(now, 1, 0))
 	}
 	if h := m.Holdback(now, 1, 0); h < ms || h > maxHoldback {
-		t.Errorf("breaks come within 1.5 ms, and it is kept back for %v", h)
+		t.Errorf("breaks come within 1.5 ms, and the last byte is held back for %v", h)
 	}
 	now += 5 * time.Minute
 	if h := m.Holdback(now, 1, 0); h != 0 {
-		t.Errorf("long after: %v", h)
+		t.Errorf("holdback long after the breaks: %v", h)
 	}
 }
 
--- a/internal/balancer/connections/state.go
+++ b/internal/balancer/connections/state.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// State is what was learned of all connections together, for another process to go on with. What was learned of a zone
-// or a backend alone follows from it within some ten uses.
+// State is what was learned from all connections together, for another process to resume. What was learned about a
+// single zone or backend is not included: it is learned again within some ten uses.
 //
-// Its encoding is an array: the order of the fields is the stored form. The json tags are the names under which 'marlreel
-// state show --json' prints the fields.
+// Its encoding is an array: the order of the fields is the stored form. The json tags are the names under which
+// 'marlreel state show --json' prints the fields.
 type State struct {
 	//lint:ignore U1000 the codec reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Uses        [cells]float64 // decayed, by cell
-	Broken      [cells]float64 `json:"Breaks"` // of these
-	EarlyUses   float64        // decayed, of all cells
-	EarlyBroken float64        `json:"EarlyBreaks"` // of these, soon after the first bytes
+	Broken      [cells]float64 `json:"Breaks"` // of Uses, those that broke
+	EarlyUses   float64        // decayed, over all cells
+	EarlyBroken float64        `json:"EarlyBreaks"` // of EarlyUses, those that broke soon after the first bytes
 	Holdback    time.Duration  `json:"Hold"`
 }
 
-// State gives what was learned until now.
+// State returns what was learned until now.
 func (m *Model) State(now time.Duration) State {
 	l := &m.all
 	l.decay(now, m.cfg.TimeConstant)
@@ -29,7 +29,7 @@
 	return s
 }
 
-// Resume goes on with what another process had learned, away ago, if it had seen more.
+// Resume continues with what another process had learned, elapsed ago, if that is based on more uses.
 func (m *Model) Resume(s State, elapsed, now time.Duration) {
 	l := &m.all
 	l.decay(now, m.cfg.TimeConstant)
--- a/internal/balancer/decay/sum_test.go
+++ b/internal/balancer/decay/sum_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// A sum is what its parts have faded to, whenever and however often it was looked at.
+// The value is the sum of the decayed terms, whenever and however often it is read.
 func TestSumIsThatOfItsDecayedParts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const span = 3 * time.Second
@@ -26,13 +26,13 @@
 				want += v * math.Exp(-float64(now-at)/float64(span))
 			}
 			if got := s.Value(now, span); math.Abs(got-want) > 1e-9*(1+want) {
-				t.Fatalf("%v, want %v", got, want)
+				t.Fatalf("value %v, want %v", got, want)
 			}
 			if got := s.Rate(now, span); math.Abs(got-want/3) > 1e-9*(1+want) {
-				t.Fatalf("%v a second, want %v", got, want/3)
+				t.Fatalf("rate %v a second, want %v", got, want/3)
 			}
 			if mean := s.Mean(&n, now, span); !(mean >= 0 && mean <= 100+1e-6) {
-				t.Fatalf("a mean of %v", mean)
+				t.Fatalf("mean %v, want 0 to 100", mean)
 			}
 		}
 	})
@@ -41,6 +41,6 @@
 func TestEmptySum(t *testing.T) {
 	var s, n Sum
 	if s.Mean(&n, time.Second, time.Second) != 0 || s.Value(time.Hour, 0) != 0 {
-		t.Error("an empty sum is something")
+		t.Error("an empty sum is not 0")
 	}
 }
--- a/internal/balancer/goodput/tracker.go
+++ b/internal/balancer/goodput/tracker.go
@@ -1,21 +1,20 @@
-// Package goodput tracks the utility that was offered and completed recently, in all, by class
-// and by tenant, and derives from it what completing more would add to the goal.
+// Package goodput tracks the utility that was offered and completed recently, in total, by class and by tenant, and
+// derives how much completing more would add to the goal.
 //
-// The goal mixes the whole service with its worst-served class and its worst-served
-// tenant. So a unit of utility counts once by its part of all utility, and once more by its
-// part of its class's where no class is served worse, and of its tenant's likewise.
+// The goal combines the success ratio of the whole service with those of its worst-served class and its worst-served
+// tenant. So a unit of completed utility counts as a part of all offered utility; it counts again as a part of its
+// class's if no class is served worse, and likewise for its tenant.
 //
-// It is pure: no clock, no I/O. It never decides what is sent or rejected: package balancer does, which owns the
-// Tracker.
+// The package is pure: no clock, no I/O. Package balancer, which owns the Tracker, decides what is sent or rejected.
 package goodput
 
-// worstTolerance: classes, or tenants, whose success ratios differ by less are all the worst.
+// worstTolerance is the difference in success ratio up to which several classes, or tenants, all count as the worst.
 const worstTolerance = 0.02
 
-// Goal weighs the parts of the goal.
+// Goal holds the weights of the parts of the goal.
 type Goal struct{ Total, WorstClass, WorstTenant, WorstWindow float64 }
 
-// Tracker has the utility that was offered and completed. Not safe for concurrent use.
+// Tracker holds the utility that was offered and completed. Not safe for concurrent use.
 type Tracker struct {
 	goal             Goal
 	total            tally
@@ -24,7 +23,7 @@
 
 type tally struct{ offered, completed float64 }
 
-// successRatio is what was completed of what was offered, 1 where nothing was.
+// successRatio is completed divided by offered utility, 1 if none was offered.
 func (t *tally) successRatio() float64 {
 	if t.offered <= 0 {
 		return 1
@@ -34,13 +33,13 @@
 
 func (t *tally) decay(left float64) { t.offered, t.completed = t.offered*left, t.completed*left }
 
-// New gives an empty tracker for so many classes and tenants.
+// New returns an empty tracker for the given numbers of classes and tenants.
 func New(goal Goal, classes, tenants int) *Tracker {
 	return &Tracker{goal: goal, classes: make([]tally, classes), tenants: make([]tally, tenants)}
 }
 
-// Reset puts another goal in force, with room for so many classes, and a tenant for each of from, which has the
-// index that it had before, or one that there wasn't. What was recorded is kept.
+// Reset sets another goal, makes room for the given number of classes, and has one tenant for each entry of from: its
+// previous index, or one out of range for a new tenant. What was recorded is kept.
 func (l *Tracker) Reset(goal Goal, classes int, from []int) {
 	l.goal = goal
 	for len(l.classes) < classes {
@@ -62,12 +61,11 @@
 	clear(l.tenants)
 }
 
-// ClearClass drops what was recorded of a class. Offered and completed decay alike, so one that
-// was served badly when it was removed would stay the worst of all for good.
+// ClearClass drops what was recorded of a class. Offered and completed utility decay alike, so a class that was served
+// badly when it was removed would otherwise stay the worst for good.
 func (l *Tracker) ClearClass(class int) { l.classes[class] = tally{} }
 
-// Record adds utility that was offered, and utility that was completed. A class or a tenant that
-// is not known counts for the total alone.
+// Record adds offered and completed utility. Utility of an unknown class or tenant still counts for the total.
 func (l *Tracker) Record(class, tenant int, offered, completed float64) {
 	for _, t := range [3]*tally{&l.total, tallyAt(l.classes, class), tallyAt(l.tenants, tenant)} {
 		if t != nil {
@@ -86,8 +84,8 @@
 	}
 }
 
-// MarginalUtility is what a completed unit of utility adds to the goal; inShare is the part of it, 0 to 1,
-// that lies within its tenant's quota, which alone counts for the tenant.
+// MarginalUtility returns what a completed unit of utility adds to the goal. withinQuota is the part of the unit, 0 to
+// 1, that lies within its tenant's quota; only this part counts for the tenant.
 func (l *Tracker) MarginalUtility(class, tenant int, withinQuota float64) float64 {
 	v := (l.goal.Total + l.goal.WorstWindow) / max(l.total.offered, 1e-9)
 	if t := tallyAt(l.classes, class); t != nil && isWorst(t, l.classes) {
@@ -99,13 +97,13 @@
 	return v
 }
 
-// RelativeUtility is MarginalUtility in units of all that was offered: 1 and more where the
-// total counts alone, several times as much for a small class that is served worst.
+// RelativeUtility is MarginalUtility in units of all offered utility: 1 and more where only the total counts, several
+// times as much for a small class that is served worst.
 func (l *Tracker) RelativeUtility(class, tenant int, withinQuota float64) float64 {
 	return l.MarginalUtility(class, tenant, withinQuota) * max(l.total.offered, 1e-9)
 }
 
-// isWorst tells whether no other one has a clearly lower success ratio.
+// isWorst reports whether t was offered any utility and no other tally has a clearly lower success ratio.
 func isWorst(t *tally, others []tally) bool {
 	for i := range others {
 		if others[i].successRatio() < t.successRatio()-worstTolerance {
@@ -122,8 +120,8 @@
 	return &list[i]
 }
 
-// Tally is utility offered and completed, for another process to go on with. Its encoding is an array: the order of
-// the fields is the stored form.
+// Tally is offered and completed utility, for another process to resume. Its encoding is an array: the order of the
+// fields is the stored form.
 type Tally struct {
 	//lint:ignore U1000 the codec reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -132,22 +130,22 @@
 	Completed float64 `json:"Served"`
 }
 
-// Total gives what was recorded in all.
+// Total returns what was recorded in total.
 func (l *Tracker) Total() Tally { return l.total.state() }
 
-// Class gives what was recorded of a class.
+// Class returns what was recorded of a class.
 func (l *Tracker) Class(i int) Tally { return l.classes[i].state() }
 
-// Tenant gives what was recorded of a tenant.
+// Tenant returns what was recorded of a tenant.
 func (l *Tracker) Tenant(i int) Tally { return l.tenants[i].state() }
 
 func (t tally) state() Tally { return Tally{Offered: t.offered, Completed: t.completed} }
 
-// ResumeTotal goes on with the total of another process.
+// ResumeTotal continues with the total of another process.
 func (l *Tracker) ResumeTotal(t Tally) { l.total = tally{t.Offered, t.Completed} }
 
-// ResumeClass does the same for a class.
+// ResumeClass continues with what another process recorded of a class.
 func (l *Tracker) ResumeClass(i int, t Tally) { l.classes[i] = tally{t.Offered, t.Completed} }
 
-// ResumeTenant does the same for a tenant.
+// ResumeTenant continues with what another process recorded of a tenant.
 func (l *Tracker) ResumeTenant(i int, t Tally) { l.tenants[i] = tally{t.Offered, t.Completed} }
--- a/internal/balancer/goodput/tracker_test.go
+++ b/internal/balancer/goodput/tracker_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// goalValue is the goalValue by its definition, for the gain to be held against.
+// goalValue computes the goal by its definition, to compare the marginal utility with.
 func goalValue(g Goal, l *Tracker) float64 {
 	worstRatio := func(list []tally) float64 {
 		low := 1.0
@@ -20,7 +20,7 @@
 	return (g.Total+g.WorstWindow)*l.total.successRatio() + g.WorstClass*worstRatio(l.classes) + g.WorstTenant*worstRatio(l.tenants)
 }
 
-// hasClearWorst tells whether one is served clearly worse than all others.
+// hasClearWorst reports whether one entry is served clearly worse than all others.
 func hasClearWorst(list []tally) bool {
 	ratios := []float64{}
 	for i := range list {
@@ -30,7 +30,7 @@
 	return ratios[1]-ratios[0] > worstTolerance
 }
 
-// The gain of a unit is the slope of the goal, where one class and tenant is clearly the worst.
+// The marginal utility is the slope of the goal where one class and one tenant are clearly the worst.
 func TestMarginalUtilityIsTheSlopeOfTheGoal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := Goal{Total: 0.6, WorstClass: 0.2, WorstTenant: 0.1, WorstWindow: 0.1}
@@ -38,7 +38,7 @@
 		worstClass, worstTenant := rapid.IntRange(0, 2).Draw(t, "class"), rapid.IntRange(0, 1).Draw(t, "tenant")
 		for c := range 3 {
 			for n := range 2 {
-				offered := rapid.Float64Range(10, 1000).Draw(t, "asked")
+				offered := rapid.Float64Range(10, 1000).Draw(t, "offered")
 				ratio := 0.95
 				if c == worstClass {
 					ratio -= 0.3
@@ -50,14 +50,14 @@
 			}
 		}
 		if !hasClearWorst(l.classes) || !hasClearWorst(l.tenants) {
-			t.Skip("two are served alike")
+			t.Skip("no class, or no tenant, is clearly the worst")
 		}
 		class, tenant := rapid.IntRange(0, 2).Draw(t, "of class"), rapid.IntRange(0, 1).Draw(t, "of tenant")
 		before, marginal := goalValue(g, l), l.MarginalUtility(class, tenant, 1)
 		const unit = 1e-3
 		l.Record(class, tenant, 0, unit)
 		if slope := (goalValue(g, l) - before) / unit; math.Abs(slope-marginal) > 1e-6*marginal {
-			t.Fatalf("gain %v, the goal rises by %v", marginal, slope)
+			t.Fatalf("marginal utility %v, the goal rises by %v", marginal, slope)
 		}
 	})
 }
@@ -67,9 +67,9 @@
 	l.Record(0, 7, 10, 5) // no such tenant
 	l.Decay(0.5)
 	if l.total != (tally{5, 2.5}) || l.classes[0] != l.total || l.tenants[0] != (tally{}) {
-		t.Errorf("%+v", l)
+		t.Errorf("tracker after the decay: %+v", l)
 	}
 	if got := l.MarginalUtility(0, 7, 1); got != 1.0/5 {
-		t.Errorf("gain %v", got)
+		t.Errorf("marginal utility %v", got)
 	}
 }
--- a/internal/balancer/grayfailure/compare.go
+++ b/internal/balancer/grayfailure/compare.go
@@ -6,7 +6,7 @@
 )
 
 // BeginComparison starts a comparison of all cells that could get requests now, to find the best of each class and how
-// much they differ: AddToComparison each, then EndComparison, then Evaluate each.
+// much they differ. Call AddToComparison for each cell, then EndComparison, then Evaluate for each cell.
 func (m *Model) BeginComparison() {
 	for i := range m.classes {
 		g := &m.classes[i]
@@ -14,8 +14,8 @@
 	}
 }
 
-// AddToComparison takes in a cell; mean is the mean of its backend's recorded delay ratios over all classes: what is in
-// flight, or assumed beforehand, is in no cell's mean.
+// AddToComparison adds a cell. mean is the mean of its backend's recorded delay ratios over all classes, without
+// attempts in flight or prior assumptions, because no cell's mean includes these.
 func (m *Model) AddToComparison(c *Cell, k int, now time.Duration, mean float64) {
 	g := &m.classes[k]
 	g.bestSuccess = max(g.bestSuccess, m.recentSuccess(c, k, now))
@@ -25,18 +25,18 @@
 	}
 }
 
-// EndComparison closes the comparison.
+// EndComparison completes the comparison.
 func (m *Model) EndComparison() {
 	for i := range m.classes {
 		g := &m.classes[i]
 		if g.bestSuccess == 0 {
 			g.bestSuccess = 1
 		}
-		// Of a log-normal's ratio to its mean, from the variance of its logarithm.
+		// v is the variance of a log-normal variable's ratio to its mean, from the variance of its logarithm.
 		n := g.answers + priorAnswers
 		mean := g.logRatioSum / n
 		v := math.Expm1(min((g.logRatioSquares+priorAnswers*priorVariance)/n-mean*mean, 2))
-		// Chance alone makes g.q about cells x v, with a deviation of root(2 cells) x v.
+		// Chance alone makes g.heterogeneity about cells x v, with a standard deviation of root(2 cells) x v.
 		chance := v * (g.comparedCells + 2*math.Sqrt(2*g.comparedCells))
 		g.varianceBeyondChance = 0
 		if g.heterogeneity > chance && g.comparedAnswers > 0 {
@@ -45,17 +45,17 @@
 	}
 }
 
-// Change is what Evaluate made of a cell.
+// Change is the result of Evaluate for a cell.
 type Change uint8
 
-// The changes.
+// The values of Change.
 const (
 	Unchanged Change = iota
 	Ejected
 	Reinstated
 )
 
-// Evaluate ejects a cell or reinstates it, by comparison with the best of its class.
+// Evaluate ejects or reinstates a cell, by comparison with the best cell of its class.
 func (m *Model) Evaluate(c *Cell, k int, now time.Duration) Change {
 	if !c.Suspected() {
 		return Unchanged
@@ -81,18 +81,18 @@
 	return Unchanged
 }
 
-// EjectionState tells whether the cell gets nothing but trials, since when, and how many attempts in a row are without an
-// answer.
+// EjectionState reports whether the cell is ejected, so that it gets nothing but trials, since when, and how many
+// attempts in a row are without an answer.
 func (c *Cell) EjectionState() (since time.Duration, failures int, ejected bool) {
 	return c.ejectedAt, c.consecutiveFailures + c.inFlightSuspicious, c.ejectedAt > 0
 }
 
-// AnyEjected tells whether any cell of the class was ejected at the last comparison.
+// AnyEjected reports whether any cell of the class was ejected at the last comparison.
 func (m *Model) AnyEjected(k int) bool { return m.classes[k].ejectedCells > 0 }
 
-// DelayRatio is the delay ratio to expect of the cell; own is its backend's over all classes, with the ages of what is in
-// flight, and mean as with AddToComparison. The cell's mean only scales own: it has nothing of what is in flight, and
-// in place of own it would hide an overload until its answers come.
+// DelayRatio returns the expected delay ratio of the cell. own is its backend's ratio over all classes, including the
+// ages of attempts in flight; mean is as for AddToComparison. The cell's mean only scales own: it includes no attempts
+// in flight, so using it instead of own would hide an overload until the answers arrive.
 func (m *Model) DelayRatio(c *Cell, k int, now time.Duration, own, mean float64) float64 {
 	b, n := m.classes[k].varianceBeyondChance, c.delayRatioCount.Value(now, m.cfg.TimeConstant)
 	if b <= 0 || n <= 0 || mean <= 0 {
@@ -102,7 +102,7 @@
 	return own * (1 + w*(c.delayRatioSum.Value(now, m.cfg.TimeConstant)/n/mean-1))
 }
 
-// RecordSent counts an attempt that is sent, and earns the class a part of a trial.
+// RecordSent counts an attempt that is sent, which earns its class a part of a trial token.
 func (m *Model) RecordSent(c *Cell, k int, trial bool) {
 	g := &m.classes[k]
 	g.trialTokens = min(g.trialTokens+m.cfg.TrialRatio, m.cfg.TrialBurst)
@@ -112,19 +112,19 @@
 	}
 }
 
-// MayTrial tells whether an ejected cell may get an attempt now.
+// MayTrial reports whether an ejected cell may get an attempt now.
 func (m *Model) MayTrial(c *Cell, k int) bool {
 	g := &m.classes[k]
 	return c.trialsInFlight == 0 && g.trialTokens > float64(g.trialsInFlight)*0.5
 }
 
-// RecordTrialOutcome takes the outcome of a trial; mayRetry says that its request may be retried elsewhere.
+// RecordTrialOutcome records the outcome of a trial; mayRetry says that its request may be retried elsewhere.
 func (m *Model) RecordTrialOutcome(c *Cell, k int, outcome Outcome, mayRetry bool) {
 	g := &m.classes[k]
 	c.trialsInFlight, g.trialsInFlight = max(0, c.trialsInFlight-1), max(0, g.trialsInFlight-1)
 	switch {
 	case outcome == Answered:
-		g.trialTokens = max(g.trialTokens, m.cfg.TrialRatio) // what one cell has recovered from, others may have too
+		g.trialTokens = max(g.trialTokens, m.cfg.TrialRatio) // other cells may have recovered as well
 	case outcome == Unknown:
 	case mayRetry:
 		g.trialTokens -= rescuedTrialCost
@@ -133,7 +133,7 @@
 	}
 }
 
-// ForgetTrials forgets the trials in flight at a cell whose backend is removed.
+// ForgetTrials discards the trials in flight at a cell whose backend is removed.
 func (m *Model) ForgetTrials(c *Cell, k int) {
 	m.classes[k].trialsInFlight = max(0, m.classes[k].trialsInFlight-c.trialsInFlight)
 	c.trialsInFlight = 0
--- a/internal/balancer/grayfailure/config.go
+++ b/internal/balancer/grayfailure/config.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// Config has the parameters of the model. DefaultConfig gives those in service.
+// Config holds the parameters of the model. DefaultConfig returns those used in production.
 type Config struct {
-	// Classes is how many classes of requests are told apart, 1 or more. Each costs about 200 bytes a backend.
+	// Classes is the number of request classes, 1 or more. Each costs about 200 bytes per backend.
 	Classes int
 
-	// AnsweredRatio is the part of its attempts that a bad cell is assumed to answer, between 0 and 1. A higher one
-	// notices milder faults, and takes chance for a fault more often: with e of 2%, a cell is judged bad that fails
-	// more than 27% at 0.25, and more than 40% at 0.4.
+	// AnsweredRatio is the part of its attempts that a bad cell is assumed to answer, between 0 and 1. A higher ratio
+	// detects milder faults, and more often takes chance for a fault: with e of 2%, a cell is judged bad if it fails
+	// more than 27% of its attempts at 0.25, and more than 40% at 0.4.
 	AnsweredRatio float64
 
-	// MeanTimeBetweenFaults is that of one cell, MaxFaultDuration or more. A longer one wants more evidence: at 600 s
-	// two or three attempts in a row without an answer, with nothing answered between them.
+	// MeanTimeBetweenFaults is that of one cell, MaxFaultDuration or more. A longer time requires more evidence: at
+	// 600 s, two or three attempts in a row without an answer, with nothing answered between them.
 	MeanTimeBetweenFaults time.Duration
 
-	// MinFaultDuration, above 0, and MaxFaultDuration bound how much longer a fault is expected to last; within them
-	// it is as long as it has lasted. They matter where a class is so rare that it hardly ever has a trial: then a cell
-	// is reinstated after about half of this by time alone.
+	// MinFaultDuration, above 0, and MaxFaultDuration are how much longer a fault is expected to last at a cell that is
+	// not ejected, and at one that is. They matter where a class is so rare that it hardly ever has a trial: then a
+	// cell is reinstated after about half of MaxFaultDuration by time alone.
 	MinFaultDuration, MaxFaultDuration time.Duration
 
-	// TimeConstant, above 0, is the time over which the ratio of failures in good cells, and delays, decay to 1/e.
+	// TimeConstant, above 0, is the time over which delays and the ratio of failures in good cells decay to 1/e.
 	TimeConstant time.Duration
 
 	// TrialRatio, 0 to 1, is the part of a class's attempts that may be lost to trials of ejected cells, and
-	// TrialBurst, 1 or more, how many may be saved up.
+	// TrialBurst, 1 or more, how many such trials may be saved up.
 	TrialRatio, TrialBurst float64
 }
 
-// DefaultConfig gives the parameters in service, for so many classes.
+// DefaultConfig returns the parameters used in production, for the given number of classes.
 func DefaultConfig(classes int) Config {
 	return Config{
 		Classes:               classes,
@@ -46,7 +46,7 @@
 	}
 }
 
-// ConfigError is a parameter out of its range.
+// ConfigError reports a parameter that is out of its range.
 type ConfigError struct{ Field, Value, Want string }
 
 var _ error = (*ConfigError)(nil)
@@ -56,7 +56,7 @@
 	return fmt.Sprintf("gray failures: %s is %s, want %s", e.Field, e.Value, e.Want)
 }
 
-// Validate gives a ConfigError for the first parameter that is out of its range, or nil.
+// Validate returns a ConfigError for the first parameter that is out of its range, or nil.
 func (c Config) Validate() error {
 	switch {
 	case c.Classes < 1:
--- a/internal/balancer/grayfailure/model_test.go
+++ b/internal/balancer/grayfailure/model_test.go
@@ -13,8 +13,8 @@
 
 const ms = time.Millisecond
 
-// simulation is one proxy's view of some backends in simulated time, with faults that are known. The proxy is of the
-// simplest sort: it picks evenly among the cells that are not ejected.
+// simulation simulates one proxy, and some backends with known faults. The proxy picks evenly among the cells that are
+// not ejected.
 type simulation struct {
 	model         *Model
 	rng           *rand.Rand
@@ -24,7 +24,7 @@
 	sigma         []float64
 	usualDelays   []float64 // ms
 	latencyTarget time.Duration
-	fault         func(backend, kind int, now time.Duration) (silent, failing float64)
+	fault         func(backend, class int, now time.Duration) (silent, failing float64)
 	failureRatio  float64 // of all attempts, whatever the fault
 	now           time.Duration
 	inFlight      []*attempt
@@ -155,7 +155,7 @@
 	}
 }
 
-// run plays the day until the time to, in steps of 5 ms, with a sweep every 40.
+// run simulates until the time to, in steps of 5 ms, with a sweep every 40 ms.
 func (d *simulation) run(to time.Duration) {
 	for ; d.now < to; d.now += 5 * ms {
 		d.inFlight = slices.DeleteFunc(d.inFlight, func(x *attempt) bool {
@@ -182,12 +182,12 @@
 	return v[min(len(v)-1, int(q*float64(len(v))))]
 }
 
-// randomFault is a fault of one class at the first backends, from one time until another.
+// randomFault is a fault of one class at the first few backends, within a time range.
 type randomFault struct {
 	class, backends int
 	from, until     time.Duration
-	ratio           float64 // of the attempts that fail
-	answersErrors   bool    // it answers errors, rather than nothing
+	ratio           float64 // of attempts that fail
+	answersErrors   bool    // failing attempts get an error, rather than no answer
 }
 
 func newRandomFault(rng *rand.Rand) randomFault {
@@ -209,7 +209,8 @@
 	return f.ratio, 0
 }
 
-// ejectedAt gives when the cell at a backend was first ejected, and when it was first reinstated after the fault; 0: never.
+// ejectedAt returns when the cell at a backend was first ejected, and when it was first reinstated after the fault. A
+// time of 0 means never.
 func (f randomFault) ejectedAt(changes []change, backend int) (ejected, reinstated time.Duration) {
 	for _, e := range changes {
 		if e.backend != backend || e.class != f.class {
@@ -225,7 +226,7 @@
 	return ejected, reinstated
 }
 
-// faultResults are those of many faults: seconds until ejections and reinstatements, and what trials cost.
+// faultResults collects the results of many faults: seconds until ejections and reinstatements, and the cost of trials.
 type faultResults struct {
 	ejection, reinstatement []float64
 	missed, lost, sent      int
@@ -257,8 +258,8 @@
 	}
 }
 
-// Random partial faults against the truth: how soon each leads to an ejection and a reinstatement, in the median and at
-// worst, and what trials cost.
+// Random partial faults lead to ejections and reinstatements soon enough, in the median and at worst, and trials cost
+// little.
 func TestEjectsAndReinstatesUnderRandomFaults(t *testing.T) {
 	var r faultResults
 	for seed := range uint64(60) {
@@ -269,18 +270,18 @@
 		len(r.reinstatement), quantile(r.reinstatement, 0.5), quantile(r.reinstatement, 1),
 		float64(r.lost)/float64(r.sent))
 	if r.missed*20 > len(r.ejection) || quantile(r.ejection, 0.5) > 1 || quantile(r.ejection, 1) > 5 {
-		t.Errorf("ejected too late or not at all")
+		t.Errorf("cells were ejected too late or not at all")
 	}
 	if quantile(r.reinstatement, 0.5) > 2 || quantile(r.reinstatement, 1) > 15 {
-		t.Errorf("reinstated too late")
+		t.Errorf("cells were reinstated too late")
 	}
 	if float64(r.lost) > 0.02*float64(r.sent) {
 		t.Errorf("%d of %d attempts lost to trials", r.lost, r.sent)
 	}
 }
 
-// Two hundred runs of 100 s without a fault, some long-tailed, some with a class of one request a second: how often a
-// cell is ejected for nothing.
+// Two hundred runs of 100 s without a fault, some long-tailed, some with a class of one request a second: cells are
+// rarely ejected without a fault.
 func TestFalseAlarmsWithoutFaults(t *testing.T) {
 	alarms, seconds := 0, 0.0
 	byClass := make([]int, 4)
@@ -302,7 +303,7 @@
 		}
 		seconds += 100
 	}
-	t.Logf("%.0f s of a proxy: %d cells ejected for nothing, one in %.0f s; by class %d",
+	t.Logf("%.0f s simulated: %d cells ejected without a fault, one in %.0f s; by class %d",
 		seconds, alarms, seconds/max(1, float64(alarms)), byClass)
 	if float64(alarms) > seconds/50 {
 		t.Errorf("%d false alarms in %.0f s", alarms, seconds)
@@ -358,7 +359,8 @@
 	}
 }
 
-// What a gray failure explains must not count against the backend: its other classes would lose it too.
+// An outcome that a gray failure explains must not count against the backend, or its other classes would lose the
+// backend too.
 func TestOutcomeExplainedByGrayFailureIsNoEvidenceAgainstBackend(t *testing.T) {
 	m, err := New(DefaultConfig(2))
 	if err != nil {
@@ -375,7 +377,7 @@
 		m.RecordOutcome(&c, 0, TimedOut, now-200*ms, now, u)
 	}
 	if w := m.RecordOutcome(&c, 0, TimedOut, now-200*ms, now, u); w > 0.3 {
-		t.Errorf("the eighth, with six answers to other classes between: weight %.2f", w)
+		t.Errorf("the eighth timeout, with six answers to other classes between: weight %.2f", w)
 	}
 	var d Cell
 	if w := m.RecordOutcome(&d, 1, Unknown, now-200*ms, now, u); w != 1 || d.Suspected() {
@@ -386,7 +388,7 @@
 	}
 }
 
-// Where the backend is slow for all classes, timeouts of one are expected.
+// If the backend is slow for all classes, timeouts of one class are expected.
 func TestSlowBackendExplainsTimeouts(t *testing.T) {
 	faultProbability := func(ratio float64) float64 {
 		m, err := New(DefaultConfig(1))
@@ -407,7 +409,7 @@
 	}
 }
 
-// Cells that answer but take longer for one class are told from chance.
+// A cell that is slow for one class only is distinguished from chance variation.
 func TestClassDelayRatioIgnoresChanceVariation(t *testing.T) {
 	m, err := New(DefaultConfig(1))
 	if err != nil {
@@ -435,18 +437,18 @@
 	}
 	recordAnswers(1)
 	if got := m.DelayRatio(&cells[0], 0, now, 1, 1); math.Abs(got-1) > 0.1 {
-		t.Errorf("all alike: %.2f times the backend's own", got)
+		t.Errorf("all cells alike: a delay ratio of %.2f, want 1", got)
 	}
 	recordAnswers(3)
 	if got := m.DelayRatio(&cells[0], 0, now, 1, 1); got < 2.2 || got > 4 {
-		t.Errorf("three times slower for the class: %.2f expected", got)
+		t.Errorf("a cell three times slower for the class: a delay ratio of %.2f", got)
 	}
 	if got := m.DelayRatio(&cells[1], 0, now, 1, 1); got < 0.6 || got > 1.4 {
-		t.Errorf("beside it: %.2f expected", got)
+		t.Errorf("another cell of the class: a delay ratio of %.2f", got)
 	}
-	// What is in flight at the backend counts for the cell as well.
+	// Attempts in flight at the backend count for the cell as well.
 	if calm, crowded := m.DelayRatio(&cells[0], 0, now, 1, 1), m.DelayRatio(&cells[0], 0, now, 3, 1); crowded < 2.9*calm {
-		t.Errorf("%.2f expected, and %.2f with three times as much in flight", calm, crowded)
+		t.Errorf("a delay ratio of %.2f, and %.2f with three times the ratio for the backend", calm, crowded)
 	}
 }
 
@@ -467,13 +469,13 @@
 			_, err := New(c)
 			var invalid *ConfigError
 			if !errors.As(err, &invalid) || invalid.Field != field {
-				t.Errorf("the error is %v", err)
+				t.Errorf("got error %v", err)
 			}
 		})
 	}
 }
 
-// eventSequence is a model with some cells, to which anything happens.
+// eventSequence applies random events to a model with some cells.
 type eventSequence struct {
 	model  *Model
 	cells  [][2]Cell
@@ -481,7 +483,7 @@
 	now    time.Duration
 }
 
-// step lets one event happen.
+// step applies one random event.
 func (q *eventSequence) step(t *rapid.T) {
 	q.now += time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "gap"))
 	b, k := rapid.IntRange(0, 2).Draw(t, "backend"), rapid.IntRange(0, 1).Draw(t, "class")
@@ -496,7 +498,7 @@
 			q.model.RecordTrialOutcome(c, k, outcome, rapid.Bool().Draw(t, "mayRetry"))
 		}
 		if w := q.model.RecordOutcome(c, k, outcome, sent, q.now, u); !(w >= 0 && w <= 1) {
-			t.Fatalf("weight %v", w)
+			t.Fatalf("weight %v, want 0 to 1", w)
 		}
 	case 1:
 		c.RecordOtherAnswer(sent)
@@ -531,7 +533,7 @@
 	}
 }
 
-// checkCell asserts what holds for every cell at any time.
+// checkCell checks what holds for every cell at any time.
 func (q *eventSequence) checkCell(t *rapid.T, b, k int) {
 	c := &q.cells[b][k]
 	if p := q.model.FaultProbability(c, k, q.now); !(p >= 0 && p <= 1) {
@@ -548,7 +550,8 @@
 	}
 }
 
-// Whatever happens, in whatever order: probabilities stay probabilities, trials are counted off, tokens stay bounded.
+// After any sequence of events, probabilities are between 0 and 1, trials in flight are counted correctly and tokens
+// are bounded.
 func TestInvariantsHoldInAnySequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, err := New(DefaultConfig(2))
--- a/internal/balancer/grayfailure/state.go
+++ b/internal/balancer/grayfailure/state.go
@@ -6,35 +6,35 @@
 	"marlreel/internal/balancer/decay"
 )
 
-// CellState is what is known of a cell, for another process to go on with. Spans are ages; one below 0 stands for what
-// has not happened. What is in flight at the cell is not in it: the attempts are their process's own.
+// CellState is what is known of a cell, for another process to resume. Durations are ages; a negative age stands for an
+// event that has not happened. Attempts in flight at the cell are not included, because they end with their process.
 //
-// Its encoding is an array: the order of the fields is the stored form. The json tags are the names under which 'marlreel
-// state show --json' prints the fields.
+// Its encoding is an array: the order of the fields is the stored form. The json tags are the names under which
+// 'marlreel state show --json' prints the fields.
 type CellState struct {
 	//lint:ignore U1000 the codec reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
 
 	FaultProbability float64       `json:"Bad"`     // 0 to 1
-	OtherAnswers     float64       `json:"Vouched"` // of other classes, to attempts sent since SuspectedFor
-	SinceUpdate      time.Duration `json:"At"`      // of FaultProbability
+	OtherAnswers     float64       `json:"Vouched"` // answers of other classes to attempts sent since the suspicion began
+	SinceUpdate      time.Duration `json:"At"`      // age of FaultProbability
 	SuspectedFor     time.Duration `json:"Silent"`
 	EjectedFor       time.Duration `json:"OutFor"`
 	Failures         int           // in a row
 
 	// Sums, decayed.
-	OK        float64 // attempts answered while suspected,
-	Ended     float64 // of so many
-	OKEver    float64 // attempts answered, suspected or not,
-	EndedEver float64 // of so many
+	OK        float64 // attempts answered while suspected
+	Ended     float64 // attempts ended while suspected
+	OKEver    float64 // attempts answered, suspected or not
+	EndedEver float64 // attempts ended, suspected or not
 	Delays    float64 // delay ratios
 	Answered  float64 // number of delay ratios
 }
 
-// never is the age of what has not happened.
+// never is the age of an event that has not happened.
 const never = -1
 
-// State gives what is known of a cell.
+// State returns what is known of a cell.
 func (m *Model) State(c *Cell, now time.Duration) CellState {
 	age := func(at time.Duration) time.Duration {
 		if at <= 0 {
@@ -59,8 +59,8 @@
 	}
 }
 
-// Resume makes a cell of what was known of one, away ago. Its fault probability drifts over that time as over any other,
-// and the sums decay.
+// Resume restores a cell that another process saved, elapsed ago. Its fault probability drifts over that time as over
+// any other, and the sums decay.
 func (m *Model) Resume(s CellState, elapsed, now time.Duration) Cell {
 	at := func(age time.Duration) time.Duration {
 		if age < 0 {
@@ -85,21 +85,21 @@
 	}
 }
 
-// ClassState is what is common to the cells of a class, in a form like CellState's.
+// ClassState is what the cells of a class have in common, encoded like CellState.
 type ClassState struct {
 	//lint:ignore U1000 the codec reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	Failed          float64 // attempts without an answer, in good cells, decayed,
-	Ended           float64 // of so many
-	N               float64 // answers that the spread rests on,
-	Dev             float64 // sum of the logarithms of their delays over what was expected,
-	Dev2            float64 // and of the squares
+	Failed          float64 // attempts without an answer in good cells, decayed
+	Ended           float64 // attempts ended in good cells, decayed
+	N               float64 // number of answers that the spread is based on
+	Dev             float64 // sum of the logarithms of their delays relative to the expected delay
+	Dev2            float64 // sum of the squares of these logarithms
 	RecentEjections float64 `json:"Wave"` // decayed
-	Tokens          float64 // for trials; below 0 is a debt
+	Tokens          float64 // for trials; a negative value is a debt
 }
 
-// ClassState gives what is known of a class.
+// ClassState returns what is known of a class.
 func (m *Model) ClassState(k int, now time.Duration) ClassState {
 	g := &m.classes[k]
 	return ClassState{
@@ -113,8 +113,8 @@
 	}
 }
 
-// ResumeClass goes on with what was known of a class, away ago, its spread as if by maxWeight answers at most. Trials that
-// were paid for there are not to be had again.
+// ResumeClass restores what another process saved of a class, elapsed ago, with its spread counting for at most
+// maxWeight answers. Trial tokens that were spent there are not available again.
 func (m *Model) ResumeClass(k int, s ClassState, maxWeight float64, elapsed, now time.Duration) {
 	g := &m.classes[k]
 	g.failed = decay.NewSum(s.Failed, now-elapsed)
--- a/internal/balancer/idempotency/terms.go
+++ b/internal/balancer/idempotency/terms.go
@@ -1,42 +1,41 @@
-// Package idempotency says whether a request of which attempts may have run may be retried: where, and until when. It
-// owns what the settings' words on effects mean for one request, also while the settings change under it.
+// Package idempotency decides whether a request may be retried after attempts that may have run: at which locations,
+// and until when. It defines what the settings on effects mean for one request, also while the settings change.
 //
-// It is pure: no clock, no I/O. It never decides whether a retry is worth making, nor where it goes: package
-// balancer does.
+// The package is pure: no clock, no I/O. Package balancer decides whether a retry is worthwhile and where it goes.
 package idempotency
 
 import "time"
 
-// Effect is what running a request twice does, the worst first.
+// Effect says what running a request twice does. The values are ordered from the worst.
 type Effect uint8
 
-// The effects.
+// The values of Effect.
 const (
-	Unsafe Effect = iota // harm
-	Keyed                // nothing where the first ran, for a while
-	Safe                 // nothing
+	Unsafe Effect = iota // does harm
+	Keyed                // is deduplicated where the first ran, for a while
+	Safe                 // does no harm
 )
 
-// Scope is what a backend has to share with the one that ran a keyed request to deduplicate its retries. A cell may
-// reach over zones, so that neither is within the other: what is allowed by both scopes shares both.
+// Scope is what a backend must share with the one that ran a keyed request to deduplicate its retries. A cell may span
+// zones, so neither scope is within the other: what is allowed by both scopes shares both.
 type Scope uint8
 
-// The scopes, and All, where any backend does.
+// The values of Scope. With All, any backend deduplicates.
 const (
 	Cell Scope = 1 << iota
 	Zone
 	All Scope = 0
 )
 
-// Terms are what the settings allow a request.
+// Terms are the retries that the settings allow for a request.
 type Terms struct {
 	Effect Effect
 	Scope  Scope
-	Window time.Duration // for which retries are deduplicated, from the first attempt that may have run
+	Window time.Duration // how long retries are deduplicated, from the first attempt that may have run
 }
 
-// Strictest is what both allow. Settings may change between two attempts: the backends go by the new ones at some
-// time nobody knows, so only what is allowed by both is harmless.
+// Strictest returns what both terms allow. Settings may change between two attempts, and when each backend applies the
+// new ones is unknown, so only what is allowed by both is harmless.
 func Strictest(a, b Terms) Terms {
 	if a.Effect != Keyed && b.Effect != Keyed {
 		return Terms{Effect: min(a.Effect, b.Effect)}
@@ -53,17 +52,17 @@
 // Location is where an attempt was sent, or may be sent: a zone and a cell by their numbers.
 type Location struct{ Zone, Cell int }
 
-// Attempt is an earlier one that may have run, or may yet.
+// Attempt is an earlier attempt that may have run, or may still run.
 type Attempt struct {
 	Location
 	SentAt time.Duration // when it was sent, at the earliest
 }
 
-// Never is no bound on when an attempt may begin.
+// Never is the deadline of a retry that may begin at any time.
 const Never time.Duration = 1<<63 - 1
 
-// RetryDeadline tells whether a request may go to a place again after an earlier attempt, and before when it has to begin
-// there.
+// RetryDeadline reports whether a request may be retried at a location after an earlier attempt, and the time before
+// which the retry has to begin there.
 func (t Terms) RetryDeadline(a Attempt, to Location) (deadline time.Duration, allowed bool) {
 	switch {
 	case t.Effect == Safe:
@@ -74,5 +73,5 @@
 	return a.SentAt + t.Window, true
 }
 
-// MayReject tells whether a client may be told that coming again is harmless, after an attempt that may have run.
+// MayReject reports whether a client may be told that a retry is harmless, after an attempt that may have run.
 func (t Terms) MayReject() bool { return t.Effect == Safe || t.Effect == Keyed && t.Scope == All }
--- a/internal/balancer/idempotency/terms_test.go
+++ b/internal/balancer/idempotency/terms_test.go
@@ -14,7 +14,7 @@
 	}
 }
 
-// What the strictest of two allows, both do; and it allows all that both do.
+// The strictest of two terms allows exactly what both allow.
 func TestStrictestIsWhatBothAllow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := drawTerms(t, "a"), drawTerms(t, "b")
@@ -25,13 +25,13 @@
 		deadlineB, allowedB := b.RetryDeadline(first, to)
 		deadline, allowed := both.RetryDeadline(first, to)
 		if allowed != (allowedA && allowedB) || allowed && deadline != min(deadlineA, deadlineB) {
-			t.Fatalf("%+v and %+v: %+v: %v by %v, and each alone %v by %v, %v by %v", a, b, both, allowed, deadline, allowedA, deadlineA, allowedB, deadlineB)
+			t.Fatalf("%+v and %+v: the strictest is %+v, allowed %v until %v, and each alone %v until %v, %v until %v", a, b, both, allowed, deadline, allowedA, deadlineA, allowedB, deadlineB)
 		}
 		if both.MayReject() && (!a.MayReject() || !b.MayReject()) {
-			t.Fatalf("%+v and %+v may be rejected as %+v", a, b, both)
+			t.Fatalf("%+v and %+v: the strictest, %+v, allows a rejection, which one of them does not", a, b, both)
 		}
 		if Strictest(b, a) != both {
-			t.Fatalf("%+v and %+v: it depends on which comes first", a, b)
+			t.Fatalf("%+v and %+v: the strictest depends on their order", a, b)
 		}
 	})
 }
--- a/internal/balancer/prediction/model_test.go
+++ b/internal/balancer/prediction/model_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// actualDelays draws what attempts really take: estimates are off by a factor and a spread.
+// actualDelays draws the actual delays of attempts, which differ from the estimates by a bias and a spread.
 type actualDelays struct {
 	rng       *rand.Rand
 	bias, dev float64
@@ -18,8 +18,8 @@
 	return estimate * math.Exp(w.bias+w.dev*w.rng.NormFloat64())
 }
 
-// recordAttempts lets a model see so many attempts, each given up at limit; counted says whether
-// those that were given up are told.
+// recordAttempts records n attempts in a model, each given up at limit; recordTimeouts says whether those that were
+// given up are recorded.
 func (w *actualDelays) recordAttempts(m *Model, n int, limit float64, recordTimeouts bool) {
 	for range n {
 		estimate := 50 + 400*w.rng.Float64()
@@ -31,7 +31,8 @@
 	}
 }
 
-// Whatever estimates are worth, chances come true, though the slowest were given up.
+// For any bias of the estimates, the predicted probabilities match the actual frequencies, although the slowest
+// attempts were given up.
 func TestProbabilitiesAreCalibrated(t *testing.T) {
 	for seed, w := range []actualDelays{{bias: 0, dev: 0.7}, {bias: -0.8, dev: 0.7}, {bias: 0.7, dev: 0.5}, {bias: 0, dev: 0.35}, {bias: 0.3, dev: 1}} {
 		w.rng = rand.New(rand.NewPCG(uint64(seed), 1))
@@ -46,15 +47,15 @@
 				}
 			}
 			if got, want := m.SuccessProbability(0, estimate, left), float64(inTime)/n; math.Abs(got-want) > 0.12 {
-				t.Errorf("off %v, dev %v: a chance of %.2f to have %v in %v, and %.2f had it", w.bias, w.dev, got, estimate, left, want)
+				t.Errorf("bias %v, dev %v: a predicted probability of %.2f for an estimate of %v within %v, and an actual frequency of %.2f", w.bias, w.dev, got, estimate, left, want)
 			}
 		}
 	}
 }
 
-// What is given up says something: without it, slow work looks quick.
+// Timeouts are evidence: without them, slow attempts look fast.
 func TestTimeoutsAreCensoredObservations(t *testing.T) {
-	const limit = 200 // half of all is slower
+	const limit = 200 // half of all attempts are slower
 	probability := func(recordTimeouts bool) float64 {
 		w := &actualDelays{rand.New(rand.NewPCG(3, 1)), 0, 0.7}
 		m := New(1)
@@ -62,30 +63,30 @@
 		return m.SuccessProbability(0, 400, 400)
 	}
 	if with, without := probability(true), probability(false); math.Abs(with-0.5) > 0.1 || without < with+0.1 {
-		t.Errorf("one in two comes in time; foretold %.2f, and %.2f if time-outs don't count", with, without)
+		t.Errorf("half of the attempts are answered in time; predicted %.2f, and %.2f if timeouts are not recorded", with, without)
 	}
 }
 
 func TestProbabilityInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, anyFloat := New(2), rapid.Float64()
-		for range rapid.IntRange(0, 50).Draw(t, "ends") {
+		for range rapid.IntRange(0, 50).Draw(t, "outcomes") {
 			m.RecordOutcome(1, anyFloat.Draw(t, "estimate"), anyFloat.Draw(t, "took"), rapid.Bool().Draw(t, "answered"))
 		}
 		some := rapid.Float64Range(0.1, 1e5)
 		estimate, left, more := some.Draw(t, "e"), some.Draw(t, "left"), some.Draw(t, "more")
 		p := m.SuccessProbability(1, estimate, left)
 		if !(p >= 0 && p <= 1) {
-			t.Fatalf("chance %v", p)
+			t.Fatalf("probability %v, want 0 to 1", p)
 		}
 		if later := m.SuccessProbability(1, estimate, left+more); later < p {
-			t.Fatalf("%v in %v, but %v in %v", p, left, later, left+more)
+			t.Fatalf("probability %v within %v, but %v within %v", p, left, later, left+more)
 		}
 		if slower := m.SuccessProbability(1, estimate+more, left); slower > p {
-			t.Fatalf("%v where %v is foretold, but %v where %v is", p, estimate, slower, estimate+more)
+			t.Fatalf("probability %v for an estimate of %v, but %v for one of %v", p, estimate, slower, estimate+more)
 		}
 		if m.SuccessProbability(0, 100, 100) != New(1).SuccessProbability(0, 100, 100) {
-			t.Fatal("one kind's ends count for another")
+			t.Fatal("outcomes of one class count for another")
 		}
 	})
 }
@@ -101,14 +102,14 @@
 		{Attempt{Utility: 1, Work: 1, SuccessProbability: 0}, -0.25, false, true},
 		{Attempt{Utility: 0.2, Work: 2, SuccessProbability: 0.5}, 0.1 - 0.25, false, true},
 		{Attempt{Utility: 1, Work: 1, SuccessProbability: 1, CrossZone: true}, 0.92, true, false},
-		{Attempt{Utility: 0.1, Work: 0.1, SuccessProbability: 1, CrossZone: true}, 0.02, false, false}, // at home it pays
+		{Attempt{Utility: 0.1, Work: 0.1, SuccessProbability: 1, CrossZone: true}, 0.02, false, false}, // worthwhile in its own zone
 		{Attempt{Utility: 0, Work: 1, SuccessProbability: 1}, 0, true, false},                          // it costs nothing
 	} {
 		if got := p.ExpectedUtility(c.s); math.Abs(got-c.want) > 1e-12 {
 			t.Errorf("%+v: %v, want %v", c.s, got, c.want)
 		}
 		if worthwhile, hopeless := p.IsWorthwhile(c.s, 0.3); worthwhile != c.worthwhile || hopeless != c.hopeless {
-			t.Errorf("%+v: goes %v, hopeless %v", c.s, worthwhile, hopeless)
+			t.Errorf("%+v: worthwhile %v, hopeless %v", c.s, worthwhile, hopeless)
 		}
 	}
 }
--- a/internal/balancer/prefixcache/table.go
+++ b/internal/balancer/prefixcache/table.go
@@ -1,8 +1,8 @@
-// Package prefixcache knows what model backends have loaded: models and adapters, and how many requests they decode at
-// once. By it requests go where they can run.
+// Package prefixcache tracks which models and adapters the model backends have loaded, and how many requests each
+// decodes at once, so that requests go where they can run.
 //
-// It is pure: no goroutine, no clock, no I/O. Its Table belongs to one routing advisor (internal/dataplane/routing),
-// which replaces it with each change of the membership; it never chooses a backend.
+// The package is pure: no goroutine, no clock, no I/O. Its Table belongs to one routing advisor
+// (internal/dataplane/routing), which replaces it with each change of the membership; it never chooses a backend.
 package prefixcache
 
 import (
@@ -22,24 +22,24 @@
 	Loaded []LoadedModel
 }
 
-// modelKey is a model, or an adapter of it, that is loaded somewhere.
+// modelKey identifies a loaded model, or an adapter of it.
 type modelKey struct{ model, adapter string }
 
-// Table is what is known of all backends. Not safe for concurrent use.
+// Table holds what is known of all backends. Not safe for concurrent use.
 type Table struct {
 	modelBackends bool // the backends serve models
 	slots         map[balancer.BackendID]int
 	replicas      map[modelKey]map[balancer.BackendID]bool
 
-	// The replicas of what was asked for last: a selection asks about one request for each backend.
+	// Cached replicas for the needs of the last call: a selection asks about the same request for each backend.
 	cachedNeeds    *balancer.Needs
 	cachedReplicas map[balancer.BackendID]bool
 }
 
-// New makes an empty table; modelBackends says that the backends serve models.
+// New returns an empty table; modelBackends says that the backends serve models.
 func New(modelBackends bool) *Table { return &Table{modelBackends: modelBackends} }
 
-// Replace makes the table that of a membership.
+// Replace sets the contents of the table to the given backends.
 func (t *Table) Replace(backends []Backend) {
 	t.cachedNeeds, t.cachedReplicas = nil, nil
 	t.slots = make(map[balancer.BackendID]int, len(backends))
@@ -64,7 +64,8 @@
 	replicas[id] = true
 }
 
-// CanServe tells whether a backend has loaded the model, and the adapter if one is needed.
+// CanServe reports whether a backend may serve a request with the given needs: it is not the one to avoid, and has
+// loaded the model, and the adapter if one is needed.
 func (t *Table) CanServe(needs *balancer.Needs, id balancer.BackendID) bool {
 	if needs == nil {
 		return true
@@ -81,5 +82,5 @@
 	return t.cachedReplicas[id]
 }
 
-// Slots is how many requests a backend executes at once; 0: not known.
+// Slots returns how many requests a backend executes at once; 0: unknown.
 func (t *Table) Slots(id balancer.BackendID) int { return t.slots[id] }
--- a/internal/balancer/prefixcache/table_test.go
+++ b/internal/balancer/prefixcache/table_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// The replicas of the last question are remembered; another membership drops them.
+// The replicas cached for the last needs are dropped when the membership changes.
 func TestReplaceForgets(t *testing.T) {
 	table := New(true)
 	needs := &balancer.Needs{Model: "large"}
--- a/internal/balancer/quota/quota.go
+++ b/internal/balancer/quota/quota.go
@@ -1,8 +1,8 @@
-// Package quota says what part of a tenant's traffic lies beyond its quota, at one of
-// several proxies that each see about as much of every tenant as the others do.
+// Package quota computes what part of a tenant's traffic exceeds its quota, at one of several proxies that each see
+// about the same share of every tenant's traffic.
 //
-// It is pure: events with the time on them in, a ratio out. It never rejects anything: what a
-// request's utility is and which goes first is decided by package balancer, which owns the Model.
+// The package is pure: events come with their time, a ratio is returned. It never rejects anything: package balancer,
+// which owns the Model, decides the utility and the order of requests.
 package quota
 
 import (
@@ -22,16 +22,16 @@
 	traffic decay.Sum
 }
 
-// New makes a model that measures over a window. quotas are the tenants' requests a second at all proxies
-// together; 0 or less is no bound.
+// New returns a model that measures over a window. quotas are the requests a second of each tenant at all proxies
+// together; 0 or less means no limit.
 func New(quotas []float64, proxies int, window time.Duration) *Model {
 	m := &Model{window: window}
 	m.Configure(quotas, nil, proxies, window)
 	return m
 }
 
-// Configure puts other quotas in force. The recent traffic of a tenant still counts: from has the index that each had
-// before, or one that there wasn't.
+// Configure replaces the quotas. The recent traffic of a tenant still counts: from holds the previous index of each
+// tenant, or one out of range for a new tenant.
 func (m *Model) Configure(quotas []float64, from []int, proxies int, window time.Duration) {
 	old := m.tenants
 	m.tenants, m.window = make([]tenant, len(quotas)), window
@@ -43,8 +43,8 @@
 	}
 }
 
-// RecordRequest counts a request of a tenant and gives the part of its traffic that is beyond its
-// quota, from 0 to 1; 0 for a tenant that is not known.
+// RecordRequest counts a request of a tenant and returns the part of its traffic that exceeds its quota, from 0 to 1.
+// For an unknown tenant it returns 0.
 func (m *Model) RecordRequest(i int, now time.Duration) float64 {
 	if i < 0 || i >= len(m.tenants) {
 		return 0
--- a/internal/balancer/retrystorm/ended_requests.go
+++ b/internal/balancer/retrystorm/ended_requests.go
@@ -6,17 +6,17 @@
 	"marlreel/internal/balancer/decay"
 )
 
-// Unmarked retries. A client's retry has a new identifier, and others may ask the same: a match of class, tenant and
-// key with a request that went unserved recently proves nothing by itself. So served requests are sampled as a control
-// group: they are not retried, and what matches them comes by chance. By how much more often the unserved are matched
-// gives the part of their matches that are retries.
+// Retries that the client does not mark have to be recognized. A retry has a new identifier, and other clients may send
+// the same request: a match of class, tenant and key with a request that went unserved recently proves nothing by
+// itself. So served requests are sampled as a control group: they are not retried, so requests match them only by
+// chance. How much more often unserved requests are matched gives the part of their matches that are retries.
 
 const (
-	maxEndedRequests = 4096            // requests that are kept
-	controlSampling  = 8               // one in so many of the served is in the control group
-	matchWindow      = 5 * time.Second // over which ratios of matches are taken
-	minUnserved      = 12              // unserved requests within it before any match counts
-	retryThreshold   = 0.5             // probability from which a match is taken for a retry
+	maxEndedRequests = 4096            // requests that are stored
+	controlSampling  = 8               // one in this many served requests is in the control group
+	matchWindow      = 5 * time.Second // window of the match ratios
+	minUnserved      = 12              // unserved requests in the window before any match counts
+	retryThreshold   = 0.5             // probability from which a match counts as a retry
 )
 
 // endedRequest is a request that has ended.
@@ -26,7 +26,7 @@
 	served       bool
 }
 
-// endedRequests are the requests that have ended within a span.
+// endedRequests holds the requests that have ended within a span.
 type endedRequests struct {
 	span        time.Duration
 	byKey       map[uint64]endedRequest
@@ -48,12 +48,12 @@
 	return endedRequests{span: span, byKey: map[uint64]endedRequest{}}
 }
 
-// record takes in the end of a request.
+// record records the end of a request.
 func (s *endedRequests) record(now time.Duration, key uint64, first, due time.Duration, served bool) {
 	if served {
-		// There are many more of these, so few have to be kept.
+		// Served requests are far more frequent, so a sample is enough.
 		if s.servedCount++; s.servedCount%controlSampling != 0 {
-			delete(s.byKey, key) // what it retried is done
+			delete(s.byKey, key) // the request that it retried is served now
 			return
 		}
 		s.control.Add(1, now, matchWindow)
@@ -68,7 +68,7 @@
 	s.order = append(s.order, expiry{key, now})
 }
 
-// forget drops what ended longer ago than the span.
+// forget drops requests that ended longer ago than the span.
 func (s *endedRequests) forget(now time.Duration) {
 	for s.head < len(s.order) && now-s.order[s.head].at > s.span {
 		o := s.order[s.head]
@@ -83,8 +83,8 @@
 	}
 }
 
-// match tells whether a request is likely a retry, and gives when the one that it retries came first and when its client
-// was told to retry.
+// match reports whether a request is likely a retry, and returns when the original request first arrived and when its
+// client was told to retry.
 func (s *endedRequests) match(now time.Duration, key uint64) (first, due time.Duration, isRetry bool) {
 	x, found := s.byKey[key]
 	if !found || now-x.ended > s.span {
@@ -92,7 +92,7 @@
 	}
 	if x.served {
 		s.controlMatched.Add(1, now, matchWindow)
-		delete(s.byKey, key) // one match each, as for the others
+		delete(s.byKey, key) // a request matches once, like an unserved one
 		return 0, 0, false
 	}
 	s.unservedMatched.Add(1, now, matchWindow)
@@ -119,7 +119,7 @@
 	return max(0, 1-chanceRatio/matchRatio)
 }
 
-// meanRetryDelay is how long after the first arrival a retry comes, about; 0 is not known.
+// meanRetryDelay is the mean time from the first arrival to the retry; 0: unknown.
 func (s *endedRequests) meanRetryDelay(now time.Duration) time.Duration {
 	return time.Duration(s.retryDelays.Mean(&s.retryDelayCount, now, matchWindow) * float64(time.Millisecond))
 }
--- a/internal/balancer/retrystorm/model_test.go
+++ b/internal/balancer/retrystorm/model_test.go
@@ -17,18 +17,18 @@
 	return New(Config{ClientTimeout: 2 * time.Second, SendsRetryAfter: true, CalmRetryAfter: 400 * ms, MaxRetryAfter: 2 * time.Second})
 }
 
-// traffic lets requests come at a rate, of which a part goes unserved; the unserved come again after a
-// while with a chance, unmarked.
+// traffic generates requests at a rate. A part of them goes unserved; each of these is retried after a while with a
+// given probability, unmarked.
 type traffic struct {
 	m                *Model
 	now              time.Duration
 	rng              *rand.Rand
 	scheduledRetries []scheduledRetry
-	keys             int // that requests are about
+	keys             int // number of distinct keys
 	lines            []string
-	retries          int // real ones,
-	recognized       int // recognised,
-	falsePositives   int // and taken for one that are none
+	retries          int // actual retries
+	recognized       int // retries that the model recognized
+	falsePositives   int // fresh requests that the model took for retries
 }
 
 type scheduledRetry struct {
@@ -79,7 +79,7 @@
 	}
 }
 
-// However late the clock begins, the first line says how long it has been calm here.
+// The first log line counts the time from the first evaluation, wherever the clock begins.
 func TestStateDurationCountsFromTheFirstEvaluation(t *testing.T) {
 	t.Parallel()
 	d := newTraffic()
@@ -87,39 +87,40 @@
 	d.run(3*time.Second, 200, 0, 0)
 	d.run(2*time.Second, 200, 0.5, 1)
 	if len(d.lines) == 0 || !strings.Contains(d.lines[0], "after calm for 3.") {
-		t.Errorf("%q", d.lines)
+		t.Errorf("log lines: %q", d.lines)
 	}
 }
 
-// Calm, rising, storm, recovering, calm: and a line for each change with what it rests on.
+// The phases are calm, rising, storm, recovering and calm again, with a log line for each change that states its
+// evidence.
 func TestStormPhases(t *testing.T) {
 	d := newTraffic()
 	d.run(10*time.Second, 100, 0.01, 1)
 	if d.m.State() != Calm || len(d.lines) > 0 {
-		t.Fatalf("%v on a calm day: %q", d.m.State(), d.lines)
+		t.Fatalf("state %v while hardly anything fails: %q", d.m.State(), d.lines)
 	}
 	d.run(5*time.Second, 100, 0.5, 1)
 	if d.m.State() != Storm {
-		t.Errorf("%v with half of it coming again", d.m.State())
+		t.Errorf("state %v with half of the requests failing and retried", d.m.State())
 	}
 	d.run(time.Second, 100, 0.01, 1)
 	if d.m.State() != Recovering && d.m.State() != Storm {
-		t.Errorf("%v a second after it", d.m.State())
+		t.Errorf("state %v one second after the failures ended", d.m.State())
 	}
 	d.run(6*time.Second, 100, 0.01, 1)
 	if d.m.State() != Calm {
-		t.Errorf("%v seven seconds after it", d.m.State())
+		t.Errorf("state %v seven seconds after the failures ended", d.m.State())
 	}
 	if len(d.lines) < 3 || len(d.lines) > 6 || !strings.Contains(d.lines[len(d.lines)-1], "requests a second come") {
-		t.Errorf("%d lines: %q", len(d.lines), d.lines)
+		t.Errorf("%d log lines: %q", len(d.lines), d.lines)
 	}
 	if d.recognized < d.retries*8/10 || d.falsePositives > 5 {
-		t.Errorf("%d of %d repeats are recognised, and %d others taken for one", d.recognized, d.retries, d.falsePositives)
+		t.Errorf("%d of %d retries are recognized, and %d other requests taken for one", d.recognized, d.retries, d.falsePositives)
 	}
 }
 
-// A jump of traffic that is served is no storm; nor is a hiccup; nor is much that goes unserved and
-// does not come again.
+// None of these is a storm: a jump of traffic that is served, a short outage, and many unserved requests that are not
+// retried.
 func TestServedTrafficIsNoStorm(t *testing.T) {
 	d := newTraffic()
 	d.run(5*time.Second, 100, 0.01, 1)
@@ -133,22 +134,22 @@
 	}
 	d.run(5*time.Second, 100, 0.5, 0)
 	if d.m.State() != Rising {
-		t.Errorf("%v where half goes unserved and nobody comes again", d.m.State())
+		t.Errorf("state %v where half of the requests go unserved and none is retried", d.m.State())
 	}
 }
 
-// Where everybody asks the same few things, a match proves nothing, and none is taken for a repeat.
+// Where all clients request the same few keys, a match proves nothing, and hardly any request is taken for a retry.
 func TestHotKeysAreNotTakenForRetries(t *testing.T) {
 	d := newTraffic()
 	d.keys = 3
 	d.run(10*time.Second, 100, 0.4, 0)
 	if d.falsePositives > 20 {
-		t.Errorf("%d of some 1000 are taken for repeats", d.falsePositives)
+		t.Errorf("%d of some 1000 requests are taken for retries", d.falsePositives)
 	}
 }
 
-// While it is calm who comes again is served like anybody; in a storm its time counts from its first
-// try, and who did not wait as it was told stands behind.
+// While it is calm a retry is served like any other request. In a storm its time counts from its first arrival, and a
+// retry that came earlier than its client was told has a lower priority.
 func TestPriorityOfRetries(t *testing.T) {
 	d := newTraffic()
 	d.run(5*time.Second, 100, 0.5, 1)
@@ -156,25 +157,26 @@
 	d.m.RecordEnd(d.now, 7, first, d.now+time.Second, false)
 	d.now += 100 * ms
 	if s := d.m.RecordArrival(d.now, 7, false); !s.IsRetry || s.FirstArrival != first || s.CountFrom != first || s.PriorityFactor >= 1 {
-		t.Errorf("early, in a storm: %+v", s)
+		t.Errorf("early retry in a storm: %+v", s)
 	}
 	d.m.RecordEnd(d.now, 7, first, d.now+100*ms, false)
 	d.now += 100 * ms
 	if s := d.m.RecordArrival(d.now, 7, false); !s.IsRetry || s.CountFrom != first || s.PriorityFactor != 1 {
-		t.Errorf("as it was told: %+v", s)
+		t.Errorf("retry at the time told, in a storm: %+v", s)
 	}
 	d.m.state = Calm
 	d.m.RecordEnd(d.now, 8, first, d.now+time.Second, false)
 	if s := d.m.RecordArrival(d.now, 8, false); s.CountFrom != d.now || s.PriorityFactor != 1 {
-		t.Errorf("while it is calm: %+v", s)
+		t.Errorf("early retry while calm: %+v", s)
 	}
 	if s := d.m.RecordArrival(d.now, 0, true); !s.IsRetry || s.FirstArrival >= d.now {
-		t.Errorf("marked, of another proxy's: %+v", s)
+		t.Errorf("marked retry of a request to another proxy: %+v", s)
 	}
 }
 
-// A thousand are turned away at once, and a hundred a second can be served beside fresh ones: they are
-// told times that fill the coming seconds evenly, and who finds no place in its time is told the longest.
+// A thousand requests are rejected at once, and capacity for a hundred a second is free beside the fresh requests: the
+// retry times fill the coming seconds evenly, and a request for which no capacity is left in its time gets the longest
+// retry time.
 func TestRetryAfterFillsFreeCapacity(t *testing.T) {
 	m := newTestModel()
 	now := time.Second
@@ -186,7 +188,7 @@
 	m.state = Storm
 	m.arrivals, m.retries = sumAtRate(500, now), sumAtRate(0, now)
 	if after := m.RetryAfter(now, time.Second); after != m.cfg.MaxRetryAfter {
-		t.Errorf("with nothing free: %v", after)
+		t.Errorf("retry time without free capacity: %v", after)
 	}
 	m.arrivals = sumAtRate(m.updatePeakRate(now)-100, now)
 	perTenth := map[int]int{}
@@ -200,26 +202,26 @@
 		perTenth[int(after/(100*ms))]++
 	}
 	scheduled := 1000 - atMaximum
-	if scheduled < 120 || scheduled > 155 { // 1.5 s of a hundred a second
-		t.Errorf("%d are told to come within 1.5 s", scheduled)
+	if scheduled < 120 || scheduled > 155 { // 1.5 s at a hundred a second
+		t.Errorf("%d clients are told to retry within 1.5 s", scheduled)
 	}
 	for s := 1; s < 15; s++ {
 		if n := perTenth[s]; n < 6 || n > 14 {
-			t.Errorf("%d in the %d. tenth of a second: %v", n, s, perTenth)
+			t.Errorf("%d retries in tenth of a second %d: %v", n, s, perTenth)
 		}
 	}
 	m.state = Calm
 	if after := m.RetryAfter(now, time.Second); after != m.cfg.CalmRetryAfter {
-		t.Errorf("while it is calm: %v", after)
+		t.Errorf("retry time while calm: %v", after)
 	}
 	m.cfg.SendsRetryAfter = false
 	if after := m.RetryAfter(now, time.Second); after != 0 {
-		t.Errorf("where clients may not be told: %v", after)
+		t.Errorf("retry time with SendsRetryAfter not set: %v", after)
 	}
 }
 
-// Whatever comes in whatever order: times given out stay within bounds, tables too, and no repeat came
-// first later than it comes.
+// For any sequence of events, retry times and tables stay within their bounds, and no retry first arrived later than it
+// came.
 func TestResultsStayWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, now := newTestModel(), time.Duration(0)
@@ -230,37 +232,37 @@
 			case 0:
 				s := m.RecordArrival(now, key, rapid.Bool().Draw(t, "marked"))
 				if s.FirstArrival > now || s.CountFrom > now || s.CountFrom < s.FirstArrival || !(s.PriorityFactor > 0 && s.PriorityFactor <= 1) {
-					t.Fatalf("at %v: %+v", now, s)
+					t.Fatalf("at %v: arrival %+v", now, s)
 				}
 			case 1:
 				m.RecordEnd(now, key, now, now, rapid.Bool().Draw(t, "served"))
 			case 2:
 				left := time.Duration(rapid.Int64Range(-int64(time.Second), int64(5*time.Second)).Draw(t, "left"))
 				if after := m.RetryAfter(now, left); after < 0 || after > m.cfg.MaxRetryAfter {
-					t.Fatalf("come again after %v", after)
+					t.Fatalf("retry time %v", after)
 				}
 			case 3:
 				m.Evaluate(now)
 			}
 			if len(m.ended.byKey) > maxEndedRequests || len(m.ended.order)-m.ended.head > 2*maxEndedRequests {
-				t.Fatalf("%d sights, %d in order", len(m.ended.byKey), len(m.ended.order))
+				t.Fatalf("%d requests stored, %d in order", len(m.ended.byKey), len(m.ended.order))
 			}
 		}
 	})
 }
 
-// However many go unserved, only so many are remembered.
+// The number of stored requests is bounded, however many go unserved.
 func TestEndedRequestsAreBounded(t *testing.T) {
 	m := newTestModel()
 	for i := range uint64(10 * maxEndedRequests) {
 		m.RecordEnd(time.Second, i+1, 0, 0, false)
 	}
 	if len(m.ended.byKey) > maxEndedRequests || len(m.ended.order) > maxEndedRequests {
-		t.Errorf("%d are remembered, %d in order", len(m.ended.byKey), len(m.ended.order))
+		t.Errorf("%d requests are stored, %d in order", len(m.ended.byKey), len(m.ended.order))
 	}
 	m.RecordEnd(time.Minute, 1, 0, 0, false)
 	if len(m.ended.byKey) != 1 {
-		t.Errorf("%d are remembered a minute later", len(m.ended.byKey))
+		t.Errorf("%d requests are stored a minute later, want 1", len(m.ended.byKey))
 	}
 }
 
@@ -278,8 +280,8 @@
 	return decay.NewSum(perSecond*rateWindow.Seconds(), now)
 }
 
-// A proxy whose last requests failed stayed in the phase that they had brought for as long as no others came: ratios
-// of what decays alike do not change.
+// A proxy whose last requests failed must not stay in the phase that they caused while no other requests come: the
+// ratios of sums that decay alike do not change.
 func TestSilenceEndsAStorm(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -304,17 +306,17 @@
 			evaluate()
 		}
 		if m.State() != c.state {
-			t.Fatalf("%s: it is %v", c.name, m.State())
+			t.Fatalf("%s: state %v", c.name, m.State())
 		}
 		evaluate()
 		if m.State() != c.state {
-			t.Errorf("%s: it is %v as soon as nothing came for 100 ms", c.name, m.State())
+			t.Errorf("%s: state %v after 100 ms without a request", c.name, m.State())
 		}
 		for range 100 {
 			evaluate()
 		}
 		if m.State() != Calm {
-			t.Errorf("%s: after 10 s without a request it is %v", c.name, m.State())
+			t.Errorf("%s: after 10 s without a request the state is %v", c.name, m.State())
 		}
 	}
 }
--- a/internal/balancer/slowstart/slowstart_test.go
+++ b/internal/balancer/slowstart/slowstart_test.go
@@ -10,7 +10,7 @@
 	"marlreel/internal/standin/machine"
 )
 
-// warmupRun is a warming machine, and proxies that send it all that they may.
+// warmupRun simulates a warming machine, and proxies that send it as much as they may.
 type warmupRun struct {
 	machine       *machine.Machine
 	models        []Model
@@ -36,7 +36,7 @@
 	stepTime        = 5 * time.Millisecond
 )
 
-// completeRequests tells the proxies what the machine has answered.
+// completeRequests records in the proxies' models what the machine has answered.
 func (w *warmupRun) completeRequests() {
 	for _, e := range w.machine.Advance(w.now) {
 		q, known := w.pending[e.ID]
@@ -49,7 +49,7 @@
 	}
 }
 
-// expireRequests cancels what the machine has not answered in time.
+// expireRequests cancels requests that the machine has not answered in time.
 func (w *warmupRun) expireRequests() {
 	for id, q := range w.pending {
 		if w.now-q.sentAt > 2*w.latencyTarget {
@@ -79,9 +79,9 @@
 	}
 }
 
-// Warming machines of all sizes that can meet the latency target at all, and proxies that send all that they may:
-// whatever the machines' speeds, the proxies' number and how late answers come, no machine is overloaded, and where there
-// is enough of it the rate comes to what the machine can do before it is warm.
+// Warming machines of any size that can meet the latency target at all, with proxies that send as much as they may: for
+// any speed of the machine, number of proxies and delay of answers, no machine is overloaded, and in most cases a fair
+// part of what it can do is used before it is warm.
 func TestNoWarmingMachineIsOverloaded(t *testing.T) {
 	reached, cases := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -93,9 +93,9 @@
 		if alone := time.Duration(float64(work) / speed); alone > target*2/3 {
 			t.Skip("such a machine meets no latency target")
 		}
-		cold := machine.Warmup{InitialCapacity: initialCapacity, Duration: warmupTime, OverloadMultiple: 2.5, OverloadWindow: overloadWindow}
+		warmup := machine.Warmup{InitialCapacity: initialCapacity, Duration: warmupTime, OverloadMultiple: 2.5, OverloadWindow: overloadWindow}
 		w := &warmupRun{
-			machine:       machine.New(machine.Config{Cores: cores, Speed: speed, Slots: 40, Queue: 10, Warmup: cold}, 0, false),
+			machine:       machine.New(machine.Config{Cores: cores, Speed: speed, Slots: 40, Queue: 10, Warmup: warmup}, 0, false),
 			models:        make([]Model, proxies),
 			tokens:        make([]float64, proxies),
 			work:          work,
@@ -123,11 +123,11 @@
 		}
 	})
 	if reached < cases*2/3 {
-		t.Errorf("only in %d of %d cases a fair part of the machine was used", reached, cases)
+		t.Errorf("in only %d of %d cases was a fair part of the machine's capacity used", reached, cases)
 	}
 }
 
-// Whatever the answers: the factor rises by GrowthFactor a step at most, is never under 1, and warm backends end it.
+// For any outcomes, the factor rises by at most GrowthFactor a step, is never under 1, and is reset by warm backends.
 func TestFactorStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var m Model
@@ -141,7 +141,7 @@
 				m.RecordOutcome(now, false)
 			case 1:
 				if got := m.Rate(now, 0.5, true); got != 1.0/3 || m.Factor(now) != 1 {
-					t.Fatal("beside warm ones", got, m.Factor(now))
+					t.Fatal("with warm backends:", got, m.Factor(now))
 				}
 				steps = 1
 			default:
--- a/internal/balancer/stableindex/table.go
+++ b/internal/balancer/stableindex/table.go
@@ -1,8 +1,9 @@
-// Package stableindex gives named things, such as the classes of requests, an index each that stays theirs while
-// the list of names changes. What was learned of one is kept under its index: a name that stays in the list keeps it,
-// and so does one that comes back.
+// Package stableindex assigns an index to each name in a list, such as the classes of requests, and keeps it stable
+// while the list changes. What was learned of a name is stored under its index: a name that stays in the list keeps it,
+// and so does one that returns before its index is reused.
 //
-// It is pure, and its Table belongs to its caller. What a name stands for, and what was learned of it, is the caller's.
+// The package is pure, and its Table belongs to its caller, which also owns what a name stands for and what was learned
+// of it.
 package stableindex
 
 import (
@@ -11,7 +12,7 @@
 	"time"
 )
 
-// Table has the indices in use. The zero value has room for none: see New.
+// Table holds the assigned indices. The zero value has room for none: see New.
 type Table struct {
 	maxLen int
 	slots  []slot
@@ -20,37 +21,37 @@
 type slot struct {
 	name      string
 	removed   bool
-	removedAt time.Duration // gone: since when
+	removedAt time.Duration // if removed
 }
 
-// MinReuseAge is how long an index stays its last owner's after that was removed: what was in flight under it has
-// been counted by then.
+// MinReuseAge is how long the index of a removed name is not reused: what was in flight under it has been counted by
+// then.
 const MinReuseAge = 10 * time.Second
 
-// New makes a table of at most maxLen indices.
+// New returns a table of at most maxLen indices.
 func New(maxLen int) *Table { return &Table{maxLen: maxLen} }
 
-// Grow makes room for so many indices, where there is less.
+// Grow makes room for maxLen indices, if there is less.
 func (t *Table) Grow(maxLen int) { t.maxLen = max(t.maxLen, maxLen) }
 
-// Len is how many indices there are: 0 to Len-1.
+// Len returns the number of indices: 0 to Len-1.
 func (t *Table) Len() int { return len(t.slots) }
 
-// Name is the owner of an index, also one that is not in the list now.
+// Name returns the owner of an index, even if it is not in the list now.
 func (t *Table) Name(i int) string { return t.slots[i].name }
 
-// Removed tells whether the owner of an index is not in the list now.
+// Removed reports whether the owner of an index is not in the list now.
 func (t *Table) Removed(i int) bool { return t.slots[i].removed }
 
-// DuplicateError is a list in which a name stands twice.
+// DuplicateError reports a list that contains a name twice.
 type DuplicateError struct{ Name string }
 
 // Error implements error.
 func (e *DuplicateError) Error() string { return fmt.Sprintf("%q stands in the list twice", e.Name) }
 
-// FullError is a list for which there are not enough indices.
+// FullError reports a list for which there are not enough indices.
 type FullError struct {
-	Name   string // the first that has none
+	Name   string // the first name without an index
 	MaxLen int
 }
 
@@ -59,10 +60,10 @@
 	return fmt.Sprintf("%q is one too many beside those of which something is still open: there is room for %d", e.Name, e.MaxLen)
 }
 
-// Assign puts a new list of names in force and gives the index of each. reused are the
-// indices, among those that there were before, whose owner is another one now: what was
-// learned under them is to be forgotten. inUse tells whether something of an index's owner
-// is still open; such an index is not reused. The error is a DuplicateError or a FullError; then nothing has changed.
+// Assign sets a new list of names and returns the index of each. reused are the indices, among those that existed
+// before, that now belong to another name: what was learned under them must be discarded. inUse reports whether
+// something of an index's owner is still open; such an index is not reused. The error is a DuplicateError or a
+// FullError; then nothing has changed.
 func (t *Table) Assign(now time.Duration, names []string, inUse func(i int) bool) (indices, reused []int, err error) {
 	next := slices.Clone(t.slots)
 	for i := range next {
@@ -91,7 +92,8 @@
 	return indices, reused, nil
 }
 
-// keepAssigned gives the names that have an index already theirs, and the positions in names of those that have none.
+// keepAssigned returns the indices of the names that already have one, and the positions in names of those that have
+// none.
 func keepAssigned(slots []slot, names []string) (indices, unassigned []int, err error) {
 	indices = make([]int, len(names))
 	for k, name := range names {
@@ -108,8 +110,7 @@
 	return indices, unassigned, nil
 }
 
-// oldestRemoved finds the index, below old, that has been without an owner for the longest time and may be reused, or
-// -1.
+// oldestRemoved returns the index below old whose owner was removed the longest time ago and that may be reused, or -1.
 func oldestRemoved(slots []slot, now time.Duration, old int, inUse func(i int) bool) int {
 	best := -1
 	for i := range slots[:old] {
--- a/internal/balancer/staleness/staleness.go
+++ b/internal/balancer/staleness/staleness.go
@@ -1,8 +1,8 @@
-// Package staleness discounts the learned state of an earlier process before the next one goes on with it: how old it
-// is, whether that can be known at all, and how much of it still counts.
+// Package staleness discounts the learned state of an earlier process before the next one resumes it: how old it is,
+// whether its age can be known at all, and how much of it still counts.
 //
-// It is pure. It never reads the file (internal/process/learnedstate/statefile) nor puts anything in force, and no promise to clients
-// rests on it: a proxy without learned state keeps them all.
+// The package is pure. It neither reads the file (internal/process/learnedstate/statefile) nor applies the state, and
+// no promise to clients depends on it: a proxy without learned state keeps them all.
 package staleness
 
 import (
@@ -15,14 +15,14 @@
 	"marlreel/internal/process/learnedstate"
 )
 
-// Timestamp is a time by two clocks: the wall clock, which may be set, and the machine's uptime, which
-// only goes forward and ends with the machine.
+// Timestamp is a time by two clocks: the wall clock, which may be set, and the machine's uptime, which only goes
+// forward and starts again when the machine does.
 //
 // The json tags are the names under which 'marlreel state show --json' prints the fields.
 type Timestamp struct {
 	Wall   time.Time
-	BootID string        `json:"Boot"` // identifies a start of the machine; "": not known
-	Uptime time.Duration `json:"Up"`   // since that start
+	BootID string        `json:"Boot"` // identifies a boot of the machine; "": unknown
+	Uptime time.Duration `json:"Up"`   // since that boot
 }
 
 // Errors of Age.
@@ -31,7 +31,7 @@
 	ErrNoTimestamp    = errors.New("it does not say when it was written")
 )
 
-// ClockSetBackError is a time of writing that lies ahead by the wall clock.
+// ClockSetBackError reports a time of writing that is after now by the wall clock.
 type ClockSetBackError struct{ Ahead time.Duration }
 
 var _ error = (*ClockSetBackError)(nil)
@@ -41,9 +41,9 @@
 	return fmt.Sprintf("it was written %v after now: a clock was set back", e.Ahead.Round(time.Second))
 }
 
-// Age is how long before now a process ended, 0 or more. Where neither clock can tell, or the wall clock has been set
-// back, it is an error (ErrUptimeWentBack, ErrNoTimestamp, ClockSetBackError): what is of unknown age must not pass for
-// young.
+// Age returns how long before now a process ended, 0 or more. If neither clock can tell, or the wall clock has been set
+// back, it returns an error (ErrUptimeWentBack, ErrNoTimestamp, ClockSetBackError): a state of unknown age must not
+// pass for a recent one.
 func Age(then, now Timestamp) (time.Duration, error) {
 	if then.BootID != "" && then.BootID == now.BootID {
 		if d := now.Uptime - then.Uptime; d >= 0 {
@@ -60,15 +60,15 @@
 	return 0, &ClockSetBackError{then.Wall.Sub(now.Wall)}
 }
 
-// Config says how fast learned state loses its weight.
+// Config sets how fast learned state loses its weight.
 type Config struct {
-	MaxAge   time.Duration // beyond which nothing of it counts
+	MaxAge   time.Duration // beyond which nothing of the state counts
 	HalfLife time.Duration // in which it loses half of its weight
 }
 
-// Discount gives what still counts of a state of an age, and nil where nothing does. crashed says that the process did
-// not shut down in order: then the last seconds, in which things went wrong, are not in what it saved,
-// and it counts for half. s stays as it is.
+// Discount returns what still counts of a state of the given age, and nil if nothing does. crashed says that the
+// process did not shut down in order: then what it saved lacks the last seconds, in which things went wrong, and counts
+// for half. s is not changed.
 func Discount(cfg Config, s *learnedstate.State, age time.Duration, crashed bool) *learnedstate.State {
 	if age > cfg.MaxAge || age < 0 {
 		return nil
@@ -78,8 +78,8 @@
 		weight /= 2
 	}
 	kept := *s
-	// Sums of points weigh as many points as they have: fewer points, the same line. What is left is soon
-	// outweighed by what this process sees.
+	// Scaling the sums of a fit leaves its line as it is, but makes it count for fewer points, so that what this
+	// process observes soon outweighs it.
 	kept.Classes = slices.Clone(s.Classes)
 	for i := range kept.Classes {
 		c := &kept.Classes[i]
@@ -93,18 +93,18 @@
 	limit := medianOf(kept.Backends, func(b *learnedstate.Backend) float64 { return b.ConcurrencyLimit })
 	for i := range kept.Backends {
 		b := &kept.Backends[i]
-		// Towards what the others have, not towards nothing: a backend of which nothing is known is one of them.
+		// The limit moves towards the median, not towards 0: a backend about which nothing is known is like the others.
 		if b.ConcurrencyLimit > 0 && limit > 0 {
 			b.ConcurrencyLimit = limit + (b.ConcurrencyLimit-limit)*weight
 		}
 		b.DelayRatios *= weight
 		b.Answers *= weight
 		b.DelayTail[0] *= weight
-		// What was ejected is tried at once, by what costs least: a health check where there are any. How long its next
-		// ejection would last is remembered, less the longer ago it was.
+		// An ejected backend is tried at once, by what costs least: a health check where there are any. The length of
+		// its next ejection is kept, reduced with the age.
 		b.EjectedFor = 0
 		b.EjectionDuration = time.Duration(float64(b.EjectionDuration) * weight)
-		// Warm-up tokens that were saved up are gone after a time in which other proxies spent theirs; a debt stays.
+		// Saved warm-up tokens are dropped, because other proxies spent theirs in the meantime; a debt stays.
 		b.WarmupTokens = min(b.WarmupTokens, 0)
 	}
 	kept.Common.RetryTokens = min(s.Common.RetryTokens, s.Common.RetryTokens*weight)
@@ -112,7 +112,7 @@
 	return &kept
 }
 
-// medianOf is the median of a value over the backends that have it; 0 is none.
+// medianOf returns the median of a value over the backends that have it; 0: none has.
 func medianOf(all []learnedstate.Backend, value func(*learnedstate.Backend) float64) float64 {
 	var x []float64
 	for i := range all {
--- a/internal/balancer/staleness/staleness_test.go
+++ b/internal/balancer/staleness/staleness_test.go
@@ -12,7 +12,7 @@
 
 var noon = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
-// Clocks that were set make nothing younger: what can't be known is an error.
+// A clock that was set must not make a state look more recent: an age that cannot be known is an error.
 func TestAge(t *testing.T) {
 	t.Parallel()
 	at := func(wall time.Duration, boot string, up time.Duration) Timestamp {
@@ -22,14 +22,14 @@
 		then, now Timestamp
 		want      time.Duration // -1 is an error
 	}{
-		"the machine's clock":               {at(0, "a", time.Hour), at(time.Minute, "a", time.Hour+time.Minute), time.Minute},
-		"the wall's was set back meanwhile": {at(0, "a", time.Hour), at(-time.Hour, "a", time.Hour+time.Minute), time.Minute},
-		"and forward":                       {at(0, "a", time.Hour), at(24*time.Hour, "a", time.Hour+time.Minute), time.Minute},
-		"the machine was started anew":      {at(0, "a", time.Hour), at(5*time.Minute, "b", time.Minute), 5 * time.Minute},
-		"that, and the wall's was set back": {at(0, "a", time.Hour), at(-time.Second, "b", time.Minute), -1},
-		"the same start, earlier":           {at(0, "a", time.Hour), at(time.Minute, "a", time.Minute), -1},
-		"no machine's clock":                {at(0, "", 0), at(time.Second, "", 0), time.Second},
-		"no clock at all":                   {Timestamp{}, at(0, "b", time.Minute), -1},
+		"same boot":                         {at(0, "a", time.Hour), at(time.Minute, "a", time.Hour+time.Minute), time.Minute},
+		"same boot, wall clock set back":    {at(0, "a", time.Hour), at(-time.Hour, "a", time.Hour+time.Minute), time.Minute},
+		"same boot, wall clock set forward": {at(0, "a", time.Hour), at(24*time.Hour, "a", time.Hour+time.Minute), time.Minute},
+		"machine rebooted":                  {at(0, "a", time.Hour), at(5*time.Minute, "b", time.Minute), 5 * time.Minute},
+		"rebooted, wall clock set back":     {at(0, "a", time.Hour), at(-time.Second, "b", time.Minute), -1},
+		"same boot, earlier uptime":         {at(0, "a", time.Hour), at(time.Minute, "a", time.Minute), -1},
+		"no uptime":                         {at(0, "", 0), at(time.Second, "", 0), time.Second},
+		"no timestamp":                      {Timestamp{}, at(0, "b", time.Minute), -1},
 	} {
 		got, err := Age(c.then, c.now)
 		if c.want < 0 && err == nil || c.want >= 0 && (err != nil || got != c.want) {
@@ -38,8 +38,8 @@
 	}
 }
 
-// The longer away, the less it weighs, down to nothing; a crash counts as half. What is left is nearer to what
-// the others have, nobody is kept out for longer, and no budget is greater than it was.
+// An older state weighs less, down to nothing, and a crash halves the weight. Limits stay between those that the
+// backends had, no ejection gets longer, and no budget grows.
 func TestDiscount(t *testing.T) {
 	t.Parallel()
 	cfg := Config{MaxAge: 10 * time.Minute, HalfLife: 30 * time.Second}
@@ -57,11 +57,11 @@
 				WarmupTokens: rapid.Float64Range(-1e3, 1e3).Draw(t, "tokens"),
 			})
 		}
-		a := time.Duration(rapid.Int64Range(0, int64(cfg.MaxAge)).Draw(t, "away"))
+		a := time.Duration(rapid.Int64Range(0, int64(cfg.MaxAge)).Draw(t, "age"))
 		b := a + time.Duration(rapid.Int64Range(0, int64(cfg.MaxAge-a)).Draw(t, "longer"))
 		young, old, crashed := Discount(cfg, s, a, false), Discount(cfg, s, b, false), Discount(cfg, s, a, true)
 		if old.Classes[0].DelayFit[0] > young.Classes[0].DelayFit[0] || crashed.Classes[0].DelayFit[0] > young.Classes[0].DelayFit[0]*0.5+1e-9 || young.Classes[0].DelayFit[0] > s.Classes[0].DelayFit[0] {
-			t.Fatalf("%v, %v, %v of %v", young.Classes[0].DelayFit, old.Classes[0].DelayFit, crashed.Classes[0].DelayFit, s.Classes[0].DelayFit)
+			t.Fatalf("young %v, old %v, crashed %v of %v", young.Classes[0].DelayFit, old.Classes[0].DelayFit, crashed.Classes[0].DelayFit, s.Classes[0].DelayFit)
 		}
 		low, high := math.Inf(1), 0.0
 		for i := range s.Backends {
@@ -72,11 +72,11 @@
 		for i, k := range old.Backends {
 			was := s.Backends[i]
 			if k.EjectedFor != 0 || k.EjectionDuration > was.EjectionDuration || k.WarmupTokens > 0 || k.WarmupTokens > was.WarmupTokens || k.Answers > was.Answers || k.ConcurrencyLimit > 0 && (k.ConcurrencyLimit < low-1e-6 || k.ConcurrencyLimit > high+1e-6) {
-				t.Fatalf("%+v of %+v", k, was)
+				t.Fatalf("backend %+v, discounted from %+v", k, was)
 			}
 		}
 		if young.Common.RetryTokens > s.Common.RetryTokens || Discount(cfg, s, cfg.MaxAge+1, false) != nil || Discount(cfg, s, -1, false) != nil {
-			t.Fatal("a budget that grew, or what is too old, or of the future, is believed")
+			t.Fatal("a budget grew, or a state that is too old or from the future was accepted")
 		}
 	})
 }
