--- a/internal/balancer/connections/model.go
+++ b/internal/balancer/connections/model.go
@@ -345,19 +345,19 @@
 	}
 	hazards := m.hazards(now, backend, zone)
 	hazardOf := func(i int) float64 { return hazards[cell(Use{Idle: idle[i], Large: s.Large})] }
-	dial := math.Inf(1)
+	dialLoss := math.Inf(1)
 	if mayDial {
-		dial = hazards[cell(Use{New: true, Large: s.Large})]*s.loss() + m.cfg.HandshakeCost
+		dialLoss = hazards[cell(Use{New: true, Large: s.Large})]*s.loss() + m.cfg.HandshakeCost
 	}
 	lowest, worstAcceptable := math.Inf(1), -1
 	for i := range idle {
 		h := hazardOf(i)
 		lowest = min(lowest, h)
-		if h*s.loss() <= dial && (worstAcceptable < 0 || h > hazardOf(worstAcceptable)) {
+		if h*s.loss() <= dialLoss && (worstAcceptable < 0 || h > hazardOf(worstAcceptable)) {
 			worstAcceptable = i
 		}
 	}
-	if lowest*s.loss() > dial {
+	if lowest*s.loss() > dialLoss {
 		return Dial
 	}
 	best := len(idle) - 1 // of those with equal hazards, the most recently used
--- a/internal/balancer/goodput/tracker.go
+++ b/internal/balancer/goodput/tracker.go
@@ -48,8 +48,8 @@
 	old := l.tenants
 	l.tenants = make([]tally, len(from))
 	for i, k := range from {
-		if was := tallyAt(old, k); was != nil {
-			l.tenants[i] = *was
+		if previous := tallyAt(old, k); previous != nil {
+			l.tenants[i] = *previous
 		}
 	}
 }
--- a/internal/balancer/staleness/staleness.go
+++ b/internal/balancer/staleness/staleness.go
@@ -77,22 +77,22 @@
 	if crashed {
 		weight /= 2
 	}
-	kept := *s
+	discounted := *s
 	// Scaling the sums of a fit leaves its line as it is, but makes it count for fewer points, so that what this
 	// process observes soon outweighs it.
-	kept.Classes = slices.Clone(s.Classes)
-	for i := range kept.Classes {
-		c := &kept.Classes[i]
+	discounted.Classes = slices.Clone(s.Classes)
+	for i := range discounted.Classes {
+		c := &discounted.Classes[i]
 		for k := range c.DelayFit {
 			c.DelayFit[k] *= weight
 		}
 		c.DelayTail[0] *= weight
 		c.Served *= weight
 	}
-	kept.Backends = slices.Clone(s.Backends)
-	limit := medianOf(kept.Backends, func(b *learnedstate.Backend) float64 { return b.ConcurrencyLimit })
-	for i := range kept.Backends {
-		b := &kept.Backends[i]
+	discounted.Backends = slices.Clone(s.Backends)
+	limit := medianOf(discounted.Backends, func(b *learnedstate.Backend) float64 { return b.ConcurrencyLimit })
+	for i := range discounted.Backends {
+		b := &discounted.Backends[i]
 		// The limit moves towards the median, not towards 0: a backend about which nothing is known is like the others.
 		if b.ConcurrencyLimit > 0 && limit > 0 {
 			b.ConcurrencyLimit = limit + (b.ConcurrencyLimit-limit)*weight
@@ -107,9 +107,9 @@
 		// Saved warm-up tokens are dropped, because other proxies spent theirs in the meantime; a debt stays.
 		b.WarmupTokens = min(b.WarmupTokens, 0)
 	}
-	kept.Common.RetryTokens = min(s.Common.RetryTokens, s.Common.RetryTokens*weight)
-	kept.Common.MeanWindow *= weight
-	return &kept
+	discounted.Common.RetryTokens = min(s.Common.RetryTokens, s.Common.RetryTokens*weight)
+	discounted.Common.MeanWindow *= weight
+	return &discounted
 }
 
 // medianOf returns the median of a value over the backends that have it; 0: none has.
