--- a/internal/balancer/attempt.go
+++ b/internal/balancer/attempt.go
@@ -17,7 +17,7 @@
 // attemptDeadline also tells before when the attempt has to begin there; 0 is no bound.
 func (b *Balancer) attemptDeadline(r *request, t *target) (before time.Duration, may bool) {
 	may = b.mayAttempt(r, t)
-	before = idempotency.Never
+	before = idempotency.NoDeadline
 	for _, a := range r.attempts {
 		if !a.mayRun {
 			continue
@@ -27,7 +27,7 @@
 		may = may && mayRetry && !r.class.NeverRerun
 	}
 	before -= b.cfg.Tick
-	if before > idempotency.Never/2 {
+	if before > idempotency.NoDeadline/2 {
 		return 0, may
 	}
 	return before, may && b.now < before
--- a/internal/balancer/idempotency/terms.go
+++ b/internal/balancer/idempotency/terms.go
@@ -58,16 +58,16 @@
 	SentAt time.Duration // when it was sent, at the earliest
 }
 
-// Never is the deadline of a retry that may begin at any time.
-const Never time.Duration = 1<<63 - 1
+// NoDeadline is the deadline of a retry that may begin at any time.
+const NoDeadline time.Duration = 1<<63 - 1
 
 // RetryDeadline reports whether a request may be retried at a location after an earlier attempt, and the time before
 // which the retry has to begin there.
 func (t Terms) RetryDeadline(a Attempt, to Location) (deadline time.Duration, allowed bool) {
 	switch {
 	case t.Effect == Safe:
-		return Never, true
-	case t.Effect == Unsafe, t.Scope&Cell != 0 && a.Cell != to.Cell, t.Scope&Zone != 0 && a.Zone != to.Zone, t.Window > Never-max(a.SentAt, 0):
+		return NoDeadline, true
+	case t.Effect == Unsafe, t.Scope&Cell != 0 && a.Cell != to.Cell, t.Scope&Zone != 0 && a.Zone != to.Zone, t.Window > NoDeadline-max(a.SentAt, 0):
 		return 0, false
 	}
 	return a.SentAt + t.Window, true
