--- a/internal/balancer/grayfailure/model_test.go
+++ b/internal/balancer/grayfailure/model_test.go
@@ -13,8 +13,8 @@
 
 const ms = time.Millisecond
 
-// simulation is one proxy's view of some backends in simulated time, with faults that are known. The proxy is of the
-// simplest sort: it picks evenly among the cells that are not ejected.
+// simulation simulates one proxy, and some backends with known faults. The proxy picks evenly among the cells that are
+// not ejected.
 type simulation struct {
 	model         *Model
 	rng           *rand.Rand
@@ -24,7 +24,7 @@
 	sigma         []float64
 	usualDelays   []float64 // ms
 	latencyTarget time.Duration
-	fault         func(backend, kind int, now time.Duration) (silent, failing float64)
+	fault         func(backend, class int, now time.Duration) (silent, failing float64)
 	failureRatio  float64 // of all attempts, whatever the fault
 	now           time.Duration
 	inFlight      []*attempt
@@ -79,22 +79,22 @@
 }
 
 func (d *simulation) send(k int) {
-	to, isTry := -1, false
-	var in []int
+	to, isTrial := -1, false
+	var candidates []int
 	for b := range d.cells {
-		if _, _, out := d.cells[b][k].EjectionState(); !out {
-			in = append(in, b)
-		} else if !isTry && d.model.MayTrial(&d.cells[b][k], k) && d.rng.IntN(3) == 0 {
-			to, isTry = b, true
+		if _, _, ejected := d.cells[b][k].EjectionState(); !ejected {
+			candidates = append(candidates, b)
+		} else if !isTrial && d.model.MayTrial(&d.cells[b][k], k) && d.rng.IntN(3) == 0 {
+			to, isTrial = b, true
 		}
 	}
 	if to < 0 {
-		if len(in) == 0 {
+		if len(candidates) == 0 {
 			return
 		}
-		to = in[d.rng.IntN(len(in))]
+		to = candidates[d.rng.IntN(len(candidates))]
 	}
-	x := &attempt{backend: to, class: k, sent: d.now, outcome: Answered, trial: isTry}
+	x := &attempt{backend: to, class: k, sent: d.now, outcome: Answered, trial: isTrial}
 	took := d.usualDelays[k] * d.delayRatios[to] * math.Exp(d.sigma[k]*d.rng.NormFloat64()-d.sigma[k]*d.sigma[k]/2)
 	x.endsAt = d.now + time.Duration(took*float64(ms))
 	silent, failing := d.fault(to, k, d.now)
@@ -106,7 +106,7 @@
 	}
 	d.inFlight = append(d.inFlight, x)
 	d.sent[k]++
-	d.model.RecordSent(&d.cells[to][k], k, isTry)
+	d.model.RecordSent(&d.cells[to][k], k, isTrial)
 }
 
 func (d *simulation) complete(x *attempt) {
@@ -155,7 +155,7 @@
 	}
 }
 
-// run plays the day until the time to, in steps of 5 ms, with a sweep every 40.
+// run simulates until the time to, in steps of 5 ms, with a sweep every 40 ms.
 func (d *simulation) run(to time.Duration) {
 	for ; d.now < to; d.now += 5 * ms {
 		d.inFlight = slices.DeleteFunc(d.inFlight, func(x *attempt) bool {
@@ -182,12 +182,12 @@
 	return v[min(len(v)-1, int(q*float64(len(v))))]
 }
 
-// randomFault is a fault of one class at the first backends, from one time until another.
+// randomFault is a fault of one class at the first few backends, within a time range.
 type randomFault struct {
 	class, backends int
 	from, until     time.Duration
-	ratio           float64 // of the attempts that fail
-	answersErrors   bool    // it answers errors, rather than nothing
+	ratio           float64 // of attempts that fail
+	answersErrors   bool    // failing attempts get an error, rather than no answer
 }
 
 func newRandomFault(rng *rand.Rand) randomFault {
@@ -209,7 +209,8 @@
 	return f.ratio, 0
 }
 
-// ejectedAt gives when the cell at a backend was first ejected, and when it was first reinstated after the fault; 0: never.
+// ejectedAt returns when the cell at a backend was first ejected, and when it was first reinstated after the fault. A
+// time of 0 means never.
 func (f randomFault) ejectedAt(changes []change, backend int) (ejected, reinstated time.Duration) {
 	for _, e := range changes {
 		if e.backend != backend || e.class != f.class {
@@ -225,13 +226,13 @@
 	return ejected, reinstated
 }
 
-// faultResults are those of many faults: seconds until ejections and reinstatements, and what trials cost.
+// faultResults collects the results of many faults: seconds until ejections and reinstatements, and the cost of trials.
 type faultResults struct {
 	ejection, reinstatement []float64
 	missed, lost, sent      int
 }
 
-func (r *faultResults) play(t *testing.T, seed uint64) {
+func (r *faultResults) simulate(t *testing.T, seed uint64) {
 	t.Helper()
 	d := newSimulation(t, seed, 9, []float64{80, 70, 60, 40})
 	f := newRandomFault(d.rng)
@@ -257,30 +258,30 @@
 	}
 }
 
-// Random partial faults against the truth: how soon each leads to an ejection and a reinstatement, in the median and at
-// worst, and what trials cost.
+// Random partial faults lead to ejections and reinstatements soon enough, in the median and at worst, and trials cost
+// little.
 func TestEjectsAndReinstatesUnderRandomFaults(t *testing.T) {
 	var r faultResults
 	for seed := range uint64(60) {
-		r.play(t, seed)
+		r.simulate(t, seed)
 	}
 	t.Logf("ejected %d (missed %d): median %.2f s, worst %.2f s; reinstated %d: median %.2f s, worst %.2f s; lost to trials %.4f",
 		len(r.ejection), r.missed, quantile(r.ejection, 0.5), quantile(r.ejection, 1),
 		len(r.reinstatement), quantile(r.reinstatement, 0.5), quantile(r.reinstatement, 1),
 		float64(r.lost)/float64(r.sent))
 	if r.missed*20 > len(r.ejection) || quantile(r.ejection, 0.5) > 1 || quantile(r.ejection, 1) > 5 {
-		t.Errorf("ejected too late or not at all")
+		t.Errorf("cells were ejected too late or not at all")
 	}
 	if quantile(r.reinstatement, 0.5) > 2 || quantile(r.reinstatement, 1) > 15 {
-		t.Errorf("reinstated too late")
+		t.Errorf("cells were reinstated too late")
 	}
 	if float64(r.lost) > 0.02*float64(r.sent) {
 		t.Errorf("%d of %d attempts lost to trials", r.lost, r.sent)
 	}
 }
 
-// Two hundred runs of 100 s without a fault, some long-tailed, some with a class of one request a second: how often a
-// cell is ejected for nothing.
+// Two hundred runs of 100 s without a fault, some long-tailed, some with a class of one request a second: cells are
+// rarely ejected without a fault.
 func TestFalseAlarmsWithoutFaults(t *testing.T) {
 	alarms, seconds := 0, 0.0
 	byClass := make([]int, 4)
@@ -302,7 +303,7 @@
 		}
 		seconds += 100
 	}
-	t.Logf("%.0f s of a proxy: %d cells ejected for nothing, one in %.0f s; by class %d",
+	t.Logf("%.0f s simulated: %d cells ejected without a fault, one in %.0f s; by class %d",
 		seconds, alarms, seconds/max(1, float64(alarms)), byClass)
 	if float64(alarms) > seconds/50 {
 		t.Errorf("%d false alarms in %.0f s", alarms, seconds)
@@ -318,19 +319,19 @@
 		}
 		return 0, 0
 	}
-	out, seen := 0, 0
+	ejected, checked := 0, 0
 	d.run(13 * time.Second)
 	for d.now < 30*time.Second {
 		d.run(d.now + 200*ms)
 		for b := range d.cells {
-			seen++
+			checked++
 			if _, _, is := d.cells[b][2].EjectionState(); is {
-				out++
+				ejected++
 			}
 		}
 	}
-	if out*5 > seen {
-		t.Errorf("a class that no backend serves is ejected at %d of %d cells", out, seen)
+	if ejected*5 > checked {
+		t.Errorf("a class that no backend serves is ejected at %d of %d cells", ejected, checked)
 	}
 	for b := range d.cells {
 		for _, k := range []int{0, 1, 3} {
@@ -342,7 +343,7 @@
 }
 
 // A backend that answers nothing at all has no gray failure: no other class is answered there.
-func TestBackendThatAnswersNothingIsNoGrayFailure(t *testing.T) {
+func TestBackendThatAnswersNothingHasNoGrayFailure(t *testing.T) {
 	d := newSimulation(t, 8, 6, []float64{40, 40, 40})
 	d.fault = func(b, k int, now time.Duration) (float64, float64) {
 		if b == 0 && now > 5*time.Second {
@@ -358,8 +359,9 @@
 	}
 }
 
-// What a gray failure explains must not count against the backend: its other classes would lose it too.
-func TestOutcomeExplainedByItsClassIsNoEvidenceOnTheBackend(t *testing.T) {
+// An outcome that a gray failure explains must not count against the backend, or its other classes would lose the
+// backend too.
+func TestOutcomeExplainedByGrayFailureIsNoEvidenceAgainstBackend(t *testing.T) {
 	m, err := New(DefaultConfig(2))
 	if err != nil {
 		t.Fatal(err)
@@ -375,7 +377,7 @@
 		m.RecordOutcome(&c, 0, TimedOut, now-200*ms, now, u)
 	}
 	if w := m.RecordOutcome(&c, 0, TimedOut, now-200*ms, now, u); w > 0.3 {
-		t.Errorf("the eighth, with six answers to other classes between: weight %.2f", w)
+		t.Errorf("the eighth timeout, with six answers to other classes between: weight %.2f", w)
 	}
 	var d Cell
 	if w := m.RecordOutcome(&d, 1, Unknown, now-200*ms, now, u); w != 1 || d.Suspected() {
@@ -386,9 +388,9 @@
 	}
 }
 
-// Where the backend is slow for all classes, timeouts of one are expected.
+// If the backend is slow for all classes, timeouts of one class are expected.
 func TestSlowBackendExplainsTimeouts(t *testing.T) {
-	silent := func(ratio float64) float64 {
+	faultProbability := func(ratio float64) float64 {
 		m, err := New(DefaultConfig(1))
 		if err != nil {
 			t.Fatal(err)
@@ -402,20 +404,20 @@
 		}
 		return m.FaultProbability(&c, 0, now)
 	}
-	if usual, slow := silent(1), silent(4); usual < 0.5 || slow > 0.2 {
-		t.Errorf("fault probabilities of %.2f at the usual delay and %.2f at four times it", usual, slow)
+	if normal, slow := faultProbability(1), faultProbability(4); normal < 0.5 || slow > 0.2 {
+		t.Errorf("fault probabilities of %.2f at the usual delay and %.2f at four times it", normal, slow)
 	}
 }
 
-// Cells that answer but take longer for one class are told from chance.
-func TestDelayByClassOnlyBeyondChance(t *testing.T) {
+// A cell that is slow for one class only is distinguished from chance variation.
+func TestClassDelayRatioIgnoresChanceVariation(t *testing.T) {
 	m, err := New(DefaultConfig(1))
 	if err != nil {
 		t.Fatal(err)
 	}
 	rng, now := rand.New(rand.NewPCG(1, 1)), time.Minute
 	cells := make([]Cell, 8)
-	fill := func(slow float64) {
+	recordAnswers := func(slow float64) {
 		for i := range cells {
 			cells[i] = Cell{}
 			for range 30 {
@@ -433,25 +435,25 @@
 		}
 		m.EndComparison()
 	}
-	fill(1)
+	recordAnswers(1)
 	if got := m.DelayRatio(&cells[0], 0, now, 1, 1); math.Abs(got-1) > 0.1 {
-		t.Errorf("all alike: %.2f times the backend's own", got)
+		t.Errorf("all cells alike: a delay ratio of %.2f, want 1", got)
 	}
-	fill(3)
+	recordAnswers(3)
 	if got := m.DelayRatio(&cells[0], 0, now, 1, 1); got < 2.2 || got > 4 {
-		t.Errorf("three times slower for the class: %.2f expected", got)
+		t.Errorf("a cell three times slower for the class: a delay ratio of %.2f", got)
 	}
 	if got := m.DelayRatio(&cells[1], 0, now, 1, 1); got < 0.6 || got > 1.4 {
-		t.Errorf("beside it: %.2f expected", got)
+		t.Errorf("another cell of the class: a delay ratio of %.2f", got)
 	}
-	// What is in flight at the backend counts for the cell as well.
+	// Attempts in flight at the backend count for the cell as well.
 	if calm, crowded := m.DelayRatio(&cells[0], 0, now, 1, 1), m.DelayRatio(&cells[0], 0, now, 3, 1); crowded < 2.9*calm {
-		t.Errorf("%.2f expected, and %.2f with three times as much in flight", calm, crowded)
+		t.Errorf("a delay ratio of %.2f, and %.2f with three times the ratio for the backend", calm, crowded)
 	}
 }
 
 func TestValidateNamesTheField(t *testing.T) {
-	for field, spoil := range map[string]func(*Config){
+	for field, invalidate := range map[string]func(*Config){
 		"Classes":               func(c *Config) { c.Classes = 0 },
 		"AnsweredRatio":         func(c *Config) { c.AnsweredRatio = 1 },
 		"MinFaultDuration":      func(c *Config) { c.MinFaultDuration = 0 },
@@ -463,26 +465,26 @@
 	} {
 		t.Run(field, func(t *testing.T) {
 			c := DefaultConfig(3)
-			spoil(&c)
+			invalidate(&c)
 			_, err := New(c)
 			var invalid *ConfigError
 			if !errors.As(err, &invalid) || invalid.Field != field {
-				t.Errorf("the error is %v", err)
+				t.Errorf("got error %v", err)
 			}
 		})
 	}
 }
 
-// sequence is a model with some cells, to which anything happens.
-type sequence struct {
+// eventSequence applies random events to a model with some cells.
+type eventSequence struct {
 	model  *Model
 	cells  [][2]Cell
 	trials map[[2]int]int // in flight, by backend and class
 	now    time.Duration
 }
 
-// step lets one event happen.
-func (q *sequence) step(t *rapid.T) {
+// step applies one random event.
+func (q *eventSequence) step(t *rapid.T) {
 	q.now += time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "gap"))
 	b, k := rapid.IntRange(0, 2).Draw(t, "backend"), rapid.IntRange(0, 1).Draw(t, "class")
 	c, at := &q.cells[b][k], [2]int{b, k}
@@ -496,7 +498,7 @@
 			q.model.RecordTrialOutcome(c, k, outcome, rapid.Bool().Draw(t, "mayRetry"))
 		}
 		if w := q.model.RecordOutcome(c, k, outcome, sent, q.now, u); !(w >= 0 && w <= 1) {
-			t.Fatalf("weight %v", w)
+			t.Fatalf("weight %v, want 0 to 1", w)
 		}
 	case 1:
 		c.RecordOtherAnswer(sent)
@@ -516,7 +518,7 @@
 }
 
 // compare compares all cells and evaluates each.
-func (q *sequence) compare() {
+func (q *eventSequence) compare() {
 	q.model.BeginComparison()
 	for b := range q.cells {
 		for k := range q.cells[b] {
@@ -531,8 +533,8 @@
 	}
 }
 
-// checkCell asserts what holds for every cell at any time.
-func (q *sequence) checkCell(t *rapid.T, b, k int) {
+// checkCell checks what holds for every cell at any time.
+func (q *eventSequence) checkCell(t *rapid.T, b, k int) {
 	c := &q.cells[b][k]
 	if p := q.model.FaultProbability(c, k, q.now); !(p >= 0 && p <= 1) {
 		t.Fatalf("fault probability %v", p)
@@ -548,14 +550,15 @@
 	}
 }
 
-// Whatever happens, in whatever order: probabilities stay probabilities, trials are counted off, tokens stay bounded.
+// After any sequence of events, probabilities are between 0 and 1, trials in flight are counted correctly and tokens
+// are bounded.
 func TestInvariantsHoldInAnySequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, err := New(DefaultConfig(2))
 		if err != nil {
 			t.Fatal(err)
 		}
-		q := &sequence{model: m, cells: make([][2]Cell, 3), trials: map[[2]int]int{}, now: time.Second}
+		q := &eventSequence{model: m, cells: make([][2]Cell, 3), trials: map[[2]int]int{}, now: time.Second}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			q.step(t)
 			for b := range q.cells {
