--- a/internal/dataplane/httpproxy/accept.go
+++ b/internal/dataplane/httpproxy/accept.go
@@ -9,9 +9,9 @@
 	"marlreel/internal/sockets"
 )
 
-// newClientConns makes the table of a listener's connections. A connection on which nothing has come yet is parked: what
-// it costs beside its descriptor is a small goroutine that waits for its first byte. net/http, with its buffers and all
-// that belongs to a request, gets it only then. So thousands that connect and say nothing cost next to nothing.
+// newClientConns returns the table of a listener's connections. A connection on which nothing has been received is parked:
+// besides its descriptor it costs one small goroutine that waits for the first byte. Only then is it passed to net/http,
+// which allocates buffers and request state. So thousands of silent connections cost very little.
 func newClientConns(ln net.Listener, maxOpen int) *clientConns {
 	return &clientConns{
 		Listener: ln, maxOpen: maxOpen, open: map[*clientConn]struct{}{},
@@ -19,8 +19,8 @@
 	}
 }
 
-// Accept implements net.Listener. It gives connections that have something to read, also those
-// that begin after the listener has been closed.
+// Accept implements net.Listener. It returns connections that have something to read, even if their
+// first byte arrives after the listener was closed.
 func (cs *clientConns) Accept() (net.Conn, error) {
 	cs.startAccepting.Do(func() { go cs.acceptLoop() })
 	ended := cs.listenerClosed
@@ -31,7 +31,7 @@
 		case <-cs.acceptStopped:
 			return nil, net.ErrClosed
 		case <-ended:
-			select { // from here on until the last of them has ended
+			select { // the listener is closed: goes on until the last connection has ended
 			case c := <-cs.active:
 				return c, nil
 			case <-cs.acceptStopped:
@@ -43,7 +43,7 @@
 	}
 }
 
-// acceptLoop takes connections from the listener until that is closed.
+// acceptLoop accepts connections from the listener until it is closed.
 func (cs *clientConns) acceptLoop() {
 	backoff := minAcceptBackoff
 	for {
@@ -53,8 +53,8 @@
 			close(cs.listenerClosed)
 			return
 		}
-		if err != nil { // such as: no descriptor is left
-			// Idle connections would hold the descriptors for as long as they like, and nobody new would get in.
+		if err != nil { // for example, no descriptor is left
+			// Without an eviction, idle connections could hold the descriptors and keep new clients out indefinitely.
 			if !cs.evictForAccept() {
 				time.Sleep(backoff)
 				backoff = min(2*backoff, maxAcceptBackoff)
@@ -73,14 +73,14 @@
 	}
 }
 
-// After an accept that failed the next waits for minAcceptBackoff, and up to maxAcceptBackoff where they go on to fail.
+// After a failed accept the next one is delayed by minAcceptBackoff, doubled with each failure up to maxAcceptBackoff.
 const (
 	minAcceptBackoff = 5 * time.Millisecond
 	maxAcceptBackoff = 100 * time.Millisecond
 )
 
-// park waits for the first byte. A connection that is closed meanwhile, for another or at its
-// time's end, is noticed by nobody else.
+// park waits for the first byte. It also closes the connection when its client closes it, or at
+// headDeadline: nothing else watches a parked connection.
 func (c *clientConn) park() {
 	_ = c.SetReadDeadline(c.headDeadline)
 	sc, ok := c.Conn.(syscall.Conn)
@@ -102,13 +102,13 @@
 	c.Close()
 }
 
-// readable tells that there is something to read, be it the end.
+// readable reports whether there is something to read, including the end of the stream.
 func readable(fd uintptr) bool {
 	_, err := sockets.Peek(fd)
 	return !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
 }
 
-// deliver hands a connection to who accepts.
+// deliver passes a connection to Accept.
 func (cs *clientConns) deliver(c *clientConn) {
 	select {
 	case cs.active <- c:
@@ -117,7 +117,7 @@
 	}
 }
 
-// close ends all that waits for its first byte. Only when nobody accepts any more.
+// close closes all connections that wait for their first byte. It may be called only when Accept is no longer called.
 func (cs *clientConns) close() {
 	cs.stopAccepting.Do(func() { close(cs.acceptStopped) })
 	cs.mu.Lock()
--- a/internal/dataplane/httpproxy/answerbody.go
+++ b/internal/dataplane/httpproxy/answerbody.go
@@ -11,8 +11,8 @@
 	"marlreel/internal/process/budget"
 )
 
-// readBody reads the answer's body: all of it where it is small, else its beginning. An
-// error says that the answer can't be used.
+// readBody reads the answer's body: a small one completely, a large one up to its first bytes, as a
+// stream. An error means that the answer can't be used.
 func (c *backendConn) readBody(resp *http.Response, x *exchange) (r Reply, err error) {
 	n := resp.ContentLength
 	switch {
@@ -24,14 +24,14 @@
 		r.body = make([]byte, n)
 		_, err = io.ReadFull(c.reader, r.body)
 	case n > 0:
-		// There is no sending it again once it has begun: so it begins with its first byte.
+		// Once the answer has been started to the client, the request can't be retried: so its first byte is awaited.
 		c.readLimit.N = math.MaxInt64
 		if _, err = c.reader.Peek(1); err == nil {
 			r.stream = &answerStream{conn: c, body: &sizedReader{c.reader, n}, length: n, reusable: !resp.Close}
 		}
 	case len(resp.TransferEncoding) > 0:
 		err = c.readUnsizedBody(&chunkReader{in: c.reader}, !resp.Close, x, &r)
-	default: // its connection's end ends it, if that is a good one
+	default: // the body ends with the connection, if that is closed without a reset
 		err = c.readUnsizedBody(c.reader, false, x, &r)
 	}
 	if err != nil {
@@ -58,8 +58,8 @@
 	return n, err
 }
 
-// reserve reserves memory for a body that is buffered; one that is as small as what every
-// connection has needs none.
+// reserve reserves memory for a body that is buffered, and reports whether it was available. A body
+// of at most smallBody bytes needs no reservation.
 func (r *Reply) reserve(memory *budget.Budget, n int) bool {
 	if n <= smallBody || memory == nil {
 		return true
@@ -71,7 +71,7 @@
 	return true
 }
 
-// readUnsizedBody reads a body that only its own end delimits.
+// readUnsizedBody reads a body of unknown length. If it doesn't end soon, it becomes a stream.
 func (c *backendConn) readUnsizedBody(in io.Reader, reusable bool, x *exchange, r *Reply) error {
 	limit := smallBody
 	if r.reserve(x.memory, maxBufferedBody) {
--- a/internal/dataplane/httpproxy/answerstream.go
+++ b/internal/dataplane/httpproxy/answerstream.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	// bufferTimeout is how long an answer of unknown length may take to show that it is a
-	// small one. Held longer, the first bytes of a large one would come too late.
+	// bufferTimeout is how long an answer of unknown length is buffered to see whether it is
+	// small. A longer wait would delay the first bytes of a large one too much.
 	bufferTimeout = 100 * time.Millisecond
 	// stallTimeout is how long a peer may make no progress on a stream, reading or writing.
 	stallTimeout = 10 * time.Second
-	// pieceSize is what a stream passes on at a time, at most.
+	// pieceSize is the most that a stream forwards at a time, in bytes.
 	pieceSize = 32 << 10
-	// pieceBudgetTimeout is how long a stream waits for memory for that; after it, it makes do with
-	// what every connection has.
+	// pieceBudgetTimeout is how long a stream waits for memory for a piece. Without it, the stream
+	// uses a buffer of smallBody bytes, which needs no reservation.
 	pieceBudgetTimeout = 20 * time.Millisecond
 )
 
-// answerStream is an answer of which more is to come than is held here. Its first bytes are
-// here already.
+// answerStream is an answer whose body is forwarded while it is being received. The first bytes of
+// the body may have been read already.
 type answerStream struct {
 	conn     *backendConn
 	first    []byte
 	body     io.Reader
-	length   int64 // of all of it; -1 is not known
-	reusable bool  // the connection can be used again after the last byte
+	length   int64 // of the whole body; -1: unknown
+	reusable bool  // the connection can be reused after the last byte
 
-	// returnConn takes the connection back, on any goroutine; nil says that it is closed.
+	// returnConn returns the connection to the pool; nil means that it is closed. Any goroutine may call it.
 	returnConn func(*backendConn)
 }
 
-// release gives back the memory that a reply has taken, and ends its stream.
+// release returns the memory that a reply has reserved, and ends its stream.
 func (r *Reply) release(memory *budget.Budget) {
 	if r.reserved > 0 {
 		memory.Release(r.reserved, budget.Small)
@@ -48,7 +48,7 @@
 	}
 }
 
-// finish gives the connection back; complete says that all of the body has been read.
+// finish returns or closes the connection; complete says that the whole body has been read.
 func (d *answerStream) finish(complete bool) {
 	c := d.conn
 	if complete && d.reusable && c.reader.Buffered() == 0 {
@@ -63,14 +63,14 @@
 }
 
 var (
-	errClient  = errors.New("the client takes no more")
-	errBackend = errors.New("the backend's answer broke off")
+	errClient  = errors.New("writing to the client failed")
+	errBackend = errors.New("reading the backend's answer failed")
 )
 
-// forward sends what is left of the body on, as it comes: the slower side holds back the
-// faster one, and no piece waits for the next.
+// forward forwards the rest of the body as it arrives. Each piece is flushed at once, and the
+// slower side limits the faster one.
 func (d *answerStream) forward(ctx context.Context, w io.Writer, out *http.ResponseController, memory *budget.Budget) error {
-	// A client that has left is not written to any more, and may take nothing for long.
+	// A write may notice only late that the client has disconnected, so the end of ctx closes the backend's connection.
 	defer context.AfterFunc(ctx, func() { d.conn.Close() })()
 	size := smallBody
 	if memory != nil {
--- a/internal/dataplane/httpproxy/backendconn.go
+++ b/internal/dataplane/httpproxy/backendconn.go
@@ -17,30 +17,30 @@
 type backendConn struct {
 	net.Conn
 	reader    *bufio.Reader
-	readLimit *io.LimitedReader // under reader: bounds one answer, head and body
+	readLimit *io.LimitedReader // below reader: limits the size of one answer, head and body
 	idleSince time.Duration
 
-	lastRejected bool          // its last answer was that nothing ran
-	restUntil    time.Duration // not before then, on the engine's clock, is it used where another can be had
+	lastRejected bool          // its last answer was a rejection
+	restUntil    time.Duration // on the engine's clock; before it, the connection is used only if there is no other
 
 	writtenAt  time.Time     // when the request's last byte was written
 	answerTime time.Duration // from then until the answer's first byte; 0: there was none
-	used       bool          // it has carried a request before the one that it carries now
-	surplus    bool          // an answer came on it out of turn: while it was idle, or in the place of another
+	used       bool          // it has carried a request before the current one
+	surplus    bool          // a surplus answer came: while it was idle, or in the place of another answer
 }
 
-// newBackendConn reads a connection's answers from source, which is the connection itself where nothing was read of it
-// before.
+// newBackendConn returns a connection whose answers are read from source: the connection itself, or preceded by bytes that
+// another process has read from it.
 func newBackendConn(nc net.Conn, source io.Reader) *backendConn {
 	c := &backendConn{Conn: nc, readLimit: &io.LimitedReader{R: source}}
 	c.reader = bufio.NewReader(c.readLimit)
 	return c
 }
 
-// reusable tells, without waiting, whether an idle connection can carry a request.
-// A backend that died or closed has left an end or a reset to read; anything
-// else unread belongs to no request, and an answer among it is noted as surplus. What came together with the answer before
-// is no sign of that: it is always there before the connection is idle.
+// reusable reports, without blocking, whether an idle connection can carry a request. If the backend has crashed or closed
+// the connection, an EOF or a reset is readable; any other unread bytes belong to no request, and an answer among them is
+// recorded as surplus. Bytes that came together with the previous answer never count as such: with them the connection
+// doesn't become idle.
 func (c *backendConn) reusable() bool {
 	if c.reader.Buffered() == 0 && sockets.Idle(c.Conn) {
 		return true
@@ -50,15 +50,15 @@
 }
 
 const (
-	// answerStart is how every answer begins.
+	// answerStart is the beginning of every answer.
 	answerStart = "HTTP/1."
-	// timeoutNotice is how an answer begins that some servers send as they close an idle connection: it announces the end,
-	// and is no answer too many.
+	// timeoutNotice is the beginning of an answer that some servers send when they close an idle connection. It announces
+	// the close and is not a surplus answer.
 	timeoutNotice = "HTTP/1.1 408"
 )
 
-// hasSurplus tells whether an answer that no request had asked for, or its beginning, is unread. Other bytes are none: a
-// connection with them is closed as well, but nobody would take them for an answer.
+// hasSurplus reports whether the unread bytes are, or begin, an answer that no request asked for. Other bytes don't count:
+// the connection is closed as well, but they could not be mistaken for an answer.
 func (c *backendConn) hasSurplus() bool {
 	var buffer [len(timeoutNotice)]byte
 	start := buffer[:sockets.Unread(c.Conn, buffer[:])]
@@ -69,14 +69,14 @@
 	return n > 0 && string(start[:n]) == answerStart[:n] && string(start) != timeoutNotice
 }
 
-// maxSingleWrite is how much is written together with its last byte: that much finds room in any connection's buffer. What
-// is longer may wait there, and its last byte goes out only if it still may then.
+// maxSingleWrite is the size in bytes up to which a request is written in a single write: it fits into any send buffer. The
+// write of a longer request may block, so its last byte is written separately, if the permit is still available by then.
 const maxSingleWrite = 4 << 10
 
-// roundTrip writes a request and reads its answer. Where the last byte is kept back for
-// a moment, a break in that moment proves that nothing ran: a backend begins a request
-// when its last byte has come. It speaks of the connection and not of the backend, which
-// is why it is reported as one that was never sent: a backend that has died refuses the next.
+// roundTrip writes a request and reads its answer. If the last byte is held back for a moment and
+// the connection breaks in this time, the request can't have run: a backend starts a request
+// when it has received its last byte. The result is then NotSent, as the break says something about
+// the connection and not about the backend: a crashed backend refuses the next connection.
 func (c *backendConn) roundTrip(x *exchange, data []byte, report []string) Reply {
 	until, hold := x.deadline, x.holdback
 	_ = c.SetDeadline(until)
@@ -87,12 +87,12 @@
 			err = c.awaitEarlyAnswer(time.Now().Add(hold), until)
 		}
 		if err != nil {
-			return c.readUnaskedAnswer(x, report)
+			return c.readUnsolicitedAnswer(x, report)
 		}
 		data = data[len(data)-1:]
 	}
 	if !x.permit.TryClaim() {
-		if begun { // what has been written of it must not be completed by the next request
+		if begun { // the next request must not complete the part that has been written
 			return Reply{result: balancer.NotSent}
 		}
 		_ = c.SetDeadline(time.Time{})
@@ -109,7 +109,7 @@
 	return c.readAnswer(x, report)
 }
 
-// markWritten notes that a request's last byte is written.
+// markWritten records that a request's last byte has been written.
 func (c *backendConn) markWritten(x *exchange) {
 	c.writtenAt, c.answerTime = time.Now(), 0
 	if x.attempt != nil {
@@ -117,7 +117,7 @@
 	}
 }
 
-// readAnswer reads the answer to what has been written.
+// readAnswer reads the answer to the request that has been written.
 func (c *backendConn) readAnswer(x *exchange, report []string) Reply {
 	resp, err := c.readOwnHead(x) //nolint:bodyclose // readBody reads it from the connection
 	if err != nil {
@@ -126,7 +126,7 @@
 	return c.readRest(x, resp, report)
 }
 
-// readRest reads what follows the head of the answer to a request.
+// readRest reads the body of an answer whose head is resp, and derives the reply from both.
 func (c *backendConn) readRest(x *exchange, resp *http.Response, report []string) Reply {
 	r, err := c.readBody(resp, x)
 	if err != nil {
@@ -139,20 +139,20 @@
 			r.conn = c
 			return r
 		}
-		r.stream = nil // what else it says at length is of no use: the connection is closed
+		r.stream = nil // the long body of another answer is not needed: the connection is closed
 	} else if !resp.Close && c.reader.Buffered() == 0 {
-		// The deadline was this exchange's. Left in place, it would end the next.
+		// The deadline was this exchange's. Left in place, it would fail the next one.
 		_ = c.SetDeadline(time.Time{})
 		r.conn = c
 	}
 	return r
 }
 
-// maxForeignAnswers is how many answers to other requests are read over in the place of one's own.
+// maxForeignAnswers is how many answers to other requests are skipped before the request's own answer.
 const maxForeignAnswers = 2
 
-// readOwnHead reads up to the head of the answer to this request. A backend may give one answer too many; the next
-// request on the connection finds it in the place of its own.
+// readOwnHead reads up to the head of the answer to this request. If a backend has sent a surplus answer, the next request
+// on the connection receives it in the place of its own.
 func (c *backendConn) readOwnHead(x *exchange) (*http.Response, error) {
 	for range maxForeignAnswers + 1 {
 		resp, err := c.readHead(x.message.Method) //nolint:bodyclose // readBody reads it from the connection
@@ -175,9 +175,9 @@
 
 var errMalformedAnswer = errors.New("the answer can't be used")
 
-// readHead reads up to the head of the final answer. What can't be one is reported at
-// once, not when the attempt's time is up: the connection stays open behind noise,
-// and three gigabytes go on coming.
+// readHead reads up to the head of the final answer. Bytes that can't be one are an error at
+// once, not only at the attempt's deadline: after noise the connection stays open, and three
+// gigabytes of it may follow.
 func (c *backendConn) readHead(method string) (*http.Response, error) {
 	for range maxInterimResponses {
 		c.readLimit.N = maxHead
@@ -195,7 +195,7 @@
 			return nil, err
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols {
-			return nil, errMalformedAnswer // nobody asked for it
+			return nil, errMalformedAnswer // no request asks for an upgrade
 		}
 		if resp.StatusCode < 200 {
 			continue
@@ -206,7 +206,7 @@
 	return nil, errMalformedAnswer
 }
 
-// failedAfterWrite tells how an attempt ended that was written and not answered. It may have run.
+// failedAfterWrite returns the outcome of an attempt that was written and not answered. The request may have run.
 func failedAfterWrite(err error) Reply {
 	var ne net.Error
 	if errors.As(err, &ne) && ne.Timeout() {
--- a/internal/dataplane/httpproxy/carrier.go
+++ b/internal/dataplane/httpproxy/carrier.go
@@ -13,17 +13,17 @@
 	"marlreel/internal/process/budget"
 )
 
-// Carrier takes attempts to backends over HTTP/1.1. The engine's goroutine calls it
-// and owns its pool; each exchange has a goroutine of its own.
+// Carrier sends attempts to backends over HTTP/1.1. The engine's goroutine calls it
+// and owns its pool; each exchange runs on its own goroutine.
 type Carrier struct {
 	engine      *engine.Engine
 	dialect     *Dialect
-	dial        func(ctx context.Context, address string) (net.Conn, error) // nil: the machine's own
-	loadMetrics []string                                                    // names of the values of a load report
+	dial        func(ctx context.Context, address string) (net.Conn, error) // nil: net.Dialer
+	loadMetrics []string                                                    // names of the values in a load report
 	memory      *budget.Budget
 	pool        pool
-	lastOK      map[*engine.Backend]time.Duration // a backend's last good answer
-	ctx         context.Context                   // of all exchanges
+	lastOK      map[*engine.Backend]time.Duration // time of a backend's last OK answer
+	ctx         context.Context                   // parent of all exchanges' contexts
 	cancel      context.CancelFunc
 
 	surplusAnswers atomic.Uint64
@@ -35,16 +35,16 @@
 	_ engine.HealthChecker = (*Carrier)(nil)
 )
 
-// NewCarrier makes a carrier with a bound on its connections. report names the values
-// of backends' load reports, in the settings' order; answers are held by what memory there is.
+// NewCarrier returns a carrier with at most maxConnections connections. report names the values
+// of backends' load reports, in the settings' order; buffered answers take their memory from memory.
 func NewCarrier(e *engine.Engine, maxConnections int, report []string, memory *budget.Budget) *Carrier {
 	caps := e.Settings().Caps
-	worth := meanUtility(e.Settings())
+	utility := meanUtility(e.Settings())
 	c := &Carrier{
 		engine: e, memory: memory, loadMetrics: report, lastOK: map[*engine.Backend]time.Duration{},
 		pool: pool{
-			maxOpen: maxConnections, maxIdle: caps.ConnIdle - caps.ConnIdle/4, idle: map[*engine.Backend][]*backendConn{}, meanUtility: worth,
-			model: connections.New(connections.DefaultConfig(worth, e.Settings().Prices.Handshake)),
+			maxOpen: maxConnections, maxIdle: caps.ConnIdle - caps.ConnIdle/4, idle: map[*engine.Backend][]*backendConn{}, meanUtility: utility,
+			model: connections.New(connections.DefaultConfig(utility, e.Settings().Prices.Handshake)),
 		},
 	}
 	c.pool.onSurplus = c.recordSurplus
@@ -54,7 +54,7 @@
 	return c
 }
 
-// SetDialect has the carrier use another dialect. Only before its first attempt.
+// SetDialect replaces the dialect. It may be called only before the first attempt.
 func (c *Carrier) SetDialect(d *Dialect) {
 	c.dialect = d
 	c.pool.keepAlive = nil
@@ -63,25 +63,25 @@
 	}
 }
 
-// OnSurplus has the carrier tell whenever an answer came from a backend out of turn, and how long each connection to it is
-// used for one request alone where that begins with this; else 0. Only before its first attempt; it
-// is called on the engine's goroutine.
+// OnSurplus sets the function that is called whenever a backend sends a surplus answer. If this starts a suspension, in
+// which each connection to the backend carries only one request, suspension is its length; else it is 0. OnSurplus may be
+// called only before the first attempt; notify is called on the engine's goroutine.
 func (c *Carrier) OnSurplus(notify func(from *engine.Backend, suspension time.Duration)) {
 	c.onSurplus = notify
 }
 
-// SurplusAnswers is how often an answer came from a backend out of turn: on an idle connection, or in the place of another.
-// Any goroutine may call it.
+// SurplusAnswers is the number of surplus answers: those that came from a backend on an idle connection or in the place of
+// another answer. Any goroutine may call it.
 func (c *Carrier) SurplusAnswers() uint64 { return c.surplusAnswers.Load() }
 
-// recordSurplus takes in that an answer came from a backend out of turn. On the engine's goroutine.
+// recordSurplus counts and reports a surplus answer. It must run on the engine's goroutine.
 func (c *Carrier) recordSurplus(from *engine.Backend) {
 	c.surplusAnswers.Add(1)
 	c.onSurplus(from, c.suspendReuse(from))
 }
 
-// suspendReuse suspends the reuse of connections to a backend, and tells for how long if that begins now. There is no
-// need where answers carry ids; of a backend that has left the list, what was kept is forgotten.
+// suspendReuse suspends the reuse of connections to a backend, and returns for how long if the suspension begins now; else
+// 0. It does nothing where answers carry ids, nor for a backend that has left the list, whose state was deleted.
 func (c *Carrier) suspendReuse(from *engine.Backend) time.Duration {
 	if c.pool.keepAlive == nil || !from.Ready() {
 		return 0
@@ -93,32 +93,34 @@
 	return length
 }
 
-// SetDialer has the carrier make connections otherwise. Only before its first attempt.
+// SetDialer replaces the dial function. It may be called only before the first attempt.
 func (c *Carrier) SetDialer(dial func(ctx context.Context, address string) (net.Conn, error)) {
 	c.dial = dial
 }
 
-// Close breaks all exchanges off. Any goroutine may call it.
+// Close aborts all exchanges. Any goroutine may call it.
 func (c *Carrier) Close() { c.cancel() }
 
 // StartAttempt implements engine.Carrier. The call's payload is a *Message.
 func (c *Carrier) StartAttempt(a *engine.Attempt) {
 	x := &exchange{backend: a.Backend, message: a.Call.Payload.(*Message), deadline: a.Deadline, permit: &a.Permit, attempt: a, clientConnected: a.Call.ClientConnected, receiving: a.Call.Receiving}
 	class := &c.engine.Settings().Classes[a.Call.Class]
-	stake := connections.Request{Utility: class.Value, Large: len(x.message.Body) >= largeRequest || x.message.upload != nil}
+	request := connections.Request{Utility: class.Value, Large: len(x.message.Body) >= largeRequest || x.message.upload != nil}
 	if class.Effect != balancer.Unsafe {
-		stake.Effect = connections.Delayed
+		request.Effect = connections.Delayed
 	}
-	a.Stop = c.startExchange(x, stake, a.End)
+	a.Stop = c.startExchange(x, request, a.End)
 }
 
-// largeRequest is from where on a request may meet what only long ones do.
+// largeRequest is the body size in bytes from which the connection model counts a request as large: some failures affect
+// only long requests.
 const largeRequest = 16 << 10
 
-// healthCheckStake: a health check that breaks counts against a backend, and isn't worth a handshake.
-var healthCheckStake = connections.Request{Utility: 0.1, Effect: connections.Lost}
+// healthCheckRequest is a health check as the connection model sees it: a broken one counts against the backend, but is
+// not worth a handshake.
+var healthCheckRequest = connections.Request{Utility: 0.1, Effect: connections.Lost}
 
-// meanUtility is that of the classes; how often each comes is not known beforehand.
+// meanUtility is the unweighted mean utility of the classes, as the frequency of each is not known beforehand.
 func meanUtility(s *balancer.Config) float64 {
 	sum := 0.0
 	for _, c := range s.Classes {
@@ -129,7 +131,7 @@
 
 // CheckHealth implements engine.HealthChecker.
 func (c *Carrier) CheckHealth(b *engine.Backend, until time.Time, end func(engine.AttemptEnd)) {
-	c.startExchange(&exchange{backend: b, message: c.dialect.HealthCheck(b), deadline: until, permit: new(engine.Permit)}, healthCheckStake, end)
+	c.startExchange(&exchange{backend: b, message: c.dialect.HealthCheck(b), deadline: until, permit: new(engine.Permit)}, healthCheckRequest, end)
 }
 
 // ReleaseIdle implements engine.Carrier.
@@ -148,37 +150,37 @@
 // CloseExpired implements engine.Carrier.
 func (c *Carrier) CloseExpired(now time.Duration) { c.pool.closeExpired(now) }
 
-// SetMaxConnections puts another bound on connections in force. Only on the engine's goroutine.
+// SetMaxConnections changes the limit of connections. It must run on the engine's goroutine.
 func (c *Carrier) SetMaxConnections(limit int) { c.pool.setMaxOpen(limit) }
 
-// Reconfigure puts other settings in force: the names of the values of a load report are given, the rest is the engine's.
-// Only on the engine's goroutine.
+// Reconfigure applies changed settings: report names the values of load reports, the rest comes from the engine's
+// settings. It must run on the engine's goroutine.
 func (c *Carrier) Reconfigure(report []string) {
 	s := c.engine.Settings()
 	c.loadMetrics, c.pool.meanUtility = report, meanUtility(s)
 	c.pool.model.SetHandshakeCost(connections.DefaultConfig(c.pool.meanUtility, s.Prices.Handshake).HandshakeCost)
 }
 
-// LearnedState is what was learnt of connections, for the process that takes over. Only on the
-// engine's goroutine, like Restore.
+// LearnedState returns the learned state of the connection model, for the process that takes over. Like
+// RestoreLearnedState, it must run on the engine's goroutine.
 func (c *Carrier) LearnedState() connections.State { return c.pool.model.State(c.engine.Now()) }
 
-// RestoreLearnedState goes on with what another process had learnt of them, away ago.
-func (c *Carrier) RestoreLearnedState(s connections.State, away time.Duration) {
-	c.pool.model.Resume(s, away, c.engine.Now())
+// RestoreLearnedState restores the state that another process had learned; age is the time since then.
+func (c *Carrier) RestoreLearnedState(s connections.State, age time.Duration) {
+	c.pool.model.Resume(s, age, c.engine.Now())
 }
 
-// Connections is how many are open, those being dialled among them.
+// Connections is the number of open connections, including those being dialed.
 func (c *Carrier) Connections() int { return c.pool.open }
 
-// startExchange starts an exchange and brings its end back to the engine. The connection is counted from here on, and
-// until end has it. It returns what cancels the exchange; nil where none was started.
-func (c *Carrier) startExchange(x *exchange, stake connections.Request, end func(engine.AttemptEnd)) (stop func()) {
+// startExchange starts an exchange, and posts its outcome to the engine, which calls end. Its connection counts as open
+// from here on until then. It returns the function that cancels the exchange, or nil if none was started.
+func (c *Carrier) startExchange(x *exchange, request connections.Request, end func(engine.AttemptEnd)) (stop func()) {
 	now, caps := c.engine.Now(), &c.engine.Settings().Caps
 	c.pool.maxIdle = caps.ConnIdle - caps.ConnIdle/4
-	use := connections.Use{New: true, Large: stake.Large}
-	if x.conn = c.pool.take(x.backend, now, stake); x.conn != nil {
-		use = connections.Use{Idle: now - x.conn.idleSince, Large: stake.Large}
+	use := connections.Use{New: true, Large: request.Large}
+	if x.conn = c.pool.take(x.backend, now, request); x.conn != nil {
+		use = connections.Use{Idle: now - x.conn.idleSince, Large: request.Large}
 	} else if !c.pool.reserveDial() {
 		c.engine.Defer(func() { end(engine.AttemptEnd{Result: balancer.ConnectFailed}) })
 		return nil
@@ -192,7 +194,7 @@
 		r := x.run(ctx, caps.ConnectTimeout, loadMetrics)
 		c.engine.Post(func() {
 			if x.dialled {
-				use.New = true // the one from the pool was found dead at the last look
+				use.New = true // the pooled one turned out to be closed right before the write
 			}
 			c.recordOutcome(x.backend, use, now, &r)
 			c.finishExchange(x, &r, end)
@@ -201,7 +203,7 @@
 	return cancel
 }
 
-// finishExchange gives the connection back and reports the end. On the engine's goroutine.
+// finishExchange returns the connection to the pool and reports the outcome. It must run on the engine's goroutine.
 func (c *Carrier) finishExchange(x *exchange, r *Reply, end func(engine.AttemptEnd)) {
 	if r.conn != nil {
 		r.conn.lastRejected = r.result == balancer.Rejected
@@ -210,7 +212,7 @@
 	if r.surplus {
 		c.recordSurplus(x.backend)
 		if r.conn != nil {
-			r.conn.surplus = false // it is counted
+			r.conn.surplus = false // counted now
 		}
 	}
 	e := engine.AttemptEnd{Result: r.result, Load: r.load, ClientGone: r.clientGone}
@@ -232,7 +234,8 @@
 	}
 }
 
-// restAfterQuickAnswer has a connection rest whose answer came so soon that it may not have been the request's.
+// restAfterQuickAnswer sets restUntil on a connection whose answer came so quickly that it may have belonged to an earlier
+// request.
 func (c *Carrier) restAfterQuickAnswer(from *engine.Backend, r *Reply) {
 	if c.pool.keepAlive == nil || r.result != balancer.OK || !from.Ready() {
 		return
@@ -242,14 +245,14 @@
 	}
 }
 
-// minSilentDropIdle is from which idle time on an answer that doesn't come may mean that
-// something between has dropped the connection without a word.
+// minSilentDropIdle is the idle time from which a missing answer may mean that a middlebox, such as
+// a NAT or a firewall, has silently dropped the connection.
 const minSilentDropIdle = 500 * time.Millisecond
 
-// recordOutcome tells the model how a use of a connection ended.
+// recordOutcome reports to the connection model how a use of a connection ended.
 func (c *Carrier) recordOutcome(to *engine.Backend, use connections.Use, sent time.Duration, r *Reply) {
 	if !to.Ready() {
-		return // it drains or has left: what was kept for it is forgotten, and stays so
+		return // the backend is draining or has left: its state was deleted and must not be created again
 	}
 	now := c.engine.Now()
 	switch r.result {
@@ -257,8 +260,8 @@
 		c.lastOK[to] = now
 	case balancer.Reset:
 	case balancer.Timeout:
-		// A backend that is slow is slow on all connections. One that has answered others
-		// since, while this long idle one is silent, is not to blame.
+		// A slow backend is slow on all connections. If it has answered on others since, and this
+		// connection had been idle for long, the connection is to blame and not the backend.
 		if use.New || use.Idle < minSilentDropIdle || c.lastOK[to] <= sent {
 			return
 		}
@@ -268,11 +271,11 @@
 			return
 		}
 	case balancer.Error, balancer.Rejected, balancer.Unprocessable:
-	default: // it says nothing of the connection
+	default: // says nothing about the connection
 		return
 	}
 	if !use.New && use.Idle < restTime {
-		return // it had no rest: what closes right behind an answer is no matter of age
+		return // used again within restTime: a close right after an answer is not caused by the idle time
 	}
 	c.pool.model.RecordOutcome(now, uint32(to.ID), to.Zone, use, r.connOutcome)
 }
--- a/internal/dataplane/httpproxy/chunkreader.go
+++ b/internal/dataplane/httpproxy/chunkreader.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	maxChunkLine  = 4 << 10 // a size with its extensions, or a line of the trailer
+	maxChunkLine  = 4 << 10 // bytes of a chunk size with its extensions, or of a trailer line
 	maxTrailer    = maxHead
-	maxSizeDigits = 15 // more of them would overflow
+	maxSizeDigits = 15 // more hexadecimal digits would overflow an int64
 )
 
-// chunkReader reads a body that comes in chunks (RFC 9112, section 7.1). Unlike net/http's
-// it can go on after a time-out, wherever that met it: how long a piece may take is decided
-// while it is waited for. Extensions and trailers are read and left out.
+// chunkReader decodes a chunked body (RFC 9112, section 7.1). Unlike the decoder of net/http it
+// can continue after a timeout at any point, as the deadline of a piece is changed while it
+// is awaited. Extensions and trailers are read and discarded.
 type chunkReader struct {
 	in        *bufio.Reader
 	state     chunkState
-	remaining int64  // of the chunk
-	line      []byte // of which the end has not come yet
-	trailer   int    // bytes of it
+	remaining int64  // bytes of the chunk
+	line      []byte // the received part of an incomplete line
+	trailer   int    // bytes of the trailer so far
 }
 
 type chunkState uint8
@@ -34,9 +34,9 @@
 	chunkDone
 )
 
-var errChunks = errors.New("the chunks can't be read")
+var errChunks = errors.New("malformed chunked body")
 
-// Read implements io.Reader. It gives what is there rather than wait for more.
+// Read implements io.Reader. It returns the available data rather than wait for more.
 func (c *chunkReader) Read(p []byte) (int, error) {
 	got := 0
 	for {
@@ -62,7 +62,7 @@
 		}
 		line, err := c.readLine()
 		if err != nil {
-			if got > 0 { // it is met again
+			if got > 0 { // the next call returns the error
 				return got, nil
 			}
 			return 0, err
@@ -74,7 +74,7 @@
 	}
 }
 
-// processLine takes in a line between the data.
+// processLine processes a line between the data of chunks.
 func (c *chunkReader) processLine(line []byte) error {
 	switch c.state {
 	case chunkSizeLine:
@@ -88,7 +88,7 @@
 		}
 	case chunkDataEnd:
 		if len(line) > 0 {
-			return fmt.Errorf("%w: a chunk is longer than its size", errChunks)
+			return fmt.Errorf("%w: the chunk data exceed the chunk size", errChunks)
 		}
 		c.state = chunkSizeLine
 	case chunkTrailer:
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// readLine gives the next line without its end. What it has read of one stays for the next
-// call, whatever ended this one.
+// readLine returns the next line without its end. After an error, the part of the line that was read
+// is kept for the next call.
 func (c *chunkReader) readLine() ([]byte, error) {
 	for {
 		part, err := c.in.ReadSlice('\n')
@@ -117,15 +117,15 @@
 			return nil, unexpectedEnd(err)
 		}
 		n := len(c.line)
-		// A line that ends with a bare LF here ends elsewhere for others.
+		// Parsers disagree on whether a bare LF ends a line.
 		if n < 2 || c.line[n-2] != '\r' {
-			return nil, fmt.Errorf("%w: a line without CR", errChunks)
+			return nil, fmt.Errorf("%w: a line ends without CR", errChunks)
 		}
 		return c.line[:n-2], nil
 	}
 }
 
-// unexpectedEnd is an end within the chunks: a clean one is none.
+// unexpectedEnd turns io.EOF, which can only be premature within the chunks, into the error for that.
 func unexpectedEnd(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -133,7 +133,7 @@
 	return err
 }
 
-// parseSize reads the line before a chunk: hexadecimal digits, and maybe extensions.
+// parseSize parses the line before a chunk: hexadecimal digits and optional extensions.
 func parseSize(line []byte) (int64, error) {
 	n, digits := int64(0), 0
 	for ; digits < len(line); digits++ {
@@ -152,7 +152,7 @@
 			break
 		}
 		if digits == maxSizeDigits {
-			return 0, fmt.Errorf("%w: a size is too long", errChunks)
+			return 0, fmt.Errorf("%w: the chunk size has too many digits", errChunks)
 		}
 		n = n<<4 | v
 	}
@@ -161,7 +161,7 @@
 		rest = rest[1:]
 	}
 	if digits == 0 || len(rest) > 0 && rest[0] != ';' {
-		return 0, fmt.Errorf("%w: %q is no size", errChunks, line[:min(len(line), 20)])
+		return 0, fmt.Errorf("%w: invalid chunk size %q", errChunks, line[:min(len(line), 20)])
 	}
 	return n, nil
 }
--- a/internal/dataplane/httpproxy/clientconn.go
+++ b/internal/dataplane/httpproxy/clientconn.go
@@ -15,48 +15,48 @@
 	"marlreel/internal/sockets"
 )
 
-// clientConn is one client's connection.
+// clientConn is one client connection.
 type clientConn struct {
 	net.Conn
 	conns    *clientConns
-	queuedIn *list.List // nil: it is serving a request, or is closed
+	queuedIn *list.List // the list of clientConns that contains it; nil: it is serving a request, or is closed
 	element  *list.Element
 
-	lastProgress time.Time // when it came into its list, or something last came there
-	receivedAny  bool      // something of a request has come since it rests or was accepted
-	ended        bool      // nothing that comes counts any more; with the table's lock
+	lastProgress time.Time // when it was put into its list, or bytes last arrived while it was there
+	receivedAny  bool      // bytes of a request have arrived since it was accepted or became idle
+	ended        bool      // bytes that arrive from now on are ignored; guarded by the table's lock
 	closing      bool      // Close was called
 
-	headDeadline  time.Time // by when its first head has to be complete
-	receivingBody bool      // a request that is in hand is still being written; with the table's lock
+	headDeadline  time.Time // for its first complete head
+	receivingBody bool      // the body of the request being served is still arriving; guarded by the table's lock
 
-	// Only who reads from the connection has these.
+	// The following fields belong to the goroutine that reads from the connection.
 	framing          requestFraming
-	headReceived     bool           // the first head has come
-	partialHead      []byte         // what has come of a head that is not complete
-	received         []byte         // what had come in another process; it is read first
-	receivedBudget   *budget.Budget // that it has taken memory from; nil: none
-	receivedReserved atomic.Int64   // bytes of that
-	receivedBegun    bool
-	body             *upload // of the request in hand, while it comes; nil: it is buffered
-	readHandedOver   bool    // the reading of a body has ended with errHandoverPending, or what net/http made of it
-
-	inHandler    atomic.Bool // a request is in hand, from its head on
-	transferred  atomic.Bool // it is another process's: nothing more is read, written or ended here
+	headReceived     bool           // the first head has been received
+	partialHead      []byte         // the received bytes of an incomplete head
+	received         []byte         // bytes that another process had received; they are read first
+	receivedBudget   *budget.Budget // the budget with the memory for received; nil: none is reserved
+	receivedReserved atomic.Int64   // bytes reserved there
+	receivedBegun    bool           // a part of received has been read
+	body             *upload        // of the request being received; nil: its body is buffered
+	readHandedOver   bool           // reading a body was ended by errHandoverPending, which net/http may have replaced
+
+	inHandler    atomic.Bool // a request is being served, from its complete head on
+	transferred  atomic.Bool // it belongs to another process: nothing more is read, written or shut down here
 	wrote        atomic.Bool // something was written
-	peerGone     atomic.Bool // its client has ended it: a read has met that
-	resetOnClose atomic.Bool // it ends with a reset, or at once
+	peerGone     atomic.Bool // a read has found that the client has closed it
+	resetOnClose atomic.Bool // Close resets it, or closes it without lingering
 
-	readDeadlineMu sync.Mutex // the deadline of reads:
-	readDeadline   time.Time  // as it was set,
-	interrupted    bool       // and whether a read is to time out at once in its place
-	readsEnded     bool       // and whether every read is to
+	readDeadlineMu sync.Mutex // guards the fields below
+	readDeadline   time.Time  // as set by SetReadDeadline
+	interrupted    bool       // one read is to time out at once, whatever the deadline
+	readsEnded     bool       // every read is to time out at once
 }
 
 // Read implements net.Conn.
 func (c *clientConn) Read(p []byte) (int, error) {
 	for {
-		// net/http takes a line that an error cut off for a complete one, and reads on.
+		// net/http takes a line that was cut off by an error as complete, and reads on.
 		if c.transferred.Load() {
 			return 0, os.ErrDeadlineExceeded
 		}
@@ -77,14 +77,14 @@
 		switch handled, between := c.inHandler.Load(), c.framing.betweenBodies(); {
 		case handled && !between && c.transferable():
 			c.readHandedOver = true
-			return 0, errHandoverPending // whoever reads the body knows what has come of it
+			return 0, errHandoverPending // the reader of the body knows how much of it has been received
 		case !c.hasRequest() && len(c.partialHead) == c.framing.headBytes && c.transferWith(c.partialHead):
-			return 0, err // the server closes without an answer
+			return 0, err // net/http closes the connection without an answer
 		}
 	}
 }
 
-// errHandoverPending says that the rest of a body is to be read by another process.
+// errHandoverPending means that another process will read the rest of a body. Clients may get its text.
 var errHandoverPending = errors.New("this process leaves")
 
 func (c *clientConn) readNext(p []byte) (int, error) {
@@ -98,13 +98,13 @@
 	if c.receivedBudget == nil {
 		return n, nil
 	}
-	given := n // as it is read it is held elsewhere
+	released := n // the reader accounts for the bytes from here on
 	if !c.receivedBegun {
 		c.receivedBegun = true
-		given += pieceSize
+		released += pieceSize
 	}
-	if left := c.receivedReserved.Add(int64(-given)); left >= 0 {
-		c.receivedBudget.Release(given, budget.Large)
+	if left := c.receivedReserved.Add(int64(-released)); left >= 0 {
+		c.receivedBudget.Release(released, budget.Large)
 	}
 	return n, nil
 }
@@ -132,8 +132,8 @@
 	}
 }
 
-// recordRead says that something of a request has come, and tells whether it counts. A connection may be ended
-// between the read and this: what was read then is nobody's, or it would be forwarded with no way for its answer.
+// recordRead records that bytes of a request have been read, and reports whether they may be used. The connection may
+// have been ended between the read and this call; the bytes are then dropped, as the answer could not be delivered.
 func (c *clientConn) recordRead(p []byte) bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
@@ -146,9 +146,8 @@
 	return true
 }
 
-// recordProgress notes progress. A list's element is made anew only where the list changes, which is
-// once for a connection: idle connections stays among its like. Called with
-// the lock.
+// recordProgress updates lastProgress and moves the connection to the end of its list. An idle connection
+// stays in the list of idle ones; only a silent one changes its list, once. The caller holds the lock.
 func (c *clientConn) recordProgress() {
 	c.receivedAny = true
 	switch c.queuedIn {
@@ -161,21 +160,23 @@
 	}
 }
 
-// hasUnhandledRequest tells whether a request has been read completely of which no handler has taken note. Called with the lock.
+// hasUnhandledRequest reports whether a request has been read completely that no handler has processed yet. The caller
+// holds the lock.
 func (c *clientConn) hasUnhandledRequest() bool {
 	return c.framing.hasUnhandledHead() || c.inHandler.Load() && c.framing.betweenBodies()
 }
 
-// hasRequest tells whether a request is in hand, or has been read completely and its handler has not begun. Net/http
-// reads on behind a request before it calls the handler; given away by that read, the connection would go without the
-// answer.
+// hasRequest reports whether a request is being served, or its head has been read and its handler has not started. Before
+// it calls the handler, net/http already reads beyond the request; if that read handed the connection over, the answer
+// could not be written.
 func (c *clientConn) hasRequest() bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
 	return c.inHandler.Load() || c.framing.hasUnhandledHead()
 }
 
-// end lets nothing count any more that comes, and whoever reads or waits meet that. Called with the lock.
+// end makes the connection ignore all bytes that arrive from now on, and makes its reads time out at once. The caller
+// holds the lock.
 func (c *clientConn) end() {
 	if c.ended {
 		return
@@ -187,8 +188,8 @@
 	_ = c.Conn.SetReadDeadline(time.Now())
 }
 
-// connected tells whether the client is still there, as its connection shows now. A client that has ended its side
-// has gone, whatever it sent before; see docs/design/rare-moments.md.
+// connected reports whether the client is still connected, by the present state of the connection. A client that has shut
+// down its side counts as disconnected, whatever it sent before; see docs/design/rare-moments.md.
 func (c *clientConn) connected() bool {
 	if c.peerGone.Load() {
 		return false
@@ -196,9 +197,9 @@
 	return sockets.PeerConnected(c.Conn)
 }
 
-// beginRequest says that the head of a request has come, and tells whether it must be refused: it
-// can be read in more than one way.
-func (c *clientConn) beginRequest() (refused bool) {
+// beginRequest records that net/http has read the head of a request, and reports whether the request must be
+// rejected because its framing is ambiguous.
+func (c *clientConn) beginRequest() (rejected bool) {
 	c.headReceived = true
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
@@ -207,14 +208,14 @@
 	return c.framing.beginRequest()
 }
 
-// markBusy says that the connection has a complete request in hand.
+// markBusy records that a request on the connection is being served: it is not evicted.
 func (c *clientConn) markBusy() {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
 	c.unqueue()
 }
 
-// markIdle says that nothing is owed any more: the request was answered, or rejected.
+// markIdle records that the request is finished: it was answered, or else rejected and the connection is closed.
 func (c *clientConn) markIdle(answered bool) {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
@@ -222,10 +223,10 @@
 		c.queue(&c.conns.silent)
 		return
 	}
-	c.inHandler.Store(false) // else the connection ends, and somebody may still watch it
+	c.inHandler.Store(false) // it stays set after a rejection: the connection is about to end, and may still be read
 	c.queue(&c.conns.idle)
 	if c.receivedAny = c.framing.headBegun(); c.receivedAny {
-		return // what it has sent ahead is in net/http's hands, and is answered
+		return // net/http has already read part of the next request, and it will be answered
 	}
 	if c.conns.ending {
 		c.end()
@@ -234,18 +235,18 @@
 	}
 }
 
-// setReceivingBody says whether a request that is in hand is still being written.
-func (c *clientConn) setReceivingBody(partly bool) {
+// setReceivingBody records whether the body of the request being served is still arriving.
+func (c *clientConn) setReceivingBody(receiving bool) {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
-	if c.receivingBody = partly; partly && c.conns.transfer != nil {
+	if c.receivingBody = receiving; receiving && c.conns.transfer != nil {
 		c.interruptRead()
 	}
 }
 
-// Close implements net.Conn. A close over bytes that nobody has read resets the connection, and what was
-// written and is still on its way goes with it. So this side is ended alone, and what the client had on its way is
-// read and left, until it ends its side too, for a moment at most.
+// Close implements net.Conn. Closing a socket with unread bytes resets the connection, and written bytes that are still in
+// flight are lost. So Close shuts down only the write side, and reads and discards what the client still sends until the
+// client closes its side too, for lingerTimeout at most.
 func (c *clientConn) Close() error {
 	cs := c.conns
 	cs.mu.Lock()
@@ -273,13 +274,13 @@
 }
 
 const (
-	// lingerTimeout is how long a client may take to end its side once this one is ended, and lingerMost how much it
-	// may still send.
+	// lingerTimeout is how long a client may take to close its side after this side was shut down, and maxLingerBytes how
+	// much it may still send.
 	lingerTimeout  = 500 * time.Millisecond
 	maxLingerBytes = 256 << 10
 )
 
-// linger reads what still comes, and closes.
+// linger reads and discards what still arrives, and then closes the connection.
 func (c *clientConn) linger() {
 	_ = c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout))
 	var buf [512]byte
@@ -295,7 +296,7 @@
 	c.conns.mu.Unlock()
 }
 
-// CloseWrite lets the server end its side first, so that a client that still sends
+// CloseWrite shuts down the write side, so that a client that is still sending
 // can read the error before its connection is reset.
 func (c *clientConn) CloseWrite() error {
 	if c.transferred.Load() {
@@ -307,10 +308,10 @@
 	return errors.ErrUnsupported
 }
 
-// NetConn is the connection itself.
+// NetConn returns the underlying connection.
 func (c *clientConn) NetConn() net.Conn { return c.Conn }
 
-// markReset lets the connection's end be a reset, whatever has been written.
+// markReset makes the connection end with a reset, even if something has been written.
 func (c *clientConn) markReset() {
 	if c.transferred.Load() {
 		return
@@ -323,7 +324,7 @@
 
 type clientKey struct{}
 
-// withClient lets the handler of a connection's requests find the connection.
+// withClient adds the connection to the context of its requests, for clientOf.
 func withClient(ctx context.Context, nc net.Conn) context.Context {
 	return context.WithValue(ctx, clientKey{}, nc)
 }
--- a/internal/dataplane/httpproxy/clientconns.go
+++ b/internal/dataplane/httpproxy/clientconns.go
@@ -7,42 +7,42 @@
 	"time"
 )
 
-// clientConns is the table of client connections, and keeps them within a limit. It always accepts: a listener that waits
-// at the limit lets connections that ask nothing keep out those that do, for as long as they like. At the limit, the
-// connection that has been silent the longest is evicted; one that is serving a request never is.
+// clientConns is the table of client connections and enforces their limit. It always accepts: if the listener waited at
+// the limit, connections without requests could keep out those with requests indefinitely. At the limit, an existing
+// connection is evicted (see evictionCandidate), but never one that is serving a request.
 type clientConns struct {
 	net.Listener
 	maxOpen int
 
 	mu   sync.Mutex
 	open map[*clientConn]struct{}
-	// Connections that are not serving a request, in each list the longest without progress first: those on which
-	// nothing has come, or only what was rejected; those on which part of a request has; and those that are idle
-	// between two requests. And those that have been closed, and wait for their client to have read what was written.
+	// Connections that are not serving a request, in each list the longest without progress first. silent: nothing has
+	// been received, or only a request that was rejected; partial: part of a request has been received; idle: between
+	// two requests; lingering: closed, and waiting for the client to read what was written.
 	silent, partial, idle, lingering list.List
 
-	ending    bool          // idle connections are ended, also those that become idle
-	allClosed chan struct{} // closed with the last connection; nil: nobody waits for that
+	ending    bool          // idle connections are ended, also those that become idle later
+	allClosed chan struct{} // closed with the last connection; nil: nothing waits for that
 
-	active                        chan *clientConn // those on which something has come for the first time
-	listenerClosed                chan struct{}    // closed when the listener accepts no more; listenerErr says why
-	acceptStopped                 chan struct{}    // closed when nobody receives from active any more
+	active                        chan *clientConn // connections with their first bytes to read, for Accept
+	listenerClosed                chan struct{}    // closed when the listener is closed; listenerErr is then set
+	acceptStopped                 chan struct{}    // closed when nothing receives from active any more
 	startAccepting, stopAccepting sync.Once
-	transfer                      TransferFunc // takes connections to another process; nil: they stay
+	transfer                      TransferFunc // hands connections over to another process; nil: no handover
 	listenerErr                   error
 }
 
-// underPressure tells whether answers are to end their connections: where those that have asked take much of the limit
-// (clients may hold a third of the descriptors, and those that ask once and keep theirs leave none for the others), or
-// where most of it is taken by any, so that an idle one keeps somebody out.
+// underPressure reports whether answers should close their connections. This is so if connections that have sent requests
+// take more than a third of the limit (clients that send one request and stay connected would leave no descriptors for
+// others), or if connections of any kind take most of it, so that an idle one keeps a new client out.
 func (cs *clientConns) underPressure() bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	asked := len(cs.open) - cs.silent.Len() - cs.partial.Len() - cs.lingering.Len()
-	return asked > cs.maxOpen/3 || len(cs.open) > cs.maxOpen/4*3
+	withRequests := len(cs.open) - cs.silent.Len() - cs.partial.Len() - cs.lingering.Len()
+	return withRequests > cs.maxOpen/3 || len(cs.open) > cs.maxOpen/4*3
 }
 
-// setMaxOpen changes the limit. Connections beyond it are evicted as far as they may be.
+// setMaxOpen changes the limit. Connections beyond it are evicted, except those that are serving a request.
 func (cs *clientConns) setMaxOpen(limit int) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -51,7 +51,7 @@
 	}
 }
 
-// admit takes in a new connection; nil where the limit is reached and none may be evicted.
+// admit adds a new connection to the table. It returns nil if the limit is reached and no connection may be evicted.
 func (cs *clientConns) admit(nc net.Conn) *clientConn {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -66,7 +66,7 @@
 	return c
 }
 
-// adopt takes in a connection that is serving a request.
+// adopt adds a connection whose request is being answered, taken over from another process, regardless of the limit.
 func (cs *clientConns) adopt(nc net.Conn) *clientConn {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -81,7 +81,7 @@
 	cs.notifyAllClosed()
 }
 
-// waitAllClosed is closed when no connection is open. Only after the last has been accepted.
+// waitAllClosed returns a channel that is closed when no connection is open. It may be called only after the last accept.
 func (cs *clientConns) waitAllClosed() <-chan struct{} {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
--- a/internal/dataplane/httpproxy/dialect.go
+++ b/internal/dataplane/httpproxy/dialect.go
@@ -9,26 +9,27 @@
 	"marlreel/internal/dataplane/engine"
 )
 
-// Dialect is what the protocols of platforms word differently between a proxy and its backends.
+// Dialect is the part of the protocol between a proxy and its backends that differs from platform to platform.
 type Dialect struct {
-	// AppendAttemptHeaders appends the headers that an attempt adds to its request's: how long the backend
-	// has, and which one is meant.
+	// AppendAttemptHeaders appends the headers that an attempt adds to those of its request: the time that the
+	// backend has for it, and which backend it is addressed to.
 	AppendAttemptHeaders func(head []byte, to *engine.Backend, wait time.Duration) []byte
-	// Judge tells how an attempt ended by the head of its answer.
+	// Judge derives an attempt's result from the head of its answer.
 	Judge func(to *engine.Backend, m *Message, resp *http.Response) balancer.Result
-	// Matches tells whether an answer belongs to the request; nil: every one does.
+	// Matches reports whether an answer belongs to the request; nil: every answer does.
 	Matches func(m *Message, resp *http.Response) bool
-	// Answers tells whether an answer is the request's for certain, whenever it comes; nil: that can't be told.
+	// Answers reports whether an answer certainly belongs to the request, even if it comes before the request is
+	// complete; nil: that is never certain.
 	Answers func(m *Message, resp *http.Response) bool
-	// HealthCheck is the request for a backend's health.
+	// HealthCheck returns the health check request for a backend.
 	HealthCheck func(to *engine.Backend) *Message
-	// ForwardsFailures hands backends' own failures on to the front.
+	// ForwardsFailures passes failure answers of backends on to the front.
 	ForwardsFailures bool
 }
 
 const headerNotExecuted = "X-Unprocessed"
 
-// platformDialect is that of the platform which pushes lists of backends.
+// platformDialect is the dialect of the platform that pushes lists of backends.
 func platformDialect() *Dialect {
 	return &Dialect{
 		AppendAttemptHeaders: func(head []byte, _ *engine.Backend, wait time.Duration) []byte {
@@ -53,7 +54,7 @@
 	}
 }
 
-// saysNotExecuted tells whether an answer says that its request has not run.
+// saysNotExecuted reports whether an answer says that the backend has not run the request.
 func saysNotExecuted(resp *http.Response) bool {
 	code := resp.StatusCode
 	return (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout) && resp.Header.Get(headerNotExecuted) == "1"
--- a/internal/dataplane/httpproxy/doc.go
+++ b/internal/dataplane/httpproxy/doc.go
@@ -1,23 +1,23 @@
-// Package httpproxy speaks HTTP/1.1 with clients and with backends, as a reverse proxy does: requests in and answers out
-// on the one side, attempts, health checks and the connections for them on the other. It decides nothing: which backend,
-// whether to retry and what to reject comes from the engine (internal/dataplane/engine).
+// Package httpproxy is the HTTP/1.1 side of the reverse proxy. It receives clients' requests and sends the answers; it
+// sends attempts and health checks to backends and manages the connections for them. It decides nothing: the engine
+// (internal/dataplane/engine) chooses the backend, and decides on retries and on which requests to reject.
 //
-// The Front owns clients' connections, the Carrier the pool of connections to backends; each request, attempt and
-// streaming answer has a goroutine of its own, which ends with it.
+// The Front owns the client connections and the Carrier the pool of backend connections. Each request, attempt and
+// streaming answer runs on its own goroutine, which ends with it.
 //
-// How an attempt ends, and whether that proves that it never ran:
+// The outcomes of an attempt, and whether each proves that the backend never ran the request:
 //
 //	outcome                                               result          never ran
 //	200 with a body                                       OK              no
 //	503 or 504 with X-Unprocessed: 1                      Rejected        yes
-//	no connection came up                                 ConnectFailed   yes
-//	it breaks before the last byte is written             NotSent         yes
+//	no connection could be established                    ConnectFailed   yes
+//	the connection breaks before the last byte is written NotSent         yes
 //	the permit was revoked before the first byte          NotSent         yes
-//	another 4xx than 408 and 429                          Unprocessable   no
+//	a 4xx other than 408 and 429                          Unprocessable   no
 //	any other status                                      Error           no
-//	it breaks, or can't be read, after the last byte      Reset           no
-//	nothing until its deadline                            Timeout         no
+//	it breaks, or the answer is malformed, after that     Reset           no
+//	no answer until the deadline                          Timeout         no
 //
-// Errors of SetDeadline and its kin are left alone throughout: they say that the connection is closed, which the read or
-// write behind them meets.
+// Errors of SetDeadline and its variants are ignored throughout: they mean that the connection is closed, which the read
+// or write that follows reports as well.
 package httpproxy
--- a/internal/dataplane/httpproxy/earlyanswer.go
+++ b/internal/dataplane/httpproxy/earlyanswer.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// earlyAnswerInterval is how often a write that a backend holds up looks for an answer.
+	// earlyAnswerInterval is how often a blocked write checks for an early answer.
 	earlyAnswerInterval = 50 * time.Millisecond
-	// earlyHeadTimeout is how long the head of an answer may take that has begun to come.
+	// earlyHeadTimeout is how long the rest of an early answer's head may take after its first bytes.
 	earlyHeadTimeout = time.Second
 )
 
-// writeAhead writes what may go out of a request before its permit is claimed. A backend that answers before it has read
-// all may never read on: errEarlyAnswer is that something has come meanwhile, and that not all is written.
+// writeAhead writes the part of a request that may be sent before the permit is claimed. A backend that answers early may
+// never read the rest: errEarlyAnswer means that bytes have arrived from it and that the write is incomplete.
 func (c *backendConn) writeAhead(data []byte, until time.Time) error {
 	defer func() { _ = c.SetWriteDeadline(until) }()
 	for {
@@ -43,12 +43,12 @@
 	}
 }
 
-// errEarlyAnswer is an answer that came before its request was complete.
-var errEarlyAnswer = errors.New("an answer came before its request")
+// errEarlyAnswer means that an answer arrived before its request was written completely.
+var errEarlyAnswer = errors.New("an answer arrived before the request was complete")
 
-// awaitEarlyAnswer waits until a time for the connection's end, and gives it as an error. What comes before the
-// request is complete is no answer to it, but may be the second one to the request before; read as this one's, its
-// client would get another's.
+// awaitEarlyAnswer waits until a given time for the connection to break, and returns the error. Bytes that arrive before
+// the request is complete are reported as errEarlyAnswer: they may be a second answer to the previous request, and must
+// not be taken for the answer to this one, or its client would get another client's answer.
 func (c *backendConn) awaitEarlyAnswer(until, deadline time.Time) error {
 	if until.After(deadline) {
 		return nil
@@ -67,8 +67,8 @@
 	return err
 }
 
-// earlyRejection tells whether what has come early says completely that nothing runs: of whatever request it speaks, this
-// one has not.
+// earlyRejection reports whether a complete rejection is buffered. Whichever request it belongs to, the current one has
+// not run: its last byte has not been written.
 func (c *backendConn) earlyRejection(x *exchange) bool {
 	buffered, _ := c.reader.Peek(c.reader.Buffered())
 	//nolint:bodyclose // its body is in memory
@@ -76,9 +76,9 @@
 	return err == nil && x.dialect.Judge(x.backend, x.message, resp) == balancer.Rejected
 }
 
-// readUnaskedAnswer reads what a backend has said, if anything, of a request whose last byte isn't written, and never
-// will be: the connection ends. An answer that is the request's for certain says that it has run.
-func (c *backendConn) readUnaskedAnswer(x *exchange, report []string) Reply {
+// readUnsolicitedAnswer reads an answer, if there is one, to a request whose last byte has not been written and never will
+// be, as the connection is closed. An answer that certainly belongs to the request shows that the backend has run it.
+func (c *backendConn) readUnsolicitedAnswer(x *exchange, report []string) Reply {
 	unsent := Reply{result: balancer.NotSent, brokeEarly: true}
 	c.readLimit.N = maxHead
 	if _, err := c.reader.Peek(1); err != nil {
@@ -95,13 +95,13 @@
 	_ = c.SetReadDeadline(time.Now().Add(min(earlyHeadTimeout, time.Until(x.deadline))))
 	resp, err := c.readHead(x.message.Method) //nolint:bodyclose // readRest reads it from the connection
 	if err != nil {
-		return Reply{result: balancer.Reset} // it may have been this request's
+		return Reply{result: balancer.Reset} // it may have been the answer to this request
 	}
 	if !x.dialect.Answers(x.message, resp) {
 		c.surplus = c.surplus || surplus
 		return unsent
 	}
-	if !x.permit.TryClaim() { // nobody waits for it any more
+	if !x.permit.TryClaim() { // the answer is no longer needed
 		return Reply{result: balancer.Reset}
 	}
 	_ = c.SetReadDeadline(x.deadline)
--- a/internal/dataplane/httpproxy/eviction.go
+++ b/internal/dataplane/httpproxy/eviction.go
@@ -7,7 +7,7 @@
 	"marlreel/internal/sockets"
 )
 
-// evictOne closes the connection that can best be spared, and tells whether there was one. Called with the lock.
+// evictOne closes the connection chosen by evictionCandidate, and reports whether there was one. The caller holds the lock.
 func (cs *clientConns) evictOne() bool {
 	victim := cs.evictionCandidate()
 	if victim == nil {
@@ -19,31 +19,31 @@
 }
 
 const (
-	// stalledAfter is how long a request may make no progress before its connection is evicted ahead of any other. A
-	// client that writes slowly writes on in less.
+	// stalledAfter is how long a request may make no progress before its connection is evicted ahead of any other. The
+	// pauses of slowly writing clients are shorter.
 	stalledAfter = 1200 * time.Millisecond
-	// restedAfter is how long a connection has to have been idle so that closing it will hardly cross the next request.
+	// restedAfter is the idle time after which closing a connection is unlikely to coincide with its next request.
 	restedAfter = time.Second
-	// silentGrace is how long a client that has something to ask takes to begin, at most.
+	// silentGrace is the time within which a client that has a request starts to send it.
 	silentGrace = 100 * time.Millisecond
-	// usualPause is how long one that writes slowly pauses, as a rule at most.
+	// usualPause is an upper bound of most pauses of a slowly writing client.
 	usualPause = 300 * time.Millisecond
 )
 
-// evictionCandidate gives the connection that can best be spared, or nil. Ranked by the time since they connected, those
-// who write slowly would go before a crowd of those who never will; ranked by what they have asked for, those who keep
-// their connection would go for it.
+// evictionCandidate returns the connection whose eviction does the least harm, or nil. A ranking by connection age would
+// evict slowly writing clients before a mass of connections that never send anything; a ranking by past requests would
+// evict clients for keeping their connection open.
 func (cs *clientConns) evictionCandidate() *clientConn {
 	grace := silentGrace
 	if cs.silent.Len() > cs.maxOpen/4 {
-		grace = 0 // so many at a time are a crowd that never will
+		grace = 0 // so many silent connections at a time are not about to send requests
 	}
 	if e := cs.lingering.Front(); e != nil {
 		return e.Value.(*clientConn)
 	}
 	for _, rank := range [...]struct {
 		among *list.List
-		since time.Duration // at least so long
+		since time.Duration // the least time without progress
 	}{
 		{&cs.silent, stalledAfter},
 		{&cs.partial, stalledAfter},
@@ -61,9 +61,9 @@
 	return nil
 }
 
-// firstSilent gives the first of a list that has nothing to read, if nothing has come there for
-// so long. Where a request has come and is not read yet a connection isn't silent: it goes
-// to the end, and only so many are looked at.
+// firstSilent returns the first connection of a list that has nothing to read, if it made no progress
+// for at least since. A connection with unread bytes isn't silent: it is moved to the end of the list,
+// and at most maxLooks connections are checked.
 func firstSilent(l *list.List, since time.Duration) *clientConn {
 	const maxLooks = 8
 	for range min(maxLooks, l.Len()) {
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// evictForAccept evicts one connection where the process has no descriptor left, and tells whether there was one.
+// evictForAccept evicts one connection if the process has no descriptor left, and reports whether there was one.
 func (cs *clientConns) evictForAccept() bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
--- a/internal/dataplane/httpproxy/exchange.go
+++ b/internal/dataplane/httpproxy/exchange.go
@@ -13,54 +13,54 @@
 )
 
 const (
-	maxBufferedBody     = 64 << 10 // bytes of a body that is buffered as a matter of course
+	maxBufferedBody     = 64 << 10 // bytes; bodies up to this size are buffered completely
 	maxHead             = 16 << 10 // bytes
-	maxInterimResponses = 8        // 1xx, before an answer
+	maxInterimResponses = 8        // 1xx responses before the final answer
 	headerLoad          = "X-Backend-Load"
 	headerTimeout       = "X-Time-Left"
 )
 
-// exchange is one attempt or health check on its way.
+// exchange is one attempt or health check that is being carried out.
 type exchange struct {
 	backend  *engine.Backend
-	conn     *backendConn // an idle one to use; nil: dial
+	conn     *backendConn // the idle connection to use; nil: dial
 	message  *Message
 	dialect  *Dialect
-	dial     func(ctx context.Context, address string) (net.Conn, error) // nil: the machine's own
+	dial     func(ctx context.Context, address string) (net.Conn, error) // nil: net.Dialer
 	deadline time.Time
 	permit   *engine.Permit
 
-	attempt         *engine.Attempt // is notified when the last byte is written; nil is a health check
-	clientConnected func() bool     // whether the client is still there; nil: that can't be seen
+	attempt         *engine.Attempt // notified when the last byte is written; nil for a health check
+	clientConnected func() bool     // whether the client is still connected; nil: unknown
 	memory          *budget.Budget
-	receiving       bool          // deadline is not known yet
-	holdback        time.Duration // how long the last byte is kept back; 0 is not at all
+	receiving       bool          // the request is still being received, and its deadline is not known yet
+	holdback        time.Duration // how long the last byte is held back; 0: not at all
 	dialled         bool          // run opened a new connection
 }
 
-// Reply is how an exchange ended. A nil conn says that the connection is gone.
+// Reply is the outcome of an exchange. If conn is nil, the connection is closed.
 type Reply struct {
 	result      balancer.Result
 	status      int
 	conn        *backendConn
 	header      http.Header
 	body        []byte
-	stream      *answerStream // what follows; body is empty then
+	stream      *answerStream // the body if it is streamed; body is empty then
 	reserved    int           // bytes acquired from the budget
-	claimed     bool          // by who passes it on, and releases it then
+	claimed     bool          // a front has taken it over and releases it
 	load        []float32
-	brokeEarly  bool                // it broke before its last byte was written
-	clientGone  bool                // the client was found to have disconnected: nothing was written
-	surplus     bool                // an answer came on the connection out of turn
-	connOutcome connections.Outcome // for the model of connections
+	brokeEarly  bool                // the connection broke before the request's last byte was written
+	clientGone  bool                // the request was not sent, since its client has disconnected
+	surplus     bool                // an answer that no request asked for came on the connection
+	connOutcome connections.Outcome // for the connection model
 }
 
-// run carries the exchange out. It follows the table of outcomes in the package comment: until the last byte is written
-// the request never ran; from then on it may have.
+// run carries out the exchange. The package comment lists the outcomes: until the last byte is written the request can't
+// have run; from then on it may have.
 func (x *exchange) run(ctx context.Context, connectTimeout time.Duration, loadMetrics []string) (r Reply) {
 	c := x.conn
-	// An answer's surplus, or the end of the connection, may have come since it was taken from the pool. Surplus would be
-	// read as the answer to this request.
+	// A surplus answer, or the end of the connection, may have arrived since it was taken from the pool. The surplus answer
+	// would be read as the answer to this request.
 	if c != nil && !c.reusable() {
 		defer func(discarded *backendConn) { r.surplus = r.surplus || discarded.surplus }(c)
 		c.Close()
@@ -82,7 +82,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	began := time.Now()
-	data := x.message.encode(x.dialect, x.backend, x.deadline.Sub(began)) // less what the dial has taken
+	data := x.message.encode(x.dialect, x.backend, x.deadline.Sub(began)) // minus the time for dialing
 	if x.message.upload != nil {
 		r = c.sendUpload(ctx, x, data, loadMetrics)
 		x.message.upload.endRead()
@@ -102,8 +102,9 @@
 	return r
 }
 
-// checkBeforeWrite is the last check before writing, as dialling took its time: the backend may be draining or gone by
-// now, the request answered, or its client gone. Where it may be written, an upload has begun to be read.
+// checkBeforeWrite is the last check before writing. While the connection was dialed, the backend may have started to
+// drain or left, the request may have been answered, or its client may have disconnected. If the request may be written,
+// the reading of its upload has begun.
 func (x *exchange) checkBeforeWrite() (unsent Reply, writes bool) {
 	unsent = Reply{result: balancer.NotSent}
 	if !x.backend.Ready() || !x.permit.Available() {
@@ -123,8 +124,8 @@
 	return Reply{}, true
 }
 
-// markCancelled gives an exchange its result whose context ended: the break is this side's, and says nothing of the
-// backend or the connection.
+// markCancelled corrects the result of an exchange whose context ended: this process closed the connection, which says
+// nothing about the backend or the connection.
 func (x *exchange) markCancelled(r *Reply) {
 	r.conn = nil
 	if r.result != balancer.Reset {
@@ -136,7 +137,7 @@
 	}
 }
 
-// connect makes a connection to the backend.
+// connect dials the backend.
 func (x *exchange) connect(ctx context.Context, timeout time.Duration) (net.Conn, error) {
 	if x.dial == nil {
 		dialer := net.Dialer{Timeout: timeout, Deadline: x.deadline}
@@ -151,5 +152,5 @@
 	return x.dial(ctx, x.backend.Addr)
 }
 
-// clientGone tells whether the call's client has disconnected.
+// clientGone reports whether the call's client has disconnected.
 func (x *exchange) clientGone() bool { return x.clientConnected != nil && !x.clientConnected() }
--- a/internal/dataplane/httpproxy/framing.go
+++ b/internal/dataplane/httpproxy/framing.go
@@ -8,33 +8,34 @@
 	"strings"
 )
 
-// requestFraming follows the requests of one connection through its bytes, from each head over its body
-// to the next head, and judges every head for what net/http reads in one way and another reader
-// of the same bytes may read in another: two words on where the body ends, lines that end with a
-// bare LF, lines that are folded. It changes nothing of what passes.
+// requestFraming tracks the request framing in the byte stream of one connection, from head to body
+// to next head. It detects heads that net/http reads in one way and another parser may read in
+// another, which allows request smuggling: conflicting body lengths, lines that end with a bare LF,
+// folded lines. It only observes the bytes and doesn't change them.
 //
-// It sees bytes ahead of net/http, which reads them in the same order: the n-th head that ends
-// here is the n-th that net/http gives. Where the two would part, all that follows is refused.
+// It sees the bytes before net/http, which reads them in the same order: the n-th head that ends
+// here is the n-th that net/http passes to the handler. If the two could disagree, this head and
+// all that follow it are rejected.
 type requestFraming struct {
-	state      framingState
-	headsEnded int   // that have ended
-	headsGiven int   // that net/http has given
-	rejectFrom int   // number of the first head that must not be acted on, nor what follows; 0: none
-	remaining  int64 // bytes of the body, or the chunk, that are to come
-	digits     int   // of a chunk's size so far
-	trailer    int   // bytes of it so far
+	state        framingState
+	headsEnded   int   // heads observed completely
+	headsHandled int   // heads that net/http has passed to the handler
+	rejectFrom   int   // number of the first head to reject, with all that follow; 0: none
+	remaining    int64 // bytes of the body or the chunk that have not arrived
+	digits       int   // of a chunk's size so far
+	trailer      int   // bytes of the trailer so far
 
 	headBytes int // bytes of the head so far
 
-	line       [48]byte // the beginning of the line that has not ended
+	line       [48]byte // the beginning of the current line
 	lineLength int      // bytes of that line so far
-	tail       [2]byte  // its last ones
-	headLines  int      // of the head so far
+	tail       [2]byte  // its last two bytes
+	headLines  int      // lines of the head so far
 
-	length    int64 // what the head says; -1 is nothing
+	length    int64 // Content-Length in the head; -1: none
 	chunked   bool
-	http10    bool // HTTP/1.0: it knows of no chunks, and some leave the coding out
-	ambiguous bool // this head must not be acted on
+	http10    bool // HTTP/1.0, which has no chunked coding: some parsers ignore it there
+	ambiguous bool // this head must be rejected
 }
 
 type framingState uint8
@@ -47,10 +48,10 @@
 	frameChunkData
 	frameChunkEnd
 	frameTrailer
-	frameLost // where the next head begins isn't known: it must not come
+	frameLost // it is unknown where the next head begins: no further head is accepted
 )
 
-// observe takes in bytes that have just been read.
+// observe processes bytes that have just been read.
 func (f *requestFraming) observe(p []byte) {
 	for len(p) > 0 && f.state != frameLost {
 		switch f.state {
@@ -75,7 +76,7 @@
 	}
 }
 
-// observeLine takes in the bytes of a line, and gives those that follow it.
+// observeLine processes the bytes of a line, and returns those that follow it.
 func (f *requestFraming) observeLine(p []byte) []byte {
 	end := bytes.IndexByte(p, '\n')
 	part := p
@@ -102,31 +103,31 @@
 	if f.state == frameHead {
 		f.headBytes++
 	}
-	proper := f.lineLength > 0 && f.tail[1] == '\r'
+	endsCRLF := f.lineLength > 0 && f.tail[1] == '\r'
 	switch f.state {
 	case frameHead:
-		f.headLine(proper)
+		f.headLine(endsCRLF)
 	case frameChunkExtension:
 		f.state = frameChunkData
 		if f.remaining == 0 {
 			f.state = frameTrailer
 		}
-		f.require(proper)
+		f.require(endsCRLF)
 	case frameChunkEnd:
 		f.state, f.digits = frameChunkSize, 0
-		f.require(proper && f.lineLength == 1)
+		f.require(endsCRLF && f.lineLength == 1)
 	case frameTrailer:
 		f.trailer += f.lineLength
 		if f.lineLength <= 1 {
 			f.startHead()
 		}
-		f.require(proper && f.trailer <= maxTrailer)
+		f.require(endsCRLF && f.trailer <= maxTrailer)
 	}
 	f.lineLength = 0
 	return p[end+1:]
 }
 
-// observeSizeDigit takes in a byte of a chunk's size, unless it is what follows that.
+// observeSizeDigit processes a byte of a chunk's size. It returns false, and leaves the byte, if the size has ended.
 func (f *requestFraming) observeSizeDigit(b byte) bool {
 	v, err := strconv.ParseUint(string(b), 16, 8)
 	if err != nil {
@@ -142,9 +143,9 @@
 	return true
 }
 
-// require ends the following where something does not hold.
-func (f *requestFraming) require(holds bool) {
-	if !holds {
+// require stops the tracking and rejects all further heads unless ok.
+func (f *requestFraming) require(ok bool) {
+	if !ok {
 		f.state = frameLost
 		f.rejectHead(f.headsEnded + 1)
 	}
@@ -156,21 +157,21 @@
 	}
 }
 
-// startHead begins with the next head.
+// startHead resets the state for the next head.
 func (f *requestFraming) startHead() { f.state, f.headLines, f.headBytes = frameHead, 0, 0 }
 
-// headLine takes in the end of a line of a head.
-func (f *requestFraming) headLine(proper bool) {
-	if f.lineLength <= 1 && proper && f.headLines == 0 {
+// headLine processes a complete line of a head.
+func (f *requestFraming) headLine(endsCRLF bool) {
+	if f.lineLength <= 1 && endsCRLF && f.headLines == 0 {
 		f.headBytes = 0
-		return // an empty line before a head, which net/http skips or refuses
+		return // an empty line before a head, which net/http skips or rejects
 	}
 	start := f.line[:min(f.lineLength, len(f.line))]
 	if f.headLines == 0 {
 		f.length, f.chunked, f.ambiguous, f.http10 = -1, false, false, f.tail[0] == '0'
 	}
 	f.headLines++
-	f.ambiguous = f.ambiguous || !proper
+	f.ambiguous = f.ambiguous || !endsCRLF
 	switch {
 	case f.lineLength <= 1:
 		f.endHead()
@@ -186,7 +187,7 @@
 	}
 }
 
-// endHead judges a head, and says what follows it.
+// endHead decides whether to reject a complete head, and sets the state for what follows it.
 func (f *requestFraming) endHead() {
 	if f.ambiguous || f.chunked && (f.length >= 0 || f.http10) {
 		f.rejectHead(f.headsEnded + 1)
@@ -203,26 +204,26 @@
 	}
 }
 
-// beginRequest says that net/http has given the next request, and tells whether it must be refused.
-func (f *requestFraming) beginRequest() (refused bool) {
-	f.headsGiven++
-	return f.rejectFrom > 0 && f.headsGiven >= f.rejectFrom || f.headsGiven > f.headsEnded
+// beginRequest records that net/http has passed on the next request, and reports whether it must be rejected.
+func (f *requestFraming) beginRequest() (rejected bool) {
+	f.headsHandled++
+	return f.rejectFrom > 0 && f.headsHandled >= f.rejectFrom || f.headsHandled > f.headsEnded
 }
 
-// hasUnhandledHead tells whether a complete head has been read that net/http has not given yet.
-func (f *requestFraming) hasUnhandledHead() bool { return f.headsEnded > f.headsGiven }
+// hasUnhandledHead reports whether a complete head has been read that net/http has not passed to the handler yet.
+func (f *requestFraming) hasUnhandledHead() bool { return f.headsEnded > f.headsHandled }
 
-// headBegun tells whether something of the next head has been read.
+// headBegun reports whether bytes of the next request have been read.
 func (f *requestFraming) headBegun() bool {
 	return f.hasUnhandledHead() || f.headBytes > 0 || f.state != frameHead
 }
 
-// betweenBodies tells whether no body is being read: what comes next is of a head.
+// betweenBodies reports whether no body is being read: the next byte belongs to a head.
 func (f *requestFraming) betweenBodies() bool { return f.state == frameHead }
 
-// resumeBytes says what has to stand around the data of a body in chunks, of which so much has come, for
-// its wire to go on where it is now: before it, and behind it. It merges the chunks that came into
-// one, and leaves out extensions and trailers that came; both have no effect.
+// resumeBytes returns the bytes to put before and after the received data of a chunked body, so that the
+// rest of the stream continues it correctly in another process. The received chunks are merged into
+// one, and received extensions and trailers are left out; both have no effect.
 func (f *requestFraming) resumeBytes(received int) (before, behind []byte, ok bool) {
 	closeChunk := func() {
 		if received > 0 {
@@ -261,7 +262,7 @@
 	return nil, nil, false
 }
 
-// hasFieldName tells whether a line begins with a field's name, whatever its letters' case.
+// hasFieldName reports whether a line begins with a field name, ignoring case.
 func hasFieldName(line []byte, name string) bool {
 	return len(line) >= len(name) && bytes.EqualFold(line[:len(name)], []byte(name))
 }
--- a/internal/dataplane/httpproxy/front.go
+++ b/internal/dataplane/httpproxy/front.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// A client that says nothing, or half of something, is owed an error or a close
-	// within 3 s of connecting.
-	headTimeout = 2400 * time.Millisecond // for a request's head, which may take 2 s
-	// A connection between two requests may be closed after 2 s. Many clients ask
-	// once and keep theirs for good.
+	// A client that sends nothing, or only part of a request, must get an error or a close
+	// within 3 s of connecting. A valid request's head may take 2 s.
+	headTimeout = 2400 * time.Millisecond
+	// A connection between two requests may be closed after 2 s. Many clients send one
+	// request and never close their connection.
 	idleTimeout = 2500 * time.Millisecond
-	// shutdownPollInterval is how often a shutdown looks whether something still moves.
+	// shutdownPollInterval is how often a shutdown checks whether any connection is still in progress.
 	shutdownPollInterval = 20 * time.Millisecond
 )
 
-// answer is the one final answer to a request, in HTTP's words.
+// answer is the final HTTP answer to a request.
 type answer struct {
 	status     int
-	header     http.Header // a backend's; nil for the proxy's own answers
+	header     http.Header // the backend's; nil if the proxy itself answers
 	body       []byte
-	reply      *Reply // whose memory and stream go with the answer; nil for the proxy's own
+	reply      *Reply // owns the memory and the stream of the answer; nil if the proxy itself answers
 	retryAfter time.Duration
-	closesConn bool // the request can't be used, and its connection ends with the answer
-	clientGone bool // nobody is there to take it
+	closesConn bool // the connection is closed after the answer, since the request is unusable or not read completely
+	clientGone bool // the client has disconnected: nothing is written
 }
 
 func badRequest(status int, format string, args ...any) answer {
@@ -47,10 +47,10 @@
 	return answer{status: status, body: []byte(text + "\n")}
 }
 
-// call is a client's request that waits for its answer.
+// call is a client's request that is waiting for its answer.
 type call struct {
 	engine.Call
-	answers chan answer // has capacity for the one answer
+	answers chan answer // buffered for the one answer
 }
 
 var (
@@ -58,32 +58,32 @@
 	_ http.Handler = (*Front)(nil)
 )
 
-// Front is the side of the clients.
+// Front serves the clients: it receives their requests and writes the answers.
 type Front struct {
 	server          *http.Server
 	engine          *engine.Engine
 	carrier         engine.Carrier
 	memory          *budget.Budget
-	conns           *clientConns  // of Serve
-	handoverStarted chan struct{} // closed when large answers are to go on elsewhere
+	conns           *clientConns  // the connections that Serve accepts
+	handoverStarted chan struct{} // closed when large answers are to be handed over to another process
 	transfer        atomic.Pointer[TransferFunc]
-	handsOver       bool // there may be another process to go on with large answers
+	handsOver       bool // another process may take over large answers
 	ready           atomic.Bool
-	stopping        atomic.Bool // every answer ends its connection
-	rejecting       atomic.Bool // nothing is taken any more
+	stopping        atomic.Bool // every answer closes its connection
+	rejecting       atomic.Bool // every new request is rejected
 }
 
-// NewFront makes a front whose calls go to backends by a carrier. What it holds of bodies
-// it takes from memory.
+// NewFront returns a front whose calls are sent to backends by the given carrier. Buffered bodies
+// are accounted for in the memory budget.
 func NewFront(e *engine.Engine, carrier *Carrier, memory *budget.Budget, logger *slog.Logger) *Front {
 	s := &Front{conns: newClientConns(nil, 0), handoverStarted: make(chan struct{}), engine: e, carrier: carrier, memory: memory}
 	s.server = &http.Server{
 		Handler: s, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: maxHead, ErrorLog: slog.NewLogLogger(logger.With("event", "http").Handler(), slog.LevelInfo),
-		DisableGeneralOptionsHandler: true, // which would answer OPTIONS * with 200
+		DisableGeneralOptionsHandler: true, // it would answer OPTIONS * with 200
 		ConnContext:                  withClient,
 		ConnState: func(nc net.Conn, state http.ConnState) {
-			// Only now has the answer gone out completely: an idle connection may be closed.
+			// Only in this state has the answer been written completely; an idle connection may be closed.
 			if c, ok := nc.(*clientConn); ok && state == http.StateIdle {
 				c.markIdle(true)
 			}
@@ -92,62 +92,63 @@
 	return s
 }
 
-// SetMaxConnections bounds the clients' connections. Any goroutine may call it.
+// SetMaxConnections limits the number of client connections. Any goroutine may call it.
 func (s *Front) SetMaxConnections(limit int) { s.conns.setMaxOpen(limit) }
 
-// EnableHandover says that there may be another process to go on with large answers: their
-// connections are then taken from net/http. Only before Serve.
+// EnableHandover tells the front that another process may take over large answers: their
+// connections are then hijacked from net/http. It may be called only before Serve.
 func (s *Front) EnableHandover() { s.handsOver = true }
 
-// Serve takes connections, within SetMost's bound, until the listener is closed.
+// Serve accepts connections, within the limit of SetMaxConnections, until the listener is closed.
 func (s *Front) Serve(ln net.Listener) error {
 	s.conns.Listener = ln
 	defer s.conns.close()
 	return s.server.Serve(s.conns)
 }
 
-// SetReady says what /ready answers.
+// SetReady sets whether /ready answers 200 or 503.
 func (s *Front) SetReady(ready bool) { s.ready.Store(ready) }
 
-// Ready tells whether clients can be served.
+// Ready reports whether clients can be served.
 func (s *Front) Ready() bool { return s.ready.Load() }
 
-// Stop lets every answer from now on end its connection.
+// Stop makes every answer from now on close its connection.
 func (s *Front) Stop() { s.stopping.Store(true) }
 
-// RejectAll lets every request from now on be refused at once.
+// RejectAll makes the front reject every request from now on at once.
 func (s *Front) RejectAll() { s.rejecting.Store(true) }
 
-// Shutdown closes idle connections and waits, once the listener is closed,
-// until nothing is in hand or on its way, or ctx ends. Connections on which nothing moves
-// don't keep it: a crowd of those that never finish a request would hold every restart up
-// to the end of the platform's patience.
+// Shutdown closes idle connections and waits, once the listener is closed, until no request is
+// being served or received, or ctx ends. It doesn't wait for connections without recent progress:
+// many clients that never finish a request would otherwise delay every restart until the
+// platform kills the process.
 func (s *Front) Shutdown(ctx context.Context) error {
-	// net/http ends an idle connection while its next request is being read, and goes on to serve it.
+	// Not left to net/http: it closes an idle connection even while the next request is being read, and then still
+	// serves that request.
 	s.conns.endIdle()
 	select {
 	case <-s.conns.listenerClosed:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	looks := time.NewTicker(shutdownPollInterval)
-	defer looks.Stop()
+	ticker := time.NewTicker(shutdownPollInterval)
+	defer ticker.Stop()
 	for !s.conns.endAllIfQuiet() {
 		select {
-		case <-looks.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 	defer s.conns.close()
-	// net/http closes the listener too, which may have been closed long ago: Serve goes on for
-	// connections that have said nothing yet.
+	// net/http closes the listener as well, which may have been closed long ago: Serve goes on
+	// after that for connections that have sent nothing yet.
 	if err := s.server.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
 		return err
 	}
-	for s.conns.anyLingering() { // for lingerFor at most
+	for s.conns.anyLingering() { // for lingerTimeout at most
 		select {
-		case <-looks.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -155,10 +156,10 @@
 	return nil
 }
 
-// WaitForClients waits, once the listener is closed, until no client's connection is left, or ctx ends. Unlike Shutdown it closes
-// none that rests: a request may be on its way there, and be left unread.
+// WaitForClients waits, once the listener is closed, until no client connection is open, or ctx ends. Unlike Shutdown it
+// closes no idle connection: a request may be in flight on it and would be left unread.
 func (s *Front) WaitForClients(ctx context.Context) error {
-	// The last connection may have left the listener and not be in the table yet.
+	// The last connection may have been accepted from the listener and not be in the table yet.
 	for _, done := range []func() <-chan struct{}{func() <-chan struct{} { return s.conns.listenerClosed }, s.conns.waitAllClosed} {
 		select {
 		case <-done():
@@ -169,7 +170,7 @@
 	return nil
 }
 
-// HandleAnswer implements engine.Front: it words the engine's verdict.
+// HandleAnswer implements engine.Front: it turns the engine's verdict into an HTTP answer.
 func (c *call) HandleAnswer(_ *engine.Call, a engine.Answer) {
 	var w answer
 	switch a.Verdict {
@@ -251,7 +252,7 @@
 
 // serveReady answers the platform's readiness check.
 func (s *Front) serveReady(w http.ResponseWriter) {
-	w.Header().Set("Connection", "close") // it asks seldom, and may keep the connection for good
+	w.Header().Set("Connection", "close") // checks are rare, and the client may never close its connection
 	status := http.StatusServiceUnavailable
 	if s.ready.Load() {
 		status = http.StatusOK
@@ -259,7 +260,7 @@
 	w.WriteHeader(status)
 }
 
-// answerTo gives the answer to a request whose body has been read, or as much of it as fits.
+// answerTo returns the answer to a request whose body has been read completely, or as far as it fits into memory.
 func (s *Front) answerTo(w http.ResponseWriter, r *http.Request, req *call, timeout time.Duration, in *pacedReader) answer {
 	up := req.Payload.(*Message).upload
 	switch {
@@ -271,7 +272,7 @@
 	return s.awaitAnswerWhileReceiving(w, r, req, timeout, in)
 }
 
-// finishRequest writes the answer, and ends the connection where it has to.
+// finishRequest writes the answer, and closes the connection if necessary.
 func (s *Front) finishRequest(w http.ResponseWriter, r *http.Request, req *call, a answer) {
 	c := clientOf(r)
 	if c != nil && (s.stopping.Load() || c.conns.underPressure()) {
@@ -281,15 +282,15 @@
 	if !a.closesConn {
 		return
 	}
-	// What follows on this connection, a body's rest or a request hidden in it, is not read. While net/http lets the
-	// client read the error, the connection may be closed for others.
+	// Nothing more is read from this connection, neither the rest of a body nor a request smuggled in it. While net/http
+	// gives the client time to read the error, the connection may be evicted in favor of others.
 	_ = http.NewResponseController(w).Flush()
 	if c != nil {
 		c.markIdle(false)
 	}
 }
 
-// awaitAnswer has a request answered whose last byte is here.
+// awaitAnswer passes a completely received request to the engine and waits for the answer.
 func (s *Front) awaitAnswer(r *http.Request, req *call, left time.Duration) answer {
 	arrived := s.engine.Now()
 	req.Deadline = arrived + left
@@ -299,12 +300,13 @@
 		return a
 	case <-r.Context().Done():
 		s.abandon(req)
-		// Returning would answer 200 with nothing, to a client that may still read.
+		// Returning would send an empty 200 to a client that may still be reading.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// awaitAnswerWhileReceiving has one answered whose body is larger than the memory for it: it is forwarded as it comes.
+// awaitAnswerWhileReceiving passes a request to the engine whose body exceeds the memory available for it, forwards the
+// body as it arrives, and waits for the answer.
 func (s *Front) awaitAnswerWhileReceiving(w http.ResponseWriter, r *http.Request, req *call, timeout time.Duration, in *pacedReader) answer {
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
@@ -338,7 +340,7 @@
 				return a
 			}
 			panic(http.ErrAbortHandler)
-		case <-r.Context().Done(): // also where a read has failed: that may be known here first
+		case <-r.Context().Done(): // also after a failed read, which may show here before it shows in receiving
 			s.abandon(req)
 			if receiving != nil {
 				_ = out.SetReadDeadline(time.Now())
@@ -361,8 +363,8 @@
 	return err
 }
 
-// endReceiving ends the receiving of a body whose rest is not wanted, and tells whether its connection ends with the
-// answer. The client may still be writing, and reads the answer then.
+// endReceiving stops receiving a body whose rest is not needed, and reports whether the connection must be closed after
+// the answer. A client that is still writing gets earlyAnswerDrain to read the answer.
 func endReceiving(out *http.ResponseController, receiving <-chan error) (closesConn bool) {
 	_ = out.SetReadDeadline(time.Now())
 	if err := <-receiving; err == nil {
@@ -372,7 +374,7 @@
 	return true
 }
 
-// abandon tells the engine that the client has disconnected. An answer that came meanwhile is discarded.
+// abandon tells the engine that the client has disconnected. An answer that has arrived in the meantime is discarded.
 func (s *Front) abandon(req *call) {
 	s.engine.Post(func() {
 		s.engine.HandleClientGone(&req.Call)
@@ -384,7 +386,7 @@
 	})
 }
 
-// discardAnswer releases an answer that nobody takes. On the engine's goroutine.
+// discardAnswer releases an answer that no client will get. It must run on the engine's goroutine.
 func (s *Front) discardAnswer(req *call, a answer) {
 	if a.reply == nil {
 		return
@@ -409,7 +411,7 @@
 		h.Set("Connection", "close")
 	}
 	if a.retryAfter == 0 && a.reply == nil && a.status == http.StatusServiceUnavailable {
-		a.retryAfter = s.engine.RetryAfter() // it was rejected before the balancer heard of it
+		a.retryAfter = s.engine.RetryAfter() // the request was rejected before it reached the balancer
 	}
 	if a.retryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64))
@@ -429,14 +431,14 @@
 	}
 }
 
-// writeStream sends an answer of which more is to come than is here.
+// writeStream sends an answer whose body has not been received completely yet.
 func (s *Front) writeStream(w http.ResponseWriter, r *http.Request, req *call, a answer) {
 	d := a.reply.stream
 	if s.handsOver {
 		err := s.handStream(w, r, d, w.Header())
 		handedOver := errors.Is(err, errHandedOver)
 		d.reusable = d.reusable && !handedOver
-		// One that is handed over has been served as far as this process goes.
+		// As far as this process is concerned, an answer that was handed over has been served.
 		s.finishStream(req, a.reply, err == nil, err == nil || handedOver)
 		return
 	}
@@ -450,8 +452,8 @@
 		return
 	}
 	if d.length < 0 && !r.ProtoAtLeast(1, 1) {
-		// Only the connection's end tells this client where the answer ends: it has to be one that can't be taken for
-		// a good one.
+		// To this client only the close of the connection marks the end of the answer: a reset shows that the answer is
+		// incomplete.
 		if c := clientOf(r); c != nil {
 			c.markReset()
 		}
@@ -459,8 +461,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// finishStream gives a stream's connection and memory back, and tells the engine how it ended: complete says that all of
-// it was read here, served that it counts as answered.
+// finishStream returns a stream's connection and memory, and tells the engine how it ended: complete says that the whole
+// body was read here, served that the request counts as answered.
 func (s *Front) finishStream(req *call, reply *Reply, complete, served bool) {
 	reply.stream.finish(complete)
 	reply.stream = nil
--- a/internal/dataplane/httpproxy/handover.go
+++ b/internal/dataplane/httpproxy/handover.go
@@ -11,12 +11,12 @@
 	"marlreel/internal/process/budget"
 )
 
-// handOver lets connections on which no complete request has come go on in the next process when this one ends: silent
-// ones, idle ones, and those whose client is still writing. Nothing of what they ask has run, and what has come of it
-// goes along. So a client that writes for longer than the platform waits for a process's end loses nothing by it.
+// handOver passes connections without a complete request to the next process when this one ends: silent ones, idle ones,
+// and those whose client is still sending a request. Their requests have not run, and the bytes received so far are passed
+// along. So a client that takes longer to send than the platform waits for the process to end loses nothing.
 //
-// A connection is handed over by whoever reads from it, at a moment at which nothing that has come is on its way between
-// two readers: its read is made to time out (interruptRead), which clientConn.Read handles.
+// A connection is handed over by the goroutine that reads from it, at a moment when no received bytes are in transit
+// between two readers: its read is made to time out (interruptRead), which clientConn.Read handles.
 func (cs *clientConns) handOver(transfer TransferFunc) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -28,7 +28,7 @@
 	}
 }
 
-// interruptRead lets a read that waits, or the next one, time out at once.
+// interruptRead makes a blocked read, or the next one, time out at once.
 func (c *clientConn) interruptRead() {
 	c.readDeadlineMu.Lock()
 	defer c.readDeadlineMu.Unlock()
@@ -36,8 +36,8 @@
 	_ = c.Conn.SetReadDeadline(time.Now())
 }
 
-// SetReadDeadline implements net.Conn. A client that is silent at first has no more time for
-// its head than one that begins at once.
+// SetReadDeadline implements net.Conn. Until the first head has been received, the deadline is at most headDeadline:
+// a client that is silent at first gets no more time for its head than one that starts at once.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.readDeadlineMu.Lock()
 	defer c.readDeadlineMu.Unlock()
@@ -46,12 +46,12 @@
 	}
 	c.readDeadline = t
 	if c.interrupted || c.readsEnded {
-		return nil // until the read that is to see it has
+		return nil // the deadline is restored by the read that consumes the interrupt
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// consumeInterrupt tells whether a read timed out because it was to, and puts the deadline back.
+// consumeInterrupt reports whether a read timed out because of interruptRead, and then restores the deadline.
 func (c *clientConn) consumeInterrupt(err error) bool {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
@@ -66,7 +66,7 @@
 	return true
 }
 
-// savePartialHead keeps what has come of a head that is not complete.
+// savePartialHead stores the received part of an incomplete head.
 func (c *clientConn) savePartialHead(p []byte) {
 	switch n := c.framing.headBytes; {
 	case n == 0:
@@ -78,8 +78,8 @@
 	}
 }
 
-// transferWith gives the connection to the next process with what has come of a request, and tells
-// whether that has taken it.
+// transferWith passes the connection to the next process, with the received part of a request, and
+// reports whether that process has accepted it.
 func (c *clientConn) transferWith(received []byte) bool {
 	c.conns.mu.Lock()
 	transfer := c.conns.transfer
@@ -91,12 +91,12 @@
 	return true
 }
 
-// maxReceived bounds what may have come of a request that goes on elsewhere.
+// maxReceived is the largest received part of a request, in bytes, that is handed over.
 const maxReceived = 3 << 20
 
-// transferable tells whether all that has come of a body is here. One that is on its way to a
-// backend and has made room there can't go on elsewhere, and is complete in time more often than not:
-// ending its reading would lose it.
+// transferable reports whether all received bytes of a body are still buffered. If some were forwarded
+// and discarded, the request can't be handed over; it is usually complete in time, and would be lost
+// if its reading were interrupted.
 func (c *clientConn) transferable() bool {
 	if c.body == nil {
 		return true
@@ -105,7 +105,7 @@
 	return all
 }
 
-// encodePartialRequest is what has come of a request, as it may stand on the wire. body is what has come of
+// encodePartialRequest encodes the received part of a request in wire format. body is the received part of
 // its body.
 func encodePartialRequest(r *http.Request, f *requestFraming, body [][]byte) ([]byte, bool) {
 	data := 0
@@ -119,7 +119,7 @@
 	}
 	for field, values := range r.Header {
 		switch field {
-		case "Content-Length", "Transfer-Encoding", "Expect": // that has been answered when its body is read
+		case "Content-Length", "Transfer-Encoding", "Expect": // Expect was answered when the reading of the body began
 			continue
 		}
 		for _, v := range values {
@@ -148,8 +148,8 @@
 	return append(out, behind...), true
 }
 
-// transferRequest gives a request to the next process of which part of the body has come, if its
-// reading has ended for that. What is left of it here has ended.
+// transferRequest passes a request with a partly received body to the next process, if its reading
+// was interrupted for that, and reports whether it was accepted. The caller then drops the request.
 func (c *clientConn) transferRequest(r *http.Request, body []byte, up *upload) bool {
 	if !c.readHandedOver {
 		return false
@@ -166,13 +166,13 @@
 	return ok && c.transferWith(received)
 }
 
-// AdoptClient goes on with a client's connection that another process has given, and with what had
-// come there. It is this process's from then on, unless it gives an error.
+// AdoptClient takes over a client connection from another process, with the bytes received there.
+// Unless AdoptClient returns an error, the connection belongs to this process.
 func (s *Front) AdoptClient(received []byte, nc net.Conn) error {
 	reserved := 0
 	if len(received) > maxHead {
-		// And a piece more, which is given back first: with all the memory full of what has come, none of
-		// it could be read on.
+		// One more piece is reserved and released first: if received bytes took up all the memory, they
+		// could not be read.
 		reserved = len(received) + pieceSize
 		if !s.memory.TryAcquire(reserved, budget.Large) {
 			return errNoRoom
@@ -181,7 +181,7 @@
 	c := s.conns.admit(nc)
 	if c == nil {
 		s.memory.Release(reserved, budget.Large)
-		return errors.New("all places are taken")
+		return errors.New("client connection limit reached")
 	}
 	if len(received) == 0 {
 		go c.park()
--- a/internal/dataplane/httpproxy/loadreport.go
+++ b/internal/dataplane/httpproxy/loadreport.go
@@ -5,9 +5,9 @@
 	"net/http"
 )
 
-// parseLoadReport reads the values that the settings name, in their order. A report that
-// can't be read, lacks one of them, or has one that can't be true, is none: half of
-// one would draw traffic to a backend as if it were idle.
+// parseLoadReport returns the values that the settings name, in their order. It returns nil for
+// a report that is malformed, lacks one of the values, or has one out of range: a partial
+// report would attract traffic to a backend as if it were idle.
 func parseLoadReport(h http.Header, names []string) []float32 {
 	const maxValue = 1e9
 	text := h.Get(headerLoad)
--- a/internal/dataplane/httpproxy/message.go
+++ b/internal/dataplane/httpproxy/message.go
@@ -11,15 +11,15 @@
 // Message is a request, ready to be forwarded any number of times.
 type Message struct {
 	Method      string
-	Head        []byte // all of the head that is the same with every attempt, each line with its end
+	Head        []byte // the part of the head that is the same for every attempt, with line ends
 	Body        []byte
-	ID          string  // by which its answer is known; "" is not
-	HealthCheck bool    // it asks for the backend's health
-	Streaming   bool    // the answer goes on as it comes, from its first byte
-	upload      *upload // in place of Body, where that is large
+	ID          string  // the id that its answer carries; "": none
+	HealthCheck bool    // it is a health check
+	Streaming   bool    // the answer is forwarded as it arrives, without buffering
+	upload      *upload // replaces Body if the body is large
 }
 
-// newMessage writes the head down once: what an attempt adds is its time.
+// newMessage encodes the head of a client's request once for all attempts, which only add their own headers.
 func newMessage(r *http.Request, body []byte, up *upload) *Message {
 	head := make([]byte, 0, 512)
 	for _, part := range []string{r.Method, " ", r.URL.RequestURI(), " HTTP/1.1\r\nHost: ", r.Host, "\r\n"} {
@@ -43,8 +43,8 @@
 	return &Message{Method: r.Method, Head: head, Body: body, upload: up}
 }
 
-// encode encodes the message at once, so that one write sends it and its count
-// tells whether the last byte went out.
+// encode encodes the whole message, so that a single write sends it and the number of bytes
+// written tells whether the last byte was sent.
 func (m *Message) encode(dialect *Dialect, to *engine.Backend, timeout time.Duration) []byte {
 	const spare = 160
 	data := append(make([]byte, 0, len(m.Head)+spare+len(m.Body)), m.Head...)
--- a/internal/dataplane/httpproxy/parse.go
+++ b/internal/dataplane/httpproxy/parse.go
@@ -23,12 +23,13 @@
 	headerRepeat  = "X-Repeat"
 	idLength      = 16
 	maxKeyLength  = 128
-	smallBody     = 4 << 10 // a body's memory is reserved at once up to here, and beyond it as it comes
+	smallBody     = 4 << 10 // a body's buffer is allocated at once up to this size, and grows as the body arrives beyond it
 )
 
-// parse reads a request's head, and gives how long its client waits. What can't be read, or what a backend couldn't, is
-// the client's fault, and the answer says how; its status is 0 for a good request. A backend closes on what it can't
-// read, which would count as its own failure. The cheap checks come first: a flood of bad requests must cost little.
+// parse checks and parses a request's head, and returns how long its client waits. A request that the proxy or a backend
+// can't parse is the client's error, and the answer says what is wrong; for a valid request the answer's status is 0. A
+// backend would close the connection on such a request, which would count as a failure of the backend. The cheap checks
+// come first: a flood of bad requests must cost little.
 func (s *Front) parse(r *http.Request, snapshot *engine.SettingsSnapshot) (*call, time.Duration, answer) {
 	if r.URL.Host != "" || r.URL.RawPath != "" || !plain(r.URL.Path, "/-._~") || !visible(r.URL.RawQuery) {
 		return nil, 0, badRequest(http.StatusBadRequest, "a path of letters, digits and -._~ is needed")
@@ -39,9 +40,9 @@
 	if !known {
 		return nil, 0, badRequest(http.StatusNotFound, "unknown class")
 	}
-	for _, one := range []string{headerID, headerAccount, headerTimeout, headerKey, headerHint, headerRepeat} {
-		if len(h[one]) > 1 {
-			return nil, 0, badRequest(http.StatusBadRequest, "%s comes more than once", one)
+	for _, header := range []string{headerID, headerAccount, headerTimeout, headerKey, headerHint, headerRepeat} {
+		if len(h[header]) > 1 {
+			return nil, 0, badRequest(http.StatusBadRequest, "%s comes more than once", header)
 		}
 	}
 	tenant := 0
@@ -75,12 +76,12 @@
 		answers: make(chan answer, 1),
 	}
 	req.Front = req
-	// Whatever it says, no client waits longer than its class does over all its attempts, and nobody may hold a place
-	// here for longer.
+	// The client's timeout is limited to that of its class, which covers all its attempts: a request must not occupy
+	// resources for longer.
 	return req, min(timeout, settings.ClientTimeout), answer{}
 }
 
-// checkForClass checks what a request needs by its class's effect.
+// checkForClass checks the id, the method, the body and the key of a request against the effect of its class.
 func checkForClass(r *http.Request, name string, effect balancer.Effect) answer {
 	id := r.Header.Get(headerID)
 	if len(id) != idLength || strings.Trim(id, "0123456789abcdef") != "" {
@@ -96,8 +97,8 @@
 	if method == http.MethodGet && r.ContentLength != 0 {
 		return badRequest(http.StatusBadRequest, "%s takes no body", method)
 	}
-	// Backends recognize a keyed request's retries by this header alone. Without it a second attempt would run again;
-	// with it, an unsafe one would pass for keyed.
+	// Backends recognize retries of a keyed request only by this header. Without it a second attempt would run again;
+	// with it, an unsafe request would be taken for a keyed one.
 	key := r.Header.Get(headerKey)
 	if (key != "") != (effect == balancer.Keyed) || len(key) > maxKeyLength || !plain(key, "-._~") {
 		return badRequest(http.StatusBadRequest, "%s: %s is missing, out of place or no plain word", name, headerKey)
@@ -105,7 +106,7 @@
 	return answer{}
 }
 
-// parseCost reads the client's hint of a request's work, in microseconds; none is 0.
+// parseCost parses the client's hint of a request's cost, in microseconds; without a hint it returns 0.
 func parseCost(hint string) (time.Duration, answer) {
 	if hint == "" {
 		return 0, answer{}
@@ -117,7 +118,7 @@
 	return time.Duration(us * float64(time.Microsecond)), answer{}
 }
 
-// affinityKey is the hash of the last element of a path behind its class; 0 is none.
+// affinityKey is the hash of the last path element after the class; 0: there is none.
 func affinityKey(rest string) uint64 {
 	if rest == "" {
 		return 0
@@ -127,7 +128,7 @@
 	return f.Sum64()
 }
 
-// plain tells that s has only letters, digits and what else is named.
+// plain reports whether s consists only of ASCII letters, digits and the characters in others.
 func plain(s, others string) bool {
 	return every(s, func(b byte) bool {
 		return b >= 'a' && b <= 'z' || b >= '0' && b <= '9' || b >= 'A' && b <= 'Z' || strings.IndexByte(others, b) >= 0
@@ -149,13 +150,13 @@
 	return true
 }
 
-// hopByHop are the headers that end here. Framing is each side's own.
+// hopByHop are the headers that are not forwarded. Framing headers are among them: each side sets its own.
 var hopByHop = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Upgrade",
 	"Transfer-Encoding", "Content-Length", "Expect",
 }
 
-// isHopByHop tells whether a header ends at this hop: one of the fixed ones, or one
+// isHopByHop reports whether a header is not forwarded: one of the fixed ones, or one
 // that Connection names.
 func isHopByHop(h http.Header, field string) bool {
 	if slices.Contains(hopByHop, field) {
@@ -171,7 +172,7 @@
 	return false
 }
 
-// endToEnd copies the headers that go on beyond this hop.
+// endToEnd returns the headers that are forwarded beyond this hop.
 func endToEnd(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for field, values := range h {
@@ -182,7 +183,7 @@
 	return out
 }
 
-// parseTimeout reads a number with the unit m (milliseconds) or u (microseconds).
+// parseTimeout parses a number with the unit m (milliseconds) or u (microseconds).
 func parseTimeout(s string) (time.Duration, error) {
 	unit := time.Duration(0)
 	if s != "" {
--- a/internal/dataplane/httpproxy/pool.go
+++ b/internal/dataplane/httpproxy/pool.go
@@ -9,43 +9,43 @@
 	"marlreel/internal/dataplane/engine"
 )
 
-// pool keeps the connections to all backends within a limit. The engine's goroutine owns it.
+// pool manages the connections to all backends within a common limit. The engine's goroutine owns it.
 type pool struct {
-	open, maxOpen int                                // connections, those being dialled among them
-	maxIdle       time.Duration                      // 0 is for ever
-	idle          map[*engine.Backend][]*backendConn // of each the most recently used last
+	open, maxOpen int                                // connections, including those being dialed
+	maxIdle       time.Duration                      // 0: no limit
+	idle          map[*engine.Backend][]*backendConn // for each backend, the most recently used last
 	model         *connections.Model
-	meanUtility   float64         // of a mean request
-	idleTimes     []time.Duration // for use within choose
+	meanUtility   float64         // of a request
+	idleTimes     []time.Duration // scratch space for choose
 
 	keepAlive *connections.KeepAlive // nil: answers carry ids, and every connection may be reused
-	watched   []watchedConn          // used once, and not to be used again; the one that came first is first
-	onSurplus func(*engine.Backend)  // something came on an idle connection that no request had asked for
+	watched   []watchedConn          // not to be used again; the oldest first
+	onSurplus func(*engine.Backend)  // called when a surplus answer is found on an idle connection
 }
 
-// watchedConn is a connection that will carry no further request. It stays open for surplusWatch: an answer too many
-// that comes in this time shows that the backend still sends such answers.
+// watchedConn is a connection that will carry no further request. It stays open for surplusWatch: a surplus answer in this
+// time shows that the backend still sends such answers.
 type watchedConn struct {
 	*backendConn
 	backend *engine.Backend
 }
 
-// surplusWatch is how long a connection that is not reused is watched for surplus before it is closed.
+// surplusWatch is how long a connection that is not reused is watched for surplus answers before it is closed.
 const surplusWatch = 20 * time.Millisecond
 
-// restTime is how long a connection rests after an answer, where another can be had.
-// A backend that closes right behind its answer has done so by then.
+// restTime is how long a connection is not reused after an answer, unless there is no other.
+// A backend that closes the connection right after its answer has done so by then.
 const restTime = time.Millisecond
 
-// rejectedRestTime is how long a connection whose last answer was a rejection is kept from requests that must not be
-// lost, where a new one can be had. A backend that rejects for its number of connections closes behind that answer, and
-// the next attempt is often for the same backend.
+// rejectedRestTime is how long a connection whose last answer was a rejection is not used for requests that must not be
+// lost, if a new one can be opened. A backend that rejects because it has too many connections closes the connection after
+// that answer, and the next attempt often goes to the same backend.
 const rejectedRestTime = 250 * time.Millisecond
 
-// take gives an idle connection to the backend: the one that the model of connections chooses for a request with that
-// stake, and nil where a new one is worth its handshake or none is idle. One that has not had its rest time is given only
-// where there is no other.
-func (p *pool) take(to *engine.Backend, now time.Duration, stake connections.Request) *backendConn {
+// take returns the idle connection to the backend that the connection model chooses for the request. It returns nil if a
+// new connection is worth its handshake or none is idle. A connection within its rest time is returned only if there is no
+// other.
+func (p *pool) take(to *engine.Backend, now time.Duration, request connections.Request) *backendConn {
 	p.closeWatched(now)
 	idle := p.idle[to]
 	if len(idle) == 0 {
@@ -54,15 +54,15 @@
 	idle = p.withoutExpired(idle, now)
 	idle = p.withoutUnreusable(to, idle, now)
 	p.setIdle(to, idle)
-	if !p.mayReuse(to, now) { // perhaps only since the last line but one
+	if !p.mayReuse(to, now) { // withoutUnreusable may have suspended the reuse just now
 		p.closeIdle(to)
 		return nil
 	}
 	var avoided []*backendConn
 	if p.open < p.maxOpen {
-		idle, avoided = withoutAvoided(idle, now, stake)
+		idle, avoided = withoutAvoided(idle, now, request)
 	}
-	taken, idle := p.takeReusable(to, idle, now, stake)
+	taken, idle := p.takeReusable(to, idle, now, request)
 	if len(avoided) > 0 {
 		idle = append(idle, avoided...)
 		slices.SortStableFunc(idle, func(x, y *backendConn) int { return cmp.Compare(x.idleSince, y.idleSince) })
@@ -71,8 +71,8 @@
 	return taken
 }
 
-// withoutExpired closes the connections that have been idle for too long. A request that is written to a connection just
-// as the backend closes it for age is a reset, which may have run: that is why age is checked here as well.
+// withoutExpired closes the connections that have been idle for too long. A request written just as the backend closes the
+// idle connection is reset and may have run, so the idle time is checked here as well as in closeExpired.
 func (p *pool) withoutExpired(idle []*backendConn, now time.Duration) []*backendConn {
 	return slices.DeleteFunc(idle, func(c *backendConn) bool {
 		expired := p.idleExpired(c, now)
@@ -83,8 +83,8 @@
 	})
 }
 
-// withoutUnreusable looks at the connections that rest after a quick answer, and once more when they have rested, so that
-// what shows on one of them counts for all at once; it closes those that can't be used again.
+// withoutUnreusable checks the connections that rest after a quick answer, and once more when the rest is over, and closes
+// those that can't be reused. So a surplus answer on one of them suspends the reuse of all at once.
 func (p *pool) withoutUnreusable(of *engine.Backend, idle []*backendConn, now time.Duration) []*backendConn {
 	return slices.DeleteFunc(idle, func(c *backendConn) bool {
 		if c.restUntil == 0 {
@@ -101,12 +101,12 @@
 	})
 }
 
-// withoutAvoided sets the connections apart that a request should not have while a new one can be had: those that rest
-// after a quick answer, and for a request that must not be lost also those whose last answer was a rejection, for
-// rejectedRestTime.
-func withoutAvoided(idle []*backendConn, now time.Duration, stake connections.Request) (kept, avoided []*backendConn) {
+// withoutAvoided separates the connections that a request should not use while a new one can be opened: those that rest
+// after a quick answer, and for a request that must not be lost also those whose last answer was a rejection less than
+// rejectedRestTime ago.
+func withoutAvoided(idle []*backendConn, now time.Duration, request connections.Request) (kept, avoided []*backendConn) {
 	kept = slices.DeleteFunc(idle, func(c *backendConn) bool {
-		rejected := stake.Effect == connections.Lost && c.lastRejected && now-c.idleSince < rejectedRestTime
+		rejected := request.Effect == connections.Lost && c.lastRejected && now-c.idleSince < rejectedRestTime
 		avoid := rejected || now < c.restUntil
 		if avoid {
 			avoided = append(avoided, c)
@@ -116,10 +116,11 @@
 	return kept, avoided
 }
 
-// takeReusable takes the chosen one of the idle connections, and closes those that are chosen and turn out closed.
-func (p *pool) takeReusable(to *engine.Backend, idle []*backendConn, now time.Duration, stake connections.Request) (taken *backendConn, left []*backendConn) {
+// takeReusable takes the idle connection that choose selects. One that turns out not to be reusable is closed, and choose
+// is asked again.
+func (p *pool) takeReusable(to *engine.Backend, idle []*backendConn, now time.Duration, request connections.Request) (taken *backendConn, left []*backendConn) {
 	for len(idle) > 0 && p.mayReuse(to, now) {
-		choice := p.choose(to, idle, now, stake)
+		choice := p.choose(to, idle, now, request)
 		if choice == connections.Dial {
 			break
 		}
@@ -133,7 +134,7 @@
 	return nil, idle
 }
 
-// checkReusable tells whether an idle connection can carry a request, and reports what has come on it out of turn.
+// checkReusable reports whether an idle connection can carry a request, and calls onSurplus for a surplus answer on it.
 func (p *pool) checkReusable(of *engine.Backend, c *backendConn) bool {
 	reusable := c.reusable()
 	if !reusable && c.surplus && p.onSurplus != nil {
@@ -142,12 +143,12 @@
 	return reusable
 }
 
-// mayReuse tells whether connections to a backend may carry more than one request.
+// mayReuse reports whether connections to a backend may carry more than one request.
 func (p *pool) mayReuse(to *engine.Backend, now time.Duration) bool {
 	return p.keepAlive == nil || p.keepAlive.Reusable(now, uint32(to.ID))
 }
 
-// closeWatched closes the connections that have been watched for surplus for long enough.
+// closeWatched closes the connections that have been watched for surplusWatch.
 func (p *pool) closeWatched(now time.Duration) {
 	for len(p.watched) > 0 && now-p.watched[0].idleSince >= surplusWatch {
 		p.closeFirstWatched()
@@ -162,8 +163,8 @@
 	p.close(first.backendConn)
 }
 
-// choose gives the index of the connection to use, or connections.Dial. The latest used is last.
-func (p *pool) choose(to *engine.Backend, idle []*backendConn, now time.Duration, stake connections.Request) int {
+// choose returns the index of the connection to use, or connections.Dial. The most recently used is last in idle.
+func (p *pool) choose(to *engine.Backend, idle []*backendConn, now time.Duration, request connections.Request) int {
 	rested := idle
 	for len(rested) > 0 && now-rested[len(rested)-1].idleSince < restTime {
 		rested = rested[:len(rested)-1]
@@ -175,10 +176,10 @@
 	for _, c := range rested {
 		p.idleTimes = append(p.idleTimes, now-c.idleSince)
 	}
-	return p.model.Choose(now, uint32(to.ID), to.Zone, stake, p.idleTimes, p.open < p.maxOpen)
+	return p.model.Choose(now, uint32(to.ID), to.Zone, request, p.idleTimes, p.open < p.maxOpen)
 }
 
-// reserveDial takes a place for a new connection; where all are taken, an idle one has to go.
+// reserveDial counts a new connection as open, and reports whether the limit allows it. At the limit it closes an idle one.
 func (p *pool) reserveDial() bool {
 	if p.open >= p.maxOpen {
 		p.closeOldest()
@@ -190,15 +191,16 @@
 	return true
 }
 
-// setMaxOpen puts another bound in force. What is idle beyond it is closed, the oldest first;
-// what is in use goes on.
+// setMaxOpen changes the limit. Idle connections beyond it are closed, the longest idle first;
+// those in use are not interrupted.
 func (p *pool) setMaxOpen(limit int) {
 	p.maxOpen = limit
 	for p.open > p.maxOpen && p.closeOldest() {
 	}
 }
 
-// closeOldest closes the connection that has been idle for the longest, if any is; those that nobody will use go first.
+// closeOldest closes the connection that has been idle for the longest, and reports whether there was one. Watched
+// connections, which are not reused, are closed first.
 func (p *pool) closeOldest() bool {
 	if len(p.watched) > 0 {
 		p.closeFirstWatched()
@@ -218,13 +220,13 @@
 	return true
 }
 
-// put takes a connection back; nil says that it is closed.
+// put returns a connection to the pool; nil means that it is closed already.
 func (p *pool) put(to *engine.Backend, c *backendConn, now time.Duration) {
 	if c == nil {
 		p.open--
 		return
 	}
-	// One that has left the list is never ready again.
+	// A backend that has left the list is never ready again.
 	if !to.Ready() || c.RemoteAddr().String() != to.Addr {
 		p.close(c)
 		return
@@ -236,12 +238,12 @@
 		return
 	}
 	p.idle[to] = append(p.idle[to], c)
-	if p.open > p.maxOpen { // the bound has been lowered meanwhile
+	if p.open > p.maxOpen { // the limit has been lowered in the meantime
 		p.closeOldest()
 	}
 }
 
-// setIdle notes what is idle at a backend: no entry stands for nothing.
+// setIdle stores the idle connections of a backend; without any, the map has no entry.
 func (p *pool) setIdle(b *engine.Backend, idle []*backendConn) {
 	if len(idle) == 0 {
 		delete(p.idle, b)
@@ -267,7 +269,7 @@
 	delete(p.idle, b)
 }
 
-// closeExpired closes what has been idle for long, or was closed by the backend.
+// closeExpired closes connections that have been idle for too long, were closed by the backend, or are not worth keeping.
 func (p *pool) closeExpired(now time.Duration) {
 	p.closeWatched(now)
 	for b, idle := range p.idle {
--- a/internal/dataplane/httpproxy/pool_test.go
+++ b/internal/dataplane/httpproxy/pool_test.go
@@ -47,7 +47,7 @@
 	t.Parallel()
 	p, b, _ := poolOf(t, 3)
 	want := p.idle[b][2]
-	if c := p.take(b, 3*time.Second, healthCheckStake); c != want {
+	if c := p.take(b, 3*time.Second, healthCheckRequest); c != want {
 		t.Error("not the most recently used")
 	}
 }
@@ -58,10 +58,10 @@
 	t.Parallel()
 	p, b, _ := poolOf(t, 2) // the younger idle since 1 s
 	young, old := p.idle[b][1], p.idle[b][0]
-	if c := p.take(b, time.Second+restTime/2, healthCheckStake); c != old {
+	if c := p.take(b, time.Second+restTime/2, healthCheckRequest); c != old {
 		t.Error("the connection that was used just now was taken before the other")
 	}
-	if c := p.take(b, time.Second+restTime/2, healthCheckStake); c != young {
+	if c := p.take(b, time.Second+restTime/2, healthCheckRequest); c != young {
 		t.Error("where there is no other, it is not taken")
 	}
 }
@@ -104,7 +104,7 @@
 func TestPoolClosesExpiredConnections(t *testing.T) {
 	t.Parallel()
 	p, b, _ := poolOf(t, 2)
-	if c := p.take(b, 46*time.Second, healthCheckStake); c != nil || p.open != 0 {
+	if c := p.take(b, 46*time.Second, healthCheckRequest); c != nil || p.open != 0 {
 		t.Errorf("an old connection was taken, or %d are still counted", p.open)
 	}
 }
@@ -117,14 +117,14 @@
 	want := p.idle[b][0]
 	far[1].Close()
 	eventually(t, "the end to arrive", func() bool { return !p.idle[b][1].reusable() })
-	if c := p.take(b, 2*time.Second, healthCheckStake); c != want {
+	if c := p.take(b, 2*time.Second, healthCheckRequest); c != want {
 		t.Error("the closed connection was not passed over")
 	}
 	// What nobody asked for belongs to no request.
 	p.put(b, want, 2*time.Second)
 	send(t, far[0], okAnswer)
 	eventually(t, "the noise to arrive", func() bool { return !want.reusable() })
-	if c := p.take(b, 2*time.Second, healthCheckStake); c != nil {
+	if c := p.take(b, 2*time.Second, healthCheckRequest); c != nil {
 		t.Error("a connection with an answer to nothing was taken")
 	}
 }
@@ -135,7 +135,7 @@
 	if !p.reserveDial() || p.open != 2 || len(p.idle[b]) != 1 {
 		t.Errorf("with all places taken by idle ones: %d open, %d idle", p.open, len(p.idle[b]))
 	}
-	p.take(b, 2*time.Second, healthCheckStake)
+	p.take(b, 2*time.Second, healthCheckRequest)
 	if p.reserveDial() {
 		t.Error("a place was given beyond the bound")
 	}
@@ -163,7 +163,7 @@
 	kept := p.idle[b][0]
 	send(t, far[1], okAnswer)
 	eventually(t, "the surplus", func() bool { return !p.idle[b][1].reusable() })
-	if c := p.take(b, now, healthCheckStake); c != nil {
+	if c := p.take(b, now, healthCheckRequest); c != nil {
 		t.Error("a connection is used again after an answer too many")
 	}
 	if *surplus != 1 || p.open != 1 {
@@ -223,19 +223,19 @@
 	p.maxOpen = 3 // one more can be had
 	quick, other := p.idle[b][1], p.idle[b][0]
 	quick.restUntil = now + time.Second
-	if c := p.take(b, now, healthCheckStake); c != other {
+	if c := p.take(b, now, healthCheckRequest); c != other {
 		t.Fatal("the connection that rests is used")
 	}
-	if c := p.take(b, now, healthCheckStake); c != nil {
+	if c := p.take(b, now, healthCheckRequest); c != nil {
 		t.Error("the connection that rests is used where a new one can be had")
 	}
 	p.maxOpen = p.open
-	if c := p.take(b, now, healthCheckStake); c != quick {
+	if c := p.take(b, now, healthCheckRequest); c != quick {
 		t.Error("the connection that rests is not used where no other can be had")
 	}
 	p.put(b, quick, now)
 	p.maxOpen = 3
-	if c := p.take(b, now+2*time.Second, healthCheckStake); c != quick || quick.restUntil != 0 {
+	if c := p.take(b, now+2*time.Second, healthCheckRequest); c != quick || quick.restUntil != 0 {
 		t.Error("the connection rests for longer than it should")
 	}
 }
--- a/internal/dataplane/httpproxy/requestbody.go
+++ b/internal/dataplane/httpproxy/requestbody.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	// maxBodyLength bounds a body in either direction. What says that it is longer, or turns
-	// out to be, is no body of anybody's: three gigabytes of noise would be passed on.
+	// maxBodyLength limits a body in either direction. A body that is announced as longer, or turns
+	// out to be, is certainly invalid: without a limit, three gigabytes of noise would be forwarded.
 	maxBodyLength = 64 << 20
-	// A client's body is owed its first bytes within bodyGrace of its head, and comes at
-	// leastRate from there on: half of what the slowest clients manage.
+	// The first bytes of a client's body must arrive within bodyGrace of its head, and the rest
+	// at no less than minBodyRate, which is half the rate of the slowest clients.
 	bodyGrace   = 2400 * time.Millisecond
 	minBodyRate = 32 << 10
 	// budgetTimeout is how long a request waits for memory for its body before it is rejected.
 	budgetTimeout = 250 * time.Millisecond
-	// earlyAnswerDrain is how long a client that still writes may read an answer that came early.
+	// earlyAnswerDrain is how long a client that is still writing its body may take to read an early answer.
 	earlyAnswerDrain = 500 * time.Millisecond
 )
 
 var errTooLong = errors.New("the body is too long")
 
-// pacedReader reads a client's body and ends it where it comes too slowly.
+// pacedReader reads a client's body with deadlines that fail the read if the body arrives too slowly.
 type pacedReader struct {
 	in           io.Reader
-	setDeadline  func(time.Time) error // sets the deadline of a read
+	setDeadline  func(time.Time) error // sets the read deadline
 	began        time.Time
 	received     int64
-	waited       time.Duration // that it was not read, for want of memory
-	notReadSince time.Time     // since when it has not been read
+	waited       time.Duration // time between reads, while the proxy waited for memory; not held against the client
+	notReadSince time.Time     // end of the last read
 }
 
 func newPacedReader(r *http.Request, out *http.ResponseController) *pacedReader {
@@ -52,11 +52,10 @@
 	return n, err
 }
 
-// readBody reads a request's body: all of it where it is small, else so much of it that it can
-// be forwarded without waiting for its client, as far as there is memory. The answer's status is
-// 0 where that went well; it is the client's, or nobody's for now, where not, and then body or up
-// have what came. held is what a
-// whole body has reserved, to be given back when the request is over.
+// readBody reads a request's body: a small one completely, a larger one as far as there is memory,
+// so that it can be forwarded without waiting for its client. If that succeeds, the answer's status
+// is 0; otherwise the answer is the error for the client, and body or up contain what was received.
+// reserved is the memory reserved for a buffered body, to be released at the end of the request.
 func (s *Front) readBody(r *http.Request, in *pacedReader) (body []byte, reserved int, up *upload, a answer) {
 	switch n := r.ContentLength; {
 	case n == 0:
@@ -97,8 +96,8 @@
 
 var errNoRoom = errors.New("there is no room for the body")
 
-// reserve reserves memory for a body that is buffered until its request is over; one that is as
-// small as what every connection has needs none.
+// reserve reserves memory for a body that is buffered until the end of its request. A body of at most
+// smallBody bytes needs no reservation.
 func (s *Front) reserve(ctx context.Context, n int) (reserved int, err error) {
 	if n <= smallBody {
 		return 0, nil
@@ -111,8 +110,8 @@
 	return n, nil
 }
 
-// readSmall reads a body that is buffered. A length alone takes no large buffer: what
-// follows it may never come.
+// readSmall reads a body that is buffered. The buffer grows with the received bytes: a client may
+// announce a length and never send the body.
 func readSmall(in io.Reader, n int) ([]byte, error) {
 	body := make([]byte, min(n, smallBody))
 	got, err := io.ReadFull(in, body)
@@ -126,7 +125,7 @@
 	return body[:got], err
 }
 
-// bodyError words what went wrong with a body.
+// bodyError returns the answer to a client whose body could not be read.
 func bodyError(err error) answer {
 	var ne net.Error
 	switch {
--- a/internal/dataplane/httpproxy/sendupload.go
+++ b/internal/dataplane/httpproxy/sendupload.go
@@ -11,20 +11,20 @@
 	"marlreel/internal/balancer"
 )
 
-// sendUpload writes a request whose body comes in pieces, as they come, and reads its
-// answer. The backend begins when the last byte has come: until then nothing has run, so
-// the permit is taken for the last piece alone, and whatever ends it before is a request
-// that was never sent.
+// sendUpload writes a request whose body arrives in pieces, each as it arrives, and reads its
+// answer. The backend starts the request only when it has received the last byte, so the permit
+// is claimed only for the last piece, and a failure before that counts as a request that was
+// never sent.
 func (c *backendConn) sendUpload(ctx context.Context, x *exchange, head []byte, report []string) Reply {
 	unsent := Reply{result: balancer.NotSent, brokeEarly: true}
 	u := x.message.upload
 	var at uploadCursor
 	chunked := u.announcedLength() < 0
-	_ = c.SetDeadline(time.Time{}) // what is to be waited for is each piece, and then the answer
+	_ = c.SetDeadline(time.Time{}) // instead, each write and the answer get their own
 	for {
 		p, last, err := u.next(ctx, at)
 		if err != nil {
-			return Reply{result: balancer.NotSent} // it was the client's side: the connection speaks of nothing
+			return Reply{result: balancer.NotSent} // the client's side failed, which says nothing about the connection
 		}
 		if last && x.clientGone() {
 			return Reply{result: balancer.NotSent, clientGone: true}
@@ -48,20 +48,20 @@
 			break
 		}
 		u.advance(&at, len(p))
-		// A backend may say early that it won't have it. What it says before the last byte
-		// has come is about the request, and the connection ends with it.
+		// A backend may reject a request early. An answer before the last byte was sent is taken
+		// as the answer to this request, and the connection is closed after it.
 		if !sockets.Idle(c.Conn) {
 			return c.readEarlyAnswer(x, unsent)
 		}
 	}
 	c.markWritten(x)
 	if !x.receiving {
-		_ = c.SetReadDeadline(x.deadline) // else the engine ends it
+		_ = c.SetReadDeadline(x.deadline) // while receiving, the engine enforces the deadline
 	}
 	return c.readAnswer(x, report)
 }
 
-// readEarlyAnswer reads what a backend says before it has had all of a request.
+// readEarlyAnswer reads the answer of a backend that answers before it has received the whole request.
 func (c *backendConn) readEarlyAnswer(x *exchange, unsent Reply) Reply {
 	_ = c.SetReadDeadline(time.Now().Add(stallTimeout / 10))
 	resp, err := c.readHead(x.message.Method) //nolint:bodyclose // the connection is closed instead
@@ -70,7 +70,7 @@
 	}
 	if x.dialect.Matches != nil && !x.dialect.Matches(x.message, resp) {
 		c.surplus = true
-		return unsent // another request's answer says nothing of this one, of which no backend has had the last byte
+		return unsent // an answer to another request says nothing about this one, whose last byte was never sent
 	}
 	if code := resp.StatusCode; code >= 400 && code < 500 {
 		return Reply{result: balancer.Unprocessable}
--- a/internal/dataplane/httpproxy/shutdown.go
+++ b/internal/dataplane/httpproxy/shutdown.go
@@ -7,10 +7,10 @@
 	"marlreel/internal/sockets"
 )
 
-// recentProgress is how lately something of a request must have come for it to count as in progress.
+// recentProgress is the time since the last bytes of a request within which it counts as in progress.
 const recentProgress = 500 * time.Millisecond
 
-// anyInProgress tells whether any connection is serving a request or receiving one. Called with the lock.
+// anyInProgress reports whether any connection is serving or receiving a request. The caller holds the lock.
 func (cs *clientConns) anyInProgress() bool {
 	if len(cs.open) > cs.silent.Len()+cs.partial.Len()+cs.idle.Len()+cs.lingering.Len() {
 		return true
@@ -18,7 +18,7 @@
 	for _, l := range [...]*list.List{&cs.silent, &cs.partial, &cs.idle} {
 		for e := l.Back(); e != nil; e = e.Prev() {
 			c := e.Value.(*clientConn)
-			// A request that has been read completely is this process's, however long ago that was.
+			// A request that has been read completely must be served by this process, however long ago that was.
 			if c.hasUnhandledRequest() {
 				return true
 			}
@@ -33,7 +33,7 @@
 	return false
 }
 
-// endIdle ends idle connections, now and from now on.
+// endIdle ends idle connections, including those that become idle later.
 func (cs *clientConns) endIdle() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -45,7 +45,7 @@
 	}
 }
 
-// endAllIfQuiet ends all open connections if none is in progress, and tells whether it has.
+// endAllIfQuiet ends all open connections if none is in progress, and reports whether it did.
 func (cs *clientConns) endAllIfQuiet() bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -58,7 +58,7 @@
 	return true
 }
 
-// anyLingering tells whether a connection that has ended is still read by its client.
+// anyLingering reports whether a closed connection is still waiting for its client to read what was written.
 func (cs *clientConns) anyLingering() bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
--- a/internal/dataplane/httpproxy/streamrelay.go
+++ b/internal/dataplane/httpproxy/streamrelay.go
@@ -16,50 +16,50 @@
 	"marlreel/internal/process/budget"
 )
 
-// TransferFunc gives a connection to another process, and tells whether that has taken it: from then on
-// nothing may be read or written here. With a backend's connection it is a large answer on its way,
-// and state is a relay's; without one (nil), state is what has come of a request.
+// TransferFunc passes a connection to another process, and reports whether that process has accepted it;
+// nothing may be read or written here after that. With a backend connection it passes a large answer that
+// is being relayed, and state is the relay's; without one (nil), state is the received part of a request.
 type TransferFunc func(state []byte, client, backend net.Conn) bool
 
-// streamRelay passes a large answer on in bytes of its own, so that it can stop between any two
-// of them and go on in another process. It is used in place of net/http's writer where
-// there may be one.
+// streamRelay forwards a large answer and encodes it itself, so that it can stop after any byte and
+// continue in another process. It replaces net/http's response writer if handover is
+// enabled.
 type streamRelay struct {
 	client  net.Conn
 	backend *backendConn
 	body    io.Reader // one of *sizedReader, *chunkReader, *bufio.Reader
-	chunked bool      // how the client learns where it ends, if not by length or close
-	pending []byte    // for the client, as it stands on the wire
-	passed  int64     // bytes of the body so far
+	chunked bool      // the answer to the client is chunked; else it ends by length or by close
+	pending []byte    // encoded bytes that have not been written to the client
+	passed  int64     // bytes of the body read so far
 	done    bool      // the body has been read to its end
 }
 
-// streamRelayState is a relay as another process gets it, in JSON. A version that doesn't know it rejects it.
+// streamRelayState is the state of a relay for another process, encoded as JSON. A process that doesn't support its Version
+// rejects it.
 type streamRelayState struct {
 	Version      int        `json:"Version"`
-	Form         string     `json:"Form"` // of the body: sized, chunks, end
+	Form         string     `json:"Form"` // of the body: sized (known length), chunks, end (ends with the connection)
 	Remaining    int64      `json:"Left"`
 	ChunkState   chunkState `json:"Chunk"`
 	PartialLine  []byte     `json:"Line"`
 	TrailerBytes int        `json:"Trailer"`
 	Chunked      bool       `json:"Chunked"`
 	Pending      []byte     `json:"Pending"`
-	Undecoded    []byte     `json:"Ahead"` // read from the backend, and not decoded yet
+	Undecoded    []byte     `json:"Ahead"` // read from the backend and not decoded yet
 	Passed       int64      `json:"Total"`
-	// Done says that the body has been read to its end, and its end is in Pending. A version that doesn't know it reads on,
-	// and ends the body a second time.
+	// Done says that the body has been read completely, and that its end is in Pending. A proxy version without this field
+	// reads on and ends the body a second time.
 	Done bool `json:"Done,omitempty"`
 }
 
 const streamRelayVersion = 1
 
-var errHandedOver = errors.New("it goes on in another process")
+var errHandedOver = errors.New("the answer was handed over to another process")
 
-// pieceOverhead is the room kept around a piece for a chunk's size and end.
+// pieceOverhead is the room in bytes before and after a piece for the chunk's size and end.
 const pieceOverhead = 16
 
-// run passes the answer on until its end, or until a handover has started and another process has taken it, which is
-// errHandedOver.
+// run forwards the answer until its end. If another process takes it over during a handover, run returns errHandedOver.
 func (r *streamRelay) run(memory *budget.Budget, handoverStarted <-chan struct{}, transfer func() TransferFunc) error {
 	size := smallBody
 	if memory.TryAcquire(pieceSize, budget.Small) {
@@ -84,7 +84,7 @@
 	}
 }
 
-// writePending writes to the client what was read for it.
+// writePending writes the pending bytes to the client.
 func (r *streamRelay) writePending(h *relayHandover) error {
 	for len(r.pending) > 0 {
 		h.setDeadline(r.client.SetWriteDeadline)
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// readPiece reads what comes next of the body.
+// readPiece reads the next piece of the body and encodes it for the client.
 func (r *streamRelay) readPiece(buf []byte, size int, h *relayHandover) error {
 	h.setDeadline(r.backend.SetReadDeadline)
 	n, err := r.body.Read(buf[pieceOverhead : pieceOverhead+size])
@@ -129,11 +129,11 @@
 	relay       *streamRelay
 	started     <-chan struct{}
 	transfer    func() TransferFunc
-	interrupted chan struct{} // closed when interrupt sets no deadline any more
-	rejected    bool          // the other process has not taken it: it ends here, or with the process
+	interrupted chan struct{} // closed when interrupt has returned and sets no more deadlines
+	rejected    bool          // the other process has not accepted it: the relay goes on here
 }
 
-// interrupt makes whoever waits for a peer time out once a handover has started.
+// interrupt makes the relay's blocked read or write time out once a handover has started.
 func (h *relayHandover) interrupt(stop <-chan struct{}) {
 	defer close(h.interrupted)
 	select {
@@ -144,7 +144,7 @@
 	}
 }
 
-// setDeadline gives a peer its time, unless the relay is to be handed over.
+// setDeadline sets the deadline for a peer to stallTimeout, or to now if the relay is to be handed over.
 func (h *relayHandover) setDeadline(set func(time.Time) error) {
 	_ = set(time.Now().Add(stallTimeout))
 	select {
@@ -156,15 +156,15 @@
 	}
 }
 
-// onTimeout hands the relay over after a timeout that was for that, and gives errHandedOver where it was taken, nil
-// where it goes on here. Any other timeout is a peer's: it gives stalled.
+// onTimeout handles a timeout. If it was caused by a handover, the relay is handed over: onTimeout returns errHandedOver if
+// the other process accepted it, and nil if the relay goes on here. Otherwise a peer has stalled, and it returns stalled.
 func (h *relayHandover) onTimeout(stalled error) error {
 	select {
 	case <-h.started:
 	default:
 		return stalled
 	}
-	<-h.interrupted // it has set deadlines on connections that may be another process's at once
+	<-h.interrupted // no deadline may be set on the connections once they belong to another process
 	if h.rejected {
 		return stalled
 	}
@@ -172,7 +172,7 @@
 	state, err := json.Marshal(r.state())
 	if transfer := h.transfer(); transfer != nil && err == nil && transfer(state, r.client, r.backend.Conn) {
 		if c, ok := r.client.(*clientConn); ok {
-			c.transferred.Store(true) // ending it here would end it there
+			c.transferred.Store(true) // shutting it down here would shut it down there too
 		}
 		return errHandedOver
 	}
@@ -180,7 +180,7 @@
 	return nil
 }
 
-// encodePiece makes of a piece what stands on the wire.
+// encodePiece encodes a piece for the client, as a chunk if the answer is chunked.
 func (r *streamRelay) encodePiece(buf []byte, n int, last bool) []byte {
 	if !r.chunked {
 		return buf[pieceOverhead : pieceOverhead+n]
@@ -199,8 +199,8 @@
 	return out
 }
 
-// state is all that another process needs. Of the backend's bytes those that wait in the
-// buffer go along.
+// state returns everything that another process needs to continue, including the backend's bytes that are
+// buffered and not decoded yet.
 func (r *streamRelay) state() streamRelayState {
 	s := streamRelayState{Version: streamRelayVersion, Chunked: r.chunked, Pending: r.pending, Passed: r.passed, Done: r.done}
 	s.Undecoded, _ = r.backend.reader.Peek(r.backend.reader.Buffered())
@@ -215,14 +215,14 @@
 	return s
 }
 
-// decodeRelay makes a relay of what another process gave.
+// decodeRelay restores a relay from the state and the connections that another process passed.
 func decodeRelay(state []byte, client, backend net.Conn) (*streamRelay, error) {
 	var s streamRelayState
 	if err := json.Unmarshal(state, &s); err != nil {
-		return nil, fmt.Errorf("an answer on its way: %w", err)
+		return nil, fmt.Errorf("cannot decode relay state: %w", err)
 	}
 	if s.Version != streamRelayVersion || s.Remaining < 0 || s.ChunkState > chunkDone || s.Passed < 0 {
-		return nil, fmt.Errorf("an answer on its way: version %d is not known here", s.Version)
+		return nil, fmt.Errorf("relay state of version %d is unsupported or invalid", s.Version)
 	}
 	c := newBackendConn(backend, io.MultiReader(bytes.NewReader(s.Undecoded), backend))
 	c.readLimit.N = math.MaxInt64
@@ -235,12 +235,12 @@
 	case "end":
 		r.body = c.reader
 	default:
-		return nil, fmt.Errorf("an answer on its way: form %q is not known here", s.Form)
+		return nil, fmt.Errorf("relay state has unknown body form %q", s.Form)
 	}
 	return r, nil
 }
 
-// handStream passes a stream on over a connection taken from net/http. It ends with the answer.
+// handStream forwards a stream over a connection hijacked from net/http, which is closed after the answer.
 func (s *Front) handStream(w http.ResponseWriter, r *http.Request, d *answerStream, header http.Header) error {
 	hijacker, ok := w.(http.Hijacker)
 	if !ok {
@@ -262,7 +262,7 @@
 	case relay.chunked:
 		header.Set("Transfer-Encoding", "chunked")
 	}
-	_ = header.Write(&head) // a Buffer takes everything
+	_ = header.Write(&head) // a bytes.Buffer never fails
 	head.WriteString("\r\n")
 	first := append(make([]byte, pieceOverhead, len(d.first)+2*pieceOverhead), d.first...)
 	relay.pending = append(head.Bytes(), relay.encodePiece(first, len(d.first), false)...)
@@ -277,8 +277,8 @@
 	return err
 }
 
-// AdoptStream goes on with an answer that another process of this proxy had begun. The
-// connections are this process's from then on, unless it gives an error.
+// AdoptStream continues an answer that another process of this proxy has started. Unless AdoptStream
+// returns an error, the connections belong to this process.
 func (s *Front) AdoptStream(state []byte, nc, backend net.Conn) error {
 	r, err := decodeRelay(state, nc, backend)
 	if err != nil {
@@ -297,16 +297,16 @@
 	return nil
 }
 
-// HandOver lets go of large answers that are on their way, and of connections on which no complete request has
-// come: each is given to another process that goes on with it, if it takes them. What it does
-// not take goes on here.
+// HandOver passes large answers that are being forwarded, and connections without a complete request, to
+// another process that continues them. What that process doesn't accept goes on here. HandOver may be
+// called only once.
 func (s *Front) HandOver(transfer TransferFunc) {
 	s.transfer.Store(&transfer)
 	close(s.handoverStarted)
 	s.conns.handOver(transfer)
 }
 
-// currentTransfer is what HandOver was given; nil before it.
+// currentTransfer returns the function passed to HandOver; nil before that call.
 func (s *Front) currentTransfer() TransferFunc {
 	if transfer := s.transfer.Load(); transfer != nil {
 		return *transfer
--- a/internal/dataplane/httpproxy/upload.go
+++ b/internal/dataplane/httpproxy/upload.go
@@ -9,41 +9,41 @@
 	"marlreel/internal/process/budget"
 )
 
-// upload is a request's body of more than is held as a matter of course. It holds what has
-// come, up to a part of the budget. Where that is all of it, the request can be sent again
-// like a small one; where it is not, what has gone out makes room for what comes, and from
-// then on the request can't be sent again.
+// upload is a request body that is too large to be always buffered completely. It buffers received
+// bytes up to a share of the budget. If the whole body fits, the request can be retried like a small
+// one; if not, pieces that have been sent are discarded to make room for new ones, and from
+// then on the request can't be retried.
 //
 // One goroutine fills it from the client; attempts read it, one at a time until it is complete.
 type upload struct {
 	memory  *budget.Budget
-	maxHeld int   // bytes held at most
-	length  int64 // as the client says; -1 is not said
+	maxHeld int   // the most bytes to reserve in memory
+	length  int64 // as announced by the client; -1: unknown
 
 	mu         sync.Mutex
-	pieces     [][]byte // each but the last is full
-	firstPiece int      // number of the first one held: those before it are gone
-	written    int      // number of the first piece that is not yet written completely
-	total      int64    // what has come
-	held       int      // bytes reserved in memory
-	end        error    // io.EOF: it is complete; else what broke it
-	readers    int      // attempts that read
-	changed    chan struct{}
+	pieces     [][]byte      // all but the last are full
+	firstPiece int           // number of pieces[0]; the pieces before it were discarded
+	written    int           // number of the first piece that has not been sent completely
+	total      int64         // bytes received
+	held       int           // bytes reserved in memory
+	end        error         // io.EOF: the body is complete; any other error: it broke
+	readers    int           // attempts that are reading it
+	changed    chan struct{} // closed and replaced on every change
 }
 
 var (
-	// errBufferFull says that what has come fills the memory: the rest has to wait until some of
-	// it has gone on.
-	errBufferFull  = errors.New("no more room before some of it is sent")
-	errRequestOver = errors.New("the request is over")
+	// errBufferFull means that the received bytes fill the available memory: the rest has to wait until
+	// some of them have been sent.
+	errBufferFull  = errors.New("the buffer for the body is full until part of it is sent")
+	errRequestOver = errors.New("the request has ended")
 )
 
 func newUpload(memory *budget.Budget, length int64) *upload {
-	// An eighth each: a few large bodies are complete, and many leave something to all.
+	// An eighth of the memory each: a few large bodies can be buffered completely, and many at a time still get some.
 	return &upload{memory: memory, maxHeld: max(pieceSize, memory.Limit()/8), length: length, changed: make(chan struct{})}
 }
 
-// notify wakes all who wait for one. Called with the lock.
+// notify wakes all goroutines that wait for a change. The caller holds the lock.
 func (u *upload) notify() {
 	close(u.changed)
 	u.changed = make(chan struct{})
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// space gives where to read to. Where there is no memory: errBufferFull if it must not wait, else
-// it waits until a piece has gone out.
+// space returns a buffer to read into. If there is no memory, it waits until a piece has been sent,
+// or returns errBufferFull unless wait is set.
 func (u *upload) space(ctx context.Context, wait bool) ([]byte, error) {
 	for {
 		u.mu.Lock()
@@ -79,7 +79,7 @@
 			continue
 		}
 		if wait && u.written > u.firstPiece {
-			// Gone for good: from here on there is no sending it again.
+			// The first piece is discarded: from here on the request can't be retried.
 			old := u.pieces[0]
 			u.pieces, u.firstPiece = append(u.pieces[1:], old[:0]), u.firstPiece+1
 			u.mu.Unlock()
@@ -98,7 +98,7 @@
 	}
 }
 
-// fill reads until the body is complete. It gives errBufferFull where it must not wait for memory.
+// fill reads until the body is complete. If memory runs out, it returns errBufferFull unless wait is set.
 func (u *upload) fill(ctx context.Context, in io.Reader, wait bool) error {
 	for {
 		space, err := u.space(ctx, wait)
@@ -115,7 +115,8 @@
 		u.total += int64(n)
 		switch {
 		case u.length >= 0 && u.total == u.length, errors.Is(err, io.EOF) && u.length < 0:
-			// A last byte that is not known as the last goes out without the permit.
+			// Recorded together with the last bytes: an attempt that did not know them as the last would send them without
+			// claiming the permit.
 			u.end = io.EOF
 		case err != nil:
 			if errors.Is(err, io.EOF) {
@@ -137,15 +138,15 @@
 	}
 }
 
-// complete tells whether all has come.
+// complete reports whether the whole body has been received.
 func (u *upload) complete() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return errors.Is(u.end, io.EOF)
 }
 
-// inOnePiece gives the body in one piece where it is complete and no larger than what is held as
-// a matter of course.
+// inOnePiece returns the body as one slice if it is complete and has at most maxBufferedBody
+// bytes.
 func (u *upload) inOnePiece() ([]byte, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -159,14 +160,14 @@
 	return body, true
 }
 
-// received gives what has come, if none of it has made room for more.
+// received returns the received pieces, and whether they are all that was received: none has been discarded.
 func (u *upload) received() ([][]byte, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.pieces, u.firstPiece == 0
 }
 
-// announcedLength gives the length to announce; -1 is one that is not known yet.
+// announcedLength returns the length to announce to the backend; -1: it is not known yet.
 func (u *upload) announcedLength() int64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -176,11 +177,11 @@
 	return u.length
 }
 
-// uploadCursor is how far an attempt has come.
+// uploadCursor is the position of an attempt in an upload.
 type uploadCursor struct{ piece, offset int }
 
-// beginRead starts an attempt's reading. It can't where the beginning is gone, or, until all
-// has come, where another attempt reads.
+// beginRead registers an attempt as a reader. It returns false if the beginning has been discarded, if the
+// body broke off, or, while the body is incomplete, if another attempt is reading.
 func (u *upload) beginRead() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -192,15 +193,15 @@
 	return true
 }
 
-// endRead ends an attempt's reading.
+// endRead unregisters an attempt as a reader.
 func (u *upload) endRead() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.readers--
 }
 
-// next gives what comes next, and whether that is the last of it; it waits where nothing
-// has come.
+// next returns the next bytes, and whether they are the last ones. It waits if none have been
+// received.
 func (u *upload) next(ctx context.Context, c uploadCursor) (p []byte, last bool, err error) {
 	for {
 		u.mu.Lock()
@@ -232,7 +233,7 @@
 	}
 }
 
-// advance moves the cursor on by what has been written of what next gave.
+// advance moves the cursor by n bytes that were returned by next and have been sent.
 func (u *upload) advance(c *uploadCursor, n int) {
 	if c.offset == pieceSize {
 		c.piece, c.offset = c.piece+1, 0
@@ -250,7 +251,7 @@
 	}
 }
 
-// release ends it and gives its memory back. An attempt that still reads finds its end.
+// release ends the upload and releases its memory. An attempt that still reads it gets errRequestOver.
 func (u *upload) release() {
 	u.mu.Lock()
 	held := u.held
