--- a/internal/dataplane/httpproxy/carrier_test.go
+++ b/internal/dataplane/httpproxy/carrier_test.go
@@ -13,7 +13,8 @@
 	"marlreel/internal/testutil"
 )
 
-// Every attempt has one outcome, a cancelled one too, and its place is given back.
+// Every attempt, also a cancelled one, gets one outcome, but only after its connection has been closed and no longer counts
+// as open.
 func TestCancelClosesTheConnection(t *testing.T) {
 	t.Parallel()
 	addr, got := silent(t)
@@ -22,7 +23,7 @@
 	receive(t, got, "the attempt")
 	l.Dispatch(func() { l.HandleClientGone(&r.Call) })
 	if r.Attempts()[0].Ended() {
-		t.Error("the attempt has ended, and its connection has not: it is still out")
+		t.Error("the attempt has ended before its connection was closed")
 	}
 	l.Dispatch(receive(t, l.Events(), "the connection's end"))
 	if !r.Attempts()[0].Ended() || l.OpenCalls() != 0 {
@@ -33,7 +34,7 @@
 	}
 }
 
-// Clients name their time themselves. What was answered must not stay in memory for it.
+// Clients choose their timeout, up to an hour. State of an answered request must not stay in memory until then.
 func TestAnsweredRequestsLeaveNothingBehind(t *testing.T) {
 	t.Parallel()
 	addr := rawBackend(t, func(c net.Conn, in *bufio.Reader) {
@@ -52,14 +53,14 @@
 			l.Dispatch(receive(t, l.Events(), "the attempt's end"))
 		}
 	}
-	if n := l.TimerCount() - before; n > 1 || l.OpenCalls() != 0 { // the module may have one of its own
+	if n := l.TimerCount() - before; n > 1 || l.OpenCalls() != 0 { // the balancer may have a timer of its own
 		t.Errorf("%d timers and %d requests are left", n, l.OpenCalls())
 	}
 }
 
-// Backends are replaced all day, some at the address of one that has gone. What is
-// kept for them must not grow with their number, and a connection belongs to the one
-// that it was opened to.
+// Backends are replaced all the time, some at the address of one that has left. State kept
+// for backends must not grow with their number, and a connection must only be used for the
+// backend that it was opened to.
 func TestReplacedBackendsLeaveNothing(t *testing.T) {
 	t.Parallel()
 	addr, conns := testutil.Counting(t, "s")
@@ -95,8 +96,8 @@
 	}
 }
 
-// While one attempt runs, its backend may be replaced at its own address: the
-// connection then belongs to nobody and is closed.
+// While an attempt runs, its backend may be replaced by another at the same address: the
+// connection must be closed and not be reused for the new backend.
 func TestConnectionDoesNotOutliveItsBackend(t *testing.T) {
 	t.Parallel()
 	came, answer := make(chan struct{}, 1), make(chan struct{})
@@ -119,18 +120,18 @@
 	close(answer)
 	l.Dispatch(receive(t, l.Events(), "the attempt's end"))
 	if a := receive(t, r.answers, "the answer"); a.status != 200 {
-		t.Errorf("the attempt in hand ended with %d", a.status)
+		t.Errorf("the running attempt ended with %d", a.status)
 	}
 	receive(t, closed, "the connection's end")
 	if l.carrier.pool.model.Backends() != 0 || len(l.carrier.lastOK) != 0 {
-		t.Errorf("kept of one that has left: %d in the model, %d last answers", l.carrier.pool.model.Backends(), len(l.carrier.lastOK))
+		t.Errorf("state of a backend that has left: %d in the model, %d last answers", l.carrier.pool.model.Backends(), len(l.carrier.lastOK))
 	}
 	if l.carrier.pool.open != 0 {
 		t.Errorf("%d connections are kept", l.carrier.pool.open)
 	}
 }
 
-// What load reports hold and what a handshake is worth is what the settings in force say, not those of the start.
+// The names of load report values and the utility of a request must follow the current settings, not the initial ones.
 func TestCarrierReconfigure(t *testing.T) {
 	t.Parallel()
 	l := stillEngine(t)
@@ -144,6 +145,6 @@
 	}
 	l.carrier.Reconfigure([]string{"pending"})
 	if l.carrier.pool.meanUtility != 4*before || len(l.carrier.loadMetrics) != 1 {
-		t.Errorf("worth %v, was %v; reports are read for %q", l.carrier.pool.meanUtility, before, l.carrier.loadMetrics)
+		t.Errorf("mean utility %v, was %v; load reports are read for %q", l.carrier.pool.meanUtility, before, l.carrier.loadMetrics)
 	}
 }
--- a/internal/dataplane/httpproxy/chunkreader_test.go
+++ b/internal/dataplane/httpproxy/chunkreader_test.go
@@ -13,28 +13,28 @@
 	"pgregory.net/rapid"
 )
 
-// inPieces gives its text piece by piece, with a time-out before each.
+// inPieces is a reader that returns its data piece by piece, with a timeout error before each.
 type inPieces struct {
-	pieces [][]byte
-	rested bool
+	pieces   [][]byte
+	timedOut bool // before the current piece
 }
 
 func (r *inPieces) Read(p []byte) (int, error) {
 	if len(r.pieces) == 0 {
 		return 0, io.EOF
 	}
-	if !r.rested {
-		r.rested = true
+	if !r.timedOut {
+		r.timedOut = true
 		return 0, os.ErrDeadlineExceeded
 	}
 	n := copy(p, r.pieces[0])
 	if r.pieces[0] = r.pieces[0][n:]; len(r.pieces[0]) == 0 {
-		r.pieces, r.rested = r.pieces[1:], false
+		r.pieces, r.timedOut = r.pieces[1:], false
 	}
 	return n, nil
 }
 
-// readThrough reads on over time-outs.
+// readThrough reads to the end and continues after timeouts.
 func readThrough(c *chunkReader, step int) ([]byte, error) {
 	var got []byte
 	buf := make([]byte, step)
@@ -53,7 +53,7 @@
 	}
 }
 
-// Wherever the pieces are cut and whatever time-outs come between them, the body is the same.
+// The decoded body must not depend on how the bytes arrive or on timeouts between them.
 func TestChunksInPieces(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -87,18 +87,18 @@
 				continue
 			}
 			if err != nil {
-				t.Fatalf("what follows was read too: %v", err)
+				t.Fatalf("bytes after the body were consumed: %v", err)
 			}
 			behind = append(behind, c)
 		}
 		if string(behind) != next {
-			t.Fatalf("behind the body: %q", behind)
+			t.Fatalf("after the body: %q", behind)
 		}
 	})
 }
 
-// What this reader takes, net/http's takes for the same body. It may take more: bare LF,
-// for one.
+// Whatever this reader accepts, net/http's must accept and decode to the same body. net/http's
+// may accept more, such as a bare LF.
 func FuzzChunks(f *testing.F) {
 	for _, s := range []string{
 		"0\r\n\r\n", "5\r\nabcde\r\n0\r\n\r\n", "5;x=y\r\nabcde\r\n0\r\nA: b\r\n\r\n", "5\nabcde\n0\n\n",
@@ -113,7 +113,7 @@
 		}
 		want, err := io.ReadAll(httputil.NewChunkedReader(bufio.NewReader(strings.NewReader(s))))
 		if err != nil || !bytes.Equal(got, want) {
-			t.Fatalf("%q: %q here, %q and %v there", s, got, want, err)
+			t.Fatalf("%q: decoded to %q, by net/http to %q and %v", s, got, want, err)
 		}
 	})
 }
--- a/internal/dataplane/httpproxy/clientconns_test.go
+++ b/internal/dataplane/httpproxy/clientconns_test.go
@@ -11,14 +11,14 @@
 	"marlreel/internal/testutil"
 )
 
-// bounded is a clients listener, with a channel of what it accepts.
-func bounded(t *testing.T, most int) (*clientConns, chan *clientConn) {
+// bounded returns a client connection table with a limit, and a channel of the connections that it accepts.
+func bounded(t *testing.T, limit int) (*clientConns, chan *clientConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	cs, accepted := newClientConns(ln, most), make(chan *clientConn, 16)
+	cs, accepted := newClientConns(ln, limit), make(chan *clientConn, 16)
 	t.Cleanup(func() {
 		cs.close()
 		cs.Close()
@@ -35,11 +35,11 @@
 	return cs, accepted
 }
 
-// connect opens a connection, and gives both ends.
+// connect opens a connection and returns both ends.
 func connect(t *testing.T, cs *clientConns) (near net.Conn, far *clientConn) {
 	t.Helper()
 	near = testutil.Dial(t, cs.Addr().String())
-	eventually(t, "the connection to be taken", func() bool {
+	eventually(t, "the connection to be accepted", func() bool {
 		cs.mu.Lock()
 		defer cs.mu.Unlock()
 		for c := range cs.open {
@@ -52,36 +52,36 @@
 	return near, far
 }
 
-// aged makes a connection look as if nothing had come there for so long.
+// aged moves the last progress of a connection into the past by d.
 func aged(c *clientConn, d time.Duration) {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
 	c.lastProgress = c.lastProgress.Add(-d)
 }
 
-// Connections that ask nothing once filled the bound, and nobody else was accepted any
-// more; then those who wrote slowly went first. Now who makes room depends on what has come
-// and how long ago.
+// Guards against two failures at the connection limit: connections without requests kept all others out,
+// and slowly writing clients were evicted first. Which connection is evicted depends on what it has sent and
+// how long ago.
 func TestEvictionOrder(t *testing.T) {
 	t.Parallel()
-	const part, rest, silent = "part of a request", "between two requests", "nothing yet"
+	const part, idle, silent = "part of a request", "between two requests", "nothing yet"
 	for name, c := range map[string]struct {
-		goes, stays string
-		goesAfter   time.Duration
-		staysAfter  time.Duration
+		evicted, kept string
+		evictedAge    time.Duration
+		keptAge       time.Duration
 	}{
-		"who says nothing before who writes":        {silent, part, silentGrace, usualPause},
-		"who says nothing before who rests":         {silent, rest, silentGrace, restedAfter / 2},
-		"who has rested long before who writes":     {rest, part, restedAfter, usualPause},
-		"who has stopped writing before who rests":  {part, rest, stalledAfter, 2 * restedAfter},
-		"who has paused before who has just rested": {part, rest, usualPause, restedAfter / 2},
-		"who rests before who has just connected":   {rest, silent, 0, silentGrace / 2},
-		"of two who write, who has paused longer":   {part, part, usualPause / 2, 0},
+		"silent before writing":             {silent, part, silentGrace, usualPause},
+		"silent before idle":                {silent, idle, silentGrace, restedAfter / 2},
+		"long idle before writing":          {idle, part, restedAfter, usualPause},
+		"stalled request before idle":       {part, idle, stalledAfter, 2 * restedAfter},
+		"paused request before just idle":   {part, idle, usualPause, restedAfter / 2},
+		"idle before just connected":        {idle, silent, 0, silentGrace / 2},
+		"the longer paused of two requests": {part, part, usualPause / 2, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			cs, _ := bounded(t, 9)
-			// Many others have a request in hand, and are out of the question.
+			// The other connections are serving requests and can't be evicted.
 			for range 7 {
 				_, far := connect(t, cs)
 				far.markBusy()
@@ -94,47 +94,47 @@
 					if _, err := far.Read(make([]byte, 1)); err != nil {
 						t.Fatal(err)
 					}
-				case rest:
+				case idle:
 					far.markBusy()
 					far.markIdle(true)
 				}
 				aged(far, age)
 				return near, far
 			}
-			goes, _ := set(c.goes, c.goesAfter)
-			_, stays := set(c.stays, c.staysAfter)
+			evicted, _ := set(c.evicted, c.evictedAge)
+			_, kept := set(c.kept, c.keptAge)
 			connect(t, cs)
-			testutil.Ends(t, goes, "the one that can best be spared")
+			testutil.Ends(t, evicted, "the connection to be evicted")
 			cs.mu.Lock()
 			defer cs.mu.Unlock()
-			if stays.queuedIn == nil || len(cs.open) != 9 {
-				t.Errorf("%d connections are kept", len(cs.open))
+			if kept.queuedIn == nil || len(cs.open) != 9 {
+				t.Errorf("the wrong connection was evicted, or %d connections are open", len(cs.open))
 			}
 		})
 	}
 }
 
-// A connection with a request in hand is never closed for another: that loses it.
+// A connection that is serving a request must never be evicted, as its answer would be lost.
 func TestServingConnectionsAreNotEvicted(t *testing.T) {
 	t.Parallel()
 	cs, _ := bounded(t, 1)
-	near, held := connect(t, cs)
-	held.markBusy()
-	turnedAway := testutil.Dial(t, cs.Addr().String())
-	testutil.Ends(t, turnedAway, "a connection beyond the bound")
+	near, serving := connect(t, cs)
+	serving.markBusy()
+	rejected := testutil.Dial(t, cs.Addr().String())
+	testutil.Ends(t, rejected, "a connection beyond the limit")
 	send(t, near, "x")
-	if _, err := held.Read(make([]byte, 1)); err != nil {
-		t.Fatalf("the connection with a request in hand: %v", err)
+	if _, err := serving.Read(make([]byte, 1)); err != nil {
+		t.Fatalf("the connection that is serving a request: %v", err)
 	}
-	held.markIdle(true)
+	serving.markIdle(true)
 	connect(t, cs)
-	testutil.Ends(t, near, "the connection that is at rest again")
+	testutil.Ends(t, near, "the connection that is idle again")
 	if n := len(cs.open); n != 1 {
-		t.Errorf("%d connections are counted", n)
+		t.Errorf("%d connections are open", n)
 	}
 }
 
-// A request that has come and is not read yet is taken: its connection is not silent.
+// A connection with an unread request is not silent and must not be evicted as such.
 func TestUnreadRequestsAreNotEvicted(t *testing.T) {
 	t.Parallel()
 	cs, _ := bounded(t, 2)
@@ -149,28 +149,27 @@
 	}
 }
 
-// Who has said nothing is given to nobody; who says something is, also after the listener
-// has been closed; and that is over when the last has ended.
+// Accept must return only connections on which something has been received, also after the listener
+// has been closed.
 func TestOnlyActiveConnectionsAreAccepted(t *testing.T) {
 	t.Parallel()
 	cs, accepted := bounded(t, 9)
 	first, _ := connect(t, cs)
 	second, _ := connect(t, cs)
 	send(t, second, "G")
-	if c := receive(t, accepted, "who has said something"); c.RemoteAddr().String() != second.LocalAddr().String() {
-		t.Error("who has said nothing is accepted")
+	if c := receive(t, accepted, "the connection with bytes"); c.RemoteAddr().String() != second.LocalAddr().String() {
+		t.Error("a silent connection is accepted")
 	}
 	cs.Close()
 	receive(t, cs.listenerClosed, "the listener's end")
 	send(t, first, "G")
-	c := receive(t, accepted, "who begins after the listener's end")
+	c := receive(t, accepted, "the connection with bytes after the listener's close")
 	if n, err := c.Read(make([]byte, 9)); n != 1 || err != nil {
 		t.Errorf("%d %v", n, err)
 	}
 }
 
-// A shutdown is over at once, and without an error, while connections are open that have said
-// nothing; and it ends them.
+// A shutdown must end silent connections, and return at once and without an error.
 func TestShutdownEndsSilentConnections(t *testing.T) {
 	t.Parallel()
 	front := stillEngine(t).front
@@ -182,7 +181,7 @@
 	served := make(chan error, 1)
 	go func() { served <- front.Serve(ln) }()
 	silent := testutil.Dial(t, ln.Addr().String())
-	eventually(t, "the connection to be taken", func() bool {
+	eventually(t, "the connection to be accepted", func() bool {
 		front.conns.mu.Lock()
 		defer front.conns.mu.Unlock()
 		return front.conns.silent.Len() == 1
@@ -195,7 +194,7 @@
 	testutil.Ends(t, silent, "the silent connection")
 }
 
-// One that says nothing has no more time for its head than any other, however late it begins.
+// The time for a request's head includes the silence before it: a client that starts late gets no more time than others.
 func TestHeadTimeoutIncludesSilence(t *testing.T) {
 	t.Parallel()
 	cs, accepted := bounded(t, 9)
@@ -207,25 +206,25 @@
 		t.Fatalf("%v for a head", left)
 	}
 	send(t, near, "G")
-	receive(t, accepted, "who has begun")
+	receive(t, accepted, "the connection with bytes")
 	far.headDeadline = time.Now().Add(-time.Second)
 	if err := far.SetReadDeadline(time.Now().Add(time.Hour)); err != nil {
 		t.Fatal(err)
 	}
 	buf := make([]byte, 1)
 	if _, err := far.Read(buf); !testutil.IsTimeout(err) {
-		t.Errorf("a head after its time: %v", err)
+		t.Errorf("a head after its deadline: %v", err)
 	}
 	if err := far.SetReadDeadline(time.Time{}); err != nil { // as net/http does once the head is complete
 		t.Fatal(err)
 	}
 	if _, err := far.Read(buf); err != nil {
-		t.Errorf("what follows the head: %v", err)
+		t.Errorf("bytes after the head: %v", err)
 	}
 }
 
-// What a connection costs that has said nothing is a part of what it costs once something of a
-// request has come, its other end here included in both.
+// A silent connection must cost at most half the memory of one on which part of a request has arrived.
+// Both figures include the client's end, which is in this process too.
 func TestSilentConnectionsAreCheap(t *testing.T) {
 	const many = 300
 	front := stillEngine(t).front
@@ -251,7 +250,7 @@
 			return in.Len() == many
 		}
 	}
-	eventually(t, "all to be taken", open(&front.conns.silent))
+	eventually(t, "all to be accepted", open(&front.conns.silent))
 	silent := inUse()
 	for _, c := range near {
 		send(t, c, "G")
@@ -259,16 +258,16 @@
 	eventually(t, "all to be read", open(&front.conns.partial))
 	begun := inUse()
 	each := func(with uint64) float64 { return (float64(with) - float64(before)) / many }
-	t.Logf("%.0f bytes each while they say nothing, %.0f when they have begun", each(silent), each(begun))
+	t.Logf("%.0f bytes per silent connection, %.0f with part of a request", each(silent), each(begun))
 	if each(silent) > each(begun)/2 {
-		t.Errorf("%.0f bytes for a connection that says nothing, %.0f for one that has begun", each(silent), each(begun))
+		t.Errorf("%.0f bytes for a silent connection, %.0f for one with part of a request", each(silent), each(begun))
 	}
 	front.conns.close()
 	front.server.Close()
 	_ = receive(t, served, "the end") // its error says that it was closed
 }
 
-// inUse is the memory of heap and stacks that is in use.
+// inUse returns the bytes of heap and stacks in use.
 func inUse() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
--- a/internal/dataplane/httpproxy/compatibility_sent_test.go
+++ b/internal/dataplane/httpproxy/compatibility_sent_test.go
@@ -19,7 +19,7 @@
 	"marlreel/internal/testing/recorded"
 )
 
-// goodRequest is a client's request that is taken, with all headers that mean something here.
+// goodRequest returns a valid client request with all headers that the proxy interprets.
 func goodRequest() *http.Request {
 	r := httptest.NewRequest(http.MethodPost, "/pickup/ljubljana/lot-7?page=2", strings.NewReader("body"))
 	r.Host = "auction.example.org"
@@ -33,7 +33,7 @@
 	return r
 }
 
-// sortedHead is a message with its header lines in order: they are written in any.
+// sortedHead returns a message with its header lines sorted, as they are written in random order.
 func sortedHead(message []byte) string {
 	head, body, _ := strings.Cut(string(message), "\r\n\r\n")
 	lines := strings.Split(head, "\r\n")
@@ -41,7 +41,7 @@
 	return strings.Join(lines, "\\r\\n\n") + "\\r\\n\n\\r\\n\n" + body + "\n"
 }
 
-// What goes to backends: a client's request with the headers that go on, and a probe.
+// The bytes sent to backends: client requests with the forwarded headers, and a health check.
 func TestCompatibilityToBackends(t *testing.T) {
 	l := stillEngine(t)
 	c, left, a := l.front.parse(goodRequest(), l.front.engine.SettingsSnapshot())
@@ -49,7 +49,7 @@
 		t.Fatalf("%d %s", a.status, a.body)
 	}
 	if c.ClientRequestID != "00000000000000aa" || left != 900*time.Millisecond || !c.IsRetry || c.Cost != 1500500*time.Nanosecond || c.Key == 0 {
-		t.Errorf("read as %q, %v, repeat %v, cost %v, about %d", c.ClientRequestID, left, c.IsRetry, c.Cost, c.Key)
+		t.Errorf("parsed as id %q, timeout %v, retry %v, cost %v, key %d", c.ClientRequestID, left, c.IsRetry, c.Cost, c.Key)
 	}
 	to := engine.NewBackend("s-1", "127.0.0.1:8001", true)
 	dialect := platformDialect()
@@ -70,7 +70,7 @@
 	recorded.Check(t, "to-backends.txt", got.String())
 }
 
-// recordedAnswer writes an answer down: status, headers in order, body.
+// recordedAnswer formats an answer: status, sorted headers, body.
 func recordedAnswer(w *httptest.ResponseRecorder) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d\n", w.Code)
@@ -82,7 +82,7 @@
 	return b.String() + strings.Join(lines, "") + "\n" + w.Body.String()
 }
 
-// recordBodyErrors writes down what clients get whose body can't be read.
+// recordBodyErrors appends the answers that clients get whose body can't be read.
 func recordBodyErrors(got *strings.Builder, front *Front, request func() *http.Request) {
 	for _, c := range []struct {
 		name string
@@ -100,7 +100,7 @@
 	}
 }
 
-// What clients get who ask for something that can't be taken.
+// The answers to requests that are rejected by the proxy itself.
 func TestCompatibilityRefusedRequests(t *testing.T) {
 	l := stillEngine(t)
 	get := func() *http.Request {
@@ -144,7 +144,7 @@
 	recorded.Check(t, "refused-requests.txt", got.String())
 }
 
-// What clients get for each verdict of the engine, and which headers of a backend's answer go on.
+// The answers to clients for each verdict of the engine, and the headers of a backend's answer that are forwarded.
 func TestCompatibilityVerdicts(t *testing.T) {
 	l := stillEngine(t)
 	var got strings.Builder
@@ -172,7 +172,7 @@
 	recorded.Check(t, "verdicts.txt", got.String())
 }
 
-// What a backend's status and headers mean, and its report of load.
+// The interpretation of a backend's status, X-Unprocessed header and load report.
 func TestCompatibilityFromBackends(t *testing.T) {
 	judge := platformDialect().Judge
 	var got strings.Builder
@@ -182,7 +182,7 @@
 			if unprocessed != "" {
 				resp.Header.Set("X-Unprocessed", unprocessed)
 			}
-			// The number of a result is part of no form: results are told apart by a status that has each.
+			// The numeric values of results are not part of the protocol, so each result is recorded as a status that has it.
 			result := judge(nil, nil, resp)
 			for _, like := range []int{200, 400, 500} {
 				if result == judge(nil, nil, &http.Response{StatusCode: like}) {
@@ -201,8 +201,8 @@
 	recorded.Check(t, "from-backends.txt", got.String())
 }
 
-// What a process of one version tells the next at an upgrade of a large answer on its way. Its keys are the names of
-// Go fields, which have to stay, or to get these names as tags.
+// The relay state of a large answer in flight that a process passes to one of another version at an upgrade. Its JSON keys
+// must not change when Go fields are renamed.
 func TestCompatibilityRelayState(t *testing.T) {
 	var got bytes.Buffer
 	for _, s := range []streamRelayState{
@@ -228,18 +228,18 @@
 			t.Fatalf("%s: %v", line, err)
 		}
 		if !strings.Contains(line, `"Ahead":""`) {
-			_, _ = r.backend.reader.Peek(1) // what was read ahead is in the buffer again
+			_, _ = r.backend.reader.Peek(1) // puts the undecoded bytes into the buffer again
 		}
 		again, err := json.Marshal(r.state())
 		client.Close()
 		backend.Close()
 		if err != nil || string(again) != strings.TrimSpace(line) {
-			t.Errorf("read and written again it is %s (%v), want %s", again, err, line)
+			t.Errorf("decoded and encoded again, the state is %s (%v), want %s", again, err, line)
 		}
 	}
 }
 
-// /ready, for whoever asks at the clients' address.
+// The answers of /ready at the clients' address.
 func TestCompatibilityReady(t *testing.T) {
 	l := stillEngine(t)
 	var got strings.Builder
--- a/internal/dataplane/httpproxy/compatibility_test.go
+++ b/internal/dataplane/httpproxy/compatibility_test.go
@@ -12,13 +12,13 @@
 	"testing"
 )
 
-// The files under testdata/compatibility were written by the code of commit 6fb9894. They are what a process passes
-// with the connections of a large answer that is on its way, to a process that may be of another version. They must not be
-// written again to make a test pass: where this test fails, such answers break off at an upgrade.
+// The files under testdata/compatibility were written by the code of commit 6fb9894. They are the states that a process
+// passes along with the connections of a large answer in flight, to a process that may run another version. They must not
+// be rewritten to make a test pass: if this test fails, such answers break off at an upgrade.
 //
-// A file that is missing is written by
+// A missing file is written by
 //
-//	WRITE_COMPATIBILITY_FILES=1 go test -run TestCompatibility ./internal/httpproxy
+//	WRITE_COMPATIBILITY_FILES=1 go test -run TestCompatibility ./internal/dataplane/httpproxy
 //
 // Files that exist are never overwritten.
 const (
@@ -26,12 +26,12 @@
 	writeVariable       = "WRITE_COMPATIBILITY_FILES"
 )
 
-// storedAnswer is a stored answer on its way.
+// storedAnswer is a stored relay state of an answer in flight.
 type storedAnswer struct {
 	file  string
 	state streamRelayState
-	rest  string // what the backend still sends
-	body  string // what the client is still due, but for what is pending
+	rest  string // the bytes that the backend still sends
+	body  string // the rest of the body for the client, after the pending bytes
 }
 
 func storedAnswers() []storedAnswer {
@@ -83,7 +83,7 @@
 	}
 }
 
-// TestCompatibilityOfStoredAnswers goes on with answers that an earlier version has passed.
+// TestCompatibilityOfStoredAnswers continues answers that an earlier version has handed over.
 func TestCompatibilityOfStoredAnswers(t *testing.T) {
 	writeMissingFiles(t)
 	for _, want := range storedAnswers() {
@@ -95,12 +95,12 @@
 			}
 			compareStates(t, got, want.state)
 
-			r := takenOver(t, stored, len(want.state.Undecoded), want.rest)
+			r := restoredRelay(t, stored, len(want.state.Undecoded), want.rest)
 			if again := encodeAnswer(t, r); !bytes.Equal(again, stored) {
-				t.Errorf("passed on is\n%s\nand stored is\n%s", again, stored)
+				t.Errorf("encoded again, the state is\n%s\nstored is\n%s", again, stored)
 			}
 			if !bytes.Equal(r.pending, want.state.Pending) || r.passed != want.state.Passed || r.chunked != want.state.Chunked {
-				t.Errorf("pending are %q, %d in all, chunked is %t", r.pending, r.passed, r.chunked)
+				t.Errorf("pending are %q, %d bytes passed, chunked is %t", r.pending, r.passed, r.chunked)
 			}
 			body, err := io.ReadAll(r.body)
 			if err != nil || string(body) != want.body {
@@ -110,7 +110,7 @@
 	}
 }
 
-// TestCompatibilityOfAnswersFields names the fields of an answer that is passed, with no help from this package.
+// TestCompatibilityOfAnswersFields spells out the JSON fields of a relay state, independently of the types of this package.
 func TestCompatibilityOfAnswersFields(t *testing.T) {
 	writeMissingFiles(t)
 	const want = `{"Version":1,"Form":"chunks","Left":6,"Chunk":1,"Line":null,"Trailer":0,"Chunked":true,` +
@@ -154,7 +154,7 @@
 	}
 }
 
-// textConn is a backend's connection on which a text comes.
+// textConn is a backend connection from which a given text is read.
 type textConn struct {
 	net.Conn
 	text io.Reader
@@ -162,9 +162,9 @@
 
 func (c textConn) Read(p []byte) (int, error) { return c.text.Read(p) }
 
-// takenOver makes a relay of what was passed, as of a backend that sends the rest. What was read ahead is buffered, as
-// it was where it came from.
-func takenOver(t *testing.T, state []byte, ahead int, rest string) *streamRelay {
+// restoredRelay restores a relay from a state; its backend sends rest. The undecoded bytes, ahead in number, are buffered
+// again, as they were in the process that passed them.
+func restoredRelay(t *testing.T, state []byte, ahead int, rest string) *streamRelay {
 	t.Helper()
 	r, err := decodeRelay(state, nil, textConn{text: strings.NewReader(rest)})
 	if err != nil {
@@ -194,7 +194,7 @@
 	return data
 }
 
-// writeMissingFiles writes the files that are missing, if that is asked for.
+// writeMissingFiles writes the missing files, if writeVariable is set.
 func writeMissingFiles(t *testing.T) {
 	t.Helper()
 	if os.Getenv(writeVariable) == "" {
--- a/internal/dataplane/httpproxy/crossing_test.go
+++ b/internal/dataplane/httpproxy/crossing_test.go
@@ -22,7 +22,7 @@
 	"marlreel/internal/testutil"
 )
 
-// barrier holds somebody up at a point until the test lets go.
+// barrier blocks a goroutine at a point until the test calls let.
 type barrier struct{ reached, open chan struct{} }
 
 func newBarrier(t *testing.T) *barrier {
@@ -44,16 +44,16 @@
 	}
 }
 
-// gated is a client's connection that is held up between a read and what becomes of it.
+// gated is a client connection with a hook between a read and the use of its bytes.
 type gated struct {
 	*net.TCPConn
-	read func(p []byte)
+	read func(p []byte) // called with the bytes of each read
 
 	mu   sync.Mutex
-	ends chan struct{} // closed when this side ends the connection, or its reads; nil: nobody wants to know
+	ends chan struct{} // closed when this side closes the connection or ends its reads; nil: not watched
 }
 
-// watch gives a channel that is closed when this side ends the connection, or its reads, from now on.
+// watch returns a channel that is closed when this side next closes the connection or ends its reads.
 func (g *gated) watch() chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -108,11 +108,11 @@
 	return g, nil
 }
 
-// served is a front that serves, its engine running.
+// served is a serving front with a running engine.
 type served struct {
 	*still
 	ln     *gates
-	closed chan struct{} // a connection has ended, and its handlers with it
+	closed chan struct{} // gets a value when a connection has been closed and its handler has returned
 }
 
 func serveFront(t *testing.T, read func(p []byte), entries ...engine.Entry) *served {
@@ -127,9 +127,9 @@
 	}
 	l.ln = &gates{ln, read, make(chan *gated, 8)}
 	l.front.SetMaxConnections(9)
-	told := l.front.server.ConnState
+	connState := l.front.server.ConnState
 	l.front.server.ConnState = func(c net.Conn, s http.ConnState) {
-		told(c, s)
+		connState(c, s)
 		if s == http.StateClosed {
 			l.closed <- struct{}{}
 		}
@@ -150,13 +150,13 @@
 	return l
 }
 
-// get is a request for a listing.
+// get returns a request for a listing.
 func get(about string) string {
 	return fmt.Sprintf("GET /lot-list/%s HTTP/1.1\r\nHost: origin.svc\r\nX-Correlation-Id: %016x\r\nX-Account: obala\r\nX-Time-Left: 12000m\r\n\r\n",
 		about, lastName.Add(1))
 }
 
-// answering is a backend that tells of each request and answers it with a body of n bytes.
+// answering starts a backend that sends the path of each request to the channel and answers with a body of n bytes.
 func answering(t *testing.T, n int) (string, chan string) {
 	got := make(chan string, 16)
 	return rawBackend(t, func(c net.Conn, in *bufio.Reader) {
@@ -179,12 +179,12 @@
 	}
 	defer resp.Body.Close()
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		t.Fatalf("half an answer: %v", err)
+		t.Fatalf("incomplete answer: %v", err)
 	}
 	return resp.StatusCode, resp.Close
 }
 
-// waysToEnd are what ends an idle connection; each gives a channel of its own result.
+// waysToEnd are the events that end an idle connection; each returns a channel for its result.
 var waysToEnd = map[string]func(t *testing.T, l *served) (ended chan error){
 	"by the shutdown": func(t *testing.T, l *served) chan error {
 		far := receive(t, l.ln.all, "the connection")
@@ -202,9 +202,9 @@
 	},
 }
 
-// A request that is read on a resting connection while that is ended, by the shutdown or to make room for others, is
-// nobody's: its client is told by the connection's end that it may send it once more, so it must not be sent on.
-// net/http ends a connection between the read and the state that shows it, and served the request all the same.
+// A request that is read on an idle connection while that is being closed, by the shutdown or by an eviction, must not be
+// forwarded: the close tells the client that it may send the request again. net/http may close a connection after the read
+// and before the connection's state shows it, and then still served the request.
 func TestRequestReadAsItsConnectionEndsIsNotForwarded(t *testing.T) {
 	t.Parallel()
 	for name, end := range waysToEnd {
@@ -222,7 +222,7 @@
 			send(t, c, get("first"))
 			answered(t, in)
 			receive(t, got, "the first request")
-			eventually(t, "the connection to rest", func() bool {
+			eventually(t, "the connection to be idle", func() bool {
 				l.front.conns.mu.Lock()
 				defer l.front.conns.mu.Unlock()
 				return l.front.conns.idle.Len() == 1
@@ -231,23 +231,23 @@
 			receive(t, gate.reached, "the second request to be read")
 			over := end(t, l)
 			gate.let()
-			receive(t, l.closed, "the end of its handlers")
+			receive(t, l.closed, "the end of the handler")
 			if left, err := io.ReadAll(in); len(left) > 0 {
-				t.Errorf("%q, %v: an answer on a connection that was ended", left, err)
+				t.Errorf("%q, %v: an answer on a closed connection", left, err)
 			}
 			if err := receive(t, over, "the end"); err != nil {
 				t.Error(err)
 			}
 			select {
 			case path := <-got:
-				t.Errorf("%s was read from a connection that was ended, and sent on", path)
+				t.Errorf("%s was read from a connection that was being closed, and forwarded", path)
 			default:
 			}
 		})
 	}
 }
 
-// One that has been read before is answered, however long its handler is in beginning.
+// A request that was read before the shutdown must be answered, however late its handler starts.
 func TestRequestThatWasReadOutlivesShutdown(t *testing.T) {
 	t.Parallel()
 	gate := newBarrier(t)
@@ -270,7 +270,7 @@
 	l.ln.Close()
 	l.front.conns.mu.Lock()
 	for far := range l.front.conns.open {
-		far.lastProgress = far.lastProgress.Add(-time.Minute) // nothing has come for long
+		far.lastProgress = far.lastProgress.Add(-time.Minute) // as if nothing had arrived for long
 	}
 	l.front.conns.mu.Unlock()
 	l.front.conns.endIdle()
@@ -281,20 +281,21 @@
 	go func() { over <- l.front.Shutdown(t.Context()) }()
 	gate.let()
 	if status, closes := answered(t, in); status != http.StatusOK || !closes {
-		t.Errorf("status %d, ends its connection: %v", status, closes)
+		t.Errorf("status %d, closes the connection: %v", status, closes)
 	}
 	if err := receive(t, over, "the end of the shutdown"); err != nil {
 		t.Error(err)
 	}
 }
 
-// What a client has sent behind its request, and nobody reads, must not reset away the answer that it still reads.
-func TestAnswerOutlivesItsConnectionsEnd(t *testing.T) {
+// Unread bytes that a client has sent after its request must not reset the connection while the client still reads the
+// answer.
+func TestAnswerIsNotLostAtClose(t *testing.T) {
 	t.Parallel()
 	const size = 60 << 10
 	addr, _ := answering(t, size)
 	l := serveFront(t, nil, ready("s-1", addr))
-	l.front.Stop() // every answer ends its connection
+	l.front.Stop() // every answer closes its connection
 	d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 		var optErr error
 		err := raw.Control(func(fd uintptr) {
@@ -309,7 +310,7 @@
 	defer c.Close()
 	_ = c.SetDeadline(time.Now().Add(patience))
 	send(t, c, get("first")+get("second")+strings.Repeat("x", 16<<10))
-	receive(t, l.closed, "the connection's end here")
+	receive(t, l.closed, "the close by the proxy")
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -320,10 +321,11 @@
 	}
 }
 
-// Nothing small is held back: neither to clients, whose connection came by a descriptor or not, nor to backends.
+// TCP_NODELAY must be set, so that small writes aren't delayed, on accepted and handed-over client connections and on
+// backend connections.
 func TestNoDelayIsSet(t *testing.T) {
 	t.Parallel()
-	quick := func(what string, c net.Conn) {
+	checkNoDelay := func(what string, c net.Conn) {
 		t.Helper()
 		raw, err := c.(syscall.Conn).SyscallConn()
 		if err != nil {
@@ -331,7 +333,7 @@
 		}
 		err = raw.Control(func(fd uintptr) {
 			if on, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY); err != nil || on == 0 {
-				t.Errorf("%s: what is small waits: %v", what, err)
+				t.Errorf("%s: TCP_NODELAY is not set: %v", what, err)
 			}
 		})
 		if err != nil {
@@ -344,7 +346,7 @@
 	send(t, c, get("first"))
 	answered(t, bufio.NewReader(c))
 	far := receive(t, l.ln.all, "the connection")
-	quick("a client", far.TCPConn)
+	checkNoDelay("a client", far.TCPConn)
 	file, err := far.File()
 	if err != nil {
 		t.Fatal(err)
@@ -355,17 +357,17 @@
 		t.Fatal(err)
 	}
 	defer passed.Close()
-	quick("a client that was passed on", passed)
+	checkNoDelay("a client that was handed over", passed)
 	x := &exchange{backend: engine.NewBackend("s-1", addr, true), permit: new(engine.Permit), dialect: platformDialect(), message: probeMessage(addr), deadline: time.Now().Add(patience)}
 	r := x.run(t.Context(), patience, nil)
 	if r.conn == nil {
 		t.Fatalf("%+v", r)
 	}
 	defer r.conn.Close()
-	quick("a backend", r.conn.Conn)
+	checkNoDelay("a backend", r.conn.Conn)
 }
 
-// halfway is an attempt of which all but the last byte is out.
+// halfway starts an attempt of which all but the last byte has been sent.
 func halfway(t *testing.T, then func(c net.Conn, in *bufio.Reader)) (x *exchange, ended chan Reply) {
 	begun := make(chan struct{})
 	addr := rawBackend(t, func(c net.Conn, in *bufio.Reader) {
@@ -383,32 +385,33 @@
 	return x, ended
 }
 
-// While the last byte is kept back the call may be answered, or its client leave. That byte never goes out then.
+// While the last byte is held back, the call may be answered or its client may disconnect. The last byte must not be sent
+// then.
 func TestLastByteNeedsThePermit(t *testing.T) {
 	t.Parallel()
 	rest := make(chan []byte, 1)
 	gate := make(chan struct{})
 	x, ended := halfway(t, func(c net.Conn, in *bufio.Reader) {
 		<-gate
-		_, _ = io.WriteString(c, okAnswer) // which ends the wait
+		_, _ = io.WriteString(c, okAnswer) // ends the holdback
 		all, _ := io.ReadAll(in)
 		rest <- all
 	})
 	if !x.permit.Revoke() {
-		t.Fatal("the permit is used, and the last byte is not out")
+		t.Fatal("the permit was claimed before the last byte was sent")
 	}
 	close(gate)
 	if r := receive(t, ended, "the attempt's end"); !r.result.NeverRan() || r.conn != nil {
 		t.Errorf("%v, connection kept: %v", r.result, r.conn != nil)
 	}
 	if got := receive(t, rest, "the connection's end"); bytes.HasSuffix(got, []byte("\r\n\r\n")) {
-		t.Error("the request went out whole")
+		t.Error("the request was sent completely")
 	}
 }
 
-// What a backend says before a request is whole is no answer to it: a second answer to the one before, or the end of
-// one. Read as this one's its client would get another's.
-func TestEarlyAnswerIsNoAnswer(t *testing.T) {
+// An answer that arrives before the request is complete may be a second answer to the previous request. It must not be
+// taken for the answer to this one, or the client would get another client's answer.
+func TestEarlyAnswerIsNotUsed(t *testing.T) {
 	t.Parallel()
 	for text, want := range map[string]balancer.Result{
 		okAnswer: balancer.NotSent,
@@ -426,7 +429,7 @@
 	}
 }
 
-// Whoever was called off by this side has not seen a connection break.
+// A connection closed by cancelling the attempt must not be reported to the connection model as broken.
 func TestCancellationIsNoConnectionOutcome(t *testing.T) {
 	t.Parallel()
 	addr, got := silent(t)
@@ -437,12 +440,12 @@
 	receive(t, got, "the request")
 	cancel()
 	if r := receive(t, ended, "the attempt's end"); r.result != balancer.Cancelled || r.connOutcome.Broken {
-		t.Errorf("%v, a break: %v", r.result, r.connOutcome.Broken)
+		t.Errorf("%v, reported as broken: %v", r.result, r.connOutcome.Broken)
 	}
 }
 
-// A keyed request may go again within its window, and a dial may take longer than what is left of it: the permit is
-// looked at where the last byte goes out.
+// A keyed request may be retried within its idempotency window, and a dial may outlast the rest of the window: the permit
+// must be checked when the last byte is sent.
 func TestNothingIsSentAfterTheIdempotencyWindow(t *testing.T) {
 	t.Parallel()
 	var paths [2]chan string
@@ -470,7 +473,7 @@
 	}
 	r := l.ask(2, time.Minute)
 	first := l.Now()
-	r.ClientConnected = func() bool { // the dial is done: what follows is the write
+	r.ClientConnected = func() bool { // called after the dial and before the write
 		if len(r.Attempts()) > 1 {
 			time.Sleep(time.Until(l.WallTime(first + window + time.Millisecond)))
 		}
@@ -480,12 +483,12 @@
 		l.Dispatch(receive(t, l.Events(), "the next event"))
 	}
 	if n := len(paths[0]) + len(paths[1]); n != 1 || len(r.Attempts()) < 2 {
-		t.Errorf("%d of %d attempts went out", n, len(r.Attempts()))
+		t.Errorf("%d of %d attempts were sent", n, len(r.Attempts()))
 	}
 }
 
-// A client that has left gets no attempt, whatever stands before its end in the connection, and however far the
-// engine is behind with the word of it.
+// No attempt may be sent for a client that has disconnected, even if unread bytes precede the end of its connection, and
+// if the engine has not processed the disconnect yet.
 func TestNoAttemptForDisconnectedClient(t *testing.T) {
 	t.Parallel()
 	for _, ahead := range []string{"", "G", get("pipelined"), strings.Repeat("x", 64<<10)} {
@@ -500,31 +503,31 @@
 			receive(t, before.reached, "the engine")
 			c := testutil.Dial(t, l.ln.Addr().String())
 			send(t, c, get("first"))
-			eventually(t, "the request to be taken", func() bool { return len(l.Events()) > 0 })
-			l.Post(after.wait) // the engine comes to the request, and to nothing that comes later
-			send(t, c, ahead)  // net/http looks for the client's end no further than this
+			eventually(t, "the request to be posted to the engine", func() bool { return len(l.Events()) > 0 })
+			l.Post(after.wait) // the engine processes the request, but no later event
+			send(t, c, ahead)  // net/http notices a disconnect only if no bytes precede it
 			leave(c)
 			far := receive(t, l.ln.all, "the connection")
-			eventually(t, "the client's end to be here", func() bool { return ended(far.TCPConn) })
+			eventually(t, "the disconnect to arrive", func() bool { return ended(far.TCPConn) })
 			before.let()
-			receive(t, after.reached, "the engine behind the request")
-			events := 1 // the attempt's end,
+			receive(t, after.reached, "the engine to process the request")
+			events := 1 // the attempt's end
 			if ahead == "" {
-				events++ // and the handler's word that the client has left
+				events++ // the disconnect reported by the handler
 			}
 			eventually(t, "the attempt's end", func() bool { return len(l.Events()) >= events })
 			after.let()
 			receive(t, l.closed, "the end of the handler")
 			select {
 			case path := <-got:
-				t.Errorf("%d bytes ahead, %s: %s was sent on", len(ahead), name, path)
+				t.Errorf("%d bytes before the end, %s: %s was sent", len(ahead), name, path)
 			default:
 			}
 		}
 	}
 }
 
-// ended tells whether the peer has ended a connection, without reading from it.
+// ended reports whether the peer has closed a connection, without reading from it.
 func ended(c *net.TCPConn) (is bool) {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/dataplane/httpproxy/earlyanswer_test.go
+++ b/internal/dataplane/httpproxy/earlyanswer_test.go
@@ -13,24 +13,24 @@
 	"marlreel/internal/dataplane/engine"
 )
 
-// What a backend does once it has said its answer.
+// What a backend does after it has sent its answer.
 func stopReading(net.Conn, *bufio.Reader)    {}
 func readOn(_ net.Conn, in *bufio.Reader)    { _, _ = io.Copy(io.Discard, in) }
 func endItsSide(c net.Conn, _ *bufio.Reader) { _ = c.(*net.TCPConn).CloseWrite() }
 
 const (
-	longBody = 24 << 20 // more than the buffers of a connection hold
+	longBody = 24 << 20 // more than fits into the buffers of a connection
 	notRun   = "HTTP/1.1 503 Busy\r\nRequest-Id: mine\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
-// earlyAnswers are what backends do that have read the head of a request alone.
+// earlyAnswers are the ways in which a backend answers after it has read only the head of a request.
 var earlyAnswers = map[string]struct {
 	answer   string
 	body     int
 	holdback time.Duration
 	then     func(c net.Conn, in *bufio.Reader)
 	want     balancer.Result
-	keeps    bool // the connection may be kept
+	keeps    bool // the connection may be reused
 }{
 	"it stops reading":               {identifiedAnswer("mine"), longBody, 0, stopReading, balancer.OK, false},
 	"it ends its side":               {identifiedAnswer("mine"), longBody, 0, endItsSide, balancer.OK, false},
@@ -42,8 +42,8 @@
 	"it ends its side and says none": {"", longBody, 0, endItsSide, balancer.NotSent, false},
 }
 
-// Guards against an unsafe request that runs twice: a backend that answers before it has read a long body has run it, and
-// counted as one that ran nothing, or held its answer up until the request's time was over.
+// Guards against running an unsafe request twice: a backend that answers before it has read a long body has run the request,
+// but was taken to have run nothing, or its answer was not read before the request's deadline.
 func TestAnswerBeforeTheBodyIsTheRequestsOwn(t *testing.T) {
 	t.Parallel()
 	for name, test := range earlyAnswers {
@@ -73,7 +73,7 @@
 					t.Errorf("%v %q, connection kept: %v; want %v", r.result, r.body, r.conn != nil, test.want)
 				}
 			case <-time.After(patience / 4):
-				t.Error("the answer is held up")
+				t.Error("the answer is not read in time")
 			}
 		})
 	}
--- a/internal/dataplane/httpproxy/exchange_test.go
+++ b/internal/dataplane/httpproxy/exchange_test.go
@@ -16,8 +16,8 @@
 	"marlreel/internal/dataplane/engine"
 )
 
-// While an attempt dials, its backend may be listed as draining, or its request
-// may be answered. It must not be written then.
+// While an attempt dials, its backend may start to drain, or its request may be answered.
+// The request must not be written then.
 func TestLateDialSendsNothing(t *testing.T) {
 	t.Parallel()
 	for name, spoil := range map[string]func(x *exchange){
@@ -37,12 +37,12 @@
 		}
 		r.conn.Close()
 		if n := receive(t, got, "the end of the connection"); n != 0 {
-			t.Errorf("%s: %d bytes went out", name, n)
+			t.Errorf("%s: %d bytes were sent", name, n)
 		}
 	}
 }
 
-// A machine that has vanished is silent. An attempt there ends by itself.
+// A vanished machine sends nothing, not even a reset. An attempt there must end at its deadline.
 func TestSilenceIsATimeout(t *testing.T) {
 	t.Parallel()
 	addr, got := silent(t)
@@ -53,8 +53,8 @@
 	receive(t, got, "the request")
 }
 
-// An idle connection outlives the deadline of the exchange that it served.
-// When it did not, most were closed within a second, each for a new handshake.
+// An idle connection must stay usable after the deadline of its last exchange. When it
+// didn't, most were closed within a second, and each cost a new handshake.
 func TestIdleConnectionOutlivesItsExchange(t *testing.T) {
 	t.Parallel()
 	addr := rawBackend(t, func(c net.Conn, in *bufio.Reader) {
@@ -73,11 +73,11 @@
 	defer r.conn.Close()
 	time.Sleep(time.Until(x.deadline) + 10*time.Millisecond)
 	if !r.conn.reusable() {
-		t.Error("a good idle connection looks dead once its last exchange's time has passed")
+		t.Error("an idle connection is not reusable after the deadline of its last exchange")
 	}
 }
 
-// 1xx answers come ahead of the answer; what follows the answer makes the connection useless.
+// 1xx answers before the final answer are skipped; bytes after the answer prevent the reuse of the connection.
 func TestInterimAndSurplusAnswers(t *testing.T) {
 	t.Parallel()
 	addr := rawBackend(t, func(c net.Conn, in *bufio.Reader) {
@@ -106,8 +106,8 @@
 	}
 }
 
-// A spoilt answer ends its attempt at once, as one that may have run. The connection
-// behind it stays open: who waits for more waits until the time is up.
+// A malformed answer must end its attempt at once, as one that may have run. The backend keeps
+// the connection open, so that waiting for more bytes would last until the deadline.
 func TestMalformedAnswersEndAtOnce(t *testing.T) {
 	t.Parallel()
 	const ok = "HTTP/1.1 200 OK\r\n"
@@ -147,14 +147,14 @@
 					t.Errorf("%v, connection kept: %v", r.result, r.conn != nil)
 				}
 			case <-time.After(patience / 2):
-				t.Error("the attempt waits for its time to be up")
+				t.Error("the attempt has not ended before its deadline")
 			}
 		})
 	}
 }
 
-// Surplus may come after the answer's connection was taken for the next request. It
-// would be read as that one's answer.
+// A surplus answer may arrive after the connection was taken for the next request. It must
+// not be read as the answer to that request.
 func TestSurplusIsNeverTheNextAnswer(t *testing.T) {
 	t.Parallel()
 	var conns atomic.Int64
@@ -191,7 +191,7 @@
 	}
 }
 
-// Half a report would draw traffic to a backend as if it were idle.
+// An incomplete report would attract traffic to a backend as if it were idle.
 func TestMalformedLoadReports(t *testing.T) {
 	t.Parallel()
 	for _, text := range []string{
--- a/internal/dataplane/httpproxy/framing_test.go
+++ b/internal/dataplane/httpproxy/framing_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// framingCase is bytes of a connection, how many heads end in them, and the number of the first that is rejected.
+// framingCase is a byte stream, the number of complete heads in it, and the number of the first rejected one; 0: none.
 type framingCase struct {
 	bytes      string
 	heads, bad int
@@ -49,8 +49,8 @@
 	}
 }
 
-// What is seen of a connection does not depend on how its bytes were cut, and every head on
-// it is judged, also one that came together with the request before it.
+// The result must not depend on how the bytes are split into reads, and every head must be checked,
+// also one that was read together with the previous request.
 func TestRequestFraming(t *testing.T) {
 	t.Parallel()
 	for name, c := range framingCases() {
@@ -59,27 +59,27 @@
 			f.observe([]byte(c.bytes[:cut]))
 			f.observe([]byte(c.bytes[cut:]))
 			if f.headsEnded > 0 && !f.betweenBodies() && f.headBytes != 0 {
-				t.Errorf("%s, cut at %d: %d bytes of a head that has ended", name, cut, f.headBytes)
+				t.Errorf("%s, cut at %d: %d bytes counted for a complete head", name, cut, f.headBytes)
 			}
 			if f.headsEnded != c.heads || f.rejectFrom != c.bad {
-				t.Errorf("%s, cut at %d: %d heads, %d is bad", name, cut, f.headsEnded, f.rejectFrom)
+				t.Errorf("%s, cut at %d: %d heads, the first rejected is %d", name, cut, f.headsEnded, f.rejectFrom)
 			}
 		}
 		var f requestFraming
 		f.observe([]byte(c.bytes))
 		for n := 1; n <= c.heads; n++ {
-			if refused := f.beginRequest(); refused != (c.bad > 0 && n >= c.bad) {
-				t.Errorf("%s: head %d is refused: %v", name, n, refused)
+			if rejected := f.beginRequest(); rejected != (c.bad > 0 && n >= c.bad) {
+				t.Errorf("%s: head %d is rejected: %v", name, n, rejected)
 			}
 		}
 		if !f.beginRequest() {
-			t.Errorf("%s: a head that never ended goes through", name)
+			t.Errorf("%s: an incomplete head is not rejected", name)
 		}
 	}
 }
 
-// Whatever the bytes: where net/http finds the end of a head, it is found here too, or that
-// head is refused.
+// For any bytes: where net/http finds the end of a head, requestFraming must find it too, or reject
+// that head.
 func FuzzRequestFraming(f *testing.F) {
 	const get = "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
 	for _, s := range []string{
@@ -115,7 +115,7 @@
 				return
 			}
 			if before.observe(data[fed : end-1]); seen.headsEnded != n || before.headsEnded != n-1 {
-				t.Fatalf("%q: net/http's head %d ends at byte %d; %d seen before it, %d with it", data, n, end, before.headsEnded, seen.headsEnded)
+				t.Fatalf("%q: net/http's head %d ends at byte %d; %d heads observed before it, %d with it", data, n, end, before.headsEnded, seen.headsEnded)
 			}
 			fed = end
 			if _, err := io.Copy(io.Discard, r.Body); err != nil {
--- a/internal/dataplane/httpproxy/front_test.go
+++ b/internal/dataplane/httpproxy/front_test.go
@@ -11,8 +11,9 @@
 	"marlreel/internal/dataplane/engine"
 )
 
-// What is owed to bad clients is owed within 3 s of connecting.
-func TestTimeoutsKeepWhatIsOwed(t *testing.T) {
+// Clients that send nothing or an incomplete request must get an error or a close within 3 s of connecting, and idle
+// connections must stay open for at least 2 s.
+func TestServerTimeoutsMeetClientLimits(t *testing.T) {
 	t.Parallel()
 	h := stillEngine(t).front.server
 	if h.ReadHeaderTimeout >= 3*time.Second || h.ReadTimeout >= 3*time.Second || h.IdleTimeout < 2*time.Second {
@@ -20,7 +21,7 @@
 	}
 }
 
-// However long a client says it waits, its class bounds what it may hold here.
+// The timeout that a client asks for is limited to that of its class.
 func TestClientTimeoutIsBoundedByTheClass(t *testing.T) {
 	t.Parallel()
 	l := stillEngine(t)
@@ -34,14 +35,14 @@
 	}
 }
 
-// Who is turned away before the module hears of him is told when to come again, where the settings let
-// it be told. What a backend says goes on as it is.
+// Requests that are rejected before they reach the balancer get a Retry-After header, if the settings
+// provide one. Errors that a retry can't fix get none.
 func TestRetryAfterOfRejectedRequests(t *testing.T) {
 	t.Parallel()
 	l := stillEngine(t)
-	told := strconv.FormatFloat(l.RetryAfter().Seconds(), 'f', 3, 64)
+	want := strconv.FormatFloat(l.RetryAfter().Seconds(), 'f', 3, 64)
 	if l.RetryAfter() == 0 {
-		t.Fatal("these settings tell nobody")
+		t.Fatal("the settings provide no Retry-After")
 	}
 	l.front.RejectAll()
 	r := httptest.NewRequest(http.MethodGet, "/lot-list", nil)
@@ -50,22 +51,22 @@
 	r.Header.Set(headerTimeout, "1000m")
 	w := httptest.NewRecorder()
 	l.front.ServeHTTP(w, r)
-	if got := w.Header().Get("Retry-After"); w.Code != http.StatusServiceUnavailable || got != told {
-		t.Errorf("at the stop: %d, Retry-After %q, want %q", w.Code, got, told)
+	if got := w.Header().Get("Retry-After"); w.Code != http.StatusServiceUnavailable || got != want {
+		t.Errorf("while stopping: %d, Retry-After %q, want %q", w.Code, got, want)
 	}
 	full := httptest.NewRecorder()
 	l.front.writeAnswer(full, r, nil, bodyError(errNoRoom))
-	if got := full.Header().Get("Retry-After"); full.Code != http.StatusServiceUnavailable || got != told {
-		t.Errorf("with no room for its body: %d, Retry-After %q, want %q", full.Code, got, told)
+	if got := full.Header().Get("Retry-After"); full.Code != http.StatusServiceUnavailable || got != want {
+		t.Errorf("without memory for the body: %d, Retry-After %q, want %q", full.Code, got, want)
 	}
 	bad := httptest.NewRecorder()
 	l.front.writeAnswer(bad, r, nil, bodyError(errTooLong))
 	if got := bad.Header().Get("Retry-After"); got != "" {
-		t.Errorf("%d with Retry-After %q: coming again helps nobody", bad.Code, got)
+		t.Errorf("%d with Retry-After %q: a retry can't succeed", bad.Code, got)
 	}
 }
 
-// Without any list it can't serve, and doesn't say so.
+// Without a membership list the proxy can't serve, and /ready must say so.
 func TestNotReadyWithoutMembership(t *testing.T) {
 	t.Parallel()
 	l := stillEngine(t)
--- a/internal/dataplane/httpproxy/handover_test.go
+++ b/internal/dataplane/httpproxy/handover_test.go
@@ -24,7 +24,7 @@
 	"marlreel/internal/testutil"
 )
 
-// serving is a front that serves at a listener until the test ends.
+// serving returns a front that serves on a listener until the test ends.
 func serving(t *testing.T, entries ...engine.Entry) (*Front, net.Listener) {
 	t.Helper()
 	front, ln, run := servingLater(t, entries...)
@@ -32,7 +32,7 @@
 	return front, ln
 }
 
-// servingLater is a front whose engine does nothing before run is called.
+// servingLater returns a front whose engine doesn't run before run is called.
 func servingLater(t *testing.T, entries ...engine.Entry) (front *Front, ln net.Listener, run func()) {
 	t.Helper()
 	front = stillEngine(t, entries...).front
@@ -44,7 +44,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	served := make(chan error, 1)
 	go func() { served <- front.Serve(ln) }()
-	// The engine begins with the list that it was made with, and that has none.
+	// The list that the engine was created with is only a cached one; this one is from discovery.
 	front.engine.Post(func() {
 		front.engine.ApplyMembership(engine.Membership{Kind: balancer.MembershipFull, Version: 1, Entries: entries})
 	})
@@ -58,7 +58,7 @@
 	return front, ln, func() { go front.engine.Run(ctx) }
 }
 
-// echo answers with what came, as its server read it.
+// echo answers with the method, path, id and body hash of the request as it was received.
 func echo(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -67,9 +67,9 @@
 	fmt.Fprintf(w, "%s %s %s %x %d", r.Method, r.URL.Path, r.Header.Get(headerID), sha256.Sum256(body), len(body))
 }
 
-// to gives connections to another front, as another process would have them: in descriptors of
-// its own.
-func to(t *testing.T, next *Front, taken *atomic.Int64) TransferFunc {
+// transferTo hands connections over to another front, with duplicated descriptors as another process
+// would get them.
+func transferTo(t *testing.T, next *Front, taken *atomic.Int64) TransferFunc {
 	return func(state []byte, client, backend net.Conn) bool {
 		f, err := client.(*net.TCPConn).File()
 		if err != nil {
@@ -92,7 +92,7 @@
 	}
 }
 
-// inChunks puts a body in chunks of some sizes, with all that may stand around them.
+// inChunks encodes a body in chunks of drawn sizes, with drawn zeros, extensions and trailers.
 func inChunks(rt *rapid.T, body string) string {
 	var b strings.Builder
 	for len(body) > 0 {
@@ -104,11 +104,11 @@
 	return b.String() + "0\r\n" + rapid.SampledFrom([]string{"", "A: b\r\n", "A: b\r\nC: d\r\n"}).Draw(rt, "trailer") + "\r\n"
 }
 
-// drawnRequest is a request of any form, and where in it its connection is handed over.
+// drawnRequest is a drawn request, and the offset in it at which its connection is handed over.
 type drawnRequest struct {
 	text, body string
 	cut        int
-	settled    bool // what has come is read before the handover
+	settled    bool // all bytes sent so far are read before the handover
 }
 
 const drawnID = "00000000000000aa"
@@ -130,7 +130,7 @@
 	return d
 }
 
-// allRead tells whether a front's connection has nothing to be read.
+// allRead reports whether the one connection of a front has no unread bytes.
 func allRead(f *Front) bool {
 	f.conns.mu.Lock()
 	defer f.conns.mu.Unlock()
@@ -146,8 +146,8 @@
 	return len(f.conns.open)
 }
 
-// Wherever in a request, before it or between two, a connection is given to the next process: what
-// the client asks is what that one reads, and the client sees nothing of it.
+// Wherever in a request a connection is handed over, the next process must read the request
+// unchanged and answer it, unnoticed by the client.
 func TestRequestIsHandedOver(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
@@ -164,14 +164,14 @@
 			t.Fatal(err)
 		}
 		send(t, client, d.text[:d.cut])
-		eventually(t, "the connection to be taken", func() bool { return openConns(old) == 1 })
+		eventually(t, "the connection to be accepted", func() bool { return openConns(old) == 1 })
 		if d.settled {
 			eventually(t, "all to be read", func() bool { return allRead(old) })
 		}
 		var taken atomic.Int64
-		old.HandOver(to(t, next, &taken))
+		old.HandOver(transferTo(t, next, &taken))
 		if d.settled {
-			eventually(t, fmt.Sprintf("it to be taken, cut at %d of %.400q", d.cut, d.text), func() bool { return taken.Load() == 1 })
+			eventually(t, fmt.Sprintf("the connection to be handed over, cut at %d of %.400q", d.cut, d.text), func() bool { return taken.Load() == 1 })
 		}
 		send(t, client, d.text[d.cut:])
 		resp, err := http.ReadResponse(bufio.NewReader(client), nil)
@@ -181,19 +181,20 @@
 		defer resp.Body.Close()
 		got, _ := io.ReadAll(resp.Body)
 		if !d.settled && resp.StatusCode == http.StatusServiceUnavailable {
-			return // it was complete before it could be given: the old one, which has no backends, answered
+			return // the request was complete before the handover: the old front, which has no backends, answered
 		}
 		if want := fmt.Sprintf("POST /bid/x %s %x %d", drawnID, sha256.Sum256([]byte(d.body)), len(d.body)); string(got) != want {
 			rt.Fatalf("cut at %d of %.300q: %d %q, want %q", d.cut, d.text, resp.StatusCode, got, want)
 		}
-		eventually(t, "the old one to have nothing left", func() bool { return openConns(old) == 0 && old.memory.Used() == 0 })
+		eventually(t, "the old front to have no connection and no memory left", func() bool { return openConns(old) == 0 && old.memory.Used() == 0 })
 		client.Close()
-		eventually(t, "the memory to be given back", func() bool { return next.memory.Used() == 0 })
+		eventually(t, "the memory to be released", func() bool { return next.memory.Used() == 0 })
 	})
 }
 
-// isNudged tells whether the one connection of a front has a nudge that no read has taken, and whether it has one.
-func isNudged(f *Front) (nudged, open bool) {
+// interruptPending reports whether the one connection of a front has an interrupt that no read has consumed yet, and
+// whether that connection is open.
+func interruptPending(f *Front) (pending, open bool) {
 	f.conns.mu.Lock()
 	defer f.conns.mu.Unlock()
 	for c := range f.conns.open {
@@ -204,8 +205,8 @@
 	return false, false
 }
 
-// A request that has been read whole is this process's, also while its handler has not begun and net/http reads on
-// behind it: the connection goes to the next process with its answer, or after it.
+// A request that has been read completely must be answered by this process, even if its handler has not started and
+// net/http already reads beyond it: the connection may be handed over only after the answer.
 func TestRequestThatWasReadIsNotHandedOver(t *testing.T) {
 	t.Parallel()
 	old, ln := serving(t)
@@ -219,10 +220,10 @@
 	send(t, client, get("whole"))
 	receive(t, gate.reached, "the handler")
 	var taken atomic.Int64
-	old.HandOver(to(t, next, &taken))
-	eventually(t, "the read behind the request to have seen that", func() bool {
-		nudged, open := isNudged(old)
-		return !nudged || !open // else it has been given away
+	old.HandOver(transferTo(t, next, &taken))
+	eventually(t, "the read beyond the request to consume the interrupt", func() bool {
+		pending, open := interruptPending(old)
+		return !pending || !open // not open: the connection was wrongly handed over
 	})
 	gate.let()
 	resp, err := http.ReadResponse(bufio.NewReader(client), nil)
@@ -230,14 +231,15 @@
 		t.Fatalf("no answer: %v", err)
 	}
 	defer resp.Body.Close()
-	if resp.StatusCode != http.StatusServiceUnavailable { // it has no backends
+	if resp.StatusCode != http.StatusServiceUnavailable { // the old front has no backends
 		t.Error(resp.Status)
 	}
 }
 
-// A body that is already on its way to a backend, as there was no room to collect it, goes on
-// elsewhere too while all that has come of it is here. A read that fails ends the request's context
-// before its reader hears of it: whichever is met first, it goes on (20 times over).
+// A body that is already being forwarded, as there was no memory to buffer it, can still be handed
+// over while all its received bytes are buffered. The failed read also cancels the request's context,
+// possibly before the reader of the body gets the error: the handover must succeed in either order
+// (so it is tried 20 times).
 func TestRequestWithPartialBodyIsHandedOver(t *testing.T) {
 	t.Parallel()
 	reading := rawBackend(t, func(_ net.Conn, in *bufio.Reader) { _, _ = io.Copy(io.Discard, in) })
@@ -249,12 +251,12 @@
 		client := testutil.Dial(t, ln.Addr().String())
 		const others = 680 << 10
 		if !old.memory.TryAcquire(others, budget.Large) {
-			t.Fatal("no room to take")
+			t.Fatal("cannot reserve the memory")
 		}
 		fmt.Fprintf(client, "POST /bid/x HTTP/1.1\r\nHost: a\r\nX-Account: obala\r\nX-Time-Left: 9000m\r\n%s: 00000000000000aa\r\nContent-Length: %d\r\n\r\n",
 			headerID, len(body))
 		send(t, client, body[:40<<10])
-		partly := func() bool {
+		receiving := func() bool {
 			old.conns.mu.Lock()
 			defer old.conns.mu.Unlock()
 			for c := range old.conns.open {
@@ -262,7 +264,7 @@
 			}
 			return false
 		}
-		eventually(t, "it to be on its way", partly)
+		eventually(t, "the body to be received while the request is served", receiving)
 		old.memory.Release(others, budget.Large)
 		run()
 		send(t, client, body[40<<10:80<<10])
@@ -275,8 +277,8 @@
 			return false
 		})
 		var taken atomic.Int64
-		old.HandOver(to(t, next, &taken))
-		eventually(t, "it to be taken", func() bool { return taken.Load() == 1 })
+		old.HandOver(transferTo(t, next, &taken))
+		eventually(t, "the request to be handed over", func() bool { return taken.Load() == 1 })
 		send(t, client, body[80<<10:])
 		resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 		if err != nil {
@@ -289,8 +291,8 @@
 	}
 }
 
-// A connection that rests between two requests goes on too; and where nobody takes what is given,
-// all goes on here.
+// An idle connection between two requests is handed over too; if the next process doesn't accept
+// it, this process goes on serving it.
 func TestIdleConnectionsAreHandedOver(t *testing.T) {
 	t.Parallel()
 	for _, takes := range []bool{true, false} {
@@ -317,22 +319,22 @@
 		}
 		ask()
 		var taken, offered atomic.Int64
-		give := to(t, next, &taken)
+		transfer := transferTo(t, next, &taken)
 		old.HandOver(func(state []byte, c, b net.Conn) bool {
 			offered.Add(1)
-			return takes && give(state, c, b)
+			return takes && transfer(state, c, b)
 		})
-		eventually(t, "it to be offered", func() bool { return offered.Load() == 1 })
+		eventually(t, "the connection to be offered", func() bool { return offered.Load() == 1 })
 		ask()
 		ask()
 		if got := taken.Load() == 1; got != takes {
-			t.Errorf("taken: %v", got)
+			t.Errorf("handed over: %v", got)
 		}
 	}
 }
 
-// A request in hand, whose last byte has come, is answered where it is; the nudge to give its
-// connection away does not end it.
+// A completely received request that is being served must be answered by this process; the interrupt
+// for the handover must not cancel it.
 func TestServedRequestIsNotHandedOver(t *testing.T) {
 	t.Parallel()
 	old, ln := serving(t)
@@ -353,8 +355,8 @@
 	send(t, near, "POST /bid/x HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc")
 	c := receive(t, inHand, "the request")
 	old.HandOver(func([]byte, net.Conn, net.Conn) bool { return false })
-	c.interruptRead() // as where it was still being read when the nudge was on its way
-	eventually(t, "the nudge to be taken", func() bool {
+	c.interruptRead() // as if the handover had started while the request was still being read
+	eventually(t, "the interrupt to be consumed", func() bool {
 		c.readDeadlineMu.Lock()
 		defer c.readDeadlineMu.Unlock()
 		return !c.interrupted
@@ -365,22 +367,22 @@
 	}
 }
 
-// What is too much, or finds no room, is not taken, and its giver keeps it.
+// A connection with too many received bytes, or beyond the connection limit, is not accepted, and no memory stays reserved.
 func TestAdoptRejects(t *testing.T) {
 	t.Parallel()
 	next, ln := serving(t)
 	far := testutil.Dial(t, ln.Addr().String())
 	if err := next.AdoptClient(make([]byte, 2<<20), far); !errors.Is(err, errNoRoom) {
-		t.Errorf("2 MB in a room of 1: %v", err)
+		t.Errorf("2 MB with a budget of 1 MB: %v", err)
 	}
 	next.SetMaxConnections(0)
 	if err := next.AdoptClient(make([]byte, 100<<10), far); err == nil || next.memory.Used() != 0 {
-		t.Errorf("with no place: %v, %d bytes held", err, next.memory.Used())
+		t.Errorf("at the connection limit: %v, %d bytes reserved", err, next.memory.Used())
 	}
 }
 
-// A body on its way whose beginning has made room for more can't go on elsewhere: the nudge must not
-// end its reading here, where it comes whole.
+// A body whose beginning has been forwarded and discarded can't be handed over: the interrupt must
+// not end its reading in this process, which receives the rest.
 func TestHandoverThatIsRejected(t *testing.T) {
 	t.Parallel()
 	served := rawBackend(t, func(c net.Conn, in *bufio.Reader) {
@@ -392,12 +394,12 @@
 		}
 	})
 	old, ln := serving(t, ready("s-1", served))
-	body := strings.Repeat("abcdefgh", 300<<10/8) // more than an eighth of the room
+	body := strings.Repeat("abcdefgh", 300<<10/8) // more than an eighth of the memory
 	client := testutil.Dial(t, ln.Addr().String())
 	fmt.Fprintf(client, "POST /bid/x HTTP/1.1\r\nHost: a\r\nX-Account: obala\r\nX-Time-Left: 9000m\r\n%s: 00000000000000aa\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n",
 		headerID, len(body))
 	send(t, client, body[:280<<10])
-	eventually(t, "its beginning to have gone", func() bool {
+	eventually(t, "the beginning of the body to be discarded", func() bool {
 		old.conns.mu.Lock()
 		defer old.conns.mu.Unlock()
 		for c := range old.conns.open {
@@ -409,15 +411,15 @@
 		}
 		return false
 	})
-	old.HandOver(func(come []byte, _, _ net.Conn) bool {
-		if len(come) > 0 { // else it is the connection, when all is answered
-			t.Error("it is given away")
+	old.HandOver(func(partial []byte, _, _ net.Conn) bool {
+		if len(partial) > 0 { // without bytes it is the idle connection after the answer
+			t.Error("the request is handed over")
 		}
 		return false
 	})
-	eventually(t, "the nudge to be taken", func() bool {
-		nudged, open := isNudged(old)
-		return open && !nudged
+	eventually(t, "the interrupt to be consumed", func() bool {
+		pending, open := interruptPending(old)
+		return open && !pending
 	})
 	send(t, client, body[280<<10:]+"\r\n0\r\n\r\n")
 	if status, _ := answered(t, bufio.NewReader(client)); status != http.StatusOK {
--- a/internal/dataplane/httpproxy/harness_test.go
+++ b/internal/dataplane/httpproxy/harness_test.go
@@ -44,12 +44,12 @@
 	return testutil.Silent(t)
 }
 
-// ready is a list's entry for a backend at an address.
+// ready returns a membership entry for a ready backend at an address.
 func ready(name, addr string) engine.Entry {
 	return engine.Entry{Name: name, Addr: addr, State: balancer.Ready, Weight: 1}
 }
 
-// still is an engine that the test moves by hand, with this package's front and carrier.
+// still is an engine whose events the test dispatches itself, with the front and the carrier of this package.
 type still struct {
 	*engine.Engine
 	carrier *Carrier
@@ -63,9 +63,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	room := budget.New(1 << 20)
-	l.Engine, l.carrier = e, NewCarrier(e, 256, nil, room)
-	l.front = NewFront(e, l.carrier, room, logs.NewWithoutTime(t.Output()))
+	memory := budget.New(1 << 20)
+	l.Engine, l.carrier = e, NewCarrier(e, 256, nil, memory)
+	l.front = NewFront(e, l.carrier, memory, logs.NewWithoutTime(t.Output()))
 	t.Cleanup(l.carrier.Close)
 	e.AddCarrier(l.carrier)
 	e.SetHealthChecker(l.carrier)
@@ -75,6 +75,7 @@
 
 var lastName atomic.Uint64
 
+// ask starts a call of a class, with the given time to its deadline.
 func (l *still) ask(class int, left time.Duration) *call {
 	now := l.Now()
 	r := &call{
@@ -86,12 +87,12 @@
 	return r
 }
 
-// probeMessage is the request for the health of a backend at an address.
+// probeMessage is a health check request for a backend at an address.
 func probeMessage(addr string) *Message {
 	return platformDialect().HealthCheck(engine.NewBackend("s-1", addr, true))
 }
 
-// send writes to a connection that must take it.
+// send writes text, and fails the test on an error.
 func send(t testing.TB, to io.Writer, text string) {
 	t.Helper()
 	if _, err := io.WriteString(to, text); err != nil {
--- a/internal/dataplane/httpproxy/outofturn_test.go
+++ b/internal/dataplane/httpproxy/outofturn_test.go
@@ -15,7 +15,7 @@
 	"marlreel/internal/sockets"
 )
 
-// identifiedDialect is one in which answers carry the id of their request.
+// identifiedDialect returns a dialect in which answers carry the id of their request.
 func identifiedDialect() *Dialect {
 	d := platformDialect()
 	d.Matches = func(m *Message, resp *http.Response) bool { return resp.Header.Get("Request-Id") == m.ID }
@@ -32,7 +32,7 @@
 	return &Message{Method: http.MethodPost, Head: []byte(head), Body: body, ID: id}
 }
 
-// surplusMoment is when the answer to the first request comes once more.
+// surplusMoment is when the backend sends the answer to the first request again.
 type surplusMoment int
 
 const (
@@ -44,7 +44,7 @@
 	beforeOwnAnswer
 )
 
-// outOfTurnBackend answers two requests on a connection, the first one twice: again at a moment.
+// outOfTurnBackend answers two requests on a connection, and repeats its answer to the first one at the given moment.
 func outOfTurnBackend(t *testing.T, moment surplusMoment, surplus chan struct{}, bodyLength int) string {
 	return rawBackend(t, func(c net.Conn, in *bufio.Reader) {
 		first, ok := readRequest(in)
@@ -76,12 +76,12 @@
 		if moment == beforeOwnAnswer {
 			again()
 		}
-		_, _ = io.WriteString(c, identifiedAnswer(second.Header.Get("Request-Id"))) // it may be gone
+		_, _ = io.WriteString(c, identifiedAnswer(second.Header.Get("Request-Id"))) // the connection may be closed
 		_, _ = in.ReadByte()
 	})
 }
 
-// outOfTurnCases are the moments, and how the request ends then.
+// outOfTurnCases are the moments, and the result of the second request for each.
 var outOfTurnCases = []struct {
 	name     string
 	moment   surplusMoment
@@ -90,16 +90,16 @@
 	want     balancer.Result
 }{
 	{"while the connection is idle", whileIdle, 10, 0, balancer.OK},
-	{"between the look at it and the write", betweenTakeAndWrite, 10, 0, balancer.OK},
-	{"between the look and the write, held back", betweenTakeAndWrite, 10, 50 * time.Millisecond, balancer.NotSent},
+	{"between the check and the write", betweenTakeAndWrite, 10, 0, balancer.OK},
+	{"between the check and the write, held back", betweenTakeAndWrite, 10, 50 * time.Millisecond, balancer.NotSent},
 	{"after the head", afterHead, 3 * maxSingleWrite, 0, balancer.OK},
 	{"amid the body", amidBody, 3 * maxSingleWrite, 0, balancer.OK},
 	{"while the last byte is held back", duringHoldback, 10, time.Second, balancer.NotSent},
 	{"in the place of its own answer", beforeOwnAnswer, 10, 0, balancer.OK},
 }
 
-// Where answers carry ids, an answer too many is nobody's, whenever it comes: the request gets its own answer, or is
-// known to have run nowhere.
+// If answers carry ids, a surplus answer must never be taken for the answer to the next request, whenever it comes: the
+// request gets its own answer, or is known not to have run.
 func TestAnswersOutOfTurnAreDropped(t *testing.T) {
 	t.Parallel()
 	for _, c := range outOfTurnCases {
@@ -146,8 +146,8 @@
 	}
 }
 
-// A connection whose answer says that it ends is not used again, also where the backend leaves it open.
-func TestAnnouncedEndIsHeeded(t *testing.T) {
+// A connection is not reused after an answer with Connection: close, even if the backend leaves it open.
+func TestAnnouncedEndIsRespected(t *testing.T) {
 	t.Parallel()
 	addr := rawBackend(t, func(c net.Conn, in *bufio.Reader) {
 		if _, ok := readRequest(in); ok {
--- a/internal/dataplane/httpproxy/pool_test.go
+++ b/internal/dataplane/httpproxy/pool_test.go
@@ -10,7 +10,7 @@
 	"marlreel/internal/dataplane/engine"
 )
 
-// poolOf has n idle connections to a listener, oldest first, and the listener's ends of them.
+// poolOf returns a pool of n idle connections to a listener, the oldest first, and the listener's ends of them.
 func poolOf(t *testing.T, n int) (*pool, *engine.Backend, []net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -36,7 +36,7 @@
 		t.Cleanup(func() { nc.Close(); other.Close() })
 		far = append(far, other)
 		if !p.reserveDial() {
-			t.Fatal("no place for the connection")
+			t.Fatal("the connection limit is reached")
 		}
 		p.put(b, &backendConn{Conn: nc, reader: bufio.NewReader(nc)}, time.Duration(i)*time.Second)
 	}
@@ -48,26 +48,26 @@
 	p, b, _ := poolOf(t, 3)
 	want := p.idle[b][2]
 	if c := p.take(b, 3*time.Second, healthCheckRequest); c != want {
-		t.Error("not the most recently used")
+		t.Error("took another than the most recently used")
 	}
 }
 
-// A backend that closes behind its answer does so at once: a connection rests for a
-// moment where another can be had.
+// A backend that closes the connection after its answer does so at once: a connection is not
+// reused within restTime if there is another.
 func TestPoolRestTime(t *testing.T) {
 	t.Parallel()
-	p, b, _ := poolOf(t, 2) // the younger idle since 1 s
+	p, b, _ := poolOf(t, 2) // the more recently used one is idle since 1 s
 	young, old := p.idle[b][1], p.idle[b][0]
 	if c := p.take(b, time.Second+restTime/2, healthCheckRequest); c != old {
-		t.Error("the connection that was used just now was taken before the other")
+		t.Error("the connection that was just used was taken before the other")
 	}
 	if c := p.take(b, time.Second+restTime/2, healthCheckRequest); c != young {
-		t.Error("where there is no other, it is not taken")
+		t.Error("the connection that was just used was not taken as the only one")
 	}
 }
 
-// A backend that turns a request away for its number of connections closes behind that
-// answer. A bid right behind it would be a reset, which may have run; a listing may try.
+// A backend that rejects a request because it has too many connections closes the connection after that
+// answer. A bid written right then would be reset and may have run; a listing, which may be retried, may use it.
 func TestPoolAvoidsRejectedConnections(t *testing.T) {
 	t.Parallel()
 	bid, listing := connections.Request{Utility: 8}, connections.Request{Utility: 1, Effect: connections.Delayed}
@@ -77,40 +77,40 @@
 	young := p.idle[b][1]
 	young.idleSince, young.lastRejected = 2*time.Second, true
 	if c := p.take(b, now, bid); c == young || c == nil {
-		t.Error("with another at hand, a bid got the one that turned away, or none")
+		t.Error("with another available, a bid got the rejected connection, or none")
 	}
 	if c := p.take(b, now, bid); c != nil {
-		t.Error("with none but that one, a bid is not worth a new connection")
+		t.Error("with only the rejected connection idle, a bid got it instead of a new one")
 	}
 	if len(p.idle[b]) != 1 || p.idle[b][0] != young {
-		t.Fatal("the connection that turned away is lost")
+		t.Fatal("the rejected connection is no longer in the pool")
 	}
 	if c := p.take(b, now, listing); c != young {
-		t.Error("a listing does not take it")
+		t.Error("a listing did not get the rejected connection")
 	}
 	p.put(b, young, 2*time.Second)
 	if c := p.take(b, 2*time.Second+2*rejectedRestTime, bid); c != young {
-		t.Error("after its time a bid does not take it")
+		t.Error("after rejectedRestTime a bid did not get the rejected connection")
 	}
 	p.put(b, young, 4*time.Second)
 	p.maxOpen = p.open
 	if c := p.take(b, 4*time.Second, bid); c != young {
-		t.Error("where no other can be had, a bid does not take it")
+		t.Error("at the connection limit, a bid did not get the rejected connection")
 	}
 }
 
-// A request on a connection that the backend closes for age at that moment may or
-// may not have run.
+// A request on a connection that the backend closes at that moment, after a long idle time,
+// may or may not have run.
 func TestPoolClosesExpiredConnections(t *testing.T) {
 	t.Parallel()
 	p, b, _ := poolOf(t, 2)
 	if c := p.take(b, 46*time.Second, healthCheckRequest); c != nil || p.open != 0 {
-		t.Errorf("an old connection was taken, or %d are still counted", p.open)
+		t.Errorf("an expired connection was taken, or %d still count as open", p.open)
 	}
 }
 
-// A process that died has reset its connections: a request on one would be a
-// reset, which may have run, where a new connection tells that it never did.
+// A crashed backend has reset its connections. A request on one of them would be reset and
+// may have run, while a failure to open a new connection proves that it did not.
 func TestPoolSkipsDeadConnections(t *testing.T) {
 	t.Parallel()
 	p, b, far := poolOf(t, 2)
@@ -118,14 +118,14 @@
 	far[1].Close()
 	eventually(t, "the end to arrive", func() bool { return !p.idle[b][1].reusable() })
 	if c := p.take(b, 2*time.Second, healthCheckRequest); c != want {
-		t.Error("the closed connection was not passed over")
+		t.Error("the closed connection was not skipped")
 	}
-	// What nobody asked for belongs to no request.
+	// An unsolicited answer belongs to no request.
 	p.put(b, want, 2*time.Second)
 	send(t, far[0], okAnswer)
-	eventually(t, "the noise to arrive", func() bool { return !want.reusable() })
+	eventually(t, "the unsolicited answer to arrive", func() bool { return !want.reusable() })
 	if c := p.take(b, 2*time.Second, healthCheckRequest); c != nil {
-		t.Error("a connection with an answer to nothing was taken")
+		t.Error("a connection with an unsolicited answer was taken")
 	}
 }
 
@@ -133,15 +133,16 @@
 	t.Parallel()
 	p, b, _ := poolOf(t, 2)
 	if !p.reserveDial() || p.open != 2 || len(p.idle[b]) != 1 {
-		t.Errorf("with all places taken by idle ones: %d open, %d idle", p.open, len(p.idle[b]))
+		t.Errorf("after a dial at the limit: %d open, %d idle", p.open, len(p.idle[b]))
 	}
 	p.take(b, 2*time.Second, healthCheckRequest)
 	if p.reserveDial() {
-		t.Error("a place was given beyond the bound")
+		t.Error("a dial beyond the limit was allowed")
 	}
 }
 
-// suspendedPool is a pool of n idle connections to a backend whose connections must not be reused, by answers too many.
+// suspendedPool returns a pool of n idle connections to a backend, in which a surplus answer suspends their reuse. surplus
+// counts those answers.
 func suspendedPool(t *testing.T, n int) (p *pool, b *engine.Backend, far []net.Conn, surplus *int) {
 	t.Helper()
 	p, b, far = poolOf(t, n)
@@ -154,8 +155,8 @@
 	return p, b, far, surplus
 }
 
-// What has come on an idle connection is found when the connection is chosen; from then on none is used again, and
-// those that come back are watched for a moment, counted for what comes, and closed.
+// A surplus answer on an idle connection is found when the connection is chosen. From then on no connection is reused;
+// those that are returned are watched for surplusWatch, checked for surplus answers, and closed.
 func TestPoolWatchesConnectionsThatAreNotReused(t *testing.T) {
 	t.Parallel()
 	const now = 10 * time.Second
@@ -164,12 +165,12 @@
 	send(t, far[1], okAnswer)
 	eventually(t, "the surplus", func() bool { return !p.idle[b][1].reusable() })
 	if c := p.take(b, now, healthCheckRequest); c != nil {
-		t.Error("a connection is used again after an answer too many")
+		t.Error("a connection is reused after a surplus answer")
 	}
 	if *surplus != 1 || p.open != 1 {
-		t.Fatalf("%d found, %d connections are open", *surplus, p.open)
+		t.Fatalf("%d surplus answers found, %d connections are open", *surplus, p.open)
 	}
-	delete(p.idle, b) // as if it had been in use meanwhile
+	delete(p.idle, b) // as if kept had been in use in the meantime
 	p.put(b, kept, now)
 	if len(p.idle[b]) != 0 || len(p.watched) != 1 {
 		t.Fatal("the connection is not watched")
@@ -178,15 +179,15 @@
 	eventually(t, "the surplus", func() bool { return !kept.reusable() })
 	p.closeExpired(now + surplusWatch - 1)
 	if len(p.watched) != 1 {
-		t.Error("it is not watched for as long as it should be")
+		t.Error("the connection is not watched for surplusWatch")
 	}
 	p.closeExpired(now + surplusWatch)
 	if len(p.watched) != 0 || *surplus != 2 {
-		t.Errorf("%d connections are still watched, %d found", len(p.watched), *surplus)
+		t.Errorf("%d connections are still watched, %d surplus answers found", len(p.watched), *surplus)
 	}
 }
 
-// Watched connections are the first to go where a new one needs their place.
+// Watched connections are closed first when the limit is reached.
 func TestPoolEvictsWatchedConnectionsFirst(t *testing.T) {
 	t.Parallel()
 	p, b, _, _ := suspendedPool(t, 2)
@@ -199,7 +200,8 @@
 	}
 }
 
-// A server that announces the end of an idle connection has not answered out of turn, nor one whose bytes form no answer.
+// A server that announces the close of an idle connection has not sent a surplus answer, nor has one whose bytes form no
+// answer.
 func TestTimeoutNoticeIsNoSurplus(t *testing.T) {
 	t.Parallel()
 	for text, surplus := range map[string]bool{
@@ -215,7 +217,7 @@
 	}
 }
 
-// A connection rests after a quick answer where another can be had, and is used where none can.
+// After a quick answer a connection is not reused until restUntil, unless no other can be had.
 func TestPoolRestAfterAQuickAnswer(t *testing.T) {
 	t.Parallel()
 	const now = 3 * time.Second
@@ -224,14 +226,14 @@
 	quick, other := p.idle[b][1], p.idle[b][0]
 	quick.restUntil = now + time.Second
 	if c := p.take(b, now, healthCheckRequest); c != other {
-		t.Fatal("the connection that rests is used")
+		t.Fatal("the resting connection is used")
 	}
 	if c := p.take(b, now, healthCheckRequest); c != nil {
-		t.Error("the connection that rests is used where a new one can be had")
+		t.Error("the resting connection is used although a new one can be opened")
 	}
 	p.maxOpen = p.open
 	if c := p.take(b, now, healthCheckRequest); c != quick {
-		t.Error("the connection that rests is not used where no other can be had")
+		t.Error("the resting connection is not used although no other can be had")
 	}
 	p.put(b, quick, now)
 	p.maxOpen = 3
--- a/internal/dataplane/httpproxy/streamrelay_test.go
+++ b/internal/dataplane/httpproxy/streamrelay_test.go
@@ -21,7 +21,7 @@
 	"marlreel/internal/testutil"
 )
 
-// pair is a connection over loopback, both ends.
+// pair returns both ends of a loopback connection.
 func pair(t testing.TB, ln net.Listener) (near, far net.Conn) {
 	t.Helper()
 	near, err := net.Dial("tcp", ln.Addr().String())
@@ -35,8 +35,8 @@
 	return near, far
 }
 
-// begun is a relay of an answer of some form, as it is when its head has been read.
-func begun(form string, client, backend net.Conn, length int) *streamRelay {
+// startedRelay returns a relay of an answer of the given body form, in its state after the head has been read.
+func startedRelay(form string, client, backend net.Conn, length int) *streamRelay {
 	c := &backendConn{Conn: backend, readLimit: &io.LimitedReader{R: backend, N: math.MaxInt64}}
 	c.reader = bufio.NewReader(c.readLimit)
 	r := &streamRelay{client: client, backend: c, pending: []byte("HTTP/1.1 200 OK\r\n")}
@@ -54,18 +54,19 @@
 	return r
 }
 
-// handedOverAnswer is an answer of some form that one relay after another passes on, each as another process would.
+// handedOverAnswer is an answer that is forwarded by a sequence of relays, each restored from the state of the previous one
+// as in another process.
 type handedOverAnswer struct {
 	form    string
 	body    []byte
-	cuts    []int // of the body, at which a handover starts
-	pieces  int   // in which the backend writes it
+	cuts    []int // offsets in the body at which a handover starts
+	pieces  int   // number of pieces in which the backend writes the body
 	started chan chan struct{}
 	memory  *budget.Budget
 	running sync.WaitGroup
 }
 
-// writeAsBackend writes the body, and starts the handovers on the way.
+// writeAsBackend writes the body as the backend, and starts the handovers at the cuts.
 func (h *handedOverAnswer) writeAsBackend(to net.Conn) {
 	defer to.Close()
 	step := len(h.body)/h.pieces + 1
@@ -91,7 +92,7 @@
 	}
 }
 
-// run runs a relay, and those that go on with its answer.
+// run runs a relay, and after a handover the one that continues it.
 func (h *handedOverAnswer) run(t *testing.T, r *streamRelay) {
 	start := make(chan struct{})
 	h.started <- start
@@ -115,8 +116,8 @@
 	}
 }
 
-// Whatever an answer's form and wherever it is given from one process to the next, and to
-// the one after that, the client gets it as it is.
+// Whatever the form of an answer's body and wherever it is handed over, also several times, the
+// client must get it unchanged.
 func TestAnswerIsHandedOver(t *testing.T) {
 	t.Parallel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -133,7 +134,7 @@
 		h.cuts = rapid.SliceOfN(rapid.IntRange(0, len(h.body)), 0, 3).Draw(rt, "cuts")
 		h.pieces = rapid.IntRange(1, 9).Draw(rt, "pieces")
 		h.running.Go(func() { h.writeAsBackend(farBackend) })
-		h.running.Go(func() { h.run(t, begun(h.form, client, backend, len(h.body))) })
+		h.running.Go(func() { h.run(t, startedRelay(h.form, client, backend, len(h.body))) })
 		if err := farClient.SetReadDeadline(time.Now().Add(testutil.Patience)); err != nil {
 			t.Fatal(err)
 		}
@@ -149,7 +150,7 @@
 			rt.Fatalf("%s, cut at %v: %d bytes of %d: %v", h.form, h.cuts, len(got), len(h.body), err)
 		}
 		if h.memory.Used() != 0 {
-			rt.Fatalf("%d bytes of memory are not given back", h.memory.Used())
+			rt.Fatalf("%d bytes of memory are not released", h.memory.Used())
 		}
 	})
 }
@@ -162,7 +163,7 @@
 	return b
 }
 
-// Where nobody takes it, it goes on here.
+// If the other process doesn't accept an answer, this process continues it and doesn't offer it again.
 func TestAnswerHandoverThatIsRejected(t *testing.T) {
 	t.Parallel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -172,14 +173,14 @@
 	defer ln.Close()
 	backend, farBackend := pair(t, ln)
 	client, farClient := pair(t, ln)
-	leave := make(chan struct{})
-	close(leave)
-	asked := 0
-	r := begun("sized", client, backend, 6)
+	handover := make(chan struct{})
+	close(handover)
+	offered := 0
+	r := startedRelay("sized", client, backend, 6)
 	done := make(chan error, 1)
 	go func() {
-		done <- r.run(budget.New(1<<20), leave, func() TransferFunc {
-			return func([]byte, net.Conn, net.Conn) bool { asked++; return false }
+		done <- r.run(budget.New(1<<20), handover, func() TransferFunc {
+			return func([]byte, net.Conn, net.Conn) bool { offered++; return false }
 		})
 		client.Close()
 	}()
@@ -194,12 +195,12 @@
 	if got, err := io.ReadAll(resp.Body); err != nil || string(got) != "abcdef" {
 		t.Errorf("%q %v", got, err)
 	}
-	if err := testutil.Receive(t, done, "the end"); err != nil || asked != 1 {
-		t.Errorf("%v, asked %d times", err, asked)
+	if err := testutil.Receive(t, done, "the end"); err != nil || offered != 1 {
+		t.Errorf("%v, offered %d times", err, offered)
 	}
 }
 
-// What another version, or nobody, wrote is turned down.
+// Malformed states and those of another version must be rejected.
 func TestMalformedRelayStates(t *testing.T) {
 	t.Parallel()
 	for _, s := range []string{
@@ -207,13 +208,13 @@
 		`{"Version":1,"Form":"sized","Left":-1}`, `{"Version":1,"Form":"chunks","Chunk":99}`,
 	} {
 		if _, err := decodeRelay([]byte(s), nil, nil); err == nil {
-			t.Errorf("%q was taken", s)
+			t.Errorf("%q was accepted", s)
 		}
 	}
 }
 
-// A relay is handed over while the end of a body in chunks is partly written: the rest of that end goes out, and no
-// second one behind it.
+// If a relay is handed over while the end of a chunked body is partly written, the rest of that end must be written, but
+// no second end after it.
 func TestEndOfChunksIsHandedOverOnce(t *testing.T) {
 	t.Parallel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -226,7 +227,7 @@
 		client, farClient := pair(t, ln)
 		backend, farBackend := pair(t, ln)
 		farBackend.Close()
-		r := begun("chunks", client, backend, 0)
+		r := startedRelay("chunks", client, backend, 0)
 		r.body.(*chunkReader).state = chunkDone
 		r.done, r.pending = true, []byte(end[written:])
 		state, err := json.Marshal(r.state())
@@ -249,7 +250,7 @@
 	}
 }
 
-// A state with the end already read is a new form beside the recorded ones, which have no word of it.
+// The Done field was added after the other states were recorded, so it has a recorded file of its own.
 func TestCompatibilityDoneRelayState(t *testing.T) {
 	text, err := json.Marshal(streamRelayState{Version: streamRelayVersion, Form: "chunks", Chunked: true, Pending: []byte("\r\n"), Done: true})
 	if err != nil {
