--- a/internal/dataplane/httpproxy/accept.go
+++ b/internal/dataplane/httpproxy/accept.go
@@ -79,8 +79,8 @@
 	maxAcceptBackoff = 100 * time.Millisecond
 )
 
-// park waits for the first byte. It also closes the connection when its client closes it, or at
-// headDeadline: nothing else watches a parked connection.
+// park waits for the first byte. If the connection is evicted or headDeadline passes in the meantime,
+// park closes it, as no other goroutine would notice.
 func (c *clientConn) park() {
 	_ = c.SetReadDeadline(c.headDeadline)
 	sc, ok := c.Conn.(syscall.Conn)
--- a/internal/dataplane/httpproxy/clientconns.go
+++ b/internal/dataplane/httpproxy/clientconns.go
@@ -33,8 +33,9 @@
 }
 
 // underPressure reports whether answers should close their connections. This is so if connections that have sent requests
-// take more than a third of the limit (clients that send one request and stay connected would leave no descriptors for
-// others), or if connections of any kind take most of it, so that an idle one keeps a new client out.
+// take more than a third of the limit (clients may hold a third of the descriptors, and those that send one request and
+// stay connected would leave none for others), or if connections of any kind take most of it, so that an idle one keeps a
+// new client out.
 func (cs *clientConns) underPressure() bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
--- a/internal/dataplane/httpproxy/exchange_test.go
+++ b/internal/dataplane/httpproxy/exchange_test.go
@@ -115,7 +115,7 @@
 		"noise":                  "\x93\xb2\x19\xe4 no line end",
 		"one byte of noise":      "\x93",
 		"another protocol":       "ICY 200 OK\r\nContent-Length: 2\r\n\r\nok",
-		"a status that is none":  "HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok",
+		"an invalid status code": "HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok",
 		"words in another order": "HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nok",
 		"no colon":               ok + "no colon here\r\nContent-Length: 2\r\n\r\nok",
 		"an endless head":        ok + strings.Repeat("X-Pad: pppppppppp\r\n", 4000),
