--- a/internal/dataplane/httpproxy/carrier.go
+++ b/internal/dataplane/httpproxy/carrier.go
@@ -174,7 +174,7 @@
 func (c *Carrier) Connections() int { return c.pool.open }
 
 // startExchange starts an exchange, and posts its outcome to the engine, which calls end. Its connection counts as open
-// from here on until then. It returns the function that cancels the exchange, or nil if none was started.
+// from here on. It returns the function that cancels the exchange, or nil if none was started.
 func (c *Carrier) startExchange(x *exchange, request connections.Request, end func(engine.AttemptEnd)) (stop func()) {
 	now, caps := c.engine.Now(), &c.engine.Settings().Caps
 	c.pool.maxIdle = caps.ConnIdle - caps.ConnIdle/4
--- a/internal/dataplane/httpproxy/doc.go
+++ b/internal/dataplane/httpproxy/doc.go
@@ -18,6 +18,9 @@
 //	it breaks, or the answer is malformed, after that     Reset           no
 //	no answer until the deadline                          Timeout         no
 //
+// A surplus answer is one that no request asked for, such as a second answer to an earlier request. The next request on
+// the connection must not receive it.
+//
 // Errors of SetDeadline and its variants are ignored throughout: they mean that the connection is closed, which the read
 // or write that follows reports as well.
 package httpproxy
