--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Admission: what is queued, in which order it is sent, and what is rejected or failed.
+// Admission: which requests are queued, in which order they are sent, and which are rejected or failed.
 
 import (
 	"cmp"
@@ -11,15 +11,15 @@
 )
 
 const (
-	maxDispatchMisses     = 20   // queued requests that find no backend, after which no more are looked at
+	maxDispatchMisses     = 20   // dispatch stops trying to send after this many requests found no backend
 	maxQueuedPerBackend   = 4    // requests that may be queued for each ready backend
-	minWorthwhileRatio    = 0.5  // part of its utility that sending a request must add
-	maxHopelessPicks      = 4    // picks that have to be hopeless before a request is
-	minAnswersForHopeless = 20   // answers of a class before that is asked
-	hopelessSampleRatio   = 0.05 // of the hopeless requests, that is sent and shows whether they are
+	minWorthwhileRatio    = 0.5  // fraction of its utility that sending a request must add
+	maxHopelessPicks      = 4    // picked backends that must all be hopeless before the request is
+	minAnswersForHopeless = 20   // answers of a class before any of its requests can be hopeless
+	hopelessSampleRatio   = 0.05 // fraction of hopeless requests sent anyway, to check that they are hopeless
 )
 
-// OnRequest takes a request that the proxy has just received.
+// OnRequest handles a request that the proxy has just received.
 func (b *Balancer) OnRequest(now time.Duration, q Request) {
 	b.now = now
 	if _, pending := b.requests[q.ID]; pending {
@@ -40,7 +40,7 @@
 	b.dispatch()
 }
 
-// newRequest begins what is known of a request.
+// newRequest returns the state of a request that has just arrived.
 func (b *Balancer) newRequest(q Request) *request {
 	class := &b.cfg.Classes[q.Class]
 	arrival := b.retryStorm.RecordArrival(b.now, b.identityKey(q), q.IsRetry)
@@ -58,7 +58,7 @@
 	}
 }
 
-// recordOffered notes the utility that a request asks for.
+// recordOffered records the utility that serving a request would earn.
 func (b *Balancer) recordOffered(r *request) {
 	r.utility = r.class.Value
 	if b.cfg.ValueByWork {
@@ -72,7 +72,8 @@
 	}
 }
 
-// enqueue lets a request that has nothing in flight wait for the next dispatch, if it may still be sent.
+// enqueue queues a request that has no attempt in flight for the next dispatch, or ends it if no backend
+// may still get it.
 func (b *Balancer) enqueue(r *request) {
 	if len(r.attempts) > 0 && !b.anyBackendLeft(r) {
 		b.rejectOrFail(r)
@@ -82,7 +83,7 @@
 	b.queue = append(b.queue, r)
 }
 
-// anyBackendLeft tells whether a ready backend may have another attempt of a request.
+// anyBackendLeft tells whether any ready backend may get another attempt of a request.
 func (b *Balancer) anyBackendLeft(r *request) bool {
 	return slices.ContainsFunc(b.ready, func(t *target) bool {
 		return b.maySend(r, t) && !b.isClassEjected(r, t)
@@ -94,15 +95,16 @@
 	return b.usefulUntil(r) - b.now - fromMillis(b.expectedDelay(r.Class, millis(r.Cost))*b.medianDelayRatio)
 }
 
-// computeUtilityPerWork is what serving a request now adds to the goal, for each unit of its work: its part
-// of all utility, of its class's if that is the worst served, and of its tenant's likewise, times the
+// computeUtilityPerWork is what serving a request now adds to the goal, per unit of its work: its part of
+// the total utility, also of its class's and its tenant's if that is the worst served one, times the
 // probability that the answer comes in time.
 func (b *Balancer) computeUtilityPerWork(r *request) float64 {
 	probability := b.valueProbability(r, b.expectedDelay(r.Class, millis(r.Cost))*b.medianDelayRatio)
 	return b.goodput.MarginalUtility(r.Class, r.Tenant, 1-r.overQuota) * r.utility * probability / b.work(r)
 }
 
-// valueProbability is the part of its utility that a request earns on average with a predicted delay, ms.
+// valueProbability is the fraction of its utility that a request is expected to earn with a predicted
+// delay, ms.
 func (b *Balancer) valueProbability(r *request, delay float64) float64 {
 	inTime := b.prediction.SuccessProbability(r.Class, delay, millis(r.targetAt-b.now))
 	lateRatio := r.class.LateValueRatio
@@ -113,7 +115,7 @@
 	return inTime + lateRatio*(byDeadline-inTime)
 }
 
-// dispatch sends what is queued, the greatest utility for its work first, while backends have room.
+// dispatch sends queued requests while backends have room, in descending order of utility per work.
 func (b *Balancer) dispatch() {
 	queued := b.queue
 	b.queue = b.queue[:0:0]
@@ -148,10 +150,11 @@
 	})
 }
 
-// sendOrEnd sends a request, or ends it where that is hopeless. done is not set where it has to wait.
+// sendOrEnd sends a request, or ends it if it is hopeless. done is not set if the request has to wait.
 func (b *Balancer) sendOrEnd(r *request) (done bool) {
 	t, worthwhile, hopeless := b.pickWorthwhile(r)
-	// What is never sent teaches nothing; but a retry whose time is over does not either.
+	// Some hopeless requests are sent, as only answers can show that they no longer are. Clients' retries
+	// are not: their time is already over, so their answers show nothing.
 	if hopeless && (b.rng.Float64() >= hopelessSampleRatio || r.firstArrived < r.arrived) {
 		b.rejectOrFail(r)
 		return true
@@ -159,8 +162,8 @@
 	return t != nil && (worthwhile || hopeless) && b.send(r, t)
 }
 
-// pickWorthwhile picks a backend that is worth sending to. It picks a few times, as the two that were
-// sampled may be the worst of all.
+// pickWorthwhile picks a backend that is worth sending to. It picks several times, as the two sampled
+// backends may be the worst of all.
 func (b *Balancer) pickWorthwhile(r *request) (t *target, worthwhile, hopeless bool) {
 	t = b.pick(r)
 	for n := 1; t != nil; n++ {
@@ -173,7 +176,7 @@
 	return t, worthwhile, hopeless
 }
 
-// requeue lets a request wait on, or ends it where it has waited for long enough or too many wait.
+// requeue keeps a request queued, or ends it if it has waited too long or the queue is full.
 func (b *Balancer) requeue(r *request) {
 	full := len(b.queue) >= maxQueuedPerBackend*(len(b.ready)+1) || b.queueTooLong(r, b.queuedAhead[r.Class])
 	if full || b.now >= r.waitUntil {
@@ -184,8 +187,8 @@
 	b.queuedAhead[r.Class]++
 }
 
-// isWorthwhile tells whether a request is worth sending there, or hopeless. One that is not worth crossing
-// zones alone is neither: it waits.
+// isWorthwhile tells whether a request is worth sending to a backend, or hopeless. A request for which only
+// the cost of crossing zones is too high is neither: it waits.
 func (b *Balancer) isWorthwhile(r *request, t *target) (worthwhile, hopeless bool) {
 	if b.delayModels[r.Class].n < minAnswersForHopeless {
 		return true, false
@@ -201,12 +204,13 @@
 	return r.targetAt
 }
 
-// mayReject guards rejections: a rejection promises the client that a retry is harmless.
+// mayReject tells whether a request may be rejected: a rejection promises the client that a retry is
+// harmless.
 func (b *Balancer) mayReject(r *request) bool {
 	return r.terms.MayReject() || !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.mayRun })
 }
 
-// rejectOrFail gives the final answer and cancels what is still in flight.
+// rejectOrFail ends a request with a final answer and cancels its attempts in flight.
 func (b *Balancer) rejectOrFail(r *request) {
 	if r.ended || r.streaming {
 		return
@@ -223,7 +227,7 @@
 	b.finish(r, nil)
 }
 
-// finish marks a request as over and cancels its other attempts.
+// finish marks a request as ended and cancels its attempts other than winner.
 func (b *Balancer) finish(r *request, winner *attempt) {
 	r.ended = true
 	b.cancelAllBut(r, winner)
@@ -232,5 +236,5 @@
 	}
 }
 
-// RetryStormState is the phase of a retry storm, as this proxy alone sees it.
+// RetryStormState is the phase of a retry storm, as observed by this proxy alone.
 func (b *Balancer) RetryStormState() retrystorm.State { return b.retryStorm.State() }
--- a/internal/balancer/attempt.go
+++ b/internal/balancer/attempt.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Attempts: whether a request may be sent (again), and sending it.
+// Attempts: whether a request may be sent, also again, and how it is sent.
 
 import (
 	"time"
@@ -8,13 +8,14 @@
 	"marlreel/internal/balancer/idempotency"
 )
 
-// maySend guards further attempts: it tells whether a request may be sent (again) to a backend.
+// maySend tells whether a request may be sent to a backend, as its first attempt or a further one.
 func (b *Balancer) maySend(r *request, t *target) bool {
 	_, may := b.attemptDeadline(r, t)
 	return may
 }
 
-// attemptDeadline also tells before when the attempt has to begin there; 0 is no bound.
+// attemptDeadline is maySend, and also returns the time before which the attempt has to be sent; 0 means no
+// bound.
 func (b *Balancer) attemptDeadline(r *request, t *target) (before time.Duration, may bool) {
 	may = b.mayAttempt(r, t)
 	before = idempotency.Never
@@ -33,7 +34,8 @@
 	return before, may && b.now < before
 }
 
-// mayAttempt tells whether a request may have another attempt at a backend, whatever its earlier ones did.
+// mayAttempt tells whether a request may have another attempt at a backend, regardless of whether earlier
+// ones ran.
 func (b *Balancer) mayAttempt(r *request, t *target) bool {
 	switch {
 	case r.ended, r.streaming, !b.attemptsLeft(r), !b.advice.CanServe(&r.Request, t.ID), b.now >= r.Deadline:
@@ -42,7 +44,8 @@
 	return r.inFlight == 0 || b.cfg.Caps.Hedging
 }
 
-// attemptsLeft bounds the attempts: those that may have run where the class says so, else all.
+// attemptsLeft tells whether the attempt limit allows one more. If the class sets MaxRuns, the attempts
+// that may have run are limited, otherwise all of them.
 func (b *Balancer) attemptsLeft(r *request) bool {
 	if r.class.MaxRuns == 0 {
 		return len(r.attempts) < min(r.maxAttempts, b.cfg.Caps.MaxAttempts)
@@ -56,7 +59,7 @@
 	return runs < r.class.MaxRuns && len(r.attempts) < b.cfg.Caps.MaxAttempts
 }
 
-// send is the one place where requests leave; both guards are asked again here.
+// send begins an attempt. It is the only place that does, and it checks maySend and mayReceive once more.
 func (b *Balancer) send(r *request, t *target) bool {
 	work := b.work(r)
 	before, may := b.attemptDeadline(r, t)
@@ -72,8 +75,8 @@
 	t.load += a.weight
 	a.loadAtSend = t.load
 	t.trackAge(a, 1)
-	// Light requests would go through any budget of work, and handshakes are work too: none counts under
-	// the mean.
+	// Each request counts as the mean work at least: handshakes are work too, and any number of light
+	// requests would fit into a budget of work.
 	t.warmupTokens -= max(work, b.meanWork)
 	a.overdueAt = b.now + b.overdueAfter(a)
 	a.trial = b.isClassEjected(r, t)
@@ -99,7 +102,7 @@
 }
 
 // overdueAfter is how long an attempt may take before it counts against its backend's concurrency limit. A
-// request that is heavy by its hint may take longer, whatever else is there.
+// request with a high cost hint may take longer, whatever the backend's load.
 func (b *Balancer) overdueAfter(a *attempt) time.Duration {
 	r := a.request
 	mean := b.expectedDelay(r.Class, 0)
@@ -109,7 +112,8 @@
 	return fromMillis(max(1, a.expected/mean) * min(usual, latencyTarget))
 }
 
-// giveUpAt is when an attempt is given up. A trial leaves time enough to serve the request elsewhere.
+// giveUpAt is the time at which an attempt is abandoned. A trial of a retryable request is abandoned early
+// enough to serve the request elsewhere.
 func (b *Balancer) giveUpAt(a *attempt) time.Duration {
 	r := a.request
 	at := min(r.Deadline, max(b.usefulUntil(r)-b.cfg.Tick, b.now+b.cfg.Tick))
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -1,6 +1,6 @@
 package balancer
 
-// The state of the decision maker, its start and its timers. The interface (settings, events, actions) is in
+// The Balancer's state, start and timers. The interface (settings, events, actions) is in
 // api.go; each mechanism has a file of its own: state, reconfigure, membership, subset, healthcheck, outlier,
 // slowstart, concurrency, selection, admission, attempt, outcome, grayfailure, delay.
 
@@ -20,14 +20,14 @@
 	"marlreel/internal/balancer/slowstart"
 )
 
-// Timers are told apart by the highest byte of their token.
+// The kind of a timer is in the highest byte of its token.
 const (
 	timerSweep, timerDiscover, timerDispatch = 1, 2, 4
 
 	timerKindShift = 56
 )
 
-// Balancer decides for one proxy. Make it with New and call one method for each event.
+// Balancer makes the decisions of one proxy. Create it with New and call one method for each event.
 type Balancer struct {
 	cfg    Config
 	host   Host
@@ -36,44 +36,44 @@
 	now    time.Duration
 
 	// Intervals that follow from the settings and the traffic.
-	healthCheckInterval time.Duration // between two health checks of a suspect backend, at least
+	healthCheckInterval time.Duration // minimum between two health checks of a suspect backend
 	sweepEvery          time.Duration // between two sweeps
 	requestGap          time.Duration // between two requests, on average
 	lastRequest         time.Duration
-	decayTime           time.Duration // over which what was measured of a backend decays to 1/e
+	decayTime           time.Duration // over which measurements of a backend decay to 1/e
 
 	// Membership, in the order of this proxy's rendezvous hash.
-	targets       []*target // those that are gone and still have attempts in flight too
+	targets       []*target // including gone ones that still have attempts in flight
 	ready         []*target
-	subset        []*target // those that this proxy uses
-	subsetSize    float64   // of the subset, in each zone side
+	subset        []*target // the backends that this proxy uses
+	subsetSize    float64   // wanted capacity of the subset on each zone side, in whole backends
 	byID          map[BackendID]*target
-	usableBySide  [2]float64 // healthy and ready backends, a warming one by its share; see zoneSide
-	failedFetches int        // failed calls for the membership in a row
+	usableBySide  [2]float64 // healthy and ready backends, warming ones by their capacity; see zoneSide
+	failedFetches int        // failed membership fetches in a row
 
 	// Requests.
 	requests          map[RequestID]*request
 	queue             []*request
 	dispatchScheduled bool
-	queuedAhead       []int   // while dispatch runs: queued requests by class
-	retryTokens       float64 // budget of further attempts
+	queuedAhead       []int   // while dispatch runs: requests that it has queued again, by class
+	retryTokens       float64 // retry budget
 
 	// Delay estimates, ms.
 	delayModels       []linearFit    // delay over cost hint, by class
 	delayTails        []tailQuantile // of the delay of a request of mean cost, by class
-	knownDelay        average        // of requests whose class has had answers
-	meanExpectedDelay float64        // of a request of any class
-	meanWork          float64        // of a request of any class, ms
+	knownDelay        average        // expected delay of requests whose class has had answers
+	meanExpectedDelay float64        // over requests of all classes
+	meanWork          float64        // over requests of all classes, ms
 	medianDelayRatio  float64        // of the backends in the subset
-	medianTail        float64        // of the backends' tails
+	medianTail        float64        // of the tails of the ready backends
 
 	// Utility.
-	meanUtility        float64 // of a request
+	meanUtility        float64 // per request
 	meanUtilityPerWork float64
-	meanWindow         float64 // requests that the means are taken over
+	meanWindow         float64 // number of requests in these means
 	goodput            *goodput.Tracker
 	quota              *quota.Model
-	servedByClass      []decay.Sum // answers
+	servedByClass      []decay.Sum // number of good answers
 	costs              prediction.Costs
 
 	// Models.
@@ -90,7 +90,7 @@
 	ratios        []float64 // while updateMedians runs
 }
 
-// New makes a Balancer. Settings that can't be used give a ConfigError.
+// New creates a Balancer. It returns a ConfigError if a setting is invalid.
 func New(cfg Config, seed uint64, host Host) (*Balancer, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -126,7 +126,7 @@
 	return b, nil
 }
 
-// Start begins the timers, and the calls for the membership where it must be asked for.
+// Start starts the timers: for the sweeps and, where the membership has to be polled, for discovery.
 func (b *Balancer) Start(now time.Duration) {
 	b.now = now
 	b.startTimer(b.sweepEvery, timerSweep)
@@ -139,10 +139,10 @@
 	b.host.StartTimer(d, timer<<timerKindShift)
 }
 
-// OnPeerMessage takes a message from another proxy.
+// OnPeerMessage handles a message from another proxy.
 func (b *Balancer) OnPeerMessage(now time.Duration, _ PeerMessage) { b.now = now }
 
-// OnTimer takes the end of a timer that Host.StartTimer began.
+// OnTimer handles the expiry of a timer that Host.StartTimer started.
 func (b *Balancer) OnTimer(now time.Duration, token uint64) {
 	b.now = now
 	switch token >> timerKindShift {
@@ -157,9 +157,10 @@
 	}
 }
 
-// sweep does what time alone brings about.
+// sweep updates everything that depends on time alone.
 func (b *Balancer) sweep() {
-	b.removeGone() // one that had attempts in flight when it went; the next membership may be long in coming
+	// A backend that had attempts in flight when it left the membership; the next update may come much later.
+	b.removeGone()
 	b.selectSubset()
 	b.updateDecayTime()
 	b.grayFailure.SetTimeConstant(b.decayTime)
@@ -178,14 +179,14 @@
 	b.goodput.Decay(math.Exp(-float64(b.sweepEvery) / float64(keep)))
 }
 
-// updateDecayTime lets measurements last long enough for some answers of each backend in the subset.
+// updateDecayTime makes measurements last long enough to include some answers of each backend in the subset.
 func (b *Balancer) updateDecayTime() {
 	answers := minAnswersInMemory * time.Duration(len(b.subset)) * b.requestGap
 	b.decayTime = max(decayIntervals*b.healthCheckInterval, min(answers, b.cfg.Obligations.WarmupDuration))
 }
 
-// sweepConcurrencyLimits counts attempts that are overdue while they are still in flight, and lets limits
-// that are not used sink.
+// sweepConcurrencyLimits counts overdue attempts while they are still in flight, and lets unused limits
+// decay.
 func (b *Balancer) sweepConcurrencyLimits() {
 	for _, t := range b.ready {
 		for _, a := range t.inFlight {
--- a/internal/balancer/concurrency.go
+++ b/internal/balancer/concurrency.go
@@ -1,20 +1,22 @@
 package balancer
 
-// The concurrency limit: how much may be in flight at a backend.
+// The concurrency limit: how much load may be in flight at a backend.
 
 import "marlreel/internal/balancer/concurrencylimit"
 
 const (
-	overdueTailFactor = 1.5 // times its class's tail of delays after which an attempt is overdue,
-	// And this part of its latency target at least, which alone counts while no tail is known.
+	// An attempt is overdue after this multiple of its class's tail delay.
+	overdueTailFactor = 1.5
+	// It is not overdue before this fraction of its latency target, which alone counts while no tail is
+	// known.
 	minOverdueTargetRatio = 0.3
-	maxTailRatio          = 2 // times longer that a backend's own tail may be than the others' median one
-	maxUtilitySpeedup     = 4 // times sooner at most that a request of more than the mean utility is sent
-	maxRequestWeight      = 8 // attempts that one attempt counts for at most
+	maxTailRatio          = 2 // upper bound of tailRatio
+	maxUtilitySpeedup     = 4 // spacedOut divides the wait of a request of high utility by this at most
+	maxRequestWeight      = 8 // largest weight of an attempt in its backend's load
 )
 
-// underLimit tells whether a backend may have one more attempt in flight. A limit below one spaces attempts
-// out in time, as where many proxies share a backend.
+// underLimit tells whether a backend may have one more attempt in flight. Where many proxies share a
+// backend, the limit may be below one: then attempts are spaced out in time.
 func (b *Balancer) underLimit(r *request, t *target) bool {
 	if slots := b.advice.Slots(t.ID); slots > 0 {
 		return len(t.inFlight) < slots
@@ -28,16 +30,16 @@
 	return t.concurrencyLimit >= 1 || b.spacedOut(r, t)
 }
 
-// spacedOut tells whether the last attempt at a backend whose limit is below one lies back far enough.
-// There is no queue that would let utility go first, so a request of more utility waits less. The mean
-// utility may be 0.
+// spacedOut tells whether enough time has passed since the last attempt at a backend whose limit is below
+// one. No queue puts the requests in order of utility here, so a request of higher utility waits less. The
+// mean utility may be 0.
 func (b *Balancer) spacedOut(r *request, t *target) bool {
 	speedup := min(max(r.utilityPerWork/max(b.meanUtilityPerWork, 1e-300), 1), maxUtilitySpeedup)
 	return b.now >= t.lastSent+fromMillis(b.meanDelay()*b.delayRatio(t)/t.concurrencyLimit/speedup)
 }
 
-// tailRatio is how much longer a backend takes at its best than the others do, as its machine has it: that
-// is no overload, and it would never get more than one attempt at a time.
+// tailRatio is how much longer than the others a backend takes at its best, because its machine is slower.
+// That is not overload; if it counted as such, the backend would never get more than one attempt at a time.
 func (b *Balancer) tailRatio(t *target) float64 {
 	if b.medianTail <= 0 {
 		return 1
@@ -45,11 +47,10 @@
 	return min(max(1, t.tail.min/b.medianTail), maxTailRatio)
 }
 
-// updateConcurrencyLimit learns how much may be in flight at a backend from whether its answers take their
-// usual time. An overloaded backend answers all of its requests late, and may turn slow for long. Waiting
-// for an attempt's end would show that when it is done, so one counts as overdue while still in flight.
-// weight is how far the attempt speaks of the backend, 0 to 1: one of a class that is served badly there
-// speaks less.
+// updateConcurrencyLimit adapts a backend's limit to whether its answers take their usual time. An
+// overloaded backend answers all its requests late and may stay slow for long. The end of an attempt would
+// show that too late, so an attempt counts as overdue while it is still in flight. weight, 0 to 1, is how
+// much the attempt says about the backend as a whole: less if its class is served badly there.
 func (b *Balancer) updateConcurrencyLimit(a *attempt, result Result, weight float64) {
 	t := a.target
 	if result == Rejected {
--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -1,6 +1,6 @@
 package balancer
 
-// The settings: their check, and what the models are told of them.
+// The settings: their validation, and the settings of the models that are derived from them.
 
 import (
 	"fmt"
@@ -17,9 +17,9 @@
 	minHealthCheckIntervalTicks = 20
 )
 
-// ConfigError is a setting that can't be used. New, Validate and Reconfigure return it.
+// ConfigError reports an invalid setting. New, Validate and Reconfigure return it.
 type ConfigError struct {
-	Field  string // by its name in the users' settings, with the index in a list
+	Field  string // its name in the users' settings, with the index if it is in a list
 	Reason string
 }
 
@@ -28,10 +28,10 @@
 // Error implements error.
 func (e *ConfigError) Error() string { return "field " + e.Field + ": " + e.Reason }
 
-// Validate is the check that New makes, for a caller that wants to know beforehand. The error is a ConfigError.
+// Validate runs the check that New makes, for callers that need the result beforehand. The error is a ConfigError.
 func (c *Config) Validate() error { return c.check() }
 
-// check returns a ConfigError for the first setting that can't be used, or nil.
+// check returns a ConfigError for the first invalid setting, or nil.
 func (c *Config) check() error {
 	if err := c.checkClasses(); err != nil {
 		return err
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// checkBounds finds the first single setting that is negative.
+// checkBounds returns a ConfigError for the first scalar setting that is negative, or nil.
 func (c *Config) checkBounds() error {
 	o, limits := &c.Obligations, &c.Caps
 	for _, setting := range []struct {
@@ -111,7 +111,7 @@
 	return c.healthCheckInterval() / sweepsPerInterval
 }
 
-// advice is the one that is set, or one that knows nothing.
+// advice returns the configured Advice, or NoAdvice.
 func (c *Config) advice() Advice {
 	if c.Advice == nil {
 		return NoAdvice{}
@@ -119,7 +119,7 @@
 	return c.Advice
 }
 
-// retryStormConfig is what the model of retry storms is told.
+// retryStormConfig returns the settings of the retry storm model.
 func (c *Config) retryStormConfig() retrystorm.Config {
 	clientTimeout := time.Duration(0)
 	for _, class := range c.Classes {
@@ -133,7 +133,7 @@
 	}
 }
 
-// quotas are the tenants' requests a second, over all proxies.
+// quotas returns the tenants' quotas in requests a second, over all proxies.
 func (c *Config) quotas() []float64 {
 	quotas := make([]float64, len(c.Tenants))
 	for i, t := range c.Tenants {
@@ -142,17 +142,17 @@
 	return quotas
 }
 
-// costs are the prices of sending, for the model of predictions.
+// costs returns the prices of sending, for the prediction model.
 func (c *Config) costs() prediction.Costs {
 	return prediction.Costs{Waste: c.Prices.Waste, CrossZone: c.Prices.CrossZone}
 }
 
-// weights are those of the goal, for the model of goodput.
+// weights returns the goal's weights for the goodput model.
 func (g Goal) weights() goodput.Goal {
 	return goodput.Goal{Total: g.Total, WorstClass: g.WorstClass, WorstTenant: g.WorstTenant, WorstWindow: g.WorstWindow}
 }
 
-// terms are what a class allows of retries.
+// terms returns what a class allows for retries.
 func (c *Class) terms() idempotency.Terms {
 	t := idempotency.Terms{Window: c.IdempotencyWindow}
 	switch {
@@ -169,7 +169,7 @@
 	return t
 }
 
-// locationOf is where a backend deduplicates retries.
+// locationOf returns the zone and cell in which a backend deduplicates retries.
 func locationOf(t *target) idempotency.Location {
 	return idempotency.Location{Zone: t.Zone, Cell: t.Cell}
 }
--- a/internal/balancer/delay.go
+++ b/internal/balancer/delay.go
@@ -1,7 +1,7 @@
 package balancer
 
-// Delay estimates: how long a request takes, by its class and hint; how long a backend takes, as a multiple
-// of that.
+// Delay estimates: how long a request takes, by its class and cost hint, and how long a backend takes, as a
+// multiple of that.
 
 import (
 	"cmp"
@@ -9,31 +9,32 @@
 )
 
 const (
-	decayIntervals     = 4   // health check intervals over which measurements decay at least,
-	minAnswersInMemory = 8   // and long enough for so many answers of each backend in the subset
-	priorAnswers       = 0.5 // answers that the others' median counts for in a backend's delay ratio
+	decayIntervals     = 4   // decayTime is at least this many health check intervals,
+	minAnswersInMemory = 8   // and long enough for this many answers of each backend in the subset
+	priorAnswers       = 0.5 // weight, in answers, of the others' median in a backend's delay ratio
 	maxMeanWindow      = 256 // requests over which means are taken
-	loadExponent       = 0.3 // of the load, with which a predicted delay rises
-	// Of its latency target that a class is expected to take before its first answer.
+	loadExponent       = 0.3 // a predicted delay grows with the load to this power
+	// Expected delay of a class before its first answer, as a fraction of its latency target.
 	guessedDelayRatio = 0.25
 )
 
-// delayRatio is the smoothed latency of a backend, as a multiple of what its requests' classes and hints
-// lead one to expect. What is still in flight counts with its age, so that a timeout shows at once; with no
-// answers left in memory it is the others' median.
+// delayRatio is the smoothed latency of a backend, as a multiple of the delay expected from its requests'
+// classes and cost hints. Attempts in flight count with their age, so that requests that will time out show
+// early. Without recent answers it is the median of the others.
 func (b *Balancer) delayRatio(t *target) float64 {
 	sum, n := t.delays.Value(b.now, b.decayTime), t.answers.Value(b.now, b.decayTime)
 	return (sum + t.inFlightAges.at(b.now) + priorAnswers*b.medianDelayRatio) / (n + priorAnswers)
 }
 
-// predictDelay is the delay in ms to expect of a request there, for the prediction of its success: what the
-// backend takes already has its load in it, so what is in flight counts for little more.
+// predictDelay is the expected delay in ms of a request at a backend, for the prediction of its success. The
+// backend's delay ratio already reflects its load, so the attempts in flight add only a little.
 func (b *Balancer) predictDelay(r *request, t *target) float64 {
 	expected := b.expectedDelay(r.Class, millis(r.Cost))
 	return expected*b.delayRatio(t)*math.Pow(t.load+1, loadExponent) + b.extraDelay(r, t)
 }
 
-// expectedDelay is the delay in ms that class and hint (ms; 0 is none) lead one to expect of any backend.
+// expectedDelay is the delay in ms expected at any backend from a request's class and cost hint (ms; 0 is
+// none).
 func (b *Balancer) expectedDelay(class int, cost float64) float64 {
 	model := &b.delayModels[class]
 	if model.n < 1 {
@@ -45,12 +46,12 @@
 	return max(model.mean()/4, model.at(cost))
 }
 
-// extraDelay is what the advice says that a request waits there beyond its usual delay, ms.
+// extraDelay is the Advice's ExtraDelay of a request at a backend, ms.
 func (b *Balancer) extraDelay(r *request, t *target) float64 {
 	return b.advice.ExtraDelay(b.now, &r.Request, t.ID)
 }
 
-// work is what a request asks of a backend, ms.
+// work is the work in ms that a request causes at a backend: its cost hint, or else its expected delay.
 func (b *Balancer) work(r *request) float64 {
 	if r.Cost > 0 {
 		return millis(r.Cost)
@@ -58,13 +59,12 @@
 	return b.expectedDelay(r.Class, 0)
 }
 
-// meanDelay is what a request takes, ms; before the first answer, by guess. With guesses in the mean, a
-// proxy that has just started, and whose answers come a hundred times sooner, would take its few requests
-// for an overload.
+// meanDelay is the mean delay of a request, ms; before the first answer it is a guess. Later the guesses
+// must not count: a proxy that has just started and whose answers come a hundred times sooner than guessed
+// would take its few requests for an overload.
 func (b *Balancer) meanDelay() float64 { return cmp.Or(b.knownDelay.mean, b.meanExpectedDelay) }
 
-// recordExpectedDelay takes in the delay that a request is expected to have; known: its class has had
-// answers.
+// recordExpectedDelay records the expected delay of a request. known is set if its class has had answers.
 func (b *Balancer) recordExpectedDelay(expected float64, known bool) {
 	b.meanExpectedDelay = smooth(b.meanExpectedDelay, expected, b.meanWindow)
 	if known {
@@ -72,7 +72,8 @@
 	}
 }
 
-// recordDelay takes in what an answer took, ms. What is queued at the first one of all is judged by it.
+// recordDelay records the delay of an answer, ms. The first answer of all also sets knownDelay, so that
+// requests already queued are judged by it.
 func (b *Balancer) recordDelay(r *request, took float64) {
 	b.delayModels[r.Class].add(millis(r.Cost), took)
 	if b.knownDelay.n == 0 {
@@ -80,7 +81,7 @@
 	}
 }
 
-// recordDelayRatio takes in a delay ratio of an attempt with a weight.
+// recordDelayRatio records the delay ratio of an attempt with a weight.
 func (b *Balancer) recordDelayRatio(a *attempt, ratio, weight float64) {
 	t := a.target
 	t.delays.Add(ratio*weight, b.now, b.decayTime)
@@ -88,7 +89,7 @@
 	b.grayFailure.RecordDelayRatio(a.cell(), b.now, ratio, weight)
 }
 
-// updateMedians takes the medians that delay ratios and tails are compared with.
+// updateMedians computes the medians with which delay ratios and tails are compared.
 func (b *Balancer) updateMedians() {
 	b.ratios = b.ratios[:0]
 	for _, t := range b.subset {
@@ -108,8 +109,8 @@
 	b.medianTail = median(b.ratios, 0)
 }
 
-// identityKey is the same for requests that a retry can be taken for: of one class, tenant and key; 0 for
-// one without a key.
+// identityKey is the same for all requests of one class, tenant and key, among which a client's retry is
+// recognized. It is 0 for a request without a key.
 func (b *Balancer) identityKey(q Request) uint64 {
 	if q.Key == 0 {
 		return 0
--- a/internal/balancer/grayfailure.go
+++ b/internal/balancer/grayfailure.go
@@ -1,7 +1,7 @@
 package balancer
 
-// Gray failures: a class of requests that a backend serves badly though it serves the rest. The model is
-// package grayfailure's; here it is fed, and its effects on selection, retries and admission are decided.
+// Gray failures: a backend serves one class of requests badly while it serves the others well. The model is
+// in package grayfailure; this file feeds it and decides its effects on selection, retries and admission.
 
 import (
 	"fmt"
@@ -13,23 +13,23 @@
 
 const (
 	trialInterval = 100 * time.Millisecond // between two trials of one class at one backend
-	// Times longer for a trial of a request that can't be retried.
+	// Multiplies trialInterval for a request of full value that can't be retried.
 	fullValueTrialFactor = 5
-	maxClassLogLines     = 6 // on classes within logInterval
+	maxClassLogLines     = 6 // log lines about classes in each logInterval
 )
 
-// classHealth is one class at one backend.
+// classHealth is the state of one class at one backend.
 type classHealth struct {
 	grayfailure.Cell
 	inFlightAges ages // of the attempts in flight
-	isolated     bool // its ages don't count for the backend: they speak of the class
+	isolated     bool // its ages don't count for the backend, as only the class is slow
 	lastTrial    time.Duration
 }
 
-// cell gives what is known of an attempt's class at its backend.
+// cell returns the gray failure state of an attempt's class at its backend.
 func (a *attempt) cell() *grayfailure.Cell { return &a.target.classHealth[a.request.Class].Cell }
 
-// trackAge takes an attempt into the ages in flight (sign 1) or off them (-1).
+// trackAge adds an attempt to the ages in flight (sign 1) or removes it (-1).
 func (t *target) trackAge(a *attempt, sign float64) {
 	health := &t.classHealth[a.request.Class]
 	age := ages{millis(a.sent) / a.expected, 1 / a.expected}
@@ -37,12 +37,12 @@
 	if !health.isolated {
 		t.inFlightAges.add(age, sign)
 	}
-	if len(t.inFlight) == 0 { // no error of rounding stays
+	if len(t.inFlight) == 0 { // drops accumulated rounding errors
 		t.inFlightAges, health.inFlightAges = ages{}, ages{}
 	}
 }
 
-// setIsolated takes the ages of a class off the backend's, or back.
+// setIsolated removes the ages of a class from the backend's, or adds them back.
 func (t *target) setIsolated(health *classHealth, isolated bool) {
 	if health.isolated == isolated {
 		return
@@ -55,7 +55,8 @@
 	health.isolated = isolated
 }
 
-// delayExpectation is what an attempt should take there by what the backend's other classes take now.
+// delayExpectation is the delay expected of an attempt at its backend, from the current delays of the other
+// classes there.
 func (b *Balancer) delayExpectation(a *attempt) grayfailure.Expectation {
 	t, health := a.target, &a.target.classHealth[a.request.Class]
 	sum, n := t.delays.Value(b.now, b.decayTime), t.answers.Value(b.now, b.decayTime)
@@ -70,8 +71,8 @@
 	return grayfailure.Expectation{Delay: ratio, Answers: n}
 }
 
-// recordGrayFailure takes an attempt's end as evidence on its class at its backend, and gives how far it
-// speaks of the backend as a whole, 0 to 1.
+// recordGrayFailure records the end of an attempt as evidence about its class at its backend. It returns
+// how much the end says about the backend as a whole, 0 to 1.
 func (b *Balancer) recordGrayFailure(a *attempt, result Result) float64 {
 	class, outcome := a.request.Class, grayFailureOutcome(result)
 	if result == OK {
@@ -87,8 +88,8 @@
 	return b.grayFailure.RecordOutcome(a.cell(), class, outcome, a.sent, b.now, b.delayExpectation(a))
 }
 
-// grayFailureOutcome is what an attempt's end says of its class at its backend: a broken connection, or one
-// that was rejected unseen, says nothing.
+// grayFailureOutcome is what the end of an attempt says about its class at its backend. A broken connection
+// or a rejection says nothing about the class.
 func grayFailureOutcome(r Result) grayfailure.Outcome {
 	switch r {
 	case OK:
@@ -101,7 +102,7 @@
 	return grayfailure.Unknown
 }
 
-// evaluateGrayFailures does what time alone brings about: what is in flight speaks by its age.
+// evaluateGrayFailures ejects and reinstates classes in each sweep; attempts in flight count by their age.
 func (b *Balancer) evaluateGrayFailures() {
 	b.grayFailure.BeginComparison()
 	for _, t := range b.ready {
@@ -116,7 +117,7 @@
 	}
 }
 
-// compareClasses takes the classes of a backend into the comparison.
+// compareClasses adds the classes of a backend to the comparison.
 func (b *Balancer) compareClasses(t *target) {
 	for i := range t.classHealth {
 		t.classHealth[i].ResetInFlight()
@@ -154,8 +155,8 @@
 	}
 }
 
-// cancelOnEjected cancels what is in flight where its class is ejected, if it may be retried and there is
-// time to: its end brings it to another backend.
+// cancelOnEjected cancels attempts in flight at a backend where their class is ejected, if they may be
+// retried and there is time: once its attempt has ended, the request is sent to another backend.
 func (b *Balancer) cancelOnEjected(t *target) {
 	for _, a := range t.inFlight {
 		if b.mayCancelForRetry(a) && b.otherBackendLeft(a) {
@@ -176,7 +177,7 @@
 	return b.now-a.sent >= needed && b.usefulUntil(r)-b.now >= 2*needed
 }
 
-// otherBackendLeft tells whether another backend of the subset may have the request and serves its class.
+// otherBackendLeft tells whether another backend of the subset may get the request and serves its class.
 func (b *Balancer) otherBackendLeft(a *attempt) bool {
 	r := a.request
 	return slices.ContainsFunc(b.subset, func(t *target) bool {
@@ -184,15 +185,15 @@
 	})
 }
 
-// isClassEjected tells whether a request's class is ejected at a backend, so that it gets trials alone.
+// isClassEjected tells whether a request's class is ejected at a backend, which then gets only trials of it.
 func (b *Balancer) isClassEjected(r *request, t *target) bool {
 	_, _, ejected := t.classHealth[r.Class].EjectionState()
 	return ejected
 }
 
-// pickTrial gives a backend at which a request's class may be tried again, or nil: of those that are due
-// the one whose last trial is the longest ago. A trial of what can't be retried may lose it. The cheapest
-// go first; one of full value only when none has come for some time.
+// pickTrial returns a backend at which a request's class may be tried again, or nil: of those that are due,
+// the one with the oldest last trial. A trial may lose a request that can't be retried. So those of less
+// than full value are tried first, and one of full value only if there has been no trial for some time.
 func (b *Balancer) pickTrial(r *request, work float64) *target {
 	if len(r.attempts) > 0 || !b.grayFailure.AnyEjected(r.Class) {
 		return nil
@@ -227,9 +228,9 @@
 	return b.grayFailure.MayTrial(&health.Cell, r.Class)
 }
 
-// queueTooLong tells whether so many of its class are queued before a request that those few backends which
-// serve the class can't come to it in time. One that is kept until its time is half over has lost the time
-// to be served by another proxy.
+// queueTooLong tells whether so many requests of the class are queued ahead of a request that the backends
+// which still serve the class can't serve it in time. Queuing it until half its time is over would leave
+// another proxy too little time to serve it.
 func (b *Balancer) queueTooLong(r *request, ahead int) bool {
 	if !b.grayFailure.AnyEjected(r.Class) {
 		return false
--- a/internal/balancer/healthcheck.go
+++ b/internal/balancer/healthcheck.go
@@ -1,7 +1,7 @@
 package balancer
 
-// Active health checks. Intervals are in connect timeouts, the site's own measure of how soon a backend
-// answers.
+// Active health checks. Their intervals are multiples of the connect timeout, which says how soon a backend
+// of the deployment normally answers.
 
 import (
 	"fmt"
@@ -10,16 +10,16 @@
 
 const (
 	suspectCheckTimeouts = 2 // connect timeouts between two checks of a suspect backend
-	// Times longer between those of a healthy one: its answers tell more, at no cost.
+	// Multiplies the interval for a healthy backend: its answers to requests tell more, at no cost.
 	healthyCheckFactor = 4
-	// Checks at most, as a share of this proxy's requests, while no backend is suspect.
+	// Maximum number of checks, as a fraction of this proxy's requests, while no backend is suspect.
 	maxCheckRatio     = 0.1
-	requestGapWindow  = 32 // requests over which the time between two of them is averaged
-	checkThreshold    = 2  // results in a row that mark or restore a backend: one may be chance
-	sweepsPerInterval = 10 // sweeps in a health check interval, unless Caps.SweepEvery says so
+	requestGapWindow  = 32 // requests over which requestGap is averaged
+	checkThreshold    = 2  // consecutive results that mark a backend unhealthy or healthy: one may be chance
+	sweepsPerInterval = 10 // sweeps in a health check interval, unless Caps.SweepEvery is set
 )
 
-// OnHealthCheck takes the result of a health check.
+// OnHealthCheck handles the result of a health check.
 func (b *Balancer) OnHealthCheck(now time.Duration, p HealthCheckResult) {
 	b.now = now
 	t := b.byID[p.Backend]
@@ -30,7 +30,7 @@
 	switch p.Result {
 	case OK:
 		b.recordPassedCheck(t)
-	case Rejected, Cancelled, NotSent, Unprocessable: // nothing of the backend's health follows from it
+	case Rejected, Cancelled, NotSent, Unprocessable: // says nothing about the backend's health
 	default:
 		b.recordFailedCheck(t)
 	}
@@ -53,8 +53,8 @@
 	if t.failedChecks < checkThreshold {
 		return
 	}
-	// It may have died and come back before the membership says so. Until it passes again, its start
-	// counts as now.
+	// The backend may have crashed and restarted before the membership shows it. Until it passes a check
+	// again, its start time counts as now.
 	b.suspectRestart(t)
 	if t.healthy {
 		t.healthy = false
@@ -63,14 +63,14 @@
 }
 
 // suspectCheckInterval is the time between two health checks of a suspect backend; it is healthyCheckFactor
-// times longer for others. Checks grow as proxies times backends, and hundreds of proxies would wear the
-// backends out: so each proxy sends no more of them than a share of its own requests.
+// times longer for others. The number of checks grows as proxies times backends, and hundreds of proxies
+// would overload the backends with them, so each proxy limits its checks to a fraction of its own requests.
 func (b *Balancer) suspectCheckInterval() time.Duration {
 	byTraffic := float64(b.requestGap) * float64(len(b.subset)) / (healthyCheckFactor * maxCheckRatio)
 	return max(b.healthCheckInterval, time.Duration(byTraffic))
 }
 
-// scheduleHealthChecks begins the checks that are due.
+// scheduleHealthChecks starts the checks that are due.
 func (b *Balancer) scheduleHealthChecks() {
 	if !b.cfg.Caps.HealthChecks {
 		return
@@ -89,7 +89,7 @@
 	}
 }
 
-// isHealthy tells whether a backend may have requests, by health checks and outlier ejection.
+// isHealthy tells whether health checks and outlier ejection let a backend get requests.
 func (b *Balancer) isHealthy(t *target) bool {
 	return t.healthy && b.now >= t.ejectedUntil
 }
--- a/internal/balancer/learnedstate.go
+++ b/internal/balancer/learnedstate.go
@@ -1,7 +1,7 @@
 package balancer
 
-// The learned state, for the process that takes over, and back. What is in flight, queued or not answered yet is its
-// own process's and stays there; so do health checks that are under way.
+// Export of the learned state to the process that takes over, and its import there. Requests that are in flight,
+// queued or not answered yet stay with their own process; so do health checks in flight.
 
 import (
 	"slices"
@@ -12,12 +12,12 @@
 	"marlreel/internal/process/learnedstate"
 )
 
-// maxRestoredWeight is how many outcomes what another process learned of a class counts for at most: after as
-// many of its own, this process knows as much itself.
+// maxRestoredWeight is the largest weight, in outcomes, of what another process learned about a class: after as many
+// outcomes of its own, this process knows as much itself.
 const maxRestoredWeight = 50
 
-// LearnedBackends are the backends of which something was learned that another process can't know from
-// the membership, in no order.
+// LearnedBackends returns, in no order, the backends with learned state that another process can't get from the
+// membership.
 func (b *Balancer) LearnedBackends() []BackendID {
 	var ids []BackendID
 	for _, t := range b.targets {
@@ -32,8 +32,8 @@
 	return t.lastOK > 0 || t.consecutiveFailures > 0 || t.warmupStarted > 0 || !t.healthy || t.failedChecks > 0
 }
 
-// LearnedState is what was learned, but for the backends: LearnedBackend gives one. They are taken one by
-// one, so that no event takes as long as all of them.
+// LearnedState returns the learned state without the backends. LearnedBackend returns those one by one, so that no
+// single event takes as long as exporting all of them.
 func (b *Balancer) LearnedState(now time.Duration) learnedstate.State {
 	b.now = now
 	s := learnedstate.State{Common: b.learnedCommon()}
@@ -75,7 +75,7 @@
 	}
 }
 
-// LearnedBackend is what was learned of a backend; found is not set if it is not known any more.
+// LearnedBackend returns the learned state of a backend; found is not set if the backend is no longer known.
 func (b *Balancer) LearnedBackend(now time.Duration, id BackendID) (k learnedstate.Backend, found bool) {
 	b.now = now
 	t := b.byID[id]
@@ -111,15 +111,15 @@
 	return k, true
 }
 
-// Restore goes on with what another process of this proxy had learned, away ago. It counts only where this process
-// knows nothing itself: of a class or a backend that it has had answers of, its own evidence stands. Budgets
-// are the lower ones of both sides. A backend that has started since is a new one to all that was learned.
-// The ID of each backend is this process's.
+// Restore takes over what another process of this proxy had learned; away is the time since then. The state is used
+// only where this process has no evidence of its own: a class or backend that has answered this process keeps its
+// state. Of each budget, the lower one of both processes counts. For a backend that has started since, nothing that
+// was learned is used. The backends carry the IDs of this process.
 func (b *Balancer) Restore(now, away time.Duration, s *learnedstate.State) {
 	b.now = now
 	b.retryTokens = min(b.retryTokens, max(0, s.Common.RetryTokens))
 	if !b.knowsAnyClass(s) {
-		// It is another customer's, as is all that it says of work; but a start is a start.
+		// The state is of another customer's settings, so its measurements of work don't apply. Backend starts do.
 		for i := range s.Backends {
 			if t := b.byID[BackendID(s.Backends[i].ID)]; t != nil {
 				b.restoreStart(t, away, &s.Backends[i])
@@ -128,7 +128,7 @@
 		return
 	}
 	b.restoreCommon(away, s)
-	indices := make([]int, len(s.Classes)) // of each class here; -1: it is not known here
+	indices := make([]int, len(s.Classes)) // of the state's classes in this process's settings; -1: not there
 	for i := range s.Classes {
 		indices[i] = b.restoreClass(away, &s.Classes[i])
 	}
@@ -148,14 +148,14 @@
 	b.updateWarmupRates()
 }
 
-// knowsAnyClass tells whether a class of the state is one of the settings.
+// knowsAnyClass tells whether any class of the state is among this process's settings.
 func (b *Balancer) knowsAnyClass(s *learnedstate.State) bool {
 	return slices.ContainsFunc(s.Classes, func(k learnedstate.Class) bool {
 		return slices.ContainsFunc(b.cfg.Classes, func(c Class) bool { return c.Name == k.Name })
 	})
 }
 
-// restoreCommon takes over what was learned of no class and no backend alone.
+// restoreCommon takes over the state that belongs to no single class or backend.
 func (b *Balancer) restoreCommon(away time.Duration, s *learnedstate.State) {
 	c := &s.Common
 	if b.meanWindow < c.MeanWindow && c.MeanDelay > 0 && c.MeanWork > 0 {
@@ -176,8 +176,8 @@
 	}
 }
 
-// restoreClass takes over what was learned of a class, unless this process knows more of it. It gives the index of
-// the class here, or -1 if there is none.
+// restoreClass takes over what was learned about a class, unless this process knows more about it. It returns the
+// index of the class in this process's settings, or -1 if there is none.
 func (b *Balancer) restoreClass(away time.Duration, k *learnedstate.Class) int {
 	i := slices.IndexFunc(b.cfg.Classes, func(c Class) bool { return c.Name == k.Name })
 	if i < 0 || b.delayModels[i].n >= k.DelayFit[0] {
@@ -185,8 +185,8 @@
 	}
 	fit := linearFit{k.DelayFit[0], k.DelayFit[1], k.DelayFit[2], k.DelayFit[3], k.DelayFit[4]}
 	fit = fit.limitedTo(maxRestoredWeight)
-	// A delay that no request of the class can have had would reject all of them, or queue them for longer than
-	// their clients wait; then none is sent, and nothing is learned that would correct it.
+	// A mean delay that no request of the class can have had would cause all of them to be rejected, or queued for
+	// longer than their clients wait. Then none would be sent, and no answer would correct the mean.
 	if !(fit.n >= 1 && fit.mean() > 0 && fit.mean() <= millis(b.cfg.Classes[i].ClientTimeout)) {
 		return i
 	}
@@ -201,8 +201,8 @@
 	return i
 }
 
-// restoreStart takes over what is known of a backend's start. What another process has spent of a warming backend's
-// budget is spent for this one too: the backend got the work.
+// restoreStart takes over a backend's start time. What the other process has spent of a warming backend's budget
+// counts here too, as the backend got that work.
 func (b *Balancer) restoreStart(t *target, away time.Duration, k *learnedstate.Backend) {
 	if k.SinceStart < 0 {
 		return
@@ -216,7 +216,7 @@
 	t.warmupTokensAt = b.now
 }
 
-// restoreBackend takes over what was learned of a backend; indices are those of the state's classes here.
+// restoreBackend takes over what was learned about a backend; indices maps the state's classes to this process's.
 func (b *Balancer) restoreBackend(t *target, away time.Duration, k *learnedstate.Backend, indices []int) {
 	b.restoreStart(t, away, k)
 	if t.Started > b.now-away || t.answers.Value(b.now, b.decayTime) > 0 {
@@ -239,7 +239,7 @@
 	}
 }
 
-// restoreHealth takes over a backend's health and ejection; a suspect one is checked at once.
+// restoreHealth takes over a backend's health and ejection; a suspect backend is checked at once.
 func (b *Balancer) restoreHealth(t *target, away time.Duration, k *learnedstate.Backend) {
 	t.healthy = k.Healthy
 	t.failedChecks = k.FailedChecks
--- a/internal/balancer/logging.go
+++ b/internal/balancer/logging.go
@@ -1,16 +1,16 @@
 package balancer
 
-// Logging: a few lines at most in a short time, for whoever is on call.
+// Logging, rate-limited so that whoever is on call can read it.
 
 import (
 	"fmt"
 	"time"
 )
 
-// logInterval is the time in which one line goes out, or maxClassLogLines on classes.
+// logInterval is the time in which one line is logged, or maxClassLogLines about classes.
 const logInterval = 2 * time.Second
 
-// log writes a line, unless one has just been written.
+// log writes a line, unless one was written within logInterval.
 func (b *Balancer) log(line string) {
 	if b.lastLog == 0 || b.now-b.lastLog >= logInterval {
 		b.lastLog = b.now
@@ -18,8 +18,8 @@
 	}
 }
 
-// logClass writes a line on a class at a backend; of many in a short time the first ones, and how many
-// there were.
+// logClass writes a line about a class at a backend. Of many within logInterval it writes the first ones, and later
+// how many it suppressed.
 func (b *Balancer) logClass(line string) {
 	allowed, suppressed := b.classLogLimit.allow(b.now, logInterval, maxClassLogLines)
 	if suppressed > 0 {
@@ -30,13 +30,13 @@
 	}
 }
 
-// logRateLimit lets a few lines through in each interval.
+// logRateLimit allows a few lines in each interval.
 type logRateLimit struct {
 	from time.Duration
 	n    int
 }
 
-// allow tells whether a line goes through, and how many did not in an interval that has just ended.
+// allow tells whether a line may be written, and how many were suppressed in an interval that has just ended.
 func (l *logRateLimit) allow(now, interval time.Duration, maxLines int) (allowed bool, suppressed int) {
 	if now-l.from >= interval {
 		suppressed = max(0, l.n-maxLines)
--- a/internal/balancer/membership.go
+++ b/internal/balancer/membership.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Membership: which backends there are.
+// Membership: which backends exist.
 
 import (
 	"cmp"
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// maxBackoffShift bounds the backoff of failed calls for the membership: each doubles it until then.
+// maxBackoffShift is how many failed membership fetches in a row double the backoff.
 const maxBackoffShift = 4
 
-// OnMembership reconciles the backends in place: those that stay keep their status.
+// OnMembership updates the known backends; those that stay keep their state.
 func (b *Balancer) OnMembership(now time.Duration, m Membership) {
 	b.now = now
 	if m.Kind == MembershipFailed {
@@ -29,7 +29,7 @@
 	b.sortTargets()
 }
 
-// retryFetch calls for the membership again after a backoff.
+// retryFetch schedules another request for the membership, after a backoff.
 func (b *Balancer) retryFetch() {
 	b.failedFetches++
 	longest := max(b.cfg.Obligations.MaxMembershipAge/2, b.healthCheckInterval)
@@ -37,7 +37,7 @@
 	b.startTimer(backoff/2+jitter(b.rng, backoff/2), timerDiscover)
 }
 
-// setMissingGone marks the backends that a complete membership does not have.
+// setMissingGone marks the backends that are missing from a complete membership as gone.
 func (b *Balancer) setMissingGone(listed []Backend) {
 	for _, t := range b.targets {
 		if !slices.ContainsFunc(listed, func(e Backend) bool { return e.ID == t.ID }) {
@@ -46,7 +46,7 @@
 	}
 }
 
-// updateTarget puts an entry of the membership in force.
+// updateTarget applies an entry of the membership.
 func (b *Balancer) updateTarget(e Backend) {
 	t := b.byID[e.ID]
 	if t == nil && e.State == Gone {
@@ -73,7 +73,7 @@
 	return t
 }
 
-// sortTargets puts the backends in this proxy's order.
+// sortTargets sorts the backends in this proxy's rendezvous order, and updates the ready ones and the subset.
 func (b *Balancer) sortTargets() {
 	slices.SortFunc(b.targets, func(x, y *target) int { return cmp.Compare(x.order, y.order) })
 	b.removeGone()
@@ -96,7 +96,7 @@
 	})
 }
 
-// EjectedCount is how many listed backends get nothing for now.
+// EjectedCount is how many listed backends are ejected or unhealthy.
 func (b *Balancer) EjectedCount() int {
 	ejected := 0
 	for _, t := range b.targets {
--- a/internal/balancer/outcome.go
+++ b/internal/balancer/outcome.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Outcomes: what the end of an attempt teaches, and what comes next.
+// Outcomes: what is learned from the end of an attempt, and what happens to its request.
 
 import (
 	"math"
@@ -9,15 +9,15 @@
 )
 
 const (
-	retryBudgetRatio = 0.1 // further attempts, as a share of the answers
-	maxRetryTokens   = 10  // further attempts that may be saved up
+	retryBudgetRatio = 0.1 // retries that each good answer adds to the budget
+	maxRetryTokens   = 10  // retries that the budget can hold
 
-	minTookMillis       = 0.01 // of an attempt, so that no ratio is of nothing
-	cancelledWeight     = 0.5  // of the age of a cancelled attempt, which is a lower bound of its delay
-	minOverloadEvidence = 0.5  // from which an attempt that timed out counts as slow and not as lost
+	minTookMillis       = 0.01 // least duration of an attempt, so that no delay ratio is 0
+	cancelledWeight     = 0.5  // weight of a cancelled attempt's age, which is a lower bound of its delay
+	minOverloadEvidence = 0.5  // above this evidence of overload, a timeout counts as slow, not as lost
 )
 
-// OnAttemptEnd takes the end of an attempt and decides what comes next.
+// OnAttemptEnd handles the end of an attempt and decides what happens to its request.
 func (b *Balancer) OnAttemptEnd(now time.Duration, o Outcome) {
 	b.now = now
 	r, a := b.find(o.ID, o.Attempt)
@@ -33,7 +33,7 @@
 	b.dispatch()
 }
 
-// find gives a request and one of its attempts, or nil.
+// find returns a request and one of its attempts, or nil.
 func (b *Balancer) find(id RequestID, index int) (*request, *attempt) {
 	r := b.requests[id]
 	if r == nil || index < 0 || index >= len(r.attempts) {
@@ -42,14 +42,14 @@
 	return r, r.attempts[index]
 }
 
-// continueRequest decides whether a request whose attempt has ended is over, waits for another attempt, or
-// is queued for a retry.
+// continueRequest decides whether a request whose attempt has ended is finished, waits for another attempt
+// in flight, or is queued for a retry.
 func (b *Balancer) continueRequest(r *request, a *attempt, result Result) {
 	if r.ended {
 		b.finish(r, a)
 		return
 	}
-	if result == Unprocessable { // and so would every other attempt be
+	if result == Unprocessable { // every other attempt would get the same answer
 		b.host.Fail(r.ID)
 		b.finish(r, a)
 		return
@@ -65,7 +65,7 @@
 	b.enqueue(r)
 }
 
-// takeRetry takes a retry from the budgets; it tells whether there was one.
+// takeRetry takes a retry from this proxy's budget and the Advice's, or returns false if either is used up.
 func (b *Balancer) takeRetry() bool {
 	if b.retryTokens < 1 || !b.advice.TryRetry(b.now) {
 		return false
@@ -74,14 +74,14 @@
 	return true
 }
 
-// completeAttempt takes an attempt off its backend's load and learns from it.
+// completeAttempt removes an attempt from its backend's load and learns from its outcome.
 func (b *Balancer) completeAttempt(a *attempt, o Outcome) {
 	t, r := a.target, a.request
 	a.done = true
 	a.mayRun = !o.Result.NeverRan()
 	r.inFlight--
 	t.removeInFlight(a)
-	if a.firstByteAt > 0 { // what could be learned came with the first byte
+	if a.firstByteAt > 0 { // its delay was already recorded at the first byte
 		b.recordPassiveCheck(a, o.Result)
 		return
 	}
@@ -90,7 +90,9 @@
 	took := max(millis(b.now-a.sent), minTookMillis)
 	weight := b.recordGrayFailure(a, o.Result)
 	overload := weight
-	if o.Result == Timeout { // where answers are lost no limit helps, and limits would sink
+	// A lower concurrency limit helps an overloaded backend, but not one that loses answers, so an attempt
+	// that timed out counts only as far as the backend is probably slow.
+	if o.Result == Timeout {
 		overload *= b.grayFailure.SlowProbability(r.Class, b.now, took, b.delayExpectation(a))
 	}
 	b.updateConcurrencyLimit(a, o.Result, overload)
@@ -112,12 +114,12 @@
 		t.inFlight = slices.Delete(t.inFlight, i, i+1)
 	}
 	t.load -= a.weight
-	if len(t.inFlight) == 0 { // no error of rounding stays
+	if len(t.inFlight) == 0 { // drops accumulated rounding errors
 		t.load = 0
 	}
 }
 
-// recordSlowStart tells the slow start what became of an attempt at a warming backend.
+// recordSlowStart records the outcome of an attempt at a warming backend for the slow start.
 func (b *Balancer) recordSlowStart(a *attempt, result Result, took float64) {
 	if _, warming := b.warmupCapacity(a.target); !warming {
 		return
@@ -127,12 +129,13 @@
 	}
 }
 
-// recordFailedAttempt learns from a failure. A failure comes fast: it counts as slow as the latency target,
-// or a broken backend would draw all traffic; but as no multiple of the median, which would feed itself
-// while all fail.
+// recordFailedAttempt learns from a failed attempt. Failures can be fast, and a broken backend would look
+// fast and attract all traffic, so a failure counts as at least as slow as the latency target and the
+// median. It does not count as a multiple of the median, as that would raise the median without bound while
+// all backends fail.
 func (b *Balancer) recordFailedAttempt(a *attempt, result Result, took, overload, weight float64) {
 	class := a.request.Class
-	if result == Timeout && overload > minOverloadEvidence { // not lost: it takes longer
+	if result == Timeout && overload > minOverloadEvidence { // probably slow rather than lost
 		b.prediction.RecordOutcome(class, a.predicted, took, false)
 		b.delayModels[class].add(millis(a.request.Cost), max(took, a.expected))
 	}
@@ -141,7 +144,7 @@
 	b.recordDelayRatio(a, ratio, weight)
 }
 
-// recordAnswer learns from a good answer; final: it is the client's.
+// recordAnswer learns from a good answer. final is set if the answer went to the client.
 func (b *Balancer) recordAnswer(a *attempt, took float64, final bool) {
 	t, r := a.target, a.request
 	b.retryTokens = min(b.retryTokens+retryBudgetRatio, maxRetryTokens)
@@ -175,8 +178,8 @@
 	}
 }
 
-// generationStarted takes in that an answer has begun that is generated as it goes: its delay is known, and
-// it stays in flight at the backend until its end.
+// generationStarted records the first byte of an answer that is generated while it is streamed: its delay
+// is known now, but the attempt stays in flight at the backend until its end.
 func (b *Balancer) generationStarted(a *attempt) {
 	a.firstByteAt = b.now
 	a.target.trackAge(a, -1)
@@ -187,7 +190,7 @@
 	b.recordAnswer(a, max(millis(b.now-a.sent), minTookMillis), true)
 }
 
-// OnClientGone takes in that a client has left: it is owed nothing any more.
+// OnClientGone handles a client's disconnect: its request needs no answer any more.
 func (b *Balancer) OnClientGone(now time.Duration, id RequestID) {
 	b.now = now
 	r := b.requests[id]
@@ -198,8 +201,8 @@
 	b.finish(r, nil)
 }
 
-// OnRequestComplete takes in that a request's last byte went out only now: its time, and that of its
-// attempts, count from here. A client that writes slowly would count as a slow backend else.
+// OnRequestComplete handles the end of a request's upload: its last byte was forwarded only now. The times
+// of the request and its attempts count from here; otherwise a slow upload would count as a slow backend.
 func (b *Balancer) OnRequestComplete(now time.Duration, id RequestID, deadline time.Duration) {
 	b.now = now
 	r := b.requests[id]
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -1,16 +1,16 @@
 package balancer
 
-// Outlier ejection: a backend that leaves attempts without an answer gets nothing for a while.
+// Outlier ejection: a backend that leaves too many attempts in a row unanswered gets no requests for a while.
 
 import "fmt"
 
 const (
-	maxEjectedRatio = 0.5 // share of the ready backends that may be ejected or unhealthy
-	// Check intervals that an ejection lasts at most; the first lasts one, each next twice as long.
+	maxEjectedRatio = 0.5 // fraction of the ready backends that may be ejected or unhealthy
+	// Longest ejection in check intervals. The first one lasts one interval, each further one twice as long.
 	maxEjectionIntervals = 8
 )
 
-// recordPassiveCheck takes an attempt's end as evidence of its backend's health.
+// recordPassiveCheck records the end of an attempt as evidence of its backend's health.
 func (b *Balancer) recordPassiveCheck(a *attempt, result Result) {
 	t := a.target
 	if result == OK {
@@ -21,7 +21,7 @@
 		t.ejectionDuration = 0
 		return
 	}
-	// One connection that carries many requests breaks under all of them at once: that is one break.
+	// A broken connection ends all the requests that share it at once: that counts as one break.
 	if result == Reset && a.sent < t.lastBreak && b.now-t.lastBreak < b.cfg.Tick {
 		return
 	}
@@ -35,9 +35,10 @@
 	b.recordFailure(t, result)
 }
 
-// speaksOfBackend tells whether a failure is evidence against the whole backend. In an overload all
-// attempts time out, and a backend that still answers others is only slow. A request that no backend can
-// use would eject one after the other. A class that is ejected there by itself says nothing new.
+// speaksOfBackend tells whether a failure is evidence against the whole backend. It is not if the backend
+// has answered since the attempt was sent: in an overload all attempts time out, but such a backend is only
+// slow. Nor is an unprocessable request, which would eject one backend after the other, or an error or
+// timeout of a class that is already ejected there.
 func (b *Balancer) speaksOfBackend(a *attempt, result Result) bool {
 	switch result {
 	case Rejected, Cancelled, NotSent, Unprocessable:
@@ -49,11 +50,11 @@
 	return result == Reset || result == ConnectFailed || !b.isClassEjected(a.request, a.target)
 }
 
-// recordFailure counts an attempt without an answer, and ejects the backend after too many in a row.
+// recordFailure counts an unanswered attempt, and ejects the backend after too many in a row.
 func (b *Balancer) recordFailure(t *target, result Result) {
 	threshold := b.connectionFailures.FailureThreshold(b.now)
 	if result == ConnectFailed && t.consecutiveFailures > 0 && !b.suspectRestart(t) {
-		// If it did die, further attempts are lost: one more failure is enough.
+		// If the backend did crash, further attempts would be lost, so one more failure is enough.
 		t.consecutiveFailures = max(t.consecutiveFailures, threshold-1)
 	}
 	t.consecutiveFailures++
@@ -62,12 +63,12 @@
 	}
 	interval := b.suspectCheckInterval()
 	t.ejectionDuration = min(max(2*t.ejectionDuration, interval), maxEjectionIntervals*interval)
-	t.ejectedUntil = b.now + t.ejectionDuration // the failures stay counted: after it, one more is enough
+	t.ejectedUntil = b.now + t.ejectionDuration // consecutiveFailures stays: one more failure ejects it again
 	b.log(fmt.Sprintf("backend %d ejected: %d attempts in a row without an answer",
 		t.ID, t.consecutiveFailures))
 }
 
-// mayEjectOneMore tells whether one more backend may be ejected beside those that get nothing now.
+// mayEjectOneMore tells whether one more backend may be ejected beside those that are already out.
 func (b *Balancer) mayEjectOneMore() bool {
 	ejected := 1
 	for _, t := range b.ready {
--- a/internal/balancer/reconfigure.go
+++ b/internal/balancer/reconfigure.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Other settings in force: what stays of the learned state, and what requests under way may still do.
+// New settings: what is kept of the learned state, and what requests under way may still do.
 
 import (
 	"fmt"
@@ -12,15 +12,15 @@
 	"marlreel/internal/balancer/slowstart"
 )
 
-// Reconfigure puts other settings in force, in one step; an error, a ConfigError, leaves the old ones whole.
+// Reconfigure applies new settings atomically. On an error, a ConfigError, the old ones stay in force.
 //
-// A class keeps its index for good: a class that was removed stays listed under the one it had, and what was
-// learned of each stays with its index. reassigned are the indices that another class has taken over, of
-// which no request is pending: what was learned under them is forgotten. removed tells whether the class of
-// an index is out of use, so that how it was served last no longer counts for the goal.
+// Classes keep their index: a removed class stays in the list under the index it had, and what was learned
+// about a class stays with its index. reassigned lists the indices that another class has taken over; no
+// request of the old class may be pending, and what was learned about it is dropped. removed tells whether
+// the class of an index is out of use, so that how it was served last no longer counts for the goal.
 //
-// Requests under way keep the class that they came with, and may get no more attempts, nor be retried
-// otherwise, than both settings allow: backends take up new settings at a time that nobody knows.
+// Requests under way keep the class that they came with, and are attempted and retried only as far as both
+// the old and the new settings allow: it is unknown when backends apply the new ones.
 func (b *Balancer) Reconfigure(
 	now time.Duration, cfg Config, reassigned []int, removed func(class int) bool,
 ) error {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// checkChange tells what of other settings, sound by themselves, can't follow those in force.
+// checkChange returns a ConfigError if settings that are valid by themselves can't replace those in force.
 func (b *Balancer) checkChange(cfg *Config) error {
 	if have := len(b.cfg.Classes); len(cfg.Classes) < have {
 		reason := fmt.Sprintf("%d, and there were %d: each has to keep its place", len(cfg.Classes), have)
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// growClasses makes room for so many classes; what is known of those there are stays.
+// growClasses extends the state by class to so many classes and keeps that of the present ones.
 func (b *Balancer) growClasses(classes int) {
 	added := classes - len(b.cfg.Classes)
 	b.delayModels = append(b.delayModels, make([]linearFit, added)...)
@@ -86,7 +86,7 @@
 	b.prediction.Grow(classes)
 }
 
-// configureModels gives the models the settings that they go by; previous is as previousTenants has it.
+// configureModels passes new settings to the models; previous is the result of previousTenants.
 func (b *Balancer) configureModels(cfg *Config, previous []int) {
 	b.goodput.Reset(cfg.Goal.weights(), len(cfg.Classes), previous)
 	b.quota.Configure(cfg.quotas(), previous, cfg.Instances, cfg.Obligations.OverloadWindow)
@@ -95,7 +95,7 @@
 	b.costs = cfg.costs()
 }
 
-// forgetClasses drops what was learned under the indices of classes.
+// forgetClasses drops what was learned about classes, given by index.
 func (b *Balancer) forgetClasses(classes []int) {
 	for _, i := range classes {
 		b.delayModels[i] = linearFit{}
@@ -110,7 +110,7 @@
 	}
 }
 
-// anyClassStays tells whether a class, by its name, is among both and not out of use.
+// anyClassStays tells whether any class, by its name, is in both lists and not out of use.
 func anyClassStays(before, after []Class, removed func(class int) bool) bool {
 	return slices.ContainsFunc(before, func(c Class) bool {
 		i := slices.IndexFunc(after, func(n Class) bool { return n.Name == c.Name })
@@ -118,7 +118,7 @@
 	})
 }
 
-// previousTenants gives for each tenant the index that the one of its name had before, or -1.
+// previousTenants returns for each tenant the previous index of the tenant of the same name, or -1.
 func previousTenants(before, after []Tenant) []int {
 	previous := make([]int, len(after))
 	for i, t := range after {
@@ -127,12 +127,12 @@
 	return previous
 }
 
-// discardLearned drops what was learned, and keeps what obligations rest on: which backends are draining or
-// healthy, when each started and what is left of its slow-start budget. Where no class stays, as where
-// another customer's settings come, the delays of the old classes say nothing of the new ones and would
-// misjudge them for long.
+// discardLearned drops what was learned, except for what the obligations depend on: which backends are
+// draining or healthy, when each started and what is left of its slow-start budget. It is called if no
+// class stays, as with another customer's settings: then the delays of the old classes say nothing about
+// the new ones and would distort decisions for a long time.
 func (b *Balancer) discardLearned() {
-	b.meanWindow = 0 // the next request is the mean of all
+	b.meanWindow = 0 // the next request sets the means
 	b.knownDelay = average{}
 	b.goodput.Clear()
 	for _, t := range b.targets {
@@ -144,7 +144,7 @@
 	}
 }
 
-// deriveIntervals sets the intervals that follow from the settings.
+// deriveIntervals computes the intervals that depend on the settings.
 func (b *Balancer) deriveIntervals() {
 	b.healthCheckInterval = b.cfg.healthCheckInterval()
 	b.sweepEvery = b.cfg.sweepEvery()
--- a/internal/balancer/selection.go
+++ b/internal/balancer/selection.go
@@ -1,6 +1,6 @@
 package balancer
 
-// The selection of a backend for an attempt: the better of two sampled ones, by expected delay
+// The selection of a backend for an attempt: of two sampled backends, the one with the lower expected delay
 // (Mitzenmacher, "The power of two choices in randomized load balancing", 2001).
 
 import (
@@ -11,17 +11,17 @@
 )
 
 const (
-	// How much worse the own zone's candidate may be before one elsewhere is taken.
+	// How much worse the score of the own zone's candidate may be before one in another zone is taken.
 	crossZonePenalty     = 0.75
-	replicaPenaltyFactor = 3    // times more for a request that few backends can run
-	preferredReplicas    = 2    // backends that can run it, to which a proxy turns first
-	rebalanceUtility     = 0.15 // of relieving a slower backend altogether, in requests of mean utility
-	// Part of its latency target for which a request waits for its key's own two backends.
+	replicaPenaltyFactor = 3    // multiplies crossZonePenalty for a request that few backends can run
+	preferredReplicas    = 2    // of the backends that can run such a request, how many a proxy prefers
+	rebalanceUtility     = 0.15 // utility of relieving a slower backend entirely, in requests of mean utility
+	// Fraction of its latency target for which a request waits for the two preferred backends of its key.
 	affinityWaitRatio = 0.15
-	affinityPenalty   = 1.0 // how much worse the key's first backend may be before its second is taken
+	affinityPenalty   = 1.0 // how much worse a key's first backend may score before its second is taken
 )
 
-// stage is where a backend is looked for, one stage after the other.
+// stage is a set of backends to search. The stages are searched in order.
 type stage int
 
 const (
@@ -38,7 +38,7 @@
 	return b.ready
 }
 
-// pick finds the backend for an attempt; nil: there is none now.
+// pick returns the backend for an attempt, or nil if there is none now.
 func (b *Balancer) pick(r *request) *target {
 	work := b.work(r)
 	keyed := b.cfg.KeyAffinity && r.Key != 0
@@ -58,9 +58,9 @@
 	return nil
 }
 
-// findCandidates sets b.candidates to the backends of a stage that may receive the request. found tells
-// whether any could run it, fresh whether any of the candidates has had no attempt of it: those alone are
-// candidates then.
+// findCandidates sets b.candidates to the backends of a stage that may receive the request. found is set if
+// any backend is eligible, fresh if any candidate has had no attempt of the request yet; the other
+// candidates are dropped in that case.
 func (b *Balancer) findCandidates(r *request, s stage, work float64) (found, fresh bool) {
 	b.candidates = b.candidates[:0]
 	for _, t := range b.backendsOf(s) {
@@ -79,9 +79,10 @@
 	return found, fresh
 }
 
-// eligible tells whether a stage takes a backend for a request. A second attempt where its class is served
-// badly is lost like the first. Of the backends that have what a request needs loaded, the subset would
-// often have just one, whatever its load.
+// eligible tells whether a backend may be considered for a request in a stage. A class that is ejected at a
+// backend gets only first attempts there, in the last stage: a second one would probably be lost like the
+// first. Requests with Needs skip the subset, as it often contains only one backend that has the model
+// loaded, whatever its load.
 func (b *Balancer) eligible(r *request, t *target, s stage) bool {
 	switch {
 	case s == stageSubset && r.Needs != nil, !b.maySend(r, t):
@@ -94,9 +95,10 @@
 	return true
 }
 
-// narrowCandidates keeps the candidates that are under their limits; with affinity, for a while only the
-// key's own two. Where all are at their limits, keys that go wherever there is room find nothing warm, and
-// their extra work keeps all at their limits.
+// narrowCandidates keeps the candidates that are under their concurrency limits; with key affinity, it
+// first keeps only the key's two preferred backends for a while. Otherwise, when all backends are at their
+// limits, keys would go to any backend with room, miss its cache, and the extra work would keep all
+// backends at their limits.
 func (b *Balancer) narrowCandidates(r *request, keyed bool) {
 	if keyed {
 		slices.SortFunc(b.candidates, r.compareByKey)
@@ -107,9 +109,9 @@
 	b.candidates = slices.DeleteFunc(b.candidates, func(t *target) bool { return !b.underLimit(r, t) })
 }
 
-// score is the expected delay of a request at a backend, in multiples of what the class usually takes: the
-// load and one more, times the delay ratio, and the latency target for each attempt that is lost on the way
-// to an answer.
+// score is the expected delay of a request at a backend, as a multiple of the class's usual delay: the load
+// plus this request, times the delay ratio, plus a latency target for each attempt that is expected to fail
+// before one is answered.
 func (b *Balancer) score(r *request, t *target) float64 {
 	cell := &t.classHealth[r.Class].Cell
 	mean := t.delays.Mean(&t.answers, b.now, b.decayTime)
@@ -121,8 +123,8 @@
 	return score + b.extraDelay(r, t)/expected
 }
 
-// choose takes one of b.candidates: one of the key's own two with affinity, else the better of two sampled
-// ones.
+// choose returns one of b.candidates: with key affinity one of the key's two preferred backends, otherwise
+// the better of two sampled ones.
 func (b *Balancer) choose(r *request, keyed bool) *target {
 	if keyed {
 		return b.chooseByKey(r)
@@ -147,8 +149,8 @@
 	return first
 }
 
-// shouldLeavePreferred tells whether the best of all is so much better than the best of the preferred that it
-// is taken.
+// shouldLeavePreferred tells whether best, sampled from all candidates, is better than local, sampled from
+// the preferred ones, by enough to be chosen instead.
 func (b *Balancer) shouldLeavePreferred(r *request, local, best *target) bool {
 	localScore, bestScore := b.score(r, local), b.score(r, best)
 	if bestScore*(1+crossZonePenalty*r.replicaFactor()) >= localScore {
@@ -158,8 +160,8 @@
 	return b.costs.ExpectedUtility(b.evaluate(r, best))+relief > b.costs.ExpectedUtility(b.evaluate(r, local))
 }
 
-// preferred gives the candidates that are preferred: those of the own zone; for a request that few backends
-// can run the first ones in this proxy's order, so that few connections are needed.
+// preferred returns the preferred candidates: those of the own zone, or, for a request that few backends
+// can run, the first ones in this proxy's order, so that few connections are needed.
 func (b *Balancer) preferred(r *request) []*target {
 	if r.Needs == nil {
 		return slices.DeleteFunc(b.candidates, func(t *target) bool { return t.Zone != b.cfg.Zone })
@@ -173,7 +175,7 @@
 	return cmp.Or(b.zoneSide(x)-b.zoneSide(y), b.connectionRank(x)-b.connectionRank(y))
 }
 
-// connectionRank is 0 while an idle connection to a backend is likely to be open, and 1 else.
+// connectionRank is 0 while an idle connection to a backend is likely to be open, and 1 otherwise.
 func (b *Balancer) connectionRank(t *target) int {
 	if b.now-t.lastSent < b.cfg.Caps.ConnIdle/2 {
 		return 0
@@ -181,13 +183,13 @@
 	return 1
 }
 
-// compareByKey orders backends for a request's key, the same way at every proxy.
+// compareByKey orders backends by rendezvous hash of the request's key, the same way at every proxy.
 func (r *request) compareByKey(x, y *target) int {
 	return cmp.Compare(mix(r.Key, x.ID), mix(r.Key, y.ID))
 }
 
-// replicaFactor scales crossZonePenalty for a request: one that few backends can run has a connection and a
-// cache there, which are worth keeping.
+// replicaFactor scales crossZonePenalty for a request: for one that few backends can run, the preferred
+// backends have open connections and warm caches, which are worth keeping.
 func (r *request) replicaFactor() float64 {
 	if r.Needs == nil {
 		return 1
@@ -195,7 +197,7 @@
 	return replicaPenaltyFactor
 }
 
-// evaluate is what sending a request there has to win and to lose.
+// evaluate returns the utility, cost and success probability of sending a request to a backend.
 func (b *Balancer) evaluate(r *request, t *target) prediction.Attempt {
 	weight := b.goodput.RelativeUtility(r.Class, r.Tenant, 1-r.overQuota)
 	return prediction.Attempt{
@@ -206,7 +208,7 @@
 	}
 }
 
-// sample draws two backends and takes the one of lower expected delay.
+// sample draws two backends and returns the one with the lower score.
 func (b *Balancer) sample(r *request, candidates []*target) *target {
 	n := len(candidates)
 	i := b.rng.IntN(n)
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -1,6 +1,6 @@
 package balancer
 
-// The slow start: what a backend that has just started may be sent.
+// Slow start: how much work may be sent to a backend that has just started.
 
 import (
 	"time"
@@ -11,12 +11,12 @@
 
 const (
 	servedWindow       = 2    // decay times over which the work that backends serve is averaged
-	warmupSafetyFactor = 0.8  // of the rate that would overload a warming backend, that it may be sent
-	warmupBurstRatio   = 0.25 // of the overload window that a warming backend's tokens may be saved up over
+	warmupSafetyFactor = 0.8  // fraction of the rate that would overload a warming backend that is sent to it
+	warmupBurstRatio   = 0.25 // fraction of the overload window over which tokens may accumulate
 )
 
-// warmupCapacity gives the share of its capacity that a backend has at least, and whether it is still
-// warming up.
+// warmupCapacity returns the fraction of its full capacity that a backend has at least, and whether it is
+// still warming up.
 func (b *Balancer) warmupCapacity(t *target) (capacity float64, warming bool) {
 	o := b.cfg.Obligations
 	age := b.now - t.warmupStarted
@@ -26,8 +26,8 @@
 	return o.InitialCapacity + (1-o.InitialCapacity)*max(0, float64(age)/float64(o.WarmupDuration)), true
 }
 
-// recordStart notes a start, known or suspected. What the backend served before says nothing any more. One
-// request at once from each of many proxies would overload it, so its tokens begin in debt.
+// recordStart records a start of a backend, known or suspected. What it served before no longer counts. One
+// request from each of many proxies at the same time would overload it, so its tokens start below zero.
 func (b *Balancer) recordStart(t *target, at time.Duration) {
 	if at <= t.warmupStarted {
 		return
@@ -38,15 +38,17 @@
 	t.servedWork = decay.Sum{}
 }
 
-// initialWarmupDebt is what this proxy's tokens for a backend that starts begin with, ms: proxies take turns.
+// initialWarmupDebt is the initial, negative token count of this proxy for a backend that starts, ms. It
+// differs between proxies, so that they take turns.
 func (b *Balancer) initialWarmupDebt(t *target) float64 {
 	return -max(b.meanWork, b.expectedDelay(0, 0)) * slowstart.Stagger(b.cfg.Rank, uint64(t.ID))
 }
 
-// suspectRestart takes a run of failures for a crash, and with that for a start to come: the backend may be
-// up again before the membership says that it died. Where connections break by themselves every backend has
-// such a run now and then, and all would count as warming and get next to nothing. So where a living
-// backend may well have such a run, one that has answered within an interval has not died.
+// suspectRestart treats a run of failures as a crash and records a start, as the backend may be up again
+// before the membership shows that it was down; it returns false if it assumes no crash. Where connections
+// break often, every backend has such runs now and then, and all would count as warming and get next to no
+// requests. So if such a run is likely for a backend that is up, one that has answered within the last
+// health check interval is assumed to be up.
 func (b *Balancer) suspectRestart(t *target) bool {
 	run := max(1, t.consecutiveBreaks, t.failedChecks)
 	answeredLately := t.lastOK > 0 && b.now-t.lastOK < b.healthCheckInterval
@@ -57,9 +59,9 @@
 	return true
 }
 
-// updateWarmupRates sets what each warming backend may be sent a second: the share of its capacity that it
-// has at least, of what each would serve of this proxy's requests. It goes by the proxy's own part, so that
-// all proxies together stay within the budget.
+// updateWarmupRates sets how much work each warming backend may be sent per second: the fraction of its
+// capacity that it has at least, applied to the work that a warm backend serves for this proxy. As each
+// proxy counts only its own part, all of them together stay within the budget.
 func (b *Balancer) updateWarmupRates() {
 	window := max(b.cfg.Obligations.OverloadWindow, time.Second).Seconds()
 	served, anyWarm := 0.0, false
@@ -73,9 +75,9 @@
 		if !warming {
 			continue
 		}
-		// Where no backend is warm there is nothing to compare with.
+		// The slow start's own rate, for when there is no warm backend to compare with.
 		rate := b.slowStart.Rate(b.now, capacity, anyWarm) / float64(b.cfg.Instances)
-		// Where few are up in a zone, all its proxies use the same ones, however many they are.
+		// If few backends of a zone are up, all proxies of the zone use the same ones, however many they are.
 		capacity *= max(1, b.usableBySide[b.zoneSide(t)]/b.subsetSize) / float64(len(b.ready))
 		compared := served * capacity * warmupSafetyFactor * b.cfg.Obligations.OverloadMultiple
 		t.warmupRate = max(compared, rate*b.meanWork)
@@ -85,7 +87,7 @@
 	}
 }
 
-// warmupAllows guards the slow start.
+// warmupAllows tells whether the slow start lets a backend get a request of so much work.
 func (b *Balancer) warmupAllows(t *target, work float64) bool {
 	if _, warming := b.warmupCapacity(t); !warming {
 		return true
@@ -93,11 +95,12 @@
 	if t.warmupTokens >= max(work, b.meanWork) {
 		return true
 	}
-	// Answers that come fast, or a cancel, let one request at a time add up; it needs tokens too.
+	// Even one request at a time adds up if answers are fast or attempts are cancelled: it needs tokens too.
 	return len(t.inFlight) == 0 && t.warmupTokens >= 0 && work <= 2*b.meanWork
 }
 
-// mayReceive guards drains: only backends listed ready get anything new.
+// mayReceive tells whether a backend may get a new request: only if it is listed as ready, and the slow
+// start and the Advice allow it.
 func (b *Balancer) mayReceive(t *target, work float64) bool {
 	return t.State == Ready && b.warmupAllows(t, work) && b.advice.Allows(b.now, t.ID)
 }
--- a/internal/balancer/stats.go
+++ b/internal/balancer/stats.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Statistics: fits, quantiles, averages and hashes. Nothing here knows the Balancer.
+// Statistics: fits, quantiles, averages and hashes, independent of the Balancer.
 
 import (
 	"math/rand/v2"
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// linearFit is a least-squares line through points of which old ones decay with the number of newer ones.
+// linearFit is a least-squares line through points whose weight decays as newer points are added.
 type linearFit struct{ n, x, y, xx, xy float64 }
 
-// fitRetention is the weight that earlier points of a linearFit keep as each new one comes: some 500 count.
+// fitRetention is the fraction of their weight that the points of a linearFit keep when a new one is added: about
+// the last 500 points count.
 const fitRetention = 0.998
 
-// add takes in a point.
 func (l *linearFit) add(x, y float64) {
 	l.n = l.n*fitRetention + 1
 	l.x = l.x*fitRetention + x
@@ -23,10 +23,10 @@
 	l.xy = l.xy*fitRetention + x*y
 }
 
-// mean is the points' mean y. There must be a point.
+// mean is the mean y of the points. There must be at least one point.
 func (l *linearFit) mean() float64 { return l.y / l.n }
 
-// at is the line's y; the line never falls, and it is flat if the points don't say otherwise.
+// at is the line's y at x. The slope is never negative, and 0 unless the points show one.
 func (l *linearFit) at(x float64) float64 {
 	slope, spread := 0.0, l.xx-l.x*l.x/l.n
 	if spread > 1e-9*l.xx {
@@ -35,7 +35,7 @@
 	return l.mean() + slope*(x-l.x/l.n)
 }
 
-// limitedTo is the same line through points of so much weight at most.
+// limitedTo is the same line with the total weight of its points reduced to weight at most.
 func (l linearFit) limitedTo(weight float64) linearFit {
 	if l.n <= weight {
 		return l
@@ -45,25 +45,23 @@
 }
 
 const (
-	tailFraction       = 0.2  // what this part of the values exceeds is their tail
-	tailMaxStep        = 0.02 // by which one value moves it at most
-	minTailAnswers     = 50   // values after which it is known
-	tailRecoverySweeps = 4000 // the minimum rises by one part of these a sweep: far slower than faults come
+	tailFraction       = 0.2  // fraction of the values that exceed the quantile
+	tailMaxStep        = 0.02 // largest relative change of the quantile by one value
+	minTailAnswers     = 50   // values before the quantile is used
+	tailRecoverySweeps = 4000 // the minimum rises by 1/4000 each sweep: far slower than faults develop
 )
 
-// tailQuantile follows a quantile: tailFraction of the values lies beyond it. min is the least that it was
-// lately.
+// tailQuantile estimates the quantile that tailFraction of the values exceed. min is its recent minimum.
 type tailQuantile struct{ n, value, min float64 }
 
-// newTailQuantile makes one of its parts, for who takes one over.
+// newTailQuantile restores a tailQuantile from its exported parts.
 func newTailQuantile(parts [3]float64) tailQuantile {
 	return tailQuantile{parts[0], parts[1], parts[2]}
 }
 
-// parts are what newTailQuantile takes.
+// parts exports the state for newTailQuantile.
 func (q tailQuantile) parts() [3]float64 { return [3]float64{q.n, q.value, q.min} }
 
-// add takes in a value.
 func (q *tailQuantile) add(v float64) {
 	q.n++
 	switch {
@@ -76,7 +74,7 @@
 	}
 }
 
-// updateMin follows the quantile down at once, and up slowly.
+// updateMin follows the quantile down immediately and up slowly.
 func (q *tailQuantile) updateMin() {
 	if q.n < minTailAnswers {
 		return
@@ -87,7 +85,7 @@
 	}
 }
 
-// smooth takes v into a mean over n values; the first v is the mean.
+// smooth adds v to a mean over n values; the first v becomes the mean.
 func smooth(mean, v, n float64) float64 {
 	if mean == 0 {
 		return v
@@ -95,7 +93,7 @@
 	return mean + (v-mean)/n
 }
 
-// average is a mean in which what is beyond the last so many values decays.
+// average is a mean in which values older than a window decay.
 type average struct{ n, mean float64 }
 
 func (m *average) add(v, window float64) {
@@ -103,7 +101,7 @@
 	m.mean += (v - m.mean) / m.n
 }
 
-// median sorts v and gives its middle, or what stands for it where there is none.
+// median sorts v and returns its middle element, or none if v is empty.
 func median(v []float64, none float64) float64 {
 	if len(v) == 0 {
 		return none
@@ -112,14 +110,14 @@
 	return v[len(v)/2]
 }
 
-// ages sums the ages of attempts in flight, each as a multiple of what it is expected to take, so that the
-// sum at any time is known without going over them.
+// ages sums the ages of attempts in flight, each as a multiple of its expected delay, in a form that gives the sum at
+// any time without iterating over the attempts.
 type ages struct{ sent, each float64 }
 
-// add takes in, or off with the sign -1, another sum.
+// add adds another sum, or subtracts it with the sign -1.
 func (s *ages) add(o ages, sign float64) { s.sent, s.each = s.sent+sign*o.sent, s.each+sign*o.each }
 
-// at is the sum at a time; rounding leaves nothing below 0.
+// at is the sum at a time; max keeps rounding errors from making it negative.
 func (s ages) at(now time.Duration) float64 { return max(0, millis(now)*s.each-s.sent) }
 
 // mix hashes a key with a backend, the same way at every proxy.
@@ -132,7 +130,7 @@
 	return h ^ h>>32
 }
 
-// jitter draws a span below d.
+// jitter draws a random duration below d.
 func jitter(rng *rand.Rand, d time.Duration) time.Duration {
 	return time.Duration(rng.Float64() * float64(d))
 }
--- a/internal/balancer/subset.go
+++ b/internal/balancer/subset.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	// That have each backend in their subsets, about. More spreads load better and costs connections.
+	// About how many proxies have each backend in their subsets. More spread the load better but cost
+	// connections.
 	proxiesPerBackend = 7
 	minSubsetSize     = 2 // backends that each proxy uses at least
 )
 
-// selectSubset takes the first backends in this proxy's rendezvous order until enough are healthy, a
-// warming one counting for its share. Many proxies with little traffic each can't measure all backends,
-// and every pair would hold a connection, whose handshake and upkeep wear the backend out.
+// selectSubset takes the first backends in this proxy's rendezvous order until enough of them are healthy,
+// a warming one counted by its capacity. Many proxies with little traffic each can't measure all backends,
+// and a connection for every pair would overload the backends with handshakes and upkeep.
 func (b *Balancer) selectSubset() {
 	b.subsetSize = max(minSubsetSize, proxiesPerBackend*float64(len(b.ready))/float64(b.cfg.Instances))
 	b.subset, b.usableBySide = b.subset[:0], [2]float64{}
@@ -40,7 +41,7 @@
 	}
 }
 
-// usableCapacity is the share of its capacity that a backend can give now: 0 to 1.
+// usableCapacity is the fraction of its capacity that a backend has now: 0 to 1.
 func (b *Balancer) usableCapacity(t *target) float64 {
 	if !b.isHealthy(t) {
 		return 0
@@ -49,7 +50,7 @@
 	return capacity
 }
 
-// sharers is how many proxies have one backend in their subsets, about.
+// sharers is about how many proxies have a given backend in their subsets.
 func (b *Balancer) sharers() float64 {
 	return max(1, float64(b.cfg.Instances*len(b.subset))/float64(max(1, len(b.ready))))
 }
