--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// pricedConfig is of a deployment whose hints tell the work, and where waste and crossings cost.
+// pricedConfig is of a deployment in which cost hints give the work, and wasted work and crossing zones have a price.
 func pricedConfig() Config {
 	cfg := testConfig()
 	cfg.ValueByWork, cfg.Prices = true, Prices{Waste: 0.25, CrossZone: 0.08}
@@ -13,8 +13,8 @@
 	return cfg
 }
 
-// serve lets so many requests of a class be answered, each in a span by its cost.
-func serve(t *testing.T, b *Balancer, h *recorder, class, n int, took func(cost time.Duration, to BackendID) time.Duration) {
+// answerRequests sends n requests of a class and answers each after a time that depends on its cost.
+func answerRequests(t *testing.T, b *Balancer, h *recorder, class, n int, took func(cost time.Duration, to BackendID) time.Duration) {
 	t.Helper()
 	for i := range n {
 		id, cost := RequestID(1e6+b.now/milli), time.Duration(20+i%5*20)*milli
@@ -23,7 +23,7 @@
 		b.OnRequest(now, Request{ID: id, Class: class, Cost: cost, Deadline: now + 3*second})
 		sent := h.take("send")
 		if len(sent) != 1 {
-			t.Fatalf("request %d of the teaching was not sent", i)
+			t.Fatalf("request %d, which should be answered, was not sent", i)
 		}
 		now += took(cost, sent[0].to)
 		b.OnAttemptEnd(now, Outcome{ID: id, Backend: sent[0].to, Result: OK, Final: true})
@@ -31,14 +31,14 @@
 	}
 }
 
-// A request whose hint predicts several times its latency target would be answered late, and its work wasted:
-// it is given up at once, while those beside it are sent. Some go out all the same, or nothing would
-// ever show that they are answered in time again.
+// A request whose cost hint predicts several times its latency target would be answered late, and its work would be
+// wasted. It is rejected at once, while light requests are still sent. A few hopeless requests are sent anyway, as
+// otherwise nothing would show when they can be answered in time again.
 func TestHopelessRequestsAreRejectedAtOnce(t *testing.T) {
 	for _, class := range []int{safe, unsafe} {
 		b, h := newBalancer(t, pricedConfig(), 2)
 		twice := func(cost time.Duration, _ BackendID) time.Duration { return 2 * cost }
-		serve(t, b, h, class, 120, twice)
+		answerRequests(t, b, h, class, 120, twice)
 		const n = 400
 		sent, rejected := 0, 0
 		for i := range n {
@@ -50,7 +50,7 @@
 				if a.verb == "refuse" {
 					rejected++
 					if a.at <= 0 {
-						t.Fatal("a rejection that does not say when to come back")
+						t.Fatal("a rejection without a retry-after time")
 					}
 					continue
 				}
@@ -58,7 +58,7 @@
 				b.OnAttemptEnd(now+second, Outcome{ID: id, Backend: a.to, Result: Timeout})
 				h.take()
 			}
-			serve(t, b, h, class, 3, twice) // light ones beside them are sent
+			answerRequests(t, b, h, class, 3, twice) // light requests are still sent
 		}
 		if sent+rejected != n || sent < n/200 || sent > n/8 {
 			t.Errorf("class %d: %d sent, %d rejected of %d", class, sent, rejected, n)
@@ -66,7 +66,7 @@
 	}
 }
 
-// Where nothing is known of a class, the latency target alone makes nothing hopeless.
+// A request of a class without answers is not hopeless, whatever its cost hint and latency target.
 func TestNothingIsHopelessBeforeAnswers(t *testing.T) {
 	b, h := newBalancer(t, pricedConfig(), 2)
 	for i := range 5 {
@@ -78,8 +78,8 @@
 	}
 }
 
-// A crossing costs as much whatever it is for. So what is of little value stays in its own zone though
-// that is the slower one, and what is of much value goes where it is answered in time.
+// Crossing zones has the same price for all requests. So a request of little value stays in its own zone although
+// that one is slower, and a request of high value goes where it is answered in time.
 func TestZonesAreCrossedForUtility(t *testing.T) {
 	cfg := pricedConfig()
 	cfg.Classes[safe].Value, cfg.Classes[anywhere].Value = 0.1, 20
@@ -90,9 +90,9 @@
 		}
 		return 2 * cost
 	}
-	b.cfg.Zone = 9 // of no backend: both are learned alike
-	serve(t, b, h, safe, 60, took)
-	serve(t, b, h, anywhere, 60, took)
+	b.cfg.Zone = 9 // a zone without backends, so that the delays of both backends are learned
+	answerRequests(t, b, h, safe, 60, took)
+	answerRequests(t, b, h, anywhere, 60, took)
 	b.cfg.Zone = 0
 	crossed := map[int]int{}
 	const n = 60
@@ -110,6 +110,6 @@
 		}
 	}
 	if crossed[safe] > n/6 || crossed[anywhere] < n/3 {
-		t.Errorf("of %d each, %d of what is of little value crossed, and %d of what is of much value", n, crossed[safe], crossed[anywhere])
+		t.Errorf("of %d requests each, %d of little value and %d of high value crossed zones", n, crossed[safe], crossed[anywhere])
 	}
 }
--- a/internal/balancer/api.go
+++ b/internal/balancer/api.go
@@ -145,7 +145,7 @@
 	ValueByWork        bool    // a request's value is multiplied by its work
 	KeyAffinity        bool    // a backend that has served a key recently needs less work for it
 	ClientsMarkRetries bool    // clients mark their retries
-	PollMembership     bool    // the membership arrives only when it is asked for
+	PollMembership     bool    // the membership arrives only when it is fetched
 	Weights            WeightKind
 	Report             []ReportField // order of the values of a load report
 	Goal               Goal
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -20,8 +20,8 @@
 
 func TestNewNamesTheInvalidSetting(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		spoil func(*Config)
+		name   string
+		change func(*Config)
 	}{
 		{"Classes", func(c *Config) { c.Classes = nil }},
 		{"Classes[0]", func(c *Config) { c.Classes[0].LatencyTarget = 0 }},
@@ -31,14 +31,14 @@
 		{"Instances", func(c *Config) { c.Instances = 0 }},
 	} {
 		cfg := testConfig()
-		c.spoil(&cfg)
+		c.change(&cfg)
 		if _, err := New(cfg, 1, &recorder{}); err == nil || !strings.Contains(err.Error(), c.name) {
 			t.Errorf("%s: error %v", c.name, err)
 		}
 	}
 }
 
-// How a request that got the given result may go on, by its class's effect.
+// Whether a request is retried after a result depends on the effect of its class.
 func TestRetriesByEffect(t *testing.T) {
 	for _, c := range []struct {
 		class  int
@@ -75,7 +75,7 @@
 			t.Errorf("class %d: sent again to the backend that failed", c.class)
 		}
 		if c.class == keyed && !c.result.NeverRan() && (next[0].to-first[0].to)%2 != 0 {
-			t.Errorf("a keyed request left its zone after it may have run")
+			t.Errorf("a keyed request that may have run was sent to another zone")
 		}
 	}
 }
@@ -133,12 +133,12 @@
 	}
 	for _, a := range h.take("send") {
 		if a.to == 1 {
-			t.Fatal("an unhealthy backend got a request after a list change")
+			t.Fatal("an unhealthy backend got a request after a membership change")
 		}
 	}
 }
 
-// A late attempt that was alone at its backend is no sign of a crowd: the limit sinks a little, not to it.
+// A late attempt that was alone at its backend is no sign of overload: the limit decreases only a little.
 func TestOneOverdueAttemptKeepsALimitOfOne(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
@@ -150,7 +150,7 @@
 	}
 }
 
-// Waiting for a late attempt's end would show a crowd when the server has tipped.
+// A late attempt counts while it is in flight: its end would show the overload only after the server has collapsed.
 func TestAttemptIsOverdueWhileInFlight(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
@@ -159,15 +159,15 @@
 	b.OnTimer(second+600*milli, timerSweep<<56)
 	once := only.concurrencyLimit
 	b.OnTimer(second+650*milli, timerSweep<<56)
-	if once >= 20 || only.concurrencyLimit < once*0.95 { // it may sink a little by itself
+	if once >= 20 || only.concurrencyLimit < once*0.95 { // an unused limit decays a little
 		t.Errorf("limits %v, then %v", once, only.concurrencyLimit)
 	}
 }
 
-// A backend that turns requests away at once must not look idle.
+// A backend that rejects requests immediately must not look idle.
 func TestFullBackendDoesNotLookIdle(t *testing.T) {
 	cfg := testConfig()
-	cfg.Zone = 9 // no backend is near
+	cfg.Zone = 9 // a zone without backends
 	b, h := newBalancer(t, cfg, 2)
 	b.OnRequest(second, Request{ID: 1, Deadline: 4 * second})
 	full := h.take("send")[0].to
@@ -176,17 +176,17 @@
 	b.OnRequest(second+2*milli, Request{ID: 2, Deadline: 4 * second})
 	for _, a := range h.take("send") {
 		if a.to == full {
-			t.Error("sent to a backend that had just said that it is full")
+			t.Error("sent to a backend that had just rejected a request")
 		}
 	}
 	if now := b.byID[full].concurrencyLimit; now >= before {
-		t.Errorf("its limit was %v and is %v", before, now)
+		t.Errorf("the limit was %v and is %v after a rejection, want a lower one", before, now)
 	}
 }
 
-// One of many proxies has just started, and its guess of what a request takes is far too high: once it has an answer, it
-// doesn't space attempts out by the guess, and reject what comes meanwhile.
-func TestGuessedDelaySpacesNothingOut(t *testing.T) {
+// One of many proxies has just started, and its guess of a request's delay is far too high. Once it has an answer, it
+// must not space attempts out by that guess and reject the requests that come meanwhile.
+func TestGuessedDelayDoesNotSpaceAttempts(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances = 30
 	b, h := newBalancer(t, cfg, 1)
@@ -195,13 +195,13 @@
 		b.OnRequest(at, Request{ID: RequestID(i + 1), Class: safe, Deadline: at + 3*second})
 		sent := h.take("send")
 		if len(sent) != 1 {
-			t.Fatalf("request %d waits, with nothing out and answers that take 1 ms", i+1)
+			t.Fatalf("request %d waits, with none in flight and answers that take 1 ms", i+1)
 		}
 		b.OnAttemptEnd(at+milli, Outcome{ID: sent[0].id, Attempt: 0, Backend: 1, Result: OK, Final: true})
 	}
 }
 
-// One out at each of many proxies is a crowd too: below one, a limit spaces attempts out.
+// One attempt in flight from each of many proxies can overload a backend too: a limit below one spaces attempts out.
 func TestLimitBelowOneSpacesAttemptsOut(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
@@ -214,22 +214,22 @@
 		b.OnTimer(at, timerDispatch<<56)
 		for _, a := range h.take("send") {
 			if gap := at - sent; sent > 0 && gap < 380*milli {
-				t.Fatalf("a send %v after the one before", gap)
+				t.Fatalf("an attempt was sent %v after the previous one", gap)
 			}
 			sent = at
 			b.OnAttemptEnd(at+milli, Outcome{ID: a.id, Attempt: a.attempt, Backend: 1, Result: OK, Final: true})
 		}
 	}
 	if sent < 2*second {
-		t.Errorf("last send at %v", sent)
+		t.Errorf("the last attempt was sent at %v", sent)
 	}
 }
 
-// A backend that breaks fast has nothing in flight, so it looks idle; its health checks may pass all the while.
+// A backend that fails fast has nothing in flight and looks idle, and its health checks may still pass.
 func TestBackendThatAnswersErrorsGetsLittle(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 4)
 	sends, broken, unsafeLost := 0, 0, 0
-	out := map[RequestID]action{}
+	inFlight := map[RequestID]action{}
 	for at := second; at < 9*second; at += 10 * milli {
 		id := RequestID(at / milli)
 		b.OnRequest(at, Request{ID: id, Class: []int{safe, unsafe}[id/10%2], Deadline: at + 3*second})
@@ -243,15 +243,15 @@
 				}
 				b.OnAttemptEnd(at, Outcome{ID: a.id, Attempt: a.attempt, Backend: 2, Result: Error})
 				for _, again := range h.take("send") {
-					out[again.id] = again
+					inFlight[again.id] = again
 				}
 				continue
 			}
-			out[a.id] = a
+			inFlight[a.id] = a
 		}
 		for old := id - 200; old <= id-100; old += 10 {
-			if a, ok := out[old]; ok {
-				delete(out, old)
+			if a, ok := inFlight[old]; ok {
+				delete(inFlight, old)
 				b.OnAttemptEnd(at, Outcome{ID: old, Attempt: a.attempt, Backend: a.to, Result: OK, Final: true})
 			}
 		}
@@ -259,42 +259,42 @@
 		h.take()
 	}
 	if sends < 500 || broken > sends/50 || broken < 4 || unsafeLost > 2 {
-		t.Errorf("%d of %d sends went to the broken one, %d unsafe ones late on", broken, sends, unsafeLost)
+		t.Errorf("%d of %d attempts went to the broken backend, %d unsafe ones of them after 3 s", broken, sends, unsafeLost)
 	}
 }
 
-// Keys that go wherever there is room find nothing warm, and their extra work keeps all at their limits.
+// Keys that are sent to any backend with room miss its cache, and the extra work keeps all backends at their limits.
 func TestAffinityWaitsBeforeItIsGivenUp(t *testing.T) {
 	cfg := testConfig()
 	cfg.KeyAffinity = true
 	b, h := newBalancer(t, cfg, 6)
-	ask := func(id RequestID) {
+	request := func(id RequestID) {
 		b.OnRequest(second, Request{ID: id, Class: safe, Key: 77, Deadline: 4 * second})
 	}
-	own := map[BackendID]bool{}
+	preferred := map[BackendID]bool{}
 	for id := RequestID(1); len(b.queue) == 0; id++ {
 		if id > 100 {
-			t.Fatal("a hundred requests of one key and none waits")
+			t.Fatal("a hundred requests of one key, and none is queued")
 		}
-		ask(id)
+		request(id)
 		for _, a := range h.take("send") {
-			own[a.to] = true
+			preferred[a.to] = true
 		}
 	}
-	if len(own) != 2 {
-		t.Fatalf("one key's requests went to %v", own)
+	if len(preferred) != 2 {
+		t.Fatalf("one key's requests went to %v", preferred)
 	}
 	b.OnTimer(second+50*milli, timerDispatch<<56)
 	if early := h.take("send"); len(early) != 0 {
-		t.Errorf("after 50 ms: %v", early)
+		t.Errorf("sent after 50 ms: %v, want none", early)
 	}
 	b.OnTimer(second+200*milli, timerDispatch<<56)
-	if late := h.take("send"); len(late) != 1 || own[late[0].to] {
-		t.Errorf("after a fifth of the latency target, with room elsewhere: %v", late)
+	if late := h.take("send"); len(late) != 1 || preferred[late[0].to] {
+		t.Errorf("sent after a fifth of the latency target, with room at other backends: %v", late)
 	}
 }
 
-// A backend may die and come back before the list says so: until warm it counts as just started.
+// A backend may crash and restart before the membership shows it: until it is warm, it counts as just started.
 func TestSuspectedRestartCountsAsStart(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -320,12 +320,12 @@
 		b, h := newBalancer(t, testConfig(), 1)
 		now := 30 * second
 		if _, warming := b.warmupCapacity(b.targets[0]); warming {
-			t.Fatalf("%s: warming before", c.name)
+			t.Fatalf("%s: the backend is warming before it fails", c.name)
 		}
 		c.fail(b, h, now)
 		b.now = now + second
 		if share, warming := b.warmupCapacity(b.targets[0]); !warming || share > 0.3 {
-			t.Errorf("%s: warming %v, share %v a second later", c.name, warming, share)
+			t.Errorf("%s: a second later warming is %v and the capacity %v", c.name, warming, share)
 		}
 		b.now = now + 21*second
 		if _, warming := b.warmupCapacity(b.targets[0]); warming {
@@ -334,7 +334,7 @@
 	}
 }
 
-// A second copy beside a slow attempt feeds the overload that made it slow.
+// A hedged attempt beside a slow one adds to the overload that made it slow.
 func TestOverdueAttemptIsNotCancelled(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 4)
 	b.OnRequest(second, Request{ID: 1, Class: safe, Deadline: 4 * second})
@@ -347,8 +347,8 @@
 	}
 }
 
-// In an overload all attempts time out: a backend that still answers others is only slow, and
-// however many fail, attempts alone put out no more than half.
+// In an overload all attempts time out: a backend that still answers others is only slow and is not ejected. However
+// many backends fail, no more than half of them are ejected.
 func TestEjectionSparesSlowBackendsAndHalfOfAll(t *testing.T) {
 	fail := func(b *Balancer, to *target, sent, now time.Duration) {
 		b.now = now
@@ -365,7 +365,7 @@
 		}
 	}
 	if !b.isHealthy(slow) {
-		t.Error("a backend that answered others since they were sent was ejected")
+		t.Error("a backend was ejected that had answered other attempts since the failed ones were sent")
 	}
 	now := 10 * second
 	out := 0
@@ -382,20 +382,20 @@
 	}
 }
 
-// A heavy request is too much for a warming backend even alone.
+// A heavy request overloads a warming backend even if it is the only one.
 func TestHeavyRequestDoesNotGoToWarmingBackend(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
 	only.warmupStarted, b.meanWork, only.warmupTokens = second, 100, 10
 	if !b.warmupAllows(only, 150) {
-		t.Error("a usual request may go alone")
+		t.Error("a request of usual work was not allowed alone")
 	}
 	if b.warmupAllows(only, 250) {
-		t.Error("a heavy one may not")
+		t.Error("a heavy request was allowed")
 	}
 }
 
-// A limit far above the need would let a burst tip the server before answers tell.
+// A limit far above the load in use would let a burst overload the server before any answer shows it.
 func TestUnusedLimitDecays(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
@@ -408,7 +408,7 @@
 	}
 }
 
-// While all fail, what failures count for must not raise the median that they are measured by.
+// While all backends fail, the failures must not raise the median by which they are measured.
 func TestFailuresEverywhereDoNotRaiseTheMedian(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 4)
 	now := second
@@ -420,12 +420,12 @@
 			b.OnAttemptEnd(now, Outcome{ID: a.id, Attempt: a.attempt, Backend: a.to, Result: Error})
 		}
 	}
-	if most := 2 * 1000 / b.expectedDelay(unsafe, 0); b.medianDelayRatio < 1 || b.medianDelayRatio > most {
-		t.Errorf("median %v of the expected delay; %v at most", b.medianDelayRatio, most)
+	if limit := 2 * 1000 / b.expectedDelay(unsafe, 0); b.medianDelayRatio < 1 || b.medianDelayRatio > limit {
+		t.Errorf("the median delay ratio is %v, want 1 to %v", b.medianDelayRatio, limit)
 	}
 }
 
-// What a backend served before it restarted says nothing of what it can do while it warms up.
+// What a backend served before a restart says nothing about its capacity while it warms up.
 func TestRestartForgetsServedWork(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 2)
 	b.targets[0].servedWork.Add(5000, second, second)
@@ -434,11 +434,11 @@
 	}})
 	b.updateWarmupRates()
 	if got := b.targets[0].warmupRate; got > 100 {
-		t.Errorf("may be sent %v ms of work a second right after its start", got)
+		t.Errorf("the warm-up rate right after the start is %v ms of work a second", got)
 	}
 }
 
-// Light requests fit any budget of work, but each costs a handshake.
+// Any number of light requests would fit into a budget of work, but each costs a handshake.
 func TestLightRequestsCountAsMeanInWarmupBudget(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
@@ -455,22 +455,22 @@
 		}
 	}
 	if sent == 0 || sent > 3 {
-		t.Errorf("%d light requests in a budget of two mean ones", sent)
+		t.Errorf("%d light requests were sent on a budget of two mean ones", sent)
 	}
 }
 
-// Without a bound, a burst makes each outcome walk a waiting room of thousands.
+// Without a bound, each outcome during a burst would go through a queue of thousands.
 func TestQueueIsBounded(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 3)
 	for i := range 2000 {
 		b.OnRequest(second, Request{ID: RequestID(i), Deadline: 4 * second})
 	}
 	if n := len(b.queue); n > maxQueuedPerBackend*4 {
-		t.Errorf("%d wait", n)
+		t.Errorf("%d requests are queued", n)
 	}
 }
 
-// Under pressure the request that adds more to the goal goes first.
+// If requests are queued, the one that adds more to the goal is sent first.
 func TestMoreUtilityGoesFirst(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[anywhere].Value = 10
@@ -480,7 +480,7 @@
 	}
 	first := h.take("send")
 	if len(b.queue) < 3 {
-		t.Fatalf("%d wait after %d sends", len(b.queue), len(first))
+		t.Fatalf("%d are queued after %d sends", len(b.queue), len(first))
 	}
 	b.OnAttemptEnd(second+50*milli, Outcome{ID: first[0].id, Backend: 1, Result: OK, Final: true})
 	next := h.take("send")
@@ -506,11 +506,11 @@
 			}
 		}
 		if timer.verb == "" || timer.at > cfg.Obligations.MaxMembershipAge {
-			t.Fatalf("round %d: next call after %v", i, timer.at)
+			t.Fatalf("round %d: the next fetch is after %v", i, timer.at)
 		}
 		b.OnTimer(second, timer.token)
 		if len(h.take("watch")) != 1 {
-			t.Fatalf("round %d: not asked", i)
+			t.Fatalf("round %d: the membership was not requested", i)
 		}
 		b.OnMembership(second, Membership{Kind: MembershipFailed})
 	}
@@ -521,7 +521,7 @@
 	twice := append(list(2), list(2)...)
 	b.OnMembership(second, Membership{Kind: MembershipFull, Backends: twice})
 	if len(b.ready) != 2 {
-		t.Errorf("%d ready after a list that names each twice", len(b.ready))
+		t.Errorf("%d backends are ready after a membership that lists each of 2 twice", len(b.ready))
 	}
 	b.OnRequest(second, Request{ID: 1, Class: 99, Tenant: 99, Deadline: 0})
 	b.OnRequest(second, Request{ID: 1})
@@ -532,16 +532,16 @@
 	b.OnTimer(second, ^uint64(0))
 	b.OnMembership(second, Membership{Kind: MembershipFull})
 	if len(b.ready) != 0 {
-		t.Error("an empty list leaves ready backends")
+		t.Error("an empty membership leaves ready backends")
 	}
 	if got := h.take("send"); len(got) > 0 {
 		t.Errorf("a request past its deadline was sent: %v", got)
 	}
 }
 
-// A request that a backend can't use is at fault itself: no other can use it either,
-// and it must not cost a backend its place.
-func TestUnprocessableRequestFailsWithoutBlame(t *testing.T) {
+// A request that a backend can't process is at fault itself: no other backend can process it either, and it must not
+// count against any backend.
+func TestUnprocessableRequestDoesNotCountAgainstBackend(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 4)
 	for i := range 40 {
 		id, now := RequestID(i), second+time.Duration(i)*10*milli
@@ -552,18 +552,18 @@
 		}
 		b.OnAttemptEnd(now+milli, Outcome{ID: id, Backend: first[0].to, Result: Unprocessable, Took: milli})
 		if got := h.take("send", "fail", "refuse"); len(got) != 1 || got[0].verb != "fail" {
-			t.Fatalf("request %d, declined: %v, want one fail", i, got)
+			t.Fatalf("request %d, which is unprocessable: %v, want one fail", i, got)
 		}
 	}
 	for _, p := range b.targets {
 		if !b.isHealthy(p) || p.consecutiveFailures != 0 || p.delays.Value(b.now, 0) != 0 {
-			t.Errorf("backend %d: bad %d, delays %v", p.ID, p.consecutiveFailures, p.delays.Value(b.now, 0))
+			t.Errorf("backend %d has %d failures and delays of %v", p.ID, p.consecutiveFailures, p.delays.Value(b.now, 0))
 		}
 	}
 }
 
-// A backend that goes with a request out leaves when that has ended, with or without
-// a further list: on a day of ever new ones they would add up.
+// A gone backend with a request in flight is removed when the request has ended, without a further membership update.
+// Otherwise gone backends would accumulate where backends are replaced often.
 func TestGoneBackendIsRemovedWithItsLastRequest(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 1)
 	b.OnRequest(second, Request{ID: 1, Class: unsafe, Deadline: 4 * second})
@@ -571,7 +571,7 @@
 	b.OnMembership(second+milli, Membership{Kind: MembershipDelta, Backends: []Backend{{ID: a.to, State: Gone}}})
 	b.OnTimer(second+2*milli, timerSweep<<56)
 	if len(b.targets) != 1 {
-		t.Fatal("it left with a request out")
+		t.Fatal("the backend was removed with a request in flight")
 	}
 	b.OnAttemptEnd(second+3*milli, Outcome{ID: 1, Backend: a.to, Result: OK, Final: true})
 	b.OnTimer(second+4*milli, timerSweep<<56)
@@ -580,23 +580,23 @@
 	}
 }
 
-// Where connections break by themselves, two failures in a row are nothing odd. A
-// backend that has just answered is then not taken for one that died and starts.
-func TestUsualBreaksAreNoRestart(t *testing.T) {
+// Where connections break often, two failures in a row are normal. A backend that has just answered must then not
+// count as crashed and restarted.
+func TestFrequentConnectionBreaksAreNoRestart(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 4)
 	only := b.targets[0]
-	judge := func(now time.Duration, result Result) {
+	record := func(now time.Duration, result Result) {
 		b.now = now
 		b.recordPassiveCheck(&attempt{request: &request{}, target: only, sent: now}, result)
 	}
 	now := 30 * second
 	for range 20 { // breaks that answers follow
-		judge(now, Reset)
-		judge(now+milli, OK)
+		record(now, Reset)
+		record(now+milli, OK)
 		now += 10 * milli
 	}
-	judge(now, Reset)
-	judge(now+milli, ConnectFailed)
+	record(now, Reset)
+	record(now+milli, ConnectFailed)
 	for range checkThreshold {
 		only.checkInFlight = true
 		b.OnHealthCheck(now+2*milli, HealthCheckResult{Backend: only.ID, Result: Reset})
@@ -605,16 +605,16 @@
 		t.Error("a backend that answers between its failures counts as warming")
 	}
 	if only.ejectedUntil <= now {
-		t.Error("if it did die, further attempts are lost on it")
+		t.Error("the backend is not ejected, but if it did crash, further attempts are lost on it")
 	}
-	judge(now+b.healthCheckInterval, ConnectFailed)
+	record(now+b.healthCheckInterval, ConnectFailed)
 	if _, warming := b.warmupCapacity(only); !warming {
-		t.Error("one that has answered nothing for an interval does not")
+		t.Error("a backend that has answered nothing for an interval does not count as warming")
 	}
 }
 
-// A backend may fail most of one class alone: it passes its health checks and answers the others,
-// so nothing else keeps that class away from it.
+// A backend may fail most requests of one class only. It passes its health checks and answers the other classes, so
+// only class ejection keeps that class away from it.
 func TestGrayFailureEjectsTheClass(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 6)
 	const broken = 3
@@ -631,30 +631,29 @@
 		now += 10 * milli
 	}
 	b.OnTimer(now, timerSweep<<56)
-	met := map[int]int{}
+	sent := map[int]int{}
 	for id := range RequestID(200) {
 		class := []int{safe, unsafe}[id%2]
 		b.OnRequest(now, Request{ID: id, Class: class, Deadline: now + 4*second})
 		for _, a := range h.take("send") {
 			if a.to == broken {
-				met[class]++
+				sent[class]++
 			}
 			b.OnAttemptEnd(now, Outcome{ID: a.id, Attempt: a.attempt, Backend: a.to, Result: OK, Final: true})
 		}
 		now += milli
 	}
-	if met[unsafe] != 0 || met[safe] == 0 {
-		t.Errorf("sent to the backend by class: %v", met)
+	if sent[unsafe] != 0 || sent[safe] == 0 {
+		t.Errorf("sent to the backend by class: %v", sent)
 	}
 }
 
-// All backends break one request in three, and live: nobody is ejected for it. One that
-// dies among them is out after as few failures as its breaks allow; where breaks are
-// rare, after three.
-func TestUsualBreaksEjectNoneAndHideNoCrash(t *testing.T) {
+// All backends are up, but one request in three fails with a broken connection: none is ejected for it. A backend that
+// then crashes is ejected after as few failures as this rate of breaks allows; where breaks are rare, after three.
+func TestFrequentConnectionBreaksEjectOnlyCrashedBackends(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 6)
 	now := 30 * second
-	judge := func(to *target, result Result) {
+	record := func(to *target, result Result) {
 		b.now = now
 		b.recordPassiveCheck(&attempt{request: &request{}, target: to, sent: now - milli}, result)
 		now += milli
@@ -666,61 +665,61 @@
 		if rng.IntN(3) == 0 {
 			result = Reset
 		}
-		judge(to, result)
+		record(to, result)
 		if !b.isHealthy(to) {
-			t.Fatalf("a living backend is out: after %d in a row", to.consecutiveFailures)
+			t.Fatalf("a backend that is up was ejected after %d failures in a row", to.consecutiveFailures)
 		}
 		if _, warming := b.warmupCapacity(to); warming {
-			t.Fatal("a living backend counts as newly started")
+			t.Fatal("a backend that is up counts as newly started")
 		}
 	}
-	dead, n := b.targets[3], 0
-	for b.isHealthy(dead) && n < 2*connectionfailure.MaxFailureRun {
-		judge(dead, Reset)
+	crashed, n := b.targets[3], 0
+	for b.isHealthy(crashed) && n < 2*connectionfailure.MaxFailureRun {
+		record(crashed, Reset)
 		n++
 	}
 	if n < connectionfailure.MinFailureRun || n > connectionfailure.MaxFailureRun {
-		t.Errorf("the dead one is out after %d failures", n)
+		t.Errorf("the crashed backend is ejected after %d failures", n)
 	}
 	b, _ = newBalancer(t, testConfig(), 6)
 	for i := range 600 {
-		judge(b.targets[i%6], OK)
+		record(b.targets[i%6], OK)
 	}
-	dead, n = b.targets[2], 0
-	for b.isHealthy(dead) && n < connectionfailure.MaxFailureRun {
-		judge(dead, Reset)
+	crashed, n = b.targets[2], 0
+	for b.isHealthy(crashed) && n < connectionfailure.MaxFailureRun {
+		record(crashed, Reset)
 		n++
 	}
 	if n != connectionfailure.MinFailureRun {
-		t.Errorf("where breaks are rare, the dead one is out after %d failures", n)
+		t.Errorf("where breaks are rare, the crashed backend is ejected after %d failures", n)
 	}
 }
 
-// A connection that many requests share breaks under all of them in one moment: that is one break, and no run
-// of failures that a living backend hardly ever has.
+// A broken connection ends all the requests that share it at once. That counts as one break, not as a run of failures
+// that a backend which is up hardly ever has.
 func TestOneConnectionBreakCountsOnce(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 3)
 	now := 30 * second
-	var on []RequestID
+	var sharing []RequestID
 	for id := RequestID(1); id <= 12; id++ {
 		b.OnRequest(now, Request{ID: id, Class: unsafe, Deadline: now + 3*second})
 		for _, a := range h.take("send") {
 			if a.to == 2 {
-				on = append(on, id)
+				sharing = append(sharing, id)
 			}
 		}
 		now += milli
 	}
-	if len(on) < connectionfailure.MinFailureRun {
-		t.Fatalf("only %d requests are out there", len(on))
+	if len(sharing) < connectionfailure.MinFailureRun {
+		t.Fatalf("only %d requests are in flight at the backend", len(sharing))
 	}
-	for i, id := range on {
+	for i, id := range sharing {
 		b.OnAttemptEnd(now+time.Duration(i)*100*time.Microsecond, Outcome{ID: id, Backend: 2, Result: Reset})
 	}
 	if to := b.byID[2]; !b.isHealthy(to) || to.consecutiveBreaks != 1 {
-		t.Errorf("%d requests on one connection count as %d breaks; fit: %v", len(on), to.consecutiveBreaks, b.isHealthy(to))
+		t.Errorf("%d requests on one connection count as %d breaks; healthy: %v", len(sharing), to.consecutiveBreaks, b.isHealthy(to))
 	}
-	for range 3 { // and it did die
+	for range 3 { // the backend did crash
 		now += 50 * milli
 		b.now = now
 		b.recordPassiveCheck(&attempt{request: &request{}, target: b.byID[2], sent: now - milli}, ConnectFailed)
@@ -728,5 +727,5 @@
 			return
 		}
 	}
-	t.Error("a dead backend is not ejected after three refused connections")
+	t.Error("a crashed backend is not ejected after three refused connections")
 }
--- a/internal/balancer/bench_test.go
+++ b/internal/balancer/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// benchmarkHost is a Host that does nothing but remember the last send.
+// benchmarkHost is a Host that only records the last send.
 type benchmarkHost struct {
 	recorder
 	to BackendID
@@ -18,8 +18,8 @@
 func (h *benchmarkHost) CheckHealth(BackendID)                              {}
 func (h *benchmarkHost) StartTimer(time.Duration, uint64)                   {}
 
-// BenchmarkRequest is a request's whole life: arrival, choice, send and answer, with a sweep of the
-// timers every hundred. Keyed requests choose by their key.
+// BenchmarkRequest measures a request from arrival through selection and send to its answer, with a sweep every
+// hundred requests. In the keyed cases, backends are chosen by key affinity.
 func BenchmarkRequest(b *testing.B) {
 	for _, backends := range []int{10, 50} {
 		for _, keyed := range []bool{false, true} {
--- a/internal/balancer/compatibility_test.go
+++ b/internal/balancer/compatibility_test.go
@@ -8,8 +8,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// The keys of deploy/balancer.toml, its two commands, and the lists that the platform reads. What stands in the
-// lists follows the code's folders; each has to be there.
+// The platform reads the keys of deploy/balancer.toml, its commands and its lists. The entries of the lists follow the
+// code's folders; each path has to exist.
 func TestCompatibilityBalancerFile(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -40,13 +40,13 @@
 		t.Errorf("packages = %q, want %q", packages, want)
 	}
 	for _, key := range []string{"node", "policy"} {
-		list, is := file[key].([]any)
-		if !is {
-			t.Errorf("%s is no list", key)
+		list, ok := file[key].([]any)
+		if !ok {
+			t.Errorf("%s is not a list", key)
 		}
 		for _, item := range list {
-			path, is := item.(string)
-			if _, err := os.Stat("../../" + path); !is || err != nil {
+			path, ok := item.(string)
+			if _, err := os.Stat("../../" + path); !ok || err != nil {
 				t.Errorf("%s: %v: %v", key, item, err)
 			}
 		}
--- a/internal/balancer/concurrency.go
+++ b/internal/balancer/concurrency.go
@@ -11,7 +11,7 @@
 	// known.
 	minOverdueTargetRatio = 0.3
 	maxTailRatio          = 2 // upper bound of tailRatio
-	maxUtilitySpeedup     = 4 // spacedOut divides the wait of a request of high utility by this at most
+	maxUtilitySpeedup     = 4 // spacingElapsed divides the wait of a request of high utility by this at most
 	maxRequestWeight      = 8 // largest weight of an attempt in its backend's load
 )
 
@@ -27,13 +27,13 @@
 	if len(t.inFlight) > 0 {
 		return false
 	}
-	return t.concurrencyLimit >= 1 || b.spacedOut(r, t)
+	return t.concurrencyLimit >= 1 || b.spacingElapsed(r, t)
 }
 
-// spacedOut tells whether enough time has passed since the last attempt at a backend whose limit is below
-// one. No queue puts the requests in order of utility here, so a request of higher utility waits less. The
-// mean utility may be 0.
-func (b *Balancer) spacedOut(r *request, t *target) bool {
+// spacingElapsed tells whether enough time has passed since the last attempt at a backend whose limit is
+// below one. No queue puts the requests in order of utility here, so a request of higher utility waits
+// less. The mean utility may be 0.
+func (b *Balancer) spacingElapsed(r *request, t *target) bool {
 	speedup := min(max(r.utilityPerWork/max(b.meanUtilityPerWork, 1e-300), 1), maxUtilitySpeedup)
 	return b.now >= t.lastSent+fromMillis(b.meanDelay()*b.delayRatio(t)/t.concurrencyLimit/speedup)
 }
--- a/internal/balancer/decisionfiles_test.go
+++ b/internal/balancer/decisionfiles_test.go
@@ -10,8 +10,8 @@
 	"unicode/utf8"
 )
 
-// An auditor of the decisions reads the files that the deploy file names under policy: each file that decides is
-// named there, lines fit on a screen, and the first file leads to the interface.
+// Auditors read the files that the deploy file lists under policy. Every file that makes decisions must be listed
+// there, lines must fit on a screen, and the first file must refer to the interface.
 func TestPolicyNamesEveryDecisionFile(t *testing.T) {
 	const root = "../../"
 	deploy, err := os.ReadFile(root + "deploy/balancer.toml")
@@ -20,7 +20,7 @@
 	}
 	policy := regexp.MustCompile(`(?m)^policy = \[(.*)\]`).FindSubmatch(deploy)
 	if policy == nil {
-		t.Fatal("the deploy file names no policy")
+		t.Fatal("the deploy file has no policy list")
 	}
 	top, n := "", 0
 	for _, name := range regexp.MustCompile(`"([^"]+)"`).FindAllSubmatch(policy[1], -1) {
@@ -40,8 +40,8 @@
 			}
 		}
 	}
-	// What is neither the interface, nor the settings' check, nor plain arithmetic, log lines
-	// and figures, nor the translation of what was learned for another process, decides.
+	// All files make decisions except the interface, the validation of settings, the export and import of learned
+	// state, logging and statistics.
 	all, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
@@ -49,13 +49,13 @@
 	for _, name := range all {
 		if !strings.HasSuffix(name, "_test.go") && !slices.Contains([]string{"api.go", "config.go", "learnedstate.go", "logging.go", "stats.go"}, name) &&
 			!strings.Contains(string(policy[1]), `"internal/balancer/`+name+`"`) {
-			t.Errorf("%s decides and is not named under policy", name)
+			t.Errorf("%s makes decisions and is not listed under policy", name)
 		}
 	}
 	if !strings.Contains(top, "api.go") {
-		t.Error("the top does not name api.go")
+		t.Error("the head of the first policy file does not refer to api.go")
 	}
 	if n == 0 {
-		t.Error("the files named under policy are empty")
+		t.Error("the files listed under policy are empty")
 	}
 }
--- a/internal/balancer/example_test.go
+++ b/internal/balancer/example_test.go
@@ -7,7 +7,7 @@
 	"marlreel/internal/balancer"
 )
 
-// printer is a Host that prints what a proxy would do.
+// printer is a Host that prints actions instead of carrying them out.
 type printer struct{}
 
 func (printer) Send(id balancer.RequestID, to balancer.BackendID, until, _ time.Duration) {
@@ -15,7 +15,7 @@
 }
 
 func (printer) Reject(id balancer.RequestID, after time.Duration) {
-	fmt.Printf("refuse request %d, come again after %v\n", id, after)
+	fmt.Printf("reject request %d, retry after %v\n", id, after)
 }
 func (printer) Fail(id balancer.RequestID) { fmt.Printf("fail request %d\n", id) }
 func (printer) Cancel(id balancer.RequestID, n int) {
@@ -27,11 +27,11 @@
 func (printer) Fetch()                              {}
 func (printer) SendToPeer(peer uint32, body []byte) {}
 func (printer) StartTimer(d time.Duration, token uint64) {
-	// A real proxy calls Timer with the token when the time has come.
+	// A real proxy calls OnTimer with the token when the timer expires.
 }
 func (printer) Log(line string) { fmt.Println(line) }
 
-// A proxy tells its Balancer what happened; the Host carries out what it decides.
+// A proxy reports events to its Balancer, and the Host carries out the Balancer's decisions.
 func Example() {
 	cfg := balancer.Config{
 		Instances: 1,
--- a/internal/balancer/grayfailure_test.go
+++ b/internal/balancer/grayfailure_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// simulateFaults plays two auctions of nine backends and three proxies at 0.55 of capacity, with faults from 11 s
-// on, and gives the mean service from then until the end: of all, and by class.
-func simulateFaults(t *testing.T, until time.Duration, faults ...fault) (all float64, classes [4]float64, ws []*simulation) {
+// simulateFaults runs two simulations of an auction with nine backends and three proxies at 0.55 of capacity, with
+// faults from 11 s on. It returns the mean service from then until the end, in total and by class.
+func simulateFaults(t *testing.T, until time.Duration, faults ...fault) (all float64, classes [4]float64, simulations []*simulation) {
 	for seed := range uint64(2) {
 		w := newSimulation(t, seed, 9, 3, 0.55)
 		w.faults = faults
@@ -21,12 +21,12 @@
 		for i := range classes {
 			classes[i] += w.service(i) / 2
 		}
-		ws = append(ws, w)
+		simulations = append(simulations, w)
 	}
-	return all, classes, ws
+	return all, classes, simulations
 }
 
-// ejections is how many pairs of a proxy and a backend don't let the class be sent.
+// ejections is the number of pairs of a proxy and a backend at which the class is ejected.
 func (w *simulation) ejections(class int) (n int) {
 	for _, p := range w.proxies {
 		for _, x := range p.b.targets {
@@ -38,7 +38,7 @@
 	return n
 }
 
-// faultOf is a fault of a class at the first n backends, from 11 to 21 s.
+// faultOf returns a fault of a class at the first n backends, from 11 to 21 s.
 func faultOf(class, n int) fault {
 	f := fault{class: class, from: 11 * second, to: 21 * second}
 	for i := range n {
@@ -49,8 +49,7 @@
 
 func withoutAnswers(f fault) fault { f.unansweredRatio = 0.87; return f }
 
-// What the balancer before this model kept of the same auctions stands beside each bound, as measured
-// with the same loop.
+// The number in the name of a case is the service in the same simulation before the balancer had this model.
 func TestServiceUnderGrayFailures(t *testing.T) {
 	slow := []fault{faultOf(lotList, 2), faultOf(catchSheet, 2), faultOf(bid, 2), faultOf(pickup, 2)}
 	for i := range slow {
@@ -60,14 +59,14 @@
 	slowBids.slowdown, failing.errorRatio = 4, 0.8
 	moving.to, moving.every = 41*second, 5*second
 	breaks := fault{class: -1, from: 11 * second, to: 21 * second, resetRatio: 0.1}
-	crowded := faultOf(bid, 2)
-	crowded.unansweredRatio, crowded.minLoad = 1, 6
+	loaded := faultOf(bid, 2)
+	loaded.unansweredRatio, loaded.minLoad = 1, 6
 	for _, c := range []struct {
-		name   string
-		faults []fault
-		class  int
-		least  float64 // of the class
-		others float64 // of each other class
+		name       string
+		faults     []fault
+		class      int
+		minService float64 // of the class
+		minOthers  float64 // of each other class
 	}{
 		{"bids late on four of nine (0.71 before)", []fault{withoutAnswers(faultOf(bid, 4))}, bid, 0.87, 0.98},
 		{"listings late on four of nine (0.80)", []fault{withoutAnswers(faultOf(lotList, 4))}, lotList, 0.93, 0.97},
@@ -82,7 +81,7 @@
 		}}, bid, 0.87, 0.95},
 		{"one connection in ten breaks too (0.64)", []fault{withoutAnswers(faultOf(bid, 4)), breaks}, bid, 0.75, 0.96},
 		{"two backends slow for all (0.95)", slow, bid, 0.91, 0.97},
-		{"bids late where crowded (0.99)", []fault{crowded}, bid, 0.96, 0.98},
+		{"bids late on loaded backends (0.99)", []fault{loaded}, bid, 0.96, 0.98},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -93,16 +92,16 @@
 			_, got, _ := simulateFaults(t, until, c.faults...)
 			t.Logf("by class: %.3f", got)
 			for i, v := range got {
-				if i == c.class && v < c.least || i != c.class && v < c.others {
-					t.Errorf("class %d keeps %.3f of its value", i, v)
+				if i == c.class && v < c.minService || i != c.class && v < c.minOthers {
+					t.Errorf("class %d earns %.3f of its value", i, v)
 				}
 			}
 		})
 	}
 }
 
-// Other classes go on being sent to a backend that serves one badly, and the class is back there soon after
-// it recovered.
+// A backend that serves one class badly still gets the other classes, and it gets the class again soon after it has
+// recovered.
 func TestClassIsEjectedAndReinstatedAlone(t *testing.T) {
 	w := newSimulation(t, 5, 9, 3, 0.55)
 	w.faults = []fault{withoutAnswers(faultOf(bid, 4))}
@@ -117,13 +116,13 @@
 		}
 	}
 	if float64(bids) > 0.04*float64(all) {
-		t.Errorf("%d of %d bids went where one in eight is answered", bids, all)
+		t.Errorf("%d of %d bids went to backends that answer one in eight", bids, all)
 	}
 	if float64(w.lostTrials) > 0.02*float64(all) {
-		t.Errorf("%d of %d bids were lost on trying", w.lostTrials, all)
+		t.Errorf("%d of %d bids were lost in trials", w.lostTrials, all)
 	}
 	if lists < 100 {
-		t.Errorf("%d listings went there, which are served as ever", lists)
+		t.Errorf("%d listings went to these backends, which serve listings as usual", lists)
 	}
 	w.run(24 * second)
 	back := 0
@@ -131,41 +130,41 @@
 		back += w.sent(i, bid, 23*second, 24*second)
 	}
 	if back < 10 {
-		t.Errorf("2 s after the fault %d bids a second go there", back)
+		t.Errorf("2 s after the fault %d bids a second go to these backends", back)
 	}
 	for _, p := range w.proxies {
 		log := strings.Join(p.logs, "\n")
 		for _, want := range []string{"gets no bid: ", "gets bid again after "} {
 			if !strings.Contains(log, want) {
-				t.Errorf("no line says %q:\n%s", want, log)
+				t.Errorf("no log line contains %q:\n%s", want, log)
 			}
 		}
 	}
 }
 
-// What is bad everywhere is no backend's fault.
+// A class that fails at all backends is not ejected anywhere, as no single backend is at fault.
 func TestClassThatFailsEverywhereIsNotEjected(t *testing.T) {
 	w := newSimulation(t, 6, 9, 3, 0.55)
 	w.faults = []fault{withoutAnswers(faultOf(bid, 9))}
 	w.run(13 * second)
-	out, seen := 0, 0
+	ejected, checked := 0, 0
 	for w.now < 21*second {
 		w.run(w.now + 100*milli)
-		out, seen = out+w.ejections(bid), seen+27
+		ejected, checked = ejected+w.ejections(bid), checked+27
 	}
-	if out*4 > seen {
-		t.Errorf("%d of %d", out, seen)
+	if ejected*4 > checked {
+		t.Errorf("the class is ejected in %d of %d checks", ejected, checked)
 	}
 	lines := 0
 	for _, p := range w.proxies {
 		lines += len(p.logs)
 	}
 	if lines > 3*(maxClassLogLines+2)*6 {
-		t.Errorf("%d lines in 8 s", lines)
+		t.Errorf("%d log lines in 8 s", lines)
 	}
 }
 
-// Slow for all, broken connections, long tails, overload: none of it is a matter of a class.
+// Backends that are slow for all classes, broken connections, long tails and overload eject no class.
 func TestNoClassEjectionWithoutGrayFailure(t *testing.T) {
 	all := []fault{faultOf(lotList, 2), faultOf(catchSheet, 2), faultOf(bid, 2), faultOf(pickup, 2)}
 	for i := range all {
@@ -184,42 +183,42 @@
 		{"overload", nil, -1, 1.2},
 	} {
 		w := newSimulation(t, 11, 9, 3, c.load)
-		w.faults, w.tailed = c.faults, c.tailed
-		out, seen := 0, 0
+		w.faults, w.longTailClass = c.faults, c.tailed
+		ejected, checked := 0, 0
 		for w.now < 21*second {
 			w.run(w.now + 100*milli)
 			for class := range 4 {
-				out, seen = out+w.ejections(class), seen+27
+				ejected, checked = ejected+w.ejections(class), checked+27
 			}
 		}
-		if out*200 > seen {
-			t.Errorf("%s: out at %d of %d", c.name, out, seen)
+		if ejected*200 > checked {
+			t.Errorf("%s: classes are ejected in %d of %d checks", c.name, ejected, checked)
 		}
 	}
 }
 
-// A class of one request a second a proxy: it leaves, is hardly ever tried, and is back by time.
+// A class with one request a second per proxy is ejected, is hardly ever tried, and is reinstated by time alone.
 func TestRareClassIsEjectedAndReinstated(t *testing.T) {
 	w := newSimulation(t, 3, 4, 2, 0.5)
 	w.shares = []float64{0.5, 0.35, 0.02, 0.13}
 	w.faults = []fault{{class: bid, backends: []int{1}, from: 5 * second, to: 35 * second, unansweredRatio: 1}}
 	w.run(35 * second)
 	lost := w.lost[[2]int{1, bid}]
-	free := 0
+	total := 0
 	for i := 1; i <= 4; i++ {
-		free += w.sent(i, bid, 5*second, 35*second)
+		total += w.sent(i, bid, 5*second, 35*second)
 	}
-	if lost*5 > free {
-		t.Errorf("lost %d of %d", lost, free)
+	if lost*5 > total {
+		t.Errorf("%d of %d requests of the class were lost", lost, total)
 	}
 	w.reset()
 	w.run(60 * second)
 	if n := w.sent(1, bid, 45*second, 60*second); n == 0 {
-		t.Error("nothing of the class goes there ten seconds after the fault")
+		t.Error("ten seconds after the fault the backend gets no request of the class")
 	}
 }
 
-// A proxy that starts in the middle of a fault has learned nothing, and finds out.
+// A proxy that starts during a fault has no learned state and must detect the fault.
 func TestProxyStartedDuringFaultDetectsIt(t *testing.T) {
 	w := newSimulation(t, 4, 9, 3, 0.55)
 	f := withoutAnswers(faultOf(bid, 4))
@@ -233,10 +232,11 @@
 	}
 }
 
-// A second attempt never goes where its class is late, and one that has nowhere else to go is answered at once.
+// A second attempt never goes to a backend where its class is ejected. If no other backend is left, the request gets
+// its final answer at once.
 func TestNoRetryWhereTheClassIsEjected(t *testing.T) {
 	cfg := testConfig()
-	cfg.Zone = 9                   // of no backend, so that all are met
+	cfg.Zone = 9                   // a zone without backends, so that all backends get requests
 	b, h := newBalancer(t, cfg, 6) // zone 1 has the backends 2, 4 and 6
 	now := second
 	for range 8 {
@@ -272,7 +272,7 @@
 				t.Fatalf("the second attempt went to %d", a.to)
 			}
 			if a.verb == "refuse" {
-				t.Fatal("rejected what may have run")
+				t.Fatal("a request that may have run was rejected")
 			}
 			if a.verb == "send" {
 				b.OnAttemptEnd(now, Outcome{ID: id, Attempt: 1, Backend: 2, Result: OK, Final: true})
@@ -284,11 +284,12 @@
 		now += 10 * milli
 	}
 	if tried == 0 {
-		t.Fatal("no request met backend 2 first")
+		t.Fatal("no request went to backend 2 first")
 	}
 }
 
-// What may be sent again is fetched back from a backend that turns out to serve it badly, while there is time.
+// Attempts of a retryable request are cancelled at a backend where the class is found to be served badly, while there
+// is time to retry.
 func TestAttemptsAtEjectedClassesAreCancelledInTime(t *testing.T) {
 	w := newSimulation(t, 2, 9, 3, 0.55)
 	w.faults = []fault{{class: lotList, backends: []int{1, 2}, from: 11 * second, to: 31 * second, unansweredRatio: 1}}
@@ -301,11 +302,11 @@
 	}
 	missed := (w.offered[lotList] - w.served[lotList])
 	if lost == 0 || missed > 0.7*float64(lost) {
-		t.Errorf("%d listings met silence, %v were not served in time", lost, missed)
+		t.Errorf("%d listings got no answer, %v were not served in time", lost, missed)
 	}
 }
 
-// Rules hold beside the model: whatever a class's state, bids are sent once.
+// The model must not break the obligations: whatever the state of the class, bids, which are unsafe, run once.
 func TestUnsafeRequestsRunOnceUnderGrayFailures(t *testing.T) {
 	w := newSimulation(t, 9, 6, 2, 0.6)
 	w.faults = []fault{withoutAnswers(faultOf(bid, 3)), {class: -1, from: 11 * second, to: 21 * second, resetRatio: 0.2}}
@@ -317,7 +318,7 @@
 	w.run(22 * second)
 }
 
-// BenchmarkEvaluateGrayFailures is a sweep's judgement over a fleet, nothing being wrong.
+// BenchmarkEvaluateGrayFailures measures the gray failure part of a sweep over backends without faults.
 func BenchmarkEvaluateGrayFailures(b *testing.B) {
 	for _, n := range []int{10, 500, 5000} {
 		b.Run(fmt.Sprintf("backends=%d", n), func(b *testing.B) {
--- a/internal/balancer/idempotency_test.go
+++ b/internal/balancer/idempotency_test.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// Settings that change between two attempts: what may have run goes again only as both allow.
+// If the settings change between two attempts, a request that may have run is retried only if the old and the new
+// settings both allow it.
 func TestStricterSettingsHoldBetweenAttempts(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		class int
-		next  func(c *Class)
-		after time.Duration // the second attempt's time
-		again bool
+		name   string
+		class  int
+		change func(c *Class)
+		after  time.Duration // the second attempt's time
+		again  bool
 	}{
 		{"as it was", safe, func(*Class) {}, milli, true},
 		{"no longer safe", safe, func(c *Class) { c.Effect = Unsafe }, milli, false},
 		{"keyed now, in its window", safe, func(c *Class) { c.Effect, c.Group, c.IdempotencyWindow = Keyed, GroupAll, second }, milli, true},
-		{"keyed now, behind it", safe, func(c *Class) { c.Effect, c.Group, c.IdempotencyWindow = Keyed, GroupAll, second }, 2 * second, false},
+		{"keyed now, after it", safe, func(c *Class) { c.Effect, c.Group, c.IdempotencyWindow = Keyed, GroupAll, second }, 2 * second, false},
 		{"a shorter window", anywhere, func(c *Class) { c.IdempotencyWindow = 300 * milli }, 400 * milli, false},
 		{"a longer window", anywhere, func(c *Class) { c.IdempotencyWindow = time.Minute }, 2 * second, false},
 		{"safe from now on", unsafe, func(c *Class) { c.Effect = Safe }, milli, false},
@@ -26,7 +27,7 @@
 		b.OnRequest(second, Request{ID: 1, Class: c.class, Deadline: 5 * second})
 		first := h.take("send")[0]
 		next := testConfig()
-		c.next(&next.Classes[c.class])
+		c.change(&next.Classes[c.class])
 		if err := b.Reconfigure(second, next, nil, func(int) bool { return false }); err != nil {
 			t.Fatal(err)
 		}
@@ -38,7 +39,7 @@
 	}
 }
 
-// The module says by when a repeat has to be out: within the window of the first that may have run.
+// A retry must be sent before the end of the idempotency window of the first attempt that may have run.
 func TestRetryIsSentWithinTheWindow(t *testing.T) {
 	b, h := newBalancer(t, testConfig(), 2)
 	b.OnRequest(second, Request{ID: 1, Class: anywhere, Deadline: 5 * second})
@@ -47,11 +48,11 @@
 	again := h.take("send")
 	window := b.cfg.Classes[anywhere].IdempotencyWindow
 	if len(again) != 1 || h.before[0] != 0 || h.before[1] > second+window || h.before[1] < second+window/2 {
-		t.Errorf("%d again; by %v, window %v", len(again), h.before, window)
+		t.Errorf("%d retries, to be sent before %v; window %v", len(again), h.before, window)
 	}
 }
 
-// Tenants are known by their names: what one asked for must not weigh on the one that has its place now.
+// Tenants are matched by name: the usage of one tenant must not count for the tenant that gets its index.
 func TestTenantsKeepTheirQuotasByName(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{Name: "a", TrafficShare: 0.5, QuotaPerS: 1}, {Name: "b", TrafficShare: 0.5, QuotaPerS: 1}}
@@ -64,21 +65,21 @@
 	if over(0) < 0.5 || over(1) > 0 {
 		t.Fatal("the quota is not counted")
 	}
-	next := cfg
-	next.Tenants = []Tenant{cfg.Tenants[1], {Name: "c", TrafficShare: 0.5, QuotaPerS: 1}, cfg.Tenants[0]}
-	if err := b.Reconfigure(second, next, nil, func(int) bool { return false }); err != nil {
+	changed := cfg
+	changed.Tenants = []Tenant{cfg.Tenants[1], {Name: "c", TrafficShare: 0.5, QuotaPerS: 1}, cfg.Tenants[0]}
+	if err := b.Reconfigure(second, changed, nil, func(int) bool { return false }); err != nil {
 		t.Fatal(err)
 	}
 	if a, c := over(2), over(1); a < 0.5 || c > 0 {
-		t.Errorf("after the change a is %.2f over its quota, and c, which is new, %.2f", a, c)
+		t.Errorf("after the change, a is %.2f over its quota, and c, which is new, is %.2f over", a, c)
 	}
-	if asked := b.goodput.Tenant(1).Offered; asked > 2 {
-		t.Errorf("%.0f were asked for by a tenant that has just come", asked)
+	if offered := b.goodput.Tenant(1).Offered; offered > 2 {
+		t.Errorf("a new tenant already has %.0f offered utility", offered)
 	}
 }
 
-// Where none of the classes stays, another customer's settings have come: what was learned of work goes, and what the
-// rules rest on stays.
+// If no class stays, the settings are another customer's: what was learned about work is dropped, and the state that
+// the obligations depend on is kept.
 func TestOtherClassesDiscardLearnedState(t *testing.T) {
 	cfg := testConfig()
 	b, h := newBalancer(t, cfg, 3)
@@ -96,14 +97,14 @@
 	}
 	for _, x := range b.targets {
 		if n := x.answers.Value(b.now, b.decayTime); n != 0 || x.tail.n != 0 || x.servedWork.Value(b.now, second) != 0 {
-			t.Errorf("backend %d: %.1f answers to another customer count", x.ID, n)
+			t.Errorf("backend %d: %.1f answers to another customer still count", x.ID, n)
 		}
 	}
 	if old.warmupStarted != b.now || old.warmupTokens != -3 || old.healthy {
-		t.Error("a start, its budget or its health was forgotten")
+		t.Error("the start, the warm-up budget or the health of a backend was lost")
 	}
 	b.OnRequest(b.now, Request{ID: 1 << 20, Class: gone, Deadline: b.now + 5*second})
 	if want := b.expectedDelay(gone, 0); b.meanExpectedDelay != want {
-		t.Errorf("the first request counts %.1f in a mean of %.1f", want, b.meanExpectedDelay)
+		t.Errorf("the first request takes %.1f, and the mean is %.1f, want the same", want, b.meanExpectedDelay)
 	}
 }
--- a/internal/balancer/learnedstate_test.go
+++ b/internal/balancer/learnedstate_test.go
@@ -13,7 +13,7 @@
 	"marlreel/internal/process/learnedstate"
 )
 
-// learnedStateOf is all that a balancer has learned.
+// learnedStateOf exports all that a balancer has learned.
 func learnedStateOf(b *Balancer, now time.Duration) *learnedstate.State {
 	s := b.LearnedState(now)
 	ids := b.LearnedBackends()
@@ -25,7 +25,7 @@
 	return &s
 }
 
-// forEachValue calls for each number and truth value within v.
+// forEachValue calls each with every number and boolean within v, and its path.
 func forEachValue(v reflect.Value, path string, each func(path string, v reflect.Value)) {
 	switch v.Kind() {
 	case reflect.Float64, reflect.Int64, reflect.Int, reflect.Bool:
@@ -46,7 +46,7 @@
 	}
 }
 
-// restorable is a state in which every field may be set to another value and restored.
+// restorable returns a state in which any single field can be changed and is then restored.
 func restorable(t *testing.T, cfg Config, now time.Duration) *learnedstate.State {
 	t.Helper()
 	b, _ := newBalancer(t, cfg, 2)
@@ -62,7 +62,7 @@
 	return learnedStateOf(b, now)
 }
 
-// setValue sets the value at a path of a state to one that follows from x, and gives it.
+// setValue sets the value at a path of a state to one derived from x, and returns it.
 func setValue(s *learnedstate.State, path string, x float64) (set float64) {
 	forEachValue(reflect.ValueOf(s).Elem(), "", func(p string, v reflect.Value) {
 		if p != path {
@@ -83,7 +83,8 @@
 	return set
 }
 
-// isRestored tells whether a value at a path, if x gives one, is what the next process says of it too.
+// isRestored tells whether the value that setValue sets at a path is exported unchanged by the process that restored
+// it.
 func isRestored(t *testing.T, cfg Config, now time.Duration, path string, x float64) bool {
 	t.Helper()
 	s := restorable(t, cfg, now)
@@ -99,12 +100,12 @@
 	return math.Abs(got-want) <= 1e-9*math.Abs(want)
 }
 
-// Each field of the learned state is restored: what one process says of it, the next one says as well.
+// Each field of the learned state is restored: the next process exports the value that it was given.
 func TestEveryFieldIsRestored(t *testing.T) {
 	const now = 100 * second
 	cfg := testConfig()
 	cfg.Instances, cfg.Tenants = 1, []Tenant{{Name: "a", TrafficShare: 1}}
-	// What is not the balancer's, or no value of its own.
+	// Identifiers, which are not learned.
 	others := map[string]bool{".Backends[0].ID": true, ".Backends[1].ID": true}
 	checked := 0
 	forEachValue(reflect.ValueOf(restorable(t, cfg, now)).Elem(), "", func(path string, _ reflect.Value) {
@@ -135,8 +136,8 @@
 	return float64(v.Int())
 }
 
-// What was learned grows old: sums decay, ejections end, starts lie further back, and what has
-// started since is another one.
+// Learned state ages: sums decay, ejections end, starts move further into the past, and a backend that has started
+// since counts as a new one.
 func TestLearnedStateAges(t *testing.T) {
 	const now, away = 100 * second, 3 * second
 	from, _ := newBalancer(t, testConfig(), 3)
@@ -154,22 +155,21 @@
 	a, c := to.byID[1], to.byID[3]
 	left := 4 * math.Exp(-away.Seconds()/to.decayTime.Seconds())
 	if n := a.answers.Value(now+away, to.decayTime); math.Abs(n-left) > 1e-9 {
-		t.Errorf("%v answers are left of 4, it should be %v", n, left)
+		t.Errorf("%v of 4 answers are left, want %v", n, left)
 	}
 	if !to.isHealthy(a) {
-		t.Error("an ejection that would be over by now holds")
+		t.Error("a backend is still ejected after the end of its ejection")
 	}
 	if _, warming := to.warmupCapacity(a); warming {
-		t.Error("it started 22 s ago, and counts as warming")
+		t.Error("a backend that started 22 s ago counts as warming")
 	}
 	if _, warming := to.warmupCapacity(c); !warming || c.answers.Value(now+away, to.decayTime) > 0 {
-		t.Error("one that has started since is taken for the one before")
+		t.Error("a backend that has started since keeps the state from before its start")
 	}
 }
 
-// A process that has had answers itself believes them, and budgets are never more than either
-// side has left.
-func TestOwnEvidenceStands(t *testing.T) {
+// A process keeps its own evidence over restored state, and no budget is larger than what either process has left.
+func TestRestoreKeepsOwnEvidence(t *testing.T) {
 	const now = 100 * second
 	from, _ := newBalancer(t, testConfig(), 2)
 	to, _ := newBalancer(t, testConfig(), 2)
@@ -178,27 +178,26 @@
 	}
 	from.retryTokens = 9
 	to.retryTokens = 2
-	mine := to.byID[1]
-	mine.answers.Add(1, now, to.decayTime)
-	mine.warmupStarted, mine.warmupTokens = now-second, -7
+	own := to.byID[1]
+	own.answers.Add(1, now, to.decayTime)
+	own.warmupStarted, own.warmupTokens = now-second, -7
 	to.Restore(now, 0, learnedStateOf(from, now))
-	if !mine.healthy || to.byID[2].healthy {
-		t.Errorf("healthy: %v by own answers, %v by the other's word", mine.healthy, to.byID[2].healthy)
+	if !own.healthy || to.byID[2].healthy {
+		t.Errorf("healthy: %v by own answers, %v by restored state", own.healthy, to.byID[2].healthy)
 	}
-	if mine.warmupTokens > -7 || to.retryTokens != 2 {
-		t.Errorf("budgets: %v of warm-up work, %v of retries", mine.warmupTokens, to.retryTokens)
+	if own.warmupTokens > -7 || to.retryTokens != 2 {
+		t.Errorf("budgets: %v ms of warm-up work, %v retries", own.warmupTokens, to.retryTokens)
 	}
 	from.retryTokens = 1
 	to.Restore(now, 0, learnedStateOf(from, now))
 	if to.retryTokens != 1 {
-		t.Errorf("%v retries, the other process has one left", to.retryTokens)
+		t.Errorf("%v retries are left, the other process has one left", to.retryTokens)
 	}
 }
 
-// The rules hold over any hand-over, whatever the next process is told: the truth, nothing, or
-// nonsense.
+// The obligations hold across any handover, whether the restored state is correct or corrupt.
 func TestObligationsOverHandovers(t *testing.T) {
-	for name, tell := range map[string]func(rng *rand.Rand, s *learnedstate.State){
+	for name, corrupt := range map[string]func(rng *rand.Rand, s *learnedstate.State){
 		"the truth": func(*rand.Rand, *learnedstate.State) {},
 		"nonsense": func(rng *rand.Rand, s *learnedstate.State) {
 			signs := rng.IntN(4) == 0
@@ -227,7 +226,7 @@
 		for seed := range uint64(40) {
 			broken := playRandomScenario(t, seed, func(rng *rand.Rand, now time.Duration, from, to *Balancer) {
 				s := learnedStateOf(from, now)
-				tell(rng, s)
+				corrupt(rng, s)
 				if s.Check() == nil {
 					taken++
 					to.Restore(now, time.Duration(rng.IntN(300))*milli, s)
@@ -241,18 +240,18 @@
 			}
 		}
 		if taken < 30 {
-			t.Errorf("%s was taken over %d times only", name, taken)
+			t.Errorf("%s: the state was restored only %d times", name, taken)
 		}
 	}
 }
 
-// A day on which all proxies are replaced while one node is silent for bids, one is slow and
-// one fails all: what is served in the four seconds after it with what was learned, and without.
+// All proxies are replaced while one backend does not answer bids, one is slow and one fails all pickups. The service
+// in the next four seconds must be better with restored state than without.
 func TestLearnedStateHelpsTheNextProcess(t *testing.T) {
 	const seeds, at = 6, 16 * second
 	var with, without []float64
 	for seed := range uint64(seeds) {
-		for _, remembers := range []bool{false, true} {
+		for _, restored := range []bool{false, true} {
 			w := newSimulation(t, seed, 9, 3, 0.55)
 			w.faults = []fault{
 				{class: bid, backends: []int{1}, from: 5 * second, to: time.Hour, unansweredRatio: 1},
@@ -262,13 +261,13 @@
 			}
 			w.run(at)
 			w.handOver(t, func(from, to *Balancer) {
-				if remembers {
+				if restored {
 					to.Restore(w.now, 0, learnedStateOf(from, w.now))
 				}
 			})
 			w.reset()
 			w.run(at + 4*second)
-			if v := w.service(-1); remembers {
+			if v := w.service(-1); restored {
 				with = append(with, v)
 			} else {
 				without = append(without, v)
@@ -281,8 +280,8 @@
 		}
 		return sum
 	}
-	t.Logf("served with memory %.3f, without %.3f", mean(with), mean(without))
+	t.Logf("service with restored state %.3f, without %.3f", mean(with), mean(without))
 	if mean(with) < mean(without)+0.01 {
-		t.Errorf("memory gains nothing: %v with it, %v without", with, without)
+		t.Errorf("restored state gains nothing: service %v with it, %v without", with, without)
 	}
 }
--- a/internal/balancer/obligations_test.go
+++ b/internal/balancer/obligations_test.go
@@ -8,32 +8,32 @@
 	"time"
 )
 
-// obligationHost is a Host that plays backends, clients and discovery at random and
-// asserts the four rules on every action. It knows nothing of the module's insides.
+// obligationHost is a Host that simulates backends, clients and discovery at random and asserts the four rules of
+// Obligations on every action. It uses no internals of the package.
 type obligationHost struct {
 	t                testing.TB
 	cfg              Config
 	rng              *rand.Rand
 	now              time.Duration
-	processes        []*proxyProcess // processes of the proxy, one after the other
+	processes        []*proxyProcess // processes of the proxy, each replacing the one before
 	events           []hostEvent
 	serial           int
 	requests         map[RequestID]*hostRequest
 	backends         map[BackendID]*hostBackend
-	unavailableSince map[BackendID]time.Duration // when the Balancer was told that it drains or is gone
-	peakWork         time.Duration               // most work that a backend served within a window of the warm-up budget
+	unavailableSince map[BackendID]time.Duration // when the Balancer was told that the backend is draining or gone
+	peakWork         time.Duration               // most work that any backend served within an overload window
 	violations       []string
 }
 
 const meanCost = 60 * milli
 
-// proxyProcess is one process of the proxy: the host as it is to that one.
+// proxyProcess is one process of the proxy, with the Host that its Balancer uses.
 type proxyProcess struct {
 	*obligationHost
 	b *Balancer
 }
 
-// current is the process that takes what comes.
+// current is the process that gets new events.
 func (w *obligationHost) current() *proxyProcess { return w.processes[len(w.processes)-1] }
 
 // startProcess starts a process.
@@ -57,7 +57,7 @@
 
 type hostRequest struct {
 	Request
-	process  *proxyProcess // the process that took it
+	process  *proxyProcess // the process that received it
 	attempts []hostAttempt
 	answered bool // a final answer was given or seen
 }
@@ -72,7 +72,7 @@
 
 type hostBackend struct {
 	Backend
-	result Result // what it answers with; OK if well
+	result Result // the result of its attempts; OK if it is healthy
 	sent   []sentWork
 	done   []sentWork
 }
@@ -111,11 +111,11 @@
 	}
 }
 
-// Send asserts the rules on an attempt, and plays what becomes of it.
+// Send asserts the rules for an attempt, and schedules its end.
 func (w *obligationHost) Send(id RequestID, to BackendID, until, _ time.Duration) {
 	r, s := w.requests[id], w.backends[to]
 	if r == nil || s == nil {
-		w.report("send of request %d to %d, unknown", id, to)
+		w.report("send of request %d to backend %d: one of them is unknown", id, to)
 		return
 	}
 	if r.answered {
@@ -126,7 +126,7 @@
 	}
 	w.checkRerun(r, s)
 	if since, unavailable := w.unavailableSince[to]; unavailable && w.now-since > w.cfg.Obligations.DrainGrace {
-		w.report("rule 3: send to %d, %v after it was told to drain", to, w.now-since)
+		w.report("rule 3: send to backend %d, %v after it was announced as draining or gone", to, w.now-since)
 	}
 	w.checkWarmupBudget(s, r.Cost)
 	n := len(r.attempts)
@@ -141,7 +141,7 @@
 	w.after(took, func() { w.endAttempt(id, n, result) })
 }
 
-// checkRerun asserts rule 2 on another attempt of a request at a backend.
+// checkRerun asserts rule 2 for another attempt of a request at a backend.
 func (w *obligationHost) checkRerun(r *hostRequest, s *hostBackend) {
 	c := w.cfg.Classes[r.Class]
 	var first time.Duration = -1
@@ -156,7 +156,7 @@
 		case c.Effect == Unsafe:
 			w.report("rule 2: unsafe request %d is sent again after attempt %d may have run", r.ID, n)
 		case c.Group == GroupZone && a.zone != s.Zone, c.Group == GroupCell && a.cell != s.Cell:
-			w.report("rule 2: keyed request %d leaves its group", r.ID)
+			w.report("rule 2: keyed request %d is sent again outside its group", r.ID)
 		}
 		if first < 0 {
 			first = a.sent
@@ -167,7 +167,7 @@
 	}
 }
 
-// draw gives how an attempt at a backend ends, and after what time.
+// draw returns how an attempt at a backend ends, and after how long.
 func (w *obligationHost) draw(s *hostBackend) (Result, time.Duration) {
 	took := time.Duration(w.rng.ExpFloat64() * float64(80*milli))
 	switch s.result {
@@ -181,8 +181,8 @@
 	return s.result, took
 }
 
-// checkWarmupBudget asserts the budget: multiple x capacity x window. A backend here can do what the busiest one
-// was seen to serve within a window, and there is some slack for chance.
+// checkWarmupBudget asserts rule 4, the budget of a warming backend: multiple x capacity x window. The capacity in a
+// window is the most work that any backend was seen to serve in one. Some slack allows for chance.
 func (w *obligationHost) checkWarmupBudget(s *hostBackend, work time.Duration) {
 	o := w.cfg.Obligations
 	age := w.now - s.Started
@@ -196,10 +196,10 @@
 			sum += c.work
 		}
 	}
-	share := o.InitialCapacity + (1-o.InitialCapacity)*max(0, float64(age-o.OverloadWindow))/float64(o.WarmupDuration)
+	capacity := o.InitialCapacity + (1-o.InitialCapacity)*max(0, float64(age-o.OverloadWindow))/float64(o.WarmupDuration)
 	slack := 4 * meanCost
-	if budget := o.OverloadMultiple*share*w.peakWork.Seconds() + slack.Seconds(); sum.Seconds() > budget {
-		w.report("rule 4: %d was sent %v of work in %v, %v after its start", s.ID, sum, o.OverloadWindow, age)
+	if budget := o.OverloadMultiple*capacity*w.peakWork.Seconds() + slack.Seconds(); sum.Seconds() > budget {
+		w.report("rule 4: backend %d was sent %v of work in %v, %v after its start", s.ID, sum, o.OverloadWindow, age)
 	}
 }
 
@@ -249,7 +249,7 @@
 
 func (w *obligationHost) Cancel(id RequestID, n int) {
 	if n >= len(w.requests[id].attempts) {
-		w.report("cancel of attempt %d of request %d, never made", n, id)
+		w.report("cancel of attempt %d of request %d, which was never sent", n, id)
 		return
 	}
 	w.after(0, func() { w.endAttempt(id, n, Cancelled) })
@@ -257,10 +257,10 @@
 
 func (w *proxyProcess) CheckHealth(id BackendID) {
 	if !w.cfg.Caps.HealthChecks {
-		w.report("a health check where none is allowed")
+		w.report("a health check although Caps does not allow any")
 	}
 	if since, unavailable := w.unavailableSince[id]; unavailable && w.now-since > w.cfg.Obligations.DrainGrace {
-		w.report("rule 3: health check of %d after it was told to drain", id)
+		w.report("rule 3: health check of backend %d after it was announced as draining or gone", id)
 	}
 	s := w.backends[id]
 	w.after(2*milli, func() { w.b.OnHealthCheck(w.now, HealthCheckResult{Backend: id, Result: s.result, Took: 2 * milli}) })
@@ -281,7 +281,7 @@
 }
 
 func (w *proxyProcess) StartTimer(d time.Duration, token uint64) {
-	// A timer never fires in the batch that sets it.
+	// A timer never fires within the event that starts it.
 	w.after(max(d, milli), func() { w.b.OnTimer(w.now, token) })
 }
 
@@ -315,7 +315,7 @@
 	}
 }
 
-// randomConfig draws settings.
+// randomConfig returns random settings.
 func randomConfig(rng *rand.Rand) Config {
 	cfg := testConfig()
 	cfg.Instances = 1
@@ -323,7 +323,7 @@
 	cfg.Caps.HealthChecks = rng.IntN(4) > 0
 	cfg.PollMembership = rng.IntN(2) == 0
 	cfg.KeyAffinity = rng.IntN(2) == 0
-	cfg.Classes[unsafe].Group, cfg.Classes[unsafe].IdempotencyWindow = GroupAll, second // neither may matter
+	cfg.Classes[unsafe].Group, cfg.Classes[unsafe].IdempotencyWindow = GroupAll, second // must have no effect on an unsafe class
 	cfg.Classes[keyed].Group = []Group{GroupZone, GroupCell}[rng.IntN(2)]
 	cfg.Classes[anywhere].IdempotencyWindow = time.Duration(100+rng.IntN(900)) * milli
 	for i := range cfg.Classes {
@@ -334,11 +334,11 @@
 	return cfg
 }
 
-// handover gives the next process what it likes of the one before.
+// handover passes state from a process to the next one.
 type handover func(rng *rand.Rand, now time.Duration, from, to *Balancer)
 
-// playRandomScenario plays some seconds at random and gives the rules that were broken. Where handOver is given, a new
-// process takes over now and then.
+// playRandomScenario simulates some seconds of random events and returns the violations of the rules. If handOver is
+// given, a new process takes over now and then.
 func playRandomScenario(t testing.TB, seed uint64, handOver handover) []string {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -367,7 +367,7 @@
 	return w.violations
 }
 
-// scheduleRequest draws a request that comes at a time, and asserts that it gets its answer in time.
+// scheduleRequest schedules a random request at a time, and asserts that it gets its answer in time.
 func (w *obligationHost) scheduleRequest(id RequestID, at time.Duration) {
 	req := Request{
 		ID: id, Class: w.rng.IntN(len(w.cfg.Classes)), Key: uint64(w.rng.IntN(20)),
@@ -383,7 +383,7 @@
 	w.after(req.Deadline-w.now, func() {
 		w.after(w.cfg.Obligations.AnswerSlack, func() {
 			if !w.requests[req.ID].answered {
-				w.report("rule 1: request %d has no answer in time", req.ID)
+				w.report("rule 1: request %d got no answer in time", req.ID)
 			}
 		})
 	})
@@ -397,7 +397,7 @@
 	}
 }
 
-// scheduleHandovers lets one to three processes take over, one after the other.
+// scheduleHandovers schedules one to three handovers to a new process.
 func (w *obligationHost) scheduleHandovers(seed uint64, handOver handover) {
 	for n := range uint64(1 + w.rng.IntN(3)) {
 		w.after(time.Duration(w.rng.Int64N(int64(8*second))), func() {
@@ -413,7 +413,7 @@
 	id := BackendID(1 + w.rng.IntN(len(w.backends)))
 	s := w.backends[id]
 	switch w.rng.IntN(6) {
-	case 0, 1: // it falls ill, or gets well
+	case 0, 1: // it begins to fail, or recovers
 		s.result = []Result{OK, Error, Rejected, Timeout, ConnectFailed, Reset, OK}[w.rng.IntN(7)]
 	case 2: // it drains or leaves
 		s.State = []State{Draining, Gone}[w.rng.IntN(2)]
@@ -423,7 +423,7 @@
 		w.announce(MembershipDelta, []Backend{s.Backend})
 	case 4:
 		w.announce(MembershipFull, w.membership())
-	case 5: // odd but harmless events
+	case 5: // invalid events, which must have no effect
 		b := w.current().b
 		b.OnHealthCheck(w.now, HealthCheckResult{Backend: 9999})
 		b.OnAttemptEnd(w.now, Outcome{ID: 1 << 30, Attempt: 3})
@@ -456,7 +456,7 @@
 	})
 }
 
-// sendGuards are what forbids an attempt of a request at the other backend.
+// sendGuards are the conditions that forbid an attempt of a request at the other backend.
 var sendGuards = []struct {
 	name  string
 	class int
@@ -481,7 +481,7 @@
 	}},
 }
 
-// startedRequest gives a Balancer with a request of a class that has one attempt in flight, and the other backend.
+// startedRequest returns a Balancer, a request of a class with one attempt in flight, and the backend without it.
 func startedRequest(t *testing.T, class int) (*Balancer, *recorder, *request, *target) {
 	t.Helper()
 	b, h := newBalancer(t, testConfig(), 2)
@@ -495,7 +495,7 @@
 	return b, h, r, other
 }
 
-// Each guard by itself: send must say no, whoever asks.
+// Each guard alone must make send refuse the attempt, whoever calls it.
 func TestSendChecksEveryGuard(t *testing.T) {
 	for _, c := range sendGuards {
 		t.Run(c.name, func(t *testing.T) {
@@ -503,7 +503,7 @@
 			other.Zone, other.Cell = r.attempts[0].location.Zone, r.attempts[0].location.Cell
 			c.set(b, r, other)
 			if b.send(r, other) || len(h.take("send")) > 0 {
-				t.Error("sent all the same")
+				t.Error("the attempt was sent")
 			}
 		})
 	}
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -29,17 +29,17 @@
 		t.consecutiveBreaks++
 		t.lastBreak = b.now
 	}
-	if !b.speaksOfBackend(a, result) {
+	if !b.countsAgainstBackend(a, result) {
 		return
 	}
 	b.recordFailure(t, result)
 }
 
-// speaksOfBackend tells whether a failure is evidence against the whole backend. It is not if the backend
-// has answered since the attempt was sent: in an overload all attempts time out, but such a backend is only
-// slow. Nor is an unprocessable request, which would eject one backend after the other, or an error or
-// timeout of a class that is already ejected there.
-func (b *Balancer) speaksOfBackend(a *attempt, result Result) bool {
+// countsAgainstBackend tells whether a failure is evidence against the whole backend. It is not if the
+// backend has answered since the attempt was sent: in an overload all attempts time out, but such a backend
+// is only slow. Nor is an unprocessable request, which would eject one backend after the other, or an error
+// or timeout of a class that is already ejected there.
+func (b *Balancer) countsAgainstBackend(a *attempt, result Result) bool {
 	switch result {
 	case Rejected, Cancelled, NotSent, Unprocessable:
 		return false
--- a/internal/balancer/reconfigure_test.go
+++ b/internal/balancer/reconfigure_test.go
@@ -10,14 +10,13 @@
 
 func noneRemoved(int) bool { return false }
 
-// withClass is the settings with one more class at the end.
+// withClass returns the settings with one more class at the end.
 func withClass(c Config, more Class) Config {
 	c.Classes = append(append([]Class(nil), c.Classes...), more)
 	return c
 }
 
-// What was learned of a class survives a reload that keeps it, and one that is new knows
-// nothing of it.
+// What was learned about a class survives a reconfiguration that keeps it, and a new class starts without it.
 func TestReconfigureKeepsLearnedState(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 2)
 	for range 30 {
@@ -30,12 +29,12 @@
 	}
 	last := len(next.Classes) - 1
 	if got := b.expectedDelay(0, 0); got != before {
-		t.Errorf("class 0 is expected to take %v, it was %v", got, before)
+		t.Errorf("the expected delay of class 0 is %v ms, it was %v ms", got, before)
 	}
 	if got := b.expectedDelay(last, 0); got != 250 {
-		t.Errorf("the new class is expected to take %v ms, want a quarter of its latency target", got)
+		t.Errorf("the expected delay of the new class is %v ms, want a quarter of its latency target", got)
 	}
-	// Its place goes to another class: nothing stays.
+	// Another class takes over its index: nothing learned is kept.
 	b.delayModels[last].add(0, 9)
 	other := b.cfg
 	other.Classes = append([]Class(nil), other.Classes...)
@@ -44,17 +43,17 @@
 		t.Fatal(err)
 	}
 	if got := b.expectedDelay(last, 0); got != 1000 {
-		t.Errorf("the other class is expected to take %v ms, as the one before it", got)
+		t.Errorf("the expected delay of the other class is %v ms, want a quarter of its latency target", got)
 	}
 }
 
-// Settings that can't be used change nothing.
+// Invalid settings change nothing.
 func TestReconfigureRejectsAsAWhole(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 2)
 	for name, change := range map[string]func(*Config){
 		"fewer classes":  func(c *Config) { c.Classes = c.Classes[:len(c.Classes)-1] },
 		"no deadline":    func(c *Config) { c.Classes[0].ClientTimeout = 0 },
-		"asked for":      func(c *Config) { c.PollMembership = !c.PollMembership },
+		"polling":        func(c *Config) { c.PollMembership = !c.PollMembership },
 		"negative share": func(c *Config) { c.Tenants = []Tenant{{Name: "x", TrafficShare: -1}} },
 	} {
 		next := b.cfg
@@ -67,12 +66,12 @@
 			t.Errorf("%s: the error is %v", name, err)
 		}
 		if &b.cfg.Classes[0] != old {
-			t.Errorf("%s: half of it was taken", name)
+			t.Errorf("%s: the settings were changed", name)
 		}
 	}
 }
 
-// A class that went while it was served badly does not stay the worst of all for good.
+// A class that was removed while it was served badly does not stay the worst-served class forever.
 func TestRemovedClassNoLongerCounts(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 2)
 	b.cfg.Goal = Goal{Total: 1, WorstClass: 1}
@@ -88,7 +87,7 @@
 		t.Fatal(err)
 	}
 	if after := b.goodput.MarginalUtility(0, 0, 1); after <= before {
-		t.Errorf("serving what is left gains %v, as little as beside the one that has gone (%v)", after, before)
+		t.Errorf("serving the remaining class gains %v, not more than before the other one was removed (%v)", after, before)
 	}
 }
 
@@ -101,14 +100,14 @@
 	lastID   RequestID
 }
 
-// reconfiguredRequest is a request as the settings had it when it came.
+// reconfiguredRequest is a request with the settings that were in force when it came.
 type reconfiguredRequest struct {
 	effect      Effect
 	maxAttempts int
 	attempts    int
 }
 
-// checkSends asserts what holds for each attempt that was sent since the last call.
+// checkSends asserts that each attempt sent since the last call was allowed.
 func (q *reconfigured) checkSends(t *rapid.T) {
 	for _, a := range q.h.take("send") {
 		r := q.requests[a.id]
@@ -151,8 +150,8 @@
 	}
 }
 
-// Over any sequence of settings, sends and ends, a request keeps the effect it came with
-// and gets no more attempts than either settings allow.
+// Over any sequence of settings, sends and ends, a request keeps the effect that it came with and gets no more attempts
+// than the old and the new settings allow.
 func TestRequestsKeepTheirClassOverReconfigures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := testConfig()
--- a/internal/balancer/recorded_test.go
+++ b/internal/balancer/recorded_test.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// A recorded run of a proxy: membership changes, crashes, starts, storms, every kind of
-// outcome, in an order that a seed gives. What the Balancer did about it is kept as a
-// digest in testdata, and its first lines as text, so that a refactoring that changes
-// a decision is told, and where. A change of decisions that is meant writes it anew:
+// Runs a proxy through membership changes, crashes, starts, storms and every kind of outcome, in an order that depends
+// on the seed. The Balancer's actions are recorded in testdata as a digest, and the first ones as text, so that a
+// refactoring which changes a decision fails here, and the first difference is shown. After an intended change, record
+// the actions anew:
 // MARLREEL_RECORD=1 go test -run TestRecordedActions .
 func TestRecordedActions(t *testing.T) {
 	const path = "testdata/recorded.txt"
@@ -49,16 +49,16 @@
 			t.Fatalf("line %d: %s\nrecorded: %s", i+1, a[i], b[i])
 		}
 	}
-	t.Fatal("one is longer than the other")
+	t.Fatal("the number of lines differs from the recorded one")
 }
 
-// recording is a proxy, its backends and its clients over 40 s, in an order that a seed gives.
+// recording simulates a proxy, its backends and its clients over 40 s, in an order that depends on the seed.
 type recording struct {
 	b        *Balancer
 	h        *recorder
 	rng      *rand.Rand
 	now      time.Duration
-	due      []recordedEvent // by time; of equal times the earlier entered first
+	due      []recordedEvent // by time; at equal times in the order of insertion
 	sent     map[RequestID]int
 	answered map[RequestID]bool
 	lastID   RequestID
@@ -81,7 +81,7 @@
 	return cfg
 }
 
-// recordActions plays 40 s and gives what the Balancer did, a line each.
+// recordActions simulates 40 s and returns the Balancer's actions, one per line.
 func recordActions(t *testing.T, seed uint64) []string {
 	t.Helper()
 	w := &recording{
@@ -119,7 +119,7 @@
 	w.due = append(w.due[:i], append([]recordedEvent{{when, do}}, w.due[i:]...)...)
 }
 
-// drain records the actions, and plays what comes of each.
+// drain records the actions and schedules their consequences.
 func (w *recording) drain() {
 	for len(w.h.acts) > 0 {
 		acts := w.h.acts
@@ -139,7 +139,7 @@
 		w.answered[a.id] = true
 	case "probe":
 		result := OK
-		if w.dead(a.to) || w.rng.IntN(30) == 0 {
+		if w.down(a.to) || w.rng.IntN(30) == 0 {
 			result = Timeout
 		}
 		w.at(w.now+3*milli, func(at time.Duration) {
@@ -150,8 +150,8 @@
 	}
 }
 
-// dead tells whether a backend answers nothing: every fifth one for a while.
-func (w *recording) dead(id BackendID) bool {
+// down tells whether a backend is down: every fifth one is for a while.
+func (w *recording) down(id BackendID) bool {
 	return id%5 == 0 && w.now > 8*second && w.now < 20*second
 }
 
@@ -163,7 +163,7 @@
 		failures := []Result{Error, Rejected, Timeout, ConnectFailed, Reset, Cancelled, NotSent, Unprocessable}
 		result = failures[w.rng.IntN(8)]
 	}
-	if w.dead(a.to) {
+	if w.down(a.to) {
 		result, took = ConnectFailed, 5*milli
 	}
 	w.at(w.now+took, func(at time.Duration) {
@@ -173,7 +173,7 @@
 	})
 }
 
-// arrive lets a request come, and schedules the next one.
+// arrive passes a new request to the Balancer and schedules the next one.
 func (w *recording) arrive(now time.Duration) {
 	w.lastID++
 	id := w.lastID
@@ -200,7 +200,7 @@
 	w.at(now+gap, w.arrive)
 }
 
-// drawMembership gives the i-th change of the membership.
+// drawMembership returns the i-th change of the membership.
 func (w *recording) drawMembership(i int, now time.Duration) Membership {
 	n := 7 + w.rng.IntN(6)
 	m := Membership{Kind: MembershipDelta, Version: uint32(i + 2)}
--- a/internal/balancer/recorder_test.go
+++ b/internal/balancer/recorder_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// recorder is a Host that keeps what it was asked for.
+// recorder is a Host that records the actions.
 type recorder struct {
 	acts   []action
 	before []time.Duration // of each send
@@ -46,7 +46,7 @@
 }
 func (h *recorder) Log(line string) { h.add(action{verb: "log", text: line}) }
 
-// take gives the actions of the verbs since the last call of it, and forgets all.
+// take returns the actions with the given verbs since the last call, and drops all others.
 func (h *recorder) take(verbs ...string) []action {
 	var out []action
 	for _, a := range h.acts {
@@ -62,7 +62,7 @@
 
 const second, milli = time.Second, time.Millisecond
 
-// testConfig has one class of each effect; all else is allowed.
+// testConfig has a class of each kind of effect and group, and capabilities that allow everything.
 func testConfig() Config {
 	return Config{
 		Instances: 2, Tick: 5 * milli, OverQuotaValue: 1,
--- a/internal/balancer/restart_test.go
+++ b/internal/balancer/restart_test.go
@@ -15,21 +15,22 @@
 	"marlreel/internal/process/learnedstate"
 )
 
-// All proxies start again in one second, with memories of one minute, in which the same backends looked best:
-// they must not all choose alike. No backend has more of their first requests than the pick of two gives the best one of
-// their zone, nor of the first few more than twice its part; counted over many such fleets, as a single one is a draw.
-func TestProxiesWithLikeStatesChooseDifferently(t *testing.T) {
+// All proxies restart within one second with the same learned state, in which the same backends look best: they must
+// not all choose these. No backend gets more of their first requests than two random choices give the best backend of
+// the zone, nor of their first few requests more than twice its share. The test counts over many such fleets, as a
+// single one varies too much.
+func TestProxiesWithSameStateChooseDifferently(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig()
 	cfg.Instances = 12
-	teacher := newTaughtBalancer(t, cfg, 8, 400, 0)
-	now := teacher.now
-	s := learnedStateOf(teacher, now)
+	source := newTrainedBalancer(t, cfg, 8, 400, 0)
+	now := source.now
+	s := learnedStateOf(source, now)
 	if len(s.Backends) < 6 {
-		t.Fatalf("it knows %d backends", len(s.Backends))
+		t.Fatalf("the learned state has %d backends, want 6 or more", len(s.Backends))
 	}
 	const fleets = 40
-	for first, part := range map[int]float64{1: 2.0 / 4, 4: 2.0 / 8} { // requests of each proxy, all out before any answer
+	for first, part := range map[int]float64{1: 2.0 / 4, 4: 2.0 / 8} { // requests of each proxy, all sent before any answer
 		got := map[BackendID]int{}
 		for i := range fleets * cfg.Instances {
 			one := cfg
@@ -56,13 +57,14 @@
 		}
 		n := float64(fleets * cfg.Instances * first)
 		if chance := 3 * math.Sqrt(n*part*(1-part)); float64(all) < n || float64(most) > n*part+chance {
-			t.Errorf("%d requests each: %v, and %.0f are the most for one", first, got, n*part+chance)
+			t.Errorf("%d requests each: attempts by backend are %v, want %.0f at most", first, got, n*part+chance)
 		}
 	}
 }
 
-// newTaughtBalancer is one that has had so many requests, 5 ms apart, all but the first few answered after 40 ms.
-func newTaughtBalancer(t *testing.T, cfg Config, backends, requests, unanswered int) *Balancer {
+// newTrainedBalancer returns a Balancer that has had so many requests, 5 ms apart. All but the first unanswered ones
+// were answered after 40 ms.
+func newTrainedBalancer(t *testing.T, cfg Config, backends, requests, unanswered int) *Balancer {
 	b, host := newBalancer(t, cfg, backends)
 	now := 5 * second
 	for i := range requests {
@@ -78,33 +80,33 @@
 	return b
 }
 
-// What a request takes on average is gone on with, not taken from the first one that comes, and without the guesses of
-// the process before; where that had no answers, it is no more than a guess here.
+// The mean delay of a request is restored rather than taken from the first request, and without the previous process's
+// guesses. If that process had no answers, the mean remains a guess.
 func TestMeanDelayIsRestored(t *testing.T) {
 	t.Parallel()
 	for _, unanswered := range []int{0, 3, 40} {
-		teacher := newTaughtBalancer(t, testConfig(), 2, 40, unanswered)
+		source := newTrainedBalancer(t, testConfig(), 2, 40, unanswered)
 		b, _ := newBalancer(t, testConfig(), 2)
-		b.Restore(teacher.now, 300*milli, learnedStateOf(teacher, teacher.now))
-		want := average{teacher.meanWindow, teacher.knownDelay.mean}
+		b.Restore(source.now, 300*milli, learnedStateOf(source, source.now))
+		want := average{source.meanWindow, source.knownDelay.mean}
 		if unanswered == 40 {
 			want = average{}
 		}
-		if b.knownDelay != want || b.meanDelay() != teacher.meanDelay() {
-			t.Errorf("%d unanswered: %v and %.1f are remembered, want %v and %.1f", unanswered, b.knownDelay, b.meanDelay(), want, teacher.meanDelay())
+		if b.knownDelay != want || b.meanDelay() != source.meanDelay() {
+			t.Errorf("%d unanswered: %v and %.1f were restored, want %v and %.1f", unanswered, b.knownDelay, b.meanDelay(), want, source.meanDelay())
 		}
 	}
 }
 
-// A proxy that starts anew every 300 ms, each time with the memory of the life before: nothing grows, nobody
-// is kept out for ever, and what was learned is neither lost nor made younger.
+// A proxy restarts every 300 ms, each time with the learned state of the previous process. The state must not grow, no
+// backend may stay ejected forever, and the state must be neither lost nor made to look newer.
 func TestRestartLoop(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig()
 	b, host := newBalancer(t, cfg, 6)
 	now := 5 * second
 	id := RequestID(0)
-	live := func(span time.Duration, bad BackendID) {
+	play := func(span time.Duration, bad BackendID) {
 		for end := now + span; now < end; {
 			now += 4 * milli
 			id++
@@ -122,7 +124,7 @@
 			}
 		}
 	}
-	live(3*second, 3)
+	play(3*second, 3)
 	first := learnedStateOf(b, now)
 	for range 40 {
 		s := learnedStateOf(b, now)
@@ -136,7 +138,7 @@
 		next.OnMembership(now, Membership{Kind: MembershipFull, Version: 1, Backends: list(6)})
 		next.Restore(now, 50*milli, s)
 		b, host = next, h
-		live(250*milli, 0) // the bad one is well by now
+		play(250*milli, 0) // the failing backend has recovered
 	}
 	last := learnedStateOf(b, now)
 	if len(last.Backends) > 6 || last.Common.MeanWindow > first.Common.MeanWindow+1e4 {
@@ -144,42 +146,42 @@
 	}
 	i := slices.IndexFunc(last.Backends, func(k learnedstate.Backend) bool { return k.ID == 3 })
 	if i < 0 || !last.Backends[i].Healthy || last.Backends[i].EjectedFor > 0 || last.Backends[i].LastOK > 3*second {
-		t.Errorf("the one that was bad twelve seconds ago: %+v", last.Backends)
+		t.Errorf("backend 3, which failed twelve seconds ago, has not recovered: %+v", last.Backends)
 	}
 }
 
-// restartKind is what a proxy that starts again knows.
+// restartKind is what a restarted proxy knows.
 type restartKind int
 
 const (
-	nothing    restartKind = iota // the list of the start
-	remembered                    // and what it had learned, two seconds before it was killed
-	falsely                       // and what is not so: well for bad, limits, delays and budgets drawn
+	restartEmpty     restartKind = iota // only the membership at its start
+	restartRestored                     // also what it had learned two seconds before it was killed
+	restartCorrupted                    // the same with health inverted, and limits, delays and budgets drawn at random
 )
 
 func (r restartKind) String() string { return [...]string{"nothing", "memory", "false memory"}[r] }
 
-// simulateRestarts is a day on which a machine is slow and one dies, returns and warms up; all proxies are killed within a
-// second at 20 s, when the dead one is just back.
+// simulateRestarts simulates a slow machine and one that crashes, returns and warms up. All proxies are killed within a
+// second at 20 s, when the crashed machine has just returned.
 func simulateRestarts(t testing.TB, seed uint64, proxies int, how restartKind) *stormSimulation {
 	t.Helper()
 	d := usualStormScenario(seed)
-	d.load, d.retries, d.dies, d.back, d.failedRatio, d.length = 0.65, 1, 14*second, 19*second, 0.12, 40*second
+	d.load, d.retries, d.failsAt, d.returnsAt, d.failedRatio, d.length = 0.65, 1, 14*second, 19*second, 0.12, 40*second
 	d.proxies = proxies
 	w := newStormSimulation(t, d)
-	w.in(3*second-w.now, func() { w.machines[seed%9].SetSlowdown(w.now, 5) })
+	w.after(3*second-w.now, func() { w.machines[seed%9].SetSlowdown(w.now, 5) })
 	old := append([]Backend(nil), w.listed...)
 	rng := rand.New(rand.NewPCG(seed, 77))
 	for i := range w.proxies {
 		var s *learnedstate.State
 		at := 20*second + time.Duration(i)*second/time.Duration(proxies)
-		w.in(at-2*second-w.now, func() { s = learnedStateOf(w.proxies[i].b.(*Balancer), w.now) })
-		w.in(at-w.now, func() {
+		w.after(at-2*second-w.now, func() { s = learnedStateOf(w.proxies[i].b.(*Balancer), w.now) })
+		w.after(at-w.now, func() {
 			w.restart(i, old)
-			if how == nothing {
+			if how == restartEmpty {
 				return
 			}
-			if how == falsely {
+			if how == restartCorrupted {
 				for k := range s.Backends {
 					b := &s.Backends[k]
 					b.Healthy, b.ConcurrencyLimit, b.WarmupTokens, b.EjectionDuration = !b.Healthy, 1+40*rng.Float64(), 1e4*rng.Float64(), time.Duration(rng.IntN(5000))*milli
@@ -199,16 +201,17 @@
 	return w.run()
 }
 
-// The ten seconds after all proxies were killed: MARLREEL_RESTARTS=20 go test -v -run TestRestarts . prints the
-// figures of docs/design/memory.md. With three proxies a memory is worth nothing: some 75 requests a second
-// teach each in a second what it had forgotten. With many it is. What is false costs little, and breaks no rule.
+// The service in the ten seconds after all proxies were killed: MARLREEL_RESTARTS=20 go test -v -run TestRestarts .
+// prints the figures of docs/design/memory.md. With three proxies, restored state gains nothing: at some 75 requests a
+// second each learns the state again within a second. With many proxies it helps. Corrupted state costs little and
+// breaks no obligation.
 func TestRestarts(t *testing.T) {
 	t.Parallel()
 	seeds := 2
 	if s := os.Getenv("MARLREEL_RESTARTS"); s != "" {
 		var err error
 		if seeds, err = strconv.Atoi(s); err != nil || seeds < 2 {
-			t.Fatalf("MARLREEL_RESTARTS=%q: a number of seeds from 2 on is needed", s)
+			t.Fatalf("MARLREEL_RESTARTS=%q must be a number of seeds, 2 or more", s)
 		}
 	}
 	var b strings.Builder
@@ -218,7 +221,7 @@
 			for seed := range seeds {
 				w := simulateRestarts(t, uint64(300+seed), proxies, restartKind(how))
 				if w.overloads > 0 || w.ranTwice > 0 {
-					t.Errorf("%d proxies, %v, seed %d: %d machines fell over, %d unsafe requests ran twice", proxies, restartKind(how), seed, w.overloads, w.ranTwice)
+					t.Errorf("%d proxies, %v, seed %d: %d machines were overloaded, %d unsafe requests ran twice", proxies, restartKind(how), seed, w.overloads, w.ranTwice)
 				}
 				figures[how] = append(figures[how], w.service(20*second, 30*second))
 			}
@@ -232,14 +235,14 @@
 		for how, x := range figures {
 			var diffs []float64
 			for i := range x {
-				diffs = append(diffs, x[i]-figures[nothing][i])
+				diffs = append(diffs, x[i]-figures[restartEmpty][i])
 			}
 			slices.Sort(diffs)
 			sorted := slices.Sorted(slices.Values(x))
 			fmt.Fprintf(&b, "| %d | %v | %.3f | %.3f | %+.3f | %+.3f to %+.3f |\n", proxies, restartKind(how), sorted[len(x)/2], sorted[0], diffs[len(x)/2], diffs[0], diffs[len(x)-1])
 		}
-		if mean(figures[remembered]) < mean(figures[nothing])-0.03 || mean(figures[falsely]) < mean(figures[nothing])-0.08 {
-			t.Errorf("after a restart:\n%s", b.String())
+		if mean(figures[restartRestored]) < mean(figures[restartEmpty])-0.03 || mean(figures[restartCorrupted]) < mean(figures[restartEmpty])-0.08 {
+			t.Errorf("the service after a restart is too low:\n%s", b.String())
 		}
 	}
 	t.Log("\n" + b.String())
--- a/internal/balancer/retrystorm_policies_test.go
+++ b/internal/balancer/retrystorm_policies_test.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Three known policies, for comparison: what they do about storms, and nothing else. Each picks the
-// less loaded of two backends that are listed and answer.
+// Three known policies for comparison, reduced to what they do about retry storms. Each picks the less loaded of two
+// backends that are listed and accept connections.
 
 type plainPolicy struct {
-	host     Host
-	cfg      Config
-	rng      *rand.Rand
-	ready    []BackendID
-	out      map[BackendID]int
-	broken   map[BackendID]time.Duration
-	requests map[RequestID]*plainRequest
-	budget   float64 // Envoy: share of the open requests that may be retries
-	retrying int
-	throttle bool    // SRE: adaptive throttling
-	asked    float64 // faded
-	accepts  float64
-	at       time.Duration
+	host       Host
+	cfg        Config
+	rng        *rand.Rand
+	ready      []BackendID
+	inFlight   map[BackendID]int
+	avoidUntil map[BackendID]time.Duration
+	requests   map[RequestID]*plainRequest
+	budget     float64 // Envoy: fraction of the requests under way that may be retries
+	retrying   int
+	throttle   bool    // SRE: adaptive throttling
+	offered    float64 // decayed number of requests
+	accepts    float64 // decayed number of answers
+	decayedAt  time.Duration
 }
 
 type plainRequest struct {
@@ -30,18 +30,18 @@
 	tried    []BackendID
 	attempts int
 	retry    bool
-	over     bool
+	ended    bool
 }
 
-// noControl sends all there is, once more where the first attempt never ran.
+// noControl sends all requests, and once more those whose first attempt never ran.
 func noControl(w *stormSimulation, rank int, h Host) decider {
 	return &plainPolicy{
-		host: h, cfg: w.cfg, rng: rand.New(rand.NewPCG(w.scenario.seed, uint64(rank))), out: map[BackendID]int{},
-		broken: map[BackendID]time.Duration{}, requests: map[RequestID]*plainRequest{}, budget: 1,
+		host: h, cfg: w.cfg, rng: rand.New(rand.NewPCG(w.scenario.seed, uint64(rank))), inFlight: map[BackendID]int{},
+		avoidUntil: map[BackendID]time.Duration{}, requests: map[RequestID]*plainRequest{}, budget: 1,
 	}
 }
 
-// retryBudget is no control, but that no more than a fifth of what is open may be second attempts
+// retryBudget is noControl with a limit on second attempts: a fifth of the requests under way
 // (Envoy's retry budget: 20%, and three at least).
 func retryBudget(w *stormSimulation, rank int, h Host) decider {
 	p := noControl(w, rank, h).(*plainPolicy)
@@ -49,7 +49,7 @@
 	return p
 }
 
-// adaptiveThrottling is that, and turns requests away with the chance (asked - 2 accepts) / (asked + 1),
+// adaptiveThrottling is retryBudget, and rejects requests with the probability (offered - 2 accepts) / (offered + 1),
 // over ten seconds (Site Reliability Engineering, "Handling Overload"; there it is two minutes).
 func adaptiveThrottling(w *stormSimulation, rank int, h Host) decider {
 	p := retryBudget(w, rank, h).(*plainPolicy)
@@ -69,17 +69,17 @@
 	}
 }
 
-func (p *plainPolicy) fade(now time.Duration) {
-	if d := now - p.at; d > 100*milli {
+func (p *plainPolicy) decay(now time.Duration) {
+	if d := now - p.decayedAt; d > 100*milli {
 		f := 1 - min(1, d.Seconds()/10)
-		p.asked, p.accepts, p.at = p.asked*f, p.accepts*f, now
+		p.offered, p.accepts, p.decayedAt = p.offered*f, p.accepts*f, now
 	}
 }
 
 func (p *plainPolicy) OnRequest(now time.Duration, q Request) {
-	p.fade(now)
-	p.asked++
-	if p.throttle && p.rng.Float64() < (p.asked-2*p.accepts)/(p.asked+1) {
+	p.decay(now)
+	p.offered++
+	if p.throttle && p.rng.Float64() < (p.offered-2*p.accepts)/(p.offered+1) {
 		p.host.Reject(q.ID, 0)
 		return
 	}
@@ -89,29 +89,29 @@
 }
 
 func (p *plainPolicy) send(now time.Duration, r *plainRequest) {
-	var fit []BackendID
+	var eligible []BackendID
 	for _, id := range p.ready {
-		if !slices.Contains(r.tried, id) && now >= p.broken[id] {
-			fit = append(fit, id)
+		if !slices.Contains(r.tried, id) && now >= p.avoidUntil[id] {
+			eligible = append(eligible, id)
 		}
 	}
-	if len(fit) == 0 {
+	if len(eligible) == 0 {
 		p.end(r)
 		return
 	}
-	a, b := fit[p.rng.IntN(len(fit))], fit[p.rng.IntN(len(fit))]
-	if p.out[b] < p.out[a] {
+	a, b := eligible[p.rng.IntN(len(eligible))], eligible[p.rng.IntN(len(eligible))]
+	if p.inFlight[b] < p.inFlight[a] {
 		a = b
 	}
 	r.tried = append(r.tried, a)
 	r.attempts++
-	p.out[a]++
+	p.inFlight[a]++
 	p.host.Send(r.ID, a, 0, 0)
 }
 
 func (p *plainPolicy) end(r *plainRequest) {
-	if !r.over {
-		r.over = true
+	if !r.ended {
+		r.ended = true
 		p.host.Reject(r.ID, 0)
 	}
 	p.drop(r)
@@ -125,19 +125,19 @@
 }
 
 func (p *plainPolicy) OnAttemptEnd(now time.Duration, o Outcome) {
-	p.out[o.Backend]--
+	p.inFlight[o.Backend]--
 	r := p.requests[o.ID]
 	if r == nil {
 		return
 	}
-	p.fade(now)
+	p.decay(now)
 	if o.Result == OK {
 		p.accepts++
 	}
 	if o.Result == ConnectFailed {
-		p.broken[o.Backend] = now + second
+		p.avoidUntil[o.Backend] = now + second
 	}
-	if o.Final || r.over {
+	if o.Final || r.ended {
 		p.drop(r)
 		return
 	}
@@ -153,14 +153,14 @@
 		p.end(r)
 		return
 	}
-	r.over = true
+	r.ended = true
 	p.host.Fail(r.ID)
 	p.drop(r)
 }
 
 func (p *plainPolicy) OnClientGone(now time.Duration, id RequestID) {
 	if r := p.requests[id]; r != nil {
-		r.over = true
+		r.ended = true
 		p.drop(r)
 	}
 }
--- a/internal/balancer/retrystorm_simulation_test.go
+++ b/internal/balancer/retrystorm_simulation_test.go
@@ -11,30 +11,29 @@
 	"marlreel/internal/standin/machine"
 )
 
-// A closed loop of clients that come again, proxies, and machines that die and return and warm up, all in
-// simulated time. Clients count a request and its retries as one, from its first arrival, as the
-// operators do.
+// A closed-loop simulation of clients that retry, proxies, and machines that crash, return and warm up. A client's
+// request and its retries count as one, from the first arrival, as operators count them.
 
-// stormScenario is what such a day is drawn from.
+// stormScenario has the parameters of a simulation.
 type stormScenario struct {
-	seed               uint64
-	backends, proxies  int
-	load               float64 // of what all machines can do
-	retries            int     // by a client, beside its first attempt
-	backoff            time.Duration
-	exponential        bool
-	followRatio        float64 // share of the clients that wait as long as they are told
-	marks              bool    // retries are marked
-	retryAfter         bool    // the settings allow telling
-	dies, back, length time.Duration
-	failedRatio        float64 // of the machines that die
-	slowWhenCrowded    bool    // crowded machines turn slow
-	strayRatio         float64 // share of the attempts that come to any proxy, not that of the client's zone
-	stormingTenant     int     // one whose clients come again at once, and often; -1: none
-	policy             func(d *stormSimulation, rank int, h Host) decider
+	seed                       uint64
+	backends, proxies          int
+	load                       float64 // as a fraction of the capacity of all machines
+	retries                    int     // by a client, in addition to its first attempt
+	backoff                    time.Duration
+	exponential                bool
+	followRatio                float64 // fraction of the clients that follow Retry-After
+	marks                      bool    // clients mark their retries
+	retryAfter                 bool    // the settings allow Retry-After
+	failsAt, returnsAt, length time.Duration
+	failedRatio                float64 // fraction of the machines that crash
+	slowWhenOverloaded         bool    // overloaded machines become slow
+	otherProxyRatio            float64 // fraction of the attempts that go to a random proxy, not that of the client's zone
+	stormingTenant             int     // its clients retry immediately and often; -1: none
+	policy                     func(d *stormSimulation, rank int, h Host) decider
 }
 
-// decider is a Balancer, or one of the policies that it is held against.
+// decider is a Balancer or one of the policies that it is compared with.
 type decider interface {
 	Start(now time.Duration)
 	OnMembership(now time.Duration, m Membership)
@@ -46,29 +45,29 @@
 }
 
 type stormSimulation struct {
-	scenario stormScenario
-	cfg      Config
-	rng      *rand.Rand
-	now      time.Duration
-	due      eventHeap
-	machines []*machine.Machine
-	listed   []Backend
-	down     []bool
-	proxies  []*stormProxy
-	jobs     map[uint64]*stormRequest
-	capacity float64 // ms of work a ms, of all machines
-	work     []float64
-	nextID   RequestID
-	nextJob  uint64
-	users    []*stormClientRequest
-
-	seconds   []stormSecond // by the second of the first arrival
-	overloads int
-	sends     int
-	ranTwice  int // unsafe requests that were run twice
-	homes     [][2]float64
-
-	admitted float64 // ms of work taken by machines, from 4 s on
+	scenario       stormScenario
+	cfg            Config
+	rng            *rand.Rand
+	now            time.Duration
+	due            eventHeap
+	machines       []*machine.Machine
+	listed         []Backend
+	down           []bool
+	proxies        []*stormProxy
+	jobs           map[uint64]*stormRequest
+	capacity       float64 // ms of work per ms, of all machines
+	work           []float64
+	nextID         RequestID
+	nextJob        uint64
+	clientRequests []*stormClientRequest
+
+	seconds      []stormSecond // by the second of the first arrival
+	overloads    int
+	sends        int
+	ranTwice     int // unsafe requests that ran twice
+	tenantValues [][2]float64
+
+	admitted float64 // ms of work accepted by machines, from 4 s on
 }
 
 type stormSecond struct {
@@ -78,16 +77,16 @@
 
 // stormClientRequest is one request of a client with all its attempts.
 type stormClientRequest struct {
-	class, tenant int
-	home          int // the proxy of its zone
-	key           uint64
-	arrived       time.Duration
-	attempts      int
-	inTime        bool // it was served
-	honours       bool // it waits for as long as it is told
-	over          bool
-	ran           int
-	value         float64
+	class, tenant     int
+	homeProxy         int // the proxy of its zone
+	key               uint64
+	arrived           time.Duration
+	attempts          int
+	inTime            bool // it was served within the latency target
+	followsRetryAfter bool // its client waits for the time in Retry-After
+	ended             bool
+	ran               int
+	value             float64
 }
 
 type stormProxy struct {
@@ -98,13 +97,13 @@
 	logs []string
 }
 
-// stormRequest is a client's attempt at a proxy, with that one's attempts.
+// stormRequest is a client's attempt at a proxy, with the proxy's own attempts.
 type stormRequest struct {
 	p        *stormProxy
 	u        *stormClientRequest
 	id       RequestID
-	leaves   time.Duration
-	over     bool
+	leavesAt time.Duration
+	ended    bool
 	attempts []*stormAttempt
 }
 
@@ -118,18 +117,18 @@
 	ended bool
 }
 
-func (w *stormSimulation) in(d time.Duration, f func()) {
+func (w *stormSimulation) after(d time.Duration, f func()) {
 	w.due.seq++
 	heap.Push(&w.due, scheduledEvent{w.now + max(d, 0), w.due.seq, f})
 }
 
-const stormHouses = 4
+const stormTenants = 4
 
 func newStormSimulation(t testing.TB, d stormScenario) *stormSimulation {
 	t.Helper()
 	cfg := testConfig()
 	cfg.Instances, cfg.Classes = d.proxies, auctionClasses()
-	for i := range cfg.Classes { // the auction's own times
+	for i := range cfg.Classes { // latency targets and timeouts of the auction
 		cfg.Classes[i].LatencyTarget = []time.Duration{600, 800, 400, 600}[i] * milli
 		cfg.Classes[i].ClientTimeout = []time.Duration{1200, 2000, 2000, 2000}[i] * milli
 	}
@@ -140,7 +139,7 @@
 	cfg.OverQuotaValue = 0.1
 	w := &stormSimulation{
 		scenario: d, cfg: cfg, rng: rand.New(rand.NewPCG(d.seed, 31)), now: second, jobs: map[uint64]*stormRequest{},
-		work: []float64{45, 60, 55, 46}, homes: make([][2]float64, stormHouses),
+		work: []float64{45, 60, 55, 46}, tenantValues: make([][2]float64, stormTenants),
 	}
 	for i := range d.backends {
 		speed := []float64{1.3, 0.95, 0.7}[i%3] * (0.9 + 0.2*w.rng.Float64())
@@ -149,7 +148,7 @@
 			Cores: 2, Speed: speed, Slots: 20, Queue: 5,
 			Warmup: machine.Warmup{InitialCapacity: 0.32, Duration: 8 * second, OverloadMultiple: 2.5, OverloadWindow: 3 * second},
 		}
-		if d.slowWhenCrowded {
+		if d.slowWhenOverloaded {
 			mc.Congestion = machine.Congestion{Headroom: 7, Window: 2500 * milli, Slowdown: 2.5, RecoveryWindow: 3 * second, RecoveryUtilization: 0.4, MaxDuration: 20 * second}
 		}
 		w.machines = append(w.machines, machine.New(mc, w.now, true))
@@ -157,8 +156,8 @@
 	}
 	w.down = make([]bool, d.backends)
 	total := d.capacityRate(w)
-	for i := range stormHouses {
-		w.cfg.Tenants = append(w.cfg.Tenants, Tenant{Name: string(rune('a' + i)), TrafficShare: 0.25, QuotaPerS: total * 0.9 / stormHouses})
+	for i := range stormTenants {
+		w.cfg.Tenants = append(w.cfg.Tenants, Tenant{Name: string(rune('a' + i)), TrafficShare: 0.25, QuotaPerS: total * 0.9 / stormTenants})
 	}
 	w.seconds = make([]stormSecond, int(d.length/second)+10)
 	for i := range d.proxies {
@@ -173,12 +172,12 @@
 	return w
 }
 
-// capacityRate is how many mean requests a second all machines can do.
+// capacityRate is how many mean requests per second all machines can serve.
 func (d *stormScenario) capacityRate(w *stormSimulation) float64 {
 	return w.capacity * 1000 / 51.3
 }
 
-// marlreelPolicy is the module itself.
+// marlreelPolicy is the Balancer itself.
 func marlreelPolicy(w *stormSimulation, rank int, h Host) decider {
 	one := w.cfg
 	one.Rank, one.Zone = rank, rank%3
@@ -193,7 +192,7 @@
 
 func (w *stormSimulation) arrive(rate float64) {
 	gap := time.Duration(-math.Log(1-w.rng.Float64()) / rate * float64(second))
-	w.in(gap, func() {
+	w.after(gap, func() {
 		if w.now > w.scenario.length {
 			return
 		}
@@ -202,13 +201,13 @@
 			x, class = x-stormShares[class], class+1
 		}
 		u := &stormClientRequest{
-			class: class, tenant: w.rng.IntN(stormHouses), home: w.rng.IntN(len(w.proxies)), key: uint64(1 + w.rng.IntN(4000)), arrived: w.now,
+			class: class, tenant: w.rng.IntN(stormTenants), homeProxy: w.rng.IntN(len(w.proxies)), key: uint64(1 + w.rng.IntN(4000)), arrived: w.now,
 			value: w.cfg.Classes[class].Value,
 		}
-		u.honours = w.rng.Float64() < w.scenario.followRatio
-		w.users = append(w.users, u)
+		u.followsRetryAfter = w.rng.Float64() < w.scenario.followRatio
+		w.clientRequests = append(w.clientRequests, u)
 		w.at(u.arrived).offered += u.value
-		w.homes[u.tenant][0] += u.value
+		w.tenantValues[u.tenant][0] += u.value
 		w.sendRequest(u)
 		w.arrive(rate)
 	})
@@ -218,33 +217,33 @@
 	return &w.seconds[min(int(t/second), len(w.seconds)-1)]
 }
 
-// sendRequest is one attempt of a client, at whichever proxy it comes to.
+// sendRequest sends an attempt of a client to its home proxy or to a random one.
 func (w *stormSimulation) sendRequest(u *stormClientRequest) {
-	p := w.proxies[u.home]
-	if w.rng.Float64() < w.scenario.strayRatio {
+	p := w.proxies[u.homeProxy]
+	if w.rng.Float64() < w.scenario.otherProxyRatio {
 		p = w.proxies[w.rng.IntN(len(w.proxies))]
 	}
 	c := &w.cfg.Classes[u.class]
 	w.nextID++
-	t := &stormRequest{p: p, u: u, id: w.nextID, leaves: w.now + c.ClientTimeout*85/100}
-	t.leaves = min(t.leaves, u.arrived+c.ClientTimeout)
+	t := &stormRequest{p: p, u: u, id: w.nextID, leavesAt: w.now + c.ClientTimeout*85/100}
+	t.leavesAt = min(t.leavesAt, u.arrived+c.ClientTimeout)
 	u.attempts++
 	w.at(w.now).requests++
 	p.reqs[t.id] = t
-	w.in(t.leaves-w.now, func() {
-		if !t.over {
-			t.over = true
+	w.after(t.leavesAt-w.now, func() {
+		if !t.ended {
+			t.ended = true
 			p.b.OnClientGone(w.now, t.id)
 			w.retry(t, 0, c.Effect == Safe)
 		}
 	})
 	p.b.OnRequest(w.now, Request{
-		ID: t.id, Class: u.class, Tenant: u.tenant, Key: u.key, Deadline: t.leaves,
+		ID: t.id, Class: u.class, Tenant: u.tenant, Key: u.key, Deadline: t.leavesAt,
 		IsRetry: w.scenario.marks && u.attempts > 1,
 	})
 }
 
-// retry lets a client come again, if it may and has time and patience left.
+// retry schedules a client's retry, if it may retry and has time and retries left.
 func (w *stormSimulation) retry(t *stormRequest, after time.Duration, may bool) {
 	u, retries, wait := t.u, w.scenario.retries, w.scenario.backoff
 	if u.tenant == w.scenario.stormingTenant {
@@ -252,24 +251,24 @@
 	} else if w.scenario.exponential {
 		wait <<= u.attempts - 1
 	}
-	if u.honours {
+	if u.followsRetryAfter {
 		wait = max(wait, after)
 	}
-	if !may || u.over || u.attempts > retries || w.now+wait >= u.arrived+w.cfg.Classes[u.class].ClientTimeout {
+	if !may || u.ended || u.attempts > retries || w.now+wait >= u.arrived+w.cfg.Classes[u.class].ClientTimeout {
 		return
 	}
-	w.in(wait, func() { w.sendRequest(u) })
+	w.after(wait, func() { w.sendRequest(u) })
 }
 
-// restart kills a proxy and starts it anew, with the list that it had and nothing else: what it held
-// is its clients' to ask again.
+// restart kills a proxy and starts it again with a stale membership and no other state. The clients of its requests have
+// to retry.
 func (w *stormSimulation) restart(i int, stale []Backend) {
 	old := w.proxies[i]
 	for _, t := range old.reqs {
-		if t.over {
+		if t.ended {
 			continue
 		}
-		t.over = true
+		t.ended = true
 		for _, a := range t.attempts {
 			if !a.ended && a.job != 0 {
 				w.machines[a.to-1].Cancel(w.now, a.job)
@@ -277,19 +276,19 @@
 			}
 			a.ended = true
 		}
-		w.in(milli, func() { w.retry(t, 0, w.cfg.Classes[t.u.class].Effect == Safe) })
+		w.after(milli, func() { w.retry(t, 0, w.cfg.Classes[t.u.class].Effect == Safe) })
 	}
 	p := &stormProxy{w: w, rank: i, reqs: map[RequestID]*stormRequest{}}
 	p.b = w.scenario.policy(w, i, p)
 	w.proxies[i] = p
 	p.b.Start(w.now)
 	p.b.OnMembership(w.now, Membership{Kind: MembershipCached, Version: 1, Backends: stale})
-	w.in(time.Duration(300+w.rng.IntN(600))*milli, func() {
+	w.after(time.Duration(300+w.rng.IntN(600))*milli, func() {
 		p.b.OnMembership(w.now, Membership{Kind: MembershipFull, Version: 2, Backends: slices.Clone(w.listed)})
 	})
 }
 
-// outage lets a part of the machines die together and return and warm up, and discovery tell of it late.
+// outage schedules the crash, return and warm-up of a part of the machines, which discovery reports late.
 func (w *stormSimulation) outage() {
 	d := w.scenario
 	if d.failedRatio <= 0 {
@@ -297,7 +296,7 @@
 	}
 	n := max(1, int(d.failedRatio*float64(d.backends)+0.5))
 	for _, i := range w.rng.Perm(d.backends)[:n] {
-		w.in(d.dies-w.now, func() {
+		w.after(d.failsAt-w.now, func() {
 			w.down[i] = true
 			for id, t := range w.jobs {
 				for _, a := range t.attempts {
@@ -308,18 +307,18 @@
 					}
 				}
 			}
-			w.in(time.Duration(2200+w.rng.IntN(1800))*milli, func() {
+			w.after(time.Duration(2200+w.rng.IntN(1800))*milli, func() {
 				if w.down[i] {
 					w.announce(i, Gone)
 				}
 			})
 		})
-		back := d.back + time.Duration(w.rng.IntN(2000))*milli
-		w.in(back-w.now, func() {
+		back := d.returnsAt + time.Duration(w.rng.IntN(2000))*milli
+		w.after(back-w.now, func() {
 			w.down[i] = false
 			w.machines[i].Restart(w.now, false)
 			w.listed[i].Started = w.now
-			w.in(time.Duration(1100+w.rng.IntN(1300))*milli, func() { w.announce(i, Ready) })
+			w.after(time.Duration(1100+w.rng.IntN(1300))*milli, func() { w.announce(i, Ready) })
 		})
 	}
 }
@@ -328,42 +327,42 @@
 	w.listed[i].State = s
 	for k := range w.proxies {
 		e := w.listed[i]
-		w.in(time.Duration(300+w.rng.IntN(600))*milli, func() {
+		w.after(time.Duration(300+w.rng.IntN(600))*milli, func() {
 			w.proxies[k].b.OnMembership(w.now, Membership{Kind: MembershipDelta, Backends: []Backend{e}})
 		})
 	}
 }
 
-// ---- Host ----
+// The methods of Host.
 
 func (p *stormProxy) Send(id RequestID, to BackendID, until, _ time.Duration) {
 	w, t := p.w, p.reqs[id]
 	if t == nil {
 		return
 	}
-	if until <= 0 || until > t.leaves {
-		until = t.leaves
+	if until <= 0 || until > t.leavesAt {
+		until = t.leavesAt
 	}
 	a := &stormAttempt{t: t, n: len(t.attempts), to: to, sent: w.now, until: until}
 	t.attempts = append(t.attempts, a)
 	w.sends++
-	w.in(until-w.now, func() { a.end(Timeout) })
-	w.in(milli, func() { w.reach(a) })
+	w.after(until-w.now, func() { a.end(Timeout) })
+	w.after(milli, func() { w.submit(a) })
 }
 
 func (p *stormProxy) Reject(id RequestID, after time.Duration) {
-	if t := p.reqs[id]; t != nil && !t.over {
-		t.over = true
+	if t := p.reqs[id]; t != nil && !t.ended {
+		t.ended = true
 		p.forget(t)
-		p.w.in(milli, func() { p.w.retry(t, after, true) })
+		p.w.after(milli, func() { p.w.retry(t, after, true) })
 	}
 }
 
 func (p *stormProxy) Fail(id RequestID) {
-	if t := p.reqs[id]; t != nil && !t.over {
-		t.over = true
+	if t := p.reqs[id]; t != nil && !t.ended {
+		t.ended = true
 		p.forget(t)
-		p.w.in(milli, func() { p.w.retry(t, 0, p.w.cfg.Classes[t.u.class].Effect == Safe) })
+		p.w.after(milli, func() { p.w.retry(t, 0, p.w.cfg.Classes[t.u.class].Effect == Safe) })
 	}
 }
 
@@ -375,12 +374,12 @@
 
 func (p *stormProxy) Cancel(id RequestID, n int) {
 	if t := p.reqs[id]; t != nil && n < len(t.attempts) {
-		p.w.in(0, func() { t.attempts[n].end(Cancelled) })
+		p.w.after(0, func() { t.attempts[n].end(Cancelled) })
 	}
 }
 
 func (p *stormProxy) CheckHealth(to BackendID) {
-	p.w.in(2*milli, func() {
+	p.w.after(2*milli, func() {
 		r := OK
 		if i := int(to) - 1; p.w.down[i] || p.w.machines[i].Crashed() {
 			r = ConnectFailed
@@ -394,18 +393,18 @@
 func (p *stormProxy) SendToPeer(uint32, []byte) {}
 func (p *stormProxy) Log(line string)           { p.logs = append(p.logs, line) }
 func (p *stormProxy) StartTimer(d time.Duration, token uint64) {
-	p.w.in(d, func() { p.b.OnTimer(p.w.now, token) })
+	p.w.after(d, func() { p.b.OnTimer(p.w.now, token) })
 }
 
-// reach is an attempt's last byte at its backend.
-func (w *stormSimulation) reach(a *stormAttempt) {
+// submit handles the arrival of an attempt's last byte at its backend.
+func (w *stormSimulation) submit(a *stormAttempt) {
 	if a.ended {
 		return
 	}
 	i := int(a.to) - 1
 	m := w.machines[i]
 	if w.down[i] || m.Crashed() {
-		w.in(milli, func() { a.end(ConnectFailed) })
+		w.after(milli, func() { a.end(ConnectFailed) })
 		return
 	}
 	u := a.t.u
@@ -424,10 +423,10 @@
 	case machine.Unavailable:
 		w.overloads++
 		delete(w.jobs, a.job)
-		w.in(0, func() { a.end(Reset) })
+		w.after(0, func() { a.end(Reset) })
 	default:
 		delete(w.jobs, a.job)
-		w.in(milli, func() { a.end(Rejected) })
+		w.after(milli, func() { a.end(Rejected) })
 	}
 }
 
@@ -442,29 +441,29 @@
 			w.machines[a.to-1].Cancel(w.now, a.job)
 			delete(w.jobs, a.job)
 			if result == Cancelled || result == Timeout {
-				t.u.ran-- // as far as clients count: nobody had its answer
+				t.u.ran-- // does not count for the client, as nobody got its answer
 			}
 		}
 	}
-	final := result == OK && !t.over
+	final := result == OK && !t.ended
 	if final {
-		t.over = true
-		if u := t.u; !u.over {
-			u.over = true
+		t.ended = true
+		if u := t.u; !u.ended {
+			u.ended = true
 			if w.now <= u.arrived+w.cfg.Classes[u.class].LatencyTarget {
 				u.inTime = true
 				w.at(u.arrived).served += u.value
-				w.homes[u.tenant][1] += u.value
+				w.tenantValues[u.tenant][1] += u.value
 			}
 		}
 	}
-	t.p.b.OnAttemptEnd(w.now, Outcome{ID: t.id, Attempt: a.n, Backend: a.to, Result: result, Took: w.now - a.sent, Final: final || t.over})
-	if t.over {
+	t.p.b.OnAttemptEnd(w.now, Outcome{ID: t.id, Attempt: a.n, Backend: a.to, Result: result, Took: w.now - a.sent, Final: final || t.ended})
+	if t.ended {
 		t.p.forget(t)
 	}
 }
 
-// run plays the day.
+// run runs the simulation to its end.
 func (w *stormSimulation) run() *stormSimulation {
 	for w.now < w.scenario.length+5*second {
 		next, m := w.scenario.length+5*second, -1
@@ -490,9 +489,9 @@
 					}
 					switch e.Outcome {
 					case machine.Completed:
-						w.in(milli, func() { a.end(OK) })
+						w.after(milli, func() { a.end(OK) })
 					case machine.Killed:
-						w.in(0, func() { a.end(Reset) })
+						w.after(0, func() { a.end(Reset) })
 					}
 				}
 			}
@@ -506,23 +505,23 @@
 	return w
 }
 
-// service is the share of value served of what was first asked within a span.
+// service is the fraction of the value offered within a span that was served. Retries count at the first arrival.
 func (w *stormSimulation) service(from, to time.Duration) float64 {
-	asked, served := 0.0, 0.0
+	offered, served := 0.0, 0.0
 	for s := int(from / second); s < int(to/second); s++ {
-		asked, served = asked+w.seconds[s].offered, served+w.seconds[s].served
+		offered, served = offered+w.seconds[s].offered, served+w.seconds[s].served
 	}
-	return served / max(asked, 1e-9)
+	return served / max(offered, 1e-9)
 }
 
-// recovery is how long after the machines' return five seconds begin in which 95% of what was served
-// before the outage is served again.
+// recovery is the time from the machines' return to the first five seconds in which the service reaches 95% of that
+// before the outage.
 func (w *stormSimulation) recovery() time.Duration {
-	before := w.service(4*second, w.scenario.dies)
-	for from := w.scenario.back; from+5*second <= w.scenario.length; from += second {
+	before := w.service(4*second, w.scenario.failsAt)
+	for from := w.scenario.returnsAt; from+5*second <= w.scenario.length; from += second {
 		if w.service(from, from+5*second) >= 0.95*before {
-			return from - w.scenario.back
+			return from - w.scenario.returnsAt
 		}
 	}
-	return w.scenario.length - w.scenario.back
+	return w.scenario.length - w.scenario.returnsAt
 }
--- a/internal/balancer/retrystorm_table_test.go
+++ b/internal/balancer/retrystorm_table_test.go
@@ -26,7 +26,7 @@
 	{"marlreel", "#107050", marlreelPolicy},
 }
 
-// stormKind is a row of the table: how its scenarios differ from the usual one.
+// stormKind is a group of rows in the table: how its scenarios differ from the usual one.
 type stormKind struct {
 	name   string
 	change func(d *stormScenario)
@@ -36,7 +36,7 @@
 	{"a quarter dies, load 0.6", func(d *stormScenario) { d.load = 0.6 }},
 	{"a quarter dies, load 0.75", func(*stormScenario) {}},
 	{"a quarter dies, load 0.9", func(d *stormScenario) { d.load = 0.9 }},
-	{"a quarter dies, plain machines", func(d *stormScenario) { d.slowWhenCrowded = false }},
+	{"a quarter dies, plain machines", func(d *stormScenario) { d.slowWhenOverloaded = false }},
 	{"half die, clients told when", func(d *stormScenario) {
 		d.failedRatio, d.retries, d.backoff, d.retryAfter = 0.5, 10, 30*milli, true
 	}},
@@ -45,12 +45,12 @@
 	}},
 }
 
-// permanentOverload has no return of machines to recover after.
+// permanentOverload has no outage, so no recovery.
 const permanentOverload = "load 1.1, ten retries"
 
-// stormResult is what one scenario under one policy came to.
+// stormResult is the result of one scenario with one policy.
 type stormResult struct {
-	served, after, recovery float64 // recovery: seconds; below 0: there was none
+	served, after, recovery float64 // recovery in seconds; below 0: no recovery
 	overloads, ranTwice     int
 	seconds                 []float64 // service by second
 }
@@ -63,15 +63,15 @@
 	results [][][]stormResult
 }
 
-// The figures of docs/design/storms.md: MARLREEL_STORMS=20 go test -run TestStormTable ./internal/balancer plays so many
-// seeds of each kind under each policy, and writes docs/design/storms-table.md and the plots. Without it
-// one seed is played, short, and nothing is written.
+// The figures of docs/design/storms.md: MARLREEL_STORMS=20 go test -run TestStormTable ./internal/balancer simulates so
+// many seeds of each kind with each policy, and writes docs/design/storms-table.md and the plots. Without the variable,
+// the test simulates one short scenario and writes nothing.
 func TestStormTable(t *testing.T) {
 	table := &stormTable{kinds: stormKinds[1:2], seeds: 1, short: true}
 	if s := os.Getenv("MARLREEL_STORMS"); s != "" {
 		n, err := strconv.Atoi(s)
 		if err != nil || n < 2 {
-			t.Fatalf("MARLREEL_STORMS=%q: a number of seeds from 2 on is needed", s)
+			t.Fatalf("MARLREEL_STORMS=%q must be a number of seeds, 2 or more", s)
 		}
 		table = &stormTable{kinds: stormKinds, seeds: n}
 	}
@@ -94,7 +94,7 @@
 	}
 }
 
-// play plays all scenarios, as many at once as there are processors.
+// play simulates all scenarios, as many at once as there are processors.
 func (s *stormTable) play(t *testing.T) {
 	t.Helper()
 	s.results = make([][][]stormResult, len(s.kinds))
@@ -118,7 +118,7 @@
 
 func (s *stormTable) playOne(t *testing.T, kind, policy, seed int) stormResult {
 	t.Helper()
-	d := usualStormScenario(uint64(100 + seed)) // not those that the tests are held to
+	d := usualStormScenario(uint64(100 + seed)) // other seeds than in the tests
 	if s.short {
 		d.length = 30 * second
 	}
@@ -126,10 +126,10 @@
 	d.policy = stormPolicies[policy].policy
 	w := newStormSimulation(t, d).run()
 	r := stormResult{
-		served: w.service(4*second, d.length), after: w.service(d.back, d.length), recovery: -1,
+		served: w.service(4*second, d.length), after: w.service(d.returnsAt, d.length), recovery: -1,
 		overloads: w.overloads, ranTwice: w.ranTwice,
 	}
-	if got := w.recovery(); d.failedRatio > 0 && got < d.length-d.back {
+	if got := w.recovery(); d.failedRatio > 0 && got < d.length-d.returnsAt {
 		r.recovery = got.Seconds()
 	}
 	for at := second; at < d.length.Truncate(second); at += second {
@@ -138,25 +138,25 @@
 	return r
 }
 
-// check asserts that marlreel overloads no machine and runs nothing twice that must not be.
+// check asserts that marlreel overloads no machine and runs no unsafe request twice.
 func (s *stormTable) check(t *testing.T) {
 	t.Helper()
 	for k, kind := range s.kinds {
 		for p, policy := range stormPolicies {
 			for _, r := range s.results[k][p] {
 				if policy.name == "marlreel" && (r.overloads > 0 || r.ranTwice > 0) {
-					t.Errorf("%s: %d machines fell over, %d unsafe requests ran twice", kind.name, r.overloads, r.ranTwice)
+					t.Errorf("%s: %d machines were overloaded, %d unsafe requests ran twice", kind.name, r.overloads, r.ranTwice)
 				}
 			}
 		}
 	}
 }
 
-// spreadOf gives the median, the least and the greatest of a figure.
-func spreadOf(rs []stormResult, of func(stormResult) float64) (mid, low, high float64) {
+// spreadOf returns the median, the minimum and the maximum of a metric.
+func spreadOf(rs []stormResult, metric func(stormResult) float64) (mid, low, high float64) {
 	var x []float64
 	for _, r := range rs {
-		x = append(x, of(r))
+		x = append(x, metric(r))
 	}
 	slices.Sort(x)
 	return (x[(len(x)-1)/2] + x[len(x)/2]) / 2, x[0], x[len(x)-1]
@@ -178,30 +178,30 @@
 	return b.String()
 }
 
-// summarizeRecovery gives the columns on recovery, and how many machines fell over.
+// summarizeRecovery returns the columns on recovery, and how many machines were overloaded.
 func summarizeRecovery(kind string, rs []stormResult) (recovered, missing string, overloads int) {
-	never := 0
-	back := make([]stormResult, 0, len(rs))
+	notRecovered := 0
+	recoveries := make([]stormResult, 0, len(rs))
 	for _, r := range rs {
 		overloads += r.overloads
 		if r.recovery < 0 {
-			never++
+			notRecovered++
 		} else {
-			back = append(back, r)
+			recoveries = append(recoveries, r)
 		}
 	}
 	if kind == permanentOverload {
 		return "", "", overloads
 	}
-	missing = fmt.Sprintf("%d of %d", never, len(rs))
-	if len(back) > 0 {
-		mid, _, high := spreadOf(back, func(r stormResult) float64 { return r.recovery })
+	missing = fmt.Sprintf("%d of %d", notRecovered, len(rs))
+	if len(recoveries) > 0 {
+		mid, _, high := spreadOf(recoveries, func(r stormResult) float64 { return r.recovery })
 		recovered = fmt.Sprintf("%.0f s (%.0f s)", mid, high)
 	}
 	return recovered, missing, overloads
 }
 
-// plot draws the median share of value served under each policy, by the second of first arrival.
+// plot draws the median fraction of value served with each policy, by the second of first arrival.
 func (s *stormTable) plot(kind int) []byte {
 	const wide, high, left, top = 600, 200, 40, 24
 	var svg bytes.Buffer
--- a/internal/balancer/selection_test.go
+++ b/internal/balancer/selection_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// replicaAdvice is an Advice by which all backends hold everything, and others have sent work to some.
+// replicaAdvice is an Advice by which all backends can serve any request, and some have extra delay because of other
+// proxies' requests.
 type replicaAdvice struct {
 	NoAdvice
 	extraDelays map[BackendID]float64
@@ -15,14 +16,14 @@
 	return a.extraDelays[to]
 }
 
-// sendNeeds has a proxy serve requests for what few backends hold, one after the other, and tells where they went.
+// sendNeeds sends requests with Needs one after the other, and returns the number of them by backend.
 func sendNeeds(t *testing.T, advice *replicaAdvice, requests int) map[BackendID]int {
 	t.Helper()
 	cfg := testConfig()
 	cfg.Instances, cfg.Advice = 90, advice
 	cfg.Caps.ConnIdle = 20 * second
 	b, h := newBalancer(t, cfg, 40)
-	went := map[BackendID]int{}
+	sent := map[BackendID]int{}
 	now := second
 	for i := range requests {
 		now += 100 * milli
@@ -32,27 +33,27 @@
 		if len(sends) != 1 {
 			t.Fatalf("%d sends for one request", len(sends))
 		}
-		went[sends[0].to]++
+		sent[sends[0].to]++
 		b.OnAttemptEnd(now+20*milli, Outcome{ID: id, Backend: sends[0].to, Result: OK, Took: 20 * milli, Final: true})
 		h.take("send")
 	}
-	return went
+	return sent
 }
 
-// Of many replicas a proxy turns to a few, of its own zone where there are any, so that connections last.
+// Of many replicas a proxy uses a few, in its own zone if there are any, so that connections are reused.
 func TestRequestsGoToFewReplicasNearby(t *testing.T) {
-	went := sendNeeds(t, &replicaAdvice{}, 100)
-	if len(went) > preferredReplicas+2 { // the first one of all has nothing to be compared by
-		t.Errorf("they went to %d replicas: %v", len(went), went)
+	sent := sendNeeds(t, &replicaAdvice{}, 100)
+	if len(sent) > preferredReplicas+2 { // the first request has no measurements to compare replicas by
+		t.Errorf("the requests went to %d replicas: %v", len(sent), sent)
 	}
-	for id, count := range went {
+	for id, count := range sent {
 		if zone := list(40)[id-1].Zone; zone != testConfig().Zone && count > 10 {
-			t.Errorf("%d went to %d, which is in another zone", count, id)
+			t.Errorf("%d requests went to backend %d, which is in another zone", count, id)
 		}
 	}
 }
 
-// Holders to which others have sent far more than they can begin soon are passed by, though connections rest there.
+// Replicas with a long queue of other proxies' requests are avoided, even if connections to them are open.
 func TestBusyReplicasAreAvoided(t *testing.T) {
 	advice := &replicaAdvice{extraDelays: map[BackendID]float64{}}
 	usual := sendNeeds(t, advice, 100)
@@ -66,20 +67,20 @@
 		}
 	}
 	if busy > 10 {
-		t.Errorf("%d of 100 went to replicas with 20 s of work", busy)
+		t.Errorf("%d of 100 requests went to replicas with 20 s of queued work", busy)
 	}
 }
 
-// A proxy's subset of backends, made for health checks and for requests that any backend can run, does not narrow the
-// replicas of what few have loaded: of forty backends and ninety proxies it would be three.
+// A proxy's subset is meant for health checks and for requests that any backend can run. It must not limit the replicas
+// for a request that few backends can run: of forty backends and ninety proxies only three would be left.
 func TestSubsetDoesNotNarrowReplicas(t *testing.T) {
 	advice := &replicaAdvice{extraDelays: map[BackendID]float64{}}
 	for id := BackendID(1); id <= 40; id++ {
 		advice.extraDelays[id] = 20000
 	}
 	advice.extraDelays[17] = 0
-	went := sendNeeds(t, advice, 200)
-	if went[17] < 20 {
-		t.Errorf("%d of 200 went to the one replica that is idle: %v", went[17], went)
+	sent := sendNeeds(t, advice, 200)
+	if sent[17] < 20 {
+		t.Errorf("%d of 200 requests went to the only idle replica: %v", sent[17], sent)
 	}
 }
--- a/internal/balancer/simulation_test.go
+++ b/internal/balancer/simulation_test.go
@@ -12,45 +12,44 @@
 	"marlreel/internal/standin/machine"
 )
 
-// A closed loop: proxies that decide, machines that serve, faults of one kind of work, all in
-// simulated time. What a fault does to requests is known here, so that the judgement can be
-// held against the truth.
+// A closed-loop simulation of proxies, machines and faults of single classes. The effect of each fault is known here, so
+// that the balancer's decisions can be compared with the actual state.
 
-// fault is what becomes of a request of a class at a backend at a time.
+// fault describes what happens to requests of a class at some backends in a span of time.
 type fault struct {
 	class                       int
 	backends                    []int
 	from, to                    time.Duration
-	unansweredRatio, errorRatio float64 // shares without an answer; answered with an error
-	slowdown                    float64 // times the work and the wait; 0 is 1
-	resetRatio                  float64 // share whose connection breaks, of any class
-	minLoad                     int     // only while so many are held
-	every                       time.Duration
+	unansweredRatio, errorRatio float64       // fraction that gets no answer, and fraction that gets an error
+	slowdown                    float64       // factor of the work and the wait; 0 means 1
+	resetRatio                  float64       // fraction of the requests of any class whose connection breaks
+	minLoad                     int           // only while the machine has at least so many requests
+	every                       time.Duration // if set, the fault moves on to the next machine at this interval
 }
 
 type simulation struct {
-	cfg      Config
-	rng      *rand.Rand
-	proxies  []*simulatedProxy
-	machines []*machine.Machine
-	listed   []Backend
-	faults   []fault
-	rate     float64 // requests a second and proxy
-	shares   []float64
-	work     []float64 // mean ms of work by class; it waits 1.2 times that
-	tailed   int       // class whose work is long-tailed; -1: none
-	due      eventHeap
-	now      time.Duration
-	jobs     map[uint64]*simulatedAttempt
-	nextID   RequestID
-	nextJob  uint64
+	cfg           Config
+	rng           *rand.Rand
+	proxies       []*simulatedProxy
+	machines      []*machine.Machine
+	listed        []Backend
+	faults        []fault
+	rate          float64 // requests per second and proxy
+	shares        []float64
+	work          []float64 // mean work by class, ms; a request also waits 1.2 times that
+	longTailClass int       // class whose work is long-tailed; -1: none
+	due           eventHeap
+	now           time.Duration
+	jobs          map[uint64]*simulatedAttempt
+	nextID        RequestID
+	nextJob       uint64
 
 	offered, served []float64 // value by class
 	sends           map[[2]int][]time.Duration
-	lost            map[[2]int]int // attempts that a fault swallowed,
-	lostTrials      int            // and how many of them were trials
+	lost            map[[2]int]int // attempts that got no answer or an error by a fault,
+	lostTrials      int            // of which so many were trials
 	onSend          func(*simulatedProxy, *simulatedRequest)
-	onSent          func(to BackendID) // nil: nobody counts
+	onSent          func(to BackendID) // may be nil
 }
 
 type simulatedProxy struct {
@@ -58,16 +57,16 @@
 	b    *Balancer
 	reqs map[RequestID]*simulatedRequest
 	logs []string
-	next *simulatedProxy // the process that has taken over; nil: none has
+	next *simulatedProxy // the process that has taken over, or nil
 
-	factor float64 // of its traffic; 0 is 1
+	factor float64 // of its traffic; 0 means 1
 }
 
 type simulatedRequest struct {
 	class    int
 	arrived  time.Duration
 	attempts []*simulatedAttempt
-	over     bool
+	ended    bool
 }
 
 type simulatedAttempt struct {
@@ -105,7 +104,7 @@
 	return last
 }
 
-func (w *simulation) in(d time.Duration, f func()) {
+func (w *simulation) after(d time.Duration, f func()) {
 	w.due.seq++
 	heap.Push(&w.due, scheduledEvent{w.now + d, w.due.seq, f})
 }
@@ -119,8 +118,8 @@
 	r.attempts = append(r.attempts, j)
 	key := [2]int{int(to), r.class}
 	w.sends[key] = append(w.sends[key], w.now)
-	w.in(until-w.now, func() { j.end(Timeout) })
-	w.in(milli, func() { w.arrive(j) })
+	w.after(until-w.now, func() { j.end(Timeout) })
+	w.after(milli, func() { w.arrive(j) })
 	if w.onSent != nil {
 		w.onSent(to)
 	}
@@ -130,12 +129,12 @@
 func (p *simulatedProxy) Cancel(id RequestID, n int) {
 	if r := p.reqs[id]; r != nil {
 		j := r.attempts[n]
-		p.w.in(0, func() { j.end(Cancelled) })
+		p.w.after(0, func() { j.end(Cancelled) })
 	}
 }
 
 func (p *simulatedProxy) CheckHealth(to BackendID) {
-	p.w.in(2*milli, func() { p.b.OnHealthCheck(p.w.now, HealthCheckResult{Backend: to, Result: OK, Took: 2 * milli}) })
+	p.w.after(2*milli, func() { p.b.OnHealthCheck(p.w.now, HealthCheckResult{Backend: to, Result: OK, Took: 2 * milli}) })
 }
 func (p *simulatedProxy) Release(BackendID)         {}
 func (p *simulatedProxy) Watch(bool)                {}
@@ -143,23 +142,23 @@
 func (p *simulatedProxy) SendToPeer(uint32, []byte) {}
 func (p *simulatedProxy) Log(line string)           { p.logs = append(p.logs, line) }
 func (p *simulatedProxy) StartTimer(d time.Duration, token uint64) {
-	p.w.in(d, func() { p.b.OnTimer(p.w.now, token) })
+	p.w.after(d, func() { p.b.OnTimer(p.w.now, token) })
 }
 
-// arrive is a request's last byte at its backend.
+// arrive handles the arrival of an attempt's last byte at its backend.
 func (w *simulation) arrive(j *simulatedAttempt) {
 	if j.ended {
 		return
 	}
 	m := w.machines[j.to-1]
-	slower := 1.0
+	slowdown := 1.0
 	for i := range w.faults {
 		f := &w.faults[i]
 		if w.now < f.from || w.now >= f.to || m.Outstanding() < f.minLoad {
 			continue
 		}
 		if w.rng.Float64() < f.resetRatio {
-			w.in(time.Duration(w.rng.IntN(20))*milli, func() { j.end(Reset) })
+			w.after(time.Duration(w.rng.IntN(20))*milli, func() { j.end(Reset) })
 			return
 		}
 		at := f.backends
@@ -171,17 +170,17 @@
 		}
 		switch x := w.rng.Float64(); {
 		case x < f.unansweredRatio:
-			w.lose(j)
+			w.recordLost(j)
 			return
 		case x < f.unansweredRatio+f.errorRatio:
-			w.lose(j)
-			w.in(2*milli, func() { j.end(Error) })
+			w.recordLost(j)
+			w.after(2*milli, func() { j.end(Error) })
 			return
 		}
-		slower = max(slower, f.slowdown)
+		slowdown = max(slowdown, f.slowdown)
 	}
 	work := w.work[j.class] * -math.Log(1-w.rng.Float64())
-	if j.class == w.tailed {
+	if j.class == w.longTailClass {
 		work = w.work[j.class] * math.Exp(1.2*w.rng.NormFloat64()-0.72)
 	}
 	w.nextJob++
@@ -189,16 +188,16 @@
 	w.jobs[j.job] = j
 	work = min(work, 8*w.work[j.class])
 	verdict := m.Submit(w.now, j.job, machine.Job{
-		Work: fromMillis(work * slower),
-		Wait: fromMillis(1.2 * w.work[j.class] * slower), Deadline: j.until,
+		Work: fromMillis(work * slowdown),
+		Wait: fromMillis(1.2 * w.work[j.class] * slowdown), Deadline: j.until,
 	})
 	if verdict != machine.Accepted {
 		delete(w.jobs, j.job)
-		w.in(milli, func() { j.end(Rejected) })
+		w.after(milli, func() { j.end(Rejected) })
 	}
 }
 
-func (w *simulation) lose(j *simulatedAttempt) {
+func (w *simulation) recordLost(j *simulatedAttempt) {
 	w.lost[[2]int{int(j.to), j.class}]++
 	if r := j.p.b.requests[j.id]; r != nil && r.attempts[j.n].trial {
 		w.lostTrials++
@@ -216,9 +215,9 @@
 		w.machines[j.to-1].Cancel(w.now, j.job)
 		delete(w.jobs, j.job)
 	}
-	final := result == OK && r != nil && !r.over
+	final := result == OK && r != nil && !r.ended
 	if final {
-		r.over = true
+		r.ended = true
 		c := &w.cfg.Classes[j.class]
 		if w.now <= r.arrived+c.LatencyTarget {
 			w.served[j.class] += c.Value
@@ -233,7 +232,7 @@
 	}
 }
 
-// auctionClasses are like those of an auction at some 250 requests a second and proxy.
+// auctionClasses returns classes like those of an auction with some 250 requests a second per proxy.
 func auctionClasses() []Class {
 	return []Class{
 		{Name: "lot-list", LatencyTarget: 260 * milli, ClientTimeout: 520 * milli, Effect: Safe, Value: 1},
@@ -259,7 +258,7 @@
 	cfg.Caps.ConnectTimeout = 100 * milli
 	cfg.Goal = Goal{Total: 0.45, WorstClass: 0.3, WorstTenant: 0.1, WorstWindow: 0.15}
 	w := &simulation{
-		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 9)), now: second, tailed: -1,
+		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 9)), now: second, longTailClass: -1,
 		shares: []float64{0.32, 0.28, 0.24, 0.16}, work: []float64{19, 26, 23, 20},
 		jobs: map[uint64]*simulatedAttempt{}, sends: map[[2]int][]time.Duration{}, lost: map[[2]int]int{},
 		offered: make([]float64, 4), served: make([]float64, 4),
@@ -286,14 +285,14 @@
 		w.proxies = append(w.proxies, p)
 		b.Start(w.now)
 		b.OnMembership(w.now, Membership{Kind: MembershipFull, Version: 1, Backends: all})
-		w.arrivals(p)
+		w.scheduleArrival(p)
 	}
 	return w
 }
 
-func (w *simulation) arrivals(p *simulatedProxy) {
+func (w *simulation) scheduleArrival(p *simulatedProxy) {
 	gap := time.Duration(-math.Log(1-w.rng.Float64()) / (w.rate * cmp.Or(p.factor, 1)) * float64(second))
-	w.in(gap, func() {
+	w.after(gap, func() {
 		for p.next != nil {
 			p = p.next
 		}
@@ -306,11 +305,11 @@
 		p.reqs[w.nextID] = &simulatedRequest{class: class, arrived: w.now}
 		w.offered[class] += c.Value
 		p.b.OnRequest(w.now, Request{ID: w.nextID, Class: class, Deadline: w.now + c.ClientTimeout})
-		w.arrivals(p)
+		w.scheduleArrival(p)
 	})
 }
 
-// run plays the loop until the time to; what is asked and served is counted from the time on.
+// run runs the simulation until the time to.
 func (w *simulation) run(to time.Duration) {
 	for w.now < to {
 		next, m := to, -1
@@ -329,7 +328,7 @@
 					delete(w.jobs, e.ID)
 					if e.Outcome == machine.Completed {
 						j.job = 0
-						w.in(milli, func() { j.end(OK) })
+						w.after(milli, func() { j.end(OK) })
 					}
 				}
 			}
@@ -341,8 +340,8 @@
 	}
 }
 
-// handOver starts a new process for each proxy, which takes what comes from now on; with is
-// called with the old one and the new one.
+// handOver starts a new process for each proxy, which gets all further requests. It calls with for the old and the new
+// Balancer.
 func (w *simulation) handOver(t testing.TB, with func(from, to *Balancer)) {
 	t.Helper()
 	for i, old := range w.proxies {
@@ -369,7 +368,7 @@
 	w.lostTrials = 0
 }
 
-// service is the share of value answered in time, of all or of one class.
+// service is the fraction of the value that was answered in time, of one class, or of all if class is below 0.
 func (w *simulation) service(class int) float64 {
 	if class >= 0 {
 		return w.served[class] / w.offered[class]
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -14,41 +14,41 @@
 	"marlreel/internal/standin/machine"
 )
 
-// warmupScenario is a closed loop in which machines start among warm ones, and what each is sent is counted.
+// warmupScenario is a simulation in which machines start among warm ones, and the requests sent to each are counted.
 type warmupScenario struct {
 	seed         uint64
 	proxies      int
 	budgetCalls  float64 // mean requests that the settings allow a warming machine in their window at its start
-	skew         float64 // of the proxies' traffic: the sigma of a log-normal factor
+	skew         float64 // sigma of a log-normal factor of the proxies' traffic
 	load         float64
-	startAt      time.Duration // when machines start, from the loop's beginning
-	freshProxies bool          // the proxies start when the machines do, and know nothing
-	restartTwice bool          // the machines start once more while they are warming
+	startAt      time.Duration // when machines start, from the beginning of the simulation
+	freshProxies bool          // the proxies start at the same time as the machines, without learned state
+	startTwice   bool          // the machines restart while they are warming
 }
 
 const (
 	warmupScenarioMachines = 12
-	startedMachines        = 3 // of them, that start in the scenario
+	startedMachines        = 3 // how many of them start in the scenario
 )
 
-// warmupResult is what the day came to.
+// warmupResult is the result of a scenario.
 type warmupResult struct {
-	over        int     // windows in which a machine was sent more than its budget and chance allow
-	windows     int     // looked at: one a request
-	worstExcess float64 // of all windows: what was sent beyond the budget, in roots of it
+	overBudget  int     // windows in which a machine was sent more than its budget plus an allowance for chance
+	windows     int     // number of windows, one for each request
+	worstExcess float64 // most that was sent beyond the budget in a window, in square roots of the budget
 	fairAfter   time.Duration
-	served      float64 // share of the value
+	served      float64 // fraction of the value
 	sent        int
 }
 
-// warmupMachines is machines and work by which so many calls are the budget at a start.
+// warmupMachines has the machines and the work for which the budget at a start is so many requests.
 type warmupMachines struct {
 	calls           float64
 	cores           int
 	initialCapacity float64
 	warmup          time.Duration
 	window          time.Duration
-	workFactor      float64 // the work, the latency targets and the deadlines, times those of the simulation
+	workFactor      float64 // scales the work, the latency targets and the deadlines of the simulation
 }
 
 const overloadMultiple = 2.5
@@ -58,12 +58,12 @@
 	40: {40, 1, 0.32, 9 * second, 3 * second, 2.57}, 200: {200, 2, 0.32, 9 * second, 3 * second, 1.03},
 }
 
-// budget is what a machine of a speed bears in its window, in mean requests, at a share of its capacity.
+// budget is how many mean requests a machine of a speed may be sent in its window, at a fraction of its capacity.
 func (k warmupMachines) budget(speed, share float64) float64 {
 	return overloadMultiple * share * float64(k.cores) * speed / (0.0222 * k.workFactor) * k.window.Seconds()
 }
 
-// warmupRun is a scenario that is played.
+// warmupRun is a running scenario.
 type warmupRun struct {
 	warmupScenario
 	t        testing.TB
@@ -74,7 +74,7 @@
 	result   warmupResult
 }
 
-// machineSpeeds are those of the machines, in turn.
+// machineSpeeds are the speeds of the machines, repeated in this order.
 var machineSpeeds = [...]float64{1.3, 0.95, 0.7}
 
 func (d warmupScenario) play(t testing.TB) warmupResult {
@@ -87,7 +87,7 @@
 	w.onSent = run.countSent
 	begin := d.startAt
 	run.scheduleStart(d.startAt)
-	if d.restartTwice {
+	if d.startTwice {
 		run.scheduleStart(d.startAt + 3*second)
 		begin += 3 * second
 	}
@@ -99,7 +99,7 @@
 	return run.result
 }
 
-// scaleWork makes the simulation's work, targets and deadlines those of the machines.
+// scaleWork adapts the simulation's settings, rate, work, targets and deadlines to the machines.
 func (r *warmupRun) scaleWork() {
 	k, w := r.machines, r.w
 	w.cfg.Obligations.OverloadWindow, w.cfg.Obligations.OverloadMultiple = k.window, overloadMultiple
@@ -125,7 +125,7 @@
 	}
 }
 
-// skewProxies draws each proxy's part of the traffic.
+// skewProxies draws a random factor of the traffic for each proxy.
 func (r *warmupRun) skewProxies() {
 	for i, p := range r.w.proxies {
 		p.factor = math.Exp(r.skew*r.w.rng.NormFloat64() - r.skew*r.skew/2)
@@ -137,7 +137,7 @@
 	}
 }
 
-// countSent compares what a warming machine was sent within the window with its budget.
+// countSent compares the requests that a warming machine was sent within the window with its budget.
 func (r *warmupRun) countSent(to BackendID) {
 	k, now, i := r.machines, r.w.now, int(to)-1
 	if i >= startedMachines || r.started[i] == 0 || now-r.started[i] >= k.warmup {
@@ -154,15 +154,15 @@
 	r.result.sent++
 	r.result.worstExcess = max(r.result.worstExcess, (n-budget)/math.Sqrt(budget))
 	if n > budget+2*math.Sqrt(budget)+2 {
-		r.result.over++
+		r.result.overBudget++
 	}
 }
 
-// scheduleStart lets the first machines start after a time. What is sent by a proxy that does not know of the start is
-// nobody's fault: all know of it at once.
+// scheduleStart starts the first machines after a time. All proxies are told immediately, so that none sends more only
+// because it does not know about the start.
 func (r *warmupRun) scheduleStart(after time.Duration) {
 	w := r.w
-	w.in(after, func() {
+	w.after(after, func() {
 		var all []Backend
 		for i := range startedMachines {
 			w.machines[i].Restart(w.now, false)
@@ -179,8 +179,8 @@
 	})
 }
 
-// fairShareAfter is how long after the start the machines that started get half of what the warm ones get each, over a
-// second.
+// fairShareAfter is how long after the start the started machines get half as many requests each as the warm ones,
+// within a second.
 func (r *warmupRun) fairShareAfter(begin time.Duration) time.Duration {
 	for at := time.Duration(0); at < r.machines.warmup; at += 250 * milli {
 		var warming, warm float64
@@ -202,7 +202,7 @@
 	return r.machines.warmup
 }
 
-// warmupSummary plays a day with many seeds and sums up.
+// warmupSummary sums up the results of a scenario with many seeds.
 type warmupSummary struct {
 	scenarios, over, windows int
 	worstExcess              float64
@@ -210,7 +210,7 @@
 	served                   float64
 }
 
-func (d warmupScenario) seeds(t testing.TB, from, to uint64) (sum warmupSummary) {
+func (d warmupScenario) playSeeds(t testing.TB, from, to uint64) (sum warmupSummary) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	next := from
@@ -227,10 +227,10 @@
 				}
 				c := d.play(t)
 				mu.Lock()
-				if c.over > 0 {
+				if c.overBudget > 0 {
 					sum.scenarios++
 				}
-				sum.over, sum.windows, sum.worstExcess = sum.over+c.over, sum.windows+c.windows, max(sum.worstExcess, c.worstExcess)
+				sum.over, sum.windows, sum.worstExcess = sum.over+c.overBudget, sum.windows+c.windows, max(sum.worstExcess, c.worstExcess)
 				sum.fairAfter, sum.served = sum.fairAfter+c.fairAfter/time.Duration(to-from), sum.served+c.served/float64(to-from)
 				mu.Unlock()
 			}
@@ -240,31 +240,31 @@
 	return sum
 }
 
-// Whatever the number of processes, the size of the budget, the skew of their traffic and what they know: no warming
-// machine is sent more in any window than its budget and what chance may add, by all of them together. And it still
-// gets enough to serve while it is warming.
+// All proxies together never send a warming machine more in any window than its budget plus an allowance for chance,
+// whatever their number, the size of the budget, the skew of their traffic and their learned state. The machine still
+// gets a useful amount of work while it is warming.
 func TestWarmupBudgetHoldsOverAllProxies(t *testing.T) {
 	var all warmupSummary
 	for _, proxies := range []int{1, 3, 10, 30} {
 		for _, calls := range []float64{1, 4, 12} {
-			for _, d := range []warmupScenario{{}, {skew: 1}, {freshProxies: true}, {restartTwice: true}, {load: 1.3}} {
+			for _, d := range []warmupScenario{{}, {skew: 1}, {freshProxies: true}, {startTwice: true}, {load: 1.3}} {
 				d.proxies, d.budgetCalls, d.load, d.startAt = proxies, calls, max(d.load, 0.7), 12*second
-				c := d.seeds(t, 0, 3)
+				c := d.playSeeds(t, 0, 3)
 				if c.over > 0 {
-					t.Errorf("%d proxies, a budget of %.0f calls, %+v: %d of %d windows over, %.1f roots at worst", proxies, calls, d, c.over, c.windows, c.worstExcess)
+					t.Errorf("%d proxies, a budget of %.0f requests, %+v: %d of %d windows over budget, %.1f roots at worst", proxies, calls, d, c.over, c.windows, c.worstExcess)
 				}
 				if want := 0.6 * min(1, 1/d.load); c.served < want {
-					t.Errorf("%d proxies, a budget of %.0f calls, %+v: %.2f served, want %.2f", proxies, calls, d, c.served, want)
+					t.Errorf("%d proxies, a budget of %.0f requests, %+v: %.2f served, want %.2f", proxies, calls, d, c.served, want)
 				}
 				all.windows, all.worstExcess = all.windows+c.windows, max(all.worstExcess, c.worstExcess)
 			}
 		}
 	}
-	t.Logf("%d windows, %.1f roots of the budget beyond it at worst", all.windows, all.worstExcess)
+	t.Logf("%d windows, the worst is %.1f roots of the budget over it", all.windows, all.worstExcess)
 }
 
-// A budget's debt begins with the start that makes it, however long the machine had been warm: what is saved up or paid
-// back in that time was no warm-up budget.
+// The initial debt of a warm-up budget counts from the start of the machine, however long the machine was warm before:
+// tokens must not accumulate for that time.
 func TestWarmupDebtBeginsWithTheStart(t *testing.T) {
 	w := newSimulation(t, 1, warmupScenarioMachines, 10, 0.7)
 	w.run(w.now + 40*second)
@@ -280,18 +280,18 @@
 		}
 	}
 	if len(debts) != 10 {
-		t.Fatalf("%d of 10 proxies have it", len(debts))
+		t.Fatalf("%d of 10 proxies have a debt for the machine", len(debts))
 	}
 	const after = 50 * milli
 	w.run(w.now + after)
 	for m, debt := range debts {
 		if most := m.warmupRate * (after + 20*milli).Seconds(); m.warmupTokens > debt+most {
-			t.Errorf("a debt of %.2f ms is %.2f after %v, and %.2f is paid back a second", debt, m.warmupTokens, after, m.warmupRate)
+			t.Errorf("a debt of %.2f ms is %.2f ms after %v, at a rate of %.2f ms a second", debt, m.warmupTokens, after, m.warmupRate)
 		}
 	}
 }
 
-// chosenValues gives those of all that an environment variable names, or all of them.
+// chosenValues returns the numbers in an environment variable, or all if there are none.
 func chosenValues(name string, all ...float64) (chosen []float64) {
 	for word := range strings.FieldsSeq(os.Getenv(name)) {
 		if n, err := strconv.ParseFloat(word, 64); err == nil {
@@ -316,10 +316,10 @@
 		for _, n := range chosenValues("MARLREEL_PROXIES", 1, 3, 10, 20, 30, 300) {
 			for _, calls := range chosenValues("MARLREEL_CALLS", 1, 4, 12, 40, 200) {
 				proxies := int(n)
-				for _, d := range []warmupScenario{{}, {skew: 1}, {freshProxies: true}, {restartTwice: true}} {
+				for _, d := range []warmupScenario{{}, {skew: 1}, {freshProxies: true}, {startTwice: true}} {
 					d.proxies, d.budgetCalls, d.load, d.startAt = proxies, calls, load, 12*second
-					c := d.seeds(t, 0, uint64(seeds))
-					kind := map[bool]string{true: "fresh"}[d.freshProxies] + map[bool]string{true: "again"}[d.restartTwice]
+					c := d.playSeeds(t, 0, uint64(seeds))
+					kind := map[bool]string{true: "fresh"}[d.freshProxies] + map[bool]string{true: "again"}[d.startTwice]
 					fmt.Printf("| %.1f | %d | %.0f | %.0f | %s | %d of %d | %d of %d | %.1f | %v | %.3f |\n", load, proxies, calls, d.skew, kind, c.scenarios, seeds, c.over, c.windows, c.worstExcess,
 						c.fairAfter.Round(10*milli), c.served)
 				}
--- a/internal/balancer/stalemembership_test.go
+++ b/internal/balancer/stalemembership_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// staleMembership is a proxy that knows an old membership, of which some backends are gone.
+// staleMembership is a proxy with a stale membership, in which some backends are gone.
 type staleMembership struct {
-	b        *Balancer
-	h        *recorder
-	now      time.Duration
-	gone     map[BackendID]int // attempts there
-	attempts map[RequestID]int
-	served   int
+	b              *Balancer
+	h              *recorder
+	now            time.Duration
+	attemptsAtGone map[BackendID]int // by gone backend
+	attempts       map[RequestID]int
+	served         int
 }
 
-// respond ends all attempts and health checks, and those that follow from their ends.
+// respond ends all attempts and health checks, also those that their results cause.
 func (w *staleMembership) respond() {
 	for acts := w.h.take("send", "probe"); len(acts) > 0; acts = w.h.take("send", "probe") {
 		for _, a := range acts {
@@ -25,7 +25,7 @@
 }
 
 func (w *staleMembership) end(a action) {
-	_, gone := w.gone[a.to]
+	_, gone := w.attemptsAtGone[a.to]
 	result := OK
 	if gone {
 		result = ConnectFailed
@@ -35,7 +35,7 @@
 		return
 	}
 	if gone {
-		w.gone[a.to]++
+		w.attemptsAtGone[a.to]++
 	} else {
 		w.served++
 	}
@@ -44,13 +44,13 @@
 	w.b.OnAttemptEnd(w.now, Outcome{ID: a.id, Attempt: n, Backend: a.to, Result: result, Took: milli, Final: !gone})
 }
 
-// A proxy that starts with a stale membership alone: a backend that is gone costs a failed connection or two before
-// health checks and attempts eject it, and the new membership makes no backend that stayed look as if it had started.
+// A proxy starts with only a stale membership. A gone backend costs one or two failed connections before health checks
+// and attempts eject it, and the new membership must not make the other backends look newly started.
 func TestStaleMembershipCostsLittle(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(20) {
 		w := &staleMembership{
-			h: &recorder{}, now: 5 * second, gone: map[BackendID]int{2: 0, 5: 0, 9: 0}, attempts: map[RequestID]int{},
+			h: &recorder{}, now: 5 * second, attemptsAtGone: map[BackendID]int{2: 0, 5: 0, 9: 0}, attempts: map[RequestID]int{},
 		}
 		var err error
 		w.b, err = New(testConfig(), seed, w.h)
@@ -64,7 +64,7 @@
 			w.b.OnRequest(w.now, Request{ID: RequestID(i + 1), Class: 0, Deadline: w.now + second})
 			w.respond()
 		}
-		for id, n := range w.gone {
+		for id, n := range w.attemptsAtGone {
 			if n > 3 {
 				t.Errorf("seed %d: %d attempts went to backend %d, which is gone", seed, n, id)
 			}
@@ -74,7 +74,7 @@
 		}
 		w.b.OnMembership(w.now, Membership{Kind: MembershipFull, Version: 9, Backends: list(10)})
 		for _, x := range w.b.targets {
-			if _, gone := w.gone[x.ID]; !gone && x.warmupStarted > 0 {
+			if _, gone := w.attemptsAtGone[x.ID]; !gone && x.warmupStarted > 0 {
 				t.Errorf("seed %d: backend %d counts as started with the new membership", seed, x.ID)
 			}
 		}
--- a/internal/balancer/subset_test.go
+++ b/internal/balancer/subset_test.go
@@ -8,8 +8,8 @@
 	"marlreel/internal/balancer/concurrencylimit"
 )
 
-// drive plays d of a proxy's life in steps of 10 ms: a request every gap, each answered after took, every
-// health check passed, and the sweep timer. It returns the sends and the health checks by backend.
+// drive runs a proxy for d in steps of 10 ms: a request every gap, each answered after took, every health check passed,
+// and the sweep timer. It returns the sends and the health checks by backend.
 func drive(b *Balancer, h *recorder, from, d, gap, took time.Duration) (sends, checks map[BackendID]int) {
 	sends, checks = map[BackendID]int{}, map[BackendID]int{}
 	id, next := RequestID(from/milli), from
@@ -48,7 +48,7 @@
 	return n
 }
 
-// Hundreds of proxies that each check every backend by the clock wear the backends out.
+// Hundreds of proxies that each check every backend at a fixed interval would overload the backends.
 func TestHealthChecksAreAShareOfRequests(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -61,7 +61,7 @@
 		cfg := testConfig()
 		cfg.Instances = 300
 		b, h := newBalancer(t, cfg, c.backends)
-		drive(b, h, second, 60*second, c.gap, 5*milli) // the gap is learned
+		drive(b, h, second, 60*second, c.gap, 5*milli) // learns the gap between requests
 		sends, checks := drive(b, h, 61*second, 120*second, c.gap, 5*milli)
 		if n := total(sends); float64(total(checks)) > 1.2*maxCheckRatio*float64(n) {
 			t.Errorf("%s: %d health checks for %d requests", c.name, total(checks), n)
@@ -72,11 +72,11 @@
 	}
 }
 
-// Where many proxies have little traffic each, none can measure every backend: each keeps to a few of its
-// own, which list changes hardly touch.
+// Many proxies with little traffic each can't measure every backend. So each uses a small subset, which membership
+// changes hardly affect.
 func TestSubsetIsSmallEvenAndStable(t *testing.T) {
 	const proxies, backends = 400, 60
-	users := map[BackendID]int{}
+	proxiesUsing := map[BackendID]int{}
 	moved := 0
 	for rank := range proxies {
 		cfg := testConfig()
@@ -89,7 +89,7 @@
 		b.OnMembership(second, Membership{Kind: MembershipFull, Version: 1, Backends: all[:backends]})
 		before := map[BackendID]bool{}
 		for _, x := range b.subset {
-			users[x.ID]++
+			proxiesUsing[x.ID]++
 			before[x.ID] = true
 		}
 		if n := len(b.subset); n < minSubsetSize || n > backends/4 {
@@ -102,17 +102,17 @@
 			}
 		}
 	}
-	for id, n := range users {
-		if mean := float64(total(users)) / backends; float64(n) < mean/2.5 || float64(n) > 2.5*mean {
-			t.Errorf("backend %d is used by %d proxies, %.1f in the mean", id, n, mean)
+	for id, n := range proxiesUsing {
+		if mean := float64(total(proxiesUsing)) / backends; float64(n) < mean/2.5 || float64(n) > 2.5*mean {
+			t.Errorf("backend %d is used by %d proxies, the mean is %.1f", id, n, mean)
 		}
 	}
-	if len(users) != backends || moved > 2*total(users)/backends {
-		t.Errorf("%d backends used at all; one more moved %d of %d places", len(users), moved, total(users))
+	if len(proxiesUsing) != backends || moved > 2*total(proxiesUsing)/backends {
+		t.Errorf("%d backends are used; one more backend changed %d of %d subset entries", len(proxiesUsing), moved, total(proxiesUsing))
 	}
 }
 
-// When those of its subset die, a proxy goes on to the next in its own order.
+// When the backends of its subset become unhealthy, a proxy adds the next ones in its rendezvous order.
 func TestSubsetWidensWhenBackendsAreUnhealthy(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances = 400
@@ -126,15 +126,15 @@
 	b.OnRequest(second+2*milli, Request{ID: 1, Deadline: 3 * second})
 	got := h.take("send")
 	if len(got) != 1 || slices.ContainsFunc(first, func(x *target) bool { return x.ID == got[0].to }) {
-		t.Errorf("sent %v, with all of the first subset unfit", got)
+		t.Errorf("sent %v, with the whole first subset unhealthy", got)
 	}
 	if len(b.subset) <= len(first) {
-		t.Errorf("the subset went from %d to %d", len(first), len(b.subset))
+		t.Errorf("the subset had %d backends and now has %d, want more", len(first), len(b.subset))
 	}
 }
 
-// A few one-core backends behind hundreds of proxies: what each may send at first is its part of one
-// limit, or the first second alone crowds them all.
+// With a few one-core backends behind hundreds of proxies, the proxies have to share the initial limit of a backend.
+// Otherwise the first second alone would overload all backends.
 func TestInitialLimitIsSharedByAllProxies(t *testing.T) {
 	for _, proxies := range []int{1, 3, 40, 400} {
 		cfg := testConfig()
@@ -142,13 +142,13 @@
 		b, _ := newBalancer(t, cfg, 60)
 		sum := b.ready[0].concurrencyLimit * float64(proxies*len(b.subset)) / float64(len(b.ready))
 		if sum < concurrencylimit.Initial(1)*0.9 || sum > concurrencylimit.Initial(1)*1.1 {
-			t.Errorf("%d proxies: limits add up to %.1f a backend", proxies, sum)
+			t.Errorf("%d proxies: the limits of a backend add up to %.1f", proxies, sum)
 		}
 	}
 }
 
-// Where a proxy sees few answers, the first crowd would be over before it had learned what is usual: until
-// then a share of the latency target tells.
+// A proxy that sees few answers would learn the usual delay only after the first overload. Until it knows the tail, an
+// attempt is overdue after a fraction of its latency target.
 func TestOverdueWithoutAKnownTail(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances = 400
@@ -158,13 +158,13 @@
 	before := to.concurrencyLimit
 	b.OnTimer(10*second+400*milli, timerSweep<<56)
 	if to.concurrencyLimit >= before {
-		t.Errorf("out for 0.4 of its latency target, the limit went from %.3f to %.3f", before, to.concurrencyLimit)
+		t.Errorf("with an attempt in flight for 0.4 of its latency target, the limit went from %.3f to %.3f", before, to.concurrencyLimit)
 	}
 }
 
-// Each of many sharers sees few answers, so one that is late must count for more there.
-func TestManySharersLearnFaster(t *testing.T) {
-	cut := func(proxies int) float64 {
+// Each of many proxies that share a backend sees few answers, so a late one must count for more.
+func TestLimitAdaptsFasterWithManyProxies(t *testing.T) {
+	limitRatio := func(proxies int) float64 {
 		cfg := testConfig()
 		cfg.Instances = proxies
 		b, h := newBalancer(t, cfg, 60)
@@ -174,12 +174,13 @@
 		b.OnTimer(10*second+900*milli, timerSweep<<56)
 		return to.concurrencyLimit / before
 	}
-	if few, many := cut(2), cut(400); many > few*0.9 {
-		t.Errorf("a late attempt cuts to %.2f with 2 proxies and to %.2f with 400", few, many)
+	if few, many := limitRatio(2), limitRatio(400); many > few*0.9 {
+		t.Errorf("a late attempt reduces the limit to %.2f of it with 2 proxies and to %.2f with 400", few, many)
 	}
 }
 
-// Connections that stay open to backends out of use fill their tables, and no proxy gets in.
+// Idle connections to backends that a proxy no longer uses would fill the backends' connection tables and keep other
+// proxies from connecting.
 func TestLeavingTheSubsetReleasesConnections(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances = 400
@@ -188,20 +189,20 @@
 	out.ejectedUntil = 5 * second
 	b.OnTimer(2*second, timerSweep<<56)
 	if got := h.take("release"); len(got) != 1 || got[0].to != out.ID {
-		t.Errorf("ejected %d: %v", out.ID, got)
+		t.Errorf("backend %d was ejected, and released were %v", out.ID, got)
 	}
-	b.OnTimer(6*second, timerSweep<<56) // it is back, and the one that stood in for it leaves
+	b.OnTimer(6*second, timerSweep<<56) // it returns, and its replacement leaves the subset
 	if got := h.take("release"); len(got) != 1 || got[0].to == out.ID {
-		t.Errorf("%d is back: %v", out.ID, got)
+		t.Errorf("backend %d returned, and released were %v", out.ID, got)
 	}
 	b.OnTimer(7*second, timerSweep<<56)
 	if got := h.take("release"); len(got) != 0 {
-		t.Errorf("nothing changed: %v", got)
+		t.Errorf("nothing changed, and released were %v", got)
 	}
 }
 
-// Proxies that restart while backends warm up know no request's work yet: without debt each proxy
-// would send each of them one request at once.
+// Proxies that restart while backends warm up do not know the work of requests yet: without the initial debt, each
+// proxy would immediately send one request to each of these backends.
 func TestRestartedProxiesTakeTurnsAtWarmingBackends(t *testing.T) {
 	const proxies = 300
 	sent := 0
@@ -223,29 +224,29 @@
 		sent += len(h.take("send"))
 	}
 	if sent > proxies/20 {
-		t.Errorf("%d of %d restarted proxies sent to 4 warming backends at once", sent, proxies)
+		t.Errorf("%d requests of %d restarted proxies were sent to 4 warming backends at once", sent, proxies)
 	}
 }
 
-// With hundreds of proxies hardly anything waits, so what has more utility must get room sooner.
+// With hundreds of proxies hardly any request is queued, so a request of higher utility must be sent sooner.
 func TestMoreUtilityIsSpacedLess(t *testing.T) {
 	b, _ := newBalancer(t, testConfig(), 1)
 	only := b.targets[0]
 	only.concurrencyLimit, b.meanExpectedDelay, b.meanUtilityPerWork, only.lastSent = 0.5, 200, 1, second // 400 ms between two sends
 	b.now = second + 150*milli
 	if b.underLimit(&request{utilityPerWork: 1}, only) || b.underLimit(&request{utilityPerWork: 0.1}, only) {
-		t.Error("a usual request got room too soon")
+		t.Error("a request of usual or low utility was allowed too soon")
 	}
 	if !b.underLimit(&request{utilityPerWork: 3}, only) {
-		t.Error("a request of three times the gain got no room")
+		t.Error("a request of three times the usual utility was not allowed")
 	}
 	b.now = second + 410*milli
 	if !b.underLimit(&request{utilityPerWork: 0.1}, only) {
-		t.Error("a request of little gain waits longer than the spacing")
+		t.Error("a request of low utility was not allowed after the spacing")
 	}
 }
 
-// A time-out says more of a crowd than an answer that was late.
+// A timeout is stronger evidence of overload than a late answer.
 func TestTimeoutDecreasesTheLimitOnceMore(t *testing.T) {
 	after := func(result Result) float64 {
 		cfg := testConfig()
@@ -262,7 +263,7 @@
 	}
 }
 
-// Outcomes and health checks that come twice, late or for nothing change nothing, and utility may be 0.
+// Duplicate, late and unexpected outcomes and health checks change nothing, and utility may be 0.
 func TestLateAndDuplicateEventsChangeNothing(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances = 400
@@ -277,7 +278,7 @@
 	}
 	to := b.byID[got[0].to]
 	if to.concurrencyLimit < 1 && b.underLimit(&request{}, to) {
-		t.Error("room for one more at once where nothing has any utility")
+		t.Error("one more request was allowed immediately where no request has any utility")
 	}
 	once := Outcome{ID: 1, Backend: to.ID, Result: Error, Took: milli}
 	b.OnAttemptEnd(10*second+milli, once)
@@ -289,6 +290,6 @@
 	b.OnHealthCheck(10*second+2*milli, HealthCheckResult{Backend: to.ID, Result: Timeout})
 	b.OnClientGone(10*second+3*milli, 1)
 	if got := h.take("fail", "refuse", "send"); len(got) != 0 || to.consecutiveFailures != bad || to.load != load || to.failedChecks != 0 {
-		t.Errorf("%v; %d bad, load %v, %d health checks failed", got, to.consecutiveFailures, to.load, to.failedChecks)
+		t.Errorf("%v; %d failures, load %v, %d failed health checks", got, to.consecutiveFailures, to.load, to.failedChecks)
 	}
 }
