--- a/internal/balancer/selection.go
+++ b/internal/balancer/selection.go
@@ -14,7 +14,7 @@
 	// How much worse the score of the own zone's candidate may be before one in another zone is taken.
 	crossZonePenalty     = 0.75
 	replicaPenaltyFactor = 3    // multiplies crossZonePenalty for a request that few backends can run
-	preferredReplicas    = 2    // of the backends that can run such a request, how many a proxy prefers
+	preferredReplicas    = 2    // how many of the backends that can run such a request a proxy prefers
 	rebalanceUtility     = 0.15 // utility of relieving a slower backend entirely, in requests of mean utility
 	// Fraction of its latency target for which a request waits for the two preferred backends of its key.
 	affinityWaitRatio = 0.15
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -11,7 +11,7 @@
 
 const (
 	servedWindow       = 2    // decay times over which the work that backends serve is averaged
-	warmupSafetyFactor = 0.8  // fraction of the rate that would overload a warming backend that is sent to it
+	warmupSafetyFactor = 0.8  // rate sent to a warming backend, as a fraction of one that would overload it
 	warmupBurstRatio   = 0.25 // fraction of the overload window over which tokens may accumulate
 )
 
