--- a/internal/dataplane/gateway/authentication.go
+++ b/internal/dataplane/gateway/authentication.go
@@ -9,23 +9,23 @@
 // bearerScheme is the authentication scheme of keys (RFC 6750); schemes are compared without regard to case.
 const bearerScheme = "Bearer"
 
-// tenancy is what the configuration says of who sent a request.
+// tenancy is what the configuration says about the sender of a request.
 type tenancy struct {
-	// listed: the configuration lists subscribers, so that the headers of keys and tenants are the proxy's own matter.
+	// listed: the configuration lists subscribers, so clients' headers with keys and tenants are not forwarded.
 	listed bool
-	// subscriber is the tenant whose key came with the request; nil: none.
+	// subscriber is the tenant whose key the request has; nil: none.
 	subscriber *configuration.Subscriber
 }
 
 // authenticate finds the tenant of a request by the values of its Authorization header, in the configuration that the
-// route is from. authorized is false where the route needs a key and no known one came. A known key counts on a keyless
-// route too.
+// route is from. authorized is false if the route needs a key and the request has no known one. A known key identifies
+// the tenant on a keyless route too.
 func authenticate(document *configuration.Document, route *configuration.Route, credentials [][]byte) (_ tenancy, authorized bool) {
 	if !document.RequiresKeys() {
 		return tenancy{}, true
 	}
 	if key, found := bearerKey(credentials); found {
-		// A tenant that can't be named to backends without a change to its name, or to the request, has no requests.
+		// A name that is no header value would reach backends altered, or alter the request, so its tenant is refused.
 		if subscriber := document.SubscriberByKey(key); subscriber != nil && isFieldValue(subscriber.Name) {
 			return tenancy{listed: true, subscriber: subscriber}, true
 		}
@@ -33,7 +33,7 @@
 	return tenancy{listed: true}, route.Keyless
 }
 
-// bearerKey returns the key of a request's credentials. Several of them name nobody: which of them counts is ambiguous.
+// bearerKey returns the key of a request's credentials. Several credentials are ambiguous and count as none.
 func bearerKey(credentials [][]byte) (key string, found bool) {
 	if len(credentials) != 1 {
 		return "", false
@@ -46,8 +46,8 @@
 	return string(token), true
 }
 
-// isFieldValue reports whether a text is a header's value as it stands (RFC 9110, 5.5): not empty, without control
-// characters, and without a space at either end.
+// isFieldValue reports whether a text can be sent unchanged as a header's value (RFC 9110, 5.5): not empty, without
+// control characters, and without a space at either end.
 func isFieldValue(text string) bool {
 	for i := range len(text) {
 		if text[i] < ' ' || text[i] == 0x7f {
@@ -57,7 +57,7 @@
 	return text != "" && text[0] != ' ' && text[len(text)-1] != ' '
 }
 
-// withholds reports whether a client's header is kept from backends.
+// withholds reports whether a client's header is not forwarded to backends.
 func (t tenancy) withholds(header string) bool {
 	switch header {
 	case headerAuthorization, headerSubscriber:
@@ -71,7 +71,7 @@
 // hasPriority reports whether the tenant has a priority of its own.
 func (t tenancy) hasPriority() bool { return t.subscriber != nil && t.subscriber.Priority != nil }
 
-// priority is that of a request: its tenant's, or its route's.
+// priority returns a request's priority: its tenant's if that has one, or its route's.
 func (t tenancy) priority(route *configuration.Route) int {
 	if t.hasPriority() {
 		return *t.subscriber.Priority
--- a/internal/dataplane/gateway/backlog.go
+++ b/internal/dataplane/gateway/backlog.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// minReportInterval and maxReportInterval bound the time between two reports of demand and of backlogs. The work
-	// that is sent within that time is what peers can't know of.
+	// minReportInterval and maxReportInterval bound the time between two reports of demand and backlogs. Peers don't
+	// know of work sent since the last report.
 	minReportInterval = 125 * time.Millisecond
 	maxReportInterval = 600 * time.Millisecond
-	// reportIntervalPerProxy is the time between two reports for each proxy of the zone: one relay takes the reports
-	// of all of them.
+	// reportIntervalPerProxy times the number of proxies in the zone is the time between two reports of a proxy: one
+	// relay takes the reports of all of them.
 	reportIntervalPerProxy = 7 * time.Millisecond
 )
 
-// pendingWork is the work that this proxy has sent to the service's backends and that they have not begun to answer;
-// nil after the service has ended.
+// pendingWork returns the work that this proxy has sent to the service's backends and that they have not begun to
+// answer; nil after the service has stopped.
 func (s *service) pendingWork() backlog.Work {
 	counted := make(chan backlog.Work, 1)
 	s.engine.Post(func() {
@@ -37,12 +37,12 @@
 	}
 }
 
-// recordPeerBacklog records what peers have sent to the service's backends.
+// recordPeerBacklog records the work that peers have sent to the service's backends.
 func (s *service) recordPeerBacklog(work backlog.Work) {
 	s.engine.Post(func() { s.advisor.RecordPeerBacklog(s.engine.Now(), work) })
 }
 
-// backlogs are the messages with the backlogs of all services whose backends load models.
+// backlogs returns the backlogs of all services whose backends load models.
 func (g *Gateway) backlogs() []*api.Backlog {
 	var all []*api.Backlog
 	for name, s := range g.table.Load().services {
@@ -53,7 +53,7 @@
 	return all
 }
 
-// recordPeerBacklogs records the backlogs in the answer to a report of demand.
+// recordPeerBacklogs records the peers' backlogs in the reply to a demand report.
 func (g *Gateway) recordPeerBacklogs(reply *api.DemandReply) {
 	services := g.table.Load().services
 	for _, b := range reply.OtherBacklogs {
@@ -63,7 +63,7 @@
 	}
 }
 
-// reportInterval is the time between two reports.
+// reportInterval returns the time between two reports.
 func (g *Gateway) reportInterval() time.Duration {
 	sameZone := 0
 	for _, node := range g.state.Nodes() {
--- a/internal/dataplane/gateway/cause.go
+++ b/internal/dataplane/gateway/cause.go
@@ -9,42 +9,42 @@
 // cause is why a request was not answered within its latency target.
 type cause int
 
-// The causes. A request has one: what took the most of its time.
+// The causes. A request has one: what took most of its time.
 const (
 	causeNone      cause = iota // it was answered in time
-	causeRejected               // it was rejected, unsent
+	causeRejected               // it was rejected unsent
 	causeNotLoaded              // no backend had its model or adapter loaded
 	causeQueued                 // it was queued here
-	causeRetried                // attempts failed before one that did not
+	causeRetried                // earlier attempts failed
 	causeFailed                 // its last attempt failed
-	causeBackend                // the backend was slow to begin its answer, or to give it
+	causeBackend                // the backend was slow to begin or to finish its answer
 	causeCancelled              // its client disconnected within the latency target
 )
 
-// causeNames are the values of the metrics' label (docs/METRICS.md).
+// causeNames are the values of the metrics' label "outcome" (docs/METRICS.md).
 var causeNames = map[cause]string{
 	causeNone: "in_time", causeRejected: "refused", causeNotLoaded: "no_holder",
 	causeQueued: "queued", causeRetried: "retried", causeFailed: "failed", causeBackend: "backend",
 	causeCancelled: "client_left",
 }
 
-// timeline is what became of a request and when, by the engine's clock.
+// timeline is the outcome of a request with the times of its phases, on the engine's clock.
 type timeline struct {
 	verdict       engine.Verdict
-	cancelled     bool // its client disconnected unanswered
-	modelLoaded   bool // a backend had its model and adapter loaded when it came
+	cancelled     bool // its client disconnected before the answer
+	modelLoaded   bool // a backend had its model and adapter loaded when it arrived
 	latencyTarget time.Duration
 	arrived       time.Duration
 	attempts      int
-	firstAttempt  time.Duration // when that began
-	lastAttempt   time.Duration // when that began
+	firstAttempt  time.Duration // when it began
+	lastAttempt   time.Duration // when it began
 	answered      time.Duration
 }
 
-// timelineOf is that of a call which is over.
+// timelineOf returns the timeline of a call that is over.
 func timelineOf(now time.Duration, c *engine.Call, verdict engine.Verdict, cancelled bool) timeline {
 	t := timeline{verdict: verdict, cancelled: cancelled, modelLoaded: true, arrived: c.Arrived(), answered: now}
-	if own, is := c.Front.(*call); is {
+	if own, ok := c.Front.(*call); ok {
 		t.modelLoaded, t.latencyTarget = own.modelLoaded, own.latencyTarget
 	}
 	if attempts := c.Attempts(); len(attempts) > 0 {
@@ -54,7 +54,7 @@
 	return t
 }
 
-// cause tells why the request was not answered in time.
+// cause returns why the request was not answered in time.
 func (t timeline) cause() cause {
 	served := !t.cancelled && t.verdict == engine.Served
 	inTarget := t.answered-t.arrived <= t.latencyTarget
@@ -72,13 +72,13 @@
 	return t.dominantPhase()
 }
 
-// queued is the time before the first attempt, retrying that between the first and the last one, and running that of
-// the last one.
+// queued is the time before the first attempt, retrying the time from its start to that of the last attempt, and
+// running the time of the last attempt.
 func (t timeline) queued() time.Duration   { return t.firstAttempt - t.arrived }
 func (t timeline) retrying() time.Duration { return t.lastAttempt - t.firstAttempt }
 func (t timeline) running() time.Duration  { return t.answered - t.lastAttempt }
 
-// dominantPhase is what the request spent the most time on.
+// dominantPhase returns the cause that stands for the longest phase of the request.
 func (t timeline) dominantPhase() cause {
 	queued := causeQueued
 	if !t.modelLoaded {
--- a/internal/dataplane/gateway/class.go
+++ b/internal/dataplane/gateway/class.go
@@ -9,11 +9,11 @@
 	"marlreel/internal/controlplane/configuration"
 )
 
-// lateShare is the share of its value that a late answer earns. The configuration doesn't say; with less, requests
-// that will be late would be rejected.
+// lateShare is the share of its value that a late answer earns. The configuration has no key for it. With a lower one,
+// requests that are going to be late would be rejected.
 const lateShare = 0.6
 
-// classKey is what the class of a route is told by: what decisions on its requests go by.
+// classKey identifies the class of a route by all that decisions on its requests depend on.
 type classKey struct {
 	class              string
 	idempotent         bool
@@ -25,13 +25,13 @@
 	return classKey{r.Class, r.Idempotent(), r.TargetLatencyMS, r.AttemptLimit(), r.Priority}
 }
 
-// className names the class of a route.
+// className returns the name of a route's class.
 func className(r *configuration.Route) string {
 	k := classKeyOf(r)
 	return fmt.Sprintf("%s %v %v %d %d", k.class, k.idempotent, k.targetLatencyMS, k.attempts, k.priority)
 }
 
-// classOf is the class of a route's requests.
+// classOf returns the class of a route's requests.
 func classOf(r *configuration.Route) balancer.Class {
 	target := r.TargetLatency()
 	if target <= 0 {
@@ -47,7 +47,7 @@
 	return class
 }
 
-// classesOf are the classes of all routes that may use a service, in order.
+// classesOf returns the classes of all routes that may use a service, sorted by name.
 func classesOf(document *configuration.Document, name string) []balancer.Class {
 	found := map[classKey]*configuration.Route{}
 	for i := range document.Routes {
--- a/internal/dataplane/gateway/clientrequest.go
+++ b/internal/dataplane/gateway/clientrequest.go
@@ -10,43 +10,43 @@
 	"marlreel/internal/dataplane/httpproxy"
 )
 
-// call is a request as the engine has it. A stream that is resumed is one more call.
+// call is a request as passed to the engine. Resuming a stream takes another call.
 type call struct {
 	engine.Call
 	latencyTarget time.Duration      // from its arrival on
-	modelLoaded   bool               // a backend had its model and adapter loaded when it came
-	neverRan      bool               // it is over, and no backend can have run it; to be read after the answer
-	answers       chan engine.Answer // has room for the one answer
+	modelLoaded   bool               // a backend had its model and adapter loaded when it arrived
+	neverRan      bool               // no backend can have run it; valid after the answer
+	answers       chan engine.Answer // buffered for the one answer
 }
 
 var _ engine.Front = (*call)(nil)
 
 // HandleAnswer implements engine.Front.
 func (c *call) HandleAnswer(_ *engine.Call, a engine.Answer) {
-	if reply, is := a.Reply.(*httpproxy.Reply); is {
+	if reply, ok := a.Reply.(*httpproxy.Reply); ok {
 		reply.Claim()
 	}
 	c.neverRan = c.Runs() == 0
 	c.answers <- a
 }
 
-// newCall makes a call of a request; nil where the engine does not know the route's class yet.
+// newCall returns a call for a request; nil if the engine does not know the route's class yet.
 func newCall(s *service, route *configuration.Route, message *httpproxy.Message, needs *balancer.Needs, work time.Duration) *call {
-	book := s.engine.SettingsSnapshot()
-	class, known := book.ClassIndexes[className(route)]
+	snapshot := s.engine.SettingsSnapshot()
+	class, known := snapshot.ClassIndexes[className(route)]
 	if !known {
 		return nil
 	}
-	c := &call{answers: make(chan engine.Answer, 1), latencyTarget: book.Settings.Classes[class].LatencyTarget, modelLoaded: true}
+	c := &call{answers: make(chan engine.Answer, 1), latencyTarget: snapshot.Settings.Classes[class].LatencyTarget, modelLoaded: true}
 	c.Call = engine.Call{
-		Request: balancer.Request{Class: class, Cost: work, Needs: needs}, Carrier: s.carrier, Snapshot: book,
+		Request: balancer.Request{Class: class, Cost: work, Needs: needs}, Carrier: s.carrier, Snapshot: snapshot,
 		Payload: message, Front: c,
 	}
 	return c
 }
 
-// clientRequest is one request of a client, from its head to the end of its answer. It belongs to the goroutine that
-// handles the request, and then to that which writes the answer.
+// clientRequest is one request of a client, from its head to the end of its answer. It is owned by the goroutine that
+// handles the request, and then by the one that writes the answer.
 type clientRequest struct {
 	gateway    *Gateway
 	service    *service
@@ -59,7 +59,7 @@
 	deadline   time.Time
 	client     net.Conn
 	current    *call
-	disconnect *disconnectWatcher // from the first call on
+	disconnect *disconnectWatcher // nil before the first call
 }
 
 // execute hands a call to the engine and waits for its answer, or for the client to disconnect.
@@ -73,7 +73,7 @@
 	c.Deadline = arrived + time.Until(r.deadline)
 	s.engine.Post(func() { s.engine.HandleCall(&c.Call, arrived) })
 	answer := r.awaitAnswer(c)
-	if reply, is := answer.Reply.(*httpproxy.Reply); !is || !reply.Streaming() {
+	if reply, ok := answer.Reply.(*httpproxy.Reply); !ok || !reply.Streaming() {
 		r.disconnect.stop()
 	}
 	return answer
@@ -112,15 +112,15 @@
 	}
 }
 
-// discardAnswer releases an answer whose client has disconnected. Only on the engine's goroutine.
+// discardAnswer releases an answer whose client has disconnected. Only the engine's goroutine may call it.
 func (r *clientRequest) discardAnswer(a engine.Answer) {
-	reply, is := a.Reply.(*httpproxy.Reply)
-	if !is {
+	reply, ok := a.Reply.(*httpproxy.Reply)
+	if !ok {
 		return
 	}
-	streams := reply.Streaming()
+	streaming := reply.Streaming()
 	reply.Release(r.gateway.memory, false)
-	if streams {
+	if streaming {
 		r.service.engine.HandleStreamEnd(&r.current.Call, false)
 	}
 }
@@ -131,7 +131,7 @@
 	s.engine.Post(func() { s.engine.HandleStreamEnd(&c.Call, complete) })
 }
 
-// disconnected tells whether the client has disconnected.
+// disconnected reports whether the client has disconnected.
 func (r *clientRequest) disconnected() bool {
 	select {
 	case <-r.disconnect.disconnected:
--- a/internal/dataplane/gateway/demand.go
+++ b/internal/dataplane/gateway/demand.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// waitingReportDelay is how long the first request that waits for a model waits for others to be reported with it.
+	// waitingReportDelay is how long the report of a request that waits for a model is delayed, to report others with
+	// it.
 	waitingReportDelay = 5 * time.Millisecond
-	// maxReportedModels bounds the models and adapters of one report.
+	// maxReportedModels bounds the models and adapters in one report.
 	maxReportedModels = 4096
 )
 
-// demandRecorder counts the requests for models, for the planner that places them. Its methods may be called by any
-// goroutine.
+// demandRecorder counts the requests for models, for the planner that places models on backends. Its methods are safe
+// for concurrent use.
 type demandRecorder struct {
 	mu             sync.Mutex
 	counts         map[modelKey]*api.Demand   // since the last report
-	latencyTargets map[modelKey]time.Duration // the sum of those of all requests that were counted
-	waiting        map[modelKey]int           // requests that wait now
+	latencyTargets map[modelKey]time.Duration // summed over the counted requests
+	waiting        map[modelKey]int           // requests waiting now
 	wake           chan struct{}
 }
 
@@ -73,7 +74,7 @@
 	}
 }
 
-// takeReport gives what was counted since the last report.
+// takeReport returns the demand since the last report, and starts counting anew.
 func (d *demandRecorder) takeReport() []*api.Demand {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -96,14 +97,14 @@
 	return demands
 }
 
-// run calls report with what was counted, at an interval and soon after a request began to wait, until ctx ends.
+// run calls report with the demand at an interval, and soon after a request has begun to wait, until ctx ends.
 func (d *demandRecorder) run(ctx context.Context, interval func() time.Duration, report func([]*api.Demand)) {
 	for d.awaitReport(ctx, interval()) {
 		report(d.takeReport())
 	}
 }
 
-// awaitReport waits until the next report is due. It tells whether ctx goes on.
+// awaitReport waits until the next report is due. It returns false if ctx has ended.
 func (d *demandRecorder) awaitReport(ctx context.Context, interval time.Duration) bool {
 	timer := time.NewTimer(interval)
 	defer timer.Stop()
@@ -125,12 +126,12 @@
 	}
 }
 
-// reportDemand reports demand and backlogs to the agent, and takes in the backlogs of its peers, until ctx ends.
+// reportDemand reports demand and backlogs to the agent, and records the peers' backlogs that it replies, until ctx ends.
 func (g *Gateway) reportDemand(ctx context.Context, agent api.Agent) {
 	idle := false
 	g.demand.run(ctx, g.reportInterval, func(demands []*api.Demand) {
 		backlogs := g.backlogs()
-		wasIdle := idle // a backlog that has gone has to be reported once
+		wasIdle := idle // an emptied backlog has to be reported once
 		idle = len(demands) == 0 && !slices.ContainsFunc(backlogs, func(b *api.Backlog) bool { return len(b.Backends) > 0 })
 		if idle && wasIdle {
 			return
@@ -139,7 +140,7 @@
 		defer cancel()
 		reply, err := agent.ReportDemand(call, &api.DemandReport{Node: g.identity.name, Demands: demands, Backlogs: backlogs})
 		if err != nil {
-			return // what is lost comes with the next requests, or is of no account any more
+			return // a lost report is made up for by the next requests, or no longer matters
 		}
 		g.recordPeerBacklogs(reply)
 	})
--- a/internal/dataplane/gateway/disconnect.go
+++ b/internal/dataplane/gateway/disconnect.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// disconnectWatcher notices that a client disconnects while its answer is being made. It owns a goroutine until stop.
+// disconnectWatcher notices that a client disconnects while its request is pending. It owns a goroutine until stop.
 type disconnectWatcher struct {
 	disconnected chan struct{} // closed when the client has closed its connection
 	done         chan struct{} // closed when the watch has ended
@@ -18,11 +18,11 @@
 	stopOnce     sync.Once
 }
 
-// watchDisconnect watches a connection until stop, without taking any of its bytes.
+// watchDisconnect watches a connection until stop, without consuming any of its bytes.
 func watchDisconnect(conn net.Conn) *disconnectWatcher {
 	w := &disconnectWatcher{disconnected: make(chan struct{}), done: make(chan struct{}), conn: conn}
-	socket, is := conn.(syscall.Conn)
-	if !is {
+	socket, ok := conn.(syscall.Conn)
+	if !ok {
 		close(w.done)
 		return w
 	}
@@ -31,14 +31,15 @@
 		close(w.done)
 		return w
 	}
-	// The server's deadline was for reading the request, and would end the watch. Setting it fails only on a closed
+	// The read deadline that the server set for the request would end the watch. Clearing it fails only on a closed
 	// connection, whose watch ends at once.
 	_ = conn.SetReadDeadline(time.Time{})
 	go w.watch(raw)
 	return w
 }
 
-// watch waits for the end of what the client sends. The wait ends as well where the deadline of reads is set to now.
+// watch waits until the client closes the connection or sends more bytes. Setting the read deadline to now ends the
+// wait too.
 func (w *disconnectWatcher) watch(raw syscall.RawConn) {
 	defer close(w.done)
 	closed := false
@@ -52,7 +53,7 @@
 	}
 }
 
-// peek tells whether a connection was closed by its client, and whether there is nothing to be read yet.
+// peek reports whether a connection was closed by its client, and whether there is nothing to read yet.
 func peek(fd int) (closed, empty bool) {
 	var one [1]byte
 	n, _, err := unix.Recvfrom(fd, one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
--- a/internal/dataplane/gateway/doc.go
+++ b/internal/dataplane/gateway/doc.go
@@ -1,11 +1,11 @@
-// Package gateway is the proxy process: it carries clients' requests to the backends of a service and their answers
-// back, as Caddy's reverse proxy does for its upstreams, whose files this package's are named after where the concept
-// is the same. It owns the listeners for clients and for readiness, a service (engine, connections, advisor) for each
-// service of the configuration, and the demand that it reports to its agent.
+// Package gateway is the proxy process: it forwards clients' requests to the backends of a service and returns their
+// answers, as Caddy's reverse proxy does for its upstreams. Files are named after Caddy's where the concept is the
+// same. The process owns the listeners for clients and for readiness, a service (engine, connections, advisor) for
+// each service of the configuration, and the demand that it reports to its agent.
 //
-// What it serves by is the state of the agent beside it, which it watches (internal/distribution/watch): each change
-// makes a new routing table, which is put in force as a whole. Where the configuration lists subscribers, a request
-// needs a key by the same table, and its tenant's quota is asked for by a QuotaGate. All else on a request, which
-// backend gets it, whether it is retried and what is rejected, is decided by internal/balancer, one instance for each
-// service; and it speaks HTTP to backends by internal/dataplane/httpproxy.
+// Requests are routed by the state of the agent on the same machine, which the proxy watches
+// (internal/distribution/watch): each change makes a new routing table, which replaces the old one as a whole. Where
+// the configuration lists subscribers, a request needs a key that this table knows, and a QuotaGate checks its tenant's
+// quota. Everything else (which backend gets a request, whether it is retried, what is rejected) is decided by
+// internal/balancer, one instance for each service. Backends are reached over HTTP by internal/dataplane/httpproxy.
 package gateway
--- a/internal/dataplane/gateway/drain.go
+++ b/internal/dataplane/gateway/drain.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// readinessDelay is how long the platform takes to see that a proxy is not ready.
+	// readinessDelay is how long the platform takes to notice that a proxy is not ready.
 	readinessDelay = 2500 * time.Millisecond
-	// drainMargin is how long before the end of the platform's grace period a proxy ends by itself.
+	// drainMargin is how long before the end of the platform's grace period a proxy stops by itself.
 	drainMargin = 600 * time.Millisecond
-	// maxUnsentWait is how long a request may wait in a proxy that drains before it is rejected, so that its client
-	// turns to another one.
+	// maxUnsentWait is how long a request may wait unsent in a draining proxy before it is rejected, so that its client
+	// retries at another proxy.
 	maxUnsentWait = 300 * time.Millisecond
-	// drainInterval is how often a proxy that drains looks whether it is idle.
+	// drainInterval is how often a draining proxy checks whether it is idle.
 	drainInterval = 50 * time.Millisecond
 )
 
-// drain shuts the proxy down gracefully: it lets clients turn to other proxies, and waits until those that are here
-// have their answers, or until the grace period is about to end. ctx may have ended.
+// drain shuts the proxy down gracefully: it makes clients move to other proxies, and waits until all client connections
+// are closed or the grace period is about to end. ctx may already have ended.
 func (g *Gateway) drain(ctx context.Context, front, readiness *fasthttp.Server, grace time.Duration) error {
 	g.StartDraining()
 	g.log.Info(logevent.ProxyStopping)
@@ -48,11 +48,11 @@
 	return multierr.Combine(shutDown(shutdown, front), shutDown(shutdown, readiness))
 }
 
-// shutDown shuts a server down. That something was still pending when the time was up is no error.
+// shutDown shuts a server down. Requests that are still pending when ctx ends are no error.
 func shutDown(ctx context.Context, server *fasthttp.Server) error {
 	err := server.ShutdownWithContext(ctx)
 	if eris.Is(err, context.DeadlineExceeded) {
 		return nil
 	}
-	return eris.Wrap(err, "shutting a server down")
+	return eris.Wrap(err, "shutting down an HTTP server")
 }
--- a/internal/dataplane/gateway/gateway.go
+++ b/internal/dataplane/gateway/gateway.go
@@ -13,53 +13,53 @@
 	"marlreel/internal/process/transport"
 )
 
-// Gateway serves clients by the newest state that it has watched. Its methods may be called by any goroutine.
+// Gateway serves clients according to the newest state that it has received. Its methods are safe for concurrent use.
 type Gateway struct {
 	identity       identity
 	state          *watch.Store
 	memory         *budget.Budget // for bodies
 	maxConnections int            // to backends, of each service
 	budgets        SharedBudgets
-	quota          QuotaGate // nil: none are counted
+	quota          QuotaGate // nil: quotas are not enforced
 	dial           transport.DialFunc
 	log            logr.Logger
 	demand         *demandRecorder
 	metrics        *vm.Set
 	refusals       *refusalRecorder
 	table          atomic.Pointer[routingTable]
-	ready          atomic.Bool // it has had a fresh state
-	draining       atomic.Bool // clients are to turn to other proxies
-	closing        atomic.Bool // requests that come now could not be finished
+	ready          atomic.Bool // a fresh state has been applied
+	draining       atomic.Bool // clients should move to other proxies
+	closing        atomic.Bool // new requests are rejected: they could not be finished
 
-	mu       sync.Mutex      // one update of the table at a time
-	closed   bool            // no further update
+	mu       sync.Mutex      // serializes updates of the table
+	closed   bool            // the table is no longer updated
 	metered  map[string]bool // services that have metrics of their own
-	replaced sync.WaitGroup  // stops of services that the table no longer has
+	replaced sync.WaitGroup  // services removed from the table that are still stopping
 }
 
-// Config is how a gateway starts.
+// Config configures a Gateway.
 type Config struct {
 	Dial           transport.DialFunc
 	Name           string
 	Zone           string
-	Zones          []string // all, sorted
+	Zones          []string // all zones, sorted
 	BodyBytes      int      // memory for bodies
 	MaxConnections int      // to backends, of each service
 	Budgets        SharedBudgets
-	Quota          QuotaGate // of tenants; nil: none are counted
+	Quota          QuotaGate // of tenants; nil: quotas are not enforced
 	Log            logr.Logger
 }
 
-// SharedBudgets are the budgets that all proxies of the system keep together.
+// SharedBudgets are the budgets that all proxies of the system share.
 type SharedBudgets struct {
-	// WarmupExcess and WarmupSlack bound the requests to a backend that has just started: its rate times the excess,
-	// and the slack (requests) beside that.
+	// WarmupExcess and WarmupSlack bound the requests to a backend that has just started: its warmup rate times
+	// WarmupExcess, plus WarmupSlack requests.
 	WarmupExcess, WarmupSlack float64
-	// Retry bounds the requests that are sent once more.
+	// Retry bounds retries.
 	Retry budgetshare.RetryConfig
 }
 
-// New makes a gateway that has no state yet. state is where it will find one.
+// New returns a gateway without a routing table. ApplyState makes one from state.
 func New(cfg Config, state *watch.Store) *Gateway {
 	g := &Gateway{
 		identity: identity{name: cfg.Name, zones: cfg.Zones, zone: cfg.Zone}, state: state,
@@ -72,14 +72,14 @@
 	return g
 }
 
-// Ready tells whether clients can be served.
+// Ready reports whether clients can be sent here.
 func (g *Gateway) Ready() bool { return g.ready.Load() && !g.draining.Load() }
 
-// StartDraining lets clients turn to other proxies from now on.
+// StartDraining makes the gateway not ready, so that clients move to other proxies.
 func (g *Gateway) StartDraining() { g.draining.Store(true) }
 
-// OnAgentReply tells the services who shares their budgets, after each answer of the agent, and whether that is known
-// to be fresh.
+// OnAgentReply tells the services, after each reply of the agent, which proxies share their budgets and whether that
+// list is known to be fresh.
 func (g *Gateway) OnAgentReply() {
 	fresh := g.state.Fresh(nil)
 	var names []string
@@ -94,14 +94,14 @@
 	}
 }
 
-// rejectUnsent rejects requests that have waited for long and were not sent.
+// rejectUnsent rejects requests that have waited unsent for maxUnsentWait.
 func (g *Gateway) rejectUnsent() {
 	for _, s := range g.table.Load().services {
 		s.engine.Post(func() { s.engine.RejectUnsent(maxUnsentWait) })
 	}
 }
 
-// failPending answers all requests that are pending.
+// failPending answers all pending requests: unsent ones are rejected, the others fail.
 func (g *Gateway) failPending() {
 	for _, s := range g.table.Load().services {
 		s.engine.Post(func() {
@@ -111,7 +111,7 @@
 	}
 }
 
-// stopServices ends all services, and waits for them.
+// stopServices stops all services and waits for them.
 func (g *Gateway) stopServices() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/dataplane/gateway/handler.go
+++ b/internal/dataplane/gateway/handler.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// noStateRetryAfter is when clients of a proxy should come again that has no state yet.
+	// noStateRetryAfter is the Retry-After of a proxy that has no state yet.
 	noStateRetryAfter = time.Second
-	// updateRetryAfter is the same where the state is just being put in force, or the proxy is about to end.
+	// updateRetryAfter is the Retry-After while a state is being applied, or when the proxy is about to stop.
 	updateRetryAfter = noStateRetryAfter / 10
-	// pathReady is where the platform asks whether clients can be sent here.
+	// pathReady is the path of the platform's readiness check.
 	pathReady = "/marlreel/ready"
 )
 
@@ -65,7 +65,7 @@
 	r.needs, r.work = parseNeeds(&ctx.Request.Header)
 	r.message = newMessage(ctx, r.route, r.tenant)
 	c := newCall(r.service, r.route, r.message, r.needs, r.work)
-	if c == nil { // the service's engine has the table's classes in a moment
+	if c == nil { // the service's engine has not applied the table's classes yet
 		reject(ctx, updateRetryAfter)
 		return
 	}
@@ -105,12 +105,12 @@
 	}
 }
 
-// reject tells the client that nothing was executed, and when to come again.
+// reject answers 503: nothing was executed, and the client may retry after the given time.
 func reject(ctx *fasthttp.RequestCtx, after time.Duration) {
 	refuse(ctx, fasthttp.StatusServiceUnavailable, after)
 }
 
-// refuse does the same by a status that promises so: 429 or 503.
+// refuse answers with a status that promises that nothing was executed (429 or 503), and with Retry-After.
 func refuse(ctx *fasthttp.RequestCtx, status int, after time.Duration) {
 	ctx.Error("refused", status)
 	if after > 0 {
@@ -118,7 +118,7 @@
 	}
 }
 
-// writeReply passes a backend's answer on.
+// writeReply writes a backend's answer to the client.
 func (g *Gateway) writeReply(ctx *fasthttp.RequestCtx, r *clientRequest, reply *httpproxy.Reply) {
 	ctx.SetStatusCode(reply.Status())
 	for key, values := range reply.Header() {
@@ -135,7 +135,7 @@
 	ctx.SetBodyStream(newEventStream(r, reply), -1)
 }
 
-// HandleReadiness answers the platform's question whether clients can be sent here.
+// HandleReadiness answers the platform's readiness check.
 func (g *Gateway) HandleReadiness(ctx *fasthttp.RequestCtx) {
 	if string(ctx.Path()) != pathReady {
 		ctx.Error("no such path", fasthttp.StatusNotFound)
--- a/internal/dataplane/gateway/identity.go
+++ b/internal/dataplane/gateway/identity.go
@@ -6,21 +6,21 @@
 	"slices"
 )
 
-// identity is what tells a proxy apart from its peers.
+// identity identifies a proxy among its peers.
 type identity struct {
 	name  string
-	zones []string // all, sorted
+	zones []string // all zones, sorted
 	zone  string
 }
 
-// rank is a number by the proxy's name, which seeds what proxies should do differently.
+// rank returns a number derived from the proxy's name. It seeds random choices that should differ between proxies.
 func (i identity) rank() int {
 	hash := fnv.New32a()
 	_, _ = io.WriteString(hash, i.name) // a hash never fails
 	return int(hash.Sum32() >> 1)
 }
 
-// zoneIndex is a zone's number. One that is not known is far from all others.
+// zoneIndex returns a zone's index. Unknown zones get one that no known zone has, far from all others.
 func (i identity) zoneIndex(zone string) int {
 	if at, found := slices.BinarySearch(i.zones, zone); found {
 		return at
--- a/internal/dataplane/gateway/metrics.go
+++ b/internal/dataplane/gateway/metrics.go
@@ -11,27 +11,27 @@
 	"marlreel/internal/process/metricserver"
 )
 
-// maxMeteredClasses bounds the classes that are counted apart: configurations may bring new ones
-// for ever. Those beyond count as one.
+// maxMeteredClasses bounds the classes with metrics of their own, as configurations may add new classes without end.
+// Further ones are counted together.
 const maxMeteredClasses = 128
 
-// maxMeteredServices bounds the services that are counted apart, likewise.
+// maxMeteredServices bounds the services with metrics of their own, likewise.
 const maxMeteredServices = 256
 
-// otherLabel stands for all that is not counted apart.
+// otherLabel is the label value of classes and services without metrics of their own.
 const otherLabel = "other"
 
-// firstByteBounds are the upper bounds of the times to the first byte, in seconds.
+// firstByteBounds are the upper bounds of the histogram of times to the first byte, in seconds.
 var firstByteBounds = []float64{0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30}
 
-// classMetrics are those of a class of requests.
+// classMetrics are the metrics of a class of requests.
 type classMetrics struct {
 	causes    map[cause]*vm.Counter
 	firstByte *vm.PrometheusHistogram
 }
 
-// serviceMetrics counts what becomes of a service's requests and attempts. It is an
-// engine.Observer, on the engine's goroutine.
+// serviceMetrics counts the outcomes of a service's requests and attempts. It is an engine.Observer, called on the
+// engine's goroutine.
 type serviceMetrics struct {
 	set           *vm.Set
 	service       string
@@ -52,7 +52,7 @@
 	return m
 }
 
-// ofClass gives the metrics of a call's class.
+// ofClass returns the metrics of a call's class.
 func (m *serviceMetrics) ofClass(c *engine.Call) *classMetrics {
 	class := &c.Snapshot.Settings.Classes[c.Class]
 	metrics := m.classes[class.Name]
@@ -63,7 +63,7 @@
 	return metrics
 }
 
-// newClass makes the metrics of a class. Those of an earlier one with the same labels go on.
+// newClass returns the metrics of a class. An earlier class with the same labels shares them.
 func (m *serviceMetrics) newClass(class *balancer.Class) *classMetrics {
 	kind := "plain"
 	if class.Generates {
@@ -89,7 +89,7 @@
 	return metrics
 }
 
-// recordEnd counts a request that is over.
+// recordEnd counts a finished request.
 func (m *serviceMetrics) recordEnd(now time.Duration, c *engine.Call, verdict engine.Verdict, cancelled bool) {
 	metrics := m.ofClass(c)
 	metrics.causes[timelineOf(now, c, verdict, cancelled).cause()].Inc()
@@ -135,7 +135,7 @@
 func (m *serviceMetrics) OnHealthCheck(time.Duration, *engine.Backend, balancer.Result, time.Duration) {
 }
 
-// metricsLabel is the name under which a service is counted. Called with the lock.
+// metricsLabel returns the label value under which a service is counted. Called with the lock.
 func (g *Gateway) metricsLabel(service string) string {
 	if !g.metered[service] && len(g.metered) >= maxMeteredServices {
 		return otherLabel
@@ -144,7 +144,7 @@
 	return service
 }
 
-// newMetrics makes the metrics of a gateway as a whole.
+// newMetrics creates the metrics of a gateway as a whole.
 func (g *Gateway) newMetrics() *vm.Set {
 	set := vm.NewSet()
 	set.NewGauge("marlreel_ready", func() float64 { return metricserver.BoolValue(g.Ready()) })
--- a/internal/dataplane/gateway/process.go
+++ b/internal/dataplane/gateway/process.go
@@ -20,18 +20,18 @@
 )
 
 const (
-	// agentMaxWait is how long the agent may take for an answer without an update.
+	// agentMaxWait is how long the agent may delay a reply that has no update.
 	agentMaxWait = time.Second
-	// reservedFiles are descriptors for everything but connections.
+	// reservedFiles are file descriptors for everything but connections.
 	reservedFiles = 300
-	// minConnections is what a proxy has whatever its limit of descriptors.
+	// minConnections is the least limit of connections, whatever the limit of file descriptors.
 	minConnections = 64
-	// bodyMemoryShare is the part of the process's memory for bodies: one in so many.
+	// bodyMemoryShare is the part of the process's memory for bodies: one bodyMemoryShare-th.
 	bodyMemoryShare = 4
 )
 
-// Run is a proxy until ctx ends, and then until its clients have their answers (drain). The calls to the agent that
-// are pending when it returns are not waited for: they end with the process.
+// Run runs a proxy until ctx ends, and then drains it. It does not wait for pending calls to the agent: they end with
+// the process.
 func Run(ctx context.Context, machine *host.Host) error {
 	settings, log := machine.Settings, machine.Log
 	state := watch.New(settings.NodeName, time.Now)
@@ -47,7 +47,7 @@
 	if err := listen(machine.Network, settings.Listen.Readiness, readiness, failures); err != nil {
 		return err
 	}
-	// The state is watched, and demand is reported, while the proxy drains.
+	// While the proxy drains, it goes on watching the state and reporting demand.
 	background, stopBackground := context.WithCancel(context.WithoutCancel(ctx))
 	metrics := g.startBackground(background, machine)
 	defer metrics.Wait()
@@ -56,12 +56,12 @@
 	select {
 	case <-ctx.Done():
 	case err := <-failures:
-		return eris.Wrap(err, "serving")
+		return eris.Wrap(err, "serving HTTP")
 	}
 	return g.drain(ctx, front, readiness, bootstrap.Seconds(settings.Bounds.ShutdownGraceS))
 }
 
-// listen serves at an address. Where the server fails later, its error is sent to failures.
+// listen serves at an address. If the server fails later, its error is sent to failures.
 func listen(network host.Network, address string, server *fasthttp.Server, failures chan<- error) error {
 	listener, err := network.Listen(address)
 	if err != nil {
@@ -71,8 +71,9 @@
 	return nil
 }
 
-// startBackground starts what a proxy does beside serving requests, until ctx ends: it watches the agent's state,
-// reports demand, and serves metrics. It returns what waits for the metrics' server, whose port the next process needs.
+// startBackground starts what a proxy does besides serving requests, until ctx ends: it watches the agent's state,
+// reports demand, and serves metrics. The returned group waits for the metrics server, whose port the next process
+// needs.
 func (g *Gateway) startBackground(ctx context.Context, machine *host.Host) *sync.WaitGroup {
 	settings := machine.Settings
 	client := transport.NewClient(machine.Network.Dial)
@@ -95,7 +96,7 @@
 	return metrics
 }
 
-// configOf is the configuration of a gateway on a machine.
+// configOf returns the configuration of a gateway on a machine.
 func configOf(machine *host.Host) Config {
 	settings := machine.Settings
 	zones := make([]string, 0, len(settings.Zones))
@@ -110,7 +111,7 @@
 	}
 }
 
-// connectionLimit is how many connections a proxy may have with clients, and with the backends of each service.
+// connectionLimit returns how many connections a proxy may have with clients, and with the backends of each service.
 func connectionLimit(limits bootstrap.Limits) int {
 	return max(minConnections, (limits.MaxOpenFiles-reservedFiles)/2)
 }
--- a/internal/dataplane/gateway/protocol.go
+++ b/internal/dataplane/gateway/protocol.go
@@ -29,8 +29,8 @@
 	headerSubscriber    = "Subscriber"
 )
 
-// newDialect is how requests are sent to the system's backends, and what their answers mean. healthPath gives the
-// service's path for health checks.
+// newDialect defines how requests are sent to the system's backends, and how their answers are classified. healthPath
+// returns the service's path for health checks.
 func newDialect(healthPath func() string) *httpproxy.Dialect {
 	return &httpproxy.Dialect{
 		AppendAttemptHeaders: func(head []byte, to *engine.Backend, wait time.Duration) []byte {
@@ -54,16 +54,16 @@
 	}
 }
 
-// answersRequest tells whether an answer can be the one to a request. Backends echo its id; an answer without one may be
-// anybody's, as servers write that have not read the request. A health check has no id, and an answer with one is another
-// request's.
+// answersRequest reports whether an answer can belong to a request. Backends echo the request's ID; an answer without
+// an ID may belong to any request, as servers write such answers before they have read one. A health check has no ID, so
+// an answer with one belongs to another request.
 func answersRequest(m *httpproxy.Message, resp *http.Response) bool {
 	id := resp.Header.Get(headerRequestID)
 	return id == "" || id == m.ID
 }
 
-// classifyAnswer tells how an attempt ended by the head of its answer. Only Not-Executed and 421 say that nothing was
-// executed. An answer without the backend's seal is none of the backend's, whatever it says.
+// classifyAnswer returns the result of an attempt by the head of its answer. Only Not-Executed and 421 prove that
+// nothing was executed. An answer without a seal does not come from the backend, whatever its status.
 func classifyAnswer(to *engine.Backend, m *httpproxy.Message, resp *http.Response) balancer.Result {
 	code := resp.StatusCode
 	switch {
--- a/internal/dataplane/gateway/quota.go
+++ b/internal/dataplane/gateway/quota.go
@@ -8,11 +8,10 @@
 	"github.com/valyala/fasthttp"
 )
 
-// unknownTokens stands for the tokens of a request that doesn't say them.
+// unknownTokens stands for the tokens of a request that doesn't state them.
 const unknownTokens = -1
 
-// parseTokens is how many tokens a request counts by the value of its Token-Count: those of the prompt and those that
-// may be generated.
+// parseTokens returns the tokens in a Token-Count value: those of the prompt and those that may be generated.
 func parseTokens(value string) float64 {
 	prompt, output, found := strings.Cut(value, ",")
 	in, badPrompt := strconv.ParseUint(strings.TrimSpace(prompt), 10, 32)
@@ -23,8 +22,8 @@
 	return float64(in) + float64(out)
 }
 
-// countedTokens is how many tokens a request counts by all values of its Token-Count. Backends get each of them, and may go
-// by any: the highest counts.
+// countedTokens returns the tokens of a request by all its Token-Count values. Backends get all of them and may use any,
+// so the highest counts.
 func countedTokens(values [][]byte) float64 {
 	tokens := float64(unknownTokens)
 	for _, value := range values {
@@ -33,7 +32,7 @@
 	return tokens
 }
 
-// acquireQuota takes what the request costs from its tenant's quota. Where that isn't allowed, it answers the request.
+// acquireQuota takes the request's cost from its tenant's quota. If that isn't allowed, it answers the request.
 func (r *clientRequest) acquireQuota(ctx *fasthttp.RequestCtx) (allowed bool) {
 	subscriber := r.tenant.subscriber
 	if r.gateway.quota == nil || subscriber == nil || !subscriber.Limited() {
@@ -54,8 +53,8 @@
 	return false
 }
 
-// refundQuota gives back what a request took that no backend can have run. What its answer promises doesn't say so: an
-// idempotent request may be rejected after an attempt that has run.
+// refundQuota gives back the cost of a request that no backend can have run. The answer doesn't tell: an idempotent
+// request may be rejected after an attempt that has run.
 func (r *clientRequest) refundQuota() {
 	if r.quotaTaken != nil && r.current.neverRan {
 		r.gateway.quota.Refund(r.tenant.subscriber, *r.quotaTaken)
--- a/internal/dataplane/gateway/quotaowners.go
+++ b/internal/dataplane/gateway/quotaowners.go
@@ -16,7 +16,7 @@
 
 var _ QuotaGate = ownerGate{}
 
-// newOwnerGate makes the gate of the proxy on a machine. The owners are those that the state names.
+// newOwnerGate returns the gate of the proxy on a machine. The state names the owners.
 func newOwnerGate(machine *host.Host, state *watch.Store, metrics *vm.Set) ownerGate {
 	return ownerGate{quotaclient.New(quotaclient.Config{
 		Store: state, Dial: machine.Network.Dial,
--- a/internal/dataplane/gateway/refusal.go
+++ b/internal/dataplane/gateway/refusal.go
@@ -11,26 +11,26 @@
 	"marlreel/internal/process/metricserver"
 )
 
-// refusal is why the proxy refuses a request by itself.
+// refusal is the reason why the proxy itself refuses a request.
 type refusal int
 
 // The reasons.
 const (
 	refusedUnauthenticated refusal = iota // its route needs a key, and it has no known one
 	refusedOverQuota                      // its tenant is over its quota
-	refusedQuotaUnknown                   // what is left of its tenant's quota isn't known here
+	refusedQuotaUnknown                   // this proxy doesn't know what is left of its tenant's quota
 )
 
-// refusalNames are the values of the metrics' label (docs/METRICS.md).
+// refusalNames are the values of the metrics' label "reason" (docs/METRICS.md).
 var refusalNames = map[refusal]string{
 	refusedUnauthenticated: "unauthenticated", refusedOverQuota: "over_quota", refusedQuotaUnknown: "quota_unknown",
 }
 
-// refusalLogInterval is the time in which one line goes out on refused tenants, however many there are.
+// refusalLogInterval is the least time between two log lines about refused tenants.
 const refusalLogInterval = 10 * time.Second
 
-// refusalRecorder counts refusals, and logs now and then which tenant is refused. Its methods may be called by any
-// goroutine.
+// refusalRecorder counts refusals, and logs at a limited rate which tenant is refused. Its methods are safe for
+// concurrent use.
 type refusalRecorder struct {
 	counters map[refusal]*vm.Counter
 	log      logr.Logger
@@ -61,11 +61,11 @@
 	}
 }
 
-// lineLimit bounds log lines to one in an interval.
+// lineLimit limits log lines to one per interval.
 type lineLimit struct {
 	interval time.Duration
-	last     time.Time // when the last line went out; zero: never
-	count    int       // of what happened since
+	last     time.Time // when the last line was logged; zero: never
+	count    int       // events since then
 }
 
 // add counts one event. Where a line is due, it returns how many events there were since the last line.
--- a/internal/dataplane/gateway/request.go
+++ b/internal/dataplane/gateway/request.go
@@ -15,20 +15,21 @@
 )
 
 const (
-	// maxPromptParts bounds the parts of a prompt that are looked at.
+	// maxPromptParts bounds the parts of a prompt that are parsed.
 	maxPromptParts = 64
-	// maxRequestTimeout bounds the time that a client may ask for.
+	// maxRequestTimeout bounds the timeout of a request.
 	maxRequestTimeout = 2 * time.Minute
 )
 
-// hopByHop are the headers that are not forwarded (RFC 9110, 7.6.1); framing and time limits are each side's own.
+// hopByHop are the headers that are not forwarded (RFC 9110, 7.6.1). Framing and time limits are set anew for each
+// connection.
 var hopByHop = map[string]bool{
 	"Connection": true, "Proxy-Connection": true, "Keep-Alive": true, "Te": true,
 	"Trailer": true, "Upgrade": true, "Transfer-Encoding": true, "Content-Length": true, "Expect": true, "Host": true,
 	headerRemaining: true, headerExpected: true,
 }
 
-// newMessage encodes a request as backends get it.
+// newMessage encodes a request for backends.
 func newMessage(ctx *fasthttp.RequestCtx, route *configuration.Route, tenant tenancy) *httpproxy.Message {
 	header := &ctx.Request.Header
 	head := make([]byte, 0, 640)
@@ -60,7 +61,7 @@
 	}
 }
 
-// connectionTokens are the headers that concern this connection alone.
+// connectionTokens returns the headers that a Connection header names as hop-by-hop.
 func connectionTokens(value []byte) map[string]bool {
 	if len(value) == 0 {
 		return nil
@@ -73,12 +74,12 @@
 	return named
 }
 
-// normalized is a header's name as fasthttp writes it.
+// normalized returns a header's name in fasthttp's spelling.
 func normalized(key []byte) []byte {
 	return fasthttp.AppendNormalizedHeaderKeyBytes(nil, key)
 }
 
-// resumeMessage is the same message, for a stream that is to go on after an event.
+// resumeMessage returns a copy of a message that asks for the stream after an event.
 func resumeMessage(m *httpproxy.Message, lastEventID string) *httpproxy.Message {
 	next := *m
 	lines := bytes.SplitAfter(m.Head, []byte("\r\n"))
@@ -92,8 +93,8 @@
 	return &next
 }
 
-// parseNeeds gives the model, adapter and tokens that a request names, and its estimated work; nil where it names no
-// model. Numbers that can't be read count as 0, and the prompt ends before a part that can't be read.
+// parseNeeds returns the model, adapter and tokens that a request names, and its estimated work; nil if it names no
+// model. Malformed numbers count as 0, and the prompt ends before the first malformed part.
 func parseNeeds(header *fasthttp.RequestHeader) (*balancer.Needs, time.Duration) {
 	name := string(header.Peek(headerModel))
 	if name == "" {
@@ -107,7 +108,7 @@
 	return needs, routing.EstimateWork(prompt, needs.MaxOutputTokens)
 }
 
-// parsePrompt gives the parts of a prompt: ID:TOKENS, the id hexadecimal, separated by commas.
+// parsePrompt parses the parts of a prompt: ID:TOKENS, the ID in hexadecimal, separated by commas.
 func parsePrompt(value string) []balancer.PromptSegment {
 	var parts []balancer.PromptSegment
 	for part := range strings.SplitSeq(value, ",") {
@@ -128,7 +129,7 @@
 	return parts
 }
 
-// timeout is how long the client waits for its answer: the route's timeout, or less where the client says so.
+// timeout returns how long the client waits for its answer: the route's timeout, or less if the client says so.
 func timeout(header *fasthttp.RequestHeader, route *configuration.Route) time.Duration {
 	wait := route.Timeout()
 	if ms, err := strconv.ParseFloat(string(header.Peek(headerRemaining)), 64); err == nil && ms > 0 {
--- a/internal/dataplane/gateway/requesttrace.go
+++ b/internal/dataplane/gateway/requesttrace.go
@@ -11,15 +11,16 @@
 	"marlreel/internal/process/logevent"
 )
 
-// requestTracer logs attempts that failed and requests that failed or were late, for whoever looks into single
-// requests. It is an engine.Observer, on the engine's goroutine, and is installed only where such lines are wanted.
+// requestTracer logs attempts that failed and requests that failed or were late, for debugging single requests. It is
+// an engine.Observer, called on the engine's goroutine, and is installed only if debug logging is on.
 type requestTracer struct {
 	log logr.Logger
 }
 
 var _ engine.Observer = (*requestTracer)(nil)
 
-// The names of results and verdicts. Those of results are values of the metrics' label (docs/METRICS.md) too.
+// The names of results and verdicts. Names of results are also values of the metrics' label "result"
+// (docs/METRICS.md).
 var (
 	resultNames = map[balancer.Result]string{
 		balancer.OK: "ok", balancer.Error: "error", balancer.Rejected: "full",
@@ -33,10 +34,10 @@
 	}
 )
 
-// forRequest is a logger whose lines name a request with its model and adapter.
+// forRequest returns a logger whose lines have the ID of a request, its model and its adapter.
 func (t *requestTracer) forRequest(c *engine.Call) logr.Logger {
 	log := t.log
-	if m, is := c.Payload.(*httpproxy.Message); is {
+	if m, ok := c.Payload.(*httpproxy.Message); ok {
 		log = log.WithValues(logevent.KeyRequest, m.ID)
 	}
 	if c.Needs != nil {
@@ -45,8 +46,8 @@
 	return log
 }
 
-// rounded is a span as lines show it.
-func rounded(span time.Duration) string { return span.Round(time.Millisecond).String() }
+// rounded formats a duration for log lines.
+func rounded(d time.Duration) string { return d.Round(time.Millisecond).String() }
 
 // OnAttemptEnded implements engine.Observer.
 func (t *requestTracer) OnAttemptEnded(now time.Duration, a *engine.Attempt, end engine.AttemptEnd) {
--- a/internal/dataplane/gateway/routingtable.go
+++ b/internal/dataplane/gateway/routingtable.go
@@ -14,18 +14,18 @@
 	"marlreel/internal/process/logevent"
 )
 
-// routingTable is what requests are routed by. It never changes: another one takes its place.
+// routingTable holds what requests are routed by. It is immutable: an update replaces it.
 type routingTable struct {
-	document *configuration.Document // nil: none has come yet
+	document *configuration.Document // nil: none has been received yet
 	since    time.Time               // when its version came into force here
 	services map[string]*service     // by name
 	loaded   map[modelKey]bool       // models and adapters that some available backend has loaded
 }
 
-// modelKey is a model of a service, or an adapter of it.
+// modelKey identifies a model of a service, or an adapter of that model.
 type modelKey struct{ service, model, adapter string }
 
-// loadedModels are the models and adapters that available backends have loaded.
+// loadedModels returns the models and adapters that available backends have loaded.
 func loadedModels(backends []*api.Backend, evacuated map[string]bool) map[modelKey]bool {
 	loaded := map[modelKey]bool{}
 	for _, b := range backends {
@@ -42,8 +42,8 @@
 	return loaded
 }
 
-// ApplyState puts the state in force that the gateway has watched. Without a configuration, and after the gateway was
-// closed, it does nothing. Services that it starts run until they are stopped, also where ctx ends before.
+// ApplyState makes a new routing table from the newest state. It does nothing without a configuration, or after the
+// gateway was closed. Services that it starts run until they are stopped, even if ctx ends before.
 func (g *Gateway) ApplyState(ctx context.Context) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -70,7 +70,8 @@
 	}
 }
 
-// inForceSince is when a configuration's version came into force: with the table before, or now.
+// inForceSince returns when a configuration's version came into force: with the old table if it has the same version,
+// or now.
 func (g *Gateway) inForceSince(old *routingTable, document *configuration.Document) time.Time {
 	if old.document != nil && old.document.Version == document.Version {
 		return old.since
@@ -78,7 +79,7 @@
 	return time.Now()
 }
 
-// logApplied logs that a later configuration has come into force. The first one is told of with readiness.
+// logApplied logs that a new configuration has come into force. The first one is logged with readiness.
 func (g *Gateway) logApplied(old, next *routingTable) {
 	if old.document == nil || old.document.Version == next.document.Version {
 		return
@@ -88,7 +89,7 @@
 		logevent.KeyRevision, revision, logevent.KeyAge, next.since.Sub(old.since), logevent.KeyFresh, g.state.Fresh(nil))
 }
 
-// readState gives the configuration in force, nil where there is none, and the zones that are evacuated.
+// readState returns the current configuration, nil if there is none, and the evacuated zones.
 func (g *Gateway) readState() (*configuration.Document, map[string]bool) {
 	var document *configuration.Document
 	evacuated := map[string]bool{}
@@ -101,7 +102,7 @@
 	return document, evacuated
 }
 
-// updateServices gives the services of a configuration: those that go on, and those that are started.
+// updateServices returns the services of a configuration: running ones with that configuration, and newly started ones.
 func (g *Gateway) updateServices(ctx context.Context, old *routingTable, document *configuration.Document) map[string]*service {
 	services := map[string]*service{}
 	proxies := g.state.NodeCount()
@@ -114,7 +115,7 @@
 	return services
 }
 
-// updateService configures a service that runs, or starts it; nil: there is none.
+// updateService configures a running service, or starts one; nil if there is none.
 func (g *Gateway) updateService(ctx context.Context, running *service, cfg *configuration.Service, classes []balancer.Class, proxies int) *service {
 	if len(classes) == 0 {
 		return running // its pending requests go on
@@ -131,9 +132,9 @@
 	return started
 }
 
-// updateBackends sets the backends of the services whose membership has changed, and gives the number of all backends.
+// updateBackends sets the backends of the services whose membership has changed, and returns the number of all backends.
 func (g *Gateway) updateBackends(next *routingTable, evacuated map[string]bool) int {
-	// The revisions are read first: what changes meanwhile is set once more.
+	// The revisions are read before the backends: a change in between is then applied again by the next update.
 	versions := map[*service]membershipVersion{}
 	for name, s := range next.services {
 		versions[s] = membershipVersion{set: true, revision: g.state.ServiceRevision(name), evacuated: strings.Join(slices.Sorted(maps.Keys(evacuated)), " ")}
--- a/internal/dataplane/gateway/server.go
+++ b/internal/dataplane/gateway/server.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// defaultIdleTimeout and defaultReadTimeout hold until a configuration says otherwise.
+	// defaultIdleTimeout and defaultReadTimeout apply until a configuration overrides them.
 	defaultIdleTimeout = 15 * time.Second
 	defaultReadTimeout = 15 * time.Second
-	// bodyTimeout is how much longer than its head a request's body may take.
+	// bodyTimeout is added to the header timeout for reading a request's body.
 	bodyTimeout = 10 * time.Second
 	// maxHeaderBytes bounds the head of a request.
 	maxHeaderBytes = 16 << 10
-	// defaultMaxBodyBytes bounds the body of a request until a configuration says otherwise.
+	// defaultMaxBodyBytes bounds the body of a request until a configuration overrides it.
 	defaultMaxBodyBytes = 64 << 20
 )
 
-// newServer makes a server for a handler, with the limits that hold for all.
+// newServer returns a server for a handler, with the limits common to all servers.
 func (g *Gateway) newServer(handler fasthttp.RequestHandler) *fasthttp.Server {
 	return &fasthttp.Server{
 		Handler: handler, NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true,
@@ -31,7 +31,7 @@
 	}
 }
 
-// newFrontServer makes the server for clients.
+// newFrontServer returns the server for clients.
 func (g *Gateway) newFrontServer(maxConnections int) *fasthttp.Server {
 	server := g.newServer(g.endConnectionsWhileDraining(dropDeparted(g.HandleRequest)))
 	server.MaxRequestBodySize = defaultMaxBodyBytes
@@ -40,8 +40,8 @@
 	return server
 }
 
-// dropDeparted drops requests whose client has gone by the time that they were read: while the process was behind with
-// its work they waited in the socket, and no backend is to have them any more. Who leaves later is noticed by the
+// dropDeparted drops requests whose client disconnected before they were read, so that they don't reach a backend: when
+// the process is overloaded, requests wait in the socket's buffer. A client that disconnects later is noticed by the
 // disconnectWatcher.
 func dropDeparted(handler fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
@@ -54,8 +54,8 @@
 	}
 }
 
-// endConnectionsWhileDraining has each answer end its connection from when the proxy drains: clients turn to other proxies
-// then. It is said last, as an answer that takes the place of another one begins with nothing set.
+// endConnectionsWhileDraining makes each answer of a draining proxy close its connection, so that clients move to other
+// proxies. The flag is set after the handler, because an answer that replaces another one resets all flags.
 func (g *Gateway) endConnectionsWhileDraining(handler fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		handler(ctx)
@@ -65,7 +65,7 @@
 	}
 }
 
-// requestConfig bounds a request by the configuration in force.
+// requestConfig returns the limits on a request from the current configuration.
 func (g *Gateway) requestConfig(*fasthttp.RequestHeader) fasthttp.RequestConfig {
 	document := g.table.Load().document
 	if document == nil {
@@ -78,7 +78,7 @@
 	}
 }
 
-// discardLogger drops the server's lines on single connections: broken ones are usual.
+// discardLogger drops the server's log lines about single connections: broken connections are common.
 type discardLogger struct{}
 
 var _ fasthttp.Logger = discardLogger{}
--- a/internal/dataplane/gateway/service.go
+++ b/internal/dataplane/gateway/service.go
@@ -22,7 +22,7 @@
 )
 
 // service is what a proxy runs for one service: the engine with its balancer, the connections to the backends, and
-// the balancer's advisor, which belongs to the engine's goroutine.
+// the balancer's advisor, which only the engine's goroutine may use.
 type service struct {
 	name         string
 	servesModels bool // its backends load models
@@ -32,23 +32,23 @@
 	budgets      SharedBudgets
 	healthPath   atomic.Pointer[string]
 	cancel       context.CancelFunc
-	hurry        <-chan struct{} // closed when a stop is to wait for no request
+	hurry        <-chan struct{} // once closed, stop waits for no request
 	rank, zone   int
 
-	// What is in force, under the gateway's lock for updates.
+	// What was applied last; guarded by Gateway.mu.
 	proxies    int
 	classes    []balancer.Class
 	membership membershipVersion
 }
 
-// membershipVersion is what the backends in force were set by.
+// membershipVersion identifies the state from which a service's backends were set.
 type membershipVersion struct {
 	set       bool
 	revision  uint64 // of the service's backends
-	evacuated string // the zones
+	evacuated string // the evacuated zones, sorted
 }
 
-// warmupConfig is what backends that have just started bear.
+// warmupConfig returns the limits of requests to backends that have just started.
 func (b SharedBudgets) warmupConfig(cfg *configuration.Service) budgetshare.WarmupConfig {
 	return budgetshare.WarmupConfig{PerSecond: cfg.WarmupRequestsPerS, Excess: b.WarmupExcess, Slack: b.WarmupSlack}
 }
@@ -57,8 +57,8 @@
 	return routing.BalancerConfig(s.classes, s.proxies, s.rank, s.zone, s.advisor)
 }
 
-// newService starts a service. It needs at least one class. It runs until stop, also where ctx ends before; from then on
-// stop waits for no request.
+// newService starts a service, which needs at least one class. The service runs until stop is called, even if ctx ends
+// before; once ctx has ended, stop waits for no request.
 func (g *Gateway) newService(ctx context.Context, cfg *configuration.Service, classes []balancer.Class, proxies int) (*service, error) {
 	s := &service{
 		name: cfg.Name, servesModels: cfg.Engine != nil, classes: classes, proxies: proxies, rank: g.identity.rank(),
@@ -97,11 +97,11 @@
 	return s, nil
 }
 
-// callsInterval is how often a service that stops looks whether its backends are done.
+// callsInterval is how often a stopping service checks whether calls are still open.
 const callsInterval = 50 * time.Millisecond
 
-// stop ends the service, and waits for its engine: once its backends have answered what they work on, where there is time
-// for that. What is pending then fails.
+// stop stops the service and waits for its engine. Backends first get time to answer pending requests (awaitCalls);
+// requests that are still pending then fail.
 func (s *service) stop() {
 	s.awaitCalls()
 	failed := make(chan struct{})
@@ -115,8 +115,8 @@
 	<-s.engine.Done()
 }
 
-// awaitCalls takes the service's backends away, so that nothing more is sent to them, and waits until those that have
-// requests are done, or there is no time for that.
+// awaitCalls removes the service's backends, so that nothing more is sent to them, and waits until no call is open,
+// maxRequestTimeout is over or the process is shutting down.
 func (s *service) awaitCalls() {
 	s.engine.Post(func() {
 		s.engine.ApplyMembership(engine.Membership{Kind: balancer.MembershipFull})
@@ -124,12 +124,12 @@
 	})
 	ticker := time.NewTicker(callsInterval)
 	defer ticker.Stop()
-	late := time.NewTimer(maxRequestTimeout)
-	defer late.Stop()
+	deadline := time.NewTimer(maxRequestTimeout)
+	defer deadline.Stop()
 	for s.openCalls() > 0 {
 		select {
 		case <-ticker.C:
-		case <-late.C:
+		case <-deadline.C:
 			return
 		case <-s.hurry:
 			return
@@ -137,14 +137,14 @@
 	}
 }
 
-// openCalls is how many calls the engine has. It runs.
+// openCalls returns the number of open calls. The engine must be running.
 func (s *service) openCalls() int {
 	calls := make(chan int, 1)
 	s.engine.Post(func() { calls <- s.engine.OpenCalls() })
 	return <-calls
 }
 
-// configure puts another configuration in force.
+// configure applies a new configuration.
 func (s *service) configure(cfg *configuration.Service, classes []balancer.Class, proxies int, log logr.Logger) {
 	s.healthPath.Store(&cfg.HealthPath)
 	warmup := s.budgets.warmupConfig(cfg)
@@ -161,7 +161,7 @@
 	})
 }
 
-// setBackends sets the service's backends among all backends.
+// setBackends selects the service's backends from all backends and passes them to the engine and the advisor.
 func (s *service) setBackends(all []*api.Backend, self identity, evacuated map[string]bool) {
 	list := engine.Membership{Kind: balancer.MembershipFull}
 	for _, b := range all {
@@ -183,7 +183,7 @@
 	})
 }
 
-// advisedBackends are the service's backends as its advisor knows them. Only on the engine's goroutine.
+// advisedBackends returns the service's backends as the advisor takes them. Only the engine's goroutine may call it.
 func (s *service) advisedBackends(all []*api.Backend) []routing.Backend {
 	var advised []routing.Backend
 	for _, b := range all {
@@ -203,13 +203,13 @@
 	return advised
 }
 
-// setSharers tells the budgets who shares them.
+// setSharers sets the proxies that share the budgets.
 func (s *service) setSharers(names []string, fresh bool) {
 	s.engine.Post(func() { s.advisor.SetSharers(s.engine.Now(), names, fresh) })
 }
 
 // takeRetry takes one retry from the budget for a call whose answer broke off, unless maxRuns backends may have run it
-// already. It gives how many have.
+// already. runs is how many may have.
 func (s *service) takeRetry(c *call, maxRuns int) (runs int, taken bool) {
 	type result struct {
 		runs  int
--- a/internal/dataplane/gateway/streaming.go
+++ b/internal/dataplane/gateway/streaming.go
@@ -14,30 +14,30 @@
 )
 
 const (
-	// streamBuffer is how much of a stream is read at a time, bytes.
+	// streamBuffer is how much of a stream is read at a time, in bytes.
 	streamBuffer = 4 << 10
-	// maxBufferedEvent bounds an event that is buffered until it is complete, bytes.
+	// maxBufferedEvent bounds the part of an incomplete event that is buffered, in bytes.
 	maxBufferedEvent = 1 << 20
 )
 
-// errStreamBroken says that a stream ended before its end and could not be resumed.
-var errStreamBroken = eris.New("the stream broke off")
+// errStreamBroken says that a stream broke off and could not be resumed.
+var errStreamBroken = eris.New("event stream broke off and could not be resumed")
 
 var (
 	eventEnd = []byte("\n\n")
 	idField  = []byte("id:")
 )
 
-// eventStream passes a stream of server-sent events (WHATWG HTML, 9.2) on, event by event: an incomplete event is
+// eventStream forwards a stream of server-sent events (WHATWG HTML, 9.2) event by event. An incomplete event is
 // buffered, so that a stream that breaks off can be resumed by another backend, after the last event that the client
 // has.
 type eventStream struct {
 	request     *clientRequest
-	reply       *httpproxy.Reply // nil after a resumption that failed
-	stopWatch   func()           // of the reply
+	reply       *httpproxy.Reply // nil after a failed resumption
+	stopWatch   func()           // of the reply's breakOnDisconnect
 	readBuffer  []byte
-	buffered    []byte // read and not yet passed on
-	deliverable int    // bytes of buffered that may be passed on
+	buffered    []byte // read and not yet forwarded
+	deliverable int    // bytes of buffered that may be forwarded
 	lastEventID string
 	ended       bool // the backend's answer is complete
 	closed      bool
@@ -51,8 +51,8 @@
 	return s
 }
 
-// breakOnDisconnect ends the reading of a reply when the client has disconnected. stop ends the watch and waits for
-// its goroutine; it may be called more than once.
+// breakOnDisconnect aborts the reading of a reply when the client disconnects. stop ends the watch and waits for its
+// goroutine; it may be called more than once.
 func (r *clientRequest) breakOnDisconnect(reply *httpproxy.Reply) (stop func()) {
 	stopped := make(chan struct{})
 	var watch sync.WaitGroup
@@ -95,7 +95,7 @@
 	return n, nil
 }
 
-// scanEvents finds how much of what is buffered are complete events, and the last one's id.
+// scanEvents finds how much of the buffer are complete events, and the ID of the last one.
 func (s *eventStream) scanEvents() {
 	end := bytes.LastIndex(s.buffered, eventEnd)
 	if end < 0 {
@@ -110,8 +110,8 @@
 	s.deliverable = len(complete)
 }
 
-// mayResume tells whether a stream that broke off may be resumed, and takes a retry from the budget. It gives how many
-// backends have run the request.
+// mayResume reports whether a stream that broke off may be resumed, and takes a retry from the budget if so. runs is how
+// many backends may have run the request.
 func (s *eventStream) mayResume() (runs int, may bool) {
 	r := s.request
 	if !r.route.Resumable || s.lastEventID == "" {
@@ -123,7 +123,8 @@
 	return r.service.takeRetry(r.current, r.route.AttemptLimit())
 }
 
-// resume has a stream that broke off continued by another backend, where its route allows that.
+// resume continues a stream that broke off with another backend, if its route allows that. It reports whether that
+// succeeded.
 func (s *eventStream) resume() bool {
 	runs, may := s.mayResume()
 	if !may {
@@ -140,8 +141,8 @@
 	}
 	next.PriorRuns = runs
 	answer := r.execute(next)
-	reply, is := answer.Reply.(*httpproxy.Reply)
-	if !is {
+	reply, ok := answer.Reply.(*httpproxy.Reply)
+	if !ok {
 		return false
 	}
 	if answer.Verdict != engine.Served || !reply.Streaming() {
@@ -153,7 +154,7 @@
 	return true
 }
 
-// Close implements io.Closer: the answer is over, complete or not.
+// Close implements io.Closer, whether or not the answer is complete.
 func (s *eventStream) Close() error {
 	if s.closed {
 		return nil
