--- a/internal/dataplane/gateway/authentication_test.go
+++ b/internal/dataplane/gateway/authentication_test.go
@@ -15,7 +15,7 @@
 	"marlreel/internal/controlplane/configuration"
 )
 
-// documentOf is a configuration with some fields beside two routes, the second of which needs no key.
+// documentOf returns a configuration with the given fields and two routes, the second of which needs no key.
 func documentOf(t testing.TB, fields string) *configuration.Document {
 	t.Helper()
 	document, err := configuration.Decode([]byte(`{"config_version":1,` + fields + `"route_list":[
@@ -72,8 +72,8 @@
 	}
 }
 
-// sentHead is the head that backends get of a request with some headers, as they read it; authorized is false where
-// none is sent.
+// sentHead returns the header that backends read of a request with some headers; authorized is false if the request is
+// not forwarded.
 func sentHead(t *rapid.T, document *configuration.Document, path string, headers [][2]string) (_ http.Header, authorized bool) {
 	ctx := &fasthttp.RequestCtx{}
 	ctx.Request.Header.SetMethod(http.MethodPost)
@@ -144,13 +144,13 @@
 	is.Equal(tenancy{subscriber: &configuration.Subscriber{Priority: &urgent}}.priority(route), 0)
 }
 
-// Balancer classes are those of routes, however many tenants have priorities of their own.
+// Balancer classes depend on routes alone, however many tenants have priorities of their own.
 func TestClassesDoNotMultiplyByTenants(t *testing.T) {
 	is := is.New(t)
 	is.Equal(classesOf(documentOf(t, `"subscribers":[{"name":"a","priority":1},{"name":"b","priority":2}],`), "s"), classesOf(documentOf(t, ""), "s"))
 }
 
-// benchmarkAdmission is what the proxy does with a request's head before the engine gets it.
+// benchmarkAdmission measures what the proxy does with a request's head before the engine gets it.
 func benchmarkAdmission(b *testing.B, fields, key string) {
 	document := documentOf(b, fields)
 	ctx := &fasthttp.RequestCtx{}
@@ -176,7 +176,7 @@
 
 func BenchmarkAdmissionWithoutKey(b *testing.B) { benchmarkAdmission(b, "", "") }
 
-// Beside BenchmarkAdmissionWithoutKey it says what a key costs, among some thousand tenants.
+// Compared with BenchmarkAdmissionWithoutKey it shows what a key costs, among some thousand tenants.
 func BenchmarkAdmissionWithKey(b *testing.B) {
 	const tenants = 4000
 	var list bytes.Buffer
--- a/internal/dataplane/gateway/cause_test.go
+++ b/internal/dataplane/gateway/cause_test.go
@@ -22,26 +22,26 @@
 		timeline timeline
 		want     cause
 	}{
-		"in time":                      {sent(11*ms, 11*ms, 110*ms), causeNone},
-		"a backend that is slow":       {sent(11*ms, 11*ms, 111*ms), causeBackend},
-		"its turn came late":           {sent(200*ms, 200*ms, 300*ms), causeQueued},
-		"a model was loaded":           {with(sent(200*ms, 200*ms, 300*ms), func(l *timeline) { l.modelLoaded = false }), causeNotLoaded},
-		"a model was loaded, and slow": {with(sent(50*ms, 50*ms, 300*ms), func(l *timeline) { l.modelLoaded = false }), causeBackend},
-		"the first backend died":       {sent(11*ms, 200*ms, 300*ms), causeRetried},
-		"all attempts failed":          {with(sent(11*ms, 20*ms, 30*ms), func(l *timeline) { l.verdict = engine.Failed }), causeFailed},
-		"out of time at a backend":     {with(sent(11*ms, 20*ms, 300*ms), func(l *timeline) { l.verdict = engine.TimedOut }), causeFailed},
-		"out of time, never sent": {
+		"in time":                {sent(11*ms, 11*ms, 110*ms), causeNone},
+		"slow backend":           {sent(11*ms, 11*ms, 111*ms), causeBackend},
+		"queued for long":        {sent(200*ms, 200*ms, 300*ms), causeQueued},
+		"model not loaded":       {with(sent(200*ms, 200*ms, 300*ms), func(l *timeline) { l.modelLoaded = false }), causeNotLoaded},
+		"model not loaded, slow": {with(sent(50*ms, 50*ms, 300*ms), func(l *timeline) { l.modelLoaded = false }), causeBackend},
+		"first backend failed":   {sent(11*ms, 200*ms, 300*ms), causeRetried},
+		"all attempts failed":    {with(sent(11*ms, 20*ms, 30*ms), func(l *timeline) { l.verdict = engine.Failed }), causeFailed},
+		"timed out at a backend": {with(sent(11*ms, 20*ms, 300*ms), func(l *timeline) { l.verdict = engine.TimedOut }), causeFailed},
+		"timed out unsent": {
 			timeline{modelLoaded: true, verdict: engine.TimedOut, latencyTarget: 100 * ms, answered: 300 * ms},
 			causeQueued,
 		},
 		"rejected at once": {timeline{modelLoaded: true, verdict: engine.Rejected, latencyTarget: 100 * ms, answered: ms}, causeRejected},
 		"rejected late":    {timeline{modelLoaded: true, verdict: engine.Rejected, latencyTarget: 100 * ms, answered: 300 * ms}, causeRejected},
-		"the client left early": {
+		"client disconnected early": {
 			with(sent(11*ms, 11*ms, 50*ms), func(l *timeline) { l.cancelled = true }),
 			causeCancelled,
 		},
-		"the client left after the target": {with(sent(11*ms, 11*ms, 500*ms), func(l *timeline) { l.cancelled = true }), causeBackend},
-		"the client left, not loaded": {
+		"client disconnected after the target": {with(sent(11*ms, 11*ms, 500*ms), func(l *timeline) { l.cancelled = true }), causeBackend},
+		"client disconnected, model not loaded": {
 			timeline{cancelled: true, latencyTarget: 100 * ms, answered: 300 * ms},
 			causeNotLoaded,
 		},
--- a/internal/dataplane/gateway/class.go
+++ b/internal/dataplane/gateway/class.go
@@ -9,9 +9,9 @@
 	"marlreel/internal/controlplane/configuration"
 )
 
-// lateShare is the share of its value that a late answer earns. The configuration has no key for it. With a lower one,
+// lateValueRatio is the share of its value that a late answer earns. The configuration has no key for it. With a lower one,
 // requests that are going to be late would be rejected.
-const lateShare = 0.6
+const lateValueRatio = 0.6
 
 // classKey identifies the class of a route by all that decisions on its requests depend on.
 type classKey struct {
@@ -38,7 +38,7 @@
 		target = r.Timeout()
 	}
 	class := balancer.Class{
-		Name: className(r), LatencyTarget: target, ClientTimeout: maxRequestTimeout, LateValueRatio: lateShare, Value: 1,
+		Name: className(r), LatencyTarget: target, ClientTimeout: maxRequestTimeout, LateValueRatio: lateValueRatio, Value: 1,
 		Generates: r.Streaming(), MaxRuns: r.AttemptLimit(),
 	}
 	if r.Idempotent() {
--- a/internal/dataplane/gateway/compatibility_test.go
+++ b/internal/dataplane/gateway/compatibility_test.go
@@ -14,14 +14,14 @@
 )
 
 // The files under testdata/compatibility were written by the code of commit 6fb9894, with
-// WRITE_COMPATIBILITY=1. They hold forms that other processes, backends and operators rely on.
-// They must not be written anew to get a pass.
+// WRITE_COMPATIBILITY=1. They hold formats that other processes, backends and operators rely on.
+// They must not be regenerated to make a test pass.
 
-// Exchanges of clients and backends with a proxy are recorded with the tests of the simulated
-// cluster (simcluster), where such a process runs as a whole.
+// What clients and backends exchange with a proxy is recorded by the tests of the simulated cluster
+// (simcluster), where the whole process runs.
 
-// What backends answer is understood by the headers and statuses of the pages. The meanings are the
-// words of marlreel_attempts_total.
+// Answers of backends are classified by their documented headers and statuses. The results are
+// label values of marlreel_attempts_total.
 func TestCompatibilityOfAnswers(t *testing.T) {
 	backend := &engine.Backend{Name: "i-7f3a91c2", Addr: "10.3.0.1:9000"}
 	var out strings.Builder
@@ -40,49 +40,49 @@
 				t.Fatal(err)
 			}
 			response.Body.Close()
-			meaning := newDialect(func() string { return "/health" }).Judge(backend, &httpproxy.Message{HealthCheck: probe}, response)
-			fmt.Fprintf(&out, "probe %t | %s | %s\n", probe, strings.ReplaceAll(head, "\n", " | "), resultNames[meaning])
+			result := newDialect(func() string { return "/health" }).Judge(backend, &httpproxy.Message{HealthCheck: probe}, response)
+			fmt.Fprintf(&out, "probe %t | %s | %s\n", probe, strings.ReplaceAll(head, "\n", " | "), resultNames[result])
 		}
 	}
 	recorded.Check(t, "answers.txt", out.String())
 }
 
-// Requests to backends carry the headers of the pages, and probes go to the service's path.
+// Requests to backends carry the documented headers, and health checks go to the service's path.
 func TestCompatibilityOfHeads(t *testing.T) {
 	backend := &engine.Backend{Name: "i-7f3a91c2", Addr: "10.3.0.1:9000"}
 	dialect := newDialect(func() string { return "/health" })
-	bounds := dialect.AppendAttemptHeaders([]byte("POST /chat/2f HTTP/1.1\r\n"), backend, 1234*time.Millisecond)
-	probe := dialect.HealthCheck(backend)
-	text := fmt.Sprintf("%s\n%s %t\n%s", bounds, probe.Method, probe.HealthCheck, probe.Head)
+	head := dialect.AppendAttemptHeaders([]byte("POST /chat/2f HTTP/1.1\r\n"), backend, 1234*time.Millisecond)
+	check := dialect.HealthCheck(backend)
+	text := fmt.Sprintf("%s\n%s %t\n%s", head, check.Method, check.HealthCheck, check.Head)
 	recorded.Check(t, "heads.txt", strings.ReplaceAll(text, "\r\n", "\n"))
 
-	for id, mine := range map[string]bool{"9c41d07be2a35f68": true, "": true, "other": false} {
+	for id, want := range map[string]bool{"9c41d07be2a35f68": true, "": true, "other": false} {
 		response := &http.Response{Header: http.Header{}}
 		if id != "" {
 			response.Header.Set("Request-Id", id)
 		}
-		if got := dialect.Matches(&httpproxy.Message{ID: "9c41d07be2a35f68"}, response); got != mine {
-			t.Errorf("an answer with the id %q counts as that of the request: %t", id, got)
+		if got := dialect.Matches(&httpproxy.Message{ID: "9c41d07be2a35f68"}, response); got != want {
+			t.Errorf("answer with the id %q matches the request: %t", id, got)
 		}
 	}
 }
 
-// A health check bears no id: an answer with one is another request's, however good it looks.
+// A health check has no ID: an answer with one belongs to another request, even if the rest of it matches.
 func TestHealthCheckTakesNoOtherAnswer(t *testing.T) {
 	dialect := newDialect(func() string { return "/health" })
 	check := dialect.HealthCheck(&engine.Backend{Name: "i-7f3a91c2", Addr: "10.3.0.1:9000"})
-	for id, mine := range map[string]bool{"": true, "9c41d07be2a35f68": false} {
+	for id, want := range map[string]bool{"": true, "9c41d07be2a35f68": false} {
 		response := &http.Response{Header: http.Header{}}
 		if id != "" {
 			response.Header.Set(headerRequestID, id)
 		}
-		if got := dialect.Matches(check, response); got != mine {
-			t.Errorf("an answer with the id %q counts as the health check's: %t", id, got)
+		if got := dialect.Matches(check, response); got != want {
+			t.Errorf("answer with the id %q matches the health check: %t", id, got)
 		}
 	}
 }
 
-// Labels have the words that they had.
+// Label values stay as they were recorded.
 func TestCompatibilityOfLabels(t *testing.T) {
 	var out strings.Builder
 	fmt.Fprintf(&out, "beyond the bounds: %s\n", otherLabel)
--- a/internal/dataplane/gateway/disconnect_test.go
+++ b/internal/dataplane/gateway/disconnect_test.go
@@ -13,7 +13,7 @@
 	"marlreel/internal/testutil"
 )
 
-// connected gives the two ends of a connection.
+// connected returns the two ends of a connection.
 func connected(t *testing.T) (client, conn net.Conn) {
 	t.Helper()
 	is := is.New(t)
@@ -31,20 +31,20 @@
 	return client, conn
 }
 
-// Guards against requests that reach a backend though their client left before they were read, as on a machine that is
-// behind with its work.
+// Guards against requests that reach a backend although their client disconnected before they were read, as happens on
+// an overloaded machine.
 func TestRequestOfADepartedClientIsDropped(t *testing.T) {
 	is := is.New(t)
 	g := New(Config{Name: "edge-1", BodyBytes: 1 << 20, Log: logr.Discard()}, watch.New("edge-1", time.Now))
 	handle := g.newFrontServer(1).Handler
 	client, conn := connected(t)
-	here := &fasthttp.RequestCtx{}
-	here.Init2(conn, nil, true)
-	handle(here)
-	is.True(!here.Hijacked())
-	is.Equal(here.Response.StatusCode(), fasthttp.StatusServiceUnavailable) // there is no configuration
+	present := &fasthttp.RequestCtx{}
+	present.Init2(conn, nil, true)
+	handle(present)
+	is.True(!present.Hijacked())
+	is.Equal(present.Response.StatusCode(), fasthttp.StatusServiceUnavailable) // there is no configuration
 	is.NoErr(client.Close())
-	testutil.Eventually(t, "the client's end", func() bool {
+	testutil.Eventually(t, "the request of the disconnected client to be dropped", func() bool {
 		departed := &fasthttp.RequestCtx{}
 		departed.Init2(conn, nil, true)
 		handle(departed)
@@ -52,8 +52,8 @@
 	})
 }
 
-// Guards against backends that work on for clients that have gone: the deadline for reading the request, still set while
-// its answer was made, ended the watch for a client that left later than that.
+// Guards against backends that go on working for disconnected clients: the deadline for reading the request was still
+// set while its answer was produced, and ended the watch before the client disconnected.
 func TestDisconnectIsNoticedAfterTheDeadlineOfTheRequest(t *testing.T) {
 	is := is.New(t)
 	client, conn := connected(t)
@@ -64,6 +64,6 @@
 	select {
 	case <-watcher.disconnected:
 	case <-time.After(testutil.Patience):
-		t.Error("nobody noticed that the client has gone")
+		t.Error("the watcher did not notice that the client disconnected")
 	}
 }
--- a/internal/dataplane/gateway/drain.go
+++ b/internal/dataplane/gateway/drain.go
@@ -19,8 +19,8 @@
 	// maxUnsentWait is how long a request may wait unsent in a draining proxy before it is rejected, so that its client
 	// retries at another proxy.
 	maxUnsentWait = 300 * time.Millisecond
-	// drainInterval is how often a draining proxy checks whether it is idle.
-	drainInterval = 50 * time.Millisecond
+	// drainPollInterval is how often a draining proxy checks whether it is idle.
+	drainPollInterval = 50 * time.Millisecond
 )
 
 // drain shuts the proxy down gracefully: it makes clients move to other proxies, and waits until all client connections
@@ -32,7 +32,7 @@
 	ctx = context.WithoutCancel(ctx)
 	draining, cancel := context.WithDeadline(ctx, began.Add(grace-drainMargin))
 	defer cancel()
-	ticker := time.NewTicker(drainInterval)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for draining.Err() == nil && (time.Since(began) < readinessDelay || front.GetOpenConnectionsCount() > 0) {
 		select {
--- a/internal/dataplane/gateway/drain_test.go
+++ b/internal/dataplane/gateway/drain_test.go
@@ -11,8 +11,8 @@
 	"marlreel/internal/distribution/watch"
 )
 
-// Guards against clients that are refused again and again on a connection to a proxy that shuts down: the proxy's own
-// answers lost the word that the connection ends.
+// Guards against clients that are refused again and again on a connection to a draining proxy: the proxy's own answers
+// had lost "Connection: close".
 func TestEachAnswerOfADrainingProxyEndsItsConnection(t *testing.T) {
 	is := is.New(t)
 	g := New(Config{Name: "edge-1", BodyBytes: 1 << 20, Log: logr.Discard()}, watch.New("edge-1", time.Now))
--- a/internal/dataplane/gateway/fairness_test.go
+++ b/internal/dataplane/gateway/fairness_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// tenantTraffic is what a tenant sends in a test, and what of it was served.
+// tenantTraffic is the traffic of a tenant in a test, and how much of it was served.
 type tenantTraffic struct {
 	key      string
 	interval time.Duration // between two requests
@@ -17,7 +17,7 @@
 	sent, served int
 }
 
-// run sends requests for a time, each over a connection of its own, and returns once all have their answers.
+// run sends requests for span, each over a connection of its own, and returns once all are answered.
 func (w *tenantTraffic) run(h *harness, span time.Duration) {
 	var open sync.WaitGroup
 	for range int(span / w.interval) {
@@ -37,10 +37,11 @@
 
 func (w *tenantTraffic) servedRatio() float64 { return float64(w.served) / float64(w.sent) }
 
-// Guards against Starved: a tenant beside one that floods is served at about the rate of all requests.
+// Guards against starvation: beside a tenant that floods the service, the served share of another tenant's requests is
+// about that of all requests.
 func TestFloodOfOneTenantStarvesNoOther(t *testing.T) {
 	const span = 8 * time.Second
-	runGateway(t, documentOf(t, limited), nil, func(h *harness) {
+	runGateway(t, documentOf(t, limitedTenants), nil, func(h *harness) {
 		is := is.New(h.t)
 		h.addBackend() // 6 slots of 20 ms: 300 requests a second
 		flood := &tenantTraffic{key: "k1", interval: time.Second / 1000}
@@ -51,7 +52,7 @@
 		running.Wait()
 		ofAll := float64(flood.served+other.served) / float64(flood.sent+other.sent)
 		h.t.Logf("served: flood %.2f, other %.2f, all %.2f", flood.servedRatio(), other.servedRatio(), ofAll)
-		is.True(ofAll < 0.5)                    // it is overloaded
-		is.True(other.servedRatio() >= ofAll/2) // the rule allows a quarter
+		is.True(ofAll < 0.5)                    // the service is overloaded
+		is.True(other.servedRatio() >= ofAll/2) // stricter than the fairness rule, which allows a quarter
 	})
 }
--- a/internal/dataplane/gateway/harness_test.go
+++ b/internal/dataplane/gateway/harness_test.go
@@ -39,10 +39,10 @@
 	lines   []string // of the gateway's log
 }
 
-// fasthttp starts a goroutine for the time of day with its first response, and never ends it: outside of any bubble.
+// fasthttp's first response starts a clock goroutine that never ends. It has to be started outside any synctest bubble.
 func init() {
 	var first fasthttp.Response
-	_, _ = first.WriteTo(io.Discard) // discarding can't fail
+	_, _ = first.WriteTo(io.Discard) // writing to io.Discard can't fail
 }
 
 // runGateway runs a test on a gateway with a configuration and a gate for quotas. Its service has no backend yet.
@@ -58,7 +58,7 @@
 		edge := h.net.Machine("10.1.0.1")
 		h.gateway = New(Config{Dial: edge.Dial, Name: "edge-1", Zone: "z", Zones: []string{"z"}, BodyBytes: 1 << 20, MaxConnections: 64, Quota: gate, Log: log},
 			watch.New("edge-1", time.Now))
-		h.putInForce(document)
+		h.applyDocument(document)
 		server := h.gateway.newFrontServer(64)
 		listener, err := edge.Listen(frontAddress)
 		if err != nil {
@@ -67,7 +67,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		h.backend = fakesystem.NewBackend(fakesystem.BackendConfig{
 			ID: "i-1", Service: "s", Address: backendAddress, Zone: "z", Slots: 6, RequestTime: 20 * time.Millisecond, HeartbeatInterval: time.Second,
-			Controls: func() []string { return []string{"10.3.0.1:8082"} }, // nobody is there
+			Controls: func() []string { return []string{"10.3.0.1:8082"} }, // nothing listens there
 		}, h.net.Machine("10.2.0.1"))
 		var running sync.WaitGroup
 		running.Go(func() { _ = server.Serve(listener) })
@@ -83,8 +83,8 @@
 	})
 }
 
-// putInForce puts a configuration in force whose service is s.
-func (h *harness) putInForce(document *configuration.Document) {
+// applyDocument applies a configuration that has the service s.
+func (h *harness) applyDocument(document *configuration.Document) {
 	h.t.Helper()
 	started, err := h.gateway.newService(context.Background(), document.Service("s"), classesOf(document, "s"), 1)
 	if err != nil {
@@ -94,7 +94,7 @@
 	h.gateway.table.Store(&routingTable{document: document, services: map[string]*service{"s": started}})
 }
 
-// addBackend lets the service have its backend.
+// addBackend gives the service its backend.
 func (h *harness) addBackend() {
 	h.service.setBackends([]*api.Backend{{Id: "i-1", Service: "s", Address: backendAddress, Zone: "z", Slots: 6}}, h.gateway.identity, nil)
 	time.Sleep(time.Second)
@@ -139,7 +139,7 @@
 	return h.read(conn)
 }
 
-// loggedLines are the gateway's log lines so far.
+// loggedLines returns the gateway's log lines so far.
 func (h *harness) loggedLines() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/dataplane/gateway/metrics_test.go
+++ b/internal/dataplane/gateway/metrics_test.go
@@ -10,7 +10,7 @@
 	"marlreel/internal/distribution/watch"
 )
 
-// However many services configurations bring in time, metrics are bounded.
+// Metrics are bounded, however many services configurations add over time.
 func TestMeteredServicesAreBounded(t *testing.T) {
 	is := is.New(t)
 	g := New(Config{Name: "edge-1", BodyBytes: 1 << 20, Log: logr.Discard()}, watch.New("edge-1", nil))
@@ -19,5 +19,5 @@
 		is.Equal(g.metricsLabel(name), name)
 	}
 	is.Equal(g.metricsLabel("one-more"), otherLabel)
-	is.Equal(g.metricsLabel("s7"), "s7") // those that were counted are counted on
+	is.Equal(g.metricsLabel("s7"), "s7") // known services keep their label
 }
--- a/internal/dataplane/gateway/quota_refund_test.go
+++ b/internal/dataplane/gateway/quota_refund_test.go
@@ -13,8 +13,8 @@
 	"marlreel/internal/api"
 )
 
-// breakOff reads requests of a connection and ends it after the first one that is no health check, without an answer.
-func breakOff(conn net.Conn, received chan<- string) {
+// closeUnanswered answers health checks on a connection, and closes it without an answer at the first other request.
+func closeUnanswered(conn net.Conn, received chan<- string) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -30,10 +30,11 @@
 	}
 }
 
-// Guards against QUOTA by refunds of what ran: a safe request whose backend broke off may be refused, but has counted.
+// Guards against exceeding a quota by refunds for requests that ran: a safe request whose backend closed the connection
+// may be refused, but counts.
 func TestRefusedRequestThatMayHaveRunIsNotRefunded(t *testing.T) {
 	gate := &fakeGate{}
-	document := documentOf(t, limited)
+	document := documentOf(t, limitedTenants)
 	for i := range document.Routes {
 		document.Routes[i].Class = "safe"
 	}
@@ -50,7 +51,7 @@
 				if err != nil {
 					return
 				}
-				go breakOff(conn, received)
+				go closeUnanswered(conn, received)
 			}
 		}()
 		h.service.setBackends([]*api.Backend{{Id: "i-2", Service: "s", Address: address, Zone: "z", Slots: 6}}, h.gateway.identity, nil)
--- a/internal/dataplane/gateway/quota_test.go
+++ b/internal/dataplane/gateway/quota_test.go
@@ -15,14 +15,14 @@
 	"marlreel/internal/dataplane/engine"
 )
 
-// fakeGate is a QuotaGate that records its calls, and decides all of them alike.
+// fakeGate is a QuotaGate that records its calls, and gives all of them the same verdict.
 type fakeGate struct {
 	verdict    QuotaVerdict
 	retryAfter time.Duration
 
 	mu      sync.Mutex
 	taken   []float64 // costs, in order
-	refunds []float64 // the same
+	refunds []float64 // costs, in order
 	tenants map[string]int
 }
 
@@ -45,15 +45,15 @@
 	f.refunds = append(f.refunds, decision.Cost)
 }
 
-// refunded are the costs of all refunds so far.
+// refunded returns the costs of all refunds so far.
 func (f *fakeGate) refunded() []float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.refunds)
 }
 
-// limited lists a tenant with a quota of tokens, one with a quota of requests and one without any.
-const limited = `"subscribers":[
+// limitedTenants lists a tenant with a quota of tokens, one with a quota of requests and one without any.
+const limitedTenants = `"subscribers":[
 	{"name":"harbor","access_keys":["k1"],"unit":"token_metering","raw_tokens":700,"rate_per_s":1000,"burst_size":5000},
 	{"name":"quay","access_keys":["k2"],"rate_per_s":10},{"name":"pier","access_keys":["k3"]}],`
 
@@ -69,10 +69,10 @@
 	}
 }
 
-// Guards against QUOTA by a request that says its tokens twice, once too low.
+// Guards against exceeding a quota with a request that states its tokens twice, once too low.
 func TestHighestOfSeveralTokenCountsCounts(t *testing.T) {
 	gate := &fakeGate{}
-	runGateway(t, documentOf(t, limited), gate, func(h *harness) {
+	runGateway(t, documentOf(t, limitedTenants), gate, func(h *harness) {
 		is := is.New(h.t)
 		h.addBackend()
 		for _, headers := range []string{"Token-Count: 0,1\r\nToken-Count: 1460,80\r\n", "token-count: 1460,80\r\nToken-Count: many\r\n"} {
@@ -83,7 +83,8 @@
 	})
 }
 
-// Guards against lost promises: what a quota refuses gets 429 or 503 with Retry-After, and never runs.
+// Guards against refusals that break their promise: a request that a quota refuses gets 429 or 503 with Retry-After, and
+// never runs.
 func TestRefusalsByQuota(t *testing.T) {
 	for name, test := range map[string]struct {
 		verdict QuotaVerdict
@@ -95,7 +96,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			gate := &fakeGate{verdict: test.verdict, retryAfter: 250 * time.Millisecond}
-			runGateway(t, documentOf(t, limited), gate, func(h *harness) {
+			runGateway(t, documentOf(t, limitedTenants), gate, func(h *harness) {
 				is := is.New(h.t)
 				h.addBackend()
 				for range 3 {
@@ -119,10 +120,11 @@
 	}
 }
 
-// Guards against requests that count wrongly: by tokens, by raw_tokens or as one, and only those of limited tenants.
+// Guards against wrong costs: a request counts by its tokens, by raw_tokens or as one, and only if its tenant has a
+// quota.
 func TestRequestsCountTowardsQuotas(t *testing.T) {
 	gate := &fakeGate{}
-	runGateway(t, documentOf(t, limited), gate, func(h *harness) {
+	runGateway(t, documentOf(t, limitedTenants), gate, func(h *harness) {
 		is := is.New(h.t)
 		h.addBackend()
 		for _, headers := range []string{
@@ -145,10 +147,10 @@
 	})
 }
 
-// Guards against quotas that are used up by requests that never ran: the proxy rejects one that waits.
+// Guards against quotas that are used up by requests that never ran: here the proxy rejects one that waits.
 func TestRejectedRequestIsRefunded(t *testing.T) {
 	gate := &fakeGate{}
-	runGateway(t, documentOf(t, limited), gate, func(h *harness) {
+	runGateway(t, documentOf(t, limitedTenants), gate, func(h *harness) {
 		is := is.New(h.t)
 		conn := h.dial()
 		defer conn.Close()
@@ -162,10 +164,10 @@
 	})
 }
 
-// Guards against the same where backends took the request and said that they did not run it.
+// Guards against quotas that are used up by requests that backends received and rejected without running them.
 func TestRequestThatBackendsRejectedIsRefunded(t *testing.T) {
 	gate := &fakeGate{}
-	runGateway(t, documentOf(t, limited), gate, func(h *harness) {
+	runGateway(t, documentOf(t, limitedTenants), gate, func(h *harness) {
 		is := is.New(h.t)
 		h.addBackend()
 		status, header := h.send("/keyed/1", harborCredentials+"Model: not-loaded\r\n")
@@ -176,8 +178,8 @@
 	})
 }
 
-// abandon sends a tenant's request whose client disconnects after a time, and returns what became of it. Connections of
-// the simulated network can't be watched: the watcher is told.
+// abandon sends a tenant's request whose client disconnects after a time, and returns the answer. Connections of the
+// simulated network can't be watched, so the disconnect is simulated in the watcher.
 func (h *harness) abandon(after time.Duration) engine.Answer {
 	h.t.Helper()
 	table := h.gateway.table.Load()
@@ -193,7 +195,7 @@
 	}
 	r.message = newMessage(ctx, r.route, r.tenant)
 	if !r.acquireQuota(ctx) {
-		h.t.Fatal("refused")
+		h.t.Fatal("the quota refused the request")
 	}
 	time.AfterFunc(after, func() { close(watcher.disconnected) })
 	answer := r.execute(newCall(r.service, r.route, r.message, nil, 0))
@@ -201,10 +203,10 @@
 	return answer
 }
 
-// Guards against the same where the client disconnects while its request waits.
+// Guards against quotas that are used up by requests whose client disconnected while they waited.
 func TestAbandonedRequestIsRefundedIfUnsent(t *testing.T) {
 	gate := &fakeGate{}
-	runGateway(t, documentOf(t, limited), gate, func(h *harness) {
+	runGateway(t, documentOf(t, limitedTenants), gate, func(h *harness) {
 		is := is.New(h.t)
 		is.Equal(h.abandon(50*time.Millisecond).Verdict, engine.ClientGone)
 		is.Equal(gate.refunded(), []float64{700})
@@ -212,15 +214,15 @@
 		h.addBackend()
 		is.Equal(h.abandon(10*time.Millisecond).Verdict, engine.ClientGone)
 		is.Equal(len(h.backend.Executions()), 1)
-		is.Equal(len(gate.refunded()), 1) // what may have run has counted
+		is.Equal(len(gate.refunded()), 1) // a request that may have run counts
 	})
 }
 
-// Guards against a log that grows with what tenants send.
+// Guards against a log that grows with the number of refused requests.
 func TestRefusalLinesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		limit := lineLimit{interval: 10 * time.Second}
+		limit := logRateLimit{interval: 10 * time.Second}
 		count, due := limit.add(time.Now())
 		is.True(due)
 		is.Equal(count, 1)
--- a/internal/dataplane/gateway/refusal.go
+++ b/internal/dataplane/gateway/refusal.go
@@ -35,12 +35,12 @@
 	counters map[refusal]*vm.Counter
 	log      logr.Logger
 
-	mu    sync.Mutex
-	lines lineLimit
+	mu       sync.Mutex
+	logLimit logRateLimit
 }
 
 func newRefusalRecorder(set *vm.Set, log logr.Logger) *refusalRecorder {
-	r := &refusalRecorder{counters: map[refusal]*vm.Counter{}, log: log, lines: lineLimit{interval: refusalLogInterval}}
+	r := &refusalRecorder{counters: map[refusal]*vm.Counter{}, log: log, logLimit: logRateLimit{interval: refusalLogInterval}}
 	for reason, name := range refusalNames {
 		r.counters[reason] = set.NewCounter(metricserver.SeriesName("marlreel_requests_refused_total", metricserver.Label{Key: "reason", Value: name}))
 	}
@@ -54,22 +54,22 @@
 func (r *refusalRecorder) recordTenant(now time.Time, reason refusal, tenant string) {
 	r.record(reason)
 	r.mu.Lock()
-	refused, due := r.lines.add(now)
+	refused, due := r.logLimit.add(now)
 	r.mu.Unlock()
 	if due {
 		r.log.Info(logevent.TenantRefused, logevent.KeyTenant, tenant, logevent.KeyCause, refusalNames[reason], logevent.KeyRefused, refused)
 	}
 }
 
-// lineLimit limits log lines to one per interval.
-type lineLimit struct {
+// logRateLimit limits log lines to one per interval.
+type logRateLimit struct {
 	interval time.Duration
 	last     time.Time // when the last line was logged; zero: never
 	count    int       // events since then
 }
 
 // add counts one event. Where a line is due, it returns how many events there were since the last line.
-func (l *lineLimit) add(now time.Time) (count int, due bool) {
+func (l *logRateLimit) add(now time.Time) (count int, due bool) {
 	l.count++
 	if !l.last.IsZero() && now.Sub(l.last) < l.interval {
 		return 0, false
--- a/internal/dataplane/gateway/request_test.go
+++ b/internal/dataplane/gateway/request_test.go
@@ -33,11 +33,11 @@
 		"model":           {map[string]string{headerModel: "m", headerTokens: "100,10"}, &balancer.Needs{Model: "m", MaxOutputTokens: 10}, routing.EstimateWork(100, 10)},
 		"adapter":         {map[string]string{headerModel: "m/a", headerTokens: " 100 , 10 "}, &balancer.Needs{Model: "m", Adapter: "a", MaxOutputTokens: 10}, routing.EstimateWork(100, 10)},
 		"no tokens":       {map[string]string{headerModel: "m"}, &balancer.Needs{Model: "m"}, time.Millisecond},
-		"tokens unread":   {map[string]string{headerModel: "m", headerTokens: "many,10"}, &balancer.Needs{Model: "m", MaxOutputTokens: 10}, routing.EstimateWork(0, 10)},
+		"bad tokens":      {map[string]string{headerModel: "m", headerTokens: "many,10"}, &balancer.Needs{Model: "m", MaxOutputTokens: 10}, routing.EstimateWork(0, 10)},
 		"prompt":          {map[string]string{headerModel: "m", headerPrompt: "a1:600, b2:400"}, &balancer.Needs{Model: "m", Prompt: []balancer.PromptSegment{{ID: 0xa1, Tokens: 600}, {ID: 0xb2, Tokens: 400}}}, time.Millisecond},
-		"part unread":     {map[string]string{headerModel: "m", headerPrompt: "a1:600,x:400,b2:1"}, &balancer.Needs{Model: "m", Prompt: []balancer.PromptSegment{{ID: 0xa1, Tokens: 600}}}, time.Millisecond},
+		"bad part":        {map[string]string{headerModel: "m", headerPrompt: "a1:600,x:400,b2:1"}, &balancer.Needs{Model: "m", Prompt: []balancer.PromptSegment{{ID: 0xa1, Tokens: 600}}}, time.Millisecond},
 		"no count":        {map[string]string{headerModel: "m", headerPrompt: "a1,b2:1"}, &balancer.Needs{Model: "m"}, time.Millisecond},
-		"count unread":    {map[string]string{headerModel: "m", headerPrompt: "a1:1,b2:one"}, &balancer.Needs{Model: "m", Prompt: []balancer.PromptSegment{{ID: 0xa1, Tokens: 1}}}, time.Millisecond},
+		"bad count":       {map[string]string{headerModel: "m", headerPrompt: "a1:1,b2:one"}, &balancer.Needs{Model: "m", Prompt: []balancer.PromptSegment{{ID: 0xa1, Tokens: 1}}}, time.Millisecond},
 		"id out of range": {map[string]string{headerModel: "m", headerPrompt: "11111111111111111:1"}, &balancer.Needs{Model: "m"}, time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -67,7 +67,7 @@
 		"route's":        {5000, "", 5 * time.Second},
 		"client's":       {5000, "1200.5", 1200500 * time.Microsecond},
 		"client's above": {5000, "90000", 5 * time.Second},
-		"unread":         {5000, "soon", 5 * time.Second},
+		"malformed":      {5000, "soon", 5 * time.Second},
 		"not positive":   {5000, "-1", 5 * time.Second},
 		"above bound":    {600000, "", maxRequestTimeout},
 	} {
@@ -89,7 +89,7 @@
 	next := resumeMessage(original, "12")
 	is.Equal(string(next.Head), "GET / HTTP/1.1\r\nHost: a\r\nModel: m\r\nLast-Event-Id: 12\r\n")
 	is.Equal(next.ID, "7")
-	is.True(strings.Contains(string(original.Head), "Last-Event-Id: 3")) // it stays as it was
+	is.True(strings.Contains(string(original.Head), "Last-Event-Id: 3")) // the original is unchanged
 }
 
 func TestConnectionTokensAreNormalized(t *testing.T) {
--- a/internal/dataplane/gateway/requesttrace_test.go
+++ b/internal/dataplane/gateway/requesttrace_test.go
@@ -12,7 +12,7 @@
 	"marlreel/internal/dataplane/httpproxy"
 )
 
-// Lines have the messages and keys of docs/EVENTS.md. What was served in time has none.
+// Log lines have the messages and keys of docs/EVENTS.md. Requests that were served in time are not logged.
 func TestRequestTracerLines(t *testing.T) {
 	const ms = time.Millisecond
 	newRequest := func(target time.Duration) *engine.Call {
--- a/internal/dataplane/gateway/routingtable_test.go
+++ b/internal/dataplane/gateway/routingtable_test.go
@@ -12,7 +12,8 @@
 	"marlreel/internal/distribution/watch"
 )
 
-// A later configuration that comes into force is logged once, with the versions and since when the other one counted.
+// A later configuration that comes into force is logged once, with both versions and how long the previous one was in
+// force.
 func TestConfigurationAppliedIsLogged(t *testing.T) {
 	is := is.New(t)
 	var lines []string
@@ -21,7 +22,7 @@
 	first := &configuration.Document{Version: 4}
 	began := time.Now().Add(-3 * time.Second)
 	table := &routingTable{document: first, since: began}
-	g.logApplied(&routingTable{}, table) // the first one is told of with readiness
+	g.logApplied(&routingTable{}, table) // the first one is logged with readiness
 
 	is.Equal(g.inForceSince(table, &configuration.Document{Version: 4}), began)
 	g.logApplied(table, &routingTable{document: &configuration.Document{Version: 4}, since: began})
--- a/internal/dataplane/gateway/server.go
+++ b/internal/dataplane/gateway/server.go
@@ -33,17 +33,17 @@
 
 // newFrontServer returns the server for clients.
 func (g *Gateway) newFrontServer(maxConnections int) *fasthttp.Server {
-	server := g.newServer(g.endConnectionsWhileDraining(dropDeparted(g.HandleRequest)))
+	server := g.newServer(g.endConnectionsWhileDraining(dropDisconnected(g.HandleRequest)))
 	server.MaxRequestBodySize = defaultMaxBodyBytes
 	server.ReadBufferSize = maxHeaderBytes
 	server.Concurrency = maxConnections
 	return server
 }
 
-// dropDeparted drops requests whose client disconnected before they were read, so that they don't reach a backend: when
+// dropDisconnected drops requests whose client disconnected before they were read, so that they don't reach a backend: when
 // the process is overloaded, requests wait in the socket's buffer. A client that disconnects later is noticed by the
 // disconnectWatcher.
-func dropDeparted(handler fasthttp.RequestHandler) fasthttp.RequestHandler {
+func dropDisconnected(handler fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		if conn := ctx.Conn(); conn != nil && !sockets.PeerConnected(conn) {
 			ctx.HijackSetNoResponse(true)
--- a/internal/dataplane/gateway/service.go
+++ b/internal/dataplane/gateway/service.go
@@ -32,7 +32,7 @@
 	budgets      SharedBudgets
 	healthPath   atomic.Pointer[string]
 	cancel       context.CancelFunc
-	hurry        <-chan struct{} // once closed, stop waits for no request
+	stopNow      <-chan struct{} // once closed, stop waits for no request
 	rank, zone   int
 
 	// What was applied last; guarded by Gateway.mu.
@@ -62,7 +62,7 @@
 func (g *Gateway) newService(ctx context.Context, cfg *configuration.Service, classes []balancer.Class, proxies int) (*service, error) {
 	s := &service{
 		name: cfg.Name, servesModels: cfg.Engine != nil, classes: classes, proxies: proxies, rank: g.identity.rank(),
-		zone: g.identity.zoneIndex(g.identity.zone), budgets: g.budgets, hurry: ctx.Done(),
+		zone: g.identity.zoneIndex(g.identity.zone), budgets: g.budgets, stopNow: ctx.Done(),
 	}
 	s.advisor = routing.New(routing.Config{
 		Self: g.identity.name, ServesModels: s.servesModels, Warmup: g.budgets.warmupConfig(cfg), RetryBudget: g.budgets.Retry,
@@ -97,8 +97,8 @@
 	return s, nil
 }
 
-// callsInterval is how often a stopping service checks whether calls are still open.
-const callsInterval = 50 * time.Millisecond
+// openCallsPollInterval is how often a stopping service checks whether calls are still open.
+const openCallsPollInterval = 50 * time.Millisecond
 
 // stop stops the service and waits for its engine. Backends first get time to answer pending requests (awaitCalls);
 // requests that are still pending then fail.
@@ -122,7 +122,7 @@
 		s.engine.ApplyMembership(engine.Membership{Kind: balancer.MembershipFull})
 		s.engine.RejectUnsent(0)
 	})
-	ticker := time.NewTicker(callsInterval)
+	ticker := time.NewTicker(openCallsPollInterval)
 	defer ticker.Stop()
 	deadline := time.NewTimer(maxRequestTimeout)
 	defer deadline.Stop()
@@ -131,7 +131,7 @@
 		case <-ticker.C:
 		case <-deadline.C:
 			return
-		case <-s.hurry:
+		case <-s.stopNow:
 			return
 		}
 	}
--- a/internal/dataplane/gateway/smuggle_test.go
+++ b/internal/dataplane/gateway/smuggle_test.go
@@ -7,9 +7,10 @@
 	"github.com/matryer/is"
 )
 
-// Guards against UNASKED by heads that servers read differently: whatever a client sends raw, backends get one tenant and no key.
+// Guards against header smuggling by heads that servers parse differently: whatever bytes a client sends, backends get
+// one tenant and no key.
 func TestOddHeadersNameNoOtherTenant(t *testing.T) {
-	runGateway(t, documentOf(t, limited), nil, func(h *harness) {
+	runGateway(t, documentOf(t, limitedTenants), nil, func(h *harness) {
 		is := is.New(h.t)
 		h.addBackend()
 		for name, headers := range map[string]string{
