--- a/internal/dataplane/msgpackrpc/backend_conn.go
+++ b/internal/dataplane/msgpackrpc/backend_conn.go
@@ -11,25 +11,25 @@
 	"marlreel/internal/dataplane/engine"
 )
 
-// backendConn is a connection to a backend, from its dial on. The engine's goroutine owns it, but for what is
-// marked; its run goroutine writes, and one of that reads.
+// backendConn is a connection to a backend, from its dial on. Unless a field says otherwise, only the engine's goroutine
+// uses it. The run goroutine writes to the connection, and another one that it starts reads.
 type backendConn struct {
 	carrier        *Carrier
 	backend        *engine.Backend
 	pending        map[uint32]*pendingAttempt // by msgid
-	abandoned      map[uint32]struct{}        // msgids of calls without an owner that may still be answered
+	abandoned      map[uint32]struct{}        // msgids of abandoned calls that may still be answered
 	lastMsgid      uint32
-	window         float64       // how many calls may be pending: additive increase, multiplicative decrease
+	window         float64       // limit of pending calls: additive increase, multiplicative decrease
 	idleSince      time.Duration // on the engine's clock
-	retired        bool          // gets no new call, and ends with its last one
+	retired        bool          // gets no new call, and ends with its last pending one
 	unknownReplies int
 	ended          bool
 
 	cancel context.CancelFunc // ends the connection; any goroutine may call it
-	wake   chan struct{}      // the writer is to look at the queue
+	wake   chan struct{}      // makes the writer check the queue
 
 	mu    sync.Mutex
-	queue []*pendingAttempt // that wait for the writer; guarded by mu
+	queue []*pendingAttempt // attempts that wait for the writer; guarded by mu
 }
 
 // pendingAttempt is an attempt on a connection, or a notification that one was cancelled.
@@ -37,8 +37,8 @@
 	attempt      *engine.Attempt
 	msgid        uint32
 	payload      *payload
-	written      atomic.Bool // its last byte went out: from then on it may have run
-	cancelMethod string      // in place of an attempt: the method of the notification
+	written      atomic.Bool // its last byte was written, so it may have run
+	cancelMethod string      // the method of the notification; "": this is an attempt
 }
 
 func newBackendConn(c *Carrier, backend *engine.Backend, cancel context.CancelFunc) *backendConn {
@@ -49,10 +49,10 @@
 	}
 }
 
-// newMsgid returns a msgid under which no call of the connection is pending or may still be answered.
+// newMsgid returns a msgid that no pending call of the connection has, and no abandoned one that may still be answered.
 func (b *backendConn) newMsgid() uint32 {
 	for {
-		b.lastMsgid++ // and on from 0 after 2^32-1
+		b.lastMsgid++ // wraps around to 0 after 2^32-1
 		_, pending := b.pending[b.lastMsgid]
 		_, abandoned := b.abandoned[b.lastMsgid]
 		if !pending && !abandoned {
@@ -71,7 +71,7 @@
 	}
 }
 
-// takeQueue takes what waits for the writer.
+// takeQueue takes the attempts that wait for the writer.
 func (b *backendConn) takeQueue() []*pendingAttempt {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -89,8 +89,8 @@
 	return true
 }
 
-// abandon leaves a call without an owner: the engine has ended its attempt, or is about to. A call that may have
-// been written may still be answered, so its msgid is not used again before.
+// abandon removes an attempt that the engine has ended or is about to end. If the call may have been written, it may
+// still be answered, so its msgid is not reused before.
 func (b *backendConn) abandon(p *pendingAttempt) {
 	if !b.removePending(p) {
 		return
@@ -109,7 +109,7 @@
 	b.updateIdle()
 }
 
-// updateIdle notes when nothing is pending any more, and ends a retired connection then.
+// updateIdle records since when nothing has been pending, and ends a retired connection then.
 func (b *backendConn) updateIdle() {
 	if len(b.pending) > 0 {
 		return
@@ -120,13 +120,13 @@
 	}
 }
 
-// retire lets the connection end with its last call.
+// retire makes the connection end with its last pending call.
 func (b *backendConn) retire() {
 	b.retired = true
 	b.updateIdle()
 }
 
-// onEnded ends what is pending on a connection that has ended. Nothing is written to it any more.
+// onEnded ends the attempts that are pending on a connection that has ended. Nothing is written to it any more.
 func (b *backendConn) onEnded() {
 	if b.ended {
 		return
@@ -137,7 +137,7 @@
 	for msgid, p := range b.pending {
 		delete(b.pending, msgid)
 		result := balancer.Reset
-		if !p.written.Load() { // its last byte never left, so it never ran
+		if !p.written.Load() { // its last byte was never written, so it never ran
 			result = balancer.ConnectFailed
 			p.attempt.Permit.Revoke()
 		}
@@ -145,7 +145,7 @@
 	}
 }
 
-// onNotSent ends an attempt that was not written after all; clientLeft: as its client had left.
+// onNotSent ends an attempt that was not written; clientLeft says that this is because its client has disconnected.
 func (b *backendConn) onNotSent(p *pendingAttempt, clientLeft bool) {
 	if b.removePending(p) {
 		p.attempt.End(engine.AttemptEnd{Result: balancer.NotSent, ClientGone: clientLeft})
@@ -153,8 +153,8 @@
 	}
 }
 
-// onNotificationSent ends a notification that was written: no more will be known of it. Its call is over with it,
-// so that nothing is sent again, and the backend's delay is not learned from it.
+// onNotificationSent ends a notification that was written, as there will be no reply to it. That also completes its call,
+// so that it is never sent again and the backend's latency is not learned from it.
 func (b *backendConn) onNotificationSent(p *pendingAttempt) {
 	if b.removePending(p) {
 		b.carrier.counters.ForwardedNotifications.Add(1)
@@ -182,7 +182,8 @@
 	b.updateIdle()
 }
 
-// onUnknownReply counts a reply to no call. A backend that brings many might answer any call with any reply.
+// onUnknownReply counts a reply that matches no call. A connection with many of them is closed, because its replies
+// might be matched to the wrong calls.
 func (b *backendConn) onUnknownReply() {
 	b.carrier.counters.UnknownReplies.Add(1)
 	b.unknownReplies++
@@ -192,7 +193,7 @@
 	}
 }
 
-// onConnEnded forgets a connection.
+// onConnEnded removes a connection that has ended.
 func (c *Carrier) onConnEnded(b *backendConn) {
 	c.openCount--
 	connections := c.connections[b.backend]
--- a/internal/dataplane/msgpackrpc/backend_conn_io.go
+++ b/internal/dataplane/msgpackrpc/backend_conn_io.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// run dials, then writes and reads until the connection ends, or ctx does. It tells the engine last, when neither
-// this goroutine nor the reader does anything any more.
+// run dials, then writes and reads until the connection or ctx ends. It notifies the engine last, when neither this
+// goroutine nor the reader uses the connection any more.
 func (b *backendConn) run(ctx context.Context) {
 	defer b.cancel()
 	defer b.carrier.engine.Post(b.onEnded)
@@ -20,7 +20,7 @@
 	if err != nil {
 		return
 	}
-	stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // it is over either way
+	stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // the connection ends even if this fails
 	defer stop()
 	readEnded := make(chan struct{})
 	go func() {
@@ -33,7 +33,7 @@
 	<-readEnded
 }
 
-// writeLoop writes what is queued until the connection ends, or ctx does.
+// writeLoop writes what is queued until the connection or ctx ends.
 func (b *backendConn) writeLoop(ctx context.Context, conn net.Conn) {
 	for {
 		queue := b.takeQueue()
@@ -53,9 +53,9 @@
 	}
 }
 
-// write writes what has been queued, and returns false if the connection can carry no more.
+// write writes an attempt or a notification, and returns false if the connection can no longer be used.
 func (b *backendConn) write(conn net.Conn, p *pendingAttempt) bool {
-	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only where the write does
+	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // if this fails, so does the write
 	if p.cancelMethod != "" {
 		params := appendUint(appendArray(nil, 1), uint64(p.msgid))
 		_, err := conn.Write(encodeNotification(p.cancelMethod, params))
@@ -64,8 +64,8 @@
 	return b.writeAttempt(conn, p)
 }
 
-// writeAttempt writes an attempt, unless it has become needless while it waited for the dial or for others: its
-// backend is draining or gone, its client has left, or its call is answered.
+// writeAttempt writes an attempt, unless that has become pointless while it waited for the dial or for other writes: its
+// backend is draining or removed, its client has disconnected, or its call has been answered.
 func (b *backendConn) writeAttempt(conn net.Conn, p *pendingAttempt) bool {
 	call := p.attempt.Call
 	clientLeft := call != nil && call.ClientConnected != nil && !call.ClientConnected()
@@ -85,8 +85,8 @@
 	return err == nil
 }
 
-// readLoop reads replies until the connection ends or brings what can't be read. A backend's own calls and
-// notifications concern nobody.
+// readLoop reads replies until the connection ends or a message is malformed. Calls and notifications from the backend
+// are ignored.
 func (b *backendConn) readLoop(conn net.Conn) {
 	r := newMessageReader(conn, b.carrier.limits)
 	for {
--- a/internal/dataplane/msgpackrpc/call.go
+++ b/internal/dataplane/msgpackrpc/call.go
@@ -24,7 +24,7 @@
 
 var _ engine.Front = (*call)(nil)
 
-// newCall makes a call of a message. Its error is the client's fault.
+// newCall makes a call from a message. Its errors are caused by the client.
 func (c *clientConn) newCall(m message, arrived time.Duration, notification bool) (*call, *callError) {
 	s := c.server
 	method := s.methodOf(m.method)
@@ -57,7 +57,7 @@
 	return q, nil
 }
 
-// newRequest makes the balancer's request of a call, by the settings in force.
+// newRequest makes the balancer's request for a call, by the current settings.
 func (s *Server) newRequest(method *Method, meta *Metadata, arrived time.Duration) (balancer.Request, *engine.SettingsSnapshot, *callError) {
 	snapshot := s.engine.SettingsSnapshot()
 	class, known := snapshot.ClassIndexes[method.Class]
@@ -82,7 +82,7 @@
 	}, snapshot, nil
 }
 
-// tenantOf is the number of a tenant, and false where the settings have tenants and not this one.
+// tenantOf returns the index of a tenant, and false if the settings have tenants but not this one.
 func (s *Server) tenantOf(snapshot *engine.SettingsSnapshot, name string) (int, bool) {
 	if len(snapshot.TenantIndexes) == 0 {
 		return 0, true
@@ -94,13 +94,13 @@
 	return tenant, known
 }
 
-// affinityHash is an affinity key as the balancer takes it; 0: none.
+// affinityHash hashes an affinity key for the balancer; 0: none.
 func affinityHash(key string) uint64 {
 	if key == "" {
 		return 0
 	}
 	h := fnv.New64a()
-	_, _ = io.WriteString(h, key) // a hash takes everything
+	_, _ = io.WriteString(h, key) // writing to a hash never fails
 	return h.Sum64()
 }
 
@@ -117,15 +117,15 @@
 		return
 	}
 	if a.Verdict == engine.ClientGone {
-		return // nobody is there to read it
+		return // the client has disconnected
 	}
 	problem, result := encodeAnswer(a)
 	b := make([]byte, 0, len(problem)+len(result)+8)
 	q.conn.enqueue(appendResponse(b, q.msgid, problem, result))
 }
 
-// encodeAnswer returns the error and the result of an answer's message, encoded. What a backend has said goes on as
-// it came.
+// encodeAnswer returns the encoded error and result of an answer. A backend's own error and result are forwarded
+// unchanged.
 func encodeAnswer(a engine.Answer) (problem, result []byte) {
 	switch a.Verdict {
 	case engine.Served:
--- a/internal/dataplane/msgpackrpc/carrier.go
+++ b/internal/dataplane/msgpackrpc/carrier.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// maxAbandoned is how many abandoned calls of a connection may still be answered. Beyond it, the connection gets
+	// maxAbandoned is how many abandoned calls of a connection may still be unanswered. Beyond it, the connection gets
 	// no new call.
 	maxAbandoned = 256
-	// maxUnknownReplies is how many replies to no call one connection may bring.
+	// maxUnknownReplies is how many replies without a matching call a connection may receive before it is closed.
 	maxUnknownReplies = 16
 	// writeTimeout is how long a backend may read nothing of what is written to it.
 	writeTimeout = time.Second
 )
 
-// Carrier sends attempts to backends over MessagePack-RPC. Connections are shared: many calls are pending on one,
-// each under a msgid of the connection's own. The engine's goroutine calls it and owns all but the sockets; each
-// connection has a goroutine that writes and one that reads, which end with it.
+// Carrier sends attempts to backends over MessagePack-RPC. Connections are shared: many calls can be pending on one,
+// each with a msgid that is unique on it. The engine's goroutine calls the carrier and owns everything but the sockets;
+// each connection has a goroutine that writes and one that reads, which end with it.
 type Carrier struct {
 	engine         *engine.Engine
 	config         Backend
@@ -28,7 +28,7 @@
 	connectTimeout time.Duration
 	maxIdle        time.Duration // 0: no bound
 	connections    map[*engine.Backend][]*backendConn
-	openCount      int             // connections, retired ones among them
+	openCount      int             // connections, including retired ones
 	ctx            context.Context // of all connections
 	cancel         context.CancelFunc
 	counters       *Counters
@@ -36,7 +36,7 @@
 
 var _ engine.Carrier = (*Carrier)(nil)
 
-// NewCarrier makes a carrier. The configuration has been validated.
+// NewCarrier returns a carrier. The configuration has been validated.
 func NewCarrier(e *engine.Engine, cfg *Config, counters *Counters) *Carrier {
 	caps := e.Settings().Caps
 	c := &Carrier{
@@ -50,17 +50,17 @@
 	return c
 }
 
-// Close breaks all connections. It is safe to call from any goroutine.
+// Close closes all connections. It is safe to call from any goroutine.
 func (c *Carrier) Close() { c.cancel() }
 
-// Connections is how many are open, those being dialled among them.
+// Connections returns the number of open connections, including those being dialled.
 func (c *Carrier) Connections() int { return c.openCount }
 
 // StartAttempt implements engine.Carrier. The call's payload is a *payload.
 func (c *Carrier) StartAttempt(a *engine.Attempt) {
 	b := c.connectionFor(a.Backend)
 	if b == nil {
-		// Every connection is full: one more call is too many for this backend, and has not run.
+		// Every connection is full: the attempt is rejected without having run.
 		a.Permit.Revoke()
 		c.engine.Defer(func() { a.End(engine.AttemptEnd{Result: balancer.Rejected}) })
 		return
@@ -68,14 +68,14 @@
 	p := &pendingAttempt{attempt: a, payload: a.Call.Payload.(*payload), msgid: b.newMsgid()}
 	b.pending[p.msgid] = p
 	a.Stop = func() {
-		b.abandon(p) // the connection is shared and stays: this is the attempt's end
+		b.abandon(p) // ends only the attempt, as other calls share the connection
 		c.engine.Defer(func() { a.End(engine.AttemptEnd{Result: balancer.Cancelled}) })
 	}
 	b.enqueue(p)
 }
 
-// connectionFor returns the connection to a backend with the fewest calls pending, or a new one; nil where all are
-// full. One that is at most half full is used before another is opened.
+// connectionFor returns the connection to a backend with the fewest calls pending, or a new one; nil if all are full. A
+// connection that is at most half full is used before another one is opened.
 func (c *Carrier) connectionFor(backend *engine.Backend) *backendConn {
 	leastLoaded, usable := c.leastLoaded(backend)
 	atBackendLimit := usable >= c.config.MaxConnections
@@ -94,8 +94,8 @@
 	return c.open(backend)
 }
 
-// leastLoaded returns the connection to a backend with the fewest calls pending, nil where all are full, and how
-// many connections to it are not retired.
+// leastLoaded returns the connection to a backend with the fewest calls pending, nil if all are full, and how many
+// connections to the backend are not retired.
 func (c *Carrier) leastLoaded(backend *engine.Backend) (*backendConn, int) {
 	var best *backendConn
 	usable := 0
@@ -148,8 +148,7 @@
 	}
 }
 
-// RemoveBackend implements engine.Carrier. Calls that are pending go on to their own ends, on connections that get no new
-// call.
+// RemoveBackend implements engine.Carrier. Pending calls go on; the backend's connections get no new call.
 func (c *Carrier) RemoveBackend(backend *engine.Backend) {
 	for _, b := range c.connections[backend] {
 		b.retire()
--- a/internal/dataplane/msgpackrpc/client_conn.go
+++ b/internal/dataplane/msgpackrpc/client_conn.go
@@ -11,16 +11,16 @@
 type clientConn struct {
 	conn   net.Conn
 	server *Server
-	wake   chan struct{} // the writer is to look at the state again
+	wake   chan struct{} // makes the writer check the state again
 
 	mu            sync.Mutex
 	pending       map[uint32]*call // by msgid
 	lastMessageAt time.Time
 	draining      bool
-	lingering     bool // draining, and calls may still be on their way
+	lingering     bool // draining, but calls may still be in flight from the client
 	ended         bool
 	queue         [][]byte // encoded messages that wait for the writer
-	queuedBytes   int      // of those, and of what the writer is writing
+	queuedBytes   int      // in queue and in the messages being written
 }
 
 func newClientConn(conn net.Conn, s *Server) *clientConn {
@@ -29,7 +29,7 @@
 	}
 }
 
-// isIdle says that nothing is pending and nothing waits to be written.
+// isIdle reports whether no call is pending and nothing waits to be written.
 func (c *clientConn) isIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,19 +42,19 @@
 	return c.lastMessageAt
 }
 
-// isOpen says whether the client is still there.
+// isOpen reports whether the client is still connected.
 func (c *clientConn) isOpen() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.ended
 }
 
-// close closes the connection; its reader tells the engine that the clients of pending calls have left.
+// close closes the connection; its reader then tells the engine that the clients of pending calls have disconnected.
 func (c *clientConn) close() {
 	c.mu.Lock()
 	c.ended = true
 	c.mu.Unlock()
-	_ = c.conn.Close() // the connection is over either way
+	_ = c.conn.Close() // the connection ends even if this fails
 	c.wakeWriter()
 }
 
@@ -65,7 +65,7 @@
 	}
 }
 
-// startDraining rejects new calls, and closes the connection when drainLinger is over and nothing is pending.
+// startDraining rejects new calls, and closes the connection once drainLinger is over and nothing is pending.
 func (c *clientConn) startDraining(announce bool) {
 	if announce {
 		c.enqueue(encodeNotification(drainMethod, appendArray(nil, 0)))
@@ -78,12 +78,12 @@
 		c.mu.Lock()
 		c.lingering = false
 		c.mu.Unlock()
-		c.wakeWriter() // nothing may be pending
+		c.wakeWriter() // it closes the connection if nothing is pending
 	})
 }
 
-// enqueue hands the writer a message. It does not wait: a client that does not read is disconnected when too much
-// waits for it.
+// enqueue hands the writer a message. It does not block: a client that reads too slowly is disconnected when its queue
+// is full.
 func (c *clientConn) enqueue(data []byte) {
 	c.mu.Lock()
 	if c.ended {
@@ -102,7 +102,7 @@
 	c.wakeWriter()
 }
 
-// writerState is what the writer has to do.
+// writerState is what the writer has to act on.
 type writerState struct {
 	queue   [][]byte
 	bytes   int // of queue
@@ -110,7 +110,7 @@
 	drained bool // the connection is draining and nothing is left
 }
 
-// takeQueue takes the messages that wait.
+// takeQueue takes the queued messages.
 func (c *clientConn) takeQueue() writerState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,7 +126,7 @@
 	c.queuedBytes -= bytes
 }
 
-// writeLoop writes answers until the connection ends, and closes a draining one when all is answered.
+// writeLoop writes answers until the connection ends, and closes a draining connection when all calls are answered.
 func (c *clientConn) writeLoop() {
 	for {
 		state := c.takeQueue()
@@ -141,7 +141,7 @@
 			<-c.wake
 			continue
 		}
-		_ = c.conn.SetWriteDeadline(time.Now().Add(answerTimeout)) // fails only where the write does
+		_ = c.conn.SetWriteDeadline(time.Now().Add(answerTimeout)) // if this fails, so does the write
 		buffers := net.Buffers(state.queue)
 		_, err := buffers.WriteTo(c.conn)
 		if err != nil {
@@ -156,7 +156,7 @@
 func (c *clientConn) readLoop() {
 	defer c.onReadEnded()
 	r := newMessageReader(c.conn, c.server.limits)
-	started := false // a message has begun, and its time runs
+	started := false // part of a message has arrived and its deadline is set
 	for {
 		m, complete, err := r.next()
 		if err != nil || complete && !c.handleMessage(m) {
@@ -169,7 +169,7 @@
 		}
 		switch {
 		case r.isEmpty():
-			_ = c.conn.SetReadDeadline(time.Now().Add(c.server.config.IdleTimeout.D())) // fails only where the read does
+			_ = c.conn.SetReadDeadline(time.Now().Add(c.server.config.IdleTimeout.D())) // if this fails, so does the read
 		case !started:
 			started = true
 			_ = c.conn.SetReadDeadline(time.Now().Add(messageTimeout)) // as above
@@ -184,13 +184,13 @@
 
 func isTimeout(err error) bool {
 	if err == nil {
-		return false // without the allocation of what follows
+		return false // errors.As would allocate
 	}
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// onReadEnded closes the connection and tells the engine that the clients of pending calls have left.
+// onReadEnded closes the connection and tells the engine that the clients of pending calls have disconnected.
 func (c *clientConn) onReadEnded() {
 	c.close()
 	c.mu.Lock()
@@ -203,11 +203,11 @@
 	c.server.onConnEnded(c)
 }
 
-// handleMessage handles a message, and returns false if the connection can't go on: after a msgid that is pending
-// already, no answer could be told from the other's.
+// handleMessage handles a message. It returns false if the connection can't go on: with two pending calls of the same
+// msgid, the client could not tell their answers apart.
 func (c *clientConn) handleMessage(m message) bool {
 	if m.kind == typeResponse {
-		return true // nothing was asked of the client
+		return true // the proxy sends no requests to clients
 	}
 	arrived := c.server.engine.Now()
 	notification := m.kind == typeNotification
@@ -236,7 +236,7 @@
 	return true
 }
 
-// admissionError is why the connection takes no further call; nil: it does.
+// admissionError returns why the connection accepts no further call; nil if it does.
 func (c *clientConn) admissionError(pending int, draining bool) *callError {
 	if draining {
 		return &callError{Code: codeDraining, Message: "this process ends; connect again", Retry: true}
@@ -259,7 +259,8 @@
 	c.enqueue(appendResponse(nil, msgid, problem.encode(), nilValue))
 }
 
-// removePending removes a call that is answered. It returns false if the client has left it before.
+// removePending removes a call that is answered. It returns false if the call is no longer pending, because its client
+// has disconnected.
 func (c *clientConn) removePending(q *call) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/dataplane/msgpackrpc/counters.go
+++ b/internal/dataplane/msgpackrpc/counters.go
@@ -2,12 +2,12 @@
 
 import "sync/atomic"
 
-// Counters count what happens without a client who could be told. They only grow.
+// Counters count events that are not reported to any client. They only grow.
 type Counters struct {
-	LateReplies            atomic.Int64 // replies to calls that had been abandoned
-	UnknownReplies         atomic.Int64 // replies to no call
-	SlowClients            atomic.Int64 // clients disconnected as they did not read their answers
-	MalformedStreams       atomic.Int64 // connections ended for what came on them
+	LateReplies            atomic.Int64 // replies to abandoned calls
+	UnknownReplies         atomic.Int64 // replies that match no call
+	SlowClients            atomic.Int64 // clients disconnected because they did not read their answers
+	MalformedStreams       atomic.Int64 // connections ended because of malformed input
 	ForwardedNotifications atomic.Int64 // notifications written to a backend
 	DroppedNotifications   atomic.Int64 // notifications that were rejected
 }
--- a/internal/dataplane/msgpackrpc/doc.go
+++ b/internal/dataplane/msgpackrpc/doc.go
@@ -4,21 +4,21 @@
 // [0, msgid, method, params], responses [1, msgid, error, result], notifications
 // [2, method, params].
 //
-// Server owns clients' connections and Carrier those to backends; many calls are pending on each. The package decides
-// nothing: which backend, which retry and what to reject comes from the engine, which sees calls and not protocols.
-// Parameters, errors and results pass through as the bytes that they came as.
+// Server owns the connections of clients and Carrier those to backends; many calls can be pending on each connection.
+// The choice of backends, retries and rejections is the engine's, which handles calls independently of the protocol.
+// Parameters, errors and results are forwarded byte for byte.
 //
-// What proves that an attempt never ran, and which balancer.Result that is:
+// The balancer.Result of each outcome of an attempt, and whether the outcome proves that the attempt never ran:
 //
 //	outcome                                               result          never ran
-//	error nil                                             OK              no
-//	error a map with "$unprocessed": true                 Rejected        yes
-//	error a map with "$failed": true                      Error           no
-//	any other error: the method's own answer, passed on   Unprocessable   no
+//	nil error                                             OK              no
+//	error is a map with "$unprocessed": true              Rejected        yes
+//	error is a map with "$failed": true                   Error           no
+//	any other error: the method's own, forwarded          Unprocessable   no
 //	no connection, or it breaks before the last byte      ConnectFailed   yes
 //	every connection is full                              Rejected        yes
 //	the permit was revoked before the first byte          NotSent         yes
-//	it breaks, or can't be read, after the last byte      Reset           no
-//	nothing until its time is up                          Timeout         no
-//	a notification was written whole                      Cancelled       no; its call is over with it
+//	malformed reply or broken connection after last byte  Reset           no
+//	no reply before the timeout                           Timeout         no
+//	a notification was written completely                 Cancelled       no; its call ends with it
 package msgpackrpc
--- a/internal/dataplane/msgpackrpc/header.go
+++ b/internal/dataplane/msgpackrpc/header.go
@@ -2,13 +2,13 @@
 
 import "encoding/binary"
 
-// kind is what a value is.
+// kind is the type of a value.
 type kind uint8
 
 const (
 	kindNil kind = iota
 	kindBool
-	kindInt   // a signed integer, or one that fits into it
+	kindInt   // a signed integer or a fixint
 	kindUint  // an unsigned integer
 	kindFloat // of 32 or 64 bits
 	kindString
@@ -18,12 +18,12 @@
 	kindExt
 )
 
-// header is the first bytes of a value.
+// header is the decoded header of a value.
 type header struct {
 	kind        kind
-	headerBytes int    // of the header itself; 0: more bytes are needed to tell
+	headerBytes int    // length of the header itself; 0: it is not complete
 	bodyBytes   uint64 // bytes that follow it
-	elements    uint64 // values that follow it: of an array, twice those of a map
+	elements    uint64 // values that follow it: the elements of an array, or the keys and values of a map
 	bits        uint64 // of a number or a bool
 }
 
@@ -31,7 +31,7 @@
 type operand uint8
 
 const (
-	noOperand     operand = iota // there are none
+	noOperand     operand = iota // there are no such bytes
 	unsignedValue                // the value's bits
 	signedValue                  // the value, in two's complement
 	bodyLength                   // how many bytes follow
@@ -47,11 +47,11 @@
 	body    uint64 // bytes that follow besides those of the operand
 }
 
-// firstFormat and endFormats bound the first bytes that stand in formats. Below and above them the first byte holds
-// a number or a length itself.
+// firstFormat and endFormats bound the first bytes that formats lists. Other first bytes hold a number, a length or a
+// count themselves.
 const (
 	firstFormat   = 0xc0
-	invalidFormat = 0xc1 // never used, by the specification
+	invalidFormat = 0xc1 // "never used" in the specification
 	endFormats    = 0xe0
 )
 
@@ -89,8 +89,8 @@
 	0xdf - firstFormat: {kind: kindMap, operand: elementCount, width: 4},
 }
 
-// readHeader reads the header at the start of data. It returns headerBytes 0 where data ends within the header, and
-// ErrNoFormat where no value begins.
+// readHeader reads the header at the start of data. It returns headerBytes 0 if data ends within the header, and
+// ErrNoFormat if no value begins there.
 func readHeader(data []byte) (header, error) {
 	if len(data) == 0 {
 		return header{}, nil
@@ -138,7 +138,7 @@
 	return header{kind: kindInt, headerBytes: 1, bits: uint64(int64(int8(first)))} // negative fixint
 }
 
-// elementsOf is how many values follow the header of an array or a map with a count.
+// elementsOf returns how many values follow the header of an array or a map with the given count.
 func elementsOf(k kind, count uint64) uint64 {
 	if k == kindMap {
 		return 2 * count
--- a/internal/dataplane/msgpackrpc/message.go
+++ b/internal/dataplane/msgpackrpc/message.go
@@ -2,25 +2,24 @@
 
 import "math"
 
-// The types of message, after the MessagePack-RPC specification.
+// The message types of the MessagePack-RPC specification.
 const (
 	typeRequest      = 0
 	typeResponse     = 1
 	typeNotification = 2
 )
 
-// message is one message, its values still encoded. The slices are parts of the bytes
-// that it was read from.
+// message is one message with its values still encoded. The slices are parts of the bytes that it was read from.
 type message struct {
 	kind   int
-	id     uint32 // not of a notification
-	method string // not of a response
-	params []byte // an array; not of a response
-	error  []byte // of a response
-	result []byte // of a response
+	id     uint32 // unset in a notification
+	method string // unset in a response
+	params []byte // an array; unset in a response
+	error  []byte // only in a response
+	result []byte // only in a response
 }
 
-// elementsOfType is how many elements a message has, by its type.
+// elementsOfType is how many elements a message of each type has.
 var elementsOfType = [...]uint64{typeRequest: 4, typeResponse: 4, typeNotification: 3}
 
 // parseMessage reads a complete message. Its error is ErrMessage.
@@ -50,13 +49,13 @@
 	return m, nil
 }
 
-// valueReader takes values off the front of encoded ones. After a failure it returns zero values.
+// valueReader reads encoded values one after the other. After a failure it returns zero values.
 type valueReader struct {
 	rest   []byte
 	failed bool
 }
 
-// value takes the next value, encoded.
+// value reads the next value and returns it encoded.
 func (r *valueReader) value() []byte {
 	if r.failed {
 		return nil
@@ -71,7 +70,7 @@
 	return v
 }
 
-// uint takes an integer from 0 to a maximum.
+// uint reads an integer from 0 to a maximum.
 func (r *valueReader) uint(maximum uint64) uint64 {
 	v, ok := readUint(r.value())
 	if !ok || v > maximum {
@@ -87,7 +86,7 @@
 	return v
 }
 
-// array takes an array, encoded.
+// array reads an array and returns it encoded.
 func (r *valueReader) array() []byte {
 	v := r.value()
 	h, err := readHeader(v)
--- a/internal/dataplane/msgpackrpc/message_reader.go
+++ b/internal/dataplane/msgpackrpc/message_reader.go
@@ -2,21 +2,21 @@
 
 import "net"
 
-// readBufferBytes is the size of a connection's read buffer at first; it grows with a message that is longer.
+// readBufferBytes is the initial size of a connection's read buffer, which grows for longer messages.
 const readBufferBytes = 4 << 10
 
 // messageReader reads the messages of a connection.
 type messageReader struct {
 	conn    net.Conn
 	scanner scanner
-	buffer  []byte // what has come of the next message, and of those behind it
+	buffer  []byte // what has arrived of the next message and of later ones
 }
 
 func newMessageReader(conn net.Conn, limits Limits) *messageReader {
 	return &messageReader{conn: conn, scanner: scanner{limits: limits}, buffer: make([]byte, 0, readBufferBytes)}
 }
 
-// next returns the next message and true if all of it has come. The message has bytes of its own. After an error
+// next returns the next message and true if all of it has arrived. The message does not share the buffer. After an error
 // nothing more can be read.
 func (r *messageReader) next() (message, bool, error) {
 	n, complete, err := r.scanner.advance(r.buffer)
@@ -29,11 +29,11 @@
 	return m, err == nil, err
 }
 
-// isEmpty says that nothing of the next message has come.
+// isEmpty reports whether nothing of the next message has arrived.
 func (r *messageReader) isEmpty() bool { return len(r.buffer) == 0 }
 
-// fill waits for bytes and reads what is there. The buffer grows with what has come, to a little more than the
-// longest message.
+// fill waits for bytes and reads them into the buffer. The buffer grows only when it is full, up to readBufferBytes more
+// than the longest message.
 func (r *messageReader) fill() error {
 	if len(r.buffer) == cap(r.buffer) {
 		capacity := min(2*cap(r.buffer), r.scanner.limits.MaxMessageBytes+readBufferBytes)
--- a/internal/dataplane/msgpackrpc/metadata.go
+++ b/internal/dataplane/msgpackrpc/metadata.go
@@ -5,27 +5,27 @@
 	"strings"
 )
 
-// Metadata is what travels with a call beside its parameters: a map as the last one, all of whose keys begin with
-// "$". Values that are not given are zero.
+// Metadata is sent along with a call as its last parameter: a map all of whose keys begin with "$". Missing values are
+// zero.
 type Metadata struct {
-	RequestID      string  // $id: 16 hexadecimal digits, new with each call
+	RequestID      string  // $id: 16 hexadecimal digits, new for each call
 	Tenant         string  // $house
-	IdempotencyKey string  // $key: for a class whose requests may run once a key
-	AffinityKey    string  // $about: what the call is about; calls of a key prefer the same backends
+	IdempotencyKey string  // $key: for a class whose requests may run once per key
+	AffinityKey    string  // $about: what the call is about; calls with the same key prefer the same backends
 	TimeoutMs      float64 // $left_ms: how long the client will wait
 	IsRetry        bool    // $repeat: a retry by the client
 }
 
 // callParams are the parameters of a call.
 type callParams struct {
-	args    []byte // those of the method, one encoded value after the other
+	args    []byte // the method's parameters, one encoded value after the other
 	count   int    // of args
 	meta    Metadata
 	hasMeta bool
 }
 
-// splitParams splits the metadata off a call's parameters, an encoded array. Its error names the first key whose
-// value can't be used.
+// splitParams separates the metadata from a call's parameters, an encoded array. Its error names the first key with an
+// invalid value.
 func splitParams(params []byte) (callParams, error) {
 	h, err := readHeader(params)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return callParams{args: values[:lastStart], count: withoutMeta.count - 1, meta: meta, hasMeta: true}, nil
 }
 
-// lastValue is the position at which the last of some encoded values begins.
+// lastValue returns the position at which the last of some encoded values begins.
 func lastValue(values []byte) (int, error) {
 	start := 0
 	for at := 0; at < len(values); {
@@ -64,7 +64,7 @@
 	return start, nil
 }
 
-// readMetadata reads a call's last parameter. It returns false where that is one of the method's own.
+// readMetadata reads a call's last parameter. It returns false if that is one of the method's own.
 func readMetadata(v []byte) (Metadata, bool, error) {
 	h, err := readHeader(v)
 	if err != nil || h.kind != kindMap || h.elements == 0 {
@@ -72,26 +72,26 @@
 	}
 	var m Metadata
 	keys := uint64(0)
-	unusable := ""
+	invalidKey := ""
 	forEachPair(v, func(key string, value []byte) {
 		if !strings.HasPrefix(key, "$") {
 			return
 		}
 		keys++
-		if !m.set(key, value) && unusable == "" {
-			unusable = key
+		if !m.set(key, value) && invalidKey == "" {
+			invalidKey = key
 		}
 	})
 	if keys != h.elements/2 {
 		return Metadata{}, false, nil
 	}
-	if unusable != "" {
-		return Metadata{}, true, fmt.Errorf("%s is no good", unusable)
+	if invalidKey != "" {
+		return Metadata{}, true, fmt.Errorf("%s is no good", invalidKey)
 	}
 	return m, true, nil
 }
 
-// set sets the value of a key, and returns false where it can't be used. Keys that it doesn't know are passed over.
+// set sets the value of a key, and returns false if the value is invalid. Unknown keys are ignored.
 func (m *Metadata) set(key string, v []byte) bool {
 	ok := true
 	switch key {
@@ -121,7 +121,7 @@
 	maxTimeoutMs    = 3_600_000
 )
 
-// isRequestID says whether a text has the form of a request id.
+// isRequestID reports whether a text has the form of a request ID.
 func isRequestID(s string) bool {
 	return len(s) == requestIDLength && strings.Trim(s, "0123456789abcdef") == ""
 }
--- a/internal/dataplane/msgpackrpc/reply.go
+++ b/internal/dataplane/msgpackrpc/reply.go
@@ -5,11 +5,11 @@
 	"marlreel/internal/dataplane/engine"
 )
 
-// reply is a backend's answer, as it came: both encoded.
+// reply is a backend's answer, still encoded.
 type reply struct{ error, result []byte }
 
-// outcomeOf is what a reply means to the engine. Only an answer that a client may get goes with it: of a failure or
-// a rejection the proxy writes its own.
+// outcomeOf returns the end of the attempt that a reply answers. It includes the reply only if a client may get it: for a
+// failure or a rejection the proxy writes an error of its own.
 func outcomeOf(m message) engine.AttemptEnd {
 	result := balancer.OK
 	if !isNil(m.error) {
@@ -21,11 +21,11 @@
 	return engine.AttemptEnd{Result: result}
 }
 
-// classifyError says what a backend's error means. See the package comment.
+// classifyError returns the result that a backend's error stands for. See the package comment.
 func classifyError(v []byte) balancer.Result {
 	unprocessed, failed := false, false
 	forEachPair(v, func(key string, value []byte) {
-		on, _ := readBool(value) // what is no bool is not set
+		on, _ := readBool(value) // anything but a bool counts as false
 		switch key {
 		case "$unprocessed":
 			unprocessed = unprocessed || on
--- a/internal/dataplane/msgpackrpc/rpc_error.go
+++ b/internal/dataplane/msgpackrpc/rpc_error.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// The codes of errors that are this proxy's own. Of the first three the client may retry: the call has not run.
+// The codes of the proxy's own errors. After the first three the client may retry: the call has not run.
 const (
 	codeRefused    = "refused"     // rejected by load shedding, a limit or a quota
 	codeOverloaded = "overloaded"  // too many calls are pending
-	codeDraining   = "draining"    // another connection reaches a process that serves
+	codeDraining   = "draining"    // this process is shutting down; a new connection reaches another one
 	codeFailed     = "failed"      // the call may have run
 	codeOutOfTime  = "out-of-time" // the call may have run
-	codeBadRequest = "bad-request" // the call is at fault
-	codeNoMethod   = "no-method"   // the call is at fault
-	codeInUse      = "in-use"      // the call is at fault: its id is another's
+	codeBadRequest = "bad-request" // the call is invalid
+	codeNoMethod   = "no-method"   // the call is invalid
+	codeInUse      = "in-use"      // the call is invalid: another one has its ID
 )
 
-// callError is an error of this proxy's own, as a client gets it: a map.
+// callError is one of the proxy's own errors, which is encoded as a map.
 type callError struct {
 	Code, Message string
-	Retry         bool // a retry is harmless
+	Retry         bool // a retry is safe
 	After         time.Duration
 }
 
-// encode encodes the error; retry_after is in seconds, and left out where it is 0.
+// encode encodes the error; retry_after is in seconds, and left out if it is 0.
 func (e *callError) encode() []byte {
 	n := 3
 	if e.After > 0 {
--- a/internal/dataplane/msgpackrpc/scanner.go
+++ b/internal/dataplane/msgpackrpc/scanner.go
@@ -5,11 +5,10 @@
 // Limits bound what a client or a backend may send.
 type Limits struct {
 	MaxMessageBytes int // bytes of one message
-	MaxDepth        int // arrays and maps within one another
+	MaxDepth        int // of nested arrays and maps
 }
 
-// Errors of what can't be read. They end the connection: nothing after such bytes can be told apart from their
-// middle.
+// Errors of malformed input. They end the connection, because the beginning of the next message can't be found.
 var (
 	ErrTooLong  = errors.New("the message is longer than allowed")
 	ErrTooDeep  = errors.New("arrays and maps are nested deeper than allowed")
@@ -17,28 +16,28 @@
 	ErrMessage  = errors.New("not a MessagePack-RPC message")
 )
 
-// maxBodyBytes is more than any limit of a message, and no sum with it overflows an int.
+// maxBodyBytes is more than any limit of a message, but small enough that no sum with it overflows an int.
 const maxBodyBytes = 1 << 40
 
-// scanner finds the end of one MessagePack value without decoding it. It goes on where it stopped when more bytes
-// have come, so that a message that arrives byte by byte costs no more than one that arrives at once. What a header
-// claims is believed only as far as bytes come: nothing is allocated for it.
+// scanner finds the end of one MessagePack value without decoding it. When more bytes have arrived, it goes on where it
+// stopped, so that a message that arrives byte by byte costs no more than one that arrives at once. It allocates nothing
+// for a length that a header claims.
 type scanner struct {
 	limits    Limits
 	scanned   int      // bytes of the value that have been scanned
-	remaining []uint64 // values still to come in each array or map that is not complete, outermost first
+	remaining []uint64 // values missing from each incomplete array or map, outermost first
 	started   bool
 }
 
-// reset makes the scanner ready for the next value.
+// reset prepares the scanner for the next value.
 func (s *scanner) reset() {
 	s.scanned = 0
 	s.remaining = s.remaining[:0]
 	s.started = false
 }
 
-// advance goes on over data, which holds the value from its first byte. It returns the value's length and true when
-// the value is complete.
+// advance continues the scan of data, which holds the value from its first byte. It returns the value's length and true
+// if the value is complete.
 func (s *scanner) advance(data []byte) (int, bool, error) {
 	for !s.started || len(s.remaining) > 0 {
 		h, err := readHeader(data[s.scanned:])
@@ -59,7 +58,7 @@
 	return s.scanned, true, nil
 }
 
-// accept passes over a header and its body, and closes the arrays and maps that are complete with it.
+// accept skips a header and its body, and closes the arrays and maps that they complete.
 func (s *scanner) accept(h header) error {
 	s.started = true
 	s.scanned += h.headerBytes + int(h.bodyBytes)
@@ -68,7 +67,7 @@
 		s.remaining[depth-1]--
 	}
 	if h.elements > 0 {
-		if h.elements > uint64(s.limits.MaxMessageBytes-s.scanned) { // each takes a byte at least
+		if h.elements > uint64(s.limits.MaxMessageBytes-s.scanned) { // each takes at least a byte
 			return ErrTooLong
 		}
 		if depth >= s.limits.MaxDepth {
@@ -82,10 +81,10 @@
 	return nil
 }
 
-// maxValueDepth bounds nothing that a scanner with a connection's limits has let through.
+// maxValueDepth is more than any connection's limit of nesting, so it doesn't reject what a connection has accepted.
 const maxValueDepth = 1 << 20
 
-// valueLength is the length of the value at the start of data, which holds all of it.
+// valueLength returns the length of the value at the start of data, which holds all of it.
 func valueLength(data []byte) (int, error) {
 	s := scanner{limits: Limits{MaxMessageBytes: len(data), MaxDepth: maxValueDepth}}
 	n, complete, err := s.advance(data)
--- a/internal/dataplane/msgpackrpc/server.go
+++ b/internal/dataplane/msgpackrpc/server.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// messageTimeout is the time in which the rest of a message has to come once it has begun: a client that sends
-	// half of one is answered or closed within 3 s.
+	// messageTimeout is the time in which the rest of a message has to arrive once it has begun, so that a client that
+	// sends half a message is answered or disconnected within 3 s.
 	messageTimeout = 2500 * time.Millisecond
 	// answerTimeout is how long a client may read nothing of its answers.
 	answerTimeout = 5 * time.Second
-	// drainLinger is how long an idle connection still answers calls while the process drains: a call that crosses
-	// the end of its connection is lost.
+	// drainLinger is how long an idle connection still answers calls while the process drains. A call that was sent
+	// just before its connection is closed would otherwise be lost.
 	drainLinger = 500 * time.Millisecond
 	// drainMethod is the notification that announces a drain.
 	drainMethod = "$drain"
 )
 
-// Server accepts clients' connections. Many calls are pending on one, and are answered in any order.
+// Server accepts clients' connections. Many calls can be pending on one, and are answered in any order.
 type Server struct {
 	engine   *engine.Engine
 	carrier  engine.Carrier
@@ -40,7 +40,7 @@
 	goroutines sync.WaitGroup
 }
 
-// NewServer makes a server whose calls reach backends by a carrier. The configuration has been validated, also
+// NewServer returns a server whose calls reach backends through a carrier. The configuration has been validated, also
 // against the settings.
 func NewServer(e *engine.Engine, carrier *Carrier, cfg *Config, counters *Counters) *Server {
 	return &Server{
@@ -50,7 +50,7 @@
 	}
 }
 
-// Serve accepts connections until the listener is closed, and returns nil then.
+// Serve accepts connections until the listener is closed, and then returns nil.
 func (s *Server) Serve(listener net.Listener) error {
 	for {
 		conn, err := listener.Accept()
@@ -67,14 +67,14 @@
 	}
 }
 
-// admit serves a connection. At the bound it takes the place of the idle one whose last message is the oldest, and
-// is closed where all have calls pending.
+// admit serves a new connection. At the limit it first closes the idle connection whose last message is the oldest; if
+// none is idle, it closes the new one.
 func (s *Server) admit(conn net.Conn) {
 	c := newClientConn(conn, s)
 	s.mu.Lock()
 	if len(s.connections) >= s.config.MaxConnections && !s.closeIdlest() {
 		s.mu.Unlock()
-		_ = conn.Close() // there is nobody to tell
+		_ = conn.Close() // there is nobody to report an error to
 		return
 	}
 	s.connections[c] = struct{}{}
@@ -104,7 +104,7 @@
 	return true
 }
 
-// Connections is how many are open.
+// Connections returns the number of open connections.
 func (s *Server) Connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,7 +129,7 @@
 	}
 }
 
-// closeDrained says that no connection is left. Called with the lock.
+// closeDrained signals that no connection is left. Called with the lock.
 func (s *Server) closeDrained() {
 	select {
 	case <-s.drained:
@@ -138,8 +138,8 @@
 	}
 }
 
-// Shutdown waits after StartDraining until all connections have ended. It returns the context's error if that ends
-// before.
+// Shutdown, called after StartDraining, waits until all connections have ended. It returns the context's error if the
+// context ends before.
 func (s *Server) Shutdown(ctx context.Context) error {
 	select {
 	case <-s.drained:
@@ -147,7 +147,7 @@
 	case <-ctx.Done():
 	}
 	select {
-	case <-s.drained: // both at once
+	case <-s.drained: // both happened at once
 		return nil
 	default:
 		return ctx.Err()
@@ -173,7 +173,8 @@
 	}
 }
 
-// methodOf finds the entry of a method: an exact name before a prefix, and of prefixes the longest; nil: none.
+// methodOf finds the entry of a method: an exact name takes precedence over a prefix, and a longer prefix over a shorter
+// one. It returns nil if there is none.
 func (s *Server) methodOf(name string) *Method {
 	var best *Method
 	for i := range s.config.Methods {
--- a/internal/dataplane/msgpackrpc/values.go
+++ b/internal/dataplane/msgpackrpc/values.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// isNil tells whether an encoded value is nil.
+// isNil reports whether an encoded value is nil.
 func isNil(v []byte) bool { return len(v) == 1 && v[0] == 0xc0 }
 
 // readUint reads an integer that is not negative.
@@ -23,7 +23,7 @@
 	return 0, false
 }
 
-// readString reads a string, or bytes that stand for one as in the specification's old form.
+// readString reads a string, or binary data that stands for one as in the old version of the specification.
 func readString(v []byte) (string, bool) {
 	h, err := readHeader(v)
 	if err != nil || h.headerBytes == 0 || h.kind != kindString && h.kind != kindBinary {
@@ -61,8 +61,7 @@
 	return h.bits == 1, true
 }
 
-// forEachPair calls a function for each pair of an encoded map whose key is a string. Of what is no map it calls it
-// for none.
+// forEachPair calls a function for each pair of an encoded map whose key is a string. It does nothing for other values.
 func forEachPair(v []byte, visit func(key string, value []byte)) {
 	h, err := readHeader(v)
 	if err != nil || h.headerBytes == 0 || h.kind != kindMap {
