--- a/internal/dataplane/msgpackrpc/backend_conn_test.go
+++ b/internal/dataplane/msgpackrpc/backend_conn_test.go
@@ -243,7 +243,7 @@
 
 // answerAll answers every call on a connection with its parameters, until the connection ends.
 func answerAll(c net.Conn) {
-	r := newMessageReader(c, wide)
+	r := newMessageReader(c, wideLimits)
 	for {
 		m, complete, err := r.next()
 		if err != nil {
--- a/internal/dataplane/msgpackrpc/carrier.go
+++ b/internal/dataplane/msgpackrpc/carrier.go
@@ -88,7 +88,7 @@
 	if atBackendLimit {
 		return leastLoaded
 	}
-	if c.openCount >= c.config.MaxTotalConnections && !c.closeIdlest() {
+	if c.openCount >= c.config.MaxTotalConnections && !c.closeLongestIdle() {
 		return leastLoaded
 	}
 	return c.open(backend)
@@ -122,20 +122,20 @@
 	return b
 }
 
-// closeIdlest closes the connection that has been idle the longest, and returns false if none is idle.
-func (c *Carrier) closeIdlest() bool {
-	var idlest *backendConn
+// closeLongestIdle closes the connection that has been idle the longest, and returns false if none is idle.
+func (c *Carrier) closeLongestIdle() bool {
+	var longestIdle *backendConn
 	for _, connections := range c.connections {
 		for _, b := range connections {
-			if len(b.pending) == 0 && !b.retired && (idlest == nil || b.idleSince < idlest.idleSince) {
-				idlest = b
+			if len(b.pending) == 0 && !b.retired && (longestIdle == nil || b.idleSince < longestIdle.idleSince) {
+				longestIdle = b
 			}
 		}
 	}
-	if idlest == nil {
+	if longestIdle == nil {
 		return false
 	}
-	idlest.retire()
+	longestIdle.retire()
 	return true
 }
 
--- a/internal/dataplane/msgpackrpc/codec_test.go
+++ b/internal/dataplane/msgpackrpc/codec_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-var wide = Limits{MaxMessageBytes: 1 << 20, MaxDepth: 64}
+var wideLimits = Limits{MaxMessageBytes: 1 << 20, MaxDepth: 64}
 
 func unhex(t testing.TB, s string) []byte {
 	t.Helper()
@@ -41,7 +41,7 @@
 			t.Errorf("%s: %d bytes, %v", v, n, err)
 		}
 		for k := range data {
-			s := scanner{limits: wide}
+			s := scanner{limits: wideLimits}
 			if n, done, err := s.advance(data[:k]); done || err != nil {
 				t.Errorf("%s: after %d bytes: %d %v %v", v, k, n, done, err)
 			}
@@ -126,12 +126,12 @@
 		"more than a limit":  {append(unhex(t, "c6 00100000"), make([]byte, 1<<20)...), ErrTooLong},
 		"nothing of a value": {unhex(t, "92 c1"), ErrNoFormat},
 	} {
-		s := scanner{limits: wide}
+		s := scanner{limits: wideLimits}
 		if _, done, err := s.advance(c.data); done || !errors.Is(err, c.want) {
 			t.Errorf("%s: %v %v, want %v", name, done, err, c.want)
 		}
 	}
-	s := scanner{limits: wide}
+	s := scanner{limits: wideLimits}
 	if n, done, err := s.advance(append(bytes.Repeat([]byte{0x91}, 64), 0xc0)); !done || n != 65 || err != nil {
 		t.Errorf("nesting of 64: %d %v %v", n, done, err)
 	}
--- a/internal/dataplane/msgpackrpc/message.go
+++ b/internal/dataplane/msgpackrpc/message.go
@@ -19,8 +19,8 @@
 	result []byte // only in a response
 }
 
-// elementsOfType is how many elements a message of each type has.
-var elementsOfType = [...]uint64{typeRequest: 4, typeResponse: 4, typeNotification: 3}
+// elementsByType is how many elements a message of each type has.
+var elementsByType = [...]uint64{typeRequest: 4, typeResponse: 4, typeNotification: 3}
 
 // parseMessage reads a complete message. Its error is ErrMessage.
 func parseMessage(data []byte) (message, error) {
@@ -30,7 +30,7 @@
 	}
 	r := valueReader{rest: data[h.headerBytes:]}
 	m := message{kind: int(r.uint(typeNotification))}
-	if r.failed || h.elements != elementsOfType[m.kind] {
+	if r.failed || h.elements != elementsByType[m.kind] {
 		return message{}, ErrMessage
 	}
 	if m.kind != typeNotification {
--- a/internal/dataplane/msgpackrpc/server.go
+++ b/internal/dataplane/msgpackrpc/server.go
@@ -72,7 +72,7 @@
 func (s *Server) admit(conn net.Conn) {
 	c := newClientConn(conn, s)
 	s.mu.Lock()
-	if len(s.connections) >= s.config.MaxConnections && !s.closeIdlest() {
+	if len(s.connections) >= s.config.MaxConnections && !s.closeLongestIdle() {
 		s.mu.Unlock()
 		_ = conn.Close() // there is nobody to report an error to
 		return
@@ -87,20 +87,20 @@
 	}
 }
 
-// closeIdlest closes the idle connection whose last message is the oldest, and returns false if none is idle.
+// closeLongestIdle closes the idle connection whose last message is the oldest, and returns false if none is idle.
 // Called with the lock.
-func (s *Server) closeIdlest() bool {
-	var idlest *clientConn
+func (s *Server) closeLongestIdle() bool {
+	var longestIdle *clientConn
 	for c := range s.connections {
-		if c.isIdle() && (idlest == nil || c.lastMessage().Before(idlest.lastMessage())) {
-			idlest = c
+		if c.isIdle() && (longestIdle == nil || c.lastMessage().Before(longestIdle.lastMessage())) {
+			longestIdle = c
 		}
 	}
-	if idlest == nil {
+	if longestIdle == nil {
 		return false
 	}
-	delete(s.connections, idlest)
-	idlest.close()
+	delete(s.connections, longestIdle)
+	longestIdle.close()
 	return true
 }
 
