--- a/internal/dataplane/msgpackrpc/backend_conn_test.go
+++ b/internal/dataplane/msgpackrpc/backend_conn_test.go
@@ -13,13 +13,13 @@
 	"marlreel/internal/testutil"
 )
 
-// manualEngine is an engine that the test moves by hand, with this package's carrier.
+// manualEngine is an engine whose events the test dispatches itself, with this package's carrier.
 type manualEngine struct {
 	*engine.Engine
 	carrier *Carrier
 }
 
-// recordedCall takes a call's answers.
+// recordedCall is a call that records its answers.
 type recordedCall struct {
 	engine.Call
 	answers []engine.Answer
@@ -40,48 +40,48 @@
 	if change != nil {
 		change(&cfg)
 	}
-	l := &manualEngine{e, NewCarrier(e, &cfg, new(Counters))}
-	t.Cleanup(l.carrier.Close)
-	e.AddCarrier(l.carrier)
-	l.Dispatch(func() { l.ApplyMembership(engine.Membership{Kind: balancer.MembershipCached, Entries: entries}) })
-	return l
+	m := &manualEngine{e, NewCarrier(e, &cfg, new(Counters))}
+	t.Cleanup(m.carrier.Close)
+	e.AddCarrier(m.carrier)
+	m.Dispatch(func() { m.ApplyMembership(engine.Membership{Kind: balancer.MembershipCached, Entries: entries}) })
+	return m
 }
 
 func readyEntry(addr string) engine.Entry {
 	return engine.Entry{Name: "s-1", Addr: addr, State: balancer.Ready, Weight: 1}
 }
 
-func (l *manualEngine) call(class int, args []byte) *recordedCall {
-	now := l.Now()
+func (m *manualEngine) call(class int, args []byte) *recordedCall {
+	now := m.Now()
 	c := &recordedCall{}
 	c.Call = engine.Call{
-		Carrier: l.carrier, Front: c, Payload: &payload{method: "m", args: args, count: 1},
+		Carrier: m.carrier, Front: c, Payload: &payload{method: "m", args: args, count: 1},
 		Request: balancer.Request{Class: class, Deadline: now + time.Minute},
 	}
-	l.Dispatch(func() { l.HandleCall(&c.Call, now) })
+	m.Dispatch(func() { m.HandleCall(&c.Call, now) })
 	return c
 }
 
-func (l *manualEngine) until(t testing.TB, what string, reached func() bool) {
+func (m *manualEngine) until(t testing.TB, what string, reached func() bool) {
 	t.Helper()
 	for !reached() {
-		l.Dispatch(testutil.Receive(t, l.Events(), what))
+		m.Dispatch(testutil.Receive(t, m.Events(), what))
 	}
 }
 
-// A write that breaks before the last byte proves that nothing ran; after it, it may have.
+// A write that fails before the last byte proves that nothing ran; after the last byte, the call may have run.
 func TestPartialWritesNeverRan(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		read int // bytes that the backend takes; -1 is all
+		read int // bytes that the backend reads; -1: all
 		want balancer.Result
 	}{"half": {50_000, balancer.ConnectFailed}, "whole": {-1, balancer.Reset}} {
-		l := newManualEngine(t, nil)
-		near, far := net.Pipe() // which hands over byte for byte
+		m := newManualEngine(t, nil)
+		near, far := net.Pipe() // unbuffered, so only what is read counts as written
 		b := engine.NewBackend("s-1", "127.0.0.1:1", true)
-		conn := newBackendConn(l.carrier, b, func() {})
+		conn := newBackendConn(m.carrier, b, func() {})
 		body := &payload{method: "m", args: append([]byte{0xc6, 0, 1, 0, 0}, make([]byte, 1<<16)...), count: 1}
-		f := &pendingAttempt{attempt: &engine.Attempt{Backend: b, Deadline: time.Now().Add(time.Minute)}, msgid: 1, payload: body}
+		p := &pendingAttempt{attempt: &engine.Attempt{Backend: b, Deadline: time.Now().Add(time.Minute)}, msgid: 1, payload: body}
 		go func() {
 			defer far.Close()
 			wanted := int64(c.read)
@@ -93,112 +93,114 @@
 				t.Errorf("%s: %d bytes of %d read: %v", name, n, wanted, err)
 			}
 		}()
-		went := conn.write(near, f)
-		if got := f.written.Load(); got != (c.want == balancer.Reset) {
-			t.Errorf("%s: the last byte is said to be out: %v", name, got)
+		usable := conn.write(near, p)
+		if got := p.written.Load(); got != (c.want == balancer.Reset) {
+			t.Errorf("%s: the last byte counts as written: %v", name, got)
 		}
-		if went != f.written.Load() {
-			t.Errorf("%s: the connection is said to be good: %v", name, went)
+		if usable != p.written.Load() {
+			t.Errorf("%s: the connection counts as usable: %v", name, usable)
 		}
-		if !f.attempt.Permit.Claimed() {
-			t.Errorf("%s: written without its permit", name)
+		if !p.attempt.Permit.Claimed() {
+			t.Errorf("%s: written without claiming its permit", name)
 		}
 	}
 }
 
-// What is revoked, or whose backend leaves, while it waits for its connection is never written.
+// An attempt that is revoked, or whose backend starts draining, while it waits for its connection is never written.
 func TestRevokedAttemptsAreNotWritten(t *testing.T) {
 	t.Parallel()
-	for name, spoil := range map[string]func(f *pendingAttempt, l *backendConn){
-		"answered": func(f *pendingAttempt, _ *backendConn) { f.attempt.Permit.Revoke() },
-		"draining": func(_ *pendingAttempt, l *backendConn) { l.backend = engine.NewBackend("s-1", "127.0.0.1:1", false) },
+	for name, revoke := range map[string]func(p *pendingAttempt, conn *backendConn){
+		"answered": func(p *pendingAttempt, _ *backendConn) { p.attempt.Permit.Revoke() },
+		"draining": func(_ *pendingAttempt, conn *backendConn) {
+			conn.backend = engine.NewBackend("s-1", "127.0.0.1:1", false)
+		},
 	} {
-		l := newManualEngine(t, nil)
+		m := newManualEngine(t, nil)
 		near, far := net.Pipe()
 		b := engine.NewBackend("s-1", "127.0.0.1:1", true)
-		conn := newBackendConn(l.carrier, b, func() {})
-		f := &pendingAttempt{attempt: &engine.Attempt{Backend: b}, msgid: 1, payload: &payload{method: "m"}}
-		spoil(f, conn)
-		if !conn.write(near, f) || f.written.Load() {
+		conn := newBackendConn(m.carrier, b, func() {})
+		p := &pendingAttempt{attempt: &engine.Attempt{Backend: b}, msgid: 1, payload: &payload{method: "m"}}
+		revoke(p, conn)
+		if !conn.write(near, p) || p.written.Load() {
 			t.Errorf("%s: it was written", name)
 		}
 		near.Close()
 		if n, _ := io.Copy(io.Discard, far); n != 0 {
-			t.Errorf("%s: %d bytes went out", name, n)
+			t.Errorf("%s: %d bytes were written", name, n)
 		}
 	}
 }
 
-// Msgids go round at 2^32, and pass over those that are open or may be answered yet.
+// Msgids wrap around at 2^32 and skip those of pending calls and of abandoned calls that may still be answered.
 func TestMsgidsWrapAround(t *testing.T) {
 	t.Parallel()
-	l := &backendConn{pending: map[uint32]*pendingAttempt{0: nil, 2: nil}, abandoned: map[uint32]struct{}{1: {}}, lastMsgid: 1<<32 - 2}
-	if a, b := l.newMsgid(), l.newMsgid(); a != 1<<32-1 || b != 3 {
+	conn := &backendConn{pending: map[uint32]*pendingAttempt{0: nil, 2: nil}, abandoned: map[uint32]struct{}{1: {}}, lastMsgid: 1<<32 - 2}
+	if a, b := conn.newMsgid(), conn.newMsgid(); a != 1<<32-1 || b != 3 {
 		t.Errorf("after 2^32-2: %d, %d", a, b)
 	}
 }
 
-// A backend that lets calls run out of time gets fewer at once on its connection, and
-// more again with its answers.
+// A connection whose calls are abandoned gets a smaller window, down to 1. Late and unknown replies are counted, and a
+// connection with too many abandoned calls is retired.
 func TestWindowFollowsTheBackend(t *testing.T) {
 	t.Parallel()
 	addr := testutil.ClosedAddr(t)
-	l := newManualEngine(t, func(c *Config) { c.Backend.MaxPipeline, c.Backend.MaxConnections = 8, 1 }, readyEntry(addr))
-	b := l.Backend("s-1")
-	conn := newBackendConn(l.carrier, b, func() {})
+	m := newManualEngine(t, func(c *Config) { c.Backend.MaxPipeline, c.Backend.MaxConnections = 8, 1 }, readyEntry(addr))
+	b := m.Backend("s-1")
+	conn := newBackendConn(m.carrier, b, func() {})
 	for range 3 {
-		f := &pendingAttempt{attempt: &engine.Attempt{Backend: b}, msgid: conn.newMsgid()}
-		conn.pending[f.msgid] = f
-		f.attempt.Permit.TryClaim()
-		conn.abandon(f)
+		p := &pendingAttempt{attempt: &engine.Attempt{Backend: b}, msgid: conn.newMsgid()}
+		conn.pending[p.msgid] = p
+		p.attempt.Permit.TryClaim()
+		conn.abandon(p)
 	}
 	if conn.window != 1 || len(conn.abandoned) != 3 || len(conn.pending) != 0 {
-		t.Errorf("window %v, %d without an owner", conn.window, len(conn.abandoned))
+		t.Errorf("window %v, %d abandoned calls", conn.window, len(conn.abandoned))
 	}
 	conn.onReply(message{id: 2, error: nilValue, result: nilValue})
-	if l.carrier.counters.LateReplies.Load() != 1 || len(conn.abandoned) != 2 {
-		t.Error("a late reply was not taken as one")
+	if m.carrier.counters.LateReplies.Load() != 1 || len(conn.abandoned) != 2 {
+		t.Error("a reply to an abandoned call was not counted as late")
 	}
 	conn.onReply(message{id: 99, error: nilValue, result: nilValue})
-	if l.carrier.counters.UnknownReplies.Load() != 1 {
-		t.Error("a reply to nothing was not counted")
+	if m.carrier.counters.UnknownReplies.Load() != 1 {
+		t.Error("a reply that matches no call was not counted")
 	}
 	for range maxAbandoned {
-		f := &pendingAttempt{attempt: &engine.Attempt{Backend: b}, msgid: conn.newMsgid()}
-		conn.pending[f.msgid] = f
-		f.attempt.Permit.TryClaim()
-		conn.abandon(f)
+		p := &pendingAttempt{attempt: &engine.Attempt{Backend: b}, msgid: conn.newMsgid()}
+		conn.pending[p.msgid] = p
+		p.attempt.Permit.TryClaim()
+		conn.abandon(p)
 	}
 	if !conn.retired {
-		t.Error("a connection full of abandoned calls goes on")
+		t.Error("a connection with too many abandoned calls was not retired")
 	}
 }
 
-// Connections are bounded: to a backend, and in all; where all are full, a call is
-// rejected as one that never ran.
+// Connections are bounded, to one backend and in total. If all are full, there is none for a further call, which is then
+// rejected without having run.
 func TestConnectionBounds(t *testing.T) {
 	t.Parallel()
 	addr := silentBackend(t)
-	l := newManualEngine(t, func(c *Config) {
+	m := newManualEngine(t, func(c *Config) {
 		c.Backend.MaxPipeline, c.Backend.MaxConnections, c.Backend.MaxTotalConnections = 1, 2, 2
 	}, readyEntry(addr))
-	b := l.Backend("s-1")
-	first, second := l.carrier.connectionFor(b), func() *backendConn {
-		l.carrier.connections[b][0].pending[1] = &pendingAttempt{}
-		return l.carrier.connectionFor(b)
+	b := m.Backend("s-1")
+	first, second := m.carrier.connectionFor(b), func() *backendConn {
+		m.carrier.connections[b][0].pending[1] = &pendingAttempt{}
+		return m.carrier.connectionFor(b)
 	}()
-	if first == nil || second == nil || first == second || l.carrier.Connections() != 2 {
-		t.Fatalf("%d connections", l.carrier.Connections())
+	if first == nil || second == nil || first == second || m.carrier.Connections() != 2 {
+		t.Fatalf("%d connections", m.carrier.Connections())
 	}
 	second.pending[1] = &pendingAttempt{}
-	if l.carrier.connectionFor(b) != nil || l.carrier.Connections() != 2 {
-		t.Error("one more was opened")
+	if m.carrier.connectionFor(b) != nil || m.carrier.Connections() != 2 {
+		t.Error("a connection was returned or opened beyond the limits")
 	}
 	delete(first.pending, 1)
 	delete(second.pending, 1)
 }
 
-// silentBackend is a backend that takes connections and says nothing.
+// silentBackend starts a backend that accepts connections and never answers. It returns its address.
 func silentBackend(t testing.TB) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -218,7 +220,7 @@
 	return ln.Addr().String()
 }
 
-// echoBackend answers every call with its parameters.
+// echoBackend starts a backend that answers every call with its parameters. It returns its address.
 func echoBackend(t testing.TB) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -260,41 +262,41 @@
 	}
 }
 
-// A call goes out and its answer comes back; what is idle for long ends.
+// A call is sent and its answer returned; a connection that has been idle for too long is closed.
 func TestCarrierAnswersAndRetiresIdle(t *testing.T) {
 	t.Parallel()
-	l := newManualEngine(t, nil, readyEntry(echoBackend(t)))
-	c := l.call(0, []byte{7})
-	l.until(t, "the answer", func() bool { return len(c.answers) == 1 })
+	m := newManualEngine(t, nil, readyEntry(echoBackend(t)))
+	c := m.call(0, []byte{7})
+	m.until(t, "the answer", func() bool { return len(c.answers) == 1 })
 	if r, ok := c.answers[0].Reply.(*reply); !ok || !bytes.Equal(r.result, []byte{0x91, 7}) {
 		t.Errorf("%+v", c.answers)
 	}
-	if l.carrier.Connections() != 1 || l.OpenCalls() != 0 {
-		t.Errorf("%d connections, %d open", l.carrier.Connections(), l.OpenCalls())
+	if m.carrier.Connections() != 1 || m.OpenCalls() != 0 {
+		t.Errorf("%d connections, %d open", m.carrier.Connections(), m.OpenCalls())
 	}
-	l.Dispatch(func() { l.carrier.CloseExpired(l.Now() + time.Hour) })
-	l.until(t, "the connection's end", func() bool { return l.carrier.Connections() == 0 })
+	m.Dispatch(func() { m.carrier.CloseExpired(m.Now() + time.Hour) })
+	m.until(t, "the connection's end", func() bool { return m.carrier.Connections() == 0 })
 }
 
-// BenchmarkCall is one call through front, engine and carrier, over real sockets.
+// BenchmarkCall measures one call through server, engine and carrier, over real sockets.
 func BenchmarkCall(b *testing.B) {
-	l := newManualEngine(b, func(c *Config) { c.DefaultTenant, c.Methods = "obala", []Method{{Name: "m", Class: "lot-list"}} }, readyEntry(echoBackend(b)))
+	m := newManualEngine(b, func(c *Config) { c.DefaultTenant, c.Methods = "obala", []Method{{Name: "m", Class: "lot-list"}} }, readyEntry(echoBackend(b)))
 	cfg := DefaultConfig()
 	cfg.DefaultTenant, cfg.Methods = "obala", []Method{{Name: "m", Class: "lot-list"}}
-	f := NewServer(l.Engine, l.carrier, &cfg, new(Counters))
+	server := NewServer(m.Engine, m.carrier, &cfg, new(Counters))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	go l.Run(ctx)
+	go m.Run(ctx)
 	served := make(chan error, 1)
-	go func() { served <- f.Serve(ln) }()
+	go func() { served <- server.Serve(ln) }()
 	b.Cleanup(func() {
 		ln.Close()
-		f.Close()
+		server.Close()
 		cancel()
-		<-l.Done()
+		<-m.Done()
 		err := <-served
 		if err != nil {
 			b.Error(err)
--- a/internal/dataplane/msgpackrpc/codec_test.go
+++ b/internal/dataplane/msgpackrpc/codec_test.go
@@ -22,7 +22,7 @@
 	return b
 }
 
-// The formats of the MessagePack specification, one of each, with the length of each.
+// Each format of the MessagePack specification is found with its length, and is incomplete without its last byte.
 func TestFormatsOfTheSpecification(t *testing.T) {
 	for _, v := range []string{
 		"00", "7f", "e0", "ff", // fixint
@@ -62,27 +62,27 @@
 	}
 	p := payload{method: "sum", args: unhex(t, "01 02"), count: 2}
 	if got := p.encode(1, 0); !bytes.Equal(got, request) {
-		t.Errorf("a request is %x", got)
+		t.Errorf("encoded request: %x", got)
 	}
 	response := unhex(t, "94 01 01 c0 03")
 	if m, err = parseMessage(response); err != nil || m.kind != typeResponse || m.id != 1 || !isNil(m.error) || !bytes.Equal(m.result, []byte{3}) {
 		t.Errorf("%+v %v", m, err)
 	}
 	if got := appendResponse(nil, 1, nilValue, []byte{3}); !bytes.Equal(got, response) {
-		t.Errorf("a response is %x", got)
+		t.Errorf("encoded response: %x", got)
 	}
 	note := unhex(t, "93 02 a3 6c6f67 91 a1 78")
 	if m, err = parseMessage(note); err != nil || m.kind != typeNotification || m.method != "log" {
 		t.Errorf("%+v %v", m, err)
 	}
 	if got := encodeNotification("log", unhex(t, "91 a1 78")); !bytes.Equal(got, note) {
-		t.Errorf("a notification is %x", got)
+		t.Errorf("encoded notification: %x", got)
 	}
 	p.notification = true
 	if got := p.encode(1, 0); !bytes.Equal(got, unhex(t, "93 02 a3 73756d 92 01 02")) {
-		t.Errorf("a notification sent on is %x", got)
+		t.Errorf("forwarded notification: %x", got)
 	}
-	// A msgid of 32 bits, and a method as bytes of the old form.
+	// A msgid of 32 bits, and a method in the binary format, as in the old version of the specification.
 	if m, err = parseMessage(unhex(t, "94 00 ce ffffffff c4 01 61 90")); err != nil || m.id != 1<<32-1 || m.method != "a" {
 		t.Errorf("%+v %v", m, err)
 	}
@@ -104,27 +104,27 @@
 		"params of a map":     "94 00 01 a1 61 80",
 	} {
 		if m, err := parseMessage(unhex(t, v)); err == nil {
-			t.Errorf("%s: taken as %+v", name, m)
+			t.Errorf("%s: parsed as %+v", name, m)
 		}
 	}
 }
 
-// What is claimed and what is nested is bounded, long before it has come.
+// Claimed lengths and nesting are checked against the limits before their bytes have arrived.
 func TestLimits(t *testing.T) {
 	for name, c := range map[string]struct {
 		data []byte
 		want error
 	}{
-		"4 GB of text":       {unhex(t, "db ffffffff"), ErrTooLong},
-		"4 GB of bytes":      {unhex(t, "c6 ffffffff"), ErrTooLong},
-		"an array of 4 G":    {unhex(t, "dd ffffffff"), ErrTooLong},
-		"a map of 4 G":       {unhex(t, "df ffffffff"), ErrTooLong},
-		"4 GB in a message":  {unhex(t, "94 00 01 db ffffffff"), ErrTooLong},
-		"nesting of 10,000":  {bytes.Repeat([]byte{0x91}, 10000), ErrTooDeep},
-		"nesting of 65":      {bytes.Repeat([]byte{0x91}, 65), ErrTooDeep},
-		"nesting of maps":    {bytes.Repeat([]byte{0x81, 0xc0}, 65), ErrTooDeep},
-		"more than a limit":  {append(unhex(t, "c6 00100000"), make([]byte, 1<<20)...), ErrTooLong},
-		"nothing of a value": {unhex(t, "92 c1"), ErrNoFormat},
+		"4 GB of text":      {unhex(t, "db ffffffff"), ErrTooLong},
+		"4 GB of bytes":     {unhex(t, "c6 ffffffff"), ErrTooLong},
+		"an array of 4 G":   {unhex(t, "dd ffffffff"), ErrTooLong},
+		"a map of 4 G":      {unhex(t, "df ffffffff"), ErrTooLong},
+		"4 GB in a message": {unhex(t, "94 00 01 db ffffffff"), ErrTooLong},
+		"nesting of 10,000": {bytes.Repeat([]byte{0x91}, 10000), ErrTooDeep},
+		"nesting of 65":     {bytes.Repeat([]byte{0x91}, 65), ErrTooDeep},
+		"nesting of maps":   {bytes.Repeat([]byte{0x81, 0xc0}, 65), ErrTooDeep},
+		"over the limit":    {append(unhex(t, "c6 00100000"), make([]byte, 1<<20)...), ErrTooLong},
+		"unused format":     {unhex(t, "92 c1"), ErrNoFormat},
 	} {
 		s := scanner{limits: wideLimits}
 		if _, done, err := s.advance(c.data); done || !errors.Is(err, c.want) {
@@ -137,7 +137,7 @@
 	}
 }
 
-// Any value that the other library writes is found complete, however its bytes are split.
+// The end of any value that the msgpack library encodes is found, however its bytes are split.
 func TestValuesSplitAnywhere(t *testing.T) {
 	value := rapid.Deferred(func() *rapid.Generator[any] { return anyValue(4) })
 	rapid.Check(t, func(t *rapid.T) {
@@ -145,7 +145,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		stream := append(append([]byte(nil), data...), 0xc0, 0x93) // the next one's beginning
+		stream := append(append([]byte(nil), data...), 0xc0, 0x93) // the beginning of the next message
 		s := scanner{limits: Limits{MaxMessageBytes: len(data), MaxDepth: 16}}
 		for at := 0; ; {
 			at = min(len(stream), at+rapid.IntRange(1, 7).Draw(t, "more"))
@@ -160,7 +160,7 @@
 				return
 			}
 			if at == len(stream) {
-				t.Fatalf("%x: no end", data)
+				t.Fatalf("%x: its end was not found", data)
 			}
 		}
 	})
@@ -181,7 +181,7 @@
 // allMetadata has every key.
 var allMetadata = map[string]any{"$id": "00000000000000aa", "$house": "obala", "$key": "k", "$about": "crate 7", "$left_ms": 480, "$repeat": true}
 
-// encodeArray encodes an array by the other library.
+// encodeArray encodes an array with the msgpack library.
 func encodeArray(t *testing.T, v ...any) []byte {
 	t.Helper()
 	b, err := msgpack.Marshal(v)
@@ -197,7 +197,7 @@
 		call.meta != (Metadata{"00000000000000aa", "obala", "k", "crate 7", 480, true}) {
 		t.Errorf("%+v %v", call, err)
 	}
-	// What goes on is readable for the other library, and tells the time that is left.
+	// The msgpack library can decode the forwarded call, whose $left_ms is the time left.
 	p := payload{method: "a", args: call.args, count: call.count, meta: call.meta, hasMeta: true}
 	var sent []any
 	if err := msgpack.Unmarshal(p.encode(9, 250e6), &sent); err != nil {
@@ -205,20 +205,20 @@
 	}
 	got := sent[3].([]any)[2].(map[string]any)
 	if got["$id"] != "00000000000000aa" || got["$left_ms"] != 250.0 || got["$key"] != "k" || got["$house"] != "obala" || got["$about"] != "crate 7" {
-		t.Errorf("sent on: %v", got)
+		t.Errorf("forwarded metadata: %v", got)
 	}
 }
 
-// A last parameter that is not all metadata is the method's own.
+// A last parameter that is not a map of metadata keys alone is the method's own.
 func TestParametersWithoutMetadata(t *testing.T) {
 	for name, params := range map[string][]byte{
-		"none":               encodeArray(t, 1, 2),
-		"no params":          encodeArray(t),
-		"an empty map":       encodeArray(t, map[string]any{}),
-		"a map of its own":   encodeArray(t, map[string]any{"weight": 7}),
-		"half of its own":    encodeArray(t, map[string]any{"$id": "00000000000000aa", "weight": 7}),
-		"a key that is none": encodeArray(t, map[int]any{1: 2}),
-		"not the last":       encodeArray(t, allMetadata, 1),
+		"none":             encodeArray(t, 1, 2),
+		"no params":        encodeArray(t),
+		"an empty map":     encodeArray(t, map[string]any{}),
+		"own map":          encodeArray(t, map[string]any{"weight": 7}),
+		"mixed map":        encodeArray(t, map[string]any{"$id": "00000000000000aa", "weight": 7}),
+		"key not a string": encodeArray(t, map[int]any{1: 2}),
+		"not the last":     encodeArray(t, allMetadata, 1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			h, err := readHeader(params)
@@ -235,13 +235,13 @@
 
 func TestUnusableMetadata(t *testing.T) {
 	for name, bad := range map[string]map[string]any{
-		"an id of another form": {"$id": "../../etc"},
-		"an id that is none":    {"$id": 7},
-		"a long key":            {"$key": strings.Repeat("k", 200)},
-		"no time":               {"$left_ms": 0},
-		"endless time":          {"$left_ms": 1e300},
-		"time as text":          {"$left_ms": "480"},
-		"a repeat as text":      {"$repeat": "yes"},
+		"malformed id":     {"$id": "../../etc"},
+		"id not a string":  {"$id": 7},
+		"a long key":       {"$key": strings.Repeat("k", 200)},
+		"zero time":        {"$left_ms": 0},
+		"endless time":     {"$left_ms": 1e300},
+		"time as text":     {"$left_ms": "480"},
+		"a repeat as text": {"$repeat": "yes"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := splitParams(encodeArray(t, bad))
@@ -252,8 +252,8 @@
 	}
 }
 
-// Whatever comes: no panic, no more room than was sent, and what is found whole parses
-// the same way twice.
+// Arbitrary input must not cause a panic. A value that the scanner finds complete is within the data and the limit, has
+// the same length when it is measured again, and an accepted request ID is well formed.
 func FuzzStream(f *testing.F) {
 	f.Add(unhex(f, "94 00 01 a3 73756d 92 01 02 94 01 01 c0 03"))
 	f.Add(unhex(f, "93 02 a3 6c6f67 91 81 a3 246964 b0 30303030303030303030303030306161"))
@@ -271,12 +271,12 @@
 			if n < 1 || n > len(rest) || n > limits.MaxMessageBytes {
 				t.Fatalf("%d bytes of %d", n, len(rest))
 			}
-			if w, err := valueLength(rest[:n]); err != nil || w != n {
-				t.Fatalf("whole: %d %v, want %d", w, err, n)
+			if whole, err := valueLength(rest[:n]); err != nil || whole != n {
+				t.Fatalf("length of the whole value: %d %v, want %d", whole, err, n)
 			}
 			if m, err := parseMessage(rest[:n]); err == nil && m.kind != typeResponse {
 				if p, err := splitParams(m.params); err == nil && p.hasMeta && p.meta.RequestID != "" && !isRequestID(p.meta.RequestID) {
-					t.Fatalf("an id of %q", p.meta.RequestID)
+					t.Fatalf("accepted the request ID %q", p.meta.RequestID)
 				}
 			}
 			rest = rest[n:]
--- a/internal/dataplane/msgpackrpc/compatibility_test.go
+++ b/internal/dataplane/msgpackrpc/compatibility_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// All messages that this proxy writes are the recorded bytes, and are read again as what they are.
+// All messages that the proxy writes match the recorded bytes, and decoding and encoding the recorded ones is lossless.
 func TestCompatibilityMessages(t *testing.T) {
 	var got strings.Builder
 	for _, m := range sentMessages() {
@@ -89,14 +89,14 @@
 		}
 		params, err := splitParams(m.params)
 		want := compatibilityMeta
-		want.IsRetry, want.TimeoutMs = false, params.meta.TimeoutMs // a repeat is the caller's own word; the time left is counted down
+		want.IsRetry, want.TimeoutMs = false, params.meta.TimeoutMs // $repeat is not forwarded; $left_ms is counted down
 		if err != nil || !params.hasMeta || params.count != 2 || params.meta != want || params.meta.TimeoutMs <= 0 || len(params.args) != 5 {
 			t.Errorf("%s: metadata %+v, %d parameters, %v", name, params.meta, params.count, err)
 		}
 	}
 }
 
-// A caller's metadata, with the keys of the users' pages.
+// A caller's metadata, with the documented keys.
 func TestCompatibilityCallerMetadata(t *testing.T) {
 	b := appendMap(appendArray(nil, 1), 6)
 	for _, p := range [][2]string{{"$id", "0123456789abcdef"}, {"$house", "obala"}, {"$key", "k-1"}, {"$about", "lot 7"}} {
@@ -110,7 +110,7 @@
 	}
 }
 
-// What a backend's error means, by the keys that the users' pages give.
+// A backend's error is classified by its documented keys.
 func TestCompatibilityBackendErrors(t *testing.T) {
 	flag := func(key string, on bool) []byte { return appendBool(appendString(appendMap(nil, 1), key), on) }
 	for _, c := range []struct {
--- a/internal/dataplane/msgpackrpc/config_test.go
+++ b/internal/dataplane/msgpackrpc/config_test.go
@@ -14,15 +14,15 @@
 		t.Fatal(err)
 	}
 	if off := DefaultConfig(); off.Validate() != nil {
-		t.Error("off is no good")
+		t.Error("the default configuration, with RPC off, is invalid")
 	}
 	settings := testutil.Module(t)
 	if err := good.CheckSettings(&settings); err != nil {
 		t.Error(err)
 	}
 	for name, c := range map[string]struct {
-		spoil func(*Config)
-		want  string
+		change func(*Config)
+		want   string
 	}{
 		"listen":   {func(c *Config) { c.Listen = "here" }, "rpc.listen"},
 		"methods":  {func(c *Config) { c.Methods = nil }, "rpc.method"},
@@ -35,7 +35,7 @@
 	} {
 		bad := good
 		bad.Methods = append([]Method(nil), good.Methods...)
-		c.spoil(&bad)
+		c.change(&bad)
 		err := bad.Validate()
 		if err == nil {
 			err = bad.CheckSettings(&settings)
