--- a/internal/dataplane/gateway/authentication.go
+++ b/internal/dataplane/gateway/authentication.go
@@ -25,7 +25,7 @@
 		return tenancy{}, true
 	}
 	if key, found := bearerKey(credentials); found {
-		// A name that is no header value would reach backends altered, or alter the request, so its tenant is refused.
+		// A name that is not a valid header value would reach backends altered, or alter the request: it is refused.
 		if subscriber := document.SubscriberByKey(key); subscriber != nil && isFieldValue(subscriber.Name) {
 			return tenancy{listed: true, subscriber: subscriber}, true
 		}
--- a/internal/dataplane/gateway/class.go
+++ b/internal/dataplane/gateway/class.go
@@ -9,8 +9,8 @@
 	"marlreel/internal/controlplane/configuration"
 )
 
-// lateValueRatio is the share of its value that a late answer earns. The configuration has no key for it. With a lower one,
-// requests that are going to be late would be rejected.
+// lateValueRatio is the share of its value that a late answer earns. The configuration has no key for it. With a lower
+// ratio, requests that are going to be late would be rejected.
 const lateValueRatio = 0.6
 
 // classKey identifies the class of a route by all that decisions on its requests depend on.
--- a/internal/dataplane/gateway/gateway.go
+++ b/internal/dataplane/gateway/gateway.go
@@ -75,10 +75,11 @@
 // Ready reports whether clients can be sent here.
 func (g *Gateway) Ready() bool { return g.ready.Load() && !g.draining.Load() }
 
-// StartDraining makes the gateway not ready, so that clients move to other proxies.
+// StartDraining makes the gateway not ready and its answers close their connections, so that clients move to other
+// proxies.
 func (g *Gateway) StartDraining() { g.draining.Store(true) }
 
-// OnAgentReply tells the services, after each reply of the agent, which proxies share their budgets and whether that
+// OnAgentReply handles a reply of the agent: it tells the services which proxies share their budgets, and whether that
 // list is known to be fresh.
 func (g *Gateway) OnAgentReply() {
 	fresh := g.state.Fresh(nil)
--- a/internal/dataplane/gateway/identity.go
+++ b/internal/dataplane/gateway/identity.go
@@ -13,7 +13,7 @@
 	zone  string
 }
 
-// rank returns a number derived from the proxy's name. It seeds random choices that should differ between proxies.
+// rank returns a number derived from the proxy's name. It seeds decisions that should differ between proxies.
 func (i identity) rank() int {
 	hash := fnv.New32a()
 	_, _ = io.WriteString(hash, i.name) // a hash never fails
--- a/internal/dataplane/gateway/process.go
+++ b/internal/dataplane/gateway/process.go
@@ -24,9 +24,9 @@
 	agentMaxWait = time.Second
 	// reservedFiles are file descriptors for everything but connections.
 	reservedFiles = 300
-	// minConnections is the least limit of connections, whatever the limit of file descriptors.
+	// minConnections is the lowest connection limit, however low the limit of file descriptors is.
 	minConnections = 64
-	// bodyMemoryShare is the part of the process's memory for bodies: one bodyMemoryShare-th.
+	// bodyMemoryShare divides the process's memory limit: bodies get one part.
 	bodyMemoryShare = 4
 )
 
@@ -56,7 +56,7 @@
 	select {
 	case <-ctx.Done():
 	case err := <-failures:
-		return eris.Wrap(err, "serving HTTP")
+		return eris.Wrap(err, "serving")
 	}
 	return g.drain(ctx, front, readiness, bootstrap.Seconds(settings.Bounds.ShutdownGraceS))
 }
--- a/internal/dataplane/gateway/refusal.go
+++ b/internal/dataplane/gateway/refusal.go
@@ -68,7 +68,7 @@
 	count    int       // events since then
 }
 
-// add counts one event. Where a line is due, it returns how many events there were since the last line.
+// add counts one event. If a line is due, it returns how many events there were since the last line.
 func (l *logRateLimit) add(now time.Time) (count int, due bool) {
 	l.count++
 	if !l.last.IsZero() && now.Sub(l.last) < l.interval {
--- a/internal/dataplane/gateway/request.go
+++ b/internal/dataplane/gateway/request.go
@@ -79,7 +79,7 @@
 	return fasthttp.AppendNormalizedHeaderKeyBytes(nil, key)
 }
 
-// resumeMessage returns a copy of a message that asks for the stream after an event.
+// resumeMessage returns a copy of a message that asks for the rest of the stream after an event.
 func resumeMessage(m *httpproxy.Message, lastEventID string) *httpproxy.Message {
 	next := *m
 	lines := bytes.SplitAfter(m.Head, []byte("\r\n"))
--- a/internal/dataplane/gateway/server.go
+++ b/internal/dataplane/gateway/server.go
@@ -40,9 +40,9 @@
 	return server
 }
 
-// dropDisconnected drops requests whose client disconnected before they were read, so that they don't reach a backend: when
-// the process is overloaded, requests wait in the socket's buffer. A client that disconnects later is noticed by the
-// disconnectWatcher.
+// dropDisconnected drops requests whose client disconnected before they were read, so that they don't reach a backend:
+// when the process is overloaded, requests wait in the socket's buffer. A client that disconnects later is noticed by
+// the disconnectWatcher.
 func dropDisconnected(handler fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		if conn := ctx.Conn(); conn != nil && !sockets.PeerConnected(conn) {
--- a/internal/dataplane/msgpackrpc/server.go
+++ b/internal/dataplane/msgpackrpc/server.go
@@ -138,7 +138,7 @@
 	}
 }
 
-// Shutdown, called after StartDraining, waits until all connections have ended. It returns the context's error if the
+// Shutdown waits until all connections have ended, after a call of StartDraining. It returns the context's error if the
 // context ends before.
 func (s *Server) Shutdown(ctx context.Context) error {
 	select {
