--- a/internal/dataplane/engine/answer.go
+++ b/internal/dataplane/engine/answer.go
@@ -9,25 +9,25 @@
 const (
 	Served      Verdict = iota // Reply is a backend's answer
 	Rejected                   // not executed: a retry is harmless
-	Overloaded                 // the same: too many calls are open here
+	Overloaded                 // not executed: this process has too many open calls
 	Failed                     // it may have been executed
-	TimedOut                   // the same: the call's time ran out
-	Stopped                    // the same: this process ends
-	DuplicateID                // the call's request ID is that of another one, and it was not accepted
-	ClientGone                 // nobody's: its client was found to have disconnected
+	TimedOut                   // it may have been executed: the call timed out
+	Stopped                    // it may have been executed: this process stops
+	DuplicateID                // not accepted: another call has the same request ID
+	ClientGone                 // the client was found to have disconnected, so nothing is sent to it
 )
 
 // Answer is the one final answer to a call.
 type Answer struct {
 	Verdict    Verdict
-	Reply      any           // Served, or Failed for a backend's own message: AttemptEnd.Reply
-	Streaming  bool          // Served: the rest is still to come, and the front reports its end by HandleStreamEnd
-	RetryAfter time.Duration // Rejected, Overloaded: when to retry; 0 is not said
+	Reply      any           // AttemptEnd.Reply, with Served, or with Failed if a backend declined the request
+	Streaming  bool          // with Served: the rest follows, and the front reports its end with HandleStreamEnd
+	RetryAfter time.Duration // with Rejected and Overloaded: when to retry; 0 if not specified
 }
 
-// Front takes answers: the side that a call came from.
+// Front is where calls come from and their answers go to.
 type Front interface {
-	// HandleAnswer takes a call's one final answer, on the engine's goroutine. It must not block, nor call the engine
-	// back.
+	// HandleAnswer takes the final answer of a call, on the engine's goroutine. It must neither block nor call the
+	// engine.
 	HandleAnswer(c *Call, a Answer)
 }
--- a/internal/dataplane/engine/attempt.go
+++ b/internal/dataplane/engine/attempt.go
@@ -9,44 +9,44 @@
 // AttemptEnd is how an attempt or a health check ended.
 type AttemptEnd struct {
 	Result        balancer.Result
-	Reply         any       // where Result is OK or Declined: the answer, for the front
-	CompletesCall bool      // the call is over with this, served as far as can be known
-	Streaming     bool      // OK: the reply is the beginning of a stream
-	ClientGone    bool      // NotSent: the call's client was found to have disconnected
-	Load          []float32 // a load report, in the settings' order; nil is none
+	Reply         any       // the answer for the front, if Result is OK or Declined
+	CompletesCall bool      // the call ends with this attempt and counts as served
+	Streaming     bool      // with OK: the reply is the beginning of a stream
+	ClientGone    bool      // with NotSent: the call's client was found to have disconnected
+	Load          []float32 // a load report, in the order of the settings; nil if there is none
 }
 
-// Attempt is one sending of a call to a backend.
+// Attempt is one try to send a call to a backend.
 type Attempt struct {
 	Call     *Call
-	Index    int // among the call's attempts, from 0
+	Index    int // in the call's attempts, from 0
 	Backend  *Backend
 	Deadline time.Time // when it times out
 	Permit   Permit
-	// Stop cancels the attempt: what is in flight is broken off, and End still comes. StartAttempt sets it; nil is
-	// nothing to be done.
+	// Stop cancels the attempt: the carrier aborts it and still calls End. StartAttempt sets it; nil if there is nothing
+	// to abort.
 	Stop func()
 
 	engine       *Engine
 	startedAt    time.Duration
-	ended        bool // the balancer has its outcome
-	mayHaveRun   bool // where it has ended
-	cancelled    bool // its end counts as cancelResult
+	ended        bool // the outcome is known
+	mayHaveRun   bool // valid once the attempt has ended or its stream has begun
+	cancelled    bool // the end is reported as cancelResult
 	cancelResult balancer.Result
 	timeout      *Timer
 }
 
-// StartedAt is when the attempt began, on the engine's clock.
+// StartedAt returns when the attempt began, on the engine's clock.
 func (a *Attempt) StartedAt() time.Duration { return a.startedAt }
 
-// MarkWritten tells that the attempt's last byte is written. Any goroutine may call it.
+// MarkWritten records that the attempt's last byte has been written. Any goroutine may call it.
 func (a *Attempt) MarkWritten() {
-	if a.engine != nil { // an attempt of a test of carriers has none
+	if a.engine != nil { // nil in tests of carriers
 		a.engine.writtenAttempts.Add(1)
 	}
 }
 
-// Ended tells whether the attempt has ended. Only on the engine's goroutine.
+// Ended reports whether the attempt has ended. Only on the engine's goroutine.
 func (a *Attempt) Ended() bool { return a.ended }
 
 func (a *Attempt) stop() {
@@ -55,7 +55,7 @@
 	}
 }
 
-// withdraw ends an attempt that has not been written, and tells whether it could.
+// withdraw ends an attempt that has not been written, or reports false if its permit can't be revoked.
 func (a *Attempt) withdraw() bool {
 	if !a.Permit.Revoke() {
 		return false
@@ -65,8 +65,8 @@
 	return true
 }
 
-// cancel ends an attempt that may have run. Until its connection is closed it is still in flight, and the balancer may
-// start the next one at once where no hedging is allowed: the carrier's own End has to come first.
+// cancel ends an attempt that may have run. It stays in flight until the carrier has closed its connection and called
+// End. If it ended earlier, the balancer could start the next attempt beside it, also where hedging is not allowed.
 func (a *Attempt) cancel(result balancer.Result) {
 	if a.cancelled {
 		return
@@ -79,8 +79,8 @@
 	a.stop()
 }
 
-// End reports how the attempt ended, once; later calls do nothing. The first good answer is the client's. Only on the
-// engine's goroutine.
+// End reports how the attempt ended. Only the first call has an effect. The client gets the first successful answer.
+// Only on the engine's goroutine.
 func (a *Attempt) End(end AttemptEnd) {
 	if a.ended {
 		return
@@ -103,7 +103,8 @@
 	a.reportOutcome(end)
 }
 
-// beginStream hands on an answer that is generated as it goes. The attempt stays in flight until HandleStreamEnd.
+// beginStream delivers the beginning of an answer that is generated while it is sent. The attempt stays in flight until
+// HandleStreamEnd.
 func (a *Attempt) beginStream(end AttemptEnd) {
 	e, c := a.engine, a.Call
 	a.mayHaveRun = true
@@ -114,7 +115,7 @@
 	e.balancer.OnFirstByte(now, balancer.FirstByte{ID: c.ID, Attempt: a.Index, Backend: a.Backend.ID, Took: now - a.startedAt})
 }
 
-// endStream ends an attempt whose answer had begun.
+// endStream ends an attempt whose answer was streaming.
 func (a *Attempt) endStream(complete bool) {
 	end := AttemptEnd{Result: balancer.OK}
 	if !complete {
@@ -124,7 +125,7 @@
 	a.reportOutcome(end)
 }
 
-// finish takes the attempt off the call's pending ones.
+// finish marks the attempt as ended, so that its call no longer counts it as pending.
 func (a *Attempt) finish(end AttemptEnd) {
 	e := a.engine
 	a.ended, a.mayHaveRun = true, !end.Result.NeverRan()
@@ -135,7 +136,7 @@
 	}
 }
 
-// reportOutcome tells the balancer how the attempt ended.
+// reportOutcome reports to the balancer how the attempt ended.
 func (a *Attempt) reportOutcome(end AttemptEnd) {
 	e, c := a.engine, a.Call
 	e.removeFinished(c)
@@ -150,12 +151,12 @@
 	})
 }
 
-// expire ends an attempt when its time has run out.
+// expire ends an attempt that has timed out.
 func (a *Attempt) expire() {
 	if a.ended {
 		return
 	}
-	if a.Permit.Revoke() { // it was still dialling
+	if a.Permit.Revoke() { // not yet written: the carrier was still connecting
 		a.stop()
 		a.End(AttemptEnd{Result: balancer.ConnectFailed})
 		return
--- a/internal/dataplane/engine/backends.go
+++ b/internal/dataplane/engine/backends.go
@@ -10,58 +10,58 @@
 
 // Membership is the set of backends, or changes to one, as a Source reports it.
 type Membership struct {
-	Kind    balancer.MembershipKind // not ListFailed: sources go on by themselves
+	Kind    balancer.MembershipKind // not ListFailed: sources retry by themselves
 	Version uint32
 	Entries []Entry
 }
 
 // Entry is a backend of a Membership.
 type Entry struct {
-	Name             string // the same at every proxy, and over a restart
-	Addr             string // may be empty where State is Gone
+	Name             string // the same at every proxy and across restarts
+	Addr             string // may be empty if State is Gone
 	State            balancer.State
-	Zone, Kind, Cell int // positions in the settings; -1 is none of them
+	Zone, Kind, Cell int // indexes in the settings; -1 means none
 	Weight           float64
-	Started          time.Time // its last start; zero is long ago
+	Started          time.Time // the last start; zero means long ago
 }
 
-// Backend is a member. Only its address, its name and Ready may be read by other goroutines than the engine's.
+// Backend is a member. Goroutines other than the engine's may only read its name, its address and Ready.
 type Backend struct {
 	balancer.Backend
 	Name, Addr string
 	ready      atomic.Bool
 }
 
-// NewBackend makes a backend that is in no membership, for the tests of carriers.
+// NewBackend creates a backend that is in no membership, for the tests of carriers.
 func NewBackend(name, addr string, ready bool) *Backend {
 	b := &Backend{Name: name, Addr: addr}
 	b.ready.Store(ready)
 	return b
 }
 
-// Ready tells whether anything new may be written to the backend: it is a member, and ready. Once a backend has left it
-// never is again. Any goroutine may call it.
+// Ready reports whether attempts may be written to the backend: it is a member, and ready. It stays false once the
+// backend has left the membership. Any goroutine may call it.
 func (b *Backend) Ready() bool { return b.ready.Load() }
 
-// backends are the members, with the balancer's identifiers for their names.
+// backends holds the members, and the mapping between their names and the balancer's identifiers.
 type backends struct {
 	byID  map[balancer.BackendID]*Backend
 	ids   map[string]balancer.BackendID
-	names map[balancer.BackendID]string // ids, the other way round
+	names map[balancer.BackendID]string // the inverse of ids
 }
 
 func newBackends() backends {
 	return backends{map[balancer.BackendID]*Backend{}, map[string]balancer.BackendID{}, map[balancer.BackendID]string{}}
 }
 
-// id gives the balancer's identifier for a name: the same at every proxy, except where two names have one hash.
+// id returns the balancer's identifier for a name. It is the same at every proxy unless the hashes of two names collide.
 func (k *backends) id(name string) balancer.BackendID {
 	id, known := k.ids[name]
 	if known {
 		return id
 	}
 	f := fnv.New32a()
-	f.Write([]byte(name)) // a hash's Write returns no error
+	f.Write([]byte(name)) // Write of a hash never returns an error
 	id = balancer.BackendID(f.Sum32())
 	for _, taken := k.names[id]; taken; _, taken = k.names[id] {
 		id++
@@ -70,7 +70,7 @@
 	return id
 }
 
-// gone gives a backend that has left in the balancer's form.
+// gone converts the entry of a backend that has left to the balancer's form.
 func (k *backends) gone(id balancer.BackendID, entry *Entry) balancer.Backend {
 	reported := balancer.Backend{ID: id, Zone: -1, Kind: -1, Cell: entry.Cell, Weight: entry.Weight}
 	if b := k.byID[id]; b != nil {
@@ -80,7 +80,7 @@
 	return reported
 }
 
-// Backend is the backend of a name, or nil. Only on the engine's goroutine.
+// Backend returns the backend of a name, or nil. Only on the engine's goroutine.
 func (e *Engine) Backend(name string) *Backend {
 	if id, known := e.backends.ids[name]; known {
 		return e.backends.byID[id]
@@ -88,14 +88,14 @@
 	return nil
 }
 
-// EachBackend calls for each member, in no order. Only on the engine's goroutine.
+// EachBackend calls each for every member, in no particular order. Only on the engine's goroutine.
 func (e *Engine) EachBackend(each func(*Backend)) {
 	for _, b := range e.backends.byID {
 		each(b)
 	}
 }
 
-// ApplyMembership reconciles the backends with a membership, or with changes to it. Only on the engine's goroutine.
+// ApplyMembership updates the backends by a complete membership or by changes to it. Only on the engine's goroutine.
 func (e *Engine) ApplyMembership(m Membership) {
 	present := map[balancer.BackendID]bool{}
 	var removed []balancer.BackendID
@@ -130,7 +130,7 @@
 	}
 }
 
-// applyEntry adds or changes a backend that is not gone, and gives it in the balancer's form.
+// applyEntry adds or updates a backend that is not gone, and returns it in the balancer's form.
 func (e *Engine) applyEntry(id balancer.BackendID, entry *Entry) balancer.Backend {
 	reported := balancer.Backend{
 		ID: id, Zone: entry.Zone, Kind: entry.Kind, Cell: entry.Cell, State: entry.State, Weight: entry.Weight,
@@ -138,8 +138,8 @@
 	if !entry.Started.IsZero() {
 		reported.Started = max(1, ClockStart+entry.Started.Sub(e.start))
 	}
-	// A backend at the address of one that has gone is another one: connections belong to the name, and are dropped
-	// with it or with its old address.
+	// Connections belong to a name at an address, and are dropped when either changes. So a new name at the address of
+	// a removed backend is a different backend.
 	b := e.backends.byID[id]
 	if b == nil || b.Addr != entry.Addr {
 		e.removeFromCarriers(b)
@@ -154,7 +154,8 @@
 	return reported
 }
 
-// removeBackends forgets backends and their names: names are new all day, and the maps would grow without end.
+// removeBackends removes backends and their names. New backends get new names all day, so that the maps would grow
+// without bound otherwise.
 func (e *Engine) removeBackends(ids []balancer.BackendID) {
 	k := &e.backends
 	for _, id := range ids {
@@ -167,7 +168,7 @@
 	}
 }
 
-// removeFromCarriers makes sure that nothing more is sent to a backend that has left.
+// removeFromCarriers ensures that nothing more is sent to a backend that has left or has a new address.
 func (e *Engine) removeFromCarriers(b *Backend) {
 	if b == nil {
 		return
@@ -184,5 +185,5 @@
 	}
 }
 
-// KnownNames is how many backends' names are remembered. Only on the engine's goroutine.
+// KnownNames returns how many names of backends are in memory. Only on the engine's goroutine.
 func (e *Engine) KnownNames() int { return len(e.backends.ids) }
--- a/internal/dataplane/engine/call.go
+++ b/internal/dataplane/engine/call.go
@@ -6,43 +6,43 @@
 	"marlreel/internal/balancer"
 )
 
-// Call is one request of a client in the engine's table.
+// Call is one client request in the engine's table.
 type Call struct {
-	balancer.Request                   // ID is the engine's
-	ClientRequestID  string            // the client's own, new with each request; "" is not checked for duplicates
-	Front            Front             // who takes the answer
-	Carrier          Carrier           // who takes attempts to backends
-	Snapshot         *SettingsSnapshot // by which the request was parsed; nil is the one in force
-	Payload          any               // the carrier's
+	balancer.Request                   // the engine sets ID
+	ClientRequestID  string            // set by the client, new for each request; "" is not checked for duplicates
+	Front            Front             // takes the answer
+	Carrier          Carrier           // sends the attempts to backends
+	Snapshot         *SettingsSnapshot // the settings used to parse the request; nil means those in force
+	Payload          any               // opaque to the engine, read by the carrier
 
-	// ClientConnected tells whether the call's client is still there, as its connection shows at this moment; nil is
-	// that nothing can be seen. A carrier asks before an attempt's first byte, on any goroutine.
+	// ClientConnected reports whether the client's connection is still open; nil if that can't be determined. A
+	// carrier calls it before it writes an attempt, on any goroutine.
 	ClientConnected func() bool
 
-	// Receiving says that the call's last byte has not come yet. Its time counts from then on, which
-	// HandleRequestComplete tells, and Timeout is how long it is. The engine sets Deadline.
+	// Receiving is set until the last byte of the request has arrived, which the front reports with
+	// HandleRequestComplete. Timeout counts from then on, and the engine sets Deadline.
 	Receiving bool
 	Timeout   time.Duration
 
 	arrived         time.Duration
 	deadlineMargin  time.Duration // how long before the deadline the engine answers by itself
-	accepted        bool          // it is, or was, in the table
-	answered        bool          // or the client has disconnected: nothing more goes out
+	accepted        bool          // the call is, or was, in the table
+	answered        bool          // the call has its answer or its client has disconnected: nothing more is sent
 	attempts        []*Attempt
-	pendingAttempts int // attempts without an outcome
+	pendingAttempts int // attempts that have not ended
 	deadlineTimer   *Timer
-	streaming       *Attempt // whose answer is on its way, of a class that generates
-	declinedReply   any      // of a backend that found the request itself at fault
+	streaming       *Attempt // the attempt whose streaming answer is in progress; only in classes that generate
+	declinedReply   any      // the reply of a backend that found the request itself invalid
 }
 
-// Arrived is when the call was taken, on the engine's clock.
+// Arrived returns the time that was given to HandleCall, on the engine's clock.
 func (c *Call) Arrived() time.Duration { return c.arrived }
 
-// Attempts are those made so far. Only on the engine's goroutine.
+// Attempts returns the attempts made so far. Only on the engine's goroutine.
 func (c *Call) Attempts() []*Attempt { return c.attempts }
 
-// Runs is how many backends may have run the request: in the call's own attempts, and in those before it. Only on the
-// engine's goroutine.
+// Runs returns how many times the request may have run: in this call's attempts, and before this call (PriorRuns).
+// Only on the engine's goroutine.
 func (c *Call) Runs() int {
 	runs := c.PriorRuns
 	for _, a := range c.attempts {
@@ -53,14 +53,14 @@
 	return runs
 }
 
-// Answered tells whether the call has its answer, or its client has disconnected. Only on the engine's goroutine.
+// Answered reports whether the call has its answer or its client has disconnected. Only on the engine's goroutine.
 func (c *Call) Answered() bool { return c.answered }
 
-// Accepted tells whether the call was accepted into the table of open calls. Only on the engine's goroutine.
+// Accepted reports whether the call was accepted into the table of open calls. Only on the engine's goroutine.
 func (c *Call) Accepted() bool { return c.accepted }
 
-// EachPendingAttempt calls each for the pending attempts of calls that have no answer yet, nor the beginning of one.
-// Only on the engine's goroutine.
+// EachPendingAttempt calls each for the pending attempts of calls that have no answer yet. A streaming answer that has
+// begun counts as an answer. Only on the engine's goroutine.
 func (e *Engine) EachPendingAttempt(each func(a *Attempt)) {
 	for _, c := range e.calls {
 		if c.answered {
@@ -74,13 +74,14 @@
 	}
 }
 
-// OpenCalls is how many calls are in the table. Only on the engine's goroutine.
+// OpenCalls returns how many calls are in the table. Only on the engine's goroutine.
 func (e *Engine) OpenCalls() int { return len(e.calls) }
 
-// HandleCall takes a call over: from now on it gets exactly one answer, before its deadline. arrived is when its last
-// byte came, or its first of a call that is Receiving, on the engine's clock. Only on the engine's goroutine.
+// HandleCall takes responsibility for a call: it gets exactly one answer, before its deadline. arrived is when the last
+// byte of the call arrived, or the first byte if it is still Receiving, on the engine's clock. Only on the engine's
+// goroutine.
 func (e *Engine) HandleCall(c *Call, arrived time.Duration) {
-	if c.answered { // its client has disconnected before
+	if c.answered { // the client has already disconnected
 		return
 	}
 	c.arrived = arrived
@@ -95,8 +96,7 @@
 		e.decline(c, Answer{Verdict: Overloaded, RetryAfter: e.RetryAfter()})
 		return
 	}
-	// Backends tell requests apart by this ID. Under the ID of another request this one would get that one's answer,
-	// or give it its own.
+	// Backends identify requests by this ID. If two requests shared one, either could get the other's answer.
 	if c.ClientRequestID != "" && !e.recentNames.add(c.ClientRequestID, e.Now()) {
 		e.decline(c, Answer{Verdict: DuplicateID})
 		return
@@ -110,7 +110,7 @@
 	e.deliver(c, a)
 }
 
-// accept puts a call into the table, with its timers, and gives it to the balancer.
+// accept adds a call to the table, sets its timers, and hands it to the balancer.
 func (e *Engine) accept(c *Call) {
 	e.lastID++
 	c.ID = e.lastID
@@ -131,13 +131,13 @@
 	e.balancer.OnRequest(now, c.Request)
 }
 
-// startDeadlineTimer makes sure that whatever the balancer does, the client has its answer before its deadline.
+// startDeadlineTimer ensures that the client gets an answer before its deadline, whatever the balancer does.
 func (e *Engine) startDeadlineTimer(c *Call) {
 	c.deadlineTimer = e.Schedule(c.Deadline-c.deadlineMargin, func() { e.answerAndCancel(c, Answer{Verdict: TimedOut}) })
 }
 
-// answerAndCancel gives the engine's own final answer, unless there was one, and tells the balancer that nothing is
-// wanted any more.
+// answerAndCancel sends the engine's own final answer, unless the call already has one, and tells the balancer that the
+// call needs no more work.
 func (e *Engine) answerAndCancel(c *Call, a Answer) {
 	if e.answer(c, a) {
 		e.balancer.OnClientGone(e.Now(), c.ID)
@@ -145,14 +145,15 @@
 }
 
 const (
-	// maxReceiveTime bounds a call whose last byte does not come. Its front ends it sooner, where its client makes no
-	// progress.
+	// maxReceiveTime is the longest time in which a request may be received. Fronts end calls earlier if the client
+	// makes no progress.
 	maxReceiveTime = time.Hour
 	// receivingInterval is how often the balancer is told that a call is still being received.
 	receivingInterval = 50 * time.Millisecond
 )
 
-// reportReceiving keeps the balancer from mistaking a slow client for a slow backend.
+// reportReceiving periodically tells the balancer that the request is still arriving, so that it does not mistake a slow
+// client for a slow backend.
 func (e *Engine) reportReceiving(c *Call) {
 	if !c.Receiving || c.answered {
 		return
@@ -161,8 +162,8 @@
 	e.Schedule(e.Now()+receivingInterval, func() { e.reportReceiving(c) })
 }
 
-// HandleRequestComplete takes that the last byte of a call that was Receiving came at a time on the engine's clock: its
-// timeout counts from then. Only on the engine's goroutine.
+// HandleRequestComplete handles the arrival of the last byte of a call that was Receiving. at is when it arrived, on the
+// engine's clock; the call's timeout counts from then. Only on the engine's goroutine.
 func (e *Engine) HandleRequestComplete(c *Call, at time.Duration) {
 	if !c.Receiving || c.answered {
 		return
@@ -187,7 +188,7 @@
 	c.Front.HandleAnswer(c, a)
 }
 
-// answer gives the final answer, unless there was one.
+// answer delivers the final answer and reports true, unless the call already has one.
 func (e *Engine) answer(c *Call, a Answer) bool {
 	if c.answered {
 		return false
@@ -197,7 +198,7 @@
 	return true
 }
 
-// finish ends a call: its attempts that are not yet written never will be.
+// finish ends a call and withdraws its attempts that are not yet written.
 func (e *Engine) finish(c *Call) {
 	c.answered = true
 	e.StopTimer(c.deadlineTimer)
@@ -209,14 +210,15 @@
 	e.removeFinished(c)
 }
 
-// removeFinished takes a call out of the table once it has its answer and no attempt is pending.
+// removeFinished removes a call from the table once it has its answer and no attempt is pending.
 func (e *Engine) removeFinished(c *Call) {
 	if c.answered && c.pendingAttempts == 0 {
 		delete(e.calls, c.ID)
 	}
 }
 
-// HandleStreamEnd takes how a streaming answer ended: complete, or broken off. Only on the engine's goroutine.
+// HandleStreamEnd handles the end of a streaming answer, which was complete or broke off. Only on the engine's
+// goroutine.
 func (e *Engine) HandleStreamEnd(c *Call, complete bool) {
 	if a := c.streaming; a != nil {
 		c.streaming = nil
@@ -227,9 +229,9 @@
 	}
 }
 
-// FailAll ends what is still open when the process has to go. Some of it may have run, so none of it is rejected. A call
-// that is still Receiving has not run, and may yet be complete: it ends too where includeReceiving is set. Only on the
-// engine's goroutine.
+// FailAll ends the open calls when the process stops. As some of them may have run, it answers with Stopped, not with
+// Rejected. Calls that are still Receiving have not run and may yet complete, so they end only if includeReceiving is
+// set. Only on the engine's goroutine.
 func (e *Engine) FailAll(includeReceiving bool) {
 	for _, c := range e.calls {
 		if c.Receiving && !includeReceiving {
@@ -239,8 +241,8 @@
 	}
 }
 
-// RejectUnsent rejects what has waited for so long and surely has not run, where the process is to end: its clients can
-// still turn to another one. Only on the engine's goroutine.
+// RejectUnsent rejects the calls that arrived at least waited ago and have certainly not run, when the process is about
+// to stop: their clients still have time to retry at another one. Only on the engine's goroutine.
 func (e *Engine) RejectUnsent(waited time.Duration) {
 	now := e.Now()
 	for _, c := range e.calls {
@@ -253,7 +255,7 @@
 	}
 }
 
-// mayHaveRun tells whether an attempt is in flight, or has ended without proof that it did not run.
+// mayHaveRun reports whether an attempt is in flight, or has ended without proof that it did not run.
 func (c *Call) mayHaveRun() bool {
 	for _, a := range c.attempts {
 		if !a.ended || a.mayHaveRun {
@@ -263,7 +265,7 @@
 	return false
 }
 
-// HandleClientGone takes that a call's client has disconnected: no answer is wanted any more. Only on the engine's
+// HandleClientGone handles the disconnect of a call's client, which needs no answer any more. Only on the engine's
 // goroutine.
 func (e *Engine) HandleClientGone(c *Call) {
 	if c.answered {
--- a/internal/dataplane/engine/engine.go
+++ b/internal/dataplane/engine/engine.go
@@ -14,59 +14,57 @@
 )
 
 const (
-	// ClockStart is where the engine's clock starts, so that starts of backends from
-	// before this process's own stay above 0, which means long ago.
+	// ClockStart is the initial reading of the engine's clock. It is above 0 so that backends that started before this
+	// process have positive start times: 0 means long ago.
 	ClockStart = time.Hour
-	// MaxDeadlineMargin is by how much at most the engine's own answer comes before the client's deadline: a call's
-	// margin is its time divided by deadlineMarginDivisor, up to this. An attempt ends as long before that, so that
-	// the balancer hears of it first. A fixed margin would take most of the time of a client that waits for 40 ms.
+	// MaxDeadlineMargin is the longest time before the client's deadline at which the engine answers by itself. A
+	// call's margin is its timeout divided by deadlineMarginDivisor, up to this maximum. Attempts time out one more
+	// margin earlier, so that the balancer is notified first. A fixed margin would use up most of a 40 ms timeout.
 	MaxDeadlineMargin     = 15 * time.Millisecond
 	deadlineMarginDivisor = 20
-	// housekeepingInterval is how often carriers close what has expired.
+	// housekeepingInterval is how often carriers close expired connections.
 	housekeepingInterval = time.Second
-	eventBuffer          = 1024 // posted events that wait before Post blocks
+	eventBuffer          = 1024 // number of queued events above which Post blocks
 )
 
-// Config is what an engine starts with.
+// Config is the initial configuration of an engine.
 type Config struct {
 	Settings          balancer.Config
 	Seed              uint64
-	MaxOpenCalls      int // one more is rejected; 0 is no limit
+	MaxOpenCalls      int // calls above this limit are rejected; 0 means no limit
 	InitialMembership Membership
 	Logf              func(format string, args ...any)
-	OnFirstMembership func() // called once, when the first membership that is no cached one has come; may be nil
+	OnFirstMembership func() // called once, after the first membership that is not a cached one; may be nil
 }
 
-// Carrier takes attempts to backends over one protocol. The engine's goroutine calls
-// all methods; none may block.
+// Carrier sends attempts to backends over one protocol. The engine's goroutine calls all methods; none may block.
 type Carrier interface {
-	// StartAttempt starts an attempt. It sets a.Stop, and later, once, calls a.End on the
-	// engine's goroutine.
+	// StartAttempt starts an attempt. It sets a.Stop, and later calls a.End once, on the engine's goroutine.
 	StartAttempt(a *Attempt)
 	// ReleaseIdle closes the idle connections to a backend.
 	ReleaseIdle(b *Backend)
-	// RemoveBackend drops all that is kept for a backend that has left the membership.
+	// RemoveBackend drops all state of a backend that has left the membership.
 	RemoveBackend(b *Backend)
-	// CloseExpired closes idle connections that have outlived their time; now is on the engine's clock.
+	// CloseExpired closes idle connections that have exceeded their lifetime; now is on the engine's clock.
 	CloseExpired(now time.Duration)
 }
 
-// HealthChecker asks a backend for its health: the one carrier that can.
+// HealthChecker sends health checks to backends. Only one of the carriers can.
 type HealthChecker interface {
-	// CheckHealth asks once. end is called once, on the engine's goroutine.
+	// CheckHealth sends one health check. It calls end once, on the engine's goroutine.
 	CheckHealth(b *Backend, until time.Time, end func(AttemptEnd))
 }
 
-// Source is where memberships come from. The engine's goroutine calls it; no method may block.
+// Source provides memberships. The engine's goroutine calls it; no method may block.
 type Source interface {
-	// Watch starts to follow the membership, or stops.
+	// Watch starts or stops watching the membership.
 	Watch(on bool)
-	// Fetch asks for the complete membership once.
+	// Fetch requests the complete membership once.
 	Fetch()
 }
 
-// Engine is the state of the one goroutine that Run is. Make it with New, give it its carriers, its health checker and
-// its source, then run it.
+// Engine is the state of the goroutine that executes Run. Create it with New, set its carriers, its health checker and
+// its source, then call Run.
 type Engine struct {
 	cfg               Config
 	start             time.Time
@@ -77,22 +75,22 @@
 	observer          Observer
 	events            chan func()
 	stopped           chan struct{}
-	deferred          []func() // what the current event causes: Host calls never call back
+	deferred          []func() // run after the current event, as methods of Host must not call the balancer
 	timers            timerHeap
 	lastTimer         uint64
 	backends          backends
 	snapshot          atomic.Pointer[SettingsSnapshot]
-	classes           *stableindex.Table // numbers of classes, which they keep while the settings change
+	classes           *stableindex.Table // indexes of classes, which stay the same when the settings change
 	calls             map[balancer.RequestID]*Call
-	recentNames       *recentNames // request IDs that clients gave
+	recentNames       *recentNames // request IDs set by clients
 	lastID            balancer.RequestID
 	onFirstMembership func()
 	writtenAttempts   atomic.Uint64 // attempts written completely
-	lease             *Lease        // on the settings in force; nil: they hold without one
+	lease             *Lease        // on the settings in force; nil if they never expire
 	leased            leasedSettings
 }
 
-// New makes an engine. Invalid settings give an error that names the field.
+// New creates an engine. For invalid settings it returns an error that names the field.
 func New(cfg Config) (*Engine, error) {
 	e := &Engine{
 		cfg: cfg, start: time.Now(), events: make(chan func(), eventBuffer), stopped: make(chan struct{}),
@@ -105,7 +103,7 @@
 		return nil, fmt.Errorf("field Services: %w", err)
 	}
 	e.publishSettings(&settings)
-	// Whatever is open has come within the longest timeout of a client.
+	// Every open call has arrived within the longest client timeout.
 	e.recentNames = newRecentNames(longestClientTimeout(&settings) + time.Second)
 	b, err := balancer.New(cfg.Settings, cfg.Seed, host{e})
 	if err != nil {
@@ -115,29 +113,29 @@
 	return e, nil
 }
 
-// SetMaxOpenCalls changes how many calls may be open; 0 is no limit. Only on the engine's goroutine.
+// SetMaxOpenCalls changes how many calls may be open; 0 means no limit. Only on the engine's goroutine.
 func (e *Engine) SetMaxOpenCalls(limit int) { e.cfg.MaxOpenCalls = limit }
 
 // AddCarrier adds a carrier. Only before Run.
 func (e *Engine) AddCarrier(c Carrier) { e.carriers = append(e.carriers, c) }
 
-// SetHealthChecker sets who carries health checks out. Only before Run.
+// SetHealthChecker sets the health checker. Only before Run.
 func (e *Engine) SetHealthChecker(p HealthChecker) { e.healthChecker = p }
 
-// SetSource sets where memberships come from. Only before Run.
+// SetSource sets the source of memberships. Only before Run.
 func (e *Engine) SetSource(s Source) { e.source = s }
 
-// SetObserver sets the observer; nil is none. Only before Run.
+// SetObserver sets the observer, or none if o is nil. Only before Run.
 func (e *Engine) SetObserver(o Observer) { e.observer = o }
 
-// Now is the time on the engine's clock. Any goroutine may call it.
+// Now returns the time on the engine's clock. Any goroutine may call it.
 func (e *Engine) Now() time.Duration { return ClockStart + time.Since(e.start) }
 
-// WallTime is the time of day at which the engine's clock shows d.
+// WallTime converts d, a time on the engine's clock, to wall-clock time.
 func (e *Engine) WallTime(d time.Duration) time.Time { return e.start.Add(d - ClockStart) }
 
-// Post hands the engine's goroutine an event, and drops it when the engine has ended. Any other goroutine may call it;
-// it blocks while the engine's queue of events is full.
+// Post queues an event for the engine's goroutine, or drops it if the engine has stopped. It blocks while the queue is
+// full, so only other goroutines may call it.
 func (e *Engine) Post(event func()) {
 	select {
 	case e.events <- event:
@@ -145,28 +143,28 @@
 	}
 }
 
-// Defer queues an event that the current one causes, to be run right after it. Only on the engine's goroutine.
+// Defer queues an event to be run right after the current one. Only on the engine's goroutine.
 func (e *Engine) Defer(event func()) { e.deferred = append(e.deferred, event) }
 
-// DeferredCount is how many deferred events have not run yet.
+// DeferredCount returns how many deferred events have not run yet.
 func (e *Engine) DeferredCount() int { return len(e.deferred) }
 
-// WrittenAttempts is how many attempts have been written completely. Any goroutine may call it.
+// WrittenAttempts returns how many attempts have been written completely. Any goroutine may call it.
 func (e *Engine) WrittenAttempts() uint64 { return e.writtenAttempts.Load() }
 
-// BackendCount is how many backends the membership has. Only on the engine's goroutine.
+// BackendCount returns how many backends the membership has. Only on the engine's goroutine.
 func (e *Engine) BackendCount() int { return len(e.backends.byID) }
 
-// EjectedCount is how many backends are ejected for now. Only on the engine's goroutine.
+// EjectedCount returns how many backends are currently ejected. Only on the engine's goroutine.
 func (e *Engine) EjectedCount() int { return e.balancer.EjectedCount() }
 
-// RetryStormState is the state of the detection of retry storms. Only on the engine's goroutine.
+// RetryStormState returns the state of the retry storm detection. Only on the engine's goroutine.
 func (e *Engine) RetryStormState() retrystorm.State { return e.balancer.RetryStormState() }
 
-// Done is closed when the engine has ended.
+// Done returns a channel that is closed when the engine has stopped.
 func (e *Engine) Done() <-chan struct{} { return e.stopped }
 
-// Start starts the balancer with the initial membership and the watch of the membership.
+// Start starts the balancer with the initial membership, and watches the membership unless the settings poll it.
 func (e *Engine) Start() {
 	e.balancer.Start(e.Now())
 	initial := e.cfg.InitialMembership
@@ -178,7 +176,7 @@
 	e.housekeep()
 }
 
-// Run works until ctx ends.
+// Run processes events and timers until ctx is done.
 func (e *Engine) Run(ctx context.Context) {
 	defer close(e.stopped)
 	e.Dispatch(e.Start)
@@ -204,8 +202,8 @@
 	}
 }
 
-// Dispatch runs an event, and then the events that it defers. Run does so by itself; a test that drives an engine by
-// hand, without Run, calls it and takes what was posted from Events.
+// Dispatch runs an event, and then the events that it defers. Run calls it; so do tests that drive an engine without
+// Run, which receive posted events from Events.
 func (e *Engine) Dispatch(event func()) {
 	e.runRecovered(event)
 	for len(e.deferred) > 0 {
@@ -214,11 +212,11 @@
 	}
 }
 
-// Events are the posted events, for a test that drives an engine by hand.
+// Events returns the queue of posted events, for tests that drive an engine without Run.
 func (e *Engine) Events() <-chan func() { return e.events }
 
-// runRecovered keeps a panic in one event from ending the process, and with it all open calls. The call concerned is
-// left to its deadline timer.
+// runRecovered runs an event and logs a panic in it, which would otherwise end the process and with it all open calls.
+// The deadline timer answers the call concerned.
 func (e *Engine) runRecovered(event func()) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/dataplane/engine/host.go
+++ b/internal/dataplane/engine/host.go
@@ -6,7 +6,7 @@
 	"marlreel/internal/balancer"
 )
 
-// healthCheckConnectTimeouts is how many connect timeouts a health check may take.
+// healthCheckConnectTimeouts is the timeout of a health check as a multiple of the connect timeout.
 const healthCheckConnectTimeouts = 1.25
 
 // host implements balancer.Host. No method blocks or calls the balancer.
@@ -14,11 +14,11 @@
 
 var _ balancer.Host = host{}
 
-// Send starts an attempt. Where it may not, or can't, go out, it ends as such right after the current event.
+// Send starts an attempt. If the attempt is not allowed or not possible, it ends right after the current event.
 func (e host) Send(id balancer.RequestID, to balancer.BackendID, timeout, writeDeadline time.Duration) {
 	c := e.calls[id]
 	if c == nil {
-		e.cfg.Logf("send for request %d, which is over", id)
+		e.cfg.Logf("attempt of request %d dropped: the request has already ended", id)
 		return
 	}
 	a := &Attempt{Call: c, Index: len(c.attempts), startedAt: e.Now(), engine: e.Engine}
@@ -47,7 +47,7 @@
 	c.Carrier.StartAttempt(a)
 }
 
-// checkSend gives as what an attempt ends that may not, or can't, go out; OK is that it goes out.
+// checkSend returns the result of an attempt that is not allowed or not possible, or OK if it may be sent.
 func (e host) checkSend(c *Call, a *Attempt, timeout time.Duration) balancer.Result {
 	switch {
 	case e.lease != nil && !e.mayStart(c, a, timeout):
@@ -60,14 +60,14 @@
 	return balancer.OK
 }
 
-// Reject answers that the call was not executed.
+// Reject answers the call with Rejected: it was not executed.
 func (e host) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	if c := e.calls[id]; c != nil {
 		e.answer(c, Answer{Verdict: Rejected, RetryAfter: retryAfter})
 	}
 }
 
-// Fail answers that the call may have been executed.
+// Fail answers the call with Failed: it may have been executed.
 func (e host) Fail(id balancer.RequestID) {
 	if c := e.calls[id]; c != nil {
 		e.answer(c, Answer{Verdict: Failed, Reply: c.declinedReply})
@@ -86,7 +86,7 @@
 	}
 }
 
-// CheckHealth has a backend's health checked.
+// CheckHealth sends a health check to a backend and reports its result to the balancer.
 func (e host) CheckHealth(id balancer.BackendID) {
 	b := e.backends.byID[id]
 	sent := e.Now()
@@ -112,29 +112,30 @@
 	}
 }
 
-// Watch follows the membership, or stops.
+// Watch starts or stops watching the membership.
 func (e host) Watch(on bool) {
 	if e.source != nil {
 		e.source.Watch(on)
 	}
 }
 
-// Fetch asks for the complete membership once.
+// Fetch requests the complete membership once.
 func (e host) Fetch() {
 	if e.source != nil {
 		e.source.Fetch()
 	}
 }
 
-// SendToPeer would reach other proxies. The balancer has nothing to tell them.
+// SendToPeer logs and drops the message: the engine has no connection to other proxies, and the balancer sends them
+// nothing.
 func (e host) SendToPeer(peer uint32, body []byte) {
-	e.cfg.Logf("%d bytes for peer %d dropped: there is no way to it", len(body), peer)
+	e.cfg.Logf("message of %d bytes to peer %d dropped: the engine has no connection to peers", len(body), peer)
 }
 
-// StartTimer schedules an OnTimer event.
+// StartTimer schedules a call of the balancer's OnTimer.
 func (e host) StartTimer(d time.Duration, token uint64) {
 	e.Schedule(e.Now()+d, func() { e.balancer.OnTimer(e.Now(), token) })
 }
 
-// Log writes a line of the balancer's, which limits their rate by itself.
+// Log writes a log line of the balancer, which does its own rate limiting.
 func (e host) Log(line string) { e.cfg.Logf("%s", line) }
--- a/internal/dataplane/engine/learnedstate.go
+++ b/internal/dataplane/engine/learnedstate.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// learnedStateBatch is how many backends one event collects, and learnedStatePause how long after it the next one
-	// does: collecting for another process must not delay requests.
+	// learnedStateBatch is how many backends one event collects, and learnedStatePause is the delay before the next
+	// event: collecting state for another process must not delay requests.
 	learnedStateBatch = 16
 	learnedStatePause = 100 * time.Microsecond
 )
 
-// CollectLearnedState collects what the balancer has learned, a batch at a time, and calls done with it on the engine's
-// goroutine. Only on that.
+// CollectLearnedState collects what the balancer has learned, one batch per event, and calls done with it on the
+// engine's goroutine. Only on the engine's goroutine.
 func (e *Engine) CollectLearnedState(done func(*learnedstate.State)) {
 	s := e.balancer.LearnedState(e.Now())
 	s.TakenAt = time.Now()
@@ -29,7 +29,7 @@
 			ids = ids[1:]
 			b := e.backends.byID[id]
 			learned, found := e.balancer.LearnedBackend(now, id)
-			// A class that was added meanwhile is in the backend's cells and not in the classes.
+			// A class that was added during the collection has a cell in the backend, but is not in s.Classes.
 			if b == nil || !found || len(learned.Cells) < len(s.Classes) {
 				continue
 			}
@@ -47,8 +47,8 @@
 	collectBatch()
 }
 
-// RestoreLearnedState gives the balancer what another process had learned, and returns of how many backends: those that
-// are members at the address at which that process knew them. Only on the engine's goroutine.
+// RestoreLearnedState gives the balancer what another process has learned about those backends that are members at the
+// same address as in that process, and returns their number. Only on the engine's goroutine.
 func (e *Engine) RestoreLearnedState(s *learnedstate.State) int {
 	known := *s
 	known.Backends = nil
--- a/internal/dataplane/engine/lease.go
+++ b/internal/dataplane/engine/lease.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// Lease bounds how long the settings in force may be used. It is checked where they are used: before a call is accepted,
-// an attempt decided on, and its first byte written. Any goroutine may call its methods.
+// Lease limits how long the settings in force may be used. It is checked wherever they are used: before a call is
+// accepted, before an attempt is started, and when the carrier claims the attempt's permit to write it. Any goroutine
+// may call its methods.
 type Lease struct {
-	// Clock is a clock that goes on while the process is stopped or its machine sleeps.
+	// Clock returns the time on a clock that keeps running while the process is stopped or the machine is suspended.
 	Clock     func() time.Duration
 	expiresAt atomic.Int64
 }
 
-// Extend makes the lease valid until then, on its clock.
+// Extend makes the lease valid until expiresAt, on its clock.
 func (l *Lease) Extend(expiresAt time.Duration) { l.expiresAt.Store(int64(expiresAt)) }
 
-// ExpiresAt is when it expires, on its clock.
+// ExpiresAt returns when the lease expires, on its clock.
 func (l *Lease) ExpiresAt() time.Duration { return time.Duration(l.expiresAt.Load()) }
 
-// Expired tells whether it has expired. It is one comparison and allocates nothing.
+// Expired reports whether the lease has expired. It is one comparison and allocates nothing.
 func (l *Lease) Expired() bool { return int64(l.Clock()) >= l.expiresAt.Load() }
--- a/internal/dataplane/engine/leasedsettings.go
+++ b/internal/dataplane/engine/leasedsettings.go
@@ -6,35 +6,35 @@
 	"marlreel/internal/balancer"
 )
 
-// leasedSettings are the settings that hold while the lease is valid, and those that hold when it has expired.
+// leasedSettings holds the settings for a valid lease and those for an expired one.
 type leasedSettings struct {
 	active                  bool
 	whileValid, afterExpiry leasedRules
-	expired                 bool // the balancer has those of afterExpiry
+	expired                 bool // the balancer uses afterExpiry
 }
 
-// leasedRules are settings, with what they allow in a form that is checked for each attempt.
+// leasedRules are settings with their limits per class, which are checked for each attempt.
 type leasedRules struct {
 	settings balancer.Config
-	classes  []classLimits // by the index of a class
+	classes  []classLimits // by class index
 }
 
-// classLimits are what requests of a class may do.
+// classLimits are the limits on requests of a class.
 type classLimits struct {
-	known             bool
-	mayRetry          bool // what may have run may be sent again
+	known             bool // the class exists in the settings
+	mayRetry          bool // a request that may have run may be sent again
 	effect            balancer.Effect
 	group             balancer.Group
 	idempotencyWindow time.Duration
 	clientTimeout     time.Duration
 }
 
-// SetLease makes the settings hold under a lease from now on. Only before Run.
+// SetLease sets the lease that limits the use of the settings. Only before Run.
 func (e *Engine) SetLease(l *Lease) { e.lease = l }
 
-// ReconfigureLeased puts settings in force, all at once: those that hold while the lease is valid, and those when it has
-// expired. An error of either's validation leaves everything as it was. Attempts that were decided on and are not yet
-// written go out only if they still may. Only on the engine's goroutine.
+// ReconfigureLeased atomically replaces the settings for a valid lease and those for an expired one. If either is
+// invalid, it changes nothing and returns an error. Started attempts that are not yet written are withdrawn if the new
+// settings forbid them. Only on the engine's goroutine.
 func (e *Engine) ReconfigureLeased(whileValid, afterExpiry balancer.Config) error {
 	expired := e.lease.Expired()
 	current, other := whileValid, afterExpiry
@@ -59,13 +59,13 @@
 	return nil
 }
 
-// withdrawForbidden withdraws a call's attempts that are not written and that new settings forbid.
+// withdrawForbidden withdraws a call's attempts that are not yet written and that new settings forbid.
 func (e *Engine) withdrawForbidden(c *Call) {
 	for _, a := range c.attempts {
 		if a.ended || !a.Permit.Available() {
 			continue
 		}
-		// The carrier may be reading what its permit says of the lease by now, so that stays as it is.
+		// The carrier may be reading the permit's lease fields concurrently, so they must not change any more.
 		allowed := e.allowedBy(&e.leased.afterExpiry, c, a)
 		if !allowed && !e.leased.expired && a.Permit.needsLease {
 			allowed = e.allowedBy(&e.leased.whileValid, c, a)
@@ -76,7 +76,7 @@
 	}
 }
 
-// leasedRulesOf gives settings' limits by the indexes that classes have here.
+// leasedRulesOf returns the rules of settings, by the class indexes of the engine.
 func (e *Engine) leasedRulesOf(c balancer.Config) leasedRules {
 	limits := make([]classLimits, e.classes.Len())
 	for i := range limits {
@@ -97,7 +97,8 @@
 	return leasedRules{settings: c, classes: limits}
 }
 
-// applyLeaseState gives the balancer the settings that hold by the lease now. Not from within the balancer's own call.
+// applyLeaseState gives the balancer the settings for the current state of the lease. The balancer must not be on the
+// call stack.
 func (e *Engine) applyLeaseState() {
 	leased := &e.leased
 	if !leased.active || e.lease.Expired() == leased.expired {
@@ -109,12 +110,13 @@
 		cfg = leased.afterExpiry.settings
 	}
 	if err := e.Reconfigure(cfg); err != nil {
-		e.cfg.Logf("the settings for this lease are not taken: %v", err)
+		e.cfg.Logf("switching settings after a change of the lease state failed: %v", err)
 	}
 }
 
-// mayStart tells whether an attempt may go out by the settings that hold at this moment, whatever the balancer knew when
-// it decided, and notes in its permit when that ends. timeout is when the attempt times out, on the engine's clock.
+// mayStart reports whether the settings for the current state of the lease allow an attempt, as the balancer may have
+// decided on it by older ones. It records in the attempt's permit how long that remains so. timeout is when the attempt
+// times out, on the engine's clock.
 func (e *Engine) mayStart(c *Call, a *Attempt, timeout time.Duration) bool {
 	if !e.leased.active {
 		return true
@@ -133,7 +135,7 @@
 	return e.allowedBy(&e.leased.whileValid, c, a)
 }
 
-// allowedBy tells whether rules allow an attempt.
+// allowedBy reports whether rules allow an attempt.
 func (e *Engine) allowedBy(rules *leasedRules, c *Call, a *Attempt) bool {
 	if c.Class >= len(rules.classes) || !rules.classes[c.Class].known {
 		return false
@@ -149,7 +151,7 @@
 	return mayRetry || !c.mayHaveRunBefore(a)
 }
 
-// mayHaveRunBefore tells whether an attempt before a may have run, and can't be kept from it any more.
+// mayHaveRunBefore reports whether an attempt before a may have run, or can no longer be prevented from running.
 func (c *Call) mayHaveRunBefore(a *Attempt) bool {
 	for _, earlier := range c.attempts[:min(a.Index, len(c.attempts))] {
 		if earlier.ended && earlier.mayHaveRun || !earlier.ended && earlier.Permit.Claimed() {
@@ -159,7 +161,8 @@
 	return false
 }
 
-// idempotencyNarrowed tells whether a keyed class recognizes repeats among less than when the call was parsed.
+// idempotencyNarrowed reports whether backends of a keyed class deduplicate within a smaller group or a shorter window
+// than when the call was parsed.
 func (l *classLimits) idempotencyNarrowed(c *Call) bool {
 	if c.Snapshot == nil || c.Class >= len(c.Snapshot.Settings.Classes) {
 		return true
--- a/internal/dataplane/engine/observer.go
+++ b/internal/dataplane/engine/observer.go
@@ -7,28 +7,28 @@
 	"marlreel/internal/balancer"
 )
 
-// Observer is notified of what happens: metrics, captures and traces use it. The engine's goroutine calls it. It must
-// not block, must not allocate on the path of a call, and must not call the engine back; what it is given it may read
-// only until it returns. Times are on the engine's clock.
+// Observer is notified of the engine's events, for metrics, captures and traces. The engine's goroutine calls it. It must
+// not block, allocate on the path of a call, or call the engine. It may read its arguments only until it returns.
+// Times are on the engine's clock.
 type Observer interface {
 	OnCallAccepted(now time.Duration, c *Call)
 	OnAttemptStarted(now time.Duration, a *Attempt)
 	OnAttemptEnded(now time.Duration, a *Attempt, end AttemptEnd)
 	OnAnswered(now time.Duration, c *Call, a Answer)
-	// OnStreamEnded is the end of a streaming answer: all of it has gone to the client, or it broke off.
+	// OnStreamEnded reports the end of a streaming answer: it was sent to the client completely, or broke off.
 	OnStreamEnded(now time.Duration, c *Call, complete bool)
-	// OnClientGone is that a call's client has disconnected before its answer.
+	// OnClientGone reports that a call's client has disconnected before its answer.
 	OnClientGone(now time.Duration, c *Call)
 	OnMembership(now time.Duration, l *Membership)
 	OnHealthCheck(now time.Duration, b *Backend, r balancer.Result, took time.Duration)
 }
 
-// Observers notify each of several, in order.
+// Observers notifies several observers, in order.
 type Observers []Observer
 
 var _ Observer = Observers(nil)
 
-// Join makes one observer of those that are not nil; nil where there is none.
+// Join combines the observers that are not nil into one; it returns nil if there are none.
 func Join(all ...Observer) Observer {
 	all = slices.DeleteFunc(all, func(o Observer) bool { return o == nil })
 	switch len(all) {
--- a/internal/dataplane/engine/permit.go
+++ b/internal/dataplane/engine/permit.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Permit is the right to write one attempt completely. The engine and the carrier race for it: whoever is first decides
-// whether its last byte goes out at all, and with that whether it can run.
+// Permit is the right to write one attempt completely. The carrier claims it and the engine revokes it, concurrently;
+// the first of them decides whether the last byte is written, and so whether a backend can run the attempt.
 type Permit struct {
 	state         atomic.Int32
-	lease         *Lease        // nil: there is none
-	needsLease    bool          // it may only be claimed while the lease is valid
+	lease         *Lease        // nil if there is none
+	needsLease    bool          // the permit may only be claimed while the lease is valid
 	expiresAt     time.Duration // on the lease's clock: when the attempt times out
-	writeDeadline time.Time     // when the last byte has to be out; zero: no bound
+	writeDeadline time.Time     // the last byte must be written before; zero means no limit
 }
 
 const (
@@ -22,11 +22,12 @@
 	permitExpired
 )
 
-// TryClaim claims the permit, just before the last byte. Where it returns false, that byte must not be written, and what
-// has been written of the attempt has to end with its connection. Any goroutine may call it.
+// TryClaim claims the permit. The carrier calls it just before the last byte. If it returns false, that byte must not be
+// written, and if other bytes of the attempt have been written, their connection must be closed. Any goroutine may call
+// it.
 //
-// The process may have been stopped since the engine decided on the attempt, or a dial have taken long: that is why the
-// lease and the idempotency window are checked here, where the attempt goes out.
+// It checks the lease and the idempotency window, because the process may have been stopped since the engine started the
+// attempt, or a dial may have taken long.
 func (p *Permit) TryClaim() bool {
 	if p.overdue() {
 		p.state.CompareAndSwap(permitAvailable, permitExpired)
@@ -45,13 +46,13 @@
 	return p.needsLease && p.lease.Expired() || p.lease.Clock() >= p.expiresAt
 }
 
-// Revoke takes the permit away, unless it was claimed, and tells whether it did. Any goroutine may call it.
+// Revoke revokes the permit, or reports false if it has been claimed or revoked already. Any goroutine may call it.
 func (p *Permit) Revoke() bool {
 	return p.state.CompareAndSwap(permitAvailable, permitRevoked) || p.state.CompareAndSwap(permitExpired, permitRevoked)
 }
 
-// Available tells whether the attempt may still go out. Any goroutine may call it.
+// Available reports whether the permit can still be claimed. Any goroutine may call it.
 func (p *Permit) Available() bool { return p.state.Load() == permitAvailable }
 
-// Claimed tells whether the attempt may have gone out. Any goroutine may call it.
+// Claimed reports whether the attempt may have been written. Any goroutine may call it.
 func (p *Permit) Claimed() bool { return p.state.Load() == permitClaimed }
--- a/internal/dataplane/engine/recentnames.go
+++ b/internal/dataplane/engine/recentnames.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// recentNames remembers names for a span and up to twice as long. It keeps two generations and drops the older one at
-// once, so that it needs no timer for each name and its memory follows the rate of names, not their total.
+// recentNames remembers each name for at least span and at most twice as long. It keeps two generations and drops the
+// older one as a whole, so that it needs no timer per name, and its memory depends on the rate of names, not their total.
 type recentNames struct {
 	span              time.Duration
 	rotatedAt         time.Duration
@@ -14,7 +14,7 @@
 	return &recentNames{span: span, current: map[string]struct{}{}, previous: map[string]struct{}{}}
 }
 
-// add remembers a name, and tells whether it was new.
+// add records a name and reports whether it was new.
 func (r *recentNames) add(name string, at time.Duration) bool {
 	if elapsed := at - r.rotatedAt; elapsed >= r.span {
 		r.previous, r.current = r.current, map[string]struct{}{}
--- a/internal/dataplane/engine/settings.go
+++ b/internal/dataplane/engine/settings.go
@@ -9,23 +9,23 @@
 	"marlreel/internal/balancer/stableindex"
 )
 
-// maxClasses is how many classes there is room for at first, including those that have been removed and are remembered.
-// Settings with more make more room.
+// maxClasses is the initial capacity of the table of classes, which includes removed classes that still have their index.
+// The table grows if settings need more.
 const maxClasses = 64
 
-// SettingsSnapshot is what fronts parse requests by: the settings in force, and the indexes of names in them. It is
+// SettingsSnapshot holds the settings that fronts use to parse requests, and the indexes of names in them. It is
 // immutable.
 type SettingsSnapshot struct {
-	// Settings are the balancer's: a class that was removed keeps its index, as it was last, and is not in
+	// Settings are those of the balancer. A removed class keeps its index and its last settings here, but is not in
 	// ClassIndexes.
 	Settings                    *balancer.Config
 	ClassIndexes, TenantIndexes map[string]int
 }
 
-// SettingsSnapshot gives the one in force. Any goroutine may call it.
+// SettingsSnapshot returns the snapshot in force. Any goroutine may call it.
 func (e *Engine) SettingsSnapshot() *SettingsSnapshot { return e.snapshot.Load() }
 
-// Settings are the balancer's settings now. Any goroutine may call it; what it gives is immutable.
+// Settings returns the settings in force, which are immutable. Any goroutine may call it.
 func (e *Engine) Settings() *balancer.Config { return e.snapshot.Load().Settings }
 
 // publishSettings puts a snapshot of settings in force.
@@ -42,8 +42,8 @@
 	e.snapshot.Store(b)
 }
 
-// meansTheSame tells whether a call that was parsed by an older snapshot means the same by the one in force. A call
-// that was admitted as idempotent must not run as one that is not, nor as a keyed one without its key.
+// meansTheSame reports whether a call that was parsed with an older snapshot has the same meaning in the one in force. A
+// call that was parsed as idempotent must not run as one that is not, nor as a keyed one without its key.
 func (e *Engine) meansTheSame(c *Call) bool {
 	now := e.snapshot.Load()
 	if c.Snapshot == nil || c.Snapshot == now {
@@ -53,7 +53,7 @@
 	return is.Name == was.Name && is.Effect == was.Effect && tenantName(now, c.Tenant) == tenantName(c.Snapshot, c.Tenant)
 }
 
-// tenantName is the name of a tenant by its index, or "".
+// tenantName returns the name of the tenant with an index, or "".
 func tenantName(b *SettingsSnapshot, index int) string {
 	if index < 0 || index >= len(b.Settings.Tenants) {
 		return ""
@@ -61,8 +61,8 @@
 	return b.Settings.Tenants[index].Name
 }
 
-// Reconfigure puts other settings in force, all at once, or leaves the old ones and returns an error that names the
-// field at fault. Calls that are open keep the class they came with. Only on the engine's goroutine.
+// Reconfigure atomically replaces the settings, or keeps the old ones and returns an error that names the invalid field.
+// Open calls keep their class. Only on the engine's goroutine.
 func (e *Engine) Reconfigure(next balancer.Config) error {
 	old := e.Settings()
 	trial, indexes, fresh, err := e.assignClasses(classNames(next.Classes))
@@ -84,10 +84,10 @@
 	return nil
 }
 
-// assignClasses gives classes their indexes, in a copy of the table that has room for them all. Those that have just been
-// removed keep theirs for a while, so that changes in quick succession need more room than each of them has classes.
+// assignClasses assigns indexes to classes in a copy of the table, which it grows if needed. Removed classes keep their
+// index for a while, so that several changes in quick succession need more room than any single one of them.
 func (e *Engine) assignClasses(names []string) (trial stableindex.Table, indexes, fresh []int, err error) {
-	trial = *e.classes // Assign leaves what it has and makes a new one
+	trial = *e.classes // a shallow copy is enough: Assign replaces its contents and does not modify them
 	indexes, fresh, err = trial.Assign(e.Now(), names, e.classOpen)
 	if full := new(stableindex.FullError); errors.As(err, &full) {
 		trial.Grow(full.MaxLen + len(names))
@@ -96,7 +96,7 @@
 	return trial, indexes, fresh, err
 }
 
-// classOpen tells whether a call of a class is open.
+// classOpen reports whether a call of a class is open.
 func (e *Engine) classOpen(class int) bool {
 	for _, c := range e.calls {
 		if c.Class == class {
@@ -106,11 +106,11 @@
 	return false
 }
 
-// defaultRetryAfter is what clients are told that are rejected before the balancer hears of them.
+// defaultRetryAfter is the Retry-After of calls that are rejected before they reach the balancer.
 const defaultRetryAfter = time.Second
 
-// RetryAfter is the Retry-After of clients that are rejected before the balancer hears of them; 0 where the settings
-// let none be sent. Any goroutine may call it.
+// RetryAfter returns the Retry-After of calls that are rejected before they reach the balancer, or 0 if the settings
+// disable it. Any goroutine may call it.
 func (e *Engine) RetryAfter() time.Duration {
 	caps := &e.Settings().Caps
 	if !caps.RetryAfter {
--- a/internal/dataplane/engine/timers.go
+++ b/internal/dataplane/engine/timers.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Timer is an event at a time on the engine's clock. Make it with Engine.Schedule.
+// Timer is an event that is due at a time on the engine's clock. Create it with Engine.Schedule.
 type Timer struct {
 	at        time.Duration
-	sequence  uint64 // of two at one time the older goes first
-	heapIndex int    // -1 is not in the heap
+	sequence  uint64 // orders timers with the same time: the older one fires first
+	heapIndex int    // -1 if not in the heap
 	event     func()
 }
 
-// Schedule sets a timer on the engine's clock. Only on its goroutine.
+// Schedule sets a timer on the engine's clock. Only on the engine's goroutine.
 func (e *Engine) Schedule(when time.Duration, event func()) *Timer {
 	e.lastTimer++
 	t := &Timer{at: when, sequence: e.lastTimer, event: event}
@@ -21,18 +21,18 @@
 	return t
 }
 
-// StopTimer stops a timer; nil and one that has fired are no error. Clients' timeouts may be long: left in the heap,
-// timers would keep calls in memory that were answered long ago.
+// StopTimer stops a timer and removes it from the heap. It ignores nil and timers that have fired. Clients' timeouts may
+// be long, so timers left in the heap would keep calls in memory long after their answer.
 func (e *Engine) StopTimer(t *Timer) {
 	if t != nil && t.heapIndex >= 0 {
 		heap.Remove(&e.timers, t.heapIndex)
 	}
 }
 
-// TimerCount is how many timers are set.
+// TimerCount returns how many timers are set.
 func (e *Engine) TimerCount() int { return len(e.timers) }
 
-// timerHeap has the next timer first.
+// timerHeap is a min-heap of timers, with the next one first.
 type timerHeap []*Timer
 
 var _ heap.Interface = (*timerHeap)(nil)
