--- a/internal/dataplane/engine/call.go
+++ b/internal/dataplane/engine/call.go
@@ -88,7 +88,7 @@
 	if e.lease != nil {
 		e.applyLeaseState()
 	}
-	if !e.meansTheSame(c) {
+	if !e.sameMeaning(c) {
 		e.decline(c, Answer{Verdict: Rejected})
 		return
 	}
@@ -97,7 +97,7 @@
 		return
 	}
 	// Backends identify requests by this ID. If two requests shared one, either could get the other's answer.
-	if c.ClientRequestID != "" && !e.recentNames.add(c.ClientRequestID, e.Now()) {
+	if c.ClientRequestID != "" && !e.recentIDs.add(c.ClientRequestID, e.Now()) {
 		e.decline(c, Answer{Verdict: DuplicateID})
 		return
 	}
@@ -152,7 +152,7 @@
 	receivingInterval = 50 * time.Millisecond
 )
 
-// reportReceiving periodically tells the balancer that the request is still arriving, so that it does not mistake a slow
+// reportReceiving periodically tells the balancer that the request is still arriving, so that it doesn't mistake a slow
 // client for a slow backend.
 func (e *Engine) reportReceiving(c *Call) {
 	if !c.Receiving || c.answered {
--- a/internal/dataplane/engine/engine.go
+++ b/internal/dataplane/engine/engine.go
@@ -82,7 +82,7 @@
 	snapshot          atomic.Pointer[SettingsSnapshot]
 	classes           *stableindex.Table // indexes of classes, which stay the same when the settings change
 	calls             map[balancer.RequestID]*Call
-	recentNames       *recentNames // request IDs set by clients
+	recentIDs         *recentIDs // request IDs set by clients
 	lastID            balancer.RequestID
 	onFirstMembership func()
 	writtenAttempts   atomic.Uint64 // attempts written completely
@@ -104,7 +104,7 @@
 	}
 	e.publishSettings(&settings)
 	// Every open call has arrived within the longest client timeout.
-	e.recentNames = newRecentNames(longestClientTimeout(&settings) + time.Second)
+	e.recentIDs = newRecentIDs(longestClientTimeout(&settings) + time.Second)
 	b, err := balancer.New(cfg.Settings, cfg.Seed, host{e})
 	if err != nil {
 		return nil, err
--- a/internal/dataplane/engine/engine_test.go
+++ b/internal/dataplane/engine/engine_test.go
@@ -18,7 +18,7 @@
 func (h *manualCarrier) RemoveBackend(*Backend)     {}
 func (h *manualCarrier) CloseExpired(time.Duration) {}
 
-// clientCall is a client's call, with the answers that it got.
+// clientCall is a client's call and the answers to it.
 type clientCall struct {
 	Call
 	answers []Answer
@@ -26,7 +26,7 @@
 
 func (c *clientCall) HandleAnswer(_ *Call, a Answer) { c.answers = append(c.answers, a) }
 
-// manualEngine is an engine that the test drives by hand, timer by timer.
+// manualEngine is an engine without Run: the test dispatches events and timers itself.
 type manualEngine struct {
 	*Engine
 	carrier *manualCarrier
@@ -44,7 +44,7 @@
 	return l
 }
 
-// ready is a list's entry for a backend at an address.
+// ready returns a membership entry for a ready backend at an address.
 func ready(name, addr string) Entry {
 	return Entry{Name: name, Addr: addr, State: balancer.Ready, Weight: 1}
 }
@@ -57,8 +57,8 @@
 	return c
 }
 
-// The balancer may forget a request or be wrong about its time. The client still has its answer before its deadline, and
-// nothing is sent for it from then on.
+// Even if the balancer loses a request or misjudges its deadline, the client gets an answer before the deadline, and
+// nothing is sent for the request afterwards.
 func TestDeadlineTimerAnswersBeforeTheDeadline(t *testing.T) {
 	t.Parallel()
 	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
@@ -67,7 +67,7 @@
 		t.Fatalf("%d attempts", len(c.attempts))
 	}
 	var last *Timer
-	for len(l.timers) > 0 { // the deadline timer alone: the attempt's timeout and the balancer's timers are passed over
+	for len(l.timers) > 0 { // skips the attempt's timeout and the balancer's timers
 		if last = heap.Pop(&l.timers).(*Timer); last.at == c.Deadline-MaxDeadlineMargin {
 			break
 		}
@@ -85,11 +85,11 @@
 	l.Dispatch(func() { host{l.Engine}.Send(c.ID, l.backends.id("s-1"), 0, 0) })
 	l.Dispatch(func() { host{l.Engine}.Reject(c.ID, 0) })
 	if len(c.attempts) != 1 || len(c.answers) != 1 {
-		t.Error("something came after the final answer")
+		t.Error("an attempt or a second answer followed the final answer")
 	}
 }
 
-// An attempt times out early enough for the balancer to hear of it before the deadline timer.
+// An attempt times out early enough for the balancer to be notified before the deadline timer fires.
 func TestAttemptTimesOutBeforeTheDeadlineTimer(t *testing.T) {
 	t.Parallel()
 	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
@@ -99,8 +99,7 @@
 	}
 }
 
-// A client that waits for a moment alone has most of that moment: the engine's margin is a
-// small part of it, as it is of a long wait.
+// The engine's deadline margin takes only a small part of the client's timeout, also of a short one.
 func TestDeadlineMarginOfShortTimeouts(t *testing.T) {
 	t.Parallel()
 	for _, wait := range []time.Duration{30 * time.Millisecond, 40 * time.Millisecond, 200 * time.Millisecond, time.Second} {
@@ -116,7 +115,7 @@
 	}
 }
 
-// An answer takes the permit from attempts that are not yet written.
+// The answer to a call revokes the permits of its attempts that are not yet written.
 func TestAnswerRevokesUnsentAttempts(t *testing.T) {
 	t.Parallel()
 	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
@@ -126,12 +125,12 @@
 	a.Stop = func() { stopped = true }
 	l.Dispatch(func() { l.answer(&c.Call, Answer{Verdict: Failed}) })
 	if a.Permit.TryClaim() || !a.ended || !stopped {
-		t.Error("an unsent attempt may still go out after the answer, or has no outcome")
+		t.Error("after the answer, an unsent attempt can be claimed, has not ended, or was not stopped")
 	}
 }
 
-// One that was written when its call was answered goes on to its own end, and the
-// call's place is kept until then.
+// An attempt that was written before its call was answered continues until its own end, and the call stays in the table
+// until then.
 func TestWrittenAttemptsOutliveTheAnswer(t *testing.T) {
 	t.Parallel()
 	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
@@ -142,45 +141,45 @@
 	}
 	l.Dispatch(func() { l.answer(&c.Call, Answer{Verdict: Failed}) })
 	if a.ended || l.OpenCalls() != 1 {
-		t.Errorf("done: %v, open: %d", a.ended, l.OpenCalls())
+		t.Errorf("attempt ended: %v, open calls: %d", a.ended, l.OpenCalls())
 	}
 	l.Dispatch(func() { a.End(AttemptEnd{Result: balancer.OK, Reply: "late"}) })
-	l.Dispatch(func() { a.End(AttemptEnd{Result: balancer.Reset}) }) // a second end is let be
+	l.Dispatch(func() { a.End(AttemptEnd{Result: balancer.Reset}) }) // the second End has no effect
 	if len(c.answers) != 1 || l.OpenCalls() != 0 {
-		t.Errorf("answers: %+v, open: %d", c.answers, l.OpenCalls())
+		t.Errorf("answers: %+v, open calls: %d", c.answers, l.OpenCalls())
 	}
 }
 
-// A call whose request ID is another's is not accepted; one beyond the limit is rejected.
+// A call with the request ID of another call is not accepted; one beyond the limit of open calls is rejected.
 func TestDuplicateIDsAndMaxOpenCalls(t *testing.T) {
 	t.Parallel()
 	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
 	l.cfg.MaxOpenCalls = 2
 	first := l.submit(1, time.Minute)
-	twin := &clientCall{Call: Call{ClientRequestID: first.ClientRequestID, Carrier: l.carrier}}
-	twin.Front, twin.Deadline = twin, l.Now()+time.Minute
-	l.Dispatch(func() { l.HandleCall(&twin.Call, l.Now()) })
-	if len(twin.answers) != 1 || twin.answers[0].Verdict != DuplicateID {
-		t.Errorf("under another's request ID: %+v", twin.answers)
+	duplicate := &clientCall{Call: Call{ClientRequestID: first.ClientRequestID, Carrier: l.carrier}}
+	duplicate.Front, duplicate.Deadline = duplicate, l.Now()+time.Minute
+	l.Dispatch(func() { l.HandleCall(&duplicate.Call, l.Now()) })
+	if len(duplicate.answers) != 1 || duplicate.answers[0].Verdict != DuplicateID {
+		t.Errorf("answers to a duplicate request ID: %+v", duplicate.answers)
 	}
 	l.submit(1, time.Minute)
 	if third := l.submit(1, time.Minute); len(third.answers) != 1 || third.answers[0].Verdict != Overloaded || third.answers[0].RetryAfter != l.RetryAfter() {
-		t.Errorf("beyond the limit: %+v", third.answers)
+		t.Errorf("answers to a call beyond the limit: %+v", third.answers)
 	}
 	l.Dispatch(func() { l.FailAll(true) })
 	if len(first.answers) != 1 || first.answers[0].Verdict != Stopped {
-		t.Errorf("at the stop: %+v", first.answers)
+		t.Errorf("answers after FailAll: %+v", first.answers)
 	}
 }
 
-// A client that is rejected before the balancer hears of it gets a Retry-After where the settings allow it, within their
-// bound.
+// A call that is rejected before it reaches the balancer gets a Retry-After if the settings allow it, limited by their
+// maximum.
 func TestRetryAfterOfRejectedCalls(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		may  bool
-		most time.Duration
-		want time.Duration
+		enabled bool
+		limit   time.Duration
+		want    time.Duration
 	}{
 		{false, 2 * time.Second, 0},
 		{true, 2 * time.Second, time.Second},
@@ -188,18 +187,18 @@
 	} {
 		l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
 		b, s := *l.SettingsSnapshot(), *l.Settings()
-		s.Caps.RetryAfter, s.Caps.MaxRetryAfter = c.may, c.most
+		s.Caps.RetryAfter, s.Caps.MaxRetryAfter = c.enabled, c.limit
 		b.Settings = &s
 		l.snapshot.Store(&b)
 		l.cfg.MaxOpenCalls = 1
 		l.submit(1, time.Minute)
 		if got := l.submit(1, time.Minute); len(got.answers) != 1 || got.answers[0].RetryAfter != c.want {
-			t.Errorf("%v, at most %v: %+v", c.may, c.most, got.answers)
+			t.Errorf("Retry-After enabled %v, at most %v: %+v", c.enabled, c.limit, got.answers)
 		}
 	}
 }
 
-// What its client is still writing at a stop may yet be complete: it ends last.
+// A request that is still being received when the process stops may yet complete, so it is not ended in the first step.
 func TestFailAllEndsReceivingCallsLast(t *testing.T) {
 	t.Parallel()
 	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
@@ -208,15 +207,15 @@
 	l.Dispatch(func() { l.HandleCall(&c.Call, l.Now()) })
 	l.Dispatch(func() { l.FailAll(false) })
 	if len(c.answers) != 0 {
-		t.Errorf("still coming, and answered: %+v", c.answers)
+		t.Errorf("answers to a call that is still being received: %+v", c.answers)
 	}
 	l.Dispatch(func() { l.FailAll(true) })
 	if len(c.answers) != 1 || c.answers[0].Verdict != Stopped {
-		t.Errorf("at the end: %+v", c.answers)
+		t.Errorf("answers after FailAll with receiving calls: %+v", c.answers)
 	}
 }
 
-// Backends come under new names all day. The ones that have gone are forgotten.
+// Backends get new names all day. Those that have left must not stay in memory.
 func TestRemovedBackendsAreForgotten(t *testing.T) {
 	t.Parallel()
 	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
@@ -226,12 +225,11 @@
 		})
 	}
 	if len(l.backends.ids) != 1 || len(l.backends.names) != 1 || len(l.backends.byID) != 1 {
-		t.Errorf("%d names and %d backends are kept for a list of one", len(l.backends.ids), len(l.backends.byID))
+		t.Errorf("%d names and %d backends in memory for a membership of one", len(l.backends.ids), len(l.backends.byID))
 	}
 }
 
-// Nothing goes to a backend from the moment at which it is listed as draining; its
-// idle connections are given back.
+// Nothing is sent to a backend once the membership reports it as draining.
 func TestDrainingBackendGetsNothing(t *testing.T) {
 	t.Parallel()
 	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
@@ -240,14 +238,14 @@
 	e.State = balancer.Draining
 	l.Dispatch(func() { l.ApplyMembership(Membership{Kind: balancer.MembershipDelta, Version: 2, Entries: []Entry{e}}) })
 	if b.Ready() {
-		t.Error("a draining backend may still be written to")
+		t.Error("a draining backend is still ready")
 	}
 	if c := l.submit(1, time.Minute); len(c.attempts) != 0 {
-		t.Error("a draining backend was sent a request")
+		t.Error("a request was sent to a draining backend")
 	}
 }
 
-// Start times are Unix times; the module's are on the engine's clock, where 0 is long ago.
+// Start times in memberships are wall-clock times. The balancer gets them on the engine's clock, where 0 means long ago.
 func TestStartTimes(t *testing.T) {
 	t.Parallel()
 	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
@@ -257,18 +255,18 @@
 	}{
 		{time.Time{}, 0},
 		{l.start.Add(-3 * time.Second), ClockStart - 3*time.Second},
-		{time.UnixMilli(1), 1}, // before the clock's own start: long ago, but known
+		{time.UnixMilli(1), 1}, // before the start of the engine's clock, but known
 	} {
 		e := ready("s-1", "127.0.0.1:1")
 		e.Started = c.at
 		l.Dispatch(func() { l.ApplyMembership(Membership{Kind: balancer.MembershipDelta, Version: 2, Entries: []Entry{e}}) })
 		if got := l.Backend("s-1").Started; got != c.want {
-			t.Errorf("started at %v: %v, want %v", c.at, got, c.want)
+			t.Errorf("start time %v is %v on the engine's clock, want %v", c.at, got, c.want)
 		}
 	}
 }
 
-// A panic in one event does not end the engine, nor the calls in hand.
+// A panic in one event ends neither the engine nor its open calls.
 func TestPanicInOneEventEndsNothing(t *testing.T) {
 	t.Parallel()
 	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
@@ -276,35 +274,35 @@
 	l.Dispatch(func() { panic("one bad event") })
 	l.Dispatch(func() { c.attempts[0].End(AttemptEnd{Result: balancer.OK, Reply: "good"}) })
 	if len(c.answers) != 1 || c.answers[0].Reply != "good" {
-		t.Errorf("%+v", c.answers)
+		t.Errorf("answers after a panic in another event: %+v", c.answers)
 	}
 }
 
-func TestRecentNamesForget(t *testing.T) {
+func TestRecentIDsExpire(t *testing.T) {
 	t.Parallel()
-	r := newRecentNames(time.Second)
+	r := newRecentIDs(time.Second)
 	for i := range 5000 {
 		at := time.Duration(i) * 10 * time.Millisecond
 		if !r.add(fmt.Sprint(i), at) {
-			t.Fatalf("%d is new and taken for known", i)
+			t.Fatalf("new ID %d is taken for a known one", i)
 		}
 		if i >= 90 && r.add(fmt.Sprint(i-90), at) {
-			t.Fatalf("%d is forgotten too early", i-90)
+			t.Fatalf("ID %d is forgotten too early", i-90)
 		}
 	}
 	if n := len(r.current) + len(r.previous); n > 200 {
-		t.Errorf("%d names are kept of 200 in two spans", n)
+		t.Errorf("%d IDs in memory, want at most the 200 of two spans", n)
 	}
 	if !r.add("1", time.Minute) {
-		t.Error("a name of long ago is still known")
+		t.Error("an ID of long ago is still known")
 	}
 }
 
-// Where no second copy is allowed, the next attempt waits until the connection of the one that was given up is closed:
-// until then that one is still out, and the backend may yet begin it.
+// Without hedging, the next attempt starts only after the connection of the cancelled or expired one is closed: until
+// then that one is in flight, and the backend may still run it.
 func TestNextAttemptWaitsForCancelledOnesEnd(t *testing.T) {
 	t.Parallel()
-	for name, giveUp := range map[string]func(l *manualEngine, a *Attempt){
+	for name, cancel := range map[string]func(l *manualEngine, a *Attempt){
 		"expired":   func(l *manualEngine, a *Attempt) { a.expire() },
 		"cancelled": func(l *manualEngine, a *Attempt) { host{l.Engine}.Cancel(a.Call.ID, a.Index) },
 	} {
@@ -320,21 +318,21 @@
 		if !a.Permit.TryClaim() {
 			t.Fatal("no permit")
 		}
-		l.Dispatch(func() { giveUp(l, a) })
-		l.Dispatch(func() { giveUp(l, a) }) // twice is as good as once
+		l.Dispatch(func() { cancel(l, a) })
+		l.Dispatch(func() { cancel(l, a) }) // the second time has no effect
 		if stopped != 1 || a.Ended() || len(l.carrier.started) != 1 {
-			t.Errorf("%s: stopped %d times, ended %v, %d attempts, and its connection is open", name, stopped, a.Ended(), len(l.carrier.started))
+			t.Errorf("%s: stopped %d times, ended %v, %d attempts before its connection is closed", name, stopped, a.Ended(), len(l.carrier.started))
 		}
-		l.Dispatch(func() { a.End(AttemptEnd{Result: balancer.Reset}) }) // the break is this side's own
+		l.Dispatch(func() { a.End(AttemptEnd{Result: balancer.Reset}) }) // the carrier closed the connection itself
 		if !a.Ended() || len(l.carrier.started) != 2 {
-			t.Errorf("%s: ended %v, %d attempts once its connection is closed", name, a.Ended(), len(l.carrier.started))
+			t.Errorf("%s: ended %v, %d attempts after its connection is closed", name, a.Ended(), len(l.carrier.started))
 		}
 	}
 }
 
-// What the carrier finds when it is called off goes before the call: an answer that had come, or the proof that
-// nothing ran.
-func TestCancelledAttemptsOwnEndGoesFirst(t *testing.T) {
+// If a cancelled attempt turns out to have been answered, or provably has not run, that outcome takes precedence over the
+// cancellation.
+func TestCancelledAttemptKeepsProvenOutcome(t *testing.T) {
 	t.Parallel()
 	for result, want := range map[balancer.Result]int{balancer.OK: 1, balancer.NotSent: 0} {
 		l := newManualEngine(t, ready("s-1", "127.0.0.1:1"), ready("s-2", "127.0.0.1:2"))
@@ -350,7 +348,7 @@
 	}
 }
 
-// A request that was read by settings in which its tenant's place was another's is refused: it has not run.
+// A call is rejected if its tenant's index means another tenant now than in the settings it was parsed with.
 func TestCallOfATenantWhoseIndexChanged(t *testing.T) {
 	t.Parallel()
 	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
@@ -359,13 +357,13 @@
 	if err := l.Reconfigure(cfg); err != nil {
 		t.Fatal(err)
 	}
-	read := l.SettingsSnapshot()
+	parsedWith := l.SettingsSnapshot()
 	cfg.Tenants = []balancer.Tenant{{Name: "lovec", TrafficShare: 0.5}, {Name: "solina", TrafficShare: 0.5}}
 	if err := l.Reconfigure(cfg); err != nil {
 		t.Fatal(err)
 	}
 	for tenant, want := range []int{0, 1} {
-		c := &clientCall{Call: Call{ClientRequestID: fmt.Sprint("t", tenant), Carrier: l.carrier, Snapshot: read}}
+		c := &clientCall{Call: Call{ClientRequestID: fmt.Sprint("t", tenant), Carrier: l.carrier, Snapshot: parsedWith}}
 		c.Front, c.Tenant, c.Deadline = c, tenant, l.Now()+time.Minute
 		l.Dispatch(func() { l.HandleCall(&c.Call, l.Now()) })
 		if len(c.attempts) != want || want == 0 && (len(c.answers) != 1 || c.answers[0].Verdict != Rejected) {
@@ -374,12 +372,12 @@
 	}
 }
 
-// Guards against routes that were added and never served: settings with more classes than there was room for at the start
-// were refused, and so was every request of a class that came with them.
-func TestClassesBeyondTheRoomAtTheStartAreServed(t *testing.T) {
+// Guards against settings with more classes than the initial capacity being rejected, and with them every request of an
+// added class.
+func TestClassesBeyondTheInitialCapacityAreServed(t *testing.T) {
 	t.Parallel()
 	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
-	for generation := range 3 { // each with other names, right behind the one before: those rest before they are reused
+	for generation := range 3 { // each with new names; the indexes of the previous ones can't be reused so soon
 		cfg := testutil.Module(t)
 		for i := range maxClasses {
 			class := cfg.Classes[0]
@@ -391,10 +389,10 @@
 		}
 		last, known := l.SettingsSnapshot().ClassIndexes[fmt.Sprintf("added %d %d", generation, maxClasses-1)]
 		if !known {
-			t.Fatalf("generation %d: a class is not known", generation)
+			t.Fatalf("generation %d: the last added class has no index", generation)
 		}
 		if c := l.submit(last, time.Minute); len(c.attempts) != 1 {
-			t.Errorf("generation %d: %d attempts of a request of an added class", generation, len(c.attempts))
+			t.Errorf("generation %d: %d attempts for a request of an added class, want 1", generation, len(c.attempts))
 		}
 	}
 }
--- a/internal/dataplane/engine/learnedstate_test.go
+++ b/internal/dataplane/engine/learnedstate_test.go
@@ -10,46 +10,46 @@
 	"marlreel/internal/process/learnedstate"
 )
 
-// engineWithLearnedState is an engine in whose module something is known of each of n backends.
+// engineWithLearnedState returns an engine whose balancer has learned something about each of n backends.
 func engineWithLearnedState(t testing.TB, n int) *manualEngine {
 	t.Helper()
 	var entries []Entry
 	for i := range n {
 		e := ready(fmt.Sprint("s-", i), fmt.Sprint("127.0.0.1:", 1000+i))
-		e.Started = time.Now().Add(-time.Second) // a start, known from the list
+		e.Started = time.Now().Add(-time.Second) // a start time is learned from the membership
 		entries = append(entries, e)
 	}
 	return newManualEngine(t, entries...)
 }
 
-// collect has what was learnt written down, and counts the events that it takes.
+// collect collects the learned state and counts the events that this takes.
 func (l *manualEngine) collect(t *testing.T) (s *learnedstate.State, events int) {
 	t.Helper()
 	l.Dispatch(func() { l.CollectLearnedState(func(got *learnedstate.State) { s = got }) })
 	for events = 1; s == nil; events++ {
 		if len(l.timers) == 0 {
-			t.Fatal("it never ends")
+			t.Fatal("the collection stopped without a result: no timer is set")
 		}
 		l.Dispatch(heap.Pop(&l.timers).(*Timer).event)
 	}
 	return s, events
 }
 
-// What is written down holds the engine for a few backends at a time, however many there are.
+// Collecting the learned state handles only a few backends per event, however many there are.
 func TestLearnedStateIsCollectedInBatches(t *testing.T) {
 	t.Parallel()
 	const n = 200
 	s, events := engineWithLearnedState(t, n).collect(t)
 	if len(s.Backends) != n || events < n/learnedStateBatch {
-		t.Errorf("%d backends in %d events", len(s.Backends), events)
+		t.Errorf("%d backends collected in %d events", len(s.Backends), events)
 	}
 	if err := s.Check(); err != nil {
 		t.Error(err)
 	}
 }
 
-// What was learnt is of the backend of a name at an address: not of who is there now under one
-// of them alone, and not of one that has left.
+// Learned state is restored only for a member with the same name and the same address: not for one that shares only one
+// of them, and not for a backend that has left.
 func TestRestoreMatchesTheMembership(t *testing.T) {
 	t.Parallel()
 	from := engineWithLearnedState(t, 4)
@@ -57,19 +57,19 @@
 	to := newManualEngine(t, ready("s-0", "127.0.0.1:1000"), ready("s-1", "127.0.0.1:9999"), ready("other", "127.0.0.1:1002"))
 	to.Dispatch(func() {
 		if n := to.RestoreLearnedState(s); n != 1 {
-			t.Errorf("%d backends are taken for those that were there", n)
+			t.Errorf("state of %d backends restored, want 1", n)
 		}
 	})
 	again, _ := to.collect(t)
 	if len(again.Backends) != 1 || again.Backends[0].Name != "s-0" {
-		t.Errorf("known are %+v", again.Backends)
+		t.Errorf("backends with learned state after the restore: %+v, want only s-0", again.Backends)
 	}
 	if again.Backends[0].SinceStart < time.Second {
-		t.Errorf("its start is %v ago", again.Backends[0].SinceStart)
+		t.Errorf("time since the start of the backend is %v after the restore, want at least 1s", again.Backends[0].SinceStart)
 	}
 }
 
-// A class that comes while it is written down spoils nothing.
+// A class that is added, and a backend that leaves, during the collection don't invalidate the collected state.
 func TestSettingsChangeDuringCollection(t *testing.T) {
 	t.Parallel()
 	l := engineWithLearnedState(t, 100)
@@ -87,11 +87,11 @@
 		l.Dispatch(heap.Pop(&l.timers).(*Timer).event)
 	}
 	if err := s.Check(); err != nil || len(s.Backends) != 99 {
-		t.Errorf("%d backends, %v", len(s.Backends), err)
+		t.Errorf("%d backends collected, want 99; check: %v", len(s.Backends), err)
 	}
 }
 
-// BenchmarkCollectLearnedState collects one batch.
+// BenchmarkCollectLearnedState measures the collection of one batch.
 func BenchmarkCollectLearnedState(b *testing.B) {
 	l := engineWithLearnedState(b, learnedStateBatch)
 	b.ReportAllocs()
--- a/internal/dataplane/engine/lease_test.go
+++ b/internal/dataplane/engine/lease_test.go
@@ -12,7 +12,7 @@
 	"marlreel/internal/testutil"
 )
 
-// leasedEngine is an engine whose settings hold under a lease, on a clock of the test's.
+// leasedEngine is an engine whose settings have a lease, on a clock that the test sets.
 type leasedEngine struct {
 	*manualEngine
 	now time.Duration // on the lease's clock
@@ -43,23 +43,23 @@
 	return c
 }
 
-// leaseHistory is a random history of calls, ends of attempts, new settings and expired leases, with what was written
-// in it.
+// leaseHistory is a random history of calls, ends of attempts, new settings and expired leases. It records which attempts
+// were written.
 type leaseHistory struct {
 	*leasedEngine
 	seed                    uint64
 	rng                     *rand.Rand
-	choices                 []balancer.Config // of settings
+	choices                 []balancer.Config // the settings to choose from
 	whileValid, afterExpiry balancer.Config
 	calls                   []*clientCall
 	runs                    map[*Call]int
-	checked                 int // of the carrier's started attempts
+	checked                 int // how many of the carrier's started attempts checkStarted has checked
 	counts                  *writeCounts
 }
 
-// writeCounts are over all histories: attempts that were written, those that the permit kept back, those of a call that
-// had run before, and those without a lease.
-type writeCounts struct{ written, keptBack, again, expired int }
+// writeCounts counts, over all histories, the attempts that were written, those whose permit could not be claimed, those
+// written for a call that had run before, and those written with an expired lease.
+type writeCounts struct{ written, denied, repeated, expired int }
 
 func newLeaseHistory(t *testing.T, seed uint64, counts *writeCounts) *leaseHistory {
 	t.Helper()
@@ -77,7 +77,7 @@
 	return h
 }
 
-// step lets the next thing happen.
+// step performs one random action.
 func (h *leaseHistory) step(t *testing.T) {
 	t.Helper()
 	switch h.rng.IntN(8) {
@@ -90,24 +90,24 @@
 		h.reconfigure(t, h.whileValid, h.afterExpiry)
 	case 3:
 		h.lease.Extend(h.now + time.Duration(h.rng.IntN(3))*time.Second)
-	case 4: // the process is stopped; nobody has told the engine
+	case 4: // the process was stopped for a while, and the engine is not notified
 		h.now += time.Duration(h.rng.IntN(4)) * time.Second
 	default:
 		h.endAttempt(t)
 	}
 }
 
-// checkStarted holds that without a lease no attempt is started for a call that may have run.
+// checkStarted checks that no attempt was started with an expired lease for a call that may have run.
 func (h *leaseHistory) checkStarted(t *testing.T) {
 	t.Helper()
 	for ; h.checked < len(h.carrier.started); h.checked++ {
 		if a := h.carrier.started[h.checked]; h.lease.Expired() && !a.ended && h.runs[a.Call] > 0 {
-			t.Fatalf("seed %d: without a lease another attempt is begun at what may have run", h.seed)
+			t.Fatalf("seed %d: another attempt of a call that may have run was started with an expired lease", h.seed)
 		}
 	}
 }
 
-// endAttempt writes one of the attempts where its permit allows it, and ends it.
+// endAttempt picks a random attempt, writes it if its permit can be claimed, and ends it.
 func (h *leaseHistory) endAttempt(t *testing.T) {
 	t.Helper()
 	if len(h.carrier.started) == 0 {
@@ -118,7 +118,7 @@
 		return
 	}
 	if !a.Permit.TryClaim() {
-		h.counts.keptBack++
+		h.counts.denied++
 		h.Dispatch(func() { a.End(AttemptEnd{Result: balancer.NotSent}) })
 		return
 	}
@@ -126,14 +126,14 @@
 	h.checkWritten(t, a)
 	h.runs[a.Call]++
 	if h.runs[a.Call] > 1 {
-		h.counts.again++
+		h.counts.repeated++
 	}
 	h.Dispatch(func() {
 		a.End(AttemptEnd{Result: []balancer.Result{balancer.Error, balancer.Reset, balancer.OK}[h.rng.IntN(3)]})
 	})
 }
 
-// checkWritten holds that the settings of this moment allow what is written.
+// checkWritten checks that the settings in force allow the attempt that is written.
 func (h *leaseHistory) checkWritten(t *testing.T, a *Attempt) {
 	t.Helper()
 	inForce, expired := h.whileValid, h.lease.Expired()
@@ -144,17 +144,17 @@
 	class := slices.IndexFunc(inForce.Classes, func(c balancer.Class) bool { return c.Name == h.classes.Name(a.Call.Class) })
 	switch {
 	case class < 0:
-		t.Fatalf("seed %d: written for a class that is gone", h.seed)
+		t.Fatalf("seed %d: an attempt of a removed class is written", h.seed)
 	case a.Index >= inForce.Caps.MaxAttempts:
-		t.Fatalf("seed %d: attempt %d of %d is written, lease expired %v", h.seed, a.Index+1, inForce.Caps.MaxAttempts, expired)
+		t.Fatalf("seed %d: attempt %d of at most %d is written, lease expired %v", h.seed, a.Index+1, inForce.Caps.MaxAttempts, expired)
 	case h.runs[a.Call] > 0 && (inForce.Classes[class].Effect == balancer.Unsafe || inForce.Classes[class].NeverRerun):
-		t.Fatalf("seed %d: a %s that may have run is written again, lease expired %v", h.seed, inForce.Classes[class].Name, expired)
+		t.Fatalf("seed %d: a request of class %s that may have run is written again, lease expired %v", h.seed, inForce.Classes[class].Name, expired)
 	}
 }
 
-// Whatever comes in whatever order (calls, attempts that end in every way, new settings, leases that expire, a process
-// that was stopped between the decision and the first byte): no attempt is written that the settings of that moment
-// forbid. What they forbid is stated here once more, in the plainest way.
+// Checks that no attempt is written that the settings in force forbid, in random histories of calls, attempts that end in
+// different ways, new settings, leases that expire, and a process that was stopped between the decision on an attempt and
+// its first byte. The rules are stated here a second time, in the simplest way.
 func TestNothingIsWrittenAgainstSettingsInForce(t *testing.T) {
 	t.Parallel()
 	var counts writeCounts
@@ -166,17 +166,17 @@
 		}
 		for _, c := range h.calls {
 			if len(c.answers) > 1 {
-				t.Fatalf("seed %d: %d answers", seed, len(c.answers))
+				t.Fatalf("seed %d: %d answers to one call", seed, len(c.answers))
 			}
 		}
 	}
 	t.Logf("%+v", counts)
-	if counts.written == 0 || counts.keptBack == 0 || counts.again == 0 || counts.expired == 0 {
-		t.Error("the histories show nothing")
+	if counts.written == 0 || counts.denied == 0 || counts.repeated == 0 || counts.expired == 0 {
+		t.Error("the histories do not cover every case: a count is 0")
 	}
 }
 
-// A lease costs a call no allocation.
+// A lease adds no allocations to a call.
 func TestLeaseAllocatesNothing(t *testing.T) {
 	count := func(l *manualEngine) float64 {
 		return testing.AllocsPerRun(200, func() {
@@ -193,15 +193,16 @@
 	l.lease.Extend(l.now + time.Hour)
 	without, with := count(plain), count(l.manualEngine)
 	if with > without+0.5 {
-		t.Errorf("%.1f allocations a call with a lease, %.1f without", with, without)
+		t.Errorf("%.1f allocations per call with a lease, %.1f without", with, without)
 	}
 }
 
-// The engine's part of a request without and with a lease, in turn: what counts is the ratio, in one run.
+// BenchmarkLease measures the engine's share of a request without and with a lease, alternately. Its result is the ratio
+// of the two within one run.
 func BenchmarkLease(b *testing.B) {
 	plain := newManualEngine(b, ready("s-1", "127.0.0.1:1"), ready("s-2", "127.0.0.1:2"))
 	l := newLeasedEngine(b)
-	l.lease.Clock = func() time.Duration { // as the fleet's
+	l.lease.Clock = func() time.Duration { // like the clock of leases in a fleet
 		var now unix.Timespec
 		if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &now); err != nil {
 			b.Fatal(err)
@@ -211,7 +212,7 @@
 	l.reconfigure(b, testutil.Module(b), withoutRetries(testutil.Module(b)))
 	l.lease.Extend(l.lease.Clock() + time.Hour)
 	var took [2]time.Duration
-	one := func(s *manualEngine) {
+	runCall := func(s *manualEngine) {
 		s.submit(0, time.Minute)
 		a := s.carrier.started[0]
 		a.Permit.TryClaim()
@@ -220,11 +221,11 @@
 	}
 	for b.Loop() {
 		for i, s := range []*manualEngine{plain, l.manualEngine} {
-			began := time.Now()
+			startedAt := time.Now()
 			for range 100 {
-				one(s)
+				runCall(s)
 			}
-			took[i] += time.Since(began)
+			took[i] += time.Since(startedAt)
 		}
 	}
 	b.ReportMetric(float64(took[1])/float64(took[0]), "with/without")
--- a/internal/dataplane/engine/observer.go
+++ b/internal/dataplane/engine/observer.go
@@ -19,7 +19,7 @@
 	OnStreamEnded(now time.Duration, c *Call, complete bool)
 	// OnClientGone reports that a call's client has disconnected before its answer.
 	OnClientGone(now time.Duration, c *Call)
-	OnMembership(now time.Duration, l *Membership)
+	OnMembership(now time.Duration, m *Membership)
 	OnHealthCheck(now time.Duration, b *Backend, r balancer.Result, took time.Duration)
 }
 
@@ -83,9 +83,9 @@
 }
 
 // OnMembership implements Observer.
-func (s Observers) OnMembership(now time.Duration, l *Membership) {
+func (s Observers) OnMembership(now time.Duration, m *Membership) {
 	for _, o := range s {
-		o.OnMembership(now, l)
+		o.OnMembership(now, m)
 	}
 }
 
--- a/internal/dataplane/engine/observer_test.go
+++ b/internal/dataplane/engine/observer_test.go
@@ -11,46 +11,48 @@
 	"marlreel/internal/testutil"
 )
 
-// recordingObserver writes down what it sees.
+// recordingObserver records the events that it is notified of.
 type recordingObserver struct{ events []string }
 
-func (s *recordingObserver) note(format string, args ...any) {
+func (s *recordingObserver) record(format string, args ...any) {
 	s.events = append(s.events, fmt.Sprintf(format, args...))
 }
 
-func (s *recordingObserver) OnCallAccepted(_ time.Duration, c *Call) { s.note("taken %d", c.ID) }
+func (s *recordingObserver) OnCallAccepted(_ time.Duration, c *Call) { s.record("accepted %d", c.ID) }
 func (s *recordingObserver) OnAttemptStarted(_ time.Duration, a *Attempt) {
-	s.note("sent %d to %s", a.Call.ID, a.Backend.Name)
+	s.record("sent %d to %s", a.Call.ID, a.Backend.Name)
 }
 
 func (s *recordingObserver) OnAttemptEnded(_ time.Duration, a *Attempt, end AttemptEnd) {
-	s.note("ended %d as %d", a.Call.ID, end.Result)
+	s.record("ended %d as %d", a.Call.ID, end.Result)
 }
 
 func (s *recordingObserver) OnAnswered(_ time.Duration, c *Call, a Answer) {
-	s.note("answered %d with %d", c.ID, a.Verdict)
+	s.record("answered %d with %d", c.ID, a.Verdict)
 }
 
-func (s *recordingObserver) OnStreamEnded(_ time.Duration, c *Call, whole bool) {
-	s.note("streamed %d %v", c.ID, whole)
+func (s *recordingObserver) OnStreamEnded(_ time.Duration, c *Call, complete bool) {
+	s.record("streamed %d %v", c.ID, complete)
 }
-func (s *recordingObserver) OnClientGone(_ time.Duration, c *Call) { s.note("left %d", c.ID) }
-func (s *recordingObserver) OnMembership(_ time.Duration, l *Membership) {
-	s.note("listed %d", len(l.Entries))
+func (s *recordingObserver) OnClientGone(_ time.Duration, c *Call) {
+	s.record("client of %d gone", c.ID)
+}
+func (s *recordingObserver) OnMembership(_ time.Duration, m *Membership) {
+	s.record("members %d", len(m.Entries))
 }
 
 func (s *recordingObserver) OnHealthCheck(_ time.Duration, b *Backend, r balancer.Result, _ time.Duration) {
-	s.note("probed %s as %d", b.Name, r)
+	s.record("checked %s as %d", b.Name, r)
 }
 
-// healthChecker answers every probe at once.
+// healthChecker ends every health check at once, with the same result.
 type healthChecker struct{ result balancer.Result }
 
 func (p healthChecker) CheckHealth(_ *Backend, _ time.Time, end func(AttemptEnd)) {
 	end(AttemptEnd{Result: p.result})
 }
 
-// An observer sees each thing once and in its order; several see the same.
+// An observer is notified of each event once and in order; several observers get the same events.
 func TestObserver(t *testing.T) {
 	t.Parallel()
 	l := newManualEngine(t)
@@ -68,20 +70,21 @@
 	third := l.submit(1, time.Minute)
 	l.Dispatch(func() { third.attempts[0].End(AttemptEnd{Result: balancer.Reset}) })
 	l.Dispatch(func() { host{l.Engine}.CheckHealth(l.backends.id("s-1")) })
-	want := "listed 1; taken 1; sent 1 to s-1; ended 1 as 1; sent 1 to s-1; ended 1 as 0; answered 1 with 0; " +
-		"taken 2; sent 2 to s-1; left 2; ended 2 as 7; taken 3; sent 3 to s-1; ended 3 as 5; answered 3 with 3; probed s-1 as 0"
+	want := "members 1; accepted 1; sent 1 to s-1; ended 1 as 1; sent 1 to s-1; ended 1 as 0; answered 1 with 0; " +
+		"accepted 2; sent 2 to s-1; client of 2 gone; ended 2 as 7; accepted 3; sent 3 to s-1; ended 3 as 5; " +
+		"answered 3 with 3; checked s-1 as 0"
 	if got := strings.Join(a.events, "; "); got != want {
-		t.Errorf("seen: %s\nwant: %s", got, want)
+		t.Errorf("events: %s\nwant:   %s", got, want)
 	}
 	if !slices.Equal(a.events, b.events) {
-		t.Error("two observers saw different things")
+		t.Error("two observers got different events")
 	}
 	if Join(nil, nil) != nil {
-		t.Error("none is one")
+		t.Error("Join of nil observers is not nil")
 	}
 }
 
-// noopObserver sees everything and does nothing.
+// noopObserver ignores all events.
 type noopObserver struct{}
 
 func (noopObserver) OnCallAccepted(time.Duration, *Call)                                   {}
@@ -93,7 +96,7 @@
 func (noopObserver) OnMembership(time.Duration, *Membership)                               {}
 func (noopObserver) OnHealthCheck(time.Duration, *Backend, balancer.Result, time.Duration) {}
 
-// To be observed costs a call no allocation.
+// An observer adds no allocations to a call.
 func TestObserverAllocatesNothing(t *testing.T) {
 	count := func(o Observer) float64 {
 		l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
@@ -105,10 +108,10 @@
 		})
 	}
 	without, with := count(nil), count(noopObserver{})
-	if testutil.Race { // the detector drops pooled buffers at random, one in some thousand calls
+	if testutil.Race { // the race detector randomly drops pooled buffers, about one in some thousand calls
 		with -= 1
 	}
 	if with > without {
-		t.Errorf("%v allocations a call with an observer, %v without", with, without)
+		t.Errorf("%v allocations per call with an observer, %v without", with, without)
 	}
 }
--- a/internal/dataplane/engine/settings.go
+++ b/internal/dataplane/engine/settings.go
@@ -30,42 +30,43 @@
 
 // publishSettings puts a snapshot of settings in force.
 func (e *Engine) publishSettings(settings *balancer.Config) {
-	b := &SettingsSnapshot{Settings: settings, ClassIndexes: map[string]int{}, TenantIndexes: map[string]int{}}
+	snapshot := &SettingsSnapshot{Settings: settings, ClassIndexes: map[string]int{}, TenantIndexes: map[string]int{}}
 	for i, c := range settings.Classes {
 		if !e.classes.Removed(i) {
-			b.ClassIndexes[c.Name] = i
+			snapshot.ClassIndexes[c.Name] = i
 		}
 	}
 	for i, t := range settings.Tenants {
-		b.TenantIndexes[t.Name] = i
+		snapshot.TenantIndexes[t.Name] = i
 	}
-	e.snapshot.Store(b)
+	e.snapshot.Store(snapshot)
 }
 
-// meansTheSame reports whether a call that was parsed with an older snapshot has the same meaning in the one in force. A
+// sameMeaning reports whether a call that was parsed with an older snapshot has the same meaning in the one in force. A
 // call that was parsed as idempotent must not run as one that is not, nor as a keyed one without its key.
-func (e *Engine) meansTheSame(c *Call) bool {
-	now := e.snapshot.Load()
-	if c.Snapshot == nil || c.Snapshot == now {
+func (e *Engine) sameMeaning(c *Call) bool {
+	inForce := e.snapshot.Load()
+	if c.Snapshot == nil || c.Snapshot == inForce {
 		return true
 	}
-	is, was := &now.Settings.Classes[c.Class], &c.Snapshot.Settings.Classes[c.Class]
-	return is.Name == was.Name && is.Effect == was.Effect && tenantName(now, c.Tenant) == tenantName(c.Snapshot, c.Tenant)
+	current, original := &inForce.Settings.Classes[c.Class], &c.Snapshot.Settings.Classes[c.Class]
+	return current.Name == original.Name && current.Effect == original.Effect &&
+		tenantName(inForce, c.Tenant) == tenantName(c.Snapshot, c.Tenant)
 }
 
 // tenantName returns the name of the tenant with an index, or "".
-func tenantName(b *SettingsSnapshot, index int) string {
-	if index < 0 || index >= len(b.Settings.Tenants) {
+func tenantName(snapshot *SettingsSnapshot, index int) string {
+	if index < 0 || index >= len(snapshot.Settings.Tenants) {
 		return ""
 	}
-	return b.Settings.Tenants[index].Name
+	return snapshot.Settings.Tenants[index].Name
 }
 
 // Reconfigure atomically replaces the settings, or keeps the old ones and returns an error that names the invalid field.
 // Open calls keep their class. Only on the engine's goroutine.
 func (e *Engine) Reconfigure(next balancer.Config) error {
 	old := e.Settings()
-	trial, indexes, fresh, err := e.assignClasses(classNames(next.Classes))
+	trial, indexes, reused, err := e.assignClasses(classNames(next.Classes))
 	if err != nil {
 		return fmt.Errorf("settings: Services: %w", err)
 	}
@@ -75,25 +76,25 @@
 		merged[i] = next.Classes[k]
 	}
 	next.Classes = merged
-	if err := e.balancer.Reconfigure(e.Now(), next, fresh, trial.Removed); err != nil {
+	if err := e.balancer.Reconfigure(e.Now(), next, reused, trial.Removed); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	*e.classes = trial
 	e.publishSettings(&next)
-	e.recentNames.span = max(e.recentNames.span, longestClientTimeout(&next)+time.Second)
+	e.recentIDs.span = max(e.recentIDs.span, longestClientTimeout(&next)+time.Second)
 	return nil
 }
 
 // assignClasses assigns indexes to classes in a copy of the table, which it grows if needed. Removed classes keep their
 // index for a while, so that several changes in quick succession need more room than any single one of them.
-func (e *Engine) assignClasses(names []string) (trial stableindex.Table, indexes, fresh []int, err error) {
+func (e *Engine) assignClasses(names []string) (trial stableindex.Table, indexes, reused []int, err error) {
 	trial = *e.classes // a shallow copy is enough: Assign replaces its contents and does not modify them
-	indexes, fresh, err = trial.Assign(e.Now(), names, e.classOpen)
+	indexes, reused, err = trial.Assign(e.Now(), names, e.classOpen)
 	if full := new(stableindex.FullError); errors.As(err, &full) {
 		trial.Grow(full.MaxLen + len(names))
-		indexes, fresh, err = trial.Assign(e.Now(), names, e.classOpen)
+		indexes, reused, err = trial.Assign(e.Now(), names, e.classOpen)
 	}
-	return trial, indexes, fresh, err
+	return trial, indexes, reused, err
 }
 
 // classOpen reports whether a call of a class is open.
