--- a/internal/dataplane/engine/attempt.go
+++ b/internal/dataplane/engine/attempt.go
@@ -23,8 +23,8 @@
 	Backend  *Backend
 	Deadline time.Time // when it times out
 	Permit   Permit
-	// Stop cancels the attempt: the carrier aborts it and still calls End. StartAttempt sets it; nil if there is nothing
-	// to abort.
+	// Stop cancels the attempt: the carrier aborts it and still calls End. StartAttempt sets it; nil if there is
+	// nothing to abort.
 	Stop func()
 
 	engine       *Engine
--- a/internal/dataplane/engine/backends.go
+++ b/internal/dataplane/engine/backends.go
@@ -54,7 +54,8 @@
 	return backends{map[balancer.BackendID]*Backend{}, map[string]balancer.BackendID{}, map[balancer.BackendID]string{}}
 }
 
-// id returns the balancer's identifier for a name. It is the same at every proxy unless the hashes of two names collide.
+// id returns the balancer's identifier for a name. It is the same at every proxy unless the hashes of two names
+// collide.
 func (k *backends) id(name string) balancer.BackendID {
 	id, known := k.ids[name]
 	if known {
--- a/internal/dataplane/engine/call.go
+++ b/internal/dataplane/engine/call.go
@@ -162,8 +162,8 @@
 	e.Schedule(e.Now()+receivingInterval, func() { e.reportReceiving(c) })
 }
 
-// HandleRequestComplete handles the arrival of the last byte of a call that was Receiving. at is when it arrived, on the
-// engine's clock; the call's timeout counts from then. Only on the engine's goroutine.
+// HandleRequestComplete handles the arrival of the last byte of a call that was Receiving. at is when it arrived, on
+// the engine's clock; the call's timeout counts from then. Only on the engine's goroutine.
 func (e *Engine) HandleRequestComplete(c *Call, at time.Duration) {
 	if !c.Receiving || c.answered {
 		return
--- a/internal/dataplane/engine/engine.go
+++ b/internal/dataplane/engine/engine.go
@@ -120,7 +120,7 @@
 func (e *Engine) AddCarrier(c Carrier) { e.carriers = append(e.carriers, c) }
 
 // SetHealthChecker sets the health checker. Only before Run.
-func (e *Engine) SetHealthChecker(p HealthChecker) { e.healthChecker = p }
+func (e *Engine) SetHealthChecker(h HealthChecker) { e.healthChecker = h }
 
 // SetSource sets the source of memberships. Only before Run.
 func (e *Engine) SetSource(s Source) { e.source = s }
--- a/internal/dataplane/engine/engine_test.go
+++ b/internal/dataplane/engine/engine_test.go
@@ -245,7 +245,8 @@
 	}
 }
 
-// Start times in memberships are wall-clock times. The balancer gets them on the engine's clock, where 0 means long ago.
+// Start times in memberships are wall-clock times. The balancer gets them on the engine's clock, where 0 means long
+// ago.
 func TestStartTimes(t *testing.T) {
 	t.Parallel()
 	l := newManualEngine(t, ready("s-1", "127.0.0.1:1"))
@@ -330,8 +331,8 @@
 	}
 }
 
-// If a cancelled attempt turns out to have been answered, or provably has not run, that outcome takes precedence over the
-// cancellation.
+// If a cancelled attempt turns out to have been answered, or provably has not run, that outcome takes precedence over
+// the cancellation.
 func TestCancelledAttemptKeepsProvenOutcome(t *testing.T) {
 	t.Parallel()
 	for result, want := range map[balancer.Result]int{balancer.OK: 1, balancer.NotSent: 0} {
--- a/internal/dataplane/engine/lease_test.go
+++ b/internal/dataplane/engine/lease_test.go
@@ -43,8 +43,8 @@
 	return c
 }
 
-// leaseHistory is a random history of calls, ends of attempts, new settings and expired leases. It records which attempts
-// were written.
+// leaseHistory is a random history of calls, ends of attempts, new settings and expired leases. It records which
+// attempts were written.
 type leaseHistory struct {
 	*leasedEngine
 	seed                    uint64
@@ -57,8 +57,8 @@
 	counts                  *writeCounts
 }
 
-// writeCounts counts, over all histories, the attempts that were written, those whose permit could not be claimed, those
-// written for a call that had run before, and those written with an expired lease.
+// writeCounts counts, over all histories, the attempts that were written, those whose permit could not be claimed,
+// those written for a call that had run before, and those written with an expired lease.
 type writeCounts struct{ written, denied, repeated, expired int }
 
 func newLeaseHistory(t *testing.T, seed uint64, counts *writeCounts) *leaseHistory {
@@ -152,9 +152,9 @@
 	}
 }
 
-// Checks that no attempt is written that the settings in force forbid, in random histories of calls, attempts that end in
-// different ways, new settings, leases that expire, and a process that was stopped between the decision on an attempt and
-// its first byte. The rules are stated here a second time, in the simplest way.
+// Checks that no attempt is written that the settings in force forbid, in random histories of calls, attempts that end
+// in different ways, new settings, leases that expire, and a process that was stopped between the decision on an
+// attempt and its first byte. The rules are stated here a second time, in the simplest way.
 func TestNothingIsWrittenAgainstSettingsInForce(t *testing.T) {
 	t.Parallel()
 	var counts writeCounts
@@ -197,8 +197,8 @@
 	}
 }
 
-// BenchmarkLease measures the engine's share of a request without and with a lease, alternately. Its result is the ratio
-// of the two within one run.
+// BenchmarkLease measures the engine's share of a request without and with a lease, alternately. Its result is the
+// ratio of the two within one run.
 func BenchmarkLease(b *testing.B) {
 	plain := newManualEngine(b, ready("s-1", "127.0.0.1:1"), ready("s-2", "127.0.0.1:2"))
 	l := newLeasedEngine(b)
--- a/internal/dataplane/engine/observer.go
+++ b/internal/dataplane/engine/observer.go
@@ -7,8 +7,8 @@
 	"marlreel/internal/balancer"
 )
 
-// Observer is notified of the engine's events, for metrics, captures and traces. The engine's goroutine calls it. It must
-// not block, allocate on the path of a call, or call the engine. It may read its arguments only until it returns.
+// Observer is notified of the engine's events, for metrics, captures and traces. The engine's goroutine calls it. It
+// must not block, allocate on the path of a call, or call the engine. It may read its arguments only until it returns.
 // Times are on the engine's clock.
 type Observer interface {
 	OnCallAccepted(now time.Duration, c *Call)
--- a/internal/dataplane/engine/observer_test.go
+++ b/internal/dataplane/engine/observer_test.go
@@ -19,6 +19,7 @@
 }
 
 func (s *recordingObserver) OnCallAccepted(_ time.Duration, c *Call) { s.record("accepted %d", c.ID) }
+
 func (s *recordingObserver) OnAttemptStarted(_ time.Duration, a *Attempt) {
 	s.record("sent %d to %s", a.Call.ID, a.Backend.Name)
 }
@@ -34,9 +35,11 @@
 func (s *recordingObserver) OnStreamEnded(_ time.Duration, c *Call, complete bool) {
 	s.record("streamed %d %v", c.ID, complete)
 }
+
 func (s *recordingObserver) OnClientGone(_ time.Duration, c *Call) {
 	s.record("client of %d gone", c.ID)
 }
+
 func (s *recordingObserver) OnMembership(_ time.Duration, m *Membership) {
 	s.record("members %d", len(m.Entries))
 }
@@ -48,8 +51,8 @@
 // healthChecker ends every health check at once, with the same result.
 type healthChecker struct{ result balancer.Result }
 
-func (p healthChecker) CheckHealth(_ *Backend, _ time.Time, end func(AttemptEnd)) {
-	end(AttemptEnd{Result: p.result})
+func (h healthChecker) CheckHealth(_ *Backend, _ time.Time, end func(AttemptEnd)) {
+	end(AttemptEnd{Result: h.result})
 }
 
 // An observer is notified of each event once and in order; several observers get the same events.
--- a/internal/dataplane/engine/permit.go
+++ b/internal/dataplane/engine/permit.go
@@ -22,12 +22,12 @@
 	permitExpired
 )
 
-// TryClaim claims the permit. The carrier calls it just before the last byte. If it returns false, that byte must not be
-// written, and if other bytes of the attempt have been written, their connection must be closed. Any goroutine may call
-// it.
+// TryClaim claims the permit. The carrier calls it just before the last byte. If it returns false, that byte must not
+// be written, and if other bytes of the attempt have been written, their connection must be closed. Any goroutine may
+// call it.
 //
-// It checks the lease and the idempotency window, because the process may have been stopped since the engine started the
-// attempt, or a dial may have taken long.
+// It checks the lease and the idempotency window, because the process may have been stopped since the engine started
+// the attempt, or a dial may have taken long.
 func (p *Permit) TryClaim() bool {
 	if p.overdue() {
 		p.state.CompareAndSwap(permitAvailable, permitExpired)
--- a/internal/dataplane/engine/recentids.go
+++ b/internal/dataplane/engine/recentids.go
@@ -3,7 +3,8 @@
 import "time"
 
 // recentIDs remembers each request ID for at least span and at most twice as long. It keeps two generations and drops
-// the older one as a whole, so that it needs no timer per ID, and its memory depends on the rate of IDs, not their total.
+// the older one as a whole, so that it needs no timer per ID, and its memory depends on the rate of IDs, not their
+// total.
 type recentIDs struct {
 	span              time.Duration
 	rotatedAt         time.Duration
--- a/internal/dataplane/engine/settings.go
+++ b/internal/dataplane/engine/settings.go
@@ -9,8 +9,8 @@
 	"marlreel/internal/balancer/stableindex"
 )
 
-// maxClasses is the initial capacity of the table of classes, which includes removed classes that still have their index.
-// The table grows if settings need more.
+// maxClasses is the initial capacity of the table of classes, which includes removed classes that still have their
+// index. The table grows if settings need more.
 const maxClasses = 64
 
 // SettingsSnapshot holds the settings that fronts use to parse requests, and the indexes of names in them. It is
@@ -62,8 +62,8 @@
 	return snapshot.Settings.Tenants[index].Name
 }
 
-// Reconfigure atomically replaces the settings, or keeps the old ones and returns an error that names the invalid field.
-// Open calls keep their class. Only on the engine's goroutine.
+// Reconfigure atomically replaces the settings, or keeps the old ones and returns an error that names the invalid
+// field. Open calls keep their class. Only on the engine's goroutine.
 func (e *Engine) Reconfigure(next balancer.Config) error {
 	old := e.Settings()
 	trial, indexes, reused, err := e.assignClasses(classNames(next.Classes))
--- a/internal/dataplane/engine/timers.go
+++ b/internal/dataplane/engine/timers.go
@@ -21,8 +21,8 @@
 	return t
 }
 
-// StopTimer stops a timer and removes it from the heap. It ignores nil and timers that have fired. Clients' timeouts may
-// be long, so timers left in the heap would keep calls in memory long after their answer.
+// StopTimer stops a timer and removes it from the heap. It ignores nil and timers that have fired. Clients' timeouts
+// may be long, so timers left in the heap would keep calls in memory long after their answer.
 func (e *Engine) StopTimer(t *Timer) {
 	if t != nil && t.heapIndex >= 0 {
 		heap.Remove(&e.timers, t.heapIndex)
