--- a/internal/discovery/membership/action.go
+++ b/internal/discovery/membership/action.go
@@ -10,19 +10,19 @@
 	_ Action = LogLine("")
 )
 
-// FullList replaces the list that was in force.
+// FullList replaces the list in force.
 type FullList struct {
 	Entries map[string]Entry
-	Cached  bool // from an earlier process: no source has confirmed it yet
+	Cached  bool // from an earlier process, not yet confirmed by a source
 }
 
-// Delta is the difference between the list that was in force and the one that is.
+// Delta holds the changes to the list in force.
 type Delta struct {
 	Changed map[string]Entry
 	Removed []string
 }
 
-// RequestSnapshot asks for a new snapshot of a source, by its index in Config.Sources.
+// RequestSnapshot asks for a new snapshot of a source, given by its index in Config.Sources.
 type RequestSnapshot struct{ Source int }
 
 // LogLine is a line for the log.
--- a/internal/discovery/membership/compatibility_test.go
+++ b/internal/discovery/membership/compatibility_test.go
@@ -11,7 +11,7 @@
 	"marlreel/internal/testing/recorded"
 )
 
-// The JSON of /control/discovery, with all keys and with what may be left out left out.
+// The JSON of /control/discovery, with all keys and without the optional ones.
 func TestCompatibilityStatus(t *testing.T) {
 	for name, status := range map[string]Status{
 		"status.json": {
@@ -34,7 +34,7 @@
 			t.Fatal(err)
 		}
 		if again, err := json.MarshalIndent(read, "", " "); err != nil || !bytes.Equal(append(again, '\n'), recorded) {
-			t.Errorf("%s: read and written again it is %s (%v)", name, again, err)
+			t.Errorf("%s: decoded and encoded again: %s (%v)", name, again, err)
 		}
 	}
 }
--- a/internal/discovery/membership/entry.go
+++ b/internal/discovery/membership/entry.go
@@ -1,7 +1,7 @@
 package membership
 
-// ConfirmKey is the reserved name under which an operator confirms a list in the registry itself: a write of it
-// drops the entries that are retained after a mass removal. It is never a backend.
+// ConfirmKey is the reserved name with which an operator confirms a list in the registry itself: writing it drops
+// the entries that are retained after a mass removal. It is never a backend.
 const ConfirmKey = "_confirm"
 
 // Entry is a backend as a registry describes it.
@@ -17,19 +17,19 @@
 type Item struct {
 	Name        string
 	ModRevision int64
-	Malformed   string // why it can't be read; "" if it can
+	Malformed   string // why it can't be parsed; "" if it can
 	Entry       Entry
 }
 
-// Snapshot is a complete list at one revision.
+// Snapshot is the complete list at one revision.
 type Snapshot struct {
-	History  uint64 // identifies the registry that numbers the revisions; one that was set up anew has another
+	History  uint64 // identifies the registry that numbers the revisions; it changes when the registry is set up anew
 	Revision int64
 	Items    []Item
-	Stale    bool // read from a member that may lag: proves nothing about newer revisions
+	Stale    bool // read from a member that may lag, so newer revisions may exist
 }
 
-// Update is one transaction of a registry.
+// Update is one transaction in a registry.
 type Update struct {
 	Revision int64
 	Puts     []Item
--- a/internal/discovery/membership/event.go
+++ b/internal/discovery/membership/event.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// OnCachedList handles the list of an earlier process: it is in force until a source has sent a snapshot.
+// OnCachedList handles a list cached by an earlier process. It is in force until a source has sent a snapshot.
 func (m *Model) OnCachedList(now time.Duration, list map[string]Entry) []Action {
 	if m.active < 0 {
 		m.cachedList = maps.Clone(list)
@@ -21,13 +21,13 @@
 	s.loading = false
 	replaced := s.replacedBy(snapshot)
 	if replaced && snapshot.Stale && snapshot.History == s.history {
-		// A member that lags would bring back entries that were removed.
-		m.log(s.name+" stale", "%s: a list of revision %d is older than the one that is held (%d): left alone", s.name, snapshot.Revision, s.revision)
+		// The list of a lagging member would bring removed entries back.
+		m.log(s.name+" stale", "%s: ignoring a stale list: its revision %d is older than the current %d", s.name, snapshot.Revision, s.revision)
 		m.requestSnapshot(index)
 		return m.takeActions()
 	}
 	if replaced {
-		m.log(s.name+" history", "%s: its history is another (revision %d of %x, and it was %d of %x): it was restored or set up anew, and its list counts",
+		m.log(s.name+" history", "%s: the registry was restored or set up anew (revision %d of history %x, before %d of %x); using its list",
 			s.name, snapshot.Revision, snapshot.History, s.revision, s.history)
 		s.malformed = map[string]string{}
 	}
@@ -52,11 +52,11 @@
 	return m.takeActions()
 }
 
-// OnUpdate handles one transaction as a whole. One that is contained in what is known already has no effect.
+// OnUpdate applies one transaction as a whole. A transaction up to the known revision has no effect.
 func (m *Model) OnUpdate(now time.Duration, index int, update Update) []Action {
 	s := m.sources[index]
 	if !s.synced || update.Revision <= s.revision {
-		return nil // without a snapshot: the one on its way contains the update
+		return nil // if not synced, the requested snapshot will contain the update
 	}
 	if index == m.active {
 		m.dropAddresses(update)
@@ -83,8 +83,8 @@
 	previous, wasUnreachable := m.active, s.unreachable
 	m.markReachable(now, s, true)
 	m.chooseSource(now)
-	sourcesStand := !wasUnreachable && previous == m.active
-	if !sourcesStand || !m.publishIncrementally(now, index, touched) {
+	sourcesUnchanged := !wasUnreachable && previous == m.active
+	if !sourcesUnchanged || !m.publishIncrementally(now, index, touched) {
 		m.publish(now)
 	}
 	if confirmed {
@@ -93,13 +93,13 @@
 	return m.takeActions()
 }
 
-// OnProgress handles the report that nothing has changed up to a revision.
+// OnProgress handles a report that nothing has changed up to a revision.
 func (m *Model) OnProgress(now time.Duration, index int, revision int64) []Action {
 	s := m.sources[index]
 	switch {
 	case !s.synced:
 		return nil
-	case revision < s.revision: // revisions never fall: the registry was replaced
+	case revision < s.revision: // revisions never decrease: the registry was replaced
 		s.synced = false
 		m.requestSnapshot(index)
 	default:
@@ -111,8 +111,8 @@
 	return m.takeActions()
 }
 
-// OnCompacted handles the report that the updates after the known revision are gone. The known list stands
-// until the snapshot that is requested arrives.
+// OnCompacted handles a report that the updates after the known revision have been compacted. The known list
+// stays in force until the requested snapshot arrives.
 func (m *Model) OnCompacted(now time.Duration, index int) []Action {
 	s := m.sources[index]
 	s.synced = false
@@ -120,27 +120,27 @@
 	return m.takeActions()
 }
 
-// OnSourceLost handles that a source can't be reached. Its list stands for Config.LossTimeout.
+// OnSourceLost handles a report that a source can't be reached. Its list stays usable for Config.LossTimeout.
 func (m *Model) OnSourceLost(now time.Duration, index int, reason string) []Action {
 	s := m.sources[index]
 	s.loading, s.lossReason = false, reason
 	if !s.unreachable {
 		s.unreachable, s.reachabilityChangedAt = true, now
-		m.log(s.name+" lost", "%s: lost (%s); its list stands", s.name, reason)
+		m.log(s.name+" lost", "%s: connection lost (%s); keeping its list", s.name, reason)
 	}
 	m.chooseSource(now)
 	m.publish(now)
 	return m.takeActions()
 }
 
-// Tick does what is due by time alone; NextTick tells when to call it.
+// Tick does the work that only depends on time; NextTick returns when to call it.
 func (m *Model) Tick(now time.Duration) []Action {
 	m.chooseSource(now)
 	m.publish(now)
 	return m.takeActions()
 }
 
-// NextTick returns when Tick has something to do, always after now; 0 if never, as things stand.
+// NextTick returns when Tick next has work to do, always after now; 0 if it has none until another event.
 func (m *Model) NextTick(now time.Duration) time.Duration {
 	next := time.Duration(0)
 	consider := func(t time.Duration) {
@@ -162,12 +162,12 @@
 	return next
 }
 
-// markReachable notes that a source has answered; upToDate: with what was the newest at this time.
+// markReachable records that a source has answered; upToDate means that its answer included the newest changes.
 func (m *Model) markReachable(now time.Duration, s *source, upToDate bool) {
 	if s.unreachable {
 		s.unreachable, s.reachabilityChangedAt = false, now
 		m.forgetLine(s.name + " lost")
-		m.log(s.name+" found", "%s: found again", s.name)
+		m.log(s.name+" found", "%s: reachable again", s.name)
 		m.forgetLine(s.name + " found")
 	}
 	if upToDate {
@@ -175,14 +175,14 @@
 	}
 }
 
-// putItem stores one item. In place of a malformed one the last good one of previous stands.
+// putItem stores one item. A malformed item is replaced by its last valid version in previous, if there is one.
 func (m *Model) putItem(s *source, item Item, previous map[string]Item) {
 	if item.Malformed == "" {
 		delete(s.malformed, item.Name)
 		m.forgetLine(malformedTopic(s, item.Name))
 		_, listed := s.items[item.Name]
 		if !listed && m.config.MaxEntries > 0 && len(s.items) >= m.config.MaxEntries {
-			m.log(s.name+" most", "%s: more than %d entries: the others are left out", s.name, m.config.MaxEntries)
+			m.log(s.name+" most", "%s: more than %d entries; ignoring the rest", s.name, m.config.MaxEntries)
 			return
 		}
 		s.items[item.Name] = item
@@ -191,9 +191,9 @@
 	topic := malformedTopic(s, item.Name)
 	if old, listed := previous[item.Name]; listed {
 		s.items[item.Name] = old
-		m.log(topic, "%s: entry %s can't be read (%s): its last good one stands", s.name, item.Name, item.Malformed)
+		m.log(topic, "%s: entry %s is malformed (%s); keeping its last valid version", s.name, item.Name, item.Malformed)
 	} else {
-		m.log(topic, "%s: entry %s can't be read (%s): it is left out", s.name, item.Name, item.Malformed)
+		m.log(topic, "%s: entry %s is malformed (%s); ignoring it", s.name, item.Name, item.Malformed)
 	}
 	if len(s.malformed) < maxMalformed {
 		s.malformed[item.Name] = item.Malformed
--- a/internal/discovery/membership/flapdamping.go
+++ b/internal/discovery/membership/flapdamping.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// An entry that comes and goes several times a second costs connections and half-begun warm-ups, and proves
-// only that its writer is broken. As in BGP route flap damping (RFC 2439), each return adds a penalty that
-// decays exponentially; above a bound the entry is damped until the penalty has decayed to half the bound. Only
-// returns are delayed: a removal or a drain counts at once.
+// An entry that is added and removed several times a second wastes connections and interrupted warm-ups; usually its
+// writer is broken. As in BGP route flap damping (RFC 2439), each return adds a penalty that decays exponentially.
+// Above a limit the entry is damped until the penalty has decayed to half the limit. Only returns are delayed: a
+// removal or a drain takes effect at once.
 
-// forgottenPenalty is below which an absent entry is forgotten: its next appearance is its first.
+// forgottenPenalty is the penalty below which an absent entry is forgotten; if it appears again, it counts as new.
 const forgottenPenalty = 0.05
 
-// flapState is what an entry has done of late.
+// flapState is the recent flapping of one entry.
 type flapState struct {
-	penalty   float64 // returns, decayed to updatedAt
+	penalty   float64 // number of returns, decayed to updatedAt
 	updatedAt time.Duration
 	ready     bool // in the list and not draining
 	seen      bool // has ever been in the list
 }
 
-// decayed returns the state with its penalty at a time.
+// decayed returns the state with its penalty decayed to the time now.
 func (f flapState) decayed(now time.Duration, config Config) flapState {
 	elapsed := now - f.updatedAt
 	if elapsed > 0 && f.penalty > 0 {
@@ -31,7 +31,7 @@
 	return f
 }
 
-// reuseDelay is how long until a damped entry may return; at least 1 ms.
+// reuseDelay returns how long a damped entry has to stay out of the list; at least 1 ms.
 func (f flapState) reuseDelay(now time.Duration, config Config) time.Duration {
 	penalty := f.decayed(now, config).penalty
 	reuse := config.MaxFlaps / 2
@@ -41,7 +41,7 @@
 	return time.Duration(math.Log(penalty/reuse)*float64(config.FlapDecay)) + time.Millisecond
 }
 
-// penaltyOf is an entry's penalty at a time.
+// penaltyOf returns an entry's penalty at the time now.
 func (m *Model) penaltyOf(now time.Duration, name string) float64 {
 	return m.flaps[name].decayed(now, m.config).penalty
 }
@@ -51,7 +51,7 @@
 	return m.config.MaxFlaps > 0 && m.penaltyOf(now, name)+1 > m.config.MaxFlaps
 }
 
-// recordPresence notes that an entry is in the list, ready or draining.
+// recordPresence records that an entry is in the list, ready or draining.
 func (m *Model) recordPresence(now time.Duration, name string, ready bool) {
 	flap := m.flaps[name]
 	if m.config.MaxFlaps <= 0 || ready == flap.ready && flap.seen {
@@ -65,7 +65,7 @@
 	m.flaps[name] = flap
 }
 
-// recordAbsence notes that an entry is no longer in the list.
+// recordAbsence records that an entry is no longer in the list.
 func (m *Model) recordAbsence(name string) {
 	if flap, known := m.flaps[name]; known {
 		flap.ready = false
@@ -88,14 +88,14 @@
 		}
 	}
 	if 2*len(damped) > len(next) {
-		return // where most flap it is the registry that does, not the entries
+		return // when most entries flap, the registry is at fault, not the entries
 	}
 	for _, name := range damped {
 		delete(next, name)
 	}
 }
 
-// recordFlaps updates all flap states by the next list, and forgets those long absent.
+// recordFlaps updates all flap states from the next list, and forgets entries whose penalty has decayed while absent.
 func (m *Model) recordFlaps(now time.Duration, next map[string]Entry) {
 	for name, entry := range next {
 		m.recordPresence(now, name, !entry.Draining)
@@ -112,12 +112,12 @@
 	}
 }
 
-// updateDamped damps what flaps too often and releases what has been quiet.
+// updateDamped damps entries that flap too often and releases those that have been stable.
 func (m *Model) updateDamped(now time.Duration, next map[string]Entry) {
 	for name := range next {
 		if m.penaltyOf(now, name) > m.config.MaxFlaps && !m.damped[name] {
 			m.damped[name] = true
-			m.log("flap "+name, "entry %s comes and goes: it stays out until it has been quiet", name)
+			m.log("flap "+name, "entry %s is flapping; keeping it out of the list until it is stable", name)
 		}
 	}
 	for name := range m.damped {
--- a/internal/discovery/membership/incremental.go
+++ b/internal/discovery/membership/incremental.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Of thousands of entries a few change at a time. Where nothing is retained or damped and no drains are ignored,
-// the effect of an update is derived from the entries it touches alone. Whatever is in doubt takes the complete
-// way, publish, which comes to the same list.
+// Of thousands of entries only a few change at a time. While nothing is retained or damped and no drains are
+// ignored, the effect of an update is derived from the entries it touches alone. All other cases derive the full
+// list with publish, which gives the same result.
 
-// publishIncrementally emits what an update that touched these names comes to. It reports false, with the list
-// and the flaps unchanged, where the complete way is needed.
+// publishIncrementally emits the effect of an update that touched these names. It returns false, and leaves the
+// list and the flap states unchanged, if the full list has to be derived with publish.
 func (m *Model) publishIncrementally(now time.Duration, index int, touched []string) bool {
 	if !m.canPublishIncrementally() {
 		return false
@@ -38,12 +38,12 @@
 func (m *Model) canPublishIncrementally() bool {
 	current := m.incremental && m.active >= 0 && m.wantCached == m.listCached
 	untouched := len(m.retained) == 0 && len(m.damped) == 0 && !m.drainsIgnored
-	fewFlaps := len(m.flaps) <= 2*len(m.list)+1000 // the complete way forgets old ones
+	fewFlaps := len(m.flaps) <= 2*len(m.list)+1000 // publish forgets old ones
 	return current && untouched && fewFlaps
 }
 
-// drainsUnchanged reports whether what another source than the active one now says of these entries' drains is
-// in force already.
+// drainsUnchanged reports whether the drains that the other sources now report for these entries are already in
+// force.
 func (m *Model) drainsUnchanged(touched []string) bool {
 	items := m.sources[m.active].items
 	for _, name := range touched {
@@ -59,8 +59,8 @@
 	return true
 }
 
-// withSharedAddresses adds those that share an address, old or new, with a touched entry: which of them counts
-// may have changed. The names are sorted and unique.
+// withSharedAddresses adds the names that share an old or new address with a touched entry, as another of them may
+// now be the one listed. It returns the names sorted and without duplicates.
 func (m *Model) withSharedAddresses(touched []string) []string {
 	items := m.sources[m.active].items
 	for _, name := range touched {
@@ -87,8 +87,8 @@
 	return slices.Compact(touched)
 }
 
-// difference is what changes for these names; false where one of them might be damped, or drains by another
-// source's report.
+// difference returns the changes to the list for these names. It returns false if one of them might be damped, or
+// drains according to another source.
 func (m *Model) difference(now time.Duration, names []string) (Delta, bool) {
 	items := m.sources[m.active].items
 	delta := Delta{Changed: map[string]Entry{}}
@@ -108,7 +108,7 @@
 	return delta, true
 }
 
-// sizeWith is the size of the list with a delta applied.
+// sizeWith returns the size of the list with a delta applied.
 func (m *Model) sizeWith(delta Delta) int {
 	size := len(m.list) - len(delta.Removed)
 	for name := range delta.Changed {
@@ -136,7 +136,7 @@
 	m.emitFullList()
 }
 
-// dropAddresses forgets the addresses, as known so far, of the entries that an update writes or removes.
+// dropAddresses removes the entries that an update writes or removes from the index by address.
 func (m *Model) dropAddresses(update Update) {
 	if m.namesByAddress == nil {
 		return
--- a/internal/discovery/membership/list.go
+++ b/internal/discovery/membership/list.go
@@ -29,9 +29,9 @@
 	m.actions = append(m.actions, FullList{Entries: maps.Clone(m.list), Cached: m.wantCached})
 }
 
-// desiredList is the list as it would be with nothing retained or damped. Two names at one address are one
-// backend that would get twice its load, or one whose successor has its address already: the one written last
-// counts.
+// desiredList returns the list before entries are retained or damped. When several names share an address, only
+// the one written last is listed: they are either one backend, which would get twice its load, or a backend and
+// the successor that took over its address.
 func (m *Model) desiredList() map[string]Entry {
 	if m.active < 0 {
 		return maps.Clone(m.cachedList)
@@ -52,7 +52,7 @@
 	return list
 }
 
-// lastWritten returns which of the names at one address was written last. It sorts names.
+// lastWritten returns the most recently written of the names at one address. It sorts names in place.
 func (m *Model) lastWritten(names []string) string {
 	if len(names) == 1 {
 		return names[0]
@@ -63,6 +63,6 @@
 	})
 	last := names[len(names)-1]
 	addr := items[last].Entry.Addr
-	m.log("address "+addr, "%s are all at %s: the latest, %s, counts", strings.Join(names, ", "), addr, last)
+	m.log("address "+addr, "%s share address %s; using %s, which was written last", strings.Join(names, ", "), addr, last)
 	return last
 }
--- a/internal/discovery/membership/massremoval.go
+++ b/internal/discovery/membership/massremoval.go
@@ -7,12 +7,12 @@
 )
 
 // A registry that was restored from a backup, read under a wrong prefix or emptied by mistake reports a list
-// that lost most of its entries. Applied as it is, it would end the service, while the backends still serve. So
-// what is removed with too many others is retained: it stays in the list, is judged by health checks and
-// attempts as before, and goes when an operator confirms the removal or when the registry lists it again. A
-// drain is never retained: it proves that the backend is there and must get nothing new.
+// that lost most of its entries. Applying it would cause an outage although the backends still serve. So entries
+// that are removed together with too many others are retained: they stay in the list, subject to health checks
+// and attempt results as before, until an operator confirms the removal or the registry lists them again. A
+// draining entry is never retained: the drain shows that the backend must get no new requests.
 
-// sizeSample is the size of the list at a time.
+// sizeSample is the size of the list at one time.
 type sizeSample struct {
 	at      time.Duration
 	entries int
@@ -21,7 +21,7 @@
 // maxSizeSamples bounds Model.recentSizes.
 const maxSizeSamples = 1000
 
-// retainMassRemovals adds to the next list what was removed from it with too many others.
+// retainMassRemovals adds to the next list the entries that were removed together with too many others.
 func (m *Model) retainMassRemovals(now time.Duration, next map[string]Entry) {
 	for name := range m.retained {
 		if _, back := next[name]; back || m.listedBySource(name) {
@@ -47,10 +47,10 @@
 		m.forgetLine("guard")
 		return
 	}
-	m.log("guard", "WARNING: the list lost most of its entries at once; %d that are no longer in it are kept, and judged by their answers, until an operator confirms", len(m.retained))
+	m.log("guard", "WARNING: the list lost most of its entries at once; keeping %d removed entries, subject to health checks, until an operator confirms the removal", len(m.retained))
 }
 
-// retainRemoved retains the entries that are in force and not in the next list, but for those that drain, are
+// retainRemoved retains the entries that are in force but not in the next list, except those that drain, are
 // damped or have a successor at their address.
 func (m *Model) retainRemoved(next map[string]Entry) {
 	for name, entry := range m.list {
@@ -64,10 +64,10 @@
 	}
 }
 
-// minSize is how small a list that has this size now may be without being suspect. It goes by the sizes that
-// the registry reported: retained entries don't count.
+// minSize returns the smallest size at which the list, now of the given size, is not suspected of a mass removal.
+// It is derived from the sizes that the registry reported within the loss window; retained entries don't count.
 func (m *Model) minSize(now time.Duration, size int) int {
-	// The last sample counts however old it is: the list had that size until now.
+	// The newest sample counts however old it is: the list had that size until now.
 	for len(m.recentSizes) > 1 && now-m.recentSizes[0].at > m.config.LossWindow {
 		m.recentSizes = m.recentSizes[1:]
 	}
@@ -77,13 +77,13 @@
 	return int(math.Ceil(float64(size) * (1 - m.config.MaxLossFraction)))
 }
 
-// recordSize takes a sample, or counts it into the last one where that is recent.
+// recordSize adds a sample, or merges it into the last one if that is recent.
 func (m *Model) recordSize(now time.Duration, size int) {
 	last := len(m.recentSizes) - 1
 	switch {
 	case last >= 0 && m.recentSizes[last].entries == size && now-m.recentSizes[last].at <= m.config.LossWindow/4:
 	case last >= 1 && now-m.recentSizes[last-1].at < m.config.LossWindow/50 && m.recentSizes[last].entries < size:
-		m.recentSizes[last].entries = size // of many in a short time the largest
+		m.recentSizes[last].entries = size // of several samples in a short time, keep the largest
 	default:
 		m.recentSizes = append(m.recentSizes, sizeSample{now, size})
 	}
@@ -92,7 +92,8 @@
 	}
 }
 
-// listedBySource reports whether the active source lists an entry, in force or not: then what it says stands.
+// listedBySource reports whether the active source lists an entry, in force or not. Such an entry is not retained:
+// the source's report of it applies.
 func (m *Model) listedBySource(name string) bool {
 	if m.active < 0 {
 		return false
@@ -101,7 +102,7 @@
 	return listed
 }
 
-// addressTaken reports whether an entry of a list has this address.
+// addressTaken reports whether any entry of a list has this address.
 func addressTaken(addr string, list map[string]Entry) bool {
 	for _, entry := range list {
 		if entry.Addr == addr {
@@ -111,7 +112,7 @@
 	return false
 }
 
-// ConfirmRemovals drops the retained entries: an operator says that they are gone.
+// ConfirmRemovals drops the retained entries after an operator confirmed that they are gone.
 func (m *Model) ConfirmRemovals(now time.Duration) []Action {
 	m.dropRetained(now)
 	return m.takeActions()
@@ -128,7 +129,7 @@
 		m.list = next
 		m.emitFullList()
 	}
-	m.recentSizes = []sizeSample{{now, len(next)}} // what was larger before counts no more
+	m.recentSizes = []sizeSample{{now, len(next)}} // earlier, larger sizes no longer count
 	m.forgetLine("guard")
 	m.log("confirmed", "an operator confirmed the list: %d entries", len(next))
 	m.forgetLine("confirmed")
--- a/internal/discovery/membership/model.go
+++ b/internal/discovery/membership/model.go
@@ -5,48 +5,48 @@
 	"time"
 )
 
-// Config holds the bounds and delays of a Model.
+// Config holds the limits and delays of a Model.
 type Config struct {
 	Sources         []string      // names, in order of preference
 	LossTimeout     time.Duration // how long the list of an unreachable source stays in force
 	FailbackDelay   time.Duration // how long a preferred source must be reachable before its list is in force again
-	MaxLossFraction float64       // of the list, from 0 to 1, that may go within LossWindow; 0 and 1 are no bound
+	MaxLossFraction float64       // of the list, from 0 to 1, that may be removed within LossWindow; 0 and 1 mean no limit
 	LossWindow      time.Duration
-	MaxFlaps        float64       // returns within FlapDecay after which an entry is damped; 0 is no bound
-	FlapDecay       time.Duration // time constant of the decay of flap penalties
-	MaxEntries      int           // of a source; further ones are ignored and logged; 0 is no bound
-	EmitDeltas      bool          // small changes are emitted as Delta
+	MaxFlaps        float64       // returns within FlapDecay after which an entry is damped; 0 means no limit
+	FlapDecay       time.Duration // time constant of the exponential decay of flap penalties
+	MaxEntries      int           // per source; further ones are ignored and logged; 0 means no limit
+	EmitDeltas      bool          // emit small changes as Delta
 }
 
-// limitsLoss reports whether there is a bound on how much of the list may go at once.
+// limitsLoss reports whether there is a limit on how much of the list may be removed at once.
 func (c *Config) limitsLoss() bool { return c.MaxLossFraction > 0 && c.MaxLossFraction < 1 }
 
 // Model is one proxy's view of its sources. It is not safe for concurrent use.
 type Model struct {
 	config  Config
 	sources []*source
-	active  int // the source whose list is in force; -1: the cached list is
+	active  int // index of the source whose list is in force; -1 for the cached list
 
 	list       map[string]Entry // in force, as last emitted
-	listCached bool             // as last emitted
+	listCached bool             // whether it is the cached list, as last emitted
 	published  bool             // a list has been emitted
 
-	cachedList map[string]Entry // from an earlier process, until a source has reported
-	wantCached bool             // what is to be emitted is the cached list
+	cachedList map[string]Entry // from an earlier process; unused once a source has reported
+	wantCached bool             // the list to be emitted is the cached one
 
-	incremental    bool                // list was derived completely: updates may be applied to it
-	drainsIgnored  bool                // other sources report that too many drain
-	namesByAddress map[string][]string // of the active source's items
+	incremental    bool                // the list has been derived in full, so updates may be applied to it
+	drainsIgnored  bool                // other sources report too many drains, which are ignored
+	namesByAddress map[string][]string // names of the active source's items
 
 	recentSizes []sizeSample         // of the list, within Config.LossWindow
-	retained    map[string]Entry     // removed with too many others, and kept
+	retained    map[string]Entry     // removed with too many others and therefore kept
 	flaps       map[string]flapState // by name
 	damped      map[string]bool      // kept out of the list, by name
 	lastLines   map[string]string    // the last line logged, by topic
-	actions     []Action             // not taken yet
+	actions     []Action             // not returned yet
 }
 
-// New returns a model that knows of no list.
+// New returns a model without a list.
 func New(config Config) *Model {
 	m := &Model{
 		config: config, active: -1, list: map[string]Entry{}, retained: map[string]Entry{}, flaps: map[string]flapState{},
@@ -58,17 +58,18 @@
 	return m
 }
 
-// takeActions returns the actions since it was last called.
+// takeActions returns the actions since its last call.
 func (m *Model) takeActions() []Action {
 	actions := m.actions
 	m.actions = nil
 	return actions
 }
 
-// maxLastLines bounds Model.lastLines: names are ever new. Beyond it all are forgotten, and may be logged again.
+// maxLastLines bounds Model.lastLines, as new names keep appearing. At the limit all lines are forgotten and may be
+// logged again.
 const maxLastLines = 10_000
 
-// log emits a line unless it is the last one of its topic.
+// log emits a line unless it repeats the last line of its topic.
 func (m *Model) log(topic, format string, args ...any) {
 	line := fmt.Sprintf(format, args...)
 	if m.lastLines[topic] == line {
@@ -81,10 +82,10 @@
 	m.actions = append(m.actions, LogLine(line))
 }
 
-// forgetLine lets the last line of a topic be logged again.
+// forgetLine allows the last line of a topic to be logged again.
 func (m *Model) forgetLine(topic string) { delete(m.lastLines, topic) }
 
-// requestSnapshot asks for a source's snapshot unless one is on its way.
+// requestSnapshot requests a source's snapshot unless a request is pending.
 func (m *Model) requestSnapshot(index int) {
 	s := m.sources[index]
 	if s.loading {
--- a/internal/discovery/membership/model_test.go
+++ b/internal/discovery/membership/model_test.go
@@ -17,22 +17,22 @@
 	second = time.Second
 )
 
-func plain() Config {
+func unguardedConfig() Config {
 	return Config{Sources: []string{"registry"}, LossTimeout: 10 * second, MaxLossFraction: 1, MaxEntries: 10000}
 }
 
-func guarded() Config {
+func guardedConfig() Config {
 	return Config{
 		Sources: []string{"registry", "platform"}, LossTimeout: 10 * second, FailbackDelay: 5 * second, MaxLossFraction: 0.5, LossWindow: 30 * second,
 		MaxFlaps: 4, FlapDecay: 20 * second, MaxEntries: 10000,
 	}
 }
 
-func at(n int) Entry { return Entry{Addr: fmt.Sprintf("10.0.%d.%d:80", n/250, n%250), Weight: 1} }
+func entryAt(n int) Entry { return Entry{Addr: fmt.Sprintf("10.0.%d.%d:80", n/250, n%250), Weight: 1} }
 
 func items(mod int64, ns ...int) (all []Item) {
 	for _, n := range ns {
-		all = append(all, Item{Name: fmt.Sprint("n", n), ModRevision: mod, Entry: at(n)})
+		all = append(all, Item{Name: fmt.Sprint("n", n), ModRevision: mod, Entry: entryAt(n)})
 	}
 	return all
 }
@@ -44,9 +44,9 @@
 	return all
 }
 
-// the last list and all lines of some actions.
-func read(acts []Action) (list *FullList, lines string, loads int) {
-	for _, a := range acts {
+// summarize returns the last full list, all log lines and the number of snapshot requests among actions.
+func summarize(actions []Action) (list *FullList, lines string, loads int) {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case FullList:
 			list = &a
@@ -59,9 +59,9 @@
 	return list, lines, loads
 }
 
-// applyLists applies the lists among some actions to a list.
-func applyLists(list map[string]Entry, acts []Action) map[string]Entry {
-	for _, a := range acts {
+// applyLists applies the full lists and deltas among actions to a list.
+func applyLists(list map[string]Entry, actions []Action) map[string]Entry {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case FullList:
 			list = maps.Clone(a.Entries)
@@ -75,7 +75,7 @@
 	return list
 }
 
-// registry is a store with all its revisions.
+// registry is a registry with the states at all its revisions.
 type registry struct {
 	rng       *rand.Rand
 	history   uint64
@@ -90,7 +90,7 @@
 
 func (r *registry) newest() int64 { return int64(len(r.states) - 1) }
 
-// write is one transaction over a few names: puts, deletes, moves of an address from one to another.
+// write makes one transaction that puts and deletes a few names, and may change their addresses.
 func (r *registry) write() {
 	next := maps.Clone(r.states[r.newest()])
 	c := Update{Revision: r.newest() + 1}
@@ -111,7 +111,7 @@
 	r.states, r.changes = append(r.states, next), append(r.changes, c)
 }
 
-func (r *registry) whole(revision int64, stale bool) Snapshot {
+func (r *registry) snapshot(revision int64, stale bool) Snapshot {
 	w := Snapshot{History: r.history, Revision: revision, Stale: stale}
 	for name, e := range r.states[revision] {
 		w.Items = append(w.Items, Item{Name: name, ModRevision: 1, Entry: e})
@@ -119,13 +119,13 @@
 	return w
 }
 
-// Over thousands of days with lost watches, compactions, stale followers, repeats and silent times: what is
-// shown is always the registry's list at a revision between the last one acknowledged and the newest, and
-// never goes back.
+// In thousands of random histories with lost watches, compactions, stale followers, repeated updates and idle
+// times, the list in force is always the registry's list at a revision between the last one acknowledged and the
+// newest, and never goes back.
 func TestRegistryHistories(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3000) {
-		config := plain()
+		config := unguardedConfig()
 		config.EmitDeltas = seed%2 == 0
 		h := &history{t: t, seed: seed, registry: newRegistry(seed), model: New(config), now: second, acked: -1, loading: true, connected: true}
 		for h.step = range 120 {
@@ -144,22 +144,22 @@
 	registry  *registry
 	model     *Model
 	now       time.Duration
-	list      map[string]Entry // as emitted
-	acked     int64            // the newest revision that the model has been sent; -1: none
-	position  int64            // of the watch
+	list      map[string]Entry // as emitted by the model
+	acked     int64            // newest revision sent to the model; -1: none
+	position  int64            // revision that the watch has reached
 	loading   bool             // a snapshot is requested
 	connected bool
 }
 
 func (h *history) apply(actions []Action) {
-	_, _, loads := read(actions)
+	_, _, loads := summarize(actions)
 	h.list = applyLists(h.list, actions)
 	if loads > 0 {
 		h.loading = true
 	}
 }
 
-// act does one of the things that happen, by a number below 20.
+// act generates one event, chosen by a number below 20.
 func (h *history) act(event int) {
 	r, m := h.registry, h.model
 	switch {
@@ -176,7 +176,7 @@
 			h.apply(m.OnCompacted(h.now, 0))
 		}
 		h.position = m.sources[0].revision
-	case event < 11 && h.connected && h.acked >= 0: // a transaction again
+	case event < 11 && h.connected && h.acked >= 0: // a repeated transaction
 		if back := m.sources[0].revision - int64(r.rng.IntN(4)); back > 0 && back <= r.newest() {
 			h.apply(m.OnUpdate(h.now, 0, r.changes[back]))
 		}
@@ -189,7 +189,7 @@
 	}
 }
 
-// sendSnapshot sends the newest list, or an older one from a follower.
+// sendSnapshot sends the newest list, or an older one of a stale follower.
 func (h *history) sendSnapshot() {
 	stale := h.registry.rng.IntN(3) == 0
 	revision := h.registry.newest()
@@ -198,9 +198,9 @@
 	}
 	older := revision < h.acked
 	h.loading = false
-	h.apply(h.model.OnSnapshot(h.now, 0, h.registry.whole(revision, stale)))
+	h.apply(h.model.OnSnapshot(h.now, 0, h.registry.snapshot(revision, stale)))
 	if older && !h.loading {
-		h.t.Fatalf("seed %d, step %d: an old list of a follower was enough", h.seed, h.step)
+		h.t.Fatalf("seed %d, step %d: the stale list of a follower was accepted", h.seed, h.step)
 	}
 	if !older {
 		h.acked = max(h.acked, revision)
@@ -208,7 +208,7 @@
 	}
 }
 
-// sendUpdate sends the next update, or that there is none.
+// sendUpdate sends the next update, or progress if there is none.
 func (h *history) sendUpdate() {
 	if h.position >= h.registry.newest() {
 		h.apply(h.model.OnProgress(h.now, 0, h.registry.newest()))
@@ -224,7 +224,7 @@
 func (h *history) check() {
 	if h.acked < 0 {
 		if h.list != nil {
-			h.t.Fatalf("seed %d: a list before any was told", h.seed)
+			h.t.Fatalf("seed %d: a list was emitted before any was sent", h.seed)
 		}
 		return
 	}
@@ -232,45 +232,45 @@
 	if revision < h.acked || revision > h.registry.newest() {
 		h.t.Fatalf("seed %d, step %d: revision %d, acknowledged %d, newest %d", h.seed, h.step, revision, h.acked, h.registry.newest())
 	}
-	if want := h.registry.states[revision]; !maps.Equal(h.list, want) { // no two share an address here
-		h.t.Fatalf("seed %d, step %d: at revision %d\nshown %v\nwant  %v", h.seed, h.step, revision, h.list, want)
+	if want := h.registry.states[revision]; !maps.Equal(h.list, want) { // no two entries share an address here
+		h.t.Fatalf("seed %d, step %d: at revision %d\ngot  %v\nwant %v", h.seed, h.step, revision, h.list, want)
 	}
 }
 
-// A registry that was restored has lower revisions, or another history: its list counts, and what is gone
-// with most of the others is held, until an operator confirms or it comes back.
+// A restored registry has lower revisions, or another history. Its list is used, but entries that are missing along
+// with most of the others are retained until an operator confirms the removal or they are listed again.
 func TestRestoredFromABackup(t *testing.T) {
 	t.Parallel()
 	for name, w := range map[string]Snapshot{
-		"lower":   {History: 1, Revision: 5, Items: items(3, 0, 1, 2)},
-		"another": {History: 2, Revision: 900, Items: items(3, 0, 1, 2)},
-		"empty":   {History: 2, Revision: 1},
+		"lower revision":  {History: 1, Revision: 5, Items: items(3, 0, 1, 2)},
+		"another history": {History: 2, Revision: 900, Items: items(3, 0, 1, 2)},
+		"empty":           {History: 2, Revision: 1},
 	} {
-		m := New(guarded())
+		m := New(guardedConfig())
 		m.OnSnapshot(second, 0, Snapshot{History: 1, Revision: 100, Items: items(1, upTo(10)...)})
-		list, lines, _ := read(m.OnSnapshot(2*second, 0, w))
-		if list != nil && len(list.Entries) != 10 || !strings.Contains(lines, "its history is another") || !strings.Contains(lines, "WARNING") {
+		list, lines, _ := summarize(m.OnSnapshot(2*second, 0, w))
+		if list != nil && len(list.Entries) != 10 || !strings.Contains(lines, "was restored or set up anew") || !strings.Contains(lines, "WARNING") {
 			t.Errorf("%s: %v\n%s", name, list, lines)
 		}
 		if got := m.Status(2 * second); len(got.Retained) != 10-len(w.Items) || got.Revision != w.Revision {
 			t.Errorf("%s: %+v", name, got)
 		}
-		// What is written after that counts as ever, for those held too.
-		draining := Item{Name: "n9", ModRevision: w.Revision + 1, Entry: at(9)}
+		// Later updates apply as usual, also to retained entries.
+		draining := Item{Name: "n9", ModRevision: w.Revision + 1, Entry: entryAt(9)}
 		draining.Entry.Draining = true
-		if list, _, _ = read(m.OnUpdate(3*second, 0, Update{Revision: w.Revision + 1, Puts: []Item{draining}})); list == nil || !list.Entries["n9"].Draining {
-			t.Errorf("%s: a drain was held back: %v", name, list)
+		if list, _, _ = summarize(m.OnUpdate(3*second, 0, Update{Revision: w.Revision + 1, Puts: []Item{draining}})); list == nil || !list.Entries["n9"].Draining {
+			t.Errorf("%s: a drain was not applied: %v", name, list)
 		}
-		list, lines, _ = read(m.ConfirmRemovals(4 * second))
+		list, lines, _ = summarize(m.ConfirmRemovals(4 * second))
 		if list == nil || len(list.Entries) != len(w.Items)+1 || !strings.Contains(lines, "confirmed") || len(m.Status(4*second).Retained) != 0 {
-			t.Errorf("%s: confirmed: %v\n%s", name, list, lines)
+			t.Errorf("%s: after the confirmation: %v\n%s", name, list, lines)
 		}
-		if list, lines, _ = read(m.Tick(5 * second)); list != nil || lines != "" {
-			t.Errorf("%s: and then %v %s", name, list, lines)
+		if list, lines, _ = summarize(m.Tick(5 * second)); list != nil || lines != "" {
+			t.Errorf("%s: after another tick: %v %s", name, list, lines)
 		}
 	}
-	// They come back by themselves: nothing is held any more.
-	m := New(guarded())
+	// Once the registry lists the entries again, none is retained.
+	m := New(guardedConfig())
 	m.OnSnapshot(second, 0, Snapshot{History: 1, Revision: 100, Items: items(1, upTo(10)...)})
 	m.OnSnapshot(2*second, 0, Snapshot{History: 1, Revision: 101})
 	if m.OnSnapshot(3*second, 0, Snapshot{History: 1, Revision: 102, Items: items(1, upTo(10)...)}); len(m.Status(3*second).Retained) != 0 || m.Status(3*second).Entries != 10 {
@@ -278,39 +278,39 @@
 	}
 }
 
-// A confirmation counts when it is written, not when it comes with a whole list that a backup brought back.
+// A confirmation counts when it is written, not when a snapshot of a restored backup contains it.
 func TestConfirmedInTheRegistry(t *testing.T) {
 	t.Parallel()
 	confirm := func(mod int64) Item { return Item{Name: ConfirmKey, ModRevision: mod} }
-	m := New(guarded())
+	m := New(guardedConfig())
 	m.OnSnapshot(second, 0, Snapshot{History: 1, Revision: 100, Items: append(items(1, upTo(10)...), confirm(40))})
 	if n := m.Status(second).Entries; n != 10 {
-		t.Fatalf("%d entries: the confirmation counts as one", n)
+		t.Fatalf("%d entries: the confirmation was counted as an entry", n)
 	}
 	m.OnSnapshot(2*second, 0, Snapshot{History: 2, Revision: 50, Items: []Item{confirm(45)}})
 	if s := m.Status(2 * second); len(s.Retained) != 10 {
-		t.Errorf("an old confirmation: %+v", s)
+		t.Errorf("a confirmation from a backup: %+v", s)
 	}
 	m.OnSnapshot(3*second, 0, Snapshot{History: 2, Revision: 51, Items: []Item{confirm(45)}})
 	if s := m.Status(3 * second); len(s.Retained) != 10 {
-		t.Errorf("the same again: %+v", s)
+		t.Errorf("the same confirmation again: %+v", s)
 	}
 	if m.OnSnapshot(4*second, 0, Snapshot{History: 2, Revision: 52, Items: []Item{confirm(52)}}); m.Status(4*second).Entries != 0 {
-		t.Errorf("a new one: %+v", m.Status(4*second))
+		t.Errorf("a new confirmation: %+v", m.Status(4*second))
 	}
-	m = New(guarded())
+	m = New(guardedConfig())
 	m.OnSnapshot(second, 0, Snapshot{History: 1, Revision: 100, Items: items(1, upTo(10)...)})
 	m.OnSnapshot(2*second, 0, Snapshot{History: 1, Revision: 101, Items: items(1, 0)})
 	if m.OnUpdate(3*second, 0, Update{Revision: 102, Puts: []Item{confirm(102)}}); m.Status(3*second).Entries != 1 || len(m.Status(3*second).Retained) != 0 {
-		t.Errorf("written: %+v", m.Status(3*second))
+		t.Errorf("a confirmation in an update: %+v", m.Status(3*second))
 	}
 }
 
-// What goes one after the other, is replaced, or drains is not held, however much it is.
-func TestWhatIsNotHeld(t *testing.T) {
+// Entries that are removed one by one, replaced or draining are not retained, however many they are.
+func TestRemovalsThatAreNotRetained(t *testing.T) {
 	t.Parallel()
 	start := func() *Model {
-		m := New(guarded())
+		m := New(guardedConfig())
 		m.OnSnapshot(second, 0, Snapshot{History: 1, Revision: 1, Items: items(1, upTo(10)...)})
 		return m
 	}
@@ -319,81 +319,81 @@
 		m.OnUpdate(2*second+time.Duration(i)*ms, 0, Update{Revision: int64(2 + i), Deletes: []string{fmt.Sprint("n", i)}})
 	}
 	if s := m.Status(3 * second); s.Entries != 5 || len(s.Retained) != 0 {
-		t.Errorf("half went one by one: %+v", s)
+		t.Errorf("half were removed one by one: %+v", s)
 	}
 	if m.OnUpdate(3*second, 0, Update{Revision: 9, Deletes: []string{"n5"}}); m.Status(3*second).Entries != 5 || len(m.Status(3*second).Retained) != 1 {
-		t.Errorf("one more within the time: %+v", m.Status(3*second))
+		t.Errorf("one more within the loss window: %+v", m.Status(3*second))
 	}
 	m = start()
 	all := Update{Revision: 2}
 	for i := range 10 {
 		all.Deletes = append(all.Deletes, fmt.Sprint("n", i))
-		all.Puts = append(all.Puts, Item{Name: fmt.Sprint("m", i), ModRevision: 2, Entry: at(i)})
+		all.Puts = append(all.Puts, Item{Name: fmt.Sprint("m", i), ModRevision: 2, Entry: entryAt(i)})
 	}
-	list, _, _ := read(m.OnUpdate(2*second, 0, all))
-	if s := m.Status(2 * second); list == nil || s.Entries != 10 || len(s.Retained) != 0 || list.Entries["m3"] != at(3) {
-		t.Errorf("all were replaced at their addresses: %+v", s)
+	list, _, _ := summarize(m.OnUpdate(2*second, 0, all))
+	if s := m.Status(2 * second); list == nil || s.Entries != 10 || len(s.Retained) != 0 || list.Entries["m3"] != entryAt(3) {
+		t.Errorf("all were replaced at the same addresses: %+v", s)
 	}
 	m = start()
 	drains := Update{Revision: 2, Puts: items(2, upTo(10)...)}
 	for i := range drains.Puts {
 		drains.Puts[i].Entry.Draining = true
 	}
-	list, _, _ = read(m.OnUpdate(2*second, 0, drains))
+	list, _, _ = summarize(m.OnUpdate(2*second, 0, drains))
 	for name, e := range list.Entries {
 		if !e.Draining {
 			t.Errorf("%s does not drain", name)
 		}
 	}
-	if list, _, _ = read(m.OnUpdate(3*second, 0, Update{Revision: 3, Deletes: all.Deletes})); list == nil || len(list.Entries) != 0 {
-		t.Errorf("what drained and is gone: %v", list)
+	if list, _, _ = summarize(m.OnUpdate(3*second, 0, Update{Revision: 3, Deletes: all.Deletes})); list == nil || len(list.Entries) != 0 {
+		t.Errorf("draining entries were removed: %v", list)
 	}
 }
 
-// An old list is served from, marked as such, until a source has told one; and a whole list that lost most
-// of it, much later, is met by the guard.
-func TestOldLists(t *testing.T) {
+// A cached list is in force, marked as cached, until a source has sent a list. Mass removals are detected against it
+// too, even much later.
+func TestCachedLists(t *testing.T) {
 	t.Parallel()
-	m := New(guarded())
+	m := New(guardedConfig())
 	old := map[string]Entry{}
 	for _, i := range items(0, upTo(10)...) {
 		old[i.Name] = i.Entry
 	}
-	list, _, _ := read(m.OnCachedList(second, old))
+	list, _, _ := summarize(m.OnCachedList(second, old))
 	if list == nil || !list.Cached || len(list.Entries) != 10 || m.Status(second).Age != -1 {
 		t.Fatalf("%+v", list)
 	}
-	if list, lines, _ := read(m.OnSourceLost(2*second, 0, "no route")); list != nil || !strings.Contains(lines, "registry: lost (no route)") {
+	if list, lines, _ := summarize(m.OnSourceLost(2*second, 0, "no route")); list != nil || !strings.Contains(lines, "registry: connection lost (no route)") {
 		t.Errorf("%v %s", list, lines)
 	}
-	if _, lines, _ := read(m.OnSourceLost(3*second, 0, "no route")); lines != "" {
-		t.Errorf("said again: %s", lines)
+	if _, lines, _ := summarize(m.OnSourceLost(3*second, 0, "no route")); lines != "" {
+		t.Errorf("logged again: %s", lines)
 	}
-	list, _, _ = read(m.OnSnapshot(time.Hour, 0, Snapshot{History: 1, Revision: 4, Items: items(1, upTo(9)...)}))
+	list, _, _ = summarize(m.OnSnapshot(time.Hour, 0, Snapshot{History: 1, Revision: 4, Items: items(1, upTo(9)...)}))
 	if list == nil || list.Cached || len(list.Entries) != 9 {
 		t.Errorf("%+v", list)
 	}
-	// The same list, confirmed: the module is told that it is no old one any more.
-	m = New(guarded())
+	// When a source reports the same list, it is emitted again, no longer marked as cached.
+	m = New(guardedConfig())
 	m.OnCachedList(second, old)
-	if list, _, _ = read(m.OnSnapshot(2*second, 0, Snapshot{History: 1, Revision: 4, Items: items(1, upTo(10)...)})); list == nil || list.Cached {
+	if list, _, _ = summarize(m.OnSnapshot(2*second, 0, Snapshot{History: 1, Revision: 4, Items: items(1, upTo(10)...)})); list == nil || list.Cached {
 		t.Errorf("%+v", list)
 	}
-	if list, _, _ = read(m.OnCachedList(3*second, nil)); list != nil {
-		t.Errorf("an old list after a new one: %+v", list)
+	if list, _, _ = summarize(m.OnCachedList(3*second, nil)); list != nil {
+		t.Errorf("a cached list after a source's list: %+v", list)
 	}
-	m = New(guarded())
+	m = New(guardedConfig())
 	m.OnCachedList(second, old)
-	if list, lines, _ := read(m.OnSnapshot(2*time.Hour, 0, Snapshot{History: 1, Revision: 4})); list == nil || len(list.Entries) != 10 || !strings.Contains(lines, "WARNING") {
-		t.Errorf("an empty list after an old one: %+v\n%s", list, lines)
+	if list, lines, _ := summarize(m.OnSnapshot(2*time.Hour, 0, Snapshot{History: 1, Revision: 4})); list == nil || len(list.Entries) != 10 || !strings.Contains(lines, "WARNING") {
+		t.Errorf("an empty list after a cached one: %+v\n%s", list, lines)
 	}
 }
 
-// An entry that flaps ten times a second stays out until it has been quiet; its going and its drains count at
-// once. Where most flap, none is damped: it is the registry.
+// An entry that flaps ten times a second stays out of the list until it is stable; its removals take effect at once.
+// If most entries flap, none is damped, as the registry is at fault.
 func TestFlaps(t *testing.T) {
 	t.Parallel()
-	m, now, rev := New(guarded()), second, int64(1)
+	m, now, rev := New(guardedConfig()), second, int64(1)
 	m.OnSnapshot(now, 0, Snapshot{History: 1, Revision: 1, Items: items(1, upTo(10)...)})
 	changes, in := 0, true
 	for range 100 {
@@ -402,32 +402,32 @@
 		if in {
 			c = Update{Revision: rev, Puts: items(rev, 3)}
 		}
-		list, _, _ := read(m.OnUpdate(now, 0, c))
+		list, _, _ := summarize(m.OnUpdate(now, 0, c))
 		if list != nil {
 			changes++
 		}
 		if _, there := m.list["n3"]; there && !in {
-			t.Fatalf("it is gone, and still shown")
+			t.Fatalf("a removed entry is still in the list")
 		}
 	}
 	if !in {
-		t.Fatal("the day ends wrongly")
+		t.Fatal("the last update has to add the entry")
 	}
 	if changes > 12 || len(m.Status(now).Damped) != 1 {
 		t.Errorf("%d lists for a hundred changes, damped %v", changes, m.Status(now).Damped)
 	}
 	due := m.NextTick(now)
 	if due <= now || due > now+3*time.Minute {
-		t.Fatalf("it may come back after %v", due-now)
+		t.Fatalf("the entry may return after %v", due-now)
 	}
 	if m.Tick(due - second); len(m.Status(due).Damped) != 1 {
-		t.Error("it came back too early")
+		t.Error("the entry returned too early")
 	}
-	if list, _, _ := read(m.Tick(due)); list == nil || list.Entries["n3"] != at(3) || m.NextTick(due) != 0 {
+	if list, _, _ := summarize(m.Tick(due)); list == nil || list.Entries["n3"] != entryAt(3) || m.NextTick(due) != 0 {
 		t.Errorf("after %v: %+v", due-now, list)
 	}
 
-	m, rev = New(guarded()), 1
+	m, rev = New(guardedConfig()), 1
 	m.OnSnapshot(now, 0, Snapshot{History: 1, Revision: 1, Items: items(1, upTo(10)...)})
 	for k := range 40 {
 		now, rev = now+50*ms, rev+1
@@ -438,33 +438,33 @@
 		m.OnUpdate(now, 0, c)
 	}
 	if n := len(m.list); n != 10 {
-		t.Errorf("all flap, and %d are shown", n)
+		t.Errorf("all 10 entries flap, and %d are in the list", n)
 	}
 }
 
-// The better source is left when it is lost for long, and returned to when it has been well for a while; a
-// source that comes and goes moves nothing.
-func TestMovesBetweenSources(t *testing.T) {
+// The list fails over when the preferred source has been unreachable for LossTimeout, and fails back when it has been
+// reachable for FailbackDelay. An unstable source causes neither.
+func TestFailoverAndFailback(t *testing.T) {
 	t.Parallel()
-	m := New(guarded())
-	list, _, _ := read(m.OnSnapshot(second, 1, Snapshot{History: 9, Revision: 7, Items: items(1, 0, 1, 2, 3)}))
+	m := New(guardedConfig())
+	list, _, _ := summarize(m.OnSnapshot(second, 1, Snapshot{History: 9, Revision: 7, Items: items(1, 0, 1, 2, 3)}))
 	if list == nil || m.Status(second).Source != "platform" {
 		t.Fatalf("%+v", m.Status(second))
 	}
 	m.OnSnapshot(2*second, 0, Snapshot{History: 1, Revision: 1, Items: items(1, 0, 1, 2, 3, 4)})
 	if m.Status(2*second).Source != "platform" {
-		t.Error("moved to what was never well before")
+		t.Error("failed back to a source that has only just become reachable")
 	}
 	if due := m.NextTick(2 * second); due != 5*second {
 		t.Errorf("next at %v", due)
 	}
-	list, lines, _ := read(m.Tick(7*second + ms))
-	if list == nil || len(list.Entries) != 5 || !strings.Contains(lines, "the list is now registry's, and was platform's") {
+	list, lines, _ := summarize(m.Tick(7*second + ms))
+	if list == nil || len(list.Entries) != 5 || !strings.Contains(lines, "switched to the list of registry from that of platform") {
 		t.Fatalf("%+v %s", list, lines)
 	}
 	m.OnSourceLost(8*second, 0, "reset")
 	if m.Tick(17 * second); m.Status(17*second).Source != "registry" {
-		t.Error("moved within the patience")
+		t.Error("failed over within LossTimeout")
 	}
 	if due := m.NextTick(17 * second); due != 18*second {
 		t.Errorf("next at %v", due)
@@ -472,59 +472,59 @@
 	if m.Tick(18 * second); m.Status(18*second).Source != "platform" || m.Status(18*second).Entries != 4 {
 		t.Errorf("%+v", m.Status(18*second))
 	}
-	for k := range 20 { // it comes and goes each two seconds
+	for k := range 20 { // the preferred source goes up and down every two seconds
 		now := 20*second + time.Duration(k)*2*second
 		m.OnProgress(now, 0, int64(1))
 		m.Tick(now + second)
 		if m.OnSourceLost(now+second, 0, "reset"); m.Status(now).Source != "platform" {
-			t.Fatalf("moved at %v", now)
+			t.Fatalf("failed back at %v", now)
 		}
 	}
-	m.OnSourceLost(90*second, 1, "gone too")
+	m.OnSourceLost(90*second, 1, "cut off too")
 	if m.Tick(120 * second); m.Status(120*second).Entries != 4 {
-		t.Errorf("with both lost: %+v", m.Status(120*second))
+		t.Errorf("with both sources lost: %+v", m.Status(120*second))
 	}
 }
 
-// That a node drains or is gone counts by whoever tells it last; the list of the source that counts says more
-// only when it speaks of the node again. A source that does not count can't empty the list.
-func TestADrainIsHeardFromAnySource(t *testing.T) {
+// A drain or removal reported by any source is applied as a drain, until the active source reports the entry again. A
+// source that is not active can't empty the list.
+func TestDrainsFromAnySourceApply(t *testing.T) {
 	t.Parallel()
-	m := New(guarded())
+	m := New(guardedConfig())
 	m.OnSnapshot(second, 0, Snapshot{History: 1, Revision: 1, Items: items(1, upTo(6)...)})
 	m.OnSnapshot(2*second, 1, Snapshot{History: 9, Revision: 1, Items: items(1, upTo(6)...)})
-	drains := Item{Name: "n2", ModRevision: 2, Entry: at(2)}
+	drains := Item{Name: "n2", ModRevision: 2, Entry: entryAt(2)}
 	drains.Entry.Draining = true
 	m.OnSourceLost(3*second, 0, "cut off")
-	list, _, _ := read(m.OnUpdate(4*second, 1, Update{Revision: 2, Puts: []Item{drains}, Deletes: []string{"n1"}}))
+	list, _, _ := summarize(m.OnUpdate(4*second, 1, Update{Revision: 2, Puts: []Item{drains}, Deletes: []string{"n1"}}))
 	if list == nil || !list.Entries["n1"].Draining || !list.Entries["n2"].Draining || list.Entries["n3"].Draining || len(list.Entries) != 6 {
 		t.Fatalf("%+v", list)
 	}
-	if list, _, _ = read(m.OnProgress(5*second, 0, 1)); list != nil {
-		t.Errorf("that nothing has changed there takes nothing back: %+v", list)
+	if list, _, _ = summarize(m.OnProgress(5*second, 0, 1)); list != nil {
+		t.Errorf("progress of the active source undid a drain: %+v", list)
 	}
-	list, _, _ = read(m.OnUpdate(6*second, 0, Update{Revision: 2, Puts: items(2, 1)}))
+	list, _, _ = summarize(m.OnUpdate(6*second, 0, Update{Revision: 2, Puts: items(2, 1)}))
 	if list == nil || list.Entries["n1"].Draining || !list.Entries["n2"].Draining {
-		t.Errorf("it speaks of one again: %+v", list)
+		t.Errorf("the active source reports an entry again: %+v", list)
 	}
-	ready := Item{Name: "n2", ModRevision: 3, Entry: at(2)}
-	if list, _, _ = read(m.OnUpdate(7*second, 1, Update{Revision: 3, Puts: []Item{ready}})); list == nil || list.Entries["n2"].Draining {
-		t.Errorf("the other takes it back: %+v", list)
+	ready := Item{Name: "n2", ModRevision: 3, Entry: entryAt(2)}
+	if list, _, _ = summarize(m.OnUpdate(7*second, 1, Update{Revision: 3, Puts: []Item{ready}})); list == nil || list.Entries["n2"].Draining {
+		t.Errorf("the other source undoes its drain: %+v", list)
 	}
-	list, lines, _ := read(m.OnSnapshot(8*second, 1, Snapshot{History: 9, Revision: 4}))
-	if list != nil || !strings.Contains(lines, "by the word of a source that does not count: left alone") {
-		t.Errorf("an empty list of the other: %+v %s", list, lines)
+	list, lines, _ := summarize(m.OnSnapshot(8*second, 1, Snapshot{History: 9, Revision: 4}))
+	if list != nil || !strings.Contains(lines, "which is too many; ignoring its reports") {
+		t.Errorf("an empty list of the other source: %+v %s", list, lines)
 	}
-	if list, _, _ = read(m.OnSnapshot(9*second, 1, Snapshot{History: 10, Revision: 1})); list != nil {
-		t.Errorf("a restored one: %+v", list)
+	if list, _, _ = summarize(m.OnSnapshot(9*second, 1, Snapshot{History: 10, Revision: 1})); list != nil {
+		t.Errorf("an empty list of the other source, restored: %+v", list)
 	}
 }
 
-// Names are ever new, for months: what is remembered of those that left and of what was said has its bound, and
-// who leaves then is still heard.
-func TestMonthsOfNewNames(t *testing.T) {
+// When new names keep appearing for months, the records of removed entries and logged lines stay within their limits,
+// and later removals are still noticed.
+func TestMemoryIsBoundedWithNewNames(t *testing.T) {
 	t.Parallel()
-	m := New(guarded())
+	m := New(guardedConfig())
 	m.OnSnapshot(second, 0, Snapshot{History: 1, Revision: 1, Items: items(1, upTo(6)...)})
 	m.OnSnapshot(second, 1, Snapshot{History: 9, Revision: 1, Items: items(1, upTo(6)...)})
 	now, rev := second, int64(1)
@@ -534,33 +534,34 @@
 		rev += 2
 		for k := range 200 {
 			name := fmt.Sprint("x", 200*n+k)
-			come.Puts = append(come.Puts, Item{Name: name, ModRevision: rev, Malformed: []string{"", "noise"}[k%2], Entry: at(1000 + k)})
+			come.Puts = append(come.Puts, Item{Name: name, ModRevision: rev, Malformed: []string{"", "noise"}[k%2], Entry: entryAt(1000 + k)})
 			goes.Deletes = append(goes.Deletes, name)
 		}
 		m.OnUpdate(now, 1, come)
 		m.OnUpdate(now, 1, goes)
 	}
 	if n := len(m.sources[1].removedAt); n > maxRemovals || len(m.lastLines) > maxLastLines || len(m.sources[1].malformed) > 0 {
-		t.Errorf("%d that left, %d lines, %d bad ones are remembered", n, len(m.lastLines), len(m.sources[1].malformed))
+		t.Errorf("%d removals, %d lines and %d malformed entries are kept", n, len(m.lastLines), len(m.sources[1].malformed))
 	}
 	m.OnSourceLost(now, 0, "cut off")
-	list, _, _ := read(m.OnUpdate(now+second, 1, Update{Revision: rev + 1, Deletes: []string{"n1"}}))
+	list, _, _ := summarize(m.OnUpdate(now+second, 1, Update{Revision: rev + 1, Deletes: []string{"n1"}}))
 	if list == nil || !list.Entries["n1"].Draining {
-		t.Errorf("after all these nobody hears that one has left: %+v", list)
+		t.Errorf("a removal was not noticed after so many others: %+v", list)
 	}
 }
 
-// A bad value disables one entry: its last good one stands, it is said once and counted.
-func TestBadValues(t *testing.T) {
+// A malformed value affects one entry only: its last valid version is kept, and the fault is logged once and listed in
+// the status.
+func TestMalformedValues(t *testing.T) {
 	t.Parallel()
-	m := New(plain())
+	m := New(unguardedConfig())
 	m.OnSnapshot(second, 0, Snapshot{History: 1, Revision: 1, Items: append(items(1, 0, 1), Item{Name: "n7", ModRevision: 1, Malformed: "no address"})})
-	list, lines, _ := read(m.OnUpdate(2*second, 0, Update{Revision: 2, Puts: []Item{{Name: "n1", ModRevision: 2, Malformed: "weight is text"}}}))
-	if list != nil || !strings.Contains(lines, "entry n1 can't be read (weight is text): its last good one stands") {
+	list, lines, _ := summarize(m.OnUpdate(2*second, 0, Update{Revision: 2, Puts: []Item{{Name: "n1", ModRevision: 2, Malformed: "weight is text"}}}))
+	if list != nil || !strings.Contains(lines, "entry n1 is malformed (weight is text); keeping its last valid version") {
 		t.Errorf("%v %s", list, lines)
 	}
-	if _, lines, _ = read(m.OnUpdate(3*second, 0, Update{Revision: 3, Puts: []Item{{Name: "n1", ModRevision: 3, Malformed: "weight is text"}}})); lines != "" {
-		t.Errorf("said again: %s", lines)
+	if _, lines, _ = summarize(m.OnUpdate(3*second, 0, Update{Revision: 3, Puts: []Item{{Name: "n1", ModRevision: 3, Malformed: "weight is text"}}})); lines != "" {
+		t.Errorf("logged again: %s", lines)
 	}
 	if bad := m.Status(3 * second).Sources[0].Malformed; len(bad) != 2 || bad["n7"] != "no address" {
 		t.Errorf("%v", bad)
@@ -569,93 +570,95 @@
 	if bad := m.Status(4 * second).Sources[0].Malformed; len(bad) != 0 {
 		t.Errorf("%v", bad)
 	}
-	list, _, _ = read(m.OnSnapshot(5*second, 0, Snapshot{History: 1, Revision: 5, Items: []Item{{Name: "n1", ModRevision: 5, Malformed: "cut off"}}}))
-	if list == nil || len(list.Entries) != 1 || list.Entries["n1"] != at(1) {
+	list, _, _ = summarize(m.OnSnapshot(5*second, 0, Snapshot{History: 1, Revision: 5, Items: []Item{{Name: "n1", ModRevision: 5, Malformed: "cut off"}}}))
+	if list == nil || len(list.Entries) != 1 || list.Entries["n1"] != entryAt(1) {
 		t.Errorf("%+v", list)
 	}
 }
 
-// One name at a new address and another at the old one, in one transaction, is one list; two at one address
-// for good are one entry.
+// When one transaction gives an entry a new address and its old address to another, one list is emitted. Two entries
+// that stay at one address are listed as one.
 func TestAddresses(t *testing.T) {
 	t.Parallel()
-	m := New(plain())
+	m := New(unguardedConfig())
 	m.OnSnapshot(second, 0, Snapshot{History: 1, Revision: 1, Items: items(1, 0, 1)})
-	acts := m.OnUpdate(2*second, 0, Update{Revision: 2, Puts: []Item{{Name: "n0", ModRevision: 2, Entry: at(5)}, {Name: "n9", ModRevision: 2, Entry: at(0)}}})
-	if list, lines, _ := read(acts); len(acts) != 1 || lines != "" || len(list.Entries) != 3 || list.Entries["n0"] != at(5) || list.Entries["n9"] != at(0) {
-		t.Errorf("%+v", acts)
+	actions := m.OnUpdate(2*second, 0, Update{Revision: 2, Puts: []Item{{Name: "n0", ModRevision: 2, Entry: entryAt(5)}, {Name: "n9", ModRevision: 2, Entry: entryAt(0)}}})
+	if list, lines, _ := summarize(actions); len(actions) != 1 || lines != "" || len(list.Entries) != 3 || list.Entries["n0"] != entryAt(5) || list.Entries["n9"] != entryAt(0) {
+		t.Errorf("%+v", actions)
 	}
-	list, lines, _ := read(m.OnUpdate(3*second, 0, Update{Revision: 3, Puts: []Item{{Name: "n4", ModRevision: 3, Entry: at(1)}}}))
-	if len(list.Entries) != 3 || list.Entries["n4"] != at(1) || !strings.Contains(lines, "n1, n4 are all at") {
+	list, lines, _ := summarize(m.OnUpdate(3*second, 0, Update{Revision: 3, Puts: []Item{{Name: "n4", ModRevision: 3, Entry: entryAt(1)}}}))
+	if len(list.Entries) != 3 || list.Entries["n4"] != entryAt(1) || !strings.Contains(lines, "n1, n4 share address") {
 		t.Errorf("%+v %s", list, lines)
 	}
 }
 
-// What was held and comes again as draining, at an address that another has by now, is not shown as ready.
-func TestHeldAndBackAtAnothersAddress(t *testing.T) {
+// A retained entry that is listed again as draining, at an address that another entry has taken, is not listed as
+// ready.
+func TestRetainedEntryReturnsAtTakenAddress(t *testing.T) {
 	t.Parallel()
-	m := New(guarded())
+	m := New(guardedConfig())
 	m.OnSnapshot(second, 0, Snapshot{History: 1, Revision: 1, Items: items(1, 1)})
 	if m.OnSnapshot(2*second, 0, Snapshot{History: 1, Revision: 2}); len(m.Status(2*second).Retained) != 1 {
 		t.Fatalf("%+v", m.Status(2*second))
 	}
-	draining := Item{Name: "n1", ModRevision: 1, Entry: at(3)}
+	draining := Item{Name: "n1", ModRevision: 1, Entry: entryAt(3)}
 	draining.Entry.Draining = true
-	m.OnSnapshot(3*second, 0, Snapshot{History: 1, Revision: 3, Items: []Item{draining, {Name: "n0", ModRevision: 2, Entry: at(3)}}})
-	if e, there := m.list["n1"]; there && !e.Draining || m.list["n0"] != at(3) {
+	m.OnSnapshot(3*second, 0, Snapshot{History: 1, Revision: 3, Items: []Item{draining, {Name: "n0", ModRevision: 2, Entry: entryAt(3)}}})
+	if e, there := m.list["n1"]; there && !e.Draining || m.list["n0"] != entryAt(3) {
 		t.Errorf("%v", m.list)
 	}
 }
 
-// Five thousand nodes, and a change of all: one list. More than the bound are left out, and said.
+// An update of all of five thousand nodes emits one list. Entries above MaxEntries are left out, and that is logged.
 func TestLarge(t *testing.T) {
 	t.Parallel()
-	cfg := guarded()
+	cfg := guardedConfig()
 	cfg.MaxEntries = 5000
 	m := New(cfg)
-	if list, _, _ := read(m.OnSnapshot(second, 0, Snapshot{History: 1, Revision: 1, Items: items(1, upTo(5000)...)})); len(list.Entries) != 5000 {
+	if list, _, _ := summarize(m.OnSnapshot(second, 0, Snapshot{History: 1, Revision: 1, Items: items(1, upTo(5000)...)})); len(list.Entries) != 5000 {
 		t.Fatal(len(list.Entries))
 	}
 	c := Update{Revision: 2, Puts: items(2, upTo(5003)...)}
 	for i := range c.Puts {
 		c.Puts[i].Entry.Weight = 2
 	}
-	acts := m.OnUpdate(2*second, 0, c)
-	list, lines, _ := read(acts)
+	actions := m.OnUpdate(2*second, 0, c)
+	list, lines, _ := summarize(actions)
 	if len(list.Entries) != 5000 || list.Entries["n77"].Weight != 2 || !strings.Contains(lines, "more than 5000 entries") {
 		t.Errorf("%d entries, %s", len(list.Entries), lines)
 	}
 }
 
-// Whatever comes in whatever order: a drain or an end that the shown source tells shows at once, unless the
-// guard holds it; what is held is in the list; every list is another than the one before; Next is not past.
+// For any events in any order: a drain or removal reported by the active source takes effect at once, unless the
+// entry is retained; retained entries are in the list; the emitted changes add up to the list; NextTick is later than
+// now; and the list is what publish derives in full.
 func TestAnyEventsInAnyOrder(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		config := guarded()
+		config := guardedConfig()
 		config.EmitDeltas = rapid.Bool().Draw(t, "deltas")
 		a := &anyEvents{model: New(config), now: second}
 		t.Repeat(map[string]func(*rapid.T){
 			"":          a.check,
-			"time":      a.tick,
-			"whole":     a.snapshot,
-			"change":    a.update,
+			"tick":      a.tick,
+			"snapshot":  a.snapshot,
+			"update":    a.update,
 			"progress":  a.progress,
 			"compacted": func(t *rapid.T) { a.apply(a.model.OnCompacted(a.now, drawSource(t))) },
 			"lost":      func(t *rapid.T) { a.apply(a.model.OnSourceLost(a.now, drawSource(t), "reset")) },
 			"confirm":   func(*rapid.T) { a.apply(a.model.ConfirmRemovals(a.now)) },
-			"old": func(*rapid.T) {
-				a.apply(a.model.OnCachedList(a.now, map[string]Entry{"n0": at(0), "n1": at(1)}))
+			"cached": func(*rapid.T) {
+				a.apply(a.model.OnCachedList(a.now, map[string]Entry{"n0": entryAt(0), "n1": entryAt(1)}))
 			},
 		})
 	})
 }
 
-// anyEvents is a model that gets drawn events.
+// anyEvents is a model that gets randomly drawn events.
 type anyEvents struct {
 	model *Model
 	now   time.Duration
-	list  map[string]Entry // as emitted
+	list  map[string]Entry // as emitted by the model
 }
 
 func drawSource(t *rapid.T) int { return rapid.IntRange(0, 1).Draw(t, "source") }
@@ -664,7 +667,7 @@
 
 var drawnItem = rapid.Custom(func(t *rapid.T) Item {
 	n := rapid.IntRange(0, 9).Draw(t, "n")
-	i := Item{Name: fmt.Sprint("n", n), ModRevision: int64(rapid.IntRange(1, 50).Draw(t, "mod")), Entry: at(rapid.IntRange(0, 11).Draw(t, "address"))}
+	i := Item{Name: fmt.Sprint("n", n), ModRevision: int64(rapid.IntRange(1, 50).Draw(t, "mod")), Entry: entryAt(rapid.IntRange(0, 11).Draw(t, "address"))}
 	i.Entry.Draining = rapid.Bool().Draw(t, "drains")
 	if rapid.IntRange(0, 9).Draw(t, "bad") == 0 {
 		i.Malformed = "noise"
@@ -710,13 +713,13 @@
 	status := a.model.Status(a.now)
 	for _, name := range status.Retained {
 		if _, listed := a.model.list[name]; !listed {
-			t.Fatalf("%s is held, and not shown", name)
+			t.Fatalf("%s is retained but not in the list", name)
 		}
 	}
 	if !maps.Equal(a.list, a.model.list) {
-		t.Fatalf("told %v, shown %v", a.list, a.model.list)
+		t.Fatalf("emitted %v, in force %v", a.list, a.model.list)
 	}
-	a.checkCompleteWay(t)
+	a.checkFullDerivation(t)
 	if a.model.active < 0 {
 		return
 	}
@@ -724,21 +727,21 @@
 	for name, entry := range a.model.list {
 		item, listed := source.items[name]
 		if !listed && !slices.Contains(status.Retained, name) {
-			t.Fatalf("%s is gone, not held, and shown", name)
+			t.Fatalf("%s was removed and is not retained, but is in the list", name)
 		}
 		if listed && item.Entry.Draining && !entry.Draining {
-			t.Fatalf("%s drains, and is shown as ready", name)
+			t.Fatalf("%s drains, but is listed as ready", name)
 		}
 	}
 }
 
-// checkCompleteWay checks that deriving the list completely comes to the same.
-func (a *anyEvents) checkCompleteWay(t *rapid.T) {
+// checkFullDerivation checks that deriving the full list with publish gives the same list.
+func (a *anyEvents) checkFullDerivation(t *rapid.T) {
 	m := a.model
 	fresh := *m
 	fresh.retained, fresh.flaps, fresh.damped, fresh.lastLines = maps.Clone(m.retained), maps.Clone(m.flaps), maps.Clone(m.damped), maps.Clone(m.lastLines)
 	fresh.recentSizes, fresh.actions = slices.Clone(m.recentSizes), nil
 	if fresh.publish(a.now); !maps.Equal(fresh.list, m.list) {
-		t.Fatalf("shown %v, and the long way %v", m.list, fresh.list)
+		t.Fatalf("in force %v, derived in full %v", m.list, fresh.list)
 	}
 }
--- a/internal/discovery/membership/otherdrains.go
+++ b/internal/discovery/membership/otherdrains.go
@@ -1,8 +1,8 @@
 package membership
 
-// A drain counts from when this proxy first hears of it, from whichever source; and while the active source is
-// unreachable its list is the older report. So what the other reachable sources say of drains and removals is
-// applied to the active source's list, as drains, unless they would drain too much of it.
+// A drain takes effect as soon as any source reports it, and while the active source is unreachable its list may
+// be older than those of the others. So drains and removals that other reachable sources report are applied to
+// the active source's list as drains, unless they would drain too much of it.
 
 // applyOtherDrains marks entries as draining that another source reported as draining or removed after the
 // active source last reported them.
@@ -13,7 +13,7 @@
 			continue
 		}
 		if current, listed := m.list[name]; listed && current.Draining {
-			entry.Draining = true // as before, however many are left
+			entry.Draining = true // already draining in force: not subject to the limit
 			list[name] = entry
 			continue
 		}
@@ -21,10 +21,10 @@
 	}
 	m.drainsIgnored = m.config.limitsLoss() && float64(len(leaving)) > m.config.MaxLossFraction*float64(len(list))
 	if m.drainsIgnored {
-		m.log("heed", "WARNING: of %d entries %d would drain or be gone by the word of a source that does not count: left alone", len(list), len(leaving))
+		m.log("ignored drains", "WARNING: of %d entries, another source reports %d as draining or removed, which is too many; ignoring its reports", len(list), len(leaving))
 		return
 	}
-	m.forgetLine("heed")
+	m.forgetLine("ignored drains")
 	for _, name := range leaving {
 		entry := list[name]
 		entry.Draining = true
@@ -32,8 +32,8 @@
 	}
 }
 
-// drainsElsewhere reports whether another source has said, after the active one last reported an entry, that it
-// drains or is gone.
+// drainsElsewhere reports whether another source reported an entry as draining or removed after the active source
+// last reported it.
 func (m *Model) drainsElsewhere(name string) bool {
 	reportedAt := m.sources[m.active].reportedAt[name]
 	for i, s := range m.sources {
--- a/internal/discovery/membership/selection.go
+++ b/internal/discovery/membership/selection.go
@@ -7,9 +7,9 @@
 	return s.hasSnapshot && (!s.unreachable || now-s.reachabilityChangedAt < m.config.LossTimeout)
 }
 
-// chooseSource decides whose list is in force: the first usable source's. While another one's is, it must have
-// been reachable for Config.FailbackDelay, so that one that comes and goes does not make the list do the same.
-// Where no source is usable the list in force stays.
+// chooseSource puts the list of the first usable source in force. To fail back to a preferred source, it must have
+// been reachable for Config.FailbackDelay, so that an unstable source does not make the list flap. If no source is
+// usable, the list in force stays.
 func (m *Model) chooseSource(now time.Duration) {
 	for i, s := range m.sources {
 		if !m.usable(now, s) {
@@ -33,9 +33,9 @@
 		return
 	}
 	if m.active >= 0 {
-		m.log("source", "the list is now %s's, and was %s's", m.sources[index].name, m.sources[m.active].name)
+		m.log("source", "switched to the list of %s from that of %s", m.sources[index].name, m.sources[m.active].name)
 	} else {
-		m.log("source", "the list is now %s's", m.sources[index].name)
+		m.log("source", "now using the list of %s", m.sources[index].name)
 	}
 	m.active, m.wantCached, m.cachedList = index, false, nil
 }
--- a/internal/discovery/membership/source.go
+++ b/internal/discovery/membership/source.go
@@ -7,33 +7,33 @@
 )
 
 const (
-	// maxRemovals bounds how many removed entries are remembered of a source.
+	// maxRemovals bounds how many removed entries are remembered per source.
 	maxRemovals = 20_000
-	// removalMemory is after how long a removal may be forgotten: by then the other sources report it, too.
+	// removalMemory is how long a removal is remembered at least: by then the other sources report it, too.
 	removalMemory = 10 * time.Minute
-	// maxMalformed bounds how many malformed entries of a source are listed in its status.
+	// maxMalformed bounds how many malformed entries are listed in a source's status.
 	maxMalformed = 1000
 )
 
 // source is what one source has reported.
 type source struct {
 	name              string
-	items             map[string]Item // the last that could be read of each
+	items             map[string]Item // the last valid version of each
 	malformed         map[string]string
 	history           uint64
 	revision          int64
-	confirmedRevision int64 // at which ConfirmKey was last written
-	hasSnapshot       bool  // it has ever sent one
-	synced            bool  // items are complete at revision
+	confirmedRevision int64 // when ConfirmKey was last written
+	hasSnapshot       bool  // a snapshot has been received at least once
+	synced            bool  // items are the complete list at revision
 	loading           bool  // a snapshot has been requested
 
 	unreachable           bool
 	reachabilityChangedAt time.Duration // when unreachable last changed
-	lossReason            string        // of the last loss
+	lossReason            string        // why it was last lost
 	upToDateAt            time.Duration // when items were last known to be the newest; 0: never
 
 	reportedAt map[string]time.Duration // when it last reported each entry
-	removedAt  map[string]time.Duration // when it reported that an entry is gone
+	removedAt  map[string]time.Duration // when it reported each removal
 }
 
 func newSource(name string) *source {
@@ -43,13 +43,14 @@
 	}
 }
 
-// replacedBy reports whether a snapshot has another history, or a revision that was passed already.
+// replacedBy reports whether a snapshot shows that the registry was replaced: it has another history, or an older
+// revision.
 func (s *source) replacedBy(snapshot Snapshot) bool {
 	return s.hasSnapshot && (snapshot.History != s.history || snapshot.Revision < s.revision)
 }
 
 // takeConfirmation returns a snapshot's items without ConfirmKey, and whether an operator has confirmed the
-// list. A confirmation that a restored backup brings back confirms nothing: only one that is written now does.
+// list. A confirmation that was restored with a backup does not count: it must have been written since.
 func (s *source) takeConfirmation(items []Item, replaced bool) (backends []Item, confirmed bool) {
 	index := slices.IndexFunc(items, func(i Item) bool { return i.Name == ConfirmKey })
 	if index < 0 {
@@ -61,8 +62,8 @@
 	return slices.Delete(slices.Clone(items), index, index+1), confirmed
 }
 
-// recordReports notes when a snapshot's entries were reported, and which were removed. What a restored registry
-// lacks was not removed.
+// recordReports records when a snapshot's entries were reported, and which were removed. Entries that are missing
+// from a replaced registry do not count as removed.
 func (s *source) recordReports(now time.Duration, previous map[string]Item, replaced bool) {
 	for name := range previous {
 		if _, listed := s.items[name]; listed {
@@ -79,7 +80,7 @@
 	}
 }
 
-// recordRemoval notes that an entry has been removed, while there is room.
+// recordRemoval records that an entry has been removed, unless maxRemovals recent ones are recorded already.
 func (s *source) recordRemoval(name string, now time.Duration) {
 	if len(s.removedAt) >= maxRemovals {
 		maps.DeleteFunc(s.removedAt, func(_ string, at time.Duration) bool { return now-at > removalMemory })
@@ -89,7 +90,7 @@
 	}
 }
 
-// forgetMalformed forgets malformed entries that a snapshot has no more.
+// forgetMalformed forgets malformed entries that a snapshot no longer contains.
 func (s *source) forgetMalformed(items []Item) {
 	for name := range s.malformed {
 		_, listed := s.items[name]
@@ -99,7 +100,7 @@
 	}
 }
 
-// remove applies an update's delete.
+// remove applies a delete of an update.
 func (s *source) remove(name string, now time.Duration) {
 	if _, listed := s.items[name]; listed {
 		s.recordRemoval(name, now)
@@ -109,7 +110,7 @@
 	delete(s.malformed, name)
 }
 
-// leftAt reports when the source said that an entry drains or is gone; false: it has not.
+// leftAt returns when the source reported that an entry drains or was removed, and whether it did.
 func (s *source) leftAt(name string) (time.Duration, bool) {
 	if item, listed := s.items[name]; listed && item.Entry.Draining {
 		return s.reportedAt[name], true
--- a/internal/discovery/membership/status.go
+++ b/internal/discovery/membership/status.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Status is the state of the list in force and of its sources. Its JSON is read by operators.
+// Status is the state of the list in force and of its sources. Operators read its JSON form.
 type Status struct {
-	Source   string         `json:"source"` // whose list is in force; "": a cached one
+	Source   string         `json:"source"` // whose list is in force; "" for a cached list
 	Revision int64          `json:"revision"`
 	Age      time.Duration  `json:"age_ns"` // since the list was last known to be up to date; -1 if unknown
 	Entries  int            `json:"entries"`
@@ -21,13 +21,13 @@
 type SourceStatus struct {
 	Name        string            `json:"name"`
 	Revision    int64             `json:"revision"`
-	Synced      bool              `json:"synced"` // its list is complete at the revision
+	Synced      bool              `json:"synced"` // its list is complete at Revision
 	Unreachable bool              `json:"lost"`
-	LossReason  string            `json:"why,omitempty"` // of the last loss
-	Malformed   map[string]string `json:"bad,omitempty"` // why an entry can't be read, by name
+	LossReason  string            `json:"why,omitempty"` // why the source was last lost
+	Malformed   map[string]string `json:"bad,omitempty"` // why each malformed entry was rejected, by name
 }
 
-// Status returns the state at a time.
+// Status returns the state at the time now.
 func (m *Model) Status(now time.Duration) Status {
 	status := Status{Age: -1, Entries: len(m.list), Retained: slices.Sorted(maps.Keys(m.retained)), Damped: slices.Sorted(maps.Keys(m.damped))}
 	if m.active >= 0 {
@@ -46,7 +46,7 @@
 	return status
 }
 
-// SourceList returns a source's own list, and whether it has sent a snapshot.
+// SourceList returns the list that a source reported, and whether it has sent a snapshot.
 func (m *Model) SourceList(index int) (map[string]Entry, bool) {
 	s := m.sources[index]
 	list := make(map[string]Entry, len(s.items))
