--- a/internal/discovery/platformwatch/callscheduler.go
+++ b/internal/discovery/platformwatch/callscheduler.go
@@ -5,30 +5,29 @@
 	"time"
 )
 
-// call is one call for a watch that has brought no line yet.
+// call is a watch call that has not received a line yet.
 type call struct {
 	id        int
 	startedAt time.Duration
-	headAt    time.Duration // when its head came; 0: not yet
+	headAt    time.Duration // when the response head was received; 0: not yet
 }
 
-// callScheduler decides when calls for a watch are started and abandoned, at one address. It is pure: time is a
-// parameter. Of its calls the live one has brought lines; the pending ones have not.
+// callScheduler decides when watch calls to one address are started and abandoned. It is pure: time is a parameter.
+// The live call has received lines; pending calls have not.
 type callScheduler struct {
 	timings    Timings
-	jitter     func() float64 // from 0 to 1
-	liveID     int            // 0: none is live
-	lastLineAt time.Duration  // of the live call, or when it ended
-	pending    []call         // the oldest first
+	jitter     func() float64 // returns a number from 0 to 1
+	liveID     int            // 0: no call is live
+	lastLineAt time.Duration  // when the live call last received a line, or ended
+	pending    []call         // oldest first
 	lastID     int
-	failures   int           // calls and watches that have ended in a row since the last line
-	abandoned  int           // calls abandoned after their exclusive wait since then
-	nextCallAt time.Duration // not before this
+	failures   int           // calls and watches that have ended since the last line
+	abandoned  int           // calls abandoned after their exclusive wait since the last line
+	nextCallAt time.Duration // no call is started earlier
 	backoff    time.Duration
 }
 
-// step returns what is to be done now: calls to be cancelled, a call to be started (0: none), and when to call step
-// again.
+// step returns the calls to cancel, the call to start (0: none), and when to call step again.
 func (s *callScheduler) step(now time.Duration) (cancel []int, start int, next time.Duration) {
 	cancel = s.abandonOverdue(now)
 	silentAt := s.lastLineAt + s.timings.WatchTimeout
@@ -56,7 +55,7 @@
 	return cancel, start, next
 }
 
-// abandonOverdue removes the calls that have waited for long enough, and returns their ids.
+// abandonOverdue removes the calls that have exceeded their timeout, and returns their ids.
 func (s *callScheduler) abandonOverdue(now time.Duration) (ids []int) {
 	s.pending = slices.DeleteFunc(s.pending, func(c call) bool {
 		if now < s.abandonAt(c) {
@@ -71,7 +70,7 @@
 	return ids
 }
 
-// countHeadless is how many calls have no head yet.
+// countHeadless returns how many pending calls have not received a response head.
 func (s *callScheduler) countHeadless() int {
 	count := 0
 	for _, c := range s.pending {
@@ -82,7 +81,7 @@
 	return count
 }
 
-// abandonAt is when a pending call is abandoned.
+// abandonAt returns when a pending call is abandoned.
 func (s *callScheduler) abandonAt(c call) time.Duration {
 	switch {
 	case c.headAt > 0:
@@ -93,14 +92,15 @@
 	return c.startedAt + s.timings.CallTimeout
 }
 
-// exclusiveWait is how long a call waits alone after failures. Where discovery queues calls for longer than that, all
-// would be abandoned just before their turn, for ever: so it doubles with those that were.
+// exclusiveWait returns how long a call waits without a hedged call after failures. It doubles with each call that was
+// abandoned: if discovery queues calls for longer than that, every call would be abandoned just before its turn.
 func (s *callScheduler) exclusiveWait() time.Duration {
 	return s.timings.QueueWait << min(s.abandoned, maxDoublings)
 }
 
-// hedgeAt is when another call is started beside a pending one. Where calls fail because discovery's queue is full, a
-// second one takes the place of others and may cost the first its own: so it waits for as long as time allows.
+// hedgeAt returns when another call may be started while a call is pending. If calls fail because discovery's queue is
+// full, a hedged call takes a place from others and may get the first call rejected, so it is delayed for as long as
+// MaxUpdateDelay allows.
 func (s *callScheduler) hedgeAt(c call) time.Duration {
 	soon := c.startedAt + s.timings.HeadHedgeDelay
 	exclusiveEnd := c.startedAt + s.exclusiveWait()
@@ -116,7 +116,7 @@
 	}
 }
 
-// onHead handles that a call's head has come.
+// onHead records that a call has received its response head.
 func (s *callScheduler) onHead(now time.Duration, id int) {
 	for i := range s.pending {
 		if s.pending[i].id == id {
@@ -125,9 +125,8 @@
 	}
 }
 
-// onLine handles a complete line of a call. It returns the calls that are not wanted any more, and whether the line
-// counts.
-func (s *callScheduler) onLine(now time.Duration, id int) (cancel []int, counts bool) {
+// onLine handles a complete line received by a call. It returns the calls to cancel, and whether the line is to be used.
+func (s *callScheduler) onLine(now time.Duration, id int) (cancel []int, use bool) {
 	if id == s.liveID {
 		s.lastLineAt = now
 		return nil, true
@@ -148,7 +147,7 @@
 	return cancel, true
 }
 
-// onEnd handles that a call is over, and reports whether it was the live one.
+// onEnd handles the end of a call, and reports whether it was the live one.
 func (s *callScheduler) onEnd(now time.Duration, id int) (wasLive bool) {
 	wasLive = id == s.liveID && id != 0
 	if wasLive {
@@ -161,7 +160,7 @@
 		s.pending = slices.Delete(s.pending, index, index+1)
 	}
 	s.backoff = min(max(2*s.backoff, s.timings.MinBackoff), s.timings.MaxBackoff)
-	// Watches end for all proxies at once; without jitter all would come back together, again and again.
+	// The watches of all proxies may end at once; without jitter all would reconnect at the same moments.
 	s.nextCallAt = now + s.backoff/2 + time.Duration(s.jitter()*float64(s.backoff/2))
 	s.failures++
 	if s.failures == 1 && s.timings.QueueWait > 0 {
--- a/internal/discovery/platformwatch/callscheduler_test.go
+++ b/internal/discovery/platformwatch/callscheduler_test.go
@@ -13,39 +13,39 @@
 	"pgregory.net/rapid"
 )
 
-// The longest way from a change to its being known is summed from the constants in force. Whoever makes one of them
-// longer finds out here, before the operators do.
-func TestAChangeIsKnownInTime(t *testing.T) {
+// MaxUpdateDelay is derived from the constants in force. This test fails if one of them is raised so far that a change
+// may be known too late.
+func TestMaxUpdateDelayIsWithinBound(t *testing.T) {
 	t.Parallel()
 	for _, onRequest := range []bool{false, true} {
 		margin := 6 * time.Second
 		for _, proxies := range []int{0, 1, 4, 30, 300, 5000} {
-			sum := TimingsFor(onRequest, proxies).MaxUpdateDelay()
-			if margin = min(margin, maxUpdateDelay-sum); margin < 0 {
-				t.Errorf("asked for: %v, %d proxies: known after %v, and %v is allowed", onRequest, proxies, sum, maxUpdateDelay)
+			delay := TimingsFor(onRequest, proxies).MaxUpdateDelay()
+			if margin = min(margin, maxUpdateDelay-delay); margin < 0 {
+				t.Errorf("on request: %v, %d proxies: known after %v, and %v is allowed", onRequest, proxies, delay, maxUpdateDelay)
 			}
 		}
-		t.Logf("asked for: %v: margin %v", onRequest, margin)
+		t.Logf("on request: %v: margin %v", onRequest, margin)
 	}
 }
 
-// wrong is how a call goes wrong: when it fails, and when its head comes (0: never).
-type wrong struct {
-	name          string
-	refused, head time.Duration
+// callFault is how a call fails: when it is rejected, and when its response head is received (0: never).
+type callFault struct {
+	name           string
+	rejected, head time.Duration
 }
 
-var wrongs = []wrong{
+var callFaults = []callFault{
 	{name: "is lost"},
-	{name: "is refused", refused: time.Millisecond},
-	{name: "fails late", refused: 700 * time.Millisecond},
-	{name: "has a head alone", head: 5 * time.Millisecond},
-	{name: "has a late head alone", head: 790 * time.Millisecond},
+	{name: "is rejected", rejected: time.Millisecond},
+	{name: "fails late", rejected: 700 * time.Millisecond},
+	{name: "gets only a head", head: 5 * time.Millisecond},
+	{name: "gets only a late head", head: 790 * time.Millisecond},
 }
 
-// play runs a scheduler whose first calls go wrong and whose others are answered at once, from a moment on at which
-// the watch falls silent or ends, and returns how long it takes until a line comes.
-func play(t *testing.T, timings Timings, silent bool, seed float64, first ...wrong) time.Duration {
+// simulate runs a scheduler from the moment when its watch falls silent or ends. Its first calls have the given faults,
+// all others are answered at once. It returns how long it takes until a line is received.
+func simulate(t *testing.T, timings Timings, silent bool, seed float64, first ...callFault) time.Duration {
 	t.Helper()
 	s := &simulation{first: first, scheduler: callScheduler{timings: timings, jitter: func() float64 { return seed }, liveID: 1, lastID: 1}}
 	if !silent {
@@ -59,7 +59,7 @@
 			s.startCall(now, start)
 		}
 		if wake <= now && start == 0 {
-			t.Fatalf("it looks again at %v, and it is %v", wake, now)
+			t.Fatalf("the next step is at %v, but it is already %v", wake, now)
 		}
 		next = wake
 		slices.SortFunc(s.events, func(x, y simulatedEvent) int { return int(x.at - y.at) })
@@ -67,7 +67,7 @@
 			next = min(next, s.events[0].at)
 		}
 		if now > time.Minute {
-			t.Fatal("nothing is ever heard")
+			t.Fatal("no line is received")
 		}
 	}
 	if s.maxPending > maxCalls {
@@ -76,13 +76,13 @@
 	return s.lineAt
 }
 
-// simulation is a scheduler and what its calls will bring.
+// simulation is a scheduler and the planned events of its calls.
 type simulation struct {
 	scheduler  callScheduler
-	first      []wrong // how the first calls go wrong
+	first      []callFault // of the first calls
 	started    int
 	events     []simulatedEvent
-	lineAt     time.Duration // when a line came; 0: not yet
+	lineAt     time.Duration // when a line was received; 0: not yet
 	maxPending int
 }
 
@@ -92,7 +92,7 @@
 	call int
 }
 
-// runEvent runs an event that is due, if any, and returns the time of it.
+// runEvent runs an event that is due, if any, and returns its time, or now if there is none.
 func (s *simulation) runEvent(now time.Duration) time.Duration {
 	index := slices.IndexFunc(s.events, func(e simulatedEvent) bool { return e.at <= now })
 	if index < 0 {
@@ -104,14 +104,14 @@
 	return event.at
 }
 
-// startCall plans what a call brings.
+// startCall plans the events of a call.
 func (s *simulation) startCall(now time.Duration, id int) {
 	s.started++
 	switch {
 	case s.started > len(s.first):
 		s.plan(now+50*time.Millisecond, id, func(now time.Duration) { s.lineAt = now })
-	case s.first[s.started-1].refused > 0:
-		s.plan(now+s.first[s.started-1].refused, id, func(now time.Duration) { s.scheduler.onEnd(now, id) })
+	case s.first[s.started-1].rejected > 0:
+		s.plan(now+s.first[s.started-1].rejected, id, func(now time.Duration) { s.scheduler.onEnd(now, id) })
 	case s.first[s.started-1].head > 0:
 		s.plan(now+s.first[s.started-1].head, id, func(now time.Duration) { s.scheduler.onHead(now, id) })
 	}
@@ -122,41 +122,40 @@
 	s.events = append(s.events, simulatedEvent{at, do, id})
 }
 
-// Whatever goes wrong with the watch and with two calls after it, alone and in a row, the sum holds; played, not
-// summed.
-func TestTheSumIsAnUpperBound(t *testing.T) {
+// maxDelayByWatch holds in simulations of all faults of the watch and of one or two calls after it.
+func TestMaxDelayByWatchIsAnUpperBound(t *testing.T) {
 	t.Parallel()
 	for _, onRequest := range []bool{false, true} {
 		for _, proxies := range []int{1, 30, 300} {
-			holdsTo(t, TimingsFor(onRequest, proxies), fmt.Sprintf("asked for: %v, %d proxies", onRequest, proxies))
+			checkDelayBound(t, TimingsFor(onRequest, proxies), fmt.Sprintf("on request: %v, %d proxies", onRequest, proxies))
 		}
 	}
 }
 
-func holdsTo(t *testing.T, timings Timings, name string) {
+func checkDelayBound(t *testing.T, timings Timings, name string) {
 	t.Helper()
 	worst := time.Duration(0)
 	for _, silent := range []bool{true, false} {
 		for _, seed := range []float64{0, 0.5, 0.999} {
-			for _, a := range wrongs {
-				worst = max(worst, play(t, timings, silent, seed, a))
-				for _, b := range wrongs {
-					took := play(t, timings, silent, seed, a, b)
+			for _, a := range callFaults {
+				worst = max(worst, simulate(t, timings, silent, seed, a))
+				for _, b := range callFaults {
+					took := simulate(t, timings, silent, seed, a, b)
 					if worst = max(worst, took); took > timings.maxDelayByWatch() {
-						t.Errorf("%s, watch silent: %v, a call %s, then one %s: known after %v, summed %v", name, silent, a.name, b.name, took, timings.maxDelayByWatch())
+						t.Errorf("%s, watch silent: %v, a call %s, then one %s: known after %v, bound %v", name, silent, a.name, b.name, took, timings.maxDelayByWatch())
 					}
 				}
 			}
 		}
 	}
-	t.Logf("%s: %v at most, %v summed", name, worst, timings.maxDelayByWatch())
+	t.Logf("%s: %v at most, bound %v", name, worst, timings.maxDelayByWatch())
 	if worst < timings.maxDelayByWatch()/2 {
-		t.Errorf("%s: the sum is %v, and nothing takes more than %v: it says nothing", name, timings.maxDelayByWatch(), worst)
+		t.Errorf("%s: the bound is %v, but nothing takes more than %v: the bound is too loose", name, timings.maxDelayByWatch(), worst)
 	}
 }
 
-// However long discovery was down, it is called again soon after its return.
-func TestALongOutageIsNotSleptOut(t *testing.T) {
+// However long discovery was down, it is called again within MaxBackoff of its return.
+func TestBackoffIsBoundedAfterOutage(t *testing.T) {
 	t.Parallel()
 	for _, onRequest := range []bool{false, true} {
 		for _, down := range []time.Duration{time.Second, 8 * time.Second, time.Hour} {
@@ -173,14 +172,14 @@
 				now = wake
 			}
 			if now-down > timings.MaxBackoff {
-				t.Errorf("asked for: %v, down for %v: called %v after its return", onRequest, down, now-down)
+				t.Errorf("on request: %v, down for %v: called %v after its return", onRequest, down, now-down)
 			}
 		}
 	}
 }
 
-// While discovery is down for 8 s a fleet's calls are bounded, and spread: they don't all come in one moment.
-func TestAFleetDoesNotHammerDiscovery(t *testing.T) {
+// While discovery is down for 8 s, the call rate of a fleet is bounded, and its calls are spread over time.
+func TestFleetCallRateIsBounded(t *testing.T) {
 	t.Parallel()
 	for _, onRequest := range []bool{false, true} {
 		const proxies, down = 300, 8 * time.Second
@@ -205,11 +204,11 @@
 		for _, n := range last {
 			burst = max(burst, n)
 		}
-		t.Logf("asked for: %v: %v calls a second; at most %d in 50 ms at the end", onRequest, perSecond[:8], burst)
-		// Pushed, each has an agent of its own, and 8 calls a second there are nothing. Asked for, each calls once in
-		// the first second, and all together some hundred times a second from then on.
+		t.Logf("on request: %v: %v calls a second; at most %d in 50 ms at the end", onRequest, perSecond[:8], burst)
+		// With pushed lists each proxy has its own agent, for which 8 calls a second are negligible. On request, each
+		// proxy calls once in the first second, and all together make some hundred calls a second from then on.
 		if most := 200; onRequest && (slices.Max(perSecond[2:8]) > most || rate > proxies*11/10) || !onRequest && rate > 8*proxies {
-			t.Errorf("asked for: %v: %d calls a second from %d proxies", onRequest, perSecond, proxies)
+			t.Errorf("on request: %v: %d calls a second from %d proxies", onRequest, perSecond, proxies)
 		}
 		if onRequest && burst > 30 {
 			t.Errorf("%d calls within 50 ms", burst)
@@ -217,76 +216,75 @@
 	}
 }
 
-// turns is a discovery that takes calls in turn, each for so long, and turns away what would wait longer than its
-// patience. What turns one call of a proxy away fails all that this proxy has asked: the answer does not say which call
-// it was for.
-type turns struct {
-	each, patience time.Duration
-	free           time.Duration // when the calls that it has taken are done
+// queueingDiscovery serves calls one after the other and rejects those that would wait longer than maxWait. A rejection
+// fails all calls of the proxy, as the answer does not tell which call it is for.
+type queueingDiscovery struct {
+	callTime, maxWait time.Duration
+	freeAt            time.Duration // when all accepted calls are done
 }
 
-// A whole fleet's watches end together, beside a discovery that takes all of them in 2, 4 or 8 s: each proxy is
-// answered within little more than that and its own turn. A second call beside the first would cost it its turn, and
-// that of all others the time that it takes.
-func TestAFleetGetsItsTurn(t *testing.T) {
+// All watches of a fleet end together, and discovery needs 2, 4 or 8 s to serve all proxies. Each proxy has to be
+// answered within little more than that and discovery's maximum wait. A hedged call would cost the proxy its place in
+// the queue, and delay all others.
+func TestFleetIsServedByQueueingDiscovery(t *testing.T) {
 	t.Parallel()
 	for _, proxies := range []int{12, 32, 300} {
 		for _, all := range []time.Duration{2 * time.Second, 4 * time.Second, 8 * time.Second} {
-			for _, patience := range []time.Duration{2 * time.Second, 3 * time.Second, 5 * time.Second} {
-				takesTurns(t, proxies, all, patience)
+			for _, maxWait := range []time.Duration{2 * time.Second, 3 * time.Second, 5 * time.Second} {
+				checkFleetIsServed(t, proxies, all, maxWait)
 			}
 		}
 	}
 }
 
-func takesTurns(t *testing.T, proxies int, all, patience time.Duration) {
+func checkFleetIsServed(t *testing.T, proxies int, all, maxWait time.Duration) {
 	t.Helper()
-	f := newQueuedFleet(proxies, &turns{each: all / time.Duration(proxies), patience: patience, free: patience}) // it has just been busy
+	f := newQueuedFleet(proxies, &queueingDiscovery{callTime: all / time.Duration(proxies), maxWait: maxWait, freeAt: maxWait}) // its queue is full
 	for now := time.Duration(0); f.left > 0 && now < time.Minute; now += time.Millisecond {
 		for _, p := range f.proxies {
-			if !p.heard {
-				f.look(p, now)
+			if !p.answered {
+				f.step(p, now)
 			}
 		}
 	}
-	t.Logf("%d proxies, %v for all, %v of patience: the last is answered after %v, %d calls", proxies, all, patience, f.last, f.calls)
-	enough := patience + all + 2*time.Second
-	if patience > TimingsFor(true, proxies).QueueWait {
-		enough *= 3 // how long its calls wait has to be learnt
+	t.Logf("%d proxies, %v for all, maximum wait %v: the last is answered after %v, %d calls", proxies, all, maxWait, f.last, f.calls)
+	limit := maxWait + all + 2*time.Second
+	if maxWait > TimingsFor(true, proxies).QueueWait {
+		limit *= 3 // exclusiveWait first has to grow to discovery's maximum wait
 	}
-	if f.left > 0 || f.last > enough {
-		t.Errorf("%d proxies, %v for all, %v of patience: %d were never answered, the last after %v, and %v is enough", proxies, all, patience, f.left, f.last, enough)
+	if f.left > 0 || f.last > limit {
+		t.Errorf("%d proxies, %v for all, maximum wait %v: %d were never answered, the last after %v, and the limit is %v", proxies, all, maxWait, f.left, f.last, limit)
 	}
 }
 
-// queuedFleet is a fleet whose calls wait in turn.
+// queuedFleet is a fleet whose calls are queued at discovery.
 type queuedFleet struct {
-	discovery *turns
+	discovery *queueingDiscovery
 	proxies   []*queuedProxy
 	calls     int
-	last      time.Duration // when one was last answered
-	left      int           // not answered yet
+	last      time.Duration // when the last proxy was answered
+	left      int           // proxies not answered yet
 }
 
 type queuedProxy struct {
 	callScheduler
-	wake  time.Duration
-	turn  map[int]time.Duration // when its calls are answered
-	heard bool
+	wake     time.Duration
+	answers  map[int]time.Duration // when its calls are answered
+	answered bool
 }
 
-// newQueuedFleet makes proxies whose watches have all just ended.
-func newQueuedFleet(proxies int, discovery *turns) *queuedFleet {
+// newQueuedFleet returns proxies whose watches have all just ended.
+func newQueuedFleet(proxies int, discovery *queueingDiscovery) *queuedFleet {
 	f := &queuedFleet{discovery: discovery, left: proxies}
 	for i := range proxies {
-		p := &queuedProxy{turn: map[int]time.Duration{}, callScheduler: callScheduler{timings: TimingsFor(true, proxies), liveID: 1, lastID: 1, jitter: jitterOf(i)}}
+		p := &queuedProxy{answers: map[int]time.Duration{}, callScheduler: callScheduler{timings: TimingsFor(true, proxies), liveID: 1, lastID: 1, jitter: jitterOf(i)}}
 		p.onEnd(0, 1)
 		f.proxies = append(f.proxies, p)
 	}
 	return f
 }
 
-// jitterOf is the random numbers of one proxy (xorshift).
+// jitterOf returns the random numbers of one proxy (xorshift).
 func jitterOf(proxy int) func() float64 {
 	state := uint64(proxy)*0x9e3779b97f4a7c15 + 1
 	return func() float64 {
@@ -297,12 +295,12 @@
 	}
 }
 
-// look is what a proxy does at a moment.
-func (f *queuedFleet) look(p *queuedProxy, now time.Duration) {
-	for id, at := range p.turn {
+// step runs one proxy at the time now.
+func (f *queuedFleet) step(p *queuedProxy, now time.Duration) {
+	for id, at := range p.answers {
 		if at <= now {
 			p.onLine(now, id)
-			p.heard, f.last = true, now
+			p.answered, f.last = true, now
 			f.left--
 			return
 		}
@@ -312,7 +310,7 @@
 	}
 	cancelled, start, wake := p.step(now)
 	for _, id := range cancelled {
-		delete(p.turn, id)
+		delete(p.answers, id)
 	}
 	p.wake = wake
 	if start == 0 {
@@ -320,21 +318,21 @@
 	}
 	f.calls++
 	d := f.discovery
-	if wait := max(d.free-now, 0) + d.each; wait <= d.patience {
-		d.free = now + wait
-		p.turn[start] = d.free
+	if wait := max(d.freeAt-now, 0) + d.callTime; wait <= d.maxWait {
+		d.freeAt = now + wait
+		p.answers[start] = d.freeAt
 		return
 	}
 	p.onEnd(now, start)
-	for id := range p.turn {
+	for id := range p.answers {
 		p.onEnd(now, id)
 	}
-	clear(p.turn)
+	clear(p.answers)
 	_, _, p.wake = p.step(now)
 }
 
-// Lists come over one line or several, with blank lines between them, and are cut anywhere by the network.
-func TestListsOverLines(t *testing.T) {
+// Lists span one line or several, with blank lines between them, and the network may split them anywhere.
+func TestMultilineLists(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		var want []string
@@ -347,12 +345,12 @@
 				continue
 			case 1:
 				list = strings.ReplaceAll(list, ",", rapid.SampledFrom([]string{",\n", ",\r\n  ", ",\n\n\t"}).Draw(t, "indent"))
-			case 2: // also within strings, which is no JSON, and still one list
+			case 2: // also within strings, which is not valid JSON but still one list
 				list = strings.ReplaceAll(strings.ReplaceAll(list, "{", "{\n"), "}", "\n}")
 			}
 			want, text = append(want, list), text+list+"\n"
 		}
-		l := listReader{in: bufio.NewReaderSize(iotestReader{strings.NewReader(text), rapid.IntRange(1, 40).Draw(t, "piece")}, 16)}
+		l := listReader{in: bufio.NewReaderSize(chunkReader{strings.NewReader(text), rapid.IntRange(1, 40).Draw(t, "piece")}, 16)}
 		for i, w := range want {
 			got, err := l.next()
 			if err != nil || string(got) != strings.TrimSpace(w) {
@@ -365,16 +363,16 @@
 	})
 }
 
-// iotestReader gives a few bytes at a time.
-type iotestReader struct {
+// chunkReader returns a few bytes at a time.
+type chunkReader struct {
 	in    io.Reader
 	piece int
 }
 
-func (r iotestReader) Read(p []byte) (int, error) { return r.in.Read(p[:min(len(p), r.piece)]) }
+func (r chunkReader) Read(p []byte) (int, error) { return r.in.Read(p[:min(len(p), r.piece)]) }
 
-// What has no end is refused within its bound.
-func TestAListWithoutEnd(t *testing.T) {
+// A list that never ends is rejected once it exceeds maxListBytes.
+func TestEndlessListIsRejected(t *testing.T) {
 	t.Parallel()
 	endless := io.MultiReader(strings.NewReader(`{"generation":1,"instances":[`), strings.NewReader(strings.Repeat("{},\n", maxListBytes/4)))
 	l := listReader{in: bufio.NewReader(endless)}
--- a/internal/discovery/platformwatch/compatibility_test.go
+++ b/internal/discovery/platformwatch/compatibility_test.go
@@ -21,7 +21,7 @@
 
 var compatibilityNames = Names{Zones: map[string]int{"koper": 0, "maribor": 1}, Kinds: map[string]int{"mid-2c": 0, "big-4c": 1}}
 
-// readRecorded reads the recorded lines of a watch as a proxy does.
+// readRecorded reads the recorded lines of a watch in the same way as a proxy.
 func readRecorded(t *testing.T) (lists []*List) {
 	t.Helper()
 	var names atomic.Pointer[Names]
@@ -44,8 +44,8 @@
 	}
 }
 
-// A list and its changes, as they are pushed: the recorded text is what a list is written as, and is read with each
-// key's value.
+// A pushed list and its changes are encoded as in the recorded text, and decoding that text gives the value of each
+// key.
 func TestCompatibilityPushedLists(t *testing.T) {
 	var sent bytes.Buffer
 	for _, l := range []List{
@@ -81,7 +81,7 @@
 	}
 }
 
-// The calls to the platform's discovery: paths and queries, for a watch from a number on and for the whole list.
+// The paths and queries of the calls to the platform's discovery, for a watch from a generation and for the full list.
 func TestCompatibilityCalls(t *testing.T) {
 	var mu sync.Mutex
 	var calls []string
@@ -95,14 +95,14 @@
 	var names atomic.Pointer[Names]
 	names.Store(&compatibilityNames)
 	d := &follower{names: &names, addr: strings.TrimPrefix(server.URL, "http://"), client: newClient()}
-	words := make(chan callEvent, 8)
-	d.watchOnce(t.Context(), 1, 41, words)
+	events := make(chan callEvent, 8)
+	d.watchOnce(t.Context(), 1, 41, events)
 	l, err := d.fetchOnce(t.Context(), time.Minute, nil)
 	if err != nil || l.Generation != 41 || !l.Reset {
-		t.Errorf("the whole list: %+v, %v", l, err)
+		t.Errorf("the full list: %+v, %v", l, err)
 	}
 	if l, err := d.fetchOnce(context.Background(), time.Minute, func() uint32 { return 41 }); l != nil || err != nil {
-		t.Errorf("a list that is known: %+v, %v", l, err)
+		t.Errorf("a list of the known generation: %+v, %v", l, err)
 	}
 	recorded.Check(t, "calls.txt", strings.Join(calls, ""))
 }
--- a/internal/discovery/platformwatch/errors.go
+++ b/internal/discovery/platformwatch/errors.go
@@ -4,34 +4,34 @@
 	"fmt"
 )
 
-// ListError is a list, or a change to it, that can't be used. The one before stands.
+// ListError is returned for a malformed list, or a malformed change to it. The previous list stays in force.
 type ListError struct {
-	Instance string // its id, or its number in the list; "": the list itself can't be read
+	Instance string // its id, or its number in the list; "" if the list itself is malformed
 	Key      string
-	Err      error // what is wrong, or what would be right
+	Err      error // what is wrong with it
 }
 
 func (e *ListError) Error() string {
 	if e.Instance == "" {
-		return fmt.Sprintf("bad line: the list can't be read: %v", e.Err)
+		return fmt.Sprintf("malformed list: %v", e.Err)
 	}
-	return fmt.Sprintf("bad line: instance %s: %s: %v", e.Instance, e.Key, e.Err)
+	return fmt.Sprintf("malformed list: instance %s: %s: %v", e.Instance, e.Key, e.Err)
 }
 
-// Unwrap returns what is wrong with the entry or the list.
+// Unwrap returns the cause.
 func (e *ListError) Unwrap() error { return e.Err }
 
 // Advice says what an operator can do.
 func (e *ListError) Advice() string {
-	return "mend that entry where the platform keeps its list; until then this proxy goes by the list before, and heeds drains alone"
+	return "correct the entry in the platform's list; until then this proxy keeps the previous list and applies only drains"
 }
 
-// StatusError is an answer of the platform's discovery other than 200.
+// StatusError is returned if the platform's discovery answers with a status other than 200.
 type StatusError struct{ Status string }
 
 func (e *StatusError) Error() string { return e.Status }
 
 // Advice says what an operator can do.
 func (e *StatusError) Advice() string {
-	return "look at the log of the platform's discovery; until it answers this proxy goes by the list before"
+	return "check the log of the platform's discovery; until it answers this proxy keeps the previous list"
 }
--- a/internal/discovery/platformwatch/fetch.go
+++ b/internal/discovery/platformwatch/fetch.go
@@ -9,8 +9,7 @@
 	"time"
 )
 
-// resync fetches the complete list again and again until ctx ends. A list of the generation that known returns is not
-// read further.
+// resync fetches the full list periodically until ctx ends. A list of the generation that known returns is not parsed.
 func (f *follower) resync(ctx context.Context, known func() uint32, onNewer func(*List)) {
 	delay := f.timings.ResyncInterval
 	for sleep(ctx, delay) {
@@ -18,18 +17,18 @@
 		list, err := f.fetchOnce(ctx, f.timings.resyncTimeout(), known)
 		switch {
 		case err != nil:
-			delay = f.timings.MaxBackoff // the watch's own calls say what is wrong
+			delay = f.timings.MaxBackoff // not logged: the watch logs the errors of its own calls
 		case list != nil:
 			onNewer(list)
 		}
 	}
 }
 
-// fetchUntilDone fetches the complete list, with as many attempts as it takes.
+// fetchUntilDone fetches the full list, and retries until it succeeds or ctx ends.
 func (f *follower) fetchUntilDone(ctx context.Context) {
 	lastError := ""
-	usual := max(f.timings.CallTimeout, f.timings.QueueWait)
-	timeout := usual
+	minTimeout := max(f.timings.CallTimeout, f.timings.QueueWait)
+	timeout := minTimeout
 	for backoff := f.timings.MinBackoff; ; backoff = min(2*backoff, f.timings.MaxBackoff) {
 		list, err := f.fetchOnce(ctx, timeout, nil)
 		if err == nil {
@@ -39,12 +38,12 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if errors.Is(err, context.DeadlineExceeded) { // perhaps abandoned just before its turn
-			timeout = min(2*timeout, usual<<maxDoublings)
+		if errors.Is(err, context.DeadlineExceeded) { // the call may have been abandoned just before its turn
+			timeout = min(2*timeout, minTimeout<<maxDoublings)
 		}
 		if err.Error() != lastError {
 			lastError = err.Error()
-			f.logf("discovery: fetch: %v", err)
+			f.logf("discovery: fetching the list failed: %v", err)
 		}
 		if !sleep(ctx, backoff/2+rand.N(backoff/2)) {
 			return
@@ -52,7 +51,7 @@
 	}
 }
 
-// fetchOnce fetches the complete list. It returns nil where the list is of the generation that known returns.
+// fetchOnce fetches the full list. It returns nil if the list has the generation that known returns.
 func (f *follower) fetchOnce(ctx context.Context, timeout time.Duration, known func() uint32) (*List, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/discovery/platformwatch/follower.go
+++ b/internal/discovery/platformwatch/follower.go
@@ -10,23 +10,24 @@
 	"time"
 )
 
-// follower makes the calls at one address. A new configuration may name another address; then there is a new
-// follower, and this one stays as it is.
+// follower makes the calls to one address. When the configuration names another address, a new follower is created;
+// an existing one keeps its address.
 type follower struct {
 	timings Timings
 	names   *atomic.Pointer[Names]
 	addr    string
 	client  *http.Client
 	logf    func(string, ...any)
-	onList  func(l *List) // handles a list or a change
+	onList  func(l *List) // handles a full list or a change
 }
 
-// newClient makes the client of all calls. One connection a call: a watch ends with its connection anyway.
+// newClient returns the client for all calls. It uses one connection per call: a watch and its connection end
+// together, so keeping connections alive would gain little.
 func newClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{}).DialContext}}
 }
 
-// get calls discovery. The body is the caller's to close.
+// get makes a GET call to discovery. The caller closes the returned body.
 func (f *follower) get(ctx context.Context, query string) (io.ReadCloser, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.addr+"/v1/endpoints"+query, nil)
 	if err != nil {
@@ -43,8 +44,8 @@
 	return resp.Body, nil
 }
 
-// parseList reads a list. Of one that can't be used it returns, beside the error, what its good entries say of
-// backends that drain or are gone, if any does: that counts at once.
+// parseList parses a list. For a malformed list it returns the error and, if there are any, the valid entries whose
+// backends drain or are gone: these apply at once.
 func (f *follower) parseList(text []byte) (*List, error) {
 	var list List
 	if err := json.Unmarshal(text, &list); err != nil {
@@ -63,7 +64,7 @@
 	return drains, err
 }
 
-// sleep waits for a delay, and reports false if ctx has ended before.
+// sleep waits for a delay. It returns false if ctx ended first.
 func sleep(ctx context.Context, delay time.Duration) bool {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
--- a/internal/discovery/platformwatch/list.go
+++ b/internal/discovery/platformwatch/list.go
@@ -15,8 +15,8 @@
 	Reset      bool       `json:"reset"`
 	Instances  []Instance `json:"instances"`
 
-	entries    []engine.Entry // of Instances
-	onlyDrains bool           // the drains of a list that can't be used: its generation does not count
+	entries    []engine.Entry // parsed Instances
+	onlyDrains bool           // holds only the drains of a malformed list; Generation is not set
 }
 
 // Instance is a backend in a list.
@@ -28,10 +28,10 @@
 	Cell        int     `json:"cell"`
 	Lifecycle   string  `json:"lifecycle"`
 	Weight      float64 `json:"weight"`
-	StartedAtMs int64   `json:"startedAtMs"` // Unix time; 0 is long ago
+	StartedAtMs int64   `json:"startedAtMs"` // Unix time; 0 means long ago
 }
 
-// Names are the indices that the settings give the names of zones and of kinds.
+// Names maps the names of zones and machine kinds to their indices in the settings.
 type Names struct{ Zones, Kinds map[string]int }
 
 var lifecycles = map[string]balancer.State{
@@ -39,8 +39,8 @@
 	"Gone": balancer.Gone,
 }
 
-// ParseEntries reads the entries. A list with one bad entry is bad as a whole: half of it would pass for all of it.
-// The error is a ListError.
+// ParseEntries parses the instances. One malformed entry makes the whole list unusable: otherwise an incomplete list
+// would be taken for the full one. The error is a ListError.
 func (l *List) ParseEntries(names Names) ([]engine.Entry, error) {
 	entries := make([]engine.Entry, len(l.Instances))
 	for i, instance := range l.Instances {
@@ -53,8 +53,8 @@
 	return entries, nil
 }
 
-// drainsOnly is what a list that can't be used says, in entries that can, of backends that drain or are gone. A drain
-// counts from when this proxy was first notified of it, whatever else is wrong with the list.
+// drainsOnly returns the valid entries of a malformed list whose backends drain or are gone. A drain takes effect when
+// this proxy is first notified of it, whatever else is wrong with the list.
 func (l *List) drainsOnly(names Names) *List {
 	drains := &List{onlyDrains: true}
 	for i, instance := range l.Instances {
@@ -68,9 +68,9 @@
 	return drains
 }
 
-// entry reads an instance, the one at an index of the list.
+// entry parses the instance, which is at the given index of the list.
 func (e *Instance) entry(index int, names Names) (engine.Entry, error) {
-	bad := func(key, format string, v ...any) (engine.Entry, error) {
+	malformed := func(key, format string, v ...any) (engine.Entry, error) {
 		which := e.InstanceID
 		if which == "" {
 			which = fmt.Sprint("number ", index+1)
@@ -80,19 +80,19 @@
 	state, known := lifecycles[e.Lifecycle]
 	switch {
 	case e.InstanceID == "":
-		return bad("instanceId", "it is missing, and each has one of its own")
+		return malformed("instanceId", "missing or empty; each instance needs a unique one")
 	case !known:
-		return bad("lifecycle", "%.40q is not Ready, Terminating or Gone", e.Lifecycle)
+		return malformed("lifecycle", "%.40q is not Ready, Terminating or Gone", e.Lifecycle)
 	}
 	entry := engine.Entry{Name: e.InstanceID, Addr: e.HostPort, Zone: -1, Kind: -1, Cell: e.Cell, State: state, Weight: e.Weight}
 	if state == balancer.Gone {
-		return entry, nil // it may come without the rest
+		return entry, nil // the other fields may be missing
 	}
 	if _, err := netip.ParseAddrPort(e.HostPort); err != nil {
-		return bad("hostPort", "%.80q is no address with a port", e.HostPort)
+		return malformed("hostPort", "%.80q is not an IP address with a port", e.HostPort)
 	}
 	if entry.Zone, known = names.Zones[e.Zone]; !known {
-		return bad("zone", "%.80q is not one of the settings' FailureDomains", e.Zone)
+		return malformed("zone", "%.80q is not in the FailureDomains of the settings", e.Zone)
 	}
 	if kind, known := names.Kinds[e.MachineType]; known {
 		entry.Kind = kind
@@ -103,7 +103,7 @@
 	return entry, nil
 }
 
-// ForEngine is the list in the engine's form.
+// ForEngine returns the list in the engine's form.
 func (l *List) ForEngine(kind balancer.MembershipKind, entries []engine.Entry) engine.Membership {
 	return engine.Membership{Kind: kind, Version: l.Generation, Entries: entries}
 }
--- a/internal/discovery/platformwatch/listreader.go
+++ b/internal/discovery/platformwatch/listreader.go
@@ -8,22 +8,22 @@
 	"io"
 )
 
-// maxListBytes bounds a list on the wire.
+// maxListBytes bounds the size of a list on the wire.
 const maxListBytes = 4 << 20
 
-var errListTooLong error = &ListError{Err: fmt.Errorf("it has more than %d bytes", maxListBytes)}
+var errListTooLong error = &ListError{Err: fmt.Errorf("more than %d bytes", maxListBytes)}
 
-// listReader reads a watch: lists, each an object over one line or several, and blank lines between them.
+// listReader reads the body of a watch: JSON objects, each on one or several lines, and blank lines between them.
 type listReader struct {
 	in      *bufio.Reader
-	buffer  []byte // of the list that is being read
-	depth   int    // of open braces and brackets
+	buffer  []byte // the list being read, so far
+	depth   int    // number of open braces and brackets
 	quoted  bool   // within a string
-	escaped bool   // behind a backslash there
+	escaped bool   // after a backslash within a string
 }
 
-// next returns the next list's text, or an empty one for a blank line, valid until the next call. Errors: a ListError
-// for a list that is too long, io.ErrUnexpectedEOF where the watch ends.
+// next returns the text of the next list, or an empty text for a blank line; it is valid until the next call. The error
+// is a ListError if the list is too long, and io.ErrUnexpectedEOF if the watch ends.
 func (l *listReader) next() ([]byte, error) {
 	l.buffer = l.buffer[:0]
 	for {
@@ -33,13 +33,13 @@
 		}
 		if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
 			if errors.Is(err, io.EOF) {
-				return nil, io.ErrUnexpectedEOF // a watch has no end
+				return nil, io.ErrUnexpectedEOF // a watch is not expected to end
 			}
 			return nil, err
 		}
 		l.buffer = append(l.buffer, part...)
 		l.track(part)
-		if err != nil || l.depth > 0 || l.quoted { // the line or the list goes on
+		if err != nil || l.depth > 0 || l.quoted { // the line or the list is incomplete
 			continue
 		}
 		return bytes.TrimSpace(l.buffer), nil
--- a/internal/discovery/platformwatch/source.go
+++ b/internal/discovery/platformwatch/source.go
@@ -10,13 +10,13 @@
 	"marlreel/internal/dataplane/engine"
 )
 
-// Sink handles what the source reports. OnList is called on the goroutine that Post leads to.
+// Sink receives the lists of a source. Post runs an event on the sink's goroutine, on which OnList is called too.
 type Sink interface {
 	Post(event func())
 	OnList(l engine.Membership)
 }
 
-// Config is what a Source follows, and how.
+// Config configures a Source.
 type Config struct {
 	Addr    string // of the platform's discovery, host:port
 	Timings Timings
@@ -24,70 +24,70 @@
 	Logf    func(format string, args ...any)
 }
 
-// Source follows the list for the engine. Of two addresses the older is watched until the newer has brought its list:
-// a change leaves no gap, and an address that never answers costs nothing. It goes on until it is told not to: nobody
-// has to ask again. The engine's goroutine owns it, but for Close.
+// Source follows the platform's list for the engine. When the address changes, the old one is watched until the new
+// one has sent its list, so a change leaves no gap and an address that never answers does no harm. Watching continues
+// until it is turned off. Apart from Close, all methods are called on the engine's goroutine.
 type Source struct {
 	config      Config
-	ctx         context.Context // of all that it starts: from New to Close
+	ctx         context.Context // of all goroutines, from New to Close
 	cancel      context.CancelFunc
-	running     sync.WaitGroup // of all that it starts
+	running     sync.WaitGroup // all goroutines
 	sink        Sink
 	client      *http.Client
 	version     uint32
-	versionAddr string   // the address that counts version
-	current     *watcher // whose lists count; nil: nothing is watched
+	versionAddr string   // the address whose generations version refers to
+	current     *watcher // whose lists are used; nil: nothing is watched
 	next        *watcher // takes over with its first list
 	fetching    bool
 }
 
-// New returns a source that goes on from a version. Nothing is called before Watch or Fetch.
+// New returns a source that continues from a version. It makes no calls before Watch or Fetch.
 func New(config Config, version uint32, sink Sink) *Source {
 	s := &Source{config: config, sink: sink, client: newClient(), version: version, versionAddr: config.Addr}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	return s
 }
 
-// Close ends all calls and waits for them. Only after the goroutine that Post leads to has ended, or where Post does
-// not wait for it.
+// Close cancels all calls and waits for them. Unless Post returns without waiting for the sink's goroutine, call it
+// only after that goroutine has ended.
 func (s *Source) Close() {
 	s.cancel()
 	s.running.Wait()
 }
 
-// Reload puts another address in force, and other names.
+// Reload changes the address and the names.
 func (s *Source) Reload(addr string, names Names) {
-	moves := addr != s.config.Addr
+	addrChanged := addr != s.config.Addr
 	s.config.Names = names
 	for _, w := range []*watcher{s.current, s.next} {
 		if w != nil {
 			w.names.Store(&names)
 		}
 	}
-	if !moves {
+	if !addrChanged {
 		return
 	}
-	s.config.Logf("discovery: from %s to %s", s.config.Addr, addr)
+	s.config.Logf("discovery: address changed from %s to %s", s.config.Addr, addr)
 	s.config.Addr = addr
 	if s.current == nil {
 		return // nothing is watched; the next call goes to the new address
 	}
 	s.next.stop()
-	// The new address may count its generations otherwise: its complete list is asked for, and reconciled. What stays
-	// in it keeps its health and connections.
+	// The new address may number its generations differently, so its full list is requested and reconciled. Backends
+	// that are still listed keep their health and connections.
 	s.next = s.startWatch()
 }
 
-// watcher stands for all calls at one address.
+// watcher is the state of all calls to one address.
 type watcher struct {
 	cancel  context.CancelFunc
 	addr    string
 	names   atomic.Pointer[Names]
-	version atomic.Uint32 // of the last list or change it brought
+	version atomic.Uint32 // generation of the last list or change received from it
 }
 
-// newWatcher stands for calls at the address in force. Its goroutines read the names from a copy: SIGHUP writes the
-// source's.
+// newWatcher returns a watcher for the address in force. Its goroutines read the names from a copy, as a SIGHUP changes
+// the source's.
 func (s *Source) newWatcher(cancel context.CancelFunc) *watcher {
 	w := &watcher{cancel: cancel, addr: s.config.Addr}
 	names := s.config.Names
@@ -101,8 +101,8 @@
 	}
 }
 
-// Watch follows the list, or stops following it. What is watched already goes on: a call on its way is worth more than
-// a new one, which may have to wait its turn behind it.
+// Watch starts or stops following the list. If it is followed already, its calls are left running: a new call would
+// have to queue behind those in flight.
 func (s *Source) Watch(on bool) {
 	if on && s.current == nil {
 		s.current = s.startWatch()
@@ -114,7 +114,7 @@
 	}
 }
 
-// Fetch fetches the complete list, with as many attempts as it takes. One fetch runs at a time.
+// Fetch fetches the full list, and retries until it succeeds. One fetch runs at a time.
 func (s *Source) Fetch() {
 	if s.fetching {
 		return
@@ -131,8 +131,8 @@
 	s.running.Go(func() { f.fetchUntilDone(s.ctx) })
 }
 
-// startWatch watches the address in force, from the version that it has brought before. Another address may count its
-// generations otherwise: that one is asked for the complete list.
+// startWatch watches the address in force, from the last version received from it. An address that has not sent one
+// yet may number its generations differently, so its full list is requested.
 func (s *Source) startWatch() *watcher {
 	ctx, cancel := context.WithCancel(s.ctx)
 	w := s.newWatcher(cancel)
@@ -148,7 +148,7 @@
 	return w
 }
 
-// postResynced hands on a list of the resync, unless the watch has brought more since it was asked for.
+// postResynced passes on a resynced list, unless the watch has received a newer one since it was requested.
 func (s *Source) postResynced(w *watcher, l *List) {
 	s.sink.Post(func() {
 		if l.Generation > w.version.Load() && s.accepts(w) {
@@ -157,7 +157,7 @@
 	})
 }
 
-// follower makes the calls at a watcher's address.
+// follower returns the follower that makes a watcher's calls.
 func (s *Source) follower(w *watcher) *follower {
 	return &follower{
 		timings: s.config.Timings, names: &w.names, addr: w.addr, client: s.client, logf: s.config.Logf,
@@ -171,7 +171,7 @@
 	}
 }
 
-// handleList hands on what an address has brought.
+// handleList passes a list or a change on to the sink.
 func (s *Source) handleList(w *watcher, l *List) {
 	kind := balancer.MembershipDelta
 	switch {
@@ -181,15 +181,15 @@
 	case l.Reset:
 		kind = balancer.MembershipFull
 	case s.versionAddr == w.addr && l.Generation < s.version:
-		return // a resync has brought it, and more
+		return // a resync has already received a newer list
 	}
 	s.version, s.versionAddr = l.Generation, w.addr
 	w.version.Store(l.Generation)
 	s.sink.OnList(l.ForEngine(kind, l.entries))
 }
 
-// accepts reports whether a watcher's lists still count. The next one's first list makes it the current one: what the
-// older one had on its way is void from then on.
+// accepts reports whether a watcher's lists are still used. The next watcher becomes the current one with its first
+// list; lists of the previous watcher that arrive later are ignored.
 func (s *Source) accepts(w *watcher) bool {
 	if w == s.next {
 		s.current.stop()
--- a/internal/discovery/platformwatch/source_test.go
+++ b/internal/discovery/platformwatch/source_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// sink runs what is posted at once.
+// sink runs posted events at once.
 type sink struct{ lists []engine.Membership }
 
 func (s *sink) Post(event func())          { event() }
@@ -33,8 +33,8 @@
 	return s
 }
 
-// A word that was on its way when its watch was overtaken is void.
-func TestAnOvertakenWatchIsNotHeard(t *testing.T) {
+// A list that arrives after its watch was replaced is ignored.
+func TestReplacedWatchIsIgnored(t *testing.T) {
 	t.Parallel()
 	s := newSource(t, false)
 	s.Watch(true)
@@ -42,20 +42,20 @@
 	s.Reload(testutil.ClosedAddr(t), Names{})
 	next := s.next
 	if next == nil || !s.accepts(old) {
-		t.Fatal("the old watch is not heard before the new one has told anything")
+		t.Fatal("the old watch is ignored before the new one has sent a list")
 	}
 	if !s.accepts(next) || s.accepts(old) || s.next != nil {
-		t.Error("after the new one's first word the old one still counts")
+		t.Error("the old watch is still accepted after the first list of the new one")
 	}
 	s.Watch(false)
 	if s.accepts(next) {
-		t.Error("a watch that was given up still counts")
+		t.Error("a stopped watch is still accepted")
 	}
 }
 
-// The module may ask again at any time, as it does where the list is asked for. That must not cost a watch that still
-// brings changes, nor a call that waits its turn, at the old address or at the new one.
-func TestAskingAgainSparesWhatStillRuns(t *testing.T) {
+// The engine may call Watch again at any time, as it does when lists are fetched on request. That must not end a working
+// watch, nor a call that is queued at discovery, at the old address or the new one.
+func TestRepeatedWatchKeepsRunningCalls(t *testing.T) {
 	t.Parallel()
 	s := newSource(t, true)
 	s.Watch(true)
@@ -65,18 +65,18 @@
 	next := s.next
 	s.Watch(true)
 	if s.current != old || next == nil || s.next != next || next.addr != s.config.Addr {
-		t.Fatal("asking again gave something up")
+		t.Fatal("calling Watch again ended a watch")
 	}
 	if !s.accepts(next) || s.current != next {
-		t.Error("the new address is not heard")
+		t.Error("the list of the new address is not accepted")
 	}
 	if s.Watch(true); s.current != next {
-		t.Error("asking again gave the new watch up")
+		t.Error("calling Watch again ended the new watch")
 	}
 }
 
-// The numbers of one address say nothing at another.
-func TestAnotherAddressIsAskedForTheWholeList(t *testing.T) {
+// The generations of one address mean nothing at another, so the full list is requested after a change of address.
+func TestNewAddressIsAskedForFullList(t *testing.T) {
 	t.Parallel()
 	d, err := standin.NewScript()
 	if err != nil {
@@ -87,19 +87,19 @@
 	s.Reload(d.Addr, Names{}) // nothing is watched yet
 	s.Watch(true)
 	if from := testutil.Receive(t, d.Watches, "the watch").From; from != "0" {
-		t.Errorf("asked for what came after %s", from)
+		t.Errorf("asked for the changes after generation %s", from)
 	}
 }
 
-// Machines are called what the settings in force say, also in what a watch of before tells.
+// New names apply to a running watch too, and replace the ones it reads instead of changing them.
 func TestNamesFollowTheSettings(t *testing.T) {
 	t.Parallel()
 	s := newSource(t, false)
 	s.Watch(true)
-	zones, reads := map[string]int{"koper": 0}, s.current.names.Load()
+	zones, before := map[string]int{"koper": 0}, s.current.names.Load()
 	s.Reload(s.config.Addr, Names{Zones: zones, Kinds: map[string]int{"std-1c": 3}})
-	if reads.Zones != nil || reads.Kinds != nil {
-		t.Error("what the watch is reading from was written")
+	if before.Zones != nil || before.Kinds != nil {
+		t.Error("the names that the watch may be reading were modified")
 	}
 	l, err := s.follower(s.current).parseList([]byte(`{"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1","zone":"koper","machineType":"std-1c","lifecycle":"Ready"}]}`))
 	if err != nil || l.entries[0].Kind != 3 {
@@ -107,8 +107,8 @@
 	}
 }
 
-// Of a list that can't be used, what its good entries say of backends that leave is heeded, and nothing else.
-func TestDrainsOfABadListAreHeeded(t *testing.T) {
+// Of a malformed list, only the drains and removals in its valid entries are applied.
+func TestDrainsOfMalformedListApply(t *testing.T) {
 	t.Parallel()
 	got := &sink{}
 	s := New(Config{Addr: testutil.ClosedAddr(t), Timings: TimingsFor(false, 3), Names: Names{Zones: map[string]int{"koper": 0}}, Logf: t.Logf}, 41, got)
@@ -128,30 +128,30 @@
 	}
 }
 
-// A whole list that takes longer than a call's patience, as behind a whole fleet's calls, is waited for longer each
-// time: given up just before its turn, ever again, it would never be had.
-func TestAWholeListIsWaitedFor(t *testing.T) {
+// The timeout for fetching the full list grows with each attempt. If the answer takes longer than the first timeout, as
+// when discovery first serves the calls of a whole fleet, every call would otherwise be abandoned just before its turn.
+func TestFetchTimeoutGrows(t *testing.T) {
 	t.Parallel()
-	const takes, patience = 250 * time.Millisecond, 100 * time.Millisecond
-	for name, timings := range map[string]Timings{"asked for": {QueueWait: patience}, "pushed": {}} {
+	const answerTime, timeout = 250 * time.Millisecond, 100 * time.Millisecond
+	for name, timings := range map[string]Timings{"on request": {QueueWait: timeout}, "pushed": {}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			raw, err := standin.StartRaw(func(c net.Conn, in *bufio.Reader) {
 				if _, err := http.ReadRequest(in); err != nil {
 					return
 				}
-				gone := make(chan struct{})
+				clientGone := make(chan struct{})
 				go func() {
-					defer close(gone)
+					defer close(clientGone)
 					if _, err := in.Peek(1); err == nil {
 						t.Error("the client sent more than its request")
 					}
 				}()
 				select {
-				case <-time.After(takes):
+				case <-time.After(answerTime):
 					const list = `{"generation":7,"reset":true,"instances":[]}`
 					fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
-				case <-gone:
+				case <-clientGone:
 				}
 			})
 			if err != nil {
@@ -159,7 +159,7 @@
 			}
 			t.Cleanup(raw.Close)
 			got := make(chan *List, 1)
-			timings.CallTimeout, timings.MinBackoff, timings.MaxBackoff = patience, time.Millisecond, 2*time.Millisecond
+			timings.CallTimeout, timings.MinBackoff, timings.MaxBackoff = timeout, time.Millisecond, 2*time.Millisecond
 			d := &follower{
 				timings: timings, names: new(atomic.Pointer[Names]), addr: raw.Addr, client: newClient(), logf: t.Logf,
 				onList: func(l *List) { got <- l },
--- a/internal/discovery/platformwatch/watch.go
+++ b/internal/discovery/platformwatch/watch.go
@@ -9,40 +9,40 @@
 	"time"
 )
 
-// callEvent is what a call for a watch brings.
+// callEvent is an event of a watch call.
 type callEvent struct {
 	id   int
 	kind callEventKind
-	list *List // of a line that has one; at an end: drains that count all the same
-	err  error // at an end: why
+	list *List // the list of a line, if any; when the call ended, the drains of a malformed list, if any
+	err  error // why the call ended
 }
 
 type callEventKind uint8
 
 const (
 	headReceived callEventKind = iota
-	lineReceived               // complete; a list, or blank
+	lineReceived               // a complete line: a list, or blank
 	callEnded
 )
 
-// watchLoop keeps one watch up. Calls are started, heard and cancelled by its goroutine alone, so a cancelled call is
-// not heard.
+// watchLoop keeps one watch up. Its goroutine alone starts and cancels calls and handles their events, so no event of a
+// cancelled call is handled.
 type watchLoop struct {
 	*follower
 	scheduler  callScheduler
-	start      time.Time // of the scheduler's clock
+	start      time.Time // when the scheduler's clock was 0
 	generation uint32    // of the last list or change
 	events     chan callEvent
-	calls      map[int]context.CancelFunc // that run and have not been cancelled
-	running    sync.WaitGroup             // of all calls
-	lastError  string                     // as logged: a series of the same is logged once
+	calls      map[int]context.CancelFunc // running and not cancelled
+	running    sync.WaitGroup             // all calls
+	lastError  string                     // last error logged; repeats of it are not logged
 }
 
-// follow keeps a watch up, from a generation on, until ctx ends and all its calls have.
+// follow keeps a watch up, starting from a generation, until ctx ends. It returns when all its calls have ended.
 func (f *follower) follow(ctx context.Context, generation uint32) {
 	loop := &watchLoop{
 		follower: f, start: time.Now(), generation: generation,
-		// A whole fleet may start with this process: as after a failure.
+		// A whole fleet may be starting with this process, so start as after a failure.
 		scheduler: callScheduler{timings: f.timings, jitter: rand.Float64, failures: 1},
 		events:    make(chan callEvent), calls: map[int]context.CancelFunc{},
 	}
@@ -100,9 +100,9 @@
 }
 
 func (l *watchLoop) onLine(event callEvent) {
-	unwanted, counts := l.scheduler.onLine(l.now(), event.id)
+	unwanted, use := l.scheduler.onLine(l.now(), event.id)
 	l.cancelCalls(unwanted)
-	if counts && event.list != nil {
+	if use && event.list != nil {
 		l.generation, l.lastError = event.list.Generation, ""
 		l.onList(event.list)
 	}
@@ -114,7 +114,7 @@
 	}
 	l.cancelCalls([]int{event.id})
 	if event.list != nil {
-		l.onList(event.list) // drains of a list that can't be used; its generation does not count
+		l.onList(event.list) // the drains of a malformed list, whose generation is not used
 	}
 	wasLive := l.scheduler.onEnd(l.now(), event.id)
 	text := event.err.Error()
@@ -124,7 +124,7 @@
 	}
 }
 
-// watchOnce makes one call for a watch, and sends what it brings until it ends or ctx does.
+// watchOnce makes one watch call and sends its events until the call or ctx ends.
 func (f *follower) watchOnce(ctx context.Context, id int, generation uint32, events chan<- callEvent) {
 	send := func(event callEvent) bool {
 		event.id = id
@@ -148,8 +148,8 @@
 	for {
 		list, err := f.nextList(&lists)
 		if err != nil {
-			// A line that can't be read may hide a change. The watch is dropped, the list so far stands, and
-			// the next watch brings what was missed.
+			// A malformed line may hide a change. The watch is dropped, the current list stays in force, and the
+			// next watch sends the missed changes.
 			send(callEvent{kind: callEnded, list: list, err: err})
 			return
 		}
@@ -159,7 +159,7 @@
 	}
 }
 
-// nextList reads the next list of a watch; nil for a blank line.
+// nextList reads the next list of a watch. It returns nil for a blank line.
 func (f *follower) nextList(lists *listReader) (*List, error) {
 	text, err := lists.next()
 	if err != nil || len(text) == 0 {
