--- a/internal/discovery/membership/event.go
+++ b/internal/discovery/membership/event.go
@@ -191,9 +191,9 @@
 	topic := malformedTopic(s, item.Name)
 	if old, listed := previous[item.Name]; listed {
 		s.items[item.Name] = old
-		m.log(topic, "%s: entry %s is malformed (%s); keeping its last valid version", s.name, item.Name, item.Malformed)
+		m.log(topic, "%s: entry %s can't be read (%s); keeping its last valid version", s.name, item.Name, item.Malformed)
 	} else {
-		m.log(topic, "%s: entry %s is malformed (%s); ignoring it", s.name, item.Name, item.Malformed)
+		m.log(topic, "%s: entry %s can't be read (%s); ignoring it", s.name, item.Name, item.Malformed)
 	}
 	if len(s.malformed) < maxMalformed {
 		s.malformed[item.Name] = item.Malformed
--- a/internal/discovery/sources/convert.go
+++ b/internal/discovery/sources/convert.go
@@ -10,7 +10,7 @@
 	"marlreel/internal/discovery/membership"
 )
 
-// emitList gives the engine a complete list.
+// emitList gives the engine a full list.
 func (s *Source) emitList(list map[string]membership.Entry, cached bool) {
 	s.listVersion++
 	l := engine.Membership{Kind: balancer.MembershipFull, Version: s.listVersion, Entries: make([]engine.Entry, 0, len(list))}
@@ -23,11 +23,11 @@
 	s.host.ApplyMembership(l)
 }
 
-// emitDelta gives the engine a change.
+// emitDelta gives the engine a change to the list.
 func (s *Source) emitDelta(delta membership.Delta) {
 	s.listVersion++
 	l := engine.Membership{Kind: balancer.MembershipDelta, Version: s.listVersion}
-	for _, name := range delta.Removed { // first: another may have the address now
+	for _, name := range delta.Removed { // first, as a changed entry may have taken over the address
 		l.Entries = append(l.Entries, engine.Entry{Name: name, Zone: -1, Kind: -1, State: balancer.Gone})
 	}
 	for _, name := range slices.Sorted(maps.Keys(delta.Changed)) {
@@ -36,7 +36,7 @@
 	s.host.ApplyMembership(l)
 }
 
-// toEngine is an entry in the engine's form. Unknown zones and kinds are -1.
+// toEngine converts an entry to the engine's form. Unknown zones and kinds become -1.
 func (s *Source) toEngine(name string, e membership.Entry) engine.Entry {
 	names := s.names.Load()
 	entry := engine.Entry{Name: name, Addr: e.Addr, Zone: -1, Kind: -1, Cell: e.Cell, State: balancer.Ready, Weight: e.Weight}
@@ -55,7 +55,7 @@
 	return entry
 }
 
-// fromEngine is an entry of the platform's list in the model's form.
+// fromEngine converts an entry of the platform's list to the model's form.
 func (s *Source) fromEngine(e engine.Entry) membership.Entry {
 	entry := membership.Entry{
 		Addr: e.Addr, Zone: s.zones[e.Zone], Kind: s.kinds[e.Kind], Cell: e.Cell,
@@ -67,7 +67,7 @@
 	return entry
 }
 
-// fromBackend is a backend of the engine in the model's form.
+// fromBackend converts a backend of the engine to the model's form.
 func (s *Source) fromBackend(b *engine.Backend) membership.Entry {
 	entry := membership.Entry{
 		Addr: b.Addr, Zone: s.zones[b.Zone], Kind: s.kinds[b.Kind], Cell: b.Cell,
--- a/internal/discovery/sources/platformsink.go
+++ b/internal/discovery/sources/platformsink.go
@@ -7,7 +7,7 @@
 	"marlreel/internal/discovery/platformwatch"
 )
 
-// platformSink hands what the platform's watch brings to the model, or to the engine where there is no model.
+// platformSink passes the lists of the platform's watch to the model, or to the engine if there is no model.
 type platformSink struct{ *Source }
 
 var _ platformwatch.Sink = platformSink{}
--- a/internal/discovery/sources/registrywatch.go
+++ b/internal/discovery/sources/registrywatch.go
@@ -12,13 +12,13 @@
 	"marlreel/internal/discovery/registry"
 )
 
-// registryWatch is one following of one registry. What it reports after it was replaced or cancelled does not count.
+// registryWatch is a running registry.Follow. Its reports are ignored once it has been replaced or cancelled.
 type registryWatch struct {
 	cancel context.CancelFunc
-	resync chan struct{} // a request for a snapshot; one is kept
+	resync chan struct{} // requests for a snapshot; at most one is pending
 }
 
-// requestSnapshot asks for a snapshot, unless one is asked for already.
+// requestSnapshot requests a snapshot, unless a request is pending.
 func (w *registryWatch) requestSnapshot() {
 	select {
 	case w.resync <- struct{}{}:
@@ -26,7 +26,7 @@
 	}
 }
 
-// CheckRegistry returns an error where a registry can't be put in force: its settings or files are wrong.
+// CheckRegistry returns an error if the settings of a registry are invalid or the files that they name are unusable.
 func CheckRegistry(config registry.Config) error {
 	if err := config.Validate(); err != nil {
 		return err
@@ -34,7 +34,7 @@
 	return config.CheckFiles()
 }
 
-// SetRegistry puts a registry in force, another one, or none. After an error what was in force stays.
+// SetRegistry sets, replaces or removes the registry. On an error, the previous one stays in force.
 func (s *Source) SetRegistry(config registry.Config) error {
 	if reflect.DeepEqual(config, s.config) || !config.Enabled() && !s.config.Enabled() {
 		return nil
@@ -63,24 +63,24 @@
 
 func (s *Source) cancelRegistryWatch() {
 	if s.registryWatch != nil {
-		s.registryWatch.cancel() // it ends by itself
+		s.registryWatch.cancel() // its goroutine then ends by itself
 		s.registryWatch = nil
 	}
 }
 
-// follow begins a registry watch.
+// follow starts a registry watch.
 func (s *Source) follow(client registry.Client) {
-	ctx, cancel := context.WithCancel(context.Background()) // until SetRegistry or Close cancels it
+	ctx, cancel := context.WithCancel(context.Background()) // cancelled by SetRegistry or Close
 	watch := &registryWatch{cancel: cancel, resync: make(chan struct{}, 1)}
 	s.registryWatch = watch
 	s.logf("registry: following %s at %v", s.config.Kind, s.config.Endpoints)
 	s.running.Go(func() {
 		registry.Follow(ctx, client, registryObserver{s, watch}, watch.resync)
-		client.NextEndpoint() // closes the connections that are kept alive
+		client.NextEndpoint() // closes idle connections
 	})
 }
 
-// startModel begins to judge between two lists; the one in force is the platform's.
+// startModel creates the model that chooses between the two lists. The list in force is the platform's.
 func (s *Source) startModel() {
 	s.model = membership.New(membership.Config{
 		Sources: []string{"registry", "platform"}, LossTimeout: s.config.LossTimeout.D(), FailbackDelay: s.config.FailbackDelay.D(),
@@ -97,15 +97,15 @@
 	if len(snapshot.Items) == 0 {
 		return
 	}
-	// The list in force may be from before this process. The platform's changes continue from it, so the model has to
-	// know it; whose list it is shows with the first report of either source.
+	// The list in force may be from an earlier process. The platform's changes continue from it, so the model has to
+	// know it; it belongs to no source until one of them has reported.
 	s.applyWithoutLists(s.model.OnCachedList(s.host.Now(), list))
 	if s.platformReported {
 		s.applyWithoutLists(s.model.OnSnapshot(s.host.Now(), platformIndex, snapshot))
 	}
 }
 
-// applyWithoutLists carries out all actions but lists: the engine has this list.
+// applyWithoutLists carries out all actions but full lists, as the engine already has this list.
 func (s *Source) applyWithoutLists(actions []membership.Action) {
 	s.apply(slices.DeleteFunc(actions, func(action membership.Action) bool {
 		_, isList := action.(membership.FullList)
@@ -113,17 +113,18 @@
 	}))
 }
 
-// stopModel ends the judging: the platform's list is in force from now on, as far as it is known.
+// stopModel removes the model, and puts the platform's list in force if it is known.
 func (s *Source) stopModel() {
 	list, known := s.model.SourceList(platformIndex)
 	s.model, s.nextTickAt = nil, 0
-	s.logf("registry: off")
+	s.logf("registry: disabled")
 	if known {
 		s.emitList(list, false)
 	}
 }
 
-// registryObserver hands what a registry's client reports, on its own goroutine, to the model, on the engine's.
+// registryObserver passes the reports of a registry's client, which come on another goroutine, to the model on the
+// engine's goroutine.
 type registryObserver struct {
 	source *Source
 	watch  *registryWatch
@@ -131,7 +132,7 @@
 
 var _ registry.Observer = registryObserver{}
 
-// post runs an event on the engine's goroutine, unless the watch has been replaced by then.
+// post runs an event on the engine's goroutine, unless the watch has been replaced in the meantime.
 func (o registryObserver) post(event func(m *membership.Model, now time.Duration) []membership.Action) {
 	o.source.host.Post(func() {
 		if o.source.registryWatch == o.watch && o.source.model != nil {
@@ -177,7 +178,7 @@
 	})
 }
 
-// markUnknownZones marks entries in zones that the settings don't have as malformed. Any goroutine may call it.
+// markUnknownZones marks entries whose zone is not in the settings as malformed. Any goroutine may call it.
 func (s *Source) markUnknownZones(items []membership.Item) {
 	zones := s.names.Load().Zones
 	for i := range items {
--- a/internal/discovery/sources/source.go
+++ b/internal/discovery/sources/source.go
@@ -11,7 +11,7 @@
 	"marlreel/internal/discovery/registry"
 )
 
-// Host is the part of the engine that a Source uses. All but Post and Now are called on its goroutine.
+// Host is the part of the engine that a Source uses. All methods but Post and Now are called on the engine's goroutine.
 type Host interface {
 	Post(event func())
 	ApplyMembership(l engine.Membership)
@@ -27,31 +27,31 @@
 	platformIndex
 )
 
-// maxEntries bounds the list of a source.
+// maxEntries bounds the list of each source.
 const maxEntries = 20_000
 
-// Source is the engine's source of lists. The engine's goroutine owns it, but for Close.
+// Source is the engine's source of lists. Apart from Close, all methods are called on the engine's goroutine.
 type Source struct {
 	host     Host
 	platform *platformwatch.Source
-	names    atomic.Pointer[platformwatch.Names] // in force
-	zones    map[int]string                      // their inverse
-	kinds    map[int]string
+	names    atomic.Pointer[platformwatch.Names] // the names in force
+	zones    map[int]string                      // zone names by index
+	kinds    map[int]string                      // kind names by index
 	logf     func(format string, args ...any)
 
 	config           registry.Config
-	model            *membership.Model // nil: the platform alone
+	model            *membership.Model // nil: only the platform's list is used
 	registryWatch    *registryWatch    // nil: no registry is followed
-	running          sync.WaitGroup    // of registry watches
-	platformVersion  uint32            // of the platform's last list or change
-	platformReported bool              // the platform has sent a list or a change in this process
-	listVersion      uint32            // of the last list or change given to the engine
-	nextTickAt       time.Duration     // when the model's next tick is due; 0: none is
+	running          sync.WaitGroup    // registry watches
+	platformVersion  uint32            // version of the platform's last list or change
+	platformReported bool              // whether the platform has sent a list or a change to this process
+	listVersion      uint32            // version of the last list or change given to the engine
+	nextTickAt       time.Duration     // when the model's next tick is due; 0: none is scheduled
 }
 
 var _ engine.Source = (*Source)(nil)
 
-// New returns a source. Nothing is called before Watch, Fetch or SetRegistry.
+// New returns a source. It makes no calls before Watch, Fetch or SetRegistry.
 func New(config platformwatch.Config, version uint32, host Host) *Source {
 	s := &Source{host: host, logf: config.Logf, platformVersion: version, listVersion: version, zones: map[int]string{}, kinds: map[int]string{}}
 	s.setNames(config.Names)
@@ -65,7 +65,7 @@
 // Fetch implements engine.Source.
 func (s *Source) Fetch() { s.platform.Fetch() }
 
-// Reload puts another address of the platform's discovery in force, and other names.
+// Reload changes the address of the platform's discovery and the names.
 func (s *Source) Reload(addr string, names platformwatch.Names) {
 	s.setNames(names)
 	s.platform.Reload(addr, names)
@@ -84,7 +84,7 @@
 	}
 }
 
-// Close ends all calls and waits for them. Only when the engine has ended, or before it runs.
+// Close cancels all calls and waits for them. Call it only before the engine runs or after it has ended.
 func (s *Source) Close() {
 	if s.registryWatch != nil {
 		s.registryWatch.cancel()
@@ -93,7 +93,7 @@
 	s.running.Wait()
 }
 
-// apply carries the model's actions out.
+// apply carries out the model's actions.
 func (s *Source) apply(actions []membership.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -120,7 +120,7 @@
 	}
 }
 
-// scheduleTick sees to it that the model's next tick happens, unless an earlier one is due.
+// scheduleTick schedules the model's next tick, unless an earlier one is scheduled.
 func (s *Source) scheduleTick() {
 	now := s.host.Now()
 	next := s.model.NextTick(now)
@@ -136,7 +136,8 @@
 	})
 }
 
-// Origin returns whose list is in force and its revision; false: it is a cached one, or the platform's alone is known.
+// Origin returns the name of the source whose list is in force and the list's revision. It returns false if the list is
+// a cached one, or no registry is configured.
 func (s *Source) Origin() (source string, revision int64, known bool) {
 	if s.model == nil {
 		return "", 0, false
@@ -145,7 +146,7 @@
 	return status.Source, status.Revision, status.Source != ""
 }
 
-// Status returns the state of the lists; false: there is the platform's alone.
+// Status returns the state of the lists. It returns false if no registry is configured.
 func (s *Source) Status() (membership.Status, bool) {
 	if s.model == nil {
 		return membership.Status{}, false
