--- a/internal/discovery/platformwatch/callscheduler_test.go
+++ b/internal/discovery/platformwatch/callscheduler_test.go
@@ -243,7 +243,7 @@
 	for now := time.Duration(0); f.left > 0 && now < time.Minute; now += time.Millisecond {
 		for _, p := range f.proxies {
 			if !p.answered {
-				f.step(p, now)
+				f.advance(p, now)
 			}
 		}
 	}
@@ -295,8 +295,8 @@
 	}
 }
 
-// step runs one proxy at the time now.
-func (f *queuedFleet) step(p *queuedProxy, now time.Duration) {
+// advance runs one proxy at the time now.
+func (f *queuedFleet) advance(p *queuedProxy, now time.Duration) {
 	for id, at := range p.answers {
 		if at <= now {
 			p.onLine(now, id)
--- a/internal/discovery/registry/compatibility_test.go
+++ b/internal/discovery/registry/compatibility_test.go
@@ -19,7 +19,7 @@
 	"marlreel/internal/testing/recorded"
 )
 
-// recordedRegistry answers calls in their order from a script, and writes them down.
+// recordedRegistry records calls and answers them in order from a script.
 type recordedRegistry struct {
 	t       *testing.T
 	mu      sync.Mutex
@@ -63,11 +63,11 @@
 	_, text, _ = strings.Cut(text, " ")
 	w.WriteHeader(status)
 	if _, err := io.WriteString(w, text); err != nil {
-		r.t.Logf("the client left before the end of its answer: %v", err) // a watch may
+		r.t.Logf("the client disconnected before the end of its answer: %v", err) // allowed for a watch
 	}
 }
 
-// recorder writes down what a client tells.
+// recorder records what a client reports.
 type recorder struct{ strings.Builder }
 
 func (w *recorder) item(i membership.Item) {
@@ -91,9 +91,10 @@
 
 func (w *recorder) OnProgress(revision int64) { fmt.Fprintf(w, "  progress %d\n", revision) }
 func (w *recorder) OnCompacted()              { fmt.Fprintln(w, "  compacted") }
-func (w *recorder) OnLost(why string)         { fmt.Fprintln(w, "  lost:", why) }
+func (w *recorder) OnLost(reason string)      { fmt.Fprintln(w, "  lost:", reason) }
 
-// exchangeWith makes all calls of a client against recorded answers, and returns what went out and what was understood.
+// exchangeWith makes all calls of a client against scripted answers, and returns the requests and what was parsed of the
+// answers.
 func exchangeWith(t *testing.T, kind, user string, answers []string, watches int) string {
 	t.Helper()
 	r := &recordedRegistry{t: t, answers: answers}
@@ -122,12 +123,12 @@
 	got.call(t, r, "renew a lease that has ended", w.Renew(ctx, lease))
 	got.call(t, r, "revoke", w.Revoke(ctx, lease))
 	if len(r.answers) > 0 {
-		t.Errorf("%d answers were not asked for", len(r.answers))
+		t.Errorf("%d scripted answers were not used", len(r.answers))
 	}
 	return got.String()
 }
 
-// recordedClient makes a client of a registry with a password.
+// recordedClient returns a client that uses a password.
 func recordedClient(t *testing.T, kind, user, endpoint string) Writer {
 	t.Helper()
 	secret := filepath.Join(t.TempDir(), "secret")
@@ -147,7 +148,7 @@
 	return w
 }
 
-// call writes down a call: what went out, and the error by what it is, as the words for people may change.
+// call records the requests of a call and its error. It records the kind of error, as the texts may change.
 func (w *recorder) call(t *testing.T, r *recordedRegistry, what string, err error) {
 	t.Helper()
 	r.mu.Lock()
@@ -168,7 +169,7 @@
 	}
 }
 
-// The calls to etcd's JSON gateway, and what is read of its answers.
+// The calls to etcd's JSON gateway, and how its answers are parsed.
 func TestCompatibilityEtcd(t *testing.T) {
 	const (
 		n1     = `{"key":"bWFybHJlZWwvbm9kZXMvbjE=","value":"eyJ2IjoxLCJhZGRyZXNzIjoiMTI3LjAuMC4xOjkwMDEiLCJ6b25lIjoia29wZXIiLCJzdGF0ZSI6InJlYWR5In0=","mod_revision":"15"}`
@@ -196,7 +197,7 @@
 	}, 2))
 }
 
-// The calls to Consul, and what is read of its answers.
+// The calls to Consul, and how its answers are parsed.
 func TestCompatibilityConsul(t *testing.T) {
 	const (
 		folder = `{"Key":"marlreel/nodes/","Value":null,"ModifyIndex":2}`
@@ -219,7 +220,7 @@
 	}, 1))
 }
 
-// A node's value in the registry, with all keys and with the least, and how each is read.
+// A node's value in the registry, with all keys and with only the required ones, and how it is parsed.
 func TestCompatibilityNodeValue(t *testing.T) {
 	var got recorder
 	for _, v := range []Value{
@@ -231,7 +232,7 @@
 			t.Fatal(err)
 		}
 		if !json.Valid(text) {
-			t.Errorf("%s is no JSON", text)
+			t.Errorf("%s is not valid JSON", text)
 		}
 		fmt.Fprintf(&got, "%s\n", text)
 		got.item(ParseItem("marlreel/nodes/", "marlreel/nodes/n1", text, 5))
--- a/internal/discovery/registry/config.go
+++ b/internal/discovery/registry/config.go
@@ -14,19 +14,19 @@
 
 // Config is the table [registry] of the settings.
 type Config struct {
-	Kind            string              `toml:"kind"`          // etcd, consul; "" is off
-	Endpoints       []string            `toml:"endpoints"`     // http://host:port, or https
-	Prefix          string              `toml:"prefix"`        // of the nodes' keys
-	User            string              `toml:"user"`          // of etcd
-	PasswordFile    string              `toml:"password-file"` // holds the password, or Consul's token
-	CA              string              `toml:"ca"`            // files, PEM
+	Kind            string              `toml:"kind"`          // etcd or consul; "" means no registry
+	Endpoints       []string            `toml:"endpoints"`     // http://host:port or https://host:port
+	Prefix          string              `toml:"prefix"`        // of the keys of nodes
+	User            string              `toml:"user"`          // for etcd only
+	PasswordFile    string              `toml:"password-file"` // contains the password of User, or Consul's token
+	CA              string              `toml:"ca"`            // ca, cert and key are PEM files
 	Cert            string              `toml:"cert"`
 	Key             string              `toml:"key"`
 	LossTimeout     stricttoml.Duration `toml:"patience"` // how long an unreachable registry's list stays in force
-	FailbackDelay   stricttoml.Duration `toml:"settle"`   // how long it must be reachable before its list is in force again
-	MaxLossFraction float64             `toml:"guard"`    // of the list, above 0 to 1, that may go within LossWindow
+	FailbackDelay   stricttoml.Duration `toml:"settle"`   // how long the registry must be reachable before its list is in force again
+	MaxLossFraction float64             `toml:"guard"`    // of the list, above 0 and up to 1, that may be removed within LossWindow
 	LossWindow      stricttoml.Duration `toml:"guard-over"`
-	MaxFlaps        float64             `toml:"flaps"` // returns within FlapDecay after which an entry is damped; 0 is no bound
+	MaxFlaps        float64             `toml:"flaps"` // returns within FlapDecay after which an entry is damped; 0 means no limit
 	FlapDecay       stricttoml.Duration `toml:"flap-over"`
 }
 
@@ -38,10 +38,10 @@
 	}
 }
 
-// Enabled reports whether a registry is set.
+// Enabled reports whether a registry is configured.
 func (c *Config) Enabled() bool { return c.Kind != "" }
 
-// Validate returns the first setting that is wrong, as a SettingError.
+// Validate returns a SettingError for the first invalid setting.
 func (c *Config) Validate() error {
 	if !c.Enabled() {
 		if len(c.Endpoints) > 0 {
@@ -61,7 +61,7 @@
 	case c.User != "" && c.PasswordFile == "":
 		return &SettingError{"registry.password-file", " is missing: user needs it"}
 	case c.Kind == "consul" && c.User != "":
-		return &SettingError{"registry.user", ": Consul has tokens alone; password-file holds it"}
+		return &SettingError{"registry.user", ": Consul only uses tokens; put the token into password-file"}
 	case c.LossTimeout < 0 || c.FailbackDelay < 0 || c.LossWindow < 0 || c.FlapDecay <= 0:
 		return &SettingError{"registry.patience", ", settle and guard-over can't be below 0, and flap-over must be above"}
 	case !(c.MaxLossFraction > 0 && c.MaxLossFraction <= 1):
@@ -85,7 +85,7 @@
 	return u.Host != "" && (u.Path == "" || u.Path == "/") && u.RawQuery == "" && u.User == nil
 }
 
-// CheckFiles reads the files that the settings name. Its errors are FileErrors.
+// CheckFiles checks that the files named by the settings can be read. Its errors are FileErrors.
 func (c *Config) CheckFiles() error {
 	if !c.Enabled() {
 		return nil
@@ -97,7 +97,7 @@
 	return err
 }
 
-// tls returns the settings of TLS connections. Its errors are FileErrors.
+// tls returns the configuration of TLS connections. Its errors are FileErrors.
 func (c *Config) tls() (*tls.Config, error) {
 	t := &tls.Config{MinVersion: tls.VersionTLS12}
 	if c.CA != "" {
@@ -107,7 +107,7 @@
 		}
 		t.RootCAs = x509.NewCertPool()
 		if !t.RootCAs.AppendCertsFromPEM(pem) {
-			return nil, &FileError{"registry.ca", fmt.Errorf("%s holds no certificate in PEM", c.CA)}
+			return nil, &FileError{"registry.ca", fmt.Errorf("%s contains no PEM certificate", c.CA)}
 		}
 	}
 	if c.Cert != "" {
@@ -120,7 +120,7 @@
 	return t, nil
 }
 
-// password reads the secret anew each time: it may be rotated while this runs.
+// password reads the secret from its file each time, as it may be rotated while the process runs.
 func (c *Config) password() (string, error) {
 	if c.PasswordFile == "" {
 		return "", nil
--- a/internal/discovery/registry/consul.go
+++ b/internal/discovery/registry/consul.go
@@ -16,8 +16,8 @@
 	"marlreel/internal/discovery/membership"
 )
 
-// consul speaks Consul's KV store by blocking queries: the whole list each time, at an index. An index that
-// goes back means another history, as after a restore, and is asked for from 0 on.
+// consul is a client of Consul's KV store. It uses blocking queries, each of which returns the full list at an index.
+// An index that goes back means that the history was replaced, as by a restore; the next query then starts from 0.
 type consul struct{ *transport }
 
 type consulKV struct {
@@ -29,10 +29,10 @@
 // blockFor is how long a query may wait for a change. Consul adds up to a sixteenth of it.
 const blockFor = 55 * time.Second
 
-// maxJitter spreads the queries of many proxies that wait for the same change.
+// maxJitter spreads the queries of many proxies that were waiting for the same change.
 const maxJitter = 20 * time.Millisecond
 
-// ReadSnapshot implements Client. Where there is no leader, a server's own list is taken for what it is.
+// ReadSnapshot implements Client. If there is no leader, it reads a single server's list and marks it stale.
 func (c *consul) ReadSnapshot(ctx context.Context) (membership.Snapshot, error) {
 	snapshot, err := c.query(ctx, 0, "consistent")
 	var failed *callError
@@ -47,7 +47,7 @@
 	return stale, nil
 }
 
-// Watch implements Client: one query after the other.
+// Watch implements Client by consecutive blocking queries.
 func (c *consul) Watch(ctx context.Context, from membership.Snapshot, observer Observer) error {
 	index := from.Revision
 	for {
@@ -70,7 +70,7 @@
 	}
 }
 
-// query reads all nodes, and waits for an index beyond the one given; 0 is not to wait.
+// query reads all nodes. It first waits until the index is above the given one, unless that is 0.
 func (c *consul) query(ctx context.Context, index int64, mode string) (membership.Snapshot, error) {
 	timeout := callTimeout
 	query := "?recurse=true&" + mode
@@ -92,7 +92,7 @@
 	return c.readSnapshot(response)
 }
 
-// authorization returns the header of calls.
+// authorization returns the headers of calls.
 func (c *consul) authorization() (http.Header, error) {
 	token, err := c.config.password()
 	if err != nil {
@@ -105,7 +105,7 @@
 	return header, nil
 }
 
-// readSnapshot reads the answer to a query. 404 with an index means that there are no keys.
+// readSnapshot reads the response to a query. Status 404 with an index means that there are no keys.
 func (c *consul) readSnapshot(response *http.Response) (membership.Snapshot, error) {
 	text := response.Header.Get("X-Consul-Index")
 	index, err := strconv.ParseInt(text, 10, 64)
@@ -135,7 +135,7 @@
 	return snapshot, nil
 }
 
-// escape is a prefix as a path has it.
+// escape escapes a key or prefix for use in a path.
 func escape(prefix string) string {
 	parts := strings.Split(prefix, "/")
 	for i, p := range parts {
--- a/internal/discovery/registry/consulwrite.go
+++ b/internal/discovery/registry/consulwrite.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// maxAnswerBytes bounds the answer to a write.
+// maxAnswerBytes bounds the response to a write.
 const maxAnswerBytes = 1 << 20
 
 // Put implements Writer.
@@ -24,7 +24,7 @@
 	if err != nil || done {
 		return err
 	}
-	// Consul answers alike where a session has ended and where an entry has changed.
+	// Consul's answer is the same if the session has ended and if the entry has changed.
 	if lease != "" && c.Renew(ctx, lease) != nil {
 		return ErrLeaseEnded
 	}
@@ -40,7 +40,7 @@
 	return err
 }
 
-// write writes an entry if it is at the revision, and reports whether it was.
+// write puts or deletes an entry if it is at the given revision, and reports whether it was.
 func (c *consul) write(ctx context.Context, method, name string, revision int64, query url.Values, value []byte) (done bool, err error) {
 	if revision != AnyRevision {
 		query.Set("cas", strconv.FormatInt(revision, 10))
@@ -49,7 +49,7 @@
 	return done, err
 }
 
-// answer makes a call that has one answer, in JSON.
+// answer makes a call and decodes its JSON response.
 func (c *consul) answer(ctx context.Context, method, path string, body []byte, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -72,7 +72,7 @@
 	return json.NewDecoder(io.LimitReader(response.Body, maxAnswerBytes)).Decode(into)
 }
 
-// Grant implements Writer: a session whose keys go with it.
+// Grant implements Writer with a session that deletes its keys when it ends.
 func (c *consul) Grant(ctx context.Context, ttl time.Duration) (string, error) {
 	body, err := json.Marshal(map[string]string{"TTL": ttl.String(), "Behavior": "delete", "LockDelay": "0s"})
 	if err != nil {
--- a/internal/discovery/registry/errors.go
+++ b/internal/discovery/registry/errors.go
@@ -7,17 +7,17 @@
 	"net/url"
 )
 
-// SettingError is a key of [registry] that makes no sense.
+// SettingError is returned for a key of [registry] whose value is invalid.
 type SettingError struct{ Key, Problem string }
 
 func (e *SettingError) Error() string { return e.Key + e.Problem }
 
 // Advice says what an operator can do.
 func (e *SettingError) Advice() string {
-	return "set the key to what is needed; docs/REGISTRY.md says what each does"
+	return "correct the value of the key; docs/REGISTRY.md describes each one"
 }
 
-// FileError is a file that [registry] names and that can't be used.
+// FileError is returned if a file that [registry] names can't be used.
 type FileError struct {
 	Key string
 	Err error
@@ -28,10 +28,10 @@
 
 // Advice says what an operator can do.
 func (e *FileError) Advice() string {
-	return "put a good file there, and let this program's user read it"
+	return "make sure that the file is valid and that this program's user can read it"
 }
 
-// ReachError is an endpoint of the registry that can't be reached.
+// ReachError is returned if an endpoint of the registry can't be reached.
 type ReachError struct {
 	Endpoint string
 	Err      error
@@ -42,60 +42,62 @@
 
 // Advice says what an operator can do.
 func (e *ReachError) Advice() string {
-	return "see whether " + e.Endpoint + " runs and can be reached from here; other endpoints are tried by themselves"
+	return "check that " + e.Endpoint + " is running and can be reached from here; other endpoints are tried automatically"
 }
 
-// ConflictError is an entry that somebody else wrote meanwhile.
+// ConflictError is returned if an entry was written by another client since it was read.
 type ConflictError struct{}
 
-func (e *ConflictError) Error() string { return "it was written by another meanwhile" }
+func (e *ConflictError) Error() string {
+	return "it has been written by another client in the meantime"
+}
 
 // Advice says what an operator can do.
 func (e *ConflictError) Advice() string {
-	return "look at it with 'marlreelctl nodes list', and try again if it is still wanted"
+	return "check the entry with 'marlreelctl nodes list', and repeat the change if it is still needed"
 }
 
-// LeaseError is a lease that has ended.
+// LeaseError is returned if a lease has ended.
 type LeaseError struct{}
 
 func (e *LeaseError) Error() string { return "the lease has ended" }
 
 // Advice says what an operator can do.
 func (e *LeaseError) Advice() string {
-	return "nothing: the node enters anew by itself; if it happens often, see whether it reaches the registry in time"
+	return "nothing: the node registers again by itself; if this happens often, check whether it reaches the registry in time"
 }
 
-// QuorumError is a registry that has no majority.
+// QuorumError is returned if the registry has no quorum.
 type QuorumError struct{}
 
-func (e *QuorumError) Error() string { return "the registry has no quorum: what it says may be old" }
+func (e *QuorumError) Error() string { return "the registry has no quorum: its data may be stale" }
 
 // Advice says what an operator can do.
-func (e *QuorumError) Advice() string { return "bring a majority of the registry's members back first" }
+func (e *QuorumError) Advice() string { return "first bring a majority of the registry's members back" }
 
-// NameTakenError is a node's name that another has.
+// NameTakenError is returned if a node's name is registered at another address.
 type NameTakenError struct{ Name, Address string }
 
 func (e *NameTakenError) Error() string {
-	return fmt.Sprintf("%s is already at %s: another node has the name, or it was this one's until its lease ends", e.Name, e.Address)
+	return fmt.Sprintf("%s is already registered at %s: by another node, or by this one until its old lease ends", e.Name, e.Address)
 }
 
 // Advice says what an operator can do.
 func (e *NameTakenError) Advice() string {
-	return "give each node a name of its own, or wait until the lease has ended"
+	return "give each node a unique name, or wait until the lease has ended"
 }
 
-// ValueError is a node's entry that can't be read.
+// ValueError is returned for a malformed entry of a node.
 type ValueError struct{ Reason string }
 
 func (e *ValueError) Error() string { return e.Reason }
 
 // Advice says what an operator can do.
 func (e *ValueError) Advice() string {
-	return "write the entry anew with 'marlreelctl nodes put'; until then the node is passed over"
+	return "rewrite the entry with 'marlreelctl nodes put'; until then the malformed entry is ignored"
 }
 
-// callError is an answer that is an error.
+// callError is a response that reports an error.
 type callError struct {
 	Status  int
 	Code    int    `json:"code"`
@@ -116,27 +118,27 @@
 	if e.Status == http.StatusUnauthorized || e.Status == http.StatusForbidden {
 		return "look at registry.user and registry.password-file, and at what that user may do in the registry"
 	}
-	return "look at the registry's own log; the proxies go by the platform's list while it is lost"
+	return "check the registry's log; while the registry is unreachable, the proxies use the platform's list"
 }
 
-// Unreachable tells whether an error is an endpoint's: another one may do.
+// Unreachable reports whether an error is the endpoint's, so that another endpoint may work.
 func Unreachable(err error) bool {
 	var bad *callError
 	var call *url.Error
 	return errors.As(err, &call) || errors.As(err, &bad) && bad.Status >= 500
 }
 
-// ProtocolError is an answer of a registry that isn't as its protocol has it, or too large.
+// ProtocolError is returned if a registry's response violates its protocol or is too large.
 type ProtocolError struct{ Reason string }
 
 func (e *ProtocolError) Error() string { return e.Reason }
 
 // Advice says what an operator can do.
 func (e *ProtocolError) Advice() string {
-	return "see whether registry.endpoints and registry.prefix name what is meant, and look at the registry's own log"
+	return "check that registry.endpoints and registry.prefix are right, and look at the registry's log"
 }
 
-// LoginError is a login that etcd did not accept.
+// LoginError is returned if etcd rejects a login.
 type LoginError struct {
 	User string
 	Err  error
@@ -144,7 +146,7 @@
 
 func (e *LoginError) Error() string { return fmt.Sprintf("user %s: %v", e.User, e.Err) }
 
-// Unwrap returns etcd's answer.
+// Unwrap returns etcd's error.
 func (e *LoginError) Unwrap() error { return e.Err }
 
 // Advice says what an operator can do.
--- a/internal/discovery/registry/etcd.go
+++ b/internal/discovery/registry/etcd.go
@@ -12,8 +12,8 @@
 	"marlreel/internal/discovery/membership"
 )
 
-// etcd speaks etcd v3's JSON gateway: KV range, watch with start_revision, progress notifications, compaction,
-// authentication. Numbers of 64 bits are strings there, keys and values base64.
+// etcd is a client of etcd v3's JSON gateway: KV range, watch with start_revision, progress notifications, compaction,
+// authentication. The gateway encodes 64-bit numbers as strings, and keys and values in base64.
 type etcd struct {
 	*transport
 	mu    sync.Mutex
@@ -37,16 +37,16 @@
 	More   bool       `json:"more"`
 }
 
-// gRPC's codes, as the gateway gives them.
+// gRPC status codes, as the gateway returns them.
 const (
 	codeOutOfRange      = 11
 	codeUnauthenticated = 16
 )
 
-// maxTokenBytes bounds the answer to a login.
+// maxTokenBytes bounds the response to a login.
 const maxTokenBytes = 1 << 16
 
-// rangeEnd is the key behind all that begin with a prefix.
+// rangeEnd returns the first key after all keys with a prefix.
 func rangeEnd(prefix string) []byte {
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
@@ -58,7 +58,7 @@
 	return []byte{0}
 }
 
-// post makes a call that has one answer. Where the token has expired it logs in anew, once.
+// post makes a call that has a single response. If the token has expired, it logs in and tries once more.
 func (e *etcd) post(ctx context.Context, path string, request, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -87,7 +87,7 @@
 	return json.NewDecoder(io.LimitReader(response.Body, maxBodyBytes)).Decode(answer)
 }
 
-// authorization returns the header of calls, after a login where one is needed.
+// authorization returns the headers of calls, and logs in first if necessary.
 func (e *etcd) authorization(ctx context.Context) (http.Header, error) {
 	if e.config.User == "" {
 		return nil, nil
@@ -129,7 +129,7 @@
 	return answer.Token, nil
 }
 
-// dropToken forgets a token that is no longer accepted, and reports whether an error says so.
+// dropToken drops the token if an error shows that it is no longer accepted, and reports whether it did.
 func (e *etcd) dropToken(failed *callError) bool {
 	if e.config.User == "" || failed.Code != codeUnauthenticated && failed.Status != http.StatusUnauthorized {
 		return false
@@ -140,13 +140,13 @@
 	return true
 }
 
-// ReadSnapshot implements Client: page by page, all at the revision of the first.
+// ReadSnapshot implements Client. It reads page by page, all at the revision of the first page.
 func (e *etcd) ReadSnapshot(ctx context.Context) (membership.Snapshot, error) {
 	snapshot, err := e.rangeAll(ctx, false)
 	if err == nil || ctx.Err() != nil || !withoutQuorum(err) {
 		return snapshot, err
 	}
-	// No member can tell what is newest: one's own list is taken for what it is.
+	// Without a quorum no member knows the newest revision, so read a single member's list and mark it stale.
 	stale, staleErr := e.rangeAll(ctx, true)
 	if staleErr != nil {
 		return snapshot, err
@@ -154,7 +154,7 @@
 	return stale, nil
 }
 
-// withoutQuorum reports whether a call may have failed because the cluster has no majority.
+// withoutQuorum reports whether a call may have failed because the cluster has no quorum.
 func withoutQuorum(err error) bool {
 	var failed *callError
 	if errors.As(err, &failed) && failed.Code != codeOutOfRange && failed.Status >= http.StatusInternalServerError {
--- a/internal/discovery/registry/etcdwatch.go
+++ b/internal/discovery/registry/etcdwatch.go
@@ -13,10 +13,10 @@
 	"marlreel/internal/discovery/membership"
 )
 
-// watchTimeout is how long a watch may bring nothing: progress comes more often where it is asked for.
+// watchTimeout is how long a watch may receive nothing. Requested progress notifications are more frequent.
 const watchTimeout = 15 * time.Minute
 
-// maxEvents bounds one message of a watch with all its fragments.
+// maxEvents bounds the events of one watch message with all its fragments.
 const maxEvents = 2 * maxNodes
 
 type etcdWatch struct {
@@ -33,7 +33,7 @@
 }
 
 type etcdEvent struct {
-	Type string `json:"type"` // DELETE; left out for a put
+	Type string `json:"type"` // DELETE; missing for a put
 	KV   etcdKV `json:"kv"`
 }
 
@@ -60,8 +60,8 @@
 		e.dropToken(failed)
 		return failed
 	}
-	// Progress may come minutes apart, and a machine that is cut off says nothing: whether the member is there is
-	// checked beside the watch.
+	// Progress notifications may be minutes apart, and a machine that is cut off does not close the connection. So the
+	// member is checked by separate calls during the watch.
 	unreachable := make(chan error, 1)
 	go func() {
 		defer close(unreachable)
@@ -79,7 +79,7 @@
 	return err
 }
 
-// checkMember calls the member now and then. It returns an error where the member does not answer, nil when ctx ends.
+// checkMember calls the member periodically. It returns an error if the member does not answer, and nil when ctx ends.
 func (e *etcd) checkMember(ctx context.Context) error {
 	for {
 		sleep(ctx, e.checkEvery)
@@ -98,19 +98,19 @@
 	}
 }
 
-// etcdWatchReader reports what one watch brings.
+// etcdWatchReader reads the messages of one watch and reports them.
 type etcdWatchReader struct {
 	*etcd
 	idle     *idleTimeout
 	from     membership.Snapshot
 	observer Observer
-	updates  []membership.Update // of the fragments so far
-	events   int                 // in them
+	updates  []membership.Update // collected from the fragments so far
+	events   int                 // number of events in updates
 }
 
-// run reads until the watch ends. Its error is never nil.
+// run reads messages until the watch ends. Its error is never nil.
 func (r *etcdWatchReader) run(body io.Reader) error {
-	bounded := &boundedReader{r: body, left: maxBodyBytes} // each message; maxEvents bounds its fragments
+	bounded := &boundedReader{r: body, left: maxBodyBytes} // for each message; maxEvents bounds all its fragments together
 	decoder := json.NewDecoder(bounded)
 	for {
 		var message etcdWatch
@@ -139,7 +139,7 @@
 	}
 }
 
-// check returns an error where a message ends the watch.
+// check returns an error if a message ends the watch.
 func (r *etcdWatchReader) check(message *etcdWatch) error {
 	result := &message.Result
 	switch {
@@ -156,13 +156,13 @@
 	case result.Header.Cluster != r.from.History:
 		return ErrHistoryReplaced
 	case result.Created && result.Header.Revision < r.from.Revision:
-		return ErrHistoryReplaced // or a member that lags: the snapshot shows which
+		return ErrHistoryReplaced // or the member lags; the next snapshot shows which
 	}
 	return nil
 }
 
-// collect adds events to the updates. Transactions are reported whole: one message may have several, and one may come
-// in fragments.
+// collect adds events to the updates. Each transaction is reported as a whole, although one message may contain
+// several and a message may come in fragments.
 func (r *etcdWatchReader) collect(events []etcdEvent) error {
 	for _, event := range events {
 		r.events++
@@ -184,7 +184,7 @@
 	return nil
 }
 
-// report reports the collected updates, or that there are none up to a revision.
+// report reports the collected updates, or progress up to a revision if there are none.
 func (r *etcdWatchReader) report(revision int64) {
 	for _, update := range r.updates {
 		r.observer.OnUpdate(update)
--- a/internal/discovery/registry/etcdwrite.go
+++ b/internal/discovery/registry/etcdwrite.go
@@ -24,7 +24,7 @@
 	return e.write(ctx, name, revision, map[string]any{"request_delete_range": map[string]any{"key": []byte(e.config.Prefix + name)}})
 }
 
-// write makes a transaction of one operation, if the entry is at the revision.
+// write makes a transaction with one operation, conditional on the entry's revision.
 func (e *etcd) write(ctx context.Context, name string, revision int64, op map[string]any) error {
 	request := map[string]any{"success": []any{op}}
 	if revision != AnyRevision {
@@ -75,7 +75,7 @@
 	if err := e.post(ctx, "/v3/lease/keepalive", map[string]string{"ID": lease}, &answer); err != nil {
 		return err
 	}
-	ttl, err := answer.Result.TTL.Int64() // left out where the lease has ended
+	ttl, err := answer.Result.TTL.Int64() // missing if the lease has ended
 	if err != nil || ttl <= 0 {
 		return ErrLeaseEnded
 	}
--- a/internal/discovery/registry/follow.go
+++ b/internal/discovery/registry/follow.go
@@ -13,11 +13,11 @@
 const (
 	minBackoff      = 100 * time.Millisecond
 	maxBackoff      = 5 * time.Second
-	snapshotTimeout = 4 * callTimeout // of all pages
+	snapshotTimeout = 4 * callTimeout // for all pages together
 )
 
-// Follow keeps an observer up to date until ctx ends: by a snapshot, then by watches from where the one before broke,
-// at the next endpoint. Each value of resync asks for another snapshot.
+// Follow keeps an observer up to date until ctx ends. It reads a snapshot and then watches; when a watch breaks, the
+// next one resumes from there at the next endpoint. Each value of resync requests a new snapshot.
 func Follow(ctx context.Context, client Client, observer Observer, resync <-chan struct{}) {
 	f := &followLoop{client: client, observer: observer, resync: resync, backoff: backoff{next: minBackoff}}
 	for ctx.Err() == nil {
@@ -34,11 +34,11 @@
 	observer Observer
 	resync   <-chan struct{}
 	backoff  backoff
-	known    membership.Snapshot // its history and revision are where the next watch starts
+	known    membership.Snapshot // the next watch starts from its history and revision
 	synced   bool                // false: a snapshot is needed first
 }
 
-// readSnapshot reports a snapshot, or waits after an error and returns false.
+// readSnapshot reads and reports a snapshot. After an error, it waits for the backoff and returns false.
 func (f *followLoop) readSnapshot(ctx context.Context) bool {
 	callCtx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	snapshot, err := f.client.ReadSnapshot(callCtx)
@@ -51,7 +51,7 @@
 		f.backoff.wait(ctx)
 		return false
 	}
-	select { // this one answers a request from before it was read
+	select { // a request made before the snapshot was read is fulfilled by it
 	case <-f.resync:
 	default:
 	}
@@ -60,7 +60,7 @@
 	return true
 }
 
-// watch makes one watch and handles its end.
+// watch runs one watch and handles its end.
 func (f *followLoop) watch(ctx context.Context) {
 	start := time.Now()
 	tracking := &trackingObserver{Observer: f.observer, known: &f.known}
@@ -85,22 +85,22 @@
 	f.backoff.wait(ctx)
 }
 
-// watchUntilResync watches until the watch breaks, or a snapshot is asked for.
+// watchUntilResync watches until the watch breaks or a snapshot is requested.
 func (f *followLoop) watchUntilResync(ctx context.Context, observer Observer) (resync bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
-	asked := make(chan bool, 1)
+	requested := make(chan bool, 1)
 	go func() {
 		select {
 		case <-f.resync:
-			asked <- true
+			requested <- true
 			cancel()
 		case <-ctx.Done():
-			asked <- false
+			requested <- false
 		}
 	}()
 	err = f.client.Watch(ctx, f.known, observer)
 	cancel()
-	return <-asked, err
+	return <-requested, err
 }
 
 func (f *followLoop) onLost(err error) {
@@ -108,11 +108,10 @@
 	f.client.NextEndpoint()
 }
 
-// backoff is a wait that doubles each time. With jitter: a registry that was restarted is not met by all proxies at
-// once.
+// backoff is a delay that doubles each time. It has jitter, so that not all proxies call a restarted registry at once.
 type backoff struct{ next time.Duration }
 
-// delay returns the next wait, from half of it to one and a half.
+// delay returns the next delay, jittered between 0.5 and 1.5 times its nominal value.
 func (b *backoff) delay() time.Duration {
 	delay := b.next/2 + time.Duration(rand.Int64N(int64(b.next)))
 	b.next = min(2*b.next, maxBackoff)
@@ -131,7 +130,7 @@
 	}
 }
 
-// trackingObserver notes how far a watch has come: the next one continues from there.
+// trackingObserver records how far a watch has come, so that the next one resumes from there.
 type trackingObserver struct {
 	Observer
 	known      *membership.Snapshot
@@ -156,10 +155,10 @@
 	o.Observer.OnProgress(revision)
 }
 
-// maxReasonBytes bounds what is logged of an error.
+// maxReasonBytes bounds the text of an error that is logged or shown.
 const maxReasonBytes = 300
 
-// oneLine is an error's text in one line. Texts of registries may have several.
+// oneLine returns an error's text as one line, as errors of registries may have several.
 func oneLine(err error) string {
 	if err == nil {
 		return "it ended"
--- a/internal/discovery/registry/follow_test.go
+++ b/internal/discovery/registry/follow_test.go
@@ -32,21 +32,21 @@
 
 const prefix = "marlreel/nodes/"
 
-// follower is a model that a client tells, as a proxy has it.
+// follower is a model that is kept up to date by a client, as in a proxy.
 type follower struct {
-	t     *testing.T
-	mu    sync.Mutex
-	model *membership.Model
-	list  map[string]membership.Entry
-	lists int
-	lines []string
-	again chan struct{}
-	began time.Time
-	seen  func() // after each event, under the lock
+	t         *testing.T
+	mu        sync.Mutex
+	model     *membership.Model
+	list      map[string]membership.Entry
+	lists     int
+	lines     []string
+	resync    chan struct{}
+	startedAt time.Time
+	onEvent   func() // called after each event, under the lock
 }
 
-func (f *follower) do(acts []membership.Action) {
-	for _, a := range acts {
+func (f *follower) apply(actions []membership.Action) {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case membership.FullList:
 			f.list = a.Entries
@@ -55,22 +55,22 @@
 			f.lines = append(f.lines, string(a))
 		case membership.RequestSnapshot:
 			select {
-			case f.again <- struct{}{}:
+			case f.resync <- struct{}{}:
 			default:
 			}
 		}
 	}
-	if f.seen != nil {
-		f.seen()
+	if f.onEvent != nil {
+		f.onEvent()
 	}
 }
 
-func (f *follower) now() time.Duration { return time.Second + time.Since(f.began) }
+func (f *follower) now() time.Duration { return time.Second + time.Since(f.startedAt) }
 
 func (f *follower) on(event func() []membership.Action) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.do(event())
+	f.apply(event())
 }
 
 func (f *follower) OnSnapshot(w membership.Snapshot) {
@@ -89,8 +89,8 @@
 	f.on(func() []membership.Action { return f.model.OnCompacted(f.now(), 0) })
 }
 
-func (f *follower) OnLost(why string) {
-	f.on(func() []membership.Action { return f.model.OnSourceLost(f.now(), 0, why) })
+func (f *follower) OnLost(reason string) {
+	f.on(func() []membership.Action { return f.model.OnSourceLost(f.now(), 0, reason) })
 }
 
 func (f *follower) status() membership.Status {
@@ -99,16 +99,16 @@
 	return f.model.Status(f.now())
 }
 
-func (f *follower) holds(want map[string]membership.Entry) bool {
+func (f *follower) hasList(want map[string]membership.Entry) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return maps.Equal(f.list, want)
 }
 
-func (f *follower) said(what string) bool {
+func (f *follower) logged(text string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return strings.Contains(strings.Join(f.lines, "\n"), what)
+	return strings.Contains(strings.Join(f.lines, "\n"), text)
 }
 
 // follow starts a follower of a registry until the test ends.
@@ -121,10 +121,10 @@
 	if e, is := c.(*etcd); is {
 		e.checkEvery = 300 * time.Millisecond
 	}
-	f := &follower{t: t, model: membership.New(m), again: make(chan struct{}, 1), began: time.Now()}
+	f := &follower{t: t, model: membership.New(m), resync: make(chan struct{}, 1), startedAt: time.Now()}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); Follow(ctx, c, f, f.again) }()
+	go func() { defer close(done); Follow(ctx, c, f, f.resync) }()
 	t.Cleanup(func() {
 		stop()
 		<-done
@@ -149,7 +149,7 @@
 	return c
 }
 
-func plain() membership.Config {
+func unguardedConfig() membership.Config {
 	return membership.Config{Sources: []string{"registry"}, LossTimeout: time.Minute, MaxLossFraction: 1, MaxEntries: 20000}
 }
 
@@ -161,7 +161,7 @@
 	return standin.RegistryOp{Key: fmt.Sprint(prefix, "n", n), Delete: true}
 }
 
-// stateOf is what a registry's state means.
+// stateOf returns the valid entries of a registry at a revision.
 func stateOf(r *standin.Registry, revision int64) map[string]membership.Entry {
 	out := map[string]membership.Entry{}
 	for k, v := range r.State(revision) {
@@ -174,13 +174,13 @@
 	return out
 }
 
-// caughtUp waits until a follower holds the registry's newest state.
-func caughtUp(t *testing.T, f *follower, r *standin.Registry) {
+// waitForNewest waits until a follower has the registry's newest state.
+func waitForNewest(t *testing.T, f *follower, r *standin.Registry) {
 	t.Helper()
-	testutil.Eventually(t, "the newest list", func() bool { return f.holds(stateOf(r, r.Revision())) })
+	testutil.Eventually(t, "the newest list", func() bool { return f.hasList(stateOf(r, r.Revision())) })
 }
 
-func both(t *testing.T, test func(t *testing.T, kind string)) {
+func forEachKind(t *testing.T, test func(t *testing.T, kind string)) {
 	for _, kind := range []string{"etcd", "consul"} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
@@ -189,42 +189,43 @@
 	}
 }
 
-// Changes come as transactions, each as one list; other keys, repeats, fragments and bad values do no harm.
-func TestChanges(t *testing.T) {
+// Each transaction is applied as a whole and gives one list, despite keys outside the prefix, repeated events, fragments
+// and malformed values.
+func TestTransactions(t *testing.T) {
 	t.Parallel()
-	both(t, func(t *testing.T, kind string) {
+	forEachKind(t, func(t *testing.T, kind string) {
 		r := start(t)
 		r.Txn(node(0, 1000, "ready"), node(1, 1001, "ready"), standin.RegistryOp{Key: "marlreel/other", Value: "x"})
-		f := follow(t, config(kind, r), plain())
-		caughtUp(t, f, r)
+		f := follow(t, config(kind, r), unguardedConfig())
+		waitForNewest(t, f, r)
 		r.Repeat(true)
 		r.Fragment(1)
 		f.mu.Lock()
-		f.seen = func() {
+		f.onEvent = func() {
 			if len(f.list) == 3 || len(f.list) == 1 {
-				t.Errorf("half a transaction is shown: %v", f.list)
+				t.Errorf("half a transaction was applied: %v", f.list)
 			}
 		}
 		f.mu.Unlock()
-		// An address goes from one to another, and a third comes, at once.
+		// In one transaction, an address moves from one node to another, and a third node is added.
 		r.Txn(node(0, 1005, "ready"), node(2, 1000, "ready"), node(3, 1003, "draining"))
-		caughtUp(t, f, r)
+		waitForNewest(t, f, r)
 		r.Txn(gone(0), gone(1))
-		caughtUp(t, f, r)
+		waitForNewest(t, f, r)
 		r.Txn(standin.RegistryOp{Key: prefix + "n2", Value: "{"}, standin.RegistryOp{Key: prefix + "n9", Value: `{"v":2}`}, node(3, 1003, "ready"))
-		testutil.Eventually(t, "the bad values", func() bool { return len(f.status().Sources[0].Malformed) == 2 })
+		testutil.Eventually(t, "the malformed values", func() bool { return len(f.status().Sources[0].Malformed) == 2 })
 		if s := f.status(); s.Entries != 2 || s.Age < 0 {
 			t.Errorf("%+v", s)
 		}
 		r.Txn(node(2, 1002, "ready"), standin.RegistryOp{Key: prefix + "n9", Delete: true})
-		caughtUp(t, f, r)
+		waitForNewest(t, f, r)
 		if s := f.status(); len(s.Sources[0].Malformed) != 0 {
 			t.Errorf("%+v", s)
 		}
 	})
 }
 
-// Five thousand nodes come page by page at one revision, also while they change.
+// Five thousand nodes are read page by page at one revision, even while they change.
 func TestPages(t *testing.T) {
 	t.Parallel()
 	r := start(t)
@@ -245,22 +246,22 @@
 			}
 		}
 	})
-	f := follow(t, config("etcd", r), plain())
+	f := follow(t, config("etcd", r), unguardedConfig())
 	testutil.Eventually(t, "the list", func() bool { return f.status().Entries > 0 })
 	if s := f.status(); s.Entries != 5000 {
-		t.Errorf("%d nodes, and there are 5000 at any revision", s.Entries)
+		t.Errorf("%d nodes, want 5000, as at any revision", s.Entries)
 	}
 	close(stop)
 	writer.Wait()
-	caughtUp(t, f, r)
+	waitForNewest(t, f, r)
 	if n := r.Calls("/v3/kv/range"); n < 10 {
 		t.Errorf("%d pages", n)
 	}
 }
 
-// What happens while nobody listens is made up for: by the changes where they are kept, by the whole list
-// where they are compacted, and where the history is another.
-func TestWhileNobodyListens(t *testing.T) {
+// Changes made while a client is disconnected are caught up on: from the watch if they are still available, otherwise,
+// after a compaction or with another history, by a snapshot.
+func TestChangesWhileDisconnected(t *testing.T) {
 	t.Parallel()
 	for name, meanwhile := range map[string]func(r *standin.Registry){
 		"changes":            func(r *standin.Registry) { r.Txn(gone(0)); r.Txn(node(7, 1007, "ready")) },
@@ -269,92 +270,92 @@
 		"restored, and more": func(r *standin.Registry) { r.Restore(2, false); r.Txn(gone(1)); r.Txn(node(8, 1008, "ready")) },
 		"set up anew":        func(r *standin.Registry) { r.Restore(2, true); r.Txn(gone(0)); r.Txn(node(9, 1009, "ready")) },
 	} {
-		both(t, func(t *testing.T, kind string) {
+		forEachKind(t, func(t *testing.T, kind string) {
 			t.Run(name, func(t *testing.T) {
 				r := start(t)
 				r.Txn(node(0, 1000, "ready"), node(1, 1001, "ready"))
 				r.Txn(node(2, 1002, "ready"))
 				r.Txn(node(3, 1003, "ready"))
 				r.Txn(node(4, 1004, "ready"))
-				f := follow(t, config(kind, r), plain())
-				caughtUp(t, f, r)
+				f := follow(t, config(kind, r), unguardedConfig())
+				waitForNewest(t, f, r)
 				r.Cut(true)
 				r.CloseWatches()
 				meanwhile(r)
 				r.Cut(false)
-				caughtUp(t, f, r)
-				r.Txn(node(5, 1005, "ready")) // and it goes on from there
-				caughtUp(t, f, r)
+				waitForNewest(t, f, r)
+				r.Txn(node(5, 1005, "ready")) // later changes still arrive
+				waitForNewest(t, f, r)
 			})
 		})
 	}
 }
 
-// A member that lags, where none knows what is newest, brings nobody back who has left; the list that is held
-// stands, and the next sure word counts.
+// Without a quorum, the stale list of a lagging member does not bring removed nodes back: the current list stays in
+// force until there is a quorum again.
 func TestStaleMembers(t *testing.T) {
 	t.Parallel()
-	both(t, func(t *testing.T, kind string) {
+	forEachKind(t, func(t *testing.T, kind string) {
 		r := start(t)
 		r.Txn(node(0, 1000, "ready"), node(1, 1001, "ready"))
-		f := follow(t, config(kind, r), plain())
-		caughtUp(t, f, r)
+		f := follow(t, config(kind, r), unguardedConfig())
+		waitForNewest(t, f, r)
 		r.Txn(gone(0))
-		caughtUp(t, f, r)
+		waitForNewest(t, f, r)
 		r.Lag(1)
 		r.Quorum(false)
-		f.again <- struct{}{} // the whole list, for whatever reason
-		testutil.Eventually(t, "a word on the old list", func() bool { return f.said("left alone") })
-		if !f.holds(stateOf(r, r.Revision())) {
+		f.resync <- struct{}{} // request a snapshot
+		testutil.Eventually(t, "the log line about the stale list", func() bool { return f.logged("ignoring a stale list") })
+		if !f.hasList(stateOf(r, r.Revision())) {
 			t.Errorf("%v", f.status())
 		}
 		r.Quorum(true)
 		r.Txn(node(4, 1004, "ready"))
-		caughtUp(t, f, r)
-		// One that starts now, with none but the member that lags, has an old list, and knows no better.
+		waitForNewest(t, f, r)
+		// A client that starts now can only get the stale list of the lagging member.
 		r.Quorum(false)
-		late := follow(t, config(kind, r), plain())
-		testutil.Eventually(t, "the old list", func() bool { return late.holds(stateOf(r, r.Revision()-1)) })
+		late := follow(t, config(kind, r), unguardedConfig())
+		testutil.Eventually(t, "the stale list", func() bool { return late.hasList(stateOf(r, r.Revision()-1)) })
 	})
 }
 
-// A registry that is cut off without a word is noticed; its list stands. Where there are others, the next one
-// is asked.
-func TestCutOff(t *testing.T) {
+// A registry that becomes unreachable without closing connections is noticed, and its list stays in force. If there are
+// several endpoints, the next one is tried.
+func TestUnreachableRegistry(t *testing.T) {
 	t.Parallel()
-	both(t, func(t *testing.T, kind string) {
+	forEachKind(t, func(t *testing.T, kind string) {
 		r := start(t)
 		r.Txn(node(0, 1000, "ready"))
 		cfg := config(kind, r)
-		dead, err := net.Listen("tcp", "127.0.0.1:0")
+		closed, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		dead.Close()
-		cfg.Endpoints = []string{"http://" + dead.Addr().String(), r.URL()}
-		f := follow(t, cfg, plain())
-		caughtUp(t, f, r)
-		if !f.said("lost (") || !f.said("found again") && f.status().Sources[0].Unreachable {
+		closed.Close()
+		cfg.Endpoints = []string{"http://" + closed.Addr().String(), r.URL()}
+		f := follow(t, cfg, unguardedConfig())
+		waitForNewest(t, f, r)
+		if !f.logged("lost (") || !f.logged("reachable again") && f.status().Sources[0].Unreachable {
 			t.Errorf("%v", f.lines)
 		}
 		if kind == "consul" {
-			return // a blocking query that is cut off ends with its own time, a minute
+			return // a blocking query that is cut off only ends with its timeout of a minute
 		}
 		r.Cut(true)
 		testutil.Eventually(t, "the loss", func() bool { return f.status().Sources[0].Unreachable })
 		if f.status().Entries != 1 {
-			t.Error("the list went with the registry")
+			t.Error("the list was dropped when the registry became unreachable")
 		}
 		r.Txn(node(1, 1001, "ready"))
 		r.Cut(false)
-		caughtUp(t, f, r)
+		waitForNewest(t, f, r)
 	})
 }
 
-// A user logs in, and again when the token is no longer taken; Consul's token is read anew.
-func TestUsers(t *testing.T) {
+// A user logs in, and again when the token is no longer accepted. Consul's token is read from its file for each call.
+func TestAuthentication(t *testing.T) {
 	t.Parallel()
-	both(t, func(t *testing.T, kind string) {
+	forEachKind(t, func(t *testing.T, kind string) {
 		r := start(t)
 		r.Txn(node(0, 1000, "ready"))
 		r.Login("proxy", "s3cret")
@@ -366,33 +367,33 @@
 		if kind == "etcd" {
 			cfg.User = "proxy"
 		}
-		f := follow(t, cfg, plain())
-		testutil.Eventually(t, "the refusal", func() bool { return f.said("lost (") })
+		f := follow(t, cfg, unguardedConfig())
+		testutil.Eventually(t, "the refusal", func() bool { return f.logged("lost (") })
 		if err := os.WriteFile(cfg.PasswordFile, []byte("s3cret\n"), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		caughtUp(t, f, r)
-		r.Login("proxy", "s3cret") // all tokens are void
+		waitForNewest(t, f, r)
+		r.Login("proxy", "s3cret") // invalidates all tokens
 		r.CloseWatches()
 		r.Txn(node(1, 1001, "ready"))
-		caughtUp(t, f, r)
+		waitForNewest(t, f, r)
 	})
 }
 
-// Over sockets, with whatever goes wrong: what is held is always the registry's at some revision between the
-// last that was told and the newest, and never goes back.
+// Over real connections and with random faults, the list is always the registry's at some revision between the last one
+// reported and the newest, and never goes back.
 func TestHistoriesOverSockets(t *testing.T) {
 	t.Parallel()
-	both(t, func(t *testing.T, kind string) {
+	forEachKind(t, func(t *testing.T, kind string) {
 		for seed := range uint64(4) {
 			r := start(t)
 			rng := mrand.New(mrand.NewPCG(seed, 5))
 			r.Txn(node(0, 1000, "ready"))
-			f := follow(t, config(kind, r), plain())
-			caughtUp(t, f, r)
+			f := follow(t, config(kind, r), unguardedConfig())
+			waitForNewest(t, f, r)
 			last := int64(0)
 			f.mu.Lock()
-			f.seen = func() {
+			f.onEvent = func() {
 				s := f.model.Status(f.now())
 				if s.Revision < last || s.Revision > r.Revision() {
 					t.Errorf("seed %d: revision %d after %d, newest %d", seed, s.Revision, last, r.Revision())
@@ -426,12 +427,12 @@
 				time.Sleep(time.Duration(rng.IntN(8)) * time.Millisecond)
 			}
 			r.Delay(0)
-			caughtUp(t, f, r)
+			waitForNewest(t, f, r)
 		}
 	})
 }
 
-// certificates makes a CA, and a certificate of it.
+// certificates makes a self-signed certificate that serves as CA, server and client certificate.
 func certificates(t *testing.T) (ca, cert, key string, pair tls.Certificate, pool *x509.CertPool) {
 	t.Helper()
 	dir := t.TempDir()
@@ -472,7 +473,7 @@
 	return ca, cert, key, pair, pool
 }
 
-// TLS with certificates on both sides; without the client's nothing is told.
+// TLS with certificates on both sides. A client without a certificate gets no list.
 func TestTLS(t *testing.T) {
 	t.Parallel()
 	ca, cert, key, pair, pool := certificates(t)
@@ -484,14 +485,14 @@
 	r.Txn(node(0, 1000, "ready"))
 	cfg := config("etcd", r)
 	cfg.Endpoints, cfg.CA = []string{"https://" + r.Addr}, ca
-	none := follow(t, cfg, plain())
-	testutil.Eventually(t, "the refusal", func() bool { return none.said("lost (") })
+	withoutCert := follow(t, cfg, unguardedConfig())
+	testutil.Eventually(t, "the refusal", func() bool { return withoutCert.logged("lost (") })
 	cfg.Cert, cfg.Key = cert, key
-	f := follow(t, cfg, plain())
-	caughtUp(t, f, r)
+	f := follow(t, cfg, unguardedConfig())
+	waitForNewest(t, f, r)
 	r.Txn(node(1, 1001, "ready"))
-	caughtUp(t, f, r)
-	if none.status().Entries != 0 {
+	waitForNewest(t, f, r)
+	if withoutCert.status().Entries != 0 {
 		t.Error("a client without a certificate got a list")
 	}
 }
@@ -508,7 +509,7 @@
 	}
 	off := DefaultConfig()
 	if off.Enabled() || off.Validate() != nil {
-		t.Error("a registry that is off is wrong")
+		t.Error("the default settings, without a registry, are rejected")
 	}
 	for want, change := range map[string]func(c *Config){
 		`registry.kind = "ectd": etcd or consul is needed (did you mean etcd?)`: func(c *Config) { c.Kind = "ectd" },
@@ -519,7 +520,7 @@
 		"registry.prefix":                              func(c *Config) { c.Prefix = "" },
 		"registry.cert and registry.key":               func(c *Config) { c.Cert = "x" },
 		"registry.password-file is missing":            func(c *Config) { c.User = "x" },
-		"registry.user: Consul has tokens":             func(c *Config) { c.Kind, c.User, c.PasswordFile = "consul", "x", "y" },
+		"registry.user: Consul only uses tokens":       func(c *Config) { c.Kind, c.User, c.PasswordFile = "consul", "x", "y" },
 		"registry.ca: open /nowhere":                   func(c *Config) { c.CA = "/nowhere" },
 		"registry.guard = 0":                           func(c *Config) { c.MaxLossFraction = 0 },
 		"registry.flaps = -1":                          func(c *Config) { c.MaxFlaps = -1 },
--- a/internal/discovery/registry/register.go
+++ b/internal/discovery/registry/register.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// Registration is how a node keeps itself in the list.
+// Registration describes a node that keeps itself in the list.
 type Registration struct {
 	Name      string
-	Value     Value         // its State is not used
-	TTL       time.Duration // after which the list forgets a node that has stopped
-	DrainTime time.Duration // how long it stays in the list as draining before it leaves
+	Value     Value         // State is ignored
+	TTL       time.Duration // after which a node that has stopped is removed from the list
+	DrainTime time.Duration // how long the node stays in the list as draining before it is removed
 	Logf      func(format string, args ...any)
 }
 
-// Register keeps a node in the list until ctx ends: under a lease that is kept alive, anew where it has ended (the
-// registry lost it, or this node was cut off for too long). Then the node drains for DrainTime, so that the proxies
-// are notified and their requests end, and leaves; a node that just leaves has its requests cut off, and those on
-// their way refused. Register returns when the node has left, or leave ends, or at a ValueError.
+// Register keeps a node in the list until ctx ends. It renews the node's lease, and registers the node again if the
+// lease has ended because the registry lost it or this node was cut off for too long. When ctx ends, the node drains
+// for DrainTime, so that the proxies are notified and requests can finish, and is then removed; without the drain,
+// running requests would be cut off and new ones refused. Register returns when the node has been removed, when the
+// context leave ends, or with a ValueError.
 func Register(ctx, leave context.Context, w Writer, r Registration) error {
 	ready, err := r.encode("ready")
 	if err != nil {
@@ -48,11 +49,11 @@
 type registeredNode struct {
 	Registration
 	writer  Writer
-	lease   string // "": it is not in the list
+	lease   string // "": the node is not in the list
 	backoff backoff
 }
 
-// keepAlive puts the node into the list or renews its lease, and returns when it is to be called again.
+// keepAlive puts the node into the list or renews its lease, and returns the delay until its next call.
 func (n *registeredNode) keepAlive(ctx context.Context, value []byte) time.Duration {
 	var err error
 	if n.lease == "" {
@@ -62,11 +63,11 @@
 	}
 	switch {
 	case errors.Is(err, ErrLeaseEnded):
-		n.Logf("registry: the lease of %s has ended: it enters anew", n.Name)
+		n.Logf("registry: the lease of %s has ended; registering again", n.Name)
 		n.lease = ""
 		return 0
 	case err != nil && ctx.Err() == nil:
-		n.Logf("registry: %s: %s", n.Name, oneLine(err))
+		n.Logf("registry: registration of %s: %s", n.Name, oneLine(err))
 		n.writer.NextEndpoint()
 		return min(n.backoff.delay(), n.TTL/3)
 	default:
@@ -79,7 +80,7 @@
 func (n *registeredNode) leave(ctx context.Context, draining []byte) error {
 	renewed := time.Now()
 	if err := n.writer.Put(ctx, n.Name, draining, AnyRevision, n.lease); err != nil {
-		n.Logf("registry: %s could not say that it drains: %s", n.Name, oneLine(err))
+		n.Logf("registry: marking %s as draining failed: %s", n.Name, oneLine(err))
 	}
 	for end := time.Now().Add(n.DrainTime); time.Now().Before(end) && ctx.Err() == nil; {
 		sleep(ctx, min(time.Until(end), n.TTL/3))
@@ -88,14 +89,15 @@
 		}
 		renewed = time.Now()
 		if err := n.writer.Renew(ctx, n.lease); err != nil {
-			n.Logf("registry: %s drains, and its lease could not be renewed: %s", n.Name, oneLine(err))
+			n.Logf("registry: renewing the lease of %s while it drains failed: %s", n.Name, oneLine(err))
 		}
 	}
 	return n.writer.Revoke(ctx, n.lease)
 }
 
-// createEntry puts a node into the list under a new lease, which it returns. An entry of the same name is replaced
-// only where it is this node's own, from before: two nodes of one name are an error of a site, a NameTakenError.
+// createEntry puts a node into the list under a new lease, which it returns. An existing entry of the same name is
+// replaced only if it has this node's address, so is left over from an earlier run; otherwise two nodes are configured
+// with one name, which is a NameTakenError.
 func createEntry(ctx context.Context, w Writer, r Registration, value []byte) (lease string, err error) {
 	existing, err := ReadItem(ctx, w, r.Name)
 	if err != nil {
@@ -109,7 +111,7 @@
 		return "", err
 	}
 	if existing.ModRevision != 0 {
-		// Its old lease would take the entry with it when it ends: it is created anew.
+		// Delete the entry and create it again: its old lease would remove it when it ends.
 		if err := w.Delete(ctx, r.Name, existing.ModRevision); err != nil {
 			return "", errors.Join(err, w.Revoke(ctx, lease))
 		}
--- a/internal/discovery/registry/transport.go
+++ b/internal/discovery/registry/transport.go
@@ -13,11 +13,11 @@
 	"time"
 )
 
-// transport makes calls at one endpoint, and the next one after NextEndpoint.
+// transport makes calls to one endpoint, and moves to the next one with NextEndpoint.
 type transport struct {
 	config     Config
 	client     *http.Client
-	checkEvery time.Duration // how often a member is called beside its watch
+	checkEvery time.Duration // how often the member is checked during a watch
 
 	mu            sync.Mutex
 	endpointIndex int
@@ -28,7 +28,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// Two connections: a watch has one, calls the other. The client has no timeout: it would end watches.
+	// Two connections suffice: one for the watch, one for calls. The client has no timeout, as it would end watches.
 	return &transport{config: c, checkEvery: 10 * time.Second, client: &http.Client{
 		Transport: &http.Transport{
 			TLSClientConfig: t, DialContext: (&net.Dialer{Timeout: callTimeout / 2}).DialContext, TLSHandshakeTimeout: callTimeout / 2,
@@ -52,8 +52,8 @@
 	t.client.CloseIdleConnections()
 }
 
-// call sends a request. A body that is no []byte is sent as JSON. The answer's body is the caller's to close. An
-// endpoint that can't be reached is a ReachError.
+// call sends a request. A body that is not a []byte is sent as JSON. The caller closes the response body. If the
+// endpoint can't be reached, the error is a ReachError.
 func (t *transport) call(ctx context.Context, method, path string, header http.Header, body any) (*http.Response, error) {
 	content, err := encodeBody(body)
 	if err != nil {
@@ -88,7 +88,7 @@
 	return bytes.NewReader(data), nil
 }
 
-// readError reads an answer that is an error.
+// readError reads a response that reports an error.
 func readError(r *http.Response) *callError {
 	e := &callError{Status: r.StatusCode}
 	data, _ := io.ReadAll(io.LimitReader(r.Body, 4096))
@@ -98,7 +98,8 @@
 	return e
 }
 
-// // idleTimeout cancels a call whose answer stops coming: a machine that is cut off never says so.
+// idleTimeout cancels a call when nothing has been received for a while: a machine that is cut off does not close its
+// connections.
 type idleTimeout struct {
 	timer *time.Timer
 	after time.Duration
@@ -108,14 +109,14 @@
 	return &idleTimeout{time.AfterFunc(after, cancel), after}
 }
 
-// reset is called when something has come.
+// reset restarts the timeout after something was received.
 func (t *idleTimeout) reset() { t.timer.Reset(t.after) }
 func (t *idleTimeout) stop()  { t.timer.Stop() }
 
-// boundedReader ends a message that is longer than maxBodyBytes.
+// boundedReader returns an error for a message longer than maxBodyBytes.
 type boundedReader struct {
 	r    io.Reader
-	left int // bytes of the message
+	left int // bytes that the message may still have
 }
 
 // Read implements io.Reader.
--- a/internal/discovery/registry/value.go
+++ b/internal/discovery/registry/value.go
@@ -11,26 +11,26 @@
 	"marlreel/internal/discovery/membership"
 )
 
-// Value is a node's entry as it stands in the registry under the prefix and the node's id: version 1.
+// Value is a node's entry as stored in the registry, under the prefix and the node's id. This is version 1.
 type Value struct {
 	Version int     `json:"v"`
 	Address string  `json:"address"` // ip:port
 	Zone    string  `json:"zone"`
 	Kind    string  `json:"kind,omitempty"`
 	Cell    int     `json:"cell,omitempty"`
-	State   string  `json:"state"` // ready, draining
+	State   string  `json:"state"` // ready or draining
 	Weight  float64 `json:"weight,omitempty"`
 	Started int64   `json:"started_ms,omitempty"` // Unix time
 }
 
-// Bounds of an entry.
+// Limits of an entry.
 const (
 	maxValueBytes = 4096
 	maxNameBytes  = 128 // of an id, zone or kind
 	maxWeight     = 1e6
 )
 
-// ParseItem reads a node's entry at a key. What can't be read is an item that says why.
+// ParseItem parses the node's entry at a key. For a malformed entry it returns an item with the reason in Malformed.
 func ParseItem(prefix, key string, value []byte, revision int64) membership.Item {
 	name, underPrefix := strings.CutPrefix(key, prefix)
 	item := membership.Item{Name: name, ModRevision: revision}
@@ -61,7 +61,7 @@
 	return name != "" && len(name) <= maxNameBytes && !strings.ContainsFunc(name, invalid)
 }
 
-// parseValue reads a value. Its errors are ValueErrors.
+// parseValue parses a value. Its errors are ValueErrors.
 func parseValue(data []byte) (Value, error) {
 	if len(data) > maxValueBytes {
 		return Value{}, &ValueError{fmt.Sprintf("%d bytes, and %d are the most", len(data), maxValueBytes)}
@@ -101,7 +101,7 @@
 	v.Version = 1
 	data, err := json.Marshal(v)
 	if err != nil {
-		return nil, &ValueError{oneLine(err)} // a number that JSON doesn't have
+		return nil, &ValueError{oneLine(err)} // such as a number that JSON can't represent
 	}
 	if _, err := parseValue(data); err != nil {
 		return nil, err
--- a/internal/discovery/registry/write_test.go
+++ b/internal/discovery/registry/write_test.go
@@ -32,28 +32,28 @@
 	return data
 }
 
-// A write counts only where nobody else wrote meanwhile.
+// A write fails if the entry was written by another client since it was read.
 func TestWrites(t *testing.T) {
 	t.Parallel()
-	both(t, func(t *testing.T, kind string) {
+	forEachKind(t, func(t *testing.T, kind string) {
 		r := start(t)
 		w := writer(t, kind, r)
 		if err := w.Put(t.Context(), "n1", value(t, "127.0.0.1:1", "ready"), 0, ""); err != nil {
 			t.Fatal(err)
 		}
 		if err := w.Put(t.Context(), "n1", value(t, "127.0.0.1:2", "ready"), 0, ""); !errors.Is(err, ErrConflict) {
-			t.Errorf("a second one that must be the first: %v", err)
+			t.Errorf("a put of an existing entry as a new one: %v", err)
 		}
 		i, err := ReadItem(t.Context(), w, "n1")
 		if err != nil || i.Entry.Addr != "127.0.0.1:1" {
 			t.Fatalf("%+v, %v", i, err)
 		}
-		r.Txn(node(9, 9, "ready")) // another key's write is no conflict
+		r.Txn(node(9, 9, "ready")) // a write of another key is no conflict
 		if err := w.Put(t.Context(), "n1", value(t, "127.0.0.1:3", "draining"), i.ModRevision, ""); err != nil {
 			t.Error(err)
 		}
 		if err := w.Delete(t.Context(), "n1", i.ModRevision); !errors.Is(err, ErrConflict) {
-			t.Errorf("a deletion of what has changed: %v", err)
+			t.Errorf("a deletion of an entry that has changed: %v", err)
 		}
 		if i, _ = ReadItem(t.Context(), w, "n1"); !i.Entry.Draining {
 			t.Errorf("%+v", i)
@@ -66,40 +66,40 @@
 		}
 		r.Quorum(false)
 		if _, err = ReadItem(t.Context(), w, "n9"); err == nil {
-			t.Error("what may be old is read for a write")
+			t.Error("an entry that may be stale was returned")
 		}
 	})
 }
 
-// A node stays in the list while it runs, comes again when its lease was lost, says that it drains before it leaves,
-// and is forgotten when it dies without a word.
+// A node stays in the list while it runs, is removed when its lease ends and then registers again, drains before it
+// leaves, and replaces its old entry if it restarts before its old lease has ended.
 func TestRegister(t *testing.T) {
 	t.Parallel()
-	both(t, func(t *testing.T, kind string) {
+	forEachKind(t, func(t *testing.T, kind string) {
 		n := newRegistered(t, kind)
 		stop, ended := n.register()
 		testutil.Eventually(t, "the node", func() bool { return n.state() == "ready" })
 		n.recordStates()
 		n.registry.ExpireLeases()
-		testutil.Eventually(t, "its return", func() bool { return n.states() == "gone ready" })
-		n.checkSecondOfTheName()
+		testutil.Eventually(t, "its new registration", func() bool { return n.states() == "gone ready" })
+		n.checkDuplicateName()
 		stop()
 		if err := testutil.Receive(t, ended, "its end"); err != nil {
 			t.Error(err)
 		}
-		testutil.Eventually(t, "its going", func() bool { return n.state() == "gone" })
+		testutil.Eventually(t, "its removal", func() bool { return n.state() == "gone" })
 		if got := n.states(); got != "gone ready draining gone" {
-			t.Errorf("it was %s", got)
+			t.Errorf("the states were %s", got)
 		}
 		n.checkRestart()
 		err := n.writer.Put(t.Context(), "n1", value(t, "127.0.0.1:1", "ready"), 0, "4711")
 		if !errors.Is(err, ErrLeaseEnded) {
-			t.Errorf("under a lease that there isn't: %v", err)
+			t.Errorf("a put under a lease that does not exist: %v", err)
 		}
 	})
 }
 
-// registered is a node n1 that registers itself, and a proxy that follows the registry.
+// registered is a node n1 that registers itself, with a proxy that follows the registry.
 type registered struct {
 	t            *testing.T
 	kind         string
@@ -116,14 +116,14 @@
 	t.Helper()
 	r := start(t)
 	return &registered{
-		t: t, kind: kind, registry: r, writer: writer(t, kind, r), proxy: follow(t, config(kind, r), plain()),
+		t: t, kind: kind, registry: r, writer: writer(t, kind, r), proxy: follow(t, config(kind, r), unguardedConfig()),
 		registration: Registration{
 			Name: "n1", Value: Value{Address: "127.0.0.1:1", Zone: "koper"}, TTL: time.Second, DrainTime: 300 * time.Millisecond, Logf: t.Logf,
 		},
 	}
 }
 
-// register registers the node until it is stopped; then it tells the error.
+// register keeps the node registered until stop is called, and then sends the error on ended.
 func (n *registered) register() (stop func(), ended chan error) {
 	ctx, stop := context.WithCancel(n.t.Context())
 	ended = make(chan error, 1)
@@ -131,7 +131,7 @@
 	return stop, ended
 }
 
-// stateOfNode is the node's state in a proxy's list.
+// stateOfNode returns the node's state in a proxy's list.
 func stateOfNode(list map[string]membership.Entry) string {
 	entry, listed := list["n1"]
 	switch {
@@ -153,7 +153,7 @@
 func (n *registered) recordStates() {
 	n.proxy.mu.Lock()
 	defer n.proxy.mu.Unlock()
-	n.proxy.seen = func() {
+	n.proxy.onEvent = func() {
 		state := stateOfNode(n.proxy.list)
 		n.mu.Lock()
 		defer n.mu.Unlock()
@@ -169,8 +169,8 @@
 	return strings.Join(n.seen, " ")
 }
 
-// checkSecondOfTheName checks that another node of the same name does not get in, and does no harm.
-func (n *registered) checkSecondOfTheName() {
+// checkDuplicateName checks that another node of the same name can't register and does not affect the first one.
+func (n *registered) checkDuplicateName() {
 	n.t.Helper()
 	ctx, cancel := context.WithTimeout(n.t.Context(), 400*time.Millisecond)
 	defer cancel()
@@ -180,12 +180,11 @@
 		n.t.Error(err)
 	}
 	if n.state() != "ready" {
-		n.t.Errorf("another of the same name: %s", n.state())
+		n.t.Errorf("with another node of the same name: %s", n.state())
 	}
 }
 
-// checkRestart checks that a node that starts again before the lease of its last incarnation has ended takes that
-// one's place.
+// checkRestart checks that a node that restarts before the lease of its previous run has ended replaces the old entry.
 func (n *registered) checkRestart() {
 	n.t.Helper()
 	lease, err := n.writer.Grant(n.t.Context(), time.Second)
@@ -196,9 +195,9 @@
 		n.t.Fatal(err)
 	}
 	stop, ended := n.register()
-	time.Sleep(1500 * time.Millisecond) // the old lease has ended, and the entry is the new one's
+	time.Sleep(1500 * time.Millisecond) // the old lease has ended by then, and the entry is under the new one
 	if n.state() != "ready" {
-		n.t.Errorf("%s after the end of its last incarnation's lease", n.state())
+		n.t.Errorf("%s after the lease of its previous run has ended", n.state())
 	}
 	stop()
 	if err := testutil.Receive(n.t, ended, "its end"); err != nil {
