--- a/internal/process/adminserver/compatibility_test.go
+++ b/internal/process/adminserver/compatibility_test.go
@@ -13,7 +13,7 @@
 	"marlreel/internal/testutil"
 )
 
-// What the admin endpoint answers to the platform, to the byte.
+// Checks the admin endpoint's responses byte for byte.
 func TestCompatibilityAnswers(t *testing.T) {
 	var ready atomic.Bool
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/process/adminserver/connection.go
+++ b/internal/process/adminserver/connection.go
@@ -15,20 +15,20 @@
 
 const (
 	headReadTimeout = 2 * time.Second // for a request's head
-	writeTimeout    = time.Second     // for a response: a client that doesn't read it is closed
+	writeTimeout    = time.Second     // for a response; a client that doesn't read it is disconnected
 	maxHeadBytes    = 4 << 10
 )
 
-// response is what a request is answered with.
+// response is the HTTP response to a request.
 type response struct {
 	status int
-	allow  string // the Allow header; "": none
+	allow  string // the Allow header; "" omits it
 	body   []byte
 }
 
-// serveConn reads the request of a connection, answers it and closes the connection.
+// serveConn reads one request from a connection, answers it and closes the connection.
 func (s *Server) serveConn(conn net.Conn, element *list.Element) {
-	defer conn.Close()                                        //nolint:errcheck // the client has its response, or is gone
+	defer conn.Close()                                        //nolint:errcheck // the client has its response or has disconnected
 	_ = conn.SetReadDeadline(time.Now().Add(headReadTimeout)) // fails only on a closed connection, as the read does
 	request, err := http.ReadRequest(bufio.NewReaderSize(io.LimitReader(conn, maxHeadBytes), 512))
 	if !s.onRequestRead(element) {
@@ -37,28 +37,28 @@
 	defer s.onAnswered()
 	var netErr net.Error
 	if errors.As(err, &netErr) || errors.Is(err, io.EOF) {
-		return // it was too slow, sent nothing or is gone: there is nobody to tell
+		return // the client was too slow, sent nothing or has disconnected, so no response is needed
 	}
 	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout))    // as above
-	_, _ = conn.Write(encodeResponse(s.respond(request, err))) // who can't be written to is not told
+	_, _ = conn.Write(encodeResponse(s.respond(request, err))) // a failed write means that the client has disconnected
 	if request != nil && request.ContentLength != 0 {
 		discardBody(conn)
 	}
 }
 
-// discardBody reads what follows a request's head for a while. Closing over unread bytes resets the connection,
-// which may keep the response from the client.
+// discardBody reads a bounded part of what follows a request's head. Closing a connection that has unread bytes
+// resets it, and the client may then lose the response.
 func discardBody(conn net.Conn) {
 	halfCloser, ok := conn.(interface{ CloseWrite() error })
 	if !ok {
 		return
 	}
-	_ = halfCloser.CloseWrite()                            // the read below fails where this does
+	_ = halfCloser.CloseWrite()                            // if this fails, the read below fails too
 	_ = conn.SetReadDeadline(time.Now().Add(writeTimeout)) // as above
-	_, _ = io.CopyN(io.Discard, conn, maxHeadBytes)        // any end will do
+	_, _ = io.CopyN(io.Discard, conn, maxHeadBytes)        // best effort
 }
 
-// respond decides what a request is answered with; err says that it could not be read.
+// respond returns the response to a request. A non-nil err means that the request could not be read.
 func (s *Server) respond(request *http.Request, err error) response {
 	if err != nil {
 		return response{status: http.StatusBadRequest, body: []byte("this is no HTTP/1.1 request\n")}
@@ -74,7 +74,7 @@
 	return response{status: status, body: body}
 }
 
-// handlerOf returns the handler of a path, nil where there is none.
+// handlerOf returns the handler of a path, or nil if there is none.
 func (s *Server) handlerOf(path string) HandlerFunc {
 	switch path {
 	case "/control/ready":
--- a/internal/process/adminserver/server.go
+++ b/internal/process/adminserver/server.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// acceptRetryDelay is the pause after an accept that failed for want of descriptors.
+// acceptRetryDelay is the pause after a failed accept, for example when file descriptors have run out.
 const acceptRetryDelay = 5 * time.Millisecond
 
-// HandlerFunc answers a GET of a path. It is called from any goroutine and must not wait.
+// HandlerFunc answers a GET request for a path. It may be called from any goroutine and must not block.
 type HandlerFunc func() (status int, body []byte)
 
-// Server answers requests of the platform. Make it with New.
+// Server answers the platform's requests. Create it with New.
 type Server struct {
 	ready          func() bool
 	appendMetrics  func([]byte) []byte
 	maxConnections int
-	handlers       map[string]HandlerFunc // by path; not changed once Serve runs
+	handlers       map[string]HandlerFunc // by path; read-only once Serve runs
 
 	mu         sync.Mutex
-	incomplete list.List // of net.Conn: connections without a complete request, the oldest first
+	incomplete list.List // of net.Conn: connections without a complete request, oldest first
 	openCount  int
 	listener   net.Listener
 	closed     bool
@@ -30,9 +30,9 @@
 	connections sync.WaitGroup
 }
 
-// New makes a server. ready says whether this process can serve; appendMetrics appends the text of the metrics to
-// what it is given. Both are called from any goroutine and must not wait. maxConnections is how many connections
-// are open at a time, at least 1.
+// New creates a server. ready reports whether this process can serve; appendMetrics appends the metrics in text form
+// to its argument. Both may be called from any goroutine and must not block. maxConnections limits the open
+// connections; values below 1 count as 1.
 func New(ready func() bool, appendMetrics func([]byte) []byte, maxConnections int) *Server {
 	return &Server{
 		ready: ready, appendMetrics: appendMetrics, maxConnections: max(1, maxConnections),
@@ -40,13 +40,13 @@
 	}
 }
 
-// Handle answers another path under /control/. Call it only before Serve.
+// Handle registers a handler for another path under /control/. Call it only before Serve.
 func (s *Server) Handle(path string, handler HandlerFunc) {
 	s.handlers[path] = handler
 }
 
-// Serve accepts connections until Close, and returns nil then. A failure to accept is retried: a server that gives
-// up when descriptors run out once would stay down for good.
+// Serve accepts connections until Close, then returns nil. A failed accept is retried: otherwise a temporary lack of
+// file descriptors would stop the server for good.
 func (s *Server) Serve(listener net.Listener) error {
 	s.mu.Lock()
 	s.listener = listener
@@ -68,19 +68,20 @@
 	}
 }
 
-// admit serves a connection: in place of the oldest without a complete request where maxConnections are open, and
-// not at all where all of them have one. Those are answered within writeTimeout.
+// admit starts to serve a connection. If maxConnections are open, it closes the oldest one without a complete
+// request, or rejects the new connection if all requests are complete. Complete requests are answered within
+// writeTimeout.
 func (s *Server) admit(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.openCount >= s.maxConnections {
 		oldest := s.incomplete.Front()
 		if oldest == nil {
-			_ = conn.Close() // there is nobody to tell
+			_ = conn.Close() // best effort
 			return
 		}
 		s.incomplete.Remove(oldest)
-		_ = oldest.Value.(net.Conn).Close() // its goroutine sees that and ends
+		_ = oldest.Value.(net.Conn).Close() // its goroutine then fails to read, and ends
 		s.openCount--
 	}
 	element := s.incomplete.PushBack(conn)
@@ -88,8 +89,8 @@
 	s.connections.Go(func() { s.serveConn(conn, element) })
 }
 
-// onRequestRead takes a connection off the list of those without a complete request. It returns false when admit
-// has closed the connection for another one, which counts in its stead.
+// onRequestRead removes a connection from the list of those without a complete request. It returns false if admit
+// has already closed the connection in favour of another one; openCount then no longer includes it.
 func (s *Server) onRequestRead(element *list.Element) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,15 +109,15 @@
 	s.openCount--
 }
 
-// Close closes the listener and the connections without a complete request, and waits for the others' answers.
+// Close closes the listener and the connections without a complete request, and waits for the other responses.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
 	if s.listener != nil {
-		_ = s.listener.Close() // nothing can be done about it, and Serve ends either way
+		_ = s.listener.Close() // Serve ends even if this fails
 	}
 	for e := s.incomplete.Front(); e != nil; e = e.Next() {
-		_ = e.Value.(net.Conn).Close() // its goroutine ends either way
+		_ = e.Value.(net.Conn).Close() // its goroutine ends even if this fails
 	}
 	s.mu.Unlock()
 	s.connections.Wait()
--- a/internal/process/adminserver/server_test.go
+++ b/internal/process/adminserver/server_test.go
@@ -80,7 +80,7 @@
 		{"metrics", get("/control/counters"), false, 200, "proxy.outstanding:0|g\n"},
 		{"another path", get("/control"), true, 404, ""},
 		{"another method", "POST /control/ready HTTP/1.1\r\nHost: n0\r\nContent-Length: 3\r\n\r\nabc", true, 405, ""},
-		{"noise", "\x16\x03\x01\r\n\r\n", true, 400, ""},
+		{"not HTTP", "\x16\x03\x01\r\n\r\n", true, 400, ""},
 		{"an endless head", "GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 2*maxHeadBytes), true, 400, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -96,13 +96,13 @@
 	}
 }
 
-// Connections that send no complete request are closed for a new one, the oldest first, and none stays open for good.
+// Connections without a complete request are closed to admit new ones, oldest first, and none stays open for good.
 func TestIncompleteRequestsAreClosedForNewOnes(t *testing.T) {
 	t.Parallel()
 	var ready atomic.Bool
 	ready.Store(true)
 	addr := startServer(t, &ready)
-	var held []net.Conn
+	var incomplete []net.Conn
 	for i := range 3 * maxTestConnections {
 		c := testutil.Dial(t, addr)
 		if i%2 == 1 {
@@ -110,18 +110,18 @@
 				t.Fatal(err)
 			}
 		}
-		held = append(held, c)
+		incomplete = append(incomplete, c)
 		got := call(t, addr, "GET /control/ready HTTP/1.1\r\nHost: n0\r\n\r\n")
 		if got.status != 200 {
-			t.Fatalf("beside %d: %d", len(held), got.status)
+			t.Fatalf("status with %d incomplete requests open: %d", len(incomplete), got.status)
 		}
 	}
-	for i, c := range held {
+	for i, c := range incomplete {
 		if err := c.SetReadDeadline(time.Now().Add(testutil.Patience)); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := io.Copy(io.Discard, c); testutil.IsTimeout(err) { // half a call may be told so first
-			t.Errorf("caller %d is still held: %v", i, err)
+		if _, err := io.Copy(io.Discard, c); testutil.IsTimeout(err) { // half a request may get an error response first
+			t.Errorf("connection %d is still open: %v", i, err)
 		}
 	}
 }
