--- a/internal/process/background/doc.go
+++ b/internal/process/background/doc.go
@@ -1,7 +1,7 @@
-// Package background schedules work that is no request, as writing the learned state: by priority, within a share
-// of a core, a bounded number of jobs at once, and none starved. Scheduler owns the order and the budget of CPU
-// time (a token bucket) and runs nothing; it is pure: the time and the random numbers are passed in. Runner runs
-// what it starts.
+// Package background schedules maintenance work outside the request path, such as saving the learned state. Jobs run
+// by priority, within a share of a core and a concurrency limit, and none starves. Scheduler owns the order and the
+// CPU budget (a token bucket); it runs nothing and is pure: the time and the random numbers are passed in. Runner
+// runs the jobs that Scheduler starts.
 //
-// What must not wait (an update of the membership, a drain, a request) is no job of this package.
+// Work that must not wait (membership updates, drains, requests) doesn't belong in this package.
 package background
--- a/internal/process/background/job.go
+++ b/internal/process/background/job.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// Priority says who goes first.
+// Priority is a job's priority; lower values start first.
 type Priority uint8
 
 // The priorities.
 const (
-	Urgent Priority = iota // also in an overload and while the process shuts down
-	Normal                 // neither in an overload nor while the process shuts down
-	Idle                   // the same, behind the others
+	Urgent Priority = iota // starts even during overload and shutdown
+	Normal                 // starts neither during overload nor during shutdown
+	Idle                   // as Normal, but after Normal jobs
 )
 
 // Spec describes a job.
 type Spec struct {
 	Name          string
 	Priority      Priority
-	Interval      time.Duration // from the end of one run to the next; a quarter of jitter is added or taken off
-	EstimatedCost time.Duration // CPU time of a run, until it is measured
-	MaxDuration   time.Duration // a run that takes longer is logged and no longer counts as running; 0: Interval
+	Interval      time.Duration // from the end of one run to the start of the next, with up to 25% jitter either way
+	EstimatedCost time.Duration // CPU time of a run, used until a run has been measured
+	MaxDuration   time.Duration // a run that takes longer is logged and no longer counts as running; 0 means Interval
 }
 
-// ID is a job's number.
+// ID identifies a job.
 type ID int
 
 const (
-	costRetention    = 0.7  // weight of the cost known so far in the average, with each run
-	maxBackoffFactor = 8    // of Interval, after runs that failed
-	jitter           = 0.25 // of Interval, either way
-	overdueIntervals = 2    // a job that waits for more intervals than this is overdue, which is logged
+	costRetention    = 0.7  // weight of the previous average when a run updates the expected cost
+	maxBackoffFactor = 8    // upper bound of the backoff after failed runs, in Intervals
+	jitter           = 0.25 // fraction of Interval, either way
+	overdueIntervals = 2    // a job that is late by more intervals than this is logged as overdue
 )
 
 type job struct {
@@ -39,26 +39,26 @@
 	dueAt        time.Duration
 	startedAt    time.Duration
 	running      bool
-	exceeded     bool // it has run for longer than MaxDuration
+	exceeded     bool // the current run has taken longer than MaxDuration
 	reservedCost time.Duration
 	expectedCost time.Duration
-	failures     int // in a row
+	failures     int // consecutive
 	overdue      bool
 }
 
-// rank is what due jobs are ordered by, the lowest first: the priority, less one for each Interval that the job is
-// past its time. So nothing waits for ever behind what is always more urgent.
+// rank orders due jobs, lowest first: the priority minus the number of Intervals by which the job is late. This
+// ageing keeps jobs of a low priority from starving.
 func (j *job) rank(now time.Duration) float64 {
 	return float64(j.Priority) - float64(now-j.dueAt)/float64(max(j.Interval, time.Millisecond))
 }
 
-// learnCost updates the expected cost by that of a run. One that took more than expected is believed at once.
+// learnCost updates the expected cost with that of a run. A higher cost than the average replaces it at once.
 func (j *job) learnCost(used time.Duration) {
 	average := time.Duration(costRetention*float64(j.expectedCost) + (1-costRetention)*float64(used))
 	j.expectedCost = max(average, used)
 }
 
-// finish ends a run; random is from 0 to 1, for the jitter.
+// finish records the end of a run and schedules the next one; random, from 0 to 1, sets the jitter.
 func (j *job) finish(now time.Duration, failed bool, random float64) {
 	if failed {
 		j.failures++
--- a/internal/process/background/runner.go
+++ b/internal/process/background/runner.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// Func is the work of a job. It has to return when its context ends.
+// Func is the work of a job. It must return when its context ends.
 type Func func(context.Context) error
 
-// Runner runs jobs as a Scheduler says. It is safe for concurrent use.
+// Runner runs jobs in the order that a Scheduler decides. It is safe for concurrent use.
 type Runner struct {
 	logf      func(format string, args ...any)
 	startedAt time.Time
-	wake      chan struct{} // Run is to look at the scheduler again
+	wake      chan struct{} // signals Run to check the scheduler again
 	running   sync.WaitGroup
 
 	mu        sync.Mutex
 	scheduler *Scheduler
 	functions map[ID]Func
-	cancels   map[ID]context.CancelFunc // of each job's last run
+	cancels   map[ID]context.CancelFunc // cancels the last run of each job
 }
 
-// NewRunner makes a runner, whose Run the caller starts. logf is called from any goroutine.
+// NewRunner creates a runner; the caller must call Run. logf may be called from any goroutine.
 func NewRunner(cfg Config, logf func(format string, args ...any)) *Runner {
 	return &Runner{
 		logf: logf, startedAt: time.Now(), wake: make(chan struct{}, 1),
@@ -34,7 +34,7 @@
 
 func (r *Runner) now() time.Duration { return time.Since(r.startedAt) }
 
-// update changes the scheduler under the lock, logs what it says and wakes Run.
+// update changes the scheduler under the lock, writes its log lines and wakes Run.
 func (r *Runner) update(change func()) {
 	r.locked(change)
 	select {
@@ -43,7 +43,7 @@
 	}
 }
 
-// locked calls a function under the lock, and then logs what the scheduler says.
+// locked calls a function under the lock, then writes the scheduler's log lines.
 func (r *Runner) locked(do func()) {
 	r.mu.Lock()
 	do()
@@ -59,10 +59,10 @@
 	r.update(func() { r.functions[r.scheduler.Add(r.now(), spec)] = function })
 }
 
-// SetOverloaded says whether requests are being shed: only Urgent jobs start then.
+// SetOverloaded sets whether requests are being shed. During overload only Urgent jobs start.
 func (r *Runner) SetOverloaded(on bool) { r.update(func() { r.scheduler.SetOverloaded(on) }) }
 
-// Drain cancels the runs of jobs that are not Urgent, which don't start again.
+// Drain cancels the runs of jobs that are not Urgent and keeps these jobs from starting again.
 func (r *Runner) Drain() {
 	r.update(func() {
 		for _, id := range r.scheduler.Drain() {
@@ -71,7 +71,7 @@
 	})
 }
 
-// Run runs jobs until ctx ends. Then it waits for those that run, which see ctx end too, for gracePeriod at most.
+// Run runs jobs until ctx ends. It then waits up to gracePeriod for running jobs, whose contexts end with ctx.
 func (r *Runner) Run(ctx context.Context, gracePeriod time.Duration) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -84,18 +84,18 @@
 		}
 	}
 	ended := make(chan struct{})
-	go func() { // ends with the last run, at the latest when a job heeds its context
+	go func() { // ends when the last run returns, possibly after gracePeriod
 		defer close(ended)
 		r.running.Wait()
 	}()
 	select {
 	case <-ended:
 	case <-time.After(gracePeriod):
-		r.logf("background: a job does not end")
+		r.logf("background: jobs are still running after the grace period")
 	}
 }
 
-// startDue starts the jobs that are due, and returns for how long there is nothing to do.
+// startDue starts the jobs that are due, and returns the time until the next one may start.
 func (r *Runner) startDue(ctx context.Context) time.Duration {
 	wait := time.Hour
 	r.locked(func() {
@@ -111,7 +111,7 @@
 	return wait
 }
 
-// start starts a run. Called with the lock.
+// start starts a run. The caller holds the lock.
 func (r *Runner) start(ctx context.Context, id ID) {
 	ctx, cancel := context.WithCancel(ctx)
 	r.cancels[id] = cancel
@@ -127,13 +127,13 @@
 	})
 }
 
-// runMeasured runs a job and returns the CPU time that it used. A panic is its error.
+// runMeasured runs a job and returns the CPU time that it used. A panic is returned as an error.
 func runMeasured(ctx context.Context, function Func) (used time.Duration, err error) {
 	stopTimer := startThreadTimer()
 	defer func() {
 		recovered := recover()
 		if recovered != nil {
-			err = fmt.Errorf("it panicked: %v", recovered)
+			err = fmt.Errorf("panic: %v", recovered)
 		}
 		used = stopTimer()
 	}()
--- a/internal/process/background/scheduler.go
+++ b/internal/process/background/scheduler.go
@@ -7,33 +7,34 @@
 	"time"
 )
 
-// Config bounds what jobs take together.
+// Config limits what all jobs together may use.
 type Config struct {
-	Cores      float64       // share of a core, as 0.02
-	Burst      time.Duration // CPU time that may be saved up
-	MaxRunning int           // jobs at once
+	Cores      float64       // CPU share in cores, such as 0.02
+	Burst      time.Duration // capacity of the token bucket, in CPU time
+	MaxRunning int           // concurrent jobs
 }
 
-// Scheduler is the state. It is not safe for concurrent use. Times are durations since a start that the caller
-// chooses, and never go back.
+// Scheduler decides which jobs start and when. It is not safe for concurrent use. Times are durations since an
+// origin that the caller chooses, and must not decrease.
 type Scheduler struct {
 	config     Config
 	random     func() float64
 	jobs       map[ID]*job
 	lastID     ID
-	cpuTokens  time.Duration // CPU time that may be spent; negative: a debt
+	cpuTokens  time.Duration // CPU time that may be spent; negative is a debt
 	refilledAt time.Duration
 	overloaded bool
 	draining   bool
 	logLines   []string
 }
 
-// New makes a scheduler. random gives numbers from 0 to 1: processes that start together must not have the same.
+// New creates a scheduler. random returns numbers from 0 to 1, which must differ between processes that start
+// together.
 func New(cfg Config, now time.Duration, random func() float64) *Scheduler {
 	return &Scheduler{config: cfg, random: random, jobs: map[ID]*job{}, refilledAt: now, cpuTokens: cfg.Burst}
 }
 
-// Add adds a job. Its first run is due at a random time within its interval: what is added together does not run
+// Add adds a job. Its first run is due at a random time within its interval, so that jobs added together don't run
 // together.
 func (s *Scheduler) Add(now time.Duration, spec Spec) ID {
 	s.lastID++
@@ -45,10 +46,10 @@
 	return s.lastID
 }
 
-// SetOverloaded says whether requests are being shed: only Urgent jobs start then.
+// SetOverloaded sets whether requests are being shed. During overload only Urgent jobs start.
 func (s *Scheduler) SetOverloaded(on bool) { s.overloaded = on }
 
-// Drain lets only Urgent jobs start from now on. It returns the other ones that run, for the caller to cancel.
+// Drain lets only Urgent jobs start from now on. It returns the other running jobs for the caller to cancel.
 func (s *Scheduler) Drain() []ID {
 	s.draining = true
 	var running []ID
@@ -61,7 +62,7 @@
 	return running
 }
 
-// refill adds the CPU time that has accrued.
+// refill adds the tokens that have accrued since the last refill.
 func (s *Scheduler) refill(now time.Duration) {
 	elapsed := now - s.refilledAt
 	if elapsed > 0 {
@@ -70,25 +71,26 @@
 	}
 }
 
-// mayStart says whether a job of this priority may start at present.
+// mayStart reports whether a job's priority allows it to start at present.
 func (s *Scheduler) mayStart(j *job) bool {
 	return j.Priority == Urgent || !s.overloaded && !s.draining
 }
 
-// requiredTokens is what has to be saved up before a job starts. One that costs more than can be saved up starts
-// when all of that is there, and leaves a debt.
+// requiredTokens returns how many tokens a job needs to start. A job that costs more than Burst starts when the
+// bucket is full, and leaves a debt.
 func (s *Scheduler) requiredTokens(j *job) time.Duration {
 	return min(j.expectedCost, s.config.Burst)
 }
 
-// StartDue returns the jobs that start now, the first in rank first. Each needs an OnRunEnded.
+// StartDue returns the jobs that start now, in order of rank. The caller must report the end of each run with
+// OnRunEnded.
 func (s *Scheduler) StartDue(now time.Duration) []ID {
 	s.refill(now)
 	running := s.checkRunning(now)
 	var started []ID
 	for _, id := range s.dueByRank(now) {
 		j := s.jobs[id]
-		// A job that can't be paid yet keeps those behind it from spending what it waits for.
+		// A job that lacks tokens blocks those behind it, so that they don't spend the tokens that it waits for.
 		if running >= s.config.MaxRunning || s.cpuTokens < s.requiredTokens(j) {
 			break
 		}
@@ -101,7 +103,7 @@
 	return started
 }
 
-// checkRunning logs runs that have just exceeded their MaxDuration, and returns how many others there are.
+// checkRunning logs runs that have just exceeded their MaxDuration, and returns the number of other runs.
 func (s *Scheduler) checkRunning(now time.Duration) int {
 	running := 0
 	for _, j := range s.jobs {
@@ -113,13 +115,13 @@
 			continue
 		}
 		j.exceeded = true
-		s.logf("%s has run for %v, and %v is the most: it is left alone, and does not begin again before it ends",
+		s.logf("%s has run for %v, longer than its limit of %v; it is not cancelled, and does not start again before it ends",
 			j.Name, (now - j.startedAt).Round(time.Millisecond), j.MaxDuration)
 	}
 	return running
 }
 
-// dueByRank returns the jobs that are due, the first to start first, and logs those that have become overdue.
+// dueByRank returns the due jobs in the order in which they start, and logs those that have become overdue.
 func (s *Scheduler) dueByRank(now time.Duration) []ID {
 	var due []ID
 	for id, j := range s.jobs {
@@ -131,7 +133,7 @@
 		}
 		if !j.overdue && now-j.dueAt > overdueIntervals*j.Interval {
 			j.overdue = true
-			s.logf("%s is late by %v: the work in the background has no more than %.0f%% of a core",
+			s.logf("%s is overdue by %v: background jobs are limited to %.0f%% of a core",
 				j.Name, (now - j.dueAt).Round(time.Millisecond), 100*s.config.Cores)
 		}
 	}
@@ -141,8 +143,8 @@
 	return due
 }
 
-// OnRunEnded records the end of a run: the CPU time that it used, and whether it failed. One that was recorded
-// already is ignored.
+// OnRunEnded records the end of a run, the CPU time that it used and whether it failed. A second call for the same
+// run is ignored.
 func (s *Scheduler) OnRunEnded(now time.Duration, id ID, used time.Duration, failed bool) {
 	s.refill(now)
 	j := s.jobs[id]
@@ -155,7 +157,8 @@
 	j.finish(now, failed, s.random())
 }
 
-// NextStart is the time at which StartDue has something to do; 0: not before a run ends or something is set.
+// NextStart returns the time of the next event that StartDue handles, or 0 if there is none before a run ends or the
+// scheduler is changed.
 func (s *Scheduler) NextStart(now time.Duration) time.Duration {
 	next := time.Duration(0)
 	for _, j := range s.jobs {
@@ -171,7 +174,7 @@
 	return next
 }
 
-// nextEvent is when a job exceeds its MaxDuration or may start; false where neither is to come by itself.
+// nextEvent returns when a job exceeds its MaxDuration or may start; false if time alone leads to neither.
 func (s *Scheduler) nextEvent(j *job) (time.Duration, bool) {
 	if j.running {
 		return j.startedAt + j.MaxDuration + time.Millisecond, !j.exceeded
@@ -191,7 +194,7 @@
 	s.logLines = append(s.logLines, fmt.Sprintf(format, args...))
 }
 
-// TakeLogLines returns the lines for the log since the last call.
+// TakeLogLines returns and clears the log lines collected since the last call.
 func (s *Scheduler) TakeLogLines() []string {
 	lines := s.logLines
 	s.logLines = nil
--- a/internal/process/background/scheduler_test.go
+++ b/internal/process/background/scheduler_test.go
@@ -21,13 +21,13 @@
 
 const ms = time.Millisecond
 
-// simulation is what jobs did in simulated time.
+// simulation records the runs of jobs in simulated time.
 type simulation struct {
 	s          *Scheduler
 	now        time.Duration
 	runs       map[ID]int
-	last       map[ID]time.Duration // begin of the last run
-	worst      map[ID]time.Duration // longest between two begins
+	last       map[ID]time.Duration // start of the last run
+	worst      map[ID]time.Duration // longest gap between two starts
 	spent      []spending
 	maxRunning int
 }
@@ -37,7 +37,7 @@
 	used time.Duration
 }
 
-// simulate runs jobs of true costs, each on a core of its own, for a time.
+// simulate runs jobs with the given actual costs until a time, each on its own core.
 func simulate(s *Scheduler, costs map[ID]time.Duration, until time.Duration, busy func(now time.Duration) bool) *simulation {
 	p := &simulation{s: s, runs: map[ID]int{}, last: map[ID]time.Duration{}, worst: map[ID]time.Duration{}}
 	ends := map[ID]time.Duration{}
@@ -66,8 +66,8 @@
 	return p
 }
 
-// Over any span jobs take no more than their share of it, what can be saved up, and the last run of each; never
-// more than so many at once; and each that may run does, however busy the others keep the budget.
+// In any period, jobs use no more CPU time than their share plus the burst and the last run of each. The concurrency
+// limit holds, and no job starves, however much of the budget the others use.
 func TestShareConcurrencyAndStarvation(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -93,15 +93,15 @@
 			for _, x := range p.spent[i:] {
 				used += x.used
 				if most := time.Duration(float64(x.at-p.spent[i].at)*cfg.Cores) + cfg.Burst + 2*sum; used > most {
-					t.Fatalf("%v used from %v to %v, %v is the most", used, p.spent[i].at, x.at, most)
+					t.Fatalf("%v used from %v to %v, limit %v", used, p.spent[i].at, x.at, most)
 				}
 			}
 		}
 		if p.maxRunning > cfg.MaxRunning {
-			t.Fatalf("%d at once", p.maxRunning)
+			t.Fatalf("%d jobs ran at once", p.maxRunning)
 		}
-		// Nothing starves: where more is wanted than there is, all wait by the same factor, about, and get their
-		// turn within a few rounds of all of them.
+		// No job starves: when the demand exceeds the budget, all intervals stretch by about the same factor, and each
+		// job runs within a few rounds of all jobs.
 		over := max(1, wants/cfg.Cores)
 		round := time.Duration(float64(sum+cfg.Burst) / cfg.Cores)
 		for _, spec := range specs {
@@ -109,13 +109,13 @@
 		}
 		for id, spec := range specs {
 			if gap := max(p.worst[id], until-p.last[id]); gap > 4*round+time.Duration(4*over*float64(spec.Interval+costs[id])) {
-				t.Fatalf("%s (every %v, priority %d) waited for %v, a round is %v; wanted %.2f of a core, there is %.2f", spec.Name, spec.Interval, spec.Priority, gap, round, wants, cfg.Cores)
+				t.Fatalf("%s (interval %v, priority %d) waited for %v, a round is %v; demand %.2f of a core, budget %.2f", spec.Name, spec.Interval, spec.Priority, gap, round, wants, cfg.Cores)
 			}
 		}
 	})
 }
 
-// What is more urgent goes first where both wait; in an overload and in a stop nothing else begins.
+// Due jobs start by priority; during overload and shutdown only Urgent jobs start.
 func TestPriorities(t *testing.T) {
 	t.Parallel()
 	s := New(Config{Cores: 0.1, Burst: 10 * ms, MaxRunning: 1}, 0, func() float64 { return 0 })
@@ -129,13 +129,13 @@
 		}
 		s.OnRunEnded(now+10*ms, want, 10*ms, false)
 		if now = s.NextStart(now + 10*ms); now == 0 {
-			t.Fatal("nothing comes")
+			t.Fatal("no next start")
 		}
 	}
 	costs := map[ID]time.Duration{idle: 10 * ms, usual: 10 * ms, soon: 10 * ms}
 	p := simulate(New(Config{Cores: 0.1, Burst: 10 * ms, MaxRunning: 1}, 0, func() float64 { return 0.5 }), costs, time.Second, nil)
 	if len(p.runs) != 0 {
-		t.Error("jobs that nobody added run")
+		t.Error("jobs ran that were never added")
 	}
 	s = New(Config{Cores: 0.1, Burst: 50 * ms, MaxRunning: 2}, 0, rand.New(rand.NewPCG(1, 2)).Float64)
 	for _, x := range []Priority{Idle, Normal, Urgent} {
@@ -144,27 +144,27 @@
 	all := map[ID]time.Duration{1: ms, 2: ms, 3: ms}
 	p = simulate(s, all, 60*time.Second, func(time.Duration) bool { return true })
 	if p.runs[1]+p.runs[2] != 0 || p.runs[3] < 200 {
-		t.Errorf("a minute of overload: %v", p.runs)
+		t.Errorf("runs in a minute of overload: %v", p.runs)
 	}
-	if lines := strings.Join(s.TakeLogLines(), "\n"); strings.Contains(lines, "late") {
-		t.Errorf("what may not run is late: %s", lines)
+	if lines := strings.Join(s.TakeLogLines(), "\n"); strings.Contains(lines, "overdue") {
+		t.Errorf("a job that may not start was logged as overdue: %s", lines)
 	}
 	s.SetOverloaded(false)
 	if got := s.StartDue(61 * time.Second); len(got) < 2 {
-		t.Errorf("after it: %v", got)
+		t.Errorf("started after the overload: %v", got)
 	}
 	if running := s.Drain(); len(running) != 2 {
-		t.Errorf("cancelled at a drain: %v", running)
+		t.Errorf("jobs to cancel at the drain: %v", running)
 	}
 	s.OnRunEnded(62*time.Second, 1, 0, false)
 	s.OnRunEnded(62*time.Second, 2, 0, false)
 	if got := s.StartDue(100 * time.Second); len(got) > 1 || len(got) == 1 && got[0] != 3 {
-		t.Errorf("in a drain: %v", got)
+		t.Errorf("started during the drain: %v", got)
 	}
 }
 
-// A job that never ends is said to, counts no more, and is not begun again; one that fails comes less often;
-// one that asks for more than can be saved up runs all the same, and the others wait for its debt.
+// A run that exceeds MaxDuration is logged once, stops counting as running and is not started again. A failing job
+// backs off. A job that costs more than Burst still runs, and the others wait until its debt is paid.
 func TestExceedingFailingAndExpensiveJobs(t *testing.T) {
 	t.Parallel()
 	s := New(Config{Cores: 0.1, Burst: 20 * ms, MaxRunning: 1}, 0, func() float64 { return 0.5 })
@@ -174,29 +174,29 @@
 		t.Fatalf("%v", got)
 	}
 	if got := s.StartDue(200 * ms); len(got) != 0 {
-		t.Errorf("two at once: %v", got)
+		t.Errorf("started beyond MaxRunning: %v", got)
 	}
-	if got := s.StartDue(400 * ms); len(got) != 1 || got[0] != other || !strings.Contains(strings.Join(s.TakeLogLines(), ""), "never has run for 340ms, and 300ms is the most") {
-		t.Errorf("beside one that does not end: %v", got)
+	if got := s.StartDue(400 * ms); len(got) != 1 || got[0] != other || !strings.Contains(strings.Join(s.TakeLogLines(), ""), "never has run for 340ms, longer than its limit of 300ms") {
+		t.Errorf("started beside a run that exceeded its limit: %v", got)
 	}
 	s.OnRunEnded(401*ms, other, ms, false)
 	for now := 500 * ms; now < 5*time.Second; now += 50 * ms {
 		for _, id := range s.StartDue(now) {
 			if id == never {
-				t.Fatal("it begins while it runs")
+				t.Fatal("a job started while it was running")
 			}
 			s.OnRunEnded(now+ms, id, ms, false)
 		}
 	}
 	if lines := s.TakeLogLines(); len(lines) != 0 {
-		t.Errorf("said again: %v", lines)
+		t.Errorf("logged again: %v", lines)
 	}
-	s.OnRunEnded(5*time.Second, never, time.Second, false) // a second of a core: ten seconds' worth
+	s.OnRunEnded(5*time.Second, never, time.Second, false) // a second of CPU time takes ten seconds to accrue
 	if got := s.StartDue(6 * time.Second); len(got) != 0 {
-		t.Errorf("in debt: %v", got)
+		t.Errorf("started while in debt: %v", got)
 	}
 	if got := s.StartDue(16 * time.Second); len(got) == 0 {
-		t.Error("after the debt nothing begins")
+		t.Error("nothing started after the debt was paid")
 	}
 
 	s = New(Config{Cores: 1, Burst: time.Second, MaxRunning: 1}, 0, func() float64 { return 0.5 })
@@ -209,11 +209,11 @@
 		}
 	}
 	if fails < 10 || fails > 18 {
-		t.Errorf("one that fails began %d times in ten seconds: every 0.1 s, and up to eight times less often", fails)
+		t.Errorf("a failing job with an interval of 0.1 s and a backoff of up to 8 intervals ran %d times in ten seconds", fails)
 	}
 }
 
-// Proxies that start together don't act in step.
+// Jobs of processes that start together run at different times.
 func TestStartsAreSpread(t *testing.T) {
 	t.Parallel()
 	begins := map[time.Duration]int{}
@@ -229,13 +229,13 @@
 	}
 	for at, n := range begins {
 		if n > 30 {
-			t.Errorf("%d of 100 begin within 0.1 s at %v", n, at*100*ms)
+			t.Errorf("%d of 100 processes started their job within 0.1 s of %v", n, at*100*ms)
 		}
 	}
 }
 
-// The runner: jobs run, a panic is an error and ends nobody else, a drain cancels what runs, and a job that
-// does not heed it holds the end up for the grace period alone.
+// A panic in a job counts as an error and doesn't affect other jobs. A drain cancels running jobs, and a job that
+// ignores its context delays the shutdown by no more than the grace period.
 func TestRunnerStopsJobs(t *testing.T) {
 	var lines testutil.LockedLog
 	var mu sync.Mutex
@@ -263,28 +263,28 @@
 		return ctx.Err()
 	})
 	testutil.Eventually(t, "runs of all", func() bool {
-		return good.Load() > 20 && bad.Load() > 2 && strings.Contains(lines.String(), "panics: it panicked: by mistake") && strings.Contains(lines.String(), "fails: no such thing")
+		return good.Load() > 20 && bad.Load() > 2 && strings.Contains(lines.String(), "panics: panic: by mistake") && strings.Contains(lines.String(), "fails: no such thing")
 	})
 	r.Drain()
-	testutil.Receive(t, called, "the cancellation of the long one")
+	testutil.Receive(t, called, "the cancellation of the long job")
 	after := good.Load()
 	time.Sleep(50 * ms)
 	if n := good.Load(); n > after+1 {
-		t.Errorf("%d runs in a drain", n-after)
+		t.Errorf("%d runs during the drain", n-after)
 	}
 	stop()
 	testutil.Receive(t, ended, "the end")
-	if !strings.Contains(lines.String(), "a job does not end") {
+	if !strings.Contains(lines.String(), "jobs are still running after the grace period") {
 		t.Errorf("%s", lines.String())
 	}
 	close(release)
 	r.running.Wait()
 }
 
-// A run's cost is its thread's time, not the clock's.
+// The cost of a run is the CPU time of its thread, not elapsed time.
 func TestCostIsCPUTime(t *testing.T) {
 	used, err := runMeasured(t.Context(), func(context.Context) error { time.Sleep(300 * ms); return nil })
 	if err != nil || used > 200*ms {
-		t.Errorf("sleeping took %v of a core (%v)", used, err)
+		t.Errorf("sleeping used %v of CPU time (error: %v)", used, err)
 	}
 }
--- a/internal/process/background/time_linux.go
+++ b/internal/process/background/time_linux.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// startThreadTimer begins to measure the CPU time of the calling goroutine, and returns what ends that and gives the
-// time. The goroutine has its thread to itself in between.
+// startThreadTimer starts to measure the CPU time of the calling goroutine. The function that it returns stops the
+// measurement and returns the time. The goroutine is locked to its thread in between.
 func startThreadTimer() func() time.Duration {
 	runtime.LockOSThread()
 	startedAt := threadCPUTime()
@@ -18,7 +18,7 @@
 	}
 }
 
-// threadCPUTime is the CPU time of the calling thread since its start; 0 where the kernel doesn't say.
+// threadCPUTime returns the CPU time of the calling thread since its start, or 0 if the kernel doesn't report it.
 func threadCPUTime() time.Duration {
 	const thread = 1 // RUSAGE_THREAD
 	var u syscall.Rusage
--- a/internal/process/background/time_other.go
+++ b/internal/process/background/time_other.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// startThreadTimer measures by the clock, where a thread's CPU time is not known: never less than it uses.
+// startThreadTimer measures elapsed time, an upper bound, as the CPU time of a thread is not available.
 func startThreadTimer() func() time.Duration {
 	began := time.Now()
 	return func() time.Duration { return time.Since(began) }
--- a/internal/process/budget/budget.go
+++ b/internal/process/budget/budget.go
@@ -6,39 +6,39 @@
 	"sync"
 )
 
-// Kind is what bytes are for.
+// Kind is the purpose for which bytes are acquired.
 type Kind uint8
 
-// The kinds. What is Small can be sent again: a part of the limit is for it alone, so that a few large bodies
-// don't keep all the usual ones out.
+// The kinds. A part of the limit is reserved for Small bodies, which can be sent again in a retry, so that a few
+// large bodies don't exclude all the others.
 const (
-	Small Kind = iota // a body, or an answer, that is small enough to be buffered complete
-	Large             // what is buffered of larger ones
+	Small Kind = iota // a request or response body that is small enough to be buffered whole
+	Large             // the buffered part of a larger body
 	kindCount
 )
 
-// maxLargePercent is the part of the limit that may be acquired for Large.
+// maxLargePercent is the percentage of the limit that may be acquired for Large.
 const maxLargePercent = 70
 
-// Budget is the bytes of one process. Make it with New. It is safe for concurrent use.
+// Budget tracks the acquired bytes of one process. Create it with New. It is safe for concurrent use.
 type Budget struct {
 	mu      sync.Mutex
 	limit   int
 	used    [kindCount]int
-	waiting list.List // of *waiter, the longest waiting first
+	waiting list.List // of *waiter, in order of arrival
 }
 
 type waiter struct {
 	bytes   int
 	kind    Kind
-	granted chan struct{} // closed when the bytes are its own
+	granted chan struct{} // closed when the bytes are granted
 }
 
-// New makes a budget of limit bytes.
+// New creates a budget of limit bytes.
 func New(limit int) *Budget { return &Budget{limit: max(0, limit)} }
 
-// TryAcquire acquires bytes. It returns false, and acquires none, where there is no room or others wait for bytes
-// of the kind.
+// TryAcquire acquires bytes without waiting. It returns false and acquires nothing if there is no room or others
+// already wait for bytes of the kind.
 func (b *Budget) TryAcquire(bytes int, kind Kind) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -53,8 +53,8 @@
 	return true
 }
 
-// Acquire acquires bytes as soon as there is room, in turn within the kind. It returns the context's error, and
-// has acquired nothing, when ctx ends before.
+// Acquire acquires bytes as soon as there is room, in order of arrival within the kind. If ctx ends first, it returns
+// the context's error and acquires nothing.
 func (b *Budget) Acquire(ctx context.Context, bytes int, kind Kind) error {
 	b.mu.Lock()
 	if b.tryAcquireLocked(bytes, kind) {
@@ -72,7 +72,7 @@
 	}
 }
 
-// abandon ends a wait with an error, or without one if the bytes were granted in the meantime.
+// abandon ends a wait. It returns err, or nil if the bytes were granted in the meantime.
 func (b *Budget) abandon(element *list.Element, err error) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -82,11 +82,11 @@
 	default:
 	}
 	b.waiting.Remove(element)
-	b.grantWaiting() // it may have been the first, and those behind it may fit
+	b.grantWaiting() // this waiter may have blocked others that fit
 	return err
 }
 
-// Release gives acquired bytes back. It panics when more is released than was acquired.
+// Release returns acquired bytes. It panics if more is released than was acquired.
 func (b *Budget) Release(bytes int, kind Kind) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -97,8 +97,8 @@
 	b.grantWaiting()
 }
 
-// SetLimit puts another limit in force, in bytes. What is acquired beyond it stays acquired: nothing more is
-// granted until enough has been released.
+// SetLimit changes the limit, in bytes. If more is acquired than the new limit allows, nothing is revoked, but
+// nothing more is granted until enough has been released.
 func (b *Budget) SetLimit(limit int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -106,21 +106,21 @@
 	b.grantWaiting()
 }
 
-// Limit is the limit in force, in bytes.
+// Limit returns the current limit in bytes.
 func (b *Budget) Limit() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.limit
 }
 
-// Used is how many bytes are acquired.
+// Used returns the number of acquired bytes.
 func (b *Budget) Used() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.used[Small] + b.used[Large]
 }
 
-// hasRoom says whether bytes fit into the limit. Called with the lock.
+// hasRoom reports whether bytes fit into the limit. The caller holds the lock.
 func (b *Budget) hasRoom(bytes int, kind Kind) bool {
 	if b.used[Small]+b.used[Large]+bytes > b.limit {
 		return false
@@ -128,7 +128,8 @@
 	return kind != Large || b.used[Large]+bytes <= b.limit/100*maxLargePercent
 }
 
-// hasWaiter says whether somebody waits for bytes of a kind: who comes later queues behind. Called with the lock.
+// hasWaiter reports whether anyone waits for bytes of a kind; later callers queue behind them. The caller holds the
+// lock.
 func (b *Budget) hasWaiter(kind Kind) bool {
 	for e := b.waiting.Front(); e != nil; e = e.Next() {
 		if e.Value.(*waiter).kind == kind {
@@ -138,8 +139,8 @@
 	return false
 }
 
-// grantWaiting grants bytes to those who wait, in turn within each kind: the first of a kind that doesn't fit
-// holds up those behind it of the same kind. Called with the lock.
+// grantWaiting grants bytes to waiters in order within each kind: the first waiter that doesn't fit blocks those of
+// the same kind behind it. The caller holds the lock.
 func (b *Budget) grantWaiting() {
 	var blocked [kindCount]bool
 	var next *list.Element
--- a/internal/process/budget/budget_test.go
+++ b/internal/process/budget/budget_test.go
@@ -13,8 +13,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Whatever is acquired and released: never more than the limit, never more of the large
-// than their part, and what was released can be acquired again.
+// Whatever is acquired and released, the sum stays within the limit and Large within its part, and released bytes
+// can be acquired again.
 func TestNeverOverTheLimit(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -40,7 +40,7 @@
 			n, k := rapid.IntRange(0, 500).Draw(t, "n"), Kind(rapid.IntRange(0, 1).Draw(t, "kind"))
 			fits := sum+n <= limit && (k == Small || large+n <= limit/100*maxLargePercent)
 			if got := b.TryAcquire(n, k); got != fits {
-				t.Fatalf("%d of %d, %d of them large: %d of kind %d acquired: %v", sum, limit, large, n, k, got)
+				t.Fatalf("%d of %d bytes used, %d of them large: TryAcquire of %d of kind %d returned %v", sum, limit, large, n, k, got)
 			}
 			if fits {
 				live, sum = append(live, acquired{n, k}), sum+n
@@ -56,18 +56,18 @@
 			b.Release(h.n, h.k)
 		}
 		if b.Used() != 0 {
-			t.Fatalf("%d used when all is released", b.Used())
+			t.Fatalf("%d bytes used after all were released", b.Used())
 		}
 	})
 }
 
-// Who waits is granted its bytes in turn, and does not hold up the other kind; who gives up has
-// acquired nothing and holds up nobody.
+// Waiters are served in order and don't block the other kind. A waiter that gives up has acquired nothing and blocks
+// nobody.
 func TestWaitersAreGrantedInTurn(t *testing.T) {
 	t.Parallel()
 	b := New(1000)
 	if !b.TryAcquire(700, Large) || b.TryAcquire(1, Large) || !b.TryAcquire(300, Small) {
-		t.Fatal("the parts are not as expected")
+		t.Fatal("the parts of Large and Small differ from what is expected")
 	}
 	got := make(chan int, 3)
 	wait := func(ctx context.Context, name, n int, k Kind) {
@@ -91,27 +91,27 @@
 	queued(2)
 	go wait(t.Context(), 3, 200, Small)
 	queued(3)
-	b.Release(300, Small) // room for the small one; the first large one wants more
-	if name := testutil.Receive(t, got, "the small one"); name != 3 {
-		t.Fatalf("%d was served", name)
+	b.Release(300, Small) // room for the small waiter; the first large one needs more
+	if name := testutil.Receive(t, got, "the small waiter"); name != 3 {
+		t.Fatalf("waiter %d was served", name)
 	}
 	b.Release(100, Large)
 	if b.TryAcquire(1, Large) {
-		t.Error("one that came later went before those who wait")
+		t.Error("a later caller was served before the waiters")
 	}
 	cancel()
-	first, second := testutil.Receive(t, got, "one"), testutil.Receive(t, got, "another")
+	first, second := testutil.Receive(t, got, "a large waiter"), testutil.Receive(t, got, "the other large waiter")
 	if first+second != 1 { // -1 and 2
-		t.Errorf("%d and %d", first, second)
+		t.Errorf("waiters %d and %d ended (negative: with an error), want -1 and 2", first, second)
 	}
 	b.Release(600+100, Large)
 	b.Release(200, Small)
 	if b.Used() != 0 {
-		t.Errorf("%d used at the end", b.Used())
+		t.Errorf("%d bytes used at the end", b.Used())
 	}
 }
 
-// A lower limit takes nothing away, and grants nothing until enough is released.
+// Lowering the limit revokes nothing, and nothing is granted until enough is released.
 func TestLowerLimit(t *testing.T) {
 	t.Parallel()
 	b := New(1000)
@@ -127,6 +127,6 @@
 	}
 	b.Release(200, Small)
 	if !b.TryAcquire(100, Small) || b.TryAcquire(1, Small) {
-		t.Error("the new limit does not hold")
+		t.Error("the new limit is not enforced")
 	}
 }
