--- a/internal/process/bootstrap/addresses.go
+++ b/internal/process/bootstrap/addresses.go
@@ -6,11 +6,11 @@
 	"strconv"
 )
 
-// peerPortOffset is the internal port that processes of other machines reach, counted from the first.
+// peerPortOffset is the offset, from the first internal port, of the port that other machines connect to.
 const peerPortOffset = 0
 
-// MetricsEndpoint is a process of a machine whose metrics are served. Its value is its port, counted back from the
-// last internal port.
+// MetricsEndpoint identifies a process of a machine that serves metrics. Its value is the offset of its port, counted
+// back from the last internal port.
 type MetricsEndpoint int
 
 // The metrics endpoints of a machine.
@@ -20,8 +20,8 @@
 	ControlMetrics
 )
 
-// MetricsAddress is where a process of this machine serves its metrics, HOST:PORT; empty where the platform leaves
-// too few ports free.
+// MetricsAddress returns the address, HOST:PORT, at which a process of this machine serves its metrics. It is empty
+// if the platform leaves too few ports free.
 func (s *Settings) MetricsAddress(endpoint MetricsEndpoint) string {
 	port := s.InternalPorts[1] - int(endpoint)
 	if port <= s.InternalPorts[0]+peerPortOffset {
@@ -30,10 +30,10 @@
 	return net.JoinHostPort(s.IP, strconv.Itoa(port))
 }
 
-// PeerAddress is where processes of other machines reach this one, HOST:PORT.
+// PeerAddress returns the address, HOST:PORT, at which other machines reach this one.
 func (s *Settings) PeerAddress() string { return s.peerAddressOf(s.IP) }
 
-// AgentLoopback is where this machine's agent listens for its proxy, HOST:PORT.
+// AgentLoopback returns the address, HOST:PORT, at which this machine's agent listens for its proxy.
 func (s *Settings) AgentLoopback() string {
 	if s.LoopbackIP != "" {
 		return s.peerAddressOf(s.LoopbackIP)
@@ -41,13 +41,13 @@
 	return s.peerAddressOf("127.0.0.1")
 }
 
-// peerAddressOf is the internal address of a machine; all machines use the same ports.
+// peerAddressOf returns the internal address of a machine; all machines use the same ports.
 func (s *Settings) peerAddressOf(host string) string {
 	return net.JoinHostPort(host, strconv.Itoa(s.InternalPorts[0]+peerPortOffset))
 }
 
-// Seeds are the control addresses of the machines to ask where no other is known, HOST:PORT, as the settings file
-// names them now. The caller must not change the slice.
+// Seeds returns the control addresses, HOST:PORT, of the machines to contact when no other is known, as the settings
+// file lists them now. The caller must not change the slice.
 func (s *Settings) Seeds() []string {
 	if seeds := s.newSeeds.Load(); seeds != nil {
 		return *seeds
@@ -55,7 +55,7 @@
 	return s.SeedNodes
 }
 
-// SeedPeers are the internal addresses of the machines that the seeds name, HOST:PORT.
+// SeedPeers returns the internal addresses, HOST:PORT, of the seed machines.
 func (s *Settings) SeedPeers() []string {
 	var peers []string
 	for _, seed := range s.Seeds() {
--- a/internal/process/bootstrap/compatibility_test.go
+++ b/internal/process/bootstrap/compatibility_test.go
@@ -10,16 +10,16 @@
 	"marlreel/internal/testing/recorded"
 )
 
-// The files under testdata/compatibility must not be written anew to get a pass (package recorded). Those named
-// sent-… are after the users' pages.
+// Don't regenerate the files under testdata/compatibility to make a test pass (see package recorded). The files named
+// sent-… follow the users' pages.
 
-// The keys of the settings file, as the users' pages name them.
+// Checks the keys of the settings file against the users' pages.
 func TestCompatibilityOfKeys(t *testing.T) {
 	lines := recorded.Keys("toml", reflect.TypeFor[Settings]())
 	recorded.Check(t, "settings-keys.txt", strings.Join(lines, "\n")+"\n")
 }
 
-// A settings file with all keys is read into the same content.
+// A settings file with all keys is always read into the same content.
 func TestCompatibilityOfSettings(t *testing.T) {
 	s, err := Read(filepath.Join("testdata", "compatibility", "sent-settings.toml"))
 	if err != nil {
@@ -38,7 +38,7 @@
 	recorded.Check(t, "addresses.txt", strings.Join(addresses, "\n")+"\n")
 }
 
-// The environment variable is the platform's.
+// The platform defines the name of the environment variable.
 func TestCompatibilityOfVariable(t *testing.T) {
 	t.Setenv("MARLREEL_SETTINGS", filepath.Join("testdata", "compatibility", "sent-settings.toml"))
 	s, err := Load()
--- a/internal/process/bootstrap/reload.go
+++ b/internal/process/bootstrap/reload.go
@@ -11,11 +11,11 @@
 	"marlreel/internal/process/logevent"
 )
 
-// pollInterval is how often the settings file is looked at: it may change without a signal.
+// pollInterval is how often the settings file is checked, as it may change without a signal.
 const pollInterval = 2 * time.Second
 
-// FollowChanges takes over the seeds of the settings file whenever it has changed, at a signal or without one, until
-// ctx ends. A file that can't be used is logged, and the seeds stay.
+// FollowChanges applies the seeds of the settings file whenever it has changed, with or without a signal, until ctx
+// ends. An invalid file is logged, and the previous seeds stay in use.
 func (s *Settings) FollowChanges(ctx context.Context, path string, signals <-chan os.Signal, log logr.Logger) {
 	poll := time.NewTicker(pollInterval)
 	defer poll.Stop()
@@ -48,7 +48,7 @@
 	log.Info(logevent.SeedsChanged, logevent.KeySeeds, next.SeedNodes)
 }
 
-// fileVersion tells one state of a file from another. It is empty for a file that can't be read.
+// fileVersion identifies the state of a file. It is empty for a file that can't be read.
 type fileVersion struct {
 	size     int64
 	modified time.Time
--- a/internal/process/bootstrap/settings_test.go
+++ b/internal/process/bootstrap/settings_test.go
@@ -15,7 +15,7 @@
 	"marlreel/internal/process/logevent"
 )
 
-// settingsFile has what is needed, and keys that this version doesn't know.
+// settingsFile has the required keys, and keys that this version doesn't know.
 const settingsFile = `
 node_name = "edge-1"
 ip = "10.1.0.35"
@@ -45,7 +45,7 @@
 	}
 }
 
-// A file without ports was once accepted, and the process ended at the first use of one.
+// A file without ports was once accepted, and the process crashed when it first used one.
 func TestParseRequiresPorts(t *testing.T) {
 	is := is.New(t)
 	_, err := Parse([]byte(strings.Replace(settingsFile, "internal_ports = [7660,7675]", "", 1)))
@@ -58,7 +58,7 @@
 	is.NoErr(err)
 	is.Equal([]string{s.MetricsAddress(ProxyMetrics), s.MetricsAddress(AgentMetrics), s.MetricsAddress(ControlMetrics)},
 		[]string{"10.1.0.35:7675", "10.1.0.35:7674", "10.1.0.35:7673"})
-	s, err = Parse([]byte(strings.Replace(settingsFile, "7675", "7662", 1))) // two are left beside the peers'
+	s, err = Parse([]byte(strings.Replace(settingsFile, "7675", "7662", 1))) // two ports are left besides the peers' port
 	is.NoErr(err)
 	is.Equal([]string{s.MetricsAddress(ProxyMetrics), s.MetricsAddress(AgentMetrics), s.MetricsAddress(ControlMetrics)},
 		[]string{"10.1.0.35:7662", "10.1.0.35:7661", ""})
@@ -82,7 +82,7 @@
 
 	next := strings.Replace(settingsFile, "10.1.0.37", "10.1.0.99", 1)
 	is.NoErr(os.WriteFile(path, []byte(next), 0o600))
-	signals <- os.Interrupt // any signal has it looked at
+	signals <- os.Interrupt // any signal triggers a reload
 	is.True(strings.Contains(<-lines, logevent.SeedsChanged))
 	is.Equal(s.SeedPeers(), []string{"10.1.0.99:7660", "10.2.0.30:7660"})
 
@@ -92,7 +92,7 @@
 	is.Equal(s.SeedPeers(), []string{"10.1.0.99:7660", "10.2.0.30:7660"})
 }
 
-// A file that changes without a signal is found by its time and size.
+// A change without a signal is detected by the file's modification time and size.
 func TestReloadFindsAChangeWithoutASignal(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "boot.toml")
