--- a/internal/process/handover/compatibility_sent_test.go
+++ b/internal/process/handover/compatibility_sent_test.go
@@ -15,7 +15,8 @@
 	"marlreel/internal/testing/recorded"
 )
 
-// The files by which two processes of a proxy, perhaps of two versions, find each other, and the stages in them.
+// Checks the files through which two processes of a proxy, possibly of different versions, find each other, and the
+// stages stored in them.
 func TestCompatibilityFiles(t *testing.T) {
 	dir := t.TempDir()
 	r, err := Join(dir)
@@ -39,23 +40,23 @@
 	recorded.Check(t, "files.txt", got.String())
 }
 
-// answerOnce reads so many bytes of the next call, answers it, and returns the bytes.
+// answerOnce reads size bytes from the next connection, sends text as the answer, and returns the bytes read.
 func answerOnce(ln net.Listener, size int, text []byte) []byte {
 	c, err := ln.Accept()
 	if err != nil {
 		return nil
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(20 * time.Second)) // a read that waits for ever shows
+	_ = c.SetDeadline(time.Now().Add(20 * time.Second)) // makes a read that never ends fail
 	data := make([]byte, size)
-	n, _ := io.ReadFull(c, data) // what is short is seen in the record
+	n, _ := io.ReadFull(c, data) // a short read shows in the recorded file
 	_, _ = c.Write(text)         // likewise
 	return data[:n]
 }
 
-// What goes over the socket: a state that is passed, the question for what was learnt, and their answers.
+// Checks the bytes on the socket: a transferred state, the request for the learned state, and their answers.
 func TestCompatibilityCalls(t *testing.T) {
-	dir, err := os.MkdirTemp("", "call") // a socket's path is short
+	dir, err := os.MkdirTemp("", "call") // the path of a socket must be short
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,7 +80,7 @@
 	told, err := r.FetchLearnedState(2)
 	fmt.Fprintf(&got, "ask: %x, answered 000000066c6561726e74: told %q, good %v\n", <-sent, told, err == nil)
 
-	// And the other side.
+	// The receiving side.
 	receiver(t, dir, 3, func(state []byte, conns []net.Conn) error {
 		if string(state) == "bad" {
 			return errors.New("not today")
--- a/internal/process/handover/compatibility_test.go
+++ b/internal/process/handover/compatibility_test.go
@@ -14,12 +14,12 @@
 	"marlreel/internal/testutil"
 )
 
-// Processes of two versions of a proxy meet during every upgrade. What they leave in their common folder, and what
-// they send over the sockets there, is compared here with what the code of commit 6fb9894 writes. The files under
-// testdata/compatibility and the literals of this file must not be changed to make a test pass: where a test fails, a
-// new process can't take over from an old one, or the other way round.
+// Processes of two versions of a proxy run side by side during every upgrade. These tests compare the files in their
+// common folder, and the bytes on the sockets there, with what the code of commit 6fb9894 writes. The files under
+// testdata/compatibility and the literals of this file must not be changed to make a test pass: a failing test means
+// that a new process can't take over from an old one, or the other way round.
 //
-// A file that is missing is written by
+// A missing file is written by
 //
 //	WRITE_COMPATIBILITY_FILES=1 go test -run TestCompatibility ./internal/process/handover
 //
@@ -35,14 +35,14 @@
 	stage   Stage
 	name    string
 	content string
-	words   string // as it is logged
+	words   string // the stage in log lines
 }{
 	{4000001, Starting, "marlreel-process-4000001", "0", "starting"},
 	{4000002, Serving, "marlreel-process-4000002", "1", "serving"},
 	{4000003, Leaving, "marlreel-process-4000003", "2", "leaving"},
 }
 
-// TestCompatibilityOfStoredStages finds the processes of an earlier version by the files that they hold a lock on.
+// TestCompatibilityOfStoredStages finds the processes of an earlier version by their locked files.
 func TestCompatibilityOfStoredStages(t *testing.T) {
 	writeMissingFiles(t)
 	folder := t.TempDir()
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	if len(peers) != len(storedStages) {
-		t.Errorf("%d processes are found, want %d", len(peers), len(storedStages))
+		t.Errorf("found %d processes, want %d", len(peers), len(storedStages))
 	}
 	for _, want := range storedStages {
 		i := slices.IndexFunc(peers, func(p Peer) bool { return p.ID == want.id })
@@ -79,7 +79,7 @@
 	}
 }
 
-// TestCompatibilityOfWrittenStages looks at the file that this process writes.
+// TestCompatibilityOfWrittenStages checks the file that this process writes.
 func TestCompatibilityOfWrittenStages(t *testing.T) {
 	writeMissingFiles(t)
 	for _, want := range storedStages {
@@ -99,7 +99,7 @@
 				t.Fatal(err)
 			}
 			if !bytes.Equal(got, stored) {
-				t.Errorf("the file holds %q, and %q is stored", got, stored)
+				t.Errorf("the file holds %q, want %q as in the stored file", got, stored)
 			}
 			if path := r.socket(want.id); path != filepath.Join(folder, "marlreel-socket-"+want.name[len("marlreel-process-"):]) {
 				t.Errorf("the socket is at %s", path)
@@ -108,7 +108,7 @@
 	}
 }
 
-// TestCompatibilityOfPassedBytes compares what a process sends with a connection that it passes.
+// TestCompatibilityOfPassedBytes checks the bytes that a process sends when it transfers connections.
 func TestCompatibilityOfPassedBytes(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -146,17 +146,17 @@
 			if err := r.Transfer(2, []byte(c.state), first, second); err != nil {
 				t.Fatal(err)
 			}
-			if got := testutil.Receive(t, sent, "what is passed"); got != c.sent {
-				t.Errorf("%q is sent, want %q", got, c.sent)
+			if got := testutil.Receive(t, sent, "the transferred bytes"); got != c.sent {
+				t.Errorf("sent %q, want %q", got, c.sent)
 			}
 			if n := testutil.Receive(t, descriptors, "the descriptors"); n != 2 {
-				t.Errorf("%d connections are sent, want 2", n)
+				t.Errorf("sent %d connections, want 2", n)
 			}
 		})
 	}
 }
 
-// TestCompatibilityOfTakenBytes sends what an earlier version sends, and compares the answer.
+// TestCompatibilityOfTakenBytes sends what an earlier version sends, and checks the answer.
 func TestCompatibilityOfTakenBytes(t *testing.T) {
 	folder := shortFolder(t)
 	take := func(state []byte, conns []net.Conn) error {
@@ -175,9 +175,9 @@
 		passes bool // a connection
 		answer string
 	}{
-		{"a connection that is taken", "\x00\x00\x00\x07a state", true, "\x01"},
-		{"a connection that is not taken", "\x00\x00\x00\x07another", true, "\x00"},
-		{"a question", "\xff\xff\xff\xff", false, "\x00\x00\x00\x07learned"},
+		{"an accepted connection", "\x00\x00\x00\x07a state", true, "\x01"},
+		{"a rejected connection", "\x00\x00\x00\x07another", true, "\x00"},
+		{"a request for the learned state", "\xff\xff\xff\xff", false, "\x00\x00\x00\x07learned"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			conn, err := net.Dial("unix", filepath.Join(folder, "marlreel-socket-2"))
@@ -210,7 +210,7 @@
 	}
 }
 
-// TestCompatibilityOfQuestions compares how a process asks another one for what it has learned.
+// TestCompatibilityOfQuestions checks how a process requests the learned state of another one.
 func TestCompatibilityOfQuestions(t *testing.T) {
 	r := &Rendezvous{dir: shortFolder(t), id: 1}
 	question := make(chan string, 1)
@@ -224,14 +224,14 @@
 	})
 	told, err := r.FetchLearnedState(2)
 	if err != nil || string(told) != "learned" {
-		t.Errorf("%q is told, %v", told, err)
+		t.Errorf("fetched %q, error %v", told, err)
 	}
 	if got := testutil.Receive(t, question, "the question"); got != "\xff\xff\xff\xff" {
 		t.Errorf("the question is %q", got)
 	}
 }
 
-// shortFolder is a temporary folder with a path that is short enough for a socket.
+// shortFolder returns a temporary folder with a path that is short enough for a socket.
 func shortFolder(t *testing.T) string {
 	t.Helper()
 	folder, err := os.MkdirTemp("", "compat")
@@ -242,7 +242,7 @@
 	return folder
 }
 
-// announce writes the file of a process with a number, as Meet does for this one.
+// announce writes the file of a process with an id, as Join does for this process.
 func announce(t *testing.T, folder string, id int, stage Stage) *Rendezvous {
 	t.Helper()
 	r := &Rendezvous{dir: folder, id: id}
@@ -257,7 +257,7 @@
 	return r
 }
 
-// writeMissingFiles writes the files that are missing, if that is asked for.
+// writeMissingFiles writes missing files if writeVariable is set.
 func writeMissingFiles(t *testing.T) {
 	t.Helper()
 	if os.Getenv(writeVariable) == "" {
@@ -270,7 +270,7 @@
 		if _, err := os.Stat(filepath.Join(compatibilityFolder, s.name)); err == nil {
 			continue
 		}
-		// Not closed by Close, which would remove the file.
+		// Rendezvous.Close would remove the file.
 		if err := announce(t, compatibilityFolder, s.id, s.stage).file.Close(); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/process/handover/errors.go
+++ b/internal/process/handover/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// ListenerError is an inherited descriptor that is no listener of the clients'.
+// ListenerError means that an inherited descriptor is not a listener for clients at the configured address.
 type ListenerError struct {
 	FD  int
 	Err error
@@ -13,10 +13,10 @@
 
 // Advice says what an operator can do.
 func (e *ListenerError) Advice() string {
-	return "let the platform hand on the listening socket of the configuration's address, and name its descriptor in NODE_SOCKET_FD"
+	return "make the platform pass a listening socket bound to the configured address, and set NODE_SOCKET_FD to its descriptor"
 }
 
-// JoinError is that other processes of this proxy can't be found.
+// JoinError means that this process can't find the other processes of its proxy.
 type JoinError struct{ Err error }
 
 func (e *JoinError) Error() string { return "rendezvous: " + e.Err.Error() }
@@ -24,12 +24,12 @@
 
 // Advice says what an operator can do.
 func (e *JoinError) Advice() string {
-	return "give all processes of this proxy one TMPDIR in which they may write; until then this one takes the whole of its room"
+	return "give all processes of this proxy the same writable TMPDIR; until then this one uses the full capacity"
 }
 
-// TransferError is something that could not be given to another process, or taken from one.
+// TransferError means that connections or learned state could not be transferred between two processes.
 type TransferError struct {
-	What string // pass, ask, passed, asked
+	What string // the operation that failed
 	Err  error
 }
 
@@ -38,5 +38,5 @@
 
 // Advice says what an operator can do.
 func (e *TransferError) Advice() string {
-	return "nothing: what could not be handed on ends with its own process; if it happens at each upgrade, compare the two releases"
+	return "nothing: connections that could not be transferred end with their process; if this happens at every upgrade, compare the two releases"
 }
--- a/internal/process/handover/handover_test.go
+++ b/internal/process/handover/handover_test.go
@@ -18,7 +18,7 @@
 	"marlreel/internal/testutil"
 )
 
-// Another process is made room for at once, and its room is taken back late.
+// A process reduces its share as soon as it sees another one, and reclaims it only after a delay.
 func TestShares(t *testing.T) {
 	t.Parallel()
 	var tracker ShareTracker
@@ -28,24 +28,23 @@
 		t.Helper()
 		at += after
 		if s := tracker.Update(at, peers); s != (Share{1, of}) {
-			t.Fatalf("at %v with %d others: %v, want a share of %d", at, len(peers), s, of)
+			t.Fatalf("at %v with %d others: share %v, want 1/%d", at, len(peers), s, of)
 		}
 	}
 	look(0, nil, 1)
 	look(pollInterval, two, 2)
-	look(pollInterval, nil, 2) // it may only just have died
+	look(pollInterval, nil, 2) // the other process may only just have ended
 	look(reclaimDelay-1, nil, 2)
 	look(1, nil, 1)
 	look(pollInterval, two, 2)
 	look(pollInterval, nil, 2)
-	look(pollInterval, two, 2) // it is back: the wait starts anew
+	look(pollInterval, two, 2) // the other process is back, which restarts the wait
 	look(reclaimDelay, nil, 2)
 	look(reclaimDelay, nil, 1)
 	look(0, make([]Peer, 20), maxShares)
 }
 
-// Whatever each of several processes sees and when, as long as all see each other within a
-// look, their shares never come to more than the whole.
+// As long as all processes see each other within one poll, their shares never add up to more than the capacity.
 func TestSharesNeverExceedTheFullShare(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -73,28 +72,29 @@
 				sum += float64(s.Numerator) / float64(s.Denominator)
 			}
 			if sum > 1+1e-9 {
-				t.Fatalf("step %d: %d processes have %v of the room", step, len(alive), sum)
+				t.Fatalf("step %d: %d processes have %v of the capacity", step, len(alive), sum)
 			}
 		}
 	})
 }
 
-// The helper process announces itself and waits to be killed.
+// TestHelperProcess is the main function of the process that startOther starts: it announces itself and waits to be
+// killed.
 func TestHelperProcess(t *testing.T) {
 	dir := os.Getenv("MARLREEL_TEST_MEET")
 	if dir == "" {
-		t.Skip("it is for another test")
+		t.Skip("runs only as the helper process of another test")
 	}
 	r, err := Join(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = r.SetStage(Serving)
-	fmt.Println("met")
+	fmt.Println("joined")
 	select {}
 }
 
-// startOther starts another process that announces itself in a folder. It ends with the test, or when it is killed.
+// startOther starts another process that announces itself in a folder. It ends with the test or when kill is called.
 func startOther(t *testing.T, folder string) (other *exec.Cmd, kill func()) {
 	t.Helper()
 	other = exec.Command(os.Args[0], "-test.run=^TestHelperProcess$")
@@ -103,15 +103,15 @@
 		t.Fatal(err)
 	}
 	kill = sync.OnceFunc(func() {
-		_ = other.Process.Kill() // it may have ended by itself
-		_ = other.Wait()         // the signal is its error
+		_ = other.Process.Kill() // the process may have ended by itself
+		_ = other.Wait()         // the error only reports the signal
 	})
 	t.Cleanup(kill)
 	return other, kill
 }
 
-// A process that is killed is gone, whatever its file says; a file that nobody holds, or
-// that says nothing, is nobody.
+// A killed process no longer counts, whatever its file contains; neither does an unlocked file or one with another
+// name.
 func TestRendezvous(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -137,7 +137,7 @@
 		t.Fatalf("%v %v", peers, err)
 	}
 	if _, err := os.Stat(stale); err == nil {
-		t.Error("the file of one that has gone is still there")
+		t.Error("the file of a process that has ended is still there")
 	}
 	other, kill := startOther(t, dir)
 	shares := make(chan Share, 8)
@@ -147,27 +147,27 @@
 		defer close(done)
 		me.Watch(ctx, func(s Share, _ []Peer) { shares <- s }, t.Logf)
 	}()
-	if s := testutil.Receive(t, shares, "half of the room"); s != (Share{1, 2}) {
+	if s := testutil.Receive(t, shares, "half of the capacity"); s != (Share{1, 2}) {
 		t.Fatal(s)
 	}
-	testutil.Eventually(t, "the other to serve", func() bool {
+	testutil.Eventually(t, "the other process to serve", func() bool {
 		peers, _ := me.Peers()
 		return len(peers) == 1 && peers[0].Stage == Serving && peers[0].ID == other.Process.Pid
 	})
 	kill()
-	if s := testutil.Receive(t, shares, "the room back"); s != FullShare {
+	if s := testutil.Receive(t, shares, "the full capacity"); s != FullShare {
 		t.Fatal(s)
 	}
 	cancel()
 	<-done
 }
 
-// Processes that look at the same moment see the same: one that has gone is nobody to each of them, whoever else has
-// its file open to look at it.
-func TestLooksDontMeetEachOther(t *testing.T) {
+// Concurrent inspections must not affect each other: none may take a dead process for alive because another process has
+// its file open and locked for an inspection.
+func TestConcurrentInspectionsDontInterfere(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	// Young, so that it is left there, and such as one that serves has.
+	// A file in stage Serving, too young to be removed as stale.
 	path := filepath.Join(dir, processFilePrefix+"1")
 	if err := os.WriteFile(path, []byte{'0' + byte(Serving)}, 0o600); err != nil {
 		t.Fatal(err)
@@ -182,7 +182,7 @@
 			r := &Rendezvous{dir: dir, id: 10 + id}
 			for range 5000 {
 				if peers, err := r.Peers(); err != nil || len(peers) > 0 {
-					t.Errorf("%v, %v: nobody is alive", peers, err)
+					t.Errorf("peers %v, error %v; no process is alive", peers, err)
 					return
 				}
 			}
@@ -191,9 +191,9 @@
 	looks.Wait()
 }
 
-// A process is known once it has met, whoever looks at its file while it is being made, or removes one that was left
-// over at its place.
-func TestMetWhileOthersLook(t *testing.T) {
+// A process is visible once it has joined, even if others inspect its file while it is being created, or remove a stale
+// file of the same name.
+func TestJoinDuringConcurrentInspections(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	stop := make(chan struct{})
@@ -228,23 +228,23 @@
 			t.Fatalf("%d: %v", n, err)
 		}
 		if peers, err := other.Peers(); err != nil || len(peers) != 1 || peers[0].ID != os.Getpid() || peers[0].Stage != Starting {
-			t.Fatalf("%d: %v, %v: one that starts is there", n, peers, err)
+			t.Fatalf("%d: peers %v, error %v; want one that is starting", n, peers, err)
 		}
 		me.Close()
 	}
 }
 
-// A file that another process holds for good ends the wait for it in time, with an error that says so.
-func TestAFileThatIsHeld(t *testing.T) {
+// Joining fails with a JoinError within the timeout if another process keeps the file locked.
+func TestJoinFailsOnALockedFile(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	held, err := lockOwnFile(filepath.Join(dir, processFilePrefix+strconv.Itoa(os.Getpid())))
+	locked, err := lockOwnFile(filepath.Join(dir, processFilePrefix+strconv.Itoa(os.Getpid())))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
+	defer locked.Close()
 	var e *JoinError
 	if _, err := Join(dir); !errors.As(err, &e) || !errors.Is(err, syscall.EWOULDBLOCK) {
-		t.Errorf("%v, and a JoinError is wanted", err)
+		t.Errorf("error %v, want a JoinError", err)
 	}
 }
--- a/internal/process/handover/inherit_test.go
+++ b/internal/process/handover/inherit_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// passed is a copy of a socket's descriptor, as a parent would leave it.
+// passed returns a copy of a socket's descriptor, as inherited from a parent process.
 func passed(t *testing.T, s interface{ File() (*os.File, error) }) int {
 	t.Helper()
 	f, err := s.File()
@@ -49,7 +49,7 @@
 	c.Close()
 }
 
-// A wrong descriptor is one clear error at the start.
+// A wrong descriptor gives an error of one line that says what is wrong.
 func TestDescriptorsThatAreNoListener(t *testing.T) {
 	t.Parallel()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -78,9 +78,9 @@
 		says string
 	}{
 		"closed":          {1 << 20, "127.0.0.1:1", "not open"},
-		"a file":          {int(file.Fd()), "127.0.0.1:1", "no TCP socket"},
-		"UDP":             {passed(t, udp.(*net.UDPConn)), "127.0.0.1:1", "no TCP socket"},
-		"a connection":    {passed(t, client.(*net.TCPConn)), "127.0.0.1:1", "does not listen"},
+		"a file":          {int(file.Fd()), "127.0.0.1:1", "not a TCP socket"},
+		"UDP":             {passed(t, udp.(*net.UDPConn)), "127.0.0.1:1", "not a TCP socket"},
+		"a connection":    {passed(t, client.(*net.TCPConn)), "127.0.0.1:1", "is not listening"},
 		"another address": {passed(t, ln.(*net.TCPListener)), "127.0.0.2:1", "the configuration says 127.0.0.2:1"},
 	} {
 		_, err := Listener(c.fd, c.addr)
--- a/internal/process/handover/rendezvous.go
+++ b/internal/process/handover/rendezvous.go
@@ -13,11 +13,12 @@
 	"time"
 )
 
-// Rendezvous is where the processes of a proxy find each other: a file for each in a folder that they have in common.
-// A file counts while its owner holds the lock on it, which ends with the process however that ends; so there is nothing to
-// clean up after a kill, and no process can be mistaken for one that has long gone. The first byte is its stage.
+// Rendezvous is how the processes of a proxy find each other: each has a file in a common folder. A file counts while
+// its owner holds the lock on it, which the kernel releases however the process ends. So nothing needs cleaning up after
+// a kill, and a process can't be mistaken for an earlier one. The first byte of the file is the process's stage.
 //
-// A Unix socket would say more, but is refused in places, and needs an answer from a process that may be stuck.
+// Discovery over a Unix socket could carry more, but some environments forbid it, and it would need an answer from a
+// process that may be stuck.
 type Rendezvous struct {
 	dir  string
 	file *os.File
@@ -29,20 +30,20 @@
 
 const (
 	processFilePrefix = "marlreel-process-"
-	// maxPeers bounds how many processes are looked at.
+	// maxPeers bounds how many other processes are inspected.
 	maxPeers = 16
-	// joinTimeout is how long a process tries to lock its own file, joinRetryInterval the wait between two attempts: whoever
-	// looks at the file has it locked for a moment, and on a busy machine for a longer one.
+	// joinTimeout is how long a process tries to lock its own file, joinRetryInterval the pause between two attempts:
+	// a process that inspects the file locks it briefly, or longer on a busy machine.
 	joinTimeout       = 300 * time.Millisecond
 	joinRetryInterval = time.Millisecond
-	// staleFileAge is how old a file without a lock has to be to count as left over: one that is just being made is not
+	// staleFileAge is the minimum age of an unlocked file to count as stale: a file that is just being created is not
 	// locked yet.
 	staleFileAge = time.Second
 
 	processFileMode = 0o600
 )
 
-// Join announces this process in a folder. It fails with a JoinError.
+// Join announces this process in a folder. Its error is a JoinError.
 func Join(dir string) (*Rendezvous, error) {
 	r := &Rendezvous{dir: dir, id: os.Getpid()}
 	for until := time.Now().Add(joinTimeout); ; time.Sleep(joinRetryInterval) {
@@ -58,11 +59,11 @@
 	}
 }
 
-// errRemoved says that a file that was left over was removed by another process while this one took it for its own.
-var errRemoved = errors.New("the file was removed")
+// errRemoved means that another process removed a stale file while this one was locking it as its own.
+var errRemoved = errors.New("another process removed the file as stale")
 
-// lockOwnFile opens a process's own file, or makes it, and locks it. Danger: others that look at it have it locked for a
-// moment, and remove one that was left over. A process whose file is removed then would be known to nobody.
+// lockOwnFile opens or creates a process's own file and locks it. Danger: processes that inspect the file lock it
+// briefly, and remove it if it is stale. A process whose file is removed at that moment would be invisible to others.
 func lockOwnFile(path string) (*os.File, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, processFileMode)
 	if err != nil {
@@ -70,7 +71,7 @@
 	}
 	if err := lock(f, syscall.LOCK_EX); err != nil {
 		_ = f.Close()
-		return nil, fmt.Errorf("%s is held by another process: %w", path, err)
+		return nil, fmt.Errorf("%s is locked by another process: %w", path, err)
 	}
 	if !isCurrent(f, path) {
 		f.Close()
@@ -79,7 +80,7 @@
 	return f, nil
 }
 
-// isCurrent tells whether a path still leads to an open file.
+// isCurrent reports whether a path still refers to an open file.
 func isCurrent(f *os.File, path string) bool {
 	opened, err := f.Stat()
 	if err != nil {
@@ -93,7 +94,7 @@
 	return filepath.Join(r.dir, processFilePrefix+strconv.Itoa(id))
 }
 
-// lock takes a lock, or fails at once.
+// lock applies a flock operation, or fails at once instead of waiting.
 func lock(f *os.File, how int) error {
 	for {
 		err := syscall.Flock(int(f.Fd()), how|syscall.LOCK_NB)
@@ -103,7 +104,7 @@
 	}
 }
 
-// SetStage announces the stage of this process. A stage before the announced one changes nothing.
+// SetStage announces the stage of this process. A stage earlier than the announced one is ignored.
 func (r *Rendezvous) SetStage(s Stage) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -115,8 +116,8 @@
 	return err
 }
 
-// Peers returns the other processes that are alive, in no order. A file whose owner has gone is removed. One without a
-// stage that can be read is of a process that starts: it counts.
+// Peers returns the other processes that are alive, in no particular order, and removes the files of processes that
+// have ended. A locked file without a readable stage counts as a process that is starting.
 func (r *Rendezvous) Peers() ([]Peer, error) {
 	entries, err := os.ReadDir(r.dir)
 	if err != nil {
@@ -136,20 +137,21 @@
 	return peers, nil
 }
 
-// inspect tells whether a file's owner lives, and its stage.
+// inspect reports whether the owner of a file is alive, and its stage.
 func inspect(path string) (stage Stage, alive bool) {
 	f, err := os.OpenFile(path, os.O_RDWR, 0)
 	if err != nil {
 		return 0, false
 	}
 	defer f.Close()
-	// Danger: a lock that is not shared with others that look would have them take who has gone for one that lives.
+	// Danger: this lock must be a shared one. Under an exclusive lock, other processes that inspect the file at the same
+	// time would take its dead owner for alive.
 	if lock(f, syscall.LOCK_SH) == nil {
-		defer func() { _ = lock(f, syscall.LOCK_UN) }() // the close leaves it to a child that is just being started
-		// Nobody holds it. One that is just being made is not locked yet, and is left alone.
+		defer func() { _ = lock(f, syscall.LOCK_UN) }() // a child being started may inherit the lock, so closing isn't enough
+		// The file has no owner. One that is just being created is not locked yet, and is not removed.
 		if info, err := f.Stat(); err == nil && time.Since(info.ModTime()) > staleFileAge &&
 			lock(f, syscall.LOCK_EX) == nil && isCurrent(f, path) {
-			_ = os.Remove(path) // another process may have removed it
+			_ = os.Remove(path) // another process may have removed it already
 		}
 		return 0, false
 	}
@@ -160,7 +162,7 @@
 	return stage, true
 }
 
-// Watch looks for other processes until ctx ends, and calls changed for each change of this one's share.
+// Watch polls for other processes until ctx ends, and calls changed whenever this process's share changes.
 func (r *Rendezvous) Watch(ctx context.Context, changed func(Share, []Peer), logf func(string, ...any)) {
 	var tracker ShareTracker
 	last, began := FullShare, time.Now()
@@ -184,9 +186,9 @@
 	}
 }
 
-// Close leaves the rendezvous, and removes this process's file and socket.
+// Close removes this process's file and socket and releases its lock.
 func (r *Rendezvous) Close() {
-	// What can't be removed is left over, and counts for nobody without its lock.
+	// A file that can't be removed does no harm: without a lock it counts as stale.
 	_ = os.Remove(r.socket(r.id))
 	_ = os.Remove(r.path(r.id))
 	_ = r.file.Close()
--- a/internal/process/handover/serve.go
+++ b/internal/process/handover/serve.go
@@ -15,26 +15,25 @@
 
 const (
 	maxConnsPerTransfer = 2
-	maxTransfers        = 16 // under way at a time
+	maxTransfers        = 16 // concurrent
 )
 
 // Receiver handles what other processes send.
 type Receiver interface {
-	// AcceptTransfer goes on with connections that another process gives up. They are the receiver's unless it returns an
-	// error.
+	// AcceptTransfer takes over connections from another process. The receiver owns them unless it returns an error.
 	AcceptTransfer(state []byte, conns []net.Conn) error
-	// LearnedState returns the learned state of this process, encoded. It may be slow, and has until ctx ends.
+	// LearnedState returns the encoded learned state of this process. It may take until ctx ends.
 	LearnedState(ctx context.Context) ([]byte, error)
 }
 
-// Serve accepts what other processes transfer, and answers their questions, until ctx ends. Where no socket can be had,
-// it logs that, and nothing is accepted or answered.
+// Serve accepts transfers from other processes, and answers their requests for the learned state, until ctx ends. If it
+// can't listen on its socket, it logs that and returns.
 func (r *Rendezvous) Serve(ctx context.Context, receiver Receiver, logf func(string, ...any)) {
 	path := r.socket(r.id)
-	_ = os.Remove(path) // of an earlier process with this number
+	_ = os.Remove(path) // an earlier process with the same id may have left it
 	listener, err := net.Listen("unix", path)
 	if err != nil {
-		logf("rendezvous: nothing can be passed to this process: %v", err)
+		logf("rendezvous: this process can't receive transfers: %v", err)
 		return
 	}
 	defer context.AfterFunc(ctx, func() { _ = listener.Close() })()
@@ -57,38 +56,38 @@
 	}
 }
 
-// serveConn handles one transfer or question.
+// serveConn handles one transfer, or one request for the learned state.
 func serveConn(ctx context.Context, c *net.UnixConn, receiver Receiver) error {
-	_ = c.SetDeadline(time.Now().Add(transferTimeout)) // where it fails the connection is closed, which a read meets
+	_ = c.SetDeadline(time.Now().Add(transferTimeout)) // fails only on a closed connection, where reads fail too
 	length, rights := make([]byte, lengthBytes), make([]byte, syscall.CmsgSpace(lengthBytes*maxConnsPerTransfer))
 	n, rightsLength, _, _, err := c.ReadMsgUnix(length, rights)
 	conns, rightsErr := connsOf(rights[:rightsLength])
 	if err = errors.Join(err, rightsErr); err != nil || n != len(length) {
-		return reject(c, conns, &TransferError{"passed", errors.Join(err, io.ErrUnexpectedEOF)})
+		return reject(c, conns, &TransferError{"receiving a transfer", errors.Join(err, io.ErrUnexpectedEOF)})
 	}
 	size := binary.BigEndian.Uint32(length)
 	if size == learnedStateQuestion && len(conns) == 0 {
 		return answerQuestion(ctx, c, receiver)
 	}
 	if size > maxStateBytes {
-		return reject(c, conns, &TransferError{"passed", fmt.Errorf("%d bytes, %d at most", size, maxStateBytes)})
+		return reject(c, conns, &TransferError{"receiving a transfer", fmt.Errorf("state of %d bytes exceeds the limit of %d", size, maxStateBytes)})
 	}
 	state := make([]byte, size)
 	if _, err := io.ReadFull(c, state); err != nil {
-		return reject(c, conns, &TransferError{"passed", err})
+		return reject(c, conns, &TransferError{"receiving a transfer", err})
 	}
 	if err := receiver.AcceptTransfer(state, conns); err != nil {
 		return reject(c, conns, err)
 	}
-	_, _ = c.Write([]byte{accepted}) // without an answer it counts as accepted
+	_, _ = c.Write([]byte{accepted}) // the sender treats a missing answer as accepted
 	return nil
 }
 
-// reject answers that nothing was accepted, and returns the cause.
+// reject answers that the transfer was rejected, closes the connections, and returns the cause.
 func reject(c net.Conn, conns []net.Conn, cause error) error {
-	_, _ = c.Write([]byte{rejected}) // whoever asked may have gone
+	_, _ = c.Write([]byte{rejected}) // the sender may have ended
 	for _, conn := range conns {
-		_ = conn.Close() // it goes on in the other process
+		_ = conn.Close() // the sender still has it
 	}
 	return cause
 }
@@ -98,13 +97,13 @@
 	defer cancel()
 	state, err := receiver.LearnedState(ctx)
 	if err != nil {
-		return &TransferError{"asked", err}
+		return &TransferError{"answering a request for the learned state", err}
 	}
 	_, err = c.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(state))), state...))
 	return err
 }
 
-// connsOf makes connections of the descriptors that came with a message.
+// connsOf makes connections from the descriptors received with a message.
 func connsOf(rights []byte) ([]net.Conn, error) {
 	messages, err := syscall.ParseSocketControlMessage(rights)
 	if err != nil {
@@ -131,7 +130,7 @@
 	return conns, nil
 }
 
-// connOf makes a connection of a descriptor, which it closes.
+// connOf makes a connection from a descriptor, and closes the descriptor.
 func connOf(descriptor int) (net.Conn, error) {
 	syscall.CloseOnExec(descriptor)
 	file := os.NewFile(uintptr(descriptor), "transferred")
--- a/internal/process/handover/share.go
+++ b/internal/process/handover/share.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Stage is where a process is in its life.
+// Stage is a process's stage between its start and its end.
 type Stage uint8
 
-// The stages. Their numbers are stored.
+// The stages. Their values are stored in files, so they must not change.
 const (
 	Starting Stage = iota // it can't serve yet
 	Serving
-	Leaving // it takes nothing new, and ends when its pending requests are answered
+	Leaving // it accepts nothing new, and ends when its pending requests are answered
 	stageCount
 )
 
@@ -18,47 +18,47 @@
 	return [...]string{"starting", "serving", "leaving"}[min(s, stageCount-1)]
 }
 
-// Peer is another process of the same proxy that is alive.
+// Peer is another live process of the same proxy.
 type Peer struct {
-	ID    int // of the process, as the system numbers them
+	ID    int // process id
 	Stage Stage
 }
 
-// Share is the part of the machine's capacity that a process may use: Numerator in Denominator.
+// Share is the fraction of the machine's capacity that a process may use.
 type Share struct{ Numerator, Denominator int }
 
-// FullShare is all of the capacity.
+// FullShare is the whole capacity.
 var FullShare = Share{1, 1}
 
-// Of returns the part of an amount.
+// Of returns the share of an amount.
 func (s Share) Of(amount int) int { return amount / max(1, s.Denominator) * s.Numerator }
 
 const (
-	// pollInterval is how often a process looks for others. Raising it lets a new process and this one use more than the
-	// capacity for longer; a new one is seen long before it serves.
+	// pollInterval is how often a process looks for others. Raising it lets a new process and this one together exceed
+	// the capacity for longer; at the present value a new process is seen long before it serves.
 	pollInterval = 100 * time.Millisecond
-	// reclaimDelay is how long no other process has to be seen before its share is taken back. Danger: lowered, a process
-	// that has just died may still have its memory and its sockets.
+	// reclaimDelay is how long a process must be absent before its share is reclaimed. Danger: if lowered, a process that
+	// has just ended may still hold its memory and sockets.
 	reclaimDelay = 500 * time.Millisecond
-	// maxShares bounds into how many shares the capacity is divided: files that nobody cleans up must not leave a process
-	// with nothing.
+	// maxShares bounds how many shares the capacity is divided into, so that files that are never cleaned up can't leave
+	// a process without capacity.
 	maxShares = 4
 )
 
-// ShareTracker decides what share of the capacity a process has. It is pure: it is given which others were seen and
-// when, and returns what holds from then on. The zero value is a process that is alone.
+// ShareTracker decides what share of the capacity a process has. It is pure: the caller passes in which other processes
+// were seen and when. The zero value is for a process that is alone.
 //
-// With n processes alive, each has an equal share. A larger share is given up as soon as another process is seen, and
-// taken back only when that has not been seen for reclaimDelay. No message is needed for that, and none is believed: a
-// process counts while it holds its lock, whatever its file says.
+// With n live processes, each has an equal share. A process reduces its share as soon as it sees another one, and
+// reclaims it only after the other one has been absent for reclaimDelay. The processes exchange no messages for this: a
+// process counts while it holds its lock, whatever its file contains.
 type ShareTracker struct {
-	processes   int           // that the capacity is divided among now; 0 is 1
-	shrinking   bool          // fewer were seen of late
-	shrinkingAt time.Duration // since when
-	mostRecent  int           // the most that were seen since then
+	processes   int           // processes that share the capacity now; 0 means 1
+	shrinking   bool          // recent updates saw fewer processes
+	shrinkingAt time.Duration // start of the current wait for reclaimDelay
+	mostRecent  int           // the most processes seen since then
 }
 
-// Update takes in which other processes are alive, and returns the share.
+// Update records which other processes are alive, and returns this process's share.
 func (t *ShareTracker) Update(now time.Duration, peers []Peer) Share {
 	seen := min(1+len(peers), maxShares)
 	switch {
--- a/internal/process/handover/transfer.go
+++ b/internal/process/handover/transfer.go
@@ -14,58 +14,60 @@
 
 const (
 	socketPrefix = "marlreel-socket-"
-	// transferTimeout bounds a whole transfer. Raising it lets a process that is stuck hold up the end of the one that
-	// leaves; lowering it cuts off answers whose new process is merely busy.
+	// transferTimeout bounds a whole transfer. Raising it lets a stuck process delay the exit of the leaving one; lowering
+	// it aborts transfers to a process that is merely busy.
 	transferTimeout = 500 * time.Millisecond
-	// maxStateBytes bounds the state that goes with transferred connections.
+	// maxStateBytes bounds the state that accompanies transferred connections.
 	maxStateBytes = 4 << 20
 
-	rejected, accepted = 0, 1 // what the receiving process answers
+	rejected, accepted = 0, 1 // answers of the receiving process
 
-	// learnedStateQuestion is sent in place of a state's length: it asks for the learned state. A process that doesn't
-	// know of it answers that this is more than it accepts.
+	// learnedStateQuestion is sent in place of the length of a state, to request the learned state. A version that doesn't
+	// know it rejects it as a length above its limit.
 	learnedStateQuestion = 1<<32 - 1
 	maxLearnedStateBytes = 4 << 20
-	// questionTimeout bounds a question for the learned state. Raising it holds up a start beside a process that is stuck;
-	// lowering it starts without what a busy process has learned.
+	// questionTimeout bounds a request for the learned state. Raising it delays the start beside a stuck process; lowering
+	// it makes a process start without the learned state of a busy one.
 	questionTimeout = 400 * time.Millisecond
 
-	lengthBytes = 4 // of a state's length
+	lengthBytes = 4 // size of the length that precedes a state
 )
 
-var errRejected = errors.New("it was not taken")
+var errRejected = errors.New("the other process rejected the transfer")
 
 func (r *Rendezvous) socket(id int) string {
 	return filepath.Join(r.dir, socketPrefix+strconv.Itoa(id))
 }
 
-// Transfer gives connections, and what is known of them, to another process. Where it returns no error that process has
-// accepted them: nothing may be read from them or written to them here, and closing them here ends nothing. It fails with a
-// TransferError.
+// Transfer hands connections and their state over to another process. If it returns no error, the other process has
+// accepted them: this process must not read or write them any more, and closing them here doesn't end them. Its error is
+// a TransferError.
 func (r *Rendezvous) Transfer(to int, state []byte, conns ...net.Conn) error {
 	c, err := net.DialTimeout("unix", r.socket(to), transferTimeout)
 	if err != nil {
-		return &TransferError{"pass", err}
+		return &TransferError{"transferring connections", err}
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(transferTimeout)) // where it fails the connection is closed, which a write meets
+	_ = c.SetDeadline(time.Now().Add(transferTimeout)) // fails only on a closed connection, where writes fail too
 	if err := sendDescriptors(c.(*net.UnixConn), len(state), conns, nil); err != nil {
-		return &TransferError{"pass", err}
+		return &TransferError{"transferring connections", err}
 	}
 	if err := sendState(c, state); err != nil {
-		return &TransferError{"pass", err}
+		return &TransferError{"transferring connections", err}
 	}
-	// Danger: where no answer comes, as the other process has just died, it may have gone on, and two processes that go on
-	// with one answer spoil it. So only a rejection counts.
+	// Danger: without an answer, for example because the other process has just crashed, that process may already have
+	// continued the response. If this one continued it too, the response would be corrupted. So only an explicit rejection
+	// counts as one.
 	var answer [1]byte
 	if n, _ := c.Read(answer[:]); n == 1 && answer[0] != accepted {
-		return &TransferError{"pass", errRejected}
+		return &TransferError{"transferring connections", errRejected}
 	}
 	return nil
 }
 
-// sendDescriptors sends a state's length together with the descriptors of connections. The descriptors are used while
-// their connections are held open: a number alone may be another's by then.
+// sendDescriptors sends the length of a state together with the descriptors of connections. It recurses so that all
+// connections stay open while their descriptors are used: otherwise a descriptor number could already belong to another
+// file.
 func sendDescriptors(c *net.UnixConn, stateBytes int, conns []net.Conn, descriptors []int) error {
 	if len(descriptors) == len(conns) {
 		length := binary.BigEndian.AppendUint32(nil, uint32(stateBytes))
@@ -83,8 +85,8 @@
 	return errors.Join(err, inner)
 }
 
-// sendState writes a state behind its length. Danger: behind an empty one the other process may have accepted everything
-// and ended the call by now, and a write of nothing would fail: both would go on with the connection.
+// sendState writes a state after its length. Danger: if the state is empty, the other process may already have accepted
+// the transfer and closed the socket. Even an empty write would then fail, and both processes would use the connection.
 func sendState(w io.Writer, state []byte) error {
 	if len(state) == 0 {
 		return nil
@@ -93,30 +95,30 @@
 	return err
 }
 
-// rawConnOf returns the socket under what wraps it.
+// rawConnOf returns the socket under a connection's wrappers.
 func rawConnOf(c net.Conn) (syscall.RawConn, error) {
 	if inner, ok := c.(interface{ NetConn() net.Conn }); ok {
 		return rawConnOf(inner.NetConn())
 	}
 	socket, ok := c.(syscall.Conn)
 	if !ok {
-		return nil, fmt.Errorf("%T is no socket", c)
+		return nil, fmt.Errorf("%T is not a socket", c)
 	}
 	return socket.SyscallConn()
 }
 
-// FetchLearnedState returns what another process has learned, as it encodes it. A process that is stuck, or of a version
-// that knows of no such question, is a TransferError in time.
+// FetchLearnedState returns the encoded learned state of another process. If that process is stuck, or its version
+// doesn't know this request, it returns a TransferError within questionTimeout.
 func (r *Rendezvous) FetchLearnedState(from int) ([]byte, error) {
 	c, err := net.DialTimeout("unix", r.socket(from), questionTimeout)
 	if err != nil {
-		return nil, &TransferError{"ask", err}
+		return nil, &TransferError{"fetching the learned state", err}
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(questionTimeout)) // where it fails the connection is closed, which a write meets
+	_ = c.SetDeadline(time.Now().Add(questionTimeout)) // fails only on a closed connection, where writes fail too
 	state, err := fetchLearnedState(c)
 	if err != nil {
-		return nil, &TransferError{"ask", err}
+		return nil, &TransferError{"fetching the learned state", err}
 	}
 	return state, nil
 }
@@ -131,7 +133,7 @@
 	}
 	n := binary.BigEndian.Uint32(length[:])
 	if n > maxLearnedStateBytes {
-		return nil, fmt.Errorf("%d bytes, %d at most", n, maxLearnedStateBytes)
+		return nil, fmt.Errorf("state of %d bytes exceeds the limit of %d", n, maxLearnedStateBytes)
 	}
 	state := make([]byte, n)
 	_, err := io.ReadFull(c, state)
--- a/internal/process/handover/transfer_test.go
+++ b/internal/process/handover/transfer_test.go
@@ -18,7 +18,7 @@
 	"marlreel/internal/testutil"
 )
 
-// receiverFuncs are a Receiver of two functions.
+// receiverFuncs implements Receiver with two functions.
 type receiverFuncs struct {
 	accept func(state []byte, conns []net.Conn) error
 	state  func(context.Context) ([]byte, error)
@@ -34,7 +34,7 @@
 // LearnedState implements Receiver.
 func (f receiverFuncs) LearnedState(ctx context.Context) ([]byte, error) { return f.state(ctx) }
 
-// receiver is a rendezvous that takes what is passed, under a number of its own.
+// receiver serves the rendezvous of a process with an id until the test ends.
 func receiver(t *testing.T, dir string, id int, take func([]byte, []net.Conn) error, tell func(context.Context) ([]byte, error)) {
 	t.Helper()
 	r := &Rendezvous{dir: dir, id: id}
@@ -45,7 +45,7 @@
 		r.Serve(ctx, receiverFuncs{take, tell}, t.Logf)
 	}()
 	t.Cleanup(func() { cancel(); <-done })
-	// The file is there a moment before anybody listens at it: only a connection tells.
+	// The file exists shortly before the socket listens, so only a successful connection shows that it is ready.
 	testutil.Eventually(t, "the socket", func() bool {
 		probe, err := net.Dial("unix", r.socket(id))
 		if err != nil {
@@ -58,7 +58,7 @@
 
 func TestTransfer(t *testing.T) {
 	t.Parallel()
-	dir, err := os.MkdirTemp("", "pass") // a socket's path is short
+	dir, err := os.MkdirTemp("", "pass") // the path of a socket must be short
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,11 +79,11 @@
 	}
 	r := &Rendezvous{dir: dir, id: 1}
 	if err := r.Transfer(7, []byte("x"), near); err == nil {
-		t.Error("passed to nobody")
+		t.Error("transferred to a process that doesn't exist")
 	}
 	receiver(t, dir, 2, func([]byte, []net.Conn) error { return errors.New("not today") }, nil)
 	if err := r.Transfer(2, []byte("x"), near); err == nil {
-		t.Error("passed to one that does not take it")
+		t.Error("transferred to a process that rejects it")
 	}
 	type got struct {
 		state string
@@ -96,22 +96,22 @@
 	if err := r.Transfer(3, state, near); err != nil {
 		t.Fatal(err)
 	}
-	near.Close() // which ends nothing: the other has it
-	g := testutil.Receive(t, took, "what was passed")
+	near.Close() // doesn't end the connection, which the other process now has
+	g := testutil.Receive(t, took, "the transfer")
 	if g.state != string(state) || len(g.conns) != 1 {
-		t.Fatalf("%d bytes and %d connections", len(g.state), len(g.conns))
+		t.Fatalf("received %d bytes of state and %d connections", len(g.state), len(g.conns))
 	}
 	go func() {
 		_, _ = io.WriteString(g.conns[0], "from the other")
 		g.conns[0].Close()
 	}()
 	if text, err := io.ReadAll(far); err != nil || string(text) != "from the other" {
-		t.Errorf("%q %v", text, err)
+		t.Errorf("the client read %q, error %v", text, err)
 	}
 }
 
-// Who asks is told, or told soon that there is nothing: by who has nothing to tell, by who is
-// stuck, by a version that knows of no such question, and by nobody.
+// FetchLearnedState returns the state, or an error soon if the other process has none, is stuck, is of a version that
+// doesn't know the request, or doesn't exist.
 func TestFetchLearnedState(t *testing.T) {
 	t.Parallel()
 	dir, err := os.MkdirTemp("", "ask")
@@ -130,7 +130,7 @@
 	}
 	receiver(t, dir, 3, nil, func(context.Context) ([]byte, error) { return nil, errors.New("nothing") })
 	receiver(t, dir, 4, nil, func(ctx context.Context) ([]byte, error) { <-ctx.Done(); return nil, ctx.Err() })
-	answers(t, r, 5, func(c *net.UnixConn) { // takes it for the length of a state that is too long
+	answers(t, r, 5, func(c *net.UnixConn) { // mistakes the request for the length of a state above the limit
 		_, _ = c.Read(make([]byte, 4))
 		_, _ = c.Write([]byte{rejected})
 	})
@@ -138,31 +138,31 @@
 		_, _ = c.Write([]byte{0x7f, 0xff, 0xff, 0xff})
 		_, _ = c.Read(make([]byte, 8))
 	})
-	for id, who := range map[int]string{3: "one with nothing to tell", 4: "one that is stuck", 5: "an old one", 6: "one that tells too much", 7: "nobody"} {
+	for id, who := range map[int]string{3: "a process without a state", 4: "a stuck process", 5: "an old version", 6: "a process with an oversized state", 7: "a missing process"} {
 		if told, err := r.FetchLearnedState(id); err == nil {
-			t.Errorf("%s has told %d bytes", who, len(told))
+			t.Errorf("%s returned %d bytes", who, len(told))
 		}
 	}
 }
 
-// ended is a call that the other side has ended.
+// ended is a connection that the peer has closed.
 type ended struct{}
 
 func (ended) Write([]byte) (int, error) { return 0, syscall.EPIPE }
 
-// Where there is nothing to say of a connection, the one that takes it may have ended the call before
-// nothing is written: that is no failure, or both would go on with it.
-func TestTransferWithNothingToSay(t *testing.T) {
+// With an empty state, the receiver may close the socket before the sender would write the state. That must not count
+// as a failure, or both processes would use the connection.
+func TestTransferWithEmptyState(t *testing.T) {
 	t.Parallel()
 	if err := sendState(ended{}, nil); err != nil {
-		t.Errorf("nothing to say: %v", err)
+		t.Errorf("empty state: %v", err)
 	}
 	if err := sendState(ended{}, []byte("x")); err == nil {
-		t.Error("a state that never went out has gone")
+		t.Error("a failed write of a state was not reported")
 	}
 }
 
-// answers lets a process of a number treat each that comes to it in a test's way.
+// answers listens at the socket of a process with an id and handles each connection with a function.
 func answers(t *testing.T, r *Rendezvous, id int, how func(c *net.UnixConn)) {
 	t.Helper()
 	ln, err := net.Listen("unix", r.socket(id))
@@ -172,7 +172,7 @@
 	t.Cleanup(standin.ServeRaw(ln, func(c net.Conn, _ *bufio.Reader) { how(c.(*net.UnixConn)) }).Close)
 }
 
-// connection gives both ends of a client's connection: the client's and the process's.
+// connection returns both ends of a client connection: the client's and the process's.
 func connection(t *testing.T) (far, near net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -188,7 +188,8 @@
 	return far, near
 }
 
-// readHead reads a state's length and the descriptors behind it, and closes these, as a process that dies does.
+// readHead reads the length of a state and the descriptors sent with it, and closes these, as happens when a process
+// crashes.
 func readHead(t *testing.T, c *net.UnixConn) {
 	rights := make([]byte, syscall.CmsgSpace(lengthBytes*maxConnsPerTransfer))
 	_, n, _, _, err := c.ReadMsgUnix(make([]byte, lengthBytes), rights)
@@ -204,7 +205,8 @@
 	}
 }
 
-// awaitUnread waits until so many bytes have come: a process that dies sooner refuses the write, and the connection stays.
+// awaitUnread waits until n unread bytes have arrived: if the process crashed earlier, the sender's write would fail and
+// the connection would stay with the sender.
 func awaitUnread(t *testing.T, c *net.UnixConn, n int) {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -219,7 +221,7 @@
 	}
 }
 
-// sendPartly sends the beginning of a transfer, with a connection's descriptor behind its first bytes.
+// sendPartly sends the beginning of a transfer, with the descriptor of a connection attached to its first bytes.
 func sendPartly(t *testing.T, c *net.UnixConn, conn net.Conn, text string) {
 	t.Helper()
 	if text == "" {
@@ -239,20 +241,20 @@
 	}
 }
 
-// Whoever takes a connection dies at each of its steps: where it may have taken it, nobody goes on with it, and the
-// client sees its end at once; where it has said that it does not, the connection stays where it was.
-func TestTransferToOneThatDies(t *testing.T) {
+// The receiver of a connection crashes after each of its steps. If it may have accepted the connection, no process
+// continues it, and the client sees it close at once. If it has rejected it, the connection stays with the sender.
+func TestReceiverCrashesDuringTransfer(t *testing.T) {
 	t.Parallel()
 	state := func(c *net.UnixConn) { readHead(t, c); _, _ = io.ReadFull(c, make([]byte, 5)) }
 	for name, step := range map[string]struct {
 		until func(c *net.UnixConn)
 		stays bool
 	}{
-		"before it reads":       {func(c *net.UnixConn) { awaitUnread(t, c, 9) }, false},
-		"behind the descriptor": {func(c *net.UnixConn) { readHead(t, c); awaitUnread(t, c, 5) }, false},
-		"behind the state":      {state, false},
-		"behind its yes":        {func(c *net.UnixConn) { state(c); _, _ = c.Write([]byte{accepted}) }, false},
-		"behind its no":         {func(c *net.UnixConn) { state(c); _, _ = c.Write([]byte{rejected}) }, true},
+		"before it reads":      {func(c *net.UnixConn) { awaitUnread(t, c, 9) }, false},
+		"after the descriptor": {func(c *net.UnixConn) { readHead(t, c); awaitUnread(t, c, 5) }, false},
+		"after the state":      {state, false},
+		"after it accepts":     {func(c *net.UnixConn) { state(c); _, _ = c.Write([]byte{accepted}) }, false},
+		"after it rejects":     {func(c *net.UnixConn) { state(c); _, _ = c.Write([]byte{rejected}) }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir, err := os.MkdirTemp("", "dies")
@@ -277,19 +279,19 @@
 	}
 }
 
-// Whoever passes a connection dies at each of its steps: what came in part is not taken, and its connection ends; what
-// came whole is.
-func TestTransferByOneThatDies(t *testing.T) {
+// The sender of a connection crashes after each of its steps. An incomplete transfer is rejected and its connection
+// closes; a complete one is accepted.
+func TestSenderCrashesDuringTransfer(t *testing.T) {
 	t.Parallel()
 	for name, step := range map[string]struct {
 		write string
 		whole bool
 	}{
-		"before it writes":       {"", false},
-		"in the length":          {"\x00\x00", false},
-		"behind the descriptor":  {"\x00\x00\x00\x05", false},
-		"in the state":           {"\x00\x00\x00\x05sta", false},
-		"before the yes is read": {"\x00\x00\x00\x05state", true},
+		"before it writes":          {"", false},
+		"in the length":             {"\x00\x00", false},
+		"after the descriptor":      {"\x00\x00\x00\x05", false},
+		"in the state":              {"\x00\x00\x00\x05sta", false},
+		"before it reads an answer": {"\x00\x00\x00\x05state", true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir, err := os.MkdirTemp("", "dies")
@@ -300,7 +302,7 @@
 			took := make(chan net.Conn, 1)
 			receiver(t, dir, 2, func(state []byte, conns []net.Conn) error {
 				if string(state) != "state" {
-					t.Errorf("%q was taken", state)
+					t.Errorf("state %q was accepted", state)
 				}
 				took <- conns[0]
 				return nil
@@ -322,7 +324,7 @@
 				t.Errorf("the client read %q, %v", text, err)
 			}
 			if len(took) > 0 {
-				t.Error("what came in part was taken")
+				t.Error("an incomplete transfer was accepted")
 			}
 		})
 	}
--- a/internal/process/host/host.go
+++ b/internal/process/host/host.go
@@ -12,16 +12,16 @@
 // StoreOpener opens the durable store of a control process.
 type StoreOpener func() (*store.Store, error)
 
-// Host is what a role runs on.
+// Host is the environment in which a role runs.
 type Host struct {
 	Settings  *bootstrap.Settings
 	Network   Network
 	OpenStore StoreOpener
-	// RemoveStore removes a store that can't be trusted any more.
+	// RemoveStore removes a damaged store.
 	RemoveStore func() error
 	Log         logr.Logger
-	// CrashContext ends when a simulated machine crashes; nil for a real one, whose processes the operating system
-	// ends.
+	// CrashContext ends when a simulated machine crashes. It is nil on a real machine, where a crash ends the process
+	// itself.
 	CrashContext context.Context
 }
 
@@ -34,8 +34,8 @@
 	}
 }
 
-// UntilCrash returns a context that ends when the machine crashes. A graceful shutdown, which goes on after the role's
-// own context has ended, is bounded by it.
+// UntilCrash returns a context that ends when the machine crashes. It bounds a graceful shutdown, which continues
+// after the role's own context has ended.
 func (h *Host) UntilCrash() context.Context {
 	if h.CrashContext == nil {
 		return context.Background()
--- a/internal/process/host/network.go
+++ b/internal/process/host/network.go
@@ -9,25 +9,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// Network is what a role needs of a network. Addresses are HOST:PORT.
+// Network is the network interface that a role uses. Addresses are HOST:PORT.
 type Network interface {
-	// Listen opens an address for connections.
+	// Listen listens for connections at an address.
 	Listen(address string) (net.Listener, error)
-	// ListenPacket opens an address for datagrams, which may be lost.
+	// ListenPacket listens for datagrams at an address; datagrams may be lost.
 	ListenPacket(address string) (net.PacketConn, error)
-	// Dial makes a connection; it gives up when ctx ends.
+	// Dial connects to an address; it gives up when ctx ends.
 	Dial(ctx context.Context, address string) (net.Conn, error)
 }
 
 const (
-	// dialTimeout bounds the making of a connection.
+	// dialTimeout bounds the time to establish a connection.
 	dialTimeout = time.Second
-	// userTimeout is after what time a connection ends whose bytes are not acknowledged (TCP_USER_TIMEOUT, RFC 5482):
-	// a machine that has lost its power sends no reset.
+	// userTimeout is the time after which a connection with unacknowledged bytes is closed (TCP_USER_TIMEOUT, RFC
+	// 5482), as a machine that has lost power sends no reset.
 	userTimeout = 3 * time.Second
 )
 
-// OSNetwork is the operating system's network, IPv4 alone.
+// OSNetwork is the operating system's network; it uses only IPv4.
 type OSNetwork struct{}
 
 var _ Network = OSNetwork{}
@@ -46,10 +46,10 @@
 	return dialer.DialContext(ctx, "tcp4", address)
 }
 
-// setUserTimeout is a net.Dialer's Control.
+// setUserTimeout sets userTimeout on a new socket; it is the Control function of a net.Dialer.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
-		// Where it can't be set, deadlines alone bound the calls.
+		// If it can't be set, only deadlines bound the calls.
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 }
