--- a/internal/process/learnedstate/check.go
+++ b/internal/process/learnedstate/check.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// Bounds of a value.
+// Bounds of stored values.
 const (
-	maxSpan   = 1000 * time.Hour // longer than any process runs
+	maxSpan   = 1000 * time.Hour // longer than any process runs without a restart
 	maxNumber = 1e15
 )
 
-// InvalidError is a value that no process can have learned.
+// InvalidError means that a field has an impossible value.
 type InvalidError struct {
-	Field  string // by its name in the stored state, such as "state.Classes[0].Line[4]"
+	Field  string // its path in the stored state, such as "state.Classes[0].Line[4]"
 	Reason string
 }
 
 var _ error = (*InvalidError)(nil)
 
 // Error implements error.
-func (e *InvalidError) Error() string { return "learnt: " + e.Field + " " + e.Reason }
+func (e *InvalidError) Error() string { return "learned state: " + e.Field + " " + e.Reason }
 
-// TooManyError is a state with more entries than a process keeps.
+// TooManyError means that a list in a state is longer than allowed.
 type TooManyError struct {
 	What       string
 	Count, Max int
@@ -35,11 +35,11 @@
 
 // Error implements error.
 func (e *TooManyError) Error() string {
-	return fmt.Sprintf("learnt: %d %s, %d at most", e.Count, e.What, e.Max)
+	return fmt.Sprintf("learned state: %d %s exceed the limit of %d", e.Count, e.What, e.Max)
 }
 
-// Check gives an InvalidError or a TooManyError for the first value that can't be true, or nil: a state from elsewhere
-// is taken as a whole or not at all.
+// Check returns an InvalidError or a TooManyError for the first impossible value, or nil. A state from another process
+// is accepted as a whole or not at all.
 func (s *State) Check() error {
 	for _, list := range [...]TooManyError{
 		{"backends", len(s.Backends), MaxBackends},
@@ -53,15 +53,15 @@
 	for i := range s.Backends {
 		b := &s.Backends[i]
 		if len(b.Cells) != len(s.Classes) {
-			reason := fmt.Sprintf("has %d classes, there are %d", len(b.Cells), len(s.Classes))
+			reason := fmt.Sprintf("has %d classes, want %d", len(b.Cells), len(s.Classes))
 			return &InvalidError{fmt.Sprintf("backend %q", b.Name), reason}
 		}
 	}
 	return checkValue(reflect.ValueOf(s).Elem(), "state")
 }
 
-// checkValue finds a number that is none, a span longer than maxSpan, or a name that is too long. It goes by reflection,
-// so that no field can be forgotten; it runs once in a process's life.
+// checkValue rejects NaN and numbers out of range, spans longer than maxSpan, and names that are too long. It uses
+// reflection so that no field can be forgotten; as it runs once per process, its speed doesn't matter.
 func checkValue(v reflect.Value, path string) error {
 	switch v.Kind() {
 	case reflect.Float64:
@@ -114,7 +114,8 @@
 	return nil
 }
 
-// storedName is the name by which users know a field: that of its JSON, which stays when the code's changes.
+// storedName returns the name of a field as users see it: its JSON name, which stays when the field is renamed in the
+// code.
 func storedName(field reflect.StructField) string {
 	if name := field.Tag.Get("json"); name != "" {
 		return name
@@ -122,8 +123,8 @@
 	return field.Name
 }
 
-// mayBeNegative tells which numbers are not counts, sums or shares of what is positive: a budget that is overdrawn, and
-// sums over logarithms.
+// mayBeNegative reports whether a number may be negative: overdrawn budgets and sums of logarithms may. All other
+// numbers are counts, sums or shares of positive quantities.
 func mayBeNegative(path string) bool {
 	for _, field := range [...]string{".Tokens", ".Forecast.Sum", ".Gray.Dev"} {
 		if strings.HasSuffix(path, field) {
--- a/internal/process/learnedstate/check_test.go
+++ b/internal/process/learnedstate/check_test.go
@@ -19,7 +19,7 @@
 
 func TestSoundStatePassesCheck(t *testing.T) {
 	if err := sound().Check(); err != nil {
-		t.Errorf("budgets in debt and sums of logarithms may be negative: %v", err)
+		t.Errorf("overdrawn budgets and sums of logarithms may be negative: %v", err)
 	}
 }
 
@@ -74,7 +74,7 @@
 	for ago, want := range map[time.Duration]time.Duration{time.Minute: time.Minute, 0: 0, -time.Minute: 0} {
 		s := State{TakenAt: now.Add(-ago)}
 		if got := s.Age(now); got != want {
-			t.Errorf("taken %v ago: an age of %v", ago, got)
+			t.Errorf("taken %v ago: age %v", ago, got)
 		}
 	}
 }
--- a/internal/process/learnedstate/codec/codec.go
+++ b/internal/process/learnedstate/codec/codec.go
@@ -1,6 +1,6 @@
 // Package codec encodes a learned state into bytes with a version and a checksum, and decodes it as a whole or not at
-// all. It owns the frame (see Seal), which package statefile uses too. It never judges what a state says, beyond
-// learnedstate's Check; it does no input or output.
+// all. It owns the frame format (see Seal), which package statefile uses too. It validates a state only with
+// learnedstate's Check, and does no input or output.
 package codec
 
 import (
@@ -11,27 +11,27 @@
 	"marlreel/internal/process/learnedstate"
 )
 
-// The form: a frame (see Seal) around MessagePack. A version that is not known is rejected as a whole: most fields are in
-// order and have no names.
+// The format is a frame (see Seal) around MessagePack. Unknown versions are rejected as a whole, as most fields are
+// identified by their order, not by names.
 const (
 	magic   = "MRLT"
 	version = 1
 
-	// MaxBytes is the length of an encoded state at most, with its frame.
+	// MaxBytes is the maximum length of an encoded state, including its frame.
 	MaxBytes = 4 << 20
 )
 
-// TooLargeError is a state of more than MaxBytes.
+// TooLargeError means that an encoded state exceeds MaxBytes.
 type TooLargeError struct{ Bytes int }
 
 var _ error = (*TooLargeError)(nil)
 
 // Error implements error.
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("state: %d bytes, %d at most", e.Bytes, MaxBytes-frameHeader)
+	return fmt.Sprintf("state of %d bytes exceeds the limit of %d", e.Bytes, MaxBytes-frameHeader)
 }
 
-// Encode gives the bytes of a state, MaxBytes at most; more is a TooLargeError.
+// Encode encodes a state. It returns a TooLargeError if the result would exceed MaxBytes.
 func Encode(s *learnedstate.State) ([]byte, error) {
 	body, err := msgpack.Marshal(s)
 	if err != nil {
@@ -43,10 +43,10 @@
 	return Seal(magic, version, body), nil
 }
 
-// Decode reads a state that is whole and passes its Check. The error says what is wrong with it: a FrameError or a
-// VersionError, wrapped, one of learnedstate's, or the decoder's.
+// Decode decodes a state and checks it with State.Check. Its error is a wrapped FrameError or VersionError, an error of
+// learnedstate, or one of the MessagePack decoder.
 func Decode(data []byte) (s *learnedstate.State, err error) {
-	// What has the right checksum may still be made up, and the decoder panics at some of that.
+	// Data with a correct checksum may still be forged, and the decoder panics on some such data.
 	defer func() {
 		if p := recover(); p != nil {
 			s, err = nil, fmt.Errorf("state: %v", p)
--- a/internal/process/learnedstate/codec/codec_test.go
+++ b/internal/process/learnedstate/codec/codec_test.go
@@ -11,7 +11,7 @@
 	"marlreel/internal/process/learnedstate"
 )
 
-// sample has something of everything.
+// sample returns a state with values in all of its structures.
 func sample() *learnedstate.State {
 	s := &learnedstate.State{ProxyName: "n0", TakenAt: time.UnixMilli(1_790_000_000_123).UTC(), Classes: make([]learnedstate.Class, 2), Tenants: make([]learnedstate.Tenant, 1)}
 	s.Common.MeanDelay, s.Common.RequestGap, s.Connections.Holdback = 41.5, 3*time.Millisecond, time.Millisecond
@@ -38,11 +38,11 @@
 	}
 	got.TakenAt = got.TakenAt.UTC()
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v\nwas written, and read is\n%+v", want, got)
+		t.Errorf("encoded\n%+v\nand decoded\n%+v", want, got)
 	}
 }
 
-// What is damaged anywhere, cut off anywhere, or of another version, is turned down.
+// Data that is damaged or truncated anywhere, or has another version, is rejected.
 func TestDamagedBytesAreRejected(t *testing.T) {
 	t.Parallel()
 	data, err := Encode(sample())
@@ -51,34 +51,34 @@
 	}
 	for i := range data {
 		if _, err := Decode(data[:i]); err == nil {
-			t.Fatalf("cut off at %d, and read", i)
+			t.Fatalf("data truncated to %d bytes was decoded", i)
 		}
 		bad := append([]byte(nil), data...)
 		bad[i] ^= 0x10
 		if _, err := Decode(bad); err == nil {
-			t.Fatalf("byte %d is another, and it is read", i)
+			t.Fatalf("data with a changed byte %d was decoded", i)
 		}
 	}
 	data[5]++
-	if _, err := Decode(data); err == nil || !strings.Contains(err.Error(), "version 2, 1 is known here") {
-		t.Errorf("another version: %v", err)
+	if _, err := Decode(data); err == nil || !strings.Contains(err.Error(), "unsupported version 2, want 1") {
+		t.Errorf("error for another version: %v", err)
 	}
 }
 
-// What carries the right sum and can't be true is turned down by its name.
+// Impossible values are rejected even if the checksum is correct, with an error that names the field.
 func TestImpossibleValuesAreRejected(t *testing.T) {
 	t.Parallel()
 	for name, spoil := range map[string]func(*learnedstate.State){
-		"state.Common.Mean is NaN":                   func(s *learnedstate.State) { s.Common.MeanDelay = math.NaN() },
-		"state.Classes[0].Line[4] is +Inf":           func(s *learnedstate.State) { s.Classes[0].DelayFit[4] = math.Inf(1) },
-		"state.Backends[2].Cells[1].Bad is NaN":      func(s *learnedstate.State) { s.Backends[2].Cells[1].FaultProbability = math.NaN() },
-		"state.Backends[0].Fails is -1":              func(s *learnedstate.State) { s.Backends[0].FailedChecks = -1 },
-		"state.Backends[0].LastOK is":                func(s *learnedstate.State) { s.Backends[0].LastOK = math.MinInt64 },
-		"state.Classes[1].Name has 300 bytes":        func(s *learnedstate.State) { s.Classes[1].Name = strings.Repeat("x", 300) },
-		"backend \"s-1\" has 1 classes, there are 2": func(s *learnedstate.State) { s.Backends[1].Cells = s.Backends[1].Cells[:1] },
-		"65 classes, 64 at most":                     func(s *learnedstate.State) { s.Classes = make([]learnedstate.Class, 65) },
-		"2049 backends, 2048 at most":                func(s *learnedstate.State) { s.Backends = make([]learnedstate.Backend, 2049) },
-		"state.Conns.Uses[3] is NaN":                 func(s *learnedstate.State) { s.Connections.Uses[3] = math.NaN() },
+		"state.Common.Mean is NaN":               func(s *learnedstate.State) { s.Common.MeanDelay = math.NaN() },
+		"state.Classes[0].Line[4] is +Inf":       func(s *learnedstate.State) { s.Classes[0].DelayFit[4] = math.Inf(1) },
+		"state.Backends[2].Cells[1].Bad is NaN":  func(s *learnedstate.State) { s.Backends[2].Cells[1].FaultProbability = math.NaN() },
+		"state.Backends[0].Fails is -1":          func(s *learnedstate.State) { s.Backends[0].FailedChecks = -1 },
+		"state.Backends[0].LastOK is":            func(s *learnedstate.State) { s.Backends[0].LastOK = math.MinInt64 },
+		"state.Classes[1].Name has 300 bytes":    func(s *learnedstate.State) { s.Classes[1].Name = strings.Repeat("x", 300) },
+		"backend \"s-1\" has 1 classes, want 2":  func(s *learnedstate.State) { s.Backends[1].Cells = s.Backends[1].Cells[:1] },
+		"65 classes exceed the limit of 64":      func(s *learnedstate.State) { s.Classes = make([]learnedstate.Class, 65) },
+		"2049 backends exceed the limit of 2048": func(s *learnedstate.State) { s.Backends = make([]learnedstate.Backend, 2049) },
+		"state.Conns.Uses[3] is NaN":             func(s *learnedstate.State) { s.Connections.Uses[3] = math.NaN() },
 	} {
 		s := sample()
 		spoil(s)
@@ -101,7 +101,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s, err := Decode(data)
 		if (s == nil) == (err == nil) {
-			t.Fatalf("%v, %v", s, err)
+			t.Fatalf("decoded %v, error %v; want exactly one of them", s, err)
 		}
 	})
 }
--- a/internal/process/learnedstate/codec/compatibility_test.go
+++ b/internal/process/learnedstate/codec/compatibility_test.go
@@ -15,22 +15,22 @@
 	"marlreel/internal/process/learnedstate"
 )
 
-// The file testdata/compatibility/state.bin was written by the code of commit 6fb9894. It stands for what a proxy
-// keeps on its disk, and what a proxy of an earlier version tells the one that takes over. It must not be written again
-// to make a test pass: where this test fails, the code has lost the ability to read stored data.
+// The file testdata/compatibility/state.bin was written by the code of commit 6fb9894. It represents the state that a
+// proxy has on its disk, or gets from an earlier version that it takes over from. Don't regenerate it to make a test
+// pass: a failing test means that the code can no longer read stored data.
 //
-// If the file is missing, it is written by
+// A missing file is written by
 //
 //	WRITE_COMPATIBILITY_FILES=1 go test -run TestCompatibility ./internal/process/learnedstate/codec
 //
-// A file that exists is never overwritten.
+// An existing file is never overwritten.
 const (
 	compatibilityFile = "testdata/compatibility/state.bin"
 	writeVariable     = "WRITE_COMPATIBILITY_FILES"
 )
 
-// storedState is what the stored file holds. Every field has a value of its own, as those of most
-// structures are stored in order and without names.
+// storedState returns the content of the stored file. Every field has a different value, as the fields of most
+// structures are stored in order, without names.
 func storedState() *learnedstate.State {
 	return &learnedstate.State{
 		ProxyName: "proxy-7",
@@ -100,7 +100,7 @@
 	}
 }
 
-// storedUses and storedBreaks are the sums by cell of the stored state of connections.
+// storedUses and storedBreaks are the sums per cell in the stored connections.State.
 var (
 	storedUses = []float64{
 		200.5, 201.5, 202.5, 203.5, 204.5, 205.5, 206.5, 207.5, 208.5, 209.5,
@@ -125,7 +125,7 @@
 	return s
 }
 
-// TestCompatibilityOfStoredState decodes a stored state and compares it field by field.
+// TestCompatibilityOfStoredState decodes the stored state and compares it field by field.
 func TestCompatibilityOfStoredState(t *testing.T) {
 	got, err := Decode(storedFile(t))
 	if err != nil {
@@ -142,7 +142,8 @@
 	compareFields(t, "state", reflect.ValueOf(*got), reflect.ValueOf(*want))
 }
 
-// TestCompatibilityOfStoredBytes encodes the content of the stored file: an earlier version has to understand it too.
+// TestCompatibilityOfStoredBytes encodes the content of the stored file, as an earlier version must be able to read it
+// too.
 func TestCompatibilityOfStoredBytes(t *testing.T) {
 	stored := storedFile(t)
 	got, err := Encode(wantState())
@@ -150,14 +151,14 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, stored) {
-		t.Errorf("encoded is\n%x\nand stored is\n%x", got, stored)
+		t.Errorf("encoded\n%x\nwant the stored bytes\n%x", got, stored)
 	}
 	if header := "MRLT\x00\x01"; string(stored[:len(header)]) != header {
 		t.Errorf("the file begins with %q, want %q", stored[:len(header)], header)
 	}
 }
 
-// compareFields names each field in which two values differ.
+// compareFields reports each field in which two values differ.
 func compareFields(t *testing.T, path string, got, want reflect.Value) {
 	t.Helper()
 	switch {
@@ -180,7 +181,7 @@
 	}
 }
 
-// storedFile reads the stored file, or writes it where it is missing and that is asked for.
+// storedFile reads the stored file. If it is missing and writeVariable is set, storedFile writes it first.
 func storedFile(t *testing.T) []byte {
 	t.Helper()
 	if _, err := os.Stat(compatibilityFile); err != nil && os.Getenv(writeVariable) != "" {
--- a/internal/process/learnedstate/codec/frame.go
+++ b/internal/process/learnedstate/codec/frame.go
@@ -6,12 +6,12 @@
 	"hash/crc32"
 )
 
-// frameHeader is the length of what stands before a body: magic, version, length and checksum.
+// frameHeader is the length of the header: magic, version, body length and checksum.
 const frameHeader = len(magic) + 2 + 4 + 4
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// FrameError is bytes that are no whole frame.
+// FrameError means that the data is not a complete frame.
 type FrameError struct{ Reason string }
 
 var _ error = (*FrameError)(nil)
@@ -19,18 +19,18 @@
 // Error implements error.
 func (e *FrameError) Error() string { return e.Reason }
 
-// VersionError is a frame of another version: its fields may mean something else.
+// VersionError means that a frame has another version, whose fields may have other meanings.
 type VersionError struct{ Version, Known uint16 }
 
 var _ error = (*VersionError)(nil)
 
 // Error implements error.
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("version %d, %d is known here", e.Version, e.Known)
+	return fmt.Sprintf("unsupported version %d, want %d", e.Version, e.Known)
 }
 
-// Seal puts a body into a frame: a magic of four bytes, version, length and CRC-32C of what follows, numbers in network
-// byte order.
+// Seal puts a body into a frame: a magic of four bytes, the version, the length and the CRC-32C of the body, then the
+// body. Numbers are in network byte order.
 func Seal(magic string, version uint16, body []byte) []byte {
 	frame := append(make([]byte, 0, frameHeader+len(body)), magic...)
 	frame = binary.BigEndian.AppendUint16(frame, version)
@@ -39,8 +39,8 @@
 	return append(frame, body...)
 }
 
-// Open gives the body of a frame that is whole, of this magic and version, and no longer than maxBytes. The error is a
-// FrameError or a VersionError.
+// Open returns the body of a frame. The frame must be complete, have this magic and version, and be no longer than
+// maxBytes. The error is a FrameError or a VersionError.
 func Open(magic string, version uint16, maxBytes int, data []byte) ([]byte, error) {
 	if len(data) < frameHeader || string(data[:len(magic)]) != magic {
 		return nil, &FrameError{fmt.Sprintf("it does not begin as a %s file does", magic)}
--- a/internal/process/learnedstate/doc.go
+++ b/internal/process/learnedstate/doc.go
@@ -1,11 +1,11 @@
-// Package learnedstate has what a proxy's balancer learned, in a form that another process understands: the one that
-// takes over at an upgrade, or that starts after this one ended. It owns the form (fields, bounds, checks); package
-// codec has its bytes, package statefile the file.
+// Package learnedstate defines the state that a proxy's balancer has learned, in a form that another process can use:
+// one that takes over at an upgrade, or one that starts after this one has ended. The package owns the data model
+// (fields, bounds, checks); package codec encodes it, and package statefile stores it in a file.
 //
-// It is pure: it never reads or writes anything, and never decides what a request gets. No obligation to clients rests
-// on it: a process that has no learned state, or rejects what it is given, keeps them all.
+// The package is pure: it does no input or output, and makes no decisions about requests. No guarantee to clients
+// depends on it: a process without learned state, or one that rejects it, meets all of them.
 //
-// All times are ages at the moment at which the state was taken, as clocks differ between processes; Never stands for
-// what has not happened. Classes, tenants and backends go by their names in the settings and the membership, as
-// their numbers differ too.
+// Times are stored as ages at the moment the state was taken, as clocks differ between processes; Never means that the
+// event has not happened. Classes, tenants and backends are identified by their names in the settings and the
+// membership, as their numbers differ between processes too.
 package learnedstate
--- a/internal/process/learnedstate/statefile/clock.go
+++ b/internal/process/learnedstate/statefile/clock.go
@@ -8,8 +8,8 @@
 	"marlreel/internal/balancer/staleness"
 )
 
-// CurrentTimestamp is the present time by this machine's clocks. Where the system doesn't give its uptime, as other
-// systems than Linux don't, the wall clock alone is left.
+// CurrentTimestamp returns the current time by this machine's clocks. If the system doesn't provide its uptime, as on
+// systems other than Linux, the timestamp has only the wall clock.
 func CurrentTimestamp() staleness.Timestamp {
 	now := staleness.Timestamp{Wall: time.Now()}
 	bootID, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
--- a/internal/process/learnedstate/statefile/compatibility_test.go
+++ b/internal/process/learnedstate/statefile/compatibility_test.go
@@ -17,22 +17,22 @@
 	"marlreel/internal/process/learnedstate/codec"
 )
 
-// The files under testdata/compatibility were written by the code of commit 6fb9894, and have the names that it gave
-// them. They stand for what a proxy keeps on its disk from one start to the next. They must not be written again to make
-// a test pass: where this test fails, the code has lost the ability to read stored data. What the state in them holds
-// is looked at more closely by the like test of package codec.
+// The files under testdata/compatibility were written, and named, by the code of commit 6fb9894. They represent the
+// files that a proxy keeps on its disk between two starts. Don't regenerate them to make a test pass: a failing test
+// means that the code can no longer read stored data. The compatibility test of package codec checks the state inside
+// a record in more detail.
 //
-// A file that is missing is written by
+// A missing file is written by
 //
 //	WRITE_COMPATIBILITY_FILES=1 go test -run TestCompatibility ./internal/process/learnedstate/statefile
 //
-// Files that exist are never overwritten.
+// Existing files are never overwritten.
 const (
 	compatibilityFolder = "testdata/compatibility"
 	writeVariable       = "WRITE_COMPATIBILITY_FILES"
 )
 
-// storedRecord is a stored file and what it holds.
+// storedRecord is a stored file and its content.
 type storedRecord struct {
 	proxy string // its name
 	file  string
@@ -60,13 +60,13 @@
 			State:    state,
 		}},
 		{proxy: "zone a/Edge_2", file: "marlreel-zone.a.Edge_2.memory", Record: Record{
-			WrittenAt: staleness.Timestamp{Wall: time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)}, // the start of the machine is not known
+			WrittenAt: staleness.Timestamp{Wall: time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)}, // without the time since the machine started
 			State:     &learnedstate.State{ProxyName: "zone a/Edge_2", TakenAt: time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)},
 		}},
 	}
 }
 
-// TestCompatibilityOfStoredContent loads stored records under the names of their proxies.
+// TestCompatibilityOfStoredContent loads stored records by the names of their proxies.
 func TestCompatibilityOfStoredContent(t *testing.T) {
 	writeMissingFiles(t)
 	for _, want := range storedRecords() {
@@ -99,7 +99,8 @@
 	}
 }
 
-// TestCompatibilityOfStoredBytes encodes the content of stored records: an earlier version has to read it in turn.
+// TestCompatibilityOfStoredBytes encodes the content of stored records, as an earlier version must be able to read it
+// too.
 func TestCompatibilityOfStoredBytes(t *testing.T) {
 	writeMissingFiles(t)
 	for _, want := range storedRecords() {
@@ -113,13 +114,13 @@
 				t.Fatal(err)
 			}
 			if !bytes.Equal(got, stored) {
-				t.Errorf("encoded is\n%x\nand stored is\n%x", got, stored)
+				t.Errorf("encoded\n%x\nwant the stored bytes\n%x", got, stored)
 			}
 		})
 	}
 }
 
-// TestCompatibilityOfStoredNames reads a record with no help from this package: its frame, and the names of its fields.
+// TestCompatibilityOfStoredNames checks the frame of a record and the names of its fields without using this package.
 func TestCompatibilityOfStoredNames(t *testing.T) {
 	writeMissingFiles(t)
 	stored, err := os.ReadFile(filepath.Join(compatibilityFolder, "marlreel-edge-1.memory"))
@@ -148,8 +149,9 @@
 	}
 }
 
-// TestCompatibilityOfPrintedNames compares what 'marlreel state show --json' prints of a stored file: its JSON, with the
-// names of the fields. The file testdata/compatibility/marlreel-edge-1.json was printed by the code of commit 6fb9894.
+// TestCompatibilityOfPrintedNames compares the JSON that 'marlreel state show --json' prints for a stored file, including
+// the names of the fields. The file testdata/compatibility/marlreel-edge-1.json was printed by the code of commit
+// 6fb9894.
 func TestCompatibilityOfPrintedNames(t *testing.T) {
 	want, err := os.ReadFile(filepath.Join(compatibilityFolder, "marlreel-edge-1.json"))
 	if err != nil {
@@ -166,7 +168,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(append(got, '\n'), want) {
-		t.Errorf("printed is\n%s\nwant\n%s", got, want)
+		t.Errorf("printed\n%s\nwant\n%s", got, want)
 	}
 }
 
@@ -187,7 +189,7 @@
 	}
 }
 
-// writeMissingFiles writes the records that are missing, if that is asked for.
+// writeMissingFiles writes missing files if writeVariable is set.
 func writeMissingFiles(t *testing.T) {
 	t.Helper()
 	if os.Getenv(writeVariable) == "" {
--- a/internal/process/learnedstate/statefile/doc.go
+++ b/internal/process/learnedstate/statefile/doc.go
@@ -1,4 +1,5 @@
-// Package statefile keeps a proxy's learned state in a file that a crash at any moment leaves whole: the last one that
-// was written, or the one before. It owns the file's form and its atomic replacement (write aside, sync, rename, sync
-// the directory), and never judges how much of the state still counts: package staleness does. No request waits for it.
+// Package statefile stores a proxy's learned state in a file. After a crash at any moment, the file holds either the last
+// record written or the one before. The package owns the file format and the atomic replacement (write a temporary file,
+// sync, rename, sync the directory). Package staleness decides how much of the state still counts. No request waits for
+// this package.
 package statefile
--- a/internal/process/learnedstate/statefile/file.go
+++ b/internal/process/learnedstate/statefile/file.go
@@ -9,15 +9,15 @@
 	"marlreel/internal/balancer/staleness"
 )
 
-// File is one proxy's file. One goroutine at a time.
+// File is the state file of one proxy. It must be used by one goroutine at a time.
 type File struct {
 	path       string
 	fileSystem fileSystem
 }
 
-// Open names a proxy's file in a directory. Nothing is read or written yet.
+// Open returns the File of a proxy in a directory. It doesn't read or write anything yet.
 func Open(dir, proxyName string) *File {
-	// A proxy's name is its operator's choice: as a file's it must not lead out of the directory.
+	// Operators choose proxy names freely, but a file name must not lead out of the directory.
 	safe := strings.Map(safeRune, proxyName)
 	return &File{filepath.Join(dir, "marlreel-"+safe+".memory"), osFileSystem{}}
 }
@@ -30,10 +30,10 @@
 	return '.'
 }
 
-// Path is the file's.
+// Path returns the path of the file.
 func (f *File) Path() string { return f.path }
 
-// Error is a file of learned state that can't be used.
+// Error means that a state file can't be used.
 type Error struct {
 	Path string
 	Err  error
@@ -49,10 +49,10 @@
 
 // Advice says what an operator can do.
 func (e *Error) Advice() string {
-	return "nothing at once: the proxy learns anew; look at the file with 'marlreel state check FILE', and at its folder's room and rights"
+	return "nothing urgent: the proxy starts without learned state; inspect the file with 'marlreel state check FILE', and check the free space and permissions of its folder"
 }
 
-// Load reads the last record; nil without an error is that there is none. The error is an Error.
+// Load reads the last record. It returns nil without an error if there is none. Its error is an Error.
 func (f *File) Load() (*Record, error) {
 	data, err := f.fileSystem.ReadFile(f.path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -68,7 +68,7 @@
 	return r, nil
 }
 
-// Save replaces the record by one of a state in codec's bytes.
+// Save replaces the record with a new one. state is a state encoded by package codec.
 func (f *File) Save(at staleness.Timestamp, shutDown bool, state []byte) error {
 	data, err := Encode(at, shutDown, state)
 	if err != nil {
@@ -77,8 +77,8 @@
 	return f.replace(data)
 }
 
-// replace writes the bytes aside and renames them into place. A rename may reach the disk before the bytes that it
-// names; so these are synced first, and the directory after it.
+// replace writes the data to a temporary file and renames it into place. The file is synced before the rename, as the
+// rename could otherwise reach the disk before the data; the directory is synced after it.
 func (f *File) replace(data []byte) error {
 	next := f.path + ".next"
 	w, err := f.fileSystem.Create(next)
@@ -103,7 +103,7 @@
 	return errors.Join(err, w.Close())
 }
 
-// removeUnfinished removes what a write left that did not come to its end: on a full disk it would stay in the way.
+// removeUnfinished removes the temporary file of a failed write, which would otherwise take up space on a full disk.
 func (f *File) removeUnfinished(next string) error {
 	if err := f.fileSystem.Remove(next); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
--- a/internal/process/learnedstate/statefile/file_test.go
+++ b/internal/process/learnedstate/statefile/file_test.go
@@ -17,6 +17,7 @@
 	"marlreel/internal/process/learnedstate/codec"
 )
 
+// numbered returns a record whose content depends on n, see number.
 func numbered(n int) *Record {
 	s := &learnedstate.State{ProxyName: "n0", TakenAt: time.Unix(int64(n), 0)}
 	for i := range 3 + n%5 {
@@ -25,7 +26,7 @@
 	return &Record{WrittenAt: staleness.Timestamp{Wall: time.Unix(int64(n), 0), BootID: "b", Uptime: time.Duration(n)}, ShutDown: n%2 == 0, State: s}
 }
 
-// encoded gives the bytes of a record with its state.
+// encoded encodes a record together with its state.
 func encoded(r *Record) ([]byte, error) {
 	state, err := codec.Encode(r.State)
 	if err != nil {
@@ -42,7 +43,7 @@
 	return f.Save(r.WrittenAt, r.ShutDown, state)
 }
 
-// number tells which of the numbered ones a record is; -1: it is a mixture.
+// number returns the n for which numbered made a record, or -1 if the record mixes the content of several.
 func number(r *Record) int {
 	n := int(r.WrittenAt.Uptime)
 	if r.State.TakenAt.Unix() != int64(n) || len(r.State.Backends) != 3+n%5 || r.ShutDown != (n%2 == 0) {
@@ -61,28 +62,28 @@
 	dir := t.TempDir()
 	s := Open(dir, "n0")
 	if r, err := s.Load(); r != nil || err != nil {
-		t.Errorf("before any: %v, %v", r, err)
+		t.Errorf("before any save: record %v, error %v", r, err)
 	}
 	for n := range 5 {
 		if err := save(s, numbered(n)); err != nil {
 			t.Fatal(err)
 		}
 		if r, err := s.Load(); err != nil || number(r) != n {
-			t.Errorf("%v, %v", r, err)
+			t.Errorf("record %v, error %v", r, err)
 		}
 	}
 	if left, err := os.ReadDir(dir); err != nil || len(left) != 1 {
-		t.Errorf("%v, %v", left, err)
+		t.Errorf("files left %v, error %v", left, err)
 	}
 	if p := Open(dir, "../../etc/n0").Path(); filepath.Dir(p) != dir {
-		t.Errorf("a name leads to %s", p)
+		t.Errorf("a proxy's name leads out of the directory, to %s", p)
 	}
 	if now := CurrentTimestamp(); now.Wall.IsZero() {
 		t.Error("no time")
 	}
 }
 
-// What is not a record is an error in one line that names the file; what is in it is left alone.
+// An invalid file gives an error of one line that names the file.
 func TestInvalidFilesAreReported(t *testing.T) {
 	t.Parallel()
 	good, err := encoded(numbered(7))
@@ -107,7 +108,7 @@
 		}
 		r, err := s.Load()
 		if r != nil || err == nil || !strings.Contains(err.Error(), s.Path()) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, %v", name, r, err)
+			t.Errorf("%s: record %v, error %v", name, r, err)
 		}
 	}
 	s := Open(t.TempDir(), "n0")
@@ -115,35 +116,35 @@
 		t.Fatal(err)
 	}
 	if _, err := s.Load(); err == nil {
-		t.Error("a folder is read")
+		t.Error("a folder was read as a file")
 	}
 	if err := save(s, numbered(1)); err == nil {
-		t.Error("a folder is replaced")
+		t.Error("a folder was replaced by a file")
 	}
 	if err := save(Open("/nowhere/at/all", "n0"), numbered(1)); err == nil {
-		t.Error("a folder that there isn't")
+		t.Error("a file was saved in a folder that doesn't exist")
 	}
 }
 
 var _ fileSystem = (*disk)(nil)
 
-// disk is a file system that may fail or lose power at any step: what was not synced is then there in part,
-// in whole or not at all, and renames that were not synced too.
+// disk is a simulated file system that may fail or lose power at any step. After a loss of power, unsynced data is there
+// in part, in whole or not at all; unsynced renames may be lost too.
 type disk struct {
 	rng     *rand.Rand
-	steps   int // until the power goes; below 0 is never
+	steps   int // until the loss of power; negative means never
 	broken  bool
-	fails   float64 // chance of an error at a step
+	fails   float64 // probability of an error at a step
 	files   map[string]*content
-	durable map[string]*content // names as they are after a loss of power
+	durable map[string]*content // synced names, which survive a loss of power
 }
 
 type content struct {
 	data   []byte
-	synced int // bytes that are surely there
+	synced int // bytes that survive a loss of power
 }
 
-var errPower = errors.New("the power is gone")
+var errPower = errors.New("power lost")
 
 func (d *disk) step() error {
 	if d.broken {
@@ -159,14 +160,14 @@
 	return nil
 }
 
-// after is the disk after a loss of power.
+// after returns the disk after a loss of power.
 func (d *disk) after() *disk {
 	n := &disk{rng: d.rng, steps: -1, files: map[string]*content{}, durable: map[string]*content{}}
 	names := map[string]*content{}
 	for k, v := range d.durable {
 		names[k] = v
 	}
-	if d.rng.IntN(2) == 0 { // the renames came to the disk all the same
+	if d.rng.IntN(2) == 0 { // the unsynced renames reached the disk anyway
 		names = d.files
 	}
 	for k, c := range names {
@@ -252,8 +253,8 @@
 
 func (h *handle) Close() error { return nil }
 
-// Power that goes at any step, and disks that fail: what comes back is the last that was saved without an
-// error, or one that was being saved since; never a mixture, never nothing where there was one.
+// After a loss of power or a disk error at any step, Load returns the last record that was saved without an error, or a
+// later one whose save was interrupted: never a mixture, and never nothing if a record was saved before.
 func TestPowerLossKeepsTheLastSave(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(5000) {
@@ -279,11 +280,11 @@
 			case err != nil:
 				t.Fatalf("seed %d, save %d: %v", seed, n, err)
 			case r == nil && lastSaved >= 0:
-				t.Fatalf("seed %d, save %d: nothing is there, and %d was saved", seed, n, lastSaved)
+				t.Fatalf("seed %d, save %d: no record was loaded, but %d was saved", seed, n, lastSaved)
 			case r != nil && (number(r) < lastSaved || number(r) > n):
-				t.Fatalf("seed %d, save %d: %d is there; %d was saved", seed, n, number(r), lastSaved)
+				t.Fatalf("seed %d, save %d: record %d was loaded; %d was saved last", seed, n, number(r), lastSaved)
 			}
-			if r != nil && lost { // what is there after that is there for good
+			if r != nil && lost { // a record that survived a loss of power is durable
 				lastSaved = max(lastSaved, number(r))
 			}
 		}
@@ -300,7 +301,7 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if r, err := Decode(data); err == nil && (r == nil || r.State == nil || r.State.Check() != nil) {
-			t.Errorf("%+v", r)
+			t.Errorf("an invalid record was decoded: %+v", r)
 		}
 	})
 }
--- a/internal/process/learnedstate/statefile/filesystem.go
+++ b/internal/process/learnedstate/statefile/filesystem.go
@@ -6,7 +6,7 @@
 	"os"
 )
 
-// fileSystem is what a File needs of the file system; tests stop it at any step.
+// fileSystem is the file system interface that a File uses; tests make it fail at any step.
 type fileSystem interface {
 	ReadFile(name string) ([]byte, error)
 	Create(name string) (writableFile, error)
@@ -23,23 +23,23 @@
 
 var _ fileSystem = osFileSystem{}
 
-// errNotRegular: a directory, a device or the like stands where the file should be.
-var errNotRegular = errors.New("it is no file")
+// errNotRegular means that a directory, a device or the like is in place of the file.
+var errNotRegular = errors.New("not a regular file")
 
-// TooLargeError is a file that no proxy wrote: it is not read into memory.
+// TooLargeError means that a file is too large to have been written by a proxy. It is not read into memory.
 type TooLargeError struct{ Bytes, Max int64 }
 
 var _ error = (*TooLargeError)(nil)
 
 // Error implements error.
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("it has %d bytes, and %d are the most", e.Bytes, e.Max)
+	return fmt.Sprintf("size of %d bytes exceeds the limit of %d", e.Bytes, e.Max)
 }
 
-// osFileSystem is the operating system's.
+// osFileSystem is the operating system's file system.
 type osFileSystem struct{}
 
-// ReadFile reads a regular file of maxBytes at most.
+// ReadFile reads a regular file of up to maxBytes.
 func (osFileSystem) ReadFile(name string) ([]byte, error) {
 	f, err := os.Open(name)
 	if err != nil {
@@ -58,15 +58,15 @@
 	return os.ReadFile(name)
 }
 
-// Create makes a file that its owner alone may read, or empties the one there is.
+// Create creates or truncates a file that only its owner may read.
 func (osFileSystem) Create(name string) (writableFile, error) {
 	return os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 }
 
-// Rename is os.Rename.
+// Rename implements fileSystem with os.Rename.
 func (osFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
 
-// Remove is os.Remove.
+// Remove implements fileSystem with os.Remove.
 func (osFileSystem) Remove(name string) error { return os.Remove(name) }
 
 // SyncDir makes the renames in a directory durable.
--- a/internal/process/learnedstate/statefile/record.go
+++ b/internal/process/learnedstate/statefile/record.go
@@ -11,14 +11,15 @@
 	"marlreel/internal/process/learnedstate/codec"
 )
 
-// Record is what a file holds. The json tags are the names under which 'marlreel state show --json' prints the fields.
+// Record is the content of a state file. 'marlreel state show --json' prints the fields under the names in the json tags.
 type Record struct {
 	WrittenAt staleness.Timestamp `json:"At"`
-	ShutDown  bool                `json:"Stopped"` // it was written by an orderly shutdown
+	ShutDown  bool                `json:"Stopped"` // written during a graceful shutdown
 	State     *learnedstate.State
 }
 
-// encodedRecord is its stored form, by the names in the tags: the state has a form of its own, with its own checksum.
+// encodedRecord is the stored form of a Record, with the names in the tags. The state in it is encoded by package codec,
+// with its own checksum.
 type encodedRecord struct {
 	Wall     time.Time     `msgpack:"Wall"`
 	BootID   string        `msgpack:"Boot"`
@@ -34,7 +35,7 @@
 	maxBootIDBytes = 64
 )
 
-// UnreadableError is a record, whole by its checksum, that can't be decoded.
+// UnreadableError means that a record has a correct checksum but can't be decoded.
 type UnreadableError struct{ Err error }
 
 var _ error = (*UnreadableError)(nil)
@@ -45,19 +46,19 @@
 // Unwrap returns the cause.
 func (e *UnreadableError) Unwrap() error { return e.Err }
 
-// Encode gives the bytes of a record that holds a state in codec's bytes.
+// Encode encodes a record. state is a state encoded by package codec.
 func Encode(at staleness.Timestamp, shutDown bool, state []byte) ([]byte, error) {
 	body, err := msgpack.Marshal(&encodedRecord{at.Wall, at.BootID, at.Uptime, shutDown, state})
 	if err != nil {
-		return nil, &Error{"memory", err}
+		return nil, &Error{"encoding a state record", err}
 	}
 	return codec.Seal(magic, version, body), nil
 }
 
-// Decode reads a record that is whole and whose state passes its checks. The error says what is wrong with it: one of
-// package codec's, an UnreadableError, or staleness.ErrNoTimestamp for one without a time.
+// Decode decodes a record and checks its state. Its error is one of package codec, an UnreadableError, or
+// staleness.ErrNoTimestamp for a record without a valid timestamp.
 func Decode(data []byte) (r *Record, err error) {
-	// What has the right checksum may still be made up, and the decoder panics at some of that.
+	// Data with a correct checksum may still be forged, and the decoder panics on some such data.
 	defer func() {
 		if p := recover(); p != nil {
 			r, err = nil, &UnreadableError{fmt.Errorf("%v", p)}
