--- a/internal/process/bootstrap/settings.go
+++ b/internal/process/bootstrap/settings.go
@@ -126,7 +126,7 @@
 	newSeeds atomic.Pointer[[]string] // seeds of the last reload; nil means SeedNodes
 }
 
-// Error means that a settings file is unreadable or invalid.
+// Error reports that a settings file is unreadable or invalid.
 type Error struct {
 	// Path is the path of the file.
 	Path string
--- a/internal/process/handover/errors.go
+++ b/internal/process/handover/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// ListenerError means that an inherited descriptor is not a listener for clients at the configured address.
+// ListenerError reports that an inherited descriptor is not a listener for clients at the configured address.
 type ListenerError struct {
 	FD  int
 	Err error
@@ -16,7 +16,7 @@
 	return "make the platform pass a listening socket bound to the configured address, and set NODE_SOCKET_FD to its descriptor"
 }
 
-// JoinError means that this process can't find the other processes of its proxy.
+// JoinError reports that this process can't find the other processes of its proxy.
 type JoinError struct{ Err error }
 
 func (e *JoinError) Error() string { return "rendezvous: " + e.Err.Error() }
@@ -27,7 +27,7 @@
 	return "give all processes of this proxy the same writable TMPDIR; until then this one uses the full capacity"
 }
 
-// TransferError means that connections or learned state could not be transferred between two processes.
+// TransferError reports that connections or learned state could not be transferred between two processes.
 type TransferError struct {
 	What string // the operation that failed
 	Err  error
--- a/internal/process/learnedstate/statefile/file.go
+++ b/internal/process/learnedstate/statefile/file.go
@@ -33,7 +33,7 @@
 // Path returns the path of the file.
 func (f *File) Path() string { return f.path }
 
-// Error means that a state file can't be used.
+// Error reports that a state file can't be used.
 type Error struct {
 	Path string
 	Err  error
--- a/internal/process/logevent/logevent.go
+++ b/internal/process/logevent/logevent.go
@@ -1,29 +1,29 @@
-// Package logevent names what the processes of the system write to their logs: the message of each event and the
-// keys of its values. Messages are constants, so that a line can be searched for, and a key means the same in
-// every process. docs/EVENTS.md says what each event means for whoever is on call; a test compares the two.
+// Package logevent defines the messages and keys of the log lines that the processes of the system write. Messages are
+// constants, so that log lines can be searched for, and each key has the same meaning in every process. docs/EVENTS.md
+// explains each event to the engineer on call; a test compares the two.
 //
-// The package decides nothing and writes nothing: the packages that log pass its constants to their logr.Logger.
+// The package itself logs nothing: other packages pass its constants to their logr.Logger.
 package logevent
 
 // Keys of the values of a log line.
 const (
-	// KeyNode is the name of the machine whose process writes the line; each line has it.
+	// KeyNode is the name of the machine whose process writes the line; every line has it.
 	KeyNode = "node"
-	// KeyBackend is a backend's id.
+	// KeyBackend is the id of a backend.
 	KeyBackend = "backend"
 	// KeyBackends is a number of backends.
 	KeyBackends = "backends"
-	// KeyKnownBackends is how many backends may get an order: their state is known.
+	// KeyKnownBackends is the number of backends that may get an order, as their state is known.
 	KeyKnownBackends = "known_backends"
-	// KeyBusyBackends is how many backends carry out an order.
+	// KeyBusyBackends is the number of backends that are executing an order.
 	KeyBusyBackends = "busy_backends"
-	// KeyModel is a model's name.
+	// KeyModel is the name of a model.
 	KeyModel = "model"
 	// KeyAdapter is the name of an adapter of the model.
 	KeyAdapter = "adapter"
-	// KeyService is a service's name.
+	// KeyService is the name of a service.
 	KeyService = "service"
-	// KeyLease is the key of a lease, as "placement/llm".
+	// KeyLease is the key of a lease, such as "placement/llm".
 	KeyLease = "lease"
 	// KeyFencingToken is the fencing token of a lease.
 	KeyFencingToken = "fencing_token"
@@ -35,43 +35,43 @@
 	KeyPreviousVersion = "previous_version"
 	// KeyRevision is the revision of the replicated state: the number of its last entry.
 	KeyRevision = "revision"
-	// KeyAge is how long what is replaced had been in force.
+	// KeyAge is how long the replaced item had been in force.
 	KeyAge = "age"
 	// KeyFresh is whether the state is known to be the newest.
 	KeyFresh = "fresh"
-	// KeyAddress is an address that the process listens at, or that it called.
+	// KeyAddress is an address that the process listens on or has called.
 	KeyAddress = "address"
 	// KeyControlAddress is the address of control's interface for operators and backends.
 	KeyControlAddress = "control_address"
-	// KeySource is the process that a watch reads from.
+	// KeySource is the process that serves a watch.
 	KeySource = "source"
 	// KeySeeds are the seeds of the settings file.
 	KeySeeds = "seeds"
-	// KeyCode is a result code by its name.
+	// KeyCode is the name of a result code.
 	KeyCode = "code"
-	// KeyDetail says more of a failure, or is the text of a decision.
+	// KeyDetail gives details of a failure, or the text of a decision.
 	KeyDetail = "detail"
 	// KeyReason is why a view is proposed.
 	KeyReason = "reason"
-	// KeyMember is the address of the member that a view is proposed for; "": none in particular.
+	// KeyMember is the address of the member that a view is proposed for; "" means none in particular.
 	KeyMember = "member"
-	// KeyChain are the addresses of a view's chain, the head first.
+	// KeyChain is the list of addresses in the chain of a view, head first.
 	KeyChain = "chain"
-	// KeyMembers is how many members of a view vote.
+	// KeyMembers is the number of voting members of a view.
 	KeyMembers = "members"
-	// KeyRequest is the Request-Id that a client gave its request.
+	// KeyRequest is the Request-Id that a client set on its request.
 	KeyRequest = "request"
-	// KeyAttempts is how many attempts a request had.
+	// KeyAttempts is the number of attempts of a request.
 	KeyAttempts = "attempts"
 	// KeyResult is the outcome of an attempt or a health check.
 	KeyResult = "result"
-	// KeyCause is the cause that a request's failure is counted under (docs/METRICS.md).
+	// KeyCause is the cause under which the failure of a request is counted (docs/METRICS.md).
 	KeyCause = "cause"
-	// KeyVerdict is the answer that a client got.
+	// KeyVerdict is the kind of response that a client got.
 	KeyVerdict = "verdict"
-	// KeyDuration is how long the thing took.
+	// KeyDuration is how long the logged operation took.
 	KeyDuration = "duration"
-	// KeyRetryAfter is when the client was asked to come again.
+	// KeyRetryAfter is the time after which the client was asked to retry.
 	KeyRetryAfter = "retry_after"
 	// KeyLatencyTarget is the latency target of a request.
 	KeyLatencyTarget = "latency_target"
@@ -81,19 +81,19 @@
 	KeyRetrying = "retrying"
 	// KeyRunning is the time of a request's last attempt.
 	KeyRunning = "running"
-	// KeyRate is how many requests arrive for a model, a second.
+	// KeyRate is the request rate of a model, per second.
 	KeyRate = "rate"
-	// KeyWork is the predicted work for a model, in ms of backends' time a second.
+	// KeyWork is the predicted work for a model, in ms of backend time per second.
 	KeyWork = "work"
-	// KeyWaiting is how many requests wait for a model.
+	// KeyWaiting is the number of requests that wait for a model.
 	KeyWaiting = "waiting"
-	// KeyReplicas is how many backends have a model loaded or load it.
+	// KeyReplicas is the number of backends that have loaded a model or are loading it.
 	KeyReplicas = "replicas"
-	// KeyLoading is how many of these load it.
+	// KeyLoading is the number of replicas that are still loading the model.
 	KeyLoading = "loading"
 	// KeyTenant is the name of a subscriber of the configuration.
 	KeyTenant = "tenant"
-	// KeyRefused is how many requests of tenants were refused since the last line.
+	// KeyRefused is the number of tenants' requests that were rejected since the last line.
 	KeyRefused = "refused"
 	// KeyOperation is an order to a backend: load or unload.
 	KeyOperation = "operation"
@@ -103,19 +103,19 @@
 const (
 	// ControlStarted: the process serves its peers and the operator.
 	ControlStarted = "control process started"
-	// ChainLeaving: the process is shutting down and asks to be left out of the chain.
+	// ChainLeaving: the process is shutting down and asks to be removed from the chain.
 	ChainLeaving = "leaving the chain"
 	// ViewProposed: this member proposes a new view of the chain.
 	ViewProposed = "view proposed"
-	// ViewInstalled: a newly agreed view is in force at this member.
+	// ViewInstalled: this member has installed a newly agreed view.
 	ViewInstalled = "view installed"
-	// StoreOpenFailed: the store can't be opened; it is tried again.
+	// StoreOpenFailed: the store can't be opened; the process will retry.
 	StoreOpenFailed = "store open failed"
-	// StoreDiscarded: the store is damaged; the process starts anew as another member.
+	// StoreDiscarded: the store is damaged; the process starts with an empty one as a new member.
 	StoreDiscarded = "store damaged and set aside"
-	// StoreFailed: a write to the store failed; it is closed and opened again.
+	// StoreFailed: a write to the store failed; the store is closed and reopened.
 	StoreFailed = "store write failed"
-	// LeaseGrantFailed: a grant of a lease was not committed.
+	// LeaseGrantFailed: the grant of a lease was not committed.
 	LeaseGrantFailed = "lease grant failed"
 )
 
@@ -123,19 +123,19 @@
 const (
 	// AgentStarted: the process serves its proxy and its peers.
 	AgentStarted = "agent started"
-	// WatchSourceFailed: a source of the watch doesn't answer; the next one is tried.
+	// WatchSourceFailed: a source of the watch doesn't respond; the agent tries the next one.
 	WatchSourceFailed = "watch source failed"
-	// WatchStateFetched: the state was fetched from control, as the source did not have it.
+	// WatchStateFetched: the agent fetched the state from control, as the source didn't have it.
 	WatchStateFetched = "state fetched from control"
-	// PlacementLeaseAcquired: this node places the models of a service from now on.
+	// PlacementLeaseAcquired: this node now places the models of a service.
 	PlacementLeaseAcquired = "placement lease acquired"
-	// PlacementLeaseLost: this node places the models of a service no longer.
+	// PlacementLeaseLost: this node no longer places the models of a service.
 	PlacementLeaseLost = "placement lease lost"
-	// PlacementFenced: a backend has seen a higher fencing token; the lease is dropped.
+	// PlacementFenced: a backend has seen a higher fencing token; this node gives up its lease.
 	PlacementFenced = "placement order fenced off"
-	// PlacementStatus: what the planner knows of the backends.
+	// PlacementStatus: the planner's view of the backends.
 	PlacementStatus = "placement status"
-	// PlacementModel: what the planner knows of a model.
+	// PlacementModel: the planner's view of a model.
 	PlacementModel = "placement of a model"
 	// PlacementOrder: an order was sent to a backend.
 	PlacementOrder = "placement order sent"
@@ -145,9 +145,9 @@
 const (
 	// ProxyStarted: the process listens for clients.
 	ProxyStarted = "proxy started"
-	// ProxyReady: the process has a state that is fresh and answers readiness.
+	// ProxyReady: the process has a fresh state and reports that it is ready.
 	ProxyReady = "proxy ready"
-	// ConfigurationApplied: the process routes by a later configuration from now on.
+	// ConfigurationApplied: the process now routes by a newer configuration.
 	ConfigurationApplied = "configuration applied"
 	// ProxyStopping: the process shuts down gracefully.
 	ProxyStopping = "proxy stopping"
@@ -155,28 +155,28 @@
 	ServiceStartFailed = "service start failed"
 	// ServiceUpdateFailed: a service keeps its previous settings.
 	ServiceUpdateFailed = "service update failed"
-	// Decision: a line of the decision module.
+	// Decision: a log line of the decision module.
 	Decision = "decision"
 	// AttemptFailed: an attempt at a backend failed.
 	AttemptFailed = "attempt failed"
-	// RequestFailed: a request was not answered by a backend.
+	// RequestFailed: a request got no response from a backend.
 	RequestFailed = "request failed"
-	// RequestLate: a request was answered after its latency target.
+	// RequestLate: the response to a request came after its latency target.
 	RequestLate = "request late"
-	// RequestCancelled: a client left before its answer.
+	// RequestCancelled: a client disconnected before it got its response.
 	RequestCancelled = "request cancelled by client"
 	// HealthCheckFailed: a health check failed.
 	HealthCheckFailed = "health check failed"
-	// TenantRefused: requests of tenants are refused for their quotas; the line names the last of them.
+	// TenantRefused: requests of tenants are rejected because of their quotas; the line names the last such tenant.
 	TenantRefused = "tenant refused"
 )
 
 // Messages of every process.
 const (
-	// SettingsRejected: the settings file can't be used; the previous settings stay in force.
+	// SettingsRejected: the settings file is unreadable or invalid; the previous settings stay in force.
 	SettingsRejected = "settings rejected"
-	// SeedsChanged: the settings file names other seeds, which are used from now on.
+	// SeedsChanged: the settings file lists other seeds, which the process now uses.
 	SeedsChanged = "seeds changed"
-	// MetricsFailed: the metrics are not served, or no longer.
+	// MetricsFailed: the metrics server failed to start or has stopped.
 	MetricsFailed = "metrics server failed"
 )
--- a/internal/process/logevent/logevent_test.go
+++ b/internal/process/logevent/logevent_test.go
@@ -12,7 +12,8 @@
 	"testing"
 )
 
-// constants reads the values of this package's constants: keys are those whose names begin with Key.
+// constants returns the values of this package's constants. Those whose names begin with Key are keys, the others
+// messages.
 func constants(t *testing.T) (messages, keys []string) {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), "logevent.go", nil, 0)
@@ -26,7 +27,7 @@
 		}
 		literal, is := spec.Values[0].(*ast.BasicLit)
 		if !is {
-			t.Fatalf("%s is no literal", spec.Names[0])
+			t.Fatalf("%s is not a literal", spec.Names[0])
 		}
 		value, err := strconv.Unquote(literal.Value)
 		if err != nil {
@@ -44,7 +45,7 @@
 	return messages, keys
 }
 
-// rows are the first cells of a section's table in docs/EVENTS.md.
+// rows returns the first cells of the table in a section of docs/EVENTS.md.
 func rows(t *testing.T, section string) []string {
 	t.Helper()
 	page, err := os.ReadFile("../../../docs/EVENTS.md")
@@ -64,26 +65,26 @@
 	return cells
 }
 
-// The page for whoever is on call lists each event and each key, and none that there is not.
+// docs/EVENTS.md lists exactly the events and keys in the code.
 func TestPageListsAllEvents(t *testing.T) {
 	messages, keys := constants(t)
 	if len(messages) == 0 || len(keys) == 0 {
 		t.Fatal("no constants were found")
 	}
 	if listed := rows(t, "Events"); !slices.Equal(listed, messages) {
-		t.Errorf("events listed %q\nof the code %q", listed, messages)
+		t.Errorf("events in the page %q\nin the code %q", listed, messages)
 	}
 	if listed := rows(t, "Keys"); !slices.Equal(listed, keys) {
-		t.Errorf("keys listed %q\nof the code %q", listed, keys)
+		t.Errorf("keys in the page %q\nin the code %q", listed, keys)
 	}
 }
 
-// A message or a key names one thing.
+// No two messages and no two keys are the same.
 func TestConstantsAreUnique(t *testing.T) {
 	messages, keys := constants(t)
 	for _, values := range [][]string{messages, keys} {
 		if unique := slices.Compact(slices.Clone(values)); len(unique) != len(values) {
-			t.Errorf("a value stands twice in %q", values)
+			t.Errorf("duplicate value in %q", values)
 		}
 	}
 }
--- a/internal/process/logs/compatibility_test.go
+++ b/internal/process/logs/compatibility_test.go
@@ -10,7 +10,7 @@
 	"marlreel/internal/testing/recorded"
 )
 
-// The forms of [log] format: a line for people, and an object for machines with the event's name and its fields.
+// Checks both log formats: text lines, and JSON objects with the name of the event and its fields.
 func TestCompatibilityForms(t *testing.T) {
 	if Text != "text" || JSON != "json" {
 		t.Errorf("formats %q and %q", Text, JSON)
--- a/internal/process/logs/doc.go
+++ b/internal/process/logs/doc.go
@@ -1,4 +1,3 @@
-// Package logs is the form of the proxy's log: log/slog, a line for people or a JSON object for machines, with the
-// event's stable name and its attributes. The package owns that form alone: what is logged, and when, is up to the
-// packages that log.
+// Package logs formats the proxy's log with log/slog: as lines of text for people or JSON objects for machines, with the
+// stable name of the event and its attributes. It owns only the format; other packages decide what is logged and when.
 package logs
--- a/internal/process/logs/logs.go
+++ b/internal/process/logs/logs.go
@@ -9,14 +9,14 @@
 	"sync"
 )
 
-// Formats of a log, by their names in the settings.
+// Log formats, by their names in the settings.
 const (
 	Text = "text"
 	JSON = "json"
 )
 
-// New makes a logger that writes to w in a format; any format but JSON is Text. A line of text is the time of day,
-// the message and then the attributes as key=value.
+// New creates a logger that writes to w in a format; any format but JSON means Text. A text line has the time of day, the
+// message and the attributes as key=value.
 func New(w io.Writer, format string) *slog.Logger {
 	if format == JSON {
 		return slog.New(slog.NewJSONHandler(w, nil))
@@ -24,15 +24,15 @@
 	return slog.New(&textHandler{out: w, writeMu: new(sync.Mutex), withTime: true})
 }
 
-// NewWithoutTime is New's text without the time of day.
+// NewWithoutTime creates a logger that writes text lines without the time of day.
 func NewWithoutTime(w io.Writer) *slog.Logger {
 	return slog.New(&textHandler{out: w, writeMu: new(sync.Mutex)})
 }
 
-// Discard is a logger that writes nothing.
+// Discard returns a logger that writes nothing.
 func Discard() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// ForEvent gives a part of the program that says lines a function to say them with: all under one event's name.
+// ForEvent returns a printf-style function that logs all of its lines under one event name.
 func ForEvent(l *slog.Logger, name string) func(format string, args ...any) {
 	return func(format string, args ...any) { l.Info(fmt.Sprintf(format, args...), "event", name) }
 }
@@ -71,7 +71,8 @@
 	return err
 }
 
-// appendAttr writes " key=value", the value quoted where it could not be told from the rest of the line.
+// appendAttr writes " key=value". It quotes the value if it is empty or has characters that would make the line
+// ambiguous.
 func appendAttr(line *strings.Builder, attr slog.Attr) {
 	value := attr.Value.Resolve().String()
 	if value == "" || strings.ContainsAny(value, " =\"\n\t") {
--- a/internal/process/metrics/compatibility_test.go
+++ b/internal/process/metrics/compatibility_test.go
@@ -9,7 +9,7 @@
 	"marlreel/internal/testing/recorded"
 )
 
-// The lines of /control/counters, in their order: names, kinds and how a class's name stands in them.
+// Checks the lines of /control/counters and their order: names, kinds and sanitized class names.
 func TestCompatibilityCounters(t *testing.T) {
 	c := New(func() uint64 { return 7 }, []balancer.Class{{Name: "bid"}, {Name: "lot-list"}, {Name: "odd name:1|c"}})
 	for _, v := range []engine.Verdict{engine.Served, engine.Served, engine.Served, engine.Rejected, engine.Overloaded, engine.Failed, engine.TimedOut, engine.Stopped} {
--- a/internal/process/metrics/metrics.go
+++ b/internal/process/metrics/metrics.go
@@ -12,43 +12,42 @@
 	"marlreel/internal/dataplane/engine"
 )
 
-// PublishInterval is how often the gauges are published: they are no older.
+// PublishInterval is how often the gauges are published, and so their maximum age.
 const PublishInterval = 100 * time.Millisecond
 
-// classCounters count the requests of a class. They outlive the class: a counter must not fall because an operator
-// took a class out of the settings and put it back.
+// classCounters count the requests of a class. They are kept when an operator changes the classes in the settings, as a
+// counter must not decrease.
 type classCounters struct {
-	label string // the class's name, as it may stand in a line
+	label string // the name of the class, sanitized for a line
 
 	succeeded, declined, aborted atomic.Uint64
 }
 
-// ProxyMetrics are the metrics of a process, from its start on. Methods of engine.Observer are called by the
-// engine's goroutine; Append is safe to call from any.
+// ProxyMetrics are the metrics of a process since its start. The engine's goroutine calls the methods of
+// engine.Observer; Append may be called from any goroutine.
 type ProxyMetrics struct {
 	writtenAttempts func() uint64
 
-	classes          atomic.Pointer[[]*classCounters] // by the engine's number for the class
+	classes          atomic.Pointer[[]*classCounters] // by the engine's class number
 	outstanding      atomic.Int64
 	discovered       atomic.Int64
 	ejected          atomic.Int64
 	stormState       atomic.Int64
 	settingsApplied  atomic.Uint64 // settings files applied at SIGHUP
-	settingsRejected atomic.Uint64 // and rejected
+	settingsRejected atomic.Uint64 // settings files rejected at SIGHUP
 }
 
 var _ engine.Observer = (*ProxyMetrics)(nil)
 
-// New makes metrics that are all 0. writtenAttempts says how many attempts have been written completely to
-// backends.
+// New creates metrics that are all 0. writtenAttempts returns how many attempts have been written completely to backends.
 func New(writtenAttempts func() uint64, classes []balancer.Class) *ProxyMetrics {
 	m := &ProxyMetrics{writtenAttempts: writtenAttempts}
 	m.SetClasses(classes)
 	return m
 }
 
-// SetClasses says which classes there are. One whose name is known keeps its counters. It must not be called from
-// two goroutines at once.
+// SetClasses sets the list of classes. A class whose name is already known keeps its counters. SetClasses must not be
+// called concurrently.
 func (m *ProxyMetrics) SetClasses(classes []balancer.Class) {
 	var previous []*classCounters
 	p := m.classes.Load()
@@ -70,7 +69,7 @@
 	m.classes.Store(&current)
 }
 
-// metricLabel is a class's name with what would break a line, or a path of names, replaced.
+// metricLabel returns the name of a class with the characters replaced that have a meaning in a line or a metric path.
 func metricLabel(name string) string {
 	return strings.Map(func(r rune) rune {
 		if r <= ' ' || r >= 0x7f || strings.ContainsRune(":|.@#", r) {
@@ -80,8 +79,7 @@
 	}, name)
 }
 
-// SetGauges publishes how many backends have been discovered, how many of them are ejected, and how far a retry
-// storm has come.
+// SetGauges publishes the number of discovered backends, the number of ejected ones, and the retry storm state.
 func (m *ProxyMetrics) SetGauges(discovered, ejected int, storm retrystorm.State) {
 	m.discovered.Store(int64(discovered))
 	m.ejected.Store(int64(ejected))
@@ -97,18 +95,18 @@
 	m.settingsRejected.Add(1)
 }
 
-// The suffixes of a line, after the form of statsd.
+// Type suffixes of a line, as in the statsd format.
 const (
 	counter = "c"
 	gauge   = "g"
 )
 
-// Append appends the metrics to b, a line each, as proxy.NAME[.CLASS]:VALUE|KIND.
+// Append appends the metrics to b, one line each, as proxy.NAME[.CLASS]:VALUE|KIND.
 func (m *ProxyMetrics) Append(b []byte) []byte {
 	classes := *m.classes.Load()
 	for i, c := range classes {
 		if c.label == "" || slices.Contains(classes[:i], c) {
-			continue // it has no name, or a line already under a name that is the same in a line
+			continue // the class has no name, or shares the label of an earlier one
 		}
 		b = appendLine(b, "succeeded", c.label, int64(c.succeeded.Load()), counter)
 		b = appendLine(b, "declined", c.label, int64(c.declined.Load()), counter)
@@ -123,12 +121,12 @@
 	return appendLine(b, "sighup_rejected", "", int64(m.settingsRejected.Load()), counter)
 }
 
-// AppendCounter appends a counter of the whole process that is kept elsewhere.
+// AppendCounter appends a process-wide counter that another package keeps.
 func AppendCounter(b []byte, name string, value uint64) []byte {
 	return appendLine(b, name, "", int64(value), counter)
 }
 
-// appendLine appends a line; class "" is of the whole process.
+// appendLine appends a line; an empty class means the whole process.
 func appendLine(b []byte, name, class string, value int64, kind string) []byte {
 	b = append(append(b, "proxy."...), name...)
 	if class != "" {
--- a/internal/process/metrics/metrics_test.go
+++ b/internal/process/metrics/metrics_test.go
@@ -32,7 +32,7 @@
 	for _, v := range []engine.Verdict{engine.Served, engine.Served, engine.Rejected, engine.Overloaded, engine.Failed, engine.TimedOut, engine.Stopped} {
 		answered(c, 0, v)
 	}
-	answered(c, 9, engine.Served) // a class that there isn't
+	answered(c, 9, engine.Served) // an unknown class
 	c.SetGauges(12, 3, retrystorm.Rising)
 	c.RecordSettings(true)
 	c.RecordSettings(false)
@@ -42,7 +42,7 @@
 		"proxy.sighup_applied:1|c", "proxy.sighup_rejected:2|c")
 }
 
-// Classes that stay keep their counters: these must not fall. A name can't break a line.
+// A class that stays keeps its counters, which must not decrease. No class name can break the line format.
 func TestCountersSurviveChangesOfClasses(t *testing.T) {
 	t.Parallel()
 	c := New(func() uint64 { return 0 }, []balancer.Class{{Name: "a"}, {Name: "b:|\n.c"}})
@@ -54,7 +54,7 @@
 	requireLines(t, c, "proxy.succeeded.a:2|c", "proxy.succeeded.b____c:1|c", "proxy.succeeded.new:1|c")
 	for line := range strings.Lines(text(c)) {
 		if strings.Count(line, ":") != 1 || strings.Count(line, "|") != 1 {
-			t.Errorf("%q", line)
+			t.Errorf("malformed line %q", line)
 		}
 	}
 }
--- a/internal/process/metrics/observer.go
+++ b/internal/process/metrics/observer.go
@@ -10,7 +10,7 @@
 // OnCallAccepted implements engine.Observer.
 func (m *ProxyMetrics) OnCallAccepted(time.Duration, *engine.Call) { m.outstanding.Add(1) }
 
-// OnAnswered implements engine.Observer. A stream is counted when it ends.
+// OnAnswered implements engine.Observer. Streams are counted when they end.
 func (m *ProxyMetrics) OnAnswered(_ time.Duration, call *engine.Call, a engine.Answer) {
 	if a.Streaming {
 		return
@@ -31,7 +31,7 @@
 	m.recordVerdict(call.Class, verdict)
 }
 
-// recordVerdict counts the answer to a request of a class, by the engine's number for it.
+// recordVerdict counts a verdict for a class, given by the engine's class number.
 func (m *ProxyMetrics) recordVerdict(number int, verdict engine.Verdict) {
 	all := *m.classes.Load()
 	if number < 0 || number >= len(all) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// OnClientGone implements engine.Observer: the client has left before its answer.
+// OnClientGone implements engine.Observer. It is called when a client disconnects before it gets its response.
 func (m *ProxyMetrics) OnClientGone(time.Duration, *engine.Call) { m.outstanding.Add(-1) }
 
 // OnAttemptStarted implements engine.Observer.
--- a/internal/process/metricserver/compatibility_test.go
+++ b/internal/process/metricserver/compatibility_test.go
@@ -12,10 +12,10 @@
 	"marlreel/internal/testing/recorded"
 )
 
-// The files under testdata/compatibility must not be written anew to get a pass (package recorded).
+// Don't regenerate the files under testdata/compatibility to make a test pass (see package recorded).
 
-// The server answers at the path, and in the format, that scrapers know; names have their form. The
-// names of all metrics are recorded with the cluster's tests, where all processes run.
+// Checks the path and the format that scrapers rely on, and the form of series names. The names of all
+// metrics are recorded by the cluster's tests, where all processes run.
 func TestCompatibilityOfServer(t *testing.T) {
 	set := vm.NewSet()
 	set.NewGauge(SeriesName("plain"), func() float64 { return BoolValue(true) })
@@ -28,7 +28,7 @@
 		ctx.Request.Header.SetMethod(http.MethodGet)
 		ctx.Request.SetRequestURI(path)
 		newHandler(set)(&ctx)
-		body, _, _ := strings.Cut(string(ctx.Response.Body()), "go_") // those of the process follow
+		body, _, _ := strings.Cut(string(ctx.Response.Body()), "go_") // the process metrics follow
 		body, _, _ = strings.Cut(body, "process_")
 		fmt.Fprintf(&out, "GET %s\n-> %d\nContent-Type: %s\n\n%s\n", path, ctx.Response.StatusCode(), ctx.Response.Header.ContentType(), body)
 	}
--- a/internal/process/metricserver/series.go
+++ b/internal/process/metricserver/series.go
@@ -8,7 +8,7 @@
 // Label is one label of a series.
 type Label struct{ Key, Value string }
 
-// SeriesName returns the full name of a metric's series, as in name{key="value"}; labels keep their order.
+// SeriesName returns the full name of a series, such as name{key="value"}; labels keep their order.
 func SeriesName(metric string, labels ...Label) string {
 	if len(labels) == 0 {
 		return metric
--- a/internal/process/metricserver/server.go
+++ b/internal/process/metricserver/server.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// metricsPath is where the metrics are.
+	// metricsPath is the path of the metrics.
 	metricsPath = "/metrics"
-	// contentType is that of the text exposition format.
+	// contentType is the content type of the text exposition format.
 	contentType = "text/plain; version=0.0.4; charset=utf-8"
 	// maxConnections bounds the connections of scrapers.
 	maxConnections = 16
-	// readTimeout bounds how long a scraper may take for its request, or be idle.
+	// readTimeout bounds how long a scraper may take to send its request, or stay idle.
 	readTimeout = 10 * time.Second
-	// shutdownTimeout bounds how long answers under way are waited for.
+	// shutdownTimeout bounds the wait for responses in flight.
 	shutdownTimeout = time.Second
 )
 
-// newHandler answers with the metrics of a set and those of the process itself.
+// newHandler returns a handler that serves the metrics of a set and those of the process itself.
 func newHandler(set *vm.Set) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		if string(ctx.Path()) != metricsPath {
@@ -39,8 +39,8 @@
 	}
 }
 
-// Serve serves the metrics of a set at an address, HOST:PORT, until ctx ends; nowhere where the address is empty. It
-// returns when the server has shut down. A failure is logged, and the process goes on without metrics.
+// Serve serves the metrics of a set at an address, HOST:PORT, until ctx ends, and returns when the server has shut down.
+// If the address is empty, it returns at once. A failure is logged, and the process continues without metrics.
 func Serve(ctx context.Context, network host.Network, address string, set *vm.Set, log logr.Logger) {
 	if address == "" {
 		return
@@ -61,7 +61,7 @@
 		defer close(isShutDown)
 		timeout, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 		defer cancel()
-		_ = server.ShutdownWithContext(timeout) // a scraper whose answer is cut asks the next process
+		_ = server.ShutdownWithContext(timeout) // a scraper with a truncated response scrapes the next process
 	})
 	if err := server.Serve(listener); err != nil && ctx.Err() == nil {
 		log.Error(err, logevent.MetricsFailed, logevent.KeyAddress, address)
--- a/internal/process/timing/timing.go
+++ b/internal/process/timing/timing.go
@@ -1,5 +1,5 @@
-// Package timing has the one way in which the system's processes pause: until a time has passed, or their context
-// has ended. It reads the clock through the time package alone, so that testing/synctest can simulate it.
+// Package timing lets the system's processes sleep until a time has passed or a context has ended. It uses only the clock
+// of package time, so that testing/synctest can simulate it.
 package timing
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Sleep returns after the pause, or earlier if ctx ends. The caller tells the two apart by ctx.Err.
+// Sleep returns after the pause, or earlier if ctx ends. The caller can distinguish the two by ctx.Err.
 func Sleep(ctx context.Context, pause time.Duration) {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
--- a/internal/process/transport/client.go
+++ b/internal/process/transport/client.go
@@ -16,16 +16,16 @@
 const (
 	// defaultCallTimeout bounds a call whose context has no deadline.
 	defaultCallTimeout = 5 * time.Second
-	// idleConnTimeout is how long a connection without a call is kept.
+	// idleConnTimeout is how long an idle connection is kept.
 	idleConnTimeout = 30 * time.Second
-	// maxMessageBytes bounds a message either way.
+	// maxMessageBytes bounds a message in either direction.
 	maxMessageBytes = 32 << 20
 	// maxConnsPerPeer bounds the connections to one process of the system.
 	maxConnsPerPeer = 64
 )
 
-// NewHTTPClient makes a plain client, for calls to others than processes of the system. It makes each call once, on a
-// connection that holds nothing unread (ErrUnexpectedData).
+// NewHTTPClient creates a plain HTTP client for servers that are not processes of the system. It never retries a call,
+// and fails with ErrUnexpectedData instead of sending it on a connection with unread data.
 func NewHTTPClient(dial DialFunc) *fasthttp.Client {
 	return &fasthttp.Client{
 		Dial: dialer{dial, dialTimeout}.connectGuarded, NoDefaultUserAgentHeader: true, MaxIdemponentCallAttempts: 1,
@@ -33,14 +33,14 @@
 	}
 }
 
-// Client makes calls to processes of the system: it is an HTTP client as twirp wants one.
+// Client calls processes of the system. It implements twirp's HTTPClient interface.
 type Client struct {
 	http         fasthttp.Client
-	compressed   bool // replies may come compressed
+	compressed   bool // accept compressed replies
 	decompressor decompressor
 }
 
-// NewClient makes a client.
+// NewClient creates a client that doesn't accept compressed replies.
 func NewClient(dial DialFunc) *Client {
 	return &Client{http: fasthttp.Client{
 		Dial:                     dialer{dial, peerDialTimeout}.connect,
@@ -49,16 +49,16 @@
 	}}
 }
 
-// NewCompressedClient makes a client for calls between machines: it accepts large replies compressed, and servers that
-// don't compress are understood all the same.
+// NewCompressedClient creates a client for calls between machines. It accepts compressed replies, and also works with
+// servers that don't compress.
 func NewCompressedClient(dial DialFunc) *Client {
 	c := NewClient(dial)
 	c.compressed = true
 	return c
 }
 
-// Do implements twirp's HTTPClient. Of the request's context only the deadline counts, where its error is
-// context.DeadlineExceeded: a call that is under way isn't cancelled before.
+// Do implements twirp's HTTPClient. It uses only the deadline of the request's context, and returns
+// context.DeadlineExceeded when it has passed; cancelling the context doesn't abort a call in flight.
 func (c *Client) Do(request *http.Request) (*http.Response, error) {
 	out, in := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(out)
@@ -83,7 +83,7 @@
 	return responseTo(request, in, body), nil
 }
 
-// copyRequest makes fasthttp's request of one of net/http.
+// copyRequest copies a net/http request into a fasthttp request.
 func copyRequest(out *fasthttp.Request, request *http.Request) error {
 	out.Header.SetMethod(request.Method)
 	out.SetRequestURI(request.URL.String())
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// responseTo makes net/http's response with a body of one of fasthttp, which may be released.
+// responseTo makes a net/http response with a body. It copies the fasthttp response, which may be released afterwards.
 func responseTo(request *http.Request, in *fasthttp.Response, body []byte) *http.Response {
 	response := &http.Response{
 		StatusCode: in.StatusCode(), Status: strconv.Itoa(in.StatusCode()), Proto: "HTTP/1.1",
--- a/internal/process/transport/compression.go
+++ b/internal/process/transport/compression.go
@@ -13,27 +13,29 @@
 const (
 	// encodingZstd names Zstandard (RFC 8878) in Accept-Encoding and Content-Encoding.
 	encodingZstd = "zstd"
-	// minCompressedBytes is the least size of a body that is compressed: smaller ones save less than the work costs.
+	// minCompressedBytes is the minimum size of a body that is compressed: for smaller ones the saving isn't worth the CPU
+	// time.
 	minCompressedBytes = 2 << 10
-	// compressionWindow is how far back in a body repetitions are found. Raising it costs memory on both sides.
+	// compressionWindow is the distance within which the compressor finds repetitions. Raising it costs memory on both
+	// sides.
 	compressionWindow = 256 << 10
-	// maxRecentBytes bounds the bodies that are kept with their compression, for others who get the same, as all
-	// subscribers of a topic do. Raising it costs memory, and time for looking them through.
+	// maxRecentBytes bounds the cache of bodies with their compressed form. The cache serves clients that get the same
+	// body, such as the subscribers of a topic. Raising it costs memory, and time to search the cache.
 	maxRecentBytes = 2 << 20
 )
 
-// compressor compresses replies for clients that accept that. Any goroutine may use it.
+// compressor compresses replies for clients that accept that. It is safe for concurrent use.
 type compressor struct {
 	mu      sync.Mutex
-	encoder *zstd.Encoder    // nil: nothing was compressed yet
-	recent  []compressedBody // the oldest first
-	bytes   int              // of their plain bodies
+	encoder *zstd.Encoder    // nil until the first use
+	recent  []compressedBody // oldest first
+	bytes   int              // sum of the plain bodies in recent
 }
 
-// compressedBody is a body as it was and compressed; neither changes.
+// compressedBody is a body in plain and compressed form; both are immutable.
 type compressedBody struct{ plain, compressed []byte }
 
-// apply compresses the reply to a request whose client accepts that.
+// apply compresses the reply to a request if the client accepts that and the body is large enough.
 func (c *compressor) apply(ctx *fasthttp.RequestCtx) {
 	if !ctx.Request.Header.HasAcceptEncoding(encodingZstd) || len(ctx.Response.Header.ContentEncoding()) > 0 {
 		return
@@ -46,7 +48,7 @@
 	ctx.Response.SetBodyRaw(c.compress(body))
 }
 
-// compress returns a body compressed: once for all who get the same in a row.
+// compress returns the compressed form of a body, from the cache if possible.
 func (c *compressor) compress(body []byte) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,7 +67,7 @@
 	return compressed
 }
 
-// keep keeps a body, and drops the oldest that there is no room for beside it.
+// keep adds a body to the cache, and evicts the oldest ones beyond maxRecentBytes.
 func (c *compressor) keep(body compressedBody) {
 	c.recent = append(c.recent, body)
 	c.bytes += len(body.plain)
@@ -78,17 +80,17 @@
 
 func newEncoder() *zstd.Encoder {
 	encoder, _ := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1),
-		zstd.WithWindowSize(compressionWindow), zstd.WithLowerEncoderMem(true)) // it fails with options that are wrong alone
+		zstd.WithWindowSize(compressionWindow), zstd.WithLowerEncoderMem(true)) // fails only if the options are invalid
 	return encoder
 }
 
-// decompressor decompresses replies. Any goroutine may use it.
+// decompressor decompresses replies. It is safe for concurrent use.
 type decompressor struct {
 	once    sync.Once
 	decoder *zstd.Decoder
 }
 
-// body returns the body of a reply, which must not be used after the reply was released.
+// body returns a decompressed copy of the body of a reply.
 func (d *decompressor) body(in *fasthttp.Response) ([]byte, error) {
 	encoding := string(in.Header.ContentEncoding())
 	switch encoding {
@@ -104,6 +106,6 @@
 
 func newDecoder() *zstd.Decoder {
 	decoder, _ := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true),
-		zstd.WithDecoderMaxMemory(maxMessageBytes)) // it fails with options that are wrong alone
+		zstd.WithDecoderMaxMemory(maxMessageBytes)) // fails only if the options are invalid
 	return decoder
 }
--- a/internal/process/transport/compression_test.go
+++ b/internal/process/transport/compression_test.go
@@ -17,7 +17,7 @@
 	"github.com/valyala/fasthttp/fasthttputil"
 )
 
-// bodyService answers with a body.
+// bodyService responds with a fixed body.
 type bodyService struct{ body *string }
 
 func (bodyService) PathPrefix() string { return "/body/" }
@@ -26,7 +26,7 @@
 	_, _ = io.WriteString(w, *s.body)
 }
 
-// countingConn counts the bytes that are read.
+// countingConn counts the bytes read from it.
 type countingConn struct {
 	net.Conn
 	read *atomic.Int64
@@ -38,7 +38,7 @@
 	return n, err
 }
 
-// fetch gets a body from a server by a client that is made for the dial function, and returns how many bytes came.
+// fetch gets a body from a server, and also returns how many bytes were received. newClient creates the client.
 func fetch(t *testing.T, newClient func(DialFunc) *Client, body string) (got string, received int64) {
 	t.Helper()
 	listener := fasthttputil.NewInmemoryListener()
@@ -69,15 +69,15 @@
 	return string(data), read.Load()
 }
 
-// repetitiveBody is text of so many bytes that gets a tenth as long, as a configuration does.
+// repetitiveBody returns text that compresses to less than a tenth of its size, like a configuration.
 func repetitiveBody(size int) string {
 	return strings.Repeat(`{"name":"r","route_class":"unsafe","timeout_ms":900}`, size/50+1)[:size]
 }
 
-// Both kinds of clients get what the server sent; large bodies come compressed to the one that accepts that, and plain to
-// the other, as to a process of an older version.
-func TestRepliesAreCompressedForWhoAcceptsThat(t *testing.T) {
-	const header = 300 // bytes that a response's header takes at most
+// Both kinds of clients get the body that the server sent. Large bodies are compressed for the client that accepts that,
+// and plain for the other one, which stands for a process of an older version.
+func TestRepliesAreCompressedOnlyForClientsThatAcceptIt(t *testing.T) {
+	const header = 300 // maximum bytes of a response header
 	for name, size := range map[string]int{"small": minCompressedBytes - 1, "large": 200 * minCompressedBytes} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -96,7 +96,7 @@
 	}
 }
 
-// A body is compressed once for all who get it, and how many are kept is bounded.
+// A body is compressed once for all clients that get it, and the cache is bounded.
 func TestBodyIsCompressedOnceForAll(t *testing.T) {
 	is := is.New(t)
 	c := new(compressor)
@@ -110,7 +110,7 @@
 	}
 	is.Equal(len(c.recent), 4)
 	is.True(len(c.compress(make([]byte, maxRecentBytes+1))) > 0)
-	is.Equal(len(c.recent), 4) // what is too large to be kept drives nothing out
+	is.Equal(len(c.recent), 4) // a body too large for the cache evicts nothing
 	kept := 0
 	for _, known := range c.recent {
 		kept += len(known.plain)
@@ -118,7 +118,7 @@
 	is.Equal(kept, c.bytes)
 }
 
-// Bodies that are no frames, of an encoding that was not asked for, or larger than a message may be are errors.
+// A body is an error if it isn't a valid frame, has an encoding that was not requested, or exceeds the message limit.
 func TestBrokenCompressionIsAnError(t *testing.T) {
 	bomb := newEncoder().EncodeAll(make([]byte, maxMessageBytes+1), nil)
 	for name, c := range map[string]struct {
@@ -132,16 +132,16 @@
 			response.Header.SetContentEncoding(c.encoding)
 			response.SetBody(c.body)
 			if body, err := new(decompressor).body(&response); err == nil {
-				t.Errorf("a body of %d bytes", len(body))
+				t.Errorf("got a body of %d bytes and no error", len(body))
 			}
 		})
 	}
 }
 
-// recordedFrame is "marlreel" 64 times over, as the first version that compressed replies sent it.
+// recordedFrame is "marlreel" repeated 64 times, as sent by the first version that compressed replies.
 const recordedFrame = "28b52ffd44000001850000406d61726c7265656c015408032cf50b1e8e7d79"
 
-// What the first version that compresses sends is understood, and what is sent now is a frame of the same format.
+// Replies of the first version that compressed them can be read, and replies sent now have the same frame format.
 func TestCompatibilityOfCompressedReplies(t *testing.T) {
 	is := is.New(t)
 	frame, err := hex.DecodeString(recordedFrame)
--- a/internal/process/transport/dial.go
+++ b/internal/process/transport/dial.go
@@ -9,18 +9,19 @@
 )
 
 const (
-	// dialTimeout bounds the making of a connection to another system.
+	// dialTimeout bounds the time to connect to another system.
 	dialTimeout = time.Second
-	// peerDialTimeout bounds the making of a connection to a process of the system: some round trips between
-	// regions. A machine without power answers nothing; a packet that was lost would be sent again after a second
-	// only, and another attempt, or another process, is sooner.
+	// peerDialTimeout bounds the time to connect to a process of the system: a few round trips between regions. A machine
+	// without power sends no answer, and TCP would resend a lost packet only after a second: another attempt, or an attempt
+	// at another process, is faster.
 	peerDialTimeout = 250 * time.Millisecond
 )
 
-// DialFunc makes a connection to an address, a host and a port.
+// DialFunc connects to an address, HOST:PORT.
 type DialFunc func(ctx context.Context, address string) (net.Conn, error)
 
-// dialer makes connections within a timeout. fasthttp gives no context to dial by, and a call waits for its dial: the timeout can end a call later than its deadline.
+// dialer connects within a timeout. fasthttp passes no context to its dial function, and a call waits for its dial, so a
+// call may end up to the timeout after its deadline.
 type dialer struct {
 	dial    DialFunc
 	timeout time.Duration
--- a/internal/process/transport/doc.go
+++ b/internal/process/transport/doc.go
@@ -1,6 +1,6 @@
-// Package transport carries calls over fasthttp: twirp's between processes of the system, and plain HTTP to backends.
-// A Client or Server is owned by the role of the process that made it.
+// Package transport carries calls over fasthttp: twirp calls between processes of the system, and plain HTTP to backends.
+// Each Client or Server is owned by the role that creates it.
 //
-// The package makes each call once and never again: whether a call may be attempted anew is for its caller to say. Dial
-// and listen are given to it, so that tests run it over simulated networks.
+// The package never retries a call; only its caller knows whether a retry is safe. Dial functions and listeners are
+// passed in, so that tests can use simulated networks.
 package transport
--- a/internal/process/transport/guarded_conn.go
+++ b/internal/process/transport/guarded_conn.go
@@ -8,18 +8,18 @@
 	"marlreel/internal/sockets"
 )
 
-// ErrUnexpectedData says that a kept connection held data that belongs to no call, or had ended. Nothing was written:
-// the call has not been made.
-var ErrUnexpectedData = eris.New("the connection held bytes of no call")
+// ErrUnexpectedData means that a reused connection had unread data that belongs to no call, or was closed. Nothing was
+// written, so the call has not been sent.
+var ErrUnexpectedData = eris.New("the reused connection has unexpected data or was closed; call not sent")
 
-// guardedConn is a connection on which each call begins with nothing left to be read: a backend may send more after a
-// complete answer, and that would be read as the answer to the next call.
+// guardedConn is a connection on which a call begins only if there is no unread data: a backend may send more after a
+// complete response, which would be read as the response to the next call.
 type guardedConn struct {
 	net.Conn
-	answered bool // something was read since the last write
+	answered bool // data was read since the last write
 }
 
-// connectGuarded makes a guarded connection.
+// connectGuarded connects and returns a guardedConn.
 func (d dialer) connectGuarded(address string) (net.Conn, error) {
 	conn, err := d.connect(address)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return n, err
 }
 
-// Write implements net.Conn. Its error is ErrUnexpectedData where a call can't begin.
+// Write implements net.Conn. It returns ErrUnexpectedData if it would begin a call on a connection that isn't idle.
 func (c *guardedConn) Write(p []byte) (int, error) {
 	if c.answered && !sockets.Idle(c.Conn) {
 		return 0, ErrUnexpectedData
--- a/internal/process/transport/server.go
+++ b/internal/process/transport/server.go
@@ -14,13 +14,13 @@
 	PathPrefix() string
 }
 
-// route is a service and the prefix of its paths.
+// route is the handler of a service and the prefix of its paths.
 type route struct {
 	prefix  []byte
 	handler fasthttp.RequestHandler
 }
 
-// NewServer makes a server for services. Requests for other paths go to fallback; nil answers them with 404.
+// NewServer creates a server for services. Requests for other paths go to fallback; if it is nil, the response is 404.
 func NewServer(fallback fasthttp.RequestHandler, services ...Service) *fasthttp.Server {
 	if fallback == nil {
 		fallback = func(ctx *fasthttp.RequestCtx) { ctx.SetStatusCode(fasthttp.StatusNotFound) }
@@ -36,7 +36,7 @@
 	}
 }
 
-// dispatch hands a request to the first route that it fits, and compresses large replies of the services.
+// dispatch passes a request to the first route that matches its path, and compresses large replies of the services.
 func dispatch(routes []route, replies *compressor, fallback fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		for _, r := range routes {
@@ -50,7 +50,7 @@
 	}
 }
 
-// discardLogger drops the server's lines on single connections: broken ones are usual.
+// discardLogger drops the server's log lines about single connections, as broken connections are normal.
 type discardLogger struct{}
 
 var _ fasthttp.Logger = discardLogger{}
--- a/internal/process/transport/server_context.go
+++ b/internal/process/transport/server_context.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// serverContext is the context of a request until its server shuts down. It stands in place of fasthttp's own, which
-// the server uses again for the next request: a timer of a context derived from that one may look values up in it
-// after the handler has returned, and meets the reset.
+// serverContext is a request context that ends only when the server shuts down. It replaces fasthttp's own context,
+// which the server reuses for the next request: the timer of a context derived from that one may read values from it
+// after the handler has returned, which races with the reset.
 type serverContext struct{ shutdown <-chan struct{} }
 
 var _ context.Context = serverContext{}
 
-// Deadline implements context.Context: there is none.
+// Deadline implements context.Context. There is no deadline.
 func (serverContext) Deadline() (time.Time, bool) { return time.Time{}, false }
 
 // Done implements context.Context.
@@ -29,13 +29,13 @@
 	}
 }
 
-// Value implements context.Context: there are none.
+// Value implements context.Context. There are no values.
 func (serverContext) Value(any) any { return nil }
 
-// withServerContext gives a service contexts that outlive their requests.
+// withServerContext gives the requests of a service contexts that stay valid after the requests have ended.
 func withServerContext(service http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx := serverContext{shutdown: r.Context().Done()}
-		service.ServeHTTP(w, r.WithContext(ctx)) //nolint:contextcheck // the request's own context is used again by the server
+		service.ServeHTTP(w, r.WithContext(ctx)) //nolint:contextcheck // the server reuses the request's own context
 	})
 }
--- a/internal/process/transport/server_context_test.go
+++ b/internal/process/transport/server_context_test.go
@@ -12,15 +12,15 @@
 	"github.com/valyala/fasthttp/fasthttputil"
 )
 
-// contextService hands the context of each of its requests to a channel.
+// contextService sends the context of each request to a channel.
 type contextService struct{ contexts chan context.Context }
 
 func (contextService) PathPrefix() string { return "/context/" }
 
 func (s contextService) ServeHTTP(_ http.ResponseWriter, r *http.Request) { s.contexts <- r.Context() }
 
-// A context derived from that of a request may be looked at when the server has long gone on to the next one, as the
-// timer of a context with a timeout does: run with -race, this test failed on fasthttp's own context.
+// A context derived from that of a request may be read after the server has moved on to the next one, for example by the
+// timer of a context with a timeout. With fasthttp's own context, this test failed under -race.
 func TestContextsOutliveTheirRequests(t *testing.T) {
 	service := contextService{make(chan context.Context, 1)}
 	server := NewServer(nil, service)
@@ -45,7 +45,7 @@
 			t.Error(ctx.Err())
 		}
 		if ctx.Value("key") != nil {
-			t.Error("a value that nobody set")
+			t.Error("the context has a value that was never set")
 		}
 	}
 	if err := server.Shutdown(); err != nil {
@@ -56,7 +56,7 @@
 	}
 }
 
-// The server's end is the end of its requests' contexts.
+// The contexts of requests end when the server shuts down.
 func TestContextsEndWithTheServer(t *testing.T) {
 	shutdown := make(chan struct{})
 	ctx := serverContext{shutdown}
--- a/internal/process/transport/transport_test.go
+++ b/internal/process/transport/transport_test.go
@@ -15,7 +15,7 @@
 	"github.com/valyala/fasthttp/fasthttputil"
 )
 
-// echoService answers with the method, the content type and the body of a request.
+// echoService responds with the method, the content type and the body of the request.
 type echoService struct{ prefix string }
 
 func (s echoService) PathPrefix() string { return s.prefix }
@@ -51,11 +51,11 @@
 		status   int
 		body     string
 	}{
-		"the first service":                    {fallback, "/a/call", http.StatusAccepted, "/a/ POST request"},
-		"the second service":                   {fallback, "/b/call", http.StatusAccepted, "/b/ POST request"},
-		"another path":                         {fallback, "/c/call", http.StatusOK, "fallback"},
-		"another path where nothing else is":   {nil, "/c/call", http.StatusNotFound, ""},
-		"a service's path, where nothing else": {nil, "/b/call", http.StatusAccepted, "/b/ POST request"},
+		"the first service":               {fallback, "/a/call", http.StatusAccepted, "/a/ POST request"},
+		"the second service":              {fallback, "/b/call", http.StatusAccepted, "/b/ POST request"},
+		"another path":                    {fallback, "/c/call", http.StatusOK, "fallback"},
+		"another path, no fallback":       {nil, "/c/call", http.StatusNotFound, ""},
+		"the second service, no fallback": {nil, "/b/call", http.StatusAccepted, "/b/ POST request"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -91,21 +91,21 @@
 	is.True(errors.Is(err, context.DeadlineExceeded))
 }
 
-// quietConn is a connection that says whether it has something to read.
-type quietConn struct {
+// idleConn is a connection with a settable idle state.
+type idleConn struct {
 	net.Conn
-	quiet bool
+	idle bool
 }
 
-func (c *quietConn) Idle() bool { return c.quiet }
+func (c *idleConn) Idle() bool { return c.idle }
 
-func (c *quietConn) Read(p []byte) (int, error) { return copy(p, "answer"), nil }
+func (c *idleConn) Read(p []byte) (int, error) { return copy(p, "answer"), nil }
 
-func (c *quietConn) Write(p []byte) (int, error) { return len(p), nil }
+func (c *idleConn) Write(p []byte) (int, error) { return len(p), nil }
 
-func TestCallBeginsOnlyOnAQuietConnection(t *testing.T) {
+func TestCallBeginsOnlyOnAnIdleConnection(t *testing.T) {
 	is := is.New(t)
-	conn := &quietConn{}
+	conn := &idleConn{}
 	guarded, err := dialer{func(context.Context, string) (net.Conn, error) { return conn, nil }, time.Second}.connectGuarded("backend")
 	is.NoErr(err)
 	_, err = guarded.Write([]byte("the first call: nothing was read before"))
@@ -114,9 +114,9 @@
 	is.NoErr(err)
 	_, err = guarded.Read(make([]byte, 10))
 	is.NoErr(err)
-	_, err = guarded.Write([]byte("the next call, and more was sent"))
+	_, err = guarded.Write([]byte("the next call, with unread data"))
 	is.True(errors.Is(err, ErrUnexpectedData))
-	conn.quiet = true
+	conn.idle = true
 	_, err = guarded.Write([]byte("the next call"))
 	is.NoErr(err)
 }
