--- a/internal/config/compatibility_test.go
+++ b/internal/config/compatibility_test.go
@@ -14,8 +14,8 @@
 	"marlreel/internal/testing/recorded"
 )
 
-// An operator's file of the recorded tree, with all comments taken off, is read, and all of its keys and
-// values come back when it is written again.
+// The recorded operator's file, with all of its keys uncommented, can be read, and writing it again gives the same keys
+// and values.
 func TestCompatibilityOperatorFile(t *testing.T) {
 	shipped, err := os.ReadFile(filepath.Join("..", "..", "deploy", "marlreel.toml"))
 	if err != nil {
@@ -40,16 +40,16 @@
 			recorded.Check(t, c.name, string(got))
 			again, err := config.ParseOperator("marlreel.toml", got)
 			if err != nil {
-				t.Fatalf("the written form is not read: %v", err)
+				t.Fatalf("the written file can't be read: %v", err)
 			}
 			if second, err := toml.Marshal(again); err != nil || !bytes.Equal(second, got) {
-				t.Errorf("the written form changes when it is read: %v\n%s", err, second)
+				t.Errorf("reading and writing the file again changes it (error: %v)\n%s", err, second)
 			}
 		})
 	}
 }
 
-// The platform's configuration keeps its keys.
+// The keys of the platform's configuration stay the same.
 func TestCompatibilityPlatformFile(t *testing.T) {
 	data := recorded.Read(t, "platform.json")
 	p, err := config.ParsePlatform(data, func(string) string { return "" })
@@ -87,7 +87,7 @@
 	compareRecordedSharedSettings(t, p)
 }
 
-// The environment goes before the file, under its names.
+// Environment variables override the file, and their names stay the same.
 func TestCompatibilityPlatformEnvironment(t *testing.T) {
 	data := recorded.Read(t, "platform.json")
 	env := map[string]string{
@@ -116,7 +116,7 @@
 	compareRecordedSharedSettings(t, p)
 }
 
-// What the proxies of a fleet agree on is a sent form too.
+// compareRecordedSharedSettings checks the shared settings, which proxies of a fleet send to each other.
 func compareRecordedSharedSettings(t *testing.T, p *config.Platform) {
 	t.Helper()
 	shared, err := p.SharedSettings()
@@ -125,6 +125,6 @@
 	}
 	recorded.Check(t, "shared-settings.json", shared+"\n")
 	if _, err := p.WithSharedSettings(shared); err != nil {
-		t.Errorf("shared settings are not taken: %v", err)
+		t.Errorf("shared settings are rejected: %v", err)
 	}
 }
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,8 +1,8 @@
-// Package config reads what the platform tells a proxy ($NODE_CONFIG, JSON) and what an operator sets
-// (deploy/marlreel.toml), strictly: what can't be used is one error of one line that names the file, the key and what
-// would be right. It also says which configuration may follow another while the process runs, and how the process's
-// descriptors, memory and time at its stop are divided.
+// Package config reads the platform's configuration of a proxy ($NODE_CONFIG, JSON) and the operator's file
+// (deploy/marlreel.toml). It is strict: an invalid value gives an error of one line that names the file, the key and the
+// valid values. The package also decides which configuration may replace another while the process runs, and how the
+// process's file descriptors, memory and shutdown time are divided.
 //
-// It opens nothing but these files and keeps no state: a configuration doesn't change once it is read, and whoever
-// read it owns it. What settings mean is said by the packages that go by them.
+// It opens no other files and keeps no state: a configuration is immutable once it is read, and its reader owns it. The
+// meaning of the settings is documented in the packages that use them.
 package config
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// FileError is a file that can't be read.
+// FileError reports that a configuration file can't be read, or that no path was set.
 type FileError struct {
-	Path string // "" is that none was named
+	Path string // "" means that no path was set
 	Err  error
 }
 
@@ -18,13 +18,13 @@
 
 // Advice says what an operator can do.
 func (e *FileError) Advice() string {
-	return "name the file in NODE_CONFIG or --config, and let this program's user read it"
+	return "set NODE_CONFIG or --config to the path of the file, and make the file readable for the user of this process"
 }
 
-// KeyError is a key of the platform's configuration, or of the environment, that can't be used.
+// KeyError reports that a key of the platform's configuration, or an environment variable, has an invalid value.
 type KeyError struct {
 	Key string
-	Err error // what is wrong, or what would be right
+	Err error // the problem, or the valid values
 }
 
 func (e *KeyError) Error() string { return e.Key + ": " + e.Err.Error() }
@@ -35,7 +35,7 @@
 	return "mend that key; a process that runs goes on by what it had until then"
 }
 
-// PlatformFileError is a configuration of the platform's that can't be used.
+// PlatformFileError reports that the platform's configuration file is invalid.
 type PlatformFileError struct {
 	Path string
 	Err  error
@@ -46,10 +46,10 @@
 
 // Advice says what an operator can do.
 func (e *PlatformFileError) Advice() string {
-	return "mend what it names in the platform's configuration; a process that runs goes on by what it had until then"
+	return "correct what the error names in the platform's configuration; a running process keeps its previous configuration"
 }
 
-// OperatorFileError is a file of --config that can't be used.
+// OperatorFileError reports that the file given by --config is invalid.
 type OperatorFileError struct {
 	Path string
 	Err  error
@@ -60,23 +60,23 @@
 
 // Advice says what an operator can do.
 func (e *OperatorFileError) Advice() string {
-	return "mend the key that it names, and try the file with 'marlreel --check --config FILE'"
+	return "correct the key that the error names, and check the file with 'marlreel --check --config FILE'"
 }
 
-// SettingError is a key of the operator's own file whose value makes no sense.
+// SettingError reports that a key of the operator's file has an invalid value.
 type SettingError struct {
 	Key     string
-	Problem string // the value, and what is needed in its place
+	Problem string // the value, and the valid values
 }
 
 func (e *SettingError) Error() string { return e.Key + " " + e.Problem }
 
 // Advice says what an operator can do.
 func (e *SettingError) Advice() string {
-	return "set the key to what is needed; deploy/marlreel.toml shows each with a good value"
+	return "set the key to a valid value; deploy/marlreel.toml has an example for each key"
 }
 
-// IncompatibleChangeError is a configuration that can't take the place of the one in force.
+// IncompatibleChangeError reports that a configuration can't replace the one in force while the process runs.
 type IncompatibleChangeError struct{ Reason string }
 
 func (e *IncompatibleChangeError) Error() string { return e.Reason }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// How the descriptors are divided: of 256, backends have 64, the process itself 40, and
-// clients the rest, 152. Good clients hold a third at most (85), so silent ones always find
-// some places to push each other out of.
+// How the file descriptors are divided: of 256, backends have 64, the process itself 40, and
+// clients the remaining 152. Well-behaved clients use at most a third (85), so clients that
+// send nothing always have some connections left, for which they displace only each other.
 const (
 	defaultFileDescriptors = 1024
-	// MinFileDescriptors is with how few a proxy can work.
+	// MinFileDescriptors is the minimum with which a proxy can work.
 	MinFileDescriptors = 64
-	// ownDescriptors is what a process needs beside clients and backends: the standard streams,
-	// listeners, the poller, two watches of the list, callers at the control address.
+	// ownDescriptors is how many a process needs in addition to clients and backends: for the
+	// standard streams, listeners, the poller, two watches of the list of backends, and callers
+	// at the control address.
 	ownDescriptors = 40
 )
 
@@ -22,7 +23,7 @@
 }
 
 // MaxClientConnections bounds the connections of clients: half of the descriptors, or all that
-// neither backends nor the process itself may need, where that is more.
+// neither backends nor the process itself may need, whichever is more.
 func (c *Platform) MaxClientConnections() int {
 	return max(c.fileDescriptors()/2, c.fileDescriptors()-c.MaxBackendConnections()-ownDescriptors)
 }
@@ -30,14 +31,14 @@
 // MaxBackendConnections bounds the connections to backends: a quarter of the descriptors.
 func (c *Platform) MaxBackendConnections() int { return c.fileDescriptors() / 4 }
 
-// MaxControlCalls bounds the platform's calls at the control address that are open at a time: 4 to 16.
+// MaxControlCalls bounds the platform's concurrent calls at the control address: 4 to 16.
 func (c *Platform) MaxControlCalls() int { return min(max(c.fileDescriptors()/16, 4), 16) }
 
-// defaultMemoryMB is what a process may take where nothing is said, MiB.
+// defaultMemoryMB is the memory limit, in MiB, if the platform sets none.
 const defaultMemoryMB = 64
 
-// MaxBodyBytes bounds the memory of bodies: a quarter of the process's. What is left is for the program,
-// the connections' own buffers, and garbage, which may come to as much as what lives.
+// MaxBodyBytes bounds the memory for bodies: a quarter of the process's limit. The rest is for the program,
+// the buffers of connections, and garbage, which may take up as much as the live heap.
 func (c *Platform) MaxBodyBytes() int {
 	mib := c.MemoryMB
 	if mib == 0 {
@@ -46,29 +47,29 @@
 	return mib << 20 / 4
 }
 
-// After the signal to stop, new connections go on coming for up to 0.4 s. One that is
-// closed unaccepted is a lost request.
+// New connections still arrive for up to 0.4 s after the stop signal. Each one that is closed
+// without being accepted is a lost request.
 const defaultAcceptGrace = 500 * time.Millisecond
 
 const (
-	// The platform ends a process no sooner than its longest deadline after the signal to stop, and
-	// platformStopSlack more; a deadline beyond maxDrainTimeout counts as this (the protocol's page, Figures).
+	// After the stop signal, the platform lets a process run for at least its longest deadline plus
+	// platformStopSlack; deadlines above maxDrainTimeout count as maxDrainTimeout (the protocol's page, Figures).
 	maxDrainTimeout   = 3 * time.Second
 	platformStopSlack = 700 * time.Millisecond
-	// exitReserve is the part of the slack that is kept for the end of the process itself.
+	// exitReserve is the part of the slack that is reserved for the exit of the process itself.
 	exitReserve = 120 * time.Millisecond
 )
 
-// DrainTimeout is how long after AcceptGrace open requests may take at a stop. What the end of
-// the process finds open is lost, so a class that waits longer has to be answered before.
+// DrainTimeout returns how long requests in flight may take after AcceptGrace at a shutdown. Requests
+// that are open when the process ends are lost, so a class with a longer timeout must be answered earlier.
 func (c *Platform) DrainTimeout() time.Duration { return min(c.MaxClientTimeout(), maxDrainTimeout) }
 
-// ExitGrace is how long after AcceptGrace and DrainTimeout the process may still run.
+// ExitGrace returns how long the process may still run after AcceptGrace and DrainTimeout.
 func (c *Platform) ExitGrace() time.Duration {
 	return max(0, platformStopSlack-exitReserve-c.AcceptGrace)
 }
 
-// MaxClientTimeout is the longest time that a client of any class waits.
+// MaxClientTimeout returns the longest client timeout of all classes.
 func (c *Platform) MaxClientTimeout() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range c.Settings.Classes {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -13,74 +13,74 @@
 	"marlreel/internal/stricttoml"
 )
 
-// Operator is what an operator sets beyond what the platform says: deploy/marlreel.toml.
-// All of it is off unless it is set there.
+// Operator is the operator's configuration (deploy/marlreel.toml), in addition to the platform's.
+// All features in it are off by default.
 type Operator struct {
 	RPC          msgpackrpc.Config `toml:"rpc"`
 	Registry     registry.Config   `toml:"registry"`
 	LearnedState LearnedState      `toml:"memory"`
 	Fleet        fleet.Config      `toml:"fleet"`
 	Log          Log               `toml:"log"`
-	// Background bounds work that is no request.
+	// Background limits work outside the request path.
 	Background Background `toml:"background"`
 }
 
-// Log is the form of the log.
+// Log configures the format of the log.
 type Log struct {
 	Format string `toml:"format"` // text or json
 }
 
-// Validate rejects a form that there is not, by a *SettingError.
+// Validate returns a *SettingError if the format is unknown.
 func (l *Log) Validate() error {
 	if l.Format != logs.Text && l.Format != logs.JSON {
-		return &SettingError{Key: "log.format", Problem: fmt.Sprintf("= %q: %q or %q is needed", l.Format, logs.Text, logs.JSON)}
+		return &SettingError{Key: "log.format", Problem: fmt.Sprintf("= %q: must be %q or %q", l.Format, logs.Text, logs.JSON)}
 	}
 	return nil
 }
 
-// Background is the budget of all that a proxy does beside serving.
+// Background limits the CPU share and the concurrency of a proxy's background jobs.
 type Background struct {
-	MaxCores float64 `toml:"share"` // of a core: above 0 and up to 0.5
-	MaxJobs  int     `toml:"most"`  // at once: 1 to 16
+	MaxCores float64 `toml:"share"` // in cores: above 0 and up to 0.5
+	MaxJobs  int     `toml:"most"`  // concurrent jobs: 1 to 16
 }
 
-// Validate rejects a budget out of bounds, by a *SettingError.
+// Validate returns a *SettingError if a limit is out of range.
 func (b *Background) Validate() error {
 	areCoresValid := b.MaxCores > 0 && b.MaxCores <= 0.5
 	areJobsValid := b.MaxJobs >= 1 && b.MaxJobs <= 16
 	if areCoresValid && areJobsValid {
 		return nil
 	}
-	problem := fmt.Sprintf("= %v, background.most = %d: above 0 and up to 0.5 of a core, and 1 to 16 jobs, are needed", b.MaxCores, b.MaxJobs)
+	problem := fmt.Sprintf("= %v, background.most = %d: the share must be above 0 and up to 0.5 of a core, and jobs 1 to 16", b.MaxCores, b.MaxJobs)
 	return &SettingError{Key: "background.share", Problem: problem}
 }
 
-// LearnedState is where a proxy saves what it learns, for the process after it.
+// LearnedState configures where and how a proxy saves its learned state for the next process.
 type LearnedState struct {
-	Dir          string              `toml:"dir"`   // a folder that outlives the process; "" is off
+	Dir          string              `toml:"dir"`   // a folder that outlives the process; "" disables saving
 	SaveInterval stricttoml.Duration `toml:"every"` // 100 ms to 1 h
-	MaxAge       stricttoml.Duration `toml:"keep"`  // beyond this age nothing of it counts
-	HalfLife     stricttoml.Duration `toml:"half"`  // in this time it loses half its weight
+	MaxAge       stricttoml.Duration `toml:"keep"`  // an older state is ignored
+	HalfLife     stricttoml.Duration `toml:"half"`  // time in which the state loses half of its weight
 }
 
-// Enabled tells whether anything is saved.
+// Enabled reports whether the learned state is saved.
 func (l *LearnedState) Enabled() bool { return l.Dir != "" }
 
-// Validate rejects the first value out of bounds, by a *SettingError.
+// Validate returns a *SettingError for the first value that is out of range.
 func (l *LearnedState) Validate() error {
 	interval, maxAge, halfLife := l.SaveInterval.D(), l.MaxAge.D(), l.HalfLife.D()
 	switch {
 	case interval < 100*time.Millisecond || interval > time.Hour:
-		return &SettingError{Key: "memory.every", Problem: fmt.Sprintf("= %v: 100ms to 1h is needed", interval)}
+		return &SettingError{Key: "memory.every", Problem: fmt.Sprintf("= %v: must be 100ms to 1h", interval)}
 	case maxAge <= 0 || halfLife <= 0:
-		return &SettingError{Key: "memory.keep", Problem: fmt.Sprintf("= %v, memory.half = %v: both above 0 are needed", maxAge, halfLife)}
+		return &SettingError{Key: "memory.keep", Problem: fmt.Sprintf("= %v, memory.half = %v: both must be above 0", maxAge, halfLife)}
 	case l.Enabled() && !filepath.IsAbs(l.Dir):
-		return &SettingError{Key: "memory.dir", Problem: fmt.Sprintf("= %q: a path from / on is needed", l.Dir)}
+		return &SettingError{Key: "memory.dir", Problem: fmt.Sprintf("= %q: must be an absolute path", l.Dir)}
 	}
 	return nil
 }
 
-// DefaultOperator is what holds without a file: everything off.
+// DefaultOperator returns the configuration without a file, with all features off.
 func DefaultOperator() *Operator {
 	return &Operator{
 		RPC: msgpackrpc.DefaultConfig(), Registry: registry.DefaultConfig(), Fleet: fleet.DefaultConfig(), Log: Log{Format: logs.Text},
@@ -93,8 +93,8 @@
 	}
 }
 
-// LoadOperator reads a file; "" is none. Its errors are *FileError, *stricttoml.FileError and *OperatorFileError: one
-// line that names the file, the key and what would be right.
+// LoadOperator reads an operator's file; an empty path gives the defaults. Its errors are *FileError,
+// *stricttoml.FileError and *OperatorFileError: one line that names the file, the key and the valid values.
 func LoadOperator(path string) (*Operator, error) {
 	if path == "" {
 		return DefaultOperator(), nil
@@ -113,7 +113,7 @@
 	return operator, nil
 }
 
-// ParseOperator reads a file's text; path is for its errors, which are those of LoadOperator.
+// ParseOperator parses the text of an operator's file. path is used only in errors, which are those of LoadOperator.
 func ParseOperator(path string, data []byte) (*Operator, error) {
 	operator := DefaultOperator()
 	if err := stricttoml.Decode(path, data, operator); err != nil {
@@ -129,7 +129,7 @@
 	return operator, nil
 }
 
-// CheckAgainst rejects what doesn't fit what the platform says.
+// CheckAgainst returns an error if the operator's configuration doesn't fit the platform's.
 func (o *Operator) CheckAgainst(platform *Platform) error {
 	return o.RPC.CheckSettings(&platform.Settings)
 }
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -10,7 +10,7 @@
 	"marlreel/internal/config"
 )
 
-func TestMarlreelFile(t *testing.T) {
+func TestParseOperator(t *testing.T) {
 	good := `
 [rpc]
 listen = "127.0.0.1:7801"
@@ -29,12 +29,12 @@
 	for name, c := range map[string]struct{ old, new, want string }{
 		"an unknown table":      {"[rpc]", "[rcp]", "m.toml:2: unknown key rcp (did you mean rpc?)"},
 		"an unknown key":        {"listen", "listn", "m.toml:3: unknown key rpc.listn (did you mean listen?)"},
-		"one of a method":       {"prefix", "prefex", "m.toml:7: unknown key rpc.method.prefex (did you mean prefix?)"},
-		"one of the backends":   {"port-offset", "port-ofset", "did you mean port-offset?"},
+		"a key of a method":     {"prefix", "prefex", "m.toml:7: unknown key rpc.method.prefex (did you mean prefix?)"},
+		"a key of the backends": {"port-offset", "port-ofset", "did you mean port-offset?"},
 		"a wrong type":          {`true`, `"yes"`, "m.toml:7"},
-		"a wrong span":          {`"30s"`, `"30"`, "no span of time"},
+		"a wrong duration":      {`"30s"`, `"30"`, "not a duration"},
 		"no TOML":               {"idle = ", "idle = = ", "m.toml:4"},
-		"a figure out of range": {"1000", "100000", "rpc.backend.port-offset"},
+		"a number out of range": {"1000", "100000", "rpc.backend.port-offset"},
 	} {
 		text := strings.Replace(good, c.old, c.new, 1)
 		if text == good {
@@ -46,15 +46,14 @@
 		}
 	}
 	if _, err := config.LoadOperator(filepath.Join(t.TempDir(), "none.toml")); err == nil {
-		t.Error("a file that is not there is taken")
+		t.Error("a missing file was accepted")
 	}
 	if m, err := config.LoadOperator(""); err != nil || m.RPC.Listen != "" {
 		t.Errorf("without a file: %+v %v", m, err)
 	}
 }
 
-// The file that is shipped is good as it stands, and off; and with its comments taken
-// off each line of it is good too.
+// The shipped file is valid and enables nothing. It is still valid with all of its keys uncommented.
 func TestShippedFile(t *testing.T) {
 	path := filepath.Join("..", "..", "deploy", "marlreel.toml")
 	data, err := os.ReadFile(path)
@@ -66,10 +65,10 @@
 		t.Fatal(err)
 	}
 	if m.RPC.Listen != "" {
-		t.Error("something is on in the file that is shipped")
+		t.Error("the shipped file enables a feature")
 	}
 	on := regexp.MustCompile(`(?m)^# ((?:\[.*\]|[a-z-]+ = .*))$`).ReplaceAllString(string(data), "$1")
 	if m, err = config.ParseOperator(path, []byte(on)); err != nil || m.RPC.Listen == "" {
-		t.Errorf("with its comments taken off: %v", err)
+		t.Errorf("with all keys uncommented: %v", err)
 	}
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -14,39 +14,39 @@
 	"marlreel/internal/simwire"
 )
 
-// Platform is what the platform tells a proxy at its start.
+// Platform is the configuration that the platform gives a proxy at its start.
 type Platform struct {
 	Name             string
 	ListenAddress    string // host:port for clients
 	DiscoveryAddress string // host:port
-	ControlAddress   string // host:port where the platform asks for readiness and metrics; "" is nowhere
-	// ListenFD is the descriptor by which the platform hands the clients' listener on;
-	// -1 is none, and ListenAddress is to be listened at.
+	ControlAddress   string // host:port for the platform's readiness checks and metrics; "" disables them
+	// ListenFD is the descriptor of the clients' listener that the platform passes on; -1 means
+	// that there is none, and the process listens on ListenAddress itself.
 	ListenFD int
-	// TempDir is common to this process and the one before it or after it, where the
-	// platform hands a listener on.
+	// TempDir is a folder shared with the previous and the next process, if the platform
+	// passes a listener on.
 	TempDir string
 
 	Seed               uint64
-	MaxFileDescriptors int // 0 is not said
-	MemoryMB           int // MiB; 0 is not said
+	MaxFileDescriptors int // 0 means not set
+	MemoryMB           int // MiB; 0 means not set
 	Cores              float64
-	InitialList        *platformwatch.List // the list as the platform last had it; nil is none
+	InitialList        *platformwatch.List // the platform's last known list of backends; nil if there is none
 	Settings           balancer.Config
 
-	rawSettings any // as they stand in the file
+	rawSettings any // decoded JSON of the settings in the file
 
 	Names           platformwatch.Names
 	ReportNames     []string // names of the values of a load report
-	MaxOpenRequests int      // 0 is no limit
-	// AcceptGrace is how long after the signal to stop connections are accepted.
+	MaxOpenRequests int      // 0 means no limit
+	// AcceptGrace is how long connections are still accepted after the stop signal.
 	AcceptGrace time.Duration
 }
 
-// EnvDiscovery is the environment's name for discovery's address.
+// EnvDiscovery is the environment variable for the address of discovery.
 const EnvDiscovery = "NODE_DISCOVERY"
 
-// The environment's other names.
+// The other environment variables.
 const (
 	envName     = "NODE_NAME"
 	envListen   = "NODE_LISTEN"
@@ -55,8 +55,8 @@
 	envTempDir  = "TMPDIR"
 )
 
-// LoadPlatform reads the configuration file. NODE_NAME, NODE_LISTEN, NODE_DISCOVERY and NODE_CONTROL, where getenv
-// has them, go before what the file says. Its errors are *FileError and *PlatformFileError.
+// LoadPlatform reads the configuration file. If set, NODE_NAME, NODE_LISTEN, NODE_DISCOVERY and NODE_CONTROL override
+// the values in the file. Its errors are *FileError and *PlatformFileError.
 func LoadPlatform(path string, getenv func(string) string) (*Platform, error) {
 	if path == "" {
 		return nil, &FileError{}
@@ -72,7 +72,8 @@
 	return c, nil
 }
 
-// platformFile is the form of the file. It is an alias: the JSON decoder's errors name a type that has a name.
+// platformFile is the structure of the file. It is an alias of an unnamed type because the JSON decoder's errors would
+// contain the name of a named one.
 type platformFile = struct {
 	Name, Listen, Discovery, Control, Seed string
 
@@ -87,8 +88,8 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// ParsePlatform reads the configuration's text; getenv as with LoadPlatform. What it can't use is a *KeyError, a
-// *simwire.SettingError, or the JSON decoder's error.
+// ParsePlatform parses the text of the configuration; see LoadPlatform for getenv. Its errors are *KeyError,
+// *simwire.SettingError, and those of the JSON decoder.
 func ParsePlatform(data []byte, getenv func(string) string) (*Platform, error) {
 	var file platformFile
 	if err := json.Unmarshal(data, &file); err != nil {
@@ -125,7 +126,7 @@
 	return c, nil
 }
 
-// overrideFrom puts what the environment has in place of what the file says.
+// overrideFrom replaces values of the file with those of the environment variables that are set.
 func (c *Platform) overrideFrom(getenv func(string) string) {
 	for _, override := range []struct {
 		env  string
@@ -178,12 +179,12 @@
 	isNegative := l.Cores < 0 || l.MemoryMB < 0 || l.Sockets < 0
 	isTooFew := l.Sockets > 0 && l.Sockets < MinFileDescriptors
 	if isNegative || isTooFew {
-		return &KeyError{Key: "limits", Err: fmt.Errorf("%+v leave nothing to work with", l)}
+		return &KeyError{Key: "limits", Err: fmt.Errorf("%+v are negative or too low", l)}
 	}
 	return nil
 }
 
-// readSettings reads the object of settings, and checks all of it.
+// readSettings parses and validates the settings object.
 func (c *Platform) readSettings(text []byte) error {
 	if len(text) == 0 {
 		return settingsError(errors.New("none given"))
@@ -197,7 +198,7 @@
 		return &KeyError{Key: "settings: Services", Err: errors.New("none given")}
 	}
 	for _, class := range settings.Classes {
-		if class.Stream { // answers are read whole here
+		if class.Stream { // this proxy buffers whole responses
 			return settingsError(fmt.Errorf("class %s is streamed, which is not supported", class.Name))
 		}
 	}
@@ -229,7 +230,7 @@
 	return nil
 }
 
-// readNames reads what only a real proxy needs: on the simulator's wire all names are positions.
+// readNames reads the parts of the settings that the simulator's wire format lacks: it identifies names by position.
 func (c *Platform) readNames(settings []byte) error {
 	var names struct {
 		FailureDomains, Kinds []string
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -23,8 +23,8 @@
 		"no discovery":    {`"discovery":"127.0.0.1:1"`, `"discovery":""`},
 		"bad seed":        {`8c1f`, `dice`},
 		"no settings":     {`"settings"`, `"other"`},
-		"a wrong word":    {`"fragile"`, `"breakable"`},
-		"a wrong span":    {`"Aim":60000.0`, `"Aim":"soon"`},
+		"an unknown word": {`"fragile"`, `"breakable"`},
+		"a wrong number":  {`"Aim":60000.0`, `"Aim":"soon"`},
 		"streams":         {`"Name":"bid"`, `"Stream":true,"Name":"bid"`},
 		"too few sockets": {`"name"`, `"limits":{"sockets":8},"name"`},
 		"a bad list":      {`"name"`, `"known":{"instances":[{"instanceId":""}]},"name"`},
@@ -35,20 +35,20 @@
 		}
 		_, err := config.ParsePlatform([]byte(text), none)
 		if err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		} else if strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: more than a line: %v", name, err)
+			t.Errorf("%s: error of more than one line: %v", name, err)
 		}
 	}
 }
 
-func TestAStopTakesNoLongerThanThePlatformWaits(t *testing.T) {
+func TestDrainTimeoutIsBoundedByThePlatform(t *testing.T) {
 	t.Parallel()
 	for longest, want := range map[time.Duration]time.Duration{time.Second: time.Second, 4 * time.Second: 3 * time.Second} {
 		var c config.Platform
 		c.Settings.Classes = []balancer.Class{{ClientTimeout: time.Second / 2}, {ClientTimeout: longest}}
 		if got := c.DrainTimeout(); got != want {
-			t.Errorf("a class waits %v: a stop takes %v, want %v", longest, got, want)
+			t.Errorf("longest client timeout %v: drain timeout %v, want %v", longest, got, want)
 		}
 	}
 }
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -7,11 +7,11 @@
 	"slices"
 )
 
-// CheckReload tells why a file that was read later can't take this one's place while the
-// process runs, by an *IncompatibleChangeError. It has to have every setting that this one has: in a file that was
-// cut short or edited by halves, what is missing would fall back to defaults, which say
-// that a class is unsafe or that one attempt is allowed, and nobody would be notified. And the
-// zones have to be the same: zones in the list and the module's own are known by their position.
+// CheckReload returns an *IncompatibleChangeError if a configuration can't replace this one
+// while the process runs. The new one must have every setting that this one has: in a file that
+// is truncated or half edited, missing settings would silently fall back to defaults, such as
+// that a class is unsafe or that only one attempt is allowed. The zones must be the same too, as
+// the list of backends and the balancer identify them by position.
 func (c *Platform) CheckReload(next *Platform) error {
 	missing := missingKey(c.rawSettings, next.rawSettings, "settings")
 	if missing != "" {
@@ -23,8 +23,8 @@
 	return nil
 }
 
-// missingKey gives the path of the first key of old that isn't in next, or "". The items of a
-// list need the keys that all items of the old one have.
+// missingKey returns the path of the first key of old that isn't in next, or "". Every item of a
+// list must have the keys that all items of the old list have in common.
 func missingKey(old, next any, path string) string {
 	switch old := old.(type) {
 	case map[string]any:
@@ -63,7 +63,8 @@
 	return ""
 }
 
-// commonKeys is an object of what all items of a list of objects have, or nil where they are none.
+// commonKeys returns an object with the keys that all objects of a list have, or nil if the list is empty or has other
+// items.
 func commonKeys(items []any) any {
 	var common map[string]any
 	for _, item := range items {
--- a/internal/config/shared_settings.go
+++ b/internal/config/shared_settings.go
@@ -9,10 +9,10 @@
 	"marlreel/internal/fleet/transition"
 )
 
-// localKeys of the settings differ from one proxy to the next.
+// localKeys are the keys of the settings that differ between proxies.
 var localKeys = []string{"Rank", "Zone"}
 
-// SharedSettings is the text of the settings without what is this proxy's own: what the proxies of a fleet agree on.
+// SharedSettings returns the settings as JSON without this proxy's local keys. The proxies of a fleet agree on this text.
 func (c *Platform) SharedSettings() (string, error) {
 	object, isObject := c.rawSettings.(map[string]any)
 	if !isObject {
@@ -28,8 +28,8 @@
 
 var errSettingsNoObject = settingsError(errors.New("an object is needed"))
 
-// WithSharedSettings is this configuration with a shared text as its settings, and this proxy's own keys as they are.
-// It is checked like a file, with the errors of ParsePlatform.
+// WithSharedSettings returns a copy of this configuration with the shared settings of a text and this proxy's local
+// keys. It is validated like a file, with the errors of ParsePlatform.
 func (c *Platform) WithSharedSettings(text string) (*Platform, error) {
 	var object map[string]any
 	if err := json.Unmarshal([]byte(text), &object); err != nil {
@@ -56,8 +56,8 @@
 	return &next, nil
 }
 
-// CheckSharedSettings tells why a shared text can't follow others, or nil. What it knows of this proxy is its own keys
-// alone, and its zones.
+// CheckSharedSettings returns an error if a shared text can't replace one of the texts before. Of this proxy's own
+// configuration it uses only the local keys and the zones.
 func (c *Platform) CheckSharedSettings(before []string, text string) error {
 	next, err := c.WithSharedSettings(text)
 	if err != nil {
@@ -66,7 +66,7 @@
 	for _, earlier := range before {
 		previous, err := c.WithSharedSettings(earlier)
 		if err != nil {
-			continue // no proxy could use it either
+			continue // invalid, so no proxy could be using it
 		}
 		if err := previous.CheckReload(next); err != nil {
 			return err
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// ParseSharedSettings is the balancer's reading of a shared text.
+// ParseSharedSettings returns the balancer configuration of a shared text.
 func (c *Platform) ParseSharedSettings(text string) (balancer.Config, error) {
 	platform, err := c.WithSharedSettings(text)
 	if err != nil {
--- a/internal/config/shared_settings_test.go
+++ b/internal/config/shared_settings_test.go
@@ -10,7 +10,7 @@
 	"marlreel/internal/testutil"
 )
 
-// Shared settings that are no object are an error, also where this proxy has keys of its own to put in.
+// Shared settings that aren't a JSON object are an error, even if this proxy has local keys to add.
 func TestSharedSettingsNeedAnObject(t *testing.T) {
 	text := `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f","settings":` +
 		testutil.Settings[:1] + `"Rank":0,"Zone":0,` + testutil.Settings[1:] + `}`
