--- a/internal/actionable/error.go
+++ b/internal/actionable/error.go
@@ -5,13 +5,13 @@
 	"fmt"
 )
 
-// Error is an error that says what an operator can do about it.
+// Error is an error with advice for the operator.
 type Error interface {
 	error
 	Advice() string // one sentence
 }
 
-// AdviceFor is what can be done about an error, by the first in its chain that knows, or "" where none does.
+// AdviceFor returns the advice of the first Error in an error's chain, or "" if there is none.
 func AdviceFor(err error) string {
 	var known Error
 	if errors.As(err, &known) {
@@ -20,7 +20,7 @@
 	return ""
 }
 
-// Message is an error's text with the advice behind it in brackets. The error must not be nil.
+// Message returns the text of an error, followed by its advice in brackets. The error must not be nil.
 func Message(err error) string {
 	advice := AdviceFor(err)
 	if advice == "" {
--- a/internal/actionable/errorspage/errortypes.go
+++ b/internal/actionable/errorspage/errortypes.go
@@ -15,11 +15,11 @@
 type errorType struct {
 	packagePath string // from the root, with slashes
 	name        string
-	doc         string // its comment
+	doc         string // doc comment
 	advice      string
 }
 
-// errorTypes reads all Go files under a folder, but tests, and gives the types by package and name.
+// errorTypes reads all Go files under a folder except tests, and returns the types sorted by package and name.
 func errorTypes(root string) ([]errorType, error) {
 	found := scan{docs: map[string]string{}}
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
@@ -46,7 +46,7 @@
 	return found.types, nil
 }
 
-// skipped is fs.SkipDir for folders without code of the module.
+// skipped returns fs.SkipDir for folders that contain no code of the module.
 func skipped(folder string) error {
 	isHidden := strings.HasPrefix(folder, ".") && folder != "." && folder != ".."
 	if folder == "journal" || folder == "testdata" || isHidden {
@@ -55,10 +55,10 @@
 	return nil
 }
 
-// scan is what the files that were read have.
+// scan collects the declarations of the files that were read.
 type scan struct {
-	types []errorType       // without their comments
-	docs  map[string]string // comments of all types, by package and name
+	types []errorType       // without doc comments
+	docs  map[string]string // doc comments of all types, by package and name
 }
 
 func (s *scan) readFile(root, path string) error {
@@ -101,13 +101,13 @@
 	}
 }
 
-// sentence is a type's comment without its name at the beginning.
+// sentence returns a type's doc comment without the name at its beginning.
 func sentence(doc, name string) string {
 	doc = strings.Join(strings.Fields(doc), " ")
 	return strings.TrimPrefix(strings.TrimPrefix(doc, name+" is "), name+" ")
 }
 
-// receiverType is the name of a method's type.
+// receiverType returns the name of a method's receiver type.
 func receiverType(receivers *ast.FieldList) string {
 	t := receivers.List[0].Type
 	if pointer, is := t.(*ast.StarExpr); is {
@@ -119,8 +119,8 @@
 	return ""
 }
 
-// adviceText is what a method advises: its texts, with a dash for what is only known when it happens, one after the other
-// where there are several.
+// adviceText returns the texts that a method returns, joined if there are several. Parts that are only known at run time
+// are replaced by an ellipsis.
 func adviceText(body *ast.BlockStmt) string {
 	var texts []string
 	ast.Inspect(body, func(n ast.Node) bool {
@@ -137,7 +137,7 @@
 	return strings.Join(texts, "; or: ")
 }
 
-// textOf is the constant text of an expression, with a dash in place of what isn't constant.
+// textOf returns the constant text of an expression, with an ellipsis in place of parts that aren't constant.
 func textOf(e ast.Expr) string {
 	switch e := e.(type) {
 	case *ast.BasicLit:
@@ -148,7 +148,7 @@
 		return textOf(e.X) + textOf(e.Y)
 	case *ast.ParenExpr:
 		return textOf(e.X)
-	case *ast.CallExpr: // Sprintf, or what somebody else advises
+	case *ast.CallExpr: // Sprintf, or a call for another value's advice
 		if f, is := e.Fun.(*ast.SelectorExpr); is && isKnownAtRunTime(f) {
 			return textOf(f)
 		}
@@ -157,7 +157,7 @@
 		}
 	case *ast.SelectorExpr:
 		if isKnownAtRunTime(e) {
-			return "(said with the error, by what is wrong)"
+			return "(given with the error, depends on the problem)"
 		}
 		return "…"
 	case *ast.Ident:
@@ -166,7 +166,7 @@
 	return ""
 }
 
-// isKnownAtRunTime tells whether a selector names what only an instance of the error can advise.
+// isKnownAtRunTime reports whether a selector stands for advice that is only known for an instance of the error.
 func isKnownAtRunTime(e *ast.SelectorExpr) bool {
 	return slices.Contains([]string{"Does", "Advice", "Remedy"}, e.Sel.Name)
 }
--- a/internal/actionable/errorspage/main.go
+++ b/internal/actionable/errorspage/main.go
@@ -1,4 +1,5 @@
-// Command errorspage writes docs/ERRORS.md from the types of errors: each with a method Advice, its comment, and what it advises.
+// Command errorspage prints docs/ERRORS.md. The page lists every type with a method Advice, its doc comment and its
+// advice.
 //
 //	go run ./internal/actionable/errorspage > docs/ERRORS.md
 package main
--- a/internal/actionable/errorspage/page.go
+++ b/internal/actionable/errorspage/page.go
@@ -12,7 +12,7 @@
 
 `
 
-// errorsPage is the page's text, of all packages under a folder. A type without a comment or without advice is an
+// errorsPage returns the text of the page for all packages under a folder. A type without a doc comment or advice is an
 // error.
 func errorsPage(root string) (string, error) {
 	all, err := errorTypes(root)
@@ -24,10 +24,10 @@
 	currentPackage := ""
 	for _, t := range all {
 		if t.doc == "" {
-			return "", fmt.Errorf("%s.%s has no comment", t.packagePath, t.name)
+			return "", fmt.Errorf("%s.%s has no doc comment", t.packagePath, t.name)
 		}
 		if t.advice == "" {
-			return "", fmt.Errorf("%s.%s advises nothing", t.packagePath, t.name)
+			return "", fmt.Errorf("%s.%s: Advice returns no text", t.packagePath, t.name)
 		}
 		if t.packagePath != currentPackage {
 			fmt.Fprintf(&page, "## %s\n\n", t.packagePath)
--- a/internal/actionable/errorspage/page_test.go
+++ b/internal/actionable/errorspage/page_test.go
@@ -15,6 +15,6 @@
 		t.Fatal(err)
 	}
 	if string(got) != want {
-		t.Error("docs/ERRORS.md is not what the types of errors say: go run ./internal/actionable/errorspage > docs/ERRORS.md")
+		t.Error("docs/ERRORS.md is out of date: go run ./internal/actionable/errorspage > docs/ERRORS.md")
 	}
 }
--- a/internal/sockets/doc.go
+++ b/internal/sockets/doc.go
@@ -1,6 +1,6 @@
-// Package sockets inspects open connections without waiting and without consuming anything from them: whether unread
-// bytes have arrived, and whether the peer has disconnected (recv(2) with MSG_PEEK, poll(2) with POLLRDHUP).
+// Package sockets inspects open connections without blocking or consuming data: whether unread bytes have arrived, and
+// whether the peer has disconnected (recv(2) with MSG_PEEK, poll(2) with POLLRDHUP).
 //
-// It owns nothing: the connections are their callers', who may be reading and writing at the same time. It never reads,
-// writes or closes. Connections that are no sockets may implement the same questions as methods Idle and PeerConnected.
+// The connections belong to the callers, who may read and write at the same time. The package never reads from, writes to
+// or closes them. Connections without a socket may implement the methods Idle and PeerConnected instead.
 package sockets
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -12,7 +12,7 @@
 
 type peerReporter interface{ PeerConnected() bool }
 
-// Idle tells whether a connection is open and has nothing to read. What is neither a socket nor has a method Idle counts
+// Idle reports whether a connection is open and has no unread data. A connection without a socket or a method Idle counts
 // as idle.
 func Idle(conn net.Conn) bool {
 	if simulated, ok := conn.(idleReporter); ok {
@@ -24,8 +24,8 @@
 	})
 }
 
-// Unread copies the first bytes that have arrived and that nobody has read, without waiting or consuming them, and
-// returns their number: 0 where there are none, where the peer has disconnected, and for what is no socket.
+// Unread copies the first unread bytes into buffer without blocking or consuming them, and returns their number. It
+// returns 0 if there are none, the peer has disconnected, or the connection has no socket.
 func Unread(conn net.Conn, buffer []byte) int {
 	count := 0
 	if _, ok := conn.(syscall.Conn); !ok {
@@ -41,8 +41,8 @@
 	return count
 }
 
-// PeerConnected tells whether the peer has not disconnected, whatever is still to be read of it. A peer that has shut
-// down its writing counts as disconnected.
+// PeerConnected reports whether the peer is still connected, regardless of unread data. A peer that has shut down its
+// sending side counts as disconnected.
 func PeerConnected(conn net.Conn) bool {
 	if simulated, ok := conn.(peerReporter); ok {
 		return simulated.PeerConnected()
@@ -58,7 +58,7 @@
 	if n == 0 {
 		return false
 	}
-	// There are bytes to be read, and the end may come behind them.
+	// There is unread data, which the end of the stream may follow.
 	poll := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	n, err = unix.Poll(poll, 0)
 	if err != nil || n == 0 {
@@ -67,7 +67,8 @@
 	return poll[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) == 0
 }
 
-// inspect gives what question answers of a connection's socket: false where it is closed here, true where it has none.
+// inspect returns the result of question for a connection's socket. It returns false if the connection is closed locally,
+// and true if it has no socket.
 func inspect(conn net.Conn, question func(fd uintptr) bool) bool {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
@@ -82,8 +83,8 @@
 	return err == nil && answer
 }
 
-// Peek looks for bytes to read, without waiting or consuming them: no byte and no error are the peer's end, and
-// syscall.EAGAIN is that there is nothing to read.
+// Peek checks for unread data without blocking or consuming it. A result of 0 without an error means that the peer has
+// disconnected; syscall.EAGAIN means that there is nothing to read.
 func Peek(fd uintptr) (int, error) {
 	var one [1]byte
 	n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// connected gives the two ends of a TCP connection.
+// connected returns both ends of a TCP connection.
 func connected(t *testing.T) (near, far *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -66,20 +66,20 @@
 	}
 }
 
-// A connection that is no socket can't be seen through, and counts as in order.
+// A connection without a socket can't be inspected, and counts as idle and connected.
 func TestConnectionWithoutSocket(t *testing.T) {
 	t.Parallel()
 	near, far := net.Pipe()
 	defer near.Close()
 	defer far.Close()
 	if !Idle(near) || !PeerConnected(near) {
-		t.Error("a pipe counts as disconnected")
+		t.Error("a pipe doesn't count as idle and connected")
 	}
 }
 
 func TestIdleAllocations(t *testing.T) {
 	near, _ := connected(t)
-	if n := testing.AllocsPerRun(200, func() { Idle(near) }); n > 3 { // the closures and the descriptor, as ever
+	if n := testing.AllocsPerRun(200, func() { Idle(near) }); n > 3 { // for the closures and the raw connection
 		t.Errorf("%v allocations", n)
 	}
 }
--- a/internal/stricttoml/decode.go
+++ b/internal/stricttoml/decode.go
@@ -10,21 +10,21 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// FileError is a file that can't be read as it is meant.
+// FileError reports that a TOML file can't be decoded.
 type FileError struct {
-	Position string // the file, and the line and column where they are known: path:line:column
+	Position string // path:line:column; line and column only if known
 	Reason   string // one line
-	Err      error  // of the parser
+	Err      error  // the parser's error
 }
 
 func (e *FileError) Error() string { return e.Position + ": " + e.Reason }
 func (e *FileError) Unwrap() error { return e.Err }
 
 // Advice says what an operator can do.
-func (e *FileError) Advice() string { return "mend that line of the file" }
+func (e *FileError) Advice() string { return "correct that line of the file" }
 
-// Decode reads a file's text into a struct with toml tags; path is for its errors, which are *FileError. Fields
-// whose keys the text lacks keep their values.
+// Decode decodes the text of a file into a struct with toml tags. path is used only in errors, which are *FileError.
+// Fields whose keys are missing from the text keep their values.
 func Decode(path string, data []byte, into any) error {
 	err := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields().Decode(into)
 	if err == nil {
@@ -42,7 +42,7 @@
 	return &FileError{Position: path, Reason: oneLine(err.Error()), Err: err}
 }
 
-// unknownKeyError names the first unknown key, and the nearest one that its table has.
+// unknownKeyError returns an error for the first unknown key, which suggests the closest known key of its table.
 func unknownKeyError(path string, unknown *toml.StrictMissingError, into any) *FileError {
 	first := unknown.Errors[0]
 	row, _ := first.Position()
@@ -63,7 +63,7 @@
 	return strings.Join(strings.Fields(strings.TrimPrefix(s, "toml: ")), " ")
 }
 
-// keysAt are the known keys of the table at a path, by the toml tags of a type; nil where it has no such table.
+// keysAt returns the known keys of the table at a path, by the toml tags of a type, or nil if there is no such table.
 func keysAt(t reflect.Type, path []string) []string {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice {
 		t = t.Elem()
--- a/internal/stricttoml/decode_test.go
+++ b/internal/stricttoml/decode_test.go
@@ -28,7 +28,7 @@
 		{"unknown key near a known one", "intervall = \"5s\"\n", "a.toml:1: unknown key intervall (did you mean interval?)"},
 		{"unknown key of a nested table", "\n[[nested]]\ntreshold = 1\n", "a.toml:3: unknown key nested.treshold (did you mean threshold?)"},
 		{"unknown key near nothing", "something-else = 1\n", "a.toml:1: unknown key something-else"},
-		{"malformed duration", "interval = \"soon\"\n", `a.toml:1:12: "soon" is no span of time like "250ms" or "8s"`},
+		{"malformed duration", "interval = \"soon\"\n", `a.toml:1:12: "soon" is not a duration such as "250ms" or "8s"`},
 		{"malformed file", "interval = \n", "a.toml:1:12: unexpected character U+000A at start of value"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/stricttoml/duration.go
+++ b/internal/stricttoml/duration.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Duration is a time as these files write it: "250ms", "8s". Its form is that of time.ParseDuration.
+// Duration is a duration in a TOML file, such as "250ms" or "8s", in the format of time.ParseDuration.
 type Duration time.Duration
 
 var (
@@ -18,7 +18,7 @@
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("%q is no span of time like \"250ms\" or \"8s\"", text)
+		return fmt.Errorf("%q is not a duration such as \"250ms\" or \"8s\"", text)
 	}
 	*d = Duration(parsed)
 	return nil
@@ -27,5 +27,5 @@
 // MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// D is the duration as the standard library has it.
+// D returns the duration as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
--- a/internal/stricttoml/suggest.go
+++ b/internal/stricttoml/suggest.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// maxSuggestDistance is the greatest edit distance of a name that is suggested.
+// maxSuggestDistance is the maximum edit distance of a suggested name.
 const maxSuggestDistance = 3
 
-// SuggestClosest words a suggestion of the known name nearest to one that isn't known, to be put behind an error's
-// text. It is "" where none is near: more than three edits away, or so many that little of the name would be left.
+// SuggestClosest returns a suggestion of the known name closest to an unknown one, to be appended to an error message. It
+// returns "" if no name is close: at most three edits away, and fewer edits than the name has letters.
 func SuggestClosest(name string, known []string) string {
 	closest, closestDistance := "", maxSuggestDistance+1
 	for _, candidate := range known {
@@ -21,7 +21,7 @@
 	return fmt.Sprintf(" (did you mean %s?)", closest)
 }
 
-// editDistance is Levenshtein's, in bytes.
+// editDistance returns the Levenshtein distance in bytes.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
