--- a/internal/actionable/errorspage/page.go
+++ b/internal/actionable/errorspage/page.go
@@ -7,8 +7,8 @@
 
 const pageHead = `# Errors, and what to do
 
-Generated from the types of errors in the code (` + "`go run ./internal/actionable/errorspage > docs/ERRORS.md`" + `); a test fails where it is not
-up to date. The programs print the advice behind the error; in the log it is the field ` + "`do`" + `.
+Generated from the error types in the code (` + "`go run ./internal/actionable/errorspage > docs/ERRORS.md`" + `); a test fails where it is not
+up to date. The programs print the advice after the error; in the log it is the field ` + "`do`" + `.
 
 `
 
--- a/internal/process/handover/compatibility_sent_test.go
+++ b/internal/process/handover/compatibility_sent_test.go
@@ -77,8 +77,8 @@
 	err = r.Transfer(2, []byte("state"))
 	fmt.Fprintf(&got, "pass: %x, answered 00: taken %v\n", <-sent, err == nil)
 	go answer(4, []byte{0, 0, 0, 6, 'l', 'e', 'a', 'r', 'n', 't'})
-	told, err := r.FetchLearnedState(2)
-	fmt.Fprintf(&got, "ask: %x, answered 000000066c6561726e74: told %q, good %v\n", <-sent, told, err == nil)
+	learned, err := r.FetchLearnedState(2)
+	fmt.Fprintf(&got, "ask: %x, answered 000000066c6561726e74: told %q, good %v\n", <-sent, learned, err == nil)
 
 	// The receiving side.
 	receiver(t, dir, 3, func(state []byte, conns []net.Conn) error {
--- a/internal/process/handover/compatibility_test.go
+++ b/internal/process/handover/compatibility_test.go
@@ -222,9 +222,9 @@
 		question <- string(data)
 		_, _ = io.WriteString(conn, "\x00\x00\x00\x07learned")
 	})
-	told, err := r.FetchLearnedState(2)
-	if err != nil || string(told) != "learned" {
-		t.Errorf("fetched %q, error %v", told, err)
+	learned, err := r.FetchLearnedState(2)
+	if err != nil || string(learned) != "learned" {
+		t.Errorf("fetched %q, error %v", learned, err)
 	}
 	if got := testutil.Receive(t, question, "the question"); got != "\xff\xff\xff\xff" {
 		t.Errorf("the question is %q", got)
--- a/internal/process/handover/transfer_test.go
+++ b/internal/process/handover/transfer_test.go
@@ -124,8 +124,8 @@
 	copy(state, "state")
 	receiver(t, dir, 2, nil, func(context.Context) ([]byte, error) { return state, nil })
 	for range 3 {
-		if told, err := r.FetchLearnedState(2); err != nil || !bytes.Equal(told, state) {
-			t.Fatalf("%d bytes, %v", len(told), err)
+		if learned, err := r.FetchLearnedState(2); err != nil || !bytes.Equal(learned, state) {
+			t.Fatalf("fetched %d bytes, error %v; want the served state", len(learned), err)
 		}
 	}
 	receiver(t, dir, 3, nil, func(context.Context) ([]byte, error) { return nil, errors.New("nothing") })
@@ -139,8 +139,8 @@
 		_, _ = c.Read(make([]byte, 8))
 	})
 	for id, who := range map[int]string{3: "a process without a state", 4: "a stuck process", 5: "an old version", 6: "a process with an oversized state", 7: "a missing process"} {
-		if told, err := r.FetchLearnedState(id); err == nil {
-			t.Errorf("%s returned %d bytes", who, len(told))
+		if learned, err := r.FetchLearnedState(id); err == nil {
+			t.Errorf("%s returned %d bytes", who, len(learned))
 		}
 	}
 }
@@ -257,7 +257,7 @@
 		"after it rejects":     {func(c *net.UnixConn) { state(c); _, _ = c.Write([]byte{rejected}) }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			dir, err := os.MkdirTemp("", "dies")
+			dir, err := os.MkdirTemp("", "crash")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -294,7 +294,7 @@
 		"before it reads an answer": {"\x00\x00\x00\x05state", true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			dir, err := os.MkdirTemp("", "dies")
+			dir, err := os.MkdirTemp("", "crash")
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/process/learnedstate/statefile/compatibility_test.go
+++ b/internal/process/learnedstate/statefile/compatibility_test.go
@@ -137,7 +137,7 @@
 	}
 	for _, name := range []string{"Wall", "Boot", "Up", "Stopped", "State"} {
 		if _, there := fields[name]; !there {
-			t.Errorf("there is no field %s", name)
+			t.Errorf("field %s is missing", name)
 		}
 	}
 	if len(fields) != 5 {
--- a/internal/process/logs/logs.go
+++ b/internal/process/logs/logs.go
@@ -37,7 +37,7 @@
 	return func(format string, args ...any) { l.Info(fmt.Sprintf(format, args...), "event", name) }
 }
 
-// textHandler writes each record as one line with one call of Write. Groups are not supported: no caller uses them.
+// textHandler writes each record as one line with a single call of Write. It ignores groups, as no caller uses them.
 type textHandler struct {
 	out            io.Writer
 	writeMu        *sync.Mutex // shared by the handlers that WithAttrs derives
