--- a/internal/process/bootstrap/settings.go
+++ b/internal/process/bootstrap/settings.go
@@ -143,7 +143,7 @@
 
 // Advice returns what an operator can do.
 func (e *Error) Advice() string {
-	return "set " + SettingsVariable + " to the path of a readable settings file, and correct the keys that the error names"
+	return "put the path of a readable settings file into " + SettingsVariable + ", and correct the keys that the error names"
 }
 
 // Load reads the file that SettingsVariable names. It fails with an *Error.
