--- a/cmd/marlreelctl/compatibility_test.go
+++ b/cmd/marlreelctl/compatibility_test.go
@@ -20,7 +20,7 @@
 	"marlreel/internal/testing/recorded"
 )
 
-// The commands and flags are the recorded ones.
+// The commands and flags match the recorded ones.
 func TestCompatibilityCommandLine(t *testing.T) {
 	var c cli
 	parser, err := kong.New(&c, kong.Name("marlreelctl"))
@@ -32,7 +32,7 @@
 	recorded.Check(t, "command-line.txt", got.String())
 }
 
-// fleetAnswers are what a proxy answers at its operators' socket; the path "" is any other.
+// fleetAnswers are a proxy's answers at its operators' socket, by path; "" is for all other paths.
 var fleetAnswers = map[string]string{
 	"/fleet":         `{"fleet":"pier","leader":"n1","members":[{"name":"n1","state":"alive"}],"view":{"open":1,"versions":[{"number":1,"hash":"h","by":"n0","text":"{\"Tick\":5}"}],"keepers":[{"name":"n1","id":12}]}}`,
 	"/fleet/holders": `[{"name":"n1","held":41,"left_ns":1000000000,"lists":{"source":"etcd","revision":17}}]`,
@@ -42,7 +42,7 @@
 	"":               `{"id":"x","version":2,"by":"n0"}`,
 }
 
-// recordingFleet is an operators' socket that writes down what it is asked.
+// recordingFleet serves an operators' socket and records the requests.
 type recordingFleet struct {
 	mu  sync.Mutex
 	got strings.Builder
@@ -68,10 +68,10 @@
 	fmt.Fprintf(&f.got, format, args...)
 }
 
-// writeAnswer answers; a caller that is gone is no fault of the server's.
+// writeAnswer ignores errors: they only mean that the client has closed the connection.
 func writeAnswer(w io.Writer, answer string) { _, _ = io.WriteString(w, answer) }
 
-// serve answers at a socket until the test ends, and gives its path.
+// serve listens on a socket until the test ends, and returns its path.
 func (f *recordingFleet) serve(t *testing.T, dir string) string {
 	t.Helper()
 	socket := filepath.Join(dir, "fleet.sock")
@@ -93,9 +93,9 @@
 	return socket
 }
 
-// What the commands on a fleet ask at the operators' socket: methods, paths, parameters and bodies.
+// The fleet commands send the recorded requests to the operators' socket: methods, paths, parameters and bodies.
 func TestCompatibilityFleetCalls(t *testing.T) {
-	dir, err := os.MkdirTemp("", "ctl") // a socket's path is short
+	dir, err := os.MkdirTemp("", "ctl") // not t.TempDir: the path of a socket has a small maximum length
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,29 +134,29 @@
 	recorded.Check(t, "fleet-calls.txt", proxy.got.String())
 }
 
-// Where a proxy's door is asked for its lists, and what is given on as the proxy says it.
+// The discovery command calls the recorded path of the proxy's control address, and --json prints the answer unchanged.
 func TestCompatibilityDiscoveryCall(t *testing.T) {
-	const said = `{"source":"etcd","revision":17,"age_ns":1000000,"entries":3,"sources":[]}`
-	asked := make(chan string, 1)
+	const status = `{"source":"etcd","revision":17,"age_ns":1000000,"entries":3,"sources":[]}`
+	requests := make(chan string, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked <- r.Method + " " + r.RequestURI
-		writeAnswer(w, said)
+		requests <- r.Method + " " + r.RequestURI
+		writeAnswer(w, status)
 	}))
 	defer server.Close()
 	var out, errs bytes.Buffer
 	if code := run(t.Context(), []string{"discovery", "--control", strings.TrimPrefix(server.URL, "http://"), "--json"}, &out, &errs); code != 0 {
 		t.Fatalf("exit %d: %s", code, errs.String())
 	}
-	if got := <-asked; got != "GET /control/discovery" {
-		t.Errorf("asked %s", got)
+	if got := <-requests; got != "GET /control/discovery" {
+		t.Errorf("the request is %s", got)
 	}
-	if out.String() != said {
-		t.Errorf("said %s", out.String())
+	if out.String() != status {
+		t.Errorf("printed %s", out.String())
 	}
 }
 
-// commandLine writes the commands, flags and arguments of a command line down: names, short forms, environment,
-// defaults and what must be given, and no words for people.
+// commandLine writes the commands, flags and arguments of a command line: names, short forms, environment variables,
+// defaults and whether they are required, but no help texts.
 func commandLine(b *strings.Builder, n *kong.Node, path string) {
 	fmt.Fprintf(b, "%s hidden=%v aliases=%q\n", path, n.Hidden, n.Aliases)
 	for _, f := range n.Flags {
--- a/cmd/marlreelctl/discovery.go
+++ b/cmd/marlreelctl/discovery.go
@@ -14,7 +14,7 @@
 	"marlreel/internal/discovery/membership"
 )
 
-// maxReplyBytes bounds what a proxy's answer may take.
+// maxReplyBytes bounds the size of a proxy's answer.
 const maxReplyBytes = 16 << 20
 
 type discoveryCmd struct {
--- a/cmd/marlreelctl/errors.go
+++ b/cmd/marlreelctl/errors.go
@@ -6,39 +6,39 @@
 	"marlreel/internal/fleet"
 )
 
-// UnreachableProxyError is a proxy that can't be asked.
+// UnreachableProxyError reports a request to a proxy that got no usable answer.
 type UnreachableProxyError struct {
 	At  string // the address, or the socket's path
 	Err error
 }
 
 func (e *UnreachableProxyError) Error() string {
-	return "the proxy at " + e.At + " can't be asked: " + e.Err.Error()
+	return "the request to the proxy at " + e.At + " failed: " + e.Err.Error()
 }
 func (e *UnreachableProxyError) Unwrap() error { return e.Err }
 
-// Advice says what an operator can do.
+// Advice tells the operator what to do.
 func (e *UnreachableProxyError) Advice() string {
 	return "see whether the proxy runs, and whether the address or path is the one in its configuration (control, fleet.dir)"
 }
 
-// RejectedError is what a proxy answered in place of carrying a command out.
+// RejectedError reports that a proxy rejected a command.
 type RejectedError struct{ Reply fleet.ErrorReply }
 
 func (e *RejectedError) Error() string { return e.Reply.Error }
 
-// Advice says what an operator can do.
+// Advice tells the operator what to do.
 func (e *RejectedError) Advice() string { return e.Reply.Advice }
 
-// UsageError is a call that can't be carried out as it is.
+// UsageError reports arguments or a file that a command can't use.
 type UsageError struct{ Reason string }
 
 func (e *UsageError) Error() string { return e.Reason }
 
-// Advice says what an operator can do.
+// Advice tells the operator what to do.
 func (e *UsageError) Advice() string { return "marlreelctl -h says more" }
 
-// NodeError is a node of the list with which something can't be done.
+// NodeError reports an operation on a node that is not possible or that failed.
 type NodeError struct {
 	Name, Reason string
 	Err          error
@@ -52,7 +52,7 @@
 }
 func (e *NodeError) Unwrap() error { return e.Err }
 
-// Advice says what an operator can do.
+// Advice tells the operator what to do.
 func (e *NodeError) Advice() string {
 	return "look at the node with 'marlreelctl nodes list', and try again"
 }
--- a/cmd/marlreelctl/fleet.go
+++ b/cmd/marlreelctl/fleet.go
@@ -37,7 +37,7 @@
 	Floor    floorCmd    `cmd:"" help:"Say that a list's revisions begin anew, as after a restore."`
 }
 
-// fleetSite is a proxy's operators' socket, and where to write.
+// fleetSite holds a client of a proxy's operators' socket, and the command's output.
 type fleetSite struct {
 	ctx    context.Context
 	out    io.Writer
@@ -48,7 +48,7 @@
 func openFleet(ctx context.Context, file, socket string, out io.Writer) (*fleetSite, error) {
 	if socket == "" {
 		if file == "" {
-			return nil, &UsageError{"--socket or --config is missing: the operators' socket of a proxy on this machine, or the file with [fleet]"}
+			return nil, &UsageError{"--socket or --config is missing: give the operators' socket of a proxy on this machine, or the configuration file with [fleet]"}
 		}
 		operator, err := config.LoadOperator(file)
 		if err != nil {
@@ -66,8 +66,8 @@
 	return &fleetSite{ctx, out, socket, &http.Client{Transport: &http.Transport{DialContext: dial, DisableKeepAlives: true}}}, nil
 }
 
-// call asks the proxy and decodes its answer. Its errors are *UnreachableProxyError and *RejectedError, which has the
-// proxy's own advice.
+// call sends the proxy a request and decodes its answer. It returns an *UnreachableProxyError if there is no usable
+// answer, and a *RejectedError, with the proxy's own advice, if the proxy rejects the request.
 func (s *fleetSite) call(method, path string, query url.Values, body []byte, into any) error {
 	r, err := http.NewRequestWithContext(s.ctx, method, "http://fleet"+path+"?"+query.Encode(), bytes.NewReader(body))
 	if err != nil {
@@ -143,7 +143,8 @@
 	return nil
 }
 
-// versionInForce says how new a proxy's settings are.
+// versionInForce returns whether a proxy uses the newest state that the fleet agreed on, an older one, or none, in which
+// case strict rules apply.
 func versionInForce(h agree.Holder, newest uint64) string {
 	switch {
 	case h.Held == 0:
@@ -187,7 +188,7 @@
 	return nil
 }
 
-// sharedText reads a file of the platform's, or settings alone, and leaves out what is a proxy's own.
+// sharedText reads a file of the platform's, or the settings alone, and removes the settings that each proxy has for itself.
 func sharedText(path string) (string, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -213,7 +214,7 @@
 	DryRun bool   `help:"Only let the proxy check it, on the newest version."`
 }
 
-// currentUser is who proposes.
+// currentUser returns the name under which changes are proposed.
 func currentUser() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
@@ -244,7 +245,7 @@
 	return s.printDecision(r, c)
 }
 
-// printDecision says what became of a proposal.
+// printDecision prints the outcome of a proposal.
 func (s *fleetSite) printDecision(r agree.Result, c *cli) error {
 	if c.Fleet.JSON {
 		return s.printJSON(r)
--- a/cmd/marlreelctl/fleet_diff.go
+++ b/cmd/marlreelctl/fleet_diff.go
@@ -45,10 +45,10 @@
 // comparedSettings are one side of a comparison.
 type comparedSettings struct {
 	values map[string]string // by path
-	parsed *balancer.Config  // nil where the balancer can't read them
+	parsed *balancer.Config  // nil if they are not valid settings of the balancer
 }
 
-// readSettings reads a version by its number, or else a file.
+// readSettings reads a version if it is given a number, and a file otherwise.
 func readSettings(status *fleet.Status, versionOrPath string) (*comparedSettings, error) {
 	text, err := settingsText(status, versionOrPath)
 	if err != nil {
@@ -102,7 +102,7 @@
 	}
 }
 
-// flatten gives each value its path. Objects in lists go by their Name, where they have one.
+// flatten collects the values by path. Objects in lists have their Name in the path, or else their index.
 func flatten(path string, v any, into map[string]string) {
 	switch v := v.(type) {
 	case map[string]any:
--- a/cmd/marlreelctl/fleet_test.go
+++ b/cmd/marlreelctl/fleet_test.go
@@ -14,7 +14,7 @@
 	"marlreel/internal/fleettest"
 )
 
-// operatedFleet is a fleet of processes, and the folder of its files.
+// operatedFleet is a fleet of proxy processes, with the folder of its files.
 type operatedFleet struct {
 	*fleettest.Fleet
 	dir string
@@ -54,20 +54,20 @@
 	return path
 }
 
-// run runs a command at the last proxy, and checks its exit code and that it prints a text.
+// run runs a command with the last proxy's configuration, and checks its exit code and that it prints a text.
 func (f *operatedFleet) run(t *testing.T, code int, want string, args ...string) string {
 	t.Helper()
 	var out, errs bytes.Buffer
 	got := run(t.Context(), append([]string{"--config", filepath.Join(f.dir, "own-3"), "fleet"}, args...), &out, &errs)
 	text := out.String() + errs.String()
 	if got != code || !strings.Contains(text, want) {
-		t.Errorf("%v: %d, %q is wanted:\n%s", args, got, want, text)
+		t.Errorf("%v: exit code %d; want %q in\n%s", args, got, want, text)
 	}
 	return out.String()
 }
 
-// An operator's morning with a fleet of four processes: each command does what it says, and a rejection names what is
-// wrong and what can be done.
+// Runs the fleet commands on four proxy processes. Each command must take effect, and a rejection must name the fault
+// and the remedy.
 func TestFleetCommands(t *testing.T) {
 	t.Parallel()
 	f := startOperatedFleet(t)
@@ -81,7 +81,7 @@
 
 func waitForRenewals(t *testing.T, f *operatedFleet) {
 	t.Helper()
-	// The keepers know what each goes by from its last renewal, which may be of before version 1.
+	// The keepers know a proxy's version from its last lease renewal, which may have been before version 1.
 	if err := f.Wait(f.Proxies[:1], "a renewal of each", func(*fleettest.Proxy, fleettest.Status) bool {
 		var out, errs bytes.Buffer
 		run(t.Context(), []string{"--config", filepath.Join(f.dir, "own-3"), "fleet", "members"}, &out, &errs)
--- a/cmd/marlreelctl/main.go
+++ b/cmd/marlreelctl/main.go
@@ -25,7 +25,7 @@
 
 Exit codes: 0 done, 1 refused, or who was asked can't be reached, 2 wrong use.`
 
-// cli is the command line. Its field names are names of commands and flags.
+// cli is the command line. kong derives the names of commands and flags from the field names.
 type cli struct {
 	Config string        `help:"The file with [registry], as the proxies have it." placeholder:"FILE"`
 	Within time.Duration `default:"15s" help:"How long it may take."`
@@ -35,14 +35,14 @@
 	Fleet     fleetCmd     `cmd:"" help:"The fleet of proxies: who lives, which settings they agree on, and who keeps them."`
 }
 
-// site is the registry, and where to write.
+// site holds the registry that a command works on, and its output.
 type site struct {
 	ctx      context.Context
 	registry registry.Writer // nil for commands that ask a proxy
 	out      io.Writer
 }
 
-// The exit codes, which the help names.
+// The exit codes, which the help lists.
 const (
 	exitDone   = 0
 	exitFailed = 1
@@ -55,10 +55,10 @@
 	os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// run carries a command out and gives the exit code. A failure is one line on errOut.
+// run executes a command and returns its exit code. An error is printed as one line on errOut.
 func run(ctx context.Context, args []string, out, errOut io.Writer) int {
 	var options cli
-	helpExit := -1 // set where help was asked for
+	helpExit := -1 // set if help was printed
 	parser, err := kong.New(&options, kong.Name("marlreelctl"), kong.Description(about), kong.Writers(out, errOut),
 		kong.Exit(func(code int) { helpExit = code }), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 	if err != nil {
@@ -83,7 +83,7 @@
 	return code
 }
 
-// runCommand opens what a command works on, and runs it.
+// runCommand opens the registry or the fleet that a command works on, and runs the command.
 func runCommand(ctx context.Context, command *kong.Context, options *cli, out io.Writer) (int, error) {
 	switch {
 	case strings.HasPrefix(command.Command(), "discovery"):
@@ -112,7 +112,7 @@
 
 func openRegistry(path string) (registry.Writer, error) {
 	if path == "" {
-		return nil, &UsageError{"--config is missing: the file with [registry], as the proxies have it"}
+		return nil, &UsageError{"--config is missing: give the proxies' configuration file, which has the section [registry]"}
 	}
 	operator, err := config.LoadOperator(path)
 	if err != nil {
--- a/cmd/marlreelctl/main_test.go
+++ b/cmd/marlreelctl/main_test.go
@@ -23,7 +23,7 @@
 	return code, out.String(), errs.String()
 }
 
-// nodeSteps are commands one after the other, and what they print.
+// nodeSteps are commands that run one after the other, with their exit codes and output.
 var nodeSteps = []struct {
 	args      []string
 	code      int
@@ -69,7 +69,7 @@
 				t.Errorf("without a quorum: %d %s", code, out)
 			}
 			if code, _, errs := call(t, file, "nodes", "drain", "s-1"); code != 1 || !strings.Contains(errs, "no quorum") {
-				t.Errorf("a write on what may be old: %d %s", code, errs)
+				t.Errorf("a write without a quorum: %d %s", code, errs)
 			}
 		})
 	}
@@ -82,20 +82,20 @@
 	}
 }
 
-// What a proxy says of its lists, in words; and that there is no registry.
+// The status of a proxy's lists is printed in words; a proxy without a registry is reported as an error.
 func TestDiscovery(t *testing.T) {
 	t.Parallel()
-	said := membership.Status{
+	status := membership.Status{
 		Source: "registry", Revision: 42, Age: 1500 * time.Millisecond, Entries: 7, Retained: []string{"s-1", "s-2"}, Damped: []string{"s-9"},
 		Sources: []membership.SourceStatus{{Name: "registry", Revision: 42, Unreachable: true, LossReason: "connection refused", Malformed: map[string]string{"s-3": "v = 2"}}, {Name: "platform", Revision: 5, Synced: true}},
 	}
-	on := true
+	hasRegistry := true
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !on || r.URL.Path != "/control/discovery" {
+		if !hasRegistry || r.URL.Path != "/control/discovery" {
 			http.Error(w, "no registry is set", http.StatusNotFound)
 			return
 		}
-		if err := json.NewEncoder(w).Encode(said); err != nil {
+		if err := json.NewEncoder(w).Encode(status); err != nil {
 			t.Error(err)
 		}
 	}))
@@ -110,7 +110,7 @@
 			t.Errorf("no %q in\n%s", want, out.String())
 		}
 	}
-	on = false
+	hasRegistry = false
 	out.Reset()
 	if code := run(t.Context(), []string{"discovery", "--control", addr}, &out, &errs); code != 1 || !strings.Contains(errs.String(), "no registry is set") {
 		t.Errorf("%d %s", code, errs.String())
