--- a/cmd/marlreelscale/main.go
+++ b/cmd/marlreelscale/main.go
@@ -28,17 +28,17 @@
 	}
 }
 
-// sizes are those of the trials. Each list is varied by itself; the first values of the others count meanwhile.
+// sizes are the system sizes of the trials. One list is varied at a time, with the first values of the others.
 type sizes struct {
 	proxies, backends, routes []int
 }
 
-// options are what the flags say.
+// options are the values of the flags.
 type options struct {
-	base  scale.Config // but for the sizes
+	base  scale.Config // without the sizes
 	plan  scale.Plan
 	sizes sizes
-	// resultsFile is where each trial's result goes as a line of JSON; empty: nowhere.
+	// resultsFile is the file for the trials' results, one line of JSON each; empty for none.
 	resultsFile string
 }
 
@@ -68,7 +68,7 @@
 	return command
 }
 
-// addFlags has a command line set the options.
+// addFlags adds the flags that set the options.
 func (o *options) addFlags(command *cobra.Command) {
 	flags := command.Flags()
 	flags.StringVar(&o.base.Program, "program", "target/marlreeld", "the program")
@@ -104,10 +104,10 @@
 	return configs
 }
 
-// runTrials runs one trial after the other; progress goes to a writer of its own.
+// runTrials runs one trial after the other, and reports progress separately from the results.
 func runTrials(ctx context.Context, o options, progress io.Writer) ([]*scale.Result, error) {
 	if len(o.sizes.proxies) == 0 || len(o.sizes.backends) == 0 || len(o.sizes.routes) == 0 {
-		return nil, eris.New("each of --proxies, --backends and --routes needs a number")
+		return nil, eris.New("each of --proxies, --backends and --routes needs at least one number")
 	}
 	if _, err := os.Stat(o.base.Program); err != nil {
 		return nil, eris.Wrap(err, "build the program first: go build -o target/ ./cmd/marlreeld")
@@ -124,7 +124,7 @@
 	return results, nil
 }
 
-// writeResults writes a line of JSON a result.
+// writeResults writes one line of JSON per result.
 func writeResults(path string, results []*scale.Result) error {
 	out, err := os.Create(path)
 	if err != nil {
--- a/cmd/marlreelscale/report.go
+++ b/cmd/marlreelscale/report.go
@@ -11,7 +11,7 @@
 // roles are the roles in the order of the report.
 var roles = []string{"control", "agent", "proxy"}
 
-// printReport prints the usage of each role, the times of changes, and the lines through the measurements.
+// printReport prints the usage of each role, the times of changes, and the lines fitted through the measurements.
 func printReport(out io.Writer, results []*scale.Result) error {
 	const tabWidth, padding = 4, 2
 	table := tabwriter.NewWriter(out, 0, tabWidth, padding, ' ', tabwriter.AlignRight)
@@ -43,7 +43,7 @@
 	}
 }
 
-// measurements are what lines are fitted through.
+// measurements are the figures through which lines are fitted.
 var measurements = []struct {
 	name string
 	of   func(r *scale.Result, role string) float64
@@ -57,11 +57,11 @@
 	{"KB/s out changing", func(r *scale.Result, role string) float64 { return r.ChangingUsage[role].WriteKBps }},
 }
 
-// minPoints is from how many sizes on a line is fitted.
+// minPoints is the least number of sizes for which a line is fitted.
 const minPoints = 3
 
-// printLines prints the lines through the measurements by one size, over the trials in which the other sizes are those
-// of the first trial.
+// printLines prints the lines fitted through the measurements as functions of one size. It uses the trials whose other
+// sizes equal those of the first trial.
 func printLines(out io.Writer, sizeName string, results []*scale.Result, size func(*scale.Result) int) {
 	var varied []*scale.Result
 	for _, r := range results {
@@ -86,7 +86,7 @@
 	}
 }
 
-// variesOnly reports whether a trial has the sizes of the first one, but for the one that is named.
+// variesOnly reports whether a trial has the sizes of the first one, except possibly for the given size.
 func variesOnly(r, first *scale.Result, size func(*scale.Result) int) bool {
 	differences := 0
 	for _, isSame := range []bool{r.Proxies == first.Proxies, r.Backends == first.Backends, r.Routes == first.Routes} {
--- a/cmd/marlreelscale/report_test.go
+++ b/cmd/marlreelscale/report_test.go
@@ -10,7 +10,7 @@
 	"marlreel/internal/testing/scale"
 )
 
-// testResults are those of trials that vary proxies four times and backends once.
+// testResults returns results of trials with four numbers of proxies, and one with another number of backends.
 func testResults() []*scale.Result {
 	var results []*scale.Result
 	for i, sizes := range [][2]int{{25, 50}, {50, 50}, {100, 50}, {200, 50}, {25, 100}} {
@@ -28,7 +28,7 @@
 	return results
 }
 
-// testdata/report.txt was written by the code of before the report was split into functions.
+// testdata/report.txt holds the report as printed before printReport was split into functions.
 func TestReport(t *testing.T) {
 	var out bytes.Buffer
 	if err := printReport(&out, testResults()); err != nil {
@@ -43,7 +43,7 @@
 	}
 }
 
-// Each list is varied by itself, from the first values.
+// One list is varied at a time, from the first values of all.
 func TestConfigsVaryOneSizeAtATime(t *testing.T) {
 	configs := configsOf(scale.Config{Controls: 3}, sizes{proxies: []int{1, 2}, backends: []int{5, 6, 7}, routes: []int{9}})
 	var got []string
--- a/cmd/marlreelsim/main.go
+++ b/cmd/marlreelsim/main.go
@@ -1,7 +1,7 @@
 // Command marlreelsim simulates the system's decisions (internal/testing/emulator): demand that moves between hundreds
 // of models, ninety proxies, and backends that batch requests. It prints the share of the requests' value that was
-// served, with the same runs beside it for a planner that knows of demand before it comes, and for proxies that see all
-// backends as they are.
+// served. For comparison it repeats the runs with proxies that know nothing of their peers' backlogs, with a planner
+// that knows the demand in advance, and with proxies that see the true state of all backends.
 package main
 
 import (
@@ -18,13 +18,13 @@
 	"marlreel/internal/testing/emulator"
 )
 
-// scenario is a kind of knowledge by its name in the output.
+// scenario is a kind of knowledge, with its name in the output.
 type scenario struct {
 	name      string
 	knowledge emulator.Knowledge
 }
 
-// scenarios are simulated beside each other; the first is what is in service.
+// scenarios are simulated for comparison; the first is the system as it is in service.
 var scenarios = []scenario{
 	{"in service", emulator.AsInService},
 	{"each proxy alone", emulator.NoPeerBacklogs},
@@ -72,7 +72,7 @@
 	return cmd
 }
 
-// byKind lists the share of each kind's value that was served.
+// byKind formats the share of each kind's value that was served.
 func byKind(r *emulator.Result) string {
 	var shares []string
 	for _, kind := range slices.Sorted(maps.Keys(r.ByKind)) {
@@ -81,23 +81,23 @@
 	return strings.Join(shares, ", ")
 }
 
-// usageError says which numbers of the command line can't be used.
+// usageError reports numbers on the command line that are out of range.
 type usageError struct{ seeds, first, jobs int }
 
 // Error implements error.
 func (e *usageError) Error() string {
-	return fmt.Sprintf("--seeds %d, --first %d, --jobs %d: at least one day and one at once are needed, and seeds from 0 on", e.seeds, e.first, e.jobs)
+	return fmt.Sprintf("--seeds %d, --first %d, --jobs %d: --seeds and --jobs must be 1 or more, --first 0 or more", e.seeds, e.first, e.jobs)
 }
 
-// runSet is the runs of one scenario, one for each seed.
+// runSet describes the runs of one scenario, one for each seed.
 type runSet struct {
 	knowledge          emulator.Knowledge
 	first, seeds, jobs int
 	vary               bool
-	change             func(emulator.Config) emulator.Config // of each configuration; nil: none
+	change             func(emulator.Config) emulator.Config // applied to each configuration unless nil
 }
 
-// config is the configuration of one run.
+// config returns the configuration of run i.
 func (r runSet) config(i int) emulator.Config {
 	seed := uint64(r.first + i)
 	cfg := emulator.Default(seed)
--- a/cmd/marlreelsim/main_test.go
+++ b/cmd/marlreelsim/main_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// A run is drawn by its seed and by what is known, another deployment where that is wanted.
+// The seed and the knowledge determine a run's configuration; with vary, the seed also determines the deployment.
 func TestConfigDependsOnSeed(t *testing.T) {
 	is := is.New(t)
 	usual := runSet{knowledge: emulator.NoPeerBacklogs, first: 3}.config(2)
--- a/cmd/marlreeltry/main.go
+++ b/cmd/marlreeltry/main.go
@@ -1,6 +1,6 @@
 // Command marlreeltry runs a small system on the loopback addresses of one machine, for a first look (internal/testing/demo).
 //
-// Deprecated: it is marlreeldemo now; this name goes with the next version.
+// Deprecated: use marlreeldemo; this name will be removed in the next version.
 package main
 
 import (
@@ -11,7 +11,7 @@
 )
 
 func main() {
-	fmt.Fprintln(os.Stderr, "marlreeltry is called marlreeldemo now; this name goes with the next version")
+	fmt.Fprintln(os.Stderr, "marlreeltry has been renamed to marlreeldemo; the old name will be removed in the next version")
 	if err := demo.NewCommand("marlreeltry", os.Stderr).Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,6 +1,6 @@
-// Wirehost hosts instances of the decision module on the simulator's wire ([marlreel/internal/simwire]): batches of
-// events on standard input, one reply to each on standard output. It ends with status 0 when the input ends between
-// batches, and otherwise with a line on standard error and status 1.
+// Command wirehost hosts instances of the decision module and speaks the simulator's protocol ([marlreel/internal/simwire]):
+// it reads batches of events on standard input and writes one reply to each on standard output. It exits with status 0
+// if the input ends between batches, and otherwise with status 1 and one line on standard error.
 package main
 
 import (
@@ -24,8 +24,8 @@
 	}
 }
 
-// serve answers batches until the input ends. A reply is written in one piece, after the whole batch is
-// handled; nothing is written for a batch that has a fault.
+// serve answers batches until the input ends. A reply is written in one piece, after the whole batch has been
+// handled; nothing is written for an invalid batch.
 func serve(in io.Reader, out io.Writer) error {
 	in = bufio.NewReaderSize(in, 1<<16)
 	running := instances{}
@@ -55,7 +55,7 @@
 // instances are the running instances of the decision module, by their number on the wire.
 type instances map[uint16]*balancer.Balancer
 
-// handle gives an event to its instance, whose actions go into the reply.
+// handle passes an event to its instance, whose actions are added to the reply.
 func (all instances) handle(reply *simwire.Reply, now time.Duration, event *simwire.Event) error {
 	if event.Code == simwire.EventInit {
 		return all.start(reply, now, event)
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// start begins an instance; one that runs under its number is replaced.
+// start creates an instance, and replaces a running one with the same number.
 func (all instances) start(reply *simwire.Reply, now time.Duration, event *simwire.Event) error {
 	cfg, err := simwire.ParseBootInfo(string(event.BootInfo))
 	if err != nil {
--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -16,7 +16,7 @@
 		case string:
 			b.WriteString(v)
 		default:
-			_ = binary.Write(&b, binary.LittleEndian, v) // a Buffer does not fail
+			_ = binary.Write(&b, binary.LittleEndian, v) // a write to a Buffer does not fail
 		}
 	}
 	var out bytes.Buffer
@@ -61,12 +61,12 @@
 		frames     [][]byte
 	}{
 		{"never initialised", "instance 5 was never initialised", [][]byte{batch(3, 2, 11, uint16(5), 6, uint32(1))}},
-		{"gone", "instance 5 was never initialised", [][]byte{
+		{"destroyed", "instance 5 was never initialised", [][]byte{
 			batch(1, 3, append([]any{11, uint16(5)}, append(initRecord(1), 10)...)...),
 			batch(2, 2, 11, uint16(5), 6, uint32(1)),
 		}},
 		{"bad settings line", "settings line 1", [][]byte{batch(1, 2, 11, uint16(5), 1, uint64(1), uint32(3), "abc")}},
-		{"settings that make no sense", "Classes", [][]byte{batch(1, 2, 11, uint16(5), 1, uint64(1), uint32(3), "a=b")}},
+		{"settings without a class", "Classes", [][]byte{batch(1, 2, 11, uint16(5), 1, uint64(1), uint32(3), "a=b")}},
 		{"truncated after its header", "truncated", [][]byte{batch(1, 0), batch(2, 2, 11, uint16(5), 6, uint32(1))[:20]}},
 		{"truncated", "truncated", [][]byte{batch(1, 0), batch(2, 2, 11, uint16(5), 6, uint32(1))[:25]}},
 	} {
@@ -77,7 +77,7 @@
 		for rest := []byte(out); len(rest) > 0; {
 			size := 12 + int(binary.LittleEndian.Uint32(rest[8:]))
 			if size > len(rest) {
-				t.Errorf("%s: a reply was half written", c.name)
+				t.Errorf("%s: a reply was written incompletely", c.name)
 				break
 			}
 			rest = rest[size:]
