--- a/cmd/marlreeld/keepalive_test.go
+++ b/cmd/marlreeld/keepalive_test.go
@@ -140,7 +140,7 @@
 }
 
 // exchange sends a request, streaming or plain, and reads its answer. It reports whether the connection can be reused.
-func (c *keepAliveClients) exchange(conn net.Conn, reader *bufio.Reader, proxy *process, stream, reused bool) (keep bool) {
+func (c *keepAliveClients) exchange(conn net.Conn, reader *bufio.Reader, proxy *process, stream, reusedConn bool) (keep bool) {
 	id := c.nextID()
 	path, headers := "/slip/1", ""
 	if stream {
@@ -163,7 +163,7 @@
 		c.recordBroken(brokenRequest{id: id, proxy: proxy.settings.NodeName, begun: true, cause: err}, sent)
 		return false
 	}
-	c.recordAnswer(id, answer, string(body), stream, reused)
+	c.recordAnswer(id, answer, string(body), stream, reusedConn)
 	return !answer.Close
 }
 
@@ -184,7 +184,7 @@
 }
 
 // recordAnswer checks that a complete answer belongs to the request and lacks nothing.
-func (c *keepAliveClients) recordAnswer(id string, answer *http.Response, body string, stream, reused bool) {
+func (c *keepAliveClients) recordAnswer(id string, answer *http.Response, body string, stream, reusedConn bool) {
 	want := "done " + id
 	if stream {
 		var events strings.Builder
@@ -198,7 +198,7 @@
 	}
 	c.mu.Lock()
 	c.answers[answer.StatusCode]++
-	if reused {
+	if reusedConn {
 		c.reused++
 	}
 	c.mu.Unlock()
--- a/cmd/marlreeld/process_test.go
+++ b/cmd/marlreeld/process_test.go
@@ -128,7 +128,7 @@
 	}
 }
 
-// kill ends the process with SIGKILL.
+// kill ends the process at once, as kill -9 does.
 func (p *process) kill() {
 	if p.command == nil {
 		return
--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -61,7 +61,7 @@
 		frames     [][]byte
 	}{
 		{"never initialised", "instance 5 was never initialised", [][]byte{batch(3, 2, 11, uint16(5), 6, uint32(1))}},
-		{"destroyed", "instance 5 was never initialised", [][]byte{
+		{"gone", "instance 5 was never initialised", [][]byte{
 			batch(1, 3, append([]any{11, uint16(5)}, append(initRecord(1), 10)...)...),
 			batch(2, 2, 11, uint16(5), 6, uint32(1)),
 		}},
