--- a/cmd/marlreelctl/nodes.go
+++ b/cmd/marlreelctl/nodes.go
@@ -20,10 +20,10 @@
 	Confirm confirmCmd `cmd:"" help:"Say to all proxies that a list which lost most of its entries is right."`
 }
 
-// maxRegistryAttempts is how many endpoints of one registry are tried.
+// maxRegistryAttempts is how often an operation is tried, each time at another endpoint.
 const maxRegistryAttempts = 3
 
-// withRetry runs an operation on the registry, at the next endpoint where one can't be reached.
+// withRetry runs an operation on the registry, and retries it at the next endpoint if one can't be reached.
 func (s *site) withRetry(operation func() error) error {
 	var err error
 	for range maxRegistryAttempts {
@@ -82,7 +82,7 @@
 	Weight  float64 `default:"1"`
 }
 
-// change reads a node's entry and writes what update makes of it, if nobody else wrote meanwhile.
+// change reads a node's entry and writes the value that update returns, unless somebody else has written it meanwhile.
 func (s *site) change(name string, update func(item membership.Item) (registry.Value, error)) error {
 	if name == membership.ConfirmKey || strings.ContainsAny(name, "/ ") {
 		return &NodeError{strconv.Quote(name), "is no node's name", nil}
--- a/cmd/marlreeld/main.go
+++ b/cmd/marlreeld/main.go
@@ -1,5 +1,5 @@
 // Command marlreeld routes requests to model backends and places models on them. It is one program with a subcommand
-// for each role (proxy, agent, control), and those of the operator, which call control.
+// for each role (proxy, agent, control), and subcommands for operators, which call control.
 //
 // The platform starts the roles (deploy/system.toml), gives each its settings file (MARLREEL_SETTINGS), and ends them by
 // SIGTERM. A role ends with status 0 after a graceful shutdown, and with 1 and one line on standard error otherwise.
--- a/cmd/marlreeld/operator.go
+++ b/cmd/marlreeld/operator.go
@@ -33,7 +33,7 @@
 	return operatorclient.NewClient(f.controls, f.patience, host.OSNetwork{}.Dial), nil
 }
 
-// withClient returns a cobra RunE that passes run a client of the control processes.
+// withClient returns a cobra RunE that calls run with a client of the control processes.
 func (f *operatorFlags) withClient(
 	run func(command *cobra.Command, client *operatorclient.Client, args []string) error,
 ) func(*cobra.Command, []string) error {
