--- a/internal/fleet/disk/compatibility_test.go
+++ b/internal/fleet/disk/compatibility_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// storedView is the decided state, in the member's view and in the keeper's snapshot. Every field is set.
+// storedView returns the decided state in the member's view and in the keeper's snapshot. Every field is set.
 func storedView() *agree.State {
 	return &agree.State{
 		Born: 123456789, Seq: 41, Step: 40, Open: 2,
@@ -90,7 +90,7 @@
 	`{"kind":"keepers","id":"k1","base":0,"keepers":[{"name":"n1","id":77},{"name":"n2","id":78}]}`,
 }
 
-// storedSaved is the stored keeper's disk. The life is that of the last start.
+// storedSaved returns the data of the stored keeper's disk. The life is that of the last start.
 func storedSaved() agree.Saved {
 	s := agree.Saved{
 		ID: 77, Life: 3,
@@ -153,7 +153,7 @@
 	compareView(t, &state)
 }
 
-// TestCompatibilityOfStoredMember reads the view of a member, and adds to it.
+// TestCompatibilityOfStoredMember reads the view of a member, and loads its file as that of a new keeper.
 func TestCompatibilityOfStoredMember(t *testing.T) {
 	d := openCopy(t, "member")
 	view, err := d.View()
@@ -322,7 +322,7 @@
 	}
 }
 
-// writeMissingFolders writes the folders that are missing, if that is asked for.
+// writeMissingFolders writes the missing folders if writeVariable is set.
 func writeMissingFolders(t *testing.T) {
 	t.Helper()
 	if os.Getenv(writeVariable) == "" {
--- a/internal/fleet/disk/disk.go
+++ b/internal/fleet/disk/disk.go
@@ -1,6 +1,6 @@
-// Package disk is the file of a proxy's part in a fleet: a keeper's log and identity, and the view that a member
-// had last. What Save returns from is synced. It owns the file, its checksums and whose it is; it never decides
-// whether its contents may still be believed (package agree).
+// Package disk stores a proxy's fleet data in one file: a keeper's log and identity, and the last view of a member.
+// Data is synced when Save returns. The package owns the file, its checksums and its owner record; whether the
+// contents may still be trusted is decided by package agree.
 package disk
 
 import (
@@ -18,16 +18,16 @@
 const (
 	// File is the name of the file in its folder.
 	File = "fleet.db"
-	// tornSuffix ends the name of a file that was set aside.
+	// tornSuffix is appended to the name of a damaged file that was moved aside.
 	tornSuffix = ".torn"
-	// lockTimeout is how long opening waits for the lock: who holds it holds it for a process's life.
+	// lockTimeout is how long Open waits for the file lock. It is short, as a process keeps the lock until it ends.
 	lockTimeout = time.Millisecond
 
 	folderMode = 0o700
 	fileMode   = 0o600
 )
 
-// The buckets and keys of the file. They are stored.
+// The buckets and keys of the file. They are part of the stored format.
 var (
 	bucketMeta  = []byte("meta")
 	bucketLog   = []byte("log")
@@ -46,12 +46,12 @@
 	db   *bolt.DB
 }
 
-// Open opens or makes the file of a proxy of a fleet. A file that is torn is set aside, under a name that ends
-// with .torn, and the error says so; the next Open makes a new one. It fails with an *Error.
+// Open opens or creates the file of a proxy of a fleet. A damaged file is renamed to a name that ends with .torn, and
+// the error says so; the next Open creates a new one. It fails with an *Error.
 func Open(dir, fleet, name string) (*Disk, error) {
 	path := filepath.Join(dir, File)
 	if err := os.MkdirAll(dir, folderMode); err != nil {
-		return nil, &Error{path, err, "make the folder of [fleet] dir one that this proxy may write to"}
+		return nil, &Error{path, err, "give this proxy write permission for the folder of [fleet] dir"}
 	}
 	d, err := openChecked(path, fleet+"/"+name)
 	switch {
@@ -60,15 +60,15 @@
 	case errors.Is(err, ErrTorn):
 		return nil, setAside(path, name, err)
 	case errors.Is(err, ErrHeld):
-		return nil, &Error{path, err, "end the other process of this proxy, or give this one a folder of its own"}
+		return nil, &Error{path, err, "stop the other process of this proxy, or give this one its own folder"}
 	case errors.Is(err, ErrOwner):
-		return nil, &Error{path, err, "put this proxy's own folder back, or an empty one"}
+		return nil, &Error{path, err, "restore this proxy's own folder, or use an empty one"}
 	}
-	return nil, &Error{path, err, "make room on the disk, and let this proxy read and write the file"}
+	return nil, &Error{path, err, "make room on the disk, and give this proxy read and write permission for the file"}
 }
 
-// openChecked opens a file and checks all of it and whose it is. A file that was cut short faults where its mapping is
-// read: that is ErrTorn, too.
+// openChecked opens a file and checks its length and its owner. Reading the memory mapping of a truncated file faults;
+// that is reported as ErrTorn, too.
 func openChecked(path, owner string) (d *Disk, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -88,7 +88,7 @@
 	return d, nil
 }
 
-// check checks the whole file and whose it is.
+// check checks the file's length and its owner.
 func (d *Disk) check(owner string) error {
 	if err := d.checkLength(); err != nil {
 		return err
@@ -96,7 +96,7 @@
 	return d.checkOwner(owner)
 }
 
-// openFailure returns an error of bolt by its cause.
+// openFailure maps an error of bolt to one of this package's, where there is one for it.
 func openFailure(err error) error {
 	switch {
 	case errors.Is(err, bolterrors.ErrTimeout):
@@ -107,18 +107,18 @@
 	return err
 }
 
-// setAside renames a torn file and returns the error that says so.
+// setAside renames a damaged file and returns an error that says so.
 func setAside(path, name string, cause error) error {
 	if err := os.Rename(path, path+tornSuffix); err != nil {
 		return &Error{path, errors.Join(cause, err), "move the file away by hand and start the proxy again"}
 	}
 	return &Error{
 		path, fmt.Errorf("%w: set aside as %s", cause, File+tornSuffix),
-		"nothing at once: the keeper begins with a new disk; take it in with 'marlreelctl fleet keepers add " + name + "'",
+		"nothing at once: the keeper starts with a new disk; add it with 'marlreelctl fleet keepers add " + name + "'",
 	}
 }
 
-// checkLength fails with ErrTorn where the file is shorter than its own records say.
+// checkLength fails with ErrTorn if the file is shorter than the size in its own metadata.
 func (d *Disk) checkLength() error {
 	info, err := os.Stat(d.path)
 	if err != nil {
@@ -132,7 +132,7 @@
 	})
 }
 
-// checkOwner makes the buckets, and stores or checks whose the file is.
+// checkOwner creates missing buckets, and records the file's owner or compares it with the recorded one.
 func (d *Disk) checkOwner(owner string) error {
 	return d.db.Update(func(tx *bolt.Tx) error {
 		for _, bucket := range [][]byte{bucketMeta, bucketLog, bucketLives} {
--- a/internal/fleet/disk/disk_test.go
+++ b/internal/fleet/disk/disk_test.go
@@ -24,9 +24,9 @@
 	return all
 }
 
-// What was saved is there, entries that were replaced are not, each opening is a life, and a reset leaves nothing of
-// the log; the file is its owner's alone, and one process's at a time.
-func TestWhatIsSavedIsThere(t *testing.T) {
+// Saved data is there after a restart, without the entries that were replaced; each load begins a new life, and a reset
+// empties the log. The file can be opened by its owner only, and by one process at a time.
+func TestSavedDataIsLoadedAfterRestart(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	d, err := Open(dir, "pier", "n1")
@@ -76,8 +76,9 @@
 	d.Close()
 }
 
-// A file that was cut anywhere, or spoilt anywhere, is read as it was or not at all; and never ends the process.
-func TestTornAnywhere(t *testing.T) {
+// A file that was truncated or corrupted at any place is read as it was written or not at all, and never ends the
+// process.
+func TestDamagedFileIsNotMisread(t *testing.T) {
 	t.Parallel()
 	rng := rand.New(rand.NewPCG(1, 2))
 	whole := fileWithEntries(t, 60, 700)
@@ -95,11 +96,11 @@
 	}
 	t.Logf("%d refused, %d read", refused, read)
 	if refused == 0 || read == 0 {
-		t.Error("nothing is shown")
+		t.Error("the damaged files were all refused or all read: the test shows nothing")
 	}
 }
 
-// fileWithEntries is the file of the keeper with identity 77, with so many entries of so many bytes.
+// fileWithEntries returns the file of a keeper with identity 77 and the given number and size of entries.
 func fileWithEntries(t *testing.T, entries, size int) []byte {
 	t.Helper()
 	dir := t.TempDir()
@@ -125,7 +126,7 @@
 	return whole
 }
 
-// damaged is a file that was cut short, or of which some bytes are others.
+// damaged returns a copy of a file, truncated or with some bytes changed.
 func damaged(rng *rand.Rand, whole []byte, cut bool) []byte {
 	data := append([]byte(nil), whole...)
 	if cut {
@@ -137,8 +138,8 @@
 	return data
 }
 
-// readsDamaged opens and reads a damaged file. It tells whether it was read, and fails the test where what is read is
-// neither what was written nor a new keeper's, or where a torn file was not set aside.
+// readsDamaged opens and reads a damaged file and reports whether it could be read. It fails the test if the data is
+// neither what was written nor that of a new keeper, or if a torn file was not moved aside.
 func readsDamaged(t *testing.T, i int, at string) bool {
 	t.Helper()
 	d, err := Open(at, "pier", "n1")
@@ -146,9 +147,9 @@
 		if !errors.Is(err, ErrTorn) {
 			return false
 		}
-		again, err := Open(at, "pier", "n1") // it was set aside
+		again, err := Open(at, "pier", "n1") // the torn file was moved aside
 		if err != nil {
-			t.Errorf("case %d: after it was set aside: %v", i, err)
+			t.Errorf("case %d: opening a new file after the torn one was moved aside: %v", i, err)
 			return false
 		}
 		again.Close()
@@ -161,12 +162,12 @@
 	}
 	isNew, isWritten := s.ID == 1 && len(s.Entries) == 0, s.ID == 77 && len(s.Entries) <= 60
 	if !isNew && !isWritten {
-		t.Errorf("case %d: %d entries of identity %d", i, len(s.Entries), s.ID)
+		t.Errorf("case %d: read %d entries of identity %d, want all data or none", i, len(s.Entries), s.ID)
 		return false
 	}
 	for k, e := range s.Entries {
 		if e.GetIndex() != uint64(k+1) || len(e.Data) != 700 {
-			t.Errorf("case %d: entry %d is another", i, k)
+			t.Errorf("case %d: entry %d is not the one that was written", i, k)
 		}
 	}
 	return true
--- a/internal/fleet/disk/load.go
+++ b/internal/fleet/disk/load.go
@@ -14,14 +14,14 @@
 )
 
 // loadAdvice is what an operator can do about a file that can't be read.
-const loadAdvice = "if it is torn: move the file away, start the proxy again, and take it in with " +
+const loadAdvice = "if the file is damaged: move it away, start the proxy again, and add it with " +
 	"'marlreelctl fleet keepers add NAME'; if the disk is full: make room"
 
-// numberLength is how many bytes a number takes in the file.
+// numberLength is the length of a stored number in bytes.
 const numberLength = 8
 
-// Load reads what a keeper's disk holds, with the life of this start: it is on the disk when Load returns. fresh is
-// the identity that a new disk gets.
+// Load reads a keeper's stored data and increments its life, which is synced when Load returns. fresh becomes the
+// identity of a new disk.
 func (d *Disk) Load(fresh uint64) (s agree.Saved, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -46,7 +46,7 @@
 	return s, err
 }
 
-// loadMeta reads who the keeper is, and what it has promised.
+// loadMeta reads the keeper's identity, its life, and the hard state and snapshot of its log.
 func loadMeta(tx *bolt.Tx, s *agree.Saved) error {
 	meta := tx.Bucket(bucketMeta)
 	return errors.Join(
@@ -62,7 +62,7 @@
 		}))
 }
 
-// loadSealed gives what stands under a key to a reader, where anything does.
+// loadSealed verifies the value of a key, if there is one, and passes it to read.
 func loadSealed(bucket *bolt.Bucket, key []byte, read func([]byte) error) error {
 	sealed := bucket.Get(key)
 	if sealed == nil {
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// loadLives reads the lives of the keepers that are known.
+// loadLives reads the lives that are known of other keepers.
 func loadLives(tx *bolt.Tx, s *agree.Saved) error {
 	s.Lives = map[uint64]agree.Lived{}
 	return tx.Bucket(bucketLives).ForEach(func(id, life []byte) error {
@@ -98,7 +98,7 @@
 	})
 }
 
-// loadLog reads the log.
+// loadLog reads the entries of the log.
 func loadLog(tx *bolt.Tx, s *agree.Saved) error {
 	return tx.Bucket(bucketLog).ForEach(func(_, sealed []byte) error {
 		value, err := unseal(sealed)
--- a/internal/fleet/disk/save.go
+++ b/internal/fleet/disk/save.go
@@ -10,9 +10,9 @@
 )
 
 // saveAdvice is what an operator can do about a file that can't be written.
-const saveAdvice = "make room on the disk: the keeper goes on by itself once it can write"
+const saveAdvice = "make room on the disk: the keeper restarts by itself once it can write"
 
-// Save writes what a keeper wants kept. It is synced when Save returns.
+// Save writes data of a keeper. It is synced when Save returns.
 func (d *Disk) Save(a agree.Save) error {
 	err := d.db.Update(func(tx *bolt.Tx) error {
 		if a.Reset {
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// resetBucket empties a bucket of all but whose file it is.
+// resetBucket empties a bucket, except for the owner record.
 func resetBucket(tx *bolt.Tx, name []byte) error {
 	owner := append([]byte(nil), tx.Bucket(name).Get(keyOwner)...)
 	if err := tx.DeleteBucket(name); err != nil {
@@ -41,7 +41,7 @@
 	return made.Put(keyOwner, owner)
 }
 
-// saveMeta writes who the keeper is, and what it has promised.
+// saveMeta writes the keeper's identity, its life, and the hard state and snapshot of its log.
 func saveMeta(tx *bolt.Tx, a agree.Save) error {
 	meta := tx.Bucket(bucketMeta)
 	if a.ID != 0 {
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// deleteFrom drops a key and all behind it.
+// deleteFrom deletes a key and all keys after it.
 func deleteFrom(bucket *bolt.Bucket, first []byte) error {
 	cursor := bucket.Cursor()
 	for key, _ := cursor.Seek(first); key != nil; key, _ = cursor.Seek(first) {
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// saveLives writes the lives of the keepers that are new.
+// saveLives writes the lives that have been seen of other keepers.
 func saveLives(tx *bolt.Tx, a agree.Save) error {
 	lives := tx.Bucket(bucketLives)
 	for id, life := range a.Lives {
--- a/internal/fleet/disk/view.go
+++ b/internal/fleet/disk/view.go
@@ -10,12 +10,12 @@
 
 const (
 	// viewLoadAdvice is what an operator can do about a view that can't be read.
-	viewLoadAdvice = "nothing: the proxy goes by its own file until it hears from the keepers"
+	viewLoadAdvice = "nothing: the proxy uses the settings of its own file until it reaches the keepers"
 	// viewSaveAdvice is what an operator can do about a view that can't be written.
 	viewSaveAdvice = "make room on the disk"
 )
 
-// View returns the view that a member had last; nil: there is none.
+// View returns the stored view of a member, or nil if there is none.
 func (d *Disk) View() (*agree.State, error) {
 	var view *agree.State
 	err := d.db.View(func(tx *bolt.Tx) error {
--- a/internal/fleet/transition/conflict.go
+++ b/internal/fleet/transition/conflict.go
@@ -9,7 +9,8 @@
 	"marlreel/internal/balancer"
 )
 
-// Conflict names the first thing that one of two versions allows and the other forbids; "" is none.
+// Conflict describes the first thing that one of two versions allows and the other forbids, or returns "" if there is
+// none.
 func Conflict(a, b balancer.Config) string {
 	for _, class := range a.Classes {
 		other, exists := findClass(b.Classes, class.Name)
@@ -50,13 +51,13 @@
 	return ""
 }
 
-// isPrefix tells whether b begins with the tenants of a.
+// isPrefix reports whether b begins with the tenants of a.
 func isPrefix(a, b []balancer.Tenant) bool {
 	return len(a) <= len(b) && slices.Equal(a, b[:len(a)])
 }
 
-// ValidateSuccessor returns an error that says why a version can't follow another. While the newer one is being taken
-// only what both allow is done, so they need a class in common.
+// ValidateSuccessor returns an error that says why a version can't follow another. While the newer version is rolled
+// out, proxies do only what both allow, so the two need a class in common.
 func ValidateSuccessor(older, newer balancer.Config) error {
 	both := Strictest(older, newer)
 	if len(both.Classes) == 0 {
--- a/internal/fleet/transition/doc.go
+++ b/internal/fleet/transition/doc.go
@@ -1,7 +1,7 @@
-// Package transition says how a fleet of proxies passes from one version of its settings to the next: what two
+// Package transition defines how a fleet of proxies moves from one version of its settings to the next: what two
 // versions allow together, which versions conflict, which may follow which, and what a proxy may do without a lease.
-// The package is pure. It orders settings by strictness; when which settings are in force is decided by package agree,
-// and what becomes of a request by package balancer.
+// The package is pure and compares settings by strictness. Package agree decides when settings are in force, and package
+// balancer how a request is handled.
 //
 // Two versions conflict where one allows what the other forbids: a class's retries (effect, group, idempotency
 // window), how often and how long a request is tried (attempts, client timeout), a class that only one version has, a
--- a/internal/fleet/transition/strictest.go
+++ b/internal/fleet/transition/strictest.go
@@ -6,8 +6,8 @@
 	"marlreel/internal/balancer"
 )
 
-// Strictest returns what both versions allow, with all that forbids nothing taken from the newer one. Classes that
-// only one of them has are left out: one version forbids what the other allows.
+// Strictest returns settings that allow what both versions allow. Settings that forbid nothing are taken from the newer
+// one. Classes that only one of them has are left out: one version forbids what the other allows.
 func Strictest(older, newer balancer.Config) balancer.Config {
 	both := newer
 	both.Classes = nil
@@ -22,9 +22,9 @@
 	return both
 }
 
-// WithoutLease returns what a proxy may do that can't tell which version is in force: what all versions that it knows
-// allow, the newest last and one at least, and no retry of what may have run. Classes of the newest version stay: a
-// proxy that reaches nobody goes on serving, and no version takes the first attempt of a request back.
+// WithoutLease returns the settings of a proxy that can't tell which version is in force: they allow what all known
+// versions allow, but no retry of a request that may have run. There is at least one version, and the newest is last.
+// Its classes all stay, so that an isolated proxy goes on serving: no version forbids the first attempt of a request.
 func WithoutLease(known []balancer.Config) balancer.Config {
 	strictest := known[len(known)-1]
 	for _, version := range known[:len(known)-1] {
--- a/internal/fleet/transition/transition_test.go
+++ b/internal/fleet/transition/transition_test.go
@@ -14,7 +14,7 @@
 	defined                         bool
 	attempts                        int
 	clientTimeout                   time.Duration
-	rerun, rerunAnywhere            bool // what may have run is retried; in any group
+	rerun, rerunAnywhere            bool // a request that may have run is retried; in any group
 	window                          time.Duration
 	hedging                         bool
 	grace                           time.Duration
@@ -33,7 +33,7 @@
 	return permissions{}
 }
 
-// within tells whether a allows nothing that b forbids.
+// within reports whether a allows nothing that b forbids.
 func (a permissions) within(b permissions) bool {
 	if !a.defined {
 		return true
@@ -64,14 +64,14 @@
 	return c
 }
 
-// What two versions allow together neither forbids; what is left without a lease no known version forbids, but that a
-// class which only one of them has is served once; and versions contradict each other if and only if one of them
+// Strictest allows nothing that either version forbids. WithoutLease allows nothing that a known version forbids, except
+// the first attempt of a class that only the newest version has. Conflict reports two versions exactly if one of them
 // allows what the other forbids.
 func TestStrictestConflictAndWithoutLease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawSettings(t, "a"), drawSettings(t, "b"), drawSettings(t, "c")
 		if err := ValidateSuccessor(a, b); err != nil {
-			t.Fatal(err) // they have lot-list in common
+			t.Fatal(err) // they have the class lot-list in common
 		}
 		m := Strictest(a, b)
 		if err := m.Validate(); err != nil {
@@ -85,42 +85,42 @@
 		for _, n := range names {
 			for _, v := range []balancer.Config{a, b} {
 				if !permissionsOf(m, n).within(permissionsOf(v, n)) {
-					t.Fatalf("%s: both allow %+v, and one %+v", n, permissionsOf(m, n), permissionsOf(v, n))
+					t.Fatalf("%s: Strictest allows %+v, but one of its versions only %+v", n, permissionsOf(m, n), permissionsOf(v, n))
 				}
 			}
 			for _, v := range []balancer.Config{a, b, c} {
 				if granted := permissionsOf(v, n); granted.defined && !permissionsOf(l, n).within(granted) {
-					t.Fatalf("%s: without a lease %+v, and one allows %+v", n, permissionsOf(l, n), granted)
+					t.Fatalf("%s: WithoutLease allows %+v, but a known version only %+v", n, permissionsOf(l, n), granted)
 				}
 			}
 			if x := permissionsOf(l, n); x.defined && (x.rerun || x.hedging) {
-				t.Fatalf("%s goes again without a lease", n)
+				t.Fatalf("%s is retried or hedged without a lease", n)
 			}
 			if permissionsOf(c, n).defined && !permissionsOf(l, n).defined {
-				t.Fatalf("%s, which the newest has, is not served without a lease", n)
+				t.Fatalf("%s is in the newest version, but is not served without a lease", n)
 			}
 			x, y := permissionsOf(a, n), permissionsOf(b, n)
 			differ = differ || !x.within(y) || !y.within(x)
 		}
 		conflict := Conflict(a, b)
 		if (conflict == "") != (Conflict(b, a) == "") {
-			t.Fatal("only one way round:", conflict)
+			t.Fatal("Conflict depends on the order of its arguments:", conflict)
 		}
 		if conflict == "" && differ {
 			for _, n := range names {
 				x, y := permissionsOf(a, n), permissionsOf(b, n)
 				if x.defined != y.defined || x.attempts != y.attempts || x.clientTimeout != y.clientTimeout || x.rerun != y.rerun || x.grace != y.grace {
-					t.Fatalf("no contradiction is seen: %+v and %+v", x, y)
+					t.Fatalf("Conflict reports nothing between %+v and %+v", x, y)
 				}
 			}
 		}
 		if Conflict(a, a) != "" || Conflict(m, Strictest(b, a)) != "" && len(m.Classes) > 0 && Conflict(m, m) != "" {
-			t.Fatal("a version contradicts itself")
+			t.Fatal("a version conflicts with itself")
 		}
 	})
 }
 
-// A version that leaves nothing to do while it is being taken is refused.
+// A version that has no class in common with the one in force is refused.
 func TestSuccessorNeedsACommonClass(t *testing.T) {
 	a := balancer.Config{Instances: 1, Classes: []balancer.Class{{Name: "a", LatencyTarget: 1, ClientTimeout: 1}}}
 	b := balancer.Config{Instances: 1, Classes: []balancer.Class{{Name: "b", LatencyTarget: 1, ClientTimeout: 1}}}
