--- a/internal/fleet/compatibility_test.go
+++ b/internal/fleet/compatibility_test.go
@@ -23,7 +23,7 @@
 
 var compatibilityTime = time.Date(2026, 11, 30, 8, 15, 0, 250_000_000, time.UTC)
 
-// compatibilityStatus has all keys.
+// compatibilityStatus returns a status that has all keys when encoded.
 func compatibilityStatus() *Status {
 	lists := agree.Lists{Source: "etcd", Revision: 17, Count: 12, Hash: 99}
 	return &Status{
@@ -40,7 +40,7 @@
 	}
 }
 
-// The JSON of /control/fleet and of the operators' socket: with all keys, and with what may be left out left out.
+// The JSON of /control/fleet and of the operators' socket: with all keys, and without the optional ones.
 func TestCompatibilityJSON(t *testing.T) {
 	for name, v := range map[string]any{
 		"status.json":       compatibilityStatus(),
@@ -80,7 +80,7 @@
 	recorded.Check(t, "counters.txt", string(f.AppendMetrics([]byte("proxy.before:1|c\n"))))
 }
 
-// operatorRequests are sent to the operators' socket one after the other.
+// operatorRequests are sent to the operators' socket in this order.
 var operatorRequests = []struct{ method, path, body string }{
 	{"GET", "/fleet", ""},
 	{"GET", "/fleet/holders", ""},
@@ -103,10 +103,10 @@
 	{"GET", "/other", ""},
 }
 
-// operatedFleet is a fleet whose goroutine is the test's, with a leader who answers at once.
+// operatedFleet is a fleet whose events run on the test's goroutine, with a leader that answers at once.
 type operatedFleet struct {
 	*Fleet
-	asked strings.Builder // what the leader was asked; to be read once over is closed
+	asked strings.Builder // requests to the leader; must not be read before over is closed
 	over  chan struct{}
 }
 
@@ -176,7 +176,7 @@
 	}
 	text := string(answer)
 	switch {
-	case resp.StatusCode == http.StatusConflict: // the words for people may change
+	case resp.StatusCode == http.StatusConflict: // the texts of errors and advice are not recorded
 		text = regexp.MustCompile(`"(error|advice)":"[^"]*"`).ReplaceAllString(text, `"$1":"WORDS"`)
 	case resp.StatusCode != http.StatusOK:
 		text = ""
@@ -190,10 +190,10 @@
 	return fmt.Sprintf("--- %s %s %s\n%d %s\n%s", method, path, body, resp.StatusCode, resp.Header.Get("Content-Type"), text)
 }
 
-// The operators' socket: its name and mode, its paths, methods and parameters, what each asks the keeper that leads,
-// and the status of a refusal.
+// The operators' socket: its name and mode, its paths, methods and parameters, the request to the leader that each
+// causes, and the status of a refusal.
 func TestCompatibilityOperators(t *testing.T) {
-	dir, err := os.MkdirTemp("", "fleet") // a socket's path is short
+	dir, err := os.MkdirTemp("", "fleet") // t.TempDir may be too long for a socket's path
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -13,7 +13,7 @@
 
 // Config is [fleet] of deploy/marlreel.toml.
 type Config struct {
-	Name    string       `toml:"name"`     // the fleet's; "" is off
+	Name    string       `toml:"name"`     // the fleet's; "" turns it off
 	Listen  string       `toml:"listen"`   // TCP and UDP, where peers connect
 	Peers   []peers.Peer `toml:"peers"`    // the proxies by name, and where this one reaches each
 	KeyFile string       `toml:"key-file"` // the same at all proxies
@@ -25,13 +25,13 @@
 	Trace       string              `toml:"trace"` // a file that gets a line for each attempt with its settings; "" is none
 }
 
-// DefaultConfig returns a fleet that is off.
+// DefaultConfig returns a configuration without a fleet.
 func DefaultConfig() Config { return Config{AgreeWithin: stricttoml.Duration(5 * time.Second)} }
 
-// On tells whether there is a fleet.
+// On reports whether there is a fleet.
 func (c *Config) On() bool { return c.Name != "" }
 
-// Bounds of the settings.
+// Limits of the configuration.
 const (
 	minAgreeWithin    = time.Second
 	maxAgreeWithin    = time.Minute
@@ -40,7 +40,7 @@
 	maxPeerNameBytes  = 128
 )
 
-// Validate returns a *ConfigError that names the first key which makes no fleet.
+// Validate returns a *ConfigError that names the first invalid key.
 func (c *Config) Validate() error {
 	if !c.On() {
 		if c.Listen != "" || len(c.Peers) > 0 || len(c.Keepers) > 0 {
@@ -64,7 +64,7 @@
 		return invalid("agree-within", "is %v: %v to %v is needed", within, minAgreeWithin, maxAgreeWithin)
 	}
 	if c.Dir != "" && !filepath.IsAbs(c.Dir) {
-		return invalid("dir", "is %q: a path from / on is needed", c.Dir)
+		return invalid("dir", "is %q: an absolute path is needed", c.Dir)
 	}
 	return c.validatePeers()
 }
@@ -76,7 +76,7 @@
 	names := map[string]bool{}
 	for i, peer := range c.Peers {
 		if peer.Name == "" || len(peer.Name) > maxPeerNameBytes || names[peer.Name] {
-			return invalid(fmt.Sprintf("peers[%d].name", i), "is %q: a name of its own is needed", peer.Name)
+			return invalid(fmt.Sprintf("peers[%d].name", i), "is %q: a unique name is needed", peer.Name)
 		}
 		names[peer.Name] = true
 		if !isAddress(peer.Address) {
@@ -85,7 +85,7 @@
 	}
 	for i, name := range c.Keepers {
 		if !names[name] || slices.Index(c.Keepers, name) != i {
-			return invalid(fmt.Sprintf("keepers[%d]", i), "is %q: a name of fleet.peers that stands there once is needed", name)
+			return invalid(fmt.Sprintf("keepers[%d]", i), "is %q: a name of fleet.peers that is no other keeper's is needed", name)
 		}
 	}
 	return nil
@@ -95,7 +95,7 @@
 	return &ConfigError{Key: "fleet." + key, Want: fmt.Sprintf(format, args...)}
 }
 
-// isAddress tells whether a text is an IP address with a port.
+// isAddress reports whether a text is an IP address with a port.
 func isAddress(text string) bool {
 	host, _, err := net.SplitHostPort(text)
 	return err == nil && net.ParseIP(host) != nil
--- a/internal/fleet/errors.go
+++ b/internal/fleet/errors.go
@@ -20,7 +20,7 @@
 	_ actionable.Error = (*SocketError)(nil)
 )
 
-// ConfigError is a key of [fleet] that can't be used.
+// ConfigError is an invalid key of [fleet].
 type ConfigError struct{ Key, Want string }
 
 // Error implements error.
@@ -28,10 +28,10 @@
 
 // Advice implements actionable.Error.
 func (e *ConfigError) Advice() string {
-	return "mend the key in the file of --config; 'marlreel --check' tells whether it is good"
+	return "correct the key in the file of --config; 'marlreel --check' checks the file"
 }
 
-// NoLeaderError is a request that no consensus member which leads has answered in time.
+// NoLeaderError is a request that no leader has answered in time.
 type NoLeaderError struct{ Keepers []string }
 
 // Error implements error.
@@ -103,7 +103,7 @@
 
 // Error implements error.
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("version %d can't be gone by here: %v", e.Version, e.Err)
+	return fmt.Sprintf("this proxy can't apply version %d: %v", e.Version, e.Err)
 }
 
 // Unwrap returns the cause.
@@ -111,7 +111,7 @@
 
 // Advice implements actionable.Error.
 func (e *VersionError) Advice() string {
-	return "this proxy goes by the strict rules until a version comes that it can go by: look at what it names, and propose one"
+	return "this proxy runs without a lease until a version is decided that it can apply: correct what the error names, and propose the settings again"
 }
 
 // StaleMembershipError is a membership below the fleet's revision floor.
@@ -122,15 +122,15 @@
 
 // Error implements error.
 func (e *StaleMembershipError) Error() string {
-	return fmt.Sprintf("this proxy's list of the %s is old: revision %d, and others have %d", e.Source, e.Revision, e.Floor)
+	return fmt.Sprintf("this proxy's list from the %s is outdated: it has revision %d, and others have %d", e.Source, e.Revision, e.Floor)
 }
 
 // Advice implements actionable.Error.
 func (e *StaleMembershipError) Advice() string {
-	return "see whether this proxy reaches its discovery; if the source's revisions began anew: 'marlreelctl fleet floor reset SOURCE'"
+	return "check whether this proxy reaches its discovery; if the source's revisions have started again: 'marlreelctl fleet floor reset SOURCE'"
 }
 
-// DivergentMembershipsError is that proxies have different memberships at one revision of one source.
+// DivergentMembershipsError means that proxies have different memberships at one revision of one source.
 type DivergentMembershipsError struct {
 	Source   string
 	Revision int64
@@ -139,27 +139,29 @@
 
 // Error implements error.
 func (e *DivergentMembershipsError) Error() string {
-	return fmt.Sprintf("at revision %d of the %s other lists are seen by %s", e.Revision, e.Source, strings.Join(e.Proxies, ", "))
+	return fmt.Sprintf("at revision %d of the %s this proxy's list differs from the lists of %s", e.Revision, e.Source, strings.Join(e.Proxies, ", "))
 }
 
 // Advice implements actionable.Error.
 func (e *DivergentMembershipsError) Advice() string {
-	return "see with 'marlreelctl fleet lists' which backends only some of them see: their sources differ"
+	return "the proxies' sources differ: see with 'marlreelctl fleet lists' which backends are ready at only some of them"
 }
 
-// SocketError is an operators' socket that can't be served.
+// SocketError is a failure to serve the operators' socket.
 type SocketError struct {
 	Path string
 	Err  error
 }
 
 // Error implements error.
-func (e *SocketError) Error() string { return "the operators' socket " + e.Path + ": " + e.Err.Error() }
+func (e *SocketError) Error() string {
+	return "can't serve the operators' socket " + e.Path + ": " + e.Err.Error()
+}
 
 // Unwrap returns the cause.
 func (e *SocketError) Unwrap() error { return e.Err }
 
 // Advice implements actionable.Error.
 func (e *SocketError) Advice() string {
-	return "let fleet.dir be a folder that this proxy may write to, with a path of at most 90 characters"
+	return "set fleet.dir to a folder that this proxy may write to, with a path of at most 90 characters"
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -27,13 +27,13 @@
 	retryKeeperTicks   = 40
 )
 
-// maxEvents bounds what waits for the fleet's goroutine; whoever posts more waits.
+// maxEvents bounds the events that wait for the fleet's goroutine; post blocks beyond it.
 const maxEvents = 1024
 
-// Settings are what a proxy goes by.
+// Settings are the shared settings that a proxy has to apply.
 type Settings struct {
 	Sequence     uint64   // of the fleet's state that they come from
-	Versions     []uint64 // in force: the newest, and before it the previous one while that is being replaced; none: the fleet has not been heard yet
+	Versions     []uint64 // in force: the newest, and before it the previous one while that is being replaced; empty until the fleet's state is known
 	InForce      balancer.Config
 	WithoutLease balancer.Config // in force while the lease has expired
 }
@@ -44,11 +44,12 @@
 	ApplySettings(s Settings, done func(error))
 	// ExtendLease lets the lease on the settings in force run until a time on Now's clock.
 	ExtendLease(until time.Duration)
-	// ParseSettings reads a version's text, and adds what is this proxy's own.
+	// ParseSettings parses a version's text and adds this proxy's own settings.
 	ParseSettings(text string) (balancer.Config, error)
-	// StateChanged hands on the fleet's state, with what proxies learnt of backends that ended. It must not be modified.
+	// StateChanged passes on the fleet's state, with the backends that proxies reported as draining or gone. The state
+	// must not be modified.
 	StateChanged(s *agree.State)
-	// ReadyBackends calls done on any goroutine with the membership that this proxy goes by, and its ready backends.
+	// ReadyBackends calls done on any goroutine with the membership that this proxy uses, and its ready backends.
 	ReadyBackends(done func(membership agree.Lists, ready []string))
 }
 
@@ -56,7 +57,7 @@
 type Options struct {
 	Config
 	Proxy string // its name
-	File  string // the shared settings of its file
+	File  string // the text of the shared settings in its file
 	// Check returns an error that says why a text can't be the version after others.
 	Check func(before []string, text string) error
 	Host  Host
@@ -86,11 +87,11 @@
 	nextJoin     int // tick of the next attempt
 	nextDisk     int
 	leaseExpired bool
-	logged       map[string]bool // warnings that are not repeated until their cause is over
+	logged       map[string]bool // warnings that are not repeated until their cause has passed
 
 	fileText   string
 	fileHash   string
-	knownTexts []string     // of the versions that this process went by or heard of, the newest last
+	knownTexts []string     // of the versions known to this process, the newest last
 	applied    *agree.State // whose settings are in force
 	appliedAt  time.Time
 	applying   *agree.State // handed to the host, which has not applied it yet
@@ -99,13 +100,13 @@
 	lastRequest uint64
 
 	membership  agree.Lists
-	reports     []agree.Change // on the membership, that the fleet has not taken yet
+	reports     []agree.Change // on the membership, that are not in the fleet's state yet
 	staleSince  time.Time      // since when the membership has been below the revision floor
 	comparisons map[string]*comparison
 }
 
-// Start makes this proxy a member of its fleet. What fails for the moment (a port, a disk) is tried again and logged
-// once; the errors are those that can't pass: a *peers.KeyError or a *ConfigError.
+// Start makes this proxy a member of its fleet. Temporary failures (of a port or a disk) are retried and logged once;
+// returned errors are permanent: a *peers.KeyError or a *ConfigError.
 func Start(options Options) (*Fleet, error) {
 	key, err := peers.ReadKey(options.KeyFile)
 	if err != nil {
@@ -146,7 +147,7 @@
 	return f
 }
 
-// Close ends this proxy's membership. A lease that runs is not given back: it expires.
+// Close ends this proxy's membership of the fleet. Its lease is not released but expires.
 func (f *Fleet) Close() {
 	f.closing.Do(func() { close(f.stop) })
 	<-f.done
@@ -199,7 +200,7 @@
 	}
 }
 
-// retryResources tries again what could not be had yet.
+// retryResources retries joining the peers, opening the disk and starting the keeper, as far as that has failed so far.
 func (f *Fleet) retryResources() {
 	if f.peers == nil && f.ticks >= f.nextJoin {
 		f.join()
@@ -212,7 +213,7 @@
 	}
 }
 
-// noticeLease logs when the lease begins and when it expires.
+// noticeLease logs when this proxy gets a lease and when the lease expires.
 func (f *Fleet) noticeLease(now time.Duration) {
 	expired := !f.member.Valid(now)
 	if expired == f.leaseExpired {
@@ -220,10 +221,10 @@
 	}
 	f.leaseExpired = expired
 	if expired {
-		f.options.Log.Warn("the lease on the fleet's settings has run out: nothing that may have run goes again, until the keepers are heard", "event", "fleet-lease-lapsed", "state", f.member.Held())
+		f.options.Log.Warn("the lease on the fleet's settings has expired: requests that may have run are not retried until a keeper grants a new lease", "event", "fleet-lease-lapsed", "state", f.member.Held())
 		return
 	}
-	f.options.Log.Info("the fleet's settings are under a lease", "event", "fleet-lease", "state", f.member.Held())
+	f.options.Log.Info("this proxy has a lease on the fleet's settings", "event", "fleet-lease", "state", f.member.Held())
 }
 
 func (f *Fleet) warn(event string, err error) {
@@ -235,8 +236,8 @@
 	f.options.Log.Warn(err.Error(), "event", event)
 }
 
-// warnOnce logs a warning that is not repeated until its cause is over. The key is its event, and behind a space what
-// tells its causes apart.
+// warnOnce logs a warning that is not repeated until its cause has passed. The key is the event; text after a space
+// distinguishes causes.
 func (f *Fleet) warnOnce(key string, err error) {
 	if !f.logged[key] {
 		f.logged[key] = true
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -20,7 +20,7 @@
 	"marlreel/internal/stricttoml"
 )
 
-// testTimeout is ample on a machine that is busy with other tests.
+// testTimeout leaves enough time on a machine that is busy with other tests.
 const testTimeout = time.Minute
 
 // recordingHost is a proxy whose settings are a number of attempts.
@@ -55,7 +55,7 @@
 	done(agree.Lists{Source: "registry", Revision: 7}, h.ready)
 }
 
-// awaitInForce waits until versions alone are in force, and returns their settings.
+// awaitInForce waits until exactly the given versions are in force, and returns their settings.
 func (h *recordingHost) awaitInForce(ctx context.Context, t *testing.T, versions ...uint64) Settings {
 	t.Helper()
 	for {
@@ -80,7 +80,7 @@
 				return
 			}
 		case <-ctx.Done():
-			t.Fatal("the fleet's state did not come")
+			t.Fatal("the fleet's state did not fulfil the condition in time")
 		}
 	}
 }
@@ -117,9 +117,9 @@
 	return fleets, hosts
 }
 
-// Without a lease a proxy retries nothing that may have run; the fleet is founded with the file; a version that is
-// being taken is in force as far as both allow it; a stale base and a stale file are rejected; a rollback is a new
-// version.
+// Without a lease a proxy retries nothing that may have run; the file becomes the first version; while a version is
+// rolled out, what both it and its predecessor allow is in force; a stale base and a stale file are rejected; a rollback
+// is a new version.
 func TestVersionsComeIntoForceAtAllProxies(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
@@ -164,8 +164,8 @@
 	is.Equal(newest.Version, uint64(3))
 }
 
-// What a proxy reports of its membership reaches the fleet's state, and a comparison names the backends that only some
-// proxies have as ready.
+// A proxy's report on its membership reaches the fleet's state, and a comparison names the backends that are ready at
+// only some proxies.
 func TestMembershipsAreReportedAndCompared(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
@@ -184,12 +184,12 @@
 	}
 
 	comparison, err := fleets[1].CompareMemberships(ctx)
-	for err == nil && len(comparison.Proxies) < len(fleets) && ctx.Err() == nil { // not all have met yet
+	for err == nil && len(comparison.Proxies) < len(fleets) && ctx.Err() == nil { // some proxies do not know each other yet
 		comparison, err = fleets[1].CompareMemberships(ctx)
 	}
 	is.NoErr(err)
 	is.Equal(comparison.Proxies[0], ProxyMembership{Proxy: "n0", Source: "registry", Revision: 7, Ready: 2})
-	is.Equal(len(comparison.Partial), 3) // a0 is ready at all
+	is.Equal(len(comparison.Partial), 3) // all but a0, which is ready at all proxies
 	is.Equal(comparison.Partial[0], PartlyReadyBackend{Name: "an0", ReadyAt: []string{"n0"}, NotReadyAt: []string{"n1", "n2"}})
 }
 
--- a/internal/fleet/membershipreports.go
+++ b/internal/fleet/membershipreports.go
@@ -6,10 +6,12 @@
 	"marlreel/internal/fleet/agree"
 )
 
-// maxReports bounds the reports that the fleet has not taken yet; the oldest are dropped, as the newest say most.
+// maxReports bounds the reports that are not in the fleet's state yet. The oldest are dropped, as the newest have the
+// highest revisions.
 const maxReports = 64
 
-// ReportMembership tells the fleet which membership this proxy goes by, and which backends ended by it.
+// ReportMembership reports to the fleet which membership this proxy uses, and the backends that are draining or gone
+// according to it.
 func (f *Fleet) ReportMembership(membership agree.Lists, ends []agree.End) {
 	f.post(func() {
 		f.membership = membership
@@ -29,7 +31,7 @@
 	})
 }
 
-// resendReports sends what the fleet has not recorded yet again.
+// resendReports sends the reports again that the fleet has not recorded yet.
 func (f *Fleet) resendReports() {
 	if f.ticks%resendReportTicks == 0 {
 		for _, report := range f.reports {
@@ -39,7 +41,7 @@
 	f.reports = slices.DeleteFunc(f.reports, f.isRecorded)
 }
 
-// isRecorded tells whether the fleet's state has all of a report, or a newer history that makes it void.
+// isRecorded reports whether the fleet's state contains all of a report, or another history that makes it obsolete.
 func (f *Fleet) isRecorded(report agree.Change) bool {
 	state := f.member.View()
 	floor := state.Floors[report.Source]
@@ -54,8 +56,8 @@
 	return floor.Revision >= report.Floor.Revision
 }
 
-// ResetFloor tells the fleet that a source's revisions begin anew, as after a registry was restored from a backup. It
-// does not wait, and is lost while no leader is known.
+// ResetFloor tells the fleet that a source's revisions start again, as after a registry was restored from a backup. It
+// does not wait for an answer, and the request is lost if no leader is known.
 func (f *Fleet) ResetFloor(source string) {
 	f.post(func() { f.sendToLeader(&agree.Change{Kind: "reset", Source: source}) })
 }
--- a/internal/fleet/memberships.go
+++ b/internal/fleet/memberships.go
@@ -9,14 +9,14 @@
 	"marlreel/internal/fleet/agree"
 )
 
-// MembershipComparison tells which backends the proxies that answered have as ready.
+// MembershipComparison compares which backends are ready at the proxies that answered.
 type MembershipComparison struct {
 	Proxies      []ProxyMembership    `json:"proxies"`
-	Unresponsive []string             `json:"silent,omitempty"` // members of the fleet without an answer
+	Unresponsive []string             `json:"silent,omitempty"` // members of the fleet that did not answer
 	Partial      []PartlyReadyBackend `json:"partly,omitempty"`
 }
 
-// ProxyMembership is the membership that one proxy goes by.
+// ProxyMembership is the membership that one proxy uses.
 type ProxyMembership struct {
 	Proxy    string `json:"proxy"`
 	Source   string `json:"source"`
@@ -24,7 +24,7 @@
 	Ready    int    `json:"ready"` // backends
 }
 
-// PartlyReadyBackend is a backend that only some proxies have as ready.
+// PartlyReadyBackend is a backend that is ready at some proxies only.
 type PartlyReadyBackend struct {
 	Name       string   `json:"name"`
 	ReadyAt    []string `json:"seen_by"`
@@ -36,7 +36,7 @@
 	comparisonTimeout = 2 * time.Second
 )
 
-// comparison is a question to all proxies that waits for their answers. All but done belongs to the fleet's goroutine.
+// comparison collects the answers of all proxies to one question. All fields but done belong to the fleet's goroutine.
 type comparison struct {
 	id      string
 	asked   []string
@@ -44,8 +44,8 @@
 	done    chan struct{} // closed once all have answered
 }
 
-// CompareMemberships asks all proxies that are not gone which backends they have as ready, and waits two seconds at
-// most for their answers. Its error is *NoLeaderError: this proxy has not joined, is closed, or compares already.
+// CompareMemberships asks all proxies that are not gone which backends are ready there, and waits two seconds at most for
+// their answers. Its error is *NoLeaderError: this proxy has not joined, is closed, or has too many comparisons running.
 func (f *Fleet) CompareMemberships(ctx context.Context) (MembershipComparison, error) {
 	started := make(chan *comparison, 1)
 	f.post(func() { started <- f.startComparison() })
@@ -96,7 +96,7 @@
 	return c
 }
 
-// handleReadyBackends answers another proxy's question, or takes an answer to one of this proxy's.
+// handleReadyBackends answers a proxy's question, or records an answer to one of this proxy's.
 func (f *Fleet) handleReadyBackends(from string, message agree.Names) {
 	if message.Ask {
 		f.options.Host.ReadyBackends(func(membership agree.Lists, ready []string) {
@@ -117,7 +117,7 @@
 	}
 }
 
-// compare finds the backends that only some of those who answered have as ready.
+// compare finds the backends that are ready at only some of the proxies that answered.
 func compare(asked []string, answers map[string]agree.Names) MembershipComparison {
 	var c MembershipComparison
 	readyAt := map[string][]string{}
--- a/internal/fleet/messages.go
+++ b/internal/fleet/messages.go
@@ -10,8 +10,8 @@
 
 const eventNotJoined = "fleet-not-joined"
 
-// join lets peers reach this proxy. At an upgrade the previous process still has the port: this one goes by what it
-// may do without a lease until that process has ended.
+// join joins the peers. During an upgrade the previous process still has the port: until that process has ended, this one
+// runs without a lease.
 func (f *Fleet) join() {
 	p, err := peers.Join(peers.Config{
 		Fleet: f.options.Name, Name: f.options.Proxy, Listen: f.options.Listen, Peers: f.options.Peers, Key: f.key,
@@ -27,7 +27,7 @@
 	f.peers = p
 }
 
-// receive takes a message from a peer, on any goroutine.
+// receive handles a message from a peer, on any goroutine.
 func (f *Fleet) receive(from string, data []byte) {
 	message, err := agree.Decode(data)
 	f.post(func() {
@@ -50,7 +50,7 @@
 		return
 	case f.keeper != nil:
 		f.execute(f.keeper.Receive(now, from, message))
-	case message.Hello != nil: // no consensus member here: it has seen nothing of the sender
+	case message.Hello != nil: // this proxy is no consensus member and has seen nothing of the sender
 		f.send(from, agree.Message{Known: &agree.Known{To: message.Hello.ID, Life: message.Hello.Life}})
 	case message.Renew != nil:
 		f.send(from, agree.Message{Grant: &agree.Grant{N: message.Renew.N, Boot: message.Renew.Boot}})
@@ -62,7 +62,7 @@
 func (f *Fleet) send(to string, message agree.Message) {
 	if to == f.options.Proxy {
 		message.Form = agree.Form
-		select { // never blocks, as this goroutine is the one that reads it
+		select { // must not block, as this goroutine is the one that reads the events
 		case f.events <- func() { f.dispatch(to, message) }:
 		default:
 		}
--- a/internal/fleet/operatorsocket.go
+++ b/internal/fleet/operatorsocket.go
@@ -16,7 +16,7 @@
 	"marlreel/internal/actionable"
 )
 
-// SocketName is the file in the fleet's folder at which operators of this machine ask.
+// SocketName is the name of the operators' Unix socket in the fleet's folder.
 const SocketName = "fleet.sock"
 
 // ErrorReply is the body of an answer of the operators' socket that is not 200.
@@ -39,8 +39,8 @@
 	operatorKeepAliveTimeout = time.Second
 )
 
-// ServeOperators answers operators at a Unix socket that only this user may open, until ctx ends; without a folder it
-// returns at once. Whoever may change the settings of all proxies comes by it, and not by the platform's control
+// ServeOperators serves operators at a Unix socket that only this user may open, until ctx ends; without a folder it
+// returns at once. Changes to the settings of all proxies are accepted here only, and not at the platform's control
 // address. Its error is a *SocketError.
 func (f *Fleet) ServeOperators(ctx context.Context) error {
 	if f.options.Dir == "" {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// listenPrivately listens at a Unix socket that only this user may open, in the place of one that a previous process
+// listenPrivately listens at a Unix socket that only this user may open, replacing one that a previous process
 // left there. The file stays after Close, as a later process may have its own socket there by then.
 func listenPrivately(path string) (net.Listener, error) {
 	_ = os.Remove(path)
@@ -175,7 +175,7 @@
 		}
 		value = errorReply
 	}
-	_ = json.NewEncoder(w).Encode(value) // an operator who has gone needs no answer
+	_ = json.NewEncoder(w).Encode(value) // fails if the client has disconnected
 }
 
 // limitedListener accepts a connection once one of its slots is free.
--- a/internal/fleet/proposals.go
+++ b/internal/fleet/proposals.go
@@ -8,13 +8,13 @@
 	"marlreel/internal/fleet/agree"
 )
 
-// BaseNewest as the base of a proposal stands for the newest version that this proxy knows.
+// BaseNewest as the base of a proposal means the newest version that this proxy knows.
 const BaseNewest = ^uint64(0)
 
-// maxFoundingWait is how many ticks a file waits for the fleet's first version: three times agree-within.
+// maxFoundingWait is how many ticks ProposeFile waits for the fleet's first version: three times agree-within.
 const maxFoundingWait = 300
 
-// Propose puts settings to the fleet as the successor of a base version. If another version has been decided on that
+// Propose proposes settings to the fleet as the successor of a base version. If another version has been decided on that
 // base, it stands, and the error is a *RefusedError. The other error is *NoLeaderError: the proposal may still be
 // decided.
 func (f *Fleet) Propose(ctx context.Context, text, by, why string, base uint64) (agree.Result, error) {
@@ -26,9 +26,9 @@
 	})
 }
 
-// ProposeFile proposes this proxy's file, which was read again. A text that a newer version has replaced is not
-// proposed, and the error is a *StaleFileError: it is an old file more likely than a wish to go back. Other errors are
-// those of Propose.
+// ProposeFile proposes this proxy's file after it was read again. A text that a newer version has replaced is not
+// proposed, and the error is a *StaleFileError: the file is more likely outdated than meant as a rollback. Other errors
+// are those of Propose.
 func (f *Fleet) ProposeFile(ctx context.Context, text string) (agree.Result, error) {
 	hash := agree.Hash(text)
 	f.post(func() { f.fileText, f.fileHash = text, hash })
@@ -45,8 +45,8 @@
 	return f.Propose(ctx, text, f.options.Proxy, "the file at SIGHUP", BaseNewest)
 }
 
-// awaitFirstVersion returns the fleet's state once it has a version, or after maxFoundingWait as it is: while the fleet
-// is being founded its first version is under way, and would overtake a proposal.
+// awaitFirstVersion returns the fleet's state once it has a version, or after maxFoundingWait without one. While the
+// fleet is being founded, its first version may still be decided before a proposal, which would then be refused.
 func (f *Fleet) awaitFirstVersion(ctx context.Context) (*agree.State, error) {
 	states := make(chan *agree.State, 1)
 	for attempt := 0; ; attempt++ {
@@ -68,7 +68,7 @@
 	}
 }
 
-// proposeFirstVersion lets the consensus member that leads found the fleet's settings with this proxy's file.
+// proposeFirstVersion proposes this proxy's file as the fleet's first version while this proxy leads and there is none.
 func (f *Fleet) proposeFirstVersion(now time.Duration) {
 	if f.keeper == nil || !f.keeper.Leads() || !f.keeper.Complete() || f.ticks%foundTicks != 0 {
 		return
--- a/internal/fleet/requests.go
+++ b/internal/fleet/requests.go
@@ -20,10 +20,10 @@
 	reply    chan agree.Result // closed without a result at the deadline
 }
 
-// retryInterval is the time between two sendings of a request.
+// retryInterval is the time between two attempts to send a request.
 func (f *Fleet) retryInterval() time.Duration { return f.options.AgreeWithin.D() / 10 }
 
-// requestTimeout leaves the fleet time for an election and for a version that is being taken.
+// requestTimeout leaves the fleet time for an election and for the rollout of an earlier version.
 func (f *Fleet) requestTimeout() time.Duration {
 	return 3*f.options.AgreeWithin.D() + 5*time.Second
 }
@@ -34,7 +34,7 @@
 	return f.options.Proxy + "-" + strconv.FormatUint(f.cfg.Boot, 36) + "-" + strconv.FormatUint(f.lastRequest, 36)
 }
 
-// retryRequests sends each pending request whose turn it is to the leader, and ends those whose deadline has passed.
+// retryRequests sends each pending request that is due to the leader, and ends those whose deadline has passed.
 func (f *Fleet) retryRequests(now time.Duration) {
 	for id, request := range f.requests {
 		if now >= request.deadline {
@@ -54,7 +54,7 @@
 	if !pending {
 		return
 	}
-	if result.Refused == agree.Busy { // passes without anybody's doing
+	if result.Refused == agree.Busy { // temporary: retried
 		request.nextSend = Now() + f.retryInterval()
 		return
 	}
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -10,15 +10,17 @@
 	"marlreel/internal/fleet/transition"
 )
 
-// maxKnownTexts bounds the versions that the settings without a lease are made of.
+// maxKnownTexts bounds the versions that are combined into the settings without a lease.
 const maxKnownTexts = 4
 
-// InitialSettings returns the settings until the fleet has been heard, from those of this proxy's file. No lease runs.
+// InitialSettings returns the settings to use until the fleet's state is known, from those of this proxy's file. There is
+// no lease on them.
 func (f *Fleet) InitialSettings(file balancer.Config) Settings {
 	return Settings{InForce: file, WithoutLease: f.initialWithoutLease}
 }
 
-// rememberTexts keeps a state's versions: without a lease a proxy may do what all versions that it knows allow.
+// rememberTexts keeps the texts of a state's versions: without a lease a proxy may do only what all versions that it
+// knows allow.
 func (f *Fleet) rememberTexts(state *agree.State) {
 	for _, version := range state.Versions {
 		if version.Text != "" && !slices.Contains(f.knownTexts, version.Text) {
@@ -30,7 +32,7 @@
 	}
 }
 
-// settingsWithoutLease combines the known versions that this proxy can parse, and newer ones behind them.
+// settingsWithoutLease combines the known versions that this proxy can parse, followed by newer ones.
 func (f *Fleet) settingsWithoutLease(newer ...balancer.Config) balancer.Config {
 	var known []balancer.Config
 	for _, text := range f.knownTexts {
@@ -45,7 +47,8 @@
 	return transition.WithoutLease(known)
 }
 
-// adopt puts a state of the fleet in force. One whose settings this proxy can't parse is not: its lease expires then.
+// adopt puts a state of the fleet in force. If this proxy can't parse its settings, the previous ones stay and the lease
+// on them expires.
 func (f *Fleet) adopt(state *agree.State) {
 	f.rememberTexts(state)
 	if f.disk != nil {
@@ -56,7 +59,7 @@
 	f.options.Host.StateChanged(state)
 	newest, exists := state.Newest()
 	if !exists {
-		return // a lease would be of no use yet
+		return // there are no settings that a lease could cover
 	}
 	if f.applied != nil && f.applied.Born == state.Born && f.applied.Step == state.Step && f.applying == nil {
 		f.applied = state // with the same settings
@@ -95,7 +98,7 @@
 	return settings, nil
 }
 
-// settingsApplied takes the host's answer on the settings of a state.
+// settingsApplied handles the host's answer after it was given the settings of a state.
 func (f *Fleet) settingsApplied(state *agree.State, newest agree.Version, versions []uint64, err error) {
 	if f.applying == state {
 		f.applying = nil
@@ -114,7 +117,7 @@
 	f.publish()
 }
 
-// extendLease lets the host go by the lease on the settings in force, if it has not expired.
+// extendLease tells the host when the lease on the settings in force ends, unless it has expired.
 func (f *Fleet) extendLease() {
 	if f.member.Valid(Now()) {
 		f.options.Host.ExtendLease(f.member.Until())
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -21,17 +21,17 @@
 	LeaseRemaining  time.Duration  `json:"lease_ns"`   // 0 where it has expired
 	AppliedSequence uint64         `json:"held"`       // of the state in force here
 	LatestSequence  uint64         `json:"heard"`      // of the newest state known here
-	Leader          string         `json:"leader"`     // "" is not known
-	KeeperPhase     string         `json:"keeper"`     // of this proxy as a consensus member; "" is none
-	IsLeader        bool           `json:"leads"`      // this proxy leads
+	Leader          string         `json:"leader"`     // "" if not known
+	KeeperPhase     string         `json:"keeper"`     // of this proxy as a consensus member; "" if it is none
+	IsLeader        bool           `json:"leads"`      // this proxy is the leader
 	FileDiffers     bool           `json:"differs"`    // this proxy's file from the newest version
-	Membership      agree.Lists    `json:"list"`       // that this proxy goes by
-	RevisionsBehind int64          `json:"behind"`     // of that membership below the revision floor
+	Membership      agree.Lists    `json:"list"`       // that this proxy uses
+	RevisionsBehind int64          `json:"behind"`     // by which that membership is below the revision floor
 	Joined          bool           `json:"joined"`     // others can reach this proxy
 	NameTaken       bool           `json:"taken"`      // another process uses its name
 	SentBytes       int64          `json:"sent_bytes"` // to peers
 	Members         []peers.Member `json:"members"`
-	Holders         []agree.Holder `json:"holders,omitempty"` // at the leader: who may hold a lease, and on what
+	Holders         []agree.Holder `json:"holders,omitempty"` // at the leader: who may hold a lease, and on which state
 	Divergent       []string       `json:"apart,omitempty"`   // at the leader: whose membership differs from this proxy's at the same revision
 	State           *agree.State   `json:"view"`              // the newest known here
 }
@@ -40,7 +40,7 @@
 // and the result must not be modified.
 func (f *Fleet) Status() *Status { return f.status.Load() }
 
-// publish renews the status, and logs what it shows to be wrong.
+// publish updates the status, and warns of a stale membership and of memberships that diverge.
 func (f *Fleet) publish() {
 	s := f.currentStatus()
 	f.status.Store(s)
@@ -138,7 +138,7 @@
 		newest, flag(s.LeaseExpired), s.LeaseRemaining.Milliseconds(), flag(s.IsLeader), alive, s.RevisionsBehind)
 }
 
-// flag is a boolean as a gauge's value.
+// flag returns a boolean as a gauge's value.
 func flag(set bool) int {
 	if set {
 		return 1
--- a/internal/fleet/storage.go
+++ b/internal/fleet/storage.go
@@ -10,7 +10,7 @@
 
 const (
 	eventDiskFailed = "fleet-disk-failed"
-	never           = math.MaxInt // a tick that does not come
+	never           = math.MaxInt // a tick that is never reached
 )
 
 func (f *Fleet) openDisk() {
@@ -29,7 +29,7 @@
 	f.disk = d
 }
 
-// loadState returns the fleet's state that an earlier process heard last, or nil.
+// loadState returns the fleet's state that an earlier process stored last, or nil.
 func (f *Fleet) loadState() *agree.State {
 	if f.disk == nil {
 		return nil
@@ -41,7 +41,7 @@
 	return saved
 }
 
-// startKeeper makes this proxy a consensus member with what its disk holds.
+// startKeeper makes this proxy a consensus member with the content of its disk.
 func (f *Fleet) startKeeper() {
 	saved, err := f.disk.Load(f.random.Uint64()>>12 | 1)
 	if err == nil {
@@ -53,12 +53,12 @@
 	}
 	if f.logged[eventDiskFailed] {
 		f.logged[eventDiskFailed] = false
-		f.options.Log.Info("the keeper's disk takes what it is given again", "event", "fleet-disk-well")
+		f.options.Log.Info("the keeper's disk can be read and written again", "event", "fleet-disk-well")
 	}
 }
 
-// stopKeeper ends the consensus member until its disk can be loaded again: what it was about to send rests on what
-// could not be saved.
+// stopKeeper stops the consensus member until its disk can be loaded again: its unsent messages rely on data that could
+// not be saved.
 func (f *Fleet) stopKeeper(err error) {
 	f.keeper = nil
 	f.warnOnce(eventDiskFailed, err)
