--- a/internal/fleet/peers/compatibility_test.go
+++ b/internal/fleet/peers/compatibility_test.go
@@ -15,14 +15,14 @@
 	"marlreel/internal/testutil"
 )
 
-// What a proxy says of itself to the others, and how one of another fleet is told.
+// The metadata that a proxy announces to the others, by which a proxy of another fleet is recognized.
 func TestCompatibilityMeta(t *testing.T) {
 	started := time.Date(2026, 11, 30, 8, 15, 0, 250_000_000, time.UTC)
 	p := &Peers{cfg: Config{Fleet: "pier", Name: "n0", Boot: 77, Started: started, Refused: func(error) {}}, known: map[string]Member{}, said: map[string]bool{}}
 	compareRecorded(t, "meta.json", append(delegate{p}.NodeMeta(512), '\n'))
 }
 
-// A frame between peers is the sender's name with its length before it, and then the message.
+// A frame between peers is the length of the sender's name in one byte, the name, and the message.
 func TestCompatibilityFrame(t *testing.T) {
 	recorded, err := os.ReadFile(filepath.Join("testdata", "compatibility", "frames.txt"))
 	if err != nil {
@@ -40,7 +40,7 @@
 	compareRecorded(t, "frames-read.txt", []byte(got.String()))
 }
 
-// What is sent carries such a frame: a peer's datagram, here without a key, ends with it.
+// A datagram to a peer, here without a key, ends with such a frame.
 func TestCompatibilitySentFrame(t *testing.T) {
 	udp, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -69,7 +69,7 @@
 	}
 }
 
-// A key file is raw bytes, or hexadecimal digits: what can be read as digits is.
+// A key file holds raw bytes or hexadecimal digits. Bytes that can be read as digits are.
 func TestCompatibilityKeyFile(t *testing.T) {
 	raw := []byte("0123456789-key-0123456789-key-01")
 	for _, c := range []struct {
@@ -93,18 +93,18 @@
 		t.Fatal(err)
 	}
 	if key, err := ReadKey(path); err == nil {
-		t.Errorf("a key of 9 bytes is taken: %q", key)
+		t.Errorf("a key of 9 bytes was accepted: %q", key)
 	}
 }
 
-// The states of a member, as the JSON of the door has them.
+// The states of a member, as in the JSON of the status.
 func TestCompatibilityStates(t *testing.T) {
 	compareRecorded(t, "states.txt", []byte(strings.Join([]string{alive, suspect, gone}, "\n")+"\n"))
 }
 
-// The files under testdata/compatibility hold what the tree at commit 6fb9894 wrote. They stay as they are: a
-// difference is a change of a form that others read, not a reason to write them anew. The variable below wrote
-// them; it only makes files that are not there.
+// The files under testdata/compatibility were written by the code of commit 6fb9894. They must not be rewritten: a
+// difference means that a format has changed which other releases read. If this variable is set, missing files are
+// written; existing ones are never overwritten.
 const writeCompatibility = "MARLREEL_WRITE_COMPATIBILITY"
 
 // compareRecorded compares bytes with a recorded file.
--- a/internal/fleet/peers/peers.go
+++ b/internal/fleet/peers/peers.go
@@ -1,7 +1,7 @@
-// Package peers knows which proxies of a fleet there are, alive, suspect or gone, and carries words between them:
-// SWIM with Lifeguard's amendments, by github.com/hashicorp/memberlist. It owns the sockets, the key ring, the
-// members and the queues of what goes out. It never knows what the words mean, and nothing rests on what it says of
-// a member but whom to ask first.
+// Package peers tracks which proxies of a fleet are alive, suspect or gone, and carries messages between them. It uses
+// SWIM with the Lifeguard extensions, by github.com/hashicorp/memberlist. The package owns the sockets, the key ring, the
+// members and the send queues. It does not interpret messages. A member's state is only a hint on whom to ask first:
+// no safety property depends on it.
 package peers
 
 import (
@@ -18,44 +18,44 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Peer is a proxy by its name, and where this one reaches it.
+// Peer is a proxy: its name, and the address at which this proxy reaches it.
 type Peer struct {
 	Name    string `toml:"name"`
 	Address string `toml:"address"`
 }
 
-// Config says which fleet, and who this is.
+// Config describes this proxy and its fleet.
 type Config struct {
 	Fleet, Name, Listen string
 	Peers               []Peer
 	Key                 []byte // 16, 24 or 32 bytes
 	Boot                uint64 // of this process
 	Started             time.Time
-	Receive             func(from string, data []byte) // on goroutines of this package's; it must not block
-	Refused             func(error)                    // a peer was refused, or this process is; once for each reason
+	Receive             func(from string, data []byte) // called on goroutines of this package; must not block
+	Refused             func(error)                    // a peer or this process was refused; called once for each reason
 }
 
-// The figures of what goes out.
+// Limits of what is sent, and intervals between attempts to join.
 const (
-	mostDatagram = 1200 // bytes; what is longer goes by a stream
-	queued       = 64   // words to one peer that wait for a stream
+	mostDatagram = 1200 // longer messages are sent on a stream
+	queued       = 64   // messages to one peer that wait for a stream
 	mostQueues   = 512
-	joinEvery    = 2 * time.Second // while nobody is known
-	mostJoins    = 5               // peers asked in one go
+	joinEvery    = 2 * time.Second // while no other proxy is known
+	mostJoins    = 5               // peers asked in one attempt
 	rejoinEvery  = 15 * time.Second
 )
 
-// Member is a proxy as it is known here.
+// Member is a proxy as this one knows it.
 type Member struct {
 	Name    string    `json:"name"`
 	Address string    `json:"address"`
 	State   string    `json:"state"` // alive, suspect, gone
-	Boot    uint64    `json:"boot"`  // its process: another one is another incarnation
+	Boot    uint64    `json:"boot"`  // identifies its process: a restarted proxy has another one
 	Started time.Time `json:"started"`
-	Since   time.Time `json:"since"` // of the state, as seen here
+	Since   time.Time `json:"since"` // when this proxy learnt of the state
 }
 
-// Peers is this proxy among the others. Make it with Join.
+// Peers is this proxy's membership among its peers. Join creates one.
 type Peers struct {
 	cfg   Config
 	list  *memberlist.Memberlist
@@ -63,7 +63,7 @@
 	stop  chan struct{}
 	wg    sync.WaitGroup
 	mu    sync.Mutex
-	known map[string]Member // by name, as the library has told: its own records change under its lock
+	known map[string]Member // by name: a copy, as the library modifies its records under its own lock
 	out   map[string]chan []byte
 	said  map[string]bool
 	taken bool
@@ -75,7 +75,7 @@
 	Started int64  `json:"s"` // Unix milliseconds
 }
 
-// Join makes this proxy one of the fleet. It goes on looking for others by itself.
+// Join makes this proxy a member of the fleet, and keeps trying to reach missing peers in the background.
 func Join(cfg Config) (*Peers, error) {
 	table := map[string]string{}
 	for _, p := range cfg.Peers {
@@ -93,7 +93,7 @@
 	c.Delegate, c.Events, c.Conflict, c.Alive, c.Ping = delegate{p}, delegate{p}, delegate{p}, delegate{p}, delegate{p}
 	c.LogOutput = lines(p.hear)
 	c.TCPTimeout, c.PushPullInterval, c.GossipInterval, c.GossipNodes = 3*time.Second, 30*time.Second, 250*time.Millisecond, 3
-	c.DeadNodeReclaimTime = time.Second // a proxy that comes back elsewhere is the same one
+	c.DeadNodeReclaimTime = time.Second // a proxy may return with another address under its name
 	c.EnableCompression = false
 	if p.list, err = memberlist.Create(c); err != nil {
 		via.Shutdown()
@@ -103,7 +103,7 @@
 	return p, nil
 }
 
-// look joins whoever is not known, now and ever again.
+// look joins configured peers that are not known, at once and then periodically.
 func (p *Peers) look() {
 	for {
 		var missing []string
@@ -116,7 +116,8 @@
 				missing = append(missing, x.Name+"/"+x.Address)
 			}
 		}
-		// One that answers tells of all others. Danger: each of 300 that asks all 300 at once is no start but a storm.
+		// One peer that answers is enough, as it knows the others. Danger: 300 proxies that each ask all 300 at once
+		// would flood the network when a fleet starts.
 		rand.Shuffle(len(missing), func(i, j int) { missing[i], missing[j] = missing[j], missing[i] })
 		for _, m := range missing[:min(len(missing), mostJoins)] {
 			if p.closing() {
@@ -151,18 +152,18 @@
 	}
 }
 
-// refuse tells of a refusal, once for each reason.
+// refuse calls Config.Refused, once for each reason.
 func (p *Peers) refuse(reason string, err error) {
 	p.mu.Lock()
 	said := p.said[reason] || len(p.said) > 100
 	p.said[reason] = true
 	p.mu.Unlock()
 	if !said {
-		go p.cfg.Refused(err) // the library may hold its lock, and who is told may be waiting for that
+		go p.cfg.Refused(err) // on a goroutine, as the library may hold its lock, which the callee may wait for
 	}
 }
 
-// hear finds in the library's log what an operator has to know.
+// hear looks in the library's log lines for suspect members and refused peers, which it reports nowhere else.
 func (p *Peers) hear(line string) {
 	l := strings.ToLower(line)
 	from := ""
@@ -175,13 +176,13 @@
 	}
 	switch {
 	case strings.Contains(l, "decrypt"), strings.Contains(l, "no installed keys"), strings.Contains(l, "encryption"):
-		p.refuse("key "+from, &KeyError{"a peer speaks with another key: " + from})
+		p.refuse("key "+from, &KeyError{"a peer uses another key: " + from})
 	case strings.Contains(l, "label"):
 		p.refuse("label "+from, &OtherFleetError{from})
 	}
 }
 
-// Send hands a word to a peer, or lets it be where too many wait for it already. It does not block.
+// Send sends a message to a peer, or drops it if the peer is unknown or its queue is full. It does not block.
 func (p *Peers) Send(to string, data []byte) {
 	addr, known := p.via.table[to]
 	if !known {
@@ -205,7 +206,7 @@
 	frame := append(append([]byte{byte(len(p.cfg.Name))}, p.cfg.Name...), data...)
 	node := &memberlist.Node{Name: to, Addr: net.ParseIP(host), Port: uint16(n)}
 	if len(frame) <= mostDatagram {
-		p.list.SendBestEffort(node, frame) // lost is lost: what matters is asked again
+		p.list.SendBestEffort(node, frame) // may be lost: senders retry what they need answered
 		return
 	}
 	p.mu.Lock()
@@ -225,7 +226,7 @@
 	}
 }
 
-// drain sends what waits for one peer, and ends when nothing does.
+// drain sends the messages in the queue of one peer, and ends once it is empty.
 func (p *Peers) drain(to string, node *memberlist.Node, q chan []byte) {
 	for {
 		select {
@@ -246,16 +247,16 @@
 	}
 }
 
-// The states of a member.
+// States of a member. They are part of the status as JSON.
 const (
 	alive   = "alive"
-	suspect = "suspect" // this proxy's own probes get no answer
+	suspect = "suspect" // it does not answer this proxy's probes
 	gone    = "gone"
 )
 
 const mostKnown = 2048
 
-// Members are all that are known, by name, this one among them.
+// Members returns all known members, including this proxy, sorted by name.
 func (p *Peers) Members() []Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -267,8 +268,8 @@
 	return all
 }
 
-// note takes what the library tells of a node, which it does with its lock held: our own is never held while it is
-// asked, or each would wait for the other for good.
+// note records a node's state. The library calls it with its lock held, so p.mu must never be held in a call to the
+// library, or both could deadlock.
 func (p *Peers) note(n *memberlist.Node, state string) {
 	var m meta
 	json.Unmarshal(n.Meta, &m)
@@ -285,7 +286,7 @@
 	p.known[n.Name] = Member{Name: n.Name, Address: n.Address(), State: state, Boot: m.Boot, Started: time.UnixMilli(m.Started), Since: since}
 }
 
-// change moves a member from one state to another.
+// change moves a member from one state to another, if it is in the first.
 func (p *Peers) change(name, from, to string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -295,10 +296,10 @@
 	}
 }
 
-// Sent is how many bytes have gone out.
+// Sent returns how many bytes have been sent.
 func (p *Peers) Sent() int64 { return p.via.sent.Load() }
 
-// Close leaves the fleet: the others are told, as far as that goes at once.
+// Close leaves the fleet. It spends at most 100 ms on telling the others.
 func (p *Peers) Close() {
 	p.mu.Lock()
 	select {
@@ -314,7 +315,7 @@
 	p.wg.Wait()
 }
 
-// delegate is what the library calls.
+// delegate implements the library's callbacks.
 type delegate struct{ *Peers }
 
 func (d delegate) NodeMeta(int) []byte {
@@ -343,12 +344,12 @@
 
 func (delegate) AckPayload() []byte { return nil }
 
-// NotifyPingComplete tells of an answer to a probe.
+// NotifyPingComplete is called when a node has answered a probe.
 func (d delegate) NotifyPingComplete(n *memberlist.Node, _ time.Duration, _ []byte) {
 	d.change(n.Name, suspect, alive)
 }
 
-// NotifyAlive keeps other fleets' proxies out.
+// NotifyAlive rejects proxies of other fleets.
 func (d delegate) NotifyAlive(n *memberlist.Node) error {
 	var m meta
 	if err := json.Unmarshal(n.Meta, &m); err != nil || m.Fleet != d.cfg.Fleet {
@@ -359,7 +360,7 @@
 	return nil
 }
 
-// NotifyConflict tells of two that use one name. The one that started later is refused.
+// NotifyConflict is called when two processes use one name. The one that started later is refused.
 func (d delegate) NotifyConflict(existing, other *memberlist.Node) {
 	err := &NameTakenError{Name: other.Name, Here: existing.Address(), There: other.Address()}
 	var m meta
@@ -373,7 +374,7 @@
 	d.refuse("name "+other.Name+other.Address(), err)
 }
 
-// Taken tells whether this process uses a name that another has.
+// Taken reports whether this process is refused because another one uses its name.
 func (p *Peers) Taken() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -394,24 +395,26 @@
 	if memberlist.ValidateKey(data) == nil {
 		return data, nil
 	}
-	return nil, &KeyError{fmt.Sprintf("%s: 16, 24 or 32 bytes are needed, raw or in hexadecimal", path)}
+	return nil, &KeyError{fmt.Sprintf("%s: a key of 16, 24 or 32 bytes is needed, raw or in hexadecimal", path)}
 }
 
-// ListenError is an address at which peers can't be heard.
+// ListenError is a failure to listen for peers at an address.
 type ListenError struct {
 	Address string
 	Err     error
 }
 
-func (e *ListenError) Error() string { return fmt.Sprintf("fleet.listen %s: %v", e.Address, e.Err) }
+func (e *ListenError) Error() string {
+	return fmt.Sprintf("can't listen at fleet.listen %s: %v", e.Address, e.Err)
+}
 func (e *ListenError) Unwrap() error { return e.Err }
 
 // Advice says what an operator can do.
 func (e *ListenError) Advice() string {
-	return "give fleet.listen a TCP and UDP port of this machine that nothing else uses"
+	return "set fleet.listen to an address of this machine with a TCP and UDP port that no other process uses"
 }
 
-// KeyError is a key that can't be used, or a peer that speaks with another.
+// KeyError is a key that can't be used, or a peer that uses another key.
 type KeyError struct{ Reason string }
 
 func (e *KeyError) Error() string { return "fleet.key-file: " + e.Reason }
@@ -426,14 +429,14 @@
 
 // Advice says what an operator can do.
 func (e *OtherFleetError) Advice() string {
-	return "look at fleet.name and fleet.peers of both: a fleet's proxies name one another only"
+	return "compare fleet.name and fleet.peers of both proxies: fleet.peers must list only proxies of the same fleet"
 }
 
-// PeerClosedError is a peer that was reached and ended the talk.
+// PeerClosedError is a peer that closed the connection during a join.
 type PeerClosedError struct{ Peer string }
 
 func (e *PeerClosedError) Error() string {
-	return "the peer " + e.Peer + " was reached and ended the talk"
+	return "the peer " + e.Peer + " closed the connection when this proxy tried to join"
 }
 
 // Advice says what an operator can do.
@@ -449,12 +452,12 @@
 
 func (e *NameTakenError) Error() string {
 	if e.Mine {
-		return fmt.Sprintf("the name %s is used by another proxy, at %s: this one is no part of the fleet", e.Name, e.There)
+		return fmt.Sprintf("the name %s is used by another proxy, at %s: this proxy is refused by the fleet", e.Name, e.There)
 	}
-	return fmt.Sprintf("the name %s is used twice, at %s and at %s: the later one is refused", e.Name, e.Here, e.There)
+	return fmt.Sprintf("the name %s is used twice, at %s and at %s: the proxy that started later is refused", e.Name, e.Here, e.There)
 }
 
 // Advice says what an operator can do.
 func (e *NameTakenError) Advice() string {
-	return "give each proxy a name of its own (NODE_NAME, or name in its configuration)"
+	return "give each proxy a unique name (NODE_NAME, or name in its configuration)"
 }
--- a/internal/fleet/peers/transport.go
+++ b/internal/fleet/peers/transport.go
@@ -10,11 +10,11 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// mostStreams bounds the streams that others open here, and with it their descriptors.
+// mostStreams bounds the streams that others open to this proxy, and so the file descriptors.
 const mostStreams = 24
 
-// transport is one UDP socket and one TCP listener. It finds peers by their names: the address at which one proxy
-// reaches another may differ from the one that the other tells of itself.
+// transport is one UDP socket and one TCP listener. It looks up the addresses of peers by their names, as the address at
+// which this proxy reaches a peer may differ from the one that the peer advertises.
 type transport struct {
 	udp     *net.UDPConn
 	tcp     net.Listener
@@ -57,7 +57,7 @@
 			select {
 			case <-t.done:
 				return
-			case <-time.After(time.Millisecond): // an ICMP word on an earlier datagram, say
+			case <-time.After(time.Millisecond): // for example an ICMP error caused by an earlier datagram
 				continue
 			}
 		}
@@ -79,7 +79,7 @@
 			select {
 			case <-t.done:
 				return
-			case <-time.After(5 * time.Millisecond): // it may be descriptors that are short
+			case <-time.After(5 * time.Millisecond): // probably too many open file descriptors
 				continue
 			}
 		}
@@ -97,7 +97,7 @@
 	}
 }
 
-// stream gives its place back when it is closed.
+// stream decrements transport.open when it is closed.
 type stream struct {
 	net.Conn
 	of   *transport
@@ -109,7 +109,7 @@
 	return s.Conn.Close()
 }
 
-// find is where a peer is reached.
+// find returns the configured address of a peer, or the advertised one if there is none.
 func (t *transport) find(a memberlist.Address) string {
 	if at, there := t.table[a.Name]; there {
 		return at
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// lines hands the library's log on, line by line, to who knows what in it matters.
+// lines is an io.Writer that passes the library's log to a function, line by line.
 type lines func(line string)
 
 func (l lines) Write(p []byte) (int, error) {
