--- a/internal/fleet/agree/compatibility_sent_test.go
+++ b/internal/fleet/agree/compatibility_sent_test.go
@@ -11,7 +11,7 @@
 	"marlreel/internal/testing/recorded"
 )
 
-// compatibilityState is a state with all its keys.
+// compatibilityState returns a state that has all keys when encoded.
 func compatibilityState() *State {
 	at := time.Date(2026, 11, 30, 8, 15, 0, 250_000_000, time.UTC)
 	return &State{
@@ -23,7 +23,7 @@
 	}
 }
 
-// Each message between the proxies of a fleet is the recorded bytes, and is read again as what it is.
+// Each message between the proxies of a fleet is encoded as the recorded bytes, which are decoded and encoded to the same.
 func TestCompatibilityMessages(t *testing.T) {
 	at := time.Date(2026, 11, 30, 8, 15, 0, 250_000_000, time.UTC)
 	var got strings.Builder
@@ -76,12 +76,12 @@
 		}
 	}
 	if _, err := Decode([]byte(`{"f":2,"invite":true}`)); err == nil {
-		t.Error("a message of form 2 is read")
+		t.Error("a message of form 2 was decoded without an error")
 	}
 }
 
-// The changes of the log, in order, make the recorded state: two versions of this program side by side must
-// come to the same one. A settings text's hash is part of it.
+// Applying the changes in order gives the recorded results and states: keepers of two releases side by side must come to
+// the same state. The hash of a version's text is part of it.
 func TestCompatibilityApply(t *testing.T) {
 	at := time.Date(2026, 11, 30, 8, 15, 0, 0, time.UTC)
 	s := &State{Born: 7, Floors: map[string]Floor{}}
--- a/internal/fleet/agree/compatibility_test.go
+++ b/internal/fleet/agree/compatibility_test.go
@@ -14,7 +14,7 @@
 // The files under testdata/compatibility were written by the code of commit 6fb9894: the state of a fleet before some
 // changes, the changes as they stand in the log, one a line, and the state after each of them, one a line. They must not
 // be written again to make a test pass: where this test fails, keepers of two versions come to different states from one
-// log. The disk that holds such states and changes is looked at by the like test of package disk.
+// log. The stored disk with such states and changes is checked by the corresponding test of package disk.
 //
 // A file that is missing is written by
 //
@@ -102,7 +102,7 @@
 		}
 	}
 
-	// The end of it, field by field.
+	// The last state, field by field.
 	want := storedBefore()
 	want.Seq, want.Step, want.Open = 46, 43, 4
 	want.Versions = append(want.Versions, Version{
@@ -121,7 +121,7 @@
 	}
 }
 
-// TestCompatibilityOfHashes compares the names of versions' texts, which are stored with them.
+// TestCompatibilityOfHashes compares the hashes of versions' texts, which are stored with them.
 func TestCompatibilityOfHashes(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"an object", `{"limits":{"tenant-a":5,"tenant-b":9}}`, "e1e512be1dc68be2"},
@@ -145,7 +145,7 @@
 	return s
 }
 
-// encodeLine gives the JSON of a value, as it is stored, and the end of a line.
+// encodeLine returns the JSON of a value as it is stored, and a newline.
 func encodeLine(t *testing.T, value any) []byte {
 	t.Helper()
 	data, err := json.Marshal(value)
@@ -169,7 +169,7 @@
 	return strings.Split(strings.TrimSuffix(string(readStored(t, name)), "\n"), "\n")
 }
 
-// writeMissingFiles writes the files that are missing, if that is asked for.
+// writeMissingFiles writes the missing files if writeVariable is set.
 func writeMissingFiles(t *testing.T) {
 	t.Helper()
 	if os.Getenv(writeVariable) == "" {
--- a/internal/fleet/agree/disk_test.go
+++ b/internal/fleet/agree/disk_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// founded is a fleet of three keepers that has decided its first version.
+// founded returns a fleet of three keepers that has decided its first version.
 func founded(t *testing.T, seed uint64) *sim {
 	t.Helper()
 	s := newSim(seed, 3, 3)
@@ -31,38 +31,38 @@
 	s.send(by, Send{by.member.Target(), Message{Propose: &Change{Kind: "propose", ID: fmt.Sprint("d", n), Base: by.member.View().latest(), Text: fmt.Sprintf(`{"d":%d}`, n), By: by.name}}})
 }
 
-// A keeper whose disk was set back must not speak for what it said since: with it and one that was away there is a
-// majority that has lost what was decided.
+// A keeper whose disk was restored from an old copy must not vote: with a keeper that was down it would form a majority
+// that has lost a decided version.
 func TestDiskSetBack(t *testing.T) {
 	for seed := range uint64(20) {
 		s := founded(t, seed)
 		b, c := s.procs[1], s.procs[2]
 		s.run(s.now + 2*within)
 		old := b.disk
-		c.dead = true // it is away while the others decide
+		c.down = true // it is down while the others decide
 		s.propose(s.procs[0], int(seed))
 		s.run(s.now + 2*within)
 		if s.procs[0].keeper.View().latest() != 2 {
 			t.Fatalf("seed %d: version 2 is not decided", seed)
 		}
-		b.dead = true
+		b.down = true
 		b.disk = old
 		s.run(s.now + time.Second)
 		b.start() // its disk is from before version 2
 		s.run(s.now + 2*time.Second)
-		s.procs[0].dead = true
+		s.procs[0].down = true
 		c.start()
 		s.run(s.now + 3*within)
 		for _, p := range []*proc{b, c} {
 			if p.keeper != nil && p.keeper.Leads() {
-				t.Fatalf("seed %d: %s leads with a log that has lost version 2", seed, p.name)
+				t.Fatalf("seed %d: %s is the leader with a log that has lost version 2", seed, p.name)
 			}
 		}
 	}
 }
 
-// A keeper that could not keep an entry must not have acknowledged it: it dies with its disk full, comes back, and
-// with one that was away must not make a majority that has lost what was decided.
+// A keeper that failed to store an entry must not acknowledge it: otherwise it stops as its disk is full, restarts, and
+// with a keeper that was down forms a majority that has lost a decided version.
 func TestDiskThatFails(t *testing.T) {
 	for seed := range uint64(20) {
 		s := founded(t, seed)
@@ -71,18 +71,19 @@
 		if !a.keeper.Leads() {
 			continue
 		}
-		c.dead = true
+		c.down = true
 		b.full = true
 		s.propose(a, int(seed))
 		s.run(s.now + within)
 		if a.keeper.View().latest() == 2 {
-			t.Fatalf("seed %d: version 2 is decided, and only one keeper has it on its disk", seed)
+			t.Fatalf("seed %d: version 2 is decided, but only one keeper has it on its disk", seed)
 		}
 	}
 }
 
-// One that led, was stopped, and wakes up cut off from the other keepers, grants nothing to a member that still asks it.
-func TestWokenLeaderGrantsNothing(t *testing.T) {
+// A leader that was stopped and resumes while partitioned from the other keepers grants no lease to a member that still
+// asks it.
+func TestPartitionedLeaderGrantsNothing(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newSim(seed, 5, 3)
 		s.run(4 * time.Second)
@@ -98,18 +99,18 @@
 		}
 		old.frozen = true
 		s.run(s.now + time.Second)
-		for n := range 40 { // until the two that are left have one who leads, and it decides
+		for n := range 40 { // until the two remaining keepers have elected a leader that decides
 			if s.procs[3].member.View().latest() >= 2 {
 				break
 			}
 			s.propose(s.procs[3], int(seed)*100+n)
 			s.run(s.now + 500*time.Millisecond)
 		}
-		s.run(s.now + 2*within) // it is long decided
+		s.run(s.now + 2*within) // longer than any lease on the replaced state lasts
 		if s.procs[3].member.View().latest() < 2 {
 			t.Fatalf("seed %d: nothing was decided while the leader was stopped", seed)
 		}
-		for range 100 { // it wakes at different moments of the member's asking
+		for range 100 { // it resumes at different times relative to the member's renewals
 			old.thaw()
 			s.run(s.now + 13*time.Millisecond)
 			old.frozen = true
@@ -121,12 +122,12 @@
 	}
 }
 
-// However fast versions are proposed, two neighbouring ones at most are in use.
-func TestVersionsFollowOneAnother(t *testing.T) {
+// However fast versions are proposed, at most two consecutive ones are in use.
+func TestAtMostTwoVersionsInUse(t *testing.T) {
 	for seed := range uint64(10) {
 		s := newSim(seed, 9, 3)
 		s.run(4 * time.Second)
-		s.slow = 400 * time.Millisecond
+		s.extraDelay = 400 * time.Millisecond
 		for n := range 400 {
 			s.propose(s.procs[3+n%6], int(seed)*1000+n)
 			s.run(s.now + 60*time.Millisecond)
@@ -135,43 +136,43 @@
 			t.Fatalf("seed %d: %s", seed, s.broken)
 		}
 		if n := s.procs[0].keeper.View().latest(); n < 4 {
-			t.Fatalf("seed %d: %d versions were decided: nothing is shown", seed, n)
+			t.Fatalf("seed %d: only %d versions were decided: the test shows nothing", seed, n)
 		}
 	}
 }
 
-// Who counts its leases by another time than the keepers gets none.
-func TestAnotherWithinGetsNoLease(t *testing.T) {
+// A member whose agree-within differs from the keepers' gets no lease.
+func TestMemberWithOtherWithinGetsNoLease(t *testing.T) {
 	s := newSim(5, 5, 3)
 	odd := s.procs[4]
 	odd.cfg.Within = 4 * within
-	odd.dead = true
+	odd.down = true
 	s.run(time.Second)
 	odd.start()
 	for range 200 {
 		s.run(s.now + 100*time.Millisecond)
 		if odd.member.Valid(odd.clock()) {
-			t.Fatal("it has a lease")
+			t.Fatal("the member with another agree-within has a lease")
 		}
 	}
 	if !s.procs[3].member.Valid(s.procs[3].clock()) || s.broken != "" {
-		t.Error("and the others have none", s.broken)
+		t.Error("the member with the same agree-within has no lease:", s.broken)
 	}
 }
 
-// All keepers are gone for ten minutes. Nobody goes by a lease meanwhile; when they are back, all agree again.
-func TestKeepersGoneForTenMinutes(t *testing.T) {
+// While all keepers are down for ten minutes, no proxy has a lease; once they are back, all proxies agree again.
+func TestKeepersDownForTenMinutes(t *testing.T) {
 	s := newSim(3, 30, 3)
 	s.run(6 * time.Second)
 	s.propose(s.procs[20], 1)
 	s.run(s.now + 2*within)
 	for _, k := range s.procs[:3] {
-		k.dead = true
+		k.down = true
 	}
 	s.run(s.now + within)
 	leased := func() (n int) {
 		for _, p := range s.procs {
-			if !p.dead && p.member.Valid(p.clock()) {
+			if !p.down && p.member.Valid(p.clock()) {
 				n++
 			}
 		}
@@ -180,7 +181,7 @@
 	for range 60 {
 		s.run(s.now + 10*time.Second)
 		if n := leased(); n != 0 {
-			t.Fatalf("%d processes have a lease, and there is nobody to grant one", n)
+			t.Fatalf("%d processes have a lease while all keepers are down", n)
 		}
 	}
 	for _, k := range s.procs[:3] {
@@ -194,8 +195,8 @@
 	}
 }
 
-// How soon 300 proxies go by a new version, and for how long any went by what had been replaced, by the fault.
-// MARLREEL_MEASURE=1 plays it.
+// TestMeasureSimulated prints how soon up to 300 proxies use a new version, and by kind of fault for how long any proxy
+// used a replaced state. It runs if MARLREEL_MEASURE is 1.
 func TestMeasureSimulated(t *testing.T) {
 	if os.Getenv("MARLREEL_MEASURE") == "" {
 		t.Skip("MARLREEL_MEASURE is not set")
--- a/internal/fleet/agree/fuzz_test.go
+++ b/internal/fleet/agree/fuzz_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Whatever bytes come, and whoever they say they are from, no machine gives up.
+// No message makes a keeper or a member panic, whatever its bytes and its sender.
 func FuzzReceive(f *testing.F) {
 	f.Add([]byte(`{"f":1,"renew":{"n":1,"boot":3}}`), byte(0))
 	f.Add([]byte(`{"f":1,"grant":{"n":1,"boot":9,"seq":7,"state":{"born":1,"seq":7,"versions":[{"number":2}]}}}`), byte(1))
--- a/internal/fleet/agree/keeper.go
+++ b/internal/fleet/agree/keeper.go
@@ -15,38 +15,38 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The figures of the log, in ticks and entries.
+// Timeouts in ticks, and limits.
 const (
-	electionTicks  = 10 // a keeper that hears nothing for so long, and up to as long again, wants to lead
+	electionTicks  = 10 // a keeper campaigns after one to two times this without a message from the leader
 	heartbeatTicks = 2
 	helloTicks     = 10
-	checkTicks     = 8    // for the other keepers' word on a proposal
-	proveTicks     = 20   // that a keeper waits for those who don't answer, once enough have
-	keptEntries    = 200  // behind a snapshot
-	mostPending    = 1024 // renewals, proposals and told lists that wait
+	checkTicks     = 8    // to wait for all other keepers' verdicts on a proposal
+	proveTicks     = 20   // to wait for the rest of the answers to a Hello, once enough have come
+	keptEntries    = 200  // log entries kept before a snapshot
+	maxPending     = 1024 // waiting renewals, and waiting reports on lists
 )
 
-// Saved is what a keeper's disk holds.
+// Saved is the content of a keeper's disk.
 type Saved struct {
 	ID, Life uint64
 	Hard     *pb.HardState
 	Snapshot *pb.Snapshot
 	Entries  []*pb.Entry
-	Lives    map[uint64]Lived // of other keepers, as far as they have shown them
+	Lives    map[uint64]Lived // the highest seen of other keepers' disks, by identity
 }
 
-// Lived is a life of a keeper's disk, and the process that had it: a disk that is set back comes to the same number
-// with another.
+// Lived is a life of a keeper's disk and the process that had it. A disk that was restored from a copy reaches the same
+// life again, but with another process.
 type Lived struct{ Life, Boot uint64 }
 
-// Save is to be on the disk, synced, before any later action is carried out. Where that fails the host ends the
-// keeper: nothing of it may be sent.
+// Save writes to the disk. It has to be synced before any later action is executed. If that fails, the host stops the
+// keeper and must send none of its later messages.
 type Save struct {
 	Hard     *pb.HardState
-	Snapshot *pb.Snapshot // in the place of all before it
-	Entries  []*pb.Entry  // from the first one's place on they replace what is there
+	Snapshot *pb.Snapshot // replaces the log up to it
+	Entries  []*pb.Entry  // replace the stored entries from the index of the first one on
 	Lives    map[uint64]Lived
-	Reset    bool // all that the disk holds is another's: begin anew under ID
+	Reset    bool // discard the identity and log on the disk, and start empty under ID
 	ID, Life uint64
 }
 
@@ -55,12 +55,12 @@
 type phase uint8
 
 const (
-	empty   phase = iota // its disk holds nothing: it waits to be taken in, or founds the fleet with the others
-	proving              // its disk may be old: it asks
-	live
+	empty   phase = iota // its disk has no log: it waits to be added, or to found the fleet with the others
+	proving              // its disk may be outdated: it asks the other keepers
+	live                 // it takes part in consensus
 )
 
-// Keeper is a process that keeps the log.
+// Keeper is a proxy's part in consensus: it holds the log and may be elected leader.
 type Keeper struct {
 	cfg   Config
 	phase phase
@@ -73,49 +73,49 @@
 	now   time.Duration
 	acts  []Action
 
-	applied uint64
-	conf    *pb.ConfState
-	ticks   int
-	begun   int // tick at which this phase began
-	quiet   int // ticks since the one that leads was heard
-	patient int // after how many of them this one wants to lead
-
-	names map[uint64]string // of identities
-	lives map[uint64]Lived  // the highest life seen of other keepers
-	marks map[uint64]mark   // how far they have been seen
-	heard map[string]Known  // answers to this phase's Hello
-	seen  map[string]Hello  // of keepers with an empty disk
-	apart map[string]bool   // who was told that its agree-within differs
-
-	leads     bool
-	office    time.Duration // since when
-	renewals  []renewal
-	reads     map[uint64][]renewal
-	lastRead  uint64
-	holders   map[uint64]holder // by process
-	stepped   time.Duration     // when a version was decided or opened last, as it was applied here
-	opens     uint64            // the version whose opening is proposed
-	pending   map[string]pending
-	waiting   []Change // told lists
-	telling   bool     // one is proposed and not decided
-	seats     []seatAsk
-	seatedAt  int  // tick at which a seat was proposed last
-	reseated  bool // the keepers have changed since the last snapshot
-	saidEmpty bool
-}
-
-type mark struct{ term, last uint64 }
+	applied          uint64
+	conf             *pb.ConfState
+	ticks            int
+	phaseStart       int // tick at which this phase started
+	ticksSinceLeader int // ticks since the last message from a leader
+	electionTimeout  int // the number of such ticks after which this keeper campaigns
+
+	names          map[uint64]string      // by identity
+	lives          map[uint64]Lived       // the highest life seen of other keepers, by identity
+	positions      map[uint64]logPosition // the highest log position seen of other keepers, by identity
+	helloAnswers   map[string]Known       // answers to this phase's Hello, by name
+	emptyKeepers   map[string]Hello       // from keepers with an empty disk, by name
+	withinMismatch map[string]bool        // members whose different agree-within has been logged
+
+	leads              bool
+	leaderSince        time.Duration // since when this keeper has led
+	renewals           []renewal
+	reads              map[uint64][]renewal
+	lastRead           uint64
+	holders            map[uint64]holder // by Boot
+	lastStep           time.Duration     // when the last decision or opening of a version was applied here
+	openProposed       uint64            // the version whose opening has been proposed
+	pending            map[string]pending
+	listChanges        []Change // reports on lists that wait to be proposed
+	listChangeInFlight bool     // a report has been proposed and not decided
+	seatRequests       []seatAsk
+	lastSeatTick       int  // tick of the last proposal to add a keeper
+	reseated           bool // the keepers have changed since the last snapshot
+	loggedEmpty        bool
+}
+
+type logPosition struct{ term, last uint64 }
 
 type renewal struct {
 	from  string
 	renew Renew
-	read  string // in place of a renewal: the question that is to be answered with the newest version
+	read  string // if set, this is a question for the newest version with this ID, and no renewal
 }
 
 // holder is a process that may hold a lease.
 type holder struct {
 	name  string
-	held  uint64 // the state that it goes by
+	held  uint64 // Seq of the state in force there
 	until time.Duration
 	lists Lists
 }
@@ -134,15 +134,15 @@
 	at   int
 }
 
-// NewKeeper makes a keeper of what its disk holds. saved.ID must be set: a new disk is given one that nobody has.
+// NewKeeper returns a keeper with the content of its disk. saved.ID must be set; for a new disk it must be unique.
 func NewKeeper(cfg Config, now time.Duration, saved Saved) (*Keeper, error) {
 	k := &Keeper{
 		cfg: cfg, id: saved.ID, life: saved.Life, now: now, rng: rand.New(rand.NewPCG(cfg.Seed, saved.ID^saved.Life)),
-		state: &State{Floors: map[string]Floor{}}, names: map[uint64]string{}, lives: map[uint64]Lived{}, marks: map[uint64]mark{},
-		heard: map[string]Known{}, seen: map[string]Hello{}, reads: map[uint64][]renewal{}, holders: map[uint64]holder{}, pending: map[string]pending{},
+		state: &State{Floors: map[string]Floor{}}, names: map[uint64]string{}, lives: map[uint64]Lived{}, positions: map[uint64]logPosition{},
+		helloAnswers: map[string]Known{}, emptyKeepers: map[string]Hello{}, reads: map[uint64][]renewal{}, holders: map[uint64]holder{}, pending: map[string]pending{},
 	}
 	maps.Copy(k.lives, saved.Lives)
-	k.apart = map[string]bool{}
+	k.withinMismatch = map[string]bool{}
 	if saved.Snapshot == nil && len(saved.Entries) == 0 && saved.Hard == nil {
 		return k, nil
 	}
@@ -150,7 +150,7 @@
 	return k, k.load(saved)
 }
 
-// load readies the log out of a disk.
+// load restores the log from the content of a disk.
 func (k *Keeper) load(saved Saved) error {
 	k.store = raft.NewMemoryStorage()
 	if saved.Snapshot != nil {
@@ -167,11 +167,11 @@
 	if err := k.store.Append(saved.Entries); err != nil {
 		return &DiskError{Reason: err.Error()}
 	}
-	return k.run()
+	return k.startRaft()
 }
 
-// run makes the consensus's own machine.
-func (k *Keeper) run() (err error) {
+// startRaft creates the raft node.
+func (k *Keeper) startRaft() (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = &DiskError{Reason: fmt.Sprint(p)}
@@ -189,24 +189,26 @@
 	if _, c, err := k.store.InitialState(); err == nil && c != nil {
 		k.conf = c
 	}
-	k.calm()
+	k.resetElectionTimer()
 	return nil
 }
 
-// calm begins anew to wait for the one that leads.
-func (k *Keeper) calm() { k.quiet, k.patient = 0, electionTicks+k.rng.IntN(electionTicks) }
+// resetElectionTimer restarts the election timer with a random timeout.
+func (k *Keeper) resetElectionTimer() {
+	k.ticksSinceLeader, k.electionTimeout = 0, electionTicks+k.rng.IntN(electionTicks)
+}
 
-// restore takes a snapshot's state.
+// restore replaces the state by that of a snapshot.
 func (k *Keeper) restore(s *pb.Snapshot) error {
 	st := &State{}
 	if err := json.Unmarshal(s.GetData(), st); err != nil {
-		return &DiskError{Reason: "a snapshot: " + err.Error()}
+		return &DiskError{Reason: "snapshot: " + err.Error()}
 	}
 	if st.Floors == nil {
 		st.Floors = map[string]Floor{}
 	}
 	k.state, k.applied = st, s.GetMetadata().GetIndex()
-	k.stepped = k.now
+	k.lastStep = k.now
 	k.nameSeats()
 	return nil
 }
@@ -217,15 +219,15 @@
 	}
 }
 
-func (k *Keeper) do(a Action) { k.acts = append(k.acts, a) }
+func (k *Keeper) emit(a Action) { k.acts = append(k.acts, a) }
 
-func (k *Keeper) send(to string, m Message) { k.do(Send{to, m}) }
+func (k *Keeper) send(to string, m Message) { k.emit(Send{to, m}) }
 
-func (k *Keeper) say(event, format string, args ...any) {
-	k.do(Say{event, fmt.Sprintf(format, args...)})
+func (k *Keeper) log(event, format string, args ...any) {
+	k.emit(Say{event, fmt.Sprintf(format, args...)})
 }
 
-// flush ends an event: what the log wants is carried out, and all actions are given.
+// flush ends an event: it processes what raft has ready and returns all actions.
 func (k *Keeper) flush() []Action {
 	if k.node != nil && k.phase == live {
 		k.ready()
@@ -235,12 +237,13 @@
 	return acts
 }
 
-// guarded keeps a log that contradicts itself from ending the process: the disk is no longer believed.
-func (k *Keeper) guarded(event func()) (acts []Action) {
+// runEvent runs an event. The raft library panics if the log is inconsistent: then this keeper abandons its identity,
+// as its disk can't be trusted, and the process goes on.
+func (k *Keeper) runEvent(event func()) (acts []Action) {
 	defer func() {
 		if p := recover(); p != nil {
 			k.acts = nil
-			k.disown(fmt.Sprintf("the log contradicts itself: %v", p))
+			k.abandonIdentity(fmt.Sprintf("the log is inconsistent: %v", p))
 			acts, k.acts = k.acts, nil
 		}
 	}()
@@ -251,19 +254,19 @@
 // Tick is called every Config.Tick.
 func (k *Keeper) Tick(now time.Duration) []Action {
 	k.now = now
-	return k.guarded(func() {
+	return k.runEvent(func() {
 		k.ticks++
 		switch k.phase {
 		case live:
 			k.tickLog()
 			if k.leads {
-				k.lead()
+				k.tickLeader()
 			}
 		default:
 			if k.ticks%helloTicks == 1 && (k.phase == proving || slices.Contains(k.cfg.Keepers, k.cfg.Name)) {
 				k.hello()
 			}
-			k.settle()
+			k.advancePhase()
 		}
 	})
 }
@@ -273,15 +276,16 @@
 		k.node.Tick()
 		return
 	}
-	// The library's own draws can't be seeded: a history has to be played again as it was.
+	// The library's election timeouts can't be seeded, and simulations have to be reproducible. So this keeper counts
+	// its own timeout and campaigns itself.
 	k.node.TickQuiesced()
-	if k.quiet++; k.quiet >= k.patient {
-		k.calm()
+	if k.ticksSinceLeader++; k.ticksSinceLeader >= k.electionTimeout {
+		k.resetElectionTimer()
 		k.node.Campaign()
 	}
 }
 
-// hello shows the disk to all who may have seen it.
+// hello describes the disk to all proxies that may have seen it before.
 func (k *Keeper) hello() {
 	h := Hello{Name: k.cfg.Name, ID: k.id, Life: k.life, Boot: k.cfg.Boot, Empty: k.phase == empty}
 	if k.node != nil {
@@ -300,7 +304,8 @@
 	return n
 }
 
-// others are the other keepers, as decided, else as in the file.
+// others returns the names of the other keepers: the decided ones and, until the fleet is complete, those of the
+// configuration file.
 func (k *Keeper) others() []string {
 	var names []string
 	for _, s := range k.state.Keepers {
@@ -316,37 +321,38 @@
 	return slices.DeleteFunc(names, func(n string) bool { return n == k.cfg.Name })
 }
 
-// settle leaves a phase in which nothing is said yet.
-func (k *Keeper) settle() {
+// advancePhase leaves the phases proving and empty once their conditions are met.
+func (k *Keeper) advancePhase() {
 	switch k.phase {
 	case proving:
 		others, have := k.others(), 0
 		for _, n := range others {
-			if _, told := k.heard[n]; told {
+			if _, told := k.helloAnswers[n]; told {
 				have++
 			}
 		}
-		// Who took in a life before this one, or a vote, sits among any half of the others and this one's own disk;
-		// where one of them is away the rest is waited for, but not for good.
-		if have == len(others) || have >= len(k.state.Keepers)/2 && k.ticks-k.begun >= proveTicks {
+		// Any half of the others and this keeper form a majority, which overlaps with each majority that saw an earlier
+		// life or a vote of this disk. The overlap may be this keeper alone, so the rest of the others is waited for as
+		// well, but only for proveTicks.
+		if have == len(others) || have >= len(k.state.Keepers)/2 && k.ticks-k.phaseStart >= proveTicks {
 			k.phase = live
-			k.calm()
-			k.say("keeper-live", "keeper %s: its log goes on at %d", k.cfg.Name, k.last())
+			k.resetElectionTimer()
+			k.log("keeper-live", "keeper %s: resumes its log after entry %d", k.cfg.Name, k.last())
 		}
 	case empty:
-		k.found()
+		k.foundFleet()
 	}
 }
 
-// found begins the fleet: the first of the file's keepers does, when all of them have shown an empty disk. It alone
-// is a majority for a moment, in which nothing but the others' seats is decided.
-func (k *Keeper) found() {
+// foundFleet founds the fleet. The first by name of the configuration file's keepers does so once all of them have
+// shown an empty disk. At first it is a majority on its own; it decides nothing then but to add the other keepers.
+func (k *Keeper) foundFleet() {
 	names := slices.Sorted(slices.Values(k.cfg.Keepers))
 	if len(names) == 0 || names[0] != k.cfg.Name {
 		return
 	}
 	for _, n := range names[1:] {
-		if a, told := k.heard[n]; !told || !a.Empty || a.Begun {
+		if a, told := k.helloAnswers[n]; !told || !a.Empty || a.Begun {
 			return
 		}
 	}
@@ -358,38 +364,38 @@
 	}
 	snap := &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{Index: new(uint64(1)), Term: new(uint64(1)), ConfState: &pb.ConfState{Voters: []uint64{k.id}}}}
 	hard := &pb.HardState{Term: new(uint64(1)), Commit: new(uint64(1))}
-	k.do(Save{Snapshot: snap, Hard: hard, ID: k.id, Life: k.life})
+	k.emit(Save{Snapshot: snap, Hard: hard, ID: k.id, Life: k.life})
 	if err := k.load(Saved{Snapshot: snap, Hard: hard}); err != nil {
-		k.say("keeper-failed", "%v", err)
+		k.log("keeper-failed", "%v", err)
 		return
 	}
 	k.phase = live
-	k.say("fleet-founded", "the fleet is founded by %s", k.cfg.Name)
+	k.log("fleet-founded", "keeper %s has founded the fleet", k.cfg.Name)
 	k.node.Campaign()
 }
 
-// disown gives an identity up: what its disk says is not believed, and a new one waits to be taken in.
-func (k *Keeper) disown(why string) {
-	k.say("keeper-disk-old", "keeper %s: %s: it is no keeper any more, until 'marlreelctl fleet keepers add %s'", k.cfg.Name, why, k.cfg.Name)
+// abandonIdentity discards the disk's log, which can't be trusted, and takes a new identity that waits to be added.
+func (k *Keeper) abandonIdentity(why string) {
+	k.log("keeper-disk-old", "keeper %s: %s: it is not a keeper any more until it is added with 'marlreelctl fleet keepers add %s'", k.cfg.Name, why, k.cfg.Name)
 	id := k.rng.Uint64()>>12 | 1
 	*k = Keeper{
 		cfg: k.cfg, id: id, life: 1, now: k.now, rng: k.rng, acts: k.acts, ticks: k.ticks, state: &State{Floors: map[string]Floor{}}, names: map[uint64]string{},
-		lives: k.lives, marks: k.marks, heard: map[string]Known{}, seen: map[string]Hello{}, reads: map[uint64][]renewal{}, holders: map[uint64]holder{}, pending: map[string]pending{}, apart: map[string]bool{},
+		lives: k.lives, positions: k.positions, helloAnswers: map[string]Known{}, emptyKeepers: map[string]Hello{}, reads: map[uint64][]renewal{}, holders: map[uint64]holder{}, pending: map[string]pending{}, withinMismatch: map[string]bool{},
 	}
-	k.do(Save{Reset: true, ID: id, Life: 1})
+	k.emit(Save{Reset: true, ID: id, Life: 1})
 }
 
-// Receive takes a message from a process.
+// Receive handles a message from a proxy.
 func (k *Keeper) Receive(now time.Duration, from string, m Message) []Action {
 	k.now = now
-	return k.guarded(func() {
+	return k.runEvent(func() {
 		switch {
 		case m.Raft != nil:
-			k.step(from, m.Raft)
+			k.stepRaft(from, m.Raft)
 		case m.Hello != nil:
-			k.judge(from, *m.Hello)
+			k.answerHello(from, *m.Hello)
 		case m.Known != nil:
-			k.answered(from, *m.Known)
+			k.handleKnown(from, *m.Known)
 		case m.Invite:
 			if k.phase == empty {
 				k.send(from, Message{Hello: &Hello{Name: k.cfg.Name, ID: k.id, Life: k.life, Boot: k.cfg.Boot, Empty: true}})
@@ -397,7 +403,7 @@
 		case m.Renew != nil:
 			k.renew(from, *m.Renew)
 		case m.Propose != nil:
-			k.proposed(from, *m.Propose)
+			k.handleProposal(from, *m.Propose)
 		case m.Check != nil:
 			a := Checked{ID: m.Check.ID}
 			if err := k.check(m.Check.Text); err != nil {
@@ -405,24 +411,24 @@
 			}
 			k.send(from, Message{Checked: &a})
 		case m.Checked != nil:
-			k.checked(from, *m.Checked)
+			k.handleChecked(from, *m.Checked)
 		case m.Seat != nil:
-			k.seat(from, *m.Seat)
+			k.handleSeatRequest(from, *m.Seat)
 		}
 	})
 }
 
-// step hands the log a message of another keeper's.
-func (k *Keeper) step(from string, data []byte) {
+// stepRaft passes another keeper's message to raft.
+func (k *Keeper) stepRaft(from string, data []byte) {
 	m := &pb.Message{}
 	if proto.Unmarshal(data, m) != nil || m.GetTo() != k.id || raft.IsLocalMsg(m.GetType()) {
-		return // for another disk, or no message
+		return // invalid, or for another identity
 	}
 	if k.phase == empty && k.node == nil {
-		// Whoever leads has taken this disk in.
+		// A raft message for this identity means that the leader has added this keeper.
 		k.store = raft.NewMemoryStorage()
-		if err := k.run(); err != nil {
-			k.say("keeper-failed", "%v", err)
+		if err := k.startRaft(); err != nil {
+			k.log("keeper-failed", "%v", err)
 			return
 		}
 		k.phase = live
@@ -431,26 +437,26 @@
 		return
 	}
 	k.names[m.GetFrom()] = from
-	k.mark(m)
+	k.recordPosition(m)
 	switch m.GetType() {
 	case pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap:
 		if m.GetTerm() >= k.node.BasicStatus().GetTerm() {
-			k.calm()
+			k.resetElectionTimer()
 		}
 	}
-	k.node.Step(m) // an error is one of a message that is let be
+	k.node.Step(m) // an error means that the message was ignored
 }
 
-// mark notes how far another keeper's log surely goes by what it says. In one term it never gets shorter; in a later
-// one it may, where another leads.
-func (k *Keeper) mark(m *pb.Message) {
-	seen := k.marks[m.GetFrom()]
+// recordPosition records how far another keeper's log reaches at least, according to its messages. Within a term a log
+// never gets shorter; in a later term another leader may truncate it.
+func (k *Keeper) recordPosition(m *pb.Message) {
+	seen := k.positions[m.GetFrom()]
 	if m.GetTerm() > seen.term {
-		seen = mark{term: m.GetTerm()}
+		seen = logPosition{term: m.GetTerm()}
 	}
 	if m.GetTerm() == seen.term {
 		switch m.GetType() {
-		case pb.MsgApp: // what it sends it has on its disk
+		case pb.MsgApp: // a leader has stored the entries that it sends
 			seen.last = max(seen.last, m.GetIndex()+uint64(len(m.GetEntries())))
 		case pb.MsgAppResp:
 			if !m.GetReject() {
@@ -461,35 +467,36 @@
 		}
 	}
 	switch m.GetType() {
-	case pb.MsgPreVote, pb.MsgPreVoteResp: // these speak of a term that may never be
+	case pb.MsgPreVote, pb.MsgPreVoteResp: // their term is a candidate's and may never start
 		return
 	}
-	if len(k.marks) < 64 || k.marks[m.GetFrom()].term != 0 {
-		k.marks[m.GetFrom()] = seen
+	if len(k.positions) < 64 || k.positions[m.GetFrom()].term != 0 {
+		k.positions[m.GetFrom()] = seen
 	}
 }
 
-// judge answers another keeper's Hello by what was seen of it.
-func (k *Keeper) judge(from string, h Hello) {
+// answerHello answers another keeper's Hello with what was seen of its identity before.
+func (k *Keeper) answerHello(from string, h Hello) {
 	if h.Empty {
-		if len(k.seen) < 64 {
-			k.seen[h.Name] = h
+		if len(k.emptyKeepers) < 64 {
+			k.emptyKeepers[h.Name] = h
 		}
 	}
 	seen := Lived{h.Life, h.Boot}
-	old := Judge(h, k.lives[h.ID], k.marks[h.ID].term, k.marks[h.ID].last)
+	old := Judge(h, k.lives[h.ID], k.positions[h.ID].term, k.positions[h.ID].last)
 	if old == "" && k.lives[h.ID] != seen && len(k.lives) < 256 {
 		k.lives[h.ID] = seen
-		k.do(Save{Lives: map[uint64]Lived{h.ID: seen}})
+		k.emit(Save{Lives: map[uint64]Lived{h.ID: seen}})
 	}
 	k.send(from, Message{Known: &Known{To: h.ID, Life: h.Life, Old: old, ID: k.id, Empty: k.phase == empty, Begun: k.phase != empty}})
 }
 
-// Judge says why a shown disk is old, by what was seen of its identity before; "" is not known to be.
+// Judge returns why a disk is outdated, given the highest life, term and entry seen of its identity before, or "" if it
+// is not known to be.
 func Judge(h Hello, seen Lived, term, last uint64) string {
 	switch {
 	case h.Life == seen.Life && h.Boot == seen.Boot:
-		// Danger: one that has been taken in since may have sent this before.
+		// Danger: a delayed Hello of this same process may arrive after it has been added and its log has grown.
 		return ""
 	case h.Life <= seen.Life:
 		return fmt.Sprintf("its disk is from life %d, and life %d has been seen", h.Life, seen.Life)
@@ -499,23 +506,24 @@
 	return ""
 }
 
-func (k *Keeper) answered(from string, a Known) {
+func (k *Keeper) handleKnown(from string, a Known) {
 	if a.To != k.id || a.Life != k.life || k.phase == live && a.Old == "" {
 		return
 	}
 	if a.Old != "" {
-		k.disown(from + " says that " + a.Old)
+		k.abandonIdentity(from + " reports: " + a.Old)
 		return
 	}
-	if k.phase == empty && a.Begun && !k.saidEmpty && k.ticks >= 2*helloTicks {
-		k.saidEmpty = true
-		k.say("keeper-disk-empty", "keeper %s: its disk is new, and the fleet has begun: an operator takes it in with 'marlreelctl fleet keepers add %s'", k.cfg.Name, k.cfg.Name)
+	if k.phase == empty && a.Begun && !k.loggedEmpty && k.ticks >= 2*helloTicks {
+		k.loggedEmpty = true
+		k.log("keeper-disk-empty", "keeper %s: its disk is empty and the fleet exists already: add it with 'marlreelctl fleet keepers add %s'", k.cfg.Name, k.cfg.Name)
 	}
-	k.heard[from] = a
-	k.settle()
+	k.helloAnswers[from] = a
+	k.advancePhase()
 }
 
-// ready carries out what the log wants, in the order that it needs: on the disk first, then what others may know.
+// ready processes what raft has ready, in the order that raft requires: saves come before the messages that rely on
+// them.
 func (k *Keeper) ready() {
 	for k.node.HasReady() {
 		rd := k.node.Ready()
@@ -536,11 +544,11 @@
 			if err := k.store.Append(rd.Entries); err != nil {
 				panic(err)
 			}
-			k.do(s)
+			k.emit(s)
 		}
 		for _, m := range rd.Messages {
 			if m.GetType() == pb.MsgVoteResp && !m.GetReject() {
-				k.calm()
+				k.resetElectionTimer()
 			}
 			if data, err := proto.Marshal(m); err == nil && k.names[m.GetTo()] != "" {
 				k.send(k.names[m.GetTo()], Message{Raft: data})
@@ -553,7 +561,7 @@
 			k.commit(e)
 		}
 		if rd.SoftState != nil {
-			k.soft(rd.SoftState)
+			k.leadershipChanged(rd.SoftState)
 		}
 		for _, r := range rd.ReadStates {
 			k.confirmed(r)
@@ -563,21 +571,21 @@
 	k.compact()
 }
 
-// soft notes who leads.
-func (k *Keeper) soft(s *raft.SoftState) {
+// leadershipChanged resets the leader's state when this keeper becomes the leader or stops being it.
+func (k *Keeper) leadershipChanged(s *raft.SoftState) {
 	leads := s.RaftState == raft.StateLeader
 	if leads == k.leads {
 		return
 	}
-	k.leads, k.office = leads, k.now
-	k.renewals, k.reads, k.holders, k.opens, k.telling, k.waiting = nil, map[uint64][]renewal{}, map[uint64]holder{}, 0, false, nil
-	k.pending, k.seats = map[string]pending{}, nil
+	k.leads, k.leaderSince = leads, k.now
+	k.renewals, k.reads, k.holders, k.openProposed, k.listChangeInFlight, k.listChanges = nil, map[uint64][]renewal{}, map[uint64]holder{}, 0, false, nil
+	k.pending, k.seatRequests = map[string]pending{}, nil
 	if leads {
-		k.say("keeper-leads", "keeper %s leads from now on", k.cfg.Name)
+		k.log("keeper-leads", "keeper %s is the leader", k.cfg.Name)
 	}
 }
 
-// commit takes a decided entry in.
+// commit applies a committed entry.
 func (k *Keeper) commit(e *pb.Entry) {
 	k.applied = e.GetIndex()
 	switch e.GetType() {
@@ -600,27 +608,27 @@
 		k.conf = k.node.ApplyConfChange(cc)
 		var c Change
 		if len(context) > 0 && json.Unmarshal(context, &c) == nil {
-			k.take(e.GetIndex(), c)
+			k.applyChange(e.GetIndex(), c)
 		}
 		k.reseated = true
 	default:
 		var c Change
 		if len(e.Data) > 0 && json.Unmarshal(e.Data, &c) == nil {
-			k.take(e.GetIndex(), c)
+			k.applyChange(e.GetIndex(), c)
 		}
 	}
 }
 
-// take applies a change, and tells who asked for it.
-func (k *Keeper) take(index uint64, c Change) {
-	next := k.state.clone() // states that were handed out never change
+// applyChange applies a change, notifies lease holders of a new state, and answers the change's proposer.
+func (k *Keeper) applyChange(index uint64, c Change) {
+	next := k.state.clone() // states that were handed out are never modified
 	r := next.apply(index, c)
 	if c.Kind == "told" {
-		k.telling = false
+		k.listChangeInFlight = false
 	}
 	if next.Seq != k.state.Seq {
 		if next.Step != k.state.Step {
-			k.stepped = k.now
+			k.lastStep = k.now
 		}
 		k.state = next
 		k.nameSeats()
@@ -638,9 +646,10 @@
 	}
 }
 
-// compact keeps the log short.
+// compact takes a snapshot and truncates the log.
 func (k *Keeper) compact() {
-	// Danger: who comes anew is sent the last snapshot, and one of before it was taken in is of no use to it.
+	// Danger: a new keeper is sent the last snapshot, and can't use one from before it was added. So each change of the
+	// keepers is followed by a snapshot.
 	first, err := k.store.FirstIndex()
 	if err != nil || !k.reseated && k.applied < first+2*keptEntries {
 		return
@@ -662,7 +671,7 @@
 	if err != nil {
 		return
 	}
-	k.do(Save{Snapshot: snap, Entries: rest, ID: k.id, Life: k.life})
+	k.emit(Save{Snapshot: snap, Entries: rest, ID: k.id, Life: k.life})
 }
 
 func (k *Keeper) check(text string) error {
@@ -679,29 +688,29 @@
 	return k.cfg.Check(before, text)
 }
 
-// View is the newest decided state that this keeper has. It is never changed.
+// View returns the newest decided state that this keeper has applied. It is never modified.
 func (k *Keeper) View() *State { return k.state }
 
-// Leads tells whether this keeper leads, as far as it knows.
+// Leads reports whether this keeper is the leader, as far as it knows.
 func (k *Keeper) Leads() bool { return k.leads }
 
-// Identity is the disk's, and the life of this start.
+// Identity returns the disk's identity, and its life since this start.
 func (k *Keeper) Identity() (id, life uint64) { return k.id, k.life }
 
-// Phase is what the keeper is at, in a word.
+// Phase describes the keeper's phase for operators.
 func (k *Keeper) Phase() string {
 	return [...]string{"waits to be taken in", "shows its disk", "keeps the log"}[k.phase]
 }
 
-// Holder is a process as the one that leads knows it.
+// Holder is a process that may hold a lease, as the leader knows it.
 type Holder struct {
 	Name  string        `json:"name"`
 	Held  uint64        `json:"held"`
-	Left  time.Duration `json:"left_ns"` // of the longest lease that it may hold
+	Left  time.Duration `json:"left_ns"` // until the longest lease that it may hold has expired
 	Lists Lists         `json:"lists"`
 }
 
-// Holders are the processes that may hold a lease, by name. Empty where this keeper does not lead.
+// Holders returns the processes that may hold a lease, sorted by name. It is empty if this keeper is not the leader.
 func (k *Keeper) Holders() []Holder {
 	var all []Holder
 	for _, h := range k.holders {
@@ -711,18 +720,18 @@
 	return all
 }
 
-// DiskError is a keeper's disk that can't be gone on with.
+// DiskError is a keeper's disk whose content can't be used.
 type DiskError struct{ Reason string }
 
 // Error implements error.
-func (e *DiskError) Error() string { return "the keeper's disk can't be gone on with: " + e.Reason }
+func (e *DiskError) Error() string { return "can't use the keeper's disk: " + e.Reason }
 
 // Advice says what an operator can do.
 func (e *DiskError) Advice() string {
-	return "move the folder of [fleet] dir away, start the proxy again, and take it in with 'marlreelctl fleet keepers add NAME'"
+	return "move the folder of [fleet] dir away, start the proxy again, and add it with 'marlreelctl fleet keepers add NAME'"
 }
 
-// quietLogger keeps the library's own words from the log; its panics stay.
+// quietLogger discards the raft library's log lines but keeps its panics.
 type quietLogger struct{}
 
 func (quietLogger) Debug(...any)            {}
--- a/internal/fleet/agree/leader.go
+++ b/internal/fleet/agree/leader.go
@@ -12,13 +12,15 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// What the keeper that leads does beside keeping the log: leases, openings, proposals, seats.
+// The leader's duties besides replicating the log: leases, opening of versions, proposals, and changes of keepers.
 
-// longest is for how long after it was granted a lease may be held, by this clock: both clocks may go wrong.
-func (c *Config) longest() time.Duration { return share(c.Lease(), (1+Drift)/(1-Drift)) }
+// maxLease returns the longest time on this keeper's clock for which a granted lease may last, as both clocks may be
+// wrong by Drift.
+func (c *Config) maxLease() time.Duration { return share(c.Lease(), (1+Drift)/(1-Drift)) }
 
-// renew takes a member's asking in. It is answered when a majority has confirmed, after it came, that this keeper
-// leads. Danger: one that was cut off from the others would go on granting what they have long replaced.
+// renew accepts a member's renewal. It is answered once a majority has confirmed, after the request arrived, that this
+// keeper leads. Danger: without that, a leader partitioned from the others would go on granting leases on a state that
+// they have replaced.
 func (k *Keeper) renew(from string, r Renew) {
 	if !k.leads || k.phase != live {
 		leader := ""
@@ -32,21 +34,22 @@
 		return
 	}
 	if r.Within != k.cfg.Within {
-		// Danger: a lease that its holder counts longer than this one does outlives what is decided on it.
-		if !k.apart[from] && len(k.apart) < 512 {
-			k.apart[from] = true
-			k.say("fleet-within-differs", "%s has agree-within = %v, and this keeper %v: it gets no lease, until they are the same", from, r.Within, k.cfg.Within)
+		// Danger: a holder that counts its lease longer than the leader does would still use a state after the leader
+		// considers all leases on it expired.
+		if !k.withinMismatch[from] && len(k.withinMismatch) < 512 {
+			k.withinMismatch[from] = true
+			k.log("fleet-within-differs", "%s has agree-within = %v, this keeper %v: it gets no lease until the values are equal", from, r.Within, k.cfg.Within)
 		}
 		k.send(from, Message{Grant: &Grant{N: r.N, Boot: r.Boot}})
 		return
 	}
-	if len(k.renewals) < mostPending {
+	if len(k.renewals) < maxPending {
 		k.renewals = append(k.renewals, renewal{from: from, renew: r})
 	}
 }
 
-// lead is done every tick.
-func (k *Keeper) lead() {
+// tickLeader does the leader's work of a tick.
+func (k *Keeper) tickLeader() {
 	if len(k.renewals) > 0 && len(k.reads) < 64 {
 		k.lastRead++
 		k.reads[k.lastRead], k.renewals = k.renewals, nil
@@ -57,21 +60,21 @@
 			delete(k.holders, id)
 		}
 	}
-	if len(k.reads) > 32 { // those that were never confirmed, as in an office that is not yet sure: their askers ask again
+	if len(k.reads) > 32 { // drop the oldest reads that were never confirmed, as at a new leader: members retry
 		for _, n := range slices.Sorted(maps.Keys(k.reads))[:16] {
 			delete(k.reads, n)
 		}
 	}
 	k.open()
-	k.tell()
-	k.complete()
-	k.sit()
+	k.proposeListChanges()
+	k.addConfiguredKeepers()
+	k.processSeatRequests()
 	for _, id := range slices.Sorted(maps.Keys(k.pending)) {
 		k.decide(id)
 	}
 }
 
-// confirmed grants what was asked before a majority confirmed that this keeper leads.
+// confirmed answers the requests that arrived before a majority confirmed that this keeper leads.
 func (k *Keeper) confirmed(r raft.ReadState) {
 	n := binary.BigEndian.Uint64(r.RequestCtx)
 	asked := k.reads[n]
@@ -93,20 +96,21 @@
 		if a.renew.Born != k.state.Born {
 			held = 0
 		}
-		k.holders[a.renew.Boot] = holder{a.from, held, k.now + k.cfg.longest(), a.renew.List}
+		k.holders[a.renew.Boot] = holder{a.from, held, k.now + k.cfg.maxLease(), a.renew.List}
 		k.send(a.from, Message{Grant: &g})
 	}
 	k.open()
 }
 
-// known tells whether nobody can go by a state from before the last step on versions any more: each process that may
-// hold a lease has said that it goes by this one or a later, or the longest lease has run out since.
-func (k *Keeper) known() bool {
-	if k.now-k.stepped >= k.cfg.longest() {
+// olderStatesUnused reports whether no member can still use a state from before the last decided or opened version:
+// each process that may hold a lease has reported that this state or a later one is in force there, or the longest
+// possible lease has expired since.
+func (k *Keeper) olderStatesUnused() bool {
+	if k.now-k.lastStep >= k.cfg.maxLease() {
 		return true
 	}
-	if k.now-k.office < k.cfg.longest() {
-		return false // others may have granted leases that this office does not know
+	if k.now-k.leaderSince < k.cfg.maxLease() {
+		return false // an earlier leader may have granted leases that this one does not know
 	}
 	for _, h := range k.holders {
 		if k.now < h.until && h.held < k.state.Step {
@@ -116,11 +120,11 @@
 	return true
 }
 
-// open decides that the newest version is in force whole, when nobody can go by the one before alone.
+// open proposes to open the newest version once no member can be using the previous version alone.
 func (k *Keeper) open() {
 	v, some := k.state.Newest()
-	if some && k.state.Opening() && k.opens != v.Number && k.known() && k.propose(Change{Kind: "open", Version: v.Number}) {
-		k.opens = v.Number
+	if some && k.state.Opening() && k.openProposed != v.Number && k.olderStatesUnused() && k.propose(Change{Kind: "open", Version: v.Number}) {
+		k.openProposed = v.Number
 	}
 }
 
@@ -129,32 +133,32 @@
 	return err == nil && k.node.Propose(data) == nil
 }
 
-// proposed takes a proposal, or a word on lists.
-func (k *Keeper) proposed(from string, c Change) {
+// handleProposal handles a proposal, a report on a list, or a question to the leader.
+func (k *Keeper) handleProposal(from string, c Change) {
 	switch {
 	case !k.leads:
 	case c.Kind == "holders":
 		k.send(from, Message{Result: &Result{ID: c.ID, Holders: k.Holders()}})
 	case c.Kind == "read":
-		if len(k.renewals) < mostPending {
+		if len(k.renewals) < maxPending {
 			k.renewals = append(k.renewals, renewal{from: from, read: c.ID})
 		}
 	case c.Kind == "told" || c.Kind == "reset":
-		if len(k.waiting) < mostPending {
-			k.waiting = append(k.waiting, c)
+		if len(k.listChanges) < maxPending {
+			k.listChanges = append(k.listChanges, c)
 		}
 		if c.Kind == "told" {
-			k.tell()
+			k.proposeListChanges()
 		}
 	case c.Kind == "propose" && c.ID != "":
-		if p, there := k.pending[c.ID]; there { // it asks again
+		if p, there := k.pending[c.ID]; there { // a retry
 			p.from = from
 			k.pending[c.ID] = p
 			return
 		}
 		r := k.state.clone().propose(c)
-		if v, some := k.state.Newest(); some && r.Refused == "" && !r.Same && !k.known() {
-			// Danger: with some still between the two versions before, three would be in use.
+		if v, some := k.state.Newest(); some && r.Refused == "" && !r.Same && !k.olderStatesUnused() {
+			// Danger: members that still use the version before the newest would make it three versions in use.
 			r = Result{Refused: Busy, By: v.By, Version: v.Number}
 		}
 		if r.Refused != "" || r.Same {
@@ -178,8 +182,8 @@
 	}
 }
 
-// checked takes another keeper's word on a proposal.
-func (k *Keeper) checked(from string, a Checked) {
+// handleChecked handles another keeper's verdict on a proposal.
+func (k *Keeper) handleChecked(from string, a Checked) {
 	p, there := k.pending[a.ID]
 	if !there || p.sent {
 		return
@@ -193,13 +197,14 @@
 	k.decide(a.ID)
 }
 
-// decide hands a proposal to the log, when all keepers have found it good, or a majority has and the rest is away.
+// decide proposes a change to the log once all keepers have accepted it, or once a majority has and the others have not
+// answered within checkTicks.
 func (k *Keeper) decide(id string) {
 	p, there := k.pending[id]
 	if !there {
 		return
 	}
-	if k.ticks-p.at > 20*electionTicks { // its proposer has long asked again
+	if k.ticks-p.at > 20*electionTicks { // the proposer has sent it again by now, or has given up
 		delete(k.pending, id)
 		return
 	}
@@ -211,14 +216,14 @@
 	k.pending[id] = p
 }
 
-// tell decides what proxies were told of lists, together and one after the other: a drain that 300 proxies hear at
-// once is one entry, or two.
-func (k *Keeper) tell() {
-	if k.telling || len(k.waiting) == 0 {
+// proposeListChanges proposes the waiting reports on lists, merged by source, while no earlier ones are in flight: a
+// drain that 300 proxies report at once takes one log entry or two.
+func (k *Keeper) proposeListChanges() {
+	if k.listChangeInFlight || len(k.listChanges) == 0 {
 		return
 	}
 	trial, bySource := k.state.clone(), map[string]*Change{}
-	for _, c := range k.waiting {
+	for _, c := range k.listChanges {
 		if c.Kind == "reset" {
 			k.propose(c)
 			continue
@@ -228,7 +233,7 @@
 		}
 		before := trial.Seq
 		if trial.apply(before+1, c); trial.Seq == before {
-			continue // others have said so
+			continue // others have reported the same
 		}
 		sum := bySource[c.Source]
 		if sum == nil {
@@ -238,22 +243,23 @@
 		sum.Floor.Revision = max(sum.Floor.Revision, c.Floor.Revision)
 		sum.Ends = append(sum.Ends, c.Ends...)
 	}
-	k.waiting = nil
+	k.listChanges = nil
 	for _, source := range slices.Sorted(maps.Keys(bySource)) {
-		k.telling = k.propose(*bySource[source]) || k.telling
+		k.listChangeInFlight = k.propose(*bySource[source]) || k.listChangeInFlight
 	}
 }
 
-// complete takes the file's other keepers in, while the fleet is being founded: before any version is decided.
-func (k *Keeper) complete() {
+// addConfiguredKeepers adds the other keepers of the configuration file while the fleet is being founded, before any
+// version is decided.
+func (k *Keeper) addConfiguredKeepers() {
 	if _, some := k.state.Newest(); some || len(k.state.Keepers) >= len(k.cfg.Keepers) {
 		return
 	}
 	for _, n := range k.cfg.Keepers {
-		if h, shown := k.seen[n]; shown && k.seatOf(n) == 0 {
-			if k.ticks-k.seatedAt >= electionTicks { // one at a time: the log lets only one be under way
-				k.seatedAt = k.ticks
-				k.change(Seat{n, h.ID}, true, "")
+		if h, shown := k.emptyKeepers[n]; shown && k.seatOf(n) == 0 {
+			if k.ticks-k.lastSeatTick >= electionTicks { // raft allows one membership change at a time
+				k.lastSeatTick = k.ticks
+				k.proposeKeeperChange(Seat{n, h.ID}, true, "")
 			}
 			return
 		}
@@ -263,8 +269,8 @@
 	}
 }
 
-// Complete tells whether all of the file's keepers have a seat, or a version has been decided, so that a first
-// version may be proposed.
+// Complete reports whether the first version may be proposed: all keepers of the configuration file are seated, or a
+// version has been decided.
 func (k *Keeper) Complete() bool {
 	_, some := k.state.Newest()
 	return some || len(k.state.Keepers) >= len(k.cfg.Keepers)
@@ -279,8 +285,9 @@
 	return 0
 }
 
-// change decides on a seat: who has one under that name leaves it, in the same step.
-func (k *Keeper) change(s Seat, add bool, id string) bool {
+// proposeKeeperChange proposes to add or remove a keeper. A keeper of the same name with another identity is removed in
+// the same step.
+func (k *Keeper) proposeKeeperChange(s Seat, add bool, id string) bool {
 	seats := slices.DeleteFunc(slices.Clone(k.state.Keepers), func(x Seat) bool { return x.Name == s.Name })
 	var steps []*pb.ConfChangeSingle
 	if old := k.seatOf(s.Name); old != 0 && old != s.ID {
@@ -299,8 +306,8 @@
 	return k.node.ProposeConfChange(&pb.ConfChangeV2{Changes: steps, Context: context}) == nil
 }
 
-// seat takes an operator's word on keepers.
-func (k *Keeper) seat(from string, a SeatAsk) {
+// handleSeatRequest handles an operator's request to add or remove a keeper.
+func (k *Keeper) handleSeatRequest(from string, a SeatAsk) {
 	refuse := func(why string) {
 		k.send(from, Message{Result: &Result{ID: a.ID, Refused: why, By: k.cfg.Name}})
 	}
@@ -313,24 +320,25 @@
 	case a.Add && len(k.state.Keepers) >= 7 && k.seatOf(a.Name) == 0:
 		refuse("there are 7 keepers already: each more makes every decision slower")
 	default:
-		if len(k.seats) >= 16 {
+		if len(k.seatRequests) >= 16 {
 			return
 		}
-		delete(k.seen, a.Name) // it has to show its disk now
+		delete(k.emptyKeepers, a.Name) // it has to send a new Hello
 		k.pending[a.ID] = pending{from: from, at: k.ticks, sent: true}
-		k.seats = append(k.seats, seatAsk{from, a, k.ticks})
+		k.seatRequests = append(k.seatRequests, seatAsk{from, a, k.ticks})
 		if a.Add {
 			k.send(a.Name, Message{Invite: true})
 		}
 	}
 }
 
-// sit carries operators' words on keepers out: who is to be one has to show a new disk first.
-func (k *Keeper) sit() {
-	k.seats = slices.DeleteFunc(k.seats, func(s seatAsk) bool {
+// processSeatRequests carries out operators' requests to add or remove keepers. A proxy is added once it has shown an
+// empty disk.
+func (k *Keeper) processSeatRequests() {
+	k.seatRequests = slices.DeleteFunc(k.seatRequests, func(s seatAsk) bool {
 		late := k.ticks-s.at > 10*electionTicks
 		if s.ask.Add {
-			h, shown := k.seen[s.ask.Name]
+			h, shown := k.emptyKeepers[s.ask.Name]
 			if !shown && !late {
 				if (k.ticks-s.at)%helloTicks == 0 {
 					k.send(s.ask.Name, Message{Invite: true})
@@ -342,8 +350,8 @@
 				k.send(s.from, Message{Result: &Result{ID: s.ask.ID, By: k.cfg.Name, Refused: s.ask.Name + " shows no new disk: it has none, can't be reached, or keeps the log already"}})
 				return true
 			}
-			return k.change(Seat{s.ask.Name, h.ID}, true, s.ask.ID)
+			return k.proposeKeeperChange(Seat{s.ask.Name, h.ID}, true, s.ask.ID)
 		}
-		return late || k.change(Seat{s.ask.Name, 0}, false, s.ask.ID)
+		return late || k.proposeKeeperChange(Seat{s.ask.Name, 0}, false, s.ask.ID)
 	})
 }
--- a/internal/fleet/agree/sim_test.go
+++ b/internal/fleet/agree/sim_test.go
@@ -19,30 +19,31 @@
 
 const within = 5 * time.Second
 
-// sim is a fleet in simulated time: real machines of this package, clocks that go wrong, links and disks that fail.
+// sim simulates a fleet: real keepers and members in simulated time, with clocks that drift and links and disks that
+// fail.
 type sim struct {
-	now    time.Duration
-	rng    *rand.Rand
-	queue  events
-	lastN  int
-	procs  []*proc
-	byName map[string]*proc
-	cut    map[[2]int]bool
-	lose   float64
-	twice  float64
-	slow   time.Duration
-
-	decided  []time.Duration // by place in seqs: when each state was first applied anywhere
-	seqs     []uint64
-	states   map[[2]uint64]string // by founding and Seq: all keepers' have to be the same
-	born     uint64
-	spoilt   map[int]bool  // keepers whose disks were lost or set back, or that were let go
-	longest  time.Duration // that anybody went by a state after another had been decided
-	inUse    int           // the most versions in use at once
-	broken   string
-	proposed int
-	results  []Result
-	wholes   int // renewals that carried a state
+	now           time.Duration
+	rng           *rand.Rand
+	queue         events
+	lastN         int
+	procs         []*proc
+	byName        map[string]*proc
+	cut           map[[2]int]bool
+	lossRate      float64
+	duplicateRate float64
+	extraDelay    time.Duration
+
+	decided    []time.Duration // parallel to seqs: when each state was first applied by any keeper
+	seqs       []uint64
+	states     map[[2]uint64]string // by Born and Seq; must be equal at all keepers
+	born       uint64
+	damaged    map[int]bool  // keepers whose disks were lost or restored from a copy, or that were removed
+	longest    time.Duration // for which any proxy used a state after a newer one had been decided
+	inUse      int           // the largest number of versions in use at once
+	broken     string
+	proposed   int
+	results    []Result
+	fullGrants int // grants that carried a state
 }
 
 type event struct {
@@ -66,7 +67,7 @@
 	heap.Push(&s.queue, event{s.now + d, s.lastN, do})
 }
 
-// proc is a proxy: a process at a time, a disk over all of them.
+// proc is a proxy: the current process, and the disk that all its processes share.
 type proc struct {
 	s      *sim
 	i      int
@@ -79,7 +80,7 @@
 	disk   Saved
 	view   *State
 	held   *State
-	dead   bool
+	down   bool
 	frozen bool
 	life   int
 	inbox  []func()
@@ -92,7 +93,7 @@
 }
 
 func newSim(seed uint64, proxies, keepers int) *sim {
-	s := &sim{rng: rand.New(rand.NewPCG(seed, 1)), byName: map[string]*proc{}, cut: map[[2]int]bool{}, states: map[[2]uint64]string{}, spoilt: map[int]bool{}}
+	s := &sim{rng: rand.New(rand.NewPCG(seed, 1)), byName: map[string]*proc{}, cut: map[[2]int]bool{}, states: map[[2]uint64]string{}, damaged: map[int]bool{}}
 	var names []string
 	for i := range keepers {
 		names = append(names, fmt.Sprintf("n%d", i))
@@ -110,9 +111,9 @@
 	return s
 }
 
-// start begins a process out of what its disk holds.
+// start starts a process from the content of its disk.
 func (p *proc) start() {
-	p.dead, p.frozen, p.inbox, p.held = false, false, nil, nil
+	p.down, p.frozen, p.inbox, p.held = false, false, nil, nil
 	p.life++
 	p.cfg.Boot = p.s.rng.Uint64() | 1
 	p.member = NewMember(p.cfg, p.view)
@@ -128,7 +129,7 @@
 }
 
 func (p *proc) tick(life int) {
-	if p.dead || p.life != life {
+	if p.down || p.life != life {
 		return
 	}
 	p.s.after(time.Duration(float64(p.cfg.Tick())/p.rate), func() { p.tick(life) })
@@ -146,7 +147,7 @@
 	p.carry(p.member.Tick(p.clock()))
 }
 
-// carry does what a machine wants.
+// carry executes actions.
 func (p *proc) carry(acts []Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
@@ -156,7 +157,7 @@
 			p.says = append(p.says, a.Text)
 		case Save:
 			if p.full {
-				p.keeper = nil // nothing of it may be sent
+				p.keeper = nil // its later messages must not be sent
 				return
 			}
 			p.save(a)
@@ -164,12 +165,12 @@
 			p.view = a.State
 			life := p.life
 			p.s.after(time.Duration(p.s.rng.Int64N(int64(30*time.Millisecond))), func() {
-				if p.life == life && !p.dead {
+				if p.life == life && !p.down {
 					p.do(func() {
 						if p.held == nil || p.held.Seq < a.State.Seq || p.held.Born != a.State.Born {
 							p.held = a.State
 							p.member.InForce(p.clock(), a.State)
-							p.s.look()
+							p.s.audit()
 						}
 					})
 				}
@@ -212,7 +213,7 @@
 	}
 }
 
-// do runs an event in the process, now or when it is no longer stopped.
+// do runs an event in the process, now or when the process resumes.
 func (p *proc) do(what func()) {
 	if p.frozen {
 		if len(p.inbox) < 2000 {
@@ -231,27 +232,27 @@
 	times := 1
 	if to != from {
 		switch {
-		case s.cut[[2]int{from.i, to.i}] || s.rng.Float64() < s.lose:
+		case s.cut[[2]int{from.i, to.i}] || s.rng.Float64() < s.lossRate:
 			return
-		case s.rng.Float64() < s.twice:
+		case s.rng.Float64() < s.duplicateRate:
 			times = 2
 		}
 	}
 	if a.Msg.Grant != nil && a.Msg.Grant.State != nil {
-		s.wholes++
+		s.fullGrants++
 	}
 	for range times {
 		delay := time.Duration(s.rng.Int64N(int64(8*time.Millisecond))) + time.Millisecond
-		if s.slow > 0 && to != from {
-			delay += time.Duration(s.rng.Int64N(int64(s.slow)))
+		if s.extraDelay > 0 && to != from {
+			delay += time.Duration(s.rng.Int64N(int64(s.extraDelay)))
 		}
 		s.after(delay, func() {
-			if to.dead {
+			if to.down {
 				return
 			}
 			life := to.life
 			to.do(func() {
-				if to.life != life || to.dead {
+				if to.life != life || to.down {
 					return
 				}
 				if a.Msg.Result != nil {
@@ -268,7 +269,7 @@
 	}
 }
 
-// applied holds what a keeper has decided against what the others have.
+// applied compares a state that a keeper has applied with that of the others.
 func (s *sim) applied(v *State) {
 	if v.Seq == 0 {
 		return
@@ -277,16 +278,16 @@
 	key := [2]uint64{v.Born, v.Seq}
 	if was, known := s.states[key]; known {
 		if was != text {
-			s.fail("two states are number %d: %s and %s", v.Seq, was, text)
+			s.fail("keepers have different states %d: %s and %s", v.Seq, was, text)
 		}
 		return
 	}
 	s.states[key] = text
 	if len(v.Versions) == 0 {
-		return // the founder alone may lose all that it has while it is alone: then the fleet is founded again
+		return // while the founder is the only keeper its disk may be lost, and the fleet is founded again
 	}
 	if s.born != 0 && s.born != v.Born {
-		s.fail("two foundings have versions")
+		s.fail("versions were decided in two foundings of the fleet")
 	}
 	s.born = v.Born
 	if n := len(s.seqs); n == 0 || v.Seq > s.seqs[n-1] {
@@ -305,23 +306,23 @@
 	}
 }
 
-// look is the audit: what would each process do if a request came now?
-func (s *sim) look() {
+// audit checks the invariants on the state that each process would use if a request came now.
+func (s *sim) audit() {
 	least, most := ^uint64(0), uint64(0)
 	used := map[uint64]bool{}
 	for _, p := range s.procs {
-		if p.dead || p.frozen || p.held == nil || !p.member.Valid(p.clock()) {
+		if p.down || p.frozen || p.held == nil || !p.member.Valid(p.clock()) {
 			continue
 		}
 		n, some := p.held.Newest()
 		if !some {
-			continue // there is nothing yet to go by
+			continue // no version is decided yet
 		}
-		// When was what it goes by replaced?
+		// The time since the state in use was replaced must not exceed Within.
 		if i, _ := slices.BinarySearch(s.seqs, p.held.Seq+1); i < len(s.seqs) {
 			if late := s.now - s.decided[i]; late > s.longest {
 				if s.longest = late; late > within {
-					s.fail("%s goes by state %d, and %d was decided %v ago", p.name, p.held.Seq, s.seqs[i], late)
+					s.fail("%s uses state %d, but %d was decided %v ago", p.name, p.held.Seq, s.seqs[i], late)
 				}
 			}
 		}
@@ -329,7 +330,7 @@
 		used[n.Number], used[p.held.Open] = true, true
 	}
 	if most > least {
-		s.fail("one goes by version %d whole, and another has not heard of it", most)
+		s.fail("a proxy uses version %d alone, and another does not know it", most)
 	}
 	if s.inUse = max(s.inUse, len(used)); len(used) > 2 {
 		s.fail("%d versions are in use", len(used))
@@ -337,7 +338,7 @@
 }
 
 func (s *sim) sample() {
-	s.look()
+	s.audit()
 	s.after(20*time.Millisecond, s.sample)
 }
 
@@ -350,7 +351,7 @@
 	s.now = until
 }
 
-// fault is one thing that goes wrong, or that an operator does.
+// fault is a fault or an operator's action in a simulated history.
 type fault struct {
 	At   int // tenths of a second
 	Kind string
@@ -387,7 +388,7 @@
 		p.frozen = true
 		life := p.life
 		s.after(d, func() {
-			if p.life == life && !p.dead {
+			if p.life == life && !p.down {
 				p.thaw()
 			}
 		})
@@ -402,10 +403,10 @@
 		}
 		copied := p.disk
 		then := func() {
-			if p.dead {
+			if p.down {
 				return
 			}
-			p.dead = true
+			p.down = true
 			if f.Kind == "empty" && p.disk.ID != 0 {
 				p.disk, p.view = Saved{ID: s.rng.Uint64() >> 12}, nil
 			}
@@ -413,15 +414,16 @@
 				p.disk = copied
 			}
 			s.after(d, func() {
-				if !p.dead {
+				if !p.down {
 					return
 				}
 				if f.Kind == "older" {
-					// That a disk was set back is found where who saw it speak can be reached: that is the promise.
+					// A restored copy is only guaranteed to be detected if the keepers that saw the newer disk are
+					// reachable, so links and keepers recover first.
 					s.cut = map[[2]int]bool{}
-					s.lose = 0
+					s.lossRate = 0
 					for _, x := range s.procs[:keepers] {
-						if x.dead && x != p {
+						if x.down && x != p {
 							x.start()
 						}
 						x.thaw()
@@ -430,7 +432,7 @@
 				p.start()
 			})
 		}
-		if f.Kind == "older" { // a copy is made now, and put in its place later
+		if f.Kind == "older" { // the disk was copied above and is restored from that copy later
 			s.after(d, then)
 		} else {
 			then()
@@ -449,22 +451,22 @@
 		s.after(d, func() { s.cut = map[[2]int]bool{} })
 	case "no-keepers":
 		for _, x := range s.procs[:keepers] {
-			x.dead = true
+			x.down = true
 			s.after(d+time.Duration(x.i*f.B%20)*100*time.Millisecond, func() {
-				if x.dead {
+				if x.down {
 					x.start()
 				}
 			})
 		}
 	case "weather":
-		s.lose, s.twice, s.slow = 0.2, 0.2, 300*time.Millisecond
-		s.after(d, func() { s.lose, s.twice, s.slow = 0, 0, 0 })
+		s.lossRate, s.duplicateRate, s.extraDelay = 0.2, 0.2, 300*time.Millisecond
+		s.after(d, func() { s.lossRate, s.duplicateRate, s.extraDelay = 0, 0, 0 })
 	case "full":
 		p = s.procs[f.A%keepers]
 		p.full = true
 		s.after(d, func() {
 			p.full = false
-			if !p.dead && p.keeper == nil { // the host begins the keeper anew
+			if !p.down && p.keeper == nil { // the host restarts the keeper
 				p.disk.Life++
 				p.keeper, _ = NewKeeper(p.cfg, p.clock(), p.disk)
 			}
@@ -479,22 +481,23 @@
 	}
 }
 
-// mayLose tells whether one more keeper's disk may be lost: of less than half, as consensus wants it.
+// mayLose reports whether one more keeper's disk may be lost, as consensus tolerates the loss of a minority, and records
+// it.
 func (s *sim) mayLose(keeper, keepers int) bool {
-	if !s.spoilt[keeper] && len(s.spoilt) >= (keepers-1)/2 {
+	if !s.damaged[keeper] && len(s.damaged) >= (keepers-1)/2 {
 		return false
 	}
-	s.spoilt[keeper] = true
+	s.damaged[keeper] = true
 	return true
 }
 
-// thaw lets a process go on that was stopped.
+// thaw resumes a stopped process.
 func (p *proc) thaw() {
 	if !p.frozen {
 		return
 	}
 	p.frozen = false
-	p.s.look() // before it has taken one message in
+	p.s.audit() // before it handles any waiting message
 	inbox := p.inbox
 	p.inbox = nil
 	for _, e := range inbox {
@@ -502,23 +505,23 @@
 	}
 }
 
-func (p *proc) alive() bool { return !p.dead && !p.frozen }
+func (p *proc) alive() bool { return !p.down && !p.frozen }
 
 func (s *State) latest() uint64 {
 	n, _ := s.Newest()
 	return n.Number
 }
 
-// checks is how many histories are played: more where MARLREEL_HISTORIES says so.
+// histories returns how many histories to play: MARLREEL_HISTORIES if that is set.
 func histories(few int) int {
 	n := few
 	fmt.Sscan(os.Getenv("MARLREEL_HISTORIES"), &n)
 	return n
 }
 
-// No proxy goes by a state for longer than Within after another was decided, no two go by versions that are not
-// neighbours, none goes by a version whole while another has not heard of it, and all keepers decide the same:
-// over histories of stops, kills, disks, splits and weather, with clocks that go wrong by 5%.
+// No proxy uses a state for longer than Within after a newer one was decided, at most two consecutive versions are in
+// use, no proxy uses a version alone while another does not know it, and all keepers decide the same: over random
+// histories of stops, kills, disk faults, partitions and lossy links, with clock rates that are wrong by up to 5%.
 func TestBound(t *testing.T) {
 	longest, most, faults, decided, large := time.Duration(0), 0, 0, 0, 0
 	play := func(t *rapid.T) {
@@ -549,10 +552,10 @@
 			t.Fatal(s.broken)
 		}
 	}
-	// The same histories each time; MARLREEL_SEED begins elsewhere.
+	// The histories are the same in each run unless MARLREEL_SEED is set.
 	n, seed := histories(60), uint64(1)
 	fmt.Sscan(os.Getenv("MARLREEL_SEED"), &seed)
-	for ; n > 0; seed++ { // the library plays a hundred at most at once
+	for ; n > 0; seed++ { // rapid.Check plays at most a hundred histories
 		flag.Set("rapid.seed", fmt.Sprint(seed))
 		rapid.Check(t, func(t *rapid.T) {
 			if n--; n >= 0 {
@@ -563,12 +566,12 @@
 	flag.Set("rapid.seed", "0")
 	t.Logf("%d faults, %d states decided, at most %.2f s of %v, %d versions in use; %d histories of 300 proxies", faults, decided, longest.Seconds(), within, most, large)
 	if decided == 0 || most < 2 {
-		t.Error("nothing was decided: the histories show nothing")
+		t.Error("no state was decided, or never two versions in use: the histories test nothing")
 	}
 }
 
-// What a message holds comes through its bytes.
-func TestMessagesComeThrough(t *testing.T) {
+// A message that is encoded and decoded is the same.
+func TestMessageRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := Message{
 			Renew: &Renew{N: rapid.Uint64().Draw(t, "n"), Boot: rapid.Uint64().Draw(t, "boot"), List: Lists{Source: "platform", Revision: rapid.Int64().Draw(t, "rev")}},
@@ -582,7 +585,7 @@
 		a, _ := json.Marshal(m)
 		b, _ := json.Marshal(got)
 		if string(a) != string(b) {
-			t.Fatalf("%s became %s", a, b)
+			t.Fatalf("%s was decoded as %s", a, b)
 		}
 	})
 }
--- a/internal/fleet/agree/state.go
+++ b/internal/fleet/agree/state.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// Bounds of what is decided and kept.
+// Limits of the state.
 const (
-	MostText     = 64 << 10 // bytes of a version
+	MostText     = 64 << 10 // bytes of a version's text
 	keptTexts    = 8        // versions whose text is kept
-	keptVersions = 64       // versions that are known by number, name and hash
-	mostEnds     = 5000     // drains and ends
-	mostSources  = 8
+	keptVersions = 64       // versions of which everything but the text is kept
+	maxEnds      = 5000     // entries of State.Ends
+	maxSources   = 8
 )
 
 // Version is one version of the settings.
@@ -25,18 +25,18 @@
 	Hash   string    `json:"hash"`
 	By     string    `json:"by"`             // who proposed it
 	ID     string    `json:"id,omitempty"`   // of the proposal
-	Why    string    `json:"why,omitempty"`  // in the proposer's words
-	At     time.Time `json:"at"`             // by the proposer's clock: for people
-	Text   string    `json:"text,omitempty"` // "" where it is no longer kept
+	Why    string    `json:"why,omitempty"`  // the reason that the proposer gave
+	At     time.Time `json:"at"`             // by the proposer's clock; only shown to operators
+	Text   string    `json:"text,omitempty"` // "" if it is no longer kept
 }
 
-// Floor is the newest revision of a list that any proxy has told.
+// Floor is the newest revision of a list that any proxy has reported.
 type Floor struct {
-	History  int   `json:"history"` // goes up when an operator says that revisions begin anew
+	History  int   `json:"history"` // incremented when an operator resets the floor because revisions start again
 	Revision int64 `json:"revision"`
 }
 
-// End is a backend that drains, or has gone, by the word of a source at a revision.
+// End records that a source reported a backend as draining or gone at a revision.
 type End struct {
 	Source   string `json:"source"`
 	Name     string `json:"name"`
@@ -44,25 +44,25 @@
 	Gone     bool   `json:"gone,omitempty"`
 }
 
-// State is what all decided changes together make. The same changes make the same state everywhere.
+// State is the result of all decided changes. Applying the same changes gives the same state at every keeper.
 type State struct {
-	Born     uint64           `json:"born"` // which founding of the fleet this is
-	Seq      uint64           `json:"seq"`  // of the last change
+	Born     uint64           `json:"born"` // random number of the founding, which tells fleets of one name apart
+	Seq      uint64           `json:"seq"`  // log index of the last change
 	Step     uint64           `json:"step"` // the Seq at which the newest version was decided or opened
-	Open     uint64           `json:"open"` // the newest version that is in force whole; 0 is none
+	Open     uint64           `json:"open"` // the newest version that is in force by itself; 0 if none
 	Versions []Version        `json:"versions"`
 	Floors   map[string]Floor `json:"floors"`
 	Ends     []End            `json:"ends"`
 	Keepers  []Seat           `json:"keepers"`
 }
 
-// Seat is a keeper, by its name and its disk's identity.
+// Seat is a keeper: its name and the identity of its disk.
 type Seat struct {
 	Name string `json:"name"`
 	ID   uint64 `json:"id"`
 }
 
-// Newest is the newest decided version; false is none.
+// Newest returns the newest decided version, if any.
 func (s *State) Newest() (Version, bool) {
 	if len(s.Versions) == 0 {
 		return Version{}, false
@@ -70,7 +70,7 @@
 	return s.Versions[len(s.Versions)-1], true
 }
 
-// Get is a version by its number.
+// Get returns a version by its number.
 func (s *State) Get(number uint64) (Version, bool) {
 	i := slices.IndexFunc(s.Versions, func(v Version) bool { return v.Number == number })
 	if i < 0 {
@@ -79,13 +79,13 @@
 	return s.Versions[i], true
 }
 
-// Opening tells whether the newest version is decided but not yet open.
+// Opening reports whether the newest version is decided but not yet open.
 func (s *State) Opening() bool {
 	v, some := s.Newest()
 	return some && v.Number != s.Open
 }
 
-// clone is a copy that shares nothing that changes.
+// clone returns a copy that can be modified without changing the original.
 func (s *State) clone() *State {
 	c := *s
 	c.Versions, c.Ends, c.Keepers, c.Floors = slices.Clone(s.Versions), slices.Clone(s.Ends), slices.Clone(s.Keepers), maps.Clone(s.Floors)
@@ -96,8 +96,8 @@
 type Change struct {
 	Kind    string    `json:"kind"`              // propose, open, told, reset, keepers
 	ID      string    `json:"id,omitempty"`      // of the proposal, for its answer
-	Base    uint64    `json:"base"`              // propose: the newest version that its proposer knew
-	Version uint64    `json:"version,omitempty"` // open, and propose as a way back
+	Base    uint64    `json:"base"`              // propose: the newest version that the proposer knew
+	Version uint64    `json:"version,omitempty"` // open; also sent with a propose that rolls back
 	Text    string    `json:"text,omitempty"`
 	By      string    `json:"by,omitempty"`
 	Why     string    `json:"why,omitempty"`
@@ -105,10 +105,10 @@
 	Source  string    `json:"source,omitempty"` // told, reset
 	Floor   Floor     `json:"floor,omitzero"`
 	Ends    []End     `json:"ends,omitempty"`
-	Keepers []Seat    `json:"keepers,omitempty"` // keepers: all of them, from now on
+	Keepers []Seat    `json:"keepers,omitempty"` // keepers: the complete new set
 }
 
-// Hash names a text: the same settings have the same one, however they are spaced and ordered.
+// Hash returns a hash of a version's text. It does not depend on the white space and key order of JSON.
 func Hash(text string) string {
 	var tree any
 	if json.Unmarshal([]byte(text), &tree) == nil {
@@ -120,28 +120,28 @@
 	return hex.EncodeToString(sum[:8])
 }
 
-// Busy is why a proposal is refused that may be made again in a moment.
+// Busy is the Refused text of a proposal that can be retried after a moment.
 const Busy = "the version before is still being taken by the proxies"
 
-// Result is what a proposal came to.
+// Result is the outcome of a proposal or another request to the leader.
 type Result struct {
 	ID      string `json:"id"`
-	Version uint64 `json:"version,omitempty"` // decided, or the same text decided before
-	Same    bool   `json:"same,omitempty"`    // it was in force already
-	Refused string `json:"refused,omitempty"` // why not
-	By      string `json:"by,omitempty"`      // who was first, where somebody was
+	Version uint64 `json:"version,omitempty"` // the decided version, or the earlier one with the same text
+	Same    bool   `json:"same,omitempty"`    // the text or the proposal was decided before
+	Refused string `json:"refused,omitempty"` // the reason of a refusal
+	By      string `json:"by,omitempty"`      // who proposed the version, or which keeper refused
 
-	Holders []Holder `json:"holders,omitempty"` // where that was asked: who goes by what
+	Holders []Holder `json:"holders,omitempty"` // the answer to a request for lease holders
 }
 
-// apply takes a decided change in at a place of the log. What it gives is told to who proposed it.
+// apply applies the decided change at a log index and returns the result for its proposer.
 func (s *State) apply(seq uint64, c Change) (r Result) {
 	r.ID = c.ID
 	switch c.Kind {
 	case "propose":
 		r = s.propose(c)
 		if r.Refused != "" || r.Same {
-			return r // nothing changed: leases stand
+			return r // the state is unchanged, so leases stay valid
 		}
 		s.Step = seq
 	case "open":
@@ -167,12 +167,13 @@
 	return r
 }
 
-// propose decides on a version: the first on a base wins, and the other is told by whom.
+// propose decides a proposed version. The first proposal on a base wins; others are refused and get its proposer's name.
 func (s *State) propose(c Change) Result {
 	r := Result{ID: c.ID}
 	now, some := s.Newest()
 	hash := Hash(c.Text)
-	// Danger: one whose answer was lost asks again, and may find that others have gone on from its own version.
+	// Danger: a proposer that lost its answer retries, possibly after others have built on its version. It must still
+	// learn that its proposal was decided.
 	if i := slices.IndexFunc(s.Versions, func(v Version) bool { return c.ID != "" && v.ID == c.ID }); i >= 0 {
 		r.Version, r.Same, r.By = s.Versions[i].Number, true, s.Versions[i].By
 		return r
@@ -190,7 +191,7 @@
 		r.Version = now.Number + 1
 		s.Versions = append(s.Versions, Version{Number: r.Version, Hash: hash, ID: c.ID, By: c.By, Why: c.Why, At: c.At, Text: c.Text})
 		if !some {
-			s.Open = r.Version // there is none before it that anybody could go by
+			s.Open = r.Version // no proxy can be using an earlier version
 		}
 		if n := len(s.Versions); n > keptTexts {
 			s.Versions[n-keptTexts-1].Text = ""
@@ -202,10 +203,10 @@
 	return r
 }
 
-// told takes in what a proxy was told of a list, and tells whether anything is new.
+// told applies a proxy's report on a list and reports whether it changed the state.
 func (s *State) told(c Change) (news bool) {
 	f, known := s.Floors[c.Source]
-	if !known && len(s.Floors) >= mostSources || c.Floor.History != f.History {
+	if !known && len(s.Floors) >= maxSources || c.Floor.History != f.History {
 		return false
 	}
 	for _, e := range c.Ends {
@@ -216,7 +217,7 @@
 			s.Ends[i], news = e, true
 		default:
 			s.Ends, news = slices.Insert(s.Ends, i, e), true
-			if len(s.Ends) > mostEnds { // the oldest word: lists have long gone beyond it
+			if len(s.Ends) > maxEnds { // drop the oldest entry: lists have moved far past it
 				oldest := 0
 				for k := range s.Ends {
 					if s.Ends[k].Revision < s.Ends[oldest].Revision {
@@ -241,7 +242,7 @@
 	return strings.Compare(a.Name, b.Name)
 }
 
-// End is what was told of a backend of a source.
+// End returns what was reported of a backend of a source.
 func (s *State) End(source, name string) (End, bool) {
 	i, there := slices.BinarySearchFunc(s.Ends, End{Source: source, Name: name}, byName)
 	if !there {
