--- a/internal/fleet/agree/disk_test.go
+++ b/internal/fleet/agree/disk_test.go
@@ -16,8 +16,8 @@
 		s.run(s.now + 50*time.Millisecond)
 		all := true
 		for _, p := range s.procs {
-			_, some := p.keeper.View().Newest()
-			all = all && some && p.member.Valid(p.clock())
+			_, exists := p.keeper.View().Newest()
+			all = all && exists && p.member.Valid(p.clock())
 		}
 		if all {
 			return s
--- a/internal/fleet/agree/keeper.go
+++ b/internal/fleet/agree/keeper.go
@@ -327,7 +327,7 @@
 	case proving:
 		others, have := k.others(), 0
 		for _, n := range others {
-			if _, told := k.helloAnswers[n]; told {
+			if _, answered := k.helloAnswers[n]; answered {
 				have++
 			}
 		}
@@ -352,7 +352,7 @@
 		return
 	}
 	for _, n := range names[1:] {
-		if a, told := k.helloAnswers[n]; !told || !a.Empty || a.Begun {
+		if a, answered := k.helloAnswers[n]; !answered || !a.Empty || a.Begun {
 			return
 		}
 	}
@@ -640,7 +640,7 @@
 			}
 		}
 	}
-	if p, mine := k.pending[c.ID]; mine && c.ID != "" {
+	if p, isOwn := k.pending[c.ID]; isOwn && c.ID != "" {
 		delete(k.pending, c.ID)
 		k.send(p.from, Message{Result: &r})
 	}
@@ -682,7 +682,7 @@
 		return nil
 	}
 	var before []string
-	if v, some := k.state.Newest(); some && v.Text != "" {
+	if v, exists := k.state.Newest(); exists && v.Text != "" {
 		before = append(before, v.Text)
 	}
 	return k.cfg.Check(before, text)
--- a/internal/fleet/agree/leader.go
+++ b/internal/fleet/agree/leader.go
@@ -122,8 +122,8 @@
 
 // open proposes to open the newest version once no member can be using the previous version alone.
 func (k *Keeper) open() {
-	v, some := k.state.Newest()
-	if some && k.state.Opening() && k.openProposed != v.Number && k.olderStatesUnused() && k.propose(Change{Kind: "open", Version: v.Number}) {
+	v, exists := k.state.Newest()
+	if exists && k.state.Opening() && k.openProposed != v.Number && k.olderStatesUnused() && k.propose(Change{Kind: "open", Version: v.Number}) {
 		k.openProposed = v.Number
 	}
 }
@@ -151,13 +151,13 @@
 			k.proposeListChanges()
 		}
 	case c.Kind == "propose" && c.ID != "":
-		if p, there := k.pending[c.ID]; there { // a retry
+		if p, exists := k.pending[c.ID]; exists { // a retry
 			p.from = from
 			k.pending[c.ID] = p
 			return
 		}
 		r := k.state.clone().propose(c)
-		if v, some := k.state.Newest(); some && r.Refused == "" && !r.Same && !k.olderStatesUnused() {
+		if v, exists := k.state.Newest(); exists && r.Refused == "" && !r.Same && !k.olderStatesUnused() {
 			// Danger: members that still use the version before the newest would make it three versions in use.
 			r = Result{Refused: Busy, By: v.By, Version: v.Number}
 		}
@@ -184,8 +184,8 @@
 
 // handleChecked handles another keeper's verdict on a proposal.
 func (k *Keeper) handleChecked(from string, a Checked) {
-	p, there := k.pending[a.ID]
-	if !there || p.sent {
+	p, exists := k.pending[a.ID]
+	if !exists || p.sent {
 		return
 	}
 	if a.Bad != "" {
@@ -200,8 +200,8 @@
 // decide proposes a change to the log once all keepers have accepted it, or once a majority has and the others have not
 // answered within checkTicks.
 func (k *Keeper) decide(id string) {
-	p, there := k.pending[id]
-	if !there {
+	p, exists := k.pending[id]
+	if !exists {
 		return
 	}
 	if k.ticks-p.at > 20*electionTicks { // the proposer has sent it again by now, or has given up
@@ -252,11 +252,11 @@
 // addConfiguredKeepers adds the other keepers of the configuration file while the fleet is being founded, before any
 // version is decided.
 func (k *Keeper) addConfiguredKeepers() {
-	if _, some := k.state.Newest(); some || len(k.state.Keepers) >= len(k.cfg.Keepers) {
+	if _, exists := k.state.Newest(); exists || len(k.state.Keepers) >= len(k.cfg.Keepers) {
 		return
 	}
 	for _, n := range k.cfg.Keepers {
-		if h, shown := k.emptyKeepers[n]; shown && k.seatOf(n) == 0 {
+		if h, exists := k.emptyKeepers[n]; exists && k.seatOf(n) == 0 {
 			if k.ticks-k.lastSeatTick >= electionTicks { // raft allows one membership change at a time
 				k.lastSeatTick = k.ticks
 				k.proposeKeeperChange(Seat{n, h.ID}, true, "")
@@ -272,8 +272,8 @@
 // Complete reports whether the first version may be proposed: all keepers of the configuration file are seated, or a
 // version has been decided.
 func (k *Keeper) Complete() bool {
-	_, some := k.state.Newest()
-	return some || len(k.state.Keepers) >= len(k.cfg.Keepers)
+	_, exists := k.state.Newest()
+	return exists || len(k.state.Keepers) >= len(k.cfg.Keepers)
 }
 
 func (k *Keeper) seatOf(name string) uint64 {
@@ -338,14 +338,14 @@
 	k.seatRequests = slices.DeleteFunc(k.seatRequests, func(s seatAsk) bool {
 		late := k.ticks-s.at > 10*electionTicks
 		if s.ask.Add {
-			h, shown := k.emptyKeepers[s.ask.Name]
-			if !shown && !late {
+			h, exists := k.emptyKeepers[s.ask.Name]
+			if !exists && !late {
 				if (k.ticks-s.at)%helloTicks == 0 {
 					k.send(s.ask.Name, Message{Invite: true})
 				}
 				return false
 			}
-			if !shown {
+			if !exists {
 				delete(k.pending, s.ask.ID)
 				k.send(s.from, Message{Result: &Result{ID: s.ask.ID, By: k.cfg.Name, Refused: s.ask.Name + " shows no new disk: it has none, can't be reached, or keeps the log already"}})
 				return true
--- a/internal/fleet/agree/sim_test.go
+++ b/internal/fleet/agree/sim_test.go
@@ -140,7 +140,7 @@
 		p.carry(p.keeper.Tick(p.clock()))
 	}
 	if p.keeper != nil && p.keeper.Leads() && p.keeper.Complete() {
-		if _, some := p.keeper.View().Newest(); !some {
+		if _, exists := p.keeper.View().Newest(); !exists {
 			p.carry(p.keeper.Receive(p.clock(), p.name, Message{Propose: &Change{Kind: "propose", ID: "first", Text: `{"v":0}`, By: p.name}}))
 		}
 	}
@@ -314,8 +314,8 @@
 		if p.down || p.frozen || p.held == nil || !p.member.Valid(p.clock()) {
 			continue
 		}
-		n, some := p.held.Newest()
-		if !some {
+		n, exists := p.held.Newest()
+		if !exists {
 			continue // no version is decided yet
 		}
 		// The time since the state in use was replaced must not exceed Within.
--- a/internal/fleet/agree/state.go
+++ b/internal/fleet/agree/state.go
@@ -81,8 +81,8 @@
 
 // Opening reports whether the newest version is decided but not yet open.
 func (s *State) Opening() bool {
-	v, some := s.Newest()
-	return some && v.Number != s.Open
+	v, exists := s.Newest()
+	return exists && v.Number != s.Open
 }
 
 // clone returns a copy that can be modified without changing the original.
@@ -145,8 +145,8 @@
 		}
 		s.Step = seq
 	case "open":
-		v, some := s.Newest()
-		if !some || v.Number != c.Version || s.Open == c.Version {
+		v, exists := s.Newest()
+		if !exists || v.Number != c.Version || s.Open == c.Version {
 			return r
 		}
 		s.Open, s.Step = c.Version, seq
@@ -170,7 +170,7 @@
 // propose decides a proposed version. The first proposal on a base wins; others are refused and get its proposer's name.
 func (s *State) propose(c Change) Result {
 	r := Result{ID: c.ID}
-	now, some := s.Newest()
+	newest, exists := s.Newest()
 	hash := Hash(c.Text)
 	// Danger: a proposer that lost its answer retries, possibly after others have built on its version. It must still
 	// learn that its proposal was decided.
@@ -181,16 +181,16 @@
 	switch {
 	case len(c.Text) > MostText:
 		r.Refused = "the settings are too long"
-	case some && now.Hash == hash:
-		r.Version, r.Same, r.By = now.Number, true, now.By
-	case some && c.Base != now.Number:
-		r.Refused, r.By, r.Version = "another version was decided first", now.By, now.Number
+	case exists && newest.Hash == hash:
+		r.Version, r.Same, r.By = newest.Number, true, newest.By
+	case exists && c.Base != newest.Number:
+		r.Refused, r.By, r.Version = "another version was decided first", newest.By, newest.Number
 	case s.Opening():
-		r.Refused, r.By, r.Version = Busy, now.By, now.Number
+		r.Refused, r.By, r.Version = Busy, newest.By, newest.Number
 	default:
-		r.Version = now.Number + 1
+		r.Version = newest.Number + 1
 		s.Versions = append(s.Versions, Version{Number: r.Version, Hash: hash, ID: c.ID, By: c.By, Why: c.Why, At: c.At, Text: c.Text})
-		if !some {
+		if !exists {
 			s.Open = r.Version // no proxy can be using an earlier version
 		}
 		if n := len(s.Versions); n > keptTexts {
@@ -210,10 +210,10 @@
 		return false
 	}
 	for _, e := range c.Ends {
-		i, there := slices.BinarySearchFunc(s.Ends, e, byName)
+		i, exists := slices.BinarySearchFunc(s.Ends, e, byName)
 		switch {
-		case there && s.Ends[i].Revision >= e.Revision:
-		case there:
+		case exists && s.Ends[i].Revision >= e.Revision:
+		case exists:
 			s.Ends[i], news = e, true
 		default:
 			s.Ends, news = slices.Insert(s.Ends, i, e), true
@@ -244,8 +244,8 @@
 
 // End returns what was reported of a backend of a source.
 func (s *State) End(source, name string) (End, bool) {
-	i, there := slices.BinarySearchFunc(s.Ends, End{Source: source, Name: name}, byName)
-	if !there {
+	i, exists := slices.BinarySearchFunc(s.Ends, End{Source: source, Name: name}, byName)
+	if !exists {
 		return End{}, false
 	}
 	return s.Ends[i], true
--- a/internal/fleet/peers/compatibility_test.go
+++ b/internal/fleet/peers/compatibility_test.go
@@ -18,7 +18,7 @@
 // The metadata that a proxy announces to the others, by which a proxy of another fleet is recognized.
 func TestCompatibilityMeta(t *testing.T) {
 	started := time.Date(2026, 11, 30, 8, 15, 0, 250_000_000, time.UTC)
-	p := &Peers{cfg: Config{Fleet: "pier", Name: "n0", Boot: 77, Started: started, Refused: func(error) {}}, known: map[string]Member{}, said: map[string]bool{}}
+	p := &Peers{cfg: Config{Fleet: "pier", Name: "n0", Boot: 77, Started: started, Refused: func(error) {}}, known: map[string]Member{}, reported: map[string]bool{}}
 	compareRecorded(t, "meta.json", append(delegate{p}.NodeMeta(512), '\n'))
 }
 
--- a/internal/fleet/peers/peers.go
+++ b/internal/fleet/peers/peers.go
@@ -37,12 +37,12 @@
 
 // Limits of what is sent, and intervals between attempts to join.
 const (
-	mostDatagram = 1200 // longer messages are sent on a stream
-	queued       = 64   // messages to one peer that wait for a stream
-	mostQueues   = 512
-	joinEvery    = 2 * time.Second // while no other proxy is known
-	mostJoins    = 5               // peers asked in one attempt
-	rejoinEvery  = 15 * time.Second
+	maxDatagramBytes = 1200 // longer messages are sent on a stream
+	queueLength      = 64   // messages to one peer that wait for a stream
+	maxQueues        = 512
+	joinEvery        = 2 * time.Second // while no other proxy is known
+	maxJoins         = 5               // peers asked in one attempt
+	rejoinEvery      = 15 * time.Second
 )
 
 // Member is a proxy as this one knows it.
@@ -57,16 +57,16 @@
 
 // Peers is this proxy's membership among its peers. Join creates one.
 type Peers struct {
-	cfg   Config
-	list  *memberlist.Memberlist
-	via   *transport
-	stop  chan struct{}
-	wg    sync.WaitGroup
-	mu    sync.Mutex
-	known map[string]Member // by name: a copy, as the library modifies its records under its own lock
-	out   map[string]chan []byte
-	said  map[string]bool
-	taken bool
+	cfg       Config
+	list      *memberlist.Memberlist
+	via       *transport
+	stop      chan struct{}
+	wg        sync.WaitGroup
+	mu        sync.Mutex
+	known     map[string]Member // by name: a copy, as the library modifies its records under its own lock
+	queues    map[string]chan []byte
+	reported  map[string]bool
+	nameTaken bool
 }
 
 type meta struct {
@@ -87,11 +87,11 @@
 	if err != nil {
 		return nil, &ListenError{cfg.Listen, err}
 	}
-	p := &Peers{cfg: cfg, via: via, stop: make(chan struct{}), known: map[string]Member{}, out: map[string]chan []byte{}, said: map[string]bool{}}
+	p := &Peers{cfg: cfg, via: via, stop: make(chan struct{}), known: map[string]Member{}, queues: map[string]chan []byte{}, reported: map[string]bool{}}
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.Transport, c.SecretKey, c.Label = cfg.Name, via, cfg.Key, cfg.Fleet
 	c.Delegate, c.Events, c.Conflict, c.Alive, c.Ping = delegate{p}, delegate{p}, delegate{p}, delegate{p}, delegate{p}
-	c.LogOutput = lines(p.hear)
+	c.LogOutput = lineWriter(p.readLogLine)
 	c.TCPTimeout, c.PushPullInterval, c.GossipInterval, c.GossipNodes = 3*time.Second, 30*time.Second, 250*time.Millisecond, 3
 	c.DeadNodeReclaimTime = time.Second // a proxy may return with another address under its name
 	c.EnableCompression = false
@@ -99,12 +99,12 @@
 		via.Shutdown()
 		return nil, &KeyError{err.Error()}
 	}
-	p.wg.Go(p.look)
+	p.wg.Go(p.joinMissing)
 	return p, nil
 }
 
-// look joins configured peers that are not known, at once and then periodically.
-func (p *Peers) look() {
+// joinMissing joins configured peers that are not known, at once and then periodically.
+func (p *Peers) joinMissing() {
 	for {
 		var missing []string
 		known := map[string]bool{p.cfg.Name: true}
@@ -119,7 +119,7 @@
 		// One peer that answers is enough, as it knows the others. Danger: 300 proxies that each ask all 300 at once
 		// would flood the network when a fleet starts.
 		rand.Shuffle(len(missing), func(i, j int) { missing[i], missing[j] = missing[j], missing[i] })
-		for _, m := range missing[:min(len(missing), mostJoins)] {
+		for _, m := range missing[:min(len(missing), maxJoins)] {
 			if p.closing() {
 				return
 			}
@@ -128,7 +128,7 @@
 				break
 			}
 			if strings.Contains(err.Error(), "EOF") {
-				p.refuse("closed "+m, &PeerClosedError{m})
+				p.reportOnce("closed "+m, &PeerClosedError{m})
 			}
 		}
 		every := rejoinEvery
@@ -152,19 +152,19 @@
 	}
 }
 
-// refuse calls Config.Refused, once for each reason.
-func (p *Peers) refuse(reason string, err error) {
+// reportOnce calls Config.Refused, once for each reason.
+func (p *Peers) reportOnce(reason string, err error) {
 	p.mu.Lock()
-	said := p.said[reason] || len(p.said) > 100
-	p.said[reason] = true
+	said := p.reported[reason] || len(p.reported) > 100
+	p.reported[reason] = true
 	p.mu.Unlock()
 	if !said {
 		go p.cfg.Refused(err) // on a goroutine, as the library may hold its lock, which the callee may wait for
 	}
 }
 
-// hear looks in the library's log lines for suspect members and refused peers, which it reports nowhere else.
-func (p *Peers) hear(line string) {
+// readLogLine looks in the library's log lines for suspect members and refused peers, which it reports nowhere else.
+func (p *Peers) readLogLine(line string) {
 	l := strings.ToLower(line)
 	from := ""
 	if i := strings.Index(line, "from="); i >= 0 {
@@ -172,13 +172,13 @@
 	}
 	if _, rest, found := strings.Cut(line, "memberlist: Suspect "); found {
 		name, _, _ := strings.Cut(rest, " has failed")
-		p.change(name, alive, suspect)
+		p.changeState(name, alive, suspect)
 	}
 	switch {
 	case strings.Contains(l, "decrypt"), strings.Contains(l, "no installed keys"), strings.Contains(l, "encryption"):
-		p.refuse("key "+from, &KeyError{"a peer uses another key: " + from})
+		p.reportOnce("key "+from, &KeyError{"a peer uses another key: " + from})
 	case strings.Contains(l, "label"):
-		p.refuse("label "+from, &OtherFleetError{from})
+		p.reportOnce("label "+from, &OtherFleetError{from})
 	}
 }
 
@@ -205,20 +205,20 @@
 	fmt.Sscan(port, &n)
 	frame := append(append([]byte{byte(len(p.cfg.Name))}, p.cfg.Name...), data...)
 	node := &memberlist.Node{Name: to, Addr: net.ParseIP(host), Port: uint16(n)}
-	if len(frame) <= mostDatagram {
+	if len(frame) <= maxDatagramBytes {
 		p.list.SendBestEffort(node, frame) // may be lost: senders retry what they need answered
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	q := p.out[to]
+	q := p.queues[to]
 	if q == nil {
-		if len(p.out) >= mostQueues || p.closing() {
+		if len(p.queues) >= maxQueues || p.closing() {
 			return
 		}
-		q = make(chan []byte, queued)
-		p.out[to] = q
-		p.wg.Go(func() { p.drain(to, node, q) })
+		q = make(chan []byte, queueLength)
+		p.queues[to] = q
+		p.wg.Go(func() { p.sendQueued(to, node, q) })
 	}
 	select {
 	case q <- frame:
@@ -226,8 +226,8 @@
 	}
 }
 
-// drain sends the messages in the queue of one peer, and ends once it is empty.
-func (p *Peers) drain(to string, node *memberlist.Node, q chan []byte) {
+// sendQueued sends the messages in the queue of one peer, and ends once it is empty.
+func (p *Peers) sendQueued(to string, node *memberlist.Node, q chan []byte) {
 	for {
 		select {
 		case frame := <-q:
@@ -238,7 +238,7 @@
 		default:
 			p.mu.Lock()
 			if len(q) == 0 {
-				delete(p.out, to)
+				delete(p.queues, to)
 				p.mu.Unlock()
 				return
 			}
@@ -254,7 +254,7 @@
 	gone    = "gone"
 )
 
-const mostKnown = 2048
+const maxMembers = 2048
 
 // Members returns all known members, including this proxy, sorted by name.
 func (p *Peers) Members() []Member {
@@ -268,15 +268,15 @@
 	return all
 }
 
-// note records a node's state. The library calls it with its lock held, so p.mu must never be held in a call to the
+// recordNode records a node's state. The library calls it with its lock held, so p.mu must never be held in a call to the
 // library, or both could deadlock.
-func (p *Peers) note(n *memberlist.Node, state string) {
+func (p *Peers) recordNode(n *memberlist.Node, state string) {
 	var m meta
 	json.Unmarshal(n.Meta, &m)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	was, there := p.known[n.Name]
-	if !there && len(p.known) >= mostKnown {
+	was, exists := p.known[n.Name]
+	if !exists && len(p.known) >= maxMembers {
 		return
 	}
 	since := was.Since
@@ -286,11 +286,11 @@
 	p.known[n.Name] = Member{Name: n.Name, Address: n.Address(), State: state, Boot: m.Boot, Started: time.UnixMilli(m.Started), Since: since}
 }
 
-// change moves a member from one state to another, if it is in the first.
-func (p *Peers) change(name, from, to string) {
+// changeState moves a member from one state to another, if it is in the first.
+func (p *Peers) changeState(name, from, to string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if m, there := p.known[name]; there && m.State == from {
+	if m, exists := p.known[name]; exists && m.State == from {
 		m.State, m.Since = to, time.Now()
 		p.known[name] = m
 	}
@@ -338,15 +338,15 @@
 func (d delegate) LocalState(bool) []byte          { return nil }
 func (d delegate) MergeRemoteState([]byte, bool)   {}
 
-func (d delegate) NotifyJoin(n *memberlist.Node)   { d.note(n, alive) }
-func (d delegate) NotifyUpdate(n *memberlist.Node) { d.note(n, alive) }
-func (d delegate) NotifyLeave(n *memberlist.Node)  { d.note(n, gone) }
+func (d delegate) NotifyJoin(n *memberlist.Node)   { d.recordNode(n, alive) }
+func (d delegate) NotifyUpdate(n *memberlist.Node) { d.recordNode(n, alive) }
+func (d delegate) NotifyLeave(n *memberlist.Node)  { d.recordNode(n, gone) }
 
 func (delegate) AckPayload() []byte { return nil }
 
 // NotifyPingComplete is called when a node has answered a probe.
 func (d delegate) NotifyPingComplete(n *memberlist.Node, _ time.Duration, _ []byte) {
-	d.change(n.Name, suspect, alive)
+	d.changeState(n.Name, suspect, alive)
 }
 
 // NotifyAlive rejects proxies of other fleets.
@@ -354,7 +354,7 @@
 	var m meta
 	if err := json.Unmarshal(n.Meta, &m); err != nil || m.Fleet != d.cfg.Fleet {
 		err := &OtherFleetError{n.Address()}
-		d.refuse("fleet "+n.Address(), err)
+		d.reportOnce("fleet "+n.Address(), err)
 		return err
 	}
 	return nil
@@ -367,18 +367,18 @@
 	json.Unmarshal(other.Meta, &m)
 	if other.Name == d.cfg.Name && (m.Started < d.cfg.Started.UnixMilli() || m.Started == d.cfg.Started.UnixMilli() && m.Boot < d.cfg.Boot) {
 		d.mu.Lock()
-		d.taken = true
+		d.nameTaken = true
 		d.mu.Unlock()
 		err.Mine = true
 	}
-	d.refuse("name "+other.Name+other.Address(), err)
+	d.reportOnce("name "+other.Name+other.Address(), err)
 }
 
 // Taken reports whether this process is refused because another one uses its name.
 func (p *Peers) Taken() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.taken
+	return p.nameTaken
 }
 
 // ReadKey reads a key file: 16, 24 or 32 bytes, raw or in hexadecimal.
--- a/internal/fleet/peers/transport.go
+++ b/internal/fleet/peers/transport.go
@@ -10,8 +10,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// mostStreams bounds the streams that others open to this proxy, and so the file descriptors.
-const mostStreams = 24
+// maxStreams bounds the streams that others open to this proxy, and so the file descriptors.
+const maxStreams = 24
 
 // transport is one UDP socket and one TCP listener. It looks up the addresses of peers by their names, as the address at
 // which this proxy reaches a peer may differ from the one that the peer advertises.
@@ -83,7 +83,7 @@
 				continue
 			}
 		}
-		if t.open.Add(1) > mostStreams {
+		if t.open.Add(1) > maxStreams {
 			t.open.Add(-1)
 			c.Close()
 			continue
@@ -109,16 +109,16 @@
 	return s.Conn.Close()
 }
 
-// find returns the configured address of a peer, or the advertised one if there is none.
-func (t *transport) find(a memberlist.Address) string {
-	if at, there := t.table[a.Name]; there {
+// addressOf returns the configured address of a peer, or the advertised one if there is none.
+func (t *transport) addressOf(a memberlist.Address) string {
+	if at, exists := t.table[a.Name]; exists {
 		return at
 	}
 	return a.Addr
 }
 
 func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	to, err := net.ResolveUDPAddr("udp", t.find(a))
+	to, err := net.ResolveUDPAddr("udp", t.addressOf(a))
 	if err != nil {
 		return time.Time{}, err
 	}
@@ -132,7 +132,7 @@
 }
 
 func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	return net.DialTimeout("tcp", t.find(a), timeout)
+	return net.DialTimeout("tcp", t.addressOf(a), timeout)
 }
 
 func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
@@ -157,10 +157,10 @@
 	return nil
 }
 
-// lines is an io.Writer that passes the library's log to a function, line by line.
-type lines func(line string)
+// lineWriter is an io.Writer that passes the library's log to a function, line by line.
+type lineWriter func(line string)
 
-func (l lines) Write(p []byte) (int, error) {
+func (l lineWriter) Write(p []byte) (int, error) {
 	for line := range strings.Lines(string(p)) {
 		l(strings.TrimSpace(line))
 	}
