--- a/internal/fleet/agree/keeper.go
+++ b/internal/fleet/agree/keeper.go
@@ -88,9 +88,9 @@
 	withinMismatch map[string]bool        // members whose different agree-within has been logged
 
 	leads              bool
-	leaderSince        time.Duration // since when this keeper has led
-	renewals           []renewal
-	reads              map[uint64][]renewal
+	leaderSince        time.Duration        // since when this keeper has led
+	renewals           []renewal            // wait for the next read
+	reads              map[uint64][]renewal // by number of the read, until a majority has confirmed it
 	lastRead           uint64
 	holders            map[uint64]holder // by Boot
 	lastStep           time.Duration     // when the last decision or opening of a version was applied here
--- a/internal/fleet/agree/member.go
+++ b/internal/fleet/agree/member.go
@@ -46,7 +46,7 @@
 	until        time.Duration // end of the lease
 	lists        Lists
 	lastRequest  uint64 // number of the last renewal
-	inFlight     bool
+	inFlight     bool   // a renewal is unanswered
 	sentAt       time.Duration
 	next         time.Duration            // time of the next renewal
 	requestTimes map[uint64]time.Duration // when each unanswered renewal was sent
--- a/internal/fleet/agree/message.go
+++ b/internal/fleet/agree/message.go
@@ -43,7 +43,7 @@
 type Renew struct {
 	N    uint64 `json:"n"`    // number of the request: increases within a process
 	Boot uint64 `json:"boot"` // of the asking process
-	Born uint64 `json:"born"` // of the state known
+	Born uint64 `json:"born"` // founding that the known state belongs to
 	Have uint64 `json:"have"` // Seq of the newest state known to the member
 	Held uint64 `json:"held"` // Seq of the state in force at the member
 	List Lists  `json:"list"`
