--- a/internal/rehearsal/arrivals.go
+++ b/internal/rehearsal/arrivals.go
@@ -13,18 +13,18 @@
 	"time"
 )
 
-// How requests come. Open arrivals are drawn whole before the run, whatever becomes of them; users ask
-// anew only when their last request has ended, as their plan's thinking times say.
+// The arrival of requests. Open-loop arrivals are all drawn before the run, whatever their outcome. In a closed
+// loop a user sends the next request only after the last one has ended and the planned pause is over.
 
 const (
 	arrivalsSteady = "steady"
 	arrivalsBursty = "bursty"
 	arrivalsWave   = "wave"
 	arrivalsTrace  = "trace"
-	mostUsers      = 20_000
+	maxUsers       = 20_000
 )
 
-// check names what makes no load.
+// check returns an error for the first invalid value.
 func (t *Traffic) check() error {
 	kinds := []string{"", arrivalsSteady, arrivalsBursty, arrivalsWave, arrivalsTrace}
 	b, w, u := t.Bursts, t.Wave, t.Users
@@ -36,28 +36,28 @@
 	case t.Arrivals == arrivalsWave && (!(w.Swing > 0) || w.Swing > 1 || w.Period < Span(10*time.Millisecond)):
 		return errors.New("traffic.wave: swing above 0 and up to 1 and a period of 10ms or more are needed")
 	case t.Arrivals != arrivalsBursty && b != (Bursts{}), t.Arrivals != arrivalsWave && w != (Wave{}), t.Arrivals != arrivalsTrace && t.Trace != "":
-		return fmt.Errorf("traffic.arrivals = %q: bursts, wave and trace each go with the arrivals of their name alone", t.Arrivals)
+		return fmt.Errorf("traffic.arrivals = %q: bursts, wave and trace are allowed only with the arrivals of the same name", t.Arrivals)
 	case t.Arrivals == arrivalsTrace && t.Trace == "":
 		return errors.New("traffic.trace is missing: a file of \"seconds,class\" lines")
 	case t.Arrivals == arrivalsTrace && (t.Rate != 0 || len(t.Jumps) > 0):
-		return errors.New("traffic.trace says when requests come: no rate and no jumps beside it")
+		return errors.New("traffic.trace sets the times of requests: rate and jumps must be left out")
 	case (t.Arrivals == arrivalsTrace || u.Count > 0) && !(t.Quota > 0):
-		return errors.New("traffic.quota is needed where there is no rate: requests a second that the houses' shares divide")
-	case u.Count < 0 || u.Count > mostUsers || u.Count > 0 && u.Think.D() < time.Millisecond || u.Count == 0 && u.Think != 0:
-		return fmt.Errorf("traffic.users: count up to %d and think of 1ms or more are needed", mostUsers)
+		return errors.New("traffic.quota is needed without a rate: requests per second, divided among the houses by their shares")
+	case u.Count < 0 || u.Count > maxUsers || u.Count > 0 && u.Think.D() < time.Millisecond || u.Count == 0 && u.Think != 0:
+		return fmt.Errorf("traffic.users: count up to %d and think of 1ms or more are needed", maxUsers)
 	case u.Count > 0 && (t.Rate != 0 || t.Arrivals != "" || len(t.Jumps) > 0):
-		return errors.New("traffic.users ask by themselves: no rate, arrivals or jumps beside them")
+		return errors.New("traffic.users is a closed loop: rate, arrivals and jumps must be left out")
 	}
 	return nil
 }
 
-// traced is a line of a trace.
-type traced struct {
+// traceEntry is one request of a trace.
+type traceEntry struct {
 	at    time.Duration
 	class int
 }
 
-// readTrace reads a recorded day: "seconds,class" a line, '#' for remarks.
+// readTrace reads a recorded load: one "seconds,class" per line; '#' starts a comment line.
 func (s *Scenario) readTrace(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -79,46 +79,46 @@
 		seconds, err := strconv.ParseFloat(strings.TrimSpace(at), 64)
 		class, known := classes[strings.TrimSpace(name)]
 		switch {
-		case err != nil || !(seconds >= 0) || math.IsInf(seconds, 0) || seconds > mostLength.Seconds():
-			return fmt.Errorf("%s:%d: %q is no time in seconds, from 0 to %.0f", path, n, at, mostLength.Seconds())
+		case err != nil || !(seconds >= 0) || math.IsInf(seconds, 0) || seconds > maxLength.Seconds():
+			return fmt.Errorf("%s:%d: %q is not a time in seconds from 0 to %.0f", path, n, at, maxLength.Seconds())
 		case !known:
-			return fmt.Errorf("%s:%d: no class %q", path, n, strings.TrimSpace(name))
-		case len(s.Traffic.trace) == mostRequests:
-			return fmt.Errorf("%s:%d: more than %d requests", path, n, mostRequests)
+			return fmt.Errorf("%s:%d: unknown class %q", path, n, strings.TrimSpace(name))
+		case len(s.Traffic.trace) == maxRequests:
+			return fmt.Errorf("%s:%d: more than %d requests", path, n, maxRequests)
 		}
-		s.Traffic.trace = append(s.Traffic.trace, traced{time.Duration(seconds*1e6+0.5) * time.Microsecond, class})
+		s.Traffic.trace = append(s.Traffic.trace, traceEntry{time.Duration(seconds*1e6+0.5) * time.Microsecond, class})
 	}
 	if err := lines.Err(); err != nil {
 		return fmt.Errorf("%s:%d: %w", path, n+1, err)
 	}
 	if len(s.Traffic.trace) == 0 {
-		return fmt.Errorf("%s: no request", path)
+		return fmt.Errorf("%s: no requests", path)
 	}
 	sort.SliceStable(s.Traffic.trace, func(i, j int) bool { return s.Traffic.trace[i].at < s.Traffic.trace[j].at })
 	return nil
 }
 
-// span is a part of a day.
-type spell struct{ from, to time.Duration }
+// interval is a period of the run.
+type interval struct{ from, to time.Duration }
 
-// bursts draws a day's.
-func (s *Scenario) bursts(seed uint64) (all []spell) {
+// bursts draws the bursts of a run.
+func (s *Scenario) bursts(seed uint64) (all []interval) {
 	b := s.Traffic.Bursts
 	if s.Traffic.Arrivals != arrivalsBursty {
 		return nil
 	}
-	d := newDraws(seed, "bursts")
+	d := newRandomStream(seed, "bursts")
 	for at := d.span(b.Every.D(), 1); at < s.Length.D(); {
 		end := at + max(d.span(b.For.D(), 1), time.Millisecond)
-		all = append(all, spell{at, end})
+		all = append(all, interval{at, end})
 		at = end + max(d.span(b.Every.D(), 1), time.Millisecond)
 	}
 	return all
 }
 
-// shape is by how much the rate differs from its mean at a time, in thousandths. It rises and falls in
-// straight lines: every machine makes the same of them.
-func (s *Scenario) shape(at time.Duration, bursts []spell) float64 {
+// rateFactor returns the rate at the given time relative to its mean. It is piecewise linear, so that every
+// machine computes the same value.
+func (s *Scenario) rateFactor(at time.Duration, bursts []interval) float64 {
 	t := &s.Traffic
 	switch t.Arrivals {
 	case arrivalsBursty:
@@ -130,7 +130,7 @@
 		return usual
 	case arrivalsWave:
 		part := float64(at%t.Wave.Period.D()) / float64(t.Wave.Period.D())
-		switch { // from the mean up, down through it, and back
+		switch { // up from the mean, down through it, and back up to it
 		case part < 0.25:
 			return 1 + t.Wave.Swing*4*part
 		case part < 0.75:
@@ -141,8 +141,8 @@
 	return 1
 }
 
-// mostShape is the most that shape gives.
-func (s *Scenario) mostShape() float64 {
+// maxRateFactor returns the maximum of rateFactor.
+func (s *Scenario) maxRateFactor() float64 {
 	switch t := &s.Traffic; t.Arrivals {
 	case arrivalsBursty:
 		return t.Bursts.Times
@@ -152,11 +152,11 @@
 	return 1
 }
 
-// drawUsers plans what each user asks, and how long he thinks before. How far he gets is the run's: the
-// plan has as many requests as there would be if every answer came at once.
-func (p *Plan) drawUsers(s *Scenario, one func(d draws) PlannedRequest) {
+// drawUsers plans the requests of each user and the pauses before them. How many are sent depends on the run: the
+// plan holds as many requests as there would be if every answer came at once.
+func (p *Plan) drawUsers(s *Scenario, one func(d randomStream) PlannedRequest) {
 	for u := range s.Traffic.Users.Count {
-		d := newDraws(p.Seed, fmt.Sprintf("user %d", u))
+		d := newRandomStream(p.Seed, fmt.Sprintf("user %d", u))
 		at := time.Duration(0)
 		for {
 			think := max(d.span(s.Traffic.Users.Think.D(), 1), time.Millisecond)
@@ -173,18 +173,18 @@
 	}
 }
 
-// shares is how much of its share each house has left: a bucket for each, of a second's quota.
-type shares struct {
+// quotaBuckets holds a token bucket for each house, with a capacity of one second of the house's quota.
+type quotaBuckets struct {
 	quota, left []float64
 	filled      []time.Duration
 }
 
-func (s *Scenario) shares() *shares {
+func (s *Scenario) shares() *quotaBuckets {
 	total := 0.0
 	for _, h := range s.Houses {
 		total += h.Share
 	}
-	b := &shares{make([]float64, len(s.Houses)), make([]float64, len(s.Houses)), make([]time.Duration, len(s.Houses))}
+	b := &quotaBuckets{make([]float64, len(s.Houses)), make([]float64, len(s.Houses)), make([]time.Duration, len(s.Houses))}
 	for i, h := range s.Houses {
 		b.quota[i] = s.quota() * h.Share / total
 		b.left[i] = b.quota[i]
@@ -192,8 +192,8 @@
 	return b
 }
 
-// over takes a request of a house, and tells whether it is beyond its share.
-func (b *shares) over(h int, at time.Duration) bool {
+// takesTooMuch takes a token for a request of house h, and reports whether the house has exceeded its share.
+func (b *quotaBuckets) takesTooMuch(h int, at time.Duration) bool {
 	b.left[h] = min(b.quota[h], b.left[h]+float64(b.quota[h]*(at-b.filled[h]).Seconds()))
 	b.filled[h] = at
 	if b.left[h] < 1 {
@@ -203,9 +203,9 @@
 	return false
 }
 
-// played is a closed loop's plan as it came to pass: the requests that were asked, in the order of their
-// times, and the tries with their new numbers.
-func (p *Plan) played(s *Scenario, began []time.Duration, tries []Try) (*Plan, []Try) {
+// asPlayed returns the plan of a closed loop as it was executed: only the requests that were sent, ordered by time, and
+// the tries renumbered accordingly.
+func (p *Plan) asPlayed(s *Scenario, began []time.Duration, tries []Try) (*Plan, []Try) {
 	q := *p
 	q.Requests = nil
 	var order []int
@@ -220,7 +220,7 @@
 	for n, i := range order {
 		r := p.Requests[i]
 		r.At = began[i]
-		r.Over = b.over(r.House, r.At)
+		r.Over = b.takesTooMuch(r.House, r.At)
 		number[i] = n
 		q.Requests = append(q.Requests, r)
 	}
--- a/internal/rehearsal/arrivals_test.go
+++ b/internal/rehearsal/arrivals_test.go
@@ -11,7 +11,7 @@
 	"marlreel/internal/standin"
 )
 
-// arrivalsOf draws a long day of one kind of arrivals, and gives the requests of each second.
+// arrivalsOf draws a plan of 10 minutes with one kind of arrivals, and returns the number of requests in each second.
 func arrivalsOf(t *testing.T, change func(s *Scenario)) (p *Plan, seconds []int) {
 	t.Helper()
 	s := short()
@@ -22,13 +22,13 @@
 	}
 	p = Draw(s, 3)
 	if Draw(s, 3).Digest() != p.Digest() || Draw(s, 4).Digest() == p.Digest() {
-		t.Error("a seed is not a day")
+		t.Error("equal seeds give different plans, or different seeds give equal ones")
 	}
 	seconds = make([]int, 600)
 	last := time.Duration(0)
 	for _, r := range p.Requests {
 		if r.At < last {
-			t.Fatal("out of order")
+			t.Fatal("requests are not ordered by time")
 		}
 		last = r.At
 		seconds[r.At/time.Second]++
@@ -36,7 +36,7 @@
 	return p, seconds
 }
 
-// Whatever way they come, the mean stays the rate; bursts stand out, and a wave rises and falls.
+// All kinds of arrivals have the configured mean rate. Bursts exceed it clearly, and a wave rises and falls.
 func TestArrivalsKeepTheirMean(t *testing.T) {
 	t.Parallel()
 	mean := func(seconds []int) float64 {
@@ -55,17 +55,17 @@
 	})
 	for name, c := range map[string]struct {
 		seconds []int
-		spread  float64 // of the mean, allowed
+		spread  float64 // allowed relative deviation from the mean
 	}{"steady": {steady, 0.02}, "bursty": {bursty, 0.15}, "wave": {wave, 0.02}} {
 		if m := mean(c.seconds); m < 100*(1-c.spread) || m > 100*(1+c.spread) {
-			t.Errorf("%s: %.1f a second", name, m)
+			t.Errorf("%s: %.1f requests per second, want about 100", name, m)
 		}
 	}
 	if most := slices.Max(steady); most > 150 {
-		t.Errorf("steady, and %d in a second", most)
+		t.Errorf("steady arrivals: %d requests in a second", most)
 	}
 	if most, least := slices.Max(bursty), slices.Min(bursty); most < 200 || least > 90 {
-		t.Errorf("bursts: %d to %d", least, most)
+		t.Errorf("bursty arrivals: %d to %d requests per second", least, most)
 	}
 	up, down := 0, 0
 	for i, k := range wave {
@@ -77,11 +77,11 @@
 		}
 	}
 	if up < 5*down {
-		t.Errorf("a wave: %d at its heights, %d at its depths", up, down)
+		t.Errorf("wave: %d requests around the maxima, %d around the minima", up, down)
 	}
 }
 
-// A recorded day comes as it was recorded.
+// The plan of a trace holds the requests of the trace, up to the length of the run.
 func TestTrace(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -116,12 +116,12 @@
 		t.Errorf("%v, want %v", got, want)
 	}
 	for trace, want := range map[string]string{
-		"":                "day.csv: no request",
-		"1,bid\nx,bid":    `day.csv:2: "x" is no time in seconds`,
-		"1,bid\n-1,bid":   `day.csv:2: "-1" is no time`,
-		"1,bid\n1":        `day.csv:2: no class ""`,
-		"NaN,bid":         `day.csv:1: "NaN" is no time`,
-		"1,bid\n2,biding": `day.csv:2: no class "biding"`,
+		"":                "day.csv: no requests",
+		"1,bid\nx,bid":    `day.csv:2: "x" is not a time in seconds`,
+		"1,bid\n-1,bid":   `day.csv:2: "-1" is not a time`,
+		"1,bid\n1":        `day.csv:2: unknown class ""`,
+		"NaN,bid":         `day.csv:1: "NaN" is not a time`,
+		"1,bid\n2,biding": `day.csv:2: unknown class "biding"`,
 	} {
 		write(trace)
 		if _, err := Parse(path, text); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
@@ -130,11 +130,11 @@
 	}
 	os.Remove(filepath.Join(dir, "day.csv"))
 	if _, err := Parse(path, text); err == nil || !strings.Contains(err.Error(), "traffic.trace") {
-		t.Errorf("no file: %v", err)
+		t.Errorf("missing trace file: %v", err)
 	}
 }
 
-func TestLoadsThatAreNone(t *testing.T) {
+func TestInvalidTraffic(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		change func(f *Traffic)
@@ -143,13 +143,13 @@
 		"arrivals":    {func(f *Traffic) { f.Arrivals = "burst" }, "steady, bursty, wave, trace is needed"},
 		"bursts":      {func(f *Traffic) { f.Arrivals = arrivalsBursty }, "traffic.bursts: times from above 1"},
 		"wave":        {func(f *Traffic) { f.Arrivals, f.Wave = arrivalsWave, Wave{Swing: 2, Period: Span(time.Second)} }, "swing above 0 and up to 1"},
-		"both":        {func(f *Traffic) { f.Wave = Wave{Swing: 0.5, Period: Span(time.Second)} }, "each go with the arrivals of their name"},
+		"both":        {func(f *Traffic) { f.Wave = Wave{Swing: 0.5, Period: Span(time.Second)} }, "only with the arrivals of the same name"},
 		"no trace":    {func(f *Traffic) { f.Arrivals = arrivalsTrace }, "traffic.trace is missing"},
-		"trace, rate": {func(f *Traffic) { f.Arrivals, f.Trace = arrivalsTrace, "x" }, "no rate and no jumps"},
-		"users, rate": {func(f *Traffic) { f.Users, f.Quota = Users{5, Span(time.Second)}, 9 }, "users ask by themselves"},
+		"trace, rate": {func(f *Traffic) { f.Arrivals, f.Trace = arrivalsTrace, "x" }, "rate and jumps must be left out"},
+		"users, rate": {func(f *Traffic) { f.Users, f.Quota = Users{5, Span(time.Second)}, 9 }, "traffic.users is a closed loop"},
 		"users":       {func(f *Traffic) { f.Rate, f.Users = 0, Users{5, Span(time.Second)} }, "traffic.quota is needed"},
-		"no thoughts": {func(f *Traffic) { f.Rate, f.Quota, f.Users = 0, 9, Users{5, 0} }, "think of 1ms or more"},
-		"many":        {func(f *Traffic) { f.Rate, f.Quota, f.Users = 0, 9, Users{20000, Span(time.Millisecond)} }, "is the most"},
+		"no think":    {func(f *Traffic) { f.Rate, f.Quota, f.Users = 0, 9, Users{5, 0} }, "think of 1ms or more"},
+		"many":        {func(f *Traffic) { f.Rate, f.Quota, f.Users = 0, 9, Users{20000, Span(time.Millisecond)} }, "at most 2000000 are possible"},
 	} {
 		s := short()
 		s.Length = Span(time.Minute)
@@ -160,8 +160,8 @@
 	}
 }
 
-// Users ask one request at a time. Where the service is slow they ask less, and the report says that they
-// are a closed loop.
+// In a closed loop each user has one request at a time, so that fewer are sent while the service is slow. The report
+// says that the load is a closed loop.
 func TestUsers(t *testing.T) {
 	users := func(wait time.Duration) *Scenario {
 		s := short()
@@ -181,13 +181,13 @@
 		t.Fatal(err)
 	}
 	if quick.Requests < 50 || slow.Requests >= quick.Requests*3/4 {
-		t.Errorf("%d requests, and %d where the service is slow", quick.Requests, slow.Requests)
+		t.Errorf("%d requests with a quick service, %d with a slow one", quick.Requests, slow.Requests)
 	}
 	if !strings.Contains(quick.Note, "closed loop: 12 users") || quick.Schedule == slow.Schedule {
 		t.Errorf("%q, schedules %.8s and %.8s", quick.Note, quick.Schedule, slow.Schedule)
 	}
 	if quick.Schedule != Draw(users(5*ms), 1).Digest() {
-		t.Error("the schedule is not what was drawn")
+		t.Error("the report's schedule is not the digest of the drawn plan")
 	}
 	if quick.Service < 0.9 || quick.Rules.Lost > 0 || quick.Clients.MostOpen > 12 {
 		t.Errorf("service %.3f, %d lost, %d connections at once (%s)", quick.Service, quick.Rules.Lost, quick.Clients.MostOpen, dir)
--- a/internal/rehearsal/audit.go
+++ b/internal/rehearsal/audit.go
@@ -9,16 +9,16 @@
 	"marlreel/internal/standin"
 )
 
-// Life is one process of a proxy, from its start to its end.
+// Life is the lifetime of one process of a proxy.
 type Life struct {
 	Proxy int
 	Start time.Duration
-	Term  time.Duration // when it was told to end; 0: it was not
-	End   time.Duration // 0: it lived to the end
+	Term  time.Duration // when it got SIGTERM; 0: never
+	End   time.Duration // 0: it ran to the end
 	How   string        // killed, ended, crashed
 }
 
-// Records is what both sides saw.
+// Records holds what the clients and the nodes saw in a run, and the state of the proxies' processes.
 type Records struct {
 	Scenario *Scenario
 	Plan     *Plan
@@ -28,7 +28,7 @@
 	Reloads  []Reload
 }
 
-// The rules, as reports name them.
+// The names of the rules in reports.
 const (
 	RuleLost       = "lost"
 	RuleDuplicated = "duplicated"
@@ -37,16 +37,16 @@
 	RuleSettings   = "settings"
 )
 
-// Break is one break of a rule.
+// Break is one violation of a rule.
 type Break struct {
 	Rule  string        `json:"rule"`
 	What  string        `json:"what"`
 	ID    string        `json:"id,omitempty"`
 	Class string        `json:"class,omitempty"`
 	Node  string        `json:"node,omitempty"`
-	Proxy int           `json:"proxy"` // -1 is none
+	Proxy int           `json:"proxy"` // index, or -1
 	At    time.Duration `json:"at_ns"`
-	Since time.Duration `json:"since_ns,omitempty"` // of what made it a break
+	Since time.Duration `json:"since_ns,omitempty"` // time of the earlier event that makes this a violation
 }
 
 func (b Break) String() string {
@@ -67,11 +67,11 @@
 	return text
 }
 
-// socketSlack is by how much each time limit of the rules is longer on sockets.
+// socketSlack is added to each time limit of the rules, for the delay of sockets and scheduling.
 const socketSlack = 50 * time.Millisecond
 
-// Audit checks the four rules from what clients and nodes saw. It knows nothing of
-// how the proxy works.
+// Audit checks the four rules, and reloads of settings, from what clients and nodes saw. It makes no
+// assumptions on how the proxy works.
 func Audit(r Records) []Break {
 	a := auditor{Records: r, byID: map[string][]*standin.Send{}, class: map[string]*Class{}, told: map[toldKey][]standin.Told{}}
 	for i := range r.Scenario.Classes {
@@ -90,11 +90,11 @@
 		a.told[k] = append(a.told[k], t)
 	}
 	for i := range r.Tries {
-		a.answers(&r.Tries[i])
-		a.effects(&r.Tries[i])
+		a.checkAnswers(&r.Tries[i])
+		a.checkEffects(&r.Tries[i])
 	}
-	a.drains()
-	a.cold()
+	a.checkDrains()
+	a.checkColdStarts()
 	a.breaks = append(a.breaks, reloadBreaks(r.Reloads)...)
 	sort.SliceStable(a.breaks, func(i, j int) bool { return a.breaks[i].At < a.breaks[j].At })
 	return a.breaks
@@ -113,7 +113,7 @@
 	breaks []Break
 }
 
-func (a *auditor) found(rule, what string, t *Try, node string, at, since time.Duration) {
+func (a *auditor) addBreak(rule, what string, t *Try, node string, at, since time.Duration) {
 	a.breaks = append(a.breaks, Break{
 		Rule: rule, What: what, ID: t.ID, Class: a.className(t), Node: node,
 		Proxy: t.Proxy, At: at, Since: since,
@@ -124,8 +124,8 @@
 	return a.Scenario.Classes[a.Plan.Requests[t.Request].Class].Name
 }
 
-// killed tells that a proxy was killed while it held something: from a little before
-// until a little after, as neither side sees the moment itself.
+// killed reports whether a proxy was killed while it had a request in flight. The period is extended by socketSlack
+// on both sides, as neither clients nor nodes see the exact time.
 func (a *auditor) killed(proxy int, from, to time.Duration) bool {
 	for _, l := range a.Lives {
 		if l.Proxy == proxy && l.How == "killed" && l.End >= from-socketSlack && l.End <= to+socketSlack {
@@ -135,51 +135,51 @@
 	return false
 }
 
-// answers checks that what was taken got exactly one final answer, in time, made by
-// a node for it, and that nothing went out for it afterwards.
-func (a *auditor) answers(t *Try) {
+// checkAnswers checks that an accepted request got exactly one final answer, in time and made by
+// a node for it, and that nothing was sent to a node for it afterwards.
+func (a *auditor) checkAnswers(t *Try) {
 	switch t.Outcome {
 	case Broken, Silent:
 		if t.Sent == 0 || a.killed(t.Proxy, t.Sent, t.Ended) {
-			break // never taken, or its holder was killed
+			break // never accepted, or its proxy was killed
 		}
 		what := "no answer within the client's time"
 		if t.Outcome == Broken {
 			what = "the connection ended in place of an answer"
 		}
-		a.found(RuleLost, what, t, "", t.Ended, t.Sent)
+		a.addBreak(RuleLost, what, t, "", t.Ended, t.Sent)
 	case Foreign:
-		a.found(RuleLost, "served with what no node made for it", t, "", t.Ended, t.Sent)
+		a.addBreak(RuleLost, "served with what no node made for it", t, "", t.Ended, t.Sent)
 	}
 	if t.Surplus > 0 {
-		a.found(RuleLost, "answered more than once", t, "", t.Ended, t.Sent)
+		a.addBreak(RuleLost, "answered more than once", t, "", t.Ended, t.Sent)
 	}
 	for _, s := range a.byID[t.ID] {
-		// It met the end of an idle connection, its client believed, and was sent once
-		// more; but it had been read, and taken.
+		// The client assumed that the proxy had closed an idle connection, and sent the request
+		// again; but the proxy had read and accepted it.
 		if t.Crossed != 0 && s.Began < t.Crossed && !a.killed(s.Proxy, s.Began, t.Crossed) {
-			a.found(RuleLost, "taken, and its connection ended in place of an answer", t, s.Node, t.Crossed, s.Began)
+			a.addBreak(RuleLost, "taken, and its connection ended in place of an answer", t, s.Node, t.Crossed, s.Began)
 			break
 		}
 	}
 	if t.Outcome == Served || t.Outcome == Refused || t.Outcome == Failed {
 		for _, s := range a.byID[t.ID] {
 			if s.Began > t.Ended+socketSlack {
-				a.found(RuleLost, "sent to a node after its final answer", t, s.Node, s.Began, t.Ended)
+				a.addBreak(RuleLost, "sent to a node after its final answer", t, s.Node, s.Began, t.Ended)
 			}
 		}
 	}
 }
 
-// ran tells that an arrival may have run.
-func ran(s *standin.Send) bool { return s.Effect != standin.TurnedAway }
+// mayHaveRun reports whether an attempt that reached a node may have run there.
+func mayHaveRun(s *standin.Send) bool { return s.Effect != standin.TurnedAway }
 
-// effects checks that nothing went out again, and nothing was refused, that may have
-// run, but as its class allows.
-func (a *auditor) effects(t *Try) {
+// checkEffects checks the limit of attempts, and that a request which may have run was repeated or refused
+// only as its class allows.
+func (a *auditor) checkEffects(t *Try) {
 	sends := a.byID[t.ID]
-	// What a killed proxy held is the client's to repeat. It did, under the same id, as
-	// the connection's end looked to it like one between two requests.
+	// A client may repeat what a killed proxy had in flight. Here it did so under the same id, as
+	// the connection seemed to have been closed while idle. Attempts of the killed proxy don't count.
 	if t.Crossed != 0 && len(sends) > 0 && a.killed(sends[0].Proxy, sends[0].Began, t.Crossed) {
 		sends = slices.DeleteFunc(slices.Clone(sends), func(s *standin.Send) bool {
 			return s.Proxy == sends[0].Proxy && s.Began < t.Crossed
@@ -187,44 +187,44 @@
 	}
 	c := &a.Scenario.Classes[a.Plan.Requests[t.Request].Class]
 	most := a.Scenario.Rules.MaxAttempts
-	if a.Scenario.Proxies.Fleet.Keepers == 0 { // a fleet's files are no word to one proxy: see agreed
-		most = attemptsAt(most, a.Reloads, t.Proxy, t.Sent-t.Writing)
+	if a.Scenario.Proxies.Fleet.Keepers == 0 { // in a fleet the limit isn't that of one proxy's file: see checkAgreedAttempts
+		most = maxAttemptsAt(most, a.Reloads, t.Proxy, t.Sent-t.Writing)
 	}
 	if len(sends) > most {
-		a.found(RuleDuplicated, fmt.Sprintf("%d attempts, %d are allowed", len(sends), most), t, sends[most].Node, sends[most].Whole, sends[0].Whole)
+		a.addBreak(RuleDuplicated, fmt.Sprintf("%d attempts, %d are allowed", len(sends), most), t, sends[most].Node, sends[most].Whole, sends[0].Whole)
 	}
-	a.agreed(t, sends)
+	a.checkAgreedAttempts(t, sends)
 	if c.Effect == "safe" {
 		return
 	}
-	var first *standin.Send // that may have run
+	var first *standin.Send // the first attempt that may have run
 	for i, s := range sends {
-		// Sent while an earlier one was still out: its end can't have been known.
+		// Sent while an earlier attempt was in flight: its outcome can't have been known.
 		for _, e := range sends[:i] {
-			if !ran(e) && c.Effect == "unsafe" && e.Ended != 0 && s.Began < e.Ended {
-				a.found(RuleDuplicated, "sent again while an earlier attempt was out", t, s.Node, s.Began, e.Began)
+			if !mayHaveRun(e) && c.Effect == "unsafe" && e.Ended != 0 && s.Began < e.Ended {
+				a.addBreak(RuleDuplicated, "sent again while an earlier attempt was out", t, s.Node, s.Began, e.Began)
 			}
 		}
 		switch {
 		case first == nil:
 		case c.Effect == "unsafe":
-			a.found(RuleDuplicated, "unsafe, and sent again after it may have run", t, s.Node, s.Whole, first.Whole)
+			a.addBreak(RuleDuplicated, "unsafe, and sent again after it may have run", t, s.Node, s.Whole, first.Whole)
 		case s.Zone != first.Zone:
-			a.found(RuleDuplicated, "keyed, and sent to another group after it may have run", t, s.Node, s.Whole, first.Whole)
+			a.addBreak(RuleDuplicated, "keyed, and sent to another group after it may have run", t, s.Node, s.Whole, first.Whole)
 		case s.Began > first.Whole+c.Window.D():
-			a.found(RuleDuplicated, "keyed, and sent again when its group had forgotten it", t, s.Node, s.Whole, first.Whole)
+			a.addBreak(RuleDuplicated, "keyed, and sent again when its group had forgotten it", t, s.Node, s.Whole, first.Whole)
 		}
-		if first == nil && ran(s) {
+		if first == nil && mayHaveRun(s) {
 			first = s
 		}
 	}
 	if t.Outcome == Refused && first != nil && first.Began < t.Ended {
-		a.found(RuleDuplicated, "refused after it may have run", t, first.Node, t.Ended, first.Whole)
+		a.addBreak(RuleDuplicated, "refused after it may have run", t, first.Node, t.Ended, first.Whole)
 	}
 }
 
-// lifeAt is the start of the process that a proxy had at a time.
-func (a *auditor) lifeAt(proxy int, at time.Duration) time.Duration {
+// processStartAt returns the start of the process that a proxy had at the given time, or -1.
+func (a *auditor) processStartAt(proxy int, at time.Duration) time.Duration {
 	start := time.Duration(-1)
 	for _, l := range a.Lives {
 		if l.Proxy == proxy && l.Start <= at {
@@ -234,16 +234,16 @@
 	return start
 }
 
-// drains checks that nothing new went to a node so long after the proxy was told that
-// it drains or is gone. A new process knows only what it was told itself.
-func (a *auditor) drains() {
+// checkDrains checks that nothing was sent to a node later than the drain grace after the proxy was told that
+// the node drains or is gone. A new process knows only what it was told itself.
+func (a *auditor) checkDrains() {
 	grace := a.Scenario.Rules.DrainGrace.D() + socketSlack
 	for i := range a.Nodes.Sends {
 		s := &a.Nodes.Sends[i]
 		if s.Probe || s.Proxy < 0 {
 			continue
 		}
-		life := a.lifeAt(s.Proxy, s.Began)
+		life := a.processStartAt(s.Proxy, s.Began)
 		var since time.Duration
 		state := "Ready"
 		for _, t := range a.told[toldKey{s.Proxy, s.Node}] {
@@ -264,11 +264,10 @@
 	}
 }
 
-// cold checks the budget of each node after each cold start: the work sent to it in
-// any window, whatever became of it, under a multiple of what it could do at the
-// window's end. It is a break where two thirds of that work came from proxies that
-// had been told of the start.
-func (a *auditor) cold() {
+// checkColdStarts checks that no node was overloaded after a cold start: the work sent to it in any window,
+// whatever its outcome, must not exceed a multiple of the node's capacity at the end of the window.
+// It is a violation only if at least two thirds of that work came from proxies that had been told of the start.
+func (a *auditor) checkColdStarts() {
 	spec := a.Scenario.Fleet.Cold
 	if spec.For <= 0 {
 		return
@@ -316,7 +315,7 @@
 					Rule: RuleCold, What: fmt.Sprintf("pushed over: %.2f s of work in %v", sum, spec.Over.D()),
 					Node: e.Node, ID: s.ID, Class: s.Class, Proxy: s.Proxy, At: s.Whole, Since: e.At,
 				})
-				break // once for a start
+				break // at most one violation per start
 			}
 		}
 	}
--- a/internal/rehearsal/audit_test.go
+++ b/internal/rehearsal/audit_test.go
@@ -10,8 +10,8 @@
 
 const ms = time.Millisecond
 
-// doctored is a run of three requests, one of each effect, in which all went well.
-// Times are milliseconds from the clock's start.
+// doctored returns the records of a run without violations, with three requests, one of each effect.
+// Times are relative to the start of the clock.
 func doctored() Records {
 	s := defaults()
 	s.Name, s.Proxies.Count = "doctored", 2
@@ -47,7 +47,7 @@
 	return r
 }
 
-// again adds an attempt at a node.
+// again adds another attempt of a request, at the given node, and returns it.
 func again(r *Records, of, node, zone string, at time.Duration, effect string) *standin.Send {
 	for _, s := range r.Nodes.Sends {
 		if s.ID == of {
@@ -59,19 +59,19 @@
 	panic("no such request")
 }
 
-func TestNothingIsFoundWhereAllWentWell(t *testing.T) {
+func TestAuditWithoutViolations(t *testing.T) {
 	if b := Audit(doctored()); len(b) != 0 {
 		t.Errorf("found %v", b)
 	}
 }
 
-// Each kind of break is found in doctored records, once, under its rule, by its names
-// and times; and what looks like one and is allowed is not.
-func TestEachKindOfBreak(t *testing.T) {
+// Each kind of violation is found under its rule only, with its names and times. Allowed
+// behaviour that looks similar isn't reported.
+func TestAuditViolations(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		doctor func(r *Records)
-		rule   string // "": all is allowed
+		rule   string // "": no violation
 		word   string
 	}{
 		{"no answer", func(r *Records) { r.Tries[1].Outcome, r.Tries[1].Ended = Silent, 2070*ms }, RuleLost, "no answer"},
@@ -163,7 +163,7 @@
 			r.Lives = append(r.Lives, Life{Proxy: 0, Start: 800 * ms})
 		}, "", ""},
 
-		// 2 cores at 0.32: 0.64 x 2.5 x 3 s = 4.8 s of work, and a little more as it warms.
+		// The limit for 2 cores at 0.32: 0.64 x 2.5 x 3 s = 4.8 s of work, and a little more as the node warms up.
 		{"a cold node pushed over", func(r *Records) { pushOver(r, 1000*ms) }, RuleCold, "pushed over"},
 		{"a cold node that nobody was told of", func(r *Records) { pushOver(r, 3000*ms) }, "", ""},
 		{"a warm node pressed", func(r *Records) { pushOver(r, 1000*ms); r.Nodes.Events = nil }, "", ""},
@@ -187,7 +187,7 @@
 			}
 			b := breaks[0]
 			if !strings.Contains(b.What, c.word) || b.At == 0 || b.Since == 0 || b.ID == "" && c.rule != RuleCold {
-				t.Errorf("told as %q (%+v)", b, b)
+				t.Errorf("incomplete violation %q (%+v)", b, b)
 			}
 			for _, part := range []string{b.Rule, b.ID, b.Class, b.Node} {
 				if !strings.Contains(b.String(), part) {
@@ -198,13 +198,13 @@
 	}
 }
 
-// pushOver sends a node that started cold at 2 s ten times half a second's work at
-// once, from 2.1 s on; the proxy was told of the start or not.
+// pushOver overloads a node that started cold at 2 s: eleven requests of 0.5 s of work each arrive
+// at 2.1 s. The proxy was told of the start only if toldAfter is at most 2 s.
 func pushOver(r *Records, toldAfter time.Duration) {
 	r.Nodes.Events = append(r.Nodes.Events, standin.NodeEvent{Node: "s-3", At: 2000 * ms, State: standin.StartedCold})
 	told := 2050 * ms
 	if toldAfter > 2000*ms {
-		told = 1900 * ms // of the time before the start
+		told = 1900 * ms // before the start, so it doesn't concern it
 	}
 	r.Nodes.Told = append(r.Nodes.Told, standin.Told{Proxy: 1, Node: "s-3", State: "Ready", At: told})
 	for i := range 11 {
@@ -215,8 +215,9 @@
 	}
 }
 
-// Half of it from who was told is no break: two thirds are needed.
-func TestColdIsSharedByWhoWasTold(t *testing.T) {
+// An overload of a cold node is a violation only if two thirds of the work came from proxies that had been told of the
+// start. Here it is half.
+func TestColdRuleNeedsInformedProxies(t *testing.T) {
 	r := doctored()
 	pushOver(&r, 1000*ms)
 	n := 0
--- a/internal/rehearsal/best.go
+++ b/internal/rehearsal/best.go
@@ -7,19 +7,19 @@
 	"marlreel/internal/standin"
 )
 
-// Best is what a scheduler that knew everything would have served, second by second, beside what was served.
+// Best is an upper bound on the worth that could have been served, for each second, and the part of it that was served.
 type Best struct {
-	FromS   float64   `json:"from_s"`   // the first return of a node that had been down
-	Area    float64   `json:"area"`     // what was served from then on, of the best
-	Seconds []float64 `json:"seconds"`  // worth, by its planned second
-	Nodes   int       `json:"returned"` // nodes that came back
+	FromS   float64   `json:"from_s"`   // first return of a node that had been down
+	Area    float64   `json:"area"`     // worth served from then on, as a part of the bound
+	Seconds []float64 `json:"seconds"`  // bound on the worth, by planned second
+	Nodes   int       `json:"returned"` // number of nodes that returned
 }
 
-// best gives the most that could have been served where nodes were down and came back: each second, of the requests
-// that come then, those with the most worth for their work, up to what all nodes can do at that moment by their true
-// warming curves. Clients' repeats add nothing, for time runs from the first try. A node that was pushed over counts
-// as one that is up: who knew everything would not have done so. It is a bound and may be out of reach: it knows
-// nothing of queues, of the network, or of what one request has to wait for. nil: no node came back.
+// best returns an upper bound on what could have been served when nodes were down and came back, or nil if no node came
+// back. For each second it takes the requests planned for that second, those with the most worth per work first, up to the
+// capacity of all nodes by their actual warmup curves. Clients' retries add nothing, as latency counts from the first try. A
+// node that failed from overload counts as up, as an ideal scheduler would not have overloaded it. The bound may be
+// unreachable: it ignores queues, the network and the time that a request waits on other services.
 func best(r Records, start time.Duration, served []Worth) *Best {
 	first, back := time.Duration(-1), 0
 	for _, e := range r.Plan.Events {
@@ -53,9 +53,9 @@
 	for k, list := range wishes {
 		room := 0.0
 		for _, n := range r.Plan.Nodes {
-			room += canDo(r.Scenario, n, events[n.ID], start+time.Duration(k)*time.Second)
+			room += nodeCapacity(r.Scenario, n, events[n.ID], start+time.Duration(k)*time.Second)
 		}
-		slices.SortFunc(list, func(x, y wish) int { // the most worth for its work first
+		slices.SortFunc(list, func(x, y wish) int { // most worth per work first
 			switch a, b := x.worth*y.work, y.worth*x.work; {
 			case a > b:
 				return -1
@@ -84,8 +84,8 @@
 	return b
 }
 
-// canDo is the work, in seconds of a yardstick core, that a node can do in the second from at on.
-func canDo(s *Scenario, n PlannedNode, events []standin.NodeEvent, at time.Duration) float64 {
+// nodeCapacity returns the work that a node can do in the second that begins at at, in seconds on a core of speed 1.
+func nodeCapacity(s *Scenario, n PlannedNode, events []standin.NodeEvent, at time.Duration) float64 {
 	const steps = 10
 	sum := 0.0
 	for i := range steps {
--- a/internal/rehearsal/best_test.go
+++ b/internal/rehearsal/best_test.go
@@ -8,8 +8,8 @@
 	"marlreel/internal/standin"
 )
 
-// A node of one core that is down for two seconds and comes back with half of what it can do, rising over four: by
-// hand, second by second.
+// The bound for a node of one core that is down for two seconds, and returns with half of its capacity, which rises to all
+// of it over four seconds. The expected values of each second are computed by hand.
 func TestBestByHand(t *testing.T) {
 	t.Parallel()
 	s := &Scenario{Classes: []Class{{Name: "dear", Worth: 8}, {Name: "cheap", Worth: 1}}}
@@ -18,7 +18,7 @@
 		Length: 8 * time.Second, Nodes: []PlannedNode{{ID: "s-1", Cores: 1, Permille: 1000}},
 		Events: []Event{{At: 2 * time.Second, What: "die", Until: 4 * time.Second}, {At: 4 * time.Second, What: "end die"}},
 	}
-	for k := range 8 { // each second: half a second's work that is worth 8, and a whole one that is worth 10
+	for k := range 8 { // each second: 0.5 s of work worth 8, and 1 s of work worth 10
 		p.Requests = append(p.Requests, PlannedRequest{At: time.Duration(k) * time.Second, Class: 0, Work: time.Second / 2})
 		for range 10 {
 			p.Requests = append(p.Requests, PlannedRequest{At: time.Duration(k) * time.Second, Class: 1, Work: time.Second / 10})
@@ -39,21 +39,22 @@
 	if b == nil || b.FromS != 4 || b.Nodes != 1 {
 		t.Fatalf("%+v", b)
 	}
-	// Up: the dear one and half of the cheap ones. Cold: 0.5, 0.625, 0.75, 0.875 at the beginnings of the seconds.
+	// Up: the valuable request and half of the cheap ones. Cold: the capacity at the beginning of the seconds is 0.5, 0.625,
+	// 0.75 and 0.875.
 	sum := 0.0
 	for k, want := range []float64{13, 13, 0, 0, 8 + 10*0.05625, 8 + 10*0.18125, 8 + 10*0.30625, 8 + 10*0.43125} {
 		if math.Abs(b.Seconds[k]-want) > 1e-6 {
-			t.Errorf("second %d: %.4f, by hand %.4f", k, b.Seconds[k], want)
+			t.Errorf("second %d: %.4f, want %.4f", k, b.Seconds[k], want)
 		}
 		if k >= 4 {
 			sum += want
 		}
 	}
 	if math.Abs(b.Area-24/sum) > 1e-6 {
-		t.Errorf("area %.4f, by hand %.4f", b.Area, 24/sum)
+		t.Errorf("area %.4f, want %.4f", b.Area, 24/sum)
 	}
 	p.Events = nil
 	if best(r, 0, served) != nil {
-		t.Error("no node came back, and there is a best")
+		t.Error("got a bound although no node came back")
 	}
 }
--- a/internal/rehearsal/compare.go
+++ b/internal/rehearsal/compare.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Spread is a figure over several runs.
+// Spread summarizes a figure over several runs.
 type Spread struct {
 	Mean float64   `json:"mean"`
 	Low  float64   `json:"low"`
@@ -15,7 +15,7 @@
 	All  []float64 `json:"all"`
 }
 
-// spread of no figures is all zero.
+// spread summarizes figures; without any, all fields are zero.
 func spread(all []float64) Spread {
 	if len(all) == 0 {
 		return Spread{}
@@ -27,24 +27,24 @@
 	return s
 }
 
-// Difference is a figure of two sets of runs.
+// Difference holds a figure for two sets of runs.
 type Difference struct {
 	Name string `json:"name"`
 	A    Spread `json:"a"`
 	B    Spread `json:"b"`
 }
 
-// Comparison is what two sets of runs say side by side.
+// Comparison is the comparison of two sets of runs.
 type Comparison struct {
 	Figures   []Difference `json:"figures"`
-	SameDays  bool         `json:"same_schedules"` // run for run
+	SameDays  bool         `json:"same_schedules"` // each pair of runs had the same schedule
 	BreaksA   int          `json:"breaks_a"`
 	BreaksB   int          `json:"breaks_b"`
-	Separated bool         `json:"separated"` // no run of the one serves as well as any of the other
+	Separated bool         `json:"separated"` // the ranges of service don't overlap
 	Void      int          `json:"void"`
 }
 
-// Compare puts two sets of runs side by side.
+// Compare compares two sets of runs.
 func Compare(a, b []*Report) Comparison {
 	c := Comparison{SameDays: len(a) == len(b)}
 	for i := range min(len(a), len(b)) {
@@ -107,7 +107,7 @@
 	return c
 }
 
-// Text is the comparison for a terminal.
+// Text returns the comparison as text for a terminal.
 func (c Comparison) Text(a, b string) string {
 	var t strings.Builder
 	fmt.Fprintf(&t, "A = %s\nB = %s\n\n  %-22s %26s %26s %10s\n", a, b, "", "A mean (low to high)", "B mean (low to high)", "B - A")
--- a/internal/rehearsal/compatibility_sent_test.go
+++ b/internal/rehearsal/compatibility_sent_test.go
@@ -18,14 +18,14 @@
 	"marlreel/internal/standin"
 )
 
-// The keys of scenario files are the recorded ones.
+// The keys of scenario files don't change.
 func TestCompatibilityScenarioKeys(t *testing.T) {
 	keys := settingsKeys(reflect.TypeFor[Scenario](), "")
 	slices.Sort(keys)
 	compareRecorded(t, "scenario-keys.txt", []byte(strings.Join(keys, "\n")+"\n"))
 }
 
-// Scenarios that the recorded tree wrote out in full are read, and come back with the same keys and values.
+// Scenarios that were recorded in full are read, and encoded again with the same keys and values.
 func TestCompatibilityScenarios(t *testing.T) {
 	for _, name := range []string{"morning", "upgrade", "retune", "split-rules", "scales", "registry-lost", "gray", "crowd", "bulk", "resets", "gray-listings", "amnesia"} {
 		t.Run(name, func(t *testing.T) {
@@ -49,14 +49,14 @@
 				t.Fatal(err)
 			}
 			compareRecorded(t, name+".toml", got)
-			// What a scenario draws is part of its meaning: a seed's schedule is repeated from one version to the next.
+			// A seed must give the same schedule in all versions.
 			compareRecorded(t, name+"-schedule.txt", []byte(Draw(s, 7).Digest()+"\n"))
 		})
 	}
 }
 
-// A schedule's digest is over the JSON of a plan, whose keys are the names of Go fields: they have to stay, or to get
-// these names as tags, as a seed's schedule is told from another by its digest, in reports and in experiments' results.
+// A schedule's digest covers the JSON of a plan, whose keys are the names of Go fields. The names must stay, or be kept
+// as tags, as reports and experiments' results identify a schedule by its digest.
 func TestCompatibilityPlan(t *testing.T) {
 	p := &Plan{
 		Scenario: "all", Seed: 7, Length: time.Second, Late: []time.Duration{3}, Seeds: []string{"8c1f"},
@@ -78,7 +78,7 @@
 	compareRecorded(t, "plan-digest.txt", []byte(p.Digest()+"\n"))
 }
 
-// The kinds of fault and their ways keep their words.
+// The names of the kinds of fault, and of the values of how, don't change.
 func TestCompatibilityFaultWords(t *testing.T) {
 	var words []string
 	for line := range strings.Lines(FaultKinds()) {
@@ -88,7 +88,7 @@
 	compareRecorded(t, "fault-words.txt", []byte(strings.Join(words, "\n")+"\n"))
 }
 
-// What a rehearsed proxy is configured by: the platform's JSON and the operator's file.
+// The configuration of a proxy under test doesn't change: the platform's JSON and the operator's file.
 func TestCompatibilityProxyConfiguration(t *testing.T) {
 	for _, name := range []string{"morning", "scales", "registry-lost"} {
 		s := shipped(t, name)
@@ -107,7 +107,7 @@
 	}
 }
 
-// The keys of report.json and of 'rehearse compare --json'.
+// The keys of report.json and of 'rehearse compare --json' don't change.
 func TestCompatibilityReportKeys(t *testing.T) {
 	for name, typ := range map[string]reflect.Type{"report-keys.txt": reflect.TypeFor[Report](), "comparison-keys.txt": reflect.TypeFor[Comparison]()} {
 		keys := reportKeys(typ, "")
@@ -116,7 +116,7 @@
 	}
 }
 
-// reportKeys lists the keys that a struct has in JSON, with what may be left out.
+// reportKeys lists the JSON keys of a struct, with options such as omitempty.
 func reportKeys(typ reflect.Type, path string) (keys []string) {
 	for {
 		switch typ.Kind() {
@@ -152,7 +152,7 @@
 	return keys
 }
 
-// settingsKeys lists the keys that a settings struct has in its file.
+// settingsKeys lists the TOML keys of a settings struct.
 func settingsKeys(typ reflect.Type, path string) (keys []string) {
 	for typ.Kind() == reflect.Pointer || typ.Kind() == reflect.Slice || typ.Kind() == reflect.Array {
 		typ = typ.Elem()
@@ -173,9 +173,9 @@
 	return keys
 }
 
-// The files under testdata/compatibility hold what the tree at commit 6fb9894 wrote. They stay as they are: a
-// difference is a change of a form that others read, not a reason to write them anew. The variable below wrote
-// them; it only makes files that are not there.
+// The files under testdata/compatibility were written by the code of commit 6fb9894. They must not be regenerated: a
+// difference means that a format which others read has changed. If the variable below is set, only missing files are
+// written.
 const writeCompatibility = "MARLREEL_WRITE_COMPATIBILITY"
 
 // compareRecorded compares bytes with a recorded file.
--- a/internal/rehearsal/compatibility_test.go
+++ b/internal/rehearsal/compatibility_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// The file testdata/compatibility/report.json was written by the code of commit 6fb9894. It stands for the reports that
-// people have kept to compare builds with. It must not be written again to make a test pass: where this test fails, the
-// code has lost the ability to read stored reports.
+// The file testdata/compatibility/report.json was written by the code of commit 6fb9894. It represents reports that
+// people have stored to compare builds. It must not be regenerated to make a test pass: if this test fails, the
+// code can no longer read stored reports.
 //
 // If the file is missing, it is written by
 //
@@ -24,7 +24,7 @@
 	writeVariable       = "WRITE_COMPATIBILITY_FILES"
 )
 
-// storedReport is what the stored file holds. Every field has a value of its own.
+// storedReport returns the report in the stored file. Every field has a different value.
 func storedReport() *Report {
 	recovery := 17.5
 	return &Report{
@@ -74,7 +74,7 @@
 	}
 }
 
-// TestCompatibilityOfStoredReport reads a stored report, and compares it field by field.
+// TestCompatibilityOfStoredReport reads the stored report and compares it field by field.
 func TestCompatibilityOfStoredReport(t *testing.T) {
 	writeMissingReport(t)
 	got, err := ReadReport(compatibilityFolder)
@@ -89,7 +89,7 @@
 	}
 }
 
-// TestCompatibilityOfWrittenReport writes the content of the stored report: programs of others read it too.
+// TestCompatibilityOfWrittenReport checks that a written report is equal to the stored one, as other programs read it too.
 func TestCompatibilityOfWrittenReport(t *testing.T) {
 	writeMissingReport(t)
 	stored, err := os.ReadFile(filepath.Join(compatibilityFolder, "report.json"))
@@ -112,7 +112,7 @@
 	}
 }
 
-// TestCompatibilityOfReportsFields names the fields of a stored report, with no help from this package.
+// TestCompatibilityOfReportsFields checks the field names of the stored report without the types of this package.
 func TestCompatibilityOfReportsFields(t *testing.T) {
 	writeMissingReport(t)
 	stored, err := os.ReadFile(filepath.Join(compatibilityFolder, "report.json"))
@@ -130,15 +130,15 @@
 	}
 	for _, name := range names {
 		if _, there := fields[name]; !there {
-			t.Errorf("there is no field %s", name)
+			t.Errorf("field %s is missing", name)
 		}
 	}
 	if len(fields) != len(names) {
-		t.Errorf("there are %d fields, want %d", len(fields), len(names))
+		t.Errorf("got %d fields, want %d", len(fields), len(names))
 	}
 }
 
-// writeMissingReport writes the stored report where it is missing and that is asked for.
+// writeMissingReport writes the stored report if it is missing and the environment variable is set.
 func writeMissingReport(t *testing.T) {
 	t.Helper()
 	path := filepath.Join(compatibilityFolder, "report.json")
@@ -151,7 +151,7 @@
 	if err := storedReport().Write(compatibilityFolder); err != nil {
 		t.Fatal(err)
 	}
-	// The page is for people, and is not read again.
+	// The HTML page is not read by the tests.
 	if err := os.Remove(filepath.Join(compatibilityFolder, "report.html")); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rehearsal/connection.go
+++ b/internal/rehearsal/connection.go
@@ -16,7 +16,7 @@
 	"marlreel/internal/standin"
 )
 
-var errLeft = errors.New("the client has left")
+var errClientTimeout = errors.New("client timeout")
 
 type clientConn struct {
 	net.Conn
@@ -24,23 +24,23 @@
 	proxy int
 	of    *clients
 
-	mu     sync.Mutex
-	wants  chan reply    // who waits for the next answer; nil is nobody
-	begun  chan struct{} // closed when the head of a large answer has come
-	class  *Class
-	method string
-	last   *Try // whose answer was the last
-	dead   bool
+	mu           sync.Mutex
+	waiter       chan reply    // receives the next answer; nil if no request is open
+	headReceived chan struct{} // closed when the head of a large answer has arrived
+	class        *Class
+	method       string
+	last         *Try // the last request sent on it
+	dead         bool
 }
 
-// get gives a kept connection of the zone, or a new one.
+// get returns an idle connection of the zone, or opens a new one.
 func (l *clients) get(ctx context.Context, zone string, until time.Duration, fresh bool) (*clientConn, bool, error) {
 	l.mu.Lock()
 	for !fresh && !l.scenario.Clients.New && len(l.idle[zone]) > 0 {
 		n := len(l.idle[zone]) - 1
 		c := l.idle[zone][n]
 		l.idle[zone] = l.idle[zone][:n]
-		if !c.gone() {
+		if !c.closed() {
 			l.mu.Unlock()
 			return c, false, nil
 		}
@@ -73,14 +73,14 @@
 	l.idle[zone] = append(l.idle[zone], c)
 }
 
-func (c *clientConn) gone() bool {
+func (c *clientConn) closed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.dead
 }
 
-// exchange writes a request and waits for its answer. The client's time for it begins when it
-// has been written.
+// exchange writes a request and waits for its answer. If it is written slowly, the client's timeout counts from the
+// end of the write.
 func (c *clientConn) exchange(l *clients, data string, t *Try, class *Class) (got reply, sent time.Duration, wrote bool) {
 	clock := l.clock
 	wants, begun := make(chan reply, 1), make(chan struct{})
@@ -90,7 +90,7 @@
 		c.mu.Unlock()
 		return reply{at: clock.Now(), err: io.ErrUnexpectedEOF}, 0, false
 	}
-	c.wants, c.begun, c.class, c.method, c.last = wants, begun, class, method, t
+	c.waiter, c.headReceived, c.class, c.method, c.last = wants, begun, class, method, t
 	c.mu.Unlock()
 	began := clock.Now()
 	wrote, early := c.send(l, data, t, class, wants)
@@ -107,20 +107,20 @@
 	if !wrote {
 		c.Close()
 	}
-	timer := time.NewTimer(max(t.Left+listenLonger-clock.Now(), 0))
+	timer := time.NewTimer(max(t.Left+answerGrace-clock.Now(), 0))
 	defer timer.Stop()
 	select {
 	case got = <-wants:
 	case <-begun:
-		got = <-wants // the rest comes as it comes; who gives nothing for long is given up by the reader
+		got = <-wants // the rest of the body is not bound by the timeout; stallReader ends a body that stalls
 	case <-timer.C:
 		c.Close()
-		got = reply{at: clock.Now(), err: errLeft}
+		got = reply{at: clock.Now(), err: errClientTimeout}
 	}
 	return got, sent, wrote
 }
 
-// slowHead tells whether a try writes its head slowly: drawn from its id.
+// slowHead reports whether a try writes its head slowly. It is derived from the try's id.
 func (l *clients) slowHead(t *Try) bool {
 	share := l.scenario.Clients.SlowHeads
 	if share <= 0 {
@@ -130,11 +130,11 @@
 	return err == nil && float64(n%1000)/1000 < share
 }
 
-// send writes a request as its client does: at once, or in pieces. An answer that comes before the
-// end of a body is early: the rest is not written.
+// send writes a request at once or in pieces, as configured. An answer that comes before the
+// end of the request body is returned as early, and the rest of the body is not written.
 func (c *clientConn) send(l *clients, data string, t *Try, class *Class, wants chan reply) (wrote bool, early *reply) {
 	write := func(p []byte) error {
-		c.SetWriteDeadline(time.Now().Add(stallAfter))
+		c.SetWriteDeadline(time.Now().Add(stallTimeout))
 		_, err := c.Write(p)
 		return err
 	}
@@ -174,20 +174,20 @@
 	return err == nil, early
 }
 
-// stallAfter is how long a client bears that its proxy takes or gives nothing of a body.
-const stallAfter = 15 * time.Second
+// stallTimeout is how long a read or write of a body may make no progress.
+const stallTimeout = 15 * time.Second
 
-// read takes answers off the connection until it ends. One that nobody waits for is
-// one too many for the request before.
+// read reads answers until the connection ends. An answer that no request waits for is counted
+// as surplus of the previous request.
 func (c *clientConn) read(clock *standin.Clock) {
 	defer c.Close()
 	for {
 		_, err := c.in.Peek(1)
 		at := clock.Now()
 		c.mu.Lock()
-		wants, begun, method, class, last := c.wants, c.begun, c.method, c.class, c.last
+		wants, begun, method, class, last := c.waiter, c.headReceived, c.method, c.class, c.last
 		if err != nil {
-			c.dead, c.wants = true, nil
+			c.dead, c.waiter = true, nil
 			c.mu.Unlock()
 			if wants != nil {
 				wants <- reply{at: at, err: err}
@@ -197,14 +197,14 @@
 		if wants == nil {
 			c.dead = true
 			c.mu.Unlock()
-			c.surplus(last)
+			c.addSurplus(last)
 			return
 		}
 		c.mu.Unlock()
 		got := c.answer(clock, method, class, begun)
 		c.mu.Lock()
-		c.wants = nil
-		// What is here already behind the answer belongs to no request.
+		c.waiter = nil
+		// Bytes behind the answer belong to no request.
 		if got.err == nil && c.in.Buffered() > 0 {
 			c.dead = true
 		}
@@ -212,15 +212,15 @@
 		dead := c.dead
 		c.mu.Unlock()
 		if got.err == nil && c.in.Buffered() > 0 {
-			c.surplus(last)
+			c.addSurplus(last)
 		}
 		wants <- got
 		if dead {
-			// The proxy said that it closes; whatever else it sends is one too many.
+			// The connection is being closed; anything else that the proxy sends is surplus.
 			c.SetReadDeadline(time.Now().Add(time.Second))
 			if got.err == nil && c.in.Buffered() == 0 {
 				if _, err := c.in.Peek(1); err == nil {
-					c.surplus(last)
+					c.addSurplus(last)
 				}
 			}
 			return
@@ -228,7 +228,7 @@
 	}
 }
 
-func (c *clientConn) surplus(of *Try) {
+func (c *clientConn) addSurplus(of *Try) {
 	c.of.mu.Lock()
 	defer c.of.mu.Unlock()
 	if of != nil {
@@ -249,9 +249,9 @@
 		}
 	}
 	if resp.StatusCode == http.StatusOK && class != nil && class.large() {
-		got.at = clock.Now() // an answer's time is that of its first bytes
+		got.at = clock.Now() // the latency of a large answer is that of its first bytes
 		close(begun)
-		got.body, got.size, got.err = standin.ReadBody(&stalling{c, resp.Body}, class.Reads)
+		got.body, got.size, got.err = standin.ReadBody(&stallReader{c, resp.Body}, class.Reads)
 		return got
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, 1<<20))
@@ -259,14 +259,14 @@
 	return got
 }
 
-// stalling gives up a body that does not go on.
-type stalling struct {
+// stallReader is a body reader that fails with a timeout if no data comes for stallTimeout.
+type stallReader struct {
 	c  *clientConn
 	in io.Reader
 }
 
-func (s *stalling) Read(p []byte) (int, error) {
-	s.c.SetReadDeadline(time.Now().Add(stallAfter))
+func (s *stallReader) Read(p []byte) (int, error) {
+	s.c.SetReadDeadline(time.Now().Add(stallTimeout))
 	defer s.c.SetReadDeadline(time.Time{})
 	return s.in.Read(p)
 }
--- a/internal/rehearsal/draw.go
+++ b/internal/rehearsal/draw.go
@@ -10,24 +10,24 @@
 	"time"
 )
 
-// draws is a stream of random numbers of its own name: what one stream draws never
-// depends on how much another did. All results are made with integers, or with single
-// floating-point operations that every machine rounds alike, so that a seed means the
-// same plan everywhere.
-type draws struct{ r *rand.Rand }
+// randomStream is a named stream of random numbers. Streams are independent: what one draws does not
+// depend on how many numbers another has drawn. All results use integers, or single
+// floating-point operations that every machine rounds the same way, so that a seed gives the
+// same plan on every machine.
+type randomStream struct{ r *rand.Rand }
 
-func newDraws(seed uint64, name string) draws {
+func newRandomStream(seed uint64, name string) randomStream {
 	f := fnv.New64a()
 	binary.Write(f, binary.BigEndian, seed)
 	io.WriteString(f, name)
-	return draws{rand.New(rand.NewPCG(seed, f.Sum64()))}
+	return randomStream{rand.New(rand.NewPCG(seed, f.Sum64()))}
 }
 
-// below draws a number from 0 to n-1.
-func (d draws) below(n int) int { return int(d.r.Uint64N(uint64(n))) }
+// intN returns a random integer from 0 to n-1.
+func (d randomStream) intN(n int) int { return int(d.r.Uint64N(uint64(n))) }
 
-// between draws a span from low to high, of whole microseconds.
-func (d draws) between(low, high time.Duration) time.Duration {
+// duration returns a random duration from low to high, in whole microseconds.
+func (d randomStream) duration(low, high time.Duration) time.Duration {
 	n := (high - low) / time.Microsecond
 	if n <= 0 {
 		return low
@@ -35,19 +35,19 @@
 	return low + time.Duration(d.r.Uint64N(uint64(n)+1))*time.Microsecond
 }
 
-// permille draws a thousandth from low to high.
-func (d draws) permille(low, high float64) int {
+// permille returns a random number from low to high, in thousandths.
+func (d randomStream) permille(low, high float64) int {
 	l, h := int(float64(low*1000)+0.5), int(float64(high*1000)+0.5)
-	return l + d.below(h-l+1)
+	return l + d.intN(h-l+1)
 }
 
-// exp draws from the exponential distribution with mean 1, in units of 1/2^32.
-func (d draws) exp() uint64 {
+// exp returns a value from the exponential distribution with mean 1, in units of 1/2^32.
+func (d randomStream) exp() uint64 {
 	return negLog(d.r.Uint64() | 1)
 }
 
-// negLog is -ln(x / 2^64) in units of 1/2^32, by squaring in integers: the logarithms
-// of the standard library may differ in the last bit from one processor to the next.
+// negLog returns -ln(x / 2^64) in units of 1/2^32. It squares integers, as the logarithms
+// of the standard library may differ in the last bit between processors.
 func negLog(x uint64) uint64 {
 	zeros := bits.LeadingZeros64(x)
 	m := x << zeros // m / 2^63 lies in [1, 2)
@@ -69,8 +69,8 @@
 	return hi
 }
 
-// span draws a time of the given mean: spread 0 is the mean itself, 1 exponential.
-func (d draws) span(mean time.Duration, spread float64) time.Duration {
+// span returns a random duration with the given mean. Spread 0 gives the mean itself, 1 an exponential distribution.
+func (d randomStream) span(mean time.Duration, spread float64) time.Duration {
 	us := uint64(mean / time.Microsecond)
 	part := uint64(float64(spread*1024) + 0.5)
 	hi, lo := bits.Mul64(us*part, d.exp())
@@ -78,8 +78,8 @@
 	return time.Duration((us*(1024-part))>>10+random) * time.Microsecond
 }
 
-// weighted draws an index by weights.
-func (d draws) weighted(weights []uint64) int {
+// weighted returns a random index, with probabilities in proportion to the weights.
+func (d randomStream) weighted(weights []uint64) int {
 	var sum uint64
 	for _, w := range weights {
 		sum += w
@@ -94,7 +94,7 @@
 	return len(weights) - 1
 }
 
-// weights makes whole numbers of shares.
+// weights converts shares to integer weights of at least 1.
 func weights[T any](of []T, share func(T) float64) []uint64 {
 	w := make([]uint64, len(of))
 	for i, v := range of {
@@ -103,13 +103,13 @@
 	return w
 }
 
-func (d draws) id() string { return fmt.Sprintf("%016x", d.r.Uint64()) }
+func (d randomStream) id() string { return fmt.Sprintf("%016x", d.r.Uint64()) }
 
-// choose draws n of the indices up to of, in rising order.
-func (d draws) choose(n, of int) []int {
+// choose returns n random indices from 0 to of-1, in ascending order.
+func (d randomStream) choose(n, of int) []int {
 	var chosen []int
 	for i := range of {
-		if d.below(of-i) < n-len(chosen) {
+		if d.intN(of-i) < n-len(chosen) {
 			chosen = append(chosen, i)
 		}
 	}
--- a/internal/rehearsal/fleet.go
+++ b/internal/rehearsal/fleet.go
@@ -10,23 +10,22 @@
 	"marlreel/internal/standin"
 )
 
-// The kit's part of scenarios whose proxies agree: the ways between them, and what the audit asks of them beyond what
-// each was told itself.
+// Scenarios whose proxies agree on their settings: the links between the proxies, and the audit of what they agreed on.
 
 const (
 	fleetKey = "fleet.key"
 	fleetDir = ".fleet"
 )
 
-// enfleet puts a link between every two proxies, and a key where all find it.
-func (w *world) enfleet() error {
+// setUpFleet creates the links between all pairs of proxies, and the key file that they share.
+func (w *testbed) setUpFleet() error {
 	s := w.scenario
 	if s.Proxies.Fleet.Keepers == 0 {
 		return nil
 	}
 	var targets []string
 	for n := range s.Proxies.Count {
-		if err := os.RemoveAll(filepath.Join(w.dir, proxyName(n)+fleetDir)); err != nil { // of a run before into this folder
+		if err := os.RemoveAll(filepath.Join(w.dir, proxyName(n)+fleetDir)); err != nil { // left by an earlier run in this folder
 			return fmt.Errorf("fleet: %w", err)
 		}
 		addr, err := standin.Address()
@@ -45,8 +44,8 @@
 	return nil
 }
 
-// split cuts some proxies from the others, or ends that.
-func (w *world) split(e Event) {
+// split separates some proxies from the others, or ends the separation.
+func (w *testbed) split(e Event) {
 	var others []int
 	for n := range w.scenario.Proxies.Count {
 		if !slices.Contains(e.Proxies, n) {
@@ -60,41 +59,42 @@
 	}
 }
 
-// agreed checks what a fleet adds: when one proxy has taken a file that allows fewer attempts, none sends more that
-// may run, after the time within which they agree, whatever it was told itself.
-func (a *auditor) agreed(t *Try, sends []*standin.Send) {
+// checkAgreedAttempts checks the limit of attempts in a fleet: once one proxy has applied a file with a lower limit, no proxy
+// may exceed it after the time within which the fleet agrees, whatever file it got itself. Only attempts that may have
+// run count.
+func (a *auditor) checkAgreedAttempts(t *Try, sends []*standin.Send) {
 	within := a.Scenario.Proxies.Fleet.Within.D()
 	if a.Scenario.Proxies.Fleet.Keepers == 0 {
 		return
 	}
 	runs, late := 0, (*standin.Send)(nil)
 	for _, s := range sends {
-		if runs > 0 { // an earlier one may have run
+		if runs > 0 { // an earlier attempt may have run
 			late = s
 		}
-		if ran(s) {
+		if mayHaveRun(s) {
 			runs++
 		}
 		if late == nil {
 			continue
 		}
-		most, since := a.mostAgreed(s.Began, within+socketSlack)
+		most, since := a.maxAgreedAttempts(s.Began, within+socketSlack)
 		if runs > most {
-			a.found(RuleSettings, fmt.Sprintf("attempt %d, and the fleet had agreed on %d", runs, most), t, s.Node, s.Began, since)
+			a.addBreak(RuleSettings, fmt.Sprintf("attempt %d, and the fleet had agreed on %d", runs, most), t, s.Node, s.Began, since)
 			return
 		}
 	}
 }
 
-// mostAgreed is the most attempts that any settings allow which the fleet may still go by at a time: those that were
-// replaced less than within ago, and since when the last ones have been agreed on.
-func (a *auditor) mostAgreed(at, within time.Duration) (most int, since time.Duration) {
+// maxAgreedAttempts returns the highest limit of attempts that may still be in force in the fleet at the given time. Settings
+// stay in force until within after they were replaced. since is the time from which the limit has been agreed on.
+func (a *auditor) maxAgreedAttempts(at, within time.Duration) (most int, since time.Duration) {
 	most = a.Scenario.Rules.MaxAttempts
 	taken := slices.DeleteFunc(slices.Clone(a.Reloads), func(r Reload) bool { return !r.Good || !r.Taken })
 	slices.SortFunc(taken, func(x, y Reload) int { return int(x.TakenAt - y.TakenAt) })
 	for _, r := range taken {
 		switch {
-		case at > r.TakenAt+within: // all before it are over
+		case at > r.TakenAt+within: // all settings before it are out of force
 			most, since = r.Attempts, r.TakenAt
 		case at >= r.At:
 			most = max(most, r.Attempts)
--- a/internal/rehearsal/html.go
+++ b/internal/rehearsal/html.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Sizes of the pictures, in pixels.
+// Sizes of the charts, in pixels.
 const (
 	plotLeft  = 130
 	plotWidth = 900
@@ -16,7 +16,7 @@
 	rowHigh   = 18
 )
 
-// picture writes SVG whose horizontal axis is the run's time.
+// picture writes an SVG chart whose horizontal axis is the time of the run.
 type picture struct {
 	strings.Builder
 	length float64 // seconds
@@ -26,7 +26,7 @@
 	return plotLeft + plotWidth*min(max(s/p.length, 0), 1)
 }
 
-// open begins a picture with the faults, over its whole height and behind all else.
+// open starts the chart and draws the faults in the background, over its whole height.
 func (p *picture) open(high int, faults []Mark) {
 	fmt.Fprintf(p, `<svg viewBox="0 0 %d %d" width="100%%" role="img">`, plotLeft+plotWidth+20, high+24)
 	for _, f := range faults {
@@ -37,7 +37,7 @@
 	}
 }
 
-// close draws the time axis.
+// close draws the time axis and ends the chart.
 func (p *picture) close(high int) {
 	step := 5.0
 	for p.length/step > 12 {
@@ -54,7 +54,7 @@
 	fmt.Fprintf(p, `<text x="%d" y="%.1f" text-anchor="end">%s</text>`, plotLeft-6, y, template.HTMLEscapeString(text))
 }
 
-// worthPlot stacks each second's worth by what became of it.
+// worthPlot draws the worth of each second, stacked by outcome.
 func (rep *Report) worthPlot() template.HTML {
 	p := &picture{length: rep.LengthS}
 	most := 1.0
@@ -89,7 +89,7 @@
 	return template.HTML(p.String())
 }
 
-// latencyPlot shows a class's percentiles against the wanted time.
+// latencyPlot draws a class's latency percentiles and its target latency.
 func (rep *Report) latencyPlot(class string) template.HTML {
 	p := &picture{length: rep.LengthS}
 	const high = 110
@@ -121,8 +121,8 @@
 	return template.HTML(p.String())
 }
 
-// nodePlot has a row for each node: its state by colour, its share of the work by how
-// full the colour is; and below, a row for each proxy's lives.
+// nodePlot draws a row for each node, with its state as the colour and its share of the work as the opacity, and
+// below them a row for each proxy with the lifetimes of its processes.
 func (rep *Report) nodePlot() template.HTML {
 	p := &picture{length: rep.LengthS}
 	t := rep.Timeline
@@ -218,7 +218,7 @@
 </html>
 `))
 
-// HTML is the report as one page that needs nothing else.
+// HTML returns the report as a self-contained page.
 func (rep *Report) HTML() ([]byte, error) {
 	type latency struct {
 		Name string
--- a/internal/rehearsal/load.go
+++ b/internal/rehearsal/load.go
@@ -13,47 +13,47 @@
 	"marlreel/internal/standin"
 )
 
-// How a try ended, as its client saw it.
+// The outcome of a try, as its client saw it.
 const (
 	Served    = "served"
 	Refused   = "refused"
 	Failed    = "failed"
-	Unreached = "unreached" // no connection came up: it was never taken
-	Broken    = "broken"    // the connection ended without a whole answer
-	Silent    = "silent"    // no answer within the time, and some grace
-	Foreign   = "foreign"   // 200 with what no node made for this request
+	Unreached = "unreached" // no connection was established, or the request wasn't written: no proxy accepted it
+	Broken    = "broken"    // the connection ended before a complete answer
+	Silent    = "silent"    // no answer within the timeout and answerGrace
+	Foreign   = "foreign"   // status 200 with a body that no node made for this request
 )
 
-// Try is one try of a client, as the client saw it.
+// Try is one attempt of a client at a request, as the client saw it.
 type Try struct {
-	Request, N int    // index in the plan; which try, from 0
+	Request, N int    // index of the request in the plan; number of the try, from 0
 	ID         string `json:"id"`
-	Proxy      int    // -1: none was reached
+	Proxy      int    // index, or -1 if none was reached
 	Planned    time.Duration
-	Late       time.Duration // how much later than planned the generator came to it
-	Sent       time.Duration // its last byte was written; 0: never
-	Left       time.Duration // until when the client waits
+	Late       time.Duration // delay of the load generator, compared with the planned time
+	Sent       time.Duration // when the last byte of the request was written; 0: never
+	Left       time.Duration // when the client stops waiting
 	Ended      time.Duration
 	Outcome    string
 	Status     int
-	Node       string // that served it
+	Node       string // that answered it
 	RetryAfter time.Duration
-	Surplus    int           // further answers on its connection
-	Crossed    time.Duration // it met the end of an idle connection then, and was sent once more
-	Fresh      bool          // on a new connection
-	Writing    time.Duration // that it took its client to write it: its time begins behind that
+	Surplus    int           // number of further answers on its connection
+	Crossed    time.Duration // when its idle connection turned out to be closed, and it was sent again; 0: never
+	Fresh      bool          // sent on a new connection
+	Writing    time.Duration // how long the client took to write the request; its latency counts from the end of that
 }
 
-// after the end of its time a client still listens for this long: the rule's slack and
-// the 50 ms that sockets are given. An answer in it is late for the rule, not lost.
-const listenLonger = 70 * time.Millisecond
+// answerGrace is how long a client still reads after its timeout: the slack of the rule, 20 ms by default, and
+// the 50 ms of socketSlack. An answer within it is late by the rule, not lost.
+const answerGrace = 70 * time.Millisecond
 
-// crossesWithin is how soon after the write a kept connection's end must come to pass
-// for one that the proxy began between two requests. Later, it has taken the request.
-const crossesWithin = 50 * time.Millisecond
+// closeRaceWindow is how soon after the write a reused connection must end for the client to assume that the
+// proxy closed it while it was idle. After that the proxy is assumed to have accepted the request.
+const closeRaceWindow = 50 * time.Millisecond
 
-// clients plays the plan's requests. It is open-loop: each goes out at its planned
-// time, whatever became of those before it.
+// clients sends the plan's requests. Without users it is open-loop: each request is sent at its planned
+// time, whatever the outcome of earlier ones.
 type clients struct {
 	scenario *Scenario
 	plan     *Plan
@@ -61,7 +61,7 @@
 	front    *standin.Front
 
 	mu       sync.Mutex
-	idle     map[string][]*clientConn // by zone, the latest used last
+	idle     map[string][]*clientConn // by zone, most recently used last
 	open     map[*clientConn]bool
 	tries    []*Try
 	callers  map[string]*caller // RPC connections, by zone
@@ -69,7 +69,7 @@
 	mostOpen int
 	served   float64 // worth so far, for the progress line
 	asked    float64
-	began    []time.Duration // closed loop: when each request was asked, from the start; 0 is never
+	began    []time.Duration // closed loop: when each request was sent, relative to the start; 0: never
 	wg       sync.WaitGroup
 	readers  sync.WaitGroup
 }
@@ -78,7 +78,7 @@
 	return &clients{scenario: s, plan: p, clock: clock, front: front, idle: map[string][]*clientConn{}, open: map[*clientConn]bool{}, callers: map[string]*caller{}}
 }
 
-// play sends all that is planned from start on, and waits for the answers.
+// play sends the planned requests at their times relative to start, and waits for their answers.
 func (l *clients) play(ctx context.Context, start time.Duration) {
 	if l.scenario.Traffic.closed() {
 		l.playUsers(ctx, start)
@@ -103,8 +103,8 @@
 	l.wg.Wait()
 }
 
-// playUsers lets each user ask, wait for the end, think and ask again, until the day is over. Latency counts
-// from when a user asks: he does not ask while he waits, which is what a closed loop is.
+// playUsers runs the closed loop: each user sends a request, waits for its end, pauses and repeats, until the end of
+// the run. Latency counts from when the request is sent, not from a planned time.
 func (l *clients) playUsers(ctx context.Context, start time.Duration) {
 	all := l.plan.Requests
 	l.began = make([]time.Duration, len(all))
@@ -138,7 +138,7 @@
 	l.wg.Wait()
 }
 
-// close ends all connections.
+// close closes all connections and waits for their readers.
 func (l *clients) close() {
 	l.mu.Lock()
 	for c := range l.open {
@@ -153,7 +153,7 @@
 	l.readers.Wait()
 }
 
-// records copies what the clients saw.
+// records returns copies of all tries, ordered by request.
 func (l *clients) records() []Try {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -170,7 +170,7 @@
 	return out
 }
 
-// request plays one request with the client's own retries.
+// request sends one request, with the client's own retries.
 func (l *clients) request(ctx context.Context, i int, planned time.Duration) {
 	r := &l.plan.Requests[i]
 	c := &l.scenario.Classes[r.Class]
@@ -201,8 +201,8 @@
 			l.served += worth
 		}
 		l.mu.Unlock()
-		// What may have run is repeated only where that is safe; a refusal, and what
-		// was never taken, always.
+		// A request that may have run is retried only in a safe class. One that was refused or
+		// never accepted is always retried.
 		again := outcome == Refused || outcome == Unreached ||
 			c.Effect == "safe" && outcome != Served
 		if !again || ctx.Err() != nil {
@@ -224,26 +224,26 @@
 	}
 }
 
-// reply is an answer, or the end of a connection.
+// reply is an answer, or the error that ended the connection.
 type reply struct {
 	at     time.Duration
 	status int
-	body   string // its beginning, where it is large
+	body   string // of a large answer only the beginning
 	size   int
 	after  time.Duration
 	close  bool
 	err    error
-	began  bool // some of the answer came
+	began  bool // part of the answer has arrived
 }
 
-// try sends one try and waits for its end. A kept connection may end just as the
-// request is written to it; the client then sends it once more on a new one.
+// try sends one try and waits for its end. A reused connection may be closed by the proxy just as the
+// request is written to it; the client then sends the request once more on a new one.
 func (l *clients) try(ctx context.Context, t *Try, r *PlannedRequest, c *Class) {
 	zone := l.scenario.Fleet.Zones[r.Zone]
 	for again := false; ; again = true {
 		conn, fresh, err := l.get(ctx, zone, t.Left, again)
 		if err != nil {
-			l.end(t, func() {
+			l.update(t, func() {
 				t.Outcome, t.Ended = Unreached, l.clock.Now()
 				if conn != nil {
 					t.Proxy = conn.proxy
@@ -258,13 +258,13 @@
 			t.Sent = sent
 		}
 		l.mu.Unlock()
-		if got.err != nil && !got.began && !fresh && !again && !errors.Is(got.err, errLeft) && got.at-sent < crossesWithin {
+		if got.err != nil && !got.began && !fresh && !again && !errors.Is(got.err, errClientTimeout) && got.at-sent < closeRaceWindow {
 			l.mu.Lock()
 			t.Crossed = got.at
 			l.mu.Unlock()
 			continue
 		}
-		l.end(t, func() { t.judge(got, wrote, c) })
+		l.update(t, func() { t.setOutcome(got, wrote, c) })
 		if got.err == nil && !got.close && !l.scenario.Clients.New {
 			l.put(zone, conn)
 		} else {
@@ -274,20 +274,20 @@
 	}
 }
 
-func (l *clients) end(t *Try, how func()) {
+func (l *clients) update(t *Try, how func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	how()
 }
 
-// judge notes what an answer, or its lack, means.
-func (t *Try) judge(got reply, wrote bool, c *Class) {
+// setOutcome sets the outcome from a reply.
+func (t *Try) setOutcome(got reply, wrote bool, c *Class) {
 	t.Ended, t.Status, t.RetryAfter = got.at, got.status, got.after
 	switch {
-	case errors.Is(got.err, errLeft):
+	case errors.Is(got.err, errClientTimeout):
 		t.Outcome = Silent
 	case got.err != nil && !wrote:
-		t.Outcome = Unreached // its last byte never left: it was not taken
+		t.Outcome = Unreached // not written completely, so it was not accepted
 	case got.err != nil:
 		t.Outcome = Broken
 	case got.status == http.StatusOK:
@@ -304,7 +304,7 @@
 	}
 }
 
-// message is a try as the protocol has it.
+// message returns the HTTP request of a try: all of it, or the head if the class has a body.
 func (l *clients) message(t *Try, r *PlannedRequest, c *Class) string {
 	var b strings.Builder
 	method := "POST"
@@ -335,5 +335,3 @@
 	}
 	return b.String()
 }
-
-// ---- connections ----
--- a/internal/rehearsal/load_rpc.go
+++ b/internal/rehearsal/load_rpc.go
@@ -8,10 +8,10 @@
 	"marlreel/internal/standin"
 )
 
-// callsEach is how many calls one connection carries before callers open another.
-const callsEach = 64
+// maxCallsPerConn is how many calls may be open on one connection before another is opened.
+const maxCallsPerConn = 64
 
-// caller is a scale's connection: many calls are open on it.
+// caller is an RPC client's connection, which multiplexes calls.
 type caller struct {
 	*standin.RPCClient
 	proxy  int
@@ -19,15 +19,15 @@
 	opened time.Duration
 }
 
-// tryRPC sends one try by MessagePack-RPC and waits for its end. A connection that ends
-// just as a call is written to it, before anything of the call was answered, may have
-// been closed unread: the caller sends it once more on a new one, as over HTTP.
+// tryRPC sends one try by MessagePack-RPC and waits for its end. If a reused connection ends
+// just after a call was written and before its answer, the peer may have closed it without
+// reading the call: the call is sent once more on a new connection, as over HTTP.
 func (l *clients) tryRPC(ctx context.Context, t *Try, r *PlannedRequest, c *Class) {
 	zone := l.scenario.Fleet.Zones[r.Zone]
 	for again := false; ; again = true {
 		conn, fresh, err := l.caller(ctx, zone, t.Left, again)
 		if err != nil {
-			l.end(t, func() { t.Outcome, t.Ended = Unreached, l.clock.Now() })
+			l.update(t, func() { t.Outcome, t.Ended = Unreached, l.clock.Now() })
 			return
 		}
 		meta := map[string]any{
@@ -42,39 +42,39 @@
 		}
 		answers, wrote := conn.Call("post."+c.Name, 4711, 12.5, meta)
 		sent := l.clock.Now()
-		l.end(t, func() {
+		l.update(t, func() {
 			t.Proxy, t.Fresh = conn.proxy, fresh
 			if wrote {
 				t.Sent = sent
 			}
 		})
-		timer := time.NewTimer(max(t.Left+listenLonger-l.clock.Now(), 0))
+		timer := time.NewTimer(max(t.Left+answerGrace-l.clock.Now(), 0))
 		var a standin.RPCAnswer
 		silent := false
 		select {
 		case a = <-answers:
 		case <-timer.C:
 			silent = true
-			conn.Forget(answers) // what comes yet is one too many
+			conn.Forget(answers) // an answer that still arrives is discarded
 		}
 		timer.Stop()
 		l.mu.Lock()
 		conn.open--
 		now := l.clock.Now()
 		ended := a.Err != nil
-		if ended && !fresh && !again && wrote && now-sent < crossesWithin {
+		if ended && !fresh && !again && wrote && now-sent < closeRaceWindow {
 			t.Crossed = now
 			l.mu.Unlock()
 			continue
 		}
-		t.judgeRPC(a, silent, wrote, now)
+		t.setRPCOutcome(a, silent, wrote, now)
 		l.mu.Unlock()
 		return
 	}
 }
 
-// judgeRPC notes what an answer, or its lack, means.
-func (t *Try) judgeRPC(a standin.RPCAnswer, silent, wrote bool, now time.Duration) {
+// setRPCOutcome sets the outcome from an RPC answer; silent means that none came in time.
+func (t *Try) setRPCOutcome(a standin.RPCAnswer, silent, wrote bool, now time.Duration) {
 	t.Ended = now
 	code := a.Code()
 	switch {
@@ -103,10 +103,10 @@
 	}
 }
 
-// caller gives the zone's connection, or a new one where it has ended, drains or is full.
+// caller returns the zone's connection, or a new one if it has ended or is full, or if fresh is set.
 func (l *clients) caller(ctx context.Context, zone string, until time.Duration, fresh bool) (*caller, bool, error) {
 	l.mu.Lock()
-	if c := l.callers[zone]; c != nil && !fresh && !c.Ended() && c.open < callsEach {
+	if c := l.callers[zone]; c != nil && !fresh && !c.Ended() && c.open < maxCallsPerConn {
 		c.open++
 		l.mu.Unlock()
 		return c, false, nil
@@ -125,13 +125,13 @@
 	l.callers[zone] = c
 	l.mu.Unlock()
 	if old != nil {
-		// Its open calls have their answers still to come.
+		// Answers to its open calls are still outstanding.
 		l.readers.Go(func() { l.retire(old) })
 	}
 	return c, true, nil
 }
 
-// retire closes a connection when what is open on it has ended.
+// retire closes a connection once no calls are open on it.
 func (l *clients) retire(c *caller) {
 	for !c.Ended() {
 		l.mu.Lock()
--- a/internal/rehearsal/plan.go
+++ b/internal/rehearsal/plan.go
@@ -18,29 +18,29 @@
 	"huge": standin.SpoilHuge, "empty": standin.SpoilEmpty,
 }
 
-// Plan is all that a run does by itself, drawn from a scenario and a seed and nothing
-// else: it depends neither on what happens in the run nor on the machine.
+// Plan is the schedule of a run: its nodes, requests and events. It is drawn from a scenario and a seed
+// only, and depends neither on what happens during the run nor on the machine.
 type Plan struct {
 	Scenario string
 	Seed     uint64
 	Length   time.Duration
 	Nodes    []PlannedNode
-	Late     []time.Duration // of the list, for each proxy
-	Seeds    []string        // for each proxy
+	Late     []time.Duration // delay of the node list, for each proxy
+	Seeds    []string        // the daemon's seed, for each proxy
 	Requests []PlannedRequest
-	Events   []Event // in the order of their times
+	Events   []Event // ordered by time
 }
 
-// PlannedNode is a node. Those that take the place of others come after the first ones.
+// PlannedNode is a node of a plan. Replacements for other nodes come after the initial nodes.
 type PlannedNode struct {
 	ID, Zone, Kind string
 	Cores          int
-	Permille       int // its speed, in thousandths
+	Permille       int // speed in thousandths
 	Slots, Queue   int
-	Replaces       int // index of the node whose addresses it takes; -1 is none
+	Replaces       int // index of the node whose addresses it takes over, or -1
 }
 
-// PlannedRequest is a client's request with the names of all its tries.
+// PlannedRequest is a client's request with the ids of all its tries.
 type PlannedRequest struct {
 	At           time.Duration
 	Class, House int
@@ -49,36 +49,36 @@
 	Key          string
 	IDs          []string
 	Work, Wait   time.Duration
-	Over         bool // beyond its house's share
-	// A closed loop's: whose it is, from 1, and how long he thinks before it.
+	Over         bool // exceeds its house's share
+	// Closed loop only: the number of the user, from 1, and the user's pause before the request.
 	User  int           `json:",omitzero"`
 	Think time.Duration `json:",omitzero"`
 }
 
-// Event is one thing done to one node or proxy, or one change of the list.
+// Event is one action on a node or proxy, or one change of the node list.
 type Event struct {
 	At          time.Duration
-	What        string // a fault's, "end " and a fault's, or "list"
-	Fault       int    // index in the scenario
-	Node        int    // -1 is none
-	Proxy       int    // -1 is none
-	Entry       string // list: the lifecycle
+	What        string // a kind of fault, "end " and a kind, "list", "start" or "settings"
+	Fault       int    // index in the scenario, or -1
+	Node        int    // index, or -1
+	Proxy       int    // index, or -1
+	Entry       string // list: the new lifecycle state
 	Until       time.Duration
-	Amount      int // thousandths: times, taken, rate
+	Amount      int // times, taken or rate, in thousandths
 	How         string
 	Warm        bool
 	Known       string
 	By          time.Duration
-	Class       string        `json:",omitzero"` // partial: the class, the least size and how many times longer
+	Class       string        `json:",omitzero"` // partial: the class, the minimum size and the slowdown factor
 	Above       int           `json:",omitzero"`
 	Times       int           `json:",omitzero"` // thousandths
 	Connections int           `json:",omitzero"` // crowd
 	Attempts    int           `json:",omitzero"` // retune
-	Proxies     []int         `json:",omitzero"` // split: one side
-	Idle        time.Duration `json:",omitzero"` // left out where there is none: schedules without it stay as they were
+	Proxies     []int         `json:",omitzero"` // split: one side of the partition
+	Idle        time.Duration `json:",omitzero"` // omitted when zero, so that digests of schedules without it don't change
 }
 
-// Draw makes the plan.
+// Draw returns the plan for a scenario and a seed.
 func Draw(s *Scenario, seed uint64) *Plan {
 	p := &Plan{Scenario: s.Name, Seed: seed, Length: s.Length.D()}
 	p.drawNodes(s)
@@ -88,18 +88,18 @@
 	return p
 }
 
-// Digest is a SHA-256 over the whole plan, in hexadecimal digits.
+// Digest returns the SHA-256 of the plan in hexadecimal digits.
 func (p *Plan) Digest() string {
 	h := sha256.New()
-	// Structs and slices only: their order is the same every time.
+	// A plan holds structs and slices but no maps, so its encoding is deterministic.
 	if err := json.NewEncoder(h).Encode(p); err != nil {
-		panic(fmt.Sprintf("a plan that is no JSON: %v", err)) // no field can cause it
+		panic(fmt.Sprintf("encoding plan as JSON: %v", err)) // no field can cause it
 	}
 	return hex.EncodeToString(h.Sum(nil))
 }
 
 func (p *Plan) drawNodes(s *Scenario) {
-	d := newDraws(p.Seed, "nodes")
+	d := newRandomStream(p.Seed, "nodes")
 	for _, k := range s.Fleet.Nodes {
 		for range k.Count {
 			p.Nodes = append(p.Nodes, PlannedNode{
@@ -108,8 +108,8 @@
 			})
 		}
 	}
-	// Kinds are spread over the zones at random: dealt in the order of the file, one
-	// zone would have all the fast ones.
+	// Shuffle, so that kinds are spread over the zones at random: assigned in the order of the file,
+	// all fast nodes could get into one zone.
 	d.r.Shuffle(len(p.Nodes), func(i, j int) { p.Nodes[i], p.Nodes[j] = p.Nodes[j], p.Nodes[i] })
 	for i := range p.Nodes {
 		p.Nodes[i].Zone = s.Fleet.Zones[i%len(s.Fleet.Zones)]
@@ -118,22 +118,22 @@
 }
 
 func (p *Plan) drawProxies(s *Scenario) {
-	d := newDraws(p.Seed, "proxies")
+	d := newRandomStream(p.Seed, "proxies")
 	for range s.Proxies.Count {
-		p.Late = append(p.Late, d.between(s.Discovery.Late[0].D(), s.Discovery.Late[1].D()))
+		p.Late = append(p.Late, d.duration(s.Discovery.Late[0].D(), s.Discovery.Late[1].D()))
 		p.Seeds = append(p.Seeds, d.id())
 	}
 }
 
-// rate is the traffic at a time, in thousandths of a request a second.
-func (s *Scenario) rate(at time.Duration, bursts []spell) uint64 {
+// rate returns the request rate at the given time, in thousandths of a request per second.
+func (s *Scenario) rate(at time.Duration, bursts []interval) uint64 {
 	r := s.Traffic.Rate
 	for _, j := range s.Traffic.Jumps {
 		if at >= j.At.D() && at < (j.At+j.For).D() {
 			r *= j.Times
 		}
 	}
-	return uint64(float64(r*s.shape(at, bursts)*1000) + 0.5)
+	return uint64(float64(r*s.rateFactor(at, bursts)*1000) + 0.5)
 }
 
 func (p *Plan) drawRequests(s *Scenario) {
@@ -148,8 +148,8 @@
 	if len(s.Traffic.Zones) > 0 {
 		zones = weights(s.Traffic.Zones, func(z float64) float64 { return z })
 	}
-	// one draws a request, but for its time.
-	one := func(d draws) PlannedRequest {
+	// one draws a request without its time.
+	one := func(d randomStream) PlannedRequest {
 		r := PlannedRequest{
 			Class: d.weighted(classes), House: d.weighted(houses), Zone: d.weighted(zones),
 			About: d.id(), Key: d.id() + d.id(),
@@ -164,20 +164,20 @@
 	share := s.shares()
 	add := func(r PlannedRequest) {
 		c := s.Classes[r.Class]
-		if !c.asked(r.At) {
+		if !c.requested(r.At) {
 			return
 		}
 		if c.Effect != "keyed" {
 			r.Key = ""
 		}
-		r.Over = share.over(r.House, r.At)
+		r.Over = share.takesTooMuch(r.House, r.At)
 		p.Requests = append(p.Requests, r)
 	}
 	if s.Traffic.closed() {
 		p.drawUsers(s, one)
 		return
 	}
-	d := newDraws(p.Seed, "requests")
+	d := newRandomStream(p.Seed, "requests")
 	if s.Traffic.Arrivals == arrivalsTrace {
 		for _, t := range s.Traffic.trace {
 			r := one(d)
@@ -193,19 +193,20 @@
 	bursts := s.bursts(p.Seed)
 	most := s.rate(0, nil)
 	for _, j := range s.Traffic.Jumps {
-		most = max(most, s.rate(j.At.D(), nil)) // jumps that overlap are highest where one begins
+		most = max(most, s.rate(j.At.D(), nil)) // overlapping jumps reach their maximum where one of them begins
 	}
-	if s.mostShape() != 1 {
-		most = uint64(float64(most)/s.shape(0, nil)*s.mostShape()) + 1
+	if s.maxRateFactor() != 1 {
+		most = uint64(float64(most)/s.rateFactor(0, nil)*s.maxRateFactor()) + 1
 		for _, j := range s.Traffic.Jumps {
-			most = max(most, uint64(float64(s.rate(j.At.D(), nil))/s.shape(j.At.D(), nil)*s.mostShape())+1)
+			most = max(most, uint64(float64(s.rate(j.At.D(), nil))/s.rateFactor(j.At.D(), nil)*s.maxRateFactor())+1)
 		}
 	}
 	at := time.Duration(0)
 	for {
-		// The next of the highest rate, kept in proportion to the rate at its time.
+		// Thinning: draw the next arrival at the maximum rate, and keep it with the probability
+		// of the rate at its time relative to the maximum.
 		hi, lo := bits.Mul64(d.exp(), 1_000_000_000)
-		gap, _ := bits.Div64(hi, lo, most) // microseconds, in 1/2^32; hi is below 100, and most is not
+		gap, _ := bits.Div64(hi, lo, most) // microseconds, in 1/2^32; no overflow, as hi is below 100 and most is not
 		at += time.Duration(gap>>32) * time.Microsecond
 		if at >= p.Length {
 			return
@@ -218,7 +219,7 @@
 	}
 }
 
-// quota is what the houses' shares divide: as the file says, or a fifth above the usual.
+// quota returns the requests per second that are divided among the houses: as configured, or 1.2 times the rate.
 func (s *Scenario) quota() float64 {
 	if s.Traffic.Quota > 0 {
 		return s.Traffic.Quota
@@ -227,9 +228,9 @@
 }
 
 func (p *Plan) drawFaults(s *Scenario) {
-	first := len(p.Nodes) // only these are drawn: those that replace them come later
+	first := len(p.Nodes) // faults hit only the initial nodes; replacements are appended behind them
 	for i, f := range s.Faults {
-		d := newDraws(p.Seed, fmt.Sprintf("fault %d", i))
+		d := newRandomStream(p.Seed, fmt.Sprintf("fault %d", i))
 		e := Event{
 			At: f.At.D(), What: f.What, Fault: i, Node: -1, Proxy: -1, How: f.How, Warm: f.Warm, Known: f.Known, By: f.By.D(), Idle: f.Idle.D(),
 			Amount: int(float64((f.Times+f.Taken+f.Rate)*1000) + 0.5),
@@ -257,17 +258,17 @@
 				if f.For > 0 {
 					e.Until = e.At + f.For.D()
 				}
-				p.begin(e)
+				p.addFault(e)
 			}
 			continue
 		}
 		if f.What == "split" {
 			e.Proxies = f.Proxies
-			p.begin(e)
+			p.addFault(e)
 			continue
 		}
 		if strings.HasPrefix(f.What, "registry-") {
-			p.begin(e)
+			p.addFault(e)
 			continue
 		}
 		var fit []int
@@ -285,7 +286,7 @@
 			p.nodeFault(s, d, e)
 		}
 	}
-	// A class that appears or vanishes does so in all proxies' settings.
+	// When a class appears or vanishes, the settings of all proxies change.
 	for _, c := range s.Classes {
 		for _, at := range [2]time.Duration{c.Appears.D(), c.Vanishes.D()} {
 			for n := range s.Proxies.Count {
@@ -298,8 +299,8 @@
 	sort.SliceStable(p.Events, func(i, j int) bool { return p.Events[i].At < p.Events[j].At })
 }
 
-// begin plans a fault and its end.
-func (p *Plan) begin(e Event) {
+// addFault adds a fault and its end to the plan.
+func (p *Plan) addFault(e Event) {
 	p.Events = append(p.Events, e)
 	if e.Until > 0 && e.Proxy < 0 || e.Until > 0 && e.What != "kill" && e.What != "term" && e.What != "crowd" {
 		end := e
@@ -308,50 +309,50 @@
 	}
 }
 
-// list plans a change of the list about a node.
-func (p *Plan) list(at time.Duration, e Event, lifecycle string) {
+// addListChange adds a change of a node's entry in the node list to the plan.
+func (p *Plan) addListChange(at time.Duration, e Event, lifecycle string) {
 	e.At, e.What, e.Entry = at, "list", lifecycle
 	p.Events = append(p.Events, e)
 }
 
-// nodeFault plans what happens to one node, and when the list knows.
-func (p *Plan) nodeFault(s *Scenario, d draws, e Event) {
-	dead := d.between(s.Discovery.NoticeDead[0].D(), s.Discovery.NoticeDead[1].D())
-	vanished := d.between(s.Discovery.NoticeGone[0].D(), s.Discovery.NoticeGone[1].D())
+// nodeFault adds a fault of one node to the plan, with the list changes that follow from it.
+func (p *Plan) nodeFault(s *Scenario, d randomStream, e Event) {
+	dead := d.duration(s.Discovery.NoticeDead[0].D(), s.Discovery.NoticeDead[1].D())
+	vanished := d.duration(s.Discovery.NoticeGone[0].D(), s.Discovery.NoticeGone[1].D())
 	switch e.What {
 	case "die":
-		p.begin(e)
-		p.list(e.At+dead, e, "Gone")
+		p.addFault(e)
+		p.addListChange(e.At+dead, e, "Gone")
 		if e.Until > 0 {
-			p.list(max(e.Until, e.At+dead)+time.Millisecond, e, "Ready")
+			p.addListChange(max(e.Until, e.At+dead)+time.Millisecond, e, "Ready")
 		}
 	case "vanish":
-		p.begin(e)
+		p.addFault(e)
 		if e.Until == 0 || e.At+vanished < e.Until {
-			p.list(e.At+vanished, e, "Gone")
+			p.addListChange(e.At+vanished, e, "Gone")
 			if e.Until > 0 {
-				p.list(e.Until+dead/2, e, "Ready")
+				p.addListChange(e.Until+dead/2, e, "Ready")
 			}
 		}
 	case "drain":
-		p.list(e.At, e, "Terminating")
-		p.begin(e)
+		p.addListChange(e.At, e, "Terminating")
+		p.addFault(e)
 		if e.Until > 0 {
-			p.list(e.Until+dead/2, e, "Gone")
+			p.addListChange(e.Until+dead/2, e, "Gone")
 		}
 	case "replace":
 		old := p.Nodes[e.Node]
 		successor := old
 		successor.ID, successor.Replaces = "s-"+d.id()[:8], e.Node
 		p.Nodes = append(p.Nodes, successor)
-		p.begin(e)
-		p.list(e.At+dead, e, "Gone")
+		p.addFault(e)
+		p.addListChange(e.At+dead, e, "Gone")
 		e.Node = len(p.Nodes) - 1
 		e.What = "start"
 		e.At += time.Millisecond
 		p.Events = append(p.Events, e)
-		p.list(e.At+dead, e, "Ready")
+		p.addListChange(e.At+dead, e, "Ready")
 	default:
-		p.begin(e)
+		p.addFault(e)
 	}
 }
--- a/internal/rehearsal/plan_test.go
+++ b/internal/rehearsal/plan_test.go
@@ -26,7 +26,7 @@
 	return s
 }
 
-// Each shipped scenario is good, and says what it is about.
+// Each shipped scenario is valid, has a description and plans requests.
 func TestShippedScenarios(t *testing.T) {
 	files, err := scenarios.Files.ReadDir(".")
 	if err != nil {
@@ -35,21 +35,21 @@
 	for _, f := range files {
 		s := shipped(t, strings.TrimSuffix(f.Name(), ".toml"))
 		if s.About == "" || len(Draw(s, 1).Requests) == 0 {
-			t.Errorf("%s asks nothing, or says nothing", f.Name())
+			t.Errorf("%s plans no requests or has no description", f.Name())
 		}
 	}
 	if len(files) < 6 {
-		t.Errorf("only %d are shipped", len(files))
+		t.Errorf("only %d scenarios are shipped", len(files))
 	}
 }
 
-// Equal seeds give equal plans in another process, and different ones differ.
+// Equal seeds give equal plans, also in another process, and different seeds or scenarios give different ones.
 func TestSchedulesRepeat(t *testing.T) {
 	for _, name := range []string{"morning", "stale"} {
 		s := shipped(t, name)
 		want := Draw(s, 7).Digest()
 		if Draw(s, 8).Digest() == want {
-			t.Errorf("%s: seeds 7 and 8 give one schedule", name)
+			t.Errorf("%s: seeds 7 and 8 give the same schedule", name)
 		}
 		self, err := os.Executable()
 		if err != nil {
@@ -68,12 +68,12 @@
 	a, b := shipped(t, "calm"), shipped(t, "calm")
 	b.Traffic.Rate++
 	if Draw(a, 1).Digest() == Draw(b, 1).Digest() {
-		t.Error("two scenarios have one schedule")
+		t.Error("two scenarios have the same schedule")
 	}
 }
 
-// This digest was written down once. It changes only where the drawing itself does,
-// which means that no seed is what it was: say so in the changelog.
+// The recorded digest changes only if the drawing of plans itself changes. Then every seed
+// gives a different schedule than before, which must be noted in the changelog.
 func TestScheduleIsTheSameOnEveryMachine(t *testing.T) {
 	s := defaults()
 	s.Name, s.Length = "fixed", Span(2*time.Second)
@@ -87,8 +87,8 @@
 	}
 }
 
-// A fault more leaves the arrivals as they were: each stream of draws stands alone.
-func TestStreamsStandAlone(t *testing.T) {
+// More faults or nodes don't change the arrivals, as the random streams are independent.
+func TestRandomStreamsAreIndependent(t *testing.T) {
 	a, b := shipped(t, "calm"), shipped(t, "calm")
 	b.Faults = append(b.Faults, Fault{At: Span(time.Second), What: "die", Nodes: 3, For: Span(time.Second)})
 	b.Fleet.Nodes[0].Count++
@@ -114,7 +114,7 @@
 	})
 }
 
-// The traffic, the shares and the means are those of the file.
+// The drawn rate, shares and mean work are those of the scenario file.
 func TestDrawnFigures(t *testing.T) {
 	s := shipped(t, "calm")
 	s.Length = Span(20 * time.Minute)
@@ -144,7 +144,7 @@
 	within("the work of a bid", work/classes[2], 0.055)
 }
 
-func TestBadScenarios(t *testing.T) {
+func TestInvalidScenarios(t *testing.T) {
 	data, err := scenarios.Files.ReadFile("morning.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -162,10 +162,10 @@
 		"no share":             {"share = 0.25", "share = 1.25", "share"},
 		"an unknown effect":    {`effect = "unsafe"`, `effect = "fragile"`, "safe, keyed or unsafe"},
 		"no window":            {`window = "10s"`, "", "needs a window"},
-		"a class twice":        {`name = "bid"`, `name = "lot-list"`, "taken twice"},
+		"a class twice":        {`name = "bid"`, `name = "lot-list"`, "a duplicate"},
 		"no worth":             {"worth = 8", "worth = 0", "worth"},
-		"too many nodes":       {"count = 4", "count = 4000", "is the most"},
-		"too many requests":    {"rate = 200", "rate = 2e6", "is the most"},
+		"too many nodes":       {"count = 4", "count = 4000", "at most 200 are possible"},
+		"too many requests":    {"rate = 200", "rate = 2e6", "at most 2000000 are possible"},
 		"zones that are less":  {"zones = [0.4, 0.35, 0.25]", "zones = [0.4]", "1 shares for 3 zones"},
 		"a neighbour":          {"taken = 0.5", "taken = 1.5", "taken"},
 		"not a number":         {"rate = 200", "rate = nan", "rate"},
@@ -181,11 +181,11 @@
 	} {
 		text := strings.Replace(good, c.old, c.new, 1)
 		if text == good {
-			t.Fatalf("%s: nothing changed", name)
+			t.Fatalf("%s: the text to replace was not found", name)
 		}
 		_, err := Parse("morning.toml", []byte(text))
 		if err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 			continue
 		}
 		if !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
@@ -212,7 +212,7 @@
 			return
 		}
 		if s.Traffic.Rate*s.Length.D().Seconds() > 10_000 {
-			return // good, and too long to draw here
+			return // valid, but too long to draw here
 		}
 		p := Draw(s, 1)
 		for i, r := range p.Requests {
--- a/internal/rehearsal/process.go
+++ b/internal/rehearsal/process.go
@@ -15,25 +15,25 @@
 	"marlreel/internal/standin"
 )
 
-// process is a proxy's process.
+// process is one running process of a proxy.
 type process struct {
-	cmd  *exec.Cmd
-	done chan struct{} // it has ended
-	err  error         // how, once done is closed
-	use  Usage         // once done is closed
-	peak atomic.Uint64 // the most seen resident, in KiB
-	door string        // where the platform asks it; "" is nowhere
-	life *Life
+	cmd         *exec.Cmd
+	done        chan struct{} // closed when it has exited
+	err         error         // result of the exit; valid once done is closed
+	use         Usage         // valid once done is closed
+	peak        atomic.Uint64 // peak resident memory seen so far, in KiB
+	controlAddr string        // address of its control endpoint, or ""
+	life        *Life
 }
 
-// Usage is what a process used.
+// Usage is the CPU time and memory that a process used.
 type Usage struct {
 	CPU      float64 `json:"cpu_s"`
-	MemoryMB float64 `json:"memory_mb"` // the most that was resident
+	MemoryMB float64 `json:"memory_mb"` // peak resident memory
 }
 
-// startProcess starts a program whose output goes to the log. It dies with this
-// process, also where that is killed (on Linux).
+// startProcess starts a program whose output goes to the log. On Linux the program is killed
+// when this process ends, even if this process is killed itself.
 func startProcess(command []string, env []string, log *os.File, files ...*os.File) (*process, error) {
 	p := &process{cmd: exec.Command(command[0], command[1:]...), done: make(chan struct{})}
 	p.cmd.Env = append(os.Environ(), env...)
@@ -60,14 +60,14 @@
 
 func (p *process) signal(s os.Signal) { p.cmd.Process.Signal(s) }
 
-// look notes what it has resident.
-func (p *process) look() {
+// updatePeakMemory updates the peak of the process's resident memory.
+func (p *process) updatePeakMemory() {
 	if mb := residentPeak(p.cmd.Process.Pid); mb > 0 {
 		p.peak.Store(uint64(mb * 1024))
 	}
 }
 
-// ended tells whether it has.
+// ended reports whether the process has exited.
 func (p *process) ended() bool {
 	select {
 	case <-p.done:
@@ -77,9 +77,9 @@
 	}
 }
 
-// end asks it to finish, and kills it where it takes longer than it may.
-func (p *process) end(within time.Duration) (killed bool) {
-	p.look()
+// terminate sends SIGTERM, and kills the process if it hasn't exited within the given time.
+func (p *process) terminate(within time.Duration) (killed bool) {
+	p.updatePeakMemory()
 	p.signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
@@ -91,28 +91,28 @@
 	}
 }
 
-// proxy is a proxy of the tier over all its lives.
+// proxy is one proxy of the scenario, over all its processes.
 type proxy struct {
 	n       int
 	addr    string
-	rpc     string // where it takes MessagePack-RPC; "" is nowhere
+	rpc     string // MessagePack-RPC address, or ""
 	command []string
-	config  string // its path
+	config  string // path of its configuration file
 	logPath string
 	log     *os.File
 
-	held     *os.File // the clients' listener; nil: the proxy opens it
-	temp     string   // a folder that its processes have in common
-	doors    bool     // its processes are asked by their doors
-	attempts int      // that its settings allow now
+	listener   *os.File // inherited listener for clients; nil: the proxy opens it
+	temp       string   // temporary folder that its processes share
+	useControl bool     // its processes get a control endpoint
+	attempts   int      // limit of attempts in its current settings
 
-	mu    sync.Mutex // held over a start or an end
-	now   *process
-	lives []*Life
-	use   Usage
+	mu        sync.Mutex // held during a start or a shutdown
+	now       *process
+	lifetimes []*Life
+	use       Usage
 }
 
-// start begins a life.
+// start starts a new process of the proxy.
 func (p *proxy) start(at time.Duration) error {
 	if p.log == nil {
 		f, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
@@ -123,7 +123,7 @@
 	}
 	env := []string{"NODE_CONFIG=" + p.config, "NODE_NAME=", "NODE_LISTEN=", "NODE_DISCOVERY=", "NODE_CONTROL=", "NODE_SOCKET_FD="}
 	door := ""
-	if p.doors {
+	if p.useControl {
 		addr, err := standin.Address()
 		if err != nil {
 			return err
@@ -132,22 +132,22 @@
 		env = append(env, "NODE_CONTROL="+door)
 	}
 	var files []*os.File
-	if p.held != nil {
-		files = append(files, p.held) // descriptor 3
+	if p.listener != nil {
+		files = append(files, p.listener) // descriptor 3
 		env = append(env, "NODE_SOCKET_FD=3", "TMPDIR="+p.temp)
 	}
 	now, err := startProcess(p.command, env, p.log, files...)
 	if err != nil {
 		return err
 	}
-	now.door, now.life = door, &Life{Proxy: p.n, Start: at}
+	now.controlAddr, now.life = door, &Life{Proxy: p.n, Start: at}
 	p.now = now
-	p.lives = append(p.lives, now.life)
+	p.lifetimes = append(p.lifetimes, now.life)
 	return nil
 }
 
-// over ends the books of a life.
-func (p *proxy) over(q *process, at time.Duration, how string) {
+// recordEnd records the end of a process, once.
+func (p *proxy) recordEnd(q *process, at time.Duration, how string) {
 	if q.life.How != "" {
 		return
 	}
@@ -156,8 +156,8 @@
 	p.use.MemoryMB = max(p.use.MemoryMB, q.use.MemoryMB)
 }
 
-// lastWords are the last lines of its log.
-func (p *proxy) lastWords() string {
+// logTail returns the last lines of the proxy's log.
+func (p *proxy) logTail() string {
 	data, err := os.ReadFile(p.logPath)
 	if err != nil {
 		return ""
@@ -170,7 +170,7 @@
 	return string(bytes.Join(lines[max(0, len(lines)-3):], []byte(" | ")))
 }
 
-// FindMarlreel finds the daemon: the path given, else beside this program, else on PATH.
+// FindMarlreel returns the path of the daemon: the one given, or else the one beside this program or on PATH.
 func FindMarlreel(path string) (string, error) {
 	if path != "" {
 		full, err := filepath.Abs(path)
@@ -178,7 +178,7 @@
 			return "", err
 		}
 		if i, err := os.Stat(full); err != nil || i.IsDir() || i.Mode()&0o111 == 0 {
-			return "", fmt.Errorf("--marlreel %s: no program there", path)
+			return "", fmt.Errorf("--marlreel %s: not an executable file", path)
 		}
 		return full, nil
 	}
@@ -190,7 +190,7 @@
 	}
 	found, err := exec.LookPath("marlreel")
 	if err != nil {
-		return "", errors.New("no marlreel beside this program nor on PATH: build it with 'go build -o bin/ ./cmd/...', or name it with --marlreel")
+		return "", errors.New("marlreel was found neither beside this program nor on PATH: build it with 'go build -o bin/ ./cmd/...', or give its path with --marlreel")
 	}
 	return found, nil
 }
--- a/internal/rehearsal/process_linux.go
+++ b/internal/rehearsal/process_linux.go
@@ -9,8 +9,8 @@
 	"syscall"
 )
 
-// startTied starts a child that the kernel kills when its parent thread ends. So the
-// thread is kept: the goroutine stays locked to it until waitTied.
+// startTied starts a child process that the kernel kills when the parent thread ends. The
+// goroutine stays locked to its thread until waitTied, so that the thread doesn't end before.
 func startTied(cmd *exec.Cmd) error {
 	runtime.LockOSThread()
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
@@ -26,9 +26,9 @@
 	return cmd.Wait()
 }
 
-// residentPeak is the most that a process had resident so far, in MB; 0 is not known.
-// The system's own account at a child's end won't do: it includes what the parent had
-// resident when it forked.
+// residentPeak returns a process's peak resident memory so far in MB, or 0 if it is unknown.
+// The rusage of an exited child can't be used: its Maxrss includes what the parent had
+// resident at the fork.
 func residentPeak(pid int) float64 {
 	data, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/status")
 	if err != nil {
--- a/internal/rehearsal/registry.go
+++ b/internal/rehearsal/registry.go
@@ -8,19 +8,19 @@
 	"marlreel/internal/standin"
 )
 
-// RegistrySpec is a registry that has the list too, beside the platform's discovery: the proxies follow it, as
-// [registry] of their own settings says.
+// RegistrySpec describes a registry that holds the node list in addition to the platform's discovery service. The proxies
+// follow it by [registry] in their operator settings.
 type RegistrySpec struct {
-	Kind     string `toml:"kind"`     // etcd, consul; "" is none
-	Patience Span   `toml:"patience"` // of the proxies, with one that is lost
-	Settle   Span   `toml:"settle"`
+	Kind     string `toml:"kind"`     // etcd or consul; empty: no registry
+	Patience Span   `toml:"patience"` // the proxies' registry.patience with a registry that is lost
+	Settle   Span   `toml:"settle"`   // the proxies' registry.settle
 }
 
-// enrolled is the list in the registry. Each proxy reaches each node at an address of its own, so there is a
-// list for each proxy.
-type enrolled struct {
+// registryList maintains the node lists in the registry. Each proxy reaches a node at a different address, so there is
+// one list per proxy.
+type registryList struct {
 	store   *standin.Registry
-	now     map[string]standin.Entry // by node, as it should be
+	now     map[string]standin.Entry // intended entries by node id
 	marks   []revisionAt
 	emptied bool
 }
@@ -30,13 +30,13 @@
 	revision int64
 }
 
-// nodesPrefix is where a proxy finds its list.
+// nodesPrefix returns the key prefix of a proxy's node list.
 func nodesPrefix(k int) string { return fmt.Sprintf("rehearsal/%s/", proxyName(k)) }
 
-// put changes the list, at the platform's discovery and in the registry.
-func (w *world) put(e standin.Entry) {
+// updateList updates a node's entry in the discovery service and the registry.
+func (w *testbed) updateList(e standin.Entry) {
 	w.discovery.Put(e)
-	r := w.enrolled
+	r := w.registry
 	if r == nil {
 		return
 	}
@@ -52,12 +52,12 @@
 	}
 }
 
-func (r *enrolled) mark(at time.Duration, revision int64) {
+func (r *registryList) mark(at time.Duration, revision int64) {
 	r.marks = append(r.marks, revisionAt{at, revision})
 }
 
-// ops are a node's entry in every proxy's list. Under the lock.
-func (w *world) ops(e standin.Entry) (ops []standin.RegistryOp) {
+// ops returns the operations that write or delete a node's entry in every proxy's list. The caller holds w.mu.
+func (w *testbed) ops(e standin.Entry) (ops []standin.RegistryOp) {
 	for k := range w.scenario.Proxies.Count {
 		op := standin.RegistryOp{Key: nodesPrefix(k) + e.InstanceID, Delete: e.Lifecycle == "Gone"}
 		if !op.Delete {
@@ -70,7 +70,7 @@
 				"state": state, "weight": 1, "started_ms": e.StartedAtMs,
 			})
 			if err != nil {
-				panic(fmt.Sprintf("an entry that is no JSON: %v", err)) // texts and numbers
+				panic(fmt.Sprintf("encoding registry entry as JSON: %v", err)) // it holds only strings and numbers
 			}
 			op.Value = string(value)
 		}
@@ -79,9 +79,9 @@
 	return ops
 }
 
-// registryFault does one event to the registry.
-func (w *world) registryFault(e Event) {
-	r := w.enrolled
+// registryFault executes an event on the registry.
+func (w *testbed) registryFault(e Event) {
+	r := w.registry
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	all := func(gone bool) (ops []standin.RegistryOp) {
@@ -103,7 +103,7 @@
 		r.emptied = true
 		r.store.Txn(all(true)...)
 	case "end registry-emptied", "end registry-restored":
-		// Who keeps the list has put it right: what is in it and shouldn't be goes, the rest comes again.
+		// The platform repairs the list: delete all entries and write the intended ones.
 		r.emptied = false
 		var ops []standin.RegistryOp
 		for key := range r.store.State(r.store.Revision()) {
@@ -118,7 +118,7 @@
 				back = m.revision
 			}
 		}
-		r.emptied = true // what changes meanwhile is written when it is put right
+		r.emptied = true // changes made meanwhile are written when the list is repaired
 		r.store.Restore(back, true)
 	case "registry-compacted":
 		r.store.Compact(r.store.Revision())
--- a/internal/rehearsal/report.go
+++ b/internal/rehearsal/report.go
@@ -12,11 +12,11 @@
 	"marlreel/internal/standin"
 )
 
-// Report is what a run says.
+// Report is the result of a run.
 type Report struct {
 	Scenario    string             `json:"scenario"`
 	About       string             `json:"about"`
-	Proxy       string             `json:"proxy"` // what was measured
+	Proxy       string             `json:"proxy"` // name of the measured proxy
 	Seed        uint64             `json:"seed"`
 	Schedule    string             `json:"schedule"` // SHA-256 over the plan
 	LengthS     float64            `json:"length_s"`
@@ -24,8 +24,8 @@
 	Parts       Parts              `json:"parts"`
 	Worth       Worth              `json:"worth"`
 	WorstWindow Window             `json:"worst_window"`
-	Recovery    *float64           `json:"recovery_s,omitempty"` // see recovery; -1 is not within the run
-	Best        *Best              `json:"best,omitempty"`       // where nodes were down and came back
+	Recovery    *float64           `json:"recovery_s,omitempty"` // see recovery; -1: not within the run
+	Best        *Best              `json:"best,omitempty"`       // only if nodes were down and came back
 	Classes     map[string]Tally   `json:"classes"`
 	Houses      map[string]Tally   `json:"houses"`
 	Deductions  map[string]float64 `json:"deductions_points"`
@@ -36,13 +36,13 @@
 	Crashed     []string           `json:"crashed,omitempty"`
 	Void        string             `json:"void"`
 	Requests    int                `json:"requests"` // first tries
-	Tries       int                `json:"tries"`    // with the clients' own retries
-	Attempts    int                `json:"attempts"` // that reached a node
+	Tries       int                `json:"tries"`    // including the clients' own retries
+	Attempts    int                `json:"attempts"` // attempts that reached a node
 	Probes      int                `json:"probes"`
-	Handshakes  int                `json:"handshakes"` // connections that nodes took
+	Handshakes  int                `json:"handshakes"` // connections that nodes accepted
 	GeneratorMs float64            `json:"generator_late_ms"`
 	GeneratorMx float64            `json:"generator_late_max_ms"`
-	Falls       int                `json:"falls"` // nodes that fell over, by whoever's fault
+	Falls       int                `json:"falls"` // nodes that failed from overload, whatever the cause
 	Clients     ClientFigures      `json:"clients"`
 	Kit         Usage              `json:"kit"`
 	Proxies     []Usage            `json:"proxies"`
@@ -50,7 +50,7 @@
 	Timeline    Timeline           `json:"timeline"`
 }
 
-// Parts are what service is made of.
+// Parts holds the parts of the service.
 type Parts struct {
 	Whole      float64 `json:"whole"`
 	Window     float64 `json:"worst_10s"`
@@ -60,13 +60,13 @@
 	WorstHouse string  `json:"worst_house_name"`
 }
 
-// Window is a part of the run.
+// Window is a period of the run.
 type Window struct {
 	FromS   float64 `json:"from_s"`
 	Service float64 `json:"service"`
 }
 
-// Rulings are the counts of breaks, a rule each.
+// Rulings holds the number of violations of each rule.
 type Rulings struct {
 	Lost       int `json:"lost"`
 	Duplicated int `json:"duplicated"`
@@ -75,26 +75,26 @@
 	Settings   int `json:"settings"`
 }
 
-// Kept tells that none was broken.
+// Kept reports whether no rule was broken.
 func (r Rulings) Kept() bool { return r == Rulings{} }
 
-// ClientFigures are how tries ended.
+// ClientFigures holds the outcomes of tries, and the number of client connections.
 type ClientFigures struct {
 	Outcomes    map[string]int `json:"outcomes"`
 	Connections int            `json:"connections"` // opened to proxies
 	MostOpen    int            `json:"most_open"`
 }
 
-// Timeline is the run second by second, for the picture.
+// Timeline holds the course of the run, for the charts.
 type Timeline struct {
-	Seconds []Worth                 `json:"seconds"` // worth by what became of it, by its planned second
+	Seconds []Worth                 `json:"seconds"` // worth by outcome, by planned second
 	Latency map[string][]Percentile `json:"latency"`
 	Nodes   []NodeLine              `json:"nodes"`
 	Faults  []Mark                  `json:"faults"`
-	Proxies []Mark                  `json:"proxies"` // lives
+	Proxies []Mark                  `json:"proxies"` // lifetimes of their processes
 }
 
-// Percentile is the latency of answers that served, over two seconds.
+// Percentile holds latency percentiles of successful answers over two seconds.
 type Percentile struct {
 	AtS float64 `json:"at_s"`
 	P50 float64 `json:"p50_ms"`
@@ -102,30 +102,30 @@
 	P99 float64 `json:"p99_ms"`
 }
 
-// NodeLine is a node over time.
+// NodeLine is the state and load of a node over time.
 type NodeLine struct {
 	ID    string    `json:"id"`
 	Zone  string    `json:"zone"`
 	Kind  string    `json:"kind"`
 	Speed float64   `json:"speed"`
 	State []string  `json:"state"` // each second
-	Share []float64 `json:"share"` // of the work begun by all nodes in that second
+	Share []float64 `json:"share"` // of the attempts begun by all nodes in that second
 }
 
-// Mark is a span of the run.
+// Mark is a labelled period of the run.
 type Mark struct {
 	What  string  `json:"what"`
 	FromS float64 `json:"from_s"`
 	ToS   float64 `json:"to_s"`
 }
 
-const mostBreaks = 100
+const maxBreaks = 100
 
-// repeatNote says what a seed can't repeat.
+// repeatNote explains which parts of a run a seed reproduces.
 const repeatNote = "Equal seed and scenario give an equal schedule: arrivals, classes, houses, keys, demands, node speeds, " +
 	"fault times. What the sockets, the scheduler and the proxies' own timers do is not repeated; 'rehearse compare' gives the spread."
 
-func (w *world) report(r Records, o Options, start time.Duration, l *clients, began Usage) *Report {
+func (w *testbed) report(r Records, o Options, start time.Duration, l *clients, began Usage) *Report {
 	score := Measure(r, start)
 	rep := &Report{
 		Scenario: w.scenario.Name, About: w.scenario.About, Proxy: o.Name, Seed: o.Seed, Schedule: w.plan.Digest(),
@@ -167,19 +167,19 @@
 	}
 	slices.Sort(late)
 	rep.GeneratorMs, rep.GeneratorMx = percentile(late, 0.99), percentile(late, 1)
-	if most := float64(lateMost) / 1e6; rep.GeneratorMs > most {
+	if most := float64(maxGeneratorDelay) / 1e6; rep.GeneratorMs > most {
 		rep.Void = fmt.Sprintf("the machine was too slow for this load: 1 send in 100 was %.0f ms late or more, %.0f ms is the most", rep.GeneratorMs, most)
 	}
-	rep.rule(Audit(r), start)
+	rep.addBreaks(Audit(r), start)
 	rep.Timeline = timeline(r, start)
 	rep.Recovery = recovery(r, rep.Timeline.Seconds)
 	rep.Best = best(r, start, rep.Timeline.Seconds)
 	return rep
 }
 
-// recovery is how many seconds after the last return of nodes that were down the first five seconds
-// begin in which 95% of what was served before they went is served again; -1 where there are none within
-// the run, nil where no node came back.
+// recovery returns the seconds from the last return of nodes that were down to the first window of five seconds in
+// which 95% of the service from before they went down is reached again. It returns -1 if there is no such window in
+// the run, and nil if no node came back.
 func recovery(r Records, seconds []Worth) *float64 {
 	const warm, window = 2, 5
 	down, back := r.Plan.Length, time.Duration(0)
@@ -214,8 +214,8 @@
 	return &never
 }
 
-// rule counts breaks, and keeps the first with times from the start of the traffic.
-func (rep *Report) rule(breaks []Break, start time.Duration) {
+// addBreaks counts the violations, and stores the first of them with times relative to the start of the traffic.
+func (rep *Report) addBreaks(breaks []Break, start time.Duration) {
 	for _, b := range breaks {
 		switch b.Rule {
 		case RuleLost:
@@ -229,7 +229,7 @@
 		case RuleSettings:
 			rep.Rules.Settings++
 		}
-		if len(rep.Breaks) < mostBreaks {
+		if len(rep.Breaks) < maxBreaks {
 			b.At -= start
 			if b.Since != 0 {
 				b.Since -= start
@@ -239,7 +239,7 @@
 	}
 }
 
-// OK tells that all rules were kept and no proxy crashed.
+// OK reports whether all rules were kept and no proxy crashed.
 func (rep *Report) OK() bool { return rep.Rules.Kept() && rep.Crashes == 0 }
 
 func timeline(r Records, start time.Duration) Timeline {
@@ -318,7 +318,7 @@
 	return t
 }
 
-// describe words a fault for the picture.
+// describe returns a short description of a fault, for the charts.
 func (f Fault) describe() string {
 	what := f.What
 	switch {
@@ -380,7 +380,7 @@
 	return lines
 }
 
-// Write puts report.json and report.html into a folder.
+// Write writes report.json and report.html to a folder.
 func (rep *Report) Write(dir string) error {
 	data, err := json.MarshalIndent(rep, "", " ")
 	if err != nil {
@@ -410,7 +410,7 @@
 	return &rep, nil
 }
 
-// sorted gives a map's names in order.
+// sorted returns a map's keys in order.
 func sorted[T any](m map[string]T) []string {
 	names := make([]string, 0, len(m))
 	for n := range m {
@@ -420,7 +420,7 @@
 	return names
 }
 
-// Text is the report for a terminal.
+// Text returns the report as text for a terminal.
 func (rep *Report) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s, seed %d, %s: service %.3f", rep.Scenario, rep.Seed, rep.Proxy, rep.Service)
--- a/internal/rehearsal/run.go
+++ b/internal/rehearsal/run.go
@@ -12,35 +12,35 @@
 	"marlreel/internal/standin"
 )
 
-// Options say how a scenario is played.
+// Options configures a run.
 type Options struct {
 	Seed     uint64
-	Command  []string       // starts a proxy, which finds its configuration in $NODE_CONFIG
-	Name     string         // of what is measured, for the report
-	Out      string         // where proxies' logs and configurations go; "" is a folder that is removed
-	Progress func(Progress) // called once a second; may be nil
+	Command  []string       // command of a proxy, which reads its configuration from $NODE_CONFIG
+	Name     string         // name of the measured proxy, for the report
+	Out      string         // folder for logs and configurations of the proxies; "": a temporary one
+	Progress func(Progress) // called once a second and when the phase changes; may be nil
 }
 
-// Progress is how a run stands.
+// Progress is the state of a run.
 type Progress struct {
 	Phase         string // starting, playing, ending
 	At, Length    time.Duration
 	Asked, Served float64 // worth
-	Nodes         int     // that are up, cold ones included
-	Proxies       int     // that the front has
+	Nodes         int     // nodes that are up, including cold ones
+	Proxies       int     // proxies that the front considers available
 	Requests      int
 }
 
-// lateMost is how late, at the 99th percentile, the generator may come to its sends.
-// Beyond it the machine was too slow, and the run says nothing of the proxies.
-const lateMost = 25 * time.Millisecond
+// maxGeneratorDelay is the highest 99th percentile of the load generator's delay. If it is exceeded, the machine
+// was too slow, and the run is void: its results say nothing about the proxies.
+const maxGeneratorDelay = 25 * time.Millisecond
 
-// ErrDescriptors says that the process may hold too few file descriptors.
+// ErrDescriptors is returned if the limit of file descriptors is too low for a scenario.
 var ErrDescriptors = errors.New("too few file descriptors")
 
-// need is about how many descriptors a scenario takes in this process: listeners and
-// connections of the nodes, and the clients' connections.
-func (s *Scenario) need() int {
+// descriptorsNeeded estimates the number of file descriptors that a scenario needs in this process: listeners and
+// connections of the nodes, and the connections of clients and crowds.
+func (s *Scenario) descriptorsNeeded() int {
 	nodes := 0
 	for _, k := range s.Fleet.Nodes {
 		nodes += k.Count
@@ -60,11 +60,11 @@
 	return nodes*(s.Proxies.Count+perNode) + int(s.Traffic.Rate) + s.Traffic.Users.Count + crowds + 100
 }
 
-// Run plays a scenario and reports on it. All that it starts has ended when it
-// returns, also where it returns an error or ctx ends early.
+// Run plays a scenario and returns its report. Everything that it started has stopped when it
+// returns, also after an error or when ctx ends early.
 func Run(ctx context.Context, s *Scenario, o Options) (*Report, error) {
-	if have := descriptors(); have > 0 && have < s.need() {
-		return nil, fmt.Errorf("%w: %s wants about %d, and this process may hold %d (ulimit -n)", ErrDescriptors, s.Name, s.need(), have)
+	if have := descriptors(); have > 0 && have < s.descriptorsNeeded() {
+		return nil, fmt.Errorf("%w: %s needs about %d, and the limit of this process is %d (ulimit -n)", ErrDescriptors, s.Name, s.descriptorsNeeded(), have)
 	}
 	dir := o.Out
 	if dir == "" {
@@ -78,10 +78,10 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	for k := range s.Proxies.Count { // logs are appended to over a run's lives, not over runs
+	for k := range s.Proxies.Count { // a log covers all processes of a run, but not several runs
 		os.Remove(filepath.Join(dir, proxyName(k)+".log"))
 	}
-	if old, err := filepath.Glob(filepath.Join(dir, "*.memory")); err == nil { // nor is a run's memory another's
+	if old, err := filepath.Glob(filepath.Join(dir, "*.memory")); err == nil { // stored state isn't kept over runs either
 		for _, path := range old {
 			os.Remove(path)
 		}
@@ -89,7 +89,7 @@
 	plan := Draw(s, o.Seed)
 	clock, journal := standin.NewClock(), &standin.Journal{}
 	began := ownUsage()
-	w, err := newWorld(s, plan, clock, journal, dir)
+	w, err := newTestbed(s, plan, clock, journal, dir)
 	defer w.close()
 	if err != nil {
 		return nil, err
@@ -129,7 +129,7 @@
 			break
 		}
 	}
-	// What a proxy still has out for a request that is over shows within a moment.
+	// Wait for late effects: attempts that a proxy still makes for a finished request.
 	select {
 	case <-time.After(300 * time.Millisecond):
 	case <-ctx.Done():
@@ -149,13 +149,13 @@
 	}
 	asPlayed, tries := plan, load.records()
 	if s.Traffic.closed() {
-		asPlayed, tries = plan.played(s, load.began, tries)
+		asPlayed, tries = plan.asPlayed(s, load.began, tries)
 	}
 	records := Records{Scenario: s, Plan: asPlayed, Tries: tries, Nodes: journal.Records(), Lives: w.lives(), Reloads: w.reloads}
 	return w.report(records, o, start, load, began), nil
 }
 
-func (w *world) progress(l *clients, at time.Duration) Progress {
+func (w *testbed) progress(l *clients, at time.Duration) Progress {
 	p := Progress{Phase: "playing", At: max(at, 0), Length: w.plan.Length}
 	l.mu.Lock()
 	p.Asked, p.Served, p.Requests = l.asked, l.served, len(l.tries)
--- a/internal/rehearsal/run_test.go
+++ b/internal/rehearsal/run_test.go
@@ -23,7 +23,7 @@
 
 const fixedDigest = "af161b46f8fd7e6414e23a00870769a31e2112a087273a43ff77a8fa5cca6e7e"
 
-// As a child the test binary is a proxy, right or wrong, or another process that draws.
+// As a child process the test binary is a proxy, correct or faulty, or draws a plan.
 func TestMain(m *testing.M) {
 	if name := os.Getenv("REHEARSAL_TEST_DIGEST"); name != "" {
 		fmt.Println(Draw(shipped(&testing.T{}, name), 7).Digest())
@@ -61,7 +61,7 @@
 	}
 }
 
-// stall is a proxy that is ready and answers nothing else.
+// stall runs a proxy that reports to be ready and answers no other request.
 func stall(ctx context.Context, path string) {
 	var c struct{ Listen string }
 	data, err := os.ReadFile(path)
@@ -100,7 +100,7 @@
 	<-ctx.Done()
 }
 
-// short is a scenario of a few seconds.
+// short returns a scenario of a few seconds.
 func short() *Scenario {
 	s := defaults()
 	s.Name, s.Length, s.Proxies.Count = "short", Span(2500*ms), 2
@@ -124,7 +124,7 @@
 	return s
 }
 
-// play runs a scenario against a child of the given kind.
+// play runs a scenario against proxies of the given kind, as child processes.
 func play(t *testing.T, s *Scenario, kind string) (*Report, string, error) {
 	t.Helper()
 	if err := s.Validate(); err != nil {
@@ -151,7 +151,7 @@
 	return string(data)
 }
 
-// A right proxy keeps the rules; each wrong one is caught under the rule that it breaks.
+// A correct proxy breaks no rule. Each faulty one is caught under the rule that it breaks.
 func TestWrongProxiesAreCaught(t *testing.T) {
 	t.Parallel()
 	dies := Fault{At: Span(300 * ms), What: "die", Nodes: 1, For: Span(400 * ms)}
@@ -196,10 +196,10 @@
 			}
 			if c.rule == "" {
 				if !rep.OK() {
-					t.Errorf("a right proxy is blamed: %v", rep.Breaks)
+					t.Errorf("violations of a correct proxy: %v", rep.Breaks)
 				}
 				if rep.Worth.Served == 0 || rep.Requests < 50 || rep.Attempts < 50 || rep.Handshakes == 0 {
-					t.Errorf("little came of it: %+v", rep.Worth)
+					t.Errorf("too little load was served: %+v", rep.Worth)
 				}
 			} else if n := (map[string]int{
 				RuleLost: rep.Rules.Lost, RuleDuplicated: rep.Rules.Duplicated, RuleDrains: rep.Rules.Drains,
@@ -220,12 +220,12 @@
 	}
 }
 
-// The same for what daily service asks: new versions, settings, large bodies, crowds.
+// The same for upgrades, reloads of settings, large bodies and crowds of connections.
 func TestWrongServiceIsCaught(t *testing.T) {
 	t.Parallel()
 	upgrade := func(s *Scenario) {
 		s.Faults = []Fault{{At: Span(700 * ms), What: "upgrade", Each: Span(300 * ms)}}
-		for i := range s.Classes { // long enough that something is held at any time
+		for i := range s.Classes { // long enough that requests are in flight at any time
 			s.Classes[i].Wait = Span(150 * ms)
 		}
 	}
@@ -241,13 +241,13 @@
 		name   string
 		faults standin.Faults
 		change func(s *Scenario)
-		word   string // "": nothing is to be found
+		word   string // "": no violation is expected
 	}{
 		{"right", standin.Faults{}, upgrade, ""},
 		{"drops what it holds", standin.Faults{DropAtTerm: true}, upgrade, "lost"},
 		{"never says yes", standin.Faults{NoYes: true}, func(s *Scenario) {
 			upgrade(s)
-			s.Length = Span(yesWithin + 2*time.Second)
+			s.Length = Span(readyTimeout + 2*time.Second)
 		}, "has not said within"},
 		{"right", standin.Faults{}, retune("empty"), ""},
 		{"right", standin.Faults{}, retune("cut"), ""},
@@ -292,11 +292,11 @@
 	}
 }
 
-// A proxy that stalls delays no arrival: all requests go out while none is answered.
+// A proxy that stalls doesn't delay arrivals: all requests are sent although none is answered.
 func TestOpenLoopUnderAStalledProxy(t *testing.T) {
 	t.Parallel()
 	s := short()
-	s.Length = Span(1500 * ms) // all is planned before the first client gives up
+	s.Length = Span(1500 * ms) // all requests are planned before the first client gives up
 	rep, _, err := play(t, s, "stalls")
 	if err != nil {
 		t.Fatal(err)
@@ -305,11 +305,11 @@
 		t.Errorf("%d requests: %v, %+v", rep.Requests, rep.Clients.Outcomes, rep.Rules)
 	}
 	if rep.Clients.MostOpen < rep.Requests*9/10 {
-		t.Errorf("%d requests were open at once of %d: arrivals waited", rep.Clients.MostOpen, rep.Requests)
+		t.Errorf("only %d of %d requests were open at once: arrivals were delayed", rep.Clients.MostOpen, rep.Requests)
 	}
 }
 
-// A proxy that ends by itself is a crash, told with its last words; the run goes on to its end.
+// A proxy that exits by itself is reported as a crash, with its exit status; the run continues to its end.
 func TestCrashedProxy(t *testing.T) {
 	t.Parallel()
 	rep, _, err := play(t, short(), "dies")
@@ -321,21 +321,21 @@
 	}
 }
 
-// A proxy that can't start ends the run at once, with its own words.
+// A proxy that can't start ends the run at once, with an error that contains the proxy's output.
 func TestFailedStart(t *testing.T) {
 	t.Parallel()
 	_, _, err := play(t, short(), "never")
 	if err == nil || !strings.Contains(err.Error(), "it can't start today") {
-		t.Errorf("told as %v", err)
+		t.Errorf("got error %v", err)
 	}
 	s := short()
 	_, err = Run(t.Context(), s, Options{Seed: 1, Command: []string{filepath.Join(t.TempDir(), "nothing")}})
 	if err == nil || !strings.Contains(err.Error(), "nothing") {
-		t.Errorf("a program that is not there: %v", err)
+		t.Errorf("missing program: %v", err)
 	}
 }
 
-// Restarts: what a killed proxy held is the client's; a new process gets the old list.
+// Requests in flight at a killed proxy don't count as lost, and a restarted proxy can be given the old node list.
 func TestRestartsWithAnOldList(t *testing.T) {
 	t.Parallel()
 	s := short()
@@ -360,18 +360,18 @@
 		}
 	}
 	if lives != 2 {
-		t.Errorf("n0 lived %d times: %v", lives, rep.Timeline.Proxies)
+		t.Errorf("n0 had %d processes, want 2: %v", lives, rep.Timeline.Proxies)
 	}
 	plan := Draw(s, 1)
 	old := plan.Nodes[plan.Nodes[len(plan.Nodes)-1].Replaces].ID
 	data, err := os.ReadFile(filepath.Join(dir, "n0.json"))
 	if err != nil || !strings.Contains(string(data), old) {
-		t.Errorf("the restarted proxy's list lacks %s, which is gone: %v", old, err)
+		t.Errorf("the restarted proxy's list lacks the old node %s: %v", old, err)
 	}
 }
 
-// All that a run started has ended when it returns, also when it is broken off.
-func TestNothingIsLeftBehind(t *testing.T) {
+// Everything that a run started has stopped when it returns, also when it was interrupted.
+func TestInterruptedRunStopsEverything(t *testing.T) {
 	s := short()
 	ctx, cancel := context.WithCancel(t.Context())
 	self, err := os.Executable()
@@ -388,7 +388,7 @@
 		},
 	})
 	if err == nil || ctx.Err() == nil {
-		t.Fatalf("broken off: %v", err)
+		t.Fatalf("the run was not interrupted: %v", err)
 	}
 	var c struct{ Listen string }
 	data, err := os.ReadFile(filepath.Join(dir, "n0.json"))
@@ -400,7 +400,7 @@
 	}
 	ln, err := net.Listen("tcp", c.Listen)
 	if err != nil {
-		t.Fatalf("a proxy is left at its address: %v", err)
+		t.Fatalf("a proxy still listens at its address: %v", err)
 	}
 	ln.Close()
 }
--- a/internal/rehearsal/scenario.go
+++ b/internal/rehearsal/scenario.go
@@ -13,14 +13,14 @@
 	"marlreel/internal/stricttoml"
 )
 
-// Span is a length of time as scenario files write it: "250ms", "8s".
+// Span is a duration as scenario files write it: "250ms", "8s".
 type Span = stricttoml.Duration
 
-// Scenario is a day to rehearse, as its file says.
+// Scenario is the content of a scenario file.
 type Scenario struct {
 	Name      string        `toml:"name"`
 	About     string        `toml:"about"` // a sentence or two for the operator
-	Seed      uint64        `toml:"seed"`  // unless the command line gives one
+	Seed      uint64        `toml:"seed"`  // default; the command line may override it
 	Length    Span          `toml:"length"`
 	Fleet     Fleet         `toml:"fleet"`
 	Proxies   Proxies       `toml:"proxies"`
@@ -34,21 +34,23 @@
 	Faults    []Fault       `toml:"faults"`
 }
 
-// Fleet is the auction nodes and the network between them and the proxies.
+// Fleet describes the auction nodes and the network between them and the proxies.
 type Fleet struct {
 	Zones       []string   `toml:"zones"`
-	SameZone    Span       `toml:"same-zone"`  // one way
-	CrossZone   Span       `toml:"cross-zone"` // one way
-	Handshake   Span       `toml:"handshake"`  // work that a new connection costs a node
+	SameZone    Span       `toml:"same-zone"`  // one-way delay
+	CrossZone   Span       `toml:"cross-zone"` // one-way delay
+	Handshake   Span       `toml:"handshake"`  // work of a node for each new connection
 	Connections int        `toml:"connections"`
 	Idle        Span       `toml:"idle"`
-	ProbeWork   Span       `toml:"probe-work"` // 0: no probes
+	ProbeWork   Span       `toml:"probe-work"` // work of a node for each probe; 0: no probes
 	Cold        Cold       `toml:"cold"`
 	Crowd       Crowd      `toml:"crowd"`
 	Nodes       []NodeKind `toml:"nodes"`
 }
 
-// Cold is how nodes start, and what makes a cold one fall over.
+// Cold describes the warmup of nodes after a cold start, and the overload that makes a cold node fail.
+// A node starts with the part From of its capacity and reaches all of it after For. It fails when it gets more than
+// Multiple times what it can do, over a window of Over.
 type Cold struct {
 	From     float64 `toml:"from"`
 	For      Span    `toml:"for"`
@@ -56,7 +58,7 @@
 	Over     Span    `toml:"fall-over"`
 }
 
-// Crowd is how a crowded node turns slow. Slower = 0: none does.
+// Crowd describes how a node becomes slow under congestion. Slower = 0 turns this off.
 type Crowd struct {
 	At     float64 `toml:"at"`
 	Over   Span    `toml:"over"`
@@ -66,169 +68,169 @@
 	Most   Span    `toml:"most"`
 }
 
-// NodeKind is a number of nodes of one kind.
+// NodeKind describes a group of nodes of the same kind.
 type NodeKind struct {
 	Kind  string     `toml:"kind"`
 	Count int        `toml:"count"`
 	Cores int        `toml:"cores"`
-	Speed [2]float64 `toml:"speed"` // drawn between the two
+	Speed [2]float64 `toml:"speed"` // range from which each node's speed is drawn
 	Slots int        `toml:"slots"`
 	Queue int        `toml:"queue"`
 }
 
-// Proxies is the tier of proxies and the limits of each.
+// Proxies describes the proxies and the resource limits of each.
 type Proxies struct {
 	Count     int     `toml:"count"`
 	Cores     float64 `toml:"cores"`
 	MemoryMB  int     `toml:"memory-mb"`
 	Sockets   int     `toml:"sockets"`
-	DeadAfter Span    `toml:"front-notices-after"` // how long the front goes on sending to a dead one
-	// Own is what the daemons are set beyond what the platform says, as deploy/marlreel.toml has it.
+	DeadAfter Span    `toml:"front-notices-after"` // how long the front keeps sending connections to a proxy that has failed
+	// Own holds the operator's settings of the daemons, in the form of deploy/marlreel.toml.
 	Own map[string]any `toml:"own"`
-	// Fleet lets the proxies agree on their settings.
+	// Fleet makes the proxies a fleet that agrees on its settings.
 	Fleet Agreed `toml:"fleet"`
 }
 
-// DiscoverySpec is how late the list is.
+// DiscoverySpec describes the delays of the node list.
 type DiscoverySpec struct {
-	Late       [2]Span `toml:"late"`        // drawn for each proxy
-	NoticeDead [2]Span `toml:"notice-dead"` // until the list knows that a process has ended
-	NoticeGone [2]Span `toml:"notice-gone"` // the same for one that has vanished
+	Late       [2]Span `toml:"late"`        // delay of updates; range, drawn for each proxy
+	NoticeDead [2]Span `toml:"notice-dead"` // delay until the list shows that a node's process has ended
+	NoticeGone [2]Span `toml:"notice-gone"` // the same for a node that is cut off
 }
 
-// Class is a kind of request.
+// Class describes a class of requests.
 type Class struct {
 	Name   string  `toml:"name"`
 	Share  float64 `toml:"share"`
-	Work   Span    `toml:"work"`   // mean, of a yardstick core
-	Wait   Span    `toml:"wait"`   // mean, on others
-	Spread float64 `toml:"spread"` // 0: all alike; 1: exponential
+	Work   Span    `toml:"work"`   // mean CPU time on a core of speed 1
+	Wait   Span    `toml:"wait"`   // mean time that a node waits on other services
+	Spread float64 `toml:"spread"` // of work and wait; 0: constant, 1: exponential
 	Aim    Span    `toml:"aim"`
 	GiveUp Span    `toml:"give-up"`
 	Worth  float64 `toml:"worth"`
 	Effect string  `toml:"effect"` // safe, keyed, unsafe
-	Window Span    `toml:"window"` // keyed: how long the nodes of a zone drop repeats
+	Window Span    `toml:"window"` // keyed: how long the nodes of a zone deduplicate repeated requests
 	Size   int     `toml:"answer-bytes"`
-	// Large answers and bodies: beyond 64 KiB an answer's time is that of its first bytes, and a
-	// body's time begins with its last one.
-	Body     int  `toml:"body-bytes"` // 0: a few
-	Gives    int  `toml:"gives"`      // bytes a second at which nodes give a large answer; 0: at once
-	Reads    int  `toml:"reads"`      // and at which clients read it
-	Writes   int  `toml:"writes"`     // and at which clients write a body
-	Chunked  bool `toml:"chunked"`    // large answers and bodies come in chunks
-	Appears  Span `toml:"appears"`    // in the settings from then on; 0: from the start
-	Vanishes Span `toml:"vanishes"`   // and until then; 0: to the end
-	// Protocol is http or rpc: MessagePack-RPC, as method "post.NAME".
+	// For answers over 64 KiB, latency is measured to the first bytes. For requests with a body, it is
+	// measured from the last byte of the body.
+	Body     int  `toml:"body-bytes"` // 0: a small fixed body
+	Gives    int  `toml:"gives"`      // bytes per second at which nodes send a large answer; 0: at once
+	Reads    int  `toml:"reads"`      // bytes per second at which clients read it
+	Writes   int  `toml:"writes"`     // bytes per second at which clients write a body
+	Chunked  bool `toml:"chunked"`    // large answers and bodies use chunked encoding
+	Appears  Span `toml:"appears"`    // when the class is added to the settings; 0: from the start
+	Vanishes Span `toml:"vanishes"`   // when it is removed; 0: never
+	// Protocol is http, the default, or rpc: MessagePack-RPC, as method "post.NAME".
 	Protocol string `toml:"protocol"`
 }
 
-// RPC tells whether any class comes by MessagePack-RPC.
+// RPC reports whether any class uses MessagePack-RPC.
 func (s *Scenario) RPC() bool {
 	return slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Protocol == "rpc" })
 }
 
-// there tells whether a class is in the settings at a time.
-func (c *Class) there(at time.Duration) bool {
+// inSettings reports whether the class is in the settings at the given time.
+func (c *Class) inSettings(at time.Duration) bool {
 	return at >= c.Appears.D() && (c.Vanishes == 0 || at < c.Vanishes.D())
 }
 
-// usableAfter is how long after a change of the settings clients count on it.
-const usableAfter = 1200 * time.Millisecond
+// settingsDelay is how long clients wait after a change of the settings before they rely on it.
+const settingsDelay = 1200 * time.Millisecond
 
-// asked tells whether clients ask for a class at a time: a little after it has appeared, until
-// it vanishes.
-func (c *Class) asked(at time.Duration) bool {
-	return c.there(at) && (c.Appears == 0 || at >= c.Appears.D()+usableAfter)
+// requested reports whether clients request the class at the given time: from settingsDelay after it was added
+// until it is removed.
+func (c *Class) requested(at time.Duration) bool {
+	return c.inSettings(at) && (c.Appears == 0 || at >= c.Appears.D()+settingsDelay)
 }
 
-// large tells whether an answer's time is that of its first bytes.
+// large reports whether answers of this class are large: their latency is measured to the first bytes.
 func (c *Class) large() bool { return c.Size > standin.LargeFrom }
 
-// held tells whether the kit holds the clients' listeners, as the platform does on days with
-// upgrades.
-func (s *Scenario) held() bool {
+// kitOwnsListeners reports whether this process opens the listeners for clients and passes them to the proxies, as the
+// platform does in scenarios with upgrades.
+func (s *Scenario) kitOwnsListeners() bool {
 	return slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.What == "upgrade" })
 }
 
-// door tells whether the proxies are asked by their doors for readiness and figures.
-func (s *Scenario) door() bool {
-	return s.held() || s.Proxies.Fleet.Keepers > 0 || slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.What == "retune" }) ||
+// usesControl reports whether the proxies' control endpoints are used, to read readiness and counters.
+func (s *Scenario) usesControl() bool {
+	return s.kitOwnsListeners() || s.Proxies.Fleet.Keepers > 0 || slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.What == "retune" }) ||
 		slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Appears > 0 || c.Vanishes > 0 })
 }
 
-// Agreed is a fleet of proxies that agree: how many keep the log, and within what time. No keepers: they know nothing
-// of one another.
+// Agreed describes how the proxies agree on their settings: how many of them keep the replicated log, and within what
+// time all follow. With no keepers the proxies don't know of each other.
 type Agreed struct {
 	Keepers int  `toml:"keepers"`
 	Within  Span `toml:"within"`
 }
 
-// House is a customer.
+// House describes a customer (tenant).
 type House struct {
 	Name  string  `toml:"name"`
-	Share float64 `toml:"share"` // of what it may ask for
-	Usage float64 `toml:"usage"` // of its share, what it asks for; 0 is 1
+	Share float64 `toml:"share"` // its part of the quota, relative to the other houses
+	Usage float64 `toml:"usage"` // its actual traffic relative to its share; 0 means 1
 }
 
-// Traffic is what is asked for.
+// Traffic describes the load.
 type Traffic struct {
-	Rate      float64   `toml:"rate"`  // first tries a second
-	Quota     float64   `toml:"quota"` // requests a second that the houses' shares divide
+	Rate      float64   `toml:"rate"`  // requests per second, without retries
+	Quota     float64   `toml:"quota"` // requests per second, divided among the houses by their shares
 	OverWorth float64   `toml:"over-share-worth"`
-	Zones     []float64 `toml:"zones"` // shares, in the order of the fleet's zones; none: even
+	Zones     []float64 `toml:"zones"` // shares, in the order of the fleet's zones; empty: even
 	Jumps     []Jump    `toml:"jumps"`
-	// Arrivals is how they come: steady (the default), bursty, wave, trace.
+	// Arrivals is the arrival process: steady (the default), bursty, wave or trace.
 	Arrivals string `toml:"arrivals"`
 	Bursts   Bursts `toml:"bursts"`
 	Wave     Wave   `toml:"wave"`
-	Trace    string `toml:"trace"` // a file of "seconds,class" lines, from the scenario's folder
-	Users    Users  `toml:"users"` // in place of arrivals: a closed loop
+	Trace    string `toml:"trace"` // file of "seconds,class" lines, relative to the scenario's folder
+	Users    Users  `toml:"users"` // closed loop, instead of arrivals
 
-	trace []traced
+	trace []traceEntry
 }
 
-// Bursts are short times of more traffic, at random. The mean stays the rate.
+// Bursts describes short random periods of higher traffic. The mean rate is unchanged.
 type Bursts struct {
 	Times float64 `toml:"times"`
 	For   Span    `toml:"for"`   // mean
-	Every Span    `toml:"every"` // mean time between one's end and the next
+	Every Span    `toml:"every"` // mean time from the end of a burst to the start of the next
 }
 
-// Wave lets traffic rise and fall evenly. The mean stays the rate.
+// Wave describes traffic that rises and falls linearly. The mean rate is unchanged.
 type Wave struct {
-	Swing  float64 `toml:"swing"` // by this part of it, up and down
+	Swing  float64 `toml:"swing"` // amplitude, relative to the rate
 	Period Span    `toml:"period"`
 }
 
-// Users ask one request at a time, and think between its end and the next.
+// Users describes closed-loop clients: each has one request at a time, and pauses before the next.
 type Users struct {
 	Count int  `toml:"count"`
 	Think Span `toml:"think"` // mean
 }
 
-// closed tells whether the load is a closed loop.
+// closed reports whether the load is a closed loop.
 func (t *Traffic) closed() bool { return t.Users.Count > 0 }
 
-// Jump is a time of more traffic, or less.
+// Jump describes a period in which the rate is multiplied by Times.
 type Jump struct {
 	At    Span    `toml:"at"`
 	For   Span    `toml:"for"`
 	Times float64 `toml:"times"`
 }
 
-// Clients is how clients behave.
+// Clients describes the behaviour of clients.
 type Clients struct {
 	Retries     int     `toml:"retries"`
-	TryShare    float64 `toml:"try-share"` // of the give-up time that one try is waited for
+	TryShare    float64 `toml:"try-share"` // timeout of one try, as a part of the give-up time
 	Backoff     Span    `toml:"backoff"`
 	HonourAfter bool    `toml:"honour-retry-after"`
 	MarkRetries bool    `toml:"mark-retries"`
-	New         bool    `toml:"new-connections"` // each try has one of its own
-	SlowHeads   float64 `toml:"slow-heads"`      // share of the tries that write their head over
-	SlowOver    Span    `toml:"slow-over"`       // so long
+	New         bool    `toml:"new-connections"` // each try opens its own connection
+	SlowHeads   float64 `toml:"slow-heads"`      // share of the tries that write their request head slowly,
+	SlowOver    Span    `toml:"slow-over"`       // over this time
 }
 
-// Rules are the figures of the four rules, and what the settings allow.
+// Rules holds the limits of the four rules, and what the settings allow.
 type Rules struct {
 	DrainGrace    Span `toml:"drain-grace"`
 	AnswerSlack   Span `toml:"answer-slack"`
@@ -238,32 +240,32 @@
 	MaxRetryAfter Span `toml:"max-retry-after"`
 }
 
-// Fault is something that goes wrong, or is done, at a time.
+// Fault describes a failure or an operator's action at a given time.
 type Fault struct {
 	At          Span    `toml:"at"`
 	What        string  `toml:"what"`
-	For         Span    `toml:"for"`         // 0: until the end
-	Nodes       int     `toml:"nodes"`       // how many, drawn
-	Share       float64 `toml:"share"`       // or which share of them
-	Kind        string  `toml:"kind"`        // only of this kind
-	Zone        string  `toml:"zone"`        // only in this zone
-	Times       float64 `toml:"times"`       // slow: how many times slower
-	Taken       float64 `toml:"taken"`       // neighbour: the share that it takes
+	For         Span    `toml:"for"`         // 0: until the end of the run
+	Nodes       int     `toml:"nodes"`       // number of nodes, drawn at random
+	Share       float64 `toml:"share"`       // or the share of the nodes
+	Kind        string  `toml:"kind"`        // only nodes of this kind
+	Zone        string  `toml:"zone"`        // only nodes in this zone
+	Times       float64 `toml:"times"`       // slow, partial: factor by which service slows down
+	Taken       float64 `toml:"taken"`       // neighbour: share of the machine that it takes
 	Rate        float64 `toml:"rate"`        // errors, spoil: share of the answers
 	How         string  `toml:"how"`         // spoil: noise, cut, huge, empty; partial: slow, silent, errors
-	Class       string  `toml:"class"`       // partial: only this class; none: every one
-	Above       int     `toml:"above-bytes"` // partial: only answers of so many bytes or more
-	Proxies     []int   `toml:"proxies"`     // numbers from 0; none: all
-	Each        Span    `toml:"each"`        // between one proxy and the next
-	Known       string  `toml:"known"`       // kill, term: the list it starts with: last, start
-	By          Span    `toml:"by"`          // discovery-late: how late
-	Idle        Span    `toml:"idle"`        // stale, drops: how long a connection has stood
-	Warm        bool    `toml:"warm"`        // die, replace: comes back warm
-	Connections int     `toml:"connections"` // crowd: how many to each proxy
-	Attempts    int     `toml:"attempts"`    // retune: as many at most from then on
+	Class       string  `toml:"class"`       // partial: only this class; empty: all
+	Above       int     `toml:"above-bytes"` // partial: only answers of at least this size
+	Proxies     []int   `toml:"proxies"`     // indices from 0; empty: all
+	Each        Span    `toml:"each"`        // delay between one proxy and the next
+	Known       string  `toml:"known"`       // kill, term: node list after the restart: last or start
+	By          Span    `toml:"by"`          // discovery-late: added delay; registry-restored: age of the backup
+	Idle        Span    `toml:"idle"`        // stale, drops: how long a connection has been idle
+	Warm        bool    `toml:"warm"`        // die, replace: the node returns warm
+	Connections int     `toml:"connections"` // crowd: connections to each proxy
+	Attempts    int     `toml:"attempts"`    // retune: the new limit of attempts
 }
 
-// The kinds of fault, with what each does, for help and for errors.
+// faultKinds lists the kinds of fault with a description of each, for help and error messages.
 var faultKinds = []struct{ What, Does string }{
 	{"die", "nodes' processes end and come back cold after `for`"},
 	{"vanish", "nodes are cut off: silence, until `for` is over"},
@@ -293,11 +295,11 @@
 	{"registry-compacted", "the registry forgets all changes so far, and its watches end"},
 }
 
-// brokenHows are the ways in which a settings file is broken: empty, cut off, short of a key, with
-// a deadline or attempts that are not above 0.
+// brokenHows lists the ways to break a settings file: empty, truncated, without a required key, or with
+// a deadline or a number of attempts that is not above 0.
 var brokenHows = []string{"empty", "cut", "short", "deadline", "attempts"}
 
-// partialHows are the ways in which a node serves a class badly.
+// partialHows lists the ways in which a node fails for a class.
 var partialHows = []string{"slow", "silent", "errors"}
 
 func (s *Scenario) classNames() (names []string) {
@@ -307,7 +309,7 @@
 	return names
 }
 
-// FaultKinds lists the kinds of fault with what each does.
+// FaultKinds returns the help text with the kinds of fault, one per line.
 func FaultKinds() string {
 	var b strings.Builder
 	for _, k := range faultKinds {
@@ -317,7 +319,7 @@
 }
 
 // Load reads a scenario file. Every error is one line that names the file, the place
-// in it and what would be right.
+// in it and the values that are allowed.
 func Load(path string) (*Scenario, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -326,7 +328,7 @@
 	return Parse(path, data)
 }
 
-// Parse reads a scenario's text; path is for its errors.
+// Parse decodes the text of a scenario; path is used in errors, and to find a trace file.
 func Parse(path string, data []byte) (*Scenario, error) {
 	s := defaults()
 	if err := stricttoml.Decode(path, data, s); err != nil {
@@ -346,7 +348,7 @@
 	return s, nil
 }
 
-// defaults are the figures of borza-main, for what a file doesn't say.
+// defaults returns the values for keys that a file leaves out: the figures of borza-main.
 func defaults() *Scenario {
 	return &Scenario{
 		Seed: 1, Length: Span(30 * time.Second),
@@ -371,23 +373,23 @@
 	}
 }
 
-// Bounds of what a scenario may ask of one machine.
+// Limits on the size of a scenario, so that one machine can run it.
 const (
-	mostNodes    = 200
-	mostProxies  = 40
-	mostLength   = time.Hour
-	mostRequests = 2_000_000
-	mostFaults   = 1000
-	mostBytes    = 32 << 20
-	mostCrowd    = 5000
+	maxNodes     = 200
+	maxProxies   = 40
+	maxLength    = time.Hour
+	maxRequests  = 2_000_000
+	maxFaults    = 1000
+	maxBodyBytes = 32 << 20
+	maxCrowd     = 5000
 )
 
-// Validate names the first thing that makes no scenario.
+// Validate returns an error for the first invalid value.
 func (s *Scenario) Validate() error {
 	share := func(v float64) bool { return v > 0 && v <= 1 }
 	switch f := &s.Fleet; {
-	case s.Length <= 0 || s.Length.D() > mostLength:
-		return fmt.Errorf("length = %v: more than 0 and up to %v is needed", s.Length.D(), mostLength)
+	case s.Length <= 0 || s.Length.D() > maxLength:
+		return fmt.Errorf("length = %v: more than 0 and up to %v is needed", s.Length.D(), maxLength)
 	case len(f.Zones) == 0 || len(f.Zones) > 16:
 		return errors.New("fleet.zones: 1 to 16 names are needed")
 	case f.SameZone < 0 || f.CrossZone < 0 || f.SameZone.D() > time.Second || f.CrossZone.D() > time.Second:
@@ -402,8 +404,8 @@
 		return errors.New("fleet.crowd: slower of 1 or more, over, rest and most above 0 and below in (0, 1] are needed")
 	case s.Proxies.Fleet.Keepers != 0 && (s.Proxies.Fleet.Keepers != 3 && s.Proxies.Fleet.Keepers != 5 || s.Proxies.Fleet.Keepers > s.Proxies.Count || s.Proxies.Fleet.Within.D() < time.Second):
 		return errors.New("proxies.fleet: keepers = 3 or 5, of as many proxies or more, and within of 1s or more are needed")
-	case s.Proxies.Count < 1 || s.Proxies.Count > mostProxies:
-		return fmt.Errorf("proxies.count = %d: 1 to %d is needed", s.Proxies.Count, mostProxies)
+	case s.Proxies.Count < 1 || s.Proxies.Count > maxProxies:
+		return fmt.Errorf("proxies.count = %d: 1 to %d is needed", s.Proxies.Count, maxProxies)
 	case s.Proxies.Cores <= 0 || s.Proxies.MemoryMB < 16 || s.Proxies.Sockets < 64 || s.Proxies.DeadAfter < 0:
 		return errors.New("proxies: cores above 0, memory-mb of 16 or more and sockets of 64 or more are needed")
 	case s.Discovery.Late[0] < 0 || s.Discovery.Late[1] < s.Discovery.Late[0] ||
@@ -426,8 +428,8 @@
 		return errors.New("clients: slow-heads is a share up to 1, and needs slow-over, such as \"2s\"")
 	case s.Rules.DrainGrace < 0 || s.Rules.AnswerSlack < 0 || s.Rules.MaxAttempts < 1 || s.Rules.MaxRetryAfter < 0:
 		return errors.New("rules: spans of 0 or more and max-attempts of 1 or more are needed")
-	case len(s.Faults) > mostFaults:
-		return fmt.Errorf("faults: %d, and %d is the most", len(s.Faults), mostFaults)
+	case len(s.Faults) > maxFaults:
+		return fmt.Errorf("faults: %d faults, at most %d are possible", len(s.Faults), maxFaults)
 	}
 	if r := s.Registry; !slices.Contains([]string{"", "etcd", "consul"}, r.Kind) || r.Patience < 0 || r.Settle < 0 {
 		return fmt.Errorf("registry.kind = %q: etcd or consul is needed, and patience and settle of 0 or more", r.Kind)
@@ -440,18 +442,18 @@
 		nodes += k.Count
 		kinds = append(kinds, k.Kind)
 	}
-	if nodes > mostNodes {
-		return fmt.Errorf("fleet.nodes: %d nodes, and %d is the most", nodes, mostNodes)
+	if nodes > maxNodes {
+		return fmt.Errorf("fleet.nodes: %d nodes, at most %d are possible", nodes, maxNodes)
 	}
 	names := map[string]bool{}
 	for i, c := range s.Classes {
 		switch {
 		case c.Name == "" || names[c.Name] || strings.ContainsAny(c.Name, "/ ?#%\"") || c.Name == "ready" || c.Name == "health" || c.Name == "status":
-			return fmt.Errorf("classes %d: name %q is empty, taken twice, reserved or no path's part", i+1, c.Name)
+			return fmt.Errorf("classes %d: name %q is empty, a duplicate, reserved or not allowed in a path", i+1, c.Name)
 		case !(c.Share > 0) || c.Work <= 0 || c.Wait < 0 || c.Spread < 0 || c.Spread > 1 || c.Aim <= 0 || c.GiveUp < c.Aim || !(c.Worth > 0):
 			return fmt.Errorf("class %s: share, work, aim and worth above 0, spread from 0 to 1 and give-up of aim or more are needed", c.Name)
-		case c.Size < 0 || c.Size > mostBytes || c.Body < 0 || c.Body > mostBytes:
-			return fmt.Errorf("class %s: answer-bytes = %d, body-bytes = %d: up to %d is possible", c.Name, c.Size, c.Body, mostBytes)
+		case c.Size < 0 || c.Size > maxBodyBytes || c.Body < 0 || c.Body > maxBodyBytes:
+			return fmt.Errorf("class %s: answer-bytes = %d, body-bytes = %d: up to %d is possible", c.Name, c.Size, c.Body, maxBodyBytes)
 		case c.Protocol == "rpc" && (c.Size > standin.LargeFrom || c.Body > 0):
 			return fmt.Errorf("class %s: by rpc answer-bytes of up to %d are possible, and no body-bytes", c.Name, standin.LargeFrom)
 		case c.Body > 0 && c.Effect == "safe":
@@ -470,7 +472,7 @@
 		names[c.Name] = true
 	}
 	if !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Appears == 0 && c.Vanishes == 0 }) {
-		return errors.New("classes: at least one has to be there all day")
+		return errors.New("classes: at least one without appears and vanishes is needed")
 	}
 	for i, h := range s.Houses {
 		if h.Name == "" || !(h.Share > 0) || h.Usage < 0 || strings.ContainsAny(h.Name, "\r\n") {
@@ -488,8 +490,8 @@
 		}
 		most = max(most, base*j.Times)
 	}
-	if n := most * s.Length.D().Seconds(); n > mostRequests {
-		return fmt.Errorf("traffic: up to %.0f requests, and %d is the most", n, mostRequests)
+	if n := most * s.Length.D().Seconds(); n > maxRequests {
+		return fmt.Errorf("traffic: up to %.0f requests, at most %d are possible", n, maxRequests)
 	}
 	for i, f := range s.Faults {
 		if err := s.checkFault(f, kinds); err != nil {
@@ -514,9 +516,9 @@
 	case !ofProxies && (f.Nodes < 0 || f.Share < 0 || f.Share > 1 || (f.Nodes > 0) == (f.Share > 0)):
 		return errors.New("either nodes = a number or share = a part up to 1 is needed")
 	case f.Kind != "" && !slices.Contains(kinds, f.Kind):
-		return fmt.Errorf("kind = %q%s: the fleet has none", f.Kind, stricttoml.SuggestClosest(f.Kind, kinds))
+		return fmt.Errorf("kind = %q%s: no such kind in the fleet", f.Kind, stricttoml.SuggestClosest(f.Kind, kinds))
 	case f.Zone != "" && !slices.Contains(s.Fleet.Zones, f.Zone):
-		return fmt.Errorf("zone = %q%s: the fleet has none", f.Zone, stricttoml.SuggestClosest(f.Zone, s.Fleet.Zones))
+		return fmt.Errorf("zone = %q%s: no such zone in the fleet", f.Zone, stricttoml.SuggestClosest(f.Zone, s.Fleet.Zones))
 	case f.What == "slow" && f.Times <= 1:
 		return errors.New("times above 1 is needed")
 	case f.What == "neighbour" && (f.Taken <= 0 || f.Taken >= 1):
@@ -532,17 +534,17 @@
 	case f.What == "partial" && f.How == "slow" && f.Times <= 1:
 		return errors.New("times above 1 is needed")
 	case f.What == "partial" && f.Class == "" && f.Above == 0:
-		return errors.New("class or above-bytes is needed: a node that serves all of it badly is slow, or answers with errors")
+		return errors.New("class or above-bytes is needed; for all requests of a node use what = \"slow\" or \"errors\"")
 	case f.What == "partial" && f.Class != "" && !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == f.Class }):
-		return fmt.Errorf("class = %q%s: there is none", f.Class, stricttoml.SuggestClosest(f.Class, s.classNames()))
+		return fmt.Errorf("class = %q%s: no such class", f.Class, stricttoml.SuggestClosest(f.Class, s.classNames()))
 	case f.What == "partial" && (f.Above < 0 || f.Above > 64<<10):
 		return fmt.Errorf("above-bytes = %d: 0 to %d is possible", f.Above, 64<<10)
 	case (f.Class != "" || f.Above != 0) && f.What != "partial":
 		return errors.New("class and above-bytes belong to what = \"partial\"")
 	case (f.What == "kill" || f.What == "term") && !slices.Contains([]string{"", "last", "start"}, f.Known):
 		return fmt.Errorf("known = %q: last or start is needed", f.Known)
-	case f.What == "crowd" && (f.Connections < 1 || f.Connections > mostCrowd || f.For <= 0):
-		return fmt.Errorf("connections from 1 to %d and for above 0 are needed", mostCrowd)
+	case f.What == "crowd" && (f.Connections < 1 || f.Connections > maxCrowd || f.For <= 0):
+		return fmt.Errorf("connections from 1 to %d and for above 0 are needed", maxCrowd)
 	case f.What == "retune" && (f.How == "") == (f.Attempts == 0):
 		return errors.New("either how or attempts is needed")
 	case f.What == "retune" && f.How != "" && !slices.Contains(brokenHows, f.How):
@@ -556,15 +558,15 @@
 	case strings.HasPrefix(f.What, "registry-") && s.Registry.Kind == "":
 		return errors.New("registry.kind is missing: etcd or consul is needed")
 	case strings.HasPrefix(f.What, "registry-") && (f.Nodes != 0 || f.Share != 0 || len(f.Proxies) > 0):
-		return errors.New("there is one registry: no nodes, share or proxies")
+		return errors.New("registry faults have no nodes, share or proxies")
 	case f.What == "registry-restored" && f.By <= 0:
-		return errors.New("by above 0 is needed: how old the backup is")
+		return errors.New("by above 0, the age of the backup, is needed")
 	case f.What == "discovery-late" && f.By <= 0:
 		return errors.New("by above 0 is needed")
 	}
 	for _, p := range f.Proxies {
 		if p < 0 || p >= s.Proxies.Count {
-			return fmt.Errorf("proxies: there is none with number %d (0 to %d)", p, s.Proxies.Count-1)
+			return fmt.Errorf("proxies: no proxy with number %d (0 to %d)", p, s.Proxies.Count-1)
 		}
 	}
 	return nil
--- a/internal/rehearsal/score.go
+++ b/internal/rehearsal/score.go
@@ -8,16 +8,16 @@
 	"marlreel/internal/standin"
 )
 
-// Worth is what requests were worth, by what became of them.
+// Worth sums up the worth of requests by their outcome.
 type Worth struct {
 	Asked   float64 `json:"asked"`
-	Served  float64 `json:"served"` // within the wanted time
+	Served  float64 `json:"served"` // within the target latency of the class
 	Refused float64 `json:"refused"`
 	Failed  float64 `json:"failed"`
-	Late    float64 `json:"late"` // answered after the wanted time
+	Late    float64 `json:"late"` // answered after the target latency
 }
 
-// share is the part served in time; of nothing, all was.
+// share returns the part that was served in time, or 1 if nothing was asked.
 func (w Worth) share() float64 {
 	if w.Asked == 0 {
 		return 1
@@ -25,33 +25,33 @@
 	return w.Served / w.Asked
 }
 
-// Tally is how a class or a house fared.
+// Tally is the result of a class or a house.
 type Tally struct {
 	Worth
 	Service  float64 `json:"service"`
 	Requests int     `json:"requests"`
-	P50      float64 `json:"p50_ms"` // of answers that served, from the planned arrival
+	P50      float64 `json:"p50_ms"` // of successful answers, from the planned arrival
 	P95      float64 `json:"p95_ms"`
 	P99      float64 `json:"p99_ms"`
 	MostMs   float64 `json:"max_ms"`
 	AimMs    float64 `json:"aim_ms,omitempty"`
 }
 
-// Score is a run's service as the operators count it.
+// Score is a run's service by the operators' formula.
 type Score struct {
 	Service     float64
 	Worth       Worth
-	WorstWindow float64 // of 10 s
+	WorstWindow float64 // least service over 10 s
 	WindowAt    time.Duration
 	WorstClass  string
 	WorstHouse  string
 	Classes     map[string]Tally
 	Houses      map[string]Tally
 	Deductions  map[string]float64 // points of 100
-	After       float64            // service less the deductions
+	After       float64            // service minus the deductions
 }
 
-// The weights of the parts.
+// The weights of the parts of the service.
 const (
 	weightWhole  = 0.45
 	weightWindow = 0.15
@@ -60,7 +60,7 @@
 	window       = 10 * time.Second
 )
 
-// what became of a request
+// The outcome of a request.
 const (
 	inTime = iota
 	tooLate
@@ -68,13 +68,13 @@
 	failed
 )
 
-// Measure counts the service of a run. A client's retry counts with its original, and
-// time runs from the planned arrival of the first try.
+// Measure computes the service of a run. A client's retries count as part of the original request, and
+// latency counts from the planned arrival of the first try.
 func Measure(r Records, start time.Duration) Score {
 	n := len(r.Plan.Requests)
 	end := make([]int, n)
 	took := make([]time.Duration, n)
-	last := make([]time.Duration, n) // when it was over for the client
+	last := make([]time.Duration, n) // when it ended for the client
 	for i := range end {
 		end[i] = failed
 	}
@@ -109,7 +109,7 @@
 			worth *= r.Scenario.Traffic.OverWorth
 		}
 		into := []*Worth{&s.Worth, &seconds[int(q.At/time.Second)], &classes[q.Class].Worth}
-		if !q.Over { // a house is owed service within its share
+		if !q.Over { // a house's service counts only requests within its share
 			into = append(into, &houses[q.House].Worth)
 		}
 		for _, w := range into {
@@ -157,8 +157,8 @@
 	return s
 }
 
-// worstWindow is the least share over any 10 s that begin on a second; of a shorter
-// run, that of the whole.
+// worstWindow returns the lowest share over any 10 s that begin on a full second, or that of the whole run if
+// it is shorter.
 func worstWindow(seconds []Worth) (worst float64, at time.Duration) {
 	worst = 2
 	n := int(window / time.Second)
@@ -182,7 +182,7 @@
 	return t
 }
 
-// percentile of sorted spans, in milliseconds: the least that so many do not exceed.
+// percentile returns the p-quantile of sorted durations in milliseconds, by the nearest-rank method.
 func percentile(sorted []time.Duration, p float64) float64 {
 	if len(sorted) == 0 {
 		return 0
@@ -191,10 +191,10 @@
 	return float64(sorted[max(i, 0)]) / 1e6
 }
 
-// deduct takes off what the operators take off, in points of 100.
+// deduct computes the operators' deductions, in points of 100, and the service after them.
 func (s *Score) deduct(r Records, late float64) {
 	first := float64(max(1, len(r.Plan.Requests)))
-	served := map[string]string{} // id: the node whose answer the client got
+	served := map[string]string{} // the node whose answer the client got, by id
 	for _, t := range r.Tries {
 		if t.Outcome == Served {
 			served[t.ID] = t.Node
--- a/internal/rehearsal/score_test.go
+++ b/internal/rehearsal/score_test.go
@@ -17,12 +17,12 @@
 	}
 }
 
-// Three requests worth 1, 8 and 2: the listing is served, the bid late, the pickup
-// refused and served on its client's retry.
+// Three requests worth 1, 8 and 2: the listing is served in time, the bid late, and the pickup
+// is refused and then served on the client's retry.
 func TestServiceByHand(t *testing.T) {
 	r := doctored()
 	r.Plan.Requests[2].IDs = []string{"c", "c2"}
-	r.Tries[1].Ended = 1500 * ms // the bid's aim is 400 ms
+	r.Tries[1].Ended = 1500 * ms // the bid's target is 400 ms
 	r.Tries[2].Outcome, r.Tries[2].Status = Refused, 503
 	r.Tries = append(r.Tries, Try{Request: 2, N: 1, ID: "c2", Sent: 1300 * ms, Left: 3000 * ms, Ended: 1550 * ms, Outcome: Served, Status: 200})
 	s := Measure(r, 0)
@@ -39,8 +39,8 @@
 	}
 }
 
-// A request beyond its house's share is worth a tenth, and the house is not owed it.
-func TestBeyondTheShare(t *testing.T) {
+// A request beyond its house's share is worth a tenth, and doesn't count for the house's service.
+func TestRequestOverShare(t *testing.T) {
 	r := doctored()
 	r.Plan.Requests[1].Over = true
 	r.Tries[1].Outcome = Failed
@@ -78,7 +78,7 @@
 	near(t, "of none", percentile(nil, .5), 0)
 }
 
-// What was sent and served nobody is waste; a second node for one request makes half of it so.
+// Work on an attempt whose answer the client didn't get is wasted: here that of a second node for one request.
 func TestDeductions(t *testing.T) {
 	r := doctored()
 	for i := range r.Plan.Requests {
@@ -91,7 +91,7 @@
 	near(t, "crossings", s.Deductions["data centres crossed"], 2.0/3)
 }
 
-// The report's names are a contract with scripts.
+// Scripts rely on the names in report.json.
 func TestReportNames(t *testing.T) {
 	rep := &Report{
 		Classes: map[string]Tally{"bid": {}}, Houses: map[string]Tally{"obala": {}}, LengthS: 5,
@@ -133,7 +133,7 @@
 	}
 	for _, foreign := range []string{"http://", "https://", "<script", "src="} {
 		if strings.Contains(text, foreign) {
-			t.Errorf("the page wants something from elsewhere: %s", foreign)
+			t.Errorf("the page has external content: %s", foreign)
 		}
 	}
 }
@@ -152,7 +152,7 @@
 	}
 }
 
-// Nodes are down from 10 s to 15 s and 17 s. Before, nine in ten are served; 95% of that is 0.855.
+// Nodes are down from 10 s to 15 s and 17 s. Before that 90% is served, so recovery needs 95% of it, 0.855.
 func TestRecovery(t *testing.T) {
 	t.Parallel()
 	fill := func(from, to int, served float64, in []Worth) {
@@ -168,11 +168,11 @@
 	for _, c := range []struct {
 		name string
 		play func([]Worth)
-		want float64 // -2 is nothing to say
+		want float64 // -2: no result
 	}{
 		{"at once", func(s []Worth) { fill(10, 17, 2, s) }, 0},
 		{"the first two seconds don't count", func(s []Worth) { fill(0, 2, 0, s); fill(10, 17, 2, s) }, 0},
-		// From 22 s on all is well; a window of five with one second of 7 in it has 0.86 in the mean.
+		// From 22 s on service is at 0.9; a window of five seconds that includes the second with 7 has a mean of 0.86.
 		{"late", func(s []Worth) { fill(10, 21, 2, s); fill(21, 22, 7, s) }, 4},
 		{"too little in a window", func(s []Worth) { fill(10, 21, 2, s); fill(21, 22, 6, s) }, 5},
 		{"never", func(s []Worth) { fill(10, 40, 2, s) }, -1},
@@ -192,6 +192,6 @@
 		}
 	}
 	if got := recovery(Records{Plan: &Plan{Events: plan.Events[2:]}}, make([]Worth, 40)); got != nil {
-		t.Errorf("a day on which no node goes: %v", *got)
+		t.Errorf("got %v although no node went down", *got)
 	}
 }
--- a/internal/rehearsal/service.go
+++ b/internal/rehearsal/service.go
@@ -17,19 +17,20 @@
 	"time"
 )
 
-// What daily service does to proxies: new versions beside old ones, settings that change, crowds.
+// Operations on proxies: upgrades, changes of settings, and crowds of connections.
 
 const (
-	// yesWithin is how long a new process may take until it says that it can serve.
-	yesWithin = 6 * time.Second
-	// tookWithin is how long a proxy may take to say whether it has taken a settings file.
-	tookWithin = time.Second
-	// crowdRest is how long one of a crowd takes to come back: a crowd is patient, not a flood.
-	crowdRest = time.Second
+	// readyTimeout is how long a new process may take to report that it is ready.
+	readyTimeout = 6 * time.Second
+	// reloadTimeout is how long a proxy may take to report whether it has applied a settings file.
+	reloadTimeout = time.Second
+	// crowdReconnectDelay is the pause before a connection of a crowd is opened again, so that the crowd isn't a flood
+	// of new connections.
+	crowdReconnectDelay = time.Second
 )
 
-// askDoor asks a process by its door: yes or no, and what it says.
-func askDoor(ctx context.Context, addr, call string) (yes bool, text string, err error) {
+// callControl calls a process's control endpoint, and returns whether the status was 2xx, and the body.
+func callControl(ctx context.Context, addr, call string) (yes bool, text string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/control/"+call, nil)
@@ -46,9 +47,9 @@
 	return resp.StatusCode/100 == 2, string(body), err
 }
 
-// figure reads a figure of a process; -1 is none.
-func figure(ctx context.Context, addr, name string) int {
-	_, text, err := askDoor(ctx, addr, "counters")
+// readCounter reads a counter of a process. It returns -1 if the counter can't be read.
+func readCounter(ctx context.Context, addr, name string) int {
+	_, text, err := callControl(ctx, addr, "counters")
 	if err != nil {
 		return -1
 	}
@@ -63,9 +64,9 @@
 	return -1
 }
 
-// upgrade starts a new process of a proxy beside the old one, waits for its yes, and ends the old
-// one as the platform does. A new one that says no yes, or ends, is written down as a crash.
-func (w *world) upgrade(ctx context.Context, p *proxy) error {
+// upgrade starts a new process of a proxy beside the old one, waits until it is ready, and terminates the old
+// one, as the platform does. A new process that doesn't become ready in time, or exits, is recorded as a crash.
+func (w *testbed) upgrade(ctx context.Context, p *proxy) error {
 	p.mu.Lock()
 	old := p.now
 	p.mu.Unlock()
@@ -78,30 +79,30 @@
 	p.mu.Lock()
 	next := p.now
 	p.mu.Unlock()
-	for until := time.Now().Add(yesWithin); ; {
-		yes, _, _ := askDoor(ctx, next.door, "ready")
+	for until := time.Now().Add(readyTimeout); ; {
+		yes, _, _ := callControl(ctx, next.controlAddr, "ready")
 		if yes {
 			break
 		}
-		if ctx.Err() != nil { // the run is over: the old one is not left behind
+		if ctx.Err() != nil { // the run is over: terminate the old process too
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			old.life.Term = w.clock.Now()
-			old.end(w.longest())
-			p.over(old, w.clock.Now(), "ended")
+			old.terminate(w.longest())
+			p.recordEnd(old, w.clock.Now(), "ended")
 			return nil
 		}
 		if next.ended() || time.Now().After(until) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.now = old // it goes on
+			p.now = old // the old process continues to serve
 			if !next.ended() {
 				next.life.Term = w.clock.Now()
 				next.signal(os.Kill)
 				<-next.done
-				p.over(next, w.clock.Now(), "killed")
+				p.recordEnd(next, w.clock.Now(), "killed")
 			}
-			w.noteCrash(fmt.Sprintf("a new process of proxy %s has not said within %v that it can serve: %s", proxyName(p.n), yesWithin, p.lastWords()))
+			w.recordCrash(fmt.Sprintf("a new process of proxy %s has not said within %v that it can serve: %s", proxyName(p.n), readyTimeout, p.logTail()))
 			return nil
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -110,35 +111,35 @@
 	old.life.Term = w.clock.Now()
 	p.mu.Unlock()
 	how := "ended"
-	if old.end(w.longest() + 700*time.Millisecond) {
+	if old.terminate(w.longest() + 700*time.Millisecond) {
 		how = "too slow to end"
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.over(old, w.clock.Now(), how)
+	p.recordEnd(old, w.clock.Now(), how)
 	return nil
 }
 
-func (w *world) noteCrash(text string) {
+func (w *testbed) recordCrash(text string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.crashes = append(w.crashes, text)
 }
 
-// Reload is one file that a proxy was told to read, and what became of it.
+// Reload is one reload of a proxy's settings file, and its result.
 type Reload struct {
 	Proxy    int
 	At       time.Duration
 	Good     bool
-	Attempts int // that it allows
+	Attempts int // limit of attempts in the file
 	Taken    bool
-	TakenAt  time.Duration // when it was seen
-	Silent   bool          // it did not say
+	TakenAt  time.Duration // when the result was seen
+	Silent   bool          // no result was reported in time
 }
 
-// retune gives a proxy another settings file and tells it to read it. A broken one is taken away
-// again afterwards: a start must find a good one.
-func (w *world) retune(ctx context.Context, p *proxy, e Event, start time.Duration) error {
+// retune replaces a proxy's settings file and sends SIGHUP. A broken file is replaced by a good one
+// afterwards, as a later start of the proxy must find a good file.
+func (w *testbed) retune(ctx context.Context, p *proxy, e Event, start time.Duration) error {
 	p.mu.Lock()
 	now := p.now
 	if now == nil || now.ended() {
@@ -157,24 +158,24 @@
 	}
 	text := good
 	if !r.Good {
-		text = breakFile(good, e.How)
+		text = corruptConfig(good, e.How)
 	}
 	name, other := "sighup_applied", "sighup_rejected"
 	if !r.Good {
 		name, other = other, name
 	}
-	before, wrong := figure(ctx, now.door, name), figure(ctx, now.door, other)
+	before, wrong := readCounter(ctx, now.controlAddr, name), readCounter(ctx, now.controlAddr, other)
 	if err := replaceFile(p.config, text); err != nil {
 		return err
 	}
 	r.At = w.clock.Now()
 	now.signal(syscall.SIGHUP)
-	for until := time.Now().Add(tookWithin); ; time.Sleep(20 * time.Millisecond) {
-		if n := figure(ctx, now.door, name); n > before && before >= 0 {
+	for until := time.Now().Add(reloadTimeout); ; time.Sleep(20 * time.Millisecond) {
+		if n := readCounter(ctx, now.controlAddr, name); n > before && before >= 0 {
 			r.Taken = r.Good
 			break
 		}
-		if n := figure(ctx, now.door, other); n > wrong && wrong >= 0 {
+		if n := readCounter(ctx, now.controlAddr, other); n > wrong && wrong >= 0 {
 			r.Taken = !r.Good
 			break
 		}
@@ -197,7 +198,7 @@
 	return nil
 }
 
-// replaceFile puts a file in place whole.
+// replaceFile replaces a file atomically.
 func replaceFile(path string, text []byte) error {
 	next := path + ".next"
 	if err := os.WriteFile(next, text, 0o644); err != nil {
@@ -209,8 +210,8 @@
 	return nil
 }
 
-// breakFile breaks a settings file.
-func breakFile(good []byte, how string) []byte {
+// corruptConfig returns a settings file that is broken in the given way.
+func corruptConfig(good []byte, how string) []byte {
 	var file map[string]any
 	if how == "empty" || json.Unmarshal(good, &file) != nil {
 		return nil
@@ -236,8 +237,8 @@
 	return text
 }
 
-// crowd opens connections to a proxy that ask nothing whole, and opens others where they end.
-func (w *world) crowd(ctx context.Context, p *proxy, e Event, start time.Duration) {
+// crowd opens connections to a proxy that never send a complete request, and reopens those that are closed.
+func (w *testbed) crowd(ctx context.Context, p *proxy, e Event, start time.Duration) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(start+e.Until-w.clock.Now()))
 	defer cancel()
 	var all sync.WaitGroup
@@ -246,9 +247,9 @@
 	for i := range e.Connections {
 		all.Go(func() {
 			for ctx.Err() == nil {
-				w.hang(ctx, p.addr, i%3 == 0)
+				w.holdConnection(ctx, p.addr, i%3 == 0)
 				select {
-				case <-time.After(crowdRest):
+				case <-time.After(crowdReconnectDelay):
 				case <-ctx.Done():
 				}
 			}
@@ -266,8 +267,9 @@
 	return at
 }
 
-// hang holds one connection of a crowd until somebody ends it.
-func (w *world) hang(ctx context.Context, addr string, part bool) {
+// holdConnection opens one connection of a crowd and keeps it until the proxy closes it or ctx ends. With part it sends
+// an incomplete request head.
+func (w *testbed) holdConnection(ctx context.Context, addr string, part bool) {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -275,15 +277,15 @@
 	}
 	defer c.Close()
 	defer context.AfterFunc(ctx, func() { c.Close() })()
-	w.crowded.Add(1)
+	w.crowdConns.Add(1)
 	if part {
 		io.WriteString(c, "GET /"+w.scenario.Classes[0].Name+"/x HTTP/1.1\r\nHo")
 	}
 	io.Copy(io.Discard, bufio.NewReader(c))
 }
 
-// hold lets the kit hold the clients' listener of a proxy, for all its processes.
-func (p *proxy) hold() error {
+// openListener opens the listener for clients of a proxy, which all its processes inherit.
+func (p *proxy) openListener() error {
 	ln, err := net.Listen("tcp", p.addr)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -291,14 +293,14 @@
 	defer ln.Close() // the file is a copy
 	t, ok := ln.(*net.TCPListener)
 	if !ok {
-		return errors.New("listen: it is no TCP socket")
+		return errors.New("listen: not a TCP listener")
 	}
-	p.held, err = t.File()
+	p.listener, err = t.File()
 	return err
 }
 
-// reloadBreaks are the files that were taken though they are broken, or turned down though they
-// are good.
+// reloadBreaks returns a break for each broken file that was applied, each good file that was rejected, and each
+// reload without a result.
 func reloadBreaks(reloads []Reload) (breaks []Break) {
 	for _, r := range reloads {
 		what := ""
@@ -317,10 +319,10 @@
 	return breaks
 }
 
-// attemptsAt is the most attempts that a try which was sent to a proxy at a time may have.
-func attemptsAt(most int, reloads []Reload, proxy int, at time.Duration) int {
+// maxAttemptsAt returns the limit of attempts for a try that was sent to a proxy at the given time.
+func maxAttemptsAt(most int, reloads []Reload, proxy int, at time.Duration) int {
 	for _, r := range reloads {
-		if r.Proxy == proxy && r.Taken && r.Attempts > 0 && at >= r.At+usableAfter {
+		if r.Proxy == proxy && r.Taken && r.Attempts > 0 && at >= r.At+settingsDelay {
 			most = r.Attempts
 		}
 	}
--- a/internal/rehearsal/settings.go
+++ b/internal/rehearsal/settings.go
@@ -12,16 +12,16 @@
 	"marlreel/internal/standin"
 )
 
-// millis is a span in the settings' unit.
+// millis converts a span to milliseconds, the unit of the settings.
 func millis(s Span) float64 { return float64(s.D()) / float64(time.Millisecond) }
 
-// settings is the object that the platform gives each proxy at a time, with its names and units;
-// attempts is how many are allowed now.
+// settings returns the settings object that the platform gives a proxy at the given time, with the platform's names and
+// units. attempts is the limit of attempts in force.
 func (s *Scenario) settings(rank, zone int, at time.Duration, attempts int) map[string]any {
 	effects := map[string]string{"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
 	var classes, houses []map[string]any
 	for _, c := range s.Classes {
-		if !c.there(at) {
+		if !c.inSettings(at) {
 			continue
 		}
 		m := map[string]any{
@@ -65,7 +65,7 @@
 	}
 }
 
-// config is a proxy's configuration file.
+// config returns the content of a proxy's configuration file.
 func (s *Scenario) config(n int, listen, discovery, seed string, known standin.List, at time.Duration, attempts int) map[string]any {
 	return map[string]any{
 		"name": proxyName(n), "listen": listen, "discovery": discovery, "seed": seed,
@@ -74,11 +74,11 @@
 	}
 }
 
-// rpcOffset is from a node's HTTP port to its RPC port.
+// rpcOffset is the difference between a node's RPC port and its HTTP port.
 const rpcOffset = 3000
 
-// OwnFile is what proxy k is set beyond what the platform says: the scenario's own figures, and of RPC
-// what the kit's nodes want. "$DIR" in a text stands for the run's folder.
+// OwnFile returns the operator's settings file of proxy k: the scenario's own settings, and those that the stand-in
+// registry, fleet and RPC nodes need. "$DIR" in a string stands for the run's folder.
 func (s *Scenario) OwnFile(k int, rpcListen, registry, dir string, mesh *standin.Mesh) string {
 	own := maps.Clone(s.Proxies.Own)
 	if own == nil {
@@ -130,12 +130,12 @@
 	}
 	data, err := toml.Marshal(replace(own, "$DIR", dir))
 	if err != nil {
-		panic(fmt.Sprintf("what was read from TOML is none: %v", err))
+		panic(fmt.Sprintf("encoding operator settings as TOML: %v", err)) // they were decoded from TOML
 	}
 	return string(data)
 }
 
-// replace puts a text in place of another in all texts of a table.
+// replace returns a copy of a decoded TOML value in which old is replaced by text in all strings.
 func replace(in any, old, text string) any {
 	switch v := in.(type) {
 	case string:
--- a/internal/rehearsal/up.go
+++ b/internal/rehearsal/up.go
@@ -13,7 +13,7 @@
 	"marlreel/internal/standin"
 )
 
-// UpOptions say what Up stands up.
+// UpOptions configures Up.
 type UpOptions struct {
 	Listen  string
 	Nodes   int
@@ -21,8 +21,8 @@
 	Out     io.Writer
 }
 
-// Up stands a small fleet and one proxy up, prints how to ask it, and stays until ctx
-// ends. Then all has ended when it returns.
+// Up starts a small fleet and one proxy, prints example requests, and keeps them running until ctx
+// ends. Everything has stopped when it returns.
 func Up(ctx context.Context, s *Scenario, o UpOptions) error {
 	addr, err := netip.ParseAddrPort(o.Listen)
 	if err != nil || !addr.Addr().IsLoopback() {
@@ -33,7 +33,7 @@
 	}
 	l, err := net.Listen("tcp", o.Listen)
 	if err != nil {
-		return fmt.Errorf("--listen %s is taken: %w", o.Listen, err)
+		return fmt.Errorf("--listen %s: %w", o.Listen, err)
 	}
 	l.Close()
 	s.Faults, s.Proxies.Count = nil, 1
@@ -41,18 +41,18 @@
 	kind.Count = o.Nodes
 	s.Fleet.Nodes = []NodeKind{kind}
 	plan := Draw(s, s.Seed)
-	plan.Requests = nil // whoever asks is the client
+	plan.Requests = nil // the requests come from outside
 	dir, err := os.MkdirTemp("", "rehearse-up-")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	w, err := newWorld(s, plan, standin.NewClock(), nil, dir)
+	w, err := newTestbed(s, plan, standin.NewClock(), nil, dir)
 	defer w.close()
 	if err != nil {
 		return err
 	}
-	w.anyone = true
+	w.serveUnplanned = true
 	defer w.stopProxies()
 	if err := w.startProxies(ctx, o.Command, []string{o.Listen}); err != nil {
 		return err
--- a/internal/rehearsal/usage_unix.go
+++ b/internal/rehearsal/usage_unix.go
@@ -21,7 +21,7 @@
 }
 
 func fromRusage(r *syscall.Rusage) Usage {
-	unit := 1024.0 // bytes of Maxrss
+	unit := 1024.0 // of Maxrss, in bytes
 	if runtime.GOOS == "darwin" {
 		unit = 1
 	}
@@ -29,7 +29,7 @@
 	return Usage{CPU: cpu.Seconds(), MemoryMB: float64(r.Maxrss) * unit / (1 << 20)}
 }
 
-// ownUsage is this process's so far.
+// ownUsage returns the usage of this process so far.
 func ownUsage() Usage {
 	var r syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &r); err != nil {
@@ -38,7 +38,7 @@
 	return fromRusage(&r)
 }
 
-// descriptors is how many this process may hold; 0 is not known.
+// descriptors returns the limit of file descriptors of this process, or 0 if it is unknown or practically unlimited.
 func descriptors() int {
 	var l syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &l); err != nil || l.Cur > 1<<30 {
