--- a/internal/rehearsal/world.go
+++ b/internal/rehearsal/world.go
@@ -17,48 +17,48 @@
 	"marlreel/internal/standin/machine"
 )
 
-// proxyName is a proxy's name, the same after a restart.
+// proxyName returns a proxy's name. It stays the same over restarts.
 func proxyName(n int) string { return fmt.Sprintf("n%d", n) }
 
-// world is a scenario's nodes, discovery and proxies, as they stand.
-type world struct {
-	scenario *Scenario
-	plan     *Plan
-	clock    *standin.Clock
-	journal  *standin.Journal
-	dir      string // of configurations and logs
-	anyone   bool   // requests that are not of the plan are served too
+// testbed holds the running nodes, discovery service, registry and proxies of a scenario.
+type testbed struct {
+	scenario       *Scenario
+	plan           *Plan
+	clock          *standin.Clock
+	journal        *standin.Journal
+	dir            string // folder for configurations and logs
+	serveUnplanned bool   // serve requests that are not in the plan too
 
-	discovery *standin.Discovery
-	enrolled  *enrolled // the list in a registry; nil: there is none
-	agents    []*standin.Agent
-	first     standin.List // the list at the start
-	groups    map[string]*standin.Group
-	demands   map[string]machine.Job
-	sizes     map[string]int // of answers, by class
-	front     *standin.Front
-	proxies   []*proxy
-	mesh      *standin.Mesh // between the proxies of a fleet; nil: they know nothing of one another
-	stopping  chan struct{} // closed when the run is over: a proxy that ends now has not crashed
+	discovery   *standin.Discovery
+	registry    *registryList // the node list in a registry, or nil
+	agents      []*standin.Agent
+	initialList standin.List // the node list at the start
+	groups      map[string]*standin.Group
+	demands     map[string]machine.Job
+	sizes       map[string]int // answer size by class
+	front       *standin.Front
+	proxies     []*proxy
+	mesh        *standin.Mesh // links between the proxies of a fleet, or nil
+	stopping    chan struct{} // closed at the end of the run: a proxy that exits after this has not crashed
 
-	mu       sync.Mutex
-	nodes    []*standin.Node // by index in the plan; nil: not started
-	paths    [][]standin.Path
-	index    map[string]int       // of nodes, by id
-	started  map[string]time.Time // of nodes, where not long ago
-	crashes  []string
-	networks map[int]standin.Network // by node
-	fallen   map[string]bool         // nodes that fell and were taken off the list
-	reloads  []Reload
-	crowded  atomic.Int64 // connections of crowds
-	began    atomic.Int64 // start of the traffic; 0: not yet
-	wg       sync.WaitGroup
+	mu         sync.Mutex
+	nodes      []*standin.Node // by index in the plan; nil if not started
+	paths      [][]standin.Path
+	index      map[string]int       // index in the plan by node id
+	started    map[string]time.Time // time of the last cold start during the run, by node id
+	crashes    []string
+	networks   map[int]standin.Network // by index in the plan
+	fallen     map[string]bool         // nodes that failed from overload, which watch removes from the list
+	reloads    []Reload
+	crowdConns atomic.Int64 // connections opened by crowd faults
+	began      atomic.Int64 // start of the traffic; 0 before it
+	wg         sync.WaitGroup
 }
 
-// newWorld stands everything up but the proxies. What it started is ended by close,
-// also where it gives an error.
-func newWorld(s *Scenario, p *Plan, clock *standin.Clock, journal *standin.Journal, dir string) (*world, error) {
-	w := &world{
+// newTestbed starts everything except the proxies. The caller must call close, also after
+// an error.
+func newTestbed(s *Scenario, p *Plan, clock *standin.Clock, journal *standin.Journal, dir string) (*testbed, error) {
+	w := &testbed{
 		scenario: s, plan: p, clock: clock, journal: journal, dir: dir, groups: map[string]*standin.Group{},
 		demands: map[string]machine.Job{}, sizes: map[string]int{}, index: map[string]int{}, started: map[string]time.Time{},
 		fallen: map[string]bool{}, networks: map[int]standin.Network{}, stopping: make(chan struct{}), nodes: make([]*standin.Node, len(p.Nodes)),
@@ -83,7 +83,7 @@
 		if err != nil {
 			return w, err
 		}
-		w.enrolled = &enrolled{store: store, now: map[string]standin.Entry{}}
+		w.registry = &registryList{store: store, now: map[string]standin.Entry{}}
 	}
 	for i, n := range p.Nodes {
 		w.index[n.ID] = i
@@ -113,7 +113,7 @@
 		if err := w.startNode(i, true); err != nil {
 			return w, err
 		}
-		w.put(w.entry(i, "Ready"))
+		w.updateList(w.entry(i, "Ready"))
 	}
 	for k := range s.Proxies.Count {
 		a, err := w.discovery.Agent(k, p.Late[k], func(id string) string { return w.paths[w.index[id]][k].Addr })
@@ -122,11 +122,11 @@
 		}
 		w.agents = append(w.agents, a)
 	}
-	w.first = w.agents[0].List()
+	w.initialList = w.agents[0].List()
 	return w, nil
 }
 
-func (w *world) startNode(i int, warm bool) error {
+func (w *testbed) startNode(i int, warm bool) error {
 	n, f := w.plan.Nodes[i], w.scenario.Fleet
 	node, err := standin.StartNode(standin.NodeConfig{
 		ID: n.ID, Zone: n.Zone, Kind: n.Kind, Warm: warm,
@@ -142,7 +142,7 @@
 			},
 		},
 		Connections: f.Connections, Idle: f.Idle.D(), Handshake: f.Handshake.D(), Probes: f.ProbeWork > 0,
-		ProbeWork: f.ProbeWork.D(), Group: w.groups[n.Zone], Demand: w.demand, Size: w.size, Gives: w.gives, Clock: w.clock, Journal: w.journal,
+		ProbeWork: f.ProbeWork.D(), Group: w.groups[n.Zone], Demand: w.demand, Size: w.size, Gives: w.largeAnswerRate, Clock: w.clock, Journal: w.journal,
 		Paths: w.paths[i],
 	})
 	if err != nil {
@@ -157,9 +157,9 @@
 	return nil
 }
 
-func (w *world) demand(id, class string) (machine.Job, bool) {
+func (w *testbed) demand(id, class string) (machine.Job, bool) {
 	j, known := w.demands[id]
-	if !known && w.anyone {
+	if !known && w.serveUnplanned {
 		for _, c := range w.scenario.Classes {
 			if c.Name == class {
 				return machine.Job{Work: c.Work.D(), Wait: c.Wait.D()}, true
@@ -169,15 +169,15 @@
 	return j, known
 }
 
-func (w *world) size(_, class string) int {
+func (w *testbed) size(_, class string) int {
 	if n := w.sizes[class]; n > 0 {
 		return n
 	}
 	return 512
 }
 
-// gives says how nodes give a class's large answers.
-func (w *world) gives(class string) (rate int, chunked bool) {
+// largeAnswerRate returns the rate at which nodes send a class's large answers, and whether they are chunked.
+func (w *testbed) largeAnswerRate(class string) (rate int, chunked bool) {
 	for _, c := range w.scenario.Classes {
 		if c.Name == class {
 			return c.Gives, c.Chunked
@@ -186,7 +186,7 @@
 	return 0, false
 }
 
-// absolute is a folder as a process with another working folder finds it.
+// absolute returns a folder's absolute path, for processes with another working directory.
 func absolute(dir string) string {
 	if abs, err := filepath.Abs(dir); err == nil {
 		return abs
@@ -194,7 +194,7 @@
 	return dir
 }
 
-func (w *world) entry(i int, lifecycle string) standin.Entry {
+func (w *testbed) entry(i int, lifecycle string) standin.Entry {
 	n := w.plan.Nodes[i]
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -205,22 +205,22 @@
 	return e
 }
 
-func (w *world) node(i int) *standin.Node {
+func (w *testbed) node(i int) *standin.Node {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.nodes[i]
 }
 
-// startProxies starts all proxies and the front, and waits until each is taken in.
-func (w *world) startProxies(ctx context.Context, command []string, listen []string) error {
-	if err := w.enfleet(); err != nil {
+// startProxies starts all proxies and the front, and waits until the front has found every proxy ready.
+func (w *testbed) startProxies(ctx context.Context, command []string, listen []string) error {
+	if err := w.setUpFleet(); err != nil {
 		return err
 	}
 	var known []standin.FrontProxy
 	for k := range w.scenario.Proxies.Count {
 		p := &proxy{
 			n: k, command: command, config: filepath.Join(w.dir, proxyName(k)+".json"),
-			logPath: filepath.Join(w.dir, proxyName(k)+".log"), doors: w.scenario.door(), attempts: w.scenario.Rules.MaxAttempts,
+			logPath: filepath.Join(w.dir, proxyName(k)+".log"), useControl: w.scenario.usesControl(), attempts: w.scenario.Rules.MaxAttempts,
 		}
 		if k < len(listen) {
 			p.addr = listen[k]
@@ -232,11 +232,11 @@
 			p.addr = addr
 		}
 		w.proxies = append(w.proxies, p)
-		if w.scenario.held() {
-			if err := p.hold(); err != nil {
+		if w.scenario.kitOwnsListeners() {
+			if err := p.openListener(); err != nil {
 				return err
 			}
-			// A short path: sockets in it have a bound on theirs.
+			// The path must be short: the path of a Unix socket in it is limited in length.
 			temp, err := os.MkdirTemp("", "rehearse-"+proxyName(k))
 			if err != nil {
 				return err
@@ -251,8 +251,8 @@
 			p.rpc = addr
 		}
 		store := ""
-		if w.enrolled != nil {
-			store = w.enrolled.store.URL()
+		if w.registry != nil {
+			store = w.registry.store.URL()
 		}
 		if w.scenario.RPC() || len(w.scenario.Proxies.Own) > 0 || store != "" || w.mesh != nil {
 			own := filepath.Join(w.dir, proxyName(k)+".toml")
@@ -269,7 +269,7 @@
 	w.front = standin.NewFront(w.scenario.Proxies.DeadAfter.D(), known)
 	ready, cancel := context.WithTimeoutCause(ctx, 30*time.Second, errors.New("the proxies were not ready within 30 s"))
 	defer cancel()
-	go func() { // one that ends at once is told at once
+	go func() { // stop waiting as soon as a proxy has crashed
 		for ready.Err() == nil {
 			if w.crashed() > 0 {
 				cancel()
@@ -287,7 +287,7 @@
 			ended := p.now.ended()
 			p.mu.Unlock()
 			if ended {
-				return fmt.Errorf("proxy %s ended at its start: %s", proxyName(p.n), p.lastWords())
+				return fmt.Errorf("proxy %s exited during startup: %s", proxyName(p.n), p.logTail())
 			}
 		}
 		return err
@@ -296,7 +296,7 @@
 }
 
 // startProxy writes a proxy's configuration and starts it.
-func (w *world) startProxy(p *proxy, list standin.List) error {
+func (w *testbed) startProxy(p *proxy, list standin.List) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	data, err := w.configOf(p, list, max(0, w.clock.Now()-w.start()))
@@ -322,63 +322,63 @@
 			return
 		default:
 		}
-		p.over(now, w.clock.Now(), "crashed")
-		w.noteCrash(fmt.Sprintf("proxy %s ended by itself (%v): %s", proxyName(p.n), now.err, p.lastWords()))
+		p.recordEnd(now, w.clock.Now(), "crashed")
+		w.recordCrash(fmt.Sprintf("proxy %s ended by itself (%v): %s", proxyName(p.n), now.err, p.logTail()))
 	})
 	return nil
 }
 
-// configOf is a proxy's configuration at a time of the run. Called with the proxy's lock.
-func (w *world) configOf(p *proxy, list standin.List, at time.Duration) ([]byte, error) {
+// configOf returns a proxy's configuration at the given time of the run. The caller holds the proxy's lock.
+func (w *testbed) configOf(p *proxy, list standin.List, at time.Duration) ([]byte, error) {
 	seed := w.plan.Seeds[p.n]
-	if n := len(p.lives); n > 0 { // new with each start, and the same in each run
-		seed = newDraws(w.plan.Seed, fmt.Sprintf("proxy %d life %d", p.n, n)).id()
+	if n := len(p.lifetimes); n > 0 { // a new seed for each start, reproducible between runs
+		seed = newRandomStream(w.plan.Seed, fmt.Sprintf("proxy %d life %d", p.n, n)).id()
 	}
 	return json.MarshalIndent(w.scenario.config(p.n, p.addr, w.agents[p.n].Addr, seed, list, at, p.attempts), "", " ")
 }
 
-// start is when the traffic begins; before that it has not.
-func (w *world) start() time.Duration {
+// start returns the time at which the traffic began, or the current time if it has not begun yet.
+func (w *testbed) start() time.Duration {
 	if at := w.began.Load(); at > 0 {
 		return time.Duration(at)
 	}
 	return w.clock.Now()
 }
 
-func (w *world) crashed() int {
+func (w *testbed) crashed() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.crashes)
 }
 
-// restart ends a proxy and starts it again at the stated time.
-func (w *world) restart(ctx context.Context, p *proxy, e Event, start time.Duration) error {
+// restart ends a proxy, and starts it again at the time that the event gives.
+func (w *testbed) restart(ctx context.Context, p *proxy, e Event, start time.Duration) error {
 	known := w.agents[p.n].List()
 	if e.Known == "start" {
-		known = w.first
+		known = w.initialList
 		known.Instances = slices.Clone(known.Instances)
-		for i := range known.Instances { // under this proxy's own addresses
+		for i := range known.Instances { // use the addresses at which this proxy reaches the nodes
 			known.Instances[i].HostPort = w.paths[w.index[known.Instances[i].InstanceID]][p.n].Addr
 		}
 	}
 	p.mu.Lock()
 	if p.now.ended() {
 		p.mu.Unlock()
-		return nil // it has crashed, which is told elsewhere
+		return nil // it has crashed, which startProxy has recorded
 	}
 	if e.What == "kill" {
 		p.now.signal(os.Kill)
-		p.now.life.Term = w.clock.Now() // it is no crash
+		p.now.life.Term = w.clock.Now() // so that startProxy doesn't record it as a crash
 		<-p.now.done
-		p.over(p.now, w.clock.Now(), "killed")
+		p.recordEnd(p.now, w.clock.Now(), "killed")
 		p.now.life.Term = 0
 	} else {
 		p.now.life.Term = w.clock.Now()
 		how := "ended"
-		if p.now.end(w.longest() + 700*time.Millisecond) {
-			how = "too slow to end" // what it held then is lost
+		if p.now.terminate(w.longest() + 700*time.Millisecond) {
+			how = "too slow to end" // its requests in flight are lost
 		}
-		p.over(p.now, w.clock.Now(), how)
+		p.recordEnd(p.now, w.clock.Now(), how)
 	}
 	p.mu.Unlock()
 	if e.Until == 0 {
@@ -392,17 +392,17 @@
 	return w.startProxy(p, known)
 }
 
-// longest is the longest time that a client waits.
-func (w *world) longest() time.Duration {
+// longest returns the longest give-up time of a class, up to 3 s.
+func (w *testbed) longest() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range w.scenario.Classes {
 		longest = max(longest, c.GiveUp.D())
 	}
-	return min(longest, 3*time.Second) // which is all that the platform waits for
+	return min(longest, 3*time.Second) // the platform waits no longer for a proxy to exit
 }
 
-// play carries the plan's events out, at their times from start on.
-func (w *world) play(ctx context.Context, start time.Duration) error {
+// play executes the plan's events at their times, relative to start.
+func (w *testbed) play(ctx context.Context, start time.Duration) error {
 	w.began.Store(int64(start))
 	failed := make(chan error, len(w.plan.Events)+1)
 	var restarts sync.WaitGroup
@@ -415,7 +415,7 @@
 		case err := <-failed:
 			return err
 		}
-		var lasts func() error // what takes its time, beside the rest
+		var lasts func() error // an event that takes time and runs concurrently with the others
 		switch p := max(e.Proxy, 0); e.What {
 		case "kill", "term":
 			lasts = func() error { return w.restart(ctx, w.proxies[p], e, start) }
@@ -434,7 +434,7 @@
 			})
 			continue
 		}
-		if err := w.carryOut(e); err != nil {
+		if err := w.apply(e); err != nil {
 			return err
 		}
 	}
@@ -449,8 +449,8 @@
 
 var harms = map[string]standin.Harm{"slow": standin.HarmSlow, "silent": standin.HarmSilent, "errors": standin.HarmErrors}
 
-// carryOut does one event.
-func (w *world) carryOut(e Event) error {
+// apply executes an event that takes no time.
+func (w *testbed) apply(e Event) error {
 	amount := float64(e.Amount) / 1000
 	if e.Proxy >= 0 {
 		a := w.agents[e.Proxy]
@@ -480,9 +480,9 @@
 		return w.startNode(e.Node, e.Warm)
 	case "list":
 		if n != nil && e.Entry == "Ready" && (n.State() == "fallen" || n.State() == "dead") {
-			return nil // it is down again: the list doesn't name it
+			return nil // it is down again and must stay off the list
 		}
-		w.put(w.entry(e.Node, e.Entry))
+		w.updateList(w.entry(e.Node, e.Entry))
 	case "die":
 		n.Die()
 	case "end die":
@@ -535,8 +535,8 @@
 	return nil
 }
 
-// network changes what happens to a node's connections; what other faults do to them stays.
-func (w *world) network(n *standin.Node, e Event, rate float64) {
+// network applies a connection fault to a node, and keeps the connection faults of other kinds.
+func (w *testbed) network(n *standin.Node, e Event, rate float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	k := w.networks[e.Node]
@@ -558,12 +558,12 @@
 	n.Network(k)
 }
 
-// watch samples the nodes until ctx ends, and takes what fell over off the list as
-// late as any dead one.
-func (w *world) watch(ctx context.Context) {
+// watch samples the nodes until ctx ends. It removes nodes that failed from overload from the list, with the same
+// delay as other nodes whose process has ended.
+func (w *testbed) watch(ctx context.Context) {
 	tick := time.NewTicker(250 * time.Millisecond)
 	defer tick.Stop()
-	notice := newDraws(w.plan.Seed, "fallen")
+	notice := newRandomStream(w.plan.Seed, "fallen")
 	for {
 		select {
 		case <-ctx.Done():
@@ -571,10 +571,10 @@
 		case <-tick.C:
 		}
 		for _, p := range w.proxies {
-			// Held over a restart, which may take seconds: the samples don't wait for it.
+			// The lock is held during a restart, which may take seconds: skip the proxy instead of waiting.
 			if p.mu.TryLock() {
 				if !p.now.ended() {
-					p.now.look()
+					p.now.updatePeakMemory()
 				}
 				p.mu.Unlock()
 			}
@@ -593,9 +593,9 @@
 			w.mu.Unlock()
 			if fell {
 				d := w.scenario.Discovery
-				time.AfterFunc(notice.between(d.NoticeDead[0].D(), d.NoticeDead[1].D()), func() {
+				time.AfterFunc(notice.duration(d.NoticeDead[0].D(), d.NoticeDead[1].D()), func() {
 					if n.State() == "fallen" {
-						w.put(w.entry(i, "Gone"))
+						w.updateList(w.entry(i, "Gone"))
 					}
 				})
 			}
@@ -603,8 +603,8 @@
 	}
 }
 
-// stopProxies ends the proxies that run, and closes their books.
-func (w *world) stopProxies() {
+// stopProxies terminates the running proxies and records their end.
+func (w *testbed) stopProxies() {
 	close(w.stopping)
 	var all sync.WaitGroup
 	for _, p := range w.proxies {
@@ -615,11 +615,11 @@
 				return
 			}
 			if !p.now.ended() {
-				p.now.end(w.longest() + 700*time.Millisecond)
+				p.now.terminate(w.longest() + 700*time.Millisecond)
 			}
-			p.over(p.now, w.clock.Now(), "ended")
-			if p.held != nil {
-				p.held.Close()
+			p.recordEnd(p.now, w.clock.Now(), "ended")
+			if p.listener != nil {
+				p.listener.Close()
 				os.RemoveAll(p.temp)
 			}
 			if p.log != nil {
@@ -631,8 +631,8 @@
 	w.wg.Wait()
 }
 
-// close ends all that is left: no process, listener or goroutine stays.
-func (w *world) close() {
+// close stops everything except the proxies: no listener or goroutine is left.
+func (w *testbed) close() {
 	if w.front != nil {
 		w.front.Close()
 	}
@@ -642,8 +642,8 @@
 	if w.discovery != nil {
 		w.discovery.Close()
 	}
-	if w.enrolled != nil {
-		w.enrolled.store.Close()
+	if w.registry != nil {
+		w.registry.store.Close()
 	}
 	for _, n := range w.nodes {
 		if n != nil {
@@ -652,10 +652,10 @@
 	}
 }
 
-func (w *world) lives() []Life {
+func (w *testbed) lives() []Life {
 	var all []Life
 	for _, p := range w.proxies {
-		for _, l := range p.lives {
+		for _, l := range p.lifetimes {
 			all = append(all, *l)
 		}
 	}
