--- a/cmd/rehearse/analysis.go
+++ b/cmd/rehearse/analysis.go
@@ -9,7 +9,7 @@
 	"marlreel/internal/experiment"
 )
 
-// printAnalysis prints an analysis, as JSON or text, and leaves its page in a folder unless that is "".
+// printAnalysis prints an analysis as JSON or text. It writes the analysis's page to a folder, unless that is "".
 func printAnalysis(o *output, a *experiment.Analysis, asJSON bool, folder string) error {
 	if asJSON {
 		if err := o.printJSON(a); err != nil {
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// writePage writes an analysis's page, its charts and its runs as CSV into a folder, and returns the page's path.
+// writePage writes an analysis's page, its charts and its runs as CSV to a folder, and returns the page's path.
 func writePage(a *experiment.Analysis, folder string) (string, error) {
 	charts, err := a.Charts(folder)
 	if err != nil {
--- a/cmd/rehearse/compare.go
+++ b/cmd/rehearse/compare.go
@@ -12,16 +12,16 @@
 	"marlreel/internal/rehearsal"
 )
 
-// baselineRandom names the baseline in the place of a daemon's path.
+// baselineRandom selects the baseline where a daemon's path is expected.
 const baselineRandom = "random"
 
-// compareCmd compares reports, or daemons by playing them in turn.
+// compareCmd compares two stored reports, or two daemons by playing a scenario against them in turn.
 type compareCmd struct {
-	A        string `arg:"" help:"A report folder, or a marlreel binary; or the word random, for the proxy that picks at random."`
+	A        string `arg:"" help:"A report folder or a marlreel binary, or random for the proxy that picks nodes at random."`
 	B        string `arg:"" help:"Another of the same kind."`
-	Scenario string `default:"morning" help:"For binaries: what to play."`
-	Runs     int    `default:"3" help:"For binaries: how often to play each, in turn."`
-	Seed     uint64 `help:"For binaries: the seed of the first pair; each next pair has the next one."`
+	Scenario string `default:"morning" help:"For binaries: the scenario to play."`
+	Runs     int    `default:"3" help:"For binaries: how often to play it against each, in turn."`
+	Seed     uint64 `help:"For binaries: the seed of the first pair of runs; each further pair uses the next one."`
 	JSON     bool   `name:"json" help:"For programs."`
 }
 
@@ -69,7 +69,7 @@
 	return c.print(o, []*rehearsal.Report{a}, []*rehearsal.Report{b})
 }
 
-// play plays a scenario once against the daemon at a path, or the baseline.
+// play plays a scenario once against the daemon at a path, or against the baseline.
 func play(ctx context.Context, o *output, scenario *rehearsal.Scenario, proxy string, seed uint64, progressName string) (*rehearsal.Report, error) {
 	marlreel, baseline := proxy, ""
 	if proxy == baselineRandom {
@@ -86,7 +86,7 @@
 	return report, err
 }
 
-// print prints the comparison, and returns the first report's verdict that is not good.
+// print prints the comparison, and returns the first verdict of a report that is an error.
 func (c compareCmd) print(o *output, a, b []*rehearsal.Report) error {
 	comparison := rehearsal.Compare(a, b)
 	if c.JSON {
--- a/cmd/rehearse/compatibility_test.go
+++ b/cmd/rehearse/compatibility_test.go
@@ -14,7 +14,7 @@
 	"marlreel/internal/testing/recorded"
 )
 
-// The commands and flags are the recorded ones.
+// The commands and flags don't change.
 func TestCompatibilityCommandLine(t *testing.T) {
 	var c cli
 	parser, err := kong.New(&c, kong.Name("rehearse"))
@@ -26,7 +26,7 @@
 	recorded.Check(t, "command-line.txt", got.String())
 }
 
-// What check tells a program of a scenario, its schedule among it.
+// The output of check --json doesn't change, including the digest of the schedule.
 func TestCompatibilityCheckJSON(t *testing.T) {
 	var out, errs bytes.Buffer
 	if code := run(t.Context(), []string{"check", "smoke", "--seed", "7", "--json"}, &out, &errs); code != 0 {
@@ -35,7 +35,7 @@
 	recorded.Check(t, "check.json", out.String())
 }
 
-// The keys of list --json.
+// The keys of list --json don't change.
 func TestCompatibilityListJSON(t *testing.T) {
 	var out, errs bytes.Buffer
 	if code := run(t.Context(), []string{"list", "--json"}, &out, &errs); code != 0 {
@@ -52,8 +52,8 @@
 	}
 }
 
-// commandLine writes the commands, flags and arguments of a command line down: names, short forms, environment,
-// defaults and what must be given, and no words for people.
+// commandLine writes the commands, flags and arguments of a command line: names, short forms, environment variables,
+// defaults and which are required, but no help texts.
 func commandLine(b *strings.Builder, n *kong.Node, path string) {
 	fmt.Fprintf(b, "%s hidden=%v aliases=%q\n", path, n.Hidden, n.Aliases)
 	for _, f := range n.Flags {
--- a/cmd/rehearse/doc.go
+++ b/cmd/rehearse/doc.go
@@ -1,4 +1,4 @@
-// Command rehearse plays scenarios against real marlreel processes and reports what service was kept: stand-in backends and
-// discovery, clients, faults, an audit of the four rules, and a report. It also plays experiments, which ask one
-// question of many runs, and keeps their results.
+// Command rehearse plays scenarios against real marlreel processes and reports the service they delivered. It runs stand-in
+// backends and discovery, clients and faults, and audits the four rules. It also plays experiments, which answer one
+// question from many runs, and stores their results.
 package main
--- a/cmd/rehearse/experiment.go
+++ b/cmd/rehearse/experiment.go
@@ -16,15 +16,15 @@
 	"marlreel/scenarios"
 )
 
-// experimentCmd plays an experiment, or goes on with one.
+// experimentCmd plays an experiment, or resumes one.
 type experimentCmd struct {
-	File     string            `arg:"" optional:"" help:"A question's file, or a shipped one's name; none: the shipped ones are listed."`
-	DryRun   bool              `help:"Check everything, print the plan and how long it takes, and play nothing."`
-	Store    string            `help:"Where results are kept; default: marlreel/experiments.db in the user's cache." placeholder:"FILE"`
-	Out      string            `help:"Leave a page, its charts and the runs as CSV in this folder." placeholder:"DIR"`
-	Marlreel string            `help:"The daemon of arms that name none; default: the one beside this program, or on PATH." placeholder:"PATH"`
-	Arm      map[string]string `help:"Another daemon for an arm: name=PATH." placeholder:"NAME=PATH"`
-	Name     string            `help:"Another name for the experiment, under which its results are kept."`
+	File     string            `arg:"" optional:"" help:"An experiment file, or a shipped one's name; without it, the shipped ones are listed."`
+	DryRun   bool              `help:"Check everything, print the plan and its duration, and play nothing."`
+	Store    string            `help:"File in which results are stored; default: marlreel/experiments.db in the user's cache." placeholder:"FILE"`
+	Out      string            `help:"Write a page, its charts and the runs as CSV to this folder." placeholder:"DIR"`
+	Marlreel string            `help:"The daemon for arms that specify none; default: the one beside this program, or on PATH." placeholder:"PATH"`
+	Arm      map[string]string `help:"Override the daemon of an arm: name=PATH." placeholder:"NAME=PATH"`
+	Name     string            `help:"Store the results under this name, instead of that of the experiment."`
 	JSON     bool              `name:"json" help:"Print the analysis for programs."`
 }
 
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// load loads the experiment's file, with the changes that the flags make to it.
+// load loads the experiment's file and applies the flags that override it.
 func (c experimentCmd) load() (*experiment.File, error) {
 	file, err := loadExperiment(c.File)
 	if err != nil {
@@ -86,14 +86,14 @@
 	return file, nil
 }
 
-// loadExperiment loads an experiment by its file's path or a shipped one's name.
+// loadExperiment loads an experiment by the path of its file, or by its name if it is shipped.
 func loadExperiment(name string) (*experiment.File, error) {
 	if isPath(name) {
 		return experiment.Load(name)
 	}
 	data, err := experiments.Files.ReadFile(name + ".toml")
 	if err != nil {
-		return nil, eris.Errorf("no question %q is shipped ('rehearse experiment' lists them; a file needs its path, such as ./%s.toml)", name, name)
+		return nil, eris.Errorf("no experiment %q is shipped ('rehearse experiment' lists them; a file needs its path, such as ./%s.toml)", name, name)
 	}
 	return experiment.Parse(name+".toml", data)
 }
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// player returns what plays the experiment's runs. Scenarios that are named by a path lie beside the experiment's file.
+// player returns the player of the experiment's runs. Paths of scenarios are relative to the experiment's file.
 func (c experimentCmd) player(file *experiment.File) *days.Player {
 	return &days.Player{
 		Scenario: file.Scenario,
@@ -125,7 +125,7 @@
 			}
 			data, err := scenarios.Files.ReadFile(name + ".toml")
 			if err != nil {
-				return "", nil, eris.Errorf("scenario: no %q is shipped ('rehearse list' has them; a file needs its path, such as ./%s.toml)", name, name)
+				return "", nil, eris.Errorf("no scenario %q is shipped ('rehearse list' lists them; a file needs its path, such as ./%s.toml)", name, name)
 			}
 			return name + ".toml", data, nil
 		},
@@ -143,7 +143,7 @@
 	}
 }
 
-// playPlan plays what is missing of a plan, and tells people how it goes.
+// playPlan plays the missing runs of a plan, and prints the progress.
 func playPlan(ctx context.Context, o *output, plan *experiment.Plan, store *experiment.Store, player *days.Player) error {
 	var current experiment.Standing
 	player.Progress = experimentProgress(o, plan.File.Name, &current)
@@ -160,17 +160,17 @@
 	o.clearProgress()
 	if err != nil {
 		if outcome.Missing > 0 {
-			fmt.Fprintf(o.err, "rehearse: %d runs are missing; the same command goes on with them\n", outcome.Missing)
+			fmt.Fprintf(o.err, "rehearse: %d runs are missing; run the same command again to resume\n", outcome.Missing)
 		}
 		return err
 	}
 	if outcome.Spent {
-		fmt.Fprintf(o.err, "rehearse: the budget of %v is spent; %d runs are missing, and the same command goes on with them\n", plan.File.Budget.D(), outcome.Missing)
+		fmt.Fprintf(o.err, "rehearse: the budget of %v is spent; %d runs are missing, run the same command again to resume\n", plan.File.Budget.D(), outcome.Missing)
 	}
 	return nil
 }
 
-// experimentProgress returns a function that shows a run's progress in one line, or nil where there is no terminal.
+// experimentProgress returns a function that shows a run's progress in one line, or nil without a terminal.
 func experimentProgress(o *output, name string, current *experiment.Standing) func(rehearsal.Progress) {
 	if !o.terminal {
 		return nil
@@ -181,16 +181,16 @@
 	}
 }
 
-// printStanding prints a line for a run that begins.
+// printStanding prints a line at the start of a run.
 func printStanding(o *output, plan *experiment.Plan, s experiment.Standing) {
 	repetition := ""
 	if s.Again {
-		repetition = ", once more: it was void"
+		repetition = ", repeated as it was void"
 	}
 	fmt.Fprintf(o.err, "run %d of %d: %s, seed %d%s; %v left\n", s.Number, s.Of, plan.File.Arms[s.Run.Arm].Name, s.Run.Seed, repetition, s.Left.Round(time.Second))
 }
 
-// printPlan prints a plan with how long it takes.
+// printPlan prints a plan and its duration.
 func printPlan(o *output, plan *experiment.Plan) {
 	file := plan.File
 	o.print(fmt.Sprintf("%s (%s): %s\n%d runs of %s: %d seeds, %d levels, %d arms; about %v", file.Name, file.Question, file.About, len(plan.Runs), plan.Scenario,
--- a/cmd/rehearse/experiment_test.go
+++ b/cmd/rehearse/experiment_test.go
@@ -11,7 +11,7 @@
 	"marlreel/internal/experiment"
 )
 
-// plainPair is an experiment of the plain proxy with itself, on a day beside it.
+// plainPair writes an experiment that compares the plain proxy with itself, and its scenario, to a temporary folder.
 func plainPair(t *testing.T, more string) (file, store string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -33,7 +33,7 @@
 	return filepath.Join(dir, "pair.toml"), filepath.Join(dir, "r.db")
 }
 
-// playUntilComplete plays an experiment of four runs until none is missing, each time until its budget is spent.
+// playUntilComplete plays an experiment of four runs until none is missing. Each round ends when the budget is spent.
 func playUntilComplete(t *testing.T, file, store, folder string) {
 	t.Helper()
 	missing := 4
@@ -43,8 +43,8 @@
 		if err := json.Unmarshal([]byte(out), &a); code != 0 && code != exitBroken || err != nil {
 			t.Fatalf("round %d: %d, %v\n%s%s", round, code, err, out, errs)
 		}
-		if a.Missing >= missing || round > 8 { // a void run leaves as many missing once
-			t.Fatalf("round %d: %d runs missing, and %d were\n%s", round, a.Missing, missing, errs)
+		if a.Missing >= missing || round > 8 { // a void run may leave as many missing once
+			t.Fatalf("round %d: %d runs missing, %d before\n%s", round, a.Missing, missing, errs)
 		}
 		if missing = a.Missing; missing > 0 && !strings.Contains(errs, "the budget of 6s is spent") {
 			t.Errorf("%s", errs)
@@ -52,7 +52,7 @@
 	}
 }
 
-// An experiment is planned, played until its budget is spent, gone on with, shown, exported and forgotten.
+// An experiment is planned, played until its budget is spent, resumed, shown, exported and forgotten.
 func TestExperiment(t *testing.T) {
 	file, store := plainPair(t, `budget = "6s"`)
 	code, out, errs := call(t, "experiment", file, "--dry-run")
@@ -67,7 +67,7 @@
 		}
 	}
 	checkResults(t, store)
-	// The day is edited: the results so far are another's.
+	// After an edit of the scenario the stored results belong to another experiment.
 	day := filepath.Join(filepath.Dir(file), "day.toml")
 	if err := os.WriteFile(day, []byte(strings.Replace(tiny, "rate = 30", "rate = 31", 1)), 0o600); err != nil {
 		t.Fatal(err)
@@ -111,7 +111,7 @@
 		args []string
 		want string
 	}{
-		"no such question": {[]string{"experiment", "tiping"}, `no question "tiping" is shipped`},
+		"no such question": {[]string{"experiment", "tiping"}, `no experiment "tiping" is shipped`},
 		"no such file":     {[]string{"experiment", "./none.toml"}, "no such file"},
 		"no such arm":      {[]string{"experiment", file, "--arm", "othre=/bin/true"}, `no arm "othre" (did you mean other?)`},
 		"a bad name":       {[]string{"experiment", file, "--name", "A B"}, "small letters, digits and dashes"},
@@ -128,8 +128,8 @@
 	}
 }
 
-// Every shipped question is good, whichever daemon answers it.
-func TestShippedQuestions(t *testing.T) {
+// Every shipped experiment is valid, whichever daemon it tests.
+func TestShippedExperiments(t *testing.T) {
 	t.Parallel()
 	entries, err := experiments.Files.ReadDir(".")
 	if err != nil {
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -16,36 +16,36 @@
 const (
 	exitKept   = 0
 	exitBroken = 1 // a rule was broken, or a proxy crashed
-	exitUsage  = 2 // wrong use, an invalid scenario, or nothing could be started
-	exitVoid   = 3 // the machine was too slow, or the run was interrupted: nothing is known of the proxy
+	exitUsage  = 2 // usage error, invalid scenario, or the run could not start
+	exitVoid   = 3 // the machine was too slow, or the run was interrupted: no result about the proxy
 )
 
-const about = `Play a bad morning against real marlreel processes and see what service was kept.
+const about = `Play a scenario with faults against real marlreel processes, and report the service they delivered.
 
 Everything runs on this machine's loopback addresses: stand-in auction nodes whose
-service is modelled in time, a discovery service, clients, and the proxies as real
-processes. An auditor checks the four rules from what clients and nodes saw.
+service times are modelled, a discovery service, clients, and the proxies as real
+processes. An audit checks the four rules from what clients and nodes saw.
 
   rehearse                        plays the scenario "morning"
-  rehearse run calm --out report  plays "calm", and leaves report/report.html
-  rehearse run --baseline random  the same against a proxy that picks at random
-  rehearse compare a b            two report folders, or two marlreel binaries
-  rehearse experiment compare     many days as one question ('rehearse experiment' lists more)
-  rehearse up                     a small fleet and one proxy to try with curl
+  rehearse run calm --out report  plays "calm", and writes report/report.html
+  rehearse run --baseline random  plays against a proxy that picks nodes at random
+  rehearse compare a b            compares two report folders, or two marlreel binaries
+  rehearse experiment compare     plays an experiment of many runs ('rehearse experiment' lists more)
+  rehearse up                     starts a small fleet and one proxy to try with curl
 
-Exit codes: 0 all rules kept, 1 a rule broken or a proxy crashed, 2 wrong use or
-nothing could be started, 3 the run is void (machine too slow, or broken off).`
+Exit codes: 0 all rules kept, 1 a rule broken or a proxy crashed, 2 usage error or
+the run could not start, 3 the run is void (machine too slow, or interrupted).`
 
-// cli is the command line. Its field names are names of commands and flags.
+// cli is the command line. Its field names define the names of commands and flags.
 type cli struct {
 	List       listCmd       `cmd:"" help:"List the scenarios that are shipped."`
 	Check      checkCmd      `cmd:"" help:"Check a scenario file without playing it, and print its schedule's digest."`
 	Run        runCmd        `cmd:"" default:"withargs" help:"Play a scenario (default: morning) and report."`
 	Compare    compareCmd    `cmd:"" help:"Compare two report folders, or two marlreel binaries played in turn on one scenario."`
-	Experiment experimentCmd `cmd:"" help:"Ask one question of many days: tables and charts."`
-	Results    resultsCmd    `cmd:"" help:"What experiments found: list, show, export, forget."`
-	Up         upCmd         `cmd:"" help:"Stand a small fleet and one proxy up, and stay until Ctrl-C."`
-	PlainProxy plainProxyCmd `cmd:"" hidden:"" help:"Be the proxy that picks at random (started by run --baseline random)."`
+	Experiment experimentCmd `cmd:"" help:"Play an experiment of many runs, and print tables and charts."`
+	Results    resultsCmd    `cmd:"" help:"List, show, export or delete the results of experiments."`
+	Up         upCmd         `cmd:"" help:"Start a small fleet and one proxy, and keep them running until Ctrl-C."`
+	PlainProxy plainProxyCmd `cmd:"" hidden:"" help:"Run the proxy that picks nodes at random (started by run --baseline random)."`
 }
 
 // exitError ends the program with an exit code and without a message.
@@ -61,10 +61,10 @@
 	os.Exit(code)
 }
 
-// run carries a command line out and returns the program's exit code.
+// run executes a command line and returns the program's exit code.
 func run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	var c cli
-	helpCode := -1 // set where the parser has printed the help in place of returning
+	helpCode := -1 // set if the parser has printed the help
 	parser, err := kong.New(&c, kong.Name("rehearse"), kong.Description(about), kong.Writers(stdout, stderr),
 		kong.Exit(func(code int) { helpCode = code }), kong.BindTo(ctx, (*context.Context)(nil)), kong.Bind(newOutput(stdout, stderr)),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
@@ -77,13 +77,13 @@
 		return helpCode
 	}
 	if err != nil {
-		fmt.Fprintf(stderr, "rehearse: %v (rehearse -h says more)\n", err)
+		fmt.Fprintf(stderr, "rehearse: %v (see rehearse -h)\n", err)
 		return exitUsage
 	}
 	return exitCode(command.Run(), stderr)
 }
 
-// exitCode turns a command's error into an exit code, and tells people about it.
+// exitCode converts a command's error to an exit code, and prints the error.
 func exitCode(err error, stderr io.Writer) int {
 	var exit *exitError
 	switch {
@@ -92,7 +92,7 @@
 	case errors.As(err, &exit):
 		return exit.code
 	case errors.Is(err, context.Canceled):
-		fmt.Fprintln(stderr, "rehearse: broken off; all that it started has ended")
+		fmt.Fprintln(stderr, "rehearse: interrupted; everything it started has stopped")
 		return exitVoid
 	default:
 		fmt.Fprintln(stderr, "rehearse:", err)
--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -20,13 +20,13 @@
 	"marlreel/scenarios"
 )
 
-// As a child the test binary is rehearse itself, so that --baseline finds a proxy.
+// As a child process the test binary is rehearse itself, so that --baseline finds a proxy.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "plain-proxy" {
 		main()
 		return
 	}
-	if len(os.Args) > 1 && os.Args[1] == "--check" { // as a daemon that finds its settings good
+	if len(os.Args) > 1 && os.Args[1] == "--check" { // act as a daemon that accepts its settings
 		return
 	}
 	os.Exit(m.Run())
@@ -85,7 +85,7 @@
 		"an unknown scenario": {[]string{"run", "noon"}, "rehearse list"},
 		"no file":             {[]string{"check", "./none.toml"}, "none.toml"},
 		"a bad file":          {[]string{"check", write(t, strings.Replace(tiny, "count = 2", "cuont = 2", 1))}, "did you mean count?"},
-		"no program":          {[]string{"run", "calm", "--marlreel", "/nowhere/marlreel"}, "no program there"},
+		"no program":          {[]string{"run", "calm", "--marlreel", "/nowhere/marlreel"}, "not an executable file"},
 		"two proxies":         {[]string{"run", "calm", "--marlreel", "x", "--baseline", "random"}, "give one"},
 		"a baseline":          {[]string{"run", "calm", "--baseline", "best"}, "baseline"},
 		"no runs":             {[]string{"compare", "a", "b", "--runs", "0"}, "--runs"},
@@ -117,7 +117,7 @@
 	}
 }
 
-// A run against the baseline: the report is printed and left in the folder.
+// A run against the baseline prints the report and writes it to the folder.
 func TestRunBaseline(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "report")
 	code, out, errs := call(t, "run", write(t, tiny), "--baseline", "random", "--out", dir, "--json")
@@ -141,13 +141,13 @@
 	}
 }
 
-// Ctrl-C ends a run, and says so.
-func TestBrokenOff(t *testing.T) {
+// An interrupted run ends with exitVoid and a message.
+func TestInterrupt(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var out, errs bytes.Buffer
 	time.AfterFunc(500*time.Millisecond, cancel)
 	code := run(ctx, []string{"run", write(t, strings.Replace(tiny, `"1s"`, `"60s"`, 1)), "--baseline", "random"}, &out, &errs)
-	if code != exitVoid || !strings.Contains(errs.String(), "broken off") {
+	if code != exitVoid || !strings.Contains(errs.String(), "interrupted") {
 		t.Errorf("exit %d, %q", code, errs.String())
 	}
 }
@@ -162,7 +162,7 @@
 	return path
 }
 
-// up serves at its address until it is told to end; its lines are requests that work.
+// up serves at its address until it is interrupted, and the requests that it suggests work.
 func TestUp(t *testing.T) {
 	daemon := buildDaemon(t)
 	addr, err := standin.Address()
@@ -184,12 +184,12 @@
 		n, err := r.Read(buf)
 		text.Write(buf[:n])
 		if err != nil {
-			t.Fatalf("it ended: %s %s", text.String(), errs.String())
+			t.Fatalf("up ended early: %s %s", text.String(), errs.String())
 		}
 	}
 	go func() { _, _ = io.Copy(io.Discard, r) }()
 	if got := strings.Count(text.String(), "curl -i"); got != 5 {
-		t.Errorf("%d lines to try in %s", got, text.String())
+		t.Errorf("%d suggested requests, want 5, in %s", got, text.String())
 	}
 	for i, class := range []string{"lot-list", "bid", "pickup"} {
 		requestClass(t, addr, class, i+1)
@@ -200,13 +200,13 @@
 	}
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
-		t.Fatalf("something is left: %v", err)
+		t.Fatalf("the address is still in use: %v", err)
 	}
 	ln.Close()
 }
 
-// requestClass sends a request of a class. On a machine that stalls it may be refused or fail; what it may not be is a
-// bad request.
+// requestClass sends a request of a class. It may be refused or fail on a machine that stalls, but must not get a 4xx
+// status.
 func requestClass(t *testing.T, addr, class string, number int) {
 	t.Helper()
 	method := http.MethodPost
@@ -234,15 +234,15 @@
 	}
 }
 
-// Both protocols through real daemons, with nodes dying, draining and rejoining cold and
-// a proxy restarted: nothing is lost and nothing doubled.
+// Both protocols through real daemons, while nodes fail, drain and return cold and
+// a proxy is restarted: no request is lost or duplicated.
 func TestBothProtocols(t *testing.T) {
 	daemon := buildDaemon(t)
 	text, err := scenarios.Files.ReadFile("scales.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The same day in ten seconds, at a rate that any machine carries.
+	// The same scenario in ten seconds, at a rate that any machine can handle.
 	short := string(text)
 	for old, with := range map[string]string{
 		`length = "30s"`: `length = "10s"`, "rate = 180": "rate = 50", `at = "6s"`: `at = "2s"`, `at = "9s"`: `at = "3s"`,
@@ -259,7 +259,7 @@
 		t.Fatalf("exit %d, %v: %s", code, err, errs)
 	}
 	if rep.Void != "" {
-		t.Skipf("the machine was too slow to tell: %s", rep.Void)
+		t.Skipf("the run is void: %s", rep.Void)
 	}
 	if code != exitKept || rep.Rules.Lost != 0 || rep.Rules.Duplicated != 0 {
 		t.Errorf("exit %d: %+v %v %v", code, rep.Rules, rep.Breaks, rep.Crashed)
--- a/cmd/rehearse/output.go
+++ b/cmd/rehearse/output.go
@@ -9,13 +9,13 @@
 	"marlreel/internal/rehearsal"
 )
 
-// clearLine returns to the beginning of a terminal's line and erases it.
+// clearLine moves the cursor to the beginning of the terminal's line and erases the line.
 const clearLine = "\r\x1b[K"
 
-// output is where a command writes: results, and what is only for people.
+// output holds the destinations of a command: out for results, err for progress and messages.
 type output struct {
 	out, err io.Writer
-	terminal bool // err is one
+	terminal bool // err is a terminal
 }
 
 func newOutput(out, err io.Writer) *output {
@@ -31,17 +31,17 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// printJSON prints a value for programs.
+// printJSON prints a value as indented JSON.
 func (o *output) printJSON(v any) error {
 	e := json.NewEncoder(o.out)
 	e.SetIndent("", " ")
 	return e.Encode(v)
 }
 
-// print prints text for people. An output that can't be written to leaves nobody to tell.
+// print prints text. Write errors are ignored, as they could not be reported anywhere.
 func (o *output) print(text string) { fmt.Fprint(o.out, text) }
 
-// progress returns a function that shows a run's progress in one line, or nil where there is no terminal.
+// progress returns a function that shows a run's progress in one line, or nil without a terminal.
 func (o *output) progress(name string) func(rehearsal.Progress) {
 	if !o.terminal {
 		return nil
--- a/cmd/rehearse/results.go
+++ b/cmd/rehearse/results.go
@@ -8,17 +8,17 @@
 	"marlreel/internal/experiment"
 )
 
-// resultsCmd shows what experiments have found.
+// resultsCmd shows the stored results of experiments.
 type resultsCmd struct {
-	Store string `help:"Where results are kept; default: marlreel/experiments.db in the user's cache." placeholder:"FILE"`
+	Store string `help:"File in which results are stored; default: marlreel/experiments.db in the user's cache." placeholder:"FILE"`
 
-	List   resultsListCmd   `cmd:"" help:"List the experiments that were begun."`
-	Show   resultsShowCmd   `cmd:"" help:"Show what an experiment's results say so far."`
+	List   resultsListCmd   `cmd:"" help:"List the experiments in the store."`
+	Show   resultsShowCmd   `cmd:"" help:"Show the analysis of an experiment's results so far."`
 	Export resultsExportCmd `cmd:"" help:"Print every run, as CSV or JSON."`
-	Forget resultsForgetCmd `cmd:"" help:"Drop an experiment with all its results."`
+	Forget resultsForgetCmd `cmd:"" help:"Delete an experiment with all its results."`
 }
 
-// openStore opens the store at a path, or the default one for "", and tells whoever waits for its lock why.
+// openStore opens the store at a path, or the default one for "". It prints a message while it waits for the store's lock.
 func openStore(path string, o *output) (*experiment.Store, error) {
 	if path == "" {
 		var err error
@@ -31,7 +31,7 @@
 	}})
 }
 
-// analyse analyses an experiment's results so far, as of this machine.
+// analyse analyses an experiment's results so far. The analysis names this machine.
 func analyse(s *experiment.Store, name string) (*experiment.Analysis, error) {
 	identity, err := s.Identity(name)
 	if err != nil {
@@ -72,7 +72,7 @@
 // resultsShowCmd shows an experiment's analysis.
 type resultsShowCmd struct {
 	Name string `arg:"" help:"The experiment."`
-	Out  string `help:"Leave a page, its charts and the runs as CSV in this folder." placeholder:"DIR"`
+	Out  string `help:"Write a page, its charts and the runs as CSV to this folder." placeholder:"DIR"`
 	JSON bool   `name:"json" help:"For programs."`
 }
 
@@ -90,7 +90,7 @@
 	return printAnalysis(o, a, c.JSON, c.Out)
 }
 
-// resultsExportCmd prints an experiment's runs.
+// resultsExportCmd prints an experiment's runs as CSV or JSON.
 type resultsExportCmd struct {
 	Name string `arg:"" help:"The experiment."`
 	CSV  bool   `name:"csv" xor:"as" help:"A line for each run and figure (the default)."`
--- a/cmd/rehearse/run.go
+++ b/cmd/rehearse/run.go
@@ -12,14 +12,14 @@
 	"marlreel/internal/rehearsal"
 )
 
-// runCmd plays a scenario and reports.
+// runCmd plays a scenario and prints the report.
 type runCmd struct {
 	Scenario string `arg:"" optional:"" default:"morning" help:"A shipped scenario's name, or a file."`
-	Seed     uint64 `help:"Draw the schedule from this seed, not from the file's."`
-	Out      string `help:"Leave report.json, report.html and the proxies' logs in this folder." placeholder:"DIR"`
-	JSON     bool   `name:"json" help:"Print report.json in place of the table."`
-	Marlreel string `help:"The daemon to play against; default: the one beside this program, or on PATH." placeholder:"PATH"`
-	Baseline string `help:"Play against a stand-in in place of the daemon: random." enum:",random" default:"" placeholder:"random"`
+	Seed     uint64 `help:"Seed of the schedule; default: that of the scenario."`
+	Out      string `help:"Write report.json, report.html and the proxies' logs to this folder." placeholder:"DIR"`
+	JSON     bool   `name:"json" help:"Print report.json instead of the table."`
+	Marlreel string `help:"The daemon to test; default: the one beside this program, or on PATH." placeholder:"PATH"`
+	Baseline string `help:"Test a stand-in proxy instead of the daemon: random." enum:",random" default:"" placeholder:"random"`
 }
 
 // Run implements the command.
@@ -29,10 +29,10 @@
 		return err
 	}
 	if r.Baseline != "" && r.Marlreel != "" {
-		return eris.New("--baseline and --marlreel name two different proxies: give one")
+		return eris.New("--baseline and --marlreel exclude each other: give one")
 	}
 	if r.Baseline != "" && scenario.RPC() {
-		return eris.New("--baseline speaks HTTP alone, and " + scenario.Name + " has classes that come by rpc")
+		return eris.New("--baseline supports only HTTP, and " + scenario.Name + " has classes with protocol rpc")
 	}
 	proxy, err := findProxy(r.Marlreel, r.Baseline)
 	if err != nil {
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// verdict returns an *exitError for a report that is void or has a broken rule. A crash counts in a void run too.
+// verdict returns an *exitError for a report that is void, or has a broken rule or a crash. A crash counts in a void run too.
 func verdict(report *rehearsal.Report) error {
 	switch {
 	case report.Crashes > 0:
@@ -80,13 +80,13 @@
 	return nil
 }
 
-// proxyProgram is what starts a proxy, and its name in reports.
+// proxyProgram is the command that starts a proxy, and the proxy's name in reports.
 type proxyProgram struct {
 	command []string
 	name    string
 }
 
-// findProxy finds the daemon at a path ("" searches for it), or this program as a baseline where one is named.
+// findProxy returns the daemon at a path ("" searches for it), or this program as the baseline if one is named.
 func findProxy(marlreel, baseline string) (proxyProgram, error) {
 	if baseline != "" {
 		self, err := os.Executable()
--- a/cmd/rehearse/scenarios.go
+++ b/cmd/rehearse/scenarios.go
@@ -11,24 +11,24 @@
 	"marlreel/scenarios"
 )
 
-// isPath tells whether a name is a file's path, and not the name of a shipped file.
+// isPath reports whether a name is the path of a file, and not the name of a shipped one.
 func isPath(name string) bool {
 	return strings.ContainsAny(name, "/\\") || strings.HasSuffix(name, ".toml")
 }
 
-// loadScenario loads a scenario by its file's path or a shipped one's name.
+// loadScenario loads a scenario by the path of its file, or by its name if it is shipped.
 func loadScenario(name string) (*rehearsal.Scenario, error) {
 	if isPath(name) {
 		return rehearsal.Load(name)
 	}
 	data, err := scenarios.Files.ReadFile(name + ".toml")
 	if err != nil {
-		return nil, eris.Errorf("no scenario %q is shipped ('rehearse list' has them; a file needs its path, such as ./%s.toml)", name, name)
+		return nil, eris.Errorf("no scenario %q is shipped ('rehearse list' lists them; a file needs its path, such as ./%s.toml)", name, name)
 	}
 	return rehearsal.Parse(name+".toml", data)
 }
 
-// listCmd lists the shipped scenarios.
+// listCmd prints the shipped scenarios.
 type listCmd struct {
 	JSON bool `name:"json" help:"For programs."`
 }
@@ -64,7 +64,7 @@
 // checkCmd checks a scenario and prints its schedule's digest.
 type checkCmd struct {
 	File string `arg:"" help:"A scenario file, or a shipped one's name."`
-	Seed uint64 `help:"Draw the schedule from this seed, not from the file's."`
+	Seed uint64 `help:"Seed of the schedule; default: that of the scenario."`
 	JSON bool   `name:"json" help:"For programs."`
 }
 
@@ -82,7 +82,7 @@
 			"requests": len(plan.Requests), "events": len(plan.Events), "length_s": scenario.Length.D().Seconds(),
 		})
 	}
-	o.print(fmt.Sprintf("%s is good: %d nodes, %d requests and %d events in %v\nseed %d, schedule %s\n", scenario.Name, len(plan.Nodes),
+	o.print(fmt.Sprintf("%s is valid: %d nodes, %d requests and %d events in %v\nseed %d, schedule %s\n", scenario.Name, len(plan.Nodes),
 		len(plan.Requests), len(plan.Events), scenario.Length.D(), seed, plan.Digest()))
 	return nil
 }
--- a/cmd/rehearse/up.go
+++ b/cmd/rehearse/up.go
@@ -8,10 +8,10 @@
 	"marlreel/internal/standin"
 )
 
-// upCmd serves a small fleet behind one proxy until the context ends.
+// upCmd runs a small fleet behind one proxy until the context ends.
 type upCmd struct {
-	Listen   string `default:"127.0.0.1:7800" help:"Where the proxy listens; a loopback address."`
-	Nodes    int    `default:"4" help:"How many auction nodes."`
+	Listen   string `default:"127.0.0.1:7800" help:"Loopback address on which the proxy listens."`
+	Nodes    int    `default:"4" help:"Number of auction nodes."`
 	Marlreel string `help:"The daemon; default: the one beside this program, or on PATH." placeholder:"PATH"`
 }
 
@@ -28,7 +28,7 @@
 	return rehearsal.Up(ctx, scenario, rehearsal.UpOptions{Listen: u.Listen, Nodes: u.Nodes, Command: proxy.command, Out: o.out})
 }
 
-// plainProxyCmd is the baseline's process.
+// plainProxyCmd runs the baseline proxy.
 type plainProxyCmd struct{}
 
 // Run implements the command.
