--- a/cmd/rehearse/experiment_test.go
+++ b/cmd/rehearse/experiment_test.go
@@ -11,11 +11,11 @@
 	"marlreel/internal/experiment"
 )
 
-// plainPair writes an experiment that compares the plain proxy with itself, and its scenario, to a temporary folder.
-func plainPair(t *testing.T, more string) (file, store string) {
+// writePlainExperiment writes an experiment that compares the plain proxy with itself, and its scenario, to a temporary folder.
+func writePlainExperiment(t *testing.T, more string) (file, store string) {
 	t.Helper()
 	dir := t.TempDir()
-	for name, text := range map[string]string{"day.toml": tiny, "pair.toml": `scenario = "./day.toml"
+	for name, text := range map[string]string{"day.toml": tinyScenario, "pair.toml": `scenario = "./day.toml"
 replicates = 2
 figures = ["service", "class.lot-list.p99-ms"]
 ` + more + `
@@ -38,7 +38,7 @@
 	t.Helper()
 	missing := 4
 	for round := 0; missing > 0; round++ {
-		code, out, errs := call(t, "experiment", file, "--store", store, "--out", folder, "--json")
+		code, out, errs := runCommand(t, "experiment", file, "--store", store, "--out", folder, "--json")
 		var a experiment.Analysis
 		if err := json.Unmarshal([]byte(out), &a); code != 0 && code != exitBroken || err != nil {
 			t.Fatalf("round %d: %d, %v\n%s%s", round, code, err, out, errs)
@@ -54,8 +54,8 @@
 
 // An experiment is planned, played until its budget is spent, resumed, shown, exported and forgotten.
 func TestExperiment(t *testing.T) {
-	file, store := plainPair(t, `budget = "6s"`)
-	code, out, errs := call(t, "experiment", file, "--dry-run")
+	file, store := writePlainExperiment(t, `budget = "6s"`)
+	code, out, errs := runCommand(t, "experiment", file, "--dry-run")
 	if code != 0 || strings.Count(out, "seed ") != 4 || !strings.Contains(out, "about 16s, and the budget is 6s") {
 		t.Fatalf("%d\n%s%s", code, out, errs)
 	}
@@ -69,16 +69,16 @@
 	checkResults(t, store)
 	// After an edit of the scenario the stored results belong to another experiment.
 	day := filepath.Join(filepath.Dir(file), "day.toml")
-	if err := os.WriteFile(day, []byte(strings.Replace(tiny, "rate = 30", "rate = 31", 1)), 0o600); err != nil {
+	if err := os.WriteFile(day, []byte(strings.Replace(tinyScenario, "rate = 30", "rate = 31", 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if code, _, errs = call(t, "experiment", file, "--store", store); code != exitUsage || !strings.Contains(errs, `the scenario was edited: it said "rate = 30`) {
+	if code, _, errs = runCommand(t, "experiment", file, "--store", store); code != exitUsage || !strings.Contains(errs, `the scenario was edited: it said "rate = 30`) {
 		t.Errorf("edited: %d, %s", code, errs)
 	}
-	if code, _, errs = call(t, "results", "forget", "pair", "--store", store); code != 0 {
+	if code, _, errs = runCommand(t, "results", "forget", "pair", "--store", store); code != 0 {
 		t.Errorf("forget: %d, %s", code, errs)
 	}
-	if code, out, _ = call(t, "results", "list", "--store", store); code != 0 || out != "" {
+	if code, out, _ = runCommand(t, "results", "list", "--store", store); code != 0 || out != "" {
 		t.Errorf("after it: %d, %s", code, out)
 	}
 }
@@ -86,27 +86,27 @@
 // checkResults lists, shows and exports the results of a complete experiment.
 func checkResults(t *testing.T, store string) {
 	t.Helper()
-	if code, out, errs := call(t, "results", "list", "--store", store); code != 0 || !strings.Contains(out, "pair") || !strings.Contains(out, " of 4 runs count, 0 to be played") {
+	if code, out, errs := runCommand(t, "results", "list", "--store", store); code != 0 || !strings.Contains(out, "pair") || !strings.Contains(out, " of 4 runs count, 0 to be played") {
 		t.Errorf("list: %d\n%s%s", code, out, errs)
 	}
-	if code, out, _ := call(t, "results", "show", "pair", "--store", store); code != 0 || !strings.Contains(out, "too few pairs") {
+	if code, out, _ := runCommand(t, "results", "show", "pair", "--store", store); code != 0 || !strings.Contains(out, "too few pairs") {
 		t.Errorf("show: %d\n%s", code, out)
 	}
-	if code, out, _ := call(t, "results", "export", "pair", "--store", store); code != 0 || !strings.HasPrefix(out, "experiment,arm,level,seed,figure,value\n") {
+	if code, out, _ := runCommand(t, "results", "export", "pair", "--store", store); code != 0 || !strings.HasPrefix(out, "experiment,arm,level,seed,figure,value\n") {
 		t.Errorf("csv: %d\n%s", code, out)
 	}
 	var e experiment.Exported
-	if code, out, _ := call(t, "results", "export", "pair", "--json", "--store", store); code != 0 || json.Unmarshal([]byte(out), &e) != nil || len(e.Runs) != 4 || len(e.Runs[0].Tries) == 0 {
+	if code, out, _ := runCommand(t, "results", "export", "pair", "--json", "--store", store); code != 0 || json.Unmarshal([]byte(out), &e) != nil || len(e.Runs) != 4 || len(e.Runs[0].Tries) == 0 {
 		t.Errorf("json: %d\n%s", code, out)
 	}
-	if code, _, errs := call(t, "results", "show", "pear", "--store", store); code != exitUsage || !strings.Contains(errs, `no experiment "pear"; there are [pair]`) {
+	if code, _, errs := runCommand(t, "results", "show", "pear", "--store", store); code != exitUsage || !strings.Contains(errs, `no experiment "pear"; there are [pair]`) {
 		t.Errorf("another: %d, %s", code, errs)
 	}
 }
 
 func TestExperimentWrongUse(t *testing.T) {
 	t.Parallel()
-	file, store := plainPair(t, "")
+	file, store := writePlainExperiment(t, "")
 	for name, c := range map[string]struct {
 		args []string
 		want string
@@ -118,12 +118,12 @@
 		"no daemon":        {[]string{"experiment", file, "--arm", "other=/nowhere/marlreel", "--store", store}, "/nowhere/marlreel"},
 		"a store's folder": {[]string{"results", "list", "--store", filepath.Dir(store)}, "a file's path is needed"},
 	} {
-		code, _, errs := call(t, c.args...)
+		code, _, errs := runCommand(t, c.args...)
 		if code != exitUsage || !strings.Contains(errs, c.want) || strings.Count(errs, "\n") != 1 {
 			t.Errorf("%s: %d, %s", name, code, errs)
 		}
 	}
-	if code, out, errs := call(t, "experiment"); code != 0 || strings.Count(out, "\n") < 4 {
+	if code, out, errs := runCommand(t, "experiment"); code != 0 || strings.Count(out, "\n") < 4 {
 		t.Errorf("the list: %d, %s%s", code, out, errs)
 	}
 }
@@ -141,7 +141,7 @@
 	}
 	for _, e := range entries {
 		name := strings.TrimSuffix(e.Name(), ".toml")
-		code, out, errs := call(t, "experiment", name, "--dry-run", "--marlreel", self)
+		code, out, errs := runCommand(t, "experiment", name, "--dry-run", "--marlreel", self)
 		if code != 0 || !strings.Contains(out, name+" (") {
 			t.Errorf("%s: %d\n%s%s", name, code, out, errs)
 		}
--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -32,14 +32,14 @@
 	os.Exit(m.Run())
 }
 
-func call(t *testing.T, args ...string) (int, string, string) {
+func runCommand(t *testing.T, args ...string) (int, string, string) {
 	t.Helper()
 	var out, err bytes.Buffer
 	code := run(t.Context(), args, &out, &err)
 	return code, out.String(), err.String()
 }
 
-func write(t *testing.T, text string) string {
+func writeScenario(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "day.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -48,7 +48,7 @@
 	return path
 }
 
-const tiny = `
+const tinyScenario = `
 length = "1s"
 [[fleet.nodes]]
 kind = "mid"
@@ -84,7 +84,7 @@
 		"an unknown flag":     {[]string{"run", "--sead", "3"}, "unknown flag --sead"},
 		"an unknown scenario": {[]string{"run", "noon"}, "rehearse list"},
 		"no file":             {[]string{"check", "./none.toml"}, "none.toml"},
-		"a bad file":          {[]string{"check", write(t, strings.Replace(tiny, "count = 2", "cuont = 2", 1))}, "did you mean count?"},
+		"a bad file":          {[]string{"check", writeScenario(t, strings.Replace(tinyScenario, "count = 2", "cuont = 2", 1))}, "did you mean count?"},
 		"no program":          {[]string{"run", "calm", "--marlreel", "/nowhere/marlreel"}, "not an executable file"},
 		"two proxies":         {[]string{"run", "calm", "--marlreel", "x", "--baseline", "random"}, "give one"},
 		"a baseline":          {[]string{"run", "calm", "--baseline", "best"}, "baseline"},
@@ -92,7 +92,7 @@
 		"an open address":     {[]string{"up", "--marlreel", os.Args[0], "--listen", "0.0.0.0:7800"}, "loopback"},
 		"no nodes":            {[]string{"up", "--marlreel", os.Args[0], "--nodes", "0"}, "--nodes"},
 	} {
-		code, out, err := call(t, c.args...)
+		code, out, err := runCommand(t, c.args...)
 		if code != exitUsage || !strings.Contains(err, c.want) || strings.Count(err, "\n") != 1 || out != "" {
 			t.Errorf("%s: exit %d, %q, printed %q; want one line with %q", name, code, err, out, c.want)
 		}
@@ -100,19 +100,19 @@
 }
 
 func TestListAndCheck(t *testing.T) {
-	code, out, _ := call(t, "list")
+	code, out, _ := runCommand(t, "list")
 	if code != exitKept || !strings.Contains(out, "morning") || !strings.Contains(out, "stale") {
 		t.Errorf("list: %d %q", code, out)
 	}
 	var rows []struct{ Name string }
-	if _, out, _ := call(t, "list", "--json"); json.Unmarshal([]byte(out), &rows) != nil || len(rows) < 6 {
+	if _, out, _ := runCommand(t, "list", "--json"); json.Unmarshal([]byte(out), &rows) != nil || len(rows) < 6 {
 		t.Errorf("list --json: %q", out)
 	}
 	var checked struct{ Schedule string }
-	if code, out, _ := call(t, "check", "morning", "--json"); code != 0 || json.Unmarshal([]byte(out), &checked) != nil || len(checked.Schedule) != 64 {
+	if code, out, _ := runCommand(t, "check", "morning", "--json"); code != 0 || json.Unmarshal([]byte(out), &checked) != nil || len(checked.Schedule) != 64 {
 		t.Errorf("check: %d %q", code, out)
 	}
-	if code, out, _ := call(t, "-h"); code != exitKept || !strings.Contains(out, "rehearse compare a b") {
+	if code, out, _ := runCommand(t, "-h"); code != exitKept || !strings.Contains(out, "rehearse compare a b") {
 		t.Errorf("-h: %d %q", code, out)
 	}
 }
@@ -120,7 +120,7 @@
 // A run against the baseline prints the report and writes it to the folder.
 func TestRunBaseline(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "report")
-	code, out, errs := call(t, "run", write(t, tiny), "--baseline", "random", "--out", dir, "--json")
+	code, out, errs := runCommand(t, "run", writeScenario(t, tinyScenario), "--baseline", "random", "--out", dir, "--json")
 	if code != exitKept && code != exitVoid {
 		t.Fatalf("exit %d: %s", code, errs)
 	}
@@ -136,7 +136,7 @@
 			t.Error(err)
 		}
 	}
-	if code, out, _ := call(t, "compare", dir, dir); code > exitVoid || !strings.Contains(out, "service") || strings.Contains(out, "differ") {
+	if code, out, _ := runCommand(t, "compare", dir, dir); code > exitVoid || !strings.Contains(out, "service") || strings.Contains(out, "differ") {
 		t.Errorf("compare: %d %q", code, out)
 	}
 }
@@ -146,8 +146,8 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	var out, errs bytes.Buffer
 	time.AfterFunc(500*time.Millisecond, cancel)
-	code := run(ctx, []string{"run", write(t, strings.Replace(tiny, `"1s"`, `"60s"`, 1)), "--baseline", "random"}, &out, &errs)
-	if code != exitVoid || !strings.Contains(errs.String(), "interrupted") {
+	code := run(ctx, []string{"run", writeScenario(t, strings.Replace(tinyScenario, `"1s"`, `"60s"`, 1)), "--baseline", "random"}, &out, &errs)
+	if code != exitVoid || !strings.Contains(errs.String(), "interrupted; everything it started has stopped") {
 		t.Errorf("exit %d, %q", code, errs.String())
 	}
 }
@@ -253,7 +253,7 @@
 		}
 		short = strings.ReplaceAll(short, old, with)
 	}
-	code, out, errs := call(t, "run", write(t, short), "--marlreel", daemon, "--json")
+	code, out, errs := runCommand(t, "run", writeScenario(t, short), "--marlreel", daemon, "--json")
 	var rep rehearsal.Report
 	if err := json.Unmarshal([]byte(out), &rep); err != nil {
 		t.Fatalf("exit %d, %v: %s", code, err, errs)
--- a/internal/rehearsal/arrivals.go
+++ b/internal/rehearsal/arrivals.go
@@ -179,7 +179,7 @@
 	filled      []time.Duration
 }
 
-func (s *Scenario) shares() *quotaBuckets {
+func (s *Scenario) quotaBuckets() *quotaBuckets {
 	total := 0.0
 	for _, h := range s.Houses {
 		total += h.Share
@@ -192,8 +192,8 @@
 	return b
 }
 
-// takesTooMuch takes a token for a request of house h, and reports whether the house has exceeded its share.
-func (b *quotaBuckets) takesTooMuch(h int, at time.Duration) bool {
+// exceeds takes a token for a request of house h, and reports whether the house has exceeded its share.
+func (b *quotaBuckets) exceeds(h int, at time.Duration) bool {
 	b.left[h] = min(b.quota[h], b.left[h]+float64(b.quota[h]*(at-b.filled[h]).Seconds()))
 	b.filled[h] = at
 	if b.left[h] < 1 {
@@ -216,11 +216,11 @@
 	}
 	sort.SliceStable(order, func(i, j int) bool { return began[order[i]] < began[order[j]] })
 	number := make(map[int]int, len(order))
-	b := s.shares()
+	b := s.quotaBuckets()
 	for n, i := range order {
 		r := p.Requests[i]
 		r.At = began[i]
-		r.Over = b.takesTooMuch(r.House, r.At)
+		r.Over = b.exceeds(r.House, r.At)
 		number[i] = n
 		q.Requests = append(q.Requests, r)
 	}
--- a/internal/rehearsal/arrivals_test.go
+++ b/internal/rehearsal/arrivals_test.go
@@ -14,7 +14,7 @@
 // arrivalsOf draws a plan of 10 minutes with one kind of arrivals, and returns the number of requests in each second.
 func arrivalsOf(t *testing.T, change func(s *Scenario)) (p *Plan, seconds []int) {
 	t.Helper()
-	s := short()
+	s := shortScenario()
 	s.Length, s.Traffic.Rate = Span(10*time.Minute), 100
 	change(s)
 	if err := s.Validate(); err != nil {
@@ -151,7 +151,7 @@
 		"no think":    {func(f *Traffic) { f.Rate, f.Quota, f.Users = 0, 9, Users{5, 0} }, "think of 1ms or more"},
 		"many":        {func(f *Traffic) { f.Rate, f.Quota, f.Users = 0, 9, Users{20000, Span(time.Millisecond)} }, "at most 2000000 are possible"},
 	} {
-		s := short()
+		s := shortScenario()
 		s.Length = Span(time.Minute)
 		c.change(&s.Traffic)
 		if err := s.Validate(); err == nil || !strings.Contains(err.Error(), c.want) {
@@ -164,7 +164,7 @@
 // says that the load is a closed loop.
 func TestUsers(t *testing.T) {
 	users := func(wait time.Duration) *Scenario {
-		s := short()
+		s := shortScenario()
 		s.Length = Span(3 * time.Second)
 		s.Traffic.Rate, s.Traffic.Quota, s.Traffic.Users = 0, 100, Users{Count: 12, Think: Span(200 * ms)}
 		for i := range s.Classes {
@@ -172,11 +172,11 @@
 		}
 		return s
 	}
-	quick, dir, err := play(t, users(5*ms), faulty(t, standin.Faults{}))
+	quick, dir, err := playAgainst(t, users(5*ms), faultsJSON(t, standin.Faults{}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	slow, _, err := play(t, users(400*ms), faulty(t, standin.Faults{}))
+	slow, _, err := playAgainst(t, users(400*ms), faultsJSON(t, standin.Faults{}))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rehearsal/audit.go
+++ b/internal/rehearsal/audit.go
@@ -13,7 +13,7 @@
 type Life struct {
 	Proxy int
 	Start time.Duration
-	Term  time.Duration // when it got SIGTERM; 0: never
+	Term  time.Duration // when it was signalled to end; 0: never
 	End   time.Duration // 0: it ran to the end
 	How   string        // killed, ended, crashed
 }
--- a/internal/rehearsal/audit_test.go
+++ b/internal/rehearsal/audit_test.go
@@ -10,9 +10,9 @@
 
 const ms = time.Millisecond
 
-// doctored returns the records of a run without violations, with three requests, one of each effect.
+// correctRecords returns the records of a run without violations, with three requests, one of each effect.
 // Times are relative to the start of the clock.
-func doctored() Records {
+func correctRecords() Records {
 	s := defaults()
 	s.Name, s.Proxies.Count = "doctored", 2
 	s.Fleet.Zones = []string{"koper", "maribor"}
@@ -47,8 +47,8 @@
 	return r
 }
 
-// again adds another attempt of a request, at the given node, and returns it.
-func again(r *Records, of, node, zone string, at time.Duration, effect string) *standin.Send {
+// addAttempt adds another attempt of a request, at the given node, and returns it.
+func addAttempt(r *Records, of, node, zone string, at time.Duration, effect string) *standin.Send {
 	for _, s := range r.Nodes.Sends {
 		if s.ID == of {
 			s.Node, s.Zone, s.Began, s.Whole, s.Effect, s.Ended = node, zone, at, at, effect, at+100*ms
@@ -60,7 +60,7 @@
 }
 
 func TestAuditWithoutViolations(t *testing.T) {
-	if b := Audit(doctored()); len(b) != 0 {
+	if b := Audit(correctRecords()); len(b) != 0 {
 		t.Errorf("found %v", b)
 	}
 }
@@ -88,56 +88,56 @@
 			r.Tries[0].Outcome = Broken
 			r.Lives[1] = Life{Proxy: 1, End: 1195 * ms, How: "killed"}
 		}, RuleLost, "connection ended"},
-		{"never taken", func(r *Records) { r.Tries[1].Outcome, r.Tries[1].Sent = Broken, 0 }, "", ""},
+		{"never accepted", func(r *Records) { r.Tries[1].Outcome, r.Tries[1].Sent = Broken, 0 }, "", ""},
 		{"answered twice", func(r *Records) { r.Tries[2].Surplus = 1 }, RuleLost, "more than once"},
 		{"invented", func(r *Records) { r.Tries[0].Outcome = Foreign }, RuleLost, "no node made"},
-		{"sent after the answer", func(r *Records) { again(r, "a", "s-2", "koper", 1300*ms, standin.Ran) }, RuleLost, "after its final answer"},
-		{"sent just before the answer", func(r *Records) { again(r, "a", "s-2", "koper", 1195*ms, standin.Ran) }, "", ""},
-		{"crossed, and never read", func(r *Records) { r.Tries[1].Crossed = 1005 * ms }, "", ""},
-		{"crossed, but read", func(r *Records) { r.Tries[1].Crossed = 1100 * ms }, RuleLost, "taken, and its connection ended"},
+		{"sent after the answer", func(r *Records) { addAttempt(r, "a", "s-2", "koper", 1300*ms, standin.Ran) }, RuleLost, "after its final answer"},
+		{"sent just before the answer", func(r *Records) { addAttempt(r, "a", "s-2", "koper", 1195*ms, standin.Ran) }, "", ""},
+		{"resent, and not read before", func(r *Records) { r.Tries[1].Crossed = 1005 * ms }, "", ""},
+		{"resent, but read before", func(r *Records) { r.Tries[1].Crossed = 1100 * ms }, RuleLost, "taken, and its connection ended"},
 
 		{"a bid that its client repeated after a kill", func(r *Records) {
 			r.Lives[0] = Life{Proxy: 0, End: 1040 * ms, How: "killed"}
 			r.Tries[1].Crossed, r.Tries[1].Proxy = 1041*ms, 1
-			again(r, "b", "s-2", "koper", 1100*ms, standin.Ran).Proxy = 1
+			addAttempt(r, "b", "s-2", "koper", 1100*ms, standin.Ran).Proxy = 1
 		}, "", ""},
-		{"and its next proxy twice", func(r *Records) {
+		{"a bid sent twice after a kill", func(r *Records) {
 			r.Lives[0] = Life{Proxy: 0, End: 1040 * ms, How: "killed"}
 			r.Tries[1].Crossed, r.Tries[1].Proxy = 1041*ms, 1
-			again(r, "b", "s-2", "koper", 1100*ms, standin.Ran).Proxy = 1
-			again(r, "b", "s-1", "koper", 1150*ms, standin.Ran).Proxy = 1
+			addAttempt(r, "b", "s-2", "koper", 1100*ms, standin.Ran).Proxy = 1
+			addAttempt(r, "b", "s-1", "koper", 1150*ms, standin.Ran).Proxy = 1
 		}, RuleDuplicated, "unsafe"},
-		{"a bid twice", func(r *Records) { again(r, "b", "s-2", "koper", 1100*ms, standin.Ran) }, RuleDuplicated, "unsafe"},
+		{"a bid twice", func(r *Records) { addAttempt(r, "b", "s-2", "koper", 1100*ms, standin.Ran) }, RuleDuplicated, "unsafe"},
 		{"a bid after an error", func(r *Records) {
 			r.Nodes.Sends[1].Effect = standin.Failed
-			again(r, "b", "s-2", "koper", 1195*ms, standin.Ran)
+			addAttempt(r, "b", "s-2", "koper", 1195*ms, standin.Ran)
 		}, RuleDuplicated, "unsafe"},
-		{"a bid again that was turned away", func(r *Records) {
+		{"a bid again after a rejection", func(r *Records) {
 			r.Nodes.Sends[1].Effect, r.Nodes.Sends[1].Ended = standin.TurnedAway, 1020*ms
-			again(r, "b", "s-2", "koper", 1030*ms, standin.Ran)
+			addAttempt(r, "b", "s-2", "koper", 1030*ms, standin.Ran)
 		}, "", ""},
-		{"a bid again before it was known", func(r *Records) {
+		{"a bid again while an attempt is in flight", func(r *Records) {
 			r.Nodes.Sends[1].Effect, r.Nodes.Sends[1].Ended = standin.TurnedAway, 1050*ms
-			again(r, "b", "s-2", "koper", 1030*ms, standin.Ran)
+			addAttempt(r, "b", "s-2", "koper", 1030*ms, standin.Ran)
 		}, RuleDuplicated, "while an earlier attempt was out"},
 		{"a bid refused that ran", func(r *Records) { r.Tries[1].Outcome, r.Tries[1].Status = Refused, 503 }, RuleDuplicated, "refused"},
 		{"a bid failed that ran", func(r *Records) { r.Tries[1].Outcome, r.Tries[1].Status = Failed, 502 }, "", ""},
-		{"a listing again", func(r *Records) { again(r, "a", "s-3", "maribor", 1100*ms, standin.Ran) }, "", ""},
+		{"a listing again", func(r *Records) { addAttempt(r, "a", "s-3", "maribor", 1100*ms, standin.Ran) }, "", ""},
 		{"a listing refused that ran", func(r *Records) { r.Tries[0].Outcome, r.Tries[0].Status = Refused, 503 }, "", ""},
-		{"a pickup again in its group", func(r *Records) { again(r, "c", "s-2", "koper", 1100*ms, standin.Dropped) }, "", ""},
-		{"a pickup in another group", func(r *Records) { again(r, "c", "s-3", "maribor", 1100*ms, standin.Ran) }, RuleDuplicated, "another group"},
+		{"a pickup again in its group", func(r *Records) { addAttempt(r, "c", "s-2", "koper", 1100*ms, standin.Dropped) }, "", ""},
+		{"a pickup in another group", func(r *Records) { addAttempt(r, "c", "s-3", "maribor", 1100*ms, standin.Ran) }, RuleDuplicated, "another group"},
 		{"a pickup in another group that never ran", func(r *Records) {
 			r.Nodes.Sends[2].Effect, r.Nodes.Sends[2].Ended = standin.TurnedAway, 1020*ms
-			again(r, "c", "s-3", "maribor", 1100*ms, standin.Ran)
+			addAttempt(r, "c", "s-3", "maribor", 1100*ms, standin.Ran)
 		}, "", ""},
-		{"a pickup forgotten", func(r *Records) {
+		{"a pickup after its window", func(r *Records) {
 			r.Tries[2].Ended = 12 * time.Second
-			again(r, "c", "s-2", "koper", 11500*ms, standin.Ran)
+			addAttempt(r, "c", "s-2", "koper", 11500*ms, standin.Ran)
 		}, RuleDuplicated, "forgotten"},
 		{"a pickup refused that ran", func(r *Records) { r.Tries[2].Outcome = Refused }, RuleDuplicated, "refused"},
 		{"too many attempts", func(r *Records) {
 			for i := range 4 {
-				again(r, "a", "s-2", "koper", (1100+time.Duration(i))*ms, standin.TurnedAway)
+				addAttempt(r, "a", "s-2", "koper", (1100+time.Duration(i))*ms, standin.TurnedAway)
 			}
 		}, RuleDuplicated, "5 attempts"},
 
@@ -147,29 +147,29 @@
 		{"sent within the grace", func(r *Records) {
 			r.Nodes.Told = append(r.Nodes.Told, standin.Told{Proxy: 0, Node: "s-1", State: "Terminating", At: 500 * ms})
 		}, "", ""},
-		{"gone, and told again", func(r *Records) {
+		{"drains, then gone", func(r *Records) {
 			r.Nodes.Told = append(r.Nodes.Told, standin.Told{Proxy: 0, Node: "s-1", State: "Terminating", At: 100 * ms},
 				standin.Told{Proxy: 0, Node: "s-1", State: "Gone", At: 900 * ms})
 		}, RuleDrains, "Gone"},
 		{"the other proxy was told", func(r *Records) {
 			r.Nodes.Told = append(r.Nodes.Told, standin.Told{Proxy: 1, Node: "s-1", State: "Gone", At: 100 * ms})
 		}, "", ""},
-		{"it is back", func(r *Records) {
+		{"node is ready again", func(r *Records) {
 			r.Nodes.Told = append(r.Nodes.Told, standin.Told{Proxy: 0, Node: "s-1", State: "Gone", At: 100 * ms},
 				standin.Told{Proxy: 0, Node: "s-1", State: "Ready", At: 900 * ms})
 		}, "", ""},
-		{"a process before it was told", func(r *Records) {
+		{"a new process not told yet", func(r *Records) {
 			r.Nodes.Told = append(r.Nodes.Told, standin.Told{Proxy: 0, Node: "s-1", State: "Gone", At: 100 * ms})
 			r.Lives = append(r.Lives, Life{Proxy: 0, Start: 800 * ms})
 		}, "", ""},
 
 		// The limit for 2 cores at 0.32: 0.64 x 2.5 x 3 s = 4.8 s of work, and a little more as the node warms up.
-		{"a cold node pushed over", func(r *Records) { pushOver(r, 1000*ms) }, RuleCold, "pushed over"},
-		{"a cold node that nobody was told of", func(r *Records) { pushOver(r, 3000*ms) }, "", ""},
-		{"a warm node pressed", func(r *Records) { pushOver(r, 1000*ms); r.Nodes.Events = nil }, "", ""},
+		{"a cold node overloaded", func(r *Records) { overloadColdNode(r, 1000*ms) }, RuleCold, "pushed over"},
+		{"a cold start that no proxy was told of", func(r *Records) { overloadColdNode(r, 3000*ms) }, "", ""},
+		{"a warm node overloaded", func(r *Records) { overloadColdNode(r, 1000*ms); r.Nodes.Events = nil }, "", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := doctored()
+			r := correctRecords()
 			c.doctor(&r)
 			breaks := Audit(r)
 			rules := map[string]int{}
@@ -198,9 +198,9 @@
 	}
 }
 
-// pushOver overloads a node that started cold at 2 s: eleven requests of 0.5 s of work each arrive
+// overloadColdNode overloads a node that started cold at 2 s: eleven requests of 0.5 s of work each arrive
 // at 2.1 s. The proxy was told of the start only if toldAfter is at most 2 s.
-func pushOver(r *Records, toldAfter time.Duration) {
+func overloadColdNode(r *Records, toldAfter time.Duration) {
 	r.Nodes.Events = append(r.Nodes.Events, standin.NodeEvent{Node: "s-3", At: 2000 * ms, State: standin.StartedCold})
 	told := 2050 * ms
 	if toldAfter > 2000*ms {
@@ -218,8 +218,8 @@
 // An overload of a cold node is a violation only if two thirds of the work came from proxies that had been told of the
 // start. Here it is half.
 func TestColdRuleNeedsInformedProxies(t *testing.T) {
-	r := doctored()
-	pushOver(&r, 1000*ms)
+	r := correctRecords()
+	overloadColdNode(&r, 1000*ms)
 	n := 0
 	for i := range r.Nodes.Sends {
 		if s := &r.Nodes.Sends[i]; s.Node == "s-3" {
--- a/internal/rehearsal/best.go
+++ b/internal/rehearsal/best.go
@@ -34,8 +34,8 @@
 		return nil
 	}
 	b := &Best{FromS: first.Seconds(), Nodes: back, Seconds: make([]float64, len(served))}
-	type wish struct{ worth, work float64 }
-	wishes := make([][]wish, len(served))
+	type candidate struct{ worth, work float64 }
+	candidates := make([][]candidate, len(served))
 	for _, q := range r.Plan.Requests {
 		c := r.Scenario.Classes[q.Class]
 		worth := c.Worth
@@ -43,19 +43,19 @@
 			worth *= r.Scenario.Traffic.OverWorth
 		}
 		k := int(q.At / time.Second)
-		wishes[k] = append(wishes[k], wish{worth, q.Work.Seconds()})
+		candidates[k] = append(candidates[k], candidate{worth, q.Work.Seconds()})
 	}
 	events := map[string][]standin.NodeEvent{}
 	for _, e := range r.Nodes.Events {
 		events[e.Node] = append(events[e.Node], e)
 	}
 	var sum, all float64
-	for k, list := range wishes {
+	for k, list := range candidates {
 		room := 0.0
 		for _, n := range r.Plan.Nodes {
 			room += nodeCapacity(r.Scenario, n, events[n.ID], start+time.Duration(k)*time.Second)
 		}
-		slices.SortFunc(list, func(x, y wish) int { // most worth per work first
+		slices.SortFunc(list, func(x, y candidate) int { // most worth per work first
 			switch a, b := x.worth*y.work, y.worth*x.work; {
 			case a > b:
 				return -1
--- a/internal/rehearsal/compatibility_sent_test.go
+++ b/internal/rehearsal/compatibility_sent_test.go
@@ -30,7 +30,7 @@
 	for _, name := range []string{"morning", "upgrade", "retune", "split-rules", "scales", "registry-lost", "gray", "crowd", "bulk", "resets", "gray-listings", "amnesia"} {
 		t.Run(name, func(t *testing.T) {
 			if os.Getenv(writeCompatibility) != "" {
-				text, err := toml.Marshal(shipped(t, name))
+				text, err := toml.Marshal(loadShipped(t, name))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -91,7 +91,7 @@
 // The configuration of a proxy under test doesn't change: the platform's JSON and the operator's file.
 func TestCompatibilityProxyConfiguration(t *testing.T) {
 	for _, name := range []string{"morning", "scales", "registry-lost"} {
-		s := shipped(t, name)
+		s := loadShipped(t, name)
 		got, err := json.MarshalIndent(s.config(1, "127.0.0.1:7800", "127.0.0.1:7900", "8c1f", standin.List{}, 0, 4), "", " ")
 		if err != nil {
 			t.Fatal(err)
@@ -103,7 +103,7 @@
 		if name == "registry-lost" {
 			registry = "http://127.0.0.1:2379"
 		}
-		compareRecorded(t, name+"-operator.toml", []byte(shipped(t, name).OwnFile(1, "127.0.0.1:7801", registry, "/run/day", nil)))
+		compareRecorded(t, name+"-operator.toml", []byte(loadShipped(t, name).OwnFile(1, "127.0.0.1:7801", registry, "/run/day", nil)))
 	}
 }
 
--- a/internal/rehearsal/connection.go
+++ b/internal/rehearsal/connection.go
@@ -30,7 +30,7 @@
 	class        *Class
 	method       string
 	last         *Try // the last request sent on it
-	dead         bool
+	unusable     bool
 }
 
 // get returns an idle connection of the zone, or opens a new one.
@@ -76,24 +76,24 @@
 func (c *clientConn) closed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.dead
+	return c.unusable
 }
 
 // exchange writes a request and waits for its answer. If it is written slowly, the client's timeout counts from the
 // end of the write.
 func (c *clientConn) exchange(l *clients, data string, t *Try, class *Class) (got reply, sent time.Duration, wrote bool) {
 	clock := l.clock
-	wants, begun := make(chan reply, 1), make(chan struct{})
+	waiter, headReceived := make(chan reply, 1), make(chan struct{})
 	method, _, _ := strings.Cut(data, " ")
 	c.mu.Lock()
-	if c.dead {
+	if c.unusable {
 		c.mu.Unlock()
 		return reply{at: clock.Now(), err: io.ErrUnexpectedEOF}, 0, false
 	}
-	c.waiter, c.headReceived, c.class, c.method, c.last = wants, begun, class, method, t
+	c.waiter, c.headReceived, c.class, c.method, c.last = waiter, headReceived, class, method, t
 	c.mu.Unlock()
 	began := clock.Now()
-	wrote, early := c.send(l, data, t, class, wants)
+	wrote, early := c.send(l, data, t, class, waiter)
 	sent = clock.Now()
 	if slow := sent - began; class.Body > 0 || l.slowHead(t) {
 		l.mu.Lock()
@@ -110,9 +110,9 @@
 	timer := time.NewTimer(max(t.Left+answerGrace-clock.Now(), 0))
 	defer timer.Stop()
 	select {
-	case got = <-wants:
-	case <-begun:
-		got = <-wants // the rest of the body is not bound by the timeout; stallReader ends a body that stalls
+	case got = <-waiter:
+	case <-headReceived:
+		got = <-waiter // the rest of the body is not bound by the timeout; stallReader ends a body that stalls
 	case <-timer.C:
 		c.Close()
 		got = reply{at: clock.Now(), err: errClientTimeout}
@@ -132,7 +132,7 @@
 
 // send writes a request at once or in pieces, as configured. An answer that comes before the
 // end of the request body is returned as early, and the rest of the body is not written.
-func (c *clientConn) send(l *clients, data string, t *Try, class *Class, wants chan reply) (wrote bool, early *reply) {
+func (c *clientConn) send(l *clients, data string, t *Try, class *Class, waiter chan reply) (wrote bool, early *reply) {
 	write := func(p []byte) error {
 		c.SetWriteDeadline(time.Now().Add(stallTimeout))
 		_, err := c.Write(p)
@@ -158,7 +158,7 @@
 	maker := standin.ClientBody(max(class.Body, len(standin.Body(standin.ClientBody(class.Body), t.ID, 0))))
 	err := standin.WriteBody(maker, t.ID, class.Body, class.Writes, func(p []byte) error {
 		select {
-		case got := <-wants:
+		case got := <-waiter:
 			early = &got
 			return errEarly
 		default:
@@ -185,37 +185,37 @@
 		_, err := c.in.Peek(1)
 		at := clock.Now()
 		c.mu.Lock()
-		wants, begun, method, class, last := c.waiter, c.headReceived, c.method, c.class, c.last
+		waiter, headReceived, method, class, last := c.waiter, c.headReceived, c.method, c.class, c.last
 		if err != nil {
-			c.dead, c.waiter = true, nil
+			c.unusable, c.waiter = true, nil
 			c.mu.Unlock()
-			if wants != nil {
-				wants <- reply{at: at, err: err}
+			if waiter != nil {
+				waiter <- reply{at: at, err: err}
 			}
 			return
 		}
-		if wants == nil {
-			c.dead = true
+		if waiter == nil {
+			c.unusable = true
 			c.mu.Unlock()
 			c.addSurplus(last)
 			return
 		}
 		c.mu.Unlock()
-		got := c.answer(clock, method, class, begun)
+		got := c.answer(clock, method, class, headReceived)
 		c.mu.Lock()
 		c.waiter = nil
 		// Bytes behind the answer belong to no request.
 		if got.err == nil && c.in.Buffered() > 0 {
-			c.dead = true
+			c.unusable = true
 		}
-		c.dead = c.dead || got.err != nil || got.close
-		dead := c.dead
+		c.unusable = c.unusable || got.err != nil || got.close
+		unusable := c.unusable
 		c.mu.Unlock()
 		if got.err == nil && c.in.Buffered() > 0 {
 			c.addSurplus(last)
 		}
-		wants <- got
-		if dead {
+		waiter <- got
+		if unusable {
 			// The connection is being closed; anything else that the proxy sends is surplus.
 			c.SetReadDeadline(time.Now().Add(time.Second))
 			if got.err == nil && c.in.Buffered() == 0 {
@@ -236,7 +236,7 @@
 	}
 }
 
-func (c *clientConn) answer(clock *standin.Clock, method string, class *Class, begun chan struct{}) reply {
+func (c *clientConn) answer(clock *standin.Clock, method string, class *Class, headReceived chan struct{}) reply {
 	resp, err := http.ReadResponse(c.in, &http.Request{Method: method})
 	if err != nil {
 		return reply{at: clock.Now(), err: err, began: true}
@@ -250,7 +250,7 @@
 	}
 	if resp.StatusCode == http.StatusOK && class != nil && class.large() {
 		got.at = clock.Now() // the latency of a large answer is that of its first bytes
-		close(begun)
+		close(headReceived)
 		got.body, got.size, got.err = standin.ReadBody(&stallReader{c, resp.Body}, class.Reads)
 		return got
 	}
--- a/internal/rehearsal/load.go
+++ b/internal/rehearsal/load.go
@@ -185,8 +185,8 @@
 	at := planned
 	for n, id := range r.IDs {
 		now := l.clock.Now()
-		patience := time.Duration(float64(c.GiveUp.D()) * l.scenario.Clients.TryShare)
-		t := &Try{Request: i, N: n, ID: id, Proxy: -1, Planned: at, Late: max(now-at, 0), Left: min(at+patience, giveUp)}
+		timeout := time.Duration(float64(c.GiveUp.D()) * l.scenario.Clients.TryShare)
+		t := &Try{Request: i, N: n, ID: id, Proxy: -1, Planned: at, Late: max(now-at, 0), Left: min(at+timeout, giveUp)}
 		l.mu.Lock()
 		l.tries = append(l.tries, t)
 		l.mu.Unlock()
--- a/internal/rehearsal/load_rpc.go
+++ b/internal/rehearsal/load_rpc.go
@@ -55,7 +55,7 @@
 		case a = <-answers:
 		case <-timer.C:
 			silent = true
-			conn.Forget(answers) // an answer that still arrives is discarded
+			conn.Forget(answers) // an answer that still arrives counts as surplus
 		}
 		timer.Stop()
 		l.mu.Lock()
--- a/internal/rehearsal/plan.go
+++ b/internal/rehearsal/plan.go
@@ -161,7 +161,7 @@
 		}
 		return r
 	}
-	share := s.shares()
+	share := s.quotaBuckets()
 	add := func(r PlannedRequest) {
 		c := s.Classes[r.Class]
 		if !c.requested(r.At) {
@@ -170,7 +170,7 @@
 		if c.Effect != "keyed" {
 			r.Key = ""
 		}
-		r.Over = share.takesTooMuch(r.House, r.At)
+		r.Over = share.exceeds(r.House, r.At)
 		p.Requests = append(p.Requests, r)
 	}
 	if s.Traffic.closed() {
--- a/internal/rehearsal/plan_test.go
+++ b/internal/rehearsal/plan_test.go
@@ -13,7 +13,7 @@
 	"marlreel/scenarios"
 )
 
-func shipped(t testing.TB, name string) *Scenario {
+func loadShipped(t testing.TB, name string) *Scenario {
 	t.Helper()
 	data, err := scenarios.Files.ReadFile(name + ".toml")
 	if err != nil {
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	for _, f := range files {
-		s := shipped(t, strings.TrimSuffix(f.Name(), ".toml"))
+		s := loadShipped(t, strings.TrimSuffix(f.Name(), ".toml"))
 		if s.About == "" || len(Draw(s, 1).Requests) == 0 {
 			t.Errorf("%s plans no requests or has no description", f.Name())
 		}
@@ -46,7 +46,7 @@
 // Equal seeds give equal plans, also in another process, and different seeds or scenarios give different ones.
 func TestSchedulesRepeat(t *testing.T) {
 	for _, name := range []string{"morning", "stale"} {
-		s := shipped(t, name)
+		s := loadShipped(t, name)
 		want := Draw(s, 7).Digest()
 		if Draw(s, 8).Digest() == want {
 			t.Errorf("%s: seeds 7 and 8 give the same schedule", name)
@@ -65,7 +65,7 @@
 			t.Errorf("%s: another process drew %s, this one %s", name, got, want)
 		}
 	}
-	a, b := shipped(t, "calm"), shipped(t, "calm")
+	a, b := loadShipped(t, "calm"), loadShipped(t, "calm")
 	b.Traffic.Rate++
 	if Draw(a, 1).Digest() == Draw(b, 1).Digest() {
 		t.Error("two scenarios have the same schedule")
@@ -89,7 +89,7 @@
 
 // More faults or nodes don't change the arrivals, as the random streams are independent.
 func TestRandomStreamsAreIndependent(t *testing.T) {
-	a, b := shipped(t, "calm"), shipped(t, "calm")
+	a, b := loadShipped(t, "calm"), loadShipped(t, "calm")
 	b.Faults = append(b.Faults, Fault{At: Span(time.Second), What: "die", Nodes: 3, For: Span(time.Second)})
 	b.Fleet.Nodes[0].Count++
 	p, q := Draw(a, 5), Draw(b, 5)
@@ -116,7 +116,7 @@
 
 // The drawn rate, shares and mean work are those of the scenario file.
 func TestDrawnFigures(t *testing.T) {
-	s := shipped(t, "calm")
+	s := loadShipped(t, "calm")
 	s.Length = Span(20 * time.Minute)
 	s.Traffic.Jumps = []Jump{{At: Span(5 * time.Minute), For: Span(5 * time.Minute), Times: 2}}
 	p := Draw(s, 11)
@@ -151,33 +151,33 @@
 	}
 	good := string(data)
 	for name, c := range map[string]struct{ old, new, want string }{
-		"an unknown key":       {"seed = 7", "sead = 7", "morning.toml:4: unknown key sead (did you mean seed?)"},
-		"one deeper":           {"slots = 20", "slotts = 20", "unknown key fleet.nodes.slotts (did you mean slots?)"},
-		"no TOML":              {"seed = 7", "seed = = 7", "morning.toml:4:"},
-		"a wrong type":         {"seed = 7", `seed = "seven"`, "morning.toml:4:"},
-		"a wrong span":         {`length = "45s"`, `length = "45 fish"`, `"45 fish" is no span`},
-		"no length":            {`length = "45s"`, `length = "0s"`, "length"},
-		"an unknown fault":     {`what = "die"`, `what = "dei"`, "did you mean die?"},
-		"a fault too late":     {`at = "12s"`, `at = "99s"`, "within the length"},
-		"no share":             {"share = 0.25", "share = 1.25", "share"},
-		"an unknown effect":    {`effect = "unsafe"`, `effect = "fragile"`, "safe, keyed or unsafe"},
-		"no window":            {`window = "10s"`, "", "needs a window"},
-		"a class twice":        {`name = "bid"`, `name = "lot-list"`, "a duplicate"},
-		"no worth":             {"worth = 8", "worth = 0", "worth"},
-		"too many nodes":       {"count = 4", "count = 4000", "at most 200 are possible"},
-		"too many requests":    {"rate = 200", "rate = 2e6", "at most 2000000 are possible"},
-		"zones that are less":  {"zones = [0.4, 0.35, 0.25]", "zones = [0.4]", "1 shares for 3 zones"},
-		"a neighbour":          {"taken = 0.5", "taken = 1.5", "taken"},
-		"not a number":         {"rate = 200", "rate = nan", "rate"},
-		"a crowd of none":      {`what = "die"`, `what = "crowd"`, "connections from 1 to 5000"},
-		"a broken file":        {`what = "die"`, "what = \"retune\"\nhow = \"ctu\"", "did you mean cut?"},
-		"attempts beyond":      {`what = "die"`, "what = \"retune\"\nattempts = 9", "rules.max-attempts (4)"},
-		"two changes":          {`what = "die"`, "what = \"retune\"\nhow = \"cut\"\nattempts = 2", "either how or attempts"},
-		"someone else's":       {`what = "die"`, "what = \"die\"\nconnections = 9", `connections belongs to what = "crowd"`},
-		"a body of a safe one": {"answer-bytes = 4096", "body-bytes = 4096", "has no body"},
-		"a body beyond all":    {"answer-bytes = 256", "body-bytes = 99999999", "up to 33554432 is possible"},
-		"gone before it came":  {"answer-bytes = 256", "appears = \"9s\"\nvanishes = \"8s\"", "has to be later"},
-		"slow heads":           {"retries = 1", "slow-heads = 0.1", "needs slow-over"},
+		"an unknown key":         {"seed = 7", "sead = 7", "morning.toml:4: unknown key sead (did you mean seed?)"},
+		"a nested key":           {"slots = 20", "slotts = 20", "unknown key fleet.nodes.slotts (did you mean slots?)"},
+		"no TOML":                {"seed = 7", "seed = = 7", "morning.toml:4:"},
+		"a wrong type":           {"seed = 7", `seed = "seven"`, "morning.toml:4:"},
+		"a wrong span":           {`length = "45s"`, `length = "45 fish"`, `"45 fish" is no span`},
+		"no length":              {`length = "45s"`, `length = "0s"`, "length"},
+		"an unknown fault":       {`what = "die"`, `what = "dei"`, "did you mean die?"},
+		"a fault too late":       {`at = "12s"`, `at = "99s"`, "within the length"},
+		"no share":               {"share = 0.25", "share = 1.25", "share"},
+		"an unknown effect":      {`effect = "unsafe"`, `effect = "fragile"`, "safe, keyed or unsafe"},
+		"no window":              {`window = "10s"`, "", "needs a window"},
+		"a duplicate class":      {`name = "bid"`, `name = "lot-list"`, "a duplicate"},
+		"no worth":               {"worth = 8", "worth = 0", "worth"},
+		"too many nodes":         {"count = 4", "count = 4000", "at most 200 are possible"},
+		"too many requests":      {"rate = 200", "rate = 2e6", "at most 2000000 are possible"},
+		"too few zone shares":    {"zones = [0.4, 0.35, 0.25]", "zones = [0.4]", "1 shares for 3 zones"},
+		"taken over 1":           {"taken = 0.5", "taken = 1.5", "taken"},
+		"not a number":           {"rate = 200", "rate = nan", "rate"},
+		"an empty crowd":         {`what = "die"`, `what = "crowd"`, "connections from 1 to 5000"},
+		"a broken file":          {`what = "die"`, "what = \"retune\"\nhow = \"ctu\"", "did you mean cut?"},
+		"too many attempts":      {`what = "die"`, "what = \"retune\"\nattempts = 9", "rules.max-attempts (4)"},
+		"two changes":            {`what = "die"`, "what = \"retune\"\nhow = \"cut\"\nattempts = 2", "either how or attempts"},
+		"another fault's key":    {`what = "die"`, "what = \"die\"\nconnections = 9", `connections belongs to what = "crowd"`},
+		"a body of a safe class": {"answer-bytes = 4096", "body-bytes = 4096", "has no body"},
+		"too large a body":       {"answer-bytes = 256", "body-bytes = 99999999", "up to 33554432 is possible"},
+		"vanishes too early":     {"answer-bytes = 256", "appears = \"9s\"\nvanishes = \"8s\"", "has to be later"},
+		"slow heads":             {"retries = 1", "slow-heads = 0.1", "needs slow-over"},
 	} {
 		text := strings.Replace(good, c.old, c.new, 1)
 		if text == good {
--- a/internal/rehearsal/process.go
+++ b/internal/rehearsal/process.go
@@ -107,7 +107,7 @@
 	attempts   int      // limit of attempts in its current settings
 
 	mu        sync.Mutex // held during a start or a shutdown
-	now       *process
+	current   *process
 	lifetimes []*Life
 	use       Usage
 }
@@ -122,27 +122,27 @@
 		p.log = f
 	}
 	env := []string{"NODE_CONFIG=" + p.config, "NODE_NAME=", "NODE_LISTEN=", "NODE_DISCOVERY=", "NODE_CONTROL=", "NODE_SOCKET_FD="}
-	door := ""
+	controlAddr := ""
 	if p.useControl {
 		addr, err := standin.Address()
 		if err != nil {
 			return err
 		}
-		door = addr
-		env = append(env, "NODE_CONTROL="+door)
+		controlAddr = addr
+		env = append(env, "NODE_CONTROL="+controlAddr)
 	}
 	var files []*os.File
 	if p.listener != nil {
 		files = append(files, p.listener) // descriptor 3
 		env = append(env, "NODE_SOCKET_FD=3", "TMPDIR="+p.temp)
 	}
-	now, err := startProcess(p.command, env, p.log, files...)
+	current, err := startProcess(p.command, env, p.log, files...)
 	if err != nil {
 		return err
 	}
-	now.controlAddr, now.life = door, &Life{Proxy: p.n, Start: at}
-	p.now = now
-	p.lifetimes = append(p.lifetimes, now.life)
+	current.controlAddr, current.life = controlAddr, &Life{Proxy: p.n, Start: at}
+	p.current = current
+	p.lifetimes = append(p.lifetimes, current.life)
 	return nil
 }
 
--- a/internal/rehearsal/registry.go
+++ b/internal/rehearsal/registry.go
@@ -20,7 +20,7 @@
 // one list per proxy.
 type registryList struct {
 	store   *standin.Registry
-	now     map[string]standin.Entry // intended entries by node id
+	entries map[string]standin.Entry // intended entries by node id
 	marks   []revisionAt
 	emptied bool
 }
@@ -36,16 +36,16 @@
 // updateList updates a node's entry in the discovery service and the registry.
 func (w *testbed) updateList(e standin.Entry) {
 	w.discovery.Put(e)
-	r := w.registry
+	r := w.registryList
 	if r == nil {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if e.Lifecycle == "Gone" {
-		delete(r.now, e.InstanceID)
+		delete(r.entries, e.InstanceID)
 	} else {
-		r.now[e.InstanceID] = e
+		r.entries[e.InstanceID] = e
 	}
 	if !r.emptied {
 		r.mark(w.clock.Now(), r.store.Txn(w.ops(e)...))
@@ -81,11 +81,11 @@
 
 // registryFault executes an event on the registry.
 func (w *testbed) registryFault(e Event) {
-	r := w.registry
+	r := w.registryList
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	all := func(gone bool) (ops []standin.RegistryOp) {
-		for _, n := range r.now {
+		for _, n := range r.entries {
 			if gone {
 				n.Lifecycle = "Gone"
 			}
--- a/internal/rehearsal/run.go
+++ b/internal/rehearsal/run.go
@@ -147,11 +147,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", s.Name, err)
 	}
-	asPlayed, tries := plan, load.records()
+	executed, tries := plan, load.records()
 	if s.Traffic.closed() {
-		asPlayed, tries = plan.asPlayed(s, load.began, tries)
+		executed, tries = plan.asPlayed(s, load.began, tries)
 	}
-	records := Records{Scenario: s, Plan: asPlayed, Tries: tries, Nodes: journal.Records(), Lives: w.lives(), Reloads: w.reloads}
+	records := Records{Scenario: s, Plan: executed, Tries: tries, Nodes: journal.Records(), Lives: w.lifetimes(), Reloads: w.reloads}
 	return w.report(records, o, start, load, began), nil
 }
 
--- a/internal/rehearsal/run_test.go
+++ b/internal/rehearsal/run_test.go
@@ -26,19 +26,19 @@
 // As a child process the test binary is a proxy, correct or faulty, or draws a plan.
 func TestMain(m *testing.M) {
 	if name := os.Getenv("REHEARSAL_TEST_DIGEST"); name != "" {
-		fmt.Println(Draw(shipped(&testing.T{}, name), 7).Digest())
+		fmt.Println(Draw(loadShipped(&testing.T{}, name), 7).Digest())
 		return
 	}
 	if kind := os.Getenv("REHEARSAL_TEST_PROXY"); kind != "" {
 		ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 		defer stop()
-		child(ctx, kind)
+		runTestProxy(ctx, kind)
 		return
 	}
 	goleak.VerifyTestMain(m)
 }
 
-func child(ctx context.Context, kind string) {
+func runTestProxy(ctx context.Context, kind string) {
 	path := os.Getenv("NODE_CONFIG")
 	var faults standin.Faults
 	switch kind {
@@ -48,7 +48,7 @@
 		fmt.Fprintln(os.Stderr, "it can't start today")
 		os.Exit(4)
 	case "stalls":
-		stall(ctx, path)
+		runStallingProxy(ctx, path)
 		return
 	default:
 		if err := json.Unmarshal([]byte(kind), &faults); err != nil {
@@ -61,8 +61,8 @@
 	}
 }
 
-// stall runs a proxy that reports to be ready and answers no other request.
-func stall(ctx context.Context, path string) {
+// runStallingProxy runs a proxy that reports to be ready and answers no other request.
+func runStallingProxy(ctx context.Context, path string) {
 	var c struct{ Listen string }
 	data, err := os.ReadFile(path)
 	if err == nil {
@@ -100,8 +100,8 @@
 	<-ctx.Done()
 }
 
-// short returns a scenario of a few seconds.
-func short() *Scenario {
+// shortScenario returns a scenario of a few seconds.
+func shortScenario() *Scenario {
 	s := defaults()
 	s.Name, s.Length, s.Proxies.Count = "short", Span(2500*ms), 2
 	s.Proxies.DeadAfter = Span(300 * ms)
@@ -124,8 +124,8 @@
 	return s
 }
 
-// play runs a scenario against proxies of the given kind, as child processes.
-func play(t *testing.T, s *Scenario, kind string) (*Report, string, error) {
+// playAgainst runs a scenario against proxies of the given kind, as child processes.
+func playAgainst(t *testing.T, s *Scenario, kind string) (*Report, string, error) {
 	t.Helper()
 	if err := s.Validate(); err != nil {
 		t.Fatal(err)
@@ -142,7 +142,7 @@
 	return rep, dir, err
 }
 
-func faulty(t *testing.T, f standin.Faults) string {
+func faultsJSON(t *testing.T, f standin.Faults) string {
 	t.Helper()
 	data, err := json.Marshal(f)
 	if err != nil {
@@ -186,11 +186,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			s := short()
+			s := shortScenario()
 			if c.change != nil {
 				c.change(s)
 			}
-			rep, dir, err := play(t, s, faulty(t, c.faults))
+			rep, dir, err := playAgainst(t, s, faultsJSON(t, c.faults))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -269,7 +269,7 @@
 			s.Faults = []Fault{{At: Span(300 * ms), What: "crowd", Connections: 50, For: Span(1500 * ms)}}
 		}, ""},
 	} {
-		s := short()
+		s := shortScenario()
 		c.change(s)
 		what := "large bodies"
 		if len(s.Faults) > 0 {
@@ -277,7 +277,7 @@
 		}
 		t.Run(c.name+", "+what, func(t *testing.T) {
 			t.Parallel()
-			rep, _, err := play(t, s, faulty(t, c.faults))
+			rep, _, err := playAgainst(t, s, faultsJSON(t, c.faults))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -295,9 +295,9 @@
 // A proxy that stalls doesn't delay arrivals: all requests are sent although none is answered.
 func TestOpenLoopUnderAStalledProxy(t *testing.T) {
 	t.Parallel()
-	s := short()
+	s := shortScenario()
 	s.Length = Span(1500 * ms) // all requests are planned before the first client gives up
-	rep, _, err := play(t, s, "stalls")
+	rep, _, err := playAgainst(t, s, "stalls")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -312,7 +312,7 @@
 // A proxy that exits by itself is reported as a crash, with its exit status; the run continues to its end.
 func TestCrashedProxy(t *testing.T) {
 	t.Parallel()
-	rep, _, err := play(t, short(), "dies")
+	rep, _, err := playAgainst(t, shortScenario(), "dies")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -324,11 +324,11 @@
 // A proxy that can't start ends the run at once, with an error that contains the proxy's output.
 func TestFailedStart(t *testing.T) {
 	t.Parallel()
-	_, _, err := play(t, short(), "never")
+	_, _, err := playAgainst(t, shortScenario(), "never")
 	if err == nil || !strings.Contains(err.Error(), "it can't start today") {
 		t.Errorf("got error %v", err)
 	}
-	s := short()
+	s := shortScenario()
 	_, err = Run(t.Context(), s, Options{Seed: 1, Command: []string{filepath.Join(t.TempDir(), "nothing")}})
 	if err == nil || !strings.Contains(err.Error(), "nothing") {
 		t.Errorf("missing program: %v", err)
@@ -338,7 +338,7 @@
 // Requests in flight at a killed proxy don't count as lost, and a restarted proxy can be given the old node list.
 func TestRestartsWithAnOldList(t *testing.T) {
 	t.Parallel()
-	s := short()
+	s := shortScenario()
 	s.Length = Span(5 * time.Second)
 	s.Faults = []Fault{
 		{At: Span(500 * ms), What: "replace", Nodes: 1},
@@ -346,7 +346,7 @@
 		{At: Span(1200 * ms), What: "kill", Proxies: []int{0}, For: Span(500 * ms), Known: "start"},
 		{At: Span(2500 * ms), What: "term", Proxies: []int{1}, For: Span(300 * ms)},
 	}
-	rep, dir, err := play(t, s, faulty(t, standin.Faults{}))
+	rep, dir, err := playAgainst(t, s, faultsJSON(t, standin.Faults{}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -372,7 +372,7 @@
 
 // Everything that a run started has stopped when it returns, also when it was interrupted.
 func TestInterruptedRunStopsEverything(t *testing.T) {
-	s := short()
+	s := shortScenario()
 	ctx, cancel := context.WithCancel(t.Context())
 	self, err := os.Executable()
 	if err != nil {
@@ -380,7 +380,7 @@
 	}
 	dir := t.TempDir()
 	_, err = Run(ctx, s, Options{
-		Seed: 1, Out: dir, Command: []string{"/usr/bin/env", "REHEARSAL_TEST_PROXY=" + faulty(t, standin.Faults{}), self},
+		Seed: 1, Out: dir, Command: []string{"/usr/bin/env", "REHEARSAL_TEST_PROXY=" + faultsJSON(t, standin.Faults{}), self},
 		Progress: func(p Progress) {
 			if p.Phase == "playing" {
 				cancel()
--- a/internal/rehearsal/scenario.go
+++ b/internal/rehearsal/scenario.go
@@ -240,7 +240,7 @@
 	MaxRetryAfter Span `toml:"max-retry-after"`
 }
 
-// Fault describes a failure or an operator's action at a given time.
+// Fault describes a failure, or an operator's action, at a given time.
 type Fault struct {
 	At          Span    `toml:"at"`
 	What        string  `toml:"what"`
@@ -268,31 +268,31 @@
 // faultKinds lists the kinds of fault with a description of each, for help and error messages.
 var faultKinds = []struct{ What, Does string }{
 	{"die", "nodes' processes end and come back cold after `for`"},
-	{"vanish", "nodes are cut off: silence, until `for` is over"},
+	{"vanish", "nodes are cut off from the network until `for` is over"},
 	{"slow", "nodes run `times` slower"},
 	{"neighbour", "another program takes `taken` of the nodes' machines"},
-	{"drain", "nodes are listed as terminating, turn new work away, and end after `for`"},
+	{"drain", "nodes are listed as terminating, reject new work, and end after `for`"},
 	{"replace", "nodes end; others start cold at their addresses under new ids"},
 	{"errors", "nodes answer `rate` of their requests with 500"},
-	{"spoil", "nodes spoil `rate` of their answers, `how` = noise, cut, huge or empty"},
-	{"partial", "nodes serve `class` badly (or what has `above-bytes` or more), `rate` of it: `how` = slow (`times`), silent or errors"},
+	{"spoil", "nodes corrupt `rate` of their answers, `how` = noise, cut, huge or empty"},
+	{"partial", "nodes fail for `rate` of `class` (or of answers of `above-bytes` or more): `how` = slow (`times`), silent or errors"},
 	{"stale", "connections idle for `idle` are reset at their next request, `rate` of them"},
-	{"new-resets", "`rate` of the new connections are reset in their first request"},
-	{"closes", "`rate` of the connections are closed right behind an answer"},
-	{"drops", "something between drops connections idle for `idle` without a word"},
+	{"new-resets", "`rate` of the new connections are reset during their first request"},
+	{"closes", "`rate` of the connections are closed right after an answer"},
+	{"drops", "a middlebox silently drops connections idle for `idle`"},
 	{"kill", "proxies get SIGKILL and start again after `for`, with the list `known` (last or start)"},
-	{"term", "proxies get SIGTERM, finish, and start again after `for`"},
-	{"upgrade", "a new process of each proxy starts beside the old one on one listener, which then gets SIGTERM"},
-	{"crowd", "`connections` are opened to each proxy within `for`, and opened anew where they end; none asks anything whole"},
-	{"retune", "the proxies' files change and they get SIGHUP: `attempts`, or broken files by `how` = empty, cut, short, deadline or attempts"},
-	{"split", "no word passes between these proxies and the others of their fleet, until `for` is over"},
-	{"discovery-late", "the list comes `by` later to the proxies"},
-	{"discovery-silent", "the list's watches say nothing"},
-	{"discovery-down", "the list's watches end and calls fail"},
+	{"term", "proxies get SIGTERM, shut down gracefully, and start again after `for`"},
+	{"upgrade", "a new process of each proxy starts on the listener of the old one, which then gets SIGTERM"},
+	{"crowd", "`connections` are opened to each proxy within `for`, and reopened when closed; none sends a complete request"},
+	{"retune", "the proxies' settings files change and they get SIGHUP: a new limit `attempts`, or a broken file, `how` = empty, cut, short, deadline or attempts"},
+	{"split", "these proxies are partitioned from the others of their fleet until `for` is over"},
+	{"discovery-late", "updates of the node list reach the proxies `by` later"},
+	{"discovery-silent", "watches of the node list send nothing"},
+	{"discovery-down", "watches of the node list end and calls fail"},
 	{"registry-lost", "the registry is cut off until `for` is over"},
 	{"registry-emptied", "the registry's list is empty until `for` is over"},
-	{"registry-restored", "the registry is restored from a backup, `by` old, with another history; put right after `for`"},
-	{"registry-compacted", "the registry forgets all changes so far, and its watches end"},
+	{"registry-restored", "the registry is restored from a backup, `by` old, with another history; repaired after `for`"},
+	{"registry-compacted", "the registry compacts its history, and its watches end"},
 }
 
 // brokenHows lists the ways to break a settings file: empty, truncated, without a required key, or with
--- a/internal/rehearsal/score_test.go
+++ b/internal/rehearsal/score_test.go
@@ -10,7 +10,7 @@
 	"marlreel/internal/standin"
 )
 
-func near(t *testing.T, what string, got, want float64) {
+func checkNear(t *testing.T, what string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-9 {
 		t.Errorf("%s is %v, want %v", what, got, want)
@@ -20,20 +20,20 @@
 // Three requests worth 1, 8 and 2: the listing is served in time, the bid late, and the pickup
 // is refused and then served on the client's retry.
 func TestServiceByHand(t *testing.T) {
-	r := doctored()
+	r := correctRecords()
 	r.Plan.Requests[2].IDs = []string{"c", "c2"}
 	r.Tries[1].Ended = 1500 * ms // the bid's target is 400 ms
 	r.Tries[2].Outcome, r.Tries[2].Status = Refused, 503
 	r.Tries = append(r.Tries, Try{Request: 2, N: 1, ID: "c2", Sent: 1300 * ms, Left: 3000 * ms, Ended: 1550 * ms, Outcome: Served, Status: 200})
 	s := Measure(r, 0)
-	near(t, "asked", s.Worth.Asked, 11)
-	near(t, "served", s.Worth.Served, 3)
-	near(t, "late", s.Worth.Late, 8)
-	near(t, "the worst window", s.WorstWindow, 3.0/11)
-	near(t, "the bids", s.Classes["bid"].Service, 0)
-	near(t, "the house", s.Houses["obala"].Service, 3.0/11)
-	near(t, "service", s.Service, 0.45*3/11+0.15*3/11+0.30*0+0.10*3/11)
-	near(t, "the pickups' p50", s.Classes["pickup"].P50, 550) // from the first try's planned time
+	checkNear(t, "asked", s.Worth.Asked, 11)
+	checkNear(t, "served", s.Worth.Served, 3)
+	checkNear(t, "late", s.Worth.Late, 8)
+	checkNear(t, "the worst window", s.WorstWindow, 3.0/11)
+	checkNear(t, "the bids", s.Classes["bid"].Service, 0)
+	checkNear(t, "the house", s.Houses["obala"].Service, 3.0/11)
+	checkNear(t, "service", s.Service, 0.45*3/11+0.15*3/11+0.30*0+0.10*3/11)
+	checkNear(t, "the pickups' p50", s.Classes["pickup"].P50, 550) // from the first try's planned time
 	if s.WorstClass != "bid" {
 		t.Errorf("the worst class is %s", s.WorstClass)
 	}
@@ -41,13 +41,13 @@
 
 // A request beyond its house's share is worth a tenth, and doesn't count for the house's service.
 func TestRequestOverShare(t *testing.T) {
-	r := doctored()
+	r := correctRecords()
 	r.Plan.Requests[1].Over = true
 	r.Tries[1].Outcome = Failed
 	s := Measure(r, 0)
-	near(t, "asked", s.Worth.Asked, 1+0.8+2)
-	near(t, "failed", s.Worth.Failed, 0.8)
-	near(t, "the house", s.Houses["obala"].Service, 1)
+	checkNear(t, "asked", s.Worth.Asked, 1+0.8+2)
+	checkNear(t, "failed", s.Worth.Failed, 0.8)
+	checkNear(t, "the house", s.Houses["obala"].Service, 1)
 }
 
 func TestWorstWindow(t *testing.T) {
@@ -59,12 +59,12 @@
 		}
 	}
 	worst, at := worstWindow(seconds)
-	near(t, "the worst ten seconds", worst, 0.5)
+	checkNear(t, "the worst ten seconds", worst, 0.5)
 	if at < 9*time.Second || at > 14*time.Second {
 		t.Errorf("from %v", at)
 	}
 	worst, _ = worstWindow(seconds[14:18])
-	near(t, "a run of four seconds", worst, 0)
+	checkNear(t, "a run of four seconds", worst, 0)
 }
 
 func TestPercentiles(t *testing.T) {
@@ -72,23 +72,23 @@
 	for i := 1; i <= 100; i++ {
 		all = append(all, time.Duration(i)*ms)
 	}
-	near(t, "p50", percentile(all, .5), 50)
-	near(t, "p99", percentile(all, .99), 99)
-	near(t, "max", percentile(all, 1), 100)
-	near(t, "of none", percentile(nil, .5), 0)
+	checkNear(t, "p50", percentile(all, .5), 50)
+	checkNear(t, "p99", percentile(all, .99), 99)
+	checkNear(t, "max", percentile(all, 1), 100)
+	checkNear(t, "of none", percentile(nil, .5), 0)
 }
 
 // Work on an attempt whose answer the client didn't get is wasted: here that of a second node for one request.
 func TestDeductions(t *testing.T) {
-	r := doctored()
+	r := correctRecords()
 	for i := range r.Plan.Requests {
 		r.Plan.Requests[i].Work = 50 * ms
 		r.Tries[i].Node = "s-1"
 	}
-	again(&r, "a", "s-3", "maribor", 1100*ms, standin.Ran).CrossesZone = true
+	addAttempt(&r, "a", "s-3", "maribor", 1100*ms, standin.Ran).CrossesZone = true
 	s := Measure(r, 0)
-	near(t, "waste", s.Deductions["work wasted"], 4*0.05/0.15)
-	near(t, "crossings", s.Deductions["data centres crossed"], 2.0/3)
+	checkNear(t, "waste", s.Deductions["work wasted"], 4*0.05/0.15)
+	checkNear(t, "crossings", s.Deductions["data centres crossed"], 2.0/3)
 }
 
 // Scripts rely on the names in report.json.
@@ -177,8 +177,8 @@
 		{"too little in a window", func(s []Worth) { fill(10, 21, 2, s); fill(21, 22, 6, s) }, 5},
 		{"never", func(s []Worth) { fill(10, 40, 2, s) }, -1},
 		{"only at the very end", func(s []Worth) { fill(10, 36, 2, s) }, -1},
-		{"nobody asks any more", func(s []Worth) { fill(10, 30, 2, s); clear(s[30:]) }, -1},
-		{"nobody asked before", func(s []Worth) { clear(s[:10]) }, -2},
+		{"no requests afterwards", func(s []Worth) { fill(10, 30, 2, s); clear(s[30:]) }, -1},
+		{"no requests before", func(s []Worth) { clear(s[:10]) }, -2},
 	} {
 		seconds := make([]Worth, 40)
 		fill(0, 40, 9, seconds)
@@ -188,7 +188,7 @@
 		case c.want == -2 && got != nil, c.want != -2 && got == nil:
 			t.Errorf("%s: %v", c.name, got)
 		case got != nil:
-			near(t, c.name, *got, c.want)
+			checkNear(t, c.name, *got, c.want)
 		}
 	}
 	if got := recovery(Records{Plan: &Plan{Events: plan.Events[2:]}}, make([]Worth, 40)); got != nil {
--- a/internal/rehearsal/service.go
+++ b/internal/rehearsal/service.go
@@ -68,7 +68,7 @@
 // one, as the platform does. A new process that doesn't become ready in time, or exits, is recorded as a crash.
 func (w *testbed) upgrade(ctx context.Context, p *proxy) error {
 	p.mu.Lock()
-	old := p.now
+	old := p.current
 	p.mu.Unlock()
 	if old == nil || old.ended() {
 		return nil
@@ -77,7 +77,7 @@
 		return err
 	}
 	p.mu.Lock()
-	next := p.now
+	next := p.current
 	p.mu.Unlock()
 	for until := time.Now().Add(readyTimeout); ; {
 		yes, _, _ := callControl(ctx, next.controlAddr, "ready")
@@ -95,7 +95,7 @@
 		if next.ended() || time.Now().After(until) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.now = old // the old process continues to serve
+			p.current = old // the old process continues to serve
 			if !next.ended() {
 				next.life.Term = w.clock.Now()
 				next.signal(os.Kill)
@@ -141,8 +141,8 @@
 // afterwards, as a later start of the proxy must find a good file.
 func (w *testbed) retune(ctx context.Context, p *proxy, e Event, start time.Duration) error {
 	p.mu.Lock()
-	now := p.now
-	if now == nil || now.ended() {
+	current := p.current
+	if current == nil || current.ended() {
 		p.mu.Unlock()
 		return nil
 	}
@@ -164,23 +164,23 @@
 	if !r.Good {
 		name, other = other, name
 	}
-	before, wrong := readCounter(ctx, now.controlAddr, name), readCounter(ctx, now.controlAddr, other)
+	before, wrong := readCounter(ctx, current.controlAddr, name), readCounter(ctx, current.controlAddr, other)
 	if err := replaceFile(p.config, text); err != nil {
 		return err
 	}
 	r.At = w.clock.Now()
-	now.signal(syscall.SIGHUP)
+	current.signal(syscall.SIGHUP)
 	for until := time.Now().Add(reloadTimeout); ; time.Sleep(20 * time.Millisecond) {
-		if n := readCounter(ctx, now.controlAddr, name); n > before && before >= 0 {
+		if n := readCounter(ctx, current.controlAddr, name); n > before && before >= 0 {
 			r.Taken = r.Good
 			break
 		}
-		if n := readCounter(ctx, now.controlAddr, other); n > wrong && wrong >= 0 {
+		if n := readCounter(ctx, current.controlAddr, other); n > wrong && wrong >= 0 {
 			r.Taken = !r.Good
 			break
 		}
-		if time.Now().After(until) || ctx.Err() != nil || now.ended() {
-			r.Silent = ctx.Err() == nil && !now.ended()
+		if time.Now().After(until) || ctx.Err() != nil || current.ended() {
+			r.Silent = ctx.Err() == nil && !current.ended()
 			break
 		}
 	}
--- a/internal/rehearsal/world.go
+++ b/internal/rehearsal/world.go
@@ -29,30 +29,30 @@
 	dir            string // folder for configurations and logs
 	serveUnplanned bool   // serve requests that are not in the plan too
 
-	discovery   *standin.Discovery
-	registry    *registryList // the node list in a registry, or nil
-	agents      []*standin.Agent
-	initialList standin.List // the node list at the start
-	groups      map[string]*standin.Group
-	demands     map[string]machine.Job
-	sizes       map[string]int // answer size by class
-	front       *standin.Front
-	proxies     []*proxy
-	mesh        *standin.Mesh // links between the proxies of a fleet, or nil
-	stopping    chan struct{} // closed at the end of the run: a proxy that exits after this has not crashed
+	discovery    *standin.Discovery
+	registryList *registryList // the node list in a registry, or nil
+	agents       []*standin.Agent
+	initialList  standin.List // the node list at the start
+	groups       map[string]*standin.Group
+	demands      map[string]machine.Job
+	sizes        map[string]int // answer size by class
+	front        *standin.Front
+	proxies      []*proxy
+	mesh         *standin.Mesh // links between the proxies of a fleet, or nil
+	stopping     chan struct{} // closed at the end of the run: a proxy that exits after this has not crashed
 
-	mu         sync.Mutex
-	nodes      []*standin.Node // by index in the plan; nil if not started
-	paths      [][]standin.Path
-	index      map[string]int       // index in the plan by node id
-	started    map[string]time.Time // time of the last cold start during the run, by node id
-	crashes    []string
-	networks   map[int]standin.Network // by index in the plan
-	fallen     map[string]bool         // nodes that failed from overload, which watch removes from the list
-	reloads    []Reload
-	crowdConns atomic.Int64 // connections opened by crowd faults
-	began      atomic.Int64 // start of the traffic; 0 before it
-	wg         sync.WaitGroup
+	mu           sync.Mutex
+	nodes        []*standin.Node // by index in the plan; nil if not started
+	paths        [][]standin.Path
+	index        map[string]int       // index in the plan by node id
+	coldStarts   map[string]time.Time // time of the last cold start during the run, by node id
+	crashes      []string
+	networks     map[int]standin.Network // by index in the plan
+	overloaded   map[string]bool         // nodes that failed from overload, which watch removes from the list
+	reloads      []Reload
+	crowdConns   atomic.Int64 // connections opened by crowd faults
+	trafficStart atomic.Int64 // start of the traffic; 0 before it
+	wg           sync.WaitGroup
 }
 
 // newTestbed starts everything except the proxies. The caller must call close, also after
@@ -60,8 +60,8 @@
 func newTestbed(s *Scenario, p *Plan, clock *standin.Clock, journal *standin.Journal, dir string) (*testbed, error) {
 	w := &testbed{
 		scenario: s, plan: p, clock: clock, journal: journal, dir: dir, groups: map[string]*standin.Group{},
-		demands: map[string]machine.Job{}, sizes: map[string]int{}, index: map[string]int{}, started: map[string]time.Time{},
-		fallen: map[string]bool{}, networks: map[int]standin.Network{}, stopping: make(chan struct{}), nodes: make([]*standin.Node, len(p.Nodes)),
+		demands: map[string]machine.Job{}, sizes: map[string]int{}, index: map[string]int{}, coldStarts: map[string]time.Time{},
+		overloaded: map[string]bool{}, networks: map[int]standin.Network{}, stopping: make(chan struct{}), nodes: make([]*standin.Node, len(p.Nodes)),
 		paths: make([][]standin.Path, len(p.Nodes)),
 	}
 	longest := time.Duration(0)
@@ -83,7 +83,7 @@
 		if err != nil {
 			return w, err
 		}
-		w.registry = &registryList{store: store, now: map[string]standin.Entry{}}
+		w.registryList = &registryList{store: store, entries: map[string]standin.Entry{}}
 	}
 	for i, n := range p.Nodes {
 		w.index[n.ID] = i
@@ -152,7 +152,7 @@
 	defer w.mu.Unlock()
 	w.nodes[i] = node
 	if !warm {
-		w.started[n.ID] = time.Now()
+		w.coldStarts[n.ID] = time.Now()
 	}
 	return nil
 }
@@ -199,7 +199,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	e := standin.Entry{InstanceID: n.ID, Zone: n.Zone, MachineType: n.Kind, Lifecycle: lifecycle, Weight: 1}
-	if at, known := w.started[n.ID]; known {
+	if at, known := w.coldStarts[n.ID]; known {
 		e.StartedAtMs = at.UnixMilli()
 	}
 	return e
@@ -251,8 +251,8 @@
 			p.rpc = addr
 		}
 		store := ""
-		if w.registry != nil {
-			store = w.registry.store.URL()
+		if w.registryList != nil {
+			store = w.registryList.store.URL()
 		}
 		if w.scenario.RPC() || len(w.scenario.Proxies.Own) > 0 || store != "" || w.mesh != nil {
 			own := filepath.Join(w.dir, proxyName(k)+".toml")
@@ -284,7 +284,7 @@
 		}
 		for _, p := range w.proxies {
 			p.mu.Lock()
-			ended := p.now.ended()
+			ended := p.current.ended()
 			p.mu.Unlock()
 			if ended {
 				return fmt.Errorf("proxy %s exited during startup: %s", proxyName(p.n), p.logTail())
@@ -309,12 +309,12 @@
 	if err := p.start(w.clock.Now()); err != nil {
 		return err
 	}
-	now := p.now
+	current := p.current
 	w.wg.Go(func() {
-		<-now.done
+		<-current.done
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if now.life.How != "" || now.life.Term != 0 {
+		if current.life.How != "" || current.life.Term != 0 {
 			return
 		}
 		select {
@@ -322,8 +322,8 @@
 			return
 		default:
 		}
-		p.recordEnd(now, w.clock.Now(), "crashed")
-		w.recordCrash(fmt.Sprintf("proxy %s ended by itself (%v): %s", proxyName(p.n), now.err, p.logTail()))
+		p.recordEnd(current, w.clock.Now(), "crashed")
+		w.recordCrash(fmt.Sprintf("proxy %s ended by itself (%v): %s", proxyName(p.n), current.err, p.logTail()))
 	})
 	return nil
 }
@@ -339,7 +339,7 @@
 
 // start returns the time at which the traffic began, or the current time if it has not begun yet.
 func (w *testbed) start() time.Duration {
-	if at := w.began.Load(); at > 0 {
+	if at := w.trafficStart.Load(); at > 0 {
 		return time.Duration(at)
 	}
 	return w.clock.Now()
@@ -362,23 +362,23 @@
 		}
 	}
 	p.mu.Lock()
-	if p.now.ended() {
+	if p.current.ended() {
 		p.mu.Unlock()
 		return nil // it has crashed, which startProxy has recorded
 	}
 	if e.What == "kill" {
-		p.now.signal(os.Kill)
-		p.now.life.Term = w.clock.Now() // so that startProxy doesn't record it as a crash
-		<-p.now.done
-		p.recordEnd(p.now, w.clock.Now(), "killed")
-		p.now.life.Term = 0
+		p.current.signal(os.Kill)
+		p.current.life.Term = w.clock.Now() // so that startProxy doesn't record it as a crash
+		<-p.current.done
+		p.recordEnd(p.current, w.clock.Now(), "killed")
+		p.current.life.Term = 0
 	} else {
-		p.now.life.Term = w.clock.Now()
+		p.current.life.Term = w.clock.Now()
 		how := "ended"
-		if p.now.terminate(w.longest() + 700*time.Millisecond) {
+		if p.current.terminate(w.longest() + 700*time.Millisecond) {
 			how = "too slow to end" // its requests in flight are lost
 		}
-		p.recordEnd(p.now, w.clock.Now(), how)
+		p.recordEnd(p.current, w.clock.Now(), how)
 	}
 	p.mu.Unlock()
 	if e.Until == 0 {
@@ -403,7 +403,7 @@
 
 // play executes the plan's events at their times, relative to start.
 func (w *testbed) play(ctx context.Context, start time.Duration) error {
-	w.began.Store(int64(start))
+	w.trafficStart.Store(int64(start))
 	failed := make(chan error, len(w.plan.Events)+1)
 	var restarts sync.WaitGroup
 	defer restarts.Wait()
@@ -494,8 +494,8 @@
 		}
 		if !e.Warm {
 			w.mu.Lock()
-			w.started[n.ID()] = time.Now()
-			delete(w.fallen, n.ID())
+			w.coldStarts[n.ID()] = time.Now()
+			delete(w.overloaded, n.ID())
 			w.mu.Unlock()
 		}
 	case "vanish":
@@ -573,8 +573,8 @@
 		for _, p := range w.proxies {
 			// The lock is held during a restart, which may take seconds: skip the proxy instead of waiting.
 			if p.mu.TryLock() {
-				if !p.now.ended() {
-					p.now.updatePeakMemory()
+				if !p.current.ended() {
+					p.current.updatePeakMemory()
 				}
 				p.mu.Unlock()
 			}
@@ -586,9 +586,9 @@
 			}
 			n.Sample()
 			w.mu.Lock()
-			fell := n.State() == "fallen" && !w.fallen[n.ID()]
+			fell := n.State() == "fallen" && !w.overloaded[n.ID()]
 			if fell {
-				w.fallen[n.ID()] = true
+				w.overloaded[n.ID()] = true
 			}
 			w.mu.Unlock()
 			if fell {
@@ -611,13 +611,13 @@
 		all.Go(func() {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			if p.now == nil {
+			if p.current == nil {
 				return
 			}
-			if !p.now.ended() {
-				p.now.terminate(w.longest() + 700*time.Millisecond)
+			if !p.current.ended() {
+				p.current.terminate(w.longest() + 700*time.Millisecond)
 			}
-			p.recordEnd(p.now, w.clock.Now(), "ended")
+			p.recordEnd(p.current, w.clock.Now(), "ended")
 			if p.listener != nil {
 				p.listener.Close()
 				os.RemoveAll(p.temp)
@@ -642,8 +642,8 @@
 	if w.discovery != nil {
 		w.discovery.Close()
 	}
-	if w.registry != nil {
-		w.registry.store.Close()
+	if w.registryList != nil {
+		w.registryList.store.Close()
 	}
 	for _, n := range w.nodes {
 		if n != nil {
@@ -652,7 +652,7 @@
 	}
 }
 
-func (w *testbed) lives() []Life {
+func (w *testbed) lifetimes() []Life {
 	var all []Life
 	for _, p := range w.proxies {
 		for _, l := range p.lifetimes {
