--- a/internal/simwire/compatibility_test.go
+++ b/internal/simwire/compatibility_test.go
@@ -16,8 +16,8 @@
 	"marlreel/internal/testing/recorded"
 )
 
-// Every key of the platform's settings is read under its name: without it, the settings are others. The names
-// are those of the users' pages, and of the recorded file.
+// Every key of the platform's settings takes effect: leaving it out changes the parsed settings. The names are those
+// of the user documentation and of the recorded file.
 func TestCompatibilitySettingsKeys(t *testing.T) {
 	file := recorded.Read(t, "settings.json")
 	var tree map[string]any
@@ -39,24 +39,24 @@
 		}
 		return b.String()
 	}
-	// The adapter gets the same settings as lines of text.
+	// The simulator's adapter gets the same settings as lines of text.
 	recorded.Check(t, "settings.txt", text(""))
 	if lines, err := ParseBootInfo(text("")); err != nil || !reflect.DeepEqual(lines, complete) {
-		t.Errorf("lines of text are read otherwise than JSON: %v\n got %+v\nwant %+v", err, lines, complete)
+		t.Errorf("lines of text and JSON give different settings: %v\n got %+v\nwant %+v", err, lines, complete)
 	}
-	// A list of objects is read by its items, and a list of words as one text.
+	// A list of objects is parsed by its items, and a list of words as one text.
 	composite := map[string]bool{"Services": true, "Tenants": true, "Feedback.Names.count": true, "Feedback.Names.0": true, "Feedback.Names.1": true}
 	for key := range flat.values {
 		if composite[key] {
 			continue
 		}
 		if got, err := ParseBootInfo(text(key)); err == nil && reflect.DeepEqual(got, complete) {
-			t.Errorf("%s is not read", key)
+			t.Errorf("removing %s changes nothing: it is not parsed", key)
 		}
 	}
 }
 
-// The words that settings may have, each read as something of its own.
+// Each word that a setting allows gives a different configuration.
 func TestCompatibilitySettingsWords(t *testing.T) {
 	for key, words := range map[string][]string{
 		"WorthBy": {"request", "work"}, "Discovery": {"pushed", "on_request"}, "Weights": {"off", "nominal", "live"},
@@ -70,7 +70,7 @@
 				t.Errorf("%s=%s: %v", key, word, err)
 			}
 			if slices.ContainsFunc(seen, func(o balancer.Config) bool { return reflect.DeepEqual(o, c) }) {
-				t.Errorf("%s=%s is read like another word", key, word)
+				t.Errorf("%s=%s gives the same configuration as another word", key, word)
 			}
 			seen = append(seen, c)
 		}
@@ -83,11 +83,11 @@
 	rough, _ := ParseBootInfo("Weights=rough")
 	nominal, _ := ParseBootInfo("Weights=nominal")
 	if !reflect.DeepEqual(rough, nominal) {
-		t.Error("Weights=rough is not read like nominal")
+		t.Error("Weights=rough and Weights=nominal give different configurations")
 	}
 }
 
-// Each action of a reply, as recorded bytes.
+// Each action of a reply is encoded as the recorded bytes.
 func TestCompatibilityActions(t *testing.T) {
 	var got bytes.Buffer
 	for _, c := range []struct {
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -11,12 +11,12 @@
 
 const (
 	backendRowBytes = 23
-	// The longest time that a Duration is asked to hold, so that sums of a few stay in range.
+	// Bounds every decoded time, so that the sum of several still fits a time.Duration.
 	maxMillis = 1e12
 )
 
-// decoder reads the fields of records. After an error it gives zeros and moves no further, so that a record is
-// decoded without a check after each field.
+// decoder reads the fields of records. After an error it returns zero values and stops advancing, so that callers
+// needn't check for an error after each field.
 type decoder struct {
 	data          []byte
 	offset        int
@@ -27,7 +27,7 @@
 
 var noBytes [8]byte
 
-// take gives the next n bytes, or after an error zeros for a field and nothing for a text.
+// take returns the next n bytes. After an error it returns zeros for n up to 8 (any fixed-size field), else nil.
 func (d *decoder) take(n int) []byte {
 	if d.err == nil && n > len(d.data)-d.offset {
 		d.err = ErrTruncatedRecord
@@ -68,7 +68,7 @@
 	}
 }
 
-// durationFromMillis rounds to the simulator's microseconds.
+// durationFromMillis converts milliseconds, rounded to microseconds, the simulator's resolution.
 func durationFromMillis(ms float64) (time.Duration, error) {
 	if math.IsNaN(ms) || math.Abs(ms) > maxMillis {
 		return 0, fmt.Errorf("time %v ms is out of range", ms)
@@ -85,7 +85,7 @@
 	return d.loadBuffer
 }
 
-// The meanings of codes on the wire.
+// resultsByCode is indexed by the outcome code on the wire.
 var resultsByCode = [...]balancer.Result{
 	balancer.Error, balancer.OK, balancer.Rejected, balancer.Timeout,
 	balancer.ConnectFailed, balancer.Reset, balancer.Cancelled, balancer.NotSent,
@@ -100,8 +100,10 @@
 	return resultsByCode[code]
 }
 
+// statesByCode is indexed by the availability code on the wire.
 var statesByCode = [...]balancer.State{balancer.Gone, balancer.Ready, balancer.Draining}
 
+// listKindsByCode is indexed by the list mode on the wire.
 var listKindsByCode = [...]balancer.MembershipKind{balancer.MembershipDelta, balancer.MembershipFull, balancer.MembershipCached, balancer.MembershipFailed}
 
 func (d *decoder) membership() balancer.Membership {
@@ -140,7 +142,7 @@
 	return row
 }
 
-// The flags of a request.
+// Flag bits of a request record.
 const (
 	flagCostKnown   = 1
 	flagClientRetry = 2
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -13,31 +13,31 @@
 	"marlreel/internal/balancer"
 )
 
-// EventCode is an event's record code.
+// EventCode is the record code of an event.
 type EventCode uint8
 
-// The events, by what the balancer is told.
+// The record codes of events.
 const (
-	EventInit        EventCode = 1  // an instance starts
-	EventMembership  EventCode = 2  // the list of backends, or a change of it
-	EventRequest     EventCode = 3  // a client's request
-	EventFirstByte   EventCode = 4  // an attempt's answer begins
-	EventAttemptEnd  EventCode = 5  // an attempt has ended
-	EventClientGone  EventCode = 6  // the client has given a request up
-	EventTimer       EventCode = 7  // a timer has fired
-	EventHealthCheck EventCode = 8  // a health check has ended
+	EventInit        EventCode = 1  // an instance is created
+	EventMembership  EventCode = 2  // the backend list, or a delta to it
+	EventRequest     EventCode = 3  // a client sent a request
+	EventFirstByte   EventCode = 4  // the first byte of an attempt's response arrived
+	EventAttemptEnd  EventCode = 5  // an attempt ended
+	EventClientGone  EventCode = 6  // the client abandoned a request
+	EventTimer       EventCode = 7  // a timer fired
+	EventHealthCheck EventCode = 8  // a health check ended
 	EventPeerMessage EventCode = 9  // another instance sent a message
-	EventDestroy     EventCode = 10 // an instance ends
+	EventDestroy     EventCode = 10 // an instance is destroyed
 
-	eventSelectInstance EventCode = 11 // the records after it are for the instance that it names
+	eventSelectInstance EventCode = 11 // sets the instance for the records that follow
 )
 
 const (
 	batchHeaderBytes = 20
-	readChunkBytes   = 1 << 20 // a length field isn't believed before the bytes are there
+	readChunkBytes   = 1 << 20 // limits allocation ahead of the data, as a length field may be wrong
 )
 
-// Batch is a frame of events, all at one time.
+// Batch is a frame of events that share one timestamp.
 type Batch struct {
 	Sequence    uint32
 	Now         time.Duration // the simulator's clock
@@ -45,8 +45,8 @@
 	body        []byte
 }
 
-// Event is one decoded record. Which fields have a meaning follows from Code; slices are good until the next event
-// is decoded.
+// Event is one decoded record. Code determines which fields are set; slices are valid until the next event is
+// decoded.
 type Event struct {
 	Code        EventCode
 	Instance    uint16
@@ -62,9 +62,9 @@
 	PeerMessage balancer.PeerMessage
 }
 
-// ReadBatch reads a frame, using buf's space if it suffices, and gives the space that it used. The error is io.EOF
-// only if the input ended between frames; a frame that ends early is a *TruncatedFrameError, which errors.Is doesn't
-// take for io.EOF.
+// ReadBatch reads a frame into buf, which it reallocates if it is too small, and returns the buffer for reuse. The error
+// is io.EOF only if the input ended between frames. A frame that ends early gives a *TruncatedFrameError, which does not
+// match io.EOF with errors.Is.
 func ReadBatch(r io.Reader, buf []byte) (Batch, []byte, error) {
 	var header [batchHeaderBytes]byte
 	n, err := io.ReadFull(r, header[:])
@@ -90,7 +90,7 @@
 	return b, b.body, nil
 }
 
-// readBody appends size bytes to buf, and grows it no further than bytes come in. With an error it gives what came.
+// readBody appends size bytes to buf, growing it only as data arrives. On an error it returns the bytes read so far.
 func readBody(r io.Reader, buf []byte, size int) ([]byte, error) {
 	for len(buf) < size {
 		start, step := len(buf), min(readChunkBytes, size-len(buf))
@@ -106,15 +106,16 @@
 	return buf, nil
 }
 
-// TruncatedFrameError is a frame whose bytes can't all be read.
+// TruncatedFrameError reports a frame that could not be read to its end.
 type TruncatedFrameError struct {
-	Part string // what is there
-	Err  error  // of the reader
+	Part string // describes how much was read
+	Err  error  // from the reader
 }
 
 func (e *TruncatedFrameError) Error() string { return e.Part + ": " + e.Err.Error() }
 
-// Unwrap gives the reader's error, but for io.EOF, which is an end between frames and no fault.
+// Unwrap returns the reader's error, with io.EOF replaced by io.ErrUnexpectedEOF: callers take io.EOF for a clean end of
+// input between frames.
 func (e *TruncatedFrameError) Unwrap() error {
 	if errors.Is(e.Err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -122,10 +123,10 @@
 	return e.Err
 }
 
-// RecordError is a record that can't be decoded, or that its handler rejects with Err.
+// RecordError reports a record that can't be decoded, or that its handler rejected with Err.
 type RecordError struct {
 	Batch  uint32 // its sequence number
-	Record uint32 // from 0, instance selections counted
+	Record uint32 // from 0, counting instance selections
 	Offset int    // bytes from the start of the frame's body
 	Code   EventCode
 	Err    error
@@ -137,17 +138,17 @@
 
 func (e *RecordError) Unwrap() error { return e.Err }
 
-// What can be wrong with a frame, apart from numbers out of range.
+// Errors in a frame, apart from values out of range.
 var (
-	ErrTruncatedRecord = errors.New("record goes past the end of the frame")
+	ErrTruncatedRecord = errors.New("record extends past the end of the frame")
 	ErrUnknownRecord   = errors.New("unknown record code")
-	ErrNoInstance      = errors.New("no instance named before it")
-	ErrNotFinite       = errors.New("a number is not finite")
+	ErrNoInstance      = errors.New("no instance selected before this record")
+	ErrNotFinite       = errors.New("number is not finite")
 	ErrFrameLength     = errors.New("wrong length")
 )
 
-// Each decodes the events in order and hands them to handle. It stops at the first error, which is a *RecordError,
-// or wraps ErrFrameLength for bytes after the last record.
+// Each decodes the events in order and passes them to handle. It stops at the first error, which is a *RecordError,
+// or wraps ErrFrameLength if bytes follow the last record.
 func (b Batch) Each(handle func(*Event) error) error {
 	d := decoder{data: b.body}
 	var event Event
--- a/internal/simwire/frame_test.go
+++ b/internal/simwire/frame_test.go
@@ -14,7 +14,7 @@
 	"marlreel/internal/balancer"
 )
 
-// raw builds little-endian bytes; a float64 is written as such, an int as one byte.
+// raw encodes fields as little-endian bytes; an int is written as one byte.
 func raw(fields ...any) []byte {
 	var buf bytes.Buffer
 	for _, f := range fields {
@@ -38,7 +38,7 @@
 	return raw(seq, clock, uint32(len(body)), records, body)
 }
 
-// events decodes a frame; slices are copied as the contract demands.
+// events decodes a frame. It copies slices, as they are only valid until the next event is decoded.
 func events(t testing.TB, data []byte) ([]Event, error) {
 	t.Helper()
 	b, _, err := ReadBatch(bytes.NewReader(data), nil)
@@ -59,7 +59,7 @@
 
 const ms = time.Millisecond
 
-// eventLayout is a record's bytes, and what part of the event they make.
+// eventLayout pairs the bytes of a record with the part of the event that they decode to.
 type eventLayout struct {
 	name   string
 	record []byte
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestEveryEventByItsLayout(t *testing.T) {
+func TestEventLayouts(t *testing.T) {
 	for _, c := range eventLayouts() {
 		evs, err := events(t, batch(1, 5, 2, raw(11, uint16(3), c.record)))
 		if err != nil || len(evs) != 1 || evs[0].Instance != 3 {
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestMalformedFramesAreErrorsThatSayWhere(t *testing.T) {
+func TestMalformedFrameErrorsNameThePosition(t *testing.T) {
 	good := raw(11, uint16(3), 7, uint64(1))
 	for _, c := range []struct {
 		name string
@@ -148,15 +148,15 @@
 	}{
 		{"half a header", batch(1, 0, 0, nil)[:7], "header has 7 of 20"},
 		{"half a body", batch(1, 0, 2, good)[:25], "5 of 12 bytes"},
-		{"bytes too many", batch(4, 0, 1, good), "batch 4, byte 3: wrong length"},
-		{"a record too many", batch(1, 0, 3, good), "record 2 at byte 12"},
+		{"bytes after the last record", batch(4, 0, 1, good), "batch 4, byte 3: wrong length"},
+		{"one record missing", batch(1, 0, 3, good), "record 2 at byte 12"},
 		{"unknown record", batch(1, 0, 2, raw(11, uint16(3), 99)), "record 1 at byte 3 (code 99): unknown"},
 		{"no instance", batch(1, 0, 1, raw(7, uint64(1))), "no instance"},
 		{"unknown outcome", batch(1, 0, 2, raw(11, uint16(0), 8, uint32(1), 8, 0.0, 0)), "unknown outcome 8"},
 		{"unknown mode", batch(1, 0, 2, raw(11, uint16(0), 2, 4, uint32(0), uint32(0))), "unknown list mode"},
-		{"a list that is not there", batch(1, 0, 2, raw(11, uint16(0), 2, 1, uint32(0), uint32(1<<31))), "past the end"},
-		{"a text that is not there", batch(1, 0, 2, raw(11, uint16(0), 1, uint64(0), uint32(1<<31))), "past the end"},
-		{"a clock that is no number", batch(1, math.NaN(), 0, nil), "clock"},
+		{"list longer than the frame", batch(1, 0, 2, raw(11, uint16(0), 2, 1, uint32(0), uint32(1<<31))), "past the end"},
+		{"text longer than the frame", batch(1, 0, 2, raw(11, uint16(0), 1, uint64(0), uint32(1<<31))), "past the end"},
+		{"clock is not a number", batch(1, math.NaN(), 0, nil), "clock"},
 		{"a time out of range", batch(1, 0, 2, raw(11, uint16(0), 8, uint32(1), 1, 1e300, 0)), "out of range"},
 	} {
 		_, err := events(t, c.data)
@@ -169,7 +169,7 @@
 	}
 }
 
-func TestAFrameOfMegabytes(t *testing.T) {
+func TestFrameOfMegabytes(t *testing.T) {
 	body := raw(11, uint16(0))
 	one := raw(7, uint64(5))
 	const n = 400_000
@@ -182,7 +182,7 @@
 	}
 }
 
-func TestEveryActionByItsLayout(t *testing.T) {
+func TestActionLayouts(t *testing.T) {
 	var r Reply
 	for _, c := range []struct {
 		name string
@@ -226,8 +226,8 @@
 	}
 }
 
-// An end within a frame is never taken for the end of the input, wherever it comes.
-func TestATruncatedFrameIsNoEndOfInput(t *testing.T) {
+// Input that ends within a frame, at any byte, must not look like a clean end of input.
+func TestTruncatedFrameIsNotEOF(t *testing.T) {
 	whole := batch(1, 0, 2, raw(11, uint16(3), 7, uint64(1)))
 	for length := 1; length < len(whole); length++ {
 		_, _, err := ReadBatch(bytes.NewReader(whole[:length]), nil)
@@ -245,7 +245,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		_, err := events(t, data)
 		if err != nil && !errors.Is(err, io.EOF) && strings.Contains(err.Error(), "\n") {
-			t.Errorf("more than one line: %q", err)
+			t.Errorf("error message has more than one line: %q", err)
 		}
 	})
 }
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -8,7 +8,7 @@
 	"marlreel/internal/balancer"
 )
 
-// The actions' record codes, by the method of balancer.Host.
+// The record codes of actions, one for each method of balancer.Host.
 const (
 	actionSend           = 1
 	actionReject         = 2
@@ -21,10 +21,10 @@
 	actionLog            = 9
 	actionWatch          = 11
 	actionFetch          = 12
-	actionSelectInstance = 13 // the records after it are of the instance that it names
+	actionSelectInstance = 13 // sets the instance for the records that follow
 )
 
-// Bounds of the length fields. What is longer is cut.
+// Frame header size and payload limits; longer payloads are truncated.
 const (
 	replyHeaderBytes    = 12
 	maxLogBytes         = 1<<16 - 1
@@ -35,25 +35,25 @@
 type Reply struct {
 	buf             []byte
 	recordCount     uint32
-	currentInstance int // of the last actionSelectInstance; -1: none
+	currentInstance int // from the last actionSelectInstance; -1 if there was none
 }
 
-// Reset begins the reply to a batch.
+// Reset starts the reply to the batch with this sequence number.
 func (r *Reply) Reset(seq uint32) {
 	r.buf = binary.LittleEndian.AppendUint32(r.buf[:0], seq)
 	r.buf = append(r.buf, make([]byte, replyHeaderBytes-4)...)
 	r.recordCount, r.currentInstance = 0, -1
 }
 
-// Bytes is the whole frame.
+// Bytes fills in the header and returns the whole frame.
 func (r *Reply) Bytes() []byte {
 	binary.LittleEndian.PutUint32(r.buf[4:], r.recordCount)
 	binary.LittleEndian.PutUint32(r.buf[8:], uint32(len(r.buf)-replyHeaderBytes))
 	return r.buf
 }
 
-// Actions appends one instance's actions to the reply; it is that instance's balancer.Host. The last argument of
-// Send isn't on this wire.
+// Actions is the balancer.Host of one instance: it appends the instance's actions to the reply. This protocol doesn't
+// carry the last argument of Send.
 type Actions struct {
 	Reply    *Reply
 	Instance uint16
--- a/internal/simwire/setting_types.go
+++ b/internal/simwire/setting_types.go
@@ -10,7 +10,8 @@
 	"marlreel/internal/balancer"
 )
 
-// maxListLength bounds a list's stated length: an index is one byte or four on the wire, and no list is longer.
+// maxListLength bounds the length that a list may state. Indexes take one byte or four on the wire, and no list
+// is longer than this.
 const maxListLength = 4096
 
 func (s *settings) weights() balancer.WeightKind {
@@ -46,7 +47,7 @@
 	}
 }
 
-// report lists the load metrics that backends send along, in the order of the wire.
+// report lists the load metrics that backends report, in wire order.
 func (s *settings) report() []balancer.ReportField {
 	if s.choice("Feedback.How", "off", "inline", "on_probe") == "off" {
 		return nil
@@ -68,7 +69,7 @@
 
 func (s *settings) text(key string) string { return s.values[key].text }
 
-// reject keeps the error of the first value that can't be read.
+// reject records an error for a value that can't be parsed; only the first one is kept.
 func (s *settings) reject(key, want string) {
 	if s.err != nil {
 		return
@@ -77,7 +78,7 @@
 	s.err = &SettingError{Line: v.line, Key: key, Text: v.text, Want: want}
 }
 
-// number reads a finite number.
+// number parses a finite number; an absent key gives the default.
 func (s *settings) number(key string, absent float64) float64 {
 	v, found := s.values[key]
 	if !found {
@@ -91,11 +92,11 @@
 	return n
 }
 
-// duration reads milliseconds; absent is 0.
+// duration parses milliseconds; an absent key gives 0.
 func (s *settings) duration(key string) time.Duration {
 	duration, err := durationFromMillis(s.number(key, 0))
 	if err != nil {
-		s.reject(key, "a span")
+		s.reject(key, "a duration within range")
 	}
 	return duration
 }
@@ -122,7 +123,7 @@
 	return s.choice(key, "false", "true") == "true"
 }
 
-// choice gives the setting if it is one of the allowed words, the first of which is the default.
+// choice returns the setting if it is one of the allowed words; the first of them is the default.
 func (s *settings) choice(key string, allowed ...string) string {
 	v, found := s.values[key]
 	if !found {
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -12,8 +12,8 @@
 	"marlreel/internal/balancer"
 )
 
-// settings are the values of one text or object, by the path of their key. Its methods read them as a type; the
-// first value that can't be read so is kept in err, and the methods go on with the default.
+// settings holds the values of one BootInfo text or JSON object by key path. Its methods parse a value as a given type.
+// For a value that can't be parsed they return the default, and err keeps the first such error.
 type settings struct {
 	values map[string]setting
 	err    error
@@ -24,12 +24,12 @@
 	line int // of a BootInfo text, from 1; 0 for a value of a JSON object
 }
 
-// SettingError is a setting that can't be read as its key needs it.
+// SettingError reports a setting whose value doesn't have the type that its key requires.
 type SettingError struct {
 	Line int    // of a BootInfo text, from 1; 0 for a value of a JSON object
-	Key  string // the whole path
+	Key  string // the full path
 	Text string // as it was given
-	Want string // what is needed in its place
+	Want string // describes a valid value
 }
 
 func (e *SettingError) Error() string {
@@ -40,7 +40,7 @@
 	return fmt.Sprintf("%s: %s=%q is not %s", where, e.Key, e.Text, e.Want)
 }
 
-// LineError is a line of a BootInfo text that is no setting.
+// LineError reports a line of a BootInfo text that is not a setting.
 type LineError struct {
 	Line int // from 1
 	Text string
@@ -50,9 +50,9 @@
 	return fmt.Sprintf("settings line %d: %q is not path=value", e.Line, e.Text)
 }
 
-// ParseBootInfo reads the settings of an instance, a line path=value each; times are in milliseconds. Unknown
-// keys are passed over, absent ones leave defaults: no capability is granted, a class isn't idempotent, the
-// membership is pushed, and a count is 1. Its errors are *LineError and *SettingError.
+// ParseBootInfo parses the settings of an instance, one path=value pair per line; times are in milliseconds. Unknown
+// keys are ignored. The defaults of absent keys are: no capability is granted, a class isn't idempotent, the
+// membership is pushed, and a count is 1. Errors are *LineError or *SettingError.
 func ParseBootInfo(text string) (balancer.Config, error) {
 	s := settings{values: map[string]setting{}}
 	number := 0
@@ -73,9 +73,9 @@
 	return c, s.err
 }
 
-// ParseSettings reads the same settings from the JSON object that a real proxy finds in its configuration. Names,
-// units and defaults are those of ParseBootInfo. A value that can't be read is a *SettingError; what is no JSON
-// object is the decoder's error, wrapped.
+// ParseSettings parses the same settings from the JSON object in a real proxy's configuration. Names, units and
+// defaults are those of ParseBootInfo. An invalid value gives a *SettingError; input that is not a JSON object gives
+// the decoder's error, wrapped.
 func ParseSettings(object []byte) (balancer.Config, error) {
 	decoder := json.NewDecoder(bytes.NewReader(object))
 	decoder.UseNumber()
@@ -89,8 +89,8 @@
 	return c, s.err
 }
 
-// flatten stores a JSON value under the path that it has in a BootInfo text. Lists of words are stored as one
-// text too, which is how a BootInfo text has them.
+// flatten stores a JSON value under the path that it has in a BootInfo text. A list is also stored as one
+// comma-separated text, the form in which a BootInfo text holds a list of words.
 func (s *settings) flatten(path string, value any) {
 	switch v := value.(type) {
 	case map[string]any:
@@ -108,7 +108,7 @@
 			texts[i] = fmt.Sprint(item)
 		}
 		s.values[path] = setting{text: strings.Join(texts, ",")}
-	case nil: // as if it were absent
+	case nil: // treated as absent
 	default:
 		s.values[path] = setting{text: fmt.Sprint(v)}
 	}
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestMalformedSettingsNameTheirLine(t *testing.T) {
+func TestMalformedSettingErrorsNameTheLine(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"Balancers=1\nnonsense", "line 2"},
 		{"=5", "line 1"},
@@ -69,12 +69,12 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		c, err := ParseBootInfo(text)
 		if err == nil && len(c.Classes) > maxListLength {
-			t.Error("a list longer than the bound")
+			t.Error("more classes than maxListLength allows")
 		}
 	})
 }
 
-// The JSON object of a real proxy's configuration means what the wire's text means.
+// The JSON object of a real proxy's configuration gives the same settings as the text on the wire.
 func TestSettingsFromJSON(t *testing.T) {
 	text := "Balancers=3\nTick=5.0\nCaps.Cancel=true\nCaps.ConnIdle=60000.0\nFeedback.How=inline\n" +
 		"Feedback.Names=busy_reqs,pending\nServices.count=2\nServices.0.Name=bid\nServices.0.Aim=400.0\n" +
@@ -98,7 +98,7 @@
 	}
 	for _, bad := range []string{`[]`, `{"Tick":"soon"}`, `{"Services":[{"Effect":"maybe"}]}`} {
 		if _, err := ParseSettings([]byte(bad)); err == nil {
-			t.Errorf("%s was taken", bad)
+			t.Errorf("%s was accepted", bad)
 		}
 	}
 }
