--- a/internal/experiment/analyse.go
+++ b/internal/experiment/analyse.go
@@ -39,7 +39,7 @@
 	Figures map[string]Sample `json:"figures"`
 	Absent  map[string]int    `json:"absent,omitempty"` // runs in which a figure did not come about
 	Steps   []Steps           `json:"steps,omitempty"`  // of the staircase
-	all     []row
+	counted []seedResult
 }
 
 // Steps is one step of the staircase over all runs.
@@ -49,7 +49,7 @@
 	Service Sample  `json:"service"`
 }
 
-type row struct {
+type seedResult struct {
 	seed   uint64
 	result *Result
 }
@@ -78,7 +78,7 @@
 					a.KitCPU += t.KitCPU
 				}
 				switch {
-				case open(tries):
+				case needsRun(tries):
 					a.Missing++
 				case tries[len(tries)-1].Void != "":
 					a.Lost++
@@ -95,31 +95,31 @@
 						continue
 					}
 					c.Runs++
-					c.all = append(c.all, row{seed, r})
+					c.counted = append(c.counted, seedResult{seed, r})
 				}
 			}
 			a.Void += c.Void
 			a.Breaks += c.Broken + c.Crashes
 			for _, f := range id.Figures {
 				var x []float64
-				for _, r := range c.all {
+				for _, r := range c.counted {
 					if v, there := r.result.Figures[f]; there && !math.IsNaN(v) {
 						x = append(x, v)
 					} else {
 						c.Absent[f]++
 					}
 				}
-				c.Figures[f] = Describe(x, lowIsBad(f))
+				c.Figures[f] = Describe(x, lowerIsWorse(f))
 			}
 			if id.Staircase != nil {
-				c.Steps = stepsOf(id.Staircase, c.all)
+				c.Steps = summarizeSteps(id.Staircase, c.counted)
 			}
 			a.Cells = append(a.Cells, c)
 		}
 	}
 	for arm := 1; arm < len(id.Arms); arm++ {
 		for l := range id.Levels {
-			a.Against = append(a.Against, against(id.Figures, a.cell(0, l), a.cell(arm, l)))
+			a.Against = append(a.Against, compareArms(id.Figures, a.cell(0, l), a.cell(arm, l)))
 		}
 	}
 	return a
@@ -127,7 +127,7 @@
 
 func (a *Analysis) cell(arm, level int) *Cell { return &a.Cells[arm*len(a.Identity.Levels)+level] }
 
-func stepsOf(s *Staircase, all []row) (steps []Steps) {
+func summarizeSteps(s *Staircase, all []seedResult) (steps []Steps) {
 	var climbs [][]Step
 	for _, r := range all {
 		climbs = append(climbs, s.Climb(r.result.Seconds))
@@ -145,17 +145,17 @@
 }
 
 // against pairs the runs of two arms by their seeds.
-func against(figures []string, first, second *Cell) Against {
+func compareArms(figures []string, first, second *Cell) Against {
 	g := Against{First: first.Arm, Second: second.Arm, Level: first.Level, Figures: map[string]Difference{}, LeftOut: map[string]int{}}
 	for n, f := range figures {
 		var diffs []float64
-		for _, r := range first.all {
-			k := slices.IndexFunc(second.all, func(o row) bool { return o.seed == r.seed })
+		for _, r := range first.counted {
+			k := slices.IndexFunc(second.counted, func(o seedResult) bool { return o.seed == r.seed })
 			if k < 0 {
 				continue
 			}
 			x, ok := r.result.Figures[f]
-			y, ok2 := second.all[k].result.Figures[f]
+			y, ok2 := second.counted[k].result.Figures[f]
 			if ok && ok2 {
 				diffs = append(diffs, y-x)
 			} else if ok != ok2 {
@@ -217,7 +217,7 @@
 	return lines
 }
 
-func number(v float64) string {
+func formatNumber(v float64) string {
 	if v == math.Trunc(v) && math.Abs(v) < 1e9 {
 		return strconv.FormatFloat(v, 'f', 0, 64)
 	}
@@ -237,7 +237,7 @@
 				t = append(t, []string{c.Arm, c.Level, f, "0", "-", "-", "-", "-", "-"})
 				continue
 			}
-			t = append(t, []string{c.Arm, c.Level, f, strconv.Itoa(s.N), number(s.Median), number(s.Low), number(s.High), number(s.Deviation), number(s.WorstTenth)})
+			t = append(t, []string{c.Arm, c.Level, f, strconv.Itoa(s.N), formatNumber(s.Median), formatNumber(s.Low), formatNumber(s.High), formatNumber(s.Deviation), formatNumber(s.WorstTenth)})
 		}
 	}
 	return t
@@ -305,7 +305,7 @@
 	c := csv.NewWriter(w)
 	c.Write([]string{"experiment", "arm", "level", "seed", "figure", "value"})
 	for _, cell := range a.Cells {
-		for _, r := range cell.all {
+		for _, r := range cell.counted {
 			names := make([]string, 0, len(r.result.Figures))
 			for f := range r.result.Figures {
 				names = append(names, f)
--- a/internal/experiment/charts.go
+++ b/internal/experiment/charts.go
@@ -26,7 +26,7 @@
 	color.RGBA{0x90, 0x20, 0x40, 0xff},
 }
 
-const chartWide, chartHigh = 7 * vg.Inch, 3.2 * vg.Inch
+const chartWidth, chartHeight = 7 * vg.Inch, 3.2 * vg.Inch
 
 // Charts draws an analysis into a folder, and gives the files' names: the staircase of a tipping question,
 // the figures against a factor of numbers, and otherwise each run of each arm.
@@ -35,7 +35,7 @@
 		return nil, err
 	}
 	save := func(p *plot.Plot, name string) error {
-		c := vgsvg.New(chartWide, chartHigh)
+		c := vgsvg.New(chartWidth, chartHeight)
 		p.Draw(draw.New(c))
 		f, err := os.Create(filepath.Join(dir, name))
 		if err != nil {
@@ -109,7 +109,7 @@
 func (a *Analysis) figure(f string) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = a.Name+": "+f, f
-	if at, key, ok := a.numbers(); ok {
+	if at, key, ok := a.numericLevels(); ok {
 		p.X.Label.Text = key
 		for arm := range a.Identity.Arms {
 			var xy plotter.XYs
@@ -143,10 +143,10 @@
 	var labels []string
 	for k, c := range a.Cells {
 		var xy plotter.XYs
-		for i, r := range c.all {
+		for i, r := range c.counted {
 			if v, there := r.result.Figures[f]; there {
 				// Side by side, in the order of the seeds: pairs stand at the same place of their columns.
-				xy = append(xy, plotter.XY{X: float64(k) + 0.6*(float64(i)+0.5)/float64(len(c.all)) - 0.3, Y: v})
+				xy = append(xy, plotter.XY{X: float64(k) + 0.6*(float64(i)+0.5)/float64(len(c.counted)) - 0.3, Y: v})
 			}
 		}
 		labels = append(labels, strings.TrimSuffix(c.Arm+" "+c.Level, " "))
@@ -171,7 +171,7 @@
 }
 
 // numbers are the levels' places on an axis, where there is one factor of numbers.
-func (a *Analysis) numbers() (at []float64, key string, ok bool) {
+func (a *Analysis) numericLevels() (at []float64, key string, ok bool) {
 	for _, l := range a.Identity.Levels {
 		if len(l) == 0 || slices.ContainsFunc(l[1:], func(s Setting) bool { return !s.Also }) {
 			return nil, "", false
--- a/internal/experiment/conduct.go
+++ b/internal/experiment/conduct.go
@@ -44,7 +44,7 @@
 	}
 	var todo []Run
 	for _, r := range p.Runs {
-		if open(done[id.Key(r)]) {
+		if needsRun(done[id.Key(r)]) {
 			todo = append(todo, r)
 		}
 	}
@@ -57,7 +57,7 @@
 	budget := p.File.Budget.D()
 	for n, r := range todo {
 		key, day := id.Key(r), p.Days[r.Arm][r.Level]
-		for open(done[key]) {
+		for needsRun(done[key]) {
 			if err := ctx.Err(); err != nil {
 				o.Missing = len(todo) - n
 				return o, context.Cause(ctx)
@@ -100,6 +100,6 @@
 }
 
 // open tells whether a run is still to be played.
-func open(tries []*Result) bool {
+func needsRun(tries []*Result) bool {
 	return len(tries) < Tries && (len(tries) == 0 || tries[len(tries)-1].Void != "")
 }
--- a/internal/experiment/days/days.go
+++ b/internal/experiment/days/days.go
@@ -56,18 +56,18 @@
 	}
 	slices.Sort(keys)
 	for _, k := range keys {
-		if err := put(all, strings.Split(k, "."), d.Set[k]); err != nil {
+		if err := setAtPath(all, strings.Split(k, "."), d.Set[k]); err != nil {
 			return nil, "", fmt.Errorf("%s: %w", k, err)
 		}
 	}
 	if len(d.Daemon) > 0 {
 		own := map[string]any{}
 		for k, v := range d.Daemon {
-			if err := put(own, strings.Split(k, "."), v); err != nil {
+			if err := setAtPath(own, strings.Split(k, "."), v); err != nil {
 				return nil, "", fmt.Errorf("daemon.%s: %w", k, err)
 			}
 		}
-		if err := put(all, []string{"proxies", "own"}, own); err != nil {
+		if err := setAtPath(all, []string{"proxies", "own"}, own); err != nil {
 			return nil, "", err
 		}
 	}
@@ -83,7 +83,7 @@
 }
 
 // put sets a value at a path; numbers are places of lists, from 0.
-func put(in any, path []string, v any) error {
+func setAtPath(in any, path []string, v any) error {
 	key := path[0]
 	switch at := in.(type) {
 	case map[string]any:
@@ -94,7 +94,7 @@
 		if at[key] == nil {
 			at[key] = map[string]any{}
 		}
-		return put(at[key], path[1:], v)
+		return setAtPath(at[key], path[1:], v)
 	case []any:
 		n, err := strconv.Atoi(key)
 		if err != nil || n < 0 || n >= len(at) {
@@ -104,7 +104,7 @@
 			at[n] = v
 			return nil
 		}
-		return put(at[n], path[1:], v)
+		return setAtPath(at[n], path[1:], v)
 	}
 	return fmt.Errorf("%s is within a value that is neither a table nor a list", key)
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -49,7 +49,7 @@
 		}
 		f, err := Parse("child.toml", []byte(os.Getenv("EXPERIMENT_TEST_FILE")))
 		if err == nil {
-			err = carryOut(f, os.Getenv("EXPERIMENT_TEST_STORE"), &fake{fill: 200, play: func(Day, uint64) Result {
+			err = carryOut(f, os.Getenv("EXPERIMENT_TEST_STORE"), &fakePlayer{fill: 200, play: func(Day, uint64) Result {
 				fmt.Println("played")
 				return Result{Figures: map[string]float64{"service": 1}}
 			}})
@@ -62,7 +62,7 @@
 }
 
 // fake is a player whose days are a function.
-type fake struct {
+type fakePlayer struct {
 	play   func(d Day, seed uint64) Result
 	text   string // of the scenario
 	build  string
@@ -71,7 +71,7 @@
 	now    time.Duration
 }
 
-func (p *fake) Check(d Day) (Checked, error) {
+func (p *fakePlayer) Check(d Day) (Checked, error) {
 	for k := range d.Set {
 		if k == "traffic.rat" {
 			return Checked{}, errors.New("morning.toml:4: unknown key rat (did you mean rate?)")
@@ -83,7 +83,7 @@
 	return Checked{Length: 10 * time.Second, Scenario: p.text, Build: p.build + d.Arm.Marlreel}, nil
 }
 
-func (p *fake) Play(ctx context.Context, d Day, seed uint64) (Result, error) {
+func (p *fakePlayer) Play(ctx context.Context, d Day, seed uint64) (Result, error) {
 	if err := ctx.Err(); err != nil {
 		return Result{}, err
 	}
@@ -98,7 +98,7 @@
 	return r, nil
 }
 
-func carryOut(f *File, path string, player *fake) error {
+func carryOut(f *File, path string, player *fakePlayer) error {
 	plan, err := Make(f, player)
 	if err != nil {
 		return err
@@ -121,7 +121,7 @@
 	return f
 }
 
-const two = `
+const twoArms = `
 scenario = "morning"
 replicates = %d
 figures = ["service"]
@@ -132,17 +132,17 @@
 `
 
 // ask carries a question out against a player, and analyses what came of it.
-func ask(t testing.TB, text string, p *fake) *Analysis {
+func runAndAnalyse(t testing.TB, text string, p *fakePlayer) *Analysis {
 	t.Helper()
 	f := parse(t, text)
 	path := filepath.Join(t.TempDir(), "r.db")
 	if err := carryOut(f, path, p); err != nil {
 		t.Fatal(err)
 	}
-	return read(t, path, f.Name)
+	return analyseStore(t, path, f.Name)
 }
 
-func read(t testing.TB, path, name string) *Analysis {
+func analyseStore(t testing.TB, path, name string) *Analysis {
 	t.Helper()
 	s, err := Open(path, OpenConfig{})
 	if err != nil {
@@ -164,7 +164,7 @@
 // more replicates go on with the same seeds.
 func TestThePlan(t *testing.T) {
 	t.Parallel()
-	text := fmt.Sprintf(two, 3) + `
+	text := fmt.Sprintf(twoArms, 3) + `
 [set]
 "a.b" = 1
 [[factors]]
@@ -176,7 +176,7 @@
 key = "daemon.rpc.idle"
 levels = ["1s", "2s", "3s"]
 `
-	p, err := Make(parse(t, text), &fake{})
+	p, err := Make(parse(t, text), &fakePlayer{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -198,7 +198,7 @@
 	if d.Arm.Name != "b" || d.Set["traffic.rate"] != int64(300) || d.Set["a.b"] != int64(1) || d.Daemon["rpc.idle"] != "3s" {
 		t.Errorf("%+v", d)
 	}
-	more, err := Make(parse(t, strings.Replace(text, "replicates = 3", "replicates = 9", 1)), &fake{})
+	more, err := Make(parse(t, strings.Replace(text, "replicates = 3", "replicates = 9", 1)), &fakePlayer{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -217,12 +217,12 @@
 // What is wrong is said before anything is played, with file, line and what would be right.
 func TestBadFiles(t *testing.T) {
 	t.Parallel()
-	good := fmt.Sprintf(two, 3)
+	good := fmt.Sprintf(twoArms, 3)
 	for name, c := range map[string]struct{ text, want string }{
 		"unknown key":   {strings.Replace(good, "replicates", "replicats", 1), "q.toml:3: unknown key replicats (did you mean replicates?)"},
 		"question":      {"question = \"swep\"\n" + good, "q.toml:1: question = \"swep\": compare, sweep, tipping, recovery is needed (did you mean sweep?)"},
 		"no scenario":   {strings.Replace(good, "scenario = \"morning\"", "", 1), "scenario is missing"},
-		"replicates":    {fmt.Sprintf(two, 0), "q.toml:3: replicates = 0: 1 to 1000 is needed"},
+		"replicates":    {fmt.Sprintf(twoArms, 0), "q.toml:3: replicates = 0: 1 to 1000 is needed"},
 		"one arm":       {strings.Replace(good, "[[arms]]\nname = \"b\"", "", 1), "two [[arms]] are needed"},
 		"twice":         {strings.Replace(good, `"b"`, `"a"`, 1), `q.toml:8: two arms are called "a"`},
 		"figure":        {strings.Replace(good, `"service"`, `"servise"`, 1), `q.toml:4: figures: "servise" is none (did you mean service?)`},
@@ -230,7 +230,7 @@
 		"range":         {good + "[[factors]]\nkey = \"x\"\nfrom = 1\nto = \"2s\"\nsteps = 3\n", "two numbers, or two spans of time"},
 		"steps":         {good + "[[factors]]\nkey = \"x\"\nfrom = 1\nto = 2\nsteps = 1\n", "steps = 1: 2 to 100 is needed"},
 		"level twice":   {good + "[[factors]]\nkey = \"x\"\nlevels = [1, 1]\n", "level 1 is there twice"},
-		"too many":      {fmt.Sprintf(two, 1000) + "[[factors]]\nkey = \"x\"\nfrom = 1\nto = 100\nsteps = 100\n", "200000 runs, and 10000 are the most"},
+		"too many":      {fmt.Sprintf(twoArms, 1000) + "[[factors]]\nkey = \"x\"\nfrom = 1\nto = 100\nsteps = 100\n", "200000 runs, and 10000 are the most"},
 		"scenario key":  {good + "[[factors]]\nkey = \"traffic.rat\"\nlevels = [1]\n", "q.toml:10: traffic.rat = 1: morning.toml:4: unknown key rat (did you mean rate?)"},
 		"level":         {good + "[[factors]]\nkey = \"traffic.rate\"\nlevels = [1, -2]\n", "q.toml:10: traffic.rate = -2: traffic.rate: 0.1 requests"},
 		"staircase":     {"question = \"tipping\"\n" + good + "[tipping]\nfrom = 2\nto = 1\n", "q.toml:11: tipping: from above 0, to above it"},
@@ -241,7 +241,7 @@
 	} {
 		f, err := Parse("q.toml", []byte(c.text))
 		if err == nil {
-			_, err = Make(f, &fake{})
+			_, err = Make(f, &fakePlayer{})
 		}
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v\nwant %s", name, err, c.want)
@@ -344,7 +344,7 @@
 			t.Error(w)
 		}
 	}
-	a := ask(t, fmt.Sprintf(two, 2), &fake{play: func(d Day, seed uint64) Result {
+	a := runAndAnalyse(t, fmt.Sprintf(twoArms, 2), &fakePlayer{play: func(d Day, seed uint64) Result {
 		return Result{Figures: map[string]float64{"service": float64(len(d.Arm.Name))}}
 	}})
 	if g := a.Against[0].Figures["service"]; g.Verdict != Few || a.Played != 4 {
@@ -358,8 +358,8 @@
 	})
 }
 
-// tipsAt is a service that falls at a load, and is back only at a lower one.
-func tipsAt(tip, back float64, s Staircase) []Second {
+// hysteresisSeconds is a service that falls at a load, and is back only at a lower one.
+func hysteresisSeconds(tip, back float64, s Staircase) []Second {
 	var seconds []Second
 	over := false
 	for _, load := range s.loads() {
@@ -382,19 +382,19 @@
 // A built-in tipping point and a built-in difference are found.
 func TestKnownAnswers(t *testing.T) {
 	t.Parallel()
-	text := strings.Replace(fmt.Sprintf(two, 8), `figures = ["service"]`, `question = "tipping"`, 1) + "[tipping]\nfrom = 0.5\nto = 2.0\nsteps = 4\neach = \"4s\"\n"
+	text := strings.Replace(fmt.Sprintf(twoArms, 8), `figures = ["service"]`, `question = "tipping"`, 1) + "[tipping]\nfrom = 0.5\nto = 2.0\nsteps = 4\neach = \"4s\"\n"
 	f := parse(t, text)
-	a := ask(t, text, &fake{play: func(d Day, seed uint64) Result {
+	a := runAndAnalyse(t, text, &fakePlayer{play: func(d Day, seed uint64) Result {
 		if d.Set["length"] != "32s" || len(d.Set["traffic.jumps"].([]any)) != 8 {
 			t.Errorf("%v", d.Set)
 		}
 		if d.Arm.Name == "a" {
-			return Result{Seconds: tipsAt(1.4, 0.9, f.Tipping)} // a metastable one
+			return Result{Seconds: hysteresisSeconds(1.4, 0.9, f.Tipping)} // a metastable one
 		}
 		if seed%2 == 0 {
-			return Result{Seconds: tipsAt(1.9, 1.5, f.Tipping)}
+			return Result{Seconds: hysteresisSeconds(1.9, 1.5, f.Tipping)}
 		}
-		return Result{Seconds: tipsAt(9, 9, f.Tipping)} // it never tips over
+		return Result{Seconds: hysteresisSeconds(9, 9, f.Tipping)} // it never tips over
 	}})
 	first, second := a.cell(0, 0), a.cell(1, 0)
 	if s := first.Figures; s["tips-at"].Median != 1.5 || s["back-at"].Median != 0.5 || s["hysteresis"].Median != 1 {
@@ -414,7 +414,7 @@
 		better float64
 		want   Verdict
 	}{{0.05, More}, {-0.05, Less}, {0.001, Unseen}} {
-		a := ask(t, fmt.Sprintf(two, 12), &fake{play: func(d Day, seed uint64) Result {
+		a := runAndAnalyse(t, fmt.Sprintf(twoArms, 12), &fakePlayer{play: func(d Day, seed uint64) Result {
 			r := rand.New(rand.NewPCG(seed, uint64(d.Arm.Name[0])))
 			v := 0.8 + float64(seed%100)/1000 + 0.01*r.NormFloat64() // days differ more than arms do
 			if d.Arm.Name == "b" {
@@ -450,7 +450,7 @@
 func TestVoidsFailuresAndBudgets(t *testing.T) {
 	t.Parallel()
 	tries := map[string]int{}
-	p := &fake{play: func(d Day, seed uint64) Result {
+	p := &fakePlayer{play: func(d Day, seed uint64) Result {
 		k := fmt.Sprint(d.Arm.Name, seed)
 		tries[k]++
 		switch {
@@ -461,7 +461,7 @@
 		}
 		return Result{Figures: map[string]float64{"service": 1}, LateMs: 3, Broken: 2}
 	}}
-	a := ask(t, fmt.Sprintf(two, 10), p)
+	a := runAndAnalyse(t, fmt.Sprintf(twoArms, 10), p)
 	even := 0
 	for _, s := range a.Identity.Seeds {
 		if s%2 == 0 {
@@ -482,9 +482,9 @@
 		}
 	}
 
-	f := parse(t, "budget = \"45s\"\n"+fmt.Sprintf(two, 4))
+	f := parse(t, "budget = \"45s\"\n"+fmt.Sprintf(twoArms, 4))
 	path := filepath.Join(t.TempDir(), "r.db")
-	p = &fake{play: func(Day, uint64) Result { return Result{Figures: map[string]float64{"service": 1}} }}
+	p = &fakePlayer{play: func(Day, uint64) Result { return Result{Figures: map[string]float64{"service": 1}} }}
 	for round, want := range []int{4, 4, 0} {
 		p.now, p.played = 0, nil
 		if err := carryOut(f, path, p); err != nil || len(p.played) != want {
@@ -498,8 +498,8 @@
 	t.Parallel()
 	play := func(Day, uint64) Result { return Result{Figures: map[string]float64{"service": 1}} }
 	path := filepath.Join(t.TempDir(), "r.db")
-	text := fmt.Sprintf(two, 2)
-	was := func() *fake { return &fake{play: play, text: "rate = 200\nlength = \"30s\"", build: "x"} }
+	text := fmt.Sprintf(twoArms, 2)
+	was := func() *fakePlayer { return &fakePlayer{play: play, text: "rate = 200\nlength = \"30s\"", build: "x"} }
 	if err := carryOut(parse(t, text), path, was()); err != nil {
 		t.Fatal(err)
 	}
@@ -507,7 +507,7 @@
 	edited.text, built.build = "rate = 250\nlength = \"30s\"", "y"
 	for name, c := range map[string]struct {
 		text   string
-		player *fake
+		player *fakePlayer
 		want   string
 	}{
 		"edited":   {text, edited, `the scenario was edited: it said "rate = 200", and says "rate = 250"`},
@@ -524,7 +524,7 @@
 		}
 	}
 	more := was()
-	if err := carryOut(parse(t, fmt.Sprintf(two, 3)), path, more); err != nil || len(more.played) != 2 {
+	if err := carryOut(parse(t, fmt.Sprintf(twoArms, 3)), path, more); err != nil || len(more.played) != 2 {
 		t.Errorf("one seed more: %v, %v", more.played, err)
 	}
 	s, err := Open(path, OpenConfig{})
@@ -560,7 +560,7 @@
 // An experiment that is killed at any moment loses the run in hand at most, and goes on where it was.
 func TestKilled(t *testing.T) {
 	t.Parallel()
-	text, path := "name = \"child\"\n"+fmt.Sprintf(two, 1000), filepath.Join(t.TempDir(), "r.db")
+	text, path := "name = \"child\"\n"+fmt.Sprintf(twoArms, 1000), filepath.Join(t.TempDir(), "r.db")
 	before := 0
 	for round := range 12 {
 		c := child(t, "kill", text, path)
@@ -589,7 +589,7 @@
 			}
 		}
 		c.Wait()
-		a := read(t, path, "child")
+		a := analyseStore(t, path, "child")
 		if a.Played < before+played-1 || a.Played > before+played {
 			t.Fatalf("round %d: %d played and said, %d are there, %d were before", round, played, a.Played, before)
 		}
@@ -599,7 +599,7 @@
 
 // copies takes copies of the descriptors by which this process has a file locked to read it, as a child that is being
 // started has until it has become its program, and keeps them to the test's end. It counts them.
-func copies(t *testing.T, path string) *atomic.Int64 {
+func duplicateLockDescriptors(t *testing.T, path string) *atomic.Int64 {
 	t.Helper()
 	var held []int
 	var n atomic.Int64
@@ -656,12 +656,12 @@
 		t.Skip("a process's descriptors as Linux shows them")
 	}
 	path := filepath.Join(t.TempDir(), "r.db")
-	if err := carryOut(parse(t, fmt.Sprintf(two, 20)), path, &fake{fill: 2000, play: func(Day, uint64) Result {
+	if err := carryOut(parse(t, fmt.Sprintf(twoArms, 20)), path, &fakePlayer{fill: 2000, play: func(Day, uint64) Result {
 		return Result{Figures: map[string]float64{"service": 1}}
 	}}); err != nil {
 		t.Fatal(err)
 	}
-	held := copies(t, path)
+	held := duplicateLockDescriptors(t, path)
 	for until := time.Now().Add(time.Minute); held.Load() < 3; {
 		s, err := Open(path, OpenConfig{})
 		if err != nil {
@@ -686,11 +686,11 @@
 		t.Skip("bounds on files as Linux has them")
 	}
 	path := filepath.Join(t.TempDir(), "r.db")
-	out, err := child(t, "full", "name = \"child\"\n"+fmt.Sprintf(two, 1000), path).CombinedOutput()
+	out, err := child(t, "full", "name = \"child\"\n"+fmt.Sprintf(twoArms, 1000), path).CombinedOutput()
 	if err == nil || !strings.Contains(string(out), "store "+path) {
 		t.Fatalf("%v: %s", err, out)
 	}
-	if a := read(t, path, "child"); a.Played == 0 || a.Played < strings.Count(string(out), "played\n")-1 {
+	if a := analyseStore(t, path, "child"); a.Played == 0 || a.Played < strings.Count(string(out), "played\n")-1 {
 		t.Errorf("%d are there of %d", a.Played, strings.Count(string(out), "played\n"))
 	}
 }
@@ -701,7 +701,7 @@
 	dir := t.TempDir()
 	at := func(name string) string { return filepath.Join(dir, name) }
 	made := func(name string) string {
-		if err := carryOut(parse(t, fmt.Sprintf(two, 20)), at(name), &fake{fill: 50, play: func(Day, uint64) Result {
+		if err := carryOut(parse(t, fmt.Sprintf(twoArms, 20)), at(name), &fakePlayer{fill: 50, play: func(Day, uint64) Result {
 			return Result{Figures: map[string]float64{"service": 1}}
 		}}); err != nil {
 			t.Fatal(err)
@@ -793,19 +793,19 @@
 // Every shape of an analysis can be drawn and written.
 func TestPages(t *testing.T) {
 	t.Parallel()
-	climb := parse(t, "question = \"tipping\"\n"+fmt.Sprintf(two, 2)).Tipping
+	climb := parse(t, "question = \"tipping\"\n"+fmt.Sprintf(twoArms, 2)).Tipping
 	for name, text := range map[string]string{
-		"pairs":  fmt.Sprintf(two, 7),
-		"levels": "question = \"sweep\"\n" + fmt.Sprintf(two, 2) + "[[factors]]\nkey = \"x\"\nlevels = [1, 2, 5]\n",
-		"words":  "question = \"sweep\"\n" + fmt.Sprintf(two, 2) + "[[factors]]\nkey = \"x\"\nlevels = [\"1s\", \"2s\"]\n",
-		"climb":  strings.Replace("question = \"tipping\"\n"+fmt.Sprintf(two, 2), `figures = ["service"]`, "", 1),
-		"none":   fmt.Sprintf(two, 1),
+		"pairs":  fmt.Sprintf(twoArms, 7),
+		"levels": "question = \"sweep\"\n" + fmt.Sprintf(twoArms, 2) + "[[factors]]\nkey = \"x\"\nlevels = [1, 2, 5]\n",
+		"words":  "question = \"sweep\"\n" + fmt.Sprintf(twoArms, 2) + "[[factors]]\nkey = \"x\"\nlevels = [\"1s\", \"2s\"]\n",
+		"climb":  strings.Replace("question = \"tipping\"\n"+fmt.Sprintf(twoArms, 2), `figures = ["service"]`, "", 1),
+		"none":   fmt.Sprintf(twoArms, 1),
 	} {
-		a := ask(t, text, &fake{play: func(d Day, seed uint64) Result {
+		a := runAndAnalyse(t, text, &fakePlayer{play: func(d Day, seed uint64) Result {
 			if name == "none" {
 				return Result{Failed: "it does not start"}
 			}
-			return Result{Figures: map[string]float64{"service": float64(seed%10) / 10}, Seconds: tipsAt(1.5, 1, climb)}
+			return Result{Figures: map[string]float64{"service": float64(seed%10) / 10}, Seconds: hysteresisSeconds(1.5, 1, climb)}
 		}})
 		dir := t.TempDir()
 		charts, err := a.Charts(dir)
@@ -818,7 +818,7 @@
 			}
 		}
 		var csv strings.Builder
-		if err := a.CSV(&csv); err != nil || strings.Count(csv.String(), "\n") != 1+played(a) {
+		if err := a.CSV(&csv); err != nil || strings.Count(csv.String(), "\n") != 1+countFigures(a) {
 			t.Errorf("%s: %v\n%s", name, err, csv.String())
 		}
 		if text := a.Text() + a.Markdown(charts); !strings.Contains(text, "median") || strings.Contains(text, "NaN") {
@@ -827,9 +827,9 @@
 	}
 }
 
-func played(a *Analysis) (figures int) {
+func countFigures(a *Analysis) (figures int) {
 	for _, c := range a.Cells {
-		for _, r := range c.all {
+		for _, r := range c.counted {
 			figures += len(r.result.Figures)
 		}
 	}
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -80,17 +80,17 @@
 
 // Bounds of what one experiment may hold.
 const (
-	mostRuns       = 10_000
-	mostArms       = 8
-	mostReplicates = 1000
-	mostLevels     = 100
-	mostFactors    = 4
-	mostFile       = 1 << 20
+	maxRuns       = 10_000
+	maxArms       = 8
+	maxReplicates = 1000
+	maxLevels     = 100
+	maxFactors    = 4
+	maxFileBytes  = 1 << 20
 )
 
 var (
-	names     = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,63}$`)
-	questions = []string{Compare, Sweep, Tipping, Recovery}
+	namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,63}$`)
+	questions   = []string{Compare, Sweep, Tipping, Recovery}
 )
 
 // Load reads a question's file. Each error is one line that names the file, the place in it and what
@@ -114,8 +114,8 @@
 		Question: Compare, Seed: 1, path: path, text: text,
 		Tipping: Staircase{From: 0.5, To: 2, Steps: 6, Each: stricttoml.Duration(6 * time.Second), Below: 0.9},
 	}
-	if len(text) > mostFile {
-		return nil, fmt.Errorf("%s: %d bytes, and %d are the most", path, len(text), mostFile)
+	if len(text) > maxFileBytes {
+		return nil, fmt.Errorf("%s: %d bytes, and %d are the most", path, len(text), maxFileBytes)
 	}
 	if err := stricttoml.Decode(path, text, f); err != nil {
 		return nil, err
@@ -137,7 +137,7 @@
 
 // Rename gives the experiment another name.
 func (f *File) Rename(name string) error {
-	if !names.MatchString(name) {
+	if !namePattern.MatchString(name) {
 		return fmt.Errorf("name %q: small letters, digits and dashes are needed, 64 at most", name)
 	}
 	f.Name = name
@@ -166,7 +166,7 @@
 }
 
 // at is a place of the file: the line in which a key stands, the nth time.
-func (f *File) at(key string, nth int) string {
+func (f *File) position(key string, nth int) string {
 	found := regexp.MustCompile(`(?m)^\s*"?`+regexp.QuoteMeta(key)+`"?\s*=`).FindAllIndex(f.text, -1)
 	if nth >= len(found) {
 		return f.path
@@ -177,27 +177,27 @@
 
 func (f *File) validate() error {
 	bad := func(key string, format string, v ...any) error {
-		return fmt.Errorf("%s: %s", f.at(key, 0), fmt.Sprintf(format, v...))
+		return fmt.Errorf("%s: %s", f.position(key, 0), fmt.Sprintf(format, v...))
 	}
 	switch s := f.Tipping; {
-	case !names.MatchString(f.Name):
+	case !namePattern.MatchString(f.Name):
 		return bad("name", "name = %q: small letters, digits and dashes are needed, 64 at most", f.Name)
 	case !slices.Contains(questions, f.Question):
 		return bad("question", "question = %q: %s is needed%s", f.Question, strings.Join(questions, ", "), stricttoml.SuggestClosest(f.Question, questions))
 	case f.Scenario == "":
 		return bad("scenario", "scenario is missing: a shipped one's name, or a file's path")
-	case f.Replicates < 1 || f.Replicates > mostReplicates:
-		return bad("replicates", "replicates = %d: 1 to %d is needed; a difference can be told from chance from %d on", f.Replicates, mostReplicates, leastPairs)
+	case f.Replicates < 1 || f.Replicates > maxReplicates:
+		return bad("replicates", "replicates = %d: 1 to %d is needed; a difference can be told from chance from %d on", f.Replicates, maxReplicates, minPairs)
 	case f.Budget < 0:
 		return bad("budget", "budget = %v: 0 (none) or more is needed", f.Budget.D())
-	case len(f.Arms) < 1 || len(f.Arms) > mostArms:
-		return bad("arms", "1 to %d [[arms]] are needed, and there are %d", mostArms, len(f.Arms))
+	case len(f.Arms) < 1 || len(f.Arms) > maxArms:
+		return bad("arms", "1 to %d [[arms]] are needed, and there are %d", maxArms, len(f.Arms))
 	case f.Question == Compare && len(f.Arms) < 2:
 		return bad("question", "question = %q: two [[arms]] are needed, and there is one", f.Question)
 	case f.Question == Sweep && len(f.Factors) == 0:
 		return bad("question", "question = %q: a [[factors]] with its levels is needed", f.Question)
-	case len(f.Factors) > mostFactors:
-		return bad("factors", "%d [[factors]]: %d are the most", len(f.Factors), mostFactors)
+	case len(f.Factors) > maxFactors:
+		return bad("factors", "%d [[factors]]: %d are the most", len(f.Factors), maxFactors)
 	case f.Question == Tipping && (!(s.From > 0) || !(s.To > s.From) || s.To > 100 || s.Steps < 2 || s.Steps > 50 || s.Each.D() < time.Second || !(s.Below > 0 && s.Below < 1)):
 		return bad("from", "tipping: from above 0, to above it and up to 100, steps from 2 to 50, each of 1s or more and below between 0 and 1 are needed")
 	}
@@ -211,34 +211,34 @@
 	seen := map[string]bool{}
 	for i, a := range f.Arms {
 		switch {
-		case !names.MatchString(a.Name):
-			return fmt.Errorf("%s: arm %d: name = %q: small letters, digits and dashes are needed", f.at("name", i), i+1, a.Name)
+		case !namePattern.MatchString(a.Name):
+			return fmt.Errorf("%s: arm %d: name = %q: small letters, digits and dashes are needed", f.position("name", i), i+1, a.Name)
 		case seen[a.Name]:
-			return fmt.Errorf("%s: two arms are called %q", f.at("name", i), a.Name)
+			return fmt.Errorf("%s: two arms are called %q", f.position("name", i), a.Name)
 		case a.Baseline != "" && a.Baseline != "random":
-			return fmt.Errorf("%s: arm %s: baseline = %q: random is the only one", f.at("baseline", 0), a.Name, a.Baseline)
+			return fmt.Errorf("%s: arm %s: baseline = %q: random is the only one", f.position("baseline", 0), a.Name, a.Baseline)
 		case a.Baseline != "" && a.Marlreel != "":
-			return fmt.Errorf("%s: arm %s: baseline and marlreel name two proxies: one is needed", f.at("baseline", 0), a.Name)
+			return fmt.Errorf("%s: arm %s: baseline and marlreel name two proxies: one is needed", f.position("baseline", 0), a.Name)
 		case a.Baseline != "" && len(a.Daemon)+len(f.Daemon) > 0:
-			return fmt.Errorf("%s: arm %s: the kit's plain proxy has no settings of its own", f.at("baseline", 0), a.Name)
+			return fmt.Errorf("%s: arm %s: the kit's plain proxy has no settings of its own", f.position("baseline", 0), a.Name)
 		}
 		seen[a.Name] = true
 	}
 	runs := f.Replicates * len(f.Arms)
 	for i := range f.Factors {
 		x := &f.Factors[i]
-		if err := x.resolve(); err != nil {
-			return fmt.Errorf("%s: factor %d (%s): %w", f.at("key", i), i+1, x.Key, err)
+		if err := x.resolveLevels(); err != nil {
+			return fmt.Errorf("%s: factor %d (%s): %w", f.position("key", i), i+1, x.Key, err)
 		}
 		for _, a := range f.Arms {
 			if _, twice := a.Set[x.Key]; twice {
-				return fmt.Errorf("%s: %s is a factor, and arm %s sets it too", f.at("key", i), x.Key, a.Name)
+				return fmt.Errorf("%s: %s is a factor, and arm %s sets it too", f.position("key", i), x.Key, a.Name)
 			}
 		}
 		runs *= len(x.Levels)
 	}
-	if runs > mostRuns {
-		return fmt.Errorf("%s: %d runs, and %d are the most", f.path, runs, mostRuns)
+	if runs > maxRuns {
+		return fmt.Errorf("%s: %d runs, and %d are the most", f.path, runs, maxRuns)
 	}
 	for _, name := range f.Figures {
 		if !KnownFigure(name) {
@@ -250,7 +250,7 @@
 }
 
 // resolve gives a factor its levels, where it says them by their range.
-func (x *Factor) resolve() error {
+func (x *Factor) resolveLevels() error {
 	ranged := x.From != nil || x.To != nil || x.Steps != 0
 	switch {
 	case x.Key == "":
@@ -261,15 +261,15 @@
 		return errors.New("levels are missing, or from, to and steps")
 	}
 	if ranged {
-		if x.Steps < 2 || x.Steps > mostLevels {
-			return fmt.Errorf("steps = %d: 2 to %d is needed", x.Steps, mostLevels)
+		if x.Steps < 2 || x.Steps > maxLevels {
+			return fmt.Errorf("steps = %d: 2 to %d is needed", x.Steps, maxLevels)
 		}
-		if err := x.spread(); err != nil {
+		if err := x.expandRange(); err != nil {
 			return err
 		}
 	}
-	if len(x.Levels) > mostLevels {
-		return fmt.Errorf("%d levels: %d are the most", len(x.Levels), mostLevels)
+	if len(x.Levels) > maxLevels {
+		return fmt.Errorf("%d levels: %d are the most", len(x.Levels), maxLevels)
 	}
 	for _, also := range x.Also {
 		if also.Key == "" || len(also.Levels) != len(x.Levels) {
@@ -290,7 +290,7 @@
 }
 
 // spread makes levels of a range of numbers, or of spans of time.
-func (x *Factor) spread() error {
+func (x *Factor) expandRange() error {
 	number := func(v any) (float64, bool) {
 		switch n := v.(type) {
 		case int64:
@@ -343,8 +343,8 @@
 	return slices.Contains(figures, name) || isClass && class != ""
 }
 
-// lowIsBad tells at which end a figure is worse.
-func lowIsBad(name string) bool {
+// lowerIsWorse tells at which end a figure is worse.
+func lowerIsWorse(name string) bool {
 	switch name {
 	case "recovery-s", "hysteresis", "attempts", "tries", "handshakes", "cpu-s", "memory-mb", "rules-broken":
 		return false
--- a/internal/experiment/inspect.go
+++ b/internal/experiment/inspect.go
@@ -136,7 +136,7 @@
 // and has the library compare the pages after that.
 func inspectPages(tx *bolt.Tx) error {
 	digest := crc32.NewIEEE()
-	err := tx.ForEach(func(_ []byte, bucket *bolt.Bucket) error { return readThrough(bucket, digest) })
+	err := tx.ForEach(func(_ []byte, bucket *bolt.Bucket) error { return hashBucket(bucket, digest) })
 	for e := range tx.Check() {
 		if err == nil {
 			err = e
@@ -148,11 +148,11 @@
 	return nil
 }
 
-// readThrough feeds each byte of a bucket, and of the buckets within it, to a digest.
-func readThrough(bucket *bolt.Bucket, digest io.Writer) error {
+// hashBucket feeds each byte of a bucket, and of the buckets within it, to a digest.
+func hashBucket(bucket *bolt.Bucket, digest io.Writer) error {
 	return bucket.ForEach(func(key, value []byte) error {
 		if inner := bucket.Bucket(key); value == nil && inner != nil {
-			return readThrough(inner, digest)
+			return hashBucket(inner, digest)
 		}
 		if _, err := digest.Write(key); err != nil {
 			return err
--- a/internal/experiment/lock_test.go
+++ b/internal/experiment/lock_test.go
@@ -19,7 +19,7 @@
 func lockedStore(t *testing.T) (path string, unlock func()) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "r.db")
-	if err := carryOut(parse(t, fmt.Sprintf(two, 3)), path, &fake{play: func(Day, uint64) Result {
+	if err := carryOut(parse(t, fmt.Sprintf(twoArms, 3)), path, &fakePlayer{play: func(Day, uint64) Result {
 		return Result{Figures: map[string]float64{"service": 1}}
 	}}); err != nil {
 		t.Fatal(err)
@@ -138,7 +138,7 @@
 	if runtime.GOOS != "linux" {
 		t.Skip("a process's memory as Linux shows it")
 	}
-	text, held := "name = \"child\"\n"+fmt.Sprintf(two, 1000), 0
+	text, held := "name = \"child\"\n"+fmt.Sprintf(twoArms, 1000), 0
 	for round := 0; round < 20 && held < 1; round++ {
 		path := filepath.Join(t.TempDir(), "r.db")
 		cmd := child(t, "large", text, path)
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -132,7 +132,7 @@
 			d := f.day(a, l)
 			c, err := player.Check(d)
 			if err != nil {
-				return nil, f.blame(a, p.Levels[i], err)
+				return nil, f.locateError(a, p.Levels[i], err)
 			}
 			days, checked = append(days, d), append(checked, c)
 		}
@@ -169,16 +169,16 @@
 		}
 	}
 	if f.Question == Tipping {
-		f.Tipping.shape(d.Set)
+		f.Tipping.addTo(d.Set)
 	}
 	return d
 }
 
 // blame names the place in the file that an error is about, as far as it can be seen.
-func (f *File) blame(a ArmSpec, l Level, err error) error {
+func (f *File) locateError(a ArmSpec, l Level, err error) error {
 	for i, s := range l {
 		if strings.Contains(err.Error(), lastPart(s.Key)) {
-			return fmt.Errorf("%s: %s = %v: %w", f.at("key", i), s.Key, s.Value, err)
+			return fmt.Errorf("%s: %s = %v: %w", f.position("key", i), s.Key, s.Value, err)
 		}
 	}
 	keys := slices.Collect(maps.Keys(a.Set))
@@ -188,7 +188,7 @@
 	slices.Sort(keys)
 	for _, k := range keys {
 		if strings.Contains(err.Error(), lastPart(k)) {
-			return fmt.Errorf("%s: arm %s: %w", f.at(k, 0), a.Name, err)
+			return fmt.Errorf("%s: arm %s: %w", f.position(k, 0), a.Name, err)
 		}
 	}
 	return fmt.Errorf("%s: arm %s: %w", f.path, a.Name, err)
--- a/internal/experiment/staircase.go
+++ b/internal/experiment/staircase.go
@@ -7,7 +7,7 @@
 )
 
 // shape makes a scenario's load go up in steps and down again.
-func (s *Staircase) shape(set map[string]any) {
+func (s *Staircase) addTo(set map[string]any) {
 	each := s.Each.D()
 	var jumps []any
 	for i, times := range s.loads() {
--- a/internal/experiment/stats.go
+++ b/internal/experiment/stats.go
@@ -51,9 +51,9 @@
 	Same   Verdict = "the same in every pair"      // to the last digit
 )
 
-// leastPairs is from how many pairs on a difference can be told from chance at 95%: of five pairs all
+// minPairs is from how many pairs on a difference can be told from chance at 95%: of five pairs all
 // go the same way once in sixteen by chance alone.
-const leastPairs = 6
+const minPairs = 6
 
 // Difference is what paired runs say.
 type Difference struct {
@@ -67,9 +67,9 @@
 }
 
 const (
-	confidence = 0.95
-	power      = 0.8
-	allSubsets = 12 // pairs of which all subsets are taken
+	confidence         = 0.95
+	power              = 0.8
+	maxExhaustivePairs = 12 // pairs of which all subsets are taken
 )
 
 // Paired judges the differences of pairs, second less first; see bounds. Resampling the mean (a bootstrap) is
@@ -90,7 +90,7 @@
 	if s.Deviation <= 1e-12*max(1, math.Abs(s.Mean)) {
 		d.From, d.To = s.Mean, s.Mean
 		switch {
-		case n < leastPairs:
+		case n < minPairs:
 		case math.Abs(s.Mean) <= 1e-12:
 			d.Verdict = Same
 		case s.Mean > 0:
@@ -101,7 +101,7 @@
 		return d
 	}
 	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(n - 1)}
-	if n < leastPairs {
+	if n < minPairs {
 		d.Visible = (t.Quantile((1+confidence)/2) + t.Quantile(power)) * se
 		return d
 	}
@@ -135,18 +135,18 @@
 			means = append(means, sum/float64(k))
 		}
 	}
-	if n <= allSubsets {
+	if n <= maxExhaustivePairs {
 		for set := 1; set < 1<<n; set++ {
 			add(func(i int) bool { return set>>i&1 == 1 })
 		}
 	} else {
 		r := rand.New(rand.NewPCG(seed, uint64(n)))
-		for len(means) < 1<<allSubsets-1 {
+		for len(means) < 1<<maxExhaustivePairs-1 {
 			add(func(int) bool { return r.Uint64()&1 == 1 })
 		}
 	}
 	slices.Sort(means)
-	k := int(float64(len(means)+1) * (1 - confidence) / 2) // 1 at least, from leastPairs on
+	k := int(float64(len(means)+1) * (1 - confidence) / 2) // 1 at least, from minPairs on
 	return means[k-1], means[len(means)-k]
 }
 
@@ -154,7 +154,7 @@
 func (d Difference) Words(first, second, figure string) string {
 	switch d.Verdict {
 	case Few:
-		return fmt.Sprintf("%s: %s; %d pairs, and %d are needed", figure, d.Verdict, d.Pairs, leastPairs)
+		return fmt.Sprintf("%s: %s; %d pairs, and %d are needed", figure, d.Verdict, d.Pairs, minPairs)
 	case Same:
 		return fmt.Sprintf("%s: %s (%d)", figure, d.Verdict, d.Pairs)
 	case Unseen:
