--- a/internal/experiment/analyse.go
+++ b/internal/experiment/analyse.go
@@ -10,39 +10,39 @@
 	"strings"
 )
 
-// Analysis is what an experiment's results say.
+// Analysis is the evaluation of an experiment's results.
 type Analysis struct {
 	Name     string    `json:"name"`
 	Identity *Identity `json:"identity"`
-	Cells    []Cell    `json:"cells"`   // by arm, and level within it
-	Against  []Against `json:"against"` // the first arm and each other one, by level
-	Runs     int       `json:"runs"`    // planned
-	Played   int       `json:"played"`  // that count
-	Missing  int       `json:"missing"` // not played yet
-	Void     int       `json:"void"`    // tries that the machine spoilt
-	Lost     int       `json:"lost"`    // runs that were void each time
-	Breaks   int       `json:"breaks"`  // rules broken, and crashes
-	LateMs   float64   `json:"late_ms"` // the generator's worst
+	Cells    []Cell    `json:"cells"`   // by arm, then by level
+	Against  []Against `json:"against"` // the first arm compared with each other arm, by level
+	Runs     int       `json:"runs"`    // planned runs
+	Played   int       `json:"played"`  // runs with a valid or failed result
+	Missing  int       `json:"missing"` // runs not played yet
+	Void     int       `json:"void"`    // void tries of all runs
+	Lost     int       `json:"lost"`    // runs that were void in every try
+	Breaks   int       `json:"breaks"`  // broken rules and proxy crashes
+	LateMs   float64   `json:"late_ms"` // the load generator's delay in the worst run
 	KitCPU   float64   `json:"kit_cpu_s"`
 }
 
-// Cell is an arm at a level.
+// Cell holds the results of one arm at one level.
 type Cell struct {
 	Arm     string            `json:"arm"`
 	Level   string            `json:"level,omitempty"`
-	Runs    int               `json:"runs"` // that count
+	Runs    int               `json:"runs"` // valid runs, without failed ones
 	Failed  int               `json:"failed"`
-	Why     string            `json:"why,omitempty"` // of the first failure
+	Why     string            `json:"why,omitempty"` // reason of the first failure
 	Void    int               `json:"void"`
 	Broken  int               `json:"rules_broken"`
 	Crashes int               `json:"crashes"`
 	Figures map[string]Sample `json:"figures"`
-	Absent  map[string]int    `json:"absent,omitempty"` // runs in which a figure did not come about
-	Steps   []Steps           `json:"steps,omitempty"`  // of the staircase
+	Absent  map[string]int    `json:"absent,omitempty"` // number of runs without a value of the figure
+	Steps   []Steps           `json:"steps,omitempty"`  // only with a staircase
 	counted []seedResult
 }
 
-// Steps is one step of the staircase over all runs.
+// Steps summarizes one step of the staircase over all runs.
 type Steps struct {
 	Load    float64 `json:"load"`
 	Down    bool    `json:"down"`
@@ -54,16 +54,16 @@
 	result *Result
 }
 
-// Against is two arms at a level.
+// Against compares two arms at one level.
 type Against struct {
 	First   string                `json:"first"`
 	Second  string                `json:"second"`
 	Level   string                `json:"level,omitempty"`
 	Figures map[string]Difference `json:"figures"`
-	LeftOut map[string]int        `json:"left_out,omitempty"` // pairs of which one has no such figure
+	LeftOut map[string]int        `json:"left_out,omitempty"` // pairs in which only one run has the figure
 }
 
-// Analyse reads an experiment's results.
+// Analyse evaluates an experiment's results.
 func Analyse(name string, id *Identity, results map[string][]*Result) *Analysis {
 	a := &Analysis{Name: name, Identity: id, Runs: len(id.Runs)}
 	for arm := range id.Arms {
@@ -144,7 +144,7 @@
 	return steps
 }
 
-// against pairs the runs of two arms by their seeds.
+// compareArms pairs the runs of two arms by seed.
 func compareArms(figures []string, first, second *Cell) Against {
 	g := Against{First: first.Arm, Second: second.Arm, Level: first.Level, Figures: map[string]Difference{}, LeftOut: map[string]int{}}
 	for n, f := range figures {
@@ -167,12 +167,12 @@
 	return g
 }
 
-// Words are what the analysis comes to, a sentence a line.
+// Words summarizes the analysis, one sentence per line.
 func (a *Analysis) Words() (lines []string) {
 	say := func(format string, v ...any) { lines = append(lines, fmt.Sprintf(format, v...)) }
-	say("%d of %d runs count; %d are still to be played, %d were void each time; %d tries void in all.", a.Played, a.Runs, a.Missing, a.Lost, a.Void)
+	say("%d of %d runs count; %d are still to be played, %d were void in every try; %d void tries in total.", a.Played, a.Runs, a.Missing, a.Lost, a.Void)
 	if a.LateMs > 0 {
-		say("The generator came to its own sends late by %.1f ms at most (99th percentile of a run that counts), and took %.0f s of CPU.", a.LateMs, a.KitCPU)
+		say("The load generator sent requests up to %.1f ms late (99th percentile, in the worst run that counts) and used %.0f s of CPU.", a.LateMs, a.KitCPU)
 	}
 	for _, c := range a.Cells {
 		where := c.Arm
@@ -187,7 +187,7 @@
 		}
 		for _, f := range a.Identity.Figures {
 			if n := c.Absent[f]; n > 0 {
-				say("%s: %s did not come about in %d of %d runs; they are in no figure of it.", where, f, n, c.Runs)
+				say("%s: %s has no value in %d of %d runs; its statistics leave these out.", where, f, n, c.Runs)
 			}
 		}
 	}
@@ -200,7 +200,7 @@
 				words = g.Level + ": " + words
 			}
 			if n := g.LeftOut[f]; n > 0 {
-				words += fmt.Sprintf("; %d pairs are left out, in which only one arm has it", n)
+				words += fmt.Sprintf("; %d pairs are left out because only one arm has a value", n)
 			}
 			say("%s.", words)
 			if d.Verdict != Few {
@@ -212,7 +212,7 @@
 		}
 	}
 	if judged > 1 && seen > 0 {
-		say("%d figures were judged: of as many without any difference, %.1f would look like one.", judged, (1-confidence)*float64(judged))
+		say("%d figures were compared: by chance alone, about %.1f of as many would appear to differ.", judged, (1-confidence)*float64(judged))
 	}
 	return lines
 }
@@ -227,7 +227,7 @@
 	return strconv.FormatFloat(v, 'f', 3, 64)
 }
 
-// Table is the figures as rows of texts, the head first.
+// Table returns the figures as rows of text, header first.
 func (a *Analysis) Table() [][]string {
 	t := [][]string{{"arm", "level", "figure", "runs", "median", "low", "high", "deviation", "worst tenth"}}
 	for _, f := range a.Identity.Figures {
@@ -243,7 +243,7 @@
 	return t
 }
 
-// Text is the analysis for a terminal.
+// Text formats the analysis for a terminal.
 func (a *Analysis) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s (%s): %s\n\n", a.Name, a.Identity.Question, a.Identity.About)
@@ -274,12 +274,12 @@
 	return b.String()
 }
 
-// Markdown is the analysis as a part of a page. charts are the pictures' paths.
+// Markdown formats the analysis as a section of a page. charts are the paths of its images.
 func (a *Analysis) Markdown(charts []string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "## %s\n\n%s\n\n", a.Name, a.Identity.About)
 	if a.Identity.Staircase != nil {
-		fmt.Fprintf(&b, "Asked: %s.\n\n", a.Identity.Staircase.Says())
+		fmt.Fprintf(&b, "Load profile: %s.\n\n", a.Identity.Staircase.Says())
 	}
 	if a.Identity.Machine != "" {
 		fmt.Fprintf(&b, "Played on %s; seeds %v.\n\n", a.Identity.Machine, a.Identity.Seeds)
@@ -300,7 +300,7 @@
 	return b.String()
 }
 
-// CSV writes every run that counts, a line for each figure.
+// CSV writes a line for each figure of each valid run.
 func (a *Analysis) CSV(w io.Writer) error {
 	c := csv.NewWriter(w)
 	c.Write([]string{"experiment", "arm", "level", "seed", "figure", "value"})
--- a/internal/experiment/charts.go
+++ b/internal/experiment/charts.go
@@ -28,8 +28,8 @@
 
 const chartWidth, chartHeight = 7 * vg.Inch, 3.2 * vg.Inch
 
-// Charts draws an analysis into a folder, and gives the files' names: the staircase of a tipping question,
-// the figures against a factor of numbers, and otherwise each run of each arm.
+// Charts draws an analysis into a folder and returns the names of the files. It draws the staircase of a tipping
+// question; otherwise the first four figures, against a numeric factor if there is one, or else run by run for each arm.
 func (a *Analysis) Charts(dir string) (files []string, err error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
@@ -57,7 +57,7 @@
 		return files, err
 	}
 	for i, f := range a.Identity.Figures {
-		if i == 4 { // the table has the others
+		if i == 4 { // the rest is in the table only
 			break
 		}
 		p, err := a.figure(f)
@@ -71,10 +71,10 @@
 	return files, nil
 }
 
-// staircase draws service against load, up and down.
+// staircase plots service against load, with one line for the way up and one for the way down.
 func (a *Analysis) staircase() (*plot.Plot, error) {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = a.Name+": service on the way up (drawn through) and down", "load, times the scenario's", "service, median"
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = a.Name+": service on the way up (solid) and down (dashed)", "load, as a multiple of the scenario's", "service, median"
 	p.Y.Min, p.Y.Max, p.Legend.Left = 0, 1, true
 	for k, c := range a.Cells {
 		var up, down plotter.XYs
@@ -105,7 +105,7 @@
 	return p, nil
 }
 
-// figure draws one figure: medians and their ranges against a factor of numbers, or each run by its arm.
+// figure plots one figure: medians and ranges against a numeric factor, or each run, grouped by arm and level.
 func (a *Analysis) figure(f string) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = a.Name+": "+f, f
@@ -145,7 +145,7 @@
 		var xy plotter.XYs
 		for i, r := range c.counted {
 			if v, there := r.result.Figures[f]; there {
-				// Side by side, in the order of the seeds: pairs stand at the same place of their columns.
+				// The runs of a column are in the order of their seeds, so that the runs of a pair have the same position in theirs.
 				xy = append(xy, plotter.XY{X: float64(k) + 0.6*(float64(i)+0.5)/float64(len(c.counted)) - 0.3, Y: v})
 			}
 		}
@@ -170,7 +170,7 @@
 	return p, nil
 }
 
-// numbers are the levels' places on an axis, where there is one factor of numbers.
+// numericLevels returns the levels' positions on the axis if the only factor is numeric.
 func (a *Analysis) numericLevels() (at []float64, key string, ok bool) {
 	for _, l := range a.Identity.Levels {
 		if len(l) == 0 || slices.ContainsFunc(l[1:], func(s Setting) bool { return !s.Also }) {
--- a/internal/experiment/compatibility_sent_test.go
+++ b/internal/experiment/compatibility_sent_test.go
@@ -17,19 +17,19 @@
 	"marlreel/experiments"
 )
 
-// The keys of experiment files are the recorded ones.
+// The keys of experiment files match the recorded ones.
 func TestCompatibilityExperimentKeys(t *testing.T) {
 	keys := settingsKeys(reflect.TypeFor[File](), "")
 	slices.Sort(keys)
 	compareRecorded(t, "experiment-keys.txt", []byte(strings.Join(keys, "\n")+"\n"))
 }
 
-// The names of figures, and of questions.
+// The names of figures and questions match the recorded ones.
 func TestCompatibilityFigures(t *testing.T) {
 	compareRecorded(t, "figures.txt", []byte(strings.Join(append(slices.Clone(figures), questions...), "\n")+"\n"))
 }
 
-// Experiments that the recorded tree wrote out in full are read, and come back with the same keys and values.
+// Recorded experiment files can be parsed, and encode to the same keys and values.
 func TestCompatibilityExperiments(t *testing.T) {
 	for _, name := range []string{"amnesia", "compare", "fleet", "recovery", "tipping"} {
 		t.Run(name, func(t *testing.T) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// The keys of 'rehearse experiment --json', and of 'rehearse results export --json'.
+// The keys of 'rehearse experiment --json' and 'rehearse results export --json' match the recorded ones.
 func TestCompatibilityResultKeys(t *testing.T) {
 	for name, typ := range map[string]reflect.Type{"analysis-keys.txt": reflect.TypeFor[Analysis](), "export-keys.txt": reflect.TypeFor[Exported]()} {
 		keys := reportKeys(typ, "")
@@ -74,7 +74,7 @@
 	}
 }
 
-// reportKeys lists the keys that a struct has in JSON, with what may be left out.
+// reportKeys lists the JSON keys of a struct, with tag options such as omitempty.
 func reportKeys(typ reflect.Type, path string) (keys []string) {
 	for {
 		switch typ.Kind() {
@@ -110,7 +110,7 @@
 	return keys
 }
 
-// settingsKeys lists the keys that a settings struct has in its file.
+// settingsKeys lists the TOML keys of a settings struct.
 func settingsKeys(typ reflect.Type, path string) (keys []string) {
 	for typ.Kind() == reflect.Pointer || typ.Kind() == reflect.Slice || typ.Kind() == reflect.Array {
 		typ = typ.Elem()
@@ -131,12 +131,12 @@
 	return keys
 }
 
-// The files under testdata/compatibility hold what the tree at commit 6fb9894 wrote. They stay as they are: a
-// difference is a change of a form that others read, not a reason to write them anew. The variable below wrote
-// them; it only makes files that are not there.
+// The files under testdata/compatibility were written by the code of commit 6fb9894. Do not regenerate them: a difference
+// means that a format which others read has changed. If this environment variable is set, missing files are written;
+// existing ones are never overwritten.
 const writeCompatibility = "MARLREEL_WRITE_COMPATIBILITY"
 
-// compareRecorded compares bytes with a recorded file.
+// compareRecorded checks that got equals a recorded file.
 func compareRecorded(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", "compatibility", name)
--- a/internal/experiment/compatibility_test.go
+++ b/internal/experiment/compatibility_test.go
@@ -16,11 +16,11 @@
 	"marlreel/internal/stricttoml"
 )
 
-// The file testdata/compatibility/experiments.db was written by the code of commit 6fb9894. It stands for the results
-// that people have collected. It must not be written again to make a test pass: where this test fails, the code has lost
-// the ability to read stored results, or plays runs again that were played.
+// The file testdata/compatibility/experiments.db was written by the code of commit 6fb9894. It represents the results that
+// users have collected. Do not regenerate it to make a test pass: a failure means that the code can no longer read stored
+// results, or repeats runs that were already played.
 //
-// If the file is missing, it is written by
+// If the file is missing, this command writes it:
 //
 //	WRITE_COMPATIBILITY_FILES=1 go test -run TestCompatibility ./internal/experiment
 //
@@ -63,7 +63,7 @@
 	}
 }
 
-// storedSmall is the stored experiment with nothing that may be left out.
+// storedSmall is the stored experiment without any optional field.
 func storedSmall() *Identity {
 	return &Identity{
 		Question: "compare", Scenario: "calm", Seeds: []uint64{3}, Figures: []string{"service"}, Arms: []Arm{{Name: "only"}},
@@ -72,10 +72,10 @@
 	}
 }
 
-// storedKeys are the names of the runs in the store, digests of all that is played.
+// storedKeys are the keys of the runs in the store.
 var storedKeys = []string{"9fd4dcc87f7b425c83cfcea172b9de83", "5aff47e5b3ff9ec3fc1690d520e7f7e1", "b205cdaee043c0c3212157f1785fd8fc"}
 
-// storedTries are the tries of the first two runs, in their order.
+// storedTries are the tries of the first two runs, in order.
 func storedTries() [][]*Result {
 	return [][]*Result{
 		{
@@ -91,7 +91,7 @@
 	}
 }
 
-// storedIdentityText is how the first experiment is stored.
+// storedIdentityText is the stored form of the first experiment.
 const storedIdentityText = `{"question":"sweep","scenario":"storm",` +
 	`"seeds":[7,549755813888],"figures":["service","p99_ms"],"staircase":{"From":0.5,"To":1.5,"Steps":4,"Each":"2.5s","Below":0.75},` +
 	`"arms":[{"name":"new","marlreel":"bin/marlreel"},{"name":"plain","baseline":"round-robin"}],` +
@@ -100,7 +100,7 @@
 	`"scenarios":[["rate = 100\n","rate = 200\n"],["rate = 100\n","rate = 200\n"]],` +
 	`"builds":["0123456789abcdef","fedcba9876543210"],"replicates":2,"about":"does it bear a storm?","runs":[{"arm":0,"level":0,"seed":7},{"arm":1,"level":0,"seed":7},{"arm":1,"level":1,"seed":549755813888}],"machine":"8 cores","lengths_s":[[40,40.5],[41,41.5]]}`
 
-// storedTryTexts are how the tries are stored.
+// storedTryTexts are the stored forms of the tries.
 var storedTryTexts = []string{
 	`{"figures":{},"void":"the generator was late","schedule":"5c4e","late_ms":12.5}`,
 	`{"figures":{"p99_ms":812.25,"service":0.9375},"seconds":[{"a":100.5,"s":99.25},{"a":101,"s":0}],"broken":2,"crashes":1,` +
@@ -108,7 +108,7 @@
 	`{"figures":null,"failed":"the daemon did not start"}`,
 }
 
-// TestCompatibilityOfStoredExperiments reads what experiments were begun as.
+// TestCompatibilityOfStoredExperiments reads the identities of stored experiments, and continues the experiments.
 func TestCompatibilityOfStoredExperiments(t *testing.T) {
 	s := openCopy(t)
 	names, err := s.Names()
@@ -128,16 +128,16 @@
 				}
 			}
 			if d := want.Differs(got); d != "" {
-				t.Errorf("it is another experiment: %s", d)
+				t.Errorf("the stored experiment differs: %s", d)
 			}
 			if err := s.Begin(name, want); err != nil {
-				t.Errorf("it can't be gone on with: %v", err)
+				t.Errorf("the stored experiment can't be continued: %v", err)
 			}
 		})
 	}
 }
 
-// TestCompatibilityOfStoredResults reads the results of runs by their names, which no version may change.
+// TestCompatibilityOfStoredResults reads the results of runs by their keys, which no version may change.
 func TestCompatibilityOfStoredResults(t *testing.T) {
 	s := openCopy(t)
 	id := storedFactors()
@@ -177,7 +177,7 @@
 	compareRecords(t, "written", records(t, path), stored)
 }
 
-// TestCompatibilityOfExports compares what is exported of a stored experiment, which people keep as files.
+// TestCompatibilityOfExports compares the export of a stored experiment, which users keep as files.
 func TestCompatibilityOfExports(t *testing.T) {
 	s := openCopy(t)
 	results, err := s.Results("factors")
@@ -195,18 +195,18 @@
 		`{"arm":"plain","level":` + level0 + `,"seed":7,"tries":[` + storedTryTexts[2] + `]},` +
 		`{"arm":"plain","level":` + level1 + `,"seed":549755813888,"tries":null}]}`
 	if got := string(encode(t, Export(id, results))); got != want {
-		t.Errorf("exported is\n%s\nwant\n%s", got, want)
+		t.Errorf("the export is\n%s\nwant\n%s", got, want)
 	}
 }
 
 func compareRecords(t *testing.T, what string, got, want map[string]string) {
 	t.Helper()
 	if got, want := slices.Sorted(maps.Keys(got)), slices.Sorted(maps.Keys(want)); !slices.Equal(got, want) {
-		t.Errorf("the keys that are %s are\n%q\nwant\n%q", what, got, want)
+		t.Errorf("%s keys:\n%q\nwant\n%q", what, got, want)
 	}
 	for key, value := range want {
 		if got[key] != value {
-			t.Errorf("%s under %q is\n%q\nwant\n%q", what, key, got[key], value)
+			t.Errorf("%s value of %q:\n%q\nwant\n%q", what, key, got[key], value)
 		}
 	}
 }
@@ -220,7 +220,7 @@
 	return data
 }
 
-// records reads all records of a store, with no help from this package.
+// records reads all records of a store directly with bbolt, independently of this package.
 func records(t *testing.T, path string) map[string]string {
 	t.Helper()
 	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Second})
@@ -248,8 +248,8 @@
 	return all
 }
 
-// copyOfFile copies the stored file, as opening it may change it. It writes it first where it is missing and that is
-// asked for.
+// copyOfFile copies the stored file, as opening it may change it. If the file is missing and writeVariable is set, it
+// writes the file first.
 func copyOfFile(t *testing.T) string {
 	t.Helper()
 	if _, err := os.Stat(compatibilityFile); err != nil && os.Getenv(writeVariable) != "" {
--- a/internal/experiment/conduct.go
+++ b/internal/experiment/conduct.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// Tries is how often a run is played that the machine spoils, in all.
+// Tries is the maximum number of times that a run is played if its results are void.
 const Tries = 2
 
-// Conduct says how an experiment is carried out.
+// Conduct configures Go.
 type Conduct struct {
-	Now  func() time.Duration // since the beginning
-	Tell func(Standing)       // before each run; may be nil
+	Now  func() time.Duration // time since the start of the experiment
+	Tell func(Standing)       // called before each run; may be nil
 }
 
-// Standing is how an experiment stands.
+// Standing is the progress of an experiment before a run.
 type Standing struct {
 	Run    Run
-	Number int // of the runs still to be played when it began, from 1
-	Of     int
-	Again  bool // it was void before
-	Left   time.Duration
+	Number int           // from 1, among the runs that were missing when Go was called
+	Of     int           // number of the runs that were missing when Go was called
+	Again  bool          // repeats a void run
+	Left   time.Duration // estimated time for the remaining runs, including this one
 }
 
-// Outcome is how carrying one out ended.
+// Outcome is the state in which Go left the experiment.
 type Outcome struct {
-	Missing int  // runs without a result that counts, or a second void one
-	Spent   bool // the budget was
+	Missing int  // runs still to be played
+	Spent   bool // the budget ended it
 }
 
-// Go plays what is missing of a plan, a run after the other, and stores each result before the next
-// begins. It ends with the plan, the budget, ctx or an error of the store.
+// Go plays the missing runs of a plan one after another and stores each result before the next run starts. It returns
+// when the plan is complete, the next run would exceed the budget, ctx is done, or the store or the player fails.
 func Go(ctx context.Context, p *Plan, s *Store, player Player, c Conduct) (Outcome, error) {
 	id := p.Identity()
 	var o Outcome
@@ -87,7 +87,7 @@
 					result.Figures[name] = v
 				}
 			} else {
-				result.Seconds = nil // the store would hold them for nothing
+				result.Seconds = nil // only a staircase needs them; don't store them
 			}
 			if err := s.Put(p.File.Name, key, &result); err != nil {
 				o.Missing = len(todo) - n
@@ -99,7 +99,7 @@
 	return o, nil
 }
 
-// open tells whether a run is still to be played.
+// needsRun reports whether a run is still to be played, given its tries so far.
 func needsRun(tries []*Result) bool {
 	return len(tries) < Tries && (len(tries) == 0 || tries[len(tries)-1].Void != "")
 }
--- a/internal/experiment/days/days.go
+++ b/internal/experiment/days/days.go
@@ -1,5 +1,5 @@
-// Package days plays an experiment's days with the rehearsal kit. It owns how a day's settings are put
-// into a scenario and what a report's figures are called; it keeps nothing, and judges nothing.
+// Package days plays an experiment's days with the rehearsal kit. It owns how a day's settings are merged into a
+// scenario, and the names of the figures in a report. It stores and evaluates nothing.
 package days
 
 import (
@@ -23,20 +23,20 @@
 	"marlreel/internal/rehearsal"
 )
 
-// overhead is what a run takes beside its length: nodes and proxies come up and go.
+// overhead is the time that a run takes in addition to its length, to start and stop nodes and proxies.
 const overhead = 3 * time.Second
 
-// Player plays days as real processes on this machine.
+// Player plays days with real processes on this machine.
 type Player struct {
-	// Text is a scenario's text by what an experiment calls it.
+	// Text returns the path and text of the scenario that an experiment names.
 	Text func(scenario string) (path string, text []byte, err error)
-	// Command is what starts an arm's proxy.
+	// Command returns the command that starts an arm's proxy, and the proxy's name.
 	Command  func(a experiment.Arm) (command []string, name string, err error)
 	Scenario string
 	Progress func(rehearsal.Progress)
 }
 
-// scenario puts a day's settings into its scenario.
+// scenario merges a day's settings into the scenario, and returns it with its full text.
 func (p *Player) scenario(d experiment.Day) (*rehearsal.Scenario, string, error) {
 	path, text, err := p.Text(p.Scenario)
 	if err != nil {
@@ -44,7 +44,7 @@
 	}
 	var all map[string]any
 	if err := toml.Unmarshal(text, &all); err != nil {
-		// The kit words it, with its line.
+		// The kit's own error is better, as it names the line.
 		if _, err := rehearsal.Parse(path, text); err != nil {
 			return nil, "", err
 		}
@@ -78,11 +78,11 @@
 	if err != nil {
 		return nil, "", fmt.Errorf("%s: %w", path, err)
 	}
-	s, err := rehearsal.Parse(path+" as set here", whole)
+	s, err := rehearsal.Parse(path+" (merged)", whole)
 	return s, string(whole), err
 }
 
-// put sets a value at a path; numbers are places of lists, from 0.
+// setAtPath sets a value in nested tables and lists. A path element for a list is an index, from 0.
 func setAtPath(in any, path []string, v any) error {
 	key := path[0]
 	switch at := in.(type) {
@@ -98,7 +98,7 @@
 	case []any:
 		n, err := strconv.Atoi(key)
 		if err != nil || n < 0 || n >= len(at) {
-			return fmt.Errorf("%s is no place of a list of %d: 0 to %d is needed", key, len(at), len(at)-1)
+			return fmt.Errorf("%s is not an index of a list of %d: must be 0 to %d", key, len(at), len(at)-1)
 		}
 		if len(path) == 1 {
 			at[n] = v
@@ -106,7 +106,7 @@
 		}
 		return setAtPath(at[n], path[1:], v)
 	}
-	return fmt.Errorf("%s is within a value that is neither a table nor a list", key)
+	return fmt.Errorf("can't set %s in a value that is neither a table nor a list", key)
 }
 
 // Check implements experiment.Player.
@@ -116,10 +116,10 @@
 		return experiment.Checked{}, err
 	}
 	if d.Arm.Baseline != "" && s.RPC() {
-		return experiment.Checked{}, fmt.Errorf("the plain proxy speaks HTTP alone, and %s has classes that come by rpc", s.Name)
+		return experiment.Checked{}, fmt.Errorf("the plain proxy supports HTTP only, but %s has classes with protocol rpc", s.Name)
 	}
 	if d.Arm.Baseline != "" && len(s.Proxies.Own) > 0 {
-		return experiment.Checked{}, errors.New("the plain proxy has no settings of its own, and proxies.own has some")
+		return experiment.Checked{}, errors.New("the plain proxy has no settings of its own, but proxies.own sets some")
 	}
 	command, _, err := p.Command(d.Arm)
 	if err != nil {
@@ -137,7 +137,7 @@
 	return experiment.Checked{Length: s.Length.D() + overhead, Scenario: text, Build: build}, nil
 }
 
-// checkOwn lets the daemon itself check its own settings.
+// checkOwn has the daemon check its own settings, with --check.
 func checkOwn(command []string, s *rehearsal.Scenario) error {
 	f, err := os.CreateTemp("", "rehearse-*.toml")
 	if err != nil {
@@ -148,19 +148,19 @@
 	if err = errors.Join(err, f.Close()); err != nil {
 		return err
 	}
-	// It may not see a platform's configuration of ours.
+	// The daemon must not see a platform configuration in this process's environment.
 	ctx, done := context.WithTimeout(context.Background(), 10*time.Second)
 	defer done()
 	c := exec.CommandContext(ctx, command[0], append(slices.Clone(command[1:]), "--check", "--config", f.Name())...)
 	c.Env = slices.DeleteFunc(os.Environ(), func(v string) bool { return strings.HasPrefix(v, "NODE_") })
 	if out, err := c.CombinedOutput(); err != nil {
 		said, _, _ := strings.Cut(strings.TrimSpace(strings.ReplaceAll(string(out), f.Name(), "daemon")), "\n")
-		return fmt.Errorf("the daemon turns its settings down: %s", said)
+		return fmt.Errorf("the daemon rejected its settings: %s", said)
 	}
 	return nil
 }
 
-// digest is a file's.
+// digest returns the SHA-256 of a file, in hex.
 func digest(path string) (string, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -189,14 +189,14 @@
 	case ctx.Err() != nil:
 		return experiment.Result{}, context.Cause(ctx)
 	case errors.Is(err, rehearsal.ErrDescriptors):
-		return experiment.Result{}, err // it would be so in every run
+		return experiment.Result{}, err // every other run would fail in the same way
 	case err != nil:
 		return experiment.Result{Failed: err.Error()}, nil
 	}
 	return Result(rep), nil
 }
 
-// Result is what a report says, by the names that experiments use.
+// Result converts a report to a result, with the figure names that experiments use.
 func Result(rep *rehearsal.Report) experiment.Result {
 	r := experiment.Result{
 		Void: rep.Void, Crashes: rep.Crashes, Schedule: rep.Schedule, LateMs: rep.GeneratorMs, KitCPU: rep.Kit.CPU,
--- a/internal/experiment/days/days_test.go
+++ b/internal/experiment/days/days_test.go
@@ -16,7 +16,7 @@
 	"marlreel/internal/standin"
 )
 
-// As a child the test binary is a proxy, or a daemon that checks its settings.
+// As a child process the test binary acts as a proxy, or as a daemon that checks its settings.
 func TestMain(m *testing.M) {
 	switch os.Getenv("DAYS_TEST_CHILD") {
 	case "proxy":
@@ -84,7 +84,7 @@
 	}
 }
 
-// Values go to their places, in tables and in lists; what is not there is refused with what would be right.
+// Settings are merged into tables and lists at their paths; an invalid one gives an error that says what is valid.
 func TestSettings(t *testing.T) {
 	t.Parallel()
 	p := player(t, "checks")
@@ -108,12 +108,12 @@
 		want string
 	}{
 		"unknown":     {experiment.Day{Set: map[string]any{"traffic.rat": 1}}, "unknown key traffic.rat (did you mean rate?)"},
-		"no place":    {experiment.Day{Set: map[string]any{"fleet.nodes.3.count": 1}}, "3 is no place of a list of 1: 0 to 0 is needed"},
+		"no index":    {experiment.Day{Set: map[string]any{"fleet.nodes.3.count": 1}}, "3 is not an index of a list of 1: must be 0 to 0"},
 		"not a table": {experiment.Day{Set: map[string]any{"length.x": 1}}, "neither a table nor a list"},
 		"bad value":   {experiment.Day{Set: map[string]any{"proxies.count": int64(99)}}, "proxies.count = 99: 1 to 40 is needed"},
-		"its own":     {experiment.Day{Daemon: map[string]any{"rpc.idle": "1s"}}, "the daemon turns its settings down: daemon:2: rpc.idle is wrong"},
+		"its own":     {experiment.Day{Daemon: map[string]any{"rpc.idle": "1s"}}, "the daemon rejected its settings: daemon:2: rpc.idle is wrong"},
 		"plain's":     {experiment.Day{Arm: experiment.Arm{Baseline: "random"}, Daemon: map[string]any{"rpc.idle": "20s"}}, "no settings of its own"},
-		"plain's rpc": {experiment.Day{Arm: experiment.Arm{Baseline: "random"}, Set: map[string]any{"classes.0.protocol": "rpc"}}, "speaks HTTP alone"},
+		"plain's rpc": {experiment.Day{Arm: experiment.Arm{Baseline: "random"}, Set: map[string]any{"classes.0.protocol": "rpc"}}, "supports HTTP only"},
 	} {
 		if _, err := p.Check(c.day); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, want %s", key, err, c.want)
@@ -121,7 +121,7 @@
 	}
 }
 
-// A day is played, and its report's figures have the names that experiments know.
+// Playing a day gives a result whose figures all have names that an experiment file may ask for.
 func TestPlay(t *testing.T) {
 	t.Parallel()
 	r, err := player(t, "proxy").Play(t.Context(), experiment.Day{}, 3)
@@ -130,7 +130,7 @@
 	}
 	for name := range r.Figures {
 		if !experiment.KnownFigure(name) {
-			t.Errorf("%s is no figure that a file may ask for", name)
+			t.Errorf("%s is not a known figure", name)
 		}
 	}
 	if s := r.Figures["service"]; s <= 0 || s > 1 || r.Figures["class.lot-list"] <= 0 || r.Figures["tries"] < 1 {
@@ -138,8 +138,8 @@
 	}
 }
 
-// A daemon that does not start is a failed run; an experiment that is broken off is none.
-func TestNoDay(t *testing.T) {
+// A daemon that does not start gives a failed run; a cancelled run gives an error.
+func TestPlayFailureAndCancellation(t *testing.T) {
 	t.Parallel()
 	r, err := player(t, "never").Play(t.Context(), experiment.Day{}, 3)
 	if err != nil || r.Failed == "" || strings.Contains(r.Failed, "\n") {
@@ -148,6 +148,6 @@
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
 	if _, err := player(t, "proxy").Play(ctx, experiment.Day{}, 3); !errors.Is(err, context.Canceled) {
-		t.Errorf("broken off: %v", err)
+		t.Errorf("cancelled: %v", err)
 	}
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -26,7 +26,7 @@
 	"pgregory.net/rapid"
 )
 
-// As a child the test binary carries an experiment out until it is killed, or its disk is full.
+// As a child process the test binary runs an experiment until it is killed or reaches a limit on file size.
 func TestMain(m *testing.M) {
 	switch what := os.Getenv("EXPERIMENT_TEST_CHILD"); what {
 	case "":
@@ -35,7 +35,7 @@
 		signal.Ignore(syscall.SIGXFSZ)
 		limit := syscall.Rlimit{Cur: 256 << 10, Max: 256 << 10}
 		if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &limit); err != nil {
-			fmt.Println("no limit:", err)
+			fmt.Println("set the limit on file size:", err)
 			os.Exit(7)
 		}
 		fallthrough
@@ -61,12 +61,12 @@
 	}
 }
 
-// fake is a player whose days are a function.
+// fakePlayer is a player that computes results with a function.
 type fakePlayer struct {
 	play   func(d Day, seed uint64) Result
-	text   string // of the scenario
+	text   string // text of the scenario
 	build  string
-	fill   int // further figures, which make results large
+	fill   int // number of additional figures, to make results large
 	played []string
 	now    time.Duration
 }
@@ -131,7 +131,7 @@
 name = "b"
 `
 
-// ask carries a question out against a player, and analyses what came of it.
+// runAndAnalyse runs an experiment file with a player and analyses the results.
 func runAndAnalyse(t testing.TB, text string, p *fakePlayer) *Analysis {
 	t.Helper()
 	f := parse(t, text)
@@ -160,9 +160,9 @@
 	return Analyse(name, id, results)
 }
 
-// Pairs have the same seed and stand next to one another, turn about; the days of a level have its values;
-// more replicates go on with the same seeds.
-func TestThePlan(t *testing.T) {
+// The runs of a pair have the same seed, are adjacent and alternate in order; the days of a level have its values; with
+// more replicates the first seeds stay the same.
+func TestMakePlan(t *testing.T) {
 	t.Parallel()
 	text := fmt.Sprintf(twoArms, 3) + `
 [set]
@@ -192,7 +192,7 @@
 		first[x.Arm]++
 	}
 	if first[0]-first[1] > 1 || first[1]-first[0] > 1 {
-		t.Errorf("first of a pair: %v", first)
+		t.Errorf("times that each arm is the first of a pair: %v", first)
 	}
 	d := p.Days[1][2]
 	if d.Arm.Name != "b" || d.Set["traffic.rate"] != int64(300) || d.Set["a.b"] != int64(1) || d.Daemon["rpc.idle"] != "3s" {
@@ -203,41 +203,41 @@
 		t.Fatal(err)
 	}
 	if !slices.Equal(more.Seeds[:3], p.Seeds) {
-		t.Errorf("%v, and then %v", p.Seeds, more.Seeds)
+		t.Errorf("seeds %v; with more replicates %v", p.Seeds, more.Seeds)
 	}
 	a, b := p.Identity(), more.Identity()
 	if d := b.Differs(&a); d != "" {
-		t.Errorf("more replicates are another experiment: %s", d)
+		t.Errorf("more replicates make another experiment: %s", d)
 	}
 	if a.Key(p.Runs[0]) == a.Key(p.Runs[1]) || a.Key(p.Runs[4]) != b.Key(more.Runs[4]) {
-		t.Error("keys")
+		t.Error("two runs share a key, or a run's key changes with the number of replicates")
 	}
 }
 
-// What is wrong is said before anything is played, with file, line and what would be right.
+// An invalid file is rejected before anything is played, with an error that names the file, the line and what is valid.
 func TestBadFiles(t *testing.T) {
 	t.Parallel()
 	good := fmt.Sprintf(twoArms, 3)
 	for name, c := range map[string]struct{ text, want string }{
 		"unknown key":   {strings.Replace(good, "replicates", "replicats", 1), "q.toml:3: unknown key replicats (did you mean replicates?)"},
-		"question":      {"question = \"swep\"\n" + good, "q.toml:1: question = \"swep\": compare, sweep, tipping, recovery is needed (did you mean sweep?)"},
+		"question":      {"question = \"swep\"\n" + good, "q.toml:1: question = \"swep\": must be one of compare, sweep, tipping, recovery (did you mean sweep?)"},
 		"no scenario":   {strings.Replace(good, "scenario = \"morning\"", "", 1), "scenario is missing"},
-		"replicates":    {fmt.Sprintf(twoArms, 0), "q.toml:3: replicates = 0: 1 to 1000 is needed"},
-		"one arm":       {strings.Replace(good, "[[arms]]\nname = \"b\"", "", 1), "two [[arms]] are needed"},
-		"twice":         {strings.Replace(good, `"b"`, `"a"`, 1), `q.toml:8: two arms are called "a"`},
-		"figure":        {strings.Replace(good, `"service"`, `"servise"`, 1), `q.toml:4: figures: "servise" is none (did you mean service?)`},
+		"replicates":    {fmt.Sprintf(twoArms, 0), "q.toml:3: replicates = 0: must be 1 to 1000"},
+		"one arm":       {strings.Replace(good, "[[arms]]\nname = \"b\"", "", 1), "at least two [[arms]] are needed"},
+		"twice":         {strings.Replace(good, `"b"`, `"a"`, 1), `q.toml:8: two arms have the name "a"`},
+		"figure":        {strings.Replace(good, `"service"`, `"servise"`, 1), `q.toml:4: figures: unknown figure "servise" (did you mean service?)`},
 		"no levels":     {good + "[[factors]]\nkey = \"x\"\n", "q.toml:10: factor 1 (x): levels are missing"},
-		"range":         {good + "[[factors]]\nkey = \"x\"\nfrom = 1\nto = \"2s\"\nsteps = 3\n", "two numbers, or two spans of time"},
-		"steps":         {good + "[[factors]]\nkey = \"x\"\nfrom = 1\nto = 2\nsteps = 1\n", "steps = 1: 2 to 100 is needed"},
-		"level twice":   {good + "[[factors]]\nkey = \"x\"\nlevels = [1, 1]\n", "level 1 is there twice"},
-		"too many":      {fmt.Sprintf(twoArms, 1000) + "[[factors]]\nkey = \"x\"\nfrom = 1\nto = 100\nsteps = 100\n", "200000 runs, and 10000 are the most"},
+		"range":         {good + "[[factors]]\nkey = \"x\"\nfrom = 1\nto = \"2s\"\nsteps = 3\n", "must be two numbers, or two durations"},
+		"steps":         {good + "[[factors]]\nkey = \"x\"\nfrom = 1\nto = 2\nsteps = 1\n", "steps = 1: must be 2 to 100"},
+		"level twice":   {good + "[[factors]]\nkey = \"x\"\nlevels = [1, 1]\n", "level 1 occurs twice"},
+		"too many":      {fmt.Sprintf(twoArms, 1000) + "[[factors]]\nkey = \"x\"\nfrom = 1\nto = 100\nsteps = 100\n", "200000 runs; at most 10000 are allowed"},
 		"scenario key":  {good + "[[factors]]\nkey = \"traffic.rat\"\nlevels = [1]\n", "q.toml:10: traffic.rat = 1: morning.toml:4: unknown key rat (did you mean rate?)"},
 		"level":         {good + "[[factors]]\nkey = \"traffic.rate\"\nlevels = [1, -2]\n", "q.toml:10: traffic.rate = -2: traffic.rate: 0.1 requests"},
-		"staircase":     {"question = \"tipping\"\n" + good + "[tipping]\nfrom = 2\nto = 1\n", "q.toml:11: tipping: from above 0, to above it"},
-		"its own":       {"question = \"tipping\"\n" + good + "[set]\nlength = \"3s\"\n", "q.toml:11: length: the question tipping sets it"},
-		"no baseline":   {good + "baseline = \"worst\"\n", `q.toml:9: arm b: baseline = "worst": random is the only one`},
+		"staircase":     {"question = \"tipping\"\n" + good + "[tipping]\nfrom = 2\nto = 1\n", "q.toml:11: tipping: from must be above 0, to above from"},
+		"its own":       {"question = \"tipping\"\n" + good + "[set]\nlength = \"3s\"\n", "q.toml:11: length: the question tipping sets this itself"},
+		"no baseline":   {good + "baseline = \"worst\"\n", `q.toml:9: arm b: baseline = "worst": only random is supported`},
 		"plain's own":   {good + "baseline = \"random\"\n[daemon]\n\"rpc.idle\" = \"1s\"\n", "has no settings of its own"},
-		"in an arm too": {good + "[arms.set]\n\"x\" = 1\n[[factors]]\nkey = \"x\"\nlevels = [1, 2]\n", "x is a factor, and arm b sets it too"},
+		"in an arm too": {good + "[arms.set]\n\"x\" = 1\n[[factors]]\nkey = \"x\"\nlevels = [1, 2]\n", "x is a factor, but arm b sets it too"},
 	} {
 		f, err := Parse("q.toml", []byte(c.text))
 		if err == nil {
@@ -249,9 +249,9 @@
 	}
 }
 
-// Figures of known days: of 1,000 experiments without any difference about one in twenty shows one, and
-// the bounds hold the true difference as often as they say, whatever way the noise is spread.
-func TestWhatIsChance(t *testing.T) {
+// With simulated noise of several distributions, about one in twenty of 1,000 experiments without a difference reports
+// one, and the confidence intervals contain the true difference as often as stated.
+func TestPairedFalseAlarmsAndCoverage(t *testing.T) {
 	t.Parallel()
 	const experiments = 1000
 	noises := map[string]func(r *rand.Rand) float64{
@@ -282,16 +282,16 @@
 					alarms++
 				}
 			}
-			// A rate of 0.05 over 1,000 has a deviation of 0.007.
+			// A rate of 0.05 over 1,000 experiments has a standard deviation of 0.007.
 			if alarms > 72 || missed > 72 || missed < 8 {
-				t.Errorf("%s, %d pairs: %d false alarms, %d bounds miss (%d above)", name, pairs, alarms, missed, low)
+				t.Errorf("%s, %d pairs: %d false alarms, %d intervals miss the true difference (%d lie above it)", name, pairs, alarms, missed, low)
 			}
 		}
 	}
 }
 
-// A difference of the size that is named is seen about four times in five.
-func TestWhatWouldBeSeen(t *testing.T) {
+// A difference of the size Visible is detected about four times in five.
+func TestVisibleDifferenceIsDetected(t *testing.T) {
 	t.Parallel()
 	r := rand.New(rand.NewPCG(5, 6))
 	for _, pairs := range []int{8, 16} {
@@ -313,13 +313,13 @@
 			}
 		}
 		if share := float64(seen) / 500; share < 0.70 || share > 0.92 {
-			t.Errorf("%d pairs: one of %.2f is seen %.2f of the times", pairs, named, share)
+			t.Errorf("%d pairs: a difference of %.2f is detected in %.2f of the experiments", pairs, named, share)
 		}
 	}
 }
 
-// No spread, two replicates, none: nothing is said that isn't known.
-func TestFewAndAlike(t *testing.T) {
+// With few pairs, or pairs that are all equal, the verdict claims no more than the data shows.
+func TestVerdictsOfFewOrEqualPairs(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		diffs []float64
@@ -358,7 +358,7 @@
 	})
 }
 
-// hysteresisSeconds is a service that falls at a load, and is back only at a lower one.
+// hysteresisSeconds simulates a service that collapses at the load tip and recovers only at the lower load back.
 func hysteresisSeconds(tip, back float64, s Staircase) []Second {
 	var seconds []Second
 	over := false
@@ -379,8 +379,8 @@
 	return seconds
 }
 
-// A built-in tipping point and a built-in difference are found.
-func TestKnownAnswers(t *testing.T) {
+// The analysis finds tipping points and differences that were built into the results.
+func TestAnalyseFindsKnownEffects(t *testing.T) {
 	t.Parallel()
 	text := strings.Replace(fmt.Sprintf(twoArms, 8), `figures = ["service"]`, `question = "tipping"`, 1) + "[tipping]\nfrom = 0.5\nto = 2.0\nsteps = 4\neach = \"4s\"\n"
 	f := parse(t, text)
@@ -389,7 +389,7 @@
 			t.Errorf("%v", d.Set)
 		}
 		if d.Arm.Name == "a" {
-			return Result{Seconds: hysteresisSeconds(1.4, 0.9, f.Tipping)} // a metastable one
+			return Result{Seconds: hysteresisSeconds(1.4, 0.9, f.Tipping)} // metastable: recovers at a lower load than it tipped at
 		}
 		if seed%2 == 0 {
 			return Result{Seconds: hysteresisSeconds(1.9, 1.5, f.Tipping)}
@@ -403,7 +403,7 @@
 	if s := second.Figures; s["tips-at"].Median != 2 || s["back-at"].Median != 1.5 || s["tips-at"].N+second.Absent["tips-at"] != 8 || second.Absent["tips-at"] == 0 {
 		t.Errorf("%+v, absent %v", s, second.Absent)
 	}
-	if words := strings.Join(a.Words(), "\n"); !strings.Contains(words, "tips-at did not come about in") || !strings.Contains(words, "pairs are left out") {
+	if words := strings.Join(a.Words(), "\n"); !strings.Contains(words, "tips-at has no value in") || !strings.Contains(words, "pairs are left out") {
 		t.Error(words)
 	}
 	if len(first.Steps) != 8 || first.Steps[2].Service.Median != 0.4 || !first.Steps[5].Down {
@@ -416,7 +416,7 @@
 	}{{0.05, More}, {-0.05, Less}, {0.001, Unseen}} {
 		a := runAndAnalyse(t, fmt.Sprintf(twoArms, 12), &fakePlayer{play: func(d Day, seed uint64) Result {
 			r := rand.New(rand.NewPCG(seed, uint64(d.Arm.Name[0])))
-			v := 0.8 + float64(seed%100)/1000 + 0.01*r.NormFloat64() // days differ more than arms do
+			v := 0.8 + float64(seed%100)/1000 + 0.01*r.NormFloat64() // the seed has more influence than the arm
 			if d.Arm.Name == "b" {
 				v += c.better
 			}
@@ -428,8 +428,8 @@
 	}
 }
 
-// Service may be good on one step of the way down by luck: back is where it stays.
-func TestBackIsWhereItStays(t *testing.T) {
+// back-at requires that service stays good to the end: one good step on the way down may be luck.
+func TestBackAtNeedsLastingRecovery(t *testing.T) {
 	t.Parallel()
 	s := Staircase{From: 1, To: 3, Steps: 3, Each: 0, Below: 0.9}
 	s.Each = 2e9
@@ -440,13 +440,13 @@
 	if f := s.Figures(seconds); f["tips-at"] != 2 || f["back-at"] != 1 {
 		t.Errorf("%v", f)
 	}
-	if f := s.Figures(seconds[:8]); f["tips-at"] != 2 || len(f) != 1 { // what was not played says nothing
-		t.Errorf("cut off: %v", f)
+	if f := s.Figures(seconds[:8]); f["tips-at"] != 2 || len(f) != 1 { // steps that were not played don't count
+		t.Errorf("seconds of the last steps missing: %v", f)
 	}
 }
 
-// Runs that the machine spoils are played once more, and counted; an arm that crashes on every seed is
-// said to, and stops nobody; a budget leaves the rest for the next time.
+// Void runs are counted and played once more; an arm that fails on every seed is reported and doesn't stop the
+// experiment; runs that exceed the budget are left for the next call.
 func TestVoidsFailuresAndBudgets(t *testing.T) {
 	t.Parallel()
 	tries := map[string]int{}
@@ -476,7 +476,7 @@
 		t.Errorf("%+v, %d played", b, len(p.played))
 	}
 	words := strings.Join(a.Words(), "\n")
-	for _, w := range []string{"b: 10 of 10 runs failed: the proxies were not ready", "void each time", "too few pairs to say a word"} {
+	for _, w := range []string{"b: 10 of 10 runs failed: the proxies were not ready", "void in every try", "too few pairs to say a word"} {
 		if !strings.Contains(words, w) {
 			t.Errorf("no %q in\n%s", w, words)
 		}
@@ -493,8 +493,8 @@
 	}
 }
 
-// A scenario that was edited, or another build, is another experiment: the difference is named.
-func TestAnotherExperimentUnderTheSameName(t *testing.T) {
+// An edited scenario or another build makes another experiment; under the same name it is refused with the difference.
+func TestChangedExperimentUnderTheSameName(t *testing.T) {
 	t.Parallel()
 	play := func(Day, uint64) Result { return Result{Figures: map[string]float64{"service": 1}} }
 	path := filepath.Join(t.TempDir(), "r.db")
@@ -510,13 +510,13 @@
 		player *fakePlayer
 		want   string
 	}{
-		"edited":   {text, edited, `the scenario was edited: it said "rate = 200", and says "rate = 250"`},
-		"built":    {text, built, "arm a is another build of the daemon"},
-		"seeds":    {"seed = 9\n" + text, was(), "the seeds are others"},
-		"arms":     {strings.Replace(text, `"b"`, `"c"`, 1), was(), "the arms are others"},
-		"settings": {text + "[set]\nx = 1\n", was(), "the settings of arm a are others"},
-		"factors":  {text + "[[factors]]\nkey = \"x\"\nlevels = [1]\n", was(), "the factors are others"},
-		"question": {"question = \"recovery\"\n" + text, was(), "the question was compare, and is recovery"},
+		"edited":   {text, edited, `the scenario was edited: it said "rate = 200" and now says "rate = 250"`},
+		"built":    {text, built, "arm a has another build of the daemon"},
+		"seeds":    {"seed = 9\n" + text, was(), "the seeds differ"},
+		"arms":     {strings.Replace(text, `"b"`, `"c"`, 1), was(), "the arms differ"},
+		"settings": {text + "[set]\nx = 1\n", was(), "the settings of arm a differ"},
+		"factors":  {text + "[[factors]]\nkey = \"x\"\nlevels = [1]\n", was(), "the factors differ"},
+		"question": {"question = \"recovery\"\n" + text, was(), "the question was compare and is now recovery"},
 	} {
 		err := carryOut(parse(t, c.text), path, c.player)
 		if err == nil || !strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), "results forget q") || len(c.player.played) > 0 {
@@ -525,14 +525,14 @@
 	}
 	more := was()
 	if err := carryOut(parse(t, fmt.Sprintf(twoArms, 3)), path, more); err != nil || len(more.played) != 2 {
-		t.Errorf("one seed more: %v, %v", more.played, err)
+		t.Errorf("one more seed: %v, %v", more.played, err)
 	}
 	s, err := Open(path, OpenConfig{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Forget("nobody"); err == nil {
-		t.Error("what was not there is forgotten")
+		t.Error("an experiment that doesn't exist was deleted without an error")
 	}
 	if err := s.Forget("q"); err != nil {
 		t.Error(err)
@@ -542,7 +542,7 @@
 	}
 	s.Close()
 	if err := carryOut(parse(t, text), path, edited); err != nil {
-		t.Errorf("after it was forgotten: %v", err)
+		t.Errorf("after its results were deleted: %v", err)
 	}
 }
 
@@ -557,7 +557,7 @@
 	return c
 }
 
-// An experiment that is killed at any moment loses the run in hand at most, and goes on where it was.
+// An experiment that is killed at any time loses at most the current run, and continues from there.
 func TestKilled(t *testing.T) {
 	t.Parallel()
 	text, path := "name = \"child\"\n"+fmt.Sprintf(twoArms, 1000), filepath.Join(t.TempDir(), "r.db")
@@ -571,11 +571,11 @@
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
-		// It says each run that it plays: after some of these it is somewhere within a write.
+		// The child prints a line for each run: after a few lines it may be anywhere within a write.
 		played, line := 0, make([]byte, len("played\n"))
 		for played < 3+round {
 			if _, err := out.Read(line); err != nil {
-				t.Fatalf("round %d: it ended by itself: %v", round, err)
+				t.Fatalf("round %d: the child exited early: %v", round, err)
 			}
 			played++
 		}
@@ -591,14 +591,14 @@
 		c.Wait()
 		a := analyseStore(t, path, "child")
 		if a.Played < before+played-1 || a.Played > before+played {
-			t.Fatalf("round %d: %d played and said, %d are there, %d were before", round, played, a.Played, before)
+			t.Fatalf("round %d: the child reported %d runs; the store has %d, and had %d before", round, played, a.Played, before)
 		}
 		before = a.Played
 	}
 }
 
-// copies takes copies of the descriptors by which this process has a file locked to read it, as a child that is being
-// started has until it has become its program, and keeps them to the test's end. It counts them.
+// duplicateLockDescriptors duplicates the descriptors through which this process holds a read lock on a file, and keeps
+// the copies until the test ends, like a child process between fork and exec. It returns their number.
 func duplicateLockDescriptors(t *testing.T, path string) *atomic.Int64 {
 	t.Helper()
 	var held []int
@@ -615,7 +615,7 @@
 		if fd, err = syscall.Dup(fd); err != nil {
 			return
 		}
-		to, _ := os.Readlink(fmt.Sprint("/proc/self/fd/", fd)) // what was copied may be another file's by then
+		to, _ := os.Readlink(fmt.Sprint("/proc/self/fd/", fd)) // the descriptor may have been reused for another file
 		info, _ := os.ReadFile(fmt.Sprint("/proc/self/fdinfo/", fd))
 		if to != path || !strings.Contains(string(info), "FLOCK  ADVISORY  READ") {
 			syscall.Close(fd)
@@ -648,12 +648,12 @@
 	return &n
 }
 
-// A store that was closed is free at once, also where a child was being started while it was open: the child has
-// copies of its descriptors until it has become its program, however long that takes.
-func TestChildrenHoldNoStore(t *testing.T) {
+// Close releases a store's lock at once, even if a child process was started while the store was open: until its exec
+// the child holds copies of the store's descriptors.
+func TestStartingChildDoesNotHoldTheLock(t *testing.T) {
 	t.Parallel()
 	if runtime.GOOS != "linux" {
-		t.Skip("a process's descriptors as Linux shows them")
+		t.Skip("needs /proc/self/fd of Linux")
 	}
 	path := filepath.Join(t.TempDir(), "r.db")
 	if err := carryOut(parse(t, fmt.Sprintf(twoArms, 20)), path, &fakePlayer{fill: 2000, play: func(Day, uint64) Result {
@@ -665,11 +665,11 @@
 	for until := time.Now().Add(time.Minute); held.Load() < 3; {
 		s, err := Open(path, OpenConfig{})
 		if err != nil {
-			t.Fatalf("%d copies of descriptors that read it are held: %v", held.Load(), err)
+			t.Fatalf("with %d copies of read-locked descriptors: %v", held.Load(), err)
 		}
 		s.Close()
 		if time.Now().After(until) {
-			t.Fatalf("only %d copies were had in time", held.Load())
+			t.Fatalf("only %d descriptors were duplicated in time", held.Load())
 		}
 	}
 	s, err := Open(path, OpenConfig{})
@@ -679,11 +679,11 @@
 	s.Close()
 }
 
-// A full disk ends it with the store's name, and what was written before is whole.
+// A full disk ends the experiment with an error that names the store; results written before are intact.
 func TestFullDisk(t *testing.T) {
 	t.Parallel()
 	if runtime.GOOS != "linux" {
-		t.Skip("bounds on files as Linux has them")
+		t.Skip("needs the limit on file size of Linux")
 	}
 	path := filepath.Join(t.TempDir(), "r.db")
 	out, err := child(t, "full", "name = \"child\"\n"+fmt.Sprintf(twoArms, 1000), path).CombinedOutput()
@@ -691,12 +691,12 @@
 		t.Fatalf("%v: %s", err, out)
 	}
 	if a := analyseStore(t, path, "child"); a.Played == 0 || a.Played < strings.Count(string(out), "played\n")-1 {
-		t.Errorf("%d are there of %d", a.Played, strings.Count(string(out), "played\n"))
+		t.Errorf("the store has %d of %d runs", a.Played, strings.Count(string(out), "played\n"))
 	}
 }
 
-// Two at once, a newer version, a damaged file: each is refused in one line, and the file is left alone.
-func TestStoresThatAreNotOpened(t *testing.T) {
+// Open refuses a store that is in use, has a newer version or is damaged, with a one-line error and without changing it.
+func TestOpenRefusesUnusableStores(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	at := func(name string) string { return filepath.Join(dir, name) }
@@ -713,10 +713,10 @@
 		t.Fatal(err)
 	}
 	if _, err := Open(at("two.db"), OpenConfig{LockTimeout: lockQuietTime}); !errors.Is(err, ErrInUse) {
-		t.Errorf("two at once: %v", err)
+		t.Errorf("opened twice: %v", err)
 	}
 	if err := s.Put("nobody", "key", &Result{}); err == nil {
-		t.Error("a result of an experiment that was never begun is taken")
+		t.Error("a result of an unknown experiment was stored")
 	}
 	s.db.Update(func(tx *bolt.Tx) error {
 		return tx.Bucket(bucketMeta).Put(keyVersion, binary.BigEndian.AppendUint64(nil, 99))
@@ -752,10 +752,10 @@
 		s, err := Open(path, OpenConfig{})
 		if err == nil {
 			s.Close()
-			t.Errorf("%s: it is opened", name)
+			t.Errorf("%s: Open succeeded", name)
 		} else if damaged := (*DamagedError)(nil); !errors.As(err, &damaged) {
 			t.Errorf("%s: %T", name, err)
-		} else if !strings.Contains(err.Error(), path) || !strings.Contains(err.Error(), "left as it is") || strings.Contains(err.Error(), "\n") {
+		} else if !strings.Contains(err.Error(), path) || !strings.Contains(err.Error(), "was not modified") || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", name, err)
 		}
 		if after, err := os.ReadFile(path); err != nil || !slices.Equal(after, bytes) {
@@ -764,19 +764,19 @@
 	}
 }
 
-// A store of an older version is taken to this one, a step at a time.
+// A store of an older version is migrated to the current one step by step.
 func TestMigration(t *testing.T) {
 	t.Parallel()
-	const storeVersion = 1 // raised by hand, with the migration that leads there
+	const storeVersion = 1 // raise it with each new migration
 	if len(migrations) != storeVersion {
-		t.Errorf("%d migrations lead to version %d", len(migrations), storeVersion)
+		t.Errorf("%d migrations, want %d, the version", len(migrations), storeVersion)
 	}
 	path := filepath.Join(t.TempDir(), "old.db")
 	db, err := bolt.Open(path, 0o644, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	db.Close() // a store without a word in it is version 0
+	db.Close() // an empty store has version 0
 	s, err := Open(path, OpenConfig{})
 	if err != nil {
 		t.Fatal(err)
@@ -790,8 +790,8 @@
 	s.Close()
 }
 
-// Every shape of an analysis can be drawn and written.
-func TestPages(t *testing.T) {
+// Every kind of analysis can be drawn and written in each format.
+func TestRenderAnalysis(t *testing.T) {
 	t.Parallel()
 	climb := parse(t, "question = \"tipping\"\n"+fmt.Sprintf(twoArms, 2)).Tipping
 	for name, text := range map[string]string{
--- a/internal/experiment/inspect.go
+++ b/internal/experiment/inspect.go
@@ -13,11 +13,11 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// The layout of a bbolt file as far as its length is concerned: each of its first two pages holds a record that
-// names the page size, the page of the free list and the number of pages that the file needs.
+// The parts of the bbolt file layout that determine the file's length: each of the first two pages holds a meta record
+// with the page size, the page of the free list and the number of pages that the file needs.
 const (
 	metaPages       = 2
-	metaOffset      = 16 // behind the page's own header
+	metaOffset      = 16 // after the page header
 	metaLength      = 64
 	metaMagic       = 0xED0CDAED
 	metaPageSizeAt  = 8
@@ -29,35 +29,37 @@
 
 const storeFileMode = 0o644
 
-// DamagedError is a file of results that can't be trusted. It was not written to.
+// DamagedError reports that a results file is corrupt or not a store. The file was not modified.
 type DamagedError struct {
 	Cause error
 }
 
 // Error implements error.
 func (e *DamagedError) Error() string {
-	return fmt.Sprintf("the file is damaged, or no store (%v); it is left as it is", e.Cause)
+	return fmt.Sprintf("the file is damaged or not a store (%v); it was not modified", e.Cause)
 }
 
 // Unwrap implements errors.Unwrap.
 func (e *DamagedError) Unwrap() error { return e.Cause }
 
-// The causes that a DamagedError may wrap, beside the library's own.
+// Causes that a DamagedError may wrap, besides errors of bbolt.
 var (
-	ErrCutOff    = errors.New("it is shorter than its first pages say")
-	ErrStrayPage = errors.New("a page points nowhere")
+	ErrCutOff    = errors.New("it is shorter than its meta pages state")
+	ErrStrayPage = errors.New("invalid page reference")
 )
 
-// NoFileError says that something else than a file stands at the path of a store.
+// NoFileError reports that the path of a store is not a regular file.
 type NoFileError struct{ Path string }
 
 // Error implements error.
-func (e *NoFileError) Error() string { return "it is no file: a file's path is needed" }
+func (e *NoFileError) Error() string { return "not a regular file: a file's path is needed" }
 
-// Advice is what can be done about it.
-func (e *NoFileError) Advice() string { return "name a file, or a path at which there is nothing yet" }
+// Advice says how to fix the path.
+func (e *NoFileError) Advice() string {
+	return "give the path of a regular file, or a path that does not exist yet"
+}
 
-// inspect reads a file that is there through, without a write.
+// inspect reads an existing file completely to detect damage, without writing to it.
 func inspect(path string, lock *lockWait) (err error) {
 	info, err := os.Stat(path)
 	if errors.Is(err, os.ErrNotExist) || err == nil && info.Size() == 0 {
@@ -72,7 +74,7 @@
 	if err := inspectLength(path, info.Size()); err != nil {
 		return &DamagedError{err}
 	}
-	// A page that points nowhere makes the library panic, or read outside its mapping.
+	// An invalid page reference makes bbolt panic or read outside its mapping.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
@@ -93,15 +95,15 @@
 		return &DamagedError{err}
 	}
 	defer db.Close()
-	// Danger: the library leaves the lock of a file that is only read to the file's close, and a lock goes with the
-	// last copy of its descriptor. A child that is being started beside this has one until it has become its program,
-	// which on a busy machine takes longer than the wait for the lock: the store would be refused as in use.
+	// Release the lock explicitly. For a file opened read-only, bbolt relies on closing it, but a lock lasts until the
+	// last copy of its descriptor is closed. A child process being started concurrently has a copy until its exec, which
+	// on a busy machine takes longer than the wait for the lock: the store would then be refused as in use.
 	defer syscall.Flock(int(file.Fd()), syscall.LOCK_UN)
 	return db.View(inspectPages)
 }
 
-// inspectLength compares a file's length with the number of pages that its first pages name. The library maps the
-// file and follows page numbers without such a look: past the end of the mapping the process would be killed.
+// inspectLength compares a file's length with the number of pages that its meta pages state. bbolt maps the file and
+// follows page numbers without this check: an access past the end of the file would kill the process.
 func inspectLength(path string, size int64) error {
 	file, err := os.Open(path)
 	if err != nil {
@@ -117,8 +119,8 @@
 	return nil
 }
 
-// neededLength is the length that the record in the page at an offset asks for, if there is a record at all:
-// the library itself refuses a file without one.
+// neededLength returns the file length that the meta record in the page at offset requires. known is false if there is
+// no meta record; bbolt itself rejects a file without one.
 func neededLength(file *os.File, offset int64) (length int64, known bool) {
 	record := make([]byte, metaLength)
 	if _, err := file.ReadAt(record, offset+metaOffset); err != nil {
@@ -132,8 +134,8 @@
 	return int64(pages) * int64(pageSize), true
 }
 
-// inspectPages reads every key and value on the caller's goroutine, where a stray page can be recovered from,
-// and has the library compare the pages after that.
+// inspectPages reads every key and value on the caller's goroutine, where the panic of an invalid page reference can be
+// recovered, and only then runs bbolt's own check, which uses another goroutine.
 func inspectPages(tx *bolt.Tx) error {
 	digest := crc32.NewIEEE()
 	err := tx.ForEach(func(_ []byte, bucket *bolt.Bucket) error { return hashBucket(bucket, digest) })
@@ -148,7 +150,7 @@
 	return nil
 }
 
-// hashBucket feeds each byte of a bucket, and of the buckets within it, to a digest.
+// hashBucket writes all keys and values of a bucket and its nested buckets to digest, so that each byte is read.
 func hashBucket(bucket *bolt.Bucket, digest io.Writer) error {
 	return bucket.ForEach(func(key, value []byte) error {
 		if inner := bucket.Bucket(key); value == nil && inner != nil {
--- a/internal/experiment/lock.go
+++ b/internal/experiment/lock.go
@@ -9,31 +9,32 @@
 )
 
 const (
-	// defaultLockTimeout outlasts what holds a killed process's lock: the lock goes with the last mapping of the file, and
-	// whoever reads the dead process's memory or mappings in /proc keeps these until the read is over, which a reader
-	// that gets little processor time may take seconds for.
+	// defaultLockTimeout outlasts the lock of a killed process. The kernel releases the lock with the last mapping of the
+	// file, and a process that reads the killed one's memory or mappings in /proc keeps these alive until its read is
+	// over, which may take seconds for a reader that gets little CPU time.
 	defaultLockTimeout = 5 * time.Second
 
-	// lockQuietTime is waited in silence: two programs that take turns at one store are nothing to tell of.
+	// lockQuietTime is how long Open waits before it calls OnLockWait: short waits are normal where two programs take
+	// turns at one store.
 	lockQuietTime = 300 * time.Millisecond
 )
 
-// ErrInUse says that another process has the store open.
-var ErrInUse = errors.New("another process has it open: one at a time")
+// ErrInUse reports that another process has the store open.
+var ErrInUse = errors.New("another process has it open; only one process at a time can use it")
 
-// OpenConfig says how long Open waits for a store that another process has locked.
+// OpenConfig sets how long Open waits for a store that another process has locked.
 type OpenConfig struct {
-	// LockTimeout bounds the wait for the lock; 0 is 5 s. Raising it makes a second program that is started by mistake
-	// learn later that the store is in use; lowering it makes a start right after a kill fail where the killed process's
-	// memory is still being read by somebody.
+	// LockTimeout limits the wait for the lock; 0 means 5 s. With a higher value, a second program started by mistake
+	// reports later that the store is in use. With a lower one, a start right after a kill fails if another process is
+	// still reading the killed one's memory.
 	LockTimeout time.Duration
 
-	// OnLockWait, if set, is called at most once, when the lock is still held after 300 ms, with the time that
-	// Open goes on waiting for at most.
+	// OnLockWait, if set, is called at most once, if the lock isn't free after 300 ms, with the longest time that Open
+	// will continue to wait.
 	OnLockWait func(remaining time.Duration)
 }
 
-// lockWait is one Open's wait for the lock: the inspection and the opening behind it share its bound.
+// lockWait is the wait for the lock in one call of Open; inspecting and then opening the file share its deadline.
 type lockWait struct {
 	deadline time.Time
 	onWait   func(remaining time.Duration)
@@ -47,7 +48,7 @@
 	return &lockWait{deadline: now.Add(timeout), onWait: c.OnLockWait}
 }
 
-// open opens the database with these options as soon as the lock is free, and returns ErrInUse at the deadline.
+// open opens the database as soon as the lock is free. It returns ErrInUse if the deadline passes first.
 func (w *lockWait) open(path string, options bolt.Options) (*bolt.DB, error) {
 	options.Timeout = min(w.remaining(), lockQuietTime)
 	db, err := bolt.Open(path, storeFileMode, &options)
@@ -68,7 +69,7 @@
 	return db, err
 }
 
-// remaining is what is left until the deadline, and never 0: to the library 0 is a wait without a bound.
+// remaining returns the time until the deadline, at least 1 ms: bbolt takes 0 for a wait without a limit.
 func (w *lockWait) remaining() time.Duration {
 	return max(time.Until(w.deadline), time.Millisecond)
 }
--- a/internal/experiment/lock_test.go
+++ b/internal/experiment/lock_test.go
@@ -15,7 +15,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// lockedStore is a store that somebody else has locked, and what lets go of the lock.
+// lockedStore creates a store that is locked through another descriptor, and returns a function that unlocks it.
 func lockedStore(t *testing.T) (path string, unlock func()) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "r.db")
@@ -35,14 +35,14 @@
 	return path, func() { syscall.Flock(int(file.Fd()), syscall.LOCK_UN) }
 }
 
-// A store whose lock is still held is waited for, and whoever waits is told once.
+// Open waits for the lock of a store, and calls OnLockWait once.
 func TestOpenWaitsForTheLock(t *testing.T) {
 	t.Parallel()
 	path, unlock := lockedStore(t)
-	told := 0
+	notified := 0
 	store, err := Open(path, OpenConfig{LockTimeout: time.Minute, OnLockWait: func(remaining time.Duration) {
-		if told++; remaining <= 0 || remaining > time.Minute {
-			t.Errorf("it waits for %v more", remaining)
+		if notified++; remaining <= 0 || remaining > time.Minute {
+			t.Errorf("OnLockWait got %v, want more than 0 and at most a minute", remaining)
 		}
 		unlock()
 	}})
@@ -50,39 +50,39 @@
 		t.Fatal(err)
 	}
 	store.Close()
-	if told != 1 {
-		t.Errorf("told %d times", told)
+	if notified != 1 {
+		t.Errorf("OnLockWait was called %d times, want once", notified)
 	}
 }
 
-// The wait ends at its bound with the error that names the cause.
+// Open stops waiting after LockTimeout and returns ErrInUse.
 func TestOpenGivesUpOnTheLock(t *testing.T) {
 	t.Parallel()
 	path, _ := lockedStore(t)
-	told, begin := 0, time.Now()
-	_, err := Open(path, OpenConfig{LockTimeout: time.Second, OnLockWait: func(time.Duration) { told++ }})
+	notified, begin := 0, time.Now()
+	_, err := Open(path, OpenConfig{LockTimeout: time.Second, OnLockWait: func(time.Duration) { notified++ }})
 	if !errors.Is(err, ErrInUse) {
-		t.Errorf("it is %v", err)
+		t.Errorf("got error %v, want ErrInUse", err)
 	}
-	// The library looks at the lock every 50 ms, and ends a wait in which the next look would come too late.
-	if took := time.Since(begin); took < 800*time.Millisecond || told != 1 {
-		t.Errorf("it gave up after %v, and told of it %d times", took, told)
+	// bbolt polls the lock every 50 ms, and gives up early if the next poll would be after the timeout.
+	if took := time.Since(begin); took < 800*time.Millisecond || notified != 1 {
+		t.Errorf("Open gave up after %v and called OnLockWait %d times, want 800 ms or more and once", took, notified)
 	}
 }
 
-// Unless the configuration says otherwise, a killed process's lock is waited for as long as its readers usually take.
+// The default timeout covers the time that readers of a killed process usually keep its lock.
 func TestDefaultLockTimeout(t *testing.T) {
 	t.Parallel()
 	begin := time.Now()
 	if got := (OpenConfig{}).begin(begin).deadline.Sub(begin); got != 5*time.Second {
-		t.Errorf("it is %v", got)
+		t.Errorf("the default timeout is %v, want 5s", got)
 	}
 }
 
-// largeChildBytes is what a child called "large" has in its memory, so that one read of it takes long.
+// largeChildBytes is the memory that a child started as "large" allocates, so that reading it takes long.
 const largeChildBytes = 32 << 20
 
-// largestRegion is the largest part of a process's memory that can be read.
+// largestRegion finds the largest private writable memory region of a process.
 func largestRegion(t *testing.T, pid int) (from uintptr, size int) {
 	t.Helper()
 	maps, err := os.ReadFile(fmt.Sprintf("/proc/%d/maps", pid))
@@ -102,11 +102,11 @@
 	return from, size
 }
 
-// readMemory reads a process's memory over and over, in calls that take long, until the process is gone.
+// readMemory reads a process's memory repeatedly, in calls that take long, until the process has exited.
 func readMemory(t *testing.T, pid int) (wait func()) {
 	t.Helper()
-	const vectors = 1024 // as many times a call reads the same region into the same buffer: 2 GB in all, as much as it can
-	const readers = 8    // each slows the others down, so that a call lasts long enough
+	const vectors = 1024 // times that one call reads the same region into the same buffer: 2 GB in total, the maximum
+	const readers = 8    // concurrent readers slow each other down, so that a call lasts long enough
 	from, size := largestRegion(t, pid)
 	size = min(size, largeChildBytes)
 	buffer := make([]byte, size)
@@ -130,16 +130,16 @@
 	return ended.Wait
 }
 
-// TestKilled was red now and then: a killed process's lock lasts as long as somebody reads its memory or its mappings
-// in /proc, since the lock goes with the last mapping of the file. A store is opened all the same, as soon as the last
-// read is over: how long these readers take depends on the machine, and the lock's end is the event that is waited for.
+// Opening a store right after its owner was killed must succeed, also while another process still reads the killed one's
+// memory or its mappings in /proc: these reads keep the file's last mapping, and with it the lock. TestKilled failed now
+// and then for this reason. How long the reads take depends on the machine, so Open waits for the lock itself.
 func TestReadersOfAKilledProcessHoldItsLock(t *testing.T) {
 	t.Parallel()
 	if runtime.GOOS != "linux" {
 		t.Skip("a process's memory as Linux shows it")
 	}
-	text, held := "name = \"child\"\n"+fmt.Sprintf(twoArms, 1000), 0
-	for round := 0; round < 20 && held < 1; round++ {
+	text, waits := "name = \"child\"\n"+fmt.Sprintf(twoArms, 1000), 0
+	for round := 0; round < 20 && waits < 1; round++ {
 		path := filepath.Join(t.TempDir(), "r.db")
 		cmd := child(t, "large", text, path)
 		out, err := cmd.StdoutPipe()
@@ -153,17 +153,17 @@
 			t.Fatal(err)
 		}
 		ended := readMemory(t, cmd.Process.Pid)
-		time.Sleep(50 * time.Millisecond) // the readers are within their calls
+		time.Sleep(50 * time.Millisecond) // lets the readers enter their calls
 		cmd.Process.Kill()
 		cmd.Wait()
-		store, err := Open(path, OpenConfig{LockTimeout: time.Minute, OnLockWait: func(time.Duration) { held++ }})
+		store, err := Open(path, OpenConfig{LockTimeout: time.Minute, OnLockWait: func(time.Duration) { waits++ }})
 		if err != nil {
 			t.Fatalf("round %d: %v", round, err)
 		}
 		store.Close()
 		ended()
 	}
-	if held == 0 {
-		t.Error("nobody held the lock of a killed process: this test makes no longer what it is for")
+	if waits == 0 {
+		t.Error("Open never had to wait for the lock of a killed process: this test no longer reproduces the problem")
 	}
 }
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -13,85 +13,85 @@
 	"time"
 )
 
-// Arm is what a player is told of an arm.
+// Arm identifies the proxy that an arm runs.
 type Arm struct {
 	Name     string `json:"name"`
 	Marlreel string `json:"marlreel,omitempty"`
 	Baseline string `json:"baseline,omitempty"`
 }
 
-// Day is what a run plays, but for its seed.
+// Day is everything that determines a run, except for its seed.
 type Day struct {
 	Arm    Arm            `json:"arm"`
-	Set    map[string]any `json:"set"`    // in the scenario
-	Daemon map[string]any `json:"daemon"` // in the daemon's own settings
+	Set    map[string]any `json:"set"`    // scenario settings, by path
+	Daemon map[string]any `json:"daemon"` // daemon settings, by path
 }
 
 // Run is one run of a plan.
 type Run struct {
 	Arm   int    `json:"arm"`
-	Level int    `json:"level"` // which combination of the factors' levels
+	Level int    `json:"level"` // index of the combination of the factors' levels
 	Seed  uint64 `json:"seed"`
 }
 
-// Player plays days. What is Play's error is the experiment's end; a day that says nothing is a void
-// result, and one whose daemon does not start is a failed one.
+// Player plays days. An error from Play ends the experiment. A day whose measurements can't be used gives a void
+// result, and a day whose daemon does not start gives a failed one; neither is an error.
 type Player interface {
-	// Check prepares a day, and says how long a run takes, what its scenario is (a digest: another one is
-	// another experiment) and which build of the daemon plays.
+	// Check validates a day. It returns how long a run takes, the scenario's text and the build of the daemon; if the
+	// text or the build changes, it is another experiment.
 	Check(day Day) (Checked, error)
 	Play(ctx context.Context, day Day, seed uint64) (Result, error)
 }
 
-// Checked is what Player.Check says.
+// Checked is the result of Player.Check.
 type Checked struct {
 	Length   time.Duration
-	Scenario string // its whole text, as it is played
-	Build    string // a digest of the daemon's binary
+	Scenario string // full text, with the day's settings applied
+	Build    string // digest of the daemon's binary
 }
 
-// Result is what one run gave.
+// Result is the outcome of one run.
 type Result struct {
 	Figures  map[string]float64 `json:"figures"`
-	Seconds  []Second           `json:"seconds,omitempty"`  // by the second of the planned arrival
-	Void     string             `json:"void,omitempty"`     // why it says nothing
-	Failed   string             `json:"failed,omitempty"`   // why there is nothing but the failure
-	Broken   int                `json:"broken,omitempty"`   // rules
-	Crashes  int                `json:"crashes,omitempty"`  // of proxies
-	Schedule string             `json:"schedule,omitempty"` // digest of what was planned
-	LateMs   float64            `json:"late_ms,omitempty"`  // the generator's own lateness, at its 99th percentile
+	Seconds  []Second           `json:"seconds,omitempty"`  // by planned arrival time
+	Void     string             `json:"void,omitempty"`     // why the measurements can't be used
+	Failed   string             `json:"failed,omitempty"`   // why the run failed; it then has no measurements
+	Broken   int                `json:"broken,omitempty"`   // number of broken rules
+	Crashes  int                `json:"crashes,omitempty"`  // number of proxy crashes
+	Schedule string             `json:"schedule,omitempty"` // digest of the planned requests
+	LateMs   float64            `json:"late_ms,omitempty"`  // 99th percentile of the load generator's own send delay
 	KitCPU   float64            `json:"kit_cpu_s,omitempty"`
 	TookS    float64            `json:"took_s,omitempty"`
 }
 
-// Second is the worth of one second.
+// Second is the value of the requests of one second: asked for and served.
 type Second struct {
 	Asked  float64 `json:"a"`
 	Served float64 `json:"s"`
 }
 
-// Plan is all runs of an experiment, in their order.
+// Plan holds all runs of an experiment, in order.
 type Plan struct {
 	File     *File
 	Seeds    []uint64
 	Levels   []Level
 	Runs     []Run
-	Days     [][]Day // by arm and level
+	Days     [][]Day // indexed by arm and level
 	Checked  [][]Checked
-	Scenario string // the name of what is played
+	Scenario string // the scenario's name
 }
 
 // Level is a combination of the factors' levels.
 type Level []Setting
 
-// Setting is one value.
+// Setting is the value of one key.
 type Setting struct {
 	Key   string `json:"key"`
 	Value any    `json:"value"`
-	Also  bool   `json:"also,omitempty"` // it goes with the one before it
+	Also  bool   `json:"also,omitempty"` // changes along with the factor before it
 }
 
-// String is the level as tables name it.
+// String names the level in tables, without the settings that change along with a factor.
 func (l Level) String() string {
 	var parts []string
 	for _, s := range l {
@@ -102,7 +102,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// Make plans an experiment, and lets the player check every day of it before the first is played.
+// Make plans an experiment. It has the player check every day before the first one is played.
 func Make(f *File, player Player) (*Plan, error) {
 	p := &Plan{File: f, Scenario: f.Scenario, Levels: []Level{nil}}
 	for _, x := range f.Factors {
@@ -120,7 +120,7 @@
 	}
 	r := rand.New(rand.NewPCG(f.Seed, 0x6578706572696d65))
 	for len(p.Seeds) < f.Replicates {
-		// Small enough to be typed, and to be a number in JSON.
+		// Seeds are small enough to type, and to be exact as JSON numbers.
 		if s := 1 + r.Uint64N(1<<40); !slices.Contains(p.Seeds, s) {
 			p.Seeds = append(p.Seeds, s)
 		}
@@ -138,8 +138,8 @@
 		}
 		p.Days, p.Checked = append(p.Days, days), append(p.Checked, checked)
 	}
-	// A replicate after the other, so that what a budget ends is whole; the arms of a pair next to one
-	// another and turn about, so that a machine that slows down favours none.
+	// Replicates run one after the other, so that most are complete when the budget runs out. The arms of a pair run
+	// back to back in alternating order, so that a machine that slows down favours none.
 	for n, seed := range p.Seeds {
 		for l := range p.Levels {
 			for k := range f.Arms {
@@ -154,7 +154,7 @@
 	return p, nil
 }
 
-// day is what an arm plays at a level.
+// day merges the settings of the file, the arm and the level, in this order.
 func (f *File) day(a ArmSpec, l Level) Day {
 	d := Day{Arm: Arm{a.Name, a.Marlreel, a.Baseline}, Set: map[string]any{}, Daemon: map[string]any{}}
 	maps.Copy(d.Set, f.Set)
@@ -174,7 +174,7 @@
 	return d
 }
 
-// blame names the place in the file that an error is about, as far as it can be seen.
+// locateError adds to an error of Player.Check the position in the file of the setting that it mentions, if any.
 func (f *File) locateError(a ArmSpec, l Level, err error) error {
 	for i, s := range l {
 		if strings.Contains(err.Error(), lastPart(s.Key)) {
@@ -196,7 +196,7 @@
 
 func lastPart(key string) string { return key[strings.LastIndexByte(key, '.')+1:] }
 
-// Length is how long all runs take, those to come anew left out.
+// Length is how long all runs take, not counting repeats of void runs.
 func (p *Plan) Length() time.Duration {
 	sum := time.Duration(0)
 	for _, r := range p.Runs {
@@ -205,7 +205,8 @@
 	return sum
 }
 
-// Identity is what an experiment's results belong to: whatever of it changes, they are another's.
+// Identity is everything that determines an experiment's results. Results are only valid for the identity under which
+// they were produced.
 type Identity struct {
 	Question   string      `json:"question"`
 	Scenario   string      `json:"scenario"`
@@ -215,7 +216,7 @@
 	Arms       []Arm       `json:"arms"`
 	Levels     []Level     `json:"levels"`
 	Days       [][]Day     `json:"days"`
-	Scenarios  [][]string  `json:"scenarios"` // their texts, as played
+	Scenarios  [][]string  `json:"scenarios"` // full texts, by arm and level
 	Builds     []string    `json:"builds"`    // by arm
 	Replicates int         `json:"replicates"`
 	About      string      `json:"about,omitempty"`
@@ -224,7 +225,7 @@
 	Lengths    [][]float64 `json:"lengths_s"`
 }
 
-// Identity gives it.
+// Identity returns the identity of the planned experiment.
 func (p *Plan) Identity() Identity {
 	id := Identity{
 		Question: p.File.Question, Scenario: p.Scenario, Seeds: p.Seeds, Figures: p.File.Figures, Levels: p.Levels, Days: p.Days,
@@ -246,18 +247,18 @@
 	return id
 }
 
-// Key is a run's name in the store: arm, level, seed, build and all that is played.
+// Key is the key of a run in the store: a digest of its day, scenario, build, staircase and seed.
 func (id *Identity) Key(r Run) string {
 	h := sha256.New()
-	// Maps are written in the order of their keys.
+	// The JSON encoder sorts map keys, so the digest is deterministic.
 	if err := json.NewEncoder(h).Encode([]any{id.Days[r.Arm][r.Level], id.Scenarios[r.Arm][r.Level], id.Builds[r.Arm], id.Staircase, r.Seed}); err != nil {
-		panic(fmt.Sprintf("a day that is no JSON: %v", err)) // it came from TOML
+		panic(fmt.Sprintf("can't encode a day as JSON: %v", err)) // all values came from TOML
 	}
 	return hex.EncodeToString(h.Sum(nil)[:16])
 }
 
-// Differs names the first thing in which an experiment is not the one that was begun under its name; ""
-// is nothing. More replicates than before are no difference: the seeds before are the same.
+// Differs describes the first difference from the experiment that was begun under the same name, or returns "" if there
+// is none. A different number of replicates is no difference, as the seeds that both have are the same.
 func (id *Identity) Differs(begun *Identity) string {
 	same := func(a, b any) bool {
 		x, _ := json.Marshal(a)
@@ -266,23 +267,23 @@
 	}
 	switch shared := min(len(id.Seeds), len(begun.Seeds)); {
 	case id.Question != begun.Question:
-		return fmt.Sprintf("the question was %s, and is %s", begun.Question, id.Question)
+		return fmt.Sprintf("the question was %s and is now %s", begun.Question, id.Question)
 	case !slices.Equal(id.Seeds[:shared], begun.Seeds[:shared]):
-		return "the seeds are others"
+		return "the seeds differ"
 	case !same(id.Staircase, begun.Staircase):
-		return "the steps of the load are others"
+		return "the load steps differ"
 	case !same(id.Arms, begun.Arms):
-		return "the arms are others"
+		return "the arms differ"
 	case !same(id.Levels, begun.Levels):
-		return "the factors are others"
+		return "the factors differ"
 	}
 	for k := range id.Arms {
 		if id.Builds[k] != begun.Builds[k] {
-			return fmt.Sprintf("arm %s is another build of the daemon (%.12s, and it was %.12s)", id.Arms[k].Name, id.Builds[k], begun.Builds[k])
+			return fmt.Sprintf("arm %s has another build of the daemon (%.12s; it was %.12s)", id.Arms[k].Name, id.Builds[k], begun.Builds[k])
 		}
 		for l := range id.Levels {
 			if !same(id.Days[k][l], begun.Days[k][l]) {
-				return fmt.Sprintf("the settings of arm %s are others", id.Arms[k].Name)
+				return fmt.Sprintf("the settings of arm %s differ", id.Arms[k].Name)
 			}
 			if a, b := begun.Scenarios[k][l], id.Scenarios[k][l]; a != b {
 				return "the scenario was edited: " + firstDifference(a, b)
@@ -292,7 +293,7 @@
 	return ""
 }
 
-// firstDifference is the first line in which two texts differ.
+// firstDifference describes the first line in which two texts differ.
 func firstDifference(was, is string) string {
 	a, b := strings.Split(was, "\n"), strings.Split(is, "\n")
 	for i := range max(len(a), len(b)) {
@@ -303,8 +304,8 @@
 			return "nothing"
 		}
 		if line(a) != line(b) {
-			return fmt.Sprintf("it said %q, and says %q", line(a), line(b))
+			return fmt.Sprintf("it said %q and now says %q", line(a), line(b))
 		}
 	}
-	return "in its line ends"
+	return "only line endings differ"
 }
--- a/internal/experiment/staircase.go
+++ b/internal/experiment/staircase.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// shape makes a scenario's load go up in steps and down again.
+// addTo adds the settings that make a scenario's load rise in steps and fall again.
 func (s *Staircase) addTo(set map[string]any) {
 	each := s.Each.D()
 	var jumps []any
@@ -17,7 +17,7 @@
 	set["traffic.jumps"] = jumps
 }
 
-// loads are the loads of the steps, as multiples of the scenario's.
+// loads returns the load of each step, up and then down, as multiples of the scenario's.
 func (s *Staircase) loads() (loads []float64) {
 	at := func(i int) float64 {
 		v := s.From + (s.To-s.From)*float64(i)/float64(s.Steps-1)
@@ -32,16 +32,16 @@
 	return loads
 }
 
-// Step is the service of one step.
+// Step is the service at one step of a run.
 type Step struct {
 	Load    float64 `json:"load"`
 	Service float64 `json:"service"`
 	Down    bool    `json:"down"`
-	Asked   bool    `json:"asked"` // whether anybody asked for anything: where nobody did, nothing is said
+	Asked   bool    `json:"asked"` // whether there were requests; without any, Service is undefined
 }
 
-// Climb reads a run's seconds as steps. The first second of each is left out: it still has the load before
-// it in its queues, and on the way down that is what a step is judged by from then on.
+// Climb aggregates a run's seconds into steps. It leaves out the first second of each step: queues still hold requests
+// of the previous step then, which matters most on the way down, where the load before was higher.
 func (s *Staircase) Climb(seconds []Second) (steps []Step) {
 	each := int(s.Each.D().Seconds() + 0.5)
 	for i, load := range s.loads() {
@@ -59,9 +59,9 @@
 	return steps
 }
 
-// Figures are the load at which service falls under the bound, the load on the way down at which it is
-// back, and how far the second lies under the first: what a failure that keeps itself up costs. What does
-// not happen within the steps has no figure.
+// Figures returns the load at which service falls below the threshold (tips-at), the load on the way down at which it
+// has recovered (back-at), and the difference of the two (hysteresis), which shows how far a metastable failure sustains
+// itself. What does not happen within the steps has no figure.
 func (s *Staircase) Figures(seconds []Second) map[string]float64 {
 	f := map[string]float64{}
 	steps := s.Climb(seconds)
@@ -75,7 +75,7 @@
 	if tipped < 0 {
 		return f
 	}
-	// Back is where it stays: one good step between bad ones is luck.
+	// Service has recovered only where it stays good to the end: a single good step between bad ones may be luck.
 	for i := len(steps) - 1; i > tipped && steps[i].Down && steps[i].Asked && steps[i].Service >= s.Below; i-- {
 		f["back-at"] = steps[i].Load
 	}
@@ -85,9 +85,9 @@
 	return f
 }
 
-// Says tells what the staircase asks.
+// Says describes the staircase in words.
 func (s *Staircase) Says() string {
-	return fmt.Sprintf("load from %v to %v times the scenario's in %d steps of %v and down again; tipped over is below %v", s.From, s.To, s.Steps, s.Each.D(), s.Below)
+	return fmt.Sprintf("load from %v to %v times the scenario's in %d steps of %v, then back down; service below %v counts as tipped over", s.From, s.To, s.Steps, s.Each.D(), s.Below)
 }
 
 func timeOf(i int) time.Duration { return time.Duration(i) }
--- a/internal/experiment/stats.go
+++ b/internal/experiment/stats.go
@@ -10,7 +10,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Sample is what is said of a figure over several runs.
+// Sample summarizes a figure over several runs.
 type Sample struct {
 	N          int     `json:"n"`
 	Mean       float64 `json:"mean"`
@@ -18,10 +18,10 @@
 	Low        float64 `json:"low"`
 	High       float64 `json:"high"`
 	Deviation  float64 `json:"deviation"`
-	WorstTenth float64 `json:"worst_tenth"` // mean of the worst tenth, of one run at least
+	WorstTenth float64 `json:"worst_tenth"` // mean of the worst tenth of the runs, at least one
 }
 
-// Describe describes figures. worst says which end of them is worse: below is true where less is worse.
+// Describe summarizes values. below is true where lower values are worse.
 func Describe(x []float64, below bool) Sample {
 	if len(x) == 0 {
 		return Sample{}
@@ -39,41 +39,42 @@
 	return d
 }
 
-// Verdict is what paired runs say of a difference.
+// Verdict is the conclusion from paired runs.
 type Verdict string
 
 // The verdicts.
 const (
-	More   Verdict = "more"                        // the second arm has more
-	Less   Verdict = "less"                        // it has less
-	Unseen Verdict = "no difference seen"          // and Visible says what would have been
-	Few    Verdict = "too few pairs to say a word" // whatever they show
-	Same   Verdict = "the same in every pair"      // to the last digit
+	More   Verdict = "more"                        // the second arm has a higher value
+	Less   Verdict = "less"                        // the second arm has a lower value
+	Unseen Verdict = "no difference seen"          // Visible is the size that would have been detected
+	Few    Verdict = "too few pairs to say a word" // regardless of their differences
+	Same   Verdict = "the same in every pair"      // to about twelve digits
 )
 
-// minPairs is from how many pairs on a difference can be told from chance at 95%: of five pairs all
-// go the same way once in sixteen by chance alone.
+// minPairs is the least number of pairs with which a difference can be told from chance at 95%: by chance alone, all of
+// five pairs differ in the same direction once in sixteen times.
 const minPairs = 6
 
-// Difference is what paired runs say.
+// Difference is the difference between two arms, estimated from paired runs.
 type Difference struct {
 	Pairs   int     `json:"pairs"`
-	Mean    float64 `json:"mean"` // of second less first
+	Mean    float64 `json:"mean"` // of second minus first
 	Median  float64 `json:"median"`
-	From    float64 `json:"from"` // bounds of the mean that would have been seen 95 times in 100
+	From    float64 `json:"from"` // From and To are a 95% confidence interval of the mean
 	To      float64 `json:"to"`
 	Verdict Verdict `json:"verdict"`
-	Visible float64 `json:"visible"` // a difference of this size would have been seen four times in five
+	Visible float64 `json:"visible"` // a difference of this size would be detected four times in five
 }
 
 const (
 	confidence         = 0.95
 	power              = 0.8
-	maxExhaustivePairs = 12 // pairs of which all subsets are taken
+	maxExhaustivePairs = 12 // up to this many pairs, all subsets are enumerated
 )
 
-// Paired judges the differences of pairs, second less first; see bounds. Resampling the mean (a bootstrap) is
-// too sure of itself in ten pairs or fewer. seed is the draw's of subsets.
+// Paired estimates the mean of paired differences, second minus first; see bounds for the method. It doesn't use a
+// bootstrap of the mean, whose intervals are too narrow with ten pairs or fewer. seed is for the random choice of
+// subsets.
 func Paired(diffs []float64, seed uint64) Difference {
 	n := len(diffs)
 	d := Difference{Pairs: n, Verdict: Few}
@@ -86,7 +87,7 @@
 		return d
 	}
 	se := s.Deviation / math.Sqrt(float64(n))
-	// What is alike to twelve digits is alike: sums of the like differ in the last ones.
+	// Values that agree to twelve digits count as equal: rounding makes sums of equal values differ in the last digits.
 	if s.Deviation <= 1e-12*max(1, math.Abs(s.Mean)) {
 		d.From, d.To = s.Mean, s.Mean
 		switch {
@@ -118,9 +119,10 @@
 	return d
 }
 
-// bounds hold the mean difference 95 times in 100, if differences lie evenly around it, as those of two arms
-// with alike noise do: the means of all subsets of the pairs cut the line into parts of equal chance (Hartigan's
-// typical values, which turns the test by flipped signs round). Of many pairs a draw of subsets has to do.
+// bounds returns a 95% confidence interval of the mean difference. It assumes that differences are distributed
+// symmetrically around it, as those of two arms with the same noise are. The means of all subsets of the pairs then
+// divide the line into intervals of equal probability (Hartigan's typical values, the inverse of the sign-flip test).
+// With many pairs it uses a random choice of subsets.
 func bounds(diffs []float64, seed uint64) (low, high float64) {
 	n := len(diffs)
 	var means []float64
@@ -146,19 +148,19 @@
 		}
 	}
 	slices.Sort(means)
-	k := int(float64(len(means)+1) * (1 - confidence) / 2) // 1 at least, from minPairs on
+	k := int(float64(len(means)+1) * (1 - confidence) / 2) // at least 1 with minPairs or more
 	return means[k-1], means[len(means)-k]
 }
 
-// Words says a difference of a figure in words.
+// Words describes the difference in a figure in one sentence.
 func (d Difference) Words(first, second, figure string) string {
 	switch d.Verdict {
 	case Few:
-		return fmt.Sprintf("%s: %s; %d pairs, and %d are needed", figure, d.Verdict, d.Pairs, minPairs)
+		return fmt.Sprintf("%s: %s; %d pairs, at least %d are needed", figure, d.Verdict, d.Pairs, minPairs)
 	case Same:
 		return fmt.Sprintf("%s: %s (%d)", figure, d.Verdict, d.Pairs)
 	case Unseen:
-		return fmt.Sprintf("%s: %s between %s and %s (%+.4g, from %+.4g to %+.4g); one of %.2g would have been seen four times in five",
+		return fmt.Sprintf("%s: %s between %s and %s (%+.4g, from %+.4g to %+.4g); a difference of %.2g would have been detected four times in five",
 			figure, d.Verdict, first, second, d.Mean, d.From, d.To, d.Visible)
 	}
 	return fmt.Sprintf("%s: %s has %s than %s by %.4g (from %+.4g to %+.4g, %d pairs)", figure, second, d.Verdict, first, math.Abs(d.Mean), d.From, d.To, d.Pairs)
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -14,15 +14,15 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// Store keeps experiments and the results of their runs in one file. A run is written in one transaction:
-// whatever ends this process, a run is there whole or not at all.
+// Store keeps experiments and the results of their runs in one file. A result is written in one transaction, so that a
+// crash of the process never leaves it half written.
 type Store struct {
 	db   *bolt.DB
 	path string
 }
 
-// Layout, version len(migrations): bucket "meta" with "version"; bucket "experiments", name to identity; bucket
-// "results", in it a bucket for each experiment, in it run keys with the number of the try behind them.
+// Layout, version len(migrations): bucket "meta" holds "version"; bucket "experiments" maps names to identities; bucket
+// "results" holds a bucket for each experiment, which maps run keys followed by the number of the try to results.
 
 var (
 	bucketMeta        = []byte("meta")
@@ -31,9 +31,9 @@
 	keyVersion        = []byte("version")
 )
 
-// migrations take a store from the version of their place to the next one.
+// migrations[i] upgrades a store from version i to version i+1.
 var migrations = []func(tx *bolt.Tx) error{
-	func(tx *bolt.Tx) error { // an empty file
+	func(tx *bolt.Tx) error { // version 0 is an empty file
 		for _, b := range [][]byte{bucketMeta, bucketExperiments, bucketResults} {
 			if _, err := tx.CreateBucketIfNotExists(b); err != nil {
 				return err
@@ -43,8 +43,8 @@
 	},
 }
 
-// Open opens a store, or makes one, once no other process has it open; ErrInUse if that takes longer than the
-// configuration allows. A file that is damaged is named, and never written to.
+// Open opens or creates a store. It waits while another process has the store open, and returns ErrInUse if that takes
+// longer than the configuration allows. It reports a damaged file with a *DamagedError and doesn't write to it.
 func Open(path string, config OpenConfig) (*Store, error) {
 	lock := config.begin(time.Now())
 	if err := inspect(path, lock); err != nil {
@@ -68,12 +68,12 @@
 		if b := tx.Bucket(bucketMeta); b != nil {
 			v := b.Get(keyVersion)
 			if len(v) != 8 {
-				return errors.New("the store does not say its version")
+				return errors.New("it has no valid version record")
 			}
 			version = int(binary.BigEndian.Uint64(v))
 		}
 		if version > len(migrations) {
-			return fmt.Errorf("it is of version %d, and this program knows %d: a newer one is needed", version, len(migrations))
+			return fmt.Errorf("it has version %d, but this program supports versions up to %d: use a newer program", version, len(migrations))
 		}
 		for _, m := range migrations[version:] {
 			if err := m(tx); err != nil {
@@ -87,11 +87,11 @@
 	})
 }
 
-// Close closes it.
+// Close closes the store and releases its lock.
 func (s *Store) Close() error { return s.db.Close() }
 
-// Begin puts an experiment down before its first run, seeds and all, or finds that it was begun. One of the
-// same name that differs is refused with the difference.
+// Begin records an experiment, including its seeds, before its first run. If it was recorded before, Begin only adds
+// new seeds. If an experiment of the same name differs, Begin returns an error that describes the difference.
 func (s *Store) Begin(name string, id *Identity) error {
 	return s.update(func(tx *bolt.Tx) error {
 		all := tx.Bucket(bucketExperiments)
@@ -101,7 +101,7 @@
 				return fmt.Errorf("experiment %s: %w", name, err)
 			}
 			if d := id.Differs(&begun); d != "" {
-				return fmt.Errorf("experiment %s was begun otherwise: %s. Give it another name, or 'rehearse results forget %s'", name, d, name)
+				return fmt.Errorf("experiment %s was begun with other settings: %s. Use another name, or delete its results with 'rehearse results forget %s'", name, d, name)
 			}
 			if len(id.Seeds) <= len(begun.Seeds) {
 				return nil
@@ -118,7 +118,7 @@
 	})
 }
 
-// Put writes a try's result.
+// Put stores the result of one try of a run.
 func (s *Store) Put(name, key string, r *Result) error {
 	return s.update(func(tx *bolt.Tx) error {
 		b := tx.Bucket(bucketResults).Bucket([]byte(name))
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// Results are the tries of an experiment's runs, by their keys, in the order in which they were made.
+// Results returns the tries of an experiment's runs by run key, oldest first.
 func (s *Store) Results(name string) (map[string][]*Result, error) {
 	all := map[string][]*Result{}
 	err := s.db.View(func(tx *bolt.Tx) error {
@@ -155,7 +155,7 @@
 		return b.ForEach(func(k, v []byte) error {
 			r := &Result{}
 			if err := json.Unmarshal(v, r); err != nil {
-				return fmt.Errorf("store %s: a result of %s: %w", s.path, name, err)
+				return fmt.Errorf("store %s: decode a result of %s: %w", s.path, name, err)
 			}
 			key := string(k[:len(k)-1])
 			all[key] = append(all[key], r)
@@ -165,7 +165,7 @@
 	return all, err
 }
 
-// Identity is what an experiment was begun as.
+// Identity returns the identity with which an experiment was begun.
 func (s *Store) Identity(name string) (*Identity, error) {
 	id := &Identity{}
 	err := s.db.View(func(tx *bolt.Tx) error {
@@ -179,7 +179,7 @@
 	return id, err
 }
 
-// Names are the experiments that were begun.
+// Names returns the sorted names of all experiments in the store.
 func (s *Store) Names() (names []string, err error) {
 	err = s.db.View(func(tx *bolt.Tx) error {
 		names, err = s.names(tx)
@@ -197,7 +197,7 @@
 	return names, err
 }
 
-// Forget drops an experiment with its results.
+// Forget deletes an experiment and its results.
 func (s *Store) Forget(name string) error {
 	return s.update(func(tx *bolt.Tx) error {
 		all := tx.Bucket(bucketExperiments)
@@ -214,13 +214,13 @@
 	})
 }
 
-// Exported is an experiment for programs.
+// Exported is an experiment in the form for other programs.
 type Exported struct {
 	Identity *Identity     `json:"experiment"`
 	Runs     []ExportedRun `json:"runs"`
 }
 
-// ExportedRun is a run with all its tries.
+// ExportedRun is a run with the results of all its tries.
 type ExportedRun struct {
 	Arm   string    `json:"arm"`
 	Level Level     `json:"level,omitempty"`
@@ -228,7 +228,7 @@
 	Tries []*Result `json:"tries"`
 }
 
-// Export puts an experiment's results into the order of its plan.
+// Export lists an experiment's results in the order of its plan.
 func Export(id *Identity, results map[string][]*Result) Exported {
 	e := Exported{Identity: id}
 	for _, r := range id.Runs {
@@ -237,15 +237,15 @@
 	return e
 }
 
-// DefaultStore is where results are kept if nobody says where.
+// DefaultStore returns the default path of the store and creates its folder.
 func DefaultStore() (string, error) {
 	dir, err := os.UserCacheDir()
 	if err != nil {
-		return "", fmt.Errorf("no folder for the results (%w): give one with --store", err)
+		return "", fmt.Errorf("no default folder for the results (%w): give a file with --store", err)
 	}
 	dir = filepath.Join(dir, "marlreel")
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return "", fmt.Errorf("results: %w", err)
+		return "", fmt.Errorf("create the folder for the results: %w", err)
 	}
 	return filepath.Join(dir, "experiments.db"), nil
 }
