--- a/internal/experiment/analyse.go
+++ b/internal/experiment/analyse.go
@@ -38,12 +38,12 @@
 	Crashes int               `json:"crashes"`
 	Figures map[string]Sample `json:"figures"`
 	Absent  map[string]int    `json:"absent,omitempty"` // number of runs without a value of the figure
-	Steps   []Steps           `json:"steps,omitempty"`  // only with a staircase
+	Steps   []StepSummary     `json:"steps,omitempty"`  // only with a staircase
 	counted []seedResult
 }
 
-// Steps summarizes one step of the staircase over all runs.
-type Steps struct {
+// StepSummary summarizes one step of the staircase over all runs.
+type StepSummary struct {
 	Load    float64 `json:"load"`
 	Down    bool    `json:"down"`
 	Service Sample  `json:"service"`
@@ -127,7 +127,7 @@
 
 func (a *Analysis) cell(arm, level int) *Cell { return &a.Cells[arm*len(a.Identity.Levels)+level] }
 
-func summarizeSteps(s *Staircase, all []seedResult) (steps []Steps) {
+func summarizeSteps(s *Staircase, all []seedResult) (steps []StepSummary) {
 	var climbs [][]Step
 	for _, r := range all {
 		climbs = append(climbs, s.Climb(r.result.Seconds))
@@ -139,7 +139,7 @@
 				x = append(x, c[i].Service)
 			}
 		}
-		steps = append(steps, Steps{load, i >= s.Steps, Describe(x, true)})
+		steps = append(steps, StepSummary{load, i >= s.Steps, Describe(x, true)})
 	}
 	return steps
 }
