--- a/internal/experiment/analyse.go
+++ b/internal/experiment/analyse.go
@@ -12,18 +12,18 @@
 
 // Analysis is the evaluation of an experiment's results.
 type Analysis struct {
-	Name     string    `json:"name"`
-	Identity *Identity `json:"identity"`
-	Cells    []Cell    `json:"cells"`   // by arm, then by level
-	Against  []Against `json:"against"` // the first arm compared with each other arm, by level
-	Runs     int       `json:"runs"`    // planned runs
-	Played   int       `json:"played"`  // runs with a valid or failed result
-	Missing  int       `json:"missing"` // runs not played yet
-	Void     int       `json:"void"`    // void tries of all runs
-	Lost     int       `json:"lost"`    // runs that were void in every try
-	Breaks   int       `json:"breaks"`  // broken rules and proxy crashes
-	LateMs   float64   `json:"late_ms"` // the load generator's delay in the worst run
-	KitCPU   float64   `json:"kit_cpu_s"`
+	Name     string          `json:"name"`
+	Identity *Identity       `json:"identity"`
+	Cells    []Cell          `json:"cells"`   // by arm, then by level
+	Against  []ArmComparison `json:"against"` // the first arm compared with each other arm, by level
+	Runs     int             `json:"runs"`    // planned runs
+	Played   int             `json:"played"`  // runs with a valid or failed result
+	Missing  int             `json:"missing"` // runs not played yet
+	Void     int             `json:"void"`    // void tries of all runs
+	Lost     int             `json:"lost"`    // runs that were void in every try
+	Breaks   int             `json:"breaks"`  // broken rules and proxy crashes
+	LateMs   float64         `json:"late_ms"` // the load generator's delay in the worst run
+	KitCPU   float64         `json:"kit_cpu_s"`
 }
 
 // Cell holds the results of one arm at one level.
@@ -54,8 +54,8 @@
 	result *Result
 }
 
-// Against compares two arms at one level.
-type Against struct {
+// ArmComparison compares two arms at one level.
+type ArmComparison struct {
 	First   string                `json:"first"`
 	Second  string                `json:"second"`
 	Level   string                `json:"level,omitempty"`
@@ -145,8 +145,8 @@
 }
 
 // compareArms pairs the runs of two arms by seed.
-func compareArms(figures []string, first, second *Cell) Against {
-	g := Against{First: first.Arm, Second: second.Arm, Level: first.Level, Figures: map[string]Difference{}, LeftOut: map[string]int{}}
+func compareArms(figures []string, first, second *Cell) ArmComparison {
+	g := ArmComparison{First: first.Arm, Second: second.Arm, Level: first.Level, Figures: map[string]Difference{}, LeftOut: map[string]int{}}
 	for n, f := range figures {
 		var diffs []float64
 		for _, r := range first.counted {
