--- a/internal/experiment/days/days.go
+++ b/internal/experiment/days/days.go
@@ -116,7 +116,7 @@
 		return experiment.Checked{}, err
 	}
 	if d.Arm.Baseline != "" && s.RPC() {
-		return experiment.Checked{}, fmt.Errorf("the plain proxy supports HTTP only, but %s has classes with protocol rpc", s.Name)
+		return experiment.Checked{}, fmt.Errorf("the plain proxy supports HTTP only, but %s has rpc classes", s.Name)
 	}
 	if d.Arm.Baseline != "" && len(s.Proxies.Own) > 0 {
 		return experiment.Checked{}, errors.New("the plain proxy has no settings of its own, but proxies.own sets some")
