--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -31,7 +31,7 @@
 	Instances  []Entry `json:"instances"`
 }
 
-const beatEvery = 2 * time.Second
+const heartbeatInterval = 2 * time.Second
 
 // Discovery holds the authoritative list, and an agent for each proxy that receives changes with a delay.
 // Its methods are safe for concurrent use.
@@ -306,7 +306,7 @@
 		a.mu.Unlock()
 	}()
 	first := true
-	beat := time.NewTicker(beatEvery)
+	beat := time.NewTicker(heartbeatInterval)
 	defer beat.Stop()
 	for {
 		a.mu.Lock()
--- a/internal/standin/discovery_test.go
+++ b/internal/standin/discovery_test.go
@@ -66,7 +66,7 @@
 			t.Fatal("the watch ended")
 		}
 		return l
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("waited in vain for a line")
 		panic("unreachable")
 	}
@@ -155,7 +155,7 @@
 		if open {
 			t.Error("a line came from a service that is down")
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the watch goes on")
 	}
 	d.Put(Entry{InstanceID: "s-3", Lifecycle: "Ready"})
--- a/internal/standin/faulty.go
+++ b/internal/standin/faulty.go
@@ -96,7 +96,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.put(entries)
-	f.stir()
+	f.notify()
 }
 
 // Break applies a fault to all open watches now, and one fault each to the next calls.
@@ -105,7 +105,7 @@
 	defer f.mu.Unlock()
 	f.at, f.next = open, calls
 	f.breaks++
-	f.stir()
+	f.notify()
 }
 
 // Down ends all watches and refuses all calls; Down(false) ends that.
@@ -116,7 +116,7 @@
 		f.at = ListRefused
 		f.breaks++
 	}
-	f.stir()
+	f.notify()
 }
 
 // InTurn serializes calls and makes each take a given time.
@@ -133,7 +133,7 @@
 	return append([]time.Time(nil), f.calls...)
 }
 
-func (f *Faulty) stir() {
+func (f *Faulty) notify() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
@@ -221,7 +221,7 @@
 
 // watch serves the rest of an open watch, or of a call whose fault keeps it open like one.
 func (f *Faulty) watch(c net.Conn, fault ListFault, told uint32, breaks int, gone chan struct{}) {
-	beat := time.NewTicker(beatEvery)
+	beat := time.NewTicker(heartbeatInterval)
 	defer beat.Stop()
 	for {
 		f.mu.Lock()
--- a/internal/standin/front.go
+++ b/internal/standin/front.go
@@ -25,13 +25,13 @@
 	cancel  context.CancelFunc
 	wg      sync.WaitGroup
 
-	mu   sync.Mutex
-	in   []bool
-	next map[string]int
-	came chan struct{} // closed and replaced when a proxy is added or removed
+	mu      sync.Mutex
+	in      []bool
+	next    map[string]int
+	changed chan struct{} // closed and replaced when a proxy is added or removed
 }
 
-const askReady = 50 * time.Millisecond
+const readyPollInterval = 50 * time.Millisecond
 
 // ErrNoProxy is returned when no proxy is available.
 var ErrNoProxy = errors.New("the front has no available proxy")
@@ -41,17 +41,17 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &Front{
 		proxies: proxies, notice: notice, cancel: cancel, in: make([]bool, len(proxies)),
-		next: map[string]int{}, came: make(chan struct{}),
+		next: map[string]int{}, changed: make(chan struct{}),
 		client: &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}},
 	}
 	for i := range proxies {
-		f.wg.Go(func() { f.look(ctx, i) })
+		f.wg.Go(func() { f.pollReady(ctx, i) })
 	}
 	return f
 }
 
-// look polls the readiness of one proxy.
-func (f *Front) look(ctx context.Context, i int) {
+// pollReady polls the readiness of one proxy.
+func (f *Front) pollReady(ctx context.Context, i int) {
 	var failing time.Time
 	for ctx.Err() == nil {
 		if f.ready(ctx, i) {
@@ -63,9 +63,9 @@
 		if !failing.IsZero() && time.Since(failing) >= f.notice {
 			f.set(i, false)
 		}
-		wait := askReady
+		wait := readyPollInterval
 		if f.Has(i) && failing.IsZero() {
-			wait = 5 * askReady
+			wait = 5 * readyPollInterval
 		}
 		select {
 		case <-ctx.Done():
@@ -92,8 +92,8 @@
 	defer f.mu.Unlock()
 	if f.in[i] != in {
 		f.in[i] = in
-		close(f.came)
-		f.came = make(chan struct{})
+		close(f.changed)
+		f.changed = make(chan struct{})
 	}
 }
 
@@ -108,7 +108,7 @@
 func (f *Front) WaitAll(ctx context.Context) error {
 	for {
 		f.mu.Lock()
-		all, came := true, f.came
+		all, changed := true, f.changed
 		for _, in := range f.in {
 			all = all && in
 		}
@@ -117,7 +117,7 @@
 			return nil
 		}
 		select {
-		case <-came:
+		case <-changed:
 		case <-ctx.Done():
 			return context.Cause(ctx)
 		}
--- a/internal/standin/large.go
+++ b/internal/standin/large.go
@@ -16,12 +16,12 @@
 const (
 	// LargeFrom is the size above which a body is generated and read in pieces.
 	LargeFrom = 64 << 10
-	piece     = 16 << 10
-	// pieceWithin is the write timeout of a piece; the connection is closed when it expires.
-	pieceWithin = 10 * time.Second
+	pieceSize = 16 << 10
+	// pieceWriteTimeout is the write timeout of a piece; the connection is closed when it expires.
+	pieceWriteTimeout = 10 * time.Second
 )
 
-var filler = []byte(strings.Repeat(".", piece))
+var filler = []byte(strings.Repeat(".", pieceSize))
 
 // Pace limits the rate of a body, in bytes per second; 0 is unlimited.
 type Pace struct {
@@ -53,7 +53,7 @@
 			return nil
 		}
 		pace.Wait(len(p))
-		p = filler[:min(rest, piece)]
+		p = filler[:min(rest, pieceSize)]
 		rest -= len(p)
 	}
 }
@@ -63,7 +63,7 @@
 func ReadBody(in io.Reader, rate int) (head string, size int, err error) {
 	pace := NewPace(rate)
 	var begin []byte
-	buf := make([]byte, piece)
+	buf := make([]byte, pieceSize)
 	line := false // the first line is complete
 	for {
 		n, err := in.Read(buf)
@@ -112,7 +112,7 @@
 		return
 	}
 	n.cfg.Journal.end(s, "", http.StatusOK, n.cfg.Clock.Now())
-	w := bufio.NewWriterSize(x.c, piece+64)
+	w := bufio.NewWriterSize(x.c, pieceSize+64)
 	if chunked {
 		io.WriteString(w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 	} else {
@@ -124,7 +124,7 @@
 		} else {
 			w.Write(p)
 		}
-		x.c.SetWriteDeadline(time.Now().Add(pieceWithin))
+		x.c.SetWriteDeadline(time.Now().Add(pieceWriteTimeout))
 		return w.Flush()
 	})
 	if err == nil && chunked {
--- a/internal/standin/large_test.go
+++ b/internal/standin/large_test.go
@@ -48,7 +48,7 @@
 func TestNodesWithLargeBodies(t *testing.T) {
 	t.Parallel()
 	for _, chunked := range []bool{false, true} {
-		cfg := quick()
+		cfg := testNodeConfig()
 		cfg.Size = func(_, class string) int { return map[string]int{"picture": 500 << 10}[class] }
 		cfg.Gives = func(string) (int, bool) { return 0, chunked }
 		n := startNode(t, cfg)
--- a/internal/standin/main_test.go
+++ b/internal/standin/main_test.go
@@ -18,20 +18,20 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience is how long a test waits for what must come. It is no measure of speed.
-const patience = 20 * time.Second
+// testTimeout is how long a test waits for what must come. It is no measure of speed.
+const testTimeout = 20 * time.Second
 
 func eventually(t *testing.T, what string, reached func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !reached(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !reached(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("waited in vain for %s", what)
 		}
 	}
 }
 
-// quick is a node that serves at once.
-func quick() NodeConfig {
+// testNodeConfig is a node that serves at once.
+func testNodeConfig() NodeConfig {
 	return NodeConfig{
 		ID: "s-1", Zone: "koper", Warm: true, Journal: &Journal{},
 		Machine: machine.Config{Cores: 2, Speed: 1, Slots: 8, Queue: 8},
@@ -64,7 +64,7 @@
 
 func dial(t *testing.T, addr string) *peer {
 	t.Helper()
-	c, err := net.DialTimeout("tcp", addr, patience)
+	c, err := net.DialTimeout("tcp", addr, testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 }
 
 func (p *peer) receive() (int, string, http.Header, error) {
-	p.SetReadDeadline(time.Now().Add(patience))
+	p.SetReadDeadline(time.Now().Add(testTimeout))
 	resp, err := http.ReadResponse(p.in, nil)
 	if err != nil {
 		return 0, "", nil, err
@@ -115,7 +115,7 @@
 // ends waits for the end of a connection, and tells whether it was a reset.
 func (p *peer) ends(t *testing.T) (reset bool) {
 	t.Helper()
-	p.SetReadDeadline(time.Now().Add(patience))
+	p.SetReadDeadline(time.Now().Add(testTimeout))
 	for {
 		_, err := p.in.ReadByte()
 		if err == nil {
--- a/internal/standin/network_test.go
+++ b/internal/standin/network_test.go
@@ -12,7 +12,7 @@
 // before it is set, nor after it is over.
 func TestNetwork(t *testing.T) {
 	t.Parallel()
-	cfg := quick()
+	cfg := testNodeConfig()
 	n := startNode(t, cfg)
 	last := 0
 	id := func() string { last++; return fmt.Sprintf("%016x", last) }
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -266,17 +266,17 @@
 	defer n.mu.Unlock()
 	do(n.cfg.Clock.Now())
 	n.noteState()
-	n.pump()
+	n.advance()
 }
 
 // State returns the node's state as in NodeEvent.State.
 func (n *Node) State() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.word()
+	return n.stateName()
 }
 
-func (n *Node) word() string {
+func (n *Node) stateName() string {
 	switch now := n.cfg.Clock.Now(); {
 	case n.machine.Crashed():
 		return "fallen"
@@ -299,7 +299,7 @@
 }
 
 func (n *Node) noteState() {
-	if w := n.word(); w != n.state {
+	if w := n.stateName(); w != n.state {
 		n.state = w
 		n.cfg.Journal.event(NodeEvent{n.cfg.ID, n.cfg.Clock.Now(), w})
 	}
@@ -309,8 +309,8 @@
 func (n *Node) Sample() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.pump()
-	n.cfg.Journal.sample(Sample{n.cfg.Clock.Now(), n.cfg.ID, n.word(), n.machine.Outstanding(), n.machine.InService(), len(n.conns)})
+	n.advance()
+	n.cfg.Journal.sample(Sample{n.cfg.Clock.Now(), n.cfg.ID, n.stateName(), n.machine.Outstanding(), n.machine.InService(), len(n.conns)})
 }
 
 // Connections returns the number of open connections.
@@ -322,9 +322,9 @@
 
 // ---- the machine in real time ----
 
-// pump advances the machine to now, delivers completions and sets the timer for the
+// advance brings the machine to now, delivers completions and sets the timer for the
 // next event. The caller holds the lock.
-func (n *Node) pump() {
+func (n *Node) advance() {
 	now := n.cfg.Clock.Now()
 	n.machine.Advance(now)
 	for _, e := range n.machine.TakeCompletions() {
@@ -348,7 +348,7 @@
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			if !n.dead {
-				n.pump()
+				n.advance()
 			}
 		})
 		return
--- a/internal/standin/node_sockets.go
+++ b/internal/standin/node_sockets.go
@@ -54,7 +54,7 @@
 	rested := n.cfg.Clock.Now()
 	for fresh := true; ; fresh = false {
 		if _, err := in.Peek(1); err != nil {
-			n.hold(c)
+			n.keepIfVanished(c)
 			return
 		}
 		x := &exchange{
@@ -63,14 +63,14 @@
 		}
 		c.SetReadDeadline(time.Time{})
 		r, good, ok := n.read(x, in)
-		if !ok || n.broken(x, in, r) {
+		if !ok || n.breakConnection(x, in, r) {
 			return
 		}
 		x.whole = n.cfg.Clock.Now() + p.Delay
 		n.wg.Go(func() { n.answer(x, r, good) })
 		if _, err := in.Peek(1); err != nil {
 			x.abandon()
-			n.hold(c)
+			n.keepIfVanished(c)
 			return
 		}
 		<-x.done
@@ -106,7 +106,7 @@
 		return nil, false, false
 	}
 	if n.Vanished() {
-		n.hold(x.c) // its bytes never arrived
+		n.keepIfVanished(x.c) // as if its bytes had never arrived
 		return nil, false, false
 	}
 	// A large body must be what its client made; a small one only has to be complete.
@@ -119,8 +119,8 @@
 	return n.network
 }
 
-// broken applies the network faults to a request's connection, and reports whether one broke it.
-func (n *Node) broken(x *exchange, in *bufio.Reader, r *http.Request) bool {
+// breakConnection applies the network faults to a request's connection, and reports whether one broke it.
+func (n *Node) breakConnection(x *exchange, in *bufio.Reader, r *http.Request) bool {
 	w, id, idle := n.networkNow(), r.Header.Get("X-Correlation-Id"), x.began-x.rested
 	if !x.fresh && w.DropAfter > 0 && idle >= w.DropAfter {
 		in.Peek(1) // until the sender closes the connection
@@ -149,8 +149,8 @@
 	}
 }
 
-// hold keeps a connection open while the node is cut off.
-func (n *Node) hold(c net.Conn) {
+// keepIfVanished keeps a connection open while the node is cut off.
+func (n *Node) keepIfVanished(c net.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.silent {
--- a/internal/standin/node_test.go
+++ b/internal/standin/node_test.go
@@ -12,7 +12,7 @@
 
 func TestServesAndWritesItDown(t *testing.T) {
 	t.Parallel()
-	cfg := quick()
+	cfg := testNodeConfig()
 	cfg.Size = func(string, string) int { return 3000 }
 	n := startNode(t, cfg)
 	c := dial(t, n.Addr())
@@ -34,7 +34,7 @@
 
 func TestWhatIsNoRequest(t *testing.T) {
 	t.Parallel()
-	cfg := quick()
+	cfg := testNodeConfig()
 	cfg.Demand = func(id, _ string) (machine.Job, bool) { return machine.Job{Work: time.Millisecond}, id == "1" }
 	n := startNode(t, cfg)
 	c := dial(t, n.Addr())
@@ -52,7 +52,7 @@
 func TestKeyedRepeats(t *testing.T) {
 	t.Parallel()
 	group := NewGroup(time.Hour)
-	cfg, other := quick(), quick()
+	cfg, other := testNodeConfig(), testNodeConfig()
 	other.ID, cfg.Group, other.Group = "s-2", group, group
 	other.Journal = cfg.Journal
 	a, b := startNode(t, cfg), startNode(t, other)
@@ -82,7 +82,7 @@
 // With its slots and its queue taken, a node proves that it did not run the next one.
 func TestQueueFull(t *testing.T) {
 	t.Parallel()
-	cfg := quick()
+	cfg := testNodeConfig()
 	cfg.Machine.Slots, cfg.Machine.Queue = 1, 1
 	cfg.Demand = func(string, string) (machine.Job, bool) { return machine.Job{Work: time.Hour}, true }
 	n := startNode(t, cfg)
@@ -102,7 +102,7 @@
 // One whose time runs out in the queue never ran, and is told so; one that runs is cut off.
 func TestTimeRunsOut(t *testing.T) {
 	t.Parallel()
-	cfg := quick()
+	cfg := testNodeConfig()
 	cfg.Machine.Slots = 1
 	cfg.Demand = func(string, string) (machine.Job, bool) { return machine.Job{Work: time.Hour}, true }
 	n := startNode(t, cfg)
@@ -124,7 +124,7 @@
 
 func TestDraining(t *testing.T) {
 	t.Parallel()
-	cfg := quick()
+	cfg := testNodeConfig()
 	cfg.Probes = true
 	n := startNode(t, cfg)
 	c := dial(t, n.Addr())
@@ -145,7 +145,7 @@
 // may have run. It comes back at the same address, cold.
 func TestDeathAndReturn(t *testing.T) {
 	t.Parallel()
-	cfg := quick()
+	cfg := testNodeConfig()
 	cfg.Machine.Warmup = machine.Warmup{InitialCapacity: 0.5, Duration: time.Hour}
 	cfg.Demand = func(id, _ string) (machine.Job, bool) {
 		if id == "1" {
@@ -162,7 +162,7 @@
 	if !idle.ends(t) || !busy.ends(t) {
 		t.Error("a connection ended in peace")
 	}
-	if c, err := net.DialTimeout("tcp", n.Addr(), patience); err == nil {
+	if c, err := net.DialTimeout("tcp", n.Addr(), testTimeout); err == nil {
 		c.Close()
 		t.Error("a dead node took a connection")
 	}
@@ -191,7 +191,7 @@
 // up. When it is back, the old ones are reset.
 func TestVanishing(t *testing.T) {
 	t.Parallel()
-	cfg := quick()
+	cfg := testNodeConfig()
 	n := startNode(t, cfg)
 	c := dial(t, n.Addr())
 	c.ask(t, "GET", "/lot-list/7", "1")
@@ -228,7 +228,7 @@
 
 func TestErrorsAndSpoiltAnswers(t *testing.T) {
 	t.Parallel()
-	cfg := quick()
+	cfg := testNodeConfig()
 	n := startNode(t, cfg)
 	n.Errors(1)
 	if status, _, h := dial(t, n.Addr()).ask(t, "POST", "/bid/7", "1"); status != 500 || h.Get("X-Unprocessed") != "" {
@@ -262,7 +262,7 @@
 // A node that serves one kind of work badly serves the rest as ever.
 func TestPartialHarm(t *testing.T) {
 	t.Parallel()
-	cfg := quick()
+	cfg := testNodeConfig()
 	cfg.Size = func(_, class string) int { return map[string]int{"catch-sheet": 9000}[class] }
 	n := startNode(t, cfg)
 	n.Partially("a", Partial{Class: "bid", Harm: HarmSilent, Rate: 1})
@@ -322,7 +322,7 @@
 
 func TestConnectionCapAndIdleClose(t *testing.T) {
 	t.Parallel()
-	cfg := quick()
+	cfg := testNodeConfig()
 	cfg.Connections, cfg.Idle = 1, 300*time.Millisecond
 	n := startNode(t, cfg)
 	first := dial(t, n.Addr())
@@ -343,7 +343,7 @@
 // one, by the node's own clock, however slow this machine is.
 func TestTimeIsModelled(t *testing.T) {
 	t.Parallel()
-	cfg := quick()
+	cfg := testNodeConfig()
 	cfg.Demand = func(string, string) (machine.Job, bool) { return machine.Job{Work: 300 * time.Millisecond}, true }
 	n := startNode(t, cfg)
 	began := time.Now()
@@ -364,7 +364,7 @@
 
 func TestLoadReports(t *testing.T) {
 	t.Parallel()
-	cfg := quick()
+	cfg := testNodeConfig()
 	cfg.Probes, cfg.Report = true, []string{"inflight", "queue", "util"}
 	n := startNode(t, cfg)
 	c := dial(t, n.Addr())
@@ -380,7 +380,7 @@
 // A cold node that is sent too much falls over: its connections are reset and it stays down.
 func TestFallsOver(t *testing.T) {
 	t.Parallel()
-	cfg := quick()
+	cfg := testNodeConfig()
 	cfg.Warm = false
 	cfg.Machine.Warmup = machine.Warmup{InitialCapacity: 0.1, Duration: time.Hour, OverloadMultiple: 1, OverloadWindow: time.Second} // a budget of 0.2 s
 	cfg.Demand = func(string, string) (machine.Job, bool) { return machine.Job{Work: 150 * time.Millisecond}, true }
--- a/internal/standin/node_work.go
+++ b/internal/standin/node_work.go
@@ -68,9 +68,9 @@
 	case endFull:
 		x.last = x.full
 		n.reply(x, s, http.StatusServiceUnavailable, unprocessed, "full")
-	case endOver:
+	case endExpiredQueued:
 		n.reply(x, s, http.StatusGatewayTimeout, unprocessed, "over")
-	case endExpired:
+	case endExpiredRunning:
 		x.last = true
 		x.c.Close()
 	case endGone:
@@ -81,13 +81,13 @@
 type ending uint8
 
 const (
-	endServed  ending = iota
-	endFailed         // an error, after it had started
-	endFull           // rejected without running
-	endOver           // its deadline passed before it started
-	endExpired        // its deadline passed while it ran: no response
-	endGone           // the caller has left or the node has died: no response
-	endUnknown        // a request that no client sent
+	endServed         ending = iota
+	endFailed                // an error, after it had started
+	endFull                  // rejected without running
+	endExpiredQueued         // its deadline passed before it started
+	endExpiredRunning        // its deadline passed while it ran: no response
+	endGone                  // the caller has left or the node has died: no response
+	endUnknown               // a request that no client sent
 )
 
 // placed is a request that the machine has accepted.
@@ -134,7 +134,7 @@
 		switch partial.Harm {
 		case HarmSilent:
 			n.mu.Unlock()
-			return p, n.stayAway(s, left, gone), true
+			return p, n.leaveUnanswered(s, left, gone), true
 		case HarmErrors:
 			p.failing = true
 		case HarmSlow:
@@ -142,10 +142,10 @@
 			s.Work = job.Work
 		}
 	}
-	verdict, repeated := n.offer(s, job, full, &p)
+	verdict, repeated := n.submit(s, job, full, &p)
 	n.cfg.Journal.send(s)
 	if !repeated {
-		n.pump()
+		n.advance()
 	}
 	n.mu.Unlock()
 	switch {
@@ -154,7 +154,7 @@
 	case verdict == machine.QueueFull:
 		return p, endFull, true
 	case verdict == machine.DeadlinePassed:
-		return p, endOver, true
+		return p, endExpiredQueued, true
 	case verdict == machine.Unavailable: // the crash resets the connection, so there is no response
 		n.cfg.Journal.end(s, "", 0, n.cfg.Clock.Now())
 		return p, endGone, true
@@ -162,9 +162,9 @@
 	return p, 0, false
 }
 
-// offer submits a request to the machine and sets its effect. repeated tells that the group has already run its key
+// submit passes a request to the machine and sets its effect. repeated tells that the group has already run its key
 // and the request is dropped. The caller holds the lock.
-func (n *Node) offer(s *Send, job machine.Job, full bool, p *placed) (verdict machine.Admission, repeated bool) {
+func (n *Node) submit(s *Send, job machine.Job, full bool, p *placed) (verdict machine.Admission, repeated bool) {
 	now, grouped := n.cfg.Clock.Now(), s.Key != "" && n.cfg.Group != nil
 	if n.draining || full {
 		s.Effect = TurnedAway
@@ -201,10 +201,10 @@
 		}
 		switch {
 		case e.Outcome == machine.DeadlineExceeded && !e.Started:
-			return endOver // nothing of it ran or will run
+			return endExpiredQueued // nothing of it ran or will run
 		case e.Outcome == machine.DeadlineExceeded:
 			n.cfg.Journal.end(s, "", 0, n.cfg.Clock.Now())
-			return endExpired
+			return endExpiredRunning
 		case e.Outcome != machine.Completed:
 			n.cfg.Journal.end(s, "", 0, n.cfg.Clock.Now())
 			return endGone
@@ -216,7 +216,7 @@
 		n.mu.Lock()
 		ran := n.machine.Cancel(n.cfg.Clock.Now(), p.id)
 		delete(n.open, p.id)
-		n.pump()
+		n.advance()
 		n.mu.Unlock()
 		if !ran && p.first {
 			n.cfg.Group.forget(s.Key)
@@ -246,7 +246,7 @@
 	}
 	n.lastJob++
 	n.machine.Submit(n.cfg.Clock.Now(), n.lastJob, machine.Job{Work: s.Work})
-	n.pump()
+	n.advance()
 	draining := n.draining
 	n.mu.Unlock()
 	n.cfg.Journal.send(s)
--- a/internal/standin/partial.go
+++ b/internal/standin/partial.go
@@ -24,9 +24,9 @@
 	Times float64 // factor for HarmSlow
 }
 
-// longestSilence bounds how long an unanswered request is kept open for a sender that set no
+// maxUnanswered bounds how long an unanswered request is kept open for a sender that set no
 // time limit and does not disconnect.
-const longestSilence = time.Minute
+const maxUnanswered = time.Minute
 
 type keyedPartial struct {
 	key string
@@ -68,12 +68,12 @@
 	return n.cfg.Size(id, class)
 }
 
-// stayAway keeps a request open without an answer until its time limit or until the caller disconnects.
-func (n *Node) stayAway(s *Send, left time.Duration, gone <-chan struct{}) ending {
+// leaveUnanswered keeps a request open without an answer until its time limit or until the caller disconnects.
+func (n *Node) leaveUnanswered(s *Send, left time.Duration, gone <-chan struct{}) ending {
 	s.Effect = Ran
 	n.cfg.Journal.send(s)
 	if left <= 0 {
-		left = longestSilence
+		left = maxUnanswered
 	}
 	timer := time.NewTimer(left)
 	defer timer.Stop()
--- a/internal/standin/plainproxy.go
+++ b/internal/standin/plainproxy.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		return fmt.Errorf("plain proxy: %w", err)
 	}
-	if err := p.door(ctx, os.Getenv("NODE_CONTROL"), configPath); err != nil {
+	if err := p.serveControl(ctx, os.Getenv("NODE_CONTROL"), configPath); err != nil {
 		return err
 	}
 	s := &http.Server{Handler: p}
--- a/internal/standin/plainservice.go
+++ b/internal/standin/plainservice.go
@@ -25,8 +25,8 @@
 	return net.FileListener(f)
 }
 
-// door serves the platform's control endpoint on addr until ctx ends, and reloads the settings on SIGHUP.
-func (p *PlainProxy) door(ctx context.Context, addr, configPath string) error {
+// serveControl serves the platform's control endpoint on addr until ctx ends, and reloads the settings on SIGHUP.
+func (p *PlainProxy) serveControl(ctx context.Context, addr, configPath string) error {
 	var applied, rejected atomic.Int64
 	hups := make(chan os.Signal, 8)
 	signal.Notify(hups, syscall.SIGHUP)
--- a/internal/standin/registry.go
+++ b/internal/standin/registry.go
@@ -21,7 +21,7 @@
 	server *http.Server
 	done   chan struct{}
 
-	counted *counting
+	counted *countingListener
 
 	mu       sync.Mutex
 	changed  chan struct{} // closed and replaced at each change of any kind
@@ -29,7 +29,7 @@
 	revision int64
 	keys     map[string]kv
 	log      []registryEvent
-	states   map[int64]map[string]kv // complete states by revision, of the last mostStates revisions
+	states   map[int64]map[string]kv // complete states by revision, of the last maxStates revisions
 	compact  int64
 	lag      int64 // revisions that serializable reads, watches and Consul's stale reads are behind
 	quorum   bool  // linearizable reads are answered
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, err
 	}
-	addr, counted := ln.Addr().String(), &counting{Listener: ln}
+	addr, counted := ln.Addr().String(), &countingListener{Listener: ln}
 	ln = counted
 	if t != nil {
 		ln = tls.NewListener(ln, t)
@@ -147,15 +147,15 @@
 		r.log = append(r.log, registryEvent{r.revision, o.Key, false, k})
 	}
 	r.states[r.revision] = maps.Clone(r.keys)
-	if old := r.revision - mostStates; old > 0 {
+	if old := r.revision - maxStates; old > 0 {
 		delete(r.states, old)
 		r.forget(old)
 	}
 	return r.revision
 }
 
-// mostStates is the number of revisions kept for reads and for Restore.
-const mostStates = 1000
+// maxStates is the number of revisions kept for reads and for Restore.
+const maxStates = 1000
 
 // Revision returns the newest revision.
 func (r *Registry) Revision() int64 {
@@ -317,8 +317,8 @@
 	return r.user == "" || r.tokens[token] || token == r.password
 }
 
-// counting is a listener that counts the bytes its connections write.
-type counting struct {
+// countingListener is a listener that counts the bytes its connections write.
+type countingListener struct {
 	net.Listener
 	sent atomic.Int64
 }
@@ -329,7 +329,7 @@
 }
 
 // Accept implements net.Listener.
-func (c *counting) Accept() (net.Conn, error) {
+func (c *countingListener) Accept() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
 	if err != nil {
 		return nil, err
--- a/internal/standin/rpc.go
+++ b/internal/standin/rpc.go
@@ -52,12 +52,12 @@
 	for {
 		v, err := d.DecodeSlice()
 		if err != nil {
-			n.hold(c)
+			n.keepIfVanished(c)
 			return
 		}
 		whole := n.cfg.Clock.Now() + p.Delay
 		if n.Vanished() {
-			n.hold(c) // its bytes never arrived
+			n.keepIfVanished(c) // as if its bytes had never arrived
 			return
 		}
 		q, ok := parseRPC(v)
@@ -65,7 +65,7 @@
 			return
 		}
 		if q.method == cancelMethod {
-			r.callOff(q)
+			r.cancelCall(q)
 			continue
 		}
 		s, left := r.send(q, whole)
@@ -94,11 +94,11 @@
 func (r *rpcConn) send(q rpcCall, whole time.Duration) (*Send, time.Duration) {
 	list, _ := q.params.([]any)
 	meta, _ := at(list, len(list)-1).(map[string]any)
-	word := func(key string) string { s, _ := meta[key].(string); return s }
+	field := func(key string) string { s, _ := meta[key].(string); return s }
 	leftMS, _ := meta["$left_ms"].(float64)
 	n := r.node
 	s := &Send{
-		Node: n.cfg.ID, Zone: n.cfg.Zone, Proxy: r.path.Proxy, ID: word("$id"), Key: word("$key"),
+		Node: n.cfg.ID, Zone: n.cfg.Zone, Proxy: r.path.Proxy, ID: field("$id"), Key: field("$key"),
 		Class: q.method[strings.LastIndexByte(q.method, '.')+1:], Began: whole - r.path.Delay, Whole: whole, CrossesZone: r.path.Cross,
 	}
 	return s, time.Duration(leftMS * float64(time.Millisecond))
@@ -122,8 +122,8 @@
 	}
 }
 
-// callOff cancels the call that a notification names.
-func (r *rpcConn) callOff(q rpcCall) {
+// cancelCall cancels the call that a notification names.
+func (r *rpcConn) cancelCall(q rpcCall) {
 	list, _ := q.params.([]any)
 	id, ok := number(at(list, 0))
 	if !ok {
@@ -142,7 +142,7 @@
 	n := r.node
 	time.Sleep(r.path.Delay)
 	over := make(chan struct{})
-	end := n.process(s, left, r.full, s.ID != "", r.noLongerWanted(stop, over))
+	end := n.process(s, left, r.full, s.ID != "", r.cancelled(stop, over))
 	close(over)
 	r.ended(q.id, stop)
 	if q.notification {
@@ -170,9 +170,9 @@
 	r.write(data)
 }
 
-// noLongerWanted returns a channel that is closed when the caller disconnects or cancels the
+// cancelled returns a channel that is closed when the caller disconnects or cancels the
 // call, unless the call is over first.
-func (r *rpcConn) noLongerWanted(stop, over chan struct{}) <-chan struct{} {
+func (r *rpcConn) cancelled(stop, over chan struct{}) <-chan struct{} {
 	merged := make(chan struct{})
 	go func() {
 		select {
@@ -207,7 +207,7 @@
 		return rpcAnswer{result: n.body(s), status: http.StatusOK}, true
 	case endFailed:
 		return rpcAnswer{problem: map[string]any{"$failed": true, "message": "error"}, status: http.StatusInternalServerError, effect: Failed}, true
-	case endFull, endOver:
+	case endFull, endExpiredQueued:
 		return rpcAnswer{problem: map[string]any{"$unprocessed": true, "message": "full"}, status: http.StatusServiceUnavailable, effect: TurnedAway}, true
 	case endUnknown:
 		return rpcAnswer{problem: "no caller's call", status: http.StatusBadRequest}, true
