--- a/internal/standin/discovery_test.go
+++ b/internal/standin/discovery_test.go
@@ -25,7 +25,7 @@
 	return d, a, j
 }
 
-// watching opens a watch and gives its lines, empty ones left out.
+// watching opens a watch and returns its lists, without the blank heartbeat lines.
 func watching(t *testing.T, a *Agent, from int) <-chan List {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -67,44 +67,44 @@
 		}
 		return l
 	case <-time.After(testTimeout):
-		t.Fatal("waited in vain for a line")
+		t.Fatal("timed out waiting for a line of the watch")
 		panic("unreachable")
 	}
 }
 
-func TestWatchBringsWhatChanged(t *testing.T) {
+func TestWatchSendsChanges(t *testing.T) {
 	t.Parallel()
 	d, a, j := newList(t, 0)
 	w := watching(t, a, 0)
 	if l := next(t, w); !l.Reset || l.Generation != 1 || len(l.Instances) != 1 || l.Instances[0].HostPort != "127.0.0.1:11" {
-		t.Errorf("the whole list: %+v", l)
+		t.Errorf("whole list: %+v", l)
 	}
 	d.Put(Entry{InstanceID: "s-2", Zone: "koper", Lifecycle: "Ready"})
 	if l := next(t, w); l.Reset || l.Generation != 2 || len(l.Instances) != 1 || l.Instances[0].InstanceID != "s-2" {
-		t.Errorf("a change: %+v", l)
+		t.Errorf("after adding s-2: %+v", l)
 	}
 	d.Put(Entry{InstanceID: "s-1", Lifecycle: "Gone"})
 	if l := next(t, w); l.Instances[0].Lifecycle != "Gone" {
-		t.Errorf("one that leaves: %+v", l)
+		t.Errorf("after removing s-1: %+v", l)
 	}
-	// One that comes back with version 1 gets what it missed; one with none, the whole without the gone.
+	// A watch from version 1 gets what it missed; one without a version gets the whole list without the gone instance.
 	if l := next(t, watching(t, a, 1)); l.Reset || len(l.Instances) != 2 || l.Generation != 3 {
-		t.Errorf("from version 1: %+v", l)
+		t.Errorf("watch from version 1: %+v", l)
 	}
 	if l := next(t, watching(t, a, 0)); !l.Reset || len(l.Instances) != 1 {
-		t.Errorf("from none: %+v", l)
+		t.Errorf("watch without a version: %+v", l)
 	}
 	if l := next(t, watching(t, a, 99)); !l.Reset {
-		t.Errorf("from a version that never was: %+v", l)
+		t.Errorf("watch from a version that never existed: %+v", l)
 	}
-	eventually(t, "the words to be written down", func() bool {
+	eventually(t, "the journal to record three removals of s-1", func() bool {
 		gone := 0
 		for _, told := range j.Records().Told {
 			if told.Proxy == 2 && told.Node == "s-1" && told.State == "Gone" {
 				gone++
 			}
 		}
-		return gone >= 3 // told in a change, in a second watch's changes, and by a whole list's silence
+		return gone >= 3 // by a change, by the changes of a second watch, and by its absence from a whole list
 	})
 	resp, err := http.Get("http://" + a.Addr + "/v1/endpoints")
 	if err != nil {
@@ -113,12 +113,12 @@
 	defer resp.Body.Close()
 	var l List
 	if err := json.NewDecoder(resp.Body).Decode(&l); err != nil || !l.Reset || l.Generation != 3 {
-		t.Errorf("asked once: %+v %v", l, err)
+		t.Errorf("list without a watch: %+v, error %v", l, err)
 	}
 	http.DefaultClient.CloseIdleConnections()
 }
 
-// A change reaches each agent as late as that one is, and not before.
+// A change reaches an agent no earlier than the agent's delay.
 func TestLateness(t *testing.T) {
 	t.Parallel()
 	d, a, _ := newList(t, 400*time.Millisecond)
@@ -128,12 +128,12 @@
 	d.Put(Entry{InstanceID: "s-2", Lifecycle: "Ready"})
 	next(t, w)
 	if took := time.Since(at); took < 395*time.Millisecond {
-		t.Errorf("it came after %v", took)
+		t.Errorf("the change arrived after %v, want at least 395ms", took)
 	}
 }
 
-// Silence keeps a watch open; going down ends it and fails calls. Both bring what was missed afterwards.
-func TestSilenceAndGoingDown(t *testing.T) {
+// A silent agent keeps a watch open; one that is down ends it and fails calls. Both send what was missed afterwards.
+func TestSilentAndDownAgent(t *testing.T) {
 	t.Parallel()
 	d, a, _ := newList(t, 0)
 	w := watching(t, a, 0)
@@ -142,36 +142,36 @@
 	d.Put(Entry{InstanceID: "s-2", Lifecycle: "Ready"})
 	select {
 	case l, open := <-w:
-		t.Errorf("in the silence: %+v %v", l, open)
+		t.Errorf("a silent agent sent %+v (watch open: %v)", l, open)
 	case <-time.After(100 * time.Millisecond):
 	}
 	a.Silent(false)
 	if l := next(t, w); l.Generation != 2 {
-		t.Errorf("after the silence: %+v", l)
+		t.Errorf("after the agent was silent: %+v", l)
 	}
 	a.Down(true)
 	select {
 	case _, open := <-w:
 		if open {
-			t.Error("a line came from a service that is down")
+			t.Error("an agent that is down sent a line")
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("the watch goes on")
+		t.Fatal("timed out waiting for the watch of an agent that is down to end")
 	}
 	d.Put(Entry{InstanceID: "s-3", Lifecycle: "Ready"})
 	rec := httptest.NewRecorder()
 	a.ServeHTTP(rec, httptest.NewRequest(http.MethodGet, "/v1/endpoints", nil))
 	if rec.Code != http.StatusServiceUnavailable {
-		t.Errorf("a call while it is down: %d", rec.Code)
+		t.Errorf("status of a call while the agent is down: %d", rec.Code)
 	}
 	a.Down(false)
 	if l := next(t, watching(t, a, 2)); l.Generation != 3 || len(l.Instances) != 1 {
-		t.Errorf("after it: %+v", l)
+		t.Errorf("after the agent was down: %+v", l)
 	}
 }
 
-// The front takes a proxy in when it says that it is ready, deals only proxies of the
-// zone while one lives, and notices a death late.
+// The front adds a proxy when it reports that it is ready, picks only proxies of the
+// zone while one is available, and removes a failed proxy after a delay.
 func TestFront(t *testing.T) {
 	t.Parallel()
 	var ready [2]chan bool
@@ -194,9 +194,9 @@
 	defer servers[1].Close()
 	f := NewFront(300*time.Millisecond, addrs[:])
 	defer f.Close()
-	eventually(t, "the first", func() bool { return f.Has(0) })
+	eventually(t, "the first proxy to be added", func() bool { return f.Has(0) })
 	if i, err := f.Pick("maribor"); err != nil || i != 0 {
-		t.Errorf("with none in its zone: %d %v", i, err)
+		t.Errorf("Pick with no proxy in the zone: %d, %v", i, err)
 	}
 	<-ready[1]
 	ready[1] <- true
@@ -205,21 +205,21 @@
 	}
 	for range 4 {
 		if i, err := f.Pick("maribor"); err != nil || i != 1 {
-			t.Errorf("dealt %d %v", i, err)
+			t.Errorf("Pick: %d, %v; want proxy 1 of the zone", i, err)
 		}
 	}
 	died := time.Now()
 	servers[1].Close()
 	if !f.Has(1) {
-		t.Error("it noticed at once")
+		t.Error("the failed proxy was removed at once")
 	}
-	eventually(t, "the death to be noticed", func() bool { return !f.Has(1) })
+	eventually(t, "the failed proxy to be removed", func() bool { return !f.Has(1) })
 	if took := time.Since(died); took < 300*time.Millisecond {
-		t.Errorf("it noticed after %v", took)
+		t.Errorf("the failed proxy was removed after %v, want at least 300ms", took)
 	}
 	servers[0].Close()
-	eventually(t, "the other's death", func() bool { return !f.Has(0) })
+	eventually(t, "the other failed proxy to be removed", func() bool { return !f.Has(0) })
 	if _, _, err := f.Dial(t.Context(), "koper"); err == nil {
-		t.Error("a connection to nobody")
+		t.Error("Dial succeeded with no proxy available")
 	}
 }
--- a/internal/standin/large_test.go
+++ b/internal/standin/large_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// A large body is read as it was made, whatever the pieces; one with another byte, or one too
-// few, is not.
+// A large body written in pieces is read back unchanged, a body with a wrong byte is rejected,
+// write errors are returned, and the read rate is limited.
 func TestLargeBodies(t *testing.T) {
 	t.Parallel()
 	const size, id = 300<<10 + 7, "00000000000000aa"
@@ -21,30 +21,30 @@
 		t.Fatal(err)
 	}
 	if made.String() != Body("s-1", id, size) {
-		t.Error("in pieces it is another body than in one")
+		t.Error("WriteBody and Body make different bodies")
 	}
 	head, n, err := ReadBody(bytes.NewReader(made.Bytes()), 0)
 	if maker, ok := CheckBody(id, head); err != nil || n != size || !ok || maker != "s-1" {
-		t.Errorf("%d bytes of %q, %v", n, maker, err)
+		t.Errorf("read %d bytes, made by %q, error %v", n, maker, err)
 	}
 	spoilt := bytes.Clone(made.Bytes())
 	spoilt[200<<10] = 'x'
 	if _, _, err := ReadBody(bytes.NewReader(spoilt), 0); err == nil {
-		t.Error("a spoilt body is taken")
+		t.Error("ReadBody accepts a corrupted body")
 	}
 	full := errors.New("full")
 	if err := WriteBody("s-1", id, size, 0, func([]byte) error { return full }); err != full {
-		t.Errorf("a write that fails: %v", err)
+		t.Errorf("WriteBody with a failing write: %v", err)
 	}
 	began := time.Now()
 	ReadBody(strings.NewReader(Body("s-1", id, 64<<10)), 1<<20)
 	if took := time.Since(began); took < 50*time.Millisecond {
-		t.Errorf("64 KiB at 1 MiB a second in %v", took)
+		t.Errorf("reading 64 KiB at 1 MiB/s took %v, want at least 50ms", took)
 	}
 }
 
-// A node gives large answers in either form, and takes a large body only if it is what its
-// client made.
+// A node sends large answers chunked or with a length, and accepts a large request body only if
+// its client made it.
 func TestNodesWithLargeBodies(t *testing.T) {
 	t.Parallel()
 	for _, chunked := range []bool{false, true} {
@@ -82,14 +82,14 @@
 			"00000000000000b1": {Body(ClientBody(size), "00000000000000b1", size), 200},
 			"00000000000000b2": {Body(ClientBody(size), "00000000000000b2", size-9), 400},
 			"00000000000000b3": {Body(ClientBody(size), "00000000000000b1", size), 400},
-			"00000000000000b4": {strings.Repeat("x", 20<<10), 200}, // small ones are not looked at
+			"00000000000000b4": {strings.Repeat("x", 20<<10), 200}, // small bodies are not checked
 		} {
 			var body io.Reader = strings.NewReader(c.body)
 			if chunked {
-				body = io.MultiReader(body) // of unknown length
+				body = io.MultiReader(body) // unknown length, so net/http sends it chunked
 			}
 			if resp, _ := ask("POST", "/bid/7", id, body); resp.StatusCode != c.want {
-				t.Errorf("%s, chunked %v: %d, want %d", id, chunked, resp.StatusCode, c.want)
+				t.Errorf("request %s, chunked %v: status %d, want %d", id, chunked, resp.StatusCode, c.want)
 			}
 		}
 	}
@@ -108,7 +108,7 @@
 			t.Fatal(err)
 		}
 		if err := plainCheck(path); (err == nil) != good {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("plainCheck of %q: %v", text, err)
 		}
 	}
 }
--- a/internal/standin/machine/machine_test.go
+++ b/internal/standin/machine/machine_test.go
@@ -12,7 +12,7 @@
 
 func testConfig() Config { return Config{Cores: 2, Speed: 1, Slots: 4, Queue: 2} }
 
-// run gives the ends of all that happens until a time.
+// run advances the machine to a time and returns the completions.
 func run(m *Machine, until time.Duration) []Completion {
 	m.Advance(until)
 	return m.TakeCompletions()
@@ -21,12 +21,12 @@
 func checkCompletions(t *testing.T, got []Completion, want ...Completion) {
 	t.Helper()
 	if len(got) != len(want) {
-		t.Fatalf("ends %+v, want %+v", got, want)
+		t.Fatalf("completions %+v, want %+v", got, want)
 	}
 	for i, w := range want {
 		g := got[i]
 		if g.ID != w.ID || g.Outcome != w.Outcome || g.Started != w.Started || (g.At-w.At).Abs() > 2*time.Microsecond {
-			t.Errorf("end %d is %+v, want %+v", i, g, w)
+			t.Errorf("completion %d is %+v, want %+v", i, g, w)
 		}
 	}
 }
@@ -45,8 +45,9 @@
 	checkCompletions(t, run(m, 2*time.Second), Completion{3, 1060 * ms, Completed, true})
 }
 
-// The first job runs alone for 30 ms, then three share: of its 60 ms 30 are left,
-// at two thirds 45 ms more; the others have 30 of 60 left then and two cores.
+// The first job runs alone for 30 ms. Then three jobs share two cores: the first needs
+// 45 ms for its remaining 30 ms at two thirds of a core. The others have 30 of their
+// 60 ms left then and a core each.
 func TestSharesChangeWithConcurrency(t *testing.T) {
 	m := New(testConfig(), 0, true)
 	m.Submit(0, 1, Job{Work: 60 * ms})
@@ -55,7 +56,7 @@
 	checkCompletions(t, run(m, time.Second), Completion{1, 75 * ms, Completed, true}, Completion{2, 105 * ms, Completed, true}, Completion{3, 105 * ms, Completed, true})
 }
 
-// A wait holds a slot and no core. Four slots, two places to wait, the seventh is turned away.
+// A waiting job occupies a slot but no core. With four slots and a queue of two, the seventh job is rejected.
 func TestSlotsAndQueue(t *testing.T) {
 	m := New(testConfig(), 0, true)
 	for id := range uint64(6) {
@@ -64,22 +65,22 @@
 		}
 	}
 	if v := m.Submit(0, 6, Job{Work: 10 * ms}); v != QueueFull {
-		t.Errorf("the seventh: %v", v)
+		t.Errorf("seventh job: %v, want QueueFull", v)
 	}
 	if m.Outstanding() != 6 || m.InService() != 4 {
 		t.Errorf("outstanding %d, in service %d", m.Outstanding(), m.InService())
 	}
-	// Four wait 50 ms, then share two cores: 20 ms. The other two follow: 50 + 10.
+	// Four jobs wait 50 ms, then share two cores for 20 ms. The other two then take 50 + 10 ms.
 	got := run(m, time.Second)
 	if len(got) != 6 || (got[3].At-70*ms).Abs() > ms || (got[5].At-130*ms).Abs() > ms {
-		t.Errorf("ends %+v", got)
+		t.Errorf("completions %+v", got)
 	}
 	if v := m.Submit(2*time.Second, 7, Job{Work: ms, Deadline: time.Second}); v != DeadlinePassed {
-		t.Errorf("one that is over: %v", v)
+		t.Errorf("job with a past deadline: %v, want DeadlinePassed", v)
 	}
 }
 
-// One in the queue has not run when it is cancelled, and its place is free then.
+// A job cancelled in the queue has not started, and its place becomes free.
 func TestCancelAndExpiry(t *testing.T) {
 	cfg := testConfig()
 	cfg.Cores, cfg.Slots, cfg.Queue = 1, 1, 1
@@ -87,37 +88,37 @@
 	m.Submit(0, 1, Job{Work: 100 * ms, Deadline: 40 * ms})
 	m.Submit(0, 2, Job{Work: 100 * ms})
 	if m.Cancel(10*ms, 2) {
-		t.Error("one that waited is said to have run")
+		t.Error("Cancel reports a queued job as started")
 	}
 	m.Submit(10*ms, 3, Job{Work: 100 * ms, Deadline: 20 * ms})
 	checkCompletions(t, run(m, 30*ms), Completion{3, 20 * ms, DeadlineExceeded, false})
 	checkCompletions(t, run(m, time.Second), Completion{1, 40 * ms, DeadlineExceeded, true})
 	m.Submit(time.Second, 4, Job{Work: 100 * ms})
 	if !m.Cancel(1010*ms, 4) {
-		t.Error("one in work is said not to have run")
+		t.Error("Cancel reports a running job as not started")
 	}
 }
 
-// From 0.32 to 1 over 8 s: after 4 s it can do 0.66. The first second of a core
-// gives 0.32 + 0.68/16 = 0.3625 s of work, so that much work takes a second.
+// The capacity rises from 0.32 to 1 over 8 s, so it is 0.66 after 4 s. In the first second
+// a core does 0.32 + 0.68/16 = 0.3625 s of work, so that much work takes one second.
 func TestColdStart(t *testing.T) {
 	cfg := testConfig()
 	cfg.Warmup = Warmup{InitialCapacity: 0.32, Duration: 8 * time.Second}
 	m := New(cfg, time.Second, false)
 	for at, want := range map[time.Duration]float64{time.Second: 0.32, 5 * time.Second: 0.66, 9 * time.Second: 1, time.Minute: 1} {
 		if got := m.Capacity(at); math.Abs(got-want) > 1e-9 {
-			t.Errorf("share at %v is %v, want %v", at, got, want)
+			t.Errorf("capacity at %v is %v, want %v", at, got, want)
 		}
 	}
 	m.Submit(time.Second, 1, Job{Work: 362500 * time.Microsecond})
 	checkCompletions(t, run(m, 3*time.Second), Completion{1, 2 * time.Second, Completed, true})
-	// The whole of the cold start gives 8 x 0.66 = 5.28 s; a core's second more is warm.
+	// A core does 8 x 0.66 = 5.28 s of work during the slow start; the remaining second of work is done warm.
 	m.Restart(10*time.Second, false)
 	m.Submit(10*time.Second, 2, Job{Work: 6280 * ms})
 	checkCompletions(t, run(m, time.Minute), Completion{2, 19 * time.Second, Completed, true})
 }
 
-// 2 cores at 0.32 can do 0.64 a second; 2.5 times that over 3 s are 4.8 s of work.
+// 2 cores at a capacity of 0.32 do 0.64 s of work per second; 2.5 times that over 3 s are 4.8 s of work.
 func TestOverloadWhileWarmingUpCrashes(t *testing.T) {
 	cfg := testConfig()
 	cfg.Slots = 100
@@ -134,22 +135,22 @@
 	}
 	checkCompletions(t, m.TakeCompletions(), Completion{1, 2 * time.Second, Killed, true})
 	if v := submit(m, time.Hour, ms, 3); v != Unavailable {
-		t.Errorf("it came up again by itself: %v", v)
+		t.Errorf("an hour after the crash: %v, want Unavailable", v)
 	}
 	m.Restart(time.Hour, false)
 	if v := submit(m, time.Hour, 4700*ms, 4); v != Accepted {
-		t.Errorf("after a start: %v", v)
+		t.Errorf("after a restart: %v, want Accepted", v)
 	}
 	if v := submit(m, time.Hour+3*time.Second, 200*ms, 5); v != Accepted {
-		t.Errorf("the first work is out of the window: %v", v)
+		t.Errorf("with the first work outside the window: %v, want Accepted", v)
 	}
 	warm := New(cfg, 0, true)
 	if v := submit(warm, 0, time.Minute, 1); v != Accepted {
-		t.Errorf("a warm one: %v", v)
+		t.Errorf("a warm machine: %v, want Accepted", v)
 	}
 }
 
-// Work that is turned away counts against the budget too.
+// Rejected work counts towards the overload window too.
 func TestRejectedWorkCountsTowardsOverload(t *testing.T) {
 	cfg := testConfig()
 	cfg.Slots, cfg.Queue = 1, 0
@@ -162,11 +163,11 @@
 		}
 	}
 	if v := m.Submit(0, 5, Job{Work: 500 * ms}); v != Unavailable {
-		t.Errorf("past the budget: %v", v)
+		t.Errorf("beyond the overload threshold: %v, want Unavailable", v)
 	}
 }
 
-// A neighbour that takes half leaves one core's worth of two; a slowness of 3 thirds the speed.
+// A neighbour that takes half of two cores leaves one core's worth; a slowdown of 3 divides the speed by three.
 func TestNeighbourAndSlowdown(t *testing.T) {
 	m := New(testConfig(), 0, true)
 	m.SetNeighbour(0, 0.5)
@@ -178,8 +179,8 @@
 	checkCompletions(t, run(m, time.Second), Completion{1, 150 * ms, Completed, true}, Completion{2, 150 * ms, Completed, true})
 }
 
-// 2 cores + 1 x root 2 are 3.41: four held for longer than the window's share turn
-// it slow; it comes back when it was idle for a second.
+// The threshold is 2 cores + 1 x root 2 = 3.41 outstanding requests: four requests congest the machine once
+// their mean over the window exceeds it. It recovers after a second of low utilization.
 func TestCongestion(t *testing.T) {
 	cfg := testConfig()
 	cfg.Slots = 10
@@ -190,18 +191,18 @@
 	}
 	m.Advance(800 * ms) // a mean of 3.2 over the last second
 	if m.Congested() {
-		t.Error("slow before the mean says so")
+		t.Error("congested before the mean exceeds the threshold")
 	}
 	m.Advance(950 * ms) // 3.8
 	if !m.Congested() {
-		t.Fatal("not slow under a crowd")
+		t.Fatal("not congested with the mean above the threshold")
 	}
 	ends := run(m, 20*time.Second)
 	if len(ends) != 4 || ends[3].At < 6*time.Second || ends[3].At > 8*time.Second {
-		t.Errorf("half the speed from about 0.9 s on ends at about 7.1 s: %+v", ends)
+		t.Errorf("at half the speed from about 0.9 s on, the last job should complete at about 7.1 s: %+v", ends)
 	}
 	if m.Congested() {
-		t.Error("still slow long after the last request")
+		t.Error("still congested long after the last request")
 	}
 	cfg.Congestion.MaxDuration = 2 * time.Second
 	m = New(cfg, 0, true)
@@ -212,7 +213,7 @@
 	was := m.Congested()
 	m.Advance(700*ms + cfg.Congestion.MaxDuration + 50*ms)
 	if !was || !m.congestion.occurred {
-		t.Error("eight for 0.7 s are no crowd")
+		t.Error("not congested after 0.7 s with eight requests")
 	}
 }
 
@@ -229,7 +230,7 @@
 		c := testConfig()
 		spoil(&c)
 		if c.Validate() == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: Validate returned no error", name)
 		}
 	}
 	if err := testConfig().Validate(); err != nil {
@@ -237,7 +238,7 @@
 	}
 }
 
-// modelRun plays a drawn sequence of calls and checks the invariants after each.
+// modelRun executes a generated sequence of calls and checks the invariants after each.
 type modelRun struct {
 	machine *Machine
 	now     time.Duration
@@ -251,11 +252,11 @@
 	for _, e := range r.machine.TakeCompletions() {
 		work, open := r.open[e.ID]
 		if !open {
-			t.Fatalf("job %d ended and was not open", e.ID)
+			t.Fatalf("job %d completed but was not open", e.ID)
 		}
 		delete(r.open, e.ID)
 		if e.At < r.lastEnd || e.At > r.now {
-			t.Fatalf("an end at %v after one at %v, now %v", e.At, r.lastEnd, r.now)
+			t.Fatalf("completion at %v, previous one at %v, now %v", e.At, r.lastEnd, r.now)
 		}
 		r.lastEnd = e.At
 		if e.Outcome == Completed {
@@ -298,8 +299,8 @@
 	r.collect(t)
 }
 
-// Whatever is called in whatever order: each job that was accepted ends once, or was cancelled, or is outstanding; no
-// more work is done than the cores can do; completions come in order; and slots are never exceeded.
+// For any sequence of calls: each accepted job completes once, was cancelled, or is outstanding; no more work is done
+// than the cores can do; completions are in time order; and the slots are never exceeded.
 func TestAnySequenceKeepsInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{
@@ -318,7 +319,7 @@
 			}
 		}
 		if most := r.now.Seconds()*float64(cfg.Cores)*cfg.Speed + 1e-6; r.done > most {
-			t.Fatalf("%v s of work were done where %v could be", r.done, most)
+			t.Fatalf("%v s of work were done, more than the possible %v", r.done, most)
 		}
 	})
 }
--- a/internal/standin/main_test.go
+++ b/internal/standin/main_test.go
@@ -18,19 +18,19 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testTimeout is how long a test waits for what must come. It is no measure of speed.
+// testTimeout bounds how long a test waits for an expected event. It asserts nothing about speed.
 const testTimeout = 20 * time.Second
 
 func eventually(t *testing.T, what string, reached func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !reached(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// testNodeConfig is a node that serves at once.
+// testNodeConfig returns the config of a warm node with a millisecond of work per request.
 func testNodeConfig() NodeConfig {
 	return NodeConfig{
 		ID: "s-1", Zone: "koper", Warm: true, Journal: &Journal{},
@@ -56,7 +56,7 @@
 	return n
 }
 
-// peer is a proxy's side of a connection.
+// peer is the proxy's end of a connection.
 type peer struct {
 	net.Conn
 	in *bufio.Reader
@@ -112,7 +112,7 @@
 	return status, body, h
 }
 
-// ends waits for the end of a connection, and tells whether it was a reset.
+// ends waits for the end of a connection and reports whether it was reset.
 func (p *peer) ends(t *testing.T) (reset bool) {
 	t.Helper()
 	p.SetReadDeadline(time.Now().Add(testTimeout))
--- a/internal/standin/network_test.go
+++ b/internal/standin/network_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Each way in which a node's connections break, as the other side sees it; and none of it
-// before it is set, nor after it is over.
+// Each network fault as the other side sees it, and none of them before it is set or after
+// it is removed.
 func TestNetwork(t *testing.T) {
 	t.Parallel()
 	cfg := testNodeConfig()
@@ -29,40 +29,40 @@
 
 	n.Network(Network{StaleAfter: 50 * time.Millisecond, StaleRate: 1})
 	p := dial(t, n.Addr())
-	ok(p) // the first request of a new one is no reuse
+	ok(p) // the first request on a connection is no reuse
 	time.Sleep(60 * time.Millisecond)
 	stale := id()
 	p.send(t, "POST", "/bid/7", stale)
 	if !p.ends(t) {
-		t.Error("a stale connection ended in peace")
+		t.Error("a stale connection was closed without a reset")
 	}
 	found := false
 	for _, s := range cfg.Journal.Records().Sends {
 		found = found || s.ID == stale && s.Effect == Ran
 	}
 	if !found {
-		t.Error("a request that may have run is not written down as one")
+		t.Error("a request that may have run is not in the journal as such")
 	}
 
 	n.Network(Network{NewRate: 1})
 	p = dial(t, n.Addr())
 	p.send(t, "GET", "/lot-list/7", id())
 	if !p.ends(t) {
-		t.Error("a new connection ended in peace")
+		t.Error("a new connection was closed without a reset")
 	}
 
 	n.Network(Network{CloseRate: 1})
 	p = dial(t, n.Addr())
 	ok(p)
 	if p.ends(t) {
-		t.Error("one that is closed behind its answer was reset")
+		t.Error("a connection that CloseRate closes after an answer was reset")
 	}
 
 	n.Network(Network{BodyRate: 1})
 	p = dial(t, n.Addr())
 	fmt.Fprintf(p, "POST /bid/7 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: %s\r\nContent-Length: 40000\r\n\r\n%s", id(), strings.Repeat("x", 30000))
 	if !p.ends(t) {
-		t.Error("one in a body ended in peace")
+		t.Error("a connection cut in a request body was closed without a reset")
 	}
 
 	n.Network(Network{DropAfter: 50 * time.Millisecond})
@@ -73,13 +73,13 @@
 	p.send(t, "GET", "/lot-list/7", dropped)
 	p.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if _, err := p.in.ReadByte(); err == nil {
-		t.Error("a dropped connection answers")
+		t.Error("a dropped connection sent an answer")
 	} else if ne, timeout := err.(net.Error); !timeout || !ne.Timeout() {
 		t.Errorf("a dropped connection ended: %v", err)
 	}
 	for _, s := range cfg.Journal.Records().Sends {
 		if s.ID == dropped {
-			t.Error("what was written to a dropped connection arrived")
+			t.Error("a request written to a dropped connection arrived")
 		}
 	}
 
@@ -90,8 +90,8 @@
 	ok(p)
 }
 
-// Addresses are this process's own: a run beside this one can't take one between its finding and its use.
-func TestAddressesAreKept(t *testing.T) {
+// Addresses are reserved for this process, so that a concurrent run can't take one before it is used.
+func TestAddressesAreReserved(t *testing.T) {
 	seen := map[string]bool{}
 	for range 3000 {
 		a, b, err := AddressPair(1000)
@@ -104,10 +104,10 @@
 		seen[a], seen[b] = true, true
 	}
 	if ports.kept == nil {
-		t.Skip("this system has no loopback addresses but one")
+		t.Skip("this system has only one loopback address")
 	}
 	if l, err := net.Listen("tcp4", ports.prefix+"1:14999"); err == nil {
 		l.Close()
-		t.Error("another process could take the same block")
+		t.Error("another process could reserve the same block")
 	}
 }
--- a/internal/standin/node_test.go
+++ b/internal/standin/node_test.go
@@ -10,7 +10,7 @@
 	"marlreel/internal/standin/machine"
 )
 
-func TestServesAndWritesItDown(t *testing.T) {
+func TestServesAndRecordsRequests(t *testing.T) {
 	t.Parallel()
 	cfg := testNodeConfig()
 	cfg.Size = func(string, string) int { return 3000 }
@@ -19,20 +19,20 @@
 	for _, id := range []string{"0000000000000001", "0000000000000002"} {
 		status, body, _ := c.ask(t, "POST", "/bid/7", id)
 		if node, ok := CheckBody(id, body); status != 200 || !ok || node != "s-1" || len(body) != 3000 {
-			t.Errorf("answered %d, %d bytes, of %q (%v)", status, len(body), node, ok)
+			t.Errorf("status %d, %d bytes, made by %q (valid: %v)", status, len(body), node, ok)
 		}
 		if _, ok := CheckBody("0000000000000009", body); ok {
-			t.Error("an answer passes for another request's")
+			t.Error("CheckBody accepts the body of another request")
 		}
 	}
 	sends := cfg.Journal.Records().Sends
 	if len(sends) != 2 || sends[0].Class != "bid" || sends[0].ID != "0000000000000001" || !sends[0].Fresh || sends[1].Fresh ||
 		sends[1].Effect != Ran || sends[1].Answered != 200 || sends[1].Ended < sends[1].Whole || sends[1].Attempt != 1 {
-		t.Errorf("written down: %+v", sends)
+		t.Errorf("journal: %+v", sends)
 	}
 }
 
-func TestWhatIsNoRequest(t *testing.T) {
+func TestRejectsRequestsThatNoClientSent(t *testing.T) {
 	t.Parallel()
 	cfg := testNodeConfig()
 	cfg.Demand = func(id, _ string) (machine.Job, bool) { return machine.Job{Work: time.Millisecond}, id == "1" }
@@ -48,8 +48,8 @@
 	}
 }
 
-// A repeat is dropped by all nodes of the group, and runs again once its window has passed.
-func TestKeyedRepeats(t *testing.T) {
+// A duplicate of a key is dropped by all nodes of the group; the key can run again once its window has passed.
+func TestKeyedDuplicatesAreDropped(t *testing.T) {
 	t.Parallel()
 	group := NewGroup(time.Hour)
 	cfg, other := testNodeConfig(), testNodeConfig()
@@ -68,18 +68,18 @@
 		}
 	}
 	if ran != 1 {
-		t.Errorf("ran %d times", ran)
+		t.Errorf("the key ran %d times, want 1", ran)
 	}
 	if !group.first("other", 0) || group.first("other", time.Minute) || !group.first("other", time.Hour) {
-		t.Error("a window does not hold from the first arrival, or for good")
+		t.Error("the window does not start at the first arrival, or does not end")
 	}
 	group.forget("other")
 	if !group.first("other", time.Hour+time.Second) {
-		t.Error("what never ran is remembered")
+		t.Error("a forgotten key is still remembered")
 	}
 }
 
-// With its slots and its queue taken, a node proves that it did not run the next one.
+// With its slots and its queue full, a node rejects the next request as unprocessed.
 func TestQueueFull(t *testing.T) {
 	t.Parallel()
 	cfg := testNodeConfig()
@@ -89,18 +89,19 @@
 	for _, id := range []string{"1", "2"} {
 		dial(t, n.Addr()).send(t, "POST", "/bid/7", id)
 	}
-	eventually(t, "both to be in hand", func() bool { return len(cfg.Journal.Records().Sends) == 2 })
+	eventually(t, "both requests to be accepted", func() bool { return len(cfg.Journal.Records().Sends) == 2 })
 	status, _, h := dial(t, n.Addr()).ask(t, "POST", "/bid/7", "3")
 	if status != 503 || h.Get("X-Unprocessed") != "1" {
-		t.Errorf("the third: %d %v", status, h)
+		t.Errorf("third request: status %d, headers %v", status, h)
 	}
 	if s := cfg.Journal.Records().Sends[2]; s.Effect != TurnedAway {
-		t.Errorf("written down as %s", s.Effect)
+		t.Errorf("journal effect %s, want %s", s.Effect, TurnedAway)
 	}
 }
 
-// One whose time runs out in the queue never ran, and is told so; one that runs is cut off.
-func TestTimeRunsOut(t *testing.T) {
+// A request whose deadline passes in the queue is answered as unprocessed; one whose connection closes while it runs
+// is cancelled.
+func TestDeadlineInQueueAndCancellation(t *testing.T) {
 	t.Parallel()
 	cfg := testNodeConfig()
 	cfg.Machine.Slots = 1
@@ -108,17 +109,17 @@
 	n := startNode(t, cfg)
 	first, second := dial(t, n.Addr()), dial(t, n.Addr())
 	first.send(t, "POST", "/bid/7", "1")
-	eventually(t, "the first to be in hand", func() bool { return len(cfg.Journal.Records().Sends) == 1 })
+	eventually(t, "the first request to be accepted", func() bool { return len(cfg.Journal.Records().Sends) == 1 })
 	second.Write([]byte("GET /lot-list/7 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 2\r\nX-Time-Left: 50m\r\n\r\n"))
 	status, _, h, err := second.receive()
 	if err != nil || status != 504 || h.Get("X-Unprocessed") != "1" {
-		t.Errorf("one that waited: %d %v %v", status, h, err)
+		t.Errorf("queued request: status %d, headers %v, error %v", status, h, err)
 	}
-	// The first's connection ends, and with it its work.
+	// Closing the first connection cancels its request.
 	first.Close()
 	eventually(t, "the work to stop", func() bool { return cfg.Journal.Records().Sends[0].Ended != 0 })
 	if s := cfg.Journal.Records().Sends; s[0].Effect != Ran || s[1].Effect != TurnedAway {
-		t.Errorf("written down: %s, %s", s[0].Effect, s[1].Effect)
+		t.Errorf("journal effects: %s, %s", s[0].Effect, s[1].Effect)
 	}
 }
 
@@ -134,16 +135,16 @@
 	n.Drain(true)
 	status, _, h := c.ask(t, "POST", "/bid/7", "1")
 	if status != 503 || h.Get("X-Unprocessed") != "1" || n.State() != "draining" {
-		t.Errorf("%d %v, %s", status, h, n.State())
+		t.Errorf("while draining: status %d, headers %v, state %s", status, h, n.State())
 	}
 	if status, _, _ := c.ask(t, "GET", "/health", ""); status != 503 {
 		t.Errorf("health while draining: %d", status)
 	}
 }
 
-// The end of a process resets what is open and refuses what is new; what was in hand
-// may have run. It comes back at the same address, cold.
-func TestDeathAndReturn(t *testing.T) {
+// A crash resets open connections and refuses new ones; requests in flight may have run.
+// The node restarts at the same address, cold.
+func TestCrashAndRestart(t *testing.T) {
 	t.Parallel()
 	cfg := testNodeConfig()
 	cfg.Machine.Warmup = machine.Warmup{InitialCapacity: 0.5, Duration: time.Hour}
@@ -157,39 +158,39 @@
 	idle, busy := dial(t, n.Addr()), dial(t, n.Addr())
 	idle.ask(t, "GET", "/lot-list/7", "2")
 	busy.send(t, "POST", "/bid/7", "1")
-	eventually(t, "the bid", func() bool { return len(cfg.Journal.Records().Sends) == 2 })
+	eventually(t, "the bid to arrive", func() bool { return len(cfg.Journal.Records().Sends) == 2 })
 	n.Die()
 	if !idle.ends(t) || !busy.ends(t) {
-		t.Error("a connection ended in peace")
+		t.Error("a connection of the dead node was closed without a reset")
 	}
 	if c, err := net.DialTimeout("tcp", n.Addr(), testTimeout); err == nil {
 		c.Close()
-		t.Error("a dead node took a connection")
+		t.Error("a dead node accepted a connection")
 	}
 	if s := cfg.Journal.Records().Sends[1]; s.Effect != Ran || s.Answered != 0 {
-		t.Errorf("the bid is written down as %+v", s)
+		t.Errorf("journal record of the bid: %+v", s)
 	}
 	if err := n.Return(false); err != nil {
 		t.Fatal(err)
 	}
 	if n.State() != "cold" {
-		t.Errorf("it is back %s", n.State())
+		t.Errorf("state after the restart: %s, want cold", n.State())
 	}
 	if status, _, _ := dial(t, n.Addr()).ask(t, "GET", "/lot-list/7", "3"); status != 200 {
-		t.Errorf("after its return: %d", status)
+		t.Errorf("status after the restart: %d", status)
 	}
 	cold := false
 	for _, e := range cfg.Journal.Records().Events {
 		cold = cold || e.State == StartedCold
 	}
 	if !cold {
-		t.Error("the cold start is not written down")
+		t.Error("the cold start is not in the journal")
 	}
 }
 
-// One that is cut off says nothing: open connections stay open, new ones never come
-// up. When it is back, the old ones are reset.
-func TestVanishing(t *testing.T) {
+// A node that is cut off sends nothing: open connections stay open, new ones are not
+// established. When it returns, the old connections are reset.
+func TestVanishedNodeIsSilent(t *testing.T) {
 	t.Parallel()
 	cfg := testNodeConfig()
 	n := startNode(t, cfg)
@@ -199,16 +200,16 @@
 	c.send(t, "GET", "/lot-list/7", "2")
 	c.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
 	if b, err := c.in.ReadByte(); err == nil {
-		t.Errorf("a node that has vanished says %q", b)
+		t.Errorf("a vanished node sent %q", b)
 	} else if ne, ok := err.(net.Error); !ok || !ne.Timeout() {
-		t.Errorf("its connection ended: %v", err)
+		t.Errorf("the vanished node's connection ended: %v", err)
 	}
 	if d, err := net.DialTimeout("tcp", n.Addr(), 300*time.Millisecond); err == nil {
-		// Where a listener's queue can't be made small, it comes up and stays silent.
+		// Where a listener's accept queue can't be shrunk, the connection is established and stays silent.
 		d.SetDeadline(time.Now().Add(200 * time.Millisecond))
 		d.Write([]byte("GET /lot-list/7 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 3\r\nX-Time-Left: 100m\r\n\r\n"))
 		if _, err := d.Read(make([]byte, 1)); err == nil {
-			t.Error("a new connection is served")
+			t.Error("a vanished node served a new connection")
 		}
 		d.Close()
 	}
@@ -217,25 +218,25 @@
 	}
 	c.ends(t)
 	if status, _, _ := dial(t, n.Addr()).ask(t, "GET", "/lot-list/7", "4"); status != 200 {
-		t.Errorf("after its return: %d", status)
+		t.Errorf("status after the return: %d", status)
 	}
 	for _, s := range cfg.Journal.Records().Sends {
 		if s.ID == "2" || s.ID == "3" {
-			t.Errorf("%s reached a node that was cut off", s.ID)
+			t.Errorf("request %s reached a node that was cut off", s.ID)
 		}
 	}
 }
 
-func TestErrorsAndSpoiltAnswers(t *testing.T) {
+func TestErrorsAndCorruptedResponses(t *testing.T) {
 	t.Parallel()
 	cfg := testNodeConfig()
 	n := startNode(t, cfg)
 	n.Errors(1)
 	if status, _, h := dial(t, n.Addr()).ask(t, "POST", "/bid/7", "1"); status != 500 || h.Get("X-Unprocessed") != "" {
-		t.Errorf("an error: %d %v", status, h)
+		t.Errorf("with an error rate of 1: status %d, headers %v", status, h)
 	}
 	if s := cfg.Journal.Records().Sends[0]; s.Effect != Failed {
-		t.Errorf("written down as %s", s.Effect)
+		t.Errorf("journal effect %s, want %s", s.Effect, Failed)
 	}
 	n.Errors(0)
 	for how, bad := range map[Spoil]func(status int, body string, err error) bool{
@@ -250,17 +251,17 @@
 		c := dial(t, n.Addr())
 		c.send(t, "GET", "/lot-list/7", "2")
 		if status, body, _, err := c.receive(); !bad(status, body, err) {
-			t.Errorf("spoilt as %d: %d, %d bytes, %v", how, status, len(body), err)
+			t.Errorf("spoil %d: status %d, %d bytes, error %v", how, status, len(body), err)
 		}
 	}
 	n.Spoils(SpoilNothing, 0)
 	if status, _, _ := dial(t, n.Addr()).ask(t, "GET", "/lot-list/7", "3"); status != 200 {
-		t.Errorf("afterwards: %d", status)
+		t.Errorf("status after the faults: %d", status)
 	}
 }
 
-// A node that serves one kind of work badly serves the rest as ever.
-func TestPartialHarm(t *testing.T) {
+// Partial faults affect only the requests they match.
+func TestPartialFaults(t *testing.T) {
 	t.Parallel()
 	cfg := testNodeConfig()
 	cfg.Size = func(_, class string) int { return map[string]int{"catch-sheet": 9000}[class] }
@@ -269,28 +270,28 @@
 	n.Partially("b", Partial{Class: "pickup", Harm: HarmErrors, Rate: 1})
 	n.Partially("c", Partial{Above: 8000, Harm: HarmSlow, Rate: 1, Times: 100})
 	if status, _, _ := dial(t, n.Addr()).ask(t, "GET", "/lot-list/7", "1"); status != 200 {
-		t.Errorf("a listing: %d", status)
+		t.Errorf("status of an unaffected listing: %d", status)
 	}
 	if status, _, _ := dial(t, n.Addr()).ask(t, "POST", "/pickup/7", "2"); status != 500 {
-		t.Errorf("a pickup: %d", status)
+		t.Errorf("status of a pickup with HarmErrors: %d", status)
 	}
 	c := dial(t, n.Addr())
 	c.send(t, "POST", "/bid/7", "3")
 	c.SetReadDeadline(time.Now().Add(150 * time.Millisecond))
 	if b, err := c.in.ReadByte(); err == nil {
-		t.Errorf("a bid is answered: %q", b)
+		t.Errorf("a bid with HarmSilent was answered: %q", b)
 	} else if ne, ok := err.(net.Error); !ok || !ne.Timeout() {
-		t.Errorf("a bid's connection ended: %v", err)
+		t.Errorf("the connection of a bid with HarmSilent ended: %v", err)
 	}
 	if status, _, _ := dial(t, n.Addr()).ask(t, "GET", "/catch-sheet/7", "4"); status != 200 {
-		t.Errorf("a large answer: %d", status)
+		t.Errorf("status of a large answer with HarmSlow: %d", status)
 	}
 	n.Wholly("a")
 	if status, _, _ := dial(t, n.Addr()).ask(t, "POST", "/bid/7", "5"); status != 200 {
-		t.Errorf("a bid after the trouble: %d", status)
+		t.Errorf("status of a bid after its fault was removed: %d", status)
 	}
 	if status, _, _ := dial(t, n.Addr()).ask(t, "POST", "/pickup/7", "6"); status != 500 {
-		t.Errorf("another trouble ended with it: %d", status)
+		t.Errorf("status of a pickup: %d, removing one fault removed another", status)
 	}
 	work := map[string]time.Duration{}
 	for _, s := range cfg.Journal.Records().Sends {
@@ -301,9 +302,9 @@
 	}
 }
 
-// Which answers fail is drawn from the requests' names: the same ones every time, and
-// about as many as were asked for.
-func TestErrorsAreDrawnFromNames(t *testing.T) {
+// Which answers fail depends on the request IDs alone: the same ones every time, at
+// about the configured rate.
+func TestErrorsAreChosenByRequestID(t *testing.T) {
 	t.Parallel()
 	hit := 0
 	for i := range 4000 {
@@ -312,11 +313,11 @@
 			hit++
 		}
 		if chance(id, "s-1", "error") != chance(id, "s-1", "error") {
-			t.Fatal("drawn anew")
+			t.Fatal("chance differs between two calls with the same words")
 		}
 	}
 	if hit < 850 || hit > 1150 {
-		t.Errorf("%d of 4000 at a rate of a quarter", hit)
+		t.Errorf("%d of 4000 requests fail at a rate of 0.25", hit)
 	}
 }
 
@@ -330,17 +331,17 @@
 	second := dial(t, n.Addr())
 	second.send(t, "GET", "/lot-list/7", "2")
 	status, _, h, err := second.receive()
-	// The first may have stood idle long enough by now on a slow machine.
+	// On a slow machine the first connection may have reached its idle timeout by now.
 	if err == nil && status == 503 && h.Get("X-Unprocessed") != "1" {
-		t.Errorf("one too many: %d %v", status, h)
+		t.Errorf("connection above the limit: status %d, headers %v", status, h)
 	}
 	if first.ends(t) {
 		t.Error("an idle connection was reset")
 	}
 }
 
-// Cores are shared in modelled time: four at once on two cores take twice as long as
-// one, by the node's own clock, however slow this machine is.
+// Cores are shared in modelled time: four concurrent requests on two cores take twice as
+// long as one by the node's clock, however slow this machine is.
 func TestTimeIsModelled(t *testing.T) {
 	t.Parallel()
 	cfg := testNodeConfig()
@@ -354,11 +355,11 @@
 	}
 	for _, p := range peers {
 		if status, _, _, err := p.receive(); status != 200 || err != nil {
-			t.Errorf("%d %v", status, err)
+			t.Errorf("status %d, error %v", status, err)
 		}
 	}
 	if took := time.Since(began); took < 590*time.Millisecond {
-		t.Errorf("1.2 s of work on two cores took %v", took)
+		t.Errorf("1.2 s of work on two cores took %v, want at least 590ms", took)
 	}
 }
 
@@ -370,15 +371,15 @@
 	c := dial(t, n.Addr())
 	_, _, h := c.ask(t, "GET", "/lot-list/7", "1")
 	if got := h.Get("X-Backend-Load"); got != `{"inflight":0,"queue":0,"util":0}` {
-		t.Errorf("with an answer: %s", got)
+		t.Errorf("load report in a response header: %s", got)
 	}
 	if status, body, _ := c.ask(t, "GET", "/status/load", ""); status != http.StatusOK || !strings.Contains(body, `"util"`) {
-		t.Errorf("when asked: %d %s", status, body)
+		t.Errorf("load probe: status %d, body %s", status, body)
 	}
 }
 
-// A cold node that is sent too much falls over: its connections are reset and it stays down.
-func TestFallsOver(t *testing.T) {
+// An overloaded cold node crashes: its connections are reset and it stays down.
+func TestOverloadedColdNodeCrashes(t *testing.T) {
 	t.Parallel()
 	cfg := testNodeConfig()
 	cfg.Warm = false
@@ -387,12 +388,12 @@
 	n := startNode(t, cfg)
 	a, b := dial(t, n.Addr()), dial(t, n.Addr())
 	a.send(t, "GET", "/lot-list/7", "1")
-	eventually(t, "the first", func() bool { return len(cfg.Journal.Records().Sends) == 1 })
+	eventually(t, "the first request to arrive", func() bool { return len(cfg.Journal.Records().Sends) == 1 })
 	b.send(t, "GET", "/lot-list/7", "2")
 	if !b.ends(t) || !a.ends(t) {
-		t.Error("a connection of a node that fell ended in peace")
+		t.Error("a connection of a crashed node was closed without a reset")
 	}
 	if n.State() != "fallen" {
-		t.Errorf("it is %s", n.State())
+		t.Errorf("state %s, want fallen", n.State())
 	}
 }
