--- a/internal/standin/node_test.go
+++ b/internal/standin/node_test.go
@@ -95,7 +95,7 @@
 		t.Errorf("third request: status %d, headers %v", status, h)
 	}
 	if s := cfg.Journal.Records().Sends[2]; s.Effect != TurnedAway {
-		t.Errorf("journal effect %s, want %s", s.Effect, TurnedAway)
+		t.Errorf("journal effect %s, want TurnedAway", s.Effect)
 	}
 }
 
@@ -236,7 +236,7 @@
 		t.Errorf("with an error rate of 1: status %d, headers %v", status, h)
 	}
 	if s := cfg.Journal.Records().Sends[0]; s.Effect != Failed {
-		t.Errorf("journal effect %s, want %s", s.Effect, Failed)
+		t.Errorf("journal effect %s, want Failed", s.Effect)
 	}
 	n.Errors(0)
 	for how, bad := range map[Spoil]func(status int, body string, err error) bool{
