--- a/internal/rehearsal/world.go
+++ b/internal/rehearsal/world.go
@@ -515,7 +515,7 @@
 	case "end errors":
 		n.Errors(0)
 	case "partial":
-		n.Partially(fmt.Sprint(e.Fault), standin.Partial{
+		n.AddPartial(fmt.Sprint(e.Fault), standin.Partial{
 			Class: e.Class, Above: e.Above, Harm: harms[e.How], Rate: amount,
 			Times: float64(e.Times) / 1000,
 		})
--- a/internal/standin/node_test.go
+++ b/internal/standin/node_test.go
@@ -266,9 +266,9 @@
 	cfg := testNodeConfig()
 	cfg.Size = func(_, class string) int { return map[string]int{"catch-sheet": 9000}[class] }
 	n := startNode(t, cfg)
-	n.Partially("a", Partial{Class: "bid", Harm: HarmSilent, Rate: 1})
-	n.Partially("b", Partial{Class: "pickup", Harm: HarmErrors, Rate: 1})
-	n.Partially("c", Partial{Above: 8000, Harm: HarmSlow, Rate: 1, Times: 100})
+	n.AddPartial("a", Partial{Class: "bid", Harm: HarmSilent, Rate: 1})
+	n.AddPartial("b", Partial{Class: "pickup", Harm: HarmErrors, Rate: 1})
+	n.AddPartial("c", Partial{Above: 8000, Harm: HarmSlow, Rate: 1, Times: 100})
 	if status, _, _ := dial(t, n.Addr()).ask(t, "GET", "/lot-list/7", "1"); status != 200 {
 		t.Errorf("status of an unaffected listing: %d", status)
 	}
--- a/internal/standin/partial.go
+++ b/internal/standin/partial.go
@@ -33,9 +33,9 @@
 	Partial
 }
 
-// Partially adds a partial fault under a key; Wholly removes it. If several match a request,
+// AddPartial adds a partial fault under a key; Wholly removes it. If several match a request,
 // the first one applies.
-func (n *Node) Partially(key string, p Partial) {
+func (n *Node) AddPartial(key string, p Partial) {
 	n.command(func(time.Duration) { n.partial = append(n.partial, keyedPartial{key, p}) })
 }
 
