--- a/internal/rehearsal/world.go
+++ b/internal/rehearsal/world.go
@@ -520,7 +520,7 @@
 			Times: float64(e.Times) / 1000,
 		})
 	case "end partial":
-		n.Wholly(fmt.Sprint(e.Fault))
+		n.RemovePartial(fmt.Sprint(e.Fault))
 	case "spoil":
 		n.Spoils(spoils[e.How], amount)
 	case "end spoil":
--- a/internal/standin/node_test.go
+++ b/internal/standin/node_test.go
@@ -286,7 +286,7 @@
 	if status, _, _ := dial(t, n.Addr()).ask(t, "GET", "/catch-sheet/7", "4"); status != 200 {
 		t.Errorf("status of a large answer with HarmSlow: %d", status)
 	}
-	n.Wholly("a")
+	n.RemovePartial("a")
 	if status, _, _ := dial(t, n.Addr()).ask(t, "POST", "/bid/7", "5"); status != 200 {
 		t.Errorf("status of a bid after its fault was removed: %d", status)
 	}
--- a/internal/standin/partial.go
+++ b/internal/standin/partial.go
@@ -39,8 +39,8 @@
 	n.command(func(time.Duration) { n.partial = append(n.partial, keyedPartial{key, p}) })
 }
 
-// Wholly removes the partial faults that were added under the key.
-func (n *Node) Wholly(key string) {
+// RemovePartial removes the partial faults that were added under the key.
+func (n *Node) RemovePartial(key string) {
 	n.command(func(time.Duration) {
 		n.partial = slices.DeleteFunc(n.partial, func(p keyedPartial) bool { return p.key == key })
 	})
