--- a/internal/fleettest/history.go
+++ b/internal/fleettest/history.go
@@ -260,14 +260,14 @@
 		f.Note("nothing from %s", p.Name)
 		for _, x := range f.Proxies {
 			if x != p {
-				f.Set(p.N, x.N, standin.Weather{Cut: true})
+				f.Set(p.N, x.N, standin.LinkFaults{Cut: true})
 			}
 		}
 		r.then(e.For, f.Heal)
 	case "weather":
 		f.Note("weather")
 		all := indices(f.Proxies)
-		f.SetAll(all, all, standin.Weather{Slow: 80 * time.Millisecond, Lose: 0.25, Repeat: 0.25})
+		f.SetAll(all, all, standin.LinkFaults{Slow: 80 * time.Millisecond, Lose: 0.25, Repeat: 0.25})
 		r.then(e.For, f.Heal)
 	case "drain":
 		f.Proxies[e.B%len(f.Proxies)].Late(3 * time.Second)
--- a/internal/fleettest/story.go
+++ b/internal/fleettest/story.go
@@ -239,7 +239,7 @@
 		slow, _ := time.ParseDuration(o["slow"])
 		f.Note("weather %v", rest)
 		all := indices(f.Proxies)
-		f.SetAll(all, all, standin.Weather{Slow: slow, Lose: number(o["lose"], 0), Repeat: number(o["repeat"], 0)})
+		f.SetAll(all, all, standin.LinkFaults{Slow: slow, Lose: number(o["lose"], 0), Repeat: number(o["repeat"], 0)})
 		return nil
 	case "node":
 		n, _ := strconv.Atoi(strings.TrimPrefix(rest[0], "s-"))
@@ -314,7 +314,7 @@
 				continue
 			}
 			f.Note("nothing from %s to %s", p.Name, q.Name)
-			f.Set(p.N, q.N, standin.Weather{Cut: true})
+			f.Set(p.N, q.N, standin.LinkFaults{Cut: true})
 		}
 	case "disk":
 		return s.disk(p, rest[0])
--- a/internal/standin/mesh.go
+++ b/internal/standin/mesh.go
@@ -25,14 +25,14 @@
 	tcp      net.Listener
 	udp      net.PacketConn
 	mu       sync.Mutex
-	state    Weather
+	state    LinkFaults
 	rng      *rand.Rand
 	conns    map[net.Conn]bool
 	bytes    int64 // forwarded
 }
 
-// Weather configures the faults of a link.
-type Weather struct {
+// LinkFaults configures the faults of a link.
+type LinkFaults struct {
 	Cut    bool
 	Slow   time.Duration // added latency
 	Lose   float64       // share of datagrams lost
@@ -96,7 +96,7 @@
 func (l *Link) target() string { return l.mesh.targets[l.to] }
 
 // Set changes the faults in the direction from one process to another.
-func (m *Mesh) Set(from, to int, w Weather) {
+func (m *Mesh) Set(from, to int, w LinkFaults) {
 	l := m.links[[2]int{from, to}]
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -104,7 +104,7 @@
 }
 
 // SetAll changes the faults in both directions between every process of some and every process of others.
-func (m *Mesh) SetAll(some, others []int, w Weather) {
+func (m *Mesh) SetAll(some, others []int, w LinkFaults) {
 	for _, i := range some {
 		for _, j := range others {
 			if i != j {
@@ -119,7 +119,7 @@
 func (m *Mesh) Split(sides ...[]int) {
 	for a := range sides {
 		for b := a + 1; b < len(sides); b++ {
-			m.SetAll(sides[a], sides[b], Weather{Cut: true})
+			m.SetAll(sides[a], sides[b], LinkFaults{Cut: true})
 		}
 	}
 }
@@ -128,12 +128,12 @@
 func (m *Mesh) Heal() {
 	for _, l := range m.links {
 		l.mu.Lock()
-		l.state = Weather{}
+		l.state = LinkFaults{}
 		l.mu.Unlock()
 	}
 }
 
-func (l *Link) weather() Weather {
+func (l *Link) weather() LinkFaults {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state
