--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -98,7 +98,7 @@
 	}
 	d.mu.Lock()
 	for _, id := range d.order {
-		a.take(d.entries[id])
+		a.apply(d.entries[id])
 	}
 	d.agents = append(d.agents, a)
 	d.mu.Unlock()
@@ -168,17 +168,17 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.pending = append(a.pending, delivery{a.of.clock.Now() + a.lateness, c})
-	a.arrive()
+	a.applyDue()
 }
 
-// arrive applies the changes that are due, unless the agent is silent or down. The caller holds the lock.
-func (a *Agent) arrive() {
+// applyDue applies the changes that are due, unless the agent is silent or down. The caller holds the lock.
+func (a *Agent) applyDue() {
 	if a.silent || a.down {
 		return
 	}
 	now := a.of.clock.Now()
 	for len(a.pending) > 0 && a.pending[0].at <= now {
-		a.take(a.pending[0].change)
+		a.apply(a.pending[0].change)
 		a.pending = a.pending[1:]
 		a.wake()
 	}
@@ -188,7 +188,7 @@
 			a.timer = time.AfterFunc(wait, func() {
 				a.mu.Lock()
 				defer a.mu.Unlock()
-				a.arrive()
+				a.applyDue()
 			})
 		} else {
 			a.timer.Reset(wait)
@@ -196,7 +196,7 @@
 	}
 }
 
-func (a *Agent) take(c change) {
+func (a *Agent) apply(c change) {
 	if _, known := a.entries[c.InstanceID]; !known {
 		a.order = append(a.order, c.InstanceID)
 	}
@@ -224,7 +224,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.silent = on
-	a.arrive()
+	a.applyDue()
 	a.wake()
 }
 
@@ -233,7 +233,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.down = on
-	a.arrive()
+	a.applyDue()
 	a.wake()
 }
 
--- a/internal/standin/large.go
+++ b/internal/standin/large.go
@@ -132,7 +132,7 @@
 		err = w.Flush()
 	}
 	n.idle(x.c)
-	x.rested = n.cfg.Clock.Now()
+	x.idleSince = n.cfg.Clock.Now()
 	if err != nil {
 		x.last = true
 		x.c.Close()
--- a/internal/standin/mesh.go
+++ b/internal/standin/mesh.go
@@ -9,7 +9,7 @@
 )
 
 // Mesh simulates the network between some processes: what one sends to another passes a Link, and each Link has its
-// own Weather.
+// own LinkFaults.
 type Mesh struct {
 	targets []string
 	seed    uint64
@@ -133,7 +133,7 @@
 	}
 }
 
-func (l *Link) weather() LinkFaults {
+func (l *Link) faults() LinkFaults {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state
@@ -189,7 +189,7 @@
 // direction with the faults of that direction's link.
 func (l *Link) carry(c net.Conn) {
 	defer c.Close()
-	if l.weather().Cut { // as if the SYN were lost: the dialling process waits
+	if l.faults().Cut { // as if the SYN were lost: the dialling process waits
 		l.keep(c)
 		io.Copy(io.Discard, c)
 		l.drop(c)
@@ -219,10 +219,10 @@
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		w := l.weather()
+		w := l.faults()
 		for w.Cut {
 			time.Sleep(20 * time.Millisecond)
-			if w = l.weather(); l.closed() {
+			if w = l.faults(); l.closed() {
 				return
 			}
 		}
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -74,28 +74,28 @@
 type Node struct {
 	cfg NodeConfig
 
-	mu        sync.Mutex
-	machine   *machine.Machine
-	timer     *time.Timer
-	open      map[uint64]chan machine.Completion
-	lastJob   uint64
-	listeners []net.Listener
-	conns     map[net.Conn]bool
-	fillers   []net.Conn // keep the accept queues of a vanished node full
-	dead      bool
-	silent    bool
-	draining  bool
-	slow      float64
-	taken     float64
-	errors    float64
-	spoil     Spoil
-	spoilt    float64
-	partial   []keyedPartial
-	network   Network
-	coldUntil time.Duration
-	life      int // number of starts
-	state     string
-	wg        sync.WaitGroup
+	mu             sync.Mutex
+	machine        *machine.Machine
+	timer          *time.Timer
+	open           map[uint64]chan machine.Completion
+	lastJob        uint64
+	listeners      []net.Listener
+	conns          map[net.Conn]bool
+	fillers        []net.Conn // keep the accept queues of a vanished node full
+	dead           bool
+	silent         bool
+	draining       bool
+	slow           float64
+	neighbourShare float64
+	errors         float64
+	spoil          Spoil
+	spoilt         float64
+	partial        []keyedPartial
+	network        Network
+	coldUntil      time.Duration
+	starts         int
+	state          string
+	wg             sync.WaitGroup
 }
 
 // StartNode listens on all paths and serves requests.
@@ -130,7 +130,7 @@
 
 // Neighbour lets another program take a share of the machine's cores; 0 ends it.
 func (n *Node) Neighbour(share float64) {
-	n.command(func(now time.Duration) { n.taken = share; n.machine.SetNeighbour(now, share) })
+	n.command(func(now time.Duration) { n.neighbourShare = share; n.machine.SetNeighbour(now, share) })
 }
 
 // Errors makes a share of the responses a 500, chosen by request ID.
@@ -208,7 +208,7 @@
 		now := n.cfg.Clock.Now()
 		n.machine.Restart(now, warm)
 		n.draining = false
-		n.life++
+		n.starts++
 		n.coldUntil = 0
 		if !warm {
 			n.coldUntil = now + n.cfg.Machine.Warmup.Duration
@@ -292,7 +292,7 @@
 		return "cold"
 	case n.slow > 1:
 		return "slow"
-	case n.taken > 0:
+	case n.neighbourShare > 0:
 		return "taken"
 	}
 	return "up"
--- a/internal/standin/node_reply.go
+++ b/internal/standin/node_reply.go
@@ -77,7 +77,7 @@
 	// The idle time starts now. It is set before the response is written, as the next
 	// request may arrive before the next statement runs.
 	n.idle(x.c)
-	x.rested = n.cfg.Clock.Now()
+	x.idleSince = n.cfg.Clock.Now()
 	if s != nil && !last {
 		n.mu.Lock()
 		last = n.network.CloseRate > 0 && chance(s.ID, n.cfg.ID, "close") < n.network.CloseRate
--- a/internal/standin/node_sockets.go
+++ b/internal/standin/node_sockets.go
@@ -51,7 +51,7 @@
 	defer n.forget(c)
 	in := bufio.NewReader(c)
 	n.idle(c)
-	rested := n.cfg.Clock.Now()
+	idleSince := n.cfg.Clock.Now()
 	for fresh := true; ; fresh = false {
 		if _, err := in.Peek(1); err != nil {
 			n.keepIfVanished(c)
@@ -59,7 +59,7 @@
 		}
 		x := &exchange{
 			c: c, path: p, gone: make(chan struct{}), done: make(chan struct{}), fresh: fresh, full: full,
-			began: n.cfg.Clock.Now(), rested: rested,
+			began: n.cfg.Clock.Now(), idleSince: idleSince,
 		}
 		c.SetReadDeadline(time.Time{})
 		r, good, ok := n.read(x, in)
@@ -74,7 +74,7 @@
 			return
 		}
 		<-x.done
-		if rested = x.rested; x.last {
+		if idleSince = x.idleSince; x.last {
 			return
 		}
 	}
@@ -121,7 +121,7 @@
 
 // breakConnection applies the network faults to a request's connection, and reports whether one broke it.
 func (n *Node) breakConnection(x *exchange, in *bufio.Reader, r *http.Request) bool {
-	w, id, idle := n.networkNow(), r.Header.Get("X-Correlation-Id"), x.began-x.rested
+	w, id, idle := n.networkNow(), r.Header.Get("X-Correlation-Id"), x.began-x.idleSince
 	if !x.fresh && w.DropAfter > 0 && idle >= w.DropAfter {
 		in.Peek(1) // until the sender closes the connection
 		return true
--- a/internal/standin/node_work.go
+++ b/internal/standin/node_work.go
@@ -12,16 +12,16 @@
 
 // exchange is a request in flight.
 type exchange struct {
-	c      net.Conn
-	path   Path
-	gone   chan struct{} // closed when the proxy has closed the connection
-	done   chan struct{} // closed when the response is written, or there will be none
-	fresh  bool
-	full   bool // the connection exceeds NodeConfig.Connections
-	last   bool
-	began  time.Duration
-	whole  time.Duration
-	rested time.Duration // when the connection last became idle: before the request, and after its response once that is written
+	c         net.Conn
+	path      Path
+	gone      chan struct{} // closed when the proxy has closed the connection
+	done      chan struct{} // closed when the response is written, or there will be none
+	fresh     bool
+	full      bool // the connection exceeds NodeConfig.Connections
+	last      bool
+	began     time.Duration
+	whole     time.Duration
+	idleSince time.Duration // when the connection last became idle: before the request, and after its response once that is written
 }
 
 // sendOf returns the journal record of a request.
@@ -130,7 +130,7 @@
 		return p, endGone, true
 	}
 	p.failing = n.errors > 0 && chance(s.ID, n.cfg.ID, "error") < n.errors
-	if partial, harmed := n.harm(s); harmed && !n.draining && !full {
+	if partial, harmed := n.partialFor(s); harmed && !n.draining && !full {
 		switch partial.Harm {
 		case HarmSilent:
 			n.mu.Unlock()
--- a/internal/standin/partial.go
+++ b/internal/standin/partial.go
@@ -33,7 +33,7 @@
 	Partial
 }
 
-// AddPartial adds a partial fault under a key; Wholly removes it. If several match a request,
+// AddPartial adds a partial fault under a key; RemovePartial removes it. If several match a request,
 // the first one applies.
 func (n *Node) AddPartial(key string, p Partial) {
 	n.command(func(time.Duration) { n.partial = append(n.partial, keyedPartial{key, p}) })
@@ -46,8 +46,8 @@
 	})
 }
 
-// harm returns the partial fault that applies to a request, if any. The caller holds the node's lock.
-func (n *Node) harm(s *Send) (Partial, bool) {
+// partialFor returns the partial fault that applies to a request, if any. The caller holds the node's lock.
+func (n *Node) partialFor(s *Send) (Partial, bool) {
 	for _, p := range n.partial {
 		if p.Class != "" && p.Class != s.Class {
 			continue
