--- a/cmd/marlreel/thirty_test.go
+++ b/cmd/marlreel/thirty_test.go
@@ -265,7 +265,7 @@
 		state func(d *standin.Faulty)
 	}{
 		"up":            {"pushed", func(*standin.Faulty) {}},
-		"calls in turn": {"on_request", func(d *standin.Faulty) { d.InTurn(200 * time.Millisecond) }},
+		"calls in turn": {"on_request", func(d *standin.Faulty) { d.SerializeCalls(200 * time.Millisecond) }},
 		"down":          {"pushed", func(d *standin.Faulty) { d.Down(true) }},
 		"down, asked":   {"on_request", func(d *standin.Faulty) { d.Down(true) }},
 	} {
@@ -303,7 +303,7 @@
 			t.Logf("nine in ten ready after %v at first; discovery %s", first.Round(time.Millisecond), name)
 			// Discovery can be reached from here on, and what it has counts 6 s later.
 			d.Down(false)
-			d.InTurn(0)
+			d.SerializeCalls(0)
 			back := b.saw.Now()
 			b.saw.See(func(saw *fleettest.Sighting) {
 				saw.Changes = append(saw.Changes, fleettest.Change{Backend: "s-2", At: changed, Away: true})
--- a/internal/standin/faulty.go
+++ b/internal/standin/faulty.go
@@ -119,8 +119,8 @@
 	f.notify()
 }
 
-// InTurn serializes calls and makes each take a given time.
-func (f *Faulty) InTurn(each time.Duration) {
+// SerializeCalls serializes calls and makes each take a given time.
+func (f *Faulty) SerializeCalls(each time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.turn = each
