--- a/internal/discovery/registry/follow_test.go
+++ b/internal/discovery/registry/follow_test.go
@@ -357,7 +357,7 @@
 	both(t, func(t *testing.T, kind string) {
 		r := start(t)
 		r.Txn(node(0, 1000, "ready"))
-		r.Login("proxy", "s3cret")
+		r.RequireLogin("proxy", "s3cret")
 		cfg := config(kind, r)
 		cfg.PasswordFile = filepath.Join(t.TempDir(), "password")
 		if err := os.WriteFile(cfg.PasswordFile, []byte("wrong\n"), 0o600); err != nil {
@@ -372,7 +372,7 @@
 			t.Fatal(err)
 		}
 		caughtUp(t, f, r)
-		r.Login("proxy", "s3cret") // all tokens are void
+		r.RequireLogin("proxy", "s3cret") // all tokens are void
 		r.CloseWatches()
 		r.Txn(node(1, 1001, "ready"))
 		caughtUp(t, f, r)
--- a/internal/standin/registry.go
+++ b/internal/standin/registry.go
@@ -223,8 +223,8 @@
 // Fragment limits the number of events in a watch message.
 func (r *Registry) Fragment(events int) { r.set(func() { r.fragment = events }) }
 
-// Login requires authentication from now on and revokes all tokens.
-func (r *Registry) Login(user, password string) {
+// RequireLogin requires authentication from now on and revokes all tokens.
+func (r *Registry) RequireLogin(user, password string) {
 	r.set(func() { r.user, r.password, r.tokens = user, password, map[string]bool{} })
 }
 
