--- a/internal/standin/faulty.go
+++ b/internal/standin/faulty.go
@@ -48,7 +48,7 @@
 	changed chan struct{}
 	calls   []time.Time
 	closed  chan struct{}
-	turns   sync.Mutex // serializes calls after InTurn
+	turns   sync.Mutex // serializes calls after SerializeCalls
 }
 
 // StartFaulty starts a Faulty with an initial list.
