--- a/internal/discovery/registry/follow_test.go
+++ b/internal/discovery/registry/follow_test.go
@@ -358,7 +358,7 @@
 	forEachKind(t, func(t *testing.T, kind string) {
 		r := start(t)
 		r.Txn(node(0, 1000, "ready"))
-		r.Login("proxy", "s3cret")
+		r.RequireLogin("proxy", "s3cret")
 		cfg := config(kind, r)
 		cfg.PasswordFile = filepath.Join(t.TempDir(), "password")
 		if err := os.WriteFile(cfg.PasswordFile, []byte("wrong\n"), 0o600); err != nil {
@@ -373,7 +373,7 @@
 			t.Fatal(err)
 		}
 		waitForNewest(t, f, r)
-		r.Login("proxy", "s3cret") // invalidates all tokens
+		r.RequireLogin("proxy", "s3cret") // invalidates all tokens
 		r.CloseWatches()
 		r.Txn(node(1, 1001, "ready"))
 		waitForNewest(t, f, r)
--- a/internal/rehearsal/world.go
+++ b/internal/rehearsal/world.go
@@ -515,12 +515,12 @@
 	case "end errors":
 		n.Errors(0)
 	case "partial":
-		n.Partially(fmt.Sprint(e.Fault), standin.Partial{
+		n.AddPartial(fmt.Sprint(e.Fault), standin.Partial{
 			Class: e.Class, Above: e.Above, Harm: harms[e.How], Rate: amount,
 			Times: float64(e.Times) / 1000,
 		})
 	case "end partial":
-		n.Wholly(fmt.Sprint(e.Fault))
+		n.RemovePartial(fmt.Sprint(e.Fault))
 	case "spoil":
 		n.Spoils(spoils[e.How], amount)
 	case "end spoil":
--- a/internal/standin/node_sockets.go
+++ b/internal/standin/node_sockets.go
@@ -17,7 +17,7 @@
 		n.mu.Lock()
 		if n.dead || n.silent {
 			n.mu.Unlock()
-			if n.Vanished() { // it came before the queue was full: it stays, and stays silent
+			if n.Vanished() { // established before the queue was full: it stays open and silent
 				n.keep(c)
 				continue
 			}
@@ -32,7 +32,7 @@
 	}
 }
 
-// Vanished tells that it is cut off.
+// Vanished reports whether the node is cut off.
 func (n *Node) Vanished() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -45,42 +45,42 @@
 	n.mu.Unlock()
 }
 
-// serve reads a connection's requests one after another. While one is in hand it
-// goes on reading: the end of the connection cancels the request.
+// serve reads a connection's requests one after another. While a request is in flight it
+// keeps reading, so that the end of the connection cancels the request.
 func (n *Node) serve(c net.Conn, p Path, full bool) {
 	defer n.forget(c)
 	in := bufio.NewReader(c)
 	n.idle(c)
-	rested := n.cfg.Clock.Now()
+	idleSince := n.cfg.Clock.Now()
 	for fresh := true; ; fresh = false {
 		if _, err := in.Peek(1); err != nil {
-			n.hold(c)
+			n.keepIfVanished(c)
 			return
 		}
 		x := &exchange{
 			c: c, path: p, gone: make(chan struct{}), done: make(chan struct{}), fresh: fresh, full: full,
-			began: n.cfg.Clock.Now(), rested: rested,
+			began: n.cfg.Clock.Now(), idleSince: idleSince,
 		}
 		c.SetReadDeadline(time.Time{})
 		r, good, ok := n.read(x, in)
-		if !ok || n.broken(x, in, r) {
+		if !ok || n.breakConnection(x, in, r) {
 			return
 		}
 		x.whole = n.cfg.Clock.Now() + p.Delay
 		n.wg.Go(func() { n.answer(x, r, good) })
 		if _, err := in.Peek(1); err != nil {
 			x.abandon()
-			n.hold(c)
+			n.keepIfVanished(c)
 			return
 		}
 		<-x.done
-		if rested = x.rested; x.last {
+		if idleSince = x.idleSince; x.last {
 			return
 		}
 	}
 }
 
-// forget closes a connection for good.
+// forget closes a connection and removes it from the open ones.
 func (n *Node) forget(c net.Conn) {
 	c.Close()
 	n.mu.Lock()
@@ -88,8 +88,8 @@
 	delete(n.conns, c)
 }
 
-// read reads a request whole. good: its body is what its client made, as far as that can be told; ok is false where
-// the connection has ended instead.
+// read reads a complete request. good tells whether its body is what its client sent, as far as that can be checked;
+// ok is false if the connection ended first.
 func (n *Node) read(x *exchange, in *bufio.Reader) (r *http.Request, good, ok bool) {
 	r, err := http.ReadRequest(in)
 	if err != nil {
@@ -106,10 +106,10 @@
 		return nil, false, false
 	}
 	if n.Vanished() {
-		n.hold(x.c) // its bytes never arrived
+		n.keepIfVanished(x.c) // as if its bytes had never arrived
 		return nil, false, false
 	}
-	// A large one has to be what its client made; of a small one all is well that came whole.
+	// A large body must be what its client made; a small one only has to be complete.
 	return r, err == nil && checkUpload(id, text, size), true
 }
 
@@ -119,18 +119,18 @@
 	return n.network
 }
 
-// broken lets the network break a connection under a request, where it is to.
-func (n *Node) broken(x *exchange, in *bufio.Reader, r *http.Request) bool {
-	w, id, idle := n.networkNow(), r.Header.Get("X-Correlation-Id"), x.began-x.rested
+// breakConnection applies the network faults to a request's connection, and reports whether one broke it.
+func (n *Node) breakConnection(x *exchange, in *bufio.Reader, r *http.Request) bool {
+	w, id, idle := n.networkNow(), r.Header.Get("X-Correlation-Id"), x.began-x.idleSince
 	if !x.fresh && w.DropAfter > 0 && idle >= w.DropAfter {
-		in.Peek(1) // until its sender gives it up
+		in.Peek(1) // until the sender closes the connection
 		return true
 	}
 	stale := !x.fresh && w.StaleAfter > 0 && idle >= w.StaleAfter && chance(id, n.cfg.ID, "stale") < w.StaleRate
 	if !stale && !(x.fresh && chance(id, n.cfg.ID, "new") < w.NewRate) {
 		return false
 	}
-	if id != "" { // to its sender it may have run
+	if id != "" { // as far as its sender knows it may have run
 		s := n.sendOf(x, r)
 		s.Whole, s.Effect = n.cfg.Clock.Now(), Ran
 		n.cfg.Journal.send(s)
@@ -139,18 +139,18 @@
 	return true
 }
 
-// abandon tells that nobody waits for the answer any more, unless it is there, and waits for the end.
+// abandon cancels the exchange if it is not done, and waits for its end.
 func (x *exchange) abandon() {
 	select {
-	case <-x.done: // it ended after the answer, or was idle for long
+	case <-x.done: // the connection ended after the response, or by its idle timeout
 	default:
 		close(x.gone)
 		<-x.done
 	}
 }
 
-// hold keeps a connection open for as long as the node is cut off.
-func (n *Node) hold(c net.Conn) {
+// keepIfVanished keeps a connection open while the node is cut off.
+func (n *Node) keepIfVanished(c net.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.silent {
@@ -158,7 +158,7 @@
 	}
 }
 
-// noClose lets a connection's descriptor live on behind its reader's end.
+// noClose duplicates a connection's descriptor, so that it stays open after its reader closes it.
 type noClose struct{ net.Conn }
 
 func (k noClose) dup() net.Conn {
