--- a/internal/tools/cleanbuild/deployfile.go
+++ b/internal/tools/cleanbuild/deployfile.go
@@ -8,7 +8,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// deployFile is what a deploy file says of the build.
+// deployFile holds the build settings of a deploy file.
 type deployFile struct {
 	Path     string   `toml:"-"`
 	Build    string   `toml:"build"`
@@ -21,13 +21,13 @@
 	file := deployFile{Path: path}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return file, eris.Wrap(err, "reading a deploy file")
+		return file, eris.Wrap(err, "reading deploy file")
 	}
 	if err := toml.Unmarshal(text, &file); err != nil {
-		return file, eris.Wrapf(err, "%s", path)
+		return file, eris.Wrapf(err, "parsing deploy file %s", path)
 	}
 	if file.Build == "" {
-		return file, eris.Errorf("%s names no build", path)
+		return file, eris.Errorf("deploy file %s sets no build command", path)
 	}
 	return file, nil
 }
--- a/internal/tools/cleanbuild/main.go
+++ b/internal/tools/cleanbuild/main.go
@@ -18,7 +18,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// deployFiles are the files that name a build.
+// deployFiles are the deploy files whose builds are checked.
 var deployFiles = []string{"deploy/system.toml", "deploy/balancer.toml"}
 
 func main() {
@@ -37,24 +37,24 @@
 	}
 }
 
-// checker runs the builds of one clone, each on a machine that is made for it.
+// checker runs the builds of one clone, each on a machine of its own.
 type checker struct {
-	work      string // a folder of its own, which goes at the end
+	work      string // temporary folder, removed at the end
 	source    string // the clone
 	installed installed
 	out       io.Writer
 	machines  int // made so far
 }
 
-// check builds by each deploy file twice, and once without each entry of its list.
+// check runs the build of each deploy file twice, and one build without each entry of the package list.
 func check(ctx context.Context, root string, out io.Writer) (err error) {
 	c := &checker{out: out}
 	if c.work, err = os.MkdirTemp(publicTempDir(), "cleanbuild"); err != nil {
-		return eris.Wrap(err, "making a folder")
+		return eris.Wrap(err, "creating a temporary folder")
 	}
 	defer func() { err = errors.Join(err, removeAll(c.work)) }()
 	if err := os.Chmod(c.work, publicFolder); err != nil {
-		return eris.Wrap(err, "opening the folder")
+		return eris.Wrap(err, "making the temporary folder public")
 	}
 	if c.installed, err = readInstalled(ctx); err != nil {
 		return err
@@ -76,17 +76,17 @@
 	return c.buildWithoutEach(ctx, files)
 }
 
-// clone makes the clean clone. It belongs to whoever runs this program, and others may make folders in it.
+// clone creates the clean clone. It belongs to the user who runs this program; other users may create folders in it.
 func (c *checker) clone(ctx context.Context, root string) error {
 	c.source = filepath.Join(c.work, "source")
 	if text, err := exec.CommandContext(ctx, "git", "clone", "--quiet", root, c.source).CombinedOutput(); err != nil {
 		return eris.Wrapf(err, "cloning %s: %s", root, text)
 	}
-	return eris.Wrap(os.Chmod(c.source, writableByAll), "opening the clone")
+	return eris.Wrap(os.Chmod(c.source, writableByAll), "making the clone writable")
 }
 
-// buildTwice builds by each file on a machine with an empty build cache, and then by all of them on a second one: the
-// results have to be the same to the byte. Modules are fetched once.
+// buildTwice runs the build of each file with an empty build cache, then all builds again starting from one empty
+// cache, and fails unless both produce the same bytes. Modules are fetched once.
 func (c *checker) buildTwice(ctx context.Context, files []deployFile) error {
 	home := filepath.Join(c.work, "home")
 	first := digests{}
@@ -113,31 +113,31 @@
 	if err := first.compare(second); err != nil {
 		return err
 	}
-	fmt.Fprintf(c.out, "%d programs are the same to the byte\n", len(second))
+	fmt.Fprintf(c.out, "%d programs are byte-identical\n", len(second))
 	return c.clean()
 }
 
-// buildWithoutEach takes each entry out of the list: the build has to fail. The lists of all files are the same, so
-// that one of them is enough.
+// buildWithoutEach removes each entry of the package list in turn; the build must then fail. All files must have the
+// same list, so testing one file is enough.
 func (c *checker) buildWithoutEach(ctx context.Context, files []deployFile) error {
 	for _, file := range files[1:] {
 		if !slices.Equal(file.Packages, files[0].Packages) {
-			return eris.Errorf("%s lists %q and %s %q: they build the same code", file.name(), file.Packages, files[0].name(), files[0].Packages)
+			return eris.Errorf("%s lists packages %q and %s lists %q: both build the same code and need the same list", file.name(), file.Packages, files[0].name(), files[0].Packages)
 		}
 	}
 	file := files[0]
 	for i, entry := range file.Packages {
 		without := file
 		without.Packages = slices.Delete(slices.Clone(file.Packages), i, i+1)
-		home := filepath.Join(c.work, "home") // with the modules, which are no part of the question
+		home := filepath.Join(c.work, "home") // holds the modules, which need not be fetched again
 		if entry == certificates {
 			home = filepath.Join(c.work, "home-without-modules")
 		}
 		err := c.build(ctx, without, home, true)
 		if err == nil {
-			return eris.Errorf("%s builds without %s too: the entry is idle, or this check is blind", file.name(), entry)
+			return eris.Errorf("%s also builds without %s: the entry is not needed, or this check does not detect its absence", file.name(), entry)
 		}
-		fmt.Fprintf(c.out, "%s without %s fails, as it has to: %s\n", file.name(), entry, lastLine(err.Error()))
+		fmt.Fprintf(c.out, "%s without %s fails as expected: %s\n", file.name(), entry, lastLine(err.Error()))
 		if err := c.clean(); err != nil {
 			return err
 		}
@@ -150,7 +150,7 @@
 	return text[strings.LastIndexByte(text, '\n')+1:]
 }
 
-// build runs a file's build line on a machine with its packages alone.
+// build runs a file's build command on a machine that has only the file's packages.
 func (c *checker) build(ctx context.Context, file deployFile, home string, emptyCache bool) error {
 	c.machines++
 	folder := filepath.Join(c.work, fmt.Sprint("machine", c.machines))
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// clean takes away what builds have made.
+// clean removes the output of the builds.
 func (c *checker) clean() error {
 	var failed []error
 	for _, folder := range outputFolders {
@@ -184,7 +184,7 @@
 	return errors.Join(failed...)
 }
 
-// removeAll removes a folder, also one with modules, which the Go tool makes read-only.
+// removeAll removes a folder. It first makes the folders in it writable, as the Go tool makes module folders read-only.
 func removeAll(path string) error {
 	_ = filepath.WalkDir(path, func(at string, entry os.DirEntry, err error) error {
 		if err == nil && entry.IsDir() {
--- a/internal/tools/cleanbuild/main_test.go
+++ b/internal/tools/cleanbuild/main_test.go
@@ -32,12 +32,12 @@
 	}
 	for _, listed := range []string{"gold", "clang"} {
 		if _, err := all.closure([]string{listed}); err == nil {
-			t.Errorf("%s is not installed, and taken", listed)
+			t.Errorf("%s is not installed but closure accepted it", listed)
 		}
 	}
 }
 
-// A build line finds the shell, and no program that no listed package brings, however common.
+// A build command finds the shell and the Go tool chain, but no program outside the listed packages, however common.
 func TestBuildSeesListedProgramsAlone(t *testing.T) {
 	if _, err := exec.LookPath("dpkg-query"); err != nil {
 		t.Skip("this machine has no dpkg-query")
@@ -65,7 +65,7 @@
 	}
 	t.Setenv("MARLREEL_TEST_VARIABLE", "1")
 	if text, err := m.command(t.Context(), "test -z \"$MARLREEL_TEST_VARIABLE$GOFLAGS\"", folder, folder).CombinedOutput(); err != nil {
-		t.Errorf("variables of this process are seen: %v: %s", err, text)
+		t.Errorf("the command sees variables of this process: %v: %s", err, text)
 	}
 }
 
@@ -90,9 +90,9 @@
 		t.Error(err)
 	}
 	if build("a").compare(build("b")) == nil || build("a").compare(digests{}) == nil {
-		t.Error("other programs are taken for the same")
+		t.Error("different programs compare as equal")
 	}
 	if (digests{}).add(t.TempDir()) == nil {
-		t.Error("a build that made nothing is taken")
+		t.Error("a build without output is accepted")
 	}
 }
--- a/internal/tools/cleanbuild/packages.go
+++ b/internal/tools/cleanbuild/packages.go
@@ -10,19 +10,19 @@
 	"github.com/rotisserie/eris"
 )
 
-// installed is what the package manager knows of the machine's packages.
+// installed describes the packages that are installed on this machine.
 type installed struct {
-	depends  map[string][][]string // by package: of each group one is needed
-	provides map[string][]string   // by a name that is no package: the packages that stand for it
+	depends  map[string][][]string // by package: groups of alternatives, of which one each is needed
+	provides map[string][]string   // by virtual package: the packages that provide it
 }
 
-// packageFormat has a package a line: name, what it needs before and when it runs, what else it stands for.
+// packageFormat prints one package per line: status, name, dependencies and the virtual packages it provides.
 const packageFormat = "${db:Status-Status}\t${Package}\t${Pre-Depends}, ${Depends}\t${Provides}\n"
 
 func readInstalled(ctx context.Context) (installed, error) {
 	text, err := exec.CommandContext(ctx, "dpkg-query", "--show", "--showformat="+packageFormat).Output()
 	if err != nil {
-		return installed{}, eris.Wrap(err, "asking for the installed packages")
+		return installed{}, eris.Wrap(err, "listing the installed packages")
 	}
 	return parseInstalled(string(text)), nil
 }
@@ -43,7 +43,7 @@
 	return all
 }
 
-// parseRelations reads "a (>= 1), b:any | c" as groups of alternatives, without versions and architectures.
+// parseRelations parses "a (>= 1), b:any | c" into groups of alternatives, dropping versions and architectures.
 func parseRelations(text string) [][]string {
 	var groups [][]string
 	for group := range strings.SplitSeq(text, ",") {
@@ -62,8 +62,8 @@
 	return groups
 }
 
-// closure is the listed packages and all that they depend on, sorted. A listed package that isn't installed is an error:
-// nothing can be said of it here.
+// closure returns the listed packages and their transitive dependencies, sorted. A listed package that isn't installed
+// is an error, as its files and dependencies are unknown.
 func (all installed) closure(listed []string) ([]string, error) {
 	needed := map[string]bool{}
 	var add func(name string)
@@ -83,7 +83,7 @@
 	}
 	for _, name := range listed {
 		if _, is := all.depends[name]; !is {
-			return nil, eris.Errorf("the package %s is listed and not installed: install it, or take it out", name)
+			return nil, eris.Errorf("the listed package %s is not installed: install it, or remove it from the list", name)
 		}
 		add(name)
 	}
@@ -95,14 +95,14 @@
 	return names, nil
 }
 
-// filesOf are the paths that the packages have installed, folders among them.
+// filesOf returns the paths that the packages have installed, including folders.
 func filesOf(ctx context.Context, packages []string) ([]string, error) {
 	if len(packages) == 0 {
 		return nil, nil
 	}
 	text, err := exec.CommandContext(ctx, "dpkg-query", append([]string{"--listfiles"}, packages...)...).Output()
 	if err != nil {
-		return nil, eris.Wrap(err, "asking for the packages' files")
+		return nil, eris.Wrap(err, "listing the files of the packages")
 	}
 	var paths []string
 	for line := range bytes.Lines(text) {
--- a/internal/tools/docs/docs_test.go
+++ b/internal/tools/docs/docs_test.go
@@ -1,4 +1,4 @@
-// Package docs checks the developers' pages against the tree.
+// Package docs checks that the developer documentation matches the source tree.
 package docs
 
 import (
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// A path in backquotes that begins with a folder of the tree.
+// pathPattern matches a path in backquotes that begins with a top-level folder of the repository.
 var pathPattern = regexp.MustCompile("`((?:internal|cmd|docs|deploy|scenarios|experiments|tools)/[A-Za-z0-9_./-]+)`")
 
-// The pages by which a newcomer finds the code name files and folders that are there.
+// Every path that the main documentation pages mention must exist.
 func TestPathsInPagesExist(t *testing.T) {
 	const root = "../../.."
 	for _, page := range []string{"docs/ARCHITECTURE.md", "docs/GLOSSARY.md", "docs/EVENTS.md", "README.md"} {
@@ -21,7 +21,7 @@
 		}
 		for _, match := range pathPattern.FindAllStringSubmatch(string(text), -1) {
 			if _, err := os.Stat(filepath.Join(root, match[1])); err != nil {
-				t.Errorf("%s names %s, which is not there", page, match[1])
+				t.Errorf("%s mentions %s, which does not exist", page, match[1])
 			}
 		}
 	}
--- a/internal/tools/drawdays/draw.go
+++ b/internal/tools/drawdays/draw.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// entry is a fault or planned work of a day's file.
+// entry is a fault or a planned operation in a day's file.
 type entry struct {
 	At       float64 `toml:"at"`
 	Kind     string  `toml:"kind"`
@@ -20,12 +20,12 @@
 	On       string  `toml:"on,omitempty"`
 }
 
-// goal is what a day's score is measured by; these days are played for the rules alone.
+// goal sets how a day is scored. These days only check the rules, so the floor stays 0.
 type goal struct {
 	Floor float64 `toml:"floor"`
 }
 
-// day is a day as the bench reads it.
+// day is one day in the format that the bench reads.
 type day struct {
 	Name    string  `toml:"name"`
 	Slot    string  `toml:"slot"`
@@ -39,19 +39,19 @@
 	Faults  []entry `toml:"faults"`
 }
 
-// dayFile is a file with one day.
+// dayFile is the content of a day's file: a list with one day.
 type dayFile struct {
 	Days []day `toml:"day"`
 }
 
 const (
-	firstFault   = 1.5 // seconds after the traffic has begun
-	lastMargin   = 7.0 // seconds before the end, from when on a fault would run into the closing one
+	firstFault   = 1.5 // seconds after the traffic starts
+	lastMargin   = 7.0 // seconds before the end; a later fault would overlap the closing fault
 	wallAllowed  = 3.0
 	seedOfDayMax = 1 << 31
 )
 
-// inForce keeps the faults whose kind the bench names for the site.
+// inForce returns the variants whose kind the bench lists for the site.
 func inForce(all []variant, kinds string) []variant {
 	named := map[string]bool{}
 	for line := range strings.Lines(kinds) {
@@ -67,11 +67,11 @@
 	return kept
 }
 
-// drawDay draws the day with a number of a seed's days. length is the time of the day's traffic, in seconds.
+// drawDay generates day number of a seed. length is the duration of the day's traffic in seconds.
 func drawDay(seed uint64, number int, length float64, all []variant) day {
 	rng := rand.New(rand.NewPCG(seed, uint64(number)))
 	ends := closings()
-	// Every len(all) days the closing faults are shifted by one, so that each subject meets each of them.
+	// The closing faults shift by one every len(all) days, so that each subject is paired with each of them.
 	subject := all[number%len(all)]
 	end := ends[(number+number/len(all))%len(ends)]
 	other := all[rng.IntN(len(all))]
@@ -92,9 +92,9 @@
 	return d
 }
 
-// add enters a fault at a time.
+// add appends a fault or planned operation at a time in seconds.
 func (d *day) add(v variant, at float64) {
-	const steps = 100 // a second
+	const steps = 100 // time steps per second
 	e := entry{
 		At: math.Round(at*steps) / steps, Kind: v.Kind, How: v.How, Duration: v.Duration, Count: v.Count,
 		Share: v.Share, Gap: v.Gap, Strength: v.Strength, On: v.On,
--- a/internal/tools/drawdays/draw_test.go
+++ b/internal/tools/drawdays/draw_test.go
@@ -7,14 +7,15 @@
 
 const allKinds = "core_cut: x\nreplace_core: (how oldest: y)\nseed_turnover: z\nherd_kill: a\ngarble: b\nclock_step: c\n"
 
-// Each subject meets each closing fault; a day has two kinds, and its subject twice unless that is gone for good.
+// Each subject is paired with each closing fault. A day has two kinds of faults, and its subject twice unless that is
+// permanent.
 func TestDrawnDays(t *testing.T) {
 	all := inForce(subjects(), allKinds)
 	met := map[string]map[closing]bool{}
 	for number := range len(all) * len(closings()) {
 		d := drawDay(7, number, 34, all)
 		if !reflect.DeepEqual(d, drawDay(7, number, 34, all)) {
-			t.Fatalf("day %d is another one when it is drawn again", number)
+			t.Fatalf("day %d differs when it is drawn again", number)
 		}
 		subject := all[number%len(all)]
 		if met[subject.Kind+" "+subject.How] == nil {
@@ -25,7 +26,7 @@
 		for _, e := range append(d.Plan, d.Faults...) {
 			times[e.Kind]++
 			if e.At < firstFault || e.At > 34-lastMargin+5 {
-				t.Errorf("day %d: %s at %.2f", number, e.Kind, e.At)
+				t.Errorf("day %d: %s at %.2f s is out of range", number, e.Kind, e.At)
 			}
 		}
 		want := 2
@@ -33,12 +34,12 @@
 			want = 1
 		}
 		if times[subject.Kind] != want || len(times) != 2 {
-			t.Errorf("day %d of %s: %v", number, subject.Kind, times)
+			t.Errorf("day %d with subject %s: occurrences by kind %v", number, subject.Kind, times)
 		}
 	}
 	for subject, ends := range met {
 		if len(ends) != len(closings()) {
-			t.Errorf("%s meets %d closing faults", subject, len(ends))
+			t.Errorf("%s is paired with %d closing faults", subject, len(ends))
 		}
 	}
 }
@@ -46,7 +47,7 @@
 func TestKindsNotInForceAreNotDrawn(t *testing.T) {
 	for _, v := range inForce(subjects(), allKinds) {
 		if v.Kind == "idle_race" || v.Kind == "config_race" {
-			t.Errorf("%s is drawn", v.Kind)
+			t.Errorf("%s is drawn but not enabled", v.Kind)
 		}
 	}
 }
--- a/internal/tools/drawdays/faults.go
+++ b/internal/tools/drawdays/faults.go
@@ -1,21 +1,21 @@
 package main
 
-// variant is one form of a kind of fault, as the bench takes it.
+// variant is one variant of a kind of fault, with the parameters that the bench expects.
 type variant struct {
 	Kind string
 	How  string
-	// What else an entry of this kind needs; zero values are left out.
+	// Further parameters of an entry of this kind; zero values are omitted.
 	Duration float64 // seconds
 	Count    int
 	Share    float64
 	Gap      float64 // seconds
 	Strength float64
-	On       string // the class of machines
-	Planned  bool   // it is an operator's work, and no fault
-	Last     bool   // what it takes is gone for the rest of the day: once is all that is tolerated
+	On       string // the class of machines that the fault affects
+	Planned  bool   // it is a planned operation, not a fault
+	Last     bool   // its damage lasts for the rest of the day, so it may occur only once
 }
 
-// subjects are the faults of the control side and of connections, in all variants.
+// subjects returns all variants of the control-plane and connection faults.
 func subjects() []variant {
 	var all []variant
 	add := func(base variant, hows ...string) {
@@ -45,7 +45,7 @@
 	return all
 }
 
-// closing is the fault that strikes at the end of a day, right after one more change was acknowledged.
+// closing is the fault at the end of a day, injected right after a last change was acknowledged.
 type closing struct {
 	Kind     string  `toml:"kind"`
 	Downtime float64 `toml:"down_s"`
--- a/internal/tools/knownred/entry.go
+++ b/internal/tools/knownred/entry.go
@@ -8,7 +8,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// The fields of an entry. All but the test are required.
+// The fields of an entry. All but fieldTest are required.
 const (
 	fieldTest    = "test"
 	fieldCommand = "command"
@@ -26,14 +26,14 @@
 	testName       = regexp.MustCompile(`^(Test|Fuzz|Example)[A-Za-z0-9_]*$`)
 )
 
-// entry is one fault that stands in the file. Test and Package are empty for the find of a hunt.
+// entry is one known fault. Test and Package are empty for a fault that no Go test reproduces.
 type entry struct {
-	Line                       int // where it begins
+	Line                       int // its first line in the file
 	Package, Test              string
 	Command, Seed, Seen, Issue string
 }
 
-// parseEntries reads the text of a file. It reports the first entry that isn't complete.
+// parseEntries parses the text of a file. It returns an error for the first incomplete or malformed entry.
 func parseEntries(text string) ([]entry, error) {
 	var (
 		entries []entry
@@ -46,7 +46,7 @@
 		}
 		parsed, err := parseEntry(block)
 		if err != nil {
-			return eris.Wrapf(err, "entry in line %d", begin)
+			return eris.Wrapf(err, "entry at line %d", begin)
 		}
 		parsed.Line = begin
 		entries, block = append(entries, parsed), nil
@@ -81,7 +81,7 @@
 	return entries, finish()
 }
 
-// parseEntry reads the fields of one entry, each of them "name: value".
+// parseEntry parses the fields of one entry, each in the form "name: value".
 func parseEntry(fields []string) (entry, error) {
 	values := make(map[string]string)
 	for _, field := range fields {
@@ -89,11 +89,11 @@
 		name, value = strings.TrimSpace(name), strings.TrimSpace(value)
 		switch {
 		case !ok || name != fieldTest && !slices.Contains(requiredFields, name):
-			return entry{}, eris.Errorf("%q is not one of test, command, seed, seen and issue", field)
+			return entry{}, eris.Errorf("%q is not a field: want test, command, seed, seen or issue, a colon and a value", field)
 		case value == "":
 			return entry{}, eris.Errorf("the field %s is empty", name)
 		case values[name] != "":
-			return entry{}, eris.Errorf("the field %s stands there twice", name)
+			return entry{}, eris.Errorf("the field %s is given twice", name)
 		}
 		values[name] = value
 	}
@@ -103,23 +103,23 @@
 		}
 	}
 	if !issueNumber.MatchString(values[fieldIssue]) {
-		return entry{}, eris.Errorf("%q is no number of an issue", values[fieldIssue])
+		return entry{}, eris.Errorf("%q is not an issue number", values[fieldIssue])
 	}
 	if !seedValue.MatchString(values[fieldSeed]) {
-		return entry{}, eris.Errorf("%q is neither a seed nor none", values[fieldSeed])
+		return entry{}, eris.Errorf("%q is neither a seed nor \"none\"", values[fieldSeed])
 	}
 	parsed := entry{Command: values[fieldCommand], Seed: values[fieldSeed], Seen: values[fieldSeen], Issue: values[fieldIssue]}
 	if test := values[fieldTest]; test != "" {
 		folder, name := splitTest(test)
 		if !testName.MatchString(name) {
-			return entry{}, eris.Errorf("%q is no name of a test function", test)
+			return entry{}, eris.Errorf("%q is not the name of a test function", test)
 		}
 		parsed.Package, parsed.Test = folder, name
 	}
 	return parsed, nil
 }
 
-// splitTest takes the package off a test's name. The package is written from the module's root.
+// splitTest splits a test's name into its package folder, relative to the module root, and the name of the function.
 func splitTest(test string) (folder, name string) {
 	dot := strings.LastIndex(test, ".")
 	if dot < 0 {
@@ -128,7 +128,7 @@
 	return strings.Trim(strings.TrimPrefix(test[:dot], "./"), "/"), test[dot+1:]
 }
 
-// String is the entry on one line.
+// String formats the entry on one line.
 func (e entry) String() string {
 	name := "no Go test"
 	if e.Test != "" {
--- a/internal/tools/knownred/knownred_test.go
+++ b/internal/tools/knownred/knownred_test.go
@@ -33,11 +33,11 @@
 	is.Equal(entries[1].Test, "TestTwo")
 	is.Equal(entries[1].Package, "")
 	is.Equal(entries[1].Seen, "a lost answer: twice")
-	is.Equal(entries[2].Test, "") // the find of a hunt
+	is.Equal(entries[2].Test, "") // no Go test reproduces it
 	is.Equal(entries[2].Line, 9)
 }
 
-func TestAnIncompleteEntryIsRefused(t *testing.T) {
+func TestMalformedEntryIsRejected(t *testing.T) {
 	line := "test: TestTwo | command: go test ./b | seed: none | seen: a lost answer | issue: 73"
 	for name, change := range map[string][2]string{
 		"no command":           {"command: go test ./b | ", ""},
@@ -63,14 +63,14 @@
 	}
 }
 
-func TestAFileWithoutEntriesNamesNothing(t *testing.T) {
+func TestFileWithoutEntries(t *testing.T) {
 	is := is.New(t)
 	entries, err := parseEntries("# nothing is red\n\n")
 	is.NoErr(err)
 	is.Equal(len(entries), 0)
 }
 
-func TestExactlyTheNamedTestsArePassedOver(t *testing.T) {
+func TestOnlyListedTestsAreSkipped(t *testing.T) {
 	is := is.New(t)
 	tests := suite{
 		"m/a": {"TestOne", "TestOneMore", "TestTwo"}, "m/b": {"TestOne", "TestTwo"}, "m/c": {"TestThree"}, "m/d": nil,
@@ -85,7 +85,7 @@
 	is.Equal(runs[0].arguments(nil), []string{"test", "m/c", "m/d"})
 }
 
-func TestANameThatIsNoTestIsRefused(t *testing.T) {
+func TestUnknownTestIsRejected(t *testing.T) {
 	tests := suite{"m/a": {"TestOne"}, "m/b": {"TestTwo"}}
 	for _, e := range []entry{{Test: "TestThree"}, {Test: "TestOn"}, {Package: "b", Test: "TestOne"}, {Package: "x", Test: "TestOne"}} {
 		is := is.New(t)
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestAListingOfTestsIsRead(t *testing.T) {
+func TestParseListing(t *testing.T) {
 	is := is.New(t)
 	tests, err := parseListing([]byte(`{"Action":"start","Package":"m/a"}
 {"Action":"output","Package":"m/a","Output":"TestOne\n"}
--- a/internal/tools/knownred/main.go
+++ b/internal/tools/knownred/main.go
@@ -17,8 +17,8 @@
 )
 
 func main() {
-	file := flag.String("file", "KNOWN-RED.txt", "the list of faults that are not mended yet")
-	check := flag.Bool("check", false, "read the list and look for its tests; run none")
+	file := flag.String("file", "KNOWN-RED.txt", "the list of known faults that are not fixed yet")
+	check := flag.Bool("check", false, "only validate the list and check that its tests exist; run no test")
 	race := flag.Bool("race", false, "passed on to go test")
 	flag.Parse()
 	own := []string{"-count=1"}
@@ -31,7 +31,7 @@
 	}
 }
 
-// conduct prints the entries and runs the tests of the packages that match the patterns, all but the ones listed.
+// conduct prints the entries and runs the tests of the packages that match the patterns, except the listed ones.
 func conduct(ctx context.Context, file string, checkOnly bool, own, patterns []string) error {
 	text, err := os.ReadFile(file)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -58,12 +58,12 @@
 		failed = command.Run() != nil || failed
 	}
 	if failed {
-		return eris.New("tests failed that no entry names")
+		return eris.New("tests failed that are not listed as known red")
 	}
 	return nil
 }
 
-// planRuns needs the names of all tests only where an entry has one.
+// planRuns decides which calls of go test to make. It lists the tests of the packages only if an entry names a test.
 func planRuns(ctx context.Context, entries []entry, patterns []string) ([]run, error) {
 	named := false
 	for _, e := range entries {
@@ -87,14 +87,14 @@
 	return plan(strings.TrimSpace(string(module)), tests, entries)
 }
 
-// parseListing reads what go test -json -list prints.
+// parseListing parses the output of go test -json -list.
 func parseListing(listed []byte) (suite, error) {
 	tests := make(suite)
 	lines := bufio.NewScanner(bytes.NewReader(listed))
 	for lines.Scan() {
 		var event struct{ Package, Output string }
 		if err := json.Unmarshal(lines.Bytes(), &event); err != nil {
-			return nil, eris.Wrap(err, "reading the list of tests")
+			return nil, eris.Wrap(err, "parsing the output of go test -list")
 		}
 		if event.Package == "" {
 			continue
@@ -105,7 +105,7 @@
 		}
 		tests[event.Package] = names
 	}
-	return tests, eris.Wrap(lines.Err(), "reading the list of tests")
+	return tests, eris.Wrap(lines.Err(), "reading the output of go test -list")
 }
 
 func output(ctx context.Context, arguments ...string) ([]byte, error) {
--- a/internal/tools/knownred/suite.go
+++ b/internal/tools/knownred/suite.go
@@ -7,17 +7,17 @@
 	"github.com/rotisserie/eris"
 )
 
-// suite is the names of the tests by import path of their package. A package without tests is in it, too.
+// suite maps the import path of each package, also of those without tests, to the names of its tests.
 type suite map[string][]string
 
-// run is one call of go test: some packages, and the names that are passed over in all of them.
+// run is one call of go test: some packages, and the names of the tests to skip in all of them.
 type run struct {
 	Packages []string
 	Skipped  []string
 }
 
-// plan spreads the packages over calls of go test, so that a test is passed over in the packages of its entries alone.
-// The first run holds the packages in which nothing is passed over.
+// plan distributes the packages over calls of go test, so that a test is skipped only in the packages of its entries.
+// The packages in which nothing is skipped share the first run.
 func plan(module string, tests suite, entries []entry) ([]run, error) {
 	skipped := make(map[string][]string)
 	for _, e := range entries {
@@ -35,7 +35,7 @@
 			}
 		}
 		if !found {
-			return nil, eris.Errorf("entry in line %d: there is no such test: %s", e.Line, e)
+			return nil, eris.Errorf("entry at line %d: test not found: %s", e.Line, e)
 		}
 	}
 	var whole run
@@ -56,7 +56,7 @@
 	return append([]run{whole}, partial...), nil
 }
 
-// importPath is that of a folder of the module.
+// importPath returns the import path of a folder of the module; an import path is returned unchanged.
 func importPath(module, folder string) string {
 	if folder == module || strings.HasPrefix(folder, module+"/") {
 		return folder
@@ -64,7 +64,7 @@
 	return module + "/" + folder
 }
 
-// arguments are those of go test for the run, with the caller's own in the middle.
+// arguments returns the command line of go for the run; own are further flags of go test.
 func (r run) arguments(own []string) []string {
 	arguments := append([]string{"test"}, own...)
 	if len(r.Skipped) > 0 {
--- a/internal/tools/mutants/main.go
+++ b/internal/tools/mutants/main.go
@@ -18,36 +18,36 @@
 	"github.com/rotisserie/eris"
 )
 
-// mutant is one change of the code, and the tests that have to fail with it.
+// mutant is one change of the code and the tests of which at least one must fail with it.
 type mutant struct {
 	Name        string   `toml:"name"`
 	File        string   `toml:"file"`
-	Original    string   `toml:"find"` // a text that is in the file once
+	Original    string   `toml:"find"` // a text that occurs exactly once in the file
 	Replacement string   `toml:"put"`
 	Package     string   `toml:"package"`
-	Run         string   `toml:"run"` // a regular expression, as go test has it
+	Run         string   `toml:"run"` // a regular expression for go test -run
 	Env         []string `toml:"env"` // NAME=VALUE
 }
 
-// mutantFile is a file of mutants.
+// mutantFile is the content of a mutants.toml.
 type mutantFile struct {
 	Mutants []mutant `toml:"mutant"`
 }
 
-// overrides is what the command line says in place of the file.
+// overrides are settings of the command line that replace or extend those of the file.
 type overrides struct {
-	Run         string   // "" is what the file says
-	NamePattern string   // a regular expression for the names of the mutants to be run
-	Env         []string // more variables, NAME=VALUE
+	Run         string   // "": use the value of the file
+	NamePattern string   // a regular expression for the names of the mutants to run
+	Env         []string // additional environment variables, NAME=VALUE
 }
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	var instead overrides
-	flag.StringVar(&instead.Run, "run", "", "the tests to run, in place of those that the file names")
-	flag.StringVar(&instead.NamePattern, "only", "", "a regular expression for the names of the mutants to be played")
-	flag.Func("env", "a variable for the tests, NAME=VALUE; may be given more than once", func(value string) error {
+	flag.StringVar(&instead.Run, "run", "", "the tests to run instead of those that the file names")
+	flag.StringVar(&instead.NamePattern, "only", "", "a regular expression for the names of the mutants to run")
+	flag.Func("env", "an environment variable for the tests, NAME=VALUE; may be repeated", func(value string) error {
 		instead.Env = append(instead.Env, value)
 		return nil
 	})
@@ -66,7 +66,7 @@
 	}
 }
 
-// runAll runs the tests with each mutant of a file, and gives the number of survivors: those that no test noticed.
+// runAll runs the tests with each mutant of a file. It returns the number of survivors: mutants with which no test failed.
 func runAll(ctx context.Context, path string, instead overrides, out io.Writer) (int, error) {
 	mutants, err := readMutants(path)
 	if err != nil {
@@ -74,7 +74,7 @@
 	}
 	name, err := regexp.Compile(instead.NamePattern)
 	if err != nil {
-		return 0, eris.Wrap(err, "reading -only")
+		return 0, eris.Wrap(err, "compiling the pattern of -only")
 	}
 	survivors := 0
 	for _, m := range mutants {
@@ -101,25 +101,25 @@
 func readMutants(path string) ([]mutant, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, eris.Wrap(err, "reading the mutants")
+		return nil, eris.Wrap(err, "reading the file of mutants")
 	}
 	var file mutantFile
 	if err := toml.Unmarshal(data, &file); err != nil {
-		return nil, eris.Wrap(err, "reading the mutants")
+		return nil, eris.Wrap(err, "parsing the file of mutants")
 	}
 	return file.Mutants, nil
 }
 
-// NotRunError says that the tests of a mutant did not run.
+// NotRunError reports that go test failed before any test of a mutant ran.
 type NotRunError struct{ Output string }
 
 // Error implements error.
 func (e *NotRunError) Error() string { return "the tests did not run: " + e.Output }
 
-// Advice is what can be done about it.
-func (e *NotRunError) Advice() string { return "see that the mutant compiles" }
+// Advice says what can be done about it.
+func (e *NotRunError) Advice() string { return "make sure that the mutant compiles" }
 
-// NotUniqueError says that the text that a mutant replaces is not there, or not alone.
+// NotUniqueError reports that the text that a mutant replaces does not occur exactly once in the file.
 type NotUniqueError struct {
 	File  string
 	Count int
@@ -127,20 +127,22 @@
 
 // Error implements error.
 func (e *NotUniqueError) Error() string {
-	return fmt.Sprintf("%s holds %d times what is to be found", e.File, e.Count)
+	return fmt.Sprintf("%s contains the text to replace %d times, not once", e.File, e.Count)
 }
 
-// Advice is what can be done about it.
-func (e *NotUniqueError) Advice() string { return "let find name a text that is in the file once" }
+// Advice says what can be done about it.
+func (e *NotUniqueError) Advice() string {
+	return "set find to a text that occurs exactly once in the file"
+}
 
-// failedTestLine is a line of the test command on a test that failed.
+// failedTestLine matches the line that go test prints for a failed test.
 var failedTestLine = regexp.MustCompile(`(?m)^\s*--- FAIL: (\S+)`)
 
-// runTests runs the tests with a mutant. It gives the last test that failed and how many did, or "" where none did.
+// runTests runs the tests with a mutant. It returns the last failed test and the number of failures, or "" if all passed.
 func runTests(ctx context.Context, m mutant) (string, error) {
 	folder, err := os.MkdirTemp("", "mutant-")
 	if err != nil {
-		return "", eris.Wrap(err, "making a folder")
+		return "", eris.Wrap(err, "creating a temporary folder")
 	}
 	defer os.RemoveAll(folder)
 	overlay, err := writeOverlay(folder, m)
@@ -155,12 +157,12 @@
 	}
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) {
-		return "", eris.Wrap(err, "running the tests")
+		return "", eris.Wrap(err, "starting go test")
 	}
 	return failures(string(output))
 }
 
-// failures reads which tests failed out of what the test command printed.
+// failures finds the failed tests in the output of go test.
 func failures(output string) (string, error) {
 	failed := failedTestLine.FindAllStringSubmatch(output, -1)
 	if len(failed) > 0 {
@@ -172,11 +174,11 @@
 	return "", &NotRunError{Output: output}
 }
 
-// writeOverlay writes the changed file, and the overlay by which the compiler reads it; it gives the overlay's path.
+// writeOverlay writes the changed file and the overlay that makes the compiler read it, and returns the overlay's path.
 func writeOverlay(folder string, m mutant) (string, error) {
 	text, err := os.ReadFile(m.File)
 	if err != nil {
-		return "", eris.Wrap(err, "reading the code")
+		return "", eris.Wrap(err, "reading the source file")
 	}
 	count := strings.Count(string(text), m.Original)
 	if count != 1 {
@@ -184,13 +186,13 @@
 	}
 	changed := filepath.Join(folder, "changed.go")
 	if err := os.WriteFile(changed, []byte(strings.Replace(string(text), m.Original, m.Replacement, 1)), 0o600); err != nil {
-		return "", eris.Wrap(err, "writing the changed code")
+		return "", eris.Wrap(err, "writing the changed source file")
 	}
 	original, err := filepath.Abs(m.File)
 	if err != nil {
-		return "", eris.Wrap(err, "naming the code")
+		return "", eris.Wrap(err, "resolving the path of the source file")
 	}
 	data, _ := json.Marshal(map[string]map[string]string{"Replace": {original: changed}}) // plain strings always marshal
 	path := filepath.Join(folder, "overlay.json")
-	return path, eris.Wrap(os.WriteFile(path, data, 0o600), "writing the overlay")
+	return path, eris.Wrap(os.WriteFile(path, data, 0o600), "writing the overlay file")
 }
--- a/internal/tools/mutants/main_test.go
+++ b/internal/tools/mutants/main_test.go
@@ -12,7 +12,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Each mutant that is listed still fits the code: what it takes out is there, once.
+// The text that each listed mutant replaces must still occur exactly once in its file.
 func TestListedMutantsFitTheCode(t *testing.T) {
 	is := is.New(t)
 	t.Chdir("../../..")
@@ -21,7 +21,7 @@
 	below, err := filepath.Glob("internal/controlplane/*/testdata/mutants.toml")
 	is.NoErr(err)
 	files = append(files, below...)
-	is.Equal(len(files), 2) // that of the control process, and that of the chain
+	is.Equal(len(files), 2) // those of the control plane and of its chain package
 	for _, path := range files {
 		data, err := os.ReadFile(path)
 		is.NoErr(err)
@@ -50,7 +50,7 @@
 	is.NoErr(err)
 	is.Equal(string(changed), "a stands here")
 	_, err = writeOverlay(folder, mutant{File: code, Original: "e"})
-	is.True(err != nil && strings.Contains(err.Error(), "holds 2 times"))
+	is.True(err != nil && strings.Contains(err.Error(), "contains the text to replace 2 times"))
 }
 
 func TestFailures(t *testing.T) {
--- a/internal/tools/sidebyside/doc.go
+++ b/internal/tools/sidebyside/doc.go
@@ -1,11 +1,11 @@
-// Command sidebyside plays a landed commit of this repository and the checkout at hand side by side, as whole programs:
+// Command sidebyside tests that a landed commit of this repository and the current checkout interoperate as processes:
 //
 //	go run ./internal/tools/sidebyside [-commit REV] [-tests PATTERN] [-times N]
 //
-// It builds the test program of cmd/marlreeld of that commit, in a work tree of its own, and of the checkout, and runs the
-// checkout's stories of processes with both (their roles, disks and messages are each version's own): in the story of faults
-// every start takes the other version than the start before, in the rolling upgrade one process after the other is
-// replaced, back, and replaced again. Each runs with either version as the first.
+// It builds the test program of cmd/marlreeld from that commit, in a temporary work tree, and from the checkout, and runs
+// the checkout's process tests with both. The roles, stored data and messages of a process are those of its version. In
+// the fault test each start uses the other version than the start before; in the rolling upgrade the processes are
+// replaced one after the other, rolled back, and replaced again. Each test runs once with either version first.
 //
-// It ends with status 1 where a story fails.
+// It exits with status 1 if a test fails.
 package main
--- a/internal/tools/sidebyside/main.go
+++ b/internal/tools/sidebyside/main.go
@@ -17,11 +17,11 @@
 
 const (
 	testedPackage        = "./cmd/marlreeld"
-	otherProgramVariable = "MARLREELD_OTHER_PROGRAM" // as cmd/marlreeld's tests have it
+	otherProgramVariable = "MARLREELD_OTHER_PROGRAM" // read by the tests of cmd/marlreeld
 	otherFirstVariable   = "MARLREELD_OTHER_FIRST"
 )
 
-// options are the command line.
+// options are the command-line options.
 type options struct {
 	commit string
 	tests  string
@@ -30,9 +30,9 @@
 
 func main() {
 	var o options
-	flag.StringVar(&o.commit, "commit", "HEAD~1", "the landed commit that is played beside this checkout")
-	flag.StringVar(&o.tests, "tests", "^(TestProcessesSurviveFaults|TestRollingUpgrade)$", "the stories, as go test -run has it")
-	flag.IntVar(&o.times, "times", 1, "how often each order is played")
+	flag.StringVar(&o.commit, "commit", "HEAD~1", "the landed commit to run together with this checkout")
+	flag.StringVar(&o.tests, "tests", "^(TestProcessesSurviveFaults|TestRollingUpgrade)$", "the tests to run, a pattern for go test -run")
+	flag.IntVar(&o.times, "times", 1, "how often to run each order of the versions")
 	flag.Parse()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	err := play(ctx, o, os.Stdout)
@@ -43,11 +43,11 @@
 	}
 }
 
-// play builds both programs, and plays the stories in both orders.
+// play builds both test programs and runs the tests with either version first.
 func play(ctx context.Context, o options, out io.Writer) (err error) {
 	work, err := os.MkdirTemp("", "sidebyside")
 	if err != nil {
-		return eris.Wrap(err, "making a folder")
+		return eris.Wrap(err, "creating a temporary folder")
 	}
 	defer func() { err = errors.Join(err, os.RemoveAll(work)) }()
 	tree, other, own := filepath.Join(work, "tree"), filepath.Join(work, "other.test"), filepath.Join(work, "own.test")
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// run runs a command in a folder, with more variables, and passes on what it prints.
+// run runs a command in a folder, with additional environment variables, and copies its output to out.
 func run(ctx context.Context, out io.Writer, folder string, environment []string, name string, args ...string) error {
 	command := exec.CommandContext(ctx, name, args...)
 	command.Dir, command.Stdout, command.Stderr = folder, out, out
