--- a/internal/testutil/race_off.go
+++ b/internal/testutil/race_off.go
@@ -2,5 +2,5 @@
 
 package testutil
 
-// Race tells whether the race detector is in this binary: it holds several times the memory.
+// Race reports whether this binary is built with the race detector, which uses several times the memory.
 const Race = false
--- a/internal/testutil/testutil.go
+++ b/internal/testutil/testutil.go
@@ -1,6 +1,6 @@
-// Package testutil is what the tests of several packages share: waiting with generous
-// limits, backends in the test's hands, and the settings of a small proxy. Only tests
-// import it.
+// Package testutil holds helpers that the tests of several packages share: waiting with
+// generous limits, backends that the test controls, and the settings of a small proxy.
+// Only tests import it.
 package testutil
 
 import (
@@ -21,11 +21,11 @@
 	"marlreel/internal/standin"
 )
 
-// Patience is how long a test waits for what must come. It is no measure of speed.
+// Patience is how long a test waits for an expected event. It is generous and says nothing about speed.
 const Patience = 20 * time.Second
 
-// Settings are those of a proxy in the zone koper, with a class of each effect: lot-list
-// (safe), bid (unsafe) and pickup (keyed).
+// Settings are the settings of a proxy in the zone koper, with one request class of each
+// effect: lot-list (safe), bid (unsafe) and pickup (safe with an idempotency key).
 const Settings = `{"Balancers":1,"Rank":0,"Zone":0,"Tick":5.0,"Discovery":"pushed",
  "FailureDomains":["koper","maribor"],"Kinds":["mid-2c"],"Feedback":{"How":"off","Names":[]},
  "Caps":{"Cancel":true,"ConnIdle":60000.0,"ConnectTimeout":2000.0,"MaxAttempts":4,"MaxOpen":20000,"MaxRetryAfter":2000.0,
@@ -37,7 +37,7 @@
   {"Name":"pickup","Aim":60000.0,"GiveUp":60000.0,"Effect":"dedup","Group":"zone","Window":10000.0,"Value":2.0}],
  "Tenants":[{"Name":"obala","Share":1.0,"QuotaPerS":1000.0}]}`
 
-// Module is what the module is told of Settings.
+// Module returns the balancer configuration that corresponds to Settings.
 func Module(t testing.TB) balancer.Config {
 	t.Helper()
 	c, err := simwire.ParseSettings([]byte(Settings))
@@ -47,40 +47,40 @@
 	return c
 }
 
-// Receive waits for a value.
+// Receive waits for a value on c and fails the test if none arrives within Patience.
 func Receive[T any](t testing.TB, c <-chan T, what string) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
 	case <-time.After(Patience):
-		t.Fatalf("waited in vain for %s", what)
+		t.Fatalf("timed out waiting for %s", what)
 		panic("unreachable")
 	}
 }
 
-// Eventually waits until a state that has no event of its own is reached.
+// Eventually polls until reached returns true, for states that no event announces. It fails the test after Patience.
 func Eventually(t testing.TB, what string, reached func() bool) {
 	t.Helper()
 	for end := time.Now().Add(Patience); !reached(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// RawBackend accepts connections and hands each to serve, which reads and writes as it likes.
+// RawBackend starts a backend that passes each accepted connection to serve, and returns its address.
 func RawBackend(t testing.TB, serve func(c net.Conn, in *bufio.Reader)) string {
 	t.Helper()
 	r, err := standin.StartRaw(serve)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(r.Stop) // a serve that the test holds up must not hold up its end
+	t.Cleanup(r.Stop) // Stop must not wait for a serve that the test blocks
 	return r.Addr
 }
 
-// Silent is a backend that reads and never answers; it tells of each request.
+// Silent starts a backend that reads requests and never responds. The channel receives each request.
 func Silent(t testing.TB) (string, chan *http.Request) {
 	t.Helper()
 	got := make(chan *http.Request, 16)
@@ -95,7 +95,7 @@
 	}), got
 }
 
-// ReadRequest takes a whole request off a connection.
+// ReadRequest reads a whole request, including its body, from a connection.
 func ReadRequest(in *bufio.Reader) (*http.Request, bool) {
 	r, err := http.ReadRequest(in)
 	if err != nil {
@@ -105,7 +105,7 @@
 	return r, err == nil
 }
 
-// Every calls do at a pace until stop is closed.
+// Every calls do once per pace until stop is closed.
 func Every(pace time.Duration, stop <-chan struct{}, do func()) {
 	ticks := time.NewTicker(pace)
 	defer ticks.Stop()
@@ -119,12 +119,12 @@
 	}
 }
 
-// OKAnswer is a good answer, with the body "served".
+// OKAnswer is a 200 response with the body "served".
 const OKAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved"
 
-// ClosedAddr is an address at which connections are refused, until the test listens there itself. Danger: a port that
-// was just closed may be anybody's next, and a proxy that goes on dialling it brings its requests to another test's
-// backend, or takes its list from another test's discovery.
+// ClosedAddr returns an address that refuses connections until the test listens there itself. Closing a listener to get
+// such an address is unsafe: the system may give the port to another test, and a proxy that keeps dialling it then sends
+// its requests to that test's backend, or takes its list from that test's discovery.
 func ClosedAddr(t testing.TB) string {
 	t.Helper()
 	addr, err := standin.Address()
@@ -134,7 +134,7 @@
 	return addr
 }
 
-// LockedLog is a log that the test may read while others write it.
+// LockedLog is a log buffer that is safe for concurrent reads and writes.
 type LockedLog struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -153,7 +153,7 @@
 	return l.buf.String()
 }
 
-// Dial opens a connection that ends with the test, and within Patience.
+// Dial opens a connection with a deadline of Patience; it is closed when the test ends.
 func Dial(t testing.TB, addr string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -165,21 +165,21 @@
 	return c
 }
 
-// Ends fails the test if the other side does not end the connection.
+// Ends fails the test if the peer does not close the connection before its deadline.
 func Ends(t testing.TB, c net.Conn, what string) {
 	t.Helper()
 	if _, err := io.Copy(io.Discard, c); IsTimeout(err) {
-		t.Fatalf("%s is not closed", what)
+		t.Fatalf("%s was not closed by the peer", what)
 	}
 }
 
-// IsTimeout tells whether an error is a deadline's.
+// IsTimeout reports whether an error is a network timeout.
 func IsTimeout(err error) bool {
 	var timeout net.Error
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// Counting is a backend that answers with its name and counts its connections.
+// Counting starts a backend that responds with its name and counts its connections.
 func Counting(t testing.TB, name string) (string, *atomic.Int64) {
 	t.Helper()
 	n := new(atomic.Int64)
