--- a/internal/fleettest/audit.go
+++ b/internal/fleettest/audit.go
@@ -15,10 +15,10 @@
 	"marlreel/internal/standin"
 )
 
-// Slack is by how much each bound of time is longer on sockets.
+// Slack is added to each time limit to allow for delays of sockets.
 const Slack = 50 * time.Millisecond
 
-// line is a line of a trace: what a process says that it did, and by what.
+// line is a line of a process's trace: the versions in force, an attempt, or drained nodes (Ends).
 type line struct {
 	At       int64    `json:"at"`
 	Seq      uint64   `json:"seq"`
@@ -36,22 +36,22 @@
 	when  time.Duration
 }
 
-// Verdict is what the auditor found.
+// Verdict is the result of an audit.
 type Verdict struct {
-	Breaks     []string      // of rules, of the bound, and what was lost
-	Longest    time.Duration // that an act was done which another proxy's rules forbade at that moment
-	Drain      time.Duration // that new work went to a node after another proxy knew that it had ended
-	Acts       int           // attempts that nodes got
-	Strict     int           // of them by no lease
-	Again      int           // second arrivals
+	Breaks     []string      // violated rules and time limits, and lost responses
+	Longest    time.Duration // longest time that an attempt was sent after another proxy's settings in force forbade it
+	Drain      time.Duration // longest time that a node got new requests after another proxy knew that it drains
+	Acts       int           // attempts that reached nodes
+	Strict     int           // of them sent without a lease
+	Again      int           // attempts of requests that had already run
 	Served     int
 	Answered   int
-	InUse      int // the most versions in force at once, at processes with a lease
-	Contradict int // acts that another's rules forbade
+	InUse      int // the largest number of versions in force at once at proxies with a lease
+	Contradict int // attempts that another proxy's settings forbade
 }
 
-// forbids tells whether settings forbid an act: the n-th attempt (from 1) of a class, so long after it was taken, of
-// which an earlier one has run or not.
+// forbids returns why settings forbid the n-th attempt (from 1) of a request of a class, or "" if they allow it.
+// ranBefore says whether an earlier attempt has run.
 func (s Settings) forbids(class string, n int, ranBefore bool) string {
 	for _, c := range s.Classes {
 		if c.Name != class {
@@ -59,17 +59,18 @@
 		}
 		switch {
 		case n > s.Attempts:
-			return fmt.Sprintf("attempt %d of %d", n, s.Attempts)
+			return fmt.Sprintf("attempt %d of at most %d", n, s.Attempts)
 		case ranBefore && c.Effect == "fragile":
 			return "a second run"
 		}
 		return ""
 	}
-	return "a class that is gone"
+	return "a class that it does not have"
 }
 
-// Audit holds what the nodes got against what each proxy went by. It reads what the processes wrote and what the
-// nodes and clients saw, and shares no code with the proxy. answers are the clients'.
+// Audit checks the attempts that reached the nodes against the settings in force at each proxy. It reads the traces of
+// the processes and what the nodes and clients observed, and shares no code with the proxy. answers are those that
+// Unload returned.
 func (f *Fleet) Audit(answers []Answer) (v Verdict, err error) {
 	broke := func(format string, args ...any) {
 		if len(v.Breaks) < 20 {
@@ -88,7 +89,7 @@
 		for in.Scan() {
 			var l line
 			if json.Unmarshal(in.Bytes(), &l) != nil {
-				continue // the last line of a process that was killed
+				continue // a killed process may leave an incomplete last line
 			}
 			l.proxy, l.when = p.N, time.Duration(l.At-start)
 			lines = append(lines, l)
@@ -99,15 +100,15 @@
 	if err != nil {
 		return v, err
 	}
-	// When was each state first in force anywhere, and with which versions?
+	// When was each state first in force at any proxy, and with which versions?
 	type state struct {
 		seq      uint64
 		at       time.Duration
 		versions []uint64
 	}
 	var states []state
-	rules := map[int][]line{}   // by proxy, in time
-	strict := map[string]bool{} // attempts that went out by no lease
+	rules := map[int][]line{}   // by proxy, ordered by time
+	strict := map[string]bool{} // by attempt: whether it was sent without a lease
 	ended := map[string]line{}
 	for _, l := range lines {
 		switch {
@@ -129,11 +130,11 @@
 		r := rules[proxy]
 		i := sort.Search(len(r), func(i int) bool { return r[i].when > at })
 		if i == 0 || f.Proxies[proxy].died(r[i-1].when, at) {
-			return line{}, false // a process that has gone goes by nothing, and the next one by no version until it says so
+			return line{}, false // a process that ended has no version in force, nor has its successor until it traces one
 		}
 		return r[i-1], true
 	}
-	// The acts, as the nodes got them.
+	// The attempts, as the nodes received them.
 	records := f.Journal.Records()
 	ran := map[string][]standin.Send{}
 	sort.SliceStable(records.Sends, func(i, j int) bool { return records.Sends[i].Whole < records.Sends[j].Whole })
@@ -162,11 +163,11 @@
 			v.Again++
 		}
 		ran[s.ID] = append(before, s)
-		// Nothing unsafe runs twice by any version that ever was: in these settings bids always are.
+		// No unsafe request may run twice under any version. Bids are unsafe in all settings of these tests.
 		if ranBefore && s.Class == "bid" {
 			broke("bid %s ran twice, at %.3f s by %s", s.ID, s.Whole.Seconds(), f.Proxies[s.Proxy].Name)
 		}
-		// Does anybody go by rules that forbid it, and since when?
+		// Do the settings in force at another proxy forbid it, and since when?
 		for q := range f.Proxies {
 			if q == s.Proxy {
 				continue
@@ -181,9 +182,9 @@
 				}
 				why := texts[n].forbids(s.Class, len(before)+1, ranBefore)
 				if why == "" || free && len(before) == 0 {
-					continue // what is done once by nobody's word is what no version takes back
+					continue // a proxy without a lease may always send a first attempt
 				}
-				// They contradict each other since the later of the two was in force anywhere.
+				// The two states contradict each other since the later one was first in force at any proxy.
 				since := states[slices.IndexFunc(states, func(x state) bool { return slices.Contains(x.versions, n) })].at
 				if own, goes := goesBy(s.Proxy, s.Began); goes {
 					since = max(since, states[slices.IndexFunc(states, func(x state) bool { return x.seq == own.Seq })].at)
@@ -191,24 +192,24 @@
 				late := s.Began - since
 				v.Contradict++
 				if v.Longest = max(v.Longest, late); late > f.Within+Slack {
-					broke("%s %s at %.3f s by %s: version %d, in force at %s, forbids %s for %.3f s by then", s.Class, s.ID, s.Began.Seconds(), f.Proxies[s.Proxy].Name, n, f.Proxies[q].Name, why, late.Seconds())
+					broke("%s %s at %.3f s by %s: version %d, in force at %s, forbids %s, the contradiction had lasted %.3f s", s.Class, s.ID, s.Began.Seconds(), f.Proxies[s.Proxy].Name, n, f.Proxies[q].Name, why, late.Seconds())
 				}
 			}
 		}
-		// Drains: by this proxy's own list, and by what others knew.
+		// Drains: as this proxy's own discovery list shows them, and as other proxies knew them.
 		for _, t := range told[fmt.Sprint(s.Proxy, s.Node)] {
 			if t.State != "Ready" && s.Began > t.At+500*time.Millisecond+Slack && !f.readyAgain(told[fmt.Sprint(s.Proxy, s.Node)], t, s.Began) && !f.Proxies[s.Proxy].Away(t.At, s.Began) {
-				broke("%s got %s at %.3f s from %s, which was told that it is %s at %.3f s", s.Node, s.ID, s.Began.Seconds(), f.Proxies[s.Proxy].Name, t.State, t.At.Seconds())
+				broke("%s got %s at %.3f s from %s, whose discovery list showed it as %s at %.3f s", s.Node, s.ID, s.Began.Seconds(), f.Proxies[s.Proxy].Name, t.State, t.At.Seconds())
 			}
 		}
 		if e, known := ended[s.Node]; known && !free && s.Began > e.when && f.away(s.Node, s.Began) {
 			v.Drain = max(v.Drain, s.Began-e.when)
 			if s.Began > e.when+f.Within+500*time.Millisecond+Slack {
-				broke("%s got %s at %.3f s from %s under a lease; that it had ended was known at %.3f s", s.Node, s.ID, s.Began.Seconds(), f.Proxies[s.Proxy].Name, e.when.Seconds())
+				broke("%s got %s at %.3f s from %s under a lease, but its drain was known at %.3f s", s.Node, s.ID, s.Began.Seconds(), f.Proxies[s.Proxy].Name, e.when.Seconds())
 			}
 		}
 	}
-	// Two versions at most are in use, and neighbours.
+	// At most two versions may be in use at once.
 	for i := range lines {
 		if len(lines[i].Versions) == 0 {
 			continue
@@ -226,7 +227,7 @@
 	if v.InUse > 2 {
 		broke("%d versions were in use at once", v.InUse)
 	}
-	// Every request that a running proxy took has one answer, in time.
+	// Every request that a running proxy accepted must get a response in time.
 	for _, a := range answers {
 		p := f.Proxies[a.Proxy]
 		if a.Status != 0 {
@@ -237,7 +238,7 @@
 		}
 		late := a.Ended-a.Sent > class[a.Class].GiveUp+500*time.Millisecond
 		if (a.Status == 0 && a.Fresh && !p.Closed(a.Sent) || late) && !p.Away(a.Sent-Slack, a.Ended+Slack) {
-			broke("%s %s of %s, sent at %.3f s, on a new connection %v: no answer in time (%d after %.3f s)", a.Class, a.ID, p.Name, a.Sent.Seconds(), a.Fresh, a.Status, (a.Ended - a.Sent).Seconds())
+			broke("%s %s to %s, sent at %.3f s, on a new connection %v: no response in time (status %d after %.3f s)", a.Class, a.ID, p.Name, a.Sent.Seconds(), a.Fresh, a.Status, (a.Ended - a.Sent).Seconds())
 		}
 	}
 	for _, p := range f.Proxies {
@@ -247,7 +248,7 @@
 			}
 		}
 	}
-	if f.Keepers > 0 && !f.filed { // what a file's proposal was answered, nobody wrote down
+	if f.Keepers > 0 && !f.filed { // the outcomes of proposals through files are not recorded
 		if err := f.Linearizable(); err != nil {
 			broke("%v", err)
 		}
@@ -255,7 +256,7 @@
 	return v, nil
 }
 
-// leased tells whether a proxy's acts about a moment were under a lease, as far as they show it.
+// leased reports whether a proxy's trace shows an attempt under a lease within 20 ms after a time.
 func (f *Fleet) leased(lines []line, proxy int, at time.Duration) bool {
 	i := sort.Search(len(lines), func(i int) bool { return lines[i].when >= at })
 	for ; i < len(lines) && lines[i].when < at+20*time.Millisecond; i++ {
@@ -264,7 +265,7 @@
 			continue
 		}
 		if len(l.Versions) > 0 && l.when > at {
-			return false // it goes by others already
+			return false // by then other versions were in force
 		}
 		if l.ID != "" && !l.Strict {
 			return true
@@ -273,13 +274,13 @@
 	return false
 }
 
-// readyAgain tells whether a proxy was told that a node is ready after it was told t, by a moment.
+// readyAgain reports whether, after t and by a given time, a proxy's discovery list showed the node as ready again.
 func (f *Fleet) readyAgain(all []standin.Told, t standin.Told, by time.Duration) bool {
 	return slices.ContainsFunc(all, func(x standin.Told) bool { return x.State == "Ready" && x.At > t.At && x.At <= by+Slack })
 }
 
-// away tells whether a node, by the lists' truth, drains or has gone at a moment. Where it is ready again, who knows so
-// sends to it, whatever was told of it before.
+// away reports whether a node drains or has gone at a time, as set in service discovery. Once it is ready again, proxies
+// that know this may send to it despite an earlier drain.
 func (f *Fleet) away(node string, at time.Duration) (away bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -291,14 +292,14 @@
 	return away
 }
 
-// versions are the settings of each version, by what the proxies tell and what was ever proposed.
+// versions returns the settings of each version, by matching the texts that the proxies show with all proposed settings.
 func (f *Fleet) versions() (map[uint64]Settings, error) {
 	texts := map[uint64]Settings{1: f.Options.Settings}
 	all := append([]Settings{f.Options.Settings}, f.texts...)
 	for _, p := range f.Proxies {
 		st, err := p.Status()
 		if err != nil {
-			continue // it is away
+			continue // not reachable now
 		}
 		for _, v := range st.View.Versions {
 			if v.Text == "" {
@@ -306,7 +307,7 @@
 			}
 			i := slices.IndexFunc(all, func(s Settings) bool { return same(f.Text(s), []byte(v.Text)) })
 			if i < 0 {
-				return nil, fmt.Errorf("%s has a version %d that nobody proposed: %s", p.Name, v.Number, v.Text)
+				return nil, fmt.Errorf("%s has a version %d that was never proposed: %s", p.Name, v.Number, v.Text)
 			}
 			texts[v.Number] = all[i]
 		}
--- a/internal/fleettest/away_test.go
+++ b/internal/fleettest/away_test.go
@@ -9,9 +9,9 @@
 	"marlreel/internal/standin"
 )
 
-// Requests that a killed process's backlog took were held against it until the harness heard of its end: on a busy
-// machine that is long after the signal.
-func TestAProxyIsAwayFromItsKillOn(t *testing.T) {
+// A killed proxy counts as away from the signal on. If it did so only once the harness sees the exit, which on a busy
+// machine is much later, the auditor would blame it for requests that only the backlog of the killed process accepted.
+func TestProxyIsAwayFromKillSignal(t *testing.T) {
 	t.Parallel()
 	cmd := exec.Command("cat") // it reads until it is killed
 	input, err := cmd.StdinPipe()
@@ -26,25 +26,25 @@
 	p := &Proxy{Name: "n0", fleet: f, cmd: cmd, ended: make(chan struct{})}
 	before := f.Clock.Now()
 	if p.Away(before, before) {
-		t.Error("it is away before it is killed")
+		t.Error("the proxy is away before it is killed")
 	}
 	returned := make(chan struct{})
 	go func() {
 		defer close(returned)
 		p.Kill()
 	}()
-	cmd.Wait() // the process is dead, and the harness has not heard of it
+	cmd.Wait() // the process has ended, but the harness has not recorded that
 	dead := f.Clock.Now()
 	if !p.Away(dead, dead) {
 		t.Error("a killed proxy is not away")
 	}
 	if p.died(before, dead) {
-		t.Error("its end is noted before it is heard of")
+		t.Error("the end of the process is recorded too early")
 	}
 	p.gone(cmd)
 	close(p.ended)
 	<-returned
 	if len(p.away) != 1 || !p.died(before, f.Clock.Now()) {
-		t.Errorf("it was away in %v, and died at %v", p.away, p.deaths)
+		t.Errorf("away in %v, ended at %v, want one period and one end", p.away, p.deaths)
 	}
 }
--- a/internal/fleettest/compatibility_test.go
+++ b/internal/fleettest/compatibility_test.go
@@ -8,10 +8,11 @@
 	"testing"
 )
 
-// The file testdata/compatibility/trace.jsonl is a copy of that of package proxy, which the code of commit 6fb9894 wrote. It
-// must not be written again to make a test pass: where this test fails, the auditor reads other things than proxies write.
+// The file testdata/compatibility/trace.jsonl is a copy of the file of package proxy, which the code of commit 6fb9894
+// wrote. It must not be regenerated to make a test pass: if this test fails, the auditor no longer reads the format that
+// proxies write.
 
-// TestCompatibilityOfStoredTraces reads a trace of a proxy, a line of every kind.
+// TestCompatibilityOfStoredTraces parses a stored trace with one line of every kind.
 func TestCompatibilityOfStoredTraces(t *testing.T) {
 	data, err := os.ReadFile("testdata/compatibility/trace.jsonl")
 	if err != nil {
@@ -33,7 +34,7 @@
 	}
 	want[1].Ends = append(want[1].Ends, end("llm-1", 76), end("llm-2", 7))
 	if len(texts) != len(want) {
-		t.Fatalf("there are %d lines, want %d", len(texts), len(want))
+		t.Fatalf("the trace has %d lines, want %d", len(texts), len(want))
 	}
 	for i := range want {
 		var got line
--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -1,12 +1,14 @@
 //go:build linux
 
-// Package fleettest starts a fleet of the built program on loopback addresses, with clients before it, nodes and
-// lists behind it, and itself between every two proxies, and lets parts of it fail: links (cut one way or both,
-// slow, losing, repeating), processes (stopped, killed, started again with another disk), disks (full, older).
+// Package fleettest starts a fleet of the built program on loopback addresses, with clients, backend nodes, service
+// discovery and a simulated link between every two proxies. It injects faults into links (cut one way or both, slow,
+// lossy, duplicating), processes (stopped, killed, restarted with another disk) and disks (full, set back to an older
+// state).
 //
-// It knows a process by its signals of readiness and never by sleeping, and an auditor (audit.go) that shares no
-// code with the proxy holds what the nodes got against what each process says it went by. It owns the processes,
-// links and folders that it makes. It never decides what is right: tests and the auditor do.
+// It waits for processes by their readiness and never by sleeping. An auditor (audit.go) that shares no code with the
+// proxy compares the requests that the nodes received with the settings that each process traced as in force. The
+// package owns the processes, links and folders that it creates. It does not judge the results: tests and the auditor
+// do.
 package fleettest
 
 import (
@@ -30,22 +32,22 @@
 	"marlreel/internal/standin/machine"
 )
 
-// Patience is how long a signal of readiness may take. It is no measure of speed.
+// Patience is the time limit for readiness and other expected events. It is generous and says nothing about speed.
 const Patience = 30 * time.Second
 
-// Class is a class of requests in a fleet's settings.
+// Class is a request class in a fleet's settings.
 type Class struct {
 	Name, Effect string        // retryable, dedup, fragile
-	GiveUp       time.Duration // and aim
+	GiveUp       time.Duration // also used as the latency aim
 }
 
-// Settings are what a file of the fleet says.
+// Settings are the part of a proxy's settings file that tests vary.
 type Settings struct {
 	Attempts int
 	Classes  []Class
 }
 
-// Usual are settings with a class of each effect.
+// Usual returns settings with one class of each effect.
 func Usual() Settings {
 	return Settings{Attempts: 4, Classes: []Class{
 		{"lot-list", "retryable", 2 * time.Second},
@@ -54,7 +56,7 @@
 	}}
 }
 
-// With is the same with a class changed, or one more.
+// With returns a copy with a class replaced or added.
 func (s Settings) With(c Class) Settings {
 	next := s.Without(c.Name)
 	for i, x := range s.Classes {
@@ -67,7 +69,7 @@
 	return next
 }
 
-// Without is the same but for a class.
+// Without returns a copy without a class.
 func (s Settings) Without(name string) Settings {
 	next := Settings{Attempts: s.Attempts}
 	for _, c := range s.Classes {
@@ -78,13 +80,13 @@
 	return next
 }
 
-// Try is the same with another number of attempts.
+// Try returns a copy with another number of attempts.
 func (s Settings) Try(attempts int) Settings {
 	s.Attempts = attempts
 	return s
 }
 
-// object is the form of the platform's file, for one proxy of many.
+// object returns the settings in the format of the platform's file, for the proxy with a rank.
 func (s Settings) object(rank, of int) map[string]any {
 	services := []any{}
 	for _, c := range s.Classes {
@@ -103,32 +105,32 @@
 	}
 }
 
-// Text is what settings come to as the text of a proposal, without what differs from proxy to proxy.
+// Text encodes settings as the text of a proposal, without the fields that differ between proxies.
 func (f *Fleet) Text(s Settings) []byte {
 	o := s.object(0, f.Options.Proxies)
 	delete(o, "Rank")
 	delete(o, "Zone")
-	text, _ := json.Marshal(o) // maps and numbers
+	text, _ := json.Marshal(o) // maps of plain values always marshal
 	return text
 }
 
-// Options say what fleet to start.
+// Options configure a fleet.
 type Options struct {
 	Program  string // the built daemon
 	Dir      string
 	Proxies  int
 	Nodes    int
 	Settings Settings
-	Errors   float64       // share of requests that nodes answer with an error after they have run
-	Keepers  int           // 0: the proxies know nothing of one another
-	Within   time.Duration // agree-within
-	Key      []byte        // nil: one that all share
+	Errors   float64       // share of requests that nodes run and then answer with an error
+	Keepers  int           // the first proxies keep the replicated log; 0: no fleet, each proxy on its own
+	Within   time.Duration // the setting agree-within
+	Key      []byte        // nil: a default key
 	Seed     uint64
-	Direct   bool // no links between the proxies: for fleets too large for one each
-	Hold     bool // the harness holds the clients\' listeners, as a platform that upgrades without a break does
+	Direct   bool // no simulated links: for fleets too large to have one for each pair
+	Hold     bool // the harness owns the client listeners, as a platform with zero-downtime upgrades does
 }
 
-// Fleet is what runs.
+// Fleet is a fleet and its environment.
 type Fleet struct {
 	Options
 	Clock     *standin.Clock
@@ -137,29 +139,29 @@
 	Nodes     []*standin.Node
 	Proxies   []*Proxy
 	*standin.Mesh
-	paths [][]standin.Path // by node and proxy
+	paths [][]standin.Path // by node, then proxy
 	mu    sync.Mutex
 	notes []Note
 	puts  []put
 	load  *load
-	texts []Settings // all that were ever put to the fleet
+	texts []Settings // all settings that were ever proposed or written to a file
 	log   register
-	filed bool // files were put to the fleet, whose answers nobody wrote down
+	filed bool // settings were proposed through files, whose outcome is not in log
 }
 
-// put is what the lists' truth says of a node from a time on.
+// put is a change of a node's state in service discovery.
 type put struct {
 	at          time.Duration
 	node, state string
 }
 
-// Note is what the harness did to the fleet, and when.
+// Note is an action of the harness and its time.
 type Note struct {
 	At   time.Duration
 	What string
 }
 
-// Note writes down that something is done now.
+// Note records an action at the current time and returns that time.
 func (f *Fleet) Note(format string, args ...any) time.Duration {
 	at := f.Clock.Now()
 	f.mu.Lock()
@@ -168,14 +170,14 @@
 	return at
 }
 
-// Notes are all notes.
+// Notes returns a copy of all notes.
 func (f *Fleet) Notes() []Note {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]Note(nil), f.notes...)
 }
 
-// Proxy is one proxy over all its processes.
+// Proxy is one proxy with all processes that ran for it.
 type Proxy struct {
 	N            int
 	Name         string
@@ -183,24 +185,24 @@
 	fleet        *Fleet
 	fleetAddr    string
 	settings     Settings
-	Disk         string // its folder
-	trace        *tap   // in which it says what it goes by
+	Disk         string // its data folder
+	trace        *tap   // collects its trace of the versions in force and the attempts
 	agent        *standin.Agent
 	cmd          *exec.Cmd
 	ended        chan struct{}
 	log          *os.File
 	mu           sync.Mutex
-	away         []Span // when it was stopped or dead
-	closed       []Span // in which it was about to end, and took no new connections
+	away         []Span // when it was stopped or not running
+	closed       []Span // while it shut down and accepted no new connections
 	deaths       []time.Duration
 	Starts       int
-	held         *os.File // the clients' listener; nil: each process opens it
+	held         *os.File // the client listener; nil: each process opens its own
 }
 
-// Span is a stretch of a run; To 0 is still on.
+// Span is a period of a run. To 0 means that it has not ended.
 type Span struct{ From, To time.Duration }
 
-// New makes a fleet's nodes, lists, links and files. No proxy runs yet.
+// New creates a fleet's nodes, discovery, links and files. It starts no proxy.
 func New(o Options) (*Fleet, error) {
 	f := &Fleet{Options: o, Clock: standin.NewClock(), Journal: &standin.Journal{}}
 	f.Discovery = standin.NewDiscovery(f.Clock, f.Journal)
@@ -294,7 +296,7 @@
 	return standin.Entry{InstanceID: fmt.Sprintf("s-%d", i), Zone: "koper", MachineType: "mid-2c", Lifecycle: state, Weight: 1}
 }
 
-// Put tells the lists' truth of a node: Ready, Terminating or Gone.
+// Put sets the state of a node in service discovery: Ready, Terminating or Gone.
 func (f *Fleet) Put(node int, state string) time.Duration {
 	at := f.Note("s-%d is %s", node, state)
 	f.mu.Lock()
@@ -304,14 +306,14 @@
 	return at
 }
 
-// Late makes the lists of a proxy late from now on.
+// Late delays the discovery updates of a proxy from now on.
 func (p *Proxy) Late(by time.Duration) { p.agent.Late(by) }
 
 func (p *Proxy) path(what string) string {
 	return filepath.Join(p.fleet.Dir, fmt.Sprintf("%s-%d", what, p.N))
 }
 
-// WriteFile puts settings into the proxy's file, whole. The process hears of it at SIGHUP.
+// WriteFile atomically replaces the proxy's settings file. The process reads it at SIGHUP.
 func (p *Proxy) WriteFile(s Settings) error {
 	p.settings = s
 	text, err := json.Marshal(map[string]any{
@@ -324,7 +326,7 @@
 	return p.replace("config", text)
 }
 
-// WriteRaw puts any text into its file.
+// WriteRaw atomically replaces the proxy's settings file with any text.
 func (p *Proxy) WriteRaw(text string) error { return p.replace("config", []byte(text)) }
 
 func (p *Proxy) replace(what string, text []byte) error {
@@ -334,7 +336,7 @@
 	return os.Rename(p.path(what)+".new", p.path(what))
 }
 
-// writeOwn writes what the operator sets: the fleet.
+// writeOwn writes the operator's settings file, which configures the fleet.
 func (p *Proxy) writeOwn() error {
 	f := p.fleet
 	if f.Keepers == 0 {
@@ -352,7 +354,7 @@
 	return p.replace("own", []byte(b.String()))
 }
 
-// reach is where one proxy reaches another.
+// reach returns the address at which one proxy reaches another.
 func (f *Fleet) reach(from, to int) string {
 	if f.Mesh == nil {
 		return f.Proxies[to].fleetAddr
@@ -360,7 +362,7 @@
 	return f.Addr(from, to)
 }
 
-// Start begins a process of the proxy, and does not wait for it.
+// Start starts a process of the proxy and does not wait until it is ready.
 func (p *Proxy) Start() error {
 	cmd := exec.Command(p.fleet.Program, "--config", p.path("own"))
 	cmd.Env = append(os.Environ(), "NODE_CONFIG="+p.path("config"), "NODE_NAME=", "NODE_LISTEN=", "NODE_DISCOVERY=", "NODE_CONTROL=", "NODE_SOCKET_FD=", "TMPDIR="+p.Disk)
@@ -368,10 +370,10 @@
 		cmd.ExtraFiles = []*os.File{p.held} // descriptor 3
 		cmd.Env = append(cmd.Env, "NODE_SOCKET_FD=3", "NODE_CONTROL="+p.Door)
 	}
-	// By a pipe: a limit on the sizes of its files is no limit on what it says.
+	// plainWriter makes exec use a pipe, so that the RLIMIT_FSIZE of the disk-full fault does not limit the log.
 	cmd.Stdout, cmd.Stderr = plainWriter{p.log}, plainWriter{p.log}
-	// A hang-up of the terminal is no SIGHUP of the test's; and what the test leaves when it is killed ends with it:
-	// with the thread that started it, so that one stays until then.
+	// Its own process group keeps a hang-up of the terminal from reaching it as SIGHUP. Pdeathsig kills it if the test is
+	// killed; it fires when the starting thread ends, so the goroutine below keeps that thread until the process ends.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -388,14 +390,14 @@
 		}
 	}()
 	if err := <-started; err != nil {
-		return fmt.Errorf("start %s: %w", p.Name, err)
+		return fmt.Errorf("starting %s: %w", p.Name, err)
 	}
 	p.Starts++
 	p.cmd, p.ended = cmd, ended
 	return nil
 }
 
-// gone notes that a process has ended.
+// gone records that a process has ended.
 func (p *Proxy) gone(cmd *exec.Cmd) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -405,14 +407,14 @@
 	}
 }
 
-// died tells whether a process of the proxy ended within a stretch, with none beside it.
+// died reports whether the proxy's current process ended after from and no later than to.
 func (p *Proxy) died(from, to time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.ContainsFunc(p.deaths, func(at time.Duration) bool { return from < at && at <= to })
 }
 
-// begin and finish a stretch in which the proxy is away. The caller has the lock.
+// begin and finish bound a period in which the proxy is away. The caller holds p.mu.
 func (p *Proxy) begin() {
 	if n := len(p.away); n == 0 || p.away[n-1].To != 0 {
 		p.away = append(p.away, Span{From: p.fleet.Clock.Now()})
@@ -425,7 +427,7 @@
 	}
 }
 
-// Away tells whether the proxy was stopped or dead at any time of a stretch.
+// Away reports whether the proxy was stopped or not running at any time from from to to.
 func (p *Proxy) Away(from, to time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -437,7 +439,7 @@
 	return false
 }
 
-// Ready waits until the process serves.
+// Ready waits until the process reports that it is ready.
 func (p *Proxy) Ready() error {
 	for until := time.Now().Add(Patience); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 		if status, _, err := p.Ask("/control/ready"); err == nil && status == http.StatusOK {
@@ -448,14 +450,14 @@
 		}
 		select {
 		case <-p.ended:
-			return fmt.Errorf("%s ended at its start:\n%s", p.Name, p.Log())
+			return fmt.Errorf("%s exited before it was ready:\n%s", p.Name, p.Log())
 		default:
 		}
 	}
-	return fmt.Errorf("%s is never ready:\n%s", p.Name, p.Log())
+	return fmt.Errorf("%s did not become ready in time:\n%s", p.Name, p.Log())
 }
 
-// StartAll starts all proxies and waits until they serve.
+// StartAll starts all proxies and waits until they are ready.
 func (f *Fleet) StartAll() error {
 	for _, p := range f.Proxies {
 		if err := p.Start(); err != nil {
@@ -472,7 +474,7 @@
 
 var doorClient = &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// Ask asks the proxy's door.
+// Ask sends a GET request to the proxy's control address.
 func (p *Proxy) Ask(path string) (int, []byte, error) {
 	resp, err := doorClient.Get("http://" + p.Door + path)
 	if err != nil {
@@ -483,7 +485,7 @@
 	return resp.StatusCode, body, err
 }
 
-// Post hands the door a text.
+// Post sends a POST request with a JSON body to the proxy's control address.
 func (p *Proxy) Post(path string, text []byte) (int, []byte, error) {
 	resp, err := doorClient.Post("http://"+p.Door+path, "application/json", bytes.NewReader(text))
 	if err != nil {
@@ -494,7 +496,7 @@
 	return resp.StatusCode, body, err
 }
 
-// Log is what its processes have written.
+// Log returns the output of all its processes.
 func (p *Proxy) Log() string {
 	data, err := os.ReadFile(p.log.Name())
 	if err != nil {
@@ -503,16 +505,16 @@
 	return string(data)
 }
 
-// Signal sends the process a signal.
+// Signal sends a signal to the process.
 func (p *Proxy) Signal(s syscall.Signal) {
 	p.fleet.Note("%v to %s", s, p.Name)
 	p.cmd.Process.Signal(s)
 }
 
-// Hangup lets it read its files again.
+// Hangup makes it reload its files.
 func (p *Proxy) Hangup() { p.Signal(syscall.SIGHUP) }
 
-// Stop and Continue hold its process up, and let it go on.
+// Stop suspends its process with SIGSTOP until Continue.
 func (p *Proxy) Stop() {
 	p.mu.Lock()
 	p.begin()
@@ -520,7 +522,7 @@
 	p.Signal(syscall.SIGSTOP)
 }
 
-// Continue is described with Stop.
+// Continue resumes a process that Stop suspended.
 func (p *Proxy) Continue() {
 	p.Signal(syscall.SIGCONT)
 	p.mu.Lock()
@@ -528,8 +530,8 @@
 	p.mu.Unlock()
 }
 
-// Kill ends its process at once. The proxy is away from the signal on: a dying process still has connections in its
-// backlog, which the system resets, and its end is heard of later than that.
+// Kill kills its process and waits for its end. The proxy counts as away from the signal on: the system resets the
+// connections in the backlog of the killed process before the harness sees the exit.
 func (p *Proxy) Kill() {
 	p.mu.Lock()
 	p.begin()
@@ -538,10 +540,10 @@
 	<-p.ended
 }
 
-// acceptsFor is how long new connections come after the signal to stop, as the platform has it; later ones are refused.
+// acceptsFor is how long a proxy must accept new connections after SIGTERM, as on the platform; later ones it may refuse.
 const acceptsFor = 400 * time.Millisecond
 
-// Term asks its process to end.
+// Term sends SIGTERM and waits for its end; it kills a process that is still running after Patience.
 func (p *Proxy) Term() {
 	from := p.fleet.Clock.Now() + acceptsFor
 	p.Signal(syscall.SIGTERM)
@@ -555,14 +557,14 @@
 	p.closed = append(p.closed, Span{From: from, To: p.fleet.Clock.Now()})
 }
 
-// Closed tells whether the proxy was about to end then, and took no new connections any more.
+// Closed reports whether the proxy was shutting down at a time and accepted no new connections.
 func (p *Proxy) Closed(at time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.ContainsFunc(p.closed, func(s Span) bool { return s.From <= at && at <= s.To })
 }
 
-// KeepDisk copies the proxy's disk, for SetDisk. Only of a process that is stopped or dead.
+// KeepDisk saves a copy of the proxy's disk, for SetDisk. Its process must be suspended or not running.
 func (p *Proxy) KeepDisk(as string) error {
 	data, err := os.ReadFile(filepath.Join(p.Disk, "fleet.db"))
 	if err != nil {
@@ -571,7 +573,7 @@
 	return os.WriteFile(filepath.Join(p.fleet.Dir, as), data, 0o600)
 }
 
-// SetDisk puts a copy in the place of a dead proxy's disk; "" is an empty one.
+// SetDisk replaces the disk of a proxy that is not running with a copy that KeepDisk saved, or with an empty one for "".
 func (p *Proxy) SetDisk(from string) error {
 	if err := os.RemoveAll(p.Disk); err != nil {
 		return err
@@ -586,7 +588,7 @@
 	return os.WriteFile(filepath.Join(p.Disk, "fleet.db"), data, 0o600)
 }
 
-// Upgrade starts a second process of the proxy beside the first, and ends that when the new one is ready.
+// Upgrade starts a second process of the proxy and terminates the first one when the second is ready.
 func (p *Proxy) Upgrade() error {
 	p.fleet.Note("%s is upgraded", p.Name)
 	old, oldEnded := p.cmd, p.ended
@@ -607,11 +609,11 @@
 		return nil
 	case <-time.After(Patience):
 		old.Process.Kill()
-		return fmt.Errorf("%s: the process before does not end", p.Name)
+		return fmt.Errorf("%s: the old process did not exit in time after SIGTERM", p.Name)
 	}
 }
 
-// Close ends all that runs.
+// Close stops the load, all processes, links, discovery and nodes.
 func (f *Fleet) Close() {
 	if f.load != nil {
 		f.load.stop()
@@ -638,10 +640,10 @@
 	}
 }
 
-// plainWriter hides that a writer is a file.
+// plainWriter hides that a writer is a file, so that exec copies to it through a pipe.
 type plainWriter struct{ io.Writer }
 
-// tap is a pipe with a name, whose text is kept: what a process writes there needs no room on its disk.
+// tap is a named pipe whose content is kept in memory, so that a process with a full disk can still write its trace.
 type tap struct {
 	path string
 	pipe *os.File
@@ -677,7 +679,7 @@
 	return t, nil
 }
 
-// read gives all that has been written by now.
+// read returns everything that has been written so far. It writes tapEnd and waits until that arrives.
 func (t *tap) read() ([]byte, error) {
 	if _, err := t.pipe.WriteString(tapEnd); err != nil {
 		return nil, err
@@ -690,7 +692,7 @@
 			return text, nil
 		}
 	}
-	return nil, fmt.Errorf("%s: its end does not come", t.path)
+	return nil, fmt.Errorf("%s: timed out waiting for the end marker of the trace", t.path)
 }
 
 func (t *tap) close() {
@@ -698,19 +700,19 @@
 	<-t.done
 }
 
-// Split cuts the fleet between sides, and Heal takes all weather away: with a note each.
+// Split cuts all links between the sides.
 func (f *Fleet) Split(sides ...[]int) {
 	f.Note("split %v", sides)
 	f.Mesh.Split(sides...)
 }
 
-// Heal is described with Split.
+// Heal removes all faults from the links.
 func (f *Fleet) Heal() {
 	f.Note("healed")
 	f.Mesh.Heal()
 }
 
-// Use is what a proxy's process has used so far: seconds of a core, and megabytes that are its own.
+// Use returns the CPU seconds that a proxy's process has used so far, and its private memory in megabytes.
 func (p *Proxy) Use() (cpu, private float64) {
 	pid := p.cmd.Process.Pid
 	if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid)); err == nil {
@@ -719,7 +721,7 @@
 			var user, system float64
 			fmt.Sscan(fields[11], &user)
 			fmt.Sscan(fields[12], &system)
-			cpu = (user + system) / 100 // the kernel's ticks a second, as /proc has them
+			cpu = (user + system) / 100 // /proc counts in ticks, 100 per second
 		}
 	}
 	if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/smaps_rollup", pid)); err == nil {
@@ -736,12 +738,12 @@
 	return cpu, private
 }
 
-// Build builds the daemon into a folder and gives its path.
+// Build builds the daemon into a folder and returns the path of the program.
 func Build(dir string) (string, error) {
 	to := filepath.Join(dir, "marlreel")
 	out, err := exec.Command("go", "build", "-o", to, "marlreel/cmd/marlreel").CombinedOutput()
 	if err != nil {
-		return "", fmt.Errorf("build: %w\n%s", err, out)
+		return "", fmt.Errorf("building the daemon: %w\n%s", err, out)
 	}
 	return to, nil
 }
--- a/internal/fleettest/history.go
+++ b/internal/fleettest/history.go
@@ -14,7 +14,7 @@
 	"marlreel/internal/standin"
 )
 
-// Event is one thing that a drawn history does to a fleet.
+// Event is one action or fault of a random history.
 type Event struct {
 	At, For time.Duration
 	Kind    string
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("%.1f s %s %d %d for %.1f s", e.At.Seconds(), e.Kind, e.A, e.B, e.For.Seconds())
 }
 
-// History is a fleet and what happens to it, drawn from a seed.
+// History is a fleet and a schedule of events, generated from a seed.
 type History struct {
 	Seed    uint64
 	Proxies int
@@ -34,7 +34,7 @@
 }
 
 func (h History) String() string {
-	text := fmt.Sprintf("seed %d: %d proxies, agreed within %v", h.Seed, h.Proxies, h.Within)
+	text := fmt.Sprintf("seed %d: %d proxies, agree-within %v", h.Seed, h.Proxies, h.Within)
 	for _, e := range h.Events {
 		text += "\n  " + e.String()
 	}
@@ -43,7 +43,7 @@
 
 const historyLength = 9 * time.Second
 
-// Draw draws a history.
+// Draw generates the history of a seed.
 func Draw(seed uint64) History {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	h := History{Seed: seed, Proxies: 3 + rng.IntN(6), Within: time.Duration(2+rng.IntN(2)) * time.Second}
@@ -64,7 +64,7 @@
 	func(s Settings) Settings { return s.Try(1).With(Class{"notice", "retryable", time.Second}) },
 }
 
-// Play plays it with the built program, and gives the auditor's verdict.
+// Play runs the history with the built program and returns the auditor's verdict.
 func (h History) Play(program, dir string) (v Verdict, notes string, err error) {
 	f, err := New(Options{Program: program, Dir: dir, Proxies: h.Proxies, Keepers: 3, Nodes: 3, Settings: Usual(), Errors: 0.25, Within: h.Within, Seed: h.Seed})
 	defer func() {
@@ -96,7 +96,7 @@
 		r.do(e)
 	}
 	r.until(historyLength + 5*time.Second)
-	// The end: all that is broken is mended, and all agree again.
+	// At the end all faults are removed, and all proxies must agree again.
 	f.Heal()
 	r.asked.Wait()
 	for _, p := range f.Proxies {
@@ -123,13 +123,13 @@
 	return v, "", err
 }
 
-// run is a history that is being played.
+// run is the state of a running history.
 type run struct {
 	f      *Fleet
 	start  time.Time
 	asked  sync.WaitGroup
 	later  []step
-	spoilt map[int]bool // keepers whose disks were lost or set back: of less than half, as consensus wants it
+	spoilt map[int]bool // keepers whose disks were lost or set back: consensus tolerates that only for a minority
 }
 
 type step struct {
@@ -137,7 +137,7 @@
 	do func()
 }
 
-// until lets time pass, and what was to be done on the way be done.
+// until sleeps until a time of the run and executes the scheduled steps that come due.
 func (r *run) until(at time.Duration) {
 	for {
 		sort.SliceStable(r.later, func(i, j int) bool { return r.later[i].at < r.later[j].at })
@@ -156,7 +156,7 @@
 	r.later = append(r.later, step{time.Since(r.start) + d, do})
 }
 
-// here tells whether a proxy's process runs.
+// here reports whether a proxy's process is running and not suspended.
 func (r *run) here(p *Proxy) bool {
 	now := r.f.Clock.Now()
 	return !p.Away(now, now)
@@ -173,7 +173,7 @@
 		}
 		r.f.Note("%s starts again", p.Name)
 		p.Start()
-		p.Ready() // one that is not is found at the end
+		p.Ready() // a proxy that isn't ready is detected at the end
 	})
 }
 
@@ -226,7 +226,7 @@
 		} else {
 			k.KeepDisk("older")
 			r.kill(k, e.For, func() {
-				f.Heal() // that a disk was set back is found where who saw it speak can be reached
+				f.Heal() // the rollback is detected only if peers that saw the newer state can be reached
 				k.SetDisk("older")
 			})
 		}
@@ -276,7 +276,7 @@
 	}
 }
 
-// mend lets a proxy be there again, with all that it has.
+// mend makes a proxy run again, with its disk usable and, if its disk was damaged, as a keeper.
 func (r *run) mend(p *Proxy) error {
 	if !r.here(p) {
 		p.Continue()
@@ -295,21 +295,21 @@
 	if err := s.disk(p, "well"); err != nil {
 		return err
 	}
-	if r.spoilt[p.N] { // an operator takes it in again
+	if r.spoilt[p.N] { // an operator adds it as a keeper again
 		for try := 0; ; try++ {
 			r, err := r.f.Proxies[(p.N+1)%r.f.Keepers].Operator(http.MethodPost, "/fleet/keepers", url.Values{"name": {p.Name}, "add": {"true"}}, nil, Patience)
 			if err == nil && r.Error == "" {
 				break
 			}
 			if try > 3 {
-				break // it may still keep the log under its old identity: a disk that was set back by nothing
+				break // it may still be a keeper under its old identity, if the copy of its disk was not older
 			}
 		}
 	}
 	return nil
 }
 
-// Shorten leaves out of a history that fails what it fails without, in so many plays at most.
+// Shorten removes events without which the history still fails, with at most the given number of runs.
 func (h History) Shorten(plays int, fails func(History) bool) History {
 	for i := len(h.Events) - 1; i >= 0 && plays > 0; i-- {
 		less := h
--- a/internal/fleettest/history_test.go
+++ b/internal/fleettest/history_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Drawn histories of real processes: whatever fails, no two proxies act on rules that contradict each other for
-// longer than they agreed on, no rule breaks, no answer is lost, and in the end all agree. MARLREEL_HISTORIES says
-// how many, MARLREEL_SEED from which seed on.
+// Random histories of real processes: under any faults, no two proxies act on contradictory settings for longer than
+// agree-within, no rule is violated, no response is lost, and in the end all proxies agree. MARLREEL_HISTORIES sets the
+// number of histories, MARLREEL_SEED the first seed and MARLREEL_SIDE how many run in parallel.
 func TestHistories(t *testing.T) {
 	many, from, side := 6, uint64(1), 3
 	fmt.Sscan(os.Getenv("MARLREEL_HISTORIES"), &many)
@@ -25,7 +25,7 @@
 			room <- struct{}{}
 			defer func() { <-room }()
 			v, notes, err := h.Play(program, t.TempDir())
-			t.Logf("%d proxies: %d acts, %d by no lease, %d of %d served; contradicted for %.2f s of %v at most (%d acts), ended nodes got work for %.2f s, %d versions in use",
+			t.Logf("%d proxies: %d attempts, %d without a lease, %d of %d served; contradictory settings for at most %.2f s of %v (%d attempts), draining nodes got requests for %.2f s, %d versions in use",
 				h.Proxies, v.Acts, v.Strict, v.Served, v.Answered, v.Longest.Seconds(), h.Within, v.Contradict, v.Drain.Seconds(), v.InUse)
 			if err == nil && len(v.Breaks) == 0 {
 				return
@@ -42,7 +42,7 @@
 				v, _, err := less.Play(program, t.TempDir())
 				return err != nil || len(v.Breaks) > 0
 			})
-			t.Errorf("the shortest that fails:\n%v", short)
+			t.Errorf("shortened history that fails:\n%v", short)
 		})
 	}
 }
--- a/internal/fleettest/load.go
+++ b/internal/fleettest/load.go
@@ -13,16 +13,16 @@
 	"time"
 )
 
-// Answer is what a client got.
+// Answer is a client's request and its outcome.
 type Answer struct {
 	ID, Class   string
 	Proxy       int
 	Sent, Ended time.Duration
-	Status      int  // 0: none
-	Fresh       bool // the request's connection was new
+	Status      int  // 0: no response
+	Fresh       bool // the request was the first on its connection
 }
 
-// load is the clients: some for each proxy, each asks one request at a time.
+// load is a set of clients, some for each proxy. Each has at most one request in flight.
 type load struct {
 	f       *Fleet
 	halt    chan struct{}
@@ -33,7 +33,7 @@
 	lastID  uint64
 }
 
-// Load lets so many clients for each proxy ask for the classes, a request every so often each, until Unload.
+// Load starts clients for each proxy. Each sends a request of a random class per interval, until Unload.
 func (f *Fleet) Load(clients int, every time.Duration, classes ...Class) {
 	l := &load{f: f, halt: make(chan struct{})}
 	f.load = l
@@ -44,7 +44,7 @@
 	}
 }
 
-// Unload ends the clients and gives what they got.
+// Unload stops the clients and returns the outcomes of their requests.
 func (f *Fleet) Unload() []Answer {
 	f.load.stop()
 	return f.load.answers
@@ -62,7 +62,7 @@
 	return fmt.Sprintf("%016x", l.f.Seed<<40+l.lastID)
 }
 
-// client asks again and again. A connection ends with what goes wrong on it.
+// client sends requests until the load stops. It replaces its connection after an error.
 func (l *load) client(p *Proxy, rng *rand.Rand, every time.Duration, classes []Class) {
 	var c net.Conn
 	var in *bufio.Reader
@@ -85,7 +85,7 @@
 			var err error
 			if c, err = net.DialTimeout("tcp", p.Listen, time.Second); err != nil {
 				c = nil
-				continue // nothing was taken
+				continue // the proxy did not accept the request, so there is nothing to record
 			}
 			in = bufio.NewReader(c)
 		}
--- a/internal/fleettest/measure_test.go
+++ b/internal/fleettest/measure_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// program is the daemon, built once for all tests of the package.
+// program is the path of the daemon, built once for all tests of the package.
 var program string
 
 func TestMain(m *testing.M) {
@@ -34,11 +34,12 @@
 	os.Exit(code)
 }
 
-// The stricter settings of TestMeasureContradiction: one attempt, and a class less.
+// stricter returns the settings after the change in TestMeasureContradiction: one attempt, and one class less.
 func stricter() Settings { return Usual().Try(1).Without("pickup") }
 
-// How long two of five proxies act on rules that contradict each other after a change that tightens, where one
-// turns the file down, one gets no signal, one is stopped over the change. MARLREEL_MEASURE=1 plays it.
+// Measures how long any of five proxies still acts on the old settings after a change to stricter ones: if all take the
+// change, one rejects its file, one gets no signal, or one is suspended during the change. Runs if MARLREEL_MEASURE is
+// set; MARLREEL_MEASURE=alone runs the proxies without keepers.
 func TestMeasureContradiction(t *testing.T) {
 	if os.Getenv("MARLREEL_MEASURE") == "" {
 		t.Skip("MARLREEL_MEASURE is not set")
@@ -62,7 +63,7 @@
 			}
 		}
 		f.Load(4, 20*time.Millisecond, Usual().Classes...)
-		time.Sleep(2 * time.Second) // of ordinary service
+		time.Sleep(2 * time.Second) // of normal operation
 		last := f.Proxies[4]
 		for _, p := range f.Proxies {
 			p.WriteFile(stricter())
@@ -99,8 +100,8 @@
 	}
 }
 
-// What a fleet costs, and how soon all go by a new version: 3, 9, 30 and 300 processes on this machine.
-// MARLREEL_MEASURE=1 plays it; MARLREEL_SIZES says which.
+// Measures the idle resource usage of a fleet, and how soon a new version is in force at all proxies, with 3, 9, 30 and
+// 300 processes on this machine. Runs if MARLREEL_MEASURE is set; MARLREEL_SIZES selects other sizes.
 func TestMeasureFleet(t *testing.T) {
 	if os.Getenv("MARLREEL_MEASURE") == "" {
 		t.Skip("MARLREEL_MEASURE is not set")
@@ -130,7 +131,7 @@
 			t.Fatal(err)
 		}
 		const rest = 20 * time.Second
-		time.Sleep(5 * time.Second) // the founding's own work is not what is measured
+		time.Sleep(5 * time.Second) // the work of forming the fleet is not measured
 		cpu, sent := make([]float64, n), make([]int64, n)
 		for i, p := range f.Proxies {
 			cpu[i], _ = p.Use()
@@ -165,7 +166,7 @@
 	}
 }
 
-// What is served while all keepers are gone. MARLREEL_MEASURE=1 plays it.
+// Measures the share of requests served while all keepers are down. Runs if MARLREEL_MEASURE is set.
 func TestMeasureWithoutKeepers(t *testing.T) {
 	if os.Getenv("MARLREEL_MEASURE") == "" {
 		t.Skip("MARLREEL_MEASURE is not set")
--- a/internal/fleettest/operators.go
+++ b/internal/fleettest/operators.go
@@ -18,7 +18,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Status is what a proxy says of itself at its door, as far as the harness reads it.
+// Status is the part of a proxy's status at its control address that the harness reads.
 type Status struct {
 	Versions []uint64 `json:"versions"`
 	Strict   bool     `json:"strict"`
@@ -49,7 +49,7 @@
 	} `json:"view"`
 }
 
-// Status asks the proxy's door.
+// Status fetches the status from the proxy's control address.
 func (p *Proxy) Status() (s Status, err error) {
 	status, body, err := p.Ask("/control/fleet")
 	if err != nil {
@@ -61,12 +61,12 @@
 	return s, json.Unmarshal(body, &s)
 }
 
-// Goes tells whether a proxy goes by a version, whole and under a lease.
+// Goes reports whether a version is the only one in force at a proxy and the proxy holds a lease.
 func (s Status) Goes(version uint64) bool {
 	return !s.Strict && len(s.Versions) == 1 && s.Versions[0] == version
 }
 
-// Reply is what a proxy's operators' socket answers.
+// Reply is a response of a proxy's operator socket.
 type Reply struct {
 	Version uint64 `json:"version"`
 	Same    bool   `json:"same"`
@@ -76,7 +76,7 @@
 	Status  int    `json:"-"`
 }
 
-// Operator asks a proxy's socket.
+// Operator sends a request to a proxy's operator socket.
 func (p *Proxy) Operator(method, path string, query url.Values, body []byte, patience time.Duration) (r Reply, err error) {
 	socket := filepath.Join(p.Disk, "fleet.sock")
 	client := &http.Client{Timeout: patience, Transport: &http.Transport{
@@ -103,7 +103,7 @@
 	return r, json.Unmarshal(text, &r)
 }
 
-// register is the log as operators see it: proposals on a base, and readings of the newest version.
+// register records what operators observe of the replicated log: proposals on a base version and reads of the newest.
 type register struct {
 	mu  sync.Mutex
 	ops []porcupine.Operation
@@ -116,9 +116,9 @@
 }
 
 type regOut struct {
-	known   bool // an answer came
+	known   bool // a response arrived
 	taken   bool
-	version uint64 // taken: the one it is; refused: the newest; read: the newest
+	version uint64 // accepted proposal: its version; rejected proposal or read: the newest version
 }
 
 type regState struct {
@@ -126,7 +126,7 @@
 	text    string
 }
 
-// model says what a log that is one may answer.
+// model is the sequential specification of the log for the linearizability check.
 var model = porcupine.Model{
 	Init: func() any { return regState{} },
 	Step: func(state, input, output any) (bool, any) {
@@ -137,7 +137,7 @@
 		next := regState{s.version + 1, in.text}
 		switch {
 		case !out.known && in.base == s.version:
-			return true, next // one that came to nothing is taken to come after all others
+			return true, next // a proposal without effect is modelled by ordering it after all others
 		case !out.known:
 			return true, s
 		case out.taken && in.text == s.text:
@@ -153,25 +153,25 @@
 	},
 }
 
-// note writes an operation down.
+// note records an operation.
 func (g *register) note(client int, from, to time.Duration, in regIn, out regOut) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !out.known {
-		to = time.Hour // it may still come true
+		to = time.Hour // without a response, it may take effect at any later time
 	}
 	g.ops = append(g.ops, porcupine.Operation{ClientId: client, Input: in, Call: int64(from), Output: out, Return: int64(to)})
 }
 
-// Propose puts settings to the fleet by a proxy, on a version that it was seen to know, and writes the answer down
-// for the check of the log.
+// Propose proposes settings through a proxy, based on the newest version that the proxy shows, and records the outcome
+// for the linearizability check.
 func (f *Fleet) Propose(p *Proxy, s Settings, patience time.Duration) (Reply, error) {
 	base := uint64(0)
 	if st, err := p.Status(); err == nil && len(st.View.Versions) > 0 {
 		base = st.View.Versions[len(st.View.Versions)-1].Number
 	}
 	f.mu.Lock()
-	f.texts = append(f.texts, s) // whatever comes of it, it may be decided
+	f.texts = append(f.texts, s) // it may be decided even if the call fails
 	f.mu.Unlock()
 	from := f.Note("%s proposes %d attempts, %d classes on %d", p.Name, s.Attempts, len(s.Classes), base)
 	r, err := p.Operator(http.MethodPost, "/fleet/propose", url.Values{"by": {"harness"}, "base": {fmt.Sprint(base)}}, f.Text(s), patience)
@@ -184,7 +184,7 @@
 	return r, err
 }
 
-// Read asks a proxy for the newest version, as a majority has it.
+// Read reads the newest version, confirmed by a majority, through a proxy and records it for the linearizability check.
 func (f *Fleet) Read(p *Proxy, patience time.Duration) {
 	from := f.Clock.Now()
 	r, err := p.Operator(http.MethodGet, "/fleet/newest", nil, nil, patience)
@@ -193,8 +193,8 @@
 	}
 }
 
-// Linearizable tells whether all that operators were told is what one log may have told. first is the settings that
-// the fleet was founded with.
+// Linearizable returns an error if the responses to operators are not linearizable. The fleet's initial settings count
+// as the first operation, which created version 1.
 func (f *Fleet) Linearizable() error {
 	f.log.mu.Lock()
 	defer f.log.mu.Unlock()
@@ -204,7 +204,7 @@
 		for _, o := range ops {
 			text += fmt.Sprintf("%.3f to %.3f: %s\n", time.Duration(o.Call).Seconds(), time.Duration(o.Return).Seconds(), model.DescribeOperation(o.Input, o.Output))
 		}
-		return fmt.Errorf("no order of the operations explains what operators were told:\n%s", text)
+		return fmt.Errorf("the responses to operators are not linearizable:\n%s", text)
 	}
 	return nil
 }
--- a/internal/fleettest/rogue.go
+++ b/internal/fleettest/rogue.go
@@ -15,13 +15,13 @@
 	"marlreel/internal/standin"
 )
 
-// Rogue is a peer that has the fleet's key, or another, and says what no proxy says.
+// Rogue is a malicious peer, with the fleet's key or another one, that sends messages that no proxy sends.
 type Rogue struct {
 	list *memberlist.Memberlist
 	to   *memberlist.Node
 }
 
-// NewRogue tries to join a proxy's fleet under a name, with a key and as of a fleet.
+// NewRogue starts a peer with a name, a key and a fleet name, and tries to join the fleet through proxy p.
 func (f *Fleet) NewRogue(p *Proxy, name, fleet string, key []byte) (*Rogue, error) {
 	addr, err := standin.Address()
 	if err != nil {
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, err
 	}
-	list.Join([]string{p.Name + "/" + p.fleetAddr}) // whether it may is what the tests look at
+	list.Join([]string{p.Name + "/" + p.fleetAddr}) // may fail: the tests check whether the proxy admits it
 	host, port = split(p.fleetAddr)
 	return &Rogue{list, &memberlist.Node{Name: p.Name, Addr: net.ParseIP(host), Port: uint16(port)}}, nil
 }
@@ -57,12 +57,12 @@
 	return host, port
 }
 
-// Say sends a message as if it were a proxy's.
+// Say sends a message to the proxy, with from as the claimed sender.
 func (r *Rogue) Say(from string, data []byte) {
 	r.list.SendReliable(r.to, append(append([]byte{byte(len(from))}, from...), data...))
 }
 
-// Babble sends noise, a message beyond any bound, one of an old form, and ones that lie about who leads.
+// Babble sends random bytes, an oversized message, one in an old format, and forged messages of consensus and leases.
 func (r *Rogue) Babble(rng *rand.Rand) {
 	for range 20 {
 		noise := make([]byte, rng.IntN(2000))
@@ -78,10 +78,10 @@
 	r.Say("", nil)
 }
 
-// Close ends it.
+// Close shuts the peer down.
 func (r *Rogue) Close() { r.list.Shutdown() }
 
-// Scream sends bytes that are of no key at a proxy's fleet address, by stream and by datagram.
+// Scream sends random bytes, encrypted with no key, to a proxy's fleet address by TCP and UDP.
 func (p *Proxy) Scream(rng *rand.Rand) {
 	for range 5 {
 		noise := make([]byte, 1+rng.IntN(4000))
--- a/internal/fleettest/story.go
+++ b/internal/fleettest/story.go
@@ -19,31 +19,31 @@
 	"marlreel/internal/standin"
 )
 
-// A story is a file that a person can read: what happens to a fleet, line by line, and what is expected of it. All
-// are played by this one interpreter, and at the end of each the auditor looks at everything that was done.
+// A story is a test script in a text file: one command or expectation per line. This interpreter runs all of them, and
+// the auditor checks the whole run at the end of each.
 //
 //	fleet proxies=5 keepers=3 nodes=3 within=2s errors=0.2   the fleet; the first line
-//	start                       all proxies, until they go by version 1
-//	start-only                  all proxies, until they serve
-//	load                        clients ask from now on
-//	pass 500ms                  time passes: the length of a fault, never a wait for something to come
-//	file n3 attempts=1 -pickup  write settings into a proxy's file ("broken": what is no file)
+//	start                       start all proxies and wait until version 1 is in force
+//	start-only                  start all proxies and wait until they are ready
+//	load                        start the clients
+//	pass 500ms                  sleep: the duration of a fault, never a wait for an event
+//	file n3 attempts=1 -pickup  write a proxy's settings file ("broken": invalid JSON)
 //	hup n0 n1                   SIGHUP
-//	propose n0 attempts=2       by the operators' socket; ends with "decided", "refused TEXT" or "lost"
-//	expect n0,n1 version=2      wait for it; also: strict, leased, keeps, unkept, seated, unseated, behind, ended=s-1, log=TEXT
-//	never n3 version=2          it is not so now
+//	propose n0 attempts=2       through the operator socket; a line ends with the expected outcome: "decided", "refused TEXT", "lost" or "any"
+//	expect n0,n1 version=2      wait for a state; also: attempts=3, strict, leased, keeps, unkept, seated, unseated, behind, ended=s-1, log=TEXT
+//	never n3 version=2          fail if the state holds now
 //	stop, continue, kill, restart, term, upgrade   a proxy's process
 //	disk n1 keep|set|empty|torn|full|well|of=n2
-//	split n0,n1 n2,n3,n4        no word passes between them
-//	cut n0 n1                   nothing from the first to the second
+//	split n0,n1 n2,n3,n4        drop everything between the sides
+//	cut n0 n1                   drop everything from the first to the second
 //	weather lose=0.2 slow=100ms repeat=0.2
-//	heal
-//	node s-1 Terminating        what the lists say of it
-//	late n3 4s                  its lists come late
-//	keepers n0 add n3           an operator's word on keepers; ends as propose does
+//	heal                        remove all faults from the links
+//	node s-1 Terminating        set its state in service discovery
+//	late n3 4s                  delay its discovery updates
+//	keepers n0 add n3           change the keepers through the operator socket; outcomes as for propose
 //	rogue n0 [name=n1] [key=other] [fleet=other]
 //
-// $leader stands for the proxy that leads, and $other for a keeper that does not.
+// $leader stands for the leader, and $other for a keeper that is not the leader.
 type story struct {
 	f      *Fleet
 	rng    *rand.Rand
@@ -52,7 +52,7 @@
 	at     string
 }
 
-// PlayStory plays a file in a folder and gives the auditor's verdict.
+// PlayStory runs a story file, with dir for the fleet's files, and returns the auditor's verdict.
 func PlayStory(program, path, dir string) (v Verdict, notes string, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -113,7 +113,7 @@
 	return otherwise
 }
 
-// settings reads words on settings.
+// settings parses words of the forms attempts=N, -CLASS and +CLASS:EFFECT:TIMEOUT as changes of Usual.
 func settings(words []string) Settings {
 	s := Usual()
 	for _, w := range words {
@@ -134,7 +134,7 @@
 	return s
 }
 
-// proxies reads names: n0,n1 or all, $leader, $other.
+// proxies parses a list of proxies: all, or names such as n0,$leader,$other.
 func (s *story) proxies(words string) ([]*Proxy, error) {
 	if words == "all" {
 		return s.f.Proxies, nil
@@ -151,14 +151,14 @@
 		}
 		n, err := strconv.Atoi(strings.TrimPrefix(name, "n"))
 		if err != nil || n >= len(s.f.Proxies) {
-			return nil, fmt.Errorf("there is no proxy %s", name)
+			return nil, fmt.Errorf("unknown proxy %s", name)
 		}
 		some = append(some, s.f.Proxies[n])
 	}
 	return some, nil
 }
 
-// leader waits until one leads, and gives it or another keeper.
+// leader waits until a keeper leads, and returns it or, with other, a keeper that doesn't lead.
 func (f *Fleet) leader(other bool) (*Proxy, error) {
 	for until := time.Now().Add(Patience); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 		var leads, rest *Proxy
@@ -176,7 +176,7 @@
 			return leads, nil
 		}
 	}
-	return nil, fmt.Errorf("nobody leads")
+	return nil, fmt.Errorf("timed out waiting for a leader")
 }
 
 func indices(some []*Proxy) (all []int) {
@@ -201,7 +201,7 @@
 		return err
 	}
 	if s.f == nil {
-		return fmt.Errorf("the first line has to be fleet")
+		return fmt.Errorf("the first command of a story must be fleet")
 	}
 	f := s.f
 	switch verb {
@@ -210,7 +210,7 @@
 			return err
 		}
 		return f.Wait(f.Proxies, "version 1", func(_ *Proxy, st Status) bool { return st.Goes(1) })
-	case "start-only": // until they serve
+	case "start-only":
 		return f.StartAll()
 	case "load":
 		s.loaded = true
@@ -247,7 +247,7 @@
 		return nil
 	}
 	if len(rest) == 0 {
-		return fmt.Errorf("a proxy is missing")
+		return fmt.Errorf("the command needs a proxy")
 	}
 	if verb == "hup" {
 		for _, w := range rest {
@@ -273,7 +273,7 @@
 	return nil
 }
 
-// do does something with one proxy.
+// do runs a command on one proxy.
 func (s *story) do(verb string, p *Proxy, rest []string) error {
 	f := s.f
 	switch verb {
@@ -366,15 +366,15 @@
 		return f.Wait([]*Proxy{p}, what, func(p *Proxy, st Status) bool { return holds(p, st, what) })
 	case "never":
 		if st, err := p.Status(); err == nil && holds(p, st, strings.Join(rest, " ")) {
-			return fmt.Errorf("%s: it is so", p.Name)
+			return fmt.Errorf("%s is in the state that must not hold", p.Name)
 		}
 	default:
-		return fmt.Errorf("nobody knows how to %s", verb)
+		return fmt.Errorf("unknown command %s", verb)
 	}
 	return nil
 }
 
-// expected holds an answer to an operator against what a story says.
+// expected compares a reply to an operator with the outcome that a story expects.
 func expected(want string, r Reply, err error) error {
 	got := "decided"
 	switch {
@@ -387,10 +387,10 @@
 	if want == "any" || strings.HasPrefix(got, verb) && strings.Contains(got, strings.Trim(text, `"`)) {
 		return nil
 	}
-	return fmt.Errorf("%s, and %s was expected (%v)", got, want, err)
+	return fmt.Errorf("outcome is %s, want %s (%v)", got, want, err)
 }
 
-// holds tells whether a proxy is as a story wants it.
+// holds reports whether a proxy is in a state, in the words of expect.
 func holds(p *Proxy, st Status, what string) bool {
 	key, value, _ := strings.Cut(what, "=")
 	switch key {
@@ -430,7 +430,7 @@
 	return false
 }
 
-// Wait waits until proxies are as wanted.
+// Wait polls until holds returns true for all the proxies in one round.
 func (f *Fleet) Wait(some []*Proxy, what string, holds func(*Proxy, Status) bool) error {
 	last := ""
 	for until := time.Now().Add(Patience); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
@@ -446,10 +446,10 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("waited in vain for %s; %.600s", what, last)
+	return fmt.Errorf("timed out waiting for %s; last state %.600s", what, last)
 }
 
-// disk does something to a proxy's disk.
+// disk changes a proxy's disk as the story command disk says.
 func (s *story) disk(p *Proxy, how string) error {
 	s.f.Note("disk of %s: %s", p.Name, how)
 	file := filepath.Join(p.Disk, "fleet.db")
@@ -476,5 +476,5 @@
 	case how == "well":
 		return unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: unix.RLIM_INFINITY, Max: unix.RLIM_INFINITY}, nil)
 	}
-	return fmt.Errorf("nobody knows how to make a disk %s", how)
+	return fmt.Errorf("unknown disk fault %s", how)
 }
--- a/internal/fleettest/story_test.go
+++ b/internal/fleettest/story_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// The stories of testdata/fleet, each with the built program. The first lines of a file say what it shows.
+// Runs each story of testdata/fleet with the built program. The first lines of a file say what it tests.
 func TestStories(t *testing.T) {
 	files, err := filepath.Glob("../../testdata/fleet/*.txt")
 	if err != nil || len(files) < 10 {
@@ -30,10 +30,10 @@
 			if t.Failed() {
 				t.Log(notes)
 			}
-			t.Logf("%d acts, %d by no lease, %d again, %d of %d served; contradicted for %.2f s at most (%d acts), ended nodes got work for %.2f s, %d versions in use",
+			t.Logf("%d attempts, %d without a lease, %d after a run, %d of %d served; contradictory settings for at most %.2f s (%d attempts), draining nodes got requests for %.2f s, %d versions in use",
 				v.Acts, v.Strict, v.Again, v.Served, v.Answered, v.Longest.Seconds(), v.Contradict, v.Drain.Seconds(), v.InUse)
 			if v.Acts == 0 {
-				t.Error("nothing was asked: nothing is shown")
+				t.Error("no attempt reached a node, so the story tested nothing")
 			}
 		})
 	}
--- a/internal/fleettest/terms.go
+++ b/internal/fleettest/terms.go
@@ -10,37 +10,37 @@
 	"time"
 )
 
-// The terms that hold of any number of processes whatever fails, as an auditor that sees all sides can tell: what
-// discovery had and when it could be reached, what backends got and from whom, what clients did, and when processes
-// were started. It shares no code with the proxy, and takes no process's word.
+// The terms are the service-level guarantees of any number of processes under any faults. The auditor checks them from
+// outside observations: what discovery knew and when it was reachable, what backends received and from whom, what
+// clients did, and when processes started. It shares no code with the proxy and relies on no process's own reports.
 
-// Term is one of them.
+// Term is one of these guarantees.
 type Term string
 
 // The terms.
 const (
-	TermTold  Term = "told"  // who is told that a backend drains or has gone sends it nothing new
-	TermLeft  Term = "left"  // a client that left gets no attempt
-	TermCold  Term = "cold"  // a cold backend gets no more than it bears, from all together
-	TermFull  Term = "full"  // while idle clients fill the descriptors true requests are served, and nothing spins
-	TermReady Term = "ready" // nine in ten restarted processes are ready in time
-	TermOnce  Term = "once"  // one answer, in time; nothing unsafe runs twice
+	TermTold  Term = "told"  // a process that could learn that a backend drains or has gone sends it no new requests
+	TermLeft  Term = "left"  // no attempt starts for a client that disconnected
+	TermCold  Term = "cold"  // a cold backend gets no more load than it can take, from all processes together
+	TermFull  Term = "full"  // while idle clients exhaust the file descriptors, real requests are served and no process spins
+	TermReady Term = "ready" // nine in ten started processes are ready in time
+	TermOnce  Term = "once"  // each request gets one response, in time; no unsafe request runs twice
 )
 
-// Bounds are what the terms name.
+// Bounds are the limits of the terms.
 type Bounds struct {
-	Told    time.Duration // after discovery had a change and could be reached
-	Grace   time.Duration // of drains, on top
-	Left    time.Duration // from a client's leave to the last attempt's beginning
+	Told    time.Duration // for requests to a draining backend, after discovery had the change and was reachable
+	Grace   time.Duration // drain grace, added to Told
+	Left    time.Duration // from a client's disconnect to the start of the last attempt
 	Ready   time.Duration // from the start of a process
-	Nine    float64       // the share of the restarted that has to keep it
-	Answer  time.Duration // beyond a request's own time
-	Lost    float64       // the share of true requests that may go unserved beside a crowd
-	Spin    float64       // the share of a core that may go into turning a crowd away
-	Reached time.Duration // from discovery's return to the first call
+	Nine    float64       // the share of started processes that must meet Ready
+	Answer  time.Duration // allowed lateness of a response beyond the request's own time limit
+	Lost    float64       // the share of real requests that may fail during a crowd
+	Spin    float64       // the share of a core that a process may use during a crowd
+	Reached time.Duration // from discovery's recovery to the process's first call to it
 }
 
-// Agreed are the operators' bounds; what is not theirs (Spin, Reached) is this repository's own.
+// Agreed returns the bounds agreed with the operators; Spin and Reached are this repository's own.
 func Agreed() Bounds {
 	return Bounds{
 		Told: 6 * time.Second, Grace: 500 * time.Millisecond, Left: 100 * time.Millisecond, Ready: 10 * time.Second, Nine: 0.9,
@@ -50,20 +50,20 @@
 
 func (s Span) has(at time.Duration) bool { return s.From <= at && (s.To == 0 || at < s.To) }
 
-// Change is a word of discovery's on a backend.
+// Change is a change of a backend's state in discovery.
 type Change struct {
 	Backend string
 	At      time.Duration
-	Away    bool // it drains, or has gone; else it is ready
+	Away    bool // it drains or has gone; otherwise it is ready
 }
 
 // Arrival is a request that reached a backend.
 type Arrival struct {
 	Proxy            int
 	Backend, Request string
-	Began            time.Duration // its first byte
+	Began            time.Duration // time of its first byte
 	Unsafe           bool
-	Ran              bool // it may have: it was not turned away unread or unstarted
+	Ran              bool // it may have run: it was not rejected before it was read or started
 	Work             float64
 }
 
@@ -72,20 +72,20 @@
 	Proxy    int
 	Request  string
 	Sent     time.Duration
-	Wait     time.Duration // for which it has time
-	Left     time.Duration // when its client left; 0: it stayed
+	Wait     time.Duration // the request's time limit
+	Left     time.Duration // when its client disconnected; 0: it did not
 	Answered time.Duration // 0: never
 	Answers  int
 	Served   bool
-	Away     bool // its process was not there for all of it
+	Away     bool // its process was not running the whole time
 }
 
-// Cold is a backend's cold time.
+// Cold is the cold-start period of a backend.
 type Cold struct {
 	Backend string
 	Span
 	Window time.Duration
-	Bears  func(since time.Duration) float64 // mean requests in a window, so long after the start
+	Bears  func(since time.Duration) float64 // mean requests per Window that it can take, by time since its start
 }
 
 // Started is a process's start.
@@ -94,25 +94,25 @@
 	At, Ready time.Duration // Ready 0: never
 }
 
-// Crowd is a time in which idle clients fill the descriptors of a process.
+// Crowd is a period in which idle clients exhaust the file descriptors of a process.
 type Crowd struct {
 	Proxy int
 	Span
-	CPU time.Duration // that the process used in it
+	CPU time.Duration // used by the process in this period
 }
 
-// Call is one to discovery.
+// Call is a call of a process to discovery.
 type Call struct {
 	Proxy int
 	At    time.Duration
 }
 
-// Sighting is all that was seen, on one clock.
+// Sighting holds all observations of a run, on one clock.
 type Sighting struct {
 	Bounds
-	Pushed  bool // lists are pushed: a new process counts as told from its first moment
+	Pushed  bool // discovery pushes its lists: a new process counts as informed from its start
 	Changes []Change
-	Outages []Span // in which discovery could not be reached
+	Outages []Span // periods in which discovery was unreachable
 	Calls   []Call
 	Arrived []Arrival
 	Asked   []Asked
@@ -121,57 +121,57 @@
 	Crowds  []Crowd
 }
 
-// Recorder is a sighting while it is made, by any number of goroutines.
+// Recorder collects a Sighting. It is safe for concurrent use.
 type Recorder struct {
 	began time.Time
 	mu    sync.Mutex
 	saw   Sighting
 }
 
-// NewRecorder starts the clock.
+// NewRecorder returns an empty recorder whose clock starts now.
 func NewRecorder(b Bounds, pushed bool) *Recorder {
 	return &Recorder{began: time.Now(), saw: Sighting{Bounds: b, Pushed: pushed}}
 }
 
-// Now is the time on the sighting's clock.
+// Now returns the time on the recorder's clock.
 func (r *Recorder) Now() time.Duration { return time.Since(r.began) }
 
-// At is a moment's.
+// At converts a time to the recorder's clock.
 func (r *Recorder) At(t time.Time) time.Duration { return t.Sub(r.began) }
 
-// See lets the caller note what it saw.
+// See calls note with the Sighting, under the recorder's lock.
 func (r *Recorder) See(note func(s *Sighting)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	note(&r.saw)
 }
 
-// Audit holds what was seen so far against the terms.
+// Audit checks the observations so far against the terms.
 func (r *Recorder) Audit() Findings {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.saw.Audit()
 }
 
-// Break is a term that did not hold.
+// Break is a violation of a term.
 type Break struct {
 	Term Term
 	Text string
 }
 
-// Figure is what a term came to: cases are what it was looked at for.
+// Figure summarizes the measurements of a term: their number, median and maximum.
 type Figure struct {
 	Cases    int
-	P50, Max float64 // seconds; for TermCold roots of what is borne beyond it, for TermFull the share of a core
+	P50, Max float64 // seconds; for TermCold the excess over the allowed load in units of its square root, for TermFull the share of a core
 }
 
-// Findings are an audit's.
+// Findings are the result of an audit.
 type Findings struct {
 	Breaks  []Break
 	Figures map[Term]Figure
 }
 
-// Audit holds all that was seen against the terms.
+// Audit checks all observations against the terms.
 func (s *Sighting) Audit() Findings {
 	f := Findings{Figures: map[Term]Figure{}}
 	seen := map[Term][]float64{}
@@ -192,8 +192,8 @@
 	return f
 }
 
-// reached is from when on discovery had a change and could be reached, and stayed so for as long as counts. An outage
-// in between begins the count anew.
+// reached returns the time from which discovery was reachable without a break for the Told bound, after a change at the
+// given time. An outage in between restarts the count. ever is false if discovery never recovers.
 func (s *Sighting) reached(at time.Duration) (from time.Duration, ever bool) {
 	outages := slices.Clone(s.Outages)
 	slices.SortFunc(outages, func(a, b Span) int { return int(a.From - b.From) })
@@ -209,7 +209,7 @@
 	return at, true
 }
 
-// told: the figure of each change is by when the last arrival came after it, counted from when it could be known.
+// told measures for each change the time of the last arrival after it, counted from when the sender could know of it.
 func (s *Sighting) told(note func(Term, float64), broke func(Term, string, ...any)) {
 	for _, c := range s.Changes {
 		if !c.Away {
@@ -230,7 +230,7 @@
 			if a.Backend != c.Backend || a.Began < c.At || a.Began >= until {
 				continue
 			}
-			from := known // of this process
+			from := known // for this process
 			for _, p := range s.Started {
 				if p.Proxy == a.Proxy && p.At <= a.Began && !s.Pushed {
 					from = max(from, p.At)
@@ -238,14 +238,14 @@
 			}
 			last = max(last, a.Began-from)
 			if a.Began > from+s.Told+s.Grace {
-				broke(TermTold, "%s, which drains, got %s from process %d %v after discovery had that and could be reached", a.Backend, a.Request, a.Proxy, a.Began-from)
+				broke(TermTold, "%s, which drains, got %s from process %d %v after discovery had the drain and was reachable", a.Backend, a.Request, a.Proxy, a.Began-from)
 			}
 		}
 		note(TermTold, last.Seconds())
 	}
 }
 
-// left: the figure of each client that left is how long after it an attempt began, or 0.
+// left measures for each client that disconnected how long after that its last attempt began, or 0.
 func (s *Sighting) left(note func(Term, float64), broke func(Term, string, ...any)) {
 	for _, q := range s.Asked {
 		if q.Left == 0 {
@@ -257,14 +257,15 @@
 				continue
 			}
 			if late = max(late, a.Began-q.Left); a.Began > q.Left+s.Left {
-				broke(TermLeft, "%s got %s %v after its client had left", a.Backend, a.Request, a.Began-q.Left)
+				broke(TermLeft, "%s got %s %v after its client disconnected", a.Backend, a.Request, a.Began-q.Left)
 			}
 		}
 		note(TermLeft, late.Seconds())
 	}
 }
 
-// cold: the figure of each window that ends with an arrival is what came beyond what is borne, in roots of that.
+// cold measures for each window that ends with an arrival the load beyond what the backend can take, in units of the
+// square root of that.
 func (s *Sighting) cold(note func(Term, float64), broke func(Term, string, ...any)) {
 	for _, c := range s.Colds {
 		var in []Arrival
@@ -282,13 +283,13 @@
 			bears := c.Bears(a.Began - c.From)
 			note(TermCold, (work-bears)/math.Sqrt(bears))
 			if work > bears+2*math.Sqrt(bears)+2 {
-				broke(TermCold, "%s got %.1f requests in %v, %v after its start, and bears %.1f", c.Backend, work, c.Window, a.Began-c.From, bears)
+				broke(TermCold, "%s got %.1f requests in %v, %v after its start, and can take %.1f", c.Backend, work, c.Window, a.Began-c.From, bears)
 			}
 		}
 	}
 }
 
-// full: the figure of each crowd is the share of a core that went into it.
+// full measures for each crowd the share of a core that the process used.
 func (s *Sighting) full(note func(Term, float64), broke func(Term, string, ...any)) {
 	for _, c := range s.Crowds {
 		asked, lost := 0, 0
@@ -300,12 +301,12 @@
 			}
 		}
 		if float64(lost) > s.Lost*float64(asked) {
-			broke(TermFull, "beside a crowd %d of %d requests to process %d were not served", lost, asked, c.Proxy)
+			broke(TermFull, "during a crowd %d of %d requests to process %d were not served", lost, asked, c.Proxy)
 		}
 		share := c.CPU.Seconds() / (c.To - c.From).Seconds()
 		note(TermFull, share)
 		if share > s.Spin {
-			broke(TermFull, "process %d used %.2f of a core beside a crowd", c.Proxy, share)
+			broke(TermFull, "process %d used %.2f of a core during a crowd", c.Proxy, share)
 		}
 		for _, o := range s.Outages {
 			if o.To == 0 || !c.has(o.From) {
@@ -314,13 +315,13 @@
 			if !slices.ContainsFunc(s.Calls, func(k Call) bool {
 				return k.Proxy == c.Proxy && k.At >= o.To && k.At <= o.To+s.Reached
 			}) {
-				broke(TermFull, "process %d did not ask discovery within %v of its return", c.Proxy, s.Reached)
+				broke(TermFull, "process %d did not call discovery within %v of its recovery", c.Proxy, s.Reached)
 			}
 		}
 	}
 }
 
-// ready: the figure of each start is how long it took.
+// ready measures how long each start took.
 func (s *Sighting) ready(note func(Term, float64), broke func(Term, string, ...any)) {
 	in := 0
 	for _, p := range s.Started {
@@ -336,7 +337,7 @@
 	}
 }
 
-// once: the figure of each answer is how long it took.
+// once measures how long each response took.
 func (s *Sighting) once(note func(Term, float64), broke func(Term, string, ...any)) {
 	ran := map[string]int{}
 	for _, a := range s.Arrived {
@@ -344,7 +345,7 @@
 			continue
 		}
 		if ran[a.Request]++; ran[a.Request] == 2 {
-			broke(TermOnce, "%s ran twice, and must not", a.Request)
+			broke(TermOnce, "unsafe request %s ran twice", a.Request)
 		}
 	}
 	for _, q := range s.Asked {
@@ -353,17 +354,17 @@
 		}
 		switch {
 		case q.Answers == 0:
-			broke(TermOnce, "%s has no answer", q.Request)
+			broke(TermOnce, "%s got no response", q.Request)
 		case q.Answers > 1:
-			broke(TermOnce, "%s has %d answers", q.Request, q.Answers)
+			broke(TermOnce, "%s got %d responses", q.Request, q.Answers)
 		case q.Answered-q.Sent > q.Wait+s.Answer:
-			broke(TermOnce, "%s was answered after %v, and had %v", q.Request, q.Answered-q.Sent, q.Wait)
+			broke(TermOnce, "%s was answered after %v, its time limit was %v", q.Request, q.Answered-q.Sent, q.Wait)
 		}
 		note(TermOnce, (q.Answered - q.Sent).Seconds())
 	}
 }
 
-// String words findings for a test's log.
+// String summarizes the findings for a test's log.
 func (f Findings) String() (text string) {
 	for _, t := range []Term{TermTold, TermLeft, TermCold, TermFull, TermReady, TermOnce} {
 		if g, seen := f.Figures[t]; seen {
--- a/internal/fleettest/terms_test.go
+++ b/internal/fleettest/terms_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-// kept is a day on which every term just holds.
+// kept returns observations in which every term is just satisfied.
 func kept() *Sighting {
 	s := &Sighting{
 		Bounds: Agreed(), Pushed: true,
@@ -20,12 +20,12 @@
 		Calls:   []Call{{0, 13*time.Second + 900*ms}},
 		Arrived: []Arrival{
 			{Backend: "s-1", Request: "a", Began: 19*time.Second + 500*ms, Work: 1},
-			{Backend: "s-2", Request: "b", Began: 30 * time.Second, Work: 1},          // it is ready again
-			{Backend: "s-2", Request: "c", Began: 19*time.Second + 400*ms, Work: 1},   // the outage began the count anew
-			{Backend: "s-3", Request: "left", Began: 3*time.Second + 100*ms, Work: 1}, // just in time
-			{Backend: "s-3", Request: "bid", Began: 4 * time.Second, Unsafe: true},    // turned away
-			{Backend: "s-4", Request: "bid", Began: 4100 * ms, Unsafe: true, Ran: true},
-		}, // and ran
+			{Backend: "s-2", Request: "b", Began: 30 * time.Second, Work: 1},            // it is ready again
+			{Backend: "s-2", Request: "c", Began: 19*time.Second + 400*ms, Work: 1},     // the outage restarted the count
+			{Backend: "s-3", Request: "left", Began: 3*time.Second + 100*ms, Work: 1},   // just in time
+			{Backend: "s-3", Request: "bid", Began: 4 * time.Second, Unsafe: true},      // rejected before it ran
+			{Backend: "s-4", Request: "bid", Began: 4100 * ms, Unsafe: true, Ran: true}, // the retry ran
+		},
 		Asked: []Asked{
 			{Request: "left", Sent: 2 * time.Second, Wait: time.Second, Left: 3 * time.Second},
 			{Request: "bid", Sent: 4 * time.Second, Wait: time.Second, Answered: 5*time.Second + 500*ms, Answers: 1, Served: true},
@@ -40,16 +40,16 @@
 	for i := range 3 {
 		s.Started[i].Ready = 0
 	}
-	for i := range 30 { // ten in any two seconds: what four, twice its root and two more are
+	for i := range 30 { // ten in any two seconds, the most allowed for a mean of 4: 4 + 2*sqrt(4) + 2
 		s.Arrived = append(s.Arrived, Arrival{Backend: "s-cold", Request: fmt.Sprint("cold", i), Began: 40*time.Second + time.Duration(i)*200*ms, Work: 1})
 	}
 	return s
 }
 
-// A day that keeps all terms is found to, and one break of a term planted in it is found as that and nothing else.
+// The audit accepts observations that satisfy all terms, and reports a single violation as one of the right term only.
 func TestTermsAreAudited(t *testing.T) {
 	if f := kept().Audit(); len(f.Breaks) > 0 {
-		t.Fatalf("a day that keeps all: %v", f.Breaks)
+		t.Fatalf("violations reported where all terms are satisfied: %v", f.Breaks)
 	} else if len(f.Figures) != 6 || f.Figures[TermTold].Cases != 2 || f.Figures[TermLeft].Max != 0.1 || f.Figures[TermReady].P50 != 10 {
 		t.Errorf("%+v", f.Figures)
 	}
@@ -57,45 +57,45 @@
 		term  Term
 		plant func(s *Sighting)
 	}{
-		"a drain heeded late":          {TermTold, func(s *Sighting) { s.Arrived[0].Began += ms }},
-		"a drain heeded late by one":   {TermTold, func(s *Sighting) { s.Arrived[2].Began = 19*time.Second + 501*ms }},
-		"told from the start":          {TermTold, func(s *Sighting) { s.Started[0].At = 25 * time.Second; s.Arrived[0].Began = 26 * time.Second }},
-		"no outage":                    {TermTold, func(s *Sighting) { s.Outages = nil; s.Crowds = nil }},
-		"a short outage, before":       {TermTold, func(s *Sighting) { s.Outages[0].To = 9 * time.Second; s.Calls[0].At = 9 * time.Second }},
-		"an attempt for one that left": {TermLeft, func(s *Sighting) { s.Arrived[3].Began += ms }},
-		"a further one, too": {TermLeft, func(s *Sighting) {
+		"a request after the drain deadline":                    {TermTold, func(s *Sighting) { s.Arrived[0].Began += ms }},
+		"a request after the deadline that an outage restarted": {TermTold, func(s *Sighting) { s.Arrived[2].Began = 19*time.Second + 501*ms }},
+		"a new process informed from its start":                 {TermTold, func(s *Sighting) { s.Started[0].At = 25 * time.Second; s.Arrived[0].Began = 26 * time.Second }},
+		"no outage":                                             {TermTold, func(s *Sighting) { s.Outages = nil; s.Crowds = nil }},
+		"a short outage, before":                                {TermTold, func(s *Sighting) { s.Outages[0].To = 9 * time.Second; s.Calls[0].At = 9 * time.Second }},
+		"an attempt for a disconnected client":                  {TermLeft, func(s *Sighting) { s.Arrived[3].Began += ms }},
+		"a second attempt for a disconnected client": {TermLeft, func(s *Sighting) {
 			s.Arrived = append(s.Arrived, Arrival{Backend: "s-9", Request: "left", Began: 3200 * ms, Work: 1})
 		}},
-		"one more than is borne": {TermCold, func(s *Sighting) {
+		"one request more than a cold backend takes": {TermCold, func(s *Sighting) {
 			s.Arrived = append(s.Arrived, Arrival{Backend: "s-cold", Request: "x", Began: 45 * time.Second, Work: 1})
 		}},
-		"heavier than is borne": {TermCold, func(s *Sighting) { s.Arrived[20].Work = 1.5 }},
-		"borne less later on": {TermCold, func(s *Sighting) {
+		"a heavier request than a cold backend takes": {TermCold, func(s *Sighting) { s.Arrived[20].Work = 1.5 }},
+		"a limit that falls over time": {TermCold, func(s *Sighting) {
 			s.Colds[0].Bears = func(since time.Duration) float64 { return 4 - since.Seconds()/8 }
 		}},
-		"a request lost beside a crowd":    {TermFull, func(s *Sighting) { s.Asked[1].Served = false }},
-		"turning away takes a core":        {TermFull, func(s *Sighting) { s.Crowds[0].CPU += ms }},
-		"discovery asked late":             {TermFull, func(s *Sighting) { s.Calls[0].At = 14*time.Second + ms }},
-		"discovery asked by another":       {TermFull, func(s *Sighting) { s.Calls[0].Proxy = 1 }},
-		"one in ten more is not ready":     {TermReady, func(s *Sighting) { s.Started[9].Ready = 0 }},
-		"one in ten more is ready late":    {TermReady, func(s *Sighting) { s.Started[9].Ready += ms }},
-		"no answer":                        {TermOnce, func(s *Sighting) { s.Asked[1].Answers = 0 }},
-		"two answers":                      {TermOnce, func(s *Sighting) { s.Asked[1].Answers = 2 }},
-		"an answer that is late":           {TermOnce, func(s *Sighting) { s.Asked[1].Answered += ms }},
-		"an unsafe request that ran twice": {TermOnce, func(s *Sighting) { s.Arrived[4].Ran = true }},
+		"a request lost during a crowd":       {TermFull, func(s *Sighting) { s.Asked[1].Served = false }},
+		"too much CPU used during a crowd":    {TermFull, func(s *Sighting) { s.Crowds[0].CPU += ms }},
+		"discovery called late":               {TermFull, func(s *Sighting) { s.Calls[0].At = 14*time.Second + ms }},
+		"discovery called by another process": {TermFull, func(s *Sighting) { s.Calls[0].Proxy = 1 }},
+		"one process too many not ready":      {TermReady, func(s *Sighting) { s.Started[9].Ready = 0 }},
+		"one process too many ready late":     {TermReady, func(s *Sighting) { s.Started[9].Ready += ms }},
+		"no response":                         {TermOnce, func(s *Sighting) { s.Asked[1].Answers = 0 }},
+		"two responses":                       {TermOnce, func(s *Sighting) { s.Asked[1].Answers = 2 }},
+		"a late response":                     {TermOnce, func(s *Sighting) { s.Asked[1].Answered += ms }},
+		"an unsafe request that ran twice":    {TermOnce, func(s *Sighting) { s.Arrived[4].Ran = true }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := kept()
 			c.plant(s)
 			f := s.Audit()
 			if len(f.Breaks) == 0 || slices.ContainsFunc(f.Breaks, func(b Break) bool { return b.Term != c.term }) {
-				t.Errorf("found %v", f.Breaks)
+				t.Errorf("got violations %v", f.Breaks)
 			}
 		})
 	}
 	s := kept()
 	s.Pushed, s.Started[0].At, s.Started[0].Ready, s.Arrived[0].Began = false, 25*time.Second, 26*time.Second, 31*time.Second
 	if f := s.Audit(); len(f.Breaks) > 0 {
-		t.Errorf("asked for, a new process has its time: %v", f.Breaks)
+		t.Errorf("without push a new process must get the full time from its start: %v", f.Breaks)
 	}
 }
