--- a/internal/fleettest/audit.go
+++ b/internal/fleettest/audit.go
@@ -202,7 +202,7 @@
 				broke("%s got %s at %.3f s from %s, whose discovery list showed it as %s at %.3f s", s.Node, s.ID, s.Began.Seconds(), f.Proxies[s.Proxy].Name, t.State, t.At.Seconds())
 			}
 		}
-		if e, known := ended[s.Node]; known && !free && s.Began > e.when && f.away(s.Node, s.Began) {
+		if e, known := ended[s.Node]; known && !free && s.Began > e.when && f.drainedAt(s.Node, s.Began) {
 			v.Drain = max(v.Drain, s.Began-e.when)
 			if s.Began > e.when+f.Within+500*time.Millisecond+Slack {
 				broke("%s got %s at %.3f s from %s under a lease, but its drain was known at %.3f s", s.Node, s.ID, s.Began.Seconds(), f.Proxies[s.Proxy].Name, e.when.Seconds())
@@ -248,7 +248,7 @@
 			}
 		}
 	}
-	if f.Keepers > 0 && !f.filed { // the outcomes of proposals through files are not recorded
+	if f.Keepers > 0 && !f.proposedByFile { // the outcomes of proposals through files are not recorded
 		if err := f.Linearizable(); err != nil {
 			broke("%v", err)
 		}
@@ -279,9 +279,9 @@
 	return slices.ContainsFunc(all, func(x standin.Told) bool { return x.State == "Ready" && x.At > t.At && x.At <= by+Slack })
 }
 
-// away reports whether a node drains or has gone at a time, as set in service discovery. Once it is ready again, proxies
+// drainedAt reports whether a node drains or has gone at a time, as set in service discovery. Once it is ready again, proxies
 // that know this may send to it despite an earlier drain.
-func (f *Fleet) away(node string, at time.Duration) (away bool) {
+func (f *Fleet) drainedAt(node string, at time.Duration) (away bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, p := range f.puts {
@@ -305,7 +305,7 @@
 			if v.Text == "" {
 				continue
 			}
-			i := slices.IndexFunc(all, func(s Settings) bool { return same(f.Text(s), []byte(v.Text)) })
+			i := slices.IndexFunc(all, func(s Settings) bool { return equalJSON(f.Text(s), []byte(v.Text)) })
 			if i < 0 {
 				return nil, fmt.Errorf("%s has a version %d that was never proposed: %s", p.Name, v.Number, v.Text)
 			}
@@ -315,7 +315,7 @@
 	return texts, nil
 }
 
-func same(a, b []byte) bool {
+func equalJSON(a, b []byte) bool {
 	var x, y any
 	if json.Unmarshal(a, &x) != nil || json.Unmarshal(b, &y) != nil {
 		return false
--- a/internal/fleettest/away_test.go
+++ b/internal/fleettest/away_test.go
@@ -41,7 +41,7 @@
 	if p.died(before, dead) {
 		t.Error("the end of the process is recorded too early")
 	}
-	p.gone(cmd)
+	p.recordExit(cmd)
 	close(p.ended)
 	<-returned
 	if len(p.away) != 1 || !p.died(before, f.Clock.Now()) {
--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -139,14 +139,14 @@
 	Nodes     []*standin.Node
 	Proxies   []*Proxy
 	*standin.Mesh
-	paths [][]standin.Path // by node, then proxy
-	mu    sync.Mutex
-	notes []Note
-	puts  []put
-	load  *load
-	texts []Settings // all settings that were ever proposed or written to a file
-	log   register
-	filed bool // settings were proposed through files, whose outcome is not in log
+	paths          [][]standin.Path // by node, then proxy
+	mu             sync.Mutex
+	notes          []Note
+	puts           []put
+	load           *load
+	texts          []Settings // all settings that were ever proposed or written to a file
+	log            register
+	proposedByFile bool // settings were proposed through files, whose outcome is not in log
 }
 
 // put is a change of a node's state in service discovery.
@@ -349,13 +349,13 @@
 	}
 	b.WriteString("]\n")
 	for j, q := range f.Proxies {
-		fmt.Fprintf(&b, "[[fleet.peers]]\nname = %q\naddress = %q\n", q.Name, f.reach(p.N, j))
+		fmt.Fprintf(&b, "[[fleet.peers]]\nname = %q\naddress = %q\n", q.Name, f.peerAddr(p.N, j))
 	}
 	return p.replace("own", []byte(b.String()))
 }
 
-// reach returns the address at which one proxy reaches another.
-func (f *Fleet) reach(from, to int) string {
+// peerAddr returns the address at which one proxy reaches another.
+func (f *Fleet) peerAddr(from, to int) string {
 	if f.Mesh == nil {
 		return f.Proxies[to].fleetAddr
 	}
@@ -385,7 +385,7 @@
 		started <- err
 		if err == nil {
 			cmd.Wait()
-			p.gone(cmd)
+			p.recordExit(cmd)
 			close(ended)
 		}
 	}()
@@ -397,8 +397,8 @@
 	return nil
 }
 
-// gone records that a process has ended.
-func (p *Proxy) gone(cmd *exec.Cmd) {
+// recordExit records that a process has ended.
+func (p *Proxy) recordExit(cmd *exec.Cmd) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == cmd {
--- a/internal/fleettest/history.go
+++ b/internal/fleettest/history.go
@@ -58,7 +58,7 @@
 	return h
 }
 
-var drawn = []func(Settings) Settings{
+var settingsChanges = []func(Settings) Settings{
 	func(s Settings) Settings { return s.Try(1) }, func(s Settings) Settings { return s.Try(2) }, func(s Settings) Settings { return s },
 	func(s Settings) Settings { return s.Without("pickup") }, func(s Settings) Settings { return s.Try(2).Without("pickup") }, func(s Settings) Settings { return s.Try(3) },
 	func(s Settings) Settings { return s.Try(1).With(Class{"notice", "retryable", time.Second}) },
@@ -90,7 +90,7 @@
 		return v, "", err
 	}
 	f.Load(2, 20*time.Millisecond, Usual().Classes...)
-	r := &run{f: f, start: time.Now(), spoilt: map[int]bool{}}
+	r := &run{f: f, start: time.Now(), damaged: map[int]bool{}}
 	for _, e := range h.Events {
 		r.until(e.At)
 		r.do(e)
@@ -100,7 +100,7 @@
 	f.Heal()
 	r.asked.Wait()
 	for _, p := range f.Proxies {
-		if err := r.mend(p); err != nil {
+		if err := r.restore(p); err != nil {
 			return v, "", err
 		}
 	}
@@ -125,11 +125,11 @@
 
 // run is the state of a running history.
 type run struct {
-	f      *Fleet
-	start  time.Time
-	asked  sync.WaitGroup
-	later  []step
-	spoilt map[int]bool // keepers whose disks were lost or set back: consensus tolerates that only for a minority
+	f       *Fleet
+	start   time.Time
+	asked   sync.WaitGroup
+	later   []step
+	damaged map[int]bool // keepers whose disks were lost or set back: consensus tolerates that only for a minority
 }
 
 type step struct {
@@ -156,14 +156,14 @@
 	r.later = append(r.later, step{time.Since(r.start) + d, do})
 }
 
-// here reports whether a proxy's process is running and not suspended.
-func (r *run) here(p *Proxy) bool {
+// running reports whether a proxy's process is running and not suspended.
+func (r *run) running(p *Proxy) bool {
 	now := r.f.Clock.Now()
 	return !p.Away(now, now)
 }
 
 func (r *run) kill(p *Proxy, back time.Duration, between func()) {
-	if !r.here(p) {
+	if !r.running(p) {
 		return
 	}
 	p.Kill()
@@ -190,26 +190,26 @@
 	}
 	switch e.Kind {
 	case "propose":
-		if r.here(p) {
-			r.asked.Go(func() { f.Propose(p, drawn[e.B%len(drawn)](Usual()), 3*f.Within) })
+		if r.running(p) {
+			r.asked.Go(func() { f.Propose(p, settingsChanges[e.B%len(settingsChanges)](Usual()), 3*f.Within) })
 		}
 	case "read":
-		if r.here(p) {
+		if r.running(p) {
 			r.asked.Go(func() { f.Read(p, 3*f.Within) })
 		}
 	case "hup":
-		s := drawn[e.B%len(drawn)](Usual())
+		s := settingsChanges[e.B%len(settingsChanges)](Usual())
 		f.mu.Lock()
 		f.texts = append(f.texts, s)
 		f.mu.Unlock()
-		f.filed = true
+		f.proposedByFile = true
 		for _, x := range f.Proxies {
-			if x.WriteFile(s); r.here(x) && x != q {
+			if x.WriteFile(s); r.running(x) && x != q {
 				x.Hangup()
 			}
 		}
 	case "stop", "stop leader":
-		if r.here(p) {
+		if r.running(p) {
 			p.Stop()
 			r.then(e.For, p.Continue)
 		}
@@ -217,10 +217,10 @@
 		r.kill(p, e.For, nil)
 	case "older", "empty":
 		k := f.Proxies[e.A%f.Keepers]
-		if len(r.spoilt) > 0 || !r.here(k) {
+		if len(r.damaged) > 0 || !r.running(k) {
 			return
 		}
-		r.spoilt[k.N] = true
+		r.damaged[k.N] = true
 		if e.Kind == "empty" {
 			r.kill(k, e.For, func() { k.SetDisk("") })
 		} else {
@@ -232,11 +232,11 @@
 		}
 	case "full":
 		k := f.Proxies[e.A%f.Keepers]
-		if r.here(k) {
+		if r.running(k) {
 			s := &story{f: f}
 			s.disk(k, "full")
 			r.then(e.For, func() {
-				if r.here(k) {
+				if r.running(k) {
 					s.disk(k, "well")
 				}
 			})
@@ -276,9 +276,9 @@
 	}
 }
 
-// mend makes a proxy run again, with its disk usable and, if its disk was damaged, as a keeper.
-func (r *run) mend(p *Proxy) error {
-	if !r.here(p) {
+// restore makes a proxy run again, with its disk usable and, if its disk was damaged, as a keeper.
+func (r *run) restore(p *Proxy) error {
+	if !r.running(p) {
 		p.Continue()
 		select {
 		case <-p.ended:
@@ -295,7 +295,7 @@
 	if err := s.disk(p, "well"); err != nil {
 		return err
 	}
-	if r.spoilt[p.N] { // an operator adds it as a keeper again
+	if r.damaged[p.N] { // an operator adds it as a keeper again
 		for try := 0; ; try++ {
 			r, err := r.f.Proxies[(p.N+1)%r.f.Keepers].Operator(http.MethodPost, "/fleet/keepers", url.Values{"name": {p.Name}, "add": {"true"}}, nil, Patience)
 			if err == nil && r.Error == "" {
--- a/internal/fleettest/rogue.go
+++ b/internal/fleettest/rogue.go
@@ -57,32 +57,32 @@
 	return host, port
 }
 
-// Say sends a message to the proxy, with from as the claimed sender.
-func (r *Rogue) Say(from string, data []byte) {
+// Send sends a message to the proxy, with from as the claimed sender.
+func (r *Rogue) Send(from string, data []byte) {
 	r.list.SendReliable(r.to, append(append([]byte{byte(len(from))}, from...), data...))
 }
 
-// Babble sends random bytes, an oversized message, one in an old format, and forged messages of consensus and leases.
-func (r *Rogue) Babble(rng *rand.Rand) {
+// SendGarbage sends random bytes, an oversized message, one in an old format, and forged messages of consensus and leases.
+func (r *Rogue) SendGarbage(rng *rand.Rand) {
 	for range 20 {
 		noise := make([]byte, rng.IntN(2000))
 		for i := range noise {
 			noise[i] = byte(rng.Uint32())
 		}
-		r.Say("n1", noise)
+		r.Send("n1", noise)
 	}
-	r.Say("n1", bytes.Repeat([]byte("x"), 6<<20))
-	r.Say("n1", []byte(`{"f":0,"renew":{"n":1}}`))
-	r.Say("rogue", []byte(`{"f":1,"raft":"AAAA"}`))
-	r.Say("rogue", []byte(`{"f":1,"grant":{"n":1,"boot":1,"seq":99}}`))
-	r.Say("", nil)
+	r.Send("n1", bytes.Repeat([]byte("x"), 6<<20))
+	r.Send("n1", []byte(`{"f":0,"renew":{"n":1}}`))
+	r.Send("rogue", []byte(`{"f":1,"raft":"AAAA"}`))
+	r.Send("rogue", []byte(`{"f":1,"grant":{"n":1,"boot":1,"seq":99}}`))
+	r.Send("", nil)
 }
 
 // Close shuts the peer down.
 func (r *Rogue) Close() { r.list.Shutdown() }
 
-// Scream sends random bytes, encrypted with no key, to a proxy's fleet address by TCP and UDP.
-func (p *Proxy) Scream(rng *rand.Rand) {
+// SendNoise sends random bytes, encrypted with no key, to a proxy's fleet address by TCP and UDP.
+func (p *Proxy) SendNoise(rng *rand.Rand) {
 	for range 5 {
 		noise := make([]byte, 1+rng.IntN(4000))
 		for i := range noise {
--- a/internal/fleettest/story.go
+++ b/internal/fleettest/story.go
@@ -282,7 +282,7 @@
 			return p.WriteRaw(`{"name":`)
 		}
 		f.texts = append(f.texts, settings(rest))
-		f.filed = true
+		f.proposedByFile = true
 		return p.WriteFile(settings(rest))
 	case "stop":
 		p.Stop()
@@ -359,8 +359,8 @@
 			return err
 		}
 		s.rogues = append(s.rogues, r)
-		r.Babble(s.rng)
-		p.Scream(s.rng)
+		r.SendGarbage(s.rng)
+		p.SendNoise(s.rng)
 	case "expect":
 		what := strings.Join(rest, " ")
 		return f.Wait([]*Proxy{p}, what, func(p *Proxy, st Status) bool { return holds(p, st, what) })
--- a/internal/fleettest/terms_test.go
+++ b/internal/fleettest/terms_test.go
@@ -11,8 +11,8 @@
 
 const ms = time.Millisecond
 
-// kept returns observations in which every term is just satisfied.
-func kept() *Sighting {
+// satisfiedTerms returns observations in which every term is just satisfied.
+func satisfiedTerms() *Sighting {
 	s := &Sighting{
 		Bounds: Agreed(), Pushed: true,
 		Outages: []Span{{From: 5 * time.Second, To: 13 * time.Second}},
@@ -48,7 +48,7 @@
 
 // The audit accepts observations that satisfy all terms, and reports a single violation as one of the right term only.
 func TestTermsAreAudited(t *testing.T) {
-	if f := kept().Audit(); len(f.Breaks) > 0 {
+	if f := satisfiedTerms().Audit(); len(f.Breaks) > 0 {
 		t.Fatalf("violations reported where all terms are satisfied: %v", f.Breaks)
 	} else if len(f.Figures) != 6 || f.Figures[TermTold].Cases != 2 || f.Figures[TermLeft].Max != 0.1 || f.Figures[TermReady].P50 != 10 {
 		t.Errorf("%+v", f.Figures)
@@ -85,7 +85,7 @@
 		"an unsafe request that ran twice":    {TermOnce, func(s *Sighting) { s.Arrived[4].Ran = true }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := kept()
+			s := satisfiedTerms()
 			c.plant(s)
 			f := s.Audit()
 			if len(f.Breaks) == 0 || slices.ContainsFunc(f.Breaks, func(b Break) bool { return b.Term != c.term }) {
@@ -93,7 +93,7 @@
 			}
 		})
 	}
-	s := kept()
+	s := satisfiedTerms()
 	s.Pushed, s.Started[0].At, s.Started[0].Ready, s.Arrived[0].Began = false, 25*time.Second, 26*time.Second, 31*time.Second
 	if f := s.Audit(); len(f.Breaks) > 0 {
 		t.Errorf("without push a new process must get the full time from its start: %v", f.Breaks)
