--- a/internal/fleettest/audit.go
+++ b/internal/fleettest/audit.go
@@ -39,7 +39,7 @@
 // Verdict is the result of an audit.
 type Verdict struct {
 	Breaks     []string      // violated rules and time limits, and lost responses
-	Longest    time.Duration // longest time that an attempt was sent after another proxy's settings in force forbade it
+	Longest    time.Duration // longest time after which a proxy still sent an attempt that another proxy's settings forbade
 	Drain      time.Duration // longest time that a node got new requests after another proxy knew that it drains
 	Acts       int           // attempts that reached nodes
 	Strict     int           // of them sent without a lease
@@ -279,8 +279,8 @@
 	return slices.ContainsFunc(all, func(x standin.Told) bool { return x.State == "Ready" && x.At > t.At && x.At <= by+Slack })
 }
 
-// drainedAt reports whether a node drains or has gone at a time, as set in service discovery. Once it is ready again, proxies
-// that know this may send to it despite an earlier drain.
+// drainedAt reports whether a node drains or has gone at a time, as set in service discovery. Once it is ready again,
+// proxies that know this may send to it despite an earlier drain.
 func (f *Fleet) drainedAt(node string, at time.Duration) (away bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleettest/history.go
+++ b/internal/fleettest/history.go
@@ -226,7 +226,7 @@
 		} else {
 			k.KeepDisk("older")
 			r.kill(k, e.For, func() {
-				f.Heal() // the rollback is detected only if peers that saw the newer state can be reached
+				f.Heal() // a disk that was set back is detected only if peers that saw its newer state can be reached
 				k.SetDisk("older")
 			})
 		}
