--- a/cmd/marlreel/main.go
+++ b/cmd/marlreel/main.go
@@ -1,5 +1,5 @@
 // Marlreel is the proxy: it reads its configuration from $NODE_CONFIG and serves
-// until it is told to stop. SIGHUP makes it read the configuration again.
+// until SIGTERM. SIGHUP makes it read the configuration again.
 package main
 
 import (
@@ -21,36 +21,38 @@
 	"marlreel/internal/proxy"
 )
 
-const usage = `Marlreel keeps a service up while its backends, its own instances and its traffic
-misbehave: an HTTP proxy for a small bank of instances in front of uneven backends.
+const usage = `Marlreel is an HTTP proxy and load balancer that keeps a service available when
+backends, proxy instances or traffic misbehave. It runs as a small group of instances
+in front of backends of unequal capacity.
 
   NODE_CONFIG=config.json marlreel                                 serve
-  NODE_CONFIG=config.json marlreel --config marlreel.toml          serve, with what the file sets
-  marlreel --check --config marlreel.toml                          check the file, start nothing
+  NODE_CONFIG=config.json marlreel --config marlreel.toml          serve, with the operator's settings
+  marlreel --check --config marlreel.toml                          check the file and exit
 
-$NODE_CONFIG names what the platform says (addresses, limits, settings, the list as
-last held); $NODE_NAME, $NODE_LISTEN, $NODE_DISCOVERY and $NODE_CONTROL go before it.
-$NODE_SOCKET_FD names the descriptor of the clients' listener, where the platform
-holds it. To see it work on this machine without any of that: rehearse up, or
+$NODE_CONFIG names the platform's file (addresses, limits, settings, the last known
+list of backends); $NODE_NAME, $NODE_LISTEN, $NODE_DISCOVERY and $NODE_CONTROL
+override it. $NODE_SOCKET_FD is the descriptor of the client listener, if the platform
+holds it. To try the proxy on this machine without any of that, use rehearse up or
 rehearse run.
 
-SIGTERM ends it gently: it goes on accepting for a moment, answers what it has taken,
-and exits with 0. SIGHUP makes it read $NODE_CONFIG again; new settings are in force
-at once, and a new address of discovery takes over with its first list; of the file of
---config it takes a registry, another one, or none.
+SIGTERM shuts it down gracefully: it keeps accepting for a moment, answers the requests
+it has accepted, and exits with 0. SIGHUP makes it read $NODE_CONFIG and the file of
+--config again. New settings apply at once, and a new discovery address replaces the
+old one with its first list. In the file of --config only changes to the registry apply
+at once.
 
-marlreel state show FILE, marlreel state check FILE: what a proxy's memory holds ([memory]
-of the file of --config).
+marlreel state show FILE and marlreel state check FILE print and check a proxy's saved
+learned state ([memory] in the file of --config).
 
-Exit codes: 0 ended as told (or the check was good), 1 it could not start or go on, 2
-wrong use.
+Exit codes: 0 clean shutdown (or the check succeeded), 1 failed to start or to continue,
+2 wrong usage.
 `
 
 func main() {
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// flags are what the command line says.
+// flags are the options of the command line.
 type flags struct {
 	config         string
 	check, version bool
@@ -59,7 +61,7 @@
 func parse(args []string, out io.Writer) (flags, error) {
 	var f flags
 	set := flag.NewFlagSet("marlreel", flag.ContinueOnError)
-	set.SetOutput(io.Discard) // an error is one line, and help goes where it was asked for
+	set.SetOutput(io.Discard) // run prints errors on one line, and parse prints the help to out
 	set.StringVar(&f.config, "config", "", "")
 	set.BoolVar(&f.check, "check", false, "")
 	set.BoolVar(&f.version, "version", false, "")
@@ -71,15 +73,15 @@
 	case err != nil:
 		return f, err
 	case set.NArg() > 0:
-		return f, fmt.Errorf("%q: no words are expected", set.Arg(0))
+		return f, fmt.Errorf("%q: unexpected argument", set.Arg(0))
 	case f.check && f.config == "":
-		return f, errors.New("--check wants --config FILE")
+		return f, errors.New("--check needs --config FILE")
 	}
 	return f, nil
 }
 
-// version is the module's version and the revision that it was built from, where the
-// build knew them.
+// version returns the module's version and the revision it was built from, as far as the
+// build recorded them.
 func version() string {
 	text := "marlreel"
 	info, ok := debug.ReadBuildInfo()
@@ -110,7 +112,7 @@
 	case errors.Is(err, flag.ErrHelp):
 		return 0
 	case err != nil:
-		fmt.Fprintf(errOut, "marlreel: %v (marlreel -h says more)\n", err)
+		fmt.Fprintf(errOut, "marlreel: %v (see marlreel -h)\n", err)
 		return 2
 	case f.version:
 		fmt.Fprintln(out, version())
@@ -124,8 +126,8 @@
 }
 
 func serve(f flags, out io.Writer) error {
-	// Before anything else: until then the signal ends the process. One signal in
-	// hand is enough, as the file is read after it.
+	// Must come first: until SIGHUP is caught it ends the process. A buffer of one signal
+	// is enough, because the file is read after the signal.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -135,7 +137,7 @@
 		return err
 	}
 	if f.check && os.Getenv("NODE_CONFIG") == "" {
-		fmt.Fprintf(out, "%s is good; without $NODE_CONFIG it was not held against the platform's settings\n", f.config)
+		fmt.Fprintf(out, "%s is valid; $NODE_CONFIG is not set, so it was not checked against the platform's settings\n", f.config)
 		return nil
 	}
 	cfg, err := config.LoadPlatform(os.Getenv("NODE_CONFIG"), os.Getenv)
@@ -146,15 +148,15 @@
 		return &config.OperatorFileError{Path: f.config, Err: err}
 	}
 	if f.check {
-		fmt.Fprintf(out, "%s is good\n", f.config)
+		fmt.Fprintf(out, "%s is valid\n", f.config)
 		return nil
 	}
-	// The runtime sees the machine's cores, not this process's part of them.
+	// The runtime sees the machine's cores, not this process's share of them.
 	if cfg.Cores > 0 {
 		runtime.GOMAXPROCS(int(math.Ceil(cfg.Cores)))
 	}
 	if own.Fleet.On() {
-		// A disk that is full is an error of a write, and not the end of the process.
+		// A write beyond the file size limit then fails, like one to a full disk, and does not end the process.
 		signal.Ignore(syscall.SIGXFSZ)
 	}
 	logger := logs.New(os.Stderr, own.Log.Format)
--- a/cmd/marlreel/memory_test.go
+++ b/cmd/marlreel/memory_test.go
@@ -88,7 +88,7 @@
 	}
 	p.stop(old)
 	p.stop(next)
-	if !strings.Contains(next.log.String(), "taken over from process") {
+	if !strings.Contains(next.log.String(), "restored the state of process") {
 		t.Errorf("not a word of what was taken over: %s", next.log.String())
 	}
 }
@@ -105,7 +105,7 @@
 	old.cmd.Process.Signal(syscall.SIGCONT)
 	p.stop(old)
 	p.stop(next)
-	if !strings.Contains(next.log.String(), "nothing is taken over of what process") {
+	if !strings.Contains(next.log.String(), "got no state from process") {
 		t.Errorf("not a word of what could not be taken over: %s", next.log.String())
 	}
 }
--- a/cmd/marlreel/state.go
+++ b/cmd/marlreel/state.go
@@ -14,17 +14,17 @@
 	"marlreel/internal/process/learnedstate/statefile"
 )
 
-const stateUsage = `marlreel state show FILE [--json]   what a proxy's memory holds
-marlreel state check FILE           whether it can be read: 0, or 1 and why not`
+const stateUsage = `marlreel state show FILE [--json]   print the learned state saved in FILE
+marlreel state check FILE           check that FILE can be read; exit code 1 with the reason if not`
 
-// state prints or checks a file of what a proxy has learnt.
+// state prints or checks a file with a proxy's learned state.
 func state(args []string, out, errOut io.Writer) int {
 	fail := func(code int, err error) int {
 		fmt.Fprintln(errOut, "marlreel:", err)
 		return code
 	}
 	if len(args) == 0 || args[0] != "show" && args[0] != "check" {
-		return fail(2, errors.New("state: show or check is needed (marlreel state -h says more)"))
+		return fail(2, errors.New("state: expected show or check (see marlreel state -h)"))
 	}
 	set := flag.NewFlagSet("state "+args[0], flag.ContinueOnError)
 	set.SetOutput(io.Discard)
@@ -43,7 +43,7 @@
 		}
 	}
 	if len(files) != 1 {
-		return fail(2, fmt.Errorf("state %s: one file is needed, and there are %d", args[0], len(files)))
+		return fail(2, fmt.Errorf("state %s: expected one file, got %d", args[0], len(files)))
 	}
 	data, err := os.ReadFile(files[0])
 	if err != nil {
@@ -54,7 +54,7 @@
 		return fail(1, fmt.Errorf("%s: %w", files[0], err))
 	}
 	if args[0] == "check" {
-		fmt.Fprintf(out, "%s is whole: %s's, %d backends, %d classes\n", files[0], r.State.ProxyName, len(r.State.Backends), len(r.State.Classes))
+		fmt.Fprintf(out, "%s is valid: proxy %s, %d backends, %d classes\n", files[0], r.State.ProxyName, len(r.State.Backends), len(r.State.Classes))
 		return 0
 	}
 	if *asJSON {
@@ -69,15 +69,15 @@
 	return 0
 }
 
-// show prints a record for a person.
+// show prints a record in human-readable form.
 func show(out io.Writer, r *statefile.Record, now staleness.Timestamp) {
 	age := "of unknown age"
 	if d, err := staleness.Age(r.WrittenAt, now); err == nil {
 		age = d.Round(time.Second).String() + " old"
 	}
-	how := "while it ran: the process did not end as told, or runs"
+	how := "while running: the process did not shut down cleanly, or is still running"
 	if r.ShutDown {
-		how = "at its stop"
+		how = "at shutdown"
 	}
 	s := r.State
 	fmt.Fprintf(out, "%s, %s, written %s\n\n%-20s %10s %10s %12s\n", s.ProxyName, age, how, "class", "answers", "delay ms", "served lately")
@@ -90,15 +90,15 @@
 	}
 	fmt.Fprintf(out, "\n%-20s %-22s %-9s %8s %8s %10s %s\n", "backend", "address", "health", "limit", "answers", "last ok", "")
 	for _, b := range s.Backends {
-		health, more := "well", ""
+		health, more := "healthy", ""
 		if !b.Healthy {
-			health = "not well"
+			health = "unhealthy"
 		}
 		if b.EjectedFor > 0 {
-			more += fmt.Sprintf(" out for %v still", b.EjectedFor.Round(time.Millisecond))
+			more += fmt.Sprintf(" (ejected for another %v)", b.EjectedFor.Round(time.Millisecond))
 		}
 		if b.SinceStart >= 0 {
-			more += fmt.Sprintf(" started %v before", b.SinceStart.Round(time.Millisecond))
+			more += fmt.Sprintf(" (started %v before the save)", b.SinceStart.Round(time.Millisecond))
 		}
 		ago := "never"
 		if b.LastOK != learnedstate.Never {
--- a/cmd/marlreel/state_test.go
+++ b/cmd/marlreel/state_test.go
@@ -43,16 +43,16 @@
 		code int
 		want string
 	}{
-		{[]string{"check", path}, 0, "is whole: n0's, 2 backends"},
+		{[]string{"check", path}, 0, "is valid: proxy n0, 2 backends"},
 		{[]string{"check", bad}, 1, "bytes where it says"},
 		{[]string{"check", filepath.Join(dir, "none")}, 1, "no such file"},
-		{[]string{"show", path}, 0, "1m0s old, written at its stop"},
-		{[]string{"show", path}, 0, "out for 3s still started 2s before"},
+		{[]string{"show", path}, 0, "1m0s old, written at shutdown"},
+		{[]string{"show", path}, 0, "(ejected for another 3s) (started 2s before the save)"},
 		{[]string{"show", path, "--json"}, 0, `"Name": "s-2"`},
 		{[]string{"show", "--json", path}, 0, `"Name": "s-2"`},
-		{[]string{"show"}, 2, "one file is needed, and there are 0"},
-		{[]string{"show", path, bad}, 2, "one file is needed, and there are 2"},
-		{[]string{"tell", path}, 2, "show or check is needed"},
+		{[]string{"show"}, 2, "expected one file, got 0"},
+		{[]string{"show", path, bad}, 2, "expected one file, got 2"},
+		{[]string{"tell", path}, 2, "expected show or check"},
 		{[]string{"-h"}, 0, "marlreel state show FILE"},
 	} {
 		var out, errs bytes.Buffer
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -22,11 +22,11 @@
 	"marlreel/internal/fleet/agree"
 )
 
-// member puts the proxy's parts and its fleet together: rules and their lease for the engine, lists for the fleet
-// and what others were told of them for the lists.
+// member connects the proxy to its fleet. It passes the fleet's settings and their lease to the engine, and exchanges
+// drains and removals of backends between this proxy's list and the other members.
 type member struct {
 	parts *parts
-	cfg   *config.Platform // of the start: what is this proxy's own
+	cfg   *config.Platform // as read at the start, for what applies to this proxy alone
 	lease *engine.Lease
 	fleet *fleet.Fleet
 	lists *overlay
@@ -34,8 +34,8 @@
 	ruled atomic.Pointer[fleet.Settings]
 }
 
-// enlist makes a proxy a member of its fleet. Nothing runs yet; the engine goes by the strict rules of the file
-// until the fleet is heard.
+// enlist makes a proxy a member of its fleet. It starts no goroutine of the engine. The engine uses the settings that
+// fleet.InitialSettings derives from the file until the fleet sends others.
 func (p *parts) enlist(cfg *config.Platform, own *config.Operator, log *slog.Logger) (*member, error) {
 	m := &member{parts: p, cfg: cfg, lease: &engine.Lease{Clock: fleet.Now}}
 	m.lists = &overlay{Engine: p.engine, own: map[string]engine.Entry{}, held: map[string]bool{}, told: func(l agree.Lists, ends []agree.End) { m.fleet.ReportMembership(l, ends) }}
@@ -110,13 +110,13 @@
 	})
 }
 
-// propose puts the file's settings to the fleet, and says what came of it.
+// propose proposes the file's settings to the fleet, logs the result and calls taken with it.
 func (m *member) propose(next *config.Platform, log *slog.Logger, taken func(bool)) {
 	text, err := next.SharedSettings()
 	if err == nil {
 		var r agree.Result
 		if r, err = m.fleet.ProposeFile(context.Background(), text); err == nil {
-			log.Info("the file is the fleet's", "event", "fleet-file", "version", r.Version, "same", r.Same, "by", r.By)
+			log.Info("the fleet accepted the settings of the file", "event", "fleet-file", "version", r.Version, "same", r.Same, "by", r.By)
 		}
 	}
 	if err != nil {
@@ -125,7 +125,7 @@
 	taken(err == nil)
 }
 
-// status is what the door says of the fleet.
+// status answers /control/fleet with the fleet's status as JSON.
 func (m *member) status() (int, []byte) {
 	body, err := json.MarshalIndent(m.fleet.Status(), "", " ")
 	if err != nil {
@@ -134,7 +134,8 @@
 	return http.StatusOK, append(body, '\n')
 }
 
-// longest is how long a client may wait by the rules in force, or by the file's.
+// longest returns cfg with the settings that the fleet has in force, or cfg itself if there are none. The drain takes
+// its timeouts from it.
 func (m *member) longest(cfg *config.Platform) *config.Platform {
 	r := m.ruled.Load()
 	if r == nil {
@@ -145,22 +146,22 @@
 	return &next
 }
 
-// overlay stands between the lists' sources and the engine: it tells the fleet what this proxy was told, and keeps
-// new work from backends that drain or have gone by what others were told later than this proxy's list. The engine's
-// goroutine owns it.
+// overlay sits between the sources of the backend list and the engine. It reports this proxy's list to the fleet, and
+// drains backends whose drain or removal other members have seen at a later revision than that of this proxy's list.
+// The engine's goroutine owns it.
 type overlay struct {
 	*engine.Engine
-	origin   func() (source string, revision int64, there bool) // of the list in force, where there is a registry
+	origin   func() (source string, revision int64, there bool) // of the list in force; nil without a registry
 	told     func(agree.Lists, []agree.End)
-	own      map[string]engine.Entry // as this proxy's own source has it
-	held     map[string]bool         // kept from getting new work by others' word
+	own      map[string]engine.Entry // the list of this proxy's own source
+	held     map[string]bool         // ready in own, but drained because other members saw its end
 	source   string
 	revision int64
 	version  uint32
 	state    *agree.State
 }
 
-// begin notes the list of the start, which the engine has already.
+// begin stores the initial list, which the engine already has.
 func (o *overlay) begin(l engine.Membership) {
 	o.source, o.revision = "platform", int64(l.Version)
 	for _, e := range l.Entries {
@@ -168,7 +169,7 @@
 	}
 }
 
-// ApplyMembership takes a list from its source.
+// ApplyMembership takes a list from its source, passes it to the engine and reports it to the fleet.
 func (o *overlay) ApplyMembership(l engine.Membership) {
 	source, revision := "platform", int64(l.Version)
 	if o.origin != nil {
@@ -220,7 +221,7 @@
 	}
 }
 
-// ended tells whether others were told the end of a backend later than this proxy's list.
+// ended reports whether other members saw a backend's drain or removal at a later revision than that of this proxy's list.
 func (o *overlay) ended(name string) bool {
 	if o.state == nil {
 		return false
@@ -229,13 +230,13 @@
 	return there && e.Revision > o.revision
 }
 
-// tell takes what others were told.
+// tell takes the fleet's state, with the drains and removals that other members saw.
 func (o *overlay) tell(s *agree.State) {
 	o.state = s
 	o.settle()
 }
 
-// settle lets the engine have each backend as both this proxy's list and the others' word say.
+// settle drains backends that ended elsewhere, and makes ready again those whose end this proxy's list has overtaken.
 func (o *overlay) settle() {
 	var changed []engine.Entry
 	if o.state != nil {
@@ -250,7 +251,7 @@
 	for name := range o.held {
 		if e, there := o.own[name]; !there {
 			delete(o.held, name)
-		} else if !o.ended(name) { // this proxy's own list is as new as that word
+		} else if !o.ended(name) { // this proxy's own list is at least as new as that end
 			delete(o.held, name)
 			changed = append(changed, e)
 		}
@@ -261,14 +262,14 @@
 	}
 }
 
-// summary is the list in short: two proxies that have the same one have the same summary.
+// summary returns a digest of the list: proxies with the same list have the same summary.
 func (o *overlay) summary() agree.Lists {
 	l := agree.Lists{Source: o.source, Revision: o.revision, Count: len(o.own)}
 	for name, e := range o.own {
 		if e.State == balancer.Ready {
 			f := fnv.New64a()
 			_, _ = io.WriteString(f, name)
-			l.Hash ^= f.Sum64() >> 11 // JSON's numbers are exact up to 53 bits
+			l.Hash ^= f.Sum64() >> 11 // JSON numbers are exact up to 53 bits
 		}
 	}
 	return l
@@ -276,7 +277,7 @@
 
 var _ sources.Host = (*overlay)(nil)
 
-// trace writes down each attempt with the rules that it went by, for who checks them from outside.
+// trace writes each attempt to a file with the settings it was made under, so that an external auditor can check them.
 type trace struct {
 	file   *os.File
 	member *member
@@ -311,7 +312,7 @@
 	Strict  bool   `json:"strict"`
 }
 
-// line writes a line at once: a process that is killed has said what it did.
+// line writes a line without buffering, so that nothing is lost if the process is killed.
 func (t *trace) line(v any) {
 	if text, err := json.Marshal(v); err == nil {
 		_, _ = t.file.Write(append(text, '\n'))
--- a/internal/proxy/keep.go
+++ b/internal/proxy/keep.go
@@ -16,8 +16,8 @@
 	"marlreel/internal/process/logs"
 )
 
-// saver keeps what this proxy learns in a file, where the operator has set a folder for it. It is beside all
-// serving: the engine is asked for its state in small parts, and nobody waits for the disk.
+// saver saves the learned state to a file if the operator has configured a directory for it. It does not delay
+// requests: the engine collects its state in small parts, and nothing waits for the disk.
 type saver struct {
 	store *statefile.File
 	every time.Duration
@@ -25,49 +25,49 @@
 	now   func() staleness.Timestamp
 	logf  func(format string, args ...any)
 
-	failed string // the last error, so that each is said once
-	late   bool   // and that the disk is slower than the file is written
+	failed string // the last error, so that it is logged only once
+	late   bool   // saving takes longer than the interval, and that was logged
 }
 
-// remember reads what an earlier life has learnt, as far as it is still to be believed. Whatever is wrong with
-// it is one line, and the proxy starts as it does without.
+// remember loads the state that an earlier process of this proxy saved, discounted by its age. If the file can't be
+// used it logs one line and returns nil, and the proxy starts without it.
 func remember(cfg config.LearnedState, s *statefile.File, name string, now staleness.Timestamp, logger *slog.Logger) *learnedstate.State {
 	r, err := s.Load()
 	if err != nil {
-		logger.Info(fmt.Sprintf("memory: nothing is taken from it: %v", err), "event", "memory-refused")
+		logger.Info(fmt.Sprintf("memory: the saved state is not used: %v", err), "event", "memory-refused")
 		return nil
 	}
 	if r == nil {
 		return nil
 	}
 	if r.State.ProxyName != name {
-		logger.Info(fmt.Sprintf("memory: nothing is taken from %s: it is %q's, and this is %q", s.Path(), r.State.ProxyName, name), "event", "memory-refused")
+		logger.Info(fmt.Sprintf("memory: %s is not used: it belongs to proxy %q, and this is %q", s.Path(), r.State.ProxyName, name), "event", "memory-refused")
 		return nil
 	}
 	away, err := staleness.Age(r.WrittenAt, now)
 	if err != nil {
-		logger.Info(fmt.Sprintf("memory: nothing is taken from %s: %v", s.Path(), err), "event", "memory-refused")
+		logger.Info(fmt.Sprintf("memory: %s is not used: %v", s.Path(), err), "event", "memory-refused")
 		return nil
 	}
 	known := staleness.Discount(staleness.Config{MaxAge: cfg.MaxAge.D(), HalfLife: cfg.HalfLife.D()}, r.State, away, !r.ShutDown)
 	if known == nil {
-		logger.Info(fmt.Sprintf("memory: nothing is taken from %s: it is %v old, and %v is the most", s.Path(), away.Round(time.Second), cfg.MaxAge.D()), "event", "memory-refused")
+		logger.Info(fmt.Sprintf("memory: %s is not used: it is %v old, and the maximum is %v", s.Path(), away.Round(time.Second), cfg.MaxAge.D()), "event", "memory-refused")
 		return nil
 	}
-	// From here on its age is counted by the wall's clock of this life, whatever the other life's said.
+	// From here on its age is measured by this process's wall clock, whatever the wall clock was when it was saved.
 	known.TakenAt = now.Wall.Add(-away)
 	return known
 }
 
-// budgetBurst is how much of a core work in the background may save up: one writing of the state of the
-// largest fleet.
+// budgetBurst is how much CPU time background work may accumulate: enough to save the state of the largest fleet once.
 const budgetBurst = 50 * time.Millisecond
 
-// overloadEvery is how often jobs are told whether there is more to serve than can be.
+// overloadEvery is how often the background runner is told whether the proxy is overloaded.
 const overloadEvery = 500 * time.Millisecond
 
-// background begins the work that is no request: the state is written down. What must not wait (lists, drains,
-// requests) is the engine's, and probes and sweeps are the module's, whose health of backends rests on them.
+// background creates the runner for background jobs; the only one is saving the learned state. Work that must not wait
+// (lists, drains, requests) stays with the engine, and health checks and sweeps with the balancer, which decides the
+// health of backends by them.
 func (p *parts) background(cfg config.Background, k *saver, logger *slog.Logger) *background.Runner {
 	r := background.NewRunner(background.Config{Cores: cfg.MaxCores, Burst: budgetBurst, MaxRunning: cfg.MaxJobs}, logs.ForEvent(logger, "background"))
 	r.Add(background.Spec{Name: "writing the memory", Priority: background.Idle, Interval: k.every, EstimatedCost: time.Millisecond, MaxDuration: max(10*time.Second, 2*k.every)},
@@ -85,7 +85,7 @@
 	return r
 }
 
-// save writes the state down once.
+// save saves the state once.
 func (k *saver) save(ctx context.Context, stopped bool) {
 	at := k.now()
 	state, err := k.state(ctx)
@@ -97,13 +97,13 @@
 		return
 	case err != nil && err.Error() != k.failed:
 		k.failed = err.Error()
-		k.logf("memory: not written: %v (the next life starts with what was written before)", err)
+		k.logf("memory: state not saved: %v (the next start uses the last saved state)", err)
 	case err == nil && k.failed != "":
 		k.failed = ""
-		k.logf("memory: written again to %s", k.store.Path())
+		k.logf("memory: state saved again to %s", k.store.Path())
 	case err == nil && took > k.every && !k.late:
 		k.late = true
-		k.logf("memory: writing it took %v, and it is written every %v: it falls behind", took.Round(time.Millisecond), k.every)
+		k.logf("memory: saving the state took %v, longer than the interval of %v", took.Round(time.Millisecond), k.every)
 	case err == nil && took < k.every/2:
 		k.late = false
 	}
--- a/internal/proxy/keep_test.go
+++ b/internal/proxy/keep_test.go
@@ -60,7 +60,7 @@
 	}
 	again := startWith(t, cfg, remembering(t, dir))
 	eventually(t, "what was learnt", func() bool {
-		return strings.Contains(again.log.String(), "memory: taken over from an earlier life: what it had learnt of 1 backends and 3 classes")
+		return strings.Contains(again.log.String(), "memory: restored the saved state: 1 backends and 3 classes")
 	})
 	servedBy(t, again, "one")
 	again.stop()
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	third := startWith(t, cfg, remembering(t, dir))
-	eventually(t, "what was learnt before the kill", func() bool { return strings.Contains(third.log.String(), "taken over from an earlier life") })
+	eventually(t, "what was learnt before the kill", func() bool { return strings.Contains(third.log.String(), "restored the saved state") })
 	servedBy(t, third, "one")
 }
 
@@ -94,8 +94,8 @@
 		want string
 	}{
 		"damaged":      {damaged, "it is damaged"},
-		"another's":    {good("n7", 0), `it is "n7"'s, and this is "n0"`},
-		"too old":      {good("n0", time.Hour), " old, and 10m0s is the most"},
+		"another's":    {good("n7", 0), `it belongs to proxy "n7", and this is "n0"`},
+		"too old":      {good("n0", time.Hour), " old, and the maximum is 10m0s"},
 		"of to-morrow": {good("n0", -time.Hour), "a clock was set back"},
 		"empty":        {nil, "does not begin as a MRST file does"},
 	} {
@@ -107,7 +107,7 @@
 			}
 			p := startWith(t, testConfig(t, closedAddr(t), ready("s-1", named(t, "one"))), remembering(t, dir))
 			servedBy(t, p, "one")
-			if got := p.log.String(); !strings.Contains(got, c.want) || strings.Contains(got, "taken over") {
+			if got := p.log.String(); !strings.Contains(got, c.want) || strings.Contains(got, "restored the ") {
 				t.Errorf("%s", got)
 			}
 			eventually(t, "a memory of its own", func() bool {
@@ -120,9 +120,9 @@
 		t.Parallel()
 		p := startWith(t, testConfig(t, closedAddr(t), ready("s-1", named(t, "one"))), remembering(t, filepath.Join(t.TempDir(), "not", "there")))
 		servedBy(t, p, "one")
-		eventually(t, "a word on it", func() bool { return strings.Contains(p.log.String(), "memory: not written: open ") })
+		eventually(t, "a word on it", func() bool { return strings.Contains(p.log.String(), "memory: state not saved: open ") })
 		time.Sleep(300 * time.Millisecond)
-		if n := strings.Count(p.log.String(), "memory: not written"); n != 1 {
+		if n := strings.Count(p.log.String(), "memory: state not saved"); n != 1 {
 			t.Errorf("it is said %d times", n)
 		}
 	})
@@ -170,13 +170,13 @@
 		says   string
 	}{
 		{0, nil, ""},
-		{3 * time.Second, nil, "it falls behind"},
+		{3 * time.Second, nil, "longer than the interval of"},
 		{4 * time.Second, nil, ""},
 		{0, nil, ""},
-		{2 * time.Second, nil, "it falls behind"},
-		{0, errors.New("no space left on device"), "not written: no space left on device"},
+		{2 * time.Second, nil, "longer than the interval of"},
+		{0, errors.New("no space left on device"), "state not saved: no space left on device"},
 		{0, errors.New("no space left on device"), ""},
-		{0, nil, "written again"},
+		{0, nil, "saved again"},
 	} {
 		slow, broken = step.slow, step.broken
 		before := len(lines.String())
--- a/internal/proxy/memory.go
+++ b/internal/proxy/memory.go
@@ -13,22 +13,22 @@
 	"marlreel/internal/process/learnedstate/codec"
 )
 
-// memory is what a process that starts beside another one takes over of what that one has
-// learnt, before it says that it can serve. On the engine's goroutine.
+// memory is the learned state that a starting process takes over before it reports that it is ready: from another
+// running process, or else from the state file. The engine's goroutine owns it.
 type memory struct {
-	asking bool // another process has been asked, and has not answered yet
-	listed bool // there is a list, and clients can be served by it
-	state  *learnedstate.State
-	from   int
-	kept   *learnedstate.State // of an earlier life of this proxy
+	asking bool                // a request to another process is still in flight
+	listed bool                // there is a backend list, so clients can be served
+	state  *learnedstate.State // from another process
+	from   int                 // the id of that process
+	kept   *learnedstate.State // from the state file
 }
 
-// recallTimeout bounds how long other processes are asked, one after the other: no further one is asked after it.
+// recallTimeout limits how long other processes are asked in turn; after it no further one is asked.
 const recallTimeout = time.Second
 
-// recall asks the other processes that serve, or have served, for what they have learnt, one after the other until one
-// tells. Each has a part of a second, and all together recallTimeout: processes that are stuck must not hold up a start.
-// Before the engine runs.
+// recall asks the other processes that are serving or leaving for their learned state, in turn until one answers. Each
+// gets a fraction of a second, and all together recallTimeout, so that stuck processes don't delay the start. It must be
+// called before the engine runs.
 func (p *parts) recall(rendezvous *handover.Rendezvous, name string, logger *slog.Logger) {
 	others, err := rendezvous.Peers()
 	if err != nil {
@@ -38,7 +38,7 @@
 	if len(others) == 0 {
 		return
 	}
-	// One that serves knows more than one that leaves.
+	// A serving process knows more than one that is leaving.
 	slices.SortStableFunc(others, func(x, y handover.Peer) int { return cmp.Compare(x.Stage, y.Stage) })
 	p.memory.asking = true
 	go func() {
@@ -50,7 +50,7 @@
 	}()
 }
 
-// askOthers returns what the first process that tells has learnt, and its id; nil where none does.
+// askOthers returns the learned state of the first process that answers, and its id, or nil if none does.
 func askOthers(rendezvous *handover.Rendezvous, others []handover.Peer, name string, logger *slog.Logger) (*learnedstate.State, int) {
 	until := time.Now().Add(recallTimeout)
 	for _, other := range others {
@@ -60,9 +60,9 @@
 		state, err := ask(rendezvous, other.ID)
 		switch {
 		case err != nil:
-			logger.Info(fmt.Sprintf("nothing is taken over of what process %d has learnt: %v", other.ID, err), "event", "learnt-refused")
+			logger.Info(fmt.Sprintf("got no state from process %d: %v", other.ID, err), "event", "learnt-refused")
 		case state.ProxyName != name:
-			logger.Info(fmt.Sprintf("nothing is taken over of what process %d has learnt: it is of %q, and this is %q", other.ID, state.ProxyName, name), "event", "learnt-refused")
+			logger.Info(fmt.Sprintf("got no state from process %d: it belongs to proxy %q, and this is %q", other.ID, state.ProxyName, name), "event", "learnt-refused")
 		default:
 			return state, other.ID
 		}
@@ -78,7 +78,7 @@
 	return codec.Decode(told)
 }
 
-// encodeLearnedState returns what this process has learned, for a proxy of that name.
+// encodeLearnedState returns this process's learned state, encoded and marked with the proxy's name.
 func (p *parts) encodeLearnedState(ctx context.Context, name string) ([]byte, error) {
 	collected := make(chan *learnedstate.State, 1)
 	p.engine.Post(func() {
@@ -97,14 +97,14 @@
 	}
 }
 
-// becomeReady says that there is a list.
+// becomeReady records that there is a backend list.
 func (p *parts) becomeReady(logger *slog.Logger) {
 	p.memory.listed = true
 	p.open(logger)
 }
 
-// open says that clients can be served, once there is a list and nothing more is to be heard of
-// another process.
+// open restores the learned state and reports readiness, once there is a list and no request to another process is in
+// flight.
 func (p *parts) open(logger *slog.Logger) {
 	m := &p.memory
 	if !m.listed || m.asking {
@@ -115,14 +115,14 @@
 		began := time.Now()
 		n := p.engine.RestoreLearnedState(s)
 		p.carrier.RestoreLearnedState(s.Connections, s.Age(began))
-		logger.Info(fmt.Sprintf("memory: taken over from an earlier life: what it had learnt of %d backends and %d classes, %v old", n, len(s.Classes), s.Age(began).Round(time.Millisecond)), "event", "memory-taken")
+		logger.Info(fmt.Sprintf("memory: restored the saved state: %d backends and %d classes, %v old", n, len(s.Classes), s.Age(began).Round(time.Millisecond)), "event", "memory-taken")
 	}
 	if s := m.state; s != nil {
 		m.state, m.kept = nil, nil
 		began := time.Now()
 		n := p.engine.RestoreLearnedState(s)
 		p.carrier.RestoreLearnedState(s.Connections, s.Age(began))
-		logger.Info(fmt.Sprintf("taken over from process %d: what it has learnt of %d backends and %d classes, %v old",
+		logger.Info(fmt.Sprintf("restored the state of process %d: %d backends and %d classes, %v old",
 			m.from, n, len(s.Classes), s.Age(began).Round(time.Millisecond)), "event", "learnt-taken")
 	}
 	p.front.SetReady(true)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,6 +1,5 @@
-// Package proxy makes one proxy of its parts: the engine, the front and the carrier of
-// each protocol, and discovery. It owns their start, readiness, reload and drain, and
-// nothing of what they do.
+// Package proxy assembles a proxy from its parts: the engine, the front and the carrier of each protocol, and discovery.
+// It handles their start, readiness, reload and drain; what they do is decided in their own packages.
 package proxy
 
 import (
@@ -33,17 +32,17 @@
 )
 
 const (
-	// What is open so long before the end of the drain is answered with a failure:
-	// a request that the end of the process finds is lost.
+	// Requests that are still open this long before the end of the drain are answered with a failure, because a request
+	// that is open when the process exits is lost.
 	lastAnswers = 250 * time.Millisecond
-	// And what has come whole since then, so long before the process ends.
+	// Requests that were received completely since then are answered this long before the process exits.
 	veryLast = 120 * time.Millisecond
-	// A proxy that has no word from discovery takes its old list for good after this.
+	// After this time without a list from discovery a proxy becomes ready with the list it was started with.
 	oldListAfter = time.Second
 )
 
-// Run serves until ctx ends, then finishes what it has taken. Each new configuration
-// that reloads brings is put in force without a break.
+// Run serves until ctx ends, then finishes the requests it has accepted. Each new configuration
+// from reloads is applied without interrupting service.
 func Run(ctx context.Context, cfg *config.Platform, own *config.Operator, logger *slog.Logger, reloads <-chan Reload) error {
 	var in listeners
 	var err error
@@ -67,12 +66,12 @@
 			return &ListenError{"rpc.listen", own.RPC.Listen, err}
 		}
 	}
-	// The runtime sees the machine's memory, not this process's part of it.
+	// The runtime sees the machine's memory, not this process's share of it.
 	in.limitMemory = func(bytes int64) { debug.SetMemoryLimit(bytes) }
 	return serve(ctx, cfg, own, logger, in, reloads)
 }
 
-// ListenError is an address at which this process can't listen.
+// ListenError reports an address on which this process can't listen.
 type ListenError struct {
 	Key, Address string
 	Err          error
@@ -83,15 +82,15 @@
 
 // Advice says what an operator can do.
 func (e *ListenError) Advice() string {
-	return "see what else has " + e.Address + ", or give this process another address"
+	return "find the process that uses " + e.Address + ", or configure another address"
 }
 
-// listeners are where clients come in, and the platform at control. rpc and control are
-// nil where they are off.
+// listeners are the listeners for clients (http, rpc) and for the platform (control). rpc and control are nil if they
+// are off.
 type listeners struct {
 	http, rpc, control net.Listener
 
-	limitMemory func(bytes int64) // tells the runtime its share; nil: it is not told
+	limitMemory func(bytes int64) // sets the runtime's memory limit; nil leaves it alone
 }
 
 func (l listeners) close() {
@@ -104,36 +103,36 @@
 	}
 }
 
-// stopTaking closes where clients come in: the platform may ask to the end.
+// stopTaking closes the client listeners. The control listener stays open until the process exits.
 func (l listeners) stopTaking() {
 	l.control = nil
 	l.close()
 }
 
-// parts is a proxy put together.
+// parts holds the components of an assembled proxy.
 type parts struct {
 	engine     *engine.Engine
 	source     *sources.Source
 	carrier    *httpproxy.Carrier
 	front      *httpproxy.Front
 	room       *budget.Budget
-	rendezvous *handover.Rendezvous // with other processes of this proxy; nil: there are none
+	rendezvous *handover.Rendezvous // with other processes of this proxy; nil if it is alone
 	memory     memory
 
-	rpcCarrier *msgpackrpc.Carrier // nil where RPC is off
+	rpcCarrier *msgpackrpc.Carrier // nil if RPC is off
 	rpcFront   *msgpackrpc.Server
 	rpcCounts  msgpackrpc.Counters
 
-	limitMemory func(bytes int64) // what the runtime is told; nil: nothing
+	limitMemory func(bytes int64) // sets the runtime's memory limit; nil leaves it alone
 
-	member *member // of a fleet; nil: there is none
+	member *member // nil if this proxy is in no fleet
 
-	counts *metrics.ProxyMetrics // nil where nobody asks
+	counts *metrics.ProxyMetrics // nil without a control address
 	door   *adminserver.Server
-	lists  atomic.Pointer[membership.Status] // nil: there is the platform's list alone
+	lists  atomic.Pointer[membership.Status] // nil without a registry: only the platform's list is used
 }
 
-// tellLists is what the door says of the lists.
+// tellLists answers /control/discovery with the status of the lists as JSON.
 func (p *parts) tellLists() (int, []byte) {
 	s := p.lists.Load()
 	if s == nil {
@@ -141,12 +140,12 @@
 	}
 	body, err := json.MarshalIndent(s, "", " ")
 	if err != nil {
-		return http.StatusInternalServerError, []byte("it can't be written down\n") // texts and numbers
+		return http.StatusInternalServerError, []byte("it can't be written down\n") // can't happen: a Status holds only texts and numbers
 	}
 	return http.StatusOK, append(body, '\n')
 }
 
-// assemble puts a proxy together. Nothing runs yet.
+// assemble creates the parts of a proxy without starting them.
 func assemble(cfg *config.Platform, own *config.Operator, limitMemory func(int64), logger *slog.Logger) (*parts, error) {
 	p := &parts{limitMemory: limitMemory}
 	known, version := engine.Membership{}, uint32(0)
@@ -166,7 +165,7 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if own.Registry.Enabled() {
-		version = 0 // beside another list the platform's has to be known whole
+		version = 0 // beside a registry the platform's list is needed in full, not as changes since a version
 	}
 	host, watchers := sources.Host(p.engine), []engine.Observer(nil)
 	if own.Fleet.On() {
@@ -190,7 +189,7 @@
 	p.carrier = httpproxy.NewCarrier(p.engine, cfg.MaxBackendConnections(), cfg.ReportNames, p.room)
 	p.carrier.OnSurplus(func(from *engine.Backend, suspension time.Duration) {
 		if suspension > 0 {
-			logger.Info(fmt.Sprintf("backend %s answered out of turn: its connections carry one request each for %v", from.Name, suspension), "event", "surplus-answer")
+			logger.Info(fmt.Sprintf("backend %s sent a response that belongs to no request: its connections carry one request each for %v", from.Name, suspension), "event", "surplus-answer")
 		}
 	})
 	p.front = httpproxy.NewFront(p.engine, p.carrier, p.room, logger)
@@ -216,7 +215,7 @@
 	return p, nil
 }
 
-// serve runs a proxy until ctx ends or a front fails, and ends it in the reverse order of its start.
+// serve runs a proxy until ctx ends or a front fails, and then stops its parts in reverse order of their start.
 func serve(ctx context.Context, cfg *config.Platform, own *config.Operator, logger *slog.Logger, in listeners, reloads <-chan Reload) error {
 	defer in.close()
 	p, err := assemble(cfg, own, in.limitMemory, logger)
@@ -229,9 +228,9 @@
 			p.recall(p.rendezvous, cfg.Name, logger)
 		}
 	}
-	var keeps *saver
+	var stateSaver *saver
 	if own.LearnedState.Enabled() {
-		keeps = p.keep(cfg.Name, own.LearnedState, logger)
+		stateSaver = p.keep(cfg.Name, own.LearnedState, logger)
 	}
 	stopEngine := p.startEngine(own, logger)
 	defer p.startRendezvous(cfg, logger)()
@@ -241,8 +240,8 @@
 		stopFleet()
 		stopEngine()
 	}()
-	if keeps != nil {
-		defer p.startSaving(own.Background, keeps, logger)()
+	if stateSaver != nil {
+		defer p.startSaving(own.Background, stateSaver, logger)()
 	}
 	if cfg.InitialList != nil && len(cfg.InitialList.Instances) > 0 {
 		time.AfterFunc(oldListAfter, func() { p.engine.Post(func() { p.becomeReady(logger) }) })
@@ -252,7 +251,7 @@
 		return err
 	}
 	if p.rendezvous != nil {
-		// The next process wants the fleet's port and disk; the lease that runs goes on to its end.
+		// The next process needs the fleet's port and disk. The current lease stays valid until it expires.
 		go stopFleet()
 		p.setStage(handover.Leaving, logger)
 		time.AfterFunc(handOnAfter, func() { p.handOn(p.rendezvous, logger) })
@@ -263,7 +262,7 @@
 	return p.drain(cfg, in)
 }
 
-// serveClients serves until ctx ends, and puts new configurations in force on the way. It returns the one in force.
+// serveClients serves until ctx ends and applies new configurations meanwhile. It returns the one in force at the end.
 func (p *parts) serveClients(ctx context.Context, cfg *config.Platform, own *config.Operator, logger *slog.Logger, in listeners, reloads <-chan Reload) (*config.Platform, error) {
 	failed := make(chan error, 2)
 	go func() { failed <- p.front.Serve(in.http) }()
@@ -282,15 +281,15 @@
 	return cfg, nil
 }
 
-// startEngine runs the engine, and follows a registry where one is set. stop breaks off what goes on, and waits for the
-// engine's end.
+// startEngine runs the engine, and follows the registry if one is configured. stop aborts what is in flight and waits for
+// the engine to end.
 func (p *parts) startEngine(own *config.Operator, logger *slog.Logger) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	go p.engine.Run(ctx)
 	if own.Registry.Enabled() {
 		p.engine.Post(func() {
 			if err := p.source.SetRegistry(own.Registry); err != nil { // its files may have changed since they were checked
-				logger.Info(fmt.Sprintf("registry: %v: the platform's list alone counts", err), "event", "registry-off")
+				logger.Info(fmt.Sprintf("registry: %v: only the platform's list is used", err), "event", "registry-off")
 			}
 		})
 	}
@@ -306,17 +305,17 @@
 	}
 }
 
-// startAdminServer answers the platform at its address, where there is one.
+// startAdminServer serves the control address, if there is one.
 func (p *parts) startAdminServer(in listeners) (stop func()) {
 	if p.door == nil || in.control == nil {
 		return func() {}
 	}
 	p.engine.Post(p.publish)
-	go func() { _ = p.door.Serve(in.control) }() // it ends when it is closed
+	go func() { _ = p.door.Serve(in.control) }() // returns when the server is closed
 	return p.door.Close
 }
 
-// startFleet lets operators of the fleet in, where there is one. stop may be called more than once.
+// startFleet serves the fleet's operator socket, if this proxy is in a fleet. stop may be called more than once.
 func (p *parts) startFleet(logger *slog.Logger) (stop func()) {
 	if p.member == nil {
 		return func() {}
@@ -333,12 +332,12 @@
 	})
 }
 
-// startSaving writes what is learned to its file from time to time. stop writes it a last time, while the engine still
-// runs; a disk that hangs doesn't hold up the end.
-func (p *parts) startSaving(cfg config.Background, keeps *saver, logger *slog.Logger) (stop func()) {
+// startSaving saves the learned state periodically. stop saves it a last time while the engine still runs, and gives up
+// after lastSave so that a hanging disk does not delay the exit.
+func (p *parts) startSaving(cfg config.Background, stateSaver *saver, logger *slog.Logger) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	work := p.background(cfg, keeps, logger)
+	work := p.background(cfg, stateSaver, logger)
 	go func() {
 		defer close(ended)
 		work.Run(ctx, lastSave/3)
@@ -351,7 +350,7 @@
 		saved := make(chan struct{})
 		go func() {
 			defer close(saved)
-			keeps.save(timeout, true)
+			stateSaver.save(timeout, true)
 		}()
 		select {
 		case <-saved:
@@ -360,18 +359,18 @@
 	}
 }
 
-// lastSave is how long the last writing of what was learnt may take, at a stop.
+// lastSave limits the last save of the learned state at shutdown.
 const lastSave = 150 * time.Millisecond
 
-// keep readies the file of what is learnt, and takes over what an earlier life has left in it, unless another
-// process of this proxy tells more. Before the engine runs.
+// keep opens the state file and loads the state saved in it. That state is used unless another process of this proxy
+// hands over its own. It must be called before the engine runs.
 func (p *parts) keep(name string, cfg config.LearnedState, logger *slog.Logger) *saver {
 	k := &saver{store: statefile.Open(cfg.Dir, name), every: cfg.SaveInterval.D(), state: func(ctx context.Context) ([]byte, error) { return p.encodeLearnedState(ctx, name) }, now: statefile.CurrentTimestamp, logf: logs.ForEvent(logger, "memory")}
 	p.memory.kept = remember(cfg, k.store, name, k.now(), logger)
 	return k
 }
 
-// figures are what the door tells.
+// figures appends the metrics that the admin server reports.
 func (p *parts) figures(b []byte) []byte {
 	b = p.counts.Append(b)
 	b = metrics.AppendCounter(b, "surplus_answers", p.carrier.SurplusAnswers())
@@ -381,7 +380,7 @@
 	return b
 }
 
-// publish sets the gauges now and ever again. On the engine's goroutine.
+// publish sets the gauges and schedules itself again. It runs on the engine's goroutine.
 func (p *parts) publish() {
 	p.counts.SetGauges(p.engine.BackendCount(), p.engine.EjectedCount(), p.engine.RetryStormState())
 	if s, on := p.source.Status(); on {
@@ -392,12 +391,12 @@
 	p.engine.Schedule(p.engine.Now()+metrics.PublishInterval, p.publish)
 }
 
-// drain stops the fronts without losing a request: they go on accepting while
-// connections still come, end each with its answers, and wait for what is in hand.
+// drain stops the fronts without losing a request: they keep accepting while connections still arrive, close each
+// connection after its answers, and wait for the requests in flight.
 func (p *parts) drain(cfg *config.Platform, in listeners) error {
 	p.front.Stop()
-	// A connection that rests here may have a request on its way, which nobody else will
-	// read: it is kept until its client has had the answer that ends it.
+	// A request may already be under way on an idle connection, and no other process could read it. With a listener
+	// that the platform holds, idle connections are therefore kept until an answer has closed them.
 	end := p.front.Shutdown
 	if cfg.ListenFD >= 0 {
 		end = p.front.WaitForClients
@@ -407,13 +406,13 @@
 		p.rpcFront.StartDraining()
 		fronts = append(fronts, p.rpcFront.Shutdown)
 	}
-	// Where the platform holds the listener, another process takes what still comes, and
-	// what this one leaves in the queue is not lost.
+	// If the platform holds the listener, another process accepts what still arrives, and what this process leaves in
+	// the accept queue is not lost.
 	if cfg.ListenFD < 0 {
 		time.Sleep(cfg.AcceptGrace)
 	}
 	in.stopTaking()
-	// What has been passed on in part by then goes on for as long as the platform waits.
+	// Answers that were passed on in part by then continue for as long as the platform waits for the exit.
 	rest := cfg.ExitGrace()
 	if cfg.ListenFD >= 0 {
 		rest += cfg.AcceptGrace
@@ -437,7 +436,7 @@
 		}
 		last := failed
 		if last {
-			// What comes whole only now is told at once that it can go elsewhere.
+			// Requests that are received completely only now are rejected at once, so that clients can retry elsewhere.
 			p.front.RejectAll()
 		}
 		failed = true
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -12,16 +12,16 @@
 	"marlreel/internal/discovery/sources"
 )
 
-// Reload is what a signal to read the configuration again came to.
+// Reload is the result of reading the configuration again after a signal.
 type Reload struct {
 	Config *config.Platform
-	Own    *config.Operator // nil: as it was
-	Err    error            // why the files can't be used; Config is nil then
+	Own    *config.Operator // nil if unchanged
+	Err    error            // why the files can't be used; Config is then nil
 }
 
-// Reloads reads the configuration again at each signal, and what the operator sets beside it (ownPath; "" is
-// nothing), and hands on what it finds, good or bad. The environment's address of discovery is the one of the
-// start: from the first signal on the file's goes before it.
+// Reloads reads the configuration and the operator's file (ownPath; "" if there is none) again at each signal, and sends
+// the result, valid or not. The discovery address from the environment applies only at the start: after a signal the
+// address in the file takes precedence.
 func Reloads(ctx context.Context, signals <-chan os.Signal, path, ownPath string, getenv func(string) string) <-chan Reload {
 	found := make(chan Reload)
 	fileFirst := func(name string) string {
@@ -55,8 +55,8 @@
 	return found
 }
 
-// reload puts a new configuration in force, whole, or says in one line why not. cfg and own are those in
-// force; what it gives is that from now on.
+// reload applies a new configuration completely, or logs one line that says why not. cfg and own are those in
+// force; it returns those in force afterwards.
 func (p *parts) reload(cfg *config.Platform, own *config.Operator, next Reload, logger *slog.Logger) (*config.Platform, *config.Operator) {
 	err := next.Err
 	if err == nil {
@@ -66,7 +66,7 @@
 		err = sources.CheckRegistry(next.Own.Registry)
 	}
 	if err == nil && next.Own != nil && !reflect.DeepEqual(own.Fleet, next.Own.Fleet) {
-		logger.Info("reloaded: what has changed of fleet counts at the next start", "event", "settings-later")
+		logger.Info("reloaded: changes to [fleet] take effect at the next start", "event", "settings-later")
 	}
 	if err == nil {
 		done := make(chan error, 1)
@@ -77,7 +77,7 @@
 			return cfg, own
 		}
 	}
-	// The line comes before the figure: whoever waits for the figure finds the line.
+	// The line is logged before the metric changes, so that whoever waits for the metric finds the line.
 	taken := func(yes bool) {
 		if p.counts != nil {
 			p.counts.RecordSettings(yes)
@@ -88,8 +88,8 @@
 		taken(false)
 		return cfg, own
 	}
-	if p.member != nil { // the settings are the fleet's to decide
-		logger.Info("reloaded: the settings are put to the fleet", "event", "settings-proposed")
+	if p.member != nil { // the fleet decides on the settings
+		logger.Info("reloaded: the settings are proposed to the fleet", "event", "settings-proposed")
 		go p.member.propose(next.Config, logger, taken)
 		if next.Own == nil {
 			return next.Config, own
@@ -102,15 +102,15 @@
 		return next.Config, own
 	}
 	if !reflect.DeepEqual(own.RPC, next.Own.RPC) {
-		logger.Info("reloaded: what has changed of rpc counts at the next start", "event", "settings-taken")
+		logger.Info("reloaded: changes to [rpc] take effect at the next start", "event", "settings-taken")
 	}
 	if own.LearnedState != next.Own.LearnedState {
-		logger.Info("reloaded: what has changed of memory counts at the next start", "event", "settings-taken")
+		logger.Info("reloaded: changes to [memory] take effect at the next start", "event", "settings-taken")
 	}
 	return next.Config, next.Own
 }
 
-// retune is the part of a reload that the engine's goroutine does.
+// retune applies a reload on the engine's goroutine. In a fleet it leaves the settings to the fleet.
 func (p *parts) retune(next Reload) error {
 	if p.member == nil {
 		if err := p.engine.Reconfigure(next.Config.Settings); err != nil {
--- a/internal/proxy/upgrade.go
+++ b/internal/proxy/upgrade.go
@@ -13,8 +13,8 @@
 	"marlreel/internal/process/logs"
 )
 
-// joinRendezvous finds the other processes of this proxy, and takes a share of the capacity beside them from the first
-// moment on. Where that can't be, the process goes on as if it were alone: nothing here may stop a start.
+// joinRendezvous finds the other processes of this proxy, and limits this one to its share of the capacity from the
+// start. On an error it returns nil and the process runs as if it were alone: a failure here must not prevent a start.
 func (p *parts) joinRendezvous(cfg *config.Platform, logger *slog.Logger) *handover.Rendezvous {
 	if cfg.TempDir == "" {
 		logger.Info("TMPDIR is not set: other processes of this proxy can't be found", "event", "processes")
@@ -32,9 +32,9 @@
 	return rendezvous
 }
 
-// startRendezvous accepts what other processes hand over, and follows how many there are. The limits are those of the
-// start: what a reload brings of them counts at the next one. stop has to be last: a file that goes sooner would give this
-// process's capacity away.
+// startRendezvous accepts what other processes hand over, and adjusts this process's share to their number. The limits
+// are those of the start; a reload doesn't change them. stop has to be called last, because removing this process's file
+// earlier would give its capacity to the others while it still uses it.
 func (p *parts) startRendezvous(limits *config.Platform, logger *slog.Logger) (stop func()) {
 	if p.rendezvous == nil {
 		return func() {}
@@ -43,7 +43,7 @@
 	logf := logs.ForEvent(logger, "rendezvous")
 	go p.rendezvous.Serve(ctx, handoverReceiver{p, limits.Name}, logf)
 	go p.rendezvous.Watch(ctx, func(s handover.Share, others []handover.Peer) {
-		logger.Info(fmt.Sprintf("%d other processes of this proxy are alive: a share of %d in %d", len(others), s.Numerator, s.Denominator), "event", "processes")
+		logger.Info(fmt.Sprintf("%d other processes of this proxy are running: this one's share of the capacity is %d/%d", len(others), s.Numerator, s.Denominator), "event", "processes")
 		p.engine.Post(func() { p.setShare(limits, s) })
 	}, logf)
 	return func() {
@@ -52,19 +52,19 @@
 	}
 }
 
-// setStage announces this process's stage to the others.
+// setStage announces this process's stage to the other processes.
 func (p *parts) setStage(stage handover.Stage, logger *slog.Logger) {
 	if err := p.rendezvous.SetStage(stage); err != nil {
 		logger.Info(err.Error(), "event", "rendezvous")
 	}
 }
 
-// handOnAfter is how long after the signal to stop a large answer that is still on its way
-// is given to the next process: most have ended by then.
+// handOnAfter is how long after the stop signal large answers that are still being sent are handed to the next process.
+// Most have ended by then.
 const handOnAfter = 250 * time.Millisecond
 
-// handOn gives large answers that are on their way to the next process: the platform does
-// not wait for their end.
+// handOn hands large answers that are still being sent to another serving process, because the platform does not wait
+// until they end.
 func (p *parts) handOn(rendezvous *handover.Rendezvous, logger *slog.Logger) {
 	others, err := rendezvous.Peers()
 	if err != nil {
@@ -79,7 +79,7 @@
 		if backend == nil {
 			conns = conns[:1]
 		}
-		// One that takes nothing, or has gone since, is not the only one that can.
+		// If a process refuses or has exited, try the next one.
 		for _, other := range others {
 			err := rendezvous.Transfer(other.ID, state, conns...)
 			if err == nil {
@@ -91,7 +91,7 @@
 	})
 }
 
-// handoverReceiver goes on with what another process of the proxy with this name hands over.
+// handoverReceiver continues what another process of the proxy with this name hands over.
 type handoverReceiver struct {
 	parts *parts
 	name  string
@@ -99,8 +99,8 @@
 
 var _ handover.Receiver = handoverReceiver{}
 
-// AcceptTransfer implements handover.Receiver: a large answer that is on its way comes with both its connections, a
-// client's connection with what has come there.
+// AcceptTransfer implements handover.Receiver. A large answer comes with its client's and its backend's connection; a
+// client's connection alone comes with the bytes already read from it.
 func (r handoverReceiver) AcceptTransfer(state []byte, conns []net.Conn) error {
 	switch len(conns) {
 	case 1:
@@ -116,7 +116,8 @@
 	return r.parts.encodeLearnedState(ctx, r.name)
 }
 
-// setShare bounds what this process holds. On the engine's goroutine, or before it runs.
+// setShare limits memory and connections to this process's share. It must be called on the engine's goroutine, or before
+// the engine runs.
 func (p *parts) setShare(cfg *config.Platform, s handover.Share) {
 	p.room.SetLimit(s.Of(cfg.MaxBodyBytes()))
 	p.carrier.SetMaxConnections(s.Of(cfg.MaxBackendConnections()))
