--- a/cmd/marlreel/handover_test.go
+++ b/cmd/marlreel/handover_test.go
@@ -28,15 +28,14 @@
  "Services":[{"Name":"lot-list","Aim":1000.0,"GiveUp":1000.0,"Effect":"retryable","Value":1.0},
   {"Name":"bid","Aim":1000.0,"GiveUp":1000.0,"Effect":"fragile","Value":8.0}]}`
 
-// audit sees both sides: what backends ran and what clients got. It shares nothing with
-// the proxy.
+// audit records what backends ran and what clients got, independently of the proxy.
 type audit struct {
 	mu   sync.Mutex
-	runs map[string]int // of all requests
-	bids map[string]int // of those that must not run twice
+	runs map[string]int // runs by request id
+	bids map[string]int // the same for bids, which must not run twice
 
 	asked, answered, refused, crossed atomic.Int64
-	held                              atomic.Int64 // by a process that was killed
+	held                              atomic.Int64 // lost with a process that was killed
 }
 
 func (a *audit) ran(id string, bid bool) {
@@ -48,7 +47,7 @@
 	}
 }
 
-// platform is what starts processes, holds the clients' listener and tells the list.
+// platform imitates the platform: it starts processes, holds the client listener and serves the list of backends.
 type platform struct {
 	t      *testing.T
 	ln     *net.TCPListener
@@ -59,10 +58,10 @@
 	audit  audit
 
 	mu        sync.Mutex
-	instances []platformwatch.Instance // the list, as processes find it
-	alone     atomic.Bool              // processes can't find each other: long answers end with theirs
-	killed    atomic.Bool              // a process that served has been killed: what it held is lost
-	kills     atomic.Int64             // how many have been
+	instances []platformwatch.Instance // the list that processes get
+	alone     atomic.Bool              // processes can't find each other: long answers break when their process exits
+	killed    atomic.Bool              // a serving process is being killed: its requests are lost
+	kills     atomic.Int64             // the number of kills
 }
 
 func newPlatform(t *testing.T, seed uint64) *platform {
@@ -92,7 +91,7 @@
 			switch rng.IntN(40) {
 			case 0, 1:
 				w.Write(make([]byte, 200<<10))
-			case 2: // longer than the platform waits for a process's end
+			case 2: // longer than the platform waits for a process to exit
 				for range 25 {
 					w.Write(make([]byte, 10<<10))
 					w.(http.Flusher).Flush()
@@ -108,7 +107,7 @@
 			Zone: "koper", MachineType: "mid-2c", Lifecycle: "Ready", Weight: 1,
 		})
 	}
-	p.instances = instances // nobody else has p yet
+	p.instances = instances // no lock needed: p is not shared yet
 	found, watches := watched(t)
 	go func() {
 		for w := range watches {
@@ -132,7 +131,7 @@
 	return p
 }
 
-// list puts other backends in the list, before any process has started.
+// list replaces the backends in the list. It must be called before any process has started.
 func (p *platform) list(addrs ...string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -159,7 +158,7 @@
 
 func (p *platform) start(temp string, env ...string) *process {
 	p.t.Helper()
-	// An address of its own: a port that is free now may be taken by then.
+	// Each process gets its own IP address: a port that is free now may be in use later.
 	n := lastProcess.Add(1)
 	control := fmt.Sprintf("127.%d.%d.%d:15000", 64+os.Getpid()%64, n>>8&255, n&255)
 	q := spawn(p.t, exec.Command(self(p.t)), func(cmd *exec.Cmd) {
@@ -169,7 +168,7 @@
 	return q
 }
 
-// self is this test's own program, which is the daemon where spawn starts it.
+// self returns the path of this test binary, which runs as the daemon when spawn starts it.
 func self(t *testing.T) string {
 	t.Helper()
 	path, err := os.Executable()
@@ -179,7 +178,7 @@
 	return path
 }
 
-// spawn starts a daemon that ends with the test.
+// spawn starts a daemon that is killed at the end of the test.
 func spawn(t *testing.T, cmd *exec.Cmd, with func(cmd *exec.Cmd), env ...string) *process {
 	t.Helper()
 	q := &process{cmd: cmd, ended: make(chan struct{})}
@@ -199,7 +198,7 @@
 	return q
 }
 
-// ready waits for the process's yes.
+// ready waits until the process reports that it is ready.
 func (p *platform) ready(q *process) {
 	p.t.Helper()
 	for until := time.Now().Add(patience); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
@@ -222,7 +221,7 @@
 	<-q.ended
 }
 
-// stop ends it as the platform does.
+// stop stops the process with SIGTERM, as the platform does.
 func (p *platform) stop(q *process) {
 	p.t.Helper()
 	q.cmd.Process.Signal(syscall.SIGTERM)
@@ -231,18 +230,18 @@
 		if q.err != nil {
 			p.t.Errorf("ended with %v:\n%s", q.err, q.log.String())
 		}
-	case <-time.After(patience): // how soon it ends by the clock is the bench's to say: this machine may be slow
+	case <-time.After(patience): // the exit time itself is measured by the benchmark, as this machine may be slow
 		q.kill()
-		p.t.Errorf("it does not end:\n%s", q.log.String())
+		p.t.Errorf("the process does not exit:\n%s", q.log.String())
 	}
 }
 
-// client asks until it is stopped: now on its old connection, now on a new one.
+// client sends requests until stop is closed, on its old connection or on a new one.
 func (p *platform) client(seed uint64, stop <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var c net.Conn
 	var in *bufio.Reader
-	kills := int64(0) // when the connection was opened
+	kills := int64(0) // the number of kills when the connection was opened
 	defer func() {
 		if c != nil {
 			c.Close()
@@ -260,7 +259,7 @@
 		}
 		head := fmt.Sprintf("%s /%s/x HTTP/1.1\r\nHost: origin.svc\r\nX-Account: a\r\nX-Time-Left: 1000m\r\nX-Correlation-Id: %016x\r\nContent-Length: 0\r\n\r\n",
 			method, class, seed<<32|uint64(n))
-		body := "" // written over 1.9 s: longer than a process may take to end
+		body := "" // a body of 19 bytes is written over 1.9 s, longer than a process may take to exit
 		if method == "POST" && rng.IntN(60) == 0 {
 			body = strings.Repeat("x", 19)
 			head = strings.Replace(head, "Content-Length: 0", "Content-Length: 19", 1)
@@ -273,7 +272,7 @@
 			var err error
 			kills = p.kills.Load()
 			if c, err = net.Dial("tcp4", p.addr); err != nil {
-				p.t.Errorf("the listener that the platform holds refuses: %v", err)
+				p.t.Errorf("the platform's listener refuses a connection: %v", err)
 				return
 			}
 			in = bufio.NewReader(c)
@@ -300,12 +299,12 @@
 			c.Close()
 			c = nil
 			switch {
-			case p.killed.Load(), p.kills.Load() != kills, p.alone.Load() && (resp != nil || body != ""): // what a killed process held is the client's to ask again
+			case p.killed.Load(), p.kills.Load() != kills, p.alone.Load() && (resp != nil || body != ""): // requests of a killed process are lost, and retried by clients
 				p.audit.held.Add(1)
 			case !fresh && resp == nil && !errors.Is(err, os.ErrDeadlineExceeded):
 				p.audit.crossed.Add(1)
 			default:
-				p.t.Errorf("%s, new connection %v: lost: %v", class, fresh, err)
+				p.t.Errorf("%s (on a new connection: %v) was lost: %v", class, fresh, err)
 			}
 			continue
 		}
@@ -322,11 +321,11 @@
 	}
 }
 
-// check holds what clients got against what backends ran.
+// check compares what clients got with what backends ran.
 func (p *platform) check() {
 	p.audit.mu.Lock()
 	defer p.audit.mu.Unlock()
-	for id, n := range p.audit.bids { // no client asks twice
+	for id, n := range p.audit.bids { // no client retries
 		if n > 1 {
 			p.t.Errorf("the bid %s ran %d times", id, n)
 		}
@@ -335,7 +334,7 @@
 		p.t.Errorf("%d of %d requests that ran were bids", len(p.audit.bids), len(p.audit.runs))
 	}
 	if p.audit.crossed.Load() > 0 {
-		p.t.Errorf("%d requests ended at a connection that was closed on them", p.audit.crossed.Load())
+		p.t.Errorf("%d requests were written to a connection that the proxy then closed", p.audit.crossed.Load())
 	}
 	if p.audit.answered.Load() < 20 {
 		p.t.Errorf("only %d requests were answered", p.audit.answered.Load())
@@ -345,8 +344,8 @@
 	}
 }
 
-// The histories: one new process after the other, under load, with kills at each step and
-// with what the processes leave each other spoilt.
+// histories replace processes one after the other under load, with kills at each step and with damaged
+// rendezvous files.
 var histories = map[string]func(p *platform, rng *rand.Rand, old *process, temp string){
 	"one": func(p *platform, rng *rand.Rand, old *process, temp string) {
 		next := p.start(temp)
@@ -365,13 +364,13 @@
 			p.t.Errorf("the first ended with %v", old.err)
 		}
 	},
-	"the new one dies before its yes": func(p *platform, rng *rand.Rand, old *process, temp string) {
+	"the new one is killed before it is ready": func(p *platform, rng *rand.Rand, old *process, temp string) {
 		next := p.start(temp)
 		time.Sleep(time.Duration(rng.IntN(60)) * time.Millisecond)
 		p.killed.Store(true)
-		p.kills.Add(1) // it may have accepted already
+		p.kills.Add(1) // it may already have accepted connections
 		next.kill()
-		p.kills.Add(1) // a connection may have been opened since, and its client write slowly
+		p.kills.Add(1) // a connection may have been opened since by a client that writes slowly
 		time.Sleep(50 * time.Millisecond)
 		p.killed.Store(false)
 		again := p.start(temp)
@@ -388,12 +387,12 @@
 			time.Sleep(time.Duration(rng.IntN(100)) * time.Millisecond)
 		}
 		old.kill()
-		p.kills.Add(1) // the same
+		p.kills.Add(1) // as above
 		time.Sleep(100 * time.Millisecond)
 		p.killed.Store(false)
 		time.Sleep(100 * time.Millisecond)
 	},
-	"what they leave is spoilt": func(p *platform, rng *rand.Rand, old *process, temp string) {
+	"the rendezvous files are damaged": func(p *platform, rng *rand.Rand, old *process, temp string) {
 		files, _ := filepath.Glob(filepath.Join(temp, "marlreel-*"))
 		for _, f := range files {
 			os.WriteFile(f, []byte("\xff\xff\xff"), 0o600)
@@ -406,8 +405,8 @@
 		p.ready(next)
 		p.stop(old)
 	},
-	"one takes nothing": func(p *platform, rng *rand.Rand, old *process, temp string) {
-		// It counts as a process that serves, and is found before any other.
+	"a process accepts nothing": func(p *platform, rng *rand.Rand, old *process, temp string) {
+		// This file counts as a serving process, and is found before any other.
 		f, err := os.Create(filepath.Join(temp, "marlreel-process-1"))
 		if err != nil {
 			p.t.Fatal(err)
@@ -422,7 +421,7 @@
 		p.ready(next)
 		p.stop(old)
 	},
-	"no folder": func(p *platform, rng *rand.Rand, old *process, temp string) {
+	"no directory": func(p *platform, rng *rand.Rand, old *process, temp string) {
 		next := p.start(filepath.Join(temp, "not there"))
 		p.ready(next)
 		p.alone.Store(true)
@@ -430,10 +429,10 @@
 	},
 }
 
-// Over any history of processes on one listener nothing that was taken is lost, nothing is
-// closed on, and no bid runs twice.
+// In any history of processes on one listener no accepted request is lost, no connection is closed under a
+// request, and no bid runs twice.
 func TestHandOver(t *testing.T) {
-	const seeds = 9 // of each: 63 histories
+	const seeds = 9 // per history: 63 runs
 	room := make(chan struct{}, 6)
 	for name, history := range histories {
 		for seed := range uint64(seeds) {
@@ -469,7 +468,7 @@
 	}
 }
 
-// A descriptor that is no listener ends the start with one line that names it.
+// If the descriptor is not a listener, the process exits with one line that names it.
 func TestAWrongDescriptor(t *testing.T) {
 	p := newPlatform(t, 1)
 	for _, fd := range []string{"9", "x", "0"} {
--- a/cmd/marlreel/link_test.go
+++ b/cmd/marlreel/link_test.go
@@ -12,9 +12,9 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// What the deploy file builds is linked against the C library at run time: the platform's
-// fleet leads a proxy's sockets and clocks through a library that it loads into the
-// process, and into a program that is linked statically nothing can be loaded.
+// The deployed binary must be linked dynamically against the C library: the platform's fleet
+// intercepts a proxy's sockets and clocks by a library that it preloads, which does not work
+// with a statically linked program.
 func TestTheDeployedDaemonIsLinkedDynamically(t *testing.T) {
 	t.Parallel()
 	root, err := filepath.Abs("../..")
@@ -30,9 +30,9 @@
 		t.Fatal(err)
 	}
 	if !strings.HasPrefix(deploy.Run, "exec ") {
-		t.Errorf("run is %q: it has to end in one process by exec", deploy.Run)
+		t.Errorf("run is %q: it must exec the proxy, so that there is one process", deploy.Run)
 	}
-	// The same build, beside the one that may be in use.
+	// The same build into another directory, as the binaries in bin may be in use.
 	dir := t.TempDir()
 	build := exec.Command("sh", "-c", strings.Replace(deploy.Build, "-o bin/ ./cmd/...", "-o "+dir+"/ ./cmd/marlreel", 1))
 	build.Dir = root
@@ -49,9 +49,9 @@
 		t.Fatal(err)
 	}
 	if !slices.ContainsFunc(libraries, func(l string) bool { return strings.HasPrefix(l, "libc.so") }) {
-		t.Errorf("linked against %v, without the C library", libraries)
+		t.Errorf("linked against %v, which does not include the C library", libraries)
 	}
 	if !slices.ContainsFunc(f.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }) {
-		t.Error("no dynamic linker is named")
+		t.Error("the binary names no dynamic linker")
 	}
 }
--- a/cmd/marlreel/main_test.go
+++ b/cmd/marlreel/main_test.go
@@ -16,7 +16,7 @@
 
 const patience = 30 * time.Second
 
-// As a child the test binary is the program itself.
+// With MARLREEL_TEST_CHILD set, the test binary runs as the daemon.
 func TestMain(m *testing.M) {
 	if os.Getenv("MARLREEL_TEST_CHILD") != "" {
 		os.Args = os.Args[:1]
@@ -30,7 +30,7 @@
  "Kinds":["mid-2c"],"Feedback":{"How":"off","Names":[]},"Caps":{"ConnectTimeout":200.0,"MaxAttempts":4},
  "Services":[{"Name":"lot-list","Aim":600.0,"GiveUp":1000.0,"Effect":"retryable","Value":1.0}]}`
 
-// watched is a discovery service that tells of each watch.
+// watched starts a discovery service, and returns its address and a channel of its watches.
 func watched(t *testing.T) (string, chan standin.ScriptedWatch) {
 	t.Helper()
 	s, err := standin.NewScript()
@@ -46,13 +46,13 @@
 	select {
 	case v = <-c:
 	case <-time.After(patience):
-		t.Fatalf("waited in vain for %s", what)
+		t.Fatalf("timed out waiting for %s", what)
 	}
 	return v
 }
 
-// SIGHUP once ended the process. It makes it read the file again, whose address then
-// goes before the environment's; a bad file is one line, and SIGTERM still ends it.
+// Guards against a fault in which SIGHUP ended the process. SIGHUP reads the file again, and its discovery address
+// then overrides the environment's. An invalid file is logged on one line, and SIGTERM still ends the process.
 func TestSignals(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	put := func(text string) {
@@ -112,12 +112,12 @@
 	for !strings.Contains(wait(t, lines, "a line on the bad file"), "not reloaded") {
 	}
 	put(config(second))
-	for range 5 { // as quick as they come
+	for range 5 { // in quick succession
 		send(syscall.SIGHUP)
 	}
 	wait(t, atSecond, "the watch at the new address")
 	send(syscall.SIGTERM)
-	send(syscall.SIGHUP) // what comes then changes nothing
+	send(syscall.SIGHUP) // signals after SIGTERM have no effect
 	send(syscall.SIGTERM)
 	wait(t, ended, "the end")
 	if result != nil {
@@ -125,7 +125,7 @@
 	}
 }
 
-// The daemon links nothing that tests and rehearsals are made of.
+// The daemon must not link packages for tests and rehearsals.
 func TestLinksNoStandIn(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", ".").Output()
 	if err != nil {
@@ -138,7 +138,7 @@
 	}
 }
 
-// What the command line and a file of the operator's lead to, without a start.
+// Command lines and operator files that do not start the proxy: exit code, output and error.
 func TestCommandLine(t *testing.T) {
 	file := func(text string) string {
 		path := filepath.Join(t.TempDir(), "marlreel.toml")
--- a/cmd/marlreel/memory_test.go
+++ b/cmd/marlreel/memory_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// figure is a line of the figures of a process, behind its name.
+// figure returns the value of a metric of a process, or "" if it is missing.
 func (q *process) figure(t *testing.T, name string) string {
 	t.Helper()
 	resp, err := http.Get("http://" + q.control + "/control/counters")
@@ -30,7 +30,7 @@
 	return ""
 }
 
-// ask asks once on a connection of its own.
+// ask sends one request on a new connection.
 func (p *platform) ask(n int) {
 	p.t.Helper()
 	c, err := net.Dial("tcp4", p.addr)
@@ -47,9 +47,9 @@
 	}
 }
 
-// A process that starts beside another one knows from its yes on which node is out there, and
-// learns so without a request of its own. One that can't ask starts all the same.
-func TestTheNextProcessRemembers(t *testing.T) {
+// A process that starts next to another one knows from the moment it is ready which node is ejected there,
+// without having sent a request itself.
+func TestNextProcessTakesOverLearnedState(t *testing.T) {
 	p := newPlatform(t, 5)
 	dead, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -71,7 +71,7 @@
 	n := 0
 	for until := time.Now().Add(patience); old.figure(t, "ejected") != "1|g"; n++ {
 		if time.Now().After(until) {
-			t.Fatalf("the dead node is not out: %s", old.figure(t, "ejected"))
+			t.Fatalf("the dead node is not ejected: %s", old.figure(t, "ejected"))
 		}
 		p.ask(n + 1)
 	}
@@ -79,23 +79,23 @@
 	p.ready(next)
 	for until := time.Now().Add(patience); next.figure(t, "ejected") != "1|g"; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(until) {
-			t.Errorf("the next process has not heard of the dead node: %s", next.log.String())
+			t.Errorf("the next process does not know that the dead node is ejected: %s", next.log.String())
 			break
 		}
 	}
 	if got := next.figure(t, "forwards"); got != "0|c" {
-		t.Errorf("it has sent %s by then", got)
+		t.Errorf("it had already sent %s requests", got)
 	}
 	p.stop(old)
 	p.stop(next)
 	if !strings.Contains(next.log.String(), "restored the state of process") {
-		t.Errorf("not a word of what was taken over: %s", next.log.String())
+		t.Errorf("the restored state is not logged: %s", next.log.String())
 	}
 }
 
-// A process that is stuck holds up no start for longer than a part of a second; and it is
-// answered for by who starts.
-func TestAStuckProcessHoldsUpNoStart(t *testing.T) {
+// A stuck process delays the start of another one by no more than a fraction of a second, and the failure to get its
+// state is logged.
+func TestStuckProcessDoesNotDelayStart(t *testing.T) {
 	p := newPlatform(t, 6)
 	old := p.start(p.dir)
 	p.ready(old)
@@ -106,6 +106,6 @@
 	p.stop(old)
 	p.stop(next)
 	if !strings.Contains(next.log.String(), "got no state from process") {
-		t.Errorf("not a word of what could not be taken over: %s", next.log.String())
+		t.Errorf("the failure to fetch the state is not logged: %s", next.log.String())
 	}
 }
--- a/cmd/marlreel/room_test.go
+++ b/cmd/marlreel/room_test.go
@@ -19,12 +19,12 @@
 	"marlreel/internal/testutil"
 )
 
-// status is a figure of /proc/PID/status, in its unit.
+// status returns a number from /proc/PID/status, in the unit used there.
 func status(t *testing.T, pid int, name string) int {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
-		t.Skipf("this system does not tell what a process takes: %v", err)
+		t.Skipf("this system does not report the memory of a process: %v", err)
 	}
 	for line := range strings.Lines(string(text)) {
 		if value, found := strings.CutPrefix(line, name+":"); found {
@@ -43,12 +43,12 @@
 	t.Helper()
 	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
-		t.Skipf("this system does not tell what a process holds: %v", err)
+		t.Skipf("this system does not report the descriptors of a process: %v", err)
 	}
 	return len(all)
 }
 
-// bulkBackend answers each request with 32 MB, from one piece of memory.
+// bulkBackend answers each request with 32 MB, written from one shared buffer.
 func bulkBackend(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -88,8 +88,8 @@
 	return ln.Addr().String()
 }
 
-// 64 answers of 32 MB at once to clients that read slowly, through a process that may take
-// 64 MB: it stays within them, all of it and not its heap alone.
+// 64 concurrent answers of 32 MB to clients that read slowly, through a process with a limit of 64 MB. The whole
+// process, not only its heap, must stay within the limit.
 func TestLargeAnswersInLittleMemory(t *testing.T) {
 	p := newPlatform(t, 1)
 	p.list(bulkBackend(t))
@@ -99,7 +99,7 @@
 	var over sync.WaitGroup
 	stop := make(chan struct{})
 	for i := range readers {
-		// One after the other: how many may ask at once is another matter.
+		// Requests are sent one after the other: the limit of concurrent requests is not tested here.
 		c, err := net.Dial("tcp4", p.addr)
 		if err != nil {
 			t.Fatal(err)
@@ -122,13 +122,13 @@
 					return
 				}
 				select {
-				case <-stop: // the rest as fast as it comes
+				case <-stop: // read the rest at full speed
 				case <-time.After(2 * time.Millisecond):
 				}
 			}
 		}()
 	}
-	time.Sleep(500 * time.Millisecond) // all that can be held is held by now
+	time.Sleep(500 * time.Millisecond) // by now all buffers are full
 	close(stop)
 	over.Wait()
 	if peak := status(t, q.cmd.Process.Pid, "VmHWM"); peak > 64<<10 && !testutil.Race {
@@ -139,14 +139,14 @@
 	p.stop(q)
 }
 
-// 2,000 connections that ask nothing, through a process of 256 descriptors: true requests
-// on new connections are served, the platform's calls are answered, and no more is held.
-func TestACrowdAtTheDoor(t *testing.T) {
+// 2,000 connections without a complete request, to a process with 256 descriptors. Requests on new connections are
+// served, the platform's calls are answered, and the limit of descriptors is kept.
+func TestManySilentConnections(t *testing.T) {
 	if runtime.GOOS != "linux" {
-		t.Skip("descriptors are counted by /proc")
+		t.Skip("needs /proc to count descriptors")
 	}
 	p := newPlatform(t, 2)
-	// The bound is on what is live: with the collector's usual pace the peak holds as much garbage again.
+	// The limit is for live memory. With the default GOGC the peak would include as much garbage again.
 	q := p.start(p.dir, "GOGC=10")
 	p.ready(q)
 	pid := q.cmd.Process.Pid
@@ -178,17 +178,17 @@
 		fmt.Fprintf(good, "GET /lot-list/x HTTP/1.1\r\nHost: origin.svc\r\nX-Account: a\r\nX-Time-Left: 1000m\r\nX-Correlation-Id: %016x\r\n\r\n", i+1)
 		resp, err := http.ReadResponse(bufio.NewReader(good), nil)
 		if err != nil || resp.StatusCode != 200 {
-			t.Fatalf("a true request beside %d that say nothing: %+v %v", i+1, resp, err)
+			t.Fatalf("a request next to %d silent connections: %+v %v", i+1, resp, err)
 		}
 		good.Close()
 		if resp, err := http.Get("http://" + q.control + "/control/ready"); err != nil || resp.StatusCode != 200 {
-			t.Fatalf("the door: %+v %v", resp, err)
+			t.Fatalf("the control address: %+v %v", resp, err)
 		} else {
 			resp.Body.Close()
 		}
 	}
 	if n := most.Load(); n > 256 {
-		t.Errorf("%d descriptors were held", n)
+		t.Errorf("%d descriptors were open", n)
 	}
 	if grown := status(t, pid, "VmHWM") - before; grown > 8<<10 && !testutil.Race {
 		t.Errorf("the process grew by %d kB", grown)
@@ -198,8 +198,8 @@
 	p.stop(q)
 }
 
-// A file read at SIGHUP that is cut off is turned down, and counted.
-func TestABrokenFileIsCounted(t *testing.T) {
+// A truncated or invalid file is rejected at SIGHUP, and counted.
+func TestRejectedFilesAreCounted(t *testing.T) {
 	p := newPlatform(t, 3)
 	q := p.start(p.dir)
 	p.ready(q)
@@ -236,12 +236,12 @@
 		want := fmt.Sprintf("%d|c", n+1)
 		for until := time.Now().Add(patience); figure("sighup_rejected") != want; time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(until) {
-				t.Fatalf("%.40q: %s were turned down, want %s", text, figure("sighup_rejected"), want)
+				t.Fatalf("%.40q: %s were rejected, want %s", text, figure("sighup_rejected"), want)
 			}
 		}
 	}
 	if got := figure("sighup_applied"); got != "0|c" {
-		t.Errorf("%s were taken", got)
+		t.Errorf("%s were applied", got)
 	}
 	p.stop(q)
 }
--- a/cmd/marlreel/thirty_test.go
+++ b/cmd/marlreel/thirty_test.go
@@ -24,11 +24,11 @@
 	"marlreel/internal/testutil"
 )
 
-// Thirty real processes beside one another, as the platform runs them.
+// Tests with thirty real processes side by side, as the platform runs them.
 
 const thirty = 30
 
-// thirtySettings are those of a bank of thirty proxies with a class that is safe to repeat.
+// thirtySettings returns the settings of one of thirty proxies, with a class that is safe to retry.
 func thirtySettings(rank int, discovery string) string {
 	return fmt.Sprintf(`{"Balancers":%d,"Rank":%d,"Zone":0,"Tick":5.0,"Discovery":%q,"FailureDomains":["koper"],
  "Kinds":["mid-2c"],"Feedback":{"How":"off","Names":[]},
@@ -37,19 +37,19 @@
  "Services":[{"Name":"lot-list","Aim":600.0,"GiveUp":2000.0,"Effect":"retryable","Value":1.0}]}`, thirty, rank, discovery)
 }
 
-// bank is thirty processes.
+// bank is a group of thirty processes.
 type bank struct {
 	t         *testing.T
 	dir, mode string
 	discovery string
 	known     []standin.Entry
-	limit     int // of descriptors; 0 is the system's
+	limit     int // of descriptors; 0 means the system's limit
 	addrs     [thirty]string
 	processes [thirty]*process
 	saw       *fleettest.Recorder
 
 	mu sync.Mutex
-	by map[string]int // who was asked for a request
+	by map[string]int // the process that each request was sent to
 }
 
 func newBank(t *testing.T, mode, discovery string, known ...standin.Entry) *bank {
@@ -67,7 +67,7 @@
 	return b
 }
 
-// launch starts one, with the list that it last had.
+// launch starts process i with its last known list.
 func (b *bank) launch(i int) {
 	b.t.Helper()
 	path := filepath.Join(b.dir, fmt.Sprint("config-", i))
@@ -90,7 +90,7 @@
 	b.processes[i] = spawn(b.t, cmd, nil, "NODE_CONFIG="+path)
 }
 
-// ready waits until processes say that they are, and gives how long each took.
+// ready waits until processes are ready, and returns their sorted start times.
 func (b *bank) ready(which []int) []time.Duration {
 	b.t.Helper()
 	began, took := time.Now(), make([]time.Duration, len(which))
@@ -125,7 +125,7 @@
 
 var lastAsked atomic.Uint64
 
-// id is a new request's, to one process.
+// id returns the id of a new request to process i.
 func (b *bank) id(i int) string {
 	id := fmt.Sprintf("%016x", lastAsked.Add(1))
 	b.mu.Lock()
@@ -134,7 +134,7 @@
 	return id
 }
 
-// ask sends a request to one process, and notes it and its answer.
+// ask sends a request to process i, and records it and its answer.
 func (b *bank) ask(client *http.Client, i int) (served bool) {
 	id := b.id(i)
 	q := fleettest.Asked{Proxy: i, Request: id, Sent: b.saw.Now(), Wait: 2 * time.Second}
@@ -162,7 +162,7 @@
 	return q.Served
 }
 
-// got brings into the sighting what backends got.
+// got adds what backends received to the recorded sighting.
 func (b *bank) got(backends ...*counting) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -171,7 +171,7 @@
 		for n, at := range c.times {
 			proxy, asked := b.by[c.ids[n]]
 			if !asked {
-				b.t.Errorf("%s got a request %q that nobody sent", c.name, c.ids[n])
+				b.t.Errorf("%s got a request %q that was never sent", c.name, c.ids[n])
 			}
 			b.saw.See(func(saw *fleettest.Sighting) {
 				saw.Arrived = append(saw.Arrived, fleettest.Arrival{Proxy: proxy, Backend: c.name, Request: c.ids[n], Began: b.saw.At(at), Ran: true, Work: 1})
@@ -181,7 +181,7 @@
 	}
 }
 
-// judge holds what was seen against the terms.
+// judge audits the sighting against the agreed terms, and fails the test for each breach (the first five are printed).
 func (b *bank) judge() fleettest.Findings {
 	b.t.Helper()
 	f := b.saw.Audit()
@@ -194,7 +194,7 @@
 	return f
 }
 
-// load asks all processes evenly, so many times a second in all, until stop is closed.
+// load sends requests evenly to all processes, at rate per second in total, until stop is closed.
 func (b *bank) load(rate int, stop chan struct{}) (asked, lost *atomic.Int64, done *sync.WaitGroup) {
 	asked, lost, done = new(atomic.Int64), new(atomic.Int64), new(sync.WaitGroup)
 	for i := range thirty {
@@ -212,7 +212,7 @@
 	return asked, lost, done
 }
 
-// counting is a backend that notes when each request came.
+// counting is a backend that records when each request arrived.
 type counting struct {
 	name  string
 	mu    sync.Mutex
@@ -257,8 +257,8 @@
 	return e
 }
 
-// Nine in ten of thirty processes that are killed and started together are ready within 10 s, whatever discovery does,
-// and seven in ten of them beside a release: what drains with it gets nothing new.
+// Thirty processes start together, and then seven in ten of them are killed and restarted during a release. Whatever
+// discovery does, nine in ten must be ready within 10 s, and a backend that drains in the release gets no new requests.
 func TestThirtyProcessesAreReadyInTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		mode  string
@@ -292,7 +292,7 @@
 			for _, i := range which {
 				<-b.processes[i].ended
 			}
-			// The release comes with the start: one backend drains, another is new and cold.
+			// The release coincides with the restart: one backend drains, another is new and cold.
 			d.Put(entry("s-2", leaves.addr, "Terminating", time.Time{}), entry("s-3", comes.addr, "Ready", time.Now()))
 			changed := b.saw.Now()
 			for _, i := range which {
@@ -300,8 +300,8 @@
 			}
 			started := b.saw.Now()
 			took = b.ready(which)
-			t.Logf("nine in ten ready after %v at first; discovery %s", first.Round(time.Millisecond), name)
-			// Discovery can be reached from here on, and what it has counts 6 s later.
+			t.Logf("nine in ten ready after %v at the first start; discovery: %s", first.Round(time.Millisecond), name)
+			// Discovery is reachable from here on, and its changes must take effect within 6 s.
 			d.Down(false)
 			d.InTurn(0)
 			back := b.saw.Now()
@@ -328,9 +328,9 @@
 	}
 }
 
-// A cold backend gets from thirty processes together no more in any window than its budget and what chance may add;
-// its capacity is taken for what the warm ones are sent, which is less than they could do.
-func TestThirtyProcessesSpareAColdBackend(t *testing.T) {
+// From thirty processes together, a cold backend gets no more requests in any window than its budget plus a margin for
+// chance. Its capacity is taken to be the rate that each warm backend is sent, which is less than they could serve.
+func TestThirtyProcessesLimitAColdBackend(t *testing.T) {
 	var warm []*counting
 	var list []standin.Entry
 	for i := range 3 {
@@ -352,7 +352,7 @@
 	stop := make(chan struct{})
 	asked, lost, done := b.load(rate, stop)
 	began := time.Now()
-	for time.Since(began) < 5*time.Second { // what backends carry is learnt
+	for time.Since(began) < 5*time.Second { // the proxies learn the load that backends carry
 		time.Sleep(10 * time.Millisecond)
 	}
 	started := time.Now()
@@ -366,7 +366,7 @@
 	for _, w := range warm {
 		carried += len(w.between(started.Add(-3*time.Second), started))
 	}
-	each := float64(carried) / 3 / float64(len(warm)) // a second
+	each := float64(carried) / 3 / float64(len(warm)) // requests per second
 	times := cold.between(started, started.Add(whole))
 	since := b.saw.At(started)
 	b.saw.See(func(saw *fleettest.Sighting) {
@@ -381,15 +381,15 @@
 	b.judge()
 	t.Logf("%d requests, %d not served; each warm one %.0f a second; the cold one %d while cold", asked.Load(), lost.Load(), each, len(times))
 	if float64(len(times)) < each*whole.Seconds()/12 {
-		t.Errorf("%d requests in %v: it never gets warm", len(times), whole)
+		t.Errorf("%d requests in %v: it never warms up", len(times), whole)
 	}
 	if lost.Load() > asked.Load()/50 {
 		t.Errorf("%d of %d were not served", lost.Load(), asked.Load())
 	}
 }
 
-// Idle clients fill the descriptors and more come while discovery is down: true requests are served, accepting does
-// not spin, and on its return discovery is reached at once.
+// Idle clients use up the descriptors and more arrive while discovery is down. Requests are served, the accept loop does
+// not spin, and discovery is reached at once when it returns.
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
 	t.Parallel()
 	stays, leaves := newCounting(t, "s-1", 0), newCounting(t, "s-2", 0)
@@ -416,7 +416,7 @@
 	asked, lost := 0, 0
 	client := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	used := cpu(b.processes[0])
-	for time.Since(down) < 8*time.Second { // three idle ones for each that asks: some have asked once, some say nothing
+	for time.Since(down) < 8*time.Second { // three idle connections per request: some sent one request, some none
 		for k := range 3 {
 			c, err := net.DialTimeout("tcp", b.addrs[0], time.Second)
 			if err != nil {
@@ -431,7 +431,7 @@
 		if !b.ask(client, 0) {
 			lost++
 		}
-		time.Sleep(10 * time.Millisecond) // some 300 connections a second
+		time.Sleep(10 * time.Millisecond) // some 300 connections per second
 		if len(idle) > 400 {
 			for _, c := range idle[:50] {
 				c.Close()
@@ -463,7 +463,7 @@
 	})
 	b.got(stays, leaves)
 	b.judge()
-	t.Logf("%d asked beside %d idle ones, %d not served; %v of CPU in %v; %d calls while it was down", asked, len(idle), lost, spent.Round(time.Millisecond), wall.Round(time.Millisecond), calls)
+	t.Logf("%d requests next to %d idle connections, %d not served; %v of CPU in %v; %d calls while it was down", asked, len(idle), lost, spent.Round(time.Millisecond), wall.Round(time.Millisecond), calls)
 	if lost > 0 {
 		t.Errorf("%d of %d requests were not served:\n%s", lost, asked, b.processes[0].log.String())
 	}
@@ -472,7 +472,7 @@
 	}
 }
 
-// cpu is the processor time that a process has used.
+// cpu returns the processor time that a process has used.
 func cpu(q *process) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", q.cmd.Process.Pid))
 	if err != nil {
@@ -482,5 +482,5 @@
 	var user, system int64
 	fmt.Sscan(fields[11], &user)
 	fmt.Sscan(fields[12], &system)
-	return time.Duration(user+system) * 10 * time.Millisecond // a hundred ticks a second
+	return time.Duration(user+system) * 10 * time.Millisecond // 100 clock ticks per second
 }
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -22,10 +22,10 @@
 	"marlreel/internal/standin"
 )
 
-// engineOf is the engine of the last benchProxy.
+// engineOf is the engine of the proxy that benchProxy started last.
 var engineOf *engine.Engine
 
-// benchProxy is a proxy with one backend of both protocols whose answers have 512 bytes.
+// benchProxy starts a proxy whose backends are one server that speaks both protocols and answers with 512 bytes.
 func benchProxy(b *testing.B, answers bool, backends int) (httpAddr, rpcAddr string, clients func() (http, rpc net.Conn)) {
 	b.Helper()
 	addr, backendRPC, err := standin.AddressPair(rpcOffset)
@@ -73,8 +73,8 @@
 			}
 		}
 	})
-	// A backend takes few calls at once until its answers say that it can do more, so
-	// a thousand open ones want many backends.
+	// The concurrency limit of a backend starts low and grows only with its answers, so a
+	// thousand open calls need many backends.
 	var instances []string
 	for i := range backends {
 		instances = append(instances, fmt.Sprintf(`{"instanceId":"s-%d","hostPort":%q,"zone":"koper","machineType":"mid-2c","lifecycle":"Ready","weight":1}`, i, addr))
@@ -132,14 +132,14 @@
 	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
 }
 
-// One request after the other through the same proxy by either protocol, client and
-// backend included: what counts is the ratio of the two, in one run.
+// Sends sequential requests through one proxy over each protocol. The cost includes client and backend, so only the
+// ratio of the two protocols within one run is meaningful.
 func BenchmarkProtocols(b *testing.B) {
 	_, _, clients := benchProxy(b, true, 1)
 	overHTTP, overRPC := clients()
 	n := 0
 	measure := func(b *testing.B, one func() error) {
-		if err := one(); err != nil { // connections come up
+		if err := one(); err != nil { // establishes the connections
 			b.Fatal(err)
 		}
 		b.ReportAllocs()
@@ -184,7 +184,7 @@
 	})
 }
 
-// What 1,000 open calls on 10 connections hold in memory, per call.
+// Measures the memory per open call, with 1,000 open calls on 10 connections.
 func BenchmarkOpenCalls(b *testing.B) {
 	_, rpcAddr, _ := benchProxy(b, false, 200)
 	heap := func() float64 {
@@ -204,7 +204,7 @@
 			conns = append(conns, c)
 			var all bytes.Buffer
 			for i := range 100 {
-				// Of a class that the module holds back: bids wait where the limit is met.
+				// Bids wait when the concurrency limit is reached, so these calls stay open.
 				data, _ := msgpack.Marshal([]any{0, uint32(i + 1), "post.bid", []any{make([]byte, 256), map[string]any{"$id": fmt.Sprintf("%016x", lastName.Add(1)), "$house": "obala", "$left_ms": 30000}}})
 				all.Write(data)
 			}
--- a/internal/proxy/breaks_test.go
+++ b/internal/proxy/breaks_test.go
@@ -16,7 +16,7 @@
 	"marlreel/internal/standin/machine"
 )
 
-// breaking is a node whose connections break as the network says.
+// breaking starts a node whose connections break as configured by w.
 func breaking(t *testing.T, id string, journal *standin.Journal, w standin.Network) *standin.Node {
 	t.Helper()
 	addr, err := standin.Address()
@@ -37,7 +37,7 @@
 	return n
 }
 
-// noBidTwice holds what nodes saw against the rule.
+// noBidTwice checks that no bid was sent again after it may have run.
 func noBidTwice(t *testing.T, j *standin.Journal) {
 	t.Helper()
 	ran := map[string]int{}
@@ -50,7 +50,7 @@
 	}
 }
 
-// rounds plays a listing, a pause and a bid again and again, and gives the bids that failed.
+// rounds sends a listing, pauses and sends a bid, n times, and returns the bids that failed.
 func rounds(t *testing.T, p *running, n int, pause time.Duration, body string) (failed []int) {
 	t.Helper()
 	for i := range n {
@@ -63,8 +63,8 @@
 	return failed
 }
 
-// Kept connections that stood for 50 ms are reset at their next request. Without a model
-// of it every bid after a pause is lost; with one, the first few teach it.
+// Idle connections older than 50 ms are reset at their next request. A proxy that doesn't learn this
+// loses every bid after a pause; one that does loses only the first few.
 func TestStaleConnectionsCostFewBids(t *testing.T) {
 	t.Parallel()
 	j := &standin.Journal{}
@@ -77,11 +77,11 @@
 	noBidTwice(t, j)
 }
 
-// A backend that resets a kept connection as its next request begins to come has not run
-// it: the last byte was not written yet. Once that is known to happen, no bid is lost.
+// A backend that resets a kept-alive connection at the first bytes of a request has not run it, because
+// the last byte was not written yet. Once the proxy has learned that this happens, no bid is lost.
 func TestBreakBeforeTheLastByteProvesThatNothingRan(t *testing.T) {
 	t.Parallel()
-	var whole atomic.Int64 // bids whose last byte came
+	var whole atomic.Int64 // bids received completely
 	serve := func(breaks bool) string {
 		return rawBackend(t, func(c net.Conn, in *bufio.Reader) {
 			for first := true; ; first = false {
@@ -114,8 +114,8 @@
 	}
 }
 
-// Every backend resets half of the large requests in the middle of their bodies. Nothing
-// of those has run: each goes to another one, until one takes it whole.
+// Every backend resets half of the large requests in the middle of their bodies. None of those
+// requests has run, so each is retried on another backend until one receives it completely.
 func TestBreakInTheMiddleOfABody(t *testing.T) {
 	t.Parallel()
 	j := &standin.Journal{}
@@ -133,14 +133,14 @@
 			late++
 		}
 	}
-	if late > all/4 { // a sixteenth meets four that reset it; without the proof half would fail
+	if late > all/4 { // one in sixteen is reset by all four; without retries half would fail
 		t.Errorf("%d of the last %d large bids failed: %v", late, all*3/4, failed)
 	}
 	noBidTwice(t, j)
 }
 
-// Where new connections are reset in one first request in five and kept ones are not,
-// kept ones are what bids get.
+// One in five new connections is reset at its first request and kept-alive ones are not, so bids must
+// go out on kept-alive connections.
 func TestNewConnectionsThatBreak(t *testing.T) {
 	t.Parallel()
 	j := &standin.Journal{}
@@ -156,9 +156,8 @@
 	noBidTwice(t, j)
 }
 
-// Something between drops connections that stood for 600 ms, without a word. What is
-// written to them vanishes; the backend answers others. Long idle ones are left alone
-// after some such silences.
+// A middlebox silently drops connections that were idle for 600 ms. What is written to them is lost, while the
+// backend answers on others. After a few such silences the proxy must stop using connections that were idle for long.
 func TestMiddlebox(t *testing.T) {
 	t.Parallel()
 	j := &standin.Journal{}
@@ -178,7 +177,7 @@
 			status, _, _ := do(t, newRequest(t, p, "bid", "x"))
 			answered <- status
 		}()
-		// Others are answered meanwhile, on connections of their own.
+		// Other requests are answered meanwhile, on other connections.
 		time.Sleep(30 * time.Millisecond)
 		do(t, newRequest(t, p, "lot-list", ""))
 		do(t, newRequest(t, p, "lot-list", ""))
@@ -193,8 +192,8 @@
 	noBidTwice(t, j)
 }
 
-// On a calm day connections are kept as before: not one more handshake in a hundred requests.
-func TestCalmDaysCostNoHandshakes(t *testing.T) {
+// Without network faults connections are kept alive: 300 sequential requests need at most 3 handshakes.
+func TestHealthyNetworkNeedsFewHandshakes(t *testing.T) {
 	t.Parallel()
 	j := &standin.Journal{}
 	n := breaking(t, "s-1", j, standin.Network{})
@@ -207,9 +206,9 @@
 	}
 }
 
-// Where connections break by themselves, a backend that dies is still out soon, and its
-// requests go elsewhere.
-func TestDeathAmongBreaks(t *testing.T) {
+// Where connections break by themselves, a backend that fails is still ejected soon, and its
+// requests go to others.
+func TestFailedBackendAmongConnectionBreaks(t *testing.T) {
 	t.Parallel()
 	j := &standin.Journal{}
 	w := standin.Network{StaleAfter: time.Nanosecond, StaleRate: 0.3}
@@ -226,14 +225,14 @@
 		}
 		return bad
 	}
-	listings() // which teaches how usual breaks are
+	listings() // lets the proxy learn how frequent breaks are
 	usual := listings()
 	if text := p.log.String(); strings.Contains(text, "ejected") {
-		t.Errorf("a living backend was ejected: %s", text)
+		t.Errorf("a working backend was ejected: %s", text)
 	}
 	nodes[0].Die()
 	if bad := listings(); bad > usual+12 {
-		t.Errorf("%d of 60 listings failed after a death, %d before it", bad, usual)
+		t.Errorf("%d of 60 listings failed after a backend failed, %d before", bad, usual)
 	}
 	noBidTwice(t, j)
 }
--- a/internal/proxy/bulk_test.go
+++ b/internal/proxy/bulk_test.go
@@ -17,7 +17,7 @@
 	"marlreel/internal/testutil"
 )
 
-// noise is a body that no piece of which is like another.
+// noise returns a pseudo-random body, so that swapped or repeated pieces are detected.
 func noise(n int) []byte {
 	b := make([]byte, n)
 	x := uint32(2463534242)
@@ -36,8 +36,8 @@
 	return h.Sum64()
 }
 
-// Answers of any length and form arrive unchanged, also where they come in pieces with
-// pauses, and their connections to backends serve on where they can.
+// Answers of any length and framing arrive unchanged, also if they come in pieces with
+// pauses, and backend connections are reused where the framing allows it.
 func TestLargeAnswersArriveWhole(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{0, 1, 4 << 10, maxBody - 1, maxBody, maxBody + 1, 300 << 10, 5 << 20} {
@@ -81,7 +81,7 @@
 								if put(body[at:end]) != nil {
 									return
 								}
-								if at < 1000 { // the first ones come one by one
+								if at < 1000 { // so that the first pieces arrive separately
 									time.Sleep(time.Millisecond)
 								}
 								at = end
@@ -108,7 +108,7 @@
 	}
 }
 
-// An answer that breaks off after its beginning was passed on can't pass for a whole one.
+// If an answer breaks off after its beginning was passed on, the client can see that it is incomplete.
 func TestABrokenAnswerIsSeenAsBroken(t *testing.T) {
 	t.Parallel()
 	for form, head := range map[string]string{
@@ -132,10 +132,10 @@
 					proto, lastName.Add(1))
 				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 				if err != nil {
-					return // not even a head: that is no whole answer either
+					return // without a head it is not taken for a complete answer either
 				}
 				if got, err := io.ReadAll(resp.Body); err == nil {
-					t.Errorf("%d bytes pass for a whole answer", len(got))
+					t.Errorf("%d bytes are taken for a complete answer", len(got))
 				}
 				expect(t, p, "aborted.lot-list", "1|c")
 				expect(t, p, "outstanding", "0|g")
@@ -144,7 +144,7 @@
 	}
 }
 
-// keeper answers with the sum of each body that has come whole, and counts.
+// keeper is a backend that counts requests and answers each with the hash of its body. spoils may answer instead.
 type keeper struct {
 	addr   string
 	begun  atomic.Int64
@@ -173,7 +173,7 @@
 	return k
 }
 
-// Bodies of any length and form arrive unchanged, at a budget that the largest don't fit in.
+// Bodies of any length and framing arrive unchanged, even those larger than the memory budget.
 func TestLargeBodiesArriveWhole(t *testing.T) {
 	t.Parallel()
 	k := newKeeper(t, nil)
@@ -203,7 +203,7 @@
 	})
 }
 
-// A large body that is here whole can be sent again like a small one.
+// A large body that is fully buffered can be retried like a small one.
 func TestALargeBodyIsSentAgain(t *testing.T) {
 	t.Parallel()
 	k := newKeeper(t, func(n int64, w http.ResponseWriter, r *http.Request) bool {
@@ -225,8 +225,8 @@
 	}
 }
 
-// One whose beginning is gone when its attempt ends before the last byte has never run, and
-// can't be sent again: it is refused, whatever its class, and not failed.
+// If an attempt ends before the last byte of a body whose beginning is no longer buffered, the request has not run but
+// can't be retried. It is refused (503) and not failed, whatever its class.
 func TestALargeBodyThatWasCutIsRefused(t *testing.T) {
 	t.Parallel()
 	k := newKeeper(t, func(n int64, w http.ResponseWriter, r *http.Request) bool {
@@ -254,8 +254,8 @@
 	}
 }
 
-// A client that writes slowly binds no connection to a backend until its body is whole, as
-// far as there is room for it.
+// A client that writes slowly occupies no backend connection until its body is complete, as long as the body
+// fits in the budget.
 func TestASlowClientBindsNoBackend(t *testing.T) {
 	t.Parallel()
 	k := newKeeper(t, nil)
@@ -265,7 +265,7 @@
 	fmt.Fprintf(c, "POST /bid/x HTTP/1.1\r\nHost: origin.svc\r\nX-Account: obala\r\nX-Time-Left: 20000m\r\nX-Correlation-Id: %016x\r\nContent-Length: %d\r\n\r\n",
 		lastName.Add(1), len(body))
 	c.Write(body[:len(body)-1])
-	// Others are served meanwhile; the slow one has not begun anywhere.
+	// Other requests are served meanwhile; the slow one has not reached a backend.
 	for range 3 {
 		if status, _, _ := do(t, newRequest(t, p, "bid", "x")); status != 200 {
 			t.Fatalf("another: %d", status)
@@ -281,7 +281,7 @@
 	}
 }
 
-// A client that stops within a large body is told or closed, and leaves nothing behind.
+// A client that stops within a large body gets an error or a close, and its memory and counts are released.
 func TestHalfALargeBody(t *testing.T) {
 	t.Parallel()
 	k := newKeeper(t, nil)
@@ -301,13 +301,13 @@
 	expect(t, p, "outstanding", "0|g")
 	expect(t, p, "succeeded.bid", "0|c")
 	if status, _, _ := do(t, newRequest(t, p, "bid", strings.Repeat("x", 300<<10))); status != 200 {
-		t.Errorf("the room has not come back: %d", status)
+		t.Errorf("the memory budget was not released: %d", status)
 	}
 }
 
-// What is held of bodies counts for as long as their requests are in hand: one more that
-// there is no room for is refused early, and served when there is.
-func TestBodiesInHandCount(t *testing.T) {
+// Buffered bodies count against the budget while their requests are in flight. A request that doesn't fit is
+// refused early, and served once there is room again.
+func TestBodiesInFlightCountAgainstTheBudget(t *testing.T) {
 	t.Parallel()
 	came, finish := make(chan struct{}, 8), make(chan struct{})
 	k := newKeeper(t, func(n int64, w http.ResponseWriter, r *http.Request) bool {
@@ -327,7 +327,7 @@
 			status, _, _ := do(t, r)
 			answers <- status
 		}()
-		receive(t, came, "a request in hand")
+		receive(t, came, "a request in flight")
 	}
 	if status, text, _ := do(t, newRequest(t, p, "bid", body)); status != http.StatusServiceUnavailable || !strings.Contains(text, "no room") {
 		t.Errorf("one more: %d %q", status, text)
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -15,8 +15,8 @@
 	"marlreel/internal/testutil"
 )
 
-// The bound holds in the whole proxy, and good clients are served meanwhile.
-func TestSilentConnectionsKeepNobodyOut(t *testing.T) {
+// Silent connections beyond the limit are closed, and other clients are served meanwhile.
+func TestSilentConnectionsDoNotBlockClients(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig(t, closedAddr(t), ready("s-1", named(t, "a")))
 	cfg.MaxFileDescriptors = config.MinFileDescriptors
@@ -26,13 +26,13 @@
 		testutil.Dial(t, p.addr)
 	}
 	if status, text, _ := do(t, newRequest(t, p, "bid", "x")); status != 200 || text != "a" {
-		t.Errorf("a good client beside silent ones got %d %q", status, text)
+		t.Errorf("a client next to silent connections got %d %q", status, text)
 	}
 	testutil.Ends(t, first, "the first silent connection")
 }
 
-// Bad clients are owed an error or a close, and none of what they send may reach a
-// backend: it closes on what it can't read, and runs what it can.
+// Malformed requests get an error or a close, and none may reach a backend, which would run whatever it
+// can parse of them.
 func TestBadClientsGetAnErrorAndAClose(t *testing.T) {
 	t.Parallel()
 	var reached atomic.Int64
@@ -100,10 +100,9 @@
 	})
 }
 
-// The time-out for reading is over once a request is read: net/http takes it off
-// before it watches for the client's leave. If it did not, or a body were not read to
-// its end, requests that are longer in hand would be cancelled.
-func TestReadTimeoutSparesWhatIsInHand(t *testing.T) {
+// The read timeout must no longer apply once a request has been read. If it did, or if a body were not read to its end,
+// requests in flight for longer than the timeout would be cancelled.
+func TestReadTimeoutDoesNotCancelRequestsInFlight(t *testing.T) {
 	t.Parallel()
 	b := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
@@ -126,8 +125,8 @@
 	}
 }
 
-// Two requests under one id would get each other's answers.
-func TestAnIdInUseIsTurnedAway(t *testing.T) {
+// Two open requests with the same id could get each other's answers.
+func TestRequestIDInUseIsRejected(t *testing.T) {
 	t.Parallel()
 	came, finish := make(chan struct{}, 2), make(chan struct{})
 	b := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -158,7 +157,7 @@
 			t.Errorf("under the id of a request %s: %d", when, got)
 		}
 	}
-	again("in hand")
+	again("in flight")
 	release()
 	if got := receive(t, status, "the first answer"); got != 200 {
 		t.Errorf("the first request got %d", got)
@@ -166,7 +165,7 @@
 	again("just answered")
 }
 
-// Clients that ask once and keep their connection for good must not hold a place for good.
+// Idle connections are closed, so that a client that sends one request does not occupy a connection slot forever.
 func TestIdleConnectionsEnd(t *testing.T) {
 	t.Parallel()
 	p := start(t, testConfig(t, closedAddr(t), ready("s-1", named(t, "a"))))
@@ -179,9 +178,9 @@
 	testutil.Ends(t, c, "the idle connection")
 }
 
-// Clients that ask once and keep their connections must not leave the others without
-// one: when many are held, the answer ends the connection, and a place is free at once.
-func TestAnswersEndConnectionsInACrowd(t *testing.T) {
+// Clients that keep idle connections must not lock others out: when many connections are open, an answer closes its
+// connection, which frees a slot at once.
+func TestAnswersCloseConnectionsWhenManyAreOpen(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig(t, closedAddr(t), ready("s-1", named(t, "a")))
 	cfg.MaxFileDescriptors = config.MinFileDescriptors
@@ -203,7 +202,7 @@
 		return resp
 	}
 	if ask().Close {
-		t.Error("alone, and the answer ends the connection")
+		t.Error("the answer to the only client ends its connection")
 	}
 	eventually(t, "an answer that ends its connection", func() bool { return ask().Close })
 }
--- a/internal/proxy/compatibility_sent_test.go
+++ b/internal/proxy/compatibility_sent_test.go
@@ -24,7 +24,7 @@
 	"marlreel/internal/testutil"
 )
 
-// askDoor gives what a running proxy's door says to a path.
+// askDoor requests a path from a running proxy's control address.
 func askDoor(t *testing.T, p *running, path string) (int, string) {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+p.control+path, nil)
@@ -70,8 +70,8 @@
 	return strings.Join(keys, "\n") + "\n"
 }
 
-// A running proxy's door: the paths that there are with and without a registry and a fleet, the counters' names in
-// their order, and the keys of what is told in JSON.
+// The control paths with and without a registry and a fleet, the names of the counters in their order, and the keys of
+// the JSON answers.
 func TestCompatibilityDoor(t *testing.T) {
 	t.Parallel()
 	figures := regexp.MustCompile(`:\d+\|`)
@@ -132,9 +132,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	trace.line(traceRule{At: 1, Seq: 41, Versions: []uint64{1, 2}})
-	trace.line(traceEnds{At: 2, Ends: []agree.End{{Source: "etcd", Name: "a1", Revision: 17, Gone: true}}})
-	trace.line(traceAct{At: 3, ID: "00000000000000aa", Class: "bid", Attempt: 1, Node: "a1", Seq: 41, Strict: true})
+	trace.write(traceSettings{At: 1, Seq: 41, Versions: []uint64{1, 2}})
+	trace.write(traceEnds{At: 2, Ends: []agree.End{{Source: "etcd", Name: "a1", Revision: 17, Gone: true}}})
+	trace.write(traceAttempt{At: 3, ID: "00000000000000aa", Class: "bid", Attempt: 1, Node: "a1", Seq: 41, Strict: true})
 	if err := trace.file.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -145,7 +145,7 @@
 	recorded.Check(t, "trace.txt", string(got))
 }
 
-// recordingBackend gives each request with a body of four bytes on as it came, and answers all alike.
+// recordingBackend answers every request with answer, and sends each POST with its body of four bytes to seen.
 func recordingBackend(t *testing.T, seen chan<- string, answer string) string {
 	t.Helper()
 	return rawBackend(t, func(c net.Conn, in *bufio.Reader) {
@@ -174,7 +174,7 @@
 	})
 }
 
-// A request through a running proxy: what the backend gets and the client reads, line by line.
+// A request through a running proxy: what the backend receives and the client reads, line by line.
 func TestCompatibilityThrough(t *testing.T) {
 	seen := make(chan string, 4)
 	addr := recordingBackend(t, seen, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nX-Backend-Load: {}\r\nX-Kept: yes\r\nContent-Length: 2\r\n\r\n{}")
--- a/internal/proxy/compatibility_test.go
+++ b/internal/proxy/compatibility_test.go
@@ -10,8 +10,8 @@
 )
 
 // The file testdata/compatibility/trace.jsonl was written by the code of commit 6fb9894. It is the trace of a proxy in a
-// fleet, which other programs read. It must not be written again to make a test pass. How it is read is looked at by the
-// like test of package fleettest.
+// fleet, which other programs read. It must not be rewritten to make a test pass. Reading it is tested in
+// package fleettest.
 //
 // If the file is missing, it is written by
 //
@@ -59,12 +59,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	out.line(traceRule{At: 1790000000000000001, Seq: 41, Versions: []uint64{3, 4}})
-	out.line(traceEnds{At: 1790000000000000002, Ends: []agree.End{
+	out.write(traceSettings{At: 1790000000000000001, Seq: 41, Versions: []uint64{3, 4}})
+	out.write(traceEnds{At: 1790000000000000002, Ends: []agree.End{
 		{Source: "discovery", Name: "llm-1", Revision: 76},
 		{Source: "registry", Name: "llm-2", Revision: 7, Gone: true},
 	}})
-	out.line(traceAct{At: 1790000000000000003, ID: "r-17", Class: "interactive", Attempt: 2, Node: "llm-3", Seq: 41, Strict: true})
+	out.write(traceAttempt{At: 1790000000000000003, ID: "r-17", Class: "interactive", Attempt: 2, Node: "llm-3", Seq: 41, Strict: true})
 	if err := out.file.Close(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/customers_test.go
+++ b/internal/proxy/customers_test.go
@@ -13,8 +13,8 @@
 	"marlreel/internal/testutil"
 )
 
-// payroll are another customer's settings, in the same zones: classes, tenants, kinds, effects, limits and what load
-// reports hold are all its own. One class's name is the auction's too, and means something else.
+// payroll are the settings of another customer in the same zones. Classes, tenants, machine kinds, effects, limits and
+// load report fields all differ. One class has the same name as in the auction's settings, but another effect.
 const payroll = `{"Balancers":1,"Rank":0,"Zone":0,"Tick":5.0,"Discovery":"pushed",
  "FailureDomains":["koper","maribor"],"Kinds":["std-1c"],"Feedback":{"How":"inline","Names":["busy_reqs","pending"]},
  "Caps":{"Cancel":true,"ConnIdle":5000.0,"ConnectTimeout":1000.0,"MaxAttempts":1,"MaxOpen":2,"MaxRetryAfter":700.0,
@@ -26,7 +26,7 @@
   {"Name":"lot-list","Aim":60000.0,"GiveUp":30000.0,"Effect":"fragile","Value":1.0}],
  "Tenants":[{"Name":"ishikari","Share":0.5,"QuotaPerS":1000.0},{"Name":"obihiro","Share":0.5,"QuotaPerS":1000.0}]}`
 
-// sent is a request in the form of a customer's.
+// sent sends a request of a class and an account, with further headers, and returns the answer.
 func sent(t *testing.T, p *running, method, class, account string, more ...string) (int, string, http.Header) {
 	t.Helper()
 	r, err := http.NewRequest(method, p.url+"/"+class+"/7f3a", strings.NewReader(map[bool]string{true: "x"}[method == "POST"]))
@@ -42,8 +42,8 @@
 	return do(t, r)
 }
 
-// One customer's settings after another's, by a start and by SIGHUP: no name, limit or effect of the one holds under
-// the other, and back again.
+// Replaces one customer's settings by another's, by a restart and by SIGHUP, and back. No name, limit or effect of one
+// may still apply under the other.
 func TestOneCustomersSettingsAfterAnothers(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
@@ -100,7 +100,7 @@
 			}
 		}
 		if n := attempts(p, "GET", "lot-list", "obala"); n < 2 {
-			t.Errorf("the auction's: %d attempts at a listing, and it may be repeated", n)
+			t.Errorf("the auction's: %d attempts at a listing, which may be retried", n)
 		}
 	}
 	asPayroll := func(t *testing.T, p *running) {
@@ -123,9 +123,9 @@
 			}
 		}
 		if n := attempts(p, "GET", "payslip-view", "ishikari"); n != 1 {
-			t.Errorf("the payroll's: %d attempts, and 1 is allowed", n)
+			t.Errorf("the payroll's: %d attempts, want 1", n)
 		}
-		// Two may be open here, and the third is turned away, to come again within this customer's bound.
+		// Two requests may be open here. The third is refused, with this customer's maximum as Retry-After.
 		wait := make(chan struct{})
 		mu.Lock()
 		held, tries = wait, 0
@@ -137,7 +137,7 @@
 		eventually(t, "two to be open", func() bool { mu.Lock(); defer mu.Unlock(); return tries == 2 })
 		status, text, h := sent(t, p, "GET", "payslip-view", "ishikari")
 		if after := h.Get("Retry-After"); status != 503 || after != "0.700" || text != "too many requests\n" {
-			t.Errorf("the payroll's: a third at once: %d %q, to come again after %q", status, text, after)
+			t.Errorf("the payroll's: the third open request: %d %q, Retry-After %q", status, text, after)
 		}
 		mu.Lock()
 		held = nil
@@ -165,7 +165,7 @@
 	})
 }
 
-// lastReload is the last line of the log on settings.
+// lastReload returns the last log line about a reload.
 func lastReload(log *testutil.LockedLog) (line string) {
 	for l := range strings.Lines(log.String()) {
 		if strings.Contains(l, "reloaded:") {
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -25,8 +25,8 @@
 	})
 }
 
-// A line that can't be read may hide a change: the watch is dropped, the old list
-// stands, and a new watch asks for what was missed.
+// A malformed line may hide a change: the watch is dropped, the old list stays in use, and a new watch asks
+// for what was missed.
 func TestBadLineDropsTheWatchAndKeepsTheList(t *testing.T) {
 	t.Parallel()
 	a, b := named(t, "a"), named(t, "b")
@@ -39,14 +39,14 @@
 		p := start(t, testConfig(t, g.Addr, ready("s-old", closedAddr(t))))
 		w := g.next(t)
 		if w.From != "1" {
-			t.Errorf("the first watch goes on from %s, want the known list's 1", w.From)
+			t.Errorf("the first watch resumes from %s, want the known list's 1", w.From)
 		}
 		w.Lines <- line(t, 7, true, ready("s-1", a))
 		servedBy(t, p, "a")
 		w.Lines <- bad
 		w = g.next(t)
 		if w.From != "7" {
-			t.Errorf("after the bad line the watch goes on from %s, want 7", w.From)
+			t.Errorf("after the bad line the watch resumes from %s, want 7", w.From)
 		}
 		if status, text, _ := do(t, newRequest(t, p, "bid", "x")); status != 200 || text != "a" {
 			t.Errorf("after the bad line: %d %q", status, text)
@@ -56,12 +56,12 @@
 		servedBy(t, p, "b")
 		close(w.Lines)
 		if w = g.next(t); w.From != "9" {
-			t.Errorf("after its end the watch goes on from %s, want 9", w.From)
+			t.Errorf("after its end the watch resumes from %s, want 9", w.From)
 		}
 	}
 }
 
-// A restarted proxy has its old list and perhaps no discovery: it serves all the same.
+// A restarted proxy serves from its last known list if discovery is unreachable.
 func TestStartsFromTheKnownList(t *testing.T) {
 	t.Parallel()
 	p := start(t, testConfig(t, closedAddr(t), ready("s-1", named(t, "a"))))
--- a/internal/proxy/ending_test.go
+++ b/internal/proxy/ending_test.go
@@ -15,14 +15,15 @@
 	"marlreel/internal/testutil"
 )
 
-// A stop that meets a request at every stage of its life. Each case brings a request to its stage, then the signal
-// comes and is known to have been taken, then the case goes on. What was read is answered once, or was never sent on.
+// Shutdown with a request at each stage. Each case brings a request to its stage, the test stops the proxy and waits
+// until the shutdown has begun, and then the case continues. A request that was read is answered once, or was never
+// forwarded.
 
-// held is a backend whose requests the test answers: each is told of, and its answer written piece by piece.
+// held is a backend that reports each request to the test, which writes the answer piece by piece.
 type held struct {
 	addr  string
 	came  chan string
-	write chan string // what is written next; "" ends the answer
+	write chan string // the next piece of an answer; "" ends it
 	runs  atomic.Int64
 }
 
@@ -58,7 +59,7 @@
 		select {
 		case h.write <- p:
 		case <-time.After(patience):
-			t.Fatal("the backend takes no answer")
+			t.Fatal("the backend does not accept the next piece of the answer")
 		}
 	}
 }
@@ -87,7 +88,7 @@
 	}
 }
 
-// answered reads an answer, and whether it ends its connection.
+// answered reads an answer; last reports whether it closes the connection.
 func (c *raw) answered() (status int, body string, last bool) {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.in, nil)
@@ -102,7 +103,7 @@
 	return resp.StatusCode, string(text), resp.Close
 }
 
-// silentEnd reads up to the connection's end, and fails where an answer comes.
+// silentEnd reads until the connection is closed, and fails if an answer arrives.
 func (c *raw) silentEnd(what string) {
 	c.t.Helper()
 	if text, err := io.ReadAll(c.in); len(text) > 0 || testutil.IsTimeout(err) {
@@ -110,13 +111,13 @@
 	}
 }
 
-func TestTheEndMeetsARequest(t *testing.T) {
+func TestShutdownAtEachRequestStage(t *testing.T) {
 	t.Parallel()
 	const ok = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n"
 	served := func(t *testing.T, c *raw) {
 		t.Helper()
 		if status, body, last := c.answered(); status != 200 || body != "served" || !last {
-			t.Errorf("%d %q, ends its connection: %v", status, body, last)
+			t.Errorf("%d %q, closes its connection: %v", status, body, last)
 		}
 		c.silentEnd("after the answer")
 	}
@@ -161,27 +162,27 @@
 		"answered, with bytes on their way": func(t *testing.T, p *running, h *held, c *raw) (func(), int) {
 			const size = 60 << 10
 			c.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
-			c.send(bid("bytes", 3) + bid("pipelined", 3)) // and with what nobody reads
+			c.send(bid("bytes", 3) + bid("pipelined", 3)) // and with a request that is never read
 			receive(t, h.came, "the request")
 			return func() {
 				h.answer(t, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", size, strings.Repeat("x", size)))
 				if status, body, last := c.answered(); status != 200 || len(body) != size || !last {
-					t.Errorf("%d, %d bytes, ends its connection: %v", status, len(body), last)
+					t.Errorf("%d, %d bytes, closes its connection: %v", status, len(body), last)
 				}
 				c.silentEnd("what was pipelined")
 			}, 1
 		},
-		"a connection that rests, and asks when it is ended": func(t *testing.T, p *running, h *held, c *raw) (func(), int) {
+		"an idle connection, with a request after it is closed": func(t *testing.T, p *running, h *held, c *raw) (func(), int) {
 			c.send(bid("first", 3))
 			receive(t, h.came, "the request")
 			h.answer(t, ok+"served")
 			c.answered()
 			return func() {
-				c.silentEnd("the resting connection") // in time, and without a reset
-				io.WriteString(c, bid("late", 3))     // which may fail
+				c.silentEnd("the idle connection") // in time, and without a reset
+				io.WriteString(c, bid("late", 3))  // may fail
 			}, 1
 		},
-		"a connection that rests, and asks before it is ended": func(t *testing.T, p *running, h *held, c *raw) (func(), int) {
+		"an idle connection, with a request before it is closed": func(t *testing.T, p *running, h *held, c *raw) (func(), int) {
 			c.send(bid("first", 3))
 			receive(t, h.came, "the request")
 			h.answer(t, ok+"served")
@@ -193,10 +194,10 @@
 				served(t, c)
 			}, 2
 		},
-		"a connection that says nothing": func(t *testing.T, p *running, h *held, c *raw) (func(), int) {
+		"a connection without a request": func(t *testing.T, p *running, h *held, c *raw) (func(), int) {
 			return func() { c.silentEnd("the silent connection") }, 0
 		},
-		"a signal to read the settings again": func(t *testing.T, p *running, h *held, c *raw) (func(), int) {
+		"a reload": func(t *testing.T, p *running, h *held, c *raw) (func(), int) {
 			c.send(bid("whole", 3))
 			receive(t, h.came, "the request")
 			go func() {
@@ -219,8 +220,8 @@
 			c := connected(t, p)
 			then, runs := stage(t, p, h, c)
 			p.stop()
-			p.stop() // a second signal changes nothing
-			eventually(t, "the signal to be taken", func() bool { return p.stopping(t) })
+			p.stop() // a second signal has no effect
+			eventually(t, "the shutdown to begin", func() bool { return p.stopping(t) })
 			then()
 			if err := receive(t, p.ended, "the end"); err != nil {
 				t.Error(err)
@@ -232,7 +233,7 @@
 	}
 }
 
-// stopping tells whether the proxy ends connections with their answers.
+// stopping reports whether the proxy closes connections after their answers, as it does once the shutdown has begun.
 func (p *running) stopping(t *testing.T) bool {
 	c := connected(t, p)
 	defer c.Close()
@@ -241,10 +242,10 @@
 	return last
 }
 
-// A stop before the proxy is ready is over at once.
+// A proxy that is stopped before it is ready exits at once.
 func TestAStopBeforeReady(t *testing.T) {
 	t.Parallel()
-	cfg := testConfig(t, closedAddr(t)) // no list, and nobody to ask for one
+	cfg := testConfig(t, closedAddr(t)) // no list, and no discovery
 	p := launch(t, cfg, config.DefaultOperator())
 	if status, _, _ := do(t, newRequest(t, p, "lot-list", "")); status != http.StatusServiceUnavailable {
 		t.Errorf("without a backend: %d", status)
@@ -255,9 +256,9 @@
 	}
 }
 
-// What waits for room at a backend when the stop comes is answered once: served when there is room, or turned away
-// unsent.
-func TestTheEndMeetsRequestsThatWait(t *testing.T) {
+// Requests that are queued for a backend at shutdown are answered once: served when the backend has capacity, or
+// refused without having been sent.
+func TestShutdownWithQueuedRequests(t *testing.T) {
 	t.Parallel()
 	came, gate := make(chan string, 24), make(chan struct{})
 	var runs atomic.Int64
@@ -285,7 +286,7 @@
 	}
 	receive(t, came, "the first request")
 	p.stop()
-	close(gate) // the backend goes on at its own pace
+	close(gate) // the backend continues
 	served, refused := 0, 0
 	for _, c := range all {
 		switch status, _, _ := c.answered(); status {
@@ -301,13 +302,13 @@
 		t.Error(err)
 	}
 	if n := runs.Load(); n != int64(served) || served == 0 || served+refused != clients {
-		t.Errorf("%d ran, %d served, %d turned away", n, served, refused)
+		t.Errorf("%d ran, %d served, %d refused", n, served, refused)
 	}
 }
 
-// An answer over HTTP/1.1 with no length ends with its connection, if that is a good end: a reset is none, and what came
-// before it is never a whole answer. A small one is tried elsewhere, or failed; of a large one the client sees the break.
-func TestAResetIsNoEnd(t *testing.T) {
+// An HTTP/1.1 answer without a length ends with its connection, but a reset is not a valid end: what came before it is
+// never a complete answer. A small answer is retried or failed; for a large one the client sees its connection break.
+func TestResetIsNotTheEndOfAnAnswer(t *testing.T) {
 	t.Parallel()
 	for name, size := range map[string]int{"nothing": 0, "little": 20, "much": 200 << 10} {
 		t.Run(name, func(t *testing.T) {
@@ -319,7 +320,7 @@
 				}
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n\r\n"+strings.Repeat("x", size))
 				if size > 64<<10 {
-					<-gate // the client has its beginning
+					<-gate // until the client has read its beginning
 				}
 				c.(*net.TCPConn).SetLinger(0)
 				c.Close()
@@ -329,7 +330,7 @@
 			c.send(bid("reset", 3))
 			if size <= 64<<10 {
 				if status, body, _ := c.answered(); status == http.StatusOK {
-					t.Errorf("%d %q passes for an answer", status, body)
+					t.Errorf("%d %q is taken for an answer", status, body)
 				}
 				return
 			}
@@ -339,7 +340,7 @@
 			}
 			close(gate)
 			if n, err := io.Copy(io.Discard, resp.Body); err == nil {
-				t.Errorf("%d bytes pass for a whole answer", n)
+				t.Errorf("%d bytes are taken for a complete answer", n)
 			}
 		})
 	}
--- a/internal/proxy/figures_test.go
+++ b/internal/proxy/figures_test.go
@@ -16,9 +16,9 @@
 	"marlreel/internal/process/logs"
 )
 
-// The figures are those of an auditor that counts at clients and at backends, and nothing
-// is outstanding when nothing is open.
-func TestFiguresAgainstAnAuditor(t *testing.T) {
+// The metrics match counts taken at clients and at backends, and nothing is outstanding when no request
+// is open.
+func TestMetricsMatchAnAuditor(t *testing.T) {
 	t.Parallel()
 	var begun atomic.Int64
 	b := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -93,12 +93,12 @@
 	expect(t, p, "discovered", "1|g")
 	expect(t, p, "sighup_applied", "0|c")
 	if figure(t, p, "ejected") == "" {
-		t.Error("no figure for what is ejected")
+		t.Error("no metric for ejected backends")
 	}
 }
 
-// The door answers while the engine answers nobody: it has been told before.
-func TestTheDoorDoesNotWaitForTheEngine(t *testing.T) {
+// The admin server answers while the engine doesn't, from values that were published before.
+func TestAdminServerDoesNotWaitForTheEngine(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig(t, closedAddr(t), ready("s-1", closedAddr(t)))
 	cfg.ControlAddress = "127.0.0.1:0"
@@ -111,13 +111,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go p.door.Serve(ln) // and no engine runs
-	t.Cleanup(p.door.Close)
+	go p.adminServer.Serve(ln) // without a running engine
+	t.Cleanup(p.adminServer.Close)
 	r := &running{control: ln.Addr().String()}
 	if got := figure(t, r, "outstanding"); got != "0|g" {
 		t.Errorf("outstanding: %q", got)
 	}
 	if got := figure(t, r, "succeeded.bid"); got != "0|c" {
-		t.Errorf("a class is listed from the time it exists: %q", got)
+		t.Errorf("a class is not listed from the start: %q", got)
 	}
 }
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -25,20 +25,20 @@
 // member connects the proxy to its fleet. It passes the fleet's settings and their lease to the engine, and exchanges
 // drains and removals of backends between this proxy's list and the other members.
 type member struct {
-	parts *parts
-	cfg   *config.Platform // as read at the start, for what applies to this proxy alone
-	lease *engine.Lease
-	fleet *fleet.Fleet
-	lists *overlay
-	trace *trace
-	ruled atomic.Pointer[fleet.Settings]
+	parts    *parts
+	cfg      *config.Platform // as read at the start, for what applies to this proxy alone
+	lease    *engine.Lease
+	fleet    *fleet.Fleet
+	lists    *overlay
+	trace    *trace
+	settings atomic.Pointer[fleet.Settings]
 }
 
-// enlist makes a proxy a member of its fleet. It starts no goroutine of the engine. The engine uses the settings that
+// joinFleet makes a proxy a member of its fleet. It starts no goroutine of the engine. The engine uses the settings that
 // fleet.InitialSettings derives from the file until the fleet sends others.
-func (p *parts) enlist(cfg *config.Platform, own *config.Operator, log *slog.Logger) (*member, error) {
+func (p *parts) joinFleet(cfg *config.Platform, own *config.Operator, log *slog.Logger) (*member, error) {
 	m := &member{parts: p, cfg: cfg, lease: &engine.Lease{Clock: fleet.Now}}
-	m.lists = &overlay{Engine: p.engine, own: map[string]engine.Entry{}, held: map[string]bool{}, told: func(l agree.Lists, ends []agree.End) { m.fleet.ReportMembership(l, ends) }}
+	m.lists = &overlay{Engine: p.engine, own: map[string]engine.Entry{}, drained: map[string]bool{}, report: func(l agree.Lists, ends []agree.End) { m.fleet.ReportMembership(l, ends) }}
 	p.engine.SetLease(m.lease)
 	if own.Fleet.Trace != "" {
 		var err error
@@ -66,12 +66,12 @@
 	m.parts.engine.Post(func() {
 		err := m.parts.engine.ReconfigureLeased(r.InForce, r.WithoutLease)
 		if err == nil {
-			m.ruled.Store(&r)
+			m.settings.Store(&r)
 			if m.parts.counts != nil {
 				m.parts.counts.SetClasses(m.parts.engine.Settings().Classes)
 			}
 			if m.trace != nil {
-				m.trace.rule(r)
+				m.trace.writeSettings(r)
 			}
 		}
 		done(err)
@@ -89,9 +89,9 @@
 // StateChanged implements fleet.Host.
 func (m *member) StateChanged(s *agree.State) {
 	m.parts.engine.Post(func() {
-		m.lists.tell(s)
+		m.lists.applyState(s)
 		if m.trace != nil && len(s.Ends) > 0 {
-			m.trace.line(traceEnds{time.Now().UnixNano(), s.Ends})
+			m.trace.write(traceEnds{time.Now().UnixNano(), s.Ends})
 		}
 	})
 }
@@ -110,8 +110,8 @@
 	})
 }
 
-// propose proposes the file's settings to the fleet, logs the result and calls taken with it.
-func (m *member) propose(next *config.Platform, log *slog.Logger, taken func(bool)) {
+// propose proposes the file's settings to the fleet, logs the result, and calls done with it.
+func (m *member) propose(next *config.Platform, log *slog.Logger, done func(accepted bool)) {
 	text, err := next.SharedSettings()
 	if err == nil {
 		var r agree.Result
@@ -122,7 +122,7 @@
 	if err != nil {
 		log.Warn("not reloaded: "+err.Error(), "event", "fleet-file-refused", "do", actionable.AdviceFor(err))
 	}
-	taken(err == nil)
+	done(err == nil)
 }
 
 // status answers /control/fleet with the fleet's status as JSON.
@@ -134,10 +134,10 @@
 	return http.StatusOK, append(body, '\n')
 }
 
-// longest returns cfg with the settings that the fleet has in force, or cfg itself if there are none. The drain takes
-// its timeouts from it.
-func (m *member) longest(cfg *config.Platform) *config.Platform {
-	r := m.ruled.Load()
+// withSettingsInForce returns cfg with the settings that the fleet has in force, or cfg itself if there are none. The
+// drain takes its timeouts from it.
+func (m *member) withSettingsInForce(cfg *config.Platform) *config.Platform {
+	r := m.settings.Load()
 	if r == nil {
 		return cfg
 	}
@@ -151,18 +151,18 @@
 // The engine's goroutine owns it.
 type overlay struct {
 	*engine.Engine
-	origin   func() (source string, revision int64, there bool) // of the list in force; nil without a registry
-	told     func(agree.Lists, []agree.End)
+	origin   func() (source string, revision int64, ok bool) // of the list in force; nil without a registry
+	report   func(agree.Lists, []agree.End)
 	own      map[string]engine.Entry // the list of this proxy's own source
-	held     map[string]bool         // ready in own, but drained because other members saw its end
+	drained  map[string]bool         // ready in own, but drained because other members saw its end
 	source   string
 	revision int64
 	version  uint32
 	state    *agree.State
 }
 
-// begin stores the initial list, which the engine already has.
-func (o *overlay) begin(l engine.Membership) {
+// setInitial stores the initial list, which the engine already has.
+func (o *overlay) setInitial(l engine.Membership) {
 	o.source, o.revision = "platform", int64(l.Version)
 	for _, e := range l.Entries {
 		o.own[e.Name] = e
@@ -173,7 +173,7 @@
 func (o *overlay) ApplyMembership(l engine.Membership) {
 	source, revision := "platform", int64(l.Version)
 	if o.origin != nil {
-		if s, r, there := o.origin(); there {
+		if s, r, ok := o.origin(); ok {
 			source, revision = s, r
 		}
 	}
@@ -188,71 +188,72 @@
 		o.own = make(map[string]engine.Entry, len(l.Entries))
 	}
 	for _, e := range l.Entries {
-		before, there := was[e.Name]
-		if e.State != balancer.Ready && (!there || before.State != e.State) {
+		before, ok := was[e.Name]
+		if e.State != balancer.Ready && (!ok || before.State != e.State) {
 			end(e.Name, e.State == balancer.Gone)
 		}
 		if e.State == balancer.Gone {
 			delete(o.own, e.Name)
-			delete(o.held, e.Name)
+			delete(o.drained, e.Name)
 			continue
 		}
 		o.own[e.Name] = e
 	}
 	if l.Kind == balancer.MembershipFull && same {
 		for name := range was {
-			if _, there := o.own[name]; !there {
+			if _, ok := o.own[name]; !ok {
 				end(name, true)
-				delete(o.held, name)
+				delete(o.drained, name)
 			}
 		}
 	}
 	l.Entries = slices.Clone(l.Entries)
 	for i := range l.Entries {
-		if e := &l.Entries[i]; e.State == balancer.Ready && o.ended(e.Name) {
+		if e := &l.Entries[i]; e.State == balancer.Ready && o.endedElsewhere(e.Name) {
 			e.State = balancer.Draining
-			o.held[e.Name] = true
+			o.drained[e.Name] = true
 		}
 	}
 	o.Engine.ApplyMembership(l)
-	o.settle()
+	o.reconcile()
 	if l.Kind != balancer.MembershipCached {
-		o.told(o.summary(), ends)
+		o.report(o.summary(), ends)
 	}
 }
 
-// ended reports whether other members saw a backend's drain or removal at a later revision than that of this proxy's list.
-func (o *overlay) ended(name string) bool {
+// endedElsewhere reports whether other members saw a backend's drain or removal at a later revision than that of this
+// proxy's list.
+func (o *overlay) endedElsewhere(name string) bool {
 	if o.state == nil {
 		return false
 	}
-	e, there := o.state.End(o.source, name)
-	return there && e.Revision > o.revision
+	e, ok := o.state.End(o.source, name)
+	return ok && e.Revision > o.revision
 }
 
-// tell takes the fleet's state, with the drains and removals that other members saw.
-func (o *overlay) tell(s *agree.State) {
+// applyState takes the fleet's state, with the drains and removals that other members saw.
+func (o *overlay) applyState(s *agree.State) {
 	o.state = s
-	o.settle()
+	o.reconcile()
 }
 
-// settle drains backends that ended elsewhere, and makes ready again those whose end this proxy's list has overtaken.
-func (o *overlay) settle() {
+// reconcile drains backends that ended elsewhere, and makes ready again those whose end this proxy's list has overtaken.
+func (o *overlay) reconcile() {
 	var changed []engine.Entry
 	if o.state != nil {
 		for _, x := range o.state.Ends {
-			if e, there := o.own[x.Name]; there && x.Source == o.source && e.State == balancer.Ready && !o.held[x.Name] && x.Revision > o.revision {
-				o.held[x.Name] = true
+			if e, ok := o.own[x.Name]; ok && x.Source == o.source && e.State == balancer.Ready && !o.drained[x.Name] && x.Revision > o.revision {
+				o.drained[x.Name] = true
 				e.State = balancer.Draining
 				changed = append(changed, e)
 			}
 		}
 	}
-	for name := range o.held {
-		if e, there := o.own[name]; !there {
-			delete(o.held, name)
-		} else if !o.ended(name) { // this proxy's own list is at least as new as that end
-			delete(o.held, name)
+	for name := range o.drained {
+		if e, ok := o.own[name]; !ok {
+			delete(o.drained, name)
+		} else if !o.endedElsewhere(name) { // this proxy's own list is at least as new as that end
+			delete(o.drained, name)
 			changed = append(changed, e)
 		}
 	}
@@ -291,7 +292,7 @@
 	return &trace{file: f, member: m}, nil
 }
 
-type traceRule struct {
+type traceSettings struct {
 	At       int64    `json:"at"` // Unix nanoseconds
 	Seq      uint64   `json:"seq"`
 	Versions []uint64 `json:"versions"`
@@ -302,7 +303,7 @@
 	Ends []agree.End `json:"ends"`
 }
 
-type traceAct struct {
+type traceAttempt struct {
 	At      int64  `json:"at"`
 	ID      string `json:"id"`
 	Class   string `json:"class"`
@@ -312,27 +313,27 @@
 	Strict  bool   `json:"strict"`
 }
 
-// line writes a line without buffering, so that nothing is lost if the process is killed.
-func (t *trace) line(v any) {
+// write writes a line without buffering, so that nothing is lost if the process is killed.
+func (t *trace) write(v any) {
 	if text, err := json.Marshal(v); err == nil {
 		_, _ = t.file.Write(append(text, '\n'))
 	}
 }
 
-func (t *trace) rule(r fleet.Settings) {
-	t.line(traceRule{time.Now().UnixNano(), r.Sequence, r.Versions})
+func (t *trace) writeSettings(r fleet.Settings) {
+	t.write(traceSettings{time.Now().UnixNano(), r.Sequence, r.Versions})
 }
 
 // OnAttemptStarted implements engine.Observer.
 func (t *trace) OnAttemptStarted(_ time.Duration, a *engine.Attempt) {
-	act := traceAct{At: time.Now().UnixNano(), ID: a.Call.ClientRequestID, Attempt: a.Index, Node: a.Backend.Name, Strict: t.member.lease.Expired()}
+	act := traceAttempt{At: time.Now().UnixNano(), ID: a.Call.ClientRequestID, Attempt: a.Index, Node: a.Backend.Name, Strict: t.member.lease.Expired()}
 	if s := t.member.parts.engine.Settings(); a.Call.Class < len(s.Classes) {
 		act.Class = s.Classes[a.Call.Class].Name
 	}
-	if r := t.member.ruled.Load(); r != nil {
+	if r := t.member.settings.Load(); r != nil {
 		act.Seq = r.Sequence
 	}
-	t.line(act)
+	t.write(act)
 }
 
 func (t *trace) OnCallAccepted(time.Duration, *engine.Call)                                   {}
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -24,7 +24,7 @@
 	patience     = testutil.Patience
 	testSettings = testutil.Settings
 	okAnswer     = testutil.OKAnswer
-	// What the protocol bounds, as the front has it.
+	// The limits of the HTTP front.
 	maxBody     = 64 << 10
 	maxHead     = 16 << 10
 	readTimeout = 2500 * time.Millisecond
@@ -57,7 +57,7 @@
 	return testutil.Silent(t)
 }
 
-// ready is a list's entry for a backend at an address.
+// ready returns a list entry for a ready backend.
 func ready(id, addr string) platformwatch.Instance {
 	return platformwatch.Instance{InstanceID: id, HostPort: addr, Zone: "koper", MachineType: "mid-2c", Lifecycle: "Ready", Weight: 1}
 }
@@ -67,7 +67,7 @@
 	return configWith(t, testutil.Settings, addr, known...)
 }
 
-// configWith is testConfig with a customer's settings.
+// configWith is testConfig with other settings.
 func configWith(t *testing.T, settings, addr string, known ...platformwatch.Instance) *config.Platform {
 	t.Helper()
 	file := map[string]any{
@@ -89,7 +89,7 @@
 	return cfg
 }
 
-// registry is a discovery service whose watches the test writes line by line.
+// registry is a discovery service; the test writes its watch responses line by line.
 type registry struct{ *standin.Script }
 
 type watch = standin.ScriptedWatch
@@ -120,11 +120,11 @@
 
 type running struct {
 	url, addr string
-	rpc       string             // where callers connect; "" is nowhere
-	control   string             // where the platform asks; "" is nowhere
-	stop      context.CancelFunc // as SIGTERM does
+	rpc       string             // RPC address; "" if off
+	control   string             // control address; "" if off
+	stop      context.CancelFunc // has the effect of SIGTERM
 	ended     chan error
-	reloads   chan Reload // what SIGHUP finds
+	reloads   chan Reload // results of reading the configuration at SIGHUP
 	log       *testutil.LockedLog
 }
 
@@ -134,7 +134,7 @@
 	return startWith(t, cfg, config.DefaultOperator())
 }
 
-// startWith is start with what an operator sets; where that wants RPC, it listens too.
+// startWith is start with an operator's settings. It also listens for RPC if they enable it.
 func startWith(t *testing.T, cfg *config.Platform, own *config.Operator) *running {
 	t.Helper()
 	p := launch(t, cfg, own)
@@ -149,7 +149,7 @@
 	return p
 }
 
-// launch runs a proxy until the test ends, and does not wait for it.
+// launch runs a proxy until the test ends, without waiting until it is ready.
 func launch(t *testing.T, cfg *config.Platform, own *config.Operator) *running {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -188,7 +188,7 @@
 	return p
 }
 
-// lastName numbers the requests of all tests.
+// lastName is the last request id, shared by all tests.
 var lastName atomic.Uint64
 
 func newRequest(t *testing.T, p *running, class, body string) *http.Request {
@@ -201,7 +201,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Header.Set("X-Correlation-Id", fmt.Sprintf("%016x", lastName.Add(1))) // new with every request
+	r.Header.Set("X-Correlation-Id", fmt.Sprintf("%016x", lastName.Add(1))) // unique per request
 	r.Header.Set("X-Account", "obala")
 	r.Header.Set("X-Time-Left", "12000m")
 	if class == "pickup" {
--- a/internal/proxy/imports_test.go
+++ b/internal/proxy/imports_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-// Imports go one way: fronts and carriers know the engine, the engine knows the decisions
-// (internal/balancer), nothing knows a front, and decisions know nothing. The daemon links no
-// stand-in and no test.
+// Checks the import directions: fronts and carriers import the engine, the engine imports the balancer, nothing imports
+// a front, and the balancer imports only its own parts and the format of the learned state. Production code imports no
+// stand-in and no test package.
 func TestImportDirections(t *testing.T) {
-	// What each package may import of this module, tests left out.
+	// The packages of this module that each package may import, tests excluded.
 	may := map[string][]string{
 		"marlreel/internal/balancer":                       {"marlreel/internal/balancer/connectionfailure", "marlreel/internal/balancer/decay", "marlreel/internal/balancer/prediction", "marlreel/internal/balancer/grayfailure", "marlreel/internal/process/learnedstate", "marlreel/internal/balancer/goodput", "marlreel/internal/balancer/concurrencylimit", "marlreel/internal/balancer/quota", "marlreel/internal/balancer/idempotency", "marlreel/internal/balancer/slowstart", "marlreel/internal/balancer/retrystorm"},
 		"marlreel/internal/balancer/slowstart":             {},
@@ -80,7 +80,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The deciders of the system open nothing and wait for nobody.
+	// Packages that make decisions do no I/O, don't block and don't use randomness.
 	pure := map[string]bool{
 		"marlreel/internal/controlplane/chain": true, "marlreel/internal/controlplane/state": true,
 		"marlreel/internal/placement": true, "marlreel/internal/balancer/budgetshare": true, "marlreel/internal/balancer/prefixcache": true,
@@ -100,10 +100,10 @@
 				t.Errorf("%s imports %s", f[0], imported)
 			}
 			if pure[f[0]] && slices.Contains([]string{"net", "os", "context", "sync", "net/http", "math/rand"}, imported) {
-				t.Errorf("%s decides, and imports %s", f[0], imported)
+				t.Errorf("%s must be pure, but imports %s", f[0], imported)
 			}
 			if f[0] == "marlreel/internal/balancer" && slices.Contains([]string{"net", "os", "context", "sync", "log", "net/http"}, imported) {
-				t.Errorf("the decisions import %s", imported)
+				t.Errorf("the balancer imports %s", imported)
 			}
 		}
 	}
--- a/internal/proxy/keep.go
+++ b/internal/proxy/keep.go
@@ -29,9 +29,9 @@
 	late   bool   // saving takes longer than the interval, and that was logged
 }
 
-// remember loads the state that an earlier process of this proxy saved, discounted by its age. If the file can't be
+// loadState loads the state that an earlier process of this proxy saved, discounted by its age. If the file can't be
 // used it logs one line and returns nil, and the proxy starts without it.
-func remember(cfg config.LearnedState, s *statefile.File, name string, now staleness.Timestamp, logger *slog.Logger) *learnedstate.State {
+func loadState(cfg config.LearnedState, s *statefile.File, name string, now staleness.Timestamp, logger *slog.Logger) *learnedstate.State {
 	r, err := s.Load()
 	if err != nil {
 		logger.Info(fmt.Sprintf("memory: the saved state is not used: %v", err), "event", "memory-refused")
@@ -44,26 +44,26 @@
 		logger.Info(fmt.Sprintf("memory: %s is not used: it belongs to proxy %q, and this is %q", s.Path(), r.State.ProxyName, name), "event", "memory-refused")
 		return nil
 	}
-	away, err := staleness.Age(r.WrittenAt, now)
+	age, err := staleness.Age(r.WrittenAt, now)
 	if err != nil {
 		logger.Info(fmt.Sprintf("memory: %s is not used: %v", s.Path(), err), "event", "memory-refused")
 		return nil
 	}
-	known := staleness.Discount(staleness.Config{MaxAge: cfg.MaxAge.D(), HalfLife: cfg.HalfLife.D()}, r.State, away, !r.ShutDown)
+	known := staleness.Discount(staleness.Config{MaxAge: cfg.MaxAge.D(), HalfLife: cfg.HalfLife.D()}, r.State, age, !r.ShutDown)
 	if known == nil {
-		logger.Info(fmt.Sprintf("memory: %s is not used: it is %v old, and the maximum is %v", s.Path(), away.Round(time.Second), cfg.MaxAge.D()), "event", "memory-refused")
+		logger.Info(fmt.Sprintf("memory: %s is not used: it is %v old, and the maximum is %v", s.Path(), age.Round(time.Second), cfg.MaxAge.D()), "event", "memory-refused")
 		return nil
 	}
 	// From here on its age is measured by this process's wall clock, whatever the wall clock was when it was saved.
-	known.TakenAt = now.Wall.Add(-away)
+	known.TakenAt = now.Wall.Add(-age)
 	return known
 }
 
 // budgetBurst is how much CPU time background work may accumulate: enough to save the state of the largest fleet once.
 const budgetBurst = 50 * time.Millisecond
 
-// overloadEvery is how often the background runner is told whether the proxy is overloaded.
-const overloadEvery = 500 * time.Millisecond
+// overloadCheckInterval is how often the background runner is told whether the proxy is overloaded.
+const overloadCheckInterval = 500 * time.Millisecond
 
 // background creates the runner for background jobs; the only one is saving the learned state. Work that must not wait
 // (lists, drains, requests) stays with the engine, and health checks and sweeps with the balancer, which decides the
@@ -75,13 +75,13 @@
 			k.save(ctx, false)
 			return nil
 		})
-	var look func()
-	look = func() {
+	var check func()
+	check = func() {
 		s := p.engine.RetryStormState()
 		r.SetOverloaded(s == retrystorm.Rising || s == retrystorm.Storm)
-		p.engine.Schedule(p.engine.Now()+overloadEvery, look)
+		p.engine.Schedule(p.engine.Now()+overloadCheckInterval, check)
 	}
-	p.engine.Post(look)
+	p.engine.Post(check)
 	return r
 }
 
--- a/internal/proxy/keep_test.go
+++ b/internal/proxy/keep_test.go
@@ -28,8 +28,8 @@
 	return own
 }
 
-// A proxy that starts again goes on with what its last life has learnt: after a stop, and after a kill.
-func TestTheNextLifeRemembers(t *testing.T) {
+// A restarted proxy restores the learned state of the previous process, after a shutdown and after a kill.
+func TestRestartRestoresLearnedState(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	cfg := testConfig(t, closedAddr(t), ready("s-1", named(t, "one")))
@@ -45,11 +45,11 @@
 		}
 		return r
 	}
-	eventually(t, "a memory of the node", func() bool { return knows() != nil })
+	eventually(t, "saved state of the node", func() bool { return knows() != nil })
 	if r := knows(); r == nil || r.ShutDown {
 		t.Errorf("%+v", r)
 	}
-	crashed, err := os.ReadFile(path) // what a kill would leave
+	crashed, err := os.ReadFile(path) // the file that a kill would leave
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 		t.Errorf("after a stop: %+v", r)
 	}
 	again := startWith(t, cfg, remembering(t, dir))
-	eventually(t, "what was learnt", func() bool {
+	eventually(t, "the saved state to be restored", func() bool {
 		return strings.Contains(again.log.String(), "memory: restored the saved state: 1 backends and 3 classes")
 	})
 	servedBy(t, again, "one")
@@ -69,11 +69,11 @@
 		t.Fatal(err)
 	}
 	third := startWith(t, cfg, remembering(t, dir))
-	eventually(t, "what was learnt before the kill", func() bool { return strings.Contains(third.log.String(), "restored the saved state") })
+	eventually(t, "the state from before the kill to be restored", func() bool { return strings.Contains(third.log.String(), "restored the saved state") })
 	servedBy(t, third, "one")
 }
 
-// Whatever is wrong with the file or its folder is one line, and the proxy serves as it does without.
+// If the state file or its directory is unusable, the proxy logs one line and serves without it.
 func TestMemoriesThatAreNone(t *testing.T) {
 	t.Parallel()
 	good := func(of string, age time.Duration) []byte {
@@ -93,11 +93,11 @@
 		data []byte
 		want string
 	}{
-		"damaged":      {damaged, "it is damaged"},
-		"another's":    {good("n7", 0), `it belongs to proxy "n7", and this is "n0"`},
-		"too old":      {good("n0", time.Hour), " old, and the maximum is 10m0s"},
-		"of to-morrow": {good("n0", -time.Hour), "a clock was set back"},
-		"empty":        {nil, "does not begin as a MRST file does"},
+		"damaged":         {damaged, "it is damaged"},
+		"another proxy":   {good("n7", 0), `it belongs to proxy "n7", and this is "n0"`},
+		"too old":         {good("n0", time.Hour), " old, and the maximum is 10m0s"},
+		"from the future": {good("n0", -time.Hour), "a clock was set back"},
+		"empty":           {nil, "does not begin as a MRST file does"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -110,26 +110,26 @@
 			if got := p.log.String(); !strings.Contains(got, c.want) || strings.Contains(got, "restored the ") {
 				t.Errorf("%s", got)
 			}
-			eventually(t, "a memory of its own", func() bool {
+			eventually(t, "a state file of its own", func() bool {
 				r, err := statefile.Open(dir, "n0").Load()
 				return err == nil && r != nil && r.State.ProxyName == "n0" && len(r.State.Backends) > 0
 			})
 		})
 	}
-	t.Run("no folder", func(t *testing.T) {
+	t.Run("no directory", func(t *testing.T) {
 		t.Parallel()
 		p := startWith(t, testConfig(t, closedAddr(t), ready("s-1", named(t, "one"))), remembering(t, filepath.Join(t.TempDir(), "not", "there")))
 		servedBy(t, p, "one")
-		eventually(t, "a word on it", func() bool { return strings.Contains(p.log.String(), "memory: state not saved: open ") })
+		eventually(t, "a log line", func() bool { return strings.Contains(p.log.String(), "memory: state not saved: open ") })
 		time.Sleep(300 * time.Millisecond)
 		if n := strings.Count(p.log.String(), "memory: state not saved"); n != 1 {
-			t.Errorf("it is said %d times", n)
+			t.Errorf("it is logged %d times", n)
 		}
 	})
 }
 
-// Where the last requests had failed and no others came, what was learnt was not written down any more.
-func TestMemoriesAreWrittenInTheSilenceAfterFailures(t *testing.T) {
+// Guards against a fault: if the last requests had failed and no others followed, the state was no longer saved.
+func TestStateIsSavedWhenIdleAfterFailures(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	ends := rawBackend(t, func(c net.Conn, in *bufio.Reader) {
@@ -142,14 +142,13 @@
 		return strings.Contains(p.log.String(), "storm, after")
 	})
 	silentSince := time.Now()
-	eventually(t, "a memory that is written in the silence", func() bool {
+	eventually(t, "the state to be saved without further requests", func() bool {
 		r, err := statefile.Open(dir, "n0").Load()
 		return err == nil && r != nil && r.WrittenAt.Wall.After(silentSince.Add(time.Second))
 	})
 }
 
-// A disk that is slow holds up nobody, and is said once; one that works again, too. A stop does not wait for a
-// disk that hangs.
+// A slow disk and a failing one are each logged once, and so is the recovery.
 func TestSlowDisks(t *testing.T) {
 	t.Parallel()
 	state, err := codec.Encode(&learnedstate.State{ProxyName: "n0", TakenAt: time.Now()})
--- a/internal/proxy/left_test.go
+++ b/internal/proxy/left_test.go
@@ -19,19 +19,19 @@
 	"marlreel/internal/standin"
 )
 
-// scene is what backends and clients that leave saw, for the auditor of the terms.
+// scene records what backends receive and when clients leave, for the auditor.
 type scene struct{ *fleettest.Recorder }
 
 func newScene() scene { return scene{fleettest.NewRecorder(fleettest.Agreed(), true)} }
 
-// arrived notes a request at a backend.
+// arrived records a request at a backend.
 func (s scene) arrived(backend, request string, began time.Duration) {
 	s.See(func(saw *fleettest.Sighting) {
 		saw.Arrived = append(saw.Arrived, fleettest.Arrival{Backend: backend, Request: request, Began: began, Work: 1})
 	})
 }
 
-// left notes that the clients of requests have left by now, and waits until nothing may begin for them any more.
+// left records that the clients of requests have left, and waits until no attempt may begin for them any more.
 func (s scene) left(t *testing.T, requests ...string) {
 	t.Helper()
 	at := s.Now()
@@ -40,10 +40,10 @@
 			saw.Asked = append(saw.Asked, fleettest.Asked{Request: r, Left: at})
 		}
 	})
-	eventually(t, "the time by which nothing begins any more", func() bool { return s.Now() > at+fleettest.Agreed().Left })
+	eventually(t, "the time after which no attempt may begin", func() bool { return s.Now() > at+fleettest.Agreed().Left })
 }
 
-// backend is one that notes what comes, and then does with it what the test wants.
+// backend starts a backend that records each request and then calls then, which returns whether to keep the connection.
 func (s scene) backend(t *testing.T, name string, then func(c net.Conn, path string) bool) string {
 	return rawBackend(t, s.serving(name, then))
 }
@@ -67,7 +67,7 @@
 	}
 }
 
-// listening is a listener that ends with the test.
+// listening opens a listener that is closed at the end of the test.
 func listening(t *testing.T, addr string) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", addr)
@@ -83,20 +83,20 @@
 	return err == nil
 }
 
-// listing is a request that may be repeated anywhere, and its id.
+// listing returns a request that may be retried on any backend, and its id.
 func listing() (text, id string) {
 	id = fmt.Sprintf("%016x", lastName.Add(1))
 	return fmt.Sprintf("GET /lot-list/x HTTP/1.1\r\nHost: origin.svc\r\nX-Correlation-Id: %s\r\nX-Account: obala\r\nX-Time-Left: 12000m\r\n\r\n", id), id
 }
 
-// pickup is one that its key lets be repeated in its zone.
+// pickup returns a request that may be retried within its zone because of its idempotency key, and its id.
 func pickup(size int) (text, id string) {
 	id = fmt.Sprintf("%016x", lastName.Add(1))
 	return fmt.Sprintf("POST /pickup/x HTTP/1.1\r\nHost: origin.svc\r\nX-Correlation-Id: %s\r\nX-Account: obala\r\nIdempotency-Key: k%s\r\nX-Time-Left: 12000m\r\nContent-Length: %d\r\n\r\n%s",
 		id, id, size, strings.Repeat("b", size)), id
 }
 
-// The ways in which a client leaves, some with bytes ahead of its end that nobody will read.
+// leaves are the ways in which a client leaves, some with unread bytes before the end.
 var leaves = map[string]func(c *raw){
 	"closes": func(c *raw) { c.Close() },
 	"resets": func(c *raw) {
@@ -109,7 +109,7 @@
 	"behind a full buffer": func(c *raw) { c.send(strings.Repeat("x", 64<<10)); c.Close() },
 }
 
-// watched are the settings of a proxy that tells its figures.
+// watched is testConfig with a control address, for metrics.
 func watched(t *testing.T, entries ...platformwatch.Instance) *config.Platform {
 	t.Helper()
 	cfg := testConfig(t, closedAddr(t), entries...)
@@ -117,9 +117,10 @@
 	return cfg
 }
 
-// stages bring clients to where they leave: which requests those are, and what goes on afterwards.
+// stages bring requests to the point where their clients leave. They return the clients, the ids of the requests, and
+// what the backends do afterwards.
 var stages = map[string]func(t *testing.T, s scene) (p *running, clients []*raw, requests []string, then func()){
-	// More requests than a backend has room for: those that were not sent wait.
+	// More requests than a backend has capacity for: those that were not sent are queued.
 	"waiting for room": func(t *testing.T, s scene) (*running, []*raw, []string, func()) {
 		came, gate := make(chan struct{}, 64), make(chan struct{})
 		addr := s.backend(t, "s-1", func(c net.Conn, path string) bool {
@@ -136,8 +137,8 @@
 			c.send(text)
 			clients, requests = append(clients, c), append(requests, id)
 		}
-		// All have been taken, and what went out has arrived: the others wait, or were turned away.
-		eventually(t, "all to be out, waiting or turned away", func() bool {
+		// All were accepted, and those sent have arrived; the others are queued or were refused.
+		eventually(t, "all to be sent, queued or refused", func() bool {
 			var out, turned int
 			fmt.Sscan(strings.TrimSuffix(figure(t, p, "outstanding"), "|g"), &out)
 			fmt.Sscan(strings.TrimSuffix(figure(t, p, "declined.lot-list"), "|c"), &turned)
@@ -145,7 +146,7 @@
 		})
 		return p, clients, requests, func() { close(gate) }
 	},
-	// The attempt of a request that may be repeated breaks after its client has left.
+	// The attempt of a retryable request breaks after its client has left.
 	"between two attempts": func(t *testing.T, s scene) (*running, []*raw, []string, func()) {
 		came, gate := make(chan struct{}, 4), make(chan struct{})
 		breaks := func(c net.Conn, _ string) bool {
@@ -168,7 +169,7 @@
 		c.send(text[:len(text)-1000])
 		return p, []*raw{c}, []string{id}, func() {}
 	},
-	// Connections to its backend come up late: the queue of its listener is full.
+	// Connections to its backend are established late, because the accept queue of its listener is full.
 	"a connection is being made": func(t *testing.T, s scene) (*running, []*raw, []string, func()) {
 		ln := listening(t, "127.0.0.1:0")
 		p := start(t, watched(t, ready("s-1", ln.Addr().String())))
@@ -179,14 +180,14 @@
 		text, id := listing()
 		c.send(text)
 		eventually(t, "a connection to be asked for", func() bool { return connecting(t, ln.Addr()) })
-		return p, []*raw{c}, []string{id}, func() { // the kernel lets its next try through, a second after the first
+		return p, []*raw{c}, []string{id}, func() { // the kernel's next SYN succeeds, a second after the first
 			if err := standin.Unblock(ln); err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(standin.ServeRaw(ln, s.serving("s-1", serves)).Stop)
 		}
 	},
-	// No backend can be reached for a while, and the request waits for its next try.
+	// No backend can be reached for a while, and the request waits for its next attempt.
 	"backing off": func(t *testing.T, s scene) (*running, []*raw, []string, func()) {
 		addr := closedAddr(t)
 		p := start(t, watched(t, ready("s-1", addr)))
@@ -199,9 +200,9 @@
 	},
 }
 
-// A client that has left gets no attempt, first or further, wherever its request stands and whatever it had sent on
-// behind it; others are served all the same, and what it held is there for them.
-func TestNoAttemptFollowsAClient(t *testing.T) {
+// No first or further attempt begins for a client that has left, whatever the stage of its request and whatever bytes it
+// had sent behind it. Other clients are still served, and the resources of the request are released.
+func TestNoAttemptAfterClientLeft(t *testing.T) {
 	t.Parallel()
 	for stage, bring := range stages {
 		for way, leave := range leaves {
@@ -214,21 +215,21 @@
 				}
 				s.left(t, requests...)
 				then()
-				if stage != "between two attempts" { // what was held is there for others
+				if stage != "between two attempts" { // the resources are free for others
 					eventually(t, "another client to be served", func() bool {
 						status, _, _ := do(t, newRequest(t, p, "lot-list", ""))
 						return status == http.StatusOK
 					})
 				}
-				eventually(t, "all that was held to be given back", func() bool { return figure(t, p, "outstanding") == "0|g" })
+				eventually(t, "all resources to be released", func() bool { return figure(t, p, "outstanding") == "0|g" })
 				if strings.Contains("waiting for room, its body is coming", stage) {
-					expect(t, p, "ejected", "0|g") // a silence that was this side's is no verdict
+					expect(t, p, "ejected", "0|g") // a backend must not be blamed for a client's silence
 				}
 				p.stop()
 				if err := receive(t, p.ended, "the end"); err != nil {
 					t.Error(err)
 				}
-				if f := s.Audit(); len(f.Breaks) > 0 || f.Figures[fleettest.TermLeft].Max > 0 { // we allow none at all
+				if f := s.Audit(); len(f.Breaks) > 0 || f.Figures[fleettest.TermLeft].Max > 0 { // stricter than the agreed limit: none at all
 					t.Errorf("attempts began after their clients had left: %v, %v", f, f.Breaks)
 				}
 			})
@@ -236,8 +237,8 @@
 	}
 }
 
-// The same for callers over RPC: all calls that are open on a connection end with it.
-func TestNoAttemptFollowsACaller(t *testing.T) {
+// The same over RPC: all calls that are open on a connection end with it.
+func TestNoAttemptAfterRPCCallerLeft(t *testing.T) {
 	t.Parallel()
 	for name, leave := range map[string]func(net.Conn){
 		"closes": func(c net.Conn) { c.Close() },
@@ -267,7 +268,7 @@
 					s.arrived(name, id, began)
 					came <- struct{}{}
 					<-gate
-					c.(*net.TCPConn).SetLinger(0) // it may have run, and is tried elsewhere if somebody waits for it
+					c.(*net.TCPConn).SetLinger(0) // it may have run, and is retried on another backend if its caller still waits
 				})))
 			}
 			p := startWith(t, testConfig(t, closedAddr(t), list...), rpcSettings())
@@ -302,11 +303,11 @@
 	}
 }
 
-// connecting tells whether a connection to an address has been asked for that has not come up.
+// connecting reports whether a connection to an address is still being established.
 func connecting(t *testing.T, addr net.Addr) bool {
 	text, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
-		t.Skipf("connections can't be seen: %v", err)
+		t.Skipf("the connections of this system can't be listed: %v", err)
 	}
 	const synSent = "02"
 	to := fmt.Sprintf(":%04X", addr.(*net.TCPAddr).Port)
--- a/internal/proxy/memory.go
+++ b/internal/proxy/memory.go
@@ -13,23 +13,23 @@
 	"marlreel/internal/process/learnedstate/codec"
 )
 
-// memory is the learned state that a starting process takes over before it reports that it is ready: from another
+// startupState is the learned state that a starting process takes over before it reports that it is ready: from another
 // running process, or else from the state file. The engine's goroutine owns it.
-type memory struct {
-	asking bool                // a request to another process is still in flight
-	listed bool                // there is a backend list, so clients can be served
-	state  *learnedstate.State // from another process
-	from   int                 // the id of that process
-	kept   *learnedstate.State // from the state file
+type startupState struct {
+	fetching bool                // a request to another process is still in flight
+	haveList bool                // there is a backend list, so clients can be served
+	state    *learnedstate.State // from another process
+	from     int                 // the id of that process
+	saved    *learnedstate.State // from the state file
 }
 
-// recallTimeout limits how long other processes are asked in turn; after it no further one is asked.
-const recallTimeout = time.Second
+// fetchTimeout limits how long other processes are asked in turn; after it no further one is asked.
+const fetchTimeout = time.Second
 
-// recall asks the other processes that are serving or leaving for their learned state, in turn until one answers. Each
-// gets a fraction of a second, and all together recallTimeout, so that stuck processes don't delay the start. It must be
-// called before the engine runs.
-func (p *parts) recall(rendezvous *handover.Rendezvous, name string, logger *slog.Logger) {
+// fetchLearnedState asks the other processes that are serving or leaving for their learned state, in turn until one
+// answers. Each gets a fraction of a second, and all together recallTimeout, so that stuck processes don't delay the
+// start. It must be called before the engine runs.
+func (p *parts) fetchLearnedState(rendezvous *handover.Rendezvous, name string, logger *slog.Logger) {
 	others, err := rendezvous.Peers()
 	if err != nil {
 		logger.Info(err.Error(), "event", "rendezvous")
@@ -40,24 +40,24 @@
 	}
 	// A serving process knows more than one that is leaving.
 	slices.SortStableFunc(others, func(x, y handover.Peer) int { return cmp.Compare(x.Stage, y.Stage) })
-	p.memory.asking = true
+	p.startup.fetching = true
 	go func() {
-		state, from := askOthers(rendezvous, others, name, logger)
+		state, from := fetchFromPeers(rendezvous, others, name, logger)
 		p.engine.Post(func() {
-			p.memory.asking, p.memory.state, p.memory.from = false, state, from
-			p.open(logger)
+			p.startup.fetching, p.startup.state, p.startup.from = false, state, from
+			p.updateReadiness(logger)
 		})
 	}()
 }
 
-// askOthers returns the learned state of the first process that answers, and its id, or nil if none does.
-func askOthers(rendezvous *handover.Rendezvous, others []handover.Peer, name string, logger *slog.Logger) (*learnedstate.State, int) {
-	until := time.Now().Add(recallTimeout)
+// fetchFromPeers returns the learned state of the first process that answers, and its id, or nil if none does.
+func fetchFromPeers(rendezvous *handover.Rendezvous, others []handover.Peer, name string, logger *slog.Logger) (*learnedstate.State, int) {
+	until := time.Now().Add(fetchTimeout)
 	for _, other := range others {
 		if !time.Now().Before(until) {
 			break
 		}
-		state, err := ask(rendezvous, other.ID)
+		state, err := fetchFromPeer(rendezvous, other.ID)
 		switch {
 		case err != nil:
 			logger.Info(fmt.Sprintf("got no state from process %d: %v", other.ID, err), "event", "learnt-refused")
@@ -70,12 +70,12 @@
 	return nil, 0
 }
 
-func ask(rendezvous *handover.Rendezvous, id int) (*learnedstate.State, error) {
-	told, err := rendezvous.FetchLearnedState(id)
+func fetchFromPeer(rendezvous *handover.Rendezvous, id int) (*learnedstate.State, error) {
+	data, err := rendezvous.FetchLearnedState(id)
 	if err != nil {
 		return nil, err
 	}
-	return codec.Decode(told)
+	return codec.Decode(data)
 }
 
 // encodeLearnedState returns this process's learned state, encoded and marked with the proxy's name.
@@ -99,26 +99,26 @@
 
 // becomeReady records that there is a backend list.
 func (p *parts) becomeReady(logger *slog.Logger) {
-	p.memory.listed = true
-	p.open(logger)
+	p.startup.haveList = true
+	p.updateReadiness(logger)
 }
 
-// open restores the learned state and reports readiness, once there is a list and no request to another process is in
-// flight.
-func (p *parts) open(logger *slog.Logger) {
-	m := &p.memory
-	if !m.listed || m.asking {
+// updateReadiness restores the learned state and reports readiness, once there is a list and no request to another
+// process is in flight.
+func (p *parts) updateReadiness(logger *slog.Logger) {
+	m := &p.startup
+	if !m.haveList || m.fetching {
 		return
 	}
-	if s := m.kept; s != nil && m.state == nil {
-		m.kept = nil
+	if s := m.saved; s != nil && m.state == nil {
+		m.saved = nil
 		began := time.Now()
 		n := p.engine.RestoreLearnedState(s)
 		p.carrier.RestoreLearnedState(s.Connections, s.Age(began))
 		logger.Info(fmt.Sprintf("memory: restored the saved state: %d backends and %d classes, %v old", n, len(s.Classes), s.Age(began).Round(time.Millisecond)), "event", "memory-taken")
 	}
 	if s := m.state; s != nil {
-		m.state, m.kept = nil, nil
+		m.state, m.saved = nil, nil
 		began := time.Now()
 		n := p.engine.RestoreLearnedState(s)
 		p.carrier.RestoreLearnedState(s.Connections, s.Age(began))
--- a/internal/proxy/misbehaviour_test.go
+++ b/internal/proxy/misbehaviour_test.go
@@ -18,21 +18,21 @@
 	"marlreel/internal/discovery/platformwatch"
 )
 
-// drawnAnswer is the body of the good answer to a request: its id, and filler that follows from it.
+// drawnAnswer returns the body of a correct answer to a request: its id, and filler derived from the id.
 func drawnAnswer(id string) []byte {
 	rng := rand.New(rand.NewPCG(uint64(len(id)), uint64(id[len(id)-1])))
 	lengths := []int{0, 1, 100, 5000, 70_000}
 	return append([]byte(id), bytes.Repeat([]byte(id[:1]), lengths[rng.IntN(len(lengths))])...)
 }
 
-// misbehavingBackend answers by a seed: well, in pieces, or in one of the ways of a broken server.
+// misbehavingBackend answers as drawn from a seed: correctly, in pieces, or like a broken server.
 type misbehavingBackend struct {
 	mu  sync.Mutex
 	rng *rand.Rand
 	did [len(backendWays)]atomic.Int64
 }
 
-// backendWay answers a request that has been read completely, and tells whether the connection goes on.
+// backendWay answers a request that has been read completely, and returns whether to keep the connection.
 type backendWay struct {
 	name   string
 	answer func(c net.Conn, id string, pieces func([]byte) error) bool
@@ -57,12 +57,12 @@
 	c.Close()
 }
 
-// keeps writes an answer as a whole, and goes on with the connection.
+// keeps writes an answer and keeps the connection.
 func keeps(text func(id string) []byte) func(net.Conn, string, func([]byte) error) bool {
 	return func(_ net.Conn, id string, pieces func([]byte) error) bool { return pieces(text(id)) == nil }
 }
 
-// ends writes an answer, and ends the connection.
+// ends writes an answer and closes the connection.
 func ends(text func(id string) []byte) func(net.Conn, string, func([]byte) error) bool {
 	return func(_ net.Conn, id string, pieces func([]byte) error) bool {
 		_ = pieces(text(id))
@@ -70,7 +70,7 @@
 	}
 }
 
-// backendWays are the ways of answering; the first three are good ones, and drawn most often.
+// backendWays are the ways of answering. The first three (goodWays) are correct, and drawn most often.
 var backendWays = [...]backendWay{
 	{"with a length", keeps(func(id string) []byte { return sized(drawnAnswer(id), "") })},
 	{"in chunks", keeps(func(id string) []byte { return inChunks(drawnAnswer(id)) })},
@@ -141,7 +141,7 @@
 
 func (b *misbehavingBackend) serve(c net.Conn, in *bufio.Reader) {
 	for {
-		// It answers before it has read the request. That is the request's own answer, whoever wrote it so soon.
+		// It answers before it has read the request. That still counts as the answer to this request.
 		if b.draw(400) == 0 {
 			if _, err := in.Peek(1); err != nil {
 				return
@@ -166,8 +166,8 @@
 	}
 }
 
-// misbehavingClient asks by a seed: well, several requests in one write, in pieces, with its sending ended, or
-// leaving at any byte.
+// misbehavingClient sends requests as drawn from a seed: correctly, several in one write, in pieces, with its sending
+// side closed, or leaving at any byte.
 type misbehavingClient struct {
 	t    *testing.T
 	p    *running
@@ -175,7 +175,7 @@
 	tell *exchangeCounts
 }
 
-// exchangeCounts are what became of the exchanges.
+// exchangeCounts counts exchanges by outcome.
 type exchangeCounts struct{ good, refused, cut, left atomic.Int64 }
 
 func (m *misbehavingClient) request(id string) []byte {
@@ -187,7 +187,7 @@
 		"X-Time-Left: 5000m\r\nContent-Length: 40\r\n\r\n%040d", id, 7)
 }
 
-// connection asks count requests on one connection, and checks each answer by its id.
+// connection sends count requests on one connection, and checks each answer by its id.
 func (m *misbehavingClient) connection(count int) {
 	c, err := net.Dial("tcp", m.p.addr)
 	if err != nil {
@@ -221,16 +221,16 @@
 			text = text[n:]
 			time.Sleep(time.Duration(m.rng.IntN(300)) * time.Microsecond)
 		}
-	case 2: // it ends its sending, and reads
+	case 2: // it closes its sending side, and reads
 		_, _ = c.Write(text)
 		_ = c.(*net.TCPConn).CloseWrite()
 	default:
-		_, _ = c.Write(text) // an error shows as answers that don't come
+		_, _ = c.Write(text) // an error shows as missing answers
 	}
 	m.readAnswers(c, ids)
 }
 
-// readAnswers reads the answers to requests in their order.
+// readAnswers reads the answers to the requests in order.
 func (m *misbehavingClient) readAnswers(c net.Conn, ids []string) {
 	in := bufio.NewReader(c)
 	for i, id := range ids {
@@ -266,8 +266,8 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// Clients and backends misbehave by a seed: each answer is its caller's own and whole, or none. EXCHANGES plays more
-// than CI does.
+// Clients and backends misbehave as drawn from a seed. Each answer must belong to its request and be complete, or there
+// is none. EXCHANGES sets the number of exchanges, to run more than CI does.
 func TestDrawnMisbehaviour(t *testing.T) {
 	t.Parallel()
 	const callers, backends = 12, 8
@@ -296,7 +296,7 @@
 	ended.Wait()
 	t.Logf("%d good answers, %d refused or failed, %d cut off, %d left", counts.good.Load(), counts.refused.Load(), counts.cut.Load(), counts.left.Load())
 	if counts.good.Load() < int64(exchanges)/4 {
-		t.Errorf("only %d of %d exchanges had a good answer: this test shows little", counts.good.Load(), exchanges)
+		t.Errorf("only %d of %d exchanges had a good answer: the test proves little", counts.good.Load(), exchanges)
 	}
 	var unplayed []string
 	for way := range backendWays {
@@ -309,6 +309,6 @@
 		}
 	}
 	if len(unplayed) > 0 {
-		t.Errorf("never played: %s", strings.Join(unplayed, ", "))
+		t.Errorf("never drawn: %s", strings.Join(unplayed, ", "))
 	}
 }
--- a/internal/proxy/partial_test.go
+++ b/internal/proxy/partial_test.go
@@ -17,8 +17,8 @@
 	"marlreel/internal/testutil"
 )
 
-// crowd has so many clients send n requests each, one after the other, and counts the answers by class and
-// status. A request without an answer is status 0.
+// crowd runs several clients that each send n sequential requests, and counts the answers by class and
+// status. A request without an answer counts as status 0.
 func crowd(t *testing.T, p *running, clients, n int, class func(i int) string) map[string]map[int]int {
 	t.Helper()
 	var mu sync.Mutex
@@ -53,8 +53,8 @@
 	return got
 }
 
-// 256 descriptors, 17 nodes whose connections break, twice as many silent clients as there is room for:
-// every request has its answer, and the connections to nodes keep their bound.
+// With 256 descriptors, 17 nodes whose connections break and twice as many silent clients as allowed, every
+// request gets an answer, and the connections to nodes stay within their limit.
 func TestFewDescriptorsAndManyNodes(t *testing.T) {
 	t.Parallel()
 	j := &standin.Journal{}
@@ -96,15 +96,15 @@
 	if good := got["lot-list"][http.StatusOK]; good < 540 {
 		t.Errorf("%d of 600 listings were served: %v", good, got)
 	}
-	// A node counts a connection a moment longer than the proxy, which has closed it.
+	// A node counts a connection for a moment after the proxy has closed it.
 	if bound := int64(cfg.MaxBackendConnections()); most.Load() > 2*bound {
-		t.Errorf("%d connections to nodes at once, the bound is %d", most.Load(), bound)
+		t.Errorf("%d connections to nodes at once, the limit is %d", most.Load(), bound)
 	}
 	noBidTwice(t, j)
 }
 
-// A proxy that restarts has its old list alone, in which most nodes are gone: its first bids all find the
-// one that lives, since what was never connected never ran.
+// A restarted proxy has only its old list, in which most nodes are gone. All its first bids reach the node
+// that is still up, because an attempt that never connected has not run and may be retried.
 func TestARestartedProxysFirstBids(t *testing.T) {
 	t.Parallel()
 	j := &standin.Journal{}
@@ -119,7 +119,7 @@
 	noBidTwice(t, j)
 }
 
-// A connection that many calls share breaks under all of them: that is one break, and its node is not out.
+// A connection that breaks under several calls counts as one break, and its node is not ejected.
 func TestOneBreakUnderManyCallsEjectsNobody(t *testing.T) {
 	t.Parallel()
 	const together = 5
@@ -162,6 +162,6 @@
 		}
 	}
 	if text := p.log.String(); strings.Contains(text, "ejected") {
-		t.Errorf("a living node was ejected for one break: %s", text)
+		t.Errorf("a working node was ejected for one break: %s", text)
 	}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -34,11 +34,11 @@
 const (
 	// Requests that are still open this long before the end of the drain are answered with a failure, because a request
 	// that is open when the process exits is lost.
-	lastAnswers = 250 * time.Millisecond
+	failOpenBefore = 250 * time.Millisecond
 	// Requests that were received completely since then are answered this long before the process exits.
-	veryLast = 120 * time.Millisecond
+	rejectAllBefore = 120 * time.Millisecond
 	// After this time without a list from discovery a proxy becomes ready with the list it was started with.
-	oldListAfter = time.Second
+	initialListDelay = time.Second
 )
 
 // Run serves until ctx ends, then finishes the requests it has accepted. Each new configuration
@@ -103,8 +103,8 @@
 	}
 }
 
-// stopTaking closes the client listeners. The control listener stays open until the process exits.
-func (l listeners) stopTaking() {
+// closeClientListeners closes the client listeners. The control listener stays open until the process exits.
+func (l listeners) closeClientListeners() {
 	l.control = nil
 	l.close()
 }
@@ -115,9 +115,9 @@
 	source     *sources.Source
 	carrier    *httpproxy.Carrier
 	front      *httpproxy.Front
-	room       *budget.Budget
+	bodyBudget *budget.Budget
 	rendezvous *handover.Rendezvous // with other processes of this proxy; nil if it is alone
-	memory     memory
+	startup    startupState
 
 	rpcCarrier *msgpackrpc.Carrier // nil if RPC is off
 	rpcFront   *msgpackrpc.Server
@@ -127,13 +127,13 @@
 
 	member *member // nil if this proxy is in no fleet
 
-	counts *metrics.ProxyMetrics // nil without a control address
-	door   *adminserver.Server
-	lists  atomic.Pointer[membership.Status] // nil without a registry: only the platform's list is used
+	counts      *metrics.ProxyMetrics // nil without a control address
+	adminServer *adminserver.Server
+	lists       atomic.Pointer[membership.Status] // nil without a registry: only the platform's list is used
 }
 
-// tellLists answers /control/discovery with the status of the lists as JSON.
-func (p *parts) tellLists() (int, []byte) {
+// discoveryStatus answers /control/discovery with the status of the lists as JSON.
+func (p *parts) discoveryStatus() (int, []byte) {
 	s := p.lists.Load()
 	if s == nil {
 		return http.StatusNotFound, []byte("no registry is set: the platform's list alone counts\n")
@@ -167,14 +167,14 @@
 	if own.Registry.Enabled() {
 		version = 0 // beside a registry the platform's list is needed in full, not as changes since a version
 	}
-	host, watchers := sources.Host(p.engine), []engine.Observer(nil)
+	host, observers := sources.Host(p.engine), []engine.Observer(nil)
 	if own.Fleet.On() {
-		if p.member, err = p.enlist(cfg, own, logger); err != nil {
+		if p.member, err = p.joinFleet(cfg, own, logger); err != nil {
 			return nil, err
 		}
-		p.member.lists.begin(known)
+		p.member.lists.setInitial(known)
 		if p.member.trace != nil {
-			watchers = append(watchers, p.member.trace)
+			observers = append(observers, p.member.trace)
 		}
 		host = p.member.lists
 	}
@@ -185,28 +185,28 @@
 	if p.member != nil && own.Registry.Enabled() {
 		p.member.lists.origin = p.source.Origin
 	}
-	p.room = budget.New(cfg.MaxBodyBytes())
-	p.carrier = httpproxy.NewCarrier(p.engine, cfg.MaxBackendConnections(), cfg.ReportNames, p.room)
+	p.bodyBudget = budget.New(cfg.MaxBodyBytes())
+	p.carrier = httpproxy.NewCarrier(p.engine, cfg.MaxBackendConnections(), cfg.ReportNames, p.bodyBudget)
 	p.carrier.OnSurplus(func(from *engine.Backend, suspension time.Duration) {
 		if suspension > 0 {
 			logger.Info(fmt.Sprintf("backend %s sent a response that belongs to no request: its connections carry one request each for %v", from.Name, suspension), "event", "surplus-answer")
 		}
 	})
-	p.front = httpproxy.NewFront(p.engine, p.carrier, p.room, logger)
+	p.front = httpproxy.NewFront(p.engine, p.carrier, p.bodyBudget, logger)
 	p.setShare(cfg, handover.FullShare)
 	p.engine.AddCarrier(p.carrier)
 	p.engine.SetHealthChecker(p.carrier)
 	p.engine.SetSource(p.source)
 	if cfg.ControlAddress != "" {
 		p.counts = metrics.New(p.engine.WrittenAttempts, cfg.Settings.Classes)
-		p.door = adminserver.New(p.front.Ready, p.figures, cfg.MaxControlCalls())
-		p.door.Handle("/control/discovery", p.tellLists)
+		p.adminServer = adminserver.New(p.front.Ready, p.appendMetrics, cfg.MaxControlCalls())
+		p.adminServer.Handle("/control/discovery", p.discoveryStatus)
 		if p.member != nil {
-			p.door.Handle("/control/fleet", p.member.status)
+			p.adminServer.Handle("/control/fleet", p.member.status)
 		}
-		watchers = append(watchers, p.counts)
+		observers = append(observers, p.counts)
 	}
-	p.engine.SetObserver(engine.Join(watchers...))
+	p.engine.SetObserver(engine.Join(observers...))
 	if own.RPC.Listen != "" {
 		p.rpcCarrier = msgpackrpc.NewCarrier(p.engine, &own.RPC, &p.rpcCounts)
 		p.rpcFront = msgpackrpc.NewServer(p.engine, p.rpcCarrier, &own.RPC, &p.rpcCounts)
@@ -225,12 +225,12 @@
 	if cfg.ListenFD >= 0 {
 		if p.rendezvous = p.joinRendezvous(cfg, logger); p.rendezvous != nil {
 			p.front.EnableHandover()
-			p.recall(p.rendezvous, cfg.Name, logger)
+			p.fetchLearnedState(p.rendezvous, cfg.Name, logger)
 		}
 	}
 	var stateSaver *saver
 	if own.LearnedState.Enabled() {
-		stateSaver = p.keep(cfg.Name, own.LearnedState, logger)
+		stateSaver = p.openStateFile(cfg.Name, own.LearnedState, logger)
 	}
 	stopEngine := p.startEngine(own, logger)
 	defer p.startRendezvous(cfg, logger)()
@@ -244,7 +244,7 @@
 		defer p.startSaving(own.Background, stateSaver, logger)()
 	}
 	if cfg.InitialList != nil && len(cfg.InitialList.Instances) > 0 {
-		time.AfterFunc(oldListAfter, func() { p.engine.Post(func() { p.becomeReady(logger) }) })
+		time.AfterFunc(initialListDelay, func() { p.engine.Post(func() { p.becomeReady(logger) }) })
 	}
 	cfg, err = p.serveClients(ctx, cfg, own, logger, in, reloads)
 	if err != nil {
@@ -254,10 +254,10 @@
 		// The next process needs the fleet's port and disk. The current lease stays valid until it expires.
 		go stopFleet()
 		p.setStage(handover.Leaving, logger)
-		time.AfterFunc(handOnAfter, func() { p.handOn(p.rendezvous, logger) })
+		time.AfterFunc(transferDelay, func() { p.transferLargeAnswers(p.rendezvous, logger) })
 	}
 	if p.member != nil {
-		cfg = p.member.longest(cfg)
+		cfg = p.member.withSettingsInForce(cfg)
 	}
 	return p.drain(cfg, in)
 }
@@ -281,8 +281,8 @@
 	return cfg, nil
 }
 
-// startEngine runs the engine, and follows the registry if one is configured. stop aborts what is in flight and waits for
-// the engine to end.
+// startEngine runs the engine, and follows the registry if one is configured. stop aborts what is in flight and waits
+// for the engine to end.
 func (p *parts) startEngine(own *config.Operator, logger *slog.Logger) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	go p.engine.Run(ctx)
@@ -307,12 +307,12 @@
 
 // startAdminServer serves the control address, if there is one.
 func (p *parts) startAdminServer(in listeners) (stop func()) {
-	if p.door == nil || in.control == nil {
+	if p.adminServer == nil || in.control == nil {
 		return func() {}
 	}
 	p.engine.Post(p.publish)
-	go func() { _ = p.door.Serve(in.control) }() // returns when the server is closed
-	return p.door.Close
+	go func() { _ = p.adminServer.Serve(in.control) }() // returns when the server is closed
+	return p.adminServer.Close
 }
 
 // startFleet serves the fleet's operator socket, if this proxy is in a fleet. stop may be called more than once.
@@ -340,12 +340,12 @@
 	work := p.background(cfg, stateSaver, logger)
 	go func() {
 		defer close(ended)
-		work.Run(ctx, lastSave/3)
+		work.Run(ctx, finalSaveTimeout/3)
 	}()
 	return func() {
 		cancel()
 		<-ended
-		timeout, done := context.WithTimeout(context.Background(), lastSave)
+		timeout, done := context.WithTimeout(context.Background(), finalSaveTimeout)
 		defer done()
 		saved := make(chan struct{})
 		go func() {
@@ -359,19 +359,19 @@
 	}
 }
 
-// lastSave limits the last save of the learned state at shutdown.
-const lastSave = 150 * time.Millisecond
+// finalSaveTimeout limits the last save of the learned state at shutdown.
+const finalSaveTimeout = 150 * time.Millisecond
 
-// keep opens the state file and loads the state saved in it. That state is used unless another process of this proxy
-// hands over its own. It must be called before the engine runs.
-func (p *parts) keep(name string, cfg config.LearnedState, logger *slog.Logger) *saver {
+// openStateFile opens the state file and loads the state saved in it. That state is used unless another process of this
+// proxy hands over its own. It must be called before the engine runs.
+func (p *parts) openStateFile(name string, cfg config.LearnedState, logger *slog.Logger) *saver {
 	k := &saver{store: statefile.Open(cfg.Dir, name), every: cfg.SaveInterval.D(), state: func(ctx context.Context) ([]byte, error) { return p.encodeLearnedState(ctx, name) }, now: statefile.CurrentTimestamp, logf: logs.ForEvent(logger, "memory")}
-	p.memory.kept = remember(cfg, k.store, name, k.now(), logger)
+	p.startup.saved = loadState(cfg, k.store, name, k.now(), logger)
 	return k
 }
 
-// figures appends the metrics that the admin server reports.
-func (p *parts) figures(b []byte) []byte {
+// appendMetrics appends the metrics that the admin server reports.
+func (p *parts) appendMetrics(b []byte) []byte {
 	b = p.counts.Append(b)
 	b = metrics.AppendCounter(b, "surplus_answers", p.carrier.SurplusAnswers())
 	if p.member != nil {
@@ -411,14 +411,14 @@
 	if cfg.ListenFD < 0 {
 		time.Sleep(cfg.AcceptGrace)
 	}
-	in.stopTaking()
+	in.closeClientListeners()
 	// Answers that were passed on in part by then continue for as long as the platform waits for the exit.
 	rest := cfg.ExitGrace()
 	if cfg.ListenFD >= 0 {
 		rest += cfg.AcceptGrace
 	}
 	failed := false
-	for _, wait := range []time.Duration{cfg.DrainTimeout() - lastAnswers, lastAnswers + rest - veryLast, veryLast} {
+	for _, wait := range []time.Duration{cfg.DrainTimeout() - failOpenBefore, failOpenBefore + rest - rejectAllBefore, rejectAllBefore} {
 		ctx, cancel := context.WithTimeout(context.Background(), max(wait, 0))
 		open := false
 		for _, f := range fronts {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -15,11 +15,11 @@
 	"time"
 )
 
-// A refusal promises that nothing ran. None of these answers may be one by accident.
+// mustFail checks that an answer is a failure and not a refusal: a refusal (503) promises that the request has not run.
 func mustFail(t *testing.T, status int) {
 	t.Helper()
 	if status < 500 || status == http.StatusServiceUnavailable {
-		t.Errorf("status %d, want a failure that promises nothing", status)
+		t.Errorf("status %d, want a failure that isn't a refusal", status)
 	}
 }
 
@@ -56,15 +56,15 @@
 				t.Errorf("%s: %s is %q", class, name, got.Header.Get(name))
 			}
 		}
-		// The attempt is given up before the client leaves.
+		// The attempt must time out before the client does.
 		if left, err := time.ParseDuration(got.Header.Get("X-Time-Left") + "s"); err != nil || left.Seconds() >= 12 {
 			t.Errorf("%s: X-Time-Left %q: %v", class, got.Header.Get("X-Time-Left"), err)
 		}
 	}
 }
 
-// A transport that re-sends on a broken reused connection makes an attempt that
-// nobody counts. For an unsafe request that is a second effect.
+// An HTTP transport that retries by itself when a reused connection breaks makes an attempt that isn't
+// counted. An unsafe request could run twice.
 func TestNothingIsSentAgainOnAReusedConnection(t *testing.T) {
 	t.Parallel()
 	var bids atomic.Int64
@@ -92,7 +92,7 @@
 	}
 }
 
-// Only an answer that proves that nothing ran lets an unsafe request be refused or sent again.
+// An unsafe request is refused or retried only after an answer that proves that it has not run.
 func TestOutcomesOfAnUnsafeRequest(t *testing.T) {
 	t.Parallel()
 	const head = "HTTP/1.1 "
@@ -143,7 +143,7 @@
 	t.Parallel()
 	p := start(t, testConfig(t, closedAddr(t), ready("s-1", closedAddr(t))))
 	if status, _, _ := do(t, newRequest(t, p, "bid", "x")); status != http.StatusServiceUnavailable {
-		t.Errorf("status %d, want a refusal: no connection ever came up", status)
+		t.Errorf("status %d, want a refusal: no connection was ever established", status)
 	}
 }
 
@@ -175,7 +175,7 @@
 	}
 }
 
-// The work for a client that has left is called off, by closing the connection.
+// When a client leaves, the proxy cancels the attempt by closing the backend connection.
 func TestClientLeaves(t *testing.T) {
 	t.Parallel()
 	came, left := make(chan struct{}), make(chan struct{})
@@ -190,7 +190,7 @@
 	ctx, leave := context.WithCancel(context.Background())
 	go func() {
 		r := newRequest(t, p, "bid", "x").WithContext(ctx)
-		r.Header.Set("X-Time-Left", "55000m") // far longer than the test waits
+		r.Header.Set("X-Time-Left", "55000m") // much longer than the test waits
 		if resp, err := http.DefaultClient.Do(r); err == nil {
 			resp.Body.Close()
 		}
@@ -200,8 +200,8 @@
 	receive(t, left, "the attempt's end")
 }
 
-// At SIGTERM connections still come, and what was taken has to be finished. Without
-// the wait before the listener's close the second request here finds it closed.
+// After SIGTERM connections still arrive, and accepted requests have to be finished. Without
+// AcceptGrace before the listener is closed, the second request here would be refused a connection.
 func TestStopsWithoutLosingARequest(t *testing.T) {
 	t.Parallel()
 	came, finish := make(chan struct{}, 2), make(chan struct{})
@@ -213,10 +213,10 @@
 	}))
 	t.Cleanup(b.Close)
 	cfg := testConfig(t, closedAddr(t), ready("s-1", b.Listener.Addr().String()))
-	cfg.AcceptGrace = 4 * time.Second // the test has to fit into it
+	cfg.AcceptGrace = 4 * time.Second // the test has to finish within it
 	p := start(t, cfg)
-	// Runs first: where the test fails early, both ends would wait for this backend's
-	// answers, the proxy for as long as its classes say and the backend for good.
+	// This cleanup runs first: if the test fails early, both the proxy and the backend would wait for these
+	// answers, the proxy up to the timeouts of its classes and the backend forever.
 	t.Cleanup(release)
 	type got struct {
 		status int
@@ -241,12 +241,12 @@
 		case a := <-answers:
 			t.Fatalf("%s did not reach a backend: %d %v", what, a.status, a.err)
 		case <-time.After(patience):
-			t.Fatalf("%s was never taken up", what)
+			t.Fatalf("%s was never accepted", what)
 		}
 	}
 	reaches("the first request")
 	p.stop()
-	// It has seen the signal, and still takes connections.
+	// The shutdown has begun, and connections are still accepted.
 	eventually(t, "an answer that ends its connection", func() bool {
 		resp, err := (&http.Client{Timeout: patience, Transport: &http.Transport{}}).Get(p.url + "/ready")
 		if err != nil {
@@ -275,14 +275,14 @@
 	}
 }
 
-// A stop waits for what is in hand, but not beyond the longest deadline: what the
-// end of the process finds open is lost, so it is failed before, and never refused.
+// Shutdown waits for requests in flight, but not beyond the longest deadline. Requests that are still open when the
+// process exits are lost, so they are failed before; as they may have run, they are never refused.
 func TestStopAnswersWhatDoesNotFinish(t *testing.T) {
 	t.Parallel()
 	addr, came := silent(t)
 	cfg := testConfig(t, closedAddr(t), ready("s-1", addr))
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].ClientTimeout = time.Second // the client here has longer than the classes say
+		cfg.Settings.Classes[i].ClientTimeout = time.Second // the client's own deadline is longer
 	}
 	p := start(t, cfg)
 	statuses := make(chan int, 1)
@@ -298,12 +298,12 @@
 	}
 }
 
-// The platform waits for some seconds, however long a class's clients would: what is open
-// then is failed in time.
-func TestAStopIsOverBeforeThePlatformsPatience(t *testing.T) {
+// The platform waits only some seconds for the exit, even if clients of a class would wait longer. Requests that are
+// open then are failed in time.
+func TestShutdownEndsBeforeThePlatformsTimeout(t *testing.T) {
 	t.Parallel()
 	addr, came := silent(t)
-	p := start(t, testConfig(t, closedAddr(t), ready("s-1", addr))) // its classes wait for a minute
+	p := start(t, testConfig(t, closedAddr(t), ready("s-1", addr))) // its classes have timeouts of a minute
 	texts := make(chan string, 1)
 	go func() {
 		_, text, _ := do(t, newRequest(t, p, "bid", "x"))
@@ -312,7 +312,7 @@
 	receive(t, came, "the attempt")
 	p.stop()
 	if text := receive(t, texts, "the answer"); !strings.Contains(text, "the proxy stops") {
-		t.Errorf("answered %q", text) // at the end of its own time, by which the process is gone
+		t.Errorf("answered %q", text) // the request's own timeout would come too late, after the process has exited
 	}
 	if err := receive(t, p.ended, "the end"); err != nil {
 		t.Error(err)
--- a/internal/proxy/recall_test.go
+++ b/internal/proxy/recall_test.go
@@ -14,7 +14,7 @@
 	"marlreel/internal/process/logs"
 )
 
-// otherProcess stands for another process of the proxy that serves: its file, and its socket.
+// otherProcess imitates another serving process of the proxy by its file and its socket.
 func otherProcess(t *testing.T, folder string, id int) net.Listener {
 	t.Helper()
 	file, err := os.Create(filepath.Join(folder, "marlreel-process-"+strconv.Itoa(id)))
@@ -36,15 +36,15 @@
 	return ln
 }
 
-// The first process that is asked for what it has learnt is stuck, and another one tells.
+// If the first process that is asked for its learned state is stuck, the next one is asked.
 func TestRecallAsksTheNextProcess(t *testing.T) {
 	t.Parallel()
-	folder, err := os.MkdirTemp("", "recall") // a socket's path is short
+	folder, err := os.MkdirTemp("", "recall") // the path of a Unix socket must be short
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer os.RemoveAll(folder)
-	otherProcess(t, folder, 1000001) // accepts by its queue, and never answers
+	otherProcess(t, folder, 1000001) // connects by the accept queue, but never answers
 	telling := otherProcess(t, folder, 1000002)
 	learnt, err := codec.Encode(&learnedstate.State{ProxyName: "n0"})
 	if err != nil {
@@ -69,13 +69,13 @@
 	if err != nil || len(others) != 2 {
 		t.Fatalf("%v, %v: two processes serve", others, err)
 	}
-	state, from := askOthers(rendezvous, []handover.Peer{{ID: 1000001}, {ID: 1000002}}, "n0", logs.Discard())
+	state, from := fetchFromPeers(rendezvous, []handover.Peer{{ID: 1000001}, {ID: 1000002}}, "n0", logs.Discard())
 	if state == nil || from != 1000002 {
-		t.Errorf("told by process %d: %v", from, state)
+		t.Errorf("got from process %d: %v", from, state)
 	}
-	// Where nobody tells, the start goes on without.
+	// If none answers, there is no state.
 	telling.Close()
-	if state, _ := askOthers(rendezvous, others, "n0", logs.Discard()); state != nil {
-		t.Errorf("%v is told by nobody", state)
+	if state, _ := fetchFromPeers(rendezvous, others, "n0", logs.Discard()); state != nil {
+		t.Errorf("got %v from no process", state)
 	}
 }
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -70,7 +70,7 @@
 	}
 	if err == nil {
 		done := make(chan error, 1)
-		p.engine.Post(func() { done <- p.retune(next) })
+		p.engine.Post(func() { done <- p.applyReload(next) })
 		select {
 		case err = <-done:
 		case <-p.engine.Done():
@@ -78,25 +78,25 @@
 		}
 	}
 	// The line is logged before the metric changes, so that whoever waits for the metric finds the line.
-	taken := func(yes bool) {
+	record := func(applied bool) {
 		if p.counts != nil {
-			p.counts.RecordSettings(yes)
+			p.counts.RecordSettings(applied)
 		}
 	}
 	if err != nil {
 		logger.Warn("not reloaded: "+err.Error(), "event", "settings-refused", "do", actionable.AdviceFor(err))
-		taken(false)
+		record(false)
 		return cfg, own
 	}
 	if p.member != nil { // the fleet decides on the settings
 		logger.Info("reloaded: the settings are proposed to the fleet", "event", "settings-proposed")
-		go p.member.propose(next.Config, logger, taken)
+		go p.member.propose(next.Config, logger, record)
 		if next.Own == nil {
 			return next.Config, own
 		}
 		return next.Config, next.Own
 	}
-	taken(true)
+	record(true)
 	logger.Info(fmt.Sprintf("reloaded: %d classes, %d attempts", len(next.Config.Settings.Classes), next.Config.Settings.Caps.MaxAttempts), "event", "settings-taken")
 	if next.Own == nil {
 		return next.Config, own
@@ -110,8 +110,8 @@
 	return next.Config, next.Own
 }
 
-// retune applies a reload on the engine's goroutine. In a fleet it leaves the settings to the fleet.
-func (p *parts) retune(next Reload) error {
+// applyReload applies a reload on the engine's goroutine. In a fleet it leaves the settings to the fleet.
+func (p *parts) applyReload(next Reload) error {
 	if p.member == nil {
 		if err := p.engine.Reconfigure(next.Config.Settings); err != nil {
 			return fmt.Errorf("configuration: %w", err)
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -12,15 +12,15 @@
 	"marlreel/internal/testutil"
 )
 
-// moved is a configuration that names another address of discovery.
+// moved returns cfg with another discovery address.
 func moved(cfg *config.Platform, addr string) *config.Platform {
 	next := *cfg
 	next.DiscoveryAddress = addr
 	return &next
 }
 
-// A new address takes over with its first word. Until then the old one counts, and
-// from then on it doesn't; a backend that both list keeps its connection.
+// A new discovery address takes over with its first list. Until then the old one is followed, and
+// afterwards it isn't. A backend that both lists contain keeps its connection.
 func TestReloadMovesTheWatchWithoutAGap(t *testing.T) {
 	t.Parallel()
 	for name, onRequest := range map[string]bool{"pushed": false, "asked for": true} {
@@ -41,7 +41,7 @@
 			}
 			other := named(t, "other")
 			old.Lines <- line(t, 8, true, ready("s-2", other))
-			servedBy(t, p, "other") // the old address still counts
+			servedBy(t, p, "other") // the old address is still followed
 			old.Lines <- line(t, 9, true, ready("s-1", kept))
 			servedBy(t, p, "kept")
 			before := conns.Load()
@@ -62,7 +62,7 @@
 	}
 }
 
-// Configurations may follow each other faster than addresses answer.
+// Reloads may follow each other faster than discovery addresses answer; the last one wins.
 func TestQuickReloadsEndAtTheLastAddress(t *testing.T) {
 	t.Parallel()
 	a, b, c := newRegistry(t), newRegistry(t), newRegistry(t)
@@ -76,7 +76,7 @@
 	servedBy(t, p, "c")
 }
 
-// An address that never answers costs nothing: the old one goes on.
+// If a new address refuses connections, the old one is still followed.
 func TestReloadToADeadAddressKeepsTheOld(t *testing.T) {
 	t.Parallel()
 	a := newRegistry(t)
@@ -89,8 +89,8 @@
 	servedBy(t, p, "b")
 }
 
-// The file's address goes before the environment's, which is that of the start; a
-// bad file changes nothing and takes one line.
+// After a reload the file's discovery address overrides the environment's, which applies only at the start.
+// An invalid file is reported as an error of one line.
 func TestReloads(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "config.json")
--- a/internal/proxy/retune_test.go
+++ b/internal/proxy/retune_test.go
@@ -15,7 +15,7 @@
 	"marlreel/internal/testutil"
 )
 
-// settingsWith is the tests' settings after a change.
+// settingsWith returns the test settings with a change applied.
 func settingsWith(t *testing.T, change func(map[string]any)) map[string]any {
 	t.Helper()
 	var s map[string]any
@@ -28,7 +28,7 @@
 
 func services(s map[string]any) []any { return s["Services"].([]any) }
 
-// classLike is a copy of a class under another name.
+// classLike returns a copy of a class with another name and changes.
 func classLike(of any, name string, change map[string]any) map[string]any {
 	c := map[string]any{}
 	for k, v := range of.(map[string]any) {
@@ -41,7 +41,7 @@
 	return c
 }
 
-// file is a configuration with other settings, read as a SIGHUP would.
+// file returns a configuration with other settings, parsed as at a SIGHUP.
 func file(t *testing.T, discovery string, settings any) Reload {
 	t.Helper()
 	text, err := json.Marshal(map[string]any{
@@ -55,7 +55,7 @@
 	return Reload{Config: cfg, Err: err}
 }
 
-// figure gives one line of the figures.
+// figure returns the value of a metric, or "" if it is missing.
 func figure(t *testing.T, p *running, name string) string {
 	t.Helper()
 	resp, err := http.Get("http://" + p.control + "/control/counters")
@@ -77,8 +77,8 @@
 	testutil.Eventually(t, fmt.Sprintf("%s to be %s", name, value), func() bool { return figure(t, p, name) == value })
 }
 
-// Classes appear, vanish and change their effect at a SIGHUP; a file that is broken in any
-// way changes nothing, and both are counted.
+// SIGHUP can add and remove classes and change their effects. An invalid file changes nothing. Both outcomes
+// are counted.
 func TestSettingsAtSIGHUP(t *testing.T) {
 	t.Parallel()
 	addr := closedAddr(t)
@@ -92,7 +92,7 @@
 		return got
 	}
 	if got := status("quote", "GET"); got != http.StatusNotFound {
-		t.Fatalf("a class that there isn't: %d", got)
+		t.Fatalf("a class that does not exist: %d", got)
 	}
 	appears := settingsWith(t, func(s map[string]any) {
 		s["Services"] = append([]any{classLike(services(s)[0], "quote", map[string]any{"Effect": "fragile"})}, services(s)...)
@@ -100,10 +100,10 @@
 	p.reloads <- file(t, addr, appears)
 	expect(t, p, "sighup_applied", "1|c")
 	if got := status("quote", "POST"); got != 200 {
-		t.Errorf("a class that has appeared: %d", got)
+		t.Errorf("an added class: %d", got)
 	}
 	if got := status("bid", "POST"); got != 200 {
-		t.Errorf("a class that stays, at another place in the file: %d", got)
+		t.Errorf("an unchanged class, at another position in the file: %d", got)
 	}
 	expect(t, p, "succeeded.quote", "1|c")
 	expect(t, p, "succeeded.bid", "1|c")
@@ -113,7 +113,7 @@
 	p.reloads <- file(t, addr, vanishes)
 	expect(t, p, "sighup_applied", "2|c")
 	if got := status(gone, "GET"); got != http.StatusNotFound {
-		t.Errorf("a class that has vanished: %d", got)
+		t.Errorf("a removed class: %d", got)
 	}
 
 	n := 0
@@ -140,15 +140,15 @@
 			t.Errorf("%s: the old settings no longer hold: %d", name, got)
 		}
 		if got := status(gone, "GET"); got != http.StatusNotFound {
-			t.Errorf("%s: half of the file was taken: %d", name, got)
+			t.Errorf("%s: the file was applied in part: %d", name, got)
 		}
 	}
 	expect(t, p, "sighup_applied", "2|c")
 	expect(t, p, "outstanding", "0|g")
 }
 
-// A request that is under way keeps the class it came with: what was safe when it came may
-// be sent again though its class has become unsafe, or has vanished.
+// A request in flight keeps the class it arrived with. If that class was safe to retry, the request may be retried even
+// after the class has been removed.
 func TestRequestsUnderWayKeepTheirClass(t *testing.T) {
 	t.Parallel()
 	came, fail := make(chan string, 4), make(chan struct{})
@@ -183,6 +183,6 @@
 	expect(t, p, "sighup_applied", "1|c")
 	close(fail)
 	if got := receive(t, answered, "the answer"); got != 200 {
-		t.Errorf("answered %d: it was safe to repeat when it came", got)
+		t.Errorf("answered %d: it was safe to retry when it arrived", got)
 	}
 }
--- a/internal/proxy/rpc_test.go
+++ b/internal/proxy/rpc_test.go
@@ -21,7 +21,7 @@
 	"marlreel/internal/testutil"
 )
 
-const rpcOffset = 3000 // from a stand-in's HTTP port to its RPC port
+const rpcOffset = 3000 // a stand-in's RPC port minus its HTTP port
 
 func rpcSettings() *config.Operator {
 	own := config.DefaultOperator()
@@ -39,7 +39,8 @@
 	return own
 }
 
-// rpcNode is a stand-in node that speaks both protocols and serves at once, or after work.
+// rpcNode starts a stand-in node that speaks both protocols. Each request waits for work in addition to 1 ms of CPU
+// time.
 func rpcNode(t *testing.T, id string, journal *standin.Journal, work time.Duration) *standin.Node {
 	t.Helper()
 	addr, rpcAddr, err := standin.AddressPair(rpcOffset)
@@ -59,7 +60,7 @@
 	return n
 }
 
-// rpcScript is a backend whose RPC the test speaks. Its HTTP address is closed.
+// rpcScript starts a backend whose RPC connections are served by the test. Its HTTP address is closed.
 func rpcScript(t *testing.T, serve func(c net.Conn, d *msgpack.Decoder)) string {
 	t.Helper()
 	addr, rpcAddr, err := standin.AddressPair(rpcOffset)
@@ -86,7 +87,7 @@
 	return addr
 }
 
-// scripted is a call as a scripted backend reads it.
+// scripted is a call as read by a scripted backend.
 type scripted struct {
 	id     uint32
 	method string
@@ -125,7 +126,7 @@
 	}
 }
 
-// rpcAnswers is a backend that answers each call at once.
+// rpcAnswers starts a backend that answers each call at once.
 func rpcAnswers(t *testing.T, answer func(q scripted) (problem, result any)) string {
 	t.Helper()
 	return rpcScript(t, func(c net.Conn, d *msgpack.Decoder) {
@@ -151,7 +152,7 @@
 	return r
 }
 
-// meta is a call's metadata, with a new id.
+// meta returns a call's metadata with a new id.
 func meta(more ...any) map[string]any {
 	m := map[string]any{"$id": fmt.Sprintf("%016x", lastName.Add(1)), "$house": "obala", "$left_ms": 15000}
 	for i := 0; i+1 < len(more); i += 2 {
@@ -180,7 +181,7 @@
 	if len(s) != 2 || s[0].Class != "bid" || s[0].Key != "" || s[1].Key != "k1" {
 		t.Errorf("the node saw %+v", s)
 	}
-	// Both protocols at once on one proxy.
+	// One proxy serves both protocols at once.
 	if status, _, _ := do(t, newRequest(t, p, "bid", "x")); status != 200 {
 		t.Errorf("over HTTP: %d", status)
 	}
@@ -203,8 +204,8 @@
 	}
 }
 
-// A plain caller knows no metadata: it gets an id, its class's time and the
-// configuration's house, and its parameters go on as they are.
+// A caller without metadata gets an id, its class's timeout and the configured default
+// house, and its parameters are passed on unchanged.
 func TestPlainCaller(t *testing.T) {
 	t.Parallel()
 	addr := rpcAnswers(t, func(q scripted) (problem, result any) { return nil, append([]any{q.method}, q.params...) })
@@ -215,8 +216,8 @@
 	}
 }
 
-// A method's own error is its answer: it goes through as it came, is not sent again,
-// and blames no backend.
+// A method's own error is its answer: it is passed on unchanged, not retried, and not
+// counted against the backend.
 func TestMethodsOwnErrors(t *testing.T) {
 	t.Parallel()
 	var n atomic.Int64
@@ -237,7 +238,7 @@
 	}
 }
 
-// A backend's failure is answered by a whole message of the proxy's own, after which the
+// A backend's failure is answered with a complete message of the proxy itself, after which the
 // caller can read the answers to its other calls.
 func TestFailedCallIsAnsweredWhole(t *testing.T) {
 	t.Parallel()
@@ -261,12 +262,12 @@
 	}
 }
 
-// Calls of each class are out on one connection when it breaks: safe ones are sent
-// again, keyed ones within their group, unsafe ones fail and reach nobody else.
+// Calls of each class are in flight on one connection when it breaks: safe ones are retried,
+// keyed ones within their group, and unsafe ones fail and reach no other backend.
 func TestBreakUnderOpenCalls(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
-	taken := map[string]string{} // id: class, at the one that breaks
+	taken := map[string]string{} // class by id, at the backend that breaks
 	enough := make(chan struct{})
 	var once sync.Once
 	bad := rpcScript(t, func(c net.Conn, d *msgpack.Decoder) {
@@ -287,7 +288,7 @@
 				once.Do(func() { close(enough) })
 			}
 			select {
-			case <-enough: // it breaks under all that it holds
+			case <-enough: // it breaks under all calls in flight
 				time.Sleep(20 * time.Millisecond)
 				return
 			default:
@@ -333,7 +334,7 @@
 			t.Errorf("%s (broke: %v) got %+v", c.class, broke, a)
 		case a.Error == nil:
 			if _, ok := standin.CheckBody(c.id, fmt.Sprint(a.Result)); !ok {
-				t.Errorf("%s got another's answer: %+v", c.class, a)
+				t.Errorf("%s got the answer to another call: %+v", c.class, a)
 			}
 		}
 	}
@@ -347,14 +348,14 @@
 		}
 	}
 	if failed == 0 || again == 0 {
-		t.Errorf("%d bids failed, %d calls were sent again: the test shows nothing", failed, again)
+		t.Errorf("%d bids failed, %d calls were sent again: the test proves nothing", failed, again)
 	}
 	if r.Surplus() != 0 {
-		t.Errorf("%d answers too many", r.Surplus())
+		t.Errorf("%d surplus answers", r.Surplus())
 	}
 }
 
-// What never went out whole proves that it never ran: it goes elsewhere, a bid too.
+// A call that was never sent completely has not run, so it is retried on another backend, even a bid.
 func TestNeverConnected(t *testing.T) {
 	t.Parallel()
 	j := &standin.Journal{}
@@ -369,7 +370,7 @@
 	}
 }
 
-// Replies come in any order, twice, to no call: the right caller gets the right one.
+// Replies arrive in any order, twice, or for no call: each caller gets the reply to its own call.
 func TestRepliesInAnyOrder(t *testing.T) {
 	t.Parallel()
 	addr := rpcScript(t, func(c net.Conn, d *msgpack.Decoder) {
@@ -412,7 +413,7 @@
 	}
 }
 
-// The reply to a call that was given up comes late: it has no owner, and is nobody's.
+// A late reply to a call that has timed out is dropped.
 func TestLateReplies(t *testing.T) {
 	t.Parallel()
 	first := make(chan scripted, 1)
@@ -442,19 +443,19 @@
 	got, _ := r.Call("post.bid", 1, meta("$left_ms", 300))
 	receive(t, first, "the call")
 	if a := receive(t, got, "an answer"); a.Code() != "failed" && a.Code() != "out-of-time" {
-		t.Errorf("one that nobody answered got %+v", a)
+		t.Errorf("a call without an answer got %+v", a)
 	}
 	close(release)
 	got, _ = r.Call("list", 1)
 	if a := receive(t, got, "an answer"); a.Result != "in time" {
-		t.Errorf("the next one got %+v", a)
+		t.Errorf("the next call got %+v", a)
 	}
 	if r.Surplus() != 0 {
 		t.Error("the late reply reached the caller")
 	}
 }
 
-// An id replaced at the same address: no reply from the old connection reaches a new call.
+// An instance is replaced by another at the same address: no reply from the old connection reaches a new call.
 func TestReplacedAtTheSameAddress(t *testing.T) {
 	t.Parallel()
 	var conns atomic.Int64
@@ -494,10 +495,10 @@
 		select {
 		case is := <-next:
 			if is.id != was.id {
-				t.Errorf("msgids %d and %d: the test shows nothing", was.id, is.id)
+				t.Errorf("msgids %d and %d: the test proves nothing", was.id, is.id)
 			}
 			return true
-		case <-got: // it went while the list had neither
+		case <-got: // it was answered while the list had neither instance
 			return false
 		case <-time.After(patience / 2):
 			return false
@@ -506,7 +507,7 @@
 	c := receive(t, oldConn, "the old connection")
 	answerCall(c, was.id, nil, "old")
 	if a := receive(t, first, "the first answer"); a.Result != "old" {
-		t.Errorf("the call in hand got %+v", a)
+		t.Errorf("the call in flight got %+v", a)
 	}
 	select {
 	case a := <-second:
@@ -519,7 +520,7 @@
 	}
 }
 
-// A caller that does not read holds nobody up, and is dropped within bounds.
+// A caller that does not read does not delay others, and is dropped once its queue exceeds MaxQueuedBytes.
 func TestCallerThatDoesNotRead(t *testing.T) {
 	t.Parallel()
 	large := strings.Repeat("x", 60<<10)
@@ -543,7 +544,7 @@
 	defer slow.Close()
 	slow.(*net.TCPConn).SetReadBuffer(4 << 10)
 	dropped := make(chan struct{})
-	go func() { // it asks on and on, and never reads
+	go func() { // it keeps calling, and never reads
 		defer close(dropped)
 		for id := uint32(1); ; id++ {
 			data, _ := msgpack.Marshal([]any{0, id, "list", []any{}})
@@ -564,7 +565,7 @@
 	receive(t, dropped, "the end of the caller that does not read")
 }
 
-// What can't be read ends its connection within 3 s, and hurts nobody else.
+// A malformed stream ends its connection within 3 s, and does not affect other connections.
 func TestMalformedStreams(t *testing.T) {
 	t.Parallel()
 	n := rpcNode(t, "s-1", &standin.Journal{}, 0)
@@ -594,18 +595,18 @@
 	}
 	t.Run("the others", func(t *testing.T) {
 		t.Parallel()
-		good := caller(t, p.rpc) // not earlier: where tests run one by one it would be closed as idle
+		good := caller(t, p.rpc) // not earlier: if subtests run one by one, it would be closed as idle
 		for range 20 {
 			got, _ := good.Call("list", 1, meta())
 			if a := receive(t, got, "an answer"); a.Error != nil || a.Err != nil {
-				t.Fatalf("a good caller beside bad ones got %+v\n%s", a, p.log.String())
+				t.Fatalf("a good caller next to bad ones got %+v\n%s", a, p.log.String())
 			}
 		}
 	})
 }
 
-// A backend's stream that can't be read breaks its connection: what may have run fails.
-func TestSpoiltReplies(t *testing.T) {
+// A malformed stream from a backend breaks its connection. Calls that may have run fail.
+func TestMalformedReplies(t *testing.T) {
 	t.Parallel()
 	j := &standin.Journal{}
 	n := rpcNode(t, "s-1", j, 0)
@@ -621,7 +622,7 @@
 	}
 }
 
-// A backend may speak one protocol well and the other badly: each is served where it is.
+// A backend may work over one protocol and not over the other: requests of each protocol go where it works.
 func TestGoodAtOneProtocol(t *testing.T) {
 	t.Parallel()
 	n := rpcNode(t, "s-1", &standin.Journal{}, 0)
@@ -647,7 +648,7 @@
 	}
 }
 
-// Notifications are sent at most once, and only of methods that take them.
+// Notifications are sent at most once, and only for methods that accept them.
 func TestNotifications(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
@@ -662,7 +663,7 @@
 			came = append(came, fmt.Sprintf("%v %v", v[0], v[1]))
 			mu.Unlock()
 			if len(v) == 3 {
-				return // breaks right behind it
+				return // closes the connection right after it
 			}
 			id, _ := asUint(v[1])
 			answerCall(c, id, nil, "served")
@@ -670,7 +671,7 @@
 	})
 	p := startWith(t, testConfig(t, closedAddr(t), ready("s-1", addr), ready("s-2", addr)), rpcSettings())
 	r := caller(t, p.rpc)
-	r.Notify("post.pickup", 1, meta("$key", "k")) // of a method that takes none
+	r.Notify("post.pickup", 1, meta("$key", "k")) // the method accepts no notifications
 	r.Notify("list", 1)
 	count := func() (n int) {
 		mu.Lock()
@@ -699,7 +700,7 @@
 	}
 }
 
-// At SIGTERM a connection takes no new call and says so, answers what is open, and closes.
+// After SIGTERM a connection announces the drain, refuses new calls, answers the open ones, and is closed.
 func TestRPCDrain(t *testing.T) {
 	t.Parallel()
 	came, finish := make(chan struct{}, 1), make(chan struct{})
@@ -720,12 +721,12 @@
 	open, _ := r.Call("post.bid", 1, meta())
 	receive(t, came, "the call")
 	p.stop()
-	eventually(t, "a call to be turned away", func() bool {
+	eventually(t, "a call to be refused", func() bool {
 		got, _ := r.Call("post.bid", 2, meta())
 		select {
 		case a := <-got:
 			return a.Code() == "draining" && a.Error.(map[string]any)["retry"] == true
-		case <-time.After(100 * time.Millisecond): // taken before the signal was: it stays open
+		case <-time.After(100 * time.Millisecond): // accepted before the drain began, so it stays open
 			return false
 		}
 	})
@@ -742,7 +743,7 @@
 	}
 }
 
-// What is open when the process has to go is failed before, and never refused.
+// Calls that are open when the process has to exit are failed before, and never refused.
 func TestRPCStopAnswersWhatDoesNotFinish(t *testing.T) {
 	t.Parallel()
 	came := make(chan struct{}, 1)
@@ -767,7 +768,7 @@
 	}
 }
 
-// The bounds of callers' connections and of calls on one.
+// Limits the connections of callers and the open calls per connection.
 func TestRPCBounds(t *testing.T) {
 	t.Parallel()
 	addr := rpcScript(t, func(c net.Conn, d *msgpack.Decoder) { io.Copy(io.Discard, c) })
@@ -781,7 +782,7 @@
 	got, _ := busy.Call("post.bid", 1, meta())
 	a := receive(t, got, "an answer")
 	if m, _ := a.Error.(map[string]any); a.Code() != "overloaded" || m["retry_after"] != 1.0 {
-		t.Errorf("one call too many got %+v", a)
+		t.Errorf("a call beyond the limit got %+v", a)
 	}
 	silent := testutil.Dial(t, p.rpc)
 	third := caller(t, p.rpc)
@@ -790,6 +791,6 @@
 		t.Errorf("the third connection: %+v", <-got)
 	}
 	if busy.Ended() {
-		t.Error("a connection with calls open made room")
+		t.Error("a connection with open calls was closed to make room")
 	}
 }
--- a/internal/proxy/rpcmisbehaviour_test.go
+++ b/internal/proxy/rpcmisbehaviour_test.go
@@ -17,8 +17,8 @@
 	"marlreel/internal/standin"
 )
 
-// misbehavingRPCBackend answers calls by a seed: well, late and out of their order, in pieces, twice, or in the ways of a
-// broken server.
+// misbehavingRPCBackend answers calls as drawn from a seed: correctly, late and out of order, in pieces, twice, or like
+// a broken server.
 type misbehavingRPCBackend struct {
 	mu      sync.Mutex
 	rng     *rand.Rand
@@ -31,7 +31,7 @@
 	return b.rng.IntN(n)
 }
 
-// The strange ways of an answer.
+// The strange ways of answering.
 const (
 	strangeTwice = iota
 	strangeNobodys
@@ -41,16 +41,16 @@
 	strangeReset
 	strangeShort
 	strangeFailure
-	strangeWays // how many there are
+	strangeWays // the number of ways
 )
 
-// rpcConn is a connection on which answers are written whole, one after the other.
+// rpcConn is a connection on which answers are not interleaved.
 type rpcConn struct {
 	net.Conn
 	mu sync.Mutex
 }
 
-// write writes an answer, in pieces where that is asked for. What can't be written shows as a call without an answer.
+// write writes an answer in two pieces, split at cut. A write error shows as a call without an answer.
 func (c *rpcConn) write(text []byte, cut int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,7 +58,7 @@
 	_, _ = c.Write(text[cut:])
 }
 
-// writeLast writes the last bytes of the connection: answers that are due later are not written behind them.
+// writeLast writes the last bytes and closes the connection, so that no later answer follows them.
 func (c *rpcConn) writeLast(text []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,7 +69,7 @@
 func rpcMessage(parts ...any) []byte {
 	text, err := msgpack.Marshal(parts)
 	if err != nil {
-		panic(err) // numbers and texts always encode
+		panic(err) // numbers and strings can always be encoded
 	}
 	return text
 }
@@ -99,20 +99,20 @@
 	case strangeTwice:
 		c.write(append(good, good...), len(good))
 		time.AfterFunc(time.Duration(b.draw(5000))*time.Microsecond, func() { c.write(good, 0) })
-	case strangeNobodys: // to a call that nobody made
+	case strangeNobodys: // with the id of a call that was never made
 		c.write(append(rpcMessage(1, q.id+100_000, nil, "nobody's"), good...), 0)
 	case strangePieces:
 		c.write(good, 1+b.draw(len(good)-1))
-	case strangeHalf: // half of it, and the end
+	case strangeHalf: // part of it, and then the connection is closed
 		c.writeLast(good[:1+b.draw(len(good)-1)])
 		return false
-	case strangeNoise: // another kind of message, and noise behind it
+	case strangeNoise: // a message of another kind, followed by noise
 		c.write(append(rpcMessage(2, "notice", []any{1}), 0xc1), 0)
 		return false
 	case strangeReset:
 		reset(c.Conn)
 		return false
-	case strangeShort: // an answer of too few parts
+	case strangeShort: // an answer with too few elements
 		c.write(rpcMessage(1, q.id, nil), 0)
 	case strangeFailure:
 		c.write(rpcMessage(1, q.id, map[string]any{"$failed": true, "message": "error"}, nil), 0)
@@ -120,20 +120,21 @@
 	return true
 }
 
-// Guards against a stand-in that glues the answer to another call to half an answer: a proxy can't tell these from one answer.
+// Guards against a stand-in that writes the answer to another call right after half an answer: a proxy can't tell the
+// two from one answer.
 func TestStandInWritesNothingBehindHalfAnAnswer(t *testing.T) {
 	t.Parallel()
 	near, far := net.Pipe()
 	read := make(chan []byte, 1)
 	go func() {
-		text, _ := io.ReadAll(far) // what has come by the connection's end
+		text, _ := io.ReadAll(far) // until the connection is closed
 		read <- text
 	}()
 	b := &misbehavingRPCBackend{rng: rand.New(rand.NewPCG(drawnSeed(t), 0))}
 	c := &rpcConn{Conn: near}
 	good := rpcMessage(1, uint32(1), nil, []any{"call-1"})
 	goesOn := b.answerStrangely(c, scripted{id: 1}, good, strangeHalf)
-	c.write(rpcMessage(1, uint32(2), nil, []any{"call-2"}), 0) // due before serve's caller has closed the connection
+	c.write(rpcMessage(1, uint32(2), nil, []any{"call-2"}), 0) // may become due before serve's caller closes the connection
 	near.Close()
 	text := receive(t, read, "the connection's end")
 	if goesOn || len(text) == 0 || len(text) >= len(good) || !bytes.HasPrefix(good, text) {
@@ -141,7 +142,7 @@
 	}
 }
 
-// rpcCaller makes calls on connections of its own, some of them many at once, and checks each answer by its parameters.
+// rpcCaller makes concurrent calls on its own connections, and checks each answer by the parameters of the call.
 type rpcCaller struct {
 	t    *testing.T
 	p    *running
@@ -149,14 +150,14 @@
 	tell *exchangeCounts
 }
 
-// connection makes calls on one connection. Some end it before all answers have come.
+// connection makes count calls on one connection, or leaves in the middle of a call.
 func (m *rpcCaller) connection(count int) {
 	conn, err := net.DialTimeout("tcp", m.p.rpc, patience)
 	if err != nil {
 		m.t.Error(err)
 		return
 	}
-	if m.rng.IntN(12) == 0 { // it leaves amid a call
+	if m.rng.IntN(12) == 0 { // it leaves in the middle of a call
 		text := rpcMessage(0, 1, "list", []any{"never read"})
 		_, _ = conn.Write(text[:m.rng.IntN(len(text))])
 		reset(conn)
@@ -172,7 +173,7 @@
 		if m.rng.IntN(2) == 0 {
 			method = "post.bid"
 		}
-		answers[token], _ = client.Call(method, token) // a connection that has ended is the answer's error
+		answers[token], _ = client.Call(method, token) // if the connection has ended, the answer is an error
 	}
 	for token, answer := range answers {
 		a := receive(m.t, answer, "an answer")
@@ -189,8 +190,8 @@
 	}
 }
 
-// Callers and backends misbehave by a seed over MessagePack-RPC: each answer is its call's own, or an error.
-// RPC_EXCHANGES plays more than CI does.
+// Callers and backends misbehave over MessagePack-RPC as drawn from a seed. Each answer must belong to its call, or be
+// an error. RPC_EXCHANGES sets the number of calls, to run more than CI does.
 func TestDrawnRPCMisbehaviour(t *testing.T) {
 	t.Parallel()
 	const callers, backends = 12, 6
@@ -224,6 +225,6 @@
 	t.Logf("%d good answers, %d errors, %d cut off, %d left; %d answers were strange", counts.good.Load(), counts.refused.Load(),
 		counts.cut.Load(), counts.left.Load(), strange)
 	if counts.good.Load() < int64(exchanges)/4 || strange < int64(exchanges)/100 {
-		t.Errorf("%d good answers and %d strange ones in %d exchanges: this test shows little", counts.good.Load(), strange, exchanges)
+		t.Errorf("%d good answers and %d strange ones in %d exchanges: the test proves little", counts.good.Load(), strange, exchanges)
 	}
 }
--- a/internal/proxy/sources_test.go
+++ b/internal/proxy/sources_test.go
@@ -23,7 +23,7 @@
 
 const nodesPrefix = "marlreel/nodes/"
 
-// kvStore is a stand-in registry, and an operator's file that names it.
+// kvStore starts a stand-in registry, and returns an operator's settings that use it.
 func kvStore(t *testing.T, kind string) (*standin.Registry, *config.Operator) {
 	t.Helper()
 	r, err := standin.StartRegistry()
@@ -37,7 +37,7 @@
 	return r, own
 }
 
-// listed is a node as the registry has it.
+// listed returns a registry write that stores a node.
 func listed(t *testing.T, name, addr, state string) standin.RegistryOp {
 	t.Helper()
 	v, err := kvstore.Value{Address: addr, Zone: "koper", Kind: "mid-2c", State: state}.Encode()
@@ -47,8 +47,8 @@
 	return standin.RegistryOp{Key: nodesPrefix + name, Value: string(v)}
 }
 
-// A daemon whose list is in a registry serves from it, follows it, and never asks more of a platform that has
-// no list; what drains gets nothing new, and what stays keeps its connections.
+// A proxy whose list is in a registry serves from it and follows its changes without a list from the platform.
+// Draining nodes get no new requests, and nodes that stay keep their connections.
 func TestServedFromARegistry(t *testing.T) {
 	t.Parallel()
 	for _, kind := range []string{"etcd", "consul"} {
@@ -71,11 +71,11 @@
 			r.Txn(listed(t, "s-1", third, "ready")) // the same name at another address
 			servedBy(t, p, "third")
 			if n := conns.Load() - before; n > 2 {
-				t.Errorf("%d new connections to a node that stayed, but for one drain", n)
+				t.Errorf("%d new connections to a node that stayed except for one drain", n)
 			}
-			// One value that can't be read, one in a zone that the settings don't have: the others are as they were.
+			// An invalid value and one with an unknown zone don't affect the other entries.
 			r.Txn(standin.RegistryOp{Key: nodesPrefix + "s-8", Value: "{"}, standin.RegistryOp{Key: nodesPrefix + "s-9", Value: strings.Replace(listed(t, "x", kept, "ready").Value, "koper", "triglav", 1)})
-			eventually(t, "a word on both", func() bool {
+			eventually(t, "a log line about both", func() bool {
 				log := p.log.String()
 				return strings.Contains(log, "entry s-8 can't be read (no JSON") && strings.Contains(log, `unknown zone "triglav"`)
 			})
@@ -84,8 +84,8 @@
 	}
 }
 
-// A daemon that starts with its old list alone, registry and platform down, serves from it, and goes on with
-// the new list when there is one.
+// A proxy that starts while registry and platform are down serves from its old list, and switches to the
+// registry's list once it is reachable.
 func TestOldListWithoutARegistry(t *testing.T) {
 	t.Parallel()
 	r, own := kvStore(t, "etcd")
@@ -97,8 +97,8 @@
 	servedBy(t, p, "new")
 }
 
-// Most of the list is lost at once: it is served on, said loudly, and goes when an operator confirms it in the
-// registry.
+// If most entries disappear from the registry at once, the proxy keeps using them and logs a warning, until an operator
+// confirms the loss in the registry.
 func TestMostOfTheListIsLost(t *testing.T) {
 	t.Parallel()
 	r, own := kvStore(t, "etcd")
@@ -110,7 +110,7 @@
 	r.Txn(standin.RegistryOp{Key: nodesPrefix + "s-1", Delete: true}, standin.RegistryOp{Key: nodesPrefix + "s-2", Delete: true}, standin.RegistryOp{Key: nodesPrefix + "s-3", Delete: true})
 	eventually(t, "the warning", func() bool { return strings.Contains(p.log.String(), "WARNING: the list lost most of its entries") })
 	servedBy(t, p, "one")
-	eventually(t, "the door's word on it", func() bool {
+	eventually(t, "the status at the control address", func() bool {
 		resp, err := http.Get("http://" + p.control + "/control/discovery")
 		if err != nil {
 			return false
@@ -124,8 +124,8 @@
 	servedBy(t, p, "two")
 }
 
-// From the platform's list to the registry's by SIGHUP, and back; a registry that is lost for long gives way
-// to the platform.
+// Switches from the platform's list to the registry's by SIGHUP, and back. If the registry is unreachable for longer
+// than its timeout, the platform's list is used.
 func TestMovesToTheRegistryAndBack(t *testing.T) {
 	t.Parallel()
 	r, own := kvStore(t, "etcd")
@@ -138,7 +138,7 @@
 	servedBy(t, p, "platform")
 	p.reloads <- Reload{Config: cfg, Own: own}
 	servedBy(t, p, "registry")
-	// The platform goes on telling; it counts only when the registry has been lost for its patience.
+	// The platform still sends lists, but they are used only after the registry has been lost for LossTimeout.
 	w.Lines <- line(t, 5, false, ready("s-0", named(t, "platform now")))
 	servedBy(t, p, "registry")
 	r.Cut(true)
@@ -159,7 +159,7 @@
 	})
 }
 
-// The door's figures, a drain and five thousand nodes: the list is one event for the engine.
+// A registry list of 3,001 nodes, of which 3,000 drain, is taken completely and shows in the metrics.
 func TestALargeRegistry(t *testing.T) {
 	t.Parallel()
 	r, own := kvStore(t, "etcd")
@@ -173,14 +173,14 @@
 	cfg.ControlAddress = "127.0.0.1:0"
 	p := startWith(t, cfg, own)
 	servedBy(t, p, "one")
-	eventually(t, "all in the figures", func() bool { return figure(t, p, "discovered") == "3001|g" })
+	eventually(t, "all nodes in the metrics", func() bool { return figure(t, p, "discovered") == "3001|g" })
 }
 
-// What following a registry costs: MARLREEL_MEASURE=1 go test -v -run TestMeasureRegistry ./internal/proxy
-// prints the figures of docs/design/registry.md.
+// Measures the cost of following a registry. MARLREEL_MEASURE=1 go test -v -run TestMeasureRegistry ./internal/proxy
+// prints the figures for docs/design/registry.md.
 func TestMeasureRegistry(t *testing.T) {
 	if os.Getenv("MARLREEL_MEASURE") == "" {
-		t.Skip("a measurement: MARLREEL_MEASURE=1 asks for it")
+		t.Skip("a measurement; set MARLREEL_MEASURE=1 to run it")
 	}
 	for _, kind := range []string{"etcd", "consul"} {
 		for _, n := range []int{12, 5000} {
--- a/internal/proxy/spoilt_test.go
+++ b/internal/proxy/spoilt_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// A backend that says that the request is at fault is right about every backend: it
-// is not sent again, and the backend is not to blame.
+// If a backend answers that the request is invalid, every backend would: it is not retried,
+// and the backend is not blamed.
 func TestARequestAtFaultIsNotSentAgain(t *testing.T) {
 	t.Parallel()
 	var n atomic.Int64
@@ -39,8 +39,8 @@
 	}
 }
 
-// An answer that never ends, with a length, in chunks or until the connection ends, costs its request its time and no
-// more: the client has one answer that can't be taken for a whole one, and the backend sees its connection end.
+// An answer that never ends, with a length, in chunks or until the connection closes, costs only its own request. The
+// client gets one answer that can't be taken for a complete one, and the proxy closes the backend connection.
 func TestAnAnswerThatNeverEnds(t *testing.T) {
 	t.Parallel()
 	for name, begin := range map[string]string{
@@ -67,7 +67,7 @@
 					gone := make(chan struct{})
 					go func() {
 						defer close(gone)
-						io.Copy(io.Discard, in) // its end
+						io.Copy(io.Discard, in) // until the proxy closes it
 					}()
 					every := time.NewTicker(2 * time.Millisecond)
 					defer every.Stop()
@@ -91,11 +91,11 @@
 				}
 				defer resp.Body.Close()
 				if _, err := io.Copy(io.Discard, resp.Body); err == nil && resp.StatusCode == http.StatusOK {
-					t.Error("it passes for a whole answer")
+					t.Error("it is taken for a complete answer")
 				}
 				receive(t, ended, "the end of the backend's connection")
 				if id, n := <-came, len(came); id != r.Header.Get("X-Correlation-Id") || n > 0 {
-					t.Errorf("%d more requests came than the bid, %s first", n, id)
+					t.Errorf("%d more requests arrived than the bid, %s first", n, id)
 				}
 			})
 		}
--- a/internal/proxy/storm_test.go
+++ b/internal/proxy/storm_test.go
@@ -20,10 +20,9 @@
 	"marlreel/internal/testutil"
 )
 
-// Buyers over HTTP and scales over MessagePack-RPC come again while no node takes anything, as often as
-// they are told to. All are told when, the proxy says what it sees, and no bid runs twice. With the
-// nodes back it says that it is over.
-func TestAStormOverBothProtocols(t *testing.T) {
+// Clients over HTTP and MessagePack-RPC retry as they are told while no node accepts requests. Every refusal says when
+// to retry, the proxy logs the retry storm, and no bid runs twice. Once a node is back it logs the end of the storm.
+func TestRetryStormOverBothProtocols(t *testing.T) {
 	t.Parallel()
 	journal := &standin.Journal{}
 	n := rpcNode(t, "s-1", journal, 0)
@@ -37,7 +36,7 @@
 	var served, refused, untold atomic.Int64
 	var over atomic.Bool
 	var clients sync.WaitGroup
-	// one is a client: it asks, comes again when it was told to until it is served, and then asks anew.
+	// one starts a client that retries as it is told until it is served, and then sends a new request.
 	one := func(ask func(id string) (ok bool, after time.Duration, told bool, err error)) {
 		clients.Go(func() {
 			for !over.Load() {
@@ -100,15 +99,15 @@
 		}
 	}
 	if before != 0 || served.Load() == 0 || ran != served.Load() || untold.Load() != 0 {
-		t.Errorf("%d served while all nodes drained, %d since, %d ran; %d of %d refusals don't say when to come again",
+		t.Errorf("%d served while all nodes drained, %d since, %d ran; %d of %d refusals don't say when to retry",
 			before, served.Load(), ran, untold.Load(), refused.Load())
 	}
 }
 
-// cost is what a request costs this process beside time, by its own client's count.
+// cost is the cost of a request to this process, client included.
 type cost struct{ bytes, allocations, calls float64 }
 
-// costOf asks n times over a kept connection, writing and reading bytes of its own.
+// costOf sends n requests on one connection, with preallocated buffers so that the client allocates little.
 func costOf(tb testing.TB, c net.Conn, n int) cost {
 	tb.Helper()
 	ask := []byte("GET /lot-list/7 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 0000000000000000\r\nX-Account: obala\r\nX-Time-Left: 9000m\r\n\r\n")
@@ -116,19 +115,19 @@
 	answer := make([]byte, 4096)
 	got := 0
 	one := func() {
-		c.SetDeadline(time.Now().Add(patience)) // for each: how long all take is the machine's
+		c.SetDeadline(time.Now().Add(patience)) // for each request, as the time for all depends on the machine
 		copy(ask[id:id+16], fmt.Sprintf("%016x", lastName.Add(1)))
 		if _, err := c.Write(ask); err != nil {
 			tb.Fatal(err)
 		}
-		// Answers here are shorter than a segment, and come in one.
+		// Answers are shorter than a segment, and arrive in one read.
 		k, err := c.Read(answer)
 		if err != nil {
 			tb.Fatal(err)
 		}
 		got += k
 	}
-	for range 20 { // buffers and connections come to be
+	for range 20 { // warm up buffers and connections
 		one()
 	}
 	got = 0
@@ -142,7 +141,7 @@
 	return cost{float64(got) / float64(n), float64(b.Mallocs-a.Mallocs) / float64(n), (systemCalls() - calls) / float64(n)}
 }
 
-// systemCalls is how often this process has read and written, where the system says so.
+// systemCalls returns the number of reads and writes of this process, or 0 if the system doesn't report them.
 func systemCalls() float64 {
 	data, _ := os.ReadFile("/proc/self/io")
 	sum := 0.0
@@ -155,8 +154,8 @@
 	return sum
 }
 
-// What is refused costs less than what is served, client and backend included, and its answer is small:
-// by the module, which finds no backend, and at the bound of open calls.
+// A refused request costs less than a served one, client and backend included, and its answer is small. Covers refusals
+// by the balancer without a backend, and at the limit of open calls.
 func TestARefusalIsCheap(t *testing.T) {
 	n := rpcNode(t, "s-1", nil, 0)
 	there, gone := ready("s-1", n.Addr()), ready("s-1", n.Addr())
@@ -171,7 +170,8 @@
 		if most > 0 {
 			c := testutil.Dial(t, p.addr)
 			fmt.Fprintf(c, "GET /lot-list/7 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: %016x\r\nX-Account: obala\r\nX-Time-Left: 59000m\r\n\r\n", lastName.Add(1))
-			// Danger: what is asked below would take its place before it, and be silent there until nothing is sent any more.
+			// Wait for the open call: otherwise a request below could take its slot first, and hang there until its
+			// deadline.
 			receive(t, open, "the open call")
 			eventually(t, "an open call", func() bool { return refusedAt(t, p.addr) })
 		}
@@ -186,7 +186,7 @@
 	}
 }
 
-// refusedAt asks once, and tells whether it was refused.
+// refusedAt sends one request, and reports whether it was refused.
 func refusedAt(t *testing.T, addr string) bool {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodGet, "http://"+addr+"/lot-list/7", nil)
--- a/internal/proxy/surplus_test.go
+++ b/internal/proxy/surplus_test.go
@@ -18,7 +18,8 @@
 	"marlreel/internal/discovery/platformwatch"
 )
 
-// drawnCount is how much a drawn test plays: what an environment variable says, or what suits CI.
+// drawnCount returns how many exchanges a randomized test runs: the value of an environment variable, or the default
+// for CI.
 func drawnCount(t *testing.T, variable string, inCI int) int {
 	t.Helper()
 	text := os.Getenv(variable)
@@ -27,12 +28,12 @@
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil || n <= 0 {
-		t.Fatalf("%s=%s is no number of plays", variable, text)
+		t.Fatalf("%s=%s must be a number above 0", variable, text)
 	}
 	return n
 }
 
-// drawnSeed is the seed of all drawn histories (RAPID_SEED), or a fixed one.
+// drawnSeed returns the seed of the randomized tests: RAPID_SEED, or a fixed one.
 func drawnSeed(t *testing.T) uint64 {
 	t.Helper()
 	text := os.Getenv("RAPID_SEED")
@@ -46,14 +47,14 @@
 	return seed
 }
 
-// surplusBackend answers with the request's own name, and now and then once more, up to 5 ms later.
+// surplusBackend answers with the request's id, and sometimes sends the answer again up to 5 ms later.
 type surplusBackend struct {
 	mu      sync.Mutex
 	rng     *rand.Rand
 	surplus atomic.Int64
 }
 
-// draw tells how long the work takes, and whether and how much later a second answer follows.
+// draw returns how long the work takes, whether a second answer follows, and how much later.
 func (b *surplusBackend) draw() (work time.Duration, again bool, after time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -81,9 +82,10 @@
 	}
 }
 
-// Where answers carry no id, an answer too many that comes after the next request was written can't be told from that
-// one's own. Backends that were seen to send such answers get each connection for one request alone: of some 167 in
-// 10,000 exchanges, two callers at most get one. SURPLUS_EXCHANGES plays more than CI does.
+// As answers carry no id, a surplus answer that arrives after the next request was written can't be told from the
+// answer to that request. Connections to backends that have sent surplus answers therefore carry one request each: of
+// some 167 surplus answers in 10,000 exchanges, at most two reach a client. SURPLUS_EXCHANGES sets the number of
+// exchanges, to run more than CI does.
 func TestLateSurplusAnswers(t *testing.T) {
 	t.Parallel()
 	const callers, backends = 16, 4
@@ -130,15 +132,15 @@
 	}
 	t.Logf("%d exchanges, %d surplus answers, %d callers got one, %d had no good answer", exchanges, sent, foreign.Load(), failed.Load())
 	if sent == 0 {
-		t.Error("no surplus answer was sent: this test shows nothing")
+		t.Error("no surplus answer was sent: the test proves nothing")
 	}
 	if foreign.Load() > 2 {
-		t.Errorf("%d callers got another's answer", foreign.Load())
+		t.Errorf("%d callers got the answer to another request", foreign.Load())
 	}
 	if !strings.Contains(p.log.String(), "event=surplus-answer") {
-		t.Errorf("the log doesn't tell of it: %s", p.log.String())
+		t.Errorf("the log doesn't mention it: %s", p.log.String())
 	}
 	if count := figure(t, p, "surplus_answers"); count == "" || count == "0|c" {
-		t.Errorf("the figures count %q", count)
+		t.Errorf("the metric is %q", count)
 	}
 }
--- a/internal/proxy/told_test.go
+++ b/internal/proxy/told_test.go
@@ -15,8 +15,7 @@
 	"marlreel/internal/testutil"
 )
 
-// told is by when a change counts as told once discovery has it and can be reached, and grace what the rule gives
-// after it.
+// A drain must take effect within told after discovery has it and is reachable. grace is the margin the rule adds.
 const (
 	told  = 6 * time.Second
 	grace = 550 * time.Millisecond
@@ -26,7 +25,7 @@
 	return standin.Entry{InstanceID: id, HostPort: addr, Zone: "koper", MachineType: "mid-2c", Lifecycle: lifecycle, Weight: 1}
 }
 
-// last is a backend that notes when a request last began there.
+// last starts a backend that records when the last request began, and the number of requests.
 func last(t *testing.T) (addr string, at *atomic.Int64, n *atomic.Int64) {
 	at, n = new(atomic.Int64), new(atomic.Int64)
 	b := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -38,7 +37,7 @@
 	return b.Listener.Addr().String(), at, n
 }
 
-// asking sends requests until the test ends, and counts those that were not served.
+// asking sends requests until the test ends, and counts those not served.
 func asking(t *testing.T, p *running) (lost *atomic.Int64) {
 	lost = new(atomic.Int64)
 	client := &http.Client{Timeout: patience}
@@ -67,15 +66,15 @@
 	cfg.Settings.PollMembership = onRequest
 	cfg.Settings.Obligations.MaxMembershipAge = 10 * time.Second
 	cfg.Settings.Caps.ConnectTimeout = 100 * time.Millisecond
-	cfg.AcceptGrace = 0 // its end is not looked at
+	cfg.AcceptGrace = 0 // the shutdown is not tested here
 	return cfg
 }
 
-// drainDay is a proxy with two backends, of which one will drain, and traffic.
+// drainDay is a proxy under traffic with two backends, one of which will drain.
 type drainDay struct {
 	d                  *standin.Faulty
 	drains             string
-	at, served, before *atomic.Int64 // when the one last got a request; what the other got, and it
+	at, served, before *atomic.Int64 // time of the last request to the draining backend; requests to the other backend and to it
 }
 
 func newDrainDay(t *testing.T, onRequest bool) *drainDay {
@@ -101,9 +100,9 @@
 
 func (x *drainDay) drain() { x.d.Put(inList("s-2", x.drains, "Terminating")) }
 
-// Whatever goes wrong with the watch and with the calls after it: a drain is heeded within the time after which it
-// counts as told, and not much is asked of discovery meanwhile.
-func TestADrainIsHeededWhateverFails(t *testing.T) {
+// A drain takes effect in time whatever faults the watch and the following calls to discovery have, and the number of
+// calls meanwhile is limited.
+func TestDrainTakesEffectDespiteDiscoveryFaults(t *testing.T) {
 	t.Parallel()
 	type history struct {
 		open  standin.ListFault
@@ -117,7 +116,7 @@
 	for _, onRequest := range []bool{false, true} {
 		t.Run(fmt.Sprintf("asked for %v", onRequest), func(t *testing.T) {
 			t.Parallel()
-			// All are played at once: each takes the time that counts.
+			// All histories run concurrently, since each has to wait for the full time limit.
 			type played struct {
 				history
 				*drainDay
@@ -127,7 +126,7 @@
 			var days []*played
 			for _, h := range all {
 				if onRequest && (h.open == standin.ListBlank || slices.Contains(h.calls, standin.ListBlank)) {
-					continue // its word that nothing has changed is all there is: see docs/design/rare-moments.md
+					continue // when polled, its false answer that nothing has changed is all the proxy gets: see docs/design/rare-moments.md
 				}
 				days = append(days, &played{history: h, drainDay: newDrainDay(t, onRequest)})
 			}
@@ -142,8 +141,9 @@
 			}
 			worst, most := time.Duration(0), 0
 			for _, x := range days {
-				// Long after it counts as told there is still nothing new: so much of the other has been served since.
-				eventually(t, "the time at which it counts as told", func() bool { return time.Since(x.changed) > told+grace })
+				// After the time limit, wait for more requests to the other backend, so that late ones to this one
+				// would show.
+				eventually(t, "the time limit for the drain", func() bool { return time.Since(x.changed) > told+grace })
 				then := x.served.Load()
 				eventually(t, "more to be served", func() bool { return x.served.Load() > then+10 })
 				late, n := time.Unix(0, x.at.Load()).Sub(x.changed), len(x.d.Calls())-x.calls
@@ -159,9 +159,9 @@
 	}
 }
 
-// An address that takes calls and never answers, put in force by SIGHUP, costs nothing: the old one's word counts, and
-// then the new one's within the time after which it counts.
-func TestSIGHUPToAnAddressThatIsSilent(t *testing.T) {
+// If SIGHUP sets a discovery address that accepts calls but never answers, the old one is still followed. Once the new
+// one answers, it is followed within the time limit.
+func TestReloadToASilentDiscoveryAddress(t *testing.T) {
 	t.Parallel()
 	for _, onRequest := range []bool{false, true} {
 		t.Run(fmt.Sprintf("asked for %v", onRequest), func(t *testing.T) {
@@ -194,13 +194,13 @@
 			eventually(t, "calls at the new address", func() bool { return len(ds[1].Calls()) > 1 })
 			ds[0].Put(inList("s-2", drains, "Terminating"))
 			told := time.Now()
-			eventually(t, "the old address's word to count", func() bool {
+			eventually(t, "the old address's drain to take effect", func() bool {
 				return time.Since(told) > time.Second && time.Since(time.Unix(0, at.Load())) > time.Second
 			})
 			ds[1].Put(inList("s-3", third, "Terminating"), inList("s-2", drains, "Terminating"))
-			ds[1].Break("") // from here on it answers
+			ds[1].Break("") // it answers from now on
 			answers := time.Now()
-			eventually(t, "the new address's word to count", func() bool {
+			eventually(t, "the new address's drain to take effect", func() bool {
 				return time.Since(time.Unix(0, thirdAt.Load())) > time.Second
 			})
 			if late := time.Unix(0, thirdAt.Load()).Sub(answers); late > 4*time.Second+grace {
@@ -210,8 +210,9 @@
 	}
 }
 
-// Down for long, and back with a drain at once: it counts from the return on, and is heeded within its time.
-func TestADrainAtTheReturn(t *testing.T) {
+// Discovery returns after a long outage, and reports a drain 100 ms later. The drain takes effect in time, measured from
+// the return.
+func TestDrainAfterADiscoveryOutage(t *testing.T) {
 	t.Parallel()
 	for _, onRequest := range []bool{false, true} {
 		t.Run(fmt.Sprintf("asked for %v", onRequest), func(t *testing.T) {
@@ -227,10 +228,10 @@
 			back := time.Now()
 			eventually(t, "a moment", func() bool { return time.Since(back) > 100*time.Millisecond })
 			x.drain()
-			eventually(t, "nothing more to come", func() bool { return time.Since(time.Unix(0, x.at.Load())) > time.Second })
+			eventually(t, "no more requests to arrive", func() bool { return time.Since(time.Unix(0, x.at.Load())) > time.Second })
 			late := time.Unix(0, x.at.Load()).Sub(back)
 			t.Logf("%d calls while it was down; the last request %v after its return", calls, late.Round(time.Millisecond))
-			// Pushed, what the agent has at its return counts at once.
+			// In push mode the drain must take effect at once after the return.
 			if !onRequest && late > 100*time.Millisecond+grace || late > told+grace {
 				t.Errorf("a request began %v after discovery was back", late)
 			}
--- a/internal/proxy/upgrade.go
+++ b/internal/proxy/upgrade.go
@@ -59,13 +59,13 @@
 	}
 }
 
-// handOnAfter is how long after the stop signal large answers that are still being sent are handed to the next process.
-// Most have ended by then.
-const handOnAfter = 250 * time.Millisecond
+// transferDelay is how long after the stop signal large answers that are still being sent are handed to the next
+// process. Most have ended by then.
+const transferDelay = 250 * time.Millisecond
 
-// handOn hands large answers that are still being sent to another serving process, because the platform does not wait
-// until they end.
-func (p *parts) handOn(rendezvous *handover.Rendezvous, logger *slog.Logger) {
+// transferLargeAnswers hands large answers that are still being sent to another serving process, because the platform
+// does not wait until they end.
+func (p *parts) transferLargeAnswers(rendezvous *handover.Rendezvous, logger *slog.Logger) {
 	others, err := rendezvous.Peers()
 	if err != nil {
 		logger.Info(err.Error(), "event", "rendezvous")
@@ -119,7 +119,7 @@
 // setShare limits memory and connections to this process's share. It must be called on the engine's goroutine, or before
 // the engine runs.
 func (p *parts) setShare(cfg *config.Platform, s handover.Share) {
-	p.room.SetLimit(s.Of(cfg.MaxBodyBytes()))
+	p.bodyBudget.SetLimit(s.Of(cfg.MaxBodyBytes()))
 	p.carrier.SetMaxConnections(s.Of(cfg.MaxBackendConnections()))
 	p.front.SetMaxConnections(s.Of(cfg.MaxClientConnections()))
 	if cfg.MemoryMB > 0 && p.limitMemory != nil {
