--- a/cmd/marlreel/handover_test.go
+++ b/cmd/marlreel/handover_test.go
@@ -108,7 +108,7 @@
 		})
 	}
 	p.instances = instances // no lock needed: p is not shared yet
-	found, watches := watched(t)
+	found, watches := scriptedDiscovery(t)
 	go func() {
 		for w := range watches {
 			p.mu.Lock()
--- a/cmd/marlreel/main_test.go
+++ b/cmd/marlreel/main_test.go
@@ -30,8 +30,8 @@
  "Kinds":["mid-2c"],"Feedback":{"How":"off","Names":[]},"Caps":{"ConnectTimeout":200.0,"MaxAttempts":4},
  "Services":[{"Name":"lot-list","Aim":600.0,"GiveUp":1000.0,"Effect":"retryable","Value":1.0}]}`
 
-// watched starts a discovery service, and returns its address and a channel of its watches.
-func watched(t *testing.T) (string, chan standin.ScriptedWatch) {
+// scriptedDiscovery starts a discovery service, and returns its address and a channel of its watches.
+func scriptedDiscovery(t *testing.T) (string, chan standin.ScriptedWatch) {
 	t.Helper()
 	s, err := standin.NewScript()
 	if err != nil {
@@ -56,11 +56,11 @@
 func TestSignals(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	put := func(text string) {
-		whole := path + ".new"
-		if err := os.WriteFile(whole, []byte(text), 0o600); err != nil {
+		temp := path + ".new"
+		if err := os.WriteFile(temp, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.Rename(whole, path); err != nil {
+		if err := os.Rename(temp, path); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -74,8 +74,8 @@
 		}
 		return string(data)
 	}
-	first, atFirst := watched(t)
-	second, atSecond := watched(t)
+	first, atFirst := scriptedDiscovery(t)
+	second, atSecond := scriptedDiscovery(t)
 	put(config("127.0.0.1:1"))
 	self, err := os.Executable()
 	if err != nil {
@@ -158,16 +158,16 @@
 		code     int
 		out, err string
 	}{
-		"help":             {[]string{"-h"}, "", 0, "marlreel --check --config", ""},
-		"version":          {[]string{"--version"}, "", 0, "marlreel", ""},
-		"an unknown flag":  {[]string{"--confg", "x"}, "", 2, "", "-confg"},
-		"a word too many":  {[]string{"serve"}, "", 2, "", "unexpected argument"},
-		"check of nothing": {[]string{"--check"}, "", 2, "", "--config FILE"},
-		"a good file":      {[]string{"--check", "--config", file(rpc)}, "", 0, "is valid", ""},
-		"good for both":    {[]string{"--check", "--config", file(rpc)}, platform, 0, "is valid", ""},
-		"an unknown key":   {[]string{"--check", "--config", file("[rpc]\nlisen = 1\n")}, "", 1, "", "did you mean listen?"},
-		"an unknown class": {[]string{"--check", "--config", file(strings.Replace(rpc, "lot-list", "lot-lists", 1))}, platform, 1, "", "did you mean lot-list?"},
-		"no platform":      {nil, "", 1, "", "NODE_CONFIG is not set"},
+		"help":              {[]string{"-h"}, "", 0, "marlreel --check --config", ""},
+		"version":           {[]string{"--version"}, "", 0, "marlreel", ""},
+		"an unknown flag":   {[]string{"--confg", "x"}, "", 2, "", "-confg"},
+		"an extra argument": {[]string{"serve"}, "", 2, "", "unexpected argument"},
+		"check of nothing":  {[]string{"--check"}, "", 2, "", "--config FILE"},
+		"a good file":       {[]string{"--check", "--config", file(rpc)}, "", 0, "is valid", ""},
+		"good for both":     {[]string{"--check", "--config", file(rpc)}, platform, 0, "is valid", ""},
+		"an unknown key":    {[]string{"--check", "--config", file("[rpc]\nlisen = 1\n")}, "", 1, "", "did you mean listen?"},
+		"an unknown class":  {[]string{"--check", "--config", file(strings.Replace(rpc, "lot-list", "lot-lists", 1))}, platform, 1, "", "did you mean lot-list?"},
+		"no platform":       {nil, "", 1, "", "NODE_CONFIG is not set"},
 	} {
 		t.Setenv("NODE_CONFIG", c.platform)
 		var out, errs strings.Builder
--- a/cmd/marlreel/memory_test.go
+++ b/cmd/marlreel/memory_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// figure returns the value of a metric of a process, or "" if it is missing.
-func (q *process) figure(t *testing.T, name string) string {
+// metric returns the value of a metric of a process, or "" if it is missing.
+func (q *process) metric(t *testing.T, name string) string {
 	t.Helper()
 	resp, err := http.Get("http://" + q.control + "/control/counters")
 	if err != nil {
@@ -69,21 +69,21 @@
 	old := p.start(p.dir)
 	p.ready(old)
 	n := 0
-	for until := time.Now().Add(patience); old.figure(t, "ejected") != "1|g"; n++ {
+	for until := time.Now().Add(patience); old.metric(t, "ejected") != "1|g"; n++ {
 		if time.Now().After(until) {
-			t.Fatalf("the dead node is not ejected: %s", old.figure(t, "ejected"))
+			t.Fatalf("the dead node is not ejected: %s", old.metric(t, "ejected"))
 		}
 		p.ask(n + 1)
 	}
 	next := p.start(p.dir)
 	p.ready(next)
-	for until := time.Now().Add(patience); next.figure(t, "ejected") != "1|g"; time.Sleep(5 * time.Millisecond) {
+	for until := time.Now().Add(patience); next.metric(t, "ejected") != "1|g"; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(until) {
 			t.Errorf("the next process does not know that the dead node is ejected: %s", next.log.String())
 			break
 		}
 	}
-	if got := next.figure(t, "forwards"); got != "0|c" {
+	if got := next.metric(t, "forwards"); got != "0|c" {
 		t.Errorf("it had already sent %s requests", got)
 	}
 	p.stop(old)
--- a/cmd/marlreel/room_test.go
+++ b/cmd/marlreel/room_test.go
@@ -19,8 +19,8 @@
 	"marlreel/internal/testutil"
 )
 
-// status returns a number from /proc/PID/status, in the unit used there.
-func status(t *testing.T, pid int, name string) int {
+// procStatus returns a number from /proc/PID/status, in the unit used there.
+func procStatus(t *testing.T, pid int, name string) int {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -131,7 +131,7 @@
 	time.Sleep(500 * time.Millisecond) // by now all buffers are full
 	close(stop)
 	over.Wait()
-	if peak := status(t, q.cmd.Process.Pid, "VmHWM"); peak > 64<<10 && !testutil.Race {
+	if peak := procStatus(t, q.cmd.Process.Pid, "VmHWM"); peak > 64<<10 && !testutil.Race {
 		t.Errorf("the process took %d kB", peak)
 	} else {
 		t.Logf("the process took %d kB at most", peak)
@@ -150,7 +150,7 @@
 	q := p.start(p.dir, "GOGC=10")
 	p.ready(q)
 	pid := q.cmd.Process.Pid
-	before := status(t, pid, "VmRSS")
+	before := procStatus(t, pid, "VmRSS")
 	var most atomic.Int64
 	var crowd []net.Conn
 	defer func() {
@@ -190,7 +190,7 @@
 	if n := most.Load(); n > 256 {
 		t.Errorf("%d descriptors were open", n)
 	}
-	if grown := status(t, pid, "VmHWM") - before; grown > 8<<10 && !testutil.Race {
+	if grown := procStatus(t, pid, "VmHWM") - before; grown > 8<<10 && !testutil.Race {
 		t.Errorf("the process grew by %d kB", grown)
 	} else {
 		t.Logf("the process grew by %d kB", grown)
@@ -207,7 +207,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	figure := func(name string) string {
+	metric := func(name string) string {
 		resp, err := http.Get("http://" + q.control + "/control/counters")
 		if err != nil {
 			t.Fatal(err)
@@ -225,22 +225,22 @@
 		if text == string(good) {
 			t.Fatal("nothing was changed")
 		}
-		whole := filepath.Join(p.dir, "next")
-		if err := os.WriteFile(whole, []byte(text), 0o600); err != nil {
+		temp := filepath.Join(p.dir, "next")
+		if err := os.WriteFile(temp, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.Rename(whole, p.config); err != nil {
+		if err := os.Rename(temp, p.config); err != nil {
 			t.Fatal(err)
 		}
 		q.hup()
 		want := fmt.Sprintf("%d|c", n+1)
-		for until := time.Now().Add(patience); figure("sighup_rejected") != want; time.Sleep(5 * time.Millisecond) {
+		for until := time.Now().Add(patience); metric("sighup_rejected") != want; time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(until) {
-				t.Fatalf("%.40q: %s were rejected, want %s", text, figure("sighup_rejected"), want)
+				t.Fatalf("%.40q: %s were rejected, want %s", text, metric("sighup_rejected"), want)
 			}
 		}
 	}
-	if got := figure("sighup_applied"); got != "0|c" {
+	if got := metric("sighup_applied"); got != "0|c" {
 		t.Errorf("%s were applied", got)
 	}
 	p.stop(q)
--- a/cmd/marlreel/thirty_test.go
+++ b/cmd/marlreel/thirty_test.go
@@ -37,8 +37,8 @@
  "Services":[{"Name":"lot-list","Aim":600.0,"GiveUp":2000.0,"Effect":"retryable","Value":1.0}]}`, thirty, rank, discovery)
 }
 
-// bank is a group of thirty processes.
-type bank struct {
+// processGroup is a group of thirty processes.
+type processGroup struct {
 	t         *testing.T
 	dir, mode string
 	discovery string
@@ -52,8 +52,8 @@
 	by map[string]int // the process that each request was sent to
 }
 
-func newBank(t *testing.T, mode, discovery string, known ...standin.Entry) *bank {
-	b := &bank{
+func newProcessGroup(t *testing.T, mode, discovery string, known ...standin.Entry) *processGroup {
+	b := &processGroup{
 		t: t, dir: t.TempDir(), mode: mode, discovery: discovery, known: known, by: map[string]int{},
 		saw: fleettest.NewRecorder(fleettest.Agreed(), mode == "pushed"),
 	}
@@ -68,7 +68,7 @@
 }
 
 // launch starts process i with its last known list.
-func (b *bank) launch(i int) {
+func (b *processGroup) launch(i int) {
 	b.t.Helper()
 	path := filepath.Join(b.dir, fmt.Sprint("config-", i))
 	sockets := 256
@@ -91,7 +91,7 @@
 }
 
 // ready waits until processes are ready, and returns their sorted start times.
-func (b *bank) ready(which []int) []time.Duration {
+func (b *processGroup) ready(which []int) []time.Duration {
 	b.t.Helper()
 	began, took := time.Now(), make([]time.Duration, len(which))
 	var wg sync.WaitGroup
@@ -126,7 +126,7 @@
 var lastAsked atomic.Uint64
 
 // id returns the id of a new request to process i.
-func (b *bank) id(i int) string {
+func (b *processGroup) id(i int) string {
 	id := fmt.Sprintf("%016x", lastAsked.Add(1))
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -135,7 +135,7 @@
 }
 
 // ask sends a request to process i, and records it and its answer.
-func (b *bank) ask(client *http.Client, i int) (served bool) {
+func (b *processGroup) ask(client *http.Client, i int) (served bool) {
 	id := b.id(i)
 	q := fleettest.Asked{Proxy: i, Request: id, Sent: b.saw.Now(), Wait: 2 * time.Second}
 	defer func() {
@@ -162,8 +162,8 @@
 	return q.Served
 }
 
-// got adds what backends received to the recorded sighting.
-func (b *bank) got(backends ...*counting) {
+// addArrivals adds what backends received to the recorded sighting.
+func (b *processGroup) addArrivals(backends ...*countingBackend) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, c := range backends {
@@ -181,8 +181,8 @@
 	}
 }
 
-// judge audits the sighting against the agreed terms, and fails the test for each breach (the first five are printed).
-func (b *bank) judge() fleettest.Findings {
+// audit audits the sighting against the agreed terms, and fails the test for each breach (the first five are printed).
+func (b *processGroup) audit() fleettest.Findings {
 	b.t.Helper()
 	f := b.saw.Audit()
 	b.t.Log(f)
@@ -195,7 +195,7 @@
 }
 
 // load sends requests evenly to all processes, at rate per second in total, until stop is closed.
-func (b *bank) load(rate int, stop chan struct{}) (asked, lost *atomic.Int64, done *sync.WaitGroup) {
+func (b *processGroup) load(rate int, stop chan struct{}) (asked, lost *atomic.Int64, done *sync.WaitGroup) {
 	asked, lost, done = new(atomic.Int64), new(atomic.Int64), new(sync.WaitGroup)
 	for i := range thirty {
 		done.Go(func() {
@@ -212,8 +212,8 @@
 	return asked, lost, done
 }
 
-// counting is a backend that records when each request arrived.
-type counting struct {
+// countingBackend is a backend that records when each request arrived.
+type countingBackend struct {
 	name  string
 	mu    sync.Mutex
 	times []time.Time
@@ -221,8 +221,8 @@
 	addr  string
 }
 
-func newCounting(t *testing.T, name string, took time.Duration) *counting {
-	c := &counting{name: name}
+func newCountingBackend(t *testing.T, name string, took time.Duration) *countingBackend {
+	c := &countingBackend{name: name}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/health" {
 			return
@@ -238,7 +238,7 @@
 	return c
 }
 
-func (c *counting) between(from, to time.Time) (in []time.Time) {
+func (c *countingBackend) between(from, to time.Time) (in []time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, at := range c.times {
@@ -270,14 +270,14 @@
 		"down, asked":   {"on_request", func(d *standin.Faulty) { d.Down(true) }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			stays, leaves, comes := newCounting(t, "s-1", 0), newCounting(t, "s-2", 0), newCounting(t, "s-3", 0)
+			stays, leaves, comes := newCountingBackend(t, "s-1", 0), newCountingBackend(t, "s-2", 0), newCountingBackend(t, "s-3", 0)
 			known := []standin.Entry{entry("s-1", stays.addr, "Ready", time.Time{}), entry("s-2", leaves.addr, "Ready", time.Time{})}
 			d, err := standin.StartFaulty(known...)
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(d.Close)
-			b := newBank(t, c.mode, d.Addr, known...)
+			b := newProcessGroup(t, c.mode, d.Addr, known...)
 			for i := range thirty {
 				b.launch(i)
 			}
@@ -319,8 +319,8 @@
 			}
 			close(stop)
 			done.Wait()
-			b.got(stays, leaves, comes)
-			b.judge()
+			b.addArrivals(stays, leaves, comes)
+			b.audit()
 			if lost.Load() > asked.Load()/20 {
 				t.Errorf("%d of %d requests were not served", lost.Load(), asked.Load())
 			}
@@ -331,19 +331,19 @@
 // From thirty processes together, a cold backend gets no more requests in any window than its budget plus a margin for
 // chance. Its capacity is taken to be the rate that each warm backend is sent, which is less than they could serve.
 func TestThirtyProcessesLimitAColdBackend(t *testing.T) {
-	var warm []*counting
+	var warm []*countingBackend
 	var list []standin.Entry
 	for i := range 3 {
-		warm = append(warm, newCounting(t, fmt.Sprint("s-", i), 20*time.Millisecond))
+		warm = append(warm, newCountingBackend(t, fmt.Sprint("s-", i), 20*time.Millisecond))
 		list = append(list, entry(fmt.Sprint("s-", i), warm[i].addr, "Ready", time.Time{}))
 	}
-	cold := newCounting(t, "s-cold", 20*time.Millisecond)
+	cold := newCountingBackend(t, "s-cold", 20*time.Millisecond)
 	d, err := standin.StartFaulty(list...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(d.Close)
-	b := newBank(t, "pushed", d.Addr, list...)
+	b := newProcessGroup(t, "pushed", d.Addr, list...)
 	for i := range thirty {
 		b.launch(i)
 	}
@@ -377,8 +377,8 @@
 			},
 		})
 	})
-	b.got(append(warm, cold)...)
-	b.judge()
+	b.addArrivals(append(warm, cold)...)
+	b.audit()
 	t.Logf("%d requests, %d not served; each warm one %.0f a second; the cold one %d while cold", asked.Load(), lost.Load(), each, len(times))
 	if float64(len(times)) < each*whole.Seconds()/12 {
 		t.Errorf("%d requests in %v: it never warms up", len(times), whole)
@@ -392,14 +392,14 @@
 // not spin, and discovery is reached at once when it returns.
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
 	t.Parallel()
-	stays, leaves := newCounting(t, "s-1", 0), newCounting(t, "s-2", 0)
+	stays, leaves := newCountingBackend(t, "s-1", 0), newCountingBackend(t, "s-2", 0)
 	known := []standin.Entry{entry("s-1", stays.addr, "Ready", time.Time{}), entry("s-2", leaves.addr, "Ready", time.Time{})}
 	d, err := standin.StartFaulty(known...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(d.Close)
-	b := newBank(t, "pushed", d.Addr, known...)
+	b := newProcessGroup(t, "pushed", d.Addr, known...)
 	b.limit = 256
 	b.launch(0)
 	if took := b.ready([]int{0}); took[0] > patience {
@@ -461,8 +461,8 @@
 			saw.Calls = append(saw.Calls, fleettest.Call{At: b.saw.At(at)})
 		}
 	})
-	b.got(stays, leaves)
-	b.judge()
+	b.addArrivals(stays, leaves)
+	b.audit()
 	t.Logf("%d requests next to %d idle connections, %d not served; %v of CPU in %v; %d calls while it was down", asked, len(idle), lost, spent.Round(time.Millisecond), wall.Round(time.Millisecond), calls)
 	if lost > 0 {
 		t.Errorf("%d of %d requests were not served:\n%s", lost, asked, b.processes[0].log.String())
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -22,8 +22,8 @@
 	"marlreel/internal/standin"
 )
 
-// engineOf is the engine of the proxy that benchProxy started last.
-var engineOf *engine.Engine
+// benchEngine is the engine of the proxy that benchProxy started last.
+var benchEngine *engine.Engine
 
 // benchProxy starts a proxy whose backends are one server that speaks both protocols and answers with 512 bytes.
 func benchProxy(b *testing.B, answers bool, backends int) (httpAddr, rpcAddr string, clients func() (http, rpc net.Conn)) {
@@ -109,7 +109,7 @@
 		p.rpcCarrier.Close()
 		<-p.engine.Done()
 	})
-	engineOf = p.engine
+	benchEngine = p.engine
 	return in.http.Addr().String(), in.rpc.Addr().String(), func() (net.Conn, net.Conn) {
 		var two [2]net.Conn
 		for i, a := range []net.Addr{in.http.Addr(), in.rpc.Addr()} {
@@ -205,7 +205,7 @@
 			var all bytes.Buffer
 			for i := range 100 {
 				// Bids wait when the concurrency limit is reached, so these calls stay open.
-				data, _ := msgpack.Marshal([]any{0, uint32(i + 1), "post.bid", []any{make([]byte, 256), map[string]any{"$id": fmt.Sprintf("%016x", lastName.Add(1)), "$house": "obala", "$left_ms": 30000}}})
+				data, _ := msgpack.Marshal([]any{0, uint32(i + 1), "post.bid", []any{make([]byte, 256), map[string]any{"$id": fmt.Sprintf("%016x", lastRequestID.Add(1)), "$house": "obala", "$left_ms": 30000}}})
 				all.Write(data)
 			}
 			c.Write(all.Bytes())
@@ -213,7 +213,7 @@
 		time.Sleep(50 * time.Millisecond)
 		b.ReportMetric((heap()-before)/1000, "B/open-call")
 		open := make(chan int, 1)
-		engineOf.Post(func() { open <- engineOf.OpenCalls() })
+		benchEngine.Post(func() { open <- benchEngine.OpenCalls() })
 		b.ReportMetric(float64(<-open), "open")
 		for _, c := range conns {
 			c.Close()
--- a/internal/proxy/breaks_test.go
+++ b/internal/proxy/breaks_test.go
@@ -16,8 +16,8 @@
 	"marlreel/internal/standin/machine"
 )
 
-// breaking starts a node whose connections break as configured by w.
-func breaking(t *testing.T, id string, journal *standin.Journal, w standin.Network) *standin.Node {
+// unreliableNode starts a node whose connections break as configured by w.
+func unreliableNode(t *testing.T, id string, journal *standin.Journal, w standin.Network) *standin.Node {
 	t.Helper()
 	addr, err := standin.Address()
 	if err != nil {
@@ -68,7 +68,7 @@
 func TestStaleConnectionsCostFewBids(t *testing.T) {
 	t.Parallel()
 	j := &standin.Journal{}
-	n := breaking(t, "s-1", j, standin.Network{StaleAfter: 50 * time.Millisecond, StaleRate: 1})
+	n := unreliableNode(t, "s-1", j, standin.Network{StaleAfter: 50 * time.Millisecond, StaleRate: 1})
 	p := start(t, testConfig(t, closedAddr(t), ready("s-1", n.Addr())))
 	const all = 60
 	if failed := rounds(t, p, all, 70*time.Millisecond, "x"); len(failed) > all/5 {
@@ -81,7 +81,7 @@
 // the last byte was not written yet. Once the proxy has learned that this happens, no bid is lost.
 func TestBreakBeforeTheLastByteProvesThatNothingRan(t *testing.T) {
 	t.Parallel()
-	var whole atomic.Int64 // bids received completely
+	var complete atomic.Int64 // bids received completely
 	serve := func(breaks bool) string {
 		return rawBackend(t, func(c net.Conn, in *bufio.Reader) {
 			for first := true; ; first = false {
@@ -97,7 +97,7 @@
 					return
 				}
 				if strings.HasPrefix(r.URL.Path, "/bid") {
-					whole.Add(1)
+					complete.Add(1)
 				}
 				io.WriteString(c, okAnswer)
 			}
@@ -109,8 +109,8 @@
 	if len(failed) > all/4 || len(failed) > 0 && failed[len(failed)-1] > all*3/4 {
 		t.Errorf("bids failed: %v of %d", failed, all)
 	}
-	if n := whole.Load(); n > all {
-		t.Errorf("%d bids came whole, of %d", n, all)
+	if n := complete.Load(); n > all {
+		t.Errorf("%d bids were received completely, of %d", n, all)
 	}
 }
 
@@ -122,7 +122,7 @@
 	var list []platformwatch.Instance
 	for i := range 4 {
 		id := fmt.Sprintf("s-%d", i)
-		list = append(list, ready(id, breaking(t, id, j, standin.Network{BodyRate: 0.5}).Addr()))
+		list = append(list, ready(id, unreliableNode(t, id, j, standin.Network{BodyRate: 0.5}).Addr()))
 	}
 	p := start(t, testConfig(t, closedAddr(t), list...))
 	const all = 80
@@ -144,7 +144,7 @@
 func TestNewConnectionsThatBreak(t *testing.T) {
 	t.Parallel()
 	j := &standin.Journal{}
-	n := breaking(t, "s-1", j, standin.Network{NewRate: 0.2})
+	n := unreliableNode(t, "s-1", j, standin.Network{NewRate: 0.2})
 	p := start(t, testConfig(t, closedAddr(t), ready("s-1", n.Addr())))
 	const all = 60
 	if failed := rounds(t, p, all, 0, "x"); len(failed) > all/6 {
@@ -161,7 +161,7 @@
 func TestMiddlebox(t *testing.T) {
 	t.Parallel()
 	j := &standin.Journal{}
-	n := breaking(t, "s-1", j, standin.Network{DropAfter: 600 * time.Millisecond})
+	n := unreliableNode(t, "s-1", j, standin.Network{DropAfter: 600 * time.Millisecond})
 	cfg := testConfig(t, closedAddr(t), ready("s-1", n.Addr()))
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].LatencyTarget, cfg.Settings.Classes[i].ClientTimeout = 300*time.Millisecond, 2*time.Second
@@ -196,7 +196,7 @@
 func TestHealthyNetworkNeedsFewHandshakes(t *testing.T) {
 	t.Parallel()
 	j := &standin.Journal{}
-	n := breaking(t, "s-1", j, standin.Network{})
+	n := unreliableNode(t, "s-1", j, standin.Network{})
 	p := start(t, testConfig(t, closedAddr(t), ready("s-1", n.Addr())))
 	if failed := rounds(t, p, 150, 0, "x"); len(failed) != 0 {
 		t.Errorf("bids failed: %v", failed)
@@ -214,7 +214,7 @@
 	w := standin.Network{StaleAfter: time.Nanosecond, StaleRate: 0.3}
 	var nodes []*standin.Node
 	for i := range 3 {
-		nodes = append(nodes, breaking(t, fmt.Sprintf("s-%d", i), j, w))
+		nodes = append(nodes, unreliableNode(t, fmt.Sprintf("s-%d", i), j, w))
 	}
 	p := start(t, testConfig(t, closedAddr(t), ready("s-0", nodes[0].Addr()), ready("s-1", nodes[1].Addr()), ready("s-2", nodes[2].Addr())))
 	listings := func() (bad int) {
--- a/internal/proxy/bulk_test.go
+++ b/internal/proxy/bulk_test.go
@@ -93,7 +93,7 @@
 				for _, proto := range []string{"HTTP/1.1", "HTTP/1.0"} {
 					c := testutil.Dial(t, p.addr)
 					fmt.Fprintf(c, "GET /lot-list/x %s\r\nHost: origin.svc\r\nX-Account: obala\r\nX-Time-Left: 20000m\r\nX-Correlation-Id: %016x\r\n\r\n",
-						proto, lastName.Add(1))
+						proto, lastRequestID.Add(1))
 					resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 					if err != nil || resp.StatusCode != 200 {
 						t.Fatalf("%s: %+v %v", proto, resp, err)
@@ -129,7 +129,7 @@
 				p := start(t, cfg)
 				c := testutil.Dial(t, p.addr)
 				fmt.Fprintf(c, "GET /lot-list/x %s\r\nHost: origin.svc\r\nX-Account: obala\r\nX-Time-Left: 20000m\r\nX-Correlation-Id: %016x\r\n\r\n",
-					proto, lastName.Add(1))
+					proto, lastRequestID.Add(1))
 				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 				if err != nil {
 					return // without a head it is not taken for a complete answer either
@@ -144,16 +144,16 @@
 	}
 }
 
-// keeper is a backend that counts requests and answers each with the hash of its body. spoils may answer instead.
-type keeper struct {
+// hashingBackend is a backend that counts requests and answers each with the hash of its body. spoils may answer instead.
+type hashingBackend struct {
 	addr   string
 	begun  atomic.Int64
 	spoils func(n int64, w http.ResponseWriter, r *http.Request) bool
 }
 
-func newKeeper(t *testing.T, spoils func(n int64, w http.ResponseWriter, r *http.Request) bool) *keeper {
+func newHashingBackend(t *testing.T, spoils func(n int64, w http.ResponseWriter, r *http.Request) bool) *hashingBackend {
 	t.Helper()
-	k := &keeper{spoils: spoils}
+	k := &hashingBackend{spoils: spoils}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/health" {
 			return
@@ -176,7 +176,7 @@
 // Bodies of any length and framing arrive unchanged, even those larger than the memory budget.
 func TestLargeBodiesArriveWhole(t *testing.T) {
 	t.Parallel()
-	k := newKeeper(t, nil)
+	k := newHashingBackend(t, nil)
 	cfg := testConfig(t, closedAddr(t), ready("s-1", k.addr))
 	cfg.MemoryMB = 8 // 2 MB for bodies, 256 KiB for one
 	p := start(t, cfg)
@@ -206,7 +206,7 @@
 // A large body that is fully buffered can be retried like a small one.
 func TestALargeBodyIsSentAgain(t *testing.T) {
 	t.Parallel()
-	k := newKeeper(t, func(n int64, w http.ResponseWriter, r *http.Request) bool {
+	k := newHashingBackend(t, func(n int64, w http.ResponseWriter, r *http.Request) bool {
 		if n > 1 {
 			return false
 		}
@@ -229,7 +229,7 @@
 // can't be retried. It is refused (503) and not failed, whatever its class.
 func TestALargeBodyThatWasCutIsRefused(t *testing.T) {
 	t.Parallel()
-	k := newKeeper(t, func(n int64, w http.ResponseWriter, r *http.Request) bool {
+	k := newHashingBackend(t, func(n int64, w http.ResponseWriter, r *http.Request) bool {
 		io.CopyN(io.Discard, r.Body, 4<<20)
 		panic(http.ErrAbortHandler)
 	})
@@ -239,7 +239,7 @@
 	c := testutil.Dial(t, p.addr)
 	go func() {
 		fmt.Fprintf(c, "POST /bid/x HTTP/1.1\r\nHost: origin.svc\r\nX-Account: obala\r\nX-Time-Left: 20000m\r\nX-Correlation-Id: %016x\r\nContent-Length: %d\r\n\r\n",
-			lastName.Add(1), 20<<20)
+			lastRequestID.Add(1), 20<<20)
 		c.Write(noise(20 << 20))
 	}()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -258,12 +258,12 @@
 // fits in the budget.
 func TestASlowClientBindsNoBackend(t *testing.T) {
 	t.Parallel()
-	k := newKeeper(t, nil)
+	k := newHashingBackend(t, nil)
 	p := start(t, testConfig(t, closedAddr(t), ready("s-1", k.addr)))
 	body := noise(200 << 10)
 	c := testutil.Dial(t, p.addr)
 	fmt.Fprintf(c, "POST /bid/x HTTP/1.1\r\nHost: origin.svc\r\nX-Account: obala\r\nX-Time-Left: 20000m\r\nX-Correlation-Id: %016x\r\nContent-Length: %d\r\n\r\n",
-		lastName.Add(1), len(body))
+		lastRequestID.Add(1), len(body))
 	c.Write(body[:len(body)-1])
 	// Other requests are served meanwhile; the slow one has not reached a backend.
 	for range 3 {
@@ -284,14 +284,14 @@
 // A client that stops within a large body gets an error or a close, and its memory and counts are released.
 func TestHalfALargeBody(t *testing.T) {
 	t.Parallel()
-	k := newKeeper(t, nil)
+	k := newHashingBackend(t, nil)
 	cfg := testConfig(t, closedAddr(t), ready("s-1", k.addr))
 	cfg.MemoryMB, cfg.ControlAddress = 8, "127.0.0.1:0"
 	p := start(t, cfg)
 	for _, n := range []int{100 << 10, 2 << 20} {
 		c := testutil.Dial(t, p.addr)
 		fmt.Fprintf(c, "POST /bid/x HTTP/1.1\r\nHost: origin.svc\r\nX-Account: obala\r\nX-Time-Left: 20000m\r\nX-Correlation-Id: %016x\r\nContent-Length: %d\r\n\r\n",
-			lastName.Add(1), 4<<20)
+			lastRequestID.Add(1), 4<<20)
 		c.Write(noise(n))
 		c.(*net.TCPConn).CloseWrite()
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil && resp.StatusCode == 200 {
@@ -310,7 +310,7 @@
 func TestBodiesInFlightCountAgainstTheBudget(t *testing.T) {
 	t.Parallel()
 	came, finish := make(chan struct{}, 8), make(chan struct{})
-	k := newKeeper(t, func(n int64, w http.ResponseWriter, r *http.Request) bool {
+	k := newHashingBackend(t, func(n int64, w http.ResponseWriter, r *http.Request) bool {
 		io.Copy(io.Discard, r.Body)
 		came <- struct{}{}
 		<-finish
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -170,7 +170,7 @@
 	t.Parallel()
 	p := start(t, testConfig(t, closedAddr(t), ready("s-1", named(t, "a"))))
 	c := testutil.Dial(t, p.addr)
-	fmt.Fprintf(c, "GET /lot-list HTTP/1.1\r\nHost: origin.svc\r\nX-Account: obala\r\nX-Time-Left: 9000m\r\nX-Correlation-Id: %016x\r\n\r\n", lastName.Add(1))
+	fmt.Fprintf(c, "GET /lot-list HTTP/1.1\r\nHost: origin.svc\r\nX-Account: obala\r\nX-Time-Left: 9000m\r\nX-Correlation-Id: %016x\r\n\r\n", lastRequestID.Add(1))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || resp.StatusCode != 200 || resp.Close {
 		t.Fatalf("%+v %v", resp, err)
@@ -187,7 +187,7 @@
 	p := start(t, cfg)
 	ask := func() *http.Response {
 		c := testutil.Dial(t, p.addr)
-		fmt.Fprintf(c, "GET /lot-list HTTP/1.1\r\nHost: origin.svc\r\nX-Account: obala\r\nX-Time-Left: 9000m\r\nX-Correlation-Id: %016x\r\n\r\n", lastName.Add(1))
+		fmt.Fprintf(c, "GET /lot-list HTTP/1.1\r\nHost: origin.svc\r\nX-Account: obala\r\nX-Time-Left: 9000m\r\nX-Correlation-Id: %016x\r\n\r\n", lastRequestID.Add(1))
 		in := bufio.NewReader(c)
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil || resp.StatusCode != 200 {
--- a/internal/proxy/compatibility_sent_test.go
+++ b/internal/proxy/compatibility_sent_test.go
@@ -24,8 +24,8 @@
 	"marlreel/internal/testutil"
 )
 
-// askDoor requests a path from a running proxy's control address.
-func askDoor(t *testing.T, p *running, path string) (int, string) {
+// getControl requests a path from a running proxy's control address.
+func getControl(t *testing.T, p *running, path string) (int, string) {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+p.control+path, nil)
 	if err != nil {
@@ -79,7 +79,7 @@
 	ask := func(p *running, paths ...string) {
 		t.Helper()
 		for _, path := range paths {
-			status, body := askDoor(t, p, path)
+			status, body := getControl(t, p, path)
 			switch {
 			case status == http.StatusOK && strings.HasPrefix(body, "{"):
 				body = keysOf(t, body)
@@ -96,11 +96,11 @@
 	ask(start(t, cfg), "/control/ready", "/control/counters", "/control/discovery", "/control/fleet")
 
 	r, own := kvStore(t, "etcd")
-	r.Txn(listed(t, "s-1", backend, "ready"))
+	r.Txn(registryNode(t, "s-1", backend, "ready"))
 	got.WriteString("=== with a registry\n")
 	p := startWith(t, cfg, own)
 	eventually(t, "the registry's list", func() bool {
-		_, body := askDoor(t, p, "/control/discovery")
+		_, body := getControl(t, p, "/control/discovery")
 		return strings.Contains(body, `"source": "registry"`)
 	})
 	ask(p, "/control/discovery")
@@ -118,7 +118,7 @@
 	got.WriteString("=== with a fleet\n")
 	p = startWith(t, cfg, own)
 	eventually(t, "the fleet's port", func() bool {
-		_, body := askDoor(t, p, "/control/fleet")
+		_, body := getControl(t, p, "/control/fleet")
 		return strings.Contains(body, `"joined": true`) && strings.Contains(body, `"state": "alive"`)
 	})
 	ask(p, "/control/fleet", "/control/counters", "/control/discovery")
--- a/internal/proxy/customers_test.go
+++ b/internal/proxy/customers_test.go
@@ -26,14 +26,14 @@
   {"Name":"lot-list","Aim":60000.0,"GiveUp":30000.0,"Effect":"fragile","Value":1.0}],
  "Tenants":[{"Name":"ishikari","Share":0.5,"QuotaPerS":1000.0},{"Name":"obihiro","Share":0.5,"QuotaPerS":1000.0}]}`
 
-// sent sends a request of a class and an account, with further headers, and returns the answer.
-func sent(t *testing.T, p *running, method, class, account string, more ...string) (int, string, http.Header) {
+// sendAs sends a request of a class and an account, with further headers, and returns the answer.
+func sendAs(t *testing.T, p *running, method, class, account string, more ...string) (int, string, http.Header) {
 	t.Helper()
 	r, err := http.NewRequest(method, p.url+"/"+class+"/7f3a", strings.NewReader(map[bool]string{true: "x"}[method == "POST"]))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Header.Set("X-Correlation-Id", fmt.Sprintf("%016x", lastName.Add(1)))
+	r.Header.Set("X-Correlation-Id", fmt.Sprintf("%016x", lastRequestID.Add(1)))
 	r.Header.Set("X-Account", account)
 	r.Header.Set("X-Time-Left", "12000m")
 	for i := 0; i+1 < len(more); i += 2 {
@@ -74,7 +74,7 @@
 		mu.Lock()
 		failing, tries = true, 0
 		mu.Unlock()
-		sent(t, p, method, class, account)
+		sendAs(t, p, method, class, account)
 		mu.Lock()
 		defer mu.Unlock()
 		failing = false
@@ -95,7 +95,7 @@
 			{"GET", "lot-list", "ishikari", nil, 400},
 			{"GET", "lot-list", "obihiro", nil, 400},
 		} {
-			if status, text, _ := sent(t, p, c.method, c.class, c.account, c.key...); status != c.want {
+			if status, text, _ := sendAs(t, p, c.method, c.class, c.account, c.key...); status != c.want {
 				t.Errorf("the auction's: %s %s of %s: %d %q, want %d", c.method, c.class, c.account, status, text, c.want)
 			}
 		}
@@ -118,7 +118,7 @@
 			{"POST", "pickup", "ishikari", []string{"Idempotency-Key", "k1"}, 404},
 			{"GET", "payslip-view", "obala", nil, 400},
 		} {
-			if status, text, _ := sent(t, p, c.method, c.class, c.account, c.key...); status != c.want {
+			if status, text, _ := sendAs(t, p, c.method, c.class, c.account, c.key...); status != c.want {
 				t.Errorf("the payroll's: %s %s of %s: %d %q, want %d", c.method, c.class, c.account, status, text, c.want)
 			}
 		}
@@ -132,10 +132,10 @@
 		mu.Unlock()
 		var open sync.WaitGroup
 		for range 2 {
-			open.Go(func() { sent(t, p, "GET", "payslip-view", "ishikari") })
+			open.Go(func() { sendAs(t, p, "GET", "payslip-view", "ishikari") })
 		}
 		eventually(t, "two to be open", func() bool { mu.Lock(); defer mu.Unlock(); return tries == 2 })
-		status, text, h := sent(t, p, "GET", "payslip-view", "ishikari")
+		status, text, h := sendAs(t, p, "GET", "payslip-view", "ishikari")
 		if after := h.Get("Retry-After"); status != 503 || after != "0.700" || text != "too many requests\n" {
 			t.Errorf("the payroll's: the third open request: %d %q, Retry-After %q", status, text, after)
 		}
--- a/internal/proxy/ending_test.go
+++ b/internal/proxy/ending_test.go
@@ -19,16 +19,16 @@
 // until the shutdown has begun, and then the case continues. A request that was read is answered once, or was never
 // forwarded.
 
-// held is a backend that reports each request to the test, which writes the answer piece by piece.
-type held struct {
+// scriptedBackend is a backend that reports each request to the test, which writes the answer piece by piece.
+type scriptedBackend struct {
 	addr  string
 	came  chan string
 	write chan string // the next piece of an answer; "" ends it
 	runs  atomic.Int64
 }
 
-func newHeld(t *testing.T) *held {
-	h := &held{came: make(chan string, 8), write: make(chan string)}
+func newScriptedBackend(t *testing.T) *scriptedBackend {
+	h := &scriptedBackend{came: make(chan string, 8), write: make(chan string)}
 	h.addr = rawBackend(t, func(c net.Conn, in *bufio.Reader) {
 		for {
 			r, ok := readRequest(in)
@@ -53,7 +53,7 @@
 	return h
 }
 
-func (h *held) answer(t *testing.T, pieces ...string) {
+func (h *scriptedBackend) answer(t *testing.T, pieces ...string) {
 	t.Helper()
 	for _, p := range append(pieces, "") {
 		select {
@@ -79,7 +79,7 @@
 // bid is a request that must not run twice.
 func bid(about string, n int) string {
 	return fmt.Sprintf("POST /bid/%s HTTP/1.1\r\nHost: origin.svc\r\nX-Correlation-Id: %016x\r\nX-Account: obala\r\nX-Time-Left: 12000m\r\nContent-Length: %d\r\n\r\n%s",
-		about, lastName.Add(1), n, strings.Repeat("b", n))
+		about, lastRequestID.Add(1), n, strings.Repeat("b", n))
 }
 
 func (c *raw) send(text string) {
@@ -121,8 +121,8 @@
 		}
 		c.silentEnd("after the answer")
 	}
-	for name, stage := range map[string]func(t *testing.T, p *running, h *held, c *raw) (then func(), runs int){
-		"half a head": func(t *testing.T, p *running, h *held, c *raw) (func(), int) {
+	for name, stage := range map[string]func(t *testing.T, p *running, h *scriptedBackend, c *raw) (then func(), runs int){
+		"half a head": func(t *testing.T, p *running, h *scriptedBackend, c *raw) (func(), int) {
 			text := bid("half", 3)
 			c.send(text[:40])
 			return func() {
@@ -132,7 +132,7 @@
 				served(t, c)
 			}, 1
 		},
-		"half a body": func(t *testing.T, p *running, h *held, c *raw) (func(), int) {
+		"half a body": func(t *testing.T, p *running, h *scriptedBackend, c *raw) (func(), int) {
 			text := bid("half", 3000)
 			c.send(text[:len(text)-1000])
 			return func() {
@@ -142,7 +142,7 @@
 				served(t, c)
 			}, 1
 		},
-		"sent whole": func(t *testing.T, p *running, h *held, c *raw) (func(), int) {
+		"sent whole": func(t *testing.T, p *running, h *scriptedBackend, c *raw) (func(), int) {
 			c.send(bid("whole", 3))
 			receive(t, h.came, "the request")
 			return func() {
@@ -150,7 +150,7 @@
 				served(t, c)
 			}, 1
 		},
-		"answered in part": func(t *testing.T, p *running, h *held, c *raw) (func(), int) {
+		"answered in part": func(t *testing.T, p *running, h *scriptedBackend, c *raw) (func(), int) {
 			c.send(bid("part", 3))
 			receive(t, h.came, "the request")
 			h.write <- ok + "ser"
@@ -159,7 +159,7 @@
 				served(t, c)
 			}, 1
 		},
-		"answered, with bytes on their way": func(t *testing.T, p *running, h *held, c *raw) (func(), int) {
+		"answered, with bytes on their way": func(t *testing.T, p *running, h *scriptedBackend, c *raw) (func(), int) {
 			const size = 60 << 10
 			c.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 			c.send(bid("bytes", 3) + bid("pipelined", 3)) // and with a request that is never read
@@ -172,7 +172,7 @@
 				c.silentEnd("what was pipelined")
 			}, 1
 		},
-		"an idle connection, with a request after it is closed": func(t *testing.T, p *running, h *held, c *raw) (func(), int) {
+		"an idle connection, with a request after it is closed": func(t *testing.T, p *running, h *scriptedBackend, c *raw) (func(), int) {
 			c.send(bid("first", 3))
 			receive(t, h.came, "the request")
 			h.answer(t, ok+"served")
@@ -182,7 +182,7 @@
 				io.WriteString(c, bid("late", 3))  // may fail
 			}, 1
 		},
-		"an idle connection, with a request before it is closed": func(t *testing.T, p *running, h *held, c *raw) (func(), int) {
+		"an idle connection, with a request before it is closed": func(t *testing.T, p *running, h *scriptedBackend, c *raw) (func(), int) {
 			c.send(bid("first", 3))
 			receive(t, h.came, "the request")
 			h.answer(t, ok+"served")
@@ -194,10 +194,10 @@
 				served(t, c)
 			}, 2
 		},
-		"a connection without a request": func(t *testing.T, p *running, h *held, c *raw) (func(), int) {
+		"a connection without a request": func(t *testing.T, p *running, h *scriptedBackend, c *raw) (func(), int) {
 			return func() { c.silentEnd("the silent connection") }, 0
 		},
-		"a reload": func(t *testing.T, p *running, h *held, c *raw) (func(), int) {
+		"a reload": func(t *testing.T, p *running, h *scriptedBackend, c *raw) (func(), int) {
 			c.send(bid("whole", 3))
 			receive(t, h.came, "the request")
 			go func() {
@@ -214,7 +214,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			h := newHeld(t)
+			h := newScriptedBackend(t)
 			cfg := testConfig(t, closedAddr(t), ready("s-1", h.addr))
 			p := start(t, cfg)
 			c := connected(t, p)
@@ -237,7 +237,7 @@
 func (p *running) stopping(t *testing.T) bool {
 	c := connected(t, p)
 	defer c.Close()
-	c.send(fmt.Sprintf("GET /lot-list/probe HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: %016x\r\nX-Account: obala\r\nX-Time-Left: 12000m\r\n\r\n", lastName.Add(1)))
+	c.send(fmt.Sprintf("GET /lot-list/probe HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: %016x\r\nX-Account: obala\r\nX-Time-Left: 12000m\r\n\r\n", lastRequestID.Add(1)))
 	_, _, last := c.answered()
 	return last
 }
--- a/internal/proxy/figures_test.go
+++ b/internal/proxy/figures_test.go
@@ -92,7 +92,7 @@
 	expect(t, p, "forwards", fmt.Sprintf("%d|c", begun.Load()))
 	expect(t, p, "discovered", "1|g")
 	expect(t, p, "sighup_applied", "0|c")
-	if figure(t, p, "ejected") == "" {
+	if metric(t, p, "ejected") == "" {
 		t.Error("no metric for ejected backends")
 	}
 }
@@ -114,10 +114,10 @@
 	go p.adminServer.Serve(ln) // without a running engine
 	t.Cleanup(p.adminServer.Close)
 	r := &running{control: ln.Addr().String()}
-	if got := figure(t, r, "outstanding"); got != "0|g" {
+	if got := metric(t, r, "outstanding"); got != "0|g" {
 		t.Errorf("outstanding: %q", got)
 	}
-	if got := figure(t, r, "succeeded.bid"); got != "0|c" {
+	if got := metric(t, r, "succeeded.bid"); got != "0|c" {
 		t.Errorf("a class is not listed from the start: %q", got)
 	}
 }
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -188,8 +188,8 @@
 	return p
 }
 
-// lastName is the last request id, shared by all tests.
-var lastName atomic.Uint64
+// lastRequestID is the last request id, shared by all tests.
+var lastRequestID atomic.Uint64
 
 func newRequest(t *testing.T, p *running, class, body string) *http.Request {
 	t.Helper()
@@ -201,7 +201,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Header.Set("X-Correlation-Id", fmt.Sprintf("%016x", lastName.Add(1))) // unique per request
+	r.Header.Set("X-Correlation-Id", fmt.Sprintf("%016x", lastRequestID.Add(1))) // unique per request
 	r.Header.Set("X-Account", "obala")
 	r.Header.Set("X-Time-Left", "12000m")
 	if class == "pickup" {
--- a/internal/proxy/keep_test.go
+++ b/internal/proxy/keep_test.go
@@ -21,7 +21,7 @@
 	"marlreel/internal/testutil"
 )
 
-func remembering(t *testing.T, dir string) *config.Operator {
+func withStateDir(t *testing.T, dir string) *config.Operator {
 	t.Helper()
 	own := config.DefaultOperator()
 	own.LearnedState.Dir, own.LearnedState.SaveInterval = dir, stricttoml.Duration(100*time.Millisecond)
@@ -33,7 +33,7 @@
 	t.Parallel()
 	dir := t.TempDir()
 	cfg := testConfig(t, closedAddr(t), ready("s-1", named(t, "one")))
-	p := startWith(t, cfg, remembering(t, dir))
+	p := startWith(t, cfg, withStateDir(t, dir))
 	for range 30 {
 		do(t, newRequest(t, p, "bid", "x"))
 	}
@@ -58,7 +58,7 @@
 	if r := knows(); r == nil || !r.ShutDown {
 		t.Errorf("after a stop: %+v", r)
 	}
-	again := startWith(t, cfg, remembering(t, dir))
+	again := startWith(t, cfg, withStateDir(t, dir))
 	eventually(t, "the saved state to be restored", func() bool {
 		return strings.Contains(again.log.String(), "memory: restored the saved state: 1 backends and 3 classes")
 	})
@@ -68,7 +68,7 @@
 	if err := os.WriteFile(path, crashed, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	third := startWith(t, cfg, remembering(t, dir))
+	third := startWith(t, cfg, withStateDir(t, dir))
 	eventually(t, "the state from before the kill to be restored", func() bool { return strings.Contains(third.log.String(), "restored the saved state") })
 	servedBy(t, third, "one")
 }
@@ -105,7 +105,7 @@
 			if err := os.WriteFile(statefile.Open(dir, "n0").Path(), c.data, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			p := startWith(t, testConfig(t, closedAddr(t), ready("s-1", named(t, "one"))), remembering(t, dir))
+			p := startWith(t, testConfig(t, closedAddr(t), ready("s-1", named(t, "one"))), withStateDir(t, dir))
 			servedBy(t, p, "one")
 			if got := p.log.String(); !strings.Contains(got, c.want) || strings.Contains(got, "restored the ") {
 				t.Errorf("%s", got)
@@ -118,7 +118,7 @@
 	}
 	t.Run("no directory", func(t *testing.T) {
 		t.Parallel()
-		p := startWith(t, testConfig(t, closedAddr(t), ready("s-1", named(t, "one"))), remembering(t, filepath.Join(t.TempDir(), "not", "there")))
+		p := startWith(t, testConfig(t, closedAddr(t), ready("s-1", named(t, "one"))), withStateDir(t, filepath.Join(t.TempDir(), "not", "there")))
 		servedBy(t, p, "one")
 		eventually(t, "a log line", func() bool { return strings.Contains(p.log.String(), "memory: state not saved: open ") })
 		time.Sleep(300 * time.Millisecond)
@@ -136,7 +136,7 @@
 		readRequest(in)
 		c.Close()
 	})
-	p := startWith(t, testConfig(t, closedAddr(t), ready("s-1", ends)), remembering(t, dir))
+	p := startWith(t, testConfig(t, closedAddr(t), ready("s-1", ends)), withStateDir(t, dir))
 	eventually(t, "many failures and retries", func() bool {
 		do(t, newRequest(t, p, "bid", "x"))
 		return strings.Contains(p.log.String(), "storm, after")
--- a/internal/proxy/left_test.go
+++ b/internal/proxy/left_test.go
@@ -19,20 +19,20 @@
 	"marlreel/internal/standin"
 )
 
-// scene records what backends receive and when clients leave, for the auditor.
-type scene struct{ *fleettest.Recorder }
+// recording records what backends receive and when clients leave, for the auditor.
+type recording struct{ *fleettest.Recorder }
 
-func newScene() scene { return scene{fleettest.NewRecorder(fleettest.Agreed(), true)} }
+func newRecording() recording { return recording{fleettest.NewRecorder(fleettest.Agreed(), true)} }
 
 // arrived records a request at a backend.
-func (s scene) arrived(backend, request string, began time.Duration) {
+func (s recording) arrived(backend, request string, began time.Duration) {
 	s.See(func(saw *fleettest.Sighting) {
 		saw.Arrived = append(saw.Arrived, fleettest.Arrival{Backend: backend, Request: request, Began: began, Work: 1})
 	})
 }
 
 // left records that the clients of requests have left, and waits until no attempt may begin for them any more.
-func (s scene) left(t *testing.T, requests ...string) {
+func (s recording) left(t *testing.T, requests ...string) {
 	t.Helper()
 	at := s.Now()
 	s.See(func(saw *fleettest.Sighting) {
@@ -44,11 +44,11 @@
 }
 
 // backend starts a backend that records each request and then calls then, which returns whether to keep the connection.
-func (s scene) backend(t *testing.T, name string, then func(c net.Conn, path string) bool) string {
+func (s recording) backend(t *testing.T, name string, then func(c net.Conn, path string) bool) string {
 	return rawBackend(t, s.serving(name, then))
 }
 
-func (s scene) serving(name string, then func(c net.Conn, path string) bool) func(c net.Conn, in *bufio.Reader) {
+func (s recording) serving(name string, then func(c net.Conn, path string) bool) func(c net.Conn, in *bufio.Reader) {
 	return func(c net.Conn, in *bufio.Reader) {
 		for {
 			if _, err := in.Peek(1); err != nil {
@@ -85,13 +85,13 @@
 
 // listing returns a request that may be retried on any backend, and its id.
 func listing() (text, id string) {
-	id = fmt.Sprintf("%016x", lastName.Add(1))
+	id = fmt.Sprintf("%016x", lastRequestID.Add(1))
 	return fmt.Sprintf("GET /lot-list/x HTTP/1.1\r\nHost: origin.svc\r\nX-Correlation-Id: %s\r\nX-Account: obala\r\nX-Time-Left: 12000m\r\n\r\n", id), id
 }
 
 // pickup returns a request that may be retried within its zone because of its idempotency key, and its id.
 func pickup(size int) (text, id string) {
-	id = fmt.Sprintf("%016x", lastName.Add(1))
+	id = fmt.Sprintf("%016x", lastRequestID.Add(1))
 	return fmt.Sprintf("POST /pickup/x HTTP/1.1\r\nHost: origin.svc\r\nX-Correlation-Id: %s\r\nX-Account: obala\r\nIdempotency-Key: k%s\r\nX-Time-Left: 12000m\r\nContent-Length: %d\r\n\r\n%s",
 		id, id, size, strings.Repeat("b", size)), id
 }
@@ -109,8 +109,8 @@
 	"behind a full buffer": func(c *raw) { c.send(strings.Repeat("x", 64<<10)); c.Close() },
 }
 
-// watched is testConfig with a control address, for metrics.
-func watched(t *testing.T, entries ...platformwatch.Instance) *config.Platform {
+// configWithMetrics is testConfig with a control address, for metrics.
+func configWithMetrics(t *testing.T, entries ...platformwatch.Instance) *config.Platform {
 	t.Helper()
 	cfg := testConfig(t, closedAddr(t), entries...)
 	cfg.ControlAddress = "127.0.0.1:0"
@@ -119,16 +119,16 @@
 
 // stages bring requests to the point where their clients leave. They return the clients, the ids of the requests, and
 // what the backends do afterwards.
-var stages = map[string]func(t *testing.T, s scene) (p *running, clients []*raw, requests []string, then func()){
+var stages = map[string]func(t *testing.T, s recording) (p *running, clients []*raw, requests []string, then func()){
 	// More requests than a backend has capacity for: those that were not sent are queued.
-	"waiting for room": func(t *testing.T, s scene) (*running, []*raw, []string, func()) {
+	"waiting for room": func(t *testing.T, s recording) (*running, []*raw, []string, func()) {
 		came, gate := make(chan struct{}, 64), make(chan struct{})
 		addr := s.backend(t, "s-1", func(c net.Conn, path string) bool {
 			came <- struct{}{}
 			<-gate
 			return serves(c, path)
 		})
-		p := start(t, watched(t, ready("s-1", addr)))
+		p := start(t, configWithMetrics(t, ready("s-1", addr)))
 		var clients []*raw
 		var requests []string
 		for range 32 {
@@ -140,14 +140,14 @@
 		// All were accepted, and those sent have arrived; the others are queued or were refused.
 		eventually(t, "all to be sent, queued or refused", func() bool {
 			var out, turned int
-			fmt.Sscan(strings.TrimSuffix(figure(t, p, "outstanding"), "|g"), &out)
-			fmt.Sscan(strings.TrimSuffix(figure(t, p, "declined.lot-list"), "|c"), &turned)
-			return out+turned == len(requests) && len(came) > 0 && figure(t, p, "forwards") == fmt.Sprintf("%d|c", len(came))
+			fmt.Sscan(strings.TrimSuffix(metric(t, p, "outstanding"), "|g"), &out)
+			fmt.Sscan(strings.TrimSuffix(metric(t, p, "declined.lot-list"), "|c"), &turned)
+			return out+turned == len(requests) && len(came) > 0 && metric(t, p, "forwards") == fmt.Sprintf("%d|c", len(came))
 		})
 		return p, clients, requests, func() { close(gate) }
 	},
 	// The attempt of a retryable request breaks after its client has left.
-	"between two attempts": func(t *testing.T, s scene) (*running, []*raw, []string, func()) {
+	"between two attempts": func(t *testing.T, s recording) (*running, []*raw, []string, func()) {
 		came, gate := make(chan struct{}, 4), make(chan struct{})
 		breaks := func(c net.Conn, _ string) bool {
 			came <- struct{}{}
@@ -155,24 +155,24 @@
 			c.(*net.TCPConn).SetLinger(0)
 			return false
 		}
-		p := start(t, watched(t, ready("s-1", s.backend(t, "s-1", breaks)), ready("s-2", s.backend(t, "s-2", breaks))))
+		p := start(t, configWithMetrics(t, ready("s-1", s.backend(t, "s-1", breaks)), ready("s-2", s.backend(t, "s-2", breaks))))
 		c := connected(t, p)
 		text, id := listing()
 		c.send(text)
 		receive(t, came, "the first attempt")
 		return p, []*raw{c}, []string{id}, func() { close(gate) }
 	},
-	"its body is coming": func(t *testing.T, s scene) (*running, []*raw, []string, func()) {
-		p := start(t, watched(t, ready("s-1", s.backend(t, "s-1", serves))))
+	"its body is coming": func(t *testing.T, s recording) (*running, []*raw, []string, func()) {
+		p := start(t, configWithMetrics(t, ready("s-1", s.backend(t, "s-1", serves))))
 		c := connected(t, p)
 		text, id := pickup(3000)
 		c.send(text[:len(text)-1000])
 		return p, []*raw{c}, []string{id}, func() {}
 	},
 	// Connections to its backend are established late, because the accept queue of its listener is full.
-	"a connection is being made": func(t *testing.T, s scene) (*running, []*raw, []string, func()) {
+	"a connection is being made": func(t *testing.T, s recording) (*running, []*raw, []string, func()) {
 		ln := listening(t, "127.0.0.1:0")
-		p := start(t, watched(t, ready("s-1", ln.Addr().String())))
+		p := start(t, configWithMetrics(t, ready("s-1", ln.Addr().String())))
 		for _, filler := range standin.Block(ln) {
 			t.Cleanup(func() { filler.Close() })
 		}
@@ -188,9 +188,9 @@
 		}
 	},
 	// No backend can be reached for a while, and the request waits for its next attempt.
-	"backing off": func(t *testing.T, s scene) (*running, []*raw, []string, func()) {
+	"backing off": func(t *testing.T, s recording) (*running, []*raw, []string, func()) {
 		addr := closedAddr(t)
-		p := start(t, watched(t, ready("s-1", addr)))
+		p := start(t, configWithMetrics(t, ready("s-1", addr)))
 		c := connected(t, p)
 		text, id := listing()
 		c.send(text)
@@ -208,7 +208,7 @@
 		for way, leave := range leaves {
 			t.Run(stage+", "+way, func(t *testing.T) {
 				t.Parallel()
-				s := newScene()
+				s := newRecording()
 				p, clients, requests, then := bring(t, s)
 				for _, c := range clients {
 					leave(c)
@@ -221,7 +221,7 @@
 						return status == http.StatusOK
 					})
 				}
-				eventually(t, "all resources to be released", func() bool { return figure(t, p, "outstanding") == "0|g" })
+				eventually(t, "all resources to be released", func() bool { return metric(t, p, "outstanding") == "0|g" })
 				if strings.Contains("waiting for room, its body is coming", stage) {
 					expect(t, p, "ejected", "0|g") // a backend must not be blamed for a client's silence
 				}
@@ -250,7 +250,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newScene()
+			s := newRecording()
 			came, gate := make(chan struct{}, 64), make(chan struct{})
 			var list []platformwatch.Instance
 			for _, name := range []string{"s-1", "s-2"} {
--- a/internal/proxy/misbehaviour_test.go
+++ b/internal/proxy/misbehaviour_test.go
@@ -199,7 +199,7 @@
 	var ids []string
 	var text []byte
 	for range count {
-		id := fmt.Sprintf("%016x", lastName.Add(1))
+		id := fmt.Sprintf("%016x", lastRequestID.Add(1))
 		ids = append(ids, id)
 		text = append(text, m.request(id)...)
 	}
--- a/internal/proxy/partial_test.go
+++ b/internal/proxy/partial_test.go
@@ -17,9 +17,9 @@
 	"marlreel/internal/testutil"
 )
 
-// crowd runs several clients that each send n sequential requests, and counts the answers by class and
+// runClients runs several clients that each send n sequential requests, and counts the answers by class and
 // status. A request without an answer counts as status 0.
-func crowd(t *testing.T, p *running, clients, n int, class func(i int) string) map[string]map[int]int {
+func runClients(t *testing.T, p *running, clients, n int, class func(i int) string) map[string]map[int]int {
 	t.Helper()
 	var mu sync.Mutex
 	got := map[string]map[int]int{}
@@ -61,7 +61,7 @@
 	var nodes []*standin.Node
 	cfg := testConfig(t, closedAddr(t), ready("s-0", closedAddr(t)))
 	for i := range 17 {
-		n := breaking(t, fmt.Sprintf("s-%02d", i), j, standin.Network{NewRate: 0.1, CloseRate: 0.2})
+		n := unreliableNode(t, fmt.Sprintf("s-%02d", i), j, standin.Network{NewRate: 0.1, CloseRate: 0.2})
 		nodes = append(nodes, n)
 		cfg.InitialList.Instances = append(cfg.InitialList.Instances, ready(n.ID(), n.Addr()))
 	}
@@ -87,7 +87,7 @@
 			}
 		}
 	}()
-	got := crowd(t, p, 60, 20, func(i int) string { return []string{"lot-list", "bid"}[i%2] })
+	got := runClients(t, p, 60, 20, func(i int) string { return []string{"lot-list", "bid"}[i%2] })
 	close(done)
 	<-watched
 	if got["bid"][0]+got["lot-list"][0] > 0 {
@@ -108,7 +108,7 @@
 func TestARestartedProxysFirstBids(t *testing.T) {
 	t.Parallel()
 	j := &standin.Journal{}
-	n := breaking(t, "s-9", j, standin.Network{})
+	n := unreliableNode(t, "s-9", j, standin.Network{})
 	p := start(t, testConfig(t, closedAddr(t), ready("s-1", closedAddr(t)), ready("s-2", closedAddr(t)),
 		ready("s-3", closedAddr(t)), ready("s-9", n.Addr())))
 	for i := range 20 {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -34,9 +34,9 @@
 const (
 	// Requests that are still open this long before the end of the drain are answered with a failure, because a request
 	// that is open when the process exits is lost.
-	failOpenBefore = 250 * time.Millisecond
+	failBeforeDrainEnd = 250 * time.Millisecond
 	// Requests that were received completely since then are answered this long before the process exits.
-	rejectAllBefore = 120 * time.Millisecond
+	rejectBeforeExit = 120 * time.Millisecond
 	// After this time without a list from discovery a proxy becomes ready with the list it was started with.
 	initialListDelay = time.Second
 )
@@ -333,7 +333,7 @@
 }
 
 // startSaving saves the learned state periodically. stop saves it a last time while the engine still runs, and gives up
-// after lastSave so that a hanging disk does not delay the exit.
+// after finalSaveTimeout so that a hanging disk does not delay the exit.
 func (p *parts) startSaving(cfg config.Background, stateSaver *saver, logger *slog.Logger) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -418,7 +418,7 @@
 		rest += cfg.AcceptGrace
 	}
 	failed := false
-	for _, wait := range []time.Duration{cfg.DrainTimeout() - failOpenBefore, failOpenBefore + rest - rejectAllBefore, rejectAllBefore} {
+	for _, wait := range []time.Duration{cfg.DrainTimeout() - failBeforeDrainEnd, failBeforeDrainEnd + rest - rejectBeforeExit, rejectBeforeExit} {
 		ctx, cancel := context.WithTimeout(context.Background(), max(wait, 0))
 		open := false
 		for _, f := range fronts {
--- a/internal/proxy/recall_test.go
+++ b/internal/proxy/recall_test.go
@@ -46,7 +46,7 @@
 	defer os.RemoveAll(folder)
 	otherProcess(t, folder, 1000001) // connects by the accept queue, but never answers
 	telling := otherProcess(t, folder, 1000002)
-	learnt, err := codec.Encode(&learnedstate.State{ProxyName: "n0"})
+	learned, err := codec.Encode(&learnedstate.State{ProxyName: "n0"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 		}
 		defer c.Close()
 		if _, err := c.Read(make([]byte, 4)); err == nil {
-			_, _ = c.Write(append([]byte{byte(len(learnt) >> 24), byte(len(learnt) >> 16), byte(len(learnt) >> 8), byte(len(learnt))}, learnt...))
+			_, _ = c.Write(append([]byte{byte(len(learned) >> 24), byte(len(learned) >> 16), byte(len(learned) >> 8), byte(len(learned))}, learned...))
 		}
 	}()
 	rendezvous, err := handover.Join(folder)
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -12,8 +12,8 @@
 	"marlreel/internal/testutil"
 )
 
-// moved returns cfg with another discovery address.
-func moved(cfg *config.Platform, addr string) *config.Platform {
+// withDiscoveryAddress returns cfg with another discovery address.
+func withDiscoveryAddress(cfg *config.Platform, addr string) *config.Platform {
 	next := *cfg
 	next.DiscoveryAddress = addr
 	return &next
@@ -34,7 +34,7 @@
 			p := start(t, cfg)
 			old := a.next(t)
 			servedBy(t, p, "kept")
-			p.reloads <- Reload{Config: moved(cfg, b.Addr)}
+			p.reloads <- Reload{Config: withDiscoveryAddress(cfg, b.Addr)}
 			next := b.next(t)
 			if next.From != "0" {
 				t.Errorf("the new address is asked for what came after %s, want the whole list", next.From)
@@ -70,7 +70,7 @@
 	p := start(t, cfg)
 	a.next(t)
 	for _, addr := range []string{closedAddr(t), b.Addr, a.Addr, b.Addr, c.Addr, c.Addr} {
-		p.reloads <- Reload{Config: moved(cfg, addr)}
+		p.reloads <- Reload{Config: withDiscoveryAddress(cfg, addr)}
 	}
 	c.next(t).Lines <- line(t, 2, true, ready("s-2", named(t, "c")))
 	servedBy(t, p, "c")
@@ -83,7 +83,7 @@
 	cfg := testConfig(t, a.Addr, ready("s-1", named(t, "a")))
 	p := start(t, cfg)
 	w := a.next(t)
-	p.reloads <- Reload{Config: moved(cfg, closedAddr(t))}
+	p.reloads <- Reload{Config: withDiscoveryAddress(cfg, closedAddr(t))}
 	eventually(t, "a call to the dead address", func() bool { return strings.Contains(p.log.String(), "refused") })
 	w.Lines <- line(t, 2, true, ready("s-2", named(t, "b")))
 	servedBy(t, p, "b")
--- a/internal/proxy/retune_test.go
+++ b/internal/proxy/retune_test.go
@@ -55,8 +55,8 @@
 	return Reload{Config: cfg, Err: err}
 }
 
-// figure returns the value of a metric, or "" if it is missing.
-func figure(t *testing.T, p *running, name string) string {
+// metric returns the value of a metric, or "" if it is missing.
+func metric(t *testing.T, p *running, name string) string {
 	t.Helper()
 	resp, err := http.Get("http://" + p.control + "/control/counters")
 	if err != nil {
@@ -74,7 +74,7 @@
 
 func expect(t *testing.T, p *running, name, value string) {
 	t.Helper()
-	testutil.Eventually(t, fmt.Sprintf("%s to be %s", name, value), func() bool { return figure(t, p, name) == value })
+	testutil.Eventually(t, fmt.Sprintf("%s to be %s", name, value), func() bool { return metric(t, p, name) == value })
 }
 
 // SIGHUP can add and remove classes and change their effects. An invalid file changes nothing. Both outcomes
--- a/internal/proxy/rpc_test.go
+++ b/internal/proxy/rpc_test.go
@@ -154,7 +154,7 @@
 
 // meta returns a call's metadata with a new id.
 func meta(more ...any) map[string]any {
-	m := map[string]any{"$id": fmt.Sprintf("%016x", lastName.Add(1)), "$house": "obala", "$left_ms": 15000}
+	m := map[string]any{"$id": fmt.Sprintf("%016x", lastRequestID.Add(1)), "$house": "obala", "$left_ms": 15000}
 	for i := 0; i+1 < len(more); i += 2 {
 		m[more[i].(string)] = more[i+1]
 	}
--- a/internal/proxy/rpcmisbehaviour_test.go
+++ b/internal/proxy/rpcmisbehaviour_test.go
@@ -168,7 +168,7 @@
 	defer client.Close()
 	answers := map[string]<-chan standin.RPCAnswer{}
 	for range count {
-		token := fmt.Sprint("call-", lastName.Add(1))
+		token := fmt.Sprint("call-", lastRequestID.Add(1))
 		method := "list"
 		if m.rng.IntN(2) == 0 {
 			method = "post.bid"
--- a/internal/proxy/sources_test.go
+++ b/internal/proxy/sources_test.go
@@ -37,8 +37,8 @@
 	return r, own
 }
 
-// listed returns a registry write that stores a node.
-func listed(t *testing.T, name, addr, state string) standin.RegistryOp {
+// registryNode returns a registry write that stores a node.
+func registryNode(t *testing.T, name, addr, state string) standin.RegistryOp {
 	t.Helper()
 	v, err := kvstore.Value{Address: addr, Zone: "koper", Kind: "mid-2c", State: state}.Encode()
 	if err != nil {
@@ -56,25 +56,25 @@
 			t.Parallel()
 			r, own := kvStore(t, kind)
 			kept, conns := testutil.Counting(t, "kept")
-			r.Txn(listed(t, "s-1", kept, "ready"))
+			r.Txn(registryNode(t, "s-1", kept, "ready"))
 			p := startWith(t, testConfig(t, closedAddr(t)), own)
 			servedBy(t, p, "kept")
 			before := conns.Load()
 			other := named(t, "other")
-			r.Txn(listed(t, "s-1", kept, "draining"), listed(t, "s-2", other, "ready"))
+			r.Txn(registryNode(t, "s-1", kept, "draining"), registryNode(t, "s-2", other, "ready"))
 			servedBy(t, p, "other")
-			r.Txn(listed(t, "s-1", kept, "ready"), standin.RegistryOp{Key: nodesPrefix + "s-2", Delete: true})
+			r.Txn(registryNode(t, "s-1", kept, "ready"), standin.RegistryOp{Key: nodesPrefix + "s-2", Delete: true})
 			servedBy(t, p, "kept")
 			r.CloseWatches()
 			r.Compact(r.Revision())
 			third := named(t, "third")
-			r.Txn(listed(t, "s-1", third, "ready")) // the same name at another address
+			r.Txn(registryNode(t, "s-1", third, "ready")) // the same name at another address
 			servedBy(t, p, "third")
 			if n := conns.Load() - before; n > 2 {
 				t.Errorf("%d new connections to a node that stayed except for one drain", n)
 			}
 			// An invalid value and one with an unknown zone don't affect the other entries.
-			r.Txn(standin.RegistryOp{Key: nodesPrefix + "s-8", Value: "{"}, standin.RegistryOp{Key: nodesPrefix + "s-9", Value: strings.Replace(listed(t, "x", kept, "ready").Value, "koper", "triglav", 1)})
+			r.Txn(standin.RegistryOp{Key: nodesPrefix + "s-8", Value: "{"}, standin.RegistryOp{Key: nodesPrefix + "s-9", Value: strings.Replace(registryNode(t, "x", kept, "ready").Value, "koper", "triglav", 1)})
 			eventually(t, "a log line about both", func() bool {
 				log := p.log.String()
 				return strings.Contains(log, "entry s-8 can't be read (no JSON") && strings.Contains(log, `unknown zone "triglav"`)
@@ -89,7 +89,7 @@
 func TestOldListWithoutARegistry(t *testing.T) {
 	t.Parallel()
 	r, own := kvStore(t, "etcd")
-	r.Txn(listed(t, "s-1", named(t, "new"), "ready"))
+	r.Txn(registryNode(t, "s-1", named(t, "new"), "ready"))
 	r.Cut(true)
 	p := startWith(t, testConfig(t, closedAddr(t), ready("s-0", named(t, "old"))), own)
 	servedBy(t, p, "old")
@@ -102,7 +102,7 @@
 func TestMostOfTheListIsLost(t *testing.T) {
 	t.Parallel()
 	r, own := kvStore(t, "etcd")
-	r.Txn(listed(t, "s-1", named(t, "one"), "ready"), listed(t, "s-2", named(t, "one"), "ready"), listed(t, "s-3", named(t, "one"), "ready"))
+	r.Txn(registryNode(t, "s-1", named(t, "one"), "ready"), registryNode(t, "s-2", named(t, "one"), "ready"), registryNode(t, "s-3", named(t, "one"), "ready"))
 	cfg := testConfig(t, closedAddr(t))
 	cfg.ControlAddress = "127.0.0.1:0"
 	p := startWith(t, cfg, own)
@@ -119,7 +119,7 @@
 		var s membership.Status
 		return json.NewDecoder(resp.Body).Decode(&s) == nil && s.Source == "registry" && len(s.Retained) == 3 && s.Entries == 3
 	})
-	r.Txn(listed(t, "s-4", named(t, "two"), "ready"), standin.RegistryOp{Key: nodesPrefix + "_confirm", Value: "{}"})
+	r.Txn(registryNode(t, "s-4", named(t, "two"), "ready"), standin.RegistryOp{Key: nodesPrefix + "_confirm", Value: "{}"})
 	eventually(t, "the confirmation", func() bool { return strings.Contains(p.log.String(), "an operator confirmed the list: 1 entries") })
 	servedBy(t, p, "two")
 }
@@ -129,7 +129,7 @@
 func TestMovesToTheRegistryAndBack(t *testing.T) {
 	t.Parallel()
 	r, own := kvStore(t, "etcd")
-	r.Txn(listed(t, "s-1", named(t, "registry"), "ready"))
+	r.Txn(registryNode(t, "s-1", named(t, "registry"), "ready"))
 	g := newRegistry(t)
 	cfg := testConfig(t, g.Addr, ready("s-0", named(t, "known")))
 	p := start(t, cfg)
@@ -148,7 +148,7 @@
 	servedBy(t, p, "registry")
 	p.reloads <- Reload{Config: cfg, Own: config.DefaultOperator()}
 	servedBy(t, p, "platform now")
-	r.Txn(listed(t, "s-1", named(t, "nobody's"), "ready"))
+	r.Txn(registryNode(t, "s-1", named(t, "nobody's"), "ready"))
 	w.Lines <- line(t, 6, false, ready("s-0", named(t, "platform at last")))
 	servedBy(t, p, "platform at last")
 	bad := config.DefaultOperator()
@@ -166,14 +166,14 @@
 	one := named(t, "one")
 	var ops []standin.RegistryOp
 	for i := range 3000 {
-		ops = append(ops, listed(t, fmt.Sprint("far-", i), fmt.Sprintf("127.0.0.2:%d", 1000+i), "draining"))
+		ops = append(ops, registryNode(t, fmt.Sprint("far-", i), fmt.Sprintf("127.0.0.2:%d", 1000+i), "draining"))
 	}
-	r.Txn(append(ops, listed(t, "s-1", one, "ready"))...)
+	r.Txn(append(ops, registryNode(t, "s-1", one, "ready"))...)
 	cfg := testConfig(t, closedAddr(t))
 	cfg.ControlAddress = "127.0.0.1:0"
 	p := startWith(t, cfg, own)
 	servedBy(t, p, "one")
-	eventually(t, "all nodes in the metrics", func() bool { return figure(t, p, "discovered") == "3001|g" })
+	eventually(t, "all nodes in the metrics", func() bool { return metric(t, p, "discovered") == "3001|g" })
 }
 
 // Measures the cost of following a registry. MARLREEL_MEASURE=1 go test -v -run TestMeasureRegistry ./internal/proxy
@@ -188,7 +188,7 @@
 				r, own := kvStore(t, kind)
 				var ops []standin.RegistryOp
 				for i := range n {
-					ops = append(ops, listed(t, fmt.Sprint("s-", i), fmt.Sprintf("127.0.0.2:%d", 1000+i), "ready"))
+					ops = append(ops, registryNode(t, fmt.Sprint("s-", i), fmt.Sprintf("127.0.0.2:%d", 1000+i), "ready"))
 				}
 				r.Txn(ops...)
 				p, err := assemble(testConfig(t, closedAddr(t)), own, nil, logs.Discard())
@@ -222,7 +222,7 @@
 				for ; time.Since(began) < 4*time.Second; changes++ {
 					addr := fmt.Sprintf("127.0.0.3:%d", 1000+changes)
 					at := time.Now()
-					r.Txn(listed(t, "s-0", addr, "ready"))
+					r.Txn(registryNode(t, "s-0", addr, "ready"))
 					for {
 						if _, there := size(addr); there || time.Since(at) > 2*time.Second {
 							break
--- a/internal/proxy/storm_test.go
+++ b/internal/proxy/storm_test.go
@@ -33,14 +33,14 @@
 	w := g.next(t)
 	w.Lines <- line(t, 2, true, gone)
 
-	var served, refused, untold atomic.Int64
+	var served, refused, withoutRetryAfter atomic.Int64
 	var over atomic.Bool
 	var clients sync.WaitGroup
 	// one starts a client that retries as it is told until it is served, and then sends a new request.
-	one := func(ask func(id string) (ok bool, after time.Duration, told bool, err error)) {
+	one := func(ask func(id string) (ok bool, after time.Duration, hasRetryAfter bool, err error)) {
 		clients.Go(func() {
 			for !over.Load() {
-				ok, after, told, err := ask(fmt.Sprintf("%016x", lastName.Add(1)))
+				ok, after, hasRetryAfter, err := ask(fmt.Sprintf("%016x", lastRequestID.Add(1)))
 				switch {
 				case err != nil:
 					t.Error(err)
@@ -50,8 +50,8 @@
 					after = 20 * time.Millisecond
 				default:
 					refused.Add(1)
-					if !told {
-						untold.Add(1)
+					if !hasRetryAfter {
+						withoutRetryAfter.Add(1)
 					}
 				}
 				time.Sleep(min(after, 100*time.Millisecond))
@@ -98,9 +98,9 @@
 			ran++
 		}
 	}
-	if before != 0 || served.Load() == 0 || ran != served.Load() || untold.Load() != 0 {
+	if before != 0 || served.Load() == 0 || ran != served.Load() || withoutRetryAfter.Load() != 0 {
 		t.Errorf("%d served while all nodes drained, %d since, %d ran; %d of %d refusals don't say when to retry",
-			before, served.Load(), ran, untold.Load(), refused.Load())
+			before, served.Load(), ran, withoutRetryAfter.Load(), refused.Load())
 	}
 }
 
@@ -116,7 +116,7 @@
 	got := 0
 	one := func() {
 		c.SetDeadline(time.Now().Add(patience)) // for each request, as the time for all depends on the machine
-		copy(ask[id:id+16], fmt.Sprintf("%016x", lastName.Add(1)))
+		copy(ask[id:id+16], fmt.Sprintf("%016x", lastRequestID.Add(1)))
 		if _, err := c.Write(ask); err != nil {
 			tb.Fatal(err)
 		}
@@ -169,7 +169,7 @@
 		p := start(t, cfg)
 		if most > 0 {
 			c := testutil.Dial(t, p.addr)
-			fmt.Fprintf(c, "GET /lot-list/7 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: %016x\r\nX-Account: obala\r\nX-Time-Left: 59000m\r\n\r\n", lastName.Add(1))
+			fmt.Fprintf(c, "GET /lot-list/7 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: %016x\r\nX-Account: obala\r\nX-Time-Left: 59000m\r\n\r\n", lastRequestID.Add(1))
 			// Wait for the open call: otherwise a request below could take its slot first, and hang there until its
 			// deadline.
 			receive(t, open, "the open call")
@@ -193,7 +193,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Header = http.Header{"X-Correlation-Id": {fmt.Sprintf("%016x", lastName.Add(1))}, "X-Account": {"obala"}, "X-Time-Left": {"100m"}}
+	r.Header = http.Header{"X-Correlation-Id": {fmt.Sprintf("%016x", lastRequestID.Add(1))}, "X-Account": {"obala"}, "X-Time-Left": {"100m"}}
 	r.Close = true
 	resp, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
--- a/internal/proxy/surplus_test.go
+++ b/internal/proxy/surplus_test.go
@@ -140,7 +140,7 @@
 	if !strings.Contains(p.log.String(), "event=surplus-answer") {
 		t.Errorf("the log doesn't mention it: %s", p.log.String())
 	}
-	if count := figure(t, p, "surplus_answers"); count == "" || count == "0|c" {
+	if count := metric(t, p, "surplus_answers"); count == "" || count == "0|c" {
 		t.Errorf("the metric is %q", count)
 	}
 }
--- a/internal/proxy/told_test.go
+++ b/internal/proxy/told_test.go
@@ -15,18 +15,18 @@
 	"marlreel/internal/testutil"
 )
 
-// A drain must take effect within told after discovery has it and is reachable. grace is the margin the rule adds.
+// A drain must take effect within toldWithin after discovery has it and is reachable. grace is the margin the rule adds.
 const (
-	told  = 6 * time.Second
-	grace = 550 * time.Millisecond
+	toldWithin = 6 * time.Second
+	grace      = 550 * time.Millisecond
 )
 
 func inList(id, addr, lifecycle string) standin.Entry {
 	return standin.Entry{InstanceID: id, HostPort: addr, Zone: "koper", MachineType: "mid-2c", Lifecycle: lifecycle, Weight: 1}
 }
 
-// last starts a backend that records when the last request began, and the number of requests.
-func last(t *testing.T) (addr string, at *atomic.Int64, n *atomic.Int64) {
+// recordingLastRequest starts a backend that records when its last request began, and counts requests.
+func recordingLastRequest(t *testing.T) (addr string, at *atomic.Int64, n *atomic.Int64) {
 	at, n = new(atomic.Int64), new(atomic.Int64)
 	b := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n.Add(1)
@@ -37,8 +37,8 @@
 	return b.Listener.Addr().String(), at, n
 }
 
-// asking sends requests until the test ends, and counts those not served.
-func asking(t *testing.T, p *running) (lost *atomic.Int64) {
+// sendTraffic sends requests until the test ends, and counts those not served.
+func sendTraffic(t *testing.T, p *running) (lost *atomic.Int64) {
 	lost = new(atomic.Int64)
 	client := &http.Client{Timeout: patience}
 	stop, done := make(chan struct{}), make(chan struct{})
@@ -61,7 +61,7 @@
 	return lost
 }
 
-func askedFor(t *testing.T, d *standin.Faulty, onRequest bool) *config.Platform {
+func discoveryConfig(t *testing.T, d *standin.Faulty, onRequest bool) *config.Platform {
 	cfg := testConfig(t, d.Addr)
 	cfg.Settings.PollMembership = onRequest
 	cfg.Settings.Obligations.MaxMembershipAge = 10 * time.Second
@@ -70,35 +70,35 @@
 	return cfg
 }
 
-// drainDay is a proxy under traffic with two backends, one of which will drain.
-type drainDay struct {
+// drainTest is a proxy under traffic with two backends, one of which will drain.
+type drainTest struct {
 	d                  *standin.Faulty
 	drains             string
 	at, served, before *atomic.Int64 // time of the last request to the draining backend; requests to the other backend and to it
 }
 
-func newDrainDay(t *testing.T, onRequest bool) *drainDay {
+func newDrainTest(t *testing.T, onRequest bool) *drainTest {
 	t.Helper()
-	x := &drainDay{}
+	x := &drainTest{}
 	var stays string
-	stays, _, x.served = last(t)
-	x.drains, x.at, x.before = last(t)
+	stays, _, x.served = recordingLastRequest(t)
+	x.drains, x.at, x.before = recordingLastRequest(t)
 	d, err := standin.StartFaulty(inList("s-1", stays, "Ready"), inList("s-2", x.drains, "Ready"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(d.Close)
 	x.d = d
-	asking(t, start(t, askedFor(t, d, onRequest)))
+	sendTraffic(t, start(t, discoveryConfig(t, d, onRequest)))
 	return x
 }
 
-func (x *drainDay) used(t *testing.T) {
+func (x *drainTest) used(t *testing.T) {
 	t.Helper()
 	eventually(t, "both backends to be used", func() bool { return x.served.Load() > 0 && x.before.Load() > 0 })
 }
 
-func (x *drainDay) drain() { x.d.Put(inList("s-2", x.drains, "Terminating")) }
+func (x *drainTest) drain() { x.d.Put(inList("s-2", x.drains, "Terminating")) }
 
 // A drain takes effect in time whatever faults the watch and the following calls to discovery have, and the number of
 // calls meanwhile is limited.
@@ -119,7 +119,7 @@
 			// All histories run concurrently, since each has to wait for the full time limit.
 			type played struct {
 				history
-				*drainDay
+				*drainTest
 				calls   int
 				changed time.Time
 			}
@@ -128,7 +128,7 @@
 				if onRequest && (h.open == standin.ListBlank || slices.Contains(h.calls, standin.ListBlank)) {
 					continue // when polled, its false answer that nothing has changed is all the proxy gets: see docs/design/rare-moments.md
 				}
-				days = append(days, &played{history: h, drainDay: newDrainDay(t, onRequest)})
+				days = append(days, &played{history: h, drainTest: newDrainTest(t, onRequest)})
 			}
 			for _, x := range days {
 				x.used(t)
@@ -143,11 +143,11 @@
 			for _, x := range days {
 				// After the time limit, wait for more requests to the other backend, so that late ones to this one
 				// would show.
-				eventually(t, "the time limit for the drain", func() bool { return time.Since(x.changed) > told+grace })
+				eventually(t, "the time limit for the drain", func() bool { return time.Since(x.changed) > toldWithin+grace })
 				then := x.served.Load()
 				eventually(t, "more to be served", func() bool { return x.served.Load() > then+10 })
 				late, n := time.Unix(0, x.at.Load()).Sub(x.changed), len(x.d.Calls())-x.calls
-				if worst, most = max(worst, late), max(most, n); late > told+grace {
+				if worst, most = max(worst, late), max(most, n); late > toldWithin+grace {
 					t.Errorf("%s, then %v: a request began %v after the change", x.open, x.history.calls, late)
 				}
 				if onRequest && n > 9 || n > 40 {
@@ -166,9 +166,9 @@
 	for _, onRequest := range []bool{false, true} {
 		t.Run(fmt.Sprintf("asked for %v", onRequest), func(t *testing.T) {
 			t.Parallel()
-			stays, _, served := last(t)
-			drains, at, before := last(t)
-			third, thirdAt, _ := last(t)
+			stays, _, served := recordingLastRequest(t)
+			drains, at, before := recordingLastRequest(t)
+			third, thirdAt, _ := recordingLastRequest(t)
 			list := []standin.Entry{inList("s-1", stays, "Ready"), inList("s-2", drains, "Ready"), inList("s-3", third, "Ready")}
 			var ds [2]*standin.Faulty
 			for i := range ds {
@@ -180,22 +180,22 @@
 				t.Cleanup(d.Close)
 				ds[i] = d
 			}
-			cfg := askedFor(t, ds[0], onRequest)
+			cfg := discoveryConfig(t, ds[0], onRequest)
 			p := start(t, cfg)
-			asking(t, p)
+			sendTraffic(t, p)
 			eventually(t, "all to be used", func() bool { return served.Load() > 0 && before.Load() > 0 && thirdAt.Load() > 0 })
 			silent := make([]standin.ListFault, 40)
 			for i := range silent {
 				silent[i] = standin.ListSilent
 			}
 			ds[1].Break("", silent...)
-			next := moved(cfg, ds[1].Addr)
+			next := withDiscoveryAddress(cfg, ds[1].Addr)
 			p.reloads <- Reload{Config: next}
 			eventually(t, "calls at the new address", func() bool { return len(ds[1].Calls()) > 1 })
 			ds[0].Put(inList("s-2", drains, "Terminating"))
-			told := time.Now()
+			put := time.Now()
 			eventually(t, "the old address's drain to take effect", func() bool {
-				return time.Since(told) > time.Second && time.Since(time.Unix(0, at.Load())) > time.Second
+				return time.Since(put) > time.Second && time.Since(time.Unix(0, at.Load())) > time.Second
 			})
 			ds[1].Put(inList("s-3", third, "Terminating"), inList("s-2", drains, "Terminating"))
 			ds[1].Break("") // it answers from now on
@@ -217,7 +217,7 @@
 	for _, onRequest := range []bool{false, true} {
 		t.Run(fmt.Sprintf("asked for %v", onRequest), func(t *testing.T) {
 			t.Parallel()
-			x := newDrainDay(t, onRequest)
+			x := newDrainTest(t, onRequest)
 			d := x.d
 			x.used(t)
 			d.Down(true)
@@ -232,7 +232,7 @@
 			late := time.Unix(0, x.at.Load()).Sub(back)
 			t.Logf("%d calls while it was down; the last request %v after its return", calls, late.Round(time.Millisecond))
 			// In push mode the drain must take effect at once after the return.
-			if !onRequest && late > 100*time.Millisecond+grace || late > told+grace {
+			if !onRequest && late > 100*time.Millisecond+grace || late > toldWithin+grace {
 				t.Errorf("a request began %v after discovery was back", late)
 			}
 			if calls > 120 {
