--- a/cmd/marlreel/handover_test.go
+++ b/cmd/marlreel/handover_test.go
@@ -299,7 +299,7 @@
 			c.Close()
 			c = nil
 			switch {
-			case p.killed.Load(), p.kills.Load() != kills, p.alone.Load() && (resp != nil || body != ""): // requests of a killed process are lost, and retried by clients
+			case p.killed.Load(), p.kills.Load() != kills, p.alone.Load() && (resp != nil || body != ""): // requests of a killed process are lost; retrying them is up to the client
 				p.audit.held.Add(1)
 			case !fresh && resp == nil && !errors.Is(err, os.ErrDeadlineExceeded):
 				p.audit.crossed.Add(1)
--- a/cmd/marlreel/link_test.go
+++ b/cmd/marlreel/link_test.go
@@ -13,7 +13,7 @@
 )
 
 // The deployed binary must be linked dynamically against the C library: the platform's fleet
-// intercepts a proxy's sockets and clocks by a library that it preloads, which does not work
+// intercepts a proxy's sockets and clocks by a library that it loads into the process, which is not possible
 // with a statically linked program.
 func TestTheDeployedDaemonIsLinkedDynamically(t *testing.T) {
 	t.Parallel()
--- a/cmd/marlreel/state.go
+++ b/cmd/marlreel/state.go
@@ -90,9 +90,9 @@
 	}
 	fmt.Fprintf(out, "\n%-20s %-22s %-9s %8s %8s %10s %s\n", "backend", "address", "health", "limit", "answers", "last ok", "")
 	for _, b := range s.Backends {
-		health, more := "healthy", ""
+		health, more := "well", ""
 		if !b.Healthy {
-			health = "unhealthy"
+			health = "not well"
 		}
 		if b.EjectedFor > 0 {
 			more += fmt.Sprintf(" (ejected for another %v)", b.EjectedFor.Round(time.Millisecond))
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -34,7 +34,7 @@
 	settings atomic.Pointer[fleet.Settings]
 }
 
-// joinFleet makes a proxy a member of its fleet. It starts no goroutine of the engine. The engine uses the settings that
+// joinFleet makes a proxy a member of its fleet. The engine does not run yet. It uses the settings that
 // fleet.InitialSettings derives from the file until the fleet sends others.
 func (p *parts) joinFleet(cfg *config.Platform, own *config.Operator, log *slog.Logger) (*member, error) {
 	m := &member{parts: p, cfg: cfg, lease: &engine.Lease{Clock: fleet.Now}}
@@ -111,7 +111,7 @@
 }
 
 // propose proposes the file's settings to the fleet, logs the result, and calls done with it.
-func (m *member) propose(next *config.Platform, log *slog.Logger, done func(accepted bool)) {
+func (m *member) propose(next *config.Platform, log *slog.Logger, done func(bool)) {
 	text, err := next.SharedSettings()
 	if err == nil {
 		var r agree.Result
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -127,8 +127,8 @@
 
 	member *member // nil if this proxy is in no fleet
 
-	counts      *metrics.ProxyMetrics // nil without a control address
-	adminServer *adminserver.Server
+	counts      *metrics.ProxyMetrics             // nil without a control address
+	adminServer *adminserver.Server               // nil without a control address
 	lists       atomic.Pointer[membership.Status] // nil without a registry: only the platform's list is used
 }
 
