--- a/cmd/marlreel/main_test.go
+++ b/cmd/marlreel/main_test.go
@@ -16,7 +16,7 @@
 
 const patience = 30 * time.Second
 
-// As a child the test binary is the program itself.
+// With MARLREEL_TEST_CHILD set, the test binary runs as the daemon.
 func TestMain(m *testing.M) {
 	if os.Getenv("MARLREEL_TEST_CHILD") != "" {
 		os.Args = os.Args[:1]
@@ -30,8 +30,8 @@
  "Kinds":["mid-2c"],"Feedback":{"How":"off","Names":[]},"Caps":{"ConnectTimeout":200.0,"MaxAttempts":4},
  "Services":[{"Name":"lot-list","Aim":600.0,"GiveUp":1000.0,"Effect":"retryable","Value":1.0}]}`
 
-// watched is a discovery service that tells of each watch.
-func watched(t *testing.T) (string, chan standin.ScriptedWatch) {
+// scriptedDiscovery starts a discovery service, and returns its address and a channel of its watches.
+func scriptedDiscovery(t *testing.T) (string, chan standin.ScriptedWatch) {
 	t.Helper()
 	s, err := standin.NewScript()
 	if err != nil {
@@ -46,21 +46,21 @@
 	select {
 	case v = <-c:
 	case <-time.After(patience):
-		t.Fatalf("waited in vain for %s", what)
+		t.Fatalf("timed out waiting for %s", what)
 	}
 	return v
 }
 
-// SIGHUP once ended the process. It makes it read the file again, whose address then
-// goes before the environment's; a bad file is one line, and SIGTERM still ends it.
+// Guards against a fault in which SIGHUP ended the process. SIGHUP reads the file again, and its discovery address
+// then overrides the environment's. An invalid file is logged on one line, and SIGTERM still ends the process.
 func TestSignals(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	put := func(text string) {
-		whole := path + ".new"
-		if err := os.WriteFile(whole, []byte(text), 0o600); err != nil {
+		temp := path + ".new"
+		if err := os.WriteFile(temp, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.Rename(whole, path); err != nil {
+		if err := os.Rename(temp, path); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -74,8 +74,8 @@
 		}
 		return string(data)
 	}
-	first, atFirst := watched(t)
-	second, atSecond := watched(t)
+	first, atFirst := scriptedDiscovery(t)
+	second, atSecond := scriptedDiscovery(t)
 	put(config("127.0.0.1:1"))
 	self, err := os.Executable()
 	if err != nil {
@@ -112,12 +112,12 @@
 	for !strings.Contains(wait(t, lines, "a line on the bad file"), "not reloaded") {
 	}
 	put(config(second))
-	for range 5 { // as quick as they come
+	for range 5 { // in quick succession
 		send(syscall.SIGHUP)
 	}
 	wait(t, atSecond, "the watch at the new address")
 	send(syscall.SIGTERM)
-	send(syscall.SIGHUP) // what comes then changes nothing
+	send(syscall.SIGHUP) // signals after SIGTERM have no effect
 	send(syscall.SIGTERM)
 	wait(t, ended, "the end")
 	if result != nil {
@@ -125,7 +125,7 @@
 	}
 }
 
-// The daemon links nothing that tests and rehearsals are made of.
+// The daemon must not link packages for tests and rehearsals.
 func TestLinksNoStandIn(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", ".").Output()
 	if err != nil {
@@ -138,7 +138,7 @@
 	}
 }
 
-// What the command line and a file of the operator's lead to, without a start.
+// Command lines and operator files that do not start the proxy: exit code, output and error.
 func TestCommandLine(t *testing.T) {
 	file := func(text string) string {
 		path := filepath.Join(t.TempDir(), "marlreel.toml")
@@ -158,16 +158,16 @@
 		code     int
 		out, err string
 	}{
-		"help":             {[]string{"-h"}, "", 0, "marlreel --check --config", ""},
-		"version":          {[]string{"--version"}, "", 0, "marlreel", ""},
-		"an unknown flag":  {[]string{"--confg", "x"}, "", 2, "", "-confg"},
-		"a word too many":  {[]string{"serve"}, "", 2, "", "no words"},
-		"check of nothing": {[]string{"--check"}, "", 2, "", "--config FILE"},
-		"a good file":      {[]string{"--check", "--config", file(rpc)}, "", 0, "is good", ""},
-		"good for both":    {[]string{"--check", "--config", file(rpc)}, platform, 0, "is good", ""},
-		"an unknown key":   {[]string{"--check", "--config", file("[rpc]\nlisen = 1\n")}, "", 1, "", "did you mean listen?"},
-		"an unknown class": {[]string{"--check", "--config", file(strings.Replace(rpc, "lot-list", "lot-lists", 1))}, platform, 1, "", "did you mean lot-list?"},
-		"no platform":      {nil, "", 1, "", "NODE_CONFIG is not set"},
+		"help":              {[]string{"-h"}, "", 0, "marlreel --check --config", ""},
+		"version":           {[]string{"--version"}, "", 0, "marlreel", ""},
+		"an unknown flag":   {[]string{"--confg", "x"}, "", 2, "", "-confg"},
+		"an extra argument": {[]string{"serve"}, "", 2, "", "unexpected argument"},
+		"check of nothing":  {[]string{"--check"}, "", 2, "", "--config FILE"},
+		"a good file":       {[]string{"--check", "--config", file(rpc)}, "", 0, "is valid", ""},
+		"good for both":     {[]string{"--check", "--config", file(rpc)}, platform, 0, "is valid", ""},
+		"an unknown key":    {[]string{"--check", "--config", file("[rpc]\nlisen = 1\n")}, "", 1, "", "did you mean listen?"},
+		"an unknown class":  {[]string{"--check", "--config", file(strings.Replace(rpc, "lot-list", "lot-lists", 1))}, platform, 1, "", "did you mean lot-list?"},
+		"no platform":       {nil, "", 1, "", "NODE_CONFIG is not set"},
 	} {
 		t.Setenv("NODE_CONFIG", c.platform)
 		var out, errs strings.Builder
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -22,23 +22,23 @@
 	"marlreel/internal/fleet/agree"
 )
 
-// member puts the proxy's parts and its fleet together: rules and their lease for the engine, lists for the fleet
-// and what others were told of them for the lists.
+// member connects the proxy to its fleet. It passes the fleet's settings and their lease to the engine, and exchanges
+// drains and removals of backends between this proxy's list and the other members.
 type member struct {
-	parts *parts
-	cfg   *config.Platform // of the start: what is this proxy's own
-	lease *engine.Lease
-	fleet *fleet.Fleet
-	lists *overlay
-	trace *trace
-	ruled atomic.Pointer[fleet.Settings]
+	parts    *parts
+	cfg      *config.Platform // as read at the start, for what applies to this proxy alone
+	lease    *engine.Lease
+	fleet    *fleet.Fleet
+	lists    *overlay
+	trace    *trace
+	settings atomic.Pointer[fleet.Settings]
 }
 
-// enlist makes a proxy a member of its fleet. Nothing runs yet; the engine goes by the strict rules of the file
-// until the fleet is heard.
-func (p *parts) enlist(cfg *config.Platform, own *config.Operator, log *slog.Logger) (*member, error) {
+// joinFleet makes a proxy a member of its fleet. The engine does not run yet. It uses the settings that
+// fleet.InitialSettings derives from the file until the fleet sends others.
+func (p *parts) joinFleet(cfg *config.Platform, own *config.Operator, log *slog.Logger) (*member, error) {
 	m := &member{parts: p, cfg: cfg, lease: &engine.Lease{Clock: fleet.Now}}
-	m.lists = &overlay{Engine: p.engine, own: map[string]engine.Entry{}, held: map[string]bool{}, told: func(l agree.Lists, ends []agree.End) { m.fleet.ReportMembership(l, ends) }}
+	m.lists = &overlay{Engine: p.engine, own: map[string]engine.Entry{}, drained: map[string]bool{}, report: func(l agree.Lists, ends []agree.End) { m.fleet.ReportMembership(l, ends) }}
 	p.engine.SetLease(m.lease)
 	if own.Fleet.Trace != "" {
 		var err error
@@ -66,12 +66,12 @@
 	m.parts.engine.Post(func() {
 		err := m.parts.engine.ReconfigureLeased(r.InForce, r.WithoutLease)
 		if err == nil {
-			m.ruled.Store(&r)
+			m.settings.Store(&r)
 			if m.parts.counts != nil {
 				m.parts.counts.SetClasses(m.parts.engine.Settings().Classes)
 			}
 			if m.trace != nil {
-				m.trace.rule(r)
+				m.trace.writeSettings(r)
 			}
 		}
 		done(err)
@@ -89,9 +89,9 @@
 // StateChanged implements fleet.Host.
 func (m *member) StateChanged(s *agree.State) {
 	m.parts.engine.Post(func() {
-		m.lists.tell(s)
+		m.lists.applyState(s)
 		if m.trace != nil && len(s.Ends) > 0 {
-			m.trace.line(traceEnds{time.Now().UnixNano(), s.Ends})
+			m.trace.write(traceEnds{time.Now().UnixNano(), s.Ends})
 		}
 	})
 }
@@ -110,22 +110,22 @@
 	})
 }
 
-// propose puts the file's settings to the fleet, and says what came of it.
-func (m *member) propose(next *config.Platform, log *slog.Logger, taken func(bool)) {
+// propose proposes the file's settings to the fleet, logs the result, and calls done with it.
+func (m *member) propose(next *config.Platform, log *slog.Logger, done func(bool)) {
 	text, err := next.SharedSettings()
 	if err == nil {
 		var r agree.Result
 		if r, err = m.fleet.ProposeFile(context.Background(), text); err == nil {
-			log.Info("the file is the fleet's", "event", "fleet-file", "version", r.Version, "same", r.Same, "by", r.By)
+			log.Info("the fleet accepted the settings of the file", "event", "fleet-file", "version", r.Version, "same", r.Same, "by", r.By)
 		}
 	}
 	if err != nil {
 		log.Warn("not reloaded: "+err.Error(), "event", "fleet-file-refused", "do", actionable.AdviceFor(err))
 	}
-	taken(err == nil)
+	done(err == nil)
 }
 
-// status is what the door says of the fleet.
+// status answers /control/fleet with the fleet's status as JSON.
 func (m *member) status() (int, []byte) {
 	body, err := json.MarshalIndent(m.fleet.Status(), "", " ")
 	if err != nil {
@@ -134,9 +134,10 @@
 	return http.StatusOK, append(body, '\n')
 }
 
-// longest is how long a client may wait by the rules in force, or by the file's.
-func (m *member) longest(cfg *config.Platform) *config.Platform {
-	r := m.ruled.Load()
+// withSettingsInForce returns cfg with the settings that the fleet has in force, or cfg itself if there are none. The
+// drain takes its timeouts from it.
+func (m *member) withSettingsInForce(cfg *config.Platform) *config.Platform {
+	r := m.settings.Load()
 	if r == nil {
 		return cfg
 	}
@@ -145,34 +146,34 @@
 	return &next
 }
 
-// overlay stands between the lists' sources and the engine: it tells the fleet what this proxy was told, and keeps
-// new work from backends that drain or have gone by what others were told later than this proxy's list. The engine's
-// goroutine owns it.
+// overlay sits between the sources of the backend list and the engine. It reports this proxy's list to the fleet, and
+// drains backends whose drain or removal other members have seen at a later revision than that of this proxy's list.
+// The engine's goroutine owns it.
 type overlay struct {
 	*engine.Engine
-	origin   func() (source string, revision int64, there bool) // of the list in force, where there is a registry
-	told     func(agree.Lists, []agree.End)
-	own      map[string]engine.Entry // as this proxy's own source has it
-	held     map[string]bool         // kept from getting new work by others' word
+	origin   func() (source string, revision int64, ok bool) // of the list in force; nil without a registry
+	report   func(agree.Lists, []agree.End)
+	own      map[string]engine.Entry // the list of this proxy's own source
+	drained  map[string]bool         // ready in own, but drained because other members saw its end
 	source   string
 	revision int64
 	version  uint32
 	state    *agree.State
 }
 
-// begin notes the list of the start, which the engine has already.
-func (o *overlay) begin(l engine.Membership) {
+// setInitial stores the initial list, which the engine already has.
+func (o *overlay) setInitial(l engine.Membership) {
 	o.source, o.revision = "platform", int64(l.Version)
 	for _, e := range l.Entries {
 		o.own[e.Name] = e
 	}
 }
 
-// ApplyMembership takes a list from its source.
+// ApplyMembership takes a list from its source, passes it to the engine and reports it to the fleet.
 func (o *overlay) ApplyMembership(l engine.Membership) {
 	source, revision := "platform", int64(l.Version)
 	if o.origin != nil {
-		if s, r, there := o.origin(); there {
+		if s, r, ok := o.origin(); ok {
 			source, revision = s, r
 		}
 	}
@@ -187,71 +188,72 @@
 		o.own = make(map[string]engine.Entry, len(l.Entries))
 	}
 	for _, e := range l.Entries {
-		before, there := was[e.Name]
-		if e.State != balancer.Ready && (!there || before.State != e.State) {
+		before, ok := was[e.Name]
+		if e.State != balancer.Ready && (!ok || before.State != e.State) {
 			end(e.Name, e.State == balancer.Gone)
 		}
 		if e.State == balancer.Gone {
 			delete(o.own, e.Name)
-			delete(o.held, e.Name)
+			delete(o.drained, e.Name)
 			continue
 		}
 		o.own[e.Name] = e
 	}
 	if l.Kind == balancer.MembershipFull && same {
 		for name := range was {
-			if _, there := o.own[name]; !there {
+			if _, ok := o.own[name]; !ok {
 				end(name, true)
-				delete(o.held, name)
+				delete(o.drained, name)
 			}
 		}
 	}
 	l.Entries = slices.Clone(l.Entries)
 	for i := range l.Entries {
-		if e := &l.Entries[i]; e.State == balancer.Ready && o.ended(e.Name) {
+		if e := &l.Entries[i]; e.State == balancer.Ready && o.endedElsewhere(e.Name) {
 			e.State = balancer.Draining
-			o.held[e.Name] = true
+			o.drained[e.Name] = true
 		}
 	}
 	o.Engine.ApplyMembership(l)
-	o.settle()
+	o.reconcile()
 	if l.Kind != balancer.MembershipCached {
-		o.told(o.summary(), ends)
+		o.report(o.summary(), ends)
 	}
 }
 
-// ended tells whether others were told the end of a backend later than this proxy's list.
-func (o *overlay) ended(name string) bool {
+// endedElsewhere reports whether other members saw a backend's drain or removal at a later revision than that of this
+// proxy's list.
+func (o *overlay) endedElsewhere(name string) bool {
 	if o.state == nil {
 		return false
 	}
-	e, there := o.state.End(o.source, name)
-	return there && e.Revision > o.revision
+	e, ok := o.state.End(o.source, name)
+	return ok && e.Revision > o.revision
 }
 
-// tell takes what others were told.
-func (o *overlay) tell(s *agree.State) {
+// applyState takes the fleet's state, with the drains and removals that other members saw.
+func (o *overlay) applyState(s *agree.State) {
 	o.state = s
-	o.settle()
+	o.reconcile()
 }
 
-// settle lets the engine have each backend as both this proxy's list and the others' word say.
-func (o *overlay) settle() {
+// reconcile drains backends that ended elsewhere, and makes ready again those whose end this proxy's list has overtaken.
+func (o *overlay) reconcile() {
 	var changed []engine.Entry
 	if o.state != nil {
 		for _, x := range o.state.Ends {
-			if e, there := o.own[x.Name]; there && x.Source == o.source && e.State == balancer.Ready && !o.held[x.Name] && x.Revision > o.revision {
-				o.held[x.Name] = true
+			if e, ok := o.own[x.Name]; ok && x.Source == o.source && e.State == balancer.Ready && !o.drained[x.Name] && x.Revision > o.revision {
+				o.drained[x.Name] = true
 				e.State = balancer.Draining
 				changed = append(changed, e)
 			}
 		}
 	}
-	for name := range o.held {
-		if e, there := o.own[name]; !there {
-			delete(o.held, name)
-		} else if !o.ended(name) { // this proxy's own list is as new as that word
-			delete(o.held, name)
+	for name := range o.drained {
+		if e, ok := o.own[name]; !ok {
+			delete(o.drained, name)
+		} else if !o.endedElsewhere(name) { // this proxy's own list is at least as new as that end
+			delete(o.drained, name)
 			changed = append(changed, e)
 		}
 	}
@@ -261,14 +263,14 @@
 	}
 }
 
-// summary is the list in short: two proxies that have the same one have the same summary.
+// summary returns a digest of the list: proxies with the same list have the same summary.
 func (o *overlay) summary() agree.Lists {
 	l := agree.Lists{Source: o.source, Revision: o.revision, Count: len(o.own)}
 	for name, e := range o.own {
 		if e.State == balancer.Ready {
 			f := fnv.New64a()
 			_, _ = io.WriteString(f, name)
-			l.Hash ^= f.Sum64() >> 11 // JSON's numbers are exact up to 53 bits
+			l.Hash ^= f.Sum64() >> 11 // JSON numbers are exact up to 53 bits
 		}
 	}
 	return l
@@ -276,7 +278,7 @@
 
 var _ sources.Host = (*overlay)(nil)
 
-// trace writes down each attempt with the rules that it went by, for who checks them from outside.
+// trace writes each attempt to a file with the settings it was made under, so that an external auditor can check them.
 type trace struct {
 	file   *os.File
 	member *member
@@ -290,7 +292,7 @@
 	return &trace{file: f, member: m}, nil
 }
 
-type traceRule struct {
+type traceSettings struct {
 	At       int64    `json:"at"` // Unix nanoseconds
 	Seq      uint64   `json:"seq"`
 	Versions []uint64 `json:"versions"`
@@ -301,7 +303,7 @@
 	Ends []agree.End `json:"ends"`
 }
 
-type traceAct struct {
+type traceAttempt struct {
 	At      int64  `json:"at"`
 	ID      string `json:"id"`
 	Class   string `json:"class"`
@@ -311,27 +313,27 @@
 	Strict  bool   `json:"strict"`
 }
 
-// line writes a line at once: a process that is killed has said what it did.
-func (t *trace) line(v any) {
+// write writes a line without buffering, so that nothing is lost if the process is killed.
+func (t *trace) write(v any) {
 	if text, err := json.Marshal(v); err == nil {
 		_, _ = t.file.Write(append(text, '\n'))
 	}
 }
 
-func (t *trace) rule(r fleet.Settings) {
-	t.line(traceRule{time.Now().UnixNano(), r.Sequence, r.Versions})
+func (t *trace) writeSettings(r fleet.Settings) {
+	t.write(traceSettings{time.Now().UnixNano(), r.Sequence, r.Versions})
 }
 
 // OnAttemptStarted implements engine.Observer.
 func (t *trace) OnAttemptStarted(_ time.Duration, a *engine.Attempt) {
-	act := traceAct{At: time.Now().UnixNano(), ID: a.Call.ClientRequestID, Attempt: a.Index, Node: a.Backend.Name, Strict: t.member.lease.Expired()}
+	act := traceAttempt{At: time.Now().UnixNano(), ID: a.Call.ClientRequestID, Attempt: a.Index, Node: a.Backend.Name, Strict: t.member.lease.Expired()}
 	if s := t.member.parts.engine.Settings(); a.Call.Class < len(s.Classes) {
 		act.Class = s.Classes[a.Call.Class].Name
 	}
-	if r := t.member.ruled.Load(); r != nil {
+	if r := t.member.settings.Load(); r != nil {
 		act.Seq = r.Sequence
 	}
-	t.line(act)
+	t.write(act)
 }
 
 func (t *trace) OnCallAccepted(time.Duration, *engine.Call)                                   {}
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -12,16 +12,16 @@
 	"marlreel/internal/discovery/sources"
 )
 
-// Reload is what a signal to read the configuration again came to.
+// Reload is the result of reading the configuration again after a signal.
 type Reload struct {
 	Config *config.Platform
-	Own    *config.Operator // nil: as it was
-	Err    error            // why the files can't be used; Config is nil then
+	Own    *config.Operator // nil if unchanged
+	Err    error            // why the files can't be used; Config is then nil
 }
 
-// Reloads reads the configuration again at each signal, and what the operator sets beside it (ownPath; "" is
-// nothing), and hands on what it finds, good or bad. The environment's address of discovery is the one of the
-// start: from the first signal on the file's goes before it.
+// Reloads reads the configuration and the operator's file (ownPath; "" if there is none) again at each signal, and sends
+// the result, valid or not. The discovery address from the environment applies only at the start: after a signal the
+// address in the file takes precedence.
 func Reloads(ctx context.Context, signals <-chan os.Signal, path, ownPath string, getenv func(string) string) <-chan Reload {
 	found := make(chan Reload)
 	fileFirst := func(name string) string {
@@ -55,8 +55,8 @@
 	return found
 }
 
-// reload puts a new configuration in force, whole, or says in one line why not. cfg and own are those in
-// force; what it gives is that from now on.
+// reload applies a new configuration completely, or logs one line that says why not. cfg and own are those in
+// force; it returns those in force afterwards.
 func (p *parts) reload(cfg *config.Platform, own *config.Operator, next Reload, logger *slog.Logger) (*config.Platform, *config.Operator) {
 	err := next.Err
 	if err == nil {
@@ -66,52 +66,52 @@
 		err = sources.CheckRegistry(next.Own.Registry)
 	}
 	if err == nil && next.Own != nil && !reflect.DeepEqual(own.Fleet, next.Own.Fleet) {
-		logger.Info("reloaded: what has changed of fleet counts at the next start", "event", "settings-later")
+		logger.Info("reloaded: changes to [fleet] take effect at the next start", "event", "settings-later")
 	}
 	if err == nil {
 		done := make(chan error, 1)
-		p.engine.Post(func() { done <- p.retune(next) })
+		p.engine.Post(func() { done <- p.applyReload(next) })
 		select {
 		case err = <-done:
 		case <-p.engine.Done():
 			return cfg, own
 		}
 	}
-	// The line comes before the figure: whoever waits for the figure finds the line.
-	taken := func(yes bool) {
+	// The line is logged before the metric changes, so that whoever waits for the metric finds the line.
+	record := func(applied bool) {
 		if p.counts != nil {
-			p.counts.RecordSettings(yes)
+			p.counts.RecordSettings(applied)
 		}
 	}
 	if err != nil {
 		logger.Warn("not reloaded: "+err.Error(), "event", "settings-refused", "do", actionable.AdviceFor(err))
-		taken(false)
+		record(false)
 		return cfg, own
 	}
-	if p.member != nil { // the settings are the fleet's to decide
-		logger.Info("reloaded: the settings are put to the fleet", "event", "settings-proposed")
-		go p.member.propose(next.Config, logger, taken)
+	if p.member != nil { // the fleet decides on the settings
+		logger.Info("reloaded: the settings are proposed to the fleet", "event", "settings-proposed")
+		go p.member.propose(next.Config, logger, record)
 		if next.Own == nil {
 			return next.Config, own
 		}
 		return next.Config, next.Own
 	}
-	taken(true)
+	record(true)
 	logger.Info(fmt.Sprintf("reloaded: %d classes, %d attempts", len(next.Config.Settings.Classes), next.Config.Settings.Caps.MaxAttempts), "event", "settings-taken")
 	if next.Own == nil {
 		return next.Config, own
 	}
 	if !reflect.DeepEqual(own.RPC, next.Own.RPC) {
-		logger.Info("reloaded: what has changed of rpc counts at the next start", "event", "settings-taken")
+		logger.Info("reloaded: changes to [rpc] take effect at the next start", "event", "settings-taken")
 	}
 	if own.LearnedState != next.Own.LearnedState {
-		logger.Info("reloaded: what has changed of memory counts at the next start", "event", "settings-taken")
+		logger.Info("reloaded: changes to [memory] take effect at the next start", "event", "settings-taken")
 	}
 	return next.Config, next.Own
 }
 
-// retune is the part of a reload that the engine's goroutine does.
-func (p *parts) retune(next Reload) error {
+// applyReload applies a reload on the engine's goroutine. In a fleet it leaves the settings to the fleet.
+func (p *parts) applyReload(next Reload) error {
 	if p.member == nil {
 		if err := p.engine.Reconfigure(next.Config.Settings); err != nil {
 			return fmt.Errorf("configuration: %w", err)
--- a/internal/proxy/sources_test.go
+++ b/internal/proxy/sources_test.go
@@ -23,7 +23,7 @@
 
 const nodesPrefix = "marlreel/nodes/"
 
-// kvStore is a stand-in registry, and an operator's file that names it.
+// kvStore starts a stand-in registry, and returns an operator's settings that use it.
 func kvStore(t *testing.T, kind string) (*standin.Registry, *config.Operator) {
 	t.Helper()
 	r, err := standin.StartRegistry()
@@ -37,8 +37,8 @@
 	return r, own
 }
 
-// listed is a node as the registry has it.
-func listed(t *testing.T, name, addr, state string) standin.RegistryOp {
+// registryNode returns a registry write that stores a node.
+func registryNode(t *testing.T, name, addr, state string) standin.RegistryOp {
 	t.Helper()
 	v, err := kvstore.Value{Address: addr, Zone: "koper", Kind: "mid-2c", State: state}.Encode()
 	if err != nil {
@@ -47,8 +47,8 @@
 	return standin.RegistryOp{Key: nodesPrefix + name, Value: string(v)}
 }
 
-// A daemon whose list is in a registry serves from it, follows it, and never asks more of a platform that has
-// no list; what drains gets nothing new, and what stays keeps its connections.
+// A proxy whose list is in a registry serves from it and follows its changes without a list from the platform.
+// Draining nodes get no new requests, and nodes that stay keep their connections.
 func TestServedFromARegistry(t *testing.T) {
 	t.Parallel()
 	for _, kind := range []string{"etcd", "consul"} {
@@ -56,26 +56,26 @@
 			t.Parallel()
 			r, own := kvStore(t, kind)
 			kept, conns := testutil.Counting(t, "kept")
-			r.Txn(listed(t, "s-1", kept, "ready"))
+			r.Txn(registryNode(t, "s-1", kept, "ready"))
 			p := startWith(t, testConfig(t, closedAddr(t)), own)
 			servedBy(t, p, "kept")
 			before := conns.Load()
 			other := named(t, "other")
-			r.Txn(listed(t, "s-1", kept, "draining"), listed(t, "s-2", other, "ready"))
+			r.Txn(registryNode(t, "s-1", kept, "draining"), registryNode(t, "s-2", other, "ready"))
 			servedBy(t, p, "other")
-			r.Txn(listed(t, "s-1", kept, "ready"), standin.RegistryOp{Key: nodesPrefix + "s-2", Delete: true})
+			r.Txn(registryNode(t, "s-1", kept, "ready"), standin.RegistryOp{Key: nodesPrefix + "s-2", Delete: true})
 			servedBy(t, p, "kept")
 			r.CloseWatches()
 			r.Compact(r.Revision())
 			third := named(t, "third")
-			r.Txn(listed(t, "s-1", third, "ready")) // the same name at another address
+			r.Txn(registryNode(t, "s-1", third, "ready")) // the same name at another address
 			servedBy(t, p, "third")
 			if n := conns.Load() - before; n > 2 {
-				t.Errorf("%d new connections to a node that stayed, but for one drain", n)
+				t.Errorf("%d new connections to a node that stayed except for one drain", n)
 			}
-			// One value that can't be read, one in a zone that the settings don't have: the others are as they were.
-			r.Txn(standin.RegistryOp{Key: nodesPrefix + "s-8", Value: "{"}, standin.RegistryOp{Key: nodesPrefix + "s-9", Value: strings.Replace(listed(t, "x", kept, "ready").Value, "koper", "triglav", 1)})
-			eventually(t, "a word on both", func() bool {
+			// An invalid value and one with an unknown zone don't affect the other entries.
+			r.Txn(standin.RegistryOp{Key: nodesPrefix + "s-8", Value: "{"}, standin.RegistryOp{Key: nodesPrefix + "s-9", Value: strings.Replace(registryNode(t, "x", kept, "ready").Value, "koper", "triglav", 1)})
+			eventually(t, "a log line about both", func() bool {
 				log := p.log.String()
 				return strings.Contains(log, "entry s-8 can't be read (no JSON") && strings.Contains(log, `unknown zone "triglav"`)
 			})
@@ -84,12 +84,12 @@
 	}
 }
 
-// A daemon that starts with its old list alone, registry and platform down, serves from it, and goes on with
-// the new list when there is one.
+// A proxy that starts while registry and platform are down serves from its old list, and switches to the
+// registry's list once it is reachable.
 func TestOldListWithoutARegistry(t *testing.T) {
 	t.Parallel()
 	r, own := kvStore(t, "etcd")
-	r.Txn(listed(t, "s-1", named(t, "new"), "ready"))
+	r.Txn(registryNode(t, "s-1", named(t, "new"), "ready"))
 	r.Cut(true)
 	p := startWith(t, testConfig(t, closedAddr(t), ready("s-0", named(t, "old"))), own)
 	servedBy(t, p, "old")
@@ -97,12 +97,12 @@
 	servedBy(t, p, "new")
 }
 
-// Most of the list is lost at once: it is served on, said loudly, and goes when an operator confirms it in the
-// registry.
+// If most entries disappear from the registry at once, the proxy keeps using them and logs a warning, until an operator
+// confirms the loss in the registry.
 func TestMostOfTheListIsLost(t *testing.T) {
 	t.Parallel()
 	r, own := kvStore(t, "etcd")
-	r.Txn(listed(t, "s-1", named(t, "one"), "ready"), listed(t, "s-2", named(t, "one"), "ready"), listed(t, "s-3", named(t, "one"), "ready"))
+	r.Txn(registryNode(t, "s-1", named(t, "one"), "ready"), registryNode(t, "s-2", named(t, "one"), "ready"), registryNode(t, "s-3", named(t, "one"), "ready"))
 	cfg := testConfig(t, closedAddr(t))
 	cfg.ControlAddress = "127.0.0.1:0"
 	p := startWith(t, cfg, own)
@@ -110,7 +110,7 @@
 	r.Txn(standin.RegistryOp{Key: nodesPrefix + "s-1", Delete: true}, standin.RegistryOp{Key: nodesPrefix + "s-2", Delete: true}, standin.RegistryOp{Key: nodesPrefix + "s-3", Delete: true})
 	eventually(t, "the warning", func() bool { return strings.Contains(p.log.String(), "WARNING: the list lost most of its entries") })
 	servedBy(t, p, "one")
-	eventually(t, "the door's word on it", func() bool {
+	eventually(t, "the status at the control address", func() bool {
 		resp, err := http.Get("http://" + p.control + "/control/discovery")
 		if err != nil {
 			return false
@@ -119,17 +119,17 @@
 		var s membership.Status
 		return json.NewDecoder(resp.Body).Decode(&s) == nil && s.Source == "registry" && len(s.Retained) == 3 && s.Entries == 3
 	})
-	r.Txn(listed(t, "s-4", named(t, "two"), "ready"), standin.RegistryOp{Key: nodesPrefix + "_confirm", Value: "{}"})
+	r.Txn(registryNode(t, "s-4", named(t, "two"), "ready"), standin.RegistryOp{Key: nodesPrefix + "_confirm", Value: "{}"})
 	eventually(t, "the confirmation", func() bool { return strings.Contains(p.log.String(), "an operator confirmed the list: 1 entries") })
 	servedBy(t, p, "two")
 }
 
-// From the platform's list to the registry's by SIGHUP, and back; a registry that is lost for long gives way
-// to the platform.
+// Switches from the platform's list to the registry's by SIGHUP, and back. If the registry is unreachable for longer
+// than its timeout, the platform's list is used.
 func TestMovesToTheRegistryAndBack(t *testing.T) {
 	t.Parallel()
 	r, own := kvStore(t, "etcd")
-	r.Txn(listed(t, "s-1", named(t, "registry"), "ready"))
+	r.Txn(registryNode(t, "s-1", named(t, "registry"), "ready"))
 	g := newRegistry(t)
 	cfg := testConfig(t, g.Addr, ready("s-0", named(t, "known")))
 	p := start(t, cfg)
@@ -138,7 +138,7 @@
 	servedBy(t, p, "platform")
 	p.reloads <- Reload{Config: cfg, Own: own}
 	servedBy(t, p, "registry")
-	// The platform goes on telling; it counts only when the registry has been lost for its patience.
+	// The platform still sends lists, but they are used only after the registry has been lost for LossTimeout.
 	w.Lines <- line(t, 5, false, ready("s-0", named(t, "platform now")))
 	servedBy(t, p, "registry")
 	r.Cut(true)
@@ -148,7 +148,7 @@
 	servedBy(t, p, "registry")
 	p.reloads <- Reload{Config: cfg, Own: config.DefaultOperator()}
 	servedBy(t, p, "platform now")
-	r.Txn(listed(t, "s-1", named(t, "nobody's"), "ready"))
+	r.Txn(registryNode(t, "s-1", named(t, "nobody's"), "ready"))
 	w.Lines <- line(t, 6, false, ready("s-0", named(t, "platform at last")))
 	servedBy(t, p, "platform at last")
 	bad := config.DefaultOperator()
@@ -159,28 +159,28 @@
 	})
 }
 
-// The door's figures, a drain and five thousand nodes: the list is one event for the engine.
+// A registry list of 3,001 nodes, of which 3,000 drain, is taken completely and shows in the metrics.
 func TestALargeRegistry(t *testing.T) {
 	t.Parallel()
 	r, own := kvStore(t, "etcd")
 	one := named(t, "one")
 	var ops []standin.RegistryOp
 	for i := range 3000 {
-		ops = append(ops, listed(t, fmt.Sprint("far-", i), fmt.Sprintf("127.0.0.2:%d", 1000+i), "draining"))
+		ops = append(ops, registryNode(t, fmt.Sprint("far-", i), fmt.Sprintf("127.0.0.2:%d", 1000+i), "draining"))
 	}
-	r.Txn(append(ops, listed(t, "s-1", one, "ready"))...)
+	r.Txn(append(ops, registryNode(t, "s-1", one, "ready"))...)
 	cfg := testConfig(t, closedAddr(t))
 	cfg.ControlAddress = "127.0.0.1:0"
 	p := startWith(t, cfg, own)
 	servedBy(t, p, "one")
-	eventually(t, "all in the figures", func() bool { return figure(t, p, "discovered") == "3001|g" })
+	eventually(t, "all nodes in the metrics", func() bool { return metric(t, p, "discovered") == "3001|g" })
 }
 
-// What following a registry costs: MARLREEL_MEASURE=1 go test -v -run TestMeasureRegistry ./internal/proxy
-// prints the figures of docs/design/registry.md.
+// Measures the cost of following a registry. MARLREEL_MEASURE=1 go test -v -run TestMeasureRegistry ./internal/proxy
+// prints the figures for docs/design/registry.md.
 func TestMeasureRegistry(t *testing.T) {
 	if os.Getenv("MARLREEL_MEASURE") == "" {
-		t.Skip("a measurement: MARLREEL_MEASURE=1 asks for it")
+		t.Skip("a measurement; set MARLREEL_MEASURE=1 to run it")
 	}
 	for _, kind := range []string{"etcd", "consul"} {
 		for _, n := range []int{12, 5000} {
@@ -188,7 +188,7 @@
 				r, own := kvStore(t, kind)
 				var ops []standin.RegistryOp
 				for i := range n {
-					ops = append(ops, listed(t, fmt.Sprint("s-", i), fmt.Sprintf("127.0.0.2:%d", 1000+i), "ready"))
+					ops = append(ops, registryNode(t, fmt.Sprint("s-", i), fmt.Sprintf("127.0.0.2:%d", 1000+i), "ready"))
 				}
 				r.Txn(ops...)
 				p, err := assemble(testConfig(t, closedAddr(t)), own, nil, logs.Discard())
@@ -222,7 +222,7 @@
 				for ; time.Since(began) < 4*time.Second; changes++ {
 					addr := fmt.Sprintf("127.0.0.3:%d", 1000+changes)
 					at := time.Now()
-					r.Txn(listed(t, "s-0", addr, "ready"))
+					r.Txn(registryNode(t, "s-0", addr, "ready"))
 					for {
 						if _, there := size(addr); there || time.Since(at) > 2*time.Second {
 							break
