--- a/internal/api/compatibility_test.go
+++ b/internal/api/compatibility_test.go
@@ -27,27 +27,27 @@
 // schema numbers the messages in the order in which the services lead to them. Names of
 // messages and fields are not on the wire, so they are not used.
 type schema struct {
-	number   map[protoreflect.FullName]int
+	index    map[protoreflect.FullName]int
 	messages []protoreflect.MessageDescriptor
-	// roles say where a message is met first.
-	roles []string
+	// firstUses say where a message is met first.
+	firstUses []string
 }
 
-func (s *schema) visit(message protoreflect.MessageDescriptor, role string) {
-	if _, seen := s.number[message.FullName()]; seen {
+func (s *schema) visit(message protoreflect.MessageDescriptor, firstUse string) {
+	if _, seen := s.index[message.FullName()]; seen {
 		return
 	}
-	s.number[message.FullName()] = len(s.messages)
+	s.index[message.FullName()] = len(s.messages)
 	s.messages = append(s.messages, message)
-	s.roles = append(s.roles, role)
-	for _, field := range byNumber(message) {
+	s.firstUses = append(s.firstUses, firstUse)
+	for _, field := range fieldsByNumber(message) {
 		if field.Message() != nil {
-			s.visit(field.Message(), fmt.Sprintf("%s.%d", role, field.Number()))
+			s.visit(field.Message(), fmt.Sprintf("%s.%d", firstUse, field.Number()))
 		}
 	}
 }
 
-func byNumber(message protoreflect.MessageDescriptor) []protoreflect.FieldDescriptor {
+func fieldsByNumber(message protoreflect.MessageDescriptor) []protoreflect.FieldDescriptor {
 	var fields []protoreflect.FieldDescriptor
 	for i := range message.Fields().Len() {
 		fields = append(fields, message.Fields().Get(i))
@@ -75,7 +75,7 @@
 }
 
 func newSchema(file protoreflect.FileDescriptor) *schema {
-	s := &schema{number: map[protoreflect.FullName]int{}}
+	s := &schema{index: map[protoreflect.FullName]int{}}
 	for _, method := range methods(file) {
 		s.visit(method.Input(), methodPath(method)+" request")
 		s.visit(method.Output(), methodPath(method)+" reply")
@@ -87,10 +87,10 @@
 	return s
 }
 
-func (s *schema) fieldText(field protoreflect.FieldDescriptor) string {
+func (s *schema) describeField(field protoreflect.FieldDescriptor) string {
 	kind := field.Kind().String()
 	if field.Message() != nil {
-		kind = fmt.Sprintf("message %d", s.number[field.Message().FullName()])
+		kind = fmt.Sprintf("message %d", s.index[field.Message().FullName()])
 	}
 	text := fmt.Sprintf("  %d %s %s", field.Number(), field.Cardinality(), kind)
 	if field.IsMap() {
@@ -108,23 +108,23 @@
 }
 
 func TestCompatibilityOfSchema(t *testing.T) {
-	recorded.Check(t, "schema.txt", schemaText(File_system_proto))
-	recorded.Check(t, "schema-tenantquota.txt", schemaText(File_tenantquota_proto))
+	recorded.Check(t, "schema.txt", describeSchema(File_system_proto))
+	recorded.Check(t, "schema-tenantquota.txt", describeSchema(File_tenantquota_proto))
 }
 
-// schemaText words what the services and messages of a file are on the wire.
-func schemaText(file protoreflect.FileDescriptor) string {
+// describeSchema words what the services and messages of a file are on the wire.
+func describeSchema(file protoreflect.FileDescriptor) string {
 	s := newSchema(file)
 	var out strings.Builder
 	for _, method := range methods(file) {
 		fmt.Fprintf(&out, "%s: message %d -> message %d, streams %t %t\n", methodPath(method),
-			s.number[method.Input().FullName()], s.number[method.Output().FullName()],
+			s.index[method.Input().FullName()], s.index[method.Output().FullName()],
 			method.IsStreamingClient(), method.IsStreamingServer())
 	}
 	for i, message := range s.messages {
-		fmt.Fprintf(&out, "message %d: %s\n", i, s.roles[i])
-		for _, field := range byNumber(message) {
-			fmt.Fprintln(&out, s.fieldText(field))
+		fmt.Fprintf(&out, "message %d: %s\n", i, s.firstUses[i])
+		for _, field := range fieldsByNumber(message) {
+			fmt.Fprintln(&out, s.describeField(field))
 		}
 		for j := range message.ReservedRanges().Len() {
 			fmt.Fprintf(&out, "  reserved %v\n", message.ReservedRanges().Get(j))
@@ -149,11 +149,11 @@
 }
 
 // fill sets all fields of a message; of a oneof, the field that choose names.
-func (s *sampler) fill(message protoreflect.Message, choose protoreflect.FieldNumber) {
-	for _, field := range byNumber(message.Descriptor()) {
+func (s *sampler) fill(message protoreflect.Message, oneofField protoreflect.FieldNumber) {
+	for _, field := range fieldsByNumber(message.Descriptor()) {
 		oneof := field.ContainingOneof()
 		if oneof != nil && !oneof.IsSynthetic() {
-			chosen := choose
+			chosen := oneofField
 			if chosen == 0 {
 				chosen = oneof.Fields().Get(0).Number()
 			}
@@ -172,10 +172,10 @@
 	}
 }
 
-func (s *sampler) value(field protoreflect.FieldDescriptor, empty func() protoreflect.Value) protoreflect.Value {
+func (s *sampler) value(field protoreflect.FieldDescriptor, newValue func() protoreflect.Value) protoreflect.Value {
 	switch field.Kind() {
 	case protoreflect.MessageKind:
-		value := empty()
+		value := newValue()
 		s.fill(value.Message(), 0)
 		return value
 	case protoreflect.BoolKind:
@@ -194,10 +194,10 @@
 	panic("no sample for " + field.Kind().String())
 }
 
-// content words what a message holds, by numbers of fields.
-func content(message protoreflect.Message, indent string) string {
+// describeContent words what a message holds, by numbers of fields.
+func describeContent(message protoreflect.Message, indent string) string {
 	var out strings.Builder
-	for _, field := range byNumber(message.Descriptor()) {
+	for _, field := range fieldsByNumber(message.Descriptor()) {
 		if !message.Has(field) {
 			continue
 		}
@@ -211,7 +211,7 @@
 		}
 		for _, value := range values {
 			if field.Message() != nil {
-				fmt.Fprintf(&out, "%s%d:\n%s", indent, field.Number(), content(value.Message(), indent+"  "))
+				fmt.Fprintf(&out, "%s%d:\n%s", indent, field.Number(), describeContent(value.Message(), indent+"  "))
 				continue
 			}
 			if field.Kind() == protoreflect.BytesKind {
@@ -229,9 +229,9 @@
 
 // sample is a message that is to be sent, all of its fields set.
 type sample struct {
-	name   string
-	kind   protoreflect.MessageDescriptor
-	choose protoreflect.FieldNumber
+	name       string
+	descriptor protoreflect.MessageDescriptor
+	oneofField protoreflect.FieldNumber
 }
 
 // samples are one for each message, and one for each case of a oneof.
@@ -239,14 +239,14 @@
 	var all []sample
 	for i, message := range s.messages {
 		name := fmt.Sprintf("message-%02d", i)
-		plain := true
-		for _, field := range byNumber(message) {
+		noOneof := true
+		for _, field := range fieldsByNumber(message) {
 			if oneof := field.ContainingOneof(); oneof != nil && !oneof.IsSynthetic() {
-				plain = false
+				noOneof = false
 				all = append(all, sample{fmt.Sprintf("%s-case-%d", name, field.Number()), message, field.Number()})
 			}
 		}
-		if plain {
+		if noOneof {
 			all = append(all, sample{name, message, 0})
 		}
 	}
@@ -267,50 +267,50 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			sent, err := hex.DecodeString(strings.Join(strings.Fields(string(text)), ""))
+			recordedBytes, err := hex.DecodeString(strings.Join(strings.Fields(string(text)), ""))
 			if err != nil {
 				t.Fatal(err)
 			}
-			message := generated(t, sample.kind)
-			if err := proto.Unmarshal(sent, message); err != nil {
+			message := newGeneratedMessage(t, sample.descriptor)
+			if err := proto.Unmarshal(recordedBytes, message); err != nil {
 				t.Fatal(err)
 			}
-			recorded.Check(t, filepath.Join("messages", sample.name+".txt"), content(message.ProtoReflect(), ""))
-			again, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
+			recorded.Check(t, filepath.Join("messages", sample.name+".txt"), describeContent(message.ProtoReflect(), ""))
+			encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !bytes.Equal(again, sent) {
-				t.Errorf("the same content is sent as other bytes:\n got %x\nwant %x", again, sent)
+			if !bytes.Equal(encoded, recordedBytes) {
+				t.Errorf("the same content is sent as other bytes:\n got %x\nwant %x", encoded, recordedBytes)
 			}
 		})
 	}
-	recorded, err := filepath.Glob("testdata/compatibility/messages/*.hex")
+	recordedFiles, err := filepath.Glob("testdata/compatibility/messages/*.hex")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := len(newSchema(File_system_proto).samples()); len(recorded) != want {
-		t.Errorf("%d samples are recorded, and there are %d kinds of messages", len(recorded), want)
+	if want := len(newSchema(File_system_proto).samples()); len(recordedFiles) != want {
+		t.Errorf("%d samples are recorded, and there are %d kinds of messages", len(recordedFiles), want)
 	}
 }
 
-// generated makes an empty message of the type that protoc-gen-go made.
-func generated(t *testing.T, kind protoreflect.MessageDescriptor) proto.Message {
+// newGeneratedMessage makes an empty message of the type that protoc-gen-go made.
+func newGeneratedMessage(t *testing.T, descriptor protoreflect.MessageDescriptor) proto.Message {
 	t.Helper()
 	messages := File_system_proto.Messages()
 	for i := range messages.Len() {
-		if messages.Get(i).FullName() == kind.FullName() {
+		if messages.Get(i).FullName() == descriptor.FullName() {
 			return file_system_proto_msgTypes[i].New().Interface()
 		}
 	}
-	t.Fatalf("there is no message %s", kind.FullName())
+	t.Fatalf("there is no message %s", descriptor.FullName())
 	return nil
 }
 
 func writeSample(t *testing.T, path string, sample sample, seed uint64) {
 	t.Helper()
-	message := dynamicpb.NewMessage(sample.kind)
-	(&sampler{last: seed}).fill(message, sample.choose)
+	message := dynamicpb.NewMessage(sample.descriptor)
+	(&sampler{last: seed}).fill(message, sample.oneofField)
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
 		t.Fatal(err)
@@ -350,12 +350,12 @@
 		"/twirp/marlreel.system.Agent/PassDemand",
 	} {
 		t.Run(path, func(t *testing.T) {
-			served := 0
+			matching := 0
 			for _, server := range servers {
 				if !strings.HasPrefix(path, server.PathPrefix()) {
 					continue
 				}
-				served++
+				matching++
 				request := httptest.NewRequest(http.MethodPost, path, strings.NewReader("\xff"))
 				request.Header.Set("Content-Type", "application/protobuf")
 				reply := httptest.NewRecorder()
@@ -364,8 +364,8 @@
 					t.Errorf("answered %d %s", reply.Code, reply.Body)
 				}
 			}
-			if served != 1 {
-				t.Errorf("%d services have the path", served)
+			if matching != 1 {
+				t.Errorf("%d services have the path", matching)
 			}
 		})
 	}
