--- a/internal/api/compatibility_test.go
+++ b/internal/api/compatibility_test.go
@@ -19,17 +19,19 @@
 	"marlreel/internal/testing/recorded"
 )
 
-// The files under testdata/compatibility were written by the code of commit 6fb9894, with
-// WRITE_COMPATIBILITY=1. They hold what processes of that version send. They must not be
-// written anew to get a pass: a difference means that two versions can't work side by side.
+// writeCompatibility is the environment variable that makes TestCompatibilityOfMessages write
+// the sample messages. The files under testdata/compatibility were written by the code of
+// commit 6fb9894, with WRITE_COMPATIBILITY=1, and hold what processes of that version send. Never
+// regenerate them to make a test pass: a difference means that the two versions are incompatible.
 const writeCompatibility = "WRITE_COMPATIBILITY"
 
-// schema numbers the messages in the order in which the services lead to them. Names of
-// messages and fields are not on the wire, so they are not used.
+// schema numbers the messages of a .proto file in the order in which they are reached from the
+// methods of its services. The numbers stand in for the names of messages and fields, which are
+// not on the wire and may change.
 type schema struct {
 	index    map[protoreflect.FullName]int
 	messages []protoreflect.MessageDescriptor
-	// firstUses say where a message is met first.
+	// firstUses holds, for each of messages, the place where it is first reached.
 	firstUses []string
 }
 
@@ -112,7 +114,8 @@
 	recorded.Check(t, "schema-tenantquota.txt", describeSchema(File_tenantquota_proto))
 }
 
-// describeSchema words what the services and messages of a file are on the wire.
+// describeSchema returns a text form of all that affects the wire format of a file's services and
+// messages.
 func describeSchema(file protoreflect.FileDescriptor) string {
 	s := newSchema(file)
 	var out strings.Builder
@@ -140,7 +143,8 @@
 	return out.String()
 }
 
-// sampler fills messages with values that differ from field to field.
+// sampler fills messages with sample values. All values but booleans are distinct, so that swapped
+// fields are noticed.
 type sampler struct{ last uint64 }
 
 func (s *sampler) next() uint64 {
@@ -148,7 +152,8 @@
 	return s.last
 }
 
-// fill sets all fields of a message; of a oneof, the field that choose names.
+// fill sets all fields of a message. Of a oneof it sets the field with the number oneofField, or the
+// first one if that is 0.
 func (s *sampler) fill(message protoreflect.Message, oneofField protoreflect.FieldNumber) {
 	for _, field := range fieldsByNumber(message.Descriptor()) {
 		oneof := field.ContainingOneof()
@@ -191,10 +196,10 @@
 	case protoreflect.DoubleKind:
 		return protoreflect.ValueOfFloat64(float64(s.next()) + 0.5)
 	}
-	panic("no sample for " + field.Kind().String())
+	panic("no sample value for a field of kind " + field.Kind().String())
 }
 
-// describeContent words what a message holds, by numbers of fields.
+// describeContent returns a text form of a message's content. Fields are given by their numbers.
 func describeContent(message protoreflect.Message, indent string) string {
 	var out strings.Builder
 	for _, field := range fieldsByNumber(message.Descriptor()) {
@@ -227,14 +232,15 @@
 	return out.String()
 }
 
-// sample is a message that is to be sent, all of its fields set.
+// sample describes one recorded message. All of its fields are set, but only one field of a oneof.
 type sample struct {
 	name       string
 	descriptor protoreflect.MessageDescriptor
 	oneofField protoreflect.FieldNumber
 }
 
-// samples are one for each message, and one for each case of a oneof.
+// samples returns one sample for each message without a oneof, and otherwise one for each field of
+// the oneof.
 func (s *schema) samples() []sample {
 	var all []sample
 	for i, message := range s.messages {
@@ -253,9 +259,9 @@
 	return all
 }
 
-// TestCompatibilityOfMessages reads bytes that a process of the recorded version sends, into
-// the same generated types as the program does, and compares the content and the bytes that
-// are sent for it today.
+// TestCompatibilityOfMessages decodes bytes recorded from the earlier version into the generated
+// types that the program uses. The decoded content must be the recorded one, and encoding it again
+// must give the same bytes.
 func TestCompatibilityOfMessages(t *testing.T) {
 	for i, sample := range newSchema(File_system_proto).samples() {
 		t.Run(sample.name, func(t *testing.T) {
@@ -281,7 +287,7 @@
 				t.Fatal(err)
 			}
 			if !bytes.Equal(encoded, recordedBytes) {
-				t.Errorf("the same content is sent as other bytes:\n got %x\nwant %x", encoded, recordedBytes)
+				t.Errorf("encoding the decoded message again gives different bytes:\n got %x\nwant %x", encoded, recordedBytes)
 			}
 		})
 	}
@@ -290,11 +296,11 @@
 		t.Fatal(err)
 	}
 	if want := len(newSchema(File_system_proto).samples()); len(recordedFiles) != want {
-		t.Errorf("%d samples are recorded, and there are %d kinds of messages", len(recordedFiles), want)
+		t.Errorf("found %d .hex files in testdata/compatibility/messages, want one for each of %d samples", len(recordedFiles), want)
 	}
 }
 
-// newGeneratedMessage makes an empty message of the type that protoc-gen-go made.
+// newGeneratedMessage returns an empty message of the type that protoc-gen-go generated.
 func newGeneratedMessage(t *testing.T, descriptor protoreflect.MessageDescriptor) proto.Message {
 	t.Helper()
 	messages := File_system_proto.Messages()
@@ -303,7 +309,7 @@
 			return file_system_proto_msgTypes[i].New().Interface()
 		}
 	}
-	t.Fatalf("there is no message %s", descriptor.FullName())
+	t.Fatalf("system.proto has no top-level message %s", descriptor.FullName())
 	return nil
 }
 
@@ -327,9 +333,9 @@
 	}
 }
 
-// TestCompatibilityOfPaths calls each method where it was served. A body that is no message is
-// refused by the method's own reader, so that nothing is called behind it; a path that is not
-// served is answered otherwise.
+// TestCompatibilityOfPaths checks that each method is still served under its recorded path. The
+// request body is malformed, so the method's own decoder rejects it and the implementation, which
+// is nil here, is never called. A path that is not served gives a different error.
 func TestCompatibilityOfPaths(t *testing.T) {
 	servers := []interface {
 		http.Handler
@@ -361,11 +367,11 @@
 				reply := httptest.NewRecorder()
 				server.ServeHTTP(reply, request)
 				if reply.Code != http.StatusBadRequest || reply.Body.String() != malformed {
-					t.Errorf("answered %d %s", reply.Code, reply.Body)
+					t.Errorf("malformed body: got status %d and body %s, want status 400 and a \"malformed\" error", reply.Code, reply.Body)
 				}
 			}
 			if matching != 1 {
-				t.Errorf("%d services have the path", matching)
+				t.Errorf("%d servers have a path prefix that matches, want 1", matching)
 			}
 		})
 	}
