--- a/experiments/experiments.go
+++ b/experiments/experiments.go
@@ -1,10 +1,10 @@
-// Package experiments holds the questions that are shipped with the rehearsal kit, a file each: to be
-// played as they are, or copied and changed.
+// Package experiments embeds the experiments that ship with the rehearsal kit, as TOML files
+// that an operator can run as they are, or copy and change.
 package experiments
 
 import "embed"
 
-// Files are the shipped questions, NAME.toml each.
+// Files holds the shipped experiments, each as NAME.toml.
 //
 //go:embed *.toml
 var Files embed.FS
--- a/scenarios/scenarios.go
+++ b/scenarios/scenarios.go
@@ -1,10 +1,10 @@
-// Package scenarios holds the rehearsal scenarios that are shipped, as files that an
-// operator can read and copy. It parses nothing.
+// Package scenarios embeds the rehearsal scenarios that ship with the program, as TOML files
+// that an operator can read and copy. Parsing them is left to its users.
 package scenarios
 
 import "embed"
 
-// Files are the shipped scenarios, NAME.toml each.
+// Files holds the shipped scenarios, each as NAME.toml.
 //
 //go:embed *.toml
 var Files embed.FS
