--- a/internal/api/compatibility_test.go
+++ b/internal/api/compatibility_test.go
@@ -19,35 +19,37 @@
 	"marlreel/internal/testing/recorded"
 )
 
-// The files under testdata/compatibility were written by the code of commit 6fb9894, with
-// WRITE_COMPATIBILITY=1. They hold what processes of that version send. They must not be
-// written anew to get a pass: a difference means that two versions can't work side by side.
+// writeCompatibility is the environment variable that makes TestCompatibilityOfMessages write
+// the sample messages. The files under testdata/compatibility were written by the code of
+// commit 6fb9894, with WRITE_COMPATIBILITY=1, and hold what processes of that version send. Never
+// regenerate them to make a test pass: a difference means that the two versions are incompatible.
 const writeCompatibility = "WRITE_COMPATIBILITY"
 
-// schema numbers the messages in the order in which the services lead to them. Names of
-// messages and fields are not on the wire, so they are not used.
+// schema numbers the messages of a .proto file in the order in which they are reached from the
+// methods of its services. The numbers stand in for the names of messages and fields, which are
+// not on the wire and may change.
 type schema struct {
-	number   map[protoreflect.FullName]int
+	index    map[protoreflect.FullName]int
 	messages []protoreflect.MessageDescriptor
-	// roles say where a message is met first.
-	roles []string
+	// firstUses holds, for each of messages, the place where it is first reached.
+	firstUses []string
 }
 
-func (s *schema) visit(message protoreflect.MessageDescriptor, role string) {
-	if _, seen := s.number[message.FullName()]; seen {
+func (s *schema) visit(message protoreflect.MessageDescriptor, firstUse string) {
+	if _, seen := s.index[message.FullName()]; seen {
 		return
 	}
-	s.number[message.FullName()] = len(s.messages)
+	s.index[message.FullName()] = len(s.messages)
 	s.messages = append(s.messages, message)
-	s.roles = append(s.roles, role)
-	for _, field := range byNumber(message) {
+	s.firstUses = append(s.firstUses, firstUse)
+	for _, field := range fieldsByNumber(message) {
 		if field.Message() != nil {
-			s.visit(field.Message(), fmt.Sprintf("%s.%d", role, field.Number()))
+			s.visit(field.Message(), fmt.Sprintf("%s.%d", firstUse, field.Number()))
 		}
 	}
 }
 
-func byNumber(message protoreflect.MessageDescriptor) []protoreflect.FieldDescriptor {
+func fieldsByNumber(message protoreflect.MessageDescriptor) []protoreflect.FieldDescriptor {
 	var fields []protoreflect.FieldDescriptor
 	for i := range message.Fields().Len() {
 		fields = append(fields, message.Fields().Get(i))
@@ -75,7 +77,7 @@
 }
 
 func newSchema(file protoreflect.FileDescriptor) *schema {
-	s := &schema{number: map[protoreflect.FullName]int{}}
+	s := &schema{index: map[protoreflect.FullName]int{}}
 	for _, method := range methods(file) {
 		s.visit(method.Input(), methodPath(method)+" request")
 		s.visit(method.Output(), methodPath(method)+" reply")
@@ -87,10 +89,10 @@
 	return s
 }
 
-func (s *schema) fieldText(field protoreflect.FieldDescriptor) string {
+func (s *schema) describeField(field protoreflect.FieldDescriptor) string {
 	kind := field.Kind().String()
 	if field.Message() != nil {
-		kind = fmt.Sprintf("message %d", s.number[field.Message().FullName()])
+		kind = fmt.Sprintf("message %d", s.index[field.Message().FullName()])
 	}
 	text := fmt.Sprintf("  %d %s %s", field.Number(), field.Cardinality(), kind)
 	if field.IsMap() {
@@ -108,23 +110,24 @@
 }
 
 func TestCompatibilityOfSchema(t *testing.T) {
-	recorded.Check(t, "schema.txt", schemaText(File_system_proto))
-	recorded.Check(t, "schema-tenantquota.txt", schemaText(File_tenantquota_proto))
+	recorded.Check(t, "schema.txt", describeSchema(File_system_proto))
+	recorded.Check(t, "schema-tenantquota.txt", describeSchema(File_tenantquota_proto))
 }
 
-// schemaText words what the services and messages of a file are on the wire.
-func schemaText(file protoreflect.FileDescriptor) string {
+// describeSchema returns a text form of all that affects the wire format of a file's services and
+// messages.
+func describeSchema(file protoreflect.FileDescriptor) string {
 	s := newSchema(file)
 	var out strings.Builder
 	for _, method := range methods(file) {
 		fmt.Fprintf(&out, "%s: message %d -> message %d, streams %t %t\n", methodPath(method),
-			s.number[method.Input().FullName()], s.number[method.Output().FullName()],
+			s.index[method.Input().FullName()], s.index[method.Output().FullName()],
 			method.IsStreamingClient(), method.IsStreamingServer())
 	}
 	for i, message := range s.messages {
-		fmt.Fprintf(&out, "message %d: %s\n", i, s.roles[i])
-		for _, field := range byNumber(message) {
-			fmt.Fprintln(&out, s.fieldText(field))
+		fmt.Fprintf(&out, "message %d: %s\n", i, s.firstUses[i])
+		for _, field := range fieldsByNumber(message) {
+			fmt.Fprintln(&out, s.describeField(field))
 		}
 		for j := range message.ReservedRanges().Len() {
 			fmt.Fprintf(&out, "  reserved %v\n", message.ReservedRanges().Get(j))
@@ -140,7 +143,8 @@
 	return out.String()
 }
 
-// sampler fills messages with values that differ from field to field.
+// sampler fills messages with sample values. All values but booleans are distinct, so that swapped
+// fields are noticed.
 type sampler struct{ last uint64 }
 
 func (s *sampler) next() uint64 {
@@ -148,12 +152,13 @@
 	return s.last
 }
 
-// fill sets all fields of a message; of a oneof, the field that choose names.
-func (s *sampler) fill(message protoreflect.Message, choose protoreflect.FieldNumber) {
-	for _, field := range byNumber(message.Descriptor()) {
+// fill sets all fields of a message. Of a oneof it sets the field with the number oneofField, or the
+// first one if that is 0.
+func (s *sampler) fill(message protoreflect.Message, oneofField protoreflect.FieldNumber) {
+	for _, field := range fieldsByNumber(message.Descriptor()) {
 		oneof := field.ContainingOneof()
 		if oneof != nil && !oneof.IsSynthetic() {
-			chosen := choose
+			chosen := oneofField
 			if chosen == 0 {
 				chosen = oneof.Fields().Get(0).Number()
 			}
@@ -172,10 +177,10 @@
 	}
 }
 
-func (s *sampler) value(field protoreflect.FieldDescriptor, empty func() protoreflect.Value) protoreflect.Value {
+func (s *sampler) value(field protoreflect.FieldDescriptor, newValue func() protoreflect.Value) protoreflect.Value {
 	switch field.Kind() {
 	case protoreflect.MessageKind:
-		value := empty()
+		value := newValue()
 		s.fill(value.Message(), 0)
 		return value
 	case protoreflect.BoolKind:
@@ -191,13 +196,13 @@
 	case protoreflect.DoubleKind:
 		return protoreflect.ValueOfFloat64(float64(s.next()) + 0.5)
 	}
-	panic("no sample for " + field.Kind().String())
+	panic("no sample value for a field of kind " + field.Kind().String())
 }
 
-// content words what a message holds, by numbers of fields.
-func content(message protoreflect.Message, indent string) string {
+// describeContent returns a text form of a message's content. Fields are given by their numbers.
+func describeContent(message protoreflect.Message, indent string) string {
 	var out strings.Builder
-	for _, field := range byNumber(message.Descriptor()) {
+	for _, field := range fieldsByNumber(message.Descriptor()) {
 		if !message.Has(field) {
 			continue
 		}
@@ -211,7 +216,7 @@
 		}
 		for _, value := range values {
 			if field.Message() != nil {
-				fmt.Fprintf(&out, "%s%d:\n%s", indent, field.Number(), content(value.Message(), indent+"  "))
+				fmt.Fprintf(&out, "%s%d:\n%s", indent, field.Number(), describeContent(value.Message(), indent+"  "))
 				continue
 			}
 			if field.Kind() == protoreflect.BytesKind {
@@ -227,35 +232,36 @@
 	return out.String()
 }
 
-// sample is a message that is to be sent, all of its fields set.
+// sample describes one recorded message. All of its fields are set, but only one field of a oneof.
 type sample struct {
-	name   string
-	kind   protoreflect.MessageDescriptor
-	choose protoreflect.FieldNumber
+	name       string
+	descriptor protoreflect.MessageDescriptor
+	oneofField protoreflect.FieldNumber
 }
 
-// samples are one for each message, and one for each case of a oneof.
+// samples returns one sample for each message without a oneof, and otherwise one for each field of
+// the oneof.
 func (s *schema) samples() []sample {
 	var all []sample
 	for i, message := range s.messages {
 		name := fmt.Sprintf("message-%02d", i)
-		plain := true
-		for _, field := range byNumber(message) {
+		noOneof := true
+		for _, field := range fieldsByNumber(message) {
 			if oneof := field.ContainingOneof(); oneof != nil && !oneof.IsSynthetic() {
-				plain = false
+				noOneof = false
 				all = append(all, sample{fmt.Sprintf("%s-case-%d", name, field.Number()), message, field.Number()})
 			}
 		}
-		if plain {
+		if noOneof {
 			all = append(all, sample{name, message, 0})
 		}
 	}
 	return all
 }
 
-// TestCompatibilityOfMessages reads bytes that a process of the recorded version sends, into
-// the same generated types as the program does, and compares the content and the bytes that
-// are sent for it today.
+// TestCompatibilityOfMessages decodes bytes recorded from the earlier version into the generated
+// types that the program uses. The decoded content must be the recorded one, and encoding it again
+// must give the same bytes.
 func TestCompatibilityOfMessages(t *testing.T) {
 	for i, sample := range newSchema(File_system_proto).samples() {
 		t.Run(sample.name, func(t *testing.T) {
@@ -267,50 +273,50 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			sent, err := hex.DecodeString(strings.Join(strings.Fields(string(text)), ""))
+			recordedBytes, err := hex.DecodeString(strings.Join(strings.Fields(string(text)), ""))
 			if err != nil {
 				t.Fatal(err)
 			}
-			message := generated(t, sample.kind)
-			if err := proto.Unmarshal(sent, message); err != nil {
+			message := newGeneratedMessage(t, sample.descriptor)
+			if err := proto.Unmarshal(recordedBytes, message); err != nil {
 				t.Fatal(err)
 			}
-			recorded.Check(t, filepath.Join("messages", sample.name+".txt"), content(message.ProtoReflect(), ""))
-			again, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
+			recorded.Check(t, filepath.Join("messages", sample.name+".txt"), describeContent(message.ProtoReflect(), ""))
+			encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !bytes.Equal(again, sent) {
-				t.Errorf("the same content is sent as other bytes:\n got %x\nwant %x", again, sent)
+			if !bytes.Equal(encoded, recordedBytes) {
+				t.Errorf("encoding the decoded message again gives different bytes:\n got %x\nwant %x", encoded, recordedBytes)
 			}
 		})
 	}
-	recorded, err := filepath.Glob("testdata/compatibility/messages/*.hex")
+	recordedFiles, err := filepath.Glob("testdata/compatibility/messages/*.hex")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := len(newSchema(File_system_proto).samples()); len(recorded) != want {
-		t.Errorf("%d samples are recorded, and there are %d kinds of messages", len(recorded), want)
+	if want := len(newSchema(File_system_proto).samples()); len(recordedFiles) != want {
+		t.Errorf("found %d .hex files in testdata/compatibility/messages, want one for each of %d samples", len(recordedFiles), want)
 	}
 }
 
-// generated makes an empty message of the type that protoc-gen-go made.
-func generated(t *testing.T, kind protoreflect.MessageDescriptor) proto.Message {
+// newGeneratedMessage returns an empty message of the type that protoc-gen-go generated.
+func newGeneratedMessage(t *testing.T, descriptor protoreflect.MessageDescriptor) proto.Message {
 	t.Helper()
 	messages := File_system_proto.Messages()
 	for i := range messages.Len() {
-		if messages.Get(i).FullName() == kind.FullName() {
+		if messages.Get(i).FullName() == descriptor.FullName() {
 			return file_system_proto_msgTypes[i].New().Interface()
 		}
 	}
-	t.Fatalf("there is no message %s", kind.FullName())
+	t.Fatalf("system.proto has no top-level message %s", descriptor.FullName())
 	return nil
 }
 
 func writeSample(t *testing.T, path string, sample sample, seed uint64) {
 	t.Helper()
-	message := dynamicpb.NewMessage(sample.kind)
-	(&sampler{last: seed}).fill(message, sample.choose)
+	message := dynamicpb.NewMessage(sample.descriptor)
+	(&sampler{last: seed}).fill(message, sample.oneofField)
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
 		t.Fatal(err)
@@ -327,9 +333,9 @@
 	}
 }
 
-// TestCompatibilityOfPaths calls each method where it was served. A body that is no message is
-// refused by the method's own reader, so that nothing is called behind it; a path that is not
-// served is answered otherwise.
+// TestCompatibilityOfPaths checks that each method is still served under its recorded path. The
+// request body is malformed, so the method's own decoder rejects it and the implementation, which
+// is nil here, is never called. A path that is not served gives a different error.
 func TestCompatibilityOfPaths(t *testing.T) {
 	servers := []interface {
 		http.Handler
@@ -350,22 +356,22 @@
 		"/twirp/marlreel.system.Agent/PassDemand",
 	} {
 		t.Run(path, func(t *testing.T) {
-			served := 0
+			matching := 0
 			for _, server := range servers {
 				if !strings.HasPrefix(path, server.PathPrefix()) {
 					continue
 				}
-				served++
+				matching++
 				request := httptest.NewRequest(http.MethodPost, path, strings.NewReader("\xff"))
 				request.Header.Set("Content-Type", "application/protobuf")
 				reply := httptest.NewRecorder()
 				server.ServeHTTP(reply, request)
 				if reply.Code != http.StatusBadRequest || reply.Body.String() != malformed {
-					t.Errorf("answered %d %s", reply.Code, reply.Body)
+					t.Errorf("malformed body: got status %d and body %s, want status 400 and a \"malformed\" error", reply.Code, reply.Body)
 				}
 			}
-			if served != 1 {
-				t.Errorf("%d services have the path", served)
+			if matching != 1 {
+				t.Errorf("%d servers have a path prefix that matches, want 1", matching)
 			}
 		})
 	}
