--- a/internal/testing/simnet/conn.go
+++ b/internal/testing/simnet/conn.go
@@ -20,10 +20,10 @@
 
 var _ net.Conn = (*conn)(nil)
 
-// errClosedByPeer is what a write fails with once the connection has ended.
+// errClosedByPeer is the error of a write after the connection has ended.
 const errClosedByPeer = syscall.EPIPE
 
-// newConnPair makes both ends of a connection, from a to b.
+// newConnPair creates both ends of a connection from a to b.
 func newConnPair(a, b *Machine, local, remote string) (near, far *conn) {
 	forth := newStream(a.network, a.ip, b.ip, remote)
 	back := newStream(a.network, b.ip, a.ip, remote)
@@ -59,19 +59,19 @@
 	}
 }
 
-// Idle tells that the connection is open and has nothing to read. sockets.Idle asks for it.
+// Idle reports whether the connection is open and has nothing to read. sockets.Idle calls it.
 func (c *conn) Idle() bool {
 	bytes, end := c.in.unread()
 	return !bytes && !end
 }
 
-// PeerConnected tells whether the other side has not ended. sockets.PeerConnected asks for it.
+// PeerConnected reports whether the peer has not closed the connection. sockets.PeerConnected calls it.
 func (c *conn) PeerConnected() bool {
 	_, end := c.in.unread()
 	return !end
 }
 
-// wait waits for a time, if it is not below 0, or any of the channels; it tells whether the connection is still open.
+// wait waits for span (no timeout if negative) or any of the channels, and reports whether the connection is still open.
 func (c *conn) wait(span time.Duration, changed, partitions, moved <-chan struct{}) bool {
 	var timeout <-chan time.Time
 	if span >= 0 {
@@ -102,7 +102,7 @@
 	}
 }
 
-// writeSome writes what there is room for, once there is some.
+// writeSome waits until the window has room and writes as many bytes as fit.
 func (c *conn) writeSome(p []byte) (int, error) {
 	for {
 		remaining, limited, moved := c.write.remaining()
@@ -128,7 +128,7 @@
 	}
 }
 
-// Close implements net.Conn: the other end reads what was written, and then the end.
+// Close implements net.Conn. The other end reads the bytes already written, then io.EOF.
 func (c *conn) Close() error {
 	c.once.Do(func() {
 		close(c.closed)
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// reset ends both directions at once.
+// reset fails both directions immediately, without delivering bytes in flight.
 func (c *conn) reset() {
 	err := opError("read", "tcp", syscall.ECONNRESET)
 	c.in.fail(err)
--- a/internal/testing/simnet/deadline.go
+++ b/internal/testing/simnet/deadline.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// deadline is a time that may be changed while it is waited for.
+// deadline is a deadline that may change while a goroutine waits for it.
 type deadline struct {
 	mu      sync.Mutex
-	at      time.Time // zero: there is none
-	changed chan struct{}
+	at      time.Time     // zero: no deadline
+	changed chan struct{} // closed and replaced by set
 }
 
 func newDeadline() *deadline { return &deadline{changed: make(chan struct{})} }
@@ -22,7 +22,7 @@
 	d.changed = make(chan struct{})
 }
 
-// remaining is how long it is until the deadline; set is false where there is none.
+// remaining returns the time until the deadline; set is false if there is none. changed is closed by the next call of set.
 func (d *deadline) remaining() (remaining time.Duration, set bool, changed <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/testing/simnet/dial.go
+++ b/internal/testing/simnet/dial.go
@@ -9,14 +9,13 @@
 )
 
 const (
-	// synTimeout is after what time the first packet of a connection is sent again where it was lost; each further one
-	// comes after twice the time, as in Linux.
+	// synTimeout is the time until a lost SYN is first retransmitted; it doubles with each retransmission, as in Linux.
 	synTimeout = time.Second
-	// firstLocalPort is below the ports that connections are made from.
+	// firstLocalPort is the offset of local ports; the first connection of an IP uses the port after it.
 	firstLocalPort = 30000
 )
 
-// Dial implements host.Network: it takes a round trip, and waits until ctx ends where a partition is in the way.
+// Dial implements host.Network. It takes one round trip, and waits for the end of a partition or of ctx.
 func (m *Machine) Dial(ctx context.Context, address string) (net.Conn, error) {
 	ip, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -47,7 +46,7 @@
 	}
 }
 
-// connect makes both ends of a connection to a listener, which still has to accept the far one.
+// connect creates both ends of a connection to a listener. The caller queues the far end at the listener.
 func (m *Machine) connect(ip, address string) (near, far *conn, l *listener, err error) {
 	m.network.mu.Lock()
 	defer m.network.mu.Unlock()
@@ -65,7 +64,7 @@
 	return near, far, target.listeners[address], nil
 }
 
-// awaitSyn waits for as long as a connection's first packet takes. What meets a partition is lost, and sent again.
+// awaitSyn waits until a handshake packet has arrived, which is retransmitted while a partition drops it.
 func (n *Network) awaitSyn(ctx context.Context, from, to string) error {
 	if from == to {
 		return nil
@@ -83,7 +82,7 @@
 	}
 }
 
-// sleep waits for a time, or until ctx ends.
+// sleep waits for span, or until ctx ends, whose error it then returns.
 func sleep(ctx context.Context, span time.Duration) error {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
--- a/internal/testing/simnet/link.go
+++ b/internal/testing/simnet/link.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// A machine has one link, over which it sends at a limited rate. What is sent waits for what was sent before.
+// Each machine sends over one link with a limited rate. Bytes are queued behind those sent before.
 
-// maxLinkQueue is how long a datagram waits at most for the link.
+// maxLinkQueue is the longest time that a datagram waits for the link; one that would wait longer is dropped.
 const maxLinkQueue = 100 * time.Millisecond
 
-// SetRate sets how many bytes a second each machine sends; 0: any number.
+// SetRate sets the sending rate of each machine, in bytes per second; 0: unlimited.
 func (n *Network) SetRate(bytesPerSecond int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cfg.BytesPerSecond = bytesPerSecond
 }
 
-// SetMachineRate sets the same for one machine.
+// SetMachineRate overrides the sending rate of one machine, in bytes per second; 0: unlimited.
 func (n *Network) SetMachineRate(ip string, bytesPerSecond int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.rates[ip] = bytesPerSecond
 }
 
-// rateOf is how many bytes a second a machine sends; 0: any number. The caller holds the lock.
+// rateOf returns a machine's sending rate in bytes per second; 0: unlimited. The caller holds the lock.
 func (n *Network) rateOf(ip string) int {
 	if rate, set := n.rates[ip]; set {
 		return rate
@@ -29,7 +29,7 @@
 	return n.cfg.BytesPerSecond
 }
 
-// reserveLink uses a machine's link for so many bytes, and gives how long it takes until they are sent.
+// reserveLink queues size bytes on a machine's link and returns the time until they are sent.
 func (n *Network) reserveLink(ip string, size int) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -47,7 +47,7 @@
 	return freeAt.Sub(now)
 }
 
-// linkQueue is how long a machine's link is in use by what it was given.
+// linkQueue returns how long a machine's link needs to send the bytes already queued.
 func (n *Network) linkQueue(ip string) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/testing/simnet/listener.go
+++ b/internal/testing/simnet/listener.go
@@ -6,7 +6,7 @@
 	"syscall"
 )
 
-// maxAcceptQueue is how many connections wait to be accepted; further ones are refused.
+// maxAcceptQueue is how many connections may wait to be accepted; further ones are refused.
 const maxAcceptQueue = 128
 
 type listener struct {
--- a/internal/testing/simnet/machine.go
+++ b/internal/testing/simnet/machine.go
@@ -7,20 +7,20 @@
 	"syscall"
 )
 
-// Machine is one address of a network. It implements host.Network. Any goroutine may use it.
+// Machine is a host with one IP on a network. It implements host.Network and is safe for concurrent use.
 type Machine struct {
 	network *Network
 	ip      string
-	// The rest is guarded by the network's lock.
+	// The fields below are guarded by network.mu.
 	listeners map[string]*listener     // by address
 	sockets   map[string]*packetSocket // by address
 	conns     map[*conn]bool
-	// down: the machine's processes were killed, and what still runs of them reaches nobody.
+	// down: the machine's processes were killed; their remaining goroutines can no longer use the network.
 	down bool
 }
 
-// Kill ends all that a machine has open, as the end of its processes does: peers see resets. Until Revive it opens and
-// sends nothing more: a process that is killed has no last word.
+// Kill closes all listeners, sockets and connections of a machine, as the kernel does for killed processes: peers see
+// resets. Until Revive the machine can't open or send anything, as a killed process can't run its shutdown code.
 func (m *Machine) Kill() {
 	m.network.mu.Lock()
 	m.down = true
@@ -38,21 +38,21 @@
 	}
 }
 
-// Revive lets a machine's next processes use the network.
+// Revive lets the machine use the network again, for the processes that are started next.
 func (m *Machine) Revive() {
 	m.network.mu.Lock()
 	defer m.network.mu.Unlock()
 	m.down = false
 }
 
-// isDown tells whether a machine's processes have been killed, and no others started.
+// isDown reports whether the machine was killed and not revived since.
 func (m *Machine) isDown() bool {
 	m.network.mu.Lock()
 	defer m.network.mu.Unlock()
 	return m.down
 }
 
-// isLoopback tells whether an address is reached from the machine itself alone.
+// isLoopback reports whether an address can be reached from its own machine only.
 func isLoopback(address string) bool { return strings.HasPrefix(address, "127.") }
 
 func parseAddr(address string) net.Addr {
@@ -63,10 +63,10 @@
 	return net.TCPAddrFromAddrPort(addrPort)
 }
 
-// opError is the error that the system's network gives in the same place.
+// opError wraps an error as package net does for the same failed operation.
 func opError(operation, network string, err error) error {
 	return &net.OpError{Op: operation, Net: network, Err: err}
 }
 
-// errDown is what a machine that is down fails with.
+// errDown is the error of all operations on a machine that is down.
 const errDown = syscall.ENETDOWN
--- a/internal/testing/simnet/network.go
+++ b/internal/testing/simnet/network.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-// Config says what a network is like.
+// Config holds the properties of a network.
 type Config struct {
-	Delay  time.Duration // in one direction, between two machines
-	Jitter time.Duration // upper bound of what is added to Delay, drawn anew each time
-	Loss   float64       // fraction of datagrams that is lost, from 0 to 1
+	Delay  time.Duration // one way, between two machines
+	Jitter time.Duration // upper bound of the random addition to Delay, drawn for each packet or segment
+	Loss   float64       // fraction of datagrams lost, from 0 to 1
 	Seed   uint64
-	// BytesPerSecond is how much a machine sends; 0: any number. Datagrams that would wait for longer than maxLinkQueue
-	// are lost.
+	// BytesPerSecond limits the sending rate of each machine; 0: unlimited. Datagrams that would wait longer than
+	// maxLinkQueue are lost.
 	BytesPerSecond int
 }
 
-// Network is a network. Any goroutine may use it.
+// Network is a simulated network. It is safe for concurrent use.
 type Network struct {
 	traffic trafficCounter
 
 	mu          sync.Mutex // guards all below
 	cfg         Config
 	rng         *rand.Rand
-	machines    map[string]*Machine // by IP
-	partitioned map[direction]bool  // nothing passes
-	changed     chan struct{}       // closed when a partition begins or ends
-	lastPorts   map[string]int      // the last local port of each IP, above firstLocalPort
-	linkFreeAt  map[string]time.Time
-	rates       map[string]int // of machines whose rate is not cfg.BytesPerSecond
+	machines    map[string]*Machine  // by IP
+	partitioned map[direction]bool   // directions in which no packet passes
+	changed     chan struct{}        // closed and replaced when a partition begins or ends
+	lastPorts   map[string]int       // by IP: the last local port used, as an offset from firstLocalPort
+	linkFreeAt  map[string]time.Time // by IP: when the link has sent all queued bytes
+	rates       map[string]int       // by IP: rates that override cfg.BytesPerSecond
 }
 
-// direction is from one IP to another.
+// direction is a one-way path between two IPs.
 type direction struct{ from, to string }
 
-// New makes a network without machines.
+// New creates a network without machines.
 func New(cfg Config) *Network {
 	return &Network{
 		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 3)), machines: map[string]*Machine{},
@@ -44,7 +44,7 @@
 	}
 }
 
-// Machine gives the machine of an IP, and makes it where it is missing.
+// Machine returns the machine with an IP and creates it if it does not exist.
 func (n *Network) Machine(ip string) *Machine {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -59,8 +59,8 @@
 	return m
 }
 
-// SetPartitioned lets nothing pass from one machine to another, or lets it pass again. What is on its way over a
-// connection waits; datagrams are lost.
+// SetPartitioned starts or ends a one-way partition between two machines. Bytes in flight on a connection wait for its
+// end; datagrams are lost.
 func (n *Network) SetPartitioned(from, to string, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -69,7 +69,7 @@
 	n.changed = make(chan struct{})
 }
 
-// Isolate partitions a machine from others in both directions, or ends that.
+// Isolate starts or ends a partition between a machine and others, in both directions.
 func (n *Network) Isolate(ip string, others []string, isolated bool) {
 	for _, other := range others {
 		if other != ip {
@@ -79,21 +79,21 @@
 	}
 }
 
-// SetLoss sets which fraction of the datagrams is lost, from 0 to 1.
+// SetLoss sets the fraction of datagrams that are lost, from 0 to 1.
 func (n *Network) SetLoss(fraction float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cfg.Loss = fraction
 }
 
-// passes tells whether no partition is in the way, and gives what is closed when partitions change.
+// passes reports whether packets pass in a direction, and returns a channel that is closed when partitions change.
 func (n *Network) passes(from, to string) (bool, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.partitioned[direction{from, to}], n.changed
 }
 
-// drawDelay draws how long something takes in one direction.
+// drawDelay draws a one-way delay.
 func (n *Network) drawDelay() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/testing/simnet/packet.go
+++ b/internal/testing/simnet/packet.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// maxPacketQueue is how many datagrams wait to be read; further ones are lost.
+// maxPacketQueue is how many datagrams may wait to be read; further ones are dropped.
 const maxPacketQueue = 256
 
 type packet struct {
@@ -50,7 +50,7 @@
 	}
 }
 
-// WriteTo implements net.PacketConn. A datagram that is lost is written without an error.
+// WriteTo implements net.PacketConn. It returns no error for a lost datagram.
 func (s *packetSocket) WriteTo(p []byte, to net.Addr) (int, error) {
 	ip, _, err := net.SplitHostPort(to.String())
 	if err != nil {
@@ -66,7 +66,7 @@
 	return len(p), nil
 }
 
-// drawLoss tells whether a datagram to an IP is lost on its way.
+// drawLoss decides whether a datagram to an IP is lost.
 func (s *packetSocket) drawLoss(ip string) bool {
 	n := s.machine.network
 	n.mu.Lock()
@@ -74,7 +74,7 @@
 	return s.machine.down || n.rng.Float64() < n.cfg.Loss || n.partitioned[direction{s.machine.ip, ip}]
 }
 
-// deliver hands a datagram to the socket of an address, if there is one and it has room.
+// deliver queues a datagram at the socket of an address. It drops it if there is no such socket or the queue is full.
 func (s *packetSocket) deliver(p packet, ip, address string) {
 	target := s.target(ip, address)
 	if target == nil {
@@ -86,7 +86,7 @@
 	}
 }
 
-// target is the socket of an address; nil: there is none, or a partition is in the way.
+// target returns the socket of an address, or nil if there is none or a partition separates the machines.
 func (s *packetSocket) target(ip, address string) *packetSocket {
 	n := s.machine.network
 	n.mu.Lock()
@@ -114,11 +114,11 @@
 // LocalAddr implements net.PacketConn.
 func (s *packetSocket) LocalAddr() net.Addr { return parseAddr(s.address) }
 
-// SetDeadline implements net.PacketConn. It does nothing: reads have no deadline here.
+// SetDeadline implements net.PacketConn. It does nothing: deadlines are not supported.
 func (s *packetSocket) SetDeadline(time.Time) error { return nil }
 
 // SetReadDeadline implements net.PacketConn. It does nothing.
 func (s *packetSocket) SetReadDeadline(time.Time) error { return nil }
 
-// SetWriteDeadline implements net.PacketConn. It does nothing: writes don't wait.
+// SetWriteDeadline implements net.PacketConn. It does nothing: writes never block.
 func (s *packetSocket) SetWriteDeadline(time.Time) error { return nil }
--- a/internal/testing/simnet/simnet_test.go
+++ b/internal/testing/simnet/simnet_test.go
@@ -21,7 +21,7 @@
 	delay         = 5 * time.Millisecond
 )
 
-// connected makes a network with a connection between two machines. What it opens is closed at the test's end.
+// connected creates a network with a connection between two machines. It is closed when the test ends.
 func connected(t *testing.T, cfg Config) (n *Network, client, server net.Conn) {
 	t.Helper()
 	cfg.Delay = delay
@@ -48,7 +48,6 @@
 	return n, client, server
 }
 
-// mustWrite writes a text.
 func mustWrite(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
@@ -56,7 +55,7 @@
 	}
 }
 
-// mustRead reads as much as a text has, and compares it. It gives how long that took.
+// mustRead reads len(text) bytes, compares them with text and returns how long the read took.
 func mustRead(t *testing.T, conn net.Conn, text string) time.Duration {
 	t.Helper()
 	began := time.Now()
@@ -70,7 +69,7 @@
 	return time.Since(began)
 }
 
-// connectionCases are what an open connection goes through.
+// connectionCases are the test cases on an open connection.
 var connectionCases = []struct {
 	name string
 	play func(t *testing.T, n *Network, client, server net.Conn)
@@ -90,7 +89,7 @@
 		mustWrite(t, client, string(make([]byte, 500)))
 		is.New(t).Equal(mustRead(t, server, string(make([]byte, 500))), 500*time.Millisecond+delay)
 	}},
-	{"the end comes behind what was written", func(t *testing.T, _ *Network, client, server net.Conn) {
+	{"written bytes are read before the end of the stream", func(t *testing.T, _ *Network, client, server net.Conn) {
 		mustWrite(t, client, "hello")
 		is := is.New(t)
 		is.NoErr(client.Close())
@@ -103,13 +102,13 @@
 		_, err := server.Read(make([]byte, 1))
 		is.New(t).True(errors.Is(err, syscall.ECONNRESET))
 	}},
-	{"a read ends at its deadline", func(t *testing.T, _ *Network, _, server net.Conn) {
+	{"a read fails at its deadline", func(t *testing.T, _ *Network, _, server net.Conn) {
 		is := is.New(t)
 		is.NoErr(server.SetReadDeadline(time.Now().Add(time.Second)))
 		_, err := server.Read(make([]byte, 1))
 		is.Equal(err, os.ErrDeadlineExceeded)
 	}},
-	{"a write waits for room", func(t *testing.T, _ *Network, client, _ net.Conn) {
+	{"a write waits for room in the window", func(t *testing.T, _ *Network, client, _ net.Conn) {
 		is := is.New(t)
 		is.NoErr(client.SetWriteDeadline(time.Now().Add(time.Second)))
 		written, err := client.Write(make([]byte, windowBytes+1))
@@ -139,7 +138,7 @@
 		{"nobody listens", func(*Network) {}, syscall.ECONNREFUSED, 2 * delay},
 		{"the machine is down", func(n *Network) { n.Machine(clientIP).Kill() }, syscall.ENETDOWN, 0},
 		{
-			"a partition is in the way", func(n *Network) { n.SetPartitioned(serverIP, clientIP, true) },
+			"a partition separates the machines", func(n *Network) { n.SetPartitioned(serverIP, clientIP, true) },
 			context.DeadlineExceeded, time.Minute,
 		},
 	} {
@@ -168,9 +167,9 @@
 		{"all arrive", func(*Network) {}, 100},
 		{"all are lost", func(n *Network) { n.SetLoss(1) }, 0},
 		{"a partition loses all", func(n *Network) { n.SetPartitioned(clientIP, serverIP, true) }, 0},
-		{"one in the other direction loses none", func(n *Network) { n.SetPartitioned(serverIP, clientIP, true) }, 100},
-		// A datagram of 10 bytes takes 2 ms at this rate, and one is sent while up to 100 ms are queued.
-		{"those that would wait for too long are lost", func(n *Network) { n.SetRate(5000) }, 51},
+		{"a partition of the other direction loses none", func(n *Network) { n.SetPartitioned(serverIP, clientIP, true) }, 100},
+		// A datagram of 10 bytes takes 2 ms at this rate, and one is accepted while at most 100 ms are queued.
+		{"datagrams that would wait too long are lost", func(n *Network) { n.SetRate(5000) }, 51},
 	} {
 		t.Run(story.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/testing/simnet/stream.go
+++ b/internal/testing/simnet/stream.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// windowBytes is how many bytes may be on their way, or unread, in one direction.
+// windowBytes limits the bytes in flight and unread in one direction.
 const windowBytes = 256 << 10
 
 // stream is one direction of a connection.
 type stream struct {
 	network  *Network
 	from, to string // IPs
-	server   string // the address that is listened at, at one of its ends
+	server   string // the listening address of the connection
 
 	mu       sync.Mutex // guards all below
 	segments []segment
 	bytes    int
-	finished bool          // nothing more is written
-	failure  error         // nil, or why the connection failed
-	changed  chan struct{} // closed at each change
+	finished bool          // closed for writing
+	failure  error         // why the connection failed, or nil
+	changed  chan struct{} // closed and replaced at each change
 }
 
-// segment is what was written at once.
+// segment holds the bytes of one write.
 type segment struct {
-	data      []byte // empty: the end
+	data      []byte // empty: end of the stream
 	arrivesAt time.Time
 }
 
@@ -33,13 +33,13 @@
 	return &stream{network: n, from: from, to: to, server: server, changed: make(chan struct{})}
 }
 
-// notify wakes those that wait for a change. The caller holds the lock.
+// notify wakes all goroutines that wait for a change. The caller holds the lock.
 func (s *stream) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// enqueue adds a segment behind the others. The caller holds the lock.
+// enqueue appends a segment, which arrives no earlier than the one before. The caller holds the lock.
 func (s *stream) enqueue(data []byte) {
 	arrivesAt := time.Now()
 	if s.from != s.to {
@@ -54,7 +54,7 @@
 	s.notify()
 }
 
-// fail ends the direction at once: both ends see the first error that it is called with.
+// fail ends the stream immediately. Both ends see the error of the first call.
 func (s *stream) fail(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,7 +64,7 @@
 	}
 }
 
-// finish ends the direction behind what was written.
+// finish marks the end of the stream, after the bytes already written.
 func (s *stream) finish() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,14 +74,14 @@
 	}
 }
 
-// pending is what a reader that got nothing waits for: a time, a change of the stream, or one of partitions.
+// pending holds what a reader without data waits for: a time, a change of the stream, or a change of partitions.
 type pending struct {
-	wait       time.Duration // until the next segment arrives; below 0: none is on its way
+	wait       time.Duration // until the next segment arrives; negative: none is due
 	changed    <-chan struct{}
 	partitions <-chan struct{}
 }
 
-// read reads what has arrived. Where it gives no bytes and no error, it says what to wait for.
+// read reads bytes that have arrived. If it returns neither bytes nor an error, pending holds what to wait for.
 func (s *stream) read(p []byte) (int, pending, error) {
 	open, partitions := s.network.passes(s.from, s.to)
 	s.mu.Lock()
@@ -110,7 +110,7 @@
 	return n, pending{}, nil
 }
 
-// unread tells whether bytes have arrived that were not read, and whether the end has.
+// unread reports whether unread bytes have arrived, and whether the stream has ended or failed.
 func (s *stream) unread() (bytes, end bool) {
 	open, _ := s.network.passes(s.from, s.to)
 	s.mu.Lock()
@@ -128,7 +128,7 @@
 	return bytes, end || s.failure != nil
 }
 
-// write writes as much as there is room for. Where there is none it gives what to wait for.
+// write writes as many bytes as the window has room for. If it is full, the returned channel is closed at the next change.
 func (s *stream) write(p []byte) (int, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testing/simnet/traffic.go
+++ b/internal/testing/simnet/traffic.go
@@ -5,18 +5,18 @@
 	"sync"
 )
 
-// Flow is what passes from one machine to another in the name of one address that is
-// listened at: the requests to it, or its answers.
+// Flow identifies the traffic in one direction between a machine and a listening address: requests to the address, or
+// responses from it.
 type Flow struct {
 	From, To string // IPs
-	Server   string // the address that is listened at
+	Server   string // the listening address, HOST:PORT
 	Kind     string // "tcp" or "udp"
 }
 
-// Traffic is how many bytes each flow carried, without the headers of packets.
+// Traffic is the number of bytes that each flow carried, without packet headers.
 type Traffic map[Flow]int64
 
-// trafficCounter counts what is written. Any goroutine may use it.
+// trafficCounter counts the bytes written. It is safe for concurrent use.
 type trafficCounter struct {
 	mu    sync.Mutex
 	bytes Traffic
@@ -34,7 +34,7 @@
 	t.bytes[flow] += int64(bytes)
 }
 
-// TakeTraffic gives what passed between machines since it was called last.
+// TakeTraffic returns the traffic between machines since the previous call.
 func (n *Network) TakeTraffic() Traffic {
 	n.traffic.mu.Lock()
 	defer n.traffic.mu.Unlock()
@@ -43,7 +43,7 @@
 	return taken
 }
 
-// Total sums the flows that match.
+// Total returns the sum of the bytes of all matching flows.
 func (t Traffic) Total(matches func(Flow) bool) int64 {
 	var sum int64
 	for flow, bytes := range t {
@@ -54,7 +54,7 @@
 	return sum
 }
 
-// Port is that of the address that is listened at.
+// Port returns the port of the listening address.
 func (f Flow) Port() string {
 	_, port, err := net.SplitHostPort(f.Server)
 	if err != nil {
