--- a/internal/testing/emulator/backend.go
+++ b/internal/testing/emulator/backend.go
@@ -7,42 +7,42 @@
 	"time"
 )
 
-// execution is an attempt at a backend.
+// execution is an attempt that runs on a backend.
 type execution struct {
 	request      *request
 	priority     int
 	order        int
-	promptLeft   int // tokens of the prompt that are not read yet
+	promptLeft   int // prompt tokens still to be processed
 	outputLeft   int
-	promptRead   int // tokens of the prompt that are read
+	promptRead   int // prompt tokens processed
 	written      int
-	eventAt      time.Duration // when the last event was written
+	eventAt      time.Duration // time of the last event
 	started      bool
-	cancelled    bool // by the proxy, or because it is complete
+	cancelled    bool // by the proxy, or set on completion
 	onFirstToken func()
-	onPause      func() // two events lie too far apart
+	onPause      func() // called when the time between two events exceeds Engine.MaxPause
 	onEnd        func()
-	onReject     func() // it was not executed
+	onReject     func() // called if the backend does not execute the request
 }
 
-// backend is a model backend: it reads prompts in chunks between the tokens of those that run.
+// backend is a model backend. Each step of its batch processes prompt chunks and decodes a token of each running request.
 type backend struct {
 	sim            *simulation
 	id             string
 	zone           int
 	loaded         map[string]map[string]bool // adapters by model
 	everLoaded     map[string]bool
-	cachedPrefixes map[string]bool // shared parts of prompts that were read, by model and kind
+	cachedPrefixes map[string]bool // prompt prefixes processed before, as MODEL/KIND
 	executions     []*execution
 	arrivals       int
 	stepping       bool
 	revision       uint64
-	busy           bool   // carries out an order
-	unloading      string // model whose unload waits for its requests
+	busy           bool   // an order is running
+	unloading      string // model whose unload waits for its requests; empty: none
 	unloaded       func()
 }
 
-// accept begins an execution, or rejects it.
+// accept starts an execution or rejects it.
 func (b *backend) accept(r *execution) {
 	q := r.request
 	adapters, holds := b.loaded[q.model]
@@ -67,7 +67,7 @@
 	}
 }
 
-// pendingPrefillMS is the work of the prompts of executions that have not started, ms.
+// pendingPrefillMS returns the prefill time, in milliseconds, of executions without a first token.
 func (b *backend) pendingPrefillMS() float64 {
 	tokens := 0
 	for _, r := range b.executions {
@@ -78,7 +78,7 @@
 	return float64(tokens) / b.sim.cfg.Engine.PrefillTokensPerMS
 }
 
-// step runs one step of the batch: chunks of prompts, and one token of each answer whose prompt is read.
+// step runs one step of the batch: prompt chunks, and one token of each response whose prefill is complete.
 func (b *backend) step() {
 	b.executions = slices.DeleteFunc(b.executions, func(r *execution) bool { return r.cancelled })
 	b.unloadIdle()
@@ -107,7 +107,7 @@
 	b.sim.clock.after(span, func() { b.endStep(writing) })
 }
 
-// endStep ends a step: each execution whose prompt is read has one more token.
+// endStep ends a step: each execution whose prefill is complete has one more token.
 func (b *backend) endStep(writing []*execution) {
 	for _, r := range writing {
 		if r.cancelled {
@@ -122,7 +122,7 @@
 	b.step()
 }
 
-// decodeToken writes one token of an answer. Several tokens go out in an event.
+// decodeToken adds one token to a response. Each event carries TokensPerEvent tokens.
 func (b *backend) decodeToken(r *execution) {
 	e, now := &b.sim.cfg.Engine, b.sim.clock.now
 	if !r.started {
@@ -138,7 +138,7 @@
 	r.eventAt = now
 }
 
-// load begins an order to load; done is called when it is done.
+// load starts a load order and calls done on completion.
 func (b *backend) load(model, adapter string, done func()) {
 	b.busy = true
 	b.revision++
@@ -157,7 +157,7 @@
 	})
 }
 
-// unload begins an order to unload: it waits for what is executed.
+// unload starts an unload order. The unload of a model waits for its running executions.
 func (b *backend) unload(model, adapter string, done func()) {
 	b.busy = true
 	b.revision++
@@ -171,7 +171,7 @@
 	b.unloadIdle()
 }
 
-// unloadIdle completes an order to unload once nothing of the model is executed.
+// unloadIdle completes a pending unload order once no execution uses the model.
 func (b *backend) unloadIdle() {
 	if b.unloading == "" || slices.ContainsFunc(b.executions, func(r *execution) bool { return !r.cancelled && r.request.model == b.unloading }) {
 		return
@@ -187,7 +187,7 @@
 	done()
 }
 
-// loadedNames is what the backend has loaded, as it reports it.
+// loadedNames returns the loaded models with their adapters, as the backend reports them.
 func (b *backend) loadedNames() map[string][]string {
 	holds := map[string][]string{}
 	for model, adapters := range b.loaded {
--- a/internal/testing/emulator/clients.go
+++ b/internal/testing/emulator/clients.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// request is one attempt of a client.
+// request is one attempt of a client: the first one or a retry.
 type request struct {
 	kind           *RequestKind
-	at             time.Duration // of this attempt
+	at             time.Duration // arrival of this attempt
 	model, adapter string
 	promptTokens   int
 	outputTokens   int
@@ -19,10 +19,10 @@
 	retried        bool
 	deadline       time.Duration
 	firstAttempt   time.Duration
-	rejectedEarly  bool // an attempt before was rejected within a quarter of the latency target
+	rejectedEarly  bool // the previous attempt was rejected within a quarter of the latency target
 }
 
-// arrivals draws all first attempts of a run, in order: a Poisson process by thinning (Lewis and Shedler, 1979).
+// arrivals draws all first attempts of a run, in order, as a Poisson process by thinning (Lewis and Shedler, 1979).
 func arrivals(cfg *Config, rng *rand.Rand) []*request {
 	var all []*request
 	maxRate := 0.0
@@ -67,7 +67,7 @@
 	return factor
 }
 
-// draw makes a request of a kind.
+// draw draws a request of a kind.
 func (c *Config) draw(kind *RequestKind, at time.Duration, rng *rand.Rand) *request {
 	q := &request{
 		kind: kind, at: at, firstAttempt: at, zone: rng.IntN(c.Zones), proxy: rng.IntN(c.ProxiesPerZone),
@@ -89,8 +89,8 @@
 
 func busyName(i int) string { return fmt.Sprintf("busy-%d", i) }
 
-// positionsAt is by how many positions demand has moved on for a request at a time: during a shift each request
-// is of the time before it or of the time after it.
+// positionsAt returns by how many positions demand has shifted for a request. During a shift it draws whether the
+// request belongs to the demand before or after the shift.
 func (c *Config) positionsAt(at time.Duration, rng *rand.Rand) int {
 	positions := 0
 	for _, s := range c.Shifts {
@@ -101,7 +101,7 @@
 	return positions
 }
 
-// drawRank draws from n ranks, the first most often.
+// drawRank draws one of n ranks from a Zipf distribution, the first most often.
 func drawRank(n int, skew float64, rng *rand.Rand) int {
 	total := 0.0
 	for i := range n {
@@ -117,12 +117,12 @@
 }
 
 const (
-	// lengthSpread is the deviation of the logarithm of lengths; maxLength how many times the mean they reach.
+	// lengthSpread is the standard deviation of the logarithm of lengths. maxLength limits lengths, as a multiple of the mean.
 	lengthSpread = 1.0
 	maxLength    = 3.8
 )
 
-// drawTokens draws a number of tokens about a mean.
+// drawTokens draws a log-normal number of tokens with a mean, limited to maxLength times the mean.
 func drawTokens(mean int, rng *rand.Rand) int {
 	length := math.Exp(rng.NormFloat64()*lengthSpread - lengthSpread*lengthSpread/2)
 	return max(1, int(float64(mean)*min(length, maxLength)))
--- a/internal/testing/emulator/clock.go
+++ b/internal/testing/emulator/clock.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// clock plays events in the order of their times.
+// clock runs events in the order of their times.
 type clock struct {
 	now    time.Duration
 	events eventHeap
@@ -42,13 +42,13 @@
 	return last
 }
 
-// after has something done later.
+// after schedules do to run after span.
 func (c *clock) after(span time.Duration, do func()) {
 	c.count++
 	heap.Push(&c.events, event{c.now + max(0, span), c.count, do})
 }
 
-// every has something done time after time, at first after a part of the span.
+// every schedules do to run periodically: after first, then after each span.
 func (c *clock) every(span, first time.Duration, do func()) {
 	c.after(first, func() {
 		do()
@@ -56,7 +56,7 @@
 	})
 }
 
-// playUntil plays all events up to a time.
+// playUntil runs all events up to end, and sets the clock to it.
 func (c *clock) playUntil(end time.Duration) {
 	for len(c.events) > 0 && c.events[0].at <= end {
 		next := heap.Pop(&c.events).(event)
--- a/internal/testing/emulator/config.go
+++ b/internal/testing/emulator/config.go
@@ -6,43 +6,43 @@
 	"time"
 )
 
-// RequestKind is a kind of requests.
+// RequestKind describes a class of requests.
 type RequestKind struct {
 	Name                    string
 	PerSecond               float64
 	LatencyTarget, Deadline time.Duration
-	Value, LateValue        float64 // of an answer within the latency target, and of one after it
+	Value, LateValue        float64 // of a response within the latency target, and of a later one
 	Priority                int
-	SharedTokens            int // of the prompt: the same for all requests with a model
-	PromptTokens            int // of the rest of the prompt, on average
-	OutputTokens            int // on average
+	SharedTokens            int // prompt prefix, the same for all requests of a model
+	PromptTokens            int // mean of the rest of the prompt
+	OutputTokens            int // mean
 	Rare                    bool
 	AdapterShare            float64
 }
 
-// Shift moves demand on by some positions in the list of busy models.
+// Shift moves demand by a number of positions in the list of busy models.
 type Shift struct {
 	At, Over  time.Duration
 	Positions int
 }
 
-// Burst multiplies the requests of a kind for a time.
+// Burst multiplies the request rate of a kind for a limited time.
 type Burst struct {
 	At, Over time.Duration
 	Kind     string
 	Factor   float64
 }
 
-// Engine is what a backend's engine is like.
+// Engine describes the inference engine of a backend.
 type Engine struct {
 	Slots                int
-	StepTime             time.Duration // with nothing to read
-	StepTimePerRequest   time.Duration // more for each request that runs
-	PrefillChunk         int           // tokens of prompts read in a step at most
-	PrefillTokensPerMS   float64       // read
-	AttentionMSPerMPairs float64       // more, for a million pairs of tokens that attend to each other
-	TokensPerEvent       int           // tokens of an event
-	MaxPause             time.Duration // between two events of an answer in time
+	StepTime             time.Duration // base time of a step, without prompts
+	StepTimePerRequest   time.Duration // added for each running request
+	PrefillChunk         int           // maximum prompt tokens per step
+	PrefillTokensPerMS   float64       // prefill speed
+	AttentionMSPerMPairs float64       // added for each million pairs of tokens that attend to each other
+	TokensPerEvent       int           // tokens in each event of a stream
+	MaxPause             time.Duration // longest allowed time between two events of a response
 	CapacityMB           float64
 	MaxAdapters          int
 	LoadTime             time.Duration
@@ -50,22 +50,22 @@
 	MaxConcurrentLoads   int
 }
 
-// Knowledge is what the planner and the proxies know.
+// Knowledge says what the planner and the proxies know of demand and of the backends.
 type Knowledge int
 
 // The kinds of knowledge.
 const (
-	// AsInService: what is reported, when it is reported.
+	// AsInService: reported state only, with its delay, as in production.
 	AsInService Knowledge = iota
-	// KnownDemand: the planner knows of requests before they come, by the time of a load.
+	// KnownDemand: the planner learns of each request one load time before it arrives.
 	KnownDemand
-	// PerfectKnowledge: that, and each proxy sees the pending work of all backends as it is.
+	// PerfectKnowledge: KnownDemand, and each proxy sees the current pending work of all backends.
 	PerfectKnowledge
-	// NoPeerBacklogs: proxies do not learn what their peers have sent.
+	// NoPeerBacklogs: proxies do not learn the backlogs of their peers.
 	NoPeerBacklogs
 )
 
-// Config is a deployment with its demand.
+// Config describes a deployment and its demand.
 type Config struct {
 	Seed                                   uint64
 	Zones, ProxiesPerZone, BackendsPerZone int
@@ -73,7 +73,7 @@
 	BusyModels, BusyNow, RareModels        int
 	Skew, RareSkew                         float64
 	ModelMB, AdapterMB                     float64
-	Adapters                               int // of a busy model
+	Adapters                               int // of each busy model
 	Kinds                                  []RequestKind
 	Shifts                                 []Shift
 	Bursts                                 []Burst
@@ -83,25 +83,26 @@
 	Knowledge                              Knowledge
 }
 
-// ErrConfig is what a configuration is rejected with that can't be simulated.
-var ErrConfig = errors.New("the deployment can't be played")
+// ErrConfig is the error for a configuration that can't be simulated.
+var ErrConfig = errors.New("invalid deployment")
 
-// Check gives an error (ErrConfig) that says what is wrong with a configuration; nil where nothing is.
+// Check returns an error that wraps ErrConfig if the configuration can't be simulated.
 func (c *Config) Check() error {
 	switch {
 	case c.Zones < 1 || c.ProxiesPerZone < 1 || c.BackendsPerZone < 1:
-		return fmt.Errorf("%w: it has no zones, proxies or backends", ErrConfig)
+		return fmt.Errorf("%w: zones, proxies and backends must be at least 1", ErrConfig)
 	case c.BusyNow < 1 || c.BusyNow > c.BusyModels:
-		return fmt.Errorf("%w: %d of %d models are busy", ErrConfig, c.BusyNow, c.BusyModels)
+		return fmt.Errorf("%w: %d busy models out of %d", ErrConfig, c.BusyNow, c.BusyModels)
 	case c.Engine.Slots < 1 || c.Engine.PrefillChunk < 1 || c.Engine.PrefillTokensPerMS <= 0 || c.Engine.StepTime <= 0:
-		return fmt.Errorf("%w: its engines do nothing", ErrConfig)
+		return fmt.Errorf("%w: slots, prefill and step time of the engine must be positive", ErrConfig)
 	case c.Duration <= 0 || c.ReportInterval <= 0:
-		return fmt.Errorf("%w: it has no length, or no reports", ErrConfig)
+		return fmt.Errorf("%w: duration and report interval must be positive", ErrConfig)
 	}
 	return nil
 }
 
-// Default is a deployment of 90 proxies in five zones with 140 backends, whose demand moves on, and jumps for some seconds later.
+// Default returns a deployment of 90 proxies and 140 backends in five zones. Its demand shifts to other models, and later
+// has bursts of some seconds.
 func Default(seed uint64) Config {
 	return Config{
 		Seed: seed, Zones: 5, ProxiesPerZone: 18, BackendsPerZone: 28, CrossZone: 900 * time.Microsecond, InZone: 200 * time.Microsecond,
--- a/internal/testing/emulator/emulator_test.go
+++ b/internal/testing/emulator/emulator_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// small is a deployment that plays in a second.
+// small returns a deployment that is simulated in a second.
 func small(seed uint64) Config {
 	c := Default(seed)
 	c.Zones, c.ProxiesPerZone, c.BackendsPerZone = 2, 3, 8
@@ -42,7 +42,8 @@
 	is.True(first.Loads > 0)
 }
 
-// Who knows more serves more: over some days, what is known in service is worth more than nothing, and less than all.
+// Over several seeds, production knowledge earns more value than none of the peers' backlogs, and less than perfect
+// knowledge.
 func TestMoreKnowledgeServesMore(t *testing.T) {
 	is := is.New(t)
 	share := map[Knowledge]float64{}
@@ -83,7 +84,7 @@
 	}
 }
 
-// Every deployment that is drawn can be played, and another seed draws another one.
+// Every random deployment is valid, and different seeds give different ones.
 func TestRandomDeploymentsAreValid(t *testing.T) {
 	is := is.New(t)
 	loads := map[time.Duration]bool{}
--- a/internal/testing/emulator/median.go
+++ b/internal/testing/emulator/median.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// median is the median of spans; 0 of none.
+// median returns the median of spans, or 0 if there are none.
 func median(spans []time.Duration) time.Duration {
 	if len(spans) == 0 {
 		return 0
--- a/internal/testing/emulator/placer.go
+++ b/internal/testing/emulator/placer.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// planInterval is how often the planner plans, and orderDelay how long an order takes to arrive.
+	// planInterval is the time between two plans, and orderDelay the one-way delay of orders and reports.
 	planInterval = 100 * time.Millisecond
 	orderDelay   = 2 * time.Millisecond
-	// reportLag is how old a backend's report is. A backend is asked for one once an interval, from reportLead before
-	// an order is expected to be done.
+	// reportLag is how long a backend still reports an order as running after its completion. The planner requests a
+	// report at most once per reportInterval, starting reportLead before the expected completion of an order.
 	reportLag      = 100 * time.Millisecond
 	reportInterval = 180 * time.Millisecond
 	reportLead     = 50 * time.Millisecond
-	// instantOrderTime is after what time an order that takes next to none is assumed to be completed.
+	// instantOrderTime is the time after which a near-instant order is assumed to be completed, without a report.
 	instantOrderTime = 60 * time.Millisecond
-	// distributionDelay is how long a change of what a backend has loaded takes to reach all proxies.
+	// distributionDelay is the interval at which changes of the loaded models are distributed to all proxies.
 	distributionDelay = 120 * time.Millisecond
 )
 
-// placer drives the planner as the agent with the placement lease does.
+// placer drives the planner as the holder of the placement lease does.
 type placer struct {
 	sim     *simulation
 	planner *placement.Planner
@@ -43,7 +43,7 @@
 	return p
 }
 
-// start sets the backends.
+// start gives the planner the backends and starts the periodic planning.
 func (p *placer) start() {
 	var list []placement.Backend
 	for _, b := range p.sim.backends {
@@ -53,7 +53,7 @@
 	p.sim.clock.every(planInterval, 0, p.step)
 }
 
-// step makes one plan and sends its orders.
+// step requests due reports, makes one plan and sends its orders.
 func (p *placer) step() {
 	now := p.sim.clock.now
 	for _, id := range p.planner.UnknownBackends() {
@@ -78,7 +78,7 @@
 	}
 }
 
-// requestReport asks a backend for its report.
+// requestReport requests a backend's report, at most once per reportInterval.
 func (p *placer) requestReport(id string) {
 	now := p.sim.clock.now
 	if at, before := p.askedAt[id]; before && now-at < reportInterval {
@@ -98,7 +98,7 @@
 	})
 }
 
-// sendOrder has a backend carry an order out.
+// sendOrder starts an order at its backend, which rejects it when busy or at another revision.
 func (p *placer) sendOrder(o placement.Order) {
 	now := p.sim.clock.now
 	b := p.sim.byID[o.Backend]
--- a/internal/testing/emulator/proxy.go
+++ b/internal/testing/emulator/proxy.go
@@ -11,16 +11,16 @@
 	"marlreel/internal/placement"
 )
 
-// clockStart is what the balancer's clock shows at the start: starts of backends from before are above 0.
+// clockStart is the balancer's time at the start of a run. It is above 0 so that backends may have started earlier.
 const clockStart = time.Hour
 
-// reportSoon is how long the first request that waits for a model waits for others to be reported with it.
+// reportSoon delays the report of the first request that waits for a model, so that others can join the same report.
 const reportSoon = 5 * time.Millisecond
 
-// connectionIdleTimeout is how long a connection to a backend may be idle until it is closed.
+// connectionIdleTimeout is the idle time after which a connection to a backend is closed.
 const connectionIdleTimeout = 20 * time.Second
 
-// proxy runs one balancer.
+// proxy simulates a proxy with its balancer, and implements the balancer's host.
 type proxy struct {
 	sim             *simulation
 	name            string
@@ -29,16 +29,16 @@
 	advisor         *routing.Advisor
 	calls           map[balancer.RequestID]*call
 	lastID          balancer.RequestID
-	reportScheduled bool // a report is scheduled: a request waits
+	reportScheduled bool // an early report is scheduled for a waiting request
 	demand          map[placement.Key]*demandCount
-	idleConnections map[balancer.BackendID][]time.Duration // since when connections are idle
+	idleConnections map[balancer.BackendID][]time.Duration // start of the idle time of each connection
 }
 
 // demandCount is the demand for a model since the last report.
 type demandCount struct {
 	arrived       int
 	workMS        float64
-	latencyTarget time.Duration // of the last one
+	latencyTarget time.Duration // of the last request
 }
 
 // call is a pending request.
@@ -47,9 +47,9 @@
 	cost     time.Duration
 	attempts []*attempt
 	answered bool
-	firstAt  time.Duration // when its answer began
-	paused   bool          // it paused for longer than is allowed
-	waits    bool          // no backend had its model loaded when it came
+	firstAt  time.Duration // time of the first byte
+	paused   bool          // a pause exceeded Engine.MaxPause
+	waits    bool          // no backend had its model loaded on arrival
 }
 
 type attempt struct {
@@ -80,7 +80,7 @@
 
 func (p *proxy) now() time.Duration { return p.sim.clock.now + clockStart }
 
-// start starts the balancer with the membership.
+// start starts the balancer and gives it all backends.
 func (p *proxy) start() {
 	p.updateBackends()
 	p.balancer.Start(p.now())
@@ -91,7 +91,7 @@
 	p.balancer.OnMembership(p.now(), balancer.Membership{Kind: balancer.MembershipFull, Backends: list})
 }
 
-// updateBackends tells the advisor what backends have loaded, by what they have reported.
+// updateBackends gives the advisor the reported models of the backends.
 func (p *proxy) updateBackends() { p.advisor.SetBackends(p.now(), p.sim.reportedBackends) }
 
 // onRequest handles a client's request.
@@ -128,7 +128,7 @@
 	})
 }
 
-// onClientTimeout handles that a client's time is up.
+// onClientTimeout ends a request whose response has not begun at its deadline.
 func (p *proxy) onClientTimeout(id balancer.RequestID) {
 	c := p.calls[id]
 	if c == nil || c.answered {
@@ -189,7 +189,7 @@
 	})
 }
 
-// connect uses an idle connection to a backend, or makes one.
+// connect takes an idle connection to a backend or opens a new one.
 func (p *proxy) connect(to balancer.BackendID) {
 	idle := p.idleConnections[to]
 	for len(idle) > 0 {
@@ -204,7 +204,7 @@
 	p.sim.score.Connections++
 }
 
-// onFirstByte handles the first token of an answer.
+// onFirstByte handles the first token of a response.
 func (p *proxy) onFirstByte(id balancer.RequestID, n int) {
 	c := p.calls[id]
 	if c == nil || c.answered {
@@ -253,7 +253,7 @@
 	})
 }
 
-// CheckHealth implements balancer.Host: all backends are healthy.
+// CheckHealth implements balancer.Host. All backends are healthy.
 func (p *proxy) CheckHealth(b balancer.BackendID) {
 	p.sim.clock.after(2*p.sim.cfg.CrossZone, func() {
 		p.balancer.OnHealthCheck(p.now(), balancer.HealthCheckResult{Backend: b, Result: balancer.OK})
@@ -280,7 +280,7 @@
 // Log implements balancer.Host.
 func (p *proxy) Log(string) {}
 
-// backlog is the work that was sent and that backends have not begun to answer.
+// backlog returns the work in flight to each backend, without requests whose response has begun.
 func (p *proxy) backlog() backlog.Work {
 	work := backlog.Work{}
 	for _, c := range p.calls {
@@ -296,7 +296,7 @@
 	return work
 }
 
-// waiting counts the pending requests that no backend could run when they came, by model.
+// waiting counts, by model, the pending requests whose model no backend had loaded on their arrival.
 func (p *proxy) waiting() map[placement.Key]int {
 	waits := map[placement.Key]int{}
 	for _, c := range p.calls {
--- a/internal/testing/emulator/random.go
+++ b/internal/testing/emulator/random.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// RandomDeployment draws another deployment by a seed: other rates, shares, numbers of models and machines, load
-// times, speeds of engines and latency targets. What serves one deployment well has to serve others.
+// RandomDeployment draws a variation of a deployment from a seed: request rates and their mix, numbers of models and
+// machines, load times, engine speeds and latency targets. It shows whether a change helps other deployments too.
 func RandomDeployment(base Config, seed uint64) Config {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	between := func(low, high float64) float64 { return low + rng.Float64()*(high-low) }
@@ -25,7 +25,7 @@
 	backends := float64(c.Zones * c.BackendsPerZone)
 	c.Engine.MaxLoadsPerSecond = backends * between(0.25, 0.5)
 	c.Engine.MaxConcurrentLoads = int(backends)
-	// The work that is asked for is a part of what all engines can do.
+	// Scale the request rates so that demand takes the fraction load of the prefill speed of all engines.
 	load, targets := between(0.35, 0.65), between(0.8, 2)
 	kinds := append([]RequestKind(nil), base.Kinds...)
 	work := 0.0
--- a/internal/testing/emulator/reports.go
+++ b/internal/testing/emulator/reports.go
@@ -13,7 +13,7 @@
 	"marlreel/internal/placement"
 )
 
-// recordLoaded records what proxies will know of a backend.
+// recordLoaded records the loaded models of a backend for the next distribution to proxies.
 func (s *simulation) recordLoaded(i int, loaded map[string][]string) {
 	k := routing.Backend{Backend: prefixcache.Backend{ID: balancer.BackendID(i + 1), Slots: s.cfg.Engine.Slots}, Name: s.backends[i].id}
 	for model, adapters := range loaded {
@@ -23,7 +23,7 @@
 	s.reportsChanged = true
 }
 
-// observeLoaded handles what the planner observes a backend to have loaded.
+// observeLoaded handles a planner observation of a backend's loaded models.
 func (s *simulation) observeLoaded(id string, loaded map[string][]string) {
 	for i, b := range s.backends {
 		if b.id == id {
@@ -32,7 +32,7 @@
 	}
 }
 
-// distributeReports tells all proxies what backends have loaded, where that has changed.
+// distributeReports updates the backends' loaded models at all proxies if they have changed.
 func (s *simulation) distributeReports() {
 	if !s.reportsChanged {
 		return
@@ -56,7 +56,7 @@
 	}
 }
 
-// report is one proxy's report: of demand to the planner, of its backlog to its relay, and the answer.
+// report sends one proxy's demand to the planner and its backlog to its relay, which replies with its peers' backlog.
 func (s *simulation) report(p *proxy) {
 	now := s.clock.now
 	waiting := p.waiting()
@@ -85,20 +85,20 @@
 	s.clock.after(2*s.cfg.InZone, func() { p.advisor.RecordPeerBacklog(p.now(), peers) })
 }
 
-// sortedKeys are the keys of a map in order: a run is the same retry.
+// sortedKeys returns the keys of a map in order, so that runs are deterministic.
 func sortedKeys[V any](of map[placement.Key]V) []placement.Key {
 	return slices.SortedFunc(maps.Keys(of), func(x, y placement.Key) int {
 		return cmp.Or(cmp.Compare(x.Model, y.Model), cmp.Compare(x.Adapter, y.Adapter))
 	})
 }
 
-// syncRelay tells a relay the backlog of other zones.
+// syncRelay sends the backlog of the other zones to a zone's relay.
 func (s *simulation) syncRelay(zone int) {
 	elsewhere := s.leaseHolder.Sum(s.clock.now, serviceName, func(r backlog.Reporter) bool { return r.Zone != zoneName(zone) })
 	s.clock.after(2*s.cfg.CrossZone, func() { s.relays[zone].RecordReport(s.clock.now, serviceName, backlog.OtherZones, elsewhere) })
 }
 
-// pending is the pending work of all backends as it is.
+// pending returns the current pending work of all backends.
 func (s *simulation) pending() backlog.Work {
 	work := backlog.Work{}
 	for _, b := range s.backends {
@@ -109,7 +109,7 @@
 	return work
 }
 
-// announceDemand has the planner know of requests before they come.
+// announceDemand records each request at the planner one load time before it arrives.
 func (s *simulation) announceDemand(all []*request) {
 	lead := s.cfg.Engine.LoadTime
 	for _, q := range all {
--- a/internal/testing/emulator/result.go
+++ b/internal/testing/emulator/result.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// window is the span over which the worst seconds are taken.
+// window is the length of the intervals among which the worst one is reported.
 const window = 2 * time.Second
 
-// Result is how well a run served its clients. Value is that of answers, as the kinds of requests give it.
+// Result reports how well a run served its clients. The value of a response depends on the kind of its request.
 type Result struct {
-	ValueShare        float64            // share of the value of all requests that was earned
-	WorstWindowShare  float64            // the same in the worst two seconds
+	ValueShare        float64            // earned fraction of the value of all requests
+	WorstWindowShare  float64            // the same for the worst interval of two seconds
 	ByKind            map[string]float64 // the same by kind of requests
 	InTime            int
 	Late              int
-	Paused            int // answers, in time or late, with too long a pause
+	Paused            int // responses, in time or late, with a pause above Engine.MaxPause
 	Lost              int
 	Rejections        int // of first attempts of a client
-	FinalRejections   int // rejections that were the last answer to a client
+	FinalRejections   int // rejections that the client did not retry
 	Loads             int
 	Connections       int
 	CrossZoneAttempts int
-	MedianLateLatency time.Duration // of late answers
+	MedianLateLatency time.Duration // of late responses
 }
 
-// score adds up the value of answers.
+// score accumulates the value of responses.
 type score struct {
 	Result
 	earned, owed             map[string]float64
@@ -38,7 +38,7 @@
 	return &score{earned: map[string]float64{}, owed: map[string]float64{}, windowEarned: map[int]float64{}, windowOwed: map[int]float64{}}
 }
 
-// record adds a request that is over, with the value that it has earned.
+// record adds a finished request with the value that it earned.
 func (s *score) record(q *request, earned float64) {
 	owed := q.kind.Value * q.value
 	at := int(q.firstAttempt / window)
@@ -48,7 +48,7 @@
 	s.windowEarned[at] += earned * q.value
 }
 
-// recordServed is an answer's end.
+// recordServed records a complete response by the time of its first byte.
 func (s *score) recordServed(c *call) {
 	q, now := c.request, c.firstAt
 	switch {
@@ -78,7 +78,7 @@
 	s.record(c.request, 0)
 }
 
-// result sums up.
+// result returns the totals of the run.
 func (s *score) result() *Result {
 	r := s.Result
 	earned, owed := 0.0, 0.0
--- a/internal/testing/emulator/setup.go
+++ b/internal/testing/emulator/setup.go
@@ -10,7 +10,7 @@
 	"marlreel/internal/dataplane/routing"
 )
 
-// lateShare is the share of its value that the balancer takes a late answer to earn, as in service.
+// lateShare is the fraction of a request's value that the balancer assigns to a late response, as in production.
 const lateShare = 0.6
 
 func (s *simulation) makeClasses() {
@@ -26,7 +26,7 @@
 
 func zoneName(zone int) string { return fmt.Sprintf("zone-%d", zone) }
 
-// networkDelay is how long a message takes between two zones.
+// networkDelay returns the one-way delay between two zones.
 func (c *Config) networkDelay(a, b int) time.Duration {
 	if a == b {
 		return c.InZone
@@ -34,7 +34,7 @@
 	return c.CrossZone
 }
 
-// models are the names of all models, busy ones first.
+// models returns the names of all models, busy ones first.
 func (c *Config) models() []string {
 	var names []string
 	for i := range c.BusyModels {
@@ -46,10 +46,11 @@
 	return names
 }
 
-// busyCapacityShare is the share of the capacity at which busy models are placed at first.
+// busyCapacityShare is the fraction of the capacity that the initial placement gives to busy models.
 const busyCapacityShare = 0.27
 
-// makeBackends places models as far as there is capacity: busy ones on several backends, each other one on one.
+// makeBackends creates the backends and places models while there is capacity: a busy model on several backends, any
+// other model on one.
 func (s *simulation) makeBackends() {
 	c := &s.cfg
 	for i := range c.Zones * c.BackendsPerZone {
@@ -60,7 +61,7 @@
 		s.backends = append(s.backends, b)
 		s.byID[b.id] = b
 	}
-	capacity := int(c.Engine.CapacityMB / c.ModelMB) // models
+	capacity := int(c.Engine.CapacityMB / c.ModelMB) // number of models
 	total := 0.0
 	for rank := range c.BusyNow {
 		total += math.Pow(float64(rank+1), -c.Skew)
--- a/internal/testing/emulator/simulation.go
+++ b/internal/testing/emulator/simulation.go
@@ -10,10 +10,10 @@
 	"marlreel/internal/placement"
 )
 
-// serviceName is that of the one service.
+// serviceName is the name of the only service.
 const serviceName = "models"
 
-// simulation is the whole state of a deployment during a run.
+// simulation holds the state of a deployment during a run.
 type simulation struct {
 	cfg              Config
 	clock            clock
@@ -25,15 +25,15 @@
 	proxies          []*proxy
 	placer           *placer
 	score            *score
-	reportedBackends []routing.Backend      // what proxies know of the backends
-	reportedLoaded   map[placement.Key]bool // models and adapters that some of them has loaded
+	reportedBackends []routing.Backend      // the proxies' view of the backends
+	reportedLoaded   map[placement.Key]bool // models and adapters that at least one of them has loaded
 	reportsChanged   bool                   // since the last distribution
 	relays           []*backlog.Table       // by zone
 	leaseHolder      *backlog.Table
 	concurrentLoads  int
 }
 
-// Run simulates a deployment for its duration. A configuration that can't be simulated gives ErrConfig.
+// Run simulates a deployment for its duration. It returns ErrConfig for a configuration that can't be simulated.
 func Run(cfg Config) (*Result, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -63,7 +63,7 @@
 
 func (s *simulation) arrive(q *request) { s.proxies[q.zone*s.cfg.ProxiesPerZone+q.proxy].onRequest(q) }
 
-// onRejected lets a client retry once, when it is asked to.
+// onRejected has the client retry once, after retryAfter or a third of its remaining time, whichever is less.
 func (s *simulation) onRejected(c *call, retryAfter time.Duration) {
 	q, now := c.request, s.clock.now
 	left := q.deadline - now
@@ -79,7 +79,8 @@
 	s.clock.after(retry.at-now, func() { s.arrive(&retry) })
 }
 
-// loadTime is how long a load takes that begins now.
+// loadTime returns the duration of a load that begins now. It is a quarter for a model loaded there before, and longer
+// beyond the limit of concurrent loads.
 func (s *simulation) loadTime(had bool) time.Duration {
 	span := s.cfg.Engine.LoadTime
 	if had {
