--- a/internal/testing/scale/compatibility_test.go
+++ b/internal/testing/scale/compatibility_test.go
@@ -9,10 +9,10 @@
 	"testing"
 )
 
-// The file testdata/compatibility/results.jsonl was written by the code of commit 6fb9894. It stands for the raw figures of
-// trials that were kept. It must not be written again to make a test pass.
+// The file testdata/compatibility/results.jsonl was written by the code of commit 6fb9894. It represents the
+// stored raw figures of trials. It must not be regenerated to make a test pass.
 //
-// If the file is missing, it is written by
+// If the file is missing, this command writes it:
 //
 //	WRITE_COMPATIBILITY_FILES=1 go test -run TestCompatibility ./internal/testing/scale
 //
@@ -22,7 +22,7 @@
 	writeVariable     = "WRITE_COMPATIBILITY_FILES"
 )
 
-// storedResult is what the stored file holds. Every field has a value of its own.
+// storedResult returns the content of the stored file. Every field has a different value.
 func storedResult() *Result {
 	return &Result{
 		Controls: 7, Proxies: 100, Backends: 1000, Models: 40, Zones: 3, Routes: 500,
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestCompatibilityOfStoredResults reads stored figures, and writes them again.
+// TestCompatibilityOfStoredResults checks that stored figures can be read, and that encoding gives the same bytes.
 func TestCompatibilityOfStoredResults(t *testing.T) {
 	const want = `{"controls":7,"proxies":100,"backends":1000,"models":40,"zones":3,"routes":500,` +
 		`"idle":{"control":{"processor_percent":1.5,"resident_mb":30.5,"read_kb_per_s":4.5,"wrote_kb_per_s":5.5}},` +
--- a/internal/testing/scale/document.go
+++ b/internal/testing/scale/document.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// The operator's configuration, as far as a trial needs it. These types stand beside configuration.Document's, as an
-// operator's file has only the keys that are set, and its size on the wire is measured.
+// These types hold the part of the operator's configuration that a trial needs. configuration.Document is not used, as
+// an operator's file has only the keys that are set, and its size on the wire is measured.
 type (
 	sentRoute struct {
 		Name     string `json:"name"`
@@ -47,7 +47,7 @@
 	}
 )
 
-// document returns a configuration with the routes and models that cfg asks for.
+// document returns a configuration with cfg.Routes routes and cfg.Models models.
 func document(cfg Config, version uint64) []byte {
 	sent := sentDocument{Version: version, Limits: map[string]int{
 		"max_header_bytes": 16384, "max_body_bytes": 4 << 20,
--- a/internal/testing/scale/line.go
+++ b/internal/testing/scale/line.go
@@ -6,21 +6,20 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Line is a straight line through measured points, and how far they lie from it. All values are in the unit of the
-// points.
+// Line is a straight line fitted to measured points, with the error of the fit.
 type Line struct {
 	// Intercept is the line's value at 0.
 	Intercept float64
-	// Slope is what each one more adds.
+	// Slope is the increase of the value per unit of x.
 	Slope float64
-	// RootMeanSquareError is that of the points against the line.
+	// RootMeanSquareError is the root mean square of the vertical distances of the points from the line.
 	RootMeanSquareError float64
 }
 
 // At returns the line's value at x.
 func (l Line) At(x float64) float64 { return l.Intercept + l.Slope*x }
 
-// FitLine fits a line by ordinary least squares to points of at least two different x.
+// FitLine fits a line by ordinary least squares. The points must have at least two different values of x.
 func FitLine(x, y []float64) Line {
 	line := Line{}
 	line.Intercept, line.Slope = stat.LinearRegression(x, y, nil, false)
--- a/internal/testing/scale/process.go
+++ b/internal/testing/scale/process.go
@@ -12,18 +12,18 @@
 	"marlreel/internal/process/bootstrap"
 )
 
-// process is a process of a role. Its owner kills it.
+// process is a running process of a role. Its owner must kill it.
 type process struct {
 	role    string
 	command *exec.Cmd
-	stderr  *bytes.Buffer // to be read when the process has ended
+	stderr  *bytes.Buffer // read it only after the process has ended
 }
 
-// startProcess runs a role of the program with settings.
+// startProcess starts the program in a role, with settings.
 func startProcess(program, role, folder string, settings *bootstrap.Settings) (*process, error) {
 	data, err := toml.Marshal(settings)
 	if err != nil {
-		return nil, eris.Wrap(err, "writing settings")
+		return nil, eris.Wrap(err, "marshalling settings")
 	}
 	path := filepath.Join(folder, settings.NodeName+"-"+role+".toml")
 	if err := os.WriteFile(path, data, 0o600); err != nil {
@@ -40,6 +40,6 @@
 
 // kill ends the process at once.
 func (p *process) kill() {
-	_ = p.command.Process.Kill() // one that has ended already is what is wanted
+	_ = p.command.Process.Kill() // fails only if the process has already ended
 	_ = p.command.Wait()
 }
--- a/internal/testing/scale/scale_test.go
+++ b/internal/testing/scale/scale_test.go
@@ -19,12 +19,12 @@
 	"marlreel/internal/process/host"
 )
 
-// The test's own program plays the real processes.
+// TestMain lets the test binary run as the real processes, whose role is its first argument.
 func TestMain(m *testing.M) {
 	roles := map[string]runRole{"control": controlplane.Run, "agent": agent.Run, "proxy": gateway.Run}
 	if len(os.Args) > 1 && roles[os.Args[1]] != nil {
 		fmt.Fprintln(os.Stderr, runProcess(roles[os.Args[1]]))
-		os.Exit(1) // a process is killed in the end
+		os.Exit(1) // the trial kills its processes, so Run returns only on failure
 	}
 	os.Exit(m.Run())
 }
--- a/internal/testing/scale/settings.go
+++ b/internal/testing/scale/settings.go
@@ -7,25 +7,25 @@
 	"marlreel/internal/testing/fakesystem"
 )
 
-// The address of a machine on loopback says its kind and number; all machines use the same ports.
+// The loopback address of a machine encodes its kind and number; all machines use the same ports.
 const (
 	kindControl = 41
 	kindProxy   = 42
 	kindBackend = 43
-	// kindInternal is added for the address at which a machine's own processes meet.
+	// kindInternal is added to the kind for the address of connections between processes of the same machine.
 	kindInternal = 10
-	// machinesPerSubnet is how many machines share the third number of an address.
+	// machinesPerSubnet is how many machines share the third octet of an address.
 	machinesPerSubnet = 200
 
 	peerPort    = 17660
-	lastPort    = peerPort + 15 // of those that the platform leaves free
+	lastPort    = peerPort + 15 // last of the internal ports, which the platform leaves free
 	frontPort   = 18080
 	readyPort   = 18081
 	controlPort = 18082
 	backendPort = 19000
 )
 
-// maxSeeds is how many control processes a settings file names.
+// maxSeeds is how many control processes a settings file names at most.
 const maxSeeds = 3
 
 func ipOf(kind, number int) string {
@@ -36,7 +36,7 @@
 
 func (cfg Config) zone(number int) string { return fmt.Sprint("zone-", number%cfg.Zones) }
 
-// settings are those of a machine.
+// settings returns the settings of a machine.
 func (cfg Config) settings(name string, kind, number int) *bootstrap.Settings {
 	s := &bootstrap.Settings{
 		NodeName: name, IP: ipOf(kind, number), Zone: cfg.zone(number), InternalPorts: []int{peerPort, lastPort},
--- a/internal/testing/scale/subscriber.go
+++ b/internal/testing/scale/subscriber.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// subscriber stands in for a proxy: it follows its agent, and records when each version of the configuration came.
+// subscriber replaces a proxy: it watches its agent and records when each version of the configuration arrives.
 type subscriber struct {
 	mu         sync.Mutex
 	receivedAt map[uint64]time.Time // by version
@@ -13,7 +13,7 @@
 
 func newSubscriber() *subscriber { return &subscriber{receivedAt: map[uint64]time.Time{}} }
 
-// record notes that a version is there now.
+// record stores the time of the first arrival of a version.
 func (s *subscriber) record(version uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -22,7 +22,7 @@
 	}
 }
 
-// received returns when a version came, if it has.
+// received returns when a version arrived; known is false if it has not.
 func (s *subscriber) received(version uint64) (at time.Time, known bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testing/scale/system.go
+++ b/internal/testing/scale/system.go
@@ -28,16 +28,16 @@
 const (
 	startTimeout = 40 * time.Second
 	pollInterval = 100 * time.Millisecond
-	// callTimeout bounds an operator's call with its retries.
+	// callTimeout limits an operator's call, retries included.
 	callTimeout = 10 * time.Second
 )
 
-// Config says what system is run.
+// Config describes the system to run.
 type Config struct {
 	// Program is the path of marlreeld.
 	Program  string
 	Controls int
-	// Proxies are the hollow ones and the real one.
+	// Proxies counts the real proxy and the hollow ones.
 	Proxies           int
 	Backends          int
 	Models            int
@@ -49,7 +49,7 @@
 // System is a running system.
 type System struct {
 	cfg         Config
-	folder      string // for settings files and stores
+	folder      string // for settings files and the data of control processes
 	cancel      context.CancelFunc
 	hollow      sync.WaitGroup        // agents, subscribers and backends in this process
 	processes   map[string][]*process // by role
@@ -58,11 +58,12 @@
 	version     uint64 // of the newest configuration
 }
 
-// Start starts a system and waits until all of it is known. It ends with ctx; Stop has to be called nevertheless.
+// Start starts a system and waits until all nodes and backends are registered and have the configuration. The system
+// stops with ctx, but Stop must be called in any case.
 func Start(ctx context.Context, cfg Config) (*System, error) {
 	folder, err := os.MkdirTemp("", "marlreel-scale-")
 	if err != nil {
-		return nil, eris.Wrap(err, "making a folder for the trial")
+		return nil, eris.Wrap(err, "creating a folder for the trial")
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	s := &System{cfg: cfg, folder: folder, cancel: cancel, processes: map[string][]*process{}}
@@ -73,7 +74,7 @@
 	return s, nil
 }
 
-// Stop ends everything and removes what it has left on disk.
+// Stop ends all processes and goroutines and removes the folder.
 func (s *System) Stop() {
 	s.cancel()
 	for _, processes := range s.processes {
@@ -82,7 +83,7 @@
 		}
 	}
 	s.hollow.Wait()
-	_ = os.RemoveAll(s.folder) // a folder of the operating system's for temporary files
+	_ = os.RemoveAll(s.folder) // best effort: the folder is a temporary one of the operating system
 }
 
 func (s *System) start(ctx context.Context) error {
@@ -131,10 +132,10 @@
 	return nil
 }
 
-// startHollow starts an agent in this process, and a subscriber in place of its proxy.
+// startHollow starts an agent in this process, with a subscriber in place of its proxy.
 func (s *System) startHollow(ctx context.Context, settings *bootstrap.Settings) {
 	machine := &host.Host{Settings: settings, Network: host.OSNetwork{}, Log: logr.Discard()}
-	s.hollow.Go(func() { _ = agent.Run(ctx, machine) }) // it ends with the system
+	s.hollow.Go(func() { _ = agent.Run(ctx, machine) }) // runs until the system stops
 	subscriber := newSubscriber()
 	s.subscribers = append(s.subscribers, subscriber)
 	store := watch.New(settings.NodeName, time.Now)
@@ -161,11 +162,11 @@
 			Models:            []string{model}, CapacityMB: 200000, SizesMB: map[string]float64{model: 60000},
 			LoadTimes: map[string]time.Duration{model: 3 * time.Second},
 		}, host.OSNetwork{})
-		s.hollow.Go(func() { _ = b.Serve(ctx) }) // it ends with the system
+		s.hollow.Go(func() { _ = b.Serve(ctx) }) // runs until the system stops
 	}
 }
 
-// awaitComplete waits until a control process lists all nodes and backends, and each subscriber has the configuration.
+// awaitComplete waits until a control process lists all nodes and backends, and every subscriber has the configuration.
 func (s *System) awaitComplete(ctx context.Context) error {
 	var status controlplane.Status
 	deadline := time.Now().Add(startTimeout)
@@ -177,11 +178,11 @@
 		}
 		timing.Sleep(ctx, pollInterval)
 	}
-	return eris.Errorf("after %v: %d of %d proxies and %d of %d backends are known, %d subscribers lack the configuration",
+	return eris.Errorf("system not complete after %v: %d of %d proxies and %d of %d backends registered, %d subscribers without the configuration",
 		startTimeout, len(status.Nodes), s.cfg.Proxies, len(status.Backends), s.cfg.Backends, s.missing(s.version))
 }
 
-// missing is how many subscribers lack a version.
+// missing returns how many subscribers have not received a version.
 func (s *System) missing(version uint64) int {
 	count := 0
 	for _, subscriber := range s.subscribers {
@@ -192,7 +193,7 @@
 	return count
 }
 
-// ChangeConfiguration commits the next version of the configuration, and returns when that was acknowledged.
+// ChangeConfiguration commits the next version of the configuration, and returns the time of the acknowledgement.
 func (s *System) ChangeConfiguration(ctx context.Context) (time.Time, error) {
 	next := s.version + 1
 	if err := s.operator.ReplaceConfiguration(ctx, s.version, document(s.cfg, next)); err != nil {
@@ -202,8 +203,8 @@
 	return time.Now(), nil
 }
 
-// PropagationDelays returns, for each hollow proxy that has a version, how long after the acknowledgement it came; at
-// least 0.
+// PropagationDelays returns the time from the acknowledgement of a version to its arrival, at least 0, for each hollow
+// proxy that has received it.
 func (s *System) PropagationDelays(version uint64, acknowledged time.Time) []time.Duration {
 	var delays []time.Duration
 	for _, subscriber := range s.subscribers {
--- a/internal/testing/scale/trial.go
+++ b/internal/testing/scale/trial.go
@@ -13,13 +13,13 @@
 const (
 	// changeInterval is the time between two changes.
 	changeInterval = time.Second
-	// propagationTimeout bounds how long a change may take to be everywhere.
+	// propagationTimeout limits the propagation of a change to all proxies.
 	propagationTimeout = 15 * time.Second
-	// propagationPoll is how often that is looked at.
+	// propagationPoll is the interval at which propagation is checked.
 	propagationPoll = 5 * time.Millisecond
 )
 
-// Result is what a trial has measured.
+// Result holds the figures of a trial.
 type Result struct {
 	Controls int `json:"controls"`
 	Proxies  int `json:"proxies"`
@@ -28,17 +28,17 @@
 	Zones    int `json:"zones"`
 	Routes   int `json:"routes"`
 
-	// IdleUsage is each role's usage with nothing but heartbeats, leases and health checks, ChangingUsage with one
-	// change a second. Of several processes of a role it is that of the one with the most CPU time.
+	// IdleUsage is each role's usage with only heartbeats, leases and health checks; ChangingUsage is the usage with one
+	// change per second. For a role with several processes it is the one that uses the most CPU time.
 	IdleUsage     map[string]ResourceUsage `json:"idle"`
 	ChangingUsage map[string]ResourceUsage `json:"changing"`
 
-	// PropagationMS is how long after its acknowledgement a change was at each proxy, AcknowledgementMS how long the
-	// acknowledgement took.
+	// PropagationMS is the time from the acknowledgement of a change to its arrival at each proxy. AcknowledgementMS is
+	// the time from sending a change to its acknowledgement.
 	PropagationMS     Percentiles `json:"in_force_ms"`
 	AcknowledgementMS Percentiles `json:"acknowledge_ms"`
-	// FailoverMS is how long a change took to be in force everywhere that was sent when the control process at the
-	// head had just been killed.
+	// FailoverMS is the time until a change is in force at all proxies when it is sent immediately after the control
+	// process at the head was killed.
 	FailoverMS float64 `json:"after_loss_ms"`
 }
 
@@ -49,7 +49,7 @@
 	Max    float64 `json:"worst"`
 }
 
-// percentilesOf sorts the durations.
+// percentilesOf returns the percentiles of durations, which it sorts in place.
 func percentilesOf(durations []time.Duration) Percentiles {
 	if len(durations) == 0 {
 		return Percentiles{}
@@ -64,13 +64,13 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// Plan says how long a trial measures.
+// Plan describes the phases of a trial.
 type Plan struct {
-	// WarmupTime is waited before anything is measured.
+	// WarmupTime is the time before the first measurement.
 	WarmupTime time.Duration
-	// IdleTime is how long it measures without changes.
+	// IdleTime is the length of the measurement without changes.
 	IdleTime time.Duration
-	// Changes is how many there are, one a second.
+	// Changes is the number of changes, one per second.
 	Changes int
 }
 
@@ -100,7 +100,7 @@
 	return r, s.measureFailover(ctx, r)
 }
 
-// usageDuring returns the usage of each role while something is done.
+// usageDuring runs do and returns the usage of each role during it.
 func (s *System) usageDuring(do func() error) (map[string]ResourceUsage, error) {
 	before, err := s.sampleAll()
 	if err != nil {
@@ -140,7 +140,7 @@
 	return samples, nil
 }
 
-// measureChanges commits changes, and measures their acknowledgement and propagation.
+// measureChanges commits changes and measures their acknowledgement and propagation times.
 func (s *System) measureChanges(ctx context.Context, count int, r *Result) error {
 	var propagation, acknowledgement []time.Duration
 	for range count {
@@ -161,20 +161,20 @@
 	return ctx.Err()
 }
 
-// awaitPropagation waits until every subscriber has the newest version.
+// awaitPropagation waits until every subscriber has received the newest version.
 func (s *System) awaitPropagation(ctx context.Context) error {
 	deadline := time.Now().Add(propagationTimeout)
 	for s.missing(s.version) > 0 {
 		if time.Now().After(deadline) || ctx.Err() != nil {
-			return eris.Errorf("version %d is missing at %d proxies after %v", s.version, s.missing(s.version), propagationTimeout)
+			return eris.Errorf("version %d has not reached %d proxies after %v", s.version, s.missing(s.version), propagationTimeout)
 		}
 		timing.Sleep(ctx, propagationPoll)
 	}
 	return nil
 }
 
-// measureFailover kills the first control process, which is the head of a chain of founders, and commits a change at
-// once.
+// measureFailover kills the first control process, which is the head of the chain of initial members, and immediately
+// commits a change.
 func (s *System) measureFailover(ctx context.Context, r *Result) error {
 	s.processes["control"][0].kill()
 	began := time.Now()
--- a/internal/testing/scale/usage.go
+++ b/internal/testing/scale/usage.go
@@ -11,31 +11,31 @@
 	"github.com/rotisserie/eris"
 )
 
-// usageSample is what a process has used since its start.
+// usageSample is the resource usage of a process since its start.
 type usageSample struct {
 	at         time.Time
 	cpuTime    time.Duration
-	residentMB float64 // now
-	readKB     float64 // by all calls: sockets and disk
+	residentMB float64 // at the time of the sample
+	readKB     float64 // by all read calls, on sockets and files
 	writtenKB  float64
 }
 
-// clockTicks is how many ticks of /proc's CPU time make a second on Linux (USER_HZ).
+// clockTicks is the number of ticks per second of the CPU times in /proc on Linux (USER_HZ).
 const clockTicks = 100
 
-// The fields of /proc/PID/stat behind the program's name (proc_pid_stat(5)).
+// Indexes of the fields of /proc/PID/stat, counted after the program's name (proc_pid_stat(5)).
 const (
 	userTimeField   = 11
 	systemTimeField = 12
 )
 
-// sample reads what the process has used so far.
+// sample reads the resource usage of the process since its start.
 func (p *process) sample() (usageSample, error) {
 	sample := usageSample{at: time.Now()}
 	folder := fmt.Sprintf("/proc/%d/", p.command.Process.Pid)
 	stat, err := os.ReadFile(folder + "stat")
 	if err != nil {
-		return sample, eris.Wrapf(err, "the process of %s has ended: %s", p.role, p.stderr.String())
+		return sample, eris.Wrapf(err, "reading /proc stat of the %s process, which may have ended: %s", p.role, p.stderr.String())
 	}
 	sample.cpuTime, err = parseCPUTime(stat)
 	if err != nil {
@@ -52,28 +52,28 @@
 	return sample, nil
 }
 
-// parseCPUTime returns the user and system time in the content of /proc/PID/stat.
+// parseCPUTime returns the sum of user and system time in the content of /proc/PID/stat.
 func parseCPUTime(stat []byte) (time.Duration, error) {
-	// The name of the program, in brackets, may contain blanks.
+	// The program's name, in parentheses, may contain spaces.
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
 	total := time.Duration(0)
 	for _, field := range []int{userTimeField, systemTimeField} {
 		ticks, err := strconv.ParseInt(fields[field], 10, 64)
 		if err != nil {
-			return 0, eris.Wrap(err, "reading CPU time")
+			return 0, eris.Wrap(err, "parsing CPU time of /proc stat")
 		}
 		total += time.Duration(ticks) * time.Second / clockTicks
 	}
 	return total, nil
 }
 
-// readValues reads files of lines with a name, a colon and a number.
+// readValues reads files whose lines have the form NAME: NUMBER.
 func readValues(paths ...string) (map[string]float64, error) {
 	values := map[string]float64{}
 	for _, path := range paths {
 		data, err := os.ReadFile(path)
 		if err != nil {
-			return nil, eris.Wrap(err, "reading what a process uses")
+			return nil, eris.Wrap(err, "reading resource usage")
 		}
 		for line := range strings.Lines(string(data)) {
 			name, rest, _ := strings.Cut(line, ":")
@@ -87,7 +87,7 @@
 	return values, nil
 }
 
-// ResourceUsage is what a process uses while it runs.
+// ResourceUsage is the resource usage of a process during a measurement.
 type ResourceUsage struct {
 	CPUPercent float64 `json:"processor_percent"` // of one core
 	ResidentMB float64 `json:"resident_mb"`
@@ -95,7 +95,7 @@
 	WriteKBps  float64 `json:"wrote_kb_per_s"`
 }
 
-// usageBetween is the usage between two samples of a process.
+// usageBetween returns the usage between two samples of a process.
 func usageBetween(before, after usageSample) ResourceUsage {
 	seconds := after.at.Sub(before.at).Seconds()
 	return ResourceUsage{
