--- a/internal/testing/fakesystem/backend.go
+++ b/internal/testing/fakesystem/backend.go
@@ -15,41 +15,41 @@
 	"marlreel/internal/process/transport"
 )
 
-// idleTimeout is after what time the backend closes an idle connection.
+// idleTimeout is the time after which the backend closes an idle connection.
 const idleTimeout = 20 * time.Second
 
-// BackendConfig says what a backend is like.
+// BackendConfig describes a backend.
 type BackendConfig struct {
 	ID, Service string
 	Address     string // HOST:PORT
 	Zone        string
-	// Controls are the control processes' addresses, HOST:PORT. It is called before each heartbeat.
+	// Controls returns the addresses of the control processes, HOST:PORT. It is called before each heartbeat.
 	Controls          func() []string
 	HeartbeatInterval time.Duration
-	// Slots is how many requests run at once.
+	// Slots is the maximum number of concurrent requests.
 	Slots int
-	// Models are loaded from the start.
+	// Models are the models loaded at the start.
 	Models []string
-	// LoadTimes are those of the models that may be loaded.
+	// LoadTimes are the load times of models, by name.
 	LoadTimes map[string]time.Duration
-	// CapacityMB is the memory for models, SizesMB what each takes of it.
+	// CapacityMB is the memory for models; SizesMB holds the size of each model, by name.
 	CapacityMB float64
 	SizesMB    map[string]float64
-	// PrefillTime is the time for a token of a prompt, DecodeTime the one between two tokens of an answer.
+	// PrefillTime is the time per prompt token, DecodeTime the time per token of the response.
 	PrefillTime time.Duration
 	DecodeTime  time.Duration
-	// RequestTime is that of a request without a model.
+	// RequestTime is the duration of a request without a model.
 	RequestTime time.Duration
-	// TokensPerEvent is how many tokens an event of a stream has; 0 counts as 1.
+	// TokensPerEvent is the number of tokens in each event of a stream; 0 means 1.
 	TokensPerEvent int
 }
 
 // Execution is one execution of a request.
 type Execution struct {
 	Request, Backend string
-	// LastEventID is the event after which it began; 0: from the start.
+	// LastEventID is the event after which a resumed stream began; 0: from the start.
 	LastEventID int
-	// Header is what the request came with.
+	// Header holds the headers of the request.
 	Header http.Header
 }
 
@@ -60,27 +60,27 @@
 	client  *fasthttp.Client
 	server  *fasthttp.Server
 
-	// heartbeatTarget is where the last acknowledgement asked for the next heartbeat; the goroutine of heartbeats
-	// alone uses it.
+	// heartbeatTarget is the address that the last acknowledgement gave for the next heartbeat. Only the heartbeat
+	// goroutine uses it.
 	heartbeatTarget string
 
 	mu                sync.Mutex
 	adapters          map[string]map[string]bool // loaded adapters by loaded model
-	everLoaded        map[string]bool            // models; a second load is faster
+	everLoaded        map[string]bool            // models loaded before, which load faster
 	isOrderRunning    bool
 	orderCount        uint64
-	fencingToken      uint64 // the highest one that has arrived
-	running           int    // requests
+	fencingToken      uint64 // the highest one received
+	running           int    // requests in flight
 	heartbeatCount    uint64
 	isDraining        bool
 	drainAcknowledged bool
 	executions        []Execution
 	receivedOrders    []ReceivedOrder
 	violations        []string
-	cachedPrefixes    map[string]bool // parts of prompts, by model and part
+	cachedPrefixes    map[string]bool // cached prompt parts, as "MODEL PART"
 }
 
-// NewBackend returns a backend that serves on a network.
+// NewBackend creates a backend on a network. Serve starts it.
 func NewBackend(cfg BackendConfig, network host.Network) *Backend {
 	b := &Backend{
 		cfg: cfg, network: network, client: transport.NewHTTPClient(network.Dial),
@@ -96,7 +96,7 @@
 	return b
 }
 
-// discardLogger keeps fasthttp's notes on broken connections out of the tests' output.
+// discardLogger discards fasthttp's messages about broken connections, which would clutter the output of tests.
 type discardLogger struct{}
 
 var _ fasthttp.Logger = discardLogger{}
@@ -104,19 +104,19 @@
 // Printf implements fasthttp.Logger.
 func (discardLogger) Printf(string, ...any) {}
 
-// Serve answers requests and sends heartbeats until ctx ends. It returns nil then, and an error where its address
-// can't be listened at.
+// Serve answers requests and sends heartbeats until ctx ends, then returns nil. It returns an error if it can't listen
+// on its address.
 func (b *Backend) Serve(ctx context.Context) error {
 	listener, err := b.network.Listen(b.cfg.Address)
 	if err != nil {
-		return eris.Wrapf(err, "backend %s", b.cfg.ID)
+		return eris.Wrapf(err, "listening for backend %s", b.cfg.ID)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	var background sync.WaitGroup
 	background.Go(func() { b.sendHeartbeats(ctx) })
 	background.Go(func() {
 		<-ctx.Done()
-		_ = listener.Close() // the server ends
+		_ = listener.Close() // ends server.Serve
 	})
 	err = b.server.Serve(listener)
 	cancel()
@@ -124,48 +124,48 @@
 	return err
 }
 
-// ID is the backend's id.
+// ID returns the backend's ID.
 func (b *Backend) ID() string { return b.cfg.ID }
 
-// Service is the backend's service.
+// Service returns the name of the backend's service.
 func (b *Backend) Service() string { return b.cfg.Service }
 
-// Executions are all executions so far, in the order in which they began.
+// Executions returns all executions so far, in the order of their starts.
 func (b *Backend) Executions() []Execution {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.executions)
 }
 
-// Violations are orders that asked for more than the backend's memory.
+// Violations describes the orders that exceeded the backend's memory.
 func (b *Backend) Violations() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.violations)
 }
 
-// ReceivedOrders are all orders that have arrived so far, in their order.
+// ReceivedOrders returns all orders received so far, in the order of arrival.
 func (b *Backend) ReceivedOrders() []ReceivedOrder {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.receivedOrders)
 }
 
-// LoadedModels are the models in the backend's memory, by name.
+// LoadedModels returns the names of the loaded models, sorted.
 func (b *Backend) LoadedModels() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Sorted(maps.Keys(b.adapters))
 }
 
-// Drain lets the backend say that it leaves.
+// Drain starts draining: heartbeats announce it and health checks fail.
 func (b *Backend) Drain() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.isDraining = true
 }
 
-// DrainAcknowledged reports whether control has acknowledged that the backend leaves.
+// DrainAcknowledged reports whether a control process has acknowledged a heartbeat that announced draining.
 func (b *Backend) DrainAcknowledged() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/testing/fakesystem/heartbeat.go
+++ b/internal/testing/fakesystem/heartbeat.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// heartbeatTimeout bounds a heartbeat's answer.
+	// heartbeatTimeout limits the wait for the acknowledgement of a heartbeat.
 	heartbeatTimeout = time.Second
-	// retryFraction of the interval is waited before a heartbeat is sent again.
+	// retryFraction divides the heartbeat interval to give the delay before a failed heartbeat is retried.
 	retryFraction = 10
 )
 
-// modelState is a loaded model, as heartbeats and reports have it.
+// modelState is a loaded model in a heartbeat or report.
 type modelState struct {
 	Name     string   `json:"name"`
 	Version  int      `json:"config_version"`
 	Adapters []string `json:"adapter_list"`
 }
 
-// modelStates are the loaded models by name. The caller has the lock.
+// modelStates returns the loaded models, sorted by name. The caller holds the lock.
 func (b *Backend) modelStates() []modelState {
 	states := []modelState{}
 	for model, adapters := range b.adapters {
@@ -39,7 +39,7 @@
 	return states
 }
 
-// heartbeatBody is the body of the next heartbeat.
+// heartbeatBody returns the body of the next heartbeat.
 func (b *Backend) heartbeatBody() []byte {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -56,8 +56,8 @@
 	return body
 }
 
-// sendHeartbeats sends heartbeats until ctx ends: where the last acknowledgement said, or else to one control process
-// after the other.
+// sendHeartbeats sends heartbeats until ctx ends: to the address that the last acknowledgement gave, or else to the
+// control processes in turn.
 func (b *Backend) sendHeartbeats(ctx context.Context) {
 	attempt := 0
 	for ctx.Err() == nil {
--- a/internal/testing/fakesystem/order.go
+++ b/internal/testing/fakesystem/order.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// shortOrderTime is how long an adapter takes to be loaded or unloaded, and a model to be unloaded.
+	// shortOrderTime is the duration of loading or unloading an adapter and of unloading a model.
 	shortOrderTime = 20 * time.Millisecond
-	// reloadSpeedup is by what factor a model is loaded faster that was loaded before.
+	// reloadSpeedup is the factor by which a model loads faster if it was loaded before.
 	reloadSpeedup = 3
 )
 
-// ReceivedOrder is an order that has arrived, whatever became of it.
+// ReceivedOrder is an order that has arrived, whether it was executed or rejected.
 type ReceivedOrder struct {
 	At           time.Time
 	Holder       string // of the placement lease
@@ -34,7 +34,7 @@
 
 const loadOperation = "model_load"
 
-// handleOrder begins an order, or rejects it.
+// handleOrder starts an order or rejects it.
 func (b *Backend) handleOrder(ctx *fasthttp.RequestCtx) {
 	var order orderBody
 	err := json.Unmarshal(ctx.PostBody(), &order)
@@ -49,7 +49,7 @@
 	ctx.SetStatusCode(b.begin(order))
 }
 
-// begin begins an order, and returns the status of the answer.
+// begin starts an order and returns the HTTP status of the response.
 func (b *Backend) begin(order orderBody) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -77,8 +77,8 @@
 	return fasthttp.StatusAccepted
 }
 
-// planOrder returns how long an order takes and what completes it; nil: there is nothing to do. The caller has the
-// lock, here and in complete.
+// planOrder returns the duration of an order and the function that completes it, or nil if there is nothing to do. The
+// caller holds the lock, also when it calls complete.
 func (b *Backend) planOrder(order orderBody) (duration time.Duration, complete func()) {
 	isLoad := order.Operation == loadOperation
 	switch {
@@ -109,7 +109,7 @@
 		usedMB += b.cfg.SizesMB[other]
 	}
 	if usedMB > b.cfg.CapacityMB {
-		b.violations = append(b.violations, fmt.Sprintf("%s is told to hold %v MB", b.cfg.ID, usedMB))
+		b.violations = append(b.violations, fmt.Sprintf("%s: order raises the loaded models to %v MB, above the capacity", b.cfg.ID, usedMB))
 	}
 	duration := b.cfg.LoadTimes[model]
 	if b.everLoaded[model] {
@@ -133,6 +133,6 @@
 	if _, loaded := b.adapters[model]; !loaded {
 		return 0, nil
 	}
-	delete(b.adapters, model) // nothing new begins on it
+	delete(b.adapters, model) // rejects new requests for the model
 	return shortOrderTime, func() {}
 }
--- a/internal/testing/fakesystem/request.go
+++ b/internal/testing/fakesystem/request.go
@@ -41,24 +41,24 @@
 	ctx.SetBody(body)
 }
 
-// rejectUnexecuted answers a request that has not run.
+// rejectUnexecuted rejects a request and marks it as not executed.
 func rejectUnexecuted(ctx *fasthttp.RequestCtx, status int) {
 	ctx.SetStatusCode(status)
 	ctx.Response.Header.Set("Not-Executed", "1")
 }
 
-// isForOther reports whether a request was meant for another backend that had this address.
+// isForOther reports whether a request was meant for another backend that had this address before.
 func (b *Backend) isForOther(ctx *fasthttp.RequestCtx) bool {
 	expected := string(ctx.Request.Header.Peek("Expected-Backend"))
 	return expected != "" && expected != b.cfg.ID
 }
 
-// modelRequest is what the headers of a client's request ask for.
+// modelRequest holds the parameters in the headers of a client's request.
 type modelRequest struct {
 	id             string
-	model, adapter string // empty: none
+	model, adapter string // empty if none
 	lastEventID    int
-	prompt         string // PART:TOKENS, with commas
+	prompt         string // PART:TOKENS, separated by commas
 	outputTokens   int
 	header         http.Header
 }
@@ -69,7 +69,7 @@
 		r.header.Add(string(name), string(value))
 	}
 	r.model, r.adapter, _ = strings.Cut(string(header.Peek("Model")), "/")
-	r.lastEventID, _ = strconv.Atoi(string(header.Peek("Last-Event-Id"))) // 0 where there is none
+	r.lastEventID, _ = strconv.Atoi(string(header.Peek("Last-Event-Id"))) // 0 if there is none
 	_, output, _ := strings.Cut(string(header.Peek("Token-Count")), ",")
 	r.outputTokens, _ = strconv.Atoi(output)
 	return r
@@ -101,8 +101,8 @@
 	ctx.SetBodyStream(b.newEventStream(r), -1)
 }
 
-// admit takes a slot for a request and returns how long its prompt takes to be read, or the status by which it is
-// rejected.
+// admit takes a slot for a request and returns the prefill time of its prompt and StatusOK, or the HTTP status of the
+// rejection.
 func (b *Backend) admit(r modelRequest) (time.Duration, int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -117,7 +117,7 @@
 	return b.prefillTime(r.model, r.prompt), fasthttp.StatusOK
 }
 
-// isLoaded reports whether a model is loaded, with an adapter where one is named. The caller has the lock.
+// isLoaded reports whether a model is loaded, and the adapter if one is named. The caller holds the lock.
 func (b *Backend) isLoaded(model, adapter string) bool {
 	adapters, loaded := b.adapters[model]
 	if adapter == "" {
@@ -126,8 +126,8 @@
 	return adapters[adapter]
 }
 
-// prefillTime is how long a prompt takes, but for its cached prefix; all of it is cached from then on. The caller has
-// the lock.
+// prefillTime returns the prefill time of a prompt without its cached prefix, and caches the whole prompt. The caller
+// holds the lock.
 func (b *Backend) prefillTime(model, prompt string) time.Duration {
 	tokens := 0
 	isCached := true
--- a/internal/testing/fakesystem/settings.go
+++ b/internal/testing/fakesystem/settings.go
@@ -2,8 +2,8 @@
 
 import "marlreel/internal/process/bootstrap"
 
-// Bounds returns the bounds that the platform's settings file has in tests, as far as processes go by them: those of the
-// users' small sites (SYSTEM.md).
+// Bounds returns the bounds in the platform's settings file for tests, as far as processes use them. They are those of
+// the users' small sites (SYSTEM.md).
 func Bounds() bootstrap.Bounds {
 	return bootstrap.Bounds{
 		ShutdownGraceS: 8, ConfigApplyMS: 2000, RetryBudgetRatio: 0.2, RetryWindowS: 10, RetrySlack: 52,
--- a/internal/testing/fakesystem/stream.go
+++ b/internal/testing/fakesystem/stream.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// eventStream is the body of a stream: each event comes in its time.
+// eventStream is the body of a streaming response. Each event arrives after its decode time.
 type eventStream struct {
 	backend    *Backend
 	request    string
-	next, last int // ids of events
+	next, last int // event IDs
 	eventTime  time.Duration
 	isReleased bool
 }
@@ -25,10 +25,10 @@
 	}
 }
 
-// EventText is the data of an event: the same whichever backend makes it.
+// EventText returns the data of an event. It does not depend on the backend.
 func EventText(request string, id int) string { return fmt.Sprintf("%s token %d", request, id) }
 
-// Read implements io.Reader: it waits for the next event, and gives it whole where p is long enough.
+// Read implements io.Reader. It waits for the next event and returns it; p must be long enough for a whole event.
 func (s *eventStream) Read(p []byte) (int, error) {
 	if s.next > s.last {
 		return 0, io.EOF
@@ -39,7 +39,7 @@
 	return n, nil
 }
 
-// Close implements io.Closer. fasthttp calls it when the stream has ended or its client has left.
+// Close implements io.Closer. fasthttp calls it when the stream has ended or its client has disconnected.
 func (s *eventStream) Close() error {
 	if !s.isReleased {
 		s.isReleased = true
