--- a/internal/testing/emulator/backend.go
+++ b/internal/testing/emulator/backend.go
@@ -45,9 +45,9 @@
 // accept starts an execution or rejects it.
 func (b *backend) accept(r *execution) {
 	q := r.request
-	adapters, holds := b.loaded[q.model]
+	adapters, loaded := b.loaded[q.model]
 	switch {
-	case !holds || q.adapter != "" && !adapters[q.adapter] || b.unloading == q.model:
+	case !loaded || q.adapter != "" && !adapters[q.adapter] || b.unloading == q.model:
 		r.onReject()
 		return
 	case len(b.executions) >= b.sim.cfg.Engine.Slots:
@@ -189,16 +189,16 @@
 
 // loadedNames returns the loaded models with their adapters, as the backend reports them.
 func (b *backend) loadedNames() map[string][]string {
-	holds := map[string][]string{}
+	loaded := map[string][]string{}
 	for model, adapters := range b.loaded {
 		names := []string{}
 		for name := range adapters {
 			names = append(names, name)
 		}
 		slices.Sort(names)
-		holds[model] = names
+		loaded[model] = names
 	}
-	return holds
+	return loaded
 }
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/testing/emulator/clock.go
+++ b/internal/testing/emulator/clock.go
@@ -56,8 +56,8 @@
 	})
 }
 
-// playUntil runs all events up to end, and sets the clock to it.
-func (c *clock) playUntil(end time.Duration) {
+// runUntil runs all events up to end, and sets the clock to it.
+func (c *clock) runUntil(end time.Duration) {
 	for len(c.events) > 0 && c.events[0].at <= end {
 		next := heap.Pop(&c.events).(event)
 		c.now = next.at
--- a/internal/testing/emulator/emulator_test.go
+++ b/internal/testing/emulator/emulator_test.go
@@ -42,8 +42,8 @@
 	is.True(first.Loads > 0)
 }
 
-// Over several seeds, production knowledge earns more value than none of the peers' backlogs, and less than perfect
-// knowledge.
+// Over several seeds, the knowledge available in production earns more value than no knowledge of peers' backlogs, and
+// less than perfect knowledge.
 func TestMoreKnowledgeServesMore(t *testing.T) {
 	is := is.New(t)
 	share := map[Knowledge]float64{}
@@ -71,14 +71,14 @@
 
 func TestRunRejectsWrongConfigs(t *testing.T) {
 	is := is.New(t)
-	for _, spoil := range []func(*Config){
+	for _, invalidate := range []func(*Config){
 		func(c *Config) { c.Zones = 0 },
 		func(c *Config) { c.BusyNow = c.BusyModels + 1 },
 		func(c *Config) { c.Engine.PrefillTokensPerMS = 0 },
 		func(c *Config) { c.Duration = 0 },
 	} {
 		c := small(1)
-		spoil(&c)
+		invalidate(&c)
 		_, err := Run(c)
 		is.True(errors.Is(err, ErrConfig))
 	}
--- a/internal/testing/emulator/placer.go
+++ b/internal/testing/emulator/placer.go
@@ -23,15 +23,15 @@
 
 // placer drives the planner as the holder of the placement lease does.
 type placer struct {
-	sim     *simulation
-	planner *placement.Planner
-	askedAt map[string]time.Duration
-	doneAt  map[string]time.Duration
+	sim         *simulation
+	planner     *placement.Planner
+	requestedAt map[string]time.Duration
+	completedAt map[string]time.Duration
 }
 
 func newPlacer(w *simulation) *placer {
 	c := &w.cfg
-	p := &placer{sim: w, planner: placement.New(0), askedAt: map[string]time.Duration{}, doneAt: map[string]time.Duration{}}
+	p := &placer{sim: w, planner: placement.New(0), requestedAt: map[string]time.Duration{}, completedAt: map[string]time.Duration{}}
 	service := placement.Service{
 		Models: map[string]placement.Model{}, CapacityMB: c.Engine.CapacityMB, MaxAdapters: c.Engine.MaxAdapters,
 		MaxLoadsPerSecond: c.Engine.MaxLoadsPerSecond,
@@ -62,8 +62,8 @@
 	p.planner.VisitPendingOrders(now, func(o placement.Order, since, expected time.Duration, instant bool) {
 		switch {
 		case instant && now-since >= instantOrderTime:
-			if holds, done := p.planner.AssumeCompleted(now, o); done {
-				p.sim.observeLoaded(o.Backend, holds)
+			if loaded, done := p.planner.AssumeCompleted(now, o); done {
+				p.sim.observeLoaded(o.Backend, loaded)
 			}
 		case !instant && now-since >= expected-reportLead:
 			p.requestReport(o.Backend)
@@ -81,13 +81,13 @@
 // requestReport requests a backend's report, at most once per reportInterval.
 func (p *placer) requestReport(id string) {
 	now := p.sim.clock.now
-	if at, before := p.askedAt[id]; before && now-at < reportInterval {
+	if at, before := p.requestedAt[id]; before && now-at < reportInterval {
 		return
 	}
-	p.askedAt[id] = now
+	p.requestedAt[id] = now
 	b := p.sim.byID[id]
 	p.sim.clock.after(orderDelay, func() {
-		at, was := p.doneAt[id]
+		at, was := p.completedAt[id]
 		lags := was && p.sim.clock.now-at < reportLag
 		report := placement.Report{Busy: b.busy || lags, Revision: b.revision, Loaded: b.loadedNames()}
 		p.sim.clock.after(orderDelay, func() {
@@ -106,7 +106,7 @@
 		p.planner.OnOrderRejected(now, o)
 		return
 	}
-	done := func() { p.doneAt[b.id] = p.sim.clock.now }
+	done := func() { p.completedAt[b.id] = p.sim.clock.now }
 	p.planner.OnOrderAccepted(now, o)
 	if o.Operation == placement.Load {
 		if o.Adapter == "" {
--- a/internal/testing/emulator/proxy.go
+++ b/internal/testing/emulator/proxy.go
@@ -151,7 +151,7 @@
 	}
 	w, n := p.sim, len(c.attempts)
 	b := w.backends[to-1]
-	way := w.cfg.networkDelay(p.zone, b.zone)
+	delay := w.cfg.networkDelay(p.zone, b.zone)
 	a := &attempt{to: to}
 	c.attempts = append(c.attempts, a)
 	p.connect(to)
@@ -172,17 +172,17 @@
 	kind := c.request.kind
 	a.run = &execution{
 		request: c.request, priority: routing.BackendPriority(kind.LatencyTarget, kind.Priority, w.clock.now-c.request.at),
-		onFirstToken: func() { w.clock.after(way, func() { p.onFirstByte(id, n) }) },
+		onFirstToken: func() { w.clock.after(delay, func() { p.onFirstByte(id, n) }) },
 		onPause:      func() { c.paused = true },
 		onEnd: func() {
-			w.clock.after(way, func() {
+			w.clock.after(delay, func() {
 				w.score.recordServed(c)
 				end(balancer.OK)
 			})
 		},
-		onReject: func() { w.clock.after(way, func() { end(balancer.Rejected) }) },
+		onReject: func() { w.clock.after(delay, func() { end(balancer.Rejected) }) },
 	}
-	w.clock.after(way, func() {
+	w.clock.after(delay, func() {
 		if !a.run.cancelled {
 			b.accept(a.run)
 		}
--- a/internal/testing/emulator/setup.go
+++ b/internal/testing/emulator/setup.go
@@ -67,7 +67,7 @@
 		total += math.Pow(float64(rank+1), -c.Skew)
 	}
 	next := 0
-	put := func(name string) {
+	place := func(name string) {
 		for range s.backends {
 			b := s.backends[next%len(s.backends)]
 			next++
@@ -80,11 +80,11 @@
 	for rank := range c.BusyNow {
 		part := math.Pow(float64(rank+1), -c.Skew) / total
 		for range max(1, int(part*busyCapacityShare*float64(capacity*len(s.backends)))) {
-			put(busyName(rank))
+			place(busyName(rank))
 		}
 	}
 	for _, name := range c.models()[c.BusyNow:] {
-		put(name)
+		place(name)
 	}
 	s.reportedBackends = make([]routing.Backend, len(s.backends))
 	for i, b := range s.backends {
--- a/internal/testing/emulator/simulation.go
+++ b/internal/testing/emulator/simulation.go
@@ -57,7 +57,7 @@
 		s.announceDemand(all)
 	}
 	s.clock.every(distributionDelay, distributionDelay, s.distributeReports)
-	s.clock.playUntil(cfg.Duration)
+	s.clock.runUntil(cfg.Duration)
 	return s.score.result(), nil
 }
 
@@ -81,9 +81,9 @@
 
 // loadTime returns the duration of a load that begins now. It is a quarter for a model loaded there before, and longer
 // beyond the limit of concurrent loads.
-func (s *simulation) loadTime(had bool) time.Duration {
+func (s *simulation) loadTime(loadedBefore bool) time.Duration {
 	span := s.cfg.Engine.LoadTime
-	if had {
+	if loadedBefore {
 		return span / 4
 	}
 	s.concurrentLoads++
--- a/internal/testing/simnet/simnet_test.go
+++ b/internal/testing/simnet/simnet_test.go
@@ -72,7 +72,7 @@
 // connectionCases are the test cases on an open connection.
 var connectionCases = []struct {
 	name string
-	play func(t *testing.T, n *Network, client, server net.Conn)
+	run  func(t *testing.T, n *Network, client, server net.Conn)
 }{
 	{"bytes arrive after the delay", func(t *testing.T, _ *Network, client, server net.Conn) {
 		mustWrite(t, client, "hello")
@@ -118,18 +118,18 @@
 }
 
 func TestConnections(t *testing.T) {
-	for _, story := range connectionCases {
-		t.Run(story.name, func(t *testing.T) {
+	for _, test := range connectionCases {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				n, client, server := connected(t, Config{Seed: 1})
-				story.play(t, n, client, server)
+				test.run(t, n, client, server)
 			})
 		})
 	}
 }
 
 func TestDialFails(t *testing.T) {
-	for _, story := range []struct {
+	for _, test := range []struct {
 		name    string
 		prepare func(n *Network)
 		want    error
@@ -142,24 +142,24 @@
 			context.DeadlineExceeded, time.Minute,
 		},
 	} {
-		t.Run(story.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				n := New(Config{Delay: delay, Seed: 1})
-				story.prepare(n)
+				test.prepare(n)
 				ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 				defer cancel()
 				began := time.Now()
 				_, err := n.Machine(clientIP).Dial(ctx, serverAddress)
-				is.True(errors.Is(err, story.want))
-				is.Equal(time.Since(began), story.took)
+				is.True(errors.Is(err, test.want))
+				is.Equal(time.Since(began), test.took)
 			})
 		})
 	}
 }
 
 func TestDatagrams(t *testing.T) {
-	for _, story := range []struct {
+	for _, test := range []struct {
 		name    string
 		prepare func(n *Network)
 		arrive  int
@@ -171,11 +171,11 @@
 		// A datagram of 10 bytes takes 2 ms at this rate, and one is accepted while at most 100 ms are queued.
 		{"datagrams that would wait too long are lost", func(n *Network) { n.SetRate(5000) }, 51},
 	} {
-		t.Run(story.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				n := New(Config{Delay: delay, Seed: 1})
-				story.prepare(n)
+				test.prepare(n)
 				receiver, err := n.Machine(serverIP).ListenPacket(serverAddress)
 				is.NoErr(err)
 				sender, err := n.Machine(clientIP).ListenPacket(clientIP + ":9")
@@ -185,7 +185,7 @@
 					is.NoErr(err)
 				}
 				time.Sleep(time.Second)
-				is.Equal(len(receiver.(*packetSocket).queue), story.arrive)
+				is.Equal(len(receiver.(*packetSocket).queue), test.arrive)
 				is.NoErr(sender.Close())
 				is.NoErr(receiver.Close())
 			})
