--- a/internal/testing/emulator/placer.go
+++ b/internal/testing/emulator/placer.go
@@ -7,31 +7,31 @@
 )
 
 const (
-	// planInterval is how often the planner plans, and orderDelay how long an order takes to arrive.
+	// planInterval is the time between two plans, and orderDelay the one-way delay of orders and reports.
 	planInterval = 100 * time.Millisecond
 	orderDelay   = 2 * time.Millisecond
-	// reportLag is how old a backend's report is. A backend is asked for one once an interval, from reportLead before
-	// an order is expected to be done.
+	// reportLag is how long a backend still reports an order as running after its completion. The planner requests a
+	// report at most once per reportInterval, starting reportLead before the expected completion of an order.
 	reportLag      = 100 * time.Millisecond
 	reportInterval = 180 * time.Millisecond
 	reportLead     = 50 * time.Millisecond
-	// instantOrderTime is after what time an order that takes next to none is assumed to be completed.
+	// instantOrderTime is the time after which a near-instant order is assumed to be completed, without a report.
 	instantOrderTime = 60 * time.Millisecond
-	// distributionDelay is how long a change of what a backend has loaded takes to reach all proxies.
+	// distributionDelay is the interval at which changes of the loaded models are distributed to all proxies.
 	distributionDelay = 120 * time.Millisecond
 )
 
-// placer drives the planner as the agent with the placement lease does.
+// placer drives the planner as the holder of the placement lease does.
 type placer struct {
-	sim     *simulation
-	planner *placement.Planner
-	askedAt map[string]time.Duration
-	doneAt  map[string]time.Duration
+	sim         *simulation
+	planner     *placement.Planner
+	requestedAt map[string]time.Duration
+	completedAt map[string]time.Duration
 }
 
 func newPlacer(w *simulation) *placer {
 	c := &w.cfg
-	p := &placer{sim: w, planner: placement.New(0), askedAt: map[string]time.Duration{}, doneAt: map[string]time.Duration{}}
+	p := &placer{sim: w, planner: placement.New(0), requestedAt: map[string]time.Duration{}, completedAt: map[string]time.Duration{}}
 	service := placement.Service{
 		Models: map[string]placement.Model{}, CapacityMB: c.Engine.CapacityMB, MaxAdapters: c.Engine.MaxAdapters,
 		MaxLoadsPerSecond: c.Engine.MaxLoadsPerSecond,
@@ -43,7 +43,7 @@
 	return p
 }
 
-// start sets the backends.
+// start gives the planner the backends and starts the periodic planning.
 func (p *placer) start() {
 	var list []placement.Backend
 	for _, b := range p.sim.backends {
@@ -53,7 +53,7 @@
 	p.sim.clock.every(planInterval, 0, p.step)
 }
 
-// step makes one plan and sends its orders.
+// step requests due reports, makes one plan and sends its orders.
 func (p *placer) step() {
 	now := p.sim.clock.now
 	for _, id := range p.planner.UnknownBackends() {
@@ -62,8 +62,8 @@
 	p.planner.VisitPendingOrders(now, func(o placement.Order, since, expected time.Duration, instant bool) {
 		switch {
 		case instant && now-since >= instantOrderTime:
-			if holds, done := p.planner.AssumeCompleted(now, o); done {
-				p.sim.observeLoaded(o.Backend, holds)
+			if loaded, done := p.planner.AssumeCompleted(now, o); done {
+				p.sim.observeLoaded(o.Backend, loaded)
 			}
 		case !instant && now-since >= expected-reportLead:
 			p.requestReport(o.Backend)
@@ -78,16 +78,16 @@
 	}
 }
 
-// requestReport asks a backend for its report.
+// requestReport requests a backend's report, at most once per reportInterval.
 func (p *placer) requestReport(id string) {
 	now := p.sim.clock.now
-	if at, before := p.askedAt[id]; before && now-at < reportInterval {
+	if at, before := p.requestedAt[id]; before && now-at < reportInterval {
 		return
 	}
-	p.askedAt[id] = now
+	p.requestedAt[id] = now
 	b := p.sim.byID[id]
 	p.sim.clock.after(orderDelay, func() {
-		at, was := p.doneAt[id]
+		at, was := p.completedAt[id]
 		lags := was && p.sim.clock.now-at < reportLag
 		report := placement.Report{Busy: b.busy || lags, Revision: b.revision, Loaded: b.loadedNames()}
 		p.sim.clock.after(orderDelay, func() {
@@ -98,7 +98,7 @@
 	})
 }
 
-// sendOrder has a backend carry an order out.
+// sendOrder starts an order at its backend, which rejects it when busy or at another revision.
 func (p *placer) sendOrder(o placement.Order) {
 	now := p.sim.clock.now
 	b := p.sim.byID[o.Backend]
@@ -106,7 +106,7 @@
 		p.planner.OnOrderRejected(now, o)
 		return
 	}
-	done := func() { p.doneAt[b.id] = p.sim.clock.now }
+	done := func() { p.completedAt[b.id] = p.sim.clock.now }
 	p.planner.OnOrderAccepted(now, o)
 	if o.Operation == placement.Load {
 		if o.Adapter == "" {
