--- a/internal/testing/simcluster/backup_test.go
+++ b/internal/testing/simcluster/backup_test.go
@@ -8,12 +8,12 @@
 	"github.com/matryer/is"
 )
 
-// docs/CONTROL.md: all disks are lost for good, and a configuration that was read before is restored into a new system.
-// Agents and proxies are restarted, and serve by it.
+// The procedure of docs/CONTROL.md: all disks are lost permanently, and a configuration that was read earlier is restored
+// into a new system. Agents and proxies are restarted, and serve that configuration.
 func TestBackupIsRestored(t *testing.T) {
 	runWithCluster(t, func(t *testing.T, c *Cluster) {
 		is := is.New(t)
-		for range 3 { // sequence numbers of the lost system are higher
+		for range 3 { // the lost system reaches higher sequence numbers than the new one
 			c.replaceConfiguration(t, documentWithSlipsAt("/voucher/"), 4*time.Second)
 		}
 		backup := c.readDocument(t, 4*time.Second)
--- a/internal/testing/simcluster/bundle_test.go
+++ b/internal/testing/simcluster/bundle_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// A bundle has what can be read, lists what can't, and has nothing of requests.
+// A bundle contains all parts that can be read, lists those that can't, and contains no data of requests.
 func TestSupportBundle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -62,7 +62,7 @@
 		var names []string
 		for name, body := range files {
 			names = append(names, name)
-			is.True(!strings.Contains(body, "secret") && !strings.Contains(body, secret.ID)) // nothing of requests
+			is.True(!strings.Contains(body, "secret") && !strings.Contains(body, secret.ID)) // no data of requests
 		}
 		slices.Sort(names)
 		is.Equal(names, []string{
--- a/internal/testing/simcluster/cluster_fixture_test.go
+++ b/internal/testing/simcluster/cluster_fixture_test.go
@@ -170,7 +170,7 @@
 	return relayMachine, others
 }
 
-// isolate partitions a machine from all others. Its connections are not closed.
+// isolate partitions a machine from all others. Its connections stay open, so that no peer is notified.
 func (c *Cluster) isolate(m *Machine) {
 	var others []string
 	for _, other := range c.Machines() {
--- a/internal/testing/simcluster/configuration_test.go
+++ b/internal/testing/simcluster/configuration_test.go
@@ -16,12 +16,12 @@
 	runWithCluster(t, func(t *testing.T, c *Cluster) {
 		c.replaceConfiguration(t, documentWithSlipsAt("/voucher/"), 4*time.Second)
 		c.Sleep(applyTime)
-		c.checkServed(t, c.Edges, "/slip/1", 404) // the old prefix is gone
+		c.checkServed(t, c.Edges, "/slip/1", 404) // the old prefix has no route any more
 		c.checkServed(t, c.Edges, "/voucher/1", 200)
 	})
 }
 
-// replaceOn replaces the configuration on top of a version, and returns the answer.
+// replaceOn requests a replacement of the configuration based on a version, and returns the response.
 func (c *Cluster) replaceOn(t *testing.T, base, body string) (status int, answer string) {
 	t.Helper()
 	status, answer, err := c.CallOperatorAPI("POST", "/marlreel/config/replace", base, body, 4*time.Second)
@@ -36,7 +36,7 @@
 	t.Helper()
 	status, answer, err := c.CallOperatorAPI("GET", "/marlreel/config/read", "", "", timeout)
 	if err != nil || status != 200 {
-		t.Fatalf("a read of the configuration: %d %s %v", status, answer, err)
+		t.Fatalf("reading the configuration: %d %s %v", status, answer, err)
 	}
 	return answer
 }
@@ -48,16 +48,16 @@
 		status, _ := c.replaceOn(t, "1", next)
 		is.Equal(status, 200)
 		status, _ = c.replaceOn(t, "1", next)
-		is.Equal(status, 200) // the same again
+		is.Equal(status, 200) // a repeated request is acknowledged again
 		for name, rejected := range map[string]struct {
 			base, body string
 			status     int
 			code       string
 		}{
-			"another one on the same base": {"1", documentWithSlipsAt("/other/")(6), 412, `"code":300`},
-			"the version is not higher":    {"5", documentWithSlipsAt("/voucher/")(5), 400, `"code":205`},
-			"cut short":                    {"5", `{"config_version":7,`, 400, `"code":200`},
-			"unknown service":              {"5", strings.Replace(document(7), `"service":"slips"`, `"service":"none"`, 1), 400, `"code":201`},
+			"another change on the same base": {"1", documentWithSlipsAt("/other/")(6), 412, `"code":300`},
+			"version is not higher":           {"5", documentWithSlipsAt("/voucher/")(5), 400, `"code":205`},
+			"truncated":                       {"5", `{"config_version":7,`, 400, `"code":200`},
+			"unknown service":                 {"5", strings.Replace(document(7), `"service":"slips"`, `"service":"none"`, 1), 400, `"code":201`},
 		} {
 			status, answer := c.replaceOn(t, rejected.base, rejected.body)
 			if status != rejected.status || !strings.Contains(answer, rejected.code) {
@@ -77,13 +77,13 @@
 		is.NoErr(json.Unmarshal([]byte(c.readDocument(t, 4*time.Second)), &read))
 		is.Equal(read.Version, uint64(9))
 		is.Equal(len(read.Routes), 1)
-		is.True(read.Routes[0]["later_field"] != nil) // an unknown field is kept
+		is.True(read.Routes[0]["later_field"] != nil) // unknown fields are preserved
 		status, _ = c.replaceOn(t, "1", next)
-		is.Equal(status, 200) // what was committed once is acknowledged again, whatever came after
+		is.Equal(status, 200) // a committed change is acknowledged again, even after later changes
 	})
 }
 
-// replaceUntilClear sends a replacement to one control process after the other until one gives a clear answer, and
+// replaceUntilClear sends a replacement to one control process after the other until one gives a definite response, and
 // reports whether it was committed.
 func (c *Cluster) replaceUntilClear(first int, base, body string) bool {
 	for next := first; ; next++ {
@@ -95,7 +95,7 @@
 	}
 }
 
-// Of two changes on one base one is committed, whichever control process each reaches.
+// Exactly one of two concurrent changes on the same base is committed, regardless of which control process each reaches.
 func TestOneOfTwoChangesOnABaseIsCommitted(t *testing.T) {
 	runWithCluster(t, func(t *testing.T, c *Cluster) {
 		is := is.New(t)
@@ -121,9 +121,9 @@
 	})
 }
 
-// controlFaults are faults of control that fault_tolerance allows.
+// controlFaults are control faults that the system must tolerate according to fault_tolerance.
 var controlFaults = map[string]func(c *Cluster){
-	"each process dies in turn": func(c *Cluster) {
+	"each process is killed in turn": func(c *Cluster) {
 		for _, m := range c.Controls {
 			m.Kill()
 			c.Sleep(2 * time.Second)
@@ -131,21 +131,21 @@
 			c.Sleep(2 * time.Second)
 		}
 	},
-	"all die at once": func(c *Cluster) {
+	"all are killed at once": func(c *Cluster) {
 		for _, m := range c.Controls {
 			m.Kill()
 		}
 		c.Sleep(500 * time.Millisecond)
 		c.startControls()
 	},
-	"one disk is lost and all die": func(c *Cluster) {
+	"one disk is lost and all are killed": func(c *Cluster) {
 		for _, m := range c.Controls {
 			m.Kill()
 		}
 		c.Controls[0].EraseDisk()
 		c.startControls()
 	},
-	"a disk is lost, then all die with another one": func(c *Cluster) {
+	"one disk is lost, then all are killed and another disk is lost": func(c *Cluster) {
 		c.Controls[1].Kill()
 		c.Controls[1].EraseDisk()
 		c.Controls[1].Start()
@@ -156,7 +156,7 @@
 		c.Controls[0].EraseDisk()
 		c.startControls()
 	},
-	"one is partitioned, the others die": func(c *Cluster) {
+	"one is partitioned, the others are killed": func(c *Cluster) {
 		addresses := []string{"10.1.0.1", "10.1.0.2", "10.1.0.3"}
 		c.Net.Isolate(addresses[0], addresses, true)
 		c.Sleep(2 * time.Second)
@@ -183,7 +183,7 @@
 				c.replaceConfiguration(t, documentWithSlipsAt("/kept/"), 4*time.Second)
 				fault(c)
 				is.Equal(c.readDocument(t, 10*time.Second), documentWithSlipsAt("/kept/")(2))
-				c.replaceConfiguration(t, documentWithSlipsAt("/after/"), 10*time.Second) // and changes go on
+				c.replaceConfiguration(t, documentWithSlipsAt("/after/"), 10*time.Second) // further changes are committed
 				c.Sleep(applyTime)
 				c.checkServed(t, c.Edges[:1], "/after/1", 200)
 			})
@@ -191,7 +191,8 @@
 	}
 }
 
-// Guards against requests that are broken off while their backend works, because a configuration drops their service.
+// Guards against requests that are aborted while their backend executes them because a configuration change removes their
+// service.
 func TestRequestsOutliveTheirService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -210,7 +211,7 @@
   {"name":"slips","health_path":"/health","conn_limit":100}`, "").Replace(document(version))
 		}, 5*time.Second)
 		is.Equal(await().Status, 200)
-		got, err := c.Send(c.Edges[0], slipRequest()) // the service that the route has now has no backend
+		got, err := c.Send(c.Edges[0], slipRequest()) // the route's new service has no backend
 		is.NoErr(err)
 		is.Equal(got.Status, 503)
 	})
--- a/internal/testing/simcluster/draining_test.go
+++ b/internal/testing/simcluster/draining_test.go
@@ -11,7 +11,7 @@
 func TestDrainingBackendGetsNoNewRequests(t *testing.T) {
 	runWithCluster(t, func(t *testing.T, c *Cluster) {
 		is := is.New(t)
-		draining := c.Backends[2] // one of the two of the plain route
+		draining := c.Backends[2] // one of the plain route's two backends
 		draining.Drain()
 		for !draining.DrainAcknowledged() {
 			c.Sleep(50 * time.Millisecond)
@@ -25,12 +25,12 @@
 	})
 }
 
-// evacuate begins or terminates the evacuation of a zone, and waits until that is in force.
+// evacuate begins or terminates the evacuation of a zone, and waits until the change is in force.
 func (c *Cluster) evacuate(t *testing.T, zone, verb string) {
 	t.Helper()
 	status, answer, err := c.CallOperatorAPI(http.MethodPost, "/marlreel/evacuation/"+zone+"/"+verb, "", "", 4*time.Second)
 	if err != nil || status != 200 {
-		t.Fatalf("evacuation of %s, %s: %d %s %v", zone, verb, status, answer, err)
+		t.Fatalf("evacuation of zone %s, %s: %d %s %v", zone, verb, status, answer, err)
 	}
 	c.Sleep(applyTime)
 }
@@ -50,6 +50,6 @@
 			_, err := c.Send(edge, slipRequest())
 			is.NoErr(err)
 		}
-		is.True(len(inZone.Executions()) > before) // it is in the proxy's zone
+		is.True(len(inZone.Executions()) > before) // backends in the proxy's zone are preferred
 	})
 }
--- a/internal/testing/simcluster/forwarding_test.go
+++ b/internal/testing/simcluster/forwarding_test.go
@@ -16,12 +16,12 @@
 	"marlreel/internal/process/transport"
 )
 
-// headAndOthers returns the machines of the chain's head and of the others.
+// headAndOthers returns the machine of the chain's head and the other control machines.
 func (c *Cluster) headAndOthers(t *testing.T) (head *Machine, others []*Machine) {
 	t.Helper()
 	status := c.status(t, c.Controls[0])
 	if status.Head == "" {
-		t.Fatal("no head is known")
+		t.Fatal("the status names no head of the chain")
 	}
 	for _, m := range c.Controls {
 		if m.peerAddress() == status.Head {
@@ -35,8 +35,8 @@
 
 func evacuationPath(verb string) string { return "/marlreel/evacuation/north/" + verb }
 
-// A request that a partition delays on its way to the head is not committed once its caller was answered: the operator
-// has turned to another process, and gone on.
+// A request that a partition delays on its way to the head is not committed after its caller got a response: by then the
+// operator may have retried at another process and made further changes.
 func TestDelayedRequestIsNotCommittedLate(t *testing.T) {
 	runWithControlPlane(t, func(t *testing.T, c *Cluster) {
 		is := is.New(t)
@@ -47,7 +47,7 @@
 		is.Equal(status, 200)
 		c.Net.SetPartitioned(forwarder.IP, head.IP, true)
 		status, _, err = c.callControl(forwarder, http.MethodPost, evacuationPath("begin"), "", "")
-		is.True(err != nil || status >= 500) // no clear answer
+		is.True(err != nil || status >= 500) // the outcome is unknown
 		for _, verb := range []string{"begin", "terminate"} {
 			status, _, err = c.CallOperatorAPI(http.MethodPost, evacuationPath(verb), "", "", 4*time.Second)
 			is.NoErr(err)
@@ -56,13 +56,13 @@
 		c.Net.SetPartitioned(forwarder.IP, head.IP, false)
 		c.Sleep(2 * time.Second)
 		for _, m := range c.Controls {
-			is.True(!slices.Contains(c.status(t, m).Evacuated, "north")) // it was terminated, and stays so
+			is.True(!slices.Contains(c.status(t, m).Evacuated, "north")) // the evacuation stays terminated
 		}
 	})
 }
 
-// A request that reaches a control process after its caller has given up is not committed: a partition delayed it between
-// the two, and the operator went on elsewhere.
+// A request that a partition delays until its caller has timed out is not committed: by then the operator may have made
+// further changes at another process.
 func TestRequestOfAGoneCallerIsNotCommitted(t *testing.T) {
 	for number := range 3 {
 		t.Run(fmt.Sprint(number), func(t *testing.T) {
@@ -95,7 +95,8 @@
 	}
 }
 
-// A request for the head is forwarded once: two processes that take each other for the head don't forward it to and fro.
+// A request for the head is forwarded at most once, so two processes that take each other for the head don't forward it
+// back and forth.
 func TestLeaseRequestIsForwardedOnce(t *testing.T) {
 	runWithControlPlane(t, func(t *testing.T, c *Cluster) {
 		is := is.New(t)
@@ -114,7 +115,7 @@
 	})
 }
 
-// A control process that gets SIGTERM leaves the chain before it exits: hardly a change waits for that.
+// A control process that receives SIGTERM leaves the chain before it exits, so changes are delayed by less than 300 ms.
 func TestControlProcessLeavesTheChainBeforeItExits(t *testing.T) {
 	for number := range 3 {
 		t.Run(fmt.Sprint(number), func(t *testing.T) {
--- a/internal/testing/simcluster/history_checks_test.go
+++ b/internal/testing/simcluster/history_checks_test.go
@@ -11,10 +11,10 @@
 	"marlreel/internal/testing/linearizability"
 )
 
-// notExecuted are the statuses that promise that a request was not executed.
+// notExecuted lists the statuses that guarantee that a request was not executed.
 var notExecuted = []int{503, 429, 408, 421}
 
-// checkRequests checks that unsafe requests were executed once at most, and as their responses said.
+// checkRequests checks that unsafe requests were executed at most once, and consistently with their responses.
 func (r *historyRun) checkRequests() {
 	executions := map[string]int{}
 	for _, b := range r.cluster.Backends {
@@ -28,20 +28,20 @@
 		case count > 1:
 			r.violation("request %s was executed %d times", request.id, count)
 		case slices.Contains(notExecuted, request.status) && count > 0:
-			r.violation("request %s was rejected with %d, and executed", request.id, request.status)
+			r.violation("request %s was rejected with status %d, but executed", request.id, request.status)
 		case request.status == 200 && count == 0:
-			r.violation("request %s was served, and never executed", request.id)
+			r.violation("request %s was answered with status 200, but never executed", request.id)
 		}
 	}
 }
 
-// checkOrders checks that no holder gives orders after a later holder has.
+// checkOrders checks that no lease holder sends orders after a later holder has sent one.
 func (r *historyRun) checkOrders() {
 	var orders []fakesystem.ReceivedOrder
 	for _, b := range r.cluster.Backends {
 		orders = append(orders, b.ReceivedOrders()...)
 		for _, violation := range b.Violations() {
-			r.violation("an order beyond a backend's capacity: %s", violation)
+			r.violation("an order exceeds a backend's capacity: %s", violation)
 		}
 	}
 	slices.SortStableFunc(orders, func(a, b fakesystem.ReceivedOrder) int { return a.At.Compare(b.At) })
@@ -49,16 +49,16 @@
 	for _, order := range orders {
 		switch {
 		case order.FencingToken < newest.FencingToken:
-			r.violation("%s gives an order under token %d, %s after one under %d", order.Holder, order.FencingToken, order.At.Sub(newest.At), newest.FencingToken)
+			r.violation("%s sent an order with fencing token %d, %s after an order with token %d", order.Holder, order.FencingToken, order.At.Sub(newest.At), newest.FencingToken)
 		case order.FencingToken == newest.FencingToken && order.Holder != newest.Holder:
-			r.violation("%s and %s both give orders under token %d", order.Holder, newest.Holder, order.FencingToken)
+			r.violation("%s and %s both sent orders with fencing token %d", order.Holder, newest.Holder, order.FencingToken)
 		default:
 			newest = order
 		}
 	}
 }
 
-// checkRecovery checks that within the time for it changes are committed, read, and in force everywhere.
+// checkRecovery checks that within maxRecovery a change is committed and in force at all proxies.
 func (r *historyRun) checkRecovery() {
 	c, prefix := r.cluster, "/recovered/"
 	deadline := time.Now().Add(maxRecovery)
@@ -74,7 +74,7 @@
 	c.Sleep(applyTime)
 	for _, edge := range c.Edges {
 		if !r.servesBefore(edge, prefix, deadline) {
-			r.violation("%s does not serve by the newest configuration within %s of the last fault", edge.Name, maxRecovery)
+			r.violation("%s does not serve the newest configuration within %s of the last fault", edge.Name, maxRecovery)
 		}
 	}
 }
@@ -94,7 +94,7 @@
 	}
 }
 
-// checkActivity checks that a history had everything that the other checks are about.
+// checkActivity checks that a history contains the kinds of events that the other checks need.
 func (r *historyRun) checkActivity(t *testing.T) {
 	t.Helper()
 	statuses, orders, tokens := map[int]int{}, 0, map[uint64]bool{}
@@ -107,18 +107,18 @@
 			tokens[order.FencingToken] = true
 		}
 	}
-	t.Logf("requests by status %v, %d streams, %d orders under %d tokens, %d calls of operators", statuses, r.streams, orders,
+	t.Logf("requests by status %v, %d streams, %d orders with %d fencing tokens, %d operator calls", statuses, r.streams, orders,
 		len(tokens), len(r.register.operations))
 	if statuses[200] == 0 || r.streams == 0 || orders == 0 || len(r.register.operations) == 0 {
-		r.violation("nothing happened in the history that could be checked")
+		r.violation("the history lacks served requests, complete streams, orders or operator calls to check")
 	}
 }
 
-// checkRegister checks that the configuration was linearizable: all answers are those of one register.
+// checkRegister checks that reads and changes of the configuration were linearizable.
 func (r *historyRun) checkRegister() {
 	const timeout = 20 * time.Second
 	model := linearizability.ConfigurationModel(r.register.first)
 	if porcupine.CheckOperationsTimeout(model, r.register.operations, timeout) != porcupine.Ok {
-		r.violation("the answers to %d calls are not those of one register", len(r.register.operations))
+		r.violation("the responses to %d operator calls are not linearizable", len(r.register.operations))
 	}
 }
--- a/internal/testing/simcluster/history_faults_test.go
+++ b/internal/testing/simcluster/history_faults_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// clusterFault is a fault of a cluster. machine and other say where, modulo the number of machines that can have it.
+// clusterFault is a fault of a cluster. machine and other select the affected machines, modulo the number of candidates.
 type clusterFault struct {
 	kind           string
 	machine, other int
-	lasts, pause   time.Duration // pause is the time without a fault that follows
+	lasts, pause   time.Duration // pause is the fault-free time that follows
 }
 
-// String is the fault as it is printed when a history fails.
+// String formats the fault for the report of a failed history.
 func (f clusterFault) String() string {
 	return fmt.Sprintf("%s machine=%d other=%d lasts=%s pause=%s", f.kind, f.machine, f.other, f.lasts, f.pause)
 }
@@ -23,7 +23,7 @@
 
 func (c *Cluster) edge(n int) *Machine { return c.Edges[n%len(c.Edges)] }
 
-// addresses returns those of all machines of the system.
+// addresses returns the addresses of all machines of the system.
 func (c *Cluster) addresses() []string {
 	var all []string
 	for _, m := range c.Machines() {
@@ -32,15 +32,15 @@
 	return all
 }
 
-// restart kills a machine's processes, and starts them after a while.
+// restart kills a machine's processes, and starts them again after down.
 func (c *Cluster) restart(m *Machine, down time.Duration) {
 	m.Kill()
 	c.Sleep(down)
 	m.Start()
 }
 
-// clusterFaults inject the faults that can be drawn, by their kinds. They stay within fault_tolerance: one disk is lost at
-// a time, and its machine is given time to catch up.
+// clusterFaults maps each kind of fault to the function that injects it. The faults stay within fault_tolerance: one disk
+// is lost at a time, and its machine gets time to catch up.
 var clusterFaults = map[string]func(c *Cluster, f clusterFault){
 	"kill-control": func(c *Cluster, f clusterFault) { c.restart(c.control(f.machine), f.lasts) },
 	"kill-edge":    func(c *Cluster, f clusterFault) { c.restart(c.edge(f.machine), f.lasts) },
@@ -93,7 +93,7 @@
 		c.Sleep(f.lasts)
 		c.Net.SetLoss(0)
 	},
-	// The holder of the placement lease is partitioned from all but the backends, for longer than its lease.
+	// The holder of the placement lease is partitioned from all machines but the backends, for longer than its lease.
 	"cut-placer": func(c *Cluster, f clusterFault) {
 		holder := c.placementHolder()
 		if holder == nil {
@@ -103,7 +103,7 @@
 		c.Sleep(2 * f.lasts)
 		c.Net.Isolate(holder.IP, c.addresses(), false)
 	},
-	// A backend dies without a word, and another one comes.
+	// A backend is killed without detaching, and a new one is added.
 	"kill-backend": func(c *Cluster, f clusterFault) {
 		number := f.machine % len(c.Backends)
 		old := c.Backends[number]
@@ -118,7 +118,7 @@
 	},
 }
 
-// drawClusterHistory draws the faults of a history by its number.
+// drawClusterHistory generates the random faults of a history from its number, the seed.
 func drawClusterHistory(number int) []clusterFault {
 	rng := rand.New(rand.NewPCG(uint64(number), 5))
 	kinds := make([]string, 0, len(clusterFaults))
--- a/internal/testing/simcluster/history_fixture_test.go
+++ b/internal/testing/simcluster/history_fixture_test.go
@@ -8,8 +8,8 @@
 	"marlreel/internal/testing/fakesystem"
 )
 
-// busyModelBackend is a backend with capacity for one of the three models, which load fast: with two such backends there
-// are orders all the time.
+// busyModelBackend returns a backend with capacity for one of the three models, which load fast: with two such backends,
+// orders are sent all the time.
 func busyModelBackend(id, zone string, models ...string) fakesystem.BackendConfig {
 	cfg := llmBackend(id, zone, models...)
 	cfg.CapacityMB = historyCapacityMB
@@ -19,17 +19,17 @@
 	return cfg
 }
 
-// busySlipBackend is a backend of the plain route that takes long enough for faults to hit running requests.
+// busySlipBackend returns a backend of the plain route that is slow enough for faults to hit requests in flight.
 func busySlipBackend(id, zone string) fakesystem.BackendConfig {
 	cfg := slipBackend(id, zone)
 	cfg.RequestTime = 150 * time.Millisecond
 	return cfg
 }
 
-// historyCapacityMB is the capacity of a backend for models in a history.
+// historyCapacityMB is a backend's capacity for models in a history.
 const historyCapacityMB = 70000
 
-// historyDocument is the configuration of a history, with one more plain route at a prefix.
+// historyDocument returns the configuration of a history, with an additional plain route at a prefix.
 func historyDocument(prefix string) func(version uint64) string {
 	return func(version uint64) string {
 		route := fmt.Sprintf(`{"name":"mark","host":"a.example","path_prefix":"%s","route_class":"unsafe","timeout_ms":2000,`+
--- a/internal/testing/simcluster/history_register_test.go
+++ b/internal/testing/simcluster/history_register_test.go
@@ -13,8 +13,7 @@
 	"marlreel/internal/testing/linearizability"
 )
 
-// registerLog records the calls of operators and their answers. The configuration is a register that they read and
-// compare-and-set.
+// registerLog records operator calls and their responses. The configuration is a compare-and-swap register.
 type registerLog struct {
 	first      linearizability.Configuration
 	operations []porcupine.Operation
@@ -25,7 +24,7 @@
 	l.first = linearizability.Configuration{Version: 1, Text: text}
 }
 
-// recordCall records a call that has ended.
+// recordCall records a completed call.
 func (r *historyRun) recordCall(began time.Time, call linearizability.ConfigurationRequest, answer linearizability.ConfigurationResponse) {
 	ended := time.Now().UnixNano()
 	if !call.Read && !answer.Definite {
@@ -41,7 +40,7 @@
 
 var versionField = regexp.MustCompile(`"config_version":(\d+)`)
 
-// readConfiguration reads the configuration at the first control process that answers.
+// readConfiguration reads the configuration from the first control process that returns it.
 func (r *historyRun) readConfiguration() (linearizability.Configuration, bool) {
 	for _, m := range r.cluster.Controls {
 		status, body, err := r.cluster.callControl(m, http.MethodGet, "/marlreel/config/read", "", "")
@@ -50,12 +49,12 @@
 		}
 		found := versionField.FindStringSubmatch(body)
 		if found == nil {
-			r.violation("a read gave %q", body)
+			r.violation("a read returned a configuration without a version: %q", body)
 			return linearizability.Configuration{}, false
 		}
 		version, err := strconv.ParseUint(found[1], 10, 64)
 		if err != nil {
-			r.violation("a read gave version %q", found[1])
+			r.violation("a read returned the invalid version %q", found[1])
 			return linearizability.Configuration{}, false
 		}
 		return linearizability.Configuration{Version: version, Text: body}, true
@@ -63,7 +62,7 @@
 	return linearizability.Configuration{}, false
 }
 
-// changesEnded reports whether operators are to make no more changes.
+// changesEnded reports whether operators must stop making changes.
 func (r *historyRun) changesEnded() bool {
 	select {
 	case <-r.changesOver:
@@ -83,11 +82,11 @@
 	}
 }
 
-// maxSends bounds how often a change is sent until there is a clear answer.
+// maxSends limits how often a change is sent until there is a definite response.
 const maxSends = 12
 
-// write sends a change on top of the newest version, again while there is no clear answer. It reports whether the change
-// was committed. prefix is that of a further plain route; empty: one of its own.
+// write sends a change based on the newest version, and retries it until there is a definite response. It reports whether
+// the change was committed. prefix is the path prefix of an additional plain route; if empty, an unused one is chosen.
 func (r *historyRun) write(operator int, prefix string) bool {
 	current, answered := r.readConfiguration()
 	if !answered {
@@ -102,7 +101,7 @@
 	return r.replace(operator, current.Version, historyDocument(prefix)(current.Version+1))
 }
 
-// newPrefix returns a prefix that no change has had yet.
+// newPrefix returns a prefix that no change has used yet.
 func (r *historyRun) newPrefix() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,8 +109,8 @@
 	return fmt.Sprintf("/w%d/", r.register.writes)
 }
 
-// replace replaces the configuration on top of a version, beginning at an operator's control process. It reports whether
-// that was committed.
+// replace replaces the configuration based on a version, and tries the operator's own control process first. It reports
+// whether the change was committed.
 func (r *historyRun) replace(operator int, base uint64, text string) bool {
 	call, answer := linearizability.ConfigurationRequest{Base: base, Text: text}, linearizability.ConfigurationResponse{}
 	began := time.Now()
--- a/internal/testing/simcluster/history_run_test.go
+++ b/internal/testing/simcluster/history_run_test.go
@@ -8,34 +8,34 @@
 	"marlreel/internal/testing/fakesystem"
 )
 
-// historyRun runs the clients and operators of a history, and records what they were answered and what was violated.
+// historyRun runs the clients and operators of a history, and records their responses and all violations.
 type historyRun struct {
 	cluster     *Cluster
-	over        chan struct{}  // closed when clients are to send no more requests
-	changesOver chan struct{}  // closed when operators are to make no more changes
-	running     sync.WaitGroup // for the clients and operators
+	over        chan struct{}  // closed when clients must stop sending requests
+	changesOver chan struct{}  // closed when operators must stop making changes
+	running     sync.WaitGroup // the clients and operators
 
 	mu           sync.Mutex
 	violations   []string
 	register     registerLog
 	onceRequests []onceRequest
-	streams      int // that were complete
+	streams      int // number of complete streams
 }
 
-// onceRequest is a request that may run once at most, and the status of its response.
+// onceRequest is a request that may be executed at most once, and the status of its response.
 type onceRequest struct {
 	id     string
-	status int // 0: there was none
+	status int // 0 if there was no response
 }
 
-// violation records that something was not as it has to be.
+// violation records a violated invariant.
 func (r *historyRun) violation(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
-// repeat does something again and again, with a pause after each time, until over is closed.
+// repeat calls do in a loop, with a pause after each call, until over is closed.
 func (r *historyRun) repeat(over <-chan struct{}, pause time.Duration, do func()) {
 	r.running.Go(func() {
 		for {
@@ -62,10 +62,10 @@
 	r.onceRequests = append(r.onceRequests, onceRequest{request.ID, got.Status})
 }
 
-// streamEvents is how many events a stream of a history has.
+// streamEvents is the number of events of a history's streams.
 const streamEvents = 10
 
-// stream sends a streaming request. Each event that comes has to be the next one.
+// stream sends a streaming request, and checks that events arrive in order and without gaps.
 func (r *historyRun) stream(edge *Machine, model string) {
 	request := chatRequest(model)
 	request.Timeout = 6 * time.Second
@@ -75,7 +75,7 @@
 	}
 	events := got.Events
 	if !got.Complete && len(events) > 0 {
-		events = events[:len(events)-1] // it may have been cut short within the last one
+		events = events[:len(events)-1] // the last event may be truncated
 	}
 	for i, event := range events {
 		want := fmt.Sprintf("id: %d\ndata: %s", i+1, fakesystem.EventText(request.ID, i+1))
@@ -88,7 +88,7 @@
 		return
 	}
 	if len(events) != streamEvents {
-		r.violation("stream %s ended with %d events of %d", request.ID, len(events), streamEvents)
+		r.violation("stream %s ended with %d of %d events", request.ID, len(events), streamEvents)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testing/simcluster/history_test.go
+++ b/internal/testing/simcluster/history_test.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	// historyControls and historyEdges are how many machines a drawn history has.
+	// historyControls and historyEdges are the numbers of machines in a random history.
 	historyControls, historyEdges = 3, 4
-	// historyModelBackends is how many backends with models one has: fewer than there are models.
+	// historyModelBackends is the number of backends with models: fewer than there are models, so that models compete.
 	historyModelBackends = 2
-	// historyFaults is how many faults one has.
+	// historyFaults is the number of faults in a history.
 	historyFaults = 6
-	// maxFaultTime and maxPauseTime bound how long a fault lasts, and the time without a fault that follows.
+	// maxFaultTime limits how long a fault lasts, and maxPauseTime the fault-free time that follows.
 	maxFaultTime = 2500 * time.Millisecond
 	maxPauseTime = 1500 * time.Millisecond
-	// maxRecovery is within what time of the last fault everything has to work.
+	// maxRecovery is the time after the last fault within which everything must work again.
 	maxRecovery = 10 * time.Second
-	// diskRecovery is how long a machine may catch up before the next disk may be lost.
+	// diskRecovery is the time that a machine gets to catch up before the next disk may be lost.
 	diskRecovery = 4 * time.Second
 )
 
-// startHistoryCluster starts the cluster of a history, and returns once it serves.
+// startHistoryCluster starts the cluster of a history, and returns once it is ready.
 func startHistoryCluster(t *testing.T) *Cluster {
 	t.Helper()
 	c := New(Config{
@@ -64,12 +64,12 @@
 		sent := 0
 		r.repeat(r.over, 250*time.Millisecond, func() {
 			sent++
-			r.stream(edge, fmt.Sprintf("m%d", sent/8%3)) // the demand for models changes all the time
+			r.stream(edge, fmt.Sprintf("m%d", sent/8%3)) // the demand for models keeps changing
 		})
 	}
 }
 
-// runClusterHistory injects faults under traffic and changes, and returns all violations.
+// runClusterHistory injects faults during traffic and configuration changes, and returns all violations.
 func runClusterHistory(t *testing.T, faults []clusterFault) []string {
 	t.Helper()
 	c := startHistoryCluster(t)
@@ -91,12 +91,12 @@
 	return r.violations
 }
 
-// numberFromEnvironment returns a variable's number, or a default.
-func numberFromEnvironment(t *testing.T, name string, otherwise int) int {
+// numberFromEnvironment returns the number in an environment variable, or fallback if it is unset or empty.
+func numberFromEnvironment(t *testing.T, name string, fallback int) int {
 	t.Helper()
 	text := os.Getenv(name)
 	if text == "" {
-		return otherwise
+		return fallback
 	}
 	number, err := strconv.Atoi(text)
 	if err != nil {
@@ -105,10 +105,10 @@
 	return number
 }
 
-// maxPrintedViolations bounds the violations that are printed of a history.
+// maxPrintedViolations limits how many violations of a history are printed.
 const maxPrintedViolations = 12
 
-// Whole clusters survive drawn faults, under traffic and changes.
+// Whole clusters tolerate random faults during traffic and configuration changes.
 func TestDrawnClusterHistories(t *testing.T) {
 	histories, first := numberFromEnvironment(t, "CLUSTER_HISTORIES", 8), numberFromEnvironment(t, "CLUSTER_FIRST", 0)
 	for number := first; number < first+histories; number++ {
@@ -120,12 +120,12 @@
 				if len(violations) == 0 {
 					return
 				}
-				var story strings.Builder
+				var injected strings.Builder
 				for _, f := range faults {
-					fmt.Fprintln(&story, f)
+					fmt.Fprintln(&injected, f)
 				}
 				printed := violations[:min(len(violations), maxPrintedViolations)]
-				t.Errorf("%s\nthe history:\n%s", strings.Join(printed, "\n"), story.String())
+				t.Errorf("%s\ninjected faults:\n%s", strings.Join(printed, "\n"), injected.String())
 			})
 		})
 	}
--- a/internal/testing/simcluster/lease_test.go
+++ b/internal/testing/simcluster/lease_test.go
@@ -12,7 +12,8 @@
 	"marlreel/internal/controlplane"
 )
 
-// placementHolder returns the machine that holds the placement lease, as a control process sees it; nil: none is known.
+// placementHolder returns the machine that holds the placement lease, according to a control process, or
+// nil if none is known.
 func (c *Cluster) placementHolder() *Machine {
 	for _, m := range c.Controls {
 		status := c.fetchStatus(m)
@@ -23,21 +24,21 @@
 	return nil
 }
 
-// placementLease returns the placement lease: its holder and fencing token.
+// placementLease returns the placement lease with its holder and fencing token.
 func (c *Cluster) placementLease(t *testing.T) controlplane.LeaseStatus {
 	t.Helper()
 	status, answer, err := c.CallOperatorAPI("GET", "/marlreel/status", "", "", 4*time.Second)
 	if err != nil || status != 200 {
-		t.Fatalf("status: %d %v", status, err)
+		t.Fatalf("reading the status: %d %v", status, err)
 	}
 	var s controlplane.Status
 	if err := json.Unmarshal([]byte(answer), &s); err != nil || len(s.Leases) != 1 {
-		t.Fatalf("status: %s %v", answer, err)
+		t.Fatalf("no status with one lease: %s %v", answer, err)
 	}
 	return s.Leases[0]
 }
 
-// holderOf returns the machine that holds a lease; nil: none of the edges.
+// holderOf returns the machine that holds a lease, or nil if it is none of the edges.
 func (c *Cluster) holderOf(lease controlplane.LeaseStatus) *Machine {
 	name, _, _ := strings.Cut(lease.Holder, "/")
 	for _, m := range c.Edges {
@@ -48,7 +49,7 @@
 	return nil
 }
 
-// A holder that gets SIGTERM releases its lease at once, and it is granted to a node that stays.
+// A holder that receives SIGTERM releases its lease at once, and the lease is granted to a node that keeps running.
 func TestLeaseIsReleasedAtSIGTERM(t *testing.T) {
 	runWithCluster(t, func(t *testing.T, c *Cluster) {
 		is := is.New(t)
@@ -62,12 +63,12 @@
 		is.True(after.FencingToken > before.FencingToken)
 		ended.Wait()
 		c.Sleep(5 * time.Second)
-		is.Equal(c.placementLease(t), after) // and it stays there
+		is.Equal(c.placementLease(t), after) // it isn't granted again
 	})
 }
 
-// The lease of a dead holder is granted to a live one once it has expired, and the token rises with each grant to another
-// holder and with nothing else.
+// The lease of a killed holder is granted to a running node once it has expired. The fencing token increases with each
+// grant to another holder, and only then.
 func TestLeaseOfADeadHolderIsGrantedOnce(t *testing.T) {
 	runWithCluster(t, func(t *testing.T, c *Cluster) {
 		is := is.New(t)
@@ -77,13 +78,13 @@
 		c.Sleep(4 * time.Second)
 		after := c.placementLease(t)
 		is.True(c.holderOf(after) != dead)
-		is.True(after.FencingToken <= before.FencingToken+2) // it may have been granted to another dead one first
+		is.True(after.FencingToken <= before.FencingToken+2) // one more grant to a node that isn't running is allowed
 		c.Sleep(10 * time.Second)
 		is.Equal(c.placementLease(t), after)
 	})
 }
 
-// A node that was restarted is another holder: the lease of its earlier incarnation can be granted at once.
+// A restarted node is a different holder: the lease of its earlier incarnation can be granted at once.
 func TestLeaseOfARestartedHolderIsGrantedAtOnce(t *testing.T) {
 	runWithCluster(t, func(t *testing.T, c *Cluster) {
 		is := is.New(t)
@@ -98,8 +99,7 @@
 	})
 }
 
-// When many nodes are lost at once, a lease is granted to one that still reports, not to one after the other of those that
-// are lost as well.
+// When many nodes fail at once, a lease is granted to one that still reports, and not to one failed node after the other.
 func TestLeaseIsGrantedToANodeThatReports(t *testing.T) {
 	runWithRelays(t, func(t *testing.T, c *Cluster) {
 		is := is.New(t)
@@ -115,11 +115,11 @@
 			ended.Go(edge.Kill)
 		}
 		ended.Wait()
-		c.Sleep(2300 * time.Millisecond) // a lease, its margin, a check and a grant
+		c.Sleep(2300 * time.Millisecond) // lease duration, margin, check interval and grant
 		after := c.placementLease(t)
 		is.Equal(after.FencingToken, before.FencingToken+1)
 		is.True(c.holderOf(after) != nil)
 		c.Sleep(5 * time.Second)
-		is.Equal(c.placementLease(t), after) // its holder is alive
+		is.Equal(c.placementLease(t), after) // its holder keeps it
 	})
 }
--- a/internal/testing/simcluster/relay_test.go
+++ b/internal/testing/simcluster/relay_test.go
@@ -20,7 +20,7 @@
 				expected[relayMachine.Name] = true
 			}
 		}
-		c.Sleep(10 * time.Second) // subscribers from before the relays were known are forgotten
+		c.Sleep(10 * time.Second) // subscriptions made before the relays were known have expired
 		subscribers := map[string]bool{}
 		for _, m := range c.Controls {
 			for _, name := range c.status(t, m).Subscribers {
@@ -31,8 +31,8 @@
 	})
 }
 
-// A relay that hangs, or that is cut off itself, delays nobody beyond the bound: changes are in force at the zone's other
-// proxies in time.
+// A relay that hangs or is partitioned from control doesn't delay the zone's other proxies beyond the bound: changes are in
+// force there in time.
 func TestChangesBypassAFaultyRelay(t *testing.T) {
 	faults := map[string]func(c *Cluster, m *Machine){
 		"it hangs":                       func(c *Cluster, m *Machine) { c.isolate(m) },
@@ -55,7 +55,7 @@
 	runWithRelays(t, func(t *testing.T, c *Cluster) {
 		is := is.New(t)
 		relayMachine, others := c.relayOf(watch.TopicState, zones[0])
-		draining := c.Backends[2] // one of the two of the plain route
+		draining := c.Backends[2] // one of the plain route's two backends
 		c.isolate(relayMachine)
 		draining.Drain()
 		for !draining.DrainAcknowledged() {
@@ -70,7 +70,7 @@
 	})
 }
 
-// When the relay of a service ends, the zone's other proxies learn of new backends all the same.
+// When the relay of a service stops or hangs, the zone's other proxies still learn of new backends.
 func TestNewBackendsAreKnownAfterTheRelayEnds(t *testing.T) {
 	ends := map[string]func(c *Cluster, m *Machine){
 		"killed":     func(_ *Cluster, m *Machine) { m.Kill() },
@@ -89,7 +89,7 @@
 				}
 				c.Sleep(4 * time.Second)
 				c.checkServed(t, others, "/slip/1", 200)
-				c.Sleep(5 * time.Second) // a terminated machine has shut down
+				c.Sleep(5 * time.Second) // until a terminated machine has shut down
 			})
 		})
 	}
--- a/internal/testing/simcluster/subscribers_test.go
+++ b/internal/testing/simcluster/subscribers_test.go
@@ -16,7 +16,7 @@
 	return strings.Replace(documentOf(version), `"limits":`, `"subscribers":[`+tenants+`],"limits":`, 1)
 }
 
-// subscriberExchanges are requests of operators about tenants and keys. Each key has SECRET in it.
+// subscriberExchanges are operator requests about tenants and keys. Each key contains SECRET.
 func subscriberExchanges() []rawExchange {
 	const north, south = `{"name":"north","access_keys":["SECRET1","SECRET2"],"priority":1,"unit":"token_metering","raw_tokens":200,` +
 		`"rate_per_s":100,"burst_size":50}`, `{"name":"south","access_keys":["SECRET3"],"a_later_field":[1,2.50]}`
@@ -48,7 +48,7 @@
 	}
 }
 
-// Guards against other answers to operators who send tenants and keys, and against answers that give a key away.
+// Guards against changed responses to operators who send tenants and keys, and against error responses that reveal a key.
 func TestCompatibilityOfSubscribersAtControl(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startControlPlane(t)
@@ -61,7 +61,7 @@
 		for _, e := range subscriberExchanges() {
 			status, header, body := replay(t, c, c.Controls[0].ControlAddress(), e)
 			if status != http.StatusOK && strings.Contains(fmt.Sprint(header)+body, "SECRET") {
-				t.Errorf("%s: a key is in the answer %s", e.name, body)
+				t.Errorf("%s: the error response contains a key: %s", e.name, body)
 			}
 		}
 	})
