--- a/internal/testing/simcluster/configuration_test.go
+++ b/internal/testing/simcluster/configuration_test.go
@@ -56,7 +56,7 @@
 		}{
 			"another change on the same base": {"1", documentWithSlipsAt("/other/")(6), 412, `"code":300`},
 			"version is not higher":           {"5", documentWithSlipsAt("/voucher/")(5), 400, `"code":205`},
-			"truncated":                       {"5", `{"config_version":7,`, 400, `"code":200`},
+			"truncated JSON":                  {"5", `{"config_version":7,`, 400, `"code":200`},
 			"unknown service":                 {"5", strings.Replace(document(7), `"service":"slips"`, `"service":"none"`, 1), 400, `"code":201`},
 		} {
 			status, answer := c.replaceOn(t, rejected.base, rejected.body)
--- a/internal/testing/simcluster/placement_test.go
+++ b/internal/testing/simcluster/placement_test.go
@@ -98,7 +98,7 @@
 		Reports: []*api.DemandReport{{Node: node, Zone: to.Zone, Backlogs: []*api.Backlog{backlog.ToProto("llm", work)}}},
 	})
 	if err != nil {
-		t.Fatalf("reporting the backlog of %s to %s: %v", node, to.Name, err)
+		t.Fatalf("reporting the backlog of node %s: %v", node, err)
 	}
 	for _, b := range reply.OtherBacklogs {
 		if b.Service == "llm" {
