--- a/internal/rehearsal/plan_test.go
+++ b/internal/rehearsal/plan_test.go
@@ -155,7 +155,7 @@
 		"a nested key":           {"slots = 20", "slotts = 20", "unknown key fleet.nodes.slotts (did you mean slots?)"},
 		"no TOML":                {"seed = 7", "seed = = 7", "morning.toml:4:"},
 		"a wrong type":           {"seed = 7", `seed = "seven"`, "morning.toml:4:"},
-		"a wrong span":           {`length = "45s"`, `length = "45 fish"`, `"45 fish" is no span`},
+		"a wrong span":           {`length = "45s"`, `length = "45 fish"`, `"45 fish" is not a duration such as`},
 		"no length":              {`length = "45s"`, `length = "0s"`, "length"},
 		"an unknown fault":       {`what = "die"`, `what = "dei"`, "did you mean die?"},
 		"a fault too late":       {`at = "12s"`, `at = "99s"`, "within the length"},
