--- a/internal/standin/faulty.go
+++ b/internal/standin/faulty.go
@@ -13,45 +13,45 @@
 	"time"
 )
 
-// ListFault is what becomes of a watch, or of a call, at a Faulty.
+// ListFault is a fault of a watch or a call at a Faulty.
 type ListFault string
 
-// The faults. At an open watch, refused and unavailable end it, and a head alone is silence.
+// The faults. On an open watch, ListRefused and ListUnavailable end it, and ListHead is the same as ListSilent.
 const (
 	ListRefused     ListFault = "refused"     // the connection is reset before anything is read
 	ListUnavailable ListFault = "unavailable" // 503
-	ListSilent      ListFault = "silent"      // taken, and nothing is said
-	ListHead        ListFault = "head alone"
-	ListTrickle     ListFault = "trickle" // a byte a second
-	ListBlank       ListFault = "blank"   // blank lines, and never a change
+	ListSilent      ListFault = "silent"      // accepted and never answered
+	ListHead        ListFault = "head alone"  // the response head, then nothing
+	ListTrickle     ListFault = "trickle"     // one byte per second
+	ListBlank       ListFault = "blank"       // heartbeats only, never a change
 	ListHalf        ListFault = "half a line"
 	ListReset       ListFault = "reset in a line"
 )
 
-// ListFaults are all of them.
+// ListFaults lists all faults.
 var ListFaults = []ListFault{ListRefused, ListUnavailable, ListSilent, ListHead, ListTrickle, ListBlank, ListHalf, ListReset}
 
-// Faulty is a discovery service that goes wrong as a test wants. Any goroutine may call its methods.
+// Faulty is a discovery service with faults that a test controls. Its methods are safe for concurrent use.
 type Faulty struct {
 	Addr   string
 	raw    *Raw
-	Indent bool // lists come over several lines; set before the first call
+	Indent bool // lists are sent as several lines; set before the first call
 
 	mu      sync.Mutex
 	list    List
 	since   map[string]uint32 // the version at which an entry last changed
-	next    []ListFault       // of the calls to come
-	at      ListFault         // of the watches that were open at the last Break
+	next    []ListFault       // faults of the next calls
+	at      ListFault         // fault of the watches that were open at the last Break
 	breaks  int
 	down    bool
 	turn    time.Duration
 	changed chan struct{}
 	calls   []time.Time
 	closed  chan struct{}
-	turns   sync.Mutex // held by the call whose turn it is
+	turns   sync.Mutex // serializes calls after InTurn
 }
 
-// StartFaulty starts one that has a list.
+// StartFaulty starts a Faulty with an initial list.
 func StartFaulty(entries ...Entry) (*Faulty, error) {
 	f := &Faulty{since: map[string]uint32{}, changed: make(chan struct{}), closed: make(chan struct{})}
 	f.put(entries)
@@ -63,7 +63,7 @@
 	return f, nil
 }
 
-// Close ends it.
+// Close stops the service.
 func (f *Faulty) Close() {
 	f.mu.Lock()
 	select {
@@ -91,7 +91,7 @@
 	}
 }
 
-// Put changes entries. Watches that work tell of it at once.
+// Put adds or replaces entries. Watches without a fault send the change at once.
 func (f *Faulty) Put(entries ...Entry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -99,7 +99,7 @@
 	f.stir()
 }
 
-// Break lets all open watches go wrong now, and each of the next calls as told.
+// Break applies a fault to all open watches now, and one fault each to the next calls.
 func (f *Faulty) Break(open ListFault, calls ...ListFault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -108,7 +108,7 @@
 	f.stir()
 }
 
-// Down ends all watches and refuses all calls; false is up again.
+// Down ends all watches and refuses all calls; Down(false) ends that.
 func (f *Faulty) Down(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -119,14 +119,14 @@
 	f.stir()
 }
 
-// InTurn lets calls wait for each other, and each take so long.
+// InTurn serializes calls and makes each take a given time.
 func (f *Faulty) InTurn(each time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.turn = each
 }
 
-// Calls are when calls came.
+// Calls returns the arrival times of all calls.
 func (f *Faulty) Calls() []time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -138,7 +138,7 @@
 	f.changed = make(chan struct{})
 }
 
-// text is the list, or what changed after a version, as it stands on the wire. The caller has the lock.
+// text returns the whole list, or the changes after a version, in wire format. The caller holds the lock.
 func (f *Faulty) text(from uint32, whole bool) []byte {
 	l := List{Generation: f.list.Generation, Reset: whole, Instances: []Entry{}}
 	for _, e := range f.list.Instances {
@@ -219,7 +219,7 @@
 	f.watch(c, fault, told, breaks, gone)
 }
 
-// watch goes on with an open watch, or what looks like one.
+// watch serves the rest of an open watch, or of a call whose fault keeps it open like one.
 func (f *Faulty) watch(c net.Conn, fault ListFault, told uint32, breaks int, gone chan struct{}) {
 	beat := time.NewTicker(beatEvery)
 	defer beat.Stop()
--- a/internal/standin/front.go
+++ b/internal/standin/front.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// FrontProxy is a proxy as the front knows it.
+// FrontProxy is a proxy behind the front.
 type FrontProxy struct {
 	Addr, Zone string
-	RPC        string // where it takes MessagePack-RPC; "" is nowhere
+	RPC        string // MessagePack-RPC address; "" for none
 }
 
-// Front deals clients' connections out among the proxies of their zone. It takes a
-// proxy in once GET /ready has answered 200 after a start, and notices its death
-// late: until then it goes on dealing connections to it, which fail.
+// Front distributes clients' connections over the proxies of their zone. It adds a
+// proxy once GET /ready answers 200, and removes a failed one only after a delay:
+// until then it keeps sending connections to it, which fail.
 type Front struct {
 	proxies []FrontProxy
 	notice  time.Duration
@@ -28,15 +28,15 @@
 	mu   sync.Mutex
 	in   []bool
 	next map[string]int
-	came chan struct{} // closed and made anew when a proxy is taken in
+	came chan struct{} // closed and replaced when a proxy is added or removed
 }
 
 const askReady = 50 * time.Millisecond
 
-// ErrNoProxy says that the front knows no proxy that lives.
-var ErrNoProxy = errors.New("the front knows no living proxy")
+// ErrNoProxy is returned when no proxy is available.
+var ErrNoProxy = errors.New("the front has no available proxy")
 
-// NewFront starts a front that notices a death so long after it.
+// NewFront starts a front that removes a proxy once it has failed for notice.
 func NewFront(notice time.Duration, proxies []FrontProxy) *Front {
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &Front{
@@ -50,7 +50,7 @@
 	return f
 }
 
-// look watches one proxy.
+// look polls the readiness of one proxy.
 func (f *Front) look(ctx context.Context, i int) {
 	var failing time.Time
 	for ctx.Err() == nil {
@@ -97,14 +97,14 @@
 	}
 }
 
-// Has tells whether the front deals connections to a proxy.
+// Has reports whether the front sends connections to a proxy.
 func (f *Front) Has(i int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.in[i]
 }
 
-// WaitAll waits until all proxies are taken in.
+// WaitAll waits until all proxies are in.
 func (f *Front) WaitAll(ctx context.Context) error {
 	for {
 		f.mu.Lock()
@@ -124,7 +124,7 @@
 	}
 }
 
-// Pick deals a proxy: one of the zone in turn, or of any zone where it has none that lives.
+// Pick returns the index of a proxy: round robin in the zone, or over all zones if the zone has none available.
 func (f *Front) Pick(zone string) (int, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -143,7 +143,7 @@
 	return 0, ErrNoProxy
 }
 
-// Dial opens a connection for a client of a zone, and tells to which proxy.
+// Dial opens a connection for a client of a zone and returns the index of its proxy.
 func (f *Front) Dial(ctx context.Context, zone string) (net.Conn, int, error) {
 	i, err := f.Pick(zone)
 	if err != nil {
@@ -154,7 +154,7 @@
 	return c, i, err
 }
 
-// DialRPC is Dial for a caller by MessagePack-RPC.
+// DialRPC is Dial for MessagePack-RPC.
 func (f *Front) DialRPC(ctx context.Context, zone string) (net.Conn, int, error) {
 	i, err := f.Pick(zone)
 	if err != nil {
@@ -165,7 +165,7 @@
 	return c, i, err
 }
 
-// Close ends it.
+// Close stops the front.
 func (f *Front) Close() {
 	f.cancel()
 	f.wg.Wait()
--- a/internal/standin/group.go
+++ b/internal/standin/group.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Group is a set of nodes that drop each other's repeats of a key.
+// Group is a set of nodes that deduplicate requests by idempotency key together.
 type Group struct {
 	mu     sync.Mutex
 	window time.Duration
@@ -13,7 +13,7 @@
 	swept  time.Duration
 }
 
-// NewGroup makes a group that remembers a key for so long from its first arrival.
+// NewGroup returns a group that remembers a key for window after its first arrival.
 func NewGroup(window time.Duration) *Group {
 	return &Group{window: window, seen: map[string]time.Duration{}}
 }
--- a/internal/standin/large.go
+++ b/internal/standin/large.go
@@ -10,30 +10,30 @@
 	"time"
 )
 
-// Large bodies: made and checked as they pass, so that a node or a client with many of them
-// holds none.
+// Large bodies are generated and checked while they are streamed, so that a node or a client with
+// many of them keeps none in memory.
 
 const (
-	// LargeFrom is the size above which a body is made and read in pieces.
+	// LargeFrom is the size above which a body is generated and read in pieces.
 	LargeFrom = 64 << 10
 	piece     = 16 << 10
-	// pieceWithin is how long a peer may take for a piece before its connection is ended.
+	// pieceWithin is the write timeout of a piece; the connection is closed when it expires.
 	pieceWithin = 10 * time.Second
 )
 
 var filler = []byte(strings.Repeat(".", piece))
 
-// Pace spaces the pieces of a body so that it passes at a rate, bytes a second; 0 is at once.
+// Pace limits the rate of a body, in bytes per second; 0 is unlimited.
 type Pace struct {
 	rate  int
 	began time.Time
 	done  int64
 }
 
-// NewPace begins a body now.
+// NewPace returns a Pace for a body that starts now.
 func NewPace(rate int) *Pace { return &Pace{rate: rate, began: time.Now()} }
 
-// Wait notes n bytes, and waits until they should have passed.
+// Wait counts n bytes and sleeps until the rate allows them to have passed.
 func (p *Pace) Wait(n int) {
 	p.done += int64(n)
 	if p.rate > 0 {
@@ -41,7 +41,7 @@
 	}
 }
 
-// WriteBody writes what Body would give, a piece at a time, each by write.
+// WriteBody writes what Body would return, one piece per call of write.
 func WriteBody(maker, id string, size, rate int, write func([]byte) error) error {
 	head := Body(maker, id, 0)
 	pace := NewPace(rate)
@@ -58,13 +58,13 @@
 	}
 }
 
-// ReadBody reads a body that may be large, and gives its beginning and its length. An error is
-// one of reading, or says that what follows the beginning is not what Body makes.
+// ReadBody reads a body that may be large and returns its first bytes and its size. It fails if reading
+// fails, or if what follows the first line is not what Body makes.
 func ReadBody(in io.Reader, rate int) (head string, size int, err error) {
 	pace := NewPace(rate)
 	var begin []byte
 	buf := make([]byte, piece)
-	line := false // the first line is whole
+	line := false // the first line is complete
 	for {
 		n, err := in.Read(buf)
 		size += n
@@ -75,7 +75,7 @@
 		if line && strings.HasPrefix(string(begin), "node ") {
 			for _, b := range p {
 				if b != '.' {
-					return string(begin), size, errors.New("a byte of the body is another")
+					return string(begin), size, errors.New("body contains a byte other than the filler")
 				}
 			}
 		}
@@ -90,11 +90,11 @@
 	}
 }
 
-// ClientBody is the name under which a client makes a body of so many bytes.
+// ClientBody returns the maker name that a client passes to Body for a body of this size.
 func ClientBody(size int) string { return fmt.Sprintf("client-%d", size) }
 
-// checkUpload tells whether a body that came is the one that its client made; small ones are
-// not looked at.
+// checkUpload reports whether a received body is the one that its client made. Small bodies are
+// not checked.
 func checkUpload(id, head string, size int) bool {
 	if size <= LargeFrom {
 		return true
@@ -103,7 +103,7 @@
 	return ok && maker == ClientBody(size)
 }
 
-// replyLarge writes a large answer in pieces, at the node's rate for its class.
+// replyLarge writes a large response in pieces, at the node's rate for its class.
 func (n *Node) replyLarge(x *exchange, s *Send, size, rate int, chunked bool) {
 	if x.path.Delay > 0 {
 		time.Sleep(x.path.Delay)
--- a/internal/standin/node_work.go
+++ b/internal/standin/node_work.go
@@ -10,21 +10,21 @@
 	"marlreel/internal/standin/machine"
 )
 
-// exchange is a request in hand.
+// exchange is a request in flight.
 type exchange struct {
 	c      net.Conn
 	path   Path
-	gone   chan struct{} // the proxy has closed the connection
-	done   chan struct{} // the answer is written, or there will be none
+	gone   chan struct{} // closed when the proxy has closed the connection
+	done   chan struct{} // closed when the response is written, or there will be none
 	fresh  bool
-	full   bool // the connection is one too many
+	full   bool // the connection exceeds NodeConfig.Connections
 	last   bool
 	began  time.Duration
 	whole  time.Duration
-	rested time.Duration // since when the connection was idle before it, and once it is answered, behind it
+	rested time.Duration // when the connection last became idle: before the request, and after its response once that is written
 }
 
-// sendOf is a request as the journal has it.
+// sendOf returns the journal record of a request.
 func (n *Node) sendOf(x *exchange, r *http.Request) *Send {
 	class, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	return &Send{
@@ -33,7 +33,7 @@
 	}
 }
 
-// answer sees one request through, over HTTP.
+// answer processes one HTTP request and writes its response.
 func (n *Node) answer(x *exchange, r *http.Request, good bool) {
 	defer close(x.done)
 	if x.path.Delay > 0 {
@@ -77,29 +77,29 @@
 	}
 }
 
-// ending is what became of a request at a node, in no protocol's words.
+// ending is the outcome of a request at a node, independent of the protocol.
 type ending uint8
 
 const (
 	endServed  ending = iota
-	endFailed         // an error, after it had begun
-	endFull           // turned away unseen
-	endOver           // its time ran out unseen
-	endExpired        // its time ran out in work: nothing is answered
-	endGone           // nobody waits, or the node has died: nothing is answered
-	endUnknown        // no client's request
+	endFailed         // an error, after it had started
+	endFull           // rejected without running
+	endOver           // its deadline passed before it started
+	endExpired        // its deadline passed while it ran: no response
+	endGone           // the caller has left or the node has died: no response
+	endUnknown        // a request that no client sent
 )
 
-// placed is a request that the machine has taken.
+// placed is a request that the machine has accepted.
 type placed struct {
 	id      uint64
 	ended   chan machine.Completion
-	first   bool // it is the first of its key in the group
-	failing bool // it is to end with an error
+	first   bool // it is the first with its key in the group
+	failing bool // it will end with an error
 }
 
-// process gives a request to the machine, sees it through and writes it down. gone is
-// closed when nobody waits for it any more.
+// process submits a request to the machine, waits for its end and records it in the journal.
+// gone is closed when the caller no longer waits for it.
 func (n *Node) process(s *Send, left time.Duration, full, good bool, gone <-chan struct{}) ending {
 	job, known := machine.Job{Work: time.Millisecond}, true
 	if n.cfg.Demand != nil {
@@ -122,7 +122,7 @@
 	return n.await(s, p, gone)
 }
 
-// place offers a request to the machine. over: it has ended already.
+// place submits a request to the machine, unless a fault ends it first. over tells that it has already ended.
 func (n *Node) place(s *Send, job machine.Job, left time.Duration, full bool, gone <-chan struct{}) (p placed, end ending, over bool) {
 	n.mu.Lock()
 	if n.dead || n.silent {
@@ -155,15 +155,15 @@
 		return p, endFull, true
 	case verdict == machine.DeadlinePassed:
 		return p, endOver, true
-	case verdict == machine.Unavailable: // the reset of its connection is the answer
+	case verdict == machine.Unavailable: // the crash resets the connection, so there is no response
 		n.cfg.Journal.end(s, "", 0, n.cfg.Clock.Now())
 		return p, endGone, true
 	}
 	return p, 0, false
 }
 
-// offer asks the machine to take a request, and notes what that did. repeated: its group has run it before, and it is
-// dropped. Called with the lock.
+// offer submits a request to the machine and sets its effect. repeated tells that the group has already run its key
+// and the request is dropped. The caller holds the lock.
 func (n *Node) offer(s *Send, job machine.Job, full bool, p *placed) (verdict machine.Admission, repeated bool) {
 	now, grouped := n.cfg.Clock.Now(), s.Key != "" && n.cfg.Group != nil
 	if n.draining || full {
@@ -192,7 +192,7 @@
 	return verdict, false
 }
 
-// await waits for the end of a request that the machine has taken, or until nobody waits for it.
+// await waits until an accepted request ends or its caller leaves.
 func (n *Node) await(s *Send, p placed, gone <-chan struct{}) ending {
 	select {
 	case e := <-p.ended:
@@ -201,7 +201,7 @@
 		}
 		switch {
 		case e.Outcome == machine.DeadlineExceeded && !e.Started:
-			return endOver // nothing of it ran, and it won't
+			return endOver // nothing of it ran or will run
 		case e.Outcome == machine.DeadlineExceeded:
 			n.cfg.Journal.end(s, "", 0, n.cfg.Clock.Now())
 			return endExpired
@@ -228,7 +228,7 @@
 
 var unprocessed = []string{"X-Unprocessed: 1"}
 
-// probe answers beside the queue, at the price of a little work.
+// probe answers a health or load probe at once, without waiting in the queue. The machine is charged a little work for it.
 func (n *Node) probe(x *exchange, s *Send, load bool) {
 	s.Probe = true
 	if !n.cfg.Probes {
@@ -260,7 +260,7 @@
 	n.reply(x, s, status, nil, text)
 }
 
-// load is the load report's text.
+// load returns the load report as JSON.
 func (n *Node) load() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/standin/plainproxy.go
+++ b/internal/standin/plainproxy.go
@@ -17,29 +17,29 @@
 	"time"
 )
 
-// Faults are the ways in which a PlainProxy may be wrong on purpose, so that an
-// auditor can be seen to catch it.
+// Faults are deliberate faults of a PlainProxy, which show that an auditor detects
+// each of them.
 type Faults struct {
-	ResendBids   bool // sends an unsafe request again after it may have run
+	ResendBids   bool // retries an unsafe request after it may have run
 	AnswerTwice  bool // answers each request twice
-	IgnoreDrains bool // goes on sending to what drains or is gone
-	FloodCold    bool // sends all to the node that started last
-	Lose         bool // ends a connection in place of answering, now and then
-	RefuseRan    bool // refuses what may have run
-	Invent       bool // answers 200 with what no node made
-	LateAnswers  bool // answers long after the client has left
-	SendAfter    bool // sends once more after the answer
-	KeyElsewhere bool // sends a keyed request again to another zone
-	TakeBroken   bool // takes settings files whatever is in them
-	Mute         bool // says nothing of a settings file that it turns down
-	NoYes        bool // never says that it can serve
-	DropAtTerm   bool // ends at SIGTERM with all that it holds
-	CutLarge     bool // ends large answers early, now and then
+	IgnoreDrains bool // keeps sending to nodes that are draining or gone
+	FloodCold    bool // sends everything to the node that started last
+	Lose         bool // closes some connections without an answer
+	RefuseRan    bool // answers some requests 503 although they may have run
+	Invent       bool // answers some requests 200 with a body that no node made
+	LateAnswers  bool // answers some requests long after the client has left
+	SendAfter    bool // sends the request once more after the answer
+	KeyElsewhere bool // retries a keyed request in another zone
+	TakeBroken   bool // accepts settings files without validation
+	Mute         bool // does not report a settings file that it rejects
+	NoYes        bool // never reports that it is ready
+	DropAtTerm   bool // exits on SIGTERM without finishing the requests in flight
+	CutLarge     bool // truncates some large answers
 }
 
-// PlainProxy is a proxy without marlreel's decisions: it sends each request to a node
-// drawn at random from those listed as ready, and tries another only where the first
-// has proved not to have run. It is what a rehearsal's figures are measured against.
+// PlainProxy is a proxy without marlreel's algorithms: it sends each request to a random
+// node among those listed as ready, and retries on another one only if the first attempt
+// provably did not run. It is the baseline for the figures of a rehearsal.
 type PlainProxy struct {
 	Faults Faults
 	client *http.Client
@@ -52,13 +52,13 @@
 	turn  int
 }
 
-// plainConfig is what a PlainProxy reads of a proxy's configuration.
+// plainConfig is the part of a proxy's configuration that a PlainProxy reads.
 type plainConfig struct {
 	Listen, Discovery, Seed string
 	Known                   *List
 }
 
-// RunPlainProxy serves as the configuration file says until ctx ends.
+// RunPlainProxy serves with the given configuration file until ctx ends.
 func RunPlainProxy(ctx context.Context, configPath string, faults Faults) error {
 	data, err := os.ReadFile(configPath)
 	if err != nil {
@@ -90,7 +90,7 @@
 	}
 	s := &http.Server{Handler: p}
 	go p.follow(ctx, c.Discovery)
-	over := make(chan struct{}) // closed when all that was held is answered
+	over := make(chan struct{}) // closed when the requests in flight are answered
 	go func() {
 		defer close(over)
 		<-ctx.Done()
@@ -150,7 +150,7 @@
 	}
 }
 
-// pick draws a node other than those named.
+// pick returns a random ready node that is not among those in not.
 func (p *PlainProxy) pick(not []string) (Entry, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -239,7 +239,7 @@
 	}
 }
 
-// try sends a request until it is answered or may have run.
+// try attempts a request until it is answered or may have run, three times at most.
 func (p *PlainProxy) try(ctx context.Context, r *http.Request, body []byte, left time.Duration) (int, []byte) {
 	var tried []string
 	zone := ""
@@ -277,13 +277,13 @@
 	return Entry{}, false
 }
 
-// send makes one attempt, and tells whether it may have run.
+// send makes one attempt and reports whether it may have run.
 func (p *PlainProxy) send(ctx context.Context, e Entry, r *http.Request, body []byte, left time.Duration) (status int, answer []byte, ran bool) {
 	out, err := http.NewRequestWithContext(ctx, r.Method, "http://"+e.HostPort+r.URL.RequestURI(), bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, false
 	}
-	out.GetBody = nil // net/http would send it again by itself
+	out.GetBody = nil // otherwise net/http retries it on its own
 	for _, h := range []string{"X-Correlation-Id", "X-Account", "Idempotency-Key"} {
 		if v := r.Header.Get(h); v != "" {
 			out.Header.Set(h, v)
--- a/internal/standin/plainservice.go
+++ b/internal/standin/plainservice.go
@@ -13,9 +13,9 @@
 	"syscall"
 )
 
-// What a PlainProxy does of daily service: the inherited listener, the door, settings at SIGHUP.
+// The operational side of a PlainProxy: the inherited listener, the control endpoint, and the reload of settings on SIGHUP.
 
-// listen opens the clients' listener, or takes the one that the platform holds.
+// listen opens the clients' listener, or uses the one inherited from the platform.
 func listen(addr string) (net.Listener, error) {
 	if os.Getenv("NODE_SOCKET_FD") != "3" {
 		return net.Listen("tcp", addr)
@@ -25,7 +25,7 @@
 	return net.FileListener(f)
 }
 
-// door answers the platform at addr until ctx ends, and follows SIGHUP.
+// door serves the platform's control endpoint on addr until ctx ends, and reloads the settings on SIGHUP.
 func (p *PlainProxy) door(ctx context.Context, addr, configPath string) error {
 	var applied, rejected atomic.Int64
 	hups := make(chan os.Signal, 8)
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// plainCheck looks for the few things that a broken file lacks.
+// plainCheck validates the few settings that an invalid test file lacks.
 func plainCheck(path string) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -88,11 +88,11 @@
 	}
 	for _, s := range c.Settings.Services {
 		if s.Effect == "" || s.GiveUp <= 0 {
-			return errors.New("a class is broken")
+			return errors.New("settings: a service without an effect or a positive GiveUp")
 		}
 	}
 	if len(c.Settings.Services) == 0 || c.Settings.Caps.MaxAttempts < 1 {
-		return errors.New("the settings are broken")
+		return errors.New("settings: no services, or MaxAttempts below 1")
 	}
 	return nil
 }
--- a/internal/standin/registry.go
+++ b/internal/standin/registry.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// Registry is a revisioned key-value store that speaks two registries' published protocols on one address:
-// etcd v3's JSON gateway and Consul's KV with blocking queries. On command it compacts, loses its history, is
-// restored from a backup, lags, is cut off, delays, repeats, and closes its watches.
+// Registry is a revisioned key-value store that serves two published registry protocols on one address:
+// etcd v3's JSON gateway and Consul's KV with blocking queries. A test can make it compact its history, restore a
+// backup, lag, stop answering, delay answers, repeat watch events and close its watches.
 type Registry struct {
 	Addr   string
 	server *http.Server
@@ -24,19 +24,19 @@
 	counted *counting
 
 	mu       sync.Mutex
-	changed  chan struct{} // closed at each change of anything
+	changed  chan struct{} // closed and replaced at each change of any kind
 	cluster  uint64
 	revision int64
 	keys     map[string]kv
 	log      []registryEvent
-	states   map[int64]map[string]kv // whole, by revision, as far as they are kept
+	states   map[int64]map[string]kv // complete states by revision, of the last mostStates revisions
 	compact  int64
-	lag      int64 // serializable reads, watches and Consul's stale reads are so many revisions behind
+	lag      int64 // revisions that serializable reads, watches and Consul's stale reads are behind
 	quorum   bool  // linearizable reads are answered
 	cut      bool  // nothing is answered
 	delay    time.Duration
-	repeat   bool // each watch tells each transaction twice
-	fragment int  // events in a message; 0 is any number
+	repeat   bool // watches send each transaction twice
+	fragment int  // maximum events per watch message; 0 is unlimited
 	user     string
 	password string
 	tokens   map[string]bool
@@ -64,16 +64,16 @@
 	end *time.Timer
 }
 
-// RegistryOp is a part of a transaction.
+// RegistryOp is a put or a delete in a transaction.
 type RegistryOp struct {
 	Key, Value string
 	Delete     bool
 }
 
-// StartRegistry starts one that is empty.
+// StartRegistry starts an empty registry.
 func StartRegistry() (*Registry, error) { return StartRegistryTLS(nil) }
 
-// StartRegistryTLS starts one that is spoken to over TLS.
+// StartRegistryTLS starts an empty registry that serves TLS, or plain HTTP if t is nil.
 func StartRegistryTLS(t *tls.Config) (*Registry, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -97,7 +97,7 @@
 	return r, nil
 }
 
-// Close ends it with all its connections.
+// Close stops the registry and closes all its connections.
 func (r *Registry) Close() {
 	r.mu.Lock()
 	for _, l := range r.leases {
@@ -110,10 +110,10 @@
 	<-r.done
 }
 
-// URL is where clients find it.
+// URL returns the registry's base URL, for plain HTTP.
 func (r *Registry) URL() string { return "http://" + r.Addr }
 
-// set changes something under the lock and wakes who waits.
+// set runs how under the lock and wakes all waiters.
 func (r *Registry) set(how func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -122,7 +122,7 @@
 	r.changed = make(chan struct{})
 }
 
-// Txn carries out a transaction, and gives its revision.
+// Txn commits a transaction and returns its revision.
 func (r *Registry) Txn(ops ...RegistryOp) (revision int64) {
 	r.set(func() { revision = r.txn(0, ops...) })
 	return revision
@@ -154,17 +154,17 @@
 	return r.revision
 }
 
-// mostStates bounds how many revisions can be read, or gone back to.
+// mostStates is the number of revisions kept for reads and for Restore.
 const mostStates = 1000
 
-// Revision is the newest.
+// Revision returns the newest revision.
 func (r *Registry) Revision() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.revision
 }
 
-// State is what stood at a revision, by key.
+// State returns all values at a revision, by key.
 func (r *Registry) State(revision int64) map[string]string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -175,19 +175,19 @@
 	return out
 }
 
-// Compact forgets the changes up to a revision.
+// Compact drops the change history up to and including a revision.
 func (r *Registry) Compact(revision int64) {
 	r.set(func() { r.forget(revision) })
 }
 
-// forget is Compact, under the lock.
+// forget is Compact for callers that hold the lock.
 func (r *Registry) forget(revision int64) {
 	r.compact = max(r.compact, revision)
 	r.log = slices.DeleteFunc(r.log, func(e registryEvent) bool { return e.revision <= r.compact })
 }
 
-// Restore goes back to a revision that stood before, as after a restore from a backup; with another id where
-// the cluster was set up anew. Watches end.
+// Restore goes back to an earlier revision, as after a restore from a backup. With anew set the cluster ID changes,
+// as if the cluster had been set up again. All watches end.
 func (r *Registry) Restore(revision int64, anew bool) {
 	r.set(func() {
 		r.keys = maps.Clone(r.states[revision])
@@ -205,30 +205,30 @@
 	r.CloseWatches()
 }
 
-// Lag lets reads that may be old be so many revisions behind.
+// Lag makes reads that may be stale, and watches, lag by a number of revisions.
 func (r *Registry) Lag(revisions int64) { r.set(func() { r.lag = revisions }) }
 
-// Quorum says whether there is one: without it no read can be sure, and nothing is written.
+// Quorum sets whether there is a quorum: without it linearizable reads fail.
 func (r *Registry) Quorum(there bool) { r.set(func() { r.quorum = there }) }
 
-// Cut cuts the registry off: nothing is answered, and watches fall silent; or ends that.
+// Cut cuts the registry off, so that nothing is answered and watches send nothing; Cut(false) ends that.
 func (r *Registry) Cut(off bool) { r.set(func() { r.cut = off }) }
 
-// Delay holds every answer back.
+// Delay delays every answer.
 func (r *Registry) Delay(by time.Duration) { r.set(func() { r.delay = by }) }
 
-// Repeat lets watches tell each transaction twice.
+// Repeat makes watches send each transaction twice.
 func (r *Registry) Repeat(on bool) { r.set(func() { r.repeat = on }) }
 
-// Fragment bounds the events in one message of a watch.
+// Fragment limits the number of events in a watch message.
 func (r *Registry) Fragment(events int) { r.set(func() { r.fragment = events }) }
 
-// Login asks for a user from now on, and drops all tokens.
+// Login requires authentication from now on and revokes all tokens.
 func (r *Registry) Login(user, password string) {
 	r.set(func() { r.user, r.password, r.tokens = user, password, map[string]bool{} })
 }
 
-// CloseWatches ends all watches, as a restarted member does.
+// CloseWatches ends all watches, as the restart of a member does.
 func (r *Registry) CloseWatches() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -238,7 +238,7 @@
 	}
 }
 
-// watch notes a watch: the first ends where CloseWatches is called, the second ends the note.
+// watch registers a watch. CloseWatches closes the returned channel; over removes the registration.
 func (r *Registry) watch() (closed chan struct{}, over func()) {
 	closed = make(chan struct{})
 	r.mu.Lock()
@@ -251,7 +251,7 @@
 	}
 }
 
-// Calls is how often each path was called.
+// Calls returns how often a path was called.
 func (r *Registry) Calls(path string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -294,7 +294,7 @@
 	return m
 }
 
-// reachable waits while the registry is cut off.
+// reachable waits while the registry is cut off, and returns false if ctx ends first.
 func (r *Registry) reachable(ctx context.Context) bool {
 	for {
 		r.mu.Lock()
@@ -317,7 +317,7 @@
 	return r.user == "" || r.tokens[token] || token == r.password
 }
 
-// counting counts what a listener's connections write.
+// counting is a listener that counts the bytes its connections write.
 type counting struct {
 	net.Listener
 	sent atomic.Int64
@@ -344,5 +344,5 @@
 	return n, err
 }
 
-// Sent is how many bytes it has written.
+// Sent returns the number of bytes that the registry has written.
 func (r *Registry) Sent() int64 { return r.counted.sent.Load() }
--- a/internal/standin/registry_consul.go
+++ b/internal/standin/registry_consul.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// consulGet answers a read of a key or of all below it, in Consul's protocol: at once, or after the next change.
+// consulGet serves Consul's read of a key or of all keys with a prefix: at once, or as a blocking query.
 func (r *Registry) consulGet(w http.ResponseWriter, q *http.Request) {
 	prefix := strings.TrimPrefix(q.URL.Path, "/v1/kv/")
 	index, _ := strconv.ParseInt(q.URL.Query().Get("index"), 10, 64)
@@ -70,7 +70,7 @@
 	answer(w, all)
 }
 
-// consulWrite carries a write out if its condition holds.
+// consulWrite commits a write if its check-and-set index and its session are valid.
 func (r *Registry) consulWrite(w http.ResponseWriter, q *http.Request, o RegistryOp) {
 	o.Key = strings.TrimPrefix(q.URL.Path, "/v1/kv/")
 	cas := q.URL.Query().Get("cas")
--- a/internal/standin/registry_etcd.go
+++ b/internal/standin/registry_etcd.go
@@ -216,7 +216,7 @@
 	answer(w, map[string]any{"header": head})
 }
 
-// serveTxn takes comparisons of MOD alone, and puts and deletions.
+// serveTxn supports comparisons of MOD only, and puts and deletes.
 func (r *Registry) serveTxn(w http.ResponseWriter, q *http.Request) {
 	var ask struct {
 		Compare []struct {
--- a/internal/standin/registry_leases.go
+++ b/internal/standin/registry_leases.go
@@ -18,7 +18,7 @@
 	return id
 }
 
-// expire ends a lease with all its keys, in one transaction.
+// expire ends a lease and deletes its keys in one transaction.
 func (r *Registry) expire(id int64) {
 	r.set(func() {
 		if l := r.leases[id]; l != nil {
@@ -38,7 +38,7 @@
 	})
 }
 
-// ExpireLeases ends all leases now, as if no keep-alive had come.
+// ExpireLeases expires all leases now, as if no keep-alive had arrived.
 func (r *Registry) ExpireLeases() {
 	r.mu.Lock()
 	ids := slices.Collect(maps.Keys(r.leases))
@@ -59,7 +59,7 @@
 	answer(w, map[string]any{"ID": strconv.FormatInt(id, 10), "TTL": strconv.FormatInt(ttl, 10)})
 }
 
-// renew gives a lease its time again; 0: there is none.
+// renew restarts a lease's TTL and returns it, or 0 if there is no such lease.
 func (r *Registry) renew(id int64) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/vanish_other.go
+++ b/internal/standin/vanish_other.go
@@ -4,8 +4,8 @@
 
 import "net"
 
-// Block can't be had here: new connections come up, and stay silent.
+// Block does nothing on this system: new connections are established and stay silent.
 func Block(net.Listener) []net.Conn { return nil }
 
-// Unblock has nothing to do.
+// Unblock does nothing, as Block does nothing.
 func Unblock(net.Listener) error { return nil }
--- a/internal/standin/vanish_unix.go
+++ b/internal/standin/vanish_unix.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// Block sees to it that no further connection comes up at a listener: its queue is
-// made as small as can be and filled, so that the kernel drops what asks for more.
-// It gives the connections that fill it. Nothing accepts them, as Accept has been
-// told to return.
+// Block prevents a listener from establishing further connections: it shrinks the
+// accept queue to the minimum and fills it, so that the kernel drops further SYNs.
+// It returns the connections that fill the queue. Nothing accepts them, as the
+// listener's deadline makes Accept return.
 func Block(l net.Listener) (fillers []net.Conn) {
 	t, ok := l.(*net.TCPListener)
 	if !ok {
 		return nil
 	}
-	t.SetDeadline(time.Unix(1, 0)) // Accept returns, and its goroutine ends
+	t.SetDeadline(time.Unix(1, 0)) // Accept returns and its goroutine ends
 	raw, err := t.SyscallConn()
 	if err != nil {
 		return nil
@@ -29,14 +29,14 @@
 	for range 8 {
 		c, err := net.DialTimeout("tcp", l.Addr().String(), 50*time.Millisecond)
 		if err != nil {
-			return fillers // full
+			return fillers // the queue is full
 		}
 		fillers = append(fillers, c)
 	}
 	return fillers
 }
 
-// Unblock lets connections come up again, those that were asked for meanwhile when the kernel tries once more.
+// Unblock lets connections be established again. Pending connection attempts succeed when the kernel retransmits their SYN.
 func Unblock(l net.Listener) error {
 	t, ok := l.(*net.TCPListener)
 	if !ok {
